--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -9,8 +9,7 @@
 	"maps"
 	"time"
 
-	"ravenhitch/internal/manage"
-	"ravenhitch/internal/platform"
+	"ravenhitch/internal/admin"
 )
 
 // outsEvery is how often the file is read for what another process wrote.
@@ -26,7 +25,7 @@
 	p.c.Hand(p.l.Now(), outs)
 	calls := make(chan func(), 64)
 	handle := p.adminHandler(store, calls)
-	if p.maddr, err = platform.NewAdminListener(p.l, log, handle).Listen(addr); err != nil {
+	if p.maddr, err = admin.NewListener(p.l, log, handle).Listen(addr); err != nil {
 		return err
 	}
 	p.look = make(chan struct{}, 1)
@@ -35,24 +34,24 @@
 }
 
 // adminHandler returns what carries out operators' calls.
-func (p *program) adminHandler(store handoverStore, calls chan<- func()) platform.AdminHandler {
+func (p *program) adminHandler(store handoverStore, calls chan<- func()) admin.Handler {
 	claimed := false // the file says that this process serves
-	return func(c manage.Call, answer func([]byte)) {
+	return func(c admin.Call, answer func([]byte)) {
 		switch c.Verb {
-		case manage.Health:
+		case admin.Health:
 			switch {
 			case p.leaving:
-				answer(manage.No("ending"))
+				answer(admin.No("ending"))
 			case !p.channel.Followed():
-				answer(manage.No("the list of minions is not up to date"))
+				answer(admin.No("the list of minions is not up to date"))
 			case claimed:
-				answer(manage.Yes())
+				answer(admin.Yes())
 			default:
 				p.beside(calls, store.claim, answer, func() { claimed = true })
 			}
-		case manage.Dump:
+		case admin.Dump:
 			answer(p.dump().Answer())
-		case manage.Peers:
+		case admin.Peers:
 			answer(p.statusReport())
 		default:
 			p.hand(store, calls, c, answer)
@@ -61,12 +60,12 @@
 }
 
 // hand takes a minion out or puts it back.
-func (p *program) hand(store handoverStore, calls chan<- func(), c manage.Call, answer func([]byte)) {
+func (p *program) hand(store handoverStore, calls chan<- func(), c admin.Call, answer func([]byte)) {
 	if !p.c.Known(c.ID) {
-		answer(manage.No("no minion " + c.ID))
+		answer(admin.No("no minion " + c.ID))
 		return
 	}
-	var outs manage.Outs
+	var outs admin.Outs
 	p.beside(calls, func() (err error) { outs, err = store.change(c); return err }, answer,
 		func() { p.c.Hand(p.l.Now(), outs) })
 }
@@ -78,22 +77,22 @@
 		p.l.Post(func() {
 			if err != nil {
 				p.log.Error("a call could not be kept", "err", err)
-				answer(manage.No("not kept: " + err.Error()))
+				answer(admin.No("not kept: " + err.Error()))
 				return
 			}
 			then()
-			answer(manage.Yes())
+			answer(admin.Yes())
 		})
 	}
 	select {
 	case calls <- task:
 	default:
-		answer(manage.No("too many calls"))
+		answer(admin.No("too many calls"))
 	}
 }
 
 // keep does the work of calls on files, and reads what another process changed.
-func (p *program) keep(store handoverStore, seen manage.Outs, calls <-chan func()) {
+func (p *program) keep(store handoverStore, seen admin.Outs, calls <-chan func()) {
 	for tick := time.NewTicker(outsEvery); ; {
 		select {
 		case work := <-calls:
@@ -119,11 +118,11 @@
 }
 
 // dump is the figures as they stand.
-func (p *program) dump() manage.Figures {
-	f := manage.Figures{Responses: map[string]manage.Class{}, Tries: p.nodes.Tries(), Active: p.c.Open() + p.c.Standing()}
+func (p *program) dump() admin.Figures {
+	f := admin.Figures{Responses: map[string]admin.Class{}, Tries: p.nodes.Tries(), Active: p.c.Open() + p.c.Standing()}
 	f.Pool, f.Ejected = p.c.Pool()
 	for name, e := range p.c.Ends() {
-		f.Responses[name] = manage.Class{OK: e.Started, Shed: e.Refused, Errors: e.Failed}
+		f.Responses[name] = admin.Class{OK: e.Started, Shed: e.Refused, Errors: e.Failed}
 	}
 	return f
 }
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -7,9 +7,9 @@
 	"slices"
 
 	"ravenhitch/internal/config"
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/discovery"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/membership"
-	"ravenhitch/internal/platform"
 	"ravenhitch/internal/shard"
 )
 
@@ -20,7 +20,7 @@
 
 // assignment divides the workers among the members that are there.
 type assignment struct {
-	use      func(platform.Owner) // takes a division of the workers
+	use      func(discovery.Owner) // takes a division of the workers
 	regions  shard.Regions
 	self     string
 	presumed []shard.Member // that are taken to be there
@@ -28,7 +28,7 @@
 }
 
 // assign divides the workers, at first among the members that the operators' file names.
-func assign(l *loop.Loop, channel *platform.Channel, cfg config.Config, s config.Peers) *assignment {
+func assign(l *eventloop.Loop, channel *discovery.Channel, cfg config.Config, s config.Peers) *assignment {
 	a := newAssignment(cfg.Name, cmp.Or(s.Hall, cfg.Settings.Zone), s)
 	channel.Partition(a.owner())
 	a.use = channel.Own
@@ -67,7 +67,7 @@
 }
 
 // owner divides the workers among the members as they are now.
-func (a *assignment) owner() platform.Owner {
+func (a *assignment) owner() discovery.Owner {
 	members := slices.Concat(a.presumed, a.view)
 	return func(zone string) shard.Bits { return a.regions.Own(zone, members, a.self) }
 }
--- a/cmd/ravenhitch/ending.go
+++ b/cmd/ravenhitch/ending.go
@@ -6,8 +6,8 @@
 import (
 	"fmt"
 
-	"ravenhitch"
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/placement"
 )
 
 const (
@@ -29,7 +29,7 @@
 )
 
 // drainTimeout is how long after SIGTERM requests may stay open.
-func drainTimeout(s ravenhitch.Settings, most int64) (us int64) {
+func drainTimeout(s placement.Settings, most int64) (us int64) {
 	for _, c := range s.Classes {
 		us = max(us, c.DeadlineUs)
 	}
@@ -78,7 +78,7 @@
 func (p *program) Run() error {
 	defer p.l.Close()
 	defer close(p.over)
-	var timer *loop.Timer
+	var timer *eventloop.Timer
 	var due int64
 	defer p.nodes.Close()
 	err := p.l.Run(func(now int64) {
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ravenhitch/internal/manage"
+	"ravenhitch/internal/admin"
 )
 
 // handoverStore is the files in which a process leaves what its successor needs: the minions
@@ -56,19 +56,19 @@
 }
 
 // read returns what the file holds.
-func (s handoverStore) read() (manage.Outs, error) {
+func (s handoverStore) read() (admin.Outs, error) {
 	b, err := os.ReadFile(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return manage.Outs{}, nil
+		return admin.Outs{}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return manage.DecodeOuts(s.path, b)
+	return admin.DecodeOuts(s.path, b)
 }
 
 // change carries out a call on the file, one process at a time.
-func (s handoverStore) change(c manage.Call) (outs manage.Outs, err error) {
+func (s handoverStore) change(c admin.Call) (outs admin.Outs, err error) {
 	lock, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -4,8 +4,8 @@
 // start where the operators' file names no place for it.
 
 import (
+	"ravenhitch/internal/admin"
 	"ravenhitch/internal/config"
-	"ravenhitch/internal/manage"
 	"ravenhitch/internal/membership"
 	"ravenhitch/internal/peer"
 )
@@ -39,11 +39,11 @@
 // statusReport is the answer to an operator who asks for the table of members.
 func (p *program) statusReport() []byte {
 	if p.peers == nil {
-		return manage.No("no peers: [peers] names no place in the operators' file")
+		return admin.No("no peers: [peers] names no place in the operators' file")
 	}
 	b, err := p.peers.StatusReport().Answer()
 	if err != nil {
-		return manage.No(err.Error())
+		return admin.No(err.Error())
 	}
 	return b
 }
--- a/cmd/ravenhitch/picture.go
+++ b/cmd/ravenhitch/picture.go
@@ -9,7 +9,7 @@
 
 	svg "github.com/ajstarks/svgo"
 
-	"ravenhitch/internal/standin/fleet"
+	"ravenhitch/internal/testbed/fleet"
 )
 
 const (
--- a/cmd/ravenhitch/program.go
+++ b/cmd/ravenhitch/program.go
@@ -8,15 +8,18 @@
 	"net"
 	"os"
 
+	"ravenhitch/internal/backpressure"
+	"ravenhitch/internal/clientfront"
 	"ravenhitch/internal/config"
-	"ravenhitch/internal/core"
+	"ravenhitch/internal/descriptors"
+	"ravenhitch/internal/discovery"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/grpcfront"
-	"ravenhitch/internal/loop"
 	"ravenhitch/internal/metrics"
 	"ravenhitch/internal/peer"
-	"ravenhitch/internal/platform"
-	"ravenhitch/internal/storm"
-	"ravenhitch/internal/ticket"
+	"ravenhitch/internal/retrytoken"
+	"ravenhitch/internal/workerpool"
 )
 
 const (
@@ -32,17 +35,17 @@
 // program is one orchestrator, its parts joined.
 type program struct {
 	log   *slog.Logger
-	l     *loop.Loop
-	c     *core.Core
-	nodes *platform.Nodes
+	l     *eventloop.Loop
+	c     *dispatch.Core
+	nodes *workerpool.Nodes
 	addr  string // of the platform's front
 	grpc  *grpcfront.Front
 	gaddr string // of the gRPC front, "" where that is off
 	// tickets is the file of the keys of return tickets, "" where none are given
 	tickets string
 
-	front        *platform.Front
-	channel      *platform.Channel
+	front        *clientfront.Front
+	channel      *discovery.Channel
 	peers        *peer.Peers // nil where no others are known
 	assignment   *assignment // of the workers to orchestrators, nil where this one uses all
 	exporters    []*metrics.Exporter
@@ -65,10 +68,10 @@
 		return nil, err
 	}
 	p = &program{log: log, over: make(chan struct{})}
-	if p.l, err = loop.New(budget); err != nil {
+	if p.l, err = eventloop.New(budget); err != nil {
 		return nil, err
 	}
-	defer func(l *loop.Loop) {
+	defer func(l *eventloop.Loop) {
 		if err != nil { // p is nil then
 			l.Close()
 		}
@@ -109,31 +112,33 @@
 
 // startCore joins the core with the minions' side and the advisor of refused owners.
 func (p *program) startCore(cfg config.Config, edge config.Edge) (err error) {
-	p.nodes = platform.NewNodes(p.l, cfg.DialTimeoutUs, cfg.Settings.Tests, p.log)
+	p.nodes = workerpool.NewNodes(p.l, cfg.DialTimeoutUs, cfg.Settings.Tests, p.log)
 	p.nodes.Trace(edge.Trace)
 	p.nodes.KeepAlive(edge.Workers.KeepAlive)
-	if p.c, err = core.New(cfg.Settings, cfg.Seed, p.nodes, p.log); err != nil {
+	if p.c, err = dispatch.New(cfg.Settings, cfg.Seed, p.nodes, p.log); err != nil {
 		return err
 	}
 	p.c.Trace(edge.Trace)
 	p.nodes.Use(p.c)
 	if edge.Storm.Constant > 0 {
-		p.c.Advise(core.Constant(edge.Storm.Constant))
+		p.c.Advise(dispatch.Constant(edge.Storm.Constant))
 		return nil
 	}
-	s := core.StormSettings(cfg.Settings)
+	s := dispatch.StormSettings(cfg.Settings)
 	s.LeastUs, s.Callers = edge.Storm.Least.Microseconds(), edge.Storm.Callers
-	p.c.Advise(storm.New(s, cfg.Seed))
+	p.c.Advise(backpressure.New(s, cfg.Seed))
 	return nil
 }
 
 // startFronts follows the command channel and begins to listen: to operators, to owners,
 // to other orchestrators, and to owners that speak gRPC.
 func (p *program) startFronts(cfg config.Config, edge config.Edge, budget int) (err error) {
-	p.front = platform.NewFront(p.l, p.c, budget*3/4, cfg.ConnIdleUs, p.log)
+	p.front = clientfront.NewFront(p.l, p.c, budget*3/4, cfg.ConnIdleUs, p.log)
 	p.front.Trace(edge.Trace)
-	platform.Share(p.front, p.nodes, budget)
-	p.channel = platform.NewChannel(p.l, p.c, p.nodes, cfg.Channel, cfg.DialTimeoutUs, p.log)
+	shared := descriptors.New(budget, p.front.MaxConnections(), p.l.Free, p.front.Connections)
+	p.front.ShareDescriptors(shared)
+	p.nodes.ShareDescriptors(shared)
+	p.channel = discovery.NewChannel(p.l, p.c, p.nodes, cfg.Channel, cfg.DialTimeoutUs, p.log)
 	if edge.Peers.Partition {
 		p.assignment = assign(p.l, p.channel, cfg, edge.Peers)
 	}
@@ -186,10 +191,10 @@
 }
 
 // loadKeys reads the file of the keys of return tickets.
-func loadKeys(path string) (*ticket.Keys, error) {
+func loadKeys(path string) (*retrytoken.Keys, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("tickets: %w", err)
 	}
-	return ticket.ParseKeys(path, b)
+	return retrytoken.ParseKeys(path, b)
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
-	"ravenhitch"
-	"ravenhitch/internal/wire"
+	"ravenhitch/internal/simwire"
+	"ravenhitch/placement"
 )
 
 func main() {
@@ -21,13 +21,13 @@
 
 // host holds the instances, which share nothing.
 type host struct {
-	placers map[int]*ravenhitch.Placer
-	enc     *wire.Encoder
+	placers map[int]*placement.Placer
+	enc     *simwire.Encoder
 }
 
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
-	h := &host{placers: map[int]*ravenhitch.Placer{}, enc: wire.NewEncoder(out)}
+	dec := simwire.NewDecoder(in)
+	h := &host{placers: map[int]*placement.Placer{}, enc: simwire.NewEncoder(out)}
 	for {
 		b, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -44,10 +44,10 @@
 
 // reply hands each instance its events, in order of arrival, and writes what
 // they do.
-func (h *host) reply(b wire.Batch) error {
+func (h *host) reply(b simwire.Batch) error {
 	var order []int
-	events := map[int][]ravenhitch.Event{}
-	note := func(inst int, e ravenhitch.Event) {
+	events := map[int][]placement.Event{}
+	note := func(inst int, e placement.Event) {
 		if _, ok := events[inst]; !ok {
 			order = append(order, inst)
 		}
@@ -55,10 +55,10 @@
 	}
 	for _, it := range b.Items {
 		switch it.Kind {
-		case wire.Start:
+		case simwire.Start:
 			delete(events, it.Inst)
 			order = without(order, it.Inst)
-			p, err := ravenhitch.New(it.Settings, it.Seed)
+			p, err := placement.New(it.Settings, it.Seed)
 			if err != nil {
 				if err := h.enc.Fault(it.Inst, err.Error()); err != nil {
 					return err
@@ -67,11 +67,11 @@
 				continue
 			}
 			h.placers[it.Inst] = p
-		case wire.Stop:
+		case simwire.Stop:
 			delete(h.placers, it.Inst)
 			delete(events, it.Inst)
 			order = without(order, it.Inst)
-		case wire.Happen:
+		case simwire.Happen:
 			note(it.Inst, it.Event)
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 // handle turns a panic of the decision code into a text.
-func handle(p *ravenhitch.Placer, now int64, ev []ravenhitch.Event) (a []ravenhitch.Action, fault string) {
+func handle(p *placement.Placer, now int64, ev []placement.Event) (a []placement.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			a, fault = nil, fmt.Sprint("panic: ", r)
--- a/internal/manage/call.go
+++ b/internal/admin/call.go
@@ -1,7 +1,7 @@
 // Package manage owns what operators' staff may ask of a running orchestrator, and what
 // stays of it: the form of calls and answers, the figures, and which minions are out by
 // hand. It must never decide where a task goes, and holds no socket and no clock.
-package manage
+package admin
 
 import (
 	"errors"
--- a/internal/platform/admin.go
+++ b/internal/admin/listener.go
@@ -1,4 +1,4 @@
-package platform
+package admin
 
 // This file owns the connections of operators: one call of one line each, one answer, and
 // the close. It must never hold a request of an owner back, nor let operators' connections
@@ -10,8 +10,8 @@
 	"log/slog"
 	"slices"
 
-	"ravenhitch/internal/loop"
-	"ravenhitch/internal/manage"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/ratelog"
 )
 
 const (
@@ -22,30 +22,30 @@
 	adminCallTimeout = 10_000_000
 )
 
-// AdminHandler carries out a call of an operator. It is called on the loop, once for each
+// Handler carries out a call of an operator. It is called on the loop, once for each
 // whole call, and may answer later, but on the loop.
-type AdminHandler func(call manage.Call, answer func([]byte))
+type Handler func(call Call, answer func([]byte))
 
-// AdminListener takes operators' calls.
-type AdminListener struct {
-	l      *loop.Loop
-	log    *Limited
-	handle AdminHandler
+// Listener takes operators' calls.
+type Listener struct {
+	l      *eventloop.Loop
+	log    *ratelog.Logger
+	handle Handler
 	open   []*adminConn // oldest first
 }
 
-// NewAdminListener returns a listener that hands calls to handle.
-func NewAdminListener(l *loop.Loop, log *slog.Logger, handle AdminHandler) *AdminListener {
-	return &AdminListener{l: l, log: NewLimited(log), handle: handle}
+// NewListener returns a listener that hands calls to handle.
+func NewListener(l *eventloop.Loop, log *slog.Logger, handle Handler) *Listener {
+	return &Listener{l: l, log: ratelog.New(log), handle: handle}
 }
 
 // Listen starts to take calls, and returns the address in use.
-func (a *AdminListener) Listen(addr string) (string, error) {
-	return a.l.Listen(addr, a.room, func() loop.Handler { return &adminConn{listener: a} })
+func (a *Listener) Listen(addr string) (string, error) {
+	return a.l.Listen(addr, a.room, func() eventloop.Handler { return &adminConn{listener: a} })
 }
 
 // room reports whether another connection can be taken, and ends one for it where need be.
-func (a *AdminListener) room() bool {
+func (a *Listener) room() bool {
 	if len(a.open) < maxAdminConns {
 		return true
 	}
@@ -60,21 +60,21 @@
 
 // adminConn is one connection of an operator.
 type adminConn struct {
-	listener *AdminListener
-	conn     *loop.Conn
+	listener *Listener
+	conn     *eventloop.Conn
 	called   bool // its whole call has come
-	timer    *loop.Timer
+	timer    *eventloop.Timer
 }
 
 // Opened implements loop.Handler.
-func (c *adminConn) Opened(conn *loop.Conn) {
+func (c *adminConn) Opened(conn *eventloop.Conn) {
 	c.conn = conn
 	c.listener.open = append(c.listener.open, c)
 	c.timer = c.listener.l.After(adminCallTimeout, c.close)
 }
 
 // Closed implements loop.Handler.
-func (c *adminConn) Closed(*loop.Conn, error) { c.forget() }
+func (c *adminConn) Closed(*eventloop.Conn, error) { c.forget() }
 
 // forget takes the connection off the list of those that are open.
 func (c *adminConn) forget() {
@@ -95,23 +95,23 @@
 }
 
 // Data implements loop.Handler.
-func (c *adminConn) Data(_ *loop.Conn, b []byte) (int, error) {
+func (c *adminConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	if c.called {
 		return len(b), nil // one call a connection
 	}
 	end := bytes.IndexByte(b, '\n')
-	if end < 0 && len(b) <= manage.CallMost {
+	if end < 0 && len(b) <= CallMost {
 		return 0, nil
 	}
 	c.called = true
-	if end < 0 || end >= manage.CallMost {
-		c.answer(manage.No(fmt.Sprintf("expected a call of at most %d bytes", manage.CallMost)))
+	if end < 0 || end >= CallMost {
+		c.answer(No(fmt.Sprintf("expected a call of at most %d bytes", CallMost)))
 		return len(b), nil
 	}
-	call, err := manage.ParseCall(string(b[:end]))
+	call, err := ParseCall(string(b[:end]))
 	if err != nil {
 		c.listener.log.Warn("a call of operators' staff can't be used", "err", err)
-		c.answer(manage.No(err.Error()))
+		c.answer(No(err.Error()))
 		return len(b), nil
 	}
 	c.listener.handle(call, c.answer)
--- a/internal/manage/outs.go
+++ b/internal/admin/outs.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"fmt"
--- a/internal/storm/storm.go
+++ b/internal/backpressure/backpressure.go
@@ -7,7 +7,7 @@
 // and at what pace room comes.
 //
 // Every time is in microseconds. Work is counted in units: the size of a mean task.
-package storm
+package backpressure
 
 import (
 	"math/rand/v2"
--- a/internal/storm/book.go
+++ b/internal/backpressure/book.go
@@ -1,4 +1,4 @@
-package storm
+package backpressure
 
 // This file owns what is remembered of callers: a table of fixed size. A caller is
 // known by 32 bits of its key's hash within a bucket of eight, so one that never
--- a/internal/storm/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -1,4 +1,4 @@
-package storm
+package backpressure
 
 // This file owns the calendar: how many units were told to come back when. It books
 // no caller twice and forgets what is past: a place that nobody used is others'.
--- a/internal/storm/detect.go
+++ b/internal/backpressure/detect.go
@@ -1,4 +1,4 @@
-package storm
+package backpressure
 
 import "fmt"
 
--- a/internal/storm/fair.go
+++ b/internal/backpressure/fair.go
@@ -1,4 +1,4 @@
-package storm
+package backpressure
 
 // This file owns the shares of services among the returns that are booked: one that
 // asks for most of the room must not put the others behind all of it. Services are
--- a/internal/storm/pace.go
+++ b/internal/backpressure/pace.go
@@ -1,4 +1,4 @@
-package storm
+package backpressure
 
 // This file owns the learned pace: how many units a second find room. It is learned
 // from the starts while something waits, since only then do starts tell what there is
--- a/internal/platform/front.go
+++ b/internal/clientfront/front.go
@@ -1,4 +1,4 @@
-package platform
+package clientfront
 
 // This file owns the connections from owners: which set-ups came on which, what
 // is still owed to each, how long one may keep a place without a use for it, and
@@ -9,33 +9,25 @@
 import (
 	"log/slog"
 
-	"ravenhitch/internal/core"
-	"ravenhitch/internal/loop"
-)
-
-// The causes of the protocol.
-const (
-	causeGivenUp   = 16
-	causeCancelled = 31
-	causeFull      = 34
-	causeReset     = 41
-	causeError     = 47
-	causeMoot      = 102
+	"ravenhitch/internal/descriptors"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/ratelog"
 )
 
 // Front serves owners.
 type Front struct {
-	l       *loop.Loop
-	core    *core.Core
-	log     *Limited
-	tracer  core.Tracer
-	most    int      // connections
-	sharing *sharing // of descriptors, nil where there are enough for all
-	idleUs  int64    // after which a connection without a set-up is closed
-	conns   map[*owner]bool
-	latest  *owner   // the one that spoke last, of those that a task was started for
-	unsent  []unsent // releases that found no connection
-	dials   uint64   // connections so far
+	l      *eventloop.Loop
+	core   *dispatch.Core
+	log    *ratelog.Logger
+	tracer dispatch.Tracer
+	most   int                 // connections
+	budget *descriptors.Budget // nil where there are enough descriptors for all
+	idleUs int64               // after which a connection without a set-up is closed
+	conns  map[*owner]bool
+	latest *owner   // the one that spoke last, of those that a task was started for
+	unsent []unsent // releases that found no connection
+	dials  uint64   // connections so far
 }
 
 const (
@@ -71,11 +63,17 @@
 
 // NewFront returns a front that holds at most so many connections, each for
 // idleUs after its last message at the longest, 0 for ever.
-func NewFront(l *loop.Loop, c *core.Core, most int, idleUs int64, log *slog.Logger) *Front {
-	return &Front{l: l, core: c, most: most, idleUs: idleUs, log: NewLimited(log), tracer: core.Tracer{Log: log},
+func NewFront(l *eventloop.Loop, c *dispatch.Core, most int, idleUs int64, log *slog.Logger) *Front {
+	return &Front{l: l, core: c, most: most, idleUs: idleUs, log: ratelog.New(log), tracer: dispatch.Tracer{Log: log},
 		conns: map[*owner]bool{}}
 }
 
+// ShareDescriptors makes the front admit clients only as the budget allows.
+func (f *Front) ShareDescriptors(b *descriptors.Budget) { f.budget = b }
+
+// MaxConnections is how many connections the front holds at most.
+func (f *Front) MaxConnections() int { return f.most }
+
 // Trace limits the trace to the tags that end in one of the endings; none traces all.
 func (f *Front) Trace(endings []string) { f.tracer.Endings = endings }
 
@@ -100,7 +98,7 @@
 // not 0: it belongs to the platform, which keeps it from one process to the next.
 func (f *Front) Listen(addr string, fd int) (string, error) {
 	f.l.After(sweepEvery, f.sweep)
-	accept := func() loop.Handler { return &owner{f: f, open: map[string]bool{}} }
+	accept := func() eventloop.Handler { return &owner{f: f, open: map[string]bool{}} }
 	if fd > 0 {
 		return f.l.Inherit(fd, f.room, accept)
 	}
@@ -113,7 +111,7 @@
 // come by the hundred, and who waits for their places waits in the system's queue,
 // where no answer reaches it.
 func (f *Front) room() bool {
-	if len(f.conns) < f.most && f.sharing.clientsRoom() {
+	if len(f.conns) < f.most && f.budget.AdmitsClient() {
 		return true
 	}
 	var best *owner
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,8 +15,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"ravenhitch"
-	"ravenhitch/internal/wire"
+	"ravenhitch/internal/simwire"
+	"ravenhitch/placement"
 )
 
 // ErrConfig is wrapped by every error of this package.
@@ -32,7 +32,7 @@
 	DialTimeoutUs         int64
 	ConnIdleUs            int64 // 0: idle connections stay
 	Known                 Update
-	Settings              ravenhitch.Settings
+	Settings              placement.Settings
 }
 
 // Update is what the command channel tells.
@@ -52,7 +52,7 @@
 
 // Member is one minion of a list.
 type Member struct {
-	ravenhitch.Entry
+	placement.Entry
 	Addr string
 }
 
@@ -100,7 +100,7 @@
 	if !j.Get("settings").IsObject() {
 		return Config{}, fmt.Errorf("%w: settings: expected an object", ErrConfig)
 	}
-	if c.Settings, err = wire.Settings(Pairs(j.Get("settings"))); err != nil {
+	if c.Settings, err = simwire.Settings(Pairs(j.Get("settings"))); err != nil {
 		return Config{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	if c.DialTimeoutUs <= 0 {
@@ -165,8 +165,8 @@
 	return update(gjson.ParseBytes(b))
 }
 
-var states = map[string]ravenhitch.State{"up": ravenhitch.Ready, "draining": ravenhitch.Draining,
-	"removed": ravenhitch.Gone}
+var states = map[string]placement.State{"up": placement.Ready, "draining": placement.Draining,
+	"removed": placement.Gone}
 
 func update(j gjson.Result) (Update, error) {
 	if !j.IsObject() {
@@ -194,7 +194,7 @@
 }
 
 func member(v gjson.Result) (Member, error) {
-	m := Member{Addr: v.Get("host_port").String(), Entry: ravenhitch.Entry{
+	m := Member{Addr: v.Get("host_port").String(), Entry: placement.Entry{
 		Machine: v.Get("id").String(), Kind: v.Get("flavor").String(), Zone: v.Get("locality").String(),
 		Cell: int(v.Get("cell").Int()), StartUs: v.Get("up_since_ms").Int() * 1000,
 		SpareCores: v.Get("spare.0").Float(), SpareMem: v.Get("spare.1").Float(),
@@ -206,7 +206,7 @@
 	if m.State, ok = states[v.Get("phase").String()]; !ok {
 		return m, fmt.Errorf("%w: member %.40q: phase %.40q is unknown", ErrConfig, m.Machine, v.Get("phase").String())
 	}
-	if _, err := netip.ParseAddrPort(m.Addr); err != nil && m.State != ravenhitch.Gone {
+	if _, err := netip.ParseAddrPort(m.Addr); err != nil && m.State != placement.Gone {
 		return m, fmt.Errorf("%w: member %.40q: host_port %.60q is no address", ErrConfig, m.Machine, m.Addr)
 	}
 	return m, nil
--- a/internal/platform/partition.go
+++ b/internal/discovery/partition.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 // This file owns the partition of the workers among orchestrators, as this one has it: the shards
 // that it places tasks in, and those that it wants and has not been told the workers' room of yet.
@@ -9,9 +9,9 @@
 	"maps"
 	"strings"
 
-	"ravenhitch"
 	"ravenhitch/internal/config"
 	"ravenhitch/internal/shard"
+	"ravenhitch/placement"
 )
 
 // Owner says which shards of a zone this orchestrator is to place tasks in.
@@ -52,7 +52,7 @@
 		clear(p.zones)
 	}
 	for _, m := range members {
-		if m.State == ravenhitch.Gone {
+		if m.State == placement.Gone {
 			delete(p.zones, m.Machine)
 			continue
 		}
--- a/internal/core/advice.go
+++ b/internal/dispatch/advice.go
@@ -1,12 +1,12 @@
-package core
+package dispatch
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"ravenhitch"
-	"ravenhitch/internal/storm"
+	"ravenhitch/internal/backpressure"
+	"ravenhitch/placement"
 )
 
 // This file joins the table with the advice on refusals: it tells what was asked,
@@ -17,29 +17,29 @@
 // delays that.
 type Advisor interface {
 	// Asked takes a set-up and says since when its owner stands in line.
-	Asked(now int64, c storm.Caller) (since int64)
+	Asked(now int64, c backpressure.Caller) (since int64)
 	// Held sets how many units of each class wait for room.
 	Held(now int64, units []float64)
-	Started(now int64, c storm.Caller)
-	Ended(now int64, c storm.Caller)
-	Adopted(now int64, c storm.Caller)
-	Left(now int64, c storm.Caller)
+	Started(now int64, c backpressure.Caller)
+	Ended(now int64, c backpressure.Caller)
+	Adopted(now int64, c backpressure.Caller)
+	Left(now int64, c backpressure.Caller)
 	// Refused is how long the owner is to stay away.
-	Refused(now int64, c storm.Caller) (waitUs int64)
+	Refused(now int64, c backpressure.Caller) (waitUs int64)
 	// Pace is at what pace room comes, in units a second, 0 where nothing tells.
 	Pace(now int64) float64
 	// Keep is how many units each class is to leave to higher ranks on their way.
 	Keep(now int64) []float64
-	Tick(now int64) (storm.Change, bool)
-	Figures(now int64) storm.Figures
+	Tick(now int64) (backpressure.Change, bool)
+	Figures(now int64) backpressure.Figures
 }
 
 // StormSettings are the settings of the advice that follow from those of the
 // platform.
-func StormSettings(s ravenhitch.Settings) storm.Settings {
-	out := storm.Settings{LongestUs: s.MaxRetryAfterUs}
+func StormSettings(s placement.Settings) backpressure.Settings {
+	out := backpressure.Settings{LongestUs: s.MaxRetryAfterUs}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, storm.Class{Name: c.Name, Rank: c.Worth})
+		out.Classes = append(out.Classes, backpressure.Class{Name: c.Name, Rank: c.Worth})
 	}
 	return out
 }
@@ -65,11 +65,11 @@
 func (c *Core) Advises() bool { return c.set.Advice }
 
 // Storm is what is worth watching of crowds.
-func (c *Core) Storm() storm.Figures { return c.advisor.Figures(c.now) }
+func (c *Core) Storm() backpressure.Figures { return c.advisor.Figures(c.now) }
 
 // caller is a request as the advisor sees it.
-func (r *request) caller() storm.Caller {
-	return storm.Caller{Key: r.number, Service: r.Service, Class: r.class, Units: r.units, WaitUs: r.WaitUs,
+func (r *request) caller() backpressure.Caller {
+	return backpressure.Caller{Key: r.number, Service: r.Service, Class: r.class, Units: r.units, WaitUs: r.WaitUs,
 		SinceUs: r.SinceUs, From: r.From}
 }
 
@@ -100,14 +100,14 @@
 
 // announce tells the advisor what will wait once the actions are carried out: what is
 // refused together must not be booked behind itself.
-func (c *Core) announce(actions []ravenhitch.Action) {
+func (c *Core) announce(actions []placement.Action) {
 	c.after = append(c.after[:0], c.held...)
 	for _, a := range actions {
 		var r *request
 		switch a := a.(type) {
-		case ravenhitch.Deny:
+		case placement.Deny:
 			r = c.reqs[a.Ticket]
-		case ravenhitch.Place:
+		case placement.Place:
 			r = c.reqs[a.Ticket]
 		}
 		if r != nil && r.state == waiting {
@@ -132,7 +132,7 @@
 		return
 	}
 	c.pressed.pace, c.pressed.keep = pace, slices.Clone(keep)
-	c.event(ravenhitch.Pressure{Pace: pace, Keep: c.pressed.keep})
+	c.event(placement.Pressure{Pace: pace, Keep: c.pressed.keep})
 }
 
 // near reports whether a figure is much as it was.
@@ -142,14 +142,14 @@
 type Constant time.Duration
 
 // The methods of Constant implement Advisor; it learns nothing.
-func (a Constant) Asked(now int64, _ storm.Caller) int64 { return now }
-func (Constant) Held(int64, []float64)                   {}
-func (Constant) Started(int64, storm.Caller)             {}
-func (Constant) Adopted(int64, storm.Caller)             {}
-func (Constant) Ended(int64, storm.Caller)               {}
-func (Constant) Left(int64, storm.Caller)                {}
-func (a Constant) Refused(int64, storm.Caller) int64     { return time.Duration(a).Microseconds() }
-func (Constant) Pace(int64) float64                      { return 0 }
-func (Constant) Keep(int64) []float64                    { return nil }
-func (Constant) Tick(int64) (ch storm.Change, ok bool)   { return ch, false }
-func (Constant) Figures(int64) (f storm.Figures)         { return f }
+func (a Constant) Asked(now int64, _ backpressure.Caller) int64 { return now }
+func (Constant) Held(int64, []float64)                          {}
+func (Constant) Started(int64, backpressure.Caller)             {}
+func (Constant) Adopted(int64, backpressure.Caller)             {}
+func (Constant) Ended(int64, backpressure.Caller)               {}
+func (Constant) Left(int64, backpressure.Caller)                {}
+func (a Constant) Refused(int64, backpressure.Caller) int64     { return time.Duration(a).Microseconds() }
+func (Constant) Pace(int64) float64                             { return 0 }
+func (Constant) Keep(int64) []float64                           { return nil }
+func (Constant) Tick(int64) (ch backpressure.Change, ok bool)   { return ch, false }
+func (Constant) Figures(int64) (f backpressure.Figures)         { return f }
--- a/internal/core/core.go
+++ b/internal/dispatch/dispatcher.go
@@ -9,7 +9,7 @@
 // end, none to a node past the drain limit, and at most one start of a task
 // that must not run twice. Nothing here may block, and nothing but this package
 // may decide that a request is over.
-package core
+package dispatch
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	"log/slog"
 	"strconv"
 
-	"ravenhitch"
-	"ravenhitch/internal/storm"
+	"ravenhitch/internal/backpressure"
+	"ravenhitch/placement"
 )
 
 const (
@@ -63,17 +63,17 @@
 	class    int    // in the settings, the last where it is not there
 	units    float64
 	deadline int64
-	effect   ravenhitch.Effect
+	effect   placement.Effect
 	attempts int
 	copy     int // the number of the attempt that is out or stands
 	sentAt   int64
 	foundAt  int64 // when it was handed in as standing, or 0
 	abandon  int64
 	node     string
-	mayRun   bool              // an attempt may have started
-	ran      ran               // the first that may have
-	endAs    ravenhitch.Status // ending: what becomes of the attempt; standing and due: of the task
-	endWhy   ravenhitch.Why
+	mayRun   bool             // an attempt may have started
+	ran      ran              // the first that may have
+	endAs    placement.Status // ending: what becomes of the attempt; standing and due: of the task
+	endWhy   placement.Why
 	reply    string // the tag that the owner knows it by
 	binding  string // what the node gave
 	lostAt   int64
@@ -100,9 +100,9 @@
 // Core is the request table round one decision module. It is not safe for
 // concurrent use.
 type Core struct {
-	placer    *ravenhitch.Placer
-	set       ravenhitch.Settings
-	effects   map[string]ravenhitch.Effect
+	placer    *placement.Placer
+	set       placement.Settings
+	effects   map[string]placement.Effect
 	nodes     Nodes
 	log       *slog.Logger
 	now       int64
@@ -116,7 +116,7 @@
 	pastAge   []string
 	due       dues
 	bells     bells
-	events    []ravenhitch.Event
+	events    []placement.Event
 	told      map[string]int64 // when a node was told to drain or to be gone
 	listed    map[string]bool
 	channel   bool // the list is followed
@@ -136,17 +136,17 @@
 }
 
 // New returns a core that decides with a new module.
-func New(s ravenhitch.Settings, seed uint64, nodes Nodes, log *slog.Logger) (*Core, error) {
-	p, err := ravenhitch.New(s, seed)
+func New(s placement.Settings, seed uint64, nodes Nodes, log *slog.Logger) (*Core, error) {
+	p, err := placement.New(s, seed)
 	if err != nil {
 		return nil, fmt.Errorf("core: %w", err)
 	}
-	c := &Core{placer: p, set: s, effects: map[string]ravenhitch.Effect{}, nodes: nodes, log: log,
+	c := &Core{placer: p, set: s, effects: map[string]placement.Effect{}, nodes: nodes, log: log,
 		reqs: map[string]*request{}, keys: map[string]*request{}, alias: map[string]*request{},
 		silent: map[string]*request{}, holdings: holdings{}, unclaimed: unclaimedEnds{byTag: map[string]unclaimedEnd{}}, past: map[string]Answer{}, told: map[string]int64{}, listed: map[string]bool{},
-		advisor: storm.New(StormSettings(s), seed), classes: map[string]int{}, held: make([]float64, len(s.Classes)),
+		advisor: backpressure.New(StormSettings(s), seed), classes: map[string]int{}, held: make([]float64, len(s.Classes)),
 		tracer: Tracer{Log: log}, ends: map[string]Ends{},
-		roster: roster{last: map[string]ravenhitch.Entry{}, out: map[string]bool{}, back: map[string]bool{}}}
+		roster: roster{last: map[string]placement.Entry{}, out: map[string]bool{}, back: map[string]bool{}}}
 	for i, k := range s.Classes {
 		c.effects[k.Name] = k.Effect
 		c.classes[k.Name] = i
@@ -177,7 +177,7 @@
 	return n
 }
 
-func (c *Core) event(e ravenhitch.Event) { c.events = append(c.events, e) }
+func (c *Core) event(e placement.Event) { c.events = append(c.events, e) }
 
 // number turns a name into the module's number for it.
 func number(name string) uint64 {
--- a/internal/core/ends.go
+++ b/internal/dispatch/ends.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns the counts of what became of requests, by class of the settings. It
 // must never count a class that the settings lack: whoever names some of its own would
--- a/internal/core/holdings.go
+++ b/internal/dispatch/holdings.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file keeps which requests take room at which node: those that stand, that are being ended,
 // and that were set aside since the node is silent. It must never decide what becomes of them.
--- a/internal/core/nodes.go
+++ b/internal/dispatch/nodes.go
@@ -1,9 +1,9 @@
-package core
+package dispatch
 
 // This file owns the nodes' side of the table: what nodes say of attempts and of tasks that
 // stand, and what the list says of nodes. It must never send an offer.
 
-import "ravenhitch"
+import "ravenhitch/placement"
 
 // Offer is an attempt as a node gets it.
 type Offer struct {
@@ -39,7 +39,7 @@
 	c.counts.Started++
 	c.advisor.Started(now, r.caller())
 	c.disarm(r)
-	c.event(ravenhitch.Accepted{Ticket: tag, Attempt: r.copy, Machine: node, RTTUs: now - r.sentAt})
+	c.event(placement.Accepted{Ticket: tag, Attempt: r.copy, Machine: node, RTTUs: now - r.sentAt})
 	if r.Resumes {
 		r.binding = description
 	}
@@ -47,11 +47,11 @@
 }
 
 // NodeEnded takes the end of an attempt or of a task that stands.
-func (c *Core) NodeEnded(now int64, node, tag string, st ravenhitch.Status, why ravenhitch.Why) {
+func (c *Core) NodeEnded(now int64, node, tag string, st placement.Status, why placement.Why) {
 	c.now = now
 	r := c.reqs[tag]
 	if r := c.silent[tag]; r != nil && r.node == node {
-		c.heard(r, ravenhitch.Cancelled, why)
+		c.heard(r, placement.Cancelled, why)
 		return
 	}
 	if r == nil || r.node != node {
@@ -61,17 +61,17 @@
 	switch r.state {
 	case out:
 		switch st {
-		case ravenhitch.OK, ravenhitch.Cancelled:
-			st = ravenhitch.Reset
+		case placement.OK, placement.Cancelled:
+			st = placement.Reset
 		}
 		c.ended(r, st, why)
 	case ending:
-		c.ended(r, r.endAs, ravenhitch.WhyUntold)
+		c.ended(r, r.endAs, placement.WhyUntold)
 	case standing, leaving:
 		switch st {
-		case ravenhitch.OK, ravenhitch.Cancelled, ravenhitch.Reset:
+		case placement.OK, placement.Cancelled, placement.Reset:
 		default:
-			st = ravenhitch.Reset
+			st = placement.Reset
 		}
 		c.over(r, st, why)
 	}
@@ -83,7 +83,7 @@
 	c.now = now
 	if r := c.reqs[tag]; r != nil && r.node == node && r.state == ending {
 		c.trace("given up for sure", r)
-		c.ended(r, r.endAs, ravenhitch.WhyUntold)
+		c.ended(r, r.endAs, placement.WhyUntold)
 	}
 }
 
@@ -91,10 +91,10 @@
 // out for this request, and the module hears of the end, and may offer elsewhere, only
 // once the attempt is over for sure: a give-up that is still on its way, or lies in a
 // connection that fell silent, ends nothing. The answer does not wait for that.
-func (c *Core) giveUp(r *request, st ravenhitch.Status) {
+func (c *Core) giveUp(r *request, st placement.Status) {
 	again := c.now < r.deadline && c.mayFollow(r) == ""
 	if sure := c.nodes.GiveUp(r.node, r.Tag, again); sure || c.now >= r.deadline {
-		c.ended(r, st, ravenhitch.WhyUntold)
+		c.ended(r, st, placement.WhyUntold)
 		return
 	}
 	c.to(r, ending)
@@ -104,14 +104,14 @@
 }
 
 // ended is the end of an attempt that was not answered with yes.
-func (c *Core) ended(r *request, st ravenhitch.Status, why ravenhitch.Why) {
+func (c *Core) ended(r *request, st placement.Status, why placement.Why) {
 	switch st {
-	case ravenhitch.Full:
+	case placement.Full:
 		c.counts.Full++
-	case ravenhitch.ConnectFailed:
+	case placement.ConnectFailed:
 		c.counts.ConnectFailed++
-	case ravenhitch.Moot:
-	case ravenhitch.TimedOut:
+	case placement.Moot:
+	case placement.TimedOut:
 		c.counts.TimedOut++
 		c.mayHaveRun(r)
 	default:
@@ -134,31 +134,31 @@
 
 // over is the end of a task that stood. Its owner is told, but where it asked
 // for the end itself.
-func (c *Core) over(r *request, st ravenhitch.Status, why ravenhitch.Why) {
+func (c *Core) over(r *request, st placement.Status, why placement.Why) {
 	c.advisor.Ended(c.now, r.caller())
 	c.done(r, st, why, true)
-	if r.state == standing && st != ravenhitch.Cancelled {
+	if r.state == standing && st != placement.Cancelled {
 		c.counts.Over++
 		c.answer(r, Answer{Kind: Over, Status: st, Why: why})
 	}
 	c.forget(r)
 }
 
-func (c *Core) done(r *request, st ravenhitch.Status, why ravenhitch.Why, closed bool) {
-	c.event(ravenhitch.Done{Ticket: r.Tag, Attempt: r.copy, Machine: r.node, Status: st, Why: why,
+func (c *Core) done(r *request, st placement.Status, why placement.Why, closed bool) {
+	c.event(placement.Done{Ticket: r.Tag, Attempt: r.copy, Machine: r.node, Status: st, Why: why,
 		Closed: closed, RTTUs: c.now - r.sentAt})
 }
 
 // NodeNote takes news of a task that stands.
-func (c *Core) NodeNote(now int64, node, tag string, kind ravenhitch.NoteKind, value float64) {
+func (c *Core) NodeNote(now int64, node, tag string, kind placement.NoteKind, value float64) {
 	c.now = now
 	if r := c.reqs[tag]; r != nil && r.node == node && r.state == standing {
-		c.event(ravenhitch.Note{Ticket: tag, Attempt: r.copy, Machine: node, Kind: kind, Value: value})
+		c.event(placement.Note{Ticket: tag, Attempt: r.copy, Machine: node, Kind: kind, Value: value})
 	}
 }
 
 // NodeSampled takes the answer to a probe.
-func (c *Core) NodeSampled(now int64, e ravenhitch.Sampled) {
+func (c *Core) NodeSampled(now int64, e placement.Sampled) {
 	c.now = now
 	c.event(e)
 }
@@ -167,7 +167,7 @@
 // fallen silent.
 func (c *Core) NodeReached(now int64, node string) {
 	c.now = now
-	c.event(ravenhitch.Reached{Machine: node})
+	c.event(placement.Reached{Machine: node})
 }
 
 // NodeLost takes a proof that the process of a node has died: what stood there
@@ -204,18 +204,18 @@
 		}
 	}
 	for _, r := range byTag(standing) {
-		c.over(r, ravenhitch.Reset, ravenhitch.WhyUntold)
+		c.over(r, placement.Reset, placement.WhyUntold)
 	}
 	for _, r := range byTag(aside) {
-		c.heard(r, ravenhitch.Reset, ravenhitch.WhyUntold)
+		c.heard(r, placement.Reset, placement.WhyUntold)
 	}
 }
 
 // List takes what the command channel told of the nodes.
-func (c *Core) List(now int64, l ravenhitch.List) {
+func (c *Core) List(now int64, l placement.List) {
 	c.now = now
 	c.channel = true
-	if l.Kind == ravenhitch.ListFull || l.Kind == ravenhitch.ListCached {
+	if l.Kind == placement.ListFull || l.Kind == placement.ListCached {
 		for node := range c.listed { // what a whole list does not name is gone
 			c.told[node] = now
 		}
@@ -223,10 +223,10 @@
 	}
 	l.Entries = c.roster.list(l)
 	for _, e := range l.Entries {
-		if c.listed[e.Machine] = true; e.State == ravenhitch.Gone {
+		if c.listed[e.Machine] = true; e.State == placement.Gone {
 			delete(c.listed, e.Machine)
 		}
-		if e.State == ravenhitch.Ready || e.State == ravenhitch.Foreign {
+		if e.State == placement.Ready || e.State == placement.Foreign {
 			delete(c.told, e.Machine)
 		} else if _, ok := c.told[e.Machine]; !ok {
 			c.told[e.Machine] = now
