--- a/internal/core/owners.go
+++ b/internal/dispatch/owners.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns the owners' side of the table: set-ups, repeated set-ups, withdrawals and
 // answers. It must never tell an owner a second final answer, nor speak to a node but to
@@ -7,7 +7,7 @@
 import (
 	"errors"
 
-	"ravenhitch"
+	"ravenhitch/placement"
 )
 
 // The errors of Submit. Nothing was taken then, and no answer is owed.
@@ -35,13 +35,13 @@
 type Answer struct {
 	Kind        AnswerKind
 	Tag         string
-	Description string            // Started: what the node gave
-	WaitUs      int64             // Refused: how long to stay away
-	SinceUs     int64             // Refused: since when its owner stands in line
-	Tries       int               // Refused: how often it was, as far as was proved
-	Status      ravenhitch.Status // Over: how the task ended
-	Why         ravenhitch.Why    // Refused, Over: the reason, where one was told
-	Node        string            // Started: where it stands
+	Description string           // Started: what the node gave
+	WaitUs      int64            // Refused: how long to stay away
+	SinceUs     int64            // Refused: since when its owner stands in line
+	Tries       int              // Refused: how often it was, as far as was proved
+	Status      placement.Status // Over: how the task ended
+	Why         placement.Why    // Refused, Over: the reason, where one was told
+	Node        string           // Started: where it stands
 }
 
 // Owner is told the answers to the requests that it handed in.
@@ -104,7 +104,7 @@
 	}
 	effect, ok := c.effects[s.Class]
 	if !ok {
-		effect = ravenhitch.Unsafe
+		effect = placement.Unsafe
 	}
 	came := now
 	if s.CameUs > 0 {
@@ -119,7 +119,7 @@
 	if s.Key != "" {
 		c.keys[s.Key] = r
 	}
-	task := ravenhitch.Task{Ticket: s.Tag, Workload: r.number, DeadlineUs: r.deadline, Cores: s.Cores, Mem: s.Mem,
+	task := placement.Task{Ticket: s.Tag, Workload: r.number, DeadlineUs: r.deadline, Cores: s.Cores, Mem: s.Mem,
 		Class: s.Class, Program: s.Service, Tenant: s.Tenant, LastsUs: s.HintUs, Hinted: s.HintUs > 0, Again: s.Again}
 	if s.At != "" {
 		c.counts.Opened++
@@ -129,7 +129,7 @@
 		if !c.listed[s.At] {
 			r.lostAt = now - (orphanAfter - openAfter)
 		}
-		c.event(ravenhitch.Existing{Task: task, Machine: s.At})
+		c.event(placement.Existing{Task: task, Machine: s.At})
 		c.claim(r)
 		return nil
 	}
@@ -138,7 +138,7 @@
 	c.trace("request", r, "wait", s.WaitUs, "deadline", r.deadline)
 	r.SinceUs = c.advisor.Asked(now, r.caller())
 	task.SinceUs = r.SinceUs
-	c.event(ravenhitch.Request{Task: task})
+	c.event(placement.Request{Task: task})
 	c.arm(r, r.deadline)
 	return nil
 }
@@ -257,7 +257,7 @@
 	if r == nil || r.owner != o || !r.open() {
 		return
 	}
-	c.event(ravenhitch.ClientGone{Ticket: r.Tag})
+	c.event(placement.ClientGone{Ticket: r.Tag})
 	r.mayRun = r.mayRun || r.state != waiting
 	c.finish(r)
 }
@@ -274,7 +274,7 @@
 	switch r.state {
 	case waiting, out, ending:
 		c.counts.Withdrawn++
-		c.event(ravenhitch.ClientGone{Ticket: r.Tag})
+		c.event(placement.ClientGone{Ticket: r.Tag})
 		c.advisor.Left(now, r.caller())
 		c.remember(r, Answer{Kind: Withdrew})
 		c.withdraw(r)
--- a/internal/core/roster.go
+++ b/internal/dispatch/roster.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns which workers are out by hand or belong to another orchestrator, and how that
 // goes together with what the channel lists. A worker that is out drains for this orchestrator,
@@ -8,25 +8,25 @@
 	"maps"
 	"slices"
 
-	"ravenhitch"
+	"ravenhitch/placement"
 )
 
 // roster is what was listed last, and what is out by hand.
 type roster struct {
-	last map[string]ravenhitch.Entry // as the channel told it
+	last map[string]placement.Entry // as the channel told it
 	out  map[string]bool
 	back map[string]bool        // put back, and not ready since
 	own  func(node string) bool // places tasks there, nil: at all nodes
 }
 
 // list takes a list and returns its entries as they hold here.
-func (o *roster) list(l ravenhitch.List) []ravenhitch.Entry {
-	if l.Kind == ravenhitch.ListFull || l.Kind == ravenhitch.ListCached {
+func (o *roster) list(l placement.List) []placement.Entry {
+	if l.Kind == placement.ListFull || l.Kind == placement.ListCached {
 		clear(o.last)
 	}
 	entries := slices.Clone(l.Entries)
 	for i, e := range entries {
-		if o.last[e.Machine] = e; e.State == ravenhitch.Gone {
+		if o.last[e.Machine] = e; e.State == placement.Gone {
 			delete(o.last, e.Machine)
 		}
 		entries[i] = o.held(e)
@@ -34,16 +34,16 @@
 	return entries
 }
 
-func (o *roster) held(e ravenhitch.Entry) ravenhitch.Entry {
-	if o.out[e.Machine] && e.State == ravenhitch.Ready {
-		e.State = ravenhitch.Draining
+func (o *roster) held(e placement.Entry) placement.Entry {
+	if o.out[e.Machine] && e.State == placement.Ready {
+		e.State = placement.Draining
 	}
-	if o.back[e.Machine] && e.State == ravenhitch.Ready {
+	if o.back[e.Machine] && e.State == placement.Ready {
 		e.Returned = true
 		delete(o.back, e.Machine)
 	}
-	if e.State == ravenhitch.Ready && !o.owns(e.Machine) {
-		e.State = ravenhitch.Foreign
+	if e.State == placement.Ready && !o.owns(e.Machine) {
+		e.State = placement.Foreign
 	}
 	return e
 }
@@ -56,7 +56,7 @@
 func (c *Core) Own(now int64, own func(node string) bool) {
 	o, before := &c.roster, c.roster.own
 	o.own = own
-	l := ravenhitch.List{Kind: ravenhitch.ListDelta}
+	l := placement.List{Kind: placement.ListDelta}
 	for _, node := range slices.Sorted(maps.Keys(o.last)) {
 		if (before == nil || before(node)) != o.owns(node) {
 			l.Entries = append(l.Entries, o.last[node])
@@ -74,7 +74,7 @@
 func (c *Core) Hand(now int64, out map[string]bool) {
 	c.now = now
 	o := &c.roster
-	l := ravenhitch.List{Kind: ravenhitch.ListDelta}
+	l := placement.List{Kind: placement.ListDelta}
 	change := func(node string) {
 		c.log.Info("a minion was taken out or put back by hand", "node", node, "out", out[node])
 		if e, ok := o.last[node]; ok {
--- a/internal/core/setup.go
+++ b/internal/dispatch/setup.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns what an owner may ask for, and its bounds. It must never look at a node.
 
--- a/internal/core/silent.go
+++ b/internal/dispatch/silent.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns released tasks of whose end their node has not told. Their owners are done
 // with them, but a node that is cut off runs them on: for the module they take room, and
@@ -8,7 +8,7 @@
 	"maps"
 	"slices"
 
-	"ravenhitch"
+	"ravenhitch/placement"
 )
 
 // maxSilent is how long the end of a released task may stay unknown: as long as releases
@@ -25,7 +25,7 @@
 }
 
 // heard ends a task that was set aside.
-func (c *Core) heard(r *request, st ravenhitch.Status, why ravenhitch.Why) {
+func (c *Core) heard(r *request, st placement.Status, why placement.Why) {
 	delete(c.silent, r.Tag)
 	c.holdings.remove(r)
 	c.trace("a released task has ended", r, "status", st)
@@ -37,7 +37,7 @@
 func (c *Core) sweepSilent() {
 	for _, r := range c.aside() {
 		if !c.listed[r.node] || c.now-r.lostAt >= maxSilent {
-			c.heard(r, ravenhitch.Cancelled, ravenhitch.WhyUntold)
+			c.heard(r, placement.Cancelled, placement.WhyUntold)
 		}
 	}
 }
--- a/internal/core/spread.go
+++ b/internal/dispatch/spread.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns how long before an owner's time is up its answer falls due: long
 // enough for the answer to travel and for a turn of the length that turns have, and
--- a/internal/core/trace.go
+++ b/internal/dispatch/trace.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns the trace of requests: one line at debug level at each step of a
 // request, by its tag, so that one request can be followed through every
--- a/internal/core/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"bytes"
--- a/internal/core/turns.go
+++ b/internal/dispatch/turns.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // This file owns the turns: times that have come, the call of the module, and the guards
 // between what it answers and the nodes. No offer leaves but by place.
@@ -6,7 +6,7 @@
 import (
 	"container/heap"
 
-	"ravenhitch"
+	"ravenhitch/placement"
 )
 
 // Next is when Turn has to be called next, or 0.
@@ -38,7 +38,7 @@
 	}
 	for len(c.bells) > 0 && c.bells[0].at <= now {
 		b := heap.Pop(&c.bells).(bell)
-		c.event(ravenhitch.Bell{Ref: b.ref})
+		c.event(placement.Bell{Ref: b.ref})
 	}
 	if now >= c.sweepAt {
 		c.sweepAt = now + sweepEvery
@@ -47,7 +47,7 @@
 	if c.observe && c.channel {
 		// The channel is followed without being asked; the module is told that it is.
 		c.observe = false
-		c.event(ravenhitch.List{Kind: ravenhitch.ListDelta})
+		c.event(placement.List{Kind: placement.ListDelta})
 	}
 	if len(c.events) > 0 {
 		events := c.events
@@ -68,9 +68,9 @@
 	case out, ending:
 		if r.state == out {
 			c.trace("attempt timed out", r, "abandon", r.abandon)
-			c.giveUp(r, ravenhitch.TimedOut)
+			c.giveUp(r, placement.TimedOut)
 		} else {
-			c.ended(r, r.endAs, ravenhitch.WhyUntold)
+			c.ended(r, r.endAs, placement.WhyUntold)
 		}
 		if c.now >= r.deadline {
 			// The module answers within this turn; else the next turn does.
@@ -78,7 +78,7 @@
 		}
 	case waiting:
 		c.log.Warn("the module left a request to its deadline", "tag", r.Tag, "class", r.Class)
-		c.event(ravenhitch.ClientGone{Ticket: r.Tag})
+		c.event(placement.ClientGone{Ticket: r.Tag})
 		c.finish(r)
 	case standing:
 		c.over(r, r.endAs, r.endWhy)
@@ -104,27 +104,27 @@
 	for _, r := range c.orphans() {
 		c.log.Info("a task stood on a node that left the list", "tag", r.Tag, "node", r.node)
 		c.nodes.Release(r.node, r.Tag)
-		c.over(r, ravenhitch.Reset, ravenhitch.WhyUntold)
+		c.over(r, placement.Reset, placement.WhyUntold)
 	}
 }
 
 // act carries out one action of the module.
-func (c *Core) act(a ravenhitch.Action) {
+func (c *Core) act(a placement.Action) {
 	switch a := a.(type) {
-	case ravenhitch.Place:
+	case placement.Place:
 		if r := c.reqs[a.Ticket]; r != nil {
 			c.place(r, a)
 		}
-	case ravenhitch.Deny:
+	case placement.Deny:
 		if r := c.reqs[a.Ticket]; r != nil && r.open() {
 			c.finish(r)
 		}
-	case ravenhitch.Error:
+	case placement.Error:
 		if r := c.reqs[a.Ticket]; r != nil && r.open() {
 			r.mayRun = true
 			c.fail(r)
 		}
-	case ravenhitch.Move:
+	case placement.Move:
 		if r := c.reqs[a.Ticket]; r != nil && r.state == standing {
 			c.counts.Moved++
 			c.answer(r, Answer{Kind: Moved})
@@ -132,25 +132,25 @@
 			c.to(r, leaving)
 			c.arm(r, c.now+cutWait)
 		}
-	case ravenhitch.Cancel:
+	case placement.Cancel:
 		if r := c.reqs[a.Ticket]; r != nil && r.state == out && a.Attempt == r.copy {
-			c.giveUp(r, ravenhitch.Cancelled)
+			c.giveUp(r, placement.Cancelled)
 		}
-	case ravenhitch.AskLoad:
+	case placement.AskLoad:
 		c.nodes.Probe(a.Machine)
-	case ravenhitch.Observe:
+	case placement.Observe:
 		c.observe = a.Active
-	case ravenhitch.Refresh:
+	case placement.Refresh:
 		c.observe = true
-	case ravenhitch.SetAlarm:
+	case placement.SetAlarm:
 		heap.Push(&c.bells, bell{c.now + a.OffsetUs, a.Ref})
-	case ravenhitch.SayLog:
+	case placement.SayLog:
 		c.log.Info("module", "text", a.Text)
 	}
 }
 
 // place sends an offer, if no invariant stands against it.
-func (c *Core) place(r *request, a ravenhitch.Place) {
+func (c *Core) place(r *request, a placement.Place) {
 	guard := c.mayFollow(r)
 	if r.state != waiting {
 		guard = "an attempt is out or the request is over"
@@ -162,7 +162,7 @@
 		c.trace("offer held back", r, "to", a.Machine, "why", guard)
 		c.counts.Guarded++
 		c.log.Error("the module's offer was held back", "tag", r.Tag, "node", a.Machine, "why", guard)
-		c.event(ravenhitch.Done{Ticket: r.Tag, Attempt: r.attempts, Machine: a.Machine, Status: ravenhitch.Moot})
+		c.event(placement.Done{Ticket: r.Tag, Attempt: r.attempts, Machine: a.Machine, Status: placement.Moot})
 		r.attempts++
 		return
 	}
@@ -185,7 +185,7 @@
 	switch {
 	case c.set.AttemptsCap > 0 && r.attempts >= c.set.AttemptsCap:
 		return "no attempts are left"
-	case r.effect == ravenhitch.Unsafe && r.mayRun:
+	case r.effect == placement.Unsafe && r.mayRun:
 		return "it may have started and must not start twice"
 	}
 	return ""
@@ -199,13 +199,13 @@
 		return "its time is up"
 	case draining && c.now >= told+c.drainFor():
 		return "the node drains"
-	case r.effect == ravenhitch.Keyed && r.mayRun:
+	case r.effect == placement.Keyed && r.mayRun:
 		class, e := &c.set.Classes[r.class], c.roster.last[node]
 		switch {
 		case c.now+int64(c.spread.turn) >= r.ran.at+class.WindowUs: // it leaves at the end of the turn
 			return "it may have started, and nodes no longer know its repeats"
-		case class.Group == ravenhitch.ScopeZone && e.Zone != r.ran.zone,
-			class.Group == ravenhitch.ScopeCell && e.Cell != r.ran.cell:
+		case class.Group == placement.ScopeZone && e.Zone != r.ran.zone,
+			class.Group == placement.ScopeCell && e.Cell != r.ran.cell:
 			return "it may have started at a node of another group"
 		}
 	}
@@ -231,8 +231,8 @@
 
 // repeatable reports whether a further start of r does no harm, wherever its owner goes.
 func (c *Core) repeatable(r *request) bool {
-	return !r.mayRun || r.effect == ravenhitch.Safe ||
-		r.effect == ravenhitch.Keyed && c.set.Classes[r.class].Group == ravenhitch.ScopeAll
+	return !r.mayRun || r.effect == placement.Safe ||
+		r.effect == placement.Keyed && c.set.Classes[r.class].Group == placement.ScopeAll
 }
 
 // finish answers a request that was given up: refused where a retry is
@@ -265,9 +265,9 @@
 	case out:
 		c.trace("given up", r)
 		c.nodes.GiveUp(r.node, r.Tag, false)
-		c.done(r, ravenhitch.Cancelled, ravenhitch.WhyUntold, true)
+		c.done(r, placement.Cancelled, placement.WhyUntold, true)
 	case ending:
-		c.done(r, r.endAs, ravenhitch.WhyUntold, true)
+		c.done(r, r.endAs, placement.WhyUntold, true)
 	}
 }
 
--- a/internal/core/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -1,11 +1,11 @@
-package core
+package dispatch
 
 // This file remembers ends that nodes told of tasks which are not known here. A client hands a
 // task in as standing after the orchestrator that held it has gone, and a node tells its end on any
 // connection meanwhile, once: an end that comes first would leave the task standing for ever. It must
 // never end what a node did not name by its tag.
 
-import "ravenhitch"
+import "ravenhitch/placement"
 
 const (
 	// unclaimedFor is how long such an end is remembered: longer than clients take to notice that
@@ -18,8 +18,8 @@
 // unclaimedEnd is the end of a task that nobody has handed in.
 type unclaimedEnd struct {
 	node   string
-	status ravenhitch.Status
-	why    ravenhitch.Why
+	status placement.Status
+	why    placement.Why
 	at     int64
 }
 
@@ -30,9 +30,9 @@
 }
 
 // NodeEndedUnclaimed takes a node's word that a task has ended which is not known here.
-func (c *Core) NodeEndedUnclaimed(now int64, node, tag string, st ravenhitch.Status, why ravenhitch.Why) {
+func (c *Core) NodeEndedUnclaimed(now int64, node, tag string, st placement.Status, why placement.Why) {
 	switch st {
-	case ravenhitch.OK, ravenhitch.Cancelled, ravenhitch.Reset:
+	case placement.OK, placement.Cancelled, placement.Reset:
 		c.unclaimed.add(tag, unclaimedEnd{node, st, why, now})
 	}
 }
--- a/internal/loop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // This file owns connections: how they begin and end, what is read from them and written
 // to them.
--- a/internal/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -7,7 +7,7 @@
 // What a user writes goes out at the end of the turn, in the order of connections.
 // What must be out before anything else of the turn is handed to the system at
 // once: by [Conn.Push], and by a close, which is not put off either.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/loop/listen.go
+++ b/internal/eventloop/listen.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // This file owns the listening sockets: where they listen, and whom they let in.
 
--- a/internal/loop/packet.go
+++ b/internal/eventloop/packet.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // This file owns datagram sockets. A datagram that the system does not take at once is
 // lost, as it may be on its way: nothing waits here.
--- a/internal/loop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // This file owns the timers: calls to come, in the order of their times.
 
--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -22,10 +22,10 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"ravenhitch/internal/core"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/grpcfront/edgepb"
-	"ravenhitch/internal/loop"
-	"ravenhitch/internal/ticket"
+	"ravenhitch/internal/retrytoken"
 )
 
 const (
@@ -61,14 +61,14 @@
 type Loop interface {
 	Post(f func())
 	Now() int64
-	After(us int64, f func()) *loop.Timer
+	After(us int64, f func()) *eventloop.Timer
 }
 
 // Core is what the front needs of the core; called on the loop only.
 type Core interface {
-	Submit(now int64, o core.Owner, s core.Setup) error
-	Withdraw(now int64, o core.Owner, tag string) core.Withdrawn
-	Class(name string) (core.Class, bool)
+	Submit(now int64, o dispatch.Owner, s dispatch.Setup) error
+	Withdraw(now int64, o dispatch.Owner, tag string) dispatch.Withdrawn
+	Class(name string) (dispatch.Class, bool)
 	Resumable(tag string) bool
 }
 
@@ -80,8 +80,8 @@
 	srv      *grpc.Server
 	health   *health.Server
 	queued   atomic.Int64
-	keys     atomic.Pointer[ticket.Keys]
-	used     ticket.Used         // the loop's
+	keys     atomic.Pointer[retrytoken.Keys]
+	used     retrytoken.Used     // the loop's
 	tickets  Tickets             // the loop's
 	sessions map[string]*session // the loop's
 	begun    uint64              // sessions so far; the loop's
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"ravenhitch/internal/core"
+	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
@@ -42,8 +42,8 @@
 	"memory": "memory", "wait": "wait_ms"}
 
 // setup reads an offer. It runs outside the loop and asks nothing of the core.
-func setup(o *edgepb.Offer) (core.Setup, error) {
-	s := core.Setup{Tag: o.GetOfferId(), Class: o.GetClass(), Key: o.GetTask(), Cores: o.GetCores(), Mem: o.GetMemory(),
+func setup(o *edgepb.Offer) (dispatch.Setup, error) {
+	s := dispatch.Setup{Tag: o.GetOfferId(), Class: o.GetClass(), Key: o.GetTask(), Cores: o.GetCores(), Mem: o.GetMemory(),
 		Description: o.GetDescription(), WaitUs: int64(o.GetWaitMs()) * 1000, Resumes: true}
 	if s.WaitUs == 0 {
 		s.WaitUs = 1 // the class's own figure, or the call's deadline, comes in its place
@@ -81,7 +81,7 @@
 }
 
 // submit hands a set-up to the core. It runs on the loop.
-func (f *Front) submit(o core.Owner, s core.Setup) error {
+func (f *Front) submit(o dispatch.Owner, s dispatch.Setup) error {
 	class, ok := f.c.Class(s.Class)
 	if !ok {
 		return bad("class", "unknown class")
@@ -92,7 +92,7 @@
 	switch err := f.c.Submit(f.l.Now(), o, s); {
 	case err == nil:
 		return nil
-	case errors.Is(err, core.ErrLeaving):
+	case errors.Is(err, dispatch.ErrLeaving):
 		return retry(codes.Unavailable, "the task is just being ended", retryLeast)
 	default:
 		return status.Error(codes.AlreadyExists, "the name is in use elsewhere")
@@ -100,19 +100,19 @@
 }
 
 // rejection turns the core's answer into a status; nil where it is a binding.
-func rejection(a core.Answer) error {
+func rejection(a dispatch.Answer) error {
 	switch a.Kind {
-	case core.Started:
+	case dispatch.Started:
 		return nil
-	case core.Refused:
+	case dispatch.Refused:
 		after := time.Duration(a.WaitUs) * time.Microsecond
 		if after <= 0 {
 			after = retryLeast
 		}
 		return retry(codes.ResourceExhausted, "refused: no room for the task in time; it never ran", after)
-	case core.Failed:
+	case dispatch.Failed:
 		return status.Error(codes.Unknown, "failed: the task may have started")
-	case core.Withdrew:
+	case dispatch.Withdrew:
 		return status.Error(codes.Canceled, "its owner withdrew the offer")
 	}
 	return status.Error(codes.AlreadyExists, "the offer was bound and its task is over")
--- a/internal/grpcfront/place.go
+++ b/internal/grpcfront/place.go
@@ -8,19 +8,19 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"ravenhitch/internal/core"
+	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
 // call is the owner of an offer made by Place. It follows nothing after the
 // answer.
 type call struct {
-	answer chan core.Answer // holds one
-	bound  bool             // the loop's
+	answer chan dispatch.Answer // holds one
+	bound  bool                 // the loop's
 }
 
 // Answer implements core.Owner.
-func (c *call) Answer(a core.Answer) {
+func (c *call) Answer(a dispatch.Answer) {
 	if !c.bound {
 		c.bound = true
 		c.answer <- a
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	proof := f.proof(o)
-	c := &call{answer: make(chan core.Answer, 1)}
+	c := &call{answer: make(chan dispatch.Answer, 1)}
 	refusal := make(chan error, 1)
 	at, limited := ctx.Deadline()
 	err = f.ask(func() {
@@ -82,10 +82,10 @@
 
 // Release implements the RPC.
 func (f *Front) Release(ctx context.Context, r *edgepb.ReleaseRequest) (*edgepb.ReleaseResponse, error) {
-	found := make(chan core.Withdrawn, 1)
+	found := make(chan dispatch.Withdrawn, 1)
 	err := f.ask(func() {
 		if !f.c.Resumable(r.GetOfferId()) {
-			found <- core.NotFound // also where the platform's front has it
+			found <- dispatch.NotFound // also where the platform's front has it
 			return
 		}
 		found <- f.c.Withdraw(f.l.Now(), nil, r.GetOfferId())
@@ -95,7 +95,7 @@
 	}
 	select {
 	case w := <-found:
-		if w == core.NotFound {
+		if w == dispatch.NotFound {
 			return nil, status.Error(codes.NotFound, "no such offer or task")
 		}
 		return &edgepb.ReleaseResponse{}, nil
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -10,10 +10,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"ravenhitch"
-	"ravenhitch/internal/core"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/grpcfront/edgepb"
-	"ravenhitch/internal/loop"
+	"ravenhitch/placement"
 )
 
 // session is the owner of the offers made in it. It belongs to the loop.
@@ -26,7 +26,7 @@
 	open   map[string]named        // offers that are owed an answer
 	tasks  map[string]string       // those that stand
 	shut   bool                    // the client has closed its side
-	expiry *loop.Timer
+	expiry *eventloop.Timer
 	id     uint64 // from a bit that no connection's number reaches
 }
 
@@ -55,16 +55,16 @@
 }
 
 // Answer implements core.Owner.
-func (s *session) Answer(a core.Answer) {
+func (s *session) Answer(a dispatch.Answer) {
 	n := s.open[a.Tag]
 	task := n.task
-	if a.Kind == core.Over || a.Kind == core.Moved {
+	if a.Kind == dispatch.Over || a.Kind == dispatch.Moved {
 		if task, ok := s.tasks[a.Tag]; ok {
 			how, reason := edgepb.Ended_HOW_LOST, reasons[a.Why]
 			switch {
-			case a.Kind == core.Moved:
+			case a.Kind == dispatch.Moved:
 				how = edgepb.Ended_HOW_MOVED
-			case a.Status == ravenhitch.OK:
+			case a.Status == placement.OK:
 				how = edgepb.Ended_HOW_DONE
 			}
 			delete(s.tasks, a.Tag)
@@ -84,8 +84,8 @@
 	s.settle()
 }
 
-var reasons = map[ravenhitch.Why]string{ravenhitch.WhyEvicted: "evicted for memory",
-	ravenhitch.WhyPushedOut: "pushed out", ravenhitch.WhySentAway: "sent away"}
+var reasons = map[placement.Why]string{placement.WhyEvicted: "evicted for memory",
+	placement.WhyPushedOut: "pushed out", placement.WhySentAway: "sent away"}
 
 func (s *session) reject(id, task string, err error, ticket []byte) {
 	st := status.Convert(err)
@@ -147,7 +147,7 @@
 }
 
 // offer hands an offer of the session to the core.
-func (s *session) offer(o *edgepb.Offer, set core.Setup, p proof) {
+func (s *session) offer(o *edgepb.Offer, set dispatch.Setup, p proof) {
 	if n, ok := s.open[set.Tag]; ok && n.task == set.Key {
 		return // its answer is under way in this session
 	}
@@ -174,12 +174,12 @@
 // the end once.
 func (s *session) release(id string) {
 	switch s.f.c.Withdraw(s.f.l.Now(), s, id) {
-	case core.WasOpen:
+	case dispatch.WasOpen:
 		task := s.open[id].task
 		delete(s.open, id)
 		s.reject(id, task, status.Error(codes.Canceled, "its owner withdrew the offer"), nil)
 		s.settle()
-	case core.WasStanding:
+	case dispatch.WasStanding:
 		task := s.tasks[id]
 		delete(s.tasks, id)
 		s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: &edgepb.Ended{
--- a/internal/grpcfront/tickets.go
+++ b/internal/grpcfront/tickets.go
@@ -10,23 +10,23 @@
 	"math/rand/v2"
 	"time"
 
-	"ravenhitch/internal/core"
+	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/grpcfront/edgepb"
-	"ravenhitch/internal/ticket"
+	"ravenhitch/internal/retrytoken"
 )
 
 // Tickets counts those that were brought.
 type Tickets struct{ Good, Early, Expired, Used, Bad int64 }
 
 // Keys sets the keys from now on. It may be called from any goroutine.
-func (f *Front) Keys(k *ticket.Keys) { f.keys.Store(k) }
+func (f *Front) Keys(k *retrytoken.Keys) { f.keys.Store(k) }
 
 // Tickets is what was brought so far; on the loop only.
 func (f *Front) Tickets() Tickets { return f.tickets }
 
 // proof is what an offer's ticket proves: nothing where none was brought.
 type proof struct {
-	ticket.Ticket
+	retrytoken.Ticket
 	brought bool
 	err     error
 }
@@ -45,7 +45,7 @@
 }
 
 // admit lets a set-up stand in line since when its ticket proves. It runs on the loop.
-func (f *Front) admit(s *core.Setup, p proof) {
+func (f *Front) admit(s *dispatch.Setup, p proof) {
 	if !p.brought {
 		return
 	}
@@ -56,11 +56,11 @@
 	case p.err == nil:
 		f.tickets.Good++
 		s.SinceUs, s.Tries = p.SinceUs, int(p.Tries)
-	case errors.Is(p.err, ticket.ErrEarly):
+	case errors.Is(p.err, retrytoken.ErrEarly):
 		f.tickets.Early++
-	case errors.Is(p.err, ticket.ErrExpired):
+	case errors.Is(p.err, retrytoken.ErrExpired):
 		f.tickets.Expired++
-	case errors.Is(p.err, ticket.ErrUsed):
+	case errors.Is(p.err, retrytoken.ErrUsed):
 		f.tickets.Used++
 	default:
 		f.tickets.Bad++
@@ -68,12 +68,12 @@
 }
 
 // issue writes the ticket that goes with a refusal, or nothing.
-func (f *Front) issue(a core.Answer, task, class string) []byte {
+func (f *Front) issue(a dispatch.Answer, task, class string) []byte {
 	keys := f.keys.Load()
-	if a.Kind != core.Refused || !keys.Held() {
+	if a.Kind != dispatch.Refused || !keys.Held() {
 		return nil
 	}
 	now := time.Now().UnixMicro()
-	return keys.Issue(ticket.Ticket{Task: task, Class: class, IssuedUs: now, SlotUs: now + max(0, a.WaitUs),
+	return keys.Issue(retrytoken.Ticket{Task: task, Class: class, IssuedUs: now, SlotUs: now + max(0, a.WaitUs),
 		SinceUs: min(now, a.SinceUs), Tries: uint16(min(a.Tries, 1<<16-1)), Nonce: rand.Uint64()})
 }
--- a/internal/platform/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -1,4 +1,4 @@
-package platform
+package jsonlines
 
 // This file owns the reading of JSON text, byte by byte.
 
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -9,21 +9,21 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/peer/peerpb"
 )
 
 // inboundConn is a connection that another orchestrator opened.
 type inboundConn struct {
 	peers *Peers
-	timer *loop.Timer // ends the connection unless it greets in time
-	conn  *loop.Conn
+	timer *eventloop.Timer // ends the connection unless it greets in time
+	conn  *eventloop.Conn
 	from  string
 	kind  Kind // of the records that come; 0 before the greeting, and where none do
 }
 
 // Opened implements loop.Handler.
-func (in *inboundConn) Opened(conn *loop.Conn) {
+func (in *inboundConn) Opened(conn *eventloop.Conn) {
 	in.conn = conn
 	in.peers.inboundCount++
 	in.timer = in.peers.l.After(greetingTimeout, func() {
@@ -56,10 +56,10 @@
 }
 
 // Closed implements loop.Handler.
-func (in *inboundConn) Closed(*loop.Conn, error) { in.release() }
+func (in *inboundConn) Closed(*eventloop.Conn, error) { in.release() }
 
 // Data implements loop.Handler.
-func (in *inboundConn) Data(conn *loop.Conn, b []byte) (int, error) {
+func (in *inboundConn) Data(conn *eventloop.Conn, b []byte) (int, error) {
 	used := 0
 	for {
 		m, n, err := unframe(b[used:], in.maxFrame())
@@ -86,7 +86,7 @@
 }
 
 // message takes one message: the greeting, or a record where the greeting announced them.
-func (in *inboundConn) message(conn *loop.Conn, m []byte) error {
+func (in *inboundConn) message(conn *eventloop.Conn, m []byte) error {
 	if in.kind > 0 {
 		return in.record(m)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/membership"
 	"ravenhitch/internal/peer/peerpb"
-	"ravenhitch/internal/platform"
+	"ravenhitch/internal/ratelog"
 )
 
 // Settings say who this orchestrator is among the others.
@@ -48,12 +48,12 @@
 
 // Peers joins the table with its sockets.
 type Peers struct {
-	l      *loop.Loop
+	l      *eventloop.Loop
 	s      Settings
 	log    *slog.Logger
-	warn   *platform.Limited
+	warn   *ratelog.Logger
 	table  *membership.Table
-	socket *loop.Packets
+	socket *eventloop.Packets
 	counts Counts
 	// inboundCount is how many inbound connections have not announced records.
 	inboundCount int
@@ -63,15 +63,15 @@
 	carriers map[lane]*inboundConn
 	takes    map[Kind]func(from string, b []byte)
 	room     func(to string, k Kind)
-	timer    *loop.Timer               // the next turn
+	timer    *eventloop.Timer          // the next turn
 	due      int64                     // when that is
 	viewed   func([]membership.Member) // or nil
 	view     int64                     // number of the view that was told last
 }
 
 // New opens the sockets. The table begins to ask with the first turn.
-func New(l *loop.Loop, s Settings, log *slog.Logger) (*Peers, error) {
-	p := &Peers{l: l, s: s, log: log, warn: platform.NewLimited(log), life: rand.Uint64(),
+func New(l *eventloop.Loop, s Settings, log *slog.Logger) (*Peers, error) {
+	p := &Peers{l: l, s: s, log: log, warn: ratelog.New(log), life: rand.Uint64(),
 		lanes: map[lane]*sender{}, carriers: map[lane]*inboundConn{}, takes: map[Kind]func(string, []byte){}, room: func(string, Kind) {}}
 	addr, err := p.listen()
 	if err != nil {
@@ -88,7 +88,7 @@
 // the system gives for connections may be in use for datagrams: then another is asked for.
 func (p *Peers) listen() (addr string, err error) {
 	for range maxPorts {
-		addr, err = p.l.Listen(p.s.Listen, func() bool { return p.inboundCount < maxInbound }, func() loop.Handler { return &inboundConn{peers: p} })
+		addr, err = p.l.Listen(p.s.Listen, func() bool { return p.inboundCount < maxInbound }, func() eventloop.Handler { return &inboundConn{peers: p} })
 		if err != nil {
 			return "", err
 		}
@@ -204,7 +204,7 @@
 	}
 	h.timer = p.l.After(handshakeTimeout, func() {
 		c.Close()
-		p.probed(a.Name, 0, loop.ErrTimeout)
+		p.probed(a.Name, 0, eventloop.ErrTimeout)
 	})
 }
 
@@ -225,20 +225,20 @@
 type handshakeProbe struct {
 	peers *Peers
 	name  string
-	timer *loop.Timer
+	timer *eventloop.Timer
 }
 
 // Opened implements loop.Handler.
-func (h *handshakeProbe) Opened(c *loop.Conn) { c.Write(h.peers.hello(0)) }
+func (h *handshakeProbe) Opened(c *eventloop.Conn) { c.Write(h.peers.hello(0)) }
 
 // Closed implements loop.Handler.
-func (h *handshakeProbe) Closed(_ *loop.Conn, err error) {
+func (h *handshakeProbe) Closed(_ *eventloop.Conn, err error) {
 	h.timer.Stop()
 	h.peers.probed(h.name, 0, err)
 }
 
 // Data implements loop.Handler.
-func (h *handshakeProbe) Data(c *loop.Conn, b []byte) (int, error) {
+func (h *handshakeProbe) Data(c *eventloop.Conn, b []byte) (int, error) {
 	m, used, err := Unframe(b)
 	if err != nil || used == 0 {
 		return 0, err
--- a/internal/peer/records.go
+++ b/internal/peer/records.go
@@ -10,7 +10,7 @@
 	"errors"
 	"fmt"
 
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/peer/peerpb"
 )
 
@@ -54,11 +54,11 @@
 	lane
 	p       *Peers
 	out     outbox
-	c       *loop.Conn // nil where there is none
-	life    uint64     // of the process that it goes to
+	c       *eventloop.Conn // nil where there is none
+	life    uint64          // of the process that it goes to
 	greeted bool
 	wait    int64
-	timer   *loop.Timer // for the next dial, or for an idle end
+	timer   *eventloop.Timer // for the next dial, or for an idle end
 }
 
 // Take has f called with each record of a kind, on the loop; f may not keep the bytes.
@@ -137,10 +137,10 @@
 }
 
 // Opened implements loop.Handler.
-func (s *sender) Opened(c *loop.Conn) { c.Write(s.p.hello(s.kind)) }
+func (s *sender) Opened(c *eventloop.Conn) { c.Write(s.p.hello(s.kind)) }
 
 // Closed implements loop.Handler. What waits goes out on the next connection.
-func (s *sender) Closed(*loop.Conn, error) {
+func (s *sender) Closed(*eventloop.Conn, error) {
 	if s.timer.Stop(); len(s.out.queue) == 0 {
 		delete(s.p.lanes, s.lane)
 		return
@@ -149,7 +149,7 @@
 }
 
 // Data implements loop.Handler.
-func (s *sender) Data(_ *loop.Conn, b []byte) (int, error) {
+func (s *sender) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	m, used, err := Unframe(b)
 	if err != nil || used == 0 {
 		return 0, err
@@ -169,7 +169,7 @@
 }
 
 // Drained implements loop.Drainer.
-func (s *sender) Drained(*loop.Conn) { s.pump() }
+func (s *sender) Drained(*eventloop.Conn) { s.pump() }
 
 // pump writes what waits, as long as the system takes it.
 func (s *sender) pump() {
--- a/internal/measure/chart.go
+++ b/internal/plot/chart.go
@@ -1,4 +1,4 @@
-package measure
+package plot
 
 import (
 	"bytes"
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -6,6 +6,8 @@
 	"flag"
 	"os"
 	"testing"
+
+	"pgregory.net/rapid"
 )
 
 // Main is the TestMain of a package with properties. The seed is set here, since packages
@@ -18,3 +20,25 @@
 	}
 	os.Exit(m.Run())
 }
+
+// Feed cuts b at random places and calls take with what was gathered, as the
+// loop does.
+func Feed(t *rapid.T, b []byte, take func([]byte) (int, error)) error {
+	var have []byte
+	for len(b) > 0 {
+		n := rapid.IntRange(1, len(b)).Draw(t, "cut")
+		have = append(have, b[:n]...)
+		b = b[n:]
+		for {
+			used, err := take(have)
+			if err != nil {
+				return err
+			}
+			if used == 0 {
+				break
+			}
+			have = have[used:]
+		}
+	}
+	return nil
+}
--- a/internal/platform/limited_log.go
+++ b/internal/ratelog/ratelog.go
@@ -1,4 +1,4 @@
-package platform
+package ratelog
 
 // This file owns the log whose lines of one text are limited.
 
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Limited is a log whose lines of one text are limited to a few a second.
-type Limited struct {
+// Logger is a log whose lines of one text are limited to a few a second.
+type Logger struct {
 	log  *slog.Logger
 	seen map[string]*burst
 }
@@ -23,14 +23,14 @@
 	limitLines = 5
 )
 
-// NewLimited returns a Limited over log.
-func NewLimited(log *slog.Logger) *Limited { return &Limited{log: log, seen: map[string]*burst{}} }
+// New returns a Logger over log.
+func New(log *slog.Logger) *Logger { return &Logger{log: log, seen: map[string]*burst{}} }
 
 // Info logs a line, without a limit.
-func (l *Limited) Info(text string, args ...any) { l.log.Info(text, args...) }
+func (l *Logger) Info(text string, args ...any) { l.log.Info(text, args...) }
 
 // Warn logs a line, unless the text had its lines of this second.
-func (l *Limited) Warn(text string, args ...any) {
+func (l *Logger) Warn(text string, args ...any) {
 	b := l.seen[text]
 	if b == nil {
 		b = &burst{}
--- a/internal/ticket/ticket.go
+++ b/internal/retrytoken/retrytoken.go
@@ -4,7 +4,7 @@
 // gives the caller its place without having heard of it. It is pure: the time is
 // passed in and nothing is opened. It must never tell a ticket's fault to whoever
 // brings it, and a ticket with any fault must be worth no more than none.
-package ticket
+package retrytoken
 
 import (
 	"crypto/hmac"
--- a/internal/ticket/ticket_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -1,4 +1,4 @@
-package ticket
+package retrytoken
 
 import (
 	"bytes"
--- a/internal/measure/measure.go
+++ b/internal/stats/stats.go
@@ -1,6 +1,6 @@
 // Package measure fits, tabulates and draws what scale tests sample: how a cost
 // grows with a size, and how durations are distributed.
-package measure
+package stats
 
 import (
 	"encoding/csv"
--- a/internal/standin/fleet/place.go
+++ b/internal/testbed/fleet/place.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"ravenhitch/internal/standin"
+	"ravenhitch/internal/testbed"
 )
 
 // This file owns the owners that offer tasks to a fleet: one at each orchestrator, one task
@@ -63,7 +63,7 @@
 	return t
 }
 
-func (p *Placed) note(took time.Duration, l standin.Line, lost bool) {
+func (p *Placed) note(took time.Duration, l testbed.Line, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := int(time.Since(p.began) / time.Second)
@@ -98,18 +98,18 @@
 func (p *Placed) Wait() { p.all.Wait() }
 
 func (r *Fleet) own(p *Placed, i int, x *Node, until time.Time) {
-	var o *standin.Owner
+	var o *testbed.Owner
 	for n := r.tags.Add(1); time.Now().Before(until); n = r.tags.Add(1) {
 		if o == nil {
 			var err error
-			if o, err = standin.Dial(x.front); err != nil {
+			if o, err = testbed.Dial(x.front); err != nil {
 				o = nil
 				time.Sleep(20 * pace) // an owner's, before it comes again
 				continue
 			}
 		}
-		tag, began := standin.Tag(i<<40|int(n)<<8|1), time.Now()
-		standin.Send(o, standin.SetUp(tag, "guide-web", fmt.Sprintf("ok-%d-%d", i, n), 5000))
+		tag, began := testbed.Tag(i<<40|int(n)<<8|1), time.Now()
+		testbed.Send(o, testbed.SetUp(tag, "guide-web", fmt.Sprintf("ok-%d-%d", i, n), 5000))
 		l, ok := answer(o, tag)
 		if p.note(time.Since(began), l, !ok); !ok {
 			if o.Close(); x.runs(began) && r.net.Fine(x.others[0], x.others[1], began) {
@@ -121,7 +121,7 @@
 			continue
 		}
 		if l.Verb == "STARTED" {
-			standin.Send(o, standin.Finish("FINISH", tag, 16))
+			testbed.Send(o, testbed.Finish("FINISH", tag, 16))
 		}
 		time.Sleep(pace)
 	}
@@ -138,15 +138,15 @@
 }
 
 // answer is the first word on a tag.
-func answer(o *standin.Owner, tag string) (standin.Line, bool) {
-	for limit := time.After(standin.Patience); ; {
+func answer(o *testbed.Owner, tag string) (testbed.Line, bool) {
+	for limit := time.After(testbed.Patience); ; {
 		select {
 		case l, ok := <-o.Lines:
 			if !ok || l.Tag == tag {
 				return l, ok
 			}
 		case <-limit:
-			return standin.Line{}, false
+			return testbed.Line{}, false
 		}
 	}
 }
--- a/internal/standin/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"ravenhitch/internal/standin"
+	"ravenhitch/internal/testbed"
 )
 
 // Options say what a fleet is made of.
@@ -30,12 +30,12 @@
 
 // Node is one orchestrator.
 type Node struct {
-	standin.Process
+	testbed.Process
 	Hall       string
 	dir        string
 	addr, mgmt string
 	front      string // where its owners reach it
-	feed       *standin.Feed
+	feed       *testbed.Feed
 	others     [3]string  // its owners, its front and its channel, as ways name them
 	listen     string     // for its peers
 	mu         sync.Mutex // of what the schedule changes
@@ -47,10 +47,10 @@
 
 // Fleet is what is played with.
 type Fleet struct {
-	h       standin.Host
-	net     *standin.Net
+	h       testbed.Host
+	net     *testbed.Net
 	Nodes   []*Node
-	minions []*standin.Minion
+	minions []*testbed.Minion
 	begin   time.Time
 	mu      sync.Mutex // of what the schedule changes
 	healed  time.Time
@@ -63,20 +63,20 @@
 
 // Applied is a step and when it was carried out.
 type Applied struct {
-	standin.Step
+	testbed.Step
 	at time.Time
 }
 
 // New starts a fleet in three halls.
-func New(h standin.Host, o Options) *Fleet {
+func New(h testbed.Host, o Options) *Fleet {
 	h.Helper()
-	r := &Fleet{h: h, net: standin.NewNet(o.Seed), stop: make(chan struct{})}
+	r := &Fleet{h: h, net: testbed.NewNet(o.Seed), stop: make(chan struct{})}
 	h.Cleanup(r.close)
 	if o.Nodes == 0 {
 		o.Nodes = 4
 	}
 	for i := range o.Nodes {
-		m := standin.NewMinion(h, fmt.Sprint("s", i))
+		m := testbed.NewMinion(h, fmt.Sprint("s", i))
 		m.Kind = "node-32"
 		r.wait.Go(func() { // nobody reads what it notes
 			for {
@@ -94,7 +94,7 @@
 		}
 	}
 	for i := range o.Orchestrators {
-		x := &Node{Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Process: standin.Process{Name: fmt.Sprint("n", i)}}
+		x := &Node{Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Process: testbed.Process{Name: fmt.Sprint("n", i)}}
 		x.dir = filepath.Join(o.Dir, x.Name)
 		if err := os.MkdirAll(x.dir, 0o700); err != nil {
 			h.Fatal(err)
@@ -105,7 +105,7 @@
 				h.Fatal(err)
 			}
 		}
-		x.feed = standin.NewFeed(h)
+		x.feed = testbed.NewFeed(h)
 		x.others = [3]string{fmt.Sprint("o", i), fmt.Sprint("f", i), fmt.Sprint("c", i)}
 		r.Nodes = append(r.Nodes, x)
 	}
@@ -159,7 +159,7 @@
 		return err
 	}
 	path := filepath.Join(x.dir, "config.json")
-	d := standin.Deployment{Orchestrators: o.Orchestrators, Longest: 3 * time.Second}
+	d := testbed.Deployment{Orchestrators: o.Orchestrators, Longest: 3 * time.Second}
 	for name, text := range map[string]string{path: d.Config(i, x.addr, x.mgmt, channel, o.Seed+uint64(i)*1000, x.feed), path + ".conf": conf.String()} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			return err
--- a/internal/standin/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -4,16 +4,17 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"ravenhitch/internal/standin"
 	"strings"
 	"syscall"
 	"time"
+
+	"ravenhitch/internal/testbed"
 )
 
 // This file owns how the steps of a schedule are carried out. It draws nothing itself.
 
 // ways are the directions that a step means.
-func (r *Fleet) ways(s standin.Step) (out [][2]string) {
+func (r *Fleet) ways(s testbed.Step) (out [][2]string) {
 	if a, b, ok := strings.Cut(s.Where, "<->"); ok {
 		return [][2]string{{a, b}, {b, a}}
 	}
@@ -32,7 +33,7 @@
 }
 
 // do carries out a step.
-func (r *Fleet) do(s standin.Step) error {
+func (r *Fleet) do(s testbed.Step) error {
 	defer func() {
 		r.mu.Lock()
 		r.applied = append(r.applied, Applied{s, time.Now()})
@@ -58,7 +59,7 @@
 			r.net.Reset(w[0], w[1])
 			continue
 		}
-		if err := r.net.Set(w[0], w[1], func(c *standin.Conditions) {
+		if err := r.net.Set(w[0], w[1], func(c *testbed.Conditions) {
 			switch s.Verb {
 			case "cut":
 				c.Cut = true
@@ -79,7 +80,7 @@
 			case "flap":
 				c.Flap, c.Since = span(0), time.Now()
 			case "mend":
-				*c = standin.Conditions{}
+				*c = testbed.Conditions{}
 			}
 		}); err != nil {
 			return err
@@ -89,7 +90,7 @@
 }
 
 // process carries out a step on a process.
-func (r *Fleet) process(x *Node, s standin.Step, span func(int) time.Duration) error {
+func (r *Fleet) process(x *Node, s testbed.Step, span func(int) time.Duration) error {
 	if s.Verb == "start" && x.Up() || s.Verb != "start" && !x.Up() {
 		return nil // as a schedule that was drawn may have it
 	}
@@ -137,7 +138,7 @@
 }
 
 // Play carries out a schedule, and watches until some time after its end.
-func (r *Fleet) Play(steps []standin.Step, length time.Duration) {
+func (r *Fleet) Play(steps []testbed.Step, length time.Duration) {
 	begin := time.Now()
 	for _, s := range steps {
 		time.Sleep(time.Until(begin.Add(s.At)))
@@ -149,16 +150,16 @@
 }
 
 // Draw makes a schedule for this fleet.
-func (r *Fleet) Draw(seed uint64, length time.Duration) []standin.Step {
+func (r *Fleet) Draw(seed uint64, length time.Duration) []testbed.Step {
 	halls := map[string][]string{}
 	for _, x := range r.Nodes {
 		halls[x.Hall] = append(halls[x.Hall], x.Name)
 	}
-	return standin.Draw(seed, halls, length)
+	return testbed.Draw(seed, halls, length)
 }
 
 // Check says whether a schedule names what is not there.
-func (r *Fleet) Check(steps []standin.Step) error {
+func (r *Fleet) Check(steps []testbed.Step) error {
 	for _, s := range steps {
 		switch s.Verb {
 		case "heal":
--- a/internal/standin/fleet/watch.go
+++ b/internal/testbed/fleet/watch.go
@@ -5,10 +5,11 @@
 	"fmt"
 	"io"
 	"net"
-	"ravenhitch/internal/peer"
 	"strings"
 	"sync"
 	"time"
+
+	"ravenhitch/internal/peer"
 )
 
 // This file owns what is seen of a fleet: every orchestrator is asked for its table, and what
--- a/internal/standin/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"ravenhitch/internal/standin"
+	"ravenhitch/internal/testbed"
 )
 
 // This file owns one connection of an orchestrator to a worker.
@@ -45,12 +45,12 @@
 }
 
 // send writes a message. That the other side is gone shows when reading.
-func (c *connection) send(line standin.Line) {
+func (c *connection) send(line testbed.Line) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	c.worker.fleet.messages.Add(1)
 	c.used()
-	standin.Send(c.socket, line)
+	testbed.Send(c.socket, line)
 }
 
 func (c *connection) reset() {
@@ -61,7 +61,7 @@
 func (c *connection) serve() {
 	defer c.closed()
 	for scanner := bufio.NewScanner(c.socket); scanner.Scan(); {
-		var line standin.Line
+		var line testbed.Line
 		if json.Unmarshal(scanner.Bytes(), &line) != nil {
 			return
 		}
@@ -86,7 +86,7 @@
 	return w.silent
 }
 
-func (c *connection) message(line standin.Line) {
+func (c *connection) message(line testbed.Line) {
 	switch line.Verb {
 	case "START":
 		c.identify(line.Tag)
@@ -94,7 +94,7 @@
 	case "FINISH":
 		c.worker.end(line.Tag, causeCancelled)
 	case "ECHO":
-		c.send(standin.Finish("ECHOED", line.Tag, 1))
+		c.send(testbed.Finish("ECHOED", line.Tag, 1))
 	}
 }
 
@@ -118,7 +118,7 @@
 	if to == nil {
 		return false
 	}
-	test := standin.Finish("ECHO", tag, 0)
+	test := testbed.Finish("ECHO", tag, 0)
 	test.Opts = options
 	to.send(test)
 	return true
--- a/internal/standin/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"ravenhitch/internal/standin"
+	"ravenhitch/internal/testbed"
 )
 
 // This file owns a worker's room, its tasks and its end.
@@ -63,7 +63,7 @@
 
 // ending is the end of a task as it is told on connections that open later.
 type ending struct {
-	line standin.Line
+	line testbed.Line
 	at   time.Time
 }
 
@@ -164,10 +164,10 @@
 }
 
 // start answers a set-up.
-func (w *Worker) start(from *connection, line standin.Line) {
+func (w *Worker) start(from *connection, line testbed.Line) {
 	t, err := ParseTask(*line.Blob)
 	if err != nil {
-		from.send(standin.Finish("FINISH", line.Tag, causeError))
+		from.send(testbed.Finish("FINISH", line.Tag, causeError))
 		return
 	}
 	w.mutex.Lock()
@@ -180,7 +180,7 @@
 	w.mutex.Unlock()
 	if short != "" {
 		w.fleet.refusals.Add(1)
-		refusal := standin.Finish("FINISH", line.Tag, causeFull)
+		refusal := testbed.Finish("FINISH", line.Tag, causeFull)
 		refusal.Opts["note"] = short
 		from.send(refusal)
 		return
@@ -188,14 +188,14 @@
 	w.fleet.Touch(w.index)
 	w.fleet.observer.Accepted(w.ID, line.Opts["key"], line.Tag)
 	answer := w.ID + " " + line.Tag
-	from.send(standin.Line{Verb: "STARTED", Tag: line.Tag, Opts: map[string]string{}, Blob: &answer})
+	from.send(testbed.Line{Verb: "STARTED", Tag: line.Tag, Opts: map[string]string{}, Blob: &answer})
 }
 
 // end gives the room of a task back and tells its end: on the connection of its set-up, else on
 // those of its orchestrator, else on those that may be its; and on the next ones opened.
 func (w *Worker) end(tag string, cause int) {
 	now := time.Now()
-	line := standin.Finish("FINISH", tag, cause)
+	line := testbed.Finish("FINISH", tag, cause)
 	w.mutex.Lock()
 	t := w.tasks[tag]
 	if t == nil || w.silent {
--- a/internal/standin/line.go
+++ b/internal/testbed/line.go
@@ -3,7 +3,7 @@
 // libraries that the program itself does not use for it. It owns what it listens
 // on, gives that back at the end of the test, and must never be part of a program
 // that serves.
-package standin
+package testbed
 
 import (
 	"bufio"
--- a/internal/standin/minion.go
+++ b/internal/testbed/minion.go
@@ -1,4 +1,4 @@
-package standin
+package testbed
 
 import (
 	"bufio"
--- a/internal/platform/giveup.go
+++ b/internal/workerpool/cancel.go
@@ -1,4 +1,4 @@
-package platform
+package workerpool
 
 // This file owns how an attempt ends that a worker has not answered: what is written
 // or closed for it, and the proof that the worker is rid of it. It must never take a
@@ -16,9 +16,10 @@
 	"maps"
 	"slices"
 
-	"ravenhitch"
-	"ravenhitch/internal/core"
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/jsonlines"
+	"ravenhitch/placement"
 )
 
 // maxProof is how long nothing at all may come in on a connection after a give-up was
@@ -45,7 +46,7 @@
 	at    int64    // when it was written
 	tags  []string // given up before the test was written
 	next  []string // given up since: for the next test
-	timer *loop.Timer
+	timer *eventloop.Timer
 }
 
 func (e *endings) any() bool { return e.test != "" }
@@ -84,7 +85,7 @@
 // the system does not take it whole, the test behind it is not answered either. Where the
 // deployment allows no tests nothing proves it, and no attempt may follow it.
 func (nc *workerConn) giveUp(tag string) {
-	nc.send(&Message{Verb: verbFinish, Tag: tag, RC: causeGivenUp, HasRC: true})
+	nc.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: tag, RC: jsonlines.CauseGivenUp, HasRC: true})
 	if !nc.k.n.tests {
 		nc.c.Push()
 		return
@@ -101,7 +102,7 @@
 func (nc *workerConn) prove(tags []string) {
 	now := nc.k.n.l.Now()
 	nc.ends.test, nc.ends.at, nc.ends.tags, nc.ends.next = fmt.Sprintf("%016x", now), now, tags, nil
-	nc.send(&Message{Verb: verbEcho, Tag: nc.ends.test, HasRC: true})
+	nc.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: nc.ends.test, HasRC: true})
 	nc.ends.timer = nc.k.n.l.After(maxProof, nc.unproved)
 }
 
@@ -148,7 +149,7 @@
 	k.fading[tag] = true
 	k.crossed(func() {
 		delete(k.fading, tag)
-		k.n.core.NodeEnded(k.n.l.Now(), k.id, tag, ravenhitch.Reset, ravenhitch.WhyUntold)
+		k.n.core.NodeEnded(k.n.l.Now(), k.id, tag, placement.Reset, placement.WhyUntold)
 	})
 }
 
@@ -237,7 +238,7 @@
 }
 
 func (nc *workerConn) release(tag string) {
-	nc.send(&Message{Verb: verbFinish, Tag: tag, RC: causeGivenUp, HasRC: true})
+	nc.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: tag, RC: jsonlines.CauseGivenUp, HasRC: true})
 }
 
 // releaseAgain writes on a new connection what was not heard on those before.
@@ -247,4 +248,4 @@
 	}
 }
 
-var _ core.Nodes = (*Nodes)(nil)
+var _ dispatch.Nodes = (*Nodes)(nil)
--- a/internal/platform/late_ends.go
+++ b/internal/workerpool/late_ends.go
@@ -1,4 +1,4 @@
-package platform
+package workerpool
 
 // This file owns the connections that are opened only to hear of ends. A worker tells
 // the end of a task on the connection of its set-up while it believes in that, and on
@@ -8,8 +8,8 @@
 // offer, so that its own end loses nothing, and must never take one.
 
 import (
-	"ravenhitch/internal/core"
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // listen opens such a connection where tasks stand whose set-up came by a connection that is
 // gone, unless another connection was opened in time.
-func (k *link) listen(held core.Holding, now int64) {
+func (k *link) listen(held dispatch.Holding, now int64) {
 	unknown, crossed := held.Since < k.goneAt, held.Since < k.prunedAt && k.openedAt <= k.prunedAt
 	if held.Tasks == 0 || !unknown && !crossed || now-max(k.openedAt, k.prunedAt) < lateEndsEvery || k.n.l.Free() < lateEndsRoom {
 		return
@@ -41,15 +41,15 @@
 }
 
 // Opened implements loop.Handler.
-func (e *lateEnds) Opened(c *loop.Conn) { e.k.n.l.After(lateEndsLife, c.Close) }
+func (e *lateEnds) Opened(c *eventloop.Conn) { e.k.n.l.After(lateEndsLife, c.Close) }
 
 // Data implements loop.Handler. Half a message is not waited for: it ends soon, and
 // that it does says nothing of the worker.
-func (e *lateEnds) Data(c *loop.Conn, b []byte) (int, error) {
+func (e *lateEnds) Data(c *eventloop.Conn, b []byte) (int, error) {
 	used, err := e.workerConn.Data(c, b)
 	e.half.Stop()
 	return used, err
 }
 
 // Closed implements loop.Handler. That it did not come up says nothing: offers tell.
-func (e *lateEnds) Closed(*loop.Conn, error) {}
+func (e *lateEnds) Closed(*eventloop.Conn, error) {}
--- a/internal/platform/worker_link.go
+++ b/internal/workerpool/link.go
@@ -1,4 +1,4 @@
-package platform
+package workerpool
 
 // This file owns the connections to one worker: at most one for new offers, older ones until
 // what is open on them has ended; when they are opened, given up and opened again, and what
@@ -11,7 +11,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"ravenhitch/internal/loop"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/jsonlines"
 )
 
 // link is one worker.
@@ -27,7 +28,7 @@
 	restarted bool
 	conns     []*workerConn // the last one takes new offers
 	wait      int64         // before the next dial
-	redial    *loop.Timer
+	redial    *eventloop.Timer
 	broke     bool // a connection was reset; a refused one now proves the death
 	failed    bool // a connection failed or fell silent, and none came up since
 
@@ -60,7 +61,7 @@
 
 func (k *link) dial() *workerConn {
 	if len(k.conns) >= maxStray {
-		k.conns[0].end(loop.ErrBudget)
+		k.conns[0].end(eventloop.ErrBudget)
 	}
 	nc := &workerConn{k: k, open: map[string]*sent{}, probes: map[string]int64{}, dialAt: k.n.l.Now(), usedAt: k.n.l.Now()}
 	c, err := k.n.l.Dial(k.addr, k.n.dialUs, nc)
@@ -74,14 +75,14 @@
 	}
 	nc.c = c
 	k.conns = append(k.conns, nc)
-	k.n.sharing.connected(1)
+	k.n.budget.WorkersConnected(1)
 	return nc
 }
 
 // ensure keeps a connection to a listed worker of this orchestrator, where there is room: tasks
 // that stand belong to no connection, and their end comes on any.
 func (k *link) ensure() {
-	if k.own && k.unconnected() && k.n.sharing.workersRoom() {
+	if k.own && k.unconnected() && k.n.budget.AdmitsWorker() {
 		k.dial()
 	}
 }
@@ -126,7 +127,7 @@
 	}
 	k.wait = min(maxRedial, max(minRedial, k.wait*2))
 	k.redial = k.n.l.After(k.wait, func() {
-		if k.own && k.listed && len(k.conns) == 0 && k.n.sharing.workersRoom() {
+		if k.own && k.listed && len(k.conns) == 0 && k.n.budget.AdmitsWorker() {
 			k.dial()
 		}
 	})
@@ -142,7 +143,7 @@
 		k.refusedAt = now
 		for _, nc := range k.conns {
 			if nc.c.Up() && k.n.tests {
-				nc.send(&Message{Verb: verbEcho, Tag: fmt.Sprintf("%016x", now), HasRC: true})
+				nc.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: fmt.Sprintf("%016x", now), HasRC: true})
 			}
 		}
 	}
--- a/internal/platform/worker_message.go
+++ b/internal/workerpool/message.go
@@ -1,4 +1,4 @@
-package platform
+package workerpool
 
 // This file turns what workers send into outcomes for the core.
 
@@ -7,32 +7,33 @@
 	"strconv"
 	"strings"
 
-	"ravenhitch"
+	"ravenhitch/internal/jsonlines"
+	"ravenhitch/placement"
 )
 
-var noteKinds = map[string]ravenhitch.NoteKind{"up": ravenhitch.NoteRuns, "cpu": ravenhitch.NoteCores,
-	"mem": ravenhitch.NoteMemory, "share": ravenhitch.NoteService, "tight": ravenhitch.NotePressure}
+var noteKinds = map[string]placement.NoteKind{"up": placement.NoteRuns, "cpu": placement.NoteCores,
+	"mem": placement.NoteMemory, "share": placement.NoteService, "tight": placement.NotePressure}
 
-var whys = map[string]ravenhitch.Why{"cpu_full": ravenhitch.WhyCores, "mem_full": ravenhitch.WhyMemory,
-	"busy": ravenhitch.WhyQueue, "wrong_host": ravenhitch.WhyNotHere, "oom": ravenhitch.WhyEvicted,
-	"preempted": ravenhitch.WhyPushedOut, "drained": ravenhitch.WhySentAway}
+var whys = map[string]placement.Why{"cpu_full": placement.WhyCores, "mem_full": placement.WhyMemory,
+	"busy": placement.WhyQueue, "wrong_host": placement.WhyNotHere, "oom": placement.WhyEvicted,
+	"preempted": placement.WhyPushedOut, "drained": placement.WhySentAway}
 
-var statuses = map[int]ravenhitch.Status{causeGivenUp: ravenhitch.OK, causeCancelled: ravenhitch.Cancelled,
-	causeFull: ravenhitch.Full, causeError: ravenhitch.Failed, causeMoot: ravenhitch.Moot}
+var statuses = map[int]placement.Status{jsonlines.CauseGivenUp: placement.OK, jsonlines.CauseCancelled: placement.Cancelled,
+	jsonlines.CauseFull: placement.Full, jsonlines.CauseError: placement.Failed, jsonlines.CauseMoot: placement.Moot}
 
-func (nc *workerConn) message(m *Message) {
+func (nc *workerConn) message(m *jsonlines.Message) {
 	n, id, now := nc.k.n, nc.k.id, nc.k.n.l.Now()
 	switch m.Verb {
-	case verbStarted:
+	case jsonlines.VerbStarted:
 		if s := nc.open[m.Tag]; s != nil && s.end > 0 {
 			nc.settled(s)
 			n.core.NodeStarted(now, id, m.Tag, m.Blob)
 			nc.k.prune()
 		}
-	case verbFinish:
+	case jsonlines.VerbFinish:
 		st, ok := statuses[m.RC]
 		if !ok {
-			st = ravenhitch.Reset
+			st = placement.Reset
 		}
 		// An offer is answered on its own connection. Anything else is the end of a task
 		// that stands, or a copy or a foreign answer, which must end no attempt. That it never
@@ -40,41 +41,41 @@
 		delete(nc.k.unheard, m.Tag)
 		if s := nc.open[m.Tag]; s != nil && s.end > 0 {
 			nc.settled(s)
-			if st == ravenhitch.OK && m.HasBlob { // the yes and the end in one: it was over before it was to say yes
+			if st == placement.OK && m.HasBlob { // the yes and the end in one: it was over before it was to say yes
 				n.core.NodeStarted(now, id, m.Tag, m.Blob)
 			}
 			n.core.NodeEnded(now, id, m.Tag, st, whys[m.Opt("note")])
 			nc.k.prune()
-		} else if st != ravenhitch.Full && st != ravenhitch.Moot && (n.core.Stands(m.Tag) || n.core.Leaves(m.Tag)) {
+		} else if st != placement.Full && st != placement.Moot && (n.core.Stands(m.Tag) || n.core.Leaves(m.Tag)) {
 			n.core.NodeEnded(now, id, m.Tag, st, whys[m.Opt("note")])
 		} else if !n.core.Knows(m.Tag) {
 			n.core.NodeEndedUnclaimed(now, id, m.Tag, st, whys[m.Opt("note")])
 		}
-	case verbNotice:
+	case jsonlines.VerbNotice:
 		v, err := strconv.ParseFloat(m.Opt("value"), 64)
-		if kind, ok := noteKinds[m.Opt("note")]; ok && (err == nil && v >= 0 && v < 1e9 || kind == ravenhitch.NoteRuns) {
+		if kind, ok := noteKinds[m.Opt("note")]; ok && (err == nil && v >= 0 && v < 1e9 || kind == placement.NoteRuns) {
 			n.core.NodeNote(now, id, m.Tag, kind, v)
 		}
-	case verbFinished:
+	case jsonlines.VerbFinished:
 		delete(nc.k.unheard, m.Tag)
-	case verbEchoed:
+	case jsonlines.VerbEchoed:
 		if m.Tag == nc.ends.test && nc.ends.any() {
 			nc.proved()
 			return
 		}
-		st := ravenhitch.OK
+		st := placement.OK
 		if m.RC != 1 {
-			st = ravenhitch.Failed
+			st = placement.Failed
 		}
 		nc.probed(m.Tag, st, m.Opt("load"))
-	case verbEcho:
-		nc.send(&Message{Verb: verbEchoed, Tag: m.Tag, RC: 1, HasRC: true})
+	case jsonlines.VerbEcho:
+		nc.send(&jsonlines.Message{Verb: jsonlines.VerbEchoed, Tag: m.Tag, RC: 1, HasRC: true})
 	}
 }
 
 // report reads a load report.
-func report(load string) ravenhitch.Load {
-	l := ravenhitch.Load{X0: nan, X1: nan, Util: nan, Queue: nan}
+func report(load string) placement.Load {
+	l := placement.Load{X0: nan, X1: nan, Util: nan, Queue: nan}
 	for _, pair := range strings.FieldsFunc(load, func(r rune) bool { return r == ';' || r == ',' }) {
 		name, value, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(value, 64)
--- a/alarms.go
+++ b/placement/alarms.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file keeps the times at which the placer is to be called again.
 
--- a/api.go
+++ b/placement/api.go
@@ -5,7 +5,7 @@
 // This file is the interface: settings, events and actions. It decides nothing.
 // Every time is in microseconds, on the clock that the caller passes to
 // [Placer.Handle].
-package ravenhitch
+package placement
 
 // Effect says what repeating a task of a class may do.
 type Effect int
--- a/choose.go
+++ b/placement/choose.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file chooses the machine for a task: filters first, then the admission cost.
 
--- a/dispatch.go
+++ b/placement/dispatch.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file sends what can be sent, best first, and answers what can wait no more.
 
--- a/fleet.go
+++ b/placement/fleet.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file adds up what all machines have, are asked for and hold. It decides nothing.
 
--- a/health.go
+++ b/placement/health.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file judges machines by what becomes of their attempts and tasks.
 
--- a/index.go
+++ b/placement/index.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file is the index of the machines that may be offered tasks: by kind, and by how much
 // of a kind's size is asked of each. It is kept as events change machines, so that a search
--- a/machine.go
+++ b/placement/machine.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file is what a placer remembers of machines: own changes of what they are asked for,
 // the tasks they hold, and the order of their names. It decides nothing.
--- a/placer.go
+++ b/placement/placer.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This module holds every decision. Its interface (settings, events and actions) is in
 // api.go. Order of reading: placer.go (events), view.go, choose.go, dispatch.go,
--- a/placer_test.go
+++ b/placement/placer_test.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 import (
 	"fmt"
--- a/rules.go
+++ b/placement/rules.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file keeps the rules that no attempt may break.
 
--- a/search.go
+++ b/placement/search.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file holds what one search for a machine knows: bounds of room and cost by kind,
 // and what was found so far. It decides nothing.
--- a/state.go
+++ b/placement/state.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file is the state of a placer: its settings, and what events are handed to. It
 // decides nothing.
--- a/task.go
+++ b/placement/task.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file is what a placer remembers of requests and running tasks. It decides nothing.
 
--- a/view.go
+++ b/placement/view.go
@@ -1,4 +1,4 @@
-package ravenhitch
+package placement
 
 // This file decides what a machine is taken to be asked for: what the list and reports
 // say, how late that is, and own binds since.
