--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -16,13 +16,13 @@
 const outsEvery = 200 * time.Millisecond
 
 // listenAdmin starts to take operators' calls at an address; dir holds the files.
-func (p *program) listenAdmin(addr, dir string, log *slog.Logger) (err error) {
+func (p *server) listenAdmin(addr, dir string, log *slog.Logger) (err error) {
 	store := newHandoverStore(dir)
 	outs, err := store.read()
 	if err != nil {
 		return fmt.Errorf("minions out by hand: %w", err)
 	}
-	p.c.Hand(p.l.Now(), outs)
+	p.c.SetCordoned(p.l.Now(), outs)
 	calls := make(chan func(), 64)
 	handle := p.adminHandler(store, calls)
 	if p.maddr, err = admin.NewListener(p.l, log, handle).Listen(addr); err != nil {
@@ -34,23 +34,23 @@
 }
 
 // adminHandler returns what carries out operators' calls.
-func (p *program) adminHandler(store handoverStore, calls chan<- func()) admin.Handler {
+func (p *server) adminHandler(store handoverStore, calls chan<- func()) admin.Handler {
 	claimed := false // the file says that this process serves
 	return func(c admin.Call, answer func([]byte)) {
 		switch c.Verb {
 		case admin.Health:
 			switch {
 			case p.leaving:
-				answer(admin.No("ending"))
-			case !p.channel.Followed():
-				answer(admin.No("the list of minions is not up to date"))
+				answer(admin.ErrorReply("ending"))
+			case !p.channel.Synced():
+				answer(admin.ErrorReply("the list of minions is not up to date"))
 			case claimed:
-				answer(admin.Yes())
+				answer(admin.OKReply())
 			default:
 				p.beside(calls, store.claim, answer, func() { claimed = true })
 			}
 		case admin.Dump:
-			answer(p.dump().Answer())
+			answer(p.dump().Reply())
 		case admin.Peers:
 			answer(p.statusReport())
 		default:
@@ -60,39 +60,39 @@
 }
 
 // hand takes a minion out or puts it back.
-func (p *program) hand(store handoverStore, calls chan<- func(), c admin.Call, answer func([]byte)) {
-	if !p.c.Known(c.ID) {
-		answer(admin.No("no minion " + c.ID))
+func (p *server) hand(store handoverStore, calls chan<- func(), c admin.Call, answer func([]byte)) {
+	if !p.c.HasWorker(c.ID) {
+		answer(admin.ErrorReply("no minion " + c.ID))
 		return
 	}
-	var outs admin.Outs
+	var outs admin.Cordons
 	p.beside(calls, func() (err error) { outs, err = store.change(c); return err }, answer,
-		func() { p.c.Hand(p.l.Now(), outs) })
+		func() { p.c.SetCordoned(p.l.Now(), outs) })
 }
 
 // beside has work on files done off the loop, then calls then on the loop, and answers.
-func (p *program) beside(calls chan<- func(), work func() error, answer func([]byte), then func()) {
+func (p *server) beside(calls chan<- func(), work func() error, answer func([]byte), then func()) {
 	task := func() {
 		err := work()
 		p.l.Post(func() {
 			if err != nil {
 				p.log.Error("a call could not be kept", "err", err)
-				answer(admin.No("not kept: " + err.Error()))
+				answer(admin.ErrorReply("not kept: " + err.Error()))
 				return
 			}
 			then()
-			answer(admin.Yes())
+			answer(admin.OKReply())
 		})
 	}
 	select {
 	case calls <- task:
 	default:
-		answer(admin.No("too many calls"))
+		answer(admin.ErrorReply("too many calls"))
 	}
 }
 
 // keep does the work of calls on files, and reads what another process changed.
-func (p *program) keep(store handoverStore, seen admin.Outs, calls <-chan func()) {
+func (p *server) keep(store handoverStore, seen admin.Cordons, calls <-chan func()) {
 	for tick := time.NewTicker(outsEvery); ; {
 		select {
 		case work := <-calls:
@@ -111,18 +111,18 @@
 				p.log.Error("minions out by hand can't be read; what was read last holds", "err", err)
 			} else if !maps.Equal(outs, seen) {
 				seen = outs
-				p.l.Post(func() { p.c.Hand(p.l.Now(), outs) })
+				p.l.Post(func() { p.c.SetCordoned(p.l.Now(), outs) })
 			}
 		}
 	}
 }
 
 // dump is the figures as they stand.
-func (p *program) dump() admin.Figures {
-	f := admin.Figures{Responses: map[string]admin.Class{}, Tries: p.nodes.Tries(), Active: p.c.Open() + p.c.Standing()}
-	f.Pool, f.Ejected = p.c.Pool()
-	for name, e := range p.c.Ends() {
-		f.Responses[name] = admin.Class{OK: e.Started, Shed: e.Refused, Errors: e.Failed}
+func (p *server) dump() admin.Figures {
+	f := admin.Figures{Responses: map[string]admin.Class{}, Attempts: p.nodes.OffersSent(), Active: p.c.OpenCount() + p.c.RunningCount()}
+	f.Pool, f.Ejected = p.c.PoolSize()
+	for name, e := range p.c.ClassTotals() {
+		f.Responses[name] = admin.Class{OK: e.Started, Shed: e.Rejected, Errors: e.Failed}
 	}
 	return f
 }
--- a/cmd/ravenhitch/admin_test.go
+++ b/cmd/ravenhitch/admin_test.go
@@ -35,7 +35,7 @@
 }
 
 // managed starts a process on a listening socket that the platform holds.
-func managed(t *testing.T, feed *testbed.Feed, ln net.Listener) (*program, chan error) {
+func managed(t *testing.T, feed *testbed.Feed, ln net.Listener) (*server, chan error) {
 	t.Helper()
 	f, err := ln.(*net.TCPListener).File()
 	if err != nil {
@@ -47,8 +47,8 @@
 	}
 	// The program gives its descriptor back itself; this one is the platform's.
 	t.Cleanup(func() { f.Close() })
-	cfg.Manage, cfg.Inherited = "127.0.0.1:0", int(f.Fd())
-	p, err := start(cfg, config.Edge{}, slog.New(slog.DiscardHandler))
+	cfg.AdminAddr, cfg.Inherited = "127.0.0.1:0", int(f.Fd())
+	p, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	return p, over
 }
 
-func ready(t *testing.T, p *program) {
+func ready(t *testing.T, p *server) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Patience); call(t, p.maddr, "HEALTH") != "+OK\n"; {
 		if time.Now().After(limit) {
@@ -67,7 +67,7 @@
 }
 
 // ending waits until the program says that it ends.
-func ending(t *testing.T, p *program) {
+func ending(t *testing.T, p *server) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Patience); call(t, p.maddr, "HEALTH") != "-ERR ending\n"; {
 		if time.Now().After(limit) {
@@ -109,7 +109,7 @@
 		fmt.Fprint(c, "HEAL")
 	}
 	for line, want := range map[string]string{"OFFLINE x": "-ERR no minion x\n", "OFFLINE a": "+OK\n", "ONLINE x": "-ERR no minion x\n",
-		"DUMP" + strings.Repeat(" ", admin.CallMost): "-ERR expected a call of at most 512 bytes\n"} {
+		"DUMP" + strings.Repeat(" ", admin.MaxCallLength): "-ERR expected a call of at most 512 bytes\n"} {
 		if got := call(t, old.maddr, line); got != want {
 			t.Errorf("%s: %q", line, got)
 		}
@@ -130,7 +130,7 @@
 	for n := range 8 {
 		place(first, n+1, "b")
 	}
-	if f := figures(t, old.maddr); f.Responses["guide-web"].OK != 8 || f.Tries != 8 || f.Active != 8 || f.Pool != 2 || f.Ejected != 1 {
+	if f := figures(t, old.maddr); f.Responses["guide-web"].OK != 8 || f.Attempts != 8 || f.Active != 8 || f.Pool != 2 || f.Ejected != 1 {
 		t.Errorf("%+v", f)
 	}
 
@@ -181,7 +181,7 @@
 // minions back that somebody took out.
 func TestOutsCutShort(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	b := admin.Outs{"a": true}.Encode()
+	b := admin.Cordons{"a": true}.Encode()
 	if err := os.WriteFile(newHandoverStore(os.TempDir()).path, b[:len(b)-2], 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -189,8 +189,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Manage = "127.0.0.1:0"
-	if p, err := start(cfg, config.Edge{}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "minions-out:3: expected") {
+	cfg.AdminAddr = "127.0.0.1:0"
+	if p, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "minions-out:3: expected") {
 		t.Errorf("%v, %v", p, err)
 	}
 }
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -20,7 +20,7 @@
 
 // assignment divides the workers among the members that are there.
 type assignment struct {
-	use      func(discovery.Owner) // takes a division of the workers
+	use      func(discovery.Assignment) // takes a division of the workers
 	regions  shard.Regions
 	self     string
 	presumed []shard.Member // that are taken to be there
@@ -28,10 +28,10 @@
 }
 
 // assign divides the workers, at first among the members that the operators' file names.
-func assign(l *eventloop.Loop, channel *discovery.Channel, cfg config.Config, s config.Peers) *assignment {
+func assign(l *eventloop.Loop, channel *discovery.Follower, cfg config.Config, s config.Peers) *assignment {
 	a := newAssignment(cfg.Name, cmp.Or(s.Hall, cfg.Settings.Zone), s)
-	channel.Partition(a.owner())
-	a.use = channel.Own
+	channel.EnablePartition(a.owner())
+	a.use = channel.SetAssignment
 	l.After(presumedFor, a.presume)
 	return a
 }
@@ -67,7 +67,7 @@
 }
 
 // owner divides the workers among the members as they are now.
-func (a *assignment) owner() discovery.Owner {
+func (a *assignment) owner() discovery.Assignment {
 	members := slices.Concat(a.presumed, a.view)
-	return func(zone string) shard.Bits { return a.regions.Own(zone, members, a.self) }
+	return func(zone string) shard.Bits { return a.regions.Assigned(zone, members, a.self) }
 }
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -10,7 +10,7 @@
 )
 
 // shards counts what an orchestrator owns of a zone.
-func shards(owner discovery.Owner, zone string) int { return shard.Set{"": owner(zone)}.Len() }
+func shards(owner discovery.Assignment, zone string) int { return shard.Set{"": owner(zone)}.Len() }
 
 // The workers are divided among the members of the stable view, and at first among those that the file
 // names too; a view without this orchestrator changes nothing.
@@ -19,7 +19,7 @@
 	a := newAssignment("n1", "z1", config.Peers{Regions: map[string]string{"z1": "west", "z2": "west", "z3": "east"},
 		Members: []config.PeerAddress{{Name: "n2", Zone: "z2"}, {Name: "n3", Zone: "z3"}}})
 	now := a.owner()
-	a.use = func(o discovery.Owner) { now = o }
+	a.use = func(o discovery.Assignment) { now = o }
 	expect := func(when string, west, east int) {
 		t.Helper()
 		if got := [3]int{shards(now, "z1"), shards(now, "z2"), shards(now, "z3")}; got != [3]int{west, west, east} {
@@ -38,7 +38,7 @@
 	a.viewed([]membership.Member{member("n1", "z3"), member("n2", "z2")})
 	expect("moved to the east", 0, shard.Count)
 	b := newAssignment("n1", "z1", config.Peers{Members: []config.PeerAddress{{Name: "n2"}}})
-	b.use = func(o discovery.Owner) { now = o }
+	b.use = func(o discovery.Assignment) { now = o }
 	b.presume()
 	if now = b.owner(); shards(now, "z1") != shard.Count/2 || shards(now, "z3") != shard.Count/2 {
 		t.Error("who has not joined when the first seconds are over does not share with those that the file names")
--- a/cmd/ravenhitch/client_gone_test.go
+++ b/cmd/ravenhitch/client_gone_test.go
@@ -51,7 +51,7 @@
 		f.feed.Add(false, f.minions[0].Member("draining"))
 		f.feed.Heard(t)
 		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.Open() == 1 })
+		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
 		return func() { f.feed.Add(false, f.minions[0].Member("up")) }
 	}},
 	{"between attempts, as the last one is not known to be over", []string{"a", "b"}, false, func(t *testing.T, f *field, client *testbed.Owner) func() {
@@ -61,19 +61,19 @@
 			m.Note()
 			f.links[m.Name].Delay(80 * time.Millisecond)
 		}
-		f.until(t, "its end is under way", func() bool { return f.nodes.Proving() > 0 })
+		f.until(t, "its end is under way", func() bool { return f.nodes.UnconfirmedCancels() > 0 })
 		return func() {}
 	}},
 	{"for a connection that comes up late", []string{"a"}, false, func(t *testing.T, f *field, client *testbed.Owner) func() {
 		link := f.away(t)
 		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.Open() == 1 })
+		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
 		return func() { link.Heal(t) }
 	}},
 	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, func(t *testing.T, f *field, client *testbed.Owner) func() {
 		link := f.away(t)
 		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.Open() == 1 })
+		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
 		end := f.stand(t)
 		before, _ := f.minions[0].Dials()
 		link.Heal(t)
@@ -85,7 +85,7 @@
 		testbed.Send(client, leaver("ok-leaver"))
 		here, on := make(chan bool), make(chan bool)
 		f.l.Post(func() { // in the turn that reads it
-			here <- f.c.Open() == 1
+			here <- f.c.OpenCount() == 1
 			<-on
 		})
 		first()
@@ -104,7 +104,7 @@
 		f.feed.Heard(t)
 		client.Conn = slowReader(t, f.world)
 		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.Open() == 1 })
+		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
 		return func() { f.feed.Add(false, f.minions[0].Member("up")) }
 	}},
 }
@@ -145,10 +145,10 @@
 				if way.leave(client); c.unread {
 					f.long()
 				} else {
-					f.until(t, "the leave is read", func() bool { return f.c.Open() == 0 })
+					f.until(t, "the leave is read", func() bool { return f.c.OpenCount() == 0 })
 				}
 				end()
-				f.until(t, "all ends are proved", func() bool { return f.nodes.Proving() == 0 })
+				f.until(t, "all ends are proved", func() bool { return f.nodes.UnconfirmedCancels() == 0 })
 				f.allTaken(t, f.ask("ok", 1, 8000)) // by then what was to leave has left
 				if n := f.attempts.Tried(leaverTag) - tried; n > 0 {
 					t.Errorf("%d attempts began after the client had gone, the last %s after", n, f.attempts.Last(leaverTag).Sub(left))
@@ -164,7 +164,7 @@
 // newGoneField is a field where connections to workers may take long to come up.
 func newGoneField(t *testing.T, minions []string) *field {
 	f := &field{links: map[string]*testbed.Link{}, attempts: testbed.NewAttempts(), got: map[string]string{}}
-	f.world = newWorldSet(t, settingsWith(t, change{"Limits.DialTimeoutUs", 10_000_000}), config.Edge{}, 1024,
+	f.world = newWorldSet(t, settingsWith(t, change{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
 		slog.New(slog.DiscardHandler), func(m *testbed.Minion) {
 			m.Attempts = f.attempts
 			f.links[m.Name] = testbed.NewLink(t, m)
--- a/cmd/ravenhitch/discovery_down_test.go
+++ b/cmd/ravenhitch/discovery_down_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	cfg.Sockets = sockets
-	if d.program, err = start(cfg, config.Edge{}, slog.New(slog.DiscardHandler)); err != nil {
+	if d.server, err = start(cfg, config.Operators{}, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
@@ -104,7 +104,7 @@
 				if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 					t.Errorf("got %v", l)
 				}
-				w.on(t, func() { t.Logf("%d descriptors are free, %d clients", w.l.Free(), w.front.Connections()) })
+				w.on(t, func() { t.Logf("%d descriptors are free, %d clients", w.l.FreeDescriptors(), w.front.Connections()) })
 			})
 		}
 	}
@@ -179,7 +179,7 @@
 	other := w.owner(t)
 	asked(t, other)
 	w.on(t, func() {
-		if free := w.l.Free(); free < 4 {
+		if free := w.l.FreeDescriptors(); free < 4 {
 			t.Errorf("%d descriptors are left free, want those of the command channel and operators", free)
 		}
 	})
--- a/cmd/ravenhitch/ending.go
+++ b/cmd/ravenhitch/ending.go
@@ -38,7 +38,7 @@
 
 // Stop makes Run end once what was taken is answered. It may be called from any
 // goroutine, and more than once.
-func (p *program) Stop() {
+func (p *server) Stop() {
 	p.l.Post(func() {
 		if p.inherited && !p.successor {
 			// A successor may have begun since the files were last looked at: whoever came
@@ -55,18 +55,18 @@
 }
 
 // leave begins the end, once.
-func (p *program) leave() {
+func (p *server) leave() {
 	if p.leaving {
 		return
 	}
 	p.leaving = true
 	if p.grpc != nil {
-		p.grpc.Leave()
+		p.grpc.SetNotServing()
 	}
 	if p.peers != nil {
 		p.peers.Leave()
 	}
-	p.log.Info("told to end", "open", p.c.Open(), "standing", p.c.Standing(), "successor", p.successor)
+	p.log.Info("told to end", "open", p.c.OpenCount(), "standing", p.c.RunningCount(), "successor", p.successor)
 	if p.inherited {
 		p.handOver(p.l.Now())
 		return
@@ -75,17 +75,17 @@
 }
 
 // Run serves until Stop.
-func (p *program) Run() error {
+func (p *server) Run() error {
 	defer p.l.Close()
 	defer close(p.over)
 	var timer *eventloop.Timer
 	var due int64
 	defer p.nodes.Close()
 	err := p.l.Run(func(now int64) {
-		p.c.Took(p.l.Took())
-		p.nodes.Gather()
+		p.c.ObserveTurn(p.l.TurnDuration())
+		p.nodes.DeliverPending()
 		p.c.Turn(now)
-		if next := p.c.Next(); next != due || !timer.Pending() {
+		if next := p.c.NextDeadline(); next != due || !timer.Pending() {
 			timer.Stop()
 			if due = next; due > 0 {
 				timer = p.l.At(due, func() {})
@@ -105,11 +105,11 @@
 // end keeps serving while requests still come, then ends once nothing is open and
 // nobody waits to be let in, and answers what is left before the kill comes. Who
 // waits in the system's queue may have sent a request, which an end would lose.
-func (p *program) end(since int64) {
+func (p *server) end(since int64) {
 	switch age := p.l.Now() - since; {
 	case age >= p.drainTimeout:
 		p.quit(since, p.drainTimeout)
-	case age >= stillComing && !p.owes() && !p.l.Queued():
+	case age >= stillComing && !p.owes() && !p.l.HasQueuedConnections():
 		p.l.Stop()
 	default:
 		p.l.After(10_000, func() { p.end(since) })
@@ -118,15 +118,15 @@
 
 // owes reports whether an end now would lose something that is owed: an answer or a part of
 // one, a release, a minion's word on one.
-func (p *program) owes() bool {
-	return p.c.Open() > 0 || p.front.Owes() || p.nodes.Owes()
+func (p *server) owes() bool {
+	return p.c.OpenCount() > 0 || p.front.HasUndelivered() || p.nodes.HasUnconfirmedReleases()
 }
 
 // quit answers what is open at the drain timeout, and ends once the owners have taken that, or
 // shortly before the kill.
-func (p *program) quit(since, last int64) {
-	p.c.Quit(p.l.Now())
-	if !p.front.Owes() || p.l.Now()-since >= last+quitFlush {
+func (p *server) quit(since, last int64) {
+	p.c.RejectAll(p.l.Now())
+	if !p.front.HasUndelivered() || p.l.Now()-since >= last+quitFlush {
 		p.l.Stop()
 		return
 	}
@@ -138,7 +138,7 @@
 // does, callers come on as before and would wait in the system's queue for the next
 // process, which starts only once this one was killed: so it serves until shortly
 // before that, and leaves to the queue only whom it could not answer any more.
-func (p *program) handOver(since int64) {
+func (p *server) handOver(since int64) {
 	age, last := p.l.Now()-since, p.drainTimeout
 	if p.successor {
 		last = p.drainTimeoutBeside
--- a/cmd/ravenhitch/endings_test.go
+++ b/cmd/ravenhitch/endings_test.go
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			e := &early{Handler: slog.DiscardHandler, gone: map[string]int64{}}
-			w := newWorldBy(t, config.Edge{}, 1024, slog.New(e), func(*testbed.Minion) {}, "a")
+			w := newWorldBy(t, config.Operators{}, 1024, slog.New(e), func(*testbed.Minion) {}, "a")
 			o := w.owner(t)
 			testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
 			if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
@@ -141,7 +141,7 @@
 			first.Close()
 			w.until(t, "no owner", func() bool { return w.front.Connections() == 0 })
 			w.minions[0].End(testbed.Tag(1), 16)
-			w.until(t, "the end here", func() bool { return w.c.Standing() == 1 })
+			w.until(t, "the end here", func() bool { return w.c.RunningCount() == 1 })
 			bad := w.owner(t)
 			testbed.Send(bad, running(testbed.Tag(5), "a")) // which it may have heard of
 			testbed.Send(bad, faulty)
@@ -185,7 +185,7 @@
 			t.Errorf("%s was offered %d times", task, n)
 		}
 	}
-	if n := w.c.Standing(); n != 0 {
+	if n := w.c.RunningCount(); n != 0 {
 		t.Errorf("%d stand", n)
 	}
 }
@@ -248,17 +248,17 @@
 		for _, way := range ways {
 			t.Run(c.name+", "+way.name, func(t *testing.T) {
 				t.Parallel()
-				w := newWorldSet(t, settingsWith(t, change{"Limits.DialTimeoutUs", 10_000_000}), config.Edge{}, 1024,
+				w := newWorldSet(t, settingsWith(t, change{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
 					slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
 				w.until(t, "a connection to the minion", func() bool { n, _ := w.minions[0].Dials(); return n > 0 })
 				free := c.hold(t, w)
 				o := w.owner(t)
 				testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
 				if c.read {
-					w.until(t, "the set-up", func() bool { return w.c.Open() == 1 })
+					w.until(t, "the set-up", func() bool { return w.c.OpenCount() == 1 })
 				}
 				if way.leave(o); c.read {
-					w.until(t, "it left", func() bool { return w.c.Open() == 0 })
+					w.until(t, "it left", func() bool { return w.c.OpenCount() == 0 })
 				}
 				free()
 				next := w.owner(t)
@@ -290,7 +290,7 @@
 	t.Cleanup(func() { o.Close() })
 	kept := 0 // turns in which something was left since the last was sent
 	w.until(t, "more answers than the system takes", func() bool {
-		if kept++; w.front.Owes() {
+		if kept++; w.front.HasUndelivered() {
 			return kept == 5
 		}
 		kept = 0
@@ -307,17 +307,17 @@
 	w := newWorldLimited(t, 64, "a") // 24 owners
 	slow := slowReader(t, w)
 	testbed.Send(slow, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
-	w.until(t, "a task", func() bool { return w.c.Standing() == 1 })
+	w.until(t, "a task", func() bool { return w.c.RunningCount() == 1 })
 	since := int64(0)
 	w.on(t, func() { since = w.l.Now() })
 	for i := range 23 {
 		testbed.Send(w.owner(t), testbed.SetUp(testbed.Tag(10+i), "archive-cut", fmt.Sprint("silent-", i), 60_000))
 	}
-	w.until(t, "all are busy", func() bool { return w.c.Open() == 23 })
+	w.until(t, "all are busy", func() bool { return w.c.OpenCount() == 23 })
 	late := w.owner(t)
 	testbed.Send(late, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 9000))
 	w.until(t, "it waits, for longer than a quiet connection is kept", func() bool {
-		return w.l.Queued() && w.l.Now() > since+1_200_000
+		return w.l.HasQueuedConnections() && w.l.Now() > since+1_200_000
 	})
 	slow.SetReadDeadline(time.Now().Add(testbed.Patience))
 	r, read := bufio.NewScanner(slow), false
@@ -336,7 +336,7 @@
 // program answers what is open once, by what may have become of it.
 func TestToldToEndTwice(t *testing.T) {
 	w := newWorldSet(t, settingsWith(t, change{"RequestClasses.0.DeadlineUs", 500_000}, change{"RequestClasses.1.DeadlineUs", 500_000}),
-		config.Edge{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+		config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
 	o := w.owner(t)
 	for i, class := range []string{"guide-web", "archive-cut"} {
 		testbed.Send(o, testbed.SetUp(testbed.Tag(i+1), class, fmt.Sprint("silent-", i), 60_000))
@@ -347,7 +347,7 @@
 	for i, class := range []string{"guide-web", "archive-cut"} { // these never leave
 		testbed.Send(o, testbed.SetUp(testbed.Tag(i+3), class, fmt.Sprint("ok-", i), 60_000))
 	}
-	w.until(t, "all are open", func() bool { return w.c.Open() == 4 })
+	w.until(t, "all are open", func() bool { return w.c.OpenCount() == 4 })
 	next := testbed.NewFeed(t)
 	next.Take(w.feed)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -427,7 +427,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p, err := start(cfg, config.Edge{}, slog.New(slog.DiscardHandler))
+			p, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -457,14 +457,14 @@
 // who reads slowly has a moment for that.
 func TestAnsweredAtTheDrainTimeout(t *testing.T) {
 	w := newWorldSet(t, settingsWith(t, change{"RequestClasses.0.DeadlineUs", 500_000}, change{"RequestClasses.1.DeadlineUs", 500_000}),
-		config.Edge{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+		config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
 	o := slowReader(t, w)
 	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "archive-cut", "silent-1", 60_000))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	after := make(chan bool, 1)
 	var look func()
 	look = func() {
-		if w.c.Open() > 0 {
+		if w.c.OpenCount() > 0 {
 			w.l.After(1000, look)
 			return
 		}
@@ -492,7 +492,7 @@
 			}
 			defer ln.Close()
 			w := newWorldSet(t, settingsWith(t, change{"RequestClasses.0.DeadlineUs", 500_000}, change{"RequestClasses.1.DeadlineUs", 500_000}),
-				config.Edge{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+				config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
 			w.minions[0].Shut()
 			w.feed.Add(false, w.minions[0].MemberAt("up", ln.Addr().String()))
 			node, err := ln.Accept()
@@ -535,7 +535,7 @@
 			}
 			asked(t, o)
 			o.Write(b[:len(b)/2])
-			w.until(t, "half a set-up", w.front.Owes)
+			w.until(t, "half a set-up", w.front.HasUndelivered)
 			return func() {
 				o.Write(append(b[len(b)/2:], '\n'))
 				if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
@@ -546,7 +546,7 @@
 		{"an answer lies behind what its owner has not read", false, func(t *testing.T, w *world) func() {
 			o := slowReader(t, w)
 			testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
-			w.until(t, "a task", func() bool { return w.c.Standing() == 1 })
+			w.until(t, "a task", func() bool { return w.c.RunningCount() == 1 })
 			return func() {
 				o.SetReadDeadline(time.Now().Add(testbed.Patience))
 				for r := bufio.NewScanner(o); r.Scan(); {
@@ -575,7 +575,7 @@
 			o.Close()
 			w.until(t, "no owner", func() bool { return w.front.Connections() == 0 })
 			w.minions[0].End(testbed.Tag(1), 16)
-			w.until(t, "the end here", w.front.Owes)
+			w.until(t, "the end here", w.front.HasUndelivered)
 			return func() {
 				o := w.owner(t)
 				testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
--- a/cmd/ravenhitch/exporters.go
+++ b/cmd/ravenhitch/exporters.go
@@ -14,7 +14,7 @@
 const exportersWait = 200 * time.Millisecond
 
 // startExporters sends figures to each receiver that the operators' file names.
-func (p *program) startExporters(cfg config.Config, edge config.Edge) {
+func (p *server) startExporters(cfg config.Config, edge config.Operators) {
 	if m := edge.Graphite; m.Address != "" {
 		p.export("tcp", m, metrics.Graphite{Prefix: m.Prefix, Name: cfg.Name})
 	}
@@ -25,7 +25,7 @@
 }
 
 // export sends figures to one receiver from now on.
-func (p *program) export(network string, m config.Metrics, protocol metrics.Protocol) {
+func (p *server) export(network string, m config.Metrics, protocol metrics.Protocol) {
 	e := metrics.NewExporter(network, m.Address, protocol, p.log)
 	p.exporters = append(p.exporters, e)
 	var again func()
@@ -37,28 +37,28 @@
 }
 
 // figures is what is worth watching of the program.
-func (p *program) figures(e *metrics.Exporter) []metrics.Figure {
+func (p *server) figures(e *metrics.Exporter) []metrics.Figure {
 	c := p.c.Counts()
 	counter := func(name string, v int64) metrics.Figure {
 		return metrics.Figure{Name: name, Value: float64(v), Counter: true}
 	}
 	gauge := func(name string, v int) metrics.Figure { return metrics.Figure{Name: name, Value: float64(v)} }
-	s := p.c.Storm()
-	var t grpcfront.Tickets
+	s := p.c.BackpressureFigures()
+	var t grpcfront.TokenCounts
 	if p.grpc != nil {
-		t = p.grpc.Tickets()
+		t = p.grpc.TokenCounts()
 	}
 	return []metrics.Figure{
 		counter("tickets_good", t.Good), counter("tickets_early", t.Early), counter("tickets_expired", t.Expired),
 		counter("tickets_used", t.Used), counter("tickets_bad", t.Bad),
-		counter("requests", c.Requests), counter("started", c.Started), counter("refused", c.Refused),
-		counter("failed", c.Failed), counter("over", c.Over), counter("moved", c.Moved),
-		counter("withdrawn", c.Withdrawn), counter("opened", c.Opened), counter("resumed", c.Resumed),
-		counter("offers", c.Offers), counter("offers_full", c.Full), counter("offers_timed_out", c.TimedOut),
+		counter("requests", c.Requests), counter("started", c.Started), counter("refused", c.Rejected),
+		counter("failed", c.Failed), counter("over", c.Completed), counter("moved", c.Migrated),
+		counter("withdrawn", c.Cancelled), counter("opened", c.Adopted), counter("resumed", c.Resumed),
+		counter("offers", c.Offers), counter("offers_full", c.RejectedByWorker), counter("offers_timed_out", c.TimedOut),
 		counter("offers_not_connected", c.ConnectFailed), counter("offers_reset", c.Reset),
-		counter("offers_held_back", c.Guarded), counter("samples_lost", e.Dropped()),
-		gauge("open", p.c.Open()), gauge("standing", p.c.Standing()), gauge("owners", p.front.Connections()),
-		gauge("sockets_free", p.l.Free()), gauge("storm_state", int(s.State)), gauge("storm_kind", int(s.Kind)),
+		counter("offers_held_back", c.Blocked), counter("samples_lost", e.Dropped()),
+		gauge("open", p.c.OpenCount()), gauge("standing", p.c.RunningCount()), gauge("owners", p.front.Connections()),
+		gauge("sockets_free", p.l.FreeDescriptors()), gauge("storm_state", int(s.State)), gauge("storm_kind", int(s.Kind)),
 		{Name: "storm_pace", Value: s.Pace}, {Name: "storm_held", Value: s.Held}, {Name: "storm_booked", Value: s.Booked},
 	}
 }
--- a/cmd/ravenhitch/full_table_test.go
+++ b/cmd/ravenhitch/full_table_test.go
@@ -67,7 +67,7 @@
 			for i, bad := range w.queued(t, 2*tableSize) {
 				c.say(t, w, i, bad)
 			}
-			w.until(t, "a full table", func() bool { return w.l.Queued() || w.front.Connections() == tableSize })
+			w.until(t, "a full table", func() bool { return w.l.HasQueuedConnections() || w.front.Connections() == tableSize })
 			w.on(t, func() {}) // and a turn in which some wait
 			w.minions[0].End(testbed.Tag(1), 16)
 			if l := testbed.Wait(t, "the end", client.Lines); l.Tag != testbed.Tag(1) || l.Cause() != 16 {
@@ -96,7 +96,7 @@
 		}
 	}
 	w.minions[0].End(testbed.Tag(1), 16)
-	w.until(t, "the end here", func() bool { return w.c.Standing() == 0 })
+	w.until(t, "the end here", func() bool { return w.c.RunningCount() == 0 })
 	again := w.owner(t)
 	testbed.Send(again, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
 	if l := testbed.Wait(t, "the end", again.Lines); l.Tag != testbed.Tag(1) || l.Cause() != 16 {
--- a/cmd/ravenhitch/giveup_test.go
+++ b/cmd/ravenhitch/giveup_test.go
@@ -88,7 +88,7 @@
 func newFieldOf(t *testing.T, settings string, minions ...string) *field {
 	f := &field{links: map[string]*testbed.Link{}, attempts: testbed.NewAttempts(), got: map[string]string{},
 		early: &early{Handler: slog.DiscardHandler, gone: map[string]int64{}}}
-	f.world = newWorldSet(t, settings, config.Edge{}, 1024, slog.New(f.early), func(m *testbed.Minion) {
+	f.world = newWorldSet(t, settings, config.Operators{}, 1024, slog.New(f.early), func(m *testbed.Minion) {
 		m.Attempts = f.attempts
 		f.links[m.Name] = testbed.NewLink(t, m)
 	}, minions...)
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -56,19 +56,19 @@
 }
 
 // read returns what the file holds.
-func (s handoverStore) read() (admin.Outs, error) {
+func (s handoverStore) read() (admin.Cordons, error) {
 	b, err := os.ReadFile(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return admin.Outs{}, nil
+		return admin.Cordons{}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return admin.DecodeOuts(s.path, b)
+	return admin.DecodeCordons(s.path, b)
 }
 
 // change carries out a call on the file, one process at a time.
-func (s handoverStore) change(c admin.Call) (outs admin.Outs, err error) {
+func (s handoverStore) change(c admin.Call) (outs admin.Cordons, err error) {
 	lock, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -27,7 +27,7 @@
 		if l := testbed.Wait(t, "the word on the release", o.Lines); l.Verb != "FINISHED" {
 			t.Fatalf("got %v", l)
 		}
-		w.until(t, "its end", func() bool { return w.c.Standing() == 0 && !w.nodes.Owes() })
+		w.until(t, "its end", func() bool { return w.c.RunningCount() == 0 && !w.nodes.HasUnconfirmedReleases() })
 	},
 	"over before its yes": func(t *testing.T, _ *world, o *testbed.Owner, tag string) {
 		setUpFor(t, o, tag, "brief-1", "STARTED")
@@ -49,7 +49,7 @@
 		testbed.Send(leaver, testbed.SetUp(tag, "archive-cut", "silent-1", 5000))
 		testbed.Wait(t, "the offer", w.minions[0].Starts)
 		leaver.Close()
-		w.until(t, "it left", func() bool { return w.c.Open() == 0 })
+		w.until(t, "it left", func() bool { return w.c.OpenCount() == 0 })
 	},
 }
 
@@ -100,7 +100,9 @@
 		dials, open := m.Dials()
 		return dials > before && open == dials-before
 	})
-	w.until(t, "nothing is owed", func() bool { return w.c.Open() == 0 && w.nodes.Proving() == 0 && !w.nodes.Owes() })
+	w.until(t, "nothing is owed", func() bool {
+		return w.c.OpenCount() == 0 && w.nodes.UnconfirmedCancels() == 0 && !w.nodes.HasUnconfirmedReleases()
+	})
 	drained(m)
 	return liveHeap()
 }
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -47,7 +47,7 @@
 	if err := override(&cfg); err != nil {
 		return err
 	}
-	edge, err := config.LoadEdge(edgePath)
+	edge, err := config.LoadOperators(edgePath)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 		cfg.Listen = v
 	}
 	if v := os.Getenv("ROUTER_MGMT"); v != "" {
-		cfg.Manage = v
+		cfg.AdminAddr = v
 	}
 	if v := os.Getenv("ROUTER_INHERITED_FD"); v != "" {
 		if cfg.Inherited, err = strconv.Atoi(v); err != nil || cfg.Inherited < 3 {
@@ -97,12 +97,12 @@
 // the command channel's address can change, the rest waits for a restart. The file
 // is read and checked as a whole first; one that can't be used changes nothing. It
 // may be called from any goroutine.
-func (p *program) Reload(path string) {
+func (p *server) Reload(path string) {
 	if p.grpc != nil && p.tickets != "" {
 		if keys, err := loadKeys(p.tickets); err != nil {
 			p.log.Error("the new keys of return tickets were not taken; the old ones hold", "err", err)
 		} else {
-			p.grpc.Keys(keys)
+			p.grpc.SetKeys(keys)
 			p.log.Info("keys of return tickets read again")
 		}
 	}
@@ -112,7 +112,7 @@
 			p.log.Error("the new configuration was not taken; the old one holds", "err", err)
 			return
 		}
-		p.log.Info("configuration read again", "channel", cfg.Channel)
-		p.channel.Follow(cfg.Channel)
+		p.log.Info("configuration read again", "channel", cfg.DiscoveryAddr)
+		p.channel.SetAddress(cfg.DiscoveryAddr)
 	})
 }
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -509,7 +509,7 @@
 			}
 		}()
 	}
-	w := newWorldWith(t, config.Edge{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
+	w := newWorldWith(t, config.Operators{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
 		Collectd: config.Metrics{Address: path, Prefix: "edge", EveryMs: 100}}, "a")
 	o := w.owner(t)
 	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
@@ -548,7 +548,7 @@
 			t.Fatal(err)
 		}
 	}
-	w := newWorldWith(t, config.Edge{GRPCListen: "127.0.0.1:0", GRPCCert: filepath.Join(dir, "cert"),
+	w := newWorldWith(t, config.Operators{GRPCListen: "127.0.0.1:0", GRPCCert: filepath.Join(dir, "cert"),
 		GRPCKey: filepath.Join(dir, "key")}, "a")
 	creds, err := credentials.NewClientTLSFromFile(filepath.Join(dir, "cert"), "")
 	if err != nil {
@@ -613,7 +613,7 @@
 		}
 	}
 	var standing int
-	if w.on(t, func() { standing = w.c.Standing() }); standing != 2 || w.minions[0].Counted("ok-1") != 1 {
+	if w.on(t, func() { standing = w.c.RunningCount() }); standing != 2 || w.minions[0].Counted("ok-1") != 1 {
 		t.Errorf("%d tasks stand", standing)
 	}
 }
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -11,7 +11,7 @@
 )
 
 // join opens the sockets between orchestrators.
-func (p *program) join(cfg config.Config, s config.Peers) error {
+func (p *server) join(cfg config.Config, s config.Peers) error {
 	incarnation, fault, err := peer.Start(s.Folder)
 	if err != nil {
 		return err
@@ -31,19 +31,19 @@
 	}
 	p.log.Info("peers", "what", "listens", "address", p.peers.Addr())
 	if p.assignment != nil {
-		p.peers.Viewed(p.assignment.viewed)
+		p.peers.OnView(p.assignment.viewed)
 	}
 	return nil
 }
 
 // statusReport is the answer to an operator who asks for the table of members.
-func (p *program) statusReport() []byte {
+func (p *server) statusReport() []byte {
 	if p.peers == nil {
-		return admin.No("no peers: [peers] names no place in the operators' file")
+		return admin.ErrorReply("no peers: [peers] names no place in the operators' file")
 	}
-	b, err := p.peers.StatusReport().Answer()
+	b, err := p.peers.StatusReport().Reply()
 	if err != nil {
-		return admin.No(err.Error())
+		return admin.ErrorReply(err.Error())
 	}
 	return b
 }
--- a/cmd/ravenhitch/platform_test.go
+++ b/cmd/ravenhitch/platform_test.go
@@ -41,7 +41,7 @@
 	second.Close()
 	w.until(t, "no owner", func() bool { return w.front.Connections() == 0 })
 	w.minions[0].End(testbed.Tag(2), 41)
-	w.until(t, "the end here", func() bool { return w.c.Standing() == 0 })
+	w.until(t, "the end here", func() bool { return w.c.RunningCount() == 0 })
 	// One that only connects may be anybody: the end waits for one that speaks.
 	silent, third := w.owner(t), w.owner(t)
 	testbed.Send(third, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	half.Write(b[:len(b)/2])
-	w.until(t, "half a set-up", w.front.Owes)
+	w.until(t, "half a set-up", w.front.HasUndelivered)
 	closed := make(chan bool, 21)
 	for range 21 {
 		idle := w.owner(t)
@@ -399,7 +399,7 @@
 	// What stood at the departed one ends without a word from it.
 	wantCause(t, "the end", o, testbed.Tag(1), 41)
 	var standing int
-	if w.on(t, func() { standing = w.c.Standing() }); standing != 1 {
+	if w.on(t, func() { standing = w.c.RunningCount() }); standing != 1 {
 		t.Errorf("%d tasks stand", standing)
 	}
 }
@@ -414,7 +414,7 @@
 		l.Opts["extras"] += ";at:a"
 		testbed.Send(o, l)
 	}
-	w.until(t, "both stand", func() bool { return w.c.Standing() == 2 })
+	w.until(t, "both stand", func() bool { return w.c.RunningCount() == 2 })
 	w.minions[0].End(testbed.Tag(1), 16)
 	wantCause(t, "the end", o, testbed.Tag(1), 16)
 	testbed.Send(o, testbed.Finish("FINISH", testbed.Tag(2), 16))
@@ -513,7 +513,7 @@
 		}
 	}()
 	_, addr, _ := strings.Cut(testbed.Wait(t, "the first line", lines), "listen=")
-	w := &world{program: &program{addr: strings.Fields(addr)[0]}}
+	w := &world{server: &server{addr: strings.Fields(addr)[0]}}
 	o := w.owner(t)
 	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "silent-1", 1500))
 	testbed.Wait(t, "the offer", m.Starts)
--- a/cmd/ravenhitch/program.go
+++ b/cmd/ravenhitch/program.go
@@ -32,12 +32,12 @@
 	socketsDefault = 1024
 )
 
-// program is one orchestrator, its parts joined.
-type program struct {
+// server is one orchestrator, its parts joined.
+type server struct {
 	log   *slog.Logger
 	l     *eventloop.Loop
-	c     *dispatch.Core
-	nodes *workerpool.Nodes
+	c     *dispatch.Dispatcher
+	nodes *workerpool.Pool
 	addr  string // of the platform's front
 	grpc  *grpcfront.Front
 	gaddr string // of the gRPC front, "" where that is off
@@ -45,7 +45,7 @@
 	tickets string
 
 	front        *clientfront.Front
-	channel      *discovery.Channel
+	channel      *discovery.Follower
 	peers        *peer.Peers // nil where no others are known
 	assignment   *assignment // of the workers to orchestrators, nil where this one uses all
 	exporters    []*metrics.Exporter
@@ -62,12 +62,12 @@
 }
 
 // start joins the parts and begins to listen; Run serves.
-func start(cfg config.Config, edge config.Edge, log *slog.Logger) (p *program, err error) {
+func start(cfg config.Config, edge config.Operators, log *slog.Logger) (p *server, err error) {
 	budget, err := socketBudget(cfg, edge)
 	if err != nil {
 		return nil, err
 	}
-	p = &program{log: log, over: make(chan struct{})}
+	p = &server{log: log, over: make(chan struct{})}
 	if p.l, err = eventloop.New(budget); err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	}(p.l)
 	if cfg.MemoryMB > 0 {
 		// What all connections together leave unread fits into a quarter of the memory.
-		p.l.Unread(max(minUnread, int(cfg.MemoryMB<<20)/4/budget))
+		p.l.SetMaxBuffered(max(minUnread, int(cfg.MemoryMB<<20)/4/budget))
 	}
 	p.drainTimeout = drainTimeout(cfg.Settings, maxDeadline)
 	p.inherited = cfg.Inherited > 0
@@ -90,12 +90,12 @@
 		return nil, err
 	}
 	p.startExporters(cfg, edge)
-	log.Info("serving", "listen", p.addr, "grpc", p.gaddr, "mgmt", p.maddr, "known", cfg.Known.Cursor)
+	log.Info("serving", "listen", p.addr, "grpc", p.gaddr, "mgmt", p.maddr, "known", cfg.Initial.Cursor)
 	return p, nil
 }
 
 // socketBudget is how many sockets the loop may hold.
-func socketBudget(cfg config.Config, edge config.Edge) (int, error) {
+func socketBudget(cfg config.Config, edge config.Operators) (int, error) {
 	sockets := int(cfg.Sockets)
 	if sockets <= 0 {
 		sockets = socketsDefault
@@ -111,41 +111,41 @@
 }
 
 // startCore joins the core with the minions' side and the advisor of refused owners.
-func (p *program) startCore(cfg config.Config, edge config.Edge) (err error) {
-	p.nodes = workerpool.NewNodes(p.l, cfg.DialTimeoutUs, cfg.Settings.Tests, p.log)
-	p.nodes.Trace(edge.Trace)
-	p.nodes.KeepAlive(edge.Workers.KeepAlive)
+func (p *server) startCore(cfg config.Config, edge config.Operators) (err error) {
+	p.nodes = workerpool.New(p.l, cfg.DialTimeoutUs, cfg.Settings.Pings, p.log)
+	p.nodes.SetTraceSuffixes(edge.Trace)
+	p.nodes.SetKeepAlive(edge.Workers.KeepAlive)
 	if p.c, err = dispatch.New(cfg.Settings, cfg.Seed, p.nodes, p.log); err != nil {
 		return err
 	}
-	p.c.Trace(edge.Trace)
-	p.nodes.Use(p.c)
-	if edge.Storm.Constant > 0 {
-		p.c.Advise(dispatch.Constant(edge.Storm.Constant))
+	p.c.SetTraceSuffixes(edge.Trace)
+	p.nodes.SetDispatcher(p.c)
+	if edge.Backpressure.Constant > 0 {
+		p.c.SetAdvisor(dispatch.FixedRetryAfter(edge.Backpressure.Constant))
 		return nil
 	}
-	s := dispatch.StormSettings(cfg.Settings)
-	s.LeastUs, s.Callers = edge.Storm.Least.Microseconds(), edge.Storm.Callers
-	p.c.Advise(backpressure.New(s, cfg.Seed))
+	s := dispatch.BackpressureSettings(cfg.Settings)
+	s.MinRetryAfterUs, s.Callers = edge.Backpressure.Least.Microseconds(), edge.Backpressure.Callers
+	p.c.SetAdvisor(backpressure.New(s, cfg.Seed))
 	return nil
 }
 
 // startFronts follows the command channel and begins to listen: to operators, to owners,
 // to other orchestrators, and to owners that speak gRPC.
-func (p *program) startFronts(cfg config.Config, edge config.Edge, budget int) (err error) {
+func (p *server) startFronts(cfg config.Config, edge config.Operators, budget int) (err error) {
 	p.front = clientfront.NewFront(p.l, p.c, budget*3/4, cfg.ConnIdleUs, p.log)
-	p.front.Trace(edge.Trace)
-	shared := descriptors.New(budget, p.front.MaxConnections(), p.l.Free, p.front.Connections)
+	p.front.SetTraceSuffixes(edge.Trace)
+	shared := descriptors.New(budget, p.front.MaxConnections(), p.l.FreeDescriptors, p.front.Connections)
 	p.front.ShareDescriptors(shared)
 	p.nodes.ShareDescriptors(shared)
-	p.channel = discovery.NewChannel(p.l, p.c, p.nodes, cfg.Channel, cfg.DialTimeoutUs, p.log)
+	p.channel = discovery.NewFollower(p.l, p.c, p.nodes, cfg.DiscoveryAddr, cfg.DialTimeoutUs, p.log)
 	if edge.Peers.Partition {
 		p.assignment = assign(p.l, p.channel, cfg, edge.Peers)
 	}
-	p.channel.Apply(cfg.Known, true)
+	p.channel.Apply(cfg.Initial, true)
 	p.channel.Start()
-	if cfg.Manage != "" {
-		if err = p.listenAdmin(cfg.Manage, os.TempDir(), p.log); err != nil {
+	if cfg.AdminAddr != "" {
+		if err = p.listenAdmin(cfg.AdminAddr, os.TempDir(), p.log); err != nil {
 			return fmt.Errorf("the place of operators' calls: %w", err)
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 // startGRPC serves the gRPC front, on goroutines of its own.
-func (p *program) startGRPC(edge config.Edge) error {
+func (p *server) startGRPC(edge config.Operators) error {
 	creds, err := grpcfront.Credentials(edge.GRPCCert, edge.GRPCKey)
 	if err != nil {
 		return err
@@ -175,12 +175,12 @@
 	}
 	p.gaddr = ln.Addr().String()
 	p.grpc = grpcfront.New(p.l, p.c, creds)
-	if p.tickets = edge.GRPCTickets; p.tickets != "" {
+	if p.tickets = edge.RetryTokenKeys; p.tickets != "" {
 		keys, err := loadKeys(p.tickets)
 		if err != nil {
 			return err
 		}
-		p.grpc.Keys(keys)
+		p.grpc.SetKeys(keys)
 	}
 	go func() {
 		if err := p.grpc.Serve(ln); err != nil {
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -18,7 +18,7 @@
 	settings := settingsWith(t, change{"RequestClasses.0.Name", "bulletin"}, change{"RequestClasses.0.Semantics", "guarded"},
 		change{"RequestClasses.0.Group", "zone"}, change{"Parties", []any{map[string]any{"Name": "studio"}}},
 		change{"FamilyInfo.ShareCores", []float64{100}})
-	w := newWorldSet(t, settings, config.Edge{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
 	o := w.owner(t)
 	l := testbed.SetUp(testbed.Tag(1), "bulletin", "ok-1", 5000)
 	own := map[string]string{"idem": "279ca3614cb41c092fc30eea25e0d5b5", "tenant": "studio", "hint": "4409.9", "retry": "1"}
@@ -75,7 +75,7 @@
 // Where the deployment allows no advice on refusals, none is given, nor by the front itself.
 func TestNoAdvice(t *testing.T) {
 	settings := settingsWith(t, change{"Limits.RetryAfter", false})
-	w := newWorldSet(t, settings, config.Edge{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
 	o := w.owner(t)
 	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "full-1", 300))
 	for i := range 40 { // more than a new connection may have open
--- a/cmd/ravenhitch/standin_test.go
+++ b/cmd/ravenhitch/standin_test.go
@@ -74,7 +74,7 @@
 
 // world is a program with the stand-ins round it.
 type world struct {
-	*program
+	*server
 	feed    *testbed.Feed
 	minions []*testbed.Minion
 	over    chan error
@@ -82,28 +82,28 @@
 }
 
 func newWorld(t *testing.T, names ...string) *world {
-	return newWorldWith(t, config.Edge{GRPCListen: "127.0.0.1:0"}, names...)
+	return newWorldWith(t, config.Operators{GRPCListen: "127.0.0.1:0"}, names...)
 }
 
-func newWorldWith(t *testing.T, edge config.Edge, names ...string) *world {
+func newWorldWith(t *testing.T, edge config.Operators, names ...string) *world {
 	return newWorldOf(t, edge, 1024, names...)
 }
 
 func newWorldLimited(t *testing.T, sockets int64, names ...string) *world {
-	return newWorldOf(t, config.Edge{}, sockets, names...)
+	return newWorldOf(t, config.Operators{}, sockets, names...)
 }
 
-func newWorldOf(t *testing.T, edge config.Edge, sockets int64, names ...string) *world {
+func newWorldOf(t *testing.T, edge config.Operators, sockets int64, names ...string) *world {
 	return newWorldBy(t, edge, sockets, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, names...)
 }
 
 // newWorldBy hands every minion to by before anything connects to it.
-func newWorldBy(t *testing.T, edge config.Edge, sockets int64, log *slog.Logger, by func(*testbed.Minion), names ...string) *world {
+func newWorldBy(t *testing.T, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Minion), names ...string) *world {
 	return newWorldSet(t, settingsText, edge, sockets, log, by, names...)
 }
 
 // newWorldSet is the same under other settings.
-func newWorldSet(t *testing.T, settings string, edge config.Edge, sockets int64, log *slog.Logger, by func(*testbed.Minion),
+func newWorldSet(t *testing.T, settings string, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Minion),
 	names ...string) *world {
 	w := &world{feed: testbed.NewFeed(t), over: make(chan error, 1), aged: make(chan int64, 1)}
 	var members []string
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	cfg.Sockets = sockets
-	w.program, err = start(cfg, edge, log)
+	w.server, err = start(cfg, edge, log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ravenhitch/tickets_test.go
+++ b/cmd/ravenhitch/tickets_test.go
@@ -28,7 +28,7 @@
 	if err := os.WriteFile(path, []byte(keys), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return newWorldWith(t, config.Edge{GRPCListen: "127.0.0.1:0", GRPCTickets: path}, "a"), path
+	return newWorldWith(t, config.Operators{GRPCListen: "127.0.0.1:0", RetryTokenKeys: path}, "a"), path
 }
 
 // A ticket given by one orchestrator proves the place in line at another of the same
@@ -70,14 +70,14 @@
 	<-time.After(time.Until(came.Add(wait)))
 	bring("full-1", ticket)
 	bring("full-1", ticket) // used
-	check := func(want grpcfront.Tickets) {
+	check := func(want grpcfront.TokenCounts) {
 		t.Helper()
-		var got grpcfront.Tickets
-		if there.on(t, func() { got = there.grpc.Tickets() }); got != want {
+		var got grpcfront.TokenCounts
+		if there.on(t, func() { got = there.grpc.TokenCounts() }); got != want {
 			t.Errorf("%+v, expected %+v", got, want)
 		}
 	}
-	check(grpcfront.Tickets{Good: 1, Early: 1, Used: 1, Bad: 2})
+	check(grpcfront.TokenCounts{Good: 1, Early: 1, Used: 1, Bad: 2})
 	// Keys that can't be used change nothing; new ones hold from then on.
 	for _, text := range []string{"[keys]", "[keys]\nkey 2027-01 ffffffffffffffffffffffffffffffff\n"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -86,7 +86,7 @@
 		there.Reload("none")
 		bring("full-1", ticket)
 	}
-	check(grpcfront.Tickets{Good: 1, Early: 1, Used: 2, Bad: 3})
+	check(grpcfront.TokenCounts{Good: 1, Early: 1, Used: 2, Bad: 3})
 }
 
 // The client package follows the advice of a real orchestrator: refused at first, it
@@ -113,13 +113,13 @@
 			client.Task{Name: "ok-7", Class: "guide-web", Cores: 1, Memory: 2}, nil)
 		done <- outcome{b, err}
 	}()
-	w.until(t, "a refusal", func() bool { return w.c.Counts().Refused > 0 })
+	w.until(t, "a refusal", func() bool { return w.c.Counts().Rejected > 0 })
 	w.feed.Add(true, b.Member("up"))
 	if o := testbed.Wait(t, "the binding", done); o.error != nil || o.Node != "b" {
 		t.Errorf("got %+v", o)
 	}
-	var got grpcfront.Tickets
-	if w.on(t, func() { got = w.grpc.Tickets() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
+	var got grpcfront.TokenCounts
+	if w.on(t, func() { got = w.grpc.TokenCounts() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
 		t.Errorf("tickets: %+v", got)
 	}
 	if n := b.Counted("ok-7"); n != 1 {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -21,13 +21,13 @@
 
 // host holds the instances, which share nothing.
 type host struct {
-	placers map[int]*placement.Placer
+	placers map[int]*placement.Scheduler
 	enc     *simwire.Encoder
 }
 
 func run(in io.Reader, out io.Writer) error {
 	dec := simwire.NewDecoder(in)
-	h := &host{placers: map[int]*placement.Placer{}, enc: simwire.NewEncoder(out)}
+	h := &host{placers: map[int]*placement.Scheduler{}, enc: simwire.NewEncoder(out)}
 	for {
 		b, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -105,7 +105,7 @@
 }
 
 // handle turns a panic of the decision code into a text.
-func handle(p *placement.Placer, now int64, ev []placement.Event) (a []placement.Action, fault string) {
+func handle(p *placement.Scheduler, now int64, ev []placement.Event) (a []placement.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			a, fault = nil, fmt.Sprint("panic: ", r)
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// CallMost is the longest call, its line feed included.
-const CallMost = 512
+// MaxCallLength is the longest call, its line feed included.
+const MaxCallLength = 512
 
 // Verb is what a call asks for.
 type Verb string
@@ -61,11 +61,11 @@
 	return c, nil
 }
 
-// Yes is the answer to a call that was carried out.
-func Yes() []byte { return []byte("+OK\n") }
+// OKReply is the answer to a call that was carried out.
+func OKReply() []byte { return []byte("+OK\n") }
 
-// No is the answer to one that was not. Its reason is kept to one line.
-func No(reason string) []byte {
+// ErrorReply is the answer to one that was not. Its reason is kept to one line.
+func ErrorReply(reason string) []byte {
 	reason = strings.Map(func(r rune) rune {
 		if r < ' ' {
 			return ' '
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -14,17 +14,17 @@
 // Figures are what DUMP tells.
 type Figures struct {
 	Responses map[string]Class `json:"responses"`
-	Tries     int64            `json:"tries"`        // attempts written whole to minions
+	Attempts  int64            `json:"tries"`        // attempts written whole to minions
 	Active    int              `json:"active"`       // requests taken and not ended
 	Pool      int              `json:"pool_size"`    // minions on the list
 	Ejected   int              `json:"pool_ejected"` // of these, the ones avoided by hand or by choice
 }
 
-// Answer is the answer to DUMP: the figures as one line of JSON, then a line ".".
-func (f Figures) Answer() []byte {
+// Reply is the answer to DUMP: the figures as one line of JSON, then a line ".".
+func (f Figures) Reply() []byte {
 	b, err := json.Marshal(f)
 	if err != nil { // no figure is a float: this can't happen
-		return No(err.Error())
+		return ErrorReply(err.Error())
 	}
 	return append(b, "\n.\n"...)
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -100,18 +100,18 @@
 		return len(b), nil // one call a connection
 	}
 	end := bytes.IndexByte(b, '\n')
-	if end < 0 && len(b) <= CallMost {
+	if end < 0 && len(b) <= MaxCallLength {
 		return 0, nil
 	}
 	c.called = true
-	if end < 0 || end >= CallMost {
-		c.answer(No(fmt.Sprintf("expected a call of at most %d bytes", CallMost)))
+	if end < 0 || end >= MaxCallLength {
+		c.answer(ErrorReply(fmt.Sprintf("expected a call of at most %d bytes", MaxCallLength)))
 		return len(b), nil
 	}
 	call, err := ParseCall(string(b[:end]))
 	if err != nil {
 		c.listener.log.Warn("a call of operators' staff can't be used", "err", err)
-		c.answer(No(err.Error()))
+		c.answer(ErrorReply(err.Error()))
 		return len(b), nil
 	}
 	c.listener.handle(call, c.answer)
--- a/internal/admin/manage_test.go
+++ b/internal/admin/manage_test.go
@@ -22,15 +22,15 @@
 			t.Errorf("%q: %v, %v", line, got, err)
 		}
 	}
-	if got := string(No("a\nb\r")); got != "-ERR a b \n" {
+	if got := string(ErrorReply("a\nb\r")); got != "-ERR a b \n" {
 		t.Errorf("a no of two lines: %q", got)
 	}
 }
 
 func TestFigures(t *testing.T) {
-	f := Figures{Responses: map[string]Class{"C": {812, 3, 1}}, Tries: 820, Active: 14, Pool: 10, Ejected: 2}
+	f := Figures{Responses: map[string]Class{"C": {812, 3, 1}}, Attempts: 820, Active: 14, Pool: 10, Ejected: 2}
 	want := `{"responses":{"C":{"ok":812,"shed":3,"errors":1}},"tries":820,"active":14,"pool_size":10,"pool_ejected":2}` + "\n.\n"
-	if got := string(f.Answer()); got != want {
+	if got := string(f.Reply()); got != want {
 		t.Errorf("got %s", got)
 	}
 }
@@ -38,7 +38,7 @@
 // What is kept is what was asked, whatever was asked; what was cut short is no list.
 func TestOuts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		outs, want := Outs(nil), map[string]bool{}
+		outs, want := Cordons(nil), map[string]bool{}
 		for range rapid.IntRange(0, 20).Draw(t, "calls") {
 			c := Call{rapid.SampledFrom([]Verb{Offline, Online}).Draw(t, "verb"), rapid.StringMatching(`[a-z]{1,2}`).Draw(t, "id")}
 			if outs = outs.With(c); c.Verb == Offline {
@@ -48,17 +48,17 @@
 			}
 		}
 		b := outs.Encode()
-		got, err := DecodeOuts("f", b)
+		got, err := DecodeCordons("f", b)
 		if err != nil || !maps.Equal(got, want) {
 			t.Fatalf("%v, %v, want %v", got, err, want)
 		}
 		if cut := rapid.IntRange(1, len(b)-1).Draw(t, "cut"); len(b) > 1 {
-			if got, err := DecodeOuts("f", b[:cut]); err == nil {
+			if got, err := DecodeCordons("f", b[:cut]); err == nil {
 				t.Fatalf("cut at %d: %v", cut, got)
 			}
 		}
 	})
-	if _, err := DecodeOuts("f", []byte(outsHead+"\na\nb c\nend\n")); err == nil || !strings.HasPrefix(err.Error(), "f:3:") {
+	if _, err := DecodeCordons("f", []byte(outsHead+"\na\nb c\nend\n")); err == nil || !strings.HasPrefix(err.Error(), "f:3:") {
 		t.Errorf("two words: %v", err)
 	}
 }
@@ -66,8 +66,8 @@
 func FuzzOuts(f *testing.F) {
 	f.Add([]byte(outsHead + "\ns-1\nend\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if o, err := DecodeOuts("f", b); err == nil && len(b) > 0 {
-			if again, err := DecodeOuts("f", o.Encode()); err != nil || !maps.Equal(again, o) {
+		if o, err := DecodeCordons("f", b); err == nil && len(b) > 0 {
+			if again, err := DecodeCordons("f", o.Encode()); err != nil || !maps.Equal(again, o) {
 				t.Errorf("%q: %v, then %v, %v", b, o, again, err)
 			}
 		}
--- a/internal/admin/outs.go
+++ b/internal/admin/outs.go
@@ -17,15 +17,15 @@
 // outsEnd is the last one: a file that was cut short lacks it.
 const outsEnd = "end"
 
-// Outs are the minions that are out by hand.
-type Outs map[string]bool
+// Cordons are the minions that are out by hand.
+type Cordons map[string]bool
 
 // With returns the outs after a call. A minion that is out already stays out, and one
 // call back undoes any number of calls out.
-func (o Outs) With(c Call) Outs {
+func (o Cordons) With(c Call) Cordons {
 	n := maps.Clone(o)
 	if n == nil {
-		n = Outs{}
+		n = Cordons{}
 	}
 	switch c.Verb {
 	case Offline:
@@ -37,14 +37,14 @@
 }
 
 // Encode returns the file.
-func (o Outs) Encode() []byte {
+func (o Cordons) Encode() []byte {
 	lines := append([]string{outsHead}, slices.Sorted(maps.Keys(o))...)
 	return []byte(strings.Join(append(lines, outsEnd, ""), "\n"))
 }
 
-// DecodeOuts reads the file; an empty one holds none.
-func DecodeOuts(path string, b []byte) (Outs, error) {
-	o := Outs{}
+// DecodeCordons reads the file; an empty one holds none.
+func DecodeCordons(path string, b []byte) (Cordons, error) {
+	o := Cordons{}
 	if len(b) == 0 {
 		return o, nil
 	}
--- a/internal/backpressure/backpressure.go
+++ b/internal/backpressure/backpressure.go
@@ -38,30 +38,30 @@
 
 // Class is what is told of a class.
 type Class struct {
-	Name string
-	Rank float64 // higher goes first
+	Name     string
+	Priority float64 // higher goes first
 }
 
 // Settings are what a Storm is told when it starts.
 type Settings struct {
-	Classes   []Class
-	LongestUs int64 // no advice is longer
-	LeastUs   int64 // none is shorter
-	Callers   int   // remembered at most; 0 for a figure that fits a small machine
+	Classes         []Class
+	MaxRetryAfterUs int64 // no advice is longer
+	MinRetryAfterUs int64 // none is shorter
+	Callers         int   // remembered at most; 0 for a figure that fits a small machine
 }
 
-// Caller is one that asks for a task.
-type Caller struct {
-	Key, Service uint64
-	Class        int // in Settings.Classes; one that is not there counts as the last
-	Units        float64
-	WaitUs       int64  // how long it waits for its answer
-	From         uint64 // the connection or session that it came by, 0 where none is told
-	SinceUs      int64  // since when it proved to stand in line, 0 where it did not
+// Request is one that asks for a task.
+type Request struct {
+	Key, Program  uint64
+	Class         int // in Settings.Classes; one that is not there counts as the last
+	Units         float64
+	TimeoutUs     int64  // how long it waits for its answer
+	Connection    uint64 // the connection or session that it came by, 0 where none is told
+	QueuedSinceUs int64  // since when it proved to stand in line, 0 where it did not
 }
 
-// Storm is the state of one orchestrator. It is not safe for concurrent use.
-type Storm struct {
+// Controller is the state of one orchestrator. It is not safe for concurrent use.
+type Controller struct {
 	s     Settings
 	rng   *rand.Rand
 	born  int64
@@ -77,17 +77,17 @@
 }
 
 // New returns a Storm.
-func New(s Settings, seed uint64) *Storm {
+func New(s Settings, seed uint64) *Controller {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{}}
 	}
 	if s.Callers <= 0 {
 		s.Callers = callersDefault
 	}
-	if s.LongestUs <= 0 {
-		s.LongestUs = longestDefault
+	if s.MaxRetryAfterUs <= 0 {
+		s.MaxRetryAfterUs = longestDefault
 	}
-	st := &Storm{s: s, rng: rand.New(rand.NewPCG(seed, 0x5707)), book: newBook(s.Callers), cal: newCalendar(len(s.Classes)), keep: newForecast(len(s.Classes)),
+	st := &Controller{s: s, rng: rand.New(rand.NewPCG(seed, 0x5707)), book: newBook(s.Callers), cal: newCalendar(len(s.Classes)), keep: newForecast(len(s.Classes)),
 		held: make([]float64, len(s.Classes)), stay: make([]float64, len(s.Classes)), born: -1}
 	for i := range st.stay {
 		st.stay[i] = 1
@@ -100,24 +100,24 @@
 	longestDefault = 3 * second
 )
 
-func (s *Storm) class(c Caller) int {
+func (s *Controller) class(c Request) int {
 	if c.Class < 0 || c.Class >= len(s.s.Classes) {
 		return len(s.s.Classes) - 1
 	}
 	return c.Class
 }
 
-// Asked takes a set-up, and says since when its caller stands in line: from now on, or
+// Requested takes a set-up, and says since when its caller stands in line: from now on, or
 // from when it first asked. Its place is no worse for having been refused, and no
 // better for asking more often.
-func (s *Storm) Asked(now int64, c Caller) (since int64) {
+func (s *Controller) Requested(now int64, c Request) (since int64) {
 	s.advance(now)
 	class := s.class(c)
 	s.watch.asked(now, c)
-	s.keep.add(now, class, c.Units, c.From)
+	s.keep.add(now, class, c.Units, c.Connection)
 	since = now
-	if c.SinceUs > 0 {
-		since = min(now, c.SinceUs)
+	if c.QueuedSinceUs > 0 {
+		since = min(now, c.QueuedSinceUs)
 	}
 	e := s.book.find(c.Key)
 	if e == nil {
@@ -136,15 +136,15 @@
 			}
 		}
 		s.cal.cancel(e.class(), e.slot(now), e.load())
-		s.fair.add(cellOf(c.Service), -e.load())
+		s.fair.add(cellOf(c.Program), -e.load())
 		e.unbook()
 	}
 	return min(since, e.since(now))
 }
 
-// Held sets how many units of each class wait for room; those that are refused next
+// SetPending sets how many units of each class wait for room; those that are refused next
 // are no longer among them.
-func (s *Storm) Held(now int64, units []float64) {
+func (s *Controller) SetPending(now int64, units []float64) {
 	s.advance(now)
 	s.all = 0
 	for i := range s.held {
@@ -158,7 +158,7 @@
 }
 
 // Started takes it that a caller's task stands. Its place is used.
-func (s *Storm) Started(now int64, c Caller) {
+func (s *Controller) Started(now int64, c Request) {
 	s.advance(now)
 	s.pace.started(now, c.Units)
 	s.watch.started(now)
@@ -166,46 +166,46 @@
 }
 
 // Ended takes it that a task that stood is over: its room is there again.
-func (s *Storm) Ended(now int64, c Caller) {
+func (s *Controller) Ended(now int64, c Request) {
 	s.advance(now)
 	s.pace.ended(now, c.Units)
 }
 
 // Adopted takes a task that was found running.
-func (s *Storm) Adopted(now int64, c Caller) {
+func (s *Controller) Adopted(now int64, c Request) {
 	s.advance(now)
 	s.watch.adopted(now, c)
 }
 
-// Left takes it that a caller withdrew.
-func (s *Storm) Left(now int64, c Caller) {
+// Cancelled takes it that a caller withdrew.
+func (s *Controller) Cancelled(now int64, c Request) {
 	s.advance(now)
 	s.book.drop(c.Key)
 }
 
-// Refused returns how long a caller that is refused now is to stay away: until shortly
+// Rejected returns how long a caller that is refused now is to stay away: until shortly
 // before there is room for it, as far as the longest advice reaches.
-func (s *Storm) Refused(now int64, c Caller) int64 {
+func (s *Controller) Rejected(now int64, c Request) int64 {
 	s.advance(now)
 	s.watch.refused(now)
 	class := s.class(c)
-	e := s.book.keep(now, c.Key, c.SinceUs)
+	e := s.book.keep(now, c.Key, c.QueuedSinceUs)
 	if e.booked() { // asked for twice over
 		s.cal.cancel(e.class(), e.slot(now), e.load())
-		s.fair.add(cellOf(c.Service), -e.load())
+		s.fair.add(cellOf(c.Program), -e.load())
 	}
 	rate := s.pace.rate(now)
 	if rate <= 0 {
 		// Nothing tells yet: it comes again when something does.
-		wait := min(sureAfter+s.rng.Int64N(2*sureAfter), s.s.LongestUs)
+		wait := min(sureAfter+s.rng.Int64N(2*sureAfter), s.s.MaxRetryAfterUs)
 		e.book(now, class, c.Units, now/slotUs, wait)
 		e.unbook()
 		return wait
 	}
-	cell := cellOf(c.Service)
+	cell := cellOf(c.Program)
 	light := s.fair.light(cell)
 	s.fair.add(cell, c.Units)
-	back := s.place(now, class, cell, c.Units) - int64(float64(c.WaitUs)*leadShare)
+	back := s.place(now, class, cell, c.Units) - int64(float64(c.TimeoutUs)*leadShare)
 	slot := e.slot(now)
 	if at := slot * slotUs; at > now && at < back {
 		s.cal.put(slot, class, c.Units) // it keeps its place, also where it came too early
@@ -222,15 +222,15 @@
 
 // place is when there is room for what is asked now: after what waits, and after
 // what is booked to come back, as far as either goes first.
-func (s *Storm) place(now int64, class, cell int, units float64) int64 {
+func (s *Controller) place(now int64, class, cell int, units float64) int64 {
 	rate := s.pace.rate(now)
 	if rate <= 0 {
 		return now
 	}
-	rank := s.s.Classes[class].Rank
+	rank := s.s.Classes[class].Priority
 	var held, booked, behind float64
 	for i := range s.held {
-		if s.s.Classes[i].Rank >= rank {
+		if s.s.Classes[i].Priority >= rank {
 			held, booked = held+s.held[i], booked+s.cal.booked(i)
 		} else {
 			behind += s.held[i] + s.cal.booked(i)
@@ -247,18 +247,18 @@
 
 // advice makes a time to stay away from a time to come back in: callers come back
 // after a share of it, and never stay longer than the longest.
-func (s *Storm) advice(in int64, class int) int64 {
+func (s *Controller) advice(in int64, class int) int64 {
 	wait := int64(float64(max(0, in)) / max(stayLeast, s.stay[class]))
-	if longest := s.s.LongestUs; wait > longest {
+	if longest := s.s.MaxRetryAfterUs; wait > longest {
 		// They can't be told the time itself: they come back early, spread out.
 		return longest - int64(s.rng.Float64()*spreadShare*float64(longest))
 	}
-	return max(wait, min(s.s.LeastUs, s.s.LongestUs))
+	return max(wait, min(s.s.MinRetryAfterUs, s.s.MaxRetryAfterUs))
 }
 
-// Pace is the units a second that find room now, or 0 where that is not known: where
+// ReleaseRate is the units a second that find room now, or 0 where that is not known: where
 // nothing waits, nothing tells what more there is.
-func (s *Storm) Pace(now int64) float64 {
+func (s *Controller) ReleaseRate(now int64) float64 {
 	if !s.pace.sure(now) {
 		return 0
 	}
@@ -266,7 +266,7 @@
 }
 
 // advance moves on to now. A clock that went back moves nothing.
-func (s *Storm) advance(now int64) {
+func (s *Controller) advance(now int64) {
 	if s.born < 0 {
 		s.born = now
 	}
@@ -276,7 +276,7 @@
 
 // Tick looks at what came since the last look, and returns a change of state, if
 // there was one. It is to be called at least ten times a second while things happen.
-func (s *Storm) Tick(now int64) (Change, bool) {
+func (s *Controller) Tick(now int64) (Change, bool) {
 	s.advance(now)
 	return s.watch.tick(now, s.all, s.pace.rate(now))
 }
@@ -290,7 +290,7 @@
 }
 
 // Figures returns them.
-func (s *Storm) Figures(now int64) Figures {
+func (s *Controller) Figures(now int64) Figures {
 	f := Figures{State: s.watch.state, Kind: s.watch.kind, Pace: s.pace.rate(now), Held: s.all}
 	for i := range s.held {
 		f.Booked += s.cal.booked(i)
--- a/internal/backpressure/detect.go
+++ b/internal/backpressure/detect.go
@@ -151,16 +151,16 @@
 	quietFrom                             int64
 }
 
-func (d *detector) asked(now int64, c Caller) {
+func (d *detector) asked(now int64, c Request) {
 	d.asks.add(now)
-	d.services.add(c.Service)
+	d.services.add(c.Program)
 }
 func (d *detector) returned(now int64) { d.again.add(now) }
 func (d *detector) refused(now int64)  { d.refusals.add(now) }
 func (d *detector) started(now int64)  { d.starts.add(now) }
-func (d *detector) adopted(now int64, c Caller) {
+func (d *detector) adopted(now int64, c Request) {
 	d.opened.add(now)
-	d.services.add(c.Service)
+	d.services.add(c.Program)
 }
 
 // tick looks at the last second, ten times in it, and returns a change of state.
--- a/internal/backpressure/keep.go
+++ b/internal/backpressure/keep.go
@@ -85,9 +85,9 @@
 	return max(short*per/keepShort, long*per/keepBuckets)
 }
 
-// Keep is how many units of room each class is to leave to higher ranks that are on
+// Reserved is how many units of room each class is to leave to higher ranks that are on
 // their way: nothing, unless set-ups come as in a crowd. The slice is the Storm's.
-func (s *Storm) Keep(now int64) []float64 {
+func (s *Controller) Reserved(now int64) []float64 {
 	f := &s.keep
 	f.advance(now)
 	clear(f.keep)
@@ -96,7 +96,7 @@
 	}
 	for i := range f.keep {
 		for k := range f.units {
-			if s.s.Classes[k].Rank > s.s.Classes[i].Rank {
+			if s.s.Classes[k].Priority > s.s.Classes[i].Priority {
 				f.keep[i] += f.rate(&f.units[k]) * float64(keepAhead) / float64(second)
 			}
 		}
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -16,8 +16,8 @@
 	"ravenhitch/placement"
 )
 
-// owner is one connection. It is the core.Owner of the set-ups that came on it.
-type owner struct {
+// clientConn is one connection. It is the core.Owner of the set-ups that came on it.
+type clientConn struct {
 	f      *Front
 	c      *eventloop.Conn
 	open   map[string]bool // set-ups that are owed an answer
@@ -40,7 +40,7 @@
 )
 
 // use is what the connection was good for so far.
-func (o *owner) use() int {
+func (o *clientConn) use() int {
 	switch {
 	case o.served:
 		return usedToStart
@@ -56,9 +56,9 @@
 
 // minRest is how long it must have been quiet to be closed for another. Who has not read
 // all its answers has as long for that as for writing a message.
-func (o *owner) minRest() int64 {
+func (o *clientConn) minRest() int64 {
 	switch {
-	case o.c.Unsent() > 0:
+	case o.c.BytesBuffered() > 0:
 		return maxHush
 	case o.bound:
 		return minIdle
@@ -66,35 +66,35 @@
 	return minHush
 }
 
-func (o *owner) Opened(c *eventloop.Conn) {
+func (o *clientConn) Opened(c *eventloop.Conn) {
 	o.c, o.usedAt = c, o.f.l.Now()
 	o.f.conns[o] = true
 	o.f.dials++
 	o.number = o.f.dials
 }
 
-// HeardAt implements core.Attended.
-func (o *owner) HeardAt() int64 { return o.c.HeardAt() }
+// LastSeenAt implements core.Attended.
+func (o *clientConn) LastSeenAt() int64 { return o.c.LastSeenAt() }
 
-func (o *owner) Closed(_ *eventloop.Conn, _ error) {
+func (o *clientConn) Closed(_ *eventloop.Conn, _ error) {
 	o.f.drop(o)
 	for _, tag := range slices.Sorted(maps.Keys(o.open)) {
-		o.f.core.Withdraw(o.f.l.Now(), o, tag)
+		o.f.core.Cancel(o.f.l.Now(), o, tag)
 	}
 	o.open = nil
 }
 
 // end closes the connection from this side. What is open on it is answered
 // first, at once: nothing more that comes on it can be read.
-func (o *owner) end() {
+func (o *clientConn) end() {
 	for _, tag := range slices.Sorted(maps.Keys(o.open)) {
-		o.f.core.Refuse(o.f.l.Now(), o, tag)
+		o.f.core.Reject(o.f.l.Now(), o, tag)
 	}
 	o.f.drop(o)
 	o.c.Close()
 }
 
-func (o *owner) Data(_ *eventloop.Conn, b []byte) (int, error) {
+func (o *clientConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	now := o.f.l.Now()
 	used, err := jsonlines.Lines(b, func(line []byte) error {
 		m, err := jsonlines.Parse(line)
@@ -118,7 +118,7 @@
 }
 
 // message takes one message. An error ends the connection.
-func (o *owner) message(now int64, m *jsonlines.Message) error {
+func (o *clientConn) message(now int64, m *jsonlines.Message) error {
 	o.usedAt, o.spoke = now, true
 	if o.served {
 		o.f.latest = o
@@ -130,9 +130,9 @@
 		switch {
 		case o.open[m.Tag]:
 			delete(o.open, m.Tag)
-			o.f.core.Withdraw(now, o, m.Tag)
-		case o.f.core.Stands(m.Tag) && !o.f.core.Resumable(m.Tag): // else another's, or by another front
-			o.f.core.Withdraw(now, nil, m.Tag)
+			o.f.core.Cancel(now, o, m.Tag)
+		case o.f.core.IsRunning(m.Tag) && !o.f.core.IsResumable(m.Tag): // else another's, or by another front
+			o.f.core.Cancel(now, nil, m.Tag)
 		}
 		o.send(&jsonlines.Message{Verb: jsonlines.VerbFinished, Tag: m.Tag})
 	case jsonlines.VerbEcho:
@@ -146,7 +146,7 @@
 }
 
 // setup takes a set-up, or turns it away with an answer of its own.
-func (o *owner) setup(now int64, m *jsonlines.Message) error {
+func (o *clientConn) setup(now int64, m *jsonlines.Message) error {
 	s, err := setup(m)
 	if _, ok := o.f.core.Class(s.Class); err == nil && !ok {
 		err = fmt.Errorf("%w: unknown class %.40q", jsonlines.ErrMessage, s.Class)
@@ -154,28 +154,28 @@
 	switch {
 	case o.open[m.Tag]:
 		// An answer could not be told to be for one or the other: one for both.
-		o.f.core.Refuse(now, o, m.Tag)
+		o.f.core.Reject(now, o, m.Tag)
 		o.f.log.Warn("a set-up's tag is in use on its connection", "tag", m.Tag)
 		return o.faulty()
 	case err != nil:
 		return o.fault(m.Tag, err)
-	case s.At == "" && !o.bound && len(o.open) >= maxOpen:
+	case s.RunningOn == "" && !o.bound && len(o.open) >= maxOpen:
 		wait := int64(0)
-		if o.f.core.Advises() {
+		if o.f.core.AdvisesRetryAfter() {
 			wait = minIdle
 		}
-		o.Answer(dispatch.Answer{Kind: dispatch.Refused, Tag: m.Tag, WaitUs: wait})
+		o.Respond(dispatch.Response{Kind: dispatch.Rejected, RequestID: m.Tag, RetryAfterUs: wait})
 		o.f.log.Warn("a new connection has too many set-ups open", "open", len(o.open))
 		return nil
 	}
-	s.CameUs, s.From = o.c.Since(), o.number
-	known := o.f.core.Stands(s.Tag) || o.f.core.Leaves(s.Tag)
+	s.ReceivedAtUs, s.Connection = o.c.EarliestArrival(), o.number
+	known := o.f.core.IsRunning(s.RequestID) || o.f.core.IsTerminating(s.RequestID)
 	if err := o.f.core.Submit(now, o, s); err != nil {
 		return o.fault(m.Tag, err)
 	}
-	if s.At == "" {
-		o.open[s.Tag] = true
-	} else if !known && o.f.core.Listed(s.At) { // who repeats what is known may be anybody
+	if s.RunningOn == "" {
+		o.open[s.RequestID] = true
+	} else if !known && o.f.core.IsListed(s.RunningOn) { // who repeats what is known may be anybody
 		o.bound = true
 		o.f.flush(o)
 	}
@@ -184,14 +184,14 @@
 
 // fault answers a message that can't be used. What its tag may name elsewhere is
 // not touched.
-func (o *owner) fault(tag string, err error) error {
+func (o *clientConn) fault(tag string, err error) error {
 	o.f.log.Warn("a message from an owner can't be used", "tag", tag, "err", err)
 	o.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: tag, RC: jsonlines.CauseError, HasRC: true})
 	return o.faulty()
 }
 
 // faulty counts what can't be used, up to the end of the connection.
-func (o *owner) faulty() error {
+func (o *clientConn) faulty() error {
 	if o.faults++; o.faults >= maxFaults && !o.bound {
 		return fmt.Errorf("%w: the %dth that can't be used", jsonlines.ErrMessage, o.faults)
 	}
@@ -199,10 +199,10 @@
 }
 
 // setup reads what a set-up asks for.
-func setup(m *jsonlines.Message) (dispatch.Setup, error) {
-	s := dispatch.Setup{Tag: m.Tag, Class: m.Opt("class"), Key: m.Opt("key"), Idem: m.Opt("idem"), Tenant: m.Opt("tenant"),
+func setup(m *jsonlines.Message) (dispatch.Submission, error) {
+	s := dispatch.Submission{RequestID: m.Tag, Class: m.Opt("class"), Key: m.Opt("key"), Idem: m.Opt("idem"), Tenant: m.Opt("tenant"),
 		Description: m.Blob}
-	bad := func(what string) (dispatch.Setup, error) {
+	bad := func(what string) (dispatch.Submission, error) {
 		return s, fmt.Errorf("%w: a set-up without a usable %s", jsonlines.ErrMessage, what)
 	}
 	for _, pair := range strings.Split(m.Opt("extras"), ";") {
@@ -212,11 +212,11 @@
 		case "cores":
 			s.Cores, err = strconv.ParseFloat(value, 64)
 		case "memory":
-			s.Mem, err = strconv.ParseFloat(value, 64)
+			s.Memory, err = strconv.ParseFloat(value, 64)
 		case "service":
-			s.Service, err = strconv.ParseUint(value, 16, 64)
+			s.Program, err = strconv.ParseUint(value, 16, 64)
 		case "at":
-			s.At = value
+			s.RunningOn = value
 		}
 		if err != nil {
 			return bad(name)
@@ -227,23 +227,23 @@
 		if err != nil || hint != hint {
 			return bad("hint")
 		}
-		s.HintUs = int64(min(max(hint, -1), maxLeft) * 1000)
+		s.ExpectedRunUs = int64(min(max(hint, -1), maxLeft) * 1000)
 	}
 	if text := m.Opt("retry"); text != "" {
 		tries, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
 			return bad("retry")
 		}
-		s.Again = tries > 0
+		s.Retry = tries > 0
 	}
-	if s.At == "" { // else no answer is waited for
+	if s.RunningOn == "" { // else no answer is waited for
 		left, err := strconv.ParseFloat(m.Opt("left"), 64)
 		if err != nil || left != left {
 			return bad("wait")
 		}
-		s.WaitUs = int64(min(max(left, 0), maxLeft) * 1000)
+		s.TimeoutUs = int64(min(max(left, 0), maxLeft) * 1000)
 	}
-	if field, _ := s.Fault(); field != "" {
+	if field, _ := s.Invalid(); field != "" {
 		return bad(field)
 	}
 	if !m.HasBlob {
@@ -252,50 +252,50 @@
 	return s, nil
 }
 
-func (o *owner) send(m *jsonlines.Message) { o.c.Write(jsonlines.Append(nil, m)) }
+func (o *clientConn) send(m *jsonlines.Message) { o.c.Write(jsonlines.Append(nil, m)) }
 
-// Answer implements core.Owner. A task that stands belongs to no connection:
+// Respond implements core.Owner. A task that stands belongs to no connection:
 // its end goes out on another where its own is gone.
-func (o *owner) Answer(a dispatch.Answer) {
-	m := jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: a.Tag, HasRC: true}
+func (o *clientConn) Respond(a dispatch.Response) {
+	m := jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: a.RequestID, HasRC: true}
 	switch a.Kind {
 	case dispatch.Started:
-		m = jsonlines.Message{Verb: jsonlines.VerbStarted, Tag: a.Tag, Blob: a.Description, HasBlob: true}
-	case dispatch.Refused:
+		m = jsonlines.Message{Verb: jsonlines.VerbStarted, Tag: a.RequestID, Blob: a.Description, HasBlob: true}
+	case dispatch.Rejected:
 		m.RC = jsonlines.CauseFull
-		if a.WaitUs > 0 {
-			m.Opts = []jsonlines.Field{{Name: "wait", Value: strconv.FormatInt((a.WaitUs+999)/1000, 10)}}
+		if a.RetryAfterUs > 0 {
+			m.Opts = []jsonlines.Field{{Name: "wait", Value: strconv.FormatInt((a.RetryAfterUs+999)/1000, 10)}}
 		}
 	case dispatch.Failed:
 		m.RC = jsonlines.CauseError
-	case dispatch.Over:
+	case dispatch.Completed:
 		m.RC = jsonlines.CauseGivenUp
-		if a.Status != placement.OK {
+		if a.Outcome != placement.Completed {
 			m.RC = jsonlines.CauseReset
 		}
-	case dispatch.Moved:
-		m = jsonlines.Message{Verb: jsonlines.VerbMove, Tag: a.Tag}
+	case dispatch.Migrated:
+		m = jsonlines.Message{Verb: jsonlines.VerbMove, Tag: a.RequestID}
 	}
 	switch a.Kind {
 	case dispatch.Started:
 		o.bound, o.served, o.f.latest = true, true, o
 		o.f.flush(o)
 		fallthrough
-	case dispatch.Refused, dispatch.Failed:
-		delete(o.open, a.Tag)
+	case dispatch.Rejected, dispatch.Failed:
+		delete(o.open, a.RequestID)
 		o.send(&m)
 		return
 	}
 	to := o
-	if !o.c.Up() {
+	if !o.c.IsUp() {
 		to = o.f.any(usedForTasks)
 	}
 	if to != nil {
-		o.f.tracer.Step("end told", a.Tag, o.f.l.Now(), "connection", to.number, "own", to == o, "use", to.use())
+		o.f.tracer.Step("end told", a.RequestID, o.f.l.Now(), "connection", to.number, "own", to == o, "use", to.use())
 		to.send(&m)
 		return
 	}
-	o.f.tracer.Step("end finds no owner", a.Tag, o.f.l.Now())
+	o.f.tracer.Step("end finds no owner", a.RequestID, o.f.l.Now())
 	if len(o.f.unsent) < maxUnsent {
 		o.f.unsent = append(o.f.unsent, unsent{o.f.l.Now(), jsonlines.Append(nil, &m)})
 	}
--- a/internal/clientfront/conn_test.go
+++ b/internal/clientfront/conn_test.go
@@ -25,12 +25,12 @@
 		{"", fine + ";at:s-1", true, 0}, {"NaN", fine + ";at:s-1", true, 0},
 	} {
 		m := opts(x.left, x.extras)
-		if s, err := setup(&m); (err == nil) != x.ok || x.ok && s.WaitUs != x.wait {
+		if s, err := setup(&m); (err == nil) != x.ok || x.ok && s.TimeoutUs != x.wait {
 			t.Errorf("%+v: got %+v, %v", x, s, err)
 		}
 	}
 	m := opts("1500", fine+";at:s-1;new:thing")
-	if s, _ := setup(&m); s.Cores != 1.5 || s.Mem != 2.5 || s.Service != 255 || s.At != "s-1" {
+	if s, _ := setup(&m); s.Cores != 1.5 || s.Memory != 2.5 || s.Program != 255 || s.RunningOn != "s-1" {
 		t.Errorf("got %+v", s)
 	}
 	for what, spoil := range map[string]func(m *jsonlines.Message){
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -18,16 +18,16 @@
 // Front serves owners.
 type Front struct {
 	l      *eventloop.Loop
-	core   *dispatch.Core
+	core   *dispatch.Dispatcher
 	log    *ratelog.Logger
 	tracer dispatch.Tracer
 	most   int                 // connections
 	budget *descriptors.Budget // nil where there are enough descriptors for all
 	idleUs int64               // after which a connection without a set-up is closed
-	conns  map[*owner]bool
-	latest *owner   // the one that spoke last, of those that a task was started for
-	unsent []unsent // releases that found no connection
-	dials  uint64   // connections so far
+	conns  map[*clientConn]bool
+	latest *clientConn // the one that spoke last, of those that a task was started for
+	unsent []unsent    // releases that found no connection
+	dials  uint64      // connections so far
 }
 
 const (
@@ -63,9 +63,9 @@
 
 // NewFront returns a front that holds at most so many connections, each for
 // idleUs after its last message at the longest, 0 for ever.
-func NewFront(l *eventloop.Loop, c *dispatch.Core, most int, idleUs int64, log *slog.Logger) *Front {
+func NewFront(l *eventloop.Loop, c *dispatch.Dispatcher, most int, idleUs int64, log *slog.Logger) *Front {
 	return &Front{l: l, core: c, most: most, idleUs: idleUs, log: ratelog.New(log), tracer: dispatch.Tracer{Log: log},
-		conns: map[*owner]bool{}}
+		conns: map[*clientConn]bool{}}
 }
 
 // ShareDescriptors makes the front admit clients only as the budget allows.
@@ -74,20 +74,20 @@
 // MaxConnections is how many connections the front holds at most.
 func (f *Front) MaxConnections() int { return f.most }
 
-// Trace limits the trace to the tags that end in one of the endings; none traces all.
-func (f *Front) Trace(endings []string) { f.tracer.Endings = endings }
+// SetTraceSuffixes limits the trace to the tags that end in one of the endings; none traces all.
+func (f *Front) SetTraceSuffixes(endings []string) { f.tracer.Suffixes = endings }
 
 // Connections is how many owners are connected.
 func (f *Front) Connections() int { return len(f.conns) }
 
-// Owes reports whether an end now would lose something: part of a set-up is on its way, an
+// HasUndelivered reports whether an end now would lose something: part of a set-up is on its way, an
 // answer waits for its owner to read, or a release for an owner to connect.
-func (f *Front) Owes() bool {
+func (f *Front) HasUndelivered() bool {
 	if len(f.unsent) > 0 {
 		return true
 	}
 	for o := range f.conns {
-		if o.halfAt > 0 || o.c.Unsent() > 0 {
+		if o.halfAt > 0 || o.c.BytesBuffered() > 0 {
 			return true
 		}
 	}
@@ -98,9 +98,9 @@
 // not 0: it belongs to the platform, which keeps it from one process to the next.
 func (f *Front) Listen(addr string, fd int) (string, error) {
 	f.l.After(sweepEvery, f.sweep)
-	accept := func() eventloop.Handler { return &owner{f: f, open: map[string]bool{}} }
+	accept := func() eventloop.Handler { return &clientConn{f: f, open: map[string]bool{}} }
 	if fd > 0 {
-		return f.l.Inherit(fd, f.room, accept)
+		return f.l.ListenInherited(fd, f.room, accept)
 	}
 	return f.l.Listen(addr, f.room, accept)
 }
@@ -114,7 +114,7 @@
 	if len(f.conns) < f.most && f.budget.AdmitsClient() {
 		return true
 	}
-	var best *owner
+	var best *clientConn
 	now, bound, soon := f.l.Now(), 0, false
 	for o := range f.conns {
 		if o.bound {
@@ -159,7 +159,7 @@
 	f.l.After(sweepEvery, f.sweep)
 }
 
-func (f *Front) drop(o *owner) {
+func (f *Front) drop(o *clientConn) {
 	delete(f.conns, o)
 	if f.latest == o {
 		f.latest = nil
@@ -170,13 +170,13 @@
 // used last of those that a task was started for, else of those that said where one runs,
 // else of those that spoke. Releases go to ones that never had a task only where nobody
 // better came: whoever connects may be anybody.
-func (f *Front) any(least int) *owner {
-	if f.latest != nil && f.latest.c.Up() {
+func (f *Front) any(least int) *clientConn {
+	if f.latest != nil && f.latest.c.IsUp() {
 		return f.latest
 	}
-	var best *owner
+	var best *clientConn
 	for o := range f.conns {
-		if o.c.Up() && o.use() >= least && (best == nil || o.use() > best.use() || o.use() == best.use() && o.usedAt > best.usedAt) {
+		if o.c.IsUp() && o.use() >= least && (best == nil || o.use() > best.use() || o.use() == best.use() && o.usedAt > best.usedAt) {
 			best = o
 		}
 	}
@@ -190,8 +190,8 @@
 }
 
 // flush sends an owner the releases that found no connection.
-func (f *Front) flush(o *owner) {
-	if !o.c.Up() {
+func (f *Front) flush(o *clientConn) {
+	if !o.c.IsUp() {
 		return
 	}
 	for _, u := range f.unsent {
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Edge is what the operators' file says of the further protocols, each of which is
+// Operators is what the operators' file says of the further protocols, each of which is
 // off where its address is empty, and of crowds.
-type Edge struct {
+type Operators struct {
 	GRPCListen        string
 	GRPCCert, GRPCKey string // files of a certificate and its key, or ""
-	GRPCTickets       string // file of the keys of return tickets, or ""
+	RetryTokenKeys    string // file of the keys of return tickets, or ""
 	Graphite          Metrics
 	Collectd          Metrics
-	Storm             Storm
+	Backpressure      Backpressure
 	Peers             Peers
 	Workers           Workers
 	// LogLevel is the least level that is written: info, or debug for a line at
@@ -58,7 +58,7 @@
 
 // Workers says how connections to workers are looked after.
 type Workers struct {
-	// KeepAlive is after how long without a sign of life the system asks a worker's for one, and
+	// SetKeepAlive is after how long without a sign of life the system asks a worker's for one, and
 	// that such a sign proves the connection; 0: only what the worker says does.
 	KeepAlive time.Duration
 }
@@ -67,27 +67,27 @@
 // not said.
 type PeerAddress struct{ Name, Address, Zone string }
 
-// Storm says what advice goes with refusals.
-type Storm struct {
+// Backpressure says what advice goes with refusals.
+type Backpressure struct {
 	Constant time.Duration // the same for all; 0: a booked time
 	Least    time.Duration // no advice is shorter
 	Callers  int           // remembered at most; 0: as many as fit a small machine
 }
 
-// LoadEdge reads the operators' file. Where there is none, everything is as it is
+// LoadOperators reads the operators' file. Where there is none, everything is as it is
 // without a word on it.
-func LoadEdge(path string) (Edge, error) {
+func LoadOperators(path string) (Operators, error) {
 	if strings.HasSuffix(path, ".json") {
-		return Edge{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf", ErrConfig, path)
+		return Operators{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf", ErrConfig, path)
 	}
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return ParseEdge(path, nil)
+		return ParseOperators(path, nil)
 	}
 	if err != nil {
-		return Edge{}, fmt.Errorf("%w: %w", ErrConfig, err)
+		return Operators{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	return ParseEdge(path, b)
+	return ParseOperators(path, b)
 }
 
 // repeated are the directives that may stand more than once.
@@ -99,9 +99,9 @@
 // setter sets what a directive says.
 type setter = func(d Directive) error
 
-// ParseEdge reads the text of an operators' file.
-func ParseEdge(file string, b []byte) (Edge, error) {
-	var e Edge
+// ParseOperators reads the text of an operators' file.
+func ParseOperators(file string, b []byte) (Operators, error) {
+	var e Operators
 	e.Graphite, e.Collectd = Metrics{Prefix: "ravenhitch", EveryMs: 10_000}, Metrics{Prefix: "ravenhitch", EveryMs: 10_000}
 	sections, err := ParseLines(file, b)
 	if err == nil {
@@ -111,19 +111,19 @@
 		err = e.whole(file)
 	}
 	if err != nil {
-		return Edge{}, fmt.Errorf("%w: %w", ErrConfig, err)
+		return Operators{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	return e, nil
 }
 
 // directives are all sections, with what sets the fields of e.
-func (e *Edge) directives() directives {
+func (e *Operators) directives() directives {
 	return directives{
 		"grpc": {
 			"listen":  word(&e.GRPCListen, "address:port", isAddress),
 			"cert":    word(&e.GRPCCert, "the file of a certificate", isFilled),
 			"key":     word(&e.GRPCKey, "the file of its key", isFilled),
-			"tickets": word(&e.GRPCTickets, "the file of the keys of return tickets", isFilled),
+			"tickets": word(&e.RetryTokenKeys, "the file of the keys of return tickets", isFilled),
 		},
 		"graphite": e.Graphite.directives("address:port", isAddress),
 		"collectd": e.Collectd.directives("the absolute path of a Unix socket", isAbsolute),
@@ -144,15 +144,15 @@
 			"keepalive": e.Workers.keepAlive,
 		},
 		"storm": {
-			"advice":  e.Storm.advice,
-			"least":   duration(&e.Storm.Least, 0, time.Minute),
-			"callers": e.Storm.callers,
+			"advice":  e.Backpressure.advice,
+			"least":   duration(&e.Backpressure.Least, 0, time.Minute),
+			"callers": e.Backpressure.callers,
 		},
 	}
 }
 
 // whole checks what several directives must say together.
-func (e *Edge) whole(file string) error {
+func (e *Operators) whole(file string) error {
 	if (e.GRPCCert == "") != (e.GRPCKey == "") {
 		return fmt.Errorf("%s: [grpc]: expected both cert and key, or neither", file)
 	}
@@ -213,7 +213,7 @@
 }
 
 // logLevel takes the least level that is written.
-func (e *Edge) logLevel(d Directive) error {
+func (e *Operators) logLevel(d Directive) error {
 	v, err := d.OneOf("info", "debug")
 	if v == "debug" {
 		e.LogLevel = slog.LevelDebug
@@ -222,7 +222,7 @@
 }
 
 // trace takes the endings of the tags that are traced.
-func (e *Edge) trace(d Directive) error {
+func (e *Operators) trace(d Directive) error {
 	if len(d.Args) == 0 {
 		return d.Name.Wrong("trace followed by endings of tags, in hex digits")
 	}
@@ -236,7 +236,7 @@
 }
 
 // advice takes the word booked, or one time for all.
-func (s *Storm) advice(d Directive) error {
+func (s *Backpressure) advice(d Directive) error {
 	if len(d.Args) > 0 && d.Args[0].Text == "booked" {
 		_, err := d.OneOf("booked")
 		return err
@@ -245,7 +245,7 @@
 }
 
 // callers takes how many callers are remembered.
-func (s *Storm) callers(d Directive) error {
+func (s *Backpressure) callers(d Directive) error {
 	n, err := d.Int(1024, 16<<20)
 	s.Callers = int(n)
 	return err
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -12,14 +12,14 @@
 // error names its place.
 func TestEdgePartition(t *testing.T) {
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
-	e, err := ParseEdge("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\nregion west z1 z2\nregion east z3\n"+
+	e, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\nregion west z1 z2\nregion east z3\n"+
 		"[workers]\nkeepalive 4s\n"))
 	if err != nil || !e.Peers.Partition || e.Workers.KeepAlive != 4*time.Second ||
 		!reflect.DeepEqual(e.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
 		!reflect.DeepEqual(e.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
 		t.Errorf("got %+v, %v", e, err)
 	}
-	e, err = ParseEdge("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
+	e, err = ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
 	if err != nil || e.Peers.Partition || e.Peers.Members[0].Zone != "" {
 		t.Errorf("got %+v, %v", e, err)
 	}
@@ -37,7 +37,7 @@
 		{"[workers]\nkeepalive 6s", "x:2:11: expected a time with its unit, 1s to 5s"},
 		{"[workers]\nkeepalive", "x:2:1: expected keepalive followed by"},
 	} {
-		if _, err := ParseEdge("x", []byte(x.text)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") ||
+		if _, err := ParseOperators("x", []byte(x.text)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") ||
 			!strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: got %v", x.text, err)
 		}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -24,15 +24,15 @@
 
 // Config is what an orchestrator is told at its start.
 type Config struct {
-	Name, Listen, Channel string
-	Manage                string // where operators' staff call, "" where nobody does
-	Inherited             int    // the descriptor of the listening socket that the platform holds, or 0
-	Seed                  uint64
-	MemoryMB, Sockets     int64
-	DialTimeoutUs         int64
-	ConnIdleUs            int64 // 0: idle connections stay
-	Known                 Update
-	Settings              placement.Settings
+	Name, Listen, DiscoveryAddr string
+	AdminAddr                   string // where operators' staff call, "" where nobody does
+	Inherited                   int    // the descriptor of the listening socket that the platform holds, or 0
+	Seed                        uint64
+	MemoryMB, Sockets           int64
+	DialTimeoutUs               int64
+	ConnIdleUs                  int64 // 0: idle connections stay
+	Initial                     Update
+	Settings                    placement.Settings
 }
 
 // Update is what the command channel tells.
@@ -72,15 +72,15 @@
 	}
 	j := gjson.ParseBytes(b)
 	c := Config{
-		Name: j.Get("name").String(), Listen: j.Get("listen").String(), Channel: j.Get("channel").String(),
+		Name: j.Get("name").String(), Listen: j.Get("listen").String(), DiscoveryAddr: j.Get("channel").String(),
 		MemoryMB: j.Get("limits.memory_mb").Int(), Sockets: j.Get("limits.sockets").Int(),
 		DialTimeoutUs: j.Get("settings.Limits.DialTimeoutUs").Int(),
 		ConnIdleUs:    max(0, j.Get("settings.Limits.ConnIdleUs").Int()),
 	}
-	c.Manage = j.Get("mgmt").String()
-	places := map[string]string{"listen": c.Listen, "channel": c.Channel}
-	if c.Manage != "" {
-		places["mgmt"] = c.Manage
+	c.AdminAddr = j.Get("mgmt").String()
+	places := map[string]string{"listen": c.Listen, "channel": c.DiscoveryAddr}
+	if c.AdminAddr != "" {
+		places["mgmt"] = c.AdminAddr
 	}
 	for name, addr := range places {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
@@ -91,8 +91,8 @@
 	if c.Seed, err = strconv.ParseUint(j.Get("seed").String(), 16, 64); err != nil {
 		return Config{}, fmt.Errorf("%w: seed: expected up to 16 hex digits, got %.40q", ErrConfig, j.Get("seed").String())
 	}
-	if c.Known, err = update(j.Get("known")); err == nil && len(c.Known.Bad) > 0 {
-		err = c.Known.Bad[0]
+	if c.Initial, err = update(j.Get("known")); err == nil && len(c.Initial.Bad) > 0 {
+		err = c.Initial.Bad[0]
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
@@ -165,8 +165,8 @@
 	return update(gjson.ParseBytes(b))
 }
 
-var states = map[string]placement.State{"up": placement.Ready, "draining": placement.Draining,
-	"removed": placement.Gone}
+var states = map[string]placement.WorkerState{"up": placement.Ready, "draining": placement.Draining,
+	"removed": placement.Removed}
 
 func update(j gjson.Result) (Update, error) {
 	if !j.IsObject() {
@@ -195,19 +195,19 @@
 
 func member(v gjson.Result) (Member, error) {
 	m := Member{Addr: v.Get("host_port").String(), Entry: placement.Entry{
-		Machine: v.Get("id").String(), Kind: v.Get("flavor").String(), Zone: v.Get("locality").String(),
-		Cell: int(v.Get("cell").Int()), StartUs: v.Get("up_since_ms").Int() * 1000,
-		SpareCores: v.Get("spare.0").Float(), SpareMem: v.Get("spare.1").Float(),
+		Worker: v.Get("id").String(), Kind: v.Get("flavor").String(), Zone: v.Get("locality").String(),
+		Cell: int(v.Get("cell").Int()), StartedAtUs: v.Get("up_since_ms").Int() * 1000,
+		FreeCores: v.Get("spare.0").Float(), FreeMemory: v.Get("spare.1").Float(),
 	}}
-	if m.Machine == "" {
+	if m.Worker == "" {
 		return m, fmt.Errorf("%w: a member without an id", ErrConfig)
 	}
 	var ok bool
 	if m.State, ok = states[v.Get("phase").String()]; !ok {
-		return m, fmt.Errorf("%w: member %.40q: phase %.40q is unknown", ErrConfig, m.Machine, v.Get("phase").String())
+		return m, fmt.Errorf("%w: member %.40q: phase %.40q is unknown", ErrConfig, m.Worker, v.Get("phase").String())
 	}
-	if _, err := netip.ParseAddrPort(m.Addr); err != nil && m.State != placement.Gone {
-		return m, fmt.Errorf("%w: member %.40q: host_port %.60q is no address", ErrConfig, m.Machine, m.Addr)
+	if _, err := netip.ParseAddrPort(m.Addr); err != nil && m.State != placement.Removed {
+		return m, fmt.Errorf("%w: member %.40q: host_port %.60q is no address", ErrConfig, m.Worker, m.Addr)
 	}
 	return m, nil
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -55,7 +55,7 @@
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("nested settings give\n%+v\nflat ones\n%+v", a, b)
 	}
-	if a.Classes[1].Effect != placement.Unsafe || a.Kinds[1].Cores != 63 || a.FreshOffers != 56 {
+	if a.Classes[1].Effect != placement.Unsafe || a.Kinds[1].Cores != 63 || a.SlowStartOffers != 56 {
 		t.Errorf("settings are %+v", a)
 	}
 }
@@ -74,10 +74,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Member{Addr: "127.1.0.9:5070", Entry: placement.Entry{Machine: "s-00c41f7a", Kind: "std", Zone: "east", Cell: 2,
-		StartUs: 1_700_000, SpareCores: 12, SpareMem: -3.5}}
+	want := Member{Addr: "127.1.0.9:5070", Entry: placement.Entry{Worker: "s-00c41f7a", Kind: "std", Zone: "east", Cell: 2,
+		StartedAtUs: 1_700_000, FreeCores: 12, FreeMemory: -3.5}}
 	if c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeoutUs != 250_000 ||
-		c.Known.Cursor != 3 || !c.Known.Events[0].Complete || c.Known.Events[0].Members[0] != want {
+		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Members[0] != want {
 		t.Errorf("got %+v", c)
 	}
 	for name, bad := range map[string]string{
@@ -113,17 +113,17 @@
 // What the file in the repository sets is the default, and the further protocols
 // are off; each error is one line that names the place and what was expected.
 func TestEdge(t *testing.T) {
-	standard := Edge{Graphite: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}}
+	standard := Operators{Graphite: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}}
 	for _, path := range []string{filepath.Join("..", "..", "deploy", "ravenhitch.conf"), filepath.Join(t.TempDir(), "none.conf")} {
-		if e, err := LoadEdge(path); err != nil || !reflect.DeepEqual(e, standard) {
+		if e, err := LoadOperators(path); err != nil || !reflect.DeepEqual(e, standard) {
 			t.Errorf("%s: %+v, %v", path, e, err)
 		}
 	}
-	e, err := ParseEdge("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
+	e, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
 		"[collectd]\naddress /run/c.sock\nevery 500ms\n[storm]\nadvice 1s\nleast 20ms\ncallers 2048"))
 	if err != nil || e.GRPCListen != "127.0.0.1:7000" || e.Graphite.Prefix != "a.b" || e.Graphite.EveryMs != 10_000 ||
 		e.Collectd.Prefix != "ravenhitch" || e.Collectd.EveryMs != 500 ||
-		e.Storm != (Storm{Constant: time.Second, Least: 20 * time.Millisecond, Callers: 2048}) {
+		e.Backpressure != (Backpressure{Constant: time.Second, Least: 20 * time.Millisecond, Callers: 2048}) {
 		t.Errorf("got %+v, %v", e, err)
 	}
 	for _, x := range []struct{ text, want string }{
@@ -150,19 +150,19 @@
 		{"[storm", "x:1:1: expected a section as [name]"},
 		{"[storm]\n\xff", "x:2:1: expected UTF-8"},
 	} {
-		if _, err := ParseEdge("x", []byte(x.text)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") ||
+		if _, err := ParseOperators("x", []byte(x.text)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") ||
 			!strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: got %v", x.text, err)
 		}
 	}
-	if _, err := LoadEdge("deploy/edge.json"); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
+	if _, err := LoadOperators("deploy/edge.json"); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
 		t.Errorf("edge.json: %v", err)
 	}
 }
 
 // The log's level and the endings of traced tags are read as written.
 func TestEdgeLog(t *testing.T) {
-	e, err := ParseEdge("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
+	e, err := ParseOperators("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
 	if err != nil || e.LogLevel != slog.LevelDebug || !reflect.DeepEqual(e.Trace, []string{"42ac8ba6", "160bf556"}) {
 		t.Errorf("got %+v, %v", e, err)
 	}
--- a/internal/discovery/channel.go
+++ b/internal/discovery/channel.go
@@ -31,11 +31,11 @@
 	followedAfter = 300_000
 )
 
-// Channel follows the command channel.
-type Channel struct {
+// Follower follows the command channel.
+type Follower struct {
 	l      *eventloop.Loop
-	core   *dispatch.Core
-	nodes  *workerpool.Nodes
+	core   *dispatch.Dispatcher
+	nodes  *workerpool.Pool
 	log    *ratelog.Logger
 	addr   string
 	dialUs int64
@@ -50,19 +50,19 @@
 	partition *partition // of the workers among orchestrators, nil where this one uses all
 }
 
-// Followed reports whether this process has been told what the channel knows: it has
+// Synced reports whether this process has been told what the channel knows: it has
 // answered once, or was asked and had nothing to tell for followedAfter.
-func (ch *Channel) Followed() bool {
+func (ch *Follower) Synced() bool {
 	return ch.told || ch.askedAt > 0 && ch.l.Now()-ch.askedAt > followedAfter
 }
 
-// NewChannel returns a follower that begins after cursor.
-func NewChannel(l *eventloop.Loop, c *dispatch.Core, n *workerpool.Nodes, addr string, dialUs int64, log *slog.Logger) *Channel {
-	return &Channel{l: l, core: c, nodes: n, addr: addr, dialUs: dialUs, log: ratelog.New(log)}
+// NewFollower returns a follower that begins after cursor.
+func NewFollower(l *eventloop.Loop, c *dispatch.Dispatcher, n *workerpool.Pool, addr string, dialUs int64, log *slog.Logger) *Follower {
+	return &Follower{l: l, core: c, nodes: n, addr: addr, dialUs: dialUs, log: ratelog.New(log)}
 }
 
 // Apply takes events in order; known says that they came with the configuration.
-func (ch *Channel) Apply(u config.Update, known bool) {
+func (ch *Follower) Apply(u config.Update, known bool) {
 	now := ch.l.Now()
 	var all []placement.Entry
 	at := map[string]int{}
@@ -77,7 +77,7 @@
 		named := map[string]bool{}
 		entries := make([]placement.Entry, 0, len(ev.Members))
 		for _, m := range ev.Members {
-			named[m.Machine] = true
+			named[m.Worker] = true
 			entries = append(entries, m.Entry)
 		}
 		if known {
@@ -86,44 +86,44 @@
 				all, at = nil, map[string]int{}
 			}
 			for _, e := range entries {
-				if i, ok := at[e.Machine]; ok {
+				if i, ok := at[e.Worker]; ok {
 					all[i] = e
 					continue
 				}
-				at[e.Machine] = len(all)
+				at[e.Worker] = len(all)
 				all = append(all, e)
 			}
 		}
 		if ev.Complete {
-			ch.nodes.Reset(named)
+			ch.nodes.RemoveUnlisted(named)
 		}
 		ch.listed(ev.Members, ev.Complete)
 		for _, m := range ev.Members {
-			ch.nodes.Update(m.Machine, m.Addr, m.State != placement.Gone)
-			ch.nodes.Started(m.Machine, m.StartUs)
+			ch.nodes.UpdateWorker(m.Worker, m.Addr, m.State != placement.Removed)
+			ch.nodes.WorkerStarted(m.Worker, m.StartedAtUs)
 		}
 		if !known {
 			kind := placement.ListDelta
 			if ev.Complete {
 				kind = placement.ListFull
 			}
-			ch.core.List(now, placement.List{Kind: kind, Entries: entries})
+			ch.core.UpdateWorkers(now, placement.WorkerList{Kind: kind, Entries: entries})
 		}
 	}
 	if known {
 		var left []placement.Entry
 		for _, e := range all {
-			if e.State != placement.Gone {
+			if e.State != placement.Removed {
 				left = append(left, e)
 			}
 		}
-		ch.core.List(now, placement.List{Kind: placement.ListCached, Entries: left})
+		ch.core.UpdateWorkers(now, placement.WorkerList{Kind: placement.ListCached, Entries: left})
 	}
 	ch.cursor = max(ch.cursor, u.Cursor)
 }
 
 // Start begins to ask.
-func (ch *Channel) Start() {
+func (ch *Follower) Start() {
 	c, err := ch.l.Dial(ch.addr, ch.dialUs, ch)
 	if err != nil {
 		ch.log.Warn("the command channel can't be reached", "err", err)
@@ -135,7 +135,7 @@
 
 // startIn asks anew after a while. What the last call had not brought whole comes
 // again, as the cursor stands after the last event that was applied.
-func (ch *Channel) startIn(us int64) {
+func (ch *Follower) startIn(us int64) {
 	ch.limit.Stop()
 	ch.again.Stop()
 	if ch.c != nil {
@@ -145,16 +145,16 @@
 	ch.again = ch.l.After(us, ch.Start)
 }
 
-// Follow goes on at another address with what follows the last event. The old
+// SetAddress goes on at another address with what follows the last event. The old
 // one tells nothing more, so what it was asked is dropped.
-func (ch *Channel) Follow(addr string) {
+func (ch *Follower) SetAddress(addr string) {
 	if addr != ch.addr {
 		ch.addr = addr
 		ch.startIn(0)
 	}
 }
 
-func (ch *Channel) ask() {
+func (ch *Follower) ask() {
 	block := ch.partition.block()
 	ch.c.Write([]byte(fmt.Sprintf("GET /cmd/next?resume=%d&block=%d%s HTTP/1.1\r\nHost: %s\r\n\r\n",
 		ch.cursor, block, ch.partition.ask(), ch.addr)))
@@ -169,10 +169,10 @@
 }
 
 // Opened implements loop.Handler.
-func (ch *Channel) Opened(*eventloop.Conn) { ch.ask() }
+func (ch *Follower) Opened(*eventloop.Conn) { ch.ask() }
 
 // Closed implements loop.Handler.
-func (ch *Channel) Closed(_ *eventloop.Conn, err error) {
+func (ch *Follower) Closed(_ *eventloop.Conn, err error) {
 	if !errors.Is(err, eventloop.ErrEOF) {
 		ch.log.Warn("the command channel broke off", "cursor", ch.cursor, "err", err)
 	}
@@ -181,7 +181,7 @@
 
 // Data implements loop.Handler. One answer is owed at a time. What comes behind it was not
 // asked for: taken as the next one, it would put all that follow one answer late.
-func (ch *Channel) Data(_ *eventloop.Conn, b []byte) (int, error) {
+func (ch *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, err := parseResponse(b)
 	for err == nil && used > 0 && r.status >= 100 && r.status < 200 {
 		var more int
--- a/internal/discovery/channel_test.go
+++ b/internal/discovery/channel_test.go
@@ -27,20 +27,20 @@
 }
 
 // newNodes returns links on a loop of their own, and the core that they serve.
-func newNodes(t *testing.T) (*eventloop.Loop, *workerpool.Nodes, *dispatch.Core) {
+func newNodes(t *testing.T) (*eventloop.Loop, *workerpool.Pool, *dispatch.Dispatcher) {
 	t.Helper()
 	l, err := eventloop.New(10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := workerpool.NewNodes(l, 1_000_000, true, slog.New(slog.DiscardHandler))
-	c, err := dispatch.New(placement.Settings{FleetSize: 1, CoresMultiple: 1, MemoryMultiple: 1,
+	n := workerpool.New(l, 1_000_000, true, slog.New(slog.DiscardHandler))
+	c, err := dispatch.New(placement.Settings{FleetSize: 1, CoresOvercommit: 1, MemoryOvercommit: 1,
 		Classes: []placement.Class{{Name: "cut", Effect: placement.Unsafe, Kind: -1}},
 		Kinds:   []placement.Kind{{Name: "std", Cores: 1, Memory: 1}}}, 1, n, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Use(c)
+	n.SetDispatcher(c)
 	return l, n, c
 }
 
@@ -55,13 +55,13 @@
 	defer ln.Close()
 	l, n, c := newNodes(t)
 	var text bytes.Buffer
-	ch := NewChannel(l, c, n, ln.Addr().String(), 1_000_000, slog.New(slog.NewTextHandler(&text, nil)))
+	ch := NewFollower(l, c, n, ln.Addr().String(), 1_000_000, slog.New(slog.NewTextHandler(&text, nil)))
 	ch.cursor = 6
 	ch.Start()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := l.Run(func(now int64) { n.Gather(); c.Turn(now) }); err != nil {
+		if err := l.Run(func(now int64) { n.DeliverPending(); c.Turn(now) }); err != nil {
 			t.Error(err)
 		}
 		l.Close()
@@ -101,7 +101,7 @@
 	}
 	l.Post(l.Stop)
 	<-done
-	if !c.Listed("s-1") {
+	if !c.IsListed("s-1") {
 		t.Error("the event was not applied")
 	}
 	if strings.Contains(text.String(), "is silent") { // it was waited for in vain
--- a/internal/discovery/partition.go
+++ b/internal/discovery/partition.go
@@ -14,24 +14,24 @@
 	"ravenhitch/placement"
 )
 
-// Owner says which shards of a zone this orchestrator is to place tasks in.
-type Owner func(zone string) shard.Bits
+// Assignment says which shards of a zone this orchestrator is to place tasks in.
+type Assignment func(zone string) shard.Bits
 
 // partition is the part of one orchestrator.
 type partition struct {
-	owner  Owner
+	owner  Assignment
 	zones  map[string]string // of the workers that were listed
 	held   shard.Set         // where it places tasks, by zone
 	wanted shard.Set         // where it is to
 	asked  shard.Set         // that the call under way names
 }
 
-func newPartition(owner Owner) *partition {
+func newPartition(owner Assignment) *partition {
 	return &partition{owner: owner, zones: map[string]string{}, held: shard.Set{}, wanted: shard.Set{}}
 }
 
 // want changes the shards that are to be held, and reports whether any was lost.
-func (p *partition) want(owner Owner) (lost bool) {
+func (p *partition) want(owner Assignment) (lost bool) {
 	p.owner = owner
 	wanted := shard.Set{}
 	for zone := range p.wanted {
@@ -52,11 +52,11 @@
 		clear(p.zones)
 	}
 	for _, m := range members {
-		if m.State == placement.Gone {
-			delete(p.zones, m.Machine)
+		if m.State == placement.Removed {
+			delete(p.zones, m.Worker)
 			continue
 		}
-		p.zones[m.Machine] = m.Zone
+		p.zones[m.Worker] = m.Zone
 		if _, there := p.wanted[m.Zone]; there {
 			continue
 		}
@@ -114,14 +114,14 @@
 	return won
 }
 
-// Partition makes this orchestrator place tasks in its shards alone. It is called before Apply.
-func (ch *Channel) Partition(owner Owner) {
+// EnablePartition makes this orchestrator place tasks in its shards alone. It is called before Apply.
+func (ch *Follower) EnablePartition(owner Assignment) {
 	ch.partition = newPartition(owner)
 	ch.owned()
 }
 
-// Own changes the shards that this orchestrator is to place tasks in.
-func (ch *Channel) Own(owner Owner) {
+// SetAssignment changes the shards that this orchestrator is to place tasks in.
+func (ch *Follower) SetAssignment(owner Assignment) {
 	if ch.partition.want(owner) {
 		ch.owned()
 	}
@@ -131,17 +131,17 @@
 }
 
 // listed notes the zones of workers, where these are divided.
-func (ch *Channel) listed(members []config.Member, whole bool) {
+func (ch *Follower) listed(members []config.Member, whole bool) {
 	if ch.partition != nil && ch.partition.listed(members, whole) {
 		ch.owned()
 	}
 }
 
 // owned tells the core and the connections to workers which shards are held.
-func (ch *Channel) owned() {
+func (ch *Follower) owned() {
 	held, zones := ch.partition.held, ch.partition.zones
 	own := func(worker string) bool { return held.Has(zones[worker], worker) }
-	ch.nodes.Own(own)
-	ch.core.Own(ch.l.Now(), own)
+	ch.nodes.SetAssigned(own)
+	ch.core.SetAssignedWorkers(ch.l.Now(), own)
 	ch.log.Info("the workers of this orchestrator", "shards", held.Len(), "wanted", ch.partition.wanted.Len())
 }
--- a/internal/discovery/partition_test.go
+++ b/internal/discovery/partition_test.go
@@ -10,11 +10,11 @@
 )
 
 // owns is an owner of the same shards in every zone.
-func owns(b shard.Bits) Owner { return func(string) shard.Bits { return b } }
+func owns(b shard.Bits) Assignment { return func(string) shard.Bits { return b } }
 
 func listedIn(zones ...string) (members []config.Member) {
 	for i, zone := range zones {
-		members = append(members, config.Member{Entry: placement.Entry{Machine: zone + string(rune('a'+i)), Zone: zone}})
+		members = append(members, config.Member{Entry: placement.Entry{Worker: zone + string(rune('a'+i)), Zone: zone}})
 	}
 	return members
 }
@@ -79,7 +79,7 @@
 	p := newPartition(owns(1))
 	p.listed(listedIn("z1", "z1", "z1"), true)
 	gone := listedIn("z1")
-	gone[0].State = placement.Gone
+	gone[0].State = placement.Removed
 	if p.listed(gone, false); len(p.zones) != 2 {
 		t.Errorf("%d workers are known after one of three has gone", len(p.zones))
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -56,8 +56,8 @@
 
 // request is one request, or one task that stands.
 type request struct {
-	Setup
-	owner    Owner
+	Submission
+	owner    Client
 	state    state
 	number   uint64 // of its task
 	class    int    // in the settings, the last where it is not there
@@ -70,10 +70,10 @@
 	foundAt  int64 // when it was handed in as standing, or 0
 	abandon  int64
 	node     string
-	mayRun   bool             // an attempt may have started
-	ran      ran              // the first that may have
-	endAs    placement.Status // ending: what becomes of the attempt; standing and due: of the task
-	endWhy   placement.Why
+	mayRun   bool              // an attempt may have started
+	ran      ran               // the first that may have
+	endAs    placement.Outcome // ending: what becomes of the attempt; standing and due: of the task
+	endWhy   placement.Cause
 	reply    string // the tag that the owner knows it by
 	binding  string // what the node gave
 	lostAt   int64
@@ -93,17 +93,17 @@
 
 // Counts are what the core has seen so far.
 type Counts struct {
-	Requests, Started, Refused, Failed, Over, Moved, Withdrawn, Opened, Resumed int64
-	Offers, TimedOut, ConnectFailed, Full, Reset, Guarded                       int64
+	Requests, Started, Rejected, Failed, Completed, Migrated, Cancelled, Adopted, Resumed int64
+	Offers, TimedOut, ConnectFailed, RejectedByWorker, Reset, Blocked                     int64
 }
 
-// Core is the request table round one decision module. It is not safe for
+// Dispatcher is the request table round one decision module. It is not safe for
 // concurrent use.
-type Core struct {
-	placer    *placement.Placer
+type Dispatcher struct {
+	placer    *placement.Scheduler
 	set       placement.Settings
 	effects   map[string]placement.Effect
-	nodes     Nodes
+	nodes     WorkerPool
 	log       *slog.Logger
 	now       int64
 	reqs      map[string]*request
@@ -111,8 +111,8 @@
 	alias     map[string]*request // further tags of resumed requests
 	silent    map[string]*request // released, and of their end nothing is known
 	holdings  holdings
-	unclaimed unclaimedEnds     // of tasks that are not known
-	past      map[string]Answer // final words on set-ups that may be repeated
+	unclaimed unclaimedEnds       // of tasks that are not known
+	past      map[string]Response // final words on set-ups that may be repeated
 	pastAge   []string
 	due       dues
 	bells     bells
@@ -130,22 +130,22 @@
 	spread    spread
 	sweepAt   int64
 	counts    Counts
-	ends      map[string]Ends // by class
+	ends      map[string]ClassTotals // by class
 	roster    roster
 	tracer    Tracer
 }
 
 // New returns a core that decides with a new module.
-func New(s placement.Settings, seed uint64, nodes Nodes, log *slog.Logger) (*Core, error) {
+func New(s placement.Settings, seed uint64, nodes WorkerPool, log *slog.Logger) (*Dispatcher, error) {
 	p, err := placement.New(s, seed)
 	if err != nil {
 		return nil, fmt.Errorf("core: %w", err)
 	}
-	c := &Core{placer: p, set: s, effects: map[string]placement.Effect{}, nodes: nodes, log: log,
+	c := &Dispatcher{placer: p, set: s, effects: map[string]placement.Effect{}, nodes: nodes, log: log,
 		reqs: map[string]*request{}, keys: map[string]*request{}, alias: map[string]*request{},
-		silent: map[string]*request{}, holdings: holdings{}, unclaimed: unclaimedEnds{byTag: map[string]unclaimedEnd{}}, past: map[string]Answer{}, told: map[string]int64{}, listed: map[string]bool{},
-		advisor: backpressure.New(StormSettings(s), seed), classes: map[string]int{}, held: make([]float64, len(s.Classes)),
-		tracer: Tracer{Log: log}, ends: map[string]Ends{},
+		silent: map[string]*request{}, holdings: holdings{}, unclaimed: unclaimedEnds{byTag: map[string]unclaimedEnd{}}, past: map[string]Response{}, told: map[string]int64{}, listed: map[string]bool{},
+		advisor: backpressure.New(BackpressureSettings(s), seed), classes: map[string]int{}, held: make([]float64, len(s.Classes)),
+		tracer: Tracer{Log: log}, ends: map[string]ClassTotals{},
 		roster: roster{last: map[string]placement.Entry{}, out: map[string]bool{}, back: map[string]bool{}}}
 	for i, k := range s.Classes {
 		c.effects[k.Name] = k.Effect
@@ -155,10 +155,10 @@
 }
 
 // Counts returns what was seen so far.
-func (c *Core) Counts() Counts { return c.counts }
+func (c *Dispatcher) Counts() Counts { return c.counts }
 
-// Open is how many requests are owed an answer.
-func (c *Core) Open() (n int) {
+// OpenCount is how many requests are owed an answer.
+func (c *Dispatcher) OpenCount() (n int) {
 	for _, r := range c.reqs {
 		if r.open() {
 			n++
@@ -167,8 +167,8 @@
 	return n
 }
 
-// Standing is how many tasks stand.
-func (c *Core) Standing() (n int) {
+// RunningCount is how many tasks stand.
+func (c *Dispatcher) RunningCount() (n int) {
 	for _, r := range c.reqs {
 		if r.state == standing {
 			n++
@@ -177,7 +177,7 @@
 	return n
 }
 
-func (c *Core) event(e placement.Event) { c.events = append(c.events, e) }
+func (c *Dispatcher) event(e placement.Event) { c.events = append(c.events, e) }
 
 // number turns a name into the module's number for it.
 func number(name string) uint64 {
@@ -190,7 +190,7 @@
 }
 
 // find returns the live request that owners know by a tag.
-func (c *Core) find(tag string) *request {
+func (c *Dispatcher) find(tag string) *request {
 	if r := c.reqs[tag]; r != nil {
 		return r
 	}
@@ -198,16 +198,16 @@
 }
 
 // forget is the one place where a request leaves the table.
-func (c *Core) forget(r *request) {
+func (c *Dispatcher) forget(r *request) {
 	c.disarm(r)
 	c.to(r, gone)
-	if c.reqs[r.Tag] == r {
-		delete(c.reqs, r.Tag)
+	if c.reqs[r.RequestID] == r {
+		delete(c.reqs, r.RequestID)
 	}
 	if c.keys[r.Key] == r {
 		delete(c.keys, r.Key)
 	}
-	if r.reply != r.Tag {
+	if r.reply != r.RequestID {
 		for tag, o := range c.alias {
 			if o == r {
 				delete(c.alias, tag)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -28,17 +28,17 @@
 
 func settings() placement.Settings {
 	return placement.Settings{
-		FleetSize: 1, HasView: true, Subscribe: true, CoresMultiple: 1, MemoryMultiple: 1, AttemptsCap: 3, TickUs: 2000,
-		AskWithinUs: 10_000 * ms, AnswerSlackUs: 8 * ms, DrainGraceUs: 2000 * ms, FreshOffers: 50, OverloadForUs: 3000 * ms,
-		ColdUs: 16_000 * ms, ColdShare: 0.2, UnitCores: 1, UnitMemory: 2,
+		FleetSize: 1, HasView: true, PollsDiscovery: true, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3, TickUs: 2000,
+		PollWithinUs: 10_000 * ms, AnswerSlackUs: 8 * ms, DrainGraceUs: 2000 * ms, SlowStartOffers: 50, SlowStartWindowUs: 3000 * ms,
+		WarmUpUs: 16_000 * ms, ColdStartRate: 0.2, UnitCores: 1, UnitMemory: 2,
 		Kinds: []placement.Kind{{Name: "std", Cores: 32, Memory: 64}},
 		Classes: []placement.Class{
-			{Name: "web", Effect: placement.Safe, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2, AimUs: 1000 * ms, DeadlineUs: 5000 * ms},
-			{Name: "cut", Effect: placement.Unsafe, Worth: 5, Kind: -1, Calm: 0.8, Fade: 0.2, AimUs: 6000 * ms, DeadlineUs: 9000 * ms},
-			{Name: "all", Effect: placement.Keyed, Group: placement.ScopeAll, WindowUs: 700 * ms, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2},
-			{Name: "zone", Effect: placement.Keyed, Group: placement.ScopeZone, WindowUs: 700 * ms, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2},
-			{Name: "cell", Effect: placement.Keyed, Group: placement.ScopeCell, WindowUs: 700 * ms, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2},
-			{Name: "apart", Effect: placement.Safe, Apart: placement.ScopeMachine, Most: 1, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2}},
+			{Name: "web", Effect: placement.Safe, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2, ObjectiveUs: 1000 * ms, DeadlineUs: 5000 * ms},
+			{Name: "cut", Effect: placement.Unsafe, Weight: 5, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2, ObjectiveUs: 6000 * ms, DeadlineUs: 9000 * ms},
+			{Name: "all", Effect: placement.Keyed, Group: placement.ScopeAll, WindowUs: 700 * ms, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2},
+			{Name: "zone", Effect: placement.Keyed, Group: placement.ScopeZone, WindowUs: 700 * ms, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2},
+			{Name: "cell", Effect: placement.Keyed, Group: placement.ScopeCell, WindowUs: 700 * ms, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2},
+			{Name: "apart", Effect: placement.Safe, Spread: placement.ScopeMachine, MaxPerDomain: 1, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2}},
 	}
 }
 
@@ -46,56 +46,56 @@
 // owners are told and fails where an invariant does not hold.
 type bench struct {
 	t interface{ Fatalf(string, ...any) }
-	*Core
+	*Dispatcher
 	now      int64
 	out      map[string]string // attempts out, by tag: the node
 	stands   map[string]string
-	final    map[string]AnswerKind // final answers
+	final    map[string]ResponseKind // final answers
 	mayRun   map[string]bool
 	deadline map[string]int64
 	drained  map[string]int64
 	class    map[string]string
 	offers   []string
-	told     []Answer
+	told     []Response
 	gaveUp   int
 	doubt    bool              // what is given up from now on is over only once proved
 	unproved map[string]string // given up and not proved to be over, by tag: the node
 }
 
 func newBench(t interface{ Fatalf(string, ...any) }) *bench {
-	b := &bench{t: t, now: 1_000_000 * ms, out: map[string]string{}, stands: map[string]string{}, final: map[string]AnswerKind{},
+	b := &bench{t: t, now: 1_000_000 * ms, out: map[string]string{}, stands: map[string]string{}, final: map[string]ResponseKind{},
 		mayRun: map[string]bool{}, deadline: map[string]int64{}, drained: map[string]int64{}, class: map[string]string{},
 		unproved: map[string]string{}}
 	c, err := New(settings(), 7, b, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	b.Core = c
+	b.Dispatcher = c
 	return b
 }
 
 func (b *bench) Offer(node string, o Offer) {
-	_, over := b.final[o.Tag]
+	_, over := b.final[o.RequestID]
 	at, drains := b.drained[node]
 	switch {
-	case b.out[o.Tag] != "":
-		b.t.Fatalf("%s: a second attempt is out", o.Tag)
-	case over || b.stands[o.Tag] != "":
-		b.t.Fatalf("%s: an offer after the end", o.Tag)
-	case o.Class == "cut" && b.mayRun[o.Tag]:
-		b.t.Fatalf("%s: may start twice", o.Tag)
+	case b.out[o.RequestID] != "":
+		b.t.Fatalf("%s: a second attempt is out", o.RequestID)
+	case over || b.stands[o.RequestID] != "":
+		b.t.Fatalf("%s: an offer after the end", o.RequestID)
+	case o.Class == "cut" && b.mayRun[o.RequestID]:
+		b.t.Fatalf("%s: may start twice", o.RequestID)
 	case drains && b.now > at+2000*ms:
-		b.t.Fatalf("%s: offered to %s, told to drain %d ms before", o.Tag, node, (b.now-at)/ms)
+		b.t.Fatalf("%s: offered to %s, told to drain %d ms before", o.RequestID, node, (b.now-at)/ms)
 	case !b.roster.owns(node):
-		b.t.Fatalf("%s: offered to %s, which is another orchestrator's", o.Tag, node)
-	case o.WaitUs <= 0 || b.now+o.WaitUs > b.deadline[o.Tag]:
-		b.t.Fatalf("%s: an offer that waits for %d", o.Tag, o.WaitUs)
+		b.t.Fatalf("%s: offered to %s, which is another orchestrator's", o.RequestID, node)
+	case o.TimeoutUs <= 0 || b.now+o.TimeoutUs > b.deadline[o.RequestID]:
+		b.t.Fatalf("%s: an offer that waits for %d", o.RequestID, o.TimeoutUs)
 	}
-	b.out[o.Tag] = node
-	b.offers = append(b.offers, o.Tag+"@"+node)
+	b.out[o.RequestID] = node
+	b.offers = append(b.offers, o.RequestID+"@"+node)
 }
 
-func (b *bench) GiveUp(node, tag string, _ bool) (sure bool) {
+func (b *bench) CancelAttempt(node, tag string, _ bool) (sure bool) {
 	if b.out[tag] != node || b.unproved[tag] != "" {
 		b.t.Fatalf("%s: an attempt given up at %s is not there", tag, node)
 	}
@@ -114,73 +114,73 @@
 	if node := b.unproved[tag]; node != "" {
 		delete(b.unproved, tag)
 		delete(b.out, tag)
-		b.NodeGaveUp(b.now, node, tag)
+		b.CancelConfirmed(b.now, node, tag)
 	}
 }
 
 func (b *bench) Release(node, tag string) {}
 func (b *bench) Probe(string)             {}
 
-func (b *bench) Answer(a Answer) {
+func (b *bench) Respond(a Response) {
 	b.told = append(b.told, a)
 	switch a.Kind {
-	case Over, Moved:
-		if b.stands[a.Tag] == "" {
-			b.t.Fatalf("%s: ended without having stood", a.Tag)
+	case Completed, Migrated:
+		if b.stands[a.RequestID] == "" {
+			b.t.Fatalf("%s: ended without having stood", a.RequestID)
 		}
-		delete(b.stands, a.Tag)
+		delete(b.stands, a.RequestID)
 		return
 	}
-	if was, ok := b.final[a.Tag]; ok {
-		b.t.Fatalf("%s: answered %v after %v", a.Tag, a.Kind, was)
+	if was, ok := b.final[a.RequestID]; ok {
+		b.t.Fatalf("%s: answered %v after %v", a.RequestID, a.Kind, was)
 	}
-	if b.now > b.deadline[a.Tag] {
-		b.t.Fatalf("%s: answered %d ms late", a.Tag, (b.now-b.deadline[a.Tag])/ms)
+	if b.now > b.deadline[a.RequestID] {
+		b.t.Fatalf("%s: answered %d ms late", a.RequestID, (b.now-b.deadline[a.RequestID])/ms)
 	}
-	if a.Kind == Refused && b.class[a.Tag] == "cut" && b.mayRun[a.Tag] {
-		b.t.Fatalf("%s: refused though it may have started", a.Tag)
+	if a.Kind == Rejected && b.class[a.RequestID] == "cut" && b.mayRun[a.RequestID] {
+		b.t.Fatalf("%s: refused though it may have started", a.RequestID)
 	}
-	b.final[a.Tag] = a.Kind
+	b.final[a.RequestID] = a.Kind
 }
 
 func (b *bench) submit(tag, class, key string, waitMs int64) error {
 	b.deadline[tag], b.class[tag] = b.now+waitMs*ms, class
-	return b.Submit(b.now, b, Setup{Tag: tag, Class: class, Key: key, WaitUs: waitMs * ms, Cores: 2, Mem: 4})
+	return b.Submit(b.now, b, Submission{RequestID: tag, Class: class, Key: key, TimeoutUs: waitMs * ms, Cores: 2, Memory: 4})
 }
 
-func (b *bench) list(kind placement.ListKind, state placement.State, names ...string) {
-	l := placement.List{Kind: kind}
+func (b *bench) list(kind placement.ListKind, state placement.WorkerState, names ...string) {
+	l := placement.WorkerList{Kind: kind}
 	for _, n := range names {
-		l.Entries = append(l.Entries, placement.Entry{Machine: n, Kind: "std", State: state, SpareCores: 32, SpareMem: 64})
+		l.Entries = append(l.Entries, placement.Entry{Worker: n, Kind: "std", State: state, FreeCores: 32, FreeMemory: 64})
 		if state == placement.Ready {
 			delete(b.drained, n)
 		} else if _, ok := b.drained[n]; !ok {
 			b.drained[n] = b.now
 		}
 	}
-	b.List(b.now, l)
+	b.UpdateWorkers(b.now, l)
 }
 
 func (b *bench) started(tag string) {
 	node := b.out[tag]
 	delete(b.out, tag)
 	b.stands[tag], b.mayRun[tag] = node, true
-	b.NodeStarted(b.now, node, tag, "by "+node)
+	b.AttemptAccepted(b.now, node, tag, "by "+node)
 }
 
-func (b *bench) ended(tag string, st placement.Status) {
+func (b *bench) ended(tag string, st placement.Outcome) {
 	node := b.out[tag]
 	if node == "" {
-		b.NodeEnded(b.now, b.stands[tag], tag, st, 0)
+		b.TaskEnded(b.now, b.stands[tag], tag, st, 0)
 		return
 	}
 	delete(b.out, tag)
 	switch st {
-	case placement.Full, placement.ConnectFailed, placement.Moot:
+	case placement.Rejected, placement.ConnectFailed, placement.NeverSent:
 	default:
 		b.mayRun[tag] = true
 	}
-	b.NodeEnded(b.now, node, tag, st, 0)
+	b.TaskEnded(b.now, node, tag, st, 0)
 }
 
 // pass lets time go on, turn by turn, whenever the core asks for one.
@@ -188,7 +188,7 @@
 	end := b.now + d
 	b.Turn(b.now)
 	for n := 0; ; n++ {
-		next := b.Next()
+		next := b.NextDeadline()
 		if next == 0 || next > end {
 			break
 		}
@@ -207,14 +207,14 @@
 	held := map[string]int{}
 	for _, requests := range []map[string]*request{b.reqs, b.silent} {
 		for _, r := range requests {
-			if _, silent := b.silent[r.Tag]; r.state.holds() || silent && r == b.silent[r.Tag] {
+			if _, silent := b.silent[r.RequestID]; r.state.holds() || silent && r == b.silent[r.RequestID] {
 				held[r.node]++
 			}
 		}
 	}
 	for node := range b.holdings {
-		if b.Holding(node).Tasks != held[node] {
-			b.t.Fatalf("%s holds %d tasks, %d are counted", node, held[node], b.Holding(node).Tasks)
+		if b.TasksOn(node).Count != held[node] {
+			b.t.Fatalf("%s holds %d tasks, %d are counted", node, held[node], b.TasksOn(node).Count)
 		}
 		delete(held, node)
 	}
@@ -256,33 +256,33 @@
 					b.started(tag)
 				}
 			case 4:
-				st := rapid.SampledFrom([]placement.Status{placement.OK, placement.Failed, placement.Full, placement.ConnectFailed,
-					placement.Reset, placement.Cancelled, placement.Moot}).Draw(t, "status")
+				st := rapid.SampledFrom([]placement.Outcome{placement.Completed, placement.Failed, placement.Rejected, placement.ConnectFailed,
+					placement.Reset, placement.Cancelled, placement.NeverSent}).Draw(t, "status")
 				b.ended(tag, st)
 				delete(b.stands, tag)
 			case 5:
-				if b.Withdraw(b.now, b, tag) != NotFound {
+				if b.Cancel(b.now, b, tag) != NotFound {
 					withdrawn[tag] = true
 					delete(b.stands, tag)
 				}
 			case 6:
 				node := rapid.SampledFrom(nodes).Draw(t, "node")
-				state := rapid.SampledFrom([]placement.State{placement.Ready, placement.Draining, placement.Gone}).Draw(t, "state")
+				state := rapid.SampledFrom([]placement.WorkerState{placement.Ready, placement.Draining, placement.Removed}).Draw(t, "state")
 				b.list(placement.ListDelta, state, node)
 			case 7:
-				b.NodeStarted(b.now, rapid.SampledFrom(nodes).Draw(t, "stray"), "nobody's", "")
+				b.AttemptAccepted(b.now, rapid.SampledFrom(nodes).Draw(t, "stray"), "nobody's", "")
 			case 8:
 				b.proved(tag)
 			case 9:
 				b.doubt = !b.doubt
 			case 10:
 				own := rapid.SampledFrom(append(nodes, "")).Draw(t, "own") // "": all
-				b.Own(b.now, func(node string) bool { return own == "" || node == own })
+				b.SetAssignedWorkers(b.now, func(node string) bool { return own == "" || node == own })
 			}
 			b.pass(rapid.Int64Range(0, 1500).Draw(t, "ms") * ms)
 			b.checkHoldings()
 		}
-		b.Own(b.now, nil)
+		b.SetAssignedWorkers(b.now, nil)
 		b.pass(10_000 * ms)
 		b.checkHoldings()
 		for _, tag := range tags {
@@ -310,7 +310,7 @@
 	if b.out["t2"] == "a" {
 		late = "b"
 	}
-	b.NodeStarted(b.now, late, "t2", "late")
+	b.AttemptAccepted(b.now, late, "t2", "late")
 	if k, ok := b.final["t2"]; ok && k == Started || len(b.told) != 1 {
 		t.Errorf("told %v", b.told)
 	}
@@ -329,11 +329,11 @@
 		b.submit(tag, "web", "k"+tag, 2000)
 	}
 	b.pass(1000 * ms) // no second offer of any, or the bench fails
-	if n := len(b.offers); n != 5 || len(b.unproved) != 4 || b.Open() != 4 {
-		t.Fatalf("offers %v, given up %v, open %d", b.offers, b.unproved, b.Open())
+	if n := len(b.offers); n != 5 || len(b.unproved) != 4 || b.OpenCount() != 4 {
+		t.Fatalf("offers %v, given up %v, open %d", b.offers, b.unproved, b.OpenCount())
 	}
 	node := b.unproved["t1"]
-	b.NodeGaveUp(b.now, "c", "t1") // another's word proves nothing
+	b.CancelConfirmed(b.now, "c", "t1") // another's word proves nothing
 	b.pass(0)
 	b.proved("t1")
 	b.pass(0)
@@ -346,19 +346,19 @@
 		t.Errorf("after a reset: offers %v", b.offers)
 	}
 	b.proved("t1")
-	if b.Withdraw(b.now, b, "t2") != WasOpen {
+	if b.Cancel(b.now, b, "t2") != WasOpen {
 		t.Error("t2 could not be withdrawn")
 	}
 	if !slices.ContainsFunc(b.events, func(e placement.Event) bool {
-		d, ok := e.(placement.Done)
-		return ok && d.Ticket == "t2"
+		d, ok := e.(placement.AttemptEnded)
+		return ok && d.RequestID == "t2"
 	}) {
 		t.Errorf("the module does not hear of the end of t2's attempt: %v", b.events)
 	}
 	b.proved("t2")
 	b.pass(2000 * ms)
-	if k, ok := b.final["t3"]; !ok || k != Refused || b.Open() != 0 {
-		t.Errorf("t3 got %v, %d open", k, b.Open())
+	if k, ok := b.final["t3"]; !ok || k != Rejected || b.OpenCount() != 0 {
+		t.Errorf("t3 got %v, %d open", k, b.OpenCount())
 	}
 	b.proved("t3")
 	if b.pass(2000 * ms); len(b.offers) > 8 {
@@ -366,7 +366,7 @@
 	}
 }
 
-// Tasks that stand end when their node has died, or has left the list for long.
+// Count that stand end when their node has died, or has left the list for long.
 func TestLostNodes(t *testing.T) {
 	b := newBench(t)
 	b.list(placement.ListFull, placement.Ready, "a")
@@ -376,24 +376,24 @@
 	b.submit("t2", "web", "k2", 5000)
 	b.pass(10 * ms)
 	b.started("t2")
-	b.ended("t2", placement.OK)
-	b.NodeLost(b.now, "a")
+	b.ended("t2", placement.Completed)
+	b.WorkerDied(b.now, "a")
 	b.submit("t3", "web", "k3", 5000)
 	b.pass(10 * ms)
 	b.started("t3")
-	b.list(placement.ListDelta, placement.Gone, "a")
+	b.list(placement.ListDelta, placement.Removed, "a")
 	b.pass(1000 * ms)
-	if n := b.Standing(); n != 1 {
+	if n := b.RunningCount(); n != 1 {
 		t.Fatalf("%d tasks stand just after the node left the list", n)
 	}
 	b.pass(5000 * ms)
 	var over []string
 	for _, a := range b.told {
-		if a.Kind == Over {
-			over = append(over, fmt.Sprint(a.Tag, a.Status))
+		if a.Kind == Completed {
+			over = append(over, fmt.Sprint(a.RequestID, a.Outcome))
 		}
 	}
-	if fmt.Sprint(over) != "[t21 t16 t36]" || b.Standing() != 0 {
+	if fmt.Sprint(over) != "[t21 t16 t36]" || b.RunningCount() != 0 {
 		t.Errorf("ended: %v", over)
 	}
 }
@@ -402,8 +402,8 @@
 // that is cut off runs it on. Its owner may use its names again before.
 func TestReleasedAtASilentNode(t *testing.T) {
 	for name, end := range map[string]func(b *bench){
-		"told":          func(b *bench) { b.NodeEnded(b.now, "a", "t1", placement.Cancelled, 0) },
-		"its node died": func(b *bench) { b.NodeLost(b.now, "a") },
+		"told":          func(b *bench) { b.TaskEnded(b.now, "a", "t1", placement.Cancelled, 0) },
+		"its node died": func(b *bench) { b.WorkerDied(b.now, "a") },
 		"silent for long": func(b *bench) {
 			for range maxSilent / (100 * ms) {
 				if len(b.silent) > 0 {
@@ -412,7 +412,7 @@
 			}
 		},
 		"its node left and came back": func(b *bench) {
-			b.list(placement.ListDelta, placement.Gone, "a")
+			b.list(placement.ListDelta, placement.Removed, "a")
 			b.pass(1000 * ms)
 			b.list(placement.ListDelta, placement.Ready, "a")
 		},
@@ -422,7 +422,7 @@
 			b.list(placement.ListFull, placement.Ready, "a")
 			submit := func(tag string) {
 				b.deadline[tag], b.class[tag] = b.now+90_000*ms, "apart"
-				s := Setup{Tag: tag, Class: "apart", Key: "k", Service: 7, WaitUs: 90_000 * ms, Cores: 2, Mem: 4, Resumes: true}
+				s := Submission{RequestID: tag, Class: "apart", Key: "k", Program: 7, TimeoutUs: 90_000 * ms, Cores: 2, Memory: 4, Resumable: true}
 				if err := b.Submit(b.now, b, s); err != nil {
 					t.Fatal(err)
 				}
@@ -430,22 +430,22 @@
 			}
 			submit("t1")
 			b.started("t1")
-			if b.Withdraw(b.now, nil, "t1") != WasStanding {
+			if b.Cancel(b.now, nil, "t1") != WasRunning {
 				t.Fatal("it does not stand")
 			}
 			b.pass(2000 * ms)
 			submit("t2")
-			if b.pass(2000 * ms); len(b.offers) != 1 || !b.Leaves("t1") || b.Holding("a").Tasks != 1 {
-				t.Fatalf("offers %v, held %v", b.offers, b.Holding("a"))
+			if b.pass(2000 * ms); len(b.offers) != 1 || !b.IsTerminating("t1") || b.TasksOn("a").Count != 1 {
+				t.Fatalf("offers %v, held %v", b.offers, b.TasksOn("a"))
 			}
-			if err := b.submit("t1", "web", "k1", 1000); !errors.Is(err, ErrTag) {
+			if err := b.submit("t1", "web", "k1", 1000); !errors.Is(err, ErrRequestIDInUse) {
 				t.Errorf("its tag again: %v", err)
 			}
-			if err := b.Submit(b.now, b, Setup{Tag: "t1", Class: "apart", Key: "k", At: "a"}); err != nil || b.Counts().Opened != 0 {
-				t.Errorf("handed in as running: %v, %d", err, b.Counts().Opened)
+			if err := b.Submit(b.now, b, Submission{RequestID: "t1", Class: "apart", Key: "k", RunningOn: "a"}); err != nil || b.Counts().Adopted != 0 {
+				t.Errorf("handed in as running: %v, %d", err, b.Counts().Adopted)
 			}
 			end(b)
-			if b.pass(100 * ms); fmt.Sprint(b.offers) != "[t1@a t2@a]" || b.Leaves("t1") || len(b.silent) > 0 {
+			if b.pass(100 * ms); fmt.Sprint(b.offers) != "[t1@a t2@a]" || b.IsTerminating("t1") || len(b.silent) > 0 {
 				t.Errorf("offers %v, %d set aside", b.offers, len(b.silent))
 			}
 		})
@@ -459,23 +459,23 @@
 	b.list(placement.ListFull, placement.Ready, "a")
 	for _, tag := range []string{"t1", "t2"} {
 		for range 2 { // told twice, as the orchestrator may hold it already
-			if err := b.Submit(b.now, b, Setup{Tag: tag, Class: "cut", Key: tag, Cores: 1, Mem: 1, At: "a"}); err != nil {
+			if err := b.Submit(b.now, b, Submission{RequestID: tag, Class: "cut", Key: tag, Cores: 1, Memory: 1, RunningOn: "a"}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		b.stands[tag] = "a"
 	}
 	b.pass(100 * ms)
-	if b.Withdraw(b.now, nil, "t1") != WasStanding {
+	if b.Cancel(b.now, nil, "t1") != WasRunning {
 		t.Error("t1 did not stand")
 	}
-	b.NodeEnded(b.now, "a", "t1", placement.Cancelled, 0)
-	b.ended("t2", placement.OK)
+	b.TaskEnded(b.now, "a", "t1", placement.Cancelled, 0)
+	b.ended("t2", placement.Completed)
 	b.pass(100 * ms)
-	if len(b.told) != 1 || b.told[0].Tag != "t2" || b.told[0].Kind != Over {
+	if len(b.told) != 1 || b.told[0].RequestID != "t2" || b.told[0].Kind != Completed {
 		t.Errorf("told %v", b.told)
 	}
-	if c := b.Counts(); c.Opened != 2 || c.Requests != 0 {
+	if c := b.Counts(); c.Adopted != 2 || c.Requests != 0 {
 		t.Errorf("counts %+v", c)
 	}
 }
@@ -487,17 +487,17 @@
 	b.submit("t1", "cut", "k1", 5000)
 	b.pass(10 * ms)
 	r := b.find("t1")
-	b.act(placement.Place{Ticket: "t1", Machine: "b"}) // one is out
+	b.act(placement.Place{RequestID: "t1", Worker: "b"}) // one is out
 	b.ended("t1", placement.Failed)
-	b.act(placement.Place{Ticket: "t1", Machine: "b"}) // it may have started
-	b.act(placement.Deny{Ticket: "t1"})                // and can't be refused
-	b.act(placement.Place{Ticket: "t1", Machine: "b"}) // it is over
+	b.act(placement.Place{RequestID: "t1", Worker: "b"}) // it may have started
+	b.act(placement.Reject{RequestID: "t1"})             // and can't be refused
+	b.act(placement.Place{RequestID: "t1", Worker: "b"}) // it is over
 	b.submit("t2", "web", "k2", 5000)
 	b.list(placement.ListDelta, placement.Draining, "b")
 	b.now += 1900 * ms
-	b.Core.now = b.now
-	b.act(placement.Place{Ticket: "t2", Machine: "b"}) // told to drain long before
-	if len(b.offers) != 1 || b.final["t1"] != Failed || r.state != gone || b.Counts().Guarded != 3 {
+	b.Dispatcher.now = b.now
+	b.act(placement.Place{RequestID: "t2", Worker: "b"}) // told to drain long before
+	if len(b.offers) != 1 || b.final["t1"] != Failed || r.state != gone || b.Counts().Blocked != 3 {
 		t.Errorf("offers %v, answer %v, counts %+v", b.offers, b.final["t1"], b.Counts())
 	}
 }
@@ -506,13 +506,13 @@
 // it came before.
 func TestTaskToldWhole(t *testing.T) {
 	b := newBench(t)
-	s := Setup{Tag: "9b1f03aa5c7e2d41", Class: "web", Key: "k", WaitUs: 5000 * ms, Cores: 1, Mem: 1, Tenant: "studio",
-		HintUs: 4_409_900, Again: true}
+	s := Submission{RequestID: "9b1f03aa5c7e2d41", Class: "web", Key: "k", TimeoutUs: 5000 * ms, Cores: 1, Memory: 1, Tenant: "studio",
+		ExpectedRunUs: 4_409_900, Retry: true}
 	if err := b.Submit(b.now, b, s); err != nil {
 		t.Fatal(err)
 	}
 	r, ok := b.events[len(b.events)-1].(placement.Request)
-	if !ok || r.Tenant != "studio" || !r.Hinted || r.LastsUs != 4_409_900 || !r.Again {
+	if !ok || r.Tenant != "studio" || !r.HasRunHint || r.ExpectedRunUs != 4_409_900 || !r.Retry {
 		t.Errorf("got %+v", b.events)
 	}
 }
@@ -524,38 +524,38 @@
 	for _, c := range []struct {
 		class  string
 		leaves map[string]bool // in the window, by node
-		answer AnswerKind
+		answer ResponseKind
 	}{
-		{"all", map[string]bool{"a": true, "near": true, "hall": true, "far": true}, Refused},
+		{"all", map[string]bool{"a": true, "near": true, "hall": true, "far": true}, Rejected},
 		{"zone", map[string]bool{"a": true, "near": true, "hall": true, "far": false, "left": false}, Failed},
 		{"cell", map[string]bool{"a": true, "near": true, "hall": false, "far": false, "left": false}, Failed},
-		{"web", map[string]bool{"a": true, "far": true, "left": true}, Refused},
+		{"web", map[string]bool{"a": true, "far": true, "left": true}, Rejected},
 		{"cut", map[string]bool{"a": true}, Failed},
 	} {
 		b := newBench(t)
 		ready := func(name, zone string, cell int) placement.Entry {
-			return placement.Entry{Machine: name, Kind: "std", Zone: zone, Cell: cell, SpareCores: 32, SpareMem: 64}
+			return placement.Entry{Worker: name, Kind: "std", Zone: zone, Cell: cell, FreeCores: 32, FreeMemory: 64}
 		}
-		b.List(b.now, placement.List{Kind: placement.ListFull, Entries: []placement.Entry{ready("a", "h1", 1)}})
+		b.UpdateWorkers(b.now, placement.WorkerList{Kind: placement.ListFull, Entries: []placement.Entry{ready("a", "h1", 1)}})
 		b.submit("t1", c.class, "k1", 2000)
 		b.pass(10 * ms)
 		at := b.now - 10*ms
-		b.List(b.now, placement.List{Entries: []placement.Entry{ready("near", "h1", 1), ready("hall", "h1", 2), ready("far", "h2", 3)}})
+		b.UpdateWorkers(b.now, placement.WorkerList{Entries: []placement.Entry{ready("near", "h1", 1), ready("hall", "h1", 2), ready("far", "h2", 3)}})
 		if b.doubt = true; b.out["t1"] != "a" {
 			t.Fatalf("%s: offers %v", c.class, b.offers)
 		}
-		b.NodeEnded(b.now, "a", "t1", placement.Reset, 0)
+		b.TaskEnded(b.now, "a", "t1", placement.Reset, 0)
 		for node, leaves := range c.leaves {
-			if why := b.MayLeave(at+699*ms, node, "t1"); (why == "") != leaves {
+			if why := b.CheckOffer(at+699*ms, node, "t1"); (why == "") != leaves {
 				t.Errorf("%s to %s in the window: %q", c.class, node, why)
 			}
-			if why := b.MayLeave(at+700*ms, node, "t1"); (why == "") != (leaves && b.effects[c.class] != placement.Keyed) {
+			if why := b.CheckOffer(at+700*ms, node, "t1"); (why == "") != (leaves && b.effects[c.class] != placement.Keyed) {
 				t.Errorf("%s to %s past the window: %q", c.class, node, why)
 			}
 		}
-		b.Took(200 * ms) // what is placed leaves at the end of a turn
+		b.ObserveTurn(200 * ms) // what is placed leaves at the end of a turn
 		for passed, open := range map[int64]bool{499 * ms: true, 500 * ms: b.effects[c.class] != placement.Keyed} {
-			if why := b.MayLeave(at+passed, "a", "t1"); (why == "") != (open && c.leaves["a"]) {
+			if why := b.CheckOffer(at+passed, "a", "t1"); (why == "") != (open && c.leaves["a"]) {
 				t.Errorf("%s after %d ms, under long turns: %q", c.class, passed/ms, why)
 			}
 		}
@@ -568,9 +568,9 @@
 
 // endings are the ways in which a request or a task ends.
 var endings = map[string]func(b *bench, tag string){
-	"withdrawn":           func(b *bench, tag string) { b.Withdraw(b.now, b, tag) },
-	"refused by its node": func(b *bench, tag string) { b.ended(tag, placement.Full); b.Withdraw(b.now, b, tag) },
-	"an error":            func(b *bench, tag string) { b.ended(tag, placement.Failed); b.Withdraw(b.now, b, tag) },
+	"withdrawn":           func(b *bench, tag string) { b.Cancel(b.now, b, tag) },
+	"refused by its node": func(b *bench, tag string) { b.ended(tag, placement.Rejected); b.Cancel(b.now, b, tag) },
+	"an error":            func(b *bench, tag string) { b.ended(tag, placement.Failed); b.Cancel(b.now, b, tag) },
 	"out of time":         func(b *bench, _ string) { b.pass(3000 * ms) },
 	"out of time and not proved": func(b *bench, tag string) {
 		b.doubt = true
@@ -578,16 +578,16 @@
 		b.proved(tag)
 		b.doubt = false
 	},
-	"stood and ended": func(b *bench, tag string) { b.started(tag); b.ended(tag, placement.OK); delete(b.stands, tag) },
+	"stood and ended": func(b *bench, tag string) { b.started(tag); b.ended(tag, placement.Completed); delete(b.stands, tag) },
 	"released": func(b *bench, tag string) {
 		b.started(tag)
-		b.Withdraw(b.now, b, tag)
+		b.Cancel(b.now, b, tag)
 		b.pass(1000 * ms)
-		b.NodeEnded(b.now, b.stands[tag], tag, placement.Cancelled, 0)
+		b.TaskEnded(b.now, b.stands[tag], tag, placement.Cancelled, 0)
 		delete(b.stands, tag)
 	},
-	"its node died":            func(b *bench, tag string) { b.started(tag); b.NodeLost(b.now, b.stands[tag]) },
-	"its connection is closed": func(b *bench, tag string) { b.Refuse(b.now, b, tag) },
+	"its node died":            func(b *bench, tag string) { b.started(tag); b.WorkerDied(b.now, b.stands[tag]) },
+	"its connection is closed": func(b *bench, tag string) { b.Reject(b.now, b, tag) },
 }
 
 // Of what has ended, in whatever way, nothing is kept.
@@ -607,7 +607,7 @@
 				b.pass(10 * ms)
 				clear(b.out)
 			}
-			c := b.Core
+			c := b.Dispatcher
 			if len(c.due) > 0 {
 				t.Errorf("%d times to come", len(c.due))
 			}
--- a/internal/dispatch/ends.go
+++ b/internal/dispatch/ends.go
@@ -4,10 +4,10 @@
 // must never count a class that the settings lack: whoever names some of its own would
 // make it grow.
 
-// Ends counts what became of the requests of one class.
-type Ends struct{ Started, Refused, Failed int64 }
+// ClassTotals counts what became of the requests of one class.
+type ClassTotals struct{ Started, Rejected, Failed int64 }
 
-func (c *Core) tally(class string, kind AnswerKind) {
+func (c *Dispatcher) tally(class string, kind ResponseKind) {
 	if _, ok := c.classes[class]; !ok {
 		return
 	}
@@ -15,17 +15,17 @@
 	switch kind {
 	case Started:
 		e.Started++
-	case Refused:
-		e.Refused++
+	case Rejected:
+		e.Rejected++
 	case Failed:
 		e.Failed++
 	}
 	c.ends[class] = e
 }
 
-// Ends returns what became of the requests of each class of the settings.
-func (c *Core) Ends() map[string]Ends {
-	out := map[string]Ends{}
+// ClassTotals returns what became of the requests of each class of the settings.
+func (c *Dispatcher) ClassTotals() map[string]ClassTotals {
+	out := map[string]ClassTotals{}
 	for name := range c.classes {
 		out[name] = c.ends[name]
 	}
--- a/internal/dispatch/holdings.go
+++ b/internal/dispatch/holdings.go
@@ -27,31 +27,31 @@
 // holds reports whether a request in this state takes room at its node.
 func (s state) holds() bool { return s == standing || s == leaving }
 
-// Holding is what stands at a node, or is being ended there.
-type Holding struct {
-	Tasks int
-	Since int64 // when the oldest was offered, 0 for one that was handed in as standing
+// TasksOn is what stands at a node, or is being ended there.
+type TaskSummary struct {
+	Count        int
+	OldestSentAt int64 // when the oldest was offered, 0 for one that was handed in as standing
 }
 
-// Holding is what stands at a node, or is being ended there.
-func (c *Core) Holding(node string) (h Holding) {
+// TasksOn is what stands at a node, or is being ended there.
+func (c *Dispatcher) TasksOn(node string) (h TaskSummary) {
 	for i, r := range c.holdings[node] {
-		if h.Tasks++; i == 0 || r.sentAt < h.Since {
-			h.Since = r.sentAt
+		if h.Count++; i == 0 || r.sentAt < h.OldestSentAt {
+			h.OldestSentAt = r.sentAt
 		}
 	}
 	return h
 }
 
-// Holds reports whether anything stands at a node, or is being ended there.
-func (c *Core) Holds(node string) bool { return len(c.holdings[node]) > 0 }
+// HasTasksOn reports whether anything stands at a node, or is being ended there.
+func (c *Dispatcher) HasTasksOn(node string) bool { return len(c.holdings[node]) > 0 }
 
-// Holders are the nodes at which anything stands, or is being ended, by name.
-func (c *Core) Holders() []string { return slices.Sorted(maps.Keys(c.holdings)) }
+// WorkersWithTasks are the nodes at which anything stands, or is being ended, by name.
+func (c *Dispatcher) WorkersWithTasks() []string { return slices.Sorted(maps.Keys(c.holdings)) }
 
 // orphans are the tasks that have stood for orphanAfter at a node that no list names, by tag, so that
 // the same happenings give the same actions.
-func (c *Core) orphans() (found []*request) {
+func (c *Dispatcher) orphans() (found []*request) {
 	for node, tasks := range c.holdings {
 		listed := c.listed[node]
 		for _, r := range tasks {
--- a/internal/dispatch/nodes.go
+++ b/internal/dispatch/nodes.go
@@ -7,27 +7,27 @@
 
 // Offer is an attempt as a node gets it.
 type Offer struct {
-	Tag, Class, Key, Idem string
-	WaitUs                int64
-	Description           string
+	RequestID, Class, Key, Idem string
+	TimeoutUs                   int64
+	Description                 string
 }
 
-// Nodes carries offers to nodes. What comes of them is told with NodeStarted,
-// NodeEnded, NodeNote and NodeSampled, never from within these calls.
-type Nodes interface {
+// WorkerPool carries offers to nodes. What comes of them is told with AttemptAccepted,
+// TaskEnded, TaskReported and ProbeAnswered, never from within these calls.
+type WorkerPool interface {
 	Offer(node string, o Offer)
-	// GiveUp withdraws an offer that was not answered, ahead of whatever is offered
+	// CancelAttempt withdraws an offer that was not answered, ahead of whatever is offered
 	// after it; again says that another attempt may follow. It reports whether the attempt
-	// is over for sure; where it is not, NodeGaveUp tells when it is.
-	GiveUp(node, tag string, again bool) (sure bool)
+	// is over for sure; where it is not, CancelConfirmed tells when it is.
+	CancelAttempt(node, tag string, again bool) (sure bool)
 	// Release ends a task that stands.
 	Release(node, tag string)
 	Probe(node string)
 }
 
-// NodeStarted takes a node's word that a task stands. A word on an attempt
+// AttemptAccepted takes a node's word that a task stands. A word on an attempt
 // that was given up changes nothing: its owner got another answer, or will.
-func (c *Core) NodeStarted(now int64, node, tag, description string) {
+func (c *Dispatcher) AttemptAccepted(now int64, node, tag, description string) {
 	c.now = now
 	r := c.reqs[tag]
 	if r == nil || r.state != out || r.node != node {
@@ -39,15 +39,15 @@
 	c.counts.Started++
 	c.advisor.Started(now, r.caller())
 	c.disarm(r)
-	c.event(placement.Accepted{Ticket: tag, Attempt: r.copy, Machine: node, RTTUs: now - r.sentAt})
-	if r.Resumes {
+	c.event(placement.Accepted{RequestID: tag, Attempt: r.copy, Worker: node, RTTUs: now - r.sentAt})
+	if r.Resumable {
 		r.binding = description
 	}
-	c.answer(r, Answer{Kind: Started, Description: description, Node: node})
+	c.answer(r, Response{Kind: Started, Description: description, Worker: node})
 }
 
-// NodeEnded takes the end of an attempt or of a task that stands.
-func (c *Core) NodeEnded(now int64, node, tag string, st placement.Status, why placement.Why) {
+// TaskEnded takes the end of an attempt or of a task that stands.
+func (c *Dispatcher) TaskEnded(now int64, node, tag string, st placement.Outcome, why placement.Cause) {
 	c.now = now
 	r := c.reqs[tag]
 	if r := c.silent[tag]; r != nil && r.node == node {
@@ -61,15 +61,15 @@
 	switch r.state {
 	case out:
 		switch st {
-		case placement.OK, placement.Cancelled:
+		case placement.Completed, placement.Cancelled:
 			st = placement.Reset
 		}
 		c.ended(r, st, why)
 	case ending:
-		c.ended(r, r.endAs, placement.WhyUntold)
+		c.ended(r, r.endAs, placement.CauseUnknown)
 	case standing, leaving:
 		switch st {
-		case placement.OK, placement.Cancelled, placement.Reset:
+		case placement.Completed, placement.Cancelled, placement.Reset:
 		default:
 			st = placement.Reset
 		}
@@ -77,13 +77,13 @@
 	}
 }
 
-// NodeGaveUp takes it that an attempt that was given up is over for sure: the node has
+// CancelConfirmed takes it that an attempt that was given up is over for sure: the node has
 // read the give-up, or its connection is closed.
-func (c *Core) NodeGaveUp(now int64, node, tag string) {
+func (c *Dispatcher) CancelConfirmed(now int64, node, tag string) {
 	c.now = now
 	if r := c.reqs[tag]; r != nil && r.node == node && r.state == ending {
 		c.trace("given up for sure", r)
-		c.ended(r, r.endAs, placement.WhyUntold)
+		c.ended(r, r.endAs, placement.CauseUnknown)
 	}
 }
 
@@ -91,10 +91,10 @@
 // out for this request, and the module hears of the end, and may offer elsewhere, only
 // once the attempt is over for sure: a give-up that is still on its way, or lies in a
 // connection that fell silent, ends nothing. The answer does not wait for that.
-func (c *Core) giveUp(r *request, st placement.Status) {
+func (c *Dispatcher) giveUp(r *request, st placement.Outcome) {
 	again := c.now < r.deadline && c.mayFollow(r) == ""
-	if sure := c.nodes.GiveUp(r.node, r.Tag, again); sure || c.now >= r.deadline {
-		c.ended(r, st, placement.WhyUntold)
+	if sure := c.nodes.CancelAttempt(r.node, r.RequestID, again); sure || c.now >= r.deadline {
+		c.ended(r, st, placement.CauseUnknown)
 		return
 	}
 	c.to(r, ending)
@@ -104,13 +104,13 @@
 }
 
 // ended is the end of an attempt that was not answered with yes.
-func (c *Core) ended(r *request, st placement.Status, why placement.Why) {
+func (c *Dispatcher) ended(r *request, st placement.Outcome, why placement.Cause) {
 	switch st {
-	case placement.Full:
-		c.counts.Full++
+	case placement.Rejected:
+		c.counts.RejectedByWorker++
 	case placement.ConnectFailed:
 		c.counts.ConnectFailed++
-	case placement.Moot:
+	case placement.NeverSent:
 	case placement.TimedOut:
 		c.counts.TimedOut++
 		c.mayHaveRun(r)
@@ -124,7 +124,7 @@
 }
 
 // mayHaveRun notes that the attempt of r which is out, or was last, may have started.
-func (c *Core) mayHaveRun(r *request) {
+func (c *Dispatcher) mayHaveRun(r *request) {
 	if r.mayRun {
 		return
 	}
@@ -134,45 +134,45 @@
 
 // over is the end of a task that stood. Its owner is told, but where it asked
 // for the end itself.
-func (c *Core) over(r *request, st placement.Status, why placement.Why) {
+func (c *Dispatcher) over(r *request, st placement.Outcome, why placement.Cause) {
 	c.advisor.Ended(c.now, r.caller())
 	c.done(r, st, why, true)
 	if r.state == standing && st != placement.Cancelled {
-		c.counts.Over++
-		c.answer(r, Answer{Kind: Over, Status: st, Why: why})
+		c.counts.Completed++
+		c.answer(r, Response{Kind: Completed, Outcome: st, Cause: why})
 	}
 	c.forget(r)
 }
 
-func (c *Core) done(r *request, st placement.Status, why placement.Why, closed bool) {
-	c.event(placement.Done{Ticket: r.Tag, Attempt: r.copy, Machine: r.node, Status: st, Why: why,
-		Closed: closed, RTTUs: c.now - r.sentAt})
+func (c *Dispatcher) done(r *request, st placement.Outcome, why placement.Cause, closed bool) {
+	c.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.copy, Worker: r.node, Outcome: st, Cause: why,
+		Final: closed, RTTUs: c.now - r.sentAt})
 }
 
-// NodeNote takes news of a task that stands.
-func (c *Core) NodeNote(now int64, node, tag string, kind placement.NoteKind, value float64) {
+// TaskReported takes news of a task that stands.
+func (c *Dispatcher) TaskReported(now int64, node, tag string, kind placement.ReportKind, value float64) {
 	c.now = now
 	if r := c.reqs[tag]; r != nil && r.node == node && r.state == standing {
-		c.event(placement.Note{Ticket: tag, Attempt: r.copy, Machine: node, Kind: kind, Value: value})
+		c.event(placement.TaskReport{RequestID: tag, Attempt: r.copy, Worker: node, Kind: kind, Value: value})
 	}
 }
 
-// NodeSampled takes the answer to a probe.
-func (c *Core) NodeSampled(now int64, e placement.Sampled) {
+// ProbeAnswered takes the answer to a probe.
+func (c *Dispatcher) ProbeAnswered(now int64, e placement.ProbeResult) {
 	c.now = now
 	c.event(e)
 }
 
-// NodeReached takes it that a node took a connection after one to it had failed or
+// WorkerReachable takes it that a node took a connection after one to it had failed or
 // fallen silent.
-func (c *Core) NodeReached(now int64, node string) {
+func (c *Dispatcher) WorkerReachable(now int64, node string) {
 	c.now = now
-	c.event(placement.Reached{Machine: node})
+	c.event(placement.WorkerReachable{Worker: node})
 }
 
-// NodeLost takes a proof that the process of a node has died: what stood there
+// WorkerDied takes a proof that the process of a node has died: what stood there
 // is cut, and nobody will tell.
-func (c *Core) NodeLost(now int64, node string) {
+func (c *Dispatcher) WorkerDied(now int64, node string) {
 	c.now = now
 	c.cut(node, func(*request) bool { return true })
 }
@@ -181,9 +181,9 @@
 // a task that was offered then.
 const restartSkew = 1_000_000
 
-// NodeRestarted takes it that the process of a node began at startUs and that nothing of the one
+// WorkerRestarted takes it that the process of a node began at startUs and that nothing of the one
 // before is left: what stood there earlier is cut, and nobody will tell.
-func (c *Core) NodeRestarted(now int64, node string, startUs int64) {
+func (c *Dispatcher) WorkerRestarted(now int64, node string, startUs int64) {
 	c.now = now
 	c.cut(node, func(r *request) bool { return r.stoodAt() < startUs-restartSkew })
 }
@@ -192,7 +192,7 @@
 func (r *request) stoodAt() int64 { return max(r.sentAt, r.foundAt) }
 
 // cut ends tasks at a node: first those that stand, then those that were set aside, by tag each.
-func (c *Core) cut(node string, which func(*request) bool) {
+func (c *Dispatcher) cut(node string, which func(*request) bool) {
 	var standing, aside []*request
 	for _, r := range c.holdings[node] {
 		switch {
@@ -204,15 +204,15 @@
 		}
 	}
 	for _, r := range byTag(standing) {
-		c.over(r, placement.Reset, placement.WhyUntold)
+		c.over(r, placement.Reset, placement.CauseUnknown)
 	}
 	for _, r := range byTag(aside) {
-		c.heard(r, placement.Reset, placement.WhyUntold)
+		c.heard(r, placement.Reset, placement.CauseUnknown)
 	}
 }
 
-// List takes what the command channel told of the nodes.
-func (c *Core) List(now int64, l placement.List) {
+// UpdateWorkers takes what the command channel told of the nodes.
+func (c *Dispatcher) UpdateWorkers(now int64, l placement.WorkerList) {
 	c.now = now
 	c.channel = true
 	if l.Kind == placement.ListFull || l.Kind == placement.ListCached {
@@ -223,13 +223,13 @@
 	}
 	l.Entries = c.roster.list(l)
 	for _, e := range l.Entries {
-		if c.listed[e.Machine] = true; e.State == placement.Gone {
-			delete(c.listed, e.Machine)
+		if c.listed[e.Worker] = true; e.State == placement.Removed {
+			delete(c.listed, e.Worker)
 		}
 		if e.State == placement.Ready || e.State == placement.Foreign {
-			delete(c.told, e.Machine)
-		} else if _, ok := c.told[e.Machine]; !ok {
-			c.told[e.Machine] = now
+			delete(c.told, e.Worker)
+		} else if _, ok := c.told[e.Worker]; !ok {
+			c.told[e.Worker] = now
 		}
 	}
 	c.event(l)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -33,7 +33,7 @@
 	return r
 }
 
-func (c *Core) arm(r *request, at int64) {
+func (c *Dispatcher) arm(r *request, at int64) {
 	r.due = at
 	if r.index >= 0 {
 		heap.Fix(&c.due, r.index)
@@ -42,7 +42,7 @@
 	heap.Push(&c.due, r)
 }
 
-func (c *Core) disarm(r *request) {
+func (c *Dispatcher) disarm(r *request) {
 	if r.index >= 0 {
 		heap.Remove(&c.due, r.index)
 	}
@@ -70,10 +70,10 @@
 
 // sorted lists the requests by tag, so that the same happenings give the same
 // actions.
-func (c *Core) sorted() []*request { return byTag(slices.Collect(maps.Values(c.reqs))) }
+func (c *Dispatcher) sorted() []*request { return byTag(slices.Collect(maps.Values(c.reqs))) }
 
 // byTag sorts requests.
 func byTag(requests []*request) []*request {
-	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.Tag, b.Tag) })
+	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.RequestID, b.RequestID) })
 	return requests
 }
--- a/internal/dispatch/roster.go
+++ b/internal/dispatch/roster.go
@@ -20,14 +20,14 @@
 }
 
 // list takes a list and returns its entries as they hold here.
-func (o *roster) list(l placement.List) []placement.Entry {
+func (o *roster) list(l placement.WorkerList) []placement.Entry {
 	if l.Kind == placement.ListFull || l.Kind == placement.ListCached {
 		clear(o.last)
 	}
 	entries := slices.Clone(l.Entries)
 	for i, e := range entries {
-		if o.last[e.Machine] = e; e.State == placement.Gone {
-			delete(o.last, e.Machine)
+		if o.last[e.Worker] = e; e.State == placement.Removed {
+			delete(o.last, e.Worker)
 		}
 		entries[i] = o.held(e)
 	}
@@ -35,14 +35,14 @@
 }
 
 func (o *roster) held(e placement.Entry) placement.Entry {
-	if o.out[e.Machine] && e.State == placement.Ready {
+	if o.out[e.Worker] && e.State == placement.Ready {
 		e.State = placement.Draining
 	}
-	if o.back[e.Machine] && e.State == placement.Ready {
-		e.Returned = true
-		delete(o.back, e.Machine)
+	if o.back[e.Worker] && e.State == placement.Ready {
+		e.Uncordoned = true
+		delete(o.back, e.Worker)
 	}
-	if e.State == placement.Ready && !o.owns(e.Machine) {
+	if e.State == placement.Ready && !o.owns(e.Worker) {
 		e.State = placement.Foreign
 	}
 	return e
@@ -51,30 +51,30 @@
 // owns reports whether this orchestrator places tasks at a node.
 func (o *roster) owns(node string) bool { return o.own == nil || o.own(node) }
 
-// Own says at which nodes this orchestrator places tasks from now on; the others are left to other
+// SetAssignedWorkers says at which nodes this orchestrator places tasks from now on; the others are left to other
 // orchestrators. What stands there stays. own must answer alike until the next call.
-func (c *Core) Own(now int64, own func(node string) bool) {
+func (c *Dispatcher) SetAssignedWorkers(now int64, own func(node string) bool) {
 	o, before := &c.roster, c.roster.own
 	o.own = own
-	l := placement.List{Kind: placement.ListDelta}
+	l := placement.WorkerList{Kind: placement.ListDelta}
 	for _, node := range slices.Sorted(maps.Keys(o.last)) {
 		if (before == nil || before(node)) != o.owns(node) {
 			l.Entries = append(l.Entries, o.last[node])
 		}
 	}
 	if len(l.Entries) > 0 {
-		c.List(now, l)
+		c.UpdateWorkers(now, l)
 	}
 }
 
-// Known reports whether a node is listed, or out by hand.
-func (c *Core) Known(node string) bool { return c.listed[node] || c.roster.out[node] }
+// HasWorker reports whether a node is listed, or out by hand.
+func (c *Dispatcher) HasWorker(node string) bool { return c.listed[node] || c.roster.out[node] }
 
-// Hand takes nodes out and puts them back: out by hand is who is named, and nobody else.
-func (c *Core) Hand(now int64, out map[string]bool) {
+// SetCordoned takes nodes out and puts them back: out by hand is who is named, and nobody else.
+func (c *Dispatcher) SetCordoned(now int64, out map[string]bool) {
 	c.now = now
 	o := &c.roster
-	l := placement.List{Kind: placement.ListDelta}
+	l := placement.WorkerList{Kind: placement.ListDelta}
 	change := func(node string) {
 		c.log.Info("a minion was taken out or put back by hand", "node", node, "out", out[node])
 		if e, ok := o.last[node]; ok {
@@ -96,13 +96,13 @@
 		}
 	}
 	if len(l.Entries) > 0 {
-		c.List(now, l)
+		c.UpdateWorkers(now, l)
 	}
 }
 
-// Pool is how many nodes are listed, and how many of these are avoided by hand or by
+// PoolSize is how many nodes are listed, and how many of these are avoided by hand or by
 // the module's choice.
-func (c *Core) Pool() (listed, avoided int) {
+func (c *Dispatcher) PoolSize() (listed, avoided int) {
 	for node := range c.listed {
 		if c.roster.out[node] || c.placer.Avoids(node) {
 			avoided++
--- a/internal/dispatch/roster_test.go
+++ b/internal/dispatch/roster_test.go
@@ -14,12 +14,12 @@
 		"listed up":    func(b *bench) { b.list(placement.ListDelta, placement.Ready, "a") },
 		"a whole list": func(b *bench) { b.list(placement.ListFull, placement.Ready, "a", "b") },
 		"gone and back": func(b *bench) {
-			b.list(placement.ListDelta, placement.Gone, "a")
+			b.list(placement.ListDelta, placement.Removed, "a")
 			b.list(placement.ListDelta, placement.Ready, "a")
 		},
-		"its death":      func(b *bench) { b.NodeLost(b.now, "a"); b.stands = map[string]string{} },
-		"out once more":  func(b *bench) { b.Hand(b.now, map[string]bool{"a": true}) },
-		"another is out": func(b *bench) { b.Hand(b.now, map[string]bool{"a": true, "c": true}) },
+		"its death":      func(b *bench) { b.WorkerDied(b.now, "a"); b.stands = map[string]string{} },
+		"out once more":  func(b *bench) { b.SetCordoned(b.now, map[string]bool{"a": true}) },
+		"another is out": func(b *bench) { b.SetCordoned(b.now, map[string]bool{"a": true, "c": true}) },
 	} {
 		b := newBench(t)
 		b.list(placement.ListFull, placement.Ready, "a", "b")
@@ -42,24 +42,24 @@
 		for range 6 {
 			offer("k" + name + string(rune('a'+n)))
 		}
-		if !b.Known("a") || b.Known("x") {
+		if !b.HasWorker("a") || b.HasWorker("x") {
 			t.Errorf("%s: the wrong minions are known", name)
 		}
-		b.Hand(b.now, map[string]bool{"a": true})
+		b.SetCordoned(b.now, map[string]bool{"a": true})
 		meanwhile(b)
 		for range 6 {
 			if node := offer("k" + name + string(rune('a'+n))); node == "a" {
 				t.Errorf("%s: an offer to a minion out by hand", name)
 			}
 		}
-		if listed, avoided := b.Pool(); listed != 2 || avoided != 1 {
+		if listed, avoided := b.PoolSize(); listed != 2 || avoided != 1 {
 			t.Errorf("%s: %d listed, %d avoided", name, listed, avoided)
 		}
-		b.Hand(b.now, nil)
+		b.SetCordoned(b.now, nil)
 		if node := offer("k" + name + string(rune('a'+n))); node != "a" {
 			t.Errorf("%s: put back, and the next task went to %s", name, node)
 		}
-		if e := b.Ends()["web"]; e.Started != 13 || e.Refused+e.Failed != 0 {
+		if e := b.ClassTotals()["web"]; e.Started != 13 || e.Rejected+e.Failed != 0 {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
@@ -77,8 +77,8 @@
 		if n == 8 {
 			b.list(placement.ListDelta, placement.Ready, "b")
 			b.pass(4000 * ms)
-			b.Hand(b.now, map[string]bool{"a": true})
-			b.Hand(b.now, nil)
+			b.SetCordoned(b.now, map[string]bool{"a": true})
+			b.SetCordoned(b.now, nil)
 		}
 		if err := b.submit(tag, "web", "k"+tag, 3000); err != nil {
 			t.Fatal(err)
@@ -90,13 +90,13 @@
 	if got != "aaaaaaaaab" {
 		t.Errorf("placed at %s", got)
 	}
-	b.Hand(b.now, map[string]bool{"a": true})
+	b.SetCordoned(b.now, map[string]bool{"a": true})
 	b.list(placement.ListFull, placement.Ready, "b")
-	if !b.Known("a") {
+	if !b.HasWorker("a") {
 		t.Error("who is out can't be put back")
 	}
-	b.Hand(b.now, nil)
-	if listed, _ := b.Pool(); listed != 1 || b.Known("a") {
+	b.SetCordoned(b.now, nil)
+	if listed, _ := b.PoolSize(); listed != 1 || b.HasWorker("a") {
 		t.Errorf("%d listed", listed)
 	}
 }
@@ -113,8 +113,8 @@
 	b.submit("t2", "web", "k2", 9000)
 	b.pass(10 * ms)
 	b.list(placement.ListDelta, placement.Ready, "b")
-	b.Own(b.now, func(node string) bool { return node == "b" })
-	if why := b.MayLeave(b.now+8000*ms, "a", "t2"); why != "" { // 2 s are what one that drains has
+	b.SetAssignedWorkers(b.now, func(node string) bool { return node == "b" })
+	if why := b.CheckOffer(b.now+8000*ms, "a", "t2"); why != "" { // 2 s are what one that drains has
 		t.Errorf("an offer that is out is held back: %q", why)
 	}
 	b.pass(0)
@@ -127,8 +127,8 @@
 		}
 		b.started(tag)
 	}
-	if h := b.Holding("a"); h.Tasks != 2 || !b.Stands("t1") || !b.Known("a") {
-		t.Errorf("%d tasks stand at a node that changed hands, expected 2", h.Tasks)
+	if h := b.TasksOn("a"); h.Count != 2 || !b.IsRunning("t1") || !b.HasWorker("a") {
+		t.Errorf("%d tasks stand at a node that changed hands, expected 2", h.Count)
 	}
 	if state := b.placerState("a"); state != placement.Foreign {
 		t.Errorf("another orchestrator's node is told to the module as %v", state)
@@ -140,6 +140,6 @@
 }
 
 // placerState is the state in which a node would be told to the module.
-func (b *bench) placerState(node string) placement.State {
+func (b *bench) placerState(node string) placement.WorkerState {
 	return b.roster.held(b.roster.last[node]).State
 }
--- a/internal/dispatch/setup.go
+++ b/internal/dispatch/setup.go
@@ -4,25 +4,25 @@
 
 import "strings"
 
-// Setup is what an owner asks for. Description and Idem are opaque.
-type Setup struct {
-	Tag, Class, Key string
-	Idem            string // by what nodes know a repeat, "" where the class has no such nodes
-	Tenant          string // "" where the deployment has none
-	HintUs          int64  // how long the task is expected to run, 0 where that is not told
-	Again           bool   // its owner says that it asked before
-	WaitUs          int64  // how long the owner waits from CameUs on
-	CameUs          int64  // the earliest that the set-up can have come, 0 for now
-	SinceUs         int64  // since when its owner proved to stand in line, 0 where it did not
-	Tries           int    // refusals before, as proved
-	From            uint64 // the connection or session that it came by, 0 where none is told
-	Cores, Mem      float64
-	Service         uint64
-	At              string // the node that holds the task already, or ""
-	Description     string
-	// Resumes says that the owner repeats a set-up whose answer it has not read: a
+// Submission is what an owner asks for. Description and Idem are opaque.
+type Submission struct {
+	RequestID, Class, Key string
+	Idem                  string // by what nodes know a repeat, "" where the class has no such nodes
+	Tenant                string // "" where the deployment has none
+	ExpectedRunUs         int64  // how long the task is expected to run, 0 where that is not told
+	Retry                 bool   // its owner says that it asked before
+	TimeoutUs             int64  // how long the owner waits from ReceivedAtUs on
+	ReceivedAtUs          int64  // the earliest that the set-up can have come, 0 for now
+	QueuedSinceUs         int64  // since when its owner proved to stand in line, 0 where it did not
+	Rejections            int    // refusals before, as proved
+	Connection            uint64 // the connection or session that it came by, 0 where none is told
+	Cores, Memory         float64
+	Program               uint64
+	RunningOn             string // the node that holds the task already, or ""
+	Description           string
+	// Resumable says that the owner repeats a set-up whose answer it has not read: a
 	// set-up of a task that is open or stands gets that one's answer.
-	Resumes bool
+	Resumable bool
 }
 
 // The bounds of what an owner may ask for. A longer wait than a day, a task of more than
@@ -34,13 +34,13 @@
 	nameMost   = 64
 )
 
-// Fault names the first field of a set-up that makes no sense, and what was expected
+// Invalid names the first field of a set-up that makes no sense, and what was expected
 // of it; "" where there is none. Fronts ask before they submit: what no node could
 // use must reach none, as its error would speak against the node.
-func (s *Setup) Fault() (field, want string) {
+func (s *Submission) Invalid() (field, want string) {
 	fine := func(v float64) bool { return v > 0 && v < figureMost } // NaN is not
 	switch {
-	case len(s.Tag) != 16 || strings.Trim(s.Tag, "0123456789abcdefABCDEF") != "":
+	case len(s.RequestID) != 16 || strings.Trim(s.RequestID, "0123456789abcdefABCDEF") != "":
 		return "tag", "16 hex digits"
 	case s.Key == "" || len(s.Key) > nameMost:
 		return "task", "a name of 1 to 64 bytes"
@@ -50,13 +50,13 @@
 		return "idem", "a key of 64 bytes at most"
 	case len(s.Tenant) > nameMost:
 		return "tenant", "a name of 64 bytes at most"
-	case s.HintUs < 0 || s.HintUs > hintMost:
+	case s.ExpectedRunUs < 0 || s.ExpectedRunUs > hintMost:
 		return "hint", "a time of 0 or more, a year at most"
 	case !fine(s.Cores):
 		return "cores", "a number above 0"
-	case !fine(s.Mem):
+	case !fine(s.Memory):
 		return "memory", "a number above 0"
-	case s.At == "" && (s.WaitUs <= 0 || s.WaitUs > waitMost):
+	case s.RunningOn == "" && (s.TimeoutUs <= 0 || s.TimeoutUs > waitMost):
 		return "wait", "a time above 0, a day at most"
 	}
 	return "", ""
--- a/internal/dispatch/silent.go
+++ b/internal/dispatch/silent.go
@@ -17,16 +17,16 @@
 
 // silence sets a released task aside, as its node says nothing. Its owner may use the
 // names of it again.
-func (c *Core) silence(r *request) {
+func (c *Dispatcher) silence(r *request) {
 	c.forget(r)
 	r.lostAt = c.now
-	c.silent[r.Tag] = r
+	c.silent[r.RequestID] = r
 	c.holdings.add(r)
 }
 
 // heard ends a task that was set aside.
-func (c *Core) heard(r *request, st placement.Status, why placement.Why) {
-	delete(c.silent, r.Tag)
+func (c *Dispatcher) heard(r *request, st placement.Outcome, why placement.Cause) {
+	delete(c.silent, r.RequestID)
 	c.holdings.remove(r)
 	c.trace("a released task has ended", r, "status", st)
 	c.advisor.Ended(c.now, r.caller())
@@ -34,13 +34,13 @@
 }
 
 // sweepSilent ends what nobody will tell of: the node has left the list, or was silent for long.
-func (c *Core) sweepSilent() {
+func (c *Dispatcher) sweepSilent() {
 	for _, r := range c.aside() {
 		if !c.listed[r.node] || c.now-r.lostAt >= maxSilent {
-			c.heard(r, placement.Cancelled, placement.WhyUntold)
+			c.heard(r, placement.Cancelled, placement.CauseUnknown)
 		}
 	}
 }
 
 // aside lists what was set aside by tag, so that the same happenings give the same actions.
-func (c *Core) aside() []*request { return byTag(slices.Collect(maps.Values(c.silent))) }
+func (c *Dispatcher) aside() []*request { return byTag(slices.Collect(maps.Values(c.silent))) }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -76,5 +76,5 @@
 	return at
 }
 
-// Took tells how long the last turn took, from what was ready to what was written.
-func (c *Core) Took(us int64) { c.spread.took(c.now, us) }
+// ObserveTurn tells how long the last turn took, from what was ready to what was written.
+func (c *Dispatcher) ObserveTurn(us int64) { c.spread.took(c.now, us) }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -14,20 +14,20 @@
 // Tracer writes the steps of requests at debug level, of the tags that it traces.
 // The core and the links to nodes share it, so that one grep follows a request.
 type Tracer struct {
-	Log     *slog.Logger
-	Endings []string // of the tags that are traced; none: all
+	Log      *slog.Logger
+	Suffixes []string // of the tags that are traced; none: all
 }
 
 // Step writes one step of the request of a tag, at a time in microseconds.
 func (t Tracer) Step(step, tag string, at int64, args ...any) {
-	if t.Log != nil && t.Log.Enabled(context.Background(), slog.LevelDebug) && Traced(t.Endings, tag) {
+	if t.Log != nil && t.Log.Enabled(context.Background(), slog.LevelDebug) && Traced(t.Suffixes, tag) {
 		t.Log.Debug(step, append([]any{"tag", tag, "at", at}, args...)...)
 	}
 }
 
-// Trace limits the trace to the tags that end in one of the given endings; none
+// SetTraceSuffixes limits the trace to the tags that end in one of the given endings; none
 // traces every request.
-func (c *Core) Trace(endings []string) { c.tracer.Endings = endings }
+func (c *Dispatcher) SetTraceSuffixes(endings []string) { c.tracer.Suffixes = endings }
 
 // Traced reports whether a tag ends in one of the endings, or there are none.
 func Traced(endings []string, tag string) bool {
@@ -40,8 +40,8 @@
 }
 
 // trace writes one step of a request.
-func (c *Core) trace(step string, r *request, args ...any) {
-	c.tracer.Step(step, r.Tag, c.now, append([]any{"state", r.state, "node", r.node, "copy", r.copy}, args...)...)
+func (c *Dispatcher) trace(step string, r *request, args ...any) {
+	c.tracer.Step(step, r.RequestID, c.now, append([]any{"state", r.state, "node", r.node, "copy", r.copy}, args...)...)
 }
 
 var stateNames = [...]string{"fresh", "waiting", "out", "ending", "standing", "leaving", "gone"}
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -18,8 +18,8 @@
 // unclaimedEnd is the end of a task that nobody has handed in.
 type unclaimedEnd struct {
 	node   string
-	status placement.Status
-	why    placement.Why
+	status placement.Outcome
+	why    placement.Cause
 	at     int64
 }
 
@@ -29,10 +29,10 @@
 	tags  []string // oldest first
 }
 
-// NodeEndedUnclaimed takes a node's word that a task has ended which is not known here.
-func (c *Core) NodeEndedUnclaimed(now int64, node, tag string, st placement.Status, why placement.Why) {
+// UnknownTaskEnded takes a node's word that a task has ended which is not known here.
+func (c *Dispatcher) UnknownTaskEnded(now int64, node, tag string, st placement.Outcome, why placement.Cause) {
 	switch st {
-	case placement.OK, placement.Cancelled, placement.Reset:
+	case placement.Completed, placement.Cancelled, placement.Reset:
 		c.unclaimed.add(tag, unclaimedEnd{node, st, why, now})
 	}
 }
@@ -58,12 +58,12 @@
 
 // claim ends a task that was handed in as standing, at the next turn, where its node has told its end
 // before.
-func (c *Core) claim(r *request) {
-	e, ok := c.unclaimed.byTag[r.Tag]
+func (c *Dispatcher) claim(r *request) {
+	e, ok := c.unclaimed.byTag[r.RequestID]
 	if !ok || e.node != r.node || c.now-e.at > unclaimedFor {
 		return
 	}
-	c.log.Info("a task was handed in whose end was told before", "tag", r.Tag, "node", r.node)
+	c.log.Info("a task was handed in whose end was told before", "tag", r.RequestID, "node", r.node)
 	r.endAs, r.endWhy = e.status, e.why
 	c.arm(r, c.now+1)
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -42,20 +42,20 @@
 	left    int64 // the poll after which something may have been left to read
 }
 
-// Since is the earliest moment at which what the connection hands over in this turn
+// EarliestArrival is the earliest moment at which what the connection hands over in this turn
 // can have come: when it was last found empty, or when the system last told of all
 // connections with something to read and this was not among them.
-func (c *Conn) Since() int64 {
+func (c *Conn) EarliestArrival() int64 {
 	if c.l.polls <= c.left+1 {
 		return min(c.l.now, c.emptyAt)
 	}
 	return min(c.l.now, max(c.emptyAt, c.l.toldAt))
 }
 
-// HeardAt is a moment up to which nothing that the other side had sent, an end of the
+// LastSeenAt is a moment up to which nothing that the other side had sent, an end of the
 // connection included, was left unread. It lies back by as long as the turn takes so far,
 // and by more where a turn did not read all that there was.
-func (c *Conn) HeardAt() int64 {
+func (c *Conn) LastSeenAt() int64 {
 	if c.left < c.l.heardPoll {
 		return c.l.heardAt
 	}
@@ -65,7 +65,7 @@
 // Dial starts a connection. It reports failure to start at once; whatever comes
 // later is told to h.
 func (l *Loop) Dial(addr string, timeoutUs int64, h Handler) (*Conn, error) {
-	if l.Free() <= 0 {
+	if l.FreeDescriptors() <= 0 {
 		return nil, ErrBudget
 	}
 	family, sa, err := sockaddr(addr)
@@ -107,7 +107,7 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, 3)
 }
 
-// KeepAlive has the system ask the other side's for a sign after so many seconds without one, and
+// SetKeepAlive has the system ask the other side's for a sign after so many seconds without one, and
 // twice more a second apart; a connection that shows none ends.
 func (c *Conn) KeepAlive(seconds int) error {
 	for option, value := range map[int]int{unix.TCP_KEEPIDLE: seconds, unix.TCP_KEEPINTVL: 1, unix.TCP_KEEPCNT: 3} {
@@ -118,10 +118,10 @@
 	return nil
 }
 
-// Acknowledged is how long ago, in microseconds, the other side's system last gave a sign that it
+// LastAckAge is how long ago, in microseconds, the other side's system last gave a sign that it
 // holds the connection; false where the system does not tell.
-func (c *Conn) Acknowledged() (ago int64, ok bool) {
-	if !c.Up() {
+func (c *Conn) LastAckAge() (ago int64, ok bool) {
+	if !c.IsUp() {
 		return 0, false
 	}
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -134,21 +134,21 @@
 // tcpEstablished is the state of a connection that is up, as the system numbers them.
 const tcpEstablished = 1
 
-// Up reports whether the connection is established and not closed.
-func (c *Conn) Up() bool { return c != nil && c.up && !c.closed }
+// IsUp reports whether the connection is established and not closed.
+func (c *Conn) IsUp() bool { return c != nil && c.up && !c.closed }
 
-// Gone reports whether the connection is closed.
-func (c *Conn) Gone() bool { return c == nil || c.closed }
+// IsClosed reports whether the connection is closed.
+func (c *Conn) IsClosed() bool { return c == nil || c.closed }
 
-// Taken is the count of bytes handed to Write so far; Given is how many of them
+// BytesWritten is the count of bytes handed to Write so far; Given is how many of them
 // the system has accepted. What was not given has not reached the other side.
-func (c *Conn) Taken() int64 { return c.taken }
+func (c *Conn) BytesWritten() int64 { return c.taken }
 
-// Unsent is how many bytes wait for the system to take them.
-func (c *Conn) Unsent() int { return len(c.out) }
+// BytesBuffered is how many bytes wait for the system to take them.
+func (c *Conn) BytesBuffered() int { return len(c.out) }
 
-// Given is described at Taken.
-func (c *Conn) Given() int64 { return c.given }
+// BytesSent is described at Taken.
+func (c *Conn) BytesSent() int64 { return c.given }
 
 // Write queues b, which is copied; the bytes go out at the end of the turn.
 func (c *Conn) Write(b []byte) {
@@ -163,10 +163,10 @@
 	}
 }
 
-// Push hands what was written so far to the system now, ahead of what other
+// Flush hands what was written so far to the system now, ahead of what other
 // connections have to write in this turn. It reports whether the system took all of
 // it; an error is told to the Handler at the end of the turn.
-func (c *Conn) Push() bool {
+func (c *Conn) Flush() bool {
 	if c.closed || !c.up {
 		return false
 	}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -40,7 +40,7 @@
 	telling   bool // events are being told: a number given back now could be taken for its old owner
 	conns     map[int]*Conn
 	listeners map[int]*listener
-	packets   map[int]*Packets
+	packets   map[int]*PacketConn
 	dead      []*Conn
 	dirty     []*Conn
 	timers    timers
@@ -75,7 +75,7 @@
 		unix.Close(ep)
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
-	l := &Loop{ep: ep, wake: wake, conns: map[int]*Conn{}, listeners: map[int]*listener{}, packets: map[int]*Packets{},
+	l := &Loop{ep: ep, wake: wake, conns: map[int]*Conn{}, listeners: map[int]*listener{}, packets: map[int]*PacketConn{},
 		budget: budget, outMost: outMost, buf: make([]byte, readSize), began: time.Now()}
 	l.tick()
 	if err := l.watch(wake, unix.EPOLLIN, unix.EPOLL_CTL_ADD); err != nil {
@@ -94,11 +94,11 @@
 // clock reads the time amid a turn.
 func (l *Loop) clock() int64 { return l.began.UnixMicro() + time.Since(l.began).Microseconds() }
 
-// Took is how long the last turn took, from what was ready to what was written.
-func (l *Loop) Took() int64 { return l.took }
+// TurnDuration is how long the last turn took, from what was ready to what was written.
+func (l *Loop) TurnDuration() int64 { return l.took }
 
-// PostedAt is when what other goroutines had posted was last taken.
-func (l *Loop) PostedAt() int64 { return l.postedAt }
+// LastPostAt is when what other goroutines had posted was last taken.
+func (l *Loop) LastPostAt() int64 { return l.postedAt }
 
 // Clock reads the time amid a turn, where [Loop.Now] is when the turn began.
 func (l *Loop) Clock() int64 { return l.clock() }
@@ -106,15 +106,15 @@
 // Now is the Unix time of this turn, in microseconds.
 func (l *Loop) Now() int64 { return l.now }
 
-// Free is how many sockets may still be opened.
-func (l *Loop) Free() int { return l.budget - l.held }
+// FreeDescriptors is how many sockets may still be opened.
+func (l *Loop) FreeDescriptors() int { return l.budget - l.held }
 
-// Unread sets how many bytes one connection may leave unread, beyond what the system
+// SetMaxBuffered sets how many bytes one connection may leave unread, beyond what the system
 // holds, before it is cut off.
-func (l *Loop) Unread(most int) { l.outMost = most }
+func (l *Loop) SetMaxBuffered(most int) { l.outMost = most }
 
-// Again makes the loop take another turn without waiting.
-func (l *Loop) Again() { l.again = true }
+// RunAgain makes the loop take another turn without waiting.
+func (l *Loop) RunAgain() { l.again = true }
 
 // Stop ends Run after this turn.
 func (l *Loop) Stop() { l.stop = true }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -85,7 +85,7 @@
 	var addr string
 	hs := make(chan *echo, 2)
 	on(func() {
-		l.Unread(64 << 10)
+		l.SetMaxBuffered(64 << 10)
 		addr, _ = l.Listen("127.0.0.1:0", anywhere, func() Handler { h := newEcho(); hs <- h; return h })
 	})
 	deaf, err := net.Dial("tcp", addr)
@@ -164,8 +164,8 @@
 		t.Errorf("got %q, %v", b, err)
 	}
 	on(func() {
-		if l.Free() != 1 {
-			t.Errorf("%d descriptors are free", l.Free())
+		if l.FreeDescriptors() != 1 {
+			t.Errorf("%d descriptors are free", l.FreeDescriptors())
 		}
 	})
 }
@@ -235,7 +235,7 @@
 func (*early) Opened(*Conn)        {}
 func (*early) Closed(*Conn, error) {}
 func (e *early) Data(c *Conn, b []byte) (int, error) {
-	e.since <- c.Since()
+	e.since <- c.EarliestArrival()
 	return len(b), nil
 }
 
@@ -322,7 +322,7 @@
 	on(func() {
 		near[0].Write([]byte("last"))
 		near[1].Write([]byte("first"))
-		if !near[1].Push() {
+		if !near[1].Flush() {
 			t.Error("the system did not take five bytes")
 		}
 		near[2].Close()
@@ -334,8 +334,8 @@
 				t.Errorf("connection %d, amid the turn: %q, %v", i, b[:n], err)
 			}
 		}
-		if l.Free() != 10-2 {
-			t.Errorf("%d descriptors are free after a close", l.Free())
+		if l.FreeDescriptors() != 10-2 {
+			t.Errorf("%d descriptors are free after a close", l.FreeDescriptors())
 		}
 		far[0].SetReadDeadline(time.Time{})
 	})
@@ -350,9 +350,9 @@
 	near, far := three(t, l, on)
 	const most = 64 << 20
 	on(func() {
-		l.Unread(most)
+		l.SetMaxBuffered(most)
 		near[0].Write(make([]byte, most))
-		if near[0].Push() {
+		if near[0].Flush() {
 			t.Error("the system took more than it can hold")
 		}
 		near[0].Abort()
@@ -397,7 +397,7 @@
 	testbed.Wait(t, "the connection", b.opened)
 	testbed.Wait(t, "the first turn's word", b.drained)
 	on(func() {
-		for written.Write(make([]byte, bulkPart)); written.Push(); {
+		for written.Write(make([]byte, bulkPart)); written.Flush(); {
 			written.Write(make([]byte, bulkPart))
 		}
 		if _, err := io.CopyN(io.Discard, c, 16*bulkPart); err != nil { // before the end of the turn
--- a/internal/eventloop/heard_test.go
+++ b/internal/eventloop/heard_test.go
@@ -22,7 +22,7 @@
 	})
 	began := int64(0)
 	heard := func() (at int64) {
-		on(func() { at = near[0].HeardAt() })
+		on(func() { at = near[0].LastSeenAt() })
 		return at
 	}
 	on(func() { // what is written here is read from the next turn on, 64 bytes in each
@@ -31,7 +31,7 @@
 			t.Error(err)
 		}
 		l.Post(func() {
-			if at := near[0].HeardAt(); at > began {
+			if at := near[0].LastSeenAt(); at > began {
 				t.Errorf("half read, and heard up to %d us after it was written", at-began)
 			}
 		})
@@ -80,7 +80,7 @@
 	on(func() { since = l.clock() })
 	for limit := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		at := int64(0)
-		on(func() { at = quiet[0].HeardAt() })
+		on(func() { at = quiet[0].LastSeenAt() })
 		if at > since {
 			return
 		}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -63,8 +63,8 @@
 	return place(fd, addr), nil
 }
 
-// Inherit accepts connections on a listening socket that this process was started with.
-func (l *Loop) Inherit(fd int, room func() bool, accept func() Handler) (string, error) {
+// ListenInherited accepts connections on a listening socket that this process was started with.
+func (l *Loop) ListenInherited(fd int, room func() bool, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		return "", fmt.Errorf("loop: descriptor %d: expected a listening socket (%v)", fd, err)
 	}
@@ -112,7 +112,7 @@
 func (l *Loop) acceptAll(ln *listener) {
 	ln.queued = true
 	for range eventsMost {
-		if l.Free() <= 0 || !ln.room() {
+		if l.FreeDescriptors() <= 0 || !ln.room() {
 			l.mute(ln)
 			return
 		}
@@ -144,8 +144,8 @@
 	}
 }
 
-// Queued reports whether callers may wait in the system's queue, for want of room.
-func (l *Loop) Queued() bool {
+// HasQueuedConnections reports whether callers may wait in the system's queue, for want of room.
+func (l *Loop) HasQueuedConnections() bool {
 	for _, ln := range l.listeners {
 		if ln.queued {
 			return true
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -16,16 +16,16 @@
 	packetsATurn = 64
 )
 
-// Packets is a socket for datagrams.
-type Packets struct {
+// PacketConn is a socket for datagrams.
+type PacketConn struct {
 	l    *Loop
 	fd   int
 	take func(b []byte)
 	lost int64
 }
 
-// Packets opens a socket for datagrams at addr. take is handed each, which it may not keep.
-func (l *Loop) Packets(addr string, take func(b []byte)) (*Packets, error) {
+// PacketConn opens a socket for datagrams at addr. take is handed each, which it may not keep.
+func (l *Loop) ListenPacket(addr string, take func(b []byte)) (*PacketConn, error) {
 	family, sa, err := sockaddr(addr)
 	if err != nil {
 		return nil, err
@@ -41,14 +41,14 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("loop: datagrams at %s: %w", addr, err)
 	}
-	p := &Packets{l: l, fd: fd, take: take}
+	p := &PacketConn{l: l, fd: fd, take: take}
 	l.packets[fd] = p
 	l.held++
 	return p, nil
 }
 
 // Send sends a datagram, or loses it.
-func (p *Packets) Send(addr string, b []byte) error {
+func (p *PacketConn) Send(addr string, b []byte) error {
 	_, sa, err := sockaddr(addr)
 	if err != nil {
 		return err
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// Lost is how many datagrams the system did not take.
-func (p *Packets) Lost() int64 { return p.lost }
+// Dropped is how many datagrams the system did not take.
+func (p *PacketConn) Dropped() int64 { return p.lost }
 
-func (p *Packets) ready() {
+func (p *PacketConn) ready() {
 	var b [datagramMost]byte
 	for range packetsATurn {
 		n, _, err := unix.Recvfrom(p.fd, b[:], 0)
--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -64,25 +64,25 @@
 	After(us int64, f func()) *eventloop.Timer
 }
 
-// Core is what the front needs of the core; called on the loop only.
-type Core interface {
-	Submit(now int64, o dispatch.Owner, s dispatch.Setup) error
-	Withdraw(now int64, o dispatch.Owner, tag string) dispatch.Withdrawn
+// Dispatcher is what the front needs of the core; called on the loop only.
+type Dispatcher interface {
+	Submit(now int64, o dispatch.Client, s dispatch.Submission) error
+	Cancel(now int64, o dispatch.Client, tag string) dispatch.CancelResult
 	Class(name string) (dispatch.Class, bool)
-	Resumable(tag string) bool
+	IsResumable(tag string) bool
 }
 
 // Front is the gRPC front.
 type Front struct {
 	edgepb.UnimplementedOrchestratorServer
 	l        Loop
-	c        Core
+	c        Dispatcher
 	srv      *grpc.Server
 	health   *health.Server
 	queued   atomic.Int64
 	keys     atomic.Pointer[retrytoken.Keys]
-	used     retrytoken.Used     // the loop's
-	tickets  Tickets             // the loop's
+	used     retrytoken.Redeemed // the loop's
+	tickets  TokenCounts         // the loop's
 	sessions map[string]*session // the loop's
 	begun    uint64              // sessions so far; the loop's
 	closing  bool                // the loop's
@@ -102,7 +102,7 @@
 }
 
 // New returns a front that serves nothing yet.
-func New(l Loop, c Core, creds credentials.TransportCredentials) *Front {
+func New(l Loop, c Dispatcher, creds credentials.TransportCredentials) *Front {
 	f := &Front{l: l, c: c, sessions: map[string]*session{}, health: health.NewServer()}
 	f.srv = grpc.NewServer(
 		grpc.Creds(creds),
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// Leave tells clients that ask for the front's health to go elsewhere. What they
+// SetNotServing tells clients that ask for the front's health to go elsewhere. What they
 // still send is served as before.
-func (f *Front) Leave() { f.health.Shutdown() }
+func (f *Front) SetNotServing() { f.health.Shutdown() }
 
 // Close ends the streams once what they were sent is written. The loop must have
 // ended, or the call must come from it.
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -29,16 +29,16 @@
 // none is a core that takes everything and answers nothing.
 type none struct{}
 
-func (none) Submit(int64, dispatch.Owner, dispatch.Setup) error        { return nil }
-func (none) Withdraw(int64, dispatch.Owner, string) dispatch.Withdrawn { return dispatch.NotFound }
-func (none) Class(string) (dispatch.Class, bool)                       { return dispatch.Class{WaitUs: 1000}, true }
-func (none) Resumable(string) bool                                     { return true }
+func (none) Submit(int64, dispatch.Client, dispatch.Submission) error    { return nil }
+func (none) Cancel(int64, dispatch.Client, string) dispatch.CancelResult { return dispatch.NotFound }
+func (none) Class(string) (dispatch.Class, bool)                         { return dispatch.Class{TimeoutUs: 1000}, true }
+func (none) IsResumable(string) bool                                     { return true }
 func newStream() *stream {
 	return &stream{out: make(chan *edgepb.ServerMessage, outMost), over: make(chan struct{})}
 }
 func newFront() (*Front, *still) { l := &still{}; return New(l, none{}, insecure.NewCredentials()), l }
 func bound(s *session, id string) {
-	s.Answer(dispatch.Answer{Kind: dispatch.Started, Tag: id, Node: "a"})
+	s.Respond(dispatch.Response{Kind: dispatch.Started, RequestID: id, Worker: "a"})
 }
 
 // What waits for the loop is bounded; what comes over it is refused at once.
@@ -90,7 +90,7 @@
 	first, second := newStream(), newStream()
 	s := f.attach("s", 0, first)
 	bound(s, "x")
-	s.Answer(dispatch.Answer{Kind: dispatch.Over, Tag: "x", Status: placement.Reset, Why: placement.WhyEvicted})
+	s.Respond(dispatch.Response{Kind: dispatch.Completed, RequestID: "x", Outcome: placement.Reset, Cause: placement.CauseEvicted})
 	if m := <-first.out; m.GetBinding().GetNode() != "a" {
 		t.Errorf("got %v", m)
 	}
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -42,25 +42,25 @@
 	"memory": "memory", "wait": "wait_ms"}
 
 // setup reads an offer. It runs outside the loop and asks nothing of the core.
-func setup(o *edgepb.Offer) (dispatch.Setup, error) {
-	s := dispatch.Setup{Tag: o.GetOfferId(), Class: o.GetClass(), Key: o.GetTask(), Cores: o.GetCores(), Mem: o.GetMemory(),
-		Description: o.GetDescription(), WaitUs: int64(o.GetWaitMs()) * 1000, Resumes: true}
-	if s.WaitUs == 0 {
-		s.WaitUs = 1 // the class's own figure, or the call's deadline, comes in its place
+func setup(o *edgepb.Offer) (dispatch.Submission, error) {
+	s := dispatch.Submission{RequestID: o.GetOfferId(), Class: o.GetClass(), Key: o.GetTask(), Cores: o.GetCores(), Memory: o.GetMemory(),
+		Description: o.GetDescription(), TimeoutUs: int64(o.GetWaitMs()) * 1000, Resumable: true}
+	if s.TimeoutUs == 0 {
+		s.TimeoutUs = 1 // the class's own figure, or the call's deadline, comes in its place
 	}
-	if field, want := s.Fault(); field != "" {
+	if field, want := s.Invalid(); field != "" {
 		return s, bad(fields[field], "expected "+want)
 	}
 	if !utf8.ValidString(s.Description) || len(s.Description) > textMost || escaped(s.Description) > textMost*3/2 {
 		return s, bad("description", fmt.Sprintf("expected at most %d bytes of UTF-8, few of them control characters", textMost))
 	}
-	s.WaitUs = int64(o.GetWaitMs()) * 1000
+	s.TimeoutUs = int64(o.GetWaitMs()) * 1000
 	if v := o.GetService(); v != "" {
 		n, err := strconv.ParseUint(v, 16, 64)
 		if err != nil {
 			return s, bad("service", "expected up to 16 hex digits")
 		}
-		s.Service = n
+		s.Program = n
 	}
 	return s, nil
 }
@@ -81,18 +81,18 @@
 }
 
 // submit hands a set-up to the core. It runs on the loop.
-func (f *Front) submit(o dispatch.Owner, s dispatch.Setup) error {
+func (f *Front) submit(o dispatch.Client, s dispatch.Submission) error {
 	class, ok := f.c.Class(s.Class)
 	if !ok {
 		return bad("class", "unknown class")
 	}
-	if s.WaitUs <= 0 {
-		s.WaitUs = class.WaitUs
+	if s.TimeoutUs <= 0 {
+		s.TimeoutUs = class.TimeoutUs
 	}
 	switch err := f.c.Submit(f.l.Now(), o, s); {
 	case err == nil:
 		return nil
-	case errors.Is(err, dispatch.ErrLeaving):
+	case errors.Is(err, dispatch.ErrTerminating):
 		return retry(codes.Unavailable, "the task is just being ended", retryLeast)
 	default:
 		return status.Error(codes.AlreadyExists, "the name is in use elsewhere")
@@ -100,19 +100,19 @@
 }
 
 // rejection turns the core's answer into a status; nil where it is a binding.
-func rejection(a dispatch.Answer) error {
+func rejection(a dispatch.Response) error {
 	switch a.Kind {
 	case dispatch.Started:
 		return nil
-	case dispatch.Refused:
-		after := time.Duration(a.WaitUs) * time.Microsecond
+	case dispatch.Rejected:
+		after := time.Duration(a.RetryAfterUs) * time.Microsecond
 		if after <= 0 {
 			after = retryLeast
 		}
 		return retry(codes.ResourceExhausted, "refused: no room for the task in time; it never ran", after)
 	case dispatch.Failed:
 		return status.Error(codes.Unknown, "failed: the task may have started")
-	case dispatch.Withdrew:
+	case dispatch.Cancelled:
 		return status.Error(codes.Canceled, "its owner withdrew the offer")
 	}
 	return status.Error(codes.AlreadyExists, "the offer was bound and its task is over")
