--- a/internal/grpcfront/place.go
+++ b/internal/grpcfront/place.go
@@ -15,12 +15,12 @@
 // call is the owner of an offer made by Place. It follows nothing after the
 // answer.
 type call struct {
-	answer chan dispatch.Answer // holds one
-	bound  bool                 // the loop's
+	answer chan dispatch.Response // holds one
+	bound  bool                   // the loop's
 }
 
-// Answer implements core.Owner.
-func (c *call) Answer(a dispatch.Answer) {
+// Respond implements core.Owner.
+func (c *call) Respond(a dispatch.Response) {
 	if !c.bound {
 		c.bound = true
 		c.answer <- a
@@ -34,12 +34,12 @@
 		return nil, err
 	}
 	proof := f.proof(o)
-	c := &call{answer: make(chan dispatch.Answer, 1)}
+	c := &call{answer: make(chan dispatch.Response, 1)}
 	refusal := make(chan error, 1)
 	at, limited := ctx.Deadline()
 	err = f.ask(func() {
 		if limited {
-			if s.WaitUs = at.UnixMicro() - f.l.Now(); s.WaitUs <= 0 {
+			if s.TimeoutUs = at.UnixMicro() - f.l.Now(); s.TimeoutUs <= 0 {
 				refusal <- status.Error(codes.DeadlineExceeded, "the call's time was up when it came")
 				return
 			}
@@ -68,12 +68,12 @@
 			}
 			return nil, err
 		}
-		return &edgepb.Binding{OfferId: o.GetOfferId(), Task: o.GetTask(), Node: a.Node, Description: a.Description}, nil
+		return &edgepb.Binding{OfferId: o.GetOfferId(), Task: o.GetTask(), Node: a.Worker, Description: a.Description}, nil
 	case <-ctx.Done():
 		// An offer that was bound meanwhile stands; a repeat gets its binding.
 		f.l.Post(func() {
 			if !c.bound {
-				f.c.Withdraw(f.l.Now(), c, s.Tag)
+				f.c.Cancel(f.l.Now(), c, s.RequestID)
 			}
 		})
 		return nil, status.FromContextError(ctx.Err()).Err()
@@ -82,13 +82,13 @@
 
 // Release implements the RPC.
 func (f *Front) Release(ctx context.Context, r *edgepb.ReleaseRequest) (*edgepb.ReleaseResponse, error) {
-	found := make(chan dispatch.Withdrawn, 1)
+	found := make(chan dispatch.CancelResult, 1)
 	err := f.ask(func() {
-		if !f.c.Resumable(r.GetOfferId()) {
+		if !f.c.IsResumable(r.GetOfferId()) {
 			found <- dispatch.NotFound // also where the platform's front has it
 			return
 		}
-		found <- f.c.Withdraw(f.l.Now(), nil, r.GetOfferId())
+		found <- f.c.Cancel(f.l.Now(), nil, r.GetOfferId())
 	})
 	if err != nil {
 		return nil, err
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -54,38 +54,38 @@
 	s.kept = append(s.kept[:0], s.kept[i:]...)
 }
 
-// Answer implements core.Owner.
-func (s *session) Answer(a dispatch.Answer) {
-	n := s.open[a.Tag]
+// Respond implements core.Owner.
+func (s *session) Respond(a dispatch.Response) {
+	n := s.open[a.RequestID]
 	task := n.task
-	if a.Kind == dispatch.Over || a.Kind == dispatch.Moved {
-		if task, ok := s.tasks[a.Tag]; ok {
-			how, reason := edgepb.Ended_HOW_LOST, reasons[a.Why]
+	if a.Kind == dispatch.Completed || a.Kind == dispatch.Migrated {
+		if task, ok := s.tasks[a.RequestID]; ok {
+			how, reason := edgepb.Ended_HOW_LOST, reasons[a.Cause]
 			switch {
-			case a.Kind == dispatch.Moved:
+			case a.Kind == dispatch.Migrated:
 				how = edgepb.Ended_HOW_MOVED
-			case a.Status == placement.OK:
+			case a.Outcome == placement.Completed:
 				how = edgepb.Ended_HOW_DONE
 			}
-			delete(s.tasks, a.Tag)
+			delete(s.tasks, a.RequestID)
 			s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: &edgepb.Ended{
-				OfferId: a.Tag, Task: task, How: how, Reason: reason}}})
+				OfferId: a.RequestID, Task: task, How: how, Reason: reason}}})
 			return
 		}
 	}
-	delete(s.open, a.Tag)
+	delete(s.open, a.RequestID)
 	if err := rejection(a); err != nil {
-		s.reject(a.Tag, task, err, s.f.issue(a, n.task, n.class))
+		s.reject(a.RequestID, task, err, s.f.issue(a, n.task, n.class))
 	} else {
-		s.tasks[a.Tag] = task
+		s.tasks[a.RequestID] = task
 		s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Binding{Binding: &edgepb.Binding{
-			OfferId: a.Tag, Task: task, Node: a.Node, Description: a.Description}}})
+			OfferId: a.RequestID, Task: task, Node: a.Worker, Description: a.Description}}})
 	}
 	s.settle()
 }
 
-var reasons = map[placement.Why]string{placement.WhyEvicted: "evicted for memory",
-	placement.WhyPushedOut: "pushed out", placement.WhySentAway: "sent away"}
+var reasons = map[placement.Cause]string{placement.CauseEvicted: "evicted for memory",
+	placement.CausePreempted: "pushed out", placement.CauseDrained: "sent away"}
 
 func (s *session) reject(id, task string, err error, ticket []byte) {
 	st := status.Convert(err)
@@ -147,19 +147,19 @@
 }
 
 // offer hands an offer of the session to the core.
-func (s *session) offer(o *edgepb.Offer, set dispatch.Setup, p proof) {
-	if n, ok := s.open[set.Tag]; ok && n.task == set.Key {
+func (s *session) offer(o *edgepb.Offer, set dispatch.Submission, p proof) {
+	if n, ok := s.open[set.RequestID]; ok && n.task == set.Key {
 		return // its answer is under way in this session
 	}
 	if len(s.open) >= openMost {
-		s.reject(set.Tag, set.Key, retry(codes.ResourceExhausted, "too many offers of the session are open", retryLeast), nil)
+		s.reject(set.RequestID, set.Key, retry(codes.ResourceExhausted, "too many offers of the session are open", retryLeast), nil)
 		return
 	}
-	s.open[set.Tag] = named{set.Key, set.Class}
+	s.open[set.RequestID] = named{set.Key, set.Class}
 	s.f.admit(&set, p)
-	set.From = s.id
+	set.Connection = s.id
 	if err := s.f.submit(s, set); err != nil {
-		delete(s.open, set.Tag)
+		delete(s.open, set.RequestID)
 		s.turnAway(o, err)
 	}
 }
@@ -173,13 +173,13 @@
 // release ends an offer or a task of the session. Either way the client hears of
 // the end once.
 func (s *session) release(id string) {
-	switch s.f.c.Withdraw(s.f.l.Now(), s, id) {
+	switch s.f.c.Cancel(s.f.l.Now(), s, id) {
 	case dispatch.WasOpen:
 		task := s.open[id].task
 		delete(s.open, id)
 		s.reject(id, task, status.Error(codes.Canceled, "its owner withdrew the offer"), nil)
 		s.settle()
-	case dispatch.WasStanding:
+	case dispatch.WasRunning:
 		task := s.tasks[id]
 		delete(s.tasks, id)
 		s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: &edgepb.Ended{
--- a/internal/grpcfront/tickets.go
+++ b/internal/grpcfront/tickets.go
@@ -15,18 +15,18 @@
 	"ravenhitch/internal/retrytoken"
 )
 
-// Tickets counts those that were brought.
-type Tickets struct{ Good, Early, Expired, Used, Bad int64 }
+// TokenCounts counts those that were brought.
+type TokenCounts struct{ Good, Early, Expired, Used, Bad int64 }
 
-// Keys sets the keys from now on. It may be called from any goroutine.
-func (f *Front) Keys(k *retrytoken.Keys) { f.keys.Store(k) }
+// SetKeys sets the keys from now on. It may be called from any goroutine.
+func (f *Front) SetKeys(k *retrytoken.Keys) { f.keys.Store(k) }
 
-// Tickets is what was brought so far; on the loop only.
-func (f *Front) Tickets() Tickets { return f.tickets }
+// TokenCounts is what was brought so far; on the loop only.
+func (f *Front) TokenCounts() TokenCounts { return f.tickets }
 
 // proof is what an offer's ticket proves: nothing where none was brought.
 type proof struct {
-	retrytoken.Ticket
+	retrytoken.Token
 	brought bool
 	err     error
 }
@@ -34,10 +34,10 @@
 // proof reads an offer's ticket. It runs outside the loop.
 func (f *Front) proof(o *edgepb.Offer) proof {
 	keys := f.keys.Load()
-	if len(o.GetTicket()) == 0 || !keys.Held() {
+	if len(o.GetTicket()) == 0 || !keys.IsSet() {
 		return proof{}
 	}
-	t, err := keys.Open(o.GetTicket())
+	t, err := keys.Verify(o.GetTicket())
 	if err == nil {
 		err = t.Check(time.Now().UnixMicro(), o.GetTask(), o.GetClass())
 	}
@@ -45,17 +45,17 @@
 }
 
 // admit lets a set-up stand in line since when its ticket proves. It runs on the loop.
-func (f *Front) admit(s *dispatch.Setup, p proof) {
+func (f *Front) admit(s *dispatch.Submission, p proof) {
 	if !p.brought {
 		return
 	}
 	if p.err == nil {
-		p.err = f.used.Take(&p.Ticket)
+		p.err = f.used.Redeem(&p.Token)
 	}
 	switch {
 	case p.err == nil:
 		f.tickets.Good++
-		s.SinceUs, s.Tries = p.SinceUs, int(p.Tries)
+		s.QueuedSinceUs, s.Rejections = p.SinceUs, int(p.Tries)
 	case errors.Is(p.err, retrytoken.ErrEarly):
 		f.tickets.Early++
 	case errors.Is(p.err, retrytoken.ErrExpired):
@@ -68,12 +68,12 @@
 }
 
 // issue writes the ticket that goes with a refusal, or nothing.
-func (f *Front) issue(a dispatch.Answer, task, class string) []byte {
+func (f *Front) issue(a dispatch.Response, task, class string) []byte {
 	keys := f.keys.Load()
-	if a.Kind != dispatch.Refused || !keys.Held() {
+	if a.Kind != dispatch.Rejected || !keys.IsSet() {
 		return nil
 	}
 	now := time.Now().UnixMicro()
-	return keys.Issue(retrytoken.Ticket{Task: task, Class: class, IssuedUs: now, SlotUs: now + max(0, a.WaitUs),
-		SinceUs: min(now, a.SinceUs), Tries: uint16(min(a.Tries, 1<<16-1)), Nonce: rand.Uint64()})
+	return keys.Issue(retrytoken.Token{Task: task, Class: class, IssuedUs: now, SlotUs: now + max(0, a.RetryAfterUs),
+		SinceUs: min(now, a.QueuedSinceUs), Tries: uint16(min(a.Rejections, 1<<16-1)), Nonce: rand.Uint64()})
 }
--- a/internal/membership/check_test.go
+++ b/internal/membership/check_test.go
@@ -6,7 +6,7 @@
 )
 
 // accusation is what others say of a member that they do not reach.
-func accusation(name string, refused bool) Rumour {
+func accusation(name string, refused bool) Update {
 	r := peerOf(name)
 	r.State = Suspect
 	for _, w := range []string{"c", "d", "e"} {
@@ -19,7 +19,7 @@
 func TestRefusalsNeedNoCheck(t *testing.T) {
 	x := newAlone(t)
 	x.b = ways["none"](x)
-	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{accusation("b", true)}})
+	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{accusation("b", true)}})
 	at := x.now
 	x.run(at + second)
 	if d := x.died - at; x.died == 0 || d > x.Refused+tickEvery {
@@ -33,10 +33,10 @@
 	x := newAlone(t)
 	x.b = ways["none"](x)
 	for i := range accused {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{peerOf(fmt.Sprint("m", i))}})
+		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
 	}
 	for i := range accused {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{accusation(fmt.Sprint("m", i), false)}})
+		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{accusation(fmt.Sprint("m", i), false)}})
 	}
 	asked, most := map[string]bool{}, 0
 	for at := x.now; x.now < at+5*second; x.now += tickEvery {
--- a/internal/membership/forget_test.go
+++ b/internal/membership/forget_test.go
@@ -14,7 +14,7 @@
 		for i := range deadMost {
 			r := peerOf(fmt.Sprintf("m%04d", i))
 			r.State = s
-			x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{r}})
+			x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
 		}
 	}
 	x.run(3 * second)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -24,15 +24,15 @@
 }
 
 // rumour is what is believed of an instance, and whether anything is.
-func (t *Table) rumour(name string) (Rumour, bool) {
+func (t *Table) rumour(name string) (Update, bool) {
 	if name == t.Self.Name {
 		return t.Self, t.barred == 0 && !t.joining
 	}
 	m := t.members[name]
 	if m == nil {
-		return Rumour{}, false
+		return Update{}, false
 	}
-	r := m.Rumour
+	r := m.Update
 	if len(r.Witnesses) > WitnessMost {
 		r.Witnesses = r.Witnesses[:WitnessMost]
 	}
@@ -56,7 +56,7 @@
 	room := DatagramMost - NameMost - m.Size()
 	add := func(name string) bool {
 		r, ok := t.rumour(name)
-		if !ok || name == t.Self.Name || slices.ContainsFunc(m.Rumours, func(o Rumour) bool { return o.Name == name }) {
+		if !ok || name == t.Self.Name || slices.ContainsFunc(m.Rumours, func(o Update) bool { return o.Name == name }) {
 			return false
 		}
 		if n := r.size(); n <= room {
@@ -98,14 +98,14 @@
 func shelf(name string) int { return int(xxhash.Sum64String(name) % Shelves) }
 
 // shelve puts a member into the digest of its shelf, or takes it out again.
-func (t *Table) shelve(r *Rumour) {
+func (t *Table) shelve(r *Update) {
 	h := mark(r)
 	t.digests[shelf(r.Name)] ^= uint32(h ^ h>>32)
 }
 
 // mark is what a member adds to a digest: two tables of the same members, lives and
 // incarnations have the same one, in whatever order they learned of them.
-func mark(r *Rumour) uint64 {
+func mark(r *Update) uint64 {
 	if r.State > Suspect {
 		return 0
 	}
--- a/internal/membership/judge_test.go
+++ b/internal/membership/judge_test.go
@@ -14,14 +14,14 @@
 	b    func(a Act) *Message // what b, or another on its behalf, answers
 }
 
-func peerOf(name string) Rumour {
-	return Rumour{Name: name, Zone: "hall-a", Addr: "127.0.0.1:7" + name, Life: uint64(name[0]), Incarnation: 1}
+func peerOf(name string) Update {
+	return Update{Name: name, Zone: "hall-a", Addr: "127.0.0.1:7" + name, Life: uint64(name[0]), Incarnation: 1}
 }
 
 func newAlone(t *testing.T) *alone {
 	x := &alone{now: second, said: map[EventKind]int{}}
 	x.Table = New(x.now, Config{Self: peerOf("a"), Peers: []Peer{{"b", peerOf("b").Addr}}, Seed: 1})
-	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{peerOf("b"), peerOf("d"), peerOf("e")}})
+	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf("b"), peerOf("d"), peerOf("e")}})
 	return x
 }
 
@@ -63,7 +63,7 @@
 	for _, w := range []string{"c", "d", "e"} {
 		r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a"})
 	}
-	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{r}})
+	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
 }
 
 // ways are how b may be reached from here.
@@ -171,7 +171,7 @@
 				for _, w := range []string{"c", "d"}[:c.witnesses] {
 					r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a", Refused: true})
 				}
-				x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{r}})
+				x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
 			}
 			at := x.now
 			x.run(at + 10*second)
@@ -187,7 +187,7 @@
 func TestLooksAgain(t *testing.T) {
 	x := newAlone(t)
 	for i := range 100 {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{peerOf(fmt.Sprint("m", i))}})
+		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
 	}
 	x.b = ways["none"](x)
 	for x.said[Suspected] == 0 {
@@ -206,7 +206,7 @@
 		x := newAlone(t)
 		x.b = way(x)
 		for i := range 1000 {
-			x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{peerOf(fmt.Sprint("m", i))}})
+			x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
 		}
 		x.run(x.now + second)
 		x.accuse()
@@ -222,7 +222,7 @@
 func TestNamesMadeUp(t *testing.T) {
 	x := newAlone(t)
 	for i := range membersMost + 100 {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{peerOf(fmt.Sprint("m", i))}})
+		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
 	}
 	if n := len(x.members); n != membersMost || n != len(x.names) || x.Size() != n+1 {
 		t.Errorf("%d names, %d of them sorted, %d there", n, len(x.names), x.Size())
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -35,8 +35,8 @@
 	Refused    bool // its address answers that no process listens there
 }
 
-// Rumour is what is told of one instance.
-type Rumour struct {
+// Update is what is told of one instance.
+type Update struct {
 	Name, Zone, Addr string
 	// Life is drawn anew at each start and tells two processes under one name apart.
 	Life uint64
@@ -51,7 +51,7 @@
 
 // Config is what a table begins with.
 type Config struct {
-	Self  Rumour
+	Self  Update
 	Peers []Peer // some that may be asked first; their addresses go before those that are told
 	Seed  uint64
 	Timing
@@ -166,7 +166,7 @@
 
 // member is what is believed of another instance.
 type member struct {
-	Rumour
+	Update
 	contact   int64 // when it last proved to live, by whatever way
 	heard     int64 // when a datagram of its own came
 	ping      uint64
@@ -197,9 +197,9 @@
 	return t
 }
 
-// Next is when Tick wants to be called: every tickEvery while anything is in doubt, else for the next
+// NextTick is when Tick wants to be called: every tickEvery while anything is in doubt, else for the next
 // probe or the next answer that is overdue. It may become sooner with each call of another method.
-func (t *Table) Next() int64 {
+func (t *Table) NextTick() int64 {
 	if !t.calm() {
 		return t.ticked + tickEvery
 	}
@@ -241,9 +241,9 @@
 	return ""
 }
 
-// Lives is where a member is reached and which of its lives is believed in; false where it
+// Locate is where a member is reached and which of its lives is believed in; false where it
 // is not there.
-func (t *Table) Lives(name string) (addr string, life uint64, ok bool) {
+func (t *Table) Locate(name string) (addr string, life uint64, ok bool) {
 	m := t.members[name]
 	if m == nil || m.State > Suspect {
 		return "", 0, false
@@ -255,11 +255,11 @@
 func (t *Table) Size() int { return 1 + t.live }
 
 // become is the one place where the state of a member changes.
-func (t *Table) become(m *member, r Rumour) {
-	t.shelve(&m.Rumour)
+func (t *Table) become(m *member, r Update) {
+	t.shelve(&m.Update)
 	t.shelve(&r)
 	t.live += truth(r.State <= Suspect) - truth(m.State <= Suspect)
-	m.Rumour = r
+	m.Update = r
 	if r.State == Suspect {
 		m.suspectAt = t.now
 		t.accused = append(t.accused, m.Name)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -16,7 +16,7 @@
 		if m.Self.Name == t.Self.Name && m.Self.Life != t.Self.Life && t.barred == 0 && !t.joining && m.Kind == Ping {
 			// Another process that would have this name is told who holds it.
 			t.acts = append(t.acts, Send{Addr: m.Self.Addr, Message: Message{Kind: Ack, To: m.Self.Name, Self: t.Self, Seq: m.Seq,
-				Rumours: []Rumour{t.Self}}})
+				Rumours: []Update{t.Self}}})
 		}
 		if m.To == t.Self.Name && m.Self.Life != t.Self.Life {
 			t.aboutSelf(m.Self)
@@ -57,7 +57,7 @@
 }
 
 // aboutSelf takes what is said of this instance's own name.
-func (t *Table) aboutSelf(r Rumour) {
+func (t *Table) aboutSelf(r Update) {
 	own := r.Life == t.Self.Life
 	switch {
 	case own && (r.State == Alive || r.Incarnation < t.Self.Incarnation):
@@ -89,7 +89,7 @@
 }
 
 // hear takes what is said of any instance.
-func (t *Table) hear(r Rumour) {
+func (t *Table) hear(r Update) {
 	if r.Name == t.Self.Name {
 		t.aboutSelf(r)
 		return
@@ -99,7 +99,7 @@
 		if len(t.names) >= membersMost || r.State >= Dead && len(t.names) > deadMost {
 			return
 		}
-		m = &member{Rumour: Rumour{State: Dead}, contact: t.now}
+		m = &member{Update: Update{State: Dead}, contact: t.now}
 		t.members[r.Name] = m
 		i, _ := slices.BinarySearch(t.names, r.Name)
 		t.names = slices.Insert(t.names, i, r.Name)
@@ -132,7 +132,7 @@
 
 // renew takes the word of a later incarnation. A death of it is testimony, as one of the
 // same incarnation is: judge decides here too.
-func (t *Table) renew(m *member, r Rumour) {
+func (t *Table) renew(m *member, r Update) {
 	back, was := r.Life != m.Life, m.State
 	if r.State == Dead && was <= Suspect {
 		r.State = Suspect
@@ -161,7 +161,7 @@
 func (t *Table) end(m *member, s State, by []Witness) {
 	t.merge(m, by)
 	t.say(endKind(s), m.Name, m.Zone, t.evidence(m))
-	r := m.Rumour
+	r := m.Update
 	r.State = s
 	t.become(m, r)
 	t.news(m.Name)
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -14,7 +14,7 @@
 // reference is what is to be believed of one name after all rumours, in whatever order
 // they came: the latest incarnation, of that the greater life, of that the worst state;
 // a death counts as an accusation here, as nothing judges it.
-func reference(all []Rumour) (r Rumour) {
+func reference(all []Update) (r Update) {
 	for i, o := range all {
 		o.State = min(o.State, max(Suspect, o.State/Left*Left))
 		if i == 0 || o.Incarnation > r.Incarnation || o.Incarnation == r.Incarnation && (o.Life > r.Life || o.Life == r.Life && o.State > r.State) {
@@ -27,7 +27,7 @@
 // Tables that heard the same, in any order and any number of times, believe the same.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []Rumour
+		var all []Update
 		for range rapid.IntRange(1, 12).Draw(t, "rumours") {
 			r := peerOf("b")
 			r.Incarnation = uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -17,7 +17,7 @@
 type Message struct {
 	Kind    Kind
 	To      string // the name that it is meant for
-	Self    Rumour // whoever sends, as it is
+	Self    Update // whoever sends, as it is
 	Joining bool   // its name is not agreed yet
 	Seq     uint64 // of the Ping or the Ask, repeated in the answer
 	Target  string // Ask, Told
@@ -30,7 +30,7 @@
 	// Digests are, in a Ping, of the members that the sender believes in, by the shelf that
 	// their names fall on: only shelves that differ are told in the answer.
 	Digests []uint32
-	Rumours []Rumour
+	Rumours []Update
 }
 
 const (
@@ -45,7 +45,7 @@
 )
 
 // size is no less than what the rumour takes in a datagram.
-func (r *Rumour) size() int {
+func (r *Update) size() int {
 	n := 2 + 2 + len(r.Name) + 2 + len(r.Zone) + 2 + len(r.Addr) + 10 + 11 + 2
 	for _, w := range r.Witnesses {
 		n += 4 + 2 + len(w.Name) + 2 + len(w.Zone) + 2
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -37,10 +37,10 @@
 	f := newFleet(3, 6, nil)
 	f.run(formed(3) + 10*second)
 	x := f.all[0]
-	calm := x.Next()
+	calm := x.NextTick()
 	m := &Message{Kind: Ask, Seq: 1, To: name(0), Self: f.all[1].Self, Target: name(2)}
 	x.Receive(f.now, m)
-	if next := x.Next(); next >= calm || next > x.ticked+tickEvery {
+	if next := x.NextTick(); next >= calm || next > x.ticked+tickEvery {
 		t.Errorf("asked for a third it wants to be called at %d, calm at %d", next, calm)
 	}
 }
@@ -70,7 +70,7 @@
 		doubt bool
 	}{{lateTick, false}, {lateTick + 1, true}} {
 		x.Events()
-		x.Tick(x.Next() + c.late)
+		x.Tick(x.NextTick() + c.late)
 		doubts := false
 		for _, e := range x.Events() {
 			doubts = doubts || e.Kind == Doubts
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -30,7 +30,7 @@
 
 // Tick does what is due.
 func (t *Table) Tick(now int64) []Act {
-	due, gap := t.Next(), now-t.ticked
+	due, gap := t.NextTick(), now-t.ticked
 	t.now, t.ticked = now, now
 	if now-due > lateTick {
 		t.heldUp(gap)
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -129,7 +129,7 @@
 	if x.as != "" {
 		as = x.as
 	}
-	x.Table = New(f.now, Config{Self: Rumour{Name: as, Zone: fmt.Sprint("hall-", f.zone(i)), Addr: addrOf(i),
+	x.Table = New(f.now, Config{Self: Update{Name: as, Zone: fmt.Sprint("hall-", f.zone(i)), Addr: addrOf(i),
 		Life: f.rng.Uint64(), Incarnation: x.kept + 1}, Peers: peers, Seed: f.rng.Uint64()})
 	x.up, x.left, x.vanished, x.pausedUntil = true, false, false, 0
 	x.tickAt = 0
@@ -139,7 +139,7 @@
 // schedule has the table called when it wants to be, unless that is due sooner already.
 func (f *fleet) schedule(i int) {
 	x := f.all[i]
-	if at := max(x.Next(), f.now+1) + f.rng.Int64N(timerLate) + f.lateness(i); x.tickAt <= f.now || at < x.tickAt {
+	if at := max(x.NextTick(), f.now+1) + f.rng.Int64N(timerLate) + f.lateness(i); x.tickAt <= f.now || at < x.tickAt {
 		f.tickAt(i, at)
 	}
 }
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -25,7 +25,7 @@
 		t.witnesses(m, by)
 		return
 	}
-	r := m.Rumour
+	r := m.Update
 	r.State, r.Witnesses = Suspect, nil
 	t.become(m, r)
 	t.merge(m, by)
@@ -112,8 +112,8 @@
 	t.say(Doubts, t.Self.Name, t.Self.Zone, "held up for "+ms(gap))
 }
 
-// Doubt is how far this instance doubts itself: 0 not at all, 8 at the most.
-func (t *Table) Doubt() int { return t.health }
+// HealthScore is how far this instance doubts itself: 0 not at all, 8 at the most.
+func (t *Table) HealthScore() int { return t.health }
 
 // Leave tells the others that this instance goes on purpose.
 func (t *Table) Leave(now int64) []Act {
--- a/internal/membership/testimony_test.go
+++ b/internal/membership/testimony_test.go
@@ -14,7 +14,7 @@
 		for _, w := range []string{"c", "d", "e"} {
 			r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a"})
 		}
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Rumour{r}})
+		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
 		at := x.now
 		x.run(at + 20*second)
 		if (x.died > 0) != (name == "none") || x.died > 0 && x.died < at+3*second {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -158,7 +158,7 @@
 func (t *Table) reform() bool {
 	digest := uint64(0)
 	var names []string
-	add := func(r *Rumour) {
+	add := func(r *Update) {
 		if r.State <= Suspect {
 			names = append(names, r.Name)
 			steady := *r
@@ -170,7 +170,7 @@
 		add(&t.Self)
 	}
 	for _, name := range t.names {
-		add(&t.members[name].Rumour)
+		add(&t.members[name].Update)
 	}
 	slices.Sort(names)
 	if digest == t.view.Digest && t.view.Number > 0 {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -34,7 +34,7 @@
 	ErrVersion = errors.New("peer: no version in common")
 )
 
-func rumourOut(r *membership.Rumour) *peerpb.Rumour {
+func rumourOut(r *membership.Update) *peerpb.Rumour {
 	o := &peerpb.Rumour{Name: r.Name, Hall: r.Zone, Address: r.Addr, Life: r.Life, Incarnation: r.Incarnation, State: uint32(r.State)}
 	for _, w := range r.Witnesses {
 		o.Witnesses = append(o.Witnesses, &peerpb.Witness{Name: w.Name, Hall: w.Zone, Refused: w.Refused})
@@ -42,7 +42,7 @@
 	return o
 }
 
-func rumourIn(r *peerpb.Rumour) (o membership.Rumour, err error) {
+func rumourIn(r *peerpb.Rumour) (o membership.Update, err error) {
 	if !named(r.GetName()) || len(r.GetHall()) > membership.NameMost || r.GetState() > uint32(membership.Left) || len(r.GetWitnesses()) > membership.WitnessMost {
 		return o, fmt.Errorf("%w: expected a name, a hall, a state and at most %d witnesses, got name %.40q, state %d, %d witnesses",
 			ErrForm, membership.WitnessMost, r.GetName(), r.GetState(), len(r.GetWitnesses()))
@@ -50,7 +50,7 @@
 	if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil || len(r.GetAddress()) > membership.NameMost {
 		return o, fmt.Errorf("%w: %s: expected address:port, got %.60q", ErrForm, r.GetName(), r.GetAddress())
 	}
-	o = membership.Rumour{Name: r.GetName(), Zone: r.GetHall(), Addr: r.GetAddress(), Life: r.GetLife(), Incarnation: r.GetIncarnation(),
+	o = membership.Update{Name: r.GetName(), Zone: r.GetHall(), Addr: r.GetAddress(), Life: r.GetLife(), Incarnation: r.GetIncarnation(),
 		State: membership.State(r.GetState())}
 	for _, w := range r.GetWitnesses() {
 		if !named(w.GetName()) || len(w.GetHall()) > membership.NameMost {
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	if h.GetKind() > 0 {
-		if _, life, ok := in.peers.table.Lives(h.GetName()); !ok || life != h.GetLife() {
+		if _, life, ok := in.peers.table.Locate(h.GetName()); !ok || life != h.GetLife() {
 			return fmt.Errorf("%w: no member %s of that life is known here", ErrForm, h.GetName())
 		}
 		if waits[Kind(h.GetKind())] == 0 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -53,7 +53,7 @@
 	log    *slog.Logger
 	warn   *ratelog.Logger
 	table  *membership.Table
-	socket *eventloop.Packets
+	socket *eventloop.PacketConn
 	counts Counts
 	// inboundCount is how many inbound connections have not announced records.
 	inboundCount int
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	p.s.Listen = addr
-	p.table = membership.New(l.Now(), membership.Config{Self: membership.Rumour{Name: s.Name, Zone: s.Zone, Addr: addr, Life: p.life,
+	p.table = membership.New(l.Now(), membership.Config{Self: membership.Update{Name: s.Name, Zone: s.Zone, Addr: addr, Life: p.life,
 		Incarnation: s.Incarnation}, Peers: s.Members, Seed: rand.Uint64()})
 	p.turn()
 	return p, nil
@@ -92,7 +92,7 @@
 		if err != nil {
 			return "", err
 		}
-		if p.socket, err = p.l.Packets(addr, p.take); err == nil {
+		if p.socket, err = p.l.ListenPacket(addr, p.take); err == nil {
 			return addr, nil
 		}
 		p.l.Unlisten(addr)
@@ -111,7 +111,7 @@
 
 // schedule has the next turn come when the table wants it.
 func (p *Peers) schedule() {
-	at := max(p.table.Next(), p.l.Now()+1)
+	at := max(p.table.NextTick(), p.l.Now()+1)
 	if p.timer.Pending() && p.due <= at {
 		return
 	}
@@ -162,8 +162,8 @@
 	p.schedule()
 }
 
-// Viewed names what is told the members of each stable view from now on, on the loop.
-func (p *Peers) Viewed(f func([]membership.Member)) {
+// OnView names what is told the members of each stable view from now on, on the loop.
+func (p *Peers) OnView(f func([]membership.Member)) {
 	p.viewed = f
 	p.tellView()
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,9 +26,9 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261202") }
 
-func drawRumour(t *rapid.T, label string) membership.Rumour {
+func drawRumour(t *rapid.T, label string) membership.Update {
 	name := rapid.StringMatching(`[a-z0-9-]{1,64}`)
-	r := membership.Rumour{Name: name.Draw(t, label), Zone: name.Draw(t, label+" hall"), Addr: "127.0.0.1:7101", Life: rapid.Uint64().Draw(t, label+" life"),
+	r := membership.Update{Name: name.Draw(t, label), Zone: name.Draw(t, label+" hall"), Addr: "127.0.0.1:7101", Life: rapid.Uint64().Draw(t, label+" life"),
 		Incarnation: rapid.Uint64().Draw(t, label+" incarnation"), State: membership.State(rapid.IntRange(0, 3).Draw(t, label+" state"))}
 	for range rapid.IntRange(0, membership.WitnessMost).Draw(t, label+" witnesses") {
 		r.Witnesses = append(r.Witnesses, membership.Witness{Name: name.Draw(t, "witness"), Zone: name.Draw(t, "its hall"), Refused: rapid.Bool().Draw(t, "refused")})
@@ -82,7 +82,7 @@
 
 // FuzzDatagram looks at what holds of any bytes: no panic, and what is taken is in bounds.
 func FuzzDatagram(f *testing.F) {
-	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Self: membership.Rumour{Name: "n1", Addr: "127.0.0.1:1"}})
+	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Self: membership.Update{Name: "n1", Addr: "127.0.0.1:1"}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/peer/records.go
+++ b/internal/peer/records.go
@@ -61,18 +61,18 @@
 	timer   *eventloop.Timer // for the next dial, or for an idle end
 }
 
-// Take has f called with each record of a kind, on the loop; f may not keep the bytes.
-func (p *Peers) Take(k Kind, f func(from string, b []byte)) { p.takes[k] = f }
+// OnRecord has f called with each record of a kind, on the loop; f may not keep the bytes.
+func (p *Peers) OnRecord(k Kind, f func(from string, b []byte)) { p.takes[k] = f }
 
-// Room has f called where Send said ErrFull and there is room again.
-func (p *Peers) Room(f func(to string, k Kind)) { p.room = f }
+// OnWritable has f called where Send said ErrFull and there is room again.
+func (p *Peers) OnWritable(f func(to string, k Kind)) { p.room = f }
 
 // Send hands over a record for a member. An error means that it was not taken.
 func (p *Peers) Send(to string, k Kind, b []byte) error {
 	if len(b) > recordMost || waits[k] == 0 {
 		return ErrSize
 	}
-	_, life, ok := p.table.Lives(to)
+	_, life, ok := p.table.Locate(to)
 	if !ok {
 		return ErrAway
 	}
@@ -117,7 +117,7 @@
 }
 
 func (s *sender) dial() {
-	addr, life, ok := s.p.table.Lives(s.to)
+	addr, life, ok := s.p.table.Locate(s.to)
 	if !ok || life != s.life {
 		s.end("the member is gone")
 		return
@@ -178,7 +178,7 @@
 	}
 	s.timer.Stop()
 	for written := 0; written < pumpMost; {
-		if s.c.Taken() > s.c.Given() && !s.c.Push() {
+		if s.c.BytesWritten() > s.c.BytesSent() && !s.c.Flush() {
 			return // Drained comes
 		}
 		b, room := s.out.pop()
--- a/internal/peer/records_test.go
+++ b/internal/peer/records_test.go
@@ -56,8 +56,8 @@
 		x.l.Close()
 	})
 	x.soon(t, "both are members", func() bool {
-		_, _, a := x.a.table.Lives("n1")
-		_, _, b := x.b.table.Lives("n0")
+		_, _, a := x.a.table.Locate("n1")
+		_, _, b := x.b.table.Locate("n0")
 		return a && b
 	})
 	return x
@@ -100,9 +100,9 @@
 		return err
 	}
 	x.on(func() {
-		x.b.Take(Bulk, func(from string, b []byte) { came = append(came, from+" "+string(b[:8])) })
-		x.b.Take(Urgent, func(_ string, b []byte) { urgentAfter = len(came) })
-		x.a.Room(func(to string, k Kind) {
+		x.b.OnRecord(Bulk, func(from string, b []byte) { came = append(came, from+" "+string(b[:8])) })
+		x.b.OnRecord(Urgent, func(_ string, b []byte) { urgentAfter = len(came) })
+		x.a.OnWritable(func(to string, k Kind) {
 			if to == "n1" && k == Bulk {
 				rooms++
 			}
@@ -148,7 +148,7 @@
 func TestRecordsAgain(t *testing.T) {
 	x := newPair(t)
 	came := 0
-	x.on(func() { x.b.Take(Urgent, func(string, []byte) { came++ }) })
+	x.on(func() { x.b.OnRecord(Urgent, func(string, []byte) { came++ }) })
 	for round := range 3 {
 		before := came
 		x.soon(t, "a record", func() bool {
@@ -167,7 +167,7 @@
 	x := newPair(t)
 	var before int64
 	x.on(func() {
-		for x.l.Free() > 0 {
+		for x.l.FreeDescriptors() > 0 {
 			if _, err := x.l.Listen("127.0.0.1:0", func() bool { return false }, nil); err != nil {
 				t.Fatal(err)
 			}
@@ -179,7 +179,7 @@
 	}
 	x.soon(t, "some datagrams", func() bool { return x.a.Counts().Received > before+20 })
 	x.on(func() {
-		if _, _, ok := x.a.table.Lives("n1"); !ok || strings.Contains(x.said.String(), "what=dead") {
+		if _, _, ok := x.a.table.Locate("n1"); !ok || strings.Contains(x.said.String(), "what=dead") {
 			t.Errorf("n1 is there: %v; %s", ok, x.said.String())
 		}
 	})
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -58,14 +58,14 @@
 	report := StatusReport{
 		Cluster: p.s.Cluster,
 		Name:    p.s.Name,
-		Doubt:   p.table.Doubt(),
+		Doubt:   p.table.HealthScore(),
 		View:    View{view.Number, fmt.Sprintf("%016x", view.Digest), view.Names},
 		Traffic: Traffic{
 			Sent:            p.counts.Sent,
 			SentBytes:       p.counts.SentBytes,
 			Received:        p.counts.Received,
 			ReceivedBytes:   p.counts.ReceivedBytes,
-			Lost:            p.counts.Lost + p.socket.Lost(),
+			Lost:            p.counts.Lost + p.socket.Dropped(),
 			Refused:         p.counts.Refused,
 			HandshakeProbes: p.counts.HandshakeProbes,
 		},
@@ -91,8 +91,8 @@
 	return report
 }
 
-// Answer is the report as the answer to a call: a line of JSON, then a line ".".
-func (r StatusReport) Answer() ([]byte, error) {
+// Reply is the report as the answer to a call: a line of JSON, then a line ".".
+func (r StatusReport) Reply() ([]byte, error) {
 	b, err := json.Marshal(r)
 	return append(b, "\n.\n"...), err
 }
--- a/internal/retrytoken/retrytoken.go
+++ b/internal/retrytoken/retrytoken.go
@@ -46,8 +46,8 @@
 	waitMost = int64(86_400_000_000)
 )
 
-// Ticket is what one says.
-type Ticket struct {
+// Token is what one says.
+type Token struct {
 	Task, Class string
 	IssuedUs    int64  // Unix time
 	SlotUs      int64  // when its caller is to come back
@@ -66,8 +66,8 @@
 // brought. The zero value holds none: it neither issues tickets nor takes any.
 type Keys struct{ keys []key }
 
-// Held reports whether there is a key.
-func (k *Keys) Held() bool { return k != nil && len(k.keys) > 0 }
+// IsSet reports whether there is a key.
+func (k *Keys) IsSet() bool { return k != nil && len(k.keys) > 0 }
 
 // ParseKeys reads a file of keys: a section [keys], and in it a line "key NAME HEX"
 // for each, the one for new tickets first. To rotate, add the new key last at every
@@ -123,8 +123,8 @@
 }
 
 // Issue writes a ticket, or nothing where no key is held.
-func (k *Keys) Issue(t Ticket) []byte {
-	if !k.Held() || len(t.Task) > nameMost || len(t.Class) > nameMost {
+func (k *Keys) Issue(t Token) []byte {
+	if !k.IsSet() || len(t.Task) > nameMost || len(t.Class) > nameMost {
 		return nil
 	}
 	first := &k.keys[0]
@@ -143,9 +143,9 @@
 	return append(b, first.proof(b)...)
 }
 
-// Open reads a ticket and its proof. What it says is true then, and nothing more.
-func (k *Keys) Open(b []byte) (Ticket, error) {
-	var t Ticket
+// Verify reads a ticket and its proof. What it says is true then, and nothing more.
+func (k *Keys) Verify(b []byte) (Token, error) {
+	var t Token
 	if len(b) < headLen+2+proofLen || len(b) > TicketMost || b[0] != version {
 		return t, ErrForm
 	}
@@ -166,13 +166,13 @@
 	rest := body[headLen:]
 	for _, s := range []*string{&t.Task, &t.Class} {
 		if len(rest) == 0 || len(rest) < 1+int(rest[0]) {
-			return Ticket{}, ErrForm
+			return Token{}, ErrForm
 		}
 		*s = string(rest[1 : 1+int(rest[0])])
 		rest = rest[1+int(rest[0]):]
 	}
 	if len(rest) > 0 {
-		return Ticket{}, ErrForm
+		return Token{}, ErrForm
 	}
 	return t, nil
 }
@@ -185,7 +185,7 @@
 }
 
 // Check says whether a ticket is good for a task now.
-func (t *Ticket) Check(now int64, task, class string) error {
+func (t *Token) Check(now int64, task, class string) error {
 	switch {
 	case t.Task != task || t.Class != class:
 		return ErrForeign
@@ -199,10 +199,10 @@
 	return nil
 }
 
-// Used remembers the tickets that were taken last. It is of fixed size: where more are
+// Redeemed remembers the tickets that were taken last. It is of fixed size: where more are
 // good at once than fit, the oldest are forgotten, and could be brought again here;
 // their tasks still stand at most once.
-type Used struct {
+type Redeemed struct {
 	nonces map[uint64]struct{}
 	order  []uint64
 	head   int
@@ -211,8 +211,8 @@
 // usedMost bounds what is remembered.
 const usedMost = 16 << 10
 
-// Take takes a ticket, or reports that it was taken before.
-func (u *Used) Take(t *Ticket) error {
+// Redeem takes a ticket, or reports that it was taken before.
+func (u *Redeemed) Redeem(t *Token) error {
 	if u.nonces == nil {
 		u.nonces = map[uint64]struct{}{}
 	}
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -25,8 +25,8 @@
 	theirs = "key theirs 00112233445566778899aabbccddeeff\n"
 )
 
-func standard() Ticket {
-	return Ticket{Task: "7f3a9c21e0b4d655", Class: "live-relay", IssuedUs: now, SlotUs: now + 3_000_000, SinceUs: now - 5_000_000,
+func standard() Token {
+	return Token{Task: "7f3a9c21e0b4d655", Class: "live-relay", IssuedUs: now, SlotUs: now + 3_000_000, SinceUs: now - 5_000_000,
 		Tries: 2, Nonce: 42}
 }
 
@@ -61,7 +61,7 @@
 		{"huge", make([]byte, 1<<20), 3_000_000, "", ErrForm},
 		{"another version", append([]byte{2}, good[1:]...), 3_000_000, "", ErrForm},
 	} {
-		got, err := k.Open(x.ticket)
+		got, err := k.Verify(x.ticket)
 		if err == nil {
 			task := x.task
 			if task == "" {
@@ -77,18 +77,18 @@
 	for i := range len(good) * 8 {
 		b := bytes.Clone(good)
 		b[i/8] ^= 1 << (i % 8)
-		if _, err := k.Open(b); err == nil {
+		if _, err := k.Verify(b); err == nil {
 			t.Errorf("with bit %d turned it is taken", i)
 		}
 	}
-	if got, err := k.Open(good); err != nil || got != standard() {
+	if got, err := k.Verify(good); err != nil || got != standard() {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	for _, k := range []*Keys{nil, {}} {
 		if k.Issue(standard()) != nil {
 			t.Error("issued without a key")
 		}
-		if _, err := k.Open(good); !errors.Is(err, ErrKey) {
+		if _, err := k.Verify(good); !errors.Is(err, ErrKey) {
 			t.Errorf("taken without a key: %v", err)
 		}
 	}
@@ -103,7 +103,7 @@
 		ticket []byte
 		want   error
 	}{{both, a, nil}, {both, b, nil}, {after, b, nil}, {after, a, ErrKey}, {before, b, ErrKey}} {
-		if _, err := x.k.Open(x.ticket); !errors.Is(err, x.want) {
+		if _, err := x.k.Verify(x.ticket); !errors.Is(err, x.want) {
 			t.Errorf("%v, expected %v", err, x.want)
 		}
 	}
@@ -130,23 +130,23 @@
 
 // A ticket is taken once, also when many others come between.
 func TestUsedOnce(t *testing.T) {
-	var u Used
+	var u Redeemed
 	first := standard()
-	if err := u.Take(&first); err != nil {
+	if err := u.Redeem(&first); err != nil {
 		t.Fatal(err)
 	}
 	for i := range uint64(usedMost - 1) {
-		other := Ticket{Nonce: 1000 + i}
-		if err := u.Take(&other); err != nil {
+		other := Token{Nonce: 1000 + i}
+		if err := u.Redeem(&other); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := u.Take(&first); !errors.Is(err, ErrUsed) {
+	if err := u.Redeem(&first); !errors.Is(err, ErrUsed) {
 		t.Errorf("taken again: %v", err)
 	}
 	for i := range uint64(3 * usedMost) {
-		other := Ticket{Nonce: 1_000_000 + i}
-		u.Take(&other)
+		other := Token{Nonce: 1_000_000 + i}
+		u.Redeem(&other)
 	}
 	if len(u.nonces) != usedMost || len(u.order) != usedMost {
 		t.Errorf("%d are remembered", len(u.nonces))
@@ -160,7 +160,7 @@
 	f.Add(good)
 	f.Add([]byte{version})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		got, err := k.Open(b)
+		got, err := k.Verify(b)
 		if err != nil {
 			return
 		}
@@ -175,7 +175,7 @@
 	good := k.Issue(standard())
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := k.Open(good); err != nil {
+		if _, err := k.Verify(good); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -119,9 +119,9 @@
 // Regions are the regions of zones. Zones that are not named form one region together.
 type Regions map[string]string
 
-// Own are the shards of a zone that belong to one of the members.
-func (r Regions) Own(zone string, members []Member, self string) (own Bits) {
-	for shard, owner := range r.Owners(zone, members) {
+// Assigned are the shards of a zone that belong to one of the members.
+func (r Regions) Assigned(zone string, members []Member, self string) (own Bits) {
+	for shard, owner := range r.Assignments(zone, members) {
 		if owner == self {
 			own |= 1 << shard
 		}
@@ -129,9 +129,9 @@
 	return own
 }
 
-// Owners are the members that the shards of a zone belong to, by shard; "" for all where no member is
+// Assignments are the members that the shards of a zone belong to, by shard; "" for all where no member is
 // of the zone's region. Members come in any order; one that is named twice counts once.
-func (r Regions) Owners(zone string, members []Member) (owners [Count]string) {
+func (r Regions) Assignments(zone string, members []Member) (owners [Count]string) {
 	names := r.near(zone, members)
 	if len(names) == 0 {
 		return owners
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -33,7 +33,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
 		zone := rapid.SampledFrom(testZones).Draw(t, "of")
-		owners, near := testRegions.Owners(zone, members), 0
+		owners, near := testRegions.Assignments(zone, members), 0
 		byName := map[string]Member{}
 		for _, m := range members {
 			byName[m.Name] = m
@@ -61,7 +61,7 @@
 			if n > even {
 				t.Fatalf("%s has %d shards, %d is an even part of %d members", name, n, even, near)
 			}
-			own := testRegions.Own(zone, members, name)
+			own := testRegions.Assigned(zone, members, name)
 			all |= own
 			total += Set{zone: own}.Len()
 		}
@@ -69,7 +69,7 @@
 			t.Fatalf("expected each shard assigned once, got %d assignments: %x", total, all)
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(members), members[0])).Draw(t, "shuffled")
-		if owners != testRegions.Owners(zone, shuffled) {
+		if owners != testRegions.Assignments(zone, shuffled) {
 			t.Fatal("the order of the members, or one that is named twice, changes the owners")
 		}
 	})
@@ -98,7 +98,7 @@
 			left := slices.Delete(slices.Clone(members), gone, gone+1)
 			moved, own := 0, 0
 			for _, zone := range zones {
-				before, after := regions.Owners(zone, members), regions.Owners(zone, left)
+				before, after := regions.Assignments(zone, members), regions.Assignments(zone, left)
 				for shard := range before {
 					if before[shard] == members[gone].Name {
 						own++
@@ -134,7 +134,7 @@
 		held := map[string]int{}
 		for i := range workers {
 			zone := zones[i/rack%len(zones)]
-			held[r.Owners(zone, members)[Of(fmt.Sprintf("s-%08x", 0xc41f00+i))]]++
+			held[r.Assignments(zone, members)[Of(fmt.Sprintf("s-%08x", 0xc41f00+i))]]++
 		}
 		t.Logf("%s: workers by orchestrator: %v", name, held)
 		for member, n := range held {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -101,36 +101,36 @@
 		c.m[k] = v
 	}
 	s := placement.Settings{
-		SelfIndex:       int(c.int("SelfIndex")),
-		FleetSize:       int(c.int("FleetSize")),
-		Zone:            c.m["Zone"],
-		OverShareWorth:  c.num("OverShareWorth"),
-		Subscribe:       c.m["Discovery"] == "subscribe",
-		AskWithinUs:     c.int("Rules.AskWithinUs"),
-		HasView:         c.bool("FamilyInfo.View"),
-		AcksRunning:     c.m["FamilyInfo.SaysYes"] == "running",
-		Probes:          c.bool("Limits.Probes") && c.m["Report.How"] == "probe",
-		Tests:           c.bool("Limits.Probes"),
-		Advice:          c.bool("Limits.RetryAfter"),
-		Cancel:          c.bool("Limits.Cancel"),
-		ReportsUsed:     c.m["FamilyInfo.Counts"] == "used",
-		CoresMultiple:   c.num("FamilyInfo.CoresMultiple"),
-		MemoryMultiple:  c.num("FamilyInfo.MemoryMultiple"),
-		UnitCores:       c.num("FamilyInfo.UnitCores"),
-		UnitMemory:      c.num("FamilyInfo.UnitMemory"),
-		AttemptsCap:     int(c.int("Limits.AttemptsCap")),
-		PriceMoves:      c.num("Prices.Moves"),
-		AnswerSlackUs:   c.int("Rules.AnswerSlackUs"),
-		DrainGraceUs:    c.int("Rules.DrainGraceUs"),
-		ColdShare:       c.num("Rules.ColdShare"),
-		ColdUs:          c.int("Rules.ColdUs"),
-		OverloadForUs:   c.int("Rules.OverloadForUs"),
-		FreshOffers:     c.num("FamilyInfo.FreshOffers"),
-		TickUs:          c.int("TickUs"),
-		MaxRetryAfterUs: c.int("Limits.MaxRetryAfterUs"),
+		SelfIndex:          int(c.int("SelfIndex")),
+		FleetSize:          int(c.int("FleetSize")),
+		Zone:               c.m["Zone"],
+		OverQuotaWeight:    c.num("OverShareWorth"),
+		PollsDiscovery:     c.m["Discovery"] == "subscribe",
+		PollWithinUs:       c.int("Rules.AskWithinUs"),
+		HasView:            c.bool("FamilyInfo.View"),
+		AcceptMeansRunning: c.m["FamilyInfo.SaysYes"] == "running",
+		Probes:             c.bool("Limits.Probes") && c.m["Report.How"] == "probe",
+		Pings:              c.bool("Limits.Probes"),
+		RetryAfter:         c.bool("Limits.RetryAfter"),
+		Cancel:             c.bool("Limits.Cancel"),
+		ReportsUsage:       c.m["FamilyInfo.Counts"] == "used",
+		CoresOvercommit:    c.num("FamilyInfo.CoresMultiple"),
+		MemoryOvercommit:   c.num("FamilyInfo.MemoryMultiple"),
+		UnitCores:          c.num("FamilyInfo.UnitCores"),
+		UnitMemory:         c.num("FamilyInfo.UnitMemory"),
+		MaxAttempts:        int(c.int("Limits.AttemptsCap")),
+		MigrationCost:      c.num("Prices.Moves"),
+		AnswerSlackUs:      c.int("Rules.AnswerSlackUs"),
+		DrainGraceUs:       c.int("Rules.DrainGraceUs"),
+		ColdStartRate:      c.num("Rules.ColdShare"),
+		WarmUpUs:           c.int("Rules.ColdUs"),
+		SlowStartWindowUs:  c.int("Rules.OverloadForUs"),
+		SlowStartOffers:    c.num("FamilyInfo.FreshOffers"),
+		TickUs:             c.int("TickUs"),
+		MaxRetryAfterUs:    c.int("Limits.MaxRetryAfterUs"),
 	}
 	for _, f := range c.list("Report.Fields") {
-		s.ReportsRoom = s.ReportsRoom || f == "x0"
+		s.ReportsFree = s.ReportsFree || f == "x0"
 	}
 	c.kinds(&s)
 	c.classes(&s)
@@ -181,9 +181,9 @@
 		}
 		s.Classes = append(s.Classes, placement.Class{
 			Name: c.m[p+"Name"], Effect: e, Group: c.scope(p+"Group", c.m[p+"Group"]),
-			WindowUs: c.int(p + "WindowUs"), AimUs: c.int(p + "OnTimeUs"), DeadlineUs: c.int(p + "DeadlineUs"),
-			Worth: c.num(p + "Importance"), StartS: start[i], Kind: int(kind[i]),
-			Apart: c.scope("FamilyInfo.ApartBy", apart[i]), Most: int(most[i]), Calm: calm[i], Fade: fade[i],
+			WindowUs: c.int(p + "WindowUs"), ObjectiveUs: c.int(p + "OnTimeUs"), DeadlineUs: c.int(p + "DeadlineUs"),
+			Weight: c.num(p + "Importance"), StartBonusS: start[i], Kind: int(kind[i]),
+			Spread: c.scope("FamilyInfo.ApartBy", apart[i]), MaxPerDomain: int(most[i]), SaturationLoad: calm[i], SaturationRange: fade[i],
 		})
 	}
 }
@@ -200,6 +200,6 @@
 	}
 	for i := range n {
 		s.Tenants = append(s.Tenants, placement.Tenant{
-			Name: c.m[fmt.Sprintf("Parties.%d.Name", i)], ShareCores: share[i]})
+			Name: c.m[fmt.Sprintf("Parties.%d.Name", i)], QuotaCores: share[i]})
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -172,11 +172,11 @@
 			return fmt.Errorf("expected ROW, got %.40q", s)
 		}
 		var e placement.Entry
-		e.Cell, e.StartUs = int(r.int("Pack")), r.int("StartTimeUs")
-		e.Machine, e.Kind, e.Zone = r.text("Machine"), r.next(), r.next()
+		e.Cell, e.StartedAtUs = int(r.int("Pack")), r.int("StartTimeUs")
+		e.Worker, e.Kind, e.Zone = r.text("Machine"), r.next(), r.next()
 		r.num("PowerHint")
-		e.State = placement.State(r.int("StageState"))
-		e.SpareMem, e.SpareCores = r.num("UnaskedMemory"), r.num("SpareCpu")
+		e.State = placement.WorkerState(r.int("StageState"))
+		e.FreeMemory, e.FreeCores = r.num("UnaskedMemory"), r.num("SpareCpu")
 		if err := r.end(); err != nil {
 			return fmt.Errorf("ROW: %w", err)
 		}
@@ -201,7 +201,7 @@
 		kind := f.int("Scope")
 		f.next()
 		page := f.next()
-		e := placement.List{Kind: placement.ListKind(kind)}
+		e := placement.WorkerList{Kind: placement.ListKind(kind)}
 		if kind < 0 || kind > 3 {
 			return fmt.Errorf("unknown Scope %d", kind)
 		}
@@ -217,58 +217,58 @@
 	},
 	"REQUEST": func(_ *Decoder, f *fields, it *Item) error {
 		var t placement.Task
-		t.Ticket, t.Workload = f.text("Ticket"), f.uint("Workload")
+		t.RequestID, t.KeyHash = f.text("Ticket"), f.uint("Workload")
 		t.DeadlineUs = f.int("DeadlineUs")
-		t.Cores, t.Mem = f.num("WantCores"), f.num("MemNeeded")
-		t.Class, t.LastsUs = f.next(), f.int("LastsUs")
+		t.Cores, t.Memory = f.num("WantCores"), f.num("MemNeeded")
+		t.Class, t.ExpectedRunUs = f.next(), f.int("LastsUs")
 		bits := f.int("StateBits")
-		t.Hinted, t.Again = bits&1 != 0, bits&16 != 0
+		t.HasRunHint, t.Retry = bits&1 != 0, bits&16 != 0
 		t.Tenant, t.Program = f.next(), f.uint("Program")
 		it.Event = placement.Request{Task: t}
 		return nil
 	},
 	"EXISTING": func(_ *Decoder, f *fields, it *Item) error {
-		var e placement.Existing
-		e.Ticket, e.Machine = f.text("Ticket"), f.text("Machine")
+		var e placement.Adopted
+		e.RequestID, e.Worker = f.text("Ticket"), f.text("Machine")
 		bits := f.int("StateBits")
-		e.Hinted, e.Again = bits&1 != 0, bits&16 != 0
-		e.LastsUs, e.Tenant = f.int("LastsUs"), f.next()
-		e.DeadlineUs, e.Workload = f.int("DeadlineUs"), f.uint("Workload")
+		e.HasRunHint, e.Retry = bits&1 != 0, bits&16 != 0
+		e.ExpectedRunUs, e.Tenant = f.int("LastsUs"), f.next()
+		e.DeadlineUs, e.KeyHash = f.int("DeadlineUs"), f.uint("Workload")
 		e.Class, e.Cores = f.next(), f.num("WantCores")
-		e.Program, e.Mem = f.uint("Program"), f.num("MemNeeded")
+		e.Program, e.Memory = f.uint("Program"), f.num("MemNeeded")
 		it.Event = e
 		return nil
 	},
 	"ACCEPTED": func(_ *Decoder, f *fields, it *Item) error {
-		it.Event = placement.Accepted{Ticket: f.text("Ticket"), Attempt: int(f.int("Copy")),
-			Machine: f.text("Machine"), RTTUs: f.int("RttUs")}
+		it.Event = placement.Accepted{RequestID: f.text("Ticket"), Attempt: int(f.int("Copy")),
+			Worker: f.text("Machine"), RTTUs: f.int("RttUs")}
 		return nil
 	},
 	"DONE": func(_ *Decoder, f *fields, it *Item) error {
-		e := placement.Done{Ticket: f.text("Ticket"), Why: placement.Why(f.int("Info"))}
-		e.Closed, e.RTTUs = f.int("Closed") == 1, f.int("RttUs")
-		e.Status, e.Attempt = placement.Status(f.int("StateCode")), int(f.int("Copy"))
-		e.Machine = f.text("Machine")
+		e := placement.AttemptEnded{RequestID: f.text("Ticket"), Cause: placement.Cause(f.int("Info"))}
+		e.Final, e.RTTUs = f.int("Closed") == 1, f.int("RttUs")
+		e.Outcome, e.Attempt = placement.Outcome(f.int("StateCode")), int(f.int("Copy"))
+		e.Worker = f.text("Machine")
 		f.load()
 		it.Event = e
 		return nil
 	},
 	"PROGRESS": func(_ *Decoder, f *fields, it *Item) error {
-		it.Event = placement.Note{Ticket: f.text("Ticket"), Attempt: int(f.int("Copy")),
-			Machine: f.text("Machine"), Kind: placement.NoteKind(f.int("What")), Value: f.num("Value")}
+		it.Event = placement.TaskReport{RequestID: f.text("Ticket"), Attempt: int(f.int("Copy")),
+			Worker: f.text("Machine"), Kind: placement.ReportKind(f.int("What")), Value: f.num("Value")}
 		return nil
 	},
 	"SAMPLED": func(_ *Decoder, f *fields, it *Item) error {
-		it.Event = placement.Sampled{Machine: f.text("Machine"), Status: placement.Status(f.int("StateCode")),
+		it.Event = placement.ProbeResult{Worker: f.text("Machine"), Outcome: placement.Outcome(f.int("StateCode")),
 			RTTUs: f.int("RttUs"), Load: f.load()}
 		return nil
 	},
 	"BELL": func(_ *Decoder, f *fields, it *Item) error {
-		it.Event = placement.Bell{Ref: f.text("Ref")}
+		it.Event = placement.TimerFired{Ref: f.text("Ref")}
 		return nil
 	},
 	"TIMED_OUT_CLIENT": func(_ *Decoder, f *fields, it *Item) error {
-		it.Event = placement.ClientGone{Ticket: f.text("Ticket")}
+		it.Event = placement.ClientCancelled{RequestID: f.text("Ticket")}
 		return nil
 	},
 	"DATAGRAM": func(_ *Decoder, f *fields, it *Item) error {
@@ -357,7 +357,7 @@
 // load reads a load report.
 func (f *fields) load() placement.Load {
 	nan := math.NaN()
-	l := placement.Load{X0: nan, X1: nan, Util: nan, Queue: nan}
+	l := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
 	s := f.next()
 	if s == "" {
 		return l
@@ -371,13 +371,13 @@
 		}
 		switch name {
 		case "x0":
-			l.X0 = v
+			l.FreeCores = v
 		case "x1":
-			l.X1 = v
+			l.FreeMemory = v
 		case "utilization":
-			l.Util = v
+			l.Utilization = v
 		case "backlog":
-			l.Queue = v
+			l.Queued = v
 		}
 	}
 	return l
@@ -404,28 +404,28 @@
 func (e *Encoder) action(inst int, a placement.Action) (err error) {
 	switch a := a.(type) {
 	case placement.Place:
-		_, err = fmt.Fprintf(e.w, "PLACE %d %s %s %d\n", inst, a.Ticket, a.Machine, a.AbandonAtUs)
-	case placement.Deny:
-		_, err = fmt.Fprintf(e.w, "DENY %d %s 0\n", inst, a.Ticket)
-	case placement.Error:
-		_, err = fmt.Fprintf(e.w, "ERROR %d %s\n", inst, a.Ticket)
-	case placement.Move:
-		_, err = fmt.Fprintf(e.w, "MOVE %d %s\n", inst, a.Ticket)
-	case placement.AskLoad:
-		_, err = fmt.Fprintf(e.w, "ASK_LOAD %d %s\n", inst, a.Machine)
-	case placement.Observe:
+		_, err = fmt.Fprintf(e.w, "PLACE %d %s %s %d\n", inst, a.RequestID, a.Worker, a.AbandonAtUs)
+	case placement.Reject:
+		_, err = fmt.Fprintf(e.w, "DENY %d %s 0\n", inst, a.RequestID)
+	case placement.Fail:
+		_, err = fmt.Fprintf(e.w, "ERROR %d %s\n", inst, a.RequestID)
+	case placement.Migrate:
+		_, err = fmt.Fprintf(e.w, "MOVE %d %s\n", inst, a.RequestID)
+	case placement.Probe:
+		_, err = fmt.Fprintf(e.w, "ASK_LOAD %d %s\n", inst, a.Worker)
+	case placement.WatchWorkers:
 		on := 0
 		if a.Active {
 			on = 1
 		}
 		_, err = fmt.Fprintf(e.w, "OBSERVE %d %d\n", inst, on)
-	case placement.Refresh:
+	case placement.RefreshWorkers:
 		_, err = fmt.Fprintf(e.w, "REFRESH %d\n", inst)
-	case placement.Cancel:
-		_, err = fmt.Fprintf(e.w, "CANCEL %d %s %d\n", inst, a.Ticket, a.Attempt)
-	case placement.SetAlarm:
+	case placement.CancelAttempt:
+		_, err = fmt.Fprintf(e.w, "CANCEL %d %s %d\n", inst, a.RequestID, a.Attempt)
+	case placement.SetTimer:
 		_, err = fmt.Fprintf(e.w, "SET_ALARM %d %d %s\n", inst, a.OffsetUs, a.Ref)
-	case placement.SayLog:
+	case placement.Log:
 		_, err = fmt.Fprintf(e.w, "SAY_LOG %d %s\n", inst, oneLine(a.Text))
 	default:
 		err = fmt.Errorf("cannot write action %T", a)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -35,24 +35,24 @@
 		t.Fatalf("clock %d, batch %s, %d items", b.NowUs, b.Seq, len(b.Items))
 	}
 	s := b.Items[0].Settings
-	if !s.Subscribe || s.SelfIndex != 1 || s.Kinds[1].Cores != 62 || !s.AcksRunning || s.Classes[1].Apart != placement.ScopeCell ||
-		s.Classes[1].Group != placement.ScopeZone || s.Classes[1].Most != 3 || b.Items[0].Seed != 42 {
+	if !s.PollsDiscovery || s.SelfIndex != 1 || s.Kinds[1].Cores != 62 || !s.AcceptMeansRunning || s.Classes[1].Spread != placement.ScopeCell ||
+		s.Classes[1].Group != placement.ScopeZone || s.Classes[1].MaxPerDomain != 3 || b.Items[0].Seed != 42 {
 		t.Errorf("settings %+v", s)
 	}
-	l := b.Items[1].Event.(placement.List)
-	if want := (placement.Entry{Machine: "mb", Kind: "l", Zone: "zb", Cell: 4, StartUs: 6100000,
-		State: placement.Draining, SpareCores: -4.5, SpareMem: 12}); l.Entries[1] != want || l.Kind != placement.ListCached {
+	l := b.Items[1].Event.(placement.WorkerList)
+	if want := (placement.Entry{Worker: "mb", Kind: "l", Zone: "zb", Cell: 4, StartedAtUs: 6100000,
+		State: placement.Draining, FreeCores: -4.5, FreeMemory: 12}); l.Entries[1] != want || l.Kind != placement.ListCached {
 		t.Errorf("entry %+v, want %+v", l.Entries[1], want)
 	}
 	r := b.Items[2].Event.(placement.Request)
-	if r.Cores != 2 || r.Mem != 1.5 || r.Class != "job" || !r.Hinted || r.Tenant != "" || r.Program != 4050608788307276 {
+	if r.Cores != 2 || r.Memory != 1.5 || r.Class != "job" || !r.HasRunHint || r.Tenant != "" || r.Program != 4050608788307276 {
 		t.Errorf("request %+v", r)
 	}
-	done := b.Items[3].Event.(placement.Done)
-	if done.Why != placement.WhyQueue || done.Status != placement.Full || done.Closed || done.RTTUs != 18500 {
+	done := b.Items[3].Event.(placement.AttemptEnded)
+	if done.Cause != placement.CauseQueue || done.Outcome != placement.Rejected || done.Final || done.RTTUs != 18500 {
 		t.Errorf("done %+v", done)
 	}
-	if got := b.Items[5].Event.(placement.Sampled); got.Load.Util != 0.62 || got.Load.Queue != 3 {
+	if got := b.Items[5].Event.(placement.ProbeResult); got.Load.Utilization != 0.62 || got.Load.Queued != 3 {
 		t.Errorf("sampled %+v", got)
 	}
 	if b, err = d.Next(); err != nil || len(b.Items) != 0 || b.Seq != "13" {
@@ -71,11 +71,11 @@
 		t.Fatal(err)
 	}
 	for i, want := range []string{"ma", "mb"} {
-		if got := b.Items[i].Event.(placement.List).Entries[0].Machine; got != want {
+		if got := b.Items[i].Event.(placement.WorkerList).Entries[0].Worker; got != want {
 			t.Errorf("list %d names %s, want %s", i, got, want)
 		}
 	}
-	if got := b.Items[2].Event.(placement.List); got.Kind != placement.ListFailed || got.Entries != nil {
+	if got := b.Items[2].Event.(placement.WorkerList); got.Kind != placement.ListFailed || got.Entries != nil {
 		t.Errorf("failed list %+v", got)
 	}
 }
@@ -110,10 +110,10 @@
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	if err := e.Actions(3, []placement.Action{
-		placement.Place{Ticket: "t", Machine: "m", AbandonAtUs: 9}, placement.Deny{Ticket: "t"},
-		placement.Error{Ticket: "t"}, placement.Move{Ticket: "t"}, placement.AskLoad{Machine: "m"},
-		placement.Observe{Active: true}, placement.Refresh{}, placement.Cancel{Ticket: "t", Attempt: 1},
-		placement.SetAlarm{OffsetUs: 7, Ref: "wake"}, placement.SayLog{Text: "two\nlines"},
+		placement.Place{RequestID: "t", Worker: "m", AbandonAtUs: 9}, placement.Reject{RequestID: "t"},
+		placement.Fail{RequestID: "t"}, placement.Migrate{RequestID: "t"}, placement.Probe{Worker: "m"},
+		placement.WatchWorkers{Active: true}, placement.RefreshWorkers{}, placement.CancelAttempt{RequestID: "t", Attempt: 1},
+		placement.SetTimer{OffsetUs: 7, Ref: "wake"}, placement.Log{Text: "two\nlines"},
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -20,7 +20,7 @@
 	Ask              [2]time.Duration // how long it looks at one offer
 	Queue            int              // offers that may wait
 	Starts           int              // at a time
-	// A cold machine starts at ColdShare of its pace, is warm after ColdFor, and falls
+	// A cold machine starts at ColdStartRate of its pace, is warm after ColdFor, and falls
 	// over once it is offered more than Multiple times what it can start, Fresh offers
 	// at least, within FallFor.
 	Up                         time.Time // zero: long ago
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -51,8 +51,8 @@
 
 func (e *endings) any() bool { return e.test != "" }
 
-// GiveUp implements core.Nodes.
-func (n *Nodes) GiveUp(node, tag string, again bool) (sure bool) {
+// CancelAttempt implements core.Nodes.
+func (n *Pool) CancelAttempt(node, tag string, again bool) (sure bool) {
 	k := n.links[node]
 	if k == nil {
 		return true
@@ -72,7 +72,7 @@
 			sure = sure && !n.tests
 		default:
 			nc.end(errSilent)
-			k.crossed(func() { n.core.NodeGaveUp(n.l.Now(), node, tag) })
+			k.crossed(func() { n.core.CancelConfirmed(n.l.Now(), node, tag) })
 			sure = false
 		}
 	}
@@ -87,7 +87,7 @@
 func (nc *workerConn) giveUp(tag string) {
 	nc.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: tag, RC: jsonlines.CauseGivenUp, HasRC: true})
 	if !nc.k.n.tests {
-		nc.c.Push()
+		nc.c.Flush()
 		return
 	}
 	if nc.ends.any() {
@@ -95,7 +95,7 @@
 	} else {
 		nc.prove([]string{tag})
 	}
-	nc.c.Push()
+	nc.c.Flush()
 }
 
 // prove writes a test behind give-ups. One is out at a time: tests cost the worker work.
@@ -126,11 +126,11 @@
 	nc.ends = endings{}
 	if len(next) > 0 {
 		nc.prove(next)
-		nc.c.Push()
+		nc.c.Flush()
 	}
 	for _, tag := range tags {
 		nc.k.n.trace("give-up read", tag, "node", nc.k.id, "test_us", nc.k.n.l.Now()-at)
-		nc.k.n.core.NodeGaveUp(nc.k.n.l.Now(), nc.k.id, tag)
+		nc.k.n.core.CancelConfirmed(nc.k.n.l.Now(), nc.k.id, tag)
 	}
 	nc.k.prune()
 }
@@ -149,7 +149,7 @@
 	k.fading[tag] = true
 	k.crossed(func() {
 		delete(k.fading, tag)
-		k.n.core.NodeEnded(k.n.l.Now(), k.id, tag, placement.Reset, placement.WhyUntold)
+		k.n.core.TaskEnded(k.n.l.Now(), k.id, tag, placement.Reset, placement.CauseUnknown)
 	})
 }
 
@@ -158,7 +158,7 @@
 	k := nc.k
 	nc.ends.timer.Stop()
 	for _, tag := range slices.Concat(nc.ends.tags, nc.ends.next) {
-		k.crossed(func() { k.n.core.NodeGaveUp(k.n.l.Now(), k.id, tag) })
+		k.crossed(func() { k.n.core.CancelConfirmed(k.n.l.Now(), k.id, tag) })
 	}
 	nc.ends = endings{}
 }
@@ -186,7 +186,7 @@
 
 // Release implements core.Nodes. The worker's word that a task has ended is what shows
 // that a release was heard; till then it goes out again on each new connection.
-func (n *Nodes) Release(node, tag string) {
+func (n *Pool) Release(node, tag string) {
 	k := n.links[node]
 	if k == nil {
 		return
@@ -197,13 +197,13 @@
 	if len(k.unheard) < maxUnheard {
 		k.unheard[tag] = n.l.Now()
 	}
-	if nc := k.usable(); nc != nil && nc.c.Up() { // else it goes out once one is
+	if nc := k.usable(); nc != nil && nc.c.IsUp() { // else it goes out once one is
 		nc.release(tag)
 	}
 }
 
-// Owes reports whether a release of a task that stands was not heard of yet.
-func (n *Nodes) Owes() bool {
+// HasUnconfirmedReleases reports whether a release of a task that stands was not heard of yet.
+func (n *Pool) HasUnconfirmedReleases() bool {
 	for _, k := range n.links {
 		if len(k.unheard) > 0 {
 			return true
@@ -212,8 +212,8 @@
 	return false
 }
 
-// Proving is how many connections carry a give-up that is not proved to be read.
-func (n *Nodes) Proving() (count int) {
+// UnconfirmedCancels is how many connections carry a give-up that is not proved to be read.
+func (n *Pool) UnconfirmedCancels() (count int) {
 	for _, k := range n.links {
 		for _, nc := range k.conns {
 			if nc.ends.any() {
@@ -227,7 +227,7 @@
 // Close ends all connections at the end of the program. Where an attempt may be out, what
 // lies in the system is thrown away: it would go on being sent, and a set-up would arrive
 // when nobody waits for it.
-func (n *Nodes) Close() {
+func (n *Pool) Close() {
 	for _, k := range n.links {
 		for _, nc := range k.conns {
 			if len(nc.open) > 0 || nc.ends.any() {
@@ -248,4 +248,4 @@
 	}
 }
 
-var _ dispatch.Nodes = (*Nodes)(nil)
+var _ dispatch.WorkerPool = (*Pool)(nil)
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -28,9 +28,9 @@
 	}
 	defer ln.Close()
 	l, n, c := newNodes(t)
-	l.Unread(2 * stuffing)
-	c.List(l.Now(), placement.List{Kind: placement.ListFull, Entries: []placement.Entry{{Machine: "a", Kind: "std"}}})
-	n.Update("a", ln.Addr().String(), true)
+	l.SetMaxBuffered(2 * stuffing)
+	c.UpdateWorkers(l.Now(), placement.WorkerList{Kind: placement.ListFull, Entries: []placement.Entry{{Worker: "a", Kind: "std"}}})
+	n.UpdateWorker("a", ln.Addr().String(), true)
 	nc := n.links["a"].conns[0]
 	worker, err := ln.Accept()
 	if err != nil {
@@ -38,20 +38,20 @@
 	}
 	defer worker.Close()
 	word := string(jsonlines.Append(nil, &jsonlines.Message{Verb: jsonlines.VerbNotice, Tag: tag, Opts: []jsonlines.Field{{Name: "note", Value: "up"}, {Name: "value", Value: "0"}}}))
-	s := dispatch.Setup{Tag: tag, Class: "cut", Key: "k", WaitUs: 5_000_000, Cores: 1, Mem: 1}
+	s := dispatch.Submission{RequestID: tag, Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
 	done, gaveUp := make(chan error, 1), make(chan bool)
 	step, offeredAt := 0, int64(0)
 	go func() {
 		done <- l.Run(func(now int64) {
-			n.Gather()
+			n.DeliverPending()
 			switch {
 			case step == 0 && nc.wasUp:
 				nc.c.Write([]byte(strings.Repeat(" ", stuffing) + "\n"))
-				nc.c.Push()
+				nc.c.Flush()
 				if err := c.Submit(now, nil, s); err != nil {
 					t.Error(err)
 				}
-				n.Offer("a", dispatch.Offer{Tag: tag, Class: s.Class, Key: s.Key, WaitUs: s.WaitUs})
+				n.Offer("a", dispatch.Offer{RequestID: tag, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs})
 				step, offeredAt = 1, now
 				if _, err := io.WriteString(worker, word); err != nil { // it is there, and does not read
 					t.Error(err)
@@ -60,7 +60,7 @@
 				if s := nc.open[tag]; s == nil || s.end == 0 || s.left(nc.c) {
 					t.Errorf("the offer should wait for its worker: %+v", s)
 				}
-				n.GiveUp("a", tag, false)
+				n.CancelAttempt("a", tag, false)
 				step = 2
 				close(gaveUp)
 			}
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -31,14 +31,14 @@
 
 // settled takes an offer off its connection. It is the one place where that happens.
 func (nc *workerConn) settled(s *sent) {
-	delete(nc.open, s.Tag)
+	delete(nc.open, s.RequestID)
 	if s.left(nc.c) {
 		nc.k.n.tries++
 	}
 }
 
 // left reports whether the offer may have reached the worker whole.
-func (s *sent) left(c *eventloop.Conn) bool { return s.end > 0 && s.end <= c.Given() }
+func (s *sent) left(c *eventloop.Conn) bool { return s.end > 0 && s.end <= c.BytesSent() }
 
 // workerConn is one connection to a worker.
 type workerConn struct {
@@ -61,42 +61,42 @@
 // up late, or another broken under it.
 func (nc *workerConn) start(s *sent) {
 	n, id := nc.k.n, nc.k.id
-	if age := n.l.Clock() - n.core.HeardAt(s.Tag, n.l.PostedAt()); age > maxUnheardClient {
-		n.trace("an offer waits until its client is heard", s.Tag, "node", id, "age_us", age)
+	if age := n.l.Clock() - n.core.ClientLastSeenAt(s.RequestID, n.l.LastPostAt()); age > maxUnheardClient {
+		n.trace("an offer waits until its client is heard", s.RequestID, "node", id, "age_us", age)
 		n.held = append(n.held, held{nc, s})
-		n.l.Again()
+		n.l.RunAgain()
 		return
 	}
-	if why := n.core.MayLeave(n.l.Now(), id, s.Tag); why != "" {
-		n.trace("an offer came too late to leave", s.Tag, "node", id, "why", why)
+	if why := n.core.CheckOffer(n.l.Now(), id, s.RequestID); why != "" {
+		n.trace("an offer came too late to leave", s.RequestID, "node", id, "why", why)
 		nc.settled(s)
-		n.later(func() { n.core.NodeEnded(n.l.Now(), id, s.Tag, placement.Moot, placement.WhyUntold) })
+		n.later(func() { n.core.TaskEnded(n.l.Now(), id, s.RequestID, placement.NeverSent, placement.CauseUnknown) })
 		return
 	}
-	m := jsonlines.Message{Verb: jsonlines.VerbStart, Tag: s.Tag, Blob: s.Description, HasBlob: true, Opts: []jsonlines.Field{{Name: "class", Value: s.Class},
+	m := jsonlines.Message{Verb: jsonlines.VerbStart, Tag: s.RequestID, Blob: s.Description, HasBlob: true, Opts: []jsonlines.Field{{Name: "class", Value: s.Class},
 		{Name: "key", Value: s.Key}, {Name: "left", Value: strconv.FormatInt(max(1, (s.until-nc.k.n.l.Now())/1000), 10)}}}
 	if s.Idem != "" {
 		m.Opts = append(m.Opts, jsonlines.Field{Name: "idem", Value: s.Idem})
 	}
 	nc.c.Write(jsonlines.Append(nil, &m))
-	s.end = nc.c.Taken()
+	s.end = nc.c.BytesWritten()
 }
 
-func (nc *workerConn) probed(tag string, st placement.Status, load string) {
+func (nc *workerConn) probed(tag string, st placement.Outcome, load string) {
 	at, ok := nc.probes[tag]
 	if !ok {
 		return
 	}
 	delete(nc.probes, tag)
 	now := nc.k.n.l.Now()
-	nc.k.n.core.NodeSampled(now, placement.Sampled{Machine: nc.k.id, Status: st, RTTUs: now - at, Load: report(load)})
+	nc.k.n.core.ProbeAnswered(now, placement.ProbeResult{Worker: nc.k.id, Outcome: st, RTTUs: now - at, Load: report(load)})
 }
 
 // stale reports whether an offer lies on the connection
 // while nothing comes in: a worker that was cut off leaves its connections open and silent, and a new
 // one tells quickly, and with proof, that it is away.
 func (nc *workerConn) stale() bool {
-	if !nc.c.Up() {
+	if !nc.c.IsUp() {
 		return false
 	}
 	now := nc.k.n.l.Now()
@@ -128,7 +128,7 @@
 	if nc.k.n.keepAlive == 0 {
 		return true
 	}
-	if ago, ok := nc.c.Acknowledged(); ok {
+	if ago, ok := nc.c.LastAckAge(); ok {
 		nc.aliveTo = now - ago + nc.k.n.keepAlive.Microseconds() + keepAliveSlack
 	}
 	return now >= nc.aliveTo
@@ -163,7 +163,7 @@
 		}
 		k.n.trace("an offer never left", tag, "node", k.id, "err", err)
 		k.n.later(func() {
-			k.n.core.NodeEnded(k.n.l.Now(), k.id, tag, placement.ConnectFailed, placement.WhyUntold)
+			k.n.core.TaskEnded(k.n.l.Now(), k.id, tag, placement.ConnectFailed, placement.CauseUnknown)
 		})
 	}
 	for _, s := range nc.open {
@@ -186,7 +186,7 @@
 }
 
 func (nc *workerConn) send(m *jsonlines.Message) {
-	if nc.c.Up() {
+	if nc.c.IsUp() {
 		nc.c.Write(jsonlines.Append(nil, m))
 		return
 	}
@@ -204,7 +204,7 @@
 	nc.k.wait, nc.k.broke, nc.k.refusedAt = 0, false, 0
 	if nc.k.failed {
 		nc.k.failed = false
-		nc.k.n.core.NodeReached(nc.readAt, nc.k.id)
+		nc.k.n.core.WorkerReachable(nc.readAt, nc.k.id)
 	}
 	for _, b := range nc.early {
 		nc.c.Write(b)
--- a/internal/workerpool/idle.go
+++ b/internal/workerpool/idle.go
@@ -21,7 +21,7 @@
 
 // makeRoom finds a descriptor for a connection to a worker that is wanted now: a free one, that of an
 // idle connection, or at last one that clients do not use.
-func (n *Nodes) makeRoom() bool {
+func (n *Pool) makeRoom() bool {
 	if n.budget.AdmitsWorker() || n.closeIdle() {
 		return true
 	}
@@ -35,7 +35,7 @@
 }
 
 // closeIdle closes the connection unused longest of those that are still idle.
-func (n *Nodes) closeIdle() bool {
+func (n *Pool) closeIdle() bool {
 	for len(n.idle.conns) > 0 {
 		nc := n.idle.conns[0]
 		n.idle.conns = n.idle.conns[1:]
@@ -48,10 +48,10 @@
 }
 
 // scanIdle notes the connections to workers that nothing waits on and where no task runs.
-func (n *Nodes) scanIdle() {
+func (n *Pool) scanIdle() {
 	n.idle.conns, n.idle.scannedAt = n.idle.conns[:0], n.l.Now()
 	for id, k := range n.links {
-		if len(k.conns) == 1 && !n.core.Holds(id) && k.conns[0].isIdle() {
+		if len(k.conns) == 1 && !n.core.HasTasksOn(id) && k.conns[0].isIdle() {
 			n.idle.conns = append(n.idle.conns, k.conns[0])
 		}
 	}
@@ -63,5 +63,5 @@
 
 // isIdle reports whether nothing is open on the connection, nor waits for an answer.
 func (nc *workerConn) isIdle() bool {
-	return nc.c.Up() && len(nc.open) == 0 && len(nc.probes) == 0 && !nc.ends.any() && len(nc.k.unheard) == 0 && len(nc.k.fading) == 0
+	return nc.c.IsUp() && len(nc.open) == 0 && len(nc.probes) == 0 && !nc.ends.any() && len(nc.k.unheard) == 0 && len(nc.k.fading) == 0
 }
--- a/internal/workerpool/late_ends.go
+++ b/internal/workerpool/late_ends.go
@@ -25,12 +25,12 @@
 
 // listen opens such a connection where tasks stand whose set-up came by a connection that is
 // gone, unless another connection was opened in time.
-func (k *link) listen(held dispatch.Holding, now int64) {
-	unknown, crossed := held.Since < k.goneAt, held.Since < k.prunedAt && k.openedAt <= k.prunedAt
-	if held.Tasks == 0 || !unknown && !crossed || now-max(k.openedAt, k.prunedAt) < lateEndsEvery || k.n.l.Free() < lateEndsRoom {
+func (k *link) listen(held dispatch.TaskSummary, now int64) {
+	unknown, crossed := held.OldestSentAt < k.goneAt, held.OldestSentAt < k.prunedAt && k.openedAt <= k.prunedAt
+	if held.Count == 0 || !unknown && !crossed || now-max(k.openedAt, k.prunedAt) < lateEndsEvery || k.n.l.FreeDescriptors() < lateEndsRoom {
 		return
 	}
-	if n := len(k.conns); n == 0 || !k.conns[n-1].c.Up() {
+	if n := len(k.conns); n == 0 || !k.conns[n-1].c.IsUp() {
 		return // the next one that comes up is such a connection
 	}
 	k.openedAt = now // also where it fails: not in every sweep
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -17,7 +17,7 @@
 
 // link is one worker.
 type link struct {
-	n      *Nodes
+	n      *Pool
 	id     string
 	addr   string
 	listed bool
@@ -47,7 +47,7 @@
 func (k *link) usable() *workerConn {
 	if n := len(k.conns); n > 0 {
 		nc := k.conns[n-1]
-		if !nc.c.Gone() && !nc.stale() {
+		if !nc.c.IsClosed() && !nc.stale() {
 			nc.usedAt = k.n.l.Now()
 			return nc
 		}
@@ -92,12 +92,12 @@
 // says. A worker that dies and starts while it has no connection shows neither a reset nor, if it is
 // quick, refused connections for long.
 func (k *link) takeStart() {
-	older := func(nc *workerConn) bool { return nc.c.Up() && nc.dialAt < k.startedAt }
+	older := func(nc *workerConn) bool { return nc.c.IsUp() && nc.dialAt < k.startedAt }
 	if !k.restarted || slices.ContainsFunc(k.conns, older) {
 		return
 	}
 	k.restarted = false
-	k.n.core.NodeRestarted(k.n.l.Now(), k.id, k.startedAt)
+	k.n.core.WorkerRestarted(k.n.l.Now(), k.id, k.startedAt)
 }
 
 // part closes the connection to a worker of another orchestrator that nothing waits on. No task
@@ -142,7 +142,7 @@
 	if k.refusedAt == 0 {
 		k.refusedAt = now
 		for _, nc := range k.conns {
-			if nc.c.Up() && k.n.tests {
+			if nc.c.IsUp() && k.n.tests {
 				nc.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: fmt.Sprintf("%016x", now), HasRC: true})
 			}
 		}
@@ -161,14 +161,14 @@
 			k.conns[0].end(errSilent)
 		}
 		k.later()
-		k.n.core.NodeLost(k.n.l.Now(), k.id)
+		k.n.core.WorkerDied(k.n.l.Now(), k.id)
 	})
 }
 
 // prune closes older connections with nothing on them.
 func (k *link) prune() {
 	for i := 0; i < len(k.conns)-1; {
-		if nc := k.conns[i]; len(nc.open) == 0 && k.conns[len(k.conns)-1].c.Up() {
+		if nc := k.conns[i]; len(nc.open) == 0 && k.conns[len(k.conns)-1].c.IsUp() {
 			k.prunedAt = k.n.l.Now()
 			nc.end(nil)
 			continue
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -11,15 +11,15 @@
 	"ravenhitch/placement"
 )
 
-var noteKinds = map[string]placement.NoteKind{"up": placement.NoteRuns, "cpu": placement.NoteCores,
-	"mem": placement.NoteMemory, "share": placement.NoteService, "tight": placement.NotePressure}
+var noteKinds = map[string]placement.ReportKind{"up": placement.ReportRunning, "cpu": placement.ReportCores,
+	"mem": placement.ReportMemory, "share": placement.ReportService, "tight": placement.ReportMemoryPressure}
 
-var whys = map[string]placement.Why{"cpu_full": placement.WhyCores, "mem_full": placement.WhyMemory,
-	"busy": placement.WhyQueue, "wrong_host": placement.WhyNotHere, "oom": placement.WhyEvicted,
-	"preempted": placement.WhyPushedOut, "drained": placement.WhySentAway}
+var whys = map[string]placement.Cause{"cpu_full": placement.CauseCores, "mem_full": placement.CauseMemory,
+	"busy": placement.CauseQueue, "wrong_host": placement.CauseWrongWorker, "oom": placement.CauseEvicted,
+	"preempted": placement.CausePreempted, "drained": placement.CauseDrained}
 
-var statuses = map[int]placement.Status{jsonlines.CauseGivenUp: placement.OK, jsonlines.CauseCancelled: placement.Cancelled,
-	jsonlines.CauseFull: placement.Full, jsonlines.CauseError: placement.Failed, jsonlines.CauseMoot: placement.Moot}
+var statuses = map[int]placement.Outcome{jsonlines.CauseGivenUp: placement.Completed, jsonlines.CauseCancelled: placement.Cancelled,
+	jsonlines.CauseFull: placement.Rejected, jsonlines.CauseError: placement.Failed, jsonlines.CauseMoot: placement.NeverSent}
 
 func (nc *workerConn) message(m *jsonlines.Message) {
 	n, id, now := nc.k.n, nc.k.id, nc.k.n.l.Now()
@@ -27,7 +27,7 @@
 	case jsonlines.VerbStarted:
 		if s := nc.open[m.Tag]; s != nil && s.end > 0 {
 			nc.settled(s)
-			n.core.NodeStarted(now, id, m.Tag, m.Blob)
+			n.core.AttemptAccepted(now, id, m.Tag, m.Blob)
 			nc.k.prune()
 		}
 	case jsonlines.VerbFinish:
@@ -41,20 +41,20 @@
 		delete(nc.k.unheard, m.Tag)
 		if s := nc.open[m.Tag]; s != nil && s.end > 0 {
 			nc.settled(s)
-			if st == placement.OK && m.HasBlob { // the yes and the end in one: it was over before it was to say yes
-				n.core.NodeStarted(now, id, m.Tag, m.Blob)
+			if st == placement.Completed && m.HasBlob { // the yes and the end in one: it was over before it was to say yes
+				n.core.AttemptAccepted(now, id, m.Tag, m.Blob)
 			}
-			n.core.NodeEnded(now, id, m.Tag, st, whys[m.Opt("note")])
+			n.core.TaskEnded(now, id, m.Tag, st, whys[m.Opt("note")])
 			nc.k.prune()
-		} else if st != placement.Full && st != placement.Moot && (n.core.Stands(m.Tag) || n.core.Leaves(m.Tag)) {
-			n.core.NodeEnded(now, id, m.Tag, st, whys[m.Opt("note")])
-		} else if !n.core.Knows(m.Tag) {
-			n.core.NodeEndedUnclaimed(now, id, m.Tag, st, whys[m.Opt("note")])
+		} else if st != placement.Rejected && st != placement.NeverSent && (n.core.IsRunning(m.Tag) || n.core.IsTerminating(m.Tag)) {
+			n.core.TaskEnded(now, id, m.Tag, st, whys[m.Opt("note")])
+		} else if !n.core.Contains(m.Tag) {
+			n.core.UnknownTaskEnded(now, id, m.Tag, st, whys[m.Opt("note")])
 		}
 	case jsonlines.VerbNotice:
 		v, err := strconv.ParseFloat(m.Opt("value"), 64)
-		if kind, ok := noteKinds[m.Opt("note")]; ok && (err == nil && v >= 0 && v < 1e9 || kind == placement.NoteRuns) {
-			n.core.NodeNote(now, id, m.Tag, kind, v)
+		if kind, ok := noteKinds[m.Opt("note")]; ok && (err == nil && v >= 0 && v < 1e9 || kind == placement.ReportRunning) {
+			n.core.TaskReported(now, id, m.Tag, kind, v)
 		}
 	case jsonlines.VerbFinished:
 		delete(nc.k.unheard, m.Tag)
@@ -63,7 +63,7 @@
 			nc.proved()
 			return
 		}
-		st := placement.OK
+		st := placement.Completed
 		if m.RC != 1 {
 			st = placement.Failed
 		}
@@ -75,7 +75,7 @@
 
 // report reads a load report.
 func report(load string) placement.Load {
-	l := placement.Load{X0: nan, X1: nan, Util: nan, Queue: nan}
+	l := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
 	for _, pair := range strings.FieldsFunc(load, func(r rune) bool { return r == ';' || r == ',' }) {
 		name, value, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(value, 64)
@@ -84,13 +84,13 @@
 		}
 		switch name {
 		case "x0":
-			l.X0 = v
+			l.FreeCores = v
 		case "x1":
-			l.X1 = v
+			l.FreeMemory = v
 		case "util", "utilization":
-			l.Util = v
+			l.Utilization = v
 		case "queue", "backlog":
-			l.Queue = v
+			l.Queued = v
 		}
 	}
 	return l
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -60,10 +60,10 @@
 
 var errHalf = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
 
-// Nodes is the core's way to the workers.
-type Nodes struct {
+// Pool is the core's way to the workers.
+type Pool struct {
 	l       *eventloop.Loop
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	log     *ratelog.Logger
 	tracer  dispatch.Tracer
 	dialUs  int64
@@ -81,31 +81,31 @@
 	keepAlive time.Duration
 }
 
-// NewNodes returns the links, of which there are none yet; tests says that workers may be
+// New returns the links, of which there are none yet; tests says that workers may be
 // sent tests. Use sets the core.
-func NewNodes(l *eventloop.Loop, dialUs int64, tests bool, log *slog.Logger) *Nodes {
-	return &Nodes{l: l, dialUs: dialUs, tests: tests, log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, links: map[string]*link{}}
+func New(l *eventloop.Loop, dialUs int64, tests bool, log *slog.Logger) *Pool {
+	return &Pool{l: l, dialUs: dialUs, tests: tests, log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, links: map[string]*link{}}
 }
 
-// Trace limits the trace to the tags that end in one of the endings; none traces all.
-func (n *Nodes) Trace(endings []string) { n.tracer.Endings = endings }
+// SetTraceSuffixes limits the trace to the tags that end in one of the endings; none traces all.
+func (n *Pool) SetTraceSuffixes(endings []string) { n.tracer.Suffixes = endings }
 
-// KeepAlive makes the system's signs of life prove that a connection is alive, and has it ask for
+// SetKeepAlive makes the system's signs of life prove that a connection is alive, and has it ask for
 // one after so long without. Between here and the workers nothing may answer in their place.
-func (n *Nodes) KeepAlive(after time.Duration) { n.keepAlive = after }
+func (n *Pool) SetKeepAlive(after time.Duration) { n.keepAlive = after }
 
 // ShareDescriptors makes the pool connect workers only as the budget allows.
-func (n *Nodes) ShareDescriptors(b *descriptors.Budget) { n.budget = b }
+func (n *Pool) ShareDescriptors(b *descriptors.Budget) { n.budget = b }
 
-// Use names the core that is told of outcomes.
-func (n *Nodes) Use(c *dispatch.Core) {
+// SetDispatcher names the core that is told of outcomes.
+func (n *Pool) SetDispatcher(c *dispatch.Dispatcher) {
 	n.core = c
 	n.l.After(sweepNodes, n.sweep)
 }
 
-// Own says at which workers this orchestrator places tasks: connections to these are kept, and to
+// SetAssigned says at which workers this orchestrator places tasks: connections to these are kept, and to
 // the others while tasks stand there. own must answer alike until the next call.
-func (n *Nodes) Own(own func(worker string) bool) {
+func (n *Pool) SetAssigned(own func(worker string) bool) {
 	n.own = own
 	for _, k := range n.sorted() {
 		if k.own = n.owns(k.id); k.own {
@@ -114,35 +114,35 @@
 	}
 }
 
-func (n *Nodes) owns(worker string) bool { return n.own == nil || n.own(worker) }
+func (n *Pool) owns(worker string) bool { return n.own == nil || n.own(worker) }
 
 // sorted is all links by name. It stays as it is while links come and go.
-func (n *Nodes) sorted() []*link {
+func (n *Pool) sorted() []*link {
 	if n.order == nil {
 		n.order = slices.SortedFunc(maps.Values(n.links), func(a, b *link) int { return strings.Compare(a.id, b.id) })
 	}
 	return n.order
 }
 
-func (n *Nodes) add(k *link) {
+func (n *Pool) add(k *link) {
 	n.links[k.id], n.order = k, nil
 }
 
-func (n *Nodes) remove(k *link) {
+func (n *Pool) remove(k *link) {
 	delete(n.links, k.id)
 	n.order = nil
 }
 
 // sweep looks at each worker.
-func (n *Nodes) sweep() {
+func (n *Pool) sweep() {
 	for _, k := range n.sorted() {
 		if k.own || len(k.conns) > 0 || len(k.unheard) > 0 {
-			k.sweep(n.core.Holding(k.id), n.l.Now())
+			k.sweep(n.core.TasksOn(k.id), n.l.Now())
 		}
 	}
-	for _, id := range n.core.Holders() { // others where tasks stand
+	for _, id := range n.core.WorkersWithTasks() { // others where tasks stand
 		if k := n.links[id]; k != nil && !k.own && len(k.conns) == 0 {
-			k.sweep(n.core.Holding(id), n.l.Now())
+			k.sweep(n.core.TasksOn(id), n.l.Now())
 		}
 	}
 	n.l.After(sweepNodes, n.sweep)
@@ -152,12 +152,12 @@
 // there and nothing came for long. Without offers nobody would notice, and ends of
 // tasks would wait for ever. (A connection on which an offer was given up while
 // nothing came in is closed at the give-up.)
-func (k *link) sweep(held dispatch.Holding, now int64) {
+func (k *link) sweep(held dispatch.TaskSummary, now int64) {
 	if len(k.unheard) > 0 {
 		maps.DeleteFunc(k.unheard, func(_ string, at int64) bool { return now-at > unheardFor })
 	}
 	k.takeStart()
-	if held.Tasks == 0 {
+	if held.Count == 0 {
 		k.ensure() // where there was no room before
 		k.part()
 		return
@@ -166,16 +166,16 @@
 	if len(k.conns) == 0 || len(k.conns) >= maxStray {
 		return
 	}
-	if nc := k.conns[len(k.conns)-1]; nc.c.Up() && nc.quiet(now) && k.n.budget.AdmitsWorker() {
+	if nc := k.conns[len(k.conns)-1]; nc.c.IsUp() && nc.quiet(now) && k.n.budget.AdmitsWorker() {
 		k.dial()
 	}
 	k.listen(held, now)
 }
 
 // later tells the core of an outcome in the next turn, not from within a call.
-func (n *Nodes) later(f func()) {
+func (n *Pool) later(f func()) {
 	n.pending = append(n.pending, f)
-	n.l.Again()
+	n.l.RunAgain()
 }
 
 // held is an offer that waits on its connection until its client is heard.
@@ -184,15 +184,15 @@
 	s  *sent
 }
 
-// Gather tells the core what was found while it was acting. It is called once what came in
+// DeliverPending tells the core what was found while it was acting. It is called once what came in
 // was read, and so the offers that waited for that leave first, and at once.
-func (n *Nodes) Gather() {
+func (n *Pool) DeliverPending() {
 	waiting := n.held
 	n.held = nil
 	for _, h := range waiting {
-		if h.nc.open[h.s.Tag] == h.s { // else it was withdrawn, or its connection broke
+		if h.nc.open[h.s.RequestID] == h.s { // else it was withdrawn, or its connection broke
 			h.nc.start(h.s)
-			h.nc.c.Push()
+			h.nc.c.Flush()
 		}
 	}
 	for len(n.pending) > 0 {
@@ -204,8 +204,8 @@
 	}
 }
 
-// Tries is how many offers have left whole.
-func (n *Nodes) Tries() int64 {
+// OffersSent is how many offers have left whole.
+func (n *Pool) OffersSent() int64 {
 	t := n.tries
 	for _, k := range n.links {
 		for _, nc := range k.conns {
@@ -219,9 +219,9 @@
 	return t
 }
 
-// Update takes what the channel tells of a worker. A new address, or one that
+// UpdateWorker takes what the channel tells of a worker. A new address, or one that
 // another worker had, gets connections of its own.
-func (n *Nodes) Update(id, addr string, listed bool) {
+func (n *Pool) UpdateWorker(id, addr string, listed bool) {
 	k := n.links[id]
 	if k == nil {
 		if !listed {
@@ -252,47 +252,49 @@
 	})
 }
 
-// Started takes when the process of a worker began, as the channel tells.
-func (n *Nodes) Started(id string, at int64) {
+// WorkerStarted takes when the process of a worker began, as the channel tells.
+func (n *Pool) WorkerStarted(id string, at int64) {
 	if k := n.links[id]; k != nil && at > k.startedAt {
 		k.startedAt, k.restarted = at, true
 		k.takeStart()
 	}
 }
 
-// Reset forgets the workers that a whole list did not name.
-func (n *Nodes) Reset(named map[string]bool) {
+// RemoveUnlisted forgets the workers that a whole list did not name.
+func (n *Pool) RemoveUnlisted(named map[string]bool) {
 	for _, k := range n.sorted() {
 		if !named[k.id] {
-			n.Update(k.id, "", false)
+			n.UpdateWorker(k.id, "", false)
 		}
 	}
 }
 
 // Offer implements core.Nodes.
-func (n *Nodes) Offer(node string, o dispatch.Offer) {
+func (n *Pool) Offer(node string, o dispatch.Offer) {
 	now := n.l.Now()
-	n.offer(node, &sent{Offer: o, at: now, until: now + o.WaitUs})
+	n.offer(node, &sent{Offer: o, at: now, until: now + o.TimeoutUs})
 }
 
-func (n *Nodes) offer(node string, s *sent) {
+func (n *Pool) offer(node string, s *sent) {
 	var nc *workerConn
 	if k := n.links[node]; k != nil {
 		nc = k.usable()
 	}
 	if nc == nil {
-		n.later(func() { n.core.NodeEnded(n.l.Now(), node, s.Tag, placement.ConnectFailed, placement.WhyUntold) })
+		n.later(func() {
+			n.core.TaskEnded(n.l.Now(), node, s.RequestID, placement.ConnectFailed, placement.CauseUnknown)
+		})
 		return
 	}
 	s.tries++
-	nc.open[s.Tag] = s
-	if nc.c.Up() {
+	nc.open[s.RequestID] = s
+	if nc.c.IsUp() {
 		nc.start(s)
 	}
 }
 
 // Probe implements core.Nodes.
-func (n *Nodes) Probe(node string) {
+func (n *Pool) Probe(node string) {
 	k := n.links[node]
 	var nc *workerConn
 	if k != nil {
@@ -300,7 +302,7 @@
 	}
 	if nc == nil {
 		n.later(func() {
-			n.core.NodeSampled(n.l.Now(), placement.Sampled{Machine: node, Status: placement.ConnectFailed})
+			n.core.ProbeAnswered(n.l.Now(), placement.ProbeResult{Worker: node, Outcome: placement.ConnectFailed})
 		})
 		return
 	}
@@ -311,4 +313,4 @@
 }
 
 // trace writes one step of a request at debug level.
-func (n *Nodes) trace(step, tag string, args ...any) { n.tracer.Step(step, tag, n.l.Now(), args...) }
+func (n *Pool) trace(step, tag string, args ...any) { n.tracer.Step(step, tag, n.l.Now(), args...) }
--- a/internal/workerpool/pool_test.go
+++ b/internal/workerpool/pool_test.go
@@ -17,20 +17,20 @@
 )
 
 // newNodes returns links on a loop of their own, and the core that they serve.
-func newNodes(t *testing.T) (*eventloop.Loop, *Nodes, *dispatch.Core) {
+func newNodes(t *testing.T) (*eventloop.Loop, *Pool, *dispatch.Dispatcher) {
 	t.Helper()
 	l, err := eventloop.New(10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := NewNodes(l, 1_000_000, true, slog.New(slog.DiscardHandler))
-	c, err := dispatch.New(placement.Settings{FleetSize: 1, CoresMultiple: 1, MemoryMultiple: 1,
+	n := New(l, 1_000_000, true, slog.New(slog.DiscardHandler))
+	c, err := dispatch.New(placement.Settings{FleetSize: 1, CoresOvercommit: 1, MemoryOvercommit: 1,
 		Classes: []placement.Class{{Name: "cut", Effect: placement.Unsafe, Kind: -1}},
 		Kinds:   []placement.Kind{{Name: "std", Cores: 1, Memory: 1}}}, 1, n, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Use(c)
+	n.SetDispatcher(c)
 	return l, n, c
 }
 
@@ -43,19 +43,19 @@
 	}
 	defer ln.Close()
 	l, n, c := newNodes(t)
-	n.Update("a", ln.Addr().String(), true)
-	s := dispatch.Setup{Tag: "9b1f03aa5c7e2d41", Class: "cut", Key: "k", WaitUs: 5_000_000, Cores: 1, Mem: 1}
+	n.UpdateWorker("a", ln.Addr().String(), true)
+	s := dispatch.Submission{RequestID: "9b1f03aa5c7e2d41", Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
 	if err := c.Submit(l.Now(), nil, s); err != nil {
 		t.Fatal(err)
 	}
-	n.Offer("a", dispatch.Offer{Tag: s.Tag, Class: s.Class, Key: s.Key, WaitUs: s.WaitUs})
+	n.Offer("a", dispatch.Offer{RequestID: s.RequestID, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs})
 	nc := n.links["a"].conns[0]
 	nc.c.Close()
 	nc.Closed(nc.c, unix.ECONNRESET)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := l.Run(func(int64) { n.Gather() }); err != nil {
+		if err := l.Run(func(int64) { n.DeliverPending() }); err != nil {
 			t.Error(err)
 		}
 		l.Close()
@@ -84,16 +84,16 @@
 	const tag = "9b1f03aa5c7e2d41"
 	for _, c := range []struct {
 		name string
-		late func(now int64, c *dispatch.Core, n *Nodes)
+		late func(now int64, c *dispatch.Dispatcher, n *Pool)
 		sent bool
 	}{
-		{"nothing against it", func(int64, *dispatch.Core, *Nodes) {}, true},
-		{"its owner left", func(_ int64, _ *dispatch.Core, n *Nodes) { n.GiveUp("a", tag, false) }, false},
-		{"its node drains", func(now int64, c *dispatch.Core, _ *Nodes) {
-			c.List(now, placement.List{Entries: []placement.Entry{{Machine: "a", State: placement.Draining}}})
+		{"nothing against it", func(int64, *dispatch.Dispatcher, *Pool) {}, true},
+		{"its owner left", func(_ int64, _ *dispatch.Dispatcher, n *Pool) { n.CancelAttempt("a", tag, false) }, false},
+		{"its node drains", func(now int64, c *dispatch.Dispatcher, _ *Pool) {
+			c.UpdateWorkers(now, placement.WorkerList{Entries: []placement.Entry{{Worker: "a", State: placement.Draining}}})
 		}, false},
-		{"its node left the list", func(now int64, c *dispatch.Core, _ *Nodes) {
-			c.List(now, placement.List{Kind: placement.ListFull})
+		{"its node left the list", func(now int64, c *dispatch.Dispatcher, _ *Pool) {
+			c.UpdateWorkers(now, placement.WorkerList{Kind: placement.ListFull})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,17 +103,17 @@
 			}
 			defer ln.Close()
 			l, n, owed := newNodes(t)
-			owed.List(l.Now(), placement.List{Kind: placement.ListFull, Entries: []placement.Entry{{Machine: "a", Kind: "std"}}})
-			n.Update("a", ln.Addr().String(), true)
-			s := dispatch.Setup{Tag: tag, Class: "cut", Key: "k", WaitUs: 5_000_000, Cores: 1, Mem: 1}
+			owed.UpdateWorkers(l.Now(), placement.WorkerList{Kind: placement.ListFull, Entries: []placement.Entry{{Worker: "a", Kind: "std"}}})
+			n.UpdateWorker("a", ln.Addr().String(), true)
+			s := dispatch.Submission{RequestID: tag, Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
 			if err := owed.Submit(l.Now(), nil, s); err != nil {
 				t.Fatal(err)
 			}
-			n.Offer("a", dispatch.Offer{Tag: s.Tag, Class: s.Class, Key: s.Key, WaitUs: s.WaitUs})
+			n.Offer("a", dispatch.Offer{RequestID: s.RequestID, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs})
 			nc := n.links["a"].conns[0]
 			c.late(l.Now(), owed, n)
 			if err := l.Run(func(int64) { // until the connection is up and what came of that is told
-				if n.Gather(); nc.wasUp {
+				if n.DeliverPending(); nc.wasUp {
 					l.Stop()
 				}
 			}); err != nil {
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -58,21 +58,21 @@
 	r.s.FleetSize = placers
 	switch seed % 3 { // evenly, evenly over the logarithm, and fewer than placers
 	case 0:
-		r.s.FreshOffers = float64(4 + r.rng.IntN(197))
+		r.s.SlowStartOffers = float64(4 + r.rng.IntN(197))
 	case 1:
-		r.s.FreshOffers = math.Floor(4 * math.Pow(51, r.rng.Float64()))
+		r.s.SlowStartOffers = math.Floor(4 * math.Pow(51, r.rng.Float64()))
 	case 2:
-		r.s.FreshOffers = float64(4 + r.rng.IntN(max(1, placers-4)))
+		r.s.SlowStartOffers = float64(4 + r.rng.IntN(max(1, placers-4)))
 	}
-	r.s.OverloadForUs = r.between(1000, 3000)
-	r.s.ColdUs = r.s.OverloadForUs*4 + 5*second
+	r.s.SlowStartWindowUs = r.between(1000, 3000)
+	r.s.WarmUpUs = r.s.SlowStartWindowUs*4 + 5*second
 	r.startUs = 1_000_000_000 + r.between(0, 5000)
 	r.earlier = r.startUs - r.between(50, 2000)
 	// Lists come to all at once, or to each at a time of its own.
 	r.heard, r.apart = r.startUs+r.between(10, 3000), []int{20, 500, 4000}[r.rng.IntN(3)]
 	// The fleet is asked for one to six budgets a span.
 	budgets := math.Pow(6, r.rng.Float64())
-	r.every = int64(float64(r.s.OverloadForUs) * float64(placers) / (budgets * r.s.FreshOffers))
+	r.every = int64(float64(r.s.SlowStartWindowUs) * float64(placers) / (budgets * r.s.SlowStartOffers))
 	return r
 }
 
@@ -83,39 +83,39 @@
 
 func (r *ramp) entry(startUs int64) Entry {
 	e := small(coldWorker, 0, 32)
-	e.StartUs = startUs
+	e.StartedAtUs = startUs
 	return e
 }
 
 // before is the list that placers hold until they hear of the start.
-func (r *ramp) before() List {
+func (r *ramp) before() WorkerList {
 	switch r.start {
 	case newWorker:
-		return List{Kind: ListCached}
+		return WorkerList{Kind: ListCached}
 	case startedTwice:
-		return List{Kind: ListCached, Entries: []Entry{r.entry(r.earlier)}}
+		return WorkerList{Kind: ListCached, Entries: []Entry{r.entry(r.earlier)}}
 	}
-	return List{Kind: ListCached, Entries: []Entry{r.entry(0)}}
+	return WorkerList{Kind: ListCached, Entries: []Entry{r.entry(0)}}
 }
 
 // play runs one placer through the ramp. Placers share nothing, so they run one by one.
 func (r *ramp) play(index int) {
 	r.s.SelfIndex = index
-	end := r.startUs + r.s.ColdUs
+	end := r.startUs + r.s.WarmUpUs
 	hears := r.heard + r.between(0, r.apart)
-	now := r.startUs - r.s.OverloadForUs - r.between(100, 1000)
+	now := r.startUs - r.s.SlowStartWindowUs - r.between(100, 1000)
 	list := r.before()
 	for life := 0; now < end; life++ {
 		until := end
 		if r.rng.IntN(2) == 0 {
-			until = min(end, r.startUs+r.between(0, int(r.s.ColdUs/ms)))
+			until = min(end, r.startUs+r.between(0, int(r.s.WarmUpUs/ms)))
 		}
 		if until > now {
 			r.live(now, until, hears, list)
 		}
 		now = max(now, until) + r.between(0, 200)
 		if r.rng.IntN(2) == 0 && now > hears {
-			list = List{Kind: ListCached, Entries: []Entry{r.entry(r.startUs)}}
+			list = WorkerList{Kind: ListCached, Entries: []Entry{r.entry(r.startUs)}}
 		} else {
 			hears = max(hears, now+r.between(10, 1000)) // it came up with an older list
 		}
@@ -123,7 +123,7 @@
 }
 
 // live is one life of a placer's process: from its first event until it is killed.
-func (r *ramp) live(now, until, hears int64, list List) {
+func (r *ramp) live(now, until, hears int64, list WorkerList) {
 	p, err := New(r.s, r.rng.Uint64())
 	if err != nil {
 		r.t.Fatal(err)
@@ -135,12 +135,12 @@
 	var answers []answer
 	var known int64 // the start that this placer was told of
 	if len(list.Entries) > 0 {
-		known = list.Entries[0].StartUs
+		known = list.Entries[0].StartedAtUs
 	}
 	events, next, due := []Event{list}, 0, now+r.rng.Int64N(r.every)
 	for ; now < until; now += r.between(5, 15) {
 		if known < r.startUs && now >= hears {
-			events, known = append(events, List{Kind: ListDelta, Entries: []Entry{r.entry(r.startUs)}}), r.startUs
+			events, known = append(events, WorkerList{Kind: ListDelta, Entries: []Entry{r.entry(r.startUs)}}), r.startUs
 		}
 		answers = slices.DeleteFunc(answers, func(a answer) bool {
 			if a.at <= now {
@@ -151,29 +151,29 @@
 		for held := len(p.waiting); held < heldMost && due <= now; held++ {
 			next, due = next+1, due+r.every
 			events = append(events, Request{Task{
-				Ticket: fmt.Sprint(next), Class: "safe", Cores: .01, Mem: .01, DeadlineUs: now + 5000*ms,
+				RequestID: fmt.Sprint(next), Class: "safe", Cores: .01, Memory: .01, DeadlineUs: now + 5000*ms,
 			}})
 		}
-		for _, sent := range of[Place](p.Handle(now, append(events, Bell{"wake"}))) {
+		for _, sent := range of[Place](p.Handle(now, append(events, TimerFired{"wake"}))) {
 			arrives := now + r.between(1, int(longestWay/ms))
 			if now >= r.startUs { // what was sent before is lost with the process that ended
-				r.arrivals = append(r.arrivals, arrival{arrives, known > 0 && now < known+r.s.ColdUs})
+				r.arrivals = append(r.arrivals, arrival{arrives, known > 0 && now < known+r.s.WarmUpUs})
 			}
 			answered := arrives + r.between(1, 5)
 			answers = append(answers,
-				answer{answered, Accepted{Ticket: sent.Ticket, Machine: coldWorker, RTTUs: answered - now}},
-				answer{answered + ms, Done{Ticket: sent.Ticket, Machine: coldWorker, Status: OK, Closed: true}})
+				answer{answered, Accepted{RequestID: sent.RequestID, Worker: coldWorker, RTTUs: answered - now}},
+				answer{answered + ms, AttemptEnded{RequestID: sent.RequestID, Worker: coldWorker, Outcome: Completed, Final: true}})
 		}
 		events = events[:0]
 	}
 }
 
 // bound is how many offers within a span are put down to the budget and to chance.
-func (r *ramp) bound() float64 { return r.s.FreshOffers + 2*math.Sqrt(r.s.FreshOffers) + 2 }
+func (r *ramp) bound() float64 { return r.s.SlowStartOffers + 2*math.Sqrt(r.s.SlowStartOffers) + 2 }
 
 // toldBudget is how many offers within a span those told of the start may send: then they
 // sent no more than two thirds of any fall, whatever the others did.
-func (r *ramp) toldBudget() int { return int(min(r.s.FreshOffers, r.bound()*2/3)) }
+func (r *ramp) toldBudget() int { return int(min(r.s.SlowStartOffers, r.bound()*2/3)) }
 
 // spans returns the most offers from placers that were told within any span, over what they
 // may send, and the first span that breaks the rule: more offers from all than its bound,
@@ -182,13 +182,13 @@
 	slices.SortFunc(r.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	first, told := 0, 0
 	for i, a := range r.arrivals {
-		if a.at >= r.startUs+r.s.ColdUs {
+		if a.at >= r.startUs+r.s.WarmUpUs {
 			break
 		}
 		if a.told {
 			told++
 		}
-		for ; r.arrivals[first].at <= a.at-r.s.OverloadForUs; first++ {
+		for ; r.arrivals[first].at <= a.at-r.s.SlowStartWindowUs; first++ {
 			if r.arrivals[first].told {
 				told--
 			}
@@ -196,7 +196,7 @@
 		most = max(most, float64(told)/float64(r.toldBudget()))
 		if n := i - first + 1; float64(n) > r.bound() && 3*told > 2*n && broken == "" {
 			broken = fmt.Sprintf("%d offers, %d from placers told of the start, within the %d ms before %.3f s",
-				n, told, r.s.OverloadForUs/ms, float64(a.at-r.startUs)/float64(second))
+				n, told, r.s.SlowStartWindowUs/ms, float64(a.at-r.startUs)/float64(second))
 		}
 	}
 	return most, broken
@@ -220,16 +220,16 @@
 					most, broken := r.spans()
 					if broken != "" {
 						falls++
-						t.Errorf("-cold-seed %d: FreshOffers %v, bound %.1f: %s", seed, r.s.FreshOffers, r.bound(), broken)
+						t.Errorf("-cold-seed %d: FreshOffers %v, bound %.1f: %s", seed, r.s.SlowStartOffers, r.bound(), broken)
 					}
 					if most > 1 {
 						over++
 						t.Errorf("-cold-seed %d: FreshOffers %v: %.2f of the %d offers that placers told of the start may send",
-							seed, r.s.FreshOffers, most, r.toldBudget())
+							seed, r.s.SlowStartOffers, most, r.toldBudget())
 					}
 					if most == 0 {
 						idle++
-						t.Errorf("-cold-seed %d: FreshOffers %v: the worker got nothing", seed, r.s.FreshOffers)
+						t.Errorf("-cold-seed %d: FreshOffers %v: the worker got nothing", seed, r.s.SlowStartOffers)
 					}
 					used = max(used, most)
 				}
@@ -249,11 +249,11 @@
 		for i := range requests {
 			id := fmt.Sprint(from, "-", i)
 			if len(of[Place](b.at(10*ms, b.request(id, "safe", .1, .1)))) == 0 {
-				b.at(0, ClientGone{id})
+				b.at(0, ClientCancelled{id})
 				continue
 			}
 			n++
-			b.at(0, Accepted{Ticket: id, Machine: coldWorker, RTTUs: 1000})
+			b.at(0, Accepted{RequestID: id, Worker: coldWorker, RTTUs: 1000})
 		}
 		return n
 	}
@@ -261,17 +261,17 @@
 		t.Fatalf("%d offers to the machine before its start, want 2", n)
 	}
 	started := small(coldWorker, 0, 32)
-	started.StartUs = b.now + ms
+	started.StartedAtUs = b.now + ms
 	b.at(100 * ms)
 	if n := offers(2, 3); n != 3 {
 		t.Fatalf("%d offers to a machine taken for warm, want 3", n)
 	}
-	b.at(ms, List{Kind: ListDelta, Entries: []Entry{started}})
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if n := offers(3, 10); n != 1 {
 		t.Errorf("%d offers once the start is known, want 1: 3 of 4 were sent since", n)
 	}
-	started.StartUs = b.now // again, and what it got this time counts no more
-	b.at(ms, List{Kind: ListDelta, Entries: []Entry{started}})
+	started.StartedAtUs = b.now // again, and what it got this time counts no more
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if n := offers(4, 10); n != 4 {
 		t.Errorf("%d offers after the next start, want 4", n)
 	}
@@ -281,12 +281,12 @@
 // start of the machine a placer knows, and one that was restarted amid its turn lets it pass.
 func TestTurnsAtAColdMachine(t *testing.T) {
 	s := testSettings()
-	s.FleetSize, s.FreshOffers = 24, 10
+	s.FleetSize, s.SlowStartOffers = 24, 10
 	for s.SelfIndex = range s.FleetSize {
 		var beds []*bed
 		for _, ago := range []int64{100 * ms, 730 * ms} {
 			e := small(coldWorker, 0, 32)
-			e.StartUs = 1_000_000_000 - ago
+			e.StartedAtUs = 1_000_000_000 - ago
 			beds = append(beds, newBed(t, s, 1, e))
 		}
 		turns, was := 0, false
@@ -326,18 +326,18 @@
 		{1, 8, 8}, {3, 8, 8}, {3, 20, 20}, {16, 20, 20}, {16, 50, 44}, {24, 200, 153}, {32, 200, 153},
 	} {
 		s := testSettings()
-		s.FleetSize, s.FreshOffers = c.placers, c.fresh
+		s.FleetSize, s.SlowStartOffers = c.placers, c.fresh
 		sent := 0
 		for s.SelfIndex = range c.placers {
 			b := newBed(t, s, 1, small("warm", 0, -50))
 			cold := small(coldWorker, 0, 32)
 			b.at(2 * second)
-			cold.StartUs = b.now
-			b.at(ms, List{Kind: ListDelta, Entries: []Entry{cold}})
+			cold.StartedAtUs = b.now
+			b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{cold}})
 			for i := range c.want + 1 {
 				id := fmt.Sprint(i)
 				sent += len(of[Place](b.at(0, b.request(id, "safe", .1, .1))))
-				b.at(0, Accepted{Ticket: id, Machine: coldWorker, RTTUs: 1000})
+				b.at(0, Accepted{RequestID: id, Worker: coldWorker, RTTUs: 1000})
 			}
 		}
 		if sent != c.want {
@@ -356,7 +356,7 @@
 		var entries []Entry
 		for i := range 6 {
 			e := small(fmt.Sprint("m", i), i/2, float64(16+rng.IntN(16)))
-			e.StartUs = startUs
+			e.StartedAtUs = startUs
 			entries = append(entries, e)
 		}
 		b := newBed(t, s, seed, entries...)
@@ -365,24 +365,24 @@
 		for i := range 300 {
 			r := b.request(fmt.Sprint(i), s.Classes[rng.IntN(4)].Name, 0.5+rng.Float64(), 1)
 			r.Program = uint64(rng.IntN(40))
-			events := []Event{r, Bell{"wake"}}
+			events := []Event{r, TimerFired{"wake"}}
 			for len(running) > 0 && rng.IntN(3) > 0 {
-				status := OK
+				status := Completed
 				if rng.IntN(20) == 0 {
-					status = []Status{Failed, Full, TimedOut, Reset}[rng.IntN(4)]
+					status = []Outcome{Failed, Rejected, TimedOut, Reset}[rng.IntN(4)]
 				}
 				end := running[0]
-				events = append(events, Done{
-					Ticket: end.Ticket, Attempt: attempts[end.Ticket], Machine: end.Machine, Status: status, RTTUs: 2000,
+				events = append(events, AttemptEnded{
+					RequestID: end.RequestID, Attempt: attempts[end.RequestID], Worker: end.Worker, Outcome: status, RTTUs: 2000,
 				})
-				attempts[end.Ticket]++
+				attempts[end.RequestID]++
 				running = running[1:]
 			}
 			if i%40 == 39 {
 				for j := range entries {
-					entries[j].SpareCores = float64(16 + rng.IntN(16))
+					entries[j].FreeCores = float64(16 + rng.IntN(16))
 				}
-				events = append(events, List{Kind: ListFull, Entries: entries})
+				events = append(events, WorkerList{Kind: ListFull, Entries: entries})
 			}
 			acts := b.at(int64(1+rng.IntN(20))*ms, events...)
 			all, running = append(all, acts...), append(running, of[Place](acts)...)
@@ -395,9 +395,9 @@
 			t.Fatalf("seed %d: only %d offers", seed, len(of[Place](want)))
 		}
 		for name, got := range map[string][]Action{
-			"no budget for cold machines": play(seed, 0, func(s *Settings) { s.FreshOffers = 0 }),
-			"a fleet with small parts":    play(seed, 0, func(s *Settings) { s.FreshOffers, s.OverloadForUs = 1, 60*second }),
-			"no cold time":                play(seed, 1_000_000_000-second, func(s *Settings) { s.ColdUs = 0 }),
+			"no budget for cold machines": play(seed, 0, func(s *Settings) { s.SlowStartOffers = 0 }),
+			"a fleet with small parts":    play(seed, 0, func(s *Settings) { s.SlowStartOffers, s.SlowStartWindowUs = 1, 60*second }),
+			"no cold time":                play(seed, 1_000_000_000-second, func(s *Settings) { s.WarmUpUs = 0 }),
 			"started long ago":            play(seed, 1, func(*Settings) {}),
 		} {
 			if !reflect.DeepEqual(got, want) {
--- a/placement/dispatch.go
+++ b/placement/dispatch.go
@@ -23,35 +23,35 @@
 // start included while it can still be in time: when room is short, tasks that
 // are late already let those pass that are not. A tenant beyond its share ranks
 // by what its tasks are then worth.
-func (p *Placer) rank(t *task) float64 {
+func (p *Scheduler) rank(t *task) float64 {
 	c := &p.s.Classes[t.class]
 	k := &p.s.Kinds[0]
-	size := t.Cores + t.Mem
+	size := t.Cores + t.Memory
 	if p.s.UnitCores > 0 && p.s.UnitMemory > 0 {
-		size = t.Cores/p.s.UnitCores + t.Mem/p.s.UnitMemory
+		size = t.Cores/p.s.UnitCores + t.Memory/p.s.UnitMemory
 	}
-	v := c.Worth * size / max(t.Cores/k.Cores, t.Mem/k.Memory, 1e-9)
-	if !t.Again && p.now < t.arrived+c.AimUs && t.Hinted {
-		v *= 1 + c.StartS*float64(second)/float64(max(t.LastsUs, second))
+	v := c.Weight * size / max(t.Cores/k.Cores, t.Memory/k.Memory, 1e-9)
+	if !t.Retry && p.now < t.arrived+c.ObjectiveUs && t.HasRunHint {
+		v *= 1 + c.StartBonusS*float64(second)/float64(max(t.ExpectedRunUs, second))
 	}
 	if p.overShare(t) {
-		v *= p.s.OverShareWorth
+		v *= p.s.OverQuotaWeight
 	}
 	return v
 }
 
 // overShare guesses whether the tenant is beyond its share, from its part of
 // own tasks and what the fleet is asked for.
-func (p *Placer) overShare(t *task) bool {
+func (p *Scheduler) overShare(t *task) bool {
 	i, ok := p.tenants[t.Tenant]
-	if !ok || p.ownTotal <= 0 || p.s.Tenants[i].ShareCores <= 0 {
+	if !ok || p.ownTotal <= 0 || p.s.Tenants[i].QuotaCores <= 0 {
 		return false
 	}
-	return p.ownCores[i]/p.ownTotal*p.askedCores() > p.s.Tenants[i].ShareCores
+	return p.ownCores[i]/p.ownTotal*p.askedCores() > p.s.Tenants[i].QuotaCores
 }
 
 // place sends what can be sent, best first, and answers what can wait no more.
-func (p *Placer) place() {
+func (p *Scheduler) place() {
 	if !p.stirred {
 		return
 	}
@@ -75,11 +75,11 @@
 			p.finish(t)
 			continue
 		}
-		s := shape{t.class, t.Cores, t.Mem, 0}
-		if p.s.Classes[t.class].Apart != ScopeNone {
+		s := shape{t.class, t.Cores, t.Memory, 0}
+		if p.s.Classes[t.class].Spread != ScopeNone {
 			s.program = t.Program
 		}
-		units := p.s.Units(t.Cores, t.Mem)
+		units := p.s.Units(t.Cores, t.Memory)
 		if (!p.stuck[s] || t.mayRun != nil) && (p.keep[t.class] == 0 || room > p.keep[t.class]) {
 			if m := p.choose(t); m != nil {
 				if !p.ask(t, m) {
@@ -107,7 +107,7 @@
 // every gap before it is large enough for one of more. It would harm where all held
 // tasks are of one worth: then nothing is kept from them, or where room never comes:
 // so half of the machines stay open to all.
-func (p *Placer) keepFor(t *task) {
+func (p *Scheduler) keepFor(t *task) {
 	if !p.s.HasView || len(p.kept)*2 >= p.own() {
 		return
 	}
@@ -116,28 +116,28 @@
 	}
 }
 
-func (p *Placer) send(t *task, m *machine) {
+func (p *Scheduler) send(t *task, m *machine) {
 	p.unhold(t)
 	a := &attempt{m: m, at: p.now, waits: true}
 	t.attempts = append(t.attempts, a)
 	m.unanswered = append(m.unanswered, a)
-	p.bind(m, t.Cores, t.Mem)
+	p.bind(m, t.Cores, t.Memory)
 	p.keepHome(m, t.Program)
-	m.offered(p.now, 2*p.s.OverloadForUs)
-	p.do(Place{Ticket: t.Ticket, Machine: m.Machine, AbandonAtUs: p.abandonAt(t)})
+	m.offered(p.now, 2*p.s.SlowStartWindowUs)
+	p.do(Place{RequestID: t.RequestID, Worker: m.Worker, AbandonAtUs: p.abandonAt(t)})
 }
 
 // abandonAt is when an attempt is given up: well after answers usually come, so
 // that another may follow. An unsafe task could not be tried again, so it waits
 // to its deadline.
-func (p *Placer) abandonAt(t *task) int64 {
+func (p *Scheduler) abandonAt(t *task) int64 {
 	c := &p.s.Classes[t.class]
-	last := p.s.AttemptsCap > 0 && len(t.attempts) >= p.s.AttemptsCap
+	last := p.s.MaxAttempts > 0 && len(t.attempts) >= p.s.MaxAttempts
 	if c.Effect == Unsafe || last || p.rttMean == 0 {
 		return t.DeadlineUs
 	}
 	wait := 2 * p.patience()
-	if p.s.AcksRunning {
+	if p.s.AcceptMeansRunning {
 		// Quick answers come first, so early on the slow starts are not seen yet.
 		wait = max(wait, (t.DeadlineUs-p.now)*2/3)
 	}
@@ -146,19 +146,19 @@
 
 // patience is how long an answer takes at the longest, by those seen; where yes
 // means running, starts that queue are no sign of a silent machine.
-func (p *Placer) patience() int64 {
-	if p.s.AcksRunning {
+func (p *Scheduler) patience() int64 {
+	if p.s.AcceptMeansRunning {
 		return max(int64(p.rttMean+8*p.rttDev), second)
 	}
 	return max(int64(p.rttMean+4*p.rttDev), second/8)
 }
 
 // hopeless reports whether nothing more can be done for a held task.
-func (p *Placer) hopeless(t *task) bool {
+func (p *Scheduler) hopeless(t *task) bool {
 	if t.DeadlineUs-p.now <= ticksEarly*max(p.s.TickUs, 1000) || t.stands || t.unfit {
 		return true
 	}
-	if p.s.AttemptsCap > 0 && len(t.attempts) >= p.s.AttemptsCap {
+	if p.s.MaxAttempts > 0 && len(t.attempts) >= p.s.MaxAttempts {
 		return true
 	}
 	c := &p.s.Classes[t.class]
@@ -167,12 +167,12 @@
 
 // finish gives the final answer: a refusal where the rules let us say that a
 // retry is harmless, else a failure.
-func (p *Placer) finish(t *task) {
+func (p *Scheduler) finish(t *task) {
 	c := &p.s.Classes[t.class]
 	if t.mayRun == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == ScopeAll {
-		p.do(Deny{Ticket: t.Ticket})
+		p.do(Reject{RequestID: t.RequestID})
 	} else {
-		p.do(Error{Ticket: t.Ticket})
+		p.do(Fail{RequestID: t.RequestID})
 	}
 	p.drop(t)
 }
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -10,7 +10,7 @@
 // othersBinds guesses what the others bound since the view, as shares of the fleet:
 // each as much as this placer did beyond what chance makes of binds and ends. A crowd
 // is spread over all of them.
-func (p *Placer) othersBinds() (shares [2]float64) {
+func (p *Scheduler) othersBinds() (shares [2]float64) {
 	if !p.crowd || !p.s.HasView {
 		return shares
 	}
@@ -38,7 +38,7 @@
 // room is this placer's part of the room of all machines, in units, as far as it may
 // ask for it at once: a machine looks at one offer at a time. Of a large fleet it is
 // computed anew only so often; what is sent meanwhile is taken off by send.
-func (p *Placer) room() (units float64) {
+func (p *Scheduler) room() (units float64) {
 	if p.s.UnitCores <= 0 || p.s.UnitMemory <= 0 {
 		return math.Inf(1) // no size is told: nothing is kept from anybody
 	}
@@ -67,7 +67,7 @@
 
 // fleet returns the asked share of the fleet and its mean cores. They only scale costs,
 // so of a large fleet they are computed anew once a second.
-func (p *Placer) fleet() (rho, cores float64) {
+func (p *Scheduler) fleet() (rho, cores float64) {
 	if f := &p.means; p.own() > enumerated && f.at > 0 && p.now < f.at+second {
 		return f.rho, f.cores
 	}
@@ -88,7 +88,7 @@
 }
 
 // bentExcess is what the asked shares of machines are over those without bends, by cores.
-func (p *Placer) bentExcess() (sum float64) {
+func (p *Scheduler) bentExcess() (sum float64) {
 	bear := p.index.now
 	p.bent = slices.DeleteFunc(p.bent, func(m *machine) bool {
 		m.relax(p.now, bendHalf)
@@ -106,7 +106,7 @@
 }
 
 // noteBent lists m among the machines with bends.
-func (p *Placer) noteBent(m *machine) {
+func (p *Scheduler) noteBent(m *machine) {
 	p.touch(m)
 	if !m.bentListed {
 		m.bentListed = true
@@ -116,7 +116,7 @@
 
 // askedCores is what the fleet is asked for: foreign machines as much as the others, whose views
 // are told.
-func (p *Placer) askedCores() float64 {
+func (p *Scheduler) askedCores() float64 {
 	p.settle()
 	if p.foreign == 0 {
 		return p.fleetAsked
@@ -125,7 +125,7 @@
 }
 
 // countForeign keeps the number of listed machines that belong to other placers.
-func (p *Placer) countForeign(m *machine) {
+func (p *Scheduler) countForeign(m *machine) {
 	foreign := m.listed && m.State == Foreign
 	if foreign == m.foreign {
 		return
@@ -140,11 +140,11 @@
 }
 
 // own is the number of machines that belong to no other placer.
-func (p *Placer) own() int { return len(p.order) - p.foreign }
+func (p *Scheduler) own() int { return len(p.order) - p.foreign }
 
 // sharers is how many placers offer tasks to a machine: all of them, but this one alone where the
 // machines are divided among them.
-func (p *Placer) sharers() int {
+func (p *Scheduler) sharers() int {
 	if p.foreign > 0 {
 		return 1
 	}
@@ -162,7 +162,7 @@
 }
 
 // spreadOf counts the tasks of a program by place, once for all machines that are asked about.
-func (p *Placer) spreadOf(program uint64) *spread {
+func (p *Scheduler) spreadOf(program uint64) *spread {
 	s := &p.spread
 	if s.counted && s.program == program && s.homesChanged == p.homesChanged {
 		return s
@@ -186,6 +186,6 @@
 }
 
 // calm and fade are the least of all classes: one level for a machine that any may use.
-func (p *Placer) calm() float64 { return p.calmLevel }
+func (p *Scheduler) calm() float64 { return p.calmLevel }
 
-func (p *Placer) fade() float64 { return p.fadeLevel }
+func (p *Scheduler) fade() float64 { return p.fadeLevel }
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -36,13 +36,13 @@
 func withForeign(rng *rand.Rand, events []Event, foreign []Entry) []Event {
 	events = slices.Clone(events)
 	for i, e := range events {
-		l, ok := e.(List)
+		l, ok := e.(WorkerList)
 		if !ok || l.Kind == ListFailed {
 			continue
 		}
 		l.Entries = slices.Clone(l.Entries)
 		for j := range foreign {
-			foreign[j].SpareCores = rng.Float64() * 20
+			foreign[j].FreeCores = rng.Float64() * 20
 			if l.Kind != ListDelta || rng.IntN(2) == 0 {
 				at := rng.IntN(len(l.Entries) + 1)
 				l.Entries = slices.Insert(l.Entries, at, foreign[j])
@@ -63,7 +63,7 @@
 		var foreign []Entry
 		for i := range 1 + rng.IntN(3*len(machines)) {
 			e := machines[rng.IntN(len(machines))]
-			e.Machine, e.State, e.StartUs = fmt.Sprint("f", i), Foreign, 0
+			e.Worker, e.State, e.StartedAtUs = fmt.Sprint("f", i), Foreign, 0
 			foreign = append(foreign, e)
 		}
 		alone, err := New(settings, seed)
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := []Event{List{Kind: ListFull, Entries: machines}}
+		first := []Event{WorkerList{Kind: ListFull, Entries: machines}}
 		turns = slices.Insert(turns, 0, recorded{turns[0].now - 1, first})
 		for i, turn := range turns {
 			want := alone.Handle(turn.now, turn.events)
@@ -97,9 +97,9 @@
 	a, b := small("a", 1, 8), small("b", 2, 8)
 	bed := newBed(t, testSettings(), 1, a)
 	bed.placed(bed.at(10*ms, bed.request("1", "safe", 1, 1)), "a")
-	bed.at(10*ms, Accepted{Ticket: "1", Machine: "a", RTTUs: ms})
+	bed.at(10*ms, Accepted{RequestID: "1", Worker: "a", RTTUs: ms})
 	a.State = Foreign
-	for _, action := range bed.at(10*ms, List{Kind: ListDelta, Entries: []Entry{a, b}}) {
+	for _, action := range bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}}) {
 		t.Errorf("expected nothing as a machine changes hands, got %+v", action)
 	}
 	bed.placed(bed.at(10*ms, bed.request("2", "safe", 1, 1)), "b")
@@ -107,9 +107,9 @@
 		t.Errorf("expected the task at the other placer's machine to stand, got %d", len(m.running))
 	}
 	a.State, b.State = Ready, Foreign
-	bed.at(10*ms, List{Kind: ListDelta, Entries: []Entry{a, b}})
+	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
 	bed.placed(bed.at(10*ms, bed.request("3", "safe", 1, 1)), "a")
-	bed.at(10*ms, List{Kind: ListDelta, Entries: []Entry{{Machine: "b", State: Gone}}})
+	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
 	if bed.p.foreign != 0 {
 		t.Errorf("expected no foreign machine to be counted after it is gone, got %d", bed.p.foreign)
 	}
@@ -122,18 +122,18 @@
 	bed := newBed(t, testSettings(), 1, a)
 	bed.placed(bed.at(10*ms, bed.request("1", "safe", 1, 1)), "a")
 	seen := bed.p.lagSeen
-	for _, state := range []State{Foreign, Ready, Foreign, Foreign, Ready} {
+	for _, state := range []WorkerState{Foreign, Ready, Foreign, Foreign, Ready} {
 		a.State = state
 		if state == Foreign {
-			a.SpareCores--
+			a.FreeCores--
 		}
-		bed.at(10*ms, List{Kind: ListDelta, Entries: []Entry{a}})
+		bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	}
 	if bed.p.lagSeen != seen {
 		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", bed.p.lagSeen-seen)
 	}
-	a.SpareCores--
-	bed.at(10*ms, List{Kind: ListDelta, Entries: []Entry{a}})
+	a.FreeCores--
+	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	if bed.p.lagSeen == seen {
 		t.Error("expected a new view to teach of the lag")
 	}
@@ -147,7 +147,7 @@
 		e := small(fmt.Sprint("m", i), i, 4)
 		whole = append(whole, e)
 		if i%9 != 0 {
-			e.State, e.SpareCores = Foreign, 0 // an old view
+			e.State, e.FreeCores = Foreign, 0 // an old view
 		}
 		divided = append(divided, e)
 	}
@@ -169,7 +169,7 @@
 		t.Errorf("room for %g units where machines are divided, %g where nine placers share one", divided, shared)
 	}
 	b := newBed(t, s, 1, own, foreign)
-	b.at(10*ms, Pressure{Pace: 1})
+	b.at(10*ms, Backpressure{ReleaseRate: 1})
 	for _, ticket := range []string{"1", "2", "3", "4"} {
 		b.at(10*ms, b.request(ticket, "safe", 1, 1))
 	}
@@ -195,7 +195,7 @@
 			own = append(own, entries[i])
 		}
 	}
-	bed.at(10*ms, List{Kind: ListDelta, Entries: entries})
+	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
 	bed.p.settle()
 	alone := newBed(t, testSettings(), 1, own...)
 	alone.p.settle()
@@ -214,7 +214,7 @@
 		entries = append(entries, e)
 	}
 	s := testSettings()
-	s.CoresMultiple, s.MemoryMultiple = 1, 1
+	s.CoresOvercommit, s.MemoryOvercommit = 1, 1
 	bed := newBed(t, s, 1, entries...)
 	for i := range 10 {
 		bed.at(0, bed.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
--- a/placement/health.go
+++ b/placement/health.go
@@ -51,9 +51,9 @@
 )
 
 // judge feeds the health of a machine with the end of an attempt.
-func (p *Placer) judge(t *task, a *attempt, e Done, ran bool) {
+func (p *Scheduler) judge(t *task, a *attempt, e AttemptEnded, ran bool) {
 	if a.waits {
-		if e.Status == TimedOut {
+		if e.Outcome == TimedOut {
 			a.waits = false
 			a.m.unanswered = slices.DeleteFunc(a.m.unanswered, func(b *attempt) bool { return a == b })
 		} else {
@@ -61,19 +61,19 @@
 		}
 	}
 	switch {
-	case e.Status == TimedOut:
+	case e.Outcome == TimedOut:
 		p.silent(t.class, a)
-	case e.Status == ConnectFailed:
+	case e.Outcome == ConnectFailed:
 		a.m.hurt(p.now, silenceHurt)
-	case e.Status == Failed:
+	case e.Outcome == Failed:
 		p.erred(t, a)
-	case e.Status == Reset && (!ran || e.Why == WhyUntold):
+	case e.Outcome == Reset && (!ran || e.Cause == CauseUnknown):
 		a.m.hurt(p.now, errorHurt)
-	case e.Status == Full && e.Why == WhyQueue:
+	case e.Outcome == Rejected && e.Cause == CauseQueue:
 		a.m.window = max(1, a.m.window/2)
 		// A jammed machine refuses at once: it would use up all attempts.
 		a.m.hurt(p.now, silenceHurt)
-	case e.Status == Full && e.Why == WhyNotHere && t.mayRun == nil, ran && e.Why == WhySentAway:
+	case e.Outcome == Rejected && e.Cause == CauseWrongWorker && t.mayRun == nil, ran && e.Cause == CauseDrained:
 		a.m.leavingTo = p.now + leaves
 	}
 }
@@ -83,7 +83,7 @@
 // and those that were are cleared. It guards against tasks that no machine can use,
 // each of which would keep several healthy machines out. It would harm where machines
 // fail so often that two errors in a row are chance.
-func (p *Placer) erred(t *task, a *attempt) {
+func (p *Scheduler) erred(t *task, a *attempt) {
 	a.erred = true
 	a.m.hurt(p.now, errorHurt)
 	if !slices.ContainsFunc(t.attempts, func(b *attempt) bool { return b.erred && b.m != a.m }) {
@@ -102,8 +102,8 @@
 // with all that lay on it, so the machine is tried again, one attempt at a time. It
 // would harm where a machine takes connections and answers nothing: so it has to
 // accept something before that counts again.
-func (p *Placer) reached(e Reached) {
-	m := p.machines[e.Machine]
+func (p *Scheduler) reached(e WorkerReachable) {
+	m := p.machines[e.Worker]
 	if m == nil || m.reachedAt > 0 && slices.Max(m.heard) <= m.reachedAt {
 		return
 	}
@@ -118,7 +118,7 @@
 // alone if it answered others only, and little if it answered the same, as then a
 // part of the answers is lost. It could harm by trusting a machine that is about
 // to go silent: the next attempt tells.
-func (p *Placer) silent(class int, a *attempt) {
+func (p *Scheduler) silent(class int, a *attempt) {
 	switch {
 	case a.m.heard[class] > a.at:
 		a.m.doubt(p.now, class, lossHurt)
@@ -152,7 +152,7 @@
 // healthy reports whether m may get a task of a class. A machine that owes an
 // answer for longer than answers take gets nothing, a suspect one is tried with
 // one attempt at a time, and not with one that must not run twice.
-func (p *Placer) healthy(m *machine, class int) bool {
+func (p *Scheduler) healthy(m *machine, class int) bool {
 	if len(m.unanswered) > 0 && p.rttMean > 0 && p.now-m.unanswered[0].at > p.patience() {
 		return false
 	}
@@ -171,7 +171,7 @@
 // guards against slow machines, neighbours, and tasks that use more than they
 // should, and lets go by itself. It would harm where one task of ours is served
 // badly for a reason of its own.
-func (p *Placer) bend(m *machine, f *float64, r int, seen, calm float64, poor bool, sure float64) {
+func (p *Scheduler) bend(m *machine, f *float64, r int, seen, calm float64, poor bool, sure float64) {
 	if !poor || m.kind < 0 || !p.s.HasView {
 		return
 	}
@@ -190,7 +190,7 @@
 // guards against machines stuck far over their calm level and those that slow down,
 // where filters come too late. It would harm where the whole fleet is as full: then
 // nothing fits and it stays.
-func (p *Placer) relieve(m *machine, served float64) {
+func (p *Scheduler) relieve(m *machine, served float64) {
 	if served > moveUnder || m.kind < 0 || p.now-m.movedAt < second*9/10 {
 		return
 	}
@@ -199,9 +199,9 @@
 	for _, t := range m.running {
 		c := &p.s.Classes[t.class]
 		rem := p.remains(t)
-		price := moveStart + p.s.PriceMoves*(rem+c.StartS)
+		price := moveStart + p.s.MigrationCost*(rem+c.StartBonusS)
 		gain := (1-served)*rem - moveSure*price
-		if v := gain * c.Worth * (t.Cores + t.Mem); gain > 0 && v > most {
+		if v := gain * c.Weight * (t.Cores + t.Memory); gain > 0 && v > most {
 			best, most = t, v
 		}
 	}
@@ -215,14 +215,14 @@
 		return
 	}
 	m.movedAt = p.now
-	p.do(Move{Ticket: best.Ticket})
+	p.do(Migrate{RequestID: best.RequestID})
 	m.running = slices.DeleteFunc(m.running, func(t *task) bool { return t == best })
 }
 
 // remains is for how many seconds a task is still expected to run.
-func (p *Placer) remains(t *task) float64 {
-	if !t.Hinted || t.LastsUs <= 0 {
+func (p *Scheduler) remains(t *task) float64 {
+	if !t.HasRunHint || t.ExpectedRunUs <= 0 {
 		return moveUnknown
 	}
-	return max(float64(t.LastsUs-(p.now-t.ranAt))/float64(second), moveUnknown/2)
+	return max(float64(t.ExpectedRunUs-(p.now-t.ranAt))/float64(second), moveUnknown/2)
 }
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -36,7 +36,7 @@
 // history is a placer, what is known outside of it, and the draw of what comes next.
 type history struct {
 	t         *testing.T
-	p         *Placer
+	p         *Scheduler
 	seed      uint64
 	steps     int // so far
 	rng       *rand.Rand
@@ -73,7 +73,7 @@
 		h.entries = append(h.entries, h.drawEntry(name, i/4))
 	}
 	h.stepCount = 10 + h.rng.IntN(historySteps)
-	h.handle([]Event{List{Kind: ListKind(1 + h.rng.IntN(2)), Entries: slices.Clone(h.entries)}})
+	h.handle([]Event{WorkerList{Kind: ListKind(1 + h.rng.IntN(2)), Entries: slices.Clone(h.entries)}})
 	return h
 }
 
@@ -83,23 +83,23 @@
 	s.FleetSize = []int{1, 2, 9, 60}[h.rng.IntN(4)]
 	s.SelfIndex = h.rng.IntN(s.FleetSize)
 	s.HasView = h.chance(0.92)
-	s.AcksRunning = h.chance(0.3)
+	s.AcceptMeansRunning = h.chance(0.3)
 	s.Probes = h.chance(0.3)
-	s.Tests, s.Subscribe = true, h.chance(0.5)
-	s.ReportsUsed = h.chance(0.3)
-	s.ReportsRoom = true
-	s.CoresMultiple = []float64{1, 1, 1.5}[h.rng.IntN(3)]
-	s.MemoryMultiple = s.CoresMultiple
-	s.FreshOffers = []float64{0, 1, 8, 25, 200}[h.rng.IntN(5)]
-	s.ColdShare = 0.2
-	s.AttemptsCap = []int{0, 3, 3, 6}[h.rng.IntN(4)]
+	s.Pings, s.PollsDiscovery = true, h.chance(0.5)
+	s.ReportsUsage = h.chance(0.3)
+	s.ReportsFree = true
+	s.CoresOvercommit = []float64{1, 1, 1.5}[h.rng.IntN(3)]
+	s.MemoryOvercommit = s.CoresOvercommit
+	s.SlowStartOffers = []float64{0, 1, 8, 25, 200}[h.rng.IntN(5)]
+	s.ColdStartRate = 0.2
+	s.MaxAttempts = []int{0, 3, 3, 6}[h.rng.IntN(4)]
 	s.UnitCores, s.UnitMemory = 2, 4
-	s.OverShareWorth = 0.5
+	s.OverQuotaWeight = 0.5
 	s.Tenants = []Tenant{{"small", 40}, {"large", 400}}
 	for i := range s.Classes {
 		s.Classes[i].DeadlineUs = 5 * second
-		if s.Classes[i].Apart != ScopeNone && h.chance(0.5) {
-			s.Classes[i].Most = 3
+		if s.Classes[i].Spread != ScopeNone && h.chance(0.5) {
+			s.Classes[i].MaxPerDomain = 3
 		}
 	}
 	return s
@@ -125,7 +125,7 @@
 
 // drawEntry draws what the list says of a machine.
 func (h *history) drawEntry(name string, cell int) Entry {
-	e := Entry{Machine: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: State(h.pick(94, 3, 3))}
+	e := Entry{Worker: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: WorkerState(h.pick(94, 3, 3))}
 	kinds := h.p.s.Kinds
 	kind := kinds[h.rng.IntN(len(kinds))]
 	e.Kind = kind.Name
@@ -133,7 +133,7 @@
 		e.Kind = "unknown"
 	}
 	if h.chance([conditions]float64{0.05, 0.05, 0.05, 0.7, 0.02}[h.condition]) {
-		e.StartUs = h.now - h.rng.Int64N(12*second)
+		e.StartedAtUs = h.now - h.rng.Int64N(12*second)
 	}
 	return h.drawRoom(e, kind)
 }
@@ -145,10 +145,10 @@
 	if h.condition != mostlyIdle || h.chance(0.1) {
 		asked += (h.rng.Float64() - 0.5) * 0.3
 	}
-	e.SpareCores = quarter(kind.Cores * (1 - asked))
-	e.SpareMem = quarter(kind.Memory * (1 - asked*(0.8+0.4*h.rng.Float64())))
+	e.FreeCores = quarter(kind.Cores * (1 - asked))
+	e.FreeMemory = quarter(kind.Memory * (1 - asked*(0.8+0.4*h.rng.Float64())))
 	if h.condition == mostlyIdle {
-		e.SpareMem = kind.Memory
+		e.FreeMemory = kind.Memory
 	}
 	return e
 }
@@ -194,14 +194,14 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Place:
-			h.attempts[a.Ticket]++
+			h.attempts[a.RequestID]++
 			h.out = append(h.out, a)
-		case AskLoad:
-			h.probed = append(h.probed, a.Machine)
-		case Deny:
-			delete(h.asked, a.Ticket)
-		case Error:
-			delete(h.asked, a.Ticket)
+		case Probe:
+			h.probed = append(h.probed, a.Worker)
+		case Reject:
+			delete(h.asked, a.RequestID)
+		case Fail:
+			delete(h.asked, a.RequestID)
 		}
 	}
 	return actions
@@ -224,16 +224,16 @@
 	case 6:
 		return []Event{h.drawPressure()}
 	case 7:
-		return []Event{Reached{h.anyMachine()}}
+		return []Event{WorkerReachable{h.anyMachine()}}
 	case 8:
-		return []Event{ClientGone{h.anyTicket()}}
+		return []Event{ClientCancelled{h.anyTicket()}}
 	case 9:
-		return []Event{Bell{"wake"}}
+		return []Event{TimerFired{"wake"}}
 	}
 	return []Event{h.drawExisting()}
 }
 
-func (h *history) anyMachine() string { return h.entries[h.rng.IntN(len(h.entries))].Machine }
+func (h *history) anyMachine() string { return h.entries[h.rng.IntN(len(h.entries))].Worker }
 
 // anyTicket is of a task that has not ended, or of none.
 func (h *history) anyTicket() string {
@@ -251,18 +251,18 @@
 	memory := []float64{0.25, 1, 2, 8}[h.pick(1, 3, 5, 2)]
 	classes := h.p.s.Classes
 	x := Task{
-		Ticket: fmt.Sprint("t", h.tickets), Class: classes[h.rng.IntN(len(classes))].Name, Cores: cores, Mem: cores * memory,
+		RequestID: fmt.Sprint("t", h.tickets), Class: classes[h.rng.IntN(len(classes))].Name, Cores: cores, Memory: cores * memory,
 		DeadlineUs: h.now + second/2 + h.rng.Int64N(10*second), Program: uint64(h.rng.IntN(historyPrograms)),
-		Tenant: []string{"small", "large", "none"}[h.rng.IntN(3)], Again: h.chance(0.1),
+		Tenant: []string{"small", "large", "none"}[h.rng.IntN(3)], Retry: h.chance(0.1),
 	}
 	if h.chance(0.3) {
 		x.Program = 0
 	}
 	if h.chance(0.6) {
-		x.Hinted, x.LastsUs = true, h.rng.Int64N(200*second)
+		x.HasRunHint, x.ExpectedRunUs = true, h.rng.Int64N(200*second)
 	}
 	if h.chance(0.2) {
-		x.SinceUs = h.now - h.rng.Int64N(5*second)
+		x.QueuedSinceUs = h.now - h.rng.Int64N(5*second)
 	}
 	return x
 }
@@ -275,13 +275,13 @@
 		n = 1 + h.rng.IntN(historyBurst)
 	}
 	for range n {
-		h.asked[x.Ticket] = x
+		h.asked[x.RequestID] = x
 		events = append(events, Request{x})
 		next := h.drawTask()
 		if same {
-			ticket := next.Ticket
+			ticket := next.RequestID
 			next = x
-			next.Ticket = ticket
+			next.RequestID = ticket
 		}
 		x = next
 	}
@@ -292,14 +292,14 @@
 // has named.
 func (h *history) drawExisting() Event {
 	x := h.drawTask()
-	h.asked[x.Ticket] = x
-	h.attempts[x.Ticket] = 1
-	a := Place{Ticket: x.Ticket, Machine: h.anyMachine()}
+	h.asked[x.RequestID] = x
+	h.attempts[x.RequestID] = 1
+	a := Place{RequestID: x.RequestID, Worker: h.anyMachine()}
 	if h.chance(0.4) {
-		a.Machine = fmt.Sprint("unlisted", h.rng.IntN(5))
+		a.Worker = fmt.Sprint("unlisted", h.rng.IntN(5))
 	}
 	h.running = append(h.running, a)
-	return Existing{x, a.Machine}
+	return Adopted{x, a.Worker}
 }
 
 // drawOutcomes draws answers to attempts that are out, and ends of running tasks.
@@ -324,46 +324,46 @@
 }
 
 func (h *history) drawAnswer(a Place) Event {
-	attempt, rtt := h.attempts[a.Ticket]-1, 1+h.rng.Int64N(30*ms)
+	attempt, rtt := h.attempts[a.RequestID]-1, 1+h.rng.Int64N(30*ms)
 	accepted := 70
 	if h.condition == mostlyFailing {
 		accepted = 10
 	}
-	done := Done{Ticket: a.Ticket, Attempt: attempt, Machine: a.Machine, RTTUs: rtt, Closed: h.chance(0.05)}
+	done := AttemptEnded{RequestID: a.RequestID, Attempt: attempt, Worker: a.Worker, RTTUs: rtt, Final: h.chance(0.05)}
 	switch h.pick(accepted, 4, 12, 5, 4, 4, 2, 2) {
 	case 0:
 		h.running = append(h.running, a)
-		return Accepted{Ticket: a.Ticket, Attempt: attempt, Machine: a.Machine, RTTUs: rtt}
+		return Accepted{RequestID: a.RequestID, Attempt: attempt, Worker: a.Worker, RTTUs: rtt}
 	case 1:
-		done.Status = Failed
+		done.Outcome = Failed
 	case 2:
-		done.Status = Full
-		done.Why = []Why{WhyCores, WhyMemory, WhyQueue, WhyNotHere}[h.rng.IntN(4)]
+		done.Outcome = Rejected
+		done.Cause = []Cause{CauseCores, CauseMemory, CauseQueue, CauseWrongWorker}[h.rng.IntN(4)]
 	case 3:
-		done.Status = TimedOut
+		done.Outcome = TimedOut
 	case 4:
-		done.Status = ConnectFailed
+		done.Outcome = ConnectFailed
 	case 5:
-		done.Status = Reset
+		done.Outcome = Reset
 	case 6:
-		done.Status = Cancelled
+		done.Outcome = Cancelled
 	case 7:
-		done.Status = Moot
+		done.Outcome = NeverSent
 	}
 	return done
 }
 
 func (h *history) drawEnd(a Place) Event {
-	done := Done{Ticket: a.Ticket, Attempt: h.attempts[a.Ticket] - 1, Machine: a.Machine, Status: OK, Closed: h.chance(0.5)}
-	delete(h.asked, a.Ticket)
+	done := AttemptEnded{RequestID: a.RequestID, Attempt: h.attempts[a.RequestID] - 1, Worker: a.Worker, Outcome: Completed, Final: h.chance(0.5)}
+	delete(h.asked, a.RequestID)
 	switch h.pick(75, 10, 10, 5) {
 	case 1:
-		done.Status = Reset
-		done.Why = []Why{WhyUntold, WhyEvicted, WhyPushedOut, WhySentAway}[h.rng.IntN(4)]
+		done.Outcome = Reset
+		done.Cause = []Cause{CauseUnknown, CauseEvicted, CausePreempted, CauseDrained}[h.rng.IntN(4)]
 	case 2:
-		done.Status = Failed
+		done.Outcome = Failed
 	case 3:
-		done.Status = Cancelled
+		done.Outcome = Cancelled
 	}
 	return done
 }
@@ -373,7 +373,7 @@
 func (h *history) drawDelta() Event {
 	var changed []Entry
 	n := 1 + h.rng.IntN(5)
-	together, state := h.chance(0.08), State(h.pick(50, 25, 25))
+	together, state := h.chance(0.08), WorkerState(h.pick(50, 25, 25))
 	if together {
 		n = 1 + len(h.entries)/4
 	}
@@ -383,20 +383,20 @@
 		if together {
 			e.State = state
 		} else {
-			e.State = State(h.pick(92, 4, 4))
+			e.State = WorkerState(h.pick(92, 4, 4))
 		}
 		if h.chance(0.04) || together && state == Ready {
-			e.StartUs = h.now - h.rng.Int64N(second)
+			e.StartedAtUs = h.now - h.rng.Int64N(second)
 		}
 		h.entries[i] = e
-		e.Returned = h.chance(0.02)
+		e.Uncordoned = h.chance(0.02)
 		changed = append(changed, e)
 	}
-	return List{Kind: ListDelta, Entries: changed}
+	return WorkerList{Kind: ListDelta, Entries: changed}
 }
 
 func (h *history) drawList() Event {
-	l := List{Kind: []ListKind{ListFull, ListCached, ListFailed}[h.rng.IntN(3)]}
+	l := WorkerList{Kind: []ListKind{ListFull, ListCached, ListFailed}[h.rng.IntN(3)]}
 	if l.Kind == ListFailed {
 		return l
 	}
@@ -415,13 +415,13 @@
 func (h *history) drawNotes() (events []Event) {
 	for range min(len(h.running), 1+h.rng.IntN(4)) {
 		a := h.running[h.rng.IntN(len(h.running))]
-		n := Note{Ticket: a.Ticket, Attempt: h.attempts[a.Ticket] - 1, Machine: a.Machine, Kind: NoteKind(1 + h.rng.IntN(5))}
-		x := h.asked[a.Ticket]
+		n := TaskReport{RequestID: a.RequestID, Attempt: h.attempts[a.RequestID] - 1, Worker: a.Worker, Kind: ReportKind(1 + h.rng.IntN(5))}
+		x := h.asked[a.RequestID]
 		switch n.Kind {
-		case NoteCores:
+		case ReportCores:
 			n.Value = x.Cores * (0.3 + h.rng.Float64())
-		case NoteMemory:
-			n.Value = x.Mem * (0.3 + h.rng.Float64())
+		case ReportMemory:
+			n.Value = x.Memory * (0.3 + h.rng.Float64())
 		default:
 			n.Value = h.rng.Float64()*0.6 + 0.45
 		}
@@ -436,32 +436,32 @@
 	if len(h.probed) > 0 && h.chance(0.8) {
 		machine, h.probed = h.probed[0], h.probed[1:]
 	}
-	e := Sampled{Machine: machine, Status: OK, RTTUs: ms}
+	e := ProbeResult{Worker: machine, Outcome: Completed, RTTUs: ms}
 	if h.chance(0.2) {
-		e.Status = TimedOut
+		e.Outcome = TimedOut
 	}
 	kind := h.kindOf(h.entries[h.index[machine]])
 	e.Load = Load{kind.Cores * (1 - h.level*h.rng.Float64()*1.2), kind.Memory * (1 - h.level*h.rng.Float64()*1.2),
 		h.rng.Float64() * 1.1, float64(h.rng.IntN(6))}
 	switch h.pick(80, 10, 5, 5) {
 	case 1:
-		e.Load.X0, e.Load.X1 = math.NaN(), math.NaN()
+		e.Load.FreeCores, e.Load.FreeMemory = math.NaN(), math.NaN()
 	case 2:
-		e.Load.Util, e.Load.Queue = math.NaN(), math.NaN()
+		e.Load.Utilization, e.Load.Queued = math.NaN(), math.NaN()
 	case 3:
-		e.Load.X0, e.Load.Queue = 1e9, 1e9
+		e.Load.FreeCores, e.Load.Queued = 1e9, 1e9
 	}
 	return []Event{e}
 }
 
 func (h *history) drawPressure() Event {
-	e := Pressure{}
+	e := Backpressure{}
 	if h.chance(0.6) {
-		e.Pace = h.rng.Float64() * 200
+		e.ReleaseRate = h.rng.Float64() * 200
 	}
 	if h.chance(0.4) {
 		for range h.p.s.Classes {
-			e.Keep = append(e.Keep, float64(h.rng.IntN(3)))
+			e.Reserved = append(e.Reserved, float64(h.rng.IntN(3)))
 		}
 	}
 	return e
--- a/placement/index.go
+++ b/placement/index.go
@@ -234,7 +234,7 @@
 }
 
 // ascend makes a pass.
-func (p *Placer) ascend(w walk) {
+func (p *Scheduler) ascend(w walk) {
 	x := &p.index
 	clear(x.ended)
 	// Where machines bear more than when the levels were built, shares are less than these say.
@@ -279,7 +279,7 @@
 }
 
 // scan looks at the machines of one level that have room, and reports whether to go on.
-func (p *Placer) scan(l *level, kind int, floor float64, w *walk) bool {
+func (p *Scheduler) scan(l *level, kind int, floor float64, w *walk) bool {
 	within := limit{most: noLimit}
 	if w.limits != nil {
 		within = w.limits[kind]
@@ -317,7 +317,7 @@
 }
 
 // touch notes that what m is asked for, or whether it may be offered tasks, may have changed.
-func (p *Placer) touch(m *machine) {
+func (p *Scheduler) touch(m *machine) {
 	if !m.stale {
 		m.stale = true
 		p.index.stale = append(p.index.stale, m)
@@ -325,7 +325,7 @@
 }
 
 // settle brings the index up to date with what changed since the last search.
-func (p *Placer) settle() {
+func (p *Scheduler) settle() {
 	x := &p.index
 	x.now = p.bearing
 	x.inverse = shares{1 / x.now.cores, 1 / x.now.memory}
@@ -352,7 +352,7 @@
 func drifted(now, then float64) bool { return math.Abs(now-then) > then*scaleDrift }
 
 // refresh computes anew what m is asked for and where it stands in the index.
-func (p *Placer) refresh(m *machine) {
+func (p *Scheduler) refresh(m *machine) {
 	if m.counted != nil {
 		p.fleetAsked -= m.askedCores
 		p.listedSize.cores -= m.counted.Cores
@@ -384,7 +384,7 @@
 
 // hashedFirst are the machines that come first in the order hashed from a program, among
 // which its tasks are spread (see away).
-func (p *Placer) hashedFirst(program uint64) []*machine {
+func (p *Scheduler) hashedFirst(program uint64) []*machine {
 	if first, ok := p.preferred[program]; ok {
 		return first
 	}
@@ -406,19 +406,19 @@
 
 // hashedPlace is the place of a machine in the order hashed from a program, from its hash. Of
 // machines that are divided among placers, only this one's are counted.
-func (p *Placer) hashedPlace(hash uint64) float64 {
+func (p *Scheduler) hashedPlace(hash uint64) float64 {
 	return (1 - float64(hash)/math.MaxUint64) * float64(p.own())
 }
 
 // keepMachine keeps m for held tasks of a rank, for this round.
-func (p *Placer) keepMachine(m *machine, rank float64) {
+func (p *Scheduler) keepMachine(m *machine, rank float64) {
 	p.kept[m] = rank
 	p.keptNow = append(p.keptNow, m)
 	p.index.keep(m)
 }
 
 // keepNone ends that for all.
-func (p *Placer) keepNone() {
+func (p *Scheduler) keepNone() {
 	for _, m := range p.keptNow {
 		p.index.release(m)
 	}
@@ -427,7 +427,7 @@
 }
 
 // nth returns the machine of the n-th lowest ordinal.
-func (p *Placer) nth(ms []*machine, n int) (found *machine) {
+func (p *Scheduler) nth(ms []*machine, n int) (found *machine) {
 	if len(ms) == 1 {
 		return ms[0]
 	}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -31,18 +31,18 @@
 }
 
 // checkIndex returns how many machines are indexed, or what is wrong with the index.
-func checkIndex(p *Placer) (indexed int, err error) {
+func checkIndex(p *Scheduler) (indexed int, err error) {
 	sums := struct{ asked, cores, memory float64 }{}
 	for ordinal, m := range p.order {
 		if m.ordinal != ordinal || p.ids[ordinal] != m.id {
-			return 0, fmt.Errorf("%s: ordinal %d, want %d", m.Machine, m.ordinal, ordinal)
+			return 0, fmt.Errorf("%s: ordinal %d, want %d", m.Worker, m.ordinal, ordinal)
 		}
 		if m.listed == p.departed[m] {
-			return 0, fmt.Errorf("%s: listed %v, departed %v", m.Machine, m.listed, p.departed[m])
+			return 0, fmt.Errorf("%s: listed %v, departed %v", m.Worker, m.listed, p.departed[m])
 		}
 		k := p.size(m)
 		if m.slot.indexed != (m.listed && m.State == Ready && k != nil) {
-			return 0, fmt.Errorf("%s: indexed %v; %+v", m.Machine, m.slot.indexed, m.Entry)
+			return 0, fmt.Errorf("%s: indexed %v; %+v", m.Worker, m.slot.indexed, m.Entry)
 		}
 		if k == nil {
 			continue
@@ -51,7 +51,7 @@
 		cores, memory := p.load(m)
 		m.stale = false
 		if cores != m.askedCores || memory != m.askedMemory {
-			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", m.Machine, cores, memory, m.askedCores, m.askedMemory)
+			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", m.Worker, cores, memory, m.askedCores, m.askedMemory)
 		}
 		if m.listed && p.s.HasView {
 			sums.asked, sums.cores, sums.memory = sums.asked+cores, sums.cores+k.Cores, sums.memory+k.Memory
@@ -74,29 +74,29 @@
 	return indexed, checkPrograms(p)
 }
 
-func checkEntry(p *Placer, m *machine, k *Kind) error {
+func checkEntry(p *Scheduler, m *machine, k *Kind) error {
 	kind := &p.index.kinds[m.slot.kind]
 	l := &kind.levels[m.slot.level]
 	e := l.entries[m.slot.rank]
 	switch {
 	case m.slot.kind != m.kind || e.m != m:
-		return fmt.Errorf("%s: its slot %+v holds %s", m.Machine, m.slot, e.m.Machine)
+		return fmt.Errorf("%s: its slot %+v holds %s", m.Worker, m.slot, e.m.Worker)
 	case p.s.HasView && e.asked != shares{m.askedCores / k.Cores, m.askedMemory / k.Memory}:
-		return fmt.Errorf("%s: entry %+v", m.Machine, e.asked)
+		return fmt.Errorf("%s: entry %+v", m.Worker, e.asked)
 	case !l.least.within(e.asked) || e.bend < l.bend || e.bend > min(m.bendC, m.bendM):
-		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", m.Machine, e, l.least, l.bend)
+		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", m.Worker, e, l.least, l.bend)
 	case (p.kept[m] > 0) != (m.slot.rank >= l.free):
-		return fmt.Errorf("%s: kept %v, number %d of %d free ones", m.Machine, p.kept[m] > 0, m.slot.rank, l.free)
+		return fmt.Errorf("%s: kept %v, number %d of %d free ones", m.Worker, p.kept[m] > 0, m.slot.rank, l.free)
 	}
 	share := max(e.asked.cores/p.index.scale.cores, e.asked.memory/p.index.scale.memory)
 	if floor := float64(m.slot.level) * levelWidth; share < floor || share >= floor+levelWidth && m.slot.level < levelCount-1 {
-		return fmt.Errorf("%s: share %v at level %d", m.Machine, share, m.slot.level)
+		return fmt.Errorf("%s: share %v at level %d", m.Worker, share, m.slot.level)
 	}
 	return nil
 }
 
 // countEntries counts the machines in all levels, and -1 where a set of levels is wrong.
-func countEntries(p *Placer) (count int) {
+func countEntries(p *Scheduler) (count int) {
 	for i := range p.index.kinds {
 		k := &p.index.kinds[i]
 		for number := range k.levels {
@@ -111,13 +111,13 @@
 	return count
 }
 
-func checkPrograms(p *Placer) error {
+func checkPrograms(p *Scheduler) error {
 	homes := 0
 	for _, m := range p.order {
 		for program := range m.homes {
 			homes++
 			if !slices.Contains(p.programs[program], m) {
-				return fmt.Errorf("%s is not among the machines of program %d", m.Machine, program)
+				return fmt.Errorf("%s is not among the machines of program %d", m.Worker, program)
 			}
 		}
 	}
@@ -175,14 +175,14 @@
 	b := largeFleet(t, 4000, func(rng *rand.Rand) float64 { return 1.495 + 0.004*rng.Float64() })
 	// One machine of the same level had room, which an earlier bound shows still.
 	last := small("m03999", 0, 32*(1-1.478))
-	b.at(ms, List{Kind: ListDelta, Entries: []Entry{last}})
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	x := b.probe(0)
-	x.Cores, x.Mem = 0.25, 0.5
+	x.Cores, x.Memory = 0.25, 0.5
 	if near := b.p.nearest(x); len(near) != 1 {
 		t.Fatalf("%d machines to draw from, want the one with room", len(near))
 	}
-	last.SpareCores, last.SpareMem = 32*(1-1.495), 64*(1-1.495)
-	b.at(ms, List{Kind: ListDelta, Entries: []Entry{last}})
+	last.FreeCores, last.FreeMemory = 32*(1-1.495), 64*(1-1.495)
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	if near := b.p.nearest(x); len(near) > 0 || b.p.search.looked > 0 {
 		t.Fatalf("a full fleet: %d machines to draw from, %d looked at", len(near), b.p.search.looked)
 	}
@@ -200,8 +200,8 @@
 func TestFirstByNameIsKept(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("c", 0, -20), small("b", 0, -16), small("a", 0, -16), small("d", 1, -16))
 	x := b.probe(0)
-	x.Cores, x.Mem = 8, 8
-	if m := b.p.nearestToRoom(x); m == nil || m.Machine != "a" {
+	x.Cores, x.Memory = 8, 8
+	if m := b.p.nearestToRoom(x); m == nil || m.Worker != "a" {
 		t.Errorf("kept %v, want a", m)
 	}
 }
@@ -255,7 +255,7 @@
 			}
 			got := b.p.admission(m, x)
 			if got > least+2*margin {
-				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, got, m.Machine, least)
+				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, got, m.Worker, least)
 			}
 			chosen, lowest = chosen+got, lowest+least
 		}
@@ -273,13 +273,13 @@
 	entries := make([]Entry, len(b.p.order))
 	for i, m := range b.p.order {
 		entries[i] = m.Entry
-		entries[i].SpareCores = 16
+		entries[i].FreeCores = 16
 	}
-	b.at(second/2, List{Kind: ListDelta, Entries: entries})
+	b.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
 	if rho, _ := b.p.fleet(); rho != 0 {
 		t.Errorf("share %v before a second has passed, want that of before", rho)
 	}
-	b.at(second/2, Bell{})
+	b.at(second/2, TimerFired{})
 	if rho, _ := b.p.fleet(); math.Abs(rho-0.5/b.p.bearing.cores) > 1e-9 {
 		t.Errorf("share %v after a second, want %v", rho, 0.5/b.p.bearing.cores)
 	}
@@ -293,11 +293,11 @@
 	for _, m := range b.p.order {
 		m.window = 0 // it may be offered nothing
 	}
-	b.at(retryEvery/2, Bell{})
+	b.at(retryEvery/2, TimerFired{})
 	if got := b.p.room(); got != all {
 		t.Errorf("room %v before the bell is due, want %v as before", got, all)
 	}
-	b.at(retryEvery/2, Bell{})
+	b.at(retryEvery/2, TimerFired{})
 	if got := b.p.room(); got != 0 {
 		t.Errorf("room %v with the bell, want none", got)
 	}
@@ -312,11 +312,11 @@
 			t.Fatalf("%d machines: placed %v in a full fleet", n, got)
 		}
 		room := small("m00007", 0, 20)
-		atOnce := len(of[Place](b.at(ms, List{Kind: ListDelta, Entries: []Entry{room}})))
+		atOnce := len(of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{room}})))
 		if want := map[bool]int{true: 1}[n <= enumerated]; atOnce != want {
 			t.Errorf("%d machines: %d tasks placed as room was told, want %d", n, atOnce, want)
 		}
-		if later := len(of[Place](b.at(retryEvery, Bell{Ref: "wake"}))); atOnce+later != 1 {
+		if later := len(of[Place](b.at(retryEvery, TimerFired{Ref: "wake"}))); atOnce+later != 1 {
 			t.Errorf("%d machines: %d tasks placed by the bell, want 1 in all", n, later)
 		}
 	}
@@ -328,17 +328,17 @@
 	for i := range 30 {
 		b.started(fmt.Sprint(i))
 	}
-	gone := List{Kind: ListDelta}
+	gone := WorkerList{Kind: ListDelta}
 	for _, m := range b.p.order {
 		e := m.Entry
-		e.State = Gone
+		e.State = Removed
 		gone.Entries = append(gone.Entries, e)
 	}
 	b.at(ms, gone)
 	for ticket, x := range b.p.tasks {
-		b.at(0, Done{Ticket: ticket, Attempt: len(x.attempts) - 1, Status: OK, Closed: true})
+		b.at(0, AttemptEnded{RequestID: ticket, Attempt: len(x.attempts) - 1, Outcome: Completed, Final: true})
 	}
-	b.at(ms, List{Kind: ListDelta})
+	b.at(ms, WorkerList{Kind: ListDelta})
 	b.p.settle()
 	p := b.p
 	if left := len(p.order) + len(p.machines) + len(p.departed) + len(p.programs) + len(p.preferred) + countEntries(p); left != 0 {
@@ -357,5 +357,5 @@
 	if len(got) != 1 {
 		b.t.Fatalf("%d places of task %s, want 1", len(got), ticket)
 	}
-	b.at(ms, Accepted{Ticket: ticket, Machine: got[0].Machine, RTTUs: ms})
+	b.at(ms, Accepted{RequestID: ticket, Worker: got[0].Worker, RTTUs: ms})
 }
--- a/placement/machine.go
+++ b/placement/machine.go
@@ -80,12 +80,12 @@
 	at    int64
 }
 
-func (p *Placer) machine(name string) *machine {
+func (p *Scheduler) machine(name string) *machine {
 	m := p.machines[name]
 	if m != nil {
 		return m
 	}
-	m = &machine{Entry: Entry{Machine: name}, id: nameHash(name), kind: -1, homes: map[uint64]*home{}, bendC: 1, bendM: 1, window: windowFirst,
+	m = &machine{Entry: Entry{Worker: name}, id: nameHash(name), kind: -1, homes: map[uint64]*home{}, bendC: 1, bendM: 1, window: windowFirst,
 		doubts: make([]doubt, len(p.s.Classes)), heard: make([]int64, len(p.s.Classes))}
 	p.machines[name] = m
 	p.departed[m] = true
@@ -96,13 +96,13 @@
 }
 
 // reorder notes that machines came or went.
-func (p *Placer) reorder() {
+func (p *Scheduler) reorder() {
 	p.reordered = true
 	clear(p.preferred)
 }
 
 // setListed notes whether m is on the list held now.
-func (p *Placer) setListed(m *machine, listed bool) {
+func (p *Scheduler) setListed(m *machine, listed bool) {
 	m.listed = listed
 	p.countForeign(m)
 	if listed {
@@ -125,7 +125,7 @@
 }
 
 // bind notes a change that this placer makes now to what m is asked for.
-func (p *Placer) bind(m *machine, cores, mem float64) {
+func (p *Scheduler) bind(m *machine, cores, mem float64) {
 	if len(m.deltas) >= deltasMost {
 		m.deltas = slices.Delete(m.deltas, 0, len(m.deltas)/2)
 	}
@@ -135,7 +135,7 @@
 }
 
 // unbind takes back the bind of an attempt that never ran.
-func (p *Placer) unbind(a *attempt) {
+func (p *Scheduler) unbind(a *attempt) {
 	m := a.m
 	i := slices.IndexFunc(m.deltas, func(d delta) bool { return d.at == a.at && d.cores >= 0 })
 	if i >= 0 {
@@ -145,7 +145,7 @@
 }
 
 // rebind dates a bind by its acceptance, which is what the view follows.
-func (p *Placer) rebind(a *attempt) {
+func (p *Scheduler) rebind(a *attempt) {
 	for i := range a.m.deltas {
 		if d := &a.m.deltas[i]; d.at == a.at && d.cores >= 0 {
 			d.at = p.now
@@ -156,7 +156,7 @@
 }
 
 // followLag notes that what m is asked for depends on the view's lag from now on.
-func (p *Placer) followLag(m *machine) {
+func (p *Scheduler) followLag(m *machine) {
 	if !m.lagged {
 		m.lagged = true
 		p.lagged = append(p.lagged, m)
@@ -165,7 +165,7 @@
 
 // laggedMachines are the machines for which the view's lag matters: those with own
 // changes that the view may not hold yet, or with a report of their own.
-func (p *Placer) laggedMachines() []*machine {
+func (p *Scheduler) laggedMachines() []*machine {
 	p.lagged = slices.DeleteFunc(p.lagged, func(m *machine) bool {
 		m.lagged = len(m.deltas) > 0 || m.toldRoom
 		return !m.lagged
@@ -173,7 +173,7 @@
 	return p.lagged
 }
 
-func (p *Placer) size(m *machine) *Kind {
+func (p *Scheduler) size(m *machine) *Kind {
 	if m.kind < 0 {
 		return nil
 	}
@@ -181,14 +181,14 @@
 }
 
 // forget lets go of departed machines that hold nothing of ours.
-func (p *Placer) forget() {
+func (p *Scheduler) forget() {
 	var gone []*machine
 	for m := range p.departed {
 		if m.refs == 0 {
 			gone = append(gone, m)
 		}
 	}
-	slices.SortFunc(gone, func(a, b *machine) int { return cmp.Compare(a.Machine, b.Machine) })
+	slices.SortFunc(gone, func(a, b *machine) int { return cmp.Compare(a.Worker, b.Worker) })
 	for _, m := range gone {
 		for program := range m.homes {
 			p.leave(m, program)
@@ -197,17 +197,17 @@
 		p.touch(m)
 		delete(p.departed, m)
 		delete(p.returned, m)
-		delete(p.machines, m.Machine)
-		i, _ := slices.BinarySearchFunc(p.order, m.Machine, byName)
+		delete(p.machines, m.Worker)
+		i, _ := slices.BinarySearchFunc(p.order, m.Worker, byName)
 		p.order = slices.Delete(p.order, i, i+1)
 		p.reorder()
 	}
 }
 
-func byName(m *machine, name string) int { return cmp.Compare(m.Machine, name) }
+func byName(m *machine, name string) int { return cmp.Compare(m.Worker, name) }
 
 // keepHome notes that m holds one task more of a program.
-func (p *Placer) keepHome(m *machine, program uint64) {
+func (p *Scheduler) keepHome(m *machine, program uint64) {
 	h := m.homes[program]
 	if h == nil {
 		h = &home{}
@@ -221,7 +221,7 @@
 }
 
 // leave notes that m holds nothing of a program any more.
-func (p *Placer) leave(m *machine, program uint64) {
+func (p *Scheduler) leave(m *machine, program uint64) {
 	delete(m.homes, program)
 	p.homesChanged++
 	holders := p.programs[program]
@@ -248,7 +248,7 @@
 }
 
 // runs notes that t runs on m.
-func (p *Placer) runs(t *task, m *machine) {
+func (p *Scheduler) runs(t *task, m *machine) {
 	t.ranAt = p.now
 	m.running = append(m.running, t)
 }
@@ -284,7 +284,7 @@
 
 // letGo notes that an attempt ended. Of the programs without a task, the ones
 // that ended last are kept.
-func (p *Placer) letGo(m *machine, program uint64) {
+func (p *Scheduler) letGo(m *machine, program uint64) {
 	m.refs--
 	h := m.homes[program]
 	if h == nil {
@@ -312,13 +312,13 @@
 	}
 }
 
-func (p *Placer) entry(x Entry, fresh bool) {
-	m := p.machine(x.Machine)
+func (p *Scheduler) entry(x Entry, fresh bool) {
+	m := p.machine(x.Worker)
 	own := m.State != Foreign && x.State != Foreign // a change of hands tells no new view
-	if fresh && own && m.known && m.viewAt > 0 && m.StartUs == x.StartUs && p.s.HasView {
+	if fresh && own && m.known && m.viewAt > 0 && m.StartedAtUs == x.StartedAtUs && p.s.HasView {
 		p.learnLag(m, x)
 	}
-	if m.known && m.StartUs != x.StartUs {
+	if m.known && m.StartedAtUs != x.StartedAtUs {
 		// A new start holds nothing of what was there. What has no outcome yet
 		// counts for the spread until it has.
 		m.deltas = nil
@@ -330,15 +330,15 @@
 		m.bendC, m.bendM = 1, 1
 	}
 	m.Entry, m.known = x, true
-	p.setListed(m, x.State != Gone)
+	p.setListed(m, x.State != Removed)
 	p.homesChanged++ // its place may be another
-	if m.back = m.back && m.listed || x.Returned; x.Returned {
+	if m.back = m.back && m.listed || x.Uncordoned; x.Uncordoned {
 		p.returned[m] = true
 		clear(m.doubts) // what was held against it, its restart by hand among that, is over
 	}
 	m.kind = slices.IndexFunc(p.s.Kinds, func(k Kind) bool { return k.Name == x.Kind })
 	m.viewAt = p.now
-	m.spares[m.views%lastingViews] = [2]float64{x.SpareCores, x.SpareMem}
+	m.spares[m.views%lastingViews] = [2]float64{x.FreeCores, x.FreeMemory}
 	m.views++
 	m.lastingC, m.lastingM = 0, 0
 	if m.views >= lastingViews {
@@ -367,7 +367,7 @@
 }
 
 // setLag changes what the view's lag is taken to be.
-func (p *Placer) setLag(lag int64) {
+func (p *Scheduler) setLag(lag int64) {
 	if lag == p.lag {
 		return
 	}
@@ -393,6 +393,6 @@
 }
 
 // seat is this placer's number in the fleet, counted from another placer for each machine.
-func (p *Placer) seat(m *machine) int {
+func (p *Scheduler) seat(m *machine) int {
 	return (p.s.SelfIndex + int(m.id%uint64(p.s.FleetSize))) % p.s.FleetSize
 }
--- a/placement/module_slopes_test.go
+++ b/placement/module_slopes_test.go
@@ -58,9 +58,9 @@
 		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, new(meter), m) }},
 		{"request_cold_zone", n, coldSite, measureExchange},
 		{"first_list", expensiveUnits, busySite, measureFirstList},
-		{"note_cores", n, busySite, noteCase(NoteCores, siteCoresUse)},
-		{"note_service_poor", n, busySite, noteCase(NoteService, poorService)},
-		{"note_service_worst", n, busySite, noteCase(NoteService, worstService)},
+		{"note_cores", n, busySite, noteCase(ReportCores, siteCoresUse)},
+		{"note_service_poor", n, busySite, noteCase(ReportService, poorService)},
+		{"note_service_worst", n, busySite, noteCase(ReportService, worstService)},
 		{"sampled", n, busySite, measureSampled},
 		{"spread_200", n, serviceSite, measureReplica},
 		{"huge", n, hugeSite, measureHuge},
@@ -168,19 +168,19 @@
 	e.mustPlace(s)
 	var actions []Action
 	m.measure(s.t, func() {
-		actions = s.handle(Done{Ticket: e.task.Ticket, Machine: e.place.Machine, Status: Full, Why: WhyCores, RTTUs: siteRTT})
+		actions = s.handle(AttemptEnded{RequestID: e.task.RequestID, Worker: e.place.Worker, Outcome: Rejected, Cause: CauseCores, RTTUs: siteRTT})
 	})
 	e.place = nil
 	if next := of[Place](actions); len(next) == 1 {
 		e.place = &next[0]
 		s.now += siteRTT
-		s.handle(Accepted{Ticket: e.task.Ticket, Attempt: 1, Machine: e.place.Machine, RTTUs: siteRTT})
+		s.handle(Accepted{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, RTTUs: siteRTT})
 		s.now += siteRTT
-		s.handle(Done{Ticket: e.task.Ticket, Attempt: 1, Machine: e.place.Machine, Status: OK, Closed: true})
+		s.handle(AttemptEnded{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, Outcome: Completed, Final: true})
 	} else if !s.settings.Probes {
 		s.t.Fatalf("%d attempts after a refusal, want 1", len(next))
 	} else {
-		s.handle(ClientGone{e.task.Ticket})
+		s.handle(ClientCancelled{e.task.RequestID})
 	}
 	s.own = append(s.own, e.ended)
 	s.show(s.elapse())
@@ -193,8 +193,8 @@
 	var events []Event
 	for i := range burstTasks {
 		x := job.task
-		x.Class, x.Cores, x.Mem, x.DeadlineUs = s.settings.Classes[0].Name, 1, 2, s.now+siteDeadline
-		x.Ticket = fmt.Sprint("burst-", s.now, "-", i)
+		x.Class, x.Cores, x.Memory, x.DeadlineUs = s.settings.Classes[0].Name, 1, 2, s.now+siteDeadline
+		x.RequestID = fmt.Sprint("burst-", s.now, "-", i)
 		events = append(events, Request{x})
 	}
 	var actions []Action
@@ -205,17 +205,17 @@
 	}
 	s.now += siteRTT
 	for _, a := range placed {
-		s.handle(Accepted{Ticket: a.Ticket, Machine: a.Machine, RTTUs: siteRTT})
+		s.handle(Accepted{RequestID: a.RequestID, Worker: a.Worker, RTTUs: siteRTT})
 	}
 	for _, e := range events {
-		s.handle(ClientGone{e.(Request).Ticket})
+		s.handle(ClientCancelled{e.(Request).RequestID})
 	}
 	s.now += second
 	for _, a := range placed {
-		s.handle(Done{Ticket: a.Ticket, Machine: a.Machine, Status: OK, Closed: true})
+		s.handle(AttemptEnded{RequestID: a.RequestID, Worker: a.Worker, Outcome: Completed, Final: true})
 	}
 	s.now += 20 * second
-	s.handle(List{Kind: ListDelta, Entries: s.entries()})
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
 // idleSite has workers that all have the same free share, by thousands.
@@ -242,7 +242,7 @@
 	for _, w := range s.workers {
 		w.askC, w.askM = w.cores, w.mem
 	}
-	s.handle(List{Kind: ListDelta, Entries: s.entries()}, Pressure{Pace: plannedStarts / sitePlacers * float64(workers) / plannedWorkers})
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()}, Backpressure{ReleaseRate: plannedStarts / sitePlacers * float64(workers) / plannedWorkers})
 	var events []Event
 	for range held {
 		x := s.nextTask()
@@ -257,7 +257,7 @@
 
 func (s *site) mustWait(actions []Action) {
 	s.t.Helper()
-	if n := len(of[Place](actions)) + len(of[Deny](actions)); n > 0 {
+	if n := len(of[Place](actions)) + len(of[Reject](actions)); n > 0 {
 		s.t.Fatalf("%d held tasks were answered", n)
 	}
 }
@@ -267,14 +267,14 @@
 	s.now += s.betweenUs / (2 * sitePlacers)
 	w := s.workers[s.rng.IntN(len(s.workers))]
 	var actions []Action
-	m.measure(s.t, func() { actions = s.handle(List{Kind: ListDelta, Entries: []Entry{w.shown()}}) })
+	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{w.shown()}}) })
 	s.mustWait(actions)
 }
 
 func measureHeldBell(s *site, m *meter) {
 	s.now += retryEvery
 	var actions []Action
-	m.measure(s.t, func() { actions = s.handle(Bell{"wake"}) })
+	m.measure(s.t, func() { actions = s.handle(TimerFired{"wake"}) })
 	s.mustWait(actions)
 }
 
@@ -291,9 +291,9 @@
 		}
 	}
 	s.now += second
-	m.measure(s.t, func() { s.handle(List{Kind: ListDelta, Entries: entries}) })
+	m.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 	s.now += second
-	s.handle(List{Kind: ListDelta, Entries: s.entries()})
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
 // loseZone measures the loss of a zone's workers in one event, and their cold return.
@@ -303,26 +303,26 @@
 	for _, w := range s.workers {
 		if w.entry.Zone == zone {
 			e := w.shown()
-			e.State = Gone
+			e.State = Removed
 			entries = append(entries, e)
 		}
 	}
 	s.now += second
-	gone.measure(s.t, func() { s.handle(List{Kind: ListDelta, Entries: entries}) })
+	gone.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 	s.own = slices.DeleteFunc(s.own, func(x *siteTask) bool {
 		if x.worker.entry.Zone != zone {
 			return false
 		}
-		s.handle(Done{Ticket: x.Ticket, Machine: x.worker.entry.Machine, Status: Reset, Closed: true})
+		s.handle(AttemptEnded{RequestID: x.RequestID, Worker: x.worker.entry.Worker, Outcome: Reset, Final: true})
 		return true
 	})
 	s.now += 20 * second
 	for i := range entries {
-		w := s.byName[entries[i].Machine]
-		w.entry.StartUs, w.askC, w.askM = s.now, 0, 0
+		w := s.byName[entries[i].Worker]
+		w.entry.StartedAtUs, w.askC, w.askM = s.now, 0, 0
 		entries[i] = w.shown()
 	}
-	back.measure(s.t, func() { s.handle(List{Kind: ListDelta, Entries: entries}) })
+	back.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 }
 
 // coldSite is a site of which a zone has just come back.
@@ -339,21 +339,21 @@
 		s.t.Fatal(err)
 	}
 	entries := s.entries()
-	m.measure(s.t, func() { p.Handle(s.now, []Event{List{Kind: ListFull, Entries: entries}}) })
+	m.measure(s.t, func() { p.Handle(s.now, []Event{WorkerList{Kind: ListFull, Entries: entries}}) })
 }
 
 // --- Reports ---
 
 // noteCase measures a note on a random running task.
-func noteCase(kind NoteKind, value float64) func(*site, *meter) {
+func noteCase(kind ReportKind, value float64) func(*site, *meter) {
 	return func(s *site, m *meter) {
 		s.now += s.betweenUs
 		x := s.own[s.rng.IntN(len(s.own))]
 		v := value
-		if kind == NoteCores {
+		if kind == ReportCores {
 			v *= x.Cores
 		}
-		m.measure(s.t, func() { s.handle(Note{x.Ticket, 0, x.worker.entry.Machine, kind, v}) })
+		m.measure(s.t, func() { s.handle(TaskReport{x.RequestID, 0, x.worker.entry.Worker, kind, v}) })
 	}
 }
 
@@ -361,7 +361,7 @@
 	s.now += s.betweenUs
 	w := s.workers[s.rng.IntN(len(s.workers))]
 	load := Load{w.cores - w.askC, w.mem - w.askM, w.askC / w.cores, reportedQueue}
-	m.measure(s.t, func() { s.handle(Sampled{w.entry.Machine, OK, siteRTT, load}) })
+	m.measure(s.t, func() { s.handle(ProbeResult{w.entry.Worker, Completed, siteRTT, load}) })
 }
 
 // bentSite has workers that serve poorly, on which less is placed until that fades.
@@ -374,7 +374,7 @@
 func (s *site) reportPoor(tasks int) {
 	for range tasks {
 		x := s.own[s.rng.IntN(len(s.own))]
-		s.handle(Note{x.Ticket, 0, x.worker.entry.Machine, NoteService, poorService})
+		s.handle(TaskReport{x.RequestID, 0, x.worker.entry.Worker, ReportService, poorService})
 	}
 }
 
@@ -395,7 +395,7 @@
 		e := &exchange{task: &siteTask{Task: s.replica()}}
 		s.run(e)
 		e.mustPlace(s)
-		s.bind(e.task, s.byName[e.place.Machine])
+		s.bind(e.task, s.byName[e.place.Worker])
 		s.service = append(s.service, e.task)
 		s.now += s.betweenUs
 	}
@@ -405,7 +405,7 @@
 
 func (s *site) replica() Task {
 	x := s.nextTask()
-	x.Class, x.Program, x.Cores, x.Mem = spreadClass, 1, 1, 2
+	x.Class, x.Program, x.Cores, x.Memory = spreadClass, 1, 1, 2
 	return x
 }
 
@@ -416,7 +416,7 @@
 	m.measure(s.t, func() { s.run(e) })
 	e.mustPlace(s)
 	s.unbind(e.ended)
-	s.bind(e.task, s.byName[e.place.Machine])
+	s.bind(e.task, s.byName[e.place.Worker])
 	s.service = append(s.service, e.task)
 	s.show(s.elapse())
 }
@@ -431,22 +431,22 @@
 			empty++
 		}
 	}
-	s.handle(List{Kind: ListDelta, Entries: s.entries()})
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 	return s
 }
 
 // measureHuge measures the request and the end of a huge task.
 func measureHuge(s *site, m *meter) {
 	x := s.nextTask()
-	x.Class, x.Program, x.Cores, x.Mem = s.settings.Classes[0].Name, 0, hugeCores, hugeMem
+	x.Class, x.Program, x.Cores, x.Memory = s.settings.Classes[0].Name, 0, hugeCores, hugeMem
 	e := &exchange{task: &siteTask{Task: x}}
 	m.measure(s.t, func() {
 		s.run(e)
 		if e.place != nil {
-			s.handle(Done{Ticket: x.Ticket, Machine: e.place.Machine, Status: OK, Closed: true})
+			s.handle(AttemptEnded{RequestID: x.RequestID, Worker: e.place.Worker, Outcome: Completed, Final: true})
 		}
 	})
 	e.mustPlace(s)
 	s.now += second
-	s.handle(List{Kind: ListDelta, Entries: []Entry{s.byName[e.place.Machine].shown()}})
+	s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{s.byName[e.place.Worker].shown()}})
 }
--- a/placement/nearest_test.go
+++ b/placement/nearest_test.go
@@ -88,11 +88,11 @@
 	if m == nil {
 		return false
 	}
-	h.p.tasks[x.Ticket] = t
+	h.p.tasks[x.RequestID] = t
 	h.p.send(t, m)
-	h.asked[x.Ticket] = x
-	h.attempts[x.Ticket] = 1
-	h.out = append(h.out, Place{Ticket: x.Ticket, Machine: m.Machine})
+	h.asked[x.RequestID] = x
+	h.attempts[x.RequestID] = 1
+	h.out = append(h.out, Place{RequestID: x.RequestID, Worker: m.Worker})
 	return true
 }
 
@@ -156,7 +156,7 @@
 }
 
 // keptFor returns the machine that would be kept for a held task, or nil, and keeps none.
-func keptFor(p *Placer, t *task) (kept *machine) {
+func keptFor(p *Scheduler, t *task) (kept *machine) {
 	before := maps.Clone(p.kept)
 	p.keepFor(t)
 	for m := range p.kept {
@@ -220,14 +220,14 @@
 	odd.Kind = "unknown"
 	for _, machine := range []string{"unlisted", "odd"} {
 		b := newBed(t, testSettings(), 1, odd, small("a", 0, 30))
-		b.at(ms, Existing{b.request("1", "safe", 1, 2).Task, machine})
+		b.at(ms, Adopted{b.request("1", "safe", 1, 2).Task, machine})
 		func() {
 			defer func() {
 				if r := recover(); r != nil {
 					t.Fatalf("a note for a task on %s: panic: %v", machine, r)
 				}
 			}()
-			b.at(ms, Note{"1", 0, machine, NoteService, 0.1})
+			b.at(ms, TaskReport{"1", 0, machine, ReportService, 0.1})
 		}()
 		b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
 	}
--- a/placement/placer.go
+++ b/placement/placer.go
@@ -16,7 +16,7 @@
 )
 
 // Handle takes what happened at now and returns what to do, in order.
-func (p *Placer) Handle(now int64, events []Event) []Action {
+func (p *Scheduler) Handle(now int64, events []Event) []Action {
 	p.now, p.out = now, nil
 	if p.born < 0 {
 		p.born = now
@@ -32,40 +32,40 @@
 }
 
 // request takes in a task. One that can never be placed is refused at once.
-func (p *Placer) request(rt Task) {
-	if p.tasks[rt.Ticket] != nil {
+func (p *Scheduler) request(rt Task) {
+	if p.tasks[rt.RequestID] != nil {
 		return
 	}
 	class, ok := p.classes[rt.Class]
 	if !ok || rt.DeadlineUs <= p.now || !p.everFits(class, rt) {
-		p.do(Deny{Ticket: rt.Ticket})
+		p.do(Reject{RequestID: rt.RequestID})
 		return
 	}
 	t := &task{Task: rt, class: class, arrived: p.now, since: p.now}
-	if rt.SinceUs > 0 {
-		t.since = min(t.since, rt.SinceUs)
+	if rt.QueuedSinceUs > 0 {
+		t.since = min(t.since, rt.QueuedSinceUs)
 	}
-	p.tasks[rt.Ticket] = t
+	p.tasks[rt.RequestID] = t
 	p.hold(t)
 }
 
 // everFits reports whether any kind could hold the task when empty.
-func (p *Placer) everFits(class int, t Task) bool {
+func (p *Scheduler) everFits(class int, t Task) bool {
 	c := &p.s.Classes[class]
-	if c.Apart != ScopeNone && c.Most < 1 {
+	if c.Spread != ScopeNone && c.MaxPerDomain < 1 {
 		return false
 	}
 	for i, k := range p.s.Kinds {
 		if (c.Kind < 0 || c.Kind == i) &&
-			t.Cores <= k.Cores*p.s.CoresMultiple && t.Mem <= k.Memory*p.s.MemoryMultiple {
+			t.Cores <= k.Cores*p.s.CoresOvercommit && t.Memory <= k.Memory*p.s.MemoryOvercommit {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Placer) accepted(e Accepted) {
-	t := p.tasks[e.Ticket]
+func (p *Scheduler) accepted(e Accepted) {
+	t := p.tasks[e.RequestID]
 	if t == nil || t.placed || t.over || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
 		return
 	}
@@ -73,7 +73,7 @@
 	t.placed = true
 	p.unhold(t)
 	p.answered(a, e.RTTUs)
-	if !p.s.AcksRunning {
+	if !p.s.AcceptMeansRunning {
 		p.rebind(a)
 		a.starting = true
 	}
@@ -86,8 +86,8 @@
 }
 
 // done takes the end of an attempt, which is also the end of a placed task.
-func (p *Placer) done(e Done) {
-	t := p.tasks[e.Ticket]
+func (p *Scheduler) done(e AttemptEnded) {
+	t := p.tasks[e.RequestID]
 	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) || t.attempts[e.Attempt].done {
 		return
 	}
@@ -96,23 +96,23 @@
 	ran := t.placed && a == t.attempts[len(t.attempts)-1]
 	p.judge(t, a, e, ran)
 	p.letGo(a.m, t.Program)
-	switch e.Status {
-	case Full, ConnectFailed, Moot:
+	switch e.Outcome {
+	case Rejected, ConnectFailed, NeverSent:
 		p.unbind(a)
 	default:
-		p.bind(a.m, -t.Cores, -t.Mem)
+		p.bind(a.m, -t.Cores, -t.Memory)
 	}
-	if e.Status == Full && (e.Why == WhyCores || e.Why == WhyMemory) {
+	if e.Outcome == Rejected && (e.Cause == CauseCores || e.Cause == CauseMemory) {
 		p.taken = min(takenMost, p.taken+takenStep)
-		p.refused(a.m, t, e.Why)
+		p.refused(a.m, t, e.Cause)
 	}
-	if ran || e.Closed || t.over {
+	if ran || e.Final || t.over {
 		p.drop(t)
 		return
 	}
-	switch e.Status {
-	case Full, ConnectFailed, Moot:
-		t.stands = t.stands || t.mayRun != nil && e.Why == WhyNotHere
+	switch e.Outcome {
+	case Rejected, ConnectFailed, NeverSent:
+		t.stands = t.stands || t.mayRun != nil && e.Cause == CauseWrongWorker
 	default:
 		if t.mayRun == nil {
 			t.mayRun = a
@@ -123,27 +123,27 @@
 
 // noted takes news of a running task: how much of what it asked it uses, how
 // well its machine serves it, and how full that machine's memory is.
-func (p *Placer) noted(e Note) {
-	t := p.tasks[e.Ticket]
+func (p *Scheduler) noted(e TaskReport) {
+	t := p.tasks[e.RequestID]
 	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
 		return
 	}
 	a := t.attempts[e.Attempt]
 	switch e.Kind {
-	case NoteRuns:
+	case ReportRunning:
 		a.starting = false
-	case NoteCores:
+	case ReportCores:
 		if t.Cores > 0 && t.placed && !a.done {
 			p.use(0, t.Cores, &t.useC, e.Value)
 		}
-	case NoteMemory:
-		if t.Mem > 0 && t.placed && !a.done {
-			p.use(1, t.Mem, &t.useM, e.Value)
+	case ReportMemory:
+		if t.Memory > 0 && t.placed && !a.done {
+			p.use(1, t.Memory, &t.useM, e.Value)
 		}
-	case NoteService:
+	case ReportService:
 		p.bend(a.m, &a.m.bendC, 0, p.calm()+p.fade()*(1-e.Value), p.calm(), e.Value < 0.95, 0.5)
 		p.relieve(a.m, e.Value)
-	case NotePressure:
+	case ReportMemoryPressure:
 		p.bend(a.m, &a.m.bendM, 1, e.Value, memoryFull, e.Value > memoryFull*0.95, 0.5)
 	}
 }
