--- a/placement/placer_test.go
+++ b/placement/placer_test.go
@@ -13,28 +13,28 @@
 
 func testSettings() Settings {
 	return Settings{
-		FleetSize: 2, HasView: true, CoresMultiple: 1.5, MemoryMultiple: 1.5,
+		FleetSize: 2, HasView: true, CoresOvercommit: 1.5, MemoryOvercommit: 1.5,
 		Kinds: []Kind{{"small", 32, 64}, {"large", 64, 128}},
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, AimUs: 700 * ms, DeadlineUs: 5000 * ms, Worth: 1, StartS: 8, Kind: -1, Calm: .8, Fade: .2},
-			{Name: "all", Effect: Keyed, Group: ScopeAll, WindowUs: 3000 * ms, AimUs: 700 * ms, Worth: 1, Kind: -1, Calm: .8, Fade: .2},
-			{Name: "cell", Effect: Keyed, Group: ScopeCell, WindowUs: 3000 * ms, Worth: 1, Kind: -1, Calm: .8, Fade: .2},
-			{Name: "zone", Effect: Keyed, Group: ScopeZone, WindowUs: 3000 * ms, Worth: 1, Kind: -1, Calm: .8, Fade: .2},
-			{Name: "unsafe", Effect: Unsafe, Worth: 1, Kind: -1, Calm: .8, Fade: .2},
-			{Name: "apartMachine", Effect: Safe, Worth: 1, Kind: -1, Apart: ScopeMachine, Most: 1, Calm: .8, Fade: .2},
-			{Name: "apartCell", Effect: Safe, Worth: 1, Kind: -1, Apart: ScopeCell, Most: 2, Calm: .8, Fade: .2},
-			{Name: "apartZone", Effect: Safe, Worth: 1, Kind: -1, Apart: ScopeZone, Most: 1, Calm: .8, Fade: .2},
-			{Name: "large", Effect: Safe, AimUs: 4000 * ms, Worth: 3, Kind: 1, Calm: .8, Fade: .2},
+			{Name: "safe", Effect: Safe, ObjectiveUs: 700 * ms, DeadlineUs: 5000 * ms, Weight: 1, StartBonusS: 8, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "all", Effect: Keyed, Group: ScopeAll, WindowUs: 3000 * ms, ObjectiveUs: 700 * ms, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "cell", Effect: Keyed, Group: ScopeCell, WindowUs: 3000 * ms, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "zone", Effect: Keyed, Group: ScopeZone, WindowUs: 3000 * ms, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "unsafe", Effect: Unsafe, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "apartMachine", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeMachine, MaxPerDomain: 1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "apartCell", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeCell, MaxPerDomain: 2, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "apartZone", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeZone, MaxPerDomain: 1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "large", Effect: Safe, ObjectiveUs: 4000 * ms, Weight: 3, Kind: 1, SaturationLoad: .8, SaturationRange: .2},
 		},
-		AttemptsCap: 3, AnswerSlackUs: 8 * ms, DrainGraceUs: 250 * ms, ColdUs: 10_000 * ms,
-		OverloadForUs: 1000 * ms, FreshOffers: 8, TickUs: 2 * ms, AskWithinUs: 10_000 * ms, PriceMoves: 0.08,
+		MaxAttempts: 3, AnswerSlackUs: 8 * ms, DrainGraceUs: 250 * ms, WarmUpUs: 10_000 * ms,
+		SlowStartWindowUs: 1000 * ms, SlowStartOffers: 8, TickUs: 2 * ms, PollWithinUs: 10_000 * ms, MigrationCost: 0.08,
 	}
 }
 
 // bed drives one placer by events.
 type bed struct {
 	t   *testing.T
-	p   *Placer
+	p   *Scheduler
 	now int64
 }
 
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	b := &bed{t: t, p: p, now: 1_000_000_000}
-	b.at(0, List{Kind: ListCached, Entries: entries})
+	b.at(0, WorkerList{Kind: ListCached, Entries: entries})
 	return b
 }
 
@@ -56,11 +56,11 @@
 }
 
 func (b *bed) request(ticket, class string, cores, mem float64) Request {
-	return Request{Task{Ticket: ticket, Class: class, Cores: cores, Mem: mem, DeadlineUs: b.now + 5000*ms, Program: 7}}
+	return Request{Task{RequestID: ticket, Class: class, Cores: cores, Memory: mem, DeadlineUs: b.now + 5000*ms, Program: 7}}
 }
 
 func small(name string, cell int, spareCores float64) Entry {
-	return Entry{Machine: name, Kind: "small", Cell: cell, Zone: fmt.Sprint("z", cell), SpareCores: spareCores, SpareMem: 2 * spareCores}
+	return Entry{Worker: name, Kind: "small", Cell: cell, Zone: fmt.Sprint("z", cell), FreeCores: spareCores, FreeMemory: 2 * spareCores}
 }
 
 // of returns the actions of one type.
@@ -78,7 +78,7 @@
 	b.t.Helper()
 	got := ""
 	for _, a := range of[Place](actions) {
-		got = a.Machine
+		got = a.Worker
 	}
 	if got != want {
 		b.t.Fatalf("placed on %q, want %q; actions %v", got, want, actions)
@@ -108,7 +108,7 @@
 		b := newBed(t, testSettings(), seed, small("a", 0, 20), small("b", 0, 20), small("c", 1, 20))
 		r := b.request("1", "safe", 1, 2)
 		r.Program = 0 // of no service
-		seen[of[Place](b.at(ms, r))[0].Machine]++
+		seen[of[Place](b.at(ms, r))[0].Worker]++
 	}
 	for _, m := range []string{"a", "b", "c"} {
 		if seen[m] < 8 {
@@ -125,11 +125,11 @@
 		t.Fatalf("load %v with the bind, want 18", c)
 	}
 	// A view that comes at once cannot hold the bind yet.
-	b.at(100*ms, List{Kind: ListDelta, Entries: []Entry{small("a", 0, 20)}})
+	b.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 20)}})
 	if c, _ := b.p.load(m); c != 18 {
 		t.Fatalf("load %v after an early view, want 18", c)
 	}
-	b.at(5000*ms, List{Kind: ListDelta, Entries: []Entry{small("a", 0, 14)}})
+	b.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 14)}})
 	if c, _ := b.p.load(m); c != 18 {
 		t.Fatalf("load %v once the view holds it, want 18, not counted twice", c)
 	}
@@ -138,7 +138,7 @@
 func TestFullTakesTheBindOut(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 20))
 	b.placed(b.at(ms, b.request("1", "safe", 2, 4)), "a")
-	b.at(20*ms, Done{Ticket: "1", Machine: "a", Status: Full, Why: WhyQueue})
+	b.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
 	c, _ := b.p.load(b.p.machines["a"])
 	if c != 12 && c != 14 { // 14 where it was tried again at once
 		t.Errorf("load %v, want 12 and at most the new bind", c)
@@ -148,7 +148,7 @@
 func TestRefusedForMemoryLeavesCores(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 20))
 	b.at(ms, b.request("1", "safe", 2, 4))
-	b.at(20*ms, Done{Ticket: "1", Machine: "a", Status: Full, Why: WhyMemory})
+	b.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
 	c, mem := b.p.load(b.p.machines["a"])
 	if c != 12 || mem+4 <= 64*1.5 {
 		t.Errorf("load %v cores, %v memory: want 12 and no room for the task", c, mem)
@@ -164,10 +164,10 @@
 		id := fmt.Sprint(i)
 		if i%3 != 1 {
 			b.at(0, b.request(id, "safe", 1, 1))
-			b.at(0, Accepted{Ticket: id, Machine: "a", RTTUs: 1000})
+			b.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
 			binds = append(binds, change{b.now, 1})
 			if i%2 == 0 {
-				b.at(150*ms, Done{Ticket: id, Machine: "a", Status: OK, Closed: true})
+				b.at(150*ms, AttemptEnded{RequestID: id, Worker: "a", Outcome: Completed, Final: true})
 				binds = append(binds, change{b.now, -1})
 			}
 		}
@@ -176,7 +176,7 @@
 			spare -= float64(binds[0].by)
 			binds = binds[1:]
 		}
-		b.at(0, List{Kind: ListDelta, Entries: []Entry{small("a", 0, spare)}})
+		b.at(0, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, spare)}})
 	}
 	if b.p.lag < 2000*ms || b.p.lag > 3250*ms {
 		t.Errorf("lag %v, want near 2.5 s", b.p.lag)
@@ -185,7 +185,7 @@
 
 // TestOneFinalAnswer drives each way in which a request can end.
 func TestOneFinalAnswer(t *testing.T) {
-	toDeadline := Done{Ticket: "1", Machine: "a", Status: TimedOut}
+	toDeadline := AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}
 	for _, c := range []struct {
 		name, class string
 		entries     []Entry
@@ -199,9 +199,9 @@
 		{"keyed by cell, timed out", "cell", []Entry{small("a", 0, 20)}, []Event{toDeadline}, 0, 1},
 		{"keyed by all, timed out", "all", []Entry{small("a", 0, 20)}, []Event{toDeadline}, 1, 0},
 		{"closed by its outcome", "safe", []Entry{small("a", 0, 20)},
-			[]Event{Done{Ticket: "1", Machine: "a", Status: Cancelled, Closed: true}}, 0, 0},
-		{"gone", "safe", nil, []Event{ClientGone{"1"}}, 0, 0},
-		{"placed", "safe", []Entry{small("a", 0, 20)}, []Event{Accepted{Ticket: "1", Machine: "a"}}, 0, 0},
+			[]Event{AttemptEnded{RequestID: "1", Worker: "a", Outcome: Cancelled, Final: true}}, 0, 0},
+		{"gone", "safe", nil, []Event{ClientCancelled{"1"}}, 0, 0},
+		{"placed", "safe", []Entry{small("a", 0, 20)}, []Event{Accepted{RequestID: "1", Worker: "a"}}, 0, 0},
 		{"unknown class", "nothing", []Entry{small("a", 0, 20)}, nil, 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -211,9 +211,9 @@
 				actions = append(actions, b.at(4998*ms, c.events...)...)
 			}
 			for range 60 {
-				actions = append(actions, b.at(100*ms, Bell{"wake"})...)
+				actions = append(actions, b.at(100*ms, TimerFired{"wake"})...)
 			}
-			if d, e := len(of[Deny](actions)), len(of[Error](actions)); d != c.deny || e != c.err {
+			if d, e := len(of[Reject](actions)), len(of[Fail](actions)); d != c.deny || e != c.err {
 				t.Errorf("%d refusals and %d failures, want %d and %d: %v", d, e, c.deny, c.err, actions)
 			}
 			if _, owed := b.p.tasks["1"]; owed && c.name != "placed" {
@@ -228,12 +228,12 @@
 	r := b.request("1", "safe", 1, 2)
 	actions := b.at(0, r)
 	for b.now < r.DeadlineUs {
-		alarms := of[SetAlarm](actions)
+		alarms := of[SetTimer](actions)
 		if len(alarms) == 0 {
 			t.Fatal("no alarm for a held task")
 		}
-		actions = b.at(alarms[len(alarms)-1].OffsetUs, Bell{"wake"})
-		if len(of[Deny](actions)) == 1 {
+		actions = b.at(alarms[len(alarms)-1].OffsetUs, TimerFired{"wake"})
+		if len(of[Reject](actions)) == 1 {
 			return
 		}
 	}
@@ -241,18 +241,18 @@
 }
 
 func TestRepeatedEffects(t *testing.T) {
-	one := func(st Status) Done { return Done{Ticket: "1", Machine: "a", Status: st} }
+	one := func(st Outcome) AttemptEnded { return AttemptEnded{RequestID: "1", Worker: "a", Outcome: st} }
 	for _, c := range []struct {
 		class string
 		after int64
-		done  Done
+		done  AttemptEnded
 		again string // where it may go next; "" for nowhere
 	}{
 		{"safe", 10 * ms, one(Failed), "any"},
 		{"safe", 10 * ms, one(TimedOut), "any"},
-		{"unsafe", 10 * ms, one(Full), "any"},
+		{"unsafe", 10 * ms, one(Rejected), "any"},
 		{"unsafe", 10 * ms, one(ConnectFailed), "any"},
-		{"unsafe", 10 * ms, one(Moot), "any"},
+		{"unsafe", 10 * ms, one(NeverSent), "any"},
 		{"unsafe", 10 * ms, one(Failed), ""},
 		{"unsafe", 10 * ms, one(TimedOut), ""},
 		{"unsafe", 10 * ms, one(Reset), ""},
@@ -263,20 +263,20 @@
 		{"cell", 10 * ms, one(Reset), "b"},
 		{"cell", 2999 * ms, one(Reset), "b"},
 		{"cell", 3000 * ms, one(Reset), ""},
-		{"cell", 10 * ms, one(Full), "any"},
+		{"cell", 10 * ms, one(Rejected), "any"},
 		{"zone", 10 * ms, one(Failed), "b"},
 	} {
-		t.Run(fmt.Sprintf("%s %d after %d", c.class, c.done.Status, c.after), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s %d after %d", c.class, c.done.Outcome, c.after), func(t *testing.T) {
 			// a is emptiest, c next, and b shares a's cell and zone.
 			b := newBed(t, testSettings(), 3, small("a", 0, 30), small("b", 0, 4), small("c", 1, 20))
 			b.placed(b.at(ms, b.request("1", c.class, 1, 2)), "a")
 			got := of[Place](b.at(c.after, c.done))
 			switch {
 			case c.again == "" && len(got) > 0:
-				t.Errorf("sent again to %s", got[0].Machine)
+				t.Errorf("sent again to %s", got[0].Worker)
 			case c.again != "" && len(got) != 1:
 				t.Errorf("sent %d times, want once", len(got))
-			case c.again == "b" && got[0].Machine == "c":
+			case c.again == "b" && got[0].Worker == "c":
 				t.Error("sent again outside its group")
 			}
 		})
@@ -287,7 +287,7 @@
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	n := len(of[Place](b.at(ms, b.request("1", "safe", 1, 2))))
 	for range 30 {
-		n += len(of[Place](b.at(100*ms, Bell{"wake"})))
+		n += len(of[Place](b.at(100*ms, TimerFired{"wake"})))
 	}
 	if n != 1 {
 		t.Errorf("%d attempts out, want 1", n)
@@ -298,8 +298,8 @@
 	drain := small("a", 0, 30)
 	drain.State = Draining
 	gone := drain
-	gone.State = Gone
-	for name, l := range map[string]List{
+	gone.State = Removed
+	for name, l := range map[string]WorkerList{
 		"draining": {Kind: ListDelta, Entries: []Entry{drain}},
 		"gone":     {Kind: ListDelta, Entries: []Entry{gone}},
 		"absent":   {Kind: ListFull, Entries: []Entry{small("b", 0, 1)}},
@@ -315,16 +315,16 @@
 func TestUnlistedDrainShows(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-	b.placed(b.at(10*ms, Done{Ticket: "1", Machine: "a", Status: Full, Why: WhyNotHere}), "b")
+	b.placed(b.at(10*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseWrongWorker}), "b")
 	b.placed(b.at(10*ms, b.request("2", "safe", 1, 2)), "b")
-	b.at(leaves, List{Kind: ListDelta})
-	b.placed(b.at(0, Request{Task{Ticket: "3", Class: "safe", Cores: 1, Mem: 2, DeadlineUs: b.now + second, Program: 8}}), "a")
+	b.at(leaves, WorkerList{Kind: ListDelta})
+	b.placed(b.at(0, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + second, Program: 8}}), "a")
 }
 
 func TestColdBudget(t *testing.T) {
 	cold := func(b *bed) Entry {
 		e := small("a", 0, 32)
-		e.StartUs = b.now - 10*ms
+		e.StartedAtUs = b.now - 10*ms
 		return e
 	}
 	count := func(b *bed, from int) (n int) {
@@ -332,26 +332,26 @@
 			id := fmt.Sprint(from, "-", i)
 			acts := b.at(10*ms, b.request(id, "safe", .1, .1))
 			n += len(of[Place](acts))
-			b.at(0, Accepted{Ticket: id, Machine: "a", RTTUs: 1000})
+			b.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
 		}
 		return n
 	}
 	s := testSettings() // 8 offers for 2 placers
 	b := newBed(t, s, 1, small("a", 0, 32))
-	b.at(2*second, List{Kind: ListDelta, Entries: []Entry{cold(b)}})
+	b.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold(b)}})
 	if n := count(b, 1); n != 4 {
 		t.Errorf("%d offers to a cold machine, want 4", n)
 	}
 	// After this placer's own start its part counts as spent for one span.
 	b2 := &bed{t: t, now: 1_000_000_000}
 	b2.p, _ = New(s, 1)
-	b2.at(0, List{Kind: ListCached, Entries: []Entry{cold(b2)}})
+	b2.at(0, WorkerList{Kind: ListCached, Entries: []Entry{cold(b2)}})
 	if n := count(b2, 1); n != 0 {
 		t.Errorf("%d offers within the first span after a restart, want 0", n)
 	}
-	s.FreshOffers = 0
+	s.SlowStartOffers = 0
 	b3 := newBed(t, s, 1)
-	b3.at(2*second, List{Kind: ListDelta, Entries: []Entry{cold(b3)}})
+	b3.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold(b3)}})
 	if n := count(b3, 1); n != 0 {
 		t.Errorf("%d offers with a budget of nothing, want 0", n)
 	}
@@ -380,39 +380,39 @@
 		}
 	}
 	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.at(ms, Existing{Task: b.request("e", "apartMachine", 1, 1).Task, Machine: "a"})
+	b.at(ms, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
 	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "")
-	b.placed(b.at(ms, Done{Ticket: "e", Machine: "a", Status: OK, Closed: true}), "a")
-	b.at(ms, Done{Ticket: "1", Machine: "a", Status: OK, Closed: true})
-	b.placed(b.at(ms, Existing{Task: b.request("f", "apartMachine", 1, 1).Task, Machine: "a"}, b.request("2", "apartMachine", 1, 1)), "")
+	b.placed(b.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Completed, Final: true}), "a")
+	b.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true})
+	b.placed(b.at(ms, Adopted{Task: b.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, b.request("2", "apartMachine", 1, 1)), "")
 	// What is known of one program is not taken for another, nor for what holds later.
 	b = newBed(t, testSettings(), 1, small("a", 0, 10))
-	b.at(ms, Existing{Task: b.request("e", "apartMachine", 1, 1).Task, Machine: "a"})
+	b.at(ms, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
 	other := b.request("1", "apartMachine", 40, 40)
 	other.Program = 8
 	b.placed(b.at(ms, other, b.request("2", "apartMachine", 1, 1)), "")
 	b = newBed(t, testSettings(), 1, small("a", 0, -16))
 	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "")
-	full := List{Kind: ListDelta, Entries: []Entry{small("a", 0, -16)}}
+	full := WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, -16)}}
 	b.placed(b.at(ms, full), "")
-	free := List{Kind: ListDelta, Entries: []Entry{small("a", 0, 30)}}
-	b.placed(b.at(ms, Existing{Task: b.request("e", "apartMachine", 1, 1).Task, Machine: "a"}, free), "")
+	free := WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 30)}}
+	b.placed(b.at(ms, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"}, free), "")
 }
 
 func TestHeldTaskGoesWhenRoomAppears(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, -16))
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "")
-	b.placed(b.at(ms, List{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}), "a")
+	b.placed(b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}), "a")
 }
 
 func TestLargeTaskGoesOverWhatAMachineBears(t *testing.T) {
-	b := newBed(t, testSettings(), 1, Entry{Machine: "a", Kind: "large", SpareCores: 4, SpareMem: 60})
+	b := newBed(t, testSettings(), 1, Entry{Worker: "a", Kind: "large", FreeCores: 4, FreeMemory: 60})
 	// Own tasks use all they ask, so the machine bears 0.8 of its cores.
-	b.at(0, Existing{Task: b.request("e", "safe", 1, 1).Task, Machine: "a"})
-	b.at(0, Note{Ticket: "e", Machine: "a", Kind: NoteCores, Value: 1})
+	b.at(0, Adopted{Task: b.request("e", "safe", 1, 1).Task, Worker: "a"})
+	b.at(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
 	b.placed(b.at(ms, b.request("s", "safe", 1, 2)), "")
 	b.placed(b.at(ms, b.request("1", "large", 20, 20)), "")
-	if got := of[Place](b.at(1100*ms, Bell{"wake"})); len(got) != 1 || got[0].Ticket != "1" {
+	if got := of[Place](b.at(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
 		t.Errorf("placed %v, want the large task alone", got)
 	}
 }
@@ -420,11 +420,11 @@
 func TestNoAnswerPutsAMachineOut(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-	b.placed(b.at(500*ms, Done{Ticket: "1", Machine: "a", Status: TimedOut}), "b")
-	b.at(10*ms, Accepted{Ticket: "1", Attempt: 1, Machine: "b", RTTUs: 9000})
-	b.placed(b.at(10*ms, Request{Task{Ticket: "2", Class: "safe", Cores: 1, Mem: 2, DeadlineUs: b.now + 5*second, Program: 8}}), "b")
+	b.placed(b.at(500*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}), "b")
+	b.at(10*ms, Accepted{RequestID: "1", Attempt: 1, Worker: "b", RTTUs: 9000})
+	b.placed(b.at(10*ms, Request{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + 5*second, Program: 8}}), "b")
 	// The symptom ends: after a while it is tried, then trusted.
-	b.placed(b.at(10*second, Request{Task{Ticket: "3", Class: "safe", Cores: 1, Mem: 2, DeadlineUs: b.now + 15*second, Program: 9}}), "a")
+	b.placed(b.at(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + 15*second, Program: 9}}), "a")
 }
 
 // Errors of two machines for one task speak against the task: it is asked of no
@@ -435,23 +435,23 @@
 	actions := b.at(ms, b.request("1", "safe", 1, 2))
 	asked := map[string]bool{}
 	for i := range 2 {
-		m := of[Place](actions)[0].Machine
+		m := of[Place](actions)[0].Worker
 		asked[m] = true
-		actions = b.at(ms, Done{Ticket: "1", Attempt: i, Machine: m, Status: Failed})
+		actions = b.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: m, Outcome: Failed})
 	}
-	if len(of[Place](actions)) != 0 || len(of[Deny](actions)) != 1 || len(asked) != 2 {
+	if len(of[Place](actions)) != 0 || len(of[Reject](actions)) != 1 || len(asked) != 2 {
 		t.Fatalf("after errors of %v: %v", asked, actions)
 	}
 	for _, m := range b.p.order {
 		if !b.p.healthy(m, 0) || m.suspicion(b.now, 0) > 0.01 {
-			t.Errorf("%s: suspicion %v", m.Machine, m.suspicion(b.now, 0))
+			t.Errorf("%s: suspicion %v", m.Worker, m.suspicion(b.now, 0))
 		}
 	}
 	b = newBed(t, testSettings(), 1, small("a", 0, 30))
 	for i := range 2 {
 		ticket := fmt.Sprint(i)
 		b.at(ms, b.request(ticket, "unsafe", 1, 2))
-		b.at(ms, Done{Ticket: ticket, Machine: "a", Status: Failed})
+		b.at(ms, AttemptEnded{RequestID: ticket, Worker: "a", Outcome: Failed})
 	}
 	if b.p.healthy(b.p.order[0], 0) {
 		t.Error("a machine that fails every task is well")
@@ -464,17 +464,17 @@
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	m := b.p.machines["a"]
 	m.hurt(b.now, 4*silenceHurt)
-	b.at(ms, Reached{Machine: "a"}, Reached{Machine: "unknown"})
+	b.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
 	if s := m.suspicion(b.now, 0); !b.p.healthy(m, 0) || b.p.healthy(m, 4) || s > suspectMet {
 		t.Errorf("suspicion %v after it was reached", s)
 	}
 	m.hurt(b.now, silenceHurt)
-	b.at(ms, Reached{Machine: "a"})
+	b.at(ms, WorkerReachable{Worker: "a"})
 	if b.p.healthy(m, 0) {
 		t.Error("it was taken back without an answer")
 	}
 	m.heal(b.now, 0)
-	b.at(ms, Reached{Machine: "a"})
+	b.at(ms, WorkerReachable{Worker: "a"})
 	if !b.p.healthy(m, 0) {
 		t.Error("it was not taken back after an answer")
 	}
@@ -492,12 +492,12 @@
 
 func TestPoorServiceTurnsLoadAway(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 19))
-	b.at(ms, Existing{Task: b.request("e", "safe", 1, 1).Task, Machine: "a"})
-	b.at(ms, Note{Ticket: "e", Machine: "a", Kind: NoteService, Value: 0.96})
+	b.at(ms, Adopted{Task: b.request("e", "safe", 1, 1).Task, Worker: "a"})
+	b.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.96})
 	if b.p.machines["a"].bendC != 1 {
 		t.Error("bent by ordinary noise")
 	}
-	b.at(ms, Note{Ticket: "e", Machine: "a", Kind: NoteService, Value: 0.4})
+	b.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.4})
 	r := b.request("1", "safe", 1, 2)
 	r.Program = 9
 	b.placed(b.at(ms, r), "b")
@@ -512,13 +512,13 @@
 		b := newBed(t, testSettings(), 1, small("a", 0, 4), small("b", 0, elsewhere))
 		var ev []Event
 		for i := range 20 {
-			e := Existing{Task: b.request(fmt.Sprint(i), "safe", 1, 1).Task, Machine: "a"}
-			e.Hinted, e.LastsUs = true, 20*second
+			e := Adopted{Task: b.request(fmt.Sprint(i), "safe", 1, 1).Task, Worker: "a"}
+			e.HasRunHint, e.ExpectedRunUs = true, 20*second
 			ev = append(ev, e)
 		}
 		b.at(ms, ev...)
 		for range 10 {
-			n += len(of[Move](b.at(second, Note{Ticket: "1", Machine: "a", Kind: NoteService, Value: service})))
+			n += len(of[Migrate](b.at(second, TaskReport{RequestID: "1", Worker: "a", Kind: ReportService, Value: service})))
 		}
 		return n
 	}
@@ -547,9 +547,9 @@
 		b := newBed(t, testSettings(), uint64(i), es...)
 		r := b.request("1", "safe", 1, 2)
 		r.Program = uint64(i/5*977 + 1) // eight services, each at five placers
-		first[of[Place](b.at(ms, r))[0].Machine]++
-		r.Ticket, r.Program = "2", 0
-		first[of[Place](b.at(ms, r))[0].Machine]++
+		first[of[Place](b.at(ms, r))[0].Worker]++
+		r.RequestID, r.Program = "2", 0
+		first[of[Place](b.at(ms, r))[0].Worker]++
 	}
 	for m, n := range first {
 		if n > 28 {
@@ -560,27 +560,27 @@
 
 func TestDiscoveryIsAsked(t *testing.T) {
 	s := testSettings()
-	s.Subscribe = true
+	s.PollsDiscovery = true
 	b := newBed(t, s, 1, small("a", 0, 20))
 	n, last := 0, b.now
 	for range 600 {
-		acts := b.at(50*ms, Bell{"wake"})
-		if len(of[Observe](acts)) == 0 {
+		acts := b.at(50*ms, TimerFired{"wake"})
+		if len(of[WatchWorkers](acts)) == 0 {
 			continue
 		}
 		n++
-		if b.now-last > s.AskWithinUs {
-			t.Fatalf("asked after %d us, want within %d", b.now-last, s.AskWithinUs)
+		if b.now-last > s.PollWithinUs {
+			t.Fatalf("asked after %d us, want within %d", b.now-last, s.PollWithinUs)
 		}
 		last = b.now
-		b.at(0, List{Kind: ListFailed})
+		b.at(0, WorkerList{Kind: ListFailed})
 	}
 	if n < 5 || n > 30 {
 		t.Errorf("asked %d times in 30 s of failures", n)
 	}
-	b.at(ms, List{Kind: ListFull, Entries: []Entry{small("a", 0, 20)}})
+	b.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{small("a", 0, 20)}})
 	for range 100 {
-		if len(of[Observe](b.at(50*ms, Bell{"wake"}))) > 0 {
+		if len(of[WatchWorkers](b.at(50*ms, TimerFired{"wake"}))) > 0 {
 			t.Fatal("asked again while subscribed")
 		}
 	}
@@ -590,12 +590,12 @@
 	for name, change := range map[string]func(*Settings){
 		"one placer":     func(s *Settings) { s.FleetSize = 1 },
 		"no view":        func(s *Settings) { s.HasView = false },
-		"one attempt":    func(s *Settings) { s.AttemptsCap = 1 },
-		"no cold budget": func(s *Settings) { s.FreshOffers = 0 },
+		"one attempt":    func(s *Settings) { s.MaxAttempts = 1 },
+		"no cold budget": func(s *Settings) { s.SlowStartOffers = 0 },
 		"no tick":        func(s *Settings) { s.TickUs = 0 },
-		"acks running":   func(s *Settings) { s.AcksRunning = true },
-		"asked list":     func(s *Settings) { s.Subscribe, s.AskWithinUs = true, 0 },
-		"no spread room": func(s *Settings) { s.Classes[5].Most = 0 },
+		"acks running":   func(s *Settings) { s.AcceptMeansRunning = true },
+		"asked list":     func(s *Settings) { s.PollsDiscovery, s.PollWithinUs = true, 0 },
+		"no spread room": func(s *Settings) { s.Classes[5].MaxPerDomain = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
@@ -606,11 +606,11 @@
 				r := b.request(fmt.Sprint(i), c.Name, 1, 1)
 				r.DeadlineUs = b.now + 1*ms // very short
 				acts := b.at(0, r)
-				acts = append(acts, b.at(1*ms, Bell{"wake"})...)
-				answers += len(of[Deny](acts)) + len(of[Error](acts))
+				acts = append(acts, b.at(1*ms, TimerFired{"wake"})...)
+				answers += len(of[Reject](acts)) + len(of[Fail](acts))
 				for _, a := range of[Place](acts) {
-					acts = b.at(0, Done{Ticket: a.Ticket, Machine: a.Machine, Status: TimedOut})
-					answers += len(of[Deny](acts)) + len(of[Error](acts))
+					acts = b.at(0, AttemptEnded{RequestID: a.RequestID, Worker: a.Worker, Outcome: TimedOut})
+					answers += len(of[Reject](acts)) + len(of[Fail](acts))
 				}
 			}
 			if answers != len(s.Classes) {
@@ -626,8 +626,8 @@
 		"Classes":       func(s *Settings) { s.Classes = nil },
 		"Effect":        func(s *Settings) { s.Classes[0].Effect = 0 },
 		"Group":         func(s *Settings) { s.Classes[1].Group = ScopeNone },
-		"time is neg":   func(s *Settings) { s.ColdUs = -1 },
-		"CoresMultiple": func(s *Settings) { s.CoresMultiple = 0 },
+		"time is neg":   func(s *Settings) { s.WarmUpUs = -1 },
+		"CoresMultiple": func(s *Settings) { s.CoresOvercommit = 0 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -639,11 +639,11 @@
 
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 20))
-	done := Done{Ticket: "1", Machine: "a", Status: OK, Closed: true}
-	b.at(ms, Accepted{Ticket: "x"}, done, Note{Ticket: "x"}, ClientGone{"x"}, Bell{"?"}, Sampled{Machine: "x"})
+	done := AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}
+	b.at(ms, Accepted{RequestID: "x"}, done, TaskReport{RequestID: "x"}, ClientCancelled{"x"}, TimerFired{"?"}, ProbeResult{Worker: "x"})
 	b.at(ms, b.request("1", "safe", 1, 1))
-	b.at(ms, Accepted{Ticket: "1", Attempt: 9}, Accepted{Ticket: "1", Machine: "a"}, Accepted{Ticket: "1", Machine: "a"})
-	b.at(ms, done, done, done, Note{Ticket: "1"})
+	b.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
+	b.at(ms, done, done, done, TaskReport{RequestID: "1"})
 	if len(b.p.tasks) != 0 || b.p.machines["a"].refs != 0 {
 		t.Errorf("%d tasks, %d refs left", len(b.p.tasks), b.p.machines["a"].refs)
 	}
@@ -653,14 +653,14 @@
 	b := newBed(t, testSettings(), 1)
 	for i := range 300 {
 		name := fmt.Sprint("m", i)
-		b.at(100*ms, List{Kind: ListFull, Entries: []Entry{small(name, 0, 20)}})
+		b.at(100*ms, WorkerList{Kind: ListFull, Entries: []Entry{small(name, 0, 20)}})
 		for j := range 10 {
 			id := fmt.Sprint(i, "-", j)
 			r := b.request(id, "safe", 1, 1)
 			r.Program = uint64(i*10 + j)
 			b.at(ms, r)
-			b.at(ms, Accepted{Ticket: id, Machine: name, RTTUs: 1000})
-			b.at(ms, Done{Ticket: id, Machine: name, Status: OK, Closed: true})
+			b.at(ms, Accepted{RequestID: id, Worker: name, RTTUs: 1000})
+			b.at(ms, AttemptEnded{RequestID: id, Worker: name, Outcome: Completed, Final: true})
 		}
 	}
 	if len(b.p.tasks) > 0 || len(b.p.machines) > 2 || len(b.p.waiting) > 0 {
@@ -683,8 +683,8 @@
 			acts := b.at(7*ms, r)
 			all = append(all, acts...)
 			for _, p := range of[Place](acts) {
-				all = append(all, b.at(ms, Accepted{Ticket: p.Ticket, Machine: p.Machine, RTTUs: 900},
-					Note{Ticket: p.Ticket, Machine: p.Machine, Kind: NoteService, Value: 0.1})...)
+				all = append(all, b.at(ms, Accepted{RequestID: p.RequestID, Worker: p.Worker, RTTUs: 900},
+					TaskReport{RequestID: p.RequestID, Worker: p.Worker, Kind: ReportService, Value: 0.1})...)
 			}
 		}
 		return all
@@ -697,16 +697,16 @@
 func TestTasksStillInTimeGoFirst(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, -16))
 	late := b.request("late", "safe", 1, 2)
-	late.Hinted, late.LastsUs = true, 10*second
+	late.HasRunHint, late.ExpectedRunUs = true, 10*second
 	b.at(0, late)
 	fresh := late
-	fresh.Ticket = "fresh"
+	fresh.RequestID = "fresh"
 	b.at(1500*ms, fresh)
 	again := late
-	again.Ticket, again.Again = "again", true
+	again.RequestID, again.Retry = "again", true
 	b.at(ms, again)
-	got := of[Place](b.at(ms, List{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}))
-	if len(got) < 1 || got[0].Ticket != "fresh" {
+	got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}))
+	if len(got) < 1 || got[0].RequestID != "fresh" {
 		t.Errorf("placed %v, want the task that can still start in time first", got)
 	}
 }
@@ -715,7 +715,7 @@
 	first := map[string]int{}
 	for i := range 20 {
 		b := newBed(t, testSettings(), uint64(i), small("a", 0, 20), small("b", 0, 20), small("c", 1, 20), small("d", 1, -10))
-		first[of[Place](b.at(ms, b.request("1", "safe", 1, 2)))[0].Machine]++
+		first[of[Place](b.at(ms, b.request("1", "safe", 1, 2)))[0].Worker]++
 	}
 	most := 0
 	for _, n := range first {
@@ -729,7 +729,7 @@
 func TestJammedMachineIsLeftAlone(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-	b.placed(b.at(5*ms, Done{Ticket: "1", Machine: "a", Status: Full, Why: WhyQueue}), "b")
+	b.placed(b.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
 	if w := b.p.machines["a"].window; w >= windowFirst {
 		t.Errorf("window %v after 'too many wait', want it halved", w)
 	}
@@ -755,17 +755,17 @@
 
 func TestStartsOnAColdMachineWeighMore(t *testing.T) {
 	s := testSettings()
-	s.ColdShare = 0.2
+	s.ColdStartRate = 0.2
 	b := newBed(t, s, 1, small("a", 0, 30))
 	m := b.p.machines["a"]
 	if got := b.p.pace(m); got != 1 {
 		t.Errorf("pace %v of a warm machine, want 1", got)
 	}
-	m.StartUs = b.now
+	m.StartedAtUs = b.now
 	if got := b.p.pace(m); got != 0.2 {
 		t.Errorf("pace %v at the start, want 0.2", got)
 	}
-	b.at(s.ColdUs / 2)
+	b.at(s.WarmUpUs / 2)
 	if got := b.p.pace(m); math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("pace %v half way, want 0.6", got)
 	}
@@ -783,12 +783,12 @@
 	}
 	for i := range 2 {
 		for _, a := range of[Place](b.at(ms, b.request(fmt.Sprint(i), "safe", 0.5, 0.5))) {
-			if a.Machine == "a" {
+			if a.Worker == "a" {
 				t.Errorf("task %d took the gap", i)
 			}
 		}
 	}
-	b.placed(b.at(ms, List{Kind: ListDelta, Entries: []Entry{tight("a", 8)}}), "a")
+	b.placed(b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{tight("a", 8)}}), "a")
 }
 
 func TestFullButWellMachinesAreWaitedFor(t *testing.T) {
@@ -796,7 +796,7 @@
 	b.p.machines["a"].hurt(b.now, suspectMost)
 	b.placed(b.at(ms, b.request("1", "unsafe", 1, 2)), "")
 	b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
-	if got := of[Place](b.at(ms, List{Kind: ListDelta, Entries: []Entry{small("c", 0, 10)}})); len(got) != 1 || got[0].Machine != "c" {
+	if got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
 		t.Errorf("placed %v, want the unsafe task on c", got)
 	}
 }
@@ -805,9 +805,9 @@
 func TestAttemptsOfGoneRequestsCountForTheSpread(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30))
 	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "a")
-	b.at(ms, ClientGone{"1"})
+	b.at(ms, ClientCancelled{"1"})
 	b.placed(b.at(ms, b.request("2", "apartMachine", 1, 1)), "")
-	b.placed(b.at(ms, Done{Ticket: "1", Machine: "a", Status: TimedOut, Closed: true}), "a")
+	b.placed(b.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
 	if len(b.p.tasks) != 1 {
 		t.Errorf("%d tasks kept, want 1", len(b.p.tasks))
 	}
@@ -815,12 +815,12 @@
 
 func TestTasksOfARestartedMachineCountForTheSpread(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.at(2*second, Existing{Task: b.request("e", "apartMachine", 1, 1).Task, Machine: "a"})
+	b.at(2*second, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
 	e := small("a", 0, 30)
-	e.StartUs = b.now
-	b.at(ms, List{Kind: ListDelta, Entries: []Entry{e}})
+	e.StartedAtUs = b.now
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{e}})
 	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "")
-	b.placed(b.at(ms, Done{Ticket: "e", Machine: "a", Status: Reset, Closed: true}), "a")
+	b.placed(b.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
 }
 
 func TestLeastSuspectMachinesGetFewAttempts(t *testing.T) {
@@ -841,7 +841,7 @@
 func TestSlowStartsAreNoSilence(t *testing.T) {
 	s := testSettings()
 	for _, running := range []bool{false, true} {
-		s.AcksRunning = running
+		s.AcceptMeansRunning = running
 		b := newBed(t, s, 1, small("a", 0, 30))
 		b.p.rttMean, b.p.rttDev = 50_000, 10_000
 		b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
@@ -857,24 +857,24 @@
 	late := b.request("late", "safe", 1, 1)
 	late.DeadlineUs = b.now - 1
 	acts := b.at(ms, b.request("1", "safe", 97, 1), b.request("2", "large", 1, 193), late)
-	if len(of[Deny](acts)) != 3 || len(b.p.tasks) != 0 {
+	if len(of[Reject](acts)) != 3 || len(b.p.tasks) != 0 {
 		t.Errorf("actions %v, want three refusals", acts)
 	}
 }
 
 func TestTenantBeyondItsShareWaits(t *testing.T) {
 	s := testSettings()
-	s.Tenants, s.OverShareWorth = []Tenant{{"big", 10}, {"little", 30}}, 0.1
+	s.Tenants, s.OverQuotaWeight = []Tenant{{"big", 10}, {"little", 30}}, 0.1
 	b := newBed(t, s, 1, small("a", 0, -16))
 	run := b.request("e", "safe", 10, 1)
 	run.Tenant = "big"
-	b.at(0, Existing{Task: run.Task, Machine: "a"})
+	b.at(0, Adopted{Task: run.Task, Worker: "a"})
 	over, within := b.request("over", "safe", 1, 2), b.request("within", "safe", 1, 2)
 	over.Tenant, within.Tenant = "big", "little"
 	b.at(ms, over)
 	b.at(ms, within)
-	got := of[Place](b.at(ms, List{Kind: ListDelta, Entries: []Entry{small("a", 0, -14)}}))
-	if len(got) == 0 || got[0].Ticket != "within" {
+	got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, -14)}}))
+	if len(got) == 0 || got[0].RequestID != "within" {
 		t.Errorf("placed %v, want the tenant within its share first", got)
 	}
 }
@@ -888,13 +888,13 @@
 		r := b.request(fmt.Sprint(i), "safe", 1, 2)
 		r.Program = 0
 		for _, p := range of[Place](b.at(ms, r)) {
-			seen[p.Machine]++
-			b.at(0, Accepted{Ticket: p.Ticket, Machine: p.Machine, RTTUs: 900}, Done{Ticket: p.Ticket, Machine: p.Machine, Status: OK, Closed: true})
+			seen[p.Worker]++
+			b.at(0, Accepted{RequestID: p.RequestID, Worker: p.Worker, RTTUs: 900}, AttemptEnded{RequestID: p.RequestID, Worker: p.Worker, Outcome: Completed, Final: true})
 		}
 	}
 	for _, m := range b.p.order {
-		if seen[m.Machine] < deltasMost/2 || len(m.deltas) > deltasMost {
-			t.Errorf("%s: %d tasks, %d changes remembered", m.Machine, seen[m.Machine], len(m.deltas))
+		if seen[m.Worker] < deltasMost/2 || len(m.deltas) > deltasMost {
+			t.Errorf("%s: %d tasks, %d changes remembered", m.Worker, seen[m.Worker], len(m.deltas))
 		}
 	}
 }
@@ -918,14 +918,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
-			s.FleetSize, s.FreshOffers, s.ColdUs = c.placers, c.fresh, 8*second
+			s.FleetSize, s.SlowStartOffers, s.WarmUpUs = c.placers, c.fresh, 8*second
 			cold := small("a", 0, 32)
-			cold.StartUs = 1_000_000_000 + 3*second
+			cold.StartedAtUs = 1_000_000_000 + 3*second
 			var sent []int64
 			for i := range c.placers {
 				s.SelfIndex = i
 				b := newBed(t, s, uint64(i), cold)
-				b.at(3*second, List{Kind: ListDelta, Entries: []Entry{cold}})
+				b.at(3*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold}})
 				for j := range 70 {
 					if c.stall && j%20 == 7 {
 						b.now += 2 * second // then all at once
@@ -940,7 +940,7 @@
 					for range len(of[Place](b.at(97*ms, b.request(id, "safe", .1, .1)))) {
 						sent = append(sent, b.now)
 					}
-					b.at(0, Accepted{Ticket: id, Machine: "a", RTTUs: 1000})
+					b.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
 				}
 			}
 			slices.Sort(sent)
@@ -948,8 +948,8 @@
 				t.Error("a cold machine got nothing at all")
 			}
 			for i, at := range sent {
-				n, _ := slices.BinarySearch(sent, at+s.OverloadForUs)
-				if n-i > int(c.fresh) && at < cold.StartUs+s.ColdUs-s.OverloadForUs {
+				n, _ := slices.BinarySearch(sent, at+s.SlowStartWindowUs)
+				if n-i > int(c.fresh) && at < cold.StartedAtUs+s.WarmUpUs-s.SlowStartWindowUs {
 					t.Fatalf("%d offers within a span, want %v at most", n-i, c.fresh)
 				}
 			}
@@ -968,15 +968,15 @@
 		{"answers lost", "safe", true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := Entry{Machine: "a", Kind: "large", SpareCores: 60, SpareMem: 120}
+			e := Entry{Worker: "a", Kind: "large", FreeCores: 60, FreeMemory: 120}
 			b := newBed(t, testSettings(), 1, e)
 			m := b.p.machines["a"]
 			b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 			if c.heard != "" {
 				b.placed(b.at(ms, b.request("2", c.heard, 1, 2)), "a")
-				b.at(ms, Accepted{Ticket: "2", Machine: "a", RTTUs: 1000})
+				b.at(ms, Accepted{RequestID: "2", Worker: "a", RTTUs: 1000})
 			}
-			b.at(100*ms, Done{Ticket: "1", Machine: "a", Status: TimedOut, Closed: true})
+			b.at(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
 			b.at(100 * ms)
 			if s, l := m.suspicion(b.now, 0) < suspectOut, m.suspicion(b.now, 8) < suspectOut; s != c.safe || l != c.large {
 				t.Errorf("in use for its class %v, for the other %v; want %v and %v", s, l, c.safe, c.large)
@@ -1011,12 +1011,12 @@
 			r.Program = 0
 			acts := b.at(ms, r)
 			b.placed(acts, "")
-			if got := of[AskLoad](acts); len(got) != 1 || got[0].Machine != "a" {
+			if got := of[Probe](acts); len(got) != 1 || got[0].Worker != "a" {
 				t.Fatalf("asked %v, want a once", got)
 			}
-			acts = b.at(20*ms, Sampled{Machine: "a", Status: OK, Load: c.load})
-			for _, q := range of[AskLoad](acts) {
-				acts = b.at(20*ms, Sampled{Machine: q.Machine, Status: OK, Load: Load{16, 32, .5, 0}})
+			acts = b.at(20*ms, ProbeResult{Worker: "a", Outcome: Completed, Load: c.load})
+			for _, q := range of[Probe](acts) {
+				acts = b.at(20*ms, ProbeResult{Worker: q.Worker, Outcome: Completed, Load: Load{16, 32, .5, 0}})
 			}
 			b.placed(acts, c.want)
 		})
@@ -1030,11 +1030,11 @@
 	r := b.request("1", "safe", 1, 2)
 	r.Program = 0
 	b.at(ms, r)
-	acts := b.at(250*ms, Sampled{Machine: "a", Status: TimedOut})
-	if got := of[AskLoad](acts); len(got) != 1 || got[0].Machine != "b" {
+	acts := b.at(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
+	if got := of[Probe](acts); len(got) != 1 || got[0].Worker != "b" {
 		t.Fatalf("asked %v, want b next", got)
 	}
-	b.placed(b.at(10*ms, Sampled{Machine: "b", Status: TimedOut}, Bell{"wake"}), "a") // the least suspect
+	b.placed(b.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a") // the least suspect
 	acts = b.at(10*suspectHalf, r)
 	if n := len(of[Place](acts)); n != 0 {
 		t.Errorf("a ticket that is out was placed %d times more", n)
@@ -1046,7 +1046,7 @@
 	s.Probes = true
 	b := newBed(t, s, 1, small("a", 0, 30))
 	m := b.p.machines["a"]
-	b.at(ms, Sampled{Machine: "a", Status: OK, Load: Load{24, 48, 1, 0}})
+	b.at(ms, ProbeResult{Worker: "a", Outcome: Completed, Load: Load{24, 48, 1, 0}})
 	if m.bendC > 0.5 {
 		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", m.bendC)
 	}
@@ -1071,7 +1071,7 @@
 		b := newBed(t, s, uint64(i), es...)
 		r := b.request("1", "safe", 1, 2)
 		r.Program = uint64(i%150 + 1) // two tasks of each of 150 services
-		first[of[Place](b.at(ms, r))[0].Machine]++
+		first[of[Place](b.at(ms, r))[0].Worker]++
 	}
 	for m, n := range first {
 		if n > 18 {
@@ -1085,23 +1085,23 @@
 
 func TestHardInput(t *testing.T) {
 	s := testSettings()
-	s.FleetSize, s.SelfIndex, s.FreshOffers = 300, 299, 1
-	b := newBed(t, s, 1, Entry{Machine: "a", Kind: "small", SpareCores: 30, SpareMem: 60})
+	s.FleetSize, s.SelfIndex, s.SlowStartOffers = 300, 299, 1
+	b := newBed(t, s, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
 	r := b.request("1", "apartCell", 1, 2)
 	b.placed(b.at(ms, r), "a") // a list that names no cell
 	// The clock jumps by two seconds, and outcomes come in any order.
-	b.at(2*second, Done{Ticket: "1", Machine: "a", Status: OK, Closed: true}, Accepted{Ticket: "1", Machine: "a"},
-		Note{Ticket: "1", Machine: "a", Kind: NoteRuns}, ClientGone{"1"})
+	b.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
+		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
 	if len(b.p.tasks) != 0 || len(b.p.machines["a"].unanswered) != 0 {
 		t.Errorf("%d tasks, %d unanswered left", len(b.p.tasks), len(b.p.machines["a"].unanswered))
 	}
 	var es []Entry
 	for m := range 200 { // a fleet that grows in one list, all cold
 		e := small(fmt.Sprint("c", m), m/6, 30)
-		e.StartUs = b.now
+		e.StartedAtUs = b.now
 		es = append(es, e)
 	}
-	b.at(ms, List{Kind: ListDelta, Entries: es})
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: es})
 	b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
 }
 
@@ -1110,14 +1110,14 @@
 	b.p.rttMean, b.p.rttDev = 20_000, 5_000
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 	// No turn for two seconds; then the answer is found beside a new request.
-	b.placed(b.at(2*second, b.request("2", "safe", 1, 2), Accepted{Ticket: "1", Machine: "a", RTTUs: 21_000}), "a")
+	b.placed(b.at(2*second, b.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
 	if s := b.p.machines["a"].suspicion(b.now, 0); s != 0 {
 		t.Errorf("suspicion %v after an own stall, want none", s)
 	}
 }
 
 // crowded is a placer that is told of room at a pace, or that room is to be kept.
-func crowded(t *testing.T, spare float64, p Pressure) *bed {
+func crowded(t *testing.T, spare float64, p Backpressure) *bed {
 	s := testSettings()
 	s.UnitCores, s.UnitMemory = 1, 2
 	b := newBed(t, s, 1, small("a", 0, spare), small("b", 0, spare))
@@ -1132,10 +1132,10 @@
 		pace float64
 		want int
 	}{{0, 0}, {1, 3}, {10, 0}} {
-		b := crowded(t, -20, Pressure{Pace: x.pace})
+		b := crowded(t, -20, Backpressure{ReleaseRate: x.pace})
 		denied := 0
 		for i := range 12 {
-			denied += len(of[Deny](b.at(ms, b.request(fmt.Sprint(i), "safe", 1, 2))))
+			denied += len(of[Reject](b.at(ms, b.request(fmt.Sprint(i), "safe", 1, 2))))
 		}
 		// With 5 s left and twice that to be sure, nine units find room at one a second.
 		if denied != x.want {
@@ -1146,13 +1146,13 @@
 
 // Of equal rank the one whose owner stands in line for longer goes first.
 func TestPlaceInLine(t *testing.T) {
-	b := crowded(t, -20, Pressure{})
+	b := crowded(t, -20, Backpressure{})
 	late, early := b.request("late", "safe", 30, 60), b.request("early", "safe", 30, 60)
-	early.SinceUs = b.now - 3000*ms
+	early.QueuedSinceUs = b.now - 3000*ms
 	b.at(ms, late)
 	b.at(ms, early)
-	got := of[Place](b.at(ms, List{Kind: ListFull, Entries: []Entry{small("a", 0, 32)}}))
-	if len(got) != 1 || got[0].Ticket != "early" {
+	got := of[Place](b.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{small("a", 0, 32)}}))
+	if len(got) != 1 || got[0].RequestID != "early" {
 		t.Errorf("placed %v", got)
 	}
 }
@@ -1162,18 +1162,18 @@
 func TestRoomIsKept(t *testing.T) {
 	keep := make([]float64, len(testSettings().Classes))
 	keep[0] = 100
-	b := crowded(t, 30, Pressure{Keep: keep})
+	b := crowded(t, 30, Backpressure{Reserved: keep})
 	if got := of[Place](b.at(ms, b.request("web", "safe", 1, 2))); len(got) != 0 {
 		t.Errorf("placed %v", got)
 	}
 	if got := of[Place](b.at(ms, b.request("other", "all", 1, 2))); len(got) != 1 {
 		t.Errorf("another class: placed %v", got)
 	}
-	if got := of[Place](b.at(ms, Pressure{})); len(got) != 1 || got[0].Ticket != "web" {
+	if got := of[Place](b.at(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
 		t.Errorf("once nothing is kept: placed %v", got)
 	}
 	keep[0] = 1
-	b = crowded(t, 30, Pressure{Keep: keep})
+	b = crowded(t, 30, Backpressure{Reserved: keep})
 	if got := of[Place](b.at(ms, b.request("web", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("with room for all: placed %v", got)
 	}
@@ -1183,16 +1183,16 @@
 // them, a machine would be full.
 func TestOthersBindToo(t *testing.T) {
 	for _, x := range []struct {
-		p          Pressure
+		p          Backpressure
 		least, all int
-	}{{Pressure{}, 70, 100}, {Pressure{Pace: 1000}, 35, 60}} {
+	}{{Backpressure{}, 70, 100}, {Backpressure{ReleaseRate: 1000}, 35, 60}} {
 		b := crowded(t, 32, x.p) // two machines that accept 48 cores each
 		placed := 0
 		for i := range 120 {
 			tag := fmt.Sprint(i)
 			for _, a := range of[Place](b.at(ms, b.request(tag, "safe", 1, 2))) {
 				placed++
-				b.at(ms, Accepted{Ticket: a.Ticket, Machine: a.Machine, RTTUs: 20 * ms})
+				b.at(ms, Accepted{RequestID: a.RequestID, Worker: a.Worker, RTTUs: 20 * ms})
 			}
 		}
 		if placed < x.least || placed > x.all {
@@ -1209,7 +1209,7 @@
 	for i := range 400 {
 		e := small(fmt.Sprint("m", i), i/8, 30)
 		if i >= 200 {
-			e.SpareCores, e.SpareMem = -16, -32
+			e.FreeCores, e.FreeMemory = -16, -32
 		}
 		entries = append(entries, e)
 	}
@@ -1218,10 +1218,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		p.Handle(1_000_000_000, []Event{List{Kind: ListCached, Entries: entries}})
+		p.Handle(1_000_000_000, []Event{WorkerList{Kind: ListCached, Entries: entries}})
 		var events []Event
 		for i := range 100 {
-			events = append(events, Request{Task{Ticket: fmt.Sprint(i), Class: "apartMachine", Cores: 1, Mem: 1,
+			events = append(events, Request{Task{RequestID: fmt.Sprint(i), Class: "apartMachine", Cores: 1, Memory: 1,
 				DeadlineUs: 1_005_000_000, Program: uint64(i % 20)}})
 		}
 		p.Handle(1_000_001_000, events)
@@ -1230,14 +1230,14 @@
 
 func TestPoorServiceOnAMachineOfUnknownKind(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	unlisted := Existing{Task{Ticket: "1", Class: "safe", Cores: 1, Mem: 2, Hinted: true, LastsUs: 60 * second}, "z"}
+	unlisted := Adopted{Task{RequestID: "1", Class: "safe", Cores: 1, Memory: 2, HasRunHint: true, ExpectedRunUs: 60 * second}, "z"}
 	odd := small("odd", 0, 30)
 	odd.Kind = "never heard of"
-	b.at(ms, List{Kind: ListDelta, Entries: []Entry{odd}}, unlisted,
-		Existing{Task{Ticket: "2", Class: "safe", Cores: 1, Mem: 2, Hinted: true, LastsUs: 60 * second}, "odd"})
+	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{odd}}, unlisted,
+		Adopted{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, HasRunHint: true, ExpectedRunUs: 60 * second}, "odd"})
 	for _, m := range []string{"z", "odd"} {
 		ticket := map[string]string{"z": "1", "odd": "2"}[m]
-		if moved := of[Move](b.at(second, Note{Ticket: ticket, Machine: m, Kind: NoteService, Value: 0.1})); len(moved) > 0 {
+		if moved := of[Migrate](b.at(second, TaskReport{RequestID: ticket, Worker: m, Kind: ReportService, Value: 0.1})); len(moved) > 0 {
 			t.Errorf("moved %v off a machine whose size nobody knows", moved)
 		}
 	}
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -22,15 +22,15 @@
 
 // reference looks at the machines of a placer as they stand.
 type reference struct {
-	p        *Placer
+	p        *Scheduler
 	machines []*machine // by name
 	rho      float64    // asked share of the fleet
 	mean     float64    // mean cores
 }
 
-func newReference(p *Placer) *reference {
+func newReference(p *Scheduler) *reference {
 	r := &reference{p: p, machines: slices.Collect(maps.Values(p.machines))}
-	slices.SortFunc(r.machines, func(a, b *machine) int { return cmp.Compare(a.Machine, b.Machine) })
+	slices.SortFunc(r.machines, func(a, b *machine) int { return cmp.Compare(a.Worker, b.Worker) })
 	r.rho, r.mean = r.fleet()
 	return r
 }
@@ -48,9 +48,9 @@
 
 func (r *reference) load(m *machine) (cores, mem float64) {
 	kind := r.p.s.Kinds[m.kind]
-	at, spareC, spareM := m.viewAt-r.p.lag, m.SpareCores, m.SpareMem
+	at, spareC, spareM := m.viewAt-r.p.lag, m.FreeCores, m.FreeMemory
 	if reported := m.toldAt - reportLag; m.toldRoom && reported > at {
-		at, spareC, spareM = reported, m.told.X0, m.told.X1
+		at, spareC, spareM = reported, m.told.FreeCores, m.told.FreeMemory
 	}
 	c, b := r.changesSince(m, at)
 	return max(0, kind.Cores-spareC+c), max(0, kind.Memory-spareM+b)
@@ -67,7 +67,7 @@
 func (r *reference) calm() float64 {
 	least := math.Inf(1)
 	for _, c := range r.p.s.Classes {
-		least = min(least, c.Calm)
+		least = min(least, c.SaturationLoad)
 	}
 	return least
 }
@@ -75,7 +75,7 @@
 func (r *reference) bears(m *machine) (cores, mem float64) {
 	p := r.p
 	kind := p.s.Kinds[m.kind]
-	c, b := p.s.CoresMultiple, p.s.MemoryMultiple
+	c, b := p.s.CoresOvercommit, p.s.MemoryOvercommit
 	if p.asked[0] > 0 && p.used[0] > 0 {
 		c = min(c, r.calm()*p.asked[0]/p.used[0])
 	}
@@ -204,20 +204,20 @@
 }
 
 func (r *reference) spreadKept(m *machine, c *Class, t *task) bool {
-	if c.Apart == ScopeNone {
+	if c.Spread == ScopeNone {
 		return true
 	}
 	tasks := 1
 	for _, o := range r.machines {
-		if h := o.homes[t.Program]; h != nil && (r.same(m, o, c.Apart) || !o.known && o != m) {
+		if h := o.homes[t.Program]; h != nil && (r.same(m, o, c.Spread) || !o.known && o != m) {
 			tasks += h.held
 		}
 	}
-	return tasks <= c.Most
+	return tasks <= c.MaxPerDomain
 }
 
 func (r *reference) cold(m *machine) bool {
-	return m.StartUs > 0 && r.p.now < m.StartUs+r.p.s.ColdUs
+	return m.StartedAtUs > 0 && r.p.now < m.StartedAtUs+r.p.s.WarmUpUs
 }
 
 func (r *reference) coldKept(m *machine) bool {
@@ -233,14 +233,14 @@
 		}
 		return n
 	}
-	span := p.s.OverloadForUs*11/10 + 1
-	budget := min(p.s.FreshOffers, 2*(p.s.FreshOffers+2*math.Sqrt(p.s.FreshOffers)+2)/3)
+	span := p.s.SlowStartWindowUs*11/10 + 1
+	budget := min(p.s.SlowStartOffers, 2*(p.s.SlowStartOffers+2*math.Sqrt(p.s.SlowStartOffers)+2)/3)
 	fleet := p.s.FleetSize
 	seat := (p.s.SelfIndex + int(m.id%uint64(fleet))) % fleet
 	if int(budget) >= fleet {
-		return p.now >= p.born+span && offersAfter(max(p.now-span, m.StartUs-1)) < (int(budget)+seat)/fleet
+		return p.now >= p.born+span && offersAfter(max(p.now-span, m.StartedAtUs-1)) < (int(budget)+seat)/fleet
 	}
-	if budget < 1 || p.now < m.StartUs {
+	if budget < 1 || p.now < m.StartedAtUs {
 		return false
 	}
 	crowd, step := max(1, int(budget)/2), 1
@@ -262,7 +262,7 @@
 }
 
 func (r *reference) patience() int64 {
-	if r.p.s.AcksRunning {
+	if r.p.s.AcceptMeansRunning {
 		return max(int64(r.p.rttMean+8*r.p.rttDev), second)
 	}
 	return max(int64(r.p.rttMean+4*r.p.rttDev), second/8)
@@ -286,26 +286,26 @@
 	p := r.p
 	kind := p.s.Kinds[m.kind]
 	if !p.s.HasView {
-		return t.Cores <= kind.Cores*p.s.CoresMultiple && t.Mem <= kind.Memory*p.s.MemoryMultiple, false
+		return t.Cores <= kind.Cores*p.s.CoresOvercommit && t.Memory <= kind.Memory*p.s.MemoryOvercommit, false
 	}
 	cores, mem := r.load(m)
 	if p.crowd {
-		cores += min(p.taken*kind.Cores, max(0, m.SpareCores-m.lastingC)) + p.others[0]*kind.Cores
-		mem += min(p.taken*kind.Memory, max(0, m.SpareMem-m.lastingM)) + p.others[1]*kind.Memory
+		cores += min(p.taken*kind.Cores, max(0, m.FreeCores-m.lastingC)) + p.others[0]*kind.Cores
+		mem += min(p.taken*kind.Memory, max(0, m.FreeMemory-m.lastingM)) + p.others[1]*kind.Memory
 	}
 	atMost := func(v, most float64) bool {
 		border = border || math.Abs(v-most) <= referenceSlack*max(1, most)
 		return v <= most
 	}
-	if !atMost(cores+t.Cores, kind.Cores*p.s.CoresMultiple) || !atMost(mem+t.Mem, kind.Memory*p.s.MemoryMultiple) {
+	if !atMost(cores+t.Cores, kind.Cores*p.s.CoresOvercommit) || !atMost(mem+t.Memory, kind.Memory*p.s.MemoryOvercommit) {
 		return false, border
 	}
 	bearC, bearM := r.bears(m)
-	small := atMost(max(t.Cores/bearC, t.Mem/bearM), largeShare)
-	if !small && p.now-t.arrived > p.s.Classes[t.class].AimUs/4 {
+	small := atMost(max(t.Cores/bearC, t.Memory/bearM), largeShare)
+	if !small && p.now-t.arrived > p.s.Classes[t.class].ObjectiveUs/4 {
 		return true, border
 	}
-	enoughC, enoughM := atMost(cores+t.Cores, bearC), atMost(mem+t.Mem, bearM)
+	enoughC, enoughM := atMost(cores+t.Cores, bearC), atMost(mem+t.Memory, bearM)
 	return enoughC && enoughM, border
 }
 
@@ -319,8 +319,8 @@
 		}
 	}
 	waiting := float64(n)
-	if r.p.now-m.toldAt < reportFresh && m.told.Queue >= waiting && m.told.Queue <= 1e4 {
-		waiting = m.told.Queue
+	if r.p.now-m.toldAt < reportFresh && m.told.Queued >= waiting && m.told.Queued <= 1e4 {
+		waiting = m.told.Queued
 	}
 	return startShare * waiting
 }
@@ -329,8 +329,8 @@
 	if !r.cold(m) {
 		return 1
 	}
-	warm := max(0, float64(r.p.now-m.StartUs)/float64(r.p.s.ColdUs))
-	return max(0.1, r.p.s.ColdShare+(1-r.p.s.ColdShare)*warm)
+	warm := max(0, float64(r.p.now-m.StartedAtUs)/float64(r.p.s.WarmUpUs))
+	return max(0.1, r.p.s.ColdStartRate+(1-r.p.s.ColdStartRate)*warm)
 }
 
 func (r *reference) away(m *machine, t *task) float64 {
@@ -350,7 +350,7 @@
 	}
 	u += r.backlog(m)*r.mean/cores/r.pace(m) + awayShare*r.away(m, t)
 	bearC, bearM := r.bears(m)
-	x := max(t.Cores/bearC, t.Mem/bearM)
+	x := max(t.Cores/bearC, t.Memory/bearM)
 	return u + cores/r.mean/(1-rho)*(u*x+x*x/2)
 }
 
@@ -535,7 +535,7 @@
 		return got == slices.ContainsFunc(l, func(c candidate) bool { return c.room })
 	})
 	if !ok {
-		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", t.Task, m.Machine, got, !got)
+		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", t.Task, m.Worker, got, !got)
 	}
 	return flipped, err
 }
@@ -552,7 +552,7 @@
 			}
 			c, b := r.load(m)
 			bearC, bearM := r.bears(m)
-			needs[m] = max((c+t.Cores)/bearC, (b+t.Mem)/bearM)
+			needs[m] = max((c+t.Cores)/bearC, (b+t.Memory)/bearM)
 			least = min(least, needs[m])
 		}
 		for m, v := range needs {
@@ -566,7 +566,7 @@
 	}
 	name := "none"
 	if got != nil {
-		name = got.Machine
+		name = got.Worker
 	}
 	return fmt.Errorf("task %+v: kept %s, the full scan gives one of %s", t.Task, name, names(want))
 }
@@ -596,7 +596,7 @@
 	}
 	var list []string
 	for _, m := range ms {
-		list = append(list, m.Machine)
+		list = append(list, m.Worker)
 	}
 	slices.Sort(list)
 	return "[" + strings.Join(list, " ") + "]"
--- a/placement/search.go
+++ b/placement/search.go
@@ -49,7 +49,7 @@
 }
 
 // begin starts a search for t among the machines that may have room for it.
-func (p *Placer) begin(t *task) *search {
+func (p *Scheduler) begin(t *task) *search {
 	p.settle()
 	s, bear := &p.search, p.index.now
 	s.number++
@@ -58,7 +58,7 @@
 	s.found, s.near, s.suspects = s.found[:0], s.near[:0], s.suspects[:0]
 	for i := range p.s.Kinds {
 		k := &p.s.Kinds[i]
-		asks := shares{t.Cores / k.Cores, t.Mem / k.Memory}
+		asks := shares{t.Cores / k.Cores, t.Memory / k.Memory}
 		s.kinds[i].size = max(asks.cores/bear.cores, asks.memory/bear.memory)
 		s.limits[i] = p.limit(t, i, asks)
 	}
@@ -66,7 +66,7 @@
 }
 
 // price adds to a search what machines of each kind cost.
-func (p *Placer) price(s *search) {
+func (p *Scheduler) price(s *search) {
 	s.rho, s.mean = p.fleet()
 	s.rho = min(s.rho, rhoMost)
 	for i := range s.kinds {
@@ -79,12 +79,12 @@
 }
 
 // limit is what a machine of a kind that has room for t is asked for (see fits).
-func (p *Placer) limit(t *task, kind int, asks shares) limit {
+func (p *Scheduler) limit(t *task, kind int, asks shares) limit {
 	c := &p.s.Classes[t.class]
 	if c.Kind >= 0 && c.Kind != kind {
 		return limit{most: shares{math.Inf(-1), math.Inf(-1)}}
 	}
-	accepted := shares{p.s.CoresMultiple, p.s.MemoryMultiple}
+	accepted := shares{p.s.CoresOvercommit, p.s.MemoryOvercommit}
 	if !p.s.HasView {
 		return limit{most: accepted.less(asks)}
 	}
@@ -93,7 +93,7 @@
 		asks.memory += p.others[1]
 	}
 	l := limit{most: p.index.now.less(asks), bentMost: accepted.less(asks)}
-	if size := p.search.kinds[kind].size; p.now-t.arrived > c.AimUs/4 {
+	if size := p.search.kinds[kind].size; p.now-t.arrived > c.ObjectiveUs/4 {
 		// A large task that has waited is not held to what machines bear; it is large where
 		// one bears little.
 		if l.bent = size / largeShare; l.bent > 1 {
@@ -105,7 +105,7 @@
 
 // considerAll looks at some machines by themselves: at all of a few, and from anywhere at
 // those of many.
-func (p *Placer) considerAll(ms []*machine) {
+func (p *Scheduler) considerAll(ms []*machine) {
 	begin := 0
 	if len(ms) > enumerated {
 		begin = p.rng.IntN(len(ms))
@@ -118,7 +118,7 @@
 }
 
 // cheapest returns the machines for t whose admission cost is near the lowest, in no order.
-func (p *Placer) cheapest(t *task) []*machine {
+func (p *Scheduler) cheapest(t *task) []*machine {
 	s := p.begin(t)
 	p.price(s)
 	if t.Program != 0 {
@@ -142,7 +142,7 @@
 
 // consider looks whether the task of the search can go to m, and at what cost. It reports
 // whether to look on.
-func (p *Placer) consider(m *machine) bool {
+func (p *Scheduler) consider(m *machine) bool {
 	s := &p.search
 	if m.seen == s.number {
 		return true
@@ -164,7 +164,7 @@
 }
 
 // elsewhere reports whether a healthy machine other than m has room for t.
-func (p *Placer) elsewhere(t *task, m *machine) bool {
+func (p *Scheduler) elsewhere(t *task, m *machine) bool {
 	p.begin(t)
 	c, found := &p.s.Classes[t.class], false
 	p.ascend(walk{limits: p.search.limits, sample: true,
@@ -179,12 +179,12 @@
 
 // nearestToRoom returns the machine that lacks least to have room for t, of those that are
 // not kept, or nil.
-func (p *Placer) nearestToRoom(t *task) *machine {
+func (p *Scheduler) nearestToRoom(t *task) *machine {
 	p.settle()
 	c, inverse := &p.s.Classes[t.class], p.index.inverse
 	for i := range p.s.Kinds {
 		k := &p.s.Kinds[i]
-		p.search.asks[i] = shares{t.Cores / k.Cores * inverse.cores, t.Mem / k.Memory * inverse.memory}
+		p.search.asks[i] = shares{t.Cores / k.Cores * inverse.cores, t.Memory / k.Memory * inverse.memory}
 	}
 	var best *machine
 	least, slack := math.Inf(1), rounding // among equals the first by name
@@ -203,7 +203,7 @@
 			}
 			cores, memory := p.load(m)
 			bc, bm := p.bears(m)
-			v := max((cores+t.Cores)/bc, (memory+t.Mem)/bm)
+			v := max((cores+t.Cores)/bc, (memory+t.Memory)/bm)
 			if v < least || best != nil && v == least && m.ordinal < best.ordinal {
 				best, least = m, v
 			}
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -36,17 +36,17 @@
 // siteSettings are those of one placer of the planned fleet.
 func siteSettings(workers int, probes bool) Settings {
 	s := Settings{
-		FleetSize: sitePlacers, Zone: "zone-0", HasView: true, Subscribe: true, Tests: true, Advice: true, Cancel: true,
-		Probes: probes, ReportsRoom: true, CoresMultiple: 1, MemoryMultiple: 1, UnitCores: 2.6, UnitMemory: 5.7,
+		FleetSize: sitePlacers, Zone: "zone-0", HasView: true, PollsDiscovery: true, Pings: true, RetryAfter: true, Cancel: true,
+		Probes: probes, ReportsFree: true, CoresOvercommit: 1, MemoryOvercommit: 1, UnitCores: 2.6, UnitMemory: 5.7,
 		Kinds: []Kind{{"node-32", 28, 60}, {"node-64", 56, 120}},
 		Classes: []Class{
-			{Name: "web", Effect: Safe, AimUs: second, DeadlineUs: 6 * second, Worth: 1, StartS: 10, Kind: -1, Calm: .8, Fade: .25},
-			{Name: "relay", Effect: Keyed, Group: ScopeAll, WindowUs: 5 * second, AimUs: 700 * ms, DeadlineUs: 5 * second, Worth: 3, StartS: 10, Kind: -1, Calm: .8, Fade: .25},
-			{Name: "cut", Effect: Unsafe, AimUs: 6 * second, DeadlineUs: siteDeadline, Worth: 5, StartS: 8, Kind: -1, Calm: .8, Fade: .25},
-			{Name: "render", Effect: Safe, AimUs: 6 * second, DeadlineUs: siteDeadline, Worth: 2, StartS: 8, Kind: 1, Calm: .8, Fade: .25},
+			{Name: "web", Effect: Safe, ObjectiveUs: second, DeadlineUs: 6 * second, Weight: 1, StartBonusS: 10, Kind: -1, SaturationLoad: .8, SaturationRange: .25},
+			{Name: "relay", Effect: Keyed, Group: ScopeAll, WindowUs: 5 * second, ObjectiveUs: 700 * ms, DeadlineUs: 5 * second, Weight: 3, StartBonusS: 10, Kind: -1, SaturationLoad: .8, SaturationRange: .25},
+			{Name: "cut", Effect: Unsafe, ObjectiveUs: 6 * second, DeadlineUs: siteDeadline, Weight: 5, StartBonusS: 8, Kind: -1, SaturationLoad: .8, SaturationRange: .25},
+			{Name: "render", Effect: Safe, ObjectiveUs: 6 * second, DeadlineUs: siteDeadline, Weight: 2, StartBonusS: 8, Kind: 1, SaturationLoad: .8, SaturationRange: .25},
 		},
-		OverShareWorth: 0.5, AttemptsCap: 3, AnswerSlackUs: 8 * ms, AskWithinUs: 10 * second, ColdShare: 0.21, ColdUs: 16 * second,
-		DrainGraceUs: 2 * second, OverloadForUs: 3 * second, FreshOffers: 25, TickUs: 2 * ms, MaxRetryAfterUs: 30 * second, PriceMoves: 0.08,
+		OverQuotaWeight: 0.5, MaxAttempts: 3, AnswerSlackUs: 8 * ms, PollWithinUs: 10 * second, ColdStartRate: 0.21, WarmUpUs: 16 * second,
+		DrainGraceUs: 2 * second, SlowStartWindowUs: 3 * second, SlowStartOffers: 25, TickUs: 2 * ms, MaxRetryAfterUs: 30 * second, MigrationCost: 0.08,
 	}
 	for i := range siteTenants {
 		// Shares from half of the mean to one and a half of it: some are exceeded.
@@ -59,7 +59,7 @@
 // withSpread adds a class of which each cell may hold one task of a service.
 func withSpread(s Settings) Settings {
 	c := s.Classes[0]
-	c.Name, c.Apart, c.Most = spreadClass, ScopeCell, 1
+	c.Name, c.Spread, c.MaxPerDomain = spreadClass, ScopeCell, 1
 	s.Classes = append(s.Classes, c)
 	return s
 }
@@ -87,7 +87,7 @@
 // shown is the worker's entry as it stands.
 func (w *siteWorker) shown() Entry {
 	e := w.entry
-	e.SpareCores, e.SpareMem = w.cores-w.askC, w.mem-w.askM
+	e.FreeCores, e.FreeMemory = w.cores-w.askC, w.mem-w.askM
 	return e
 }
 
@@ -106,7 +106,7 @@
 // site is a placer with its surroundings.
 type site struct {
 	t         testing.TB
-	p         *Placer
+	p         *Scheduler
 	rng       *rand.Rand
 	settings  Settings
 	now       int64
@@ -149,14 +149,14 @@
 		cell := i / workersInCell
 		kind := settings.Kinds[s.rng.IntN(len(settings.Kinds))]
 		w := &siteWorker{cores: kind.Cores, mem: kind.Memory, entry: Entry{
-			Machine: fmt.Sprintf("worker-%05d", i), Kind: kind.Name, Cell: cell, Zone: fmt.Sprint("zone-", cell%siteZones)}}
+			Worker: fmt.Sprintf("worker-%05d", i), Kind: kind.Name, Cell: cell, Zone: fmt.Sprint("zone-", cell%siteZones)}}
 		s.workers = append(s.workers, w)
-		s.byName[w.entry.Machine] = w
+		s.byName[w.entry.Worker] = w
 	}
 	if !idle {
 		s.fill(workers * plannedRunning / plannedWorkers)
 	}
-	s.handle(List{Kind: ListFull, Entries: s.entries()})
+	s.handle(WorkerList{Kind: ListFull, Entries: s.entries()})
 	s.introduce()
 	s.pass(20 * second)
 	return s
@@ -186,17 +186,17 @@
 func (s *site) introduce() {
 	var events []Event
 	for _, x := range s.own {
-		events = append(events, Existing{x.Task, x.worker.entry.Machine})
+		events = append(events, Adopted{x.Task, x.worker.entry.Worker})
 		events = append(events, s.use(x)...)
 	}
 	s.handle(events...)
 }
 
 func (s *site) use(x *siteTask) []Event {
-	machine := x.worker.entry.Machine
+	machine := x.worker.entry.Worker
 	return []Event{
-		Note{x.Ticket, 0, machine, NoteCores, x.Cores * siteCoresUse},
-		Note{x.Ticket, 0, machine, NoteMemory, x.Mem * siteMemoryUse},
+		TaskReport{x.RequestID, 0, machine, ReportCores, x.Cores * siteCoresUse},
+		TaskReport{x.RequestID, 0, machine, ReportMemory, x.Memory * siteMemoryUse},
 	}
 }
 
@@ -217,7 +217,7 @@
 	j := &s.jobs[i]
 	x := j.task
 	s.tickets++
-	x.Ticket = fmt.Sprint("task-", s.tickets)
+	x.RequestID = fmt.Sprint("task-", s.tickets)
 	x.DeadlineUs = s.now + siteDeadline
 	if j.left--; j.left == 0 {
 		s.jobs = append(s.jobs[:i], s.jobs[i+1:]...)
@@ -236,9 +236,9 @@
 	}
 	draw = s.rng.IntN(100)
 	x := Task{Class: s.settings.Classes[s.rng.IntN(4)].Name, Program: s.rng.Uint64() | 1,
-		Tenant: s.settings.Tenants[s.rng.IntN(siteTenants)].Name, Hinted: true, LastsUs: siteRunTime}
+		Tenant: s.settings.Tenants[s.rng.IntN(siteTenants)].Name, HasRunHint: true, ExpectedRunUs: siteRunTime}
 	for _, shape := range siteShapes {
-		if x.Cores, x.Mem = shape.cores, shape.mem; draw < shape.weight {
+		if x.Cores, x.Memory = shape.cores, shape.mem; draw < shape.weight {
 			break
 		}
 		draw -= shape.weight
@@ -260,12 +260,12 @@
 // bind starts x on w, which the list shows later.
 func (s *site) bind(x *siteTask, w *siteWorker) {
 	x.worker = w
-	w.askC, w.askM = w.askC+x.Cores, w.askM+x.Mem
+	w.askC, w.askM = w.askC+x.Cores, w.askM+x.Memory
 	s.changed(w)
 }
 
 func (s *site) unbind(x *siteTask) {
-	x.worker.askC, x.worker.askM = x.worker.askC-x.Cores, x.worker.askM-x.Mem
+	x.worker.askC, x.worker.askM = x.worker.askC-x.Cores, x.worker.askM-x.Memory
 	s.changed(x.worker)
 }
 
@@ -309,10 +309,10 @@
 	s.place(e)
 	if e.place != nil {
 		s.now += siteRTT
-		s.handle(Accepted{Ticket: e.task.Ticket, Machine: e.place.Machine, RTTUs: siteRTT})
+		s.handle(Accepted{RequestID: e.task.RequestID, Worker: e.place.Worker, RTTUs: siteRTT})
 	}
 	if e.ended != nil {
-		s.handle(Done{Ticket: e.ended.Ticket, Machine: e.ended.worker.entry.Machine, Status: OK, Closed: true})
+		s.handle(AttemptEnded{RequestID: e.ended.RequestID, Worker: e.ended.worker.entry.Worker, Outcome: Completed, Final: true})
 	}
 }
 
@@ -320,13 +320,13 @@
 func (s *site) place(e *exchange) {
 	actions := s.handle(Request{e.task.Task})
 	for range probesMost {
-		var ask *AskLoad
+		var ask *Probe
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Place:
 				e.place = &a
 				return
-			case AskLoad:
+			case Probe:
 				ask = &a
 			}
 		}
@@ -334,8 +334,8 @@
 			return
 		}
 		s.now += siteRTT
-		w := s.byName[ask.Machine]
-		actions = s.handle(Sampled{ask.Machine, OK, siteRTT, Load{w.cores - w.askC, w.mem - w.askM, w.askC / w.cores, 0}})
+		w := s.byName[ask.Worker]
+		actions = s.handle(ProbeResult{ask.Worker, Completed, siteRTT, Load{w.cores - w.askC, w.mem - w.askM, w.askC / w.cores, 0}})
 	}
 	for _, a := range actions {
 		if a, ok := a.(Place); ok {
@@ -351,10 +351,10 @@
 	}
 	if e.place == nil {
 		s.unplaced++
-		s.handle(ClientGone{e.task.Ticket})
+		s.handle(ClientCancelled{e.task.RequestID})
 		return
 	}
-	s.bind(e.task, s.byName[e.place.Machine])
+	s.bind(e.task, s.byName[e.place.Worker])
 	s.own = append(s.own, e.task)
 	s.reports = append(s.reports, siteReport{s.now + siteStartTime, e.task})
 }
@@ -376,11 +376,11 @@
 	for len(s.reports) > 0 && s.reports[0].due <= s.now {
 		x := s.reports[0].task
 		s.reports = s.reports[1:]
-		events := append(s.use(x), Note{x.Ticket, 0, x.worker.entry.Machine, NoteRuns, 0})
+		events := append(s.use(x), TaskReport{x.RequestID, 0, x.worker.entry.Worker, ReportRunning, 0})
 		s.handle(events...)
 	}
 	for len(s.changes) > 0 && s.changes[0].due <= s.now {
-		due = append(due, List{Kind: ListDelta, Entries: []Entry{s.changes[0].entry}})
+		due = append(due, WorkerList{Kind: ListDelta, Entries: []Entry{s.changes[0].entry}})
 		s.changes = s.changes[1:]
 	}
 	return due
@@ -412,12 +412,12 @@
 		entries = append(entries, c.entry)
 	}
 	s.changes = nil
-	s.handle(List{Kind: ListDelta, Entries: entries})
+	s.handle(WorkerList{Kind: ListDelta, Entries: entries})
 }
 
 // bearsCores is the part of its cores that a worker bears, by the calm level and by what
 // tasks use. It bears all of its memory.
-func (s *site) bearsCores() float64 { return s.settings.Classes[0].Calm / siteCoresUse }
+func (s *site) bearsCores() float64 { return s.settings.Classes[0].SaturationLoad / siteCoresUse }
 
 // askedShare is what the fleet is asked for, over what it bears.
 func (s *site) askedShare() (mean float64) {
--- a/placement/state.go
+++ b/placement/state.go
@@ -11,8 +11,8 @@
 	"slices"
 )
 
-// Placer decides for one placer. It is not safe for concurrent use.
-type Placer struct {
+// Scheduler decides for one placer. It is not safe for concurrent use.
+type Scheduler struct {
 	s       Settings
 	rng     *rand.Rand
 	classes map[string]int // by name
@@ -87,11 +87,11 @@
 }
 
 // New returns a placer. It reports what is missing or contradictory in s.
-func New(s Settings, seed uint64) (*Placer, error) {
+func New(s Settings, seed uint64) (*Scheduler, error) {
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("ravenhitch: %w", err)
 	}
-	p := &Placer{
+	p := &Scheduler{
 		s: s, rng: rand.New(rand.NewPCG(seed, uint64(s.SelfIndex))), born: -1, lag: lagFirst * lagStep,
 		classes: map[string]int{}, tenants: map[string]int{}, calmLevel: math.Inf(1), fadeLevel: math.Inf(1),
 		machines: map[string]*machine{}, departed: map[*machine]bool{}, returned: map[*machine]bool{},
@@ -102,7 +102,7 @@
 	}
 	for i, c := range s.Classes {
 		p.classes[c.Name] = i
-		p.calmLevel, p.fadeLevel = min(p.calmLevel, c.Calm), min(p.fadeLevel, c.Fade)
+		p.calmLevel, p.fadeLevel = min(p.calmLevel, c.SaturationLoad), min(p.fadeLevel, c.SaturationRange)
 	}
 	for i, t := range s.Tenants {
 		p.tenants[t.Name] = i
@@ -123,12 +123,12 @@
 	need(s.SelfIndex >= 0 && s.SelfIndex < max(1, s.FleetSize), "SelfIndex is not below FleetSize")
 	need(len(s.Classes) > 0, "Classes is missing")
 	need(len(s.Kinds) > 0, "Kinds is missing")
-	need(s.CoresMultiple > 0, "CoresMultiple is missing")
-	need(s.MemoryMultiple > 0, "MemoryMultiple is missing")
-	need(s.TickUs >= 0 && s.AnswerSlackUs >= 0 && s.DrainGraceUs >= 0 && s.ColdUs >= 0 &&
-		s.OverloadForUs >= 0 && s.AskWithinUs >= 0, "a time is negative")
-	need(s.FreshOffers >= 0, "FreshOffers is negative")
-	need(s.AttemptsCap >= 0, "AttemptsCap is negative")
+	need(s.CoresOvercommit > 0, "CoresMultiple is missing")
+	need(s.MemoryOvercommit > 0, "MemoryMultiple is missing")
+	need(s.TickUs >= 0 && s.AnswerSlackUs >= 0 && s.DrainGraceUs >= 0 && s.WarmUpUs >= 0 &&
+		s.SlowStartWindowUs >= 0 && s.PollWithinUs >= 0, "a time is negative")
+	need(s.SlowStartOffers >= 0, "FreshOffers is negative")
+	need(s.MaxAttempts >= 0, "AttemptsCap is negative")
 	for _, k := range s.Kinds {
 		need(k.Cores > 0 && k.Memory > 0, "Kind "+k.Name+" has no size")
 	}
@@ -137,19 +137,19 @@
 		need(c.Effect >= Safe && c.Effect <= Unsafe, "Class "+c.Name+": Effect is unknown")
 		need(c.Effect != Keyed || c.Group >= ScopeCell && c.Group <= ScopeAll,
 			"Class "+c.Name+": Group is missing or unknown")
-		need(c.WindowUs >= 0 && c.AimUs >= 0 && c.DeadlineUs >= 0, "Class "+c.Name+": a time is negative")
+		need(c.WindowUs >= 0 && c.ObjectiveUs >= 0 && c.DeadlineUs >= 0, "Class "+c.Name+": a time is negative")
 		need(c.Kind >= -1 && c.Kind < len(s.Kinds), "Class "+c.Name+": Kind is unknown")
-		need(c.Apart >= ScopeNone && c.Apart <= ScopeZone, "Class "+c.Name+": Apart is unknown")
+		need(c.Spread >= ScopeNone && c.Spread <= ScopeZone, "Class "+c.Name+": Apart is unknown")
 	}
 	return errors.Join(errs...)
 }
 
-func (p *Placer) do(a Action) {
+func (p *Scheduler) do(a Action) {
 	p.out = append(p.out, a)
 }
 
 // Avoids reports whether a machine gets no task of any class, as it is suspected.
-func (p *Placer) Avoids(name string) bool {
+func (p *Scheduler) Avoids(name string) bool {
 	m := p.machines[name]
 	if m == nil {
 		return false
@@ -162,35 +162,35 @@
 	return true
 }
 
-func (p *Placer) jitter(most int64) int64 { return p.rng.Int64N(max(1, most)) + 1 }
+func (p *Scheduler) jitter(most int64) int64 { return p.rng.Int64N(max(1, most)) + 1 }
 
 // event hands an event to what decides about it.
-func (p *Placer) event(e Event) {
+func (p *Scheduler) event(e Event) {
 	switch e := e.(type) {
-	case List:
+	case WorkerList:
 		p.list(e)
 	case Request:
 		p.request(e.Task)
-	case Existing:
+	case Adopted:
 		p.existing(e)
 	case Accepted:
 		p.accepted(e)
-	case Done:
+	case AttemptEnded:
 		p.done(e)
-	case Note:
+	case TaskReport:
 		p.noted(e)
-	case Sampled:
+	case ProbeResult:
 		p.sampled(e)
-	case Reached:
+	case WorkerReachable:
 		p.reached(e)
-	case ClientGone:
-		p.gone(p.tasks[e.Ticket])
-	case Pressure:
-		p.roomPace, p.stirred = e.Pace, true
-		p.crowd = e.Pace > 0 || slices.ContainsFunc(e.Keep, func(v float64) bool { return v > 0 })
+	case ClientCancelled:
+		p.gone(p.tasks[e.RequestID])
+	case Backpressure:
+		p.roomPace, p.stirred = e.ReleaseRate, true
+		p.crowd = e.ReleaseRate > 0 || slices.ContainsFunc(e.Reserved, func(v float64) bool { return v > 0 })
 		clear(p.keep)
-		copy(p.keep, e.Keep)
-	case Bell:
+		copy(p.keep, e.Reserved)
+	case TimerFired:
 		p.wakeAt, p.stirred = 0, true
 	}
 }
--- a/placement/task.go
+++ b/placement/task.go
@@ -45,7 +45,7 @@
 }
 
 // use corrects the sums of what own tasks asked and use.
-func (p *Placer) use(r int, asked float64, was *float64, now float64) {
+func (p *Scheduler) use(r int, asked float64, was *float64, now float64) {
 	if *was == 0 {
 		p.asked[r] += asked
 	}
@@ -54,7 +54,7 @@
 	p.bearing = p.multiples()
 }
 
-func (p *Placer) unhold(t *task) {
+func (p *Scheduler) unhold(t *task) {
 	if t.waiting {
 		t.waiting = false
 		p.waiting = slices.DeleteFunc(p.waiting, func(b *task) bool { return b == t })
@@ -66,7 +66,7 @@
 	return slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.erred && a.m == m })
 }
 
-func (p *Placer) holds(t *task, sign float64) {
+func (p *Scheduler) holds(t *task, sign float64) {
 	p.ownTotal += sign * t.Cores
 	if i, ok := p.tenants[t.Tenant]; ok {
 		p.ownCores[i] += sign * t.Cores
@@ -74,7 +74,7 @@
 }
 
 // drop forgets a task that is over.
-func (p *Placer) drop(t *task) {
+func (p *Scheduler) drop(t *task) {
 	p.unhold(t)
 	if t.placed {
 		p.holds(t, -1)
@@ -83,7 +83,7 @@
 	}
 	for r, v := range [2]*float64{&t.useC, &t.useM} {
 		if *v > 0 {
-			was := [2]float64{t.Cores, t.Mem}[r]
+			was := [2]float64{t.Cores, t.Memory}[r]
 			p.asked[r] -= was
 			p.used[r] -= was * *v
 			*v = 0
@@ -101,11 +101,11 @@
 		}
 		p.letGo(a.m, t.Program)
 	}
-	delete(p.tasks, t.Ticket)
+	delete(p.tasks, t.RequestID)
 }
 
 // answered keeps the mean and the spread of the time that answers take.
-func (p *Placer) answered(a *attempt, rtt int64) {
+func (p *Scheduler) answered(a *attempt, rtt int64) {
 	a.waits = false
 	a.m.unanswered = slices.DeleteFunc(a.m.unanswered, func(b *attempt) bool { return a == b })
 	d := float64(rtt) - p.rttMean
@@ -118,22 +118,22 @@
 }
 
 // existing takes over a task that runs. The view holds it already.
-func (p *Placer) existing(e Existing) {
+func (p *Scheduler) existing(e Adopted) {
 	class, ok := p.classes[e.Class]
-	if !ok || p.tasks[e.Ticket] != nil {
+	if !ok || p.tasks[e.RequestID] != nil {
 		return
 	}
-	m := p.machine(e.Machine)
+	m := p.machine(e.Worker)
 	a := &attempt{m: m, at: p.now}
 	t := &task{Task: e.Task, class: class, arrived: p.now, placed: true, attempts: []*attempt{a}}
-	p.tasks[e.Ticket] = t
+	p.tasks[e.RequestID] = t
 	p.keepHome(m, t.Program)
 	p.holds(t, 1)
 	p.runs(t, m)
 }
 
 // hold puts t among the waiting.
-func (p *Placer) hold(t *task) {
+func (p *Scheduler) hold(t *task) {
 	if !t.waiting {
 		t.waiting, p.stirred = true, true
 		p.waiting = append(p.waiting, t)
@@ -142,7 +142,7 @@
 
 // gone ends a request that its owner gave up. An attempt still out counts for
 // the spread until its outcome.
-func (p *Placer) gone(t *task) {
+func (p *Scheduler) gone(t *task) {
 	if t == nil || t.placed {
 		return
 	}
--- a/placement/view.go
+++ b/placement/view.go
@@ -28,7 +28,7 @@
 )
 
 // list takes what discovery says. A machine absent from a full list is gone.
-func (p *Placer) list(e List) {
+func (p *Scheduler) list(e WorkerList) {
 	if e.Kind == ListFailed {
 		p.subscribed = false
 		p.askTries++
@@ -55,12 +55,12 @@
 // the changes best is believed. It guards against counting own binds twice and
 // against dropping them early; it covers any delay, also one that grows. Where
 // own binds are few beside those of others it learns slowly.
-func (p *Placer) learnLag(m *machine, x Entry) {
+func (p *Scheduler) learnLag(m *machine, x Entry) {
 	k := p.size(m)
 	if k == nil {
 		return
 	}
-	seen := (m.SpareCores - x.SpareCores) / k.Cores
+	seen := (m.FreeCores - x.FreeCores) / k.Cores
 	p.lagSeen = p.lagSeen*lagMemory + 1
 	best := 0
 	for i := range p.lagErr {
@@ -80,14 +80,14 @@
 
 // load is what m is asked for: the view, or its report where that is newer, plus
 // own changes since.
-func (p *Placer) load(m *machine) (cores, mem float64) {
+func (p *Scheduler) load(m *machine) (cores, mem float64) {
 	if !m.stale {
 		return m.askedCores, m.askedMemory
 	}
 	k := p.size(m)
-	at, spareC, spareM := m.viewAt-p.lag, m.SpareCores, m.SpareMem
+	at, spareC, spareM := m.viewAt-p.lag, m.FreeCores, m.FreeMemory
 	if m.toldRoom && m.toldAt-reportLag > at {
-		at, spareC, spareM = m.toldAt-reportLag, m.told.X0, m.told.X1
+		at, spareC, spareM = m.toldAt-reportLag, m.told.FreeCores, m.told.FreeMemory
 	}
 	c, b := m.since(at)
 	return max(0, k.Cores-spareC+c), max(0, k.Memory-spareM+b)
@@ -97,26 +97,26 @@
 // is, how many offers and starts wait there. Values that are missing or absurd
 // are left out. Silence counts as with any attempt; an answer heals nothing, as a
 // machine may answer probes and lose tasks.
-func (p *Placer) sampled(e Sampled) {
-	m := p.machines[e.Machine]
+func (p *Scheduler) sampled(e ProbeResult) {
+	m := p.machines[e.Worker]
 	if m == nil {
 		return
 	}
 	m.probedAt, p.stirred = 0, true
 	k := p.size(m)
-	if e.Status != OK {
+	if e.Outcome != Completed {
 		m.hurt(p.now, silenceHurt)
 	}
-	if e.Status != OK || k == nil {
+	if e.Outcome != Completed || k == nil {
 		return
 	}
 	m.told, m.toldAt, m.toldRoom = e.Load, p.now, false
 	p.followLag(m)
 	p.touch(m)
-	util, press := e.Load.Util, math.NaN()
-	if within(e.Load.X0, k.Cores*(1-overMost), k.Cores) && within(e.Load.X1, k.Memory*(1-overMost), k.Memory) {
-		if p.s.ReportsUsed {
-			util, press = 1-e.Load.X0/k.Cores, 1-e.Load.X1/k.Memory
+	util, press := e.Load.Utilization, math.NaN()
+	if within(e.Load.FreeCores, k.Cores*(1-overMost), k.Cores) && within(e.Load.FreeMemory, k.Memory*(1-overMost), k.Memory) {
+		if p.s.ReportsUsage {
+			util, press = 1-e.Load.FreeCores/k.Cores, 1-e.Load.FreeMemory/k.Memory
 		} else {
 			m.toldRoom = true
 		}
@@ -131,39 +131,39 @@
 
 // backlog is the share that starts and offers waiting on m stand for: own ones, or
 // those that a recent report tells, if more.
-func (p *Placer) backlog(m *machine) float64 {
+func (p *Scheduler) backlog(m *machine) float64 {
 	n := float64(m.starting())
-	if p.now-m.toldAt < reportFresh && within(m.told.Queue, n, 1e4) {
-		n = m.told.Queue
+	if p.now-m.toldAt < reportFresh && within(m.told.Queued, n, 1e4) {
+		n = m.told.Queued
 	}
 	return startShare * n
 }
 
 // ask probes the machine that t would go to, where its load is only told that way
 // and was not told lately, and reports whether t waits for the answer.
-func (p *Placer) ask(t *task, m *machine) bool {
+func (p *Scheduler) ask(t *task, m *machine) bool {
 	if !p.s.Probes || t.probes >= probesMost || m.toldAt > 0 && p.now-m.toldAt < reportFresh {
 		return false
 	}
 	if m.probedAt == 0 {
 		t.probes++
 		m.probedAt = p.now
-		p.do(AskLoad{Machine: m.Machine})
+		p.do(Probe{Worker: m.Worker})
 	}
 	return true
 }
 
 // refused takes a refusal for lack of room as news of the machine: until the
 // view can have followed, it has less room than the task asks.
-func (p *Placer) refused(m *machine, t *task, why Why) {
+func (p *Scheduler) refused(m *machine, t *task, why Cause) {
 	k := p.size(m)
 	if k == nil {
 		return
 	}
 	c, b := p.load(m)
-	if why == WhyCores {
-		p.bind(m, max(0, k.Cores*p.s.CoresMultiple-c-t.Cores*0.99), 0)
+	if why == CauseCores {
+		p.bind(m, max(0, k.Cores*p.s.CoresOvercommit-c-t.Cores*0.99), 0)
 	} else {
-		p.bind(m, 0, max(0, k.Memory*p.s.MemoryMultiple-b-t.Mem*0.99))
+		p.bind(m, 0, max(0, k.Memory*p.s.MemoryOvercommit-b-t.Memory*0.99))
 	}
 }
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	for zone := range regions {
-		if bits := regions.Own(zone, members, x.name); bits != 0 {
+		if bits := regions.Assigned(zone, members, x.name); bits != 0 {
 			own[zone] = bits
 		}
 	}
--- a/test/scale/hollow/fleet_test.go
+++ b/test/scale/hollow/fleet_test.go
@@ -81,15 +81,15 @@
 	x.starts++
 	x.running, x.life, x.startedAt = true, f.rng.Uint64(), f.now
 	x.Table = membership.New(f.now, membership.Config{
-		Self:  membership.Rumour{Name: x.name, Zone: x.zone, Addr: x.address, Life: x.life, Incarnation: x.starts << incarnationBits},
+		Self:  membership.Update{Name: x.name, Zone: x.zone, Addr: x.address, Life: x.life, Incarnation: x.starts << incarnationBits},
 		Peers: f.seeds(), Seed: f.rng.Uint64()})
-	f.tickAt(i, f.now+f.rng.Int64N(x.Next()-f.now))
+	f.tickAt(i, f.now+f.rng.Int64N(x.NextTick()-f.now))
 }
 
 // schedule has the membership of an instance called when it wants to be, unless that is due sooner.
 func (f *fleet) schedule(i int) {
 	x := f.instances[i]
-	if at := max(x.Next(), f.now+1); x.tickDue <= f.now || at < x.tickDue {
+	if at := max(x.NextTick(), f.now+1); x.tickDue <= f.now || at < x.tickDue {
 		f.tickAt(i, at)
 	}
 }
@@ -148,7 +148,7 @@
 	})
 	x.load.bytes += float64(len(datagram))
 	x.load.messages++
-	if _, _, ok := x.Lives(act.Message.To); !ok && x.Size() > 1 {
+	if _, _, ok := x.Locate(act.Message.To); !ok && x.Size() > 1 {
 		x.load.toDead++
 		x.load.toDeadBytes += float64(len(datagram))
 	}
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -60,7 +60,7 @@
 		if i == j || !o.running || f.side(i) != f.side(j) {
 			continue
 		}
-		if _, life, ok := f.instances[i].Lives(o.name); !ok || life != o.life {
+		if _, life, ok := f.instances[i].Locate(o.name); !ok || life != o.life {
 			return false
 		}
 	}
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -179,7 +179,7 @@
 	for _, o := range r.orchestrators {
 		members = append(members, shard.Member{Name: o.Name, Zone: o.zone()})
 	}
-	owner := r.options.regions().Owners(w.Zone, members)[shard.Of(w.ID)]
+	owner := r.options.regions().Assignments(w.Zone, members)[shard.Of(w.ID)]
 	return slices.DeleteFunc(slices.Clone(r.orchestrators), func(o *orchestrator) bool { return o.Name != owner })
 }
 
