--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -76,7 +76,7 @@
 		err := work()
 		p.l.Post(func() {
 			if err != nil {
-				p.log.Error("a call could not be kept", "err", err)
+				p.log.Error("admin call not stored", "err", err)
 				answer(admin.ErrorReply("not kept: " + err.Error()))
 				return
 			}
@@ -108,7 +108,7 @@
 				p.l.Post(func() { p.successor = true })
 			}
 			if outs, err := store.read(); err != nil {
-				p.log.Error("minions out by hand can't be read; what was read last holds", "err", err)
+				p.log.Error("cordoned workers not read", "err", err)
 			} else if !maps.Equal(outs, seen) {
 				seen = outs
 				p.l.Post(func() { p.c.SetCordoned(p.l.Now(), outs) })
--- a/cmd/ravenhitch/ending.go
+++ b/cmd/ravenhitch/ending.go
@@ -66,7 +66,7 @@
 	if p.peers != nil {
 		p.peers.Leave()
 	}
-	p.log.Info("told to end", "open", p.c.OpenCount(), "standing", p.c.RunningCount(), "successor", p.successor)
+	p.log.Info("shutting down", "open", p.c.OpenCount(), "running", p.c.RunningCount(), "successor", p.successor)
 	if p.inherited {
 		p.handOver(p.l.Now())
 		return
@@ -98,7 +98,7 @@
 	for _, e := range p.exporters {
 		e.Close(exportersWait)
 	}
-	p.log.Info("ended", "counts", fmt.Sprintf("%+v", p.c.Counts()))
+	p.log.Info("stopped", "counts", fmt.Sprintf("%+v", p.c.Counts()))
 	return err
 }
 
--- a/cmd/ravenhitch/giveup_test.go
+++ b/cmd/ravenhitch/giveup_test.go
@@ -54,9 +54,9 @@
 	tag, at, written := "", int64(0), true
 	r.Attrs(func(a slog.Attr) bool {
 		switch a.Key {
-		case "tag":
+		case "request_id":
 			tag = a.Value.String()
-		case "at":
+		case "at_us":
 			at = a.Value.Int64()
 		case "written":
 			written = a.Value.Bool()
@@ -66,13 +66,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch r.Message {
-	case "a connection to a minion ended":
+	case "worker connection closed":
 		e.ended = append(e.ended, r.Time)
-	case "give up on the wire", "connection lost under an offer":
+	case "cancelling attempt", "connection lost with offer open":
 		if written { // else it never left
 			e.gone[tag] = at
 		}
-	case "give-up read":
+	case "cancel confirmed":
 		delete(e.gone, tag)
 	case "offer":
 		if gone, ok := e.gone[tag]; ok && at-gone < 2000 {
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -100,19 +100,19 @@
 func (p *server) Reload(path string) {
 	if p.grpc != nil && p.tickets != "" {
 		if keys, err := loadKeys(p.tickets); err != nil {
-			p.log.Error("the new keys of return tickets were not taken; the old ones hold", "err", err)
+			p.log.Error("retry token keys not reloaded", "err", err)
 		} else {
 			p.grpc.SetKeys(keys)
-			p.log.Info("keys of return tickets read again")
+			p.log.Info("retry token keys reloaded")
 		}
 	}
 	p.l.Post(func() {
 		cfg, err := config.Load(path)
 		if err != nil {
-			p.log.Error("the new configuration was not taken; the old one holds", "err", err)
+			p.log.Error("configuration not reloaded", "err", err)
 			return
 		}
-		p.log.Info("configuration read again", "channel", cfg.DiscoveryAddr)
+		p.log.Info("configuration reloaded", "channel", cfg.DiscoveryAddr)
 		p.channel.SetAddress(cfg.DiscoveryAddr)
 	})
 }
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	if fault != "" {
-		p.log.Warn("the count of starts begins anew", "why", fault)
+		p.log.Warn("incarnation counter reset", "cause", fault)
 	}
 	t := peer.Settings{Listen: s.Listen, Cluster: s.Cluster, Name: cfg.Name, Zone: s.Hall, Incarnation: incarnation}
 	if t.Zone == "" {
@@ -29,7 +29,7 @@
 	if p.peers, err = peer.New(p.l, t, p.log); err != nil {
 		return err
 	}
-	p.log.Info("peers", "what", "listens", "address", p.peers.Addr())
+	p.log.Info("membership", "event", "listens", "address", p.peers.Addr())
 	if p.assignment != nil {
 		p.peers.OnView(p.assignment.viewed)
 	}
--- a/cmd/ravenhitch/platform_test.go
+++ b/cmd/ravenhitch/platform_test.go
@@ -521,7 +521,7 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP) // a file that can't be used: one line, and it goes on
-	for l := ""; !strings.Contains(l, "was not taken"); {
+	for l := ""; !strings.Contains(l, "configuration not reloaded"); {
 		l = testbed.Wait(t, "the line about the file", lines)
 	}
 	began := time.Now()
--- a/cmd/ravenhitch/program.go
+++ b/cmd/ravenhitch/program.go
@@ -184,7 +184,7 @@
 	}
 	go func() {
 		if err := p.grpc.Serve(ln); err != nil {
-			p.log.Error("the gRPC front ended", "err", err)
+			p.log.Error("gRPC server failed", "err", err)
 		}
 	}()
 	return nil
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -110,7 +110,7 @@
 	}
 	call, err := ParseCall(string(b[:end]))
 	if err != nil {
-		c.listener.log.Warn("a call of operators' staff can't be used", "err", err)
+		c.listener.log.Warn("malformed admin call", "err", err)
 		c.answer(ErrorReply(err.Error()))
 		return len(b), nil
 	}
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -104,7 +104,7 @@
 		return o.message(now, &m)
 	})
 	if err != nil {
-		o.f.log.Warn("malformed message from an owner", "err", err)
+		o.f.log.Warn("malformed client message", "err", err)
 		o.end()
 		return used, nil
 	}
@@ -155,7 +155,7 @@
 	case o.open[m.Tag]:
 		// An answer could not be told to be for one or the other: one for both.
 		o.f.core.Reject(now, o, m.Tag)
-		o.f.log.Warn("a set-up's tag is in use on its connection", "tag", m.Tag)
+		o.f.log.Warn("duplicate request ID on connection", "request_id", m.Tag)
 		return o.faulty()
 	case err != nil:
 		return o.fault(m.Tag, err)
@@ -165,7 +165,7 @@
 			wait = minIdle
 		}
 		o.Respond(dispatch.Response{Kind: dispatch.Rejected, RequestID: m.Tag, RetryAfterUs: wait})
-		o.f.log.Warn("a new connection has too many set-ups open", "open", len(o.open))
+		o.f.log.Warn("too many open requests on new connection", "open", len(o.open))
 		return nil
 	}
 	s.ReceivedAtUs, s.Connection = o.c.EarliestArrival(), o.number
@@ -185,7 +185,7 @@
 // fault answers a message that can't be used. What its tag may name elsewhere is
 // not touched.
 func (o *clientConn) fault(tag string, err error) error {
-	o.f.log.Warn("a message from an owner can't be used", "tag", tag, "err", err)
+	o.f.log.Warn("invalid client message", "request_id", tag, "err", err)
 	o.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: tag, RC: jsonlines.CauseError, HasRC: true})
 	return o.faulty()
 }
@@ -291,11 +291,11 @@
 		to = o.f.any(usedForTasks)
 	}
 	if to != nil {
-		o.f.tracer.Step("end told", a.RequestID, o.f.l.Now(), "connection", to.number, "own", to == o, "use", to.use())
+		o.f.tracer.Step("completion sent", a.RequestID, o.f.l.Now(), "connection", to.number, "own", to == o, "use", to.use())
 		to.send(&m)
 		return
 	}
-	o.f.tracer.Step("end finds no owner", a.RequestID, o.f.l.Now())
+	o.f.tracer.Step("completion unreported", a.RequestID, o.f.l.Now())
 	if len(o.f.unsent) < maxUnsent {
 		o.f.unsent = append(o.f.unsent, unsent{o.f.l.Now(), jsonlines.Append(nil, &m)})
 	}
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -132,7 +132,7 @@
 		}
 	}
 	if best == nil || best.bound && soon && bound <= keptForEnds {
-		f.log.Warn("no room for another owner", "connections", len(f.conns))
+		f.log.Warn("client connection limit reached", "connections", len(f.conns))
 		return false
 	}
 	best.end()
@@ -145,7 +145,7 @@
 	for o := range f.conns {
 		switch {
 		case !o.spoke && now-o.usedAt > maxHush, o.halfAt > 0 && now-o.halfAt > maxHush:
-			f.log.Warn("an owner's message never came whole", "spoke", o.spoke)
+			f.log.Warn("client message timed out", "spoke", o.spoke)
 			o.end()
 		case len(o.open) == 0 && f.idleUs > 0 && now-o.usedAt > f.idleUs:
 			o.end()
--- a/internal/discovery/channel.go
+++ b/internal/discovery/channel.go
@@ -126,7 +126,7 @@
 func (ch *Follower) Start() {
 	c, err := ch.l.Dial(ch.addr, ch.dialUs, ch)
 	if err != nil {
-		ch.log.Warn("the command channel can't be reached", "err", err)
+		ch.log.Warn("discovery unreachable", "err", err)
 		ch.startIn(againAfter)
 		return
 	}
@@ -163,7 +163,7 @@
 	}
 	ch.limit.Stop()
 	ch.limit = ch.l.After(block*1000+answerSlack, func() {
-		ch.log.Warn("the command channel is silent", "cursor", ch.cursor)
+		ch.log.Warn("discovery timed out", "cursor", ch.cursor)
 		ch.startIn(0)
 	})
 }
@@ -174,7 +174,7 @@
 // Closed implements loop.Handler.
 func (ch *Follower) Closed(_ *eventloop.Conn, err error) {
 	if !errors.Is(err, eventloop.ErrEOF) {
-		ch.log.Warn("the command channel broke off", "cursor", ch.cursor, "err", err)
+		ch.log.Warn("discovery disconnected", "cursor", ch.cursor, "err", err)
 	}
 	ch.startIn(againAfter)
 }
@@ -201,7 +201,7 @@
 		return used, err
 	}
 	for _, err := range u.Bad {
-		ch.log.Warn("a minion on the command channel was left out", "err", err)
+		ch.log.Warn("invalid worker entry skipped", "err", err)
 	}
 	ch.limit.Stop()
 	ch.told = true
@@ -210,7 +210,7 @@
 		ch.owned()
 	}
 	if used < len(b) {
-		ch.log.Warn("the command channel told what it was not asked", "cursor", ch.cursor)
+		ch.log.Warn("unexpected bytes after discovery response", "cursor", ch.cursor)
 	}
 	if !r.keep || used < len(b) {
 		ch.startIn(0)
--- a/internal/discovery/channel_test.go
+++ b/internal/discovery/channel_test.go
@@ -104,7 +104,7 @@
 	if !c.IsListed("s-1") {
 		t.Error("the event was not applied")
 	}
-	if strings.Contains(text.String(), "is silent") { // it was waited for in vain
+	if strings.Contains(text.String(), "discovery timed out") { // it was waited for in vain
 		t.Error(text.String())
 	}
 }
--- a/internal/discovery/partition.go
+++ b/internal/discovery/partition.go
@@ -143,5 +143,5 @@
 	own := func(worker string) bool { return held.Has(zones[worker], worker) }
 	ch.nodes.SetAssigned(own)
 	ch.core.SetAssignedWorkers(ch.l.Now(), own)
-	ch.log.Info("the workers of this orchestrator", "shards", held.Len(), "wanted", ch.partition.wanted.Len())
+	ch.log.Info("shard assignment", "shards", held.Len(), "wanted", ch.partition.wanted.Len())
 }
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -121,7 +121,7 @@
 func (c *Dispatcher) press() {
 	c.advisor.SetPending(c.now, c.held)
 	if ch, ok := c.advisor.Tick(c.now); ok {
-		c.log.Info("storm", "state", ch.To, "was", ch.From, "kind", ch.Kind, "why", ch.Why)
+		c.log.Info("backpressure", "state", ch.To, "was", ch.From, "kind", ch.Kind, "cause", ch.Why)
 	}
 	if c.now-c.pressed.at < pressEvery {
 		return
--- a/internal/dispatch/nodes.go
+++ b/internal/dispatch/nodes.go
@@ -57,7 +57,7 @@
 	if r == nil || r.node != node {
 		return
 	}
-	c.trace("node ended", r, "status", st)
+	c.trace("worker reported end", r, "outcome", st)
 	switch r.state {
 	case out:
 		switch st {
@@ -82,7 +82,7 @@
 func (c *Dispatcher) CancelConfirmed(now int64, node, tag string) {
 	c.now = now
 	if r := c.reqs[tag]; r != nil && r.node == node && r.state == ending {
-		c.trace("given up for sure", r)
+		c.trace("abandoned attempt ended", r)
 		c.ended(r, r.endAs, placement.CauseUnknown)
 	}
 }
--- a/internal/dispatch/owners.go
+++ b/internal/dispatch/owners.go
@@ -135,7 +135,7 @@
 	}
 	c.counts.Requests++
 	c.to(r, waiting)
-	c.trace("request", r, "wait", s.TimeoutUs, "deadline", r.deadline)
+	c.trace("request", r, "timeout_us", s.TimeoutUs, "deadline_us", r.deadline)
 	r.QueuedSinceUs = c.advisor.Requested(now, r.caller())
 	task.QueuedSinceUs = r.QueuedSinceUs
 	c.event(placement.Request{Task: task})
@@ -176,7 +176,7 @@
 // answer tells the owner, and keeps the last word on what may be asked again.
 func (c *Dispatcher) answer(r *request, a Response) {
 	a.RequestID = r.reply
-	c.trace("answer", r, "kind", a.Kind, "reply", a.RequestID)
+	c.trace("response", r, "kind", a.Kind, "response_id", a.RequestID)
 	c.spread.answered++
 	c.tally(r.Class, a.Kind)
 	if a.Kind != Started {
@@ -210,7 +210,7 @@
 	if r.state == standing || r.state == leaving {
 		return
 	}
-	c.log.Warn("a task found running is known here as not standing", "tag", s.RequestID, "node", s.RunningOn)
+	c.log.Warn("adopted task already known", "request_id", s.RequestID, "worker", s.RunningOn)
 }
 
 // Cancelled is what Withdraw found.
--- a/internal/dispatch/roster.go
+++ b/internal/dispatch/roster.go
@@ -76,7 +76,7 @@
 	o := &c.roster
 	l := placement.WorkerList{Kind: placement.ListDelta}
 	change := func(node string) {
-		c.log.Info("a minion was taken out or put back by hand", "node", node, "out", out[node])
+		c.log.Info("worker cordoned or uncordoned", "worker", node, "cordoned", out[node])
 		if e, ok := o.last[node]; ok {
 			l.Entries = append(l.Entries, e)
 		}
--- a/internal/dispatch/silent.go
+++ b/internal/dispatch/silent.go
@@ -28,7 +28,7 @@
 func (c *Dispatcher) heard(r *request, st placement.Outcome, why placement.Cause) {
 	delete(c.silent, r.RequestID)
 	c.holdings.remove(r)
-	c.trace("a released task has ended", r, "status", st)
+	c.trace("released task ended", r, "outcome", st)
 	c.advisor.Ended(c.now, r.caller())
 	c.done(r, st, why, true)
 }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -21,7 +21,7 @@
 // Step writes one step of the request of a tag, at a time in microseconds.
 func (t Tracer) Step(step, tag string, at int64, args ...any) {
 	if t.Log != nil && t.Log.Enabled(context.Background(), slog.LevelDebug) && Traced(t.Suffixes, tag) {
-		t.Log.Debug(step, append([]any{"tag", tag, "at", at}, args...)...)
+		t.Log.Debug(step, append([]any{"request_id", tag, "at_us", at}, args...)...)
 	}
 }
 
@@ -41,7 +41,7 @@
 
 // trace writes one step of a request.
 func (c *Dispatcher) trace(step string, r *request, args ...any) {
-	c.tracer.Step(step, r.RequestID, c.now, append([]any{"state", r.state, "node", r.node, "copy", r.copy}, args...)...)
+	c.tracer.Step(step, r.RequestID, c.now, append([]any{"state", r.state, "worker", r.node, "attempt", r.copy}, args...)...)
 }
 
 var stateNames = [...]string{"fresh", "waiting", "out", "ending", "standing", "leaving", "gone"}
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -40,8 +40,8 @@
 	} {
 		var b bytes.Buffer
 		tr := Tracer{Log: slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: x.level})), Suffixes: x.endings}
-		tr.Step("offer", "6c74d45b160bf556", 42, "node", "s-1")
-		if got := strings.Contains(b.String(), "msg=offer tag=6c74d45b160bf556 at=42 node=s-1"); got != x.want {
+		tr.Step("offer", "6c74d45b160bf556", 42, "worker", "s-1")
+		if got := strings.Contains(b.String(), "msg=offer request_id=6c74d45b160bf556 at_us=42 worker=s-1"); got != x.want {
 			t.Errorf("%v %v: wrote %q", x.level, x.endings, b.String())
 		}
 	}
--- a/internal/dispatch/turns.go
+++ b/internal/dispatch/turns.go
@@ -67,7 +67,7 @@
 	switch r.state {
 	case out, ending:
 		if r.state == out {
-			c.trace("attempt timed out", r, "abandon", r.abandon)
+			c.trace("attempt timed out", r, "abandon_at_us", r.abandon)
 			c.giveUp(r, placement.TimedOut)
 		} else {
 			c.ended(r, r.endAs, placement.CauseUnknown)
@@ -77,7 +77,7 @@
 			c.arm(r, c.now+1)
 		}
 	case waiting:
-		c.log.Warn("the module left a request to its deadline", "tag", r.RequestID, "class", r.Class)
+		c.log.Warn("request left to its deadline", "request_id", r.RequestID, "class", r.Class)
 		c.event(placement.ClientCancelled{RequestID: r.RequestID})
 		c.finish(r)
 	case standing:
@@ -102,7 +102,7 @@
 	}
 	c.sweepSilent()
 	for _, r := range c.orphans() {
-		c.log.Info("a task stood on a node that left the list", "tag", r.RequestID, "node", r.node)
+		c.log.Info("task lost with unlisted worker", "request_id", r.RequestID, "worker", r.node)
 		c.nodes.Release(r.node, r.RequestID)
 		c.over(r, placement.Reset, placement.CauseUnknown)
 	}
@@ -145,7 +145,7 @@
 	case placement.SetTimer:
 		heap.Push(&c.bells, bell{c.now + a.OffsetUs, a.Ref})
 	case placement.Log:
-		c.log.Info("module", "text", a.Text)
+		c.log.Info("scheduler", "text", a.Text)
 	}
 }
 
@@ -159,9 +159,9 @@
 		guard = c.mayLeave(r, a.Worker)
 	}
 	if guard != "" {
-		c.trace("offer held back", r, "to", a.Worker, "why", guard)
+		c.trace("offer blocked", r, "to", a.Worker, "cause", guard)
 		c.counts.Blocked++
-		c.log.Error("the module's offer was held back", "tag", r.RequestID, "node", a.Worker, "why", guard)
+		c.log.Error("offer blocked by invariant", "request_id", r.RequestID, "worker", a.Worker, "cause", guard)
 		c.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempts, Worker: a.Worker, Outcome: placement.NeverSent})
 		r.attempts++
 		return
@@ -175,7 +175,7 @@
 		r.abandon = min(r.deadline, max(a.AbandonAtUs, c.now+1))
 	}
 	c.arm(r, r.abandon)
-	c.trace("offer", r, "abandon", r.abandon, "deadline", r.deadline)
+	c.trace("offer", r, "abandon_at_us", r.abandon, "deadline_us", r.deadline)
 	c.nodes.Offer(a.Worker, Offer{RequestID: r.RequestID, Class: r.Class, Key: r.Key, Idem: r.Idem,
 		TimeoutUs: r.abandon - c.now, Description: r.Description})
 }
@@ -263,7 +263,7 @@
 func (c *Dispatcher) withdraw(r *request) {
 	switch r.state {
 	case out:
-		c.trace("given up", r)
+		c.trace("attempt abandoned", r)
 		c.nodes.CancelAttempt(r.node, r.RequestID, false)
 		c.done(r, placement.Cancelled, placement.CauseUnknown, true)
 	case ending:
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -63,7 +63,7 @@
 	if !ok || e.node != r.node || c.now-e.at > unclaimedFor {
 		return
 	}
-	c.log.Info("a task was handed in whose end was told before", "tag", r.RequestID, "node", r.node)
+	c.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.node)
 	r.endAs, r.endWhy = e.status, e.why
 	c.arm(r, c.now+1)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -194,7 +194,7 @@
 		failed = time.Now()
 		if !failing {
 			failing = true
-			e.log.Warn("figures could not be sent", "to", e.addr, "err", err)
+			e.log.Warn("metrics export failed", "to", e.addr, "err", err)
 		}
 		if c != nil {
 			c.Close()
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -68,7 +68,7 @@
 		}
 		if err != nil {
 			in.peers.counts.Refused++
-			in.peers.warn.Warn("a peer is cut off", "err", err)
+			in.peers.warn.Warn("peer disconnected", "err", err)
 			return 0, err
 		}
 		if used += n; n == 0 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -126,7 +126,7 @@
 	m, err := Decode(p.s.Cluster, b)
 	if err != nil {
 		p.counts.Refused++
-		p.warn.Warn("a datagram of a peer is not taken", "err", err)
+		p.warn.Warn("invalid peer datagram", "err", err)
 		return
 	}
 	p.do(p.table.Receive(p.l.Now(), m))
@@ -143,7 +143,7 @@
 			}
 			if err != nil {
 				p.counts.Lost++
-				p.warn.Warn("a datagram to a peer is lost", "to", a.Message.To, "err", err)
+				p.warn.Warn("peer datagram lost", "to", a.Message.To, "err", err)
 				continue
 			}
 			p.counts.Sent++
@@ -156,7 +156,7 @@
 		if e.Kind == membership.Died || e.Kind == membership.Departed || e.Kind == membership.Back {
 			p.hangUp(e.Name)
 		}
-		p.log.Info("peers", "what", e.Kind.String(), "member", e.Name, "hall", e.Zone, "evidence", e.Evidence)
+		p.log.Info("membership", "event", e.Kind.String(), "member", e.Name, "zone", e.Zone, "evidence", e.Evidence)
 	}
 	p.tellView()
 	p.schedule()
@@ -188,7 +188,7 @@
 func (p *Peers) hello(k Kind) []byte {
 	b, err := Frame(&peerpb.Hello{Cluster: p.s.Cluster, Name: p.s.Name, Life: p.life, Lowest: Lowest, Highest: Highest, Kind: uint32(k)})
 	if err != nil { // names are bounded by the settings: this can't happen
-		p.log.Error("peers: the hello has no form", "err", err)
+		p.log.Error("peer hello not encoded", "err", err)
 	}
 	return b
 }
@@ -249,7 +249,7 @@
 	}
 	if err != nil {
 		h.peers.counts.Refused++
-		h.peers.warn.Warn("a peer is cut off", "member", h.name, "err", err)
+		h.peers.warn.Warn("peer disconnected", "member", h.name, "err", err)
 		return 0, err
 	}
 	h.timer.Stop()
--- a/internal/peer/records.go
+++ b/internal/peer/records.go
@@ -111,7 +111,7 @@
 	}
 	if n > 0 {
 		s.p.counts.RecordsDropped += int64(n)
-		s.p.log.Warn("records for a peer are dropped", "member", s.to, "kind", uint32(s.kind), "records", n, "why", why)
+		s.p.log.Warn("peer records dropped", "member", s.to, "kind", uint32(s.kind), "records", n, "cause", why)
 	}
 	delete(s.p.lanes, s.lane)
 }
@@ -160,7 +160,7 @@
 	}
 	if err != nil {
 		s.p.counts.Refused++
-		s.p.warn.Warn("a peer is cut off", "member", s.to, "err", err)
+		s.p.warn.Warn("peer disconnected", "member", s.to, "err", err)
 		return 0, err
 	}
 	s.greeted, s.wait = true, 0
--- a/internal/peer/records_test.go
+++ b/internal/peer/records_test.go
@@ -179,7 +179,7 @@
 	}
 	x.soon(t, "some datagrams", func() bool { return x.a.Counts().Received > before+20 })
 	x.on(func() {
-		if _, _, ok := x.a.table.Locate("n1"); !ok || strings.Contains(x.said.String(), "what=dead") {
+		if _, _, ok := x.a.table.Locate("n1"); !ok || strings.Contains(x.said.String(), "event=dead") {
 			t.Errorf("n1 is there: %v; %s", ok, x.said.String())
 		}
 	})
@@ -207,7 +207,7 @@
 			t.Errorf("to the dead: %v", err)
 		}
 	})
-	if !strings.Contains(x.said.String(), "records for a peer are dropped") {
+	if !strings.Contains(x.said.String(), "peer records dropped") {
 		t.Error("it was not said")
 	}
 }
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		nc.settled(s)
-		n.trace("give up on the wire", tag, "node", node, "left", s.left(nc.c), "written", s.end > 0, "quiet_us", n.l.Now()-nc.readAt)
+		n.trace("cancelling attempt", tag, "worker", node, "left", s.left(nc.c), "written", s.end > 0, "quiet_us", n.l.Now()-nc.readAt)
 		switch {
 		case s.end == 0: // it never left
 		case s.left(nc.c) && nc.readAt >= s.at && (n.tests || !again): // else it would leave yet
@@ -113,7 +113,7 @@
 		e.timer = k.n.l.After(maxProof, nc.unproved)
 		return
 	}
-	k.n.log.Warn("a give-up was not read in time", "node", k.id, "quiet_us", now-nc.readAt)
+	k.n.log.Warn("cancel unconfirmed", "worker", k.id, "quiet_us", now-nc.readAt)
 	nc.end(errSilent)
 	k.prune()
 	k.ensure()
@@ -129,7 +129,7 @@
 		nc.c.Flush()
 	}
 	for _, tag := range tags {
-		nc.k.n.trace("give-up read", tag, "node", nc.k.id, "test_us", nc.k.n.l.Now()-at)
+		nc.k.n.trace("cancel confirmed", tag, "worker", nc.k.id, "ping_us", nc.k.n.l.Now()-at)
 		nc.k.n.core.CancelConfirmed(nc.k.n.l.Now(), nc.k.id, tag)
 	}
 	nc.k.prune()
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -62,13 +62,13 @@
 func (nc *workerConn) start(s *sent) {
 	n, id := nc.k.n, nc.k.id
 	if age := n.l.Clock() - n.core.ClientLastSeenAt(s.RequestID, n.l.LastPostAt()); age > maxUnheardClient {
-		n.trace("an offer waits until its client is heard", s.RequestID, "node", id, "age_us", age)
+		n.trace("offer delayed for client", s.RequestID, "worker", id, "age_us", age)
 		n.held = append(n.held, held{nc, s})
 		n.l.RunAgain()
 		return
 	}
 	if why := n.core.CheckOffer(n.l.Now(), id, s.RequestID); why != "" {
-		n.trace("an offer came too late to leave", s.RequestID, "node", id, "why", why)
+		n.trace("offer not sent", s.RequestID, "worker", id, "cause", why)
 		nc.settled(s)
 		n.later(func() { n.core.TaskEnded(n.l.Now(), id, s.RequestID, placement.NeverSent, placement.CauseUnknown) })
 		return
@@ -115,7 +115,7 @@
 		return
 	}
 	if err := nc.c.KeepAlive(int(after / time.Second)); err != nil {
-		nc.k.n.log.Warn("the system does not look after a connection", "node", nc.k.id, "err", err)
+		nc.k.n.log.Warn("keepalive not set", "worker", nc.k.id, "err", err)
 	}
 }
 
@@ -153,15 +153,15 @@
 		s := nc.open[tag]
 		switch {
 		case s.left(nc.c):
-			k.n.trace("connection lost under an offer", tag, "node", k.id, "err", err)
+			k.n.trace("connection lost with offer open", tag, "worker", k.id, "err", err)
 			k.fade(tag)
 			continue
 		case k.listed && s.tries < maxTries && broke(err):
-			k.n.trace("offer again on a new connection", tag, "node", k.id, "err", err)
+			k.n.trace("offer resent", tag, "worker", k.id, "err", err)
 			again = append(again, s)
 			continue
 		}
-		k.n.trace("an offer never left", tag, "node", k.id, "err", err)
+		k.n.trace("offer never sent", tag, "worker", k.id, "err", err)
 		k.n.later(func() {
 			k.n.core.TaskEnded(k.n.l.Now(), k.id, tag, placement.ConnectFailed, placement.CauseUnknown)
 		})
@@ -222,7 +222,7 @@
 func (nc *workerConn) Closed(_ *eventloop.Conn, err error) {
 	k := nc.k
 	if !errors.Is(err, eventloop.ErrEOF) || len(nc.open) > 0 {
-		k.n.log.Warn("a connection to a minion ended", "node", k.id, "open", len(nc.open), "err", err)
+		k.n.log.Warn("worker connection closed", "worker", k.id, "open", len(nc.open), "err", err)
 	}
 	nc.lost(err)
 	k.failed = k.failed || !errors.Is(err, eventloop.ErrEOF)
@@ -253,7 +253,7 @@
 			err = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
 		}
 		if err != nil {
-			nc.k.n.log.Warn("malformed message from a minion", "node", nc.k.id, "err", err)
+			nc.k.n.log.Warn("malformed worker message", "worker", nc.k.id, "err", err)
 			return err
 		}
 		nc.message(&m)
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if !k.n.makeRoom() {
-		k.n.log.Warn("no room for a connection to a worker", "node", k.id)
+		k.n.log.Warn("no descriptor for worker connection", "worker", k.id)
 		return nil
 	}
 	return k.dial()
@@ -66,7 +66,7 @@
 	nc := &workerConn{k: k, open: map[string]*sent{}, probes: map[string]int64{}, dialAt: k.n.l.Now(), usedAt: k.n.l.Now()}
 	c, err := k.n.l.Dial(k.addr, k.n.dialUs, nc)
 	if err != nil {
-		k.n.log.Warn("no connection could be started", "node", k.id, "err", err)
+		k.n.log.Warn("worker dial failed", "worker", k.id, "err", err)
 		if errors.Is(err, unix.ECONNREFUSED) {
 			k.refused()
 		}
@@ -155,7 +155,7 @@
 		return
 	}
 	k.broke, k.refusedAt = false, 0
-	k.n.log.Warn("a minion has died", "node", k.id)
+	k.n.log.Warn("worker died", "worker", k.id)
 	k.n.later(func() {
 		for len(k.conns) > 0 {
 			k.conns[0].end(errSilent)
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -96,7 +96,7 @@
 	t.Errorf("seed %d: %s\nschedule: %s", *seedFlag, bad, testbed.Text(steps))
 	for _, x := range r.Nodes {
 		for _, l := range x.Lines() {
-			if strings.Contains(l, "msg=peers") || strings.Contains(l, "WARN") || strings.Contains(l, "ERROR") {
+			if strings.Contains(l, "msg=membership") || strings.Contains(l, "WARN") || strings.Contains(l, "ERROR") {
 				t.Log(l)
 			}
 		}
--- a/test/storm/storm_test.go
+++ b/test/storm/storm_test.go
@@ -223,7 +223,7 @@
 	f.history = r.watch.history.check(time.Minute)
 	for _, p := range r.orch {
 		for _, l := range p.Lines() {
-			if strings.Contains(l, "storm") || strings.Contains(l, "ERROR") || strings.Contains(l, "deadline") {
+			if strings.Contains(l, "backpressure") || strings.Contains(l, "ERROR") || strings.Contains(l, "deadline") {
 				t.Log(l)
 			}
 		}
