--- a/cmd/ravenhitch/admin_test.go
+++ b/cmd/ravenhitch/admin_test.go
@@ -35,7 +35,7 @@
 }
 
 // managed starts a process on a listening socket that the platform holds.
-func managed(t *testing.T, feed *testbed.Feed, ln net.Listener) (*server, chan error) {
+func managed(t *testing.T, feed *testbed.Discovery, ln net.Listener) (*server, chan error) {
 	t.Helper()
 	f, err := ln.(*net.TCPListener).File()
 	if err != nil {
@@ -89,9 +89,9 @@
 // first is out at the second, no caller is turned away, and the first ends.
 func TestUpgrade(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	feed := testbed.NewFeed(t)
-	minions := map[string]*testbed.Minion{"a": testbed.NewMinion(t, "a"), "b": testbed.NewMinion(t, "b")}
-	feed.Add(true, minions["a"].Member("up"), minions["b"].Member("up"))
+	feed := testbed.NewDiscovery(t)
+	minions := map[string]*testbed.Worker{"a": testbed.NewWorker(t, "a"), "b": testbed.NewWorker(t, "b")}
+	feed.Add(true, minions["a"].ListEntry("up"), minions["b"].ListEntry("up"))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -118,11 +118,11 @@
 		t.Error("one call out undoes another")
 	}
 	call(t, old.maddr, "ONLINE b")
-	first := testbed.NewOwner(t, ln.Addr().String())
-	place := func(o *testbed.Owner, n int, want string) {
+	first := testbed.NewClient(t, ln.Addr().String())
+	place := func(o *testbed.Client, n int, want string) {
 		t.Helper()
 		key := fmt.Sprint("ok-", n)
-		testbed.Send(o, testbed.SetUp(testbed.Tag(n), "guide-web", key, 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(n), "guide-web", key, 5000))
 		if l := testbed.Wait(t, key, o.Lines); l.Verb != "STARTED" || *l.Blob != want+" holds about "+key {
 			t.Errorf("%s got %v", key, l)
 		}
@@ -143,7 +143,7 @@
 	if f := figures(t, next.maddr); f.Ejected != 1 {
 		t.Errorf("what was out by hand is not: %+v", f)
 	}
-	second := testbed.NewOwner(t, ln.Addr().String())
+	second := testbed.NewClient(t, ln.Addr().String())
 	for n := range 8 {
 		place(second, n+20, "b")
 	}
@@ -170,7 +170,7 @@
 	// Nobody goes on after the second: it serves whoever comes until the kill is near.
 	next.Stop()
 	ending(t, next)
-	place(testbed.NewOwner(t, ln.Addr().String()), 60, "a")
+	place(testbed.NewClient(t, ln.Addr().String()), 60, "a")
 	next.l.Post(next.l.Stop)
 	if err := testbed.Wait(t, "the end", nextOver); err != nil {
 		t.Error(err)
@@ -185,7 +185,7 @@
 	if err := os.WriteFile(newHandoverStore(os.TempDir()).path, b[:len(b)-2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse([]byte(configText(testbed.NewFeed(t))))
+	cfg, err := config.Parse([]byte(configText(testbed.NewDiscovery(t))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,12 +199,12 @@
 func TestSlowWriter(t *testing.T) {
 	w := newWorld(t, "a")
 	slow, never := w.owner(t), w.owner(t)
-	b, err := json.Marshal(testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	b, err := json.Marshal(testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	began, half := time.Now(), len(b)/2
-	for _, o := range []*testbed.Owner{slow, never} {
+	for _, o := range []*testbed.Client{slow, never} {
 		if _, err := o.Write(b[:half]); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/ravenhitch/closed_for_room_test.go
+++ b/cmd/ravenhitch/closed_for_room_test.go
@@ -31,7 +31,7 @@
 			rested := int64(0)
 			w.on(t, func() { rested = w.l.Now() + 150_000 }) // any of them may be closed then
 			w.until(t, "quiet clients", func() bool { return w.l.Now() > rested })
-			setUp := testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000)
+			setUp := testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000)
 			if c.before {
 				here, on := make(chan bool), make(chan bool)
 				w.l.Post(func() {
@@ -50,16 +50,16 @@
 			for l := range crossing.Lines { // until it is closed
 				t.Errorf("on the closed connection: %v", l)
 			}
-			if n := w.minions[0].Counted("ok-1"); n != 0 {
+			if n := w.minions[0].StartCount("ok-1"); n != 0 {
 				t.Fatalf("it did not cross the close: offered %d times", n)
 			}
 			again := w.owner(t)
 			testbed.Send(again, setUp)
-			if l := testbed.Wait(t, "the answer", again.Lines); l.Verb != "STARTED" || l.Tag != testbed.Tag(1) {
+			if l := testbed.Wait(t, "the answer", again.Lines); l.Verb != "STARTED" || l.Tag != testbed.RequestID(1) {
 				t.Errorf("got %v", l)
 			}
 			asked(t, again) // by then a second answer would have come
-			if n := w.minions[0].Counted("ok-1"); n != 1 {
+			if n := w.minions[0].StartCount("ok-1"); n != 1 {
 				t.Errorf("offered %d times", n)
 			}
 		})
--- a/cmd/ravenhitch/discovery_down_test.go
+++ b/cmd/ravenhitch/discovery_down_test.go
@@ -24,20 +24,20 @@
 // downWorld is a program whose discovery is reached by a relay.
 type downWorld struct {
 	*world
-	relay *testbed.Link
+	relay *testbed.Proxy
 }
 
 func newDownWorld(t *testing.T, sockets int64, workers int) *downWorld {
-	d := &downWorld{world: &world{feed: testbed.NewFeed(t), over: make(chan error, 1)}}
+	d := &downWorld{world: &world{feed: testbed.NewDiscovery(t), over: make(chan error, 1)}}
 	var members []string
 	for i := range workers {
-		m := testbed.NewMinion(t, fmt.Sprintf("w%02d", i))
+		m := testbed.NewWorker(t, fmt.Sprintf("w%02d", i))
 		d.minions = append(d.minions, m)
-		members = append(members, m.Member("up"))
+		members = append(members, m.ListEntry("up"))
 	}
 	d.feed.Add(true, members...)
 	addr := d.feed.Srv.Listener.Addr().String()
-	d.relay = testbed.NewLinkTo(t, addr)
+	d.relay = testbed.NewProxyTo(t, addr)
 	cfg, err := config.Parse([]byte(strings.Replace(configText(d.feed), addr, d.relay.Addr(), 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -81,26 +81,26 @@
 			t.Run(fmt.Sprintf("%s, %d workers", c.name, workers), func(t *testing.T) {
 				t.Parallel()
 				w := newDownWorld(t, 64, workers)
-				w.feed.Heard(t)
+				w.feed.WaitPolled(t)
 				end := c.begin(t, w)
 				for i := range 4 * tableSize {
 					o := w.owner(t)
 					if i%2 == 0 { // half of them say something
-						testbed.Send(o, testbed.Line{Verb: "PENDING", Tag: testbed.Tag(i), Opts: map[string]string{}})
+						testbed.Send(o, testbed.Line{Verb: "PENDING", Tag: testbed.RequestID(i), Opts: map[string]string{}})
 					}
 				}
-				next := testbed.NewMinion(t, "next")
-				w.feed.Add(false, next.Member("up"))
+				next := testbed.NewWorker(t, "next")
+				w.feed.Add(false, next.ListEntry("up"))
 				began := int64(0)
 				w.on(t, func() { began = w.l.Now() })
 				end()
-				w.feed.Heard(t)
+				w.feed.WaitPolled(t)
 				w.on(t, func() { t.Logf("the list was read %d ms after discovery was back", (w.l.Now()-began)/1000) })
 				w.on(t, func() { w.nodes.Probe("next") })
-				w.until(t, "a probe", func() bool { return next.Tests() > 0 })
+				w.until(t, "a probe", func() bool { return next.PingCount() > 0 })
 				o := w.owner(t)
 				asked(t, o)
-				testbed.Send(o, testbed.SetUp(testbed.Tag(9999), "guide-web", "ok-true", 5000))
+				testbed.Send(o, testbed.StartLine(testbed.RequestID(9999), "guide-web", "ok-true", 5000))
 				if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 					t.Errorf("got %v", l)
 				}
@@ -117,31 +117,31 @@
 	w := newDownWorld(t, 64, workers)
 	o := w.owner(t)
 	for i := range tasks {
-		testbed.Send(o, testbed.SetUp(testbed.Tag(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
 		if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 			t.Fatalf("got %v", l)
 		}
 	}
 	for _, m := range slices.Concat(w.minions, w.minions) { // one after the other: together they find no room
-		if m.Holding() > 0 {
+		if m.TaskCount() > 0 {
 			continue
 		}
-		before := m.Tests()
+		before := m.PingCount()
 		w.on(t, func() { w.nodes.Probe(m.Name) })
-		w.until(t, "a probe of "+m.Name, func() bool { return m.Tests() > before })
+		w.until(t, "a probe of "+m.Name, func() bool { return m.PingCount() > before })
 	}
 	for _, m := range w.minions {
-		if _, open := m.Dials(); open == 0 && m.Holding() > 0 {
+		if _, open := m.DialCounts(); open == 0 && m.TaskCount() > 0 {
 			t.Fatalf("no connection to %s, where a task stands", m.Name)
 		}
 	}
 	for i := range tasks {
 		for _, m := range w.minions {
-			if m.Holds(testbed.Tag(i + 1)) {
-				m.End(testbed.Tag(i+1), 16)
+			if m.HasTask(testbed.RequestID(i + 1)) {
+				m.End(testbed.RequestID(i+1), 16)
 			}
 		}
-		if l := testbed.Wait(t, "the end", o.Lines); l.Tag != testbed.Tag(i+1) || l.Cause() != 16 {
+		if l := testbed.Wait(t, "the end", o.Lines); l.Tag != testbed.RequestID(i+1) || l.Cause() != 16 {
 			t.Errorf("got %v", l)
 		}
 	}
@@ -152,21 +152,21 @@
 func TestTasksStandWhereConnectionsAre(t *testing.T) {
 	const workers, tasks = 60, 20
 	w := newDownWorld(t, 64, workers)
-	w.feed.Heard(t)
+	w.feed.WaitPolled(t)
 	o := w.owner(t)
 	hold := w.minions[workers-tasks:]
 	for i, m := range hold {
-		testbed.Send(o, running(testbed.Tag(i+1), m.Name))
+		testbed.Send(o, running(testbed.RequestID(i+1), m.Name))
 	}
 	for _, m := range hold {
 		w.until(t, "a connection to "+m.Name, func() bool {
-			_, open := m.Dials()
+			_, open := m.DialCounts()
 			return open > 0
 		})
 	}
 	ended := map[string]bool{}
 	for i, m := range hold {
-		m.End(testbed.Tag(i+1), 16)
+		m.End(testbed.RequestID(i+1), 16)
 	}
 	for range hold {
 		if l := testbed.Wait(t, "an end", o.Lines); l.Cause() == 16 {
--- a/cmd/ravenhitch/endings_test.go
+++ b/cmd/ravenhitch/endings_test.go
@@ -29,32 +29,32 @@
 func TestMinionsThatRefuse(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(t *testing.T, m *testbed.Minion, e *early)
+		play func(t *testing.T, m *testbed.Worker, e *early)
 		want int
 	}{
-		{"gone without a word", func(_ *testing.T, m *testbed.Minion, _ *early) { m.Vanish() }, 41},
-		{"gone with a close and no reset", func(_ *testing.T, m *testbed.Minion, _ *early) { m.Shut() }, 41},
-		{"deaf, and there", func(t *testing.T, m *testbed.Minion, e *early) {
-			m.Deaf()
+		{"gone without a word", func(_ *testing.T, m *testbed.Worker, _ *early) { m.Vanish() }, 41},
+		{"gone with a close and no reset", func(_ *testing.T, m *testbed.Worker, _ *early) { m.CloseGracefully() }, 41},
+		{"deaf, and there", func(t *testing.T, m *testbed.Worker, e *early) {
+			m.RefuseConnections()
 			for limit := time.Now().Add(3 * testbed.Patience); e.spell() < 2*deadRefuse; time.Sleep(time.Millisecond) {
 				if time.Now().After(limit) {
 					t.Fatal("it was not called on for long")
 				}
 			}
-			m.Tell(testbed.Tag(1), 16)
+			m.SendFinish(testbed.RequestID(1), 16)
 		}, 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			e := &early{Handler: slog.DiscardHandler, gone: map[string]int64{}}
-			w := newWorldBy(t, config.Operators{}, 1024, slog.New(e), func(*testbed.Minion) {}, "a")
+			w := newWorldBy(t, config.Operators{}, 1024, slog.New(e), func(*testbed.Worker) {}, "a")
 			o := w.owner(t)
-			testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+			testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 				t.Fatalf("got %v", l)
 			}
 			c.play(t, w.minions[0], e)
-			if l := testbed.Wait(t, "the end", o.Lines); l.Tag != testbed.Tag(1) || l.Cause() != c.want {
+			if l := testbed.Wait(t, "the end", o.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != c.want {
 				t.Errorf("got %v, expected %d", l, c.want)
 			}
 		})
@@ -66,13 +66,13 @@
 
 // running is a set-up of a task that a minion holds already.
 func running(tag, minion string) testbed.Line {
-	l := testbed.SetUp(tag, "guide-web", "ok-"+tag, 5000)
+	l := testbed.StartLine(tag, "guide-web", "ok-"+tag, 5000)
 	l.Opts["extras"] += ";at:" + minion
 	return l
 }
 
 // asked lets an owner test the program, and so what it sent before is read.
-func asked(t *testing.T, o *testbed.Owner) {
+func asked(t *testing.T, o *testbed.Client) {
 	t.Helper()
 	testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
 	l := testbed.Wait(t, "the test", o.Lines)
@@ -90,44 +90,44 @@
 	w := newWorld(t, "a")
 	first, served, second := w.owner(t), w.owner(t), w.owner(t)
 	for i := 1; i <= 2; i++ {
-		testbed.Send(first, running(testbed.Tag(i), "a"))
+		testbed.Send(first, running(testbed.RequestID(i), "a"))
 	}
 	asked(t, first)
-	testbed.Send(served, testbed.SetUp(testbed.Tag(3), "guide-web", "ok-3", 5000))
+	testbed.Send(served, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
 	if l := testbed.Wait(t, "the answer", served.Lines); l.Verb != "STARTED" {
 		t.Fatalf("got %v", l)
 	}
 	for i := 1; i <= 2; i++ {
-		testbed.Send(second, running(testbed.Tag(i), "a"))
+		testbed.Send(second, running(testbed.RequestID(i), "a"))
 	}
-	testbed.Send(second, running(testbed.Tag(4), "a")) // one that nobody else knows of
+	testbed.Send(second, running(testbed.RequestID(4), "a")) // one that nobody else knows of
 	asked(t, second)
-	w.minions[0].End(testbed.Tag(1), 16)
-	wantCause(t, "the end", first, testbed.Tag(1), 16)
+	w.minions[0].End(testbed.RequestID(1), 16)
+	wantCause(t, "the end", first, testbed.RequestID(1), 16)
 	first.Close()
 	w.until(t, "its connection is gone", func() bool { return w.front.Connections() == 2 })
-	w.minions[0].End(testbed.Tag(2), 16)
-	wantCause(t, "the second end", served, testbed.Tag(2), 16)
+	w.minions[0].End(testbed.RequestID(2), 16)
+	wantCause(t, "the second end", served, testbed.RequestID(2), 16)
 	for range 9 { // some that only speak
 		asked(t, w.owner(t))
 	}
 	served.Close()
 	w.until(t, "its connection is gone", func() bool { return w.front.Connections() == 10 })
-	w.minions[0].End(testbed.Tag(3), 16)
-	wantCause(t, "the third end", second, testbed.Tag(3), 16)
+	w.minions[0].End(testbed.RequestID(3), 16)
+	wantCause(t, "the third end", second, testbed.RequestID(3), 16)
 }
 
 // An end that found no owner waits for one that is known to be, while others come that may
 // be anybody; where only those come, it goes to one of them in time.
 func TestEndWaitsForAnOwner(t *testing.T) {
-	faulty := testbed.SetUp(testbed.Tag(2), "no-such-class", "ok-2", 5000)
+	faulty := testbed.StartLine(testbed.RequestID(2), "no-such-class", "ok-2", 5000)
 	for _, c := range []struct {
 		name string
 		says []testbed.Line // the one that gets the end
 		hear []string       // and what it hears before that, where nobody else is there
 	}{
-		{"a task is started for it", []testbed.Line{testbed.SetUp(testbed.Tag(3), "guide-web", "ok-3", 5000)}, nil},
-		{"it says where one runs", []testbed.Line{running(testbed.Tag(4), "a"), faulty}, nil},
+		{"a task is started for it", []testbed.Line{testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000)}, nil},
+		{"it says where one runs", []testbed.Line{running(testbed.RequestID(4), "a"), faulty}, nil},
 		{"it tests, as the platform does", []testbed.Line{{Verb: "ECHO", Tag: "t", Opts: map[string]string{}}}, nil},
 		{"nobody better comes", []testbed.Line{faulty}, []string{"FINISH"}},
 	} {
@@ -135,17 +135,17 @@
 			t.Parallel()
 			w := newWorld(t, "a")
 			first := w.owner(t)
-			testbed.Send(first, running(testbed.Tag(1), "a"))
-			testbed.Send(first, running(testbed.Tag(5), "a"))
+			testbed.Send(first, running(testbed.RequestID(1), "a"))
+			testbed.Send(first, running(testbed.RequestID(5), "a"))
 			asked(t, first)
 			first.Close()
 			w.until(t, "no owner", func() bool { return w.front.Connections() == 0 })
-			w.minions[0].End(testbed.Tag(1), 16)
+			w.minions[0].End(testbed.RequestID(1), 16)
 			w.until(t, "the end here", func() bool { return w.c.RunningCount() == 1 })
 			bad := w.owner(t)
-			testbed.Send(bad, running(testbed.Tag(5), "a")) // which it may have heard of
+			testbed.Send(bad, running(testbed.RequestID(5), "a")) // which it may have heard of
 			testbed.Send(bad, faulty)
-			if l := testbed.Wait(t, "the error", bad.Lines); l.Tag != testbed.Tag(2) || l.Cause() != 47 {
+			if l := testbed.Wait(t, "the error", bad.Lines); l.Tag != testbed.RequestID(2) || l.Cause() != 47 {
 				t.Fatalf("got %v", l)
 			}
 			if len(c.hear) > 0 {
@@ -157,11 +157,11 @@
 				testbed.Send(good, l)
 			}
 			for _, verb := range c.hear {
-				if l := testbed.Wait(t, "what comes before", good.Lines); l.Verb != verb || l.Tag == testbed.Tag(1) {
+				if l := testbed.Wait(t, "what comes before", good.Lines); l.Verb != verb || l.Tag == testbed.RequestID(1) {
 					t.Fatalf("got %v", l)
 				}
 			}
-			wantCause(t, "the end", good, testbed.Tag(1), 16)
+			wantCause(t, "the end", good, testbed.RequestID(1), 16)
 		})
 	}
 }
@@ -173,15 +173,15 @@
 	o := w.owner(t)
 	for i, class := range []string{"guide-web", "archive-cut"} {
 		task := "brief-" + class
-		testbed.Send(o, testbed.SetUp(testbed.Tag(i+1), class, task, 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(i+1), class, task, 5000))
 		l := testbed.Wait(t, "the answer", o.Lines)
-		if l.Verb != "STARTED" || l.Tag != testbed.Tag(i+1) || !strings.HasSuffix(*l.Blob, " held about "+task) {
+		if l.Verb != "STARTED" || l.Tag != testbed.RequestID(i+1) || !strings.HasSuffix(*l.Blob, " held about "+task) {
 			t.Fatalf("%s got %v", task, l)
 		}
-		if l := testbed.Wait(t, "the end", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.Tag(i+1) || l.Cause() != 16 {
+		if l := testbed.Wait(t, "the end", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(i+1) || l.Cause() != 16 {
 			t.Errorf("%s got %v", task, l)
 		}
-		if n := w.minions[0].Counted(task) + w.minions[1].Counted(task); n != 1 {
+		if n := w.minions[0].StartCount(task) + w.minions[1].StartCount(task); n != 1 {
 			t.Errorf("%s was offered %d times", task, n)
 		}
 	}
@@ -195,14 +195,14 @@
 func TestLateCopyOfARefusal(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 		t.Fatalf("got %v", l)
 	}
 	for _, rc := range []int{34, 102, 16} {
-		w.minions[0].End(testbed.Tag(1), rc)
+		w.minions[0].End(testbed.RequestID(1), rc)
 	}
-	wantCause(t, "the end", o, testbed.Tag(1), 16)
+	wantCause(t, "the end", o, testbed.RequestID(1), 16)
 }
 
 // Nothing goes out for a request whose owner left while it waited, however it left and
@@ -210,12 +210,12 @@
 func TestNothingGoesOutForWhoLeft(t *testing.T) {
 	ways := []struct {
 		name  string
-		leave func(o *testbed.Owner)
+		leave func(o *testbed.Client)
 	}{
-		{"by word", func(o *testbed.Owner) { testbed.Send(o, testbed.Finish("FINISH", testbed.Tag(1), 16)) }},
-		{"by close", func(o *testbed.Owner) { o.Close() }},
-		{"by reset", func(o *testbed.Owner) { o.Conn.(*net.TCPConn).SetLinger(0); o.Close() }},
-		{"by half a close", func(o *testbed.Owner) { o.Conn.(*net.TCPConn).CloseWrite() }},
+		{"by word", func(o *testbed.Client) { testbed.Send(o, testbed.FinishLine("FINISH", testbed.RequestID(1), 16)) }},
+		{"by close", func(o *testbed.Client) { o.Close() }},
+		{"by reset", func(o *testbed.Client) { o.Conn.(*net.TCPConn).SetLinger(0); o.Close() }},
+		{"by half a close", func(o *testbed.Client) { o.Conn.(*net.TCPConn).CloseWrite() }},
 	}
 	for _, c := range []struct {
 		name string
@@ -224,15 +224,15 @@
 		read bool // meanwhile they are
 	}{
 		{"for a node that takes offers", func(t *testing.T, w *world) func() {
-			w.feed.Add(false, w.minions[0].Member("draining"))
-			w.feed.Heard(t)
-			return func() { w.feed.Add(false, w.minions[0].Member("up")) }
+			w.feed.Add(false, w.minions[0].ListEntry("draining"))
+			w.feed.WaitPolled(t)
+			return func() { w.feed.Add(false, w.minions[0].ListEntry("up")) }
 		}, true},
 		{"for a connection that comes up late", func(t *testing.T, w *world) func() {
-			link := testbed.NewLink(t, w.minions[0])
+			link := testbed.NewProxy(t, w.minions[0])
 			link.Cut(t)
-			w.feed.Add(false, w.minions[0].Member("up")) // it moves there
-			w.feed.Heard(t)
+			w.feed.Add(false, w.minions[0].ListEntry("up")) // it moves there
+			w.feed.WaitPolled(t)
 			return func() { link.Heal(t) }
 		}, true},
 		{"to be read", func(t *testing.T, w *world) func() {
@@ -249,11 +249,11 @@
 			t.Run(c.name+", "+way.name, func(t *testing.T) {
 				t.Parallel()
 				w := newWorldSet(t, settingsWith(t, change{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
-					slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
-				w.until(t, "a connection to the minion", func() bool { n, _ := w.minions[0].Dials(); return n > 0 })
+					slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
+				w.until(t, "a connection to the minion", func() bool { n, _ := w.minions[0].DialCounts(); return n > 0 })
 				free := c.hold(t, w)
 				o := w.owner(t)
-				testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+				testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 				if c.read {
 					w.until(t, "the set-up", func() bool { return w.c.OpenCount() == 1 })
 				}
@@ -262,8 +262,8 @@
 				}
 				free()
 				next := w.owner(t)
-				testbed.Send(next, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 5000))
-				if l := testbed.Wait(t, "the offer", w.minions[0].Starts); l.Tag != testbed.Tag(2) {
+				testbed.Send(next, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
+				if l := testbed.Wait(t, "the offer", w.minions[0].Starts); l.Tag != testbed.RequestID(2) {
 					t.Errorf("%s was offered", l.Tag)
 				}
 				if l := testbed.Wait(t, "the answer", next.Lines); l.Verb != "STARTED" {
@@ -306,16 +306,16 @@
 func TestSlowReaderKeepsItsPlace(t *testing.T) {
 	w := newWorldLimited(t, 64, "a") // 24 owners
 	slow := slowReader(t, w)
-	testbed.Send(slow, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(slow, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	w.until(t, "a task", func() bool { return w.c.RunningCount() == 1 })
 	since := int64(0)
 	w.on(t, func() { since = w.l.Now() })
 	for i := range 23 {
-		testbed.Send(w.owner(t), testbed.SetUp(testbed.Tag(10+i), "archive-cut", fmt.Sprint("silent-", i), 60_000))
+		testbed.Send(w.owner(t), testbed.StartLine(testbed.RequestID(10+i), "archive-cut", fmt.Sprint("silent-", i), 60_000))
 	}
 	w.until(t, "all are busy", func() bool { return w.c.OpenCount() == 23 })
 	late := w.owner(t)
-	testbed.Send(late, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 9000))
+	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 9000))
 	w.until(t, "it waits, for longer than a quiet connection is kept", func() bool {
 		return w.l.HasQueuedConnections() && w.l.Now() > since+1_200_000
 	})
@@ -327,7 +327,7 @@
 	if !read {
 		t.Errorf("its answer never came: %v", r.Err())
 	}
-	if l := testbed.Wait(t, "the late one's answer", late.Lines); l.Tag != testbed.Tag(2) {
+	if l := testbed.Wait(t, "the late one's answer", late.Lines); l.Tag != testbed.RequestID(2) {
 		t.Errorf("got %v", l)
 	}
 }
@@ -336,20 +336,20 @@
 // program answers what is open once, by what may have become of it.
 func TestToldToEndTwice(t *testing.T) {
 	w := newWorldSet(t, settingsWith(t, change{"RequestClasses.0.DeadlineUs", 500_000}, change{"RequestClasses.1.DeadlineUs", 500_000}),
-		config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+		config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
 	o := w.owner(t)
 	for i, class := range []string{"guide-web", "archive-cut"} {
-		testbed.Send(o, testbed.SetUp(testbed.Tag(i+1), class, fmt.Sprint("silent-", i), 60_000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(i+1), class, fmt.Sprint("silent-", i), 60_000))
 		testbed.Wait(t, "the offer", w.minions[0].Starts)
 	}
-	w.feed.Add(false, w.minions[0].Member("draining"))
-	w.feed.Heard(t)
+	w.feed.Add(false, w.minions[0].ListEntry("draining"))
+	w.feed.WaitPolled(t)
 	for i, class := range []string{"guide-web", "archive-cut"} { // these never leave
-		testbed.Send(o, testbed.SetUp(testbed.Tag(i+3), class, fmt.Sprint("ok-", i), 60_000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(i+3), class, fmt.Sprint("ok-", i), 60_000))
 	}
 	w.until(t, "all are open", func() bool { return w.c.OpenCount() == 4 })
-	next := testbed.NewFeed(t)
-	next.Take(w.feed)
+	next := testbed.NewDiscovery(t)
+	next.CopyFrom(w.feed)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText(next)), 0o600); err != nil {
 		t.Fatal(err)
@@ -365,7 +365,7 @@
 		}
 		got[l.Tag] = l.Cause()
 	}
-	want := map[string]int{testbed.Tag(1): 34, testbed.Tag(2): 47, testbed.Tag(3): 34, testbed.Tag(4): 34}
+	want := map[string]int{testbed.RequestID(1): 34, testbed.RequestID(2): 47, testbed.RequestID(3): 34, testbed.RequestID(4): 34}
 	if !maps.Equal(got, want) {
 		t.Errorf("answered %v, expected %v", got, want)
 	}
@@ -412,7 +412,7 @@
 			return ln.Addr().String(), came
 		}},
 		{"connections to it never come up", func(t *testing.T) (string, <-chan net.Conn) {
-			link := testbed.NewLink(t, testbed.NewMinion(t, "nobody"))
+			link := testbed.NewProxy(t, testbed.NewWorker(t, "nobody"))
 			link.Cut(t)
 			return link.Addr(), nil
 		}},
@@ -420,9 +420,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, again := c.channel(t)
-			m := testbed.NewMinion(t, "a")
-			f := testbed.NewFeed(t)
-			f.Add(true, m.Member("up"))
+			m := testbed.NewWorker(t, "a")
+			f := testbed.NewDiscovery(t)
+			f.Add(true, m.ListEntry("up"))
 			cfg, err := config.Parse([]byte(strings.Replace(configText(f), f.Srv.Listener.Addr().String(), addr, 1)))
 			if err != nil {
 				t.Fatal(err)
@@ -433,12 +433,12 @@
 			}
 			done := make(chan error, 1)
 			go func() { done <- p.Run() }()
-			o, held := testbed.NewOwner(t, p.addr), testbed.NewOwner(t, p.addr)
+			o, held := testbed.NewClient(t, p.addr), testbed.NewClient(t, p.addr)
 			for i := range 200 { // of a start, all at once
-				testbed.Send(held, running(testbed.Tag(100+i), "a"))
+				testbed.Send(held, running(testbed.RequestID(100+i), "a"))
 			}
 			asked(t, o)
-			testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+			testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 				t.Errorf("got %v", l)
 			}
@@ -457,9 +457,9 @@
 // who reads slowly has a moment for that.
 func TestAnsweredAtTheDrainTimeout(t *testing.T) {
 	w := newWorldSet(t, settingsWith(t, change{"RequestClasses.0.DeadlineUs", 500_000}, change{"RequestClasses.1.DeadlineUs", 500_000}),
-		config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+		config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
 	o := slowReader(t, w)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "archive-cut", "silent-1", 60_000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "archive-cut", "silent-1", 60_000))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	after := make(chan bool, 1)
 	var look func()
@@ -492,9 +492,9 @@
 			}
 			defer ln.Close()
 			w := newWorldSet(t, settingsWith(t, change{"RequestClasses.0.DeadlineUs", 500_000}, change{"RequestClasses.1.DeadlineUs", 500_000}),
-				config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
-			w.minions[0].Shut()
-			w.feed.Add(false, w.minions[0].MemberAt("up", ln.Addr().String()))
+				config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
+			w.minions[0].CloseGracefully()
+			w.feed.Add(false, w.minions[0].ListEntryAt("up", ln.Addr().String()))
 			node, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -502,12 +502,12 @@
 			node.SetReadDeadline(time.Now().Add(testbed.Patience))
 			r := bufio.NewReader(node)
 			if out {
-				testbed.Send(w.owner(t), testbed.SetUp(testbed.Tag(1), "archive-cut", "k", 60_000))
+				testbed.Send(w.owner(t), testbed.StartLine(testbed.RequestID(1), "archive-cut", "k", 60_000))
 				if b, err := r.ReadString('\n'); err != nil || !strings.Contains(b, "START") {
 					t.Fatalf("the offer is %q, %v", b, err)
 				}
 				// Its last word comes after the offer: what is given up is written.
-				testbed.Send(node, testbed.Line{Verb: "NOTICE", Tag: testbed.Tag(0), Opts: map[string]string{"note": "up", "value": "0"}})
+				testbed.Send(node, testbed.Line{Verb: "NOTICE", Tag: testbed.RequestID(0), Opts: map[string]string{"note": "up", "value": "0"}})
 			}
 			w.Stop()
 			testbed.Wait(t, "the end", w.over)
@@ -529,7 +529,7 @@
 	}{
 		{"half a set-up has come", false, func(t *testing.T, w *world) func() {
 			o := w.owner(t)
-			b, err := json.Marshal(testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+			b, err := json.Marshal(testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -545,7 +545,7 @@
 		}},
 		{"an answer lies behind what its owner has not read", false, func(t *testing.T, w *world) func() {
 			o := slowReader(t, w)
-			testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+			testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			w.until(t, "a task", func() bool { return w.c.RunningCount() == 1 })
 			return func() {
 				o.SetReadDeadline(time.Now().Add(testbed.Patience))
@@ -559,27 +559,27 @@
 		}},
 		{"a release was not heard", false, func(t *testing.T, w *world) func() {
 			o := w.owner(t)
-			testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+			testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 				t.Fatalf("got %v", l)
 			}
 			w.minions[0].Vanish()
-			testbed.Send(o, testbed.Finish("FINISH", testbed.Tag(1), 16))
+			testbed.Send(o, testbed.FinishLine("FINISH", testbed.RequestID(1), 16))
 			asked(t, o)
-			return func() { w.minions[0].End(testbed.Tag(1), 31) }
+			return func() { w.minions[0].End(testbed.RequestID(1), 31) }
 		}},
 		{"an end has found no owner", true, func(t *testing.T, w *world) func() {
 			o := w.owner(t)
-			testbed.Send(o, running(testbed.Tag(1), "a"))
+			testbed.Send(o, running(testbed.RequestID(1), "a"))
 			asked(t, o)
 			o.Close()
 			w.until(t, "no owner", func() bool { return w.front.Connections() == 0 })
-			w.minions[0].End(testbed.Tag(1), 16)
+			w.minions[0].End(testbed.RequestID(1), 16)
 			w.until(t, "the end here", w.front.HasUndelivered)
 			return func() {
 				o := w.owner(t)
 				testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
-				wantCause(t, "the end", o, testbed.Tag(1), 16)
+				wantCause(t, "the end", o, testbed.RequestID(1), 16)
 			}
 		}},
 	} {
--- a/cmd/ravenhitch/full_table_test.go
+++ b/cmd/ravenhitch/full_table_test.go
@@ -22,7 +22,7 @@
 }
 
 // queued connects so many clients at once, while the loop stands: all are new to it.
-func (w *world) queued(t *testing.T, count int) (bad []*testbed.Owner) {
+func (w *world) queued(t *testing.T, count int) (bad []*testbed.Client) {
 	t.Helper()
 	here, on := make(chan bool), make(chan bool)
 	w.l.Post(func() {
@@ -42,24 +42,24 @@
 func TestEndInAFullTable(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		say  func(t *testing.T, w *world, i int, bad *testbed.Owner)
+		say  func(t *testing.T, w *world, i int, bad *testbed.Client)
 	}{
-		{"of clients that never ask", func(*testing.T, *world, int, *testbed.Owner) {}},
-		{"of clients that ask what can't be used, and never read", func(_ *testing.T, _ *world, i int, bad *testbed.Owner) {
-			testbed.Send(bad, testbed.SetUp(testbed.Tag(100+i), "no-such-class", "ok-bad", 5000))
+		{"of clients that never ask", func(*testing.T, *world, int, *testbed.Client) {}},
+		{"of clients that ask what can't be used, and never read", func(_ *testing.T, _ *world, i int, bad *testbed.Client) {
+			testbed.Send(bad, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
 		}},
-		{"of clients half of which wait for an answer, and never read", func(_ *testing.T, _ *world, i int, bad *testbed.Owner) {
+		{"of clients half of which wait for an answer, and never read", func(_ *testing.T, _ *world, i int, bad *testbed.Client) {
 			if i >= tableSize/2 {
 				return
 			}
-			testbed.Send(bad, testbed.SetUp(testbed.Tag(100+i), "archive-cut", fmt.Sprint("silent-", i), 8000))
+			testbed.Send(bad, testbed.StartLine(testbed.RequestID(100+i), "archive-cut", fmt.Sprint("silent-", i), 8000))
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := newWorldLimited(t, 64, "a")
 			client := w.owner(t)
-			testbed.Send(client, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if l := testbed.Wait(t, "the answer", client.Lines); l.Verb != "STARTED" {
 				t.Fatalf("got %v", l)
 			}
@@ -69,8 +69,8 @@
 			}
 			w.until(t, "a full table", func() bool { return w.l.HasQueuedConnections() || w.front.Connections() == tableSize })
 			w.on(t, func() {}) // and a turn in which some wait
-			w.minions[0].End(testbed.Tag(1), 16)
-			if l := testbed.Wait(t, "the end", client.Lines); l.Tag != testbed.Tag(1) || l.Cause() != 16 {
+			w.minions[0].End(testbed.RequestID(1), 16)
+			if l := testbed.Wait(t, "the end", client.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != 16 {
 				t.Errorf("got %v", l)
 			}
 		})
@@ -82,7 +82,7 @@
 func TestEndIsNotToldToAnybody(t *testing.T) {
 	w := newWorldLimited(t, 64, "a")
 	client := w.owner(t)
-	testbed.Send(client, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if l := testbed.Wait(t, "the answer", client.Lines); l.Verb != "STARTED" {
 		t.Fatalf("got %v", l)
 	}
@@ -90,16 +90,16 @@
 	w.until(t, "no client", func() bool { return w.front.Connections() == 0 })
 	bad := w.queued(t, tableSize)
 	for i, o := range bad {
-		testbed.Send(o, testbed.SetUp(testbed.Tag(100+i), "no-such-class", "ok-bad", 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
 		if l := testbed.Wait(t, "the error", o.Lines); l.Cause() != 47 {
 			t.Fatalf("got %v", l)
 		}
 	}
-	w.minions[0].End(testbed.Tag(1), 16)
+	w.minions[0].End(testbed.RequestID(1), 16)
 	w.until(t, "the end here", func() bool { return w.c.RunningCount() == 0 })
 	again := w.owner(t)
 	testbed.Send(again, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
-	if l := testbed.Wait(t, "the end", again.Lines); l.Tag != testbed.Tag(1) || l.Cause() != 16 {
+	if l := testbed.Wait(t, "the end", again.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != 16 {
 		t.Errorf("got %v", l)
 	}
 	for _, o := range bad {
--- a/cmd/ravenhitch/giveup_test.go
+++ b/cmd/ravenhitch/giveup_test.go
@@ -20,9 +20,9 @@
 // field is a world whose minions are reached by links.
 type field struct {
 	*world
-	*testbed.Owner
-	links    map[string]*testbed.Link
-	attempts *testbed.Attempts
+	*testbed.Client
+	links    map[string]*testbed.Proxy
+	attempts *testbed.AttemptLog
 	tags     int
 	got      map[string]string // first words to owners, by tag
 	early    *early
@@ -86,13 +86,13 @@
 func newField(t *testing.T, minions ...string) *field { return newFieldOf(t, settingsText, minions...) }
 
 func newFieldOf(t *testing.T, settings string, minions ...string) *field {
-	f := &field{links: map[string]*testbed.Link{}, attempts: testbed.NewAttempts(), got: map[string]string{},
+	f := &field{links: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), got: map[string]string{},
 		early: &early{Handler: slog.DiscardHandler, gone: map[string]int64{}}}
-	f.world = newWorldSet(t, settings, config.Operators{}, 1024, slog.New(f.early), func(m *testbed.Minion) {
+	f.world = newWorldSet(t, settings, config.Operators{}, 1024, slog.New(f.early), func(m *testbed.Worker) {
 		m.Attempts = f.attempts
-		f.links[m.Name] = testbed.NewLink(t, m)
+		f.links[m.Name] = testbed.NewProxy(t, m)
 	}, minions...)
-	f.Owner = f.world.owner(t)
+	f.Client = f.world.owner(t)
 	// Quick answers, so that later attempts are given up early and many are out at a time.
 	f.answered(t, f.ask("ok", 1, 5000)) // from then on the owner may have many set-ups open
 	f.allTaken(t, f.ask("ok", 16*len(minions), 5000))
@@ -114,8 +114,8 @@
 func (f *field) ask(kind string, n, leftMs int) (tags []string) {
 	for range n {
 		f.tags++
-		tag := testbed.Tag(f.tags)
-		l := testbed.SetUp(tag, "guide-web", fmt.Sprintf("%s-%d", kind, f.tags), leftMs)
+		tag := testbed.RequestID(f.tags)
+		l := testbed.StartLine(tag, "guide-web", fmt.Sprintf("%s-%d", kind, f.tags), leftMs)
 		l.Opts["extras"] = "cores:0.05;memory:0.1;service:00000000b4d65521"
 		testbed.Send(f, l)
 		tags = append(tags, tag)
@@ -178,10 +178,10 @@
 // back offers tasks until one stands at a minion beyond those that do.
 func (f *field) back(t *testing.T, minion string) {
 	t.Helper()
-	before := len(f.attempts.Standing(minion))
+	before := len(f.attempts.Running(minion))
 	f.soon(t, "a task at "+minion, func() bool {
 		f.answered(t, f.ask("ok", 4, 5000))
-		return len(f.attempts.Standing(minion)) > before
+		return len(f.attempts.Running(minion)) > before
 	})
 }
 
@@ -236,7 +236,7 @@
 			f.said(t, silent)
 			f.links["a"].Cut(t)
 			for _, tag := range silent {
-				testbed.Send(f, testbed.Finish("FINISH", tag, 16))
+				testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
 			}
 			f.soon(t, "no attempt out", func() bool { return len(f.attempts.Open()) == 0 })
 		}},
@@ -245,9 +245,9 @@
 		{"moved to another address", []string{"a", "b"}, func(t *testing.T, f *field) {
 			missed := f.ask("missed", 4, 3000)
 			f.said(t, missed)
-			next := testbed.NewMinion(t, "a")
+			next := testbed.NewWorker(t, "a")
 			next.Attempts = f.attempts
-			f.feed.Add(false, next.Member("up"))
+			f.feed.Add(false, next.ListEntry("up"))
 			f.allTaken(t, missed)
 		}},
 		// At the end of the program, what is open is given up before its owners are told.
@@ -260,9 +260,9 @@
 		}},
 		// A release goes out again where the connection that it was written to is gone.
 		{"released into a cut that heals", []string{"a", "b"}, func(t *testing.T, f *field) {
-			tag := f.attempts.Standing("a")[0]
+			tag := f.attempts.Running("a")[0]
 			f.links["a"].Cut(t)
-			testbed.Send(f, testbed.Finish("FINISH", tag, 16))
+			testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
 			f.answered(t, f.ask("ok", 40, 5000)) // the end of some takes back what lies in the cut
 			f.links["a"].Heal(t)
 			for testbed.Wait(t, "the release", f.minions[0].Ends).Tag != tag {
@@ -272,36 +272,36 @@
 		// end there and on the next connection opened, which there must be, although the
 		// one that is there is busy.
 		{"ended on a connection that is gone", []string{"a", "b"}, func(t *testing.T, f *field) {
-			tag := f.attempts.Standing("a")[0]
+			tag := f.attempts.Running("a")[0]
 			f.links["a"].Cut(t)
 			f.answered(t, f.ask("ok", 40, 5000))
 			f.links["a"].Heal(t)
 			f.back(t, "a")
-			f.minions[0].Tell(tag, 16)
+			f.minions[0].SendFinish(tag, 16)
 			for l := f.take(t); l.Tag != tag || l.Verb != "FINISH"; l = f.take(t) {
 			}
 		}},
 		// An end crosses the close of an older connection, on which the minion has just
 		// answered: it is told again on the next one opened, which there must be.
 		{"ended as an older connection is closed", []string{"a"}, func(t *testing.T, f *field) {
-			tag := f.attempts.Standing("a")[0]
+			tag := f.attempts.Running("a")[0]
 			f.tags++
-			late := testbed.Tag(f.tags) // of a class whose attempts are not given up early
-			testbed.Send(f, testbed.SetUp(late, "archive-cut", "silent-late", 10_000))
+			late := testbed.RequestID(f.tags) // of a class whose attempts are not given up early
+			testbed.Send(f, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
 			f.soon(t, "the offer", func() bool { return slices.Contains(f.attempts.Open(), late) })
-			dials, _ := f.minions[0].Dials()
+			dials, _ := f.minions[0].DialCounts()
 			f.soon(t, "another connection", func() bool { // once the minion is silent for long
 				time.Sleep(450 * time.Millisecond) // the owner's pace, and the minion's silence
 				f.ask("ok", 1, 5000)
-				now, _ := f.minions[0].Dials()
+				now, _ := f.minions[0].DialCounts()
 				return now > dials
 			})
 			f.links["a"].Delay(300 * time.Millisecond)
-			f.minions[0].Yes(late)
+			f.minions[0].Accept(late)
 			for f.got[late] == "" {
 				f.take(t)
 			}
-			f.minions[0].Tell(tag, 16)
+			f.minions[0].SendFinish(tag, 16)
 			for l := f.take(t); l.Tag != tag || l.Verb != "FINISH"; l = f.take(t) {
 			}
 		}},
@@ -317,7 +317,7 @@
 			if len(f.early.notes) > 0 {
 				t.Errorf("%d offers too early, as %s", len(f.early.notes), f.early.notes[0])
 			}
-			if copies := f.attempts.Copies(); len(copies) > 0 {
+			if copies := f.attempts.Duplicates(); len(copies) > 0 {
 				t.Errorf("%d copies, as %s", len(copies), copies[0])
 			}
 		})
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -15,53 +15,53 @@
 const heapSlack = 96 << 10
 
 // endings are the ways in which a request or a task ends on sockets. Each plays one.
-var endings = map[string]func(t *testing.T, w *world, o *testbed.Owner, tag string){
-	"stood and ended": func(t *testing.T, w *world, o *testbed.Owner, tag string) {
+var endings = map[string]func(t *testing.T, w *world, o *testbed.Client, tag string){
+	"stood and ended": func(t *testing.T, w *world, o *testbed.Client, tag string) {
 		setUpFor(t, o, tag, "ok-1", "STARTED")
 		w.minions[0].End(tag, 16)
 		endOf(t, o, tag)
 	},
-	"released by its client": func(t *testing.T, w *world, o *testbed.Owner, tag string) {
+	"released by its client": func(t *testing.T, w *world, o *testbed.Client, tag string) {
 		setUpFor(t, o, tag, "ok-1", "STARTED")
-		testbed.Send(o, testbed.Finish("FINISH", tag, 16))
+		testbed.Send(o, testbed.FinishLine("FINISH", tag, 16))
 		if l := testbed.Wait(t, "the word on the release", o.Lines); l.Verb != "FINISHED" {
 			t.Fatalf("got %v", l)
 		}
 		w.until(t, "its end", func() bool { return w.c.RunningCount() == 0 && !w.nodes.HasUnconfirmedReleases() })
 	},
-	"over before its yes": func(t *testing.T, _ *world, o *testbed.Owner, tag string) {
+	"over before its yes": func(t *testing.T, _ *world, o *testbed.Client, tag string) {
 		setUpFor(t, o, tag, "brief-1", "STARTED")
 		endOf(t, o, tag)
 	},
-	"withdrawn": func(t *testing.T, w *world, o *testbed.Owner, tag string) {
-		testbed.Send(o, testbed.SetUp(tag, "archive-cut", "silent-1", 5000))
+	"withdrawn": func(t *testing.T, w *world, o *testbed.Client, tag string) {
+		testbed.Send(o, testbed.StartLine(tag, "archive-cut", "silent-1", 5000))
 		testbed.Wait(t, "the offer", w.minions[0].Starts)
-		testbed.Send(o, testbed.Finish("FINISH", tag, 16))
+		testbed.Send(o, testbed.FinishLine("FINISH", tag, 16))
 		if l := testbed.Wait(t, "the word on the withdrawal", o.Lines); l.Verb != "FINISHED" {
 			t.Fatalf("got %v", l)
 		}
 	},
-	"its client's connection closed": func(t *testing.T, w *world, _ *testbed.Owner, tag string) {
+	"its client's connection closed": func(t *testing.T, w *world, _ *testbed.Client, tag string) {
 		leaver, err := testbed.Dial(w.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		testbed.Send(leaver, testbed.SetUp(tag, "archive-cut", "silent-1", 5000))
+		testbed.Send(leaver, testbed.StartLine(tag, "archive-cut", "silent-1", 5000))
 		testbed.Wait(t, "the offer", w.minions[0].Starts)
 		leaver.Close()
 		w.until(t, "it left", func() bool { return w.c.OpenCount() == 0 })
 	},
 }
 
-func setUpFor(t *testing.T, o *testbed.Owner, tag, task, verb string) {
+func setUpFor(t *testing.T, o *testbed.Client, tag, task, verb string) {
 	t.Helper()
-	testbed.Send(o, testbed.SetUp(tag, "guide-web", task, 5000))
+	testbed.Send(o, testbed.StartLine(tag, "guide-web", task, 5000))
 	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != verb || l.Tag != tag {
 		t.Fatalf("got %v", l)
 	}
 }
 
-func endOf(t *testing.T, o *testbed.Owner, tag string) {
+func endOf(t *testing.T, o *testbed.Client, tag string) {
 	t.Helper()
 	if l := testbed.Wait(t, "the end", o.Lines); l.Verb != "FINISH" || l.Tag != tag {
 		t.Fatalf("got %v", l)
@@ -69,7 +69,7 @@
 }
 
 // drained takes what a worker notes, so that it never waits for the test.
-func drained(m *testbed.Minion) {
+func drained(m *testbed.Worker) {
 	for {
 		select {
 		case <-m.Starts:
@@ -94,10 +94,10 @@
 func (w *world) settled(t *testing.T) int64 {
 	t.Helper()
 	m := w.minions[0]
-	before, _ := m.Dials()
-	m.HangUp()
+	before, _ := m.DialCounts()
+	m.CloseConnections()
 	w.until(t, "new connections to the worker", func() bool {
-		dials, open := m.Dials()
+		dials, open := m.DialCounts()
 		return dials > before && open == dials-before
 	})
 	w.until(t, "nothing is owed", func() bool {
@@ -119,7 +119,7 @@
 				if i == *endingsPlayed/2 {
 					before = w.settled(t)
 				}
-				end(t, w, o, testbed.Tag(i+1))
+				end(t, w, o, testbed.RequestID(i+1))
 				drained(w.minions[0])
 			}
 			grown := w.settled(t) - before
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -136,12 +136,12 @@
 		}
 		// Every bound task comes to its end, each with its own cause.
 		for i, rc := range []int{16, 41} {
-			w.minions[0].End(testbed.Tag([]int{1, 3}[i]), rc)
+			w.minions[0].End(testbed.RequestID([]int{1, 3}[i]), rc)
 			outcomes = append(outcomes, next())
 		}
 		// One minion drains: what is offered from then on goes to the other only.
-		w.feed.Add(false, w.minions[0].Member("draining"))
-		w.feed.Heard(t)
+		w.feed.Add(false, w.minions[0].ListEntry("draining"))
+		w.feed.WaitPolled(t)
 		before := len(w.minions[0].Starts)
 		for i := range 10 {
 			outcomes = append(outcomes, place(100+i, "guide-web", fmt.Sprintf("ok-drain-%d", i)))
@@ -151,7 +151,7 @@
 	// The second minion comes with the drain, so that the first takes all before it.
 	prepare := func(t *testing.T) *world {
 		w := newWorld(t, "a")
-		w.minions = append(w.minions, testbed.NewMinion(t, "b"))
+		w.minions = append(w.minions, testbed.NewWorker(t, "b"))
 		return w
 	}
 	var outcomes [2][]string
@@ -162,10 +162,10 @@
 		o := w.owner(t)
 		outcomes[0], counts[0], drains[0] = play(t, w, func(n int, class, task string) string {
 			if n == 100 {
-				w.feed.Add(false, w.minions[1].Member("up"))
-				w.feed.Heard(t)
+				w.feed.Add(false, w.minions[1].ListEntry("up"))
+				w.feed.WaitPolled(t)
 			}
-			testbed.Send(o, testbed.SetUp(testbed.Tag(n), class, task, waitFor(task)))
+			testbed.Send(o, testbed.StartLine(testbed.RequestID(n), class, task, waitFor(task)))
 			l := testbed.Wait(t, task, o.Lines)
 			switch {
 			case l.Verb == "STARTED":
@@ -187,10 +187,10 @@
 		s := w.session(t, "s", 0)
 		outcomes[1], counts[1], drains[1] = play(t, w, func(n int, class, task string) string {
 			if n == 100 {
-				w.feed.Add(false, w.minions[1].Member("up"))
-				w.feed.Heard(t)
+				w.feed.Add(false, w.minions[1].ListEntry("up"))
+				w.feed.WaitPolled(t)
 			}
-			s.offer(t, offer(testbed.Tag(n), class, task, uint32(waitFor(task))))
+			s.offer(t, offer(testbed.RequestID(n), class, task, uint32(waitFor(task))))
 			m := testbed.Wait(t, task, s.got)
 			switch {
 			case m.GetBinding() != nil:
@@ -225,7 +225,7 @@
 func TestBindingUnread(t *testing.T) {
 	w := newWorld(t, "a")
 	first := w.session(t, "s", 0)
-	first.offer(t, offer(testbed.Tag(1), "archive-cut", "ok-cut", 5000))
+	first.offer(t, offer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
 	binding := testbed.Wait(t, "the binding", first.got).GetBinding()
 	first.drop() // the client never looked at it
 	for range first.got {
@@ -238,22 +238,22 @@
 	// One after the other: streams may overtake each other, and the last gets the end.
 	other := w.session(t, "another", 0)
 	for i, s := range []*session{again, again, other} {
-		s.offer(t, offer(testbed.Tag(1+i%2), "archive-cut", "ok-cut", 5000))
+		s.offer(t, offer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
 		if got := testbed.Wait(t, "a repeat's answer", s.got).GetBinding(); got.GetDescription() != binding.GetDescription() ||
 			got.GetNode() != "a" {
 			t.Errorf("repeat %d got %v", i, got)
 		}
 	}
-	w.minions[0].End(testbed.Tag(1), 16)
+	w.minions[0].End(testbed.RequestID(1), 16)
 	if e := testbed.Wait(t, "the end", other.got).GetEnded(); e.GetHow() != edgepb.Ended_HOW_DONE {
 		t.Errorf("the end is %v", e)
 	}
 	// A repeat that comes after the end starts nothing either.
-	other.offer(t, offer(testbed.Tag(1), "archive-cut", "ok-cut", 5000))
+	other.offer(t, offer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
 	if r := testbed.Wait(t, "the late repeat's answer", other.got).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
 		t.Errorf("the late repeat got %v", r)
 	}
-	if n := w.minions[0].Counted("ok-cut"); n != 1 {
+	if n := w.minions[0].StartCount("ok-cut"); n != 1 {
 		t.Errorf("the task was started %d times", n)
 	}
 }
@@ -262,7 +262,7 @@
 func TestAnswerWhileAway(t *testing.T) {
 	w := newWorld(t, "a")
 	first := w.session(t, "s", 0)
-	first.offer(t, offer(testbed.Tag(1), "guide-web", "silent-x", 600))
+	first.offer(t, offer(testbed.RequestID(1), "guide-web", "silent-x", 600))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	first.drop()
 	for range first.got {
@@ -278,32 +278,32 @@
 func TestDrainUnderBothFronts(t *testing.T) {
 	w := newWorld(t, "a")
 	o, s := w.owner(t), w.session(t, "s", 0)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-j0", 5000))
-	s.offer(t, offer(testbed.Tag(2), "guide-web", "ok-g0", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-j0", 5000))
+	s.offer(t, offer(testbed.RequestID(2), "guide-web", "ok-g0", 5000))
 	testbed.Wait(t, "an answer", o.Lines)
 	testbed.Wait(t, "a binding", s.got)
-	b := testbed.NewMinion(t, "b")
-	w.feed.Add(false, b.Member("up"), w.minions[0].Member("draining"))
-	w.feed.Heard(t)
+	b := testbed.NewWorker(t, "b")
+	w.feed.Add(false, b.ListEntry("up"), w.minions[0].ListEntry("draining"))
+	w.feed.WaitPolled(t)
 	before := len(w.minions[0].Starts)
 	for i := range 8 {
-		testbed.Send(o, testbed.SetUp(testbed.Tag(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
-		s.offer(t, offer(testbed.Tag(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
+		s.offer(t, offer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
 	}
-	w.minions[0].End(testbed.Tag(1), 41)
-	w.minions[0].End(testbed.Tag(2), 41)
+	w.minions[0].End(testbed.RequestID(1), 41)
+	w.minions[0].End(testbed.RequestID(2), 41)
 	started, ended := 0, 0
 	for started+ended < 9 {
 		if l := testbed.Wait(t, "json lines", o.Lines); l.Verb == "STARTED" {
 			started++
-		} else if l.Tag == testbed.Tag(1) && l.Cause() == 41 {
+		} else if l.Tag == testbed.RequestID(1) && l.Cause() == 41 {
 			ended++
 		}
 	}
 	for started+ended < 18 {
 		if m := testbed.Wait(t, "grpc", s.got); m.GetBinding().GetNode() == "b" {
 			started++
-		} else if m.GetEnded().GetOfferId() == testbed.Tag(2) && m.GetEnded().GetHow() == edgepb.Ended_HOW_LOST {
+		} else if m.GetEnded().GetOfferId() == testbed.RequestID(2) && m.GetEnded().GetHow() == edgepb.Ended_HOW_LOST {
 			ended++
 		}
 	}
@@ -326,19 +326,19 @@
 		o    *edgepb.Offer
 		want codes.Code
 	}{
-		{"bound", offer(testbed.Tag(1), "guide-web", "ok-1", 0), codes.OK},
-		{"refused", offer(testbed.Tag(2), "guide-web", "full-1", 0), codes.ResourceExhausted},
-		{"failed", offer(testbed.Tag(3), "archive-cut", "error-1", 0), codes.Unknown},
+		{"bound", offer(testbed.RequestID(1), "guide-web", "ok-1", 0), codes.OK},
+		{"refused", offer(testbed.RequestID(2), "guide-web", "full-1", 0), codes.ResourceExhausted},
+		{"failed", offer(testbed.RequestID(3), "archive-cut", "error-1", 0), codes.Unknown},
 		{"bad id", offer("12", "guide-web", "ok-2", 0), codes.InvalidArgument},
-		{"no task", offer(testbed.Tag(4), "guide-web", "", 0), codes.InvalidArgument},
-		{"unknown class", offer(testbed.Tag(5), "nightly", "ok-3", 0), codes.InvalidArgument},
-		{"no size", edit(offer(testbed.Tag(6), "guide-web", "ok-4", 0), func(o *edgepb.Offer) { o.Cores, o.Memory = 0, 0 }), codes.InvalidArgument},
-		{"a negative size", edit(offer(testbed.Tag(7), "guide-web", "ok-5", 0), func(o *edgepb.Offer) { o.Cores = -1 }), codes.InvalidArgument},
-		{"bad service", edit(offer(testbed.Tag(8), "guide-web", "ok-6", 0), func(o *edgepb.Offer) { o.Service = "x" }), codes.InvalidArgument},
-		{"long description", edit(offer(testbed.Tag(9), "guide-web", "ok-7", 0), func(o *edgepb.Offer) { o.Description = string(long) }), codes.InvalidArgument},
-		{"an endless wait", edit(offer(testbed.Tag(60), "guide-web", "ok-60", 0), func(o *edgepb.Offer) { o.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
-		{"never fits", edit(offer(testbed.Tag(10), "guide-web", "ok-8", 0), func(o *edgepb.Offer) { o.Cores = 1000 }), codes.ResourceExhausted},
-		{"another task's id", offer(testbed.Tag(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
+		{"no task", offer(testbed.RequestID(4), "guide-web", "", 0), codes.InvalidArgument},
+		{"unknown class", offer(testbed.RequestID(5), "nightly", "ok-3", 0), codes.InvalidArgument},
+		{"no size", edit(offer(testbed.RequestID(6), "guide-web", "ok-4", 0), func(o *edgepb.Offer) { o.Cores, o.Memory = 0, 0 }), codes.InvalidArgument},
+		{"a negative size", edit(offer(testbed.RequestID(7), "guide-web", "ok-5", 0), func(o *edgepb.Offer) { o.Cores = -1 }), codes.InvalidArgument},
+		{"bad service", edit(offer(testbed.RequestID(8), "guide-web", "ok-6", 0), func(o *edgepb.Offer) { o.Service = "x" }), codes.InvalidArgument},
+		{"long description", edit(offer(testbed.RequestID(9), "guide-web", "ok-7", 0), func(o *edgepb.Offer) { o.Description = string(long) }), codes.InvalidArgument},
+		{"an endless wait", edit(offer(testbed.RequestID(60), "guide-web", "ok-60", 0), func(o *edgepb.Offer) { o.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
+		{"never fits", edit(offer(testbed.RequestID(10), "guide-web", "ok-8", 0), func(o *edgepb.Offer) { o.Cores = 1000 }), codes.ResourceExhausted},
+		{"another task's id", offer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
@@ -364,18 +364,18 @@
 			}
 		})
 	}
-	if n := w.minions[0].Counted("error-1"); n != 1 {
+	if n := w.minions[0].StartCount("error-1"); n != 1 {
 		t.Errorf("a task that must not start twice was offered %d times after an error", n)
 	}
 	t.Run("deadline", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := c.Place(ctx, offer(testbed.Tag(20), "archive-cut", "silent-1", 0))
+		_, err := c.Place(ctx, offer(testbed.RequestID(20), "archive-cut", "silent-1", 0))
 		if code := status.Code(err); code != codes.Unknown && code != codes.DeadlineExceeded || time.Since(began) > 5*time.Second {
 			t.Errorf("got %v", err)
 		}
-		givenUp(t, w.minions[0], testbed.Tag(20))
+		givenUp(t, w.minions[0], testbed.RequestID(20))
 	})
 	t.Run("cancelled", func(t *testing.T) {
 		for len(w.minions[0].Starts) > 0 {
@@ -384,10 +384,10 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		errs := make(chan error, 1)
 		go func() {
-			_, err := c.Place(ctx, offer(testbed.Tag(21), "archive-cut", "silent-2", 0))
+			_, err := c.Place(ctx, offer(testbed.RequestID(21), "archive-cut", "silent-2", 0))
 			errs <- err
 		}()
-		for testbed.Wait(t, "the offer", w.minions[0].Starts).Tag != testbed.Tag(21) {
+		for testbed.Wait(t, "the offer", w.minions[0].Starts).Tag != testbed.RequestID(21) {
 		}
 		cancel()
 		if err := testbed.Wait(t, "the call's end", errs); status.Code(err) != codes.Canceled {
@@ -397,17 +397,17 @@
 		// attempt up for sure.
 		// Nothing came on the connection since the offer: a release written there may
 		// never arrive, and only the close gives the attempt up for sure.
-		for testbed.Wait(t, "the close", w.minions[0].Cut).Tag != testbed.Tag(21) {
+		for testbed.Wait(t, "the close", w.minions[0].Cut).Tag != testbed.RequestID(21) {
 		}
 	})
 	t.Run("release", func(t *testing.T) {
-		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.Tag(1)}); err != nil {
+		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); err != nil {
 			t.Error(err)
 		}
-		if l := testbed.Wait(t, "the release", w.minions[0].Ends); l.Tag != testbed.Tag(1) {
+		if l := testbed.Wait(t, "the release", w.minions[0].Ends); l.Tag != testbed.RequestID(1) {
 			t.Errorf("the minion got %v", l)
 		}
-		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.Tag(99)}); status.Code(err) != codes.NotFound {
+		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(99)}); status.Code(err) != codes.NotFound {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -431,22 +431,22 @@
 	if r := testbed.Wait(t, "a bad offer's answer", s.got).GetRejection(); codes.Code(r.GetCode()) != codes.InvalidArgument {
 		t.Errorf("a bad offer got %v", r)
 	}
-	s.offer(t, offer(testbed.Tag(1), "guide-web", "full-1", 0))
+	s.offer(t, offer(testbed.RequestID(1), "guide-web", "full-1", 0))
 	if r := testbed.Wait(t, "a refusal", s.got).GetRejection(); r.GetRetryAfterMs() == 0 {
 		t.Errorf("a refusal without advice: %v", r)
 	}
-	s.offer(t, offer(testbed.Tag(2), "guide-web", "silent-1", 5000))
-	s.release(t, testbed.Tag(2))
+	s.offer(t, offer(testbed.RequestID(2), "guide-web", "silent-1", 5000))
+	s.release(t, testbed.RequestID(2))
 	if r := testbed.Wait(t, "the withdrawal", s.got).GetRejection(); codes.Code(r.GetCode()) != codes.Canceled {
 		t.Errorf("a withdrawn offer got %v", r)
 	}
-	s.offer(t, offer(testbed.Tag(3), "guide-web", "ok-1", 0))
+	s.offer(t, offer(testbed.RequestID(3), "guide-web", "ok-1", 0))
 	testbed.Wait(t, "a binding", s.got)
-	s.release(t, testbed.Tag(3))
+	s.release(t, testbed.RequestID(3))
 	if e := testbed.Wait(t, "the end", s.got).GetEnded(); e.GetHow() != edgepb.Ended_HOW_RELEASED {
 		t.Errorf("a released task ended with %v", e)
 	}
-	s.offer(t, offer(testbed.Tag(4), "guide-web", "ok-2", 0))
+	s.offer(t, offer(testbed.RequestID(4), "guide-web", "ok-2", 0))
 	if err := s.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
@@ -465,16 +465,16 @@
 func TestStop(t *testing.T) {
 	w := newWorld(t, "a")
 	early := w.owner(t)
-	testbed.Send(early, testbed.SetUp(testbed.Tag(1), "guide-web", "silent-1", 1200))
+	testbed.Send(early, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1200))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	w.Stop()
 	w.on(t, func() {}) // the word was heard
 	late := w.owner(t)
-	testbed.Send(late, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-1", 5000))
+	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-1", 5000))
 	if l := testbed.Wait(t, "the late owner's answer", late.Lines); l.Verb != "STARTED" {
 		t.Errorf("the late owner got %v", l)
 	}
-	if l := testbed.Wait(t, "the early owner's answer", early.Lines); l.Verb != "FINISH" || l.Tag != testbed.Tag(1) {
+	if l := testbed.Wait(t, "the early owner's answer", early.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(1) {
 		t.Errorf("the early owner got %v", l)
 	}
 	if err := testbed.Wait(t, "the end", w.over); err != nil {
@@ -512,7 +512,7 @@
 	w := newWorldWith(t, config.Operators{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
 		Collectd: config.Metrics{Address: path, Prefix: "edge", EveryMs: 100}}, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
 	for _, want := range []string{"edge.n1.started 1 ", "edge.n1.standing 1 ", `PUTVAL "n1/edge/derive-started" interval=0.1 `,
 		`PUTVAL "n1/edge/gauge-standing" interval=0.1 `} {
@@ -561,10 +561,10 @@
 	defer conn.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
-	if b, err := edgepb.NewOrchestratorClient(conn).Place(ctx, offer(testbed.Tag(1), "guide-web", "ok-1", 0)); err != nil || b.GetNode() != "a" {
+	if b, err := edgepb.NewOrchestratorClient(conn).Place(ctx, offer(testbed.RequestID(1), "guide-web", "ok-1", 0)); err != nil || b.GetNode() != "a" {
 		t.Errorf("over TLS: %v, %v", b, err)
 	}
-	if _, err := w.client(t).Place(ctx, offer(testbed.Tag(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
+	if _, err := w.client(t).Place(ctx, offer(testbed.RequestID(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
 		t.Errorf("without TLS: %v", err)
 	}
 	health := func() healthpb.HealthCheckResponse_ServingStatus {
@@ -582,7 +582,7 @@
 	if h := health(); h != healthpb.HealthCheckResponse_NOT_SERVING {
 		t.Errorf("told to end: %v", h)
 	}
-	if _, err := edgepb.NewOrchestratorClient(conn).Place(ctx, offer(testbed.Tag(3), "guide-web", "ok-3", 0)); err != nil {
+	if _, err := edgepb.NewOrchestratorClient(conn).Place(ctx, offer(testbed.RequestID(3), "guide-web", "ok-3", 0)); err != nil {
 		t.Errorf("an offer while it ends: %v", err)
 	}
 }
@@ -591,29 +591,29 @@
 func TestFrontsApart(t *testing.T) {
 	w := newWorld(t, "a")
 	o, s := w.owner(t), w.session(t, "s", 0)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
-	s.offer(t, offer(testbed.Tag(2), "guide-web", "ok-2", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	s.offer(t, offer(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	testbed.Wait(t, "an answer", o.Lines)
 	testbed.Wait(t, "a binding", s.got)
-	testbed.Send(o, testbed.Finish("FINISH", testbed.Tag(2), 16))
+	testbed.Send(o, testbed.FinishLine("FINISH", testbed.RequestID(2), 16))
 	if l := testbed.Wait(t, "the word that it was heard", o.Lines); l.Verb != "FINISHED" {
 		t.Errorf("got %v", l)
 	}
-	if _, err := w.client(t).Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.Tag(1)}); status.Code(err) != codes.NotFound {
+	if _, err := w.client(t).Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); status.Code(err) != codes.NotFound {
 		t.Errorf("a release of the other front's task: %v", err)
 	}
-	testbed.Send(o, testbed.SetUp(testbed.Tag(3), "guide-web", "ok-2", 5000))
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.Tag(3) || l.Cause() != 47 {
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-2", 5000))
+	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.RequestID(3) || l.Cause() != 47 {
 		t.Errorf("a set-up of the other front's task got %v", l)
 	}
-	for id, task := range map[string]string{testbed.Tag(1): "ok-9", testbed.Tag(4): "ok-1"} {
+	for id, task := range map[string]string{testbed.RequestID(1): "ok-9", testbed.RequestID(4): "ok-1"} {
 		s.offer(t, offer(id, "guide-web", task, 5000))
 		if r := testbed.Wait(t, "the answer", s.got).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
 			t.Errorf("an offer of the other front's task got %v", r)
 		}
 	}
 	var standing int
-	if w.on(t, func() { standing = w.c.RunningCount() }); standing != 2 || w.minions[0].Counted("ok-1") != 1 {
+	if w.on(t, func() { standing = w.c.RunningCount() }); standing != 2 || w.minions[0].StartCount("ok-1") != 1 {
 		t.Errorf("%d tasks stand", standing)
 	}
 }
@@ -640,7 +640,7 @@
 	}
 	s := w.session(t, "many", 0)
 	for i := range 520 {
-		s.offer(t, offer(testbed.Tag(i+1), "guide-web", fmt.Sprint("silent-", i), 60_000))
+		s.offer(t, offer(testbed.RequestID(i+1), "guide-web", fmt.Sprint("silent-", i), 60_000))
 	}
 	for range 8 {
 		r := testbed.Wait(t, "a rejection", s.got).GetRejection()
@@ -652,7 +652,7 @@
 
 // givenUp waits for the minion to see an attempt given up: by a release with cause
 // 16, or, where nothing came from it since the offer, by the close of the connection.
-func givenUp(t *testing.T, m *testbed.Minion, tag string) {
+func givenUp(t *testing.T, m *testbed.Worker, tag string) {
 	t.Helper()
 	end := time.After(10 * time.Second)
 	for {
--- a/cmd/ravenhitch/platform_test.go
+++ b/cmd/ravenhitch/platform_test.go
@@ -24,7 +24,7 @@
 	w := newWorld(t, "a")
 	first := w.owner(t)
 	for i, task := range []string{"ok-1", "ok-2"} {
-		testbed.Send(first, testbed.SetUp(testbed.Tag(i+1), "guide-web", task, 5000))
+		testbed.Send(first, testbed.StartLine(testbed.RequestID(i+1), "guide-web", task, 5000))
 		if l := testbed.Wait(t, task, first.Lines); l.Verb != "STARTED" || *l.Blob != "a holds about "+task {
 			t.Fatalf("%s got %v", task, l)
 		}
@@ -36,16 +36,16 @@
 	}
 	first.Close()
 	w.until(t, "one owner", func() bool { return w.front.Connections() == 1 })
-	w.minions[0].End(testbed.Tag(1), 16)
-	wantCause(t, "the first end", second, testbed.Tag(1), 16)
+	w.minions[0].End(testbed.RequestID(1), 16)
+	wantCause(t, "the first end", second, testbed.RequestID(1), 16)
 	second.Close()
 	w.until(t, "no owner", func() bool { return w.front.Connections() == 0 })
-	w.minions[0].End(testbed.Tag(2), 41)
+	w.minions[0].End(testbed.RequestID(2), 41)
 	w.until(t, "the end here", func() bool { return w.c.RunningCount() == 0 })
 	// One that only connects may be anybody: the end waits for one that speaks.
 	silent, third := w.owner(t), w.owner(t)
 	testbed.Send(third, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
-	wantCause(t, "the second end", third, testbed.Tag(2), 41)
+	wantCause(t, "the second end", third, testbed.RequestID(2), 41)
 	for l := range silent.Lines { // closed after a while
 		t.Errorf("the silent one got %v", l)
 	}
@@ -72,12 +72,12 @@
 func TestOwnersOverTheLimit(t *testing.T) {
 	w := newWorldLimited(t, 64, "a") // 32 descriptors aside, three quarters of the rest for owners
 	busy := w.owner(t)
-	testbed.Send(busy, testbed.SetUp(testbed.Tag(1), "guide-web", "silent-1", 3000))
+	testbed.Send(busy, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 3000))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	spoke := w.owner(t)
 	testbed.Send(spoke, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
 	testbed.Wait(t, "the test", spoke.Lines)
-	half, rest := w.owner(t), testbed.SetUp(testbed.Tag(3), "guide-web", "ok-3", 6000)
+	half, rest := w.owner(t), testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 6000)
 	b, err := json.Marshal(rest)
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 	w.until(t, "all are connected", func() bool { return w.front.Connections() == 24 })
 	late := w.owner(t)
 	began := time.Now()
-	testbed.Send(late, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 6000))
+	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 6000))
 	if l := testbed.Wait(t, "the late owner's answer", late.Lines); l.Verb != "STARTED" {
 		t.Errorf("got %v", l)
 	}
@@ -113,7 +113,7 @@
 	if d := time.Since(began); d > 3*time.Second {
 		t.Errorf("the silent ones were closed after %s", d)
 	}
-	if l := testbed.Wait(t, "the busy owner's answer", busy.Lines); l.Tag != testbed.Tag(1) {
+	if l := testbed.Wait(t, "the busy owner's answer", busy.Lines); l.Tag != testbed.RequestID(1) {
 		t.Errorf("got %v", l)
 	}
 	testbed.Send(spoke, testbed.Line{Verb: "ECHO", Tag: "u", Opts: map[string]string{}})
@@ -126,14 +126,14 @@
 	w := newWorldLimited(t, 64, "a")
 	for i := range 24 {
 		o := w.owner(t)
-		testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: testbed.Tag(i), Opts: map[string]string{}})
+		testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: testbed.RequestID(i), Opts: map[string]string{}})
 		testbed.Wait(t, "the test", o.Lines)
 	}
-	var had []*testbed.Owner
+	var had []*testbed.Client
 	for i := range 24 {
 		began := time.Now()
 		o := w.owner(t)
-		testbed.Send(o, testbed.SetUp(testbed.Tag(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
 		if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" || time.Since(began) > 700*time.Millisecond {
 			t.Errorf("got %v after %s", l, time.Since(began))
 		}
@@ -141,7 +141,7 @@
 	}
 	w.Stop()
 	late := w.owner(t)
-	testbed.Send(late, testbed.SetUp(testbed.Tag(99), "guide-web", "ok-99", 5000))
+	testbed.Send(late, testbed.StartLine(testbed.RequestID(99), "guide-web", "ok-99", 5000))
 	if l := testbed.Wait(t, "the answer of the one in the queue", late.Lines); l.Verb != "STARTED" {
 		t.Errorf("got %v", l)
 	}
@@ -155,7 +155,7 @@
 func TestMalformedLines(t *testing.T) {
 	w := newWorld(t, "a")
 	bad, idle, good, half := w.owner(t), w.owner(t), w.owner(t), w.owner(t)
-	testbed.Send(bad, testbed.SetUp(testbed.Tag(1), "guide-web", "silent-1", 60_000))
+	testbed.Send(bad, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 60_000))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	bad.Write([]byte("{\"verb\":\"START\"\n"))
 	idle.Write([]byte(strings.Repeat("x", 17<<10)))
@@ -163,11 +163,11 @@
 	for l := range idle.Lines {
 		t.Errorf("the idle owner got %v", l)
 	}
-	testbed.Send(good, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 5000))
+	testbed.Send(good, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if l := testbed.Wait(t, "another owner's answer", good.Lines); l.Verb != "STARTED" {
 		t.Errorf("another owner got %v", l)
 	}
-	if l := testbed.Wait(t, "the answer", bad.Lines); l.Tag != testbed.Tag(1) || l.Verb != "FINISH" {
+	if l := testbed.Wait(t, "the answer", bad.Lines); l.Tag != testbed.RequestID(1) || l.Verb != "FINISH" {
 		t.Errorf("got %v", l)
 	}
 	for l := range bad.Lines {
@@ -178,14 +178,14 @@
 	}
 	// One in pieces is whole.
 	o := w.owner(t)
-	b, err := json.Marshal(testbed.SetUp(testbed.Tag(4), "guide-web", "ok-4", 5000))
+	b, err := json.Marshal(testbed.StartLine(testbed.RequestID(4), "guide-web", "ok-4", 5000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range append(b, '\n') {
 		o.Write([]byte{c})
 	}
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.Tag(4) || l.Verb != "STARTED" {
+	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.RequestID(4) || l.Verb != "STARTED" {
 		t.Errorf("got %v", l)
 	}
 }
@@ -202,46 +202,46 @@
 		func(l *testbed.Line) { l.Verb = "BEGIN" }, func(l *testbed.Line) { l.Opts["extras"] += ";at:nowhere"; l.Opts["class"] = "x" },
 	}
 	for i, f := range spoil {
-		l := testbed.SetUp(testbed.Tag(10+i), "guide-web", "ok-bad", 5000)
+		l := testbed.StartLine(testbed.RequestID(10+i), "guide-web", "ok-bad", 5000)
 		f(&l)
 		testbed.Send(o, l)
 		if got := testbed.Wait(t, "an error", o.Lines); got.Verb != "FINISH" || got.Cause() != 47 || got.Tag != l.Tag {
 			t.Errorf("%d: got %v", i, got)
 		}
 	}
-	if n := w.minions[0].Counted("ok-bad"); n != 0 {
+	if n := w.minions[0].StartCount("ok-bad"); n != 0 {
 		t.Errorf("%d reached a minion", n)
 	}
 	// A tag that is open elsewhere, with another description: the first is not touched,
 	// nor can it be given up from elsewhere.
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "silent-1", 300))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 300))
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
-	testbed.Send(other, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-other", 5000))
-	wantCause(t, "the error", other, testbed.Tag(1), 47)
-	testbed.Send(other, testbed.Finish("FINISH", testbed.Tag(1), 16))
+	testbed.Send(other, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-other", 5000))
+	wantCause(t, "the error", other, testbed.RequestID(1), 47)
+	testbed.Send(other, testbed.FinishLine("FINISH", testbed.RequestID(1), 16))
 	testbed.Wait(t, "the word on the release", other.Lines)
-	wantCause(t, "the first one's own answer", o, testbed.Tag(1), 34)
+	wantCause(t, "the first one's own answer", o, testbed.RequestID(1), 34)
 	// Two under one number on one connection: one answer, and it is no yes.
-	two := testbed.SetUp(testbed.Tag(2), "guide-web", "silent-2", 5000)
+	two := testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-2", 5000)
 	testbed.Send(o, two)
 	testbed.Wait(t, "the offer", w.minions[0].Starts)
 	testbed.Send(o, two)
-	if l := testbed.Wait(t, "one answer for both", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.Tag(2) {
+	if l := testbed.Wait(t, "one answer for both", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(2) {
 		t.Errorf("got %v", l)
 	}
 	// A task said to stand where no minion is known ends in time.
 	began := time.Now()
-	l := testbed.SetUp(testbed.Tag(3), "guide-web", "ok-3", 5000)
+	l := testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000)
 	l.Opts["extras"] += ";at:nowhere"
 	testbed.Send(o, l)
-	if l := testbed.Wait(t, "its end", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.Tag(3) || time.Since(began) > 3*time.Second {
+	if l := testbed.Wait(t, "its end", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(3) || time.Since(began) > 3*time.Second {
 		t.Errorf("got %v after %s", l, time.Since(began))
 	}
 	// More than a new connection may have open is refused at once; enough of what
 	// can't be used ends it.
 	crowd := w.owner(t)
 	for i := range 40 {
-		testbed.Send(crowd, testbed.SetUp(testbed.Tag(100+i), "guide-web", fmt.Sprint("silent-c", i), 60_000))
+		testbed.Send(crowd, testbed.StartLine(testbed.RequestID(100+i), "guide-web", fmt.Sprint("silent-c", i), 60_000))
 	}
 	for range 8 {
 		if l := testbed.Wait(t, "a refusal", crowd.Lines); l.Cause() != 34 || l.Opts["wait"] == "" {
@@ -266,19 +266,19 @@
 // start twice goes elsewhere.
 func TestRefusedConnection(t *testing.T) {
 	w := newWorld(t)
-	dead, alive := testbed.NewMinion(t, "dead"), testbed.NewMinion(t, "alive")
-	dead.Deaf()
-	w.feed.Add(true, dead.Member("up"), alive.Member("up"))
-	w.feed.Heard(t)
+	dead, alive := testbed.NewWorker(t, "dead"), testbed.NewWorker(t, "alive")
+	dead.RefuseConnections()
+	w.feed.Add(true, dead.ListEntry("up"), alive.ListEntry("up"))
+	w.feed.WaitPolled(t)
 	o := w.owner(t)
 	for i := range 8 {
 		task := fmt.Sprint("ok-", i)
-		testbed.Send(o, testbed.SetUp(testbed.Tag(i), "archive-cut", task, 5000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(i), "archive-cut", task, 5000))
 		if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" || *l.Blob != "alive holds about "+task {
 			t.Errorf("got %v", l)
 		}
-		if alive.Counted(task) != 1 {
-			t.Errorf("%s was started %d times", task, alive.Counted(task))
+		if alive.StartCount(task) != 1 {
+			t.Errorf("%s was started %d times", task, alive.StartCount(task))
 		}
 	}
 	if n := w.counts(t).ConnectFailed; n == 0 {
@@ -292,13 +292,13 @@
 func TestSilentConnection(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(2), "guide-web", "silent-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-1", 5000))
 	for _, what := range []string{"ok-1", "the first attempt", "the second attempt"} {
 		testbed.Wait(t, what, w.minions[0].Starts)
 	}
-	if dials, _ := w.minions[0].Dials(); dials < 2 {
+	if dials, _ := w.minions[0].DialCounts(); dials < 2 {
 		t.Errorf("%d connections", dials)
 	}
 }
@@ -308,12 +308,12 @@
 func TestQuietConnection(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
 	m := w.minions[0]
 	m.Forget()
-	m.End(testbed.Tag(1), 16)
-	wantCause(t, "the end", o, testbed.Tag(1), 16)
+	m.End(testbed.RequestID(1), 16)
+	wantCause(t, "the end", o, testbed.RequestID(1), 16)
 }
 
 // A connection that breaks after the offer proves nothing: such a task is not
@@ -321,11 +321,11 @@
 func TestResetAfterOffer(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "archive-cut", "reset-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "archive-cut", "reset-1", 5000))
 	if l := testbed.Wait(t, "the answer", o.Lines); l.Cause() == 34 || l.Verb != "FINISH" {
 		t.Errorf("got %v", l)
 	}
-	if n := w.minions[0].Counted("reset-1"); n != 1 {
+	if n := w.minions[0].StartCount("reset-1"); n != 1 {
 		t.Errorf("offered %d times", n)
 	}
 }
@@ -336,19 +336,19 @@
 func TestSpoiltAnswers(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
 	for i, kind := range []string{"half", "bare"} {
 		at := 10 * (i + 1)
-		testbed.Send(o, testbed.SetUp(testbed.Tag(at), "guide-web", kind+"-web", 5000))
-		if l := testbed.Wait(t, kind, o.Lines); l.Verb != "STARTED" || l.Tag != testbed.Tag(at) || *l.Blob != "about "+kind+"-web" {
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(at), "guide-web", kind+"-web", 5000))
+		if l := testbed.Wait(t, kind, o.Lines); l.Verb != "STARTED" || l.Tag != testbed.RequestID(at) || *l.Blob != "about "+kind+"-web" {
 			t.Errorf("%s: got %v", kind, l)
 		}
 		// Others on the connection, and one that must not start twice, are not left to
 		// their deadline.
 		began := time.Now()
-		testbed.Send(o, testbed.SetUp(testbed.Tag(at+1), "archive-cut", "silent-"+kind, 10_000))
-		testbed.Send(o, testbed.SetUp(testbed.Tag(at+2), "archive-cut", kind+"-cut", 10_000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(at+1), "archive-cut", "silent-"+kind, 10_000))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(at+2), "archive-cut", kind+"-cut", 10_000))
 		for range 2 {
 			if l := testbed.Wait(t, "a failure", o.Lines); l.Verb != "FINISH" || l.Cause() == 34 {
 				t.Errorf("%s: got %v", kind, l)
@@ -357,15 +357,15 @@
 		if d := time.Since(began); d > 3*time.Second {
 			t.Errorf("%s: settled after %s", kind, d)
 		}
-		if n := w.minions[0].Counted(kind+"-cut") + w.minions[0].Counted("silent-"+kind); n != 2 {
+		if n := w.minions[0].StartCount(kind+"-cut") + w.minions[0].StartCount("silent-"+kind); n != 2 {
 			t.Errorf("%s: started %d times", kind, n)
 		}
 	}
-	testbed.Send(o, testbed.SetUp(testbed.Tag(2), "guide-web", "twice-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(2), "guide-web", "twice-1", 5000))
 	testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
 	verbs := testbed.Wait(t, "one word", o.Lines).Verb + testbed.Wait(t, "another", o.Lines).Verb
-	testbed.Send(o, testbed.SetUp(testbed.Tag(3), "guide-web", "ok-3", 5000))
-	if l := testbed.Wait(t, "the next task's answer", o.Lines); l.Tag != testbed.Tag(3) || len(verbs) != len("STARTEDECHOED") {
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
+	if l := testbed.Wait(t, "the next task's answer", o.Lines); l.Tag != testbed.RequestID(3) || len(verbs) != len("STARTEDECHOED") {
 		t.Errorf("got %v after %s", l, verbs)
 	}
 }
@@ -375,29 +375,29 @@
 func TestDeadMinion(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
 	m := w.minions[0]
 	m.Die()
-	wantCause(t, "the end", o, testbed.Tag(1), 41)
+	wantCause(t, "the end", o, testbed.RequestID(1), 41)
 }
 
 // A new minion at the address of a departed one is not taken for it.
 func TestReusedAddress(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
 	m := w.minions[0]
-	successor := strings.Replace(m.Member("up"), `"a"`, `"b"`, 1)
-	w.feed.Add(false, m.Member("removed"), successor)
-	w.feed.Heard(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 5000))
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.Tag(2) || l.Verb != "STARTED" {
+	successor := strings.Replace(m.ListEntry("up"), `"a"`, `"b"`, 1)
+	w.feed.Add(false, m.ListEntry("removed"), successor)
+	w.feed.WaitPolled(t)
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
+	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.RequestID(2) || l.Verb != "STARTED" {
 		t.Errorf("got %v", l)
 	}
 	// What stood at the departed one ends without a word from it.
-	wantCause(t, "the end", o, testbed.Tag(1), 41)
+	wantCause(t, "the end", o, testbed.RequestID(1), 41)
 	var standing int
 	if w.on(t, func() { standing = w.c.RunningCount() }); standing != 1 {
 		t.Errorf("%d tasks stand", standing)
@@ -410,15 +410,15 @@
 	w := newWorld(t, "a")
 	o := w.owner(t)
 	for i := range 2 {
-		l := testbed.SetUp(testbed.Tag(i+1), "guide-web", "ok-1", 5000)
+		l := testbed.StartLine(testbed.RequestID(i+1), "guide-web", "ok-1", 5000)
 		l.Opts["extras"] += ";at:a"
 		testbed.Send(o, l)
 	}
 	w.until(t, "both stand", func() bool { return w.c.RunningCount() == 2 })
-	w.minions[0].End(testbed.Tag(1), 16)
-	wantCause(t, "the end", o, testbed.Tag(1), 16)
-	testbed.Send(o, testbed.Finish("FINISH", testbed.Tag(2), 16))
-	if l := testbed.Wait(t, "the release", w.minions[0].Ends); l.Tag != testbed.Tag(2) {
+	w.minions[0].End(testbed.RequestID(1), 16)
+	wantCause(t, "the end", o, testbed.RequestID(1), 16)
+	testbed.Send(o, testbed.FinishLine("FINISH", testbed.RequestID(2), 16))
+	if l := testbed.Wait(t, "the release", w.minions[0].Ends); l.Tag != testbed.RequestID(2) {
 		t.Errorf("the minion got %v", l)
 	}
 	if len(w.minions[0].Starts) != 0 {
@@ -432,13 +432,13 @@
 func TestReload(t *testing.T) {
 	w := newWorld(t, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "ok-1", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
-	w.feed.Heard(t)
-	next := testbed.NewFeed(t)
-	next.Take(w.feed)
-	b := testbed.NewMinion(t, "b")
-	next.Add(false, w.minions[0].Member("draining"), b.Member("up"))
+	w.feed.WaitPolled(t)
+	next := testbed.NewDiscovery(t)
+	next.CopyFrom(w.feed)
+	b := testbed.NewWorker(t, "b")
+	next.Add(false, w.minions[0].ListEntry("draining"), b.ListEntry("up"))
 	path := filepath.Join(t.TempDir(), "config.json")
 	for _, text := range []string{"{", configText(next)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -449,16 +449,16 @@
 	if n := testbed.Wait(t, "the new channel is asked", next.Asked); n != 1 {
 		t.Errorf("asked for what follows %d", n)
 	}
-	next.Heard(t)
+	next.WaitPolled(t)
 	w.feed.Srv.CloseClientConnections()
-	testbed.Send(o, testbed.SetUp(testbed.Tag(2), "guide-web", "ok-2", 5000))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" || *l.Blob != "b holds about ok-2" {
 		t.Errorf("got %v", l)
 	}
-	w.minions[0].End(testbed.Tag(1), 16)
-	wantCause(t, "the end", o, testbed.Tag(1), 16)
-	next.Add(false, b.Member("draining"))
-	next.Heard(t)
+	w.minions[0].End(testbed.RequestID(1), 16)
+	wantCause(t, "the end", o, testbed.RequestID(1), 16)
+	next.Add(false, b.ListEntry("draining"))
+	next.WaitPolled(t)
 }
 
 // What is open at SIGTERM is answered before the kill comes, which hangs on the
@@ -495,8 +495,8 @@
 			t.Errorf("%q: %v, %q", text, err, out)
 		}
 	}
-	f, m := testbed.NewFeed(t), testbed.NewMinion(t, "a")
-	f.Add(true, m.Member("up"))
+	f, m := testbed.NewDiscovery(t), testbed.NewWorker(t, "a")
+	f.Add(true, m.ListEntry("up"))
 	cmd := command(configText(f))
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -515,7 +515,7 @@
 	_, addr, _ := strings.Cut(testbed.Wait(t, "the first line", lines), "listen=")
 	w := &world{server: &server{addr: strings.Fields(addr)[0]}}
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "silent-1", 1500))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1500))
 	testbed.Wait(t, "the offer", m.Starts)
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -526,7 +526,7 @@
 	}
 	began := time.Now()
 	cmd.Process.Signal(syscall.SIGTERM)
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.Tag(1) || !advised(l) {
+	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(1) || !advised(l) {
 		t.Errorf("got %v", l)
 	}
 	if err := cmd.Wait(); err != nil || time.Since(began) > 3700*time.Millisecond {
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -18,9 +18,9 @@
 	settings := settingsWith(t, change{"RequestClasses.0.Name", "bulletin"}, change{"RequestClasses.0.Semantics", "guarded"},
 		change{"RequestClasses.0.Group", "zone"}, change{"Parties", []any{map[string]any{"Name": "studio"}}},
 		change{"FamilyInfo.ShareCores", []float64{100}})
-	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
 	o := w.owner(t)
-	l := testbed.SetUp(testbed.Tag(1), "bulletin", "ok-1", 5000)
+	l := testbed.StartLine(testbed.RequestID(1), "bulletin", "ok-1", 5000)
 	own := map[string]string{"idem": "279ca3614cb41c092fc30eea25e0d5b5", "tenant": "studio", "hint": "4409.9", "retry": "1"}
 	maps.Copy(l.Opts, own)
 	testbed.Send(o, l)
@@ -37,7 +37,7 @@
 		t.Errorf("got %v", l)
 	}
 	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": longName, "idem": longName} {
-		l := testbed.SetUp(testbed.Tag(2), "bulletin", "ok-2", 5000)
+		l := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
 		l.Opts[name] = value
 		testbed.Send(o, l)
 		if l := testbed.Wait(t, "the error", o.Lines); l.Verb != "FINISH" || l.Cause() != 47 {
@@ -59,15 +59,15 @@
 	silent := f.ask("silent", 4, 60_000)
 	f.said(t, silent)
 	for _, tag := range silent {
-		testbed.Send(f, testbed.Finish("FINISH", tag, 16))
+		testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
 	}
 	f.soon(t, "no attempt out", func() bool { return len(f.attempts.Open()) == 0 })
 	for _, m := range f.minions {
-		if n := m.Tests(); n > 0 {
+		if n := m.PingCount(); n > 0 {
 			t.Errorf("%s got %d tests", m.Name, n)
 		}
 	}
-	if copies := f.attempts.Copies(); len(copies) > 0 {
+	if copies := f.attempts.Duplicates(); len(copies) > 0 {
 		t.Errorf("%d copies, as %s", len(copies), copies[0])
 	}
 }
@@ -75,11 +75,11 @@
 // Where the deployment allows no advice on refusals, none is given, nor by the front itself.
 func TestNoAdvice(t *testing.T) {
 	settings := settingsWith(t, change{"Limits.RetryAfter", false})
-	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, "a")
+	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
 	o := w.owner(t)
-	testbed.Send(o, testbed.SetUp(testbed.Tag(1), "guide-web", "full-1", 300))
+	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "full-1", 300))
 	for i := range 40 { // more than a new connection may have open
-		testbed.Send(o, testbed.SetUp(testbed.Tag(2+i), "guide-web", "silent-2", 300))
+		testbed.Send(o, testbed.StartLine(testbed.RequestID(2+i), "guide-web", "silent-2", 300))
 	}
 	for range 41 {
 		l := testbed.Wait(t, "the refusal", o.Lines)
--- a/cmd/ravenhitch/standin_test.go
+++ b/cmd/ravenhitch/standin_test.go
@@ -28,12 +28,12 @@
  "OnTimeUs":6000000,"DeadlineUs":10000000,"Importance":5.0,"WindowUs":5000000}]}`
 
 // configText is a configuration that knows all events so far.
-func configText(f *testbed.Feed) string { return configOf(f, settingsText) }
+func configText(f *testbed.Discovery) string { return configOf(f, settingsText) }
 
-func configOf(f *testbed.Feed, settings string) string {
+func configOf(f *testbed.Discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"channel":%q,"known":%s,"settings":%s}`,
-		f.Srv.Listener.Addr(), f.Known(0), settings)
+		f.Srv.Listener.Addr(), f.InitialList(0), settings)
 }
 
 // change is one setting of another customer: its path, and its value.
@@ -75,8 +75,8 @@
 // world is a program with the stand-ins round it.
 type world struct {
 	*server
-	feed    *testbed.Feed
-	minions []*testbed.Minion
+	feed    *testbed.Discovery
+	minions []*testbed.Worker
 	over    chan error
 	aged    chan int64 // how old it is by its own clock, where a test asks
 }
@@ -94,24 +94,24 @@
 }
 
 func newWorldOf(t *testing.T, edge config.Operators, sockets int64, names ...string) *world {
-	return newWorldBy(t, edge, sockets, slog.New(slog.DiscardHandler), func(*testbed.Minion) {}, names...)
+	return newWorldBy(t, edge, sockets, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, names...)
 }
 
 // newWorldBy hands every minion to by before anything connects to it.
-func newWorldBy(t *testing.T, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Minion), names ...string) *world {
+func newWorldBy(t *testing.T, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker), names ...string) *world {
 	return newWorldSet(t, settingsText, edge, sockets, log, by, names...)
 }
 
 // newWorldSet is the same under other settings.
-func newWorldSet(t *testing.T, settings string, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Minion),
+func newWorldSet(t *testing.T, settings string, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker),
 	names ...string) *world {
-	w := &world{feed: testbed.NewFeed(t), over: make(chan error, 1), aged: make(chan int64, 1)}
+	w := &world{feed: testbed.NewDiscovery(t), over: make(chan error, 1), aged: make(chan int64, 1)}
 	var members []string
 	for _, n := range names {
-		m := testbed.NewMinion(t, n)
+		m := testbed.NewWorker(t, n)
 		by(m)
 		w.minions = append(w.minions, m)
-		members = append(members, m.Member("up"))
+		members = append(members, m.ListEntry("up"))
 	}
 	w.feed.Add(true, members...)
 	cfg, err := config.Parse([]byte(configOf(w.feed, settings)))
@@ -137,10 +137,10 @@
 }
 
 // owner connects a stand-in owner.
-func (w *world) owner(t *testing.T) *testbed.Owner { return testbed.NewOwner(t, w.addr) }
+func (w *world) owner(t *testing.T) *testbed.Client { return testbed.NewClient(t, w.addr) }
 
 // wantCause takes the owner's next line, which must speak of tag with a cause.
-func wantCause(t *testing.T, what string, o *testbed.Owner, tag string, cause int) {
+func wantCause(t *testing.T, what string, o *testbed.Client, tag string, cause int) {
 	t.Helper()
 	if l := testbed.Wait(t, what, o.Lines); l.Tag != tag || l.Cause() != cause {
 		t.Errorf("%s: got %v", what, l)
--- a/cmd/ravenhitch/start_test.go
+++ b/cmd/ravenhitch/start_test.go
@@ -30,7 +30,7 @@
 
 // fleetOfStarts is the processes and what they are joined to.
 type fleetOfStarts struct {
-	feed      *testbed.Feed
+	feed      *testbed.Discovery
 	processes []*testbed.Process
 }
 
@@ -41,15 +41,15 @@
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	f := &fleetOfStarts{feed: testbed.NewFeed(t)}
-	var listeners []*testbed.Minion
+	f := &fleetOfStarts{feed: testbed.NewDiscovery(t)}
+	var listeners []*testbed.Worker
 	for i := range startListeners {
-		listeners = append(listeners, testbed.NewMinion(t, fmt.Sprint("listener", i)))
+		listeners = append(listeners, testbed.NewWorker(t, fmt.Sprint("listener", i)))
 	}
 	var members []string
 	for i := range workers {
 		m := listeners[i%startListeners]
-		members = append(members, strings.Replace(m.Member("up"), fmt.Sprintf("%q", m.Name), fmt.Sprintf(`"s-%08x"`, i), 1))
+		members = append(members, strings.Replace(m.ListEntry("up"), fmt.Sprintf("%q", m.Name), fmt.Sprintf(`"s-%08x"`, i), 1))
 	}
 	f.feed.Add(true, members...)
 	for i := range processes {
@@ -103,7 +103,7 @@
 
 // passesTest tests a process as the front does, as soon as it serves.
 func passesTest(p *testbed.Process) error {
-	addr, err := p.Says("listen=")
+	addr, err := p.WaitForLog("listen=")
 	if err != nil {
 		return err
 	}
@@ -127,12 +127,12 @@
 // serves lets a process place a task at a worker.
 func serves(t *testing.T, p *testbed.Process, tag string) {
 	t.Helper()
-	addr, err := p.Says("listen=")
+	addr, err := p.WaitForLog("listen=")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := testbed.NewOwner(t, addr)
-	testbed.Send(o, testbed.SetUp(tag, "guide-web", "ok-"+tag, 6000))
+	o := testbed.NewClient(t, addr)
+	testbed.Send(o, testbed.StartLine(tag, "guide-web", "ok-"+tag, 6000))
 	if l := testbed.Wait(t, "the answer of "+p.Name, o.Lines); l.Verb != "STARTED" {
 		t.Errorf("%s: got %v", p.Name, l)
 	}
@@ -146,7 +146,7 @@
 	f.kill()
 	took := f.start(t)
 	for i, p := range f.processes {
-		serves(t, p, testbed.Tag(i+1))
+		serves(t, p, testbed.RequestID(i+1))
 	}
 	f.kill()
 	n := len(took)
--- a/cmd/ravenhitch/tickets_test.go
+++ b/cmd/ravenhitch/tickets_test.go
@@ -36,7 +36,7 @@
 func TestReturnTickets(t *testing.T) {
 	here, _ := newTicketWorld(t, oneKey)
 	there, path := newTicketWorld(t, oneKey)
-	first := offer(testbed.Tag(1), "guide-web", "full-1", 1000)
+	first := offer(testbed.RequestID(1), "guide-web", "full-1", 1000)
 	_, err := here.client(t).Place(t.Context(), first)
 	var ticket []byte
 	var wait time.Duration
@@ -56,7 +56,7 @@
 	bring := func(task string, ticket []byte) {
 		t.Helper()
 		n++
-		o := offer(testbed.Tag(n), "guide-web", task, 1000)
+		o := offer(testbed.RequestID(n), "guide-web", task, 1000)
 		o.Ticket = ticket
 		if _, err := there.client(t).Place(t.Context(), o); status.Code(err) != codes.ResourceExhausted {
 			t.Errorf("got %v", err)
@@ -98,9 +98,9 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	b := testbed.NewMinion(t, "b")
-	w.feed.Add(true, w.minions[0].Member("draining"), b.Member("draining"))
-	w.feed.Heard(t)
+	b := testbed.NewWorker(t, "b")
+	w.feed.Add(true, w.minions[0].ListEntry("draining"), b.ListEntry("draining"))
+	w.feed.WaitPolled(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testbed.Patience)
 	defer cancel()
 	type outcome struct {
@@ -114,7 +114,7 @@
 		done <- outcome{b, err}
 	}()
 	w.until(t, "a refusal", func() bool { return w.c.Counts().Rejected > 0 })
-	w.feed.Add(true, b.Member("up"))
+	w.feed.Add(true, b.ListEntry("up"))
 	if o := testbed.Wait(t, "the binding", done); o.error != nil || o.Node != "b" {
 		t.Errorf("got %+v", o)
 	}
@@ -122,7 +122,7 @@
 	if w.on(t, func() { got = w.grpc.TokenCounts() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
 		t.Errorf("tickets: %+v", got)
 	}
-	if n := b.Counted("ok-7"); n != 1 {
+	if n := b.StartCount("ok-7"); n != 1 {
 		t.Errorf("it was started %d times", n)
 	}
 }
--- a/internal/peer/records_test.go
+++ b/internal/peer/records_test.go
@@ -19,13 +19,13 @@
 // pair is two orchestrators on one loop, with relays between them.
 type pair struct {
 	l    *eventloop.Loop
-	net  *testbed.Net
+	net  *testbed.Network
 	a, b *Peers
 	said lines
 }
 
 func newPair(t *testing.T) *pair {
-	x := &pair{net: testbed.NewNet(1)}
+	x := &pair{net: testbed.NewNetwork(1)}
 	t.Cleanup(x.net.Close)
 	var err error
 	if x.l, err = eventloop.New(64); err != nil {
--- a/internal/testbed/attempts.go
+++ b/internal/testbed/attempts.go
@@ -12,8 +12,8 @@
 // its give-up is read, or the orchestrator closes its connection. A task that stands is
 // out until its end.
 
-// Attempts notes the attempts at all minions that share it. A nil one notes nothing.
-type Attempts struct {
+// AttemptLog notes the attempts at all minions that share it. A nil one notes nothing.
+type AttemptLog struct {
 	mu     sync.Mutex
 	out    map[string]map[string]place // by tag and minion
 	shut   map[string]func() bool      // by connection: whether the orchestrator has closed it
@@ -28,13 +28,13 @@
 	stands bool
 }
 
-// NewAttempts returns notes without an attempt.
-func NewAttempts() *Attempts {
-	return &Attempts{out: map[string]map[string]place{}, shut: map[string]func() bool{}, tried: map[string]int{},
+// NewAttemptLog returns notes without an attempt.
+func NewAttemptLog() *AttemptLog {
+	return &AttemptLog{out: map[string]map[string]place{}, shut: map[string]func() bool{}, tried: map[string]int{},
 		last: map[string]time.Time{}}
 }
 
-func (a *Attempts) offered(minion, conn, tag string) {
+func (a *AttemptLog) offered(minion, conn, tag string) {
 	if a == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 	a.out[tag][minion] = place{conn: conn}
 }
 
-func (a *Attempts) stands(minion, tag string) {
+func (a *AttemptLog) stands(minion, tag string) {
 	if a == nil {
 		return
 	}
@@ -63,7 +63,7 @@
 	a.out[tag][minion] = place{stands: true}
 }
 
-func (a *Attempts) ended(minion, tag string) {
+func (a *AttemptLog) ended(minion, tag string) {
 	if a == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 
 // opened takes a connection, named by the address that the minion knows it by, and a
 // way to ask whether the orchestrator has closed it.
-func (a *Attempts) opened(conn string, shut func() bool) {
+func (a *AttemptLog) opened(conn string, shut func() bool) {
 	if a == nil {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // closed takes the end of a connection on the orchestrator's side.
-func (a *Attempts) closed(conn string) {
+func (a *AttemptLog) closed(conn string) {
 	if a == nil {
 		return
 	}
@@ -100,29 +100,29 @@
 	}
 }
 
-// Copies are the set-ups that came while another attempt of theirs was out.
-func (a *Attempts) Copies() []string {
+// Duplicates are the set-ups that came while another attempt of theirs was out.
+func (a *AttemptLog) Duplicates() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.copies)
 }
 
-// Tried is how many set-ups of a tag came.
-func (a *Attempts) Tried(tag string) int {
+// Count is how many set-ups of a tag came.
+func (a *AttemptLog) Count(tag string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tried[tag]
 }
 
 // Last is when the last set-up of a tag came, the zero time where none did.
-func (a *Attempts) Last(tag string) time.Time {
+func (a *AttemptLog) Last(tag string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last[tag]
 }
 
 // Open lists the tags with an attempt out that does not stand.
-func (a *Attempts) Open() (tags []string) {
+func (a *AttemptLog) Open() (tags []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for tag, at := range a.out {
@@ -135,8 +135,8 @@
 	return tags
 }
 
-// Standing lists the tags that stand at a minion.
-func (a *Attempts) Standing(minion string) (tags []string) {
+// Running lists the tags that stand at a minion.
+func (a *AttemptLog) Running(minion string) (tags []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for tag, at := range a.out {
--- a/internal/testbed/machine.go
+++ b/internal/testbed/capacity_model.go
@@ -12,8 +12,8 @@
 // This file owns the emulated machine behind minions: its room, the queue of offers
 // that it looks at one at a time, the few starts under way, and its being cold.
 
-// Spec says what a machine can do.
-type Spec struct {
+// WorkerSpec says what a machine can do.
+type WorkerSpec struct {
 	Name, Hall, Kind string
 	Cell             int
 	Cores, Memory    float64
@@ -46,8 +46,8 @@
 	return t, err
 }
 
-// Watch is told what machines do. It may be called from many goroutines.
-type Watch interface {
+// Observer is told what machines do. It may be called from many goroutines.
+type Observer interface {
 	// Offered, Refused and GivenUp tell of offers, Refused before the word is sent.
 	Offered(machine, tag string)
 	Refused(machine, tag string)
@@ -57,10 +57,10 @@
 	Over(key, tag string)
 }
 
-// Machine is an emulated machine. Each orchestrator reaches it by a Minion of its own.
-type Machine struct {
-	Spec
-	watch   Watch
+// CapacityModel is an emulated machine. Each orchestrator reaches it by a Minion of its own.
+type CapacityModel struct {
+	WorkerSpec
+	watch   Observer
 	asks    chan ask
 	starts  chan struct{}
 	stop    chan struct{}
@@ -74,11 +74,11 @@
 	peak    float64         // of offers against the bound
 	fallen  bool
 	refused map[string]int // by note
-	minions []*Minion
+	minions []*Worker
 }
 
 type ask struct {
-	m    *Minion
+	m    *Worker
 	c    net.Conn
 	l    Line
 	task Task
@@ -86,34 +86,34 @@
 
 type run struct {
 	Task
-	m    *Minion
+	m    *Worker
 	c    net.Conn
 	key  string
 	stop chan struct{}
 	cut  bool
 }
 
-// NewMachine starts a machine.
-func NewMachine(t Host, s Spec, w Watch, seed uint64) *Machine {
-	m := &Machine{Spec: s, watch: w, asks: make(chan ask, s.Queue), starts: make(chan struct{}, max(1, s.Starts)),
+// NewCapacityModel starts a machine.
+func NewCapacityModel(t Host, s WorkerSpec, w Observer, seed uint64) *CapacityModel {
+	m := &CapacityModel{WorkerSpec: s, watch: w, asks: make(chan ask, s.Queue), starts: make(chan struct{}, max(1, s.Starts)),
 		stop: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1)), runs: map[string]*run{}, queued: map[string]bool{}, refused: map[string]int{}}
 	go m.look()
 	t.Cleanup(func() { close(m.stop) })
 	return m
 }
 
-// Minion opens a way to the machine.
-func (m *Machine) Minion(t Host) *Minion {
-	n := newMinion(t, m.Name, m)
+// NewWorker opens a way to the machine.
+func (m *CapacityModel) NewWorker(t Host) *Worker {
+	n := newWorker(t, m.Name, m)
 	m.mu.Lock()
 	m.minions = append(m.minions, n)
 	m.mu.Unlock()
 	return n
 }
 
-func (m *Machine) offered(c net.Conn, l Line) {
+func (m *CapacityModel) offered(c net.Conn, l Line) {
 	m.watch.Offered(m.Name, l.Tag)
-	var n *Minion
+	var n *Worker
 	m.mu.Lock()
 	for _, o := range m.minions {
 		if o.has(c) {
@@ -126,7 +126,7 @@
 	task, err := describe(*l.Blob)
 	if err != nil || fallen {
 		if err != nil {
-			Send(c, Finish("FINISH", l.Tag, 47))
+			Send(c, FinishLine("FINISH", l.Tag, 47))
 		}
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // weigh counts an offer against what a cold machine bears, and lets it fall over.
-func (m *Machine) weigh() {
+func (m *CapacityModel) weigh() {
 	if m.Up.IsZero() || time.Since(m.Up) > m.ColdFor {
 		return
 	}
@@ -160,25 +160,25 @@
 	}
 }
 
-func (m *Machine) pace() float64 {
+func (m *CapacityModel) pace() float64 {
 	if m.Up.IsZero() || time.Since(m.Up) > m.ColdFor {
 		return 1
 	}
 	return m.ColdShare + (1-m.ColdShare)*time.Since(m.Up).Seconds()/m.ColdFor.Seconds()
 }
 
-func (m *Machine) refuse(c net.Conn, tag, note string) {
+func (m *CapacityModel) refuse(c net.Conn, tag, note string) {
 	m.mu.Lock()
 	m.refused[note]++
 	m.mu.Unlock()
 	m.watch.Refused(m.Name, tag)
-	l := Finish("FINISH", tag, 34)
+	l := FinishLine("FINISH", tag, 34)
 	l.Opts["note"] = note
 	Send(c, l)
 }
 
 // look takes the offers one at a time.
-func (m *Machine) look() {
+func (m *CapacityModel) look() {
 	for {
 		var a ask
 		select {
@@ -203,7 +203,7 @@
 	}
 }
 
-func (m *Machine) decide(a ask) {
+func (m *CapacityModel) decide(a ask) {
 	m.mu.Lock()
 	t := a.task
 	wanted := m.queued[a.l.Tag]
@@ -236,7 +236,7 @@
 }
 
 // live starts an accepted task, and ends it when its time has come.
-func (m *Machine) live(tag string, r *run) {
+func (m *CapacityModel) live(tag string, r *run) {
 	select {
 	case m.starts <- struct{}{}:
 	case <-r.stop:
@@ -267,7 +267,7 @@
 }
 
 // over gives the room back and tells the end.
-func (m *Machine) over(tag string, r *run) {
+func (m *CapacityModel) over(tag string, r *run) {
 	m.mu.Lock()
 	delete(m.runs, tag)
 	m.cores -= r.Cores
@@ -278,10 +278,10 @@
 	}
 	m.mu.Unlock()
 	m.watch.Over(r.key, tag)
-	r.m.tell(r.c, Finish("FINISH", tag, cause))
+	r.m.tell(r.c, FinishLine("FINISH", tag, cause))
 }
 
-func (m *Machine) released(_ net.Conn, tag string) {
+func (m *CapacityModel) released(_ net.Conn, tag string) {
 	m.watch.GivenUp(m.Name, tag)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -294,8 +294,8 @@
 	}
 }
 
-// Room is what nobody has asked for.
-func (m *Machine) Room() (cores, memory float64) {
+// FreeCapacity is what nobody has asked for.
+func (m *CapacityModel) FreeCapacity() (cores, memory float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.Cores - m.cores, m.Memory - m.memory
@@ -303,14 +303,14 @@
 
 // Peak is the most that it was offered while cold, over what it bears then, and
 // Refused how many offers it turned away, by what it said.
-func (m *Machine) Peak() (peak float64, refused map[string]int) {
+func (m *CapacityModel) Peak() (peak float64, refused map[string]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.peak, maps.Clone(m.refused)
 }
 
-// Member is its line of the list as one orchestrator gets it, with some room.
-func (m *Machine) Member(n *Minion, phase string, cores, memory float64) string {
+// ListEntry is its line of the list as one orchestrator gets it, with some room.
+func (m *CapacityModel) ListEntry(n *Worker, phase string, cores, memory float64) string {
 	up := int64(0)
 	if !m.Up.IsZero() {
 		up = m.Up.UnixMilli()
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -31,7 +31,7 @@
 
 // Config is the configuration of one orchestrator, which reaches the command channel at an
 // address; mgmt may be "".
-func (d Deployment) Config(k int, listen, mgmt, channel string, seed uint64, f *Feed) string {
+func (d Deployment) Config(k int, listen, mgmt, channel string, seed uint64, f *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-		"channel":%q,"known":%s,"settings":%s}`, k, listen, mgmt, seed, channel, f.Known(0), d.Settings(k))
+		"channel":%q,"known":%s,"settings":%s}`, k, listen, mgmt, seed, channel, f.InitialList(0), d.Settings(k))
 }
--- a/internal/testbed/feed.go
+++ b/internal/testbed/discovery.go
@@ -13,8 +13,8 @@
 
 // This file owns the stand-in command channel: its events and who waits for more.
 
-// Feed is a command channel.
-type Feed struct {
+// Discovery is a command channel.
+type Discovery struct {
 	Srv    *httptest.Server
 	Asked  chan int // what each call resumes from
 	mu     sync.Mutex
@@ -22,9 +22,9 @@
 	events []string
 }
 
-// NewFeed returns a channel without events.
-func NewFeed(t Host) *Feed {
-	f := &Feed{more: make(chan struct{}), Asked: make(chan int, 1000)}
+// NewDiscovery returns a channel without events.
+func NewDiscovery(t Host) *Discovery {
+	f := &Discovery{more: make(chan struct{}), Asked: make(chan int, 1000)}
 	f.Srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
 		block, _ := strconv.Atoi(r.URL.Query().Get("block"))
@@ -49,21 +49,21 @@
 			}
 			break
 		}
-		io.WriteString(w, f.Known(after))
+		io.WriteString(w, f.InitialList(after))
 	}))
 	t.Cleanup(f.Srv.Close)
 	return f
 }
 
-// Known is the answer to a call that has heard all events up to after.
-func (f *Feed) Known(after int) string {
+// InitialList is the answer to a call that has heard all events up to after.
+func (f *Discovery) InitialList(after int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(f.events), strings.Join(f.events[min(after, len(f.events)):], ","))
 }
 
 // Add tells of members.
-func (f *Feed) Add(complete bool, members ...string) {
+func (f *Discovery) Add(complete bool, members ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.events) + 1
@@ -73,9 +73,9 @@
 	f.more = make(chan struct{})
 }
 
-// Heard waits until the program asks for what follows all events so far, which
+// WaitPolled waits until the program asks for what follows all events so far, which
 // it does once it has applied them.
-func (f *Feed) Heard(t Host) {
+func (f *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	f.mu.Lock()
 	n := len(f.events)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Take has all events of another channel so far.
-func (f *Feed) Take(from *Feed) {
+// CopyFrom has all events of another channel so far.
+func (f *Discovery) CopyFrom(from *Discovery) {
 	from.mu.Lock()
 	defer from.mu.Unlock()
 	f.mu.Lock()
--- a/internal/testbed/fleet/place.go
+++ b/internal/testbed/fleet/place.go
@@ -98,7 +98,7 @@
 func (p *Placed) Wait() { p.all.Wait() }
 
 func (r *Fleet) own(p *Placed, i int, x *Node, until time.Time) {
-	var o *testbed.Owner
+	var o *testbed.Client
 	for n := r.tags.Add(1); time.Now().Before(until); n = r.tags.Add(1) {
 		if o == nil {
 			var err error
@@ -108,11 +108,11 @@
 				continue
 			}
 		}
-		tag, began := testbed.Tag(i<<40|int(n)<<8|1), time.Now()
-		testbed.Send(o, testbed.SetUp(tag, "guide-web", fmt.Sprintf("ok-%d-%d", i, n), 5000))
+		tag, began := testbed.RequestID(i<<40|int(n)<<8|1), time.Now()
+		testbed.Send(o, testbed.StartLine(tag, "guide-web", fmt.Sprintf("ok-%d-%d", i, n), 5000))
 		l, ok := answer(o, tag)
 		if p.note(time.Since(began), l, !ok); !ok {
-			if o.Close(); x.runs(began) && r.net.Fine(x.others[0], x.others[1], began) {
+			if o.Close(); x.runs(began) && r.net.WasHealthy(x.others[0], x.others[1], began) {
 				p.mu.Lock()
 				p.silent = append(p.silent, tag)
 				p.mu.Unlock()
@@ -121,7 +121,7 @@
 			continue
 		}
 		if l.Verb == "STARTED" {
-			testbed.Send(o, testbed.Finish("FINISH", tag, 16))
+			testbed.Send(o, testbed.FinishLine("FINISH", tag, 16))
 		}
 		time.Sleep(pace)
 	}
@@ -138,7 +138,7 @@
 }
 
 // answer is the first word on a tag.
-func answer(o *testbed.Owner, tag string) (testbed.Line, bool) {
+func answer(o *testbed.Client, tag string) (testbed.Line, bool) {
 	for limit := time.After(testbed.Patience); ; {
 		select {
 		case l, ok := <-o.Lines:
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -35,7 +35,7 @@
 	dir        string
 	addr, mgmt string
 	front      string // where its owners reach it
-	feed       *testbed.Feed
+	feed       *testbed.Discovery
 	others     [3]string  // its owners, its front and its channel, as ways name them
 	listen     string     // for its peers
 	mu         sync.Mutex // of what the schedule changes
@@ -48,9 +48,9 @@
 // Fleet is what is played with.
 type Fleet struct {
 	h       testbed.Host
-	net     *testbed.Net
+	net     *testbed.Network
 	Nodes   []*Node
-	minions []*testbed.Minion
+	minions []*testbed.Worker
 	begin   time.Time
 	mu      sync.Mutex // of what the schedule changes
 	healed  time.Time
@@ -70,13 +70,13 @@
 // New starts a fleet in three halls.
 func New(h testbed.Host, o Options) *Fleet {
 	h.Helper()
-	r := &Fleet{h: h, net: testbed.NewNet(o.Seed), stop: make(chan struct{})}
+	r := &Fleet{h: h, net: testbed.NewNetwork(o.Seed), stop: make(chan struct{})}
 	h.Cleanup(r.close)
 	if o.Nodes == 0 {
 		o.Nodes = 4
 	}
 	for i := range o.Nodes {
-		m := testbed.NewMinion(h, fmt.Sprint("s", i))
+		m := testbed.NewWorker(h, fmt.Sprint("s", i))
 		m.Kind = "node-32"
 		r.wait.Go(func() { // nobody reads what it notes
 			for {
@@ -105,7 +105,7 @@
 				h.Fatal(err)
 			}
 		}
-		x.feed = testbed.NewFeed(h)
+		x.feed = testbed.NewDiscovery(h)
 		x.others = [3]string{fmt.Sprint("o", i), fmt.Sprint("f", i), fmt.Sprint("c", i)}
 		r.Nodes = append(r.Nodes, x)
 	}
@@ -145,7 +145,7 @@
 		if err != nil {
 			return err
 		}
-		members = append(members, m.MemberAt("up", way))
+		members = append(members, m.ListEntryAt("up", way))
 	}
 	x.feed.Add(true, members...)
 	if err := r.net.Point(x.others[2], x.feed.Srv.Listener.Addr().String()); err != nil {
@@ -175,7 +175,7 @@
 	if err := x.Start(); err != nil {
 		return err
 	}
-	if _, err := x.Says("msg=serving name=" + x.Name + " listen="); err != nil {
+	if _, err := x.WaitForLog("msg=serving name=" + x.Name + " listen="); err != nil {
 		return err
 	}
 	x.mu.Lock()
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -94,7 +94,7 @@
 	case "FINISH":
 		c.worker.end(line.Tag, causeCancelled)
 	case "ECHO":
-		c.send(testbed.Finish("ECHOED", line.Tag, 1))
+		c.send(testbed.FinishLine("ECHOED", line.Tag, 1))
 	}
 }
 
@@ -118,7 +118,7 @@
 	if to == nil {
 		return false
 	}
-	test := testbed.Finish("ECHO", tag, 0)
+	test := testbed.FinishLine("ECHO", tag, 0)
 	test.Opts = options
 	to.send(test)
 	return true
--- a/internal/testbed/hollow/source.go
+++ b/internal/testbed/hollow/discovery.go
@@ -22,8 +22,8 @@
 // whole list.
 const keptEvents = 128
 
-// Source tells the list of a fleet: whole at first, then the entries that changed, at intervals.
-type Source struct {
+// Discovery tells the list of a fleet: whole at first, then the entries that changed, at intervals.
+type Discovery struct {
 	fleet *Fleet
 	every time.Duration
 
@@ -64,28 +64,28 @@
 	return e.toAll || !named || c.shards.Has(e.worker.Zone, e.worker.ID)
 }
 
-// NewSource starts a source that tells changes at an interval.
-func NewSource(fleet *Fleet, every time.Duration) *Source {
-	s := &Source{fleet: fleet, every: every, revision: 1, more: make(chan struct{}), stop: make(chan struct{})}
+// NewDiscovery starts a source that tells changes at an interval.
+func NewDiscovery(fleet *Fleet, every time.Duration) *Discovery {
+	s := &Discovery{fleet: fleet, every: every, revision: 1, more: make(chan struct{}), stop: make(chan struct{})}
 	s.stopped.Go(s.follow)
 	return s
 }
 
-// Quiet holds changes back, or lets those since tell themselves at the next interval.
-func (s *Source) Quiet(quiet bool) {
+// SetQuiet holds changes back, or lets those since tell themselves at the next interval.
+func (s *Discovery) SetQuiet(quiet bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.quiet = quiet
 }
 
-// Told is how many entries changed so far, each counted once for all orchestrators.
-func (s *Source) Told() int64 {
+// EventsSent is how many entries changed so far, each counted once for all orchestrators.
+func (s *Discovery) EventsSent() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.told
 }
 
-func (s *Source) follow() {
+func (s *Discovery) follow() {
 	ticker := time.NewTicker(s.every)
 	defer ticker.Stop()
 	for {
@@ -99,7 +99,7 @@
 }
 
 // tell makes an event of what changed.
-func (s *Source) tell() {
+func (s *Discovery) tell() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.quiet {
@@ -118,7 +118,7 @@
 }
 
 // tellFresh makes an event of the workers of some shards as they are now.
-func (s *Source) tellFresh(shards shard.Set) {
+func (s *Discovery) tellFresh(shards shard.Set) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var entries []eventEntry
@@ -131,7 +131,7 @@
 }
 
 // add makes an event. The lock is held.
-func (s *Source) add(entries []eventEntry) {
+func (s *Discovery) add(entries []eventEntry) {
 	s.revision++
 	s.events = append(s.events, event{s.revision, entries})
 	if len(s.events) > keptEvents {
@@ -142,7 +142,7 @@
 }
 
 // whole is the whole list as one event.
-func (s *Source) whole(cursor int) string {
+func (s *Discovery) whole(cursor int) string {
 	entries := make([]string, 0, len(s.fleet.Workers))
 	for _, w := range s.fleet.Workers {
 		entries = append(entries, w.entry())
@@ -156,21 +156,21 @@
 }
 
 // Pending reports whether anything changed that is not told yet.
-func (s *Source) Pending() bool {
+func (s *Discovery) Pending() bool {
 	s.fleet.mutex.Lock()
 	defer s.fleet.mutex.Unlock()
 	return len(s.fleet.changed) > 0
 }
 
 // Close ends the source. Its subscriptions end by their own Close.
-func (s *Source) Close() {
+func (s *Discovery) Close() {
 	close(s.stop)
 	s.stopped.Wait()
 }
 
 // Subscription is the command channel of one orchestrator.
 type Subscription struct {
-	source   *Source
+	source   *Discovery
 	server   *http.Server
 	listener countingListener
 	serving  sync.WaitGroup
@@ -181,7 +181,7 @@
 }
 
 // Subscribe opens a command channel.
-func (s *Source) Subscribe() (*Subscription, error) {
+func (s *Discovery) Subscribe() (*Subscription, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("hollow: command channel: %w", err)
@@ -198,23 +198,23 @@
 // Bytes counts what goes over the channel; In is what the orchestrator sent.
 func (u *Subscription) Bytes() *Bytes { return u.listener.bytes }
 
-// Heard is the revision of the last event that the orchestrator has applied.
-func (u *Subscription) Heard() int {
+// LastPolled is the revision of the last event that the orchestrator has applied.
+func (u *Subscription) LastPolled() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.heard
 }
 
 // Revision is that of the last event.
-func (s *Source) Revision() int {
+func (s *Discovery) Revision() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.revision
 }
 
-// Known is what the configuration of an orchestrator that starts now holds: events are numbered
+// InitialList is what the configuration of an orchestrator that starts now holds: events are numbered
 // anew from 1.
-func (u *Subscription) Known() string {
+func (u *Subscription) InitialList() string {
 	u.source.mutex.Lock()
 	defer u.source.mutex.Unlock()
 	u.mutex.Lock()
@@ -269,7 +269,7 @@
 
 // after is the answer to a call, or "" and where more will be noticed; last is the cursor of the
 // last event.
-func (s *Source) after(asked *call) (answer string, last int, more <-chan struct{}) {
+func (s *Discovery) after(asked *call) (answer string, last int, more <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	heard := asked.base + asked.after
@@ -286,7 +286,7 @@
 
 // since are the entries that a call is told of what changed after a revision, the latest of each worker,
 // and whether any tells more than room. The lock is held.
-func (s *Source) since(heard int, asked *call) (texts []string, urgent bool) {
+func (s *Discovery) since(heard int, asked *call) (texts []string, urgent bool) {
 	at := map[*Worker]int{}
 	for _, e := range s.events {
 		if e.revision <= heard {
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -50,7 +50,7 @@
 }
 
 func setUp(tag string, task Task) testbed.Line {
-	line := testbed.SetUp(tag, "batch", "key-"+tag, 1000)
+	line := testbed.StartLine(tag, "batch", "key-"+tag, 1000)
 	description := task.Describe()
 	line.Blob = &description
 	return line
@@ -58,7 +58,7 @@
 
 func TestWorkerAnswers(t *testing.T) {
 	f, seen := newTestFleet(t, 1)
-	c := testbed.NewOwner(t, f.Workers[0].address)
+	c := testbed.NewClient(t, f.Workers[0].address)
 	first, second, third := Tag(0, 1), Tag(0, 2), Tag(0, 3)
 	testbed.Send(c, setUp(first, Task{Cores: 2, Memory: 1, Run: time.Hour}))
 	if got := testbed.Wait(t, "the answer", c.Lines); got.Verb != "STARTED" || got.Tag != first {
@@ -68,7 +68,7 @@
 	if got := testbed.Wait(t, "the refusal", c.Lines); got.Cause() != causeFull || got.Opts["note"] != "cpu_full" {
 		t.Errorf("expected the second task to be refused for want of cores, got %+v", got)
 	}
-	testbed.Send(c, testbed.Finish("FINISH", first, causeEnded))
+	testbed.Send(c, testbed.FinishLine("FINISH", first, causeEnded))
 	if got := testbed.Wait(t, "the release", c.Lines); got.Cause() != causeCancelled || got.Tag != first {
 		t.Errorf("expected the first task to be cancelled, got %+v", got)
 	}
@@ -77,7 +77,7 @@
 	if got := testbed.Wait(t, "the end", c.Lines); got.Cause() != causeEnded || got.Tag != third {
 		t.Errorf("expected the third task to come to its end, got %+v", got)
 	}
-	testbed.Send(c, testbed.Finish("ECHO", third, 0))
+	testbed.Send(c, testbed.FinishLine("ECHO", third, 0))
 	if got := testbed.Wait(t, "the test", c.Lines); got.Verb != "ECHOED" || got.Cause() != 1 {
 		t.Errorf("expected a test that is passed, got %+v", got)
 	}
@@ -89,24 +89,24 @@
 func TestEndGoesToItsOrchestrator(t *testing.T) {
 	f, _ := newTestFleet(t, 1)
 	w := f.Workers[0]
-	other, own := testbed.NewOwner(t, w.address), testbed.NewOwner(t, w.address)
+	other, own := testbed.NewClient(t, w.address), testbed.NewClient(t, w.address)
 	testbed.Send(other, setUp(Tag(0, 1), Task{Cores: 1, Memory: 1, Run: time.Hour}))
 	testbed.Wait(t, "the other's answer", other.Lines)
 	testbed.Send(own, setUp(Tag(1, 1), Task{Cores: 1, Memory: 1, Run: time.Hour}))
 	testbed.Wait(t, "the answer", own.Lines)
 	found := Tag(1, 2)
-	if !w.Stand(found, "found", Task{Run: time.Millisecond}) {
+	if !w.AddRunning(found, "found", Task{Run: time.Millisecond}) {
 		t.Fatal("expected room for a task found running")
 	}
 	f.Begin()
 	if got := testbed.Wait(t, "the end", own.Lines); got.Tag != found || got.Cause() != causeEnded {
 		t.Errorf("expected the end of %s, got %+v", found, got)
 	}
-	late := testbed.NewOwner(t, w.address)
+	late := testbed.NewClient(t, w.address)
 	if got := testbed.Wait(t, "the end on the next connection", late.Lines); got.Tag != found {
 		t.Errorf("expected the end of %s, got %+v", found, got)
 	}
-	testbed.Send(other, testbed.Finish("ECHO", Tag(0, 9), 0))
+	testbed.Send(other, testbed.FinishLine("ECHO", Tag(0, 9), 0))
 	if got := testbed.Wait(t, "the other's test", other.Lines); got.Verb != "ECHOED" {
 		t.Errorf("expected nothing but a test's answer at the other orchestrator, got %+v", got)
 	}
@@ -115,7 +115,7 @@
 func TestWorkerStopsAndStartsAgain(t *testing.T) {
 	f, seen := newTestFleet(t, 1)
 	w := f.Workers[0]
-	c := testbed.NewOwner(t, w.address)
+	c := testbed.NewClient(t, w.address)
 	testbed.Send(c, setUp(Tag(0, 1), Task{Cores: 1, Memory: 1, Run: time.Hour}))
 	testbed.Wait(t, "the answer", c.Lines)
 	w.Stop(Abrupt)
@@ -132,7 +132,7 @@
 	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	c = testbed.NewOwner(t, w.address)
+	c = testbed.NewClient(t, w.address)
 	testbed.Send(c, setUp(Tag(0, 2), Task{Cores: 2, Memory: 4, Run: time.Hour}))
 	if got := testbed.Wait(t, "the answer", c.Lines); got.Verb != "STARTED" {
 		t.Errorf("expected all room to be free, got %+v", got)
@@ -142,12 +142,12 @@
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	f, _ := newTestFleet(t, 1)
 	w := f.Workers[0]
-	c := testbed.NewOwner(t, w.address)
-	testbed.Send(c, testbed.Finish("ECHO", Tag(0, 1), 0))
+	c := testbed.NewClient(t, w.address)
+	testbed.Send(c, testbed.FinishLine("ECHO", Tag(0, 1), 0))
 	testbed.Wait(t, "the test", c.Lines)
 	began := time.Now()
 	w.closeUnused(began.Add(-time.Hour))
-	testbed.Send(c, testbed.Finish("ECHO", Tag(0, 2), 0))
+	testbed.Send(c, testbed.FinishLine("ECHO", Tag(0, 2), 0))
 	testbed.Wait(t, "the test on a connection that is in use", c.Lines)
 	w.closeUnused(time.Now())
 	if line, open := <-c.Lines; open {
@@ -199,9 +199,9 @@
 }
 
 // newTestSource makes a source whose changes are told by hand, and a subscription to it.
-func newTestSource(t *testing.T, f *Fleet) (*Source, *Subscription) {
+func newTestSource(t *testing.T, f *Fleet) (*Discovery, *Subscription) {
 	t.Helper()
-	s := NewSource(f, time.Hour)
+	s := NewDiscovery(f, time.Hour)
 	t.Cleanup(s.Close)
 	u, err := s.Subscribe()
 	if err != nil {
@@ -214,11 +214,11 @@
 func TestSourceTellsChanges(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	s, u := newTestSource(t, f)
-	known := parseListed(t, []byte(u.Known()))
+	known := parseListed(t, []byte(u.InitialList()))
 	if known.Cursor != 1 || !known.Cmds[0].Nodes.Complete || len(known.Cmds[0].Nodes.Members) != 3 {
 		t.Errorf("expected a whole list of 3 as event 1, got %+v", known)
 	}
-	f.Workers[1].List("removed")
+	f.Workers[1].SetListed("removed")
 	s.tell()
 	changes := ask(t, u, 1)
 	if changes.Cursor != 2 || len(changes.Cmds) != 1 || changes.Cmds[0].Nodes.Complete || changes.Cmds[0].Nodes.Members[0].Phase != "removed" {
@@ -232,10 +232,10 @@
 	if len(whole.Cmds) != 1 || !whole.Cmds[0].Nodes.Complete || whole.Cursor != keptEvents+3 {
 		t.Errorf("expected the whole list as event %d for who is too far behind, got %+v", keptEvents+3, whole)
 	}
-	if heard := u.Heard(); heard != 2 {
+	if heard := u.LastPolled(); heard != 2 {
 		t.Errorf("expected revision 2 to be heard, got %d", heard)
 	}
-	if known := parseListed(t, []byte(u.Known())); known.Cursor != 1 {
+	if known := parseListed(t, []byte(u.InitialList())); known.Cursor != 1 {
 		t.Errorf("expected events to be numbered anew at a start, got %d", known.Cursor)
 	}
 }
@@ -255,7 +255,7 @@
 func TestSourceTellsShards(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	s, u := newTestSource(t, f)
-	u.Known()
+	u.InitialList()
 	w := f.Workers[1]
 	others := shard.Set{}
 	for _, other := range f.Workers {
@@ -271,8 +271,8 @@
 		{"room, of a shard that is named", "&shards=" + mine.String(), w.ID + " ", func() { f.Touch(1) }},
 		{"room, of a zone that is not named", "&shards=elsewhere:ffffffffffffffff", w.ID + " ", func() { f.Touch(1) }},
 		{"room, without shards", "", w.ID + " ", func() { f.Touch(1) }},
-		{"a state, of a shard that is not named", "&shards=" + others.String(), w.ID + " ", func() { w.List("draining") }},
-		{"room after a state", "&shards=" + others.String(), w.ID + " ", func() { w.List("up"); f.Touch(1) }},
+		{"a state, of a shard that is not named", "&shards=" + others.String(), w.ID + " ", func() { w.SetListed("draining") }},
+		{"room after a state", "&shards=" + others.String(), w.ID + " ", func() { w.SetListed("up"); f.Touch(1) }},
 		{"nothing, asked anew", "&shards=" + mine.String() + "&fresh=" + mine.String(), w.ID + " ", func() {}},
 	} {
 		from := s.Revision()
@@ -309,7 +309,7 @@
 	if answer, last, more := s.after(&asked); answer != "" || more == nil || last != s.Revision() {
 		t.Errorf("room alone is told at once: %q", answer)
 	}
-	f.Workers[1].List("draining")
+	f.Workers[1].SetListed("draining")
 	s.tell()
 	answer, _, _ := s.after(&asked)
 	if ids := parseListed(t, []byte(answer)).ids(); ids != f.Workers[0].ID+" "+f.Workers[1].ID+" " {
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -136,9 +136,9 @@
 	return ""
 }
 
-// Stand lets a task stand that was started before the run began; Begin starts its run time. It
+// AddRunning lets a task stand that was started before the run began; Begin starts its run time. It
 // reports whether there was room.
-func (w *Worker) Stand(tag, key string, t Task) bool {
+func (w *Worker) AddRunning(tag, key string, t Task) bool {
 	orchestrator, _ := TagOrchestrator(tag)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -167,7 +167,7 @@
 func (w *Worker) start(from *connection, line testbed.Line) {
 	t, err := ParseTask(*line.Blob)
 	if err != nil {
-		from.send(testbed.Finish("FINISH", line.Tag, causeError))
+		from.send(testbed.FinishLine("FINISH", line.Tag, causeError))
 		return
 	}
 	w.mutex.Lock()
@@ -180,7 +180,7 @@
 	w.mutex.Unlock()
 	if short != "" {
 		w.fleet.refusals.Add(1)
-		refusal := testbed.Finish("FINISH", line.Tag, causeFull)
+		refusal := testbed.FinishLine("FINISH", line.Tag, causeFull)
 		refusal.Opts["note"] = short
 		from.send(refusal)
 		return
@@ -195,7 +195,7 @@
 // those of its orchestrator, else on those that may be its; and on the next ones opened.
 func (w *Worker) end(tag string, cause int) {
 	now := time.Now()
-	line := testbed.Finish("FINISH", tag, cause)
+	line := testbed.FinishLine("FINISH", tag, cause)
 	w.mutex.Lock()
 	t := w.tasks[tag]
 	if t == nil || w.silent {
@@ -284,12 +284,12 @@
 	if err := w.listen(address); err != nil {
 		return err
 	}
-	w.List("up")
+	w.SetListed("up")
 	return nil
 }
 
-// List sets the state that the list tells.
-func (w *Worker) List(state string) {
+// SetListed sets the state that the list tells.
+func (w *Worker) SetListed(state string) {
 	w.mutex.Lock()
 	w.state = state
 	w.mutex.Unlock()
--- a/internal/testbed/line.go
+++ b/internal/testbed/line.go
@@ -45,16 +45,16 @@
 	return *l.RC
 }
 
-// Finish is a message with a cause.
-func Finish(verb, tag string, rc int) Line {
+// FinishLine is a message with a cause.
+func FinishLine(verb, tag string, rc int) Line {
 	return Line{Verb: verb, Tag: tag, Opts: map[string]string{}, RC: &rc}
 }
 
-// Tag is the nth tag.
-func Tag(n int) string { return fmt.Sprintf("%016x", n) }
+// RequestID is the nth tag.
+func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// SetUp is a set-up of a task of one core.
-func SetUp(tag, class, key string, leftMs int) Line {
+// StartLine is a set-up of a task of one core.
+func StartLine(tag, class, key string, leftMs int) Line {
 	blob := "about " + key
 	return Line{Verb: "START", Tag: tag, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
 		"left": strconv.Itoa(leftMs), "extras": "cores:1;memory:2;service:00000000b4d65521"}}
@@ -84,19 +84,19 @@
 	panic("not reached")
 }
 
-// Owner is an owner's connection. Lines is closed when that ends.
-type Owner struct {
+// Client is an owner's connection. Lines is closed when that ends.
+type Client struct {
 	net.Conn
 	Lines chan Line
 }
 
 // Dial connects an owner.
-func Dial(addr string) (*Owner, error) {
+func Dial(addr string) (*Client, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	o := &Owner{c, make(chan Line, 1000)}
+	o := &Client{c, make(chan Line, 1000)}
 	go func() {
 		defer close(o.Lines)
 		for r := bufio.NewScanner(c); r.Scan(); {
@@ -110,8 +110,8 @@
 	return o, nil
 }
 
-// NewOwner connects an owner for a test.
-func NewOwner(t Host, addr string) *Owner {
+// NewClient connects an owner for a test.
+func NewClient(t Host, addr string) *Client {
 	o, err := Dial(addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// Says waits for a line of this start that holds a text, and returns the word that
+// WaitForLog waits for a line of this start that holds a text, and returns the word that
 // follows it.
-func (p *Process) Says(text string) (string, error) {
+func (p *Process) WaitForLog(text string) (string, error) {
 	timer := time.AfterFunc(Patience, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/testbed/link.go
+++ b/internal/testbed/proxy.go
@@ -16,11 +16,11 @@
 // takes it back; the other side hears nothing of a reset that met a cut, and believes
 // in its connection; no connection comes up during a cut.
 
-// Link is a relay to one address.
-type Link struct {
+// Proxy is a relay to one address.
+type Proxy struct {
 	ln       *net.TCPListener
 	to       string
-	attempts *Attempts
+	attempts *AttemptLog
 	mu       sync.Mutex
 	turned   *sync.Cond // cut or healed, or closed
 	delay    time.Duration
@@ -31,23 +31,23 @@
 	all      []net.Conn
 }
 
-// NewLink relays to a minion, which is told to the orchestrator by the link's address
+// NewProxy relays to a minion, which is told to the orchestrator by the link's address
 // from now on.
-func NewLink(t Host, m *Minion) *Link {
-	l := newLink(t, m.ln.Addr().String(), m.Attempts)
+func NewProxy(t Host, m *Worker) *Proxy {
+	l := newProxy(t, m.ln.Addr().String(), m.Attempts)
 	m.via = l.Addr()
 	return l
 }
 
-// NewLinkTo relays to an address.
-func NewLinkTo(t Host, addr string) *Link { return newLink(t, addr, nil) }
+// NewProxyTo relays to an address.
+func NewProxyTo(t Host, addr string) *Proxy { return newProxy(t, addr, nil) }
 
-func newLink(t Host, to string, attempts *Attempts) *Link {
+func newProxy(t Host, to string, attempts *AttemptLog) *Proxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Link{ln: ln.(*net.TCPListener), to: to, attempts: attempts, fillers: map[string]net.Conn{}}
+	l := &Proxy{ln: ln.(*net.TCPListener), to: to, attempts: attempts, fillers: map[string]net.Conn{}}
 	l.turned = sync.NewCond(&l.mu)
 	go l.accept()
 	t.Cleanup(l.close)
@@ -55,9 +55,9 @@
 }
 
 // Addr is where it listens.
-func (l *Link) Addr() string { return l.ln.Addr().String() }
+func (l *Proxy) Addr() string { return l.ln.Addr().String() }
 
-func (l *Link) close() {
+func (l *Proxy) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.done, l.cut = true, false
@@ -70,7 +70,7 @@
 
 // Strand lets the connections that are there stay open and carry nothing any more. New
 // ones are as before.
-func (l *Link) Strand() {
+func (l *Proxy) Strand() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stranded = map[net.Conn]bool{}
@@ -80,7 +80,7 @@
 }
 
 // carries waits until nothing is cut; it reports whether a connection still carries something.
-func (l *Link) carries(c net.Conn) bool {
+func (l *Proxy) carries(c net.Conn) bool {
 	if !l.through() {
 		return false
 	}
@@ -90,14 +90,14 @@
 }
 
 // Delay sets how long messages to the minion are on their way.
-func (l *Link) Delay(d time.Duration) {
+func (l *Proxy) Delay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
 // Cut lets nothing through, in either direction, and no connection come up.
-func (l *Link) Cut(t Host) {
+func (l *Proxy) Cut(t Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = true
@@ -113,7 +113,7 @@
 }
 
 // Heal ends a cut.
-func (l *Link) Heal(t Host) {
+func (l *Proxy) Heal(t Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.backlog(t, 1024)
@@ -122,7 +122,7 @@
 	l.turned.Broadcast()
 }
 
-func (l *Link) backlog(t Host, n int) {
+func (l *Proxy) backlog(t Host, n int) {
 	raw, err := l.ln.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 }
 
 // through waits until nothing is cut; it reports whether the link is still there.
-func (l *Link) through() bool {
+func (l *Proxy) through() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.cut {
@@ -142,13 +142,13 @@
 	return !l.done
 }
 
-func (l *Link) isCut() bool {
+func (l *Proxy) isCut() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut
 }
 
-func (l *Link) accept() {
+func (l *Proxy) accept() {
 	for l.through() {
 		a, err := l.ln.Accept()
 		if err != nil {
@@ -205,7 +205,7 @@
 }
 
 // forth carries what the orchestrator sends.
-func (l *Link) forth(a, b net.Conn) {
+func (l *Proxy) forth(a, b net.Conn) {
 	parcels := make(chan parcel, 10_000)
 	reset := make(chan struct{})
 	go func() {
@@ -252,7 +252,7 @@
 }
 
 // back carries what the minion sends. What comes for a connection that is gone is lost.
-func (l *Link) back(a, b net.Conn) {
+func (l *Proxy) back(a, b net.Conn) {
 	for {
 		buf := make([]byte, 16<<10)
 		n, err := b.Read(buf)
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -41,8 +41,8 @@
 
 type pair struct{ from, to string }
 
-// Net is the network. Its chances are drawn from one seed.
-type Net struct {
+// Network is the network. Its chances are drawn from one seed.
+type Network struct {
 	mu     sync.Mutex
 	turned *sync.Cond // conditions changed, or the net is closed
 	rng    *rand.Rand
@@ -56,9 +56,9 @@
 	Passed, Stopped atomic.Int64
 }
 
-// NewNet returns a net without relays.
-func NewNet(seed uint64) *Net {
-	n := &Net{rng: rand.New(rand.NewPCG(seed, 4)), ways: map[pair]Conditions{}, real: map[string]string{},
+// NewNetwork returns a net without relays.
+func NewNetwork(seed uint64) *Network {
+	n := &Network{rng: rand.New(rand.NewPCG(seed, 4)), ways: map[pair]Conditions{}, real: map[string]string{},
 		relays: map[pair]*relay{}, healed: map[pair]time.Time{}}
 	n.turned = sync.NewCond(&n.mu)
 	return n
@@ -66,7 +66,7 @@
 
 type relay struct {
 	pair
-	n     *Net
+	n     *Network
 	addr  string
 	udp   *net.UDPConn
 	mu    sync.Mutex
@@ -75,7 +75,7 @@
 }
 
 // Relay opens the way from one process to another and returns where it begins.
-func (n *Net) Relay(from, to string) (string, error) {
+func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	udp, err := n.port4()
@@ -89,7 +89,7 @@
 }
 
 // Place returns an address at which a process can listen, now and when it is started again.
-func (n *Net) Place() (string, error) {
+func (n *Network) Place() (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	udp, err := n.port4()
@@ -101,7 +101,7 @@
 
 // port4 finds a port that is free for datagrams and for connections, below those that the
 // system gives out by itself: one that is closed for a while is still free afterwards.
-func (n *Net) port4() (*net.UDPConn, error) {
+func (n *Network) port4() (*net.UDPConn, error) {
 	for range 5_000 {
 		port := 20_000 + int(ports.Add(1))%10_000
 		udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port})
@@ -120,7 +120,7 @@
 }
 
 // Point says where a process listens from now on; "" where it has ended.
-func (n *Net) Point(name, addr string) error {
+func (n *Network) Point(name, addr string) error {
 	n.mu.Lock()
 	n.real[name] = addr
 	n.mu.Unlock()
@@ -128,7 +128,7 @@
 }
 
 // Set changes the conditions of one direction.
-func (n *Net) Set(from, to string, change func(*Conditions)) error {
+func (n *Network) Set(from, to string, change func(*Conditions)) error {
 	n.mu.Lock()
 	c := n.ways[pair{from, to}]
 	change(&c)
@@ -140,7 +140,7 @@
 }
 
 // Heal ends all conditions.
-func (n *Net) Heal() error {
+func (n *Network) Heal() error {
 	n.mu.Lock()
 	for p := range n.ways {
 		n.healed[p] = time.Now()
@@ -152,7 +152,7 @@
 }
 
 // Reset ends the connections of one ordered pair with a reset.
-func (n *Net) Reset(from, to string) {
+func (n *Network) Reset(from, to string) {
 	n.mu.Lock()
 	r := n.relays[pair{from, to}]
 	n.mu.Unlock()
@@ -162,7 +162,7 @@
 }
 
 // Close ends all relays.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	clear(n.ways)
@@ -181,7 +181,7 @@
 }
 
 // Open says whether a direction carries, but for chance and for flapping.
-func (n *Net) Open(from, to string) bool {
+func (n *Network) Open(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.ways[pair{from, to}]
@@ -189,14 +189,14 @@
 }
 
 // Has reports whether there is a way from one to another.
-func (n *Net) Has(from, to string) bool {
+func (n *Network) Has(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.relays[pair{from, to}] != nil || n.relays[pair{to, from}] != nil
 }
 
-// Fine reports whether nothing was wrong between two since a time, in either direction.
-func (n *Net) Fine(a, b string, since time.Time) bool {
+// WasHealthy reports whether nothing was wrong between two since a time, in either direction.
+func (n *Network) WasHealthy(a, b string, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range []pair{{a, b}, {b, a}} {
@@ -208,13 +208,13 @@
 }
 
 // way is the conditions of a direction and where it leads.
-func (n *Net) way(from, to string) (Conditions, string) {
+func (n *Network) way(from, to string) (Conditions, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ways[pair{from, to}], n.real[to]
 }
 
-func (n *Net) chance(p float64) bool {
+func (n *Network) chance(p float64) bool {
 	if p <= 0 {
 		return false
 	}
@@ -223,7 +223,7 @@
 	return n.rng.Float64() < p
 }
 
-func (n *Net) delay(c Conditions, bytes int) time.Duration {
+func (n *Network) delay(c Conditions, bytes int) time.Duration {
 	d := c.Delay
 	if c.Jitter > 0 {
 		n.mu.Lock()
@@ -237,7 +237,7 @@
 }
 
 // listen has each relay take connections, or refuse them, as is so now.
-func (n *Net) listen() error {
+func (n *Network) listen() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p, r := range n.relays {
@@ -373,7 +373,7 @@
 }
 
 // through waits while a direction is cut; it reports whether the net is still there.
-func (n *Net) through(from, to string) bool {
+func (n *Network) through(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for !n.closed && n.ways[pair{from, to}].shut(time.Now()) {
--- a/internal/testbed/minion.go
+++ b/internal/testbed/worker.go
@@ -17,13 +17,13 @@
 // cutMost bounds the set-ups kept as cut by a close.
 const cutMost = 1000
 
-// Minion is a stand-in node. Without a Machine, what it says to a set-up follows
+// NewWorker is a stand-in node. Without a Machine, what it says to a set-up follows
 // from the task's name: ok-, full-, error-, silent- or reset-; missed- is silent at the
 // first attempt of a request and ok at those after, at whatever minion; what it spoils at the
 // first set-up of a task it does well at the next: half-, bare-, twice- (a copy and a
 // foreign answer). What is brief- is over before it is to say yes, and says both in one.
 // With one, the Machine answers.
-type Minion struct {
+type Worker struct {
 	Name   string
 	Kind   string    // of its machine, as the list has it; "std" unless it is set
 	Starts chan Line // set-ups, in order; without a Machine only
@@ -32,14 +32,14 @@
 	// released them, answered or not: closing a connection gives up what is open
 	// on it. It holds cutMost; what comes beyond is not kept.
 	Cut chan Line
-	// Attempts notes what is out here, where it is set before the first connection.
-	Attempts *Attempts
+	// AttemptLog notes what is out here, where it is set before the first connection.
+	Attempts *AttemptLog
 
 	host   Host
 	ln     net.Listener
 	via    string              // where it is told to listen, "" where that is where it does
 	by     map[string]net.Conn // the connections of set-ups
-	mach   *Machine
+	mach   *CapacityModel
 	mu     sync.Mutex
 	came   *sync.Cond // a connection came
 	conns  map[net.Conn]bool
@@ -51,15 +51,15 @@
 	tests  int            // that came
 }
 
-// NewMinion starts a minion that follows its script.
-func NewMinion(t Host, name string) *Minion { return newMinion(t, name, nil) }
+// NewWorker starts a minion that follows its script.
+func NewWorker(t Host, name string) *Worker { return newWorker(t, name, nil) }
 
-func newMinion(t Host, name string, mach *Machine) *Minion {
+func newWorker(t Host, name string, mach *CapacityModel) *Worker {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &Minion{Name: name, Kind: "std", host: t, ln: ln, mach: mach, Starts: make(chan Line, 1000), Ends: make(chan Line, 1000),
+	m := &Worker{Name: name, Kind: "std", host: t, ln: ln, mach: mach, Starts: make(chan Line, 1000), Ends: make(chan Line, 1000),
 		Cut: make(chan Line, cutMost), by: map[string]net.Conn{}, conns: map[net.Conn]bool{}, held: map[string]bool{}, count: map[string]int{}}
 	m.came = sync.NewCond(&m.mu)
 	go func() {
@@ -92,7 +92,7 @@
 	return m
 }
 
-func (m *Minion) has(c net.Conn) bool {
+func (m *Worker) has(c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.conns[c]
@@ -100,7 +100,7 @@
 
 // tell sends what concerns a task on the connection of its set-up, else on any open
 // one, else on the next.
-func (m *Minion) tell(c net.Conn, l Line) {
+func (m *Worker) tell(c net.Conn, l Line) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.conns[c] {
@@ -116,19 +116,19 @@
 }
 
 // Addr is where it is reached.
-func (m *Minion) Addr() string {
+func (m *Worker) Addr() string {
 	if m.via != "" {
 		return m.via
 	}
 	return m.ln.Addr().String()
 }
 
-// Tell lets a task that stands come to its end as the protocol has it: told on the
+// SendFinish lets a task that stands come to its end as the protocol has it: told on the
 // connection of its set-up while that looks open here, else on any open one, and also
 // on the next one opened.
-func (m *Minion) Tell(tag string, rc int) {
+func (m *Worker) SendFinish(tag string, rc int) {
 	m.Attempts.ended(m.Name, tag)
-	l := Finish("FINISH", tag, rc)
+	l := FinishLine("FINISH", tag, rc)
 	m.mu.Lock()
 	c := m.by[tag]
 	delete(m.held, tag)
@@ -139,8 +139,8 @@
 	m.mu.Unlock()
 }
 
-// Yes answers a set-up that it was silent about.
-func (m *Minion) Yes(tag string) {
+// Accept answers a set-up that it was silent about.
+func (m *Worker) Accept(tag string) {
 	m.mu.Lock()
 	c := m.by[tag]
 	m.held[tag] = true
@@ -166,7 +166,7 @@
 }
 
 // Die closes it for good, with a reset for whoever is connected.
-func (m *Minion) Die() {
+func (m *Worker) Die() {
 	Refuse(m.host, m.ln)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-func (m *Minion) serve(c net.Conn) {
+func (m *Worker) serve(c net.Conn) {
 	open := map[string]Line{} // set-ups on this connection without a release
 	defer func() {
 		m.mu.Lock()
@@ -226,26 +226,26 @@
 			delete(m.by, l.Tag)
 			m.mu.Unlock()
 			if stands {
-				Send(c, Finish("FINISH", l.Tag, 31))
+				Send(c, FinishLine("FINISH", l.Tag, 31))
 			}
 			m.Ends <- l
 		case l.Verb == "ECHO":
 			m.mu.Lock()
 			m.tests++
 			m.mu.Unlock()
-			Send(c, Finish("ECHOED", l.Tag, 1))
+			Send(c, FinishLine("ECHOED", l.Tag, 1))
 		}
 	}
 }
 
-func (m *Minion) start(c net.Conn, l Line) {
+func (m *Worker) start(c net.Conn, l Line) {
 	key := l.Opts["key"]
 	m.mu.Lock()
 	m.count[key]++
 	m.mu.Unlock()
 	kind, _, _ := strings.Cut(key, "-")
 	if kind == "missed" {
-		if kind = "silent"; m.Attempts.Tried(l.Tag) > 1 {
+		if kind = "silent"; m.Attempts.Count(l.Tag) > 1 {
 			kind = "ok"
 		}
 	}
@@ -258,7 +258,7 @@
 		blob := m.Name + " holds " + *l.Blob
 		Send(c, Line{Verb: "STARTED", Tag: l.Tag, Opts: map[string]string{}, Blob: &blob})
 	case "half", "bare", "twice":
-		if m.Counted(key) == 1 || kind == "twice" {
+		if m.StartCount(key) == 1 || kind == "twice" {
 			m.spoil(c, kind, l)
 			break
 		}
@@ -267,17 +267,17 @@
 		Send(c, good)
 	case "brief":
 		m.Attempts.ended(m.Name, l.Tag)
-		over, blob := Finish("FINISH", l.Tag, 16), m.Name+" held "+*l.Blob
+		over, blob := FinishLine("FINISH", l.Tag, 16), m.Name+" held "+*l.Blob
 		over.Blob = &blob
 		Send(c, over)
 	case "full":
 		m.Attempts.ended(m.Name, l.Tag)
-		full := Finish("FINISH", l.Tag, 34)
+		full := FinishLine("FINISH", l.Tag, 34)
 		full.Opts["note"] = "busy"
 		Send(c, full)
 	case "error":
 		m.Attempts.ended(m.Name, l.Tag)
-		Send(c, Finish("FINISH", l.Tag, 47))
+		Send(c, FinishLine("FINISH", l.Tag, 47))
 	case "reset":
 		c.(*net.TCPConn).SetLinger(0)
 		m.mu.Lock()
@@ -289,7 +289,7 @@
 }
 
 // spoil answers in a way that is not as it should be.
-func (m *Minion) spoil(c net.Conn, kind string, l Line) {
+func (m *Worker) spoil(c net.Conn, kind string, l Line) {
 	l.Verb = "STARTED"
 	b, err := json.Marshal(l)
 	if err != nil {
@@ -303,9 +303,9 @@
 		Send(c, l)
 	case "twice":
 		foreign := l
-		foreign.Tag = Tag(0xffff)
+		foreign.Tag = RequestID(0xffff)
 		Send(c, foreign)
-		Send(c, Finish("FINISH", foreign.Tag, 34))
+		Send(c, FinishLine("FINISH", foreign.Tag, 34))
 		Send(c, l)
 		Send(c, l)
 	}
@@ -313,7 +313,7 @@
 
 // End lets a task come to its end with a cause, told on any open connection or
 // on the next one opened.
-func (m *Minion) End(tag string, rc int) {
+func (m *Worker) End(tag string, rc int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.held, tag)
@@ -322,78 +322,78 @@
 		m.came.Wait()
 	}
 	for c := range m.conns {
-		Send(c, Finish("FINISH", tag, rc))
+		Send(c, FinishLine("FINISH", tag, rc))
 		return
 	}
 }
 
 // Note sends news of no task on every open connection: it is there.
-func (m *Minion) Note() {
+func (m *Worker) Note() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.conns {
-		Send(c, Line{Verb: "NOTICE", Tag: Tag(0), Opts: map[string]string{"note": "up", "value": "0"}})
+		Send(c, Line{Verb: "NOTICE", Tag: RequestID(0), Opts: map[string]string{"note": "up", "value": "0"}})
 	}
 }
 
-// Counted is how many set-ups of a task came.
-func (m *Minion) Counted(key string) int {
+// StartCount is how many set-ups of a task came.
+func (m *Worker) StartCount(key string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.count[key]
 }
 
-// Holds reports whether a task stands.
-func (m *Minion) Holds(tag string) bool {
+// HasTask reports whether a task stands.
+func (m *Worker) HasTask(tag string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held[tag]
 }
 
-// Holding is how many tasks stand.
-func (m *Minion) Holding() int {
+// TaskCount is how many tasks stand.
+func (m *Worker) TaskCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.held)
 }
 
-// Tests is how many tests came.
-func (m *Minion) Tests() int {
+// PingCount is how many tests came.
+func (m *Worker) PingCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.tests
 }
 
-// Dials is how many connections came, and how many are open.
-func (m *Minion) Dials() (came, open int) {
+// DialCounts is how many connections came, and how many are open.
+func (m *Worker) DialCounts() (came, open int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.dials, len(m.conns)
 }
 
-// Member is its line of the list.
-func (m *Minion) Member(phase string) string { return m.MemberAt(phase, m.Addr()) }
+// ListEntry is its line of the list.
+func (m *Worker) ListEntry(phase string) string { return m.ListEntryAt(phase, m.Addr()) }
 
-// MemberAt is the same for whoever reaches it at another address.
-func (m *Minion) MemberAt(phase, addr string) string {
+// ListEntryAt is the same for whoever reaches it at another address.
+func (m *Worker) ListEntryAt(phase, addr string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"hall-a","flavor":%q,"cell":1,"phase":%q,"size":1,`+
 		`"up_since_ms":0,"spare":[32,64]}`, m.Name, addr, m.Kind, phase)
 }
 
-// Deaf refuses new connections; open ones stay.
-func (m *Minion) Deaf() { Refuse(m.host, m.ln) }
+// RefuseConnections refuses new connections; open ones stay.
+func (m *Worker) RefuseConnections() { Refuse(m.host, m.ln) }
 
 // Vanish lets it go without a word: new connections are refused, and those that are open
 // stay open and silent.
-func (m *Minion) Vanish() {
+func (m *Worker) Vanish() {
 	m.mu.Lock()
 	m.gone = true
 	m.mu.Unlock()
 	Refuse(m.host, m.ln)
 }
 
-// Shut closes it for good as a process does that ends in good order.
-func (m *Minion) Shut() {
+// CloseGracefully closes it for good as a process does that ends in good order.
+func (m *Worker) CloseGracefully() {
 	Refuse(m.host, m.ln)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -402,8 +402,8 @@
 	}
 }
 
-// HangUp closes its connections and takes new ones.
-func (m *Minion) HangUp() {
+// CloseConnections closes its connections and takes new ones.
+func (m *Worker) CloseConnections() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.conns {
@@ -411,14 +411,14 @@
 	}
 }
 
-func (m *Minion) vanished() bool {
+func (m *Worker) vanished() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.gone
 }
 
 // Forget no longer knows its connections, and waits for a new one.
-func (m *Minion) Forget() {
+func (m *Worker) Forget() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	dials := m.dials
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -141,7 +141,7 @@
 // test sends a test, and returns what is closed once it is passed.
 func (l *link) test(options map[string]string) (<-chan struct{}, error) {
 	tag := hollow.Tag(l.pool.orchestrator.index, l.pool.next.Add(1))
-	test := testbed.Finish("ECHO", tag, 0)
+	test := testbed.FinishLine("ECHO", tag, 0)
 	test.Opts = options
 	heard := make(chan struct{})
 	l.mutex.Lock()
@@ -159,7 +159,7 @@
 
 // withdraw gives a set-up up.
 func (l *link) withdraw(tag string) {
-	_ = l.write(testbed.Finish("FINISH", tag, 16)) // a connection that is gone gives it up too
+	_ = l.write(testbed.FinishLine("FINISH", tag, 16)) // a connection that is gone gives it up too
 }
 
 // clients ask for tasks.
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -105,7 +105,7 @@
 	}
 	<-time.After(listDetection)
 	for _, w := range gone {
-		w.List("removed")
+		w.SetListed("removed")
 	}
 	listed := r.source.Revision() + 1
 	known := r.until(func() bool { return r.heard(listed) && r.ledger.lostUntold() <= from })
@@ -124,7 +124,7 @@
 // heard reports whether every orchestrator has applied the list up to a revision.
 func (r *rig) heard(revision int) bool {
 	for _, o := range r.orchestrators {
-		if o.list.Heard() < revision {
+		if o.list.LastPolled() < revision {
 			return false
 		}
 	}
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -87,7 +87,7 @@
 	if err := o.Process.Start(); err != nil {
 		return err
 	}
-	address, err := o.Process.Says(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
+	address, err := o.Process.WaitForLog(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
 	if o.address == "" { // it keeps its address, which clients read meanwhile
 		o.address = address
 	}
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -26,7 +26,7 @@
 	binary        string
 	ledger        *ledger
 	fleet         *hollow.Fleet
-	source        *hollow.Source
+	source        *hollow.Discovery
 	orchestrators []*orchestrator
 	clients       *clients
 	demand        *demand
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.source = hollow.NewSource(r.fleet, o.listEvery)
+	r.source = hollow.NewDiscovery(r.fleet, o.listEvery)
 	r.clients = newClients(r)
 	r.ledger.again, r.ledger.note, r.ledger.places = r.clients.again, t.Logf, r.places
 	r.startOrchestrators()
@@ -199,7 +199,7 @@
 	stands := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, Run: t.run}
 	for range putTries {
 		w := workers[random.IntN(len(workers))]
-		if w.Stand(tag, t.key, stands) {
+		if w.AddRunning(tag, t.key, stands) {
 			t.worker, t.tag = w.ID, tag
 			return true
 		}
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -72,15 +72,15 @@
 	r.t.Logf("%d of %d tasks that run already are known; %d connections to workers are open", res.known, r.options.running,
 		r.fleet.Connections())
 	s.phase.Store("standing")
-	r.source.Quiet(true)
+	r.source.SetQuiet(true)
 	r.play("standing", r.options.calibration())
-	r.source.Quiet(false)
+	r.source.SetQuiet(false)
 	r.fleet.Begin()
 	if r.options.parts {
 		s.phase.Store("work")
-		r.source.Quiet(true)
+		r.source.SetQuiet(true)
 		r.play("work", r.options.peak, r.starts)
-		r.source.Quiet(false)
+		r.source.SetQuiet(false)
 	}
 	r.peak(s, &res)
 	s.phase.Store("settle")
@@ -178,7 +178,7 @@
 
 // logFindings tells the counts of clients and what the orchestrators warned of.
 func (r *rig) logFindings() {
-	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.now(), r.fleet.Refusals(), r.source.Told(),
+	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.now(), r.fleet.Refusals(), r.source.EventsSent(),
 		r.fleet.Unaccepted())
 	for _, line := range r.ledger.untold() {
 		r.t.Log("scale-untold: " + line)
--- a/test/scale/settings_test.go
+++ b/test/scale/settings_test.go
@@ -62,7 +62,7 @@
 	text, err := json.Marshal(map[string]any{"name": o.Name, "listen": o.listen(), "mgmt": o.manage(),
 		"seed":    fmt.Sprintf("%x", o.rig.options.seed*1000+uint64(o.index*10+o.starts+1)),
 		"limits":  map[string]any{"cores": 1.0, "memory_mb": memoryLimitMB, "sockets": o.rig.options.sockets},
-		"channel": o.list.Address(), "known": json.RawMessage(o.list.Known()), "settings": settings(o.index, o.rig.options)})
+		"channel": o.list.Address(), "known": json.RawMessage(o.list.InitialList()), "settings": settings(o.index, o.rig.options)})
 	if err != nil {
 		return nil, fmt.Errorf("configuration of %s: %w", o.Name, err)
 	}
--- a/test/storm/flood_test.go
+++ b/test/storm/flood_test.go
@@ -34,12 +34,12 @@
 	var done sync.WaitGroup
 	begin := make(chan struct{})
 	for k := range connections {
-		c := testbed.NewOwner(t, r.orch[0].addr)
+		c := testbed.NewClient(t, r.orch[0].addr)
 		var text bytes.Buffer
 		mine := 0
 		for i := k; i < n; i += connections {
 			blob := testbed.Task{Class: "guide-web"}.Describe()
-			b, err := json.Marshal(testbed.Line{Verb: "START", Tag: testbed.Tag(i + 1), Blob: &blob, Opts: map[string]string{
+			b, err := json.Marshal(testbed.Line{Verb: "START", Tag: testbed.RequestID(i + 1), Blob: &blob, Opts: map[string]string{
 				"class": "guide-web", "key": fmt.Sprintf("%016x", i), "left": strconv.FormatInt(left.Milliseconds(), 10),
 				"extras": "cores:28;memory:60;service:1"}})
 			if err != nil {
--- a/test/storm/owners_test.go
+++ b/test/storm/owners_test.go
@@ -81,7 +81,7 @@
 	o    *owners
 	orch int
 	mu   sync.Mutex
-	c    *testbed.Owner
+	c    *testbed.Client
 	open map[string]chan answer
 	over map[string]bool // tags that had their final answer
 }
@@ -118,7 +118,7 @@
 	return ch, nil
 }
 
-func (l *link) read(c *testbed.Owner) {
+func (l *link) read(c *testbed.Client) {
 	for line := range c.Lines {
 		now := time.Now()
 		l.mu.Lock()
@@ -202,7 +202,7 @@
 // once sends one set-up and waits for its answer.
 func (o *owners) once(j *job, rng *rand.Rand, res *result) (a answer, sent time.Time, ok bool) {
 	l := o.pools[rng.IntN(len(o.pools))][rng.IntN(linksEach)]
-	tag := testbed.Tag(int(o.nextTag.Add(1)))
+	tag := testbed.RequestID(int(o.nextTag.Add(1)))
 	blob := j.Describe()
 	o.r.watch.history.asked(tag)
 	sent = time.Now()
--- a/test/storm/rig_test.go
+++ b/test/storm/rig_test.go
@@ -96,9 +96,9 @@
 	dir, bin string
 	conf     string
 	longest  time.Duration
-	machines []*testbed.Machine
-	minions  [][]*testbed.Minion // by orchestrator
-	feeds    []*testbed.Feed
+	machines []*testbed.CapacityModel
+	minions  [][]*testbed.Worker // by orchestrator
+	feeds    []*testbed.Discovery
 	orch     []*orchestrator
 	watch    *watch
 	stop     chan struct{}
@@ -162,10 +162,10 @@
 }
 
 // machineSpecs draws the machines: two thirds node-32, halls in turn, some cold.
-func machineSpecs(f fleet) []testbed.Spec {
-	var out []testbed.Spec
+func machineSpecs(f fleet) []testbed.WorkerSpec {
+	var out []testbed.WorkerSpec
 	for i := range f.nodes {
-		s := testbed.Spec{Name: fmt.Sprintf("s-%08x", 0xc41f00+i), Hall: "hall-" + string(rune('a'+i%3)), Kind: "node-32", Cell: i / 6,
+		s := testbed.WorkerSpec{Name: fmt.Sprintf("s-%08x", 0xc41f00+i), Hall: "hall-" + string(rune('a'+i%3)), Kind: "node-32", Cell: i / 6,
 			Cores: 28, Memory: 60, Ask: [2]time.Duration{11 * ms, 34 * ms}, Queue: 20, Starts: 4, ColdShare: 0.21, Multiple: 4, Fresh: 25,
 			ColdFor: 16 * time.Second, FallFor: 3 * time.Second, MeanWork: 170 * ms}
 		if i%3 == 2 {
@@ -184,15 +184,15 @@
 	r := &rig{t: t, dir: t.TempDir(), bin: bin, conf: conf, longest: longest, stop: make(chan struct{}),
 		watch: &watch{accepts: map[string]int{}, where: map[string]place{}, ran: map[string]time.Time{}}}
 	for i, s := range machineSpecs(f) {
-		r.machines = append(r.machines, testbed.NewMachine(t, s, r.watch, seed+uint64(i)))
+		r.machines = append(r.machines, testbed.NewCapacityModel(t, s, r.watch, seed+uint64(i)))
 	}
 	for k := range f.orchestrators {
-		var ms []*testbed.Minion
+		var ms []*testbed.Worker
 		for _, m := range r.machines {
-			ms = append(ms, m.Minion(t))
+			ms = append(ms, m.NewWorker(t))
 		}
 		r.minions = append(r.minions, ms)
-		feed := testbed.NewFeed(t)
+		feed := testbed.NewDiscovery(t)
 		r.feeds = append(r.feeds, feed)
 		r.orch = append(r.orch, &orchestrator{Process: testbed.Process{Name: fmt.Sprint("n", k)}, r: r, i: k})
 	}
@@ -215,7 +215,7 @@
 
 func (r *rig) rooms() (out [][2]float64) {
 	for _, m := range r.machines {
-		c, b := m.Room()
+		c, b := m.FreeCapacity()
 		out = append(out, [2]float64{c, b})
 	}
 	return out
@@ -226,7 +226,7 @@
 	for k, f := range r.feeds {
 		var members []string
 		for i, m := range r.machines {
-			members = append(members, m.Member(r.minions[k][i], "up", rooms[i][0], rooms[i][1]))
+			members = append(members, m.ListEntry(r.minions[k][i], "up", rooms[i][0], rooms[i][1]))
 		}
 		f.Add(complete, members...)
 	}
@@ -267,7 +267,7 @@
 	o.Process.Env = []string{"ROUTER_CONFIG=" + path, "ROUTER_LISTEN=", "ROUTER_NAME=", "ROUTER_MGMT="}
 	err := o.Process.Start()
 	if err == nil {
-		o.addr, err = o.Process.Says(fmt.Sprintf("msg=serving name=n%d listen=", o.i))
+		o.addr, err = o.Process.WaitForLog(fmt.Sprintf("msg=serving name=n%d listen=", o.i))
 	}
 	if err != nil {
 		o.r.t.Error(err)
--- a/test/storm/storm_test.go
+++ b/test/storm/storm_test.go
@@ -257,7 +257,7 @@
 		}
 		var free, all float64
 		for _, m := range r.machines {
-			c, b := m.Room()
+			c, b := m.FreeCapacity()
 			free += max(0, min(c/m.Cores, b/m.Memory)) * m.Cores
 			all += m.Cores
 		}
