--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -12,75 +12,97 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/jsonlines"
-	"ravenhitch/placement"
 )
 
-// stuffing is more than the system takes for a worker that does not read.
-const stuffing = 32 << 20
+// paddingBytes is more than the system takes for a worker that does not read.
+const paddingBytes = 32 << 20
 
-// An offer that is given up while it waits for its worker to read is taken back: it would
-// reach the worker as soon as that reads on, long after its client has gone.
-func TestGivenUpBeforeItsWorkerReads(t *testing.T) {
-	const tag = "9b1f03aa5c7e2d41"
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// runningNotice is a message that shows that the worker is there.
+func runningNotice() []byte {
+	return jsonlines.Append(nil, &jsonlines.Message{
+		Verb: jsonlines.VerbNotice,
+		Tag:  requestID,
+		Opts: []jsonlines.Field{{Name: "note", Value: "up"}, {Name: "value", Value: "0"}},
+	})
+}
+
+// blockedOffer is an offer on a connection whose worker is there, but does not read.
+type blockedOffer struct {
+	t          *testing.T
+	pool       *Pool
+	dispatcher *dispatch.Dispatcher
+	conn       *workerConn
+	worker     net.Conn
+	offeredAt  int64 // 0 until it was offered
+	cancelled  chan struct{}
+	ended      bool
+}
+
+// turn offers once the connection is up, and cancels once the worker's message has come in.
+func (b *blockedOffer) turn(now int64) {
+	b.pool.DeliverPending()
+	switch {
+	case b.offeredAt == 0 && b.conn.established:
+		b.offer(now)
+	case b.offeredAt != 0 && !b.ended && b.conn.lastReadAt > b.offeredAt:
+		b.cancel()
 	}
-	defer ln.Close()
-	l, n, c := newNodes(t)
-	l.SetMaxBuffered(2 * stuffing)
-	c.UpdateWorkers(l.Now(), placement.WorkerList{Kind: placement.ListFull, Entries: []placement.Entry{{Worker: "a", Kind: "std"}}})
-	n.UpdateWorker("a", ln.Addr().String(), true)
-	nc := n.links["a"].conns[0]
-	worker, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
+}
+
+func (b *blockedOffer) offer(now int64) {
+	b.conn.conn.Write([]byte(strings.Repeat(" ", paddingBytes) + "\n"))
+	b.conn.conn.Flush()
+	submission := newSubmission()
+	if err := b.dispatcher.Submit(now, nil, submission); err != nil {
+		b.t.Error(err)
 	}
-	defer worker.Close()
-	word := string(jsonlines.Append(nil, &jsonlines.Message{Verb: jsonlines.VerbNotice, Tag: tag, Opts: []jsonlines.Field{{Name: "note", Value: "up"}, {Name: "value", Value: "0"}}}))
-	s := dispatch.Submission{RequestID: tag, Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
-	done, gaveUp := make(chan error, 1), make(chan bool)
-	step, offeredAt := 0, int64(0)
-	go func() {
-		done <- l.Run(func(now int64) {
-			n.DeliverPending()
-			switch {
-			case step == 0 && nc.wasUp:
-				nc.c.Write([]byte(strings.Repeat(" ", stuffing) + "\n"))
-				nc.c.Flush()
-				if err := c.Submit(now, nil, s); err != nil {
-					t.Error(err)
-				}
-				n.Offer("a", dispatch.Offer{RequestID: tag, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs})
-				step, offeredAt = 1, now
-				if _, err := io.WriteString(worker, word); err != nil { // it is there, and does not read
-					t.Error(err)
-				}
-			case step == 1 && nc.readAt > offeredAt:
-				if s := nc.open[tag]; s == nil || s.end == 0 || s.left(nc.c) {
-					t.Errorf("the offer should wait for its worker: %+v", s)
-				}
-				n.CancelAttempt("a", tag, false)
-				step = 2
-				close(gaveUp)
-			}
-		})
-	}()
-	defer func() {
-		l.Post(l.Stop)
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-		l.Close()
-	}()
+	b.pool.Offer(workerName, offerOf(submission))
+	b.offeredAt = now
+	if _, err := b.worker.Write(runningNotice()); err != nil {
+		b.t.Error(err)
+	}
+}
+
+func (b *blockedOffer) cancel() {
+	offer := b.conn.openOffers[requestID]
+	if offer == nil || offer.endOffset == 0 || offer.isSent(b.conn.conn) {
+		b.t.Errorf("the offer should wait for its worker: %+v", offer)
+	}
+	b.pool.CancelAttempt(workerName, requestID, false)
+	b.ended = true
+	close(b.cancelled)
+}
+
+// Given an offer that waits for its worker to read, a cancel takes it back: it would reach the worker as soon as that
+// reads on, long after its client has gone.
+func TestCancelTakesUnsentOfferBack(t *testing.T) {
+	listener := listen(t)
+	loop, pool, dispatcher := newPool(t)
+	loop.SetMaxBuffered(2 * paddingBytes)
+	dispatcher.UpdateWorkers(loop.Now(), fullList())
+	pool.UpdateWorker(workerName, listener.Addr().String(), true)
+	b := &blockedOffer{
+		t:          t,
+		pool:       pool,
+		dispatcher: dispatcher,
+		conn:       pool.links[workerName].conns[0],
+		worker:     accept(t, listener),
+		cancelled:  make(chan struct{}),
+	}
+
+	defer startLoop(t, loop, b.turn)()
 	select {
-	case <-gaveUp:
-	case <-time.After(10 * time.Second):
-		t.Fatal("the worker's word never came")
+	case <-b.cancelled:
+	case <-time.After(patience):
+		t.Fatal("the worker's message never came in")
+	}
+
+	if err := b.worker.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
 	}
-	worker.SetReadDeadline(time.Now().Add(10 * time.Second))
-	got, err := io.ReadAll(worker)
-	if offered := strings.Contains(string(got), jsonlines.VerbStart); offered || !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("the worker read %d bytes, then %v; the offer among them: %v", len(got), err, offered)
+	received, err := io.ReadAll(b.worker)
+	offered := strings.Contains(string(received), jsonlines.VerbStart)
+	if offered || !errors.Is(err, unix.ECONNRESET) {
+		t.Errorf("the worker read %d bytes, then %v; the offer among them: %v", len(received), err, offered)
 	}
 }
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns one connection to a worker and the offers open on it: when they leave, and
-// what becomes of them where the connection ends.
+// This file owns one connection to a worker: its buffers, its signs of life, and how it begins and ends. It must
+// never wait for more than a moment for the rest of a message, and never report its end twice.
 
 import (
 	"cmp"
@@ -9,263 +9,196 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strconv"
 	"time"
 
-	"golang.org/x/sys/unix"
-
-	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/jsonlines"
-	"ravenhitch/placement"
 )
 
-// sent is an offer without an answer.
-type sent struct {
-	dispatch.Offer
-	at    int64
-	until int64 // when the core gives it up
-	end   int64 // where its last byte lies in what was written, 0 while it waits
-	tries int
-}
+const (
+	// staleAfter is how long an offer may be open on a connection on which nothing comes in before new offers
+	// go out on a new one.
+	staleAfter = 400 * millisecond
+	// maxReadGap is how long nothing may come in on a connection to a worker where tasks run before another is
+	// dialled: the old one may be dead without a sign, and the completions of tasks come on the next. A
+	// completion not reported for 8 s is lost.
+	maxReadGap = 3 * second
+	// partialMessageTimeout is how long an incomplete message may wait for its rest. Workers write a message at
+	// once: an incomplete one spoils all that would come behind it.
+	partialMessageTimeout = 250 * millisecond
+	// keepAliveSlack is how much longer than TCP keepalive's interval the answer to its probe may take.
+	keepAliveSlack = second
+)
 
-// settled takes an offer off its connection. It is the one place where that happens.
-func (nc *workerConn) settled(s *sent) {
-	delete(nc.open, s.RequestID)
-	if s.left(nc.c) {
-		nc.k.n.tries++
-	}
-}
+// errPartialMessage is the reason for closing a connection on which the rest of a message did not come. The
+// operators' page names its text.
+var errPartialMessage = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
 
-// left reports whether the offer may have reached the worker whole.
-func (s *sent) left(c *eventloop.Conn) bool { return s.end > 0 && s.end <= c.BytesSent() }
+// errNoDescription is the reason for closing a connection on which an accepted offer came without its description.
+var errNoDescription = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
 
 // workerConn is one connection to a worker.
 type workerConn struct {
-	k      *link
-	c      *eventloop.Conn
-	open   map[string]*sent
-	early  [][]byte // messages that wait for the connection
-	readAt int64
-	half   *eventloop.Timer // for the rest of half a message
-	probes map[string]int64
-	ends   endings
-	wasUp  bool
-	dialAt int64
-	usedAt int64 // when it was last asked for, for an offer or a probe
-	// aliveTo is up to when the sign of life that the worker's system gave last holds.
-	aliveTo int64
+	link         *link
+	conn         *eventloop.Conn
+	openOffers   map[string]*openOffer // by request ID
+	queued       [][]byte              // messages that wait for the connection to come up
+	partialTimer *eventloop.Timer      // for the rest of an incomplete message
+	probes       map[string]int64      // when each open probe was written, by the tag of its ping
+	cancels      cancelConfirmations
+
+	established bool // it came up, though it may be closed by now
+	dialledAt   int64
+	lastReadAt  int64
+	lastUsedAt  int64 // when it was last asked for, for an offer, a release or a probe
+	aliveUntil  int64 // for how long the last sign of life from the worker's system holds
 }
 
-// start writes an offer, if nothing stands against it by now: its connection may have come
-// up late, or another broken under it.
-func (nc *workerConn) start(s *sent) {
-	n, id := nc.k.n, nc.k.id
-	if age := n.l.Clock() - n.core.ClientLastSeenAt(s.RequestID, n.l.LastPostAt()); age > maxUnheardClient {
-		n.trace("offer delayed for client", s.RequestID, "worker", id, "age_us", age)
-		n.held = append(n.held, held{nc, s})
-		n.l.RunAgain()
-		return
-	}
-	if why := n.core.CheckOffer(n.l.Now(), id, s.RequestID); why != "" {
-		n.trace("offer not sent", s.RequestID, "worker", id, "cause", why)
-		nc.settled(s)
-		n.later(func() { n.core.TaskEnded(n.l.Now(), id, s.RequestID, placement.NeverSent, placement.CauseUnknown) })
-		return
-	}
-	m := jsonlines.Message{Verb: jsonlines.VerbStart, Tag: s.RequestID, Blob: s.Description, HasBlob: true, Opts: []jsonlines.Field{{Name: "class", Value: s.Class},
-		{Name: "key", Value: s.Key}, {Name: "left", Value: strconv.FormatInt(max(1, (s.until-nc.k.n.l.Now())/1000), 10)}}}
-	if s.Idem != "" {
-		m.Opts = append(m.Opts, jsonlines.Field{Name: "idem", Value: s.Idem})
-	}
-	nc.c.Write(jsonlines.Append(nil, &m))
-	s.end = nc.c.BytesWritten()
-}
-
-func (nc *workerConn) probed(tag string, st placement.Outcome, load string) {
-	at, ok := nc.probes[tag]
-	if !ok {
-		return
-	}
-	delete(nc.probes, tag)
-	now := nc.k.n.l.Now()
-	nc.k.n.core.ProbeAnswered(now, placement.ProbeResult{Worker: nc.k.id, Outcome: st, RTTUs: now - at, Load: report(load)})
-}
-
-// stale reports whether an offer lies on the connection
-// while nothing comes in: a worker that was cut off leaves its connections open and silent, and a new
-// one tells quickly, and with proof, that it is away.
-func (nc *workerConn) stale() bool {
-	if !nc.c.IsUp() {
+// isStale reports whether an offer is open on the connection while nothing comes in: a worker that was cut off
+// leaves its connections open and silent, and a new one shows quickly, and with proof, that it is away.
+func (c *workerConn) isStale() bool {
+	if !c.conn.IsUp() {
 		return false
 	}
-	now := nc.k.n.l.Now()
-	for _, s := range nc.open {
-		if now-max(s.at, nc.readAt) > staleAfter {
+	now := c.link.pool.loop.Now()
+	for _, offer := range c.openOffers {
+		if now-max(offer.offeredAt, c.lastReadAt) > staleAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// keepAlive has the system look after the connection, where its signs are proof.
-func (nc *workerConn) keepAlive() {
-	after := nc.k.n.keepAlive
+// isIdle reports whether nothing is open on the connection, nor waits for an answer.
+func (c *workerConn) isIdle() bool {
+	return c.conn.IsUp() && len(c.openOffers) == 0 && len(c.probes) == 0 && !c.cancels.pending() &&
+		len(c.link.releases) == 0 && len(c.link.pendingResets) == 0
+}
+
+// enableKeepAlive turns TCP keepalive on, where its signs are proof.
+func (c *workerConn) enableKeepAlive() {
+	after := c.link.pool.keepAlive
 	if after == 0 {
 		return
 	}
-	if err := nc.c.KeepAlive(int(after / time.Second)); err != nil {
-		nc.k.n.log.Warn("keepalive not set", "worker", nc.k.id, "err", err)
+	if err := c.conn.KeepAlive(int(after / time.Second)); err != nil {
+		c.link.pool.log.Warn("keepalive not set", "worker", c.link.workerID, "err", err)
 	}
 }
 
-// quiet reports whether the connection may be dead without a sign: nothing came for long, nor did
-// the worker's system give a sign of its own.
-func (nc *workerConn) quiet(now int64) bool {
-	if now-nc.readAt <= maxQuiet || now < nc.aliveTo {
+// mayBeDead reports whether the connection may be dead without a sign: nothing came in for long, nor did the
+// worker's system give a sign of life of its own.
+func (c *workerConn) mayBeDead(now int64) bool {
+	if now-c.lastReadAt <= maxReadGap || now < c.aliveUntil {
 		return false
 	}
-	if nc.k.n.keepAlive == 0 {
+	keepAlive := c.link.pool.keepAlive
+	if keepAlive == 0 {
 		return true
 	}
-	if ago, ok := nc.c.LastAckAge(); ok {
-		nc.aliveTo = now - ago + nc.k.n.keepAlive.Microseconds() + keepAliveSlack
+	if age, ok := c.conn.LastAckAge(); ok {
+		c.aliveUntil = now - age + keepAlive.Microseconds() + keepAliveSlack
 	}
-	return now >= nc.aliveTo
+	return now >= c.aliveUntil
 }
 
-// lost takes the connection off its link and settles what was open on it. What had
-// left this machine whole may have run. What had not never ran: where the
-// connection broke under it, it goes out on another at once, which is not the
-// worker's doing; where none came up, it ends.
-func (nc *workerConn) lost(err error) {
-	k := nc.k
-	nc.half.Stop()
-	nc.settle()
-	if now := k.n.l.Now(); nc.wasUp && (errors.Is(err, errSilent) || !broke(err) && now-nc.readAt > staleAfter) {
-		k.goneAt = now // else the worker knows of it
-	}
-	before := len(k.conns)
-	k.conns = slices.DeleteFunc(k.conns, func(o *workerConn) bool { return o == nc })
-	k.n.budget.WorkersConnected(len(k.conns) - before)
-	var again []*sent
-	for _, tag := range slices.Sorted(maps.Keys(nc.open)) {
-		s := nc.open[tag]
-		switch {
-		case s.left(nc.c):
-			k.n.trace("connection lost with offer open", tag, "worker", k.id, "err", err)
-			k.fade(tag)
-			continue
-		case k.listed && s.tries < maxTries && broke(err):
-			k.n.trace("offer resent", tag, "worker", k.id, "err", err)
-			again = append(again, s)
-			continue
-		}
-		k.n.trace("offer never sent", tag, "worker", k.id, "err", err)
-		k.n.later(func() {
-			k.n.core.TaskEnded(k.n.l.Now(), k.id, tag, placement.ConnectFailed, placement.CauseUnknown)
-		})
-	}
-	for _, s := range nc.open {
-		nc.settled(s)
+// send writes a message, once the connection is up.
+func (c *workerConn) send(m *jsonlines.Message) {
+	if c.conn.IsUp() {
+		c.conn.Write(jsonlines.Append(nil, m))
+		return
 	}
-	for _, tag := range slices.Sorted(maps.Keys(nc.probes)) {
-		nc.probed(tag, placement.ConnectFailed, "")
+	c.queued = append(c.queued, jsonlines.Append(nil, m))
+}
+
+// close closes the connection from this side for the given reason and settles what was open on it. Where an offer
+// may still lie in its buffers, what the worker has not taken is thrown away.
+func (c *workerConn) close(reason error) {
+	unresponsive := errors.Is(reason, errUnresponsive)
+	if unresponsive {
+		c.link.unreachable = true
 	}
-	for _, s := range again {
-		s.end = 0
-		k.n.offer(k.id, s)
+	if len(c.openOffers) > 0 || c.cancels.pending() || unresponsive {
+		c.conn.Abort()
+	} else {
+		c.conn.Close()
 	}
+	c.detach(reason)
 }
 
-// broke reports whether a connection ended in a way that says nothing of whether
-// another one would come up.
-func broke(err error) bool {
-	return errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE) || errors.Is(err, eventloop.ErrEOF) ||
-		errors.Is(err, jsonlines.ErrMessage)
+// detach takes the connection, which ended with err, off its link and settles what was open on it.
+func (c *workerConn) detach(err error) {
+	l, pool := c.link, c.link.pool
+	c.partialTimer.Stop()
+	c.confirmCancelsByClose()
+	if c.established && c.endUnnoticed(err) {
+		l.lostUnnoticedAt = pool.loop.Now()
+	}
+	before := len(l.conns)
+	l.conns = slices.DeleteFunc(l.conns, func(other *workerConn) bool { return other == c })
+	pool.budget.WorkersConnected(len(l.conns) - before)
+	resend := c.settleOffers(err)
+	c.failProbes()
+	for _, offer := range resend {
+		offer.endOffset = 0
+		pool.putOffer(l.workerID, offer)
+	}
 }
 
-func (nc *workerConn) send(m *jsonlines.Message) {
-	if nc.c.IsUp() {
-		nc.c.Write(jsonlines.Append(nil, m))
-		return
+// endUnnoticed reports whether the worker may not know that the connection ended with err.
+func (c *workerConn) endUnnoticed(err error) bool {
+	if errors.Is(err, errUnresponsive) {
+		return true
 	}
-	nc.early = append(nc.early, jsonlines.Append(nil, m))
+	return !isDisconnect(err) && c.link.pool.loop.Now()-c.lastReadAt > staleAfter
 }
 
-// Opened implements loop.Handler.
-func (nc *workerConn) Opened(*eventloop.Conn) {
-	nc.readAt = nc.k.n.l.Now()
-	nc.wasUp, nc.k.openedAt = true, nc.readAt
-	nc.keepAlive()
-	if way := nc.readAt - nc.dialAt; nc.k.wayUs == 0 || way < nc.k.wayUs {
-		nc.k.wayUs = way
-	}
-	nc.k.wait, nc.k.broke, nc.k.refusedAt = 0, false, 0
-	if nc.k.failed {
-		nc.k.failed = false
-		nc.k.n.core.WorkerReachable(nc.readAt, nc.k.id)
-	}
-	for _, b := range nc.early {
-		nc.c.Write(b)
-	}
-	nc.early = nil
-	nc.releaseAgain()
-	waiting := slices.SortedFunc(maps.Values(nc.open), func(a, b *sent) int { return cmp.Compare(a.at, b.at) })
-	for _, s := range waiting {
-		nc.start(s)
-	}
-	nc.k.prune()
+// Opened implements eventloop.Handler.
+func (c *workerConn) Opened(*eventloop.Conn) {
+	l, now := c.link, c.link.pool.loop.Now()
+	c.lastReadAt, c.established, l.openedAt = now, true, now
+	c.enableKeepAlive()
+	if connectUs := now - c.dialledAt; l.minConnectUs == 0 || connectUs < l.minConnectUs {
+		l.minConnectUs = connectUs
+	}
+	l.redialBackoff, l.wasReset, l.refusedSince = 0, false, 0
+	if l.unreachable {
+		l.unreachable = false
+		l.pool.dispatcher.WorkerReachable(now, l.workerID)
+	}
+	for _, message := range c.queued {
+		c.conn.Write(message)
+	}
+	c.queued = nil
+	c.resendReleases()
+	byAge := func(a, b *openOffer) int { return cmp.Compare(a.offeredAt, b.offeredAt) }
+	for _, offer := range slices.SortedFunc(maps.Values(c.openOffers), byAge) {
+		c.sendOffer(offer)
+	}
+	l.pruneConns()
 }
 
-// Closed implements loop.Handler.
-func (nc *workerConn) Closed(_ *eventloop.Conn, err error) {
-	k := nc.k
-	if !errors.Is(err, eventloop.ErrEOF) || len(nc.open) > 0 {
-		k.n.log.Warn("worker connection closed", "worker", k.id, "open", len(nc.open), "err", err)
-	}
-	nc.lost(err)
-	k.failed = k.failed || !errors.Is(err, eventloop.ErrEOF)
-	switch {
-	case errors.Is(err, unix.ECONNREFUSED):
-		k.refused()
-		k.later()
-	case errors.Is(err, eventloop.ErrTimeout):
-		k.later()
-	default:
-		// Only a reset is what a dying process leaves; a message that can't be read is not.
-		k.broke = k.broke || errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
-		if len(k.conns) == 0 {
-			k.later()
-		}
-	}
-	if !k.listed && len(k.conns) == 0 {
-		k.n.remove(k)
+// Closed implements eventloop.Handler.
+func (c *workerConn) Closed(_ *eventloop.Conn, err error) {
+	if open := len(c.openOffers); open > 0 || !errors.Is(err, eventloop.ErrEOF) {
+		c.link.pool.log.Warn("worker connection closed", "worker", c.link.workerID, "open", open, "err", err)
 	}
+	c.detach(err)
+	c.link.connClosed(err)
 }
 
-// Data implements loop.Handler.
-func (nc *workerConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
-	nc.readAt, nc.k.refusedAt = nc.k.n.l.Now(), 0
-	used, err := jsonlines.Lines(b, func(line []byte) error {
-		m, err := jsonlines.Parse(line)
-		if err == nil && m.Verb == jsonlines.VerbStarted && !m.HasBlob {
-			err = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
-		}
-		if err != nil {
-			nc.k.n.log.Warn("malformed worker message", "worker", nc.k.id, "err", err)
-			return err
-		}
-		nc.message(&m)
-		return nil
-	})
+// Data implements eventloop.Handler.
+func (c *workerConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
+	loop := c.link.pool.loop
+	c.lastReadAt, c.link.refusedSince = loop.Now(), 0
+	used, err := jsonlines.Lines(b, c.handleLine)
 	if used > 0 {
-		nc.half.Stop()
+		c.partialTimer.Stop()
 	}
-	if used < len(b) && err == nil && !nc.half.Pending() {
-		nc.half = nc.k.n.l.After(maxHalf, func() {
-			nc.c.Close()
-			nc.Closed(nc.c, errHalf)
+	if used < len(b) && err == nil && !c.partialTimer.Pending() {
+		c.partialTimer = loop.After(partialMessageTimeout, func() {
+			c.conn.Close()
+			c.Closed(c.conn, errPartialMessage)
 		})
 	}
 	return used, err
--- /dev/null
+++ b/internal/workerpool/helpers_test.go
@@ -0,0 +1,183 @@
+package workerpool
+
+// This file owns what the tests of this package share: a pool on a loop of its own, and a listener in the
+// place of its worker.
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/placement"
+)
+
+const (
+	// workerName names the one worker of these tests.
+	workerName = "a"
+	// requestID names the one request of the tests that have but one.
+	requestID = "9b1f03aa5c7e2d41"
+	// patience is how long a test waits for what must come.
+	patience = 10 * time.Second
+)
+
+// newPool returns a pool on a loop of its own, and the dispatcher that it serves. The caller closes the loop.
+func newPool(t *testing.T) (*eventloop.Loop, *Pool, *dispatch.Dispatcher) {
+	t.Helper()
+	loop, err := eventloop.New(10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := slog.New(slog.DiscardHandler)
+	pool := New(loop, 1_000_000, true, log)
+	settings := placement.Settings{
+		FleetSize:        1,
+		CoresOvercommit:  1,
+		MemoryOvercommit: 1,
+		Classes:          []placement.Class{{Name: "cut", Effect: placement.Unsafe, Kind: -1}},
+		Kinds:            []placement.Kind{{Name: "std", Cores: 1, Memory: 1}},
+	}
+	dispatcher, err := dispatch.New(settings, 1, pool, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool.SetDispatcher(dispatcher)
+	return loop, pool, dispatcher
+}
+
+// fullList is a list of the one worker of these tests.
+func fullList() placement.WorkerList {
+	entries := []placement.Entry{{Worker: workerName, Kind: "std"}}
+	return placement.WorkerList{Kind: placement.ListFull, Entries: entries}
+}
+
+// newSubmission returns a request for all of a worker, which must not run twice.
+func newSubmission() dispatch.Submission {
+	return dispatch.Submission{RequestID: requestID, Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
+}
+
+// offerOf returns the offer of a submission.
+func offerOf(s dispatch.Submission) dispatch.Offer {
+	return dispatch.Offer{RequestID: s.RequestID, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs}
+}
+
+// listen returns a listener in the place of a worker, which is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAtEnd(t, listener.Close) })
+	return listener
+}
+
+// accept returns the worker's end of the next connection, which is closed at the end of the test. Reads from it
+// fail after the test's patience.
+func accept(t *testing.T, listener net.Listener) net.Conn {
+	t.Helper()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAtEnd(t, conn.Close) })
+	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// closeAtEnd closes what may have been closed by the test already.
+func closeAtEnd(t *testing.T, closeFunc func() error) {
+	t.Helper()
+	if err := closeFunc(); err != nil && !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
+	}
+}
+
+// startLoop runs a loop in the background; the function that it returns stops and closes the loop.
+func startLoop(t *testing.T, loop *eventloop.Loop, turn func(now int64)) (stop func()) {
+	t.Helper()
+	ended := make(chan error, 1)
+	go func() { ended <- loop.Run(turn) }()
+	return func() {
+		loop.Post(loop.Stop)
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+		loop.Close()
+	}
+}
+
+// linkTest is a worker's listener, and an orchestrator with a link to that worker.
+type linkTest struct {
+	t          *testing.T
+	listener   net.Listener
+	loop       *eventloop.Loop
+	pool       *Pool
+	dispatcher *dispatch.Dispatcher
+}
+
+func newLinkTest(t *testing.T) *linkTest {
+	t.Helper()
+	lt := &linkTest{t: t, listener: listen(t)}
+	lt.loop, lt.pool, lt.dispatcher = newPool(t)
+	t.Cleanup(lt.loop.Close)
+	lt.dispatcher.UpdateWorkers(lt.loop.Now(), fullList())
+	return lt
+}
+
+// listWorker has the pool take the worker from the list, and returns its link.
+func (lt *linkTest) listWorker() *link {
+	lt.pool.UpdateWorker(workerName, lt.listener.Addr().String(), true)
+	return lt.pool.links[workerName]
+}
+
+// sweep looks at the worker as the periodic sweep does.
+func (lt *linkTest) sweep(l *link) { l.sweep(lt.dispatcher.TasksOn(workerName), lt.loop.Now()) }
+
+// runUntil runs the loop until a condition holds; once in a test.
+func (lt *linkTest) runUntil(condition func() bool) {
+	lt.t.Helper()
+	limit := lt.loop.After(patience.Microseconds(), lt.loop.Stop)
+	met := false
+	err := lt.loop.Run(func(now int64) {
+		lt.pool.DeliverPending()
+		lt.dispatcher.Turn(now)
+		if met = condition(); met {
+			lt.loop.Stop()
+		}
+	})
+	limit.Stop()
+	if err != nil || !met {
+		lt.t.Fatalf("the condition was not met in %s: %v", patience, err)
+	}
+}
+
+// adopt registers a task that runs at the worker.
+func (lt *linkTest) adopt(requestID string) {
+	lt.t.Helper()
+	s := dispatch.Submission{
+		RequestID: requestID,
+		Class:     "cut",
+		Key:       "k" + requestID,
+		TimeoutUs: 1_000_000,
+		Cores:     1,
+		Memory:    1,
+		RunningOn: workerName,
+	}
+	if err := lt.dispatcher.Submit(lt.loop.Now(), discardingClient{}, s); err != nil {
+		lt.t.Fatal(err)
+	}
+}
+
+// futureStart is a start of the worker's process after all that happened so far.
+func (lt *linkTest) futureStart() int64 { return lt.loop.Now() + time.Minute.Microseconds() }
+
+// discardingClient is a client that reads no response.
+type discardingClient struct{}
+
+func (discardingClient) Respond(dispatch.Response) {}
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -1,8 +1,8 @@
 package workerpool
 
-// This file owns the connections to one worker: at most one for new offers, older ones until
-// what is open on them has ended; when they are opened, given up and opened again, and what
-// refused connections prove of the worker.
+// This file owns the link to one worker: at most one connection for new messages, and older ones until what is
+// open on them has ended; when they are dialled, closed and dialled again, and what refused connections and
+// restarts prove about the worker. It must never report a worker dead that may be alive.
 
 import (
 	"errors"
@@ -11,174 +11,263 @@
 
 	"golang.org/x/sys/unix"
 
+	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
-	"ravenhitch/internal/jsonlines"
 )
 
-// link is one worker.
+const (
+	minRedialBackoff = 100 * millisecond
+	maxRedialBackoff = 2 * second
+	// deadAfterRefused is how long a worker may refuse connections and send nothing on those that it has
+	// before it counts as dead: well over the pause of a busy one, and with maxReadGap and two sweeps before
+	// it still under the 8 s in which a completion must be reported.
+	deadAfterRefused = 2 * second
+	// deadAfterRefusedUnpinged is the same where the deployment allows no pings.
+	deadAfterRefusedUnpinged = 4 * second
+	// maxConns bounds the connections to one worker.
+	maxConns = 4
+)
+
+// The reasons for which this side closes a connection.
+var (
+	errUnresponsive   = errors.New("nothing came in since an offer was cancelled")
+	errAddressChanged = errors.New("the worker's address changed")
+	errUnlisted       = errors.New("the worker is no longer listed")
+	errSuperseded     = errors.New("a newer connection replaced it")
+	errIdle           = errors.New("the connection is idle")
+	errTooManyConns   = fmt.Errorf("more than %d connections to one worker", maxConns)
+)
+
+// link is the connections to one worker and what is known of their state.
 type link struct {
-	n      *Pool
-	id     string
-	addr   string
-	listed bool
-	own    bool // this orchestrator places tasks there
-	// startedAt is when the list says that the process of the worker began, 0 for long ago, and
-	// restarted that this was not yet held against what stood there.
-	startedAt int64
-	restarted bool
-	conns     []*workerConn // the last one takes new offers
-	wait      int64         // before the next dial
-	redial    *eventloop.Timer
-	broke     bool // a connection was reset; a refused one now proves the death
-	failed    bool // a connection failed or fell silent, and none came up since
-
-	// refusedAt is since when connections were refused while nothing came, or 0.
-	refusedAt int64
-	fading    map[string]bool  // offers reset with their connection; the worker may not know yet
-	wayUs     int64            // the least that a connection took to come up, 0 while none has
-	unheard   map[string]int64 // releases of tasks that stand, and when they were first written
-	goneAt    int64            // when a connection last ended that the worker may believe in
-	openedAt  int64            // when one last came up, or one for late ends was opened
-	prunedAt  int64            // when one was last closed here that the worker believed in till then
-}
-
-// usable returns the connection for new messages, perhaps one that is not up
-// yet, or nil where none could even be started.
-func (k *link) usable() *workerConn {
-	if n := len(k.conns); n > 0 {
-		nc := k.conns[n-1]
-		if !nc.c.IsClosed() && !nc.stale() {
-			nc.usedAt = k.n.l.Now()
-			return nc
+	pool     *Pool
+	workerID string
+	addr     string
+	listed   bool
+	assigned bool // this orchestrator places tasks there
+
+	// processStartedAt is when the list says that the process of the worker started, 0 for long ago, and
+	// restartPending that this was not yet applied to the tasks that ran there.
+	processStartedAt int64
+	restartPending   bool
+
+	conns         []*workerConn // the last one takes new messages
+	redialBackoff int64         // before the next dial
+	redialTimer   *eventloop.Timer
+	wasReset      bool  // a connection was reset: a refused one now proves the worker dead
+	unreachable   bool  // a connection failed or was unresponsive, and none came up since
+	refusedSince  int64 // since when connections were refused while nothing came in, 0 for never
+	minConnectUs  int64 // the shortest time that a connection took to come up, 0 while none has
+
+	pendingResets map[string]bool     // requests reset with their connection, of which the worker may not know yet
+	releases      unconfirmedReleases // of running tasks
+
+	lostUnnoticedAt int64 // when a connection last ended that the worker may take for open
+	openedAt        int64 // when a connection last came up, or one for late completions was dialled
+	prunedAt        int64 // when this side last closed a connection that the worker took for open until then
+}
+
+// connForSending returns the connection for new messages, perhaps one that is not up yet, or nil where none
+// could even be dialled.
+func (l *link) connForSending() *workerConn {
+	if count := len(l.conns); count > 0 {
+		c := l.conns[count-1]
+		if !c.conn.IsClosed() && !c.isStale() {
+			c.lastUsedAt = l.pool.loop.Now()
+			return c
 		}
 	}
-	if !k.n.makeRoom() {
-		k.n.log.Warn("no descriptor for worker connection", "worker", k.id)
+	if !l.pool.ensureDescriptor() {
+		l.pool.log.Warn("no descriptor for worker connection", "worker", l.workerID)
 		return nil
 	}
-	return k.dial()
+	return l.dial()
 }
 
-func (k *link) dial() *workerConn {
-	if len(k.conns) >= maxStray {
-		k.conns[0].end(eventloop.ErrBudget)
+// dial starts a connection, or returns nil where that fails at once.
+func (l *link) dial() *workerConn {
+	if len(l.conns) >= maxConns {
+		l.conns[0].close(errTooManyConns)
 	}
-	nc := &workerConn{k: k, open: map[string]*sent{}, probes: map[string]int64{}, dialAt: k.n.l.Now(), usedAt: k.n.l.Now()}
-	c, err := k.n.l.Dial(k.addr, k.n.dialUs, nc)
+	loop := l.pool.loop
+	c := &workerConn{
+		link:       l,
+		openOffers: map[string]*openOffer{},
+		probes:     map[string]int64{},
+		dialledAt:  loop.Now(),
+		lastUsedAt: loop.Now(),
+	}
+	conn, err := loop.Dial(l.addr, l.pool.dialTimeoutUs, c)
 	if err != nil {
-		k.n.log.Warn("worker dial failed", "worker", k.id, "err", err)
+		l.pool.log.Warn("worker dial failed", "worker", l.workerID, "err", err)
 		if errors.Is(err, unix.ECONNREFUSED) {
-			k.refused()
+			l.connRefused()
 		}
-		k.later()
+		l.scheduleRedial()
 		return nil
 	}
-	nc.c = c
-	k.conns = append(k.conns, nc)
-	k.n.budget.WorkersConnected(1)
-	return nc
+	c.conn = conn
+	l.conns = append(l.conns, c)
+	l.pool.budget.WorkersConnected(1)
+	return c
 }
 
-// ensure keeps a connection to a listed worker of this orchestrator, where there is room: tasks
-// that stand belong to no connection, and their end comes on any.
-func (k *link) ensure() {
-	if k.own && k.unconnected() && k.n.budget.AdmitsWorker() {
-		k.dial()
+// ensureConnected keeps a connection to a listed worker that is assigned here, where the budget allows it:
+// running tasks belong to no connection, and their completion comes on any.
+func (l *link) ensureConnected() {
+	if l.assigned && l.needsDial() && l.pool.budget.AdmitsWorker() {
+		l.dial()
 	}
 }
 
-// takeStart holds a new start of the worker against what stood there before, once no connection
-// is left that was opened before it: where one is, the process lives that held it, whatever the list
-// says. A worker that dies and starts while it has no connection shows neither a reset nor, if it is
-// quick, refused connections for long.
-func (k *link) takeStart() {
-	older := func(nc *workerConn) bool { return nc.c.IsUp() && nc.dialAt < k.startedAt }
-	if !k.restarted || slices.ContainsFunc(k.conns, older) {
+// requireConnected keeps a connection to a listed worker where tasks run: idle ones are closed for it.
+func (l *link) requireConnected() {
+	if l.needsDial() && l.pool.ensureDescriptor() {
+		l.dial()
+	}
+}
+
+// needsDial reports whether a listed worker has no connection, and no redial is scheduled.
+func (l *link) needsDial() bool {
+	return l.listed && len(l.conns) == 0 && !l.redialTimer.Pending()
+}
+
+// scheduleRedial dials again after a backoff that grows with each failure.
+func (l *link) scheduleRedial() {
+	if !l.listed || l.redialTimer.Pending() {
 		return
 	}
-	k.restarted = false
-	k.n.core.WorkerRestarted(k.n.l.Now(), k.id, k.startedAt)
+	l.redialBackoff = min(maxRedialBackoff, max(minRedialBackoff, l.redialBackoff*2))
+	l.redialTimer = l.pool.loop.After(l.redialBackoff, func() {
+		if l.assigned && l.listed && len(l.conns) == 0 && l.pool.budget.AdmitsWorker() {
+			l.dial()
+		}
+	})
 }
 
-// part closes the connection to a worker of another orchestrator that nothing waits on. No task
-// stands there.
-func (k *link) part() {
-	if !k.own && len(k.conns) == 1 && k.conns[0].isIdle() {
-		k.conns[0].end(nil)
+// sweep looks after the connections of a worker with these tasks. It dials another connection where the one there
+// may be dead: tasks run there and nothing came in for long. Without offers nobody would notice, and the
+// completions of tasks would wait for ever. (A connection on which an offer was cancelled while nothing came in
+// is closed by the cancel.)
+func (l *link) sweep(tasks dispatch.TaskSummary, now int64) {
+	l.releases.expire(now)
+	l.applyRestart()
+	if tasks.Count == 0 {
+		l.ensureConnected() // where the budget did not allow it before
+		l.closeUnassigned()
+		return
 	}
+	l.requireConnected()
+	if len(l.conns) == 0 || len(l.conns) >= maxConns {
+		return
+	}
+	newest := l.conns[len(l.conns)-1]
+	if newest.conn.IsUp() && newest.mayBeDead(now) && l.pool.budget.AdmitsWorker() {
+		l.dial()
+	}
+	l.dialForLateCompletions(tasks, now)
 }
 
-// require keeps a connection to a listed worker where tasks stand: others make room for it.
-func (k *link) require() {
-	if k.unconnected() && k.n.makeRoom() {
-		k.dial()
+// applyRestart ends the tasks that ran at the worker before its process was started again, once no connection is
+// left that was dialled before that: where one is, the process that ran them lives, whatever the list says. A worker
+// that dies and starts while it has no connection shows neither a reset nor, if it is quick, refused
+// connections for long.
+func (l *link) applyRestart() {
+	if !l.restartPending || slices.ContainsFunc(l.conns, l.predatesRestart) {
+		return
 	}
+	l.restartPending = false
+	l.pool.dispatcher.WorkerRestarted(l.pool.loop.Now(), l.workerID, l.processStartedAt)
 }
 
-// unconnected reports whether a listed worker has no connection, and none is due.
-func (k *link) unconnected() bool {
-	return k.listed && len(k.conns) == 0 && (k.redial == nil || !k.redial.Pending())
+// predatesRestart reports whether a connection is up that was dialled before the worker's process was started.
+func (l *link) predatesRestart(c *workerConn) bool {
+	return c.conn.IsUp() && c.dialledAt < l.processStartedAt
 }
 
-// later dials again after a while that grows with each failure.
-func (k *link) later() {
-	if !k.listed || k.redial != nil && k.redial.Pending() {
+// connRefused takes a refused connection: nobody listens there. After a reset that proves the death of the process.
+// Else it may have ended without a sign, or may only accept no further connections: then it answers a ping on
+// those that it has. Where nothing comes in while connections are refused for deadAfterRefused, it is
+// dead, and nobody will report the completions of its tasks.
+func (l *link) connRefused() {
+	now := l.pool.loop.Now()
+	if l.refusedSince == 0 {
+		l.refusedSince = now
+		l.pingAll()
+	}
+	deadAfter := deadAfterRefused
+	if !l.pool.pingsAllowed {
+		deadAfter = deadAfterRefusedUnpinged
+	}
+	if !l.wasReset && now-l.refusedSince < deadAfter {
 		return
 	}
-	k.wait = min(maxRedial, max(minRedial, k.wait*2))
-	k.redial = k.n.l.After(k.wait, func() {
-		if k.own && k.listed && len(k.conns) == 0 && k.n.budget.AdmitsWorker() {
-			k.dial()
-		}
+	l.wasReset, l.refusedSince = false, 0
+	l.pool.log.Warn("worker died", "worker", l.workerID)
+	l.pool.reportLater(func() {
+		l.closeAll(errUnresponsive)
+		l.scheduleRedial()
+		l.pool.dispatcher.WorkerDied(l.pool.loop.Now(), l.workerID)
 	})
 }
 
-// refused takes a refused connection: nobody listens there. After a reset that proves the
-// death of the process. Else it may have gone without a word, or may only take no further
-// connections: then it answers a test on those that it has. Where nothing comes while
-// connections are refused for deadAfter, it is dead, and nobody will tell what stood there.
-func (k *link) refused() {
-	now := k.n.l.Now()
-	if k.refusedAt == 0 {
-		k.refusedAt = now
-		for _, nc := range k.conns {
-			if nc.c.IsUp() && k.n.tests {
-				nc.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: fmt.Sprintf("%016x", now), HasRC: true})
-			}
+// pingAll pings the worker on all connections that are up, where the deployment allows that.
+func (l *link) pingAll() {
+	if !l.pool.pingsAllowed {
+		return
+	}
+	pingTag := fmt.Sprintf("%016x", l.pool.loop.Now())
+	for _, c := range l.conns {
+		if c.conn.IsUp() {
+			c.ping(pingTag)
 		}
 	}
-	wait := int64(deadAfter)
-	if !k.n.tests {
-		wait = deadUntested
+}
+
+// connClosed takes the end of a connection that this side did not close, and that was taken off the link.
+func (l *link) connClosed(err error) {
+	l.unreachable = l.unreachable || !errors.Is(err, eventloop.ErrEOF)
+	switch {
+	case errors.Is(err, unix.ECONNREFUSED):
+		l.connRefused()
+		l.scheduleRedial()
+	case errors.Is(err, eventloop.ErrTimeout):
+		l.scheduleRedial()
+	default:
+		l.wasReset = l.wasReset || isReset(err)
+		if len(l.conns) == 0 {
+			l.scheduleRedial()
+		}
 	}
-	if !k.broke && now-k.refusedAt < wait {
-		return
+	if !l.listed && len(l.conns) == 0 {
+		l.pool.remove(l)
 	}
-	k.broke, k.refusedAt = false, 0
-	k.n.log.Warn("worker died", "worker", k.id)
-	k.n.later(func() {
-		for len(k.conns) > 0 {
-			k.conns[0].end(errSilent)
-		}
-		k.later()
-		k.n.core.WorkerDied(k.n.l.Now(), k.id)
-	})
 }
 
-// prune closes older connections with nothing on them.
-func (k *link) prune() {
-	for i := 0; i < len(k.conns)-1; {
-		if nc := k.conns[i]; len(nc.open) == 0 && k.conns[len(k.conns)-1].c.IsUp() {
-			k.prunedAt = k.n.l.Now()
-			nc.end(nil)
+// pruneConns closes the older connections with no open offer, once the newest is up.
+func (l *link) pruneConns() {
+	for i := 0; i < len(l.conns)-1; {
+		c, newest := l.conns[i], l.conns[len(l.conns)-1]
+		if len(c.openOffers) > 0 || !newest.conn.IsUp() {
+			i++
 			continue
 		}
-		i++
+		l.prunedAt = l.pool.loop.Now()
+		c.close(errSuperseded)
+	}
+}
+
+// closeUnassigned closes the connection to a worker that is assigned to another orchestrator if it is idle. No task
+// of this one runs there.
+func (l *link) closeUnassigned() {
+	if !l.assigned && len(l.conns) == 1 && l.conns[0].isIdle() {
+		l.conns[0].close(errIdle)
 	}
 }
 
-func (k *link) closeAll() {
-	for len(k.conns) > 0 {
-		k.conns[0].end(nil)
+// closeAll closes all connections for the given reason.
+func (l *link) closeAll(reason error) {
+	for len(l.conns) > 0 {
+		l.conns[0].close(reason)
 	}
 }
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -1,99 +1,154 @@
 package workerpool
 
-// This file turns what workers send into outcomes for the core.
+// This file turns what workers send into outcomes for the dispatcher. It must never end an attempt by an answer
+// that came on another connection than the attempt's offer.
 
 import (
-	"math"
 	"strconv"
-	"strings"
 
 	"ravenhitch/internal/jsonlines"
 	"ravenhitch/placement"
 )
 
-var noteKinds = map[string]placement.ReportKind{"up": placement.ReportRunning, "cpu": placement.ReportCores,
-	"mem": placement.ReportMemory, "share": placement.ReportService, "tight": placement.ReportMemoryPressure}
+// maxReportValue bounds the values that are taken from reports of tasks.
+const maxReportValue = 1e9
 
-var whys = map[string]placement.Cause{"cpu_full": placement.CauseCores, "mem_full": placement.CauseMemory,
-	"busy": placement.CauseQueue, "wrong_host": placement.CauseWrongWorker, "oom": placement.CauseEvicted,
-	"preempted": placement.CausePreempted, "drained": placement.CauseDrained}
+// reportKindsByNote maps the note of a NOTICE.
+var reportKindsByNote = map[string]placement.ReportKind{
+	"up":    placement.ReportRunning,
+	"cpu":   placement.ReportCores,
+	"mem":   placement.ReportMemory,
+	"share": placement.ReportService,
+	"tight": placement.ReportMemoryPressure,
+}
+
+// causesByNote maps the note of a FINISH.
+var causesByNote = map[string]placement.Cause{
+	"cpu_full":   placement.CauseCores,
+	"mem_full":   placement.CauseMemory,
+	"busy":       placement.CauseQueue,
+	"wrong_host": placement.CauseWrongWorker,
+	"oom":        placement.CauseEvicted,
+	"preempted":  placement.CausePreempted,
+	"drained":    placement.CauseDrained,
+}
 
-var statuses = map[int]placement.Outcome{jsonlines.CauseGivenUp: placement.Completed, jsonlines.CauseCancelled: placement.Cancelled,
-	jsonlines.CauseFull: placement.Rejected, jsonlines.CauseError: placement.Failed, jsonlines.CauseMoot: placement.NeverSent}
+// outcomesByCode maps the code of a FINISH.
+var outcomesByCode = map[int]placement.Outcome{
+	jsonlines.CauseGivenUp:   placement.Completed,
+	jsonlines.CauseCancelled: placement.Cancelled,
+	jsonlines.CauseFull:      placement.Rejected,
+	jsonlines.CauseError:     placement.Failed,
+	jsonlines.CauseMoot:      placement.NeverSent,
+}
 
-func (nc *workerConn) message(m *jsonlines.Message) {
-	n, id, now := nc.k.n, nc.k.id, nc.k.n.l.Now()
+// pingSucceeded is the code of the answer to a ping by a healthy worker.
+const pingSucceeded = 1
+
+// handleLine takes one line from the worker. An error ends the connection.
+func (c *workerConn) handleLine(line []byte) error {
+	m, err := jsonlines.Parse(line)
+	if err == nil && m.Verb == jsonlines.VerbStarted && !m.HasBlob {
+		err = errNoDescription
+	}
+	if err != nil {
+		c.link.pool.log.Warn("malformed worker message", "worker", c.link.workerID, "err", err)
+		return err
+	}
+	c.handleMessage(&m)
+	return nil
+}
+
+// handleMessage takes one message from the worker. Verbs that are not known here are ignored.
+func (c *workerConn) handleMessage(m *jsonlines.Message) {
 	switch m.Verb {
 	case jsonlines.VerbStarted:
-		if s := nc.open[m.Tag]; s != nil && s.end > 0 {
-			nc.settled(s)
-			n.core.AttemptAccepted(now, id, m.Tag, m.Blob)
-			nc.k.prune()
-		}
+		c.handleStarted(m)
 	case jsonlines.VerbFinish:
-		st, ok := statuses[m.RC]
-		if !ok {
-			st = placement.Reset
-		}
-		// An offer is answered on its own connection. Anything else is the end of a task
-		// that stands, or a copy or a foreign answer, which must end no attempt. That it never
-		// ran is no end of a task that stands: it is a copy of what was said to an attempt before.
-		delete(nc.k.unheard, m.Tag)
-		if s := nc.open[m.Tag]; s != nil && s.end > 0 {
-			nc.settled(s)
-			if st == placement.Completed && m.HasBlob { // the yes and the end in one: it was over before it was to say yes
-				n.core.AttemptAccepted(now, id, m.Tag, m.Blob)
-			}
-			n.core.TaskEnded(now, id, m.Tag, st, whys[m.Opt("note")])
-			nc.k.prune()
-		} else if st != placement.Rejected && st != placement.NeverSent && (n.core.IsRunning(m.Tag) || n.core.IsTerminating(m.Tag)) {
-			n.core.TaskEnded(now, id, m.Tag, st, whys[m.Opt("note")])
-		} else if !n.core.Contains(m.Tag) {
-			n.core.UnknownTaskEnded(now, id, m.Tag, st, whys[m.Opt("note")])
-		}
+		c.handleFinish(m)
 	case jsonlines.VerbNotice:
-		v, err := strconv.ParseFloat(m.Opt("value"), 64)
-		if kind, ok := noteKinds[m.Opt("note")]; ok && (err == nil && v >= 0 && v < 1e9 || kind == placement.ReportRunning) {
-			n.core.TaskReported(now, id, m.Tag, kind, v)
-		}
+		c.handleNotice(m)
 	case jsonlines.VerbFinished:
-		delete(nc.k.unheard, m.Tag)
+		c.link.releases.confirm(m.Tag)
 	case jsonlines.VerbEchoed:
-		if m.Tag == nc.ends.test && nc.ends.any() {
-			nc.proved()
-			return
-		}
-		st := placement.Completed
-		if m.RC != 1 {
-			st = placement.Failed
-		}
-		nc.probed(m.Tag, st, m.Opt("load"))
+		c.handleEchoed(m)
 	case jsonlines.VerbEcho:
-		nc.send(&jsonlines.Message{Verb: jsonlines.VerbEchoed, Tag: m.Tag, RC: 1, HasRC: true})
+		c.send(&jsonlines.Message{Verb: jsonlines.VerbEchoed, Tag: m.Tag, RC: pingSucceeded, HasRC: true})
+	}
+}
+
+// handleStarted takes the acceptance of an offer.
+func (c *workerConn) handleStarted(m *jsonlines.Message) {
+	offer := c.writtenOffer(m.Tag)
+	if offer == nil {
+		return
 	}
+	pool := c.link.pool
+	c.removeOffer(offer)
+	pool.dispatcher.AttemptAccepted(pool.loop.Now(), c.link.workerID, m.Tag, m.Blob)
+	c.link.pruneConns()
 }
 
-// report reads a load report.
-func report(load string) placement.Load {
-	l := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
-	for _, pair := range strings.FieldsFunc(load, func(r rune) bool { return r == ';' || r == ',' }) {
-		name, value, _ := strings.Cut(pair, ":")
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil {
-			continue
-		}
-		switch name {
-		case "x0":
-			l.FreeCores = v
-		case "x1":
-			l.FreeMemory = v
-		case "util", "utilization":
-			l.Utilization = v
-		case "queue", "backlog":
-			l.Queued = v
-		}
+// handleFinish takes the end of an attempt or of a running task.
+func (c *workerConn) handleFinish(m *jsonlines.Message) {
+	outcome, known := outcomesByCode[m.RC]
+	if !known {
+		outcome = placement.Reset
+	}
+	c.link.releases.confirm(m.Tag)
+	if offer := c.writtenOffer(m.Tag); offer != nil {
+		c.finishOffer(offer, outcome, m)
+		return
 	}
-	return l
+	c.finishTask(outcome, m)
 }
 
-var nan = math.NaN()
+// finishOffer takes the end of the attempt whose offer is open on this connection.
+func (c *workerConn) finishOffer(offer *openOffer, outcome placement.Outcome, m *jsonlines.Message) {
+	dispatcher, worker, now := c.link.pool.dispatcher, c.link.workerID, c.link.pool.loop.Now()
+	c.removeOffer(offer)
+	if outcome == placement.Completed && m.HasBlob { // the task completed before its acceptance was sent: one message says both
+		dispatcher.AttemptAccepted(now, worker, m.Tag, m.Blob)
+	}
+	dispatcher.TaskEnded(now, worker, m.Tag, outcome, causesByNote[m.Opt("note")])
+	c.link.pruneConns()
+}
+
+// finishTask takes the end of a request that has no open offer on this connection: it is the completion of a running
+// task, or a duplicate or foreign answer, which must end no attempt. That it was rejected or never sent is no
+// completion of a running task: it is a duplicate of the answer to an earlier attempt.
+func (c *workerConn) finishTask(outcome placement.Outcome, m *jsonlines.Message) {
+	dispatcher, worker, now := c.link.pool.dispatcher, c.link.workerID, c.link.pool.loop.Now()
+	cause := causesByNote[m.Opt("note")]
+	mayHaveRun := outcome != placement.Rejected && outcome != placement.NeverSent
+	switch {
+	case mayHaveRun && (dispatcher.IsRunning(m.Tag) || dispatcher.IsTerminating(m.Tag)):
+		dispatcher.TaskEnded(now, worker, m.Tag, outcome, cause)
+	case !dispatcher.Contains(m.Tag):
+		dispatcher.UnknownTaskEnded(now, worker, m.Tag, outcome, cause)
+	}
+}
+
+// handleNotice takes a report on a running task. That it is running comes without a value.
+func (c *workerConn) handleNotice(m *jsonlines.Message) {
+	value, err := strconv.ParseFloat(m.Opt("value"), 64)
+	kind, known := reportKindsByNote[m.Opt("note")]
+	valid := err == nil && value >= 0 && value < maxReportValue
+	if known && (valid || kind == placement.ReportRunning) {
+		pool := c.link.pool
+		pool.dispatcher.TaskReported(pool.loop.Now(), c.link.workerID, m.Tag, kind, value)
+	}
+}
+
+// handleEchoed takes the answer to a ping: that behind cancels, or that of a probe.
+func (c *workerConn) handleEchoed(m *jsonlines.Message) {
+	if c.cancels.isAnswer(m.Tag) {
+		c.pingAnswered()
+		return
+	}
+	outcome := placement.Completed
+	if m.RC != pingSucceeded {
+		outcome = placement.Failed
+	}
+	c.endProbe(m.Tag, outcome, m.Opt("load"))
+}
--- /dev/null
+++ b/internal/workerpool/offer.go
@@ -0,0 +1,200 @@
+package workerpool
+
+// This file owns offers: which connection one goes out on, when it is sent, and what becomes of it where
+// its connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
+// client may be gone.
+
+import (
+	"errors"
+	"maps"
+	"slices"
+	"strconv"
+
+	"golang.org/x/sys/unix"
+
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/jsonlines"
+	"ravenhitch/placement"
+)
+
+const (
+	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent. A
+	// client that is gone for 0.1 s gets no attempt any more; the other half of that is for the rest of the
+	// turn, up to the write.
+	maxClientLastSeenAge = 50 * millisecond
+	// maxOfferTries is how many connections an offer is put on that break before it is sent; after that
+	// the worker counts as not reached.
+	maxOfferTries = 3
+)
+
+// openOffer is an offer without an answer.
+type openOffer struct {
+	dispatch.Offer
+	offeredAt int64
+	deadline  int64 // when the dispatcher abandons it
+	endOffset int64 // of its last byte in what was written on its connection, 0 until it is written
+	tries     int   // connections that it was put on
+}
+
+// isSent reports whether all of the offer was sent, so that it may have reached the worker.
+func (o *openOffer) isSent(conn *eventloop.Conn) bool {
+	return o.endOffset > 0 && o.endOffset <= conn.BytesSent()
+}
+
+// delayedOffer is an offer that waits on its connection until its client is seen.
+type delayedOffer struct {
+	conn  *workerConn
+	offer *openOffer
+}
+
+// Offer implements dispatch.WorkerPool.
+func (p *Pool) Offer(worker string, offer dispatch.Offer) {
+	now := p.loop.Now()
+	p.putOffer(worker, &openOffer{Offer: offer, offeredAt: now, deadline: now + offer.TimeoutUs})
+}
+
+// putOffer puts an offer on a connection to the worker, on which it is sent once that is up.
+func (p *Pool) putOffer(worker string, offer *openOffer) {
+	var c *workerConn
+	if l := p.links[worker]; l != nil {
+		c = l.connForSending()
+	}
+	if c == nil {
+		p.reportLater(func() {
+			p.dispatcher.TaskEnded(p.loop.Now(), worker, offer.RequestID, placement.ConnectFailed, placement.CauseUnknown)
+		})
+		return
+	}
+	offer.tries++
+	c.openOffers[offer.RequestID] = offer
+	if c.conn.IsUp() {
+		c.sendOffer(offer)
+	}
+}
+
+// sendDelayedOffers sends the offers whose clients were to be seen first, and hands them to the system at once.
+func (p *Pool) sendDelayedOffers() {
+	delayed := p.delayedOffers
+	p.delayedOffers = nil
+	for _, d := range delayed {
+		if d.conn.openOffers[d.offer.RequestID] == d.offer { // else it was cancelled, or its connection closed
+			d.conn.sendOffer(d.offer)
+			d.conn.conn.Flush()
+		}
+	}
+}
+
+// OffersSent is how many offers were sent completely.
+func (p *Pool) OffersSent() int64 {
+	count := p.offersSent
+	for _, l := range p.links {
+		for _, c := range l.conns {
+			for _, offer := range c.openOffers {
+				if offer.isSent(c.conn) {
+					count++
+				}
+			}
+		}
+	}
+	return count
+}
+
+// sendOffer writes an offer, unless its client was not seen lately or the dispatcher forbids it by now: its
+// connection may have come up late, or another one may have closed under it.
+func (c *workerConn) sendOffer(offer *openOffer) {
+	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
+	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
+	if age := pool.loop.Clock() - lastSeenAt; age > maxClientLastSeenAge {
+		pool.trace("offer delayed for client", requestID, "worker", worker, "age_us", age)
+		pool.delayedOffers = append(pool.delayedOffers, delayedOffer{c, offer})
+		pool.loop.RunAgain()
+		return
+	}
+	if why := pool.dispatcher.CheckOffer(pool.loop.Now(), worker, requestID); why != "" {
+		pool.trace("offer not sent", requestID, "worker", worker, "cause", why)
+		c.removeOffer(offer)
+		pool.reportLater(func() {
+			pool.dispatcher.TaskEnded(pool.loop.Now(), worker, requestID, placement.NeverSent, placement.CauseUnknown)
+		})
+		return
+	}
+	m := offerMessage(offer, pool.loop.Now())
+	c.conn.Write(jsonlines.Append(nil, &m))
+	offer.endOffset = c.conn.BytesWritten()
+}
+
+// offerMessage is the wire form of an offer that is sent now. It has at least a millisecond left.
+func offerMessage(offer *openOffer, now int64) jsonlines.Message {
+	leftMs := max(1, (offer.deadline-now)/millisecond)
+	m := jsonlines.Message{
+		Verb: jsonlines.VerbStart,
+		Tag:  offer.RequestID,
+		Opts: []jsonlines.Field{
+			{Name: "class", Value: offer.Class},
+			{Name: "key", Value: offer.Key},
+			{Name: "left", Value: strconv.FormatInt(leftMs, 10)},
+		},
+		Blob:    offer.Description,
+		HasBlob: true,
+	}
+	if offer.Idem != "" {
+		m.Opts = append(m.Opts, jsonlines.Field{Name: "idem", Value: offer.Idem})
+	}
+	return m
+}
+
+// removeOffer takes an offer off its connection. It is the one place where that happens.
+func (c *workerConn) removeOffer(offer *openOffer) {
+	delete(c.openOffers, offer.RequestID)
+	if offer.isSent(c.conn) {
+		c.link.pool.offersSent++
+	}
+}
+
+// writtenOffer returns the open offer of a request if it was written on this connection, else nil: only
+// such a one can have been answered.
+func (c *workerConn) writtenOffer(requestID string) *openOffer {
+	if offer := c.openOffers[requestID]; offer != nil && offer.endOffset > 0 {
+		return offer
+	}
+	return nil
+}
+
+// settleOffers takes all offers off a connection that ended with err, and returns those that are to be put on
+// another one. What was sent completely may have run. What was not never ran: where the connection broke under
+// it, it goes out on another at once, which is not the worker's fault; where none came up, it ends.
+func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
+	l, pool := c.link, c.link.pool
+	for _, requestID := range slices.Sorted(maps.Keys(c.openOffers)) {
+		offer := c.openOffers[requestID]
+		switch {
+		case offer.isSent(c.conn):
+			pool.trace("connection lost with offer open", requestID, "worker", l.workerID, "err", err)
+			l.reportReset(requestID)
+		case l.listed && offer.tries < maxOfferTries && isDisconnect(err):
+			pool.trace("offer resent", requestID, "worker", l.workerID, "err", err)
+			resend = append(resend, offer)
+		default:
+			pool.trace("offer never sent", requestID, "worker", l.workerID, "err", err)
+			pool.reportLater(func() {
+				pool.dispatcher.TaskEnded(pool.loop.Now(), l.workerID, requestID, placement.ConnectFailed, placement.CauseUnknown)
+			})
+		}
+	}
+	for _, offer := range c.openOffers {
+		c.removeOffer(offer)
+	}
+	return resend
+}
+
+// isDisconnect reports whether a connection ended in a way that does not say whether another one would
+// come up.
+func isDisconnect(err error) bool {
+	return isReset(err) || errors.Is(err, eventloop.ErrEOF) || errors.Is(err, jsonlines.ErrMessage)
+}
+
+// isReset reports whether a connection was reset, which is what a dying process leaves.
+func isReset(err error) bool {
+	return errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
+}
--- /dev/null
+++ b/internal/workerpool/offer_test.go
@@ -0,0 +1,98 @@
+package workerpool
+
+import (
+	"bufio"
+	"io"
+	"strings"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/placement"
+)
+
+// offerText is what shows an offer in what a worker has read.
+const offerText = `"verb":"START"`
+
+// Given an offer on a connection that is reset before the offer was sent, it goes out on the next connection, once:
+// it never ran, and the worker is not to blame.
+func TestUnsentOfferIsResentAfterReset(t *testing.T) {
+	listener := listen(t)
+	loop, pool, dispatcher := newPool(t)
+	pool.UpdateWorker(workerName, listener.Addr().String(), true)
+	submission := newSubmission()
+	if err := dispatcher.Submit(loop.Now(), nil, submission); err != nil {
+		t.Fatal(err)
+	}
+	pool.Offer(workerName, offerOf(submission))
+
+	reset := pool.links[workerName].conns[0]
+	reset.conn.Close()
+	reset.Closed(reset.conn, unix.ECONNRESET)
+
+	stop := startLoop(t, loop, func(int64) { pool.DeliverPending() })
+	received := ""
+	for range 2 {
+		line, _ := bufio.NewReader(accept(t, listener)).ReadString('\n') // one connection ends without a line
+		received += line
+	}
+	if strings.Count(received, offerText) != 1 {
+		t.Errorf("the worker received %q", received)
+	}
+	stop()
+}
+
+// Given an offer whose connection comes up late, it is not sent where it must not be any more: it was cancelled, or
+// its worker drains past the limit or has left the list.
+func TestOfferOnLateConnection(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		meanwhile func(now int64, dispatcher *dispatch.Dispatcher, pool *Pool)
+		wantSent  bool
+	}{
+		{"nothing changed", func(int64, *dispatch.Dispatcher, *Pool) {}, true},
+		{"its client cancelled it", func(_ int64, _ *dispatch.Dispatcher, pool *Pool) {
+			pool.CancelAttempt(workerName, requestID, false)
+		}, false},
+		{"its worker drains", func(now int64, dispatcher *dispatch.Dispatcher, _ *Pool) {
+			draining := []placement.Entry{{Worker: workerName, State: placement.Draining}}
+			dispatcher.UpdateWorkers(now, placement.WorkerList{Entries: draining})
+		}, false},
+		{"its worker left the list", func(now int64, dispatcher *dispatch.Dispatcher, _ *Pool) {
+			dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: placement.ListFull})
+		}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			listener := listen(t)
+			loop, pool, dispatcher := newPool(t)
+			dispatcher.UpdateWorkers(loop.Now(), fullList())
+			pool.UpdateWorker(workerName, listener.Addr().String(), true)
+			submission := newSubmission()
+			if err := dispatcher.Submit(loop.Now(), nil, submission); err != nil {
+				t.Fatal(err)
+			}
+			pool.Offer(workerName, offerOf(submission))
+
+			conn := pool.links[workerName].conns[0]
+			c.meanwhile(loop.Now(), dispatcher, pool)
+			err := loop.Run(func(int64) { // until the connection is up and what came of that is reported
+				if pool.DeliverPending(); conn.established {
+					loop.Stop()
+				}
+			})
+			if err != nil {
+				t.Error(err)
+			}
+
+			if open := conn.openOffers[requestID] != nil; open != c.wantSent {
+				t.Errorf("open on its connection: %v", open)
+			}
+			loop.Close()
+			received, err := io.ReadAll(accept(t, listener))
+			if err != nil || strings.Contains(string(received), offerText) != c.wantSent {
+				t.Errorf("the worker received %q, %v", received, err)
+			}
+		})
+	}
+}
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -1,316 +1,225 @@
+// Package workerpool owns the connections of an orchestrator to its workers. It carries offers, cancels,
+// releases and probes of the dispatcher to them, and turns what they send into outcomes for the
+// dispatcher. All of it runs on the event loop; every time is in microseconds of the loop's clock
+// unless its type says otherwise.
 package workerpool
 
-// This file owns the set of workers: whom the list names, the look at all of them at intervals,
-// and the offers and tests of the core on their way to a worker. It must never send an offer
-// that the core did not ask for, and never take silence for an answer: time limits belong to
-// the core.
+// This file owns the set of workers: which ones discovery lists, the periodic sweep over all of them,
+// and the outcomes that wait for the dispatcher. It must never call the dispatcher from within a call of
+// the dispatcher, and never take silence for an answer: deadlines belong to the dispatcher.
 
 import (
-	"fmt"
 	"log/slog"
 	"maps"
 	"slices"
-	"strconv"
 	"strings"
 	"time"
 
 	"ravenhitch/internal/descriptors"
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
-	"ravenhitch/internal/jsonlines"
 	"ravenhitch/internal/ratelog"
-	"ravenhitch/placement"
 )
 
 const (
-	// staleAfter is how long an offer may lie on a connection on which nothing came
-	// in before new offers go out on a new one.
-	staleAfter = 400_000
-	minRedial  = 100_000
-	maxRedial  = 2_000_000
-	// partAfter is how long the connections to a worker that left the list are kept
-	// for what it still has to say: one that vanished would keep them for ever.
-	partAfter = 10_000_000
-	// maxQuiet is how long nothing may come in on a connection to a worker where
-	// tasks stand before another is opened: the old one may be dead without a sign, and
-	// the ends of tasks come on the next. An end not told for 8 s is lost.
-	maxQuiet   = 3_000_000
-	sweepNodes = 500_000
-	// deadAfter is how long a worker may refuse connections and say nothing on those that
-	// it has before it counts as dead: well over the pause of a busy one, and with
-	// maxQuiet and two sweeps before it still under the 8 s in which an end is to be told.
-	deadAfter = 2_000_000
-	// deadUntested is the same where the deployment allows no tests.
-	deadUntested = 4_000_000
-	// maxStray bounds the connections to one worker.
-	maxStray = 4
-	// maxHalf is how long half a message may wait for its rest. Workers write theirs
-	// whole: what stops short spoils all that would come behind it.
-	maxHalf = 250_000
-	// maxUnheardClient is how long before an offer leaves its client must have been heard. A client
-	// that is gone for 0.1 s gets no attempt any more; the other half is for the rest of the
-	// turn, up to the write.
-	maxUnheardClient = 50_000
-	// maxTries is how often an offer is put on a connection that breaks before the
-	// offer has left; after that the worker counts as not reached.
-	maxTries = 3
-	// keepAliveSlack is how much longer than due the answer to the system's question may take.
-	keepAliveSlack = 1_000_000
+	millisecond = int64(1_000)
+	second      = 1_000 * millisecond
+
+	// sweepInterval is how often all workers are looked at.
+	sweepInterval = 500 * millisecond
+	// unlistedLinger is how long the connections to a worker that left the list are kept for what it
+	// still has to report: a worker that vanished would keep them for ever.
+	unlistedLinger = 10 * second
 )
 
-var errHalf = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
-
-// Pool is the core's way to the workers.
+// Pool is the dispatcher's way to the workers. It owns the link to each of them.
 type Pool struct {
-	l       *eventloop.Loop
-	core    *dispatch.Dispatcher
-	log     *ratelog.Logger
-	tracer  dispatch.Tracer
-	dialUs  int64
-	tests   bool // workers may be sent tests
-	links   map[string]*link
-	order   []*link                  // links by name, nil where that is to be found anew
-	own     func(worker string) bool // this orchestrator places tasks there, nil: at all workers
-	tries   int64                    // offers that left whole and are settled
-	pending []func()                 // outcomes found while the core was acting
-	held    []held                   // offers that wait until their clients are heard
-	budget  *descriptors.Budget      // nil where there are enough descriptors for all
-	idle    idleConns
-	// keepAlive is after how long without a sign the system asks a worker's for one, 0: what the
-	// system sees of a connection proves nothing here.
+	loop          *eventloop.Loop
+	dispatcher    *dispatch.Dispatcher
+	log           *ratelog.Logger
+	tracer        dispatch.Tracer
+	dialTimeoutUs int64
+	pingsAllowed  bool // the deployment lets workers be sent pings
+	links         map[string]*link
+	sortedLinks   []*link                  // links by worker ID, nil where that is to be sorted anew
+	isAssigned    func(worker string) bool // this orchestrator places tasks there, nil: at all workers
+	offersSent    int64                    // offers that were sent completely and are settled
+	outcomes      []func()                 // found while the dispatcher was acting, and not reported yet
+	delayedOffers []delayedOffer           // wait until their clients are seen
+	budget        *descriptors.Budget      // nil where there are enough descriptors for all
+	idle          idleConns
+	// keepAlive is after how long without a sign of life TCP keepalive asks a worker's system for one;
+	// 0: what the system sees of a connection proves nothing here.
 	keepAlive time.Duration
 }
 
-// New returns the links, of which there are none yet; tests says that workers may be
-// sent tests. Use sets the core.
-func New(l *eventloop.Loop, dialUs int64, tests bool, log *slog.Logger) *Pool {
-	return &Pool{l: l, dialUs: dialUs, tests: tests, log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, links: map[string]*link{}}
+var _ dispatch.WorkerPool = (*Pool)(nil)
+
+// New returns a pool without workers. dialTimeoutUs, in microseconds, bounds how long a connection may take
+// to come up; pingsAllowed says that workers may be sent pings. SetDispatcher sets the dispatcher.
+func New(loop *eventloop.Loop, dialTimeoutUs int64, pingsAllowed bool, log *slog.Logger) *Pool {
+	return &Pool{
+		loop:          loop,
+		dialTimeoutUs: dialTimeoutUs,
+		pingsAllowed:  pingsAllowed,
+		log:           ratelog.New(log),
+		tracer:        dispatch.Tracer{Log: log},
+		links:         map[string]*link{},
+	}
 }
 
-// SetTraceSuffixes limits the trace to the tags that end in one of the endings; none traces all.
-func (n *Pool) SetTraceSuffixes(endings []string) { n.tracer.Suffixes = endings }
+// SetTraceSuffixes limits the trace to the request IDs that end in one of the suffixes; none traces all.
+func (p *Pool) SetTraceSuffixes(suffixes []string) { p.tracer.Suffixes = suffixes }
 
-// SetKeepAlive makes the system's signs of life prove that a connection is alive, and has it ask for
-// one after so long without. Between here and the workers nothing may answer in their place.
-func (n *Pool) SetKeepAlive(after time.Duration) { n.keepAlive = after }
+// SetKeepAlive makes TCP keepalive prove that a connection is alive, and has the system ask for a sign of
+// life after so long without one. No proxy may answer in the workers' place.
+func (p *Pool) SetKeepAlive(after time.Duration) { p.keepAlive = after }
 
 // ShareDescriptors makes the pool connect workers only as the budget allows.
-func (n *Pool) ShareDescriptors(b *descriptors.Budget) { n.budget = b }
+func (p *Pool) ShareDescriptors(budget *descriptors.Budget) { p.budget = budget }
 
-// SetDispatcher names the core that is told of outcomes.
-func (n *Pool) SetDispatcher(c *dispatch.Dispatcher) {
-	n.core = c
-	n.l.After(sweepNodes, n.sweep)
+// SetDispatcher sets the dispatcher that outcomes are reported to, and starts the periodic sweep.
+func (p *Pool) SetDispatcher(dispatcher *dispatch.Dispatcher) {
+	p.dispatcher = dispatcher
+	p.loop.After(sweepInterval, p.sweep)
 }
 
-// SetAssigned says at which workers this orchestrator places tasks: connections to these are kept, and to
-// the others while tasks stand there. own must answer alike until the next call.
-func (n *Pool) SetAssigned(own func(worker string) bool) {
-	n.own = own
-	for _, k := range n.sorted() {
-		if k.own = n.owns(k.id); k.own {
-			k.ensure()
+// SetAssigned sets at which workers this orchestrator places tasks: connections to these are kept up, and to
+// the others while tasks run there. isAssigned must give the same answers until the next call.
+func (p *Pool) SetAssigned(isAssigned func(worker string) bool) {
+	p.isAssigned = isAssigned
+	for _, l := range p.linksByID() {
+		if l.assigned = p.assigned(l.workerID); l.assigned {
+			l.ensureConnected()
 		}
 	}
 }
 
-func (n *Pool) owns(worker string) bool { return n.own == nil || n.own(worker) }
+func (p *Pool) assigned(worker string) bool { return p.isAssigned == nil || p.isAssigned(worker) }
 
-// sorted is all links by name. It stays as it is while links come and go.
-func (n *Pool) sorted() []*link {
-	if n.order == nil {
-		n.order = slices.SortedFunc(maps.Values(n.links), func(a, b *link) int { return strings.Compare(a.id, b.id) })
+// linksByID returns all links, sorted by worker ID. The slice stays as it is while links come and go.
+func (p *Pool) linksByID() []*link {
+	if p.sortedLinks == nil {
+		p.sortedLinks = slices.SortedFunc(maps.Values(p.links), func(a, b *link) int {
+			return strings.Compare(a.workerID, b.workerID)
+		})
 	}
-	return n.order
+	return p.sortedLinks
 }
 
-func (n *Pool) add(k *link) {
-	n.links[k.id], n.order = k, nil
+func (p *Pool) add(l *link) {
+	p.links[l.workerID] = l
+	p.sortedLinks = nil
 }
 
-func (n *Pool) remove(k *link) {
-	delete(n.links, k.id)
-	n.order = nil
+func (p *Pool) remove(l *link) {
+	delete(p.links, l.workerID)
+	p.sortedLinks = nil
 }
 
-// sweep looks at each worker.
-func (n *Pool) sweep() {
-	for _, k := range n.sorted() {
-		if k.own || len(k.conns) > 0 || len(k.unheard) > 0 {
-			k.sweep(n.core.TasksOn(k.id), n.l.Now())
+// sweep looks at each worker that is assigned, connected, released from or that runs tasks.
+func (p *Pool) sweep() {
+	for _, l := range p.linksByID() {
+		if l.assigned || len(l.conns) > 0 || len(l.releases) > 0 {
+			l.sweep(p.dispatcher.TasksOn(l.workerID), p.loop.Now())
 		}
 	}
-	for _, id := range n.core.WorkersWithTasks() { // others where tasks stand
-		if k := n.links[id]; k != nil && !k.own && len(k.conns) == 0 {
-			k.sweep(n.core.TasksOn(id), n.l.Now())
+	for _, worker := range p.dispatcher.WorkersWithTasks() { // unassigned ones
+		if l := p.links[worker]; l != nil && !l.assigned && len(l.conns) == 0 {
+			l.sweep(p.dispatcher.TasksOn(worker), p.loop.Now())
 		}
 	}
-	n.l.After(sweepNodes, n.sweep)
+	p.loop.After(sweepInterval, p.sweep)
 }
 
-// sweep opens another connection where the one there may be dead: tasks stand
-// there and nothing came for long. Without offers nobody would notice, and ends of
-// tasks would wait for ever. (A connection on which an offer was given up while
-// nothing came in is closed at the give-up.)
-func (k *link) sweep(held dispatch.TaskSummary, now int64) {
-	if len(k.unheard) > 0 {
-		maps.DeleteFunc(k.unheard, func(_ string, at int64) bool { return now-at > unheardFor })
-	}
-	k.takeStart()
-	if held.Count == 0 {
-		k.ensure() // where there was no room before
-		k.part()
-		return
-	}
-	k.require()
-	if len(k.conns) == 0 || len(k.conns) >= maxStray {
-		return
-	}
-	if nc := k.conns[len(k.conns)-1]; nc.c.IsUp() && nc.quiet(now) && k.n.budget.AdmitsWorker() {
-		k.dial()
-	}
-	k.listen(held, now)
-}
-
-// later tells the core of an outcome in the next turn, not from within a call.
-func (n *Pool) later(f func()) {
-	n.pending = append(n.pending, f)
-	n.l.RunAgain()
-}
-
-// held is an offer that waits on its connection until its client is heard.
-type held struct {
-	nc *workerConn
-	s  *sent
-}
-
-// DeliverPending tells the core what was found while it was acting. It is called once what came in
-// was read, and so the offers that waited for that leave first, and at once.
-func (n *Pool) DeliverPending() {
-	waiting := n.held
-	n.held = nil
-	for _, h := range waiting {
-		if h.nc.open[h.s.RequestID] == h.s { // else it was withdrawn, or its connection broke
-			h.nc.start(h.s)
-			h.nc.c.Flush()
-		}
-	}
-	for len(n.pending) > 0 {
-		p := n.pending
-		n.pending = nil
-		for _, f := range p {
-			f()
-		}
-	}
+// reportLater reports an outcome to the dispatcher in the next turn, not from within its call.
+func (p *Pool) reportLater(report func()) {
+	p.outcomes = append(p.outcomes, report)
+	p.loop.RunAgain()
 }
 
-// OffersSent is how many offers have left whole.
-func (n *Pool) OffersSent() int64 {
-	t := n.tries
-	for _, k := range n.links {
-		for _, nc := range k.conns {
-			for _, s := range nc.open {
-				if s.left(nc.c) {
-					t++
-				}
-			}
+// DeliverPending reports to the dispatcher what was found while it was acting. It is called once what came
+// in was read; so the offers that waited for that are sent first, and at once.
+func (p *Pool) DeliverPending() {
+	p.sendDelayedOffers()
+	for len(p.outcomes) > 0 {
+		batch := p.outcomes
+		p.outcomes = nil
+		for _, report := range batch {
+			report()
 		}
 	}
-	return t
 }
 
-// UpdateWorker takes what the channel tells of a worker. A new address, or one that
-// another worker had, gets connections of its own.
-func (n *Pool) UpdateWorker(id, addr string, listed bool) {
-	k := n.links[id]
-	if k == nil {
+// UpdateWorker takes the address of a worker from discovery, and whether it is listed. A changed address
+// gets connections of its own.
+func (p *Pool) UpdateWorker(worker, addr string, listed bool) {
+	l := p.links[worker]
+	if l == nil {
 		if !listed {
 			return
 		}
-		k = &link{n: n, id: id, addr: addr, own: n.owns(id)}
-		n.add(k)
+		l = &link{pool: p, workerID: worker, addr: addr, assigned: p.assigned(worker)}
+		p.add(l)
 	}
-	if listed && addr != k.addr {
-		k.addr = addr
-		k.closeAll()
+	if listed && addr != l.addr {
+		l.addr = addr
+		l.closeAll(errAddressChanged)
 	}
-	k.listed = listed
+	l.listed = listed
 	if listed {
-		k.ensure()
+		l.ensureConnected()
 		return
 	}
-	k.redial.Stop()
-	if len(k.conns) == 0 {
-		n.remove(k)
+	p.unlist(l)
+}
+
+// unlist removes a worker that is no longer listed: at once where it has no connection, else after
+// unlistedLinger, unless it is listed again by then.
+func (p *Pool) unlist(l *link) {
+	l.redialTimer.Stop()
+	if len(l.conns) == 0 {
+		p.remove(l)
 		return
 	}
-	n.l.After(partAfter, func() {
-		if n.links[id] == k && !k.listed {
-			k.closeAll()
-			n.remove(k)
+	p.loop.After(unlistedLinger, func() {
+		if p.links[l.workerID] == l && !l.listed {
+			l.closeAll(errUnlisted)
+			p.remove(l)
 		}
 	})
 }
 
-// WorkerStarted takes when the process of a worker began, as the channel tells.
-func (n *Pool) WorkerStarted(id string, at int64) {
-	if k := n.links[id]; k != nil && at > k.startedAt {
-		k.startedAt, k.restarted = at, true
-		k.takeStart()
+// WorkerStarted takes from discovery when the process of a worker started.
+func (p *Pool) WorkerStarted(worker string, startedAt int64) {
+	if l := p.links[worker]; l != nil && startedAt > l.processStartedAt {
+		l.processStartedAt, l.restartPending = startedAt, true
+		l.applyRestart()
 	}
 }
 
-// RemoveUnlisted forgets the workers that a whole list did not name.
-func (n *Pool) RemoveUnlisted(named map[string]bool) {
-	for _, k := range n.sorted() {
-		if !named[k.id] {
-			n.UpdateWorker(k.id, "", false)
+// RemoveUnlisted removes the workers that a full list did not name.
+func (p *Pool) RemoveUnlisted(listed map[string]bool) {
+	for _, l := range p.linksByID() {
+		if !listed[l.workerID] {
+			p.UpdateWorker(l.workerID, "", false)
 		}
 	}
 }
 
-// Offer implements core.Nodes.
-func (n *Pool) Offer(node string, o dispatch.Offer) {
-	now := n.l.Now()
-	n.offer(node, &sent{Offer: o, at: now, until: now + o.TimeoutUs})
-}
-
-func (n *Pool) offer(node string, s *sent) {
-	var nc *workerConn
-	if k := n.links[node]; k != nil {
-		nc = k.usable()
-	}
-	if nc == nil {
-		n.later(func() {
-			n.core.TaskEnded(n.l.Now(), node, s.RequestID, placement.ConnectFailed, placement.CauseUnknown)
-		})
-		return
-	}
-	s.tries++
-	nc.open[s.RequestID] = s
-	if nc.c.IsUp() {
-		nc.start(s)
-	}
-}
-
-// Probe implements core.Nodes.
-func (n *Pool) Probe(node string) {
-	k := n.links[node]
-	var nc *workerConn
-	if k != nil {
-		nc = k.usable()
-	}
-	if nc == nil {
-		n.later(func() {
-			n.core.ProbeAnswered(n.l.Now(), placement.ProbeResult{Worker: node, Outcome: placement.ConnectFailed})
-		})
-		return
+// Close aborts the connections on which an attempt may be open, at the end of the program. The system would
+// go on sending what lies in its buffers, and an offer would arrive when nobody waits for it.
+func (p *Pool) Close() {
+	for _, l := range p.links {
+		for _, c := range l.conns {
+			if len(c.openOffers) > 0 || c.cancels.pending() {
+				c.conn.Abort()
+			}
+		}
 	}
-	tag := strconv.FormatInt(n.l.Now(), 16)
-	nc.probes[tag] = n.l.Now()
-	nc.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: tag, HasRC: true})
-	n.l.After(n.dialUs, func() { nc.probed(tag, placement.TimedOut, "") })
 }
 
 // trace writes one step of a request at debug level.
-func (n *Pool) trace(step, tag string, args ...any) { n.tracer.Step(step, tag, n.l.Now(), args...) }
+func (p *Pool) trace(step, requestID string, args ...any) {
+	p.tracer.Step(step, requestID, p.loop.Now(), args...)
+}
