--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,200 +1,216 @@
-// Package loop owns the epoll descriptor, every socket, their buffers, the
-// timers and the descriptor budget. One goroutine runs it; nothing else may
-// touch what it owns, except through [Loop.Post]. It knows no protocol and must
-// never block: not on a socket, not on another goroutine. A descriptor is given
-// back in one place only, [Loop.reap].
+// Package eventloop owns the epoll descriptor, every socket, their buffers, the timers and the
+// descriptor budget. One goroutine runs the loop; nothing else may touch what it owns, except through
+// [Loop.Post]. It knows no protocol and must never block: not on a socket, not on another goroutine.
+// The descriptor of a connection is closed in one place only, [Loop.reap].
 //
-// What a user writes goes out at the end of the turn, in the order of connections.
-// What must be out before anything else of the turn is handed to the system at
-// once: by [Conn.Push], and by a close, which is not put off either.
+// What a user writes goes out at the end of the turn, in the order in which connections were first
+// written to. What must be sent before anything else of the turn is handed to the system at once: by
+// [Conn.Flush], and by a close, which is not put off either.
+//
+// Times are in microseconds of the Unix clock.
 package eventloop
 
+// This file owns the loop itself: its start and end, its turns, and what other goroutines post to it.
+
 import (
-	"errors"
-	"fmt"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// The errors that a Handler may be told of.
-var (
-	ErrTimeout  = errors.New("loop: connection not established in time")
-	ErrEOF      = errors.New("loop: closed by the other side")
-	ErrOverflow = errors.New("loop: the other side does not read")
-	ErrBudget   = errors.New("loop: no descriptor left in the budget")
-)
-
 const (
-	readSize   = 64 << 10
-	readsATurn = 4       // reads of one connection before others have their turn
-	outMost    = 1 << 20 // unread by one connection, unless Unread says less
-	keptMost   = 4 << 10 // room that an empty buffer keeps
-	eventsMost = 256
+	millisecond = int64(1_000)
+
+	// readBufferSize bounds one read of a connection.
+	readBufferSize = 64 << 10
+	// defaultMaxBuffered bounds what one connection may leave unread, unless SetMaxBuffered sets another bound.
+	defaultMaxBuffered = 1 << 20
+	// initialEvents is how many ready descriptors one poll reports at first; it grows on demand.
+	initialEvents = 256
+	// wakeValue is what is added to the counter of the wake descriptor by each post.
+	wakeValue = 1
+	// wakeSize is the size of that counter.
+	wakeSize = 8
 )
 
 // Loop is one epoll loop.
 type Loop struct {
-	ep, wake  int
-	telling   bool // events are being told: a number given back now could be taken for its old owner
-	conns     map[int]*Conn
-	listeners map[int]*listener
-	packets   map[int]*PacketConn
-	dead      []*Conn
-	dirty     []*Conn
-	timers    timers
-	began     time.Time
-	now       int64
-	budget    int
-	held      int
-	outMost   int
-	buf       []byte
-	again     bool
-	stop      bool
-	askedAt   int64 // when the system last told of all that was ready
-	toldAt    int64 // and when it did before: what is ready now came since
-	polls     int64 // that told of all
-	heardAt   int64 // when the last poll was asked of which all that it told was read
-	heardPoll int64 // its number among polls
-	postedAt  int64 // when what was posted was last taken
-	took      int64 // how long the last turn took
-
-	mu     sync.Mutex
-	posted []func()
+	epollFD     int
+	wakeFD      int // an eventfd that is written to by Post
+	conns       map[int]*Conn
+	listeners   map[int]*listener
+	packetConns map[int]*PacketConn
+	timers      timerHeap
+
+	maxDescriptors  int
+	openDescriptors int
+	maxBuffered     int    // bytes that one connection may leave unread
+	readBuffer      []byte // of all connections, as one is read at a time
+
+	unreaped    []*Conn // closed connections whose descriptors are still open
+	unflushed   []*Conn // connections that were written to in this turn
+	dispatching bool    // events are being dispatched: a descriptor closed now could be opened again, and taken for its old user
+
+	startedAt    time.Time
+	now          int64 // when this turn began
+	turnDuration int64 // of the last turn
+	polls        pollHistory
+	runAgain     bool // take the next turn without waiting
+	stopping     bool
+
+	lastPostAt int64 // when what was posted was last taken
+	mu         sync.Mutex
+	posted     []func() // guarded by mu
 }
 
-// New returns a loop that holds at most budget sockets.
-func New(budget int) (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+// New returns a loop that holds at most maxDescriptors sockets. Close releases it.
+func New(maxDescriptors int) (*Loop, error) {
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("loop: epoll: %w", err)
+		return nil, &OpError{Op: "epoll", Err: err}
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
-		unix.Close(ep)
-		return nil, fmt.Errorf("loop: eventfd: %w", err)
+		closeFD(epollFD)
+		return nil, &OpError{Op: "eventfd", Err: err}
+	}
+	l := &Loop{
+		epollFD:        epollFD,
+		wakeFD:         wakeFD,
+		conns:          map[int]*Conn{},
+		listeners:      map[int]*listener{},
+		packetConns:    map[int]*PacketConn{},
+		maxDescriptors: maxDescriptors,
+		maxBuffered:    defaultMaxBuffered,
+		readBuffer:     make([]byte, readBufferSize),
+		startedAt:      time.Now(),
 	}
-	l := &Loop{ep: ep, wake: wake, conns: map[int]*Conn{}, listeners: map[int]*listener{}, packets: map[int]*PacketConn{},
-		budget: budget, outMost: outMost, buf: make([]byte, readSize), began: time.Now()}
 	l.tick()
-	if err := l.watch(wake, unix.EPOLLIN, unix.EPOLL_CTL_ADD); err != nil {
-		unix.Close(ep)
-		unix.Close(wake)
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, wakeFD, unix.EPOLLIN); err != nil {
+		closeFD(epollFD)
+		closeFD(wakeFD)
 		return nil, err
 	}
 	return l, nil
 }
 
-// tick reads the clock. It is the Unix clock as it stood at the start, carried on
-// by the monotonic one: a step of the system's clock would fire all timers at once,
-// or none for as long as it went back.
-func (l *Loop) tick() { l.now = l.clock() }
-
-// clock reads the time amid a turn.
-func (l *Loop) clock() int64 { return l.began.UnixMicro() + time.Since(l.began).Microseconds() }
+// tick sets the time of this turn.
+func (l *Loop) tick() { l.now = l.Clock() }
 
-// TurnDuration is how long the last turn took, from what was ready to what was written.
-func (l *Loop) TurnDuration() int64 { return l.took }
+// Clock reads the time amid a turn, where [Loop.Now] is when the turn began. It is the Unix clock as it stood at the
+// start, carried on by the monotonic one: a step of the system's clock would fire all timers at once, or none for
+// as long as it went back.
+func (l *Loop) Clock() int64 {
+	return l.startedAt.UnixMicro() + time.Since(l.startedAt).Microseconds()
+}
 
-// LastPostAt is when what other goroutines had posted was last taken.
-func (l *Loop) LastPostAt() int64 { return l.postedAt }
+// Now is the Unix time at which this turn began, in microseconds.
+func (l *Loop) Now() int64 { return l.now }
 
-// Clock reads the time amid a turn, where [Loop.Now] is when the turn began.
-func (l *Loop) Clock() int64 { return l.clock() }
+// TurnDuration is how long the last turn took, in microseconds, from the poll to the last write.
+func (l *Loop) TurnDuration() int64 { return l.turnDuration }
 
-// Now is the Unix time of this turn, in microseconds.
-func (l *Loop) Now() int64 { return l.now }
+// LastPostAt is when what other goroutines had posted was last taken.
+func (l *Loop) LastPostAt() int64 { return l.lastPostAt }
 
 // FreeDescriptors is how many sockets may still be opened.
-func (l *Loop) FreeDescriptors() int { return l.budget - l.held }
+func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
-// SetMaxBuffered sets how many bytes one connection may leave unread, beyond what the system
-// holds, before it is cut off.
-func (l *Loop) SetMaxBuffered(most int) { l.outMost = most }
+// SetMaxBuffered sets how many bytes one connection may leave unread, beyond what the system buffers, before it
+// is closed with [ErrOverflow].
+func (l *Loop) SetMaxBuffered(maxBytes int) { l.maxBuffered = maxBytes }
 
 // RunAgain makes the loop take another turn without waiting.
-func (l *Loop) RunAgain() { l.again = true }
+func (l *Loop) RunAgain() { l.runAgain = true }
 
 // Stop ends Run after this turn.
-func (l *Loop) Stop() { l.stop = true }
+func (l *Loop) Stop() { l.stopping = true }
 
-// Post hands f to the loop from any goroutine.
+// Post has the loop call f in its next turn. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	var one = [8]byte{1}
-	// A full counter means that a wake-up is under way already.
-	_, _ = unix.Write(l.wake, one[:])
-}
-
-func (l *Loop) watch(fd int, mask uint32, op int) error {
-	if err := unix.EpollCtl(l.ep, op, fd, &unix.EpollEvent{Events: mask, Fd: int32(fd)}); err != nil {
-		return fmt.Errorf("loop: epoll_ctl: %w", err)
-	}
-	return nil
+	wake := [wakeSize]byte{wakeValue}
+	_, _ = unix.Write(l.wakeFD, wake[:]) // a full counter means that the loop is being woken already
 }
 
-// Run takes turns until Stop. In each it gathers what is ready, calls turn once
-// to decide on all of it, and writes what came of that.
+// Run takes turns until Stop. In each it gathers what is ready, calls turn once to decide on all of it, and writes
+// what came of that.
 func (l *Loop) Run(turn func(now int64)) error {
-	events := make([]unix.EpollEvent, eventsMost)
-	for !l.stop {
-		n, err := unix.EpollWait(l.ep, events, l.timeout())
+	events := make([]unix.EpollEvent, initialEvents)
+	for !l.stopping {
+		n, err := unix.EpollWait(l.epollFD, events, l.pollTimeout())
 		if err != nil && err != unix.EINTR {
-			return fmt.Errorf("loop: epoll_wait: %w", err)
+			return &OpError{Op: "epoll_wait", Err: err}
 		}
-		l.again = false
+		l.runAgain = false
 		l.tick()
-		whole := err == nil && n < len(events) // else some that are ready may not have been told
-		if whole {
-			l.toldAt, l.askedAt = l.askedAt, l.now
-			l.polls++
-		}
-		l.telling = true
-		for _, e := range events[:max(0, n)] {
-			fd := int(e.Fd)
-			switch {
-			case fd == l.wake:
-				var b [8]byte
-				_, _ = unix.Read(l.wake, b[:])
-			case l.listeners[fd] != nil:
-				l.acceptAll(l.listeners[fd])
-			case l.packets[fd] != nil:
-				l.packets[fd].ready()
-			default:
-				if c := l.conns[fd]; c != nil && !c.closed {
-					c.ready(e.Events)
-				}
-			}
+		complete := err == nil && n < len(events) // else some that are ready may not be reported
+		if complete {
+			l.polls.begin(l.now)
 		}
-		l.telling = false
-		l.reap()
-		if whole {
-			l.heardAt, l.heardPoll = l.askedAt, l.polls
+		l.dispatchAll(events[:max(0, n)])
+		if complete {
+			l.polls.processed()
 		} else if n == len(events) {
-			events = make([]unix.EpollEvent, 2*len(events)) // the next one tells of all
+			events = make([]unix.EpollEvent, 2*len(events)) // the next poll reports all
 		}
-		l.mu.Lock()
-		posted := l.posted
-		l.posted, l.postedAt = nil, l.clock()
-		l.mu.Unlock()
-		for _, f := range posted {
-			f()
-		}
-		l.due()
+		l.runPosted()
+		l.fireTimers()
 		turn(l.now)
 		l.flushAll()
-		l.took = l.clock() - l.now
+		l.turnDuration = l.Clock() - l.now
 	}
 	return nil
 }
 
+// dispatchAll hands each event to what is ready, and then closes the descriptors of the connections that ended.
+func (l *Loop) dispatchAll(events []unix.EpollEvent) {
+	l.dispatching = true
+	for _, event := range events {
+		l.dispatch(int(event.Fd), event.Events)
+	}
+	l.dispatching = false
+	l.reap()
+}
+
+func (l *Loop) dispatch(fd int, events uint32) {
+	if fd == l.wakeFD {
+		var counter [wakeSize]byte
+		_, _ = unix.Read(l.wakeFD, counter[:]) // resets it; what was posted is taken in every turn
+		return
+	}
+	if listener := l.listeners[fd]; listener != nil {
+		l.acceptAll(listener)
+		return
+	}
+	if packetConn := l.packetConns[fd]; packetConn != nil {
+		packetConn.receiveAll()
+		return
+	}
+	if c := l.conns[fd]; c != nil && !c.closed {
+		c.ready(events)
+	}
+}
+
+// runPosted calls what other goroutines have posted.
+func (l *Loop) runPosted() {
+	l.mu.Lock()
+	posted := l.posted
+	l.posted, l.lastPostAt = nil, l.Clock()
+	l.mu.Unlock()
+	for _, f := range posted {
+		f()
+	}
+}
+
+// flushAll writes what was written to connections in this turn, also by the handlers that it calls.
 func (l *Loop) flushAll() {
-	for i := 0; i < len(l.dirty); i++ {
-		c := l.dirty[i]
-		c.dirty = false
+	for i := 0; i < len(l.unflushed); i++ {
+		c := l.unflushed[i]
+		c.flushQueued = false
 		if c.closed {
 			continue
 		}
@@ -202,26 +218,26 @@
 			c.fail(err)
 			continue
 		}
-		if c.behind { // the other side read on within the turn: no event will tell
+		if c.awaitsDrain { // the other side read on within the turn: no event will report that
 			c.drained()
 		}
 	}
-	l.dirty = l.dirty[:0]
+	l.unflushed = l.unflushed[:0]
 }
 
-// Close gives everything back.
+// Close closes all descriptors. Handlers are not notified.
 func (l *Loop) Close() {
 	for fd := range l.listeners {
-		unix.Close(fd)
+		l.closeDescriptor(fd)
 	}
-	for fd := range l.packets {
-		unix.Close(fd)
+	for fd := range l.packetConns {
+		l.closeDescriptor(fd)
 	}
-	l.telling = true // the map is being walked
+	l.dispatching = true // connections are reaped after the walk over them
 	for _, c := range l.conns {
 		c.drop()
 	}
 	l.reap()
-	unix.Close(l.wake)
-	unix.Close(l.ep)
+	closeFD(l.wakeFD)
+	closeFD(l.epollFD)
 }
--- /dev/null
+++ b/internal/eventloop/helpers_test.go
@@ -0,0 +1,141 @@
+package eventloop
+
+// This file owns what the tests of this package share: running loops, and connections to them.
+
+import (
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"ravenhitch/internal/testbed"
+)
+
+// dialTimeoutUs is longer than a test takes.
+const dialTimeoutUs = 10_000_000
+
+// testHandler reports what happens to its connection to a test.
+type testHandler struct {
+	opened chan struct{}
+	closed chan error
+	data   func(c *Conn, b []byte) (int, error)
+}
+
+func (h *testHandler) Opened(*Conn)                        { h.opened <- struct{}{} }
+func (h *testHandler) Data(c *Conn, b []byte) (int, error) { return h.data(c, b) }
+func (h *testHandler) Closed(_ *Conn, err error)           { h.closed <- err }
+
+// newEchoHandler returns a handler that sends back what it gets.
+func newEchoHandler() *testHandler {
+	return &testHandler{
+		opened: make(chan struct{}, 10),
+		closed: make(chan error, 10),
+		data:   func(c *Conn, b []byte) (int, error) { c.Write(b); return len(b), nil },
+	}
+}
+
+func admitAll() bool { return true }
+
+// startLoop runs a loop until the end of the test. onLoop calls a function on it and waits for that.
+func startLoop(t *testing.T, maxDescriptors int) (loop *Loop, onLoop func(f func())) {
+	t.Helper()
+	loop, err := New(maxDescriptors)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() {
+		err := loop.Run(func(int64) {})
+		loop.Close()
+		ended <- err
+	}()
+	t.Cleanup(func() {
+		loop.Post(loop.Stop)
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return loop, func(f func()) {
+		t.Helper()
+		done := make(chan bool, 1)
+		loop.Post(func() { f(); done <- true })
+		testbed.Wait(t, "the loop", done)
+	}
+}
+
+// listen returns a listener that is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAtEnd(t, listener.Close) })
+	return listener
+}
+
+// dial returns a connection to the loop that is closed at the end of the test.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAtEnd(t, conn.Close) })
+	return conn
+}
+
+// accept returns the next connection of a listener, which is closed at the end of the test.
+func accept(t *testing.T, listener net.Listener) net.Conn {
+	t.Helper()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAtEnd(t, conn.Close) })
+	return conn
+}
+
+// closeAtEnd closes what may have been closed by the test already, or reset by the loop.
+func closeAtEnd(t *testing.T, closeFunc func() error) {
+	t.Helper()
+	if err := closeFunc(); err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, unix.ECONNRESET) {
+		t.Error(err)
+	}
+}
+
+// write writes to a connection of the test.
+func write(t *testing.T, conn net.Conn, b []byte) {
+	t.Helper()
+	if _, err := conn.Write(b); err != nil {
+		t.Error(err)
+	}
+}
+
+// setReadDeadline sets until when reads of a connection of the test may wait.
+func setReadDeadline(t *testing.T, conn net.Conn, deadline time.Time) {
+	t.Helper()
+	if err := conn.SetReadDeadline(deadline); err != nil {
+		t.Error(err)
+	}
+}
+
+// connectThree has the loop dial three connections to a listener of the test. It returns both ends.
+func connectThree(t *testing.T, loop *Loop, onLoop func(func())) (local [3]*Conn, remote [3]net.Conn) {
+	t.Helper()
+	listener := listen(t)
+	for i := range local {
+		handler := newEchoHandler()
+		onLoop(func() {
+			var err error
+			if local[i], err = loop.Dial(listener.Addr().String(), dialTimeoutUs, handler); err != nil {
+				t.Error(err)
+			}
+		})
+		testbed.Wait(t, "the connection", handler.opened)
+		remote[i] = accept(t, listener)
+	}
+	return local, remote
+}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -1,171 +1,168 @@
 package eventloop
 
-// This file owns the listening sockets: where they listen, and whom they let in.
+// This file owns the listening sockets: where they listen, and which connections they accept. It must never accept a
+// connection for which there is no place: the system's queue keeps it.
 
 import (
 	"fmt"
-	"net/netip"
+	"strconv"
 
 	"golang.org/x/sys/unix"
 )
 
+const (
+	// listenBacklog is how many connections the system queues on a listening socket.
+	listenBacklog = 1024
+	// maxAcceptsPerTurn is how many connections one listener accepts before others have their turn.
+	maxAcceptsPerTurn = 256
+	// acceptPause is how long a listener accepts nothing after there was no place for a connection.
+	acceptPause = 20 * millisecond
+)
+
 // listener is a listening socket.
 type listener struct {
-	fd     int
-	accept func() Handler
-	room   func() bool
-	off    bool
-	queued bool // callers may wait; false once none was found
-	// emptyAt is when nobody was found waiting.
-	emptyAt int64
-}
-
-func sockaddr(addr string) (int, unix.Sockaddr, error) {
-	ap, err := netip.ParseAddrPort(addr)
-	if err != nil {
-		return 0, nil, fmt.Errorf("loop: address %.60q: %w", addr, err)
-	}
-	if ap.Addr().Unmap().Is4() {
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(ap.Port()), Addr: ap.Addr().Unmap().As4()}, nil
-	}
-	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(ap.Port()), Addr: ap.Addr().As16()}, nil
+	fd      int
+	admit   func() bool
+	accept  func() Handler
+	paused  bool
+	queued  bool  // connections may wait in the system's queue; false once none was found
+	emptyAt int64 // when none was found
 }
 
-// Listen accepts connections at addr, each with a Handler of its own. room is
-// asked before each whether there is a place for it; where it says no, callers
-// wait in the system's queue.
-func (l *Loop) Listen(addr string, room func() bool, accept func() Handler) (string, error) {
-	family, sa, err := sockaddr(addr)
+// Listen accepts connections at addr, each with a Handler of its own from accept, and returns the address that it
+// listens on. admit is asked before each whether there is a place for it; until it says so, connections wait in
+// the system's queue.
+func (l *Loop) Listen(addr string, admit func() bool, accept func() Handler) (string, error) {
+	fd, sa, err := openSocket("listen", unix.SOCK_STREAM, addr)
 	if err != nil {
 		return "", err
 	}
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return "", fmt.Errorf("loop: listen %s: %w", addr, err)
+	if err = bindAndListen(fd, sa); err == nil {
+		err = l.addListener(fd, admit, accept)
 	}
-	fail := func(err error) (string, error) {
-		unix.Close(fd)
-		return "", fmt.Errorf("loop: listen %s: %w", addr, err)
+	if err != nil {
+		closeFD(fd)
+		return "", &OpError{Op: "listen", Target: addr, Err: err}
 	}
+	return localAddr(fd, addr), nil
+}
+
+func bindAndListen(fd int, sa unix.Sockaddr) error {
 	// A restart takes the address over while old connections still linger.
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
-		return fail(err)
+		return err
 	}
 	if err := unix.Bind(fd, sa); err != nil {
-		return fail(err)
-	}
-	if err := unix.Listen(fd, 1024); err != nil {
-		return fail(err)
-	}
-	if err := l.listen(fd, room, accept); err != nil {
-		return fail(err)
+		return err
 	}
-	return place(fd, addr), nil
+	return unix.Listen(fd, listenBacklog)
 }
 
-// ListenInherited accepts connections on a listening socket that this process was started with.
-func (l *Loop) ListenInherited(fd int, room func() bool, accept func() Handler) (string, error) {
+// ListenInherited accepts connections, as Listen does, on a listening socket that this process was started with.
+func (l *Loop) ListenInherited(fd int, admit func() bool, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
-		return "", fmt.Errorf("loop: descriptor %d: expected a listening socket (%v)", fd, err)
+		notListening := fmt.Errorf("%w (%v)", ErrNotListening, err) //nolint:errorlint // err may be nil, which %w does not print
+		return "", &OpError{Op: "descriptor", Target: strconv.Itoa(fd), Err: notListening}
 	}
 	unix.CloseOnExec(fd)
 	if err := unix.SetNonblock(fd, true); err != nil {
-		return "", fmt.Errorf("loop: descriptor %d: %w", fd, err)
+		return "", &OpError{Op: "descriptor", Target: strconv.Itoa(fd), Err: err}
 	}
-	if err := l.listen(fd, room, accept); err != nil {
+	if err := l.addListener(fd, admit, accept); err != nil {
 		return "", err
 	}
-	return place(fd, ""), nil
+	return localAddr(fd, ""), nil
 }
 
-func (l *Loop) listen(fd int, room func() bool, accept func() Handler) error {
-	if err := l.watch(fd, unix.EPOLLIN, unix.EPOLL_CTL_ADD); err != nil {
+func (l *Loop) addListener(fd int, admit func() bool, accept func() Handler) error {
+	if err := l.addDescriptor(fd, unix.EPOLLIN); err != nil {
 		return err
 	}
-	l.listeners[fd] = &listener{fd: fd, accept: accept, room: room}
-	l.held++
+	l.listeners[fd] = &listener{fd: fd, admit: admit, accept: accept}
 	return nil
 }
 
-// place is where a socket listens, as far as the system tells.
-func place(fd int, addr string) string {
-	if got, err := unix.Getsockname(fd); err == nil {
-		if v4, ok := got.(*unix.SockaddrInet4); ok {
-			addr = netip.AddrPortFrom(netip.AddrFrom4(v4.Addr), uint16(v4.Port)).String()
+// Unlisten stops accepting at an address that Listen or ListenInherited returned. What the system has queued there goes to
+// whichever other process holds the socket.
+func (l *Loop) Unlisten(addr string) {
+	for fd := range l.listeners {
+		if localAddr(fd, "") == addr {
+			l.closeDescriptor(fd)
+			delete(l.listeners, fd)
 		}
 	}
-	return addr
 }
 
-// Unlisten stops accepting at a place that Listen or Inherit returned. What the system
-// has queued there goes to whoever else holds the socket.
-func (l *Loop) Unlisten(addr string) {
-	for fd := range l.listeners {
-		if place(fd, "") == addr {
-			unix.Close(fd)
-			l.held--
-			delete(l.listeners, fd)
+// HasQueuedConnections reports whether connections may wait in the system's queue, for want of a place.
+func (l *Loop) HasQueuedConnections() bool {
+	for _, listener := range l.listeners {
+		if listener.queued {
+			return true
 		}
 	}
+	return false
 }
 
-func (l *Loop) acceptAll(ln *listener) {
-	ln.queued = true
-	for range eventsMost {
-		if l.FreeDescriptors() <= 0 || !ln.room() {
-			l.mute(ln)
+// acceptAll accepts what is queued on a listener, as far as there is a place for it.
+func (l *Loop) acceptAll(listener *listener) {
+	listener.queued = true
+	for range maxAcceptsPerTurn {
+		if l.FreeDescriptors() <= 0 || !listener.admit() {
+			l.pause(listener)
 			return
 		}
-		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		fd, _, err := unix.Accept4(listener.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
+			l.addAccepted(fd, listener)
 		case unix.EINTR, unix.ECONNABORTED:
-			continue
 		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-			l.mute(ln)
+			l.pause(listener)
+			return
+		case unix.EAGAIN:
+			listener.queued = false
+			listener.emptyAt = l.Clock()
 			return
 		default:
-			if ln.queued = err != unix.EAGAIN; !ln.queued {
-				ln.emptyAt = l.clock()
-			}
 			return
 		}
-		tune(fd)
-		c := &Conn{l: l, fd: fd, h: ln.accept(), up: true, mask: unix.EPOLLIN | unix.EPOLLRDHUP, emptyAt: ln.emptyAt, left: l.polls}
-		if err := l.watch(fd, c.mask, unix.EPOLL_CTL_ADD); err != nil {
-			unix.Close(fd)
-			c.closed = true
-			c.h.Closed(c, err)
-			continue
-		}
-		l.conns[fd] = c
-		l.held++
-		c.h.Opened(c)
 	}
 }
 
-// HasQueuedConnections reports whether callers may wait in the system's queue, for want of room.
-func (l *Loop) HasQueuedConnections() bool {
-	for _, ln := range l.listeners {
-		if ln.queued {
-			return true
-		}
+// addAccepted opens a connection that was accepted.
+func (l *Loop) addAccepted(fd int, listener *listener) {
+	setSocketOptions(fd)
+	c := &Conn{
+		loop:        l,
+		fd:          fd,
+		handler:     listener.accept(),
+		established: true,
+		interest:    unix.EPOLLIN | unix.EPOLLRDHUP,
+		emptyAt:     listener.emptyAt,
+		unreadPoll:  l.polls.count,
+	}
+	if err := l.addDescriptor(fd, c.interest); err != nil {
+		closeFD(fd)
+		c.closed = true
+		c.handler.Closed(c, err)
+		return
 	}
-	return false
+	l.conns[fd] = c
+	c.handler.Opened(c)
 }
 
-// mute leaves callers in the system's queue for a while: a listener that stays
-// ready while there is no room would keep the loop spinning.
-func (l *Loop) mute(ln *listener) {
-	if ln.off {
+// pause leaves connections in the system's queue for a while: a listener that stays ready while there is no place would
+// make the loop spin.
+func (l *Loop) pause(listener *listener) {
+	if listener.paused {
 		return
 	}
-	ln.off = true
-	_ = l.watch(ln.fd, 0, unix.EPOLL_CTL_MOD)
-	l.After(20_000, func() {
-		if l.listeners[ln.fd] == ln {
-			ln.off = false
-			_ = l.watch(ln.fd, unix.EPOLLIN, unix.EPOLL_CTL_MOD)
+	listener.paused = true
+	_ = l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, 0) // it can't fail for a descriptor that is watched
+	l.After(acceptPause, func() {
+		if l.listeners[listener.fd] == listener {
+			listener.paused = false
+			_ = l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, unix.EPOLLIN)
 		}
 	})
 }
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -1,76 +1,71 @@
 package eventloop
 
-// This file owns datagram sockets. A datagram that the system does not take at once is
-// lost, as it may be on its way: nothing waits here.
+// This file owns datagram sockets. A datagram that the system does not take at once is dropped, as it may be on the
+// network: nothing waits here.
 
 import (
-	"fmt"
-
 	"golang.org/x/sys/unix"
 )
 
 const (
-	// datagramMost is the largest datagram that is read whole; a longer one is cut.
-	datagramMost = 2048
-	// packetsATurn are read before others have their turn.
-	packetsATurn = 64
+	// maxDatagramSize is the largest datagram that is read completely; a longer one is cut.
+	maxDatagramSize = 2048
+	// maxDatagramsPerTurn is how many datagrams are read before others have their turn.
+	maxDatagramsPerTurn = 64
 )
 
 // PacketConn is a socket for datagrams.
 type PacketConn struct {
-	l    *Loop
-	fd   int
-	take func(b []byte)
-	lost int64
+	fd      int
+	receive func(b []byte)
+	dropped int64
 }
 
-// PacketConn opens a socket for datagrams at addr. take is handed each, which it may not keep.
-func (l *Loop) ListenPacket(addr string, take func(b []byte)) (*PacketConn, error) {
-	family, sa, err := sockaddr(addr)
+// ListenPacket opens a socket for datagrams at addr, which the loop closes. receive is handed each, which it must not
+// retain.
+func (l *Loop) ListenPacket(addr string, receive func(b []byte)) (*PacketConn, error) {
+	const op = "datagrams at"
+	fd, sa, err := openSocket(op, unix.SOCK_DGRAM, addr)
 	if err != nil {
 		return nil, err
 	}
-	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return nil, fmt.Errorf("loop: datagrams at %s: %w", addr, err)
-	}
 	if err = unix.Bind(fd, sa); err == nil {
-		err = l.watch(fd, unix.EPOLLIN, unix.EPOLL_CTL_ADD)
+		err = l.addDescriptor(fd, unix.EPOLLIN)
 	}
 	if err != nil {
-		unix.Close(fd)
-		return nil, fmt.Errorf("loop: datagrams at %s: %w", addr, err)
+		closeFD(fd)
+		return nil, &OpError{Op: op, Target: addr, Err: err}
 	}
-	p := &PacketConn{l: l, fd: fd, take: take}
-	l.packets[fd] = p
-	l.held++
+	p := &PacketConn{fd: fd, receive: receive}
+	l.packetConns[fd] = p
 	return p, nil
 }
 
-// Send sends a datagram, or loses it.
+// Send sends a datagram, or drops it.
 func (p *PacketConn) Send(addr string, b []byte) error {
-	_, sa, err := sockaddr(addr)
+	_, sa, err := parseAddr(addr)
 	if err != nil {
 		return err
 	}
 	if err := unix.Sendto(p.fd, b, 0, sa); err != nil {
-		p.lost++
-		return fmt.Errorf("loop: datagram to %s: %w", addr, err)
+		p.dropped++
+		return &OpError{Op: "datagram to", Target: addr, Err: err}
 	}
 	return nil
 }
 
 // Dropped is how many datagrams the system did not take.
-func (p *PacketConn) Dropped() int64 { return p.lost }
+func (p *PacketConn) Dropped() int64 { return p.dropped }
 
-func (p *PacketConn) ready() {
-	var b [datagramMost]byte
-	for range packetsATurn {
-		n, _, err := unix.Recvfrom(p.fd, b[:], 0)
+// receiveAll hands over the datagrams that came in.
+func (p *PacketConn) receiveAll() {
+	var datagram [maxDatagramSize]byte
+	for range maxDatagramsPerTurn {
+		n, _, err := unix.Recvfrom(p.fd, datagram[:], 0)
 		switch err {
 		case nil:
-			p.take(b[:n])
-		case unix.EINTR, unix.ECONNREFUSED: // the latter tells of one that was sent before
+			p.receive(datagram[:n])
+		case unix.EINTR, unix.ECONNREFUSED: // the latter is about one that was sent before
 		default:
 			return
 		}
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,84 +1,95 @@
 package eventloop
 
-// This file owns the timers: calls to come, in the order of their times.
+// This file owns the timers, in the order of their times. It must never fire one before its time, nor one that was
+// stopped.
 
 import "container/heap"
 
-// Timer is a call to come.
+// maxPollWaitMs is how long a poll waits for events where no timer is pending before that, in milliseconds.
+const maxPollWaitMs = 1000
+
+// Timer is a call at a time to come. A nil Timer is not pending, and may be stopped.
 type Timer struct {
-	l    *Loop
-	at   int64
-	f    func()
-	i    int // in the heap
-	dead bool
+	loop  *Loop
+	at    int64
+	call  func()
+	index int // in the heap
+	done  bool
 }
 
-// Stop lets go of the timer. It leaves the heap at once: timers are stopped far
-// more often than they fire, and would lie there until their time.
+// Pending reports whether the timer's call is still to come.
+func (t *Timer) Pending() bool { return t != nil && !t.done }
+
+// Stop cancels the timer. It leaves the heap at once: timers are stopped far more often than they fire, and would
+// lie there until their time.
 func (t *Timer) Stop() {
 	if t.Pending() {
-		t.dead, t.f = true, nil
-		heap.Remove(&t.l.timers, t.i)
+		t.done, t.call = true, nil
+		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-type timers []*Timer
-
-func (h timers) Len() int { return len(h) }
-
-func (h timers) Less(i, j int) bool { return h[i].at < h[j].at }
-
-func (h timers) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].i, h[j].i = i, j
-}
-
-func (h *timers) Push(x any) {
-	t := x.(*Timer)
-	t.i = len(*h)
-	*h = append(*h, t)
-}
-
-func (h *timers) Pop() any {
-	old := *h
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return t
-}
-
-// At calls f once the clock has reached at.
+// At calls f once the clock has reached at, a Unix time in microseconds.
 func (l *Loop) At(at int64, f func()) *Timer {
-	t := &Timer{l: l, at: at, f: f}
+	t := &Timer{loop: l, at: at, call: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// After calls f in so many microseconds.
-func (l *Loop) After(us int64, f func()) *Timer { return l.At(l.now+us, f) }
+// After calls f once delayUs microseconds have passed since this turn began.
+func (l *Loop) After(delayUs int64, f func()) *Timer { return l.At(l.now+delayUs, f) }
 
-func (l *Loop) due() {
+// fireTimers calls the timers whose time has come.
+func (l *Loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		t := heap.Pop(&l.timers).(*Timer)
-		f := t.f
-		t.dead, t.f = true, nil
-		f()
+		call := t.call
+		t.done, t.call = true, nil
+		call()
 	}
 }
 
-// timeout is how long to wait for events, in milliseconds. It rounds up, so that
-// a turn does not come before its timer is due.
-func (l *Loop) timeout() int {
-	if l.again {
+// pollTimeout is how long to wait for events, in milliseconds. It rounds up, so that a turn does not begin before the
+// time of its timer.
+func (l *Loop) pollTimeout() int {
+	if l.runAgain {
 		return 0
 	}
 	if len(l.timers) == 0 {
-		return 1000
+		return maxPollWaitMs
 	}
 	l.tick()
-	d := l.timers[0].at - l.now
-	return int(min(1000, max(0, (d+999)/1000)))
+	waitMs := (l.timers[0].at - l.now + millisecond - 1) / millisecond
+	return int(min(maxPollWaitMs, max(0, waitMs)))
 }
 
-// Pending reports whether the timer's call is still to come.
-func (t *Timer) Pending() bool { return t != nil && !t.dead }
+// timerHeap implements heap.Interface, the earliest timer first.
+type timerHeap []*Timer
+
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap implements heap.Interface.
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
+}
+
+// Push implements heap.Interface.
+func (h *timerHeap) Push(x any) {
+	t := x.(*Timer)
+	t.index = len(*h)
+	*h = append(*h, t)
+}
+
+// Pop implements heap.Interface.
+func (h *timerHeap) Pop() any {
+	old := *h
+	t := old[len(old)-1]
+	old[len(old)-1] = nil
+	*h = old[:len(old)-1]
+	return t
+}
