--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -43,15 +43,15 @@
 		t.Errorf("a message to an idle connection counts from %d us before it was found empty", foundEmptyAt-at)
 	}
 
-	var turnBeganAt int64
+	var turnStartedAt int64
 	onLoop(func() { // a long turn, with a message that comes in early in it
-		turnBeganAt = loop.Clock()
+		turnStartedAt = loop.Clock()
 		write(t, conn, []byte("c"))
-		for loop.Clock() < turnBeganAt+20_000 {
+		for loop.Clock() < turnStartedAt+20_000 {
 		}
 	})
-	if at := testbed.Wait(t, "the third message", handler.arrivals); at > turnBeganAt {
-		t.Errorf("a message that came in during a long turn counts from %d us later", at-turnBeganAt)
+	if at := testbed.Wait(t, "the third message", handler.arrivals); at > turnStartedAt {
+		t.Errorf("a message that came in during a long turn counts from %d us later", at-turnStartedAt)
 	}
 }
 
--- a/internal/jsonlines/message_test.go
+++ b/internal/jsonlines/message_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"reflect"
 	"strings"
@@ -14,6 +15,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261201") }
 
+// messages draws messages that may go out.
 var messages = rapid.Custom(func(t *rapid.T) Message {
 	m := Message{Verb: rapid.SampledFrom([]string{VerbStart, VerbStarted, VerbFinish, VerbNotice}).Draw(t, "verb"),
 		Tag: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "tag")}
@@ -29,15 +31,22 @@
 	return m
 })
 
-func TestLinesCutAnywhere(t *testing.T) {
+// encode returns the line of a message, without its line feed.
+func encode(m *Message) []byte { return bytes.TrimSuffix(Append(nil, m), []byte("\n")) }
+
+// discardLine takes a line and does nothing with it.
+func discardLine([]byte) error { return nil }
+
+// Given a stream that is cut anywhere, the messages come out as they went in.
+func TestStreamCutAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(messages, 1, 5).Draw(t, "messages")
-		var b []byte
+		var stream []byte
 		for i := range want {
-			b = Append(b, &want[i])
+			stream = Append(stream, &want[i])
 		}
 		var got []Message
-		err := rapidtest.Feed(t, b, func(b []byte) (int, error) {
+		err := rapidtest.Feed(t, stream, func(b []byte) (int, error) {
 			return Lines(b, func(line []byte) error {
 				m, err := Parse(line)
 				got = append(got, m)
@@ -50,68 +59,98 @@
 	})
 }
 
-func TestParseGarbage(t *testing.T) {
+// Given bytes that are no message, or barely one, what is parsed goes out and comes back as it was.
+func TestParseCorruptedLines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := messages.Draw(t, "message")
-		b := bytes.TrimSuffix(Append(nil, &m), []byte("\n"))
+		line := encode(&m)
 		for range rapid.IntRange(1, 4).Draw(t, "hits") {
-			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
+			line[rapid.IntRange(0, len(line)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
 		if rapid.Bool().Draw(t, "noise") {
-			b = rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")
+			line = rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")
 		}
-		got, err := Parse(b)
+		got, err := Parse(line)
 		if err != nil {
 			return
 		}
-		// What was taken goes out and comes back as it was.
-		again, err := Parse(bytes.TrimSuffix(Append(nil, &got), []byte("\n")))
+		again, err := Parse(encode(&got))
 		if err != nil || !reflect.DeepEqual(again, got) {
-			t.Fatalf("%q gave %+v, then %+v (%v)", b, got, again, err)
+			t.Fatalf("%q gave %+v, then %+v (%v)", line, got, again, err)
 		}
 	})
 }
 
 func TestParse(t *testing.T) {
-	for _, x := range []struct{ name, line, want string }{
-		{"page", `{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`, `{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`},
+	deep := strings.Repeat("[", 5000) + strings.Repeat("]", 5000)
+	for _, c := range []struct{ name, line, want string }{ // want is the line written again, "" for an error
+		{"a finish", `{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`,
+			`{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`},
 		{"numbers as fields", `{"verb":"NOTICE","opts":{"note":"cpu","value":0.5},"x":[1,{"y":null}],"tag":"a"}`,
 			`{"verb":"NOTICE","tag":"a","opts":{"note":"cpu","value":"0.5"}}`},
 		{"escapes", `{"verb":"START","tag":"a","blob":"\r\n\u00e9\ud83d\ude00\/\u0001\"\\"}`,
 			`{"verb":"START","tag":"a","opts":{},"blob":"\r\né😀/\u0001\"\\"}`},
-		{"half a pair", `{"verb":"START","tag":"a","blob":"\ud800x\udfff"}`, `{"verb":"START","tag":"a","opts":{},"blob":"\ud800x\udfff"}`},
-		{"no verb", `{"tag":"a"}`, ""}, {"two values", `{"verb":"ECHO"}{}`, ""}, {"not an object", `["verb"]`, ""},
-		{"a raw control character", "{\"verb\":\"E\x01\"}", ""}, {"not UTF-8", "{\"verb\":\"E\xff\"}", ""},
-		{"deep", `{"verb":"ECHO","x":` + strings.Repeat("[", 5000) + strings.Repeat("]", 5000) + `}`, ""},
-		{"rc too large", `{"verb":"ECHO","rc":99999999999999999999}`, ""}, {"rc with a fraction", `{"verb":"ECHO","rc":1.5}`, ""},
+		{"lone surrogates", `{"verb":"START","tag":"a","blob":"\ud800x\udfff"}`,
+			`{"verb":"START","tag":"a","opts":{},"blob":"\ud800x\udfff"}`},
+		{"no verb", `{"tag":"a"}`, ""},
+		{"two values", `{"verb":"ECHO"}{}`, ""},
+		{"not an object", `["verb"]`, ""},
+		{"a raw control character", "{\"verb\":\"E\x01\"}", ""},
+		{"not UTF-8", "{\"verb\":\"E\xff\"}", ""},
+		{"too deep", `{"verb":"ECHO","x":` + deep + `}`, ""},
+		{"rc too large", `{"verb":"ECHO","rc":99999999999999999999}`, ""},
+		{"rc with a fraction", `{"verb":"ECHO","rc":1.5}`, ""},
+	} {
+		m, err := Parse([]byte(c.line))
+		if got := string(encode(&m)); err == nil && got != c.want || (err == nil) != (c.want != "") {
+			t.Errorf("%s: got %s and %v, expected %s", c.name, got, err, c.want)
+		}
+	}
+}
+
+// The errors of the parser say what was expected and where, and match ErrMessage.
+func TestParseErrors(t *testing.T) {
+	for _, c := range []struct{ line, want string }{
+		{`{"tag":"a"}`, "malformed message: no verb"},
+		{`["verb"]`, "malformed message: expected an object at byte 0"},
+		{`{"verb":"ECHO"}{}`, "malformed message: expected the end of the line at byte 15"},
+		{`{"verb" "ECHO"}`, "malformed message: expected a colon at byte 8"},
+		{`{"verb":"ECHO","rc":1.5}`, "malformed message: expected a whole number as rc at byte 23"},
 	} {
-		m, err := Parse([]byte(x.line))
-		if got := strings.TrimSuffix(string(Append(nil, &m)), "\n"); err == nil && got != x.want || (err == nil) != (x.want != "") {
-			t.Errorf("%s: got %s and %v, expected %s", x.name, got, err, x.want)
+		_, err := Parse([]byte(c.line))
+		if err == nil || err.Error() != c.want || !errors.Is(err, ErrMessage) {
+			t.Errorf("%s: got %v, expected %s", c.line, err, c.want)
 		}
 	}
+	var syntax *SyntaxError
+	if _, err := Parse([]byte(`{"verb":1}`)); !errors.As(err, &syntax) || *syntax != (SyntaxError{"a string", 8}) {
+		t.Errorf("got %v", err)
+	}
 }
 
-// A line of 16 KiB passes, a longer one is told before it is whole, and no
-// message grows on its way through.
+// A line of 16 KiB passes, and a longer one is rejected before it is complete.
 func TestLineLength(t *testing.T) {
 	m := Message{Verb: VerbStart, Tag: "9b1f03aa5c7e2d41", HasBlob: true}
 	m.Blob = strings.Repeat("x", MaxLine-len(Append(nil, &m)))
-	b := Append(nil, &m)
-	if used, err := Lines(b, func([]byte) error { return nil }); used != MaxLine || err != nil {
+	line := Append(nil, &m)
+	if used, err := Lines(line, discardLine); used != MaxLine || err != nil {
 		t.Errorf("used %d, %v", used, err)
 	}
-	if _, err := Lines(b[:MaxLine-1], func([]byte) error { return nil }); err != nil {
+	if _, err := Lines(line[:MaxLine-1], discardLine); err != nil {
 		t.Errorf("a line that may still end: %v", err)
 	}
-	if _, err := Lines(bytes.Repeat([]byte("x"), MaxLine), func([]byte) error { return nil }); err == nil {
-		t.Error("a line of more than 16 KiB passed")
+	if _, err := Lines(bytes.Repeat([]byte("x"), MaxLine), discardLine); !errors.Is(err, ErrLineTooLong) {
+		t.Errorf("a line of more than 16 KiB: %v", err)
 	}
+}
+
+// No message grows on its way through, but for its line feed.
+func TestMessagesDoNotGrow(t *testing.T) {
 	for _, blob := range []string{`\b\f\n\r\t\"\\\/`, `\u0001\ud800`, "é\u007f"} {
 		line := `{"verb":"START","tag":"a","opts":{},"blob":"` + blob + `"}`
 		m, err := Parse([]byte(line))
-		if out := Append(nil, &m); err != nil || len(out) > len(line)+1 {
-			t.Errorf("%s became %s (%v)", line, out, err)
+		if written := Append(nil, &m); err != nil || len(written) > len(line)+1 {
+			t.Errorf("%s became %s (%v)", line, written, err)
 		}
 	}
 }
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -1,183 +1,220 @@
 package jsonlines
 
-// This file owns the reading of JSON text, byte by byte.
+// This file owns the reading of JSON text, byte by byte. It must never read a byte more often than a bounded number of
+// times.
 
 import (
-	"fmt"
 	"strconv"
+	"unicode/utf16"
 	"unicode/utf8"
 )
 
-// depthMost bounds how deep a value that is skipped may be nested.
-const depthMost = 32
+// maxDepth bounds how deep a value that is skipped may be nested.
+const maxDepth = 32
 
+// codeUnitDigits is how many hexadecimal digits stand for a UTF-16 code unit.
+const codeUnitDigits = 4
+
+// escapedBytes gives the byte for the letter behind the backslash of a short escape.
+var escapedBytes = [256]byte{'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t'}
+
+// literals are the values that are single words.
+var literals = [...]string{"true", "false", "null"}
+
+// scanner reads JSON values from a text.
 type scanner struct {
-	b []byte
-	i int
+	text   []byte
+	offset int // of the next byte to read
 }
 
-func (s *scanner) bad(want string) error {
-	return fmt.Errorf("%w: expected %s at byte %d", ErrMessage, want, s.i)
+// expected is the error for a text that goes on otherwise.
+func (s *scanner) expected(what string) error {
+	return &SyntaxError{Expected: what, Offset: s.offset}
 }
 
-func (s *scanner) space() {
-	for s.i < len(s.b) {
-		switch s.b[s.i] {
+func (s *scanner) skipSpace() {
+	for s.offset < len(s.text) {
+		switch s.text[s.offset] {
 		case ' ', '\t', '\r', '\n':
-			s.i++
+			s.offset++
 		default:
 			return
 		}
 	}
 }
 
-// next skips space and takes c if it comes.
-func (s *scanner) next(c byte) bool {
-	s.space()
-	if s.i < len(s.b) && s.b[s.i] == c {
-		s.i++
-		return true
+// at reports whether the next byte is c.
+func (s *scanner) at(c byte) bool { return s.offset < len(s.text) && s.text[s.offset] == c }
+
+// take skips space, and also c if that comes next.
+func (s *scanner) take(c byte) bool {
+	s.skipSpace()
+	if !s.at(c) {
+		return false
 	}
-	return false
+	s.offset++
+	return true
 }
 
+// peek skips space and returns the next byte, 0 at the end.
 func (s *scanner) peek() byte {
-	s.space()
-	if s.i < len(s.b) {
-		return s.b[s.i]
+	s.skipSpace()
+	if s.offset < len(s.text) {
+		return s.text[s.offset]
 	}
 	return 0
 }
 
-// str reads a JSON string.
+// str reads a string.
 func (s *scanner) str() (string, error) {
-	if !s.next('"') {
-		return "", s.bad("a string")
-	}
-	from := s.i
-	for s.i < len(s.b) && s.b[s.i] != '"' && s.b[s.i] != '\\' && s.b[s.i] >= ' ' {
-		s.i++
-	}
-	if s.i < len(s.b) && s.b[s.i] == '"' {
-		out := s.b[from:s.i]
-		s.i++
-		if !utf8.Valid(out) {
-			return "", s.bad("UTF-8")
-		}
-		return string(out), nil
-	}
-	out := append([]byte(nil), s.b[from:s.i]...)
-	raw := from
-	check := func() bool { return utf8.Valid(s.b[raw:s.i]) }
-	for s.i < len(s.b) {
-		switch c := s.b[s.i]; {
+	if !s.take('"') {
+		return "", s.expected("a string")
+	}
+	start := s.offset
+	for s.offset < len(s.text) && s.text[s.offset] != '"' && s.text[s.offset] != '\\' && s.text[s.offset] >= ' ' {
+		s.offset++
+	}
+	if !s.at('"') {
+		return s.escapedString(start)
+	}
+	content := s.text[start:s.offset]
+	s.offset++
+	if !utf8.Valid(content) {
+		return "", s.expected("UTF-8")
+	}
+	return string(content), nil
+}
+
+// escapedString reads the rest of a string that has escapes. start is where its content begins; up to the current offset
+// there is none.
+func (s *scanner) escapedString(start int) (string, error) {
+	content := append([]byte(nil), s.text[start:s.offset]...)
+	rawStart := start // of the bytes since the last escape
+	for s.offset < len(s.text) {
+		c := s.text[s.offset]
+		if (c == '"' || c == '\\') && !utf8.Valid(s.text[rawStart:s.offset]) {
+			return "", s.expected("UTF-8")
+		}
+		switch {
 		case c == '"':
-			if !check() {
-				return "", s.bad("UTF-8")
-			}
-			s.i++
-			return string(out), nil
+			s.offset++
+			return string(content), nil
 		case c < ' ':
-			return "", s.bad("no control character")
+			return "", s.expected("no control character")
 		case c != '\\':
-			out = append(out, c)
-			s.i++
+			content = append(content, c)
+			s.offset++
 		default:
-			if !check() {
-				return "", s.bad("UTF-8")
-			}
 			var err error
-			if out, err = s.escape(out); err != nil {
+			if content, err = s.appendEscaped(content); err != nil {
 				return "", err
 			}
-			raw = s.i
+			rawStart = s.offset
 		}
 	}
-	return "", s.bad("the end of a string")
+	return "", s.expected("the end of a string")
 }
 
-var escapes = [256]byte{'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t'}
-
-// escape reads what a backslash begins.
-func (s *scanner) escape(out []byte) ([]byte, error) {
-	if s.i+1 >= len(s.b) {
-		return nil, s.bad("an escape")
+// appendEscaped reads an escape, at whose backslash the scanner is, and appends what it stands for.
+func (s *scanner) appendEscaped(dst []byte) ([]byte, error) {
+	if s.offset+1 >= len(s.text) {
+		return nil, s.expected("an escape")
 	}
-	c := s.b[s.i+1]
-	if c != 'u' {
-		if escapes[c] == 0 {
-			return nil, s.bad("an escape")
-		}
-		s.i += 2
-		return append(out, escapes[c]), nil
+	letter := s.text[s.offset+1]
+	if letter == 'u' {
+		return s.appendCodePoint(dst)
 	}
-	r, ok := s.hex4(s.i + 2)
+	if escapedBytes[letter] == 0 {
+		return nil, s.expected("an escape")
+	}
+	s.offset += 2
+	return append(dst, escapedBytes[letter]), nil
+}
+
+// appendCodePoint reads an escaped UTF-16 code unit, or a pair of surrogates, and appends it as UTF-8. A lone surrogate is
+// appended in the three bytes that UTF-8 would have for it.
+func (s *scanner) appendCodePoint(dst []byte) ([]byte, error) {
+	unit, ok := s.codeUnit()
 	if !ok {
-		return nil, s.bad("four hex digits")
+		return nil, s.expected("four hex digits")
 	}
-	s.i += 6
-	if r >= 0xd800 && r < 0xdc00 && s.i+1 < len(s.b) && s.b[s.i] == '\\' && s.b[s.i+1] == 'u' {
-		if low, ok := s.hex4(s.i + 2); ok && low >= 0xdc00 && low < 0xe000 {
-			s.i += 6
-			return utf8.AppendRune(out, 0x10000+(r-0xd800)<<10+(low-0xdc00)), nil
-		}
+	if !utf16.IsSurrogate(unit) {
+		return utf8.AppendRune(dst, unit), nil
 	}
-	if r >= 0xd800 && r < 0xe000 {
-		return append(out, 0xe0|byte(r>>12), 0x80|byte(r>>6&0x3f), 0x80|byte(r&0x3f)), nil
+	afterUnit := s.offset
+	if low, ok := s.codeUnit(); ok {
+		if pair := utf16.DecodeRune(unit, low); pair != utf8.RuneError {
+			return utf8.AppendRune(dst, pair), nil
+		}
 	}
-	return utf8.AppendRune(out, r), nil
+	s.offset = afterUnit
+	return append(dst, 0xe0|byte(unit>>12), 0x80|byte(unit>>6&0x3f), 0x80|byte(unit&0x3f)), nil
 }
 
-func (s *scanner) hex4(at int) (rune, bool) {
-	if at+4 > len(s.b) {
+// codeUnit reads an escaped UTF-16 code unit if one comes next.
+func (s *scanner) codeUnit() (rune, bool) {
+	digits := s.offset + len(`\u`)
+	end := digits + codeUnitDigits
+	if end > len(s.text) || s.text[s.offset] != '\\' || s.text[s.offset+1] != 'u' {
 		return 0, false
 	}
-	v, err := strconv.ParseUint(string(s.b[at:at+4]), 16, 16)
-	return rune(v), err == nil
+	unit, err := strconv.ParseUint(string(s.text[digits:end]), 16, 16)
+	if err != nil {
+		return 0, false
+	}
+	s.offset = end
+	return rune(unit), true
 }
 
-// number reads a JSON number and returns its text.
+// startsNumber reports whether c is the first byte of a number.
+func startsNumber(c byte) bool { return c == '-' || isDigit(c) }
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
+
+// number reads a number and returns its text.
 func (s *scanner) number() (string, error) {
-	s.space()
-	from := s.i
-	digits := func() bool {
-		at := s.i
-		for s.i < len(s.b) && s.b[s.i] >= '0' && s.b[s.i] <= '9' {
-			s.i++
-		}
-		return s.i > at
-	}
-	if s.i < len(s.b) && s.b[s.i] == '-' {
-		s.i++
+	s.skipSpace()
+	start := s.offset
+	if s.at('-') {
+		s.offset++
 	}
-	lead := s.i
-	if !digits() || s.b[lead] == '0' && s.i > lead+1 {
-		return "", s.bad("a number")
+	first := s.offset
+	if !s.digits() || s.text[first] == '0' && s.offset > first+1 {
+		return "", s.expected("a number")
 	}
-	if s.i < len(s.b) && s.b[s.i] == '.' {
-		s.i++
-		if !digits() {
-			return "", s.bad("a number")
+	if s.at('.') {
+		s.offset++
+		if !s.digits() {
+			return "", s.expected("a number")
 		}
 	}
-	if s.i < len(s.b) && (s.b[s.i] == 'e' || s.b[s.i] == 'E') {
-		s.i++
-		if s.i < len(s.b) && (s.b[s.i] == '+' || s.b[s.i] == '-') {
-			s.i++
+	if s.at('e') || s.at('E') {
+		s.offset++
+		if s.at('+') || s.at('-') {
+			s.offset++
 		}
-		if !digits() {
-			return "", s.bad("a number")
+		if !s.digits() {
+			return "", s.expected("a number")
 		}
 	}
-	return string(s.b[from:s.i]), nil
+	return string(s.text[start:s.offset]), nil
+}
+
+// digits skips digits and reports whether there was one.
+func (s *scanner) digits() bool {
+	start := s.offset
+	for s.offset < len(s.text) && isDigit(s.text[s.offset]) {
+		s.offset++
+	}
+	return s.offset > start
 }
 
-// object reads an object and calls f at each value.
-func (s *scanner) object(f func(name string) error) error {
-	if !s.next('{') {
-		return s.bad("an object")
+// object reads an object and calls value at the value of each member, which it must read.
+func (s *scanner) object(value func(name string) error) error {
+	if !s.take('{') {
+		return s.expected("an object")
 	}
-	if s.next('}') {
+	if s.take('}') {
 		return nil
 	}
 	for {
@@ -185,57 +222,67 @@
 		if err != nil {
 			return err
 		}
-		if !s.next(':') {
-			return s.bad("a colon")
+		if !s.take(':') {
+			return s.expected("a colon")
 		}
-		if err := f(name); err != nil {
+		if err := value(name); err != nil {
 			return err
 		}
-		if s.next('}') {
+		if s.take('}') {
 			return nil
 		}
-		if !s.next(',') {
-			return s.bad("a comma")
+		if !s.take(',') {
+			return s.expected("a comma")
 		}
 	}
 }
 
-// skip passes over any value.
-func (s *scanner) skip(depth int) error {
-	if depth > depthMost {
-		return s.bad("less nesting")
+// skipValue skips any value, which lies in so many others.
+func (s *scanner) skipValue(depth int) error {
+	if depth > maxDepth {
+		return s.expected("less nesting")
 	}
-	switch c := s.peek(); {
-	case c == '"':
+	switch first := s.peek(); {
+	case first == '"':
 		_, err := s.str()
 		return err
-	case c == '{':
-		return s.object(func(string) error { return s.skip(depth + 1) })
-	case c == '[':
-		s.i++
-		if s.next(']') {
+	case first == '{':
+		return s.object(func(string) error { return s.skipValue(depth + 1) })
+	case first == '[':
+		return s.skipArray(depth)
+	case startsNumber(first):
+		_, err := s.number()
+		return err
+	}
+	return s.skipLiteral()
+}
+
+// skipArray skips an array, at whose bracket the scanner is.
+func (s *scanner) skipArray(depth int) error {
+	s.offset++
+	if s.take(']') {
+		return nil
+	}
+	for {
+		if err := s.skipValue(depth + 1); err != nil {
+			return err
+		}
+		if s.take(']') {
 			return nil
 		}
-		for {
-			if err := s.skip(depth + 1); err != nil {
-				return err
-			}
-			if s.next(']') {
-				return nil
-			}
-			if !s.next(',') {
-				return s.bad("a comma")
-			}
+		if !s.take(',') {
+			return s.expected("a comma")
 		}
-	case c == '-' || c >= '0' && c <= '9':
-		_, err := s.number()
-		return err
 	}
-	for _, w := range []string{"true", "false", "null"} {
-		if len(s.b)-s.i >= len(w) && string(s.b[s.i:s.i+len(w)]) == w {
-			s.i += len(w)
+}
+
+func (s *scanner) skipLiteral() error {
+	for _, literal := range literals {
+		end := s.offset + len(literal)
+		if end <= len(s.text) && string(s.text[s.offset:end]) == literal {
+			s.offset = end
 			return nil
 		}
 	}
-	return s.bad("a value")
+	return s.expected("a value")
 }
