--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -17,7 +17,7 @@
 		{"workers borrow up to the clients' share", 0, 73, 45, true, true, true},
 		{"workers may not borrow more", 0, 74, 44, true, false, true},
 		{"required workers may", 0, 98, 20, true, false, true},
-		{"up to the least share of clients", 0, 99, 19, true, false, false},
+		{"up to the minimum share of clients", 0, 99, 19, true, false, false},
 		{"beside clients that use that share", 15, 98, 5, true, false, true},
 		{"only the reserved ones are free", 40, 74, 4, false, false, false},
 	} {
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// What is flushed or closed amid a turn is sent before that turn's ordinary writes, though those were asked for first.
+// What is flushed or closed amid a turn is sent before that turn's ordinary writes, though those were requested first.
 func TestFlushAndCloseAreSentAheadOfTheTurn(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -23,10 +23,10 @@
 
 // The codes that a FINISH gives as its cause.
 const (
-	CauseGivenUp   = 16  // cancelled or released; from a worker, completed
-	CauseCancelled = 31  // the worker ended the task
+	CauseGivenUp   = 16  // to a worker: cancelled or released; as a report: completed
+	CauseCancelled = 31  // from a worker: the task was ended before it completed
 	CauseFull      = 34  // rejected: a retry is harmless
-	CauseReset     = 41  // a connection was reset
+	CauseReset     = 41  // to a client: the task ended, and did not complete
 	CauseError     = 47  // failed: the task may have run
 	CauseMoot      = 102 // never sent: the task never ran
 )
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -50,7 +50,7 @@
 	established bool // it came up, though it may be closed by now
 	dialledAt   int64
 	lastReadAt  int64
-	lastUsedAt  int64 // when it was last asked for, for an offer, a release or a probe
+	lastUsedAt  int64 // when it was last chosen for an offer, a release or a probe
 	aliveUntil  int64 // for how long the last sign of life from the worker's system holds
 }
 
--- a/internal/workerpool/helpers_test.go
+++ b/internal/workerpool/helpers_test.go
@@ -64,6 +64,19 @@
 	return dispatch.Offer{RequestID: s.RequestID, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs}
 }
 
+// offerToWorker lists the worker, and offers it a request before its connection is up. It returns that connection.
+func offerToWorker(t *testing.T, listener net.Listener, loop *eventloop.Loop, pool *Pool, dispatcher *dispatch.Dispatcher) *workerConn {
+	t.Helper()
+	dispatcher.UpdateWorkers(loop.Now(), fullList())
+	pool.UpdateWorker(workerName, listener.Addr().String(), true)
+	submission := newSubmission()
+	if err := dispatcher.Submit(loop.Now(), nil, submission); err != nil {
+		t.Fatal(err)
+	}
+	pool.Offer(workerName, offerOf(submission))
+	return pool.links[workerName].conns[0]
+}
+
 // listen returns a listener in the place of a worker, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -112,6 +125,13 @@
 	}
 }
 
+// onLoop calls f on a loop that runs in the background, and waits for that.
+func onLoop(loop *eventloop.Loop, f func()) {
+	done := make(chan struct{})
+	loop.Post(func() { f(); close(done) })
+	<-done
+}
+
 // linkTest is a worker's listener, and an orchestrator with a link to that worker.
 type linkTest struct {
 	t          *testing.T
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -15,7 +15,7 @@
 const (
 	// lateCompletionInterval is how often such a connection is dialled: a completion not reported for 8 s is lost.
 	lateCompletionInterval = maxReadGap
-	// lateCompletionConnLifetime is how long one is kept for what the worker has to report.
+	// lateCompletionConnLifetime is how long one stays open for what the worker has to report.
 	lateCompletionConnLifetime = 500 * millisecond
 	// lateCompletionMinDescriptors is how many descriptors must be free: offers and clients come first.
 	lateCompletionMinDescriptors = 32
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -2,7 +2,7 @@
 
 // This file owns offers: which connection one goes out on, when it is sent, and what becomes of it where
 // its connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
-// client may be gone.
+// client may have disconnected.
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 
 const (
 	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent. A
-	// client that is gone for 0.1 s gets no attempt any more; the other half of that is for the rest of the
+	// client that left 0.1 s ago gets no attempt any more; the other half of that is for the rest of the
 	// turn, up to the write.
 	maxClientLastSeenAge = 50 * millisecond
 	// maxOfferTries is how many connections an offer is put on that break before it is sent; after that
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -43,38 +43,32 @@
 	stop()
 }
 
-// Given an offer whose connection comes up late, it is not sent where it must not be any more: it was cancelled, or
-// its worker drains past the limit or has left the list.
+// lateConnectionCases are what may happen while an offer waits for its connection to come up.
+var lateConnectionCases = []struct {
+	name      string
+	meanwhile func(now int64, dispatcher *dispatch.Dispatcher, pool *Pool)
+	wantSent  bool
+}{
+	{"nothing", func(int64, *dispatch.Dispatcher, *Pool) {}, true},
+	{"its client cancels it", func(_ int64, _ *dispatch.Dispatcher, pool *Pool) {
+		pool.CancelAttempt(workerName, requestID, false)
+	}, false},
+	{"its worker drains", func(now int64, dispatcher *dispatch.Dispatcher, _ *Pool) {
+		draining := []placement.Entry{{Worker: workerName, State: placement.Draining}}
+		dispatcher.UpdateWorkers(now, placement.WorkerList{Entries: draining})
+	}, false},
+	{"its worker leaves the list", func(now int64, dispatcher *dispatch.Dispatcher, _ *Pool) {
+		dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: placement.ListFull})
+	}, false},
+}
+
+// Given an offer whose connection comes up late, it is not sent where it must not be any more.
 func TestOfferOnLateConnection(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		meanwhile func(now int64, dispatcher *dispatch.Dispatcher, pool *Pool)
-		wantSent  bool
-	}{
-		{"nothing changed", func(int64, *dispatch.Dispatcher, *Pool) {}, true},
-		{"its client cancelled it", func(_ int64, _ *dispatch.Dispatcher, pool *Pool) {
-			pool.CancelAttempt(workerName, requestID, false)
-		}, false},
-		{"its worker drains", func(now int64, dispatcher *dispatch.Dispatcher, _ *Pool) {
-			draining := []placement.Entry{{Worker: workerName, State: placement.Draining}}
-			dispatcher.UpdateWorkers(now, placement.WorkerList{Entries: draining})
-		}, false},
-		{"its worker left the list", func(now int64, dispatcher *dispatch.Dispatcher, _ *Pool) {
-			dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: placement.ListFull})
-		}, false},
-	} {
+	for _, c := range lateConnectionCases {
 		t.Run(c.name, func(t *testing.T) {
 			listener := listen(t)
 			loop, pool, dispatcher := newPool(t)
-			dispatcher.UpdateWorkers(loop.Now(), fullList())
-			pool.UpdateWorker(workerName, listener.Addr().String(), true)
-			submission := newSubmission()
-			if err := dispatcher.Submit(loop.Now(), nil, submission); err != nil {
-				t.Fatal(err)
-			}
-			pool.Offer(workerName, offerOf(submission))
-
-			conn := pool.links[workerName].conns[0]
+			conn := offerToWorker(t, listener, loop, pool, dispatcher)
 			c.meanwhile(loop.Now(), dispatcher, pool)
 			err := loop.Run(func(int64) { // until the connection is up and what came of that is reported
 				if pool.DeliverPending(); conn.established {
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -32,7 +32,7 @@
 	unlistedLinger = 10 * second
 )
 
-// Pool is the dispatcher's way to the workers. It owns the link to each of them.
+// Pool connects the dispatcher to the workers. It owns the link to each of them.
 type Pool struct {
 	loop          *eventloop.Loop
 	dispatcher    *dispatch.Dispatcher
