--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -45,14 +45,14 @@
 }
 
 const (
-	// pressEvery is how often the module is told of the pace of room, and pressStep by
+	// backpressureInterval is how often the module is told of the pace of room, and backpressureStep by
 	// what share that must have changed.
-	pressEvery = 20_000
-	pressStep  = 0.05
+	backpressureInterval = 20_000
+	backpressureStep     = 0.05
 )
 
-// pressure is what the module was last told.
-type pressure struct {
+// backpressureReport is what the module was last told.
+type backpressureReport struct {
 	at   int64
 	pace float64
 	keep []float64
@@ -62,14 +62,14 @@
 func (c *Dispatcher) SetAdvisor(a Advisor) { c.advisor = a }
 
 // AdvisesRetryAfter reports whether refused owners may be told when to come again.
-func (c *Dispatcher) AdvisesRetryAfter() bool { return c.set.RetryAfter }
+func (c *Dispatcher) AdvisesRetryAfter() bool { return c.settings.RetryAfter }
 
 // BackpressureFigures is what is worth watching of crowds.
 func (c *Dispatcher) BackpressureFigures() backpressure.Figures { return c.advisor.Figures(c.now) }
 
 // caller is a request as the advisor sees it.
 func (r *request) caller() backpressure.Request {
-	return backpressure.Request{Key: r.number, Program: r.Program, Class: r.class, Units: r.units, TimeoutUs: r.TimeoutUs,
+	return backpressure.Request{Key: r.keyHash, Program: r.Program, Class: r.classIndex, Units: r.units, TimeoutUs: r.TimeoutUs,
 		QueuedSinceUs: r.QueuedSinceUs, Connection: r.Connection}
 }
 
@@ -78,22 +78,22 @@
 	if r.state == s {
 		return
 	}
-	if r.state == waiting {
-		c.held[r.class] -= r.units
-		c.waits--
+	if r.state == statePending {
+		c.pendingUnits[r.classIndex] -= r.units
+		c.pendingCount--
 	}
-	if s == waiting {
-		c.held[r.class] += r.units
-		c.waits++
+	if s == statePending {
+		c.pendingUnits[r.classIndex] += r.units
+		c.pendingCount++
 	}
-	if c.waits == 0 {
-		clear(c.held) // no rounding errors are left behind
+	if c.pendingCount == 0 {
+		clear(c.pendingUnits) // no rounding errors are left behind
 	}
-	switch held := r.state.holds(); {
-	case held && !s.holds():
-		c.holdings.remove(r)
-	case !held && s.holds():
-		c.holdings.add(r)
+	switch held := r.state.occupiesWorker(); {
+	case held && !s.occupiesWorker():
+		c.tasksByWorker.remove(r)
+	case !held && s.occupiesWorker():
+		c.tasksByWorker.add(r)
 	}
 	r.state = s
 }
@@ -101,42 +101,42 @@
 // announce tells the advisor what will wait once the actions are carried out: what is
 // refused together must not be booked behind itself.
 func (c *Dispatcher) announce(actions []placement.Action) {
-	c.after = append(c.after[:0], c.held...)
+	c.remainingUnits = append(c.remainingUnits[:0], c.pendingUnits...)
 	for _, a := range actions {
 		var r *request
 		switch a := a.(type) {
 		case placement.Reject:
-			r = c.reqs[a.RequestID]
+			r = c.requests[a.RequestID]
 		case placement.Place:
-			r = c.reqs[a.RequestID]
+			r = c.requests[a.RequestID]
 		}
-		if r != nil && r.state == waiting {
-			c.after[r.class] -= r.units
+		if r != nil && r.state == statePending {
+			c.remainingUnits[r.classIndex] -= r.units
 		}
 	}
-	c.advisor.SetPending(c.now, c.after)
+	c.advisor.SetPending(c.now, c.remainingUnits)
 }
 
-// press tells the advisor what waits, and the module at what pace room comes.
-func (c *Dispatcher) press() {
-	c.advisor.SetPending(c.now, c.held)
+// reportBackpressure tells the advisor what waits, and the module at what pace room comes.
+func (c *Dispatcher) reportBackpressure() {
+	c.advisor.SetPending(c.now, c.pendingUnits)
 	if ch, ok := c.advisor.Tick(c.now); ok {
 		c.log.Info("backpressure", "state", ch.To, "was", ch.From, "kind", ch.Kind, "cause", ch.Why)
 	}
-	if c.now-c.pressed.at < pressEvery {
+	if c.now-c.lastBackpressure.at < backpressureInterval {
 		return
 	}
 	pace, keep := c.advisor.ReleaseRate(c.now), c.advisor.Reserved(c.now)
-	c.pressed.at = c.now
-	if near(pace, c.pressed.pace) && slices.EqualFunc(keep, c.pressed.keep, near) {
+	c.lastBackpressure.at = c.now
+	if isNear(pace, c.lastBackpressure.pace) && slices.EqualFunc(keep, c.lastBackpressure.keep, isNear) {
 		return
 	}
-	c.pressed.pace, c.pressed.keep = pace, slices.Clone(keep)
-	c.event(placement.Backpressure{ReleaseRate: pace, Reserved: c.pressed.keep})
+	c.lastBackpressure.pace, c.lastBackpressure.keep = pace, slices.Clone(keep)
+	c.event(placement.Backpressure{ReleaseRate: pace, Reserved: c.lastBackpressure.keep})
 }
 
-// near reports whether a figure is much as it was.
-func near(now, was float64) bool { return math.Abs(now-was) <= pressStep*was }
+// isNear reports whether a figure is much as it was.
+func isNear(now, was float64) bool { return math.Abs(now-was) <= backpressureStep*was }
 
 // FixedRetryAfter advises everybody alike: the advice of old, kept to measure against.
 type FixedRetryAfter time.Duration
--- a/internal/dispatch/ends.go
+++ b/internal/dispatch/ends.go
@@ -8,10 +8,10 @@
 type ClassTotals struct{ Started, Rejected, Failed int64 }
 
 func (c *Dispatcher) tally(class string, kind ResponseKind) {
-	if _, ok := c.classes[class]; !ok {
+	if _, ok := c.classIndex[class]; !ok {
 		return
 	}
-	e := c.ends[class]
+	e := c.totals[class]
 	switch kind {
 	case Started:
 		e.Started++
@@ -20,14 +20,14 @@
 	case Failed:
 		e.Failed++
 	}
-	c.ends[class] = e
+	c.totals[class] = e
 }
 
 // ClassTotals returns what became of the requests of each class of the settings.
 func (c *Dispatcher) ClassTotals() map[string]ClassTotals {
 	out := map[string]ClassTotals{}
-	for name := range c.classes {
-		out[name] = c.ends[name]
+	for name := range c.classIndex {
+		out[name] = c.totals[name]
 	}
 	return out
 }
--- a/internal/dispatch/heap_test.go
+++ b/internal/dispatch/heap_test.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	endingsPlayed = 10_000
-	// endingsFirst come before the heap is looked at for the first time: what is of a fixed
+	endingCount = 10_000
+	// warmUpEndings come before the heap is looked at for the first time: what is of a fixed
 	// size, as the advisor's calendar, is filled then.
-	endingsFirst = 5000
+	warmUpEndings = 5000
 	// heapSlack is what the heap may differ by without anything kept: rows of tables that are
 	// let go of later, and maps that have grown once. It is less than 7 bytes an ending.
 	heapSlack = 32 << 10
@@ -28,43 +28,43 @@
 }
 
 // forget lets go of the notes of the test's own.
-func (b *bench) forgetNotes() {
-	for _, notes := range []map[string]string{b.out, b.stands, b.class, b.unproved} {
+func (b *harness) clearRecords() {
+	for _, notes := range []map[string]string{b.offered, b.running, b.class, b.unconfirmed} {
 		clear(notes)
 	}
-	clear(b.final)
-	clear(b.mayRun)
+	clear(b.responses)
+	clear(b.mayHaveRun)
 	clear(b.deadline)
-	b.offers, b.told = nil, nil
+	b.offers, b.received = nil, nil
 }
 
 // The live heap of the core and the module does not grow with the number of endings.
 func TestHeapAfterManyEndings(t *testing.T) {
-	for name, end := range endings {
+	for name, end := range endingCases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.list(placement.ListFull, placement.Ready, "a", "b")
+			b := newHarness(t)
+			b.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
 			before := int64(0)
-			for i := range endingsPlayed {
-				if i == endingsFirst {
-					b.pass(20_000 * ms)
+			for i := range endingCount {
+				if i == warmUpEndings {
+					b.advance(20_000 * ms)
 					before = liveHeap()
 				}
 				tag := fmt.Sprintf("%016x", i+1)
 				b.submit(tag, []string{"web", "cut"}[i%2], "k"+tag, 2000)
-				b.pass(10 * ms)
-				if b.out[tag] == "" {
+				b.advance(10 * ms)
+				if b.offered[tag] == "" {
 					t.Fatalf("%s was not offered", tag)
 				}
 				end(b, tag)
-				b.pass(10 * ms)
-				b.forgetNotes()
+				b.advance(10 * ms)
+				b.clearRecords()
 			}
-			b.pass(20_000 * ms)
+			b.advance(20_000 * ms)
 			if grown := liveHeap() - before; grown > heapSlack {
-				t.Errorf("the heap has grown by %d bytes over %d endings", grown, endingsPlayed-endingsFirst)
+				t.Errorf("the heap has grown by %d bytes over %d endings", grown, endingCount-warmUpEndings)
 			} else {
-				t.Logf("the heap has grown by %d bytes over %d endings", grown, endingsPlayed-endingsFirst)
+				t.Logf("the heap has grown by %d bytes over %d endings", grown, endingCount-warmUpEndings)
 			}
 			runtime.KeepAlive(b)
 		})
--- a/internal/dispatch/holdings.go
+++ b/internal/dispatch/holdings.go
@@ -8,24 +8,24 @@
 	"slices"
 )
 
-// holdings are the requests at each node, in no order.
-type holdings map[string][]*request
+// running are the requests at each node, in no order.
+type runningTasks map[string][]*request
 
-func (h holdings) add(r *request) { h[r.node] = append(h[r.node], r) }
+func (h runningTasks) add(r *request) { h[r.worker] = append(h[r.worker], r) }
 
-func (h holdings) remove(r *request) {
-	tasks := h[r.node]
+func (h runningTasks) remove(r *request) {
+	tasks := h[r.worker]
 	i, last := slices.Index(tasks, r), len(tasks)-1
 	tasks[i], tasks[last] = tasks[last], nil
 	if last == 0 {
-		delete(h, r.node)
+		delete(h, r.worker)
 		return
 	}
-	h[r.node] = tasks[:last]
+	h[r.worker] = tasks[:last]
 }
 
-// holds reports whether a request in this state takes room at its node.
-func (s state) holds() bool { return s == standing || s == leaving }
+// occupiesWorker reports whether a request in this state takes room at its node.
+func (s state) occupiesWorker() bool { return s == stateRunning || s == stateTerminating }
 
 // TasksOn is what stands at a node, or is being ended there.
 type TaskSummary struct {
@@ -35,7 +35,7 @@
 
 // TasksOn is what stands at a node, or is being ended there.
 func (c *Dispatcher) TasksOn(node string) (h TaskSummary) {
-	for i, r := range c.holdings[node] {
+	for i, r := range c.tasksByWorker[node] {
 		if h.Count++; i == 0 || r.sentAt < h.OldestSentAt {
 			h.OldestSentAt = r.sentAt
 		}
@@ -44,27 +44,27 @@
 }
 
 // HasTasksOn reports whether anything stands at a node, or is being ended there.
-func (c *Dispatcher) HasTasksOn(node string) bool { return len(c.holdings[node]) > 0 }
+func (c *Dispatcher) HasTasksOn(node string) bool { return len(c.tasksByWorker[node]) > 0 }
 
 // WorkersWithTasks are the nodes at which anything stands, or is being ended, by name.
-func (c *Dispatcher) WorkersWithTasks() []string { return slices.Sorted(maps.Keys(c.holdings)) }
+func (c *Dispatcher) WorkersWithTasks() []string { return slices.Sorted(maps.Keys(c.tasksByWorker)) }
 
-// orphans are the tasks that have stood for orphanAfter at a node that no list names, by tag, so that
+// orphans are the tasks that have stood for unlistedTimeout at a node that no list names, by tag, so that
 // the same happenings give the same actions.
 func (c *Dispatcher) orphans() (found []*request) {
-	for node, tasks := range c.holdings {
+	for node, tasks := range c.tasksByWorker {
 		listed := c.listed[node]
 		for _, r := range tasks {
 			switch {
-			case r.state != standing:
+			case r.state != stateRunning:
 			case listed:
-				r.lostAt = 0
-			case r.lostAt == 0:
-				r.lostAt = c.now
-			case c.now-r.lostAt >= orphanAfter:
+				r.missingSince = 0
+			case r.missingSince == 0:
+				r.missingSince = c.now
+			case c.now-r.missingSince >= unlistedTimeout:
 				found = append(found, r)
 			}
 		}
 	}
-	return byTag(found)
+	return sortByRequestID(found)
 }
--- a/internal/dispatch/nodes.go
+++ b/internal/dispatch/nodes.go
@@ -29,19 +29,19 @@
 // that was given up changes nothing: its owner got another answer, or will.
 func (c *Dispatcher) AttemptAccepted(now int64, node, tag, description string) {
 	c.now = now
-	r := c.reqs[tag]
-	if r == nil || r.state != out || r.node != node {
+	r := c.requests[tag]
+	if r == nil || r.state != stateOffered || r.worker != node {
 		return
 	}
-	r.mayRun = true
-	c.to(r, standing)
+	r.mayHaveRun = true
+	c.to(r, stateRunning)
 	c.trace("started", r)
 	c.counts.Started++
 	c.advisor.Started(now, r.caller())
 	c.disarm(r)
-	c.event(placement.Accepted{RequestID: tag, Attempt: r.copy, Worker: node, RTTUs: now - r.sentAt})
+	c.event(placement.Accepted{RequestID: tag, Attempt: r.attempt, Worker: node, RTTUs: now - r.sentAt})
 	if r.Resumable {
-		r.binding = description
+		r.startDescription = description
 	}
 	c.answer(r, Response{Kind: Started, Description: description, Worker: node})
 }
@@ -49,25 +49,25 @@
 // TaskEnded takes the end of an attempt or of a task that stands.
 func (c *Dispatcher) TaskEnded(now int64, node, tag string, st placement.Outcome, why placement.Cause) {
 	c.now = now
-	r := c.reqs[tag]
-	if r := c.silent[tag]; r != nil && r.node == node {
-		c.heard(r, placement.Cancelled, why)
+	r := c.requests[tag]
+	if r := c.unresponsive[tag]; r != nil && r.worker == node {
+		c.unresponsiveEnded(r, placement.Cancelled, why)
 		return
 	}
-	if r == nil || r.node != node {
+	if r == nil || r.worker != node {
 		return
 	}
 	c.trace("worker reported end", r, "outcome", st)
 	switch r.state {
-	case out:
+	case stateOffered:
 		switch st {
 		case placement.Completed, placement.Cancelled:
 			st = placement.Reset
 		}
 		c.ended(r, st, why)
-	case ending:
-		c.ended(r, r.endAs, placement.CauseUnknown)
-	case standing, leaving:
+	case stateCancelling:
+		c.ended(r, r.endOutcome, placement.CauseUnknown)
+	case stateRunning, stateTerminating:
 		switch st {
 		case placement.Completed, placement.Cancelled, placement.Reset:
 		default:
@@ -81,29 +81,29 @@
 // read the give-up, or its connection is closed.
 func (c *Dispatcher) CancelConfirmed(now int64, node, tag string) {
 	c.now = now
-	if r := c.reqs[tag]; r != nil && r.node == node && r.state == ending {
+	if r := c.requests[tag]; r != nil && r.worker == node && r.state == stateCancelling {
 		c.trace("abandoned attempt ended", r)
-		c.ended(r, r.endAs, placement.CauseUnknown)
+		c.ended(r, r.endOutcome, placement.CauseUnknown)
 	}
 }
 
-// giveUp ends the attempt that is out. The node is told before anything else may go
+// cancelAttempt ends the attempt that is out. The node is told before anything else may go
 // out for this request, and the module hears of the end, and may offer elsewhere, only
 // once the attempt is over for sure: a give-up that is still on its way, or lies in a
 // connection that fell silent, ends nothing. The answer does not wait for that.
-func (c *Dispatcher) giveUp(r *request, st placement.Outcome) {
+func (c *Dispatcher) cancelAttempt(r *request, st placement.Outcome) {
 	again := c.now < r.deadline && c.mayFollow(r) == ""
-	if sure := c.nodes.CancelAttempt(r.node, r.RequestID, again); sure || c.now >= r.deadline {
+	if sure := c.workers.CancelAttempt(r.worker, r.RequestID, again); sure || c.now >= r.deadline {
 		c.ended(r, st, placement.CauseUnknown)
 		return
 	}
-	c.to(r, ending)
-	r.endAs = st
+	c.to(r, stateCancelling)
+	r.endOutcome = st
 	c.mayHaveRun(r)
 	c.arm(r, r.deadline)
 }
 
-// ended is the end of an attempt that was not answered with yes.
+// endAttempt is the end of an attempt that was not answered with yes.
 func (c *Dispatcher) ended(r *request, st placement.Outcome, why placement.Cause) {
 	switch st {
 	case placement.Rejected:
@@ -118,18 +118,18 @@
 		c.counts.Reset++
 		c.mayHaveRun(r)
 	}
-	c.to(r, waiting)
+	c.to(r, statePending)
 	c.done(r, st, why, false)
 	c.arm(r, r.deadline)
 }
 
 // mayHaveRun notes that the attempt of r which is out, or was last, may have started.
 func (c *Dispatcher) mayHaveRun(r *request) {
-	if r.mayRun {
+	if r.mayHaveRun {
 		return
 	}
-	e := c.roster.last[r.node]
-	r.mayRun, r.ran = true, ran{node: r.node, zone: e.Zone, cell: e.Cell, at: r.sentAt}
+	e := c.listFilter.listed[r.worker]
+	r.mayHaveRun, r.firstRun = true, firstAttempt{node: r.worker, zone: e.Zone, cell: e.Cell, at: r.sentAt}
 }
 
 // over is the end of a task that stood. Its owner is told, but where it asked
@@ -137,7 +137,7 @@
 func (c *Dispatcher) over(r *request, st placement.Outcome, why placement.Cause) {
 	c.advisor.Ended(c.now, r.caller())
 	c.done(r, st, why, true)
-	if r.state == standing && st != placement.Cancelled {
+	if r.state == stateRunning && st != placement.Cancelled {
 		c.counts.Completed++
 		c.answer(r, Response{Kind: Completed, Outcome: st, Cause: why})
 	}
@@ -145,15 +145,15 @@
 }
 
 func (c *Dispatcher) done(r *request, st placement.Outcome, why placement.Cause, closed bool) {
-	c.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.copy, Worker: r.node, Outcome: st, Cause: why,
+	c.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempt, Worker: r.worker, Outcome: st, Cause: why,
 		Final: closed, RTTUs: c.now - r.sentAt})
 }
 
 // TaskReported takes news of a task that stands.
 func (c *Dispatcher) TaskReported(now int64, node, tag string, kind placement.ReportKind, value float64) {
 	c.now = now
-	if r := c.reqs[tag]; r != nil && r.node == node && r.state == standing {
-		c.event(placement.TaskReport{RequestID: tag, Attempt: r.copy, Worker: node, Kind: kind, Value: value})
+	if r := c.requests[tag]; r != nil && r.worker == node && r.state == stateRunning {
+		c.event(placement.TaskReport{RequestID: tag, Attempt: r.attempt, Worker: node, Kind: kind, Value: value})
 	}
 }
 
@@ -189,47 +189,47 @@
 }
 
 // stoodAt is from when on a task may have stood: its offer, or when it was handed in as standing.
-func (r *request) stoodAt() int64 { return max(r.sentAt, r.foundAt) }
+func (r *request) stoodAt() int64 { return max(r.sentAt, r.adoptedAt) }
 
 // cut ends tasks at a node: first those that stand, then those that were set aside, by tag each.
 func (c *Dispatcher) cut(node string, which func(*request) bool) {
 	var standing, aside []*request
-	for _, r := range c.holdings[node] {
+	for _, r := range c.tasksByWorker[node] {
 		switch {
 		case !which(r):
-		case r.state.holds():
+		case r.state.occupiesWorker():
 			standing = append(standing, r)
 		default:
 			aside = append(aside, r)
 		}
 	}
-	for _, r := range byTag(standing) {
+	for _, r := range sortByRequestID(standing) {
 		c.over(r, placement.Reset, placement.CauseUnknown)
 	}
-	for _, r := range byTag(aside) {
-		c.heard(r, placement.Reset, placement.CauseUnknown)
+	for _, r := range sortByRequestID(aside) {
+		c.unresponsiveEnded(r, placement.Reset, placement.CauseUnknown)
 	}
 }
 
 // UpdateWorkers takes what the command channel told of the nodes.
 func (c *Dispatcher) UpdateWorkers(now int64, l placement.WorkerList) {
 	c.now = now
-	c.channel = true
+	c.hasList = true
 	if l.Kind == placement.ListFull || l.Kind == placement.ListCached {
 		for node := range c.listed { // what a whole list does not name is gone
-			c.told[node] = now
+			c.drainingSince[node] = now
 		}
 		clear(c.listed)
 	}
-	l.Entries = c.roster.list(l)
+	l.Entries = c.listFilter.list(l)
 	for _, e := range l.Entries {
 		if c.listed[e.Worker] = true; e.State == placement.Removed {
 			delete(c.listed, e.Worker)
 		}
 		if e.State == placement.Ready || e.State == placement.Foreign {
-			delete(c.told, e.Worker)
-		} else if _, ok := c.told[e.Worker]; !ok {
-			c.told[e.Worker] = now
+			delete(c.drainingSince, e.Worker)
+		} else if _, ok := c.drainingSince[e.Worker]; !ok {
+			c.drainingSince[e.Worker] = now
 		}
 	}
 	c.event(l)
--- a/internal/dispatch/owners.go
+++ b/internal/dispatch/owners.go
@@ -59,8 +59,8 @@
 // ClientLastSeenAt is up to when the client of a request was heard, otherwise where its owner
 // doesn't know or the request is over.
 func (c *Dispatcher) ClientLastSeenAt(tag string, otherwise int64) int64 {
-	if r := c.reqs[tag]; r != nil {
-		if o, ok := r.owner.(ConnectedClient); ok {
+	if r := c.requests[tag]; r != nil {
+		if o, ok := r.client.(ConnectedClient); ok {
 			return o.LastSeenAt()
 		}
 	}
@@ -72,7 +72,7 @@
 
 // Class returns what is known of a class.
 func (c *Dispatcher) Class(name string) (Class, bool) {
-	for _, k := range c.set.Classes {
+	for _, k := range c.settings.Classes {
 		if k.Name == name {
 			return Class{TimeoutUs: k.DeadlineUs}, true
 		}
@@ -83,11 +83,11 @@
 // Submit takes in a set-up.
 func (c *Dispatcher) Submit(now int64, o Client, s Submission) error {
 	c.now = now
-	if s.RunningOn != "" && c.silent[s.RequestID] != nil {
+	if s.RunningOn != "" && c.unresponsive[s.RequestID] != nil {
 		return nil
 	}
-	if s.RunningOn != "" && c.reqs[s.RequestID] != nil {
-		c.reopen(c.reqs[s.RequestID], s)
+	if s.RunningOn != "" && c.requests[s.RequestID] != nil {
+		c.reopen(c.requests[s.RequestID], s)
 		return nil
 	}
 	if s.Resumable {
@@ -95,11 +95,11 @@
 			return err
 		}
 	}
-	if c.find(s.RequestID) != nil || c.silent[s.RequestID] != nil {
+	if c.find(s.RequestID) != nil || c.unresponsive[s.RequestID] != nil {
 		// It can't be answered without a second answer to the first, or the module knows it.
 		return ErrRequestIDInUse
 	}
-	if r := c.keys[s.Key]; r != nil && r.Resumable != s.Resumable && s.RunningOn == "" {
+	if r := c.latestByKey[s.Key]; r != nil && r.Resumable != s.Resumable && s.RunningOn == "" {
 		return ErrKeyInUse
 	}
 	effect, ok := c.effects[s.Class]
@@ -110,31 +110,31 @@
 	if s.ReceivedAtUs > 0 {
 		came = min(now, s.ReceivedAtUs)
 	}
-	r := &request{Submission: s, owner: o, effect: effect, deadline: c.spread.due(now, came+s.TimeoutUs), index: -1, reply: s.RequestID,
-		number: number(s.Key), units: c.set.Units(s.Cores, s.Memory), class: len(c.set.Classes) - 1}
-	if i, ok := c.classes[s.Class]; ok {
-		r.class = i
+	r := &request{Submission: s, client: o, effect: effect, deadline: c.pacer.reserve(now, came+s.TimeoutUs), heapIndex: -1, responseID: s.RequestID,
+		keyHash: number(s.Key), units: c.settings.Units(s.Cores, s.Memory), classIndex: len(c.settings.Classes) - 1}
+	if i, ok := c.classIndex[s.Class]; ok {
+		r.classIndex = i
 	}
-	c.reqs[s.RequestID] = r
+	c.requests[s.RequestID] = r
 	if s.Key != "" {
-		c.keys[s.Key] = r
+		c.latestByKey[s.Key] = r
 	}
-	task := placement.Task{RequestID: s.RequestID, KeyHash: r.number, DeadlineUs: r.deadline, Cores: s.Cores, Memory: s.Memory,
+	task := placement.Task{RequestID: s.RequestID, KeyHash: r.keyHash, DeadlineUs: r.deadline, Cores: s.Cores, Memory: s.Memory,
 		Class: s.Class, Program: s.Program, Tenant: s.Tenant, ExpectedRunUs: s.ExpectedRunUs, HasRunHint: s.ExpectedRunUs > 0, Retry: s.Retry}
 	if s.RunningOn != "" {
 		c.counts.Adopted++
-		r.node, r.mayRun, r.foundAt = s.RunningOn, true, now
-		c.to(r, standing)
+		r.worker, r.mayHaveRun, r.adoptedAt = s.RunningOn, true, now
+		c.to(r, stateRunning)
 		c.advisor.Adopted(now, r.caller())
 		if !c.listed[s.RunningOn] {
-			r.lostAt = now - (orphanAfter - openAfter)
+			r.missingSince = now - (unlistedTimeout - adoptedUnlistedTimeout)
 		}
 		c.event(placement.Adopted{Task: task, Worker: s.RunningOn})
 		c.claim(r)
 		return nil
 	}
 	c.counts.Requests++
-	c.to(r, waiting)
+	c.to(r, statePending)
 	c.trace("request", r, "timeout_us", s.TimeoutUs, "deadline_us", r.deadline)
 	r.QueuedSinceUs = c.advisor.Requested(now, r.caller())
 	task.QueuedSinceUs = r.QueuedSinceUs
@@ -148,41 +148,41 @@
 func (c *Dispatcher) resume(o Client, s Submission) (bool, error) {
 	r := c.find(s.RequestID)
 	if r == nil {
-		if a, ok := c.past[s.RequestID]; ok {
+		if a, ok := c.finalResponses[s.RequestID]; ok {
 			o.Respond(a)
 			return true, nil
 		}
-		r = c.keys[s.Key]
+		r = c.latestByKey[s.Key]
 	}
 	switch {
 	case r == nil:
 		return false, nil
 	case !r.Resumable || r.Key != s.Key:
 		return false, ErrKeyInUse
-	case r.state == leaving:
+	case r.state == stateTerminating:
 		return false, ErrTerminating
 	}
 	if s.RequestID != r.RequestID {
-		c.alias[s.RequestID] = r
+		c.aliases[s.RequestID] = r
 	}
-	r.owner, r.reply = o, s.RequestID
+	r.client, r.responseID = o, s.RequestID
 	c.counts.Resumed++
-	if r.state == standing {
-		o.Respond(Response{Kind: Started, RequestID: s.RequestID, Description: r.binding, Worker: r.node})
+	if r.state == stateRunning {
+		o.Respond(Response{Kind: Started, RequestID: s.RequestID, Description: r.startDescription, Worker: r.worker})
 	}
 	return true, nil
 }
 
 // answer tells the owner, and keeps the last word on what may be asked again.
 func (c *Dispatcher) answer(r *request, a Response) {
-	a.RequestID = r.reply
+	a.RequestID = r.responseID
 	c.trace("response", r, "kind", a.Kind, "response_id", a.RequestID)
-	c.spread.answered++
+	c.pacer.responded++
 	c.tally(r.Class, a.Kind)
 	if a.Kind != Started {
 		c.remember(r, a)
 	}
-	r.owner.Respond(a)
+	r.client.Respond(a)
 }
 
 // remember keeps the last word on a set-up that may be repeated.
@@ -190,16 +190,16 @@
 	if !r.Resumable {
 		return
 	}
-	for _, tag := range []string{r.RequestID, r.reply} {
-		if _, ok := c.past[tag]; !ok {
-			if len(c.pastAge) >= pastMost {
-				delete(c.past, c.pastAge[0])
-				c.pastAge = c.pastAge[1:]
+	for _, tag := range []string{r.RequestID, r.responseID} {
+		if _, ok := c.finalResponses[tag]; !ok {
+			if len(c.finalOrder) >= maxCachedResponses {
+				delete(c.finalResponses, c.finalOrder[0])
+				c.finalOrder = c.finalOrder[1:]
 			}
-			c.pastAge = append(c.pastAge, tag)
+			c.finalOrder = append(c.finalOrder, tag)
 		}
 		a.RequestID = tag
-		c.past[tag] = a
+		c.finalResponses[tag] = a
 	}
 }
 
@@ -207,7 +207,7 @@
 // goes on, its owner too: whoever repeats a tag that it may have heard of would else get the
 // end that another is owed. Where that one is gone, its front finds another.
 func (c *Dispatcher) reopen(r *request, s Submission) {
-	if r.state == standing || r.state == leaving {
+	if r.state == stateRunning || r.state == stateTerminating {
 		return
 	}
 	c.log.Warn("adopted task already known", "request_id", s.RequestID, "worker", s.RunningOn)
@@ -233,18 +233,20 @@
 // IsRunning reports whether a tag names a task that stands.
 func (c *Dispatcher) IsRunning(tag string) bool {
 	r := c.find(tag)
-	return r != nil && r.state == standing
+	return r != nil && r.state == stateRunning
 }
 
 // IsTerminating reports whether a tag names a task that was released or moved and of whose
 // end the node has not told.
 func (c *Dispatcher) IsTerminating(tag string) bool {
-	r := c.reqs[tag]
-	return r != nil && r.state == leaving || c.silent[tag] != nil
+	r := c.requests[tag]
+	return r != nil && r.state == stateTerminating || c.unresponsive[tag] != nil
 }
 
 // Contains reports whether a tag names a request, or a task whose end is still to be told.
-func (c *Dispatcher) Contains(tag string) bool { return c.find(tag) != nil || c.silent[tag] != nil }
+func (c *Dispatcher) Contains(tag string) bool {
+	return c.find(tag) != nil || c.unresponsive[tag] != nil
+}
 
 // IsListed reports whether a node is on the list.
 func (c *Dispatcher) IsListed(node string) bool { return c.listed[node] }
@@ -254,12 +256,12 @@
 func (c *Dispatcher) Reject(now int64, o Client, tag string) {
 	c.now = now
 	r := c.find(tag)
-	if r == nil || r.owner != o || !r.open() {
+	if r == nil || r.client != o || !r.open() {
 		return
 	}
 	c.event(placement.ClientCancelled{RequestID: r.RequestID})
-	r.mayRun = r.mayRun || r.state != waiting
-	c.finish(r)
+	r.mayHaveRun = r.mayHaveRun || r.state != statePending
+	c.rejectOrFail(r)
 }
 
 // Cancel takes an owner's word that it no longer wants a task, whether that
@@ -268,24 +270,24 @@
 func (c *Dispatcher) Cancel(now int64, o Client, tag string) CancelResult {
 	c.now = now
 	r := c.find(tag)
-	if r == nil || o != nil && r.owner != o {
+	if r == nil || o != nil && r.client != o {
 		return NotFound
 	}
 	switch r.state {
-	case waiting, out, ending:
+	case statePending, stateOffered, stateCancelling:
 		c.counts.Cancelled++
 		c.event(placement.ClientCancelled{RequestID: r.RequestID})
 		c.advisor.Cancelled(now, r.caller())
 		c.remember(r, Response{Kind: Cancelled})
-		c.withdraw(r)
+		c.endOpenAttempt(r)
 		c.forget(r)
 		return WasOpen
-	case standing:
+	case stateRunning:
 		c.counts.Cancelled++
 		c.remember(r, Response{Kind: Cancelled})
-		c.nodes.Release(r.node, r.RequestID)
-		c.to(r, leaving)
-		c.arm(r, now+cutWait)
+		c.workers.Release(r.worker, r.RequestID)
+		c.to(r, stateTerminating)
+		c.arm(r, now+terminationTimeout)
 		return WasRunning
 	}
 	return NotFound
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -10,58 +10,58 @@
 // This file holds the two queues of times to come: those of requests and those
 // that the module asked for. It must never act on what it holds.
 
-// dues orders requests by the time at which the core acts on them.
-type dues []*request
+// deadlineHeap orders requests by the time at which the core acts on them.
+type deadlineHeap []*request
 
-func (h dues) Len() int           { return len(h) }
-func (h dues) Less(i, j int) bool { return h[i].due < h[j].due }
-func (h dues) Swap(i, j int) {
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *dues) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	r := x.(*request)
-	r.index = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
-func (h *dues) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	r.index = -1
+	r.heapIndex = -1
 	return r
 }
 
 func (c *Dispatcher) arm(r *request, at int64) {
-	r.due = at
-	if r.index >= 0 {
-		heap.Fix(&c.due, r.index)
+	r.wakeAt = at
+	if r.heapIndex >= 0 {
+		heap.Fix(&c.deadlines, r.heapIndex)
 		return
 	}
-	heap.Push(&c.due, r)
+	heap.Push(&c.deadlines, r)
 }
 
 func (c *Dispatcher) disarm(r *request) {
-	if r.index >= 0 {
-		heap.Remove(&c.due, r.index)
+	if r.heapIndex >= 0 {
+		heap.Remove(&c.deadlines, r.heapIndex)
 	}
-	r.due = 0
+	r.wakeAt = 0
 }
 
-// bell is an alarm of the module.
-type bell struct {
+// schedulerTimer is an alarm of the module.
+type schedulerTimer struct {
 	at  int64
 	ref string
 }
 
-type bells []bell
+type timerHeap []schedulerTimer
 
-func (h bells) Len() int           { return len(h) }
-func (h bells) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h bells) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *bells) Push(x any)        { *h = append(*h, x.(bell)) }
-func (h *bells) Pop() any {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(schedulerTimer)) }
+func (h *timerHeap) Pop() any {
 	old := *h
 	b := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -70,10 +70,12 @@
 
 // sorted lists the requests by tag, so that the same happenings give the same
 // actions.
-func (c *Dispatcher) sorted() []*request { return byTag(slices.Collect(maps.Values(c.reqs))) }
+func (c *Dispatcher) sorted() []*request {
+	return sortByRequestID(slices.Collect(maps.Values(c.requests)))
+}
 
-// byTag sorts requests.
-func byTag(requests []*request) []*request {
+// byRequestID sorts requests.
+func sortByRequestID(requests []*request) []*request {
 	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.RequestID, b.RequestID) })
 	return requests
 }
--- a/internal/dispatch/roster_test.go
+++ b/internal/dispatch/roster_test.go
@@ -9,21 +9,21 @@
 // A minion that is out by hand gets nothing, whatever the channel lists meanwhile, and
 // is used again as soon as it is back, though its process died with tasks of ours.
 func TestByHand(t *testing.T) {
-	for name, meanwhile := range map[string]func(b *bench){
-		"nothing":      func(*bench) {},
-		"listed up":    func(b *bench) { b.list(placement.ListDelta, placement.Ready, "a") },
-		"a whole list": func(b *bench) { b.list(placement.ListFull, placement.Ready, "a", "b") },
-		"gone and back": func(b *bench) {
-			b.list(placement.ListDelta, placement.Removed, "a")
-			b.list(placement.ListDelta, placement.Ready, "a")
+	for name, meanwhile := range map[string]func(b *harness){
+		"nothing":      func(*harness) {},
+		"listed up":    func(b *harness) { b.updateWorkers(placement.ListDelta, placement.Ready, "a") },
+		"a whole list": func(b *harness) { b.updateWorkers(placement.ListFull, placement.Ready, "a", "b") },
+		"gone and back": func(b *harness) {
+			b.updateWorkers(placement.ListDelta, placement.Removed, "a")
+			b.updateWorkers(placement.ListDelta, placement.Ready, "a")
 		},
-		"its death":      func(b *bench) { b.WorkerDied(b.now, "a"); b.stands = map[string]string{} },
-		"out once more":  func(b *bench) { b.SetCordoned(b.now, map[string]bool{"a": true}) },
-		"another is out": func(b *bench) { b.SetCordoned(b.now, map[string]bool{"a": true, "c": true}) },
+		"its death":      func(b *harness) { b.WorkerDied(b.now, "a"); b.running = map[string]string{} },
+		"out once more":  func(b *harness) { b.SetCordoned(b.now, map[string]bool{"a": true}) },
+		"another is out": func(b *harness) { b.SetCordoned(b.now, map[string]bool{"a": true, "c": true}) },
 	} {
-		b := newBench(t)
-		b.list(placement.ListFull, placement.Ready, "a", "b")
-		b.pass(4000 * ms)
+		b := newHarness(t)
+		b.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
+		b.advance(4000 * ms)
 		n := 0
 		offer := func(key string) string {
 			n++
@@ -31,12 +31,12 @@
 			if err := b.submit(tag, "web", key, 3000); err != nil {
 				t.Fatal(err)
 			}
-			b.pass(10 * ms)
-			node := b.out[tag]
+			b.advance(10 * ms)
+			node := b.offered[tag]
 			if node == "" {
 				t.Fatalf("%s: no offer", name)
 			}
-			b.started(tag)
+			b.accept(tag)
 			return node
 		}
 		for range 6 {
@@ -68,30 +68,30 @@
 // One task shows that a minion is in use again; the next go where they would. What a
 // whole list left out meanwhile is not there to be put back.
 func TestPutBack(t *testing.T) {
-	b := newBench(t)
-	b.list(placement.ListFull, placement.Ready, "a")
-	b.pass(4000 * ms)
+	b := newHarness(t)
+	b.updateWorkers(placement.ListFull, placement.Ready, "a")
+	b.advance(4000 * ms)
 	var got string
 	for n := range 10 {
 		tag := "000000000000000" + string(rune('0'+n))
 		if n == 8 {
-			b.list(placement.ListDelta, placement.Ready, "b")
-			b.pass(4000 * ms)
+			b.updateWorkers(placement.ListDelta, placement.Ready, "b")
+			b.advance(4000 * ms)
 			b.SetCordoned(b.now, map[string]bool{"a": true})
 			b.SetCordoned(b.now, nil)
 		}
 		if err := b.submit(tag, "web", "k"+tag, 3000); err != nil {
 			t.Fatal(err)
 		}
-		b.pass(10 * ms)
-		got += b.out[tag]
-		b.started(tag)
+		b.advance(10 * ms)
+		got += b.offered[tag]
+		b.accept(tag)
 	}
 	if got != "aaaaaaaaab" {
 		t.Errorf("placed at %s", got)
 	}
 	b.SetCordoned(b.now, map[string]bool{"a": true})
-	b.list(placement.ListFull, placement.Ready, "b")
+	b.updateWorkers(placement.ListFull, placement.Ready, "b")
 	if !b.HasWorker("a") {
 		t.Error("who is out can't be put back")
 	}
@@ -104,42 +104,42 @@
 // What stands at a node that another orchestrator takes over stays, and is ended by its client as
 // before; nothing new goes there, and an offer that is out may leave.
 func TestOwnNodes(t *testing.T) {
-	b := newBench(t)
-	b.list(placement.ListFull, placement.Ready, "a")
-	b.pass(4000 * ms)
+	b := newHarness(t)
+	b.updateWorkers(placement.ListFull, placement.Ready, "a")
+	b.advance(4000 * ms)
 	b.submit("t1", "web", "k1", 3000)
-	b.pass(10 * ms)
-	b.started("t1")
+	b.advance(10 * ms)
+	b.accept("t1")
 	b.submit("t2", "web", "k2", 9000)
-	b.pass(10 * ms)
-	b.list(placement.ListDelta, placement.Ready, "b")
+	b.advance(10 * ms)
+	b.updateWorkers(placement.ListDelta, placement.Ready, "b")
 	b.SetAssignedWorkers(b.now, func(node string) bool { return node == "b" })
 	if why := b.CheckOffer(b.now+8000*ms, "a", "t2"); why != "" { // 2 s are what one that drains has
 		t.Errorf("an offer that is out is held back: %q", why)
 	}
-	b.pass(0)
-	b.started("t2")
+	b.advance(0)
+	b.accept("t2")
 	for i, tag := range []string{"t3", "t4", "t5"} {
 		b.submit(tag, "web", "k"+tag, 3000)
-		b.pass(10 * ms)
-		if b.out[tag] != "b" {
-			t.Errorf("task %d went to %q", i, b.out[tag])
+		b.advance(10 * ms)
+		if b.offered[tag] != "b" {
+			t.Errorf("task %d went to %q", i, b.offered[tag])
 		}
-		b.started(tag)
+		b.accept(tag)
 	}
 	if h := b.TasksOn("a"); h.Count != 2 || !b.IsRunning("t1") || !b.HasWorker("a") {
 		t.Errorf("%d tasks stand at a node that changed hands, expected 2", h.Count)
 	}
-	if state := b.placerState("a"); state != placement.Foreign {
+	if state := b.schedulerState("a"); state != placement.Foreign {
 		t.Errorf("another orchestrator's node is told to the module as %v", state)
 	}
-	b.list(placement.ListDelta, placement.Draining, "a")
-	if state := b.placerState("a"); state != placement.Draining {
+	b.updateWorkers(placement.ListDelta, placement.Draining, "a")
+	if state := b.schedulerState("a"); state != placement.Draining {
 		t.Errorf("a node that drains is told to the module as %v", state)
 	}
 }
 
-// placerState is the state in which a node would be told to the module.
-func (b *bench) placerState(node string) placement.WorkerState {
-	return b.roster.held(b.roster.last[node]).State
+// schedulerState is the state in which a node would be told to the module.
+func (b *harness) schedulerState(node string) placement.WorkerState {
+	return b.listFilter.adjust(b.listFilter.listed[node]).State
 }
--- a/internal/dispatch/setup.go
+++ b/internal/dispatch/setup.go
@@ -28,35 +28,35 @@
 // The bounds of what an owner may ask for. A longer wait than a day, a task of more than
 // a year, or a figure of a million million, is a slip or worse.
 const (
-	waitMost   = int64(86_400_000_000)
-	hintMost   = 366 * waitMost
-	figureMost = 1e9
-	nameMost   = 64
+	maxTimeoutUs     = int64(86_400_000_000)
+	maxExpectedRunUs = 366 * maxTimeoutUs
+	maxResource      = 1e9
+	maxNameLength    = 64
 )
 
 // Invalid names the first field of a set-up that makes no sense, and what was expected
 // of it; "" where there is none. Fronts ask before they submit: what no node could
 // use must reach none, as its error would speak against the node.
 func (s *Submission) Invalid() (field, want string) {
-	fine := func(v float64) bool { return v > 0 && v < figureMost } // NaN is not
+	fine := func(v float64) bool { return v > 0 && v < maxResource } // NaN is not
 	switch {
 	case len(s.RequestID) != 16 || strings.Trim(s.RequestID, "0123456789abcdefABCDEF") != "":
 		return "tag", "16 hex digits"
-	case s.Key == "" || len(s.Key) > nameMost:
+	case s.Key == "" || len(s.Key) > maxNameLength:
 		return "task", "a name of 1 to 64 bytes"
-	case s.Class == "" || len(s.Class) > nameMost:
+	case s.Class == "" || len(s.Class) > maxNameLength:
 		return "class", "a name of 1 to 64 bytes"
-	case len(s.Idem) > nameMost:
+	case len(s.Idem) > maxNameLength:
 		return "idem", "a key of 64 bytes at most"
-	case len(s.Tenant) > nameMost:
+	case len(s.Tenant) > maxNameLength:
 		return "tenant", "a name of 64 bytes at most"
-	case s.ExpectedRunUs < 0 || s.ExpectedRunUs > hintMost:
+	case s.ExpectedRunUs < 0 || s.ExpectedRunUs > maxExpectedRunUs:
 		return "hint", "a time of 0 or more, a year at most"
 	case !fine(s.Cores):
 		return "cores", "a number above 0"
 	case !fine(s.Memory):
 		return "memory", "a number above 0"
-	case s.RunningOn == "" && (s.TimeoutUs <= 0 || s.TimeoutUs > waitMost):
+	case s.RunningOn == "" && (s.TimeoutUs <= 0 || s.TimeoutUs > maxTimeoutUs):
 		return "wait", "a time above 0, a day at most"
 	}
 	return "", ""
--- a/internal/dispatch/silent.go
+++ b/internal/dispatch/silent.go
@@ -11,23 +11,23 @@
 	"ravenhitch/placement"
 )
 
-// maxSilent is how long the end of a released task may stay unknown: as long as releases
+// unresponsiveRetention is how long the end of a released task may stay unknown: as long as releases
 // go out again.
-const maxSilent = 60_000_000
+const unresponsiveRetention = 60_000_000
 
-// silence sets a released task aside, as its node says nothing. Its owner may use the
+// markUnresponsive sets a released task aside, as its node says nothing. Its owner may use the
 // names of it again.
-func (c *Dispatcher) silence(r *request) {
+func (c *Dispatcher) markUnresponsive(r *request) {
 	c.forget(r)
-	r.lostAt = c.now
-	c.silent[r.RequestID] = r
-	c.holdings.add(r)
+	r.missingSince = c.now
+	c.unresponsive[r.RequestID] = r
+	c.tasksByWorker.add(r)
 }
 
-// heard ends a task that was set aside.
-func (c *Dispatcher) heard(r *request, st placement.Outcome, why placement.Cause) {
-	delete(c.silent, r.RequestID)
-	c.holdings.remove(r)
+// unresponsiveEnded ends a task that was set aside.
+func (c *Dispatcher) unresponsiveEnded(r *request, st placement.Outcome, why placement.Cause) {
+	delete(c.unresponsive, r.RequestID)
+	c.tasksByWorker.remove(r)
 	c.trace("released task ended", r, "outcome", st)
 	c.advisor.Ended(c.now, r.caller())
 	c.done(r, st, why, true)
@@ -36,11 +36,13 @@
 // sweepSilent ends what nobody will tell of: the node has left the list, or was silent for long.
 func (c *Dispatcher) sweepSilent() {
 	for _, r := range c.aside() {
-		if !c.listed[r.node] || c.now-r.lostAt >= maxSilent {
-			c.heard(r, placement.Cancelled, placement.CauseUnknown)
+		if !c.listed[r.worker] || c.now-r.missingSince >= unresponsiveRetention {
+			c.unresponsiveEnded(r, placement.Cancelled, placement.CauseUnknown)
 		}
 	}
 }
 
 // aside lists what was set aside by tag, so that the same happenings give the same actions.
-func (c *Dispatcher) aside() []*request { return byTag(slices.Collect(maps.Values(c.silent))) }
+func (c *Dispatcher) aside() []*request {
+	return sortByRequestID(slices.Collect(maps.Values(c.unresponsive)))
+}
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -6,75 +6,75 @@
 // than the owner's, and decides nothing else.
 
 const (
-	// travel is taken off every wait: an answer travels back before it ends.
-	travel = 10_000
-	// turnHalf is in what time half of the longest turn is forgotten.
-	turnHalf = 1_000_000
-	turnMost = 250_000
-	// dueUs and dues are the grain and the reach of the counts of answers due. A longer
+	// responseTravelTime is taken off every wait: an answer travels back before it ends.
+	responseTravelTime = 10_000
+	// turnHalfLife is in what time half of the longest turn is forgotten.
+	turnHalfLife = 1_000_000
+	maxTurn      = 250_000
+	// bucketLength and dues are the grain and the reach of the counts of answers due. A longer
 	// wait is not counted: nothing is known of that time.
-	dueUs    = 5_000
-	duesKept = 4096
-	// earlyMost bounds by how much an answer is put earlier for the others.
-	earlyMost = 200_000
-	// costFirst is what an answer is taken to cost until turns have told, and costMost
+	bucketLength = 5_000
+	bucketCount  = 4096
+	// maxEarly bounds by how much an answer is put earlier for the others.
+	maxEarly = 200_000
+	// initialCost is what an answer is taken to cost until turns have told, and maxCost
 	// what it may be learned to.
-	costFirst = 20.0
-	costMost  = 200.0
-	// manyAnswers is from how many answers a turn tells what one costs.
-	manyAnswers = 32
-	costWeight  = 1.0 / 8
+	initialCost = 20.0
+	maxCost     = 200.0
+	// minResponsesForCost is from how many answers a turn tells what one costs.
+	minResponsesForCost = 32
+	costGain            = 1.0 / 8
 )
 
-// spread counts what falls due when.
-type spread struct {
-	counts   [duesKept]uint16
-	base     int64 // the first grain that still counts
-	turn     float64
-	at       int64
-	cost     float64 // of an answer, in microseconds
-	answered int     // in this turn
+// pacer counts what falls due when.
+type responsePacer struct {
+	buckets     [bucketCount]uint16
+	firstBucket int64 // the first grain that still counts
+	longestTurn float64
+	observedAt  int64
+	cost        float64 // of an answer, in microseconds
+	responded   int     // in this turn
 }
 
-// took takes how long the last turn took.
-func (s *spread) took(now, us int64) {
+// observeTurn takes how long the last turn took.
+func (s *responsePacer) observeTurn(now, us int64) {
 	if s.cost == 0 {
-		s.cost = costFirst
+		s.cost = initialCost
 	}
-	if s.at > 0 && now > s.at {
-		s.turn /= 1 + float64(now-s.at)/turnHalf
+	if s.observedAt > 0 && now > s.observedAt {
+		s.longestTurn /= 1 + float64(now-s.observedAt)/turnHalfLife
 	}
-	s.at = now
-	s.turn = max(s.turn, float64(min(us, turnMost)))
-	if s.answered >= manyAnswers {
-		s.cost += (min(costMost, float64(us)/float64(s.answered)) - s.cost) * costWeight
+	s.observedAt = now
+	s.longestTurn = max(s.longestTurn, float64(min(us, maxTurn)))
+	if s.responded >= minResponsesForCost {
+		s.cost += (min(maxCost, float64(us)/float64(s.responded)) - s.cost) * costGain
 	}
-	s.answered = 0
+	s.responded = 0
 }
 
-// due is when the answer falls due of an owner whose time is up then.
-func (s *spread) due(now, over int64) int64 {
-	at := over - travel - int64(s.turn)
-	grain := at / dueUs
-	for first := now / dueUs; s.base < first; s.base++ {
-		if first-s.base > duesKept {
-			s.counts, s.base = [duesKept]uint16{}, first
+// wakeAt is when the answer falls due of an owner whose time is up then.
+func (s *responsePacer) reserve(now, over int64) int64 {
+	at := over - responseTravelTime - int64(s.longestTurn)
+	grain := at / bucketLength
+	for first := now / bucketLength; s.firstBucket < first; s.firstBucket++ {
+		if first-s.firstBucket > bucketCount {
+			s.buckets, s.firstBucket = [bucketCount]uint16{}, first
 			break
 		}
-		s.counts[s.base%duesKept] = 0
+		s.buckets[s.firstBucket%bucketCount] = 0
 	}
-	if grain < s.base || grain >= s.base+duesKept {
+	if grain < s.firstBucket || grain >= s.firstBucket+bucketCount {
 		return at
 	}
-	most := max(1, int(dueUs/2/max(costFirst/4, s.cost)))
-	for g := grain; g >= s.base && g > grain-earlyMost/dueUs; g-- {
-		if n := &s.counts[g%duesKept]; int(*n) < most {
+	most := max(1, int(bucketLength/2/max(initialCost/4, s.cost)))
+	for g := grain; g >= s.firstBucket && g > grain-maxEarly/bucketLength; g-- {
+		if n := &s.buckets[g%bucketCount]; int(*n) < most {
 			*n++
-			return min(at, (g+1)*dueUs-1)
+			return min(at, (g+1)*bucketLength-1)
 		}
 	}
 	return at
 }
 
 // ObserveTurn tells how long the last turn took, from what was ready to what was written.
-func (c *Dispatcher) ObserveTurn(us int64) { c.spread.took(c.now, us) }
+func (c *Dispatcher) ObserveTurn(us int64) { c.pacer.observeTurn(c.now, us) }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -41,7 +41,7 @@
 
 // trace writes one step of a request.
 func (c *Dispatcher) trace(step string, r *request, args ...any) {
-	c.tracer.Step(step, r.RequestID, c.now, append([]any{"state", r.state, "worker", r.node, "attempt", r.copy}, args...)...)
+	c.tracer.Step(step, r.RequestID, c.now, append([]any{"state", r.state, "worker", r.worker, "attempt", r.attempt}, args...)...)
 }
 
 var stateNames = [...]string{"fresh", "waiting", "out", "ending", "standing", "leaving", "gone"}
--- a/internal/dispatch/turns.go
+++ b/internal/dispatch/turns.go
@@ -17,11 +17,11 @@
 			at = t
 		}
 	}
-	if len(c.due) > 0 {
-		sooner(c.due[0].due)
+	if len(c.deadlines) > 0 {
+		sooner(c.deadlines[0].wakeAt)
 	}
-	if len(c.bells) > 0 {
-		sooner(c.bells[0].at)
+	if len(c.timers) > 0 {
+		sooner(c.timers[0].at)
 	}
 	if len(c.events) > 0 {
 		sooner(c.now)
@@ -33,77 +33,77 @@
 // answers.
 func (c *Dispatcher) Turn(now int64) {
 	c.now = now
-	for len(c.due) > 0 && c.due[0].due <= now {
-		c.expire(c.due[0])
+	for len(c.deadlines) > 0 && c.deadlines[0].wakeAt <= now {
+		c.expire(c.deadlines[0])
 	}
-	for len(c.bells) > 0 && c.bells[0].at <= now {
-		b := heap.Pop(&c.bells).(bell)
+	for len(c.timers) > 0 && c.timers[0].at <= now {
+		b := heap.Pop(&c.timers).(schedulerTimer)
 		c.event(placement.TimerFired{Ref: b.ref})
 	}
-	if now >= c.sweepAt {
-		c.sweepAt = now + sweepEvery
+	if now >= c.nextSweepAt {
+		c.nextSweepAt = now + sweepInterval
 		c.sweep()
 	}
-	if c.observe && c.channel {
+	if c.confirmList && c.hasList {
 		// The channel is followed without being asked; the module is told that it is.
-		c.observe = false
+		c.confirmList = false
 		c.event(placement.WorkerList{Kind: placement.ListDelta})
 	}
 	if len(c.events) > 0 {
 		events := c.events
 		c.events = nil
-		actions := c.placer.Handle(now, events)
+		actions := c.scheduler.Handle(now, events)
 		c.announce(actions)
 		for _, a := range actions {
 			c.act(a)
 		}
 	}
-	c.press()
+	c.reportBackpressure()
 }
 
 // expire acts on a time that has come.
 func (c *Dispatcher) expire(r *request) {
 	c.disarm(r)
 	switch r.state {
-	case out, ending:
-		if r.state == out {
-			c.trace("attempt timed out", r, "abandon_at_us", r.abandon)
-			c.giveUp(r, placement.TimedOut)
+	case stateOffered, stateCancelling:
+		if r.state == stateOffered {
+			c.trace("attempt timed out", r, "abandon_at_us", r.abandonAt)
+			c.cancelAttempt(r, placement.TimedOut)
 		} else {
-			c.ended(r, r.endAs, placement.CauseUnknown)
+			c.ended(r, r.endOutcome, placement.CauseUnknown)
 		}
 		if c.now >= r.deadline {
 			// The module answers within this turn; else the next turn does.
 			c.arm(r, c.now+1)
 		}
-	case waiting:
+	case statePending:
 		c.log.Warn("request left to its deadline", "request_id", r.RequestID, "class", r.Class)
 		c.event(placement.ClientCancelled{RequestID: r.RequestID})
-		c.finish(r)
-	case standing:
-		c.over(r, r.endAs, r.endWhy)
-	case leaving:
-		c.nodes.Release(r.node, r.RequestID)
-		c.silence(r)
+		c.rejectOrFail(r)
+	case stateRunning:
+		c.over(r, r.endOutcome, r.endCause)
+	case stateTerminating:
+		c.workers.Release(r.worker, r.RequestID)
+		c.markUnresponsive(r)
 	}
 }
 
 // sweep ends tasks on nodes that no list names any more. It guards against
 // tasks left standing for ever where a node vanished without a word.
 func (c *Dispatcher) sweep() {
-	if !c.channel {
+	if !c.hasList {
 		return
 	}
-	for node, at := range c.told {
+	for node, at := range c.drainingSince {
 		// Nodes come and go with new names for ever.
-		if !c.listed[node] && c.now-at > toldMost {
-			delete(c.told, node)
+		if !c.listed[node] && c.now-at > drainRetention {
+			delete(c.drainingSince, node)
 		}
 	}
 	c.sweepSilent()
 	for _, r := range c.orphans() {
-		c.log.Info("task lost with unlisted worker", "request_id", r.RequestID, "worker", r.node)
-		c.nodes.Release(r.node, r.RequestID)
+		c.log.Info("task lost with unlisted worker", "request_id", r.RequestID, "worker", r.worker)
+		c.workers.Release(r.worker, r.RequestID)
 		c.over(r, placement.Reset, placement.CauseUnknown)
 	}
 }
@@ -112,38 +112,38 @@
 func (c *Dispatcher) act(a placement.Action) {
 	switch a := a.(type) {
 	case placement.Place:
-		if r := c.reqs[a.RequestID]; r != nil {
+		if r := c.requests[a.RequestID]; r != nil {
 			c.place(r, a)
 		}
 	case placement.Reject:
-		if r := c.reqs[a.RequestID]; r != nil && r.open() {
-			c.finish(r)
+		if r := c.requests[a.RequestID]; r != nil && r.open() {
+			c.rejectOrFail(r)
 		}
 	case placement.Fail:
-		if r := c.reqs[a.RequestID]; r != nil && r.open() {
-			r.mayRun = true
+		if r := c.requests[a.RequestID]; r != nil && r.open() {
+			r.mayHaveRun = true
 			c.fail(r)
 		}
 	case placement.Migrate:
-		if r := c.reqs[a.RequestID]; r != nil && r.state == standing {
+		if r := c.requests[a.RequestID]; r != nil && r.state == stateRunning {
 			c.counts.Migrated++
 			c.answer(r, Response{Kind: Migrated})
-			c.nodes.Release(r.node, r.RequestID)
-			c.to(r, leaving)
-			c.arm(r, c.now+cutWait)
+			c.workers.Release(r.worker, r.RequestID)
+			c.to(r, stateTerminating)
+			c.arm(r, c.now+terminationTimeout)
 		}
 	case placement.CancelAttempt:
-		if r := c.reqs[a.RequestID]; r != nil && r.state == out && a.Attempt == r.copy {
-			c.giveUp(r, placement.Cancelled)
+		if r := c.requests[a.RequestID]; r != nil && r.state == stateOffered && a.Attempt == r.attempt {
+			c.cancelAttempt(r, placement.Cancelled)
 		}
 	case placement.Probe:
-		c.nodes.Probe(a.Worker)
+		c.workers.Probe(a.Worker)
 	case placement.WatchWorkers:
-		c.observe = a.Active
+		c.confirmList = a.Active
 	case placement.RefreshWorkers:
-		c.observe = true
+		c.confirmList = true
 	case placement.SetTimer:
-		heap.Push(&c.bells, bell{c.now + a.OffsetUs, a.Ref})
+		heap.Push(&c.timers, schedulerTimer{c.now + a.OffsetUs, a.Ref})
 	case placement.Log:
 		c.log.Info("scheduler", "text", a.Text)
 	}
@@ -152,7 +152,7 @@
 // place sends an offer, if no invariant stands against it.
 func (c *Dispatcher) place(r *request, a placement.Place) {
 	guard := c.mayFollow(r)
-	if r.state != waiting {
+	if r.state != statePending {
 		guard = "an attempt is out or the request is over"
 	}
 	if guard == "" {
@@ -167,25 +167,25 @@
 		return
 	}
 	c.counts.Offers++
-	c.to(r, out)
-	r.node, r.sentAt, r.copy = a.Worker, c.now, r.attempts
+	c.to(r, stateOffered)
+	r.worker, r.sentAt, r.attempt = a.Worker, c.now, r.attempts
 	r.attempts++
-	r.abandon = r.deadline
+	r.abandonAt = r.deadline
 	if a.AbandonAtUs > 0 {
-		r.abandon = min(r.deadline, max(a.AbandonAtUs, c.now+1))
+		r.abandonAt = min(r.deadline, max(a.AbandonAtUs, c.now+1))
 	}
-	c.arm(r, r.abandon)
-	c.trace("offer", r, "abandon_at_us", r.abandon, "deadline_us", r.deadline)
-	c.nodes.Offer(a.Worker, Offer{RequestID: r.RequestID, Class: r.Class, Key: r.Key, Idem: r.Idem,
-		TimeoutUs: r.abandon - c.now, Description: r.Description})
+	c.arm(r, r.abandonAt)
+	c.trace("offer", r, "abandon_at_us", r.abandonAt, "deadline_us", r.deadline)
+	c.workers.Offer(a.Worker, Offer{RequestID: r.RequestID, Class: r.Class, Key: r.Key, Idem: r.Idem,
+		TimeoutUs: r.abandonAt - c.now, Description: r.Description})
 }
 
 // mayFollow names what stands against a further attempt of r at any node, "" for nothing.
 func (c *Dispatcher) mayFollow(r *request) string {
 	switch {
-	case c.set.MaxAttempts > 0 && r.attempts >= c.set.MaxAttempts:
+	case c.settings.MaxAttempts > 0 && r.attempts >= c.settings.MaxAttempts:
 		return "no attempts are left"
-	case r.effect == placement.Unsafe && r.mayRun:
+	case r.effect == placement.Unsafe && r.mayHaveRun:
 		return "it may have started and must not start twice"
 	}
 	return ""
@@ -193,19 +193,19 @@
 
 // mayLeave names what stands against an offer of r that leaves for a node now, "" for nothing.
 func (c *Dispatcher) mayLeave(r *request, node string) string {
-	told, draining := c.told[node]
+	told, draining := c.drainingSince[node]
 	switch {
 	case c.now >= r.deadline:
 		return "its time is up"
 	case draining && c.now >= told+c.drainFor():
 		return "the node drains"
-	case r.effect == placement.Keyed && r.mayRun:
-		class, e := &c.set.Classes[r.class], c.roster.last[node]
+	case r.effect == placement.Keyed && r.mayHaveRun:
+		class, e := &c.settings.Classes[r.classIndex], c.listFilter.listed[node]
 		switch {
-		case c.now+int64(c.spread.turn) >= r.ran.at+class.WindowUs: // it leaves at the end of the turn
+		case c.now+int64(c.pacer.longestTurn) >= r.firstRun.at+class.WindowUs: // it leaves at the end of the turn
 			return "it may have started, and nodes no longer know its repeats"
-		case class.Group == placement.ScopeZone && e.Zone != r.ran.zone,
-			class.Group == placement.ScopeCell && e.Cell != r.ran.cell:
+		case class.Group == placement.ScopeZone && e.Zone != r.firstRun.zone,
+			class.Group == placement.ScopeCell && e.Cell != r.firstRun.cell:
 			return "it may have started at a node of another group"
 		}
 	}
@@ -215,14 +215,14 @@
 // drainFor is for how long a node gets offers that was told to drain. The margin covers what
 // an offer may lie in this machine once it has left here.
 func (c *Dispatcher) drainFor() int64 {
-	return c.set.DrainGraceUs - min(drainMargin, c.set.DrainGraceUs/2)
+	return c.settings.DrainGraceUs - min(drainMargin, c.settings.DrainGraceUs/2)
 }
 
 // CheckOffer names what stands against an offer that was placed before and leaves only now, as
 // its connection was not up, "" for nothing.
 func (c *Dispatcher) CheckOffer(now int64, node, tag string) string {
 	c.now = now
-	r := c.reqs[tag]
+	r := c.requests[tag]
 	if r == nil {
 		return "its request is over"
 	}
@@ -231,21 +231,21 @@
 
 // repeatable reports whether a further start of r does no harm, wherever its owner goes.
 func (c *Dispatcher) repeatable(r *request) bool {
-	return !r.mayRun || r.effect == placement.Safe ||
-		r.effect == placement.Keyed && c.set.Classes[r.class].Group == placement.ScopeAll
+	return !r.mayHaveRun || r.effect == placement.Safe ||
+		r.effect == placement.Keyed && c.settings.Classes[r.classIndex].Group == placement.ScopeAll
 }
 
-// finish answers a request that was given up: refused where a retry is
+// rejectOrFail answers a request that was given up: refused where a retry is
 // harmless, else failed.
-func (c *Dispatcher) finish(r *request) {
+func (c *Dispatcher) rejectOrFail(r *request) {
 	if !c.repeatable(r) {
 		c.fail(r)
 		return
 	}
-	c.withdraw(r)
+	c.endOpenAttempt(r)
 	c.counts.Rejected++
 	wait := c.advisor.Rejected(c.now, r.caller())
-	if !c.set.RetryAfter {
+	if !c.settings.RetryAfter {
 		wait = 0
 	}
 	c.answer(r, Response{Kind: Rejected, RetryAfterUs: wait, QueuedSinceUs: r.QueuedSinceUs, Rejections: r.Rejections + 1})
@@ -253,21 +253,21 @@
 }
 
 func (c *Dispatcher) fail(r *request) {
-	c.withdraw(r)
+	c.endOpenAttempt(r)
 	c.counts.Failed++
 	c.answer(r, Response{Kind: Failed})
 	c.forget(r)
 }
 
-// withdraw gives up an attempt that is still out at the end of its request.
-func (c *Dispatcher) withdraw(r *request) {
+// endOpenAttempt gives up an attempt that is still out at the end of its request.
+func (c *Dispatcher) endOpenAttempt(r *request) {
 	switch r.state {
-	case out:
+	case stateOffered:
 		c.trace("attempt abandoned", r)
-		c.nodes.CancelAttempt(r.node, r.RequestID, false)
+		c.workers.CancelAttempt(r.worker, r.RequestID, false)
 		c.done(r, placement.Cancelled, placement.CauseUnknown, true)
-	case ending:
-		c.done(r, r.endAs, placement.CauseUnknown, true)
+	case stateCancelling:
+		c.done(r, r.endOutcome, placement.CauseUnknown, true)
 	}
 }
 
@@ -275,7 +275,7 @@
 func (c *Dispatcher) RejectAll(now int64) {
 	c.now = now
 	for _, r := range c.sorted() {
-		c.Reject(now, r.owner, r.RequestID)
+		c.Reject(now, r.client, r.RequestID)
 	}
 	c.events = nil
 }
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -8,62 +8,62 @@
 import "ravenhitch/placement"
 
 const (
-	// unclaimedFor is how long such an end is remembered: longer than clients take to notice that
+	// unclaimedRetention is how long such an end is remembered: longer than clients take to notice that
 	// an orchestrator is gone.
-	unclaimedFor = 60_000_000
-	// unclaimedMost bounds them: the oldest make room.
-	unclaimedMost = 4096
+	unclaimedRetention = 60_000_000
+	// maxUnclaimed bounds them: the oldest make room.
+	maxUnclaimed = 4096
 )
 
-// unclaimedEnd is the end of a task that nobody has handed in.
-type unclaimedEnd struct {
-	node   string
-	status placement.Outcome
-	why    placement.Cause
-	at     int64
+// unclaimedCompletion is the end of a task that nobody has handed in.
+type unclaimedCompletion struct {
+	worker  string
+	outcome placement.Outcome
+	cause   placement.Cause
+	at      int64
 }
 
-// unclaimedEnds are such ends by tag.
-type unclaimedEnds struct {
-	byTag map[string]unclaimedEnd
-	tags  []string // oldest first
+// unclaimedCompletions are such ends by tag.
+type unclaimedCompletions struct {
+	byRequestID map[string]unclaimedCompletion
+	order       []string // oldest first
 }
 
 // UnknownTaskEnded takes a node's word that a task has ended which is not known here.
 func (c *Dispatcher) UnknownTaskEnded(now int64, node, tag string, st placement.Outcome, why placement.Cause) {
 	switch st {
 	case placement.Completed, placement.Cancelled, placement.Reset:
-		c.unclaimed.add(tag, unclaimedEnd{node, st, why, now})
+		c.unclaimed.add(tag, unclaimedCompletion{node, st, why, now})
 	}
 }
 
-func (u *unclaimedEnds) add(tag string, e unclaimedEnd) {
-	if _, there := u.byTag[tag]; there {
+func (u *unclaimedCompletions) add(tag string, e unclaimedCompletion) {
+	if _, there := u.byRequestID[tag]; there {
 		return
 	}
 	u.forget(e.at)
-	u.byTag[tag] = e
-	u.tags = append(u.tags, tag)
+	u.byRequestID[tag] = e
+	u.order = append(u.order, tag)
 }
 
 // forget lets go of what is too old, and of the oldest where there are too many.
-func (u *unclaimedEnds) forget(now int64) {
+func (u *unclaimedCompletions) forget(now int64) {
 	n := 0
-	for n < len(u.tags) && (len(u.tags)-n >= unclaimedMost || now-u.byTag[u.tags[n]].at > unclaimedFor) {
-		delete(u.byTag, u.tags[n])
+	for n < len(u.order) && (len(u.order)-n >= maxUnclaimed || now-u.byRequestID[u.order[n]].at > unclaimedRetention) {
+		delete(u.byRequestID, u.order[n])
 		n++
 	}
-	u.tags = u.tags[n:]
+	u.order = u.order[n:]
 }
 
 // claim ends a task that was handed in as standing, at the next turn, where its node has told its end
 // before.
 func (c *Dispatcher) claim(r *request) {
-	e, ok := c.unclaimed.byTag[r.RequestID]
-	if !ok || e.node != r.node || c.now-e.at > unclaimedFor {
+	e, ok := c.unclaimed.byRequestID[r.RequestID]
+	if !ok || e.worker != r.worker || c.now-e.at > unclaimedRetention {
 		return
 	}
-	c.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.node)
-	r.endAs, r.endWhy = e.status, e.why
+	c.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.worker)
+	r.endOutcome, r.endCause = e.outcome, e.cause
 	c.arm(r, c.now+1)
 }
