--- /dev/null
+++ b/internal/dispatch/attempt.go
@@ -0,0 +1,101 @@
+package dispatch
+
+// This file owns the ends of attempts and of tasks: what the scheduler and the client are told, and
+// what becomes of the request. It must never start an attempt.
+
+import "ravenhitch/placement"
+
+// terminationTimeout is how long a worker has to report the completion of a task that was released
+// or migrated before its client may use its names again.
+const terminationTimeout = 700 * millisecond
+
+// cancelAttempt cancels the open attempt. The worker is told before anything else may be sent for
+// this request, and the scheduler learns of the end, and may offer elsewhere, only once the attempt
+// is over for sure: a cancel that is still on its way, or in a connection that became unresponsive,
+// ends nothing. The response does not wait for that.
+func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
+	again := d.now < r.deadline && d.checkAttempt(r) == nil
+	sure := d.workers.CancelAttempt(r.worker, r.RequestID, again)
+	if sure || d.now >= r.deadline {
+		d.attemptEnded(r, outcome, placement.CauseUnknown)
+		return
+	}
+	d.transition(r, eventCancelUnconfirmed)
+	r.endOutcome = outcome
+	d.setMayHaveRun(r)
+	d.arm(r, r.deadline)
+}
+
+// attemptEnded takes the end of an attempt that was not accepted. The request is pending again.
+func (d *Dispatcher) attemptEnded(r *request, outcome placement.Outcome, cause placement.Cause) {
+	switch outcome {
+	case placement.Rejected:
+		d.counts.RejectedByWorker++
+	case placement.ConnectFailed:
+		d.counts.ConnectFailed++
+	case placement.NeverSent:
+	case placement.TimedOut:
+		d.counts.TimedOut++
+		d.setMayHaveRun(r)
+	default:
+		d.counts.Reset++
+		d.setMayHaveRun(r)
+	}
+	d.transition(r, eventAttemptEnded)
+	d.reportAttemptEnded(r, outcome, cause, false)
+	d.arm(r, r.deadline)
+}
+
+// setMayHaveRun notes that the attempt of r which is open, or was last, may have started.
+func (d *Dispatcher) setMayHaveRun(r *request) {
+	if r.mayHaveRun {
+		return
+	}
+	r.mayHaveRun = true
+	entry := d.listFilter.listed[r.worker]
+	r.firstRun = firstAttempt{worker: r.worker, zone: entry.Zone, cell: entry.Cell, at: r.sentAt}
+}
+
+// endOpenAttempt cancels an attempt that is still open at the end of its request.
+func (d *Dispatcher) endOpenAttempt(r *request) {
+	switch r.state {
+	case stateOffered:
+		d.trace("attempt abandoned", r)
+		d.workers.CancelAttempt(r.worker, r.RequestID, false)
+		d.reportAttemptEnded(r, placement.Cancelled, placement.CauseUnknown, true)
+	case stateCancelling:
+		d.reportAttemptEnded(r, r.endOutcome, placement.CauseUnknown, true)
+	}
+}
+
+// release ends a running task that is no longer wanted here.
+func (d *Dispatcher) release(r *request) {
+	d.workers.Release(r.worker, r.RequestID)
+	d.transition(r, eventReleased)
+	d.arm(r, d.now+terminationTimeout)
+}
+
+// taskCompleted takes the end of a running or terminating task. Its client is told, unless it asked
+// for the end itself.
+func (d *Dispatcher) taskCompleted(r *request, outcome placement.Outcome, cause placement.Cause) {
+	d.advisor.Ended(d.now, r.backpressureRequest())
+	d.reportAttemptEnded(r, outcome, cause, true)
+	if r.state == stateRunning && outcome != placement.Cancelled {
+		d.counts.Completed++
+		d.respond(r, Response{Kind: Completed, Outcome: outcome, Cause: cause})
+	}
+	d.remove(r)
+}
+
+// reportAttemptEnded tells the scheduler of the end of an attempt; final where its request is over.
+func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
+	d.event(placement.AttemptEnded{
+		RequestID: r.RequestID,
+		Attempt:   r.attempt,
+		Worker:    r.worker,
+		Outcome:   outcome,
+		Cause:     cause,
+		Final:     final,
+		RTTUs:     d.now - r.sentAt,
+	})
+}
--- /dev/null
+++ b/internal/dispatch/deadlines.go
@@ -0,0 +1,88 @@
+package dispatch
+
+// This file owns the two heaps of times to come: the deadlines of requests, and the timers of the
+// scheduler. It must never act on what they hold.
+
+import "container/heap"
+
+// deadlineHeap orders requests by the time at which the dispatcher acts on them. It implements
+// heap.Interface.
+type deadlineHeap []*request
+
+// Len is the number of requests.
+func (h deadlineHeap) Len() int { return len(h) }
+
+// Less reports whether request i comes before request j.
+func (h deadlineHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
+
+// Swap swaps two requests.
+func (h deadlineHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+// Push appends a *request.
+func (h *deadlineHeap) Push(x any) {
+	r := x.(*request)
+	r.heapIndex = len(*h)
+	*h = append(*h, r)
+}
+
+// Pop takes off the last request.
+func (h *deadlineHeap) Pop() any {
+	old := *h
+	last := len(old) - 1
+	r := old[last]
+	old[last] = nil
+	*h = old[:last]
+	r.heapIndex = -1
+	return r
+}
+
+// arm sets the time at which the dispatcher acts on a request.
+func (d *Dispatcher) arm(r *request, at int64) {
+	r.wakeAt = at
+	if r.heapIndex >= 0 {
+		heap.Fix(&d.deadlines, r.heapIndex)
+		return
+	}
+	heap.Push(&d.deadlines, r)
+}
+
+// disarm takes that time away.
+func (d *Dispatcher) disarm(r *request) {
+	if r.heapIndex >= 0 {
+		heap.Remove(&d.deadlines, r.heapIndex)
+	}
+	r.wakeAt = 0
+}
+
+// schedulerTimer is a timer of the scheduler.
+type schedulerTimer struct {
+	at  int64
+	ref string
+}
+
+// timerHeap orders the timers of the scheduler. It implements heap.Interface.
+type timerHeap []schedulerTimer
+
+// Len is the number of timers.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less reports whether timer i fires before timer j.
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap swaps two timers.
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push appends a schedulerTimer.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(schedulerTimer)) }
+
+// Pop takes off the last timer.
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := len(old) - 1
+	timer := old[last]
+	*h = old[:last]
+	return timer
+}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -616,9 +616,9 @@
 				t.Errorf("%d times to come", len(c.deadlines))
 			}
 			b.advance(20_000 * ms)
-			if n := len(c.requests) + len(c.latestByKey) + len(c.aliases) + len(c.finalResponses) + len(c.deadlines) + len(c.unresponsive) + len(c.tasksByWorker) + c.pendingCount; n > 0 || len(c.timers) > 1 {
+			if n := len(c.requests) + len(c.latestByKey) + len(c.aliases) + len(c.responses.byRequestID) + len(c.deadlines) + len(c.unresponsive) + len(c.tasksByWorker) + c.pendingCount; n > 0 || len(c.timers) > 1 {
 				t.Errorf("%d requests, %d keys, %d aliases, %d last words, %d times, %d wait, %d bells", len(c.requests), len(c.latestByKey),
-					len(c.aliases), len(c.finalResponses), len(c.deadlines), c.pendingCount, len(c.timers))
+					len(c.aliases), len(c.responses.byRequestID), len(c.deadlines), c.pendingCount, len(c.timers))
 			}
 		})
 	}
--- a/internal/dispatch/roster_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -10,9 +10,9 @@
 // is used again as soon as it is back, though its process died with tasks of ours.
 func TestByHand(t *testing.T) {
 	for name, meanwhile := range map[string]func(b *harness){
-		"nothing":      func(*harness) {},
-		"listed up":    func(b *harness) { b.updateWorkers(placement.ListDelta, placement.Ready, "a") },
-		"a whole list": func(b *harness) { b.updateWorkers(placement.ListFull, placement.Ready, "a", "b") },
+		"nothing":         func(*harness) {},
+		"listed up":       func(b *harness) { b.updateWorkers(placement.ListDelta, placement.Ready, "a") },
+		"a complete list": func(b *harness) { b.updateWorkers(placement.ListFull, placement.Ready, "a", "b") },
 		"gone and back": func(b *harness) {
 			b.updateWorkers(placement.ListDelta, placement.Removed, "a")
 			b.updateWorkers(placement.ListDelta, placement.Ready, "a")
@@ -66,7 +66,7 @@
 }
 
 // One task shows that a minion is in use again; the next go where they would. What a
-// whole list left out meanwhile is not there to be put back.
+// complete list left out meanwhile is not there to be put back.
 func TestPutBack(t *testing.T) {
 	b := newHarness(t)
 	b.updateWorkers(placement.ListFull, placement.Ready, "a")
--- /dev/null
+++ b/internal/dispatch/offer.go
@@ -0,0 +1,176 @@
+package dispatch
+
+// This file owns the offers and the rules between the scheduler's choice and the workers. No offer
+// leaves but by sendOffer, and none that breaks a rule.
+
+import (
+	"errors"
+
+	"ravenhitch/placement"
+)
+
+// drainMargin is how long before the drain limit offers end here.
+const drainMargin = 500 * millisecond
+
+// The rules that an offer may break.
+var (
+	// ErrNotPending: an attempt is open, or the request is over.
+	ErrNotPending = errors.New("an attempt is open or the request is over")
+	// ErrRequestOver: the request has left the table.
+	ErrRequestOver = errors.New("the request is over")
+	// ErrNoAttemptsLeft: the request had as many attempts as the settings allow.
+	ErrNoAttemptsLeft = errors.New("no attempts are left")
+	// ErrSecondStart: the task may have started and must not start twice.
+	ErrSecondStart = errors.New("the task may have started and must not start twice")
+	// ErrDeadlinePassed: the deadline of the request has passed.
+	ErrDeadlinePassed = errors.New("the deadline has passed")
+	// ErrWorkerDraining: the worker has been draining for longer than the drain limit.
+	ErrWorkerDraining = errors.New("the worker is draining")
+	// ErrRepeatUnknown: the task may have started, and workers no longer recognise a repeat.
+	ErrRepeatUnknown = errors.New("the task may have started, and workers no longer recognise a repeat")
+	// ErrOutsideGroup: the task may have started, and the worker does not share idempotency keys
+	// with the one where it may have.
+	ErrOutsideGroup = errors.New("the task may have started at a worker of another group")
+)
+
+// offerRule returns the error of a rule that an offer of r to a worker would break now, or nil.
+type offerRule func(d *Dispatcher, r *request, worker string) error
+
+var (
+	// attemptRules hold for a further attempt at any worker.
+	attemptRules = [...]offerRule{(*Dispatcher).checkAttemptsLeft, (*Dispatcher).checkSingleStart}
+	// sendRules hold whenever an offer leaves for a worker, however long ago it was placed.
+	sendRules = [...]offerRule{(*Dispatcher).checkDeadline, (*Dispatcher).checkDraining, (*Dispatcher).checkKeyedRepeat}
+)
+
+// checkRules returns the error of the first rule that is broken, or nil.
+func (d *Dispatcher) checkRules(rules []offerRule, r *request, worker string) error {
+	for _, check := range rules {
+		if err := check(d, r, worker); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAttempt returns what is against a further attempt of r at any worker, or nil.
+func (d *Dispatcher) checkAttempt(r *request) error { return d.checkRules(attemptRules[:], r, "") }
+
+// checkPlacement returns what is against the scheduler's choice of a worker for r, or nil.
+func (d *Dispatcher) checkPlacement(r *request, worker string) error {
+	if r.state != statePending {
+		return ErrNotPending
+	}
+	if err := d.checkAttempt(r); err != nil {
+		return err
+	}
+	return d.checkRules(sendRules[:], r, worker)
+}
+
+func (d *Dispatcher) checkAttemptsLeft(r *request, _ string) error {
+	if limit := d.settings.MaxAttempts; limit > 0 && r.attempts >= limit {
+		return ErrNoAttemptsLeft
+	}
+	return nil
+}
+
+func (d *Dispatcher) checkSingleStart(r *request, _ string) error {
+	if r.effect == placement.Unsafe && r.mayHaveRun {
+		return ErrSecondStart
+	}
+	return nil
+}
+
+func (d *Dispatcher) checkDeadline(r *request, _ string) error {
+	if d.now >= r.deadline {
+		return ErrDeadlinePassed
+	}
+	return nil
+}
+
+func (d *Dispatcher) checkDraining(_ *request, worker string) error {
+	since, draining := d.drainingSince[worker]
+	if draining && d.now >= since+d.drainLimit() {
+		return ErrWorkerDraining
+	}
+	return nil
+}
+
+// checkKeyedRepeat lets a keyed task that may have started go only to workers that know its
+// idempotency key from the first attempt.
+func (d *Dispatcher) checkKeyedRepeat(r *request, worker string) error {
+	if r.effect != placement.Keyed || !r.mayHaveRun {
+		return nil
+	}
+	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.listed[worker]
+	leavesAt := d.now + int64(d.pacer.longestTurn) // offers leave at the end of the turn
+	if leavesAt >= r.firstRun.at+class.WindowUs {
+		return ErrRepeatUnknown
+	}
+	if class.Group == placement.ScopeZone && entry.Zone != r.firstRun.zone ||
+		class.Group == placement.ScopeCell && entry.Cell != r.firstRun.cell {
+		return ErrOutsideGroup
+	}
+	return nil
+}
+
+// drainLimit is for how long a draining worker gets offers. The margin covers what an offer may
+// wait in this process once it has left here.
+func (d *Dispatcher) drainLimit() int64 {
+	return d.settings.DrainGraceUs - min(drainMargin, d.settings.DrainGraceUs/2)
+}
+
+// place sends an offer to the worker that the scheduler chose, unless that breaks a rule.
+func (d *Dispatcher) place(r *request, action placement.Place) {
+	if err := d.checkPlacement(r, action.Worker); err != nil {
+		d.blockOffer(r, action.Worker, err)
+		return
+	}
+	d.sendOffer(r, action)
+}
+
+// blockOffer tells the scheduler that its choice was not sent. Its choice breaks an invariant: the
+// scheduler is at fault.
+func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
+	d.trace("offer blocked", r, "to", worker, "cause", cause)
+	d.counts.Blocked++
+	d.log.Error("offer blocked by invariant", "request_id", r.RequestID, "worker", worker, "cause", cause)
+	d.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempts, Worker: worker, Outcome: placement.NeverSent})
+	r.attempts++
+}
+
+// sendOffer starts an attempt.
+func (d *Dispatcher) sendOffer(r *request, action placement.Place) {
+	d.counts.Offers++
+	d.transition(r, eventOffered)
+	r.worker, r.sentAt, r.attempt = action.Worker, d.now, r.attempts
+	r.attempts++
+	r.abandonAt = r.deadline
+	if action.AbandonAtUs > 0 {
+		r.abandonAt = min(r.deadline, max(action.AbandonAtUs, d.now+1))
+	}
+	d.arm(r, r.abandonAt)
+	d.trace("offer", r, "abandon_at_us", r.abandonAt, "deadline_us", r.deadline)
+	d.workers.Offer(action.Worker, Offer{
+		RequestID:   r.RequestID,
+		Class:       r.Class,
+		Key:         r.Key,
+		Idem:        r.Idem,
+		TimeoutUs:   r.abandonAt - d.now,
+		Description: r.Description,
+	})
+}
+
+// CheckOffer names what stands against an offer that was placed before and leaves only now, as
+// its connection was not up, "" for nothing.
+func (d *Dispatcher) CheckOffer(now int64, worker, requestID string) string {
+	d.now = now
+	r := d.requests[requestID]
+	if r == nil {
+		return ErrRequestOver.Error()
+	}
+	if err := d.checkRules(sendRules[:], r, worker); err != nil {
+		return err.Error()
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/dispatch/pacer.go
@@ -0,0 +1,93 @@
+package dispatch
+
+// This file owns how long before a client's timeout its response falls due: long enough for the
+// response to travel and for a turn of the length that turns have, and no more responses at once than
+// can be written. It must never put a deadline later than the client's, and decides nothing else.
+
+const (
+	// responseTravelTime is taken off every timeout: a response travels back before it ends.
+	responseTravelTime = 10 * millisecond
+	// turnDecayTime is in what time the longest turn counts for half as much.
+	turnDecayTime = 1 * second
+	maxTurn       = 250 * millisecond
+	// bucketLength and bucketCount are the grain and the reach of the counts of responses due. A
+	// longer timeout is not counted: nothing is known of that time.
+	bucketLength = 5 * millisecond
+	bucketCount  = 4096
+	// maxEarly bounds by how much a response is made due earlier for the others.
+	maxEarly = 200 * millisecond
+	// initialCost is what a response is taken to cost until turns have shown it, and maxCost
+	// what it may be learned to cost, in microseconds.
+	initialCost = 20.0
+	maxCost     = 200.0
+	// minCost bounds the cost that the number of responses in a bucket follows, in microseconds.
+	minCost = initialCost / 4
+	// minResponsesForCost is from how many responses on a turn shows what one costs.
+	minResponsesForCost = 32
+	costGain            = 1.0 / 8
+)
+
+// responsePacer counts what falls due when, so that responses that fall due together are spread over
+// the time before.
+type responsePacer struct {
+	buckets     [bucketCount]uint16 // responses due, a ring over bucketLength each
+	firstBucket int64               // the first that still counts
+	longestTurn float64             // in microseconds, decaying
+	observedAt  int64
+	cost        float64 // of a response, in microseconds
+	responded   int     // responses in this turn
+}
+
+// observeTurn takes how long the last turn took.
+func (p *responsePacer) observeTurn(now, us int64) {
+	if p.cost == 0 {
+		p.cost = initialCost
+	}
+	if p.observedAt > 0 && now > p.observedAt {
+		p.longestTurn /= 1 + float64(now-p.observedAt)/turnDecayTime
+	}
+	p.observedAt = now
+	p.longestTurn = max(p.longestTurn, float64(min(us, maxTurn)))
+	if p.responded >= minResponsesForCost {
+		observed := min(maxCost, float64(us)/float64(p.responded))
+		p.cost += (observed - p.cost) * costGain
+	}
+	p.responded = 0
+}
+
+// reserve returns when the response to a client whose timeout ends at timeoutAt falls due, and counts it.
+func (p *responsePacer) reserve(now, timeoutAt int64) int64 {
+	due := timeoutAt - responseTravelTime - int64(p.longestTurn)
+	p.dropPast(now)
+	bucket := due / bucketLength
+	if bucket < p.firstBucket || bucket >= p.firstBucket+bucketCount {
+		return due
+	}
+	capacity := p.bucketCapacity()
+	earliest := max(p.firstBucket, bucket-maxEarly/bucketLength+1)
+	for b := bucket; b >= earliest; b-- {
+		if count := &p.buckets[b%bucketCount]; int(*count) < capacity {
+			*count++
+			return min(due, (b+1)*bucketLength-1)
+		}
+	}
+	return due
+}
+
+// dropPast forgets the buckets before now.
+func (p *responsePacer) dropPast(now int64) {
+	first := now / bucketLength
+	if first-p.firstBucket > bucketCount {
+		p.buckets, p.firstBucket = [bucketCount]uint16{}, first
+		return
+	}
+	for ; p.firstBucket < first; p.firstBucket++ {
+		p.buckets[p.firstBucket%bucketCount] = 0
+	}
+}
+
+// bucketCapacity is how many responses may fall due in one bucket: as many as half of its time is
+// enough to write.
+func (p *responsePacer) bucketCapacity() int {
+	return max(1, int(bucketLength/2/max(minCost, p.cost)))
+}
--- /dev/null
+++ b/internal/dispatch/state.go
@@ -0,0 +1,147 @@
+package dispatch
+
+// This file owns the states of a request and the events that move it from one to another. Nothing
+// else may write request.state. It must never decide that an event has happened.
+//
+// The invariants, which the states, the offer rules (offer.go) and the callers keep together:
+//
+//   - a request gets one final response, by its deadline, unless its client cancels it before;
+//   - at most one attempt of a request is open at a time, and none once the request is over;
+//   - no offer goes to a worker that has been draining for longer than the drain limit;
+//   - a task that must not run twice is started at most once, and is failed rather than rejected
+//     where it may have been started;
+//   - every open or terminating request has a deadline at which the dispatcher acts itself;
+//   - a task occupies capacity of its worker from its start to its known end.
+
+import "fmt"
+
+// state is where a request is on its way through the table.
+type state int
+
+const (
+	stateNew         state = iota // not in the table yet
+	statePending                  // no attempt is open
+	stateOffered                  // an attempt is open
+	stateCancelling               // the attempt was cancelled, and its cancel is not confirmed
+	stateRunning                  // the worker accepted the task
+	stateTerminating              // released or migrated; the worker's completion has not come
+	stateRemoved                  // out of the table
+	stateCount       = iota
+)
+
+var stateNames = [stateCount]string{"new", "pending", "offered", "cancelling", "running", "terminating", "removed"}
+
+// String returns the name of the state, as the trace shows it.
+func (s state) String() string {
+	if s >= 0 && int(s) < len(stateNames) {
+		return stateNames[s]
+	}
+	return "unknown"
+}
+
+// isOpen reports whether the client of a request in this state is owed a response.
+func (s state) isOpen() bool {
+	return s == statePending || s == stateOffered || s == stateCancelling
+}
+
+// occupiesWorker reports whether a request in this state occupies capacity of its worker.
+func (s state) occupiesWorker() bool { return s == stateRunning || s == stateTerminating }
+
+// stateEvent is what moves a request from one state to another.
+type stateEvent int
+
+const (
+	eventSubmitted         stateEvent = iota // its client submitted it
+	eventAdopted                             // its client submitted it as already running
+	eventOffered                             // an offer was sent
+	eventAccepted                            // the worker accepted the offer
+	eventCancelUnconfirmed                   // the attempt was cancelled, and may still be open
+	eventAttemptEnded                        // the attempt ended without a start
+	eventReleased                            // the task was released or migrated
+	eventRemoved                             // it got its last response, or its task ended
+	eventCount             = iota
+)
+
+// stateSet is a set of states.
+type stateSet uint8
+
+func statesOf(states ...state) (set stateSet) {
+	for _, s := range states {
+		set |= 1 << s
+	}
+	return set
+}
+
+func (set stateSet) has(s state) bool { return set&(1<<s) != 0 }
+
+// transitions says for each event in which states it may happen, and to which state it leads.
+var transitions = [eventCount]struct {
+	name string
+	from stateSet
+	to   state
+}{
+	eventSubmitted:         {"submitted", statesOf(stateNew), statePending},
+	eventAdopted:           {"adopted", statesOf(stateNew), stateRunning},
+	eventOffered:           {"offered", statesOf(statePending), stateOffered},
+	eventAccepted:          {"accepted", statesOf(stateOffered), stateRunning},
+	eventCancelUnconfirmed: {"cancel unconfirmed", statesOf(stateOffered), stateCancelling},
+	eventAttemptEnded:      {"attempt ended", statesOf(stateOffered, stateCancelling), statePending},
+	eventReleased:          {"released", statesOf(stateRunning), stateTerminating},
+	eventRemoved: {"removed", statesOf(statePending, stateOffered, stateCancelling, stateRunning, stateTerminating),
+		stateRemoved},
+}
+
+// String returns the name of the event, as the log shows it.
+func (e stateEvent) String() string {
+	if e >= 0 && int(e) < len(transitions) {
+		return transitions[e].name
+	}
+	return "unknown"
+}
+
+// illegalTransitionError is an event that must not happen to a request in a state.
+type illegalTransitionError struct {
+	from  state
+	event stateEvent
+}
+
+func (e *illegalTransitionError) Error() string {
+	return fmt.Sprintf("dispatch: event %q is illegal in state %q", e.event, e.from)
+}
+
+// next returns the state to which an event leads, and an *illegalTransitionError where it must not
+// happen in state s.
+func (s state) next(event stateEvent) (state, error) {
+	rule := &transitions[event]
+	if !rule.from.has(s) {
+		return rule.to, &illegalTransitionError{s, event}
+	}
+	return rule.to, nil
+}
+
+// transition moves a request to the state to which an event leads, and keeps count of what is pending
+// and of what occupies workers. An illegal transition is a fault of this program: it is logged, and
+// carried out all the same, since a request that is stuck would harm its client more.
+func (d *Dispatcher) transition(r *request, event stateEvent) {
+	to, err := r.state.next(event)
+	if err != nil {
+		d.log.Error("illegal state transition", "request_id", r.RequestID, "err", err)
+	}
+	if r.state == to {
+		return
+	}
+	d.countPending(r, to)
+	d.countOccupied(r, to)
+	r.state = to
+}
+
+// countOccupied keeps the running tasks of workers up to date as a request moves to a state.
+func (d *Dispatcher) countOccupied(r *request, to state) {
+	was, is := r.state.occupiesWorker(), to.occupiesWorker()
+	switch {
+	case was && !is:
+		d.tasksByWorker.remove(r)
+	case !was && is:
+		d.tasksByWorker.add(r)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/submit.go
@@ -0,0 +1,126 @@
+package dispatch
+
+// This file owns how a submission enters the table: as a new request, as a running task, or as the
+// repeat of one that is known. It must never give a second final response.
+
+import (
+	"errors"
+
+	"ravenhitch/placement"
+)
+
+// The errors of Submit. Nothing was taken in then, and no response is owed.
+var (
+	ErrRequestIDInUse = errors.New("dispatch: the request ID is in use")
+	ErrKeyInUse       = errors.New("dispatch: the task was submitted elsewhere")
+	ErrTerminating    = errors.New("dispatch: the task is terminating")
+)
+
+// Submit takes in a submission. The response goes to client, during this call where it is known
+// already. It fails with ErrRequestIDInUse, ErrKeyInUse or ErrTerminating.
+func (d *Dispatcher) Submit(now int64, client Client, s Submission) error {
+	d.now = now
+	if s.RunningOn != "" && d.isAlreadyAdopted(&s) {
+		return nil
+	}
+	if s.Resumable {
+		if resumed, err := d.resume(client, &s); resumed || err != nil {
+			return err
+		}
+	}
+	if err := d.checkNames(&s); err != nil {
+		return err
+	}
+	r := d.newRequest(client, &s)
+	d.insert(r)
+	if s.RunningOn != "" {
+		d.adopt(r)
+	} else {
+		d.enqueue(r)
+	}
+	return nil
+}
+
+// isAlreadyAdopted reports whether a running task is known here. What the table says of it goes on,
+// its client too: whoever repeats a request ID that it may have seen would else get the completion
+// that is owed to another. Where that client has disconnected, its front finds another.
+func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
+	if d.unresponsive[s.RequestID] != nil {
+		return true
+	}
+	r := d.requests[s.RequestID]
+	if r == nil {
+		return false
+	}
+	if !r.state.occupiesWorker() {
+		d.log.Warn("adopted task already known", "request_id", s.RequestID, "worker", s.RunningOn)
+	}
+	return true
+}
+
+// resume answers a repeated submission with what is known of the first, and reports whether it did.
+// It guards against a second start where a response was sent and never read.
+func (d *Dispatcher) resume(client Client, s *Submission) (bool, error) {
+	r := d.find(s.RequestID)
+	if r == nil {
+		if response, ok := d.responses.byRequestID[s.RequestID]; ok {
+			client.Respond(response)
+			return true, nil
+		}
+		r = d.latestByKey[s.Key]
+	}
+	switch {
+	case r == nil:
+		return false, nil
+	case !r.Resumable || r.Key != s.Key:
+		return false, ErrKeyInUse
+	case r.state == stateTerminating:
+		return false, ErrTerminating
+	}
+	if s.RequestID != r.RequestID {
+		d.aliases[s.RequestID] = r
+	}
+	r.client, r.responseID = client, s.RequestID
+	d.counts.Resumed++
+	if r.state == stateRunning {
+		client.Respond(Response{Kind: Started, RequestID: s.RequestID, Description: r.startDescription, Worker: r.worker})
+	}
+	return true, nil
+}
+
+// checkNames returns an error where the request ID or the key of a submission names another request.
+func (d *Dispatcher) checkNames(s *Submission) error {
+	if d.Contains(s.RequestID) {
+		// A response to it would be a second one to the first, or the scheduler knows it.
+		return ErrRequestIDInUse
+	}
+	if r := d.latestByKey[s.Key]; r != nil && r.Resumable != s.Resumable && s.RunningOn == "" {
+		return ErrKeyInUse
+	}
+	return nil
+}
+
+// enqueue makes a new request pending.
+func (d *Dispatcher) enqueue(r *request) {
+	d.counts.Requests++
+	d.transition(r, eventSubmitted)
+	d.trace("request", r, "timeout_us", r.TimeoutUs, "deadline_us", r.deadline)
+	r.QueuedSinceUs = d.advisor.Requested(d.now, r.backpressureRequest())
+	task := r.task()
+	task.QueuedSinceUs = r.QueuedSinceUs
+	d.event(placement.Request{Task: task})
+	d.arm(r, r.deadline)
+}
+
+// adopt makes a new request a running task at the worker that its client names.
+func (d *Dispatcher) adopt(r *request) {
+	d.counts.Adopted++
+	r.worker, r.mayHaveRun, r.adoptedAt = r.RunningOn, true, d.now
+	d.transition(r, eventAdopted)
+	d.advisor.Adopted(d.now, r.backpressureRequest())
+	if !d.listed[r.worker] {
+		r.missingSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
+	}
+	d.event(placement.Adopted{Task: r.task(), Worker: r.worker})
+	d.claimCompletion(r)
+}
--- /dev/null
+++ b/internal/dispatch/turn.go
@@ -0,0 +1,174 @@
+package dispatch
+
+// This file owns the turns: deadlines that have passed, the call of the scheduler, and its actions.
+// It must never send an offer itself.
+
+import (
+	"container/heap"
+
+	"ravenhitch/placement"
+)
+
+const (
+	// sweepInterval is how often the tasks of unlisted and unresponsive workers are looked at.
+	sweepInterval = 500 * millisecond
+	// drainRetention is how long it is remembered that a worker left the list: well past the
+	// last offer that could still be meant for it.
+	drainRetention = 60 * second
+)
+
+// NextDeadline is when Turn has to be called next, in microseconds, or 0.
+func (d *Dispatcher) NextDeadline() int64 {
+	next := int64(0)
+	consider := func(at int64) {
+		if at > 0 && (next == 0 || at < next) {
+			next = at
+		}
+	}
+	if len(d.deadlines) > 0 {
+		consider(d.deadlines[0].wakeAt)
+	}
+	if len(d.timers) > 0 {
+		consider(d.timers[0].at)
+	}
+	if len(d.events) > 0 {
+		consider(d.now)
+	}
+	return next
+}
+
+// Turn hands what happened to the scheduler in one go and carries out its actions.
+func (d *Dispatcher) Turn(now int64) {
+	d.now = now
+	for len(d.deadlines) > 0 && d.deadlines[0].wakeAt <= now {
+		d.expire(d.deadlines[0])
+	}
+	for len(d.timers) > 0 && d.timers[0].at <= now {
+		timer := heap.Pop(&d.timers).(schedulerTimer)
+		d.event(placement.TimerFired{Ref: timer.ref})
+	}
+	if now >= d.nextSweepAt {
+		d.nextSweepAt = now + sweepInterval
+		d.sweep()
+	}
+	if d.confirmList && d.hasList {
+		// The list is followed without being asked for; the scheduler is told that it is.
+		d.confirmList = false
+		d.event(placement.WorkerList{Kind: placement.ListDelta})
+	}
+	d.runScheduler()
+	d.reportBackpressure()
+}
+
+// ObserveTurn says how long the last turn took, in microseconds, from when its input was ready to
+// when its output was written.
+func (d *Dispatcher) ObserveTurn(us int64) { d.pacer.observeTurn(d.now, us) }
+
+// runScheduler hands the events to the scheduler, if there are any, and carries out its actions.
+func (d *Dispatcher) runScheduler() {
+	if len(d.events) == 0 {
+		return
+	}
+	events := d.events
+	d.events = nil
+	actions := d.scheduler.Handle(d.now, events)
+	d.announcePending(actions)
+	for _, action := range actions {
+		d.act(action)
+	}
+}
+
+// expire acts on a request whose wakeAt has come.
+func (d *Dispatcher) expire(r *request) {
+	d.disarm(r)
+	switch r.state {
+	case stateOffered:
+		d.trace("attempt timed out", r, "abandon_at_us", r.abandonAt)
+		d.cancelAttempt(r, placement.TimedOut)
+		d.awaitFinalAction(r)
+	case stateCancelling:
+		d.attemptEnded(r, r.endOutcome, placement.CauseUnknown)
+		d.awaitFinalAction(r)
+	case statePending:
+		d.log.Warn("request left to its deadline", "request_id", r.RequestID, "class", r.Class)
+		d.event(placement.ClientCancelled{RequestID: r.RequestID})
+		d.rejectOrFail(r)
+	case stateRunning:
+		d.taskCompleted(r, r.endOutcome, r.endCause)
+	case stateTerminating:
+		d.workers.Release(r.worker, r.RequestID)
+		d.setUnresponsive(r)
+	}
+}
+
+// awaitFinalAction lets the scheduler end a request whose deadline has passed: it does so within
+// this turn, else the next turn does.
+func (d *Dispatcher) awaitFinalAction(r *request) {
+	if d.now >= r.deadline {
+		d.arm(r, d.now+1)
+	}
+}
+
+// sweep ends tasks on workers that no list names any more. It guards against tasks that would run
+// for ever in the table where a worker vanished without a report.
+func (d *Dispatcher) sweep() {
+	if !d.hasList {
+		return
+	}
+	for worker, since := range d.drainingSince {
+		// Workers come and go with new names for ever.
+		if !d.listed[worker] && d.now-since > drainRetention {
+			delete(d.drainingSince, worker)
+		}
+	}
+	d.sweepUnresponsive()
+	for _, r := range d.lostTasks() {
+		d.log.Info("task lost with unlisted worker", "request_id", r.RequestID, "worker", r.worker)
+		d.workers.Release(r.worker, r.RequestID)
+		d.taskCompleted(r, placement.Reset, placement.CauseUnknown)
+	}
+}
+
+// act carries out one action of the scheduler.
+func (d *Dispatcher) act(action placement.Action) {
+	switch action := action.(type) {
+	case placement.Place:
+		if r := d.requests[action.RequestID]; r != nil {
+			d.place(r, action)
+		}
+	case placement.Reject:
+		if r := d.requests[action.RequestID]; r != nil && r.state.isOpen() {
+			d.rejectOrFail(r)
+		}
+	case placement.Fail:
+		if r := d.requests[action.RequestID]; r != nil && r.state.isOpen() {
+			r.mayHaveRun = true
+			d.fail(r)
+		}
+	case placement.Migrate:
+		if r := d.requests[action.RequestID]; r != nil && r.state == stateRunning {
+			d.migrate(r)
+		}
+	case placement.CancelAttempt:
+		if r := d.requests[action.RequestID]; r != nil && r.state == stateOffered && action.Attempt == r.attempt {
+			d.cancelAttempt(r, placement.Cancelled)
+		}
+	case placement.Probe:
+		d.workers.Probe(action.Worker)
+	case placement.WatchWorkers:
+		d.confirmList = action.Active
+	case placement.RefreshWorkers:
+		d.confirmList = true
+	case placement.SetTimer:
+		heap.Push(&d.timers, schedulerTimer{d.now + action.OffsetUs, action.Ref})
+	case placement.Log:
+		d.log.Info("scheduler", "text", action.Text)
+	}
+}
+
+// migrate ends a running task, and tells its client to submit it again.
+func (d *Dispatcher) migrate(r *request) {
+	d.counts.Migrated++
+	d.respond(r, Response{Kind: Migrated})
+	d.release(r)
+}
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -1,21 +1,21 @@
 package dispatch
 
-// This file remembers ends that nodes told of tasks which are not known here. A client hands a
-// task in as standing after the orchestrator that held it has gone, and a node tells its end on any
-// connection meanwhile, once: an end that comes first would leave the task standing for ever. It must
-// never end what a node did not name by its tag.
+// This file owns the unclaimed completions: those of tasks which are not known here. A client submits
+// a running task again after its orchestrator has gone, and a worker reports the completion on any
+// connection meanwhile, once: one that comes first would leave the task running for ever in the table.
+// It must never end a task that its worker did not name by its request ID.
 
 import "ravenhitch/placement"
 
 const (
-	// unclaimedRetention is how long such an end is remembered: longer than clients take to notice that
-	// an orchestrator is gone.
-	unclaimedRetention = 60_000_000
+	// unclaimedRetention is how long such a completion is remembered: longer than clients take to
+	// notice that an orchestrator is gone.
+	unclaimedRetention = 60 * second
 	// maxUnclaimed bounds them: the oldest make room.
 	maxUnclaimed = 4096
 )
 
-// unclaimedCompletion is the end of a task that nobody has handed in.
+// unclaimedCompletion is the completion of a task that nobody has submitted here.
 type unclaimedCompletion struct {
 	worker  string
 	outcome placement.Outcome
@@ -23,47 +23,56 @@
 	at      int64
 }
 
-// unclaimedCompletions are such ends by tag.
+// unclaimedCompletions are such completions by request ID.
 type unclaimedCompletions struct {
 	byRequestID map[string]unclaimedCompletion
-	order       []string // oldest first
+	order       []string // request IDs, oldest first
 }
 
-// UnknownTaskEnded takes a node's word that a task has ended which is not known here.
-func (c *Dispatcher) UnknownTaskEnded(now int64, node, tag string, st placement.Outcome, why placement.Cause) {
-	switch st {
-	case placement.Completed, placement.Cancelled, placement.Reset:
-		c.unclaimed.add(tag, unclaimedCompletion{node, st, why, now})
+func newUnclaimedCompletions() unclaimedCompletions {
+	return unclaimedCompletions{byRequestID: map[string]unclaimedCompletion{}}
+}
+
+// UnknownTaskEnded takes a worker's report that a task has ended which is not known here.
+func (d *Dispatcher) UnknownTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
+	if isTaskOutcome(outcome) {
+		d.unclaimed.add(requestID, unclaimedCompletion{worker, outcome, cause, now})
 	}
 }
 
-func (u *unclaimedCompletions) add(tag string, e unclaimedCompletion) {
-	if _, there := u.byRequestID[tag]; there {
+// add remembers a completion; the first of a request ID counts.
+func (u *unclaimedCompletions) add(requestID string, completion unclaimedCompletion) {
+	if _, known := u.byRequestID[requestID]; known {
 		return
 	}
-	u.forget(e.at)
-	u.byRequestID[tag] = e
-	u.order = append(u.order, tag)
+	u.evict(completion.at)
+	u.byRequestID[requestID] = completion
+	u.order = append(u.order, requestID)
 }
 
-// forget lets go of what is too old, and of the oldest where there are too many.
-func (u *unclaimedCompletions) forget(now int64) {
-	n := 0
-	for n < len(u.order) && (len(u.order)-n >= maxUnclaimed || now-u.byRequestID[u.order[n]].at > unclaimedRetention) {
-		delete(u.byRequestID, u.order[n])
-		n++
+// evict drops what is too old, and the oldest where there is no room for another.
+func (u *unclaimedCompletions) evict(now int64) {
+	evicted := 0
+	for evicted < len(u.order) {
+		oldest := u.order[evicted]
+		isFull := len(u.order)-evicted >= maxUnclaimed
+		if !isFull && now-u.byRequestID[oldest].at <= unclaimedRetention {
+			break
+		}
+		delete(u.byRequestID, oldest)
+		evicted++
 	}
-	u.order = u.order[n:]
+	u.order = u.order[evicted:]
 }
 
-// claim ends a task that was handed in as standing, at the next turn, where its node has told its end
-// before.
-func (c *Dispatcher) claim(r *request) {
-	e, ok := c.unclaimed.byRequestID[r.RequestID]
-	if !ok || e.worker != r.worker || c.now-e.at > unclaimedRetention {
+// claimCompletion ends an adopted task, at the next turn, where its worker has reported its
+// completion before.
+func (d *Dispatcher) claimCompletion(r *request) {
+	completion, ok := d.unclaimed.byRequestID[r.RequestID]
+	if !ok || completion.worker != r.worker || d.now-completion.at > unclaimedRetention {
 		return
 	}
-	c.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.worker)
-	r.endOutcome, r.endCause = e.outcome, e.cause
-	c.arm(r, c.now+1)
+	d.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.worker)
+	r.endOutcome, r.endCause = completion.outcome, completion.cause
+	d.arm(r, d.now+1)
 }
