--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -546,17 +546,17 @@
 		}
 		b.TaskEnded(b.now, "a", "t1", placement.Reset, 0)
 		for node, leaves := range c.leaves {
-			if why := b.CheckOffer(at+699*ms, node, "t1"); (why == "") != leaves {
-				t.Errorf("%s to %s in the window: %q", c.class, node, why)
+			if err := b.CheckOffer(at+699*ms, node, "t1"); (err == nil) != leaves {
+				t.Errorf("%s to %s in the window: %v", c.class, node, err)
 			}
-			if why := b.CheckOffer(at+700*ms, node, "t1"); (why == "") != (leaves && b.effects[c.class] != placement.Keyed) {
-				t.Errorf("%s to %s past the window: %q", c.class, node, why)
+			if err := b.CheckOffer(at+700*ms, node, "t1"); (err == nil) != (leaves && b.effects[c.class] != placement.Keyed) {
+				t.Errorf("%s to %s past the window: %v", c.class, node, err)
 			}
 		}
 		b.ObserveTurn(200 * ms) // what is placed leaves at the end of a turn
 		for passed, open := range map[int64]bool{499 * ms: true, 500 * ms: b.effects[c.class] != placement.Keyed} {
-			if why := b.CheckOffer(at+passed, "a", "t1"); (why == "") != (open && c.leaves["a"]) {
-				t.Errorf("%s after %d ms, under long turns: %q", c.class, passed/ms, why)
+			if err := b.CheckOffer(at+passed, "a", "t1"); (err == nil) != (open && c.leaves["a"]) {
+				t.Errorf("%s after %d ms, under long turns: %v", c.class, passed/ms, err)
 			}
 		}
 		r := b.requests["t1"]
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -114,8 +114,8 @@
 	b.advance(10 * ms)
 	b.updateWorkers(placement.ListDelta, placement.Ready, "b")
 	b.SetAssignedWorkers(b.now, func(node string) bool { return node == "b" })
-	if why := b.CheckOffer(b.now+8000*ms, "a", "t2"); why != "" { // 2 s are what one that drains has
-		t.Errorf("an offer that is out is held back: %q", why)
+	if err := b.CheckOffer(b.now+8000*ms, "a", "t2"); err != nil { // 2 s are what one that drains has
+		t.Errorf("an offer that is out is held back: %v", err)
 	}
 	b.advance(0)
 	b.accept("t2")
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -161,16 +161,13 @@
 	})
 }
 
-// CheckOffer names what stands against an offer that was placed before and leaves only now, as
-// its connection was not up, "" for nothing.
-func (d *Dispatcher) CheckOffer(now int64, worker, requestID string) string {
+// CheckOffer returns the error of the rule against an offer that was placed before and leaves only
+// now, as its connection was not up; nil where there is none.
+func (d *Dispatcher) CheckOffer(now int64, worker, requestID string) error {
 	d.now = now
 	r := d.requests[requestID]
 	if r == nil {
-		return ErrRequestOver.Error()
+		return ErrRequestOver
 	}
-	if err := d.checkRules(sendRules[:], r, worker); err != nil {
-		return err.Error()
-	}
-	return ""
+	return d.checkRules(sendRules[:], r, worker)
 }
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -67,8 +67,8 @@
 		n.l.RunAgain()
 		return
 	}
-	if why := n.core.CheckOffer(n.l.Now(), id, s.RequestID); why != "" {
-		n.trace("offer not sent", s.RequestID, "worker", id, "cause", why)
+	if err := n.core.CheckOffer(n.l.Now(), id, s.RequestID); err != nil {
+		n.trace("offer not sent", s.RequestID, "worker", id, "cause", err)
 		nc.settled(s)
 		n.later(func() { n.core.TaskEnded(n.l.Now(), id, s.RequestID, placement.NeverSent, placement.CauseUnknown) })
 		return
