--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -243,8 +243,8 @@
 		}
 		s.TimeoutUs = int64(min(max(left, 0), maxLeft) * 1000)
 	}
-	if field, _ := s.Invalid(); field != "" {
-		return bad(field)
+	if invalid := s.Validate(); invalid != nil {
+		return bad(invalid.Field)
 	}
 	if !m.HasBlob {
 		return bad("description")
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -51,18 +51,9 @@
 	return fmt.Sprintf("dispatch: invalid %s: expected %s", e.Field, e.Want)
 }
 
-// Invalid names the first field of a submission that makes no sense, and what was expected
-// of it; "" where there is none. Fronts ask before they submit: what no worker could
-// use must reach none, as its error would count against the worker.
-func (s *Submission) Invalid() (field, want string) {
-	if err := s.validate(); err != nil {
-		return err.Field, err.Want
-	}
-	return "", ""
-}
-
-// validate returns the first invalid field of a submission, or nil.
-func (s *Submission) validate() *ValidationError {
+// Validate returns the first field of a submission that makes no sense, or nil. Fronts ask before they
+// submit: what no worker could use must reach none, as its error would count against the worker.
+func (s *Submission) Validate() *ValidationError {
 	switch {
 	case len(s.RequestID) != requestIDLength || strings.Trim(s.RequestID, hexDigits) != "":
 		return &ValidationError{"tag", "16 hex digits"}
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -48,8 +48,8 @@
 	if s.TimeoutUs == 0 {
 		s.TimeoutUs = 1 // the class's own figure, or the call's deadline, comes in its place
 	}
-	if field, want := s.Invalid(); field != "" {
-		return s, bad(fields[field], "expected "+want)
+	if invalid := s.Validate(); invalid != nil {
+		return s, bad(fields[invalid.Field], "expected "+invalid.Want)
 	}
 	if !utf8.ValidString(s.Description) || len(s.Description) > textMost || escaped(s.Description) > textMost*3/2 {
 		return s, bad("description", fmt.Sprintf("expected at most %d bytes of UTF-8, few of them control characters", textMost))
