--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns the ends of attempts and of tasks: what the scheduler and the client are told, and
+// This file owns the ends of attempts and of tasks: what the scheduler and the client learn of them, and
 // what becomes of the request. It must never start an attempt.
 
 import "ravenhitch/placement"
@@ -9,9 +9,9 @@
 // or migrated before its client may use its names again.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt. The worker is told before anything else may be sent for
+// cancelAttempt cancels the open attempt. The worker is notified before anything else may be sent for
 // this request, and the scheduler learns of the end, and may offer elsewhere, only once the attempt
-// is over for sure: a cancel that is still on its way, or in a connection that became unresponsive,
+// is over for sure: a cancel that is still in transit, or in a connection that became unresponsive,
 // ends nothing. The response does not wait for that.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	again := d.now < r.deadline && d.checkAttempt(r) == nil
@@ -75,7 +75,7 @@
 	d.arm(r, d.now+terminationTimeout)
 }
 
-// taskCompleted takes the end of a running or terminating task. Its client is told, unless it asked
+// taskCompleted takes the end of a running or terminating task. Its client is notified, unless it asked
 // for the end itself.
 func (d *Dispatcher) taskCompleted(r *request, outcome placement.Outcome, cause placement.Cause) {
 	d.advisor.Ended(d.now, r.backpressureRequest())
@@ -87,7 +87,7 @@
 	d.remove(r)
 }
 
-// reportAttemptEnded tells the scheduler of the end of an attempt; final where its request is over.
+// reportAttemptEnded reports to the scheduler the end of an attempt; final where its request is over.
 func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
 	d.event(placement.AttemptEnded{
 		RequestID: r.RequestID,
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file joins the table with the backpressure: it tells the advisor what was requested, started
+// This file joins the table with the backpressure: it reports to the advisor what was requested, started
 // and rejected, and passes on to the scheduler what follows. It decides neither what to reject nor
 // when a client is to come again.
 
@@ -28,7 +28,7 @@
 	Rejected(now int64, request backpressure.Request) (waitUs int64)
 	// ReleaseRate is how much capacity becomes free, in units a second, 0 where unknown.
 	ReleaseRate(now int64) float64
-	// Reserved is how many units each class is to leave to higher priorities on their way.
+	// Reserved is how many units each class is to leave to expected requests of higher priority.
 	Reserved(now int64) []float64
 	Tick(now int64) (backpressure.Change, bool)
 	Figures(now int64) backpressure.Figures
@@ -45,13 +45,13 @@
 }
 
 const (
-	// backpressureInterval is how often the scheduler is told of the release rate, and
+	// backpressureInterval is how often the scheduler is notified of the release rate, and
 	// backpressureStep by what share that must have changed.
 	backpressureInterval = 20 * millisecond
 	backpressureStep     = 0.05
 )
 
-// backpressureReport is what the scheduler was last told.
+// backpressureReport is what was last reported to the scheduler.
 type backpressureReport struct {
 	at          int64
 	releaseRate float64
@@ -61,7 +61,7 @@
 // SetAdvisor sets who advises; before the first submission.
 func (d *Dispatcher) SetAdvisor(advisor Advisor) { d.advisor = advisor }
 
-// AdvisesRetryAfter reports whether rejected clients may be told when to come again.
+// AdvisesRetryAfter reports whether rejected clients get a Retry-After.
 func (d *Dispatcher) AdvisesRetryAfter() bool { return d.settings.RetryAfter }
 
 // BackpressureFigures are the figures of the backpressure that operators watch.
@@ -82,7 +82,7 @@
 	}
 }
 
-// announcePending tells the advisor what will be pending once the actions are carried out: requests
+// announcePending reports to the advisor what will be pending once the actions are carried out: requests
 // that are rejected together must not get slots behind one another.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
@@ -101,7 +101,7 @@
 	d.advisor.SetPending(d.now, d.remainingUnits)
 }
 
-// reportBackpressure tells the advisor what is pending, and the scheduler how fast capacity becomes free.
+// reportBackpressure reports to the advisor what is pending, and to the scheduler how fast capacity becomes free.
 func (d *Dispatcher) reportBackpressure() {
 	d.advisor.SetPending(d.now, d.pendingUnits)
 	if change, ok := d.advisor.Tick(d.now); ok {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -6,7 +6,7 @@
 
 import "ravenhitch/placement"
 
-// Client is told the responses to the requests that it submitted.
+// Client gets the responses to the requests that it submitted.
 type Client interface {
 	Respond(response Response)
 }
--- a/internal/dispatch/deadlines.go
+++ b/internal/dispatch/deadlines.go
@@ -49,7 +49,7 @@
 	heap.Push(&d.deadlines, r)
 }
 
-// disarm takes that time away.
+// disarm removes a request from the deadlines.
 func (d *Dispatcher) disarm(r *request) {
 	if r.heapIndex >= 0 {
 		heap.Remove(&d.deadlines, r.heapIndex)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -64,12 +64,12 @@
 	listed        map[string]bool
 	drainingSince map[string]int64 // when a worker was first listed as draining or removed
 	hasList       bool             // a list has come
-	confirmList   bool             // the scheduler waits to be told that the list is followed
+	confirmList   bool             // the scheduler waits for confirmation that the list is followed
 
-	// What the advisor and the scheduler are told of pending requests and free capacity.
+	// What is reported to the advisor and the scheduler of pending requests and free capacity.
 	pendingUnits     []float64 // by class
 	pendingCount     int
-	remainingUnits   []float64 // pendingUnits after the actions of a turn; kept for its memory
+	remainingUnits   []float64 // pendingUnits after the actions of a turn; reused for its memory
 	lastBackpressure backpressureReport
 
 	counts Counts
--- /dev/null
+++ b/internal/dispatch/endings_test.go
@@ -0,0 +1,145 @@
+package dispatch
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"ravenhitch/placement"
+)
+
+const (
+	endingCount = 10_000
+	// warmUpEndings come before the heap is looked at for the first time: what is of a fixed
+	// size, as the advisor's slot calendar, is filled then.
+	warmUpEndings = 5000
+	// heapSlack is by how much the heap may differ though nothing leaks: rows of tables that are
+	// freed later, and maps that have grown once. It is less than 7 bytes an ending.
+	heapSlack = 32 << 10
+)
+
+// endingCases are the ways in which a request or a task ends.
+var endingCases = map[string]func(h *harness, requestID string){
+	"cancelled": func(h *harness, id string) { h.Cancel(h.now, h, id) },
+	"rejected by its worker": func(h *harness, id string) {
+		h.endAttempt(id, placement.Rejected)
+		h.Cancel(h.now, h, id)
+	},
+	"an error": func(h *harness, id string) {
+		h.endAttempt(id, placement.Failed)
+		h.Cancel(h.now, h, id)
+	},
+	"timed out": func(h *harness, _ string) { h.advance(3000 * millisecond) },
+	"timed out and not confirmed": func(h *harness, id string) {
+		h.withholdConfirm = true
+		h.advance(3000 * millisecond)
+		h.confirmCancel(id)
+		h.withholdConfirm = false
+	},
+	"ran and completed": func(h *harness, id string) {
+		h.accept(id)
+		h.endAttempt(id, placement.Completed)
+		delete(h.running, id)
+	},
+	"released": func(h *harness, id string) {
+		h.accept(id)
+		h.Cancel(h.now, h, id)
+		h.advance(1000 * millisecond)
+		h.TaskEnded(h.now, h.running[id], id, placement.Cancelled, 0)
+		delete(h.running, id)
+	},
+	"its worker died": func(h *harness, id string) {
+		h.accept(id)
+		h.WorkerDied(h.now, h.running[id])
+	},
+	"its connection is closed": func(h *harness, id string) { h.Reject(h.now, h, id) },
+}
+
+// playEnding submits the request of a number, which must be offered, and ends it.
+func (h *harness) playEnding(number int, end func(h *harness, requestID string)) {
+	h.t.Helper()
+	id := fmt.Sprintf("%016x", number+1)
+	h.mustSubmit(id, []string{"web", "cut"}[number%2], "k"+id, 2000)
+	h.advance(10 * millisecond)
+	if h.offered[id] == "" {
+		h.t.Fatalf("%s was not offered; offers %v", id, h.offers)
+	}
+	end(h, id)
+	h.advance(10 * millisecond)
+}
+
+// Nothing is kept of a request that has ended, in whatever way.
+func TestEndedRequestsLeaveNothing(t *testing.T) {
+	for name, end := range endingCases {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
+			for number := range 200 {
+				h.playEnding(number, end)
+				clear(h.offered)
+			}
+			if len(h.deadlines) > 0 {
+				t.Errorf("%d deadlines", len(h.deadlines))
+			}
+			h.advance(20 * second)
+			for what, count := range map[string]int{
+				"requests": len(h.requests), "keys": len(h.latestByKey), "aliases": len(h.aliases),
+				"cached responses": len(h.responses.byRequestID), "deadlines": len(h.deadlines), "unresponsive tasks": len(h.unresponsive),
+				"workers with tasks": len(h.tasksByWorker), "pending requests": h.pendingCount,
+			} {
+				if count > 0 {
+					t.Errorf("%d %s are left", count, what)
+				}
+			}
+			if len(h.timers) > 1 {
+				t.Errorf("%d timers are left", len(h.timers))
+			}
+		})
+	}
+}
+
+// The live heap of the dispatcher and the scheduler does not grow with the number of endings.
+func TestHeapAfterManyEndings(t *testing.T) {
+	for name, end := range endingCases {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
+			before := int64(0)
+			for number := range endingCount {
+				if number == warmUpEndings {
+					h.advance(20 * second)
+					before = liveHeap()
+				}
+				h.playEnding(number, end)
+				h.clearRecords()
+			}
+			h.advance(20 * second)
+			grown := liveHeap() - before
+			t.Logf("the heap has grown by %d bytes over %d endings", grown, endingCount-warmUpEndings)
+			if grown > heapSlack {
+				t.Errorf("more than %d bytes", heapSlack)
+			}
+			runtime.KeepAlive(h)
+		})
+	}
+}
+
+// liveHeap is the size of what is in use once all garbage is collected.
+func liveHeap() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
+
+// clearRecords drops the records of the harness itself.
+func (h *harness) clearRecords() {
+	for _, records := range []map[string]string{h.offered, h.running, h.class, h.unconfirmed} {
+		clear(records)
+	}
+	clear(h.finalResponses)
+	clear(h.mayHaveRun)
+	clear(h.deadline)
+	h.offers, h.received = nil, nil
+}
--- /dev/null
+++ b/internal/dispatch/harness_test.go
@@ -0,0 +1,350 @@
+package dispatch
+
+import (
+	"context"
+	"flag"
+	"log/slog"
+	"os"
+	"testing"
+
+	"ravenhitch/placement"
+)
+
+func TestMain(m *testing.M) {
+	// The seed is fixed here: packages without rapid reject its flags.
+	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+// drainLimit is for how long a draining worker may get offers under testSettings.
+const drainLimit = 2000 * millisecond
+
+// testSettings are settings with a class for each effect of a repeated start, and one with a spread.
+func testSettings() placement.Settings {
+	class := func(name string, effect placement.Effect) placement.Class {
+		return placement.Class{Name: name, Effect: effect, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2}
+	}
+	keyed := func(name string, group placement.Scope) placement.Class {
+		keyed := class(name, placement.Keyed)
+		keyed.Group, keyed.WindowUs = group, 700*millisecond
+		return keyed
+	}
+	web := class("web", placement.Safe)
+	web.ObjectiveUs, web.DeadlineUs = 1000*millisecond, 5000*millisecond
+	cut := class("cut", placement.Unsafe)
+	cut.Weight, cut.ObjectiveUs, cut.DeadlineUs = 5, 6000*millisecond, 9000*millisecond
+	apart := class("apart", placement.Safe)
+	apart.Spread, apart.MaxPerDomain = placement.ScopeMachine, 1
+	return placement.Settings{
+		FleetSize: 1, HasView: true, PollsDiscovery: true, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3, TickUs: 2000,
+		PollWithinUs: 10_000 * millisecond, AnswerSlackUs: 8 * millisecond, DrainGraceUs: drainLimit, SlowStartOffers: 50,
+		SlowStartWindowUs: 3000 * millisecond, WarmUpUs: 16_000 * millisecond, ColdStartRate: 0.2, UnitCores: 1, UnitMemory: 2,
+		Kinds: []placement.Kind{{Name: "std", Cores: 32, Memory: 64}},
+		Classes: []placement.Class{web, cut, keyed("all", placement.ScopeAll), keyed("zone", placement.ScopeZone),
+			keyed("cell", placement.ScopeCell), apart},
+	}
+}
+
+// failer is a test that the harness can fail: *testing.T or *rapid.T.
+type failer interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+// transitionChecker is a slog.Handler that fails the test on an illegal state transition.
+type transitionChecker struct{ failer }
+
+func (c transitionChecker) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= slog.LevelError
+}
+
+func (c transitionChecker) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == "illegal state transition" {
+		record.Attrs(func(attr slog.Attr) bool {
+			if attr.Key == "err" {
+				c.Fatalf("%v", attr.Value)
+			}
+			return true
+		})
+		c.Fatalf("%s", record.Message)
+	}
+	return nil
+}
+
+func (c transitionChecker) WithAttrs([]slog.Attr) slog.Handler { return c }
+func (c transitionChecker) WithGroup(string) slog.Handler      { return c }
+
+// harness plays the workers and the clients of a dispatcher, by hand: it records what they receive
+// and fails the test where an invariant does not hold.
+type harness struct {
+	t failer
+	*Dispatcher
+	now int64
+
+	offers      []string          // all offers so far, as requestID@worker
+	offered     map[string]string // open attempts, by request ID: the worker
+	running     map[string]string // running tasks, by request ID: the worker
+	cancelled   int               // attempts that were cancelled
+	unconfirmed map[string]string // cancelled and not confirmed, by request ID: the worker
+	// withholdConfirm leaves what is cancelled from now on open until it is confirmed.
+	withholdConfirm bool
+
+	received       []Response
+	finalResponses map[string]ResponseKind
+
+	mayHaveRun map[string]bool
+	deadline   map[string]int64
+	class      map[string]string
+	drainedAt  map[string]int64
+}
+
+func newHarness(t failer) *harness {
+	t.Helper()
+	h := &harness{
+		t:              t,
+		now:            1000 * second,
+		offered:        map[string]string{},
+		running:        map[string]string{},
+		unconfirmed:    map[string]string{},
+		finalResponses: map[string]ResponseKind{},
+		mayHaveRun:     map[string]bool{},
+		deadline:       map[string]int64{},
+		class:          map[string]string{},
+		drainedAt:      map[string]int64{},
+	}
+	dispatcher, err := New(testSettings(), 7, h, slog.New(transitionChecker{t}))
+	if err != nil {
+		t.Fatalf("%v", err)
+	}
+	h.Dispatcher = dispatcher
+	return h
+}
+
+// Offer implements WorkerPool.
+func (h *harness) Offer(worker string, offer Offer) {
+	id := offer.RequestID
+	_, isOver := h.finalResponses[id]
+	drainedAt, draining := h.drainedAt[worker]
+	switch {
+	case h.offered[id] != "":
+		h.t.Fatalf("%s: a second attempt is open", id)
+	case isOver || h.running[id] != "":
+		h.t.Fatalf("%s: an offer after the end", id)
+	case offer.Class == "cut" && h.mayHaveRun[id]:
+		h.t.Fatalf("%s: may start twice", id)
+	case draining && h.now > drainedAt+drainLimit:
+		h.t.Fatalf("%s: offered to %s, draining since %d ms", id, worker, (h.now-drainedAt)/millisecond)
+	case !h.listFilter.assigned(worker):
+		h.t.Fatalf("%s: offered to %s, which is assigned to another orchestrator", id, worker)
+	case offer.TimeoutUs <= 0 || h.now+offer.TimeoutUs > h.deadline[id]:
+		h.t.Fatalf("%s: an offer with a timeout of %d", id, offer.TimeoutUs)
+	}
+	h.offered[id] = worker
+	h.offers = append(h.offers, id+"@"+worker)
+}
+
+// CancelAttempt implements WorkerPool.
+func (h *harness) CancelAttempt(worker, requestID string, _ bool) (sure bool) {
+	if h.offered[requestID] != worker || h.unconfirmed[requestID] != "" {
+		h.t.Fatalf("%s: an attempt cancelled at %s is not there", requestID, worker)
+	}
+	h.mayHaveRun[requestID] = true
+	h.cancelled++
+	if h.withholdConfirm {
+		h.unconfirmed[requestID] = worker
+		return false
+	}
+	delete(h.offered, requestID)
+	return true
+}
+
+// Release implements WorkerPool.
+func (h *harness) Release(string, string) {}
+
+// Probe implements WorkerPool.
+func (h *harness) Probe(string) {}
+
+// Respond implements Client.
+func (h *harness) Respond(response Response) {
+	h.received = append(h.received, response)
+	id := response.RequestID
+	if response.Kind == Completed || response.Kind == Migrated {
+		if h.running[id] == "" {
+			h.t.Fatalf("%s: ended without having run", id)
+		}
+		delete(h.running, id)
+		return
+	}
+	if before, ok := h.finalResponses[id]; ok {
+		h.t.Fatalf("%s: response %v after %v", id, response.Kind, before)
+	}
+	if h.now > h.deadline[id] {
+		h.t.Fatalf("%s: response %d ms late", id, (h.now-h.deadline[id])/millisecond)
+	}
+	if response.Kind == Rejected && h.class[id] == "cut" && h.mayHaveRun[id] {
+		h.t.Fatalf("%s: rejected though it may have started", id)
+	}
+	h.finalResponses[id] = response.Kind
+}
+
+// submit submits a request.
+func (h *harness) submit(requestID, class, key string, timeoutMs int64) error {
+	h.deadline[requestID], h.class[requestID] = h.now+timeoutMs*millisecond, class
+	return h.Submit(h.now, h, Submission{RequestID: requestID, Class: class, Key: key, TimeoutUs: timeoutMs * millisecond, Cores: 2, Memory: 4})
+}
+
+// mustSubmit submits a request that must be taken in.
+func (h *harness) mustSubmit(requestID, class, key string, timeoutMs int64) {
+	h.t.Helper()
+	if err := h.submit(requestID, class, key, timeoutMs); err != nil {
+		h.t.Fatalf("%s: %v", requestID, err)
+	}
+}
+
+// mustStart submits a request of class web and lets the worker to which it is offered accept it.
+func (h *harness) mustStart(requestID string, timeoutMs int64) {
+	h.t.Helper()
+	h.mustSubmit(requestID, "web", "k"+requestID, timeoutMs)
+	h.advance(10 * millisecond)
+	h.accept(requestID)
+}
+
+// adopt submits a task that is already running at a worker.
+func (h *harness) adopt(requestID, worker string) {
+	h.t.Helper()
+	h.running[requestID] = worker
+	submission := Submission{RequestID: requestID, Class: "web", Key: "k" + requestID, TimeoutUs: 1000 * millisecond, Cores: 2, Memory: 4, RunningOn: worker}
+	if err := h.Submit(h.now, h, submission); err != nil {
+		h.t.Fatalf("%v", err)
+	}
+}
+
+// updateWorkers lists workers in a state.
+func (h *harness) updateWorkers(kind placement.ListKind, state placement.WorkerState, workers ...string) {
+	list := placement.WorkerList{Kind: kind}
+	for _, worker := range workers {
+		list.Entries = append(list.Entries, placement.Entry{Worker: worker, Kind: "std", State: state, FreeCores: 32, FreeMemory: 64})
+		if state == placement.Ready {
+			delete(h.drainedAt, worker)
+		} else if _, ok := h.drainedAt[worker]; !ok {
+			h.drainedAt[worker] = h.now
+		}
+	}
+	h.UpdateWorkers(h.now, list)
+}
+
+// accept lets the worker of an open attempt accept it.
+func (h *harness) accept(requestID string) {
+	worker := h.offered[requestID]
+	delete(h.offered, requestID)
+	h.running[requestID], h.mayHaveRun[requestID] = worker, true
+	h.AttemptAccepted(h.now, worker, requestID, "by "+worker)
+}
+
+// endAttempt lets the worker report the end of an open attempt, or else of a running task.
+func (h *harness) endAttempt(requestID string, outcome placement.Outcome) {
+	worker := h.offered[requestID]
+	if worker == "" {
+		h.TaskEnded(h.now, h.running[requestID], requestID, outcome, 0)
+		return
+	}
+	delete(h.offered, requestID)
+	switch outcome {
+	case placement.Rejected, placement.ConnectFailed, placement.NeverSent:
+	default:
+		h.mayHaveRun[requestID] = true
+	}
+	h.TaskEnded(h.now, worker, requestID, outcome, 0)
+}
+
+// confirmCancel confirms that an attempt that was cancelled is over, if one is unconfirmed.
+func (h *harness) confirmCancel(requestID string) {
+	if worker := h.unconfirmed[requestID]; worker != "" {
+		delete(h.unconfirmed, requestID)
+		delete(h.offered, requestID)
+		h.CancelConfirmed(h.now, worker, requestID)
+	}
+}
+
+// advance lets time go on, turn by turn, whenever the dispatcher asks for one.
+func (h *harness) advance(us int64) {
+	h.t.Helper()
+	const maxTurns = 100_000
+	end := h.now + us
+	h.Turn(h.now)
+	for turns := 0; ; turns++ {
+		next := h.NextDeadline()
+		if next == 0 || next > end {
+			break
+		}
+		if turns > maxTurns {
+			h.t.Fatalf("the dispatcher asks for turns without end")
+		}
+		h.now = max(h.now, next)
+		h.Turn(h.now)
+	}
+	h.now = end
+	h.Turn(h.now)
+}
+
+// completions are the request IDs whose completions were reported, each with a blank.
+func (h *harness) completions() (ids string) {
+	for _, response := range h.received {
+		if response.Kind == Completed {
+			ids += response.RequestID + " "
+		}
+	}
+	return ids
+}
+
+// schedulerState is the state in which a worker would be listed to the scheduler.
+func (h *harness) schedulerState(worker string) placement.WorkerState {
+	return h.listFilter.adjust(h.listFilter.listed[worker]).State
+}
+
+// checkTable fails the test where the table and what is counted beside it differ.
+func (h *harness) checkTable() {
+	h.t.Helper()
+	h.checkRunningTasks()
+	pending := 0
+	for id, r := range h.requests {
+		switch {
+		case r.state == stateNew || r.state == stateRemoved:
+			h.t.Fatalf("%s is in the table in state %v", id, r.state)
+		case (r.state.isOpen() || r.state == stateTerminating) && r.heapIndex < 0:
+			h.t.Fatalf("%s is %v and has no deadline", id, r.state)
+		}
+		if r.state == statePending {
+			pending++
+		}
+	}
+	if pending != h.pendingCount {
+		h.t.Fatalf("%d requests are pending, %d are counted", pending, h.pendingCount)
+	}
+}
+
+// checkRunningTasks compares the tasks counted at each worker with the requests that occupy it.
+func (h *harness) checkRunningTasks() {
+	h.t.Helper()
+	occupying := map[string]int{}
+	for _, requests := range []map[string]*request{h.requests, h.unresponsive} {
+		for _, r := range requests {
+			if r.state.occupiesWorker() || r == h.unresponsive[r.RequestID] {
+				occupying[r.worker]++
+			}
+		}
+	}
+	for worker := range h.tasksByWorker {
+		if h.TasksOn(worker).Count != occupying[worker] {
+			h.t.Fatalf("%d tasks occupy %s, %d are counted", occupying[worker], worker, h.TasksOn(worker).Count)
+		}
+		delete(occupying, worker)
+	}
+	if len(occupying) > 0 {
+		h.t.Fatalf("tasks occupy %v and are not counted", occupying)
+	}
+}
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -1,145 +1,148 @@
 package dispatch
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 
 	"ravenhitch/placement"
 )
 
-// A minion that is out by hand gets nothing, whatever the channel lists meanwhile, and
-// is used again as soon as it is back, though its process died with tasks of ours.
-func TestByHand(t *testing.T) {
-	for name, meanwhile := range map[string]func(b *harness){
-		"nothing":         func(*harness) {},
-		"listed up":       func(b *harness) { b.updateWorkers(placement.ListDelta, placement.Ready, "a") },
-		"a complete list": func(b *harness) { b.updateWorkers(placement.ListFull, placement.Ready, "a", "b") },
-		"gone and back": func(b *harness) {
-			b.updateWorkers(placement.ListDelta, placement.Removed, "a")
-			b.updateWorkers(placement.ListDelta, placement.Ready, "a")
-		},
-		"its death":      func(b *harness) { b.WorkerDied(b.now, "a"); b.running = map[string]string{} },
-		"out once more":  func(b *harness) { b.SetCordoned(b.now, map[string]bool{"a": true}) },
-		"another is out": func(b *harness) { b.SetCordoned(b.now, map[string]bool{"a": true, "c": true}) },
-	} {
-		b := newHarness(t)
-		b.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-		b.advance(4000 * ms)
-		n := 0
-		offer := func(key string) string {
-			n++
-			tag := "00000000000000" + string(rune('a'+n/16)) + "0123456789abcdef"[n%16:n%16+1]
-			if err := b.submit(tag, "web", key, 3000); err != nil {
-				t.Fatal(err)
+// startNext submits the request of a number, lets the worker to which it is offered accept it, and
+// returns that worker.
+func (h *harness) startNext(number int, keyPrefix string) (worker string) {
+	h.t.Helper()
+	id := fmt.Sprintf("%016x", number)
+	h.mustSubmit(id, "web", keyPrefix+id, 3000)
+	h.advance(10 * millisecond)
+	worker = h.offered[id]
+	if worker == "" {
+		h.t.Fatalf("%s: no offer", id)
+	}
+	h.accept(id)
+	return worker
+}
+
+// startNextSix does the same for six requests from a number on, and returns their workers.
+func (h *harness) startNextSix(first int, keyPrefix string) (workers []string) {
+	h.t.Helper()
+	for number := first; number < first+6; number++ {
+		workers = append(workers, h.startNext(number, keyPrefix))
+	}
+	return workers
+}
+
+// cordonedEvents are what may happen while worker a is cordoned.
+var cordonedEvents = map[string]func(h *harness){
+	"nothing":         func(*harness) {},
+	"listed as ready": func(h *harness) { h.updateWorkers(placement.ListDelta, placement.Ready, "a") },
+	"a complete list": func(h *harness) { h.updateWorkers(placement.ListFull, placement.Ready, "a", "b") },
+	"removed and back": func(h *harness) {
+		h.updateWorkers(placement.ListDelta, placement.Removed, "a")
+		h.updateWorkers(placement.ListDelta, placement.Ready, "a")
+	},
+	"its death":           func(h *harness) { h.WorkerDied(h.now, "a"); h.running = map[string]string{} },
+	"cordoned again":      func(h *harness) { h.SetCordoned(h.now, map[string]bool{"a": true}) },
+	"another is cordoned": func(h *harness) { h.SetCordoned(h.now, map[string]bool{"a": true, "c": true}) },
+}
+
+// A cordoned worker gets nothing, whatever discovery lists meanwhile, and is used again as soon
+// as it is uncordoned, though its process died with tasks of ours.
+func TestCordoned(t *testing.T) {
+	for name, happens := range cordonedEvents {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
+			h.advance(4000 * millisecond)
+			h.startNextSix(0, "k"+name)
+			if !h.HasWorker("a") || h.HasWorker("x") {
+				t.Error("the wrong workers are known")
 			}
-			b.advance(10 * ms)
-			node := b.offered[tag]
-			if node == "" {
-				t.Fatalf("%s: no offer", name)
+
+			h.SetCordoned(h.now, map[string]bool{"a": true})
+			happens(h)
+			if workers := h.startNextSix(6, "k"+name); slices.Contains(workers, "a") {
+				t.Errorf("an offer to a cordoned worker: %v", workers)
 			}
-			b.accept(tag)
-			return node
-		}
-		for range 6 {
-			offer("k" + name + string(rune('a'+n)))
-		}
-		if !b.HasWorker("a") || b.HasWorker("x") {
-			t.Errorf("%s: the wrong minions are known", name)
-		}
-		b.SetCordoned(b.now, map[string]bool{"a": true})
-		meanwhile(b)
-		for range 6 {
-			if node := offer("k" + name + string(rune('a'+n))); node == "a" {
-				t.Errorf("%s: an offer to a minion out by hand", name)
+			if listed, avoided := h.PoolSize(); listed != 2 || avoided != 1 {
+				t.Errorf("%d listed, %d avoided", listed, avoided)
 			}
-		}
-		if listed, avoided := b.PoolSize(); listed != 2 || avoided != 1 {
-			t.Errorf("%s: %d listed, %d avoided", name, listed, avoided)
-		}
-		b.SetCordoned(b.now, nil)
-		if node := offer("k" + name + string(rune('a'+n))); node != "a" {
-			t.Errorf("%s: put back, and the next task went to %s", name, node)
-		}
-		if e := b.ClassTotals()["web"]; e.Started != 13 || e.Rejected+e.Failed != 0 {
-			t.Errorf("%s: %+v", name, e)
-		}
+
+			h.SetCordoned(h.now, nil)
+			if worker := h.startNext(12, "k"+name); worker != "a" {
+				t.Errorf("uncordoned, and the next task went to %s", worker)
+			}
+			if totals := h.ClassTotals()["web"]; totals.Started != 13 || totals.Rejected+totals.Failed != 0 {
+				t.Errorf("%+v", totals)
+			}
+		})
 	}
 }
 
-// One task shows that a minion is in use again; the next go where they would. What a
-// complete list left out meanwhile is not there to be put back.
-func TestPutBack(t *testing.T) {
-	b := newHarness(t)
-	b.updateWorkers(placement.ListFull, placement.Ready, "a")
-	b.advance(4000 * ms)
-	var got string
-	for n := range 10 {
-		tag := "000000000000000" + string(rune('0'+n))
-		if n == 8 {
-			b.updateWorkers(placement.ListDelta, placement.Ready, "b")
-			b.advance(4000 * ms)
-			b.SetCordoned(b.now, map[string]bool{"a": true})
-			b.SetCordoned(b.now, nil)
-		}
-		if err := b.submit(tag, "web", "k"+tag, 3000); err != nil {
-			t.Fatal(err)
+// One task shows that an uncordoned worker is in use again; the next go where they would.
+func TestUncordoned(t *testing.T) {
+	h := newHarness(t)
+	h.updateWorkers(placement.ListFull, placement.Ready, "a")
+	h.advance(4000 * millisecond)
+	var workers string
+	for number := range 10 {
+		if number == 8 {
+			h.updateWorkers(placement.ListDelta, placement.Ready, "b")
+			h.advance(4000 * millisecond)
+			h.SetCordoned(h.now, map[string]bool{"a": true})
+			h.SetCordoned(h.now, nil)
 		}
-		b.advance(10 * ms)
-		got += b.offered[tag]
-		b.accept(tag)
+		workers += h.startNext(number, "k")
 	}
-	if got != "aaaaaaaaab" {
-		t.Errorf("placed at %s", got)
+	if workers != "aaaaaaaaab" {
+		t.Errorf("placed at %s", workers)
 	}
-	b.SetCordoned(b.now, map[string]bool{"a": true})
-	b.updateWorkers(placement.ListFull, placement.Ready, "b")
-	if !b.HasWorker("a") {
-		t.Error("who is out can't be put back")
+
+	// What a complete list left out meanwhile is not there to be uncordoned.
+	h.SetCordoned(h.now, map[string]bool{"a": true})
+	h.updateWorkers(placement.ListFull, placement.Ready, "b")
+	if !h.HasWorker("a") {
+		t.Error("a cordoned worker can't be uncordoned")
 	}
-	b.SetCordoned(b.now, nil)
-	if listed, _ := b.PoolSize(); listed != 1 || b.HasWorker("a") {
+	h.SetCordoned(h.now, nil)
+	if listed, _ := h.PoolSize(); listed != 1 || h.HasWorker("a") {
 		t.Errorf("%d listed", listed)
 	}
 }
 
-// What stands at a node that another orchestrator takes over stays, and is ended by its client as
-// before; nothing new goes there, and an offer that is out may leave.
-func TestOwnNodes(t *testing.T) {
-	b := newHarness(t)
-	b.updateWorkers(placement.ListFull, placement.Ready, "a")
-	b.advance(4000 * ms)
-	b.submit("t1", "web", "k1", 3000)
-	b.advance(10 * ms)
-	b.accept("t1")
-	b.submit("t2", "web", "k2", 9000)
-	b.advance(10 * ms)
-	b.updateWorkers(placement.ListDelta, placement.Ready, "b")
-	b.SetAssignedWorkers(b.now, func(node string) bool { return node == "b" })
-	if err := b.CheckOffer(b.now+8000*ms, "a", "t2"); err != nil { // 2 s are what one that drains has
-		t.Errorf("an offer that is out is held back: %v", err)
+// Tasks at a worker that is assigned to another orchestrator go on, and are released by their clients
+// as before; nothing new goes there, and an offer that is open may leave.
+func TestAssignedWorkers(t *testing.T) {
+	h := newHarness(t)
+	h.updateWorkers(placement.ListFull, placement.Ready, "a")
+	h.advance(4000 * millisecond)
+	h.mustStart("t1", 3000)
+	h.mustSubmit("t2", "web", "k2", 9000)
+	h.advance(10 * millisecond)
+
+	h.updateWorkers(placement.ListDelta, placement.Ready, "b")
+	h.SetAssignedWorkers(h.now, func(worker string) bool { return worker == "b" })
+	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil { // longer than the drain limit
+		t.Errorf("an open offer is held back: %v", err)
 	}
-	b.advance(0)
-	b.accept("t2")
-	for i, tag := range []string{"t3", "t4", "t5"} {
-		b.submit(tag, "web", "k"+tag, 3000)
-		b.advance(10 * ms)
-		if b.offered[tag] != "b" {
-			t.Errorf("task %d went to %q", i, b.offered[tag])
+	h.advance(0)
+	h.accept("t2")
+	for _, id := range []string{"t3", "t4", "t5"} {
+		h.mustSubmit(id, "web", "k"+id, 3000)
+		h.advance(10 * millisecond)
+		if h.offered[id] != "b" {
+			t.Errorf("%s went to %q", id, h.offered[id])
 		}
-		b.accept(tag)
+		h.accept(id)
 	}
-	if h := b.TasksOn("a"); h.Count != 2 || !b.IsRunning("t1") || !b.HasWorker("a") {
-		t.Errorf("%d tasks stand at a node that changed hands, expected 2", h.Count)
+	if tasks := h.TasksOn("a"); tasks.Count != 2 || !h.IsRunning("t1") || !h.HasWorker("a") {
+		t.Errorf("%d tasks run at a worker that was assigned to another, want 2", tasks.Count)
 	}
-	if state := b.schedulerState("a"); state != placement.Foreign {
-		t.Errorf("another orchestrator's node is told to the module as %v", state)
+	if state := h.schedulerState("a"); state != placement.Foreign {
+		t.Errorf("another orchestrator's worker is listed to the scheduler as %v", state)
 	}
-	b.updateWorkers(placement.ListDelta, placement.Draining, "a")
-	if state := b.schedulerState("a"); state != placement.Draining {
-		t.Errorf("a node that drains is told to the module as %v", state)
+	h.updateWorkers(placement.ListDelta, placement.Draining, "a")
+	if state := h.schedulerState("a"); state != placement.Draining {
+		t.Errorf("a draining worker is listed to the scheduler as %v", state)
 	}
 }
-
-// schedulerState is the state in which a node would be told to the module.
-func (b *harness) schedulerState(node string) placement.WorkerState {
-	return b.listFilter.adjust(b.listFilter.listed[node]).State
-}
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -129,7 +129,7 @@
 	d.sendOffer(r, action)
 }
 
-// blockOffer tells the scheduler that its choice was not sent. Its choice breaks an invariant: the
+// blockOffer reports to the scheduler that its choice was not sent. Its choice breaks an invariant: the
 // scheduler is at fault.
 func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns how long before a client's timeout its response falls due: long enough for the
+// This file owns how long before a client's timeout its response is scheduled: long enough for the
 // response to travel and for a turn of the length that turns have, and no more responses at once than
 // can be written. It must never put a deadline later than the client's, and decides nothing else.
 
@@ -10,11 +10,11 @@
 	// turnDecayTime is in what time the longest turn counts for half as much.
 	turnDecayTime = 1 * second
 	maxTurn       = 250 * millisecond
-	// bucketLength and bucketCount are the grain and the reach of the counts of responses due. A
+	// bucketLength and bucketCount are the grain and the reach of the counts of scheduled responses. A
 	// longer timeout is not counted: nothing is known of that time.
 	bucketLength = 5 * millisecond
 	bucketCount  = 4096
-	// maxEarly bounds by how much a response is made due earlier for the others.
+	// maxEarly bounds by how much a response is scheduled earlier for the sake of others.
 	maxEarly = 200 * millisecond
 	// initialCost is what a response is taken to cost until turns have shown it, and maxCost
 	// what it may be learned to cost, in microseconds.
@@ -27,10 +27,10 @@
 	costGain            = 1.0 / 8
 )
 
-// responsePacer counts what falls due when, so that responses that fall due together are spread over
+// responsePacer counts the responses scheduled, so that those of one time are spread over
 // the time before.
 type responsePacer struct {
-	buckets     [bucketCount]uint16 // responses due, a ring over bucketLength each
+	buckets     [bucketCount]uint16 // responses scheduled, a ring over bucketLength each
 	firstBucket int64               // the first that still counts
 	longestTurn float64             // in microseconds, decaying
 	observedAt  int64
@@ -55,23 +55,23 @@
 	p.responded = 0
 }
 
-// reserve returns when the response to a client whose timeout ends at timeoutAt falls due, and counts it.
+// reserve returns when the response to a client whose timeout ends at timeoutAt is to be sent, and counts it.
 func (p *responsePacer) reserve(now, timeoutAt int64) int64 {
-	due := timeoutAt - responseTravelTime - int64(p.longestTurn)
+	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
-	bucket := due / bucketLength
+	bucket := at / bucketLength
 	if bucket < p.firstBucket || bucket >= p.firstBucket+bucketCount {
-		return due
+		return at
 	}
 	capacity := p.bucketCapacity()
 	earliest := max(p.firstBucket, bucket-maxEarly/bucketLength+1)
 	for b := bucket; b >= earliest; b-- {
 		if count := &p.buckets[b%bucketCount]; int(*count) < capacity {
 			*count++
-			return min(due, (b+1)*bucketLength-1)
+			return min(at, (b+1)*bucketLength-1)
 		}
 	}
-	return due
+	return at
 }
 
 // dropPast forgets the buckets before now.
@@ -86,7 +86,7 @@
 	}
 }
 
-// bucketCapacity is how many responses may fall due in one bucket: as many as half of its time is
+// bucketCapacity is how many responses may be scheduled in one bucket: as many as half of its time is
 // enough to write.
 func (p *responsePacer) bucketCapacity() int {
 	return max(1, int(bucketLength/2/max(minCost, p.cost)))
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -2,62 +2,68 @@
 
 import "testing"
 
-// Answers that fall due together are put earlier, in order, by what writing them
-// takes; none later than its owner's time.
-func TestAnswersDueTogether(t *testing.T) {
-	var s responsePacer
-	now, over := int64(1_000_000_000), int64(1_006_000_000)
-	s.observeTurn(now, 500)
-	perGrain := map[int64]int{}
-	least := over
+// pacerStart is a point in time at which the tests of the pacer start.
+const pacerStart = int64(1000 * second)
+
+// Responses that fall due together are made due earlier, in order, by what writing them
+// takes; none later than its client's timeout.
+func TestResponsesDueTogether(t *testing.T) {
+	var pacer responsePacer
+	timeoutAt := pacerStart + 6*second
+	pacer.observeTurn(pacerStart, 500)
+	perBucket := map[int64]int{}
+	earliest := timeoutAt
 	for range 2000 {
-		at := s.reserve(now, over)
-		if at > over-responseTravelTime {
-			t.Fatalf("due %d us before the end", over-at)
+		due := pacer.reserve(pacerStart, timeoutAt)
+		if due > timeoutAt-responseTravelTime {
+			t.Fatalf("due %d us before the timeout", timeoutAt-due)
 		}
-		perGrain[at/bucketLength]++
-		least = min(least, at)
+		perBucket[due/bucketLength]++
+		earliest = min(earliest, due)
 	}
-	for g, n := range perGrain {
-		if float64(n)*s.cost > bucketLength {
-			t.Errorf("%d answers of %.0f us in grain %d", n, s.cost, g)
+	for bucket, count := range perBucket {
+		if float64(count)*pacer.cost > bucketLength {
+			t.Errorf("%d responses of %.0f us in bucket %d", count, pacer.cost, bucket)
 		}
 	}
-	if early := over - least; early < 2000*int64(initialCost) || early > maxEarly+responseTravelTime {
-		t.Errorf("the first is due %d us before the end", early)
+	if early := timeoutAt - earliest; early < 2000*int64(initialCost) || early > maxEarly+responseTravelTime {
+		t.Errorf("the first is due %d us before the timeout", early)
 	}
-	if at := s.reserve(now, over+1_000_000); at < over+1_000_000-responseTravelTime-1000 {
-		t.Errorf("one alone is due %d us before its end", over+1_000_000-at)
+	later := timeoutAt + 1*second
+	if due := pacer.reserve(pacerStart, later); due < later-responseTravelTime-1*millisecond {
+		t.Errorf("a single one is due %d us before its timeout", later-due)
 	}
 }
 
 // A long turn is reckoned with, and forgotten.
 func TestLongTurns(t *testing.T) {
-	var s responsePacer
-	now := int64(1_000_000_000)
-	s.observeTurn(now, 40_000)
-	if at := s.reserve(now, now+6_000_000); at > now+6_000_000-responseTravelTime-40_000 {
-		t.Errorf("after a turn of 40 ms it is due %d us before the end", now+6_000_000-at)
+	var pacer responsePacer
+	now := pacerStart
+	pacer.observeTurn(now, 40*millisecond)
+	timeoutAt := now + 6*second
+	if due := pacer.reserve(now, timeoutAt); due > timeoutAt-responseTravelTime-40*millisecond {
+		t.Errorf("after a turn of 40 ms it is due %d us before the timeout", timeoutAt-due)
 	}
 	for range 100 {
-		now += 100_000
-		s.observeTurn(now, 200)
+		now += 100 * millisecond
+		pacer.observeTurn(now, 200)
 	}
-	if at := s.reserve(now, now+6_000_000); at < now+6_000_000-responseTravelTime-2000 {
-		t.Errorf("ten seconds later it is due %d us before the end", now+6_000_000-at)
+	timeoutAt = now + 6*second
+	if due := pacer.reserve(now, timeoutAt); due < timeoutAt-responseTravelTime-2*millisecond {
+		t.Errorf("ten seconds later it is due %d us before the timeout", timeoutAt-due)
 	}
 }
 
-// A wait that is nearly over, beyond the reach of the counts, or after a long silence
-// is due before its end all the same.
-func TestOddWaits(t *testing.T) {
-	var s responsePacer
-	now := int64(1_000_000_000)
-	for _, wait := range []int64{1, 5_000, 20_000, 30_000_000, 86_400_000_000} {
-		s.observeTurn(now, 100)
-		if at := s.reserve(now, now+wait); at > now+wait-responseTravelTime {
-			t.Errorf("a wait of %d: due %d us before its end", wait, now+wait-at)
+// A timeout that is nearly over, beyond the reach of the buckets, or after a long pause
+// is met all the same.
+func TestUnusualTimeouts(t *testing.T) {
+	var pacer responsePacer
+	now := pacerStart
+	for _, timeout := range []int64{1, 5 * millisecond, 20 * millisecond, 30 * second, 86_400 * second} {
+		pacer.observeTurn(now, 100)
+		if due := pacer.reserve(now, now+timeout); due > now+timeout-responseTravelTime {
+			t.Errorf("a timeout of %d: due %d us before its end", timeout, now+timeout-due)
 		}
-		now += 600_000_000
+		now += 600 * second
 	}
 }
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -5,10 +5,10 @@
 
 import "ravenhitch/placement"
 
-// maxCachedResponses bounds the final responses kept for submissions that may be repeated.
+// maxCachedResponses bounds the final responses cached for submissions that may be repeated.
 const maxCachedResponses = 4096
 
-// ResponseKind is what a client is told.
+// ResponseKind is the kind of a response.
 type ResponseKind int
 
 // The responses. Started, Rejected and Failed are final responses to a submission, Completed and
@@ -22,7 +22,7 @@
 	Cancelled // only to a repeated submission: its client cancelled the first
 )
 
-// Response is what a client is told of its request.
+// Response is what a client learns of its request.
 type Response struct {
 	Kind          ResponseKind
 	RequestID     string
@@ -35,7 +35,7 @@
 	Worker        string            // Started: where it runs
 }
 
-// respond tells the client of a request, and caches the final response to what may be repeated.
+// respond sends a response to the client of a request, and caches the final response to what may be repeated.
 func (d *Dispatcher) respond(r *request, response Response) {
 	response.RequestID = r.responseID
 	d.trace("response", r, "kind", response.Kind, "response_id", response.RequestID)
@@ -88,7 +88,7 @@
 	}
 }
 
-// responseCache keeps the latest final response under each request ID; the oldest request IDs make room.
+// responseCache holds the latest final response under each request ID; the oldest request IDs are evicted.
 type responseCache struct {
 	byRequestID map[string]Response
 	order       []string // request IDs, oldest first
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -15,7 +15,7 @@
 
 import "fmt"
 
-// state is where a request is on its way through the table.
+// state is the state of a request in the table.
 type state int
 
 const (
@@ -105,6 +105,7 @@
 	event stateEvent
 }
 
+// Error returns the event and the state.
 func (e *illegalTransitionError) Error() string {
 	return fmt.Sprintf("dispatch: event %q is illegal in state %q", e.event, e.from)
 }
--- /dev/null
+++ b/internal/dispatch/submit_test.go
@@ -0,0 +1,50 @@
+package dispatch
+
+import (
+	"testing"
+
+	"ravenhitch/placement"
+)
+
+// An adopted task needs no response to its submission, and none is owed where its client releases it.
+func TestAdopted(t *testing.T) {
+	h := newHarness(t)
+	h.updateWorkers(placement.ListFull, placement.Ready, "a")
+	for _, id := range []string{"t1", "t2"} {
+		for range 2 { // submitted twice, as the orchestrator may know it already
+			submission := Submission{RequestID: id, Class: "cut", Key: id, Cores: 1, Memory: 1, RunningOn: "a"}
+			if err := h.Submit(h.now, h, submission); err != nil {
+				t.Fatal(err)
+			}
+		}
+		h.running[id] = "a"
+	}
+	h.advance(100 * millisecond)
+	if h.Cancel(h.now, nil, "t1") != WasRunning {
+		t.Error("t1 did not run")
+	}
+	h.TaskEnded(h.now, "a", "t1", placement.Cancelled, 0)
+	h.endAttempt("t2", placement.Completed)
+	h.advance(100 * millisecond)
+	if len(h.received) != 1 || h.received[0].RequestID != "t2" || h.received[0].Kind != Completed {
+		t.Errorf("responses %v", h.received)
+	}
+	if counts := h.Counts(); counts.Adopted != 2 || counts.Requests != 0 {
+		t.Errorf("counts %+v", counts)
+	}
+}
+
+// What only the scheduler has a use for reaches it: whose task it is, how long it runs, that
+// it was submitted before.
+func TestSchedulerGetsWholeTask(t *testing.T) {
+	h := newHarness(t)
+	submission := Submission{RequestID: "9b1f03aa5c7e2d41", Class: "web", Key: "k", TimeoutUs: 5000 * millisecond, Cores: 1, Memory: 1,
+		Tenant: "studio", ExpectedRunUs: 4_409_900, Retry: true}
+	if err := h.Submit(h.now, h, submission); err != nil {
+		t.Fatal(err)
+	}
+	task, ok := h.events[len(h.events)-1].(placement.Request)
+	if !ok || task.Tenant != "studio" || !task.HasRunHint || task.ExpectedRunUs != 4_409_900 || !task.Retry {
+		t.Errorf("events %+v", h.events)
+	}
+}
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// Only tags with one of the endings are traced; without endings, all are.
+// Only request IDs with one of the suffixes are traced; without suffixes, all are.
 func TestTraced(t *testing.T) {
-	for _, x := range []struct {
-		endings []string
-		tag     string
-		want    bool
+	for _, c := range []struct {
+		suffixes  []string
+		requestID string
+		want      bool
 	}{
 		{nil, "6c74d45b160bf556", true},
 		{[]string{"160bf556"}, "6c74d45b160bf556", true},
@@ -20,29 +20,30 @@
 		{[]string{"42ac8ba6"}, "6c74d45b160bf556", false},
 		{[]string{"6c74d45b"}, "6c74d45b160bf556", false},
 	} {
-		if got := Traced(x.endings, x.tag); got != x.want {
-			t.Errorf("Traced(%v, %s) = %v", x.endings, x.tag, got)
+		if got := Traced(c.suffixes, c.requestID); got != c.want {
+			t.Errorf("Traced(%v, %s) = %v", c.suffixes, c.requestID, got)
 		}
 	}
 }
 
-// A step is written at debug level for a traced tag, and at no other level or tag.
+// A step is written at debug level for a traced request ID, and at no other level or request ID.
 func TestTracerStep(t *testing.T) {
-	for _, x := range []struct {
-		level   slog.Level
-		endings []string
-		want    bool
+	for _, c := range []struct {
+		level    slog.Level
+		suffixes []string
+		want     bool
 	}{
 		{slog.LevelDebug, nil, true},
 		{slog.LevelDebug, []string{"160bf556"}, true},
 		{slog.LevelDebug, []string{"42ac8ba6"}, false},
 		{slog.LevelInfo, nil, false},
 	} {
-		var b bytes.Buffer
-		tr := Tracer{Log: slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: x.level})), Suffixes: x.endings}
-		tr.Step("offer", "6c74d45b160bf556", 42, "worker", "s-1")
-		if got := strings.Contains(b.String(), "msg=offer request_id=6c74d45b160bf556 at_us=42 worker=s-1"); got != x.want {
-			t.Errorf("%v %v: wrote %q", x.level, x.endings, b.String())
+		var logged bytes.Buffer
+		handler := slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: c.level})
+		tracer := Tracer{Log: slog.New(handler), Suffixes: c.suffixes}
+		tracer.Step("offer", "6c74d45b160bf556", 42, "worker", "s-1")
+		if got := strings.Contains(logged.String(), "msg=offer request_id=6c74d45b160bf556 at_us=42 worker=s-1"); got != c.want {
+			t.Errorf("%v %v: wrote %q", c.level, c.suffixes, logged.String())
 		}
 	}
 }
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -52,7 +52,7 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// The list is followed without being asked for; the scheduler is told that it is.
+		// The list is followed without being asked for; this confirms it to the scheduler.
 		d.confirmList = false
 		d.event(placement.WorkerList{Kind: placement.ListDelta})
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-// migrate ends a running task, and tells its client to submit it again.
+// migrate ends a running task, and lets its client submit it again.
 func (d *Dispatcher) migrate(r *request) {
 	d.counts.Migrated++
 	d.respond(r, Response{Kind: Migrated})
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -11,7 +11,7 @@
 	// unclaimedRetention is how long such a completion is remembered: longer than clients take to
 	// notice that an orchestrator is gone.
 	unclaimedRetention = 60 * second
-	// maxUnclaimed bounds them: the oldest make room.
+	// maxUnclaimed bounds them: the oldest are evicted.
 	maxUnclaimed = 4096
 )
 
@@ -50,7 +50,7 @@
 	u.order = append(u.order, requestID)
 }
 
-// evict drops what is too old, and the oldest where there is no room for another.
+// evict drops what is too old, and the oldest where the limit is reached.
 func (u *unclaimedCompletions) evict(now int64) {
 	evicted := 0
 	for evicted < len(u.order) {
