--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -7,7 +7,8 @@
 const (
 	// responseTravelTime is taken off every timeout: a response travels back before it ends.
 	responseTravelTime = 10 * millisecond
-	// turnDecayTime is in what time the longest turn counts for half as much.
+	// turnDecayTime is in what time the longest turn counts for half as much, and maxTurn the
+	// longest turn that is taken into account.
 	turnDecayTime = 1 * second
 	maxTurn       = 250 * millisecond
 	// bucketLength and bucketCount are the grain and the reach of the counts of scheduled responses. A
@@ -24,11 +25,12 @@
 	minCost = initialCost / 4
 	// minResponsesForCost is from how many responses on a turn shows what one costs.
 	minResponsesForCost = 32
-	costGain            = 1.0 / 8
+	// costGain is the weight of one turn in the learned cost.
+	costGain = 1.0 / 8
 )
 
-// responsePacer counts the responses scheduled, so that those of one time are spread over
-// the time before.
+// responsePacer counts the responses that are scheduled. Where too many fall into one bucket, the
+// others are scheduled in the buckets before it.
 type responsePacer struct {
 	buckets     [bucketCount]uint16 // responses scheduled, a ring over bucketLength each
 	firstBucket int64               // the first that still counts
