--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -1,69 +1,78 @@
 package dispatch
 
-// This file remembers ends that nodes told of tasks which are not known here. A client hands a
-// task in as standing after the orchestrator that held it has gone, and a node tells its end on any
-// connection meanwhile, once: an end that comes first would leave the task standing for ever. It must
-// never end what a node did not name by its tag.
+// This file owns the unclaimed completions: those of tasks which are not known here. A client submits
+// a running task again after its orchestrator has gone, and a worker reports the completion on any
+// connection meanwhile, once: one that comes first would leave the task running for ever in the table.
+// It must never end a task that its worker did not name by its request ID.
 
 import "ravenhitch/placement"
 
 const (
-	// unclaimedFor is how long such an end is remembered: longer than clients take to notice that
-	// an orchestrator is gone.
-	unclaimedFor = 60_000_000
-	// unclaimedMost bounds them: the oldest make room.
-	unclaimedMost = 4096
+	// unclaimedRetention is how long such a completion is remembered: longer than clients take to
+	// notice that an orchestrator is gone.
+	unclaimedRetention = 60 * second
+	// maxUnclaimed bounds them: the oldest are evicted.
+	maxUnclaimed = 4096
 )
 
-// unclaimedEnd is the end of a task that nobody has handed in.
-type unclaimedEnd struct {
-	node   string
-	status placement.Outcome
-	why    placement.Cause
-	at     int64
+// unclaimedCompletion is the completion of a task that nobody has submitted here.
+type unclaimedCompletion struct {
+	worker  string
+	outcome placement.Outcome
+	cause   placement.Cause
+	at      int64
 }
 
-// unclaimedEnds are such ends by tag.
-type unclaimedEnds struct {
-	byTag map[string]unclaimedEnd
-	tags  []string // oldest first
+// unclaimedCompletions are such completions by request ID.
+type unclaimedCompletions struct {
+	byRequestID map[string]unclaimedCompletion
+	order       []string // request IDs, oldest first
 }
 
-// UnknownTaskEnded takes a node's word that a task has ended which is not known here.
-func (c *Dispatcher) UnknownTaskEnded(now int64, node, tag string, st placement.Outcome, why placement.Cause) {
-	switch st {
-	case placement.Completed, placement.Cancelled, placement.Reset:
-		c.unclaimed.add(tag, unclaimedEnd{node, st, why, now})
+func newUnclaimedCompletions() unclaimedCompletions {
+	return unclaimedCompletions{byRequestID: map[string]unclaimedCompletion{}}
+}
+
+// UnknownTaskEnded takes a worker's report that a task has ended which is not known here.
+func (d *Dispatcher) UnknownTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
+	if isTaskOutcome(outcome) {
+		d.unclaimed.add(requestID, unclaimedCompletion{worker, outcome, cause, now})
 	}
 }
 
-func (u *unclaimedEnds) add(tag string, e unclaimedEnd) {
-	if _, there := u.byTag[tag]; there {
+// add remembers a completion; the first of a request ID counts.
+func (u *unclaimedCompletions) add(requestID string, completion unclaimedCompletion) {
+	if _, known := u.byRequestID[requestID]; known {
 		return
 	}
-	u.forget(e.at)
-	u.byTag[tag] = e
-	u.tags = append(u.tags, tag)
+	u.evict(completion.at)
+	u.byRequestID[requestID] = completion
+	u.order = append(u.order, requestID)
 }
 
-// forget lets go of what is too old, and of the oldest where there are too many.
-func (u *unclaimedEnds) forget(now int64) {
-	n := 0
-	for n < len(u.tags) && (len(u.tags)-n >= unclaimedMost || now-u.byTag[u.tags[n]].at > unclaimedFor) {
-		delete(u.byTag, u.tags[n])
-		n++
+// evict drops what is too old, and the oldest where the limit is reached.
+func (u *unclaimedCompletions) evict(now int64) {
+	evicted := 0
+	for evicted < len(u.order) {
+		oldest := u.order[evicted]
+		isFull := len(u.order)-evicted >= maxUnclaimed
+		if !isFull && now-u.byRequestID[oldest].at <= unclaimedRetention {
+			break
+		}
+		delete(u.byRequestID, oldest)
+		evicted++
 	}
-	u.tags = u.tags[n:]
+	u.order = u.order[evicted:]
 }
 
-// claim ends a task that was handed in as standing, at the next turn, where its node has told its end
-// before.
-func (c *Dispatcher) claim(r *request) {
-	e, ok := c.unclaimed.byTag[r.RequestID]
-	if !ok || e.node != r.node || c.now-e.at > unclaimedFor {
+// claimCompletion ends an adopted task, at the next turn, where its worker has reported its
+// completion before.
+func (d *Dispatcher) claimCompletion(r *request) {
+	completion, ok := d.unclaimed.byRequestID[r.RequestID]
+	if !ok || completion.worker != r.worker || d.now-completion.at > unclaimedRetention {
 		return
 	}
-	c.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.node)
-	r.endAs, r.endWhy = e.status, e.why
-	c.arm(r, c.now+1)
+	d.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.worker)
+	r.endOutcome, r.endCause = completion.outcome, completion.cause
+	d.arm(r, d.now+1)
 }
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -111,8 +111,8 @@
 		pool.loop.RunAgain()
 		return
 	}
-	if why := pool.dispatcher.CheckOffer(pool.loop.Now(), worker, requestID); why != "" {
-		pool.trace("offer not sent", requestID, "worker", worker, "cause", why)
+	if err := pool.dispatcher.CheckOffer(pool.loop.Now(), worker, requestID); err != nil {
+		pool.trace("offer not sent", requestID, "worker", worker, "cause", err)
 		c.removeOffer(offer)
 		pool.reportLater(func() {
 			pool.dispatcher.TaskEnded(pool.loop.Now(), worker, requestID, placement.NeverSent, placement.CauseUnknown)
