--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -1,12 +1,12 @@
 package backpressure
 
-// This file owns the calendar: how many units were told to come back when. It books
-// no caller twice and forgets what is past: a place that nobody used is others'.
+// This file owns the slot calendar: how many units are expected to return when. It must
+// never count what is past: a slot that its client did not use is free for others.
 
 const (
-	slotUs   = int64(100_000)
-	slotsAll = 1024 // some 100 s ahead
-	// graceSlots is how long a return may be late before its place goes to others.
+	slotUs        = int64(100_000)
+	calendarSlots = 1024 // some 100 s ahead
+	// graceSlots is how late a return may be before its slot goes to others.
 	graceSlots = 5
 )
 
@@ -18,18 +18,25 @@
 	base    int64     // the first slot that still counts
 }
 
+// newCalendar returns an empty calendar.
 func newCalendar(classes int) *calendar {
-	return &calendar{classes: classes, units: make([]float32, slotsAll*classes), sums: make([]float64, classes), base: -1}
+	return &calendar{
+		classes: classes,
+		units:   make([]float32, calendarSlots*classes),
+		sums:    make([]float64, classes),
+		base:    -1,
+	}
 }
 
+// at returns the units of a class in a slot.
 func (c *calendar) at(slot int64, class int) *float32 {
-	return &c.units[int(slot%slotsAll)*c.classes+class]
+	return &c.units[int(slot%calendarSlots)*c.classes+class]
 }
 
-// advance drops what is past.
+// advance drops past slots.
 func (c *calendar) advance(now int64) {
 	first := now/slotUs - graceSlots
-	if c.base < 0 || first-c.base >= slotsAll {
+	if c.base < 0 || first-c.base >= calendarSlots {
 		clear(c.units)
 		clear(c.sums)
 		c.base = max(c.base, first)
@@ -37,50 +44,50 @@
 	}
 	for ; c.base < first; c.base++ {
 		for class := range c.classes {
-			u := c.at(c.base, class)
-			c.sums[class] = max(0, c.sums[class]-float64(*u))
-			*u = 0
+			units := c.at(c.base, class)
+			c.sums[class] = max(0, c.sums[class]-float64(*units))
+			*units = 0
 		}
 	}
 }
 
-// reserve books units of a class in the first slot from 'from' on that still has
-// room for them at such a rate, and returns the slot. Where all are full, it is the
-// last: that caller will be told anew.
+// reserve reserves units of a class in the first slot from a time on that has capacity
+// left at a release rate, and returns the slot. If all slots are full it is the last one:
+// its client will be rejected again.
 func (c *calendar) reserve(now, from int64, class int, units, rate float64) int64 {
 	first := max(from, now)/slotUs + 1
-	last := c.base + slotsAll - 1
+	last := c.base + calendarSlots - 1
 	slot := min(first, last)
-	most := rate * float64(slotUs) / float64(second)
+	capacity := rate * float64(slotUs) / float64(second)
 	for ; slot < last; slot++ {
 		var sum float64
-		for k := range c.classes {
-			sum += float64(*c.at(slot, k))
+		for other := range c.classes {
+			sum += float64(*c.at(slot, other))
 		}
-		if sum == 0 || sum+units <= most {
+		if sum == 0 || sum+units <= capacity {
 			break
 		}
 	}
-	c.put(slot, class, units)
+	c.add(slot, class, units)
 	return slot
 }
 
-// put books units in a slot, full or not.
-func (c *calendar) put(slot int64, class int, units float64) {
+// add reserves units in a slot, full or not.
+func (c *calendar) add(slot int64, class int, units float64) {
 	*c.at(slot, class) += float32(units)
 	c.sums[class] += units
 }
 
-// cancel takes a booking back, unless it is past.
+// cancel frees reserved units, unless their slot is past.
 func (c *calendar) cancel(class int, slot int64, units float64) {
-	if class >= c.classes || slot < c.base || slot >= c.base+slotsAll {
+	if class >= c.classes || slot < c.base || slot >= c.base+calendarSlots {
 		return
 	}
-	u := c.at(slot, class)
-	v := min(units, float64(*u))
-	*u -= float32(v)
-	c.sums[class] = max(0, c.sums[class]-v)
+	reserved := c.at(slot, class)
+	freed := min(units, float64(*reserved))
+	*reserved -= float32(freed)
+	c.sums[class] = max(0, c.sums[class]-freed)
 }
 
-// booked is how many units of a class are to come back.
-func (c *calendar) booked(class int) float64 { return c.sums[class] }
+// reserved returns the units of a class in all slots.
+func (c *calendar) reserved(class int) float64 { return c.sums[class] }
--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/controller_test.go
@@ -92,7 +92,7 @@
 	for i := range 500 {
 		st.Rejected(now, Request{Key: uint64(100 + i), Class: 0, Units: 1, TimeoutUs: second})
 	}
-	booked := st.cal.booked(0)
+	booked := st.calendar.reserved(0)
 	for range 10 {
 		now += second / 10
 		st.SetPending(now, []float64{300, 0, 0})
@@ -104,7 +104,7 @@
 			t.Errorf("told to come at %.2f s, then at %.2f s", float64(first-begin)/1e6, float64(again-begin)/1e6)
 		}
 	}
-	if now := st.cal.booked(0); now > booked+0.01 {
+	if now := st.calendar.reserved(0); now > booked+0.01 {
 		t.Errorf("%.1f units are booked, %.1f before", now, booked)
 	}
 }
@@ -117,10 +117,10 @@
 		wait := st.Rejected(now, c)
 		st.Requested(now+wait/3, c)
 	}
-	if h := st.stay[0]; h < 0.28 || h > 0.4 {
+	if h := st.compliance[0]; h < 0.28 || h > 0.4 {
 		t.Errorf("learned %.2f of 0.33", h)
 	}
-	if st.stay[1] != 1 {
+	if st.compliance[1] != 1 {
 		t.Error("another class learned from it")
 	}
 }
@@ -180,11 +180,11 @@
 			}
 			for i := range s.Classes {
 				var sum float64
-				for slot := range int64(slotsAll) {
-					sum += float64(*st.cal.at(slot, i))
+				for slot := range int64(calendarSlots) {
+					sum += float64(*st.calendar.at(slot, i))
 				}
-				if d := sum - st.cal.booked(i); d > 0.1 || d < -0.1 {
-					t.Fatalf("class %d: %.2f booked, %.2f in the slots", i, st.cal.booked(i), sum)
+				if d := sum - st.calendar.reserved(i); d > 0.1 || d < -0.1 {
+					t.Fatalf("class %d: %.2f booked, %.2f in the slots", i, st.calendar.reserved(i), sum)
 				}
 			}
 		}
@@ -331,16 +331,16 @@
 				x.feed(st, now, i)
 				st.SetPending(now, []float64{float64(i), 0, 0})
 				st.Tick(now)
-				if st.watch.state == Stormy {
-					kind = st.watch.kind
+				if st.detector.state == Overloaded {
+					kind = st.detector.kind
 				}
 			}
 			if kind != x.want {
 				t.Errorf("it was taken for %s", kind)
 			}
 			st.SetPending(now, nil)
-			if last := calm(8); last.To != Calm || last.Why == "" || st.watch.state != Calm {
-				t.Errorf("afterwards it is %s by %+v", st.watch.state, last)
+			if last := calm(8); last.To != Calm || last.Why == "" || st.detector.state != Calm {
+				t.Errorf("afterwards it is %s by %+v", st.detector.state, last)
 			}
 		})
 	}
@@ -388,7 +388,7 @@
 	s := settings()
 	s.Callers = 4096
 	st, now := saturated(s, 100, 10)
-	entries := len(st.book.entries)
+	entries := len(st.waitlist.entries)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 1_000_000 {
 		now += 20
@@ -398,7 +398,7 @@
 			t.Fatalf("told %d", wait)
 		}
 	}
-	if len(st.book.entries) != entries {
+	if len(st.waitlist.entries) != entries {
 		t.Error("the book grew")
 	}
 }
@@ -451,7 +451,7 @@
 			st.SetPending(now, []float64{float64(len(queue)), 0})
 		}
 		worst = max(worst, float64(now-begin)/float64(60*second))
-		bytes += float64(len(st.book.entries)*12 + len(st.cal.units)*4)
+		bytes += float64(len(st.waitlist.entries)*12 + len(st.calendar.units)*4)
 	}
 	return worst, decisions, bytes / float64(n)
 }
--- /dev/null
+++ b/internal/backpressure/hash.go
@@ -0,0 +1,18 @@
+package backpressure
+
+// This file owns the hash of keys, programs and connections. It must never change: which
+// keys share a bucket follows from it.
+
+// hashBuckets is the number of buckets in which programs and connections are counted.
+const hashBuckets = 256
+
+// hash spreads keys, which may be numbered in order (the finalizer of SplitMix64).
+func hash(x uint64) uint64 {
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
+
+// hashBucket returns the bucket of a program or connection.
+func hashBucket(id uint64) int { return int(hash(id) % hashBuckets) }
