--- /dev/null
+++ b/internal/backpressure/benchmark_test.go
@@ -0,0 +1,135 @@
+package backpressure
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// retryStorm simulates an orchestrator whose clients all come within a second, with a
+// minute's work: they are queued for at most six seconds, and return when they are told to.
+type retryStorm struct {
+	controller *Controller
+	rate       float64 // units a second that are released
+	arrivals   [1 << 14][]arrival
+	queue      []uint64 // keys of pending requests
+	capacity   float64  // units that are free
+	remaining  int      // clients whose task has not started
+	decisions  int
+}
+
+// arrival is a request of a client.
+type arrival struct {
+	at  int64
+	key uint64
+}
+
+// newRetryStorm returns a storm of so many clients.
+func newRetryStorm(rng *rand.Rand, clients int, seed uint64) *retryStorm {
+	s := &retryStorm{
+		controller: New(Settings{
+			Classes:         []Class{{"guide-web", 1}, {"live-relay", 3}},
+			MaxRetryAfterUs: 600 * second,
+			Callers:         clients,
+		}, seed),
+		rate:      float64(clients) / 60,
+		remaining: clients,
+	}
+	for i := range clients {
+		at := int64(rng.Float64() * float64(second))
+		s.arrivals[at/slotUs] = append(s.arrivals[at/slotUs], arrival{testStart + at, uint64(i)})
+	}
+	return s
+}
+
+// run plays the storm until all tasks have started, and returns how long that took.
+func (s *retryStorm) run() (took int64) {
+	var now int64
+	for slot := 0; s.remaining > 0 && slot < len(s.arrivals); slot++ {
+		now = testStart + int64(slot)*slotUs
+		for _, a := range s.arrivals[slot] {
+			s.request(max(now, a.at), a.key)
+		}
+		s.start(now)
+		s.controller.SetPending(now, []float64{float64(len(s.queue)), 0})
+	}
+	return now - testStart
+}
+
+// request takes a request, or rejects it when the queue is full.
+func (s *retryStorm) request(now int64, key uint64) {
+	r := Request{Key: key, Class: int(key % 2), Units: 1, TimeoutUs: 6 * second}
+	s.controller.Requested(now, r)
+	s.decisions++
+	if float64(len(s.queue)) < s.rate*6 {
+		s.queue = append(s.queue, key)
+		return
+	}
+	wait := s.controller.Rejected(now, r)
+	s.decisions++
+	slot := int(now+wait-testStart)/int(slotUs) + 1
+	i := slot % len(s.arrivals)
+	s.arrivals[i] = append(s.arrivals[i], arrival{testStart + int64(slot)*slotUs, key})
+}
+
+// start starts as many pending tasks as one slot releases capacity for.
+func (s *retryStorm) start(now int64) {
+	s.capacity = min(s.capacity+s.rate*seconds(slotUs), s.rate)
+	for len(s.queue) > 0 && s.capacity >= 1 {
+		s.capacity--
+		s.remaining--
+		s.controller.Started(now, Request{Key: s.queue[0], Class: int(s.queue[0] % 2), Units: 1})
+		s.queue = s.queue[1:]
+	}
+}
+
+// runRetryStorms plays so many clients against 50 orchestrators. It returns how long the
+// slowest took against its work over the release rate, and the memory of a client.
+func runRetryStorms(clients int, seed uint64) (ratio float64, decisions int, bytesPerClient float64) {
+	const orchestrators = 50
+	rng := rand.New(rand.NewPCG(seed, 9))
+	var bytes float64
+	for i := range orchestrators {
+		storm := newRetryStorm(rng, clients/orchestrators, seed+uint64(i))
+		ratio = max(ratio, float64(storm.run())/float64(60*second))
+		decisions += storm.decisions
+		bytes += float64(len(storm.controller.waitlist.entries)*12 + len(storm.controller.calendar.units)*4)
+	}
+	return ratio, decisions, bytes / float64(clients)
+}
+
+func BenchmarkClients(b *testing.B) {
+	for _, clients := range []int{100_000, 1_000_000} {
+		b.Run(fmt.Sprint(clients), func(b *testing.B) {
+			b.ReportAllocs()
+			var ratio, bytes float64
+			var decisions int
+			for i := range b.N {
+				ratio, decisions, bytes = runRetryStorms(clients, uint64(i))
+			}
+			b.ReportMetric(ratio, "settled/bound")
+			b.ReportMetric(bytes, "B/caller")
+			b.ReportMetric(float64(decisions)/float64(clients), "decisions/caller")
+		})
+	}
+}
+
+// BenchmarkDecision measures a request and its rejection, amid a million other clients.
+func BenchmarkDecision(b *testing.B) {
+	s := testSettings()
+	s.Callers = 1 << 20
+	c, now := saturated(s, 1000, 1000)
+	rng := rand.New(rand.NewPCG(1, 2))
+	keys := make([]uint64, 1<<20)
+	for i := range keys {
+		keys[i] = rng.Uint64()
+	}
+	b.ReportAllocs()
+	b.ResetTimer()
+	for i := range b.N {
+		now++
+		r := Request{Key: keys[i&(1<<20-1)], Class: i % 3, Units: 1, TimeoutUs: 6 * second}
+		c.Requested(now, r)
+		c.Rejected(now, r)
+	}
+}
