--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -1,70 +1,100 @@
-// Package manage owns what operators' staff may ask of a running orchestrator, and what
-// stays of it: the form of calls and answers, the figures, and which minions are out by
-// hand. It must never decide where a task goes, and holds no socket and no clock.
+// Package admin owns what operators may ask of a running orchestrator: the connections of
+// operators, the form of calls and replies, the figures, and the list of cordoned workers.
+// It must never decide where a task goes.
 package admin
 
+// This file owns the form of calls and of the replies that carry no figures. It must never
+// carry a call out.
+
 import (
-	"errors"
 	"fmt"
 	"strings"
 )
 
-// MaxCallLength is the longest call, its line feed included.
+// MaxCallLength is the length of the longest call in bytes, its line feed included.
 const MaxCallLength = 512
 
+// maxWorkerIDLength bounds the ID of a worker, in bytes.
+const maxWorkerIDLength = 128
+
 // Verb is what a call asks for.
 type Verb string
 
 // The calls.
 const (
-	Health  Verb = "HEALTH"
-	Dump    Verb = "DUMP"
-	Offline Verb = "OFFLINE"
-	Online  Verb = "ONLINE"
-	Peers   Verb = "PEERS"
+	Health  Verb = "HEALTH"  // whether the orchestrator is ready
+	Dump    Verb = "DUMP"    // the figures
+	Offline Verb = "OFFLINE" // cordon a worker
+	Online  Verb = "ONLINE"  // uncordon a worker
+	Peers   Verb = "PEERS"   // the members of the cluster
 )
 
-// Call is one line of a caller.
+// callForms lists the calls, as operators are told.
+const callForms = "HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID"
+
+// Call is one call of an operator.
 type Call struct {
 	Verb Verb
-	ID   string // of a minion, with Offline and Online
+	ID   string // of a worker, for Offline and Online
 }
 
-// ErrCall is wrapped by what is wrong with a call.
-var ErrCall = errors.New("malformed call")
+// CallError is a malformed call. Its text is part of the reply.
+type CallError struct {
+	Verb      Verb   // "" if there is none or it is unknown
+	Want, Got string // Got is "" if Want says it all
+}
 
-// idMost bounds the name of a minion.
-const idMost = 128
+// Error implements error.
+func (e *CallError) Error() string {
+	text := "malformed call: "
+	if e.Verb != "" {
+		text += string(e.Verb) + ": "
+	}
+	text += "expected " + e.Want
+	if e.Got != "" {
+		text += ", got " + e.Got
+	}
+	return text
+}
 
-// ParseCall reads a line, with or without its line feed.
+// ParseCall parses a line, with or without its line feed. Its error is a *CallError.
 func ParseCall(line string) (Call, error) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Call{}, fmt.Errorf("%w: expected HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID, got an empty line", ErrCall)
+		return Call{}, &CallError{Want: callForms, Got: "an empty line"}
 	}
-	c, want := Call{Verb: Verb(words[0])}, 1
-	switch c.Verb {
+	verb := Verb(words[0])
+	wantWords := 1
+	switch verb {
 	case Health, Dump, Peers:
 	case Offline, Online:
-		want = 2
+		wantWords = 2
 	default:
-		return Call{}, fmt.Errorf("%w: expected HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID, got %.40q", ErrCall, words[0])
+		return Call{}, &CallError{Want: callForms, Got: fmt.Sprintf("%.40q", words[0])}
 	}
-	if len(words) != want {
-		return Call{}, fmt.Errorf("%w: %s: expected %d words, got %d", ErrCall, c.Verb, want, len(words))
+	if len(words) != wantWords {
+		return Call{}, &CallError{Verb: verb, Want: fmt.Sprintf("%d words", wantWords), Got: fmt.Sprint(len(words))}
 	}
-	if want == 2 {
-		if c.ID = words[1]; len(c.ID) > idMost || strings.ContainsFunc(c.ID, func(r rune) bool { return r < ' ' || r == 0x7f }) {
-			return Call{}, fmt.Errorf("%w: %s: expected the id of a minion, of 1 to %d bytes", ErrCall, c.Verb, idMost)
-		}
+	if wantWords == 1 {
+		return Call{Verb: verb}, nil
+	}
+	if !validWorkerID(words[1]) {
+		return Call{}, &CallError{Verb: verb, Want: fmt.Sprintf("the id of a minion, of 1 to %d bytes", maxWorkerIDLength)}
 	}
-	return c, nil
+	return Call{Verb: verb, ID: words[1]}, nil
+}
+
+// validWorkerID reports whether a word may be the ID of a worker.
+func validWorkerID(id string) bool {
+	isControl := func(r rune) bool { return r < ' ' || r == 0x7f }
+	return len(id) <= maxWorkerIDLength && !strings.ContainsFunc(id, isControl)
 }
 
-// OKReply is the answer to a call that was carried out.
+// OKReply returns the reply to a call that was carried out.
 func OKReply() []byte { return []byte("+OK\n") }
 
-// ErrorReply is the answer to one that was not. Its reason is kept to one line.
+// ErrorReply returns the reply to a call that was not carried out. The reason is put on
+// one line.
 func ErrorReply(reason string) []byte {
 	reason = strings.Map(func(r rune) rune {
 		if r < ' ' {
--- /dev/null
+++ b/internal/admin/cordons.go
@@ -0,0 +1,81 @@
+package admin
+
+// This file owns the list of cordoned workers, and the form of the file that carries it
+// from one process to the next. It must never take a file that it can't read for an empty
+// list: that would uncordon a worker that an operator cordoned.
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// The first and the last line of the file. A file that was cut short lacks the last one.
+const (
+	cordonsHeader  = "ravenhitch minions out by hand, 1"
+	cordonsTrailer = "end"
+)
+
+// Cordons are the IDs of the cordoned workers.
+type Cordons map[string]bool
+
+// With returns the cordons after a call; c stays as it is. Cordoning twice is the same as
+// once, and one Online undoes any number of Offline.
+func (c Cordons) With(call Call) Cordons {
+	after := maps.Clone(c)
+	if after == nil {
+		after = Cordons{}
+	}
+	switch call.Verb {
+	case Offline:
+		after[call.ID] = true
+	case Online:
+		delete(after, call.ID)
+	}
+	return after
+}
+
+// Encode returns the text of the file: the header, the IDs in order, the trailer.
+func (c Cordons) Encode() []byte {
+	lines := append([]string{cordonsHeader}, slices.Sorted(maps.Keys(c))...)
+	return []byte(strings.Join(append(lines, cordonsTrailer, ""), "\n"))
+}
+
+// CordonsError is an invalid line of the file of cordoned workers.
+type CordonsError struct {
+	Path string
+	Line int
+	Want string
+	Got  string // quoted, "" if Want says it all
+}
+
+// Error implements error.
+func (e *CordonsError) Error() string {
+	text := fmt.Sprintf("%s:%d: expected %s", e.Path, e.Line, e.Want)
+	if e.Got != "" {
+		text += ", got " + e.Got
+	}
+	return text
+}
+
+// DecodeCordons parses the text of the file at path; an empty one holds no IDs. Its error
+// is a *CordonsError.
+func DecodeCordons(path string, text []byte) (Cordons, error) {
+	cordons := Cordons{}
+	if len(text) == 0 {
+		return cordons, nil
+	}
+	lines := strings.Split(string(text), "\n")
+	count := len(lines) // with the empty one after the last line feed
+	if lines[0] != cordonsHeader || count < 3 || lines[count-1] != "" || lines[count-2] != cordonsTrailer {
+		return nil, &CordonsError{Path: path, Line: count, Want: fmt.Sprintf("%q first and %q last", cordonsHeader, cordonsTrailer)}
+	}
+	for i, id := range lines[1 : count-2] {
+		if call, err := ParseCall(string(Offline) + " " + id); err != nil || call.ID != id {
+			return nil, &CordonsError{Path: path, Line: i + 2, Want: "the id of a minion", Got: fmt.Sprintf("%.40q", id)}
+		}
+		cordons[id] = true
+	}
+	return cordons, nil
+}
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -1,29 +1,29 @@
 package admin
 
-import "encoding/json"
-
 // This file owns the form of the figures. It must never round or guess one.
 
-// Class is what became of the requests of one class since the start.
+import "encoding/json"
+
+// Class counts the responses to requests of one class since the start.
 type Class struct {
-	OK     int64 `json:"ok"`     // served
-	Shed   int64 `json:"shed"`   // refused
+	OK     int64 `json:"ok"`     // started
+	Shed   int64 `json:"shed"`   // rejected
 	Errors int64 `json:"errors"` // failed
 }
 
-// Figures are what DUMP tells.
+// Figures are the figures in the reply to Dump.
 type Figures struct {
-	Responses map[string]Class `json:"responses"`
-	Attempts  int64            `json:"tries"`        // attempts written whole to minions
-	Active    int              `json:"active"`       // requests taken and not ended
-	Pool      int              `json:"pool_size"`    // minions on the list
-	Ejected   int              `json:"pool_ejected"` // of these, the ones avoided by hand or by choice
+	Responses map[string]Class `json:"responses"`    // by name of the class
+	Attempts  int64            `json:"tries"`        // offers sent to workers
+	Active    int              `json:"active"`       // requests without a response, and running tasks
+	Pool      int              `json:"pool_size"`    // workers on the list
+	Ejected   int              `json:"pool_ejected"` // of these, the cordoned and the suspected ones
 }
 
-// Reply is the answer to DUMP: the figures as one line of JSON, then a line ".".
+// Reply returns the reply to Dump: the figures as one line of JSON, then a line ".".
 func (f Figures) Reply() []byte {
 	b, err := json.Marshal(f)
-	if err != nil { // no figure is a float: this can't happen
+	if err != nil { // impossible: Marshal fails on floats only, and no figure is one
 		return ErrorReply(err.Error())
 	}
 	return append(b, "\n.\n"...)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -1,8 +1,8 @@
 package admin
 
-// This file owns the connections of operators: one call of one line each, one answer, and
-// the close. It must never hold a request of an owner back, nor let operators' connections
-// that send nothing take the place of one that does.
+// This file owns the connections of operators: one call of one line each, one reply, then
+// the close. It must never delay a request of a client, nor let connections that send
+// nothing take the place of one that sends a call.
 
 import (
 	"bytes"
@@ -15,41 +15,46 @@
 )
 
 const (
-	// maxAdminConns is how many connections are open at a time; the oldest one that has not
-	// sent its whole call makes room.
-	maxAdminConns = 24
-	// adminCallTimeout is how long a connection may take for its call.
-	adminCallTimeout = 10_000_000
+	second = 1_000_000 // microseconds
+
+	// maxConnections is how many connections are open at a time. For a further one, the
+	// oldest one without a whole call is closed.
+	maxConnections = 24
+	// callTimeoutUs is how long a connection may take to send its call.
+	callTimeoutUs = 10 * second
 )
 
-// Handler carries out a call of an operator. It is called on the loop, once for each
-// whole call, and may answer later, but on the loop.
-type Handler func(call Call, answer func([]byte))
+// Handler carries out a call of an operator. It is called on the event loop, once for each
+// valid call. It calls reply once, on the loop, at once or later.
+type Handler func(call Call, reply func([]byte))
 
-// Listener takes operators' calls.
+// Listener accepts connections of operators.
 type Listener struct {
-	l      *eventloop.Loop
-	log    *ratelog.Logger
-	handle Handler
-	open   []*adminConn // oldest first
+	loop    *eventloop.Loop
+	log     *ratelog.Logger
+	handler Handler
+	open    []*connection // oldest first
 }
 
-// NewListener returns a listener that hands calls to handle.
-func NewListener(l *eventloop.Loop, log *slog.Logger, handle Handler) *Listener {
-	return &Listener{l: l, log: ratelog.New(log), handle: handle}
+// NewListener returns a listener that hands calls to handler.
+func NewListener(loop *eventloop.Loop, log *slog.Logger, handler Handler) *Listener {
+	return &Listener{loop: loop, log: ratelog.New(log), handler: handler}
 }
 
-// Listen starts to take calls, and returns the address in use.
-func (a *Listener) Listen(addr string) (string, error) {
-	return a.l.Listen(addr, a.room, func() eventloop.Handler { return &adminConn{listener: a} })
+// Listen starts to accept connections, and returns the address in use. The loop closes
+// the socket when it ends.
+func (l *Listener) Listen(addr string) (string, error) {
+	accept := func() eventloop.Handler { return &connection{listener: l} }
+	return l.loop.Listen(addr, l.ensureCapacity, accept)
 }
 
-// room reports whether another connection can be taken, and ends one for it where need be.
-func (a *Listener) room() bool {
-	if len(a.open) < maxAdminConns {
+// ensureCapacity reports whether another connection can be accepted, and closes an idle one for
+// it if need be.
+func (l *Listener) ensureCapacity() bool {
+	if len(l.open) < maxConnections {
 		return true
 	}
-	for _, c := range a.open {
+	for _, c := range l.open {
 		if !c.called {
 			c.close()
 			return true
@@ -58,62 +63,69 @@
 	return false
 }
 
-// adminConn is one connection of an operator.
-type adminConn struct {
+// connection is one connection of an operator. It implements eventloop.Handler.
+type connection struct {
 	listener *Listener
 	conn     *eventloop.Conn
 	called   bool // its whole call has come
 	timer    *eventloop.Timer
 }
 
-// Opened implements loop.Handler.
-func (c *adminConn) Opened(conn *eventloop.Conn) {
+// Opened implements eventloop.Handler.
+func (c *connection) Opened(conn *eventloop.Conn) {
 	c.conn = conn
 	c.listener.open = append(c.listener.open, c)
-	c.timer = c.listener.l.After(adminCallTimeout, c.close)
+	c.timer = c.listener.loop.After(callTimeoutUs, c.close)
 }
 
-// Closed implements loop.Handler.
-func (c *adminConn) Closed(*eventloop.Conn, error) { c.forget() }
-
-// forget takes the connection off the list of those that are open.
-func (c *adminConn) forget() {
-	c.timer.Stop()
-	if i := slices.Index(c.listener.open, c); i >= 0 {
-		c.listener.open = slices.Delete(c.listener.open, i, i+1)
-	}
-}
+// Closed implements eventloop.Handler.
+func (c *connection) Closed(*eventloop.Conn, error) { c.remove() }
 
-func (c *adminConn) close() {
-	c.forget()
-	c.conn.Close()
-}
-
-func (c *adminConn) answer(b []byte) {
-	c.conn.Write(b)
-	c.close()
-}
-
-// Data implements loop.Handler.
-func (c *adminConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
+// Data implements eventloop.Handler.
+func (c *connection) Data(_ *eventloop.Conn, data []byte) (used int, err error) {
 	if c.called {
-		return len(b), nil // one call a connection
+		return len(data), nil // one call a connection
 	}
-	end := bytes.IndexByte(b, '\n')
-	if end < 0 && len(b) <= MaxCallLength {
+	end := bytes.IndexByte(data, '\n')
+	if end < 0 && len(data) <= MaxCallLength {
 		return 0, nil
 	}
 	c.called = true
 	if end < 0 || end >= MaxCallLength {
-		c.answer(ErrorReply(fmt.Sprintf("expected a call of at most %d bytes", MaxCallLength)))
-		return len(b), nil
+		c.reply(ErrorReply(fmt.Sprintf("expected a call of at most %d bytes", MaxCallLength)))
+		return len(data), nil
 	}
-	call, err := ParseCall(string(b[:end]))
+	c.handle(string(data[:end]))
+	return len(data), nil
+}
+
+// handle hands a call to the handler, or replies that it is malformed.
+func (c *connection) handle(line string) {
+	call, err := ParseCall(line)
 	if err != nil {
 		c.listener.log.Warn("malformed admin call", "err", err)
-		c.answer(ErrorReply(err.Error()))
-		return len(b), nil
+		c.reply(ErrorReply(err.Error()))
+		return
+	}
+	c.listener.handler(call, c.reply)
+}
+
+// reply writes the reply and closes the connection.
+func (c *connection) reply(b []byte) {
+	c.conn.Write(b)
+	c.close()
+}
+
+// close closes the connection.
+func (c *connection) close() {
+	c.remove()
+	c.conn.Close()
+}
+
+// remove stops the timer and takes the connection off the list of open ones.
+func (c *connection) remove() {
+	c.timer.Stop()
+	if i := slices.Index(c.listener.open, c); i >= 0 {
+		c.listener.open = slices.Delete(c.listener.open, i, i+1)
 	}
-	c.listener.handle(call, c.answer)
-	return len(b), nil
 }
