--- /dev/null
+++ b/internal/config/directives.go
@@ -0,0 +1,283 @@
+package config
+
+// This file owns the directives of the operators' file: which ones each section takes, and
+// what they set. It must never rename one, nor change the text of an error: operators know
+// them.
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+)
+
+const (
+	maxNameLength        = 64 // bytes, of members, zones and clusters
+	maxTraceSuffixLength = 16 // hex digits of a request ID
+
+	// The bounds of the keepalive: a completion must be reported within 8 s, and another
+	// one may be needed once the connection is found dead.
+	minKeepalive = time.Second
+	maxKeepalive = 5 * time.Second
+
+	minRememberedClients = 1 << 10
+	maxRememberedClients = 16 << 20
+)
+
+// setter sets what a directive says.
+type setter = func(d Directive) error
+
+// sectionDirectives are the setters of all directives, by section and name.
+type sectionDirectives map[string]map[string]setter
+
+// repeatable are the directives that may occur more than once.
+var repeatable = map[string]bool{"member": true, "region": true}
+
+// apply hands each directive to its setter.
+func apply(sections []Section, known sectionDirectives) error {
+	for _, s := range sections {
+		setters := known[s.Name.Text]
+		if setters == nil {
+			return s.Name.Wrong("a section of " + joinedKeys(known))
+		}
+		if err := s.apply(setters); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// apply hands each directive of the section to its setter, each at most once unless it is
+// repeatable.
+func (s Section) apply(setters map[string]setter) error {
+	seen := map[string]int{} // line, by name
+	for _, d := range s.Directives {
+		name := d.Name.Text
+		set := setters[name]
+		if set == nil {
+			return d.Name.Wrong("in [" + s.Name.Text + "] one of " + joinedKeys(setters))
+		}
+		if line := seen[name]; line > 0 && !repeatable[name] {
+			return d.Name.Wrong(fmt.Sprintf("each directive once; it stands in line %d", line))
+		}
+		seen[name] = d.Name.Line
+		if err := set(d); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// joinedKeys lists the keys of a map, for messages.
+func joinedKeys[V any](m map[string]V) string {
+	return strings.Join(slices.Sorted(maps.Keys(m)), ", ")
+}
+
+// directives returns all sections, with the setters of the fields of o.
+func (o *Operators) directives() sectionDirectives {
+	return sectionDirectives{
+		"grpc": {
+			"listen":  setWord(&o.GRPCListen, "address:port", isAddress),
+			"cert":    setWord(&o.GRPCCert, "the file of a certificate", isNotEmpty),
+			"key":     setWord(&o.GRPCKey, "the file of its key", isNotEmpty),
+			"tickets": setWord(&o.RetryTokenKeys, "the file of the keys of return tickets", isNotEmpty),
+		},
+		"graphite": o.Graphite.directives("address:port", isAddress),
+		"collectd": o.Collectd.directives("the absolute path of a Unix socket", isAbsolutePath),
+		"log": {
+			"level": o.setLogLevel,
+			"trace": o.setTrace,
+		},
+		"peers": {
+			"listen":    setWord(&o.Peers.Listen, "address:port", isAddress),
+			"cluster":   setWord(&o.Peers.Cluster, "a name of 1 to 64 bytes", isName),
+			"hall":      setWord(&o.Peers.Hall, "a name of 1 to 64 bytes", isName),
+			"folder":    setWord(&o.Peers.Folder, "the absolute path of a folder", isAbsolutePath),
+			"member":    o.Peers.addMember,
+			"region":    o.Peers.addRegion,
+			"partition": o.Peers.setPartition,
+		},
+		"workers": {
+			"keepalive": o.Workers.setKeepalive,
+		},
+		"storm": {
+			"advice":  o.Backpressure.setRetryAfter,
+			"least":   setDuration(&o.Backpressure.Least, 0, time.Minute),
+			"callers": o.Backpressure.setMaxClients,
+		},
+	}
+}
+
+// setWord returns the setter of a valid word.
+func setWord(field *string, want string, valid func(string) bool) setter {
+	return func(d Directive) error {
+		word, err := d.Word(want)
+		if err != nil {
+			return err
+		}
+		if !valid(word) {
+			return d.Args[0].Wrong(want)
+		}
+		*field = word
+		return nil
+	}
+}
+
+// setDuration returns the setter of a duration within bounds.
+func setDuration(field *time.Duration, minimum, maximum time.Duration) setter {
+	return func(d Directive) (err error) {
+		*field, err = d.Duration(minimum, maximum)
+		return err
+	}
+}
+
+func isAddress(word string) bool      { _, err := netip.ParseAddrPort(word); return err == nil }
+func isAbsolutePath(word string) bool { return strings.HasPrefix(word, "/") }
+func isNotEmpty(word string) bool     { return word != "" }
+func isName(word string) bool         { return word != "" && len(word) <= maxNameLength }
+func isFigurePrefix(word string) bool { return word != "" && !strings.ContainsAny(word, " \t/\"") }
+
+// directives returns the setters of a section of metrics; want and valid are of its address.
+func (m *Metrics) directives(want string, valid func(string) bool) map[string]setter {
+	return map[string]setter{
+		"address": setWord(&m.Address, want, valid),
+		"prefix":  setWord(&m.Prefix, "a name without spaces, slashes or quotes", isFigurePrefix),
+		"every":   m.setInterval,
+	}
+}
+
+// setInterval takes how often metrics are sent.
+func (m *Metrics) setInterval(d Directive) error {
+	interval, err := d.Duration(100*time.Millisecond, time.Hour)
+	m.EveryMs = interval.Milliseconds()
+	return err
+}
+
+// setLogLevel takes the lowest level that is written.
+func (o *Operators) setLogLevel(d Directive) error {
+	level, err := d.OneOf("info", "debug")
+	if level == "debug" {
+		o.LogLevel = slog.LevelDebug
+	}
+	return err
+}
+
+// setTrace takes the suffixes of the request IDs that are traced.
+func (o *Operators) setTrace(d Directive) error {
+	if len(d.Args) == 0 {
+		return d.Name.Wrong("trace followed by endings of tags, in hex digits")
+	}
+	for _, suffix := range d.Args {
+		if !isHexSuffix(suffix.Text) {
+			return suffix.Wrong("an ending of a tag: 1 to 16 hex digits in lower case")
+		}
+		o.Trace = append(o.Trace, suffix.Text)
+	}
+	return nil
+}
+
+// isHexSuffix reports whether a word may be the end of a request ID.
+func isHexSuffix(word string) bool {
+	return word != "" && len(word) <= maxTraceSuffixLength && strings.Trim(word, "0123456789abcdef") == ""
+}
+
+// setRetryAfter takes the word booked, or one Retry-After for all.
+func (b *Backpressure) setRetryAfter(d Directive) error {
+	if len(d.Args) > 0 && d.Args[0].Text == "booked" {
+		_, err := d.OneOf("booked")
+		return err
+	}
+	return setDuration(&b.Constant, time.Millisecond, time.Hour)(d)
+}
+
+// setMaxClients takes how many clients are remembered.
+func (b *Backpressure) setMaxClients(d Directive) error {
+	count, err := d.Int(minRememberedClients, maxRememberedClients)
+	b.Callers = int(count)
+	return err
+}
+
+// addMember takes the name of another orchestrator, its address, and perhaps its zone.
+func (p *Peers) addMember(d Directive) error {
+	const want = "a name and address:port, and its zone where regions are named"
+	if err := d.requireArgs(min(3, max(2, len(d.Args))), want); err != nil {
+		return err
+	}
+	zone, err := p.memberZone(d)
+	if err != nil {
+		return err
+	}
+	name, address := d.Args[0], d.Args[1]
+	if !isName(name.Text) {
+		return name.Wrong("a name of 1 to 64 bytes")
+	}
+	if !isAddress(address.Text) {
+		return address.Wrong("address:port")
+	}
+	for _, m := range p.Members {
+		if m.Name == name.Text {
+			return name.Wrong("each member once")
+		}
+	}
+	p.Members = append(p.Members, PeerAddress{Name: name.Text, Address: address.Text, Zone: zone})
+	return nil
+}
+
+// memberZone returns the third argument of a member's line, "" if there is none.
+func (p *Peers) memberZone(d Directive) (string, error) {
+	if len(d.Args) < 3 {
+		if p.zonelessAt == nil {
+			p.zonelessAt = &d.Args[0]
+		}
+		return "", nil
+	}
+	zone := d.Args[2]
+	if !isName(zone.Text) {
+		return "", zone.Wrong("a zone of 1 to 64 bytes")
+	}
+	return zone.Text, nil
+}
+
+// addRegion takes the name of a region and its zones.
+func (p *Peers) addRegion(d Directive) error {
+	if len(d.Args) < 2 {
+		return d.Name.Wrong("region followed by its name and its zones")
+	}
+	if p.Regions == nil {
+		p.Regions, p.regionAt = map[string]string{}, &d.Name
+	}
+	region := d.Args[0].Text
+	for _, zone := range d.Args[1:] {
+		if !isName(zone.Text) {
+			return zone.Wrong("a zone of 1 to 64 bytes")
+		}
+		if p.Regions[zone.Text] != "" {
+			return zone.Wrong("each zone in one region")
+		}
+		p.Regions[zone.Text] = region
+	}
+	return nil
+}
+
+// setPartition takes whether the workers are divided among the members.
+func (p *Peers) setPartition(d Directive) error {
+	word, err := d.OneOf("on", "off")
+	p.Partition, p.partitionAt = word == "on", &d.Name
+	return err
+}
+
+// setKeepalive takes whole seconds, as the system counts them.
+func (w *Workers) setKeepalive(d Directive) error {
+	keepalive, err := d.Duration(minKeepalive, maxKeepalive)
+	if err != nil {
+		return err
+	}
+	if keepalive%time.Second != 0 {
+		return d.Args[0].Wrong("whole seconds from " + minKeepalive.String() + " to " + maxKeepalive.String())
+	}
+	w.KeepAlive = keepalive
+	return nil
+}
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,75 @@
+package config
+
+// This file owns the errors of the package. Their texts are shown to operators.
+
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrConfig is wrapped by every error about the configuration and the operators' file.
+var ErrConfig = errors.New("configuration")
+
+// ErrConf is wrapped by every error about a line-based file: the operators' file, whose
+// errors wrap ErrConfig too, and the file of keys of retry tokens.
+var ErrConf = errors.New("settings")
+
+// PositionError is what is wrong at a place in a line-based file. It wraps ErrConf.
+type PositionError struct {
+	File         string
+	Line, Column int    // from 1
+	Want, Got    string // Got is "" if there is nothing
+}
+
+// Error implements error.
+func (e *PositionError) Error() string {
+	text := fmt.Sprintf("%s:%d:%d: expected %s", e.File, e.Line, e.Column, e.Want)
+	if e.Got != "" {
+		text += fmt.Sprintf(", got %.60q", e.Got)
+	}
+	return text
+}
+
+// Unwrap returns ErrConf.
+func (e *PositionError) Unwrap() error { return ErrConf }
+
+// SectionError is what is wrong with a section of the operators' file as a whole.
+type SectionError struct{ File, Section, Want string }
+
+// Error implements error.
+func (e *SectionError) Error() string {
+	return fmt.Sprintf("%s: [%s]: expected %s", e.File, e.Section, e.Want)
+}
+
+// Unwrap returns ErrConf.
+func (e *SectionError) Unwrap() error { return ErrConf }
+
+// FieldError is what is wrong with a field of the configuration. It wraps ErrConfig.
+type FieldError struct {
+	Field string // its path, as settings.Limits.DialTimeoutUs
+	Want  string
+	Got   string // quoted, "" if Want says it all
+}
+
+// Error implements error.
+func (e *FieldError) Error() string {
+	text := fmt.Sprintf("%s: %s: expected %s", ErrConfig, e.Field, e.Want)
+	if e.Got != "" {
+		text += ", got " + e.Got
+	}
+	return text
+}
+
+// Unwrap returns ErrConfig.
+func (e *FieldError) Unwrap() error { return ErrConfig }
+
+// MemberError is what is wrong with one worker of a list. It wraps ErrConfig.
+type MemberError struct{ Worker, Problem string }
+
+// Error implements error.
+func (e *MemberError) Error() string {
+	return fmt.Sprintf("%s: member %.40q: %s", ErrConfig, e.Worker, e.Problem)
+}
+
+// Unwrap returns ErrConfig.
+func (e *MemberError) Unwrap() error { return ErrConfig }
--- /dev/null
+++ b/internal/config/linefile_test.go
@@ -0,0 +1,86 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// FuzzLines checks what holds of any text: an error names a place in it, and what is
+// parsed, written out again, parses the same.
+func FuzzLines(f *testing.F) {
+	for _, text := range []string{"[a]\nb c # d\n", "[a]\nb \"c d\"\n", "[", "\"", "[a]\n[a]", "[a] b", "x", "[a]\r\nb\r\n", "[a]\nb \"\"", "[a]\n\"#\" b"} {
+		f.Add(text)
+	}
+	f.Fuzz(func(t *testing.T, text string) {
+		sections, err := ParseLines("f", []byte(text))
+		if err != nil {
+			checkPosition(t, text, err)
+			return
+		}
+		written := writeSections(sections)
+		if strings.ContainsAny(written, "\r") {
+			return // a lone one within a word can't be told from a line's end when quoted last
+		}
+		again, err := ParseLines("f", []byte(written))
+		if err != nil {
+			t.Fatalf("%q became %q: %v", text, written, err)
+		}
+		if len(again) != len(sections) {
+			t.Fatalf("%q became %q", text, written)
+		}
+		for i := range again {
+			checkSameSection(t, again[i], sections[i])
+		}
+	})
+}
+
+// checkPosition checks that an error names a place in a text.
+func checkPosition(t *testing.T, text string, err error) {
+	t.Helper()
+	var at *PositionError
+	if !errors.As(err, &at) || !errors.Is(err, ErrConf) || at.Line < 1 || at.Line > strings.Count(text, "\n")+1 || at.Column < 1 {
+		t.Fatalf("%q: %v", text, err)
+	}
+}
+
+// writeSections returns the text of a file with all words in quotes.
+func writeSections(sections []Section) string {
+	var text strings.Builder
+	for _, section := range sections {
+		fmt.Fprintf(&text, "[%s]\n", section.Name.Text)
+		for _, directive := range section.Directives {
+			for _, word := range append([]Word{directive.Name}, directive.Args...) {
+				fmt.Fprintf(&text, "\"%s\" ", word.Text)
+			}
+			text.WriteByte('\n')
+		}
+	}
+	return text.String()
+}
+
+// checkSameSection checks that two sections have the same names and numbers of arguments.
+func checkSameSection(t *testing.T, got, want Section) {
+	t.Helper()
+	if len(got.Directives) != len(want.Directives) || got.Name.Text != want.Name.Text {
+		t.Fatalf("%+v became %+v", want, got)
+	}
+	for i, directive := range got.Directives {
+		if before := want.Directives[i]; len(directive.Args) != len(before.Args) || directive.Name.Text != before.Name.Text {
+			t.Fatalf("%+v became %+v", before, directive)
+		}
+	}
+}
+
+// A file that is too long, or has a line that is, is an error.
+func TestMaxLengths(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
+		{strings.Repeat("#\n", maxFileSize), "f:1:1: expected at most"},
+		{"[a]\n" + strings.Repeat("x", maxLineLength+1), "f:2:4097: expected a line of at most"},
+	} {
+		if _, err := ParseLines("f", []byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("got %v", err)
+		}
+	}
+}
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -2,28 +2,101 @@
 
 import (
 	"errors"
+	"log/slog"
+	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 )
 
-// The partition of the workers, its regions and the members' zones are read as written, and each
-// error names its place.
-func TestEdgePartition(t *testing.T) {
+// operatorsErrorCase is an invalid operators' file, and what its error says.
+type operatorsErrorCase struct{ text, want string }
+
+// checkOperatorsErrors checks that each text is an error of one line that says what is wanted.
+func checkOperatorsErrors(t *testing.T, cases []operatorsErrorCase) {
+	t.Helper()
+	for _, test := range cases {
+		_, err := ParseOperators("x", []byte(test.text))
+		if !errors.Is(err, ErrConfig) || !errors.Is(err, ErrConf) {
+			t.Errorf("%q: %v wraps not both sentinels", test.text, err)
+			continue
+		}
+		if strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: got %v", test.text, err)
+		}
+	}
+}
+
+// The file in the repository and a missing file give the defaults; each directive is
+// parsed as written; each error is one line that names the place and what was expected.
+func TestOperatorsFile(t *testing.T) {
+	defaults := Operators{Graphite: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}}
+	for _, path := range []string{filepath.Join("..", "..", "deploy", "ravenhitch.conf"), filepath.Join(t.TempDir(), "none.conf")} {
+		if o, err := LoadOperators(path); err != nil || !reflect.DeepEqual(o, defaults) {
+			t.Errorf("%s: %+v, %v", path, o, err)
+		}
+	}
+	o, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
+		"[collectd]\naddress /run/c.sock\nevery 500ms\n[storm]\nadvice 1s\nleast 20ms\ncallers 2048"))
+	if err != nil || o.GRPCListen != "127.0.0.1:7000" || o.Graphite.Prefix != "a.b" || o.Graphite.EveryMs != 10_000 ||
+		o.Collectd.Prefix != "ravenhitch" || o.Collectd.EveryMs != 500 ||
+		o.Backpressure != (Backpressure{Constant: time.Second, Least: 20 * time.Millisecond, Callers: 2048}) {
+		t.Errorf("got %+v, %v", o, err)
+	}
+	checkOperatorsErrors(t, []operatorsErrorCase{
+		{"listen 127.0.0.1:1", "x:1:1: expected a section"},
+		{"[grcp]", "x:1:2: expected a section of collectd, graphite, grpc, log, peers, storm, workers"},
+		{"[log]\nlevel loud", "x:2:7: expected info or debug"},
+		{"[log]\ntrace", "x:2:1: expected trace followed by endings of tags, in hex digits"},
+		{"[log]\ntrace 42ac8bZ6", "x:2:7: expected an ending of a tag: 1 to 16 hex digits in lower case"},
+		{"[grpc]\nport 1", "x:2:1: expected in [grpc] one of cert, key, listen, tickets"},
+		{"[grpc]\nlisten here", "x:2:8: expected address:port"},
+		{"[grpc]\nlisten", "x:2:1: expected listen followed by address:port"},
+		{"[grpc]\nlisten 127.0.0.1:1 127.0.0.1:2", "x:2:20: expected nothing after address:port"},
+		{"[grpc]\nlisten 127.0.0.1:1\nlisten 127.0.0.1:1", "x:3:1: expected each directive once; it stands in line 2"},
+		{"[grpc]\ncert a", "expected both cert and key"},
+		{"[graphite]\naddress x", "x:2:9: expected address:port"},
+		{"[graphite]\nevery 1ms", "x:2:7: expected a time with its unit, 100ms to 1h0m0s"},
+		{"[graphite]\nprefix \"a b\"", "x:2:8: expected a name"},
+		{"[collectd]\naddress c.sock", "x:2:9: expected the absolute path"},
+		{"[storm]\nadvice soon", "x:2:8: expected a time"},
+		{"[storm]\ncallers 3", "x:2:9: expected a whole number, 1024 to"},
+		{"[storm]\n[storm]", "x:2:1: expected each section once"},
+		{"[storm]\nleast \"1s", "x:2:7: expected a closing quote"},
+		{"[storm] x", "x:1:9: expected nothing after a section's name"},
+		{"[storm", "x:1:1: expected a section as [name]"},
+		{"[storm]\n\xff", "x:2:1: expected UTF-8"},
+	})
+	if _, err := LoadOperators("deploy/edge.json"); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
+		t.Errorf("edge.json: %v", err)
+	}
+}
+
+// The level of the log and the suffixes of traced request IDs are parsed as written.
+func TestLogDirectives(t *testing.T) {
+	o, err := ParseOperators("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
+	if err != nil || o.LogLevel != slog.LevelDebug || !reflect.DeepEqual(o.Trace, []string{"42ac8ba6", "160bf556"}) {
+		t.Errorf("got %+v, %v", o, err)
+	}
+}
+
+// The partition of the workers, its regions and the zones of members are parsed as written,
+// and each error names its place.
+func TestPartitionDirectives(t *testing.T) {
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
-	e, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\nregion west z1 z2\nregion east z3\n"+
+	o, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\nregion west z1 z2\nregion east z3\n"+
 		"[workers]\nkeepalive 4s\n"))
-	if err != nil || !e.Peers.Partition || e.Workers.KeepAlive != 4*time.Second ||
-		!reflect.DeepEqual(e.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
-		!reflect.DeepEqual(e.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
-		t.Errorf("got %+v, %v", e, err)
+	if err != nil || !o.Peers.Partition || o.Workers.KeepAlive != 4*time.Second ||
+		!reflect.DeepEqual(o.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
+		!reflect.DeepEqual(o.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
+		t.Errorf("got %+v, %v", o, err)
 	}
-	e, err = ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
-	if err != nil || e.Peers.Partition || e.Peers.Members[0].Zone != "" {
-		t.Errorf("got %+v, %v", e, err)
+	o, err = ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
+	if err != nil || o.Peers.Partition || o.Peers.Members[0].Zone != "" {
+		t.Errorf("got %+v, %v", o, err)
 	}
-	for _, x := range []struct{ text, want string }{
+	checkOperatorsErrors(t, []operatorsErrorCase{
 		{peers + "partition maybe", "x:4:11: expected on or off"},
 		{"[peers]\npartition on", "x:2:1: expected listen and cluster beside partition on"},
 		{peers + "region west z1", "x:4:1: expected partition on beside region"},
@@ -36,10 +109,5 @@
 		{"[workers]\nkeepalive 1500ms", "x:2:11: expected whole seconds from 1s to 5s"},
 		{"[workers]\nkeepalive 6s", "x:2:11: expected a time with its unit, 1s to 5s"},
 		{"[workers]\nkeepalive", "x:2:1: expected keepalive followed by"},
-	} {
-		if _, err := ParseOperators("x", []byte(x.text)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") ||
-			!strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q: got %v", x.text, err)
-		}
-	}
+	})
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"errors"
-	"log/slog"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/tidwall/gjson"
 
@@ -15,8 +12,8 @@
 	"ravenhitch/placement"
 )
 
-// nested is the form of the configuration, flat the simulator's: the same
-// settings twice.
+// nested and flat are the same settings in the form of the configuration and in that of
+// the simulator's wire.
 const nested = `{"FamilyInfo":{"ApartBy":["none","cell"],"Bound":false,"CalmLevel":[0.8,0.75],"ClassMost":[2,3],
  "ClassStartS":[10.0,8.0],"CoresMultiple":1.5,"Counts":"asked","FreshOffers":56.0,"KindByClass":[-1,1],"LostAfter":[0.25,0.15],
  "MemoryByKind":[56.0,117.0],"MemoryMultiple":1.0,"ReportX0":"cores of the machine, free","SaysYes":"accepted","ShareCores":[],
@@ -60,17 +57,20 @@
 	}
 }
 
-const member1 = `{"id":"s-00c41f7a","host_port":"127.1.0.9:5070","locality":"east","flavor":"std","cell":2,"phase":"up",
+// workerJSON is a worker of a list.
+const workerJSON = `{"id":"s-00c41f7a","host_port":"127.1.0.9:5070","locality":"east","flavor":"std","cell":2,"phase":"up",
  "size":4,"up_since_ms":1700,"spare":[12,-3.5]}`
 
-func text(listen, channel, seed, known, settings string) string {
+// configText returns a configuration.
+func configText(listen, channel, seed, known, settings string) string {
 	return `{"name":"n3","listen":"` + listen + `","seed":"` + seed + `","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	 "channel":"` + channel + `","known":` + known + `,"settings":` + settings + `}`
 }
 
+// A configuration is parsed as written, and each invalid one is an error of one line.
 func TestParse(t *testing.T) {
-	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + member1 + `]}}]}`
-	c, err := Parse([]byte(text("127.0.0.4:5070", "127.2.0.1:9092", "8c1f30d27a5be964", known, nested)))
+	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + workerJSON + `]}}]}`
+	c, err := Parse([]byte(configText("127.0.0.4:5070", "127.2.0.1:9092", "8c1f30d27a5be964", known, nested)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,15 +81,15 @@
 		t.Errorf("got %+v", c)
 	}
 	for name, bad := range map[string]string{
-		"empty": "", "cut": `{"name":`, "no listen": text("", "127.2.0.1:1", "1", known, nested),
-		"listen without port": text("127.0.0.1", "127.2.0.1:1", "1", known, nested),
-		"no channel":          text("127.0.0.1:1", "", "1", known, nested),
-		"seed":                text("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
-		"no known":            text("127.0.0.1:1", "127.2.0.1:1", "1", "null", nested),
-		"phase":               text("127.0.0.1:1", "127.2.0.1:1", "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested),
-		"no settings":         text("127.0.0.1:1", "127.2.0.1:1", "1", known, "[]"),
-		"a class's effect":    text("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "single_shot", "twice", 1)),
-		"kinds":               text("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "[26,63]", "[26]", 1)),
+		"empty": "", "cut": `{"name":`, "no listen": configText("", "127.2.0.1:1", "1", known, nested),
+		"listen without port": configText("127.0.0.1", "127.2.0.1:1", "1", known, nested),
+		"no channel":          configText("127.0.0.1:1", "", "1", known, nested),
+		"seed":                configText("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
+		"no known":            configText("127.0.0.1:1", "127.2.0.1:1", "1", "null", nested),
+		"phase":               configText("127.0.0.1:1", "127.2.0.1:1", "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested),
+		"no settings":         configText("127.0.0.1:1", "127.2.0.1:1", "1", known, "[]"),
+		"a class's effect":    configText("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "single_shot", "twice", 1)),
+		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "[26,63]", "[26]", 1)),
 	} {
 		if _, err := Parse([]byte(bad)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v", name, err)
@@ -97,9 +97,9 @@
 	}
 }
 
-// One bad member does not hide the others of an event.
-func TestBadMember(t *testing.T) {
-	u, err := ParseUpdate([]byte(`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[{"id":"x","phase":"odd"},` + member1 + `]}}]}`))
+// An invalid member does not hide the others of its event.
+func TestInvalidMember(t *testing.T) {
+	u, err := ParseUpdate([]byte(`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[{"id":"x","phase":"odd"},` + workerJSON + `]}}]}`))
 	if err != nil || len(u.Bad) != 1 || len(u.Events[0].Members) != 1 {
 		t.Errorf("got %+v, %v", u, err)
 	}
@@ -109,61 +109,3 @@
 		}
 	}
 }
-
-// What the file in the repository sets is the default, and the further protocols
-// are off; each error is one line that names the place and what was expected.
-func TestEdge(t *testing.T) {
-	standard := Operators{Graphite: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}}
-	for _, path := range []string{filepath.Join("..", "..", "deploy", "ravenhitch.conf"), filepath.Join(t.TempDir(), "none.conf")} {
-		if e, err := LoadOperators(path); err != nil || !reflect.DeepEqual(e, standard) {
-			t.Errorf("%s: %+v, %v", path, e, err)
-		}
-	}
-	e, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
-		"[collectd]\naddress /run/c.sock\nevery 500ms\n[storm]\nadvice 1s\nleast 20ms\ncallers 2048"))
-	if err != nil || e.GRPCListen != "127.0.0.1:7000" || e.Graphite.Prefix != "a.b" || e.Graphite.EveryMs != 10_000 ||
-		e.Collectd.Prefix != "ravenhitch" || e.Collectd.EveryMs != 500 ||
-		e.Backpressure != (Backpressure{Constant: time.Second, Least: 20 * time.Millisecond, Callers: 2048}) {
-		t.Errorf("got %+v, %v", e, err)
-	}
-	for _, x := range []struct{ text, want string }{
-		{"listen 127.0.0.1:1", "x:1:1: expected a section"},
-		{"[grcp]", "x:1:2: expected a section of collectd, graphite, grpc, log, peers, storm, workers"},
-		{"[log]\nlevel loud", "x:2:7: expected info or debug"},
-		{"[log]\ntrace", "x:2:1: expected trace followed by endings of tags, in hex digits"},
-		{"[log]\ntrace 42ac8bZ6", "x:2:7: expected an ending of a tag: 1 to 16 hex digits in lower case"},
-		{"[grpc]\nport 1", "x:2:1: expected in [grpc] one of cert, key, listen, tickets"},
-		{"[grpc]\nlisten here", "x:2:8: expected address:port"},
-		{"[grpc]\nlisten", "x:2:1: expected listen followed by address:port"},
-		{"[grpc]\nlisten 127.0.0.1:1 127.0.0.1:2", "x:2:20: expected nothing after address:port"},
-		{"[grpc]\nlisten 127.0.0.1:1\nlisten 127.0.0.1:1", "x:3:1: expected each directive once; it stands in line 2"},
-		{"[grpc]\ncert a", "expected both cert and key"},
-		{"[graphite]\naddress x", "x:2:9: expected address:port"},
-		{"[graphite]\nevery 1ms", "x:2:7: expected a time with its unit, 100ms to 1h0m0s"},
-		{"[graphite]\nprefix \"a b\"", "x:2:8: expected a name"},
-		{"[collectd]\naddress c.sock", "x:2:9: expected the absolute path"},
-		{"[storm]\nadvice soon", "x:2:8: expected a time"},
-		{"[storm]\ncallers 3", "x:2:9: expected a whole number, 1024 to"},
-		{"[storm]\n[storm]", "x:2:1: expected each section once"},
-		{"[storm]\nleast \"1s", "x:2:7: expected a closing quote"},
-		{"[storm] x", "x:1:9: expected nothing after a section's name"},
-		{"[storm", "x:1:1: expected a section as [name]"},
-		{"[storm]\n\xff", "x:2:1: expected UTF-8"},
-	} {
-		if _, err := ParseOperators("x", []byte(x.text)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") ||
-			!strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q: got %v", x.text, err)
-		}
-	}
-	if _, err := LoadOperators("deploy/edge.json"); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
-		t.Errorf("edge.json: %v", err)
-	}
-}
-
-// The log's level and the endings of traced tags are read as written.
-func TestEdgeLog(t *testing.T) {
-	e, err := ParseOperators("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
-	if err != nil || e.LogLevel != slog.LevelDebug || !reflect.DeepEqual(e.Trace, []string{"42ac8ba6", "160bf556"}) {
-		t.Errorf("got %+v, %v", e, err)
-	}
-}
