--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts placers on the simulator's wire: batches come in on
-// standard input, replies go out on standard output.
+// Command simadapter runs schedulers on the simulator's wire: batches come in on standard
+// input, replies go out on standard output.
 package main
 
 import (
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"os"
+	"slices"
 
 	"ravenhitch/internal/simwire"
 	"ravenhitch/placement"
@@ -14,102 +15,114 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
-// host holds the instances, which share nothing.
-type host struct {
-	placers map[int]*placement.Scheduler
-	enc     *simwire.Encoder
-}
-
+// run replies to each batch of in until its end.
 func run(in io.Reader, out io.Writer) error {
-	dec := simwire.NewDecoder(in)
-	h := &host{placers: map[int]*placement.Scheduler{}, enc: simwire.NewEncoder(out)}
+	decoder := simwire.NewDecoder(in)
+	a := &adapter{schedulers: map[int]*placement.Scheduler{}, encoder: simwire.NewEncoder(out)}
 	for {
-		b, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := h.reply(b); err != nil {
+		if err := a.reply(batch); err != nil {
 			return err
 		}
 	}
 }
 
-// reply hands each instance its events, in order of arrival, and writes what
-// they do.
-func (h *host) reply(b simwire.Batch) error {
-	var order []int
-	events := map[int][]placement.Event{}
-	note := func(inst int, e placement.Event) {
-		if _, ok := events[inst]; !ok {
-			order = append(order, inst)
-		}
-		events[inst] = append(events[inst], e)
-	}
-	for _, it := range b.Items {
-		switch it.Kind {
-		case simwire.Start:
-			delete(events, it.Inst)
-			order = without(order, it.Inst)
-			p, err := placement.New(it.Settings, it.Seed)
-			if err != nil {
-				if err := h.enc.Fault(it.Inst, err.Error()); err != nil {
-					return err
-				}
-				delete(h.placers, it.Inst)
-				continue
-			}
-			h.placers[it.Inst] = p
-		case simwire.Stop:
-			delete(h.placers, it.Inst)
-			delete(events, it.Inst)
-			order = without(order, it.Inst)
-		case simwire.Happen:
-			note(it.Inst, it.Event)
-		}
+// adapter holds the schedulers by instance. They share nothing.
+type adapter struct {
+	schedulers map[int]*placement.Scheduler
+	encoder    *simwire.Encoder
+}
+
+// pendingEvents are the events of a batch by instance, in the order in which instances
+// first had one.
+type pendingEvents struct {
+	order  []int
+	events map[int][]placement.Event
+}
+
+// add adds an event of an instance.
+func (p *pendingEvents) add(instance int, event placement.Event) {
+	if _, known := p.events[instance]; !known {
+		p.order = append(p.order, instance)
 	}
-	for _, inst := range order {
-		p, ok := h.placers[inst]
-		if !ok {
-			continue
-		}
-		actions, fault := handle(p, b.NowUs, events[inst])
-		if fault != "" {
-			if err := h.enc.Fault(inst, fault); err != nil {
+	p.events[instance] = append(p.events[instance], event)
+}
+
+// drop drops the events of an instance.
+func (p *pendingEvents) drop(instance int) {
+	delete(p.events, instance)
+	p.order = slices.DeleteFunc(p.order, func(other int) bool { return other == instance })
+}
+
+// reply starts and stops instances, hands each its events in order of arrival, and writes
+// the actions.
+func (a *adapter) reply(batch simwire.Batch) error {
+	pending := pendingEvents{events: map[int][]placement.Event{}}
+	for _, item := range batch.Items {
+		switch item.Kind {
+		case simwire.InstanceStarted:
+			pending.drop(item.Instance)
+			if err := a.start(item); err != nil {
 				return err
 			}
-			continue
+		case simwire.InstanceStopped:
+			pending.drop(item.Instance)
+			delete(a.schedulers, item.Instance)
+		case simwire.EventReceived:
+			pending.add(item.Instance, item.Event)
 		}
-		if err := h.enc.Actions(inst, actions); err != nil {
+	}
+	for _, instance := range pending.order {
+		if err := a.handle(instance, batch.NowUs, pending.events[instance]); err != nil {
 			return err
 		}
 	}
-	return h.enc.End(b.Seq)
+	return a.encoder.End(batch.Seq)
 }
 
-func without(order []int, inst int) []int {
-	var out []int
-	for _, i := range order {
-		if i != inst {
-			out = append(out, i)
-		}
+// start starts an instance, in place of the one before. Invalid settings are reported to
+// the simulator.
+func (a *adapter) start(item simwire.Item) error {
+	scheduler, err := placement.New(item.Settings, item.Seed)
+	if err != nil {
+		delete(a.schedulers, item.Instance)
+		return a.encoder.Failed(item.Instance, err.Error())
+	}
+	a.schedulers[item.Instance] = scheduler
+	return nil
+}
+
+// handle hands events to an instance and writes its actions. Events of an unknown instance
+// are dropped.
+func (a *adapter) handle(instance int, now int64, events []placement.Event) error {
+	scheduler, known := a.schedulers[instance]
+	if !known {
+		return nil
+	}
+	actions, failure := handleEvents(scheduler, now, events)
+	if failure != "" {
+		return a.encoder.Failed(instance, failure)
 	}
-	return out
+	return a.encoder.Actions(instance, actions)
 }
 
-// handle turns a panic of the decision code into a text.
-func handle(p *placement.Scheduler, now int64, ev []placement.Event) (a []placement.Action, fault string) {
+// handleEvents returns the actions of a scheduler, or the text of its panic.
+func handleEvents(scheduler *placement.Scheduler, now int64, events []placement.Event) (actions []placement.Action, failure string) {
 	defer func() {
 		if r := recover(); r != nil {
-			a, fault = nil, fmt.Sprint("panic: ", r)
+			actions, failure = nil, fmt.Sprint("panic: ", r)
 		}
 	}()
-	return p.Handle(now, ev), ""
+	return scheduler.Handle(now, events), ""
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,22 +7,23 @@
 	"testing"
 )
 
-const conf = "FleetSize=2 SelfIndex=0 Flavors=s FamilyInfo.SizeCores=40 FamilyInfo.MemoryByKind=80 FamilyInfo.View=true " +
+// settings are those of one class and one kind of worker.
+const settings = "FleetSize=2 SelfIndex=0 Flavors=s FamilyInfo.SizeCores=40 FamilyInfo.MemoryByKind=80 FamilyInfo.View=true " +
 	"FamilyInfo.CoresMultiple=1.5 FamilyInfo.MemoryMultiple=1.5 RequestClasses.count=1 RequestClasses.0.Name=job " +
 	"RequestClasses.0.Semantics=free TickUs=2000"
 
-// day is a conversation with the instances named, each getting requests.
-func day(insts ...int) string {
+// conversation returns batches that start the instances and send each some requests.
+func conversation(instances ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "BATCH 1000000 1\n")
-	for _, i := range insts {
+	for _, i := range instances {
 		fmt.Fprintf(&b, "ENLIST %d %d %s\nSNAPSHOT_ROWS 0 2\nROW 0 - ma s z 1 0 80 40\nROW 0 - mb s z 1 0 80 40\n"+
-			"ENDPOINTS %d 2 1 0\n", i, 77+i, conf, i)
+			"ENDPOINTS %d 2 1 0\n", i, 77+i, settings, i)
 	}
 	fmt.Fprint(&b, "FLUSH\n")
 	for n := range 50 {
 		fmt.Fprintf(&b, "BATCH %d %d\n", 1000000+(n+1)*2000, n+2)
-		for _, i := range insts {
+		for _, i := range instances {
 			fmt.Fprintf(&b, "REQUEST %d %016x 5 9000000 1 1 job 12000 1 - %d\n", i, n, n%7)
 		}
 		fmt.Fprint(&b, "FLUSH\n")
@@ -30,7 +31,8 @@
 	return b.String()
 }
 
-func reply(t *testing.T, in string) string {
+// replies returns what is written for an input.
+func replies(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -39,41 +41,46 @@
 	return out.String()
 }
 
-func only(out string, inst int) string {
-	var keep []string
-	for _, l := range strings.Split(out, "\n") {
-		if f := strings.Fields(l); len(f) > 1 && f[0] != "READY" && f[1] == fmt.Sprint(inst) {
-			keep = append(keep, l)
+// linesOf returns the lines of the replies that are of one instance.
+func linesOf(out string, instance int) string {
+	var lines []string
+	for _, line := range strings.Split(out, "\n") {
+		if words := strings.Fields(line); len(words) > 1 && words[0] != "READY" && words[1] == fmt.Sprint(instance) {
+			lines = append(lines, line)
 		}
 	}
-	return strings.Join(keep, "\n")
+	return strings.Join(lines, "\n")
 }
 
+// An instance acts alone as it does beside others.
 func TestInstancesShareNothing(t *testing.T) {
-	together := reply(t, day(1, 2, 3))
+	together := replies(t, conversation(1, 2, 3))
 	for i := 1; i <= 3; i++ {
-		alone := only(reply(t, day(i)), i)
-		if alone == "" || alone != only(together, i) {
+		alone := linesOf(replies(t, conversation(i)), i)
+		if alone == "" || alone != linesOf(together, i) {
 			t.Errorf("instance %d acts otherwise alone than beside others", i)
 		}
 	}
 }
 
-func TestBadSettingsAreAFault(t *testing.T) {
-	out := reply(t, "BATCH 1 1\nENLIST 4 1 FleetSize=0\nFLUSH\n")
+// Invalid settings are reported for their instance, and the batch is replied to.
+func TestInvalidSettingsAreReported(t *testing.T) {
+	out := replies(t, "BATCH 1 1\nENLIST 4 1 FleetSize=0\nFLUSH\n")
 	if !strings.HasPrefix(out, "FAULT 4 ") || !strings.Contains(out, "FleetSize is missing") || !strings.HasSuffix(out, "READY 1\n") {
 		t.Errorf("got %q", out)
 	}
 }
 
-func TestPanicIsAFault(t *testing.T) {
-	if a, fault := handle(nil, 1, nil); a != nil || !strings.HasPrefix(fault, "panic: ") {
-		t.Errorf("actions %v, fault %q", a, fault)
+// A panic of a scheduler becomes a text.
+func TestPanicIsReported(t *testing.T) {
+	if actions, failure := handleEvents(nil, 1, nil); actions != nil || !strings.HasPrefix(failure, "panic: ") {
+		t.Errorf("actions %v, failure %q", actions, failure)
 	}
 }
 
+// Input may end between batches, and not within one.
 func TestEndOfInput(t *testing.T) {
-	if out := reply(t, ""); out != "" {
+	if out := replies(t, ""); out != "" {
 		t.Errorf("wrote %q", out)
 	}
 	var out bytes.Buffer
--- /dev/null
+++ b/internal/simwire/decoder.go
@@ -0,0 +1,181 @@
+package simwire
+
+// This file owns how batches are read: lines, the frame of a batch, and the pages of
+// workers that later messages refer to. It must never read beyond the batch that is asked
+// for.
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"ravenhitch/placement"
+)
+
+const (
+	bufferSize = 1 << 16 // bytes
+	maxPages   = 16
+)
+
+// Decoder reads batches. It is not safe for concurrent use.
+type Decoder struct {
+	reader *bufio.Reader
+	pages  [maxPages]page
+	line   int    // number of the last line read
+	seq    string // of the present batch
+}
+
+// page is a list of workers that ENDPOINTS messages refer to.
+type page struct {
+	entries []placement.Entry
+	sent    bool
+}
+
+// NewDecoder returns a Decoder that reads from r.
+func NewDecoder(r io.Reader) *Decoder {
+	return &Decoder{reader: bufio.NewReaderSize(r, bufferSize), seq: "-"}
+}
+
+// readLine returns the next line. It returns io.EOF only if no byte was left.
+func (d *Decoder) readLine() (string, error) {
+	line, err := d.reader.ReadString('\n')
+	if errors.Is(err, io.EOF) && line != "" {
+		d.line++
+		return "", io.ErrUnexpectedEOF
+	}
+	if err != nil {
+		return "", err
+	}
+	d.line++
+	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
+}
+
+// readInnerLine returns the next line within a batch, where the input must not end.
+func (d *Decoder) readInnerLine() (string, error) {
+	line, err := d.readLine()
+	if errors.Is(err, io.EOF) {
+		err = io.ErrUnexpectedEOF
+	}
+	return line, err
+}
+
+// fail returns err with its place.
+func (d *Decoder) fail(err error) error {
+	return &SyntaxError{Batch: d.seq, Line: d.line, Err: err}
+}
+
+// Next reads one batch. It returns io.EOF if the input ends between batches, and a
+// *SyntaxError if it departs from the wire.
+func (d *Decoder) Next() (Batch, error) {
+	line, err := d.readLine()
+	for err == nil && line == "" {
+		line, err = d.readLine()
+	}
+	if errors.Is(err, io.EOF) {
+		return Batch{}, io.EOF
+	}
+	if err != nil {
+		return Batch{}, d.fail(fmt.Errorf("expected a BATCH line: %w", err))
+	}
+	batch, err := d.parseHeader(line)
+	if err != nil {
+		return batch, d.fail(err)
+	}
+	d.seq = batch.Seq
+	for {
+		line, err := d.readInnerLine()
+		if err != nil {
+			return batch, d.fail(fmt.Errorf("expected an event or FLUSH: %w", err))
+		}
+		if line == "" {
+			continue
+		}
+		if line == "FLUSH" {
+			return batch, nil
+		}
+		if err := d.parseMessage(&batch, line); err != nil {
+			return batch, d.fail(err)
+		}
+	}
+}
+
+// parseHeader parses the first line of a batch.
+func (d *Decoder) parseHeader(line string) (Batch, error) {
+	f := newFields(line)
+	if f.next() != "BATCH" {
+		return Batch{}, fmt.Errorf("expected BATCH, got %.40q", line)
+	}
+	batch := Batch{NowUs: f.int("clock"), Seq: f.next()}
+	return batch, f.end()
+}
+
+// parseMessage parses a message and adds it to the batch.
+func (d *Decoder) parseMessage(batch *Batch, line string) error {
+	f := newFields(line)
+	name := f.next()
+	if name == "SNAPSHOT_ROWS" {
+		return d.readPage(f)
+	}
+	decode, known := messages[name]
+	if !known {
+		return fmt.Errorf("unknown message %.40q", name)
+	}
+	item := Item{Kind: EventReceived, Instance: int(f.int("PlacerId"))}
+	if err := decode(d, f, &item); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	if err := f.end(); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	batch.Items = append(batch.Items, item)
+	return nil
+}
+
+// readPage reads the rows of a page, which replaces the one before.
+func (d *Decoder) readPage(f *fields) error {
+	number, rows := f.int("Page"), f.int("Hosts")
+	if err := f.end(); err != nil {
+		return fmt.Errorf("SNAPSHOT_ROWS: %w", err)
+	}
+	if number < 0 || number >= maxPages || rows < 0 {
+		return fmt.Errorf("SNAPSHOT_ROWS: page %d with %d entries is out of range", number, rows)
+	}
+	var entries []placement.Entry
+	for range rows {
+		line, err := d.readInnerLine()
+		if err != nil {
+			return fmt.Errorf("expected a ROW: %w", err)
+		}
+		entry, err := parseRow(line)
+		if err != nil {
+			return err
+		}
+		entries = append(entries, entry)
+	}
+	d.pages[number] = page{entries: entries, sent: true}
+	return nil
+}
+
+// parseRow parses the row of one worker.
+func parseRow(line string) (placement.Entry, error) {
+	f := newFields(line)
+	if f.next() != "ROW" {
+		return placement.Entry{}, fmt.Errorf("expected ROW, got %.40q", line)
+	}
+	var e placement.Entry
+	e.Cell = int(f.int("Pack"))
+	e.StartedAtUs = f.int("StartTimeUs")
+	e.Worker = f.text("Machine")
+	e.Kind = f.next()
+	e.Zone = f.next()
+	f.float("PowerHint")
+	e.State = placement.WorkerState(f.int("StageState"))
+	e.FreeMemory = f.float("UnaskedMemory")
+	e.FreeCores = f.float("SpareCpu")
+	if err := f.end(); err != nil {
+		return placement.Entry{}, fmt.Errorf("ROW: %w", err)
+	}
+	return e, nil
+}
--- /dev/null
+++ b/internal/simwire/fields.go
@@ -0,0 +1,133 @@
+package simwire
+
+// This file owns the fields of a line, which are separated by single spaces; "-" is an
+// absent one. It must never fail at once: it keeps the first error until end.
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+
+	"ravenhitch/placement"
+)
+
+// fields reads the fields of a line in order.
+type fields struct {
+	parts []string
+	read  int // how many were read
+	err   error
+}
+
+// newFields returns the fields of a line.
+func newFields(line string) *fields { return &fields{parts: strings.Split(line, " ")} }
+
+// fail keeps an error, unless there is one.
+func (f *fields) fail(format string, args ...any) {
+	if f.err == nil {
+		f.err = fmt.Errorf(format, args...)
+	}
+}
+
+// next returns the next field, "" if it is absent.
+func (f *fields) next() string {
+	if f.read >= len(f.parts) {
+		f.fail("expected more than %d parts", len(f.parts))
+		return ""
+	}
+	part := f.parts[f.read]
+	f.read++
+	if part == "-" {
+		return ""
+	}
+	return part
+}
+
+// text returns the next field, which must not be absent.
+func (f *fields) text(name string) string {
+	part := f.next()
+	if part == "" {
+		f.fail("expected %s", name)
+	}
+	return part
+}
+
+// int returns the next field as a whole number, 0 if it is absent.
+func (f *fields) int(name string) int64 {
+	part := f.next()
+	if part == "" {
+		return 0
+	}
+	number, err := strconv.ParseInt(part, 10, 64)
+	if err != nil {
+		f.fail("expected a whole number for %s, got %.40q", name, part)
+	}
+	return number
+}
+
+// uint returns the next field, a whole number, as the unsigned one of the same bits.
+func (f *fields) uint(name string) uint64 { return uint64(f.int(name)) }
+
+// float returns the next field as a finite number, 0 if it is absent.
+func (f *fields) float(name string) float64 {
+	part := f.next()
+	if part == "" {
+		return 0
+	}
+	number, err := strconv.ParseFloat(part, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		f.fail("expected a number for %s, got %.40q", name, part)
+	}
+	return number
+}
+
+// stateBits returns the bits of the field StateBits.
+func (f *fields) stateBits() (hasRunHint, retry bool) {
+	bits := f.int("StateBits")
+	return bits&runHintBit != 0, bits&retryBit != 0
+}
+
+// rest returns all remaining fields.
+func (f *fields) rest() []string {
+	rest := f.parts[f.read:]
+	f.read = len(f.parts)
+	return rest
+}
+
+// end returns the first error, or one if fields remain.
+func (f *fields) end() error {
+	if f.err == nil && f.read != len(f.parts) {
+		return fmt.Errorf("expected %d parts, got %d", f.read, len(f.parts))
+	}
+	return f.err
+}
+
+// load returns the next field as a load report, pairs of name:value separated by commas.
+// Values that it does not carry are NaN.
+func (f *fields) load() placement.Load {
+	nan := math.NaN()
+	load := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
+	part := f.next()
+	if part == "" {
+		return load
+	}
+	for _, pair := range strings.Split(part, ",") {
+		name, text, found := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(text, 64)
+		if !found || err != nil {
+			f.fail("expected name:value, got %.40q", pair)
+			return load
+		}
+		switch name {
+		case "x0":
+			load.FreeCores = value
+		case "x1":
+			load.FreeMemory = value
+		case "utilization":
+			load.Utilization = value
+		case "backlog":
+			load.Queued = value
+		}
+	}
+	return load
+}
--- /dev/null
+++ b/internal/simwire/messages.go
@@ -0,0 +1,166 @@
+package simwire
+
+// This file owns the messages of the simulator: which fields each carries, in their order
+// on the wire, and which event it is. It must never reorder the reading of fields.
+
+import (
+	"fmt"
+	"strconv"
+
+	"ravenhitch/placement"
+)
+
+// The bits of the field StateBits.
+const (
+	runHintBit = 1 << 0 // LastsUs is known
+	retryBit   = 1 << 4 // the client retries
+)
+
+// decodeFunc reads the fields of a message, behind the instance, into an item.
+type decodeFunc func(d *Decoder, f *fields, item *Item) error
+
+// messages are the messages by name.
+var messages = map[string]decodeFunc{
+	"ENLIST":           decodeEnlist,
+	"DOWN":             decodeDown,
+	"ENDPOINTS":        decodeEndpoints,
+	"REQUEST":          eventDecoder(requestEvent),
+	"EXISTING":         eventDecoder(adoptedEvent),
+	"ACCEPTED":         eventDecoder(acceptedEvent),
+	"DONE":             eventDecoder(attemptEndedEvent),
+	"PROGRESS":         eventDecoder(taskReportEvent),
+	"SAMPLED":          eventDecoder(probeResultEvent),
+	"BELL":             eventDecoder(timerEvent),
+	"TIMED_OUT_CLIENT": eventDecoder(clientCancelledEvent),
+	"DATAGRAM":         decodeDatagram,
+}
+
+// eventDecoder returns the decodeFunc of a message that is an event by its fields alone.
+func eventDecoder(read func(f *fields) placement.Event) decodeFunc {
+	return func(_ *Decoder, f *fields, item *Item) error {
+		item.Event = read(f)
+		return nil
+	}
+}
+
+// decodeEnlist reads the start of an instance.
+func decodeEnlist(_ *Decoder, f *fields, item *Item) (err error) {
+	item.Kind = InstanceStarted
+	item.Seed = f.uint("Prng")
+	item.Settings, err = Settings(f.rest())
+	return err
+}
+
+// decodeDown reads the end of an instance.
+func decodeDown(_ *Decoder, _ *fields, item *Item) error {
+	item.Kind = InstanceStopped
+	return nil
+}
+
+// decodeDatagram passes over a message between instances.
+func decodeDatagram(_ *Decoder, f *fields, item *Item) error {
+	item.Kind = Ignored
+	f.int("From")
+	f.next()
+	return nil
+}
+
+// decodeEndpoints reads a list of workers, which refers to a page unless it failed.
+func decodeEndpoints(d *Decoder, f *fields, item *Item) error {
+	kind := f.int("Scope")
+	f.next()
+	pageText := f.next()
+	if kind < 0 || kind > int64(placement.ListFailed) {
+		return fmt.Errorf("unknown Scope %d", kind)
+	}
+	list := placement.WorkerList{Kind: placement.ListKind(kind)}
+	if list.Kind != placement.ListFailed {
+		number, err := strconv.Atoi(pageText)
+		if err != nil || number < 0 || number >= maxPages || !d.pages[number].sent {
+			return fmt.Errorf("list page %.20q was never sent", pageText)
+		}
+		list.Entries = d.pages[number].entries
+	}
+	item.Event = list
+	return nil
+}
+
+func requestEvent(f *fields) placement.Event {
+	var t placement.Task
+	t.RequestID = f.text("Ticket")
+	t.KeyHash = f.uint("Workload")
+	t.DeadlineUs = f.int("DeadlineUs")
+	t.Cores = f.float("WantCores")
+	t.Memory = f.float("MemNeeded")
+	t.Class = f.next()
+	t.ExpectedRunUs = f.int("LastsUs")
+	t.HasRunHint, t.Retry = f.stateBits()
+	t.Tenant = f.next()
+	t.Program = f.uint("Program")
+	return placement.Request{Task: t}
+}
+
+func adoptedEvent(f *fields) placement.Event {
+	var e placement.Adopted
+	e.RequestID = f.text("Ticket")
+	e.Worker = f.text("Machine")
+	e.HasRunHint, e.Retry = f.stateBits()
+	e.ExpectedRunUs = f.int("LastsUs")
+	e.Tenant = f.next()
+	e.DeadlineUs = f.int("DeadlineUs")
+	e.KeyHash = f.uint("Workload")
+	e.Class = f.next()
+	e.Cores = f.float("WantCores")
+	e.Program = f.uint("Program")
+	e.Memory = f.float("MemNeeded")
+	return e
+}
+
+func acceptedEvent(f *fields) placement.Event {
+	var e placement.Accepted
+	e.RequestID = f.text("Ticket")
+	e.Attempt = int(f.int("Copy"))
+	e.Worker = f.text("Machine")
+	e.RTTUs = f.int("RttUs")
+	return e
+}
+
+func attemptEndedEvent(f *fields) placement.Event {
+	var e placement.AttemptEnded
+	e.RequestID = f.text("Ticket")
+	e.Cause = placement.Cause(f.int("Info"))
+	e.Final = f.int("Closed") == 1
+	e.RTTUs = f.int("RttUs")
+	e.Outcome = placement.Outcome(f.int("StateCode"))
+	e.Attempt = int(f.int("Copy"))
+	e.Worker = f.text("Machine")
+	f.load()
+	return e
+}
+
+func taskReportEvent(f *fields) placement.Event {
+	var e placement.TaskReport
+	e.RequestID = f.text("Ticket")
+	e.Attempt = int(f.int("Copy"))
+	e.Worker = f.text("Machine")
+	e.Kind = placement.ReportKind(f.int("What"))
+	e.Value = f.float("Value")
+	return e
+}
+
+func probeResultEvent(f *fields) placement.Event {
+	var e placement.ProbeResult
+	e.Worker = f.text("Machine")
+	e.Outcome = placement.Outcome(f.int("StateCode"))
+	e.RTTUs = f.int("RttUs")
+	e.Load = f.load()
+	return e
+}
+
+func timerEvent(f *fields) placement.Event {
+	return placement.TimerFired{Ref: f.text("Ref")}
+}
+
+func clientCancelledEvent(f *fields) placement.Event {
+	return placement.ClientCancelled{RequestID: f.text("Ticket")}
+}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,205 +1,172 @@
 package simwire
 
+// This file owns the settings of an instance: which path of the wire is which setting of
+// the scheduler. It must never fill in a setting that is missing, beyond the defaults that
+// it names.
+
 import (
 	"fmt"
-	"strconv"
+	"slices"
 	"strings"
 
 	"ravenhitch/placement"
 )
 
-// conf holds the settings as they came. Reading keeps the first error.
-type conf struct {
-	m   map[string]string
-	err error
-}
-
-func (c *conf) bad(key, want string) {
-	if c.err == nil {
-		c.err = fmt.Errorf("%w: %s: expected %s, got %.40q", ErrSetting, key, want, c.m[key])
+// The values of a class's Semantics and of the settings that are scopes.
+var (
+	effects = map[string]placement.Effect{
+		"free":        placement.Safe,
+		"guarded":     placement.Keyed,
+		"single_shot": placement.Unsafe,
+	}
+	scopes = map[string]placement.Scope{
+		"":        placement.ScopeNone,
+		"none":    placement.ScopeNone,
+		"machine": placement.ScopeMachine,
+		"cell":    placement.ScopeCell,
+		"zone":    placement.ScopeZone,
+		"all":     placement.ScopeAll,
 	}
-}
-
-func (c *conf) num(key string) float64 {
-	s, ok := c.m[key]
-	if !ok || s == "" || s == "-" {
-		return 0
-	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil {
-		c.bad(key, "a number")
-	}
-	return v
-}
-
-func (c *conf) int(key string) int64 { return int64(c.num(key)) }
-
-func (c *conf) bool(key string) bool {
-	s := c.m[key]
-	return s == "true" || s == "1"
-}
+)
 
-func (c *conf) list(key string) []string {
-	s := c.m[key]
-	if s == "" || s == "-" {
-		return nil
+// Settings returns the settings of path=value pairs. Unknown paths are passed over. Its
+// error is a *SettingError.
+func Settings(pairs []string) (placement.Settings, error) {
+	r := &settingsReader{values: make(map[string]string, len(pairs))}
+	for _, pair := range pairs {
+		path, value, found := strings.Cut(pair, "=")
+		if !found {
+			return placement.Settings{}, &SettingError{Want: "path=value", Got: pair}
+		}
+		r.values[path] = value
 	}
-	return strings.Split(s, ",")
+	s := r.scheduler()
+	s.Kinds = r.kinds()
+	s.Classes = r.classes()
+	s.Tenants = r.tenants()
+	return s, r.err
 }
 
-func (c *conf) nums(key string) []float64 {
-	var out []float64
-	for _, s := range c.list(key) {
-		v, err := strconv.ParseFloat(s, 64)
-		if err != nil {
-			c.bad(key, "numbers")
-		}
-		out = append(out, v)
+// scheduler returns the settings that stand alone.
+func (r *settingsReader) scheduler() placement.Settings {
+	return placement.Settings{
+		SelfIndex:          int(r.int("SelfIndex")),
+		FleetSize:          int(r.int("FleetSize")),
+		Zone:               r.values["Zone"],
+		OverQuotaWeight:    r.float("OverShareWorth"),
+		PollsDiscovery:     r.values["Discovery"] == "subscribe",
+		PollWithinUs:       r.int("Rules.AskWithinUs"),
+		HasView:            r.bool("FamilyInfo.View"),
+		AcceptMeansRunning: r.values["FamilyInfo.SaysYes"] == "running",
+		Probes:             r.bool("Limits.Probes") && r.values["Report.How"] == "probe",
+		Pings:              r.bool("Limits.Probes"),
+		RetryAfter:         r.bool("Limits.RetryAfter"),
+		Cancel:             r.bool("Limits.Cancel"),
+		ReportsUsage:       r.values["FamilyInfo.Counts"] == "used",
+		CoresOvercommit:    r.float("FamilyInfo.CoresMultiple"),
+		MemoryOvercommit:   r.float("FamilyInfo.MemoryMultiple"),
+		UnitCores:          r.float("FamilyInfo.UnitCores"),
+		UnitMemory:         r.float("FamilyInfo.UnitMemory"),
+		MaxAttempts:        int(r.int("Limits.AttemptsCap")),
+		MigrationCost:      r.float("Prices.Moves"),
+		AnswerSlackUs:      r.int("Rules.AnswerSlackUs"),
+		DrainGraceUs:       r.int("Rules.DrainGraceUs"),
+		ColdStartRate:      r.float("Rules.ColdShare"),
+		WarmUpUs:           r.int("Rules.ColdUs"),
+		SlowStartWindowUs:  r.int("Rules.OverloadForUs"),
+		SlowStartOffers:    r.float("FamilyInfo.FreshOffers"),
+		TickUs:             r.int("TickUs"),
+		MaxRetryAfterUs:    r.int("Limits.MaxRetryAfterUs"),
+		ReportsFree:        slices.Contains(r.list("Report.Fields"), "x0"),
 	}
-	return out
 }
 
-// perClass returns the list at key, which must have n items where it is there;
-// a list that is not there is all def.
-func (c *conf) perClass(key string, n int, def float64) []float64 {
-	l := c.nums(key)
-	if len(l) == 0 {
-		for range n {
-			l = append(l, def)
-		}
+// kinds returns the kinds of worker.
+func (r *settingsReader) kinds() []placement.Kind {
+	names := r.list("Flavors")
+	cores, memory := r.floats("FamilyInfo.SizeCores"), r.floats("FamilyInfo.MemoryByKind")
+	wantItems := fmt.Sprintf("%d items, one for each kind", len(names))
+	if len(cores) != len(names) {
+		r.fail("FamilyInfo.SizeCores", wantItems)
+		return nil
 	}
-	if len(l) != n {
-		c.bad(key, fmt.Sprintf("%d items, one for each class", n))
-		return make([]float64, n)
+	if len(memory) != len(names) {
+		r.fail("FamilyInfo.MemoryByKind", wantItems)
+		return nil
 	}
-	return l
-}
-
-var effects = map[string]placement.Effect{
-	"free": placement.Safe, "guarded": placement.Keyed, "single_shot": placement.Unsafe}
-
-var scopes = map[string]placement.Scope{
-	"": placement.ScopeNone, "none": placement.ScopeNone, "machine": placement.ScopeMachine,
-	"cell": placement.ScopeCell, "zone": placement.ScopeZone, "all": placement.ScopeAll}
-
-func (c *conf) scope(key, s string) placement.Scope {
-	v, ok := scopes[s]
-	if !ok {
-		c.bad(key, "none, machine, cell, zone or all")
+	var kinds []placement.Kind
+	for i, name := range names {
+		kinds = append(kinds, placement.Kind{Name: name, Cores: cores[i], Memory: memory[i]})
 	}
-	return v
+	return kinds
 }
 
-// Settings reads the pairs of the Conf field. Unknown keys are skipped.
-func Settings(pairs []string) (placement.Settings, error) {
-	c := &conf{m: make(map[string]string, len(pairs))}
-	for _, p := range pairs {
-		k, v, ok := strings.Cut(p, "=")
-		if !ok {
-			return placement.Settings{}, fmt.Errorf("%w: expected path=value, got %.40q", ErrSetting, p)
-		}
-		c.m[k] = v
-	}
-	s := placement.Settings{
-		SelfIndex:          int(c.int("SelfIndex")),
-		FleetSize:          int(c.int("FleetSize")),
-		Zone:               c.m["Zone"],
-		OverQuotaWeight:    c.num("OverShareWorth"),
-		PollsDiscovery:     c.m["Discovery"] == "subscribe",
-		PollWithinUs:       c.int("Rules.AskWithinUs"),
-		HasView:            c.bool("FamilyInfo.View"),
-		AcceptMeansRunning: c.m["FamilyInfo.SaysYes"] == "running",
-		Probes:             c.bool("Limits.Probes") && c.m["Report.How"] == "probe",
-		Pings:              c.bool("Limits.Probes"),
-		RetryAfter:         c.bool("Limits.RetryAfter"),
-		Cancel:             c.bool("Limits.Cancel"),
-		ReportsUsage:       c.m["FamilyInfo.Counts"] == "used",
-		CoresOvercommit:    c.num("FamilyInfo.CoresMultiple"),
-		MemoryOvercommit:   c.num("FamilyInfo.MemoryMultiple"),
-		UnitCores:          c.num("FamilyInfo.UnitCores"),
-		UnitMemory:         c.num("FamilyInfo.UnitMemory"),
-		MaxAttempts:        int(c.int("Limits.AttemptsCap")),
-		MigrationCost:      c.num("Prices.Moves"),
-		AnswerSlackUs:      c.int("Rules.AnswerSlackUs"),
-		DrainGraceUs:       c.int("Rules.DrainGraceUs"),
-		ColdStartRate:      c.num("Rules.ColdShare"),
-		WarmUpUs:           c.int("Rules.ColdUs"),
-		SlowStartWindowUs:  c.int("Rules.OverloadForUs"),
-		SlowStartOffers:    c.num("FamilyInfo.FreshOffers"),
-		TickUs:             c.int("TickUs"),
-		MaxRetryAfterUs:    c.int("Limits.MaxRetryAfterUs"),
-	}
-	for _, f := range c.list("Report.Fields") {
-		s.ReportsFree = s.ReportsFree || f == "x0"
-	}
-	c.kinds(&s)
-	c.classes(&s)
-	c.tenants(&s)
-	return s, c.err
-}
-
-func (c *conf) kinds(s *placement.Settings) {
-	names := c.list("Flavors")
-	cores, mem := c.nums("FamilyInfo.SizeCores"), c.nums("FamilyInfo.MemoryByKind")
-	if len(cores) != len(names) {
-		c.bad("FamilyInfo.SizeCores", fmt.Sprintf("%d items, one for each kind", len(names)))
-		return
-	}
-	if len(mem) != len(names) {
-		c.bad("FamilyInfo.MemoryByKind", fmt.Sprintf("%d items, one for each kind", len(names)))
-		return
+// classes returns the request classes.
+func (r *settingsReader) classes() []placement.Class {
+	count := int(r.int("RequestClasses.count"))
+	if count < 0 || count > len(r.values) {
+		r.fail("RequestClasses.count", "the number of classes")
+		return nil
 	}
-	for i, n := range names {
-		s.Kinds = append(s.Kinds, placement.Kind{Name: n, Cores: cores[i], Memory: mem[i]})
+	saturationLoad := r.perClass("FamilyInfo.CalmLevel", count, 1)
+	saturationRange := r.perClass("FamilyInfo.LostAfter", count, 1)
+	kind := r.perClass("FamilyInfo.KindByClass", count, -1)
+	maxPerDomain := r.perClass("FamilyInfo.ClassMost", count, 0)
+	startBonus := r.perClass("FamilyInfo.ClassStartS", count, 0)
+	spread := r.list("FamilyInfo.ApartBy")
+	if len(spread) == 0 {
+		spread = make([]string, count)
+	}
+	if len(spread) != count {
+		r.fail("FamilyInfo.ApartBy", fmt.Sprintf("%d items, one for each class", count))
+		return nil
 	}
+	var classes []placement.Class
+	for i := range count {
+		class := r.class(fmt.Sprintf("RequestClasses.%d.", i))
+		class.Spread = r.scope("FamilyInfo.ApartBy", spread[i])
+		class.StartBonusS = startBonus[i]
+		class.Kind = int(kind[i])
+		class.MaxPerDomain = int(maxPerDomain[i])
+		class.SaturationLoad = saturationLoad[i]
+		class.SaturationRange = saturationRange[i]
+		classes = append(classes, class)
+	}
+	return classes
 }
 
-func (c *conf) classes(s *placement.Settings) {
-	n := int(c.int("RequestClasses.count"))
-	if n < 0 || n > len(c.m) {
-		c.bad("RequestClasses.count", "the number of classes")
-		return
-	}
-	calm := c.perClass("FamilyInfo.CalmLevel", n, 1)
-	fade := c.perClass("FamilyInfo.LostAfter", n, 1)
-	kind := c.perClass("FamilyInfo.KindByClass", n, -1)
-	most := c.perClass("FamilyInfo.ClassMost", n, 0)
-	start := c.perClass("FamilyInfo.ClassStartS", n, 0)
-	apart := c.list("FamilyInfo.ApartBy")
-	if len(apart) == 0 {
-		apart = make([]string, n)
-	}
-	if len(apart) != n {
-		c.bad("FamilyInfo.ApartBy", fmt.Sprintf("%d items, one for each class", n))
-		return
-	}
-	for i := range n {
-		p := fmt.Sprintf("RequestClasses.%d.", i)
-		e, ok := effects[c.m[p+"Semantics"]]
-		if !ok {
-			c.bad(p+"Semantics", "free, guarded or single_shot")
-		}
-		s.Classes = append(s.Classes, placement.Class{
-			Name: c.m[p+"Name"], Effect: e, Group: c.scope(p+"Group", c.m[p+"Group"]),
-			WindowUs: c.int(p + "WindowUs"), ObjectiveUs: c.int(p + "OnTimeUs"), DeadlineUs: c.int(p + "DeadlineUs"),
-			Weight: c.num(p + "Importance"), StartBonusS: start[i], Kind: int(kind[i]),
-			Spread: c.scope("FamilyInfo.ApartBy", apart[i]), MaxPerDomain: int(most[i]), SaturationLoad: calm[i], SaturationRange: fade[i],
-		})
+// class returns what stands under the path of one class.
+func (r *settingsReader) class(path string) placement.Class {
+	effect, known := effects[r.values[path+"Semantics"]]
+	if !known {
+		r.fail(path+"Semantics", "free, guarded or single_shot")
+	}
+	return placement.Class{
+		Name:        r.values[path+"Name"],
+		Effect:      effect,
+		Group:       r.scope(path+"Group", r.values[path+"Group"]),
+		WindowUs:    r.int(path + "WindowUs"),
+		ObjectiveUs: r.int(path + "OnTimeUs"),
+		DeadlineUs:  r.int(path + "DeadlineUs"),
+		Weight:      r.float(path + "Importance"),
 	}
 }
 
-func (c *conf) tenants(s *placement.Settings) {
-	n := int(c.int("Parties.count"))
-	if n <= 0 {
-		return
+// tenants returns the tenants and their quotas.
+func (r *settingsReader) tenants() []placement.Tenant {
+	count := int(r.int("Parties.count"))
+	if count <= 0 {
+		return nil
 	}
-	share := c.nums("FamilyInfo.ShareCores")
-	if len(share) != n {
-		c.bad("FamilyInfo.ShareCores", fmt.Sprintf("%d items, one for each tenant", n))
-		return
+	quotas := r.floats("FamilyInfo.ShareCores")
+	if len(quotas) != count {
+		r.fail("FamilyInfo.ShareCores", fmt.Sprintf("%d items, one for each tenant", count))
+		return nil
 	}
-	for i := range n {
-		s.Tenants = append(s.Tenants, placement.Tenant{
-			Name: c.m[fmt.Sprintf("Parties.%d.Name", i)], QuotaCores: share[i]})
+	var tenants []placement.Tenant
+	for i := range count {
+		name := r.values[fmt.Sprintf("Parties.%d.Name", i)]
+		tenants = append(tenants, placement.Tenant{Name: name, QuotaCores: quotas[i]})
 	}
+	return tenants
 }
