--- /dev/null
+++ b/internal/plot/axis.go
@@ -0,0 +1,109 @@
+package plot
+
+// This file owns the logarithmic axes: their ends, their ticks, and which pixel a value is.
+
+import (
+	"math"
+	"strconv"
+)
+
+// maxPlainLabel is the value from which on labels of ticks have an exponent.
+const maxPlainLabel = 1e6
+
+// denseDecades is the number of decades up to which an axis has ticks within a decade too.
+const denseDecades = 3.0
+
+// tickSteps are the ticks of a decade; tickTolerance absorbs rounding.
+var tickSteps = []float64{1, 2, 5}
+
+const tickTolerance = 1e-9
+
+// tickLabel returns the label of a tick.
+func tickLabel(value float64) string {
+	value, _ = strconv.ParseFloat(strconv.FormatFloat(value, 'g', 6, 64), 64) // without rounding errors
+	if value >= 1 && value < maxPlainLabel {
+		return strconv.FormatFloat(value, 'f', -1, 64)
+	}
+	return strconv.FormatFloat(value, 'g', -1, 64)
+}
+
+// axis maps values to pixels by their logarithm.
+type axis struct {
+	low, high float64 // the values at its ends
+	from, to  int     // the pixels at its ends
+}
+
+// newAxis returns an axis without values.
+func newAxis() *axis { return &axis{low: math.Inf(1), high: math.Inf(-1)} }
+
+// include extends the axis to a value.
+func (a *axis) include(value float64) {
+	a.low = min(a.low, value)
+	a.high = max(a.high, value)
+}
+
+// isEmpty reports whether the axis has no value.
+func (a *axis) isEmpty() bool { return a.low > a.high }
+
+// place lays the axis between two pixels, and extends it to ticks at its ends.
+func (a *axis) place(from, to int) {
+	a.from, a.to = from, to
+	a.low, a.high = tickBelow(a.low), tickAbove(a.high)
+	if a.low == a.high {
+		a.low, a.high = a.low/10, a.high*10
+	}
+}
+
+// pixel returns the pixel of a value.
+func (a *axis) pixel(value float64) int {
+	fraction := math.Log(value/a.low) / math.Log(a.high/a.low)
+	return a.from + int(math.Round(fraction*float64(a.to-a.from)))
+}
+
+// contains reports whether a value is within the axis, but for rounding.
+func (a *axis) contains(value float64) bool {
+	return value >= a.low*(1-tickTolerance) && value <= a.high*(1+tickTolerance)
+}
+
+// ticks returns the powers of ten within the axis, and on a short axis 2 and 5 times those.
+func (a *axis) ticks() []float64 {
+	steps := tickSteps
+	if math.Log10(a.high/a.low) > denseDecades {
+		steps = tickSteps[:1]
+	}
+	var ticks []float64
+	for exponent := math.Floor(math.Log10(a.low)); exponent <= math.Ceil(math.Log10(a.high)); exponent++ {
+		for _, step := range steps {
+			if tick := step * math.Pow(10, exponent); a.contains(tick) {
+				ticks = append(ticks, tick)
+			}
+		}
+	}
+	return ticks
+}
+
+// decadeOf returns the power of ten at or below a value.
+func decadeOf(value float64) float64 { return math.Pow(10, math.Floor(math.Log10(value))) }
+
+// tickBelow returns the largest tick that is at most a value.
+func tickBelow(value float64) float64 {
+	decade := decadeOf(value)
+	below := decade
+	for _, step := range tickSteps {
+		if step*decade <= value*(1+tickTolerance) {
+			below = step * decade
+		}
+	}
+	return below
+}
+
+// tickAbove returns the smallest tick that is at least a value.
+func tickAbove(value float64) float64 {
+	decade := decadeOf(value)
+	for _, step := range tickSteps {
+		if step*decade >= value*(1-tickTolerance) {
+			return step * decade
+		}
+	}
+	return 10 * decade
+}
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -21,23 +21,23 @@
 	os.Exit(m.Run())
 }
 
-// Feed cuts b at random places and calls take with what was gathered, as the
-// loop does.
-func Feed(t *rapid.T, b []byte, take func([]byte) (int, error)) error {
-	var have []byte
-	for len(b) > 0 {
-		n := rapid.IntRange(1, len(b)).Draw(t, "cut")
-		have = append(have, b[:n]...)
-		b = b[n:]
+// Feed hands data to consume as an event loop does: in pieces cut at random places, each
+// with what was not used before. It returns the first error of consume.
+func Feed(t *rapid.T, data []byte, consume func([]byte) (used int, err error)) error {
+	var buffered []byte
+	for len(data) > 0 {
+		length := rapid.IntRange(1, len(data)).Draw(t, "cut")
+		buffered = append(buffered, data[:length]...)
+		data = data[length:]
 		for {
-			used, err := take(have)
+			used, err := consume(buffered)
 			if err != nil {
 				return err
 			}
 			if used == 0 {
 				break
 			}
-			have = have[used:]
+			buffered = buffered[used:]
 		}
 	}
 	return nil
--- a/internal/stats/stats_test.go
+++ b/internal/stats/fit_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"math"
-	"os"
-	"path/filepath"
 	"testing"
-	"time"
 )
 
+// near reports whether two numbers are equal but for rounding.
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
+// The exponent of a power law is found whatever its factor.
 func TestExponentOfAPowerLaw(t *testing.T) {
 	sizes := []float64{100, 400, 1000, 4000, 16000}
 	for _, want := range []float64{0, 0.3, 1, 2} {
@@ -23,6 +22,7 @@
 	}
 }
 
+// Pairs without a logarithm are left out.
 func TestExponentLeavesOutWhatHasNoLogarithm(t *testing.T) {
 	if got := Exponent([]float64{0, 1, 10, 100}, []float64{5, 1, 10, 0}); !near(got, 1) {
 		t.Errorf("exponent %v, want 1", got)
@@ -32,6 +32,7 @@
 	}
 }
 
+// The line through exact points, and the least-squares one through others.
 func TestLine(t *testing.T) {
 	intercept, slope := Line([]float64{1, 2, 3}, []float64{5, 7, 9})
 	if !near(intercept, 3) || !near(slope, 2) {
@@ -46,42 +47,3 @@
 		t.Errorf("line %v + %v x through one size, want NaN", a, b)
 	}
 }
-
-func TestDurations(t *testing.T) {
-	var d Durations
-	if d.Percentile(99) != 0 || d.Max() != 0 || d.Count() != 0 {
-		t.Error("an empty value has durations")
-	}
-	for i := range 1000 {
-		d.Record(time.Duration(i+1) * time.Millisecond)
-	}
-	for _, c := range []struct{ got, want time.Duration }{
-		{d.Percentile(50), 500 * time.Millisecond}, {d.Percentile(99), 990 * time.Millisecond}, {d.Max(), time.Second},
-	} {
-		if off := math.Abs(float64(c.got)/float64(c.want) - 1); off > 0.001 {
-			t.Errorf("got %v, want %v to three digits", c.got, c.want)
-		}
-	}
-	d.Record(-time.Second)
-	d.Record(24 * time.Hour)
-	if d.Count() != 1002 || d.Max() < 59*time.Minute {
-		t.Errorf("%d counted, longest %v: what lies out of range is to count at its end", d.Count(), d.Max())
-	}
-}
-
-func TestWriteTable(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "t.csv")
-	if err := WriteTable(path, []string{"workers", "us"}, [][]float64{{100, 1.5}, {4000, math.NaN()}}); err != nil {
-		t.Fatal(err)
-	}
-	got, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if want := "workers,us\n100,1.5\n4000,NaN\n"; string(got) != want {
-		t.Errorf("got %q, want %q", got, want)
-	}
-	if WriteTable(filepath.Join(t.TempDir(), "none", "t.csv"), nil, nil) == nil {
-		t.Error("no error where the directory is missing")
-	}
-}
