--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -17,7 +17,7 @@
 // maxWorkerIDLength bounds the ID of a worker, in bytes.
 const maxWorkerIDLength = 128
 
-// Verb is what a call asks for.
+// Verb names a call.
 type Verb string
 
 // The calls.
@@ -29,7 +29,7 @@
 	Peers   Verb = "PEERS"   // the members of the cluster
 )
 
-// callForms lists the calls, as operators are told.
+// callForms lists the calls, for error replies.
 const callForms = "HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID"
 
 // Call is one call of an operator.
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -7,7 +7,7 @@
 )
 
 // retryStorm simulates an orchestrator whose clients all come within a second, with a
-// minute's work: they are queued for at most six seconds, and return when they are told to.
+// minute's work: they are queued for at most six seconds, and return after their Retry-After.
 type retryStorm struct {
 	controller *Controller
 	rate       float64 // units a second that are released
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -1,5 +1,5 @@
-// Package backpressure detects retry storms and tells each rejected client when to come
-// again, so that there is free capacity for it when it does. It owns what is remembered
+// Package backpressure detects retry storms and computes for each rejected client when
+// to come again, so that there is free capacity for it when it does. It owns what is remembered
 // of rejected clients, the estimate of the release rate, the calendar of reserved slots
 // and the forecast of demand. It is pure: no I/O, no clock, no goroutine; the time is
 // passed in, and random numbers come from a seed. It must never choose a worker, reject a
@@ -35,7 +35,7 @@
 	Classes         []Class
 	MaxRetryAfterUs int64 // upper bound of Retry-After; 0 for a default
 	MinRetryAfterUs int64 // lower bound of Retry-After
-	Callers         int   // clients remembered at most; 0 for a number that fits a small machine
+	Callers         int   // clients remembered at most; 0 for a default that fits a small host
 }
 
 // Request is a request as far as backpressure needs to know it.
@@ -183,7 +183,7 @@
 }
 
 // Tick evaluates what came since the last tick, and returns the change of state if there
-// was one. It is to be called at least ten times a second while requests come.
+// was one. Call it at least ten times a second while requests come.
 func (c *Controller) Tick(now int64) (Change, bool) {
 	c.advance(now)
 	return c.detector.tick(now, c.pendingSum, c.releases.rate(now))
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -45,8 +45,8 @@
 }
 
 const (
-	// tickIntervalUs is the shortest time between two evaluations.
-	tickIntervalUs = second / 10
+	// evaluationIntervalUs is the shortest time between two evaluations.
+	evaluationIntervalUs = second / 10
 	// usualTimeConstantUs is the time constant by which the usual rate follows arrivals.
 	usualTimeConstantUs = 30 * second
 	// surgeFactor is the multiple of the usual rate that is a surge, if it also is
@@ -72,13 +72,13 @@
 type detector struct {
 	requests, returns, rejections, adoptions, starts eventWindow
 
-	programs    frequentPrograms
-	usual       float64 // requests a second
-	startedAt   int64   // the first tick
-	tickedAt    int64   // the last tick, 0 before the first
-	lastUnquiet int64   // the last tick at which arrivals were above the usual
-	state       State
-	kind        Kind
+	programs   frequentPrograms
+	usual      float64 // requests a second
+	startedAt  int64   // the first tick
+	tickedAt   int64   // the last tick, 0 before the first
+	elevatedAt int64   // the last tick at which arrivals were elevated
+	state      State
+	kind       Kind
 }
 
 // observation is what the detector evaluates at one tick.
@@ -90,7 +90,7 @@
 	releaseRate float64 // units a second
 	congested   bool    // more is pending than is released in a second
 	surge       bool    // arrivals are above the rate of a surge
-	quiet       bool    // arrivals are as usual, and nothing is congested
+	elevated    bool    // arrivals are above the usual, or congested
 }
 
 func (d *detector) requested(now int64, r Request) {
@@ -110,20 +110,20 @@
 // surgeRate returns the rate of requests a second from which on it is a surge.
 func (d *detector) surgeRate() float64 { return max(d.usual*surgeFactor, d.usual+minSurge) }
 
-// tick evaluates the last second, and returns a change of state if there was one.
+// tick evaluates the last second, at most ten times in it, and returns a change of state if there was one.
 func (d *detector) tick(now int64, pending, releaseRate float64) (Change, bool) {
 	if d.tickedAt == 0 {
 		d.startedAt, d.tickedAt = now, now
 		return Change{}, false
 	}
 	elapsed := now - d.tickedAt
-	if elapsed < tickIntervalUs {
+	if elapsed < evaluationIntervalUs {
 		return Change{}, false
 	}
 	d.tickedAt = now
 	obs := d.observe(now, elapsed, pending, releaseRate)
-	if !obs.quiet {
-		d.lastUnquiet = now
+	if obs.elevated {
+		d.elevatedAt = now
 	}
 	from, to := d.state, d.nextState(now, &obs)
 	if to == from {
@@ -158,7 +158,7 @@
 	d.programs.decay(1 - min(maxProgramDecay, float64(elapsed)/float64(second)))
 	obs.congested = pending > 0 && releaseRate > 0 && pending/releaseRate > 1
 	obs.surge = obs.arrivals > d.surgeRate()
-	obs.quiet = obs.arrivals <= max(d.usual*settledFactor, d.usual+minSurge/2) && !obs.congested
+	obs.elevated = obs.arrivals > max(d.usual*settledFactor, d.usual+minSurge/2) || obs.congested
 	return obs
 }
 
@@ -175,7 +175,7 @@
 
 // nextState returns the state that follows from an observation.
 func (d *detector) nextState(now int64, obs *observation) State {
-	settled := now-d.lastUnquiet >= calmAfterUs
+	settled := now-d.elevatedAt >= calmAfterUs
 	switch d.state {
 	case Calm:
 		switch {
@@ -188,11 +188,11 @@
 		switch {
 		case obs.congested || obs.rejected > d.usual:
 			return Overloaded
-		case obs.quiet && settled:
+		case !obs.elevated && settled:
 			return Calm
 		}
 	case Overloaded:
-		if obs.quiet {
+		if !obs.elevated {
 			return Settling
 		}
 	case Settling:
--- a/internal/backpressure/detector_test.go
+++ b/internal/backpressure/detector_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The kinds of surge are told apart, and the state is calm again after each.
+// Each kind of surge is recognised, and the state is calm again after each.
 func TestDetection(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -1,8 +1,8 @@
 package backpressure
 
 // This file owns the computation of Retry-After: when there will be free capacity for a
-// rejected request, which slot its client gets, and how long it is told to stay away so
-// that it comes in that slot. It must never exceed the bounds in the settings.
+// rejected request, which slot its client gets, and which Retry-After brings it
+// back in that slot. It must never exceed the bounds in the settings.
 
 const (
 	// leadShare is the share of a client's timeout by which it is to return ahead of its
@@ -116,7 +116,7 @@
 func (c *Controller) retryAfter(returnIn int64, class int) int64 {
 	wait := int64(float64(max(0, returnIn)) / max(minCompliance, c.compliance[class]))
 	if longest := c.settings.MaxRetryAfterUs; wait > longest {
-		// They can't be told the time itself: they return early, spread out.
+		// The time itself is out of bounds: they return early, spread out.
 		return longest - int64(c.rng.Float64()*spreadShare*float64(longest))
 	}
 	return max(wait, min(c.settings.MinRetryAfterUs, c.settings.MaxRetryAfterUs))
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -17,9 +17,9 @@
 	// emptyAge is the age of an empty entry: older than any other.
 	emptyAge = 1 << 16
 
-	unitScale   = 16.0 // steps of a unit
-	maxUnits    = 255  // steps
-	maxWaitTick = 255  // ticks
+	unitScale    = 16.0 // steps of a unit
+	maxUnitSteps = 255  // steps
+	maxWaitTicks = 255  // ticks
 )
 
 // entry is a rejected client: 12 bytes.
@@ -28,8 +28,8 @@
 	firstTick    uint16 // of the first request
 	rejectedTick uint16 // of the last rejection
 	reservation  uint16 // slot, in ticks after rejectedTick; class; reservedBit
-	waitTicks    uint8  // Retry-After, at most maxWaitTick
-	unitSteps    uint8  // in 1/unitScale, at most maxUnits
+	waitTicks    uint8  // Retry-After, at most maxWaitTicks
+	unitSteps    uint8  // in 1/unitScale, at most maxUnitSteps
 }
 
 // The bits of entry.reservation.
@@ -139,6 +139,6 @@
 	e.rejectedTick = uint16(now / tickUs)
 	slotsAhead := uint16(min(max(0, slot-now/tickUs), slotMask))
 	e.reservation = slotsAhead | uint16(class&classMask)<<slotBits | reservedBit
-	e.waitTicks = uint8(min(maxWaitTick, wait/tickUs))
-	e.unitSteps = uint8(min(maxUnits, max(1, units*unitScale)))
+	e.waitTicks = uint8(min(maxWaitTicks, wait/tickUs))
+	e.unitSteps = uint8(min(maxUnitSteps, max(1, units*unitScale)))
 }
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -21,7 +21,7 @@
 		}
 		written := writeSections(sections)
 		if strings.ContainsAny(written, "\r") {
-			return // a lone one within a word can't be told from a line's end when quoted last
+			return // one that ends a quoted line would be taken for a part of the line's end
 		}
 		again, err := ParseLines("f", []byte(written))
 		if err != nil {
