--- /dev/null
+++ b/internal/backpressure/controller_test.go
@@ -0,0 +1,166 @@
+package backpressure
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"ravenhitch/internal/rapidtest"
+)
+
+func TestMain(m *testing.M) { rapidtest.Main(m, "20261201") }
+
+// testStart is the time at which tests begin.
+const testStart = int64(1_700_000_000_000_000)
+
+// testSettings returns settings with three classes of rising priority.
+func testSettings() Settings {
+	return Settings{
+		Classes:         []Class{{"guide-web", 1}, {"live-relay", 3}, {"archive-cut", 5}},
+		MaxRetryAfterUs: 3 * second,
+	}
+}
+
+// withMaxRetryAfter returns testSettings with another upper bound of Retry-After.
+func withMaxRetryAfter(maxRetryAfterUs int64) Settings {
+	s := testSettings()
+	s.MaxRetryAfterUs = maxRetryAfterUs
+	return s
+}
+
+// saturated returns a Controller that has seen a release rate (units a second) while so
+// many units were pending, and the time at which it has.
+func saturated(s Settings, rate, pending float64) (*Controller, int64) {
+	c := New(s, 1)
+	now := testStart
+	for i := range int(rate * 3) {
+		now = testStart + int64(float64(i)/rate*float64(second))
+		c.SetPending(now, []float64{pending, 0, 0})
+		c.Started(now, Request{Key: uint64(1<<40 + i), Units: 1})
+	}
+	return c, now
+}
+
+// seconds converts microseconds, for messages.
+func seconds(us int64) float64 { return float64(us) / float64(second) }
+
+// Given a client whose retry token proves since when it is queued, when it comes to an
+// orchestrator that does not know it, then it is queued since that time, also after another
+// rejection; a time in the future wins it nothing.
+func TestQueuedSinceOfRetryToken(t *testing.T) {
+	c, now := saturated(testSettings(), 50, 300)
+	since := now - 4*second
+	r := Request{Key: 9, Units: 1, TimeoutUs: 6 * second, QueuedSinceUs: since}
+	if at := c.Requested(now, r); at != since {
+		t.Errorf("queued %d us later than its token proves", at-since)
+	}
+	c.Rejected(now, r)
+	if at := c.Requested(now+second, Request{Key: 9, Units: 1}); at > since+tickUs {
+		t.Errorf("after another rejection queued %d us later", at-since)
+	}
+	if at := c.Requested(now, Request{Key: 10, Units: 1, QueuedSinceUs: now + second}); at != now {
+		t.Errorf("with a token of the future queued %d us from now", at-now)
+	}
+}
+
+// Given any order of events, also with a clock that goes back, then results stay within
+// their bounds and the calendar's sums match its slots.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := testSettings()
+		s.Callers = 64
+		c := New(s, rapid.Uint64().Draw(t, "seed"))
+		now := testStart
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			now += rapid.Int64Range(-second, 3*second).Draw(t, "time")
+			sendRandomEvent(t, c, now)
+			checkCalendarSums(t, c)
+		}
+	})
+}
+
+// sendRandomEvent draws an event, hands it to c and checks the result.
+func sendRandomEvent(t *rapid.T, c *Controller, now int64) {
+	t.Helper()
+	r := Request{
+		Key:       rapid.Uint64Range(0, 300).Draw(t, "key"),
+		Class:     rapid.IntRange(-1, 4).Draw(t, "class"),
+		Units:     rapid.Float64Range(0.01, 20).Draw(t, "units"),
+		TimeoutUs: rapid.Int64Range(0, 10*second).Draw(t, "timeout"),
+	}
+	switch rapid.IntRange(0, 6).Draw(t, "event") {
+	case 0:
+		if since := c.Requested(now, r); since > now {
+			t.Fatalf("queued since %d, now is %d", since, now)
+		}
+	case 1:
+		c.Started(now, r)
+	case 2, 3:
+		if wait := c.Rejected(now, r); wait < 0 || wait > c.settings.MaxRetryAfterUs {
+			t.Fatalf("Retry-After of %d us", wait)
+		}
+	case 4:
+		c.SetPending(now, []float64{r.Units, 0, r.Units})
+	case 5:
+		c.Ended(now, r)
+		c.Adopted(now, r)
+		c.Cancelled(now, r)
+	case 6:
+		c.Tick(now)
+	}
+}
+
+// checkCalendarSums checks that the sum of each class is that of its slots.
+func checkCalendarSums(t *rapid.T, c *Controller) {
+	t.Helper()
+	for class := range c.settings.Classes {
+		var sum float64
+		for slot := range int64(calendarSlots) {
+			sum += float64(*c.calendar.at(slot, class))
+		}
+		if difference := sum - c.calendar.reserved(class); difference > 0.1 || difference < -0.1 {
+			t.Fatalf("class %d: %.2f units reserved, %.2f in the slots", class, c.calendar.reserved(class), sum)
+		}
+	}
+}
+
+// Given a calendar with every slot reserved, then Retry-After stays within its bound, and
+// what is past is forgotten.
+func TestEverySlotReserved(t *testing.T) {
+	c, now := saturated(testSettings(), 10, 100)
+	for i := range 50_000 {
+		r := Request{Key: uint64(i), Program: uint64(i), Units: 4, TimeoutUs: second}
+		if wait := c.Rejected(now, r); wait < 0 || wait > 3*second {
+			t.Fatalf("Retry-After of %.1f s", seconds(wait))
+		}
+	}
+	if f := c.Figures(now); f.Booked < 100_000 {
+		t.Errorf("%.0f units are reserved", f.Booked)
+	}
+	now += 200 * second
+	c.SetPending(now, nil)
+	if f := c.Figures(now); f.Booked != 0 {
+		t.Errorf("%.0f units are reserved long afterwards", f.Booked)
+	}
+}
+
+// Given a million clients, then the waitlist keeps its size.
+func TestMemoryOfAMillionClients(t *testing.T) {
+	s := testSettings()
+	s.Callers = 4096
+	c, now := saturated(s, 100, 10)
+	entries := len(c.waitlist.entries)
+	rng := rand.New(rand.NewPCG(1, 2))
+	for range 1_000_000 {
+		now += 20
+		r := Request{Key: rng.Uint64(), Class: rng.IntN(3), Units: 1, TimeoutUs: 6 * second}
+		c.Requested(now, r)
+		if wait := c.Rejected(now, r); wait > s.MaxRetryAfterUs {
+			t.Fatalf("Retry-After of %d us", wait)
+		}
+	}
+	if len(c.waitlist.entries) != entries {
+		t.Error("the waitlist grew")
+	}
+}
