--- /dev/null
+++ b/internal/discovery/events_test.go
@@ -0,0 +1,72 @@
+package discovery
+
+import (
+	"slices"
+	"testing"
+
+	"ravenhitch/internal/config"
+	"ravenhitch/placement"
+)
+
+// Events fold into the last state of each worker, in the order in which workers were first listed; a
+// complete list replaces what was listed before.
+func TestFoldedList(t *testing.T) {
+	event := func(complete bool, entries ...placement.Entry) (e config.Event) {
+		e.Complete = complete
+		for _, entry := range entries {
+			e.Members = append(e.Members, config.Member{Entry: entry})
+		}
+		return e
+	}
+	for _, test := range []struct {
+		name   string
+		events []config.Event
+		want   []string
+	}{
+		{"no event", nil, nil},
+		{"a change keeps the place", []config.Event{
+			event(false, placement.Entry{Worker: "a"}, placement.Entry{Worker: "b"}),
+			event(false, placement.Entry{Worker: "c"}, placement.Entry{Worker: "a", Zone: "z"})}, []string{"a@z", "b@", "c@"}},
+		{"a removed worker", []config.Event{
+			event(true, placement.Entry{Worker: "a"}, placement.Entry{Worker: "b"}),
+			event(false, placement.Entry{Worker: "a", State: placement.Removed})}, []string{"b@"}},
+		{"a complete list", []config.Event{
+			event(false, placement.Entry{Worker: "a"}, placement.Entry{Worker: "b"}),
+			event(true, placement.Entry{Worker: "b"}, placement.Entry{Worker: "c"})}, []string{"b@", "c@"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var list foldedList
+			for _, e := range test.events {
+				list.fold(e)
+			}
+			var got []string
+			for _, entry := range list.present() {
+				got = append(got, entry.Worker+"@"+entry.Zone)
+			}
+			if !slices.Equal(got, test.want) {
+				t.Errorf("got %v, expected %v", got, test.want)
+			}
+		})
+	}
+}
+
+// An event is applied once and in order, and moves the cursor also where it lists no workers.
+func TestCursorAdvances(t *testing.T) {
+	follower := &Follower{cursor: 6}
+	for _, test := range []struct {
+		event      config.Event
+		apply      bool
+		wantCursor int64
+	}{
+		{config.Event{Cursor: 6, HasNodes: true}, false, 6},
+		{config.Event{Cursor: 7, HasNodes: true}, true, 7},
+		{config.Event{Cursor: 7, HasNodes: true}, false, 7},
+		{config.Event{Cursor: 9}, false, 9},
+		{config.Event{Cursor: 8, HasNodes: true}, false, 9},
+	} {
+		if apply := follower.advance(test.event); apply != test.apply || follower.cursor != test.wantCursor {
+			t.Errorf("event %d: to be applied %t, cursor %d; expected %t, %d",
+				test.event.Cursor, apply, follower.cursor, test.apply, test.wantCursor)
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/follower.go
@@ -0,0 +1,176 @@
+// Package discovery follows the command channel, from which an orchestrator learns the workers of its
+// fleet. It speaks HTTP/1.1 with it by long polls, applies each event of the list of workers once and in
+// order, and keeps track of the shards of workers that this orchestrator is assigned.
+package discovery
+
+// This file owns the connection to the command channel and the poll that waits on it. It polls without
+// pause, since an event counts as delivered once it is in the channel. It must never have two polls on
+// the way, skip an event, or stop polling.
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+
+	"ravenhitch/internal/config"
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/ratelog"
+	"ravenhitch/internal/workerpool"
+)
+
+// The units of the event loop's clock, which counts microseconds.
+const (
+	millisecond = 1_000
+	second      = 1_000 * millisecond
+)
+
+const (
+	// pollBlockMs is how long the channel may hold a poll back for an event, in milliseconds as the
+	// poll names it. The poll is abandoned responseSlack after that.
+	pollBlockMs   = 1_000
+	responseSlack = 800 * millisecond
+	// redialDelay is the pause before the next dial after one that failed.
+	redialDelay = 100 * millisecond
+	// recoveryLimit is within how much time the list must be read from a channel that was
+	// unresponsive and is back, but not on the connection of the poll under way.
+	recoveryLimit = 2 * second
+	// syncDelay is how long the channel takes at most to answer a poll for events that it
+	// already has: it holds back only a poll that it has no event for.
+	syncDelay = 300 * millisecond
+)
+
+// Follower follows the command channel.
+type Follower struct {
+	loop          *eventloop.Loop
+	dispatcher    *dispatch.Dispatcher
+	pool          *workerpool.Pool
+	log           *ratelog.Logger
+	address       string
+	dialTimeoutUs int64
+	cursor        int64            // number of the last event that was applied
+	conn          *eventloop.Conn  // of the poll under way, nil while there is none
+	pollTimer     *eventloop.Timer // abandons that poll
+	redialTimer   *eventloop.Timer // starts the next dial
+
+	firstPollAt int64 // when the channel was first polled, 0 before that
+	hasResponse bool  // whether it has answered a poll
+
+	assignment *shardAssignment // nil where this orchestrator uses all workers
+}
+
+// NewFollower returns a follower of the channel at address that has applied nothing yet. A dial is
+// abandoned after dialTimeoutUs.
+func NewFollower(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, pool *workerpool.Pool, address string,
+	dialTimeoutUs int64, log *slog.Logger) *Follower {
+	return &Follower{loop: loop, dispatcher: dispatcher, pool: pool, address: address, dialTimeoutUs: dialTimeoutUs,
+		log: ratelog.New(log)}
+}
+
+// Synced reports whether this process has read what the channel knows: the channel has answered once, or
+// was polled and had no event for syncDelay.
+func (f *Follower) Synced() bool {
+	return f.hasResponse || f.firstPollAt > 0 && f.loop.Now()-f.firstPollAt > syncDelay
+}
+
+// Start dials the channel and polls it from then on.
+func (f *Follower) Start() {
+	conn, err := f.loop.Dial(f.address, f.dialTimeoutUs, f)
+	if err != nil {
+		f.log.Warn("discovery unreachable", "err", err)
+		f.restartIn(redialDelay)
+		return
+	}
+	f.conn = conn
+}
+
+// SetAddress continues at another address, with the events behind the last one that was applied. The
+// former address sends no more events, so that the poll under way there is abandoned.
+func (f *Follower) SetAddress(address string) {
+	if address != f.address {
+		f.address = address
+		f.restartIn(0)
+	}
+}
+
+// restartIn abandons the poll under way and dials anew after a delay. Events that the abandoned poll did
+// not bring completely come again, as the cursor is that of the last event that was applied.
+func (f *Follower) restartIn(delayUs int64) {
+	f.pollTimer.Stop()
+	f.redialTimer.Stop()
+	if f.conn != nil {
+		f.conn.Close()
+		f.conn = nil
+	}
+	f.redialTimer = f.loop.After(delayUs, f.Start)
+}
+
+// poll requests the events behind the cursor.
+func (f *Follower) poll() {
+	blockMs := f.assignment.pollBlockMs()
+	f.conn.Write([]byte(fmt.Sprintf("GET /cmd/next?resume=%d&block=%d%s HTTP/1.1\r\nHost: %s\r\n\r\n",
+		f.cursor, blockMs, f.assignment.beginPoll(), f.address)))
+	if f.firstPollAt == 0 {
+		f.firstPollAt = f.loop.Now()
+	}
+	f.pollTimer.Stop()
+	f.pollTimer = f.loop.After(blockMs*millisecond+responseSlack, f.abandonPoll)
+}
+
+// abandonPoll polls on a new connection, as no response came in time.
+func (f *Follower) abandonPoll() {
+	f.log.Warn("discovery timed out", "cursor", f.cursor)
+	f.restartIn(0)
+}
+
+// Opened implements eventloop.Handler.
+func (f *Follower) Opened(*eventloop.Conn) { f.poll() }
+
+// Closed implements eventloop.Handler.
+func (f *Follower) Closed(_ *eventloop.Conn, err error) {
+	if !errors.Is(err, eventloop.ErrEOF) {
+		f.log.Warn("discovery disconnected", "cursor", f.cursor, "err", err)
+	}
+	f.restartIn(redialDelay)
+}
+
+// Data implements eventloop.Handler. One response is due at a time. Bytes behind it were not requested:
+// read as the next response, they would put all that follow one poll late.
+func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
+	r, used, complete, err := parseFinalResponse(b)
+	if err != nil || !complete {
+		return used, err
+	}
+	if r.status != http.StatusOK {
+		return used, &StatusError{Status: r.status}
+	}
+	update, err := config.ParseUpdate(r.body)
+	if err != nil {
+		return used, err
+	}
+	f.pollTimer.Stop()
+	f.hasResponse = true
+	f.applyPolled(update)
+	hasExcess := used < len(b)
+	if hasExcess {
+		f.log.Warn("unexpected bytes after discovery response", "cursor", f.cursor)
+	}
+	if hasExcess || !r.reusable {
+		f.restartIn(0)
+		return used, nil
+	}
+	f.poll()
+	return used, nil
+}
+
+// applyPolled applies the response of the poll under way.
+func (f *Follower) applyPolled(update config.Update) {
+	for _, err := range update.Bad {
+		f.log.Warn("invalid worker entry skipped", "err", err)
+	}
+	f.Apply(update, false)
+	if f.assignment.endPoll() {
+		f.publishAssignment()
+	}
+}
