--- /dev/null
+++ b/internal/clientfront/response.go
@@ -0,0 +1,57 @@
+package clientfront
+
+// This file owns the form of responses and completions on the wire, and on which connection they go out.
+
+import (
+	"strconv"
+
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/jsonlines"
+	"ravenhitch/placement"
+)
+
+// Respond implements dispatch.Client. A completion is reported on another connection where that of the
+// request is closed: a running task belongs to no connection.
+func (c *clientConn) Respond(response dispatch.Response) {
+	message := encodeResponse(response)
+	switch response.Kind {
+	case dispatch.Started:
+		c.hasTask, c.hasStarted, c.front.latestStarted = true, true, c
+		c.front.reportOn(c)
+	case dispatch.Rejected, dispatch.Failed:
+	default:
+		c.front.reportCompletion(c, response.RequestID, &message)
+		return
+	}
+	delete(c.openRequests, response.RequestID)
+	c.send(&message)
+}
+
+// encodeResponse is the message of a response or a completion.
+func encodeResponse(response dispatch.Response) jsonlines.Message {
+	message := jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: response.RequestID, HasRC: true}
+	switch response.Kind {
+	case dispatch.Started:
+		return jsonlines.Message{Verb: jsonlines.VerbStarted, Tag: response.RequestID, Blob: response.Description, HasBlob: true}
+	case dispatch.Migrated:
+		return jsonlines.Message{Verb: jsonlines.VerbMove, Tag: response.RequestID}
+	case dispatch.Rejected:
+		message.RC = jsonlines.CauseFull
+		if response.RetryAfterUs > 0 {
+			message.Opts = []jsonlines.Field{{Name: "wait", Value: formatMillis(response.RetryAfterUs)}}
+		}
+	case dispatch.Failed:
+		message.RC = jsonlines.CauseError
+	case dispatch.Completed:
+		message.RC = jsonlines.CauseGivenUp
+		if response.Outcome != placement.Completed {
+			message.RC = jsonlines.CauseReset
+		}
+	}
+	return message
+}
+
+// formatMillis writes microseconds as milliseconds, rounded up.
+func formatMillis(us int64) string {
+	return strconv.FormatInt((us+millisecond-1)/millisecond, 10)
+}
--- /dev/null
+++ b/internal/clientfront/submission_test.go
@@ -0,0 +1,105 @@
+package clientfront
+
+import (
+	"errors"
+	"testing"
+
+	"ravenhitch/internal/jsonlines"
+)
+
+const validExtras = "cores:1.5;memory:2.5;service:ff"
+
+// submissionMessage is a message of a submission that is valid but for what is given.
+func submissionMessage(left, extras string) jsonlines.Message {
+	return jsonlines.Message{Verb: jsonlines.VerbStart, Tag: "9b1f03aa5c7e2d41", HasBlob: true,
+		Opts: []jsonlines.Field{{Name: "class", Value: "web"}, {Name: "key", Value: "k"},
+			{Name: "left", Value: left}, {Name: "extras", Value: extras}}}
+}
+
+// A submission passes only with figures that make sense, and its timeout is read as written.
+func TestParseSubmission(t *testing.T) {
+	for _, test := range []struct {
+		left, extras string
+		valid        bool
+		timeoutUs    int64
+	}{
+		{"1500", validExtras, true, 1_500_000},
+		{"0.5", validExtras, true, 500},
+		{"-3", validExtras, false, 0},
+		{"1e300", validExtras, false, 0},
+		{"0", validExtras, false, 0},
+		{"99999999999999999999999", validExtras, false, 0},
+		{"", validExtras, false, 0},
+		{"soon", validExtras, false, 0},
+		{"NaN", validExtras, false, 0},
+		{"5", "", false, 0},
+		{"5", "x", false, 0},
+		{"5", "cores:1", false, 0},
+		{"5", "cores:nan;memory:1", false, 0},
+		{"5", "cores:-1;memory:1", false, 0},
+		{"5", "cores:1;memory:1e9", false, 0},
+		{"5", "cores:1;memory:inf", false, 0},
+		{"5", "cores:1;memory:1;service:xyz", false, 0},
+		{"5", "home:1;copies:2", false, 0},
+		{"", validExtras + ";at:s-1", true, 0},
+		{"NaN", validExtras + ";at:s-1", true, 0},
+	} {
+		message := submissionMessage(test.left, test.extras)
+		got, err := parseSubmission(&message)
+		if (err == nil) != test.valid || test.valid && got.TimeoutUs != test.timeoutUs {
+			t.Errorf("%+v: got %+v, %v", test, got, err)
+		}
+	}
+	message := submissionMessage("1500", validExtras+";at:s-1;new:thing")
+	got, _ := parseSubmission(&message)
+	if got.Cores != 1.5 || got.Memory != 2.5 || got.Program != 255 || got.RunningOn != "s-1" {
+		t.Errorf("got %+v", got)
+	}
+}
+
+// Without an ID, a description or a key a submission does not pass.
+func TestParseSubmissionIncomplete(t *testing.T) {
+	for name, spoil := range map[string]func(message *jsonlines.Message){
+		"tag":         func(message *jsonlines.Message) { message.Tag = "9b1f03aa5c7e2d4x" },
+		"no tag":      func(message *jsonlines.Message) { message.Tag = "" },
+		"description": func(message *jsonlines.Message) { message.HasBlob = false },
+		"key":         func(message *jsonlines.Message) { message.Opts[1].Value = "" },
+	} {
+		message := submissionMessage("1500", validExtras)
+		spoil(&message)
+		if _, err := parseSubmission(&message); err == nil {
+			t.Errorf("%s: it passed", name)
+		}
+	}
+}
+
+// The error of a submission names the field on the wire and what came in it.
+func TestParseSubmissionErrors(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		left, extras string
+		more         jsonlines.Field
+		field, value string
+	}{
+		{"a timeout that is not a number", "soon", validExtras, jsonlines.Field{}, "left", "soon"},
+		{"no timeout", "", validExtras, jsonlines.Field{}, "left", ""},
+		{"a program that is not hex", "5", "service:xyz", jsonlines.Field{}, "service", "xyz"},
+		{"cores that are not a number", "5", "cores:x", jsonlines.Field{}, "cores", "x"},
+		{"a hint that is not a number", "5", validExtras, jsonlines.Field{Name: "hint", Value: "NaN"}, "hint", "NaN"},
+		{"a negative hint", "5", validExtras, jsonlines.Field{Name: "hint", Value: "-7"}, "hint", ""},
+		{"a negative number of submissions", "5", validExtras, jsonlines.Field{Name: "retry", Value: "-1"}, "retry", "-1"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			message := submissionMessage(test.left, test.extras)
+			message.Opts = append(message.Opts, test.more)
+			_, err := parseSubmission(&message)
+			var got *fieldError
+			if !errors.As(err, &got) || !errors.Is(err, jsonlines.ErrMessage) {
+				t.Fatalf("got %v", err)
+			}
+			if got.Field != test.field || got.Value != test.value || got.Want == "" {
+				t.Errorf("got %+v, expected field %q and value %q", got, test.field, test.value)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/clientfront/unreported.go
@@ -0,0 +1,85 @@
+package clientfront
+
+// This file owns to which client a completion is reported, and the completions for which none is
+// connected. It must never report one to a connection that had no task while a better one may still come.
+
+import "ravenhitch/internal/jsonlines"
+
+const (
+	// maxUnreported bounds the completions that wait for a client to connect.
+	maxUnreported = 10_000
+	// unreportedHold is how long they wait for a connection that is known to be a client's, while others
+	// are connected: half of the second in which a client is to be notified.
+	unreportedHold = 500 * millisecond
+)
+
+// unreportedCompletion is a completion for which no client is connected.
+type unreportedCompletion struct {
+	at   int64 // when it was due
+	line []byte
+}
+
+// reportCompletion sends a completion to the client of a request: on its connection or, where that is
+// closed, on the best other one. Where there is none it waits.
+func (f *Front) reportCompletion(origin *clientConn, requestID string, message *jsonlines.Message) {
+	target := origin
+	if !origin.conn.IsUp() {
+		target = f.bestConn(usageTask)
+	}
+	if target != nil {
+		f.tracer.Step("completion sent", requestID, f.loop.Now(), "connection", target.number, "own", target == origin,
+			"use", int(target.usage()))
+		target.send(message)
+		return
+	}
+	f.tracer.Step("completion unreported", requestID, f.loop.Now())
+	if len(f.unreported) < maxUnreported {
+		f.unreported = append(f.unreported, unreportedCompletion{f.loop.Now(), jsonlines.Append(nil, message)})
+	}
+}
+
+// bestConn returns an open connection of at least a usage, or nil: the last active one of those for which
+// a task was started, else of those that said where one runs, else of those that sent a message.
+// Completions go to connections that never had a task only where no better one came: whoever connects may
+// be anybody.
+func (f *Front) bestConn(minUsage usage) *clientConn {
+	if f.latestStarted != nil && f.latestStarted.conn.IsUp() {
+		return f.latestStarted
+	}
+	var best *clientConn
+	for conn := range f.conns {
+		if conn.conn.IsUp() && conn.usage() >= minUsage && (best == nil || conn.reportsBefore(best)) {
+			best = conn
+		}
+	}
+	return best
+}
+
+// reportsBefore reports whether a completion is to go out on the connection rather than on another.
+func (c *clientConn) reportsBefore(other *clientConn) bool {
+	if usage, otherUsage := c.usage(), other.usage(); usage != otherUsage {
+		return usage > otherUsage
+	}
+	return c.lastActiveAt > other.lastActiveAt
+}
+
+// reportOverdue sends the unreported completions to any client once the first has waited long enough.
+func (f *Front) reportOverdue(now int64) {
+	if len(f.unreported) == 0 || now-f.unreported[0].at <= unreportedHold {
+		return
+	}
+	if conn := f.bestConn(usageMessage); conn != nil {
+		f.reportOn(conn)
+	}
+}
+
+// reportOn sends the unreported completions on a connection, unless that is closed.
+func (f *Front) reportOn(conn *clientConn) {
+	if !conn.conn.IsUp() {
+		return
+	}
+	for _, completion := range f.unreported {
+		conn.conn.Write(completion.line)
+	}
+	f.unreported = nil
+}
