--- a/internal/grpcfront/tickets.go
+++ b/internal/grpcfront/tickets.go
@@ -55,7 +55,7 @@
 	switch {
 	case p.err == nil:
 		f.tickets.Good++
-		s.QueuedSinceUs, s.Rejections = p.SinceUs, int(p.Tries)
+		s.QueuedSinceUs, s.Rejections = p.QueuedSinceUs, int(p.Rejections)
 	case errors.Is(p.err, retrytoken.ErrEarly):
 		f.tickets.Early++
 	case errors.Is(p.err, retrytoken.ErrExpired):
@@ -75,5 +75,5 @@
 	}
 	now := time.Now().UnixMicro()
 	return keys.Issue(retrytoken.Token{Task: task, Class: class, IssuedUs: now, SlotUs: now + max(0, a.RetryAfterUs),
-		SinceUs: min(now, a.QueuedSinceUs), Tries: uint16(min(a.Rejections, 1<<16-1)), Nonce: rand.Uint64()})
+		QueuedSinceUs: min(now, a.QueuedSinceUs), Rejections: uint16(min(a.Rejections, 1<<16-1)), Nonce: rand.Uint64()})
 }
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -11,107 +11,127 @@
 
 const now = int64(1_700_000_000_000_000)
 
-func keys(t testing.TB, text string) *Keys {
-	k, err := ParseKeys("k", []byte("[keys]\n"+text))
+// parseKeys reads a file of keys that must be valid.
+func parseKeys(t testing.TB, text string) *Keys {
+	t.Helper()
+	keys, err := ParseKeys("k", []byte("[keys]\n"+text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return keys
 }
 
 const (
-	old    = "key old 000102030405060708090a0b0c0d0e0f\n"
-	recent = "key recent f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n"
-	theirs = "key theirs 00112233445566778899aabbccddeeff\n"
+	oldKey     = "key old 000102030405060708090a0b0c0d0e0f\n"
+	newKey     = "key recent f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n"
+	unknownKey = "key theirs 00112233445566778899aabbccddeeff\n"
 )
 
-func standard() Token {
-	return Token{Task: "7f3a9c21e0b4d655", Class: "live-relay", IssuedUs: now, SlotUs: now + 3_000_000, SinceUs: now - 5_000_000,
-		Tries: 2, Nonce: 42}
+// sampleToken is a token that was issued now for a slot in three seconds.
+func sampleToken() Token {
+	return Token{Task: "7f3a9c21e0b4d655", Class: "live-relay", IssuedUs: now, SlotUs: now + 3_000_000,
+		QueuedSinceUs: now - 5_000_000, Rejections: 2, Nonce: 42}
 }
 
-// Each fault has its one rule; what is good is good from a little before its time
-// until ten seconds after.
-func TestRules(t *testing.T) {
-	k := keys(t, old)
-	good := k.Issue(standard())
-	if len(good) == 0 || len(good) > TicketMost {
-		t.Fatalf("%d bytes", len(good))
+// A token is valid for its task alone, from a little before its slot until ten seconds after. Whatever makes
+// it invalid has an error of its own.
+func TestTokenValidity(t *testing.T) {
+	keys := parseKeys(t, oldKey)
+	valid := keys.Issue(sampleToken())
+	if len(valid) == 0 || len(valid) > MaxTokenSize {
+		t.Fatalf("%d bytes", len(valid))
 	}
-	foreign := keys(t, theirs).Issue(standard())
-	for _, x := range []struct {
-		name   string
-		ticket []byte
-		at     int64
-		task   string
-		want   error
+	unknown := parseKeys(t, unknownKey).Issue(sampleToken())
+	for _, test := range []struct {
+		name  string
+		token []byte
+		at    int64 // from when it was issued
+		task  string
+		want  error
 	}{
-		{"good", good, 3_000_000, "", nil},
-		{"a little early", good, 3_000_000 - EarlyUs, "", nil},
-		{"early", good, 3_000_000 - EarlyUs - 1, "", ErrEarly},
-		{"at once", good, 0, "", ErrEarly},
-		{"late", good, 3_000_000 + LateUs, "", nil},
-		{"expired", good, 3_000_000 + LateUs + 1, "", ErrExpired},
-		{"the clock set back", good, -86_400_000_000, "", ErrEarly},
-		{"foreign task", good, 3_000_000, "another", ErrForeign},
-		{"unknown key", foreign, 3_000_000, "", ErrKey},
-		{"cut", good[:len(good)-1], 3_000_000, "", ErrProof},
-		{"longer", append(bytes.Clone(good), 0), 3_000_000, "", ErrProof},
-		{"empty", nil, 3_000_000, "", ErrForm},
-		{"huge", make([]byte, 1<<20), 3_000_000, "", ErrForm},
-		{"another version", append([]byte{2}, good[1:]...), 3_000_000, "", ErrForm},
+		{"valid", valid, 3_000_000, "", nil},
+		{"a little early", valid, 3_000_000 - EarlyUs, "", nil},
+		{"early", valid, 3_000_000 - EarlyUs - 1, "", ErrEarly},
+		{"at once", valid, 0, "", ErrEarly},
+		{"late", valid, 3_000_000 + LateUs, "", nil},
+		{"expired", valid, 3_000_000 + LateUs + 1, "", ErrExpired},
+		{"the clock set back", valid, -86_400_000_000, "", ErrEarly},
+		{"another task", valid, 3_000_000, "another", ErrMismatch},
+		{"unknown key", unknown, 3_000_000, "", ErrUnknownKey},
+		{"cut", valid[:len(valid)-1], 3_000_000, "", ErrSignature},
+		{"longer", append(bytes.Clone(valid), 0), 3_000_000, "", ErrSignature},
+		{"empty", nil, 3_000_000, "", ErrMalformed},
+		{"huge", make([]byte, 1<<20), 3_000_000, "", ErrMalformed},
+		{"another version", append([]byte{2}, valid[1:]...), 3_000_000, "", ErrMalformed},
 	} {
-		got, err := k.Verify(x.ticket)
+		got, err := keys.Verify(test.token)
 		if err == nil {
-			task := x.task
+			task := test.task
 			if task == "" {
 				task = "7f3a9c21e0b4d655"
 			}
-			err = got.Check(now+x.at, task, "live-relay")
+			err = got.Check(now+test.at, task, "live-relay")
 		}
-		if !errors.Is(err, x.want) || x.want == nil && err != nil {
-			t.Errorf("%s: %v, expected %v", x.name, err, x.want)
+		if !errors.Is(err, test.want) || test.want == nil && err != nil {
+			t.Errorf("%s: %v, expected %v", test.name, err, test.want)
 		}
 	}
-	// Every bit counts.
-	for i := range len(good) * 8 {
-		b := bytes.Clone(good)
+}
+
+// A token that was changed in any bit does not verify, and an unchanged one says what it was issued for.
+func TestSignatureCoversEveryBit(t *testing.T) {
+	keys := parseKeys(t, oldKey)
+	valid := keys.Issue(sampleToken())
+	for i := range len(valid) * 8 {
+		b := bytes.Clone(valid)
 		b[i/8] ^= 1 << (i % 8)
-		if _, err := k.Verify(b); err == nil {
-			t.Errorf("with bit %d turned it is taken", i)
+		if _, err := keys.Verify(b); err == nil {
+			t.Errorf("it verifies with bit %d flipped", i)
 		}
 	}
-	if got, err := k.Verify(good); err != nil || got != standard() {
+	if got, err := keys.Verify(valid); err != nil || got != sampleToken() {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	for _, k := range []*Keys{nil, {}} {
-		if k.Issue(standard()) != nil {
+}
+
+// Without a key no token is issued, and none verifies.
+func TestWithoutKeys(t *testing.T) {
+	valid := parseKeys(t, oldKey).Issue(sampleToken())
+	for _, keys := range []*Keys{nil, {}} {
+		if keys.Issue(sampleToken()) != nil {
 			t.Error("issued without a key")
 		}
-		if _, err := k.Verify(good); !errors.Is(err, ErrKey) {
-			t.Errorf("taken without a key: %v", err)
+		if _, err := keys.Verify(valid); !errors.Is(err, ErrUnknownKey) {
+			t.Errorf("verified without a key: %v", err)
 		}
 	}
 }
 
-// Keys rotate with an overlap: old tickets are good while the old key is held.
-func TestRotation(t *testing.T) {
-	before, both, after := keys(t, old), keys(t, recent+old), keys(t, recent)
-	a, b := before.Issue(standard()), both.Issue(standard())
-	for _, x := range []struct {
-		k      *Keys
-		ticket []byte
-		want   error
-	}{{both, a, nil}, {both, b, nil}, {after, b, nil}, {after, a, ErrKey}, {before, b, ErrKey}} {
-		if _, err := x.k.Verify(x.ticket); !errors.Is(err, x.want) {
-			t.Errorf("%v, expected %v", err, x.want)
+// Keys rotate with an overlap: old tokens verify as long as the old key is configured.
+func TestKeyRotation(t *testing.T) {
+	before, both, after := parseKeys(t, oldKey), parseKeys(t, newKey+oldKey), parseKeys(t, newKey)
+	oldToken, newToken := before.Issue(sampleToken()), both.Issue(sampleToken())
+	for _, test := range []struct {
+		name  string
+		keys  *Keys
+		token []byte
+		want  error
+	}{
+		{"old token, both keys", both, oldToken, nil},
+		{"new token, both keys", both, newToken, nil},
+		{"new token, new key", after, newToken, nil},
+		{"old token, new key", after, oldToken, ErrUnknownKey},
+		{"new token, old key", before, newToken, ErrUnknownKey},
+	} {
+		if _, err := test.keys.Verify(test.token); !errors.Is(err, test.want) {
+			t.Errorf("%s: %v, expected %v", test.name, err, test.want)
 		}
 	}
 }
 
-// A file of keys that can't be used says where and what was expected, and no secret.
-func TestBadKeys(t *testing.T) {
-	for _, x := range []struct{ text, want string }{
+// The error of an invalid file of keys says where it is and what was expected, and no secret.
+func TestInvalidKeys(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
 		{"", "expected a section [keys]"},
 		{"[keys]", "at least one key"},
 		{"[kees]", "k:1:2: expected the section keys"},
@@ -119,63 +139,66 @@
 		{"[keys]\nkey a", "k:2:1: expected key followed by"},
 		{"[keys]\nkey a 00", "k:2:7: expected a secret of 32 to 128 hex digits"},
 		{"[keys]\nkey a zz0102030405060708090a0b0c0d0e0f", "k:2:7: expected a secret"},
-		{"[keys]\n" + old + old, "k:3:5: expected a name that no other key has"},
+		{"[keys]\n" + oldKey + oldKey, "k:3:5: expected a name that no other key has"},
 	} {
-		_, err := ParseKeys("k", []byte(x.text))
-		if !errors.Is(err, config.ErrConf) || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "0708090a") {
-			t.Errorf("%q: %v", x.text, err)
+		_, err := ParseKeys("k", []byte(test.text))
+		if !errors.Is(err, config.ErrConf) || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "0708090a") {
+			t.Errorf("%q: %v", test.text, err)
 		}
 	}
 }
 
-// A ticket is taken once, also when many others come between.
-func TestUsedOnce(t *testing.T) {
-	var u Redeemed
-	first := standard()
-	if err := u.Redeem(&first); err != nil {
+// A token is redeemed once, also when many others come between, and only so many are remembered.
+func TestRedeemedOnce(t *testing.T) {
+	var redeemed Redeemed
+	first := sampleToken()
+	if err := redeemed.Redeem(&first); err != nil {
 		t.Fatal(err)
 	}
-	for i := range uint64(usedMost - 1) {
+	for i := range uint64(maxRedeemed - 1) {
 		other := Token{Nonce: 1000 + i}
-		if err := u.Redeem(&other); err != nil {
+		if err := redeemed.Redeem(&other); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := u.Redeem(&first); !errors.Is(err, ErrUsed) {
-		t.Errorf("taken again: %v", err)
+	if err := redeemed.Redeem(&first); !errors.Is(err, ErrUsed) {
+		t.Errorf("redeemed again: %v", err)
 	}
-	for i := range uint64(3 * usedMost) {
+	for i := range uint64(3 * maxRedeemed) {
 		other := Token{Nonce: 1_000_000 + i}
-		u.Redeem(&other)
+		if err := redeemed.Redeem(&other); err != nil {
+			t.Fatal(err)
+		}
 	}
-	if len(u.nonces) != usedMost || len(u.order) != usedMost {
-		t.Errorf("%d are remembered", len(u.nonces))
+	if len(redeemed.nonces) != maxRedeemed || len(redeemed.order) != maxRedeemed {
+		t.Errorf("%d are remembered", len(redeemed.nonces))
 	}
 }
 
-// Whatever bytes come, nothing is taken but what was issued.
-func FuzzOpen(f *testing.F) {
-	k := keys(f, old)
-	good := k.Issue(standard())
-	f.Add(good)
+// Whatever bytes come, nothing verifies but what was issued.
+func FuzzVerify(f *testing.F) {
+	keys := parseKeys(f, oldKey)
+	valid := keys.Issue(sampleToken())
+	f.Add(valid)
 	f.Add([]byte{version})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		got, err := k.Verify(b)
+		got, err := keys.Verify(b)
 		if err != nil {
 			return
 		}
-		if again := k.Issue(got); !bytes.Equal(again, b) {
-			t.Errorf("%x was taken as %+v", b, got)
+		if again := keys.Issue(got); !bytes.Equal(again, b) {
+			t.Errorf("%x was verified as %+v", b, got)
 		}
 	})
 }
 
-func BenchmarkOpen(b *testing.B) {
-	k := keys(b, old)
-	good := k.Issue(standard())
+// BenchmarkVerify measures what a token costs that an offer presents.
+func BenchmarkVerify(b *testing.B) {
+	keys := parseKeys(b, oldKey)
+	valid := keys.Issue(sampleToken())
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := k.Verify(good); err != nil {
+		if _, err := keys.Verify(valid); err != nil {
 			b.Fatal(err)
 		}
 	}
