--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -1,12 +1,12 @@
 package grpcfront
 
-// This file owns the sessions: what each is owed, and what it was sent and has not
-// acknowledged. They belong to the loop, and outlive their streams.
+// This file owns the sessions: the offers and tasks of each, and the messages that its client has not
+// acknowledged. They belong to the loop and outlive their streams. A session must never send a message
+// that it could not repeat on the next stream, as far as maxUnacknowledged goes.
 
 import (
 	"time"
 
-	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -16,173 +16,205 @@
 	"ravenhitch/placement"
 )
 
-// session is the owner of the offers made in it. It belongs to the loop.
+const (
+	// maxSessions bounds the sessions, with and without a stream.
+	maxSessions = 1024
+	// maxOpenOffers bounds the offers of a session to which a response is due.
+	maxOpenOffers = 512
+	// maxUnacknowledged bounds the messages that are stored for a client that has not acknowledged them.
+	maxUnacknowledged = 512
+	// maxSessionName bounds the name of a session, in bytes.
+	maxSessionName = 64
+	// sessionTimeoutUs is how long a session without a stream is stored, in microseconds.
+	sessionTimeoutUs = int64(2 * time.Minute / time.Microsecond)
+	// sessionBit is set in the numbers that name sessions to the dispatcher: no connection's number
+	// reaches it.
+	sessionBit = uint64(1) << 63
+)
+
+// session is the dispatch.Client of the offers made in it.
 type session struct {
-	f      *Front
-	name   string
-	at     *stream // nil while no stream is open
-	number uint64
-	kept   []*edgepb.ServerMessage // not acknowledged
-	open   map[string]named        // offers that are owed an answer
-	tasks  map[string]string       // those that stand
-	shut   bool                    // the client has closed its side
-	expiry *eventloop.Timer
-	id     uint64 // from a bit that no connection's number reaches
+	front          *Front
+	name           string
+	number         uint64  // names the session to the dispatcher
+	stream         *stream // nil while none is open
+	lastMessage    uint64  // number of the last message, from 1
+	unacknowledged []*edgepb.ServerMessage
+	openOffers     map[string]openOffer // to which a response is due, by request ID
+	runningTasks   map[string]string    // names of tasks, by request ID
+	clientClosed   bool                 // the client sends nothing more on the stream
+	expiry         *eventloop.Timer     // runs while there is no stream
 }
 
-// named is what an open offer asked for.
-type named struct{ task, class string }
+// openOffer is what an open offer asked for.
+type openOffer struct{ task, class string }
 
-// push numbers a message, keeps it until it is acknowledged, and sends it.
-func (s *session) push(m *edgepb.ServerMessage) {
-	s.number++
-	m.Number = s.number
-	if len(s.kept) >= keptMost {
-		s.kept = append(s.kept[:0], s.kept[1:]...)
+// push numbers a message, stores it until it is acknowledged, and sends it.
+func (s *session) push(message *edgepb.ServerMessage) {
+	s.lastMessage++
+	message.Number = s.lastMessage
+	if len(s.unacknowledged) >= maxUnacknowledged {
+		s.unacknowledged = append(s.unacknowledged[:0], s.unacknowledged[1:]...)
 	}
-	s.kept = append(s.kept, m)
-	if s.at != nil {
-		s.at.send(m)
+	s.unacknowledged = append(s.unacknowledged, message)
+	if s.stream != nil {
+		s.stream.send(message)
 	}
 }
 
+// pushBinding tells the client that its task was started.
+func (s *session) pushBinding(binding *edgepb.Binding) {
+	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Binding{Binding: binding}})
+}
+
+// pushEnded tells the client that its task is over.
+func (s *session) pushEnded(ended *edgepb.Ended) {
+	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: ended}})
+}
+
+// pushRejection tells the client that its task was not started, with the status that Place would return.
+func (s *session) pushRejection(requestID, task string, err error, token []byte) {
+	st := status.Convert(err)
+	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Rejection{Rejection: &edgepb.Rejection{
+		OfferId: requestID, Task: task, Code: uint32(st.Code()), Message: st.Message(), Ticket: token,
+		RetryAfterMs: retryAfterMs(st)}}})
+}
+
+// acknowledge forgets the messages up to a number.
 func (s *session) acknowledge(upTo uint64) {
 	i := 0
-	for i < len(s.kept) && s.kept[i].Number <= upTo {
+	for i < len(s.unacknowledged) && s.unacknowledged[i].Number <= upTo {
 		i++
 	}
-	s.kept = append(s.kept[:0], s.kept[i:]...)
+	s.unacknowledged = append(s.unacknowledged[:0], s.unacknowledged[i:]...)
 }
 
-// Respond implements core.Owner.
-func (s *session) Respond(a dispatch.Response) {
-	n := s.open[a.RequestID]
-	task := n.task
-	if a.Kind == dispatch.Completed || a.Kind == dispatch.Migrated {
-		if task, ok := s.tasks[a.RequestID]; ok {
-			how, reason := edgepb.Ended_HOW_LOST, reasons[a.Cause]
-			switch {
-			case a.Kind == dispatch.Migrated:
-				how = edgepb.Ended_HOW_MOVED
-			case a.Outcome == placement.Completed:
-				how = edgepb.Ended_HOW_DONE
-			}
-			delete(s.tasks, a.RequestID)
-			s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: &edgepb.Ended{
-				OfferId: a.RequestID, Task: task, How: how, Reason: reason}}})
+// Respond implements dispatch.Client.
+func (s *session) Respond(response dispatch.Response) {
+	if response.Kind == dispatch.Completed || response.Kind == dispatch.Migrated {
+		if task, running := s.runningTasks[response.RequestID]; running {
+			delete(s.runningTasks, response.RequestID)
+			s.pushEnded(endedOf(response, task))
 			return
 		}
 	}
-	delete(s.open, a.RequestID)
-	if err := rejection(a); err != nil {
-		s.reject(a.RequestID, task, err, s.f.issue(a, n.task, n.class))
+	offer := s.openOffers[response.RequestID]
+	delete(s.openOffers, response.RequestID)
+	if err := responseStatus(response); err != nil {
+		s.pushRejection(response.RequestID, offer.task, err, s.front.issueToken(response, offer.task, offer.class))
 	} else {
-		s.tasks[a.RequestID] = task
-		s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Binding{Binding: &edgepb.Binding{
-			OfferId: a.RequestID, Task: task, Node: a.Worker, Description: a.Description}}})
+		s.runningTasks[response.RequestID] = offer.task
+		s.pushBinding(newBinding(response.RequestID, offer.task, response))
 	}
-	s.settle()
+	s.endIfSettled()
 }
 
-var reasons = map[placement.Cause]string{placement.CauseEvicted: "evicted for memory",
+// endReasons are the texts of the protocol for why a task was ended.
+var endReasons = map[placement.Cause]string{placement.CauseEvicted: "evicted for memory",
 	placement.CausePreempted: "pushed out", placement.CauseDrained: "sent away"}
 
-func (s *session) reject(id, task string, err error, ticket []byte) {
-	st := status.Convert(err)
-	r := &edgepb.Rejection{OfferId: id, Task: task, Code: uint32(st.Code()), Message: st.Message(), Ticket: ticket}
-	for _, d := range st.Details() {
-		if info, ok := d.(*errdetails.RetryInfo); ok {
-			r.RetryAfterMs = uint32(info.GetRetryDelay().AsDuration() / time.Millisecond)
-		}
+// endedOf is the message of a completion or a migration.
+func endedOf(response dispatch.Response, task string) *edgepb.Ended {
+	how := edgepb.Ended_HOW_LOST
+	switch {
+	case response.Kind == dispatch.Migrated:
+		how = edgepb.Ended_HOW_MOVED
+	case response.Outcome == placement.Completed:
+		how = edgepb.Ended_HOW_DONE
 	}
-	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Rejection{Rejection: r}})
+	return &edgepb.Ended{OfferId: response.RequestID, Task: task, How: how, Reason: endReasons[response.Cause]}
 }
 
-// settle ends the stream of a client that has closed its side, once nothing is
-// owed to it.
-func (s *session) settle() {
-	if s.shut && len(s.open) == 0 && s.at != nil {
-		s.at.end(nil)
+// endIfSettled ends the stream of a client that has closed its side, once no response is due to it.
+func (s *session) endIfSettled() {
+	if s.clientClosed && len(s.openOffers) == 0 && s.stream != nil {
+		s.stream.end(nil)
 	}
 }
 
-// attach makes st the session's stream and repeats what was not read.
+// attach makes st the stream of a session, and repeats the messages behind the number that its client has
+// read. It returns nil, and ends the stream, where there are too many sessions.
 func (f *Front) attach(name string, seen uint64, st *stream) *session {
 	s := f.sessions[name]
-	if f.closing || s == nil && len(f.sessions) >= sessionsMost {
-		st.end(retry(codes.Unavailable, "no room for another session", retryLeast))
+	if f.closing || s == nil && len(f.sessions) >= maxSessions {
+		st.end(retryStatus(codes.Unavailable, "no room for another session", defaultRetryAfter))
 		return nil
 	}
 	if s == nil {
-		s = &session{f: f, name: name, open: map[string]named{}, tasks: map[string]string{}}
-		f.begun++
-		s.id = 1<<63 | f.begun
-		f.sessions[name] = s
+		s = f.newSession(name)
 	}
-	if s.at != nil {
-		s.at.end(status.Error(codes.Aborted, "a newer stream opened the session"))
+	if s.stream != nil {
+		s.stream.end(errStreamReplaced)
 	}
 	s.expiry.Stop()
-	s.at, s.shut = st, false
+	s.stream, s.clientClosed = st, false
 	s.acknowledge(seen)
-	for _, m := range s.kept {
-		st.send(m)
+	for _, message := range s.unacknowledged {
+		st.send(message)
 	}
 	return s
 }
 
-// detach leaves the session without a stream. Offers that are open stay in until
-// their time is up, and tasks stand.
+// newSession adds a session without a stream.
+func (f *Front) newSession(name string) *session {
+	f.sessionsOpened++
+	s := &session{front: f, name: name, number: sessionBit | f.sessionsOpened,
+		openOffers: map[string]openOffer{}, runningTasks: map[string]string{}}
+	f.sessions[name] = s
+	return s
+}
+
+// detach leaves the session without a stream, unless it has another. Open offers go on until their
+// deadlines, and tasks run on.
 func (s *session) detach(st *stream) {
 	st.end(nil)
-	if s.at != st {
+	if s.stream != st {
 		return
 	}
-	s.at = nil
-	s.expiry = s.f.l.After(sessionLife, func() {
-		if s.f.sessions[s.name] == s {
-			delete(s.f.sessions, s.name)
+	s.stream = nil
+	s.expiry = s.front.loop.After(sessionTimeoutUs, func() {
+		if s.front.sessions[s.name] == s {
+			delete(s.front.sessions, s.name)
 		}
 	})
 }
 
-// offer hands an offer of the session to the core.
-func (s *session) offer(o *edgepb.Offer, set dispatch.Submission, p proof) {
-	if n, ok := s.open[set.RequestID]; ok && n.task == set.Key {
-		return // its answer is under way in this session
+// offer submits an offer of the session.
+func (s *session) offer(offer *edgepb.Offer, submission dispatch.Submission, token presentedToken) {
+	if open, found := s.openOffers[submission.RequestID]; found && open.task == submission.Key {
+		return // its response is on the way in this session
 	}
-	if len(s.open) >= openMost {
-		s.reject(set.RequestID, set.Key, retry(codes.ResourceExhausted, "too many offers of the session are open", retryLeast), nil)
+	if len(s.openOffers) >= maxOpenOffers {
+		s.pushRejection(submission.RequestID, submission.Key,
+			retryStatus(codes.ResourceExhausted, "too many offers of the session are open", defaultRetryAfter), nil)
 		return
 	}
-	s.open[set.RequestID] = named{set.Key, set.Class}
-	s.f.admit(&set, p)
-	set.Connection = s.id
-	if err := s.f.submit(s, set); err != nil {
-		delete(s.open, set.RequestID)
-		s.turnAway(o, err)
+	s.openOffers[submission.RequestID] = openOffer{submission.Key, submission.Class}
+	s.front.redeem(&submission, token)
+	submission.Connection = s.number
+	if err := s.front.submit(s, submission); err != nil {
+		delete(s.openOffers, submission.RequestID)
+		s.rejectOffer(offer, err)
 	}
 }
 
-// turnAway rejects an offer that the core does not take.
-func (s *session) turnAway(o *edgepb.Offer, err error) {
-	s.reject(o.GetOfferId(), o.GetTask(), err, nil)
-	s.settle()
+// rejectOffer rejects an offer that was not submitted.
+func (s *session) rejectOffer(offer *edgepb.Offer, err error) {
+	s.pushRejection(offer.GetOfferId(), offer.GetTask(), err, nil)
+	s.endIfSettled()
 }
 
-// release ends an offer or a task of the session. Either way the client hears of
-// the end once.
-func (s *session) release(id string) {
-	switch s.f.c.Cancel(s.f.l.Now(), s, id) {
+// release ends an offer or a task of the session. Either way the client is notified of it once.
+func (s *session) release(requestID string) {
+	switch s.front.dispatcher.Cancel(s.front.loop.Now(), s, requestID) {
 	case dispatch.WasOpen:
-		task := s.open[id].task
-		delete(s.open, id)
-		s.reject(id, task, status.Error(codes.Canceled, "its owner withdrew the offer"), nil)
-		s.settle()
+		task := s.openOffers[requestID].task
+		delete(s.openOffers, requestID)
+		s.pushRejection(requestID, task, errCancelled, nil)
+		s.endIfSettled()
 	case dispatch.WasRunning:
-		task := s.tasks[id]
-		delete(s.tasks, id)
-		s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: &edgepb.Ended{
-			OfferId: id, Task: task, How: edgepb.Ended_HOW_RELEASED}}})
+		task := s.runningTasks[requestID]
+		delete(s.runningTasks, requestID)
+		s.pushEnded(&edgepb.Ended{OfferId: requestID, Task: task, How: edgepb.Ended_HOW_RELEASED})
 	}
 }
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -1,148 +1,201 @@
 package grpcfront
 
-// This file owns the streams of sessions: what goes between one stream of gRPC and the loop.
+// This file owns the streams of sessions: what goes between one gRPC stream and the loop. A stream must
+// never make the loop wait for its client to read.
 
 import (
 	"errors"
 	"io"
 	"time"
 
-	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// stream is one stream of a session. The loop alone writes to out and ends it.
+// maxOutbox bounds the messages that wait for one stream to be read.
+const maxOutbox = 512
+
+// stream is one stream of a session. The loop alone writes to its outbox and ends it.
 type stream struct {
-	out   chan *edgepb.ServerMessage
-	over  chan struct{}
-	err   error // set before over is closed
-	ended bool  // the loop's
-	// session is the one that it was opened for, nil where there was no room; the loop's.
-	session *session
+	outbox chan *edgepb.ServerMessage
+	done   chan struct{} // closed when the stream is ended
+	err    error         // the status that it ends with, set before done is closed
+
+	// What follows belongs to the loop.
+	ended   bool
+	session *session // nil until it is attached, and where there are too many sessions
+}
+
+func newStream() *stream {
+	return &stream{outbox: make(chan *edgepb.ServerMessage, maxOutbox), done: make(chan struct{})}
 }
 
+// end ends the stream with a status, unless it was ended before.
 func (st *stream) end(err error) {
 	if !st.ended {
 		st.ended, st.err = true, err
-		close(st.over)
+		close(st.done)
 	}
 }
 
 // send gives the stream a message, or ends it where its client does not read.
-func (st *stream) send(m *edgepb.ServerMessage) {
+func (st *stream) send(message *edgepb.ServerMessage) {
 	if st.ended {
 		return
 	}
 	select {
-	case st.out <- m:
+	case st.outbox <- message:
 	default:
-		st.end(status.Error(codes.ResourceExhausted, "the client does not read; open the session again"))
-	}
-}
-
-// firstOf is the first message of a stream. One that never comes would hold a
-// stream, and its connection, for ever.
-func firstOf(g edgepb.Orchestrator_SessionServer) (*edgepb.ClientMessage, error) {
-	type message struct {
-		m   *edgepb.ClientMessage
-		err error
-	}
-	came := make(chan message, 1)
-	go func() {
-		m, err := g.Recv()
-		came <- message{m, err}
-	}()
-	select {
-	case first := <-came:
-		return first.m, first.err
-	case <-time.After(hushMost):
-		return nil, status.Error(codes.DeadlineExceeded, "the session was not opened in time")
+		st.end(errSlowClient)
 	}
 }
 
-// Session implements the RPC.
-func (f *Front) Session(g edgepb.Orchestrator_SessionServer) error {
-	first, err := firstOf(g)
+// Session implements edgepb.OrchestratorServer.
+func (f *Front) Session(server edgepb.Orchestrator_SessionServer) error {
+	first, err := receiveFirst(server)
 	if err != nil {
 		return err
 	}
 	open := first.GetOpen()
-	if open == nil || open.GetSession() == "" || len(open.GetSession()) > nameMost {
-		return bad("open", "the first message must name a session in 1 to 64 bytes")
+	if open == nil || open.GetSession() == "" || len(open.GetSession()) > maxSessionName {
+		return fieldStatus("open", "the first message must name a session in 1 to 64 bytes")
 	}
-	st := &stream{out: make(chan *edgepb.ServerMessage, outMost), over: make(chan struct{})}
-	if err := f.ask(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
+	st := newStream()
+	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receive(g, st)
-	defer f.l.Post(func() {
+	go f.receiveAll(server, st) // its Recv returns once this call has
+	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
 		}
 	})
-	return st.deliver(g)
+	return st.write(server)
 }
 
-// receive passes what comes on a stream to the loop, until it ends.
-func (f *Front) receive(g edgepb.Orchestrator_SessionServer, st *stream) {
+// receiveFirst returns the first message of a stream. One that never comes would occupy a stream, and its
+// connection, for ever.
+func receiveFirst(server edgepb.Orchestrator_SessionServer) (*edgepb.ClientMessage, error) {
+	type received struct {
+		message *edgepb.ClientMessage
+		err     error
+	}
+	result := make(chan received, 1)
+	go func() { // its Recv returns once the call has, at the latest
+		message, err := server.Recv()
+		result <- received{message, err}
+	}()
+	select {
+	case first := <-result:
+		return first.message, first.err
+	case <-time.After(firstMessageTimeout):
+		return nil, errNotOpened
+	}
+}
+
+// receiveAll passes what comes on a stream to the loop, until it ends.
+func (f *Front) receiveAll(server edgepb.Orchestrator_SessionServer, st *stream) {
 	for {
-		m, err := g.Recv()
+		message, err := server.Recv()
 		if err != nil {
-			f.l.Post(func() { st.received(err) })
+			f.loop.Post(func() { st.receiveEnd(err) })
 			return
 		}
-		if err := f.take(m, st); err != nil {
-			f.l.Post(func() { st.end(err) })
+		if err := f.receive(message, st); err != nil {
+			f.loop.Post(func() { st.end(err) })
 			return
 		}
 	}
 }
 
-// received is the end of what comes: the client has closed its side, or the stream is
-// broken. It runs on the loop.
-func (st *stream) received(err error) {
+// receiveEnd handles the end of what comes: the client has closed its side, or the stream is broken. It
+// runs on the loop.
+func (st *stream) receiveEnd(err error) {
 	s := st.session
 	switch {
 	case s == nil:
 	case !errors.Is(err, io.EOF):
 		s.detach(st)
-	case s.at == st:
-		s.shut = true
-		s.settle()
+	case s.stream == st:
+		s.clientClosed = true
+		s.endIfSettled()
+	}
+}
+
+// receive passes one message of a client to the loop. An error is the status that ends the stream.
+func (f *Front) receive(message *edgepb.ClientMessage, st *stream) error {
+	switch kind := message.GetKind().(type) {
+	case *edgepb.ClientMessage_Offer:
+		return f.receiveOffer(kind.Offer, st)
+	case *edgepb.ClientMessage_Release:
+		requestID := kind.Release.GetOfferId()
+		return f.post(func() {
+			if s := st.attached(); s != nil {
+				s.release(requestID)
+			}
+		})
+	case *edgepb.ClientMessage_Ack:
+		return f.post(func() {
+			if s := st.session; s != nil { // also where another stream has replaced this one
+				s.acknowledge(kind.Ack)
+			}
+		})
+	}
+	return errUnknownMessage
+}
+
+// receiveOffer reads an offer and passes it to the loop.
+func (f *Front) receiveOffer(offer *edgepb.Offer, st *stream) error {
+	submission, invalid := parseOffer(offer)
+	token := f.verifyToken(offer)
+	return f.post(func() {
+		switch s := st.attached(); {
+		case s == nil:
+		case invalid != nil:
+			s.rejectOffer(offer, invalid)
+		default:
+			s.offer(offer, submission, token)
+		}
+	})
+}
+
+// attached is the session of which this is the stream, or nil. It is for the loop only.
+func (st *stream) attached() *session {
+	if st.session == nil || st.session.stream != st {
+		return nil
 	}
+	return st.session
 }
 
-// deliver writes what the session sends, until the stream ends. What was sent before its end
-// is written first.
-func (st *stream) deliver(g edgepb.Orchestrator_SessionServer) error {
+// write sends the messages of the outbox until the stream ends. Those from before its end are sent first.
+func (st *stream) write(server edgepb.Orchestrator_SessionServer) error {
 	for {
-		if err := st.flush(g); err != nil {
+		if err := st.writePending(server); err != nil {
 			return err
 		}
 		select {
-		case m := <-st.out:
-			if err := g.Send(m); err != nil {
+		case message := <-st.outbox:
+			if err := server.Send(message); err != nil {
 				return err
 			}
-		case <-st.over:
-			if err := st.flush(g); err != nil {
+		case <-st.done:
+			if err := st.writePending(server); err != nil {
 				return err
 			}
 			return st.err
-		case <-g.Context().Done():
-			return status.FromContextError(g.Context().Err()).Err()
+		case <-server.Context().Done():
+			return status.FromContextError(server.Context().Err()).Err()
 		}
 	}
 }
 
-// flush writes what waits.
-func (st *stream) flush(g edgepb.Orchestrator_SessionServer) error {
+// writePending sends the messages that are in the outbox now.
+func (st *stream) writePending(server edgepb.Orchestrator_SessionServer) error {
 	for {
 		select {
-		case m := <-st.out:
-			if err := g.Send(m); err != nil {
+		case message := <-st.outbox:
+			if err := server.Send(message); err != nil {
 				return err
 			}
 		default:
@@ -150,35 +203,3 @@
 		}
 	}
 }
-
-// take passes one message of a client to the loop. An error ends the stream.
-func (f *Front) take(m *edgepb.ClientMessage, st *stream) error {
-	switch k := m.GetKind().(type) {
-	case *edgepb.ClientMessage_Offer:
-		set, err := setup(k.Offer)
-		proof := f.proof(k.Offer)
-		return f.ask(func() {
-			switch s := st.session; {
-			case s == nil || s.at != st:
-			case err != nil:
-				s.turnAway(k.Offer, err)
-			default:
-				s.offer(k.Offer, set, proof)
-			}
-		})
-	case *edgepb.ClientMessage_Release:
-		id := k.Release.GetOfferId()
-		return f.ask(func() {
-			if s := st.session; s != nil && s.at == st {
-				s.release(id)
-			}
-		})
-	case *edgepb.ClientMessage_Ack:
-		return f.ask(func() {
-			if s := st.session; s != nil {
-				s.acknowledge(k.Ack)
-			}
-		})
-	}
-	return status.Error(codes.InvalidArgument, "expected an offer, a release or an ack")
-}
--- /dev/null
+++ b/internal/grpcfront/unary.go
@@ -0,0 +1,121 @@
+package grpcfront
+
+// This file owns the calls with one request and one response: Place and Release. They must never outlive
+// their context.
+
+import (
+	"context"
+
+	"google.golang.org/grpc/status"
+
+	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/grpcfront/edgepb"
+)
+
+// placeCall is the dispatch.Client of an offer made by Place. Whatever comes after the first response it
+// ignores: the call is over.
+type placeCall struct {
+	response  chan dispatch.Response // holds one
+	rejection chan error             // holds one: the status of an offer that was not submitted
+	responded bool                   // belongs to the loop
+}
+
+func newPlaceCall() *placeCall {
+	return &placeCall{response: make(chan dispatch.Response, 1), rejection: make(chan error, 1)}
+}
+
+// Respond implements dispatch.Client.
+func (c *placeCall) Respond(response dispatch.Response) {
+	if !c.responded {
+		c.responded = true
+		c.response <- response
+	}
+}
+
+// Place implements edgepb.OrchestratorServer.
+func (f *Front) Place(ctx context.Context, offer *edgepb.Offer) (*edgepb.Binding, error) {
+	submission, err := parseOffer(offer)
+	if err != nil {
+		return nil, err
+	}
+	token := f.verifyToken(offer)
+	call := newPlaceCall()
+	err = f.post(func() {
+		if err := f.submitPlace(ctx, call, submission, token); err != nil {
+			call.rejection <- err
+		}
+	})
+	if err != nil {
+		return nil, err
+	}
+	select {
+	case err := <-call.rejection:
+		return nil, err
+	case response := <-call.response:
+		return f.placeResult(offer, response)
+	case <-ctx.Done():
+		f.loop.Post(func() { f.cancelPlace(call, submission.RequestID) })
+		return nil, status.FromContextError(ctx.Err()).Err()
+	}
+}
+
+// submitPlace submits the offer of a call, with the call's deadline as its timeout. It runs on the loop.
+func (f *Front) submitPlace(ctx context.Context, call *placeCall, submission dispatch.Submission, token presentedToken) error {
+	if deadline, ok := ctx.Deadline(); ok {
+		submission.TimeoutUs = deadline.UnixMicro() - f.loop.Now()
+		if submission.TimeoutUs <= 0 {
+			return errDeadlinePassed
+		}
+	}
+	if ctx.Err() != nil {
+		return status.FromContextError(ctx.Err()).Err()
+	}
+	f.redeem(&submission, token)
+	return f.submit(call, submission)
+}
+
+// cancelPlace cancels the offer of a call whose client waits no more. It runs on the loop. A task that was
+// started meanwhile goes on; a repeat of the offer gets its binding.
+func (f *Front) cancelPlace(call *placeCall, requestID string) {
+	if !call.responded {
+		f.dispatcher.Cancel(f.loop.Now(), call, requestID)
+	}
+}
+
+// placeResult is what Place returns for a response.
+func (f *Front) placeResult(offer *edgepb.Offer, response dispatch.Response) (*edgepb.Binding, error) {
+	if err := responseStatus(response); err != nil {
+		return nil, withToken(err, f.issueToken(response, offer.GetTask(), offer.GetClass()))
+	}
+	return newBinding(offer.GetOfferId(), offer.GetTask(), response), nil
+}
+
+// newBinding is the binding of a task that was started.
+func newBinding(offerID, task string, response dispatch.Response) *edgepb.Binding {
+	return &edgepb.Binding{OfferId: offerID, Task: task, Node: response.Worker, Description: response.Description}
+}
+
+// Release implements edgepb.OrchestratorServer.
+func (f *Front) Release(ctx context.Context, request *edgepb.ReleaseRequest) (*edgepb.ReleaseResponse, error) {
+	cancelled := make(chan dispatch.CancelResult, 1)
+	if err := f.post(func() { cancelled <- f.release(request.GetOfferId()) }); err != nil {
+		return nil, err
+	}
+	select {
+	case result := <-cancelled:
+		if result == dispatch.NotFound {
+			return nil, errNotFound
+		}
+		return &edgepb.ReleaseResponse{}, nil
+	case <-ctx.Done():
+		return nil, status.FromContextError(ctx.Err()).Err()
+	}
+}
+
+// release ends an offer or a task of this front, whoever made it. It runs on the loop.
+func (f *Front) release(requestID string) dispatch.CancelResult {
+	if !f.dispatcher.IsResumable(requestID) { // also where the platform's front has it
+		return dispatch.NotFound
+	}
+	return f.dispatcher.Cancel(f.loop.Now(), nil, requestID)
+}
