--- a/client/client.go
+++ b/client/client.go
@@ -3,7 +3,7 @@
 // orchestrators. It is the reference of how a client behaves in a retry storm.
 //
 // It must never offer a task again that may have started, never come back before the time that an
-// orchestrator gave, and never wait beyond its caller's deadline: then it returns at once, with what it was
+// orchestrator advised, and never wait beyond its caller's deadline: then it returns at once, with what it was
 // advised.
 package client
 
@@ -63,7 +63,7 @@
 	// Wait is the timeout of one attempt; 0 leaves it to the class.
 	Wait time.Duration
 	// BackOff is the first pause after a call that reached nobody, doubled each time up to thirty times
-	// itself, and drawn between half and whole; 0 means 100 ms.
+	// itself, and drawn between 0.5 and 1 of that; 0 means 100 ms.
 	BackOff time.Duration
 }
 
--- a/client/place.go
+++ b/client/place.go
@@ -20,7 +20,7 @@
 // errNoOrchestrator is the error of a client without connections.
 var errNoOrchestrator = errors.New("client: no orchestrator to offer to")
 
-// request is a task on its way.
+// request is a task that does not run yet.
 type request struct {
 	task     Task
 	offerID  string // the same for repeats of one offer, which get the same response
@@ -88,11 +88,11 @@
 		// The slot is reserved: it costs no budget to come back to it. The offer has its response, so that
 		// the next one is new.
 		r.token, r.offerID = advised.token, newOfferID()
-		if advised.given {
+		if advised.hasDelay {
 			return advised.delay, nil
 		}
 		return r.pause, nil
-	case code == codes.Unavailable && advised.given:
+	case code == codes.Unavailable && advised.hasDelay:
 		return advised.delay, nil // the orchestrator accepted nothing, and says when to try again
 	case (code == codes.Unavailable || code == codes.DeadlineExceeded) && !r.task.Once:
 		// No orchestrator was reached, or the response was lost: a repeat of the same offer gets the same
@@ -137,9 +137,9 @@
 
 // advice is what a status says of the next attempt.
 type advice struct {
-	given bool // whether there is a delay
-	delay time.Duration
-	token []byte // proves the place in line then, or nil
+	hasDelay bool
+	delay    time.Duration
+	token    []byte // proves the place in line then, or nil
 }
 
 // adviceOf reads the details of a status.
@@ -147,7 +147,7 @@
 	for _, detail := range status.Convert(err).Details() {
 		switch detail := detail.(type) {
 		case *errdetails.RetryInfo:
-			a.given, a.delay = true, max(0, detail.GetRetryDelay().AsDuration())
+			a.hasDelay, a.delay = true, max(0, detail.GetRetryDelay().AsDuration())
 		case *edgepb.ReturnTicket:
 			a.token = detail.GetTicket()
 		}
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -5,7 +5,7 @@
 
 const (
 	// minIdleWithTask is how long a connection must have been idle to be closed for another: a submission
-	// may be on its way on one that was just used. minIdleWithoutTask is the same for one that
+	// may be in flight on one that was just used. minIdleWithoutTask is the same for one that
 	// never had a task: who connects for one submits it at once, and what crosses the close within
 	// 50 ms is sent again.
 	minIdleWithTask    = 1 * second
@@ -60,8 +60,8 @@
 	return minIdleWithoutTask
 }
 
-// admit reports whether another client may connect; the event loop asks before each accept, before it knows
-// whether a client waits. Where the limit is reached, or no descriptor is left
+// admit reports whether another client may connect; the event loop asks before each accept, before it can
+// see whether a client waits. Where the limit is reached, or no descriptor is left
 // for clients, it closes an idle connection. Clients that are not admitted wait in the system's queue,
 // where no response reaches them, and connections without a task come by the hundred: so they go first.
 func (f *Front) admit() bool {
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -28,7 +28,7 @@
 	front        *Front
 	conn         *eventloop.Conn
 	number       uint64          // of the connection, from 1
-	openRequests map[string]bool // IDs of requests to which a response is due
+	openRequests map[string]bool // IDs of requests without a response
 	lastActiveAt int64           // when its last complete message came, or when it connected
 	partialSince int64           // since when a part of a message waits for the rest, 0 where none does
 	hasMessage   bool            // a complete message came
@@ -151,7 +151,7 @@
 }
 
 // rejectDuplicate responds to two requests of one ID on this connection, once for both: a client could not
-// tell for which of them a response is.
+// distinguish for which of them a response is.
 func (c *clientConn) rejectDuplicate(now int64, requestID string) error {
 	c.front.dispatcher.Reject(now, c, requestID)
 	c.front.log.Warn("duplicate request ID on connection", "request_id", requestID)
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -4,7 +4,7 @@
 package clientfront
 
 // This file owns the set of connections from clients, and how they are accepted. It must never close a
-// connection to which a response is due before that response is written.
+// connection with an open request before the response to that is written.
 
 import (
 	"log/slog"
@@ -36,7 +36,7 @@
 	accepted      uint64 // connections so far
 }
 
-// NewFront returns a front that holds at most maxConns connections. It closes one without an open request
+// NewFront returns a front that serves at most maxConns connections. It closes one without an open request
 // idleTimeoutUs after its last message, or never where that is 0.
 func NewFront(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, maxConns int, idleTimeoutUs int64,
 	log *slog.Logger) *Front {
@@ -47,7 +47,7 @@
 // ShareDescriptors makes the front admit clients only as the budget allows.
 func (f *Front) ShareDescriptors(budget *descriptors.Budget) { f.budget = budget }
 
-// MaxConnections is how many connections the front holds at most.
+// MaxConnections is how many connections the front serves at most.
 func (f *Front) MaxConnections() int { return f.maxConns }
 
 // SetTraceSuffixes limits the trace to the request IDs that end in one of the suffixes; none traces all.
--- a/internal/clientfront/front_test.go
+++ b/internal/clientfront/front_test.go
@@ -173,7 +173,7 @@
 }
 
 // Where the limit of connections is reached, those that never sent a message are closed for others before
-// one that did. The event loop has a place freed before it knows whether another client waits, so that
+// one that did. The event loop has a place freed before it sees whether another client waits, so that
 // both of them go.
 func TestAdmissionClosesLeastUsed(t *testing.T) {
 	addr := startFront(t, 3)
--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -20,7 +20,7 @@
 // fieldError is the error of a message with an invalid field. It wraps jsonlines.ErrMessage.
 type fieldError struct {
 	Field string // its name on the wire
-	Value string // what came, empty where nothing did or the dispatcher's check found the fault
+	Value string // what came, empty where nothing did or the dispatcher's check failed
 	Want  string // what was expected
 }
 
@@ -35,7 +35,7 @@
 // Unwrap returns jsonlines.ErrMessage.
 func (e *fieldError) Unwrap() error { return jsonlines.ErrMessage }
 
-// parseSubmission reads what a client asks for. The error is a *fieldError.
+// parseSubmission reads what a client requests. The error is a *fieldError.
 func parseSubmission(message *jsonlines.Message) (dispatch.Submission, error) {
 	submission := dispatch.Submission{
 		RequestID:   message.Tag,
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -9,13 +9,13 @@
 	// maxUnreported bounds the completions that wait for a client to connect.
 	maxUnreported = 10_000
 	// unreportedHold is how long they wait for a connection that is known to be a client's, while others
-	// are connected: half of the second in which a client is to be notified.
+	// are connected: 0.5 of the 1 s in which a client is to be notified.
 	unreportedHold = 500 * millisecond
 )
 
 // unreportedCompletion is a completion for which no client is connected.
 type unreportedCompletion struct {
-	at   int64 // when it was due
+	at   int64 // when it happened
 	line []byte
 }
 
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -28,7 +28,7 @@
 	zones     map[string]string // of the workers that are listed
 	active    shard.Set         // where it places tasks
 	wanted    shard.Set         // where it is to place tasks
-	requested shard.Set         // what the poll under way names
+	requested shard.Set         // what the poll in flight names
 }
 
 func newShardAssignment(assigned Assignment) *shardAssignment {
@@ -84,7 +84,7 @@
 }
 
 // beginPoll notes which shards the poll that is sent now names, and returns the part of its query that
-// tells the command channel of which shards to report free capacity, and of which to report all of it.
+// names to the command channel the shards of which to report free capacity, and those of which to report all of it.
 func (s *shardAssignment) beginPoll() (query string) {
 	if s == nil {
 		return ""
@@ -108,7 +108,7 @@
 	return gained
 }
 
-// needsPoll reports whether shards were gained that the poll under way does not name.
+// needsPoll reports whether shards were gained that the poll in flight does not name.
 func (s *shardAssignment) needsPoll() bool {
 	return s.wanted.Minus(s.active).Minus(s.requested).Len() > 0
 }
@@ -130,7 +130,7 @@
 		f.publishAssignment()
 	}
 	if f.conn != nil && f.assignment.needsPoll() {
-		f.restartIn(0) // the poll under way may wait for long, and does not name what was gained
+		f.restartIn(0) // the poll in flight may wait for long, and does not name what was gained
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-// publishAssignment tells the dispatcher and the connections to workers which workers are assigned.
+// publishAssignment sets the assigned workers at the dispatcher and at the pool of connections to workers.
 func (f *Follower) publishAssignment() {
 	// The predicate answers by the shards of this moment until the next one is published.
 	active, zones := f.assignment.active, f.assignment.zones
--- a/internal/discovery/assignment_test.go
+++ b/internal/discovery/assignment_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("a poll for gained shards has the query %q", query)
 	}
 	if assignment.needsPoll() {
-		t.Error("another poll is needed for shards that the poll under way names")
+		t.Error("another poll is needed for shards that the poll in flight names")
 	}
 	if assignment.change(sameInEveryZone(0x1c)) {
 		t.Error("a shard that was not active was lost")
@@ -77,7 +77,7 @@
 	}
 }
 
-// Nothing is kept of workers that are no longer listed: their names never come again.
+// Nothing is stored of workers that are no longer listed: their names never come again.
 func TestShardAssignmentForgetsWorkers(t *testing.T) {
 	assignment := newShardAssignment(sameInEveryZone(1))
 	assignment.update(membersIn("z1", "z1", "z1"), true)
--- a/internal/discovery/chunked.go
+++ b/internal/discovery/chunked.go
@@ -18,7 +18,7 @@
 			return nil, 0, err
 		}
 		if len(body)+size > maxBody {
-			return nil, 0, &ResponseError{Part: "chunked body", Fault: "too long"}
+			return nil, 0, &ResponseError{Part: "chunked body", Reason: "too long"}
 		}
 		at += lineLength
 		if size == 0 {
@@ -33,7 +33,7 @@
 			return nil, 0, nil
 		}
 		if string(b[end:end+len(lineEnd)]) != lineEnd {
-			return nil, 0, &ResponseError{Part: "chunk", Fault: "expected a line end behind it",
+			return nil, 0, &ResponseError{Part: "chunk", Reason: "expected a line end behind it",
 				Value: string(b[end : end+len(lineEnd)])}
 		}
 		body = append(body, b[at:end]...)
@@ -47,7 +47,7 @@
 	end := bytes.IndexByte(b[:min(len(b), maxChunkLine+1)], '\n')
 	if end < 0 {
 		if len(b) > maxChunkLine {
-			return 0, 0, &ResponseError{Part: "chunk size", Fault: "line too long"}
+			return 0, 0, &ResponseError{Part: "chunk size", Reason: "line too long"}
 		}
 		return 0, 0, nil
 	}
@@ -57,7 +57,7 @@
 	}
 	n, err := strconv.ParseUint(string(digits), 16, 31)
 	if err != nil || n > maxBody {
-		return 0, 0, &ResponseError{Part: "chunk size", Fault: "expected a hex number within the limit", Value: string(digits)}
+		return 0, 0, &ResponseError{Part: "chunk size", Reason: "expected a hex number within the limit", Value: string(digits)}
 	}
 	return int(n), end + 1, nil
 }
@@ -75,7 +75,7 @@
 		at += end
 		switch {
 		case at > maxHead:
-			return 0, &ResponseError{Part: "trailers", Fault: "too long"}
+			return 0, &ResponseError{Part: "trailers", Reason: "too long"}
 		case missing:
 			return 0, nil
 		case len(line) == 0 || string(line) == "\r":
--- a/internal/discovery/events_test.go
+++ b/internal/discovery/events_test.go
@@ -24,7 +24,7 @@
 		want   []string
 	}{
 		{"no event", nil, nil},
-		{"a change keeps the place", []config.Event{
+		{"a changed worker stays in its place", []config.Event{
 			event(false, placement.Entry{Worker: "a"}, placement.Entry{Worker: "b"}),
 			event(false, placement.Entry{Worker: "c"}, placement.Entry{Worker: "a", Zone: "z"})}, []string{"a@z", "b@", "c@"}},
 		{"a removed worker", []config.Event{
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -1,11 +1,11 @@
 // Package discovery follows the command channel, from which an orchestrator learns the workers of its
 // fleet. It speaks HTTP/1.1 with it by long polls, applies each event of the list of workers once and in
-// order, and keeps track of the shards of workers that this orchestrator is assigned.
+// order, and tracks the shards of workers that are assigned to this orchestrator.
 package discovery
 
 // This file owns the connection to the command channel and the poll that waits on it. It polls without
-// pause, since an event counts as delivered once it is in the channel. It must never have two polls on
-// the way, skip an event, or stop polling.
+// pause, since an event counts as delivered once it is in the channel. It must never have two polls in
+// flight, skip an event, or stop polling.
 
 import (
 	"errors"
@@ -27,17 +27,17 @@
 )
 
 const (
-	// pollBlockMs is how long the channel may hold a poll back for an event, in milliseconds as the
+	// pollBlockMs is how long the channel may block a poll until there is an event, in milliseconds as the
 	// poll names it. The poll is abandoned responseSlack after that.
 	pollBlockMs   = 1_000
 	responseSlack = 800 * millisecond
 	// redialDelay is the pause before the next dial after one that failed.
 	redialDelay = 100 * millisecond
 	// recoveryLimit is within how much time the list must be read from a channel that was
-	// unresponsive and is back, but not on the connection of the poll under way.
+	// unresponsive and is back, but not on the connection of the poll in flight.
 	recoveryLimit = 2 * second
 	// syncDelay is how long the channel takes at most to answer a poll for events that it
-	// already has: it holds back only a poll that it has no event for.
+	// already has: it blocks a poll only while it has no event for it.
 	syncDelay = 300 * millisecond
 )
 
@@ -50,7 +50,7 @@
 	address       string
 	dialTimeoutUs int64
 	cursor        int64            // number of the last event that was applied
-	conn          *eventloop.Conn  // of the poll under way, nil while there is none
+	conn          *eventloop.Conn  // of the poll in flight, nil while there is none
 	pollTimer     *eventloop.Timer // abandons that poll
 	redialTimer   *eventloop.Timer // starts the next dial
 
@@ -68,7 +68,7 @@
 		log: ratelog.New(log)}
 }
 
-// Synced reports whether this process has read what the channel knows: the channel has answered once, or
+// Synced reports whether this process is in sync with the channel: the channel has answered once, or
 // was polled and had no event for syncDelay.
 func (f *Follower) Synced() bool {
 	return f.hasResponse || f.firstPollAt > 0 && f.loop.Now()-f.firstPollAt > syncDelay
@@ -86,7 +86,7 @@
 }
 
 // SetAddress continues at another address, with the events behind the last one that was applied. The
-// former address sends no more events, so that the poll under way there is abandoned.
+// former address sends no more events, so that the poll in flight there is abandoned.
 func (f *Follower) SetAddress(address string) {
 	if address != f.address {
 		f.address = address
@@ -94,7 +94,7 @@
 	}
 }
 
-// restartIn abandons the poll under way and dials anew after a delay. Events that the abandoned poll did
+// restartIn abandons the poll in flight and dials anew after a delay. Events that the abandoned poll did
 // not bring completely come again, as the cursor is that of the last event that was applied.
 func (f *Follower) restartIn(delayUs int64) {
 	f.pollTimer.Stop()
@@ -135,7 +135,7 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. One response is due at a time. Bytes behind it were not requested:
+// Data implements eventloop.Handler. One response is outstanding at a time. Bytes behind it were not requested:
 // read as the next response, they would put all that follow one poll late.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
@@ -164,7 +164,7 @@
 	return used, nil
 }
 
-// applyPolled applies the response of the poll under way.
+// applyPolled applies the response of the poll in flight.
 func (f *Follower) applyPolled(update config.Update) {
 	for _, err := range update.Bad {
 		f.log.Warn("invalid worker entry skipped", "err", err)
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -17,8 +17,8 @@
 	"ravenhitch/placement"
 )
 
-// A channel that is back is polled within the time in which the list is to be read, also where the poll
-// under way is never answered: on a connection that stays open and silent nothing but the timer tells.
+// A channel that is back is polled within the time in which the list is to be read, also where the poll in
+// flight is never answered: on a connection that stays open and unresponsive nothing but the timer notices.
 func TestUnresponsiveChannelIsPolledInTime(t *testing.T) {
 	if longest := pollBlockMs*millisecond + responseSlack + redialDelay; longest >= recoveryLimit {
 		t.Errorf("a poll without a response is abandoned and repeated after %d us, expected less than %d", longest, recoveryLimit)
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // most are closed already
+	t.Cleanup(func() { _ = conn.Close() }) // an error if it is closed already
 	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -1,7 +1,7 @@
 package discovery
 
 // This file owns the form of an HTTP/1.1 response of the command channel. Its parser keeps no state
-// between calls and holds no connection. It must never take more than linear time or panic, whatever
+// between calls and has no connection. It must never take more than linear time or panic, whatever
 // bytes come.
 
 import (
@@ -57,7 +57,7 @@
 	end := bytes.Index(b[:min(len(b), maxHead+len(headEnd)-1)], []byte(headEnd))
 	if end < 0 {
 		if len(b) >= maxHead {
-			return response{}, 0, &ResponseError{Part: "head", Fault: "too long"}
+			return response{}, 0, &ResponseError{Part: "head", Reason: "too long"}
 		}
 		return response{}, 0, nil
 	}
@@ -120,7 +120,7 @@
 		h.status, err = strconv.Atoi(line[statusAt:statusEnd])
 	}
 	if err != nil || h.status < http.StatusContinue {
-		return &ResponseError{Part: "status line", Fault: "expected HTTP/1.x and a status", Value: line}
+		return &ResponseError{Part: "status line", Reason: "expected HTTP/1.x and a status", Value: line}
 	}
 	return nil
 }
@@ -136,12 +136,12 @@
 	case "content-length":
 		length, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || length < 0 || length > maxBody {
-			return &ResponseError{Part: name, Fault: "expected a number of bytes within the limit", Value: value}
+			return &ResponseError{Part: name, Reason: "expected a number of bytes within the limit", Value: value}
 		}
 		h.length = int(length)
 	case "transfer-encoding":
 		if asciiLower(value) != "chunked" {
-			return &ResponseError{Part: name, Fault: "expected chunked", Value: value}
+			return &ResponseError{Part: name, Reason: "expected chunked", Value: value}
 		}
 		h.chunked = true
 	case "connection":
@@ -164,7 +164,7 @@
 	case r.hasNoBody():
 		return nil, 0, true, nil
 	}
-	return nil, 0, false, &ResponseError{Part: "head", Fault: "no length of the body"}
+	return nil, 0, false, &ResponseError{Part: "head", Reason: "no length of the body"}
 }
 
 // asciiLower is the text with its ASCII capitals in lower case. Headers know no other letters.
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -83,7 +83,7 @@
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct{ name, response, part, value string }{
 		{"no status line", "nonsense\r\n\r\n", "status line", "nonsense"},
-		{"status below the least", "HTTP/1.1 099 OK\r\n\r\n", "status line", "HTTP/1.1 099 OK"},
+		{"status below the minimum", "HTTP/1.1 099 OK\r\n\r\n", "status line", "HTTP/1.1 099 OK"},
 		{"length not a number", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", "content-length", "x"},
 		{"length over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 2097153\r\n\r\n", "content-length", "2097153"},
 		{"unknown coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", "transfer-encoding", "gzip"},
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -2,7 +2,7 @@
 // about tasks.
 package grpcfront
 
-// This file owns the gRPC server, and the way from its goroutines to the event loop. Those goroutines only
+// This file owns the gRPC server, and the queue from its goroutines to the event loop. Those goroutines only
 // pass on to the loop what came in, and take what is to go out from bounded queues. They must never call
 // the dispatcher outside the loop, or make the loop wait.
 
@@ -29,7 +29,7 @@
 )
 
 const (
-	// Conns is how many connections the front holds at most.
+	// Conns is how many connections the front serves at most.
 	Conns = 64
 	// maxStreams bounds the calls on one connection.
 	maxStreams = 100
@@ -46,9 +46,9 @@
 	// firstMessageTimeout is how long a connection may take to speak HTTP/2, and a stream to open its
 	// session.
 	firstMessageTimeout = 1500 * time.Millisecond
-	// maxIdle is how long a connection without a call is kept.
+	// maxIdle is how long a connection without a call stays open.
 	maxIdle = 30 * time.Second
-	// A connection that was quiet for pingInterval is closed unless it answers a ping within pingTimeout.
+	// A connection that was idle for pingInterval is closed unless it answers a ping within pingTimeout.
 	pingInterval = 20 * time.Second
 	pingTimeout  = 5 * time.Second
 	// minClientPingInterval is how often a client may ping.
@@ -57,7 +57,7 @@
 	closeTimeout = 300 * time.Millisecond
 )
 
-// Loop is what the front needs of the event loop: a way in from other goroutines, and on the loop itself
+// Loop is what the front needs of the event loop: a queue for other goroutines, and on the loop itself
 // the time and timers.
 type Loop interface {
 	Post(f func())
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// SetNotServing tells clients that watch the front's health to go elsewhere. What they still send is
+// SetNotServing sends clients that watch the front's health elsewhere. What they still send is
 // served as before.
 func (f *Front) SetNotServing() { f.health.Shutdown() }
 
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -19,7 +19,7 @@
 const (
 	// maxSessions bounds the sessions, with and without a stream.
 	maxSessions = 1024
-	// maxOpenOffers bounds the offers of a session to which a response is due.
+	// maxOpenOffers bounds the offers of a session without a response.
 	maxOpenOffers = 512
 	// maxUnacknowledged bounds the messages that are stored for a client that has not acknowledged them.
 	maxUnacknowledged = 512
@@ -40,13 +40,13 @@
 	stream         *stream // nil while none is open
 	lastMessage    uint64  // number of the last message, from 1
 	unacknowledged []*edgepb.ServerMessage
-	openOffers     map[string]openOffer // to which a response is due, by request ID
+	openOffers     map[string]openOffer // without a response, by request ID
 	runningTasks   map[string]string    // names of tasks, by request ID
 	clientClosed   bool                 // the client sends nothing more on the stream
 	expiry         *eventloop.Timer     // runs while there is no stream
 }
 
-// openOffer is what an open offer asked for.
+// openOffer is what an open offer requests.
 type openOffer struct{ task, class string }
 
 // push numbers a message, stores it until it is acknowledged, and sends it.
@@ -62,17 +62,17 @@
 	}
 }
 
-// pushBinding tells the client that its task was started.
+// pushBinding notifies the client that its task was started.
 func (s *session) pushBinding(binding *edgepb.Binding) {
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Binding{Binding: binding}})
 }
 
-// pushEnded tells the client that its task is over.
+// pushEnded notifies the client that its task is over.
 func (s *session) pushEnded(ended *edgepb.Ended) {
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: ended}})
 }
 
-// pushRejection tells the client that its task was not started, with the status that Place would return.
+// pushRejection notifies the client that its task was not started, with the status that Place would return.
 func (s *session) pushRejection(requestID, task string, err error, token []byte) {
 	st := status.Convert(err)
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Rejection{Rejection: &edgepb.Rejection{
@@ -125,7 +125,7 @@
 	return &edgepb.Ended{OfferId: response.RequestID, Task: task, How: how, Reason: endReasons[response.Cause]}
 }
 
-// endIfSettled ends the stream of a client that has closed its side, once no response is due to it.
+// endIfSettled ends the stream of a client that has closed its side, once all its offers have responses.
 func (s *session) endIfSettled() {
 	if s.clientClosed && len(s.openOffers) == 0 && s.stream != nil {
 		s.stream.end(nil)
@@ -182,7 +182,7 @@
 // offer submits an offer of the session.
 func (s *session) offer(offer *edgepb.Offer, submission dispatch.Submission, token presentedToken) {
 	if open, found := s.openOffers[submission.RequestID]; found && open.task == submission.Key {
-		return // its response is on the way in this session
+		return // its response will come in this session
 	}
 	if len(s.openOffers) >= maxOpenOffers {
 		s.pushRejection(submission.RequestID, submission.Key,
--- a/internal/grpcfront/session_test.go
+++ b/internal/grpcfront/session_test.go
@@ -11,7 +11,7 @@
 	"ravenhitch/placement"
 )
 
-// respondStarted tells a session that a worker has started a task.
+// respondStarted notifies a session that a worker has started a task.
 func respondStarted(s *session, requestID string) {
 	s.Respond(dispatch.Response{Kind: dispatch.Started, RequestID: requestID, Worker: "a"})
 }
--- a/internal/grpcfront/status.go
+++ b/internal/grpcfront/status.go
@@ -31,7 +31,7 @@
 	errUnknownMessage = status.Error(codes.InvalidArgument, "expected an offer, a release or an ack")
 )
 
-// defaultRetryAfter is the advice given where the dispatcher gave none.
+// defaultRetryAfter is the advice where the dispatcher has none.
 const defaultRetryAfter = time.Second
 
 // withDetail adds a detail to a status. A status that takes none is returned without it.
@@ -49,9 +49,9 @@
 }
 
 // fieldStatus is the status of a message with an invalid field, and says what is wrong with it.
-func fieldStatus(field, fault string) error {
-	return withDetail(status.New(codes.InvalidArgument, field+": "+fault), &errdetails.BadRequest{
-		FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: field, Description: fault}}})
+func fieldStatus(field, problem string) error {
+	return withDetail(status.New(codes.InvalidArgument, field+": "+problem), &errdetails.BadRequest{
+		FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: field, Description: problem}}})
 }
 
 // responseStatus is the status of a response, nil where the task was started.
@@ -81,7 +81,7 @@
 	return withDetail(status.Convert(err), &edgepb.ReturnTicket{Ticket: token})
 }
 
-// retryAfterMs is how long a status says to wait, in milliseconds; 0 where it gives no advice.
+// retryAfterMs is how long a status says to wait, in milliseconds; 0 where it has no advice.
 func retryAfterMs(s *status.Status) (ms uint32) {
 	for _, detail := range s.Details() {
 		if info, ok := detail.(*errdetails.RetryInfo); ok {
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -2,7 +2,7 @@
 
 // This file owns the retry tokens of this front: those issued with rejections, and those that offers
 // present. Signatures are made and verified beside the loop, where calls come in; what was redeemed belongs
-// to the loop. An invalid token counts as none, and its client must never be told.
+// to the loop. An invalid token counts as none, and its client must never learn that.
 
 import (
 	"errors"
@@ -45,7 +45,7 @@
 	return presentedToken{token, true, err}
 }
 
-// redeem gives a submission the place in line that its token proves. It runs on the loop.
+// redeem queues a submission since the time that its token proves. It runs on the loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -15,8 +15,8 @@
 // placeCall is the dispatch.Client of an offer made by Place. Whatever comes after the first response it
 // ignores: the call is over.
 type placeCall struct {
-	response  chan dispatch.Response // holds one
-	rejection chan error             // holds one: the status of an offer that was not submitted
+	response  chan dispatch.Response // of size one
+	rejection chan error             // of size one: the status of an offer that was not submitted
 	responded bool                   // belongs to the loop
 }
 
--- a/internal/retrytoken/compat_test.go
+++ b/internal/retrytoken/compat_test.go
@@ -8,7 +8,7 @@
 )
 
 // What the program wrote at commit 532e1c5, when tokens were called tickets: orchestrators of different
-// versions run beside each other, and clients keep tokens over an update.
+// versions run beside each other, and clients present tokens from before an update.
 const (
 	releasedKeys = "[keys]\nkey 2026-12 000102030405060708090a0b0c0d0e0f\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n"
 	releasedOld  = "[keys]\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n" // of those, the second alone
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -1,6 +1,6 @@
 // Package retrytoken owns retry tokens and the keys that sign them. A token says of a rejected task when
 // its client is to come back and since when it is queued, so that any orchestrator with the key, one just
-// started included, gives the client its place without having served it before. The package is pure: the
+// started included, restores the place of the client in the queue without having served it before. The package is pure: the
 // time is passed in and nothing is opened. It must never make an invalid token worth more than none.
 //
 // On the wire a token is called a return ticket.
@@ -10,8 +10,8 @@
 
 import "errors"
 
-// The reasons why a token is invalid. With each the offer counts as one without a token, and its client is
-// not told: who forges tokens must not learn from the errors.
+// The reasons why a token is invalid. With each the offer counts as one without a token, and its client does
+// not learn of it: who forges tokens must not learn from the errors.
 var (
 	ErrMalformed  = errors.New("retrytoken: malformed")
 	ErrUnknownKey = errors.New("retrytoken: signed with an unknown key")
