--- a/internal/clientfront/front_test.go
+++ b/internal/clientfront/front_test.go
@@ -1,4 +1,4 @@
-package clientfront_test
+package clientfront
 
 import (
 	"bufio"
@@ -11,15 +11,20 @@
 	"testing"
 	"time"
 
-	"ravenhitch/internal/clientfront"
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/workerpool"
 	"ravenhitch/placement"
 )
 
-// startFront serves clients without any worker, until the test ends, and returns the address.
-func startFront(t *testing.T, maxConns int) (addr string) {
+// testFront is a front that serves clients without any worker.
+type testFront struct {
+	*Front
+	addr string
+}
+
+// startFront serves clients until the test ends.
+func startFront(t *testing.T, maxConns int) testFront {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	loop, err := eventloop.New(100)
@@ -34,8 +39,9 @@
 		t.Fatal(err)
 	}
 	pool.SetDispatcher(dispatcher)
-	front := clientfront.NewFront(loop, dispatcher, maxConns, 0, log)
-	if addr, err = front.Listen("127.0.0.1:0", 0); err != nil {
+	front := NewFront(loop, dispatcher, maxConns, 0, log)
+	addr, err := front.Listen("127.0.0.1:0", 0)
+	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
@@ -50,7 +56,17 @@
 		loop.Post(loop.Stop)
 		<-done
 	})
-	return addr
+	return testFront{front, addr}
+}
+
+// onLoop runs a function on the loop, and waits for that.
+func (f testFront) onLoop(run func()) {
+	done := make(chan struct{})
+	f.loop.Post(func() {
+		defer close(done)
+		run()
+	})
+	<-done
 }
 
 // client is a connection of a client.
@@ -60,9 +76,9 @@
 }
 
 // dial connects a client until the test ends.
-func dial(t *testing.T, addr string) *client {
+func (f testFront) dial(t *testing.T) *client {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +132,7 @@
 
 // Each message has its response on the wire.
 func TestMessages(t *testing.T) {
-	addr := startFront(t, 10)
+	front := startFront(t, 10)
 	for _, test := range []struct {
 		name string
 		send []string
@@ -137,7 +153,7 @@
 			[]string{finish(4, 34), echoed}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := dial(t, addr)
+			c := front.dial(t)
 			c.send(t, test.send...)
 			c.expect(t, test.want...)
 		})
@@ -146,7 +162,7 @@
 
 // Of a connection without a task 32 requests may be open; the next is rejected at once.
 func TestOpenRequestsAreLimited(t *testing.T) {
-	c := dial(t, startFront(t, 10))
+	c := startFront(t, 10).dial(t)
 	for id := range 33 {
 		c.send(t, start(id))
 	}
@@ -156,7 +172,7 @@
 
 // A malformed message ends the connection, once open requests were rejected in the order of their IDs.
 func TestMalformedMessageEndsConnection(t *testing.T) {
-	c := dial(t, startFront(t, 10))
+	c := startFront(t, 10).dial(t)
 	c.send(t, start(2), start(1), `{"verb":`)
 	c.expect(t, finish(1, 34), finish(2, 34))
 	c.expectEnd(t)
@@ -164,7 +180,7 @@
 
 // The 64th invalid message ends a connection without a task.
 func TestInvalidMessagesEndConnection(t *testing.T) {
-	c := dial(t, startFront(t, 10))
+	c := startFront(t, 10).dial(t)
 	for id := range 64 {
 		c.send(t, strings.Replace(start(id), `"web"`, `"none"`, 1))
 		c.expect(t, finish(id, 47))
@@ -176,11 +192,11 @@
 // one that did. The event loop has a place freed before it sees whether another client waits, so that
 // both of them go.
 func TestAdmissionClosesLeastUsed(t *testing.T) {
-	addr := startFront(t, 3)
-	speaker, silent, alsoSilent := dial(t, addr), dial(t, addr), dial(t, addr)
+	front := startFront(t, 3)
+	speaker, silent, alsoSilent := front.dial(t), front.dial(t), front.dial(t)
 	speaker.send(t, echo)
 	speaker.expect(t, echoed)
-	next := dial(t, addr)
+	next := front.dial(t)
 	next.send(t, echo)
 	next.expect(t, echoed)
 	silent.expectEnd(t)
@@ -191,7 +207,7 @@
 
 // A client that never sends its first message is disconnected, but not within the 2 s that it may take.
 func TestSilentClientIsDisconnected(t *testing.T) {
-	c := dial(t, startFront(t, 10))
+	c := startFront(t, 10).dial(t)
 	began := time.Now()
 	c.expectEnd(t)
 	if d := time.Since(began); d < 2*time.Second {
