--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -60,10 +60,10 @@
 	return minIdleWithoutTask
 }
 
-// admit reports whether another client may connect; the event loop asks before each accept, before it can
-// see whether a client waits. Where the limit is reached, or no descriptor is left
-// for clients, it closes an idle connection. Clients that are not admitted wait in the system's queue,
-// where no response reaches them, and connections without a task come by the hundred: so they go first.
+// admit reports whether another client may connect. The event loop calls it before each accept, also where no
+// client waits. Where the limit is reached, or no descriptor is left for clients, it closes an idle
+// connection. Clients that are not admitted wait in the system's queue, where no response reaches them, and
+// connections without a task come by the hundred: so they go first.
 func (f *Front) admit() bool {
 	if len(f.conns) < f.maxConns && f.budget.AdmitsClient() {
 		return true
