--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -6,6 +6,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"io"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -80,6 +81,8 @@
 	oneWay  map[int]bool // faults found by either end
 	changes int64
 	seen    map[[2]uint64]int // who has declared which life dead
+	// transcript is written whatever the members send, ask for and report; nil where nobody reads it.
+	transcript io.Writer
 }
 
 func newFleet(n int, seed uint64, faults []fault) *fleet {
@@ -296,6 +299,7 @@
 
 func (f *fleet) do(i int, acts []Act) {
 	for _, act := range acts {
+		f.record(i, act)
 		switch act := act.(type) {
 		case Send:
 			j, ok := f.byAddr[act.Addr]
@@ -344,6 +348,13 @@
 	f.schedule(i)
 }
 
+// record writes to the transcript what a member wants done or reports.
+func (f *fleet) record(i int, what any) {
+	if f.transcript != nil {
+		_, _ = fmt.Fprintf(f.transcript, "%d %d %v\n", f.now, i, what) // a digest takes all
+	}
+}
+
 func (f *fleet) deliver(j int, m *Message) {
 	x := f.all[j]
 	if !x.up {
@@ -369,6 +380,7 @@
 func (f *fleet) read(i int) {
 	x := f.all[i]
 	for _, e := range x.Events() {
+		f.record(i, e)
 		if x.said == nil {
 			x.said = map[EventKind]int{}
 		}
--- /dev/null
+++ b/internal/peer/compatibility_test.go
@@ -0,0 +1,258 @@
+package peer
+
+import (
+	"encoding/hex"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/membership"
+	"ravenhitch/internal/peer/peerpb"
+	"ravenhitch/internal/testbed"
+)
+
+// The constants of this file are the bytes that the build of commit 532e1c5 writes: an orchestrator of
+// that build and one of this build are members of one cluster while it is upgraded.
+
+// previousNonce is the incarnation nonce of the member n2 whose bytes these are.
+const previousNonce = 0x1122334455667788
+
+// previousSender is what n2 says of itself in each of its datagrams.
+var previousSender = membership.Update{Name: "n2", Zone: "hall-b", Addr: "127.0.0.1:7102", Life: previousNonce, Incarnation: 3 << 24}
+
+// previousDatagrams are datagrams to n1, and the messages that they carry.
+var previousDatagrams = []struct {
+	name, encoded string
+	message       membership.Message
+}{
+	{
+		"ping with digests",
+		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a37313032218877665544332211288080801838296a0c0100000000000000efbeadde",
+		membership.Message{Kind: membership.Ping, To: "n1", Self: previousSender, Seq: 41, Digests: []uint32{1, 0, 0xdeadbeef}},
+	},
+	{
+		"ping on behalf of another, while joining",
+		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a3731303221887766554433221128808080183001382a4a026e3450ac02",
+		membership.Message{Kind: membership.Ping, To: "n1", Self: previousSender, Joining: true, Seq: 42, For: "n4", ForSeq: 300},
+	},
+	{
+		"ack with updates",
+		"0a0464616c611001180222026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382b4a026e3450ac025801" +
+			"723f0a026e33120668616c6c2d611a0e3132372e302e302e313a373130332107000000000000002809" +
+			"30013a0e0a026e34120668616c6c2d6118013a040a026e35" +
+			"72210a026e361a0e3132372e302e302e313a3731303621080000000000000028013002" +
+			"72210a026e371a0e3132372e302e302e313a3731303721090000000000000028013003",
+		membership.Message{Kind: membership.Ack, To: "n1", Self: previousSender, Seq: 43, For: "n4", ForSeq: 300, Heard: true, Rumours: []membership.Update{
+			{Name: "n3", Zone: "hall-a", Addr: "127.0.0.1:7103", Life: 7, Incarnation: 9, State: membership.Suspect,
+				Witnesses: []membership.Witness{{Name: "n4", Zone: "hall-a", Refused: true}, {Name: "n5"}}},
+			{Name: "n6", Addr: "127.0.0.1:7106", Life: 8, Incarnation: 1, State: membership.Dead},
+			{Name: "n7", Addr: "127.0.0.1:7107", Life: 9, Incarnation: 1, State: membership.Left},
+		}},
+	},
+	{
+		"ping request",
+		"0a0464616c611001180322026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382c42026e33",
+		membership.Message{Kind: membership.Ask, To: "n1", Self: previousSender, Seq: 44, Target: "n3"},
+	},
+	{
+		"ping request answered: reached, and its own ping came there",
+		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382d42026e3358016001",
+		membership.Message{Kind: membership.Told, To: "n1", Self: previousSender, Seq: 45, Target: "n3", Heard: true, Reached: true},
+	},
+	{
+		"ping request answered: not reached",
+		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382e42026e33",
+		membership.Message{Kind: membership.Told, To: "n1", Self: previousSender, Seq: 46, Target: "n3"},
+	},
+}
+
+// previousHellos are the hello frames of n2, by the kind of records that follow; none for 0.
+var previousHellos = map[Kind]string{
+	0:      "170a0464616c6112026e3219887766554433221128013001",
+	Urgent: "190a0464616c6112026e32198877665544332211280130014001",
+	Bulk:   "190a0464616c6112026e32198877665544332211280130014002",
+}
+
+// previousRecord is the frame of a record, and previousData what it carries.
+const (
+	previousRecord = "0a0a0861207265636f7264"
+	previousData   = "a record"
+)
+
+// fromHex are the bytes that a constant of this file spells.
+func fromHex(t *testing.T, digits string) []byte {
+	t.Helper()
+	b, err := hex.DecodeString(digits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// TestPreviousDatagrams asserts that this build reads the previous build's datagrams, and writes the same.
+func TestPreviousDatagrams(t *testing.T) {
+	for _, c := range previousDatagrams {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := Decode("dala", fromHex(t, c.encoded))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(*got, c.message) {
+				t.Errorf("expected %+v, got %+v", c.message, *got)
+			}
+			b, err := Encode("dala", &c.message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if written := hex.EncodeToString(b); written != c.encoded {
+				t.Errorf("expected the bytes %s, got %s", c.encoded, written)
+			}
+		})
+	}
+}
+
+// TestPreviousHellos asserts that this build takes the previous build's hello frames, and writes the same.
+func TestPreviousHellos(t *testing.T) {
+	for kind, encoded := range previousHellos {
+		frame := fromHex(t, encoded)
+		message, used, err := Unframe(frame)
+		if err != nil || used != len(frame) {
+			t.Fatalf("kind %d: %d of %d bytes used, %v", kind, used, len(frame), err)
+		}
+		h, version, err := Greet("dala", message)
+		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || Kind(h.GetKind()) != kind {
+			t.Errorf("kind %d: got %v, version %d, %v", kind, h, version, err)
+		}
+		p := &Peers{s: Settings{Cluster: "dala", Name: "n2"}, life: previousNonce}
+		if written := hex.EncodeToString(p.hello(kind)); written != encoded {
+			t.Errorf("kind %d: expected the bytes %s, got %s", kind, encoded, written)
+		}
+	}
+}
+
+// TestPreviousRecord asserts that this build takes the previous build's record frame, and writes the same.
+func TestPreviousRecord(t *testing.T) {
+	encoded := fromHex(t, previousRecord)
+	message, used, err := unframe(encoded, recordMost+64)
+	if err != nil || used != len(encoded) {
+		t.Fatalf("%d of %d bytes used, %v", used, len(encoded), err)
+	}
+	var r peerpb.Record
+	if err := proto.Unmarshal(message, &r); err != nil || string(r.GetData()) != previousData {
+		t.Errorf("expected %q, got %q, %v", previousData, r.GetData(), err)
+	}
+	written, err := frame(&peerpb.Record{Data: []byte(previousData)}, recordMost+64)
+	if err != nil || hex.EncodeToString(written) != previousRecord {
+		t.Errorf("expected the bytes %s, got %x, %v", previousRecord, written, err)
+	}
+}
+
+// TestPreviousStartsFile asserts that this build goes on where the previous build's file of starts ends, and
+// leaves a file that the previous build reads.
+func TestPreviousStartsFile(t *testing.T) {
+	for _, c := range []struct {
+		name, before, after string
+		incarnation         uint64
+	}{
+		{"after the previous build's second start", "2\n", "3\n", 3 << 24},
+		{"after many of its starts", "41\n", "42\n", 704643072},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			file := filepath.Join(dir, "starts")
+			if err := os.WriteFile(file, []byte(c.before), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			incarnation, fault, err := Start(dir)
+			if err != nil || fault != "" || incarnation != c.incarnation {
+				t.Errorf("expected incarnation %d, got %d, %q, %v", c.incarnation, incarnation, fault, err)
+			}
+			if b, err := os.ReadFile(file); err != nil || string(b) != c.after {
+				t.Errorf("expected %q in the file, got %q, %v", c.after, b, err)
+			}
+		})
+	}
+}
+
+// TestPreviousStatusReport asserts that the status report has the previous build's JSON names, in its order.
+func TestPreviousStatusReport(t *testing.T) {
+	const previous = `{"cluster":"dala","name":"n1","doubt":2,"view":{"number":3,"digest":"00000000000000ff","names":["n1","n2"]},` +
+		`"members":[{"name":"n1","hall":"hall-a","address":"127.0.0.1:7101","incarnation":1,"state":"alive","link":"itself","rtt_ms":0,"silent_ms":0},` +
+		`{"name":"n2","hall":"hall-b","address":"127.0.0.1:7102","incarnation":2,"state":"suspected","link":"out shut","slow":true,"rtt_ms":250,` +
+		`"silent_ms":900,"evidence":"1 of 2 in hall-a can't reach it"}],` +
+		`"traffic":{"sent":1,"sent_bytes":2,"received":3,"received_bytes":4,"lost":5,"refused":6,"knocks":7}}` + "\n.\n"
+	report := StatusReport{Cluster: "dala", Name: "n1", Doubt: 2, View: View{3, "00000000000000ff", []string{"n1", "n2"}}, Members: []Member{
+		{Name: "n1", Zone: "hall-a", Address: "127.0.0.1:7101", Incarnation: 1, State: "alive", Link: "itself"},
+		{Name: "n2", Zone: "hall-b", Address: "127.0.0.1:7102", Incarnation: 2, State: "suspected", Link: "out shut",
+			Slow: true, RTTMs: 250, SilentMs: 900, Evidence: "1 of 2 in hall-a can't reach it"},
+	}, Traffic: Traffic{1, 2, 3, 4, 5, 6, 7}}
+	if b, err := report.Reply(); err != nil || string(b) != previous {
+		t.Errorf("expected %s, got %s, %v", previous, b, err)
+	}
+}
+
+// TestPreviousBuildSendsRecords plays a member of the previous build to a running one of this build: its ping
+// makes it a member, and on a connection that it greets its records are taken.
+func TestPreviousBuildSendsRecords(t *testing.T) {
+	loop, err := eventloop.New(32)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var log lines
+	p, err := New(loop, Settings{Listen: "127.0.0.1:0", Cluster: "dala", Name: "n1", Zone: "hall-a", Incarnation: 1}, slog.New(slog.NewTextHandler(&log, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	records := make(chan string, 1)
+	p.OnRecord(Urgent, func(from string, b []byte) { records <- from + ": " + string(b) })
+	ended := make(chan error, 1)
+	go func() { ended <- loop.Run(func(int64) {}) }()
+	t.Cleanup(func() {
+		loop.Post(loop.Stop)
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+		loop.Close()
+	})
+
+	dial := func(network string) net.Conn {
+		t.Helper()
+		conn, err := net.Dial(network, p.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = conn.Close() }) // only the test's end ends it
+		return conn
+	}
+	send := func(conn net.Conn, digits string) {
+		t.Helper()
+		if _, err := conn.Write(fromHex(t, digits)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	send(dial("udp"), previousDatagrams[0].encoded)
+	for limit := time.Now().Add(testbed.Patience); !strings.Contains(log.String(), "event=joined member=n2"); time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("the ping made no member: %s", log.String())
+		}
+	}
+	conn := dial("tcp")
+	send(conn, previousHellos[Urgent])
+	send(conn, previousRecord)
+	select {
+	case got := <-records:
+		if got != "n2: "+previousData {
+			t.Errorf("got the record %q", got)
+		}
+	case <-time.After(testbed.Patience):
+		t.Errorf("no record came: %s", log.String())
+	}
+}
