--- a/internal/membership/cases_test.go
+++ b/internal/membership/cases_test.go
@@ -24,7 +24,7 @@
 	}{
 		{"paused 10 s, it declares nobody dead when it wakes", 7, []fault{{kind: "pause", a: 2, at: 6 * second, until: 16 * second}}, func(t *testing.T, f *fleet) {
 			f.run(20 * second)
-			if x := f.all[2]; x.said[Died] > 0 || x.said[Doubts] == 0 {
+			if x := f.all[2]; x.said[Died] > 0 || x.said[Stalled] == 0 {
 				t.Errorf("%v", x.said)
 			}
 		}},
@@ -81,7 +81,7 @@
 			first := f.all[3].Self.Life
 			x := f.intruder(3)
 			f.run(12 * second)
-			if x.said[Barred] != 1 || !x.joining || f.holds("n3", x.Self.Life) > 0 || f.holds("n3", first) != 6 {
+			if x.said[NameConflict] != 1 || !x.joining || f.holds("n3", x.Self.Life) > 0 || f.holds("n3", first) != 6 {
 				t.Errorf("%v; %d hold it, %d the first", x.said, f.holds("n3", x.Self.Life), f.holds("n3", first))
 			}
 			f.begin(0, fault{kind: "kill", a: 3})
@@ -94,7 +94,7 @@
 			f.run(5 * second)
 			f.begin(0, fault{kind: "restart", a: 3, until: 5*second + 10_000})
 			f.run(7 * second)
-			if x := f.all[3]; f.holds("n3", x.Self.Life) != 6 || x.said[Barred] > 0 {
+			if x := f.all[3]; f.holds("n3", x.Self.Life) != 6 || x.said[NameConflict] > 0 {
 				t.Errorf("%d hold it: %v", f.holds("n3", x.Self.Life), x.said)
 			}
 		}},
@@ -103,7 +103,7 @@
 			x := f.intruder(5)
 			f.run(20 * second)
 			a, b := f.holds("n5", f.all[5].Self.Life), f.holds("n5", x.Self.Life)
-			if outside := f.all[5].said[Barred] + x.said[Barred]; (a == 0) == (b == 0) || outside != 1 {
+			if outside := f.all[5].said[NameConflict] + x.said[NameConflict]; (a == 0) == (b == 0) || outside != 1 {
 				t.Errorf("%d hold the one, %d the other; %d stay outside", a, b, outside)
 			}
 		}},
@@ -116,7 +116,7 @@
 		{"one that goes on purpose is not suspected", 7, []fault{{kind: "leave", a: 3, at: 6 * second, until: 7 * second}}, func(t *testing.T, f *fleet) {
 			f.run(12 * second)
 			for i, x := range f.all {
-				if i != 3 && (x.said[Departed] != 1 || x.said[Died] > 0) {
+				if i != 3 && (x.said[LeftCluster] != 1 || x.said[Died] > 0) {
 					t.Errorf("n%d: %v", i, x.said)
 				}
 			}
--- a/internal/membership/check_test.go
+++ b/internal/membership/check_test.go
@@ -10,7 +10,7 @@
 	r := peerOf(name)
 	r.State = Suspect
 	for _, w := range []string{"c", "d", "e"} {
-		r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a", Refused: refused})
+		r.Confirmations = append(r.Confirmations, Confirmation{Name: w, Zone: "hall-a", Refused: refused})
 	}
 	return r
 }
@@ -19,10 +19,10 @@
 func TestRefusalsNeedNoCheck(t *testing.T) {
 	x := newAlone(t)
 	x.b = ways["none"](x)
-	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{accusation("b", true)}})
+	x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{accusation("b", true)}})
 	at := x.now
 	x.run(at + second)
-	if d := x.died - at; x.died == 0 || d > x.Refused+tickEvery {
+	if d := x.died - at; x.died == 0 || d > x.RefusedTimeout+tickInterval {
 		t.Errorf("dead %s after the accusation", ms(d))
 	}
 }
@@ -33,13 +33,13 @@
 	x := newAlone(t)
 	x.b = ways["none"](x)
 	for i := range accused {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
+		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{peerOf(fmt.Sprint("m", i))}})
 	}
 	for i := range accused {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{accusation(fmt.Sprint("m", i), false)}})
+		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{accusation(fmt.Sprint("m", i), false)}})
 	}
 	asked, most := map[string]bool{}, 0
-	for at := x.now; x.now < at+5*second; x.now += tickEvery {
+	for at := x.now; x.now < at+5*second; x.now += tickInterval {
 		pings := 0
 		for _, a := range x.Tick(x.now) {
 			if s, ok := a.(Send); ok && s.Message.Kind == Ping {
@@ -50,7 +50,7 @@
 		most = max(most, pings)
 	}
 	const others = 2 // a probe's, and one of the dead
-	if most > checksMost+others || len(asked) < accused {
+	if most > maxVerifications+others || len(asked) < accused {
 		t.Errorf("%d asked, up to %d in one turn", len(asked), most)
 	}
 }
--- a/internal/membership/forget_test.go
+++ b/internal/membership/forget_test.go
@@ -11,10 +11,10 @@
 	x := newAlone(t)
 	x.b = ways["by itself"](x)
 	for _, s := range []State{Alive, Left} {
-		for i := range deadMost {
+		for i := range maxDeadMembers {
 			r := peerOf(fmt.Sprintf("m%04d", i))
 			r.State = s
-			x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
+			x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{r}})
 		}
 	}
 	x.run(3 * second)
@@ -24,7 +24,7 @@
 	if m := x.members["b"]; x.died == 0 || m == nil || m.State != Dead {
 		t.Errorf("b died at %s and is remembered as %+v", ms(x.died), m)
 	}
-	if n := len(x.names) - x.live; n != deadMost {
+	if n := len(x.names) - x.liveCount; n != maxDeadMembers {
 		t.Errorf("%d dead and departed are remembered", n)
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,57 +11,57 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// told is a rumour that is news.
-type told struct {
+// reachedByRelay is a rumour that is news.
+type broadcast struct {
 	name  string
-	times int
+	transmits int
 }
 
-// news passes on what is now believed of an instance.
-func (t *Table) news(name string) {
-	t.queue = slices.DeleteFunc(t.queue, func(q *told) bool { return q.name == name })
-	t.queue = append(t.queue, &told{name: name})
+// disseminate passes on what is now believed of an instance.
+func (t *Table) disseminate(name string) {
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(q *broadcast) bool { return q.name == name })
+	t.broadcasts = append(t.broadcasts, &broadcast{name: name})
 }
 
-// rumour is what is believed of an instance, and whether anything is.
-func (t *Table) rumour(name string) (Update, bool) {
+// updateOf is what is believed of an instance, and whether anything is.
+func (t *Table) updateOf(name string) (Update, bool) {
 	if name == t.Self.Name {
-		return t.Self, t.barred == 0 && !t.joining
+		return t.Self, t.conflictAt == 0 && !t.joining
 	}
 	m := t.members[name]
 	if m == nil {
 		return Update{}, false
 	}
 	r := m.Update
-	if len(r.Witnesses) > WitnessMost {
-		r.Witnesses = r.Witnesses[:WitnessMost]
+	if len(r.Confirmations) > MaxConfirmations {
+		r.Confirmations = r.Confirmations[:MaxConfirmations]
 	}
 	return r, true
 }
 
-// send sends a message to an instance, filled up with news: first what is said of the
+// sendToMember sends a message to an instance, filled up with news: first what is said of the
 // receiver itself, which only it can refute.
-func (t *Table) send(to string, m Message) {
-	if addr := t.reach(to); addr != "" {
-		t.sendTo(addr, to, m, 0)
+func (t *Table) sendToMember(to string, m Message) {
+	if addr := t.addressOf(to); addr != "" {
+		t.sendToAddress(addr, to, m, 0)
 	}
 }
 
-// sendTo is send to an address; shelves are those of which the receiver believes otherwise.
-func (t *Table) sendTo(addr, to string, m Message, shelves uint32) {
-	m.To, m.Self, m.Joining = to, t.Self, t.joining || t.barred > 0
+// sendToAddress is send to an address; shelves are those of which the receiver believes otherwise.
+func (t *Table) sendToAddress(addr, to string, m Message, shelves uint32) {
+	m.To, m.Sender, m.Joining = to, t.Self, t.joining || t.conflictAt > 0
 	if m.Kind == Ping {
 		m.Digests = slices.Clone(t.digests[:])
 	}
-	room := DatagramMost - NameMost - m.Size()
+	room := MaxDatagramSize - MaxNameLength - m.Size()
 	add := func(name string) bool {
-		r, ok := t.rumour(name)
-		if !ok || name == t.Self.Name || slices.ContainsFunc(m.Rumours, func(o Update) bool { return o.Name == name }) {
+		r, ok := t.updateOf(name)
+		if !ok || name == t.Self.Name || slices.ContainsFunc(m.Updates, func(o Update) bool { return o.Name == name }) {
 			return false
 		}
 		if n := r.size(); n <= room {
 			room -= n
-			m.Rumours = append(m.Rumours, r)
+			m.Updates = append(m.Updates, r)
 			return true
 		}
 		return false
@@ -75,41 +75,41 @@
 	if shelves > 0 {
 		keep = room / 2
 	}
-	for i := 0; i < len(t.queue) && room > keep; i++ {
-		q := t.queue[i]
+	for i := 0; i < len(t.broadcasts) && room > keep; i++ {
+		q := t.broadcasts[i]
 		if o := t.members[q.name]; level && o != nil && o.State == Alive {
-			q.times++ // it believes the same already
+			q.transmits++ // it believes the same already
 		} else if add(q.name) {
-			q.times++
+			q.transmits++
 		}
 	}
-	t.queue = slices.DeleteFunc(t.queue, func(q *told) bool { return q.times >= most || q.name == t.Self.Name })
-	slices.SortStableFunc(t.queue, func(a, b *told) int { return a.times - b.times })
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(q *broadcast) bool { return q.transmits >= most || q.name == t.Self.Name })
+	slices.SortStableFunc(t.broadcasts, func(a, b *broadcast) int { return a.transmits - b.transmits })
 	for n := 0; shelves > 0 && n < len(t.names) && room > 64; n++ {
-		t.page = (t.page + 1) % len(t.names)
-		if o := t.members[t.names[t.page]]; o.State <= Suspect && shelves&(1<<shelf(o.Name)) != 0 {
+		t.pageCursor = (t.pageCursor + 1) % len(t.names)
+		if o := t.members[t.names[t.pageCursor]]; o.State <= Suspect && shelves&(1<<digestBucket(o.Name)) != 0 {
 			add(o.Name)
 		}
 	}
-	t.acts = append(t.acts, Send{Addr: addr, Message: m})
+	t.actions = append(t.actions, Send{Addr: addr, Message: m})
 }
 
-// shelf is where a name falls.
-func shelf(name string) int { return int(xxhash.Sum64String(name) % Shelves) }
+// digestBucket is where a name falls.
+func digestBucket(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
 
-// shelve puts a member into the digest of its shelf, or takes it out again.
-func (t *Table) shelve(r *Update) {
-	h := mark(r)
-	t.digests[shelf(r.Name)] ^= uint32(h ^ h>>32)
+// toggleDigest puts a member into the digest of its shelf, or takes it out again.
+func (t *Table) toggleDigest(r *Update) {
+	h := fingerprint(r)
+	t.digests[digestBucket(r.Name)] ^= uint32(h ^ h>>32)
 }
 
-// mark is what a member adds to a digest: two tables of the same members, lives and
+// fingerprint is what a member adds to a digest: two tables of the same members, lives and
 // incarnations have the same one, in whatever order they learned of them.
-func mark(r *Update) uint64 {
+func fingerprint(r *Update) uint64 {
 	if r.State > Suspect {
 		return 0
 	}
-	var b [NameMost + 16]byte
+	var b [MaxNameLength + 16]byte
 	n := binary.PutUvarint(b[:], r.Incarnation)
 	text := append(binary.LittleEndian.AppendUint64(b[:n], r.Life), r.Name...)
 	return xxhash.Sum64(text)
--- a/internal/membership/judge_test.go
+++ b/internal/membership/judge_test.go
@@ -21,7 +21,7 @@
 func newAlone(t *testing.T) *alone {
 	x := &alone{now: second, said: map[EventKind]int{}}
 	x.Table = New(x.now, Config{Self: peerOf("a"), Peers: []Peer{{"b", peerOf("b").Addr}}, Seed: 1})
-	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf("b"), peerOf("d"), peerOf("e")}})
+	x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{peerOf("b"), peerOf("d"), peerOf("e")}})
 	return x
 }
 
@@ -36,7 +36,7 @@
 		switch a := a.(type) {
 		case Send:
 			if m := a.Message; m.Kind == Ping && m.To != "b" {
-				x.tell(&Message{Kind: Ack, Self: peerOf(m.To), Seq: m.Seq})
+				x.tell(&Message{Kind: Ack, Sender: peerOf(m.To), Sequence: m.Sequence})
 				continue
 			}
 		}
@@ -47,7 +47,7 @@
 }
 
 func (x *alone) run(until int64) {
-	for ; x.now < until; x.now += tickEvery {
+	for ; x.now < until; x.now += tickInterval {
 		x.do(x.Tick(x.now))
 		for _, e := range x.Events() {
 			if x.said[e.Kind]++; e.Kind == Died && x.died == 0 {
@@ -61,9 +61,9 @@
 	r := peerOf("b")
 	r.State = Suspect
 	for _, w := range []string{"c", "d", "e"} {
-		r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a"})
+		r.Confirmations = append(r.Confirmations, Confirmation{Name: w, Zone: "hall-a"})
 	}
-	x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
+	x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{r}})
 }
 
 // ways are how b may be reached from here.
@@ -72,15 +72,15 @@
 	"by itself": func(*alone) func(a Act) *Message {
 		return func(a Act) *Message {
 			if s, ok := a.(Send); ok && s.Message.Kind == Ping {
-				return &Message{Kind: Ack, Self: peerOf("b"), Seq: s.Message.Seq}
+				return &Message{Kind: Ack, Sender: peerOf("b"), Sequence: s.Message.Sequence}
 			}
 			return nil
 		}
 	},
 	"by another": func(*alone) func(a Act) *Message {
 		return func(a Act) *Message {
-			if s, ok := a.(Send); ok && s.Message.Kind == Ask {
-				return &Message{Kind: Told, Self: peerOf(s.Message.To), Seq: s.Message.Seq, Target: "b", Reached: true}
+			if s, ok := a.(Send); ok && s.Message.Kind == PingRequest {
+				return &Message{Kind: PingRequestResult, Sender: peerOf(s.Message.To), Sequence: s.Message.Sequence, Target: "b", Reached: true}
 			}
 			return nil
 		}
@@ -156,7 +156,7 @@
 				x = &alone{now: second, said: map[EventKind]int{}}
 				x.Table = New(x.now, Config{Self: peerOf("a"), Seed: 1})
 				x.b = ways["none"](x)
-				x.tell(&Message{Kind: Ack, Self: peerOf("b")})
+				x.tell(&Message{Kind: Ack, Sender: peerOf("b")})
 			}
 			x.b = func(a Act) *Message {
 				if k, ok := a.(HandshakeProbe); ok && c.alone {
@@ -169,9 +169,9 @@
 				r := peerOf("b")
 				r.State = Suspect
 				for _, w := range []string{"c", "d"}[:c.witnesses] {
-					r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a", Refused: true})
+					r.Confirmations = append(r.Confirmations, Confirmation{Name: w, Zone: "hall-a", Refused: true})
 				}
-				x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
+				x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{r}})
 			}
 			at := x.now
 			x.run(at + 10*second)
@@ -187,7 +187,7 @@
 func TestLooksAgain(t *testing.T) {
 	x := newAlone(t)
 	for i := range 100 {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
+		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{peerOf(fmt.Sprint("m", i))}})
 	}
 	x.b = ways["none"](x)
 	for x.said[Suspected] == 0 {
@@ -206,7 +206,7 @@
 		x := newAlone(t)
 		x.b = way(x)
 		for i := range 1000 {
-			x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
+			x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{peerOf(fmt.Sprint("m", i))}})
 		}
 		x.run(x.now + second)
 		x.accuse()
@@ -221,10 +221,10 @@
 // A peer that makes names up fills no memory.
 func TestNamesMadeUp(t *testing.T) {
 	x := newAlone(t)
-	for i := range membersMost + 100 {
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{peerOf(fmt.Sprint("m", i))}})
+	for i := range maxMembers + 100 {
+		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{peerOf(fmt.Sprint("m", i))}})
 	}
-	if n := len(x.members); n != membersMost || n != len(x.names) || x.Size() != n+1 {
+	if n := len(x.members); n != maxMembers || n != len(x.names) || x.Size() != n+1 {
 		t.Errorf("%d names, %d of them sorted, %d there", n, len(x.names), x.Size())
 	}
 }
--- a/internal/membership/links.go
+++ b/internal/membership/links.go
@@ -3,62 +3,62 @@
 // This file owns what is known of the straight way to each member, by direction: whether
 // what this instance sends arrives, and whether what the other sends does.
 
-// way is one direction.
-type way struct {
-	bad  int  // weight of the looks in a row that found it does not carry
-	shut bool // enough of them
+// pathDirection is one direction.
+type pathDirection struct {
+	failureWeight  int  // weight of the looks in a row that found it does not carry
+	down bool // enough of them
 }
 
-func (t *Table) fails(m *member, w *way, side string, silent bool) {
-	w.bad += 1 + (silentWeighs-1)*truth(silent)
-	if w.bad < oneWayAfter || w.shut {
+func (t *Table) pathFailed(m *member, w *pathDirection, side string, silent bool) {
+	w.failureWeight += 1 + (handshakeFailureWeight-1)*boolToInt(silent)
+	if w.failureWeight < pathDownWeight || w.down {
 		return
 	}
-	w.shut = true
-	other := &m.in
+	w.down = true
+	other := &m.inbound
 	if side == "in" {
-		other = &m.out
+		other = &m.outbound
 	}
-	if !other.shut {
+	if !other.down {
 		text := "what goes there does not arrive, what comes from there does"
 		if side == "in" {
 			text = "what comes from there does not arrive, what goes there does"
 		}
-		t.say(OneWay, m.Name, m.Zone, text)
+		t.report(PathDegraded, m.Name, m.Zone, text)
 	}
 }
 
-func (t *Table) carries(m *member, w *way) {
-	if w.bad = 0; w.shut {
-		w.shut = false
-		t.say(Carries, m.Name, m.Zone, "")
+func (t *Table) pathWorks(m *member, w *pathDirection) {
+	if w.failureWeight = 0; w.down {
+		w.down = false
+		t.report(PathRecovered, m.Name, m.Zone, "")
 	}
 }
 
 // heardFrom takes it that a datagram came straight from a member.
-func (t *Table) heardFrom(m *member) { t.carries(m, &m.in) }
+func (t *Table) heardFrom(m *member) { t.pathWorks(m, &m.inbound) }
 
-// Link is what is known of the straight way to a member.
-type Link uint8
+// Path is what is known of the straight way to a member.
+type Path uint8
 
 // What a way may be.
 const (
-	BothWays Link = iota
-	OutShut       // what this instance sends does not arrive
-	InShut        // what the other sends does not
-	NoWay
+	PathUp Path = iota
+	PathOutboundDown       // what this instance sends does not arrive
+	PathInboundDown        // what the other sends does not
+	PathDown
 )
 
-func (l Link) String() string { return [...]string{"both ways", "out shut", "in shut", "shut"}[l&3] }
+func (l Path) String() string { return [...]string{"both ways", "out shut", "in shut", "shut"}[l&3] }
 
-func (m *member) link() Link {
+func (m *member) path() Path {
 	switch {
-	case m.out.shut && m.in.shut:
-		return NoWay
-	case m.out.shut:
-		return OutShut
-	case m.in.shut:
-		return InShut
+	case m.outbound.down && m.inbound.down:
+		return PathDown
+	case m.outbound.down:
+		return PathOutboundDown
+	case m.inbound.down:
+		return PathInboundDown
 	}
-	return BothWays
+	return PathUp
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -81,7 +81,7 @@
 			}
 			r.oneWay += len(f.oneWay)
 			for _, x := range faults {
-				r.oneWays += truth(x.kind == "oneway")
+				r.oneWays += boolToInt(x.kind == "oneway")
 			}
 			r.rate = max(r.rate, float64(f.bytes)/float64(f.now)*second/float64(s.size))
 		}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -36,18 +36,18 @@
 			all = append(all, r)
 		}
 		want := reference(all)
-		var digests [2][Shelves]uint32
+		var digests [2][DigestBuckets]uint32
 		for i := range digests {
 			x := New(second, Config{Self: peerOf("a"), Seed: 1})
 			order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(all))
 			for _, k := range append(order, order[0]) {
-				x.hear(all[k])
+				x.applyUpdate(all[k])
 			}
 			got := x.members["b"]
 			if got == nil || got.Incarnation != want.Incarnation || got.Life != want.Life || got.State != want.State && got.State != Dead {
 				t.Fatalf("order %v: %+v, expected %+v", order, got, want)
 			}
-			if live := x.live; live != truth(got.State <= Suspect) {
+			if live := x.liveCount; live != boolToInt(got.State <= Suspect) {
 				t.Fatalf("%d live", live)
 			}
 			digests[i] = x.digests
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestPace asserts that a calm table wants to be called little more often than it probes, that one in
-// doubt wants to be every tickEvery, and that what comes in between is looked at in time.
+// doubt wants to be every tickInterval, and that what comes in between is looked at in time.
 func TestPace(t *testing.T) {
 	const members, seconds = 9, 20
 	f := newFleet(members, 5, []fault{{kind: "vanish", a: 4, b: -1, at: 60 * second, until: 61 * second}})
@@ -19,14 +19,14 @@
 	before := ticks()
 	f.run(f.now + seconds*second)
 	perSecond := float64(ticks()-before) / seconds / (members - 1)
-	if probes := float64(second) / float64(f.all[0].Every); perSecond > 1.2*probes {
+	if probes := float64(second) / float64(f.all[0].ProbeInterval); perSecond > 1.2*probes {
 		t.Errorf("%g calls a second and member in calm, %g probes", perSecond, probes)
 	}
 	f.run(62 * second)
 	before = ticks()
 	f.run(64 * second)
 	perSecond = float64(ticks()-before) / 2 / (members - 1)
-	if perSecond < 0.8*second/tickEvery {
+	if perSecond < 0.8*second/tickInterval {
 		t.Errorf("%g calls a second and member while one is suspected", perSecond)
 	}
 }
@@ -38,9 +38,9 @@
 	f.run(formed(3) + 10*second)
 	x := f.all[0]
 	calm := x.NextTick()
-	m := &Message{Kind: Ask, Seq: 1, To: name(0), Self: f.all[1].Self, Target: name(2)}
+	m := &Message{Kind: PingRequest, Sequence: 1, To: name(0), Sender: f.all[1].Self, Target: name(2)}
 	x.Receive(f.now, m)
-	if next := x.NextTick(); next >= calm || next > x.ticked+tickEvery {
+	if next := x.NextTick(); next >= calm || next > x.lastTick+tickInterval {
 		t.Errorf("asked for a third it wants to be called at %d, calm at %d", next, calm)
 	}
 }
@@ -51,15 +51,15 @@
 	const seconds = 20
 	f := newFleet(2, 7, nil)
 	f.run(formed(2))
-	before := f.all[0].seq
+	before := f.all[0].sequence
 	f.run(f.now + seconds*second)
-	probes, due := f.all[0].seq-before, uint64(seconds*second/f.all[0].Every)
+	probes, due := f.all[0].sequence-before, uint64(seconds*second/f.all[0].ProbeInterval)
 	if probes < due*9/10 {
 		t.Errorf("%d probes in %d s, %d are due", probes, seconds, due)
 	}
 }
 
-// TestCalledLate asserts that a table doubts itself where it is called lateTick after it wanted to be, and
+// TestCalledLate asserts that a table doubts itself where it is called stallThreshold after it wanted to be, and
 // not before, however long its last call is ago.
 func TestCalledLate(t *testing.T) {
 	f := newFleet(3, 8, nil)
@@ -68,12 +68,12 @@
 	for _, c := range []struct {
 		late  int64
 		doubt bool
-	}{{lateTick, false}, {lateTick + 1, true}} {
+	}{{stallThreshold, false}, {stallThreshold + 1, true}} {
 		x.Events()
 		x.Tick(x.NextTick() + c.late)
 		doubts := false
 		for _, e := range x.Events() {
-			doubts = doubts || e.Kind == Doubts
+			doubts = doubts || e.Kind == Stalled
 		}
 		if doubts != c.doubt {
 			t.Errorf("called %d us late it doubts itself: %v", c.late, doubts)
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -136,7 +136,7 @@
 		Life: f.rng.Uint64(), Incarnation: x.kept + 1}, Peers: peers, Seed: f.rng.Uint64()})
 	x.up, x.left, x.vanished, x.pausedUntil = true, false, false, 0
 	x.tickAt = 0
-	f.tickAt(i, f.now+f.rng.Int64N(tickEvery))
+	f.tickAt(i, f.now+f.rng.Int64N(tickInterval))
 }
 
 // schedule has the table called when it wants to be, unless that is due sooner already.
@@ -307,7 +307,7 @@
 				continue
 			}
 			size := act.Message.Size()
-			if f.bytes += int64(size); size > DatagramMost {
+			if f.bytes += int64(size); size > MaxDatagramSize {
 				f.wrong = append(f.wrong, fmt.Sprintf("a datagram of %d bytes", size))
 			}
 			copies := 1
@@ -386,9 +386,9 @@
 		}
 		x.said[e.Kind]++
 		switch e.Kind {
-		case Viewed:
+		case ViewChanged:
 			f.changes++
-		case OneWay:
+		case PathDegraded:
 			f.blamed(i, e)
 			for k, o := range f.faults {
 				if o.kind == "oneway" && o.at < f.now && f.now < o.until+second && (name(o.a) == e.Name && o.b == i || name(o.b) == e.Name && o.a == i) {
--- a/internal/membership/testimony_test.go
+++ b/internal/membership/testimony_test.go
@@ -12,9 +12,9 @@
 		r := peerOf("b")
 		r.Incarnation, r.State = 2, Dead
 		for _, w := range []string{"c", "d", "e"} {
-			r.Witnesses = append(r.Witnesses, Witness{Name: w, Zone: "hall-a"})
+			r.Confirmations = append(r.Confirmations, Confirmation{Name: w, Zone: "hall-a"})
 		}
-		x.tell(&Message{Kind: Ack, Self: peerOf("c"), Rumours: []Update{r}})
+		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{r}})
 		at := x.now
 		x.run(at + 20*second)
 		if (x.died > 0) != (name == "none") || x.died > 0 && x.died < at+3*second {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -19,13 +19,13 @@
 	Suspected
 	Refuted
 	Died
-	Departed
-	Back
-	OneWay
-	Carries
-	Doubts
-	Barred
-	Viewed
+	LeftCluster
+	Rejoined
+	PathDegraded
+	PathRecovered
+	Stalled
+	NameConflict
+	ViewChanged
 )
 
 func (k EventKind) String() string {
@@ -33,9 +33,9 @@
 		"doubts itself", "name in use", "view"}[k]
 }
 
-func endKind(s State) EventKind {
+func removalEvent(s State) EventKind {
 	if s == Left {
-		return Departed
+		return LeftCluster
 	}
 	return Died
 }
@@ -48,7 +48,7 @@
 	Evidence   string
 }
 
-func (t *Table) say(k EventKind, name, zone, evidence string) {
+func (t *Table) report(k EventKind, name, zone, evidence string) {
 	life := t.Self.Life
 	if m := t.members[name]; m != nil {
 		life = m.Life
@@ -74,11 +74,11 @@
 		}
 	}
 	by, refused := map[string]int{}, 0
-	for _, w := range m.Witnesses {
+	for _, w := range m.Confirmations {
 		if by[w.Zone]++; by[w.Zone] == 1 {
 			zones = append(zones, w.Zone)
 		}
-		refused += truth(w.Refused)
+		refused += boolToInt(w.Refused)
 	}
 	slices.Sort(zones)
 	var parts []string
@@ -88,7 +88,7 @@
 	if refused > 0 {
 		parts = append(parts, fmt.Sprintf("%d told that no process listens", refused))
 	}
-	if m.contact > m.suspectAt && m.suspectAt > 0 {
+	if m.lastAliveAt > m.suspectedAt && m.suspectedAt > 0 {
 		parts = append(parts, "this one can")
 	}
 	return strings.Join(parts, ", ")
@@ -97,23 +97,23 @@
 // Member is a line of the table.
 type Member struct {
 	Name, Zone, Addr  string
-	Life, Incarnation uint64
+	Nonce, Incarnation uint64
 	State             State
 	Slow              bool // alive, and slow to answer
-	Link              Link
+	Path              Path
 	RTTUs             int64
-	ContactUs         int64 // how long ago it last proved to live
+	SinceAliveUs         int64 // how long ago it last proved to live
 	Evidence          string
 }
 
 // Members is the table, this instance first, then by name.
 func (t *Table) Members() []Member {
-	out := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Life: t.Self.Life,
+	out := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Nonce: t.Self.Life,
 		Incarnation: t.Self.Incarnation, State: t.Self.State}}
 	for _, name := range t.names {
 		m := t.members[name]
-		e := Member{Name: name, Zone: m.Zone, Addr: m.Addr, Life: m.Life, Incarnation: m.Incarnation, State: m.State,
-			Slow: m.State == Alive && m.rtt > t.Direct, Link: m.link(), RTTUs: m.rtt, ContactUs: t.now - m.contact}
+		e := Member{Name: name, Zone: m.Zone, Addr: m.Addr, Nonce: m.Life, Incarnation: m.Incarnation, State: m.State,
+			Slow: m.State == Alive && m.rtt > t.DirectTimeout, Path: m.path(), RTTUs: m.rtt, SinceAliveUs: t.now - m.lastAliveAt}
 		if m.State != Alive {
 			e.Evidence = t.evidence(m)
 		}
@@ -133,29 +133,29 @@
 func (t *Table) View() View { return t.view }
 
 const (
-	settleFor  = 400_000
-	settleMost = 2_000_000
+	viewSettleTime  = 400_000
+	maxViewDelay = 2_000_000
 )
 
-// touched takes it that the members changed.
-func (t *Table) touched() {
-	if t.moved = t.now; t.stale == 0 {
-		t.stale = t.now
+// membersChanged takes it that the members changed.
+func (t *Table) membersChanged() {
+	if t.membersChangedAt = t.now; t.viewStaleSince == 0 {
+		t.viewStaleSince = t.now
 	}
 }
 
-// settle changes the view once the members stand still.
-func (t *Table) settle() {
-	if t.stale == 0 || t.now-t.moved < settleFor && t.now-t.stale < settleMost {
+// settleView changes the view once the members stand still.
+func (t *Table) settleView() {
+	if t.viewStaleSince == 0 || t.now-t.membersChangedAt < viewSettleTime && t.now-t.viewStaleSince < maxViewDelay {
 		return
 	}
-	t.stale = 0
-	if t.reform() {
-		t.say(Viewed, "", "", fmt.Sprintf("%d members: %s", len(t.view.Names), strings.Join(t.view.Names, " ")))
+	t.viewStaleSince = 0
+	if t.rebuildView() {
+		t.report(ViewChanged, "", "", fmt.Sprintf("%d members: %s", len(t.view.Names), strings.Join(t.view.Names, " ")))
 	}
 }
 
-func (t *Table) reform() bool {
+func (t *Table) rebuildView() bool {
 	digest := uint64(0)
 	var names []string
 	add := func(r *Update) {
@@ -163,10 +163,10 @@
 			names = append(names, r.Name)
 			steady := *r
 			steady.Incarnation = 0 // a refutation changes nothing for others
-			digest ^= mark(&steady)
+			digest ^= fingerprint(&steady)
 		}
 	}
-	if t.barred == 0 && !t.joining {
+	if t.conflictAt == 0 && !t.joining {
 		add(&t.Self)
 	}
 	for _, name := range t.names {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -36,39 +36,39 @@
 
 func rumourOut(r *membership.Update) *peerpb.Rumour {
 	o := &peerpb.Rumour{Name: r.Name, Hall: r.Zone, Address: r.Addr, Life: r.Life, Incarnation: r.Incarnation, State: uint32(r.State)}
-	for _, w := range r.Witnesses {
+	for _, w := range r.Confirmations {
 		o.Witnesses = append(o.Witnesses, &peerpb.Witness{Name: w.Name, Hall: w.Zone, Refused: w.Refused})
 	}
 	return o
 }
 
 func rumourIn(r *peerpb.Rumour) (o membership.Update, err error) {
-	if !named(r.GetName()) || len(r.GetHall()) > membership.NameMost || r.GetState() > uint32(membership.Left) || len(r.GetWitnesses()) > membership.WitnessMost {
+	if !named(r.GetName()) || len(r.GetHall()) > membership.MaxNameLength || r.GetState() > uint32(membership.Left) || len(r.GetWitnesses()) > membership.MaxConfirmations {
 		return o, fmt.Errorf("%w: expected a name, a hall, a state and at most %d witnesses, got name %.40q, state %d, %d witnesses",
-			ErrForm, membership.WitnessMost, r.GetName(), r.GetState(), len(r.GetWitnesses()))
+			ErrForm, membership.MaxConfirmations, r.GetName(), r.GetState(), len(r.GetWitnesses()))
 	}
-	if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil || len(r.GetAddress()) > membership.NameMost {
+	if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil || len(r.GetAddress()) > membership.MaxNameLength {
 		return o, fmt.Errorf("%w: %s: expected address:port, got %.60q", ErrForm, r.GetName(), r.GetAddress())
 	}
 	o = membership.Update{Name: r.GetName(), Zone: r.GetHall(), Addr: r.GetAddress(), Life: r.GetLife(), Incarnation: r.GetIncarnation(),
 		State: membership.State(r.GetState())}
 	for _, w := range r.GetWitnesses() {
-		if !named(w.GetName()) || len(w.GetHall()) > membership.NameMost {
+		if !named(w.GetName()) || len(w.GetHall()) > membership.MaxNameLength {
 			return o, fmt.Errorf("%w: %s: expected the name of a witness, got %.40q", ErrForm, r.GetName(), w.GetName())
 		}
-		o.Witnesses = append(o.Witnesses, membership.Witness{Name: w.GetName(), Zone: w.GetHall(), Refused: w.GetRefused()})
+		o.Confirmations = append(o.Confirmations, membership.Confirmation{Name: w.GetName(), Zone: w.GetHall(), Refused: w.GetRefused()})
 	}
 	return o, nil
 }
 
-func named(s string) bool { return s != "" && len(s) <= membership.NameMost }
+func named(s string) bool { return s != "" && len(s) <= membership.MaxNameLength }
 
 // Encode writes a datagram.
 func Encode(cluster string, m *membership.Message) ([]byte, error) {
-	d := &peerpb.Datagram{Cluster: cluster, Version: Lowest, Kind: uint32(m.Kind), To: m.To, Self: rumourOut(&m.Self), Joining: m.Joining,
-		Seq: m.Seq, Target: m.Target, For: m.For, ForSeq: m.ForSeq, Heard: m.Heard, Reached: m.Reached, Digests: m.Digests}
-	for i := range m.Rumours {
-		d.Rumours = append(d.Rumours, rumourOut(&m.Rumours[i]))
+	d := &peerpb.Datagram{Cluster: cluster, Version: Lowest, Kind: uint32(m.Kind), To: m.To, Self: rumourOut(&m.Sender), Joining: m.Joining,
+		Seq: m.Sequence, Target: m.Target, For: m.OnBehalfOf, ForSeq: m.OnBehalfOfSequence, Heard: m.DirectPingReceived, Reached: m.Reached, Digests: m.Digests}
+	for i := range m.Updates {
+		d.Rumours = append(d.Rumours, rumourOut(&m.Updates[i]))
 	}
 	return proto.Marshal(d)
 }
@@ -85,14 +85,14 @@
 	if d.GetVersion() > Highest {
 		return nil, fmt.Errorf("%w: %.40q needs version %d, this program speaks %d to %d", ErrVersion, d.GetSelf().GetName(), d.GetVersion(), Lowest, Highest)
 	}
-	m := &membership.Message{Kind: membership.Kind(d.GetKind()), To: d.GetTo(), Joining: d.GetJoining(), Seq: d.GetSeq(), Target: d.GetTarget(),
-		For: d.GetFor(), ForSeq: d.GetForSeq(), Heard: d.GetHeard(), Reached: d.GetReached(), Digests: d.GetDigests()}
-	if d.GetKind() < uint32(membership.Ping) || d.GetKind() > uint32(membership.Told) || !named(m.To) || len(m.Target) > membership.NameMost ||
-		len(m.For) > membership.NameMost || len(m.Digests) > membership.Shelves || len(d.GetRumours()) > rumoursMost {
+	m := &membership.Message{Kind: membership.Kind(d.GetKind()), To: d.GetTo(), Joining: d.GetJoining(), Sequence: d.GetSeq(), Target: d.GetTarget(),
+		OnBehalfOf: d.GetFor(), OnBehalfOfSequence: d.GetForSeq(), DirectPingReceived: d.GetHeard(), Reached: d.GetReached(), Digests: d.GetDigests()}
+	if d.GetKind() < uint32(membership.Ping) || d.GetKind() > uint32(membership.PingRequestResult) || !named(m.To) || len(m.Target) > membership.MaxNameLength ||
+		len(m.OnBehalfOf) > membership.MaxNameLength || len(m.Digests) > membership.DigestBuckets || len(d.GetRumours()) > rumoursMost {
 		return nil, fmt.Errorf("%w: a datagram of kind %d to %.40q with %d rumours", ErrForm, d.GetKind(), d.GetTo(), len(d.GetRumours()))
 	}
 	var err error
-	if m.Self, err = rumourIn(d.GetSelf()); err != nil {
+	if m.Sender, err = rumourIn(d.GetSelf()); err != nil {
 		return nil, err
 	}
 	for _, r := range d.GetRumours() {
@@ -100,7 +100,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.Rumours = append(m.Rumours, o)
+		m.Updates = append(m.Updates, o)
 	}
 	return m, nil
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -36,12 +36,12 @@
 	{
 		"ping with digests",
 		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a37313032218877665544332211288080801838296a0c0100000000000000efbeadde",
-		membership.Message{Kind: membership.Ping, To: "n1", Self: previousSender, Seq: 41, Digests: []uint32{1, 0, 0xdeadbeef}},
+		membership.Message{Kind: membership.Ping, To: "n1", Sender: previousSender, Sequence: 41, Digests: []uint32{1, 0, 0xdeadbeef}},
 	},
 	{
 		"ping on behalf of another, while joining",
 		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a3731303221887766554433221128808080183001382a4a026e3450ac02",
-		membership.Message{Kind: membership.Ping, To: "n1", Self: previousSender, Joining: true, Seq: 42, For: "n4", ForSeq: 300},
+		membership.Message{Kind: membership.Ping, To: "n1", Sender: previousSender, Joining: true, Sequence: 42, OnBehalfOf: "n4", OnBehalfOfSequence: 300},
 	},
 	{
 		"ack with updates",
@@ -50,9 +50,9 @@
 			"30013a0e0a026e34120668616c6c2d6118013a040a026e35" +
 			"72210a026e361a0e3132372e302e302e313a3731303621080000000000000028013002" +
 			"72210a026e371a0e3132372e302e302e313a3731303721090000000000000028013003",
-		membership.Message{Kind: membership.Ack, To: "n1", Self: previousSender, Seq: 43, For: "n4", ForSeq: 300, Heard: true, Rumours: []membership.Update{
+		membership.Message{Kind: membership.Ack, To: "n1", Sender: previousSender, Sequence: 43, OnBehalfOf: "n4", OnBehalfOfSequence: 300, DirectPingReceived: true, Updates: []membership.Update{
 			{Name: "n3", Zone: "hall-a", Addr: "127.0.0.1:7103", Life: 7, Incarnation: 9, State: membership.Suspect,
-				Witnesses: []membership.Witness{{Name: "n4", Zone: "hall-a", Refused: true}, {Name: "n5"}}},
+				Confirmations: []membership.Confirmation{{Name: "n4", Zone: "hall-a", Refused: true}, {Name: "n5"}}},
 			{Name: "n6", Addr: "127.0.0.1:7106", Life: 8, Incarnation: 1, State: membership.Dead},
 			{Name: "n7", Addr: "127.0.0.1:7107", Life: 9, Incarnation: 1, State: membership.Left},
 		}},
@@ -60,17 +60,17 @@
 	{
 		"ping request",
 		"0a0464616c611001180322026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382c42026e33",
-		membership.Message{Kind: membership.Ask, To: "n1", Self: previousSender, Seq: 44, Target: "n3"},
+		membership.Message{Kind: membership.PingRequest, To: "n1", Sender: previousSender, Sequence: 44, Target: "n3"},
 	},
 	{
 		"ping request answered: reached, and its own ping came there",
 		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382d42026e3358016001",
-		membership.Message{Kind: membership.Told, To: "n1", Self: previousSender, Seq: 45, Target: "n3", Heard: true, Reached: true},
+		membership.Message{Kind: membership.PingRequestResult, To: "n1", Sender: previousSender, Sequence: 45, Target: "n3", DirectPingReceived: true, Reached: true},
 	},
 	{
 		"ping request answered: not reached",
 		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382e42026e33",
-		membership.Message{Kind: membership.Told, To: "n1", Self: previousSender, Seq: 46, Target: "n3"},
+		membership.Message{Kind: membership.PingRequestResult, To: "n1", Sender: previousSender, Sequence: 46, Target: "n3"},
 	},
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, e := range p.table.Events() {
-		if e.Kind == membership.Died || e.Kind == membership.Departed || e.Kind == membership.Back {
+		if e.Kind == membership.Died || e.Kind == membership.LeftCluster || e.Kind == membership.Rejoined {
 			p.hangUp(e.Name)
 		}
 		p.log.Info("membership", "event", e.Kind.String(), "member", e.Name, "zone", e.Zone, "evidence", e.Evidence)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -30,8 +30,8 @@
 	name := rapid.StringMatching(`[a-z0-9-]{1,64}`)
 	r := membership.Update{Name: name.Draw(t, label), Zone: name.Draw(t, label+" hall"), Addr: "127.0.0.1:7101", Life: rapid.Uint64().Draw(t, label+" life"),
 		Incarnation: rapid.Uint64().Draw(t, label+" incarnation"), State: membership.State(rapid.IntRange(0, 3).Draw(t, label+" state"))}
-	for range rapid.IntRange(0, membership.WitnessMost).Draw(t, label+" witnesses") {
-		r.Witnesses = append(r.Witnesses, membership.Witness{Name: name.Draw(t, "witness"), Zone: name.Draw(t, "its hall"), Refused: rapid.Bool().Draw(t, "refused")})
+	for range rapid.IntRange(0, membership.MaxConfirmations).Draw(t, label+" witnesses") {
+		r.Confirmations = append(r.Confirmations, membership.Confirmation{Name: name.Draw(t, "witness"), Zone: name.Draw(t, "its hall"), Refused: rapid.Bool().Draw(t, "refused")})
 	}
 	return r
 }
@@ -40,18 +40,18 @@
 // same to a program that knows of no more: fields that it does not know are passed over.
 func TestDatagrams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")), To: "n2", Self: drawRumour(t, "self"),
-			Joining: rapid.Bool().Draw(t, "joining"), Seq: rapid.Uint64().Draw(t, "seq"), Target: "n3", For: "n4", ForSeq: rapid.Uint64().Draw(t, "for"),
-			Heard: rapid.Bool().Draw(t, "heard"), Reached: rapid.Bool().Draw(t, "reached")}
-		m.Digests = rapid.SliceOfN(rapid.Uint32(), 0, membership.Shelves).Draw(t, "digests")
+		m := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")), To: "n2", Sender: drawRumour(t, "self"),
+			Joining: rapid.Bool().Draw(t, "joining"), Sequence: rapid.Uint64().Draw(t, "seq"), Target: "n3", OnBehalfOf: "n4", OnBehalfOfSequence: rapid.Uint64().Draw(t, "for"),
+			DirectPingReceived: rapid.Bool().Draw(t, "heard"), Reached: rapid.Bool().Draw(t, "reached")}
+		m.Digests = rapid.SliceOfN(rapid.Uint32(), 0, membership.DigestBuckets).Draw(t, "digests")
 		for range rapid.IntRange(0, 6).Draw(t, "rumours") {
-			m.Rumours = append(m.Rumours, drawRumour(t, "rumour"))
+			m.Updates = append(m.Updates, drawRumour(t, "rumour"))
 		}
 		b, err := Encode("dala", m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b) > m.Size()+membership.NameMost {
+		if len(b) > m.Size()+membership.MaxNameLength {
 			t.Fatalf("%d bytes, reckoned %d", len(b), m.Size())
 		}
 		b = protowire.AppendTag(b, 99, protowire.BytesType)
@@ -82,7 +82,7 @@
 
 // FuzzDatagram looks at what holds of any bytes: no panic, and what is taken is in bounds.
 func FuzzDatagram(f *testing.F) {
-	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Self: membership.Update{Name: "n1", Addr: "127.0.0.1:1"}})
+	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Sender: membership.Update{Name: "n1", Addr: "127.0.0.1:1"}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -92,8 +92,8 @@
 		if err != nil {
 			return
 		}
-		if m.Kind < membership.Ping || m.Kind > membership.Told || len(m.Self.Name) == 0 || len(m.Self.Name) > membership.NameMost ||
-			len(m.Rumours) > rumoursMost || len(m.Digests) > membership.Shelves {
+		if m.Kind < membership.Ping || m.Kind > membership.PingRequestResult || len(m.Sender.Name) == 0 || len(m.Sender.Name) > membership.MaxNameLength ||
+			len(m.Updates) > rumoursMost || len(m.Digests) > membership.DigestBuckets {
 			t.Fatalf("%+v", m)
 		}
 	})
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -71,7 +71,7 @@
 		},
 	}
 	for i, m := range p.table.Members() {
-		link := m.Link.String()
+		link := m.Path.String()
 		if i == 0 {
 			link = "itself"
 		}
@@ -84,7 +84,7 @@
 			Link:        link,
 			Slow:        m.Slow,
 			RTTMs:       m.RTTUs / 1000,
-			SilentMs:    m.ContactUs / 1000,
+			SilentMs:    m.SinceAliveUs / 1000,
 			Evidence:    m.Evidence,
 		})
 	}
