--- a/internal/membership/check_test.go
+++ b/internal/membership/check_test.go
@@ -23,7 +23,7 @@
 	at := x.now
 	x.run(at + second)
 	if d := x.died - at; x.died == 0 || d > x.RefusedTimeout+tickInterval {
-		t.Errorf("dead %s after the accusation", ms(d))
+		t.Errorf("dead %s after the accusation", inMilliseconds(d))
 	}
 }
 
--- a/internal/membership/forget_test.go
+++ b/internal/membership/forget_test.go
@@ -22,7 +22,7 @@
 	x.accuse()
 	x.run(x.now + 20*second)
 	if m := x.members["b"]; x.died == 0 || m == nil || m.State != Dead {
-		t.Errorf("b died at %s and is remembered as %+v", ms(x.died), m)
+		t.Errorf("b died at %s and is remembered as %+v", inMilliseconds(x.died), m)
 	}
 	if n := len(x.names) - x.liveCount; n != maxDeadMembers {
 		t.Errorf("%d dead and departed are remembered", n)
--- a/internal/membership/form_test.go
+++ b/internal/membership/form_test.go
@@ -19,9 +19,9 @@
 		before := f.bytes
 		f.run(whole + 20*second)
 		calm := float64(f.bytes-before) / 10 / float64(c.size)
-		t.Logf("%d instances: whole after %s, %.0f bytes a second and member in calm", c.size, ms(whole), calm)
+		t.Logf("%d instances: whole after %s, %.0f bytes a second and member in calm", c.size, inMilliseconds(whole), calm)
 		if at > c.within || calm > c.calm {
-			t.Errorf("%d instances: whole after %s, %.0f bytes a second and member in calm", c.size, ms(whole), calm)
+			t.Errorf("%d instances: whole after %s, %.0f bytes a second and member in calm", c.size, inMilliseconds(whole), calm)
 		}
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,116 +1,121 @@
 package membership
 
-// This file owns what is passed on: the rumours that are still news, each as often as a
-// fleet of its size needs, and pages of the whole table to whoever believes otherwise.
+// This file owns dissemination: each message carries the updates that are still new to the cluster, each as
+// often as a cluster of its size needs, and pages of the whole table to a member whose digests differ.
 
 import (
-	"encoding/binary"
 	"math/bits"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// reachedByRelay is a rumour that is news.
+// broadcast is an update that waits to be passed on.
 type broadcast struct {
-	name  string
+	name      string
 	transmits int
 }
 
-// disseminate passes on what is now believed of an instance.
+// minUpdateSize is below which free space in a datagram no further member of a page is tried.
+const minUpdateSize = 64
+
+// disseminate has what is now believed of a member passed on.
 func (t *Table) disseminate(name string) {
-	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(q *broadcast) bool { return q.name == name })
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(b *broadcast) bool { return b.name == name })
 	t.broadcasts = append(t.broadcasts, &broadcast{name: name})
 }
 
-// updateOf is what is believed of an instance, and whether anything is.
+// transmitLimit is how often an update is passed on.
+func (t *Table) transmitLimit() int { return 2 * bits.Len(uint(len(t.names)+1)) }
+
+// updateOf is the update of a member; false where there is none to pass on.
 func (t *Table) updateOf(name string) (Update, bool) {
 	if name == t.Self.Name {
-		return t.Self, t.conflictAt == 0 && !t.joining
+		return t.Self, t.admitted()
 	}
 	m := t.members[name]
 	if m == nil {
 		return Update{}, false
 	}
-	r := m.Update
-	if len(r.Confirmations) > MaxConfirmations {
-		r.Confirmations = r.Confirmations[:MaxConfirmations]
+	u := m.Update
+	if len(u.Confirmations) > MaxConfirmations {
+		u.Confirmations = u.Confirmations[:MaxConfirmations]
 	}
-	return r, true
+	return u, true
 }
 
-// sendToMember sends a message to an instance, filled up with news: first what is said of the
-// receiver itself, which only it can refute.
+// sendToMember sends a message to a member, if its address is known.
 func (t *Table) sendToMember(to string, m Message) {
-	if addr := t.addressOf(to); addr != "" {
-		t.sendToAddress(addr, to, m, 0)
+	if address := t.addressOf(to); address != "" {
+		t.sendToAddress(address, to, m, 0)
 	}
 }
 
-// sendToAddress is send to an address; shelves are those of which the receiver believes otherwise.
-func (t *Table) sendToAddress(addr, to string, m Message, shelves uint32) {
-	m.To, m.Sender, m.Joining = to, t.Self, t.joining || t.conflictAt > 0
+// sendToAddress sends a message, filled up with updates: first the one of the receiver itself, which only it
+// can refute. In buckets are the digest buckets in which the receiver's table differs, as far as is known.
+func (t *Table) sendToAddress(address, to string, m Message, buckets uint32) {
+	m.To, m.Sender, m.Joining = to, t.Self, !t.admitted()
 	if m.Kind == Ping {
 		m.Digests = slices.Clone(t.digests[:])
 	}
-	room := MaxDatagramSize - MaxNameLength - m.Size()
-	add := func(name string) bool {
-		r, ok := t.updateOf(name)
-		if !ok || name == t.Self.Name || slices.ContainsFunc(m.Updates, func(o Update) bool { return o.Name == name }) {
-			return false
-		}
-		if n := r.size(); n <= room {
-			room -= n
-			m.Updates = append(m.Updates, r)
-			return true
-		}
-		return false
+	p := packer{table: t, message: m, free: MaxDatagramSize - MaxNameLength - m.Size()}
+	if receiver := t.members[to]; receiver != nil && (receiver.State != Alive || m.Kind == Ack) {
+		p.add(to)
 	}
-	if o := t.members[to]; o != nil && (o.State != Alive || m.Kind == Ack) {
-		add(to)
+	t.packBroadcasts(&p, buckets)
+	if buckets != 0 {
+		t.packPage(&p, buckets)
 	}
-	most := 2 * bits.Len(uint(len(t.names)+1))
-	level := m.Kind == Ack && shelves == 0 // the receiver's Ping showed no other belief
-	keep := 0                              // for the shelves: news of a whole zone would leave them no room
-	if shelves > 0 {
-		keep = room / 2
+	t.actions = append(t.actions, Send{Addr: address, Message: p.message})
+}
+
+// packBroadcasts adds the broadcasts that were passed on least, and drops those that were often enough.
+func (t *Table) packBroadcasts(p *packer, buckets uint32) {
+	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping were the same
+	reserved := 0                                   // for the page: the broadcasts of a whole zone would leave it no space
+	if buckets != 0 {
+		reserved = p.free / 2
 	}
-	for i := 0; i < len(t.broadcasts) && room > keep; i++ {
-		q := t.broadcasts[i]
-		if o := t.members[q.name]; level && o != nil && o.State == Alive {
-			q.transmits++ // it believes the same already
-		} else if add(q.name) {
-			q.transmits++
+	for i := 0; i < len(t.broadcasts) && p.free > reserved; i++ {
+		b := t.broadcasts[i]
+		if m := t.members[b.name]; inSync && m != nil && m.State == Alive {
+			b.transmits++ // the receiver knows
+		} else if p.add(b.name) {
+			b.transmits++
 		}
 	}
-	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(q *broadcast) bool { return q.transmits >= most || q.name == t.Self.Name })
+	limit := t.transmitLimit()
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(b *broadcast) bool { return b.transmits >= limit || b.name == t.Self.Name })
 	slices.SortStableFunc(t.broadcasts, func(a, b *broadcast) int { return a.transmits - b.transmits })
-	for n := 0; shelves > 0 && n < len(t.names) && room > 64; n++ {
+}
+
+// packPage adds the next members of the buckets that differ.
+func (t *Table) packPage(p *packer, buckets uint32) {
+	for n := 0; n < len(t.names) && p.free > minUpdateSize; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
-		if o := t.members[t.names[t.pageCursor]]; o.State <= Suspect && shelves&(1<<digestBucket(o.Name)) != 0 {
-			add(o.Name)
+		m := t.members[t.names[t.pageCursor]]
+		if m.State <= Suspect && buckets&(1<<digestBucket(m.Name)) != 0 {
+			p.add(m.Name)
 		}
 	}
-	t.actions = append(t.actions, Send{Addr: addr, Message: m})
 }
 
-// digestBucket is where a name falls.
-func digestBucket(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
-
-// toggleDigest puts a member into the digest of its shelf, or takes it out again.
-func (t *Table) toggleDigest(r *Update) {
-	h := fingerprint(r)
-	t.digests[digestBucket(r.Name)] ^= uint32(h ^ h>>32)
+// packer fills a message with updates.
+type packer struct {
+	table   *Table
+	message Message
+	free    int // bytes
 }
 
-// fingerprint is what a member adds to a digest: two tables of the same members, lives and
-// incarnations have the same one, in whatever order they learned of them.
-func fingerprint(r *Update) uint64 {
-	if r.State > Suspect {
-		return 0
+// add adds the update of a member, once; false where it has no space or is not to be passed on.
+func (p *packer) add(name string) bool {
+	u, ok := p.table.updateOf(name)
+	if !ok || name == p.table.Self.Name || slices.ContainsFunc(p.message.Updates, func(o Update) bool { return o.Name == name }) {
+		return false
+	}
+	size := u.size()
+	if size > p.free {
+		return false
 	}
-	var b [MaxNameLength + 16]byte
-	n := binary.PutUvarint(b[:], r.Incarnation)
-	text := append(binary.LittleEndian.AppendUint64(b[:n], r.Life), r.Name...)
-	return xxhash.Sum64(text)
+	p.free -= size
+	p.message.Updates = append(p.message.Updates, u)
+	return true
 }
--- a/internal/membership/judge_test.go
+++ b/internal/membership/judge_test.go
@@ -106,7 +106,7 @@
 		at := x.now
 		x.run(at + 20*second)
 		if (x.died > 0) != (name == "none") {
-			t.Errorf("reached %s: dead at %s after the accusation", name, ms(x.died-at))
+			t.Errorf("reached %s: dead at %s after the accusation", name, inMilliseconds(x.died-at))
 		}
 		if name == "none" {
 			continue
@@ -130,7 +130,7 @@
 	woke := x.now
 	x.run(woke + 15*second)
 	if d := x.died - woke; d < 3*second || d > 8*second {
-		t.Errorf("dead %s after it woke", ms(d))
+		t.Errorf("dead %s after it woke", inMilliseconds(d))
 	}
 	// One that nobody accused is not accused by whoever just woke.
 	x = newAlone(t)
@@ -176,7 +176,7 @@
 			at := x.now
 			x.run(at + 10*second)
 			if d := x.died - at; d <= 0 || d > c.within || c.within > 5*second && d < 3*second {
-				t.Errorf("dead after %s", ms(d))
+				t.Errorf("dead after %s", inMilliseconds(d))
 			}
 		})
 	}
@@ -213,7 +213,7 @@
 		at := x.now
 		x.run(at + 10*second)
 		if (x.died > 0) != (name == "none") || x.died > at+4*second {
-			t.Errorf("reached %s: dead at %s after the accusation", name, ms(x.died-at))
+			t.Errorf("reached %s: dead at %s after the accusation", name, inMilliseconds(x.died-at))
 		}
 	}
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,59 +1,59 @@
 package membership
 
-// This file owns what instances say to each other, and how large it may be.
+// This file owns what members send to each other, and how large it may be.
 
 // Kind is what a message is.
 type Kind uint8
 
-// The messages.
+// The kinds of messages.
 const (
-	Ping Kind = 1 + iota
-	Ack       // answers a Ping
-	PingRequest       // asks another to reach Target
-	PingRequestResult      // answers an Ask
+	Ping              Kind = 1 + iota
+	Ack                    // answers a Ping
+	PingRequest            // asks a relay to ping Target
+	PingRequestResult      // answers a PingRequest
 )
 
 // Message is one datagram.
 type Message struct {
-	Kind    Kind
-	To      string // the name that it is meant for
-	Sender    Update // whoever sends, as it is
-	Joining bool   // its name is not agreed yet
-	Sequence     uint64 // of the Ping or the Ask, repeated in the answer
-	Target  string // Ask, Told
-	// OnBehalfOf and OnBehalfOfSequence name, in a Ping on another's behalf, whose probe it serves.
-	OnBehalfOf    string
+	Kind     Kind
+	To       string // the name of the receiver
+	Sender   Update // as it is
+	Joining  bool   // the sender's name is not agreed yet
+	Sequence uint64 // of the Ping or the PingRequest, repeated in the answer
+	Target   string // of a PingRequest, repeated in the answer
+	// OnBehalfOf and OnBehalfOfSequence name, in a relay's Ping, the member whose probe it serves.
+	OnBehalfOf         string
 	OnBehalfOfSequence uint64
-	// DirectPingReceived says, in the answer to such a Ping, that the other's own Ping came too.
-	DirectPingReceived   bool
-	Reached bool // Told: Target answered
-	// Digests are, in a Ping, of the members that the sender believes in, by the shelf that
-	// their names fall on: only shelves that differ are told in the answer.
+	// DirectPingReceived says, in the answer to such a Ping, that the Ping of that member's own probe arrived.
+	DirectPingReceived bool
+	Reached            bool // PingRequestResult: Target answered
+	// Digests are, in a Ping, of the sender's table, by bucket: the answer carries only members of the
+	// buckets that differ.
 	Digests []uint32
 	Updates []Update
 }
 
 const (
-	// MaxDatagramSize is the largest datagram: it passes any usual network in one piece.
+	// MaxDatagramSize is in bytes: a datagram passes any usual network without fragmentation.
 	MaxDatagramSize = 1200
 	// DigestBuckets is how many digests a Ping has.
 	DigestBuckets = 16
-	// MaxNameLength bounds names, zones and addresses.
+	// MaxNameLength bounds names, zones and addresses, in bytes.
 	MaxNameLength = 64
-	// MaxConfirmations bounds the witnesses that are told.
+	// MaxConfirmations bounds the confirmations of a suspicion in a message.
 	MaxConfirmations = 4
 )
 
-// size is no less than what the rumour takes in a datagram.
-func (r *Update) size() int {
-	n := 2 + 2 + len(r.Name) + 2 + len(r.Zone) + 2 + len(r.Addr) + 10 + 11 + 2
-	for _, w := range r.Confirmations {
-		n += 4 + 2 + len(w.Name) + 2 + len(w.Zone) + 2
+// size is no less than what the update takes in a datagram, in bytes.
+func (u *Update) size() int {
+	n := 2 + 2 + len(u.Name) + 2 + len(u.Zone) + 2 + len(u.Addr) + 10 + 11 + 2
+	for _, c := range u.Confirmations {
+		n += 4 + 2 + len(c.Name) + 2 + len(c.Zone) + 2
 	}
 	return n
 }
 
-// Size is no less than what the message takes, without the cluster's name.
+// Size is no less than what the message takes, in bytes, without the cluster's name.
 func (m *Message) Size() int {
 	n := 48 + 4*len(m.Digests) + len(m.To) + len(m.Target) + len(m.OnBehalfOf) + m.Sender.size()
 	for i := range m.Updates {
--- /dev/null
+++ b/internal/membership/receive.go
@@ -0,0 +1,91 @@
+package membership
+
+// This file owns what is done with a received message, by its kind.
+
+import "math/bits"
+
+// Receive takes a message.
+func (t *Table) Receive(now int64, m *Message) []Act {
+	t.now = now
+	if m.To != t.Self.Name || m.Sender.Name == t.Self.Name {
+		t.receiveNameClaim(m)
+		return t.takeActions()
+	}
+	for _, u := range m.Updates {
+		t.applyUpdate(u)
+	}
+	if !m.Joining {
+		t.applyUpdate(m.Sender)
+	}
+	sender := t.members[m.Sender.Name]
+	if sender != nil && sender.Life == m.Sender.Life && sender.State <= Suspect {
+		sender.lastAliveAt, sender.lastDatagramAt = now, now
+		t.pathWorks(sender, &sender.inbound)
+	}
+	switch m.Kind {
+	case Ping:
+		t.receivePing(m, sender)
+	case Ack:
+		if t.joining && !m.Joining && t.conflictAt == 0 {
+			t.completeJoin()
+		}
+		t.receiveAck(m, sender)
+	case PingRequest:
+		t.receivePingRequest(m)
+	case PingRequestResult:
+		t.receivePingRequestResult(m)
+	}
+	return t.takeActions()
+}
+
+// receiveNameClaim takes a message that is meant for another name, or comes from a process under the local
+// one: of such a message only what concerns the local name counts.
+func (t *Table) receiveNameClaim(m *Message) {
+	if m.Sender.Life == t.Self.Life {
+		return
+	}
+	if m.Sender.Name == t.Self.Name && m.Kind == Ping && t.admitted() {
+		t.objectToName(m)
+	}
+	if m.To == t.Self.Name {
+		t.updateSelf(m.Sender)
+	}
+}
+
+// receivePing answers a ping.
+func (t *Table) receivePing(m *Message, sender *member) {
+	if sender != nil && sender.Life == m.Sender.Life && m.OnBehalfOf == "" {
+		sender.lastPingSequence = max(sender.lastPingSequence, m.Sequence)
+	}
+	ack := Message{Kind: Ack, Sequence: m.Sequence, OnBehalfOf: m.OnBehalfOf, OnBehalfOfSequence: m.OnBehalfOfSequence}
+	if requester := t.members[m.OnBehalfOf]; requester != nil {
+		ack.DirectPingReceived = requester.lastPingSequence >= m.OnBehalfOfSequence
+	}
+	address, buckets := t.addressOf(m.Sender.Name), t.differingBuckets(m)
+	if (m.Joining || sender != nil && sender.Life != m.Sender.Life) && m.Sender.Addr != address {
+		t.sendToAddress(m.Sender.Addr, m.Sender.Name, ack, buckets) // it may not be the process that is known
+	}
+	if address == "" {
+		return
+	}
+	t.sendToAddress(address, m.Sender.Name, ack, buckets)
+	for range bits.OnesCount32(buckets) / 4 { // it knows little: a few pages more, and no stampede
+		t.sendToAddress(address, m.Sender.Name, Message{Kind: Ack}, buckets)
+	}
+}
+
+// receiveAck takes the answer to a ping: one of the local member's own probes, or one that it relays.
+func (t *Table) receiveAck(m *Message, sender *member) {
+	if sender == nil || sender.Life != m.Sender.Life {
+		return
+	}
+	for _, p := range t.probes {
+		if p.sequence == m.Sequence && p.name == m.Sender.Name {
+			p.acked = true
+			sender.rtt = (7*sender.rtt + t.now - p.startedAt) / 8
+			t.pathWorks(sender, &sender.outbound)
+			t.pathWorks(sender, &sender.inbound)
+		}
+	}
+	t.answerRelayedProbe(m)
+}
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -12,7 +12,6 @@
 	"slices"
 )
 
-const second = 1_000_000
 
 // timerLate is by how much any timer may be late.
 const timerLate = 1000
@@ -225,7 +224,7 @@
 		}
 		if m := o.members[name(x.a)]; m != nil && m.Life == life && m.State <= Suspect {
 			f.missed++
-			f.wrong = append(f.wrong, fmt.Sprintf("%s still holds %s for %s, %s after its end", name(j), name(x.a), m.State, ms(f.now-x.at)))
+			f.wrong = append(f.wrong, fmt.Sprintf("%s still holds %s for %s, %s after its end", name(j), name(x.a), m.State, inMilliseconds(f.now-x.at)))
 		}
 	}
 }
--- a/internal/membership/testimony_test.go
+++ b/internal/membership/testimony_test.go
@@ -18,7 +18,7 @@
 		at := x.now
 		x.run(at + 20*second)
 		if (x.died > 0) != (name == "none") || x.died > 0 && x.died < at+3*second {
-			t.Errorf("reached %s: dead at %s after the testimony", name, ms(x.died-at))
+			t.Errorf("reached %s: dead at %s after the testimony", name, inMilliseconds(x.died-at))
 		}
 	}
 }
