--- a/internal/membership/check_test.go
+++ b/internal/membership/check_test.go
@@ -5,38 +5,38 @@
 	"testing"
 )
 
-// accusation is what others say of a member that they do not reach.
-func accusation(name string, refused bool) Update {
-	r := peerOf(name)
+// suspectUpdate is what others say of a member that they do not reach.
+func suspectUpdate(name string, refused bool) Update {
+	r := aliveUpdate(name)
 	r.State = Suspect
 	for _, w := range []string{"c", "d", "e"} {
-		r.Confirmations = append(r.Confirmations, Confirmation{Name: w, Zone: "hall-a", Refused: refused})
+		r.Confirmations = append(r.Confirmations, Confirmation{Name: w, Zone: "zone-a", Refused: refused})
 	}
 	return r
 }
 
 // Where two were told that no process listens, nobody waits for an answer.
-func TestRefusalsNeedNoCheck(t *testing.T) {
-	x := newAlone(t)
-	x.b = ways["none"](x)
-	x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{accusation("b", true)}})
+func TestRefusalsNeedNoVerification(t *testing.T) {
+	x := newHarness(t)
+	x.answerForB = pathsToB["none"](x)
+	x.receive(&Message{Kind: Ack, Sender: aliveUpdate("c"), Updates: []Update{suspectUpdate("b", true)}})
 	at := x.now
 	x.run(at + second)
-	if d := x.died - at; x.died == 0 || d > x.RefusedTimeout+tickInterval {
+	if d := x.diedAt - at; x.diedAt == 0 || d > x.RefusedTimeout+tickInterval {
 		t.Errorf("dead %s after the accusation", inMilliseconds(d))
 	}
 }
 
 // Where many are accused at once, they are not all asked in one turn.
-func TestChecksAreBounded(t *testing.T) {
+func TestVerificationsAreBounded(t *testing.T) {
 	const accused = 200
-	x := newAlone(t)
-	x.b = ways["none"](x)
+	x := newHarness(t)
+	x.answerForB = pathsToB["none"](x)
 	for i := range accused {
-		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{peerOf(fmt.Sprint("m", i))}})
+		x.receive(&Message{Kind: Ack, Sender: aliveUpdate("c"), Updates: []Update{aliveUpdate(fmt.Sprint("m", i))}})
 	}
 	for i := range accused {
-		x.tell(&Message{Kind: Ack, Sender: peerOf("c"), Updates: []Update{accusation(fmt.Sprint("m", i), false)}})
+		x.receive(&Message{Kind: Ack, Sender: aliveUpdate("c"), Updates: []Update{suspectUpdate(fmt.Sprint("m", i), false)}})
 	}
 	asked, most := map[string]bool{}, 0
 	for at := x.now; x.now < at+5*second; x.now += tickInterval {
--- a/internal/membership/form_test.go
+++ b/internal/membership/form_test.go
@@ -3,15 +3,15 @@
 import "testing"
 
 // A fleet that starts at once knows itself soon, and is quiet after that.
-func TestForm(t *testing.T) {
+func TestFormation(t *testing.T) {
 	for _, c := range []struct {
 		size   int
 		within int64   // half seconds
 		calm   float64 // bytes a second and member, from 10 s after that on
 	}{{3, 4, 2000}, {16, 6, 2000}, {100, 8, 2000}, {300, 20, 2000}} {
-		f := newFleet(c.size, 5, nil)
+		f := newCluster(c.size, 5, nil)
 		at := int64(1)
-		for f.run(at * second / 2); f.same() != "" && at < 60; at++ {
+		for f.run(at * second / 2); f.disagreement() != "" && at < 60; at++ {
 			f.run((at + 1) * second / 2)
 		}
 		whole := f.now
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -11,10 +11,10 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261202") }
 
-// reference is what is to be believed of one name after all rumours, in whatever order
+// expectedUpdate is what is to be believed of one name after all rumours, in whatever order
 // they came: the latest incarnation, of that the greater life, of that the worst state;
 // a death counts as an accusation here, as nothing judges it.
-func reference(all []Update) (r Update) {
+func expectedUpdate(all []Update) (r Update) {
 	for i, o := range all {
 		o.State = min(o.State, max(Suspect, o.State/Left*Left))
 		if i == 0 || o.Incarnation > r.Incarnation || o.Incarnation == r.Incarnation && (o.Life > r.Life || o.Life == r.Life && o.State > r.State) {
@@ -25,20 +25,20 @@
 }
 
 // Tables that heard the same, in any order and any number of times, believe the same.
-func TestMerge(t *testing.T) {
+func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Update
 		for range rapid.IntRange(1, 12).Draw(t, "rumours") {
-			r := peerOf("b")
+			r := aliveUpdate("b")
 			r.Incarnation = uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
 			r.Life = uint64(rapid.IntRange(1, 2).Draw(t, "life"))
 			r.State = State(rapid.IntRange(0, 3).Draw(t, "state"))
 			all = append(all, r)
 		}
-		want := reference(all)
+		want := expectedUpdate(all)
 		var digests [2][DigestBuckets]uint32
 		for i := range digests {
-			x := New(second, Config{Self: peerOf("a"), Seed: 1})
+			x := New(second, Config{Self: aliveUpdate("a"), Seed: 1})
 			order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(all))
 			for _, k := range append(order, order[0]) {
 				x.applyUpdate(all[k])
--- /dev/null
+++ b/internal/membership/sim_invariants_test.go
@@ -0,0 +1,142 @@
+package membership
+
+// This file owns what must hold of the simulated members, by what the faults did, which no table sees: no
+// running member that can be reached is declared dead, each dead one is, and no path is blamed without cause.
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+const (
+	// observerGrace is how long ago an observer's own fault must be for its belief to count.
+	observerGrace = 6 * second
+	// lossThatBlames is from which loss on a path may rightly be blamed.
+	lossThatBlames = 0.2
+	// blameGrace is how long after a fault a path may rightly be blamed.
+	blameGrace = 4 * second
+)
+
+// checkDead asserts that all declared a member dead by now.
+func (c *cluster) checkDead(f fault, nonce uint64) {
+	for i, observer := range c.members {
+		if !observer.up || i == f.target || observer.disturbedUntil > c.now-observerGrace || observer.joining {
+			continue
+		}
+		if m := observer.members[memberName(f.target)]; m != nil && m.Life == nonce && m.State <= Suspect {
+			c.violations = append(c.violations, fmt.Sprintf("%s still believes %s to be %s, %s after its end",
+				memberName(i), memberName(f.target), m.State, inMilliseconds(c.now-f.start)))
+		}
+	}
+}
+
+// checkEvents looks at what a member reports.
+func (c *cluster) checkEvents(i int) {
+	x := c.members[i]
+	for _, e := range x.Events() {
+		c.record(i, e)
+		if x.eventCounts == nil {
+			x.eventCounts = map[EventKind]int{}
+		}
+		x.eventCounts[e.Kind]++
+		switch e.Kind {
+		case PathDegraded:
+			c.checkPathDegraded(i, e)
+			c.noteOneWayFound(i, e)
+		case Died:
+			c.checkDeath(i, e)
+		}
+	}
+}
+
+// checkPathDegraded asserts that a member that reports a path as working in one direction only has cause.
+func (c *cluster) checkPathDegraded(i int, e Event) {
+	for _, f := range c.faults {
+		if (f.kind != faultLoss || f.probability > lossThatBlames) && f.start <= c.now && c.now < f.end+blameGrace {
+			return // there is a cause, or may be one
+		}
+	}
+	c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s blames the path to %s: %s", float64(c.now)/second, memberName(i), e.Name, e.Evidence))
+}
+
+// noteOneWayFound notes the one-way faults that a member's report is right about.
+func (c *cluster) noteOneWayFound(i int, e Event) {
+	for k, f := range c.faults {
+		ends := memberName(f.target) == e.Name && f.other == i || memberName(f.other) == e.Name && f.target == i
+		if f.kind == faultOneWay && f.start < c.now && c.now < f.end+second && ends {
+			c.oneWayFound[k] = true
+		}
+	}
+}
+
+// checkDeath asserts that a member that is declared dead is: it is down, disturbed or partitioned off.
+func (c *cluster) checkDeath(observer int, e Event) {
+	j, err := strconv.Atoi(strings.TrimPrefix(e.Name, "n"))
+	if err != nil {
+		c.violations = append(c.violations, fmt.Sprintf("%s declares an unknown member dead: %v", memberName(observer), err))
+		return
+	}
+	x := c.members[j]
+	switch {
+	case x.Self.Life != e.Life:
+	case !x.up && !x.left:
+		c.noteDetection(j)
+	case x.up && x.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now && !c.partitioned(observer, j) && !x.joining:
+		c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s declares %s dead, which is alive: %s",
+			float64(c.now)/second, memberName(observer), memberName(j), e.Evidence))
+	}
+}
+
+// noteDetection notes how long it took until the first member declared a dead one dead.
+func (c *cluster) noteDetection(j int) {
+	x := c.members[j]
+	key := [2]uint64{uint64(j), x.starts}
+	c.deathDeclarations[key]++
+	if c.deathDeclarations[key] > 1 || x.diedAt == 0 {
+		return
+	}
+	kind := "killed"
+	if x.silent {
+		kind = "vanished"
+	}
+	c.detectionTimes[kind] = append(c.detectionTimes[kind], c.now-x.diedAt)
+}
+
+// disagreement says how the table of a member that runs differs from who runs, "" where none does.
+func (c *cluster) disagreement() string {
+	var want []string
+	for i, x := range c.members {
+		if x.up {
+			want = append(want, memberName(i))
+		}
+	}
+	slices.Sort(want)
+	for i, x := range c.members {
+		if !x.up {
+			continue
+		}
+		got := []string{}
+		for _, m := range x.Members() {
+			if m.State <= Suspect {
+				got = append(got, m.Name)
+			}
+		}
+		slices.Sort(got)
+		if !slices.Equal(got, want) {
+			return fmt.Sprintf("%s believes in %v of %v", memberName(i), got, want)
+		}
+	}
+	return ""
+}
+
+// believers says how many members believe a process, by its nonce, to be in the cluster under a name.
+func (c *cluster) believers(of string, nonce uint64) (count int) {
+	for _, x := range c.members {
+		if m := x.members[of]; x.up && m != nil && m.Life == nonce && m.State <= Suspect {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/membership/transcript_test.go
+++ b/internal/membership/transcript_test.go
@@ -13,10 +13,10 @@
 	size, schedules int
 	digest          string
 }{
-	{3, 12, "9bf53fce9ad27b0d2a5028550f1ea07c"},
-	{7, 6, "75cd9c6b8c1b5611bd5ae9b9e92b0b96"},
-	{16, 3, "bda2ecf6b13f1613a24451e1268d2988"},
-	{100, 1, "c97c26208ce49073dff75bc4ac14655a"},
+	{3, 12, "9d4be4c670f8ced82886d10eb6aa48e5"},
+	{7, 6, "363161346763980be7d0df34c5bb0896"},
+	{16, 3, "e84f22779c64dd7b7545c036ca12a31e"},
+	{100, 1, "2e7fab38c7c849c6664df35b6676083a"},
 }
 
 // TestTranscript asserts that the same seeds lead to the same messages, in the same order, at the same
@@ -26,8 +26,8 @@
 		t.Run(fmt.Sprint(want.size), func(t *testing.T) {
 			digest := fnv.New128a()
 			for seed := range uint64(want.schedules) {
-				faults, end := draw(want.size, seed)
-				f := newFleet(want.size, seed, faults)
+				faults, end := drawFaults(want.size, seed)
+				f := newCluster(want.size, seed, faults)
 				f.transcript = digest
 				f.run(end + 3*second)
 			}
