--- /dev/null
+++ b/internal/membership/faults_test.go
@@ -0,0 +1,203 @@
+package membership
+
+import "testing"
+
+// faultCase plays some faults in a cluster and asserts what they must not do.
+type faultCase struct {
+	name   string
+	size   int
+	faults []fault
+	play   func(t *testing.T, c *cluster)
+}
+
+// maxSuspicions runs the cluster for a minute, and asserts how often the member 2 may suspect others.
+func maxSuspicions(limit int) func(t *testing.T, c *cluster) {
+	return func(t *testing.T, c *cluster) {
+		t.Helper()
+		c.run(60 * second)
+		if count := c.members[2].eventCounts[Suspected]; count > limit {
+			t.Errorf("expected at most %d suspicions, got %d", limit, count)
+		}
+	}
+}
+
+var faultCases = []faultCase{
+	{
+		name:   "paused 10 s, it declares nobody dead when it wakes",
+		size:   7,
+		faults: []fault{{kind: faultPause, target: 2, start: 6 * second, end: 16 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.run(20 * second)
+			if x := c.members[2]; x.eventCounts[Died] > 0 || x.eventCounts[Stalled] == 0 {
+				t.Errorf("expected a stall and no death, got %v", x.eventCounts)
+			}
+		},
+	},
+	{
+		name:   "30% loss kills nobody",
+		size:   7,
+		faults: []fault{{kind: faultLoss, target: -1, probability: 0.3, start: 5 * second, end: 60 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.run(5 * second)
+			before := c.members[0].View().Number
+			c.run(60 * second)
+			if x := c.members[0]; x.eventCounts[Refuted] == 0 || x.View().Number != before {
+				t.Errorf("expected refutations and no new view, got %d new views, %v", x.View().Number-before, x.eventCounts)
+			}
+		},
+	},
+	{
+		name:   "no datagram passes to or from one that answers handshakes",
+		size:   7,
+		faults: []fault{{kind: faultLoss, target: 3, probability: 1, start: 5 * second, end: 30 * second}},
+		play:   func(_ *testing.T, c *cluster) { c.run(30 * second) },
+	},
+	{
+		name:   "a path that refuses connections: nobody is suspected whom others reach",
+		size:   7,
+		faults: []fault{{kind: faultRefuse, target: 2, other: 3, start: 5 * second, end: 60 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.delay = 15 * millisecond // the relays' answers come long after the refusal
+			maxSuspicions(0)(t, c)
+		},
+	},
+	{
+		name:   "a zone that is reached by one member of another zone only",
+		size:   16,
+		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
+		play:   maxSuspicions(100), // 569 before the last relay to get through was asked first
+	},
+	{
+		name:   "a zone that is reached by one of its own members only",
+		size:   16,
+		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
+		play:   maxSuspicions(15), // 27 before the relay whose datagram came last was asked
+	},
+	{
+		name:   "a path that works in one direction only is found",
+		size:   16,
+		faults: []fault{{kind: faultOneWay, target: 3, other: 8, start: 5 * second, end: 60 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.run(14 * second)
+			if len(c.oneWayFound) == 0 {
+				t.Error("not found within 9 s")
+			}
+		},
+	},
+	{
+		name: "a quarter of a large cluster is cut off and comes back: nobody is declared dead by late updates",
+		size: 3,
+		play: func(_ *testing.T, c *cluster) {
+			faults, _ := drawFaults(100, 50)
+			large := newCluster(100, 50, faults)
+			large.run(16 * second)
+			c.violations = large.violations
+		},
+	},
+	{
+		name:   "one whose own paths are bad suspects others less and less",
+		size:   7,
+		faults: []fault{{kind: faultLoss, target: 2, probability: 0.6, start: 5 * second, end: 60 * second}},
+		play:   maxSuspicions(50), // it was 74 before there was a local health score
+	},
+	{
+		name: "a second process under a name stays outside, and takes it over from the dead",
+		size: 7,
+		play: func(t *testing.T, c *cluster) {
+			c.run(5 * second)
+			first := c.members[3].Self.Life
+			x := c.startIntruder(3)
+			c.run(12 * second)
+			if x.eventCounts[NameConflict] != 1 || !x.joining || c.believers("n3", x.Self.Life) > 0 || c.believers("n3", first) != 6 {
+				t.Errorf("%v; %d believe in it, %d in the first", x.eventCounts, c.believers("n3", x.Self.Life), c.believers("n3", first))
+			}
+			c.startFault(fault{kind: faultKill, target: 3})
+			c.run(c.now + 6*second)
+			if count := c.believers("n3", x.Self.Life); count != 6 {
+				t.Errorf("%d believe in it once the first is dead", count)
+			}
+		},
+	},
+	{
+		name: "a name at the same address is taken over at once",
+		size: 7,
+		play: func(t *testing.T, c *cluster) {
+			c.run(5 * second)
+			c.startFault(fault{kind: faultRestart, target: 3, end: 5*second + 10*millisecond})
+			c.run(7 * second)
+			if x := c.members[3]; c.believers("n3", x.Self.Life) != 6 || x.eventCounts[NameConflict] > 0 {
+				t.Errorf("%d believe in it: %v", c.believers("n3", x.Self.Life), x.eventCounts)
+			}
+		},
+	},
+	{
+		name:   "two that took one name in two halves: one is left",
+		size:   6,
+		faults: []fault{{kind: faultCut, target: 0, other: -1, start: 0, end: 8 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.run(3 * second) // n5 is of zone-1, and whoever takes its name of zone-0
+			x := c.startIntruder(5)
+			c.run(20 * second)
+			first, second := c.believers("n5", c.members[5].Self.Life), c.believers("n5", x.Self.Life)
+			if conflicts := c.members[5].eventCounts[NameConflict] + x.eventCounts[NameConflict]; (first == 0) == (second == 0) || conflicts != 1 {
+				t.Errorf("%d believe in the one, %d in the other; %d found the conflict", first, second, conflicts)
+			}
+		},
+	},
+	{
+		name:   "a cut that heals: nobody is declared dead by what others missed",
+		size:   16,
+		faults: []fault{{kind: faultCut, target: 2, other: -1, start: 6 * second, end: 12 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.run(20 * second)
+			if difference := c.disagreement(); difference != "" {
+				t.Error(difference)
+			}
+		},
+	},
+	{
+		name:   "one that leaves is not suspected",
+		size:   7,
+		faults: []fault{{kind: faultLeave, target: 3, start: 6 * second, end: 7 * second}},
+		play: func(t *testing.T, c *cluster) {
+			c.run(12 * second)
+			for i, x := range c.members {
+				if i != 3 && (x.eventCounts[LeftCluster] != 1 || x.eventCounts[Died] > 0) {
+					t.Errorf("n%d: %v", i, x.eventCounts)
+				}
+			}
+		},
+	},
+	{
+		name: "the view changes in few steps for many deaths",
+		size: 16,
+		faults: []fault{
+			{kind: faultKill, target: 1, start: 6 * second},
+			{kind: faultKill, target: 5, start: 6 * second},
+			{kind: faultKill, target: 9, start: 6 * second},
+			{kind: faultKill, target: 2, start: 6 * second},
+			{kind: faultKill, target: 6, start: 6 * second},
+		},
+		play: func(t *testing.T, c *cluster) {
+			c.run(6 * second)
+			before := c.members[0].View().Number
+			c.run(12 * second)
+			if v := c.members[0].View(); v.Number > before+2 || len(v.Names) != 11 {
+				t.Errorf("%d steps to %v", v.Number-before, v.Names)
+			}
+		},
+	},
+}
+
+// TestFaults plays each case, and asserts that no invariant was violated besides.
+func TestFaults(t *testing.T) {
+	for _, fc := range faultCases {
+		t.Run(fc.name, func(t *testing.T) {
+			c := newCluster(fc.size, 11, fc.faults)
+			fc.play(t, c)
+			if len(c.violations) > 0 {
+				t.Error(c.violations[0])
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/membership/schedules_test.go
@@ -0,0 +1,155 @@
+package membership
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+var (
+	scheduleCount = flag.Int("schedules", 300, "schedules to play, most of them small")
+	firstSeed     = flag.Uint64("seed", 1, "the first schedule's seed")
+	onlySize      = flag.Int("size", 0, "play clusters of this size only")
+)
+
+// playSchedule plays one schedule, and says what it violated; "" for nothing.
+func playSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
+	c = newCluster(size, seed, faults)
+	c.run(formationTime(size))
+	if difference := c.disagreement(); difference != "" {
+		return c, "after the start " + difference
+	}
+	c.run(end + 3*second)
+	if len(c.violations) > 0 {
+		return c, strings.Join(c.violations[:min(3, len(c.violations))], "; ")
+	}
+	if difference := c.disagreement(); difference != "" {
+		return c, "3 s after the last fault " + difference
+	}
+	return c, ""
+}
+
+// shrinkFaults leaves out what the violation does not need.
+func shrinkFaults(size int, seed uint64, faults []fault, end int64) []fault {
+	for i := 0; i < len(faults); {
+		fewer := slices.Delete(slices.Clone(faults), i, i+1)
+		if _, violation := playSchedule(size, seed, fewer, end); violation != "" {
+			faults = fewer
+		} else {
+			i++
+		}
+	}
+	return faults
+}
+
+const (
+	// maxShown is how many violated schedules of one size are shown.
+	maxShown = 3
+	// maxShrunkSize is the largest cluster whose violated schedules are shrunk: larger ones take too long.
+	maxShrunkSize = 16
+)
+
+// scheduleTally is what the schedules of one cluster size showed.
+type scheduleTally struct {
+	size                        int
+	schedules, violated         int
+	oneWayFaults, oneWayFound   int
+	detectionTimes              map[string][]int64 // by kind of death
+	maxBytesPerSecondAndMembers float64
+}
+
+// play plays a schedule and adds what it showed.
+func (s *scheduleTally) play(t *testing.T, seed uint64) {
+	t.Helper()
+	faults, end := drawFaults(s.size, seed)
+	c, violation := playSchedule(s.size, seed, faults, end)
+	if violation != "" {
+		s.violated++
+		s.show(t, seed, violation, faults, end)
+	}
+	s.schedules++
+	for kind, times := range c.detectionTimes {
+		s.detectionTimes[kind] = append(s.detectionTimes[kind], times...)
+	}
+	s.oneWayFound += len(c.oneWayFound)
+	for _, f := range faults {
+		s.oneWayFaults += boolToInt(f.kind == faultOneWay)
+	}
+	rate := float64(c.bytes) / float64(c.now) * second / float64(s.size)
+	s.maxBytesPerSecondAndMembers = max(s.maxBytesPerSecondAndMembers, rate)
+}
+
+// show reports one of the first violations, with the faults that it needs.
+func (s *scheduleTally) show(t *testing.T, seed uint64, violation string, faults []fault, end int64) {
+	t.Helper()
+	if s.violated > maxShown {
+		return
+	}
+	if s.size <= maxShrunkSize {
+		faults = shrinkFaults(s.size, seed, faults, end)
+	}
+	t.Errorf("%d members, seed %d: %s\n%v", s.size, seed, violation, faults)
+}
+
+// checkDetection asserts that killed processes are found soon, where there are enough of them to say.
+func (s *scheduleTally) checkDetection(t *testing.T) {
+	t.Helper()
+	times := s.detectionTimes["killed"]
+	if s.size < 7 || len(times) <= 20 {
+		return
+	}
+	slices.Sort(times)
+	if times[len(times)*99/100] > 3*second {
+		t.Errorf("%d members: a killed process is found after %s", s.size, medianAndTail(times))
+	}
+}
+
+// print prints a line of figures; pages quote it.
+func (s *scheduleTally) print(took time.Duration) {
+	fmt.Printf("%d instances: schedules=%d broken=%d killed_ms=%s vanished_ms=%s one_way_found=%d of=%d most_bytes_s_member=%.0f took=%s\n",
+		s.size, s.schedules, s.violated, medianAndTail(s.detectionTimes["killed"]), medianAndTail(s.detectionTimes["vanished"]),
+		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMembers, took.Round(time.Second))
+}
+
+// schedulesOf is how many schedules of a cluster size are played.
+func schedulesOf(size, percent int) int {
+	switch {
+	case *onlySize > 0 && size != *onlySize:
+		return 0
+	case *onlySize > 0:
+		return *scheduleCount
+	case size == 1000:
+		return *scheduleCount / 5000
+	}
+	return *scheduleCount * percent / 100
+}
+
+// TestSchedules plays drawn schedules of faults in clusters of several sizes, and asserts that no invariant is
+// violated.
+func TestSchedules(t *testing.T) {
+	for _, c := range []struct{ size, percent int }{{3, 70}, {7, 20}, {16, 9}, {100, 1}, {1000, 0}} {
+		schedules := schedulesOf(c.size, c.percent)
+		if schedules == 0 {
+			continue
+		}
+		tally := &scheduleTally{size: c.size, detectionTimes: map[string][]int64{}}
+		start := time.Now()
+		for i := range schedules {
+			tally.play(t, *firstSeed+uint64(i))
+		}
+		tally.checkDetection(t)
+		tally.print(time.Since(start))
+	}
+}
+
+// medianAndTail are the median and the 99th percentile in milliseconds.
+func medianAndTail(us []int64) string {
+	if len(us) == 0 {
+		return "none"
+	}
+	slices.Sort(us)
+	return fmt.Sprintf("%d/%d", us[len(us)/2]/millisecond, us[len(us)*99/100]/millisecond)
+}
--- /dev/null
+++ b/internal/membership/update_test.go
@@ -0,0 +1,82 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"ravenhitch/internal/rapidtest"
+)
+
+func TestMain(m *testing.M) { rapidtest.Main(m, "20261202") }
+
+// expectedUpdate is what is to be believed of one name after all updates, in whatever order they came: the
+// latest incarnation, of that the greater nonce, of that the worst state; a death counts as a suspicion here,
+// as nothing judges it.
+func expectedUpdate(all []Update) (expected Update) {
+	for i, u := range all {
+		u.State = min(u.State, max(Suspect, u.State/Left*Left))
+		later := u.Incarnation > expected.Incarnation || u.Incarnation == expected.Incarnation &&
+			(u.Life > expected.Life || u.Life == expected.Life && u.State > expected.State)
+		if i == 0 || later {
+			expected = u
+		}
+	}
+	return expected
+}
+
+// drawUpdate draws an update of b.
+func drawUpdate(t *rapid.T) Update {
+	u := aliveUpdate("b")
+	u.Incarnation = uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
+	u.Life = uint64(rapid.IntRange(1, 2).Draw(t, "nonce"))
+	u.State = State(rapid.IntRange(0, 3).Draw(t, "state"))
+	return u
+}
+
+// TestUpdatesCommute asserts that tables that received the same updates, in any order and any number of times,
+// believe the same.
+func TestUpdatesCommute(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var all []Update
+		for range rapid.IntRange(1, 12).Draw(t, "updates") {
+			all = append(all, drawUpdate(t))
+		}
+		want := expectedUpdate(all)
+		var digests [2][DigestBuckets]uint32
+		for i := range digests {
+			table := New(second, Config{Self: aliveUpdate("a"), Seed: 1})
+			order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(all))
+			for _, k := range append(order, order[0]) {
+				table.applyUpdate(all[k])
+			}
+			got := table.members["b"]
+			if got == nil || got.Incarnation != want.Incarnation || got.Life != want.Life || got.State != want.State && got.State != Dead {
+				t.Fatalf("order %v: %+v, expected %+v", order, got, want)
+			}
+			if live := table.liveCount; live != boolToInt(got.State <= Suspect) {
+				t.Fatalf("%d live", live)
+			}
+			digests[i] = table.digests
+			if got.State == Dead { // the first update was a death, which is believed of an unknown member
+				return
+			}
+		}
+		if digests[0] != digests[1] {
+			t.Fatal("the digests differ")
+		}
+	})
+}
+
+// TestMembersAreBounded asserts that a peer that invents names fills no memory.
+func TestMembersAreBounded(t *testing.T) {
+	h := newHarness(t)
+	for i := range maxMembers + 100 {
+		h.receiveUpdates(aliveUpdate(fmt.Sprint("m", i)))
+	}
+	if count := len(h.members); count != maxMembers || count != len(h.names) || h.Size() != count+1 {
+		t.Errorf("%d names, %d of them sorted, %d live", count, len(h.names), h.Size())
+	}
+}
