--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -54,11 +54,11 @@
 
 // scheduleTally is what the schedules of one cluster size showed.
 type scheduleTally struct {
-	size                        int
-	schedules, violated         int
-	oneWayFaults, oneWayFound   int
-	detectionTimes              map[string][]int64 // by kind of death
-	maxBytesPerSecondAndMembers float64
+	size                       int
+	schedules, violated        int
+	oneWayFaults, oneWayFound  int
+	detectionTimes             map[string][]int64 // by kind of death
+	maxBytesPerSecondAndMember float64
 }
 
 // play plays a schedule and adds what it showed.
@@ -79,7 +79,7 @@
 		s.oneWayFaults += boolToInt(f.kind == faultOneWay)
 	}
 	rate := float64(c.bytes) / float64(c.now) * second / float64(s.size)
-	s.maxBytesPerSecondAndMembers = max(s.maxBytesPerSecondAndMembers, rate)
+	s.maxBytesPerSecondAndMember = max(s.maxBytesPerSecondAndMember, rate)
 }
 
 // show reports one of the first violations, with the faults that it needs.
@@ -107,11 +107,11 @@
 	}
 }
 
-// print prints a line of figures; pages quote it.
+// print prints a line of figures, in the form of the journal.
 func (s *scheduleTally) print(took time.Duration) {
 	fmt.Printf("%d instances: schedules=%d broken=%d killed_ms=%s vanished_ms=%s one_way_found=%d of=%d most_bytes_s_member=%.0f took=%s\n",
 		s.size, s.schedules, s.violated, medianAndTail(s.detectionTimes["killed"]), medianAndTail(s.detectionTimes["vanished"]),
-		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMembers, took.Round(time.Second))
+		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMember, took.Round(time.Second))
 }
 
 // schedulesOf is how many schedules of a cluster size are played.
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -85,7 +85,7 @@
 // refute outbids an update that says otherwise of this process than it says itself.
 func (t *Table) refute(u Update) {
 	outdated := u.Incarnation < t.Self.Incarnation
-	announced := t.leaving && u.State == Left
+	announced := t.departing && u.State == Left
 	if u.State == Alive || outdated || announced {
 		return
 	}
@@ -105,8 +105,8 @@
 // Leave tells some of the others that the local member leaves on purpose; they tell the rest.
 func (t *Table) Leave(now int64) []Act {
 	t.now = now
-	first := !t.leaving
-	t.leaving = true
+	first := !t.departing
+	t.departing = true
 	if first && t.admitted() {
 		t.Self.State = Left
 		notified := slices.DeleteFunc(slices.Clone(t.names), func(name string) bool { return t.members[name].State > Suspect })
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -78,7 +78,7 @@
 var previousHellos = map[Kind]string{
 	0:      "170a0464616c6112026e3219887766554433221128013001",
 	Urgent: "190a0464616c6112026e32198877665544332211280130014001",
-	Bulk:   "190a0464616c6112026e32198877665544332211280130014002",
+	Batch:  "190a0464616c6112026e32198877665544332211280130014002",
 }
 
 // previousRecord is the frame of a record, and previousData what it carries.
@@ -123,15 +123,15 @@
 func TestPreviousHellos(t *testing.T) {
 	for kind, encoded := range previousHellos {
 		frame := fromHex(t, encoded)
-		message, used, err := Unframe(frame)
+		message, used, err := decodeFrame(frame, maxHelloFrame)
 		if err != nil || used != len(frame) {
 			t.Fatalf("kind %d: %d of %d bytes used, %v", kind, used, len(frame), err)
 		}
-		h, version, err := Greet("dala", message)
+		h, version, err := CheckHello("dala", message)
 		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || Kind(h.GetKind()) != kind {
 			t.Errorf("kind %d: got %v, version %d, %v", kind, h, version, err)
 		}
-		p := &Peers{s: Settings{Cluster: "dala", Name: "n2"}, life: previousNonce}
+		p := &Peers{settings: Settings{Cluster: "dala", Name: "n2"}, nonce: previousNonce}
 		if written := hex.EncodeToString(p.hello(kind)); written != encoded {
 			t.Errorf("kind %d: expected the bytes %s, got %s", kind, encoded, written)
 		}
@@ -141,7 +141,7 @@
 // TestPreviousRecord asserts that this build takes the previous build's record frame, and writes the same.
 func TestPreviousRecord(t *testing.T) {
 	encoded := fromHex(t, previousRecord)
-	message, used, err := unframe(encoded, recordMost+64)
+	message, used, err := decodeFrame(encoded, maxRecordFrame)
 	if err != nil || used != len(encoded) {
 		t.Fatalf("%d of %d bytes used, %v", used, len(encoded), err)
 	}
@@ -149,7 +149,7 @@
 	if err := proto.Unmarshal(message, &r); err != nil || string(r.GetData()) != previousData {
 		t.Errorf("expected %q, got %q, %v", previousData, r.GetData(), err)
 	}
-	written, err := frame(&peerpb.Record{Data: []byte(previousData)}, recordMost+64)
+	written, err := encodeFrame(&peerpb.Record{Data: []byte(previousData)}, maxRecordFrame)
 	if err != nil || hex.EncodeToString(written) != previousRecord {
 		t.Errorf("expected the bytes %s, got %x, %v", previousRecord, written, err)
 	}
@@ -206,7 +206,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var log lines
+	var log logBuffer
 	p, err := New(loop, Settings{Listen: "127.0.0.1:0", Cluster: "dala", Name: "n1", Zone: "hall-a", Incarnation: 1}, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -1,8 +1,7 @@
 package peer
 
-// This file owns the inbound connections: a greeting each, and the records that follow on
-// some. It must never take a record from a peer that the table does not know by that name
-// and life.
+// This file owns the inbound connections: a hello each, and the records that follow on some. It must never
+// take a record from a peer that is not a member by that name and incarnation nonce.
 
 import (
 	"fmt"
@@ -13,109 +12,116 @@
 	"ravenhitch/internal/peer/peerpb"
 )
 
+const (
+	// helloTimeout is how long an inbound connection may take to send its hello.
+	helloTimeout = 2 * second
+	// maxPendingInbound bounds the inbound connections that have not announced records.
+	maxPendingInbound = 32
+)
+
 // inboundConn is a connection that another orchestrator opened.
 type inboundConn struct {
-	peers *Peers
-	timer *eventloop.Timer // ends the connection unless it greets in time
-	conn  *eventloop.Conn
-	from  string
-	kind  Kind // of the records that come; 0 before the greeting, and where none do
+	peers      *Peers
+	helloTimer *eventloop.Timer // ends the connection unless its hello comes in time
+	conn       *eventloop.Conn
+	stream     streamKey // whose records come; its kind is noRecords before the hello, and where none do
 }
 
-// Opened implements loop.Handler.
+// Opened implements eventloop.Handler.
 func (in *inboundConn) Opened(conn *eventloop.Conn) {
 	in.conn = conn
-	in.peers.inboundCount++
-	in.timer = in.peers.l.After(greetingTimeout, func() {
+	in.peers.pendingInbound++
+	in.helloTimer = in.peers.loop.After(helloTimeout, func() {
 		in.release()
 		conn.Close()
 	})
 }
 
-// release gives back what the connection counts against: the limit of inbound connections,
-// or its lane.
+// release gives back what the connection counts against: the limit of inbound connections, or its stream.
 func (in *inboundConn) release() {
-	if in.kind == 0 {
-		in.timer.Stop()
-		in.peers.inboundCount--
-	} else if l := (lane{in.from, in.kind}); in.peers.carriers[l] == in {
-		delete(in.peers.carriers, l)
+	if in.stream.kind == noRecords {
+		in.helloTimer.Stop()
+		in.peers.pendingInbound--
+	} else if in.peers.inboundStreams[in.stream] == in {
+		delete(in.peers.inboundStreams, in.stream)
 	}
 }
 
-// carry makes it the one connection of its lane: the peer that opened an earlier one has
-// given that up. It no longer counts against the limit of inbound connections, so that many
-// lanes keep no other peer from connecting.
-func (in *inboundConn) carry(from string, k Kind) {
+// startStream makes it the one connection of its stream: the peer that opened an earlier one has abandoned
+// that. It no longer counts against the limit of inbound connections, so that many streams keep no other peer
+// from connecting.
+func (in *inboundConn) startStream(stream streamKey) {
 	in.release()
-	in.from, in.kind = from, k
-	if old := in.peers.carriers[lane{from, k}]; old != nil {
-		old.conn.Close()
+	in.stream = stream
+	if previous := in.peers.inboundStreams[stream]; previous != nil {
+		previous.conn.Close()
 	}
-	in.peers.carriers[lane{from, k}] = in
+	in.peers.inboundStreams[stream] = in
 }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (in *inboundConn) Closed(*eventloop.Conn, error) { in.release() }
 
-// Data implements loop.Handler.
+// Data implements eventloop.Handler.
 func (in *inboundConn) Data(conn *eventloop.Conn, b []byte) (int, error) {
 	used := 0
 	for {
-		m, n, err := unframe(b[used:], in.maxFrame())
-		if err == nil && n > 0 {
-			err = in.message(conn, m)
+		message, length, err := decodeFrame(b[used:], in.maxFrame())
+		if err == nil && length > 0 {
+			err = in.receive(conn, message)
 		}
 		if err != nil {
 			in.peers.counts.Refused++
-			in.peers.warn.Warn("peer disconnected", "err", err)
+			in.peers.rateLimitedLog.Warn("peer disconnected", "err", err)
 			return 0, err
 		}
-		if used += n; n == 0 {
+		used += length
+		if length == 0 {
 			return used, nil
 		}
 	}
 }
 
-// maxFrame is the size of the largest message that may come next.
+// maxFrame is the size of the largest message that may come next, in bytes.
 func (in *inboundConn) maxFrame() uint64 {
-	if in.kind > 0 {
-		return recordMost + 64
+	if in.stream.kind == noRecords {
+		return maxHelloFrame
 	}
-	return frameMost
+	return maxRecordFrame
 }
 
-// message takes one message: the greeting, or a record where the greeting announced them.
-func (in *inboundConn) message(conn *eventloop.Conn, m []byte) error {
-	if in.kind > 0 {
-		return in.record(m)
+// receive takes one message: the hello, or a record where the hello announced them.
+func (in *inboundConn) receive(conn *eventloop.Conn, message []byte) error {
+	if in.stream.kind != noRecords {
+		return in.receiveRecord(message)
 	}
-	h, _, err := Greet(in.peers.s.Cluster, m)
+	hello, _, err := CheckHello(in.peers.settings.Cluster, message)
 	if err != nil {
 		return err
 	}
-	if h.GetKind() > 0 {
-		if _, life, ok := in.peers.table.Locate(h.GetName()); !ok || life != h.GetLife() {
-			return fmt.Errorf("%w: no member %s of that life is known here", ErrForm, h.GetName())
+	stream := streamKey{hello.GetName(), Kind(hello.GetKind())}
+	if stream.kind != noRecords {
+		if _, nonce, ok := in.peers.table.Locate(stream.member); !ok || nonce != hello.GetLife() {
+			return malformed("no member %s of that incarnation nonce is known here", stream.member)
 		}
-		if waits[Kind(h.GetKind())] == 0 {
-			return fmt.Errorf("%w: %s sends records of kind %d", ErrVersion, h.GetName(), h.GetKind())
+		if maxQueued[stream.kind] == 0 {
+			return noCommonVersion("%s sends records of kind %d", stream.member, stream.kind)
 		}
-		in.carry(h.GetName(), Kind(h.GetKind()))
+		in.startStream(stream)
 	}
-	conn.Write(in.peers.hello(0))
+	conn.Write(in.peers.hello(noRecords))
 	return nil
 }
 
-// record hands one record to whoever takes its kind.
-func (in *inboundConn) record(m []byte) error {
-	var r peerpb.Record
-	if err := proto.Unmarshal(m, &r); err != nil {
-		return fmt.Errorf("%w: a record of %s: %w", ErrForm, in.from, err)
+// receiveRecord hands one record to the handler of its kind.
+func (in *inboundConn) receiveRecord(message []byte) error {
+	var record peerpb.Record
+	if err := proto.Unmarshal(message, &record); err != nil {
+		return &MessageError{Reason: ErrMalformed, Detail: fmt.Sprintf("a record of %s", in.stream.member), Cause: err}
 	}
 	in.peers.counts.RecordsTaken++
-	if take := in.peers.takes[in.kind]; take != nil {
-		take(in.from, r.GetData())
+	if handle := in.peers.recordHandlers[in.stream.kind]; handle != nil {
+		handle(in.stream.member, record.GetData())
 	}
 	return nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261202") }
 
-func drawRumour(t *rapid.T, label string) membership.Update {
+func drawUpdate(t *rapid.T, label string) membership.Update {
 	name := rapid.StringMatching(`[a-z0-9-]{1,64}`)
 	r := membership.Update{Name: name.Draw(t, label), Zone: name.Draw(t, label+" hall"), Addr: "127.0.0.1:7101", Life: rapid.Uint64().Draw(t, label+" life"),
 		Incarnation: rapid.Uint64().Draw(t, label+" incarnation"), State: membership.State(rapid.IntRange(0, 3).Draw(t, label+" state"))}
@@ -38,14 +38,14 @@
 
 // What is written reads the same, is never larger than the table reckons, and says the
 // same to a program that knows of no more: fields that it does not know are passed over.
-func TestDatagrams(t *testing.T) {
+func TestDatagramRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")), To: "n2", Sender: drawRumour(t, "self"),
+		m := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")), To: "n2", Sender: drawUpdate(t, "self"),
 			Joining: rapid.Bool().Draw(t, "joining"), Sequence: rapid.Uint64().Draw(t, "seq"), Target: "n3", OnBehalfOf: "n4", OnBehalfOfSequence: rapid.Uint64().Draw(t, "for"),
 			DirectPingReceived: rapid.Bool().Draw(t, "heard"), Reached: rapid.Bool().Draw(t, "reached")}
 		m.Digests = rapid.SliceOfN(rapid.Uint32(), 0, membership.DigestBuckets).Draw(t, "digests")
 		for range rapid.IntRange(0, 6).Draw(t, "rumours") {
-			m.Updates = append(m.Updates, drawRumour(t, "rumour"))
+			m.Updates = append(m.Updates, drawUpdate(t, "rumour"))
 		}
 		b, err := Encode("dala", m)
 		if err != nil {
@@ -67,15 +67,15 @@
 		if want, _ := Encode("dala", m); string(again) != string(want) {
 			t.Fatalf("%+v became %+v", m, got)
 		}
-		if _, err := Decode("other", b); !errors.Is(err, ErrCluster) {
+		if _, err := Decode("other", b); !errors.Is(err, ErrOtherCluster) {
 			t.Fatalf("of another cluster: %v", err)
 		}
 	})
-	b, err := proto.Marshal(&peerpb.Datagram{Cluster: "dala", Version: Highest + 1, Kind: 1, To: "n1"})
+	b, err := proto.Marshal(&peerpb.Datagram{Cluster: "dala", Version: MaxVersion + 1, Kind: 1, To: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Decode("dala", b); !errors.Is(err, ErrVersion) {
+	if _, err := Decode("dala", b); !errors.Is(err, ErrNoCommonVersion) {
 		t.Errorf("of a version to come: %v", err)
 	}
 }
@@ -93,7 +93,7 @@
 			return
 		}
 		if m.Kind < membership.Ping || m.Kind > membership.PingRequestResult || len(m.Sender.Name) == 0 || len(m.Sender.Name) > membership.MaxNameLength ||
-			len(m.Updates) > rumoursMost || len(m.Digests) > membership.DigestBuckets {
+			len(m.Updates) > maxUpdates || len(m.Digests) > membership.DigestBuckets {
 			t.Fatalf("%+v", m)
 		}
 	})
@@ -101,55 +101,55 @@
 
 // FuzzHello does the same for greetings.
 func FuzzHello(f *testing.F) {
-	b, err := Frame(&peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: 1, Highest: 1})
+	b, err := encodeFrame(&peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: 1, Highest: 1}, maxHelloFrame)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Add(binary.AppendUvarint(nil, 3<<30))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, used, err := Unframe(b)
+		m, used, err := decodeFrame(b, maxHelloFrame)
 		if err != nil || used == 0 {
 			return
 		}
-		if used > len(b) || len(m) > frameMost {
+		if used > len(b) || len(m) > maxHelloFrame {
 			t.Fatalf("%d of %d bytes, a message of %d", used, len(b), len(m))
 		}
-		if h, version, err := Greet("dala", m); err == nil && (version < Lowest || version > Highest || h.GetName() == "") {
+		if h, version, err := CheckHello("dala", m); err == nil && (version < MinVersion || version > MaxVersion || h.GetName() == "") {
 			t.Fatalf("%v, version %d", h, version)
 		}
 	})
 }
 
 // Both ends agree on the highest version that both speak.
-func TestVersions(t *testing.T) {
+func TestVersionAgreement(t *testing.T) {
 	for _, c := range []struct {
 		lowest, highest, want uint32
 		err                   error
-	}{{1, 1, 1, nil}, {1, 9, 1, nil}, {0, 1, 1, nil}, {2, 9, 0, ErrVersion}, {0, 0, 0, ErrVersion}} {
+	}{{1, 1, 1, nil}, {1, 9, 1, nil}, {0, 1, 1, nil}, {2, 9, 0, ErrNoCommonVersion}, {0, 0, 0, ErrNoCommonVersion}} {
 		b, err := proto.Marshal(&peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: c.lowest, Highest: c.highest, Features: []string{"unheard-of"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, v, err := Greet("dala", b); v != c.want || !errors.Is(err, c.err) {
+		if _, v, err := CheckHello("dala", b); v != c.want || !errors.Is(err, c.err) {
 			t.Errorf("%+v: %d, %v", c, v, err)
 		}
 	}
 }
 
-// lines keeps what is logged.
-type lines struct {
+// logBuffer keeps what is logged.
+type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
@@ -162,7 +162,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said lines
+	var said logBuffer
 	p, err := New(l, Settings{Listen: "127.0.0.1:0", Cluster: "dala", Name: "n1", Zone: "hall-a", Incarnation: 1}, slog.New(slog.NewTextHandler(&said, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 		l.Close()
 	}()
 	hello := func(h *peerpb.Hello) []byte {
-		b, err := Frame(h)
+		b, err := encodeFrame(h, maxHelloFrame)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -205,8 +205,8 @@
 		b := make([]byte, 512)
 		n, err := conn.Read(b)
 		if c.want == "" {
-			m, used, ferr := Unframe(b[:n])
-			if h, v, gerr := Greet("dala", m); err != nil || ferr != nil || used != n || gerr != nil || v != 1 || h.GetName() != "n1" || h.GetLife() != p.life {
+			m, used, ferr := decodeFrame(b[:n], maxHelloFrame)
+			if h, v, gerr := CheckHello("dala", m); err != nil || ferr != nil || used != n || gerr != nil || v != 1 || h.GetName() != "n1" || h.GetLife() != p.nonce {
 				t.Errorf("greeted with %v (%v, %v, %v)", h, err, ferr, gerr)
 			}
 		} else if err != io.EOF && !strings.Contains(err.Error(), "reset") || n > 0 {
@@ -236,7 +236,7 @@
 
 // Incarnations grow from start to start; a file that holds no count begins anew, and an
 // older copy of it does no harm that the others could not mend.
-func TestStart(t *testing.T) {
+func TestIncarnationsGrow(t *testing.T) {
 	dir := t.TempDir()
 	last := uint64(0)
 	for range 3 {
@@ -250,7 +250,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "starts"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if n, fault, err := Start(dir); err != nil || !strings.Contains(fault, "expected a count of starts") || n != raisesMost {
+		if n, fault, err := Start(dir); err != nil || !strings.Contains(fault, "expected a count of starts") || n != refutationsPerStart {
 			t.Errorf("%q: %d, %q, %v", text, n, fault, err)
 		}
 	}
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -1,23 +1,26 @@
 package peer
 
-// This file owns the status report: the table of members as operators read it.
+// This file owns the status report: the membership table as operators read it. Its JSON names stay as they
+// are: tools of operators read them.
 
 import (
 	"encoding/json"
 	"fmt"
+
+	"ravenhitch/internal/membership"
 )
 
-// StatusReport is the table of a running orchestrator.
+// StatusReport is the membership table of a running orchestrator.
 type StatusReport struct {
 	Cluster string   `json:"cluster"`
 	Name    string   `json:"name"`
-	Doubt   int      `json:"doubt"` // of itself: 0 to 8
+	Doubt   int      `json:"doubt"` // the local health score: 0 is healthy, 8 the worst
 	View    View     `json:"view"`
-	Members []Member `json:"members"` // itself first
+	Members []Member `json:"members"` // the local one first
 	Traffic Traffic  `json:"traffic"`
 }
 
-// Told is the former name of [StatusReport]; internal/standin/fleet still uses it.
+// Told is the former name of [StatusReport]; internal/testbed/fleet still uses it.
 type Told = StatusReport
 
 // View is the stable view.
@@ -30,14 +33,14 @@
 // Member is a line of the table.
 type Member struct {
 	Name        string `json:"name"`
-	Zone        string `json:"hall"` // as operators' words and the wire have it
+	Zone        string `json:"hall"`
 	Address     string `json:"address"`
 	Incarnation uint64 `json:"incarnation"`
 	State       string `json:"state"`
-	Link        string `json:"link"`
+	Link        string `json:"link"` // the direct path, "itself" for the local member
 	Slow        bool   `json:"slow,omitempty"`
 	RTTMs       int64  `json:"rtt_ms"`
-	SilentMs    int64  `json:"silent_ms"` // since it last proved to live
+	SilentMs    int64  `json:"silent_ms"` // since it last proved to be alive
 	Evidence    string `json:"evidence,omitempty"`
 }
 
@@ -47,51 +50,62 @@
 	SentBytes       int64 `json:"sent_bytes"`
 	Received        int64 `json:"received"`
 	ReceivedBytes   int64 `json:"received_bytes"`
-	Lost            int64 `json:"lost"`    // that the system did not take
-	Refused         int64 `json:"refused"` // that made no sense here
+	Lost            int64 `json:"lost"`    // could not be sent
+	Refused         int64 `json:"refused"` // were invalid
 	HandshakeProbes int64 `json:"knocks"`
 }
 
-// StatusReport is the table as it stands.
+const (
+	usPerMs = 1_000
+	// localLink stands in place of a path to the local member.
+	localLink = "itself"
+)
+
+// StatusReport is the table as it is now.
 func (p *Peers) StatusReport() StatusReport {
 	view := p.table.View()
 	report := StatusReport{
-		Cluster: p.s.Cluster,
-		Name:    p.s.Name,
+		Cluster: p.settings.Cluster,
+		Name:    p.settings.Name,
 		Doubt:   p.table.HealthScore(),
 		View:    View{view.Number, fmt.Sprintf("%016x", view.Digest), view.Names},
-		Traffic: Traffic{
-			Sent:            p.counts.Sent,
-			SentBytes:       p.counts.SentBytes,
-			Received:        p.counts.Received,
-			ReceivedBytes:   p.counts.ReceivedBytes,
-			Lost:            p.counts.Lost + p.socket.Dropped(),
-			Refused:         p.counts.Refused,
-			HandshakeProbes: p.counts.HandshakeProbes,
-		},
+		Traffic: p.traffic(),
 	}
-	for i, m := range p.table.Members() {
-		link := m.Path.String()
-		if i == 0 {
-			link = "itself"
-		}
-		report.Members = append(report.Members, Member{
-			Name:        m.Name,
-			Zone:        m.Zone,
-			Address:     m.Addr,
-			Incarnation: m.Incarnation,
-			State:       m.State.String(),
-			Link:        link,
-			Slow:        m.Slow,
-			RTTMs:       m.RTTUs / 1000,
-			SilentMs:    m.SinceAliveUs / 1000,
-			Evidence:    m.Evidence,
-		})
+	for _, m := range p.table.Members() {
+		report.Members = append(report.Members, memberLine(&m))
 	}
+	report.Members[0].Link = localLink
 	return report
 }
 
-// Reply is the report as the answer to a call: a line of JSON, then a line ".".
+func (p *Peers) traffic() Traffic {
+	return Traffic{
+		Sent:            p.counts.Sent,
+		SentBytes:       p.counts.SentBytes,
+		Received:        p.counts.Received,
+		ReceivedBytes:   p.counts.ReceivedBytes,
+		Lost:            p.counts.Lost + p.socket.Dropped(),
+		Refused:         p.counts.Refused,
+		HandshakeProbes: p.counts.HandshakeProbes,
+	}
+}
+
+func memberLine(m *membership.Member) Member {
+	return Member{
+		Name:        m.Name,
+		Zone:        m.Zone,
+		Address:     m.Addr,
+		Incarnation: m.Incarnation,
+		State:       m.State.String(),
+		Link:        m.Path.String(),
+		Slow:        m.Slow,
+		RTTMs:       m.RTTUs / usPerMs,
+		SilentMs:    m.SinceAliveUs / usPerMs,
+		Evidence:    m.Evidence,
+	}
+}
+
+// Reply is the report as the answer to an admin call: a line of JSON, then a line ".".
 func (r StatusReport) Reply() ([]byte, error) {
 	b, err := json.Marshal(r)
 	return append(b, "\n.\n"...), err
