--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/hex"
-	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -13,7 +11,6 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/membership"
 	"ravenhitch/internal/peer/peerpb"
 	"ravenhitch/internal/testbed"
@@ -202,51 +199,20 @@
 // TestPreviousBuildSendsRecords plays a member of the previous build to a running one of this build: its ping
 // makes it a member, and on a connection that it greets its records are taken.
 func TestPreviousBuildSendsRecords(t *testing.T) {
-	loop, err := eventloop.New(32)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var log logBuffer
-	p, err := New(loop, Settings{Listen: "127.0.0.1:0", Cluster: "dala", Name: "n1", Zone: "hall-a", Incarnation: 1}, slog.New(slog.NewTextHandler(&log, nil)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	loop, p, log := startPeer(t, "n1")
 	records := make(chan string, 1)
-	p.OnRecord(Urgent, func(from string, b []byte) { records <- from + ": " + string(b) })
-	ended := make(chan error, 1)
-	go func() { ended <- loop.Run(func(int64) {}) }()
-	t.Cleanup(func() {
-		loop.Post(loop.Stop)
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-		loop.Close()
+	onLoop(loop, func() {
+		p.OnRecord(Urgent, func(from string, b []byte) { records <- from + ": " + string(b) })
 	})
-
-	dial := func(network string) net.Conn {
-		t.Helper()
-		conn, err := net.Dial(network, p.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _ = conn.Close() }) // only the test's end ends it
-		return conn
-	}
-	send := func(conn net.Conn, digits string) {
-		t.Helper()
-		if _, err := conn.Write(fromHex(t, digits)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	send(dial("udp"), previousDatagrams[0].encoded)
+	write(t, dial(t, "udp", p.Addr()), fromHex(t, previousDatagrams[0].encoded))
 	for limit := time.Now().Add(testbed.Patience); !strings.Contains(log.String(), "event=joined member=n2"); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("the ping made no member: %s", log.String())
 		}
 	}
-	conn := dial("tcp")
-	send(conn, previousHellos[Urgent])
-	send(conn, previousRecord)
+	conn := dial(t, "tcp", p.Addr())
+	write(t, conn, fromHex(t, previousHellos[Urgent]))
+	write(t, conn, fromHex(t, previousRecord))
 	select {
 	case got := <-records:
 		if got != "n2: "+previousData {
--- /dev/null
+++ b/internal/peer/datagram_test.go
@@ -0,0 +1,113 @@
+package peer
+
+import (
+	"errors"
+	"testing"
+
+	"google.golang.org/protobuf/encoding/protowire"
+	"google.golang.org/protobuf/proto"
+	"pgregory.net/rapid"
+
+	"ravenhitch/internal/membership"
+	"ravenhitch/internal/peer/peerpb"
+)
+
+// drawUpdate draws an update.
+func drawUpdate(t *rapid.T, label string) membership.Update {
+	name := rapid.StringMatching(`[a-z0-9-]{1,64}`)
+	u := membership.Update{
+		Name:        name.Draw(t, label),
+		Zone:        name.Draw(t, label+" zone"),
+		Addr:        "127.0.0.1:7101",
+		Life:        rapid.Uint64().Draw(t, label+" nonce"),
+		Incarnation: rapid.Uint64().Draw(t, label+" incarnation"),
+		State:       membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")),
+	}
+	for range rapid.IntRange(0, membership.MaxConfirmations).Draw(t, label+" confirmations") {
+		u.Confirmations = append(u.Confirmations, membership.Confirmation{
+			Name: name.Draw(t, "confirming"), Zone: name.Draw(t, "its zone"), Refused: rapid.Bool().Draw(t, "refused")})
+	}
+	return u
+}
+
+// drawMessage draws a message with all fields.
+func drawMessage(t *rapid.T) *membership.Message {
+	m := &membership.Message{
+		Kind:               membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")),
+		To:                 "n2",
+		Sender:             drawUpdate(t, "sender"),
+		Joining:            rapid.Bool().Draw(t, "joining"),
+		Sequence:           rapid.Uint64().Draw(t, "sequence"),
+		Target:             "n3",
+		OnBehalfOf:         "n4",
+		OnBehalfOfSequence: rapid.Uint64().Draw(t, "on behalf of"),
+		DirectPingReceived: rapid.Bool().Draw(t, "direct ping received"),
+		Reached:            rapid.Bool().Draw(t, "reached"),
+		Digests:            rapid.SliceOfN(rapid.Uint32(), 0, membership.DigestBuckets).Draw(t, "digests"),
+	}
+	for range rapid.IntRange(0, 6).Draw(t, "updates") {
+		m.Updates = append(m.Updates, drawUpdate(t, "update"))
+	}
+	return m
+}
+
+// TestDatagramRoundTrip asserts that what is written reads the same, is never larger than the table reckons,
+// and reads the same by a program that knows fewer fields: unknown fields are passed over.
+func TestDatagramRoundTrip(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := drawMessage(t)
+		b, err := Encode("dala", m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if len(b) > m.Size()+membership.MaxNameLength {
+			t.Fatalf("%d bytes, reckoned %d", len(b), m.Size())
+		}
+		b = protowire.AppendTag(b, 99, protowire.BytesType)
+		b = protowire.AppendBytes(b, []byte("of a newer peer"))
+		got, err := Decode("dala", b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		again, err := Encode("dala", got)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want, _ := Encode("dala", m); string(again) != string(want) {
+			t.Fatalf("%+v became %+v", m, got)
+		}
+		if _, err := Decode("other", b); !errors.Is(err, ErrOtherCluster) {
+			t.Fatalf("of another cluster: %v", err)
+		}
+	})
+}
+
+// TestDatagramOfLaterVersion asserts that a datagram that needs a later version is not taken.
+func TestDatagramOfLaterVersion(t *testing.T) {
+	b, err := proto.Marshal(&peerpb.Datagram{Cluster: "dala", Version: MaxVersion + 1, Kind: 1, To: "n1"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Decode("dala", b); !errors.Is(err, ErrNoCommonVersion) {
+		t.Errorf("expected ErrNoCommonVersion, got %v", err)
+	}
+}
+
+// FuzzDatagram asserts what holds of any bytes: no panic, and what is taken is in bounds.
+func FuzzDatagram(f *testing.F) {
+	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Sender: membership.Update{Name: "n1", Addr: "127.0.0.1:1"}})
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(b)
+	f.Fuzz(func(t *testing.T, b []byte) {
+		m, err := Decode("dala", b)
+		if err != nil {
+			return
+		}
+		if m.Kind < membership.Ping || m.Kind > membership.PingRequestResult || len(m.Sender.Name) == 0 ||
+			len(m.Sender.Name) > membership.MaxNameLength || len(m.Updates) > maxUpdates || len(m.Digests) > membership.DigestBuckets {
+			t.Fatalf("%+v", m)
+		}
+	})
+}
--- /dev/null
+++ b/internal/peer/frame_test.go
@@ -0,0 +1,61 @@
+package peer
+
+import (
+	"encoding/binary"
+	"errors"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"ravenhitch/internal/peer/peerpb"
+)
+
+// helloFrame is the frame of a hello.
+func helloFrame(t testing.TB, hello *peerpb.Hello) []byte {
+	t.Helper()
+	b, err := encodeFrame(hello, maxHelloFrame)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// FuzzHello asserts what holds of any bytes: no panic, and what is taken is in bounds.
+func FuzzHello(f *testing.F) {
+	f.Add(helloFrame(f, &peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: 1, Highest: 1}))
+	f.Add(binary.AppendUvarint(nil, 3<<30))
+	f.Fuzz(func(t *testing.T, b []byte) {
+		m, used, err := decodeFrame(b, maxHelloFrame)
+		if err != nil || used == 0 {
+			return
+		}
+		if used > len(b) || len(m) > maxHelloFrame {
+			t.Fatalf("%d of %d bytes, a message of %d", used, len(b), len(m))
+		}
+		if hello, version, err := CheckHello("dala", m); err == nil && (version < MinVersion || version > MaxVersion || hello.GetName() == "") {
+			t.Fatalf("%v, version %d", hello, version)
+		}
+	})
+}
+
+// TestVersionAgreement asserts that both ends agree on the highest version that both speak.
+func TestVersionAgreement(t *testing.T) {
+	for _, c := range []struct {
+		lowest, highest, want uint32
+		err                   error
+	}{
+		{1, 1, 1, nil},
+		{1, 9, 1, nil},
+		{0, 1, 1, nil},
+		{2, 9, 0, ErrNoCommonVersion},
+		{0, 0, 0, ErrNoCommonVersion},
+	} {
+		b, err := proto.Marshal(&peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: c.lowest, Highest: c.highest, Features: []string{"unknown"}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, version, err := CheckHello("dala", b); version != c.want || !errors.Is(err, c.err) {
+			t.Errorf("%+v: %d, %v", c, version, err)
+		}
+	}
+}
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -52,14 +52,20 @@
 	if err != nil {
 		return 0, "", err
 	}
-	digits, complete := strings.CutSuffix(string(b), "\n")
-	starts, err = strconv.ParseUint(digits, 10, 32)
-	if err != nil || !complete {
+	starts, ok := parseStarts(string(b))
+	if !ok {
 		return 0, fmt.Sprintf("%s: expected a count of starts and a line feed, got %.40q", path, b), nil
 	}
 	return starts, "", nil
 }
 
+// parseStarts reads a complete file; false where it holds no count.
+func parseStarts(text string) (starts uint64, ok bool) {
+	digits, complete := strings.CutSuffix(text, "\n")
+	starts, err := strconv.ParseUint(digits, 10, 32)
+	return starts, complete && err == nil
+}
+
 // writeStarts replaces the file, so that it is never found half written.
 func writeStarts(path string, starts uint64) error {
 	next := path + ".new"
--- /dev/null
+++ b/internal/peer/stream_test.go
@@ -0,0 +1,198 @@
+package peer
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"ravenhitch/internal/peer/peerpb"
+	"ravenhitch/internal/testbed"
+)
+
+// batchSender sends numbered batch records from a to b, and notes what arrives. All its methods belong on the
+// loop.
+type batchSender struct {
+	peers       *twoPeers
+	sent        int
+	received    []string // sender and number
+	writable    int      // calls of OnWritable for its stream
+	urgentAfter int      // how many had arrived before the urgent record, -1 while it has not
+}
+
+// newBatchSender sets the handlers on both sides.
+func newBatchSender(x *twoPeers) *batchSender {
+	s := &batchSender{peers: x, urgentAfter: -1}
+	x.b.OnRecord(Batch, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
+	x.b.OnRecord(Urgent, func(string, []byte) { s.urgentAfter = len(s.received) })
+	x.a.OnWritable(func(to string, kind Kind) {
+		if to == "n1" && kind == Batch {
+			s.writable++
+		}
+	})
+	return s
+}
+
+// send sends one record.
+func (s *batchSender) send() error {
+	err := s.peers.a.Send("n1", Batch, fmt.Appendf(nil, "%08d%s", s.sent, bytes.Repeat([]byte("x"), 64<<10)))
+	if err == nil {
+		s.sent++
+	}
+	return err
+}
+
+// fill sends until the queue is full.
+func (s *batchSender) fill() (err error) {
+	for err == nil {
+		err = s.send()
+	}
+	return err
+}
+
+// checkOrder asserts that all records arrived, in the order in which they were sent.
+func (s *batchSender) checkOrder(t *testing.T) {
+	t.Helper()
+	for i, got := range s.received {
+		if want := fmt.Sprintf("n0 %08d", i); got != want {
+			t.Errorf("expected the record %q, got %q", want, got)
+			return
+		}
+	}
+}
+
+// TestRecords asserts that much of one kind on a thin path never delays another; that whoever sends too much is
+// told so, and when there is space again; and that all of it arrives, in order.
+func TestRecords(t *testing.T) {
+	x := newTwoPeers(t)
+	x.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
+	var batch *batchSender
+	x.onLoop(func() {
+		batch = newBatchSender(x)
+		if err := batch.fill(); !errors.Is(err, ErrQueueFull) {
+			t.Errorf("too much: expected ErrQueueFull, got %v", err)
+		}
+	})
+	x.eventually(t, "some of it", func() bool { return len(batch.received) > 0 })
+	x.onLoop(func() {
+		if err := batch.fill(); !errors.Is(err, ErrQueueFull) {
+			t.Errorf("too much again: expected ErrQueueFull, got %v", err)
+		}
+		if err := x.a.Send("n1", Urgent, []byte("now")); err != nil {
+			t.Error(err)
+		}
+	})
+	x.eventually(t, "the urgent one", func() bool { return batch.urgentAfter >= 0 })
+	x.eventually(t, "all of it", func() bool { return len(batch.received) == batch.sent })
+	x.onLoop(func() {
+		if batch.urgentAfter >= batch.sent-8 { // half a megabyte still waited
+			t.Errorf("the urgent one came after %d of %d", batch.urgentAfter, batch.sent)
+		}
+		if batch.writable == 0 {
+			t.Error("OnWritable was never called")
+		}
+		batch.checkOrder(t)
+	})
+}
+
+// TestRecordsNotTaken asserts which records Send does not take.
+func TestRecordsNotTaken(t *testing.T) {
+	x := newTwoPeers(t)
+	x.onLoop(func() {
+		if err := x.a.Send("n1", Batch, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
+			t.Errorf("too large: %v", err)
+		}
+		if err := x.a.Send("n9", Batch, nil); !errors.Is(err, ErrNotMember) {
+			t.Errorf("to no member: %v", err)
+		}
+	})
+}
+
+// TestRecordsAfterReset asserts that a connection that is reset is opened again, and what waits goes out on it.
+func TestRecordsAfterReset(t *testing.T) {
+	x := newTwoPeers(t)
+	received := 0
+	x.onLoop(func() { x.b.OnRecord(Urgent, func(string, []byte) { received++ }) })
+	for round := range 3 {
+		before := received
+		x.eventually(t, "a record", func() bool {
+			if err := x.a.Send("n1", Urgent, []byte("again")); err != nil {
+				t.Error(err)
+				return true
+			}
+			return received > before
+		})
+		x.net.Reset("n0", "n1")
+		t.Logf("round %d: %d received", round, received)
+	}
+}
+
+// TestNoDescriptors asserts that without a free descriptor no handshake probe can be made, and nobody is
+// declared dead for that.
+func TestNoDescriptors(t *testing.T) {
+	x := newTwoPeers(t)
+	var before int64
+	x.onLoop(func() {
+		for x.loop.FreeDescriptors() > 0 {
+			if _, err := x.loop.Listen("127.0.0.1:0", func() bool { return false }, nil); err != nil {
+				t.Error(err)
+				return
+			}
+		}
+		before = x.a.Counts().Received
+	})
+	x.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Loss = 0.3 })
+	x.eventually(t, "some datagrams", func() bool { return x.a.Counts().Received > before+20 })
+	x.onLoop(func() {
+		if _, _, ok := x.a.table.Locate("n1"); !ok || strings.Contains(x.log.String(), "event=dead") {
+			t.Errorf("n1 is a member: %v; %s", ok, x.log.String())
+		}
+	})
+}
+
+// TestRecordsDropped asserts that what waits for a member that is gone is dropped, counted and logged.
+func TestRecordsDropped(t *testing.T) {
+	x := newTwoPeers(t)
+	if err := x.net.Point("n1", ""); err != nil { // its host refuses connections
+		t.Fatal(err)
+	}
+	x.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Cut = true })
+	x.onLoop(func() {
+		for range 3 {
+			if err := x.a.Send("n1", Urgent, []byte("never")); err != nil {
+				t.Error(err)
+			}
+		}
+	})
+	x.eventually(t, "the count", func() bool { return x.a.Counts().RecordsDropped == 3 })
+	x.onLoop(func() {
+		if err := x.a.Send("n1", Urgent, nil); !errors.Is(err, ErrNotMember) {
+			t.Errorf("to the dead: %v", err)
+		}
+	})
+	if !strings.Contains(x.log.String(), "peer records dropped") {
+		t.Error("it was not logged")
+	}
+}
+
+// TestRecordsOfUnknownMember asserts that records are taken from a member of that name and nonce only, and of a
+// known kind.
+func TestRecordsOfUnknownMember(t *testing.T) {
+	x := newTwoPeers(t)
+	for _, hello := range []*peerpb.Hello{
+		{Cluster: "dala", Name: "n0", Life: 1, Lowest: 1, Highest: 1, Kind: uint32(Urgent)},
+		{Cluster: "dala", Name: "n9", Life: x.a.nonce, Lowest: 1, Highest: 1, Kind: uint32(Urgent)},
+		{Cluster: "dala", Name: "n0", Life: x.a.nonce, Lowest: 1, Highest: 1, Kind: 77},
+	} {
+		var before int64
+		x.onLoop(func() { before = x.b.Counts().Refused })
+		write(t, dial(t, "tcp", x.b.Addr()), helloFrame(t, hello))
+		x.eventually(t, "the refusal", func() bool { return x.b.Counts().Refused == before+1 })
+	}
+	x.onLoop(func() {
+		if count := x.b.Counts().RecordsTaken; count > 0 {
+			t.Errorf("%d were taken", count)
+		}
+	})
+}
