--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -115,16 +115,18 @@
 	received := 0
 	x.onLoop(func() { x.b.OnRecord(Urgent, func(string, []byte) { received++ }) })
 	for round := range 3 {
-		before := received
+		var before, after int
+		x.onLoop(func() { before = received })
 		x.eventually(t, "a record", func() bool {
 			if err := x.a.Send("n1", Urgent, []byte("again")); err != nil {
 				t.Error(err)
 				return true
 			}
-			return received > before
+			after = received
+			return after > before
 		})
 		x.net.Reset("n0", "n1")
-		t.Logf("round %d: %d received", round, received)
+		t.Logf("round %d: %d received", round, after)
 	}
 }
 
