--- /dev/null
+++ b/internal/shard/set_test.go
@@ -0,0 +1,59 @@
+package shard
+
+import (
+	"errors"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// setZones are zones of sets, some with names that must be escaped.
+var setZones = append(append([]string{}, testZones...), "", "with:colon, and 100%+")
+
+// drawSet draws a set of shards.
+func drawSet(t *rapid.T, name string) Set {
+	bits := rapid.Custom(func(t *rapid.T) Bits { return Bits(rapid.Uint64().Draw(t, "bits")) })
+	return rapid.MapOf(rapid.SampledFrom(setZones), bits).Draw(t, name)
+}
+
+// TestSets compares the operations on sets with those on each shard.
+func TestSets(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b := drawSet(t, "a"), drawSet(t, "b")
+		and, or, minus := a.And(b), a.Or(b), a.Minus(b)
+		count, equal := 0, true
+		for _, zone := range setZones {
+			for shard := range Count {
+				inA, inB := a[zone].Has(shard), b[zone].Has(shard)
+				if and[zone].Has(shard) != (inA && inB) || or[zone].Has(shard) != (inA || inB) || minus[zone].Has(shard) != (inA && !inB) {
+					t.Fatalf("shard %d of %q: %v and %v", shard, zone, inA, inB)
+				}
+				if inA {
+					count++
+				}
+				equal = equal && inA == inB
+			}
+		}
+		if a.Len() != count || a.Equal(b) != equal {
+			t.Fatalf("%d shards counted as %d; equal %v", count, a.Len(), a.Equal(b))
+		}
+		parsed, err := Parse(a.String())
+		if err != nil || !parsed.Equal(a) {
+			t.Fatalf("%q is read as %v, %v", a, parsed, err)
+		}
+	})
+}
+
+// TestParseErrors asserts which texts are no sets.
+func TestParseErrors(t *testing.T) {
+	const one = "a:0000000000000001"
+	if s, err := Parse(one); err != nil || !s.Equal(Set{"a": 1}) {
+		t.Errorf("%q: got %v, %v", one, s, err)
+	}
+	for _, text := range []string{"a", "a:", "a:12", one + "0", "a:zzzzzzzzzzzzzzzz", one + ",", "," + one, one + "," + one, "a:-000000000000001"} {
+		var parseError *ParseError
+		if s, err := Parse(text); !errors.Is(err, ErrSet) || !errors.As(err, &parseError) {
+			t.Errorf("%q: expected a ParseError, got %v, %v", text, s, err)
+		}
+	}
+}
