--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,7 +1,7 @@
 package membership
 
 // This file owns dissemination: each message carries the updates that are still new to the cluster, each as
-// often as a cluster of its size needs, and pages of the whole table to a member whose digests differ.
+// often as a cluster of its size needs, and pages of the table to a member whose digests differ.
 
 import (
 	"math/bits"
@@ -70,14 +70,14 @@
 // packBroadcasts adds the broadcasts that were passed on least, and drops those that were often enough.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
 	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping were the same
-	reserved := 0                                   // for the page: the broadcasts of a whole zone would leave it no space
+	reserved := 0                                   // for the page: the broadcasts of an entire zone would leave it no space
 	if buckets != 0 {
 		reserved = p.free / 2
 	}
 	for i := 0; i < len(t.broadcasts) && p.free > reserved; i++ {
 		b := t.broadcasts[i]
 		if m := t.members[b.name]; inSync && m != nil && m.State == Alive {
-			b.transmits++ // the receiver knows
+			b.transmits++ // the receiver has it
 		} else if p.add(b.name) {
 			b.transmits++
 		}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -15,7 +15,7 @@
 	acked              bool  // by the member itself
 	aliveIndirectly    bool  // a relay reached it, or it answered the handshake
 	reachedByRelay     bool
-	directPingReceived bool // the direct ping arrived, as a relay was told
+	directPingReceived bool // the direct ping arrived, as a relay reported
 	unreachedByRelay   bool // a relay answered that it could not reach it
 	handshakeStarted   bool
 	handshakeRefused   bool // no process listens there
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -69,7 +69,7 @@
 		return
 	}
 	t.sendToAddress(address, m.Sender.Name, ack, buckets)
-	for range bits.OnesCount32(buckets) / 4 { // it knows little: a few pages more, and no stampede
+	for range bits.OnesCount32(buckets) / 4 { // much of its table differs: a few pages more, but not the entire table at once
 		t.sendToAddress(address, m.Sender.Name, Message{Kind: Ack}, buckets)
 	}
 }
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -15,10 +15,10 @@
 	peersPingedAlone    = 1
 )
 
-// nameReleaseTimeout is after how long without a word on it a conflict over the name is over.
+// nameReleaseTimeout is after how long without a claim by the other process a conflict over the name is over.
 const nameReleaseTimeout = 3 * joinTimeout
 
-// maxLeaveNotices is how many members are told directly that the local one leaves.
+// maxLeaveNotices is how many members are told by a ping of their own that the local one leaves.
 const maxLeaveNotices = 8
 
 // admitted reports whether the local name is agreed: the member has joined, and nobody else owns the name.
@@ -35,7 +35,7 @@
 	}
 }
 
-// claimName makes the name known at the start: whoever knows of another owner objects.
+// claimName announces the name at the start: a member whose table has another owner objects.
 func (t *Table) claimName() {
 	if t.now >= t.nextProbeAt {
 		t.nextProbeAt = t.now + t.ProbeInterval
@@ -57,7 +57,7 @@
 	t.report(Joined, t.Self.Name, t.Self.Zone, fmt.Sprintf("incarnation %d", t.Self.Incarnation))
 }
 
-// objectToName tells another process that asks for the local name who owns it.
+// objectToName answers another process that claims the local name with who owns it.
 func (t *Table) objectToName(m *Message) {
 	t.actions = append(t.actions, Send{Addr: m.Sender.Addr, Message: Message{
 		Kind: Ack, To: m.Sender.Name, Sender: t.Self, Sequence: m.Sequence, Updates: []Update{t.Self},
@@ -102,7 +102,7 @@
 	t.membersChanged()
 }
 
-// Leave tells some of the others that the local member leaves on purpose; they tell the rest.
+// Leave announces to some of the others that the local member leaves on purpose; gossip reaches the rest.
 func (t *Table) Leave(now int64) []Act {
 	t.now = now
 	first := !t.departing
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -22,7 +22,7 @@
 	*Table
 	sharedName       string // its name, where it has that of another
 	up, left         bool
-	silent           bool // it went down without its host refusing connections
+	hostDown           bool // it went down without its host refusing connections
 	pausedUntil      int64
 	starts           uint64
 	diedAt           int64
@@ -148,7 +148,7 @@
 		Peers: peers,
 		Seed:  c.rng.Uint64(),
 	})
-	x.up, x.left, x.silent, x.pausedUntil = true, false, false, 0
+	x.up, x.left, x.hostDown, x.pausedUntil = true, false, false, 0
 	x.nextTickAt = 0
 	c.tickMemberAt(i, c.now+c.rng.Int64N(tickInterval))
 }
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -31,7 +31,7 @@
 const (
 	drawnLongPause faultKind = "longpause"
 	drawnBridge    faultKind = "bridge" // a cut with a member whose paths still work
-	drawnCrowd     faultKind = "crowd"  // nine of ten members restart within a second
+	drawnMassRestart     faultKind = "crowd"  // nine of ten members restart within a second
 )
 
 const (
@@ -87,7 +87,7 @@
 	}
 	switch f.kind {
 	case faultKill, faultVanish:
-		x.up, x.silent, x.diedAt = false, f.kind == faultVanish, c.now
+		x.up, x.hostDown, x.diedAt = false, f.kind == faultVanish, c.now
 		x.savedIncarnation = x.Self.Incarnation
 		nonce := x.Self.Life
 		c.schedule(c.now+detectionLimit, func() { c.checkDead(f, nonce) })
@@ -124,7 +124,7 @@
 
 // drawnKinds are the kinds that faults are drawn from, each as likely.
 var drawnKinds = []faultKind{faultKill, faultVanish, faultPause, drawnLongPause, faultOneWay, faultRefuse, faultCut, drawnBridge,
-	faultLoss, faultFlap, faultSlow, faultRestart, faultRestartEmpty, faultLeave, drawnCrowd}
+	faultLoss, faultFlap, faultSlow, faultRestart, faultRestartEmpty, faultLeave, drawnMassRestart}
 
 // drawFaults draws a schedule: a few faults, all over by the end.
 func drawFaults(size int, seed uint64) (faults []fault, end int64) {
@@ -143,8 +143,8 @@
 func (d *faultDrawer) draw() {
 	f := fault{kind: drawnKinds[d.rng.IntN(len(drawnKinds))], start: d.at + d.rng.Int64N(2*second), other: -1}
 	f.end = f.start + 2*second + d.rng.Int64N(6*second)
-	if f.kind == drawnCrowd {
-		d.drawCrowd(f.start)
+	if f.kind == drawnMassRestart {
+		d.drawMassRestart(f.start)
 		return
 	}
 	if !d.place(&f) || !d.adjust(&f) {
@@ -154,8 +154,8 @@
 	d.at += d.rng.Int64N(3 * second)
 }
 
-// drawCrowd has nine of ten members restart within a second.
-func (d *faultDrawer) drawCrowd(start int64) {
+// drawMassRestart has nine of ten members restart within a second.
+func (d *faultDrawer) drawMassRestart(start int64) {
 	for i := 1; i < d.size; i++ {
 		if !d.busy[i] && d.rng.IntN(10) > 0 {
 			d.busy[i] = true
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -98,7 +98,7 @@
 		return
 	}
 	kind := "killed"
-	if x.silent {
+	if x.hostDown {
 		kind = "vanished"
 	}
 	c.detectionTimes[kind] = append(c.detectionTimes[kind], c.now-x.diedAt)
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestStallIsNoSilence asserts that what was not received while the local process stalled is nobody's silence.
-func TestStallIsNoSilence(t *testing.T) {
+// TestStallRaisesNoSuspicion asserts that what was not received while the local process stalled is nobody's silence.
+func TestStallRaisesNoSuspicion(t *testing.T) {
 	const stall = 8 * second
 	t.Run("a suspicion begins anew", func(t *testing.T) {
 		h := newHarness(t)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-// Tick does what is due.
+// Tick runs one step of the table: the start of the local member, then of the failure detector.
 func (t *Table) Tick(now int64) []Act {
 	expected, sinceLast := t.NextTick(), now-t.lastTick
 	t.now, t.lastTick = now, now
--- a/internal/membership/tick_test.go
+++ b/internal/membership/tick_test.go
@@ -5,12 +5,12 @@
 // TestTickRate asserts that a settled table wants to be called little more often than it probes, that one with a
 // suspect wants to be every tickInterval, and that what comes in between is looked at in time.
 func TestTickRate(t *testing.T) {
-	const members, seconds, silent = 9, 20, 4
-	c := newCluster(members, 5, []fault{{kind: faultVanish, target: silent, other: -1, start: 60 * second, end: 61 * second}})
+	const members, seconds, vanishing = 9, 20, 4
+	c := newCluster(members, 5, []fault{{kind: faultVanish, target: vanishing, other: -1, start: 60 * second, end: 61 * second}})
 	c.run(formationTime(members))
 	ticks := func() (sum int) {
 		for i, x := range c.members {
-			if i != silent {
+			if i != vanishing {
 				sum += x.ticks
 			}
 		}
@@ -52,9 +52,9 @@
 	c.run(formationTime(2))
 	before := c.members[0].sequence
 	c.run(c.now + seconds*second)
-	probes, due := c.members[0].sequence-before, uint64(seconds*second/c.members[0].ProbeInterval)
-	if probes < due*9/10 {
-		t.Errorf("%d probes in %d s, %d are due", probes, seconds, due)
+	probes, expected := c.members[0].sequence-before, uint64(seconds*second/c.members[0].ProbeInterval)
+	if probes < expected*9/10 {
+		t.Errorf("%d probes in %d s, expected %d", probes, seconds, expected)
 	}
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file owns what the rest of the program may know of the members: the lines of the table, and the
+// This file owns what the rest of the program sees of the members: the lines of the table, and the
 // stable view, which changes in few steps: once nothing has changed for a while, and not for a member that
 // is only suspected.
 
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -197,7 +197,7 @@
 }
 
 // TestPreviousBuildSendsRecords plays a member of the previous build to a running one of this build: its ping
-// makes it a member, and on a connection that it greets its records are taken.
+// makes it a member, and on a connection that its hello opens its records are taken.
 func TestPreviousBuildSendsRecords(t *testing.T) {
 	loop, p, log := startPeer(t, "n1")
 	records := make(chan string, 1)
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -163,11 +163,11 @@
 }
 
 // eventually waits until a condition holds on the loop.
-func (x *twoPeers) eventually(t *testing.T, what string, holds func() bool) {
+func (x *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(2 * testbed.Patience); ; time.Sleep(time.Millisecond) {
 		ok := false
-		if x.onLoop(func() { ok = holds() }); ok {
+		if x.onLoop(func() { ok = condition() }); ok {
 			return
 		}
 		if time.Now().After(limit) {
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestInboundConnections asserts that an inbound connection whose bytes are invalid is closed with one log line that
-// says why, and costs no memory by what it claims, and that the next one is greeted. It asserts the same of
+// says why, and costs no memory by what it claims, and that the next hello is answered. It asserts the same of
 // datagrams, which end nothing.
 func TestInboundConnections(t *testing.T) {
 	loop, p, log := startPeer(t, "n1")
@@ -45,7 +45,7 @@
 	message, used, frameErr := decodeFrame(answer, maxHelloFrame)
 	hello, version, helloErr := CheckHello("dala", message)
 	if err != nil || frameErr != nil || used != len(answer) || helloErr != nil || version != 1 || hello.GetName() != "n1" || hello.GetLife() != p.nonce {
-		t.Errorf("greeted with %v (%v, %v, %v)", hello, err, frameErr, helloErr)
+		t.Errorf("answered with %v (%v, %v, %v)", hello, err, frameErr, helloErr)
 	}
 
 	write(t, dial(t, "udp", p.Addr()), []byte("nonsense"))
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -69,22 +69,22 @@
 
 // moves counts what happens to the shards of a fleet when a member goes.
 type moves struct {
-	own          int // shards that it had: they must move
+	departed          int // shards that it had: they must move
 	others       int // that move besides
 	otherRegions int // of them or these, in regions that it is not of
 }
 
 // countMoves compares the assignments with a member and without it.
-func countMoves(zones []string, regions Regions, members []Member, gone int) (m moves) {
-	rest := slices.Delete(slices.Clone(members), gone, gone+1)
+func countMoves(zones []string, regions Regions, members []Member, departing int) (m moves) {
+	rest := slices.Delete(slices.Clone(members), departing, departing+1)
 	for _, zone := range zones {
 		before, after := regions.Assignments(zone, members), regions.Assignments(zone, rest)
-		sameRegion := regions[zone] == regions[members[gone].Zone]
+		sameRegion := regions[zone] == regions[members[departing].Zone]
 		for shard := range before {
-			own := before[shard] == members[gone].Name
+			own := before[shard] == members[departing].Name
 			moved := before[shard] != after[shard]
 			if own {
-				m.own++
+				m.departed++
 			}
 			if moved && !own {
 				m.others++
@@ -106,7 +106,7 @@
 		for gone := range members {
 			m := countMoves(zones, regions, members, gone)
 			maxOthers = max(maxOthers, m.others)
-			own += m.own
+			own += m.departed
 			otherRegions += m.otherRegions
 		}
 		t.Logf("%d members: %d shards in the mean must move when one goes, %d more move at most", size, own/size, maxOthers)
