--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -7,7 +7,7 @@
 	const interval = second / 2
 	for _, c := range []struct {
 		size         int
-		maxIntervals  int64   // until it has formed
+		maxIntervals int64   // until it has formed
 		maxBytesRate float64 // bytes a second and member, from 10 s after that on
 	}{{3, 4, 2000}, {16, 6, 2000}, {100, 8, 2000}, {300, 20, 2000}} {
 		cluster := newCluster(c.size, 5, nil)
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -22,7 +22,7 @@
 	*Table
 	sharedName       string // its name, where it has that of another
 	up, left         bool
-	hostDown           bool // it went down without its host refusing connections
+	hostDown         bool // it went down without its host refusing connections
 	pausedUntil      int64
 	starts           uint64
 	diedAt           int64
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -29,9 +29,9 @@
 
 // Kinds that are only drawn, and become others.
 const (
-	drawnLongPause faultKind = "longpause"
-	drawnBridge    faultKind = "bridge" // a cut with a member whose paths still work
-	drawnMassRestart     faultKind = "crowd"  // nine of ten members restart within a second
+	drawnLongPause   faultKind = "longpause"
+	drawnBridge      faultKind = "bridge" // a cut with a member whose paths still work
+	drawnMassRestart faultKind = "crowd"  // nine of ten members restart within a second
 )
 
 const (
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -35,7 +35,7 @@
 
 	joining    bool  // the local name is not agreed yet
 	conflictAt int64 // when another process was last found to own the local name, 0 while none does
-	departing    bool
+	departing  bool
 	peerCursor int // which of Peers was pinged last
 
 	members         map[string]*member // all but the local one
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -69,7 +69,7 @@
 
 // moves counts what happens to the shards of a fleet when a member goes.
 type moves struct {
-	departed          int // shards that it had: they must move
+	departed     int // shards that it had: they must move
 	others       int // that move besides
 	otherRegions int // of them or these, in regions that it is not of
 }
