--- /dev/null
+++ b/internal/testbed/attempt_log.go
@@ -0,0 +1,158 @@
+package testbed
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+)
+
+// This file owns the record of attempts as workers see them, for the rule that at most one
+// attempt of a request is in flight: from the arrival of its offer until its outcome is
+// written, its cancel is read, or the orchestrator closes its connection. A running task is
+// in flight until its completion. It must never judge more than that rule.
+
+// AttemptLog records the attempts at all workers that share it. A nil one records nothing.
+type AttemptLog struct {
+	mu           sync.Mutex
+	inFlight     map[string]map[string]attempt // by request ID and worker
+	disconnected map[string]func() bool        // by connection: whether the orchestrator has closed it
+	offers       map[string]int                // by request ID
+	lastOffer    map[string]time.Time          // by request ID
+	duplicates   []string
+}
+
+// attempt is one in flight: by the connection of its offer, or running.
+type attempt struct {
+	connection string
+	running    bool
+}
+
+// NewAttemptLog returns a record without attempts.
+func NewAttemptLog() *AttemptLog {
+	return &AttemptLog{
+		inFlight:     map[string]map[string]attempt{},
+		disconnected: map[string]func() bool{},
+		offers:       map[string]int{},
+		lastOffer:    map[string]time.Time{},
+	}
+}
+
+// offered records that an offer reached a worker.
+func (a *AttemptLog) offered(worker, connection, tag string) {
+	if a == nil {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.offers[tag]++
+	a.lastOffer[tag] = time.Now()
+	for other, earlier := range a.inFlight[tag] {
+		if closed := a.disconnected[earlier.connection]; closed != nil && closed() {
+			continue // whoever reads the connection has not come to its end yet
+		}
+		a.duplicates = append(a.duplicates,
+			fmt.Sprintf("%s came to %s while in flight at %s (running there: %v)", tag, worker, other, earlier.running))
+	}
+	if a.inFlight[tag] == nil {
+		a.inFlight[tag] = map[string]attempt{}
+	}
+	a.inFlight[tag][worker] = attempt{connection: connection}
+}
+
+// accepted records that a worker runs the task of a request.
+func (a *AttemptLog) accepted(worker, tag string) {
+	if a == nil {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.inFlight[tag][worker] = attempt{running: true}
+}
+
+// ended records the end of an attempt or of its task.
+func (a *AttemptLog) ended(worker, tag string) {
+	if a == nil {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.inFlight[tag], worker)
+}
+
+// connected records a connection, named by the address that the worker sees, and how to
+// learn whether the orchestrator has closed it.
+func (a *AttemptLog) connected(connection string, closed func() bool) {
+	if a == nil {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.disconnected[connection] = closed
+}
+
+// connectionClosed records the end of a connection on the orchestrator's side, which ends
+// the attempts on it.
+func (a *AttemptLog) connectionClosed(connection string) {
+	if a == nil {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.disconnected, connection)
+	for _, attempts := range a.inFlight {
+		for worker, open := range attempts {
+			if !open.running && open.connection == connection {
+				delete(attempts, worker)
+			}
+		}
+	}
+}
+
+// Duplicates describes the offers that came while another attempt of their request was in
+// flight.
+func (a *AttemptLog) Duplicates() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return slices.Clone(a.duplicates)
+}
+
+// Count is the number of offers of a request.
+func (a *AttemptLog) Count(tag string) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.offers[tag]
+}
+
+// Last is when the last offer of a request came, the zero time where none did.
+func (a *AttemptLog) Last(tag string) time.Time {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastOffer[tag]
+}
+
+// Open lists the requests with an attempt in flight whose task does not run.
+func (a *AttemptLog) Open() (tags []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for tag, attempts := range a.inFlight {
+		for _, open := range attempts {
+			if !open.running {
+				tags = append(tags, tag)
+			}
+		}
+	}
+	return tags
+}
+
+// Running lists the requests whose tasks run at a worker.
+func (a *AttemptLog) Running(worker string) (tags []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for tag, attempts := range a.inFlight {
+		if attempts[worker].running {
+			tags = append(tags, tag)
+		}
+	}
+	return tags
+}
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -9,312 +9,313 @@
 	"time"
 )
 
-// This file owns the emulated machine behind minions: its room, the queue of offers
-// that it looks at one at a time, the few starts under way, and its being cold.
+// This file owns the emulated capacity behind stand-in workers: cores and memory, the queue
+// of offers that are inspected one at a time, and the few starts at a time. It must never
+// place anything itself.
 
-// WorkerSpec says what a machine can do.
+// WorkerSpec says what an emulated worker can do.
 type WorkerSpec struct {
-	Name, Hall, Kind string
+	Name, Zone, Kind string
 	Cell             int
 	Cores, Memory    float64
-	Ask              [2]time.Duration // how long it looks at one offer
-	Queue            int              // offers that may wait
-	Starts           int              // at a time
-	// A cold machine starts at ColdStartRate of its pace, is warm after ColdFor, and falls
-	// over once it is offered more than Multiple times what it can start, Fresh offers
-	// at least, within FallFor.
-	Up                         time.Time // zero: long ago
-	ColdShare, Multiple, Fresh float64
-	ColdFor, FallFor           time.Duration
-	MeanWork                   time.Duration // of a start
+	InspectionTime   [2]time.Duration // from and to, of one offer
+	QueueLength      int              // offers that may wait
+	MaxStarting      int              // at a time
+	// A worker that has just started runs at ColdStartRate of full speed, reaches that after
+	// SlowStart, and fails once it is offered more than FallMultiple times what it can start,
+	// InitialBudget at least, within OverloadWindow.
+	UpSince                                    time.Time // zero: long ago
+	ColdStartRate, FallMultiple, InitialBudget float64
+	SlowStart, OverloadWindow                  time.Duration
+	MeanStartTime                              time.Duration // of a task, at full speed
 }
 
-// Task is what a set-up's description says of a task to a machine.
-type Task struct {
-	Class         string
-	Cores, Memory float64
-	Work, Life    time.Duration
-}
-
-// Describe writes a task as a description.
-func (t Task) Describe() string {
-	return fmt.Sprintf("%s %g %g %d %d", t.Class, t.Cores, t.Memory, t.Work, t.Life)
-}
-
-func describe(s string) (t Task, err error) {
-	_, err = fmt.Sscanf(s, "%s %g %g %d %d", &t.Class, &t.Cores, &t.Memory, &t.Work, &t.Life)
-	return t, err
-}
-
-// Observer is told what machines do. It may be called from many goroutines.
+// Observer is notified of what emulated workers do. It may be called from many goroutines.
 type Observer interface {
-	// Offered, Refused and GivenUp tell of offers, Refused before the word is sent.
-	Offered(machine, tag string)
-	Refused(machine, tag string)
-	GivenUp(machine, tag string)
-	Accepted(machine, key, tag string, t Task)
-	Runs(key string)
-	Over(key, tag string)
+	// Offered, Rejected and Cancelled notify of offers, Rejected before the message is sent.
+	Offered(worker, tag string)
+	Rejected(worker, tag string)
+	Cancelled(worker, tag string)
+	// Accepted, Started and Completed notify of tasks.
+	Accepted(worker, key, tag string, t Task)
+	Started(key string)
+	Completed(key, tag string)
 }
 
-// CapacityModel is an emulated machine. Each orchestrator reaches it by a Minion of its own.
+// capacitySlack is what rounding may add to the requests of tasks.
+const capacitySlack = 1e-9
+
+// CapacityModel is an emulated worker. Each orchestrator reaches it by a Worker of its own.
 type CapacityModel struct {
 	WorkerSpec
-	watch   Observer
-	asks    chan ask
-	starts  chan struct{}
-	stop    chan struct{}
-	mu      sync.Mutex
-	rng     *rand.Rand
-	cores   float64 // held
-	memory  float64
-	runs    map[string]*run
-	queued  map[string]bool // offers that wait; false: given up meanwhile
-	offers  []time.Time     // while cold
-	peak    float64         // of offers against the bound
-	fallen  bool
-	refused map[string]int // by note
-	minions []*Worker
+	observer   Observer
+	queue      chan offer
+	startSlots chan struct{}
+	stop       chan struct{}
+
+	mu              sync.Mutex
+	random          *rand.Rand
+	requestedCores  float64
+	requestedMemory float64
+	running         map[string]*runningTask // by request ID
+	queued          map[string]bool         // offers that wait, by request ID; false: cancelled meanwhile
+	slowStart       slowStart
+	rejections      map[string]int // by cause
+	workers         []*Worker      // by orchestrator
 }
 
-type ask struct {
-	m    *Worker
-	c    net.Conn
-	l    Line
-	task Task
+// offer is one that waits to be inspected.
+type offer struct {
+	worker *Worker
+	conn   net.Conn
+	line   Line
+	task   Task
 }
 
-type run struct {
+// runningTask is one that was accepted and has not ended.
+type runningTask struct {
 	Task
-	m    *Worker
-	c    net.Conn
-	key  string
-	stop chan struct{}
-	cut  bool
+	worker    *Worker
+	conn      net.Conn // of its offer
+	key       string
+	stop      chan struct{}
+	cancelled bool
 }
 
-// NewCapacityModel starts a machine.
-func NewCapacityModel(t Host, s WorkerSpec, w Observer, seed uint64) *CapacityModel {
-	m := &CapacityModel{WorkerSpec: s, watch: w, asks: make(chan ask, s.Queue), starts: make(chan struct{}, max(1, s.Starts)),
-		stop: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1)), runs: map[string]*run{}, queued: map[string]bool{}, refused: map[string]int{}}
-	go m.look()
+// NewCapacityModel starts an emulated worker, which ends with the test. The seed draws its
+// inspection times.
+func NewCapacityModel(t Host, spec WorkerSpec, observer Observer, seed uint64) *CapacityModel {
+	m := &CapacityModel{
+		WorkerSpec: spec,
+		observer:   observer,
+		queue:      make(chan offer, spec.QueueLength),
+		startSlots: make(chan struct{}, max(1, spec.MaxStarting)),
+		stop:       make(chan struct{}),
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		running:    map[string]*runningTask{},
+		queued:     map[string]bool{},
+		rejections: map[string]int{},
+	}
+	m.slowStart.spec = &m.WorkerSpec
+	go m.inspectQueue()
 	t.Cleanup(func() { close(m.stop) })
 	return m
 }
 
-// NewWorker opens a way to the machine.
+// NewWorker opens the listener by which one orchestrator reaches the emulated worker.
 func (m *CapacityModel) NewWorker(t Host) *Worker {
-	n := newWorker(t, m.Name, m)
+	worker := newWorker(t, m.Name, m)
 	m.mu.Lock()
-	m.minions = append(m.minions, n)
+	m.workers = append(m.workers, worker)
 	m.mu.Unlock()
-	return n
+	return worker
 }
 
-func (m *CapacityModel) offered(c net.Conn, l Line) {
-	m.watch.Offered(m.Name, l.Tag)
-	var n *Worker
+// offered queues an offer, or rejects it where the queue is full.
+func (m *CapacityModel) offered(conn net.Conn, line Line) {
+	m.observer.Offered(m.Name, line.Tag)
 	m.mu.Lock()
-	for _, o := range m.minions {
-		if o.has(c) {
-			n = o
-		}
-	}
-	m.weigh()
-	fallen := m.fallen
+	worker := m.workerOf(conn)
+	m.slowStart.countOffer()
+	fallen := m.slowStart.fallen
 	m.mu.Unlock()
-	task, err := describe(*l.Blob)
-	if err != nil || fallen {
-		if err != nil {
-			Send(c, FinishLine("FINISH", l.Tag, 47))
-		}
+	task, err := parseTask(*line.Blob)
+	if err != nil {
+		Send(conn, FinishLine("FINISH", line.Tag, codeFailed))
+		return
+	}
+	if fallen {
 		return
 	}
 	m.mu.Lock()
-	m.queued[l.Tag] = true
+	m.queued[line.Tag] = true
 	m.mu.Unlock()
 	select {
-	case m.asks <- ask{n, c, l, task}:
+	case m.queue <- offer{worker, conn, line, task}:
 	default:
 		m.mu.Lock()
-		delete(m.queued, l.Tag)
+		delete(m.queued, line.Tag)
 		m.mu.Unlock()
-		m.refuse(c, l.Tag, "busy")
+		m.reject(conn, line.Tag, "busy")
 	}
 }
 
-// weigh counts an offer against what a cold machine bears, and lets it fall over.
-func (m *CapacityModel) weigh() {
-	if m.Up.IsZero() || time.Since(m.Up) > m.ColdFor {
-		return
-	}
-	now := time.Now()
-	m.offers = append(m.offers, now)
-	for len(m.offers) > 0 && now.Sub(m.offers[0]) > m.FallFor {
-		m.offers = m.offers[1:]
-	}
-	bound := max(m.Fresh, m.Multiple*m.pace()*float64(m.Starts)*m.FallFor.Seconds()/m.MeanWork.Seconds())
-	m.peak = max(m.peak, float64(len(m.offers))/bound)
-	if m.peak > 1 {
-		m.fallen = true
-	}
-}
-
-func (m *CapacityModel) pace() float64 {
-	if m.Up.IsZero() || time.Since(m.Up) > m.ColdFor {
-		return 1
+// workerOf is whose connection one is, nil where it has ended. The lock is held.
+func (m *CapacityModel) workerOf(conn net.Conn) (found *Worker) {
+	for _, worker := range m.workers {
+		if worker.has(conn) {
+			found = worker
+		}
 	}
-	return m.ColdShare + (1-m.ColdShare)*time.Since(m.Up).Seconds()/m.ColdFor.Seconds()
+	return found
 }
 
-func (m *CapacityModel) refuse(c net.Conn, tag, note string) {
+func (m *CapacityModel) reject(conn net.Conn, tag, cause string) {
 	m.mu.Lock()
-	m.refused[note]++
+	m.rejections[cause]++
 	m.mu.Unlock()
-	m.watch.Refused(m.Name, tag)
-	l := FinishLine("FINISH", tag, 34)
-	l.Opts["note"] = note
-	Send(c, l)
+	m.observer.Rejected(m.Name, tag)
+	Send(conn, rejectedLine(tag, cause))
 }
 
-// look takes the offers one at a time.
-func (m *CapacityModel) look() {
+// inspectQueue takes the offers one at a time.
+func (m *CapacityModel) inspectQueue() {
 	for {
-		var a ask
-		select {
-		case a = <-m.asks:
-		case <-m.stop:
-			return
-		}
-		m.mu.Lock()
-		if !m.queued[a.l.Tag] {
-			delete(m.queued, a.l.Tag)
-			m.mu.Unlock()
-			continue
-		}
-		d := m.Ask[0] + time.Duration(m.rng.Int64N(int64(m.Ask[1]-m.Ask[0])+1))
-		m.mu.Unlock()
 		select {
-		case <-time.After(d):
+		case next := <-m.queue:
+			inspection, queued := m.inspectionTime(next.line.Tag)
+			if !queued {
+				continue
+			}
+			if !m.sleep(inspection, nil) {
+				return
+			}
+			m.decide(next)
 		case <-m.stop:
 			return
 		}
-		m.decide(a)
 	}
 }
 
-func (m *CapacityModel) decide(a ask) {
+// inspectionTime draws how long an offer is inspected; false where it was cancelled.
+func (m *CapacityModel) inspectionTime(tag string) (time.Duration, bool) {
 	m.mu.Lock()
-	t := a.task
-	wanted := m.queued[a.l.Tag]
-	delete(m.queued, a.l.Tag)
-	switch {
-	case !wanted:
-		m.mu.Unlock()
-		return
-	case m.fallen:
-		m.mu.Unlock()
-		return
-	case m.cores+t.Cores > m.Cores+1e-9:
+	defer m.mu.Unlock()
+	if !m.queued[tag] {
+		delete(m.queued, tag)
+		return 0, false
+	}
+	shortest, longest := m.InspectionTime[0], m.InspectionTime[1]
+	return shortest + time.Duration(m.random.Int64N(int64(longest-shortest)+1)), true
+}
+
+// sleep waits; it returns false where that was cut short.
+func (m *CapacityModel) sleep(d time.Duration, cancelled <-chan struct{}) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-cancelled:
+	case <-m.stop:
+	}
+	return false
+}
+
+// decide accepts or rejects an offer that was inspected.
+func (m *CapacityModel) decide(o offer) {
+	m.mu.Lock()
+	queued := m.queued[o.line.Tag]
+	delete(m.queued, o.line.Tag)
+	if !queued || m.slowStart.fallen {
 		m.mu.Unlock()
-		m.refuse(a.c, a.l.Tag, "cpu_full")
 		return
-	case m.memory+t.Memory > m.Memory+1e-9:
+	}
+	if short := m.shortage(o.task); short != "" {
 		m.mu.Unlock()
-		m.refuse(a.c, a.l.Tag, "mem_full")
+		m.reject(o.conn, o.line.Tag, short)
 		return
 	}
-	m.cores += t.Cores
-	m.memory += t.Memory
-	r := &run{Task: t, m: a.m, c: a.c, key: a.l.Opts["key"], stop: make(chan struct{})}
-	m.runs[a.l.Tag] = r
+	m.requestedCores += o.task.Cores
+	m.requestedMemory += o.task.Memory
+	task := &runningTask{Task: o.task, worker: o.worker, conn: o.conn, key: o.line.Opts["key"], stop: make(chan struct{})}
+	m.running[o.line.Tag] = task
 	m.mu.Unlock()
-	m.watch.Accepted(m.Name, r.key, a.l.Tag, t)
-	blob := m.Name + " holds " + r.key
-	Send(a.c, Line{Verb: "STARTED", Tag: a.l.Tag, Opts: map[string]string{}, Blob: &blob})
-	go m.live(a.l.Tag, r)
+	m.observer.Accepted(m.Name, task.key, o.line.Tag, o.task)
+	Send(o.conn, startedLine(o.line.Tag, m.Name+" holds "+task.key))
+	go m.run(o.line.Tag, task)
 }
 
-// live starts an accepted task, and ends it when its time has come.
-func (m *CapacityModel) live(tag string, r *run) {
+// shortage is the cause of a rejection for want of capacity, "" where there is enough. The
+// lock is held.
+func (m *CapacityModel) shortage(t Task) string {
+	switch {
+	case m.requestedCores+t.Cores > m.Cores+capacitySlack:
+		return "cpu_full"
+	case m.requestedMemory+t.Memory > m.Memory+capacitySlack:
+		return "mem_full"
+	}
+	return ""
+}
+
+// run starts an accepted task, and ends it after its run time.
+func (m *CapacityModel) run(tag string, task *runningTask) {
 	select {
-	case m.starts <- struct{}{}:
-	case <-r.stop:
-		m.over(tag, r)
+	case m.startSlots <- struct{}{}:
+	case <-task.stop:
+		m.complete(tag, task)
 		return
 	case <-m.stop:
 		return
 	}
 	m.mu.Lock()
-	d := time.Duration(float64(r.Work) / m.pace())
+	startTime := time.Duration(float64(task.StartTime) / m.slowStart.speed())
 	m.mu.Unlock()
-	wait := func(d time.Duration) bool {
-		select {
-		case <-time.After(d):
-			return true
-		case <-r.stop:
-		case <-m.stop:
-		}
-		return false
+	started := m.sleep(startTime, task.stop)
+	<-m.startSlots
+	if started {
+		m.observer.Started(task.key)
+		m.sleep(task.RunTime, task.stop)
 	}
-	ok := wait(d)
-	<-m.starts
-	if ok {
-		m.watch.Runs(r.key)
-		wait(r.Life)
-	}
-	m.over(tag, r)
+	m.complete(tag, task)
 }
 
-// over gives the room back and tells the end.
-func (m *CapacityModel) over(tag string, r *run) {
+// complete frees the capacity of a task and reports its completion.
+func (m *CapacityModel) complete(tag string, task *runningTask) {
 	m.mu.Lock()
-	delete(m.runs, tag)
-	m.cores -= r.Cores
-	m.memory -= r.Memory
-	cause := 16
-	if r.cut {
-		cause = 31
+	delete(m.running, tag)
+	m.requestedCores -= task.Cores
+	m.requestedMemory -= task.Memory
+	code := codeEnded
+	if task.cancelled {
+		code = codeCancelled
 	}
 	m.mu.Unlock()
-	m.watch.Over(r.key, tag)
-	r.m.tell(r.c, FinishLine("FINISH", tag, cause))
+	m.observer.Completed(task.key, tag)
+	task.worker.report(task.conn, FinishLine("FINISH", tag, code))
 }
 
-func (m *CapacityModel) released(_ net.Conn, tag string) {
-	m.watch.GivenUp(m.Name, tag)
+// cancelled takes the cancel of an offer, or the release of a running task.
+func (m *CapacityModel) cancelled(tag string) {
+	m.observer.Cancelled(m.Name, tag)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if r := m.runs[tag]; r != nil && !r.cut {
-		r.cut = true
-		close(r.stop)
+	if task := m.running[tag]; task != nil && !task.cancelled {
+		task.cancelled = true
+		close(task.stop)
 	}
 	if m.queued[tag] {
 		m.queued[tag] = false
 	}
 }
 
-// FreeCapacity is what nobody has asked for.
+// FreeCapacity is what no running task has requested.
 func (m *CapacityModel) FreeCapacity() (cores, memory float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.Cores - m.cores, m.Memory - m.memory
+	return m.Cores - m.requestedCores, m.Memory - m.requestedMemory
+}
+
+// PeakLoad is the highest load of offers while the worker warmed up, over what it can take
+// then.
+func (m *CapacityModel) PeakLoad() float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.slowStart.peakLoad
 }
 
-// Peak is the most that it was offered while cold, over what it bears then, and
-// Refused how many offers it turned away, by what it said.
-func (m *CapacityModel) Peak() (peak float64, refused map[string]int) {
+// Rejections counts the offers that were rejected, by cause.
+func (m *CapacityModel) Rejections() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.peak, maps.Clone(m.refused)
+	return maps.Clone(m.rejections)
 }
 
-// ListEntry is its line of the list as one orchestrator gets it, with some room.
-func (m *CapacityModel) ListEntry(n *Worker, phase string, cores, memory float64) string {
-	up := int64(0)
-	if !m.Up.IsZero() {
-		up = m.Up.UnixMilli()
+// ListEntry is the worker's entry on the list as one orchestrator gets it, with some free
+// capacity.
+func (m *CapacityModel) ListEntry(worker *Worker, phase string, cores, memory float64) string {
+	upSince := int64(0)
+	if !m.UpSince.IsZero() {
+		upSince = m.UpSince.UnixMilli()
 	}
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":%q,"cell":%d,"phase":%q,"size":1,`+
-		`"up_since_ms":%d,"spare":[%g,%g]}`, m.Name, n.Addr(), m.Hall, m.Kind, m.Cell, phase, up, cores, memory)
+		`"up_since_ms":%d,"spare":[%g,%g]}`, m.Name, worker.Addr(), m.Zone, m.Kind, m.Cell, phase, upSince, cores, memory)
 }
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -6,15 +6,19 @@
 )
 
 // This file owns the deployment that rigs start orchestrators for: its classes and limits.
+// The settings' names are the program's.
 
 // Deployment is what all orchestrators of a rig share.
 type Deployment struct {
 	Orchestrators int
-	Longest       time.Duration // the longest advice
+	MaxRetryAfter time.Duration // the longest Retry-After that rejected clients get
 }
 
-// Settings are those of one orchestrator.
-func (d Deployment) Settings(k int) string {
+// zones is the number of zones; orchestrators take them in turn.
+const zones = 3
+
+// Settings are those of the orchestrator with an index.
+func (d Deployment) Settings(index int) string {
 	return fmt.Sprintf(`{"SelfIndex":%d,"FleetSize":%d,"Zone":"hall-%c","Discovery":"subscribe","TickUs":2000,
  "Flavors":["node-32","node-64"],"FamilyInfo":{"View":true,"SaysYes":"accepted","CoresMultiple":1.0,"MemoryMultiple":1.0,
  "SizeCores":[28,56],"MemoryByKind":[60,120],"UnitCores":0.83,"UnitMemory":1.78,"Counts":"asked","ApartBy":["none","none","none"],
@@ -26,12 +30,12 @@
  {"Name":"guide-web","Semantics":"free","Group":"all","OnTimeUs":1000000,"DeadlineUs":6000000,"Importance":1.0,"WindowUs":5000000},
  {"Name":"live-relay","Semantics":"free","Group":"all","OnTimeUs":700000,"DeadlineUs":5000000,"Importance":3.0,"WindowUs":5000000},
  {"Name":"archive-cut","Semantics":"single_shot","Group":"all","OnTimeUs":6000000,"DeadlineUs":10000000,"Importance":5.0,
-  "WindowUs":5000000}]}`, k, d.Orchestrators, 'a'+k%3, d.Longest.Microseconds())
+  "WindowUs":5000000}]}`, index, d.Orchestrators, 'a'+index%zones, d.MaxRetryAfter.Microseconds())
 }
 
-// Config is the configuration of one orchestrator, which reaches the command channel at an
-// address; mgmt may be "".
-func (d Deployment) Config(k int, listen, mgmt, channel string, seed uint64, f *Discovery) string {
+// Config is the configuration of the orchestrator with an index, which reaches discovery at
+// the address channel. The address for operators, mgmt, may be "".
+func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-		"channel":%q,"known":%s,"settings":%s}`, k, listen, mgmt, seed, channel, f.InitialList(0), d.Settings(k))
+		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed, channel, discovery.InitialList(0), d.Settings(index))
 }
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -11,84 +11,94 @@
 	"time"
 )
 
-// This file owns the stand-in command channel: its events and who waits for more.
+// This file owns the stand-in for discovery: its events, and the calls that wait for more.
+// It must never know which workers there are but by Add and CopyFrom.
 
-// Discovery is a command channel.
+// maxPolls bounds the polls that Discovery.Asked holds; what comes beyond is dropped.
+const maxPolls = 1000
+
+// Discovery serves the list of workers as the command channel does.
 type Discovery struct {
 	Srv    *httptest.Server
 	Asked  chan int // what each call resumes from
 	mu     sync.Mutex
-	more   chan struct{} // closed when an event is added
+	added  chan struct{} // closed when an event is added
 	events []string
 }
 
-// NewDiscovery returns a channel without events.
+// NewDiscovery starts a server without events, which ends with the test.
 func NewDiscovery(t Host) *Discovery {
-	f := &Discovery{more: make(chan struct{}), Asked: make(chan int, 1000)}
-	f.Srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
-		block, _ := strconv.Atoi(r.URL.Query().Get("block"))
-		select {
-		case f.Asked <- after:
-		default:
-		}
-		limit := time.After(time.Duration(block) * time.Millisecond)
-		for {
-			f.mu.Lock()
-			n, more := len(f.events), f.more
-			f.mu.Unlock()
-			if n > after {
-				break
-			}
-			select {
-			case <-more:
-				continue
-			case <-limit:
-			case <-r.Context().Done():
-				return
-			}
+	d := &Discovery{added: make(chan struct{}), Asked: make(chan int, maxPolls)}
+	d.Srv = httptest.NewServer(http.HandlerFunc(d.poll))
+	t.Cleanup(d.Srv.Close)
+	return d
+}
+
+// poll answers a call for the events after one, once there are any or its time is up.
+func (d *Discovery) poll(w http.ResponseWriter, r *http.Request) {
+	after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
+	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
+	select {
+	case d.Asked <- after:
+	default:
+	}
+	timeout := time.After(time.Duration(blockMs) * time.Millisecond)
+	for {
+		count, added := d.state()
+		if count > after {
 			break
 		}
-		io.WriteString(w, f.InitialList(after))
-	}))
-	t.Cleanup(f.Srv.Close)
-	return f
+		select {
+		case <-added:
+			continue
+		case <-timeout:
+		case <-r.Context().Done():
+			return
+		}
+		break
+	}
+	_, _ = io.WriteString(w, d.InitialList(after)) // a caller that is gone polls again
+}
+
+// state is the number of events, and what is closed when there is one more.
+func (d *Discovery) state() (count int, added <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.events), d.added
 }
 
-// InitialList is the answer to a call that has heard all events up to after.
-func (f *Discovery) InitialList(after int) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(f.events), strings.Join(f.events[min(after, len(f.events)):], ","))
+// InitialList is the answer to a call that has applied the events up to after.
+func (d *Discovery) InitialList(after int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(d.events), strings.Join(d.events[min(after, len(d.events)):], ","))
 }
 
-// Add tells of members.
-func (f *Discovery) Add(complete bool, members ...string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	n := len(f.events) + 1
-	f.events = append(f.events, fmt.Sprintf(`{"cursor":%d,"nodes":{"revision":%d,"complete":%v,"members":[%s]}}`,
-		n, n, complete, strings.Join(members, ",")))
-	close(f.more)
-	f.more = make(chan struct{})
+// Add adds an event with the entries of workers; a complete one lists all there are.
+func (d *Discovery) Add(complete bool, entries ...string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	number := len(d.events) + 1
+	d.events = append(d.events, fmt.Sprintf(`{"cursor":%d,"nodes":{"revision":%d,"complete":%v,"members":[%s]}}`,
+		number, number, complete, strings.Join(entries, ",")))
+	close(d.added)
+	d.added = make(chan struct{})
 }
 
-// WaitPolled waits until the program asks for what follows all events so far, which
-// it does once it has applied them.
-func (f *Discovery) WaitPolled(t Host) {
+// WaitPolled waits until the program calls for what follows all events so far, which it does
+// once it has applied them.
+func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
-	f.mu.Lock()
-	n := len(f.events)
-	f.mu.Unlock()
-	for Wait(t, "the command channel is asked", f.Asked) < n {
+	count, _ := d.state()
+	for Wait(t, "the command channel is asked", d.Asked) < count {
 	}
 }
 
-// CopyFrom has all events of another channel so far.
-func (f *Discovery) CopyFrom(from *Discovery) {
+// CopyFrom adds all events of another discovery so far.
+func (d *Discovery) CopyFrom(from *Discovery) {
 	from.mu.Lock()
 	defer from.mu.Unlock()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.events = append(f.events, from.events...)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, from.events...)
 }
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -12,30 +12,30 @@
 
 // Verdict is what one play showed.
 type Verdict struct {
-	Faults, FalseDead, Missed, OneWayFound, OneWay int
-	Views                                          int64           // changes of stable views, of all
-	Detect                                         []time.Duration // from an end to each that found it, sorted
-	Disagree                                       time.Duration   // after the end of all faults
-	Bytes                                          float64         // a second and member
-	Why                                            []string        // what is broken
+	Faults, FalseDead, MissedDead, OneWayDetected, OneWayCuts int
+	ViewChanges                                               int64           // changes of stable views, of all
+	DetectionTimes                                            []time.Duration // from an end to each that found it, sorted
+	Disagreement                                              time.Duration   // after the end of all faults
+	TrafficRate                                               float64         // a second and member
+	Why                                                       []string        // what is broken
 }
 
 func (v Verdict) String() string {
 	p := func(k int) int64 {
-		if len(v.Detect) == 0 {
+		if len(v.DetectionTimes) == 0 {
 			return -1
 		}
-		return v.Detect[(len(v.Detect)-1)*k/100].Milliseconds()
+		return v.DetectionTimes[(len(v.DetectionTimes)-1)*k/100].Milliseconds()
 	}
 	return fmt.Sprintf("faults=%d detect_p50_ms=%d detect_p99_ms=%d false_dead=%d missed_dead=%d one_way_found=%d of=%d disagree_s=%.1f "+
-		"view_changes=%d traffic_bytes_s_member=%.0f", v.Faults, p(50), p(99), v.FalseDead, v.Missed, v.OneWayFound, v.OneWay,
-		v.Disagree.Seconds(), v.Views, v.Bytes)
+		"view_changes=%d traffic_bytes_s_member=%.0f", v.Faults, p(50), p(99), v.FalseDead, v.MissedDead, v.OneWayDetected, v.OneWayCuts,
+		v.Disagreement.Seconds(), v.ViewChanges, v.TrafficRate)
 }
 
 func (v *Verdict) fault(format string, a ...any) { v.Why = append(v.Why, fmt.Sprintf(format, a...)) }
 
 // joined says whether ways led from one to the other and back in a sample, by whoever ran.
-func (s *Sample) joined(a, b string) bool {
+func (s *sample) joined(a, b string) bool {
 	seen, next := map[string]bool{a: true}, []string{a}
 	for len(next) > 0 && !seen[b] {
 		x := next[0]
@@ -80,8 +80,8 @@
 	found, wrong := map[couple]time.Duration{}, map[couple]bool{}
 	first, latest := map[string]int64{}, map[string]int64{}
 	for _, s := range r.samples {
-		for _, x := range r.Nodes {
-			for _, o := range r.Nodes {
+		for _, x := range r.Orchestrators {
+			for _, o := range r.Orchestrators {
 				c := couple{x.Name, o.Name}
 				if x != o && !s.joined(x.Name, o.Name) {
 					apart[c] = s.at
@@ -114,23 +114,23 @@
 	}
 	end := r.samples[len(r.samples)-1]
 	for who := range latest {
-		v.Views += latest[who] - first[who]
+		v.ViewChanges += latest[who] - first[who]
 	}
 	for name, gone := range ends {
-		for _, x := range r.Nodes {
+		for _, x := range r.Orchestrators {
 			c := couple{x.Name, name}
 			if !end.up[x.Name] || x.Name == name {
 				continue
 			}
 			if d, ok := found[c]; ok {
-				v.Detect = append(v.Detect, d)
+				v.DetectionTimes = append(v.DetectionTimes, d)
 			} else if gone.to.Sub(gone.from) > must {
-				v.Missed++
+				v.MissedDead++
 				v.fault("%s never held %s for dead", x.Name, name)
 			}
 		}
 	}
-	slices.Sort(v.Detect)
+	slices.Sort(v.DetectionTimes)
 	r.judgeWays(&v)
 	r.judgeEnd(&v)
 	return v
@@ -140,12 +140,12 @@
 func (r *Fleet) judgeWays(v *Verdict) {
 	for _, a := range r.applied {
 		from, to, ok := strings.Cut(a.Where, "->")
-		if !ok || a.Verb != "cut" || strings.HasSuffix(from, "<") || !slices.ContainsFunc(r.samples, func(s Sample) bool {
+		if !ok || a.Verb != "cut" || strings.HasSuffix(from, "<") || !slices.ContainsFunc(r.samples, func(s sample) bool {
 			return s.at.Sub(a.at) > 8*time.Second && !s.open[[2]string{from, to}]
 		}) || r.ended(from) || r.ended(to) {
 			continue
 		}
-		v.OneWay++
+		v.OneWayCuts++
 		for _, s := range r.samples {
 			says := func(who, whom, link string) bool {
 				t := s.told[who]
@@ -160,7 +160,7 @@
 				return false
 			}
 			if says(from, to, "out shut") || says(to, from, "in shut") {
-				v.OneWayFound++
+				v.OneWayDetected++
 				break
 			}
 		}
@@ -168,7 +168,7 @@
 }
 
 func (r *Fleet) ended(name string) bool {
-	return slices.ContainsFunc(r.applied, func(a Applied) bool {
+	return slices.ContainsFunc(r.applied, func(a appliedStep) bool {
 		return a.Where == name && (a.Verb == "kill" || a.Verb == "term" || a.Verb == "restart")
 	})
 }
@@ -181,7 +181,7 @@
 		sent += t.Traffic.SentBytes
 		told++
 	}
-	v.Bytes = float64(sent) / max(1, end.at.Sub(r.begin).Seconds()) / float64(max(1, told))
+	v.TrafficRate = float64(sent) / max(1, end.at.Sub(r.begin).Seconds()) / float64(max(1, told))
 	for _, s := range r.samples {
 		if s.at.Before(r.healed) {
 			continue
@@ -195,7 +195,7 @@
 		slices.Sort(want)
 		for name, t := range s.told {
 			if got := slices.Sorted(slices.Values(t.View.Names)); !slices.Equal(got, want) {
-				if v.Disagree = s.at.Sub(r.healed); s.at == end.at {
+				if v.Disagreement = s.at.Sub(r.healed); s.at == end.at {
 					v.fault("at the end %s sees %v, and %v are there", name, got, want)
 				}
 			}
--- a/internal/testbed/fleet/place.go
+++ b/internal/testbed/fleet/place.go
@@ -88,7 +88,7 @@
 // whose connection ends come again.
 func (r *Fleet) Demand(length time.Duration) *Placed {
 	p := &Placed{began: time.Now()}
-	for i, x := range r.Nodes {
+	for i, x := range r.Orchestrators {
 		p.all.Go(func() { r.own(p, i, x, p.began.Add(length)) })
 	}
 	return p
@@ -97,7 +97,7 @@
 // Wait is described at Demand.
 func (p *Placed) Wait() { p.all.Wait() }
 
-func (r *Fleet) own(p *Placed, i int, x *Node, until time.Time) {
+func (r *Fleet) own(p *Placed, i int, x *Orchestrator, until time.Time) {
 	var o *testbed.Client
 	for n := r.tags.Add(1); time.Now().Before(until); n = r.tags.Add(1) {
 		if o == nil {
@@ -131,7 +131,7 @@
 }
 
 // runs reports whether an orchestrator has run, and not stood still, since a time.
-func (x *Node) runs(since time.Time) bool {
+func (x *Orchestrator) runs(since time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Up() && !x.ending && x.born.Before(since) && x.pausedAt.Add(x.pausedFor).Before(since)
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -49,9 +49,9 @@
 	return r.moment(&r.samples[len(r.samples)-1]), true
 }
 
-func (r *Fleet) moment(s *Sample) Moment {
+func (r *Fleet) moment(s *sample) Moment {
 	m := Moment{At: s.at.Sub(r.begin).Seconds()}
-	for _, x := range r.Nodes {
+	for _, x := range r.Orchestrators {
 		e := Seen{Name: x.Name, Hall: x.Hall, Up: s.up[x.Name]}
 		if t := s.told[x.Name]; t != nil {
 			e.Sees = len(t.View.Names)
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -28,8 +28,8 @@
 	Alone         bool // they do not know each other
 }
 
-// Node is one orchestrator.
-type Node struct {
+// Orchestrator is one orchestrator.
+type Orchestrator struct {
 	testbed.Process
 	Hall       string
 	dir        string
@@ -47,22 +47,22 @@
 
 // Fleet is what is played with.
 type Fleet struct {
-	h       testbed.Host
-	net     *testbed.Network
-	Nodes   []*Node
-	minions []*testbed.Worker
-	begin   time.Time
-	mu      sync.Mutex // of what the schedule changes
-	healed  time.Time
-	samples []Sample
-	applied []Applied
-	tags    atomic.Int64
-	stop    chan struct{}
-	wait    sync.WaitGroup
+	h             testbed.Host
+	net           *testbed.Network
+	Orchestrators []*Orchestrator
+	minions       []*testbed.Worker
+	begin         time.Time
+	mu            sync.Mutex // of what the schedule changes
+	healed        time.Time
+	samples       []sample
+	applied       []appliedStep
+	tags          atomic.Int64
+	stop          chan struct{}
+	wait          sync.WaitGroup
 }
 
-// Applied is a step and when it was carried out.
-type Applied struct {
+// appliedStep is a step and when it was carried out.
+type appliedStep struct {
 	testbed.Step
 	at time.Time
 }
@@ -94,7 +94,7 @@
 		}
 	}
 	for i := range o.Orchestrators {
-		x := &Node{Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Process: testbed.Process{Name: fmt.Sprint("n", i)}}
+		x := &Orchestrator{Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Process: testbed.Process{Name: fmt.Sprint("n", i)}}
 		x.dir = filepath.Join(o.Dir, x.Name)
 		if err := os.MkdirAll(x.dir, 0o700); err != nil {
 			h.Fatal(err)
@@ -107,14 +107,14 @@
 		}
 		x.feed = testbed.NewDiscovery(h)
 		x.others = [3]string{fmt.Sprint("o", i), fmt.Sprint("f", i), fmt.Sprint("c", i)}
-		r.Nodes = append(r.Nodes, x)
+		r.Orchestrators = append(r.Orchestrators, x)
 	}
-	for i, x := range r.Nodes {
+	for i, x := range r.Orchestrators {
 		if err := r.settle(i, x, o); err != nil {
 			h.Fatal(err)
 		}
 	}
-	for _, x := range r.Nodes {
+	for _, x := range r.Orchestrators {
 		if err := r.start(x); err != nil {
 			h.Fatal(err)
 		}
@@ -124,11 +124,11 @@
 }
 
 // settle writes the settings of an orchestrator.
-func (r *Fleet) settle(i int, x *Node, o Options) error {
+func (r *Fleet) settle(i int, x *Orchestrator, o Options) error {
 	var conf strings.Builder
 	if !o.Alone {
 		fmt.Fprintf(&conf, "[peers]\nlisten %s\ncluster rig\nfolder %s\n", x.listen, x.dir)
-		for _, to := range r.Nodes {
+		for _, to := range r.Orchestrators {
 			if to == x {
 				continue
 			}
@@ -159,7 +159,7 @@
 		return err
 	}
 	path := filepath.Join(x.dir, "config.json")
-	d := testbed.Deployment{Orchestrators: o.Orchestrators, Longest: 3 * time.Second}
+	d := testbed.Deployment{Orchestrators: o.Orchestrators, MaxRetryAfter: 3 * time.Second}
 	for name, text := range map[string]string{path: d.Config(i, x.addr, x.mgmt, channel, o.Seed+uint64(i)*1000, x.feed), path + ".conf": conf.String()} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			return err
@@ -171,7 +171,7 @@
 }
 
 // start starts an orchestrator and returns once it serves.
-func (r *Fleet) start(x *Node) error {
+func (r *Fleet) start(x *Orchestrator) error {
 	if err := x.Start(); err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 }
 
 // point says where an orchestrator is reached, "" where it has ended.
-func (r *Fleet) point(x *Node, listen, addr string) error {
+func (r *Fleet) point(x *Orchestrator, listen, addr string) error {
 	if err := r.net.Point(x.others[1], addr); err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 
 func (r *Fleet) close() {
 	close(r.stop)
-	for _, x := range r.Nodes {
+	for _, x := range r.Orchestrators {
 		if x.Up() {
 			x.Resume()
 			x.End(syscall.SIGKILL)
@@ -204,10 +204,10 @@
 	r.wait.Wait()
 }
 
-func (r *Fleet) named(name string) *Node {
-	i := slices.IndexFunc(r.Nodes, func(x *Node) bool { return x.Name == name })
+func (r *Fleet) named(name string) *Orchestrator {
+	i := slices.IndexFunc(r.Orchestrators, func(x *Orchestrator) bool { return x.Name == name })
 	if i < 0 {
 		return nil
 	}
-	return r.Nodes[i]
+	return r.Orchestrators[i]
 }
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -21,8 +21,8 @@
 	if a, b, ok := strings.Cut(s.Where, "->"); ok {
 		return [][2]string{{a, b}}
 	}
-	for _, a := range r.Nodes {
-		for _, b := range r.Nodes {
+	for _, a := range r.Orchestrators {
+		for _, b := range r.Orchestrators {
 			spared := len(s.Args) == 2 && (a.Name == s.Args[1] || b.Name == s.Args[1])
 			if a != b && (s.Where == "all" || (a.Hall == s.Where) != (b.Hall == s.Where) && !spared) {
 				out = append(out, [2]string{a.Name, b.Name})
@@ -36,7 +36,7 @@
 func (r *Fleet) do(s testbed.Step) error {
 	defer func() {
 		r.mu.Lock()
-		r.applied = append(r.applied, Applied{s, time.Now()})
+		r.applied = append(r.applied, appliedStep{s, time.Now()})
 		r.mu.Unlock()
 	}()
 	number := func(i int) (v float64) { fmt.Sscan(s.Args[i], &v); return v }
@@ -72,13 +72,13 @@
 			case "loss":
 				c.Loss = number(0)
 			case "twice":
-				c.Twice = number(0)
+				c.Duplicate = number(0)
 			case "overtake":
-				c.Overtake = number(0)
+				c.Reorder = number(0)
 			case "bandwidth":
 				c.Bandwidth = int(number(0))
 			case "flap":
-				c.Flap, c.Since = span(0), time.Now()
+				c.Flap, c.FlapSince = span(0), time.Now()
 			case "mend":
 				*c = testbed.Conditions{}
 			}
@@ -90,7 +90,7 @@
 }
 
 // process carries out a step on a process.
-func (r *Fleet) process(x *Node, s testbed.Step, span func(int) time.Duration) error {
+func (r *Fleet) process(x *Orchestrator, s testbed.Step, span func(int) time.Duration) error {
 	if s.Verb == "start" && x.Up() || s.Verb != "start" && !x.Up() {
 		return nil // as a schedule that was drawn may have it
 	}
@@ -152,7 +152,7 @@
 // Draw makes a schedule for this fleet.
 func (r *Fleet) Draw(seed uint64, length time.Duration) []testbed.Step {
 	halls := map[string][]string{}
-	for _, x := range r.Nodes {
+	for _, x := range r.Orchestrators {
 		halls[x.Hall] = append(halls[x.Hall], x.Name)
 	}
 	return testbed.Draw(seed, halls, length)
--- a/internal/testbed/fleet/watch.go
+++ b/internal/testbed/fleet/watch.go
@@ -15,11 +15,11 @@
 // This file owns what is seen of a fleet: every orchestrator is asked for its table, and what
 // was so at that time is noted beside it. It must never judge.
 
-// Sample is what all were asked at one time, and how things were.
-type Sample struct {
+// sample is what all were asked at one time, and how things were.
+type sample struct {
 	at   time.Time
-	told map[string]*peer.Told // by who was asked; nil where there was no answer
-	up   map[string]bool       // runs, and is not paused
+	told map[string]*peer.StatusReport // by who was asked; nil where there was no answer
+	up   map[string]bool               // runs, and is not paused
 	born map[string]time.Time
 	open map[[2]string]bool // ways that carry
 }
@@ -44,17 +44,17 @@
 	})
 }
 
-func (r *Fleet) look() Sample {
-	s := Sample{at: time.Now(), told: map[string]*peer.Told{}, up: map[string]bool{}, born: map[string]time.Time{}, open: map[[2]string]bool{}}
+func (r *Fleet) look() sample {
+	s := sample{at: time.Now(), told: map[string]*peer.StatusReport{}, up: map[string]bool{}, born: map[string]time.Time{}, open: map[[2]string]bool{}}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	r.mu.Lock()
-	for _, x := range r.Nodes {
+	for _, x := range r.Orchestrators {
 		x.mu.Lock()
 		s.up[x.Name] = x.Up() && s.at.After(x.pausedAt.Add(x.pausedFor))
 		s.born[x.Name] = x.born
 		x.mu.Unlock()
-		for _, o := range r.Nodes {
+		for _, o := range r.Orchestrators {
 			s.open[[2]string{x.Name, o.Name}] = r.net.Open(x.Name, o.Name)
 		}
 		if s.up[x.Name] {
@@ -73,7 +73,7 @@
 }
 
 // table asks an orchestrator for what it believes; nil where it does not answer.
-func table(mgmt string) *peer.Told {
+func table(mgmt string) *peer.StatusReport {
 	c, err := net.DialTimeout("tcp", mgmt, sampleEvery)
 	if err != nil {
 		return nil
@@ -83,7 +83,7 @@
 	fmt.Fprintln(c, "PEERS")
 	b, err := io.ReadAll(c)
 	line, whole := strings.CutSuffix(string(b), "\n.\n")
-	var t peer.Told
+	var t peer.StatusReport
 	if err != nil || !whole || json.Unmarshal([]byte(line), &t) != nil {
 		return nil
 	}
--- /dev/null
+++ b/internal/testbed/message.go
@@ -0,0 +1,77 @@
+package testbed
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"strconv"
+)
+
+// This file owns the messages of the JSON lines protocol as stand-ins write them. It must
+// never use the codec that it is there to test.
+
+// Line is one message.
+type Line struct {
+	Verb string            `json:"verb"`
+	Tag  string            `json:"tag"`
+	Opts map[string]string `json:"opts"`
+	RC   *int              `json:"rc,omitempty"`
+	Blob *string           `json:"blob,omitempty"`
+}
+
+// Codes of FINISH and ECHOED messages, as the protocol numbers them.
+const (
+	codeOK        = 1
+	codeEnded     = 16
+	codeCancelled = 31
+	codeRejected  = 34
+	codeFailed    = 47
+)
+
+// noCode is the code of a message that carries none.
+const noCode = -1
+
+// Cause is the code of a message, -1 where it has none.
+func (l Line) Cause() int {
+	if l.RC == nil {
+		return noCode
+	}
+	return *l.RC
+}
+
+// FinishLine returns a message with a code.
+func FinishLine(verb, tag string, rc int) Line {
+	return Line{Verb: verb, Tag: tag, Opts: map[string]string{}, RC: &rc}
+}
+
+// RequestID returns the nth request ID.
+func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
+
+// StartLine returns the submission of a task of one core, to be answered within leftMs
+// milliseconds.
+func StartLine(tag, class, key string, leftMs int) Line {
+	blob := "about " + key
+	return Line{Verb: "START", Tag: tag, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
+		"left": strconv.Itoa(leftMs), "extras": "cores:1;memory:2;service:00000000b4d65521"}}
+}
+
+// startedLine returns the message that a task was accepted.
+func startedLine(tag, blob string) Line {
+	return Line{Verb: "STARTED", Tag: tag, Opts: map[string]string{}, Blob: &blob}
+}
+
+// rejectedLine returns the message that an offer was rejected, with its cause.
+func rejectedLine(tag, cause string) Line {
+	line := FinishLine("FINISH", tag, codeRejected)
+	line.Opts["note"] = cause
+	return line
+}
+
+// Send writes a message. That the other side is gone shows when reading.
+func Send(w io.Writer, l Line) {
+	b, err := json.Marshal(l)
+	if err != nil {
+		panic(err)
+	}
+	_, _ = w.Write(append(b, '\n')) // whoever reads the connection notices its end
+}
--- /dev/null
+++ b/internal/testbed/network.go
@@ -0,0 +1,255 @@
+package testbed
+
+import (
+	"errors"
+	"math/rand/v2"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// This file owns the network between processes: its relays, one for each ordered pair, and
+// the conditions of each direction. It must never carry anything itself.
+
+const (
+	firstPort    = 20_000 // below those that the kernel gives out by itself
+	portCount    = 10_000
+	portAttempts = 5_000
+)
+
+// portsUsed counts the ports that were given out, of all networks of this process, so that
+// each has its own. It begins where other processes are not likely to.
+var portsUsed atomic.Int64
+
+func init() { portsUsed.Store(int64(os.Getpid()) * 997) }
+
+var errNoPort = errors.New(errorPrefix + ": no port is free")
+
+// direction is an ordered pair of processes.
+type direction struct{ from, to string }
+
+func (d direction) reverse() direction { return direction{d.to, d.from} }
+
+// Network is the network between processes. Its chances are drawn from one seed.
+type Network struct {
+	mu         sync.Mutex
+	changed    *sync.Cond // conditions changed, or the network is closed
+	random     *rand.Rand
+	conditions map[direction]Conditions
+	addresses  map[string]string // where each process listens, "" where none does
+	relays     map[direction]*relay
+	changedAt  map[direction]time.Time // when the conditions of a direction last changed
+	closed     bool
+	// Passed and Stopped count what got through and what did not, of datagrams and of reads
+	// of connections.
+	Passed, Stopped atomic.Int64
+}
+
+// NewNetwork returns a network without relays.
+func NewNetwork(seed uint64) *Network {
+	n := &Network{
+		random:     rand.New(rand.NewPCG(seed, 4)),
+		conditions: map[direction]Conditions{},
+		addresses:  map[string]string{},
+		relays:     map[direction]*relay{},
+		changedAt:  map[direction]time.Time{},
+	}
+	n.changed = sync.NewCond(&n.mu)
+	return n
+}
+
+// Relay opens the path from one process to another and returns the address where it begins.
+func (n *Network) Relay(from, to string) (string, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	datagrams, err := listenFreePort()
+	if err != nil {
+		return "", err
+	}
+	r := newRelay(n, direction{from, to}, datagrams)
+	n.relays[r.direction] = r
+	go r.relayDatagrams()
+	return r.address, nil
+}
+
+// Place returns an address at which a process can listen, now and when it is started again.
+func (n *Network) Place() (string, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	datagrams, err := listenFreePort()
+	if err != nil {
+		return "", err
+	}
+	return datagrams.LocalAddr().String(), datagrams.Close()
+}
+
+// listenFreePort listens on a port that is free for datagrams and for connections, below
+// those that the kernel gives out by itself: one that is closed for a while is still free
+// afterwards.
+func listenFreePort() (*net.UDPConn, error) {
+	for range portAttempts {
+		port := firstPort + int(portsUsed.Add(1))%portCount
+		datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port})
+		if err != nil {
+			continue
+		}
+		connections, err := net.Listen("tcp4", datagrams.LocalAddr().String())
+		if err != nil {
+			CloseQuietly(datagrams)
+			continue
+		}
+		CloseQuietly(connections)
+		return datagrams, nil
+	}
+	return nil, errNoPort
+}
+
+// Point sets where a process listens from now on; "" where it has ended.
+func (n *Network) Point(name, addr string) error {
+	n.mu.Lock()
+	n.addresses[name] = addr
+	n.mu.Unlock()
+	return n.updateListeners()
+}
+
+// Set changes the conditions of one direction.
+func (n *Network) Set(from, to string, change func(*Conditions)) error {
+	n.mu.Lock()
+	d := direction{from, to}
+	conditions := n.conditions[d]
+	change(&conditions)
+	n.conditions[d] = conditions
+	n.changedAt[d] = time.Now()
+	n.changed.Broadcast()
+	n.mu.Unlock()
+	return n.updateListeners()
+}
+
+// Heal ends all conditions.
+func (n *Network) Heal() error {
+	n.mu.Lock()
+	for d := range n.conditions {
+		n.changedAt[d] = time.Now()
+	}
+	clear(n.conditions)
+	n.changed.Broadcast()
+	n.mu.Unlock()
+	return n.updateListeners()
+}
+
+// Reset ends the connections of one direction with a reset.
+func (n *Network) Reset(from, to string) {
+	n.mu.Lock()
+	r := n.relays[direction{from, to}]
+	n.mu.Unlock()
+	if r != nil {
+		r.resetConnections()
+	}
+}
+
+// Close ends all relays.
+func (n *Network) Close() {
+	n.mu.Lock()
+	n.closed = true
+	clear(n.conditions)
+	n.changed.Broadcast()
+	relays := n.relays
+	n.mu.Unlock()
+	for _, r := range relays {
+		r.close()
+	}
+}
+
+// Open reports whether a direction carries, but for chance and for flapping.
+func (n *Network) Open(from, to string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	conditions := n.conditions[direction{from, to}]
+	return !conditions.Cut && !conditions.Refuse
+}
+
+// Has reports whether there is a path between two processes.
+func (n *Network) Has(from, to string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	d := direction{from, to}
+	return n.relays[d] != nil || n.relays[d.reverse()] != nil
+}
+
+// WasHealthy reports whether both directions between two processes have been without a fault
+// since a time.
+func (n *Network) WasHealthy(a, b string, since time.Time) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	d := direction{a, b}
+	for _, d := range []direction{d, d.reverse()} {
+		if n.conditions[d] != (Conditions{}) || n.changedAt[d].After(since) {
+			return false
+		}
+	}
+	return true
+}
+
+// path is the conditions of a direction, and the address at its far end.
+func (n *Network) path(d direction) (conditions Conditions, address string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.conditions[d], n.addresses[d.to]
+}
+
+// draws reports whether an event of some probability happens.
+func (n *Network) draws(probability float64) bool {
+	if probability <= 0 {
+		return false
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.random.Float64() < probability
+}
+
+// delay draws how long some bytes are on their way.
+func (n *Network) delay(c Conditions, bytes int) time.Duration {
+	d := c.Delay
+	if c.Jitter > 0 {
+		n.mu.Lock()
+		d += time.Duration(n.random.Int64N(int64(c.Jitter)))
+		n.mu.Unlock()
+	}
+	if c.Bandwidth > 0 {
+		d += time.Duration(bytes) * time.Second / time.Duration(c.Bandwidth)
+	}
+	return d
+}
+
+// updateListeners lets each relay accept connections or refuse them, as is so now.
+func (n *Network) updateListeners() error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for d, r := range n.relays {
+		if err := r.setListening(n.addresses[d.to] != "" && !n.conditions[d].Refuse && !n.closed); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// flapPoll is how often a flapping direction is looked at.
+const flapPoll = 10 * time.Millisecond
+
+// waitOpen waits while a direction is cut; it returns false once the network is closed.
+func (n *Network) waitOpen(d direction) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for !n.closed && n.conditions[d].isCut(time.Now()) {
+		if n.conditions[d].Flap > 0 { // nothing notifies of its turns
+			n.mu.Unlock()
+			time.Sleep(flapPoll)
+			n.mu.Lock()
+			continue
+		}
+		n.changed.Wait()
+	}
+	return !n.closed
+}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"strings"
@@ -11,20 +12,20 @@
 	"time"
 )
 
-// This file owns processes of the program: their start, their log, their signals and
-// their end. It ends none but those that it started.
+// This file owns processes of the program: their start, their log, their signals and their
+// end. It must never signal a process that it did not start.
 
-// Process is one process, which may be started again.
+// Process is one process, which may be started again after its end.
 type Process struct {
 	Name, Bin string
 	Args, Env []string
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
-	lines []string
-	from  int // lines of earlier starts
-	more  *sync.Cond
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	ended      chan struct{} // closed with the process
+	lines      []string
+	firstLine  int // of this start: those before it are of earlier ones
+	logChanged *sync.Cond
 }
 
 // Start starts it.
@@ -36,54 +37,55 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		return fmt.Errorf("standin: %s: %w", p.Name, err)
+		return fmt.Errorf("%s: %s: %w", errorPrefix, p.Name, err)
 	}
 	p.mu.Lock()
-	if p.more == nil {
-		p.more = sync.NewCond(&p.mu)
+	if p.logChanged == nil {
+		p.logChanged = sync.NewCond(&p.mu)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.from = cmd, ended, len(p.lines)
+	p.cmd, p.ended, p.firstLine = cmd, ended, len(p.lines)
 	p.mu.Unlock()
-	go func() {
-		for s := bufio.NewScanner(log); s.Scan(); {
-			p.mu.Lock()
-			p.lines = append(p.lines, s.Text())
-			p.more.Broadcast()
-			p.mu.Unlock()
-		}
-		cmd.Wait()
+	go p.follow(cmd, log, ended)
+	return nil
+}
+
+// follow collects the log of a process, and waits for its end.
+func (p *Process) follow(cmd *exec.Cmd, log io.Reader, ended chan<- struct{}) {
+	for scanner := bufio.NewScanner(log); scanner.Scan(); {
 		p.mu.Lock()
-		close(ended)
-		p.more.Broadcast()
+		p.lines = append(p.lines, scanner.Text())
+		p.logChanged.Broadcast()
 		p.mu.Unlock()
-	}()
-	return nil
+	}
+	_ = cmd.Wait() // how it ended does not matter: most processes are killed
+	p.mu.Lock()
+	close(ended)
+	p.logChanged.Broadcast()
+	p.mu.Unlock()
 }
 
-// WaitForLog waits for a line of this start that holds a text, and returns the word that
+// WaitForLog waits for a line of this start that contains a text, and returns the word that
 // follows it.
 func (p *Process) WaitForLog(text string) (string, error) {
 	timer := time.AfterFunc(Patience, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.more.Broadcast()
+		p.logChanged.Broadcast()
 	})
 	defer timer.Stop()
-	limit := time.Now().Add(Patience)
+	deadline := time.Now().Add(Patience)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := p.from; ; i++ {
+	for i := p.firstLine; ; i++ {
 		for i >= len(p.lines) {
-			select {
-			case <-p.ended:
-				return "", fmt.Errorf("standin: %s ended: %v", p.Name, p.lines[p.from:])
-			default:
+			if p.hasEnded() {
+				return "", fmt.Errorf("%s: %s ended: %v", errorPrefix, p.Name, p.lines[p.firstLine:])
 			}
-			if !time.Now().Before(limit) {
-				return "", fmt.Errorf("standin: %s said no %q in %s: %v", p.Name, text, Patience, p.lines[p.from:])
+			if !time.Now().Before(deadline) {
+				return "", fmt.Errorf("%s: %s said no %q in %s: %v", errorPrefix, p.Name, text, Patience, p.lines[p.firstLine:])
 			}
-			p.more.Wait()
+			p.logChanged.Wait()
 		}
 		if _, rest, ok := strings.Cut(p.lines[i], text); ok {
 			word, _, _ := strings.Cut(rest, " ")
@@ -92,7 +94,7 @@
 	}
 }
 
-// Lines is all that it has logged.
+// Lines is all that it has logged, over all starts.
 func (p *Process) Lines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,15 +102,14 @@
 }
 
 // Up reports whether it runs, or is paused.
-func (p *Process) Up() bool {
-	if p.ended == nil {
-		return false
-	}
+func (p *Process) Up() bool { return p.ended != nil && !p.hasEnded() }
+
+func (p *Process) hasEnded() bool {
 	select {
 	case <-p.ended:
-		return false
-	default:
 		return true
+	default:
+		return false
 	}
 }
 
@@ -124,12 +125,16 @@
 	if !p.Up() {
 		return
 	}
-	p.cmd.Process.Signal(s)
+	p.signal(s)
 	<-p.ended
 }
 
 // Pause stops it where it is; Resume lets it go on.
-func (p *Process) Pause() { p.cmd.Process.Signal(syscall.SIGSTOP) }
+func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
 // Resume is described at Pause.
-func (p *Process) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
+
+func (p *Process) signal(s syscall.Signal) {
+	_ = p.cmd.Process.Signal(s) // it fails where the process has just ended
+}
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -6,263 +6,258 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
-// This file owns the way between an orchestrator and one minion, as a relay that a
-// test delays and cuts. It acts as a network does: what is sent into a cut waits in the
-// sender and arrives once that heals, unless the sender resets its connection, which
-// takes it back; the other side hears nothing of a reset that met a cut, and believes
-// in its connection; no connection comes up during a cut.
+// This file owns the path between an orchestrator and one worker, as a proxy that a test
+// delays and partitions. It acts as a network does: what is sent into a partition waits in
+// the sender and arrives once that heals, unless the sender resets its connection, which
+// takes it back; the other side learns nothing of a reset during a partition, and takes its
+// connection for open; no connection comes up during a partition.
+
+const (
+	proxyBuffer     = 16 << 10 // bytes of one read
+	maxSegments     = 10_000   // on their way in one connection
+	normalBacklog   = 1024
+	backlogFullTime = 50 * time.Millisecond // after which a dial that does not come up shows a full backlog
+)
 
-// Proxy is a relay to one address.
+// Proxy forwards connections to one address.
 type Proxy struct {
-	ln       *net.TCPListener
-	to       string
+	listener *net.TCPListener
+	target   string
 	attempts *AttemptLog
-	mu       sync.Mutex
-	turned   *sync.Cond // cut or healed, or closed
-	delay    time.Duration
-	cut      bool
-	done     bool
-	stranded map[net.Conn]bool   // connections that carry nothing any more
-	fillers  map[string]net.Conn // keep the queue of callers full during a cut
-	all      []net.Conn
+
+	mu          sync.Mutex
+	changed     *sync.Cond // partitioned or healed, or closed
+	delay       time.Duration
+	partitioned bool
+	closed      bool
+	stranded    map[net.Conn]bool   // connections that carry nothing any more
+	fillers     map[string]net.Conn // fill the backlog during a partition, by local address
+	connections []net.Conn
 }
 
-// NewProxy relays to a minion, which is told to the orchestrator by the link's address
-// from now on.
-func NewProxy(t Host, m *Worker) *Proxy {
-	l := newProxy(t, m.ln.Addr().String(), m.Attempts)
-	m.via = l.Addr()
-	return l
+// NewProxy forwards to a worker, whose list entries name the proxy's address from now on.
+func NewProxy(t Host, w *Worker) *Proxy {
+	proxy := newProxy(t, w.listener.Addr().String(), w.Attempts)
+	w.proxyAddress = proxy.Addr()
+	return proxy
 }
 
-// NewProxyTo relays to an address.
+// NewProxyTo forwards to an address.
 func NewProxyTo(t Host, addr string) *Proxy { return newProxy(t, addr, nil) }
 
-func newProxy(t Host, to string, attempts *AttemptLog) *Proxy {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newProxy(t Host, target string, attempts *AttemptLog) *Proxy {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Proxy{ln: ln.(*net.TCPListener), to: to, attempts: attempts, fillers: map[string]net.Conn{}}
-	l.turned = sync.NewCond(&l.mu)
-	go l.accept()
-	t.Cleanup(l.close)
-	return l
+	p := &Proxy{listener: listener.(*net.TCPListener), target: target, attempts: attempts, fillers: map[string]net.Conn{}}
+	p.changed = sync.NewCond(&p.mu)
+	go p.accept()
+	t.Cleanup(p.close)
+	return p
 }
 
 // Addr is where it listens.
-func (l *Proxy) Addr() string { return l.ln.Addr().String() }
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-func (l *Proxy) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.done, l.cut = true, false
-	l.turned.Broadcast()
-	l.ln.Close()
-	for _, c := range l.all {
-		c.Close()
+func (p *Proxy) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed, p.partitioned = true, false
+	p.changed.Broadcast()
+	CloseQuietly(p.listener)
+	for _, conn := range p.connections {
+		CloseQuietly(conn)
 	}
 }
 
-// Strand lets the connections that are there stay open and carry nothing any more. New
-// ones are as before.
-func (l *Proxy) Strand() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.stranded = map[net.Conn]bool{}
-	for _, c := range l.all {
-		l.stranded[c] = true
-	}
-}
-
-// carries waits until nothing is cut; it reports whether a connection still carries something.
-func (l *Proxy) carries(c net.Conn) bool {
-	if !l.through() {
-		return false
+// Strand lets the connections that are open stay so and carry nothing any more. New ones
+// are as before.
+func (p *Proxy) Strand() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.stranded = map[net.Conn]bool{}
+	for _, conn := range p.connections {
+		p.stranded[conn] = true
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.stranded[c]
 }
 
-// Delay sets how long messages to the minion are on their way.
-func (l *Proxy) Delay(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.delay = d
+// Delay sets how long messages to the worker are on their way.
+func (p *Proxy) Delay(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.delay = d
 }
 
-// Cut lets nothing through, in either direction, and no connection come up.
-func (l *Proxy) Cut(t Host) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cut = true
-	l.ln.SetDeadline(time.Unix(1, 0)) // whoever accepts stops
-	l.backlog(t, 0)
+// Cut partitions both sides: nothing passes in either direction, and no connection comes up.
+func (p *Proxy) Cut(t Host) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.partitioned = true
+	p.setAcceptDeadline(t, time.Unix(1, 0)) // accept stops
+	setBacklog(t, p.listener, 0)
 	for {
-		c, err := net.DialTimeout("tcp", l.ln.Addr().String(), 50*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", p.listener.Addr().String(), backlogFullTime)
 		if err != nil {
-			return // the queue is full
+			return // the backlog is full
 		}
-		l.fillers[c.LocalAddr().String()] = c
+		p.fillers[conn.LocalAddr().String()] = conn
 	}
 }
 
-// Heal ends a cut.
-func (l *Proxy) Heal(t Host) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.backlog(t, 1024)
-	l.ln.SetDeadline(time.Time{})
-	l.cut = false
-	l.turned.Broadcast()
+// Heal ends a partition.
+func (p *Proxy) Heal(t Host) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	setBacklog(t, p.listener, normalBacklog)
+	p.setAcceptDeadline(t, time.Time{})
+	p.partitioned = false
+	p.changed.Broadcast()
 }
 
-func (l *Proxy) backlog(t Host, n int) {
-	raw, err := l.ln.SyscallConn()
-	if err != nil {
+func (p *Proxy) setAcceptDeadline(t Host, deadline time.Time) {
+	if err := p.listener.SetDeadline(deadline); err != nil {
 		t.Fatal(err)
 	}
-	if err := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), n) }); err != nil {
-		t.Fatal(err)
+}
+
+// waitHealed waits for the end of a partition; it returns false once the proxy is closed.
+func (p *Proxy) waitHealed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for p.partitioned {
+		p.changed.Wait()
 	}
+	return !p.closed
 }
 
-// through waits until nothing is cut; it reports whether the link is still there.
-func (l *Proxy) through() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for l.cut {
-		l.turned.Wait()
+// carries waits for the end of a partition; it reports whether a connection still carries
+// something.
+func (p *Proxy) carries(conn net.Conn) bool {
+	if !p.waitHealed() {
+		return false
 	}
-	return !l.done
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.stranded[conn]
+}
+
+func (p *Proxy) isPartitioned() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.partitioned
 }
 
-func (l *Proxy) isCut() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cut
+func (p *Proxy) currentDelay() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.delay
 }
 
-func (l *Proxy) accept() {
-	for l.through() {
-		a, err := l.ln.Accept()
+// accept forwards connections until the proxy is closed.
+func (p *Proxy) accept() {
+	for p.waitHealed() {
+		from, err := p.listener.Accept()
 		if err != nil {
 			continue
 		}
-		l.mu.Lock()
-		filler := l.fillers[a.RemoteAddr().String()]
-		delete(l.fillers, a.RemoteAddr().String())
-		l.mu.Unlock()
-		if filler != nil {
-			filler.Close()
-			a.Close()
+		if filler := p.takeFiller(from); filler != nil {
+			CloseQuietly(filler)
+			CloseQuietly(from)
 			continue
 		}
-		b, err := net.Dial("tcp", l.to)
+		to, err := net.Dial("tcp", p.target)
 		if err != nil {
-			a.(*net.TCPConn).SetLinger(0)
-			a.Close()
+			ResetConnection(from)
 			continue
 		}
-		l.mu.Lock()
-		l.all = append(l.all, a, b)
-		l.mu.Unlock()
-		l.attempts.opened(b.LocalAddr().String(), func() bool { return shut(a.(*net.TCPConn)) })
-		go l.forth(a, b)
-		go l.back(a, b)
+		p.mu.Lock()
+		p.connections = append(p.connections, from, to)
+		p.mu.Unlock()
+		p.attempts.connected(to.LocalAddr().String(), func() bool { return closedByPeer(from.(*net.TCPConn)) })
+		go p.forward(from, to)
+		go p.backward(from, to)
 	}
 }
 
-// shut reports whether the other side of a connection has closed it, by what the system
-// knows and not by what was read.
-func shut(c *net.TCPConn) bool {
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return true
-	}
-	state := uint8(0)
-	if err := raw.Control(func(fd uintptr) {
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			state = info.State
-		}
-	}); err != nil {
-		return true
-	}
-	const established = 1
-	return state != established
+// takeFiller returns the far end of an accepted connection that filled the backlog, or nil.
+func (p *Proxy) takeFiller(accepted net.Conn) net.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	address := accepted.RemoteAddr().String()
+	filler := p.fillers[address]
+	delete(p.fillers, address)
+	return filler
 }
 
-// parcel is what was read at once, and when; or the end.
-type parcel struct {
-	at  time.Time
-	b   []byte
-	err error
+// segment is what was read at once, and when; or the error that ended the reading.
+type segment struct {
+	at    time.Time
+	bytes []byte
+	err   error
 }
 
-// forth carries what the orchestrator sends.
-func (l *Proxy) forth(a, b net.Conn) {
-	parcels := make(chan parcel, 10_000)
+// forward carries what the orchestrator sends.
+func (p *Proxy) forward(from, to net.Conn) {
+	segments := make(chan segment, maxSegments)
 	reset := make(chan struct{})
-	go func() {
-		for {
-			buf := make([]byte, 16<<10)
-			n, err := a.Read(buf)
-			if n > 0 {
-				parcels <- parcel{at: time.Now(), b: buf[:n]}
-			}
-			if err != nil {
-				l.attempts.closed(b.LocalAddr().String())
-				if errors.Is(err, syscall.ECONNRESET) {
-					close(reset)
-				}
-				parcels <- parcel{at: time.Now(), err: err}
-				return
-			}
-		}
-	}()
-	for p := range parcels {
-		l.mu.Lock()
-		delay := l.delay
-		l.mu.Unlock()
-		time.Sleep(time.Until(p.at.Add(delay)))
-		wasCut := l.isCut()
-		if !l.carries(a) {
+	go p.readSegments(from, to, segments, reset)
+	for next := range segments {
+		time.Sleep(time.Until(next.at.Add(p.currentDelay())))
+		wasPartitioned := p.isPartitioned()
+		if !p.carries(from) {
 			return
 		}
 		select {
 		case <-reset:
-			if !wasCut {
-				b.(*net.TCPConn).SetLinger(0)
-				b.Close()
-			} // else the minion hears nothing of it, and what lay in between is gone
+			if !wasPartitioned {
+				ResetConnection(to)
+			} // else the worker learns nothing of it, and what was on its way is lost
 			return
 		default:
 		}
-		if p.err != nil {
-			b.Close()
+		if next.err != nil {
+			CloseQuietly(to)
+			return
+		}
+		_, _ = to.Write(next.bytes) // backward notices the worker's end
+	}
+}
+
+// readSegments reads what the orchestrator sends, to the end of its connection. It closes
+// reset where that end is a reset.
+func (p *Proxy) readSegments(from, to net.Conn, segments chan<- segment, reset chan<- struct{}) {
+	for {
+		buffer := make([]byte, proxyBuffer)
+		n, err := from.Read(buffer)
+		if n > 0 {
+			segments <- segment{at: time.Now(), bytes: buffer[:n]}
+		}
+		if err != nil {
+			p.attempts.connectionClosed(to.LocalAddr().String())
+			if errors.Is(err, syscall.ECONNRESET) {
+				close(reset)
+			}
+			segments <- segment{at: time.Now(), err: err}
 			return
 		}
-		b.Write(p.b)
 	}
 }
 
-// back carries what the minion sends. What comes for a connection that is gone is lost.
-func (l *Proxy) back(a, b net.Conn) {
+// backward carries what the worker sends. What comes for a connection that is gone is lost.
+func (p *Proxy) backward(from, to net.Conn) {
 	for {
-		buf := make([]byte, 16<<10)
-		n, err := b.Read(buf)
-		if !l.carries(a) {
+		buffer := make([]byte, proxyBuffer)
+		n, err := to.Read(buffer)
+		if !p.carries(from) {
 			return
 		}
 		if err != nil {
-			a.Close()
+			CloseQuietly(from)
 			return
 		}
-		a.Write(buf[:n])
+		_, _ = from.Write(buffer[:n]) // forward notices the orchestrator's end
 	}
 }
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -49,8 +49,8 @@
 			if bad != "" {
 				t.Error(bad)
 			}
-			if v.OneWay > v.OneWayFound {
-				t.Errorf("%d of %d one-way links found", v.OneWayFound, v.OneWay)
+			if v.OneWayCuts > v.OneWayDetected {
+				t.Errorf("%d of %d one-way links found", v.OneWayDetected, v.OneWayCuts)
 			}
 		})
 	}
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -54,8 +54,8 @@
 	if silent := placed.Silent(); len(silent) > 0 {
 		bad = append(bad, fmt.Sprintf("%d set-ups without an answer, as %s", len(silent), silent[0]))
 	}
-	if v.Disagree > 3*time.Second {
-		bad = append(bad, fmt.Sprintf("tables differ %s after the end of all faults", v.Disagree))
+	if v.Disagreement > 3*time.Second {
+		bad = append(bad, fmt.Sprintf("tables differ %s after the end of all faults", v.Disagreement))
 	}
 	t.Logf("placed: %+v", placed.Total())
 	return v, strings.Join(bad, "\n")
@@ -94,7 +94,7 @@
 		return
 	}
 	t.Errorf("seed %d: %s\nschedule: %s", *seedFlag, bad, testbed.Text(steps))
-	for _, x := range r.Nodes {
+	for _, x := range r.Orchestrators {
 		for _, l := range x.Lines() {
 			if strings.Contains(l, "msg=membership") || strings.Contains(l, "WARN") || strings.Contains(l, "ERROR") {
 				t.Log(l)
@@ -102,7 +102,7 @@
 		}
 	}
 	if *shrinkFlag {
-		steps = testbed.Shrink(steps, func(less []testbed.Step) (fails bool) {
+		steps = testbed.ShrinkSchedule(steps, func(less []testbed.Step) (fails bool) {
 			t.Run("shrink", func(t *testing.T) {
 				r := start(t, false)
 				r.Watch()
--- a/test/storm/rig_test.go
+++ b/test/storm/rig_test.go
@@ -85,7 +85,7 @@
 			at:    from + time.Duration(r.Float64()*float64(span)),
 			from:  r.Uint64(),
 			crowd: prefix == "c",
-			Task:  testbed.Task{Class: c.name, Cores: s.shape[0], Memory: s.shape[1], Work: between(r, c.work), Life: life}})
+			Task:  testbed.Task{Class: c.name, Cores: s.shape[0], Memory: s.shape[1], StartTime: between(r, c.work), RunTime: life}})
 	}
 	return out
 }
@@ -122,9 +122,9 @@
 	history history
 }
 
-func (w *watch) Offered(machine, tag string) { w.history.add(step{tag, begins, machine}) }
-func (w *watch) Refused(machine, tag string) { w.history.add(step{tag, refuses, machine}) }
-func (w *watch) GivenUp(machine, tag string) { w.history.add(step{tag, givesUp, machine}) }
+func (w *watch) Offered(machine, tag string)   { w.history.add(step{tag, begins, machine}) }
+func (w *watch) Rejected(machine, tag string)  { w.history.add(step{tag, refuses, machine}) }
+func (w *watch) Cancelled(machine, tag string) { w.history.add(step{tag, givesUp, machine}) }
 
 type place struct{ machine, tag string }
 
@@ -139,7 +139,7 @@
 	w.where[key] = place{machine, tag}
 }
 
-func (w *watch) Runs(key string) {
+func (w *watch) Started(key string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ran[key].IsZero() {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (w *watch) Over(key, tag string) {
+func (w *watch) Completed(key, tag string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.where[key].tag == tag {
@@ -165,14 +165,14 @@
 func machineSpecs(f fleet) []testbed.WorkerSpec {
 	var out []testbed.WorkerSpec
 	for i := range f.nodes {
-		s := testbed.WorkerSpec{Name: fmt.Sprintf("s-%08x", 0xc41f00+i), Hall: "hall-" + string(rune('a'+i%3)), Kind: "node-32", Cell: i / 6,
-			Cores: 28, Memory: 60, Ask: [2]time.Duration{11 * ms, 34 * ms}, Queue: 20, Starts: 4, ColdShare: 0.21, Multiple: 4, Fresh: 25,
-			ColdFor: 16 * time.Second, FallFor: 3 * time.Second, MeanWork: 170 * ms}
+		s := testbed.WorkerSpec{Name: fmt.Sprintf("s-%08x", 0xc41f00+i), Zone: "hall-" + string(rune('a'+i%3)), Kind: "node-32", Cell: i / 6,
+			Cores: 28, Memory: 60, InspectionTime: [2]time.Duration{11 * ms, 34 * ms}, QueueLength: 20, MaxStarting: 4, ColdStartRate: 0.21, FallMultiple: 4, InitialBudget: 25,
+			SlowStart: 16 * time.Second, OverloadWindow: 3 * time.Second, MeanStartTime: 170 * ms}
 		if i%3 == 2 {
-			s.Kind, s.Cores, s.Memory, s.Starts = "node-64", 56, 120, 8
+			s.Kind, s.Cores, s.Memory, s.MaxStarting = "node-64", 56, 120, 8
 		}
 		if i < f.cold {
-			s.Up = time.Now()
+			s.UpSince = time.Now()
 		}
 		out = append(out, s)
 	}
@@ -257,7 +257,7 @@
 		listen = "127.0.0.1:0"
 	}
 	path := filepath.Join(o.r.dir, fmt.Sprintf("config%d.json", o.i))
-	text := testbed.Deployment{Orchestrators: len(o.r.orch), Longest: o.r.longest}.Config(o.i, listen, "", o.r.feeds[o.i].Srv.Listener.Addr().String(),
+	text := testbed.Deployment{Orchestrators: len(o.r.orch), MaxRetryAfter: o.r.longest}.Config(o.i, listen, "", o.r.feeds[o.i].Srv.Listener.Addr().String(),
 		uint64(0x8c1f30d2+time.Now().UnixNano()%1000+int64(o.i)*1000), o.r.feeds[o.i])
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		o.r.t.Error(err)
--- a/test/storm/storm_test.go
+++ b/test/storm/storm_test.go
@@ -49,11 +49,11 @@
 	var cores, memory, asks, slots float64
 	for i, s := range machineSpecs(fleet{nodes: nodes}) {
 		cores, memory = cores+s.Cores, memory+s.Memory
-		asks += float64(step) / float64((s.Ask[0]+s.Ask[1])/2)
+		asks += float64(step) / float64((s.InspectionTime[0]+s.InspectionTime[1])/2)
 		if pace := 1.0; i < nodes/7 {
-			slots += s.ColdShare * float64(s.Starts)
+			slots += s.ColdStartRate * float64(s.MaxStarting)
 		} else {
-			slots += pace * float64(s.Starts)
+			slots += pace * float64(s.MaxStarting)
 		}
 	}
 	busy := make([]time.Duration, int(slots)) // until when each slot starts something
@@ -90,9 +90,9 @@
 					slot = k
 				}
 			}
-			busy[slot] = max(now, busy[slot]) + j.Work
+			busy[slot] = max(now, busy[slot]) + j.StartTime
 			cores, memory = cores-j.Cores, memory-j.Memory
-			ends = append(ends, end{busy[slot] + j.Life, j})
+			ends = append(ends, end{busy[slot] + j.RunTime, j})
 			if j.crowd {
 				last = max(last, now)
 				if j.Class == "live-relay" && busy[slot]-j.at <= j.class.aim {
@@ -313,9 +313,8 @@
 	r.watch.mu.Unlock()
 	refused, notes := 0, map[string]int{}
 	for _, m := range r.machines {
-		peak, by := m.Peak()
-		f.coldPeak = max(f.coldPeak, peak)
-		for note, n := range by {
+		f.coldPeak = max(f.coldPeak, m.PeakLoad())
+		for note, n := range m.Rejections() {
 			refused += n
 			notes[note] += n
 		}
