--- /dev/null
+++ b/internal/testbed/fleet/demand.go
@@ -0,0 +1,174 @@
+package fleet
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// This file owns the clients that submit tasks to a fleet: one at each orchestrator, one task
+// after another, whatever its response. It must never count a response that did not come.
+
+const (
+	submissionPause = 5 * time.Millisecond // of a client between two tasks
+	redialPause     = 20 * submissionPause
+	clientTimeoutMs = 5000 // of a request
+	tasksClass      = "guide-web"
+	releaseCode     = 16
+)
+
+// Placed is what became of the tasks of all clients.
+type Placed struct {
+	clients   sync.WaitGroup
+	startedAt time.Time
+
+	mu         sync.Mutex
+	took       []time.Duration // of placements
+	seconds    []Second
+	unanswered []string // requests that an orchestrator which ran never answered
+}
+
+// Second is what became of tasks within one second. Lost requests were not answered.
+type Second struct {
+	Started int `json:"Started"`
+	Refused int `json:"Refused"`
+	Failed  int `json:"Failed"`
+	Lost    int `json:"Lost"`
+}
+
+// P99 is the 99th percentile of the time from a submission to its start.
+func (p *Placed) P99() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if slices.Sort(p.took); len(p.took) == 0 {
+		return 0
+	}
+	return p.took[len(p.took)*99/100]
+}
+
+// Seconds is what became of tasks, second by second.
+func (p *Placed) Seconds() []Second {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.seconds)
+}
+
+// Silent lists the requests that an orchestrator which ran, and was reachable, never
+// answered.
+func (p *Placed) Silent() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.unanswered)
+}
+
+// Total sums all seconds.
+func (p *Placed) Total() (total Second) {
+	for _, s := range p.Seconds() {
+		total.Started += s.Started
+		total.Refused += s.Refused
+		total.Failed += s.Failed
+		total.Lost += s.Lost
+	}
+	return total
+}
+
+// Wait waits for the end of the clients.
+func (p *Placed) Wait() { p.clients.Wait() }
+
+// count counts a response, or that there was none.
+func (p *Placed) count(took time.Duration, response testbed.Line, answered bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	index := int(time.Since(p.startedAt) / time.Second)
+	for len(p.seconds) <= index {
+		p.seconds = append(p.seconds, Second{})
+	}
+	s := &p.seconds[index]
+	switch {
+	case !answered:
+		s.Lost++
+	case response.Verb == "STARTED":
+		s.Started++
+		p.took = append(p.took, took)
+	case response.Opts["wait"] != "":
+		s.Refused++
+	default:
+		s.Failed++
+	}
+}
+
+func (p *Placed) addUnanswered(tag string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.unanswered = append(p.unanswered, tag)
+}
+
+// Demand submits tasks to every orchestrator for a while. Clients whose connection ends
+// connect again.
+func (f *Fleet) Demand(length time.Duration) *Placed {
+	p := &Placed{startedAt: time.Now()}
+	for i, o := range f.Orchestrators {
+		p.clients.Go(func() { f.submitUntil(p.startedAt.Add(length), p, i, o) })
+	}
+	return p
+}
+
+// submitUntil submits tasks to an orchestrator, one after another.
+func (f *Fleet) submitUntil(deadline time.Time, p *Placed, index int, o *Orchestrator) {
+	var client *testbed.Client
+	for n := f.requestIDs.Add(1); time.Now().Before(deadline); n = f.requestIDs.Add(1) {
+		if client == nil {
+			var err error
+			if client, err = testbed.Dial(o.frontAddress); err != nil {
+				client = nil
+				time.Sleep(redialPause)
+				continue
+			}
+		}
+		if !f.submit(p, client, o, testbed.RequestID(index<<40|int(n)<<8|1), fmt.Sprintf("ok-%d-%d", index, n)) {
+			testbed.CloseQuietly(client)
+			client = nil
+			continue
+		}
+		time.Sleep(submissionPause)
+	}
+	if client != nil {
+		testbed.CloseQuietly(client)
+	}
+}
+
+// submit submits a task and releases it once it has started; it reports whether there was a
+// response.
+func (f *Fleet) submit(p *Placed, client *testbed.Client, o *Orchestrator, tag, key string) bool {
+	sentAt := time.Now()
+	testbed.Send(client, testbed.StartLine(tag, tasksClass, key, clientTimeoutMs))
+	response, answered := receiveResponse(client, tag)
+	p.count(time.Since(sentAt), response, answered)
+	if !answered {
+		if o.hasRun(sentAt) && f.network.WasHealthy(o.ends.clients, o.ends.front, sentAt) {
+			p.addUnanswered(tag)
+		}
+		return false
+	}
+	if response.Verb == "STARTED" {
+		testbed.Send(client, testbed.FinishLine("FINISH", tag, releaseCode))
+	}
+	return true
+}
+
+// receiveResponse is the response to a request; false where none came in time.
+func receiveResponse(client *testbed.Client, tag string) (testbed.Line, bool) {
+	for timeout := time.After(testbed.Patience); ; {
+		select {
+		case line, open := <-client.Lines:
+			if !open || line.Tag == tag {
+				return line, open
+			}
+		case <-timeout:
+			return testbed.Line{}, false
+		}
+	}
+}
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -1,204 +1,264 @@
 package fleet
 
 import (
-	"fmt"
+	"maps"
 	"slices"
 	"strings"
 	"time"
+
+	"ravenhitch/internal/peer"
+	"ravenhitch/internal/testbed"
+)
+
+// This file owns how the membership tables of a fleet are judged, by the faults that were
+// injected. It must never take a table's word for the state of the rig.
+
+const (
+	partitionGrace   = 6 * time.Second // how long a partition may still show as a death
+	restartGrace     = 3 * time.Second // how long one that started again may be reported dead
+	maxDetection     = 9 * time.Second // by when an end must be detected
+	minAsymmetricCut = 8 * time.Second // an asymmetric cut that long must be detected
 )
 
-// This file judges the tables of a fleet by what was done to it. It must never take a
-// table's word for what was so.
+// States and links of members in a status report.
+const (
+	stateAlive     = "alive"
+	stateSuspected = "suspected"
+	stateDead      = "dead"
+	stateLeft      = "left"
+	linkOutShut    = "out shut"
+	linkInShut     = "in shut"
+)
+
+// belief is what one orchestrator reports of another.
+type belief struct{ reporter, subject string }
 
-// Verdict is what one play showed.
-type Verdict struct {
-	Faults, FalseDead, MissedDead, OneWayDetected, OneWayCuts int
-	ViewChanges                                               int64           // changes of stable views, of all
-	DetectionTimes                                            []time.Duration // from an end to each that found it, sorted
-	Disagreement                                              time.Duration   // after the end of all faults
-	TrafficRate                                               float64         // a second and member
-	Why                                                       []string        // what is broken
+// absence is how long an orchestrator did not run, by the schedule.
+type absence struct{ from, to time.Time }
+
+// evaluation is a verdict in the making.
+type evaluation struct {
+	fleet       *Fleet
+	verdict     Verdict
+	absences    map[string]absence // the last of each orchestrator
+	unreachable map[belief]time.Time
+	detected    map[belief]time.Duration
+	falseDead   map[belief]bool
+	firstView   map[string]int64 // number of the first view reported
+	latestView  map[string]int64
 }
 
-func (v Verdict) String() string {
-	p := func(k int) int64 {
-		if len(v.DetectionTimes) == 0 {
-			return -1
-		}
-		return v.DetectionTimes[(len(v.DetectionTimes)-1)*k/100].Milliseconds()
+// Judge returns the verdict on all samples so far. There must be one at least.
+func (f *Fleet) Judge() Verdict {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	e := &evaluation{
+		fleet:       f,
+		absences:    map[string]absence{},
+		unreachable: map[belief]time.Time{},
+		detected:    map[belief]time.Duration{},
+		falseDead:   map[belief]bool{},
+		firstView:   map[string]int64{},
+		latestView:  map[string]int64{},
 	}
-	return fmt.Sprintf("faults=%d detect_p50_ms=%d detect_p99_ms=%d false_dead=%d missed_dead=%d one_way_found=%d of=%d disagree_s=%.1f "+
-		"view_changes=%d traffic_bytes_s_member=%.0f", v.Faults, p(50), p(99), v.FalseDead, v.MissedDead, v.OneWayDetected, v.OneWayCuts,
-		v.Disagreement.Seconds(), v.ViewChanges, v.TrafficRate)
-}
-
-func (v *Verdict) fault(format string, a ...any) { v.Why = append(v.Why, fmt.Sprintf(format, a...)) }
-
-// joined says whether ways led from one to the other and back in a sample, by whoever ran.
-func (s *sample) joined(a, b string) bool {
-	seen, next := map[string]bool{a: true}, []string{a}
-	for len(next) > 0 && !seen[b] {
-		x := next[0]
-		next = next[1:]
-		for o, up := range s.up {
-			if !seen[o] && up && s.open[[2]string{x, o}] && s.open[[2]string{o, x}] {
-				seen[o] = true
-				next = append(next, o)
+	e.readSchedule()
+	for i := range f.samples {
+		e.readSample(&f.samples[i])
+	}
+	e.judgeDetection()
+	e.judgeAsymmetricCuts()
+	e.judgeAgreement()
+	e.measureTraffic()
+	return e.verdict
+}
+
+// last is the last sample.
+func (f *Fleet) last() *sample { return &f.samples[len(f.samples)-1] }
+
+// readSchedule counts the faults, and finds when orchestrators were absent.
+func (e *evaluation) readSchedule() {
+	for _, step := range e.fleet.applied {
+		switch step.Verb {
+		case testbed.VerbKill, testbed.VerbTerminate:
+			e.absences[step.Where] = absence{step.at, e.fleet.last().at}
+		case testbed.VerbStart:
+			if a, ok := e.absences[step.Where]; ok {
+				e.absences[step.Where] = absence{a.from, step.at}
 			}
 		}
+		if step.Verb != testbed.VerbHeal && step.Verb != testbed.VerbMend {
+			e.verdict.Faults++
+		}
 	}
-	return seen[b]
-}
-
-// Judge reads the samples.
-func (r *Fleet) Judge() (v Verdict) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	const (
-		excuse  = 6 * time.Second // how long a cut may still show as a death
-		rebirth = 3 * time.Second // how long one that came back may
-		must    = 9 * time.Second // by when an end must have shown
-	)
-	type couple struct{ who, whom string }
-	type absence struct{ from, to time.Time }
-	ends := map[string]absence{} // the last of each
-	last := r.samples[len(r.samples)-1].at
-	for _, a := range r.applied {
-		switch a.Verb {
-		case "kill", "term":
-			ends[a.Where] = absence{a.at, last}
-		case "start":
-			if e, ok := ends[a.Where]; ok {
-				ends[a.Where] = absence{e.from, a.at}
+}
+
+// readSample reads the reports of all orchestrators in one sample.
+func (e *evaluation) readSample(s *sample) {
+	for _, o := range e.fleet.Orchestrators {
+		for _, other := range e.fleet.Orchestrators {
+			if o != other && !s.connected(o.Name, other.Name) {
+				e.unreachable[belief{o.Name, other.Name}] = s.at
 			}
 		}
-		if a.Verb != "heal" && a.Verb != "mend" {
-			v.Faults++
+		if report := s.reports[o.Name]; report != nil {
+			e.readReport(s, o.Name, report)
 		}
 	}
-	apart := map[couple]time.Time{} // when two were last apart, or one of them not running
-	found, wrong := map[couple]time.Duration{}, map[couple]bool{}
-	first, latest := map[string]int64{}, map[string]int64{}
-	for _, s := range r.samples {
-		for _, x := range r.Orchestrators {
-			for _, o := range r.Orchestrators {
-				c := couple{x.Name, o.Name}
-				if x != o && !s.joined(x.Name, o.Name) {
-					apart[c] = s.at
-				}
-			}
-			t := s.told[x.Name]
-			if t == nil {
-				continue
-			}
-			if first[x.Name] == 0 {
-				first[x.Name] = t.View.Number
-			}
-			latest[x.Name] = max(latest[x.Name], t.View.Number)
-			for _, m := range t.Members[1:] {
-				c, dead := couple{x.Name, m.Name}, m.State == "dead" || m.State == "left"
-				ended, over := ends[m.Name]
-				switch {
-				case over && s.at.After(ended.from) && s.at.Before(ended.to):
-					if _, ok := found[c]; dead && !ok {
-						found[c] = s.at.Sub(ended.from)
-					}
-				case dead && !wrong[c] && s.up[m.Name] && s.at.Sub(s.born[m.Name]) > rebirth && s.at.Sub(s.born[x.Name]) > rebirth &&
-					(apart[c].IsZero() || s.at.Sub(apart[c]) > excuse):
-					wrong[c] = true
-					v.FalseDead++
-					v.fault("%.1f s: %s holds %s for dead, which lives: %s", s.at.Sub(r.begin).Seconds(), x.Name, m.Name, m.Evidence)
-				}
-			}
+}
+
+func (e *evaluation) readReport(s *sample, reporter string, report *peer.StatusReport) {
+	if e.firstView[reporter] == 0 {
+		e.firstView[reporter] = report.View.Number
+	}
+	e.latestView[reporter] = max(e.latestView[reporter], report.View.Number)
+	for _, member := range report.Members[1:] { // the first is the reporter itself
+		if member.State == stateDead || member.State == stateLeft {
+			e.readDeath(s, belief{reporter, member.Name}, member.Evidence)
 		}
 	}
-	end := r.samples[len(r.samples)-1]
-	for who := range latest {
-		v.ViewChanges += latest[who] - first[who]
+}
+
+// readDeath reads that one orchestrator reports another as dead: rightly, or not.
+func (e *evaluation) readDeath(s *sample, b belief, evidence string) {
+	gone, ended := e.absences[b.subject]
+	if ended && s.at.After(gone.from) && s.at.Before(gone.to) {
+		if _, known := e.detected[b]; !known {
+			e.detected[b] = s.at.Sub(gone.from)
+		}
+		return
+	}
+	if !e.falseDead[b] && e.mustBeAlive(s, b) {
+		e.falseDead[b] = true
+		e.verdict.FalseDead++
+		e.verdict.violation("%.1f s: %s holds %s for dead, which lives: %s", s.at.Sub(e.fleet.startedAt).Seconds(), b.reporter, b.subject, evidence)
+	}
+}
+
+// mustBeAlive reports whether the subject of a belief ran for so long, and was reachable for
+// so long, that it must not be reported dead.
+func (e *evaluation) mustBeAlive(s *sample, b belief) bool {
+	unreachable := e.unreachable[b]
+	return s.running[b.subject] &&
+		s.at.Sub(s.startedAt[b.subject]) > restartGrace &&
+		s.at.Sub(s.startedAt[b.reporter]) > restartGrace &&
+		(unreachable.IsZero() || s.at.Sub(unreachable) > partitionGrace)
+}
+
+// judgeDetection looks at whether every end was detected by all that ran at the end, and
+// counts the changes of views.
+func (e *evaluation) judgeDetection() {
+	for reporter, latest := range e.latestView {
+		e.verdict.ViewChanges += latest - e.firstView[reporter]
 	}
-	for name, gone := range ends {
-		for _, x := range r.Orchestrators {
-			c := couple{x.Name, name}
-			if !end.up[x.Name] || x.Name == name {
+	for _, subject := range slices.Sorted(maps.Keys(e.absences)) {
+		gone := e.absences[subject]
+		for _, o := range e.fleet.Orchestrators {
+			if !e.fleet.last().running[o.Name] || o.Name == subject {
 				continue
 			}
-			if d, ok := found[c]; ok {
-				v.DetectionTimes = append(v.DetectionTimes, d)
-			} else if gone.to.Sub(gone.from) > must {
-				v.MissedDead++
-				v.fault("%s never held %s for dead", x.Name, name)
+			if took, ok := e.detected[belief{o.Name, subject}]; ok {
+				e.verdict.DetectionTimes = append(e.verdict.DetectionTimes, took)
+			} else if gone.to.Sub(gone.from) > maxDetection {
+				e.verdict.MissedDead++
+				e.verdict.violation("%s never held %s for dead", o.Name, subject)
 			}
 		}
 	}
-	slices.Sort(v.DetectionTimes)
-	r.judgeWays(&v)
-	r.judgeEnd(&v)
-	return v
-}
-
-// judgeWays looks at which ways that carried in one direction only were found by either end.
-func (r *Fleet) judgeWays(v *Verdict) {
-	for _, a := range r.applied {
-		from, to, ok := strings.Cut(a.Where, "->")
-		if !ok || a.Verb != "cut" || strings.HasSuffix(from, "<") || !slices.ContainsFunc(r.samples, func(s sample) bool {
-			return s.at.Sub(a.at) > 8*time.Second && !s.open[[2]string{from, to}]
-		}) || r.ended(from) || r.ended(to) {
+	slices.Sort(e.verdict.DetectionTimes)
+}
+
+// judgeAsymmetricCuts counts the cuts of one direction that either end reported.
+func (e *evaluation) judgeAsymmetricCuts() {
+	for _, step := range e.fleet.applied {
+		cut, ok := asymmetricCut(step)
+		if !ok || !e.fleet.mustDetect(cut, step.at) {
 			continue
 		}
-		v.OneWayCuts++
-		for _, s := range r.samples {
-			says := func(who, whom, link string) bool {
-				t := s.told[who]
-				if t == nil || s.at.Before(a.at) {
-					return false
-				}
-				for _, m := range t.Members {
-					if m.Name == whom && m.Link == link {
-						return true
-					}
-				}
-				return false
-			}
-			if says(from, to, "out shut") || says(to, from, "in shut") {
-				v.OneWayDetected++
-				break
-			}
+		e.verdict.AsymmetricCuts++
+		if e.fleet.detects(cut, step.at) {
+			e.verdict.AsymmetricDetected++
 		}
 	}
 }
 
-func (r *Fleet) ended(name string) bool {
-	return slices.ContainsFunc(r.applied, func(a appliedStep) bool {
-		return a.Where == name && (a.Verb == "kill" || a.Verb == "term" || a.Verb == "restart")
+// asymmetricCut is the path of a step that cuts one direction.
+func asymmetricCut(step appliedStep) (path, bool) {
+	from, to, ok := strings.Cut(step.Where, "->")
+	if !ok || step.Verb != testbed.VerbCut || strings.HasSuffix(from, "<") {
+		return path{}, false
+	}
+	return path{from, to}, true
+}
+
+// mustDetect reports whether a cut was open for long, between orchestrators that did not end.
+func (f *Fleet) mustDetect(cut path, since time.Time) bool {
+	lasted := slices.ContainsFunc(f.samples, func(s sample) bool {
+		return s.at.Sub(since) > minAsymmetricCut && !s.open[cut]
 	})
+	return lasted && !f.wasEnded(cut.from) && !f.wasEnded(cut.to)
 }
 
-// judgeEnd looks at how long after the end of all faults the tables differed, and at what
-// they cost.
-func (r *Fleet) judgeEnd(v *Verdict) {
-	end, sent, told := r.samples[len(r.samples)-1], int64(0), 0
-	for _, t := range end.told {
-		sent += t.Traffic.SentBytes
-		told++
-	}
-	v.TrafficRate = float64(sent) / max(1, end.at.Sub(r.begin).Seconds()) / float64(max(1, told))
-	for _, s := range r.samples {
-		if s.at.Before(r.healed) {
+// detects reports whether either end of an asymmetric cut reported it.
+func (f *Fleet) detects(cut path, since time.Time) bool {
+	return slices.ContainsFunc(f.samples, func(s sample) bool {
+		return !s.at.Before(since) && (s.reportsLink(cut.from, cut.to, linkOutShut) || s.reportsLink(cut.to, cut.from, linkInShut))
+	})
+}
+
+// reportsLink reports whether one orchestrator reports a link to another in a state.
+func (s *sample) reportsLink(reporter, subject, link string) bool {
+	report := s.reports[reporter]
+	return report != nil && slices.ContainsFunc(report.Members, func(m peer.Member) bool {
+		return m.Name == subject && m.Link == link
+	})
+}
+
+// wasEnded reports whether the schedule ended an orchestrator.
+func (f *Fleet) wasEnded(name string) bool {
+	return slices.ContainsFunc(f.applied, func(step appliedStep) bool {
+		return step.Where == name && (step.Verb == testbed.VerbKill || step.Verb == testbed.VerbTerminate || step.Verb == testbed.VerbRestart)
+	})
+}
+
+// judgeAgreement looks at how long after the end of all faults the views differed from the
+// orchestrators that ran.
+func (e *evaluation) judgeAgreement() {
+	for i := range e.fleet.samples {
+		s := &e.fleet.samples[i]
+		if s.at.Before(e.fleet.healedAt) {
 			continue
 		}
-		var want []string
-		for name, up := range s.up {
-			if up {
-				want = append(want, name)
+		running := s.runningNames()
+		for _, reporter := range slices.Sorted(maps.Keys(s.reports)) {
+			viewed := slices.Sorted(slices.Values(s.reports[reporter].View.Names))
+			if slices.Equal(viewed, running) {
+				continue
 			}
-		}
-		slices.Sort(want)
-		for name, t := range s.told {
-			if got := slices.Sorted(slices.Values(t.View.Names)); !slices.Equal(got, want) {
-				if v.Disagreement = s.at.Sub(r.healed); s.at == end.at {
-					v.fault("at the end %s sees %v, and %v are there", name, got, want)
-				}
+			e.verdict.Disagreement = s.at.Sub(e.fleet.healedAt)
+			if s == e.fleet.last() {
+				e.verdict.violation("at the end %s sees %v, and %v are there", reporter, viewed, running)
 			}
 		}
 	}
 }
+
+func (s *sample) runningNames() (names []string) {
+	for name, running := range s.running {
+		if running {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// measureTraffic takes the traffic of members from their last reports.
+func (e *evaluation) measureTraffic() {
+	end := e.fleet.last()
+	var sent int64
+	for _, report := range end.reports {
+		sent += report.Traffic.SentBytes
+	}
+	length := max(1, end.at.Sub(e.fleet.startedAt).Seconds())
+	e.verdict.TrafficRate = float64(sent) / length / float64(max(1, len(end.reports)))
+}
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -1,20 +1,21 @@
 package fleet
 
-// This file owns the record of a play: moment by moment, what was so and how many of the
-// others believed what.
+// This file owns the record of a rehearsal: at each sample, the state of every orchestrator
+// and how many of the others believed what of it. Its JSON keys are read by what draws the
+// timeline, and stay.
 
-// Seen is one orchestrator at a moment.
+// Seen is one orchestrator in one sample.
 type Seen struct {
 	Name      string `json:"name"`
 	Hall      string `json:"hall"`
-	Up        bool   `json:"up"`        // runs, and does not stand still
-	Alive     int    `json:"alive"`     // others that hold it for alive,
+	Up        bool   `json:"up"`        // runs, and is not paused
+	Alive     int    `json:"alive"`     // others that have it for alive,
 	Suspected int    `json:"suspected"` // that suspect it,
-	Dead      int    `json:"dead"`      // and that hold it for dead or gone
+	Dead      int    `json:"dead"`      // and that have it for dead or left
 	Sees      int    `json:"sees"`      // members of its own stable view
 }
 
-// Moment is all of them.
+// Moment is all orchestrators in one sample.
 type Moment struct {
 	At    float64 `json:"at_s"` // since the fleet was up
 	Fleet []Seen  `json:"fleet"`
@@ -22,54 +23,64 @@
 
 // Done is a step that was carried out.
 type Done struct {
-	At   float64 `json:"at_s"`
+	At   float64 `json:"at_s"` // since the fleet was up
 	Step string  `json:"step"`
 }
 
-// Record is what was seen so far, and what was done.
-func (r *Fleet) Record() (moments []Moment, done []Done) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := range r.samples {
-		moments = append(moments, r.moment(&r.samples[i]))
+// Record is all samples so far, and the steps that were carried out.
+func (f *Fleet) Record() (moments []Moment, done []Done) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i := range f.samples {
+		moments = append(moments, f.moment(&f.samples[i]))
 	}
-	for _, a := range r.applied {
-		done = append(done, Done{a.at.Sub(r.begin).Seconds(), a.Step.String()})
+	for _, step := range f.applied {
+		done = append(done, Done{step.at.Sub(f.startedAt).Seconds(), step.String()})
 	}
 	return moments, done
 }
 
-// Last is the latest moment; false where nothing was seen yet.
-func (r *Fleet) Last() (Moment, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.samples) == 0 {
+// Last is the latest sample; false where there is none yet.
+func (f *Fleet) Last() (Moment, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.samples) == 0 {
 		return Moment{}, false
 	}
-	return r.moment(&r.samples[len(r.samples)-1]), true
+	return f.moment(&f.samples[len(f.samples)-1]), true
 }
 
-func (r *Fleet) moment(s *sample) Moment {
-	m := Moment{At: s.at.Sub(r.begin).Seconds()}
-	for _, x := range r.Orchestrators {
-		e := Seen{Name: x.Name, Hall: x.Hall, Up: s.up[x.Name]}
-		if t := s.told[x.Name]; t != nil {
-			e.Sees = len(t.View.Names)
+func (f *Fleet) moment(s *sample) Moment {
+	m := Moment{At: s.at.Sub(f.startedAt).Seconds()}
+	for _, o := range f.Orchestrators {
+		seen := Seen{Name: o.Name, Hall: o.Zone, Up: s.running[o.Name]}
+		if report := s.reports[o.Name]; report != nil {
+			seen.Sees = len(report.View.Names)
 		}
-		for who, t := range s.told {
-			for _, o := range t.Members {
-				switch {
-				case who == x.Name || o.Name != x.Name:
-				case o.State == "alive":
-					e.Alive++
-				case o.State == "suspected":
-					e.Suspected++
-				default:
-					e.Dead++
-				}
+		s.countBeliefs(&seen)
+		m.Fleet = append(m.Fleet, seen)
+	}
+	return m
+}
+
+// countBeliefs counts what the others believe of an orchestrator.
+func (s *sample) countBeliefs(seen *Seen) {
+	for reporter, report := range s.reports {
+		if reporter == seen.Name {
+			continue
+		}
+		for _, member := range report.Members {
+			if member.Name != seen.Name {
+				continue
+			}
+			switch member.State {
+			case stateAlive:
+				seen.Alive++
+			case stateSuspected:
+				seen.Suspected++
+			default:
+				seen.Dead++
 			}
 		}
-		m.Fleet = append(m.Fleet, e)
 	}
-	return m
 }
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"time"
@@ -11,173 +9,199 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns how the steps of a schedule are carried out. It draws nothing itself.
+// This file owns how the steps of a schedule are carried out. It must never draw anything
+// itself.
 
-// ways are the directions that a step means.
-func (r *Fleet) ways(s testbed.Step) (out [][2]string) {
-	if a, b, ok := strings.Cut(s.Where, "<->"); ok {
-		return [][2]string{{a, b}, {b, a}}
+// appliedStep is a step and when it was carried out.
+type appliedStep struct {
+	testbed.Step
+	at time.Time
+}
+
+// path is a direction between two processes.
+type path struct{ from, to string }
+
+// Draw makes a schedule for this fleet.
+func (f *Fleet) Draw(seed uint64, length time.Duration) []testbed.Step {
+	byZone := map[string][]string{}
+	for _, o := range f.Orchestrators {
+		byZone[o.Zone] = append(byZone[o.Zone], o.Name)
+	}
+	return testbed.Draw(seed, byZone, length)
+}
+
+// Check returns an error where a schedule names what is not there.
+func (f *Fleet) Check(steps []testbed.Step) error {
+	for _, step := range steps {
+		if err := f.checkStep(step); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) checkStep(step testbed.Step) error {
+	if step.Verb == testbed.VerbHeal {
+		return nil
+	}
+	if step.OnProcess() {
+		if f.orchestrator(step.Where) == nil {
+			return fmt.Errorf("%s: no orchestrator %s", step, step.Where)
+		}
+		return nil
+	}
+	paths := f.paths(step)
+	if len(paths) == 0 {
+		return fmt.Errorf("%s: expected a->b, a<->b, a hall or all", step)
+	}
+	for _, p := range paths {
+		if !f.network.Has(p.from, p.to) {
+			return fmt.Errorf("%s: no way between %s and %s", step, p.from, p.to)
+		}
+	}
+	return nil
+}
+
+// Play carries out a schedule, and returns after its length.
+func (f *Fleet) Play(steps []testbed.Step, length time.Duration) {
+	begin := time.Now()
+	for _, step := range steps {
+		time.Sleep(time.Until(begin.Add(step.At)))
+		if err := f.apply(step); err != nil {
+			f.host.Errorf("%s: %v", step, err)
+		}
+		f.mu.Lock()
+		f.applied = append(f.applied, appliedStep{step, time.Now()})
+		f.mu.Unlock()
 	}
-	if a, b, ok := strings.Cut(s.Where, "->"); ok {
-		return [][2]string{{a, b}}
+	time.Sleep(time.Until(begin.Add(length)))
+}
+
+// paths are those that a step is on.
+func (f *Fleet) paths(step testbed.Step) (paths []path) {
+	if a, b, ok := strings.Cut(step.Where, "<->"); ok {
+		return []path{{a, b}, {b, a}}
 	}
-	for _, a := range r.Orchestrators {
-		for _, b := range r.Orchestrators {
-			spared := len(s.Args) == 2 && (a.Name == s.Args[1] || b.Name == s.Args[1])
-			if a != b && (s.Where == "all" || (a.Hall == s.Where) != (b.Hall == s.Where) && !spared) {
-				out = append(out, [2]string{a.Name, b.Name})
+	if a, b, ok := strings.Cut(step.Where, "->"); ok {
+		return []path{{a, b}}
+	}
+	for _, a := range f.Orchestrators {
+		for _, b := range f.Orchestrators {
+			acrossZone := (a.Zone == step.Where) != (b.Zone == step.Where)
+			spared := step.Spares(a.Name) || step.Spares(b.Name)
+			if a != b && (step.Where == testbed.AllPaths || acrossZone && !spared) {
+				paths = append(paths, path{a.Name, b.Name})
 			}
 		}
 	}
-	return out
+	return paths
 }
 
-// do carries out a step.
-func (r *Fleet) do(s testbed.Step) error {
-	defer func() {
-		r.mu.Lock()
-		r.applied = append(r.applied, appliedStep{s, time.Now()})
-		r.mu.Unlock()
-	}()
-	number := func(i int) (v float64) { fmt.Sscan(s.Args[i], &v); return v }
-	span := func(i int) time.Duration { d, _ := time.ParseDuration(s.Args[i]); return d } // was read before
-	switch s.Verb {
-	case "heal":
-		r.mu.Lock()
-		r.healed = time.Now()
-		r.mu.Unlock()
-		return r.net.Heal()
-	case "pause", "kill", "term", "start", "restart":
-		x := r.named(s.Where)
-		if x == nil {
-			return fmt.Errorf("%s: no process %s", s, s.Where)
+// apply carries out a step.
+func (f *Fleet) apply(step testbed.Step) error {
+	if step.Verb == testbed.VerbHeal {
+		f.mu.Lock()
+		f.healedAt = time.Now()
+		f.mu.Unlock()
+		return f.network.Heal()
+	}
+	if step.OnProcess() {
+		o := f.orchestrator(step.Where)
+		if o == nil {
+			return fmt.Errorf("%s: no process %s", step, step.Where)
 		}
-		return r.process(x, s, span)
+		return f.applyToProcess(o, step)
 	}
-	for _, w := range r.ways(s) {
-		if s.Verb == "reset" {
-			r.net.Reset(w[0], w[1])
+	for _, p := range f.paths(step) {
+		if step.Verb == testbed.VerbReset {
+			f.network.Reset(p.from, p.to)
 			continue
 		}
-		if err := r.net.Set(w[0], w[1], func(c *testbed.Conditions) {
-			switch s.Verb {
-			case "cut":
-				c.Cut = true
-			case "refuse":
-				c.Refuse = true
-			case "delay":
-				if c.Delay = span(0); len(s.Args) > 1 {
-					c.Jitter = span(1)
-				}
-			case "loss":
-				c.Loss = number(0)
-			case "twice":
-				c.Duplicate = number(0)
-			case "overtake":
-				c.Reorder = number(0)
-			case "bandwidth":
-				c.Bandwidth = int(number(0))
-			case "flap":
-				c.Flap, c.FlapSince = span(0), time.Now()
-			case "mend":
-				*c = testbed.Conditions{}
-			}
-		}); err != nil {
+		if err := f.network.Set(p.from, p.to, func(c *testbed.Conditions) { changeConditions(c, step) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// process carries out a step on a process.
-func (r *Fleet) process(x *Orchestrator, s testbed.Step, span func(int) time.Duration) error {
-	if s.Verb == "start" && x.Up() || s.Verb != "start" && !x.Up() {
-		return nil // as a schedule that was drawn may have it
-	}
-	switch s.Verb {
-	case "pause":
-		x.mu.Lock()
-		x.pausedAt, x.pausedFor = time.Now(), span(0)
-		x.mu.Unlock()
-		x.Pause()
-		r.wait.Go(func() {
-			select {
-			case <-time.After(span(0)): // what the schedule does, not what anybody waits for
-			case <-r.stop:
-			}
-			x.Resume()
-		})
-	case "kill", "term", "restart":
-		sig := syscall.SIGKILL
-		if s.Verb == "term" {
-			sig = syscall.SIGTERM
+// changeConditions carries out a step on the conditions of a path.
+func changeConditions(c *testbed.Conditions, step testbed.Step) {
+	switch step.Verb {
+	case testbed.VerbCut:
+		c.Cut = true
+	case testbed.VerbRefuse:
+		c.Refuse = true
+	case testbed.VerbDelay:
+		if c.Delay = step.Duration(0); len(step.Args) > 1 {
+			c.Jitter = step.Duration(1)
 		}
-		x.mu.Lock()
-		x.ending = true
-		x.mu.Unlock()
-		x.End(sig)
-		if err := r.point(x, "", ""); err != nil || s.Verb != "restart" {
+	case testbed.VerbLoss:
+		c.Loss = step.Number(0)
+	case testbed.VerbDuplicate:
+		c.Duplicate = step.Number(0)
+	case testbed.VerbReorder:
+		c.Reorder = step.Number(0)
+	case testbed.VerbBandwidth:
+		c.Bandwidth = int(step.Number(0))
+	case testbed.VerbFlap:
+		c.Flap, c.FlapSince = step.Duration(0), time.Now()
+	case testbed.VerbMend:
+		*c = testbed.Conditions{}
+	}
+}
+
+// applyToProcess carries out a step on a process. A start of one that runs does nothing, nor
+// does any other step on one that does not: a drawn schedule may have either.
+func (f *Fleet) applyToProcess(o *Orchestrator, step testbed.Step) error {
+	if (step.Verb == testbed.VerbStart) == o.Up() {
+		return nil
+	}
+	switch step.Verb {
+	case testbed.VerbPause:
+		f.pause(o, step.Duration(0))
+	case testbed.VerbKill:
+		return f.end(o, syscall.SIGKILL)
+	case testbed.VerbTerminate:
+		return f.end(o, syscall.SIGTERM)
+	case testbed.VerbRestart:
+		if err := f.end(o, syscall.SIGKILL); err != nil {
 			return err
 		}
-		fallthrough
-	case "start":
-		if len(s.Args) == 1 {
-			// An older copy is that of a start before; an empty folder knows of none.
-			if err := os.WriteFile(filepath.Join(x.dir, "starts"), []byte("1\n"), 0o600); err != nil {
-				return err
-			}
-			if s.Args[0] == "empty" {
-				if err := os.Remove(filepath.Join(x.dir, "starts")); err != nil {
-					return err
-				}
-			}
-		}
-		return r.start(x)
+		return f.startAgain(o, step)
+	case testbed.VerbStart:
+		return f.startAgain(o, step)
 	}
 	return nil
 }
 
-// Play carries out a schedule, and watches until some time after its end.
-func (r *Fleet) Play(steps []testbed.Step, length time.Duration) {
-	begin := time.Now()
-	for _, s := range steps {
-		time.Sleep(time.Until(begin.Add(s.At)))
-		if err := r.do(s); err != nil {
-			r.h.Errorf("%s: %v", s, err)
+// pause stops a process for some time. The rig's end cuts that short.
+func (f *Fleet) pause(o *Orchestrator, length time.Duration) {
+	o.mu.Lock()
+	o.pausedAt, o.pausedFor = time.Now(), length
+	o.mu.Unlock()
+	o.Pause()
+	f.goroutines.Go(func() {
+		select {
+		case <-time.After(length):
+		case <-f.stop:
 		}
-	}
-	time.Sleep(time.Until(begin.Add(length)))
+		o.Resume()
+	})
 }
 
-// Draw makes a schedule for this fleet.
-func (r *Fleet) Draw(seed uint64, length time.Duration) []testbed.Step {
-	halls := map[string][]string{}
-	for _, x := range r.Orchestrators {
-		halls[x.Hall] = append(halls[x.Hall], x.Name)
-	}
-	return testbed.Draw(seed, halls, length)
+func (f *Fleet) end(o *Orchestrator, signal syscall.Signal) error {
+	o.mu.Lock()
+	o.terminating = true
+	o.mu.Unlock()
+	o.End(signal)
+	return f.setAddresses(o, "", "")
 }
 
-// Check says whether a schedule names what is not there.
-func (r *Fleet) Check(steps []testbed.Step) error {
-	for _, s := range steps {
-		switch s.Verb {
-		case "heal":
-		case "pause", "kill", "term", "start", "restart":
-			if r.named(s.Where) == nil {
-				return fmt.Errorf("%s: no orchestrator %s", s, s.Where)
-			}
-		default:
-			ways := r.ways(s)
-			if len(ways) == 0 {
-				return fmt.Errorf("%s: expected a->b, a<->b, a hall or all", s)
-			}
-			for _, w := range ways {
-				if !r.net.Has(w[0], w[1]) {
-					return fmt.Errorf("%s: no way between %s and %s", s, w[0], w[1])
-				}
-			}
+func (f *Fleet) startAgain(o *Orchestrator, step testbed.Step) error {
+	if len(step.Args) == 1 {
+		if err := o.setStoredStarts(step.Args[0]); err != nil {
+			return err
 		}
 	}
-	return nil
+	return f.start(o)
 }
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -19,34 +19,34 @@
 
 // Verbs of a schedule.
 const (
-	verbCut       = "cut"
-	verbRefuse    = "refuse"
-	verbReset     = "reset"
-	verbDelay     = "delay"
-	verbLoss      = "loss"
-	verbDuplicate = "twice"
-	verbReorder   = "overtake"
-	verbBandwidth = "bandwidth"
-	verbFlap      = "flap"
-	verbMend      = "mend"
-	verbPause     = "pause"
-	verbKill      = "kill"
-	verbTerminate = "term"
-	verbStart     = "start"
-	verbRestart   = "restart"
-	verbHeal      = "heal"
+	VerbCut       = "cut"
+	VerbRefuse    = "refuse"
+	VerbReset     = "reset"
+	VerbDelay     = "delay"
+	VerbLoss      = "loss"
+	VerbDuplicate = "twice"
+	VerbReorder   = "overtake"
+	VerbBandwidth = "bandwidth"
+	VerbFlap      = "flap"
+	VerbMend      = "mend"
+	VerbPause     = "pause"
+	VerbKill      = "kill"
+	VerbTerminate = "term"
+	VerbStart     = "start"
+	VerbRestart   = "restart"
+	VerbHeal      = "heal"
 )
 
-// allPaths names the paths between all processes, and except those that a cut spares.
-const (
-	allPaths = "all"
-	except   = "but"
-)
+// AllPaths is the path of a step on all paths between orchestrators.
+const AllPaths = "all"
+
+// except stands before the process that a cut spares.
+const except = "but"
 
 // What the folder of a process that is started again holds.
 const (
-	folderEmpty = "empty"
-	folderOld   = "old"
+	FolderEmpty = "empty"
+	FolderOld   = "old"
 )
 
 // Step is one fault, or the end of faults.
@@ -65,21 +65,21 @@
 
 // verbForms are those of all verbs but heal, which takes nothing.
 var verbForms = map[string]verbForm{
-	verbCut:       {usage: "[but PROCESS]"},
-	verbRefuse:    {},
-	verbReset:     {},
-	verbDelay:     {minArgs: 1, maxArgs: 2, usage: "TIME [JITTER]"},
-	verbLoss:      {minArgs: 1, maxArgs: 1, usage: "SHARE"},
-	verbDuplicate: {minArgs: 1, maxArgs: 1, usage: "SHARE"},
-	verbReorder:   {minArgs: 1, maxArgs: 1, usage: "SHARE"},
-	verbBandwidth: {minArgs: 1, maxArgs: 1, usage: "BYTES"},
-	verbFlap:      {minArgs: 1, maxArgs: 1, usage: "TIME"},
-	verbMend:      {},
-	verbPause:     {minArgs: 1, maxArgs: 1, usage: "TIME"},
-	verbKill:      {},
-	verbTerminate: {},
-	verbStart:     {maxArgs: 1, usage: "[empty | old]"},
-	verbRestart:   {maxArgs: 1, usage: "[empty | old]"},
+	VerbCut:       {usage: "[but PROCESS]"},
+	VerbRefuse:    {},
+	VerbReset:     {},
+	VerbDelay:     {minArgs: 1, maxArgs: 2, usage: "TIME [JITTER]"},
+	VerbLoss:      {minArgs: 1, maxArgs: 1, usage: "SHARE"},
+	VerbDuplicate: {minArgs: 1, maxArgs: 1, usage: "SHARE"},
+	VerbReorder:   {minArgs: 1, maxArgs: 1, usage: "SHARE"},
+	VerbBandwidth: {minArgs: 1, maxArgs: 1, usage: "BYTES"},
+	VerbFlap:      {minArgs: 1, maxArgs: 1, usage: "TIME"},
+	VerbMend:      {},
+	VerbPause:     {minArgs: 1, maxArgs: 1, usage: "TIME"},
+	VerbKill:      {},
+	VerbTerminate: {},
+	VerbStart:     {maxArgs: 1, usage: "[empty | old]"},
+	VerbRestart:   {maxArgs: 1, usage: "[empty | old]"},
 }
 
 // String is the step as ParseSchedule reads it.
@@ -91,6 +91,30 @@
 	return strings.Join(append(words, s.Args...), " ")
 }
 
+// OnProcess reports whether the step is on a process, and not on a path or on everything.
+func (s Step) OnProcess() bool {
+	switch s.Verb {
+	case VerbPause, VerbKill, VerbTerminate, VerbStart, VerbRestart:
+		return true
+	}
+	return false
+}
+
+// Spares reports whether a cut leaves the paths of a process open.
+func (s Step) Spares(process string) bool { return len(s.Args) == 2 && s.Args[1] == process }
+
+// Duration is an argument, a length of time, of a step that ParseSchedule or Draw made.
+func (s Step) Duration(arg int) time.Duration {
+	d, _ := time.ParseDuration(s.Args[arg]) // ParseSchedule has checked it
+	return d
+}
+
+// Number is an argument, a share or a count, of a step that ParseSchedule or Draw made.
+func (s Step) Number(arg int) float64 {
+	number, _ := strconv.ParseFloat(s.Args[arg], 64) // ParseSchedule has checked it
+	return number
+}
+
 // Text is a schedule as ParseSchedule reads it.
 func Text(steps []Step) string {
 	var texts []string
@@ -147,7 +171,7 @@
 		return step, "what is done", ""
 	}
 	step.Verb = words[1]
-	if step.Verb == verbHeal {
+	if step.Verb == VerbHeal {
 		if len(words) > 2 {
 			return step, "nothing after heal", words[2]
 		}
@@ -175,14 +199,14 @@
 // takes reports whether a step has as many arguments as its verb takes. Those of a cut are
 // two words: but PROCESS.
 func (f verbForm) takes(step Step) bool {
-	if step.Verb == verbCut {
+	if step.Verb == VerbCut {
 		return len(step.Args) == 0 || len(step.Args) == 2 && step.Args[0] == except
 	}
 	return len(step.Args) >= f.minArgs && len(step.Args) <= f.maxArgs
 }
 
 func verbNames() []string {
-	names := []string{verbHeal}
+	names := []string{VerbHeal}
 	for verb := range verbForms {
 		names = append(names, verb)
 	}
@@ -193,20 +217,20 @@
 // expectedArg says what was expected in place of an argument, "" where it is valid.
 func expectedArg(verb, arg string) string {
 	switch verb {
-	case verbDelay, verbPause, verbFlap:
-		if d, err := time.ParseDuration(arg); err != nil || d < 0 || verb == verbFlap && d == 0 {
+	case VerbDelay, VerbPause, VerbFlap:
+		if d, err := time.ParseDuration(arg); err != nil || d < 0 || verb == VerbFlap && d == 0 {
 			return "a time, as 2s or 500ms"
 		}
-	case verbLoss, verbDuplicate, verbReorder:
+	case VerbLoss, VerbDuplicate, VerbReorder:
 		if share, err := strconv.ParseFloat(arg, 64); err != nil || !(share >= 0 && share <= 1) {
 			return "a share of 0 to 1"
 		}
-	case verbBandwidth:
+	case VerbBandwidth:
 		if bytes, err := strconv.Atoi(arg); err != nil || bytes < 1 {
 			return "bytes a second, 1 or more"
 		}
-	case verbStart, verbRestart:
-		if arg != folderEmpty && arg != folderOld {
+	case VerbStart, VerbRestart:
+		if arg != FolderEmpty && arg != FolderOld {
 			return "empty or old"
 		}
 	}
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -25,21 +25,21 @@
 type faultKind string
 
 const (
-	faultKill      faultKind = "kill"
-	faultRestart   faultKind = "restart"
-	faultPause     faultKind = "pause"
-	faultOneWay    faultKind = "one-way cut"
-	faultLoss      faultKind = "loss"
-	faultFlap      faultKind = "flapping path"
-	faultDelay     faultKind = "delay"
-	faultZoneCut   faultKind = "zone cut"
-	faultBridge    faultKind = "zone cut but for one process"
-	faultDuplicate faultKind = "duplicate and reordered datagrams"
-	faultRefuse    faultKind = "refused connections"
+	faultKill          faultKind = "kill"
+	faultRestart       faultKind = "restart"
+	faultPause         faultKind = "pause"
+	faultAsymmetricCut faultKind = "asymmetric cut"
+	faultLoss          faultKind = "loss"
+	faultFlap          faultKind = "flapping path"
+	faultDelay         faultKind = "delay"
+	faultZoneCut       faultKind = "zone cut"
+	faultBridge        faultKind = "zone cut but for one process"
+	faultDuplicate     faultKind = "duplicate and reordered datagrams"
+	faultRefuse        faultKind = "refused connections"
 )
 
 // processesOf is how many processes of its own a fault needs.
-var processesOf = map[faultKind]int{faultOneWay: 2, faultRefuse: 2, faultFlap: 2, faultKill: 1, faultRestart: 1, faultPause: 1, faultBridge: 1}
+var processesOf = map[faultKind]int{faultAsymmetricCut: 2, faultRefuse: 2, faultFlap: 2, faultKill: 1, faultRestart: 1, faultPause: 1, faultBridge: 1}
 
 // drawer draws a schedule. Each process has a fault of its own, so that the effects can be
 // told from each other.
@@ -64,12 +64,12 @@
 	slices.Sort(d.processes)
 	slices.Sort(d.zones)
 	shuffle(d.random, d.processes)
-	kinds := []faultKind{faultKill, faultRestart, faultPause, faultOneWay, faultLoss, faultFlap, faultDelay, faultZoneCut, faultBridge,
+	kinds := []faultKind{faultKill, faultRestart, faultPause, faultAsymmetricCut, faultLoss, faultFlap, faultDelay, faultZoneCut, faultBridge,
 		faultDuplicate, faultRefuse}
 	shuffle(d.random, kinds)
 	// Every schedule opens with the end of a process and a path that carries in one direction only.
 	at := firstFault
-	for _, kind := range append([]faultKind{faultKill, faultOneWay}, kinds...) {
+	for _, kind := range append([]faultKind{faultKill, faultAsymmetricCut}, kinds...) {
 		at += time.Duration(d.random.Int64N(int64(maxFaultGap)))
 		if at > d.healAt-minFault {
 			break
@@ -78,7 +78,7 @@
 			d.draw(kind, at)
 		}
 	}
-	d.steps = append(d.steps, Step{At: d.healAt, Verb: verbHeal})
+	d.steps = append(d.steps, Step{At: d.healAt, Verb: VerbHeal})
 	sortByTime(d.steps)
 	return d.steps
 }
@@ -92,31 +92,31 @@
 	switch kind {
 	case faultKill:
 		if d.killed++; d.killed <= len(d.processes)/maxKilled && at <= d.healAt-minKill {
-			d.add(at, verbKill, d.process())
+			d.add(at, VerbKill, d.process())
 		}
 	case faultRestart:
-		d.add(at, verbRestart, d.process(), []string{folderEmpty, folderOld}[d.random.IntN(2)])
+		d.add(at, VerbRestart, d.process(), []string{FolderEmpty, FolderOld}[d.random.IntN(2)])
 	case faultPause:
-		d.add(at, verbPause, d.process(), fmt.Sprintf("%dms", 500+d.random.IntN(2300)))
-	case faultOneWay:
-		d.add(at, verbCut, d.process()+"->"+d.process())
+		d.add(at, VerbPause, d.process(), fmt.Sprintf("%dms", 500+d.random.IntN(2300)))
+	case faultAsymmetricCut:
+		d.add(at, VerbCut, d.process()+"->"+d.process())
 	case faultRefuse:
-		d.add(at, verbRefuse, d.process()+"->"+d.process())
+		d.add(at, VerbRefuse, d.process()+"->"+d.process())
 	case faultLoss:
-		d.add(at, verbLoss, allPaths, fmt.Sprintf("%.2f", 0.05+0.15*d.random.Float64()))
+		d.add(at, VerbLoss, AllPaths, fmt.Sprintf("%.2f", 0.05+0.15*d.random.Float64()))
 	case faultDuplicate:
-		d.add(at, verbDuplicate, allPaths, "0.10")
-		d.add(at, verbReorder, allPaths, "0.10")
+		d.add(at, VerbDuplicate, AllPaths, "0.10")
+		d.add(at, VerbReorder, AllPaths, "0.10")
 	case faultFlap:
-		d.add(at, verbFlap, d.process()+"<->"+d.process(), "700ms")
+		d.add(at, VerbFlap, d.process()+"<->"+d.process(), "700ms")
 	case faultDelay:
-		d.add(at, verbDelay, allPaths, "5ms", "20ms")
+		d.add(at, VerbDelay, AllPaths, "5ms", "20ms")
 	case faultZoneCut:
 		zone := d.zone()
-		d.add(at, verbCut, zone)
-		d.add(min(d.healAt, at+time.Duration(1500+d.random.IntN(3000))*time.Millisecond), verbMend, zone)
+		d.add(at, VerbCut, zone)
+		d.add(min(d.healAt, at+time.Duration(1500+d.random.IntN(3000))*time.Millisecond), VerbMend, zone)
 	case faultBridge:
-		d.add(at, verbCut, d.zone(), except, d.process())
+		d.add(at, VerbCut, d.zone(), except, d.process())
 	}
 }
 
@@ -137,7 +137,7 @@
 func ShrinkSchedule(steps []Step, fails func([]Step) bool) []Step {
 	for i := 0; i < len(steps); {
 		shorter := slices.Delete(slices.Clone(steps), i, i+1)
-		if steps[i].Verb != verbHeal && fails(shorter) {
+		if steps[i].Verb != VerbHeal && fails(shorter) {
 			steps = shorter
 		} else {
 			i++
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -49,8 +49,8 @@
 			if bad != "" {
 				t.Error(bad)
 			}
-			if v.OneWayCuts > v.OneWayDetected {
-				t.Errorf("%d of %d one-way links found", v.OneWayDetected, v.OneWayCuts)
+			if v.AsymmetricCuts > v.AsymmetricDetected {
+				t.Errorf("%d of %d one-way links found", v.AsymmetricDetected, v.AsymmetricCuts)
 			}
 		})
 	}
