--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -11,15 +11,15 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns one connection of an orchestrator to a worker.
+// This file owns one connection of an orchestrator to a worker. It must never know of tasks.
 
-// unknownOrchestrator is the owner of a connection by which no set-up came yet.
+// unknownOrchestrator stands for whoever opened a connection by which no offer came yet.
 const unknownOrchestrator = -1
 
 type connection struct {
 	worker *Worker
 	socket net.Conn
-	// orchestrator is whose it is, as the first set-up tells. The worker's lock guards it.
+	// orchestrator is who opened it, as the first offer shows. The worker's lock guards it.
 	orchestrator int
 	writing      sync.Mutex
 	usedAt       atomic.Int64 // Unix time of its last message or of its begin, in nanoseconds
@@ -27,19 +27,20 @@
 
 func newConnection(w *Worker, socket net.Conn) *connection {
 	c := &connection{worker: w, socket: socket, orchestrator: unknownOrchestrator}
-	c.used()
+	c.touch()
 	return c
 }
 
-func (c *connection) used() { c.usedAt.Store(time.Now().UnixNano()) }
+func (c *connection) touch() { c.usedAt.Store(time.Now().UnixNano()) }
 
-// closeUnused closes the connections without a message since a moment, unless the worker is silent.
+// closeUnused closes the connections without a message since a moment, unless the worker is
+// unresponsive.
 func (w *Worker) closeUnused(since time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for c := range w.connections {
-		if !w.silent && c.usedAt.Load() < since.UnixNano() {
-			c.socket.Close()
+		if !w.unresponsive && c.usedAt.Load() < since.UnixNano() {
+			testbed.CloseQuietly(c.socket)
 		}
 	}
 }
@@ -49,65 +50,65 @@
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	c.worker.fleet.messages.Add(1)
-	c.used()
+	c.touch()
 	testbed.Send(c.socket, line)
 }
 
-func (c *connection) reset() {
-	c.socket.(*net.TCPConn).SetLinger(0)
-	c.socket.Close()
-}
+func (c *connection) reset() { testbed.ResetConnection(c.socket) }
 
+// serve reads the connection to its end.
 func (c *connection) serve() {
-	defer c.closed()
+	defer c.close()
 	for scanner := bufio.NewScanner(c.socket); scanner.Scan(); {
 		var line testbed.Line
 		if json.Unmarshal(scanner.Bytes(), &line) != nil {
 			return
 		}
 		c.worker.fleet.messages.Add(1)
-		c.used()
-		if !c.worker.isSilent() {
-			c.message(line)
+		c.touch()
+		if !c.worker.isUnresponsive() {
+			c.receive(line)
 		}
 	}
 }
 
-func (c *connection) closed() {
+func (c *connection) close() {
 	c.worker.mutex.Lock()
 	delete(c.worker.connections, c)
 	c.worker.mutex.Unlock()
-	c.socket.Close()
+	testbed.CloseQuietly(c.socket)
 }
 
-func (w *Worker) isSilent() bool {
+func (w *Worker) isUnresponsive() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.silent
+	return w.unresponsive
 }
 
-func (c *connection) message(line testbed.Line) {
+func (c *connection) receive(line testbed.Line) {
 	switch line.Verb {
 	case "START":
 		c.identify(line.Tag)
-		c.worker.start(c, line)
+		c.worker.receiveOffer(c, line)
 	case "FINISH":
-		c.worker.end(line.Tag, causeCancelled)
+		c.worker.complete(line.Tag, codeCancelled)
 	case "ECHO":
-		c.send(testbed.FinishLine("ECHOED", line.Tag, 1))
+		c.send(testbed.FinishLine("ECHOED", line.Tag, codeOK))
 	}
 }
 
+// identify learns from a request ID whose connection it is.
 func (c *connection) identify(tag string) {
-	if orchestrator, ok := TagOrchestrator(tag); ok {
+	if orchestrator, ok := OrchestratorOf(tag); ok {
 		c.worker.mutex.Lock()
 		c.orchestrator = orchestrator
 		c.worker.mutex.Unlock()
 	}
 }
 
-// Test sends a test, in a message with the options given, on one of the worker's connections; it reports whether there was one.
-func (w *Worker) Test(tag string, options map[string]string) bool {
+// Ping sends a ping with options on one of the worker's connections; it reports whether there
+// was one.
+func (w *Worker) Ping(tag string, options map[string]string) bool {
 	w.mutex.Lock()
 	var to *connection
 	for c := range w.connections {
@@ -118,8 +119,8 @@
 	if to == nil {
 		return false
 	}
-	test := testbed.FinishLine("ECHO", tag, 0)
-	test.Opts = options
-	to.send(test)
+	ping := testbed.FinishLine("ECHO", tag, 0)
+	ping.Opts = options
+	to.send(ping)
 	return true
 }
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -1,12 +1,7 @@
 package hollow
 
 import (
-	"cmp"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -14,28 +9,29 @@
 	"ravenhitch/internal/shard"
 )
 
-// This file owns the source of the worker list: its events, and which of them each orchestrator
-// has heard. An orchestrator that names shards in its calls is told the room of their workers alone;
-// whether and where a worker is there is told to all.
+// This file owns the events of the worker list, and which of them answer a poll. An
+// orchestrator that names shards in its polls gets the free capacity of their workers alone;
+// phase and address of a worker go to all.
 
-// keptEvents bounds the events that are kept. An orchestrator that is further behind is told the
-// whole list.
-const keptEvents = 128
+// maxEvents bounds the events that are kept. An orchestrator that is further behind gets the
+// complete list.
+const maxEvents = 128
 
-// Discovery tells the list of a fleet: whole at first, then the entries that changed, at intervals.
+// Discovery publishes the list of a fleet: complete at first, then the entries that changed,
+// periodically.
 type Discovery struct {
-	fleet *Fleet
-	every time.Duration
+	fleet  *Fleet
+	period time.Duration
 
-	mutex    sync.Mutex
-	revision int
-	events   []event // the latest, in order
-	more     chan struct{}
-	quiet    bool
-	told     int64 // entries of all changes so far
+	mutex       sync.Mutex
+	revision    int           // of the last event
+	events      []event       // the latest, in order
+	added       chan struct{} // closed when an event is added
+	paused      bool
+	entriesSent int64 // of all changes so far
 
-	stop    chan struct{}
-	stopped sync.WaitGroup
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 }
 
 type event struct {
@@ -45,109 +41,134 @@
 
 // eventEntry is the entry of a worker as text.
 type eventEntry struct {
-	text   string
-	worker *Worker
-	toAll  bool // it tells more than the worker's room
+	text         string
+	worker       *Worker
+	stateChanged bool // and not its free capacity alone
+}
+
+// poll is what an orchestrator calls for.
+type poll struct {
+	base          int       // the revision before its first event
+	after         int       // the cursor of the last event that it has applied
+	shards        shard.Set // whose free capacity it wants
+	delayCapacity bool      // changes of free capacity alone may wait for the end of the call
 }
 
-// call is what an orchestrator asks for.
-type call struct {
-	base, after int       // the revision before its first event, and the last one that it has heard
-	shards      shard.Set // whose room it wants
-	lateRoom    bool      // room alone is told at the end of its wait
+// lastRevision is that of the last event that the orchestrator has applied.
+func (p *poll) lastRevision() int { return p.base + p.after }
+
+// wants reports whether an entry answers the poll: one of its shards, one of a zone that it
+// does not name, and any whose state changed.
+func (p *poll) wants(e *eventEntry) bool {
+	_, named := p.shards[e.worker.Zone]
+	return e.stateChanged || !named || p.shards.Has(e.worker.Zone, e.worker.ID)
 }
 
-// wants reports whether it is told an entry: one of its shards, of a zone that it does not name, and
-// whatever tells more than room.
-func (c *call) wants(e *eventEntry) bool {
-	_, named := c.shards[e.worker.Zone]
-	return e.toAll || !named || c.shards.Has(e.worker.Zone, e.worker.ID)
+// NewDiscovery starts to publish changes with a period.
+func NewDiscovery(fleet *Fleet, period time.Duration) *Discovery {
+	d := &Discovery{fleet: fleet, period: period, revision: 1, added: make(chan struct{}), stop: make(chan struct{})}
+	d.goroutines.Go(d.publishPeriodically)
+	return d
 }
 
-// NewDiscovery starts a source that tells changes at an interval.
-func NewDiscovery(fleet *Fleet, every time.Duration) *Discovery {
-	s := &Discovery{fleet: fleet, every: every, revision: 1, more: make(chan struct{}), stop: make(chan struct{})}
-	s.stopped.Go(s.follow)
-	return s
+// SetPaused holds changes back, or lets those since be published at the end of the period.
+func (d *Discovery) SetPaused(paused bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.paused = paused
 }
 
-// SetQuiet holds changes back, or lets those since tell themselves at the next interval.
-func (s *Discovery) SetQuiet(quiet bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.quiet = quiet
+// EntriesSent is the number of entries that changed so far, each counted once for all
+// orchestrators.
+func (d *Discovery) EntriesSent() int64 {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.entriesSent
 }
 
-// EventsSent is how many entries changed so far, each counted once for all orchestrators.
-func (s *Discovery) EventsSent() int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.told
+// Revision is that of the last event.
+func (d *Discovery) Revision() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.revision
 }
 
-func (s *Discovery) follow() {
-	ticker := time.NewTicker(s.every)
+// Pending reports whether anything changed that is not published yet.
+func (d *Discovery) Pending() bool {
+	d.fleet.mutex.Lock()
+	defer d.fleet.mutex.Unlock()
+	return len(d.fleet.changed) > 0
+}
+
+// Close ends the publishing. Subscriptions end by their own Close.
+func (d *Discovery) Close() {
+	close(d.stop)
+	d.goroutines.Wait()
+}
+
+func (d *Discovery) publishPeriodically() {
+	ticker := time.NewTicker(d.period)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			s.tell()
-		case <-s.stop:
+			d.publishChanges()
+		case <-d.stop:
 			return
 		}
 	}
 }
 
-// tell makes an event of what changed.
-func (s *Discovery) tell() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.quiet {
+// publishChanges adds an event of what changed.
+func (d *Discovery) publishChanges() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.paused {
 		return
 	}
-	changed := s.fleet.takeChanges()
+	changed := d.fleet.takeChanges()
 	if len(changed) == 0 {
 		return
 	}
 	var entries []eventEntry
 	for index, what := range changed {
-		entries = append(entries, s.fleet.Workers[index].eventEntry(what))
+		entries = append(entries, d.fleet.Workers[index].eventEntry(what))
 	}
-	s.told += int64(len(entries))
-	s.add(entries)
+	d.entriesSent += int64(len(entries))
+	d.add(entries)
 }
 
-// tellFresh makes an event of the workers of some shards as they are now.
-func (s *Discovery) tellFresh(shards shard.Set) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+// publishShards adds an event of the workers of some shards as they are now.
+func (d *Discovery) publishShards(shards shard.Set) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	var entries []eventEntry
-	for _, w := range s.fleet.Workers {
+	for _, w := range d.fleet.Workers {
 		if shards.Has(w.Zone, w.ID) {
-			entries = append(entries, w.eventEntry(changedRoom))
+			entries = append(entries, w.eventEntry(capacityChanged))
 		}
 	}
-	s.add(entries)
+	d.add(entries)
 }
 
-// add makes an event. The lock is held.
-func (s *Discovery) add(entries []eventEntry) {
-	s.revision++
-	s.events = append(s.events, event{s.revision, entries})
-	if len(s.events) > keptEvents {
-		s.events = s.events[1:]
+// add adds an event. The lock is held.
+func (d *Discovery) add(entries []eventEntry) {
+	d.revision++
+	d.events = append(d.events, event{d.revision, entries})
+	if len(d.events) > maxEvents {
+		d.events = d.events[1:]
 	}
-	close(s.more)
-	s.more = make(chan struct{})
+	close(d.added)
+	d.added = make(chan struct{})
 }
 
-// whole is the whole list as one event.
-func (s *Discovery) whole(cursor int) string {
-	entries := make([]string, 0, len(s.fleet.Workers))
-	for _, w := range s.fleet.Workers {
+// completeEvent is the complete list as one event. The lock is held.
+func (d *Discovery) completeEvent(cursor int) string {
+	entries := make([]string, 0, len(d.fleet.Workers))
+	for _, w := range d.fleet.Workers {
 		entries = append(entries, w.entry())
 	}
-	return eventText(cursor, s.revision, true, entries)
+	return eventText(cursor, d.revision, true, entries)
 }
 
 func eventText(cursor, revision int, complete bool, entries []string) string {
@@ -155,162 +176,49 @@
 		strings.Join(entries, ","))
 }
 
-// Pending reports whether anything changed that is not told yet.
-func (s *Discovery) Pending() bool {
-	s.fleet.mutex.Lock()
-	defer s.fleet.mutex.Unlock()
-	return len(s.fleet.changed) > 0
-}
-
-// Close ends the source. Its subscriptions end by their own Close.
-func (s *Discovery) Close() {
-	close(s.stop)
-	s.stopped.Wait()
-}
-
-// Subscription is the command channel of one orchestrator.
-type Subscription struct {
-	source   *Discovery
-	server   *http.Server
-	listener countingListener
-	serving  sync.WaitGroup
-
-	mutex sync.Mutex
-	base  int // the revision before the first event of this start
-	heard int // the revision of the last event that it asked beyond
-}
-
-// Subscribe opens a command channel.
-func (s *Discovery) Subscribe() (*Subscription, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, fmt.Errorf("hollow: command channel: %w", err)
-	}
-	u := &Subscription{source: s, listener: countingListener{Listener: listener, bytes: &Bytes{}}}
-	u.server = &http.Server{Handler: http.HandlerFunc(u.next)}
-	u.serving.Go(func() { u.server.Serve(u.listener) })
-	return u, nil
-}
-
-// Address is where the orchestrator asks.
-func (u *Subscription) Address() string { return u.listener.Addr().String() }
-
-// Bytes counts what goes over the channel; In is what the orchestrator sent.
-func (u *Subscription) Bytes() *Bytes { return u.listener.bytes }
-
-// LastPolled is the revision of the last event that the orchestrator has applied.
-func (u *Subscription) LastPolled() int {
-	u.mutex.Lock()
-	defer u.mutex.Unlock()
-	return u.heard
-}
-
-// Revision is that of the last event.
-func (s *Discovery) Revision() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.revision
-}
-
-// InitialList is what the configuration of an orchestrator that starts now holds: events are numbered
-// anew from 1.
-func (u *Subscription) InitialList() string {
-	u.source.mutex.Lock()
-	defer u.source.mutex.Unlock()
-	u.mutex.Lock()
-	u.base = u.source.revision - 1
-	u.heard = u.source.revision
-	u.mutex.Unlock()
-	return fmt.Sprintf(`{"cursor":1,"cmds":[%s]}`, u.source.whole(1))
+// answerText is the answer to a poll with one event, or with none where that is "".
+func answerText(cursor int, event string) string {
+	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, cursor, event)
 }
 
-// next answers a call for what follows an event.
-func (u *Subscription) next(w http.ResponseWriter, r *http.Request) {
-	query := r.URL.Query()
-	after, _ := strconv.Atoi(query.Get("resume"))
-	block, _ := strconv.Atoi(query.Get("block"))
-	shards, err := shard.Parse(query.Get("shards"))
-	fresh, freshErr := shard.Parse(query.Get("fresh"))
-	asked := call{after: after, shards: shards, lateRoom: query.Get("room") == "late" && fresh.Len() == 0}
-	if err = cmp.Or(err, freshErr); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
+// answer is the answer to a poll, or "" and what is closed when an event is added; cursor is
+// that of the last event.
+func (d *Discovery) answer(p *poll) (answer string, cursor int, added <-chan struct{}) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	last := p.lastRevision()
+	cursor = max(p.after, d.revision-p.base)
+	if d.revision > last && (len(d.events) == 0 || d.events[0].revision > last+1) {
+		return answerText(cursor, d.completeEvent(cursor)), cursor, nil
 	}
-	if fresh.Len() > 0 {
-		u.source.tellFresh(fresh)
+	entries, urgent := d.entriesSince(last, p)
+	if len(entries) == 0 || p.delayCapacity && !urgent {
+		return "", cursor, d.added
 	}
-	u.mutex.Lock()
-	asked.base = u.base
-	u.heard = asked.base + after
-	u.mutex.Unlock()
-	limit := time.NewTimer(time.Duration(block) * time.Millisecond)
-	defer limit.Stop()
-	for {
-		answer, _, more := u.source.after(&asked)
-		if answer != "" {
-			io.WriteString(w, answer)
-			return
-		}
-		select {
-		case <-more:
-		case <-limit.C:
-			asked.lateRoom = false
-			answer, last, _ := u.source.after(&asked)
-			if answer == "" {
-				answer = fmt.Sprintf(`{"cursor":%d,"cmds":[]}`, last)
-			}
-			io.WriteString(w, answer)
-			return
-		case <-r.Context().Done():
-			return
-		}
-	}
-}
-
-// after is the answer to a call, or "" and where more will be noticed; last is the cursor of the
-// last event.
-func (s *Discovery) after(asked *call) (answer string, last int, more <-chan struct{}) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	heard := asked.base + asked.after
-	last = max(asked.after, s.revision-asked.base)
-	if s.revision > heard && (len(s.events) == 0 || s.events[0].revision > heard+1) {
-		return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, last, s.whole(last)), last, nil
-	}
-	entries, urgent := s.since(heard, asked)
-	if len(entries) == 0 || asked.lateRoom && !urgent {
-		return "", last, s.more
-	}
-	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, last, eventText(last, s.revision, false, entries)), last, nil
+	return answerText(cursor, eventText(cursor, d.revision, false, entries)), cursor, nil
 }
 
-// since are the entries that a call is told of what changed after a revision, the latest of each worker,
-// and whether any tells more than room. The lock is held.
-func (s *Discovery) since(heard int, asked *call) (texts []string, urgent bool) {
-	at := map[*Worker]int{}
-	for _, e := range s.events {
-		if e.revision <= heard {
+// entriesSince are the entries that answer a poll, of what changed after a revision: the
+// latest of each worker, and whether the state of any changed. The lock is held.
+func (d *Discovery) entriesSince(revision int, p *poll) (texts []string, urgent bool) {
+	indexes := map[*Worker]int{}
+	for _, e := range d.events {
+		if e.revision <= revision {
 			continue
 		}
 		for i := range e.entries {
 			entry := &e.entries[i]
-			if !asked.wants(entry) {
+			if !p.wants(entry) {
 				continue
 			}
-			urgent = urgent || entry.toAll
-			place, there := at[entry.worker]
-			if !there {
-				place = len(texts)
-				at[entry.worker], texts = place, append(texts, "")
+			urgent = urgent || entry.stateChanged
+			index, present := indexes[entry.worker]
+			if !present {
+				index = len(texts)
+				indexes[entry.worker], texts = index, append(texts, "")
 			}
-			texts[place] = entry.text
+			texts[index] = entry.text
 		}
 	}
 	return texts, urgent
 }
-
-// Close ends the channel.
-func (u *Subscription) Close() {
-	u.server.Close()
-	u.serving.Wait()
-}
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -1,8 +1,8 @@
-// Package hollow holds workers without machines behind them: thousands of them share one
-// process. Each has a listener of its own on a loopback address, answers set-ups, tests and
-// releases as the protocol has it, keeps account of its room, and ends a task when its run time
-// is over. It also holds the source of the worker list, which tells what changed. It must never
-// be part of a program that serves.
+// Package hollow holds workers that run nothing: thousands of them share one process. Each has
+// a listener of its own on a loopback address, answers offers, pings and releases as the
+// protocol has it, accounts for its capacity, and completes a task after its run time. The
+// package also holds the stand-in for discovery that lists them. It must never be part of a
+// program that serves.
 package hollow
 
 import (
@@ -12,13 +12,15 @@
 	"time"
 )
 
-// Observer is told what becomes of tasks at the workers. It is called from many goroutines, and
-// never with a lock of the fleet held.
+// This file owns a set of workers, its counters, and which workers changed.
+
+// Observer is notified of what becomes of tasks at the workers. It is called from many
+// goroutines, and never with a lock of the fleet held.
 type Observer interface {
-	// Accepted is called before the answer is written.
+	// Accepted is called before the message is written.
 	Accepted(worker, key, tag string)
-	// Ended is called before the end is told. Lost tasks were on a worker that vanished or died:
-	// nobody tells their end.
+	// Ended is called before the completion is reported. Lost tasks were on a worker that
+	// failed: nobody reports their completion.
 	Ended(worker, tag string, at time.Time, lost bool)
 }
 
@@ -30,11 +32,11 @@
 
 // Options say what a fleet is made of.
 type Options struct {
-	Workers int
-	Kinds   []Kind        // by turns
-	Zones   []string      // by turns
-	Cell    int           // workers of a rack
-	Idle    time.Duration // after which a connection without a message is closed; 0: never
+	Workers     int
+	Kinds       []Kind        // by turns
+	Zones       []string      // by turns
+	CellSize    int           // workers in a cell
+	IdleTimeout time.Duration // after which a connection without a message is closed; 0: never
 }
 
 // Fleet is a set of workers.
@@ -45,48 +47,56 @@
 	mutex   sync.Mutex
 	changed changes // since takeChanges was called
 
-	refusals   counter
-	messages   counter
-	accepted   counter
-	unaccepted counter
-	goroutines sync.WaitGroup
-	stop       chan struct{}
+	rejections          counter
+	messages            counter
+	connectionsAccepted counter
+	acceptFailures      counter
+	goroutines          sync.WaitGroup
+	stop                chan struct{}
 }
 
+// firstWorkerID is the number in the ID of the first worker.
+const firstWorkerID = 0xc41f00
+
 // NewFleet starts the workers.
 func NewFleet(options Options, observer Observer) (*Fleet, error) {
 	f := &Fleet{observer: observer, changed: changes{}, stop: make(chan struct{})}
 	for i := range options.Workers {
-		rack := i / options.Cell
+		cell := i / options.CellSize
 		w := &Worker{
-			ID: fmt.Sprintf("s-%08x", 0xc41f00+i), Zone: options.Zones[rack%len(options.Zones)],
-			Kind: options.Kinds[i%len(options.Kinds)], Cell: rack, fleet: f, index: i,
-			tasks: map[string]*task{}, connections: map[*connection]bool{},
+			ID:          fmt.Sprintf("s-%08x", firstWorkerID+i),
+			Zone:        options.Zones[cell%len(options.Zones)],
+			Kind:        options.Kinds[i%len(options.Kinds)],
+			Cell:        cell,
+			fleet:       f,
+			index:       i,
+			tasks:       map[string]*runningTask{},
+			connections: map[*connection]bool{},
 		}
-		if err := w.listen(loopback(i)); err != nil {
+		if err := w.listen(loopbackAddress(i)); err != nil {
 			f.Close()
 			return nil, err
 		}
 		f.Workers = append(f.Workers, w)
 	}
-	if options.Idle > 0 {
-		f.goroutines.Go(func() { f.closeIdle(options.Idle) })
+	if options.IdleTimeout > 0 {
+		f.goroutines.Go(func() { f.closeIdle(options.IdleTimeout) })
 	}
 	return f, nil
 }
 
-// idleLooks is how often within the idle time connections are looked at.
-const idleLooks = 30
+// idleChecks is how often within the idle timeout connections are looked at.
+const idleChecks = 30
 
-// closeIdle closes connections on which there was no message for long.
-func (f *Fleet) closeIdle(idle time.Duration) {
-	ticker := time.NewTicker(idle / idleLooks)
+// closeIdle closes connections on which there was no message for a timeout.
+func (f *Fleet) closeIdle(timeout time.Duration) {
+	ticker := time.NewTicker(timeout / idleChecks)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
 			for _, w := range f.Workers {
-				w.closeUnused(now.Add(-idle))
+				w.closeUnused(now.Add(-timeout))
 			}
 		case <-f.stop:
 			return
@@ -94,63 +104,61 @@
 	}
 }
 
-// loopback is the nth address of this process: the workers of two processes share none, as far
-// as their numbers differ in the low bits.
-func loopback(n int) string {
+// loopbackAddress is the nth address of this process: the workers of two processes share none,
+// as far as their process IDs differ in the low bits.
+func loopbackAddress(n int) string {
 	const hosts = 250 // a last byte of 0 or 255 looks like a network's
 	return fmt.Sprintf("127.%d.%d.%d:0", 16+os.Getpid()%200, n/hosts, 1+n%hosts)
 }
 
-// Refusals is how many set-ups found no room so far.
-func (f *Fleet) Refusals() int64 { return f.refusals.Load() }
+// Rejections is the number of offers that were rejected for want of capacity so far.
+func (f *Fleet) Rejections() int64 { return f.rejections.Load() }
 
-// Messages is how many messages the workers read and wrote so far.
+// Messages is the number of messages that the workers read and wrote so far.
 func (f *Fleet) Messages() int64 { return f.messages.Load() }
 
-// Accepted is how many connections came so far.
-func (f *Fleet) Accepted() int64 { return f.accepted.Load() }
+// ConnectionsAccepted is the number of connections that came so far.
+func (f *Fleet) ConnectionsAccepted() int64 { return f.connectionsAccepted.Load() }
 
-// Unaccepted is how often a connection had to wait since the process had no descriptor left.
-func (f *Fleet) Unaccepted() int64 { return f.unaccepted.Load() }
+// AcceptFailures is how often a connection had to wait since the process had no descriptor left.
+func (f *Fleet) AcceptFailures() int64 { return f.acceptFailures.Load() }
 
-// Connections is how many connections are open to all workers.
+// Connections is the number of open connections to all workers.
 func (f *Fleet) Connections() int {
-	n := 0
-	for _, w := range f.Workers {
-		w.mutex.Lock()
-		n += len(w.connections)
-		w.mutex.Unlock()
-	}
-	return n
+	return f.count(func(w *Worker) int { return len(w.connections) })
 }
 
-// Running is how many tasks run.
+// Running is the number of running tasks.
 func (f *Fleet) Running() int {
-	n := 0
+	return f.count(func(w *Worker) int { return len(w.tasks) })
+}
+
+// count sums a number over all workers, each under its lock.
+func (f *Fleet) count(of func(*Worker) int) (total int) {
 	for _, w := range f.Workers {
 		w.mutex.Lock()
-		n += len(w.tasks)
+		total += of(w)
 		w.mutex.Unlock()
 	}
-	return n
+	return total
 }
 
 // change is what changed of a worker's entry on the list.
 type change int
 
 const (
-	changedRoom  change = iota // only what it has free
-	changedState               // whether and where it is there
+	capacityChanged change = iota // only its free capacity
+	stateChanged                  // its phase or its address
 )
 
 // changes are those of workers, by index.
 type changes map[int]change
 
-// Touch marks the room of a worker as changed, though nothing may be different: the list tells its
-// entry again.
-func (f *Fleet) Touch(index int) { f.change(index, changedRoom) }
+// RecordChange records that the free capacity of a worker changed, though it may be the same: the
+// list sends its entry again.
+func (f *Fleet) RecordChange(index int) { f.recordChange(index, capacityChanged) }
 
-func (f *Fleet) change(index int, what change) {
+func (f *Fleet) recordChange(index int, what change) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.changed[index] = max(f.changed[index], what)
@@ -169,7 +177,7 @@
 func (f *Fleet) Close() {
 	close(f.stop)
 	for _, w := range f.Workers {
-		w.Stop(Abrupt)
+		w.Stop(Crash)
 	}
 	f.goroutines.Wait()
 }
--- /dev/null
+++ b/internal/testbed/hollow/subscription.go
@@ -0,0 +1,132 @@
+package hollow
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"ravenhitch/internal/shard"
+	"ravenhitch/internal/testbed"
+)
+
+// This file owns the HTTP server by which one orchestrator polls discovery, and what it has
+// applied.
+
+// Subscription is the command channel of one orchestrator.
+type Subscription struct {
+	discovery  *Discovery
+	server     *http.Server
+	listener   countingListener
+	goroutines sync.WaitGroup
+
+	mutex      sync.Mutex
+	base       int // the revision before the first event of the orchestrator's current start
+	lastPolled int // the revision of the last event that it polled beyond
+}
+
+// Subscribe opens a command channel.
+func (d *Discovery) Subscribe() (*Subscription, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("hollow: command channel: %w", err)
+	}
+	s := &Subscription{discovery: d, listener: countingListener{Listener: listener, bytes: &ByteCounters{}}}
+	s.server = &http.Server{Handler: http.HandlerFunc(s.servePoll)}
+	s.goroutines.Go(s.serve)
+	return s, nil
+}
+
+// serve serves polls until Close. Another end shows as polls without an answer.
+func (s *Subscription) serve() { _ = s.server.Serve(s.listener) }
+
+// Close ends the channel.
+func (s *Subscription) Close() {
+	testbed.CloseQuietly(s.server)
+	s.goroutines.Wait()
+}
+
+// Address is where the orchestrator polls.
+func (s *Subscription) Address() string { return s.listener.Addr().String() }
+
+// Bytes counts what goes over the channel; Received is what the orchestrator sent.
+func (s *Subscription) Bytes() *ByteCounters { return s.listener.bytes }
+
+// LastPolled is the revision of the last event that the orchestrator has applied.
+func (s *Subscription) LastPolled() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.lastPolled
+}
+
+// InitialList is what the configuration of an orchestrator that starts now holds: events are
+// numbered anew from 1.
+func (s *Subscription) InitialList() string {
+	s.discovery.mutex.Lock()
+	defer s.discovery.mutex.Unlock()
+	s.mutex.Lock()
+	s.base = s.discovery.revision - 1
+	s.lastPolled = s.discovery.revision
+	s.mutex.Unlock()
+	return answerText(1, s.discovery.completeEvent(1))
+}
+
+// servePoll answers a call for what follows an event.
+func (s *Subscription) servePoll(w http.ResponseWriter, r *http.Request) {
+	p, refresh, err := parsePoll(r)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if refresh.Len() > 0 {
+		s.discovery.publishShards(refresh)
+	}
+	s.mutex.Lock()
+	p.base = s.base
+	s.lastPolled = p.lastRevision()
+	s.mutex.Unlock()
+	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
+	answer, err := s.waitForAnswer(r, p, time.Duration(blockMs)*time.Millisecond)
+	if err == nil {
+		_, _ = io.WriteString(w, answer) // an orchestrator that is gone polls again
+	}
+}
+
+// parsePoll reads a call, and the shards whose workers it asks for anew.
+func parsePoll(r *http.Request) (p *poll, refresh shard.Set, err error) {
+	query := r.URL.Query()
+	after, _ := strconv.Atoi(query.Get("resume"))
+	shards, shardsErr := shard.Parse(query.Get("shards"))
+	refresh, freshErr := shard.Parse(query.Get("fresh"))
+	p = &poll{after: after, shards: shards, delayCapacity: query.Get("room") == "late" && refresh.Len() == 0}
+	return p, refresh, cmp.Or(shardsErr, freshErr)
+}
+
+// waitForAnswer waits for an answer to a poll, or for its timeout; it returns an error where
+// the orchestrator is gone.
+func (s *Subscription) waitForAnswer(r *http.Request, p *poll, timeout time.Duration) (string, error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for {
+		answer, _, added := s.discovery.answer(p)
+		if answer != "" {
+			return answer, nil
+		}
+		select {
+		case <-added:
+		case <-timer.C:
+			p.delayCapacity = false
+			answer, cursor, _ := s.discovery.answer(p)
+			if answer == "" {
+				answer = answerText(cursor, "")
+			}
+			return answer, nil
+		case <-r.Context().Done():
+			return "", r.Context().Err()
+		}
+	}
+}
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -133,6 +133,7 @@
 	Expected, Got string
 }
 
+// Error says which step it is, what was expected, and what was there.
 func (e *ScheduleError) Error() string {
 	return fmt.Sprintf("%s: step %d: expected %s, got %.40q", ErrSchedule, e.Step, e.Expected, e.Got)
 }
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -38,7 +38,7 @@
 type pool struct {
 	orchestrator *orchestrator
 	links        []*link
-	bytes        hollow.Bytes
+	bytes        hollow.ByteCounters
 	messages     atomic.Int64
 	next         atomic.Uint64 // set-up, for its tag and its connection
 }
@@ -54,7 +54,7 @@
 // pick returns a connection and a new tag.
 func (p *pool) pick() (*link, string) {
 	n := p.next.Add(1)
-	return p.links[n%linksEach], hollow.Tag(p.orchestrator.index, n)
+	return p.links[n%linksEach], hollow.RequestID(p.orchestrator.index, n)
 }
 
 // close ends all connections.
@@ -140,7 +140,7 @@
 
 // test sends a test, and returns what is closed once it is passed.
 func (l *link) test(options map[string]string) (<-chan struct{}, error) {
-	tag := hollow.Tag(l.pool.orchestrator.index, l.pool.next.Add(1))
+	tag := hollow.RequestID(l.pool.orchestrator.index, l.pool.next.Add(1))
 	test := testbed.FinishLine("ECHO", tag, 0)
 	test.Opts = options
 	heard := make(chan struct{})
@@ -242,7 +242,7 @@
 
 // setUp is the set-up of a task, without the time that its client waits.
 func (t *task) setUp(tag string) testbed.Line {
-	description := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, Run: t.run}.Describe()
+	description := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.run}.Describe()
 	return testbed.Line{Verb: "START", Tag: tag, Blob: &description, Opts: map[string]string{"class": t.job.class.name, "key": t.key,
 		"tenant": t.job.tenant, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", t.job.task.Cores, t.job.task.Memory, t.job.service)}}
 }
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -44,10 +44,10 @@
 }
 
 func (r *rig) before() before {
-	b := before{at: time.Now(), counts: r.ledger.now(), messages: r.fleet.Messages(), refusals: r.fleet.Refusals()}
+	b := before{at: time.Now(), counts: r.ledger.now(), messages: r.fleet.Messages(), refusals: r.fleet.Rejections()}
 	for _, o := range r.orchestrators {
 		b.messages += o.clients.messages.Load()
-		b.control += o.list.Bytes().In.Load() + o.list.Bytes().Out.Load()
+		b.control += o.list.Bytes().Received.Load() + o.list.Bytes().Sent.Load()
 	}
 	return b
 }
@@ -99,13 +99,13 @@
 	for _, w := range r.fleet.Workers {
 		if which(w) {
 			gone = append(gone, w)
-			lost += w.Tasks()
-			w.Stop(hollow.Silent)
+			lost += w.TaskCount()
+			w.Stop(hollow.Unreachable)
 		}
 	}
 	<-time.After(listDetection)
 	for _, w := range gone {
-		w.SetListed("removed")
+		w.SetPhase("removed")
 	}
 	listed := r.source.Revision() + 1
 	known := r.until(func() bool { return r.heard(listed) && r.ledger.lostUntold() <= from })
@@ -199,8 +199,8 @@
 			return
 		}
 		w := r.fleet.Workers[done*step]
-		lost += w.Tasks()
-		w.Stop(hollow.Abrupt)
+		lost += w.TaskCount()
+		w.Stop(hollow.Crash)
 		group.Go(func() {
 			<-time.After(downFor)
 			r.bringBack([]*hollow.Worker{w})
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -21,8 +21,8 @@
 }
 
 func (o *orchestrator) mark() mark {
-	m := mark{at: time.Now(), listIn: o.list.Bytes().Out.Load(), listOut: o.list.Bytes().In.Load(), clientsIn: o.clients.bytes.Out.Load(),
-		clientsOut: o.clients.bytes.In.Load(), peers: o.peerBytes(), log: o.logBytes(), clientMessages: o.clients.messages.Load()}
+	m := mark{at: time.Now(), listIn: o.list.Bytes().Sent.Load(), listOut: o.list.Bytes().Received.Load(), clientsIn: o.clients.bytes.Sent.Load(),
+		clientsOut: o.clients.bytes.Received.Load(), peers: o.peerBytes(), log: o.logBytes(), clientMessages: o.clients.messages.Load()}
 	used, err := processUsage(o.PID())
 	if err != nil {
 		o.rig.t.Error(err)
@@ -41,14 +41,14 @@
 // play runs what is on for a while, and marks both ends.
 func (r *rig) play(name string, length time.Duration, on ...func(stop <-chan struct{})) phase {
 	p := phase{name: name, from: r.marks()}
-	dials := r.fleet.Accepted()
+	dials := r.fleet.ConnectionsAccepted()
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	for _, f := range on {
 		group.Go(func() { f(stop) })
 	}
 	<-time.After(length)
-	p.until, p.dials = r.marks(), r.fleet.Accepted()-dials
+	p.until, p.dials = r.marks(), r.fleet.ConnectionsAccepted()-dials
 	close(stop)
 	group.Wait()
 	r.t.Log(p)
@@ -158,7 +158,7 @@
 			return
 		}
 		for range putTries {
-			if r.fleet.Workers[random.IntN(len(r.fleet.Workers))].Test(fmt.Sprintf("%016x", n), fields) {
+			if r.fleet.Workers[random.IntN(len(r.fleet.Workers))].Ping(fmt.Sprintf("%016x", n), fields) {
 				return
 			}
 		}
@@ -180,7 +180,7 @@
 
 func (r *rig) touch(rate float64, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.options.seed, 43))
-	pace(rate, stop, func() { r.fleet.Touch(random.IntN(len(r.fleet.Workers))) })
+	pace(rate, stop, func() { r.fleet.RecordChange(random.IntN(len(r.fleet.Workers))) })
 }
 
 // starts asks for jobs at the pace of the peak: one at once, and the next when its tasks' time is over.
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -80,7 +80,7 @@
 	r := &rig{t: t, options: o, directory: t.TempDir(), binary: binary, ledger: newLedger(), demand: newDemand(o.seed, o)}
 	t.Cleanup(r.close)
 	r.fleet, err = hollow.NewFleet(hollow.Options{Workers: o.workers, Kinds: kinds, Zones: zoneNames(),
-		Cell: max(1, min(rackSize, o.workers/zones)), Idle: o.idle}, r.ledger)
+		CellSize: max(1, min(rackSize, o.workers/zones)), IdleTimeout: o.idle}, r.ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 }
 
 func (r *rig) putTagged(t *task, workers []*hollow.Worker, random *rand.Rand, tag string) bool {
-	stands := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, Run: t.run}
+	stands := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.run}
 	for range putTries {
 		w := workers[random.IntN(len(workers))]
 		if w.AddRunning(tag, t.key, stands) {
@@ -216,7 +216,7 @@
 	random, demand := rand.New(rand.NewPCG(r.options.seed, 47)), newDemand(r.options.seed+1, r.options)
 	for i := range int(r.options.othersShare() * float64(r.options.running)) {
 		t := &task{job: demand.next(), key: fmt.Sprintf("others-%06d", i), orchestrator: r.orchestrators[0], run: othersRun}
-		if !r.putTagged(t, r.fleet.Workers, random, hollow.Tag(r.options.fleetSize, uint64(i))) {
+		if !r.putTagged(t, r.fleet.Workers, random, hollow.RequestID(r.options.fleetSize, uint64(i))) {
 			r.t.Fatalf("no room for a task of %g cores of another orchestrator", t.job.task.Cores)
 		}
 	}
--- a/test/scale/samples_test.go
+++ b/test/scale/samples_test.go
@@ -65,8 +65,8 @@
 		s.peakMB.Store(max(s.peakMB.Load(), int64(u.peakMB+0.999)))
 		row := []string{fmt.Sprint(time.Since(s.began).Milliseconds()), s.phase.Load().(string), o.Name,
 			fmt.Sprintf("%.4f", u.cpuSeconds), fmt.Sprintf("%.1f", u.residentMB), fmt.Sprintf("%.1f", u.peakMB)}
-		for _, figure := range []int64{int64(u.descriptors), u.read, u.written, o.list.Bytes().Out.Load(), o.list.Bytes().In.Load(),
-			o.clients.bytes.Out.Load(), o.clients.bytes.In.Load(), int64(running), int64(counts.started), int64(counts.refused),
+		for _, figure := range []int64{int64(u.descriptors), u.read, u.written, o.list.Bytes().Sent.Load(), o.list.Bytes().Received.Load(),
+			o.clients.bytes.Sent.Load(), o.clients.bytes.Received.Load(), int64(running), int64(counts.started), int64(counts.refused),
 			int64(counts.unanswered)} {
 			row = append(row, fmt.Sprint(figure))
 		}
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -72,15 +72,15 @@
 	r.t.Logf("%d of %d tasks that run already are known; %d connections to workers are open", res.known, r.options.running,
 		r.fleet.Connections())
 	s.phase.Store("standing")
-	r.source.SetQuiet(true)
+	r.source.SetPaused(true)
 	r.play("standing", r.options.calibration())
-	r.source.SetQuiet(false)
-	r.fleet.Begin()
+	r.source.SetPaused(false)
+	r.fleet.StartRunTimes()
 	if r.options.parts {
 		s.phase.Store("work")
-		r.source.SetQuiet(true)
+		r.source.SetPaused(true)
 		r.play("work", r.options.peak, r.starts)
-		r.source.SetQuiet(false)
+		r.source.SetPaused(false)
 	}
 	r.peak(s, &res)
 	s.phase.Store("settle")
@@ -178,8 +178,8 @@
 
 // logFindings tells the counts of clients and what the orchestrators warned of.
 func (r *rig) logFindings() {
-	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.now(), r.fleet.Refusals(), r.source.EventsSent(),
-		r.fleet.Unaccepted())
+	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.now(), r.fleet.Rejections(), r.source.EntriesSent(),
+		r.fleet.AcceptFailures())
 	for _, line := range r.ledger.untold() {
 		r.t.Log("scale-untold: " + line)
 	}
