--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -52,7 +52,7 @@
 	sessionLife = int64(2 * time.Minute / time.Microsecond)
 	nameMost    = 64
 	textMost    = 8 << 10
-	// retryLeast is the advice given where the module gave none.
+	// minRetryPause is the advice given where the module gave none.
 	retryLeast = time.Second
 )
 
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -15,154 +15,163 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the clients: their connections, what they write, and when they come again.
+// This file owns the clients: their connections, what they write, and when they retry.
 
 const (
-	// linksEach is the number of clients' connections to one orchestrator; a third of its
+	// connectionsEach is the number of clients' connections to one orchestrator; a third of its
 	// descriptors is allowed.
-	linksEach = 40
-	// dialPatience and writePatience bound what may wait for an orchestrator that does not accept.
-	dialPatience      = time.Second
-	writePatience     = time.Second
-	retryLeast        = 200 * time.Millisecond
+	connectionsEach = 40
+	// dialTimeout and writeTimeout bound the wait for an orchestrator that does not accept.
+	dialTimeout       = time.Second
+	writeTimeout      = time.Second
+	minRetryPause     = 200 * time.Millisecond
 	retryAfterFailure = time.Second
 )
 
-// advice is how long a refusal tells its client to stay away.
-func advice(line testbed.Line) time.Duration {
-	told, _ := strconv.Atoi(line.Opts["wait"])
-	return max(retryLeast, time.Duration(told)*time.Millisecond)
+// retryAfter is when the client of a rejected request is to come again.
+func retryAfter(line testbed.Line) time.Duration {
+	waitMs, _ := strconv.Atoi(line.Opts["wait"])
+	return max(minRetryPause, time.Duration(waitMs)*time.Millisecond)
 }
 
 // pool is the clients' connections to one orchestrator.
 type pool struct {
 	orchestrator *orchestrator
-	links        []*link
+	connections  []*connection
 	bytes        hollow.ByteCounters
 	messages     atomic.Int64
-	next         atomic.Uint64 // set-up, for its tag and its connection
+	next         atomic.Uint64 // request, for its ID and its connection
 }
 
 func newPool(o *orchestrator) *pool {
 	p := &pool{orchestrator: o}
-	for range linksEach {
-		p.links = append(p.links, &link{pool: p})
+	for range connectionsEach {
+		p.connections = append(p.connections, &connection{pool: p})
 	}
 	return p
 }
 
-// pick returns a connection and a new tag.
-func (p *pool) pick() (*link, string) {
+// pick returns a connection and a new request ID.
+func (p *pool) pick() (*connection, string) {
 	n := p.next.Add(1)
-	return p.links[n%linksEach], hollow.RequestID(p.orchestrator.index, n)
+	return p.connections[n%connectionsEach], hollow.RequestID(p.orchestrator.index, n)
 }
 
 // close ends all connections.
 func (p *pool) close() {
-	for _, l := range p.links {
-		l.mutex.Lock()
-		if l.socket != nil {
-			l.socket.Close()
-		}
-		l.mutex.Unlock()
+	for _, c := range p.connections {
+		c.close()
 	}
 }
 
-// link is one connection, dialled anew where it ended.
-type link struct {
+// connection is one connection, dialled again where it ended.
+type connection struct {
 	pool   *pool
 	mutex  sync.Mutex
 	socket net.Conn
-	echoes map[string]chan struct{} // tests without an answer
+	pings  map[string]chan struct{} // without an answer
+}
+
+// close ends the connection, if there is one.
+func (c *connection) close() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.socket != nil {
+		testbed.CloseQuietly(c.socket)
+	}
 }
 
 // write sends a message, on a new connection where there is none.
-func (l *link) write(line testbed.Line) error {
+func (c *connection) write(line testbed.Line) error {
 	text, err := json.Marshal(line)
 	if err != nil {
 		return err
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.socket == nil {
-		if err := l.dial(); err != nil {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.socket == nil {
+		if err := c.dial(); err != nil {
 			return err
 		}
 	}
-	l.socket.SetWriteDeadline(time.Now().Add(writePatience))
-	l.pool.messages.Add(1)
-	_, err = l.socket.Write(append(text, '\n'))
+	if err := c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return err
+	}
+	c.pool.messages.Add(1)
+	_, err = c.socket.Write(append(text, '\n'))
 	return err
 }
 
 // dial connects. The lock is held.
-func (l *link) dial() error {
-	raw, err := net.DialTimeout("tcp", l.pool.orchestrator.address, dialPatience)
+func (c *connection) dial() error {
+	raw, err := net.DialTimeout("tcp", c.pool.orchestrator.address, dialTimeout)
 	if err != nil {
-		return fmt.Errorf("client of %s: %w", l.pool.orchestrator.Name, err)
+		return fmt.Errorf("client of %s: %w", c.pool.orchestrator.Name, err)
 	}
-	socket := l.pool.bytes.Count(raw)
-	l.socket = socket
-	go l.read(socket)
+	socket := c.pool.bytes.Count(raw)
+	c.socket = socket
+	go c.read(socket)
 	return nil
 }
 
-func (l *link) read(socket net.Conn) {
+// read reads the connection to its end.
+func (c *connection) read(socket net.Conn) {
 	for scanner := bufio.NewScanner(socket); scanner.Scan(); {
 		var line testbed.Line
 		if json.Unmarshal(scanner.Bytes(), &line) != nil {
 			break
 		}
-		l.pool.messages.Add(1)
+		c.pool.messages.Add(1)
 		if line.Verb == "ECHOED" {
-			l.echoed(line.Tag)
+			c.pingAnswered(line.Tag)
 			continue
 		}
-		l.pool.orchestrator.rig.ledger.message(line)
+		c.pool.orchestrator.rig.ledger.receive(line)
 	}
-	socket.Close()
-	l.mutex.Lock()
-	if l.socket == socket {
-		l.socket = nil
+	testbed.CloseQuietly(socket)
+	c.mutex.Lock()
+	if c.socket == socket {
+		c.socket = nil
 	}
-	l.mutex.Unlock()
-	l.pool.orchestrator.rig.ledger.broke(l)
+	c.mutex.Unlock()
+	c.pool.orchestrator.rig.ledger.connectionLost(c)
 }
 
-func (l *link) echoed(tag string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if heard := l.echoes[tag]; heard != nil {
-		close(heard)
-		delete(l.echoes, tag)
+// pingAnswered takes the answer to a ping.
+func (c *connection) pingAnswered(tag string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if answered := c.pings[tag]; answered != nil {
+		close(answered)
+		delete(c.pings, tag)
 	}
 }
 
-// test sends a test, and returns what is closed once it is passed.
-func (l *link) test(options map[string]string) (<-chan struct{}, error) {
-	tag := hollow.RequestID(l.pool.orchestrator.index, l.pool.next.Add(1))
-	test := testbed.FinishLine("ECHO", tag, 0)
-	test.Opts = options
-	heard := make(chan struct{})
-	l.mutex.Lock()
-	if l.echoes == nil {
-		l.echoes = map[string]chan struct{}{}
+// ping sends a ping, and returns what is closed once it is answered.
+func (c *connection) ping(options map[string]string) (<-chan struct{}, error) {
+	tag := hollow.RequestID(c.pool.orchestrator.index, c.pool.next.Add(1))
+	ping := testbed.FinishLine("ECHO", tag, 0)
+	ping.Opts = options
+	answered := make(chan struct{})
+	c.mutex.Lock()
+	if c.pings == nil {
+		c.pings = map[string]chan struct{}{}
 	}
-	l.echoes[tag] = heard
-	l.mutex.Unlock()
-	if err := l.write(test); err != nil {
-		l.echoed(tag)
+	c.pings[tag] = answered
+	c.mutex.Unlock()
+	if err := c.write(ping); err != nil {
+		c.pingAnswered(tag)
 		return nil, err
 	}
-	return heard, nil
+	return answered, nil
 }
 
-// withdraw gives a set-up up.
-func (l *link) withdraw(tag string) {
-	_ = l.write(testbed.FinishLine("FINISH", tag, 16)) // a connection that is gone gives it up too
+// cancel cancels a request.
+func (c *connection) cancel(tag string) {
+	_ = c.write(testbed.FinishLine("FINISH", tag, codeEnded)) // the end of a connection cancels it too
 }
 
-// clients ask for tasks.
+// clients submit tasks.
 type clients struct {
 	rig     *rig
 	mutex   sync.Mutex
@@ -175,49 +184,49 @@
 	return &clients{rig: r, random: rand.New(rand.NewPCG(r.options.seed, 31)), sent: make([]int, r.options.orchestrators)}
 }
 
-// admitted returns the orchestrator that was sent least so far, of those that are up.
-func (c *clients) admitted() *orchestrator {
+// leastUsed returns the admitted orchestrator that was sent the fewest tasks so far.
+func (c *clients) leastUsed() *orchestrator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var least *orchestrator
+	var fewest *orchestrator
 	for _, o := range c.rig.orchestrators {
-		if o.admitted.Load() && (least == nil || c.sent[o.index] < c.sent[least.index]) {
-			least = o
+		if o.admitted.Load() && (fewest == nil || c.sent[o.index] < c.sent[fewest.index]) {
+			fewest = o
 		}
 	}
-	return least
+	return fewest
 }
 
-// submit asks for a job at one orchestrator, all tasks at once.
+// submit submits a job to one orchestrator, all tasks at once.
 func (c *clients) submit(j job, run func() time.Duration) {
-	to := c.admitted()
+	to := c.leastUsed()
 	for i := range j.size {
-		t := &task{job: j, key: fmt.Sprintf("%s-%03d", j.name, i), run: run(), firstAsked: time.Now()}
-		c.ask(t, to)
+		t := &task{job: j, key: fmt.Sprintf("%s-%03d", j.name, i), runTime: run(), submittedAt: time.Now()}
+		c.submitTask(t, to)
 	}
 }
 
-// ask sends a set-up of a task.
-func (c *clients) ask(t *task, to *orchestrator) {
+// submitTask submits a task.
+func (c *clients) submitTask(t *task, to *orchestrator) {
 	if to == nil {
-		c.rig.ledger.again(t, retryAfterFailure)
+		c.rig.ledger.retry(t, retryAfterFailure)
 		return
 	}
 	c.mutex.Lock()
 	c.sent[to.index]++
 	c.mutex.Unlock()
-	link, tag := to.clients.pick()
-	c.rig.ledger.open(t, tag, link)
-	line := t.setUp(tag)
-	line.Opts["left"] = strconv.FormatInt(t.job.class.wait.Milliseconds(), 10)
-	if err := link.write(line); err != nil {
-		c.rig.ledger.unreached(tag)
+	conn, tag := to.clients.pick()
+	c.rig.ledger.submit(t, tag, conn)
+	line := t.submission(tag)
+	line.Opts["left"] = strconv.FormatInt(t.job.class.responseTimeout.Milliseconds(), 10)
+	if err := conn.write(line); err != nil {
+		c.rig.ledger.unreachable(tag)
 	}
 }
 
-// again asks for a task anew after a while, unless it runs by now: its answer was lost.
-func (c *clients) again(t *task, after time.Duration) {
-	jitter := time.Duration(rand.Float64() * float64(retryLeast))
+// retry submits a task again after a pause, unless it runs by now: then its response was lost.
+func (c *clients) retry(t *task, after time.Duration) {
+	jitter := time.Duration(rand.Float64() * float64(minRetryPause))
 	time.AfterFunc(after+jitter, func() {
 		c.mutex.Lock()
 		stopped := c.stopped
@@ -225,62 +234,62 @@
 		if stopped {
 			return
 		}
-		if c.rig.ledger.startedUnheard(t) {
-			c.tellOne(t.orchestrator, t)
+		if c.rig.ledger.startedUnanswered(t) {
+			c.handOverTask(t.orchestrator, t)
 			return
 		}
-		c.ask(t, c.admitted())
+		c.submitTask(t, c.leastUsed())
 	})
 }
 
-// stop ends retries, or lets those go on that come from now on.
+// stop ends retries, or allows those that come from now on.
 func (c *clients) stop(stop bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.stopped = stop
 }
 
-// setUp is the set-up of a task, without the time that its client waits.
-func (t *task) setUp(tag string) testbed.Line {
-	description := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.run}.Describe()
+// submission is the message that submits a task, without the client's timeout.
+func (t *task) submission(tag string) testbed.Line {
+	description := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}.Describe()
 	return testbed.Line{Verb: "START", Tag: tag, Blob: &description, Opts: map[string]string{"class": t.job.class.name, "key": t.key,
-		"tenant": t.job.tenant, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", t.job.task.Cores, t.job.task.Memory, t.job.service)}}
+		"tenant": t.job.tenant, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", t.job.task.Cores, t.job.task.Memory, t.job.program)}}
 }
 
-// tell hands an orchestrator tasks that stand, and returns once it has passed a test behind them
-// on each connection, or false after a while.
-func (c *clients) tell(to *orchestrator, held []*task) bool {
-	for _, t := range held {
-		if !c.tellOne(to, t) {
+// handOver registers running tasks at an orchestrator, and returns once it has answered a ping behind
+// them on each connection, or false after a timeout.
+func (c *clients) handOver(to *orchestrator, running []*task) bool {
+	for _, t := range running {
+		if !c.handOverTask(to, t) {
 			return false
 		}
 	}
-	return to.clients.passed(testbed.Patience)
+	return to.clients.pingAll(testbed.Patience)
 }
 
-// tellOne tells an orchestrator of a task that stands; one that knows it is told nothing new.
-func (c *clients) tellOne(to *orchestrator, t *task) bool {
-	link, _ := to.clients.pick()
-	line := t.setUp(t.tag)
+// handOverTask registers a running task at an orchestrator; where it has that already, nothing changes.
+func (c *clients) handOverTask(to *orchestrator, t *task) bool {
+	conn, _ := to.clients.pick()
+	line := t.submission(t.tag)
 	line.Opts["extras"] += ";at:" + t.worker
-	return link.write(line) == nil
+	return conn.write(line) == nil
 }
 
-// passed waits until all connections have passed a test.
-func (p *pool) passed(patience time.Duration) bool {
-	limit := time.After(patience)
-	var tests []<-chan struct{}
-	for _, l := range p.links {
-		heard, err := l.test(map[string]string{})
+// pingAll waits until a ping is answered on all connections; it returns false after a timeout.
+func (p *pool) pingAll(timeout time.Duration) bool {
+	expired := time.After(timeout)
+	var pings []<-chan struct{}
+	for _, c := range p.connections {
+		answered, err := c.ping(map[string]string{})
 		if err != nil {
 			return false
 		}
-		tests = append(tests, heard)
+		pings = append(pings, answered)
 	}
-	for _, heard := range tests {
+	for _, answered := range pings {
 		select {
-		case <-heard:
-		case <-limit:
+		case <-answered:
+		case <-expired:
 			return false
 		}
 	}
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -9,111 +9,113 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the failures after the peak. Demand goes on meanwhile.
+// This file owns the failures that are injected after the peak. Demand goes on meanwhile.
 
 const (
-	// listDetection is how long the source of the list takes to tell that workers are gone.
+	// listDetection is how long discovery takes to list failed workers as removed.
 	listDetection = 3 * time.Second
-	// downFor is how long a process is away at a restart.
-	downFor = 2 * time.Second
-	// knowledgeLimit bounds the wait for all to be known.
-	knowledgeLimit = 20 * time.Second
-	// restartsAMinute is the letter's number of restarts on a whole day, all in one minute; a small
-	// fleet restarts the same share of its workers.
-	restartsAMinute = 460
-	fleetOfRestarts = 4000
+	// downtime is how long a process does not run at a restart.
+	downtime = 2 * time.Second
+	// convergenceTimeout bounds the wait until all know of a failure.
+	convergenceTimeout = 20 * time.Second
+	// plannedRestarts is the operators' number of restarts on a day, all in one minute, at
+	// plannedWorkers; a small fleet restarts the same share of its workers.
+	plannedRestarts = 460
+	plannedWorkers  = 4000
 )
 
 // The kinds of failures, in their order.
 const (
-	failRack             = "rack"
+	failCell             = "rack"
 	failZone             = "zone"
 	failOrchestrators    = "orchestrators"
 	failWorkerRestarts   = "restarts"
 	failAllOrchestrators = "all_orchestrators"
 )
 
-var failureKinds = []string{failRack, failZone, failOrchestrators, failWorkerRestarts, failAllOrchestrators}
+var failureKinds = []string{failCell, failZone, failOrchestrators, failWorkerRestarts, failAllOrchestrators}
 
-// before is what had been counted when a failure began.
-type before struct {
+// baseline is what had been counted when a failure began.
+type baseline struct {
 	at                time.Time
 	counts            counts
 	messages, control int64
-	refusals          int64
+	rejections        int64
 }
 
-func (r *rig) before() before {
-	b := before{at: time.Now(), counts: r.ledger.now(), messages: r.fleet.Messages(), refusals: r.fleet.Rejections()}
+// baseline counts what has happened so far.
+func (r *rig) baseline() baseline {
+	b := baseline{at: time.Now(), counts: r.ledger.snapshot(), messages: r.fleet.Messages(), rejections: r.fleet.Rejections()}
 	for _, o := range r.orchestrators {
 		b.messages += o.clients.messages.Load()
-		b.control += o.list.Bytes().Received.Load() + o.list.Bytes().Sent.Load()
+		b.control += o.subscription.Bytes().Received.Load() + o.subscription.Bytes().Sent.Load()
 	}
 	return b
 }
 
-// report prints the line of a failure. Tasks that were lost are those of workers that went; cut
-// counts the ends that clients were told with another cause than a task's own end.
-func (r *rig) report(kind string, parts, lost int, b before, knowledge time.Duration, known bool) {
-	now, c := r.before(), r.ledger.now()
+// report prints the line of a failure. Tasks that were lost are those of workers that failed; cut
+// counts the completions with another cause than the end of a task's run time.
+func (r *rig) report(kind string, parts, lost int, b baseline, knownAfter time.Duration, known bool) {
+	now, c := r.baseline(), r.ledger.snapshot()
 	fmt.Printf("scale-failure: kind=%s parts=%d tasks_lost=%d known=%v knowledge_s=%.2f seconds=%.1f messages=%d list_kb=%d "+
 		"started=%d refused=%d worker_refusals=%d failed=%d unreachable=%d cut=%d moved=%d ended_meanwhile=%d unanswered=%d "+
 		"late_ends=%d untold=%d double_starts=%d repeats=%d lost_untold=%d\n",
-		kind, parts, lost, known, knowledge.Seconds(), now.at.Sub(b.at).Seconds(), now.messages-b.messages, (now.control-b.control)/1024,
-		c.started-b.counts.started, c.refused-b.counts.refused, now.refusals-b.refusals, c.failed-b.counts.failed,
-		c.unreachable-b.counts.unreachable, c.cut-b.counts.cut, c.moved-b.counts.moved,
-		c.endedMeanwhile-b.counts.endedMeanwhile, c.unanswered-b.counts.unanswered,
-		c.lateEnds-b.counts.lateEnds, c.untold-b.counts.untold, c.doubleStarts-b.counts.doubleStarts,
-		c.repeats-b.counts.repeats, r.ledger.lostUntold())
+		kind, parts, lost, known, knownAfter.Seconds(), now.at.Sub(b.at).Seconds(), now.messages-b.messages, (now.control-b.control)/1024,
+		c.started-b.counts.started, c.rejected-b.counts.rejected, now.rejections-b.rejections, c.failed-b.counts.failed,
+		c.unreachable-b.counts.unreachable, c.aborted-b.counts.aborted, c.migrated-b.counts.migrated,
+		c.endedWhileDown-b.counts.endedWhileDown, c.unanswered-b.counts.unanswered,
+		c.lateCompletions-b.counts.lateCompletions, c.unreported-b.counts.unreported, c.duplicateStarts-b.counts.duplicateStarts,
+		c.repeats-b.counts.repeats, r.ledger.lostUnreported())
 }
 
-// playFailures plays one failure after another.
-func (r *rig) playFailures(s *samples) {
+// injectFailures injects one failure after another.
+func (r *rig) injectFailures(s *samples) {
 	r.clients.stop(false)
 	stop := make(chan struct{})
 	var demand sync.WaitGroup
-	demand.Go(func() { r.starts(stop) })
-	play := func(kind string, f func(kind string)) {
+	demand.Go(func() { r.submitJobs(stop) })
+	inject := func(kind string, failure func(kind string)) {
 		if slices.Contains(r.options.failureKinds, kind) {
 			s.phase.Store(kind)
-			f(kind)
+			failure(kind)
 		}
 	}
-	play(failRack, func(kind string) { r.loseWorkers(kind, func(w *hollow.Worker) bool { return w.Cell == 0 }) })
-	play(failZone, func(kind string) {
+	inject(failCell, func(kind string) { r.loseWorkers(kind, func(w *hollow.Worker) bool { return w.Cell == 0 }) })
+	inject(failZone, func(kind string) {
 		r.loseWorkers(kind, func(w *hollow.Worker) bool { return w.Zone == zoneNames()[1] })
 	})
-	play(failOrchestrators, func(kind string) { r.restartOrchestrators(kind, r.orchestrators[:(len(r.orchestrators)+2)/3]) })
-	play(failWorkerRestarts, r.restartWorkers)
-	play(failAllOrchestrators, func(kind string) { r.restartOrchestrators(kind, r.orchestrators) })
+	inject(failOrchestrators, func(kind string) { r.restartOrchestrators(kind, r.orchestrators[:(len(r.orchestrators)+2)/3]) })
+	inject(failWorkerRestarts, r.restartWorkers)
+	inject(failAllOrchestrators, func(kind string) { r.restartOrchestrators(kind, r.orchestrators) })
 	close(stop)
 	demand.Wait()
 	r.clients.stop(true)
 }
 
-// loseWorkers lets workers vanish without a word. All is known when every orchestrator has heard
-// that they are gone and every client has been told of its lost task.
+// loseWorkers makes workers unreachable. All is known when every orchestrator has applied the list
+// without them and every client has a report of its lost task.
 func (r *rig) loseWorkers(kind string, which func(*hollow.Worker) bool) {
-	b, lost, from := r.before(), 0, r.ledger.lostUntold()
-	var gone []*hollow.Worker
+	b, lost, unreportedBefore := r.baseline(), 0, r.ledger.lostUnreported()
+	var failed []*hollow.Worker
 	for _, w := range r.fleet.Workers {
 		if which(w) {
-			gone = append(gone, w)
+			failed = append(failed, w)
 			lost += w.TaskCount()
 			w.Stop(hollow.Unreachable)
 		}
 	}
 	<-time.After(listDetection)
-	for _, w := range gone {
+	for _, w := range failed {
 		w.SetPhase("removed")
 	}
-	listed := r.source.Revision() + 1
-	known := r.until(func() bool { return r.heard(listed) && r.ledger.lostUntold() <= from })
-	r.report(kind, len(gone), lost, b, time.Since(b.at), known)
-	r.bringBack(gone)
+	removed := r.discovery.Revision() + 1
+	known := r.waitUntil(func() bool { return r.listApplied(removed) && r.ledger.lostUnreported() <= unreportedBefore })
+	r.report(kind, len(failed), lost, b, time.Since(b.at), known)
+	r.restartAll(failed)
 }
 
-func (r *rig) bringBack(workers []*hollow.Worker) {
+// restartAll starts failed workers again.
+func (r *rig) restartAll(workers []*hollow.Worker) {
 	for _, w := range workers {
 		if err := w.Restart(); err != nil {
 			r.t.Error(err)
@@ -121,80 +123,80 @@
 	}
 }
 
-// heard reports whether every orchestrator has applied the list up to a revision.
-func (r *rig) heard(revision int) bool {
+// listApplied reports whether every orchestrator has applied the list up to a revision.
+func (r *rig) listApplied(revision int) bool {
 	for _, o := range r.orchestrators {
-		if o.list.LastPolled() < revision {
+		if o.subscription.LastPolled() < revision {
 			return false
 		}
 	}
 	return true
 }
 
-// lookEvery is how often a condition is looked at that no message tells.
-const lookEvery = 20 * time.Millisecond
+// conditionPeriod is how often a condition is polled that no message announces.
+const conditionPeriod = 20 * time.Millisecond
 
-// until waits for a condition, and reports whether it came within the limit.
-func (r *rig) until(condition func() bool) bool {
-	ticker, limit := time.NewTicker(lookEvery), time.After(knowledgeLimit)
+// waitUntil waits for a condition, and reports whether it came true within convergenceTimeout.
+func (r *rig) waitUntil(condition func() bool) bool {
+	ticker, timeout := time.NewTicker(conditionPeriod), time.After(convergenceTimeout)
 	defer ticker.Stop()
 	for !condition() {
 		select {
 		case <-ticker.C:
-		case <-limit:
+		case <-timeout:
 			return false
 		}
 	}
 	return true
 }
 
-// restartOrchestrators kills orchestrators and starts them again after a while, from nothing. All is
-// known when each of them has passed a test behind the tasks that its clients told it of.
+// restartOrchestrators kills orchestrators and starts them again after downtime, without state. All is
+// known when each of them has answered a ping behind the tasks that its clients registered again.
 func (r *rig) restartOrchestrators(kind string, which []*orchestrator) {
-	b, told := r.before(), make([]bool, len(which))
+	b, restarted := r.baseline(), make([]bool, len(which))
 	var group sync.WaitGroup
 	for i, o := range which {
 		o.admitted.Store(false)
 		o.kill()
-		group.Go(func() { told[i] = r.startAgain(o) })
+		group.Go(func() { restarted[i] = r.restart(o) })
 	}
 	group.Wait()
 	known := true
-	for _, ok := range told {
+	for _, ok := range restarted {
 		known = known && ok
 	}
-	knowledge := time.Since(b.at)
-	// What is late because of it shows within the limit of an end.
-	<-time.After(endLimit)
-	r.report(kind, len(which), 0, b, knowledge, known)
+	knownAfter := time.Since(b.at)
+	// Completions that are late because of it show within their limit.
+	<-time.After(completionLimit)
+	r.report(kind, len(which), 0, b, knownAfter, known)
 }
 
-// startAgain starts an orchestrator, admits it once it passes a test, and tells it what it held.
-func (r *rig) startAgain(o *orchestrator) bool {
-	<-time.After(downFor)
+// restart starts an orchestrator, admits it once it answers pings, and hands its running tasks over.
+func (r *rig) restart(o *orchestrator) bool {
+	<-time.After(downtime)
 	if err := o.start(); err != nil {
 		r.t.Error(err)
 		return false
 	}
-	if !o.clients.passed(admitPatience) {
-		r.t.Logf("scale-finding: %s passed no test after its restart", o.Name)
+	if !o.clients.pingAll(admitTimeout) {
+		r.t.Logf("scale-finding: %s answered no ping after its restart", o.Name)
 	}
-	held := r.ledger.heldBy(o)
+	running := r.ledger.runningAt(o)
 	o.admitted.Store(true)
-	return r.clients.tell(o, held)
+	return r.clients.handOver(o, running)
 }
 
-// restartWorkers restarts workers one after another within a minute: their processes die, and are
-// up again after a while at the same address. All is known when each client has been told of its
-// lost task; the time counts from when the last worker is up again.
+// restartWorkers restarts workers one after another within a minute: their processes crash, and are
+// up again after downtime at the same address. All is known when each client has a report of its lost
+// task; the time counts from when the last worker is up again.
 func (r *rig) restartWorkers(kind string) {
-	b, from := r.before(), r.ledger.lostUntold()
-	restarts := max(1, restartsAMinute*len(r.fleet.Workers)/fleetOfRestarts)
+	b, unreportedBefore := r.baseline(), r.ledger.lostUnreported()
+	restarts := max(1, plannedRestarts*len(r.fleet.Workers)/plannedWorkers)
 	step := len(r.fleet.Workers) / restarts
 	lost, done := 0, 0
 	stop := make(chan struct{})
 	var group sync.WaitGroup
-	pace(float64(restarts)/time.Minute.Seconds(), stop, func() {
+	repeat(float64(restarts)/time.Minute.Seconds(), stop, func() {
 		if done == restarts {
 			return
 		}
@@ -202,15 +204,15 @@
 		lost += w.TaskCount()
 		w.Stop(hollow.Crash)
 		group.Go(func() {
-			<-time.After(downFor)
-			r.bringBack([]*hollow.Worker{w})
+			<-time.After(downtime)
+			r.restartAll([]*hollow.Worker{w})
 		})
 		if done++; done == restarts {
 			close(stop)
 		}
 	})
 	group.Wait()
-	last := time.Now()
-	known := r.until(func() bool { return r.ledger.lostUntold() <= from })
-	r.report(kind, restarts, lost, b, time.Since(last), known)
+	lastRestart := time.Now()
+	known := r.waitUntil(func() bool { return r.ledger.lostUnreported() <= unreportedBefore })
+	r.report(kind, restarts, lost, b, time.Since(lastRestart), known)
 }
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -11,92 +11,112 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns what is known of every task, from its clients' and its workers' side, and the
-// rules that are checked on it.
+// This file owns the ledger: every task as its client and its workers see it, and the rules that are
+// checked on both.
 
-// endLimit is when a client must have been told the end of its task.
-const endLimit = 8 * time.Second
+// completionLimit is how long the report of a completion may take to its client.
+const completionLimit = 8 * time.Second
 
-// task is one that a client wants, whatever number of set-ups that takes.
+// task is one that a client wants, however many requests that takes.
 type task struct {
 	job          job
 	key          string
-	run          time.Duration
-	firstAsked   time.Time
-	standing     bool
-	orchestrator *orchestrator // that was asked last, or holds it
-	worker       string        // that it stands at
-	tag          string        // of the last set-up
+	runTime      time.Duration
+	submittedAt  time.Time
+	running      bool
+	orchestrator *orchestrator // of the last request
+	worker       string        // where it runs
+	tag          string        // of the last request
 }
 
-// request is one set-up.
+// request is one submission of a task.
 type request struct {
 	*task
-	tag      string
-	link     *link
-	deadline *time.Timer
-	answered bool
+	tag        string
+	connection *connection
+	deadline   *time.Timer
+	answered   bool
 }
 
 // counts are what clients and workers have seen so far.
 type counts struct {
-	asked, started, refused, failed, ended, cut, moved, unreachable       int
-	urgentLate, unanswered, doubleStarts, secondAnswers, lateEnds, untold int
-	connectionsLost, endedMeanwhile, repeats                              int
-	elsewhere                                                             int // starts at workers of another orchestrator
+	submitted, started, rejected, failed, ended, aborted, migrated, unreachable              int
+	urgentLate, unanswered, duplicateStarts, duplicateResponses, lateCompletions, unreported int
+	connectionsLost, endedWhileDown, repeats                                                 int
+	foreignStarts                                                                            int // starts at workers of another orchestrator
 }
 
 // rulesBroken adds up what must never be.
 func (c counts) rulesBroken() int {
-	return c.unanswered + c.doubleStarts + c.secondAnswers + c.lateEnds + c.untold
+	return c.unanswered + c.duplicateStarts + c.duplicateResponses + c.lateCompletions + c.unreported
 }
 
-// ledger keeps the tasks. It implements hollow.Observer.
+// ledger records the tasks. It implements hollow.Observer.
 type ledger struct {
-	mutex    sync.Mutex
-	counts   counts
-	requests map[string]*request  // by tag, open or standing
-	waiting  map[*task]bool       // that do not stand yet
-	running  map[string][]run     // what runs, by the task's key
-	keys     map[string]string    // of tags that run
-	lost     map[string]bool      // tags of ended whose worker vanished or died
-	ended    map[string]time.Time // ends that no client was told of yet
-	starts   *hdrhistogram.Histogram
-	closed   bool
-	note     func(format string, args ...any)
-	heard    chan struct{}                             // has something in it after messages came
-	again    func(t *task, after time.Duration)        // asks for a task anew
-	places   func(o *orchestrator, worker string) bool // it places tasks there
+	mutex      sync.Mutex
+	counts     counts
+	requests   map[string]*request  // by request ID, in flight or running
+	pending    map[*task]bool       // that have not started
+	running    map[string][]run     // what runs, by the task's key
+	keys       map[string]string    // of running tasks, by request ID
+	lost       map[string]bool      // request IDs in unreported whose worker failed
+	unreported map[string]time.Time // completions without a report to the client yet, by request ID
+	starts     *hdrhistogram.Histogram
+	closed     bool
+	logf       func(format string, args ...any)
+	received   chan struct{}                             // has an element after messages came
+	retry      func(t *task, after time.Duration)        // submits a task again
+	placesAt   func(o *orchestrator, worker string) bool // it places tasks there
 }
 
 const (
-	histogramMostUs = 120_000_000
+	histogramMaxUs  = 120_000_000
 	histogramDigits = 3
 )
 
+// recordDuration records a length of time, which the bounds of a histogram limit.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(histogramMaxUs, max(1, d.Microseconds()))) // a value within the bounds never fails
+}
+
+// Codes of FINISH messages, as the protocol numbers them.
+const (
+	codeEnded       = 16
+	codeRejected    = 34
+	codeUnavailable = 42
+	codeNeverSent   = 102
+)
+
 func newLedger() *ledger {
-	return &ledger{requests: map[string]*request{}, waiting: map[*task]bool{}, running: map[string][]run{},
-		keys: map[string]string{}, lost: map[string]bool{},
-		heard: make(chan struct{}, 1), ended: map[string]time.Time{}, starts: hdrhistogram.New(1, histogramMostUs, histogramDigits)}
+	return &ledger{
+		requests:   map[string]*request{},
+		pending:    map[*task]bool{},
+		running:    map[string][]run{},
+		keys:       map[string]string{},
+		lost:       map[string]bool{},
+		unreported: map[string]time.Time{},
+		received:   make(chan struct{}, 1),
+		starts:     hdrhistogram.New(1, histogramMaxUs, histogramDigits),
+	}
 }
 
-// open notes a set-up before it is written.
-func (l *ledger) open(t *task, tag string, link *link) {
-	r := &request{task: t, tag: tag, link: link}
+// submit records a request before it is written.
+func (l *ledger) submit(t *task, tag string, conn *connection) {
+	r := &request{task: t, tag: tag, connection: conn}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.counts.asked++
-	t.tag, t.orchestrator = tag, link.pool.orchestrator
-	l.requests[tag], l.waiting[t] = r, true
-	r.deadline = time.AfterFunc(t.job.class.wait+answerGrace, func() { l.unanswered(r) })
+	l.counts.submitted++
+	t.tag, t.orchestrator = tag, conn.pool.orchestrator
+	l.requests[tag], l.pending[t] = r, true
+	r.deadline = time.AfterFunc(t.job.class.responseTimeout+responseGrace, func() { l.deadlinePassed(r) })
 }
 
-// answerGrace is how long after a set-up's wait its answer is still looked for: the rules allow
-// 58 ms, and the rest is for a busy machine.
-const answerGrace = time.Second
+// responseGrace is how long after a request's timeout its response still counts: the rules allow
+// 58 ms, and the rest is for a busy host.
+const responseGrace = time.Second
 
-// unanswered takes a set-up whose answer never came; its client asks again.
-func (l *ledger) unanswered(r *request) {
+// deadlinePassed takes a request without a response; its client cancels it and retries.
+func (l *ledger) deadlinePassed(r *request) {
 	l.mutex.Lock()
 	if r.answered || l.closed {
 		l.mutex.Unlock()
@@ -105,14 +125,14 @@
 	l.counts.unanswered++
 	r.answered = true
 	delete(l.requests, r.tag)
-	l.settledTag(r.tag)
+	l.reported(r.tag)
 	l.mutex.Unlock()
-	r.link.withdraw(r.tag)
-	l.again(r.task, retryLeast)
+	r.connection.cancel(r.tag)
+	l.retry(r.task, minRetryPause)
 }
 
-// unreached takes a set-up that could not be written.
-func (l *ledger) unreached(tag string) {
+// unreachable takes a request that could not be written.
+func (l *ledger) unreachable(tag string) {
 	l.mutex.Lock()
 	r := l.requests[tag]
 	if r == nil || r.answered {
@@ -124,67 +144,67 @@
 	delete(l.requests, tag)
 	l.counts.unreachable++
 	l.mutex.Unlock()
-	l.again(r.task, retryAfterFailure)
+	l.retry(r.task, retryAfterFailure)
 }
 
-// found notes a task that stood before the run at a worker.
-func (l *ledger) found(t *task) {
+// adopt records a task that ran before at a worker.
+func (l *ledger) adopt(t *task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	t.standing = true
+	t.running = true
 	l.requests[t.tag] = &request{task: t, tag: t.tag, answered: true}
 	l.running[t.key], l.keys[t.tag] = []run{{t.worker, t.tag, time.Now()}}, t.key
 }
 
-// startedUnheard reports whether a task runs though its client has no answer: the answer was lost with the
-// connection. It counts as standing from now on.
-func (l *ledger) startedUnheard(t *task) bool {
+// startedUnanswered reports whether a task runs though its client has no response: that was lost with
+// the connection. The task counts as running from now on.
+func (l *ledger) startedUnanswered(t *task) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	runs := l.running[t.key]
 	if len(runs) == 0 {
 		return false
 	}
-	t.standing, t.tag, t.worker = true, runs[0].tag, runs[0].worker
+	t.running, t.tag, t.worker = true, runs[0].tag, runs[0].worker
 	l.requests[t.tag] = &request{task: t, tag: t.tag, answered: true}
-	delete(l.waiting, t)
+	delete(l.pending, t)
 	return true
 }
 
-// message takes what an orchestrator sent.
-func (l *ledger) message(line testbed.Line) {
+// receive takes what an orchestrator sent.
+func (l *ledger) receive(line testbed.Line) {
 	now := time.Now()
 	l.mutex.Lock()
 	r := l.requests[line.Tag]
-	var again time.Duration
+	var retryAfter time.Duration
 	switch {
 	case r == nil:
 	case line.Verb == "STARTED":
 		l.started(r, line, now)
 	case line.Verb == "FINISH" && !r.answered:
-		again = l.turnedAway(r, line)
+		retryAfter = l.reject(r, line)
 	case line.Verb == "FINISH", line.Verb == "MOVE":
-		again = l.over(r, line, now)
+		retryAfter = l.complete(r, line, now)
 	}
 	l.mutex.Unlock()
-	if again > 0 {
-		l.again(r.task, again)
+	if retryAfter > 0 {
+		l.retry(r.task, retryAfter)
 	}
 	select {
-	case l.heard <- struct{}{}:
+	case l.received <- struct{}{}:
 	default:
 	}
 }
 
-// settle waits until no set-up is open and no end older than a second is untold, or the limit. The
-// last wait of a set-up and the last limit of an end pass within it, so that what is late then is
-// counted.
-func (l *ledger) settle(limit time.Duration) {
-	over := time.After(limit)
+// settle waits until no request is in flight and no completion older than a second is unreported, or
+// for a timeout. The last request's timeout and the last completion's limit pass within that, so that
+// what is late then is counted.
+func (l *ledger) settle(timeout time.Duration) {
+	expired := time.After(timeout)
 	for !l.settled(time.Second) {
 		select {
-		case <-l.heard:
-		case <-over:
+		case <-l.received:
+		case <-expired:
 			return
 		}
 	}
@@ -198,7 +218,7 @@
 			return false
 		}
 	}
-	for _, at := range l.ended {
+	for _, at := range l.unreported {
 		if time.Since(at) > age {
 			return false
 		}
@@ -206,137 +226,138 @@
 	return true
 }
 
-// started takes an answer that a task stands. The lock is held.
+// started takes the response that a task was started. The lock is held.
 func (l *ledger) started(r *request, line testbed.Line, now time.Time) {
 	if r.answered {
-		l.counts.secondAnswers++
+		l.counts.duplicateResponses++
 		return
 	}
 	r.answered = true
 	r.deadline.Stop()
 	l.counts.started++
-	r.task.standing = true
-	r.task.worker, _, _ = strings.Cut(*line.Blob, " ")
-	if !l.places(r.orchestrator, r.task.worker) {
-		l.counts.elsewhere++
+	r.running = true
+	r.worker, _, _ = strings.Cut(*line.Blob, " ")
+	if !l.placesAt(r.orchestrator, r.worker) {
+		l.counts.foreignStarts++
 	}
-	delete(l.waiting, r.task)
-	took := now.Sub(r.firstAsked)
-	l.starts.RecordValue(min(histogramMostUs, max(1, took.Microseconds())))
+	delete(l.pending, r.task)
+	took := now.Sub(r.submittedAt)
+	recordDuration(l.starts, took)
 	if r.job.class.urgent && took > urgentLimit {
 		l.counts.urgentLate++
 	}
 }
 
-// turnedAway takes a refusal or a failure, and returns when the client comes again. The lock is held.
-func (l *ledger) turnedAway(r *request, line testbed.Line) time.Duration {
+// reject takes a rejection or a failure, and returns after what time the client retries. The lock is
+// held.
+func (l *ledger) reject(r *request, line testbed.Line) time.Duration {
 	r.answered = true
 	r.deadline.Stop()
 	delete(l.requests, r.tag)
-	l.settledTag(r.tag)
+	l.reported(r.tag)
 	switch line.Cause() {
-	case 34, 42, 102:
-		l.counts.refused++
-		return advice(line)
+	case codeRejected, codeUnavailable, codeNeverSent:
+		l.counts.rejected++
+		return retryAfter(line)
 	}
 	l.counts.failed++
 	return retryAfterFailure
 }
 
-// over takes the end of a task that stood, and returns when the client comes again, or 0. The lock
-// is held.
-func (l *ledger) over(r *request, line testbed.Line, now time.Time) time.Duration {
+// complete takes the completion or the migration of a running task, and returns after what time the
+// client retries, or 0. The lock is held.
+func (l *ledger) complete(r *request, line testbed.Line, now time.Time) time.Duration {
 	delete(l.requests, r.tag)
-	if at, ok := l.ended[r.tag]; ok {
-		l.settledTag(r.tag)
-		if now.Sub(at) > endLimit {
-			l.counts.lateEnds++
+	if at, ok := l.unreported[r.tag]; ok {
+		l.reported(r.tag)
+		if now.Sub(at) > completionLimit {
+			l.counts.lateCompletions++
 		}
 	}
 	switch {
 	case line.Verb == "MOVE":
-		l.counts.moved++
-		r.task.standing = false
-		return retryLeast
-	case line.Cause() == 16:
+		l.counts.migrated++
+		r.running = false
+		return minRetryPause
+	case line.Cause() == codeEnded:
 		l.counts.ended++
 	default:
-		l.counts.cut++
+		l.counts.aborted++
 	}
 	return 0
 }
 
-// broke takes the set-ups that were open on a connection that ended; their clients ask elsewhere.
-func (l *ledger) broke(broken *link) {
+// connectionLost takes the requests in flight on a connection that ended; their clients retry.
+func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
-	var open []*request
+	var inFlight []*request
 	for tag, r := range l.requests {
-		if r.link == broken && !r.answered {
+		if r.connection == closed && !r.answered {
 			r.answered = true
 			r.deadline.Stop()
 			delete(l.requests, tag)
-			open = append(open, r)
+			inFlight = append(inFlight, r)
 		}
 	}
 	l.counts.connectionsLost++
-	l.counts.failed += len(open)
+	l.counts.failed += len(inFlight)
 	l.mutex.Unlock()
-	for _, r := range open {
-		l.again(r.task, retryAfterFailure)
+	for _, r := range inFlight {
+		l.retry(r.task, retryAfterFailure)
 	}
 }
 
-// heldBy returns the tasks that an orchestrator has answered for and that run. Those that have ended
-// meanwhile are over for their clients: they learn it when they look for their tasks to hand them over.
-func (l *ledger) heldBy(o *orchestrator) (held []*task) {
+// runningAt returns the running tasks that an orchestrator has started. Those that completed while it
+// was down need no report: their clients learn it as they look for the tasks to hand over.
+func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for tag, r := range l.requests {
 		switch _, runs := l.keys[tag]; {
-		case !r.answered || !r.task.standing || r.orchestrator != o:
+		case !r.answered || !r.running || r.orchestrator != o:
 		case runs:
-			held = append(held, r.task)
+			running = append(running, r.task)
 		default:
 			delete(l.requests, tag)
-			l.settledTag(tag)
-			l.counts.endedMeanwhile++
+			l.reported(tag)
+			l.counts.endedWhileDown++
 		}
 	}
-	return held
+	return running
 }
 
-// now returns the counts, with what is late by now.
-func (l *ledger) now() counts {
+// snapshot returns the counts, with what is overdue by now.
+func (l *ledger) snapshot() counts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	c := l.counts
-	for t := range l.waiting {
-		if t.job.class.urgent && time.Since(t.firstAsked) > urgentLimit {
+	for t := range l.pending {
+		if t.job.class.urgent && time.Since(t.submittedAt) > urgentLimit {
 			c.urgentLate++
 		}
 	}
-	for _, at := range l.ended {
-		if time.Since(at) > endLimit {
-			c.untold++
+	for _, at := range l.unreported {
+		if time.Since(at) > completionLimit {
+			c.unreported++
 		}
 	}
 	return c
 }
 
-// untoldListed bounds the ends that are named one by one.
-const untoldListed = 12
+// maxUnreportedLogged bounds the completions that are described one by one.
+const maxUnreportedLogged = 12
 
-// untold names ends that no client was told of in time.
-func (l *ledger) untold() (lines []string) {
+// describeUnreported describes the completions without a report to the client in time.
+func (l *ledger) describeUnreported() (lines []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for tag, at := range l.ended {
+	for tag, at := range l.unreported {
 		r := l.requests[tag]
-		if r == nil || time.Since(at) <= endLimit || len(lines) == untoldListed {
+		if r == nil || time.Since(at) <= completionLimit || len(lines) == maxUnreportedLogged {
 			continue
 		}
-		lines = append(lines, fmt.Sprintf("tag %s of %s, held by %s, standing %v, lost with its worker %v, over since %s", tag, r.task.worker,
-			r.orchestrator.Name, r.task.standing, l.lost[tag], at.Format(time.RFC3339Nano)))
+		lines = append(lines, fmt.Sprintf("tag %s of %s, placed by %s, running %v, lost with its worker %v, completed at %s", tag, r.worker,
+			r.orchestrator.Name, r.running, l.lost[tag], at.Format(time.RFC3339Nano)))
 	}
 	return lines
 }
@@ -360,8 +381,8 @@
 	l.starts.Reset()
 }
 
-// startMs is a percentile of the time from a task's first set-up to the answer that it stands.
-func (l *ledger) startMs(percentile float64) float64 {
+// startPercentileMs is a percentile of the time from a task's first request to its start.
+func (l *ledger) startPercentileMs(percentile float64) float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return float64(l.starts.ValueAtQuantile(percentile)) / 1000
--- a/test/scale/options_test.go
+++ b/test/scale/options_test.go
@@ -1,7 +1,7 @@
-// Package scale plays the size that the operators plan for against the real program: a few
+// Package scale runs the size that the operators plan for against the real program: a few
 // orchestrators as processes of their own, thousands of hollow workers that share the test's
-// process, a source of the worker list, and clients at a steady rate with a state of running
-// tasks that is set up at once. It measures what each orchestrator needs, and counts broken rules.
+// process, discovery, and clients at a steady rate beside running tasks that are registered at once.
+// It measures what each orchestrator needs, and counts broken rules.
 //
 // The size that is planned for:
 //
@@ -12,12 +12,13 @@
 //
 //	... -args -workers 4000 -orchestrators 3 -fleet-size 9 -sockets 4990 -starts 73.33 -running 11333 -seconds 35 -seed 1 -parts
 //
-// Phases, each with a line of its own: idle (connections, membership, tests of the prober), messages
-// (the data path: tests in place of set-ups, as many messages as the starts make), list (with -parts:
-// list changes alone), standing (tasks that run, none of them ending, and nothing else), work (with
-// -parts: starts and ends without list changes) and peak (all). The last line's cpu_control_pct_max is
-// the peak without what messages need over idle. -peers=false plays without membership, -partition=false
-// with all workers at each orchestrator, -keepalive=0 without the system's signs of life; -failures plays the failures after the peak.
+// Phases, each with a line of its own: idle (connections, membership, pings of the prober), messages
+// (the data path: pings in place of submissions, as many messages as the starts make), list (with
+// -parts: list changes alone), standing (running tasks, none of them completing, and nothing else),
+// work (with -parts: starts and completions without list changes) and peak (all). The last line's
+// cpu_control_pct_max is the peak without what messages need over idle. -peers=false runs without
+// membership, -partition=false with all workers at each orchestrator, -keepalive=0 without TCP
+// keep-alive; -failures injects failures after the peak.
 //
 // This file owns the flags.
 package scale
@@ -35,52 +36,67 @@
 	workersFlag       = flag.Int("workers", 40, "workers")
 	orchestratorsFlag = flag.Int("orchestrators", 2, "orchestrators, each a process")
 	startsFlag        = flag.Float64("starts", 20, "task starts a second, all orchestrators together")
-	runningFlag       = flag.Int("running", 100, "tasks that run from the beginning on")
+	runningFlag       = flag.Int("running", 100, "tasks that ran before")
 	secondsFlag       = flag.Float64("seconds", 3, "length of the peak, in seconds")
 	seedFlag          = flag.Uint64("seed", 7, "draws the demand")
-	listFlag          = flag.Int("list-ms", 1000, "interval of the list's changes, in milliseconds")
+	listPeriodFlag    = flag.Int("list-ms", 1000, "interval of the list's changes, in milliseconds")
 	idleFlag          = flag.Duration("idle", 30*time.Second, "after which a connection without a message is closed; 0: never")
-	keepFlag          = flag.Duration("keepalive", 4*time.Second, "of connections to workers, whole seconds; 0: off")
+	keepAliveFlag     = flag.Duration("keepalive", 4*time.Second, "of connections to workers, whole seconds; 0: off")
 	socketsFlag       = flag.Int("sockets", 1024, "descriptors of an orchestrator")
-	fleetSizeFlag     = flag.Int("fleet-size", 0, "orchestrators that the settings tell of, 0: those that run; "+
-		"-starts and -running are of those that run, the others' tasks and list changes are played without them")
-	samplesFlag  = flag.String("samples", "", "file for the samples as CSV; \"\": in the test's directory")
-	peersFlag    = flag.Bool("peers", true, "let the orchestrators know each other")
-	dividedFlag  = flag.Bool("partition", true, "divide the workers among the orchestrators; needs -peers")
-	partsFlag    = flag.Bool("parts", false, "play the phases list and work too, as long as the peak each")
-	logFlag      = flag.String("log", "", "folder for the orchestrators' logs at debug level; \"\": none")
-	failuresFlag = flag.Bool("failures", false, "play the failures after the peak")
-	kindsFlag    = flag.String("failure-kinds", strings.Join(failureKinds, ","), "which failures")
+	fleetSizeFlag     = flag.Int("fleet-size", 0, "orchestrators that the settings count, 0: those that run; "+
+		"-starts and -running are of those that run, the others' tasks and list changes are simulated")
+	samplesFlag   = flag.String("samples", "", "file for the samples as CSV; \"\": in the test's directory")
+	peersFlag     = flag.Bool("peers", true, "let the orchestrators be a cluster")
+	partitionFlag = flag.Bool("partition", true, "assign each worker to one orchestrator; needs -peers")
+	breakdownFlag = flag.Bool("parts", false, "run the phases list and work too, as long as the peak each")
+	logFlag       = flag.String("log", "", "folder for the orchestrators' logs at debug level; \"\": none")
+	failuresFlag  = flag.Bool("failures", false, "inject the failures after the peak")
+	kindsFlag     = flag.String("failure-kinds", strings.Join(failureKinds, ","), "which failures")
 )
 
 // options are the flags of one run.
 type options struct {
 	workers, orchestrators, running int
 	starts                          float64
-	peak, listEvery, idle           time.Duration
+	peak, listPeriod, idle          time.Duration
 	keepAlive                       time.Duration
 	seed                            uint64
 	sockets, fleetSize              int
 	samples, logs                   string
 	failureKinds                    []string
 	peers, partition                bool
-	parts, failures                 bool
+	breakdown, failures             bool
 }
 
 func flagOptions() options {
-	o := options{workers: *workersFlag, orchestrators: *orchestratorsFlag, running: *runningFlag, starts: *startsFlag,
-		peak: seconds(*secondsFlag), listEvery: time.Duration(*listFlag) * time.Millisecond, seed: *seedFlag,
-		sockets: *socketsFlag, fleetSize: *fleetSizeFlag, samples: *samplesFlag, logs: *logFlag, peers: *peersFlag, partition: *peersFlag && *dividedFlag, idle: *idleFlag,
-		keepAlive: *keepFlag, parts: *partsFlag, failures: *failuresFlag,
-		failureKinds: strings.Split(*kindsFlag, ",")}
+	o := options{
+		workers:       *workersFlag,
+		orchestrators: *orchestratorsFlag,
+		running:       *runningFlag,
+		starts:        *startsFlag,
+		peak:          toDuration(*secondsFlag),
+		listPeriod:    time.Duration(*listPeriodFlag) * time.Millisecond,
+		idle:          *idleFlag,
+		keepAlive:     *keepAliveFlag,
+		seed:          *seedFlag,
+		sockets:       *socketsFlag,
+		fleetSize:     *fleetSizeFlag,
+		samples:       *samplesFlag,
+		logs:          *logFlag,
+		failureKinds:  strings.Split(*kindsFlag, ","),
+		peers:         *peersFlag,
+		partition:     *peersFlag && *partitionFlag,
+		breakdown:     *breakdownFlag,
+		failures:      *failuresFlag,
+	}
 	if o.fleetSize == 0 {
 		o.fleetSize = o.orchestrators
 	}
 	return o
 }
 
-// othersShare is how many orchestrators don't run, for each that does.
-func (o options) othersShare() float64 { return float64(o.fleetSize)/float64(o.orchestrators) - 1 }
+// foreignShare is how many orchestrators don't run, for each that does.
+func (o options) foreignShare() float64 { return float64(o.fleetSize)/float64(o.orchestrators) - 1 }
 
 // regions are those of the zones, where each has an orchestrator.
 func (o options) regions() shard.Regions {
@@ -95,13 +111,13 @@
 	return all
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// meanRun is the run time that keeps the number of running tasks where it is.
-func (o options) meanRun() time.Duration { return seconds(float64(o.running) / o.starts) }
+// meanRunTime is the run time that keeps the number of running tasks steady.
+func (o options) meanRunTime() time.Duration { return toDuration(float64(o.running) / o.starts) }
 
-// calibration is the length of the phases idle and messages. What is taken off the peak is the
-// difference of two of them: of 6 s each, the system's ticks of 10 ms alone made it 0.3% of a core.
+// calibration is the length of the phases idle and messages. What is subtracted from the peak is
+// the difference of two of them: of 6 s each, the kernel's ticks of 10 ms alone made it 0.3% of a core.
 func (o options) calibration() time.Duration {
 	return max(time.Second/2, min(20*time.Second, o.peak/3))
 }
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -16,61 +16,62 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the orchestrators' processes: addresses, start, end, and what they tell.
+// This file owns the orchestrators' processes: addresses, start, end, and what they answer to admin
+// calls.
 
 // Addresses of an orchestrator. Those that others must know before it starts have a loopback
 // address of this process's own, apart from the workers', and a fixed port.
 const (
-	peersPort  = 7101
-	managePort = 7102
+	peerPort  = 7101
+	adminPort = 7102
 )
 
 // orchestrator is one process, which may be started again.
 type orchestrator struct {
 	testbed.Process
-	rig      *rig
-	index    int
-	address  string // where clients connect, once it has started
-	starts   int
-	list     *hollow.Subscription
-	clients  *pool
-	prober   *prober
-	admitted atomic.Bool // clients may ask it
-	peerMark int64       // bytes of peers' messages when they could last be asked for
+	rig           *rig
+	index         int
+	address       string // where clients connect, once it has started
+	starts        int
+	subscription  *hollow.Subscription
+	clients       *pool
+	prober        *prober
+	admitted      atomic.Bool // clients may submit tasks to it
+	lastPeerBytes int64       // bytes of membership messages at the last answered call
 }
 
 func newOrchestrator(r *rig, index int) (*orchestrator, error) {
-	list, err := r.source.Subscribe()
+	list, err := r.discovery.Subscribe()
 	if err != nil {
 		return nil, err
 	}
-	o := &orchestrator{Process: testbed.Process{Name: fmt.Sprint("n", index)}, rig: r, index: index, list: list}
+	o := &orchestrator{Process: testbed.Process{Name: fmt.Sprint("n", index)}, rig: r, index: index, subscription: list}
 	o.clients = newPool(o)
 	o.prober = newProber(o)
 	return o, nil
 }
 
-func (o *orchestrator) own(port int) string {
+func (o *orchestrator) ownAddress(port int) string {
 	return fmt.Sprintf("127.%d.240.%d:%d", 16+os.Getpid()%200, o.index+1, port)
 }
 
-func (o *orchestrator) peers() string  { return o.own(peersPort) }
-func (o *orchestrator) manage() string { return o.own(managePort) }
+func (o *orchestrator) peerAddress() string  { return o.ownAddress(peerPort) }
+func (o *orchestrator) adminAddress() string { return o.ownAddress(adminPort) }
 
-func (o *orchestrator) listen() string {
+func (o *orchestrator) listenAddress() string {
 	if o.address == "" {
 		return "127.0.0.1:0"
 	}
 	return o.address
 }
 
-// start starts it with the list as it is, and returns once it says that it serves.
+// start starts it with the list as it is now, and returns once it logs that it serves.
 func (o *orchestrator) start() error {
 	directory := filepath.Join(o.rig.directory, o.Name)
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return err
 	}
-	config, edge := filepath.Join(directory, "config.json"), filepath.Join(directory, "ravenhitch.conf")
+	config, operatorsFile := filepath.Join(directory, "config.json"), filepath.Join(directory, "ravenhitch.conf")
 	text, err := o.configuration()
 	if err != nil {
 		return err
@@ -78,67 +79,71 @@
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(edge, []byte(o.edge()), 0o600); err != nil {
+	if err := os.WriteFile(operatorsFile, []byte(o.operatorsFile()), 0o600); err != nil {
 		return err
 	}
 	o.starts++
-	o.Process.Bin, o.Process.Args = o.rig.binary, []string{"-conf", edge}
-	o.Process.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_LISTEN=", "ROUTER_NAME=", "ROUTER_MGMT=", "TMPDIR=" + directory}
-	if err := o.Process.Start(); err != nil {
+	o.Bin, o.Args = o.rig.binary, []string{"-conf", operatorsFile}
+	o.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_LISTEN=", "ROUTER_NAME=", "ROUTER_MGMT=", "TMPDIR=" + directory}
+	if err := o.Start(); err != nil {
 		return err
 	}
-	address, err := o.Process.WaitForLog(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
-	if o.address == "" { // it keeps its address, which clients read meanwhile
+	address, err := o.WaitForLog(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
+	if o.address == "" { // it stays the same, since clients read it meanwhile
 		o.address = address
 	}
 	return err
 }
 
-// kill ends it at once.
+// kill ends it by SIGKILL.
 func (o *orchestrator) kill() { o.End(syscall.SIGKILL) }
 
-// askPatience is how long an orchestrator may take to answer a call of its operators.
-const askPatience = 2 * time.Second
+// adminTimeout bounds an admin call.
+const adminTimeout = 2 * time.Second
 
-// ask makes a call as operators do, and reads the line of JSON that answers it.
-func (o *orchestrator) ask(call string, into any) error {
-	c, err := net.DialTimeout("tcp", o.manage(), askPatience)
+// adminCall makes a call as operators do, and parses the line of JSON that answers it.
+func (o *orchestrator) adminCall(call string, into any) error {
+	conn, err := net.DialTimeout("tcp", o.adminAddress(), adminTimeout)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(askPatience))
-	fmt.Fprintln(c, call)
-	line, err := bufio.NewReader(c).ReadString('\n')
+	defer testbed.CloseQuietly(conn)
+	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
+		return err
+	}
+	if _, err := fmt.Fprintln(conn, call); err != nil {
+		return err
+	}
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal([]byte(line), into)
 }
 
-// active is how many tasks it knows of, open or running.
-func (o *orchestrator) active() (int, error) {
-	var told struct{ Active int }
-	err := o.ask("DUMP", &told)
-	return told.Active, err
+// activeTasks is the number of tasks it has, in flight or running.
+func (o *orchestrator) activeTasks() (int, error) {
+	var answer struct{ Active int }
+	err := o.adminCall("DUMP", &answer)
+	return answer.Active, err
 }
 
-// peerBytes is what it has exchanged with other orchestrators since its start, both ways; where
-// it can't be asked, what it told last.
+// peerBytes are those of its membership messages since its start, in both directions; where it
+// does not answer, those of its last answer.
 func (o *orchestrator) peerBytes() int64 {
-	var told struct {
+	var answer struct {
 		Traffic struct {
 			Sent     int64 `json:"sent_bytes"`
 			Received int64 `json:"received_bytes"`
 		} `json:"traffic"`
 	}
-	if o.ask("PEERS", &told) == nil {
-		o.peerMark = told.Traffic.Sent + told.Traffic.Received
+	if o.adminCall("PEERS", &answer) == nil {
+		o.lastPeerBytes = answer.Traffic.Sent + answer.Traffic.Received
 	}
-	return o.peerMark
+	return o.lastPeerBytes
 }
 
-// logBytes is how much it has logged.
+// logBytes is the length of its log.
 func (o *orchestrator) logBytes() (n int64) {
 	for _, line := range o.Lines() {
 		n += int64(len(line) + 1)
@@ -146,8 +151,7 @@
 	return n
 }
 
-// warnings counts its log's lines that are no plain information by their text, and returns the first
-// of each.
+// warnings counts the warnings in its log by their message, and returns the first of each.
 func (o *orchestrator) warnings() (count map[string]int, first []string) {
 	count = map[string]int{}
 	for _, line := range o.Lines() {
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -16,8 +16,7 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the rig: workers, the source of their list, orchestrators, clients, and the tasks
-// that run from the beginning on.
+// This file owns the rig: workers, discovery, orchestrators, clients, and the tasks that ran before.
 
 type rig struct {
 	t             *testing.T
@@ -26,7 +25,7 @@
 	binary        string
 	ledger        *ledger
 	fleet         *hollow.Fleet
-	source        *hollow.Discovery
+	discovery     *hollow.Discovery
 	orchestrators []*orchestrator
 	clients       *clients
 	demand        *demand
@@ -52,22 +51,22 @@
 // spareDescriptors are those of the test's process beside workers and their connections.
 const spareDescriptors = 1000
 
-// checkDescriptors tells whether listeners and connections fit the limit of this process. They are
-// shared out by fewer orchestrators with their part of the demand: see -fleet-size.
+// checkDescriptors returns an error where listeners and connections don't fit the limit of this
+// process. Fewer orchestrators with their part of the demand need fewer: see -fleet-size.
 func (o options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	const connectionsAWorker = 2 // an orchestrator opens a second one beside one that has been quiet
-	need := o.workers + o.orchestrators*min(connectionsAWorker*o.workers+linksEach, o.sockets) + spareDescriptors
+	const connectionsPerWorker = 2 // an orchestrator opens a second one beside an unresponsive one
+	need := o.workers + o.orchestrators*min(connectionsPerWorker*o.workers+connectionsEach, o.sockets) + spareDescriptors
 	if uint64(need) > limit.Cur {
 		return fmt.Errorf("%w: %d needed, %d allowed", errDescriptors, need, limit.Cur)
 	}
 	return nil
 }
 
-// newRig starts workers, source and orchestrators.
+// newRig starts workers, discovery and orchestrators.
 func newRig(t *testing.T, o options) *rig {
 	t.Helper()
 	if err := o.checkDescriptors(); err != nil {
@@ -80,19 +79,19 @@
 	r := &rig{t: t, options: o, directory: t.TempDir(), binary: binary, ledger: newLedger(), demand: newDemand(o.seed, o)}
 	t.Cleanup(r.close)
 	r.fleet, err = hollow.NewFleet(hollow.Options{Workers: o.workers, Kinds: kinds, Zones: zoneNames(),
-		CellSize: max(1, min(rackSize, o.workers/zones)), IdleTimeout: o.idle}, r.ledger)
+		CellSize: max(1, min(maxCellSize, o.workers/zones)), IdleTimeout: o.idle}, r.ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.source = hollow.NewDiscovery(r.fleet, o.listEvery)
+	r.discovery = hollow.NewDiscovery(r.fleet, o.listPeriod)
 	r.clients = newClients(r)
-	r.ledger.again, r.ledger.note, r.ledger.places = r.clients.again, t.Logf, r.places
+	r.ledger.retry, r.ledger.logf, r.ledger.placesAt = r.clients.retry, t.Logf, r.placesAt
 	r.startOrchestrators()
 	return r
 }
 
-// startOrchestrators starts them one after another. Each names the others as its peers, so that all
-// are there before the first one starts.
+// startOrchestrators starts them one after another. Each names the others as members, so that all
+// have their addresses before the first one starts.
 func (r *rig) startOrchestrators() {
 	r.t.Helper()
 	for i := range r.options.orchestrators {
@@ -110,17 +109,17 @@
 	}
 }
 
-// admit lets clients ask the orchestrators that pass a test on each connection, as the front does;
-// after the platform's patience all of them.
+// admit lets clients submit to the orchestrators that answer a ping on each connection, as the front
+// does; after the platform's timeout to all of them.
 func (r *rig) admit() {
 	var group sync.WaitGroup
 	for _, o := range r.orchestrators {
 		group.Go(func() {
-			began := time.Now()
-			if !o.clients.passed(admitPatience) {
-				r.t.Logf("scale-finding: %s answered no test on all connections within %s; clients ask it all the same", o.Name, admitPatience)
+			startedAt := time.Now()
+			if !o.clients.pingAll(admitTimeout) {
+				r.t.Logf("scale-finding: %s answered no pings on all connections within %s; clients submit to it all the same", o.Name, admitTimeout)
 			} else {
-				r.t.Logf("%s passed its first tests after %s", o.Name, time.Since(began).Round(time.Millisecond))
+				r.t.Logf("%s answered its first pings after %s", o.Name, time.Since(startedAt).Round(time.Millisecond))
 			}
 			o.admitted.Store(true)
 		})
@@ -128,50 +127,50 @@
 	group.Wait()
 }
 
-// admitPatience is how long the platform waits for orchestrators at the start of a run.
-const admitPatience = 30 * time.Second
+// admitTimeout is the platform's timeout for orchestrators at the start of a run.
+const admitTimeout = 30 * time.Second
 
-// standing draws the tasks that run already, and puts them at workers with room: where the workers
-// are divided, at those of the orchestrator that holds them, which it would have chosen among. One
-// whose workers have no room would have refused the task; then the next one holds it.
-func (r *rig) standing() []*task {
+// drawRunning draws the tasks that ran before, and places them at workers with free capacity: with
+// -partition, at those assigned to the orchestrator that placed them. One whose workers have no free
+// capacity would have rejected the task; then the next one is taken.
+func (r *rig) drawRunning() []*task {
 	var all []*task
-	places := r.workersByOrchestrator()
+	workers := r.workersByOrchestrator()
 	random := rand.New(rand.NewPCG(r.options.seed, 37))
 	for len(all) < r.options.running {
 		j := r.demand.next()
-		holder := r.orchestrators[len(all)%len(r.orchestrators)]
+		placedBy := r.orchestrators[len(all)%len(r.orchestrators)]
 		for i := range min(j.size, r.options.running-len(all)) {
-			t := &task{job: j, key: fmt.Sprintf("%s-%03d", j.name, i), run: r.demand.run(), orchestrator: holder}
-			for tries := 0; !r.put(t, places[t.orchestrator], random); tries++ {
+			t := &task{job: j, key: fmt.Sprintf("%s-%03d", j.name, i), runTime: r.demand.runTime(), orchestrator: placedBy}
+			for tries := 0; !r.placeRunning(t, workers[t.orchestrator], random); tries++ {
 				if tries == len(r.orchestrators) {
-					r.t.Fatalf("no room for a task of %g cores that is to run already", t.job.task.Cores)
+					r.t.Fatalf("no free capacity for a task of %g cores that ran before", t.job.task.Cores)
 				}
 				t.orchestrator = r.orchestrators[(t.orchestrator.index+1)%len(r.orchestrators)]
 			}
-			r.ledger.found(t)
+			r.ledger.adopt(t)
 			all = append(all, t)
 		}
 	}
 	return all
 }
 
-// putTries bounds the workers that are looked at for a task that runs already.
-const putTries = 1000
+// maxPlacementTries bounds the workers that are tried for one that fits.
+const maxPlacementTries = 1000
 
-// workersByOrchestrator are the workers at which each orchestrator places tasks.
+// workersByOrchestrator are the workers that are assigned to each orchestrator.
 func (r *rig) workersByOrchestrator() map[*orchestrator][]*hollow.Worker {
-	places := map[*orchestrator][]*hollow.Worker{}
+	workers := map[*orchestrator][]*hollow.Worker{}
 	for _, w := range r.fleet.Workers {
-		for _, o := range r.placers(w) {
-			places[o] = append(places[o], w)
+		for _, o := range r.assigned(w) {
+			workers[o] = append(workers[o], w)
 		}
 	}
-	return places
+	return workers
 }
 
-// placers are the orchestrators that place tasks at a worker while all are there.
-func (r *rig) placers(w *hollow.Worker) []*orchestrator {
+// assigned are the orchestrators that place tasks at a worker while all run.
+func (r *rig) assigned(w *hollow.Worker) []*orchestrator {
 	if !r.options.partition {
 		return r.orchestrators
 	}
@@ -179,27 +178,28 @@
 	for _, o := range r.orchestrators {
 		members = append(members, shard.Member{Name: o.Name, Zone: o.zone()})
 	}
-	owner := r.options.regions().Assignments(w.Zone, members)[shard.Of(w.ID)]
-	return slices.DeleteFunc(slices.Clone(r.orchestrators), func(o *orchestrator) bool { return o.Name != owner })
+	assignee := r.options.regions().Assignments(w.Zone, members)[shard.Of(w.ID)]
+	return slices.DeleteFunc(slices.Clone(r.orchestrators), func(o *orchestrator) bool { return o.Name != assignee })
 }
 
-// places reports whether an orchestrator places tasks at a worker while all are there.
-func (r *rig) places(o *orchestrator, worker string) bool {
+// placesAt reports whether an orchestrator places tasks at a worker while all run.
+func (r *rig) placesAt(o *orchestrator, worker string) bool {
 	i := slices.IndexFunc(r.fleet.Workers, func(w *hollow.Worker) bool { return w.ID == worker })
-	return i >= 0 && slices.Contains(r.placers(r.fleet.Workers[i]), o)
+	return i >= 0 && slices.Contains(r.assigned(r.fleet.Workers[i]), o)
 }
 
-// put lets a task stand at one of some workers, one with room, for its orchestrator.
-func (r *rig) put(t *task, workers []*hollow.Worker, random *rand.Rand) bool {
+// placeRunning lets a task of its orchestrator run at one of some workers that has free capacity.
+func (r *rig) placeRunning(t *task, workers []*hollow.Worker, random *rand.Rand) bool {
 	_, tag := t.orchestrator.clients.pick()
-	return r.putTagged(t, workers, random, tag)
+	return r.placeRunningAs(t, workers, random, tag)
 }
 
-func (r *rig) putTagged(t *task, workers []*hollow.Worker, random *rand.Rand, tag string) bool {
-	stands := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.run}
-	for range putTries {
+// placeRunningAs does so under a request ID.
+func (r *rig) placeRunningAs(t *task, workers []*hollow.Worker, random *rand.Rand, tag string) bool {
+	running := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}
+	for range maxPlacementTries {
 		w := workers[random.IntN(len(workers))]
-		if w.AddRunning(tag, t.key, stands) {
+		if w.AddRunning(tag, t.key, running) {
 			t.worker, t.tag = w.ID, tag
 			return true
 		}
@@ -207,52 +207,52 @@
 	return false
 }
 
-// othersRun is longer than any run: what belongs to orchestrators that don't run stands all the time.
-const othersRun = time.Hour
+// foreignRunTime is longer than any test: tasks of orchestrators that don't run never complete.
+const foreignRunTime = time.Hour
 
-// setUpOthers puts the tasks at workers that belong to the orchestrators that the settings tell of
-// and that don't run, so that the workers have as little room as they would have.
-func (r *rig) setUpOthers() {
+// addForeignTasks places the tasks of the orchestrators that the settings count and that don't run, so
+// that the workers have as little free capacity as they would have.
+func (r *rig) addForeignTasks() {
 	random, demand := rand.New(rand.NewPCG(r.options.seed, 47)), newDemand(r.options.seed+1, r.options)
-	for i := range int(r.options.othersShare() * float64(r.options.running)) {
-		t := &task{job: demand.next(), key: fmt.Sprintf("others-%06d", i), orchestrator: r.orchestrators[0], run: othersRun}
-		if !r.putTagged(t, r.fleet.Workers, random, hollow.RequestID(r.options.fleetSize, uint64(i))) {
-			r.t.Fatalf("no room for a task of %g cores of another orchestrator", t.job.task.Cores)
+	for i := range int(r.options.foreignShare() * float64(r.options.running)) {
+		t := &task{job: demand.next(), key: fmt.Sprintf("others-%06d", i), orchestrator: r.orchestrators[0], runTime: foreignRunTime}
+		if !r.placeRunningAs(t, r.fleet.Workers, random, hollow.RequestID(r.options.fleetSize, uint64(i))) {
+			r.t.Fatalf("no free capacity for a task of %g cores of another orchestrator", t.job.task.Cores)
 		}
 	}
 }
 
-// setUpRunning lets the tasks that run already stand and tells the orchestrators of them. Their run
-// times begin with Fleet.Begin. It returns how many the orchestrators say that they know of.
-func (r *rig) setUpRunning() (known int) {
-	share := map[*orchestrator][]*task{}
-	for _, t := range r.standing() {
-		share[t.orchestrator] = append(share[t.orchestrator], t)
+// adoptRunning places the tasks that ran before and registers them at the orchestrators. Their run
+// times begin with Fleet.StartRunTimes. It returns how many the orchestrators say that they have.
+func (r *rig) adoptRunning() (adopted int) {
+	byOrchestrator := map[*orchestrator][]*task{}
+	for _, t := range r.drawRunning() {
+		byOrchestrator[t.orchestrator] = append(byOrchestrator[t.orchestrator], t)
 	}
-	r.setUpOthers()
+	r.addForeignTasks()
 	var group sync.WaitGroup
-	for o, held := range share {
+	for o, tasks := range byOrchestrator {
 		group.Go(func() {
-			if !r.clients.tell(o, held) {
-				r.t.Logf("scale-finding: %s passed no test behind the %d tasks it was told of", o.Name, len(held))
+			if !r.clients.handOver(o, tasks) {
+				r.t.Logf("scale-finding: %s answered no ping behind the %d tasks that were registered there", o.Name, len(tasks))
 			}
 		})
 	}
 	group.Wait()
-	if !r.until(func() bool { return !r.source.Pending() && r.heard(r.source.Revision()) }) {
-		r.t.Log("scale-finding: not everybody was told the room that the tasks leave that run already")
+	if !r.waitUntil(func() bool { return !r.discovery.Pending() && r.listApplied(r.discovery.Revision()) }) {
+		r.t.Log("scale-finding: not every orchestrator polled the capacity that the tasks which ran before leave free")
 	}
 	for _, o := range r.orchestrators {
-		n, err := o.active()
+		n, err := o.activeTasks()
 		if err != nil {
-			r.t.Logf("scale-finding: %s can't be asked what it knows of: %v", o.Name, err)
+			r.t.Logf("scale-finding: %s does not say what it has: %v", o.Name, err)
 		}
-		known += n
+		adopted += n
 	}
-	return known
+	return adopted
 }
 
-// close ends all that was started.
+// close ends all that newRig started.
 func (r *rig) close() {
 	r.ledger.close()
 	if r.clients != nil {
@@ -264,11 +264,11 @@
 			o.kill()
 		}
 		o.clients.close()
-		o.list.Close()
+		o.subscription.Close()
 	}
 	r.probing.Wait()
-	if r.source != nil {
-		r.source.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 	if r.fleet != nil {
 		r.fleet.Close()
--- a/test/scale/samples_test.go
+++ b/test/scale/samples_test.go
@@ -11,17 +11,17 @@
 
 // This file owns the samples: one a second of each orchestrator, written as CSV.
 
-const sampleEvery = time.Second
+const samplePeriod = time.Second
 
 type samples struct {
 	rig         *rig
 	mutex       sync.Mutex // one sample at a time
 	file        *os.File
 	writer      *csv.Writer
-	began       time.Time
+	startedAt   time.Time
 	phase       atomic.Value // its name
-	descriptors atomic.Int64 // the most that an orchestrator held
-	peakMB      atomic.Int64 // the most memory that one held
+	descriptors atomic.Int64 // the highest number at an orchestrator
+	peakMB      atomic.Int64 // the highest resident memory of one
 	stop        chan struct{}
 	group       sync.WaitGroup
 }
@@ -31,50 +31,54 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &samples{rig: r, file: file, writer: csv.NewWriter(file), began: time.Now(), stop: make(chan struct{})}
+	s := &samples{rig: r, file: file, writer: csv.NewWriter(file), startedAt: time.Now(), stop: make(chan struct{})}
 	s.phase.Store("start")
-	s.writer.Write([]string{"ms", "phase", "orchestrator", "cpu_s", "rss_mb", "rss_peak_mb", "descriptors", "read_bytes", "written_bytes",
+	s.write([]string{"ms", "phase", "orchestrator", "cpu_s", "rss_mb", "rss_peak_mb", "descriptors", "read_bytes", "written_bytes",
 		"list_in_bytes", "list_out_bytes", "clients_in_bytes", "clients_out_bytes", "running", "started", "refused", "unanswered"})
 	s.group.Go(s.run)
 	return s, nil
 }
 
 func (s *samples) run() {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(samplePeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			s.take()
+			s.record()
 		case <-s.stop:
 			return
 		}
 	}
 }
 
-func (s *samples) take() {
+// record writes a sample of each orchestrator.
+func (s *samples) record() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	running, counts := s.rig.fleet.Running(), s.rig.ledger.now()
+	running, counts := s.rig.fleet.Running(), s.rig.ledger.snapshot()
 	for _, o := range s.rig.orchestrators {
-		u, err := processUsage(o.PID())
+		used, err := processUsage(o.PID())
 		if err != nil {
-			continue // it is down
+			continue // it does not run
 		}
-		s.descriptors.Store(max(s.descriptors.Load(), int64(u.descriptors)))
-		s.peakMB.Store(max(s.peakMB.Load(), int64(u.peakMB+0.999)))
-		row := []string{fmt.Sprint(time.Since(s.began).Milliseconds()), s.phase.Load().(string), o.Name,
-			fmt.Sprintf("%.4f", u.cpuSeconds), fmt.Sprintf("%.1f", u.residentMB), fmt.Sprintf("%.1f", u.peakMB)}
-		for _, figure := range []int64{int64(u.descriptors), u.read, u.written, o.list.Bytes().Sent.Load(), o.list.Bytes().Received.Load(),
-			o.clients.bytes.Sent.Load(), o.clients.bytes.Received.Load(), int64(running), int64(counts.started), int64(counts.refused),
+		s.descriptors.Store(max(s.descriptors.Load(), int64(used.descriptors)))
+		s.peakMB.Store(max(s.peakMB.Load(), int64(used.peakMB+0.999)))
+		row := []string{fmt.Sprint(time.Since(s.startedAt).Milliseconds()), s.phase.Load().(string), o.Name,
+			fmt.Sprintf("%.4f", used.cpuSeconds), fmt.Sprintf("%.1f", used.residentMB), fmt.Sprintf("%.1f", used.peakMB)}
+		for _, figure := range []int64{int64(used.descriptors), used.read, used.written, o.subscription.Bytes().Sent.Load(), o.subscription.Bytes().Received.Load(),
+			o.clients.bytes.Sent.Load(), o.clients.bytes.Received.Load(), int64(running), int64(counts.started), int64(counts.rejected),
 			int64(counts.unanswered)} {
 			row = append(row, fmt.Sprint(figure))
 		}
-		s.writer.Write(row) // what fails is told at close
+		s.write(row)
 	}
 }
 
-// close writes what is left.
+// write adds a row. Its error comes again at close.
+func (s *samples) write(row []string) { _ = s.writer.Write(row) }
+
+// close writes what is left, and returns the first error of all writes.
 func (s *samples) close() error {
 	close(s.stop)
 	s.group.Wait()
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// This file owns the order of a run, what it asserts, and its last line.
+// This file owns the order of a run's phases, what the run asserts, and its last line.
 
-// settleLimit holds the longest wait of a set-up, and the limit of an end.
-const settleLimit = 20 * time.Second
+// settleTimeout is longer than the timeout of any request, and than completionLimit.
+const settleTimeout = 20 * time.Second
 
 // result is what a run showed.
 type result struct {
 	options              options
-	known, running       int
+	adopted, running     int
 	idle, messages, peak phase
 	started              int
 	counts               counts
 	descriptors, peakMB  int64
 	p50, p99             float64
 	slowestTurn          time.Duration
-	probed               bool
+	pinged               bool
 }
 
-// TestScale plays the peak. Its small size, without flags, is asserted by counts only.
+// TestScale runs the peak. Its small size, without flags, is asserted by counts only.
 func TestScale(t *testing.T) {
 	o := flagOptions()
 	r := newRig(t, o)
@@ -39,11 +39,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res := r.run(s)
+	res := r.runPhases(s)
 	if o.failures {
-		r.playFailures(s)
-		r.ledger.settle(settleLimit)
-		checkRules(t, "after the failures", r.ledger.now())
+		r.injectFailures(s)
+		r.ledger.settle(settleTimeout)
+		checkRules(t, "after the failures", r.ledger.snapshot())
 	}
 	r.logFindings()
 	r.writeLogs()
@@ -54,85 +54,85 @@
 	fmt.Println(res)
 }
 
-// run plays the phases in their order.
-func (r *rig) run(s *samples) result {
+// runPhases runs the phases in their order.
+func (r *rig) runPhases(s *samples) result {
 	res := result{options: r.options}
 	s.phase.Store("admit")
 	r.admit()
 	s.phase.Store("idle")
-	res.idle = r.play("idle", r.options.calibration())
+	res.idle = r.runPhase("idle", r.options.calibration())
 	s.phase.Store("messages")
-	res.messages = r.play("messages", r.options.calibration(), r.testMessages)
-	if r.options.parts {
+	res.messages = r.runPhase("messages", r.options.calibration(), r.pingLikeStarts)
+	if r.options.breakdown {
 		s.phase.Store("list")
-		r.play("list", r.options.peak, r.listChanges)
+		r.runPhase("list", r.options.peak, r.allListChanges)
 	}
 	s.phase.Store("set-up")
-	res.known = r.setUpRunning()
-	r.t.Logf("%d of %d tasks that run already are known; %d connections to workers are open", res.known, r.options.running,
+	res.adopted = r.adoptRunning()
+	r.t.Logf("%d of %d tasks that ran before are known; %d connections to workers are open", res.adopted, r.options.running,
 		r.fleet.Connections())
 	s.phase.Store("standing")
-	r.source.SetPaused(true)
-	r.play("standing", r.options.calibration())
-	r.source.SetPaused(false)
+	r.discovery.SetPaused(true)
+	r.runPhase("standing", r.options.calibration())
+	r.discovery.SetPaused(false)
 	r.fleet.StartRunTimes()
-	if r.options.parts {
+	if r.options.breakdown {
 		s.phase.Store("work")
-		r.source.SetPaused(true)
-		r.play("work", r.options.peak, r.starts)
-		r.source.SetPaused(false)
+		r.discovery.SetPaused(true)
+		r.runPhase("work", r.options.peak, r.submitJobs)
+		r.discovery.SetPaused(false)
 	}
-	r.peak(s, &res)
+	r.runPeak(s, &res)
 	s.phase.Store("settle")
 	r.clients.stop(true)
-	r.ledger.settle(settleLimit)
-	res.counts = r.ledger.now()
+	r.ledger.settle(settleTimeout)
+	res.counts = r.ledger.snapshot()
 	res.descriptors, res.peakMB = s.descriptors.Load(), s.peakMB.Load()
 	return res
 }
 
-// peak plays the peak itself.
-func (r *rig) peak(s *samples, res *result) {
+// runPeak runs the peak itself.
+func (r *rig) runPeak(s *samples, res *result) {
 	s.phase.Store("peak")
-	before := r.ledger.now()
+	before := r.ledger.snapshot()
 	r.ledger.resetStarts()
 	for _, o := range r.orchestrators {
 		o.prober.reset()
 	}
-	res.peak = r.play("peak", r.options.peak, r.starts, r.othersChanges)
-	s.take()
-	res.running, res.started = r.fleet.Running(), r.ledger.now().started-before.started
-	res.p50, res.p99 = r.ledger.startMs(50), r.ledger.startMs(99)
+	res.peak = r.runPhase("peak", r.options.peak, r.submitJobs, r.foreignListChanges)
+	s.record()
+	res.running, res.started = r.fleet.Running(), r.ledger.snapshot().started-before.started
+	res.p50, res.p99 = r.ledger.startPercentileMs(50), r.ledger.startPercentileMs(99)
 	for _, o := range r.orchestrators {
 		slowest, ok := o.prober.slowest()
-		res.slowestTurn, res.probed = max(res.slowestTurn, slowest), res.probed || ok
+		res.slowestTurn, res.pinged = max(res.slowestTurn, slowest), res.pinged || ok
 	}
 }
 
-// controlPercent is the processor time of the peak without that of the data path: what tests with
+// controlPercent is the processor time of the peak without that of the data path: what pings with
 // the same messages need over doing nothing.
-func (res result) controlPercent() (most float64) {
-	for i := range res.peak.from {
+func (res result) controlPercent() (highest float64) {
+	for i := range res.peak.before {
 		percent := func(p phase) float64 {
-			return cpuPercent(p.from[i], p.until[i], p.until[i].at.Sub(p.from[i].at).Seconds())
+			return cpuPercent(p.before[i], p.after[i], p.after[i].at.Sub(p.before[i].at).Seconds())
 		}
-		most = max(most, percent(res.peak)-max(0, percent(res.messages)-percent(res.idle)))
+		highest = max(highest, percent(res.peak)-max(0, percent(res.messages)-percent(res.idle)))
 	}
-	return most
+	return highest
 }
 
 // check asserts what holds at any size: counts, never times.
 func (res result) check(t *testing.T) {
 	t.Helper()
 	checkRules(t, "at the peak", res.counts)
-	if res.known != res.options.running {
-		t.Errorf("expected the %d tasks that run already to be known, got %d", res.options.running, res.known)
+	if res.adopted != res.options.running {
+		t.Errorf("expected the %d tasks that ran before to be known, got %d", res.options.running, res.adopted)
 	}
 	if res.descriptors > int64(res.options.sockets) {
 		t.Errorf("expected at most %d descriptors, got %d", res.options.sockets, res.descriptors)
 	}
-	if res.counts.elsewhere != 0 {
-		t.Errorf("expected no start at a worker of another orchestrator, got %d", res.counts.elsewhere)
+	if res.counts.foreignStarts != 0 {
+		t.Errorf("expected no start at a worker of another orchestrator, got %d", res.counts.foreignStarts)
 	}
 	if res.started == 0 {
 		t.Error("expected starts, got none")
@@ -147,13 +147,13 @@
 }
 
 // String is the last line of a run. The slowest turn is described at prober; it is -1 where no
-// test was answered.
+// ping was answered.
 func (res result) String() string {
 	cpu, _ := res.peak.each(cpuPercent)
 	control, _ := res.peak.each(controlKB)
-	elapsed := res.peak.until[0].at.Sub(res.peak.from[0].at).Seconds()
+	elapsed := res.peak.after[0].at.Sub(res.peak.before[0].at).Seconds()
 	slowest := -1.0
-	if res.probed {
+	if res.pinged {
 		slowest = float64(res.slowestTurn.Microseconds()) / 1000
 	}
 	return fmt.Sprintf("scale: workers=%d running=%d starts_s=%.1f cpu_pct_max=%.2f cpu_control_pct_max=%.2f rss_mb_max=%d "+
@@ -163,7 +163,7 @@
 		res.p50, res.p99, res.counts.urgentLate, res.counts.unanswered, res.counts.rulesBroken(), slowest)
 }
 
-// writeLogs writes the orchestrators' logs, where that is asked for.
+// writeLogs writes the orchestrators' logs, where -log names a folder.
 func (r *rig) writeLogs() {
 	if r.options.logs == "" {
 		return
@@ -176,12 +176,12 @@
 	}
 }
 
-// logFindings tells the counts of clients and what the orchestrators warned of.
+// logFindings logs the counts of clients and workers and the orchestrators' warnings.
 func (r *rig) logFindings() {
-	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.now(), r.fleet.Rejections(), r.source.EntriesSent(),
+	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.snapshot(), r.fleet.Rejections(), r.discovery.EntriesSent(),
 		r.fleet.AcceptFailures())
-	for _, line := range r.ledger.untold() {
-		r.t.Log("scale-untold: " + line)
+	for _, line := range r.ledger.describeUnreported() {
+		r.t.Log("scale-unreported: " + line)
 	}
 	for _, o := range r.orchestrators {
 		if count, first := o.warnings(); len(count) > 0 {
--- a/test/scale/settings_test.go
+++ b/test/scale/settings_test.go
@@ -10,7 +10,7 @@
 
 const memoryLimitMB = 192
 
-// settings are those of one orchestrator, in the form of the platform.
+// settings are those of one orchestrator, in the platform's form.
 func settings(index int, o options) map[string]any {
 	var parties, requestClasses []map[string]any
 	var shares []float64
@@ -27,19 +27,22 @@
 	for _, k := range kinds {
 		names, cores, memory = append(names, k.Name), append(cores, k.Cores), append(memory, k.Memory)
 	}
-	perClass := func(v any) (all []any) {
+	perClass := func(value any) (values []any) {
 		for range classes {
-			all = append(all, v)
+			values = append(values, value)
 		}
-		return all
+		return values
 	}
 	for _, c := range classes {
 		importance := 1.0
 		if c.urgent {
 			importance = 5
 		}
-		requestClasses = append(requestClasses, map[string]any{"Name": c.name, "Semantics": c.semantics, "Group": "all",
-			"OnTimeUs": c.aim.Microseconds(), "DeadlineUs": c.wait.Microseconds(), "Importance": importance, "WindowUs": repeatWindow.Microseconds()})
+		requestClasses = append(requestClasses, map[string]any{
+			"Name": c.name, "Semantics": c.semantics, "Group": "all", "Importance": importance,
+			"OnTimeUs": c.latencyObjective.Microseconds(), "DeadlineUs": c.responseTimeout.Microseconds(),
+			"WindowUs": repeatWindow.Microseconds(),
+		})
 	}
 	return map[string]any{
 		"SelfIndex": index, "FleetSize": o.fleetSize, "Zone": zoneNames()[index%zones], "Discovery": "subscribe", "TickUs": 2000,
@@ -57,20 +60,20 @@
 	}
 }
 
-// configuration is the file of one orchestrator that starts now.
+// configuration is the configuration file of an orchestrator that starts now.
 func (o *orchestrator) configuration() ([]byte, error) {
-	text, err := json.Marshal(map[string]any{"name": o.Name, "listen": o.listen(), "mgmt": o.manage(),
+	text, err := json.Marshal(map[string]any{"name": o.Name, "listen": o.listenAddress(), "mgmt": o.adminAddress(),
 		"seed":    fmt.Sprintf("%x", o.rig.options.seed*1000+uint64(o.index*10+o.starts+1)),
 		"limits":  map[string]any{"cores": 1.0, "memory_mb": memoryLimitMB, "sockets": o.rig.options.sockets},
-		"channel": o.list.Address(), "known": json.RawMessage(o.list.InitialList()), "settings": settings(o.index, o.rig.options)})
+		"channel": o.subscription.Address(), "known": json.RawMessage(o.subscription.InitialList()), "settings": settings(o.index, o.rig.options)})
 	if err != nil {
 		return nil, fmt.Errorf("configuration of %s: %w", o.Name, err)
 	}
 	return text, nil
 }
 
-// edge is its operators' file: the orchestrators know each other, if that is on.
-func (o *orchestrator) edge() string {
+// operatorsFile is its operators' file: it names the other orchestrators, unless -peers is off.
+func (o *orchestrator) operatorsFile() string {
 	text := ""
 	if o.rig.options.keepAlive > 0 {
 		text = fmt.Sprintf("[workers]\nkeepalive %s\n", o.rig.options.keepAlive)
@@ -81,10 +84,10 @@
 	if !o.rig.options.peers {
 		return text
 	}
-	text += fmt.Sprintf("[peers]\nlisten %s\ncluster scale\n", o.peers())
+	text += fmt.Sprintf("[peers]\nlisten %s\ncluster scale\n", o.peerAddress())
 	for _, other := range o.rig.orchestrators {
 		if other != o {
-			text += fmt.Sprintf("member %s %s %s\n", other.Name, other.peers(), other.zone())
+			text += fmt.Sprintf("member %s %s %s\n", other.Name, other.peerAddress(), other.zone())
 		}
 	}
 	if o.rig.options.partition {
@@ -105,5 +108,5 @@
 	return text
 }
 
-// zone is where an orchestrator is.
+// zone is that of an orchestrator.
 func (o *orchestrator) zone() string { return zoneNames()[o.index%zones] }
--- a/test/scale/usage_test.go
+++ b/test/scale/usage_test.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -8,9 +9,9 @@
 	"strings"
 )
 
-// This file owns what the system tells of a process.
+// This file owns what the kernel reports of a process.
 
-// usage is what a process has used so far, and holds.
+// usage is what a process has used so far, and has open.
 type usage struct {
 	cpuSeconds  float64
 	residentMB  float64
@@ -20,13 +21,19 @@
 	written     int64
 }
 
-// processUsage reads what the system tells of a process that runs.
+// errNoThreads says that a process has ended.
+var errNoThreads = errors.New("no threads")
+
+// processUsage reads what the kernel reports of a process that runs.
 func processUsage(pid int) (usage, error) {
 	var u usage
 	root := fmt.Sprintf("/proc/%d", pid)
 	threads, err := filepath.Glob(root + "/task/*/schedstat")
-	if err != nil || len(threads) == 0 {
-		return u, fmt.Errorf("process %d: no threads (%v)", pid, err)
+	if err != nil {
+		return u, fmt.Errorf("process %d: %w", pid, err)
+	}
+	if len(threads) == 0 {
+		return u, fmt.Errorf("process %d: %w", pid, errNoThreads)
 	}
 	for _, thread := range threads {
 		text, err := os.ReadFile(thread)
@@ -52,13 +59,13 @@
 	return u, err
 }
 
-// fields reads lines of a name, a colon and a whole number; others are left out.
+// fields reads the lines of a file with a name, a colon and a whole number; others are left out.
 func fields(path string) (map[string]int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	out := map[string]int64{}
+	values := map[string]int64{}
 	for _, line := range strings.Split(string(text), "\n") {
 		name, value, _ := strings.Cut(line, ":")
 		words := strings.Fields(value)
@@ -66,8 +73,8 @@
 			continue
 		}
 		if n, err := strconv.ParseInt(words[0], 10, 64); err == nil {
-			out[name] = n
+			values[name] = n
 		}
 	}
-	return out, nil
+	return values, nil
 }
