--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -99,7 +99,7 @@
 	deadEvery = 500_000
 	// membersMost bounds the names that are known: a peer that makes them up fills no memory.
 	membersMost = 4096
-	// deadMost bounds the dead and departed that are remembered.
+	// maxDeadEntries bounds the dead and departed that are remembered.
 	deadMost = 1024
 	// healthMost bounds the doubt of this instance in itself.
 	healthMost = 8
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -136,7 +136,7 @@
 // refused takes a refused connection: nobody listens there. After a reset that proves the
 // death of the process. Else it may have gone without a word, or may only take no further
 // connections: then it answers a test on those that it has. Where nothing comes while
-// connections are refused for deadAfter, it is dead, and nobody will tell what stood there.
+// connections are refused for deadEntriesAfter, it is dead, and nobody will tell what stood there.
 func (k *link) refused() {
 	now := k.n.l.Now()
 	if k.refusedAt == 0 {
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -36,7 +36,7 @@
 	// the ends of tasks come on the next. An end not told for 8 s is lost.
 	maxQuiet   = 3_000_000
 	sweepNodes = 500_000
-	// deadAfter is how long a worker may refuse connections and say nothing on those that
+	// deadEntriesAfter is how long a worker may refuse connections and say nothing on those that
 	// it has before it counts as dead: well over the pause of a busy one, and with
 	// maxQuiet and two sweeps before it still under the 8 s in which an end is to be told.
 	deadAfter = 2_000_000
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -8,14 +8,14 @@
 	"ravenhitch/internal/shard"
 )
 
-// This file owns the shards of workers that instances hold themselves responsible for, and the test
-// that a region's cut moves none, and a death only those of its region.
+// This file owns the shards of workers that members take as assigned to them, and the test that a
+// region's cut moves none, and a death only those of its region.
 
-// deathKnown is within how many seconds the shards of an instance that was ended have new owners.
-const deathKnown = 10
+// reassignedWithin is within how many seconds the shards of a member that ended are assigned again.
+const reassignedWithin = 10
 
-// regions are those of the zones.
-func (n *network) regionNames() shard.Regions {
+// regionsOfZones are the regions of all zones.
+func (n *network) regionsOfZones() shard.Regions {
 	names := shard.Regions{}
 	for zone := range n.zones {
 		names[fmt.Sprint("zone-", zone)] = fmt.Sprint("region-", zone%n.regions)
@@ -23,108 +23,130 @@
 	return names
 }
 
-// own is the part of an instance, as the program takes it from the stable view.
-func (f *fleet) own(i int) shard.Set {
-	x, regions, own := f.instances[i], f.network.regionNames(), shard.Set{}
-	names := x.View().Names
+// assignedTo are the shards of a member, as the program takes them from the stable view.
+func (s *simulation) assignedTo(i int) shard.Set {
+	self, regions, assigned := s.members[i], s.network.regionsOfZones(), shard.Set{}
+	names := self.View().Names
 	var members []shard.Member
-	for _, m := range x.Members() {
+	for _, m := range self.Members() {
 		if slices.Contains(names, m.Name) {
 			members = append(members, shard.Member{Name: m.Name, Zone: m.Zone})
 		}
 	}
 	for zone := range regions {
-		if bits := regions.Assigned(zone, members, x.name); bits != 0 {
-			own[zone] = bits
+		if bits := regions.Assigned(zone, members, self.name); bits != 0 {
+			assigned[zone] = bits
 		}
 	}
-	return own
+	return assigned
 }
 
-// parts are the parts of all that run, by instance.
-func (f *fleet) parts() map[int]shard.Set {
-	parts := map[int]shard.Set{}
-	for i, x := range f.instances {
-		if x.running {
-			parts[i] = f.own(i)
+// assignments are the shards of all members that run.
+type assignments map[int]shard.Set
+
+func (s *simulation) assignments() assignments {
+	assigned := assignments{}
+	for i, m := range s.members {
+		if m.running {
+			assigned[i] = s.assignedTo(i)
 		}
 	}
-	return parts
+	return assigned
 }
 
-// unowned and twice count the shards that no instance, or more than one, holds.
-func (f *fleet) unownedAndTwice(parts map[int]shard.Set) (unowned, twice int) {
-	for zone := range f.network.regionNames() {
+// conflicts count the shards that no member, or more than one, takes as assigned to it.
+type conflicts struct{ unassigned, duplicates int }
+
+func (c conflicts) any() bool { return c.unassigned+c.duplicates > 0 }
+
+func (a assignments) conflicts(regions shard.Regions) (found conflicts) {
+	for zone := range regions {
 		for n := range shard.Count {
-			owners := 0
-			for _, part := range parts {
-				if part[zone].Has(n) {
-					owners++
+			assignees := 0
+			for _, assigned := range a {
+				if assigned[zone].Has(n) {
+					assignees++
 				}
 			}
-			if owners == 0 {
-				unowned++
+			if assignees == 0 {
+				found.unassigned++
 			}
-			if owners > 1 {
-				twice++
+			if assignees > 1 {
+				found.duplicates++
 			}
 		}
 	}
-	return unowned, twice
+	return found
 }
 
-// changed counts the shards that instances hold and did not before.
-func changed(before, after map[int]shard.Set) (n int) {
-	for i, part := range after {
-		n += part.Minus(before[i]).Len()
+// addedSince counts the shards that members have now and did not have before.
+func (a assignments) addedSince(before assignments) (n int) {
+	for i, assigned := range a {
+		n += assigned.Minus(before[i]).Len()
 	}
 	return n
 }
 
-// TestShardsInACut plays a region's cut and one death: each shard has one owner before, nothing moves
-// for the cut or its healing, and after the death only shards of its region have moved, within
-// deathKnown seconds.
+// TestShardsInACut runs a region's cut and one death: each shard is assigned once before, nothing
+// moves for the cut or its healing, and after the death only shards of its region have moved, within
+// reassignedWithin seconds.
 func TestShardsInACut(t *testing.T) {
-	const regions, zones, cutFor = 4, 13, 120
+	const regions, zones = 4, 13
 	for _, n := range sizes(t) {
-		p := &play{fleet: newFleet(n, regions, zones, *seedFlag), result: result{instances: n}}
-		p.untilAgreed(forming)
-		p.pass(forming, settleFor)
-		before := p.parts()
-		if unowned, twice := p.unownedAndTwice(before); unowned+twice > 0 {
-			t.Errorf("%d instances: %d shards have no owner and %d several", n, unowned, twice)
-		}
-		moved := 0
-		look := func() { moved = max(moved, changed(before, p.parts())) }
-		p.network.cutFrom, p.network.cutUntil = p.now, p.now+cutFor*second
-		for range cutFor + 30 {
-			p.pass(cut, second)
-			look()
-		}
+		s := newScenario(n, regions, zones, *seedFlag)
+		s.untilAgreed(forming)
+		s.advance(forming, settleTime)
+		before := s.assignments()
+		s.checkConflicts(t, "before the cut", before)
+		moved := s.moveInCut(before)
 		if moved > 0 {
-			t.Errorf("%d instances: %d shards moved for the cut of a region", n, moved)
+			t.Errorf("%d members: %d shards moved for the cut of a region", n, moved)
 		}
-		gone := 0
-		p.stop(gone)
-		seconds, doubles := 0, 0
-		for ; seconds < deathKnown; seconds++ {
-			unowned, twice := p.unownedAndTwice(p.parts())
-			doubles = max(doubles, twice)
-			if unowned+twice == 0 {
-				break
-			}
-			p.pass(calm, second)
-		}
-		after := p.parts()
-		if unowned, twice := p.unownedAndTwice(after); unowned+twice > 0 {
-			t.Errorf("%d instances: %d s after a death %d shards have no owner and %d several", n, seconds, unowned, twice)
-		}
-		for i, part := range after {
-			if p.network.region(i) != p.network.region(gone) && !part.Equal(before[i]) {
-				t.Errorf("%d instances: the shards of %s moved for a death in another region", n, p.fleet.instances[i].name)
+		const dead = 0
+		s.stop(dead)
+		seconds, maxDuplicates := s.untilAssigned()
+		after := s.assignments()
+		s.checkConflicts(t, fmt.Sprintf("%d s after a death", seconds), after)
+		for i, assigned := range after {
+			if s.network.region(i) != s.network.region(dead) && !assigned.Equal(before[i]) {
+				t.Errorf("%d members: the shards of %s moved for a death in another region", n, s.members[i].name)
 			}
 		}
 		fmt.Printf("assignment: instances=%d shards=%d moved_in_cut=%d moved_by_death=%d owned_again_s=%d doubles_most=%d\n", n,
-			zones*shard.Count, moved, changed(before, after), seconds, doubles)
+			zones*shard.Count, moved, after.addedSince(before), seconds, maxDuplicates)
+	}
+}
+
+// checkConflicts asserts that each shard is assigned to one member.
+func (s *scenario) checkConflicts(t *testing.T, when string, assigned assignments) {
+	t.Helper()
+	if c := assigned.conflicts(s.network.regionsOfZones()); c.any() {
+		t.Errorf("%d members, %s: %d shards are assigned to nobody and %d to several", s.memberCount, when, c.unassigned, c.duplicates)
+	}
+}
+
+// moveInCut cuts a region for a while, and returns the highest number of shards that had moved
+// during the cut or shortly after.
+func (s *scenario) moveInCut(before assignments) (moved int) {
+	const cutSeconds, secondsAfter = 120, 30
+	s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
+	for range cutSeconds + secondsAfter {
+		s.advance(cut, second)
+		moved = max(moved, s.assignments().addedSince(before))
+	}
+	return moved
+}
+
+// untilAssigned lets time pass until each shard is assigned to one member, or reassignedWithin. It
+// returns the seconds, and the highest number of shards that were assigned to several.
+func (s *scenario) untilAssigned() (seconds, maxDuplicates int) {
+	for ; seconds < reassignedWithin; seconds++ {
+		c := s.assignments().conflicts(s.network.regionsOfZones())
+		maxDuplicates = max(maxDuplicates, c.duplicates)
+		if !c.any() {
+			break
+		}
+		s.advance(calm, second)
 	}
+	return seconds, maxDuplicates
 }
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -1,8 +1,10 @@
 // Package hollow measures what membership costs as the number of orchestrators grows, and
-// whether all of them come to the same table after a region was cut off for an hour. The
-// orchestrators are hollow: of each only its membership runs, all in one process, joined
-// by a simulated network under passed time. Datagrams have the form that they have on the
-// wire. All is drawn from one seed.
+// whether all tables agree after a region was partitioned off for an hour. The orchestrators
+// are hollow: of each only its membership runs, all in one process, joined by a simulated
+// network under virtual time. Datagrams have the form that they have on the wire. All is
+// drawn from one seed.
+//
+// This file owns the flags, the sizes that are run, and what must hold at each.
 package hollow
 
 import (
@@ -23,21 +25,21 @@
 	instancesFlag = flag.String("instances", "9,32", "numbers of orchestrators, one after another")
 	regionsFlag   = flag.Int("regions", 4, "regions")
 	zonesFlag     = flag.Int("zones", 13, "zones, spread over the regions")
-	calmFlag      = flag.Float64("calm", 60, "seconds of passed time before any fault")
-	cutFlag       = flag.Float64("cut", 60, "seconds of passed time for which a region is cut off; 0 ends with the calm")
+	calmFlag      = flag.Float64("calm", 60, "seconds of virtual time before any fault")
+	cutFlag       = flag.Float64("cut", 60, "seconds of virtual time for which a region is cut off; 0 ends with the calm")
 	memberFlag    = flag.Float64("member-seconds", 400_000, "seconds of the cut times orchestrators at most: many are cut off for less")
-	seedFlag      = flag.Uint64("seed", 1, "draws delays, lives and who restarts")
+	seedFlag      = flag.Uint64("seed", 1, "draws delays, incarnation nonces and who restarts")
 	outFlag       = flag.String("out", "", "where the samples and the charts are written; nowhere that stays if empty")
 )
 
 const (
-	// bytesExponentMost bounds how the bytes a second and member grow with the members.
-	bytesExponentMost = 0.25
-	// splitWithin is how long a cut may last, in seconds, before each side holds all of the
-	// other for dead.
-	splitWithin = 60
-	// deadMessagesMost bounds what each sends to dead members, in datagrams a second.
-	deadMessagesMost = 2.5
+	// maxBytesExponent bounds the power of the number of members by which a member's traffic grows.
+	maxBytesExponent = 0.25
+	// maxSplitTime is how long a cut may last, in seconds, before each side has all of the other
+	// for dead.
+	maxSplitTime = 60
+	// maxDeadMessages bounds what a member sends to dead ones, in datagrams a second.
+	maxDeadMessages = 2.5
 )
 
 func TestHollowOrchestrators(t *testing.T) {
@@ -46,7 +48,7 @@
 	var results []result
 	for _, n := range sizes(t) {
 		r := run(n, *regionsFlag, *zonesFlag, *calmFlag, min(*cutFlag, *memberFlag/float64(n)), *seedFlag)
-		for ph := forming; ph < phases && r.records[ph].seconds > 0; ph++ {
+		for ph := forming; ph < phaseCount && r.records[ph].seconds > 0; ph++ {
 			fmt.Println(r.phaseLine(ph))
 		}
 		fmt.Println(r.String())
@@ -67,22 +69,22 @@
 	return out
 }
 
-// check looks at what must hold at every size.
+// check asserts what must hold at every size.
 func check(t *testing.T, r *result) {
-	if len(r.wrong) > 0 {
-		t.Errorf("%d instances: %d wrong deaths, the first: %s", r.instances, len(r.wrong), r.wrong[0])
+	if len(r.falseDeaths) > 0 {
+		t.Errorf("%d members: %d false deaths, the first: %s", r.memberCount, len(r.falseDeaths), r.falseDeaths[0])
 	}
-	for ph := forming; ph < phases; ph++ {
-		isShort := ph == cut && r.cutSeconds < splitWithin // each side need not hold the other for dead so soon
-		if r.records[ph].seconds > 0 && r.agree[ph] == never && !isShort {
-			t.Errorf("%d instances: the tables do not come to agree in phase %s", r.instances, ph)
+	for ph := forming; ph < phaseCount; ph++ {
+		isShort := ph == cut && r.cutSeconds < maxSplitTime // each side need not have the other for dead so soon
+		if r.records[ph].seconds > 0 && r.agreedAfter[ph] == never && !isShort {
+			t.Errorf("%d members: the tables do not come to agree in phase %s", r.memberCount, ph)
 		}
 	}
-	if r.deadAfter > 0 {
-		t.Errorf("%d instances: %d entries of members that stayed dead after the cut", r.instances, r.deadAfter)
+	if r.deadEntriesAfter > 0 {
+		t.Errorf("%d members: %d entries of members that stayed dead after the cut", r.memberCount, r.deadEntriesAfter)
 	}
-	if d := r.records[cut].last.toDead; d > deadMessagesMost {
-		t.Errorf("%d instances: each sends %.1f datagrams a second to dead members", r.instances, d)
+	if d := r.records[cut].tail.toDead; d > maxDeadMessages {
+		t.Errorf("%d members: each sends %.1f datagrams a second to dead members", r.memberCount, d)
 	}
 }
 
@@ -95,15 +97,15 @@
 	var n, bytes, us, heap []float64
 	var rows [][]float64
 	for _, r := range results {
-		c := r.records[calm].mean(r.instances)
-		n, bytes, us, heap = append(n, float64(r.instances)), append(bytes, c.bytes), append(us, c.microseconds), append(heap, r.heap)
+		c := r.records[calm].mean(r.memberCount)
+		n, bytes, us, heap = append(n, float64(r.memberCount)), append(bytes, c.bytes), append(us, c.microseconds), append(heap, r.heapPerMember)
 		rows = slices.AppendSeq(rows, slices.Chunk(r.samples, len(sampleHeader)))
 	}
 	if err := stats.WriteTable(filepath.Join(dir, "hollow.csv"), sampleHeader, rows); err != nil {
 		t.Fatal(err)
 	}
 	if len(n) < 2 {
-		return // one size has no slope
+		return // one size has no exponent
 	}
 	for _, c := range []struct {
 		file, label string
@@ -117,25 +119,25 @@
 	}
 	exponent := stats.Exponent(n, bytes)
 	fmt.Printf("hollow: exponent_bytes=%.3f exponent_us=%.3f exponent_heap=%.3f\n", exponent, stats.Exponent(n, us), stats.Exponent(n, heap))
-	if exponent > bytesExponentMost {
-		t.Errorf("the bytes a second and member grow with the members to the power of %.3f, expected at most %.2f", exponent, bytesExponentMost)
+	if exponent > maxBytesExponent {
+		t.Errorf("the bytes a second and member grow with the members to the power of %.3f, expected at most %.2f", exponent, maxBytesExponent)
 	}
 }
 
-// A play is the same each time but for what the clock and the heap say.
+// The same seed gives the same scenario, but for what the clock and the heap measure.
 func TestReplays(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	play := func() (out [phases]load, agree [phases]float64) {
+	replay := func() (loads [phaseCount]load, agree [phaseCount]float64) {
 		r := run(9, *regionsFlag, *zonesFlag, 5, 20, *seedFlag)
-		for ph := range out {
-			out[ph] = r.records[ph].total
-			out[ph].microseconds, out[ph].codec = 0, 0
+		for ph := range loads {
+			loads[ph] = r.records[ph].total
+			loads[ph].microseconds, loads[ph].codec = 0, 0
 		}
-		return out, r.agree
+		return loads, r.agreedAfter
 	}
-	loads, agree := play()
-	again, agreeAgain := play()
+	loads, agree := replay()
+	again, agreeAgain := replay()
 	if loads != again || agree != agreeAgain {
 		t.Errorf("the same seed gives %v, %v and then %v, %v", loads, agree, again, agreeAgain)
 	}
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -6,70 +6,73 @@
 	"ravenhitch/internal/membership"
 )
 
+// This file owns what is judged of the members' reports, by the state of the simulation. It must
+// never take a report for that.
+
 const (
-	// reachedWithin is how lately a member must have been in reach for its death to be wrong.
-	reachedWithin = 6 * second
-	// startGrace is how long after its start a process may be taken for the one before.
+	// reachablePeriod is for how long a member must have been reachable for its death to be false.
+	reachablePeriod = 6 * second
+	// startGrace is how long after its start a process may still be reported as the one before.
 	startGrace = 2 * second
 )
 
-// judge looks at a death that an instance declares. It is wrong where the member runs and
-// both could reach each other throughout the last seconds: the network has no cut but that
-// of a region, so within one side a way always leads there and back.
-func (f *fleet) judge(by int, e membership.Event) {
-	j := f.byName[e.Name]
-	o := f.instances[j]
-	if !o.running || o.life != e.Life || f.now-o.startedAt < startGrace || f.network.cutWithin(by, j, f.now-reachedWithin, f.now) {
+// judgeDeath judges a death that a member reports. It is false where the subject runs and both
+// could reach each other throughout the last seconds: the network has no cut but that of a
+// region, so within one side of it all are reachable.
+func (s *simulation) judgeDeath(reporter int, event membership.Event) {
+	index := s.byName[event.Name]
+	subject := s.members[index]
+	if !subject.running || subject.nonce != event.Life || s.now-subject.startedAt < startGrace || s.network.wasCutSince(reporter, index, s.now-reachablePeriod, s.now) {
 		return
 	}
-	f.wrong = append(f.wrong, fmt.Sprintf("%.2f s: %s holds %s for dead, which is in reach: %s",
-		float64(f.now)/second, f.instances[by].name, e.Name, e.Evidence))
+	s.falseDeaths = append(s.falseDeaths, fmt.Sprintf("%.2f s: %s has %s for dead, which is reachable: %s",
+		float64(s.now)/second, s.members[reporter].name, event.Name, event.Evidence))
 }
 
-// agrees reports whether the tables of all that run hold exactly those that run and that
-// the network carries to, each in its present life.
-func (f *fleet) agrees() bool {
+// tablesAgree reports whether the tables of all that run have exactly those that run and are
+// reachable, each with its current incarnation nonce.
+func (s *simulation) tablesAgree() bool {
 	sides := map[bool]int{}
-	for i, x := range f.instances {
+	for i, x := range s.members {
 		if x.running {
-			sides[f.side(i)]++
+			sides[s.side(i)]++
 		}
 	}
-	for i, x := range f.instances { // the sizes first, which is cheap
-		if x.running && x.Size() != sides[f.side(i)] {
+	for i, x := range s.members { // the sizes first, which is cheap
+		if x.running && x.Size() != sides[s.side(i)] {
 			return false
 		}
 	}
-	for i, x := range f.instances {
-		if x.running && !f.holdsAll(i) {
+	for i, x := range s.members {
+		if x.running && !s.tableIsComplete(i) {
 			return false
 		}
 	}
 	return true
 }
 
-// side is the side of the cut that an instance is on; there is only one without a cut.
-func (f *fleet) side(i int) bool {
-	return f.network.inCutRegion(i) && f.now >= f.network.cutFrom && f.now < f.network.cutUntil
+// side is the side of the cut that a member is on; there is only one without a cut.
+func (s *simulation) side(i int) bool {
+	return s.network.inCutRegion(i) && s.now >= s.network.cutFrom && s.now < s.network.cutUntil
 }
 
-// holdsAll reports whether the table of i has each other instance of its side in its
-// present life.
-func (f *fleet) holdsAll(i int) bool {
-	for j, o := range f.instances {
-		if i == j || !o.running || f.side(i) != f.side(j) {
+// tableIsComplete reports whether the table of a member has each other one of its side with its
+// current incarnation nonce.
+func (s *simulation) tableIsComplete(i int) bool {
+	for j, other := range s.members {
+		if i == j || !other.running || s.side(i) != s.side(j) {
 			continue
 		}
-		if _, life, ok := f.instances[i].Locate(o.name); !ok || life != o.life {
+		if _, nonce, ok := s.members[i].Locate(other.name); !ok || nonce != other.nonce {
 			return false
 		}
 	}
 	return true
 }
 
-// remembered counts the entries of dead members in all tables, and the most in one.
-func (f *fleet) remembered() (all, most int) {
-	for _, x := range f.instances {
+// countDeadEntries counts the entries of dead members in all tables, and the most in one.
+func (s *simulation) countDeadEntries() (all, highest int) {
+	for _, x := range s.members {
 		if !x.running {
 			continue
 		}
@@ -79,7 +82,7 @@
 				n++
 			}
 		}
-		all, most = all+n, max(most, n)
+		all, highest = all+n, max(highest, n)
 	}
-	return all, most
+	return all, highest
 }
--- a/test/scale/hollow/long_dead_test.go
+++ b/test/scale/hollow/long_dead_test.go
@@ -2,27 +2,27 @@
 
 import "testing"
 
-// Members that died long ago and never come back do not keep the others from finding each
+// Members that died long ago and never come back do not prevent the others from finding each
 // other after a cut.
 func TestHealAmongTheLongDead(t *testing.T) {
 	const n, cutSeconds = 9, 60
-	for _, gone := range []int{0, 100} {
-		p := &play{fleet: newFleet(n, *regionsFlag, *zonesFlag, *seedFlag), result: result{instances: n}}
-		for i := n; i < n+gone; i++ {
-			p.add(i)
-			p.start(i)
+	for _, dead := range []int{0, 100} {
+		s := newScenario(n, *regionsFlag, *zonesFlag, *seedFlag)
+		for i := n; i < n+dead; i++ {
+			s.add(i)
+			s.start(i)
 		}
-		p.untilAgreed(forming)
-		for i := n; i < n+gone; i++ {
-			p.stop(i)
+		s.untilAgreed(forming)
+		for i := n; i < n+dead; i++ {
+			s.stop(i)
 		}
-		p.untilAgreed(calm)
-		p.network.cutFrom, p.network.cutUntil = p.now, p.now+cutSeconds*second
-		p.pass(cut, cutSeconds*second)
-		p.untilAgreed(healed)
-		t.Logf("%d long dead: agree %.1f s after the cut", gone, p.agree[healed])
-		if p.agree[healed] == never || len(p.fleet.wrong) > 0 {
-			t.Errorf("%d long dead: the tables do not agree, or deaths are wrong: %v", gone, p.fleet.wrong)
+		s.untilAgreed(calm)
+		s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
+		s.advance(cut, cutSeconds*second)
+		s.untilAgreed(healed)
+		t.Logf("%d long dead: agree %.1f s after the cut", dead, s.agreedAfter[healed])
+		if s.agreedAfter[healed] == never || len(s.simulation.falseDeaths) > 0 {
+			t.Errorf("%d long dead: the tables do not agree, or deaths are false: %v", dead, s.simulation.falseDeaths)
 		}
 	}
 }
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -1,12 +1,14 @@
 package hollow
 
-// load is what one instance caused since it was last read.
+// This file owns the measurements: the load of members, by phase.
+
+// load is what one member caused since that was last read.
 type load struct {
 	bytes, messages     float64 // sent, as on the wire
-	toDead, toDeadBytes float64 // of these, to members that the sender does not hold for alive
+	toDead, toDeadBytes float64 // of these, to members that the sender does not have for alive
 	handshakes          float64
 	microseconds        float64 // of the processor, in calls into membership
-	codec               float64 // the same, to write and read datagrams
+	codec               float64 // the same, to encode and decode datagrams
 }
 
 func (l *load) add(o load) {
@@ -19,8 +21,8 @@
 	l.codec += o.codec
 }
 
-// each is a load divided among members and seconds.
-func (l load) each(by float64) load {
+// dividedBy is a load divided among members and seconds.
+func (l load) dividedBy(by float64) load {
 	return load{l.bytes / by, l.messages / by, l.toDead / by, l.toDeadBytes / by, l.handshakes / by, l.microseconds / by, l.codec / by}
 }
 
@@ -34,7 +36,7 @@
 	return max(0, processorMicroseconds()-from-m.clockCost)
 }
 
-// phase is a part of a play.
+// phase is a part of a scenario.
 type phase int
 
 // The phases, in their order.
@@ -45,23 +47,25 @@
 	healed
 	tenthRestarted
 	allRestarted
-	phases
+	phaseCount
 )
 
 func (p phase) String() string {
 	return [...]string{"forming", "calm", "cut", "healed", "tenth_restarted", "all_restarted"}[p]
 }
 
-// record is what the members caused in one phase, second by second.
-type record struct {
-	seconds       float64
-	total         load
-	peak          load // of the second with the most bytes, a member
-	worstBytes    float64
-	worstMessages float64
-	worstUs       float64 // of any one member in any one second
-	last          load    // of the last seconds, a member and second
+// phaseRecord is what the members caused in one phase, second by second.
+type phaseRecord struct {
+	seconds           float64
+	total             load
+	peak              load // of the second with the most bytes, a member
+	maxMemberBytes    float64
+	maxMemberMessages float64
+	maxMemberUs       float64 // of any one member in any one second
+	tail              load    // of the last seconds of a cut, a member and second
 }
 
 // mean is the load a second and member.
-func (r *record) mean(members int) load { return r.total.each(max(1, r.seconds) * float64(members)) }
+func (r *phaseRecord) mean(members int) load {
+	return r.total.dividedBy(max(1, r.seconds) * float64(members))
+}
--- a/test/scale/hollow/processor_test.go
+++ b/test/scale/hollow/processor_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// processorMicroseconds is the processor time of this thread, which another busy process
-// does not lengthen. The caller holds the thread by runtime.LockOSThread.
+// processorMicroseconds is the processor time of this thread, which another busy process does
+// not lengthen. The caller has locked the thread by runtime.LockOSThread.
 func processorMicroseconds() float64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts); err != nil {
@@ -16,7 +16,7 @@
 	return float64(ts.Sec)*second + float64(ts.Nsec)/1000
 }
 
-// clockCost is what a measurement itself adds to what it measures.
+// clockCost is the processor time in microseconds that a measurement adds to its result.
 func clockCost() float64 {
 	const rounds = 10_000
 	from := processorMicroseconds()
@@ -26,10 +26,10 @@
 	return (processorMicroseconds() - from) / rounds
 }
 
-// heapBytes is what lives on the heap.
+// heapBytes is the size of all reachable objects.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the first may leave what finalizers and pools held
+	runtime.GC() // the first may leave what finalizers and pools reach
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
--- a/test/scale/hollow/queue_test.go
+++ b/test/scale/hollow/scheduler_test.go
@@ -2,9 +2,11 @@
 
 import "container/heap"
 
-// event is something that happens at a moment of passed time.
+// This file owns virtual time: the queue of events, by their moments.
+
+// event is something that happens at a moment of virtual time.
 type event struct {
-	at, number int64 // number keeps events of one moment in the order in which they were added
+	at, number int64 // number orders the events of one moment by when they were added
 	run        func()
 }
 
@@ -25,20 +27,20 @@
 	return last
 }
 
-// scheduler runs events in the order of their moments: time passes from one to the next.
+// scheduler runs events in the order of their moments: time jumps from one to the next.
 type scheduler struct {
 	now    int64 // microseconds
 	number int64
 	events eventHeap
 }
 
-// at has run called at a moment of passed time.
+// at calls run at a moment of virtual time.
 func (s *scheduler) at(moment int64, run func()) {
 	s.number++
 	heap.Push(&s.events, event{moment, s.number, run})
 }
 
-// after has run called once that many microseconds have passed.
+// after calls run once that many microseconds have passed.
 func (s *scheduler) after(delay int64, run func()) { s.at(s.now+delay, run) }
 
 // runUntil lets time pass.
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -6,91 +6,91 @@
 	"ravenhitch/internal/membership"
 )
 
-// What happens on either side of a cut while it lasts is known to all after it: whoever
-// restarted, moved, left or came meanwhile, and also where nobody remembers the others.
+// What happens on either side of a cut while it lasts is known to all after it: who restarted,
+// moved, left or joined meanwhile, and also where no member remembers the others.
 func TestChangesWithinCut(t *testing.T) {
 	const cutSeconds = 60
 	for _, c := range []struct {
 		name   string
-		change func(p *play)
+		change func(s *scenario)
 	}{
-		{"half of the cut region restart", func(p *play) {
-			for k, i := range p.cutOff() {
+		{"half of the cut region restart", func(s *scenario) {
+			for k, i := range s.inCutRegion() {
 				if k%2 == 0 {
-					p.restart(i, 0, restartMin)
+					s.restart(i, 0, minDowntime)
 				}
 			}
 		}},
-		{"all on both sides restart", func(p *play) {
-			for i := range p.fleet.instances {
-				p.restart(i, p.rng.Int64N(second), restartMin)
+		{"all on both sides restart", func(s *scenario) {
+			for i := range s.simulation.members {
+				s.restart(i, s.random.Int64N(second), minDowntime)
 			}
 		}},
-		{"one of the cut region moves to another address", func(p *play) {
-			i := p.cutOff()[1] // the first is in the settings of all, with its address
-			p.stop(i)
-			p.move(i)
-			p.start(i)
+		{"one of the cut region moves to another address", func(s *scenario) {
+			i := s.inCutRegion()[1] // the first is in the settings of all, with its address
+			s.stop(i)
+			s.move(i)
+			s.start(i)
 		}},
-		{"one leaves on purpose on each side", func(p *play) {
-			p.leave(2)
-			p.leave(p.cutOff()[1])
+		{"one leaves on purpose on each side", func(s *scenario) {
+			s.leave(2)
+			s.leave(s.inCutRegion()[1])
 		}},
-		{"one is replaced under another name on each side", func(p *play) {
-			for range p.network.zones { // one in each zone
-				i := len(p.fleet.instances)
-				p.add(i)
-				p.start(i)
+		{"one is replaced under another name on each side", func(s *scenario) {
+			for range s.network.zones { // one in each zone
+				i := len(s.simulation.members)
+				s.add(i)
+				s.start(i)
 			}
-			p.stop(2)
-			p.stop(p.cutOff()[1])
+			s.stop(2)
+			s.stop(s.inCutRegion()[1])
 		}},
-		{"the cut heals for a second and comes again", func(p *play) {
-			p.network.cutUntil = p.now
-			p.pass(cut, second)
-			p.network.cutFrom, p.network.cutUntil = p.now, p.now+cutSeconds*second
+		{"the cut heals for a second and comes again", func(s *scenario) {
+			s.network.cutUntil = s.now
+			s.advance(cut, second)
+			s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
 		}},
 	} {
 		for _, n := range []int{9, 32} {
-			p := &play{fleet: newFleet(n, *regionsFlag, *zonesFlag, *seedFlag), result: result{instances: n}}
-			p.untilAgreed(forming)
-			p.network.cutFrom, p.network.cutUntil = p.now, p.now+cutSeconds*second
-			p.pass(cut, cutSeconds/2*second)
-			c.change(p)
-			p.pass(cut, p.network.cutUntil-p.now)
-			p.untilAgreed(healed)
-			t.Logf("%s, %d instances: agree %.1f s after the cut, %d wrong deaths", c.name, n, p.agree[healed], len(p.fleet.wrong))
-			if p.agree[forming] == never || p.agree[healed] == never {
-				t.Errorf("%s, %d instances: the tables do not agree", c.name, n)
+			s := newScenario(n, *regionsFlag, *zonesFlag, *seedFlag)
+			s.untilAgreed(forming)
+			s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
+			s.advance(cut, cutSeconds/2*second)
+			c.change(s)
+			s.advance(cut, s.network.cutUntil-s.now)
+			s.untilAgreed(healed)
+			t.Logf("%s, %d members: agree %.1f s after the cut, %d false deaths", c.name, n, s.agreedAfter[healed], len(s.simulation.falseDeaths))
+			if s.agreedAfter[forming] == never || s.agreedAfter[healed] == never {
+				t.Errorf("%s, %d members: the tables do not agree", c.name, n)
 			}
-			if len(p.fleet.wrong) > 0 {
-				t.Errorf("%s, %d instances: %s", c.name, n, p.fleet.wrong[0])
+			if len(s.simulation.falseDeaths) > 0 {
+				t.Errorf("%s, %d members: %s", c.name, n, s.simulation.falseDeaths[0])
 			}
 		}
 	}
 }
 
-// cutOff are the instances of the region that is cut off.
-func (f *fleet) cutOff() (out []int) {
-	for i := range f.instances {
-		if f.network.inCutRegion(i) {
+// inCutRegion are the members of the region that is cut off.
+func (s *simulation) inCutRegion() (out []int) {
+	for i := range s.members {
+		if s.network.inCutRegion(i) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// leave has an instance go on purpose.
-func (f *fleet) leave(i int) {
-	x := f.instances[i]
-	f.call(i, func() []membership.Act { return x.Leave(f.now) })
-	f.after(restartMin, func() { f.stop(i) })
+// leave lets a member leave the cluster, and end.
+func (s *simulation) leave(i int) {
+	leaving := s.members[i]
+	s.call(i, func() []membership.Act { return leaving.Leave(s.now) })
+	s.after(minDowntime, func() { s.stop(i) })
 }
 
-// move gives an instance that does not run another address.
-func (f *fleet) move(i int) {
-	x := f.instances[i]
-	delete(f.byAddress, x.address)
-	x.address = "10.99.0.1:7400"
-	f.byAddress[x.address] = i
+// move gives a member that does not run another address.
+func (s *simulation) move(i int) {
+	moved := s.members[i]
+	delete(s.byAddress, moved.address)
+	moved.address = "10.99.0.1:7400"
+	s.byAddress[moved.address] = i
 }
