--- /dev/null
+++ b/test/backpressure/demand_test.go
@@ -0,0 +1,135 @@
+package backpressure
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// This file owns the demand: the classes of the deployment and the tasks that are drawn from
+// them. The same seed must always draw the same tasks.
+
+const ms = time.Millisecond
+
+// class is a class of the deployment.
+type class struct {
+	name             string
+	share            float64      // of all tasks
+	shapes           [][2]float64 // cores and memory, by program
+	responseTimeout  time.Duration
+	latencyObjective time.Duration
+	startTime        [2]time.Duration // from and to
+	meanRunTime      [2]time.Duration // from and to, by program
+}
+
+const (
+	classRelay      = "live-relay"
+	classArchiveCut = "archive-cut" // never to be started twice
+)
+
+var classes = []class{
+	{
+		name: "guide-web", share: 0.53, shapes: [][2]float64{{0.25, 1}, {0.5, 1}, {1, 3}},
+		responseTimeout: 6000 * ms, latencyObjective: 1000 * ms,
+		startTime: [2]time.Duration{93 * ms, 230 * ms}, meanRunTime: [2]time.Duration{8500 * ms, 21000 * ms},
+	},
+	{
+		name: classRelay, share: 0.4614, shapes: [][2]float64{{0.5, 1}, {1, 2.5}, {1.5, 1.5}},
+		responseTimeout: 5000 * ms, latencyObjective: 700 * ms,
+		startTime: [2]time.Duration{130 * ms, 240 * ms}, meanRunTime: [2]time.Duration{8500 * ms, 21000 * ms},
+	},
+	{
+		name: classArchiveCut, share: 0.0086, shapes: [][2]float64{{4, 6}, {10, 24}},
+		responseTimeout: 10000 * ms, latencyObjective: 6000 * ms,
+		startTime: [2]time.Duration{260 * ms, 400 * ms}, meanRunTime: [2]time.Duration{27000 * ms, 62000 * ms},
+	},
+}
+
+// job is one task of the storm or of the usual demand.
+type job struct {
+	testbed.Task
+	class   *class
+	key     string
+	program uint64
+	at      time.Duration // of its first submission, from the storm's begin
+	inStorm bool
+	seed    uint64 // of its client's draws
+}
+
+// Prefixes of keys.
+const (
+	stormPrefix = "c"
+	usualPrefix = "k"
+)
+
+// program is what several tasks run.
+type program struct {
+	class       *class
+	id          uint64
+	shape       [2]float64
+	meanRunTime time.Duration
+	tasksLeft   int // of those that run it
+}
+
+// demand draws tasks.
+type demand struct {
+	random   *rand.Rand
+	programs []*program
+}
+
+// drawJobs draws n tasks that are first submitted within a span that begins at a time.
+func drawJobs(random *rand.Rand, prefix string, n int, begin, span time.Duration) (jobs []*job) {
+	d := demand{random: random}
+	for i := range n {
+		p := d.program(d.class())
+		p.tasksLeft--
+		runTime := time.Duration(float64(p.meanRunTime) * min(3, max(0.1, random.ExpFloat64())))
+		jobs = append(jobs, &job{
+			class:   p.class,
+			key:     fmt.Sprintf("%s%08x%06x", prefix, random.Uint32(), i),
+			program: p.id,
+			at:      begin + time.Duration(random.Float64()*float64(span)),
+			seed:    random.Uint64(),
+			inStorm: prefix == stormPrefix,
+			Task: testbed.Task{Class: p.class.name, Cores: p.shape[0], Memory: p.shape[1],
+				StartTime: between(random, p.class.startTime), RunTime: runTime},
+		})
+	}
+	return jobs
+}
+
+func (d *demand) class() *class {
+	pick := d.random.Float64()
+	for i := range classes {
+		if pick -= classes[i].share; pick < 0 {
+			return &classes[i]
+		}
+	}
+	return &classes[0]
+}
+
+// program is the latest one of a class with tasks left, or a new one.
+func (d *demand) program(c *class) (found *program) {
+	for _, p := range d.programs {
+		if p.class == c && p.tasksLeft > 0 {
+			found = p
+		}
+	}
+	if found == nil {
+		found = &program{
+			class:       c,
+			id:          d.random.Uint64() >> 16,
+			shape:       c.shapes[d.random.IntN(len(c.shapes))],
+			meanRunTime: between(d.random, c.meanRunTime),
+			tasksLeft:   7 + d.random.IntN(12),
+		}
+		d.programs = append(d.programs, found)
+	}
+	return found
+}
+
+func between(random *rand.Rand, bounds [2]time.Duration) time.Duration {
+	return bounds[0] + time.Duration(random.Float64()*float64(bounds[1]-bounds[0]))
+}
--- /dev/null
+++ b/test/backpressure/flood_test.go
@@ -0,0 +1,110 @@
+package backpressure
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"strconv"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// This file measures responses that are due together: no task fits, so that all clients are owed
+// their rejection in time.
+
+// flood is many requests at the same moment.
+type flood struct {
+	timeout time.Duration // of each request
+
+	mu        sync.Mutex
+	lateBy    []time.Duration // of the responses after their timeout
+	responses int
+}
+
+// runFlood sends n requests in the same moment over so many connections.
+func runFlood(t *testing.T, operatorsFile string, n, connections int, timeout time.Duration) *flood {
+	t.Helper()
+	r := newRig(t, rigOptions{workers: 1, orchestrators: 1, operatorsFile: operatorsFile, seed: 1, maxRetryAfter: 3 * time.Second})
+	r.orchestrators[0].start()
+	f := &flood{timeout: timeout}
+	var clients sync.WaitGroup
+	begin := make(chan struct{})
+	for first := range connections {
+		client := testbed.NewClient(t, r.orchestrators[0].address)
+		var requests bytes.Buffer
+		count := 0
+		for i := first; i < n; i += connections {
+			requests.Write(f.request(t, i))
+			count++
+		}
+		clients.Go(func() {
+			<-begin
+			f.send(t, client, requests.Bytes(), count)
+		})
+	}
+	close(begin)
+	clients.Wait()
+	r.orchestrators[0].End(syscall.SIGKILL)
+	return f
+}
+
+// request is the nth one, of a task that fills a worker.
+func (f *flood) request(t *testing.T, n int) []byte {
+	t.Helper()
+	blob := testbed.Task{Class: "guide-web"}.Describe()
+	text, err := json.Marshal(testbed.Line{Verb: "START", Tag: testbed.RequestID(n + 1), Blob: &blob, Opts: map[string]string{
+		"class": "guide-web", "key": fmt.Sprintf("%016x", n), "left": strconv.FormatInt(f.timeout.Milliseconds(), 10),
+		"extras": "cores:28;memory:60;service:1"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+// send sends requests at once, and receives their responses for so long as they may be due.
+func (f *flood) send(t *testing.T, client *testbed.Client, requests []byte, count int) {
+	sentAt := time.Now()
+	if _, err := client.Write(requests); err != nil {
+		t.Error(err)
+		return
+	}
+	for expired := time.After(f.timeout + 3*time.Second); count > 0; count-- {
+		select {
+		case <-client.Lines:
+			f.receive(time.Since(sentAt))
+		case <-expired:
+			return
+		}
+	}
+}
+
+func (f *flood) receive(took time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.responses++
+	if late := took - f.timeout; late > 0 {
+		f.lateBy = append(f.lateBy, late)
+	}
+}
+
+// TestFlood prints how many of 2,000 responses that are due together come too late.
+func TestFlood(t *testing.T) {
+	if flag.Lookup("test.run").Value.String() == "" {
+		t.Skip("a measurement; run it by its name")
+	}
+	for _, name := range []string{"before", "after"} {
+		for range 3 {
+			f := runFlood(t, "testdata/"+name+".conf", *clientsFlag, 100, 2*time.Second)
+			var maxLate time.Duration
+			for _, late := range f.lateBy {
+				maxLate = max(maxLate, late)
+			}
+			fmt.Printf("flood: advice=%s answers=%d late=%d most=%s\n", name, f.responses, len(f.lateBy), maxLate)
+		}
+	}
+}
--- /dev/null
+++ b/test/backpressure/lower_bound_test.go
@@ -0,0 +1,128 @@
+package backpressure
+
+import (
+	"slices"
+	"time"
+)
+
+// This file owns the bound on what any orchestrator can reach: the workers as one pool whose
+// free capacity is all known, and which inspects offers and starts tasks as fast as its workers
+// do; relays first, then in the order of submission.
+
+// boundStep is the step of the pool's time.
+const boundStep = 10 * ms
+
+// pool is the workers as one.
+type pool struct {
+	cores, memory float64 // free
+	inspections   float64 // of offers, a step
+	maxTokens     float64
+	tokens        float64         // offers that can be inspected now
+	slotFreeAt    []time.Duration // of each place for a start
+	completions   []poolCompletion
+	lastStart     time.Duration // of a task of the storm
+	relaysInTime  int           // of the storm
+}
+
+// poolCompletion is the end of a task in the pool.
+type poolCompletion struct {
+	at  time.Duration
+	job *job
+}
+
+func newPool(workers int) *pool {
+	p := &pool{maxTokens: float64(workers)}
+	slots := 0.0
+	for i, spec := range workerSpecs(workers, 0) {
+		p.cores += spec.Cores
+		p.memory += spec.Memory
+		p.inspections += float64(boundStep) / float64((spec.InspectionTime[0]+spec.InspectionTime[1])/2)
+		speed := 1.0
+		if i < workers/coldDivisor {
+			speed = spec.ColdStartRate
+		}
+		slots += speed * float64(spec.MaxStarting)
+	}
+	p.slotFreeAt = make([]time.Duration, int(slots))
+	return p
+}
+
+// lowerBound is the time at which the last task of the storm can have started, and the share of
+// the storm's relays that can start in time.
+func lowerBound(jobs []*job, workers int) (lastStart time.Duration, relaysInTime float64) {
+	p := newPool(workers)
+	arrivals := slices.SortedFunc(slices.Values(jobs), func(a, b *job) int { return int(a.at - b.at) })
+	var pending []*job
+	for now := arrivals[0].at; len(arrivals) > 0 || len(pending) > 0; now += boundStep {
+		p.tokens = min(p.tokens+p.inspections, p.maxTokens)
+		for len(arrivals) > 0 && arrivals[0].at <= now {
+			pending = append(pending, arrivals[0])
+			arrivals = arrivals[1:]
+		}
+		p.complete(now)
+		slices.SortStableFunc(pending, func(a, b *job) int { return b.priority() - a.priority() })
+		pending = slices.DeleteFunc(pending, func(j *job) bool { return p.start(j, now) })
+	}
+	return p.lastStart, float64(p.relaysInTime) / float64(max(1, countStormRelays(jobs)))
+}
+
+// complete frees the capacity of the tasks that have ended.
+func (p *pool) complete(now time.Duration) {
+	p.completions = slices.DeleteFunc(p.completions, func(c poolCompletion) bool {
+		if c.at > now {
+			return false
+		}
+		p.cores += c.job.Cores
+		p.memory += c.job.Memory
+		return true
+	})
+}
+
+// start starts a task, unless free capacity or inspections are short.
+func (p *pool) start(j *job, now time.Duration) bool {
+	if j.Cores > p.cores || j.Memory > p.memory || p.tokens < 1 {
+		return false
+	}
+	p.tokens--
+	slot := p.nextSlot()
+	startedAt := max(now, p.slotFreeAt[slot]) + j.StartTime
+	p.slotFreeAt[slot] = startedAt
+	p.cores -= j.Cores
+	p.memory -= j.Memory
+	p.completions = append(p.completions, poolCompletion{startedAt + j.RunTime, j})
+	if j.inStorm {
+		p.lastStart = max(p.lastStart, now)
+		if j.isRelay() && startedAt-j.at <= j.class.latencyObjective {
+			p.relaysInTime++
+		}
+	}
+	return true
+}
+
+// nextSlot is the one that is free first.
+func (p *pool) nextSlot() (first int) {
+	for i := range p.slotFreeAt {
+		if p.slotFreeAt[i] < p.slotFreeAt[first] {
+			first = i
+		}
+	}
+	return first
+}
+
+func (j *job) isRelay() bool { return j.Class == classRelay }
+
+func (j *job) priority() int {
+	if j.isRelay() {
+		return 1
+	}
+	return 0
+}
+
+func countStormRelays(jobs []*job) (n int) {
+	for _, j := range jobs {
+		if j.inStorm && j.isRelay() {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/test/backpressure/rig_test.go
@@ -0,0 +1,222 @@
+// Package backpressure runs retry storms against the real program: three orchestrators as
+// processes of their own, emulated workers, and thousands of clients on loopback.
+package backpressure
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// This file owns the rig: the emulated workers, the orchestrators and the list that they get.
+
+const (
+	zoneCount  = 3
+	listPeriod = 500 * ms
+	// listLag is how late the list is.
+	listLag = 1500 * ms
+	// coldDivisor: of so many workers one has just started.
+	coldDivisor = 7
+	binDir      = "../../bin"
+)
+
+// build builds the program once.
+var build = sync.OnceValues(func() (string, error) {
+	directory, err := filepath.Abs(binDir)
+	if err != nil {
+		return "", err
+	}
+	binary := filepath.Join(directory, "ravenhitch")
+	out, err := exec.Command("go", "build", "-o", binary, "ravenhitch/cmd/ravenhitch").CombinedOutput()
+	if err != nil {
+		return "", fmt.Errorf("%w: %s", err, out)
+	}
+	return binary, nil
+})
+
+// rigOptions say what a rig is made of.
+type rigOptions struct {
+	workers, coldWorkers, orchestrators int
+	operatorsFile                       string
+	seed                                uint64
+	maxRetryAfter                       time.Duration
+}
+
+// rig is a set of emulated workers with their orchestrators.
+type rig struct {
+	t             testing.TB
+	options       rigOptions
+	directory     string
+	binary        string
+	operatorsFile string
+	models        []*testbed.CapacityModel
+	workers       [][]*testbed.Worker // by orchestrator
+	discoveries   []*testbed.Discovery
+	orchestrators []*orchestrator
+	recorder      *recorder
+	stop          chan struct{}
+}
+
+// orchestrator is one process, which may be started again at its address.
+type orchestrator struct {
+	testbed.Process
+	rig     *rig
+	index   int
+	address string
+}
+
+// workerSpecs are the emulated workers: two thirds node-32, by turns in each zone; the first
+// have just started.
+func workerSpecs(workers, cold int) (specs []testbed.WorkerSpec) {
+	const cellSize = 6
+	for i := range workers {
+		spec := testbed.WorkerSpec{
+			Name: fmt.Sprintf("s-%08x", 0xc41f00+i), Zone: "hall-" + string(rune('a'+i%zoneCount)), Kind: "node-32", Cell: i / cellSize,
+			Cores: 28, Memory: 60, InspectionTime: [2]time.Duration{11 * ms, 34 * ms}, QueueLength: 20, MaxStarting: 4,
+			ColdStartRate: 0.21, FallMultiple: 4, InitialBudget: 25, SlowStart: 16 * time.Second, OverloadWindow: 3 * time.Second,
+			MeanStartTime: 170 * ms,
+		}
+		if i%3 == 2 {
+			spec.Kind, spec.Cores, spec.Memory, spec.MaxStarting = "node-64", 56, 120, 8
+		}
+		if i < cold {
+			spec.UpSince = time.Now()
+		}
+		specs = append(specs, spec)
+	}
+	return specs
+}
+
+// newRig starts the emulated workers; orchestrators are started by start.
+func newRig(t testing.TB, options rigOptions) *rig {
+	t.Helper()
+	binary, err := build()
+	if err != nil {
+		t.Fatal(err)
+	}
+	operatorsFile, err := filepath.Abs(options.operatorsFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, options: options, directory: t.TempDir(), binary: binary, operatorsFile: operatorsFile,
+		recorder: newRecorder(), stop: make(chan struct{})}
+	for i, spec := range workerSpecs(options.workers, options.coldWorkers) {
+		r.models = append(r.models, testbed.NewCapacityModel(t, spec, r.recorder, options.seed+uint64(i)))
+	}
+	for i := range options.orchestrators {
+		r.addOrchestrator(i)
+	}
+	r.publish(true, r.freeCapacities())
+	published := make(chan struct{})
+	go func() {
+		defer close(published)
+		r.publishPeriodically()
+	}()
+	t.Cleanup(func() {
+		close(r.stop)
+		<-published
+		for _, o := range r.orchestrators {
+			o.End(syscall.SIGKILL)
+		}
+	})
+	return r
+}
+
+func (r *rig) addOrchestrator(index int) {
+	var workers []*testbed.Worker
+	for _, model := range r.models {
+		workers = append(workers, model.NewWorker(r.t))
+	}
+	r.workers = append(r.workers, workers)
+	r.discoveries = append(r.discoveries, testbed.NewDiscovery(r.t))
+	r.orchestrators = append(r.orchestrators, &orchestrator{Process: testbed.Process{Name: fmt.Sprint("n", index)}, rig: r, index: index})
+}
+
+// capacity is the free capacity of a worker.
+type capacity struct{ cores, memory float64 }
+
+func (r *rig) freeCapacities() (free []capacity) {
+	for _, model := range r.models {
+		cores, memory := model.FreeCapacity()
+		free = append(free, capacity{cores, memory})
+	}
+	return free
+}
+
+// publish lists the workers with such free capacities for each orchestrator.
+func (r *rig) publish(complete bool, free []capacity) {
+	for i, discovery := range r.discoveries {
+		var entries []string
+		for j, model := range r.models {
+			entries = append(entries, model.ListEntry(r.workers[i][j], "up", free[j].cores, free[j].memory))
+		}
+		discovery.Add(complete, entries...)
+	}
+}
+
+// publishPeriodically lists the workers as they were listLag ago.
+func (r *rig) publishPeriodically() {
+	ticker := time.NewTicker(listPeriod)
+	defer ticker.Stop()
+	var past [][]capacity
+	for {
+		select {
+		case <-ticker.C:
+			past = append(past, r.freeCapacities())
+			if lag := int(listLag / listPeriod); len(past) > lag {
+				r.publish(false, past[len(past)-1-lag])
+			}
+		case <-r.stop:
+			return
+		}
+	}
+}
+
+// start starts an orchestrator, and returns once it serves. It may be called from any
+// goroutine of the test.
+func (o *orchestrator) start() {
+	listen := o.address
+	if listen == "" {
+		listen = "127.0.0.1:0"
+	}
+	config := filepath.Join(o.rig.directory, fmt.Sprintf("config%d.json", o.index))
+	if err := os.WriteFile(config, []byte(o.configuration(listen)), 0o600); err != nil {
+		o.rig.t.Error(err)
+		return
+	}
+	o.Bin, o.Args = o.rig.binary, []string{"-conf", o.rig.operatorsFile}
+	o.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_LISTEN=", "ROUTER_NAME=", "ROUTER_MGMT="}
+	if err := o.Start(); err != nil {
+		o.rig.t.Error(err)
+		return
+	}
+	address, err := o.WaitForLog(fmt.Sprintf("msg=serving name=n%d listen=", o.index))
+	if err != nil {
+		o.rig.t.Error(err)
+	}
+	if o.address == "" { // it stays the same, since clients read it meanwhile
+		o.address = address
+	}
+}
+
+// configuration is that of a start now: each has a seed of its own.
+func (o *orchestrator) configuration(listen string) string {
+	discovery := o.rig.discoveries[o.index]
+	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
+	deployment := testbed.Deployment{Orchestrators: len(o.rig.orchestrators), MaxRetryAfter: o.rig.options.maxRetryAfter}
+	return deployment.Config(o.index, listen, "", discovery.Srv.Listener.Addr().String(), seed, discovery)
+}
+
+// restart kills an orchestrator, and starts it again after a downtime.
+func (o *orchestrator) restart(downtime time.Duration) {
+	o.End(syscall.SIGKILL)
+	time.Sleep(downtime)
+	o.start()
+}
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -89,13 +89,13 @@
 	if s.now > from {
 		last := s.records[cut].total
 		last.add(rest.dividedBy(-1))
-		s.records[cut].tail = last.dividedBy(float64(s.now-from) / second * float64(s.result.memberCount))
+		s.records[cut].tail = last.dividedBy(float64(s.now-from) / second * float64(s.memberCount))
 	}
 }
 
 // restartMembers restarts so many within a second.
 func (s *scenario) restartMembers(ph phase, n int) {
-	for _, i := range s.random.Perm(s.result.memberCount)[:n] {
+	for _, i := range s.random.Perm(s.memberCount)[:n] {
 		s.restart(i, s.random.Int64N(second), minDowntime+s.random.Int64N(maxDowntime-minDowntime))
 	}
 	s.advance(ph, second+maxDowntime)
@@ -135,7 +135,7 @@
 // part of a second counts with the rest of that second for the peaks.
 func (s *scenario) recordSample(ph phase, fullSecond bool) {
 	r := &s.records[ph]
-	for _, m := range s.simulation.members {
+	for _, m := range s.members {
 		r.total.add(m.load)
 		m.currentSecond.add(m.load)
 		m.load = load{}
@@ -144,18 +144,18 @@
 		return
 	}
 	var sum load
-	for _, m := range s.simulation.members {
+	for _, m := range s.members {
 		sum.add(m.currentSecond)
 		r.maxMemberBytes = max(r.maxMemberBytes, m.currentSecond.bytes)
 		r.maxMemberMessages = max(r.maxMemberMessages, m.currentSecond.messages)
 		r.maxMemberUs = max(r.maxMemberUs, m.currentSecond.microseconds)
 		m.currentSecond = load{}
 	}
-	mean := sum.dividedBy(float64(s.result.memberCount))
+	mean := sum.dividedBy(float64(s.memberCount))
 	if mean.bytes > r.peak.bytes {
 		r.peak = mean
 	}
-	s.samples = append(s.samples, float64(s.result.memberCount), float64(s.now/second), float64(ph),
+	s.samples = append(s.samples, float64(s.memberCount), float64(s.now/second), float64(ph),
 		mean.bytes, mean.messages, mean.toDead, mean.handshakes, mean.microseconds, mean.codec)
 }
 
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -22,7 +22,7 @@
 			}
 		}},
 		{"all on both sides restart", func(s *scenario) {
-			for i := range s.simulation.members {
+			for i := range s.members {
 				s.restart(i, s.random.Int64N(second), minDowntime)
 			}
 		}},
@@ -38,7 +38,7 @@
 		}},
 		{"one is replaced under another name on each side", func(s *scenario) {
 			for range s.network.zones { // one in each zone
-				i := len(s.simulation.members)
+				i := len(s.members)
 				s.add(i)
 				s.start(i)
 			}
