--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci tests what the checks of a clean checkout do beside running the tests.
+// Package ci tests the scripts that CI runs beside the tests.
 package ci
 
 import (
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// Only lines of the form that is asked for pass tests over, three at most, and only tests
-// that there are.
+// This file tests .ci/known-red, which excludes the tests that are listed as failing.
+
+// Only lines of the expected form exclude tests, three at most, and only tests that exist.
 func TestKnownRed(t *testing.T) {
 	const one, other = "TestKnownRed | it fails on odd days | issue 3\n", "TestNoList | it is slow | issue 4\n"
-	for _, c := range []struct{ name, list, pattern, says string }{
+	for _, c := range []struct{ name, list, pattern, message string }{
 		{"one", one, "^(TestKnownRed)$\n", "known red, passed over: " + one},
 		{"two", other + one, "^(TestNoList|TestKnownRed)$\n", "known red, passed over: " + other},
 		{"no end of line", strings.TrimSpace(one), "^(TestKnownRed)$\n", "known red, passed over: " + one},
@@ -29,18 +30,18 @@
 			if err := os.WriteFile(file, []byte(c.list), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command("bash", "../../.ci/known-red", file, ".")
-			var says strings.Builder
-			cmd.Stderr = &says
-			out, err := cmd.Output()
-			if string(out) != c.pattern || (err == nil) != (c.pattern != "") || !strings.Contains(says.String(), c.says) {
-				t.Errorf("printed %q, said %q, %v", out, says.String(), err)
+			command := exec.Command("bash", "../../.ci/known-red", file, ".")
+			var messages strings.Builder
+			command.Stderr = &messages
+			out, err := command.Output()
+			if string(out) != c.pattern || (err == nil) != (c.pattern != "") || !strings.Contains(messages.String(), c.message) {
+				t.Errorf("pattern %q, messages %q, %v; expected %q and %q", out, messages.String(), err, c.pattern, c.message)
 			}
 		})
 	}
 }
 
-// Where there is no list, nothing is passed over.
+// Where there is no list, nothing is excluded.
 func TestNoList(t *testing.T) {
 	out, err := exec.Command("bash", "../../.ci/known-red", filepath.Join(t.TempDir(), "none"), ".").Output()
 	if err != nil || len(out) > 0 {
--- a/test/ci/module_limits_test.go
+++ b/test/ci/module_limits_test.go
@@ -8,10 +8,12 @@
 	"testing"
 )
 
+// This file tests .ci/module-limits, which limits the size of the scheduler's files.
+
 // The limits are those of all files that the deploy file names, together.
 func TestModuleLimits(t *testing.T) {
 	code, wide := strings.Repeat("x\n\n \t\n", 475), strings.Repeat("x", 110)+"\n"
-	for _, c := range []struct{ name, deploy, first, second, says string }{
+	for _, c := range []struct{ name, deploy, first, second, message string }{
 		{"one file", `policy = ["a.go"]`, code + code, code, ""},
 		{"two files", "build = \"x\"\npolicy = [\"a.go\", \"b.go\"]\nnode = [\"c.go\"]", code, code, ""},
 		{"a list of several lines", "policy = [\n  \"a.go\",\n  \"b.go\",\n]\n", code, code + "x" + wide, "b.go:1426: longer than 110 characters"},
@@ -35,11 +37,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command("bash", script, "deploy.toml")
-			cmd.Dir = dir
-			out, err := cmd.CombinedOutput()
-			if (err == nil) != (c.says == "") || !strings.Contains(string(out), c.says) {
-				t.Errorf("said %q, %v; expected %q", out, err, c.says)
+			command := exec.Command("bash", script, "deploy.toml")
+			command.Dir = dir
+			out, err := command.CombinedOutput()
+			if (err == nil) != (c.message == "") || !strings.Contains(string(out), c.message) {
+				t.Errorf("printed %q, %v; expected %q", out, err, c.message)
 			}
 		})
 	}
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -6,35 +6,35 @@
 	"time"
 
 	"ravenhitch/internal/testbed"
-	"ravenhitch/internal/testbed/fleet"
 )
 
-// Each hard case by itself, with real processes: a schedule, and nothing may break. They
-// take half a minute side by side; run them by their name.
+// This file owns the hard cases.
+
+// Each hard case by itself, with real processes: a schedule, and no rule may be broken. They
+// take half a minute in parallel; run them by their name.
 func TestCases(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
 		t.Skip("a measurement; run it by its name")
 	}
-	bin, err := build()
-	if err != nil {
+	if _, err := build(); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		name, schedule string
-		size           int
+		orchestrators  int
 		seconds        int
 	}{
-		{"one way only", "1s cut n0->n4; 20s heal", 7, 23},
-		{"a hall that reaches one of another hall", "1s cut hall-b but n0; 14s heal", 7, 17},
-		{"paused 10 s, and wakes", "1s pause n2 10s; 12s heal", 7, 17},
+		{"one direction only", "1s cut n0->n4; 20s heal", 7, 23},
+		{"a zone that reaches one of another zone", "1s cut hall-b but n0; 14s heal", 7, 17},
+		{"paused for 10 s", "1s pause n2 10s; 12s heal", 7, 17},
 		{"paused under 3 s, again and again", "1s pause n2 2800ms; 7s pause n2 2800ms; 13s heal", 7, 17},
 		{"30% loss", "1s loss all 0.3; 14s heal", 7, 17},
-		{"slow, on thin and late ways", "1s delay all 60ms 60ms; 1s bandwidth n3<->n4 4000; 14s heal", 7, 17},
-		{"a name that comes back with an empty folder", "1s restart n3 empty; 5s restart n3 old; 9s restart n3 empty; 12s heal", 7, 16},
+		{"slow paths of little bandwidth", "1s delay all 60ms 60ms; 1s bandwidth n3<->n4 4000; 14s heal", 7, 17},
+		{"a name that restarts with an empty folder", "1s restart n3 empty; 5s restart n3 old; 9s restart n3 empty; 12s heal", 7, 16},
 		{"flapping", "1s flap n1<->n2 700ms; 1s flap n3<->n4 700ms; 14s heal", 7, 17},
 		{"nine of ten restart in one second", "1s restart n1; 1.1s restart n2; 1.2s restart n3; 1.3s restart n4; 1.4s restart n5; 1.5s restart n6; " +
 			"1.6s restart n7; 1.7s restart n8; 1.8s restart n9; 8s heal", 10, 12},
-		{"datagrams doubled and overtaking", "1s twice all 0.5; 1s overtake all 0.5; 1s delay all 5ms 40ms; 12s heal", 7, 15},
+		{"datagrams duplicated and reordered", "1s twice all 0.5; 1s overtake all 0.5; 1s delay all 5ms 40ms; 12s heal", 7, 15},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -42,15 +42,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := fleet.New(t, fleet.Options{Programs: []string{bin}, Dir: t.TempDir(), Orchestrators: c.size, Seed: *seedFlag})
-			r.Watch()
-			v, bad := play(t, r, steps, time.Duration(c.seconds)*time.Second)
+			f := newFleet(t, c.orchestrators, false)
+			f.Watch()
+			v, violations := runSchedule(t, f, steps, time.Duration(c.seconds)*time.Second)
 			t.Logf("%s: %s", c.name, v)
-			if bad != "" {
-				t.Error(bad)
+			if violations != "" {
+				t.Error(violations)
 			}
 			if v.AsymmetricCuts > v.AsymmetricDetected {
-				t.Errorf("%d of %d one-way links found", v.AsymmetricDetected, v.AsymmetricCuts)
+				t.Errorf("%d of %d asymmetric cuts detected", v.AsymmetricDetected, v.AsymmetricCuts)
 			}
 		})
 	}
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -1,5 +1,6 @@
-// Package cluster plays faults between processes of the real program, and judges them. The
-// rig is internal/standin/fleet; here stands only what is played and what must hold.
+// Package cluster injects faults between processes of the real program, and judges what they
+// report. The rig is internal/testbed/fleet; this package owns only the schedules that are run and
+// what must hold.
 package cluster
 
 import (
@@ -16,101 +17,132 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
+// This file owns the test of a drawn schedule, and what all schedules have in common.
+
 var (
 	seedFlag      = flag.Uint64("seed", 7, "draws the schedule")
 	processesFlag = flag.Int("processes", 7, "orchestrators")
 	secondsFlag   = flag.Int("seconds", 20, "length of the schedule")
-	scheduleFlag  = flag.String("schedule", "", "play this one in place of one that is drawn")
-	calmFlag      = flag.Duration("calm", 3*time.Second, "how long tasks are offered before, without and with peers")
-	shrinkFlag    = flag.Bool("shrink", false, "make a schedule that fails shorter, a play a try")
+	scheduleFlag  = flag.String("schedule", "", "run this schedule in place of one that is drawn")
+	calmFlag      = flag.Duration("calm", 3*time.Second, "how long tasks are submitted before, without and with peers")
+	shrinkFlag    = flag.Bool("shrink", false, "make a schedule that fails shorter, a run a try")
 )
 
+// maxDisagreement is how long after the end of all faults the tables may differ.
+const maxDisagreement = 3 * time.Second
+
+// build builds the program once.
 var build = sync.OnceValues(func() (string, error) {
-	bin, err := filepath.Abs("../../bin/ravenhitch")
+	binary, err := filepath.Abs("../../bin/ravenhitch")
 	if err != nil {
 		return "", err
 	}
-	if out, err := exec.Command("go", "build", "-o", bin, "ravenhitch/cmd/ravenhitch").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", binary, "ravenhitch/cmd/ravenhitch").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
-	return bin, nil
+	return binary, nil
 })
 
-func start(t *testing.T, alone bool) *fleet.Fleet {
-	bin, err := build()
+// newFleet starts a fleet of so many orchestrators; alone, they are no cluster.
+func newFleet(t *testing.T, orchestrators int, alone bool) *fleet.Fleet {
+	t.Helper()
+	binary, err := build()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fleet.New(t, fleet.Options{Programs: []string{bin}, Dir: t.TempDir(), Orchestrators: *processesFlag, Seed: *seedFlag, Alone: alone})
+	return fleet.New(t, fleet.Options{Programs: []string{binary}, Dir: t.TempDir(), Orchestrators: orchestrators, Seed: *seedFlag, Alone: alone})
 }
 
-// play plays a schedule while tasks are offered, and says what it broke.
-func play(t *testing.T, r *fleet.Fleet, steps []testbed.Step, length time.Duration) (fleet.Verdict, string) {
-	placed := r.Demand(length - time.Second)
-	r.Play(steps, length)
+// runSchedule runs a schedule while tasks are submitted, and returns the verdict and the rules that
+// were broken, a line each.
+func runSchedule(t *testing.T, f *fleet.Fleet, steps []testbed.Step, length time.Duration) (v fleet.Verdict, violations string) {
+	placed := f.Demand(length - time.Second)
+	f.Play(steps, length)
 	placed.Wait()
-	v := r.Judge()
-	bad := v.Why
-	if silent := placed.Silent(); len(silent) > 0 {
-		bad = append(bad, fmt.Sprintf("%d set-ups without an answer, as %s", len(silent), silent[0]))
+	v = f.Judge()
+	broken := v.Why
+	if unanswered := placed.Silent(); len(unanswered) > 0 {
+		broken = append(broken, fmt.Sprintf("%d requests without a response, as %s", len(unanswered), unanswered[0]))
 	}
-	if v.Disagreement > 3*time.Second {
-		bad = append(bad, fmt.Sprintf("tables differ %s after the end of all faults", v.Disagreement))
+	if v.Disagreement > maxDisagreement {
+		broken = append(broken, fmt.Sprintf("tables differ %s after the end of all faults", v.Disagreement))
 	}
 	t.Logf("placed: %+v", placed.Total())
-	return v, strings.Join(bad, "\n")
+	return v, strings.Join(broken, "\n")
 }
 
-// TestMembers plays one schedule drawn from a seed.
+// TestMembers runs one schedule drawn from a seed.
 func TestMembers(t *testing.T) {
 	length := time.Duration(*secondsFlag) * time.Second
-	var off *fleet.Placed
-	if flag.Lookup("test.run").Value.String() != "" { // a measurement, beside the play
+	var withoutPeers *fleet.Placed
+	if flag.Lookup("test.run").Value.String() != "" { // a measurement, beside the schedule
 		t.Run("off", func(t *testing.T) {
-			off = start(t, true).Demand(*calmFlag)
-			off.Wait()
+			withoutPeers = newFleet(t, *processesFlag, true).Demand(*calmFlag)
+			withoutPeers.Wait()
 		})
 	}
-	r := start(t, false)
-	r.Watch()
-	on := r.Demand(*calmFlag)
-	on.Wait()
-	steps := r.Draw(*seedFlag, length)
-	if *scheduleFlag != "" {
-		var err error
-		if steps, err = testbed.ParseSchedule(*scheduleFlag); err != nil {
-			t.Fatal(err)
-		}
-	}
+	f := newFleet(t, *processesFlag, false)
+	f.Watch()
+	withPeers := f.Demand(*calmFlag)
+	withPeers.Wait()
+	steps := schedule(t, f, length)
 	t.Logf("seed %d: %s", *seedFlag, testbed.Text(steps))
-	v, bad := play(t, r, steps, length)
-	ratio := 0.0
-	if off != nil {
-		ratio = float64(on.P99()) / float64(max(1, off.P99()))
-		t.Logf("placement p99 %s with peers, %s without", on.P99(), off.P99())
-	}
-	fmt.Printf("members: %s placement_p99_ratio=%.2f\n", v, ratio)
-	if bad == "" {
+	v, violations := runSchedule(t, f, steps, length)
+	fmt.Printf("members: %s placement_p99_ratio=%.2f\n", v, placementRatio(t, withPeers, withoutPeers))
+	if violations == "" {
 		return
 	}
-	t.Errorf("seed %d: %s\nschedule: %s", *seedFlag, bad, testbed.Text(steps))
-	for _, x := range r.Orchestrators {
-		for _, l := range x.Lines() {
-			if strings.Contains(l, "msg=membership") || strings.Contains(l, "WARN") || strings.Contains(l, "ERROR") {
-				t.Log(l)
+	t.Errorf("seed %d: %s\nschedule: %s", *seedFlag, violations, testbed.Text(steps))
+	logMembership(t, f)
+	if *shrinkFlag {
+		shrink(t, steps, length)
+	}
+}
+
+// schedule is the one that a flag names, or one that is drawn.
+func schedule(t *testing.T, f *fleet.Fleet, length time.Duration) []testbed.Step {
+	t.Helper()
+	if *scheduleFlag == "" {
+		return f.Draw(*seedFlag, length)
+	}
+	steps, err := testbed.ParseSchedule(*scheduleFlag)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return steps
+}
+
+// placementRatio is the 99th percentile of placements with peers over that without, 0 where only one
+// was measured.
+func placementRatio(t *testing.T, withPeers, withoutPeers *fleet.Placed) float64 {
+	if withoutPeers == nil {
+		return 0
+	}
+	t.Logf("placement p99 %s with peers, %s without", withPeers.P99(), withoutPeers.P99())
+	return float64(withPeers.P99()) / float64(max(1, withoutPeers.P99()))
+}
+
+// logMembership logs what the orchestrators logged of membership, and their warnings.
+func logMembership(t *testing.T, f *fleet.Fleet) {
+	for _, orchestrator := range f.Orchestrators {
+		for _, line := range orchestrator.Lines() {
+			if strings.Contains(line, "msg=membership") || strings.Contains(line, "WARN") || strings.Contains(line, "ERROR") {
+				t.Log(line)
 			}
 		}
 	}
-	if *shrinkFlag {
-		steps = testbed.ShrinkSchedule(steps, func(less []testbed.Step) (fails bool) {
-			t.Run("shrink", func(t *testing.T) {
-				r := start(t, false)
-				r.Watch()
-				_, bad := play(t, r, less, length)
-				fails = bad != ""
-			})
-			return fails
+}
+
+// shrink logs the steps that a schedule needs to fail.
+func shrink(t *testing.T, steps []testbed.Step, length time.Duration) {
+	steps = testbed.ShrinkSchedule(steps, func(shorter []testbed.Step) (fails bool) {
+		t.Run("shrink", func(t *testing.T) {
+			f := newFleet(t, *processesFlag, false)
+			f.Watch()
+			_, violations := runSchedule(t, f, shorter, length)
+			fails = violations != ""
 		})
-		t.Logf("what is still needed: %s", testbed.Text(steps))
-	}
+		return fails
+	})
+	t.Logf("what is still needed: %s", testbed.Text(steps))
 }
