--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -39,45 +39,45 @@
 }
 
 // offered records that an offer reached a worker.
-func (a *AttemptLog) offered(worker, connection, tag string) {
+func (a *AttemptLog) offered(worker, connection, requestID string) {
 	if a == nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.offers[tag]++
-	a.lastOffer[tag] = time.Now()
-	for other, earlier := range a.inFlight[tag] {
+	a.offers[requestID]++
+	a.lastOffer[requestID] = time.Now()
+	for other, earlier := range a.inFlight[requestID] {
 		if closed := a.disconnected[earlier.connection]; closed != nil && closed() {
 			continue // whoever reads the connection has not come to its end yet
 		}
 		a.duplicates = append(a.duplicates,
-			fmt.Sprintf("%s came to %s while in flight at %s (running there: %v)", tag, worker, other, earlier.running))
+			fmt.Sprintf("%s came to %s while in flight at %s (running there: %v)", requestID, worker, other, earlier.running))
 	}
-	if a.inFlight[tag] == nil {
-		a.inFlight[tag] = map[string]attempt{}
+	if a.inFlight[requestID] == nil {
+		a.inFlight[requestID] = map[string]attempt{}
 	}
-	a.inFlight[tag][worker] = attempt{connection: connection}
+	a.inFlight[requestID][worker] = attempt{connection: connection}
 }
 
 // accepted records that a worker runs the task of a request.
-func (a *AttemptLog) accepted(worker, tag string) {
+func (a *AttemptLog) accepted(worker, requestID string) {
 	if a == nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.inFlight[tag][worker] = attempt{running: true}
+	a.inFlight[requestID][worker] = attempt{running: true}
 }
 
 // ended records the end of an attempt or of its task.
-func (a *AttemptLog) ended(worker, tag string) {
+func (a *AttemptLog) ended(worker, requestID string) {
 	if a == nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.inFlight[tag], worker)
+	delete(a.inFlight[requestID], worker)
 }
 
 // connected records a connection, named by the address that the worker sees, and how to
@@ -118,41 +118,41 @@
 }
 
 // Count is the number of offers of a request.
-func (a *AttemptLog) Count(tag string) int {
+func (a *AttemptLog) Count(requestID string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.offers[tag]
+	return a.offers[requestID]
 }
 
 // Last is when the last offer of a request came, the zero time where none did.
-func (a *AttemptLog) Last(tag string) time.Time {
+func (a *AttemptLog) Last(requestID string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lastOffer[tag]
+	return a.lastOffer[requestID]
 }
 
 // Open lists the requests with an attempt in flight whose task does not run.
-func (a *AttemptLog) Open() (tags []string) {
+func (a *AttemptLog) Open() (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for tag, attempts := range a.inFlight {
+	for requestID, attempts := range a.inFlight {
 		for _, open := range attempts {
 			if !open.running {
-				tags = append(tags, tag)
+				requestIDs = append(requestIDs, requestID)
 			}
 		}
 	}
-	return tags
+	return requestIDs
 }
 
 // Running lists the requests whose tasks run at a worker.
-func (a *AttemptLog) Running(worker string) (tags []string) {
+func (a *AttemptLog) Running(worker string) (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for tag, attempts := range a.inFlight {
+	for requestID, attempts := range a.inFlight {
 		if attempts[worker].running {
-			tags = append(tags, tag)
+			requestIDs = append(requestIDs, requestID)
 		}
 	}
-	return tags
+	return requestIDs
 }
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -33,13 +33,13 @@
 // Observer is notified of what emulated workers do. It may be called from many goroutines.
 type Observer interface {
 	// Offered, Rejected and Cancelled notify of offers, Rejected before the message is sent.
-	Offered(worker, tag string)
-	Rejected(worker, tag string)
-	Cancelled(worker, tag string)
+	Offered(worker, requestID string)
+	Rejected(worker, requestID string)
+	Cancelled(worker, requestID string)
 	// Accepted, Started and Completed notify of tasks.
-	Accepted(worker, key, tag string, t Task)
+	Accepted(worker, key, requestID string, t Task)
 	Started(key string)
-	Completed(key, tag string)
+	Completed(key, requestID string)
 }
 
 // capacitySlack is what rounding may add to the requests of tasks.
@@ -150,12 +150,12 @@
 	return found
 }
 
-func (m *CapacityModel) reject(conn net.Conn, tag, cause string) {
+func (m *CapacityModel) reject(conn net.Conn, requestID, cause string) {
 	m.mu.Lock()
 	m.rejections[cause]++
 	m.mu.Unlock()
-	m.observer.Rejected(m.Name, tag)
-	Send(conn, rejectedLine(tag, cause))
+	m.observer.Rejected(m.Name, requestID)
+	Send(conn, rejectedLine(requestID, cause))
 }
 
 // inspectQueue takes the offers one at a time.
@@ -178,11 +178,11 @@
 }
 
 // inspectionTime draws how long an offer is inspected; false where it was cancelled.
-func (m *CapacityModel) inspectionTime(tag string) (time.Duration, bool) {
+func (m *CapacityModel) inspectionTime(requestID string) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.queued[tag] {
-		delete(m.queued, tag)
+	if !m.queued[requestID] {
+		delete(m.queued, requestID)
 		return 0, false
 	}
 	shortest, longest := m.InspectionTime[0], m.InspectionTime[1]
@@ -237,11 +237,11 @@
 }
 
 // run starts an accepted task, and ends it after its run time.
-func (m *CapacityModel) run(tag string, task *runningTask) {
+func (m *CapacityModel) run(requestID string, task *runningTask) {
 	select {
 	case m.startSlots <- struct{}{}:
 	case <-task.stop:
-		m.complete(tag, task)
+		m.complete(requestID, task)
 		return
 	case <-m.stop:
 		return
@@ -255,13 +255,13 @@
 		m.observer.Started(task.key)
 		m.sleep(task.RunTime, task.stop)
 	}
-	m.complete(tag, task)
+	m.complete(requestID, task)
 }
 
 // complete frees the capacity of a task and reports its completion.
-func (m *CapacityModel) complete(tag string, task *runningTask) {
+func (m *CapacityModel) complete(requestID string, task *runningTask) {
 	m.mu.Lock()
-	delete(m.running, tag)
+	delete(m.running, requestID)
 	m.requestedCores -= task.Cores
 	m.requestedMemory -= task.Memory
 	code := codeEnded
@@ -269,21 +269,21 @@
 		code = codeCancelled
 	}
 	m.mu.Unlock()
-	m.observer.Completed(task.key, tag)
-	task.worker.report(task.conn, FinishLine("FINISH", tag, code))
+	m.observer.Completed(task.key, requestID)
+	task.worker.report(task.conn, FinishLine("FINISH", requestID, code))
 }
 
 // cancelled takes the cancel of an offer, or the release of a running task.
-func (m *CapacityModel) cancelled(tag string) {
-	m.observer.Cancelled(m.Name, tag)
+func (m *CapacityModel) cancelled(requestID string) {
+	m.observer.Cancelled(m.Name, requestID)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if task := m.running[tag]; task != nil && !task.cancelled {
+	if task := m.running[requestID]; task != nil && !task.cancelled {
 		task.cancelled = true
 		close(task.stop)
 	}
-	if m.queued[tag] {
-		m.queued[tag] = false
+	if m.queued[requestID] {
+		m.queued[requestID] = false
 	}
 }
 
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -100,10 +100,10 @@
 	}
 }
 
-func (p *Placed) addUnanswered(tag string) {
+func (p *Placed) addUnanswered(requestID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unanswered = append(p.unanswered, tag)
+	p.unanswered = append(p.unanswered, requestID)
 }
 
 // Demand submits tasks to every orchestrator for a while. Clients whose connection ends
@@ -142,29 +142,29 @@
 
 // submit submits a task and releases it once it has started; it reports whether there was a
 // response.
-func (f *Fleet) submit(p *Placed, client *testbed.Client, o *Orchestrator, tag, key string) bool {
+func (f *Fleet) submit(p *Placed, client *testbed.Client, o *Orchestrator, requestID, key string) bool {
 	sentAt := time.Now()
-	testbed.Send(client, testbed.StartLine(tag, tasksClass, key, clientTimeoutMs))
-	response, answered := receiveResponse(client, tag)
+	testbed.Send(client, testbed.StartLine(requestID, tasksClass, key, clientTimeoutMs))
+	response, answered := receiveResponse(client, requestID)
 	p.count(time.Since(sentAt), response, answered)
 	if !answered {
 		if o.hasRun(sentAt) && f.network.WasHealthy(o.ends.clients, o.ends.front, sentAt) {
-			p.addUnanswered(tag)
+			p.addUnanswered(requestID)
 		}
 		return false
 	}
 	if response.Verb == "STARTED" {
-		testbed.Send(client, testbed.FinishLine("FINISH", tag, releaseCode))
+		testbed.Send(client, testbed.FinishLine("FINISH", requestID, releaseCode))
 	}
 	return true
 }
 
 // receiveResponse is the response to a request; false where none came in time.
-func receiveResponse(client *testbed.Client, tag string) (testbed.Line, bool) {
+func receiveResponse(client *testbed.Client, requestID string) (testbed.Line, bool) {
 	for timeout := time.After(testbed.Patience); ; {
 		select {
 		case line, open := <-client.Lines:
-			if !open || line.Tag == tag {
+			if !open || line.Tag == requestID {
 				return line, open
 			}
 		case <-timeout:
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -120,10 +120,10 @@
 
 // readDeath reads that one orchestrator reports another as dead: rightly, or not.
 func (e *evaluation) readDeath(s *sample, b belief, evidence string) {
-	gone, ended := e.absences[b.subject]
-	if ended && s.at.After(gone.from) && s.at.Before(gone.to) {
+	absent, ended := e.absences[b.subject]
+	if ended && s.at.After(absent.from) && s.at.Before(absent.to) {
 		if _, known := e.detected[b]; !known {
-			e.detected[b] = s.at.Sub(gone.from)
+			e.detected[b] = s.at.Sub(absent.from)
 		}
 		return
 	}
@@ -151,14 +151,14 @@
 		e.verdict.ViewChanges += latest - e.firstView[reporter]
 	}
 	for _, subject := range slices.Sorted(maps.Keys(e.absences)) {
-		gone := e.absences[subject]
+		absent := e.absences[subject]
 		for _, o := range e.fleet.Orchestrators {
 			if !e.fleet.last().running[o.Name] || o.Name == subject {
 				continue
 			}
 			if took, ok := e.detected[belief{o.Name, subject}]; ok {
 				e.verdict.DetectionTimes = append(e.verdict.DetectionTimes, took)
-			} else if gone.to.Sub(gone.from) > maxDetection {
+			} else if absent.to.Sub(absent.from) > maxDetection {
 				e.verdict.MissedDead++
 				e.verdict.violation("%s never held %s for dead", o.Name, subject)
 			}
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -98,8 +98,8 @@
 }
 
 // identify learns from a request ID whose connection it is.
-func (c *connection) identify(tag string) {
-	if orchestrator, ok := OrchestratorOf(tag); ok {
+func (c *connection) identify(requestID string) {
+	if orchestrator, ok := OrchestratorOf(requestID); ok {
 		c.worker.mutex.Lock()
 		c.orchestrator = orchestrator
 		c.worker.mutex.Unlock()
@@ -108,7 +108,7 @@
 
 // Ping sends a ping with options on one of the worker's connections; it reports whether there
 // was one.
-func (w *Worker) Ping(tag string, options map[string]string) bool {
+func (w *Worker) Ping(requestID string, options map[string]string) bool {
 	w.mutex.Lock()
 	var to *connection
 	for c := range w.connections {
@@ -119,7 +119,7 @@
 	if to == nil {
 		return false
 	}
-	ping := testbed.FinishLine("ECHO", tag, 0)
+	ping := testbed.FinishLine("ECHO", requestID, 0)
 	ping.Opts = options
 	to.send(ping)
 	return true
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -18,10 +18,10 @@
 // goroutines, and never with a lock of the fleet held.
 type Observer interface {
 	// Accepted is called before the message is written.
-	Accepted(worker, key, tag string)
+	Accepted(worker, key, requestID string)
 	// Ended is called before the completion is reported. Lost tasks were on a worker that
 	// failed: nobody reports their completion.
-	Ended(worker, tag string, at time.Time, lost bool)
+	Ended(worker, requestID string, at time.Time, lost bool)
 }
 
 // Kind is a kind of worker.
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -29,13 +29,13 @@
 	t.accepted++
 }
 
-func (t *countingObserver) Ended(_, tag string, _ time.Time, lost bool) {
+func (t *countingObserver) Ended(_, requestID string, _ time.Time, lost bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if lost {
 		t.lost++
 	}
-	t.ended <- tag
+	t.ended <- requestID
 }
 
 func newTestFleet(t *testing.T, workers int) (*Fleet, *countingObserver) {
@@ -49,8 +49,8 @@
 	return f, observer
 }
 
-func submission(tag string, task Task) testbed.Line {
-	line := testbed.StartLine(tag, "batch", "key-"+tag, 1000)
+func submission(requestID string, task Task) testbed.Line {
+	line := testbed.StartLine(requestID, "batch", "key-"+requestID, 1000)
 	description := task.Describe()
 	line.Blob = &description
 	return line
@@ -119,8 +119,8 @@
 	testbed.Send(c, submission(RequestID(0, 1), Task{Cores: 1, Memory: 1, RunTime: time.Hour}))
 	testbed.Wait(t, "the answer", c.Lines)
 	w.Stop(Crash)
-	if tag := testbed.Wait(t, "the task's loss", observer.ended); tag != RequestID(0, 1) || observer.lost != 1 {
-		t.Errorf("expected the loss of the task, got %s, %d lost", tag, observer.lost)
+	if requestID := testbed.Wait(t, "the task's loss", observer.ended); requestID != RequestID(0, 1) || observer.lost != 1 {
+		t.Errorf("expected the loss of the task, got %s, %d lost", requestID, observer.lost)
 	}
 	if _, open := <-c.Lines; open {
 		t.Error("expected the connection to end without a message")
--- a/internal/testbed/hollow/task.go
+++ b/internal/testbed/hollow/task.go
@@ -20,8 +20,8 @@
 
 // OrchestratorOf returns the orchestrator that a request ID names, or false for an ID of
 // another form.
-func OrchestratorOf(tag string) (int, bool) {
-	number, err := strconv.ParseUint(tag, 16, 64)
+func OrchestratorOf(requestID string) (int, bool) {
+	number, err := strconv.ParseUint(requestID, 16, 64)
 	if err != nil || number>>orchestratorBits == 0 {
 		return 0, false
 	}
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -125,8 +125,8 @@
 			c.reset()
 		}
 	}
-	for tag := range lost {
-		w.fleet.observer.Ended(w.ID, tag, time.Now(), true)
+	for requestID := range lost {
+		w.fleet.observer.Ended(w.ID, requestID, time.Now(), true)
 	}
 }
 
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -79,20 +79,20 @@
 }
 
 // startRunTime ends a task after its run time. The lock is held.
-func (w *Worker) startRunTime(tag string, task *runningTask) {
-	task.timer = time.AfterFunc(task.RunTime, func() { w.complete(tag, codeEnded) })
+func (w *Worker) startRunTime(requestID string, task *runningTask) {
+	task.timer = time.AfterFunc(task.RunTime, func() { w.complete(requestID, codeEnded) })
 }
 
 // AddRunning adds a task that ran before the test began; StartRunTimes starts its run time. It
 // reports whether there was free capacity.
-func (w *Worker) AddRunning(tag, key string, t Task) bool {
-	orchestrator, _ := OrchestratorOf(tag)
+func (w *Worker) AddRunning(requestID, key string, t Task) bool {
+	orchestrator, _ := OrchestratorOf(requestID)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.reserve(t) != "" {
 		return false
 	}
-	w.tasks[tag] = &runningTask{Task: t, key: key, orchestrator: orchestrator}
+	w.tasks[requestID] = &runningTask{Task: t, key: key, orchestrator: orchestrator}
 	w.fleet.RecordChange(w.index)
 	return true
 }
@@ -101,9 +101,9 @@
 func (f *Fleet) StartRunTimes() {
 	for _, w := range f.Workers {
 		w.mutex.Lock()
-		for tag, task := range w.tasks {
+		for requestID, task := range w.tasks {
 			if task.timer == nil {
-				w.startRunTime(tag, task)
+				w.startRunTime(requestID, task)
 			}
 		}
 		w.mutex.Unlock()
@@ -113,30 +113,30 @@
 // complete frees the capacity of a task and reports its completion: on the connection of its
 // offer, else on those of its orchestrator, else on those that may be its; and on the next
 // ones opened.
-func (w *Worker) complete(tag string, code int) {
+func (w *Worker) complete(requestID string, code int) {
 	now := time.Now()
-	line := testbed.FinishLine("FINISH", tag, code)
+	line := testbed.FinishLine("FINISH", requestID, code)
 	w.mutex.Lock()
-	task := w.tasks[tag]
+	task := w.tasks[requestID]
 	if task == nil || w.unresponsive {
 		w.mutex.Unlock()
 		return
 	}
-	w.remove(tag, task)
+	w.remove(requestID, task)
 	connections := w.reportTo(task)
 	w.dropOldCompletions()
 	w.unreported = append(w.unreported, completion{line, now})
 	w.mutex.Unlock()
 	w.fleet.RecordChange(w.index)
-	w.fleet.observer.Ended(w.ID, tag, now, false)
+	w.fleet.observer.Ended(w.ID, requestID, now, false)
 	for _, c := range connections {
 		c.send(line)
 	}
 }
 
 // remove takes a task off the worker. The lock is held.
-func (w *Worker) remove(tag string, task *runningTask) {
-	delete(w.tasks, tag)
+func (w *Worker) remove(requestID string, task *runningTask) {
+	delete(w.tasks, requestID)
 	if task.timer != nil {
 		task.timer.Stop()
 	}
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -40,8 +40,8 @@
 }
 
 // FinishLine returns a message with a code.
-func FinishLine(verb, tag string, rc int) Line {
-	return Line{Verb: verb, Tag: tag, Opts: map[string]string{}, RC: &rc}
+func FinishLine(verb, requestID string, rc int) Line {
+	return Line{Verb: verb, Tag: requestID, Opts: map[string]string{}, RC: &rc}
 }
 
 // RequestID returns the nth request ID.
@@ -49,20 +49,20 @@
 
 // StartLine returns the submission of a task of one core, to be answered within leftMs
 // milliseconds.
-func StartLine(tag, class, key string, leftMs int) Line {
+func StartLine(requestID, class, key string, leftMs int) Line {
 	blob := "about " + key
-	return Line{Verb: "START", Tag: tag, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
+	return Line{Verb: "START", Tag: requestID, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
 		"left": strconv.Itoa(leftMs), "extras": "cores:1;memory:2;service:00000000b4d65521"}}
 }
 
 // startedLine returns the message that a task was accepted.
-func startedLine(tag, blob string) Line {
-	return Line{Verb: "STARTED", Tag: tag, Opts: map[string]string{}, Blob: &blob}
+func startedLine(requestID, blob string) Line {
+	return Line{Verb: "STARTED", Tag: requestID, Opts: map[string]string{}, Blob: &blob}
 }
 
 // rejectedLine returns the message that an offer was rejected, with its cause.
-func rejectedLine(tag, cause string) Line {
-	line := FinishLine("FINISH", tag, codeRejected)
+func rejectedLine(requestID, cause string) Line {
+	line := FinishLine("FINISH", requestID, codeRejected)
 	line.Opts["note"] = cause
 	return line
 }
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -16,7 +16,7 @@
 
 const (
 	proxyBuffer     = 16 << 10 // bytes of one read
-	maxSegments     = 10_000   // on their way in one connection
+	maxSegments     = 10_000   // in flight in one connection
 	normalBacklog   = 1024
 	backlogFullTime = 50 * time.Millisecond // after which a dial that does not come up shows a full backlog
 )
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,6 +1,6 @@
 // Package testbed holds the stand-ins that tests and rehearsals run against: workers,
 // discovery and clients on JSON lines, the network between orchestrators, and faults that
-// are injected into it. The stand-ins are written from the protocol's pages with libraries
+// are injected into it. The stand-ins are written from the protocol's specification with libraries
 // that the program itself does not use for it. A stand-in owns what it listens on and
 // closes it at the end of the test; it must never be part of a program that serves.
 package testbed
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -12,8 +12,8 @@
 // This file owns the stand-in worker's listener, its connections and what it reads on
 // them. What it answers is in worker_script.go and capacity_model.go.
 
-// maxCut bounds the offers that Worker.Cut holds.
-const maxCut = 1000
+// maxLostOffers bounds the offers that Worker.Cut holds.
+const maxLostOffers = 1000
 
 // Worker is a stand-in worker. Without a CapacityModel it answers an offer by the script
 // that the task's key names (see answerByScript); with one, the model answers.
@@ -23,7 +23,7 @@
 	Starts chan Line // offers, in order; only without a CapacityModel
 	Ends   chan Line // cancels and releases, in order; the same
 	// Cut are the offers whose connection closed before the orchestrator released them,
-	// answered or not: closing a connection cancels what is open on it. It holds maxCut;
+	// answered or not: closing a connection cancels what is open on it. It holds maxLostOffers;
 	// what comes beyond is dropped.
 	Cut chan Line
 	// Attempts records the attempts here, where it is set before the first connection.
@@ -42,7 +42,7 @@
 	offers           map[string]int      // by key
 	dials            int                 // connections so far
 	unreported       []Line              // completions for the next connection
-	unresponsive     bool                // it reads, and says nothing any more
+	unresponsive     bool                // it reads, and writes nothing any more
 	pings            int                 // so far
 }
 
@@ -59,7 +59,7 @@
 		Kind:             "std",
 		Starts:           make(chan Line, maxUnread),
 		Ends:             make(chan Line, maxUnread),
-		Cut:              make(chan Line, maxCut),
+		Cut:              make(chan Line, maxLostOffers),
 		host:             t,
 		listener:         listener,
 		model:            model,
@@ -204,12 +204,12 @@
 // SendFinish completes a running task as the protocol has it: reported on the connection of
 // its offer while that looks open here, else on any open one, and also on the next one
 // opened.
-func (w *Worker) SendFinish(tag string, rc int) {
-	w.Attempts.ended(w.Name, tag)
-	line := FinishLine("FINISH", tag, rc)
+func (w *Worker) SendFinish(requestID string, rc int) {
+	w.Attempts.ended(w.Name, requestID)
+	line := FinishLine("FINISH", requestID, rc)
 	w.mu.Lock()
-	conn := w.offerConnections[tag]
-	delete(w.running, tag)
+	conn := w.offerConnections[requestID]
+	delete(w.running, requestID)
 	w.mu.Unlock()
 	w.report(conn, line)
 	w.mu.Lock()
@@ -219,16 +219,16 @@
 
 // End completes a task with a code, reported on any open connection or on the next one
 // opened, for which it waits.
-func (w *Worker) End(tag string, rc int) {
+func (w *Worker) End(requestID string, rc int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.running, tag)
-	delete(w.offerConnections, tag)
+	delete(w.running, requestID)
+	delete(w.offerConnections, requestID)
 	for len(w.connections) == 0 {
 		w.dialled.Wait()
 	}
 	for conn := range w.connections {
-		Send(conn, FinishLine("FINISH", tag, rc))
+		Send(conn, FinishLine("FINISH", requestID, rc))
 		return
 	}
 }
@@ -258,10 +258,10 @@
 }
 
 // HasTask reports whether the task of a request runs.
-func (w *Worker) HasTask(tag string) bool {
+func (w *Worker) HasTask(requestID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.running[tag]
+	return w.running[requestID]
 }
 
 // TaskCount is the number of running tasks.
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -64,20 +64,20 @@
 }
 
 // Accept answers an offer that the worker was silent about.
-func (w *Worker) Accept(tag string) {
+func (w *Worker) Accept(requestID string) {
 	w.mu.Lock()
-	conn := w.offerConnections[tag]
+	conn := w.offerConnections[requestID]
 	w.mu.Unlock()
-	w.startTask(conn, tag, tag)
+	w.startTask(conn, requestID, requestID)
 }
 
 // startTask lets a task run and answers its offer.
-func (w *Worker) startTask(conn net.Conn, tag, description string) {
+func (w *Worker) startTask(conn net.Conn, requestID, description string) {
 	w.mu.Lock()
-	w.running[tag] = true
+	w.running[requestID] = true
 	w.mu.Unlock()
-	w.Attempts.accepted(w.Name, tag)
-	Send(conn, startedLine(tag, w.Name+" holds "+description))
+	w.Attempts.accepted(w.Name, requestID)
+	Send(conn, startedLine(requestID, w.Name+" holds "+description))
 }
 
 // answerInvalid answers with half a message, or with one that lacks its blob.
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -30,30 +30,30 @@
 }
 
 // Offered implements testbed.Observer.
-func (r *recorder) Offered(worker, tag string) {
-	r.history.add(operation{requestID: tag, kind: offered, worker: worker})
+func (r *recorder) Offered(worker, requestID string) {
+	r.history.add(operation{requestID: requestID, kind: offered, worker: worker})
 }
 
 // Rejected implements testbed.Observer.
-func (r *recorder) Rejected(worker, tag string) {
-	r.history.add(operation{requestID: tag, kind: rejected, worker: worker})
+func (r *recorder) Rejected(worker, requestID string) {
+	r.history.add(operation{requestID: requestID, kind: rejected, worker: worker})
 }
 
 // Cancelled implements testbed.Observer.
-func (r *recorder) Cancelled(worker, tag string) {
-	r.history.add(operation{requestID: tag, kind: cancelled, worker: worker})
+func (r *recorder) Cancelled(worker, requestID string) {
+	r.history.add(operation{requestID: requestID, kind: cancelled, worker: worker})
 }
 
 // Accepted implements testbed.Observer.
-func (r *recorder) Accepted(worker, key, tag string, t testbed.Task) {
-	r.history.add(operation{requestID: tag, kind: accepted, worker: worker})
+func (r *recorder) Accepted(worker, key, requestID string, t testbed.Task) {
+	r.history.add(operation{requestID: requestID, kind: accepted, worker: worker})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.acceptances[key]++
 	if t.Class == classArchiveCut && r.acceptances[key] > 1 {
 		r.duplicateStarts++
 	}
-	r.running[key] = placement{worker, tag}
+	r.running[key] = placement{worker, requestID}
 }
 
 // Started implements testbed.Observer.
@@ -66,10 +66,10 @@
 }
 
 // Completed implements testbed.Observer.
-func (r *recorder) Completed(key, tag string) {
+func (r *recorder) Completed(key, requestID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.running[key].requestID == tag {
+	if r.running[key].requestID == requestID {
 		delete(r.running, key)
 	}
 }
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -138,37 +138,37 @@
 }
 
 // pingAnswered takes the answer to a ping.
-func (c *connection) pingAnswered(tag string) {
+func (c *connection) pingAnswered(requestID string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if answered := c.pings[tag]; answered != nil {
+	if answered := c.pings[requestID]; answered != nil {
 		close(answered)
-		delete(c.pings, tag)
+		delete(c.pings, requestID)
 	}
 }
 
 // ping sends a ping, and returns what is closed once it is answered.
 func (c *connection) ping(options map[string]string) (<-chan struct{}, error) {
-	tag := hollow.RequestID(c.pool.orchestrator.index, c.pool.next.Add(1))
-	ping := testbed.FinishLine("ECHO", tag, 0)
+	requestID := hollow.RequestID(c.pool.orchestrator.index, c.pool.next.Add(1))
+	ping := testbed.FinishLine("ECHO", requestID, 0)
 	ping.Opts = options
 	answered := make(chan struct{})
 	c.mutex.Lock()
 	if c.pings == nil {
 		c.pings = map[string]chan struct{}{}
 	}
-	c.pings[tag] = answered
+	c.pings[requestID] = answered
 	c.mutex.Unlock()
 	if err := c.write(ping); err != nil {
-		c.pingAnswered(tag)
+		c.pingAnswered(requestID)
 		return nil, err
 	}
 	return answered, nil
 }
 
 // cancel cancels a request.
-func (c *connection) cancel(tag string) {
-	_ = c.write(testbed.FinishLine("FINISH", tag, codeEnded)) // the end of a connection cancels it too
+func (c *connection) cancel(requestID string) {
+	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded)) // the end of a connection cancels it too
 }
 
 // clients submit tasks.
@@ -215,12 +215,12 @@
 	c.mutex.Lock()
 	c.sent[to.index]++
 	c.mutex.Unlock()
-	conn, tag := to.clients.pick()
-	c.rig.ledger.submit(t, tag, conn)
-	line := t.submission(tag)
+	conn, requestID := to.clients.pick()
+	c.rig.ledger.submit(t, requestID, conn)
+	line := t.submission(requestID)
 	line.Opts["left"] = strconv.FormatInt(t.job.class.responseTimeout.Milliseconds(), 10)
 	if err := conn.write(line); err != nil {
-		c.rig.ledger.unreachable(tag)
+		c.rig.ledger.unreachable(requestID)
 	}
 }
 
@@ -250,9 +250,9 @@
 }
 
 // submission is the message that submits a task, without the client's timeout.
-func (t *task) submission(tag string) testbed.Line {
+func (t *task) submission(requestID string) testbed.Line {
 	description := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}.Describe()
-	return testbed.Line{Verb: "START", Tag: tag, Blob: &description, Opts: map[string]string{"class": t.job.class.name, "key": t.key,
+	return testbed.Line{Verb: "START", Tag: requestID, Blob: &description, Opts: map[string]string{"class": t.job.class.name, "key": t.key,
 		"tenant": t.job.tenant, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", t.job.task.Cores, t.job.task.Memory, t.job.program)}}
 }
 
@@ -270,7 +270,7 @@
 // handOverTask registers a running task at an orchestrator; where it has that already, nothing changes.
 func (c *clients) handOverTask(to *orchestrator, t *task) bool {
 	conn, _ := to.clients.pick()
-	line := t.submission(t.tag)
+	line := t.submission(t.requestID)
 	line.Opts["extras"] += ";at:" + t.worker
 	return conn.write(line) == nil
 }
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -26,13 +26,13 @@
 	running      bool
 	orchestrator *orchestrator // of the last request
 	worker       string        // where it runs
-	tag          string        // of the last request
+	requestID    string        // of the last request
 }
 
 // request is one submission of a task.
 type request struct {
 	*task
-	tag        string
+	requestID  string
 	connection *connection
 	deadline   *time.Timer
 	answered   bool
@@ -101,13 +101,13 @@
 }
 
 // submit records a request before it is written.
-func (l *ledger) submit(t *task, tag string, conn *connection) {
-	r := &request{task: t, tag: tag, connection: conn}
+func (l *ledger) submit(t *task, requestID string, conn *connection) {
+	r := &request{task: t, requestID: requestID, connection: conn}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.counts.submitted++
-	t.tag, t.orchestrator = tag, conn.pool.orchestrator
-	l.requests[tag], l.pending[t] = r, true
+	t.requestID, t.orchestrator = requestID, conn.pool.orchestrator
+	l.requests[requestID], l.pending[t] = r, true
 	r.deadline = time.AfterFunc(t.job.class.responseTimeout+responseGrace, func() { l.deadlinePassed(r) })
 }
 
@@ -124,24 +124,24 @@
 	}
 	l.counts.unanswered++
 	r.answered = true
-	delete(l.requests, r.tag)
-	l.reported(r.tag)
+	delete(l.requests, r.requestID)
+	l.reported(r.requestID)
 	l.mutex.Unlock()
-	r.connection.cancel(r.tag)
+	r.connection.cancel(r.requestID)
 	l.retry(r.task, minRetryPause)
 }
 
 // unreachable takes a request that could not be written.
-func (l *ledger) unreachable(tag string) {
+func (l *ledger) unreachable(requestID string) {
 	l.mutex.Lock()
-	r := l.requests[tag]
+	r := l.requests[requestID]
 	if r == nil || r.answered {
 		l.mutex.Unlock()
 		return
 	}
 	r.answered = true
 	r.deadline.Stop()
-	delete(l.requests, tag)
+	delete(l.requests, requestID)
 	l.counts.unreachable++
 	l.mutex.Unlock()
 	l.retry(r.task, retryAfterFailure)
@@ -152,8 +152,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	t.running = true
-	l.requests[t.tag] = &request{task: t, tag: t.tag, answered: true}
-	l.running[t.key], l.keys[t.tag] = []run{{t.worker, t.tag, time.Now()}}, t.key
+	l.requests[t.requestID] = &request{task: t, requestID: t.requestID, answered: true}
+	l.running[t.key], l.keys[t.requestID] = []run{{t.worker, t.requestID, time.Now()}}, t.key
 }
 
 // startedUnanswered reports whether a task runs though its client has no response: that was lost with
@@ -165,8 +165,8 @@
 	if len(runs) == 0 {
 		return false
 	}
-	t.running, t.tag, t.worker = true, runs[0].tag, runs[0].worker
-	l.requests[t.tag] = &request{task: t, tag: t.tag, answered: true}
+	t.running, t.requestID, t.worker = true, runs[0].requestID, runs[0].worker
+	l.requests[t.requestID] = &request{task: t, requestID: t.requestID, answered: true}
 	delete(l.pending, t)
 	return true
 }
@@ -253,8 +253,8 @@
 func (l *ledger) reject(r *request, line testbed.Line) time.Duration {
 	r.answered = true
 	r.deadline.Stop()
-	delete(l.requests, r.tag)
-	l.reported(r.tag)
+	delete(l.requests, r.requestID)
+	l.reported(r.requestID)
 	switch line.Cause() {
 	case codeRejected, codeUnavailable, codeNeverSent:
 		l.counts.rejected++
@@ -267,9 +267,9 @@
 // complete takes the completion or the migration of a running task, and returns after what time the
 // client retries, or 0. The lock is held.
 func (l *ledger) complete(r *request, line testbed.Line, now time.Time) time.Duration {
-	delete(l.requests, r.tag)
-	if at, ok := l.unreported[r.tag]; ok {
-		l.reported(r.tag)
+	delete(l.requests, r.requestID)
+	if at, ok := l.unreported[r.requestID]; ok {
+		l.reported(r.requestID)
 		if now.Sub(at) > completionLimit {
 			l.counts.lateCompletions++
 		}
@@ -291,11 +291,11 @@
 func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
 	var inFlight []*request
-	for tag, r := range l.requests {
+	for requestID, r := range l.requests {
 		if r.connection == closed && !r.answered {
 			r.answered = true
 			r.deadline.Stop()
-			delete(l.requests, tag)
+			delete(l.requests, requestID)
 			inFlight = append(inFlight, r)
 		}
 	}
@@ -312,14 +312,14 @@
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for tag, r := range l.requests {
-		switch _, runs := l.keys[tag]; {
+	for requestID, r := range l.requests {
+		switch _, runs := l.keys[requestID]; {
 		case !r.answered || !r.running || r.orchestrator != o:
 		case runs:
 			running = append(running, r.task)
 		default:
-			delete(l.requests, tag)
-			l.reported(tag)
+			delete(l.requests, requestID)
+			l.reported(requestID)
 			l.counts.endedWhileDown++
 		}
 	}
@@ -351,13 +351,13 @@
 func (l *ledger) describeUnreported() (lines []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for tag, at := range l.unreported {
-		r := l.requests[tag]
+	for requestID, at := range l.unreported {
+		r := l.requests[requestID]
 		if r == nil || time.Since(at) <= completionLimit || len(lines) == maxUnreportedLogged {
 			continue
 		}
-		lines = append(lines, fmt.Sprintf("tag %s of %s, placed by %s, running %v, lost with its worker %v, completed at %s", tag, r.worker,
-			r.orchestrator.Name, r.running, l.lost[tag], at.Format(time.RFC3339Nano)))
+		lines = append(lines, fmt.Sprintf("request %s at %s, placed by %s, running %v, lost with its worker %v, completed at %s", requestID, r.worker,
+			r.orchestrator.Name, r.running, l.lost[requestID], at.Format(time.RFC3339Nano)))
 	}
 	return lines
 }
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -190,17 +190,17 @@
 
 // placeRunning lets a task of its orchestrator run at one of some workers that has free capacity.
 func (r *rig) placeRunning(t *task, workers []*hollow.Worker, random *rand.Rand) bool {
-	_, tag := t.orchestrator.clients.pick()
-	return r.placeRunningAs(t, workers, random, tag)
+	_, requestID := t.orchestrator.clients.pick()
+	return r.placeRunningAs(t, workers, random, requestID)
 }
 
 // placeRunningAs does so under a request ID.
-func (r *rig) placeRunningAs(t *task, workers []*hollow.Worker, random *rand.Rand, tag string) bool {
+func (r *rig) placeRunningAs(t *task, workers []*hollow.Worker, random *rand.Rand, requestID string) bool {
 	running := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}
 	for range maxPlacementTries {
 		w := workers[random.IntN(len(workers))]
-		if w.AddRunning(tag, t.key, running) {
-			t.worker, t.tag = w.ID, tag
+		if w.AddRunning(requestID, t.key, running) {
+			t.worker, t.requestID = w.ID, requestID
 			return true
 		}
 	}
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -10,26 +10,26 @@
 
 // run is a task at a worker. Attempts of one request have the same request ID at all workers.
 type run struct {
-	worker, tag string
-	at          time.Time
+	worker, requestID string
+	at                time.Time
 }
 
 // Accepted implements hollow.Observer.
-func (l *ledger) Accepted(worker, key, tag string) {
+func (l *ledger) Accepted(worker, key, requestID string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if other := l.running[key]; len(other) > 0 {
-		l.duplicateStart(tag, worker, other[0])
+		l.duplicateStart(requestID, worker, other[0])
 	}
-	l.running[key], l.keys[tag] = append(l.running[key], run{worker, tag, time.Now()}), key
-	delete(l.unreported, tag) // an earlier attempt was cancelled
+	l.running[key], l.keys[requestID] = append(l.running[key], run{worker, requestID, time.Now()}), key
+	delete(l.unreported, requestID) // an earlier attempt was cancelled
 }
 
 // duplicateStart counts a task that starts while it runs elsewhere: as a broken rule, or as a repeat
 // where the rules allow one. A free class may be repeated without a limit; a guarded one within its
 // window, as real workers discard the repeat, which hollow ones don't. The lock is held.
-func (l *ledger) duplicateStart(tag, worker string, other run) {
-	r := l.requests[tag]
+func (l *ledger) duplicateStart(requestID, worker string, other run) {
+	r := l.requests[requestID]
 	switch {
 	case r != nil && r.job.class.semantics == semanticsFree,
 		r != nil && r.job.class.semantics == semanticsGuarded && time.Since(other.at) < repeatWindow:
@@ -42,7 +42,7 @@
 		if r != nil {
 			class = r.job.class.name
 		}
-		l.logf("started twice: class %s, tag %s at %s, tag %s at %s %s before", class, tag, worker, other.tag, other.worker,
+		l.logf("started twice: class %s, request %s at %s, request %s at %s %s before", class, requestID, worker, other.requestID, other.worker,
 			time.Since(other.at).Round(time.Microsecond))
 	}
 }
@@ -51,32 +51,32 @@
 const maxDuplicatesLogged = 5
 
 // Ended implements hollow.Observer.
-func (l *ledger) Ended(worker, tag string, at time.Time, lost bool) {
+func (l *ledger) Ended(worker, requestID string, at time.Time, lost bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	key := l.keys[tag]
-	others := slices.DeleteFunc(l.running[key], func(r run) bool { return r.worker == worker && r.tag == tag })
+	key := l.keys[requestID]
+	others := slices.DeleteFunc(l.running[key], func(r run) bool { return r.worker == worker && r.requestID == requestID })
 	if l.running[key] = others; len(others) == 0 {
 		delete(l.running, key)
 	}
-	if slices.ContainsFunc(others, func(r run) bool { return r.tag == tag }) {
+	if slices.ContainsFunc(others, func(r run) bool { return r.requestID == requestID }) {
 		return // another attempt of the same request runs
 	}
-	delete(l.keys, tag)
-	if l.requests[tag] == nil || l.closed {
+	delete(l.keys, requestID)
+	if l.requests[requestID] == nil || l.closed {
 		return
 	}
-	l.unreported[tag] = at
+	l.unreported[requestID] = at
 	if lost {
-		l.lost[tag] = true
+		l.lost[requestID] = true
 	}
 }
 
 // reported forgets the completion of a request: its client has the report, or is owed none. The lock
 // is held.
-func (l *ledger) reported(tag string) {
-	delete(l.unreported, tag)
-	delete(l.lost, tag)
+func (l *ledger) reported(requestID string) {
+	delete(l.unreported, requestID)
+	delete(l.lost, requestID)
 }
 
 // lostUnreported is how many tasks were lost with their workers without a report to their clients yet.
