--- a/test/scale/hollow/long_dead_test.go
+++ b/test/scale/hollow/long_dead_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// This file tests what members that died long ago cost the others.
+
 // Members that died long ago and never come back do not prevent the others from finding each
 // other after a cut.
 func TestHealAmongTheLongDead(t *testing.T) {
--- a/test/scale/hollow/processor_test.go
+++ b/test/scale/hollow/processor_test.go
@@ -6,6 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
+// This file owns the clocks: processor time and the size of the heap.
+
 // processorMicroseconds is the processor time of this thread, which another busy process does
 // not lengthen. The caller has locked the thread by runtime.LockOSThread.
 func processorMicroseconds() float64 {
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -6,6 +6,8 @@
 	"ravenhitch/internal/membership"
 )
 
+// This file tests changes of the cluster during a cut.
+
 // What happens on either side of a cut while it lasts is known to all after it: who restarted,
 // moved, left or joined meanwhile, and also where no member remembers the others.
 func TestChangesWithinCut(t *testing.T) {
