--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -20,9 +20,6 @@
 	Traffic Traffic  `json:"traffic"`
 }
 
-// Told is the former name of [StatusReport]; internal/testbed/fleet still uses it.
-type Told = StatusReport
-
 // View is the stable view.
 type View struct {
 	Number int64    `json:"number"` // of changes at this orchestrator
