--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -148,7 +148,7 @@
 			}
 			return a.at <= now
 		})
-		for held := len(p.waiting); held < heldMost && due <= now; held++ {
+		for held := len(p.pending); held < heldMost && due <= now; held++ {
 			next, due = next+1, due+r.every
 			events = append(events, Request{Task{
 				RequestID: fmt.Sprint(next), Class: "safe", Cores: .01, Memory: .01, DeadlineUs: now + 5000*ms,
@@ -294,7 +294,7 @@
 			may := make([]bool, len(beds))
 			for i, b := range beds {
 				b.at(10 * ms)
-				may[i] = b.p.coldKept(b.p.machines[coldWorker])
+				may[i] = b.p.slowStartAllows(b.p.workers[coldWorker])
 			}
 			if may[0] != may[1] {
 				t.Fatalf("placer %d at %d us: %v by the two starts", s.SelfIndex, beds[0].now, may)
@@ -302,9 +302,9 @@
 			if may[0] && !was {
 				turns++
 			}
-			if again := newBed(t, s, 2, beds[0].p.machines[coldWorker].Entry); may[0] {
-				again.p.now, again.p.born = beds[0].now, beds[0].now
-				if again.p.coldKept(again.p.machines[coldWorker]) {
+			if again := newBed(t, s, 2, beds[0].p.workers[coldWorker].Entry); may[0] {
+				again.p.now, again.p.startedAt = beds[0].now, beds[0].now
+				if again.p.slowStartAllows(again.p.workers[coldWorker]) {
 					t.Fatalf("placer %d offers in the turn in which it was restarted", s.SelfIndex)
 				}
 			}
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -126,7 +126,7 @@
 // drawEntry draws what the list says of a machine.
 func (h *history) drawEntry(name string, cell int) Entry {
 	e := Entry{Worker: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: WorkerState(h.pick(94, 3, 3))}
-	kinds := h.p.s.Kinds
+	kinds := h.p.settings.Kinds
 	kind := kinds[h.rng.IntN(len(kinds))]
 	e.Kind = kind.Name
 	if h.chance(0.03) {
@@ -155,12 +155,12 @@
 
 // kindOf is the kind of an entry, or the first one where that is unknown.
 func (h *history) kindOf(e Entry) Kind {
-	for _, k := range h.p.s.Kinds {
+	for _, k := range h.p.settings.Kinds {
 		if k.Name == e.Kind {
 			return k
 		}
 	}
-	return h.p.s.Kinds[0]
+	return h.p.settings.Kinds[0]
 }
 
 // step draws the next time and events, hands them over and returns the actions.
@@ -249,7 +249,7 @@
 	h.tickets++
 	cores := []float64{.25, .5, 1, 2, 4, 8, 16, 30, 50, 90}[h.pick(5, 15, 25, 20, 15, 8, 5, 3, 2, 1)]
 	memory := []float64{0.25, 1, 2, 8}[h.pick(1, 3, 5, 2)]
-	classes := h.p.s.Classes
+	classes := h.p.settings.Classes
 	x := Task{
 		RequestID: fmt.Sprint("t", h.tickets), Class: classes[h.rng.IntN(len(classes))].Name, Cores: cores, Memory: cores * memory,
 		DeadlineUs: h.now + second/2 + h.rng.Int64N(10*second), Program: uint64(h.rng.IntN(historyPrograms)),
@@ -460,7 +460,7 @@
 		e.ReleaseRate = h.rng.Float64() * 200
 	}
 	if h.chance(0.4) {
-		for range h.p.s.Classes {
+		for range h.p.settings.Classes {
 			e.Reserved = append(e.Reserved, float64(h.rng.IntN(3)))
 		}
 	}
@@ -469,20 +469,20 @@
 
 // probe draws a task to compare choices for. It is not one of the placer's: what came
 // before it, attempts and errors, is made up.
-func (h *history) probe() *task {
+func (h *history) probe() *taskInfo {
 	x := h.drawTask()
-	class := h.p.classes[x.Class]
-	t := &task{Task: x, class: class, arrived: h.now - h.rng.Int64N(3*second), since: h.now}
-	t.rank = []float64{0, 0.01, 1, 1e6}[h.rng.IntN(4)]
+	class := h.p.classIndexes[x.Class]
+	t := &taskInfo{Task: x, classIndex: class, arrivedAt: h.now - h.rng.Int64N(3*second), queuedSince: h.now}
+	t.priority = []float64{0, 0.01, 1, 1e6}[h.rng.IntN(4)]
 	if h.chance(0.5) {
-		t.rank = h.p.rank(t)
+		t.priority = h.p.computePriority(t)
 	}
-	some := func() *machine { return h.p.order[h.rng.IntN(len(h.p.order))] }
-	for len(h.p.order) > 0 && len(t.attempts) < 3 && h.chance(0.25) {
-		t.attempts = append(t.attempts, &attempt{m: some(), at: h.now - h.rng.Int64N(4*second), done: true, erred: h.chance(0.5)})
+	some := func() *workerInfo { return h.p.sorted[h.rng.IntN(len(h.p.sorted))] }
+	for len(h.p.sorted) > 0 && len(t.attempts) < 3 && h.chance(0.25) {
+		t.attempts = append(t.attempts, &attempt{worker: some(), sentAt: h.now - h.rng.Int64N(4*second), ended: true, failed: h.chance(0.5)})
 	}
 	if len(t.attempts) > 0 && h.chance(0.5) {
-		t.mayRun = t.attempts[0]
+		t.mayHaveRun = t.attempts[0]
 	}
 	return t
 }
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -17,7 +17,7 @@
 		h := newHistory(t, seed)
 		for step := range h.stepCount {
 			h.step()
-			h.p.settle()
+			h.p.refreshIndex()
 			n, err := checkIndex(h.p)
 			if err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
@@ -33,30 +33,30 @@
 // checkIndex returns how many machines are indexed, or what is wrong with the index.
 func checkIndex(p *Scheduler) (indexed int, err error) {
 	sums := struct{ asked, cores, memory float64 }{}
-	for ordinal, m := range p.order {
-		if m.ordinal != ordinal || p.ids[ordinal] != m.id {
+	for ordinal, m := range p.sorted {
+		if m.ordinal != ordinal || p.nameHashes[ordinal] != m.nameHash {
 			return 0, fmt.Errorf("%s: ordinal %d, want %d", m.Worker, m.ordinal, ordinal)
 		}
-		if m.listed == p.departed[m] {
-			return 0, fmt.Errorf("%s: listed %v, departed %v", m.Worker, m.listed, p.departed[m])
+		if m.listed == p.unlisted[m] {
+			return 0, fmt.Errorf("%s: listed %v, departed %v", m.Worker, m.listed, p.unlisted[m])
 		}
-		k := p.size(m)
-		if m.slot.indexed != (m.listed && m.State == Ready && k != nil) {
-			return 0, fmt.Errorf("%s: indexed %v; %+v", m.Worker, m.slot.indexed, m.Entry)
+		k := p.kindOf(m)
+		if m.position.indexed != (m.listed && m.State == Ready && k != nil) {
+			return 0, fmt.Errorf("%s: indexed %v; %+v", m.Worker, m.position.indexed, m.Entry)
 		}
 		if k == nil {
 			continue
 		}
 		m.stale = true
-		cores, memory := p.load(m)
+		cores, memory := p.requested(m)
 		m.stale = false
-		if cores != m.askedCores || memory != m.askedMemory {
-			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", m.Worker, cores, memory, m.askedCores, m.askedMemory)
+		if cores != m.requestedCores || memory != m.requestedMemory {
+			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", m.Worker, cores, memory, m.requestedCores, m.requestedMemory)
 		}
-		if m.listed && p.s.HasView {
+		if m.listed && p.settings.HasView {
 			sums.asked, sums.cores, sums.memory = sums.asked+cores, sums.cores+k.Cores, sums.memory+k.Memory
 		}
-		if !m.slot.indexed {
+		if !m.position.indexed {
 			continue
 		}
 		indexed++
@@ -64,9 +64,9 @@
 			return 0, err
 		}
 	}
-	if near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }; !near(sums.asked, p.fleetAsked) ||
-		!near(sums.cores, p.listedSize.cores) || !near(sums.memory, p.listedSize.memory) {
-		return 0, fmt.Errorf("sums %+v; noted %v and %+v", sums, p.fleetAsked, p.listedSize)
+	if near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }; !near(sums.asked, p.requestedCores) ||
+		!near(sums.cores, p.listedCapacity.cores) || !near(sums.memory, p.listedCapacity.memory) {
+		return 0, fmt.Errorf("sums %+v; noted %v and %+v", sums, p.requestedCores, p.listedCapacity)
 	}
 	if held := countEntries(p); held != indexed {
 		return 0, fmt.Errorf("%d entries of %d machines", held, indexed)
@@ -74,23 +74,23 @@
 	return indexed, checkPrograms(p)
 }
 
-func checkEntry(p *Scheduler, m *machine, k *Kind) error {
-	kind := &p.index.kinds[m.slot.kind]
-	l := &kind.levels[m.slot.level]
-	e := l.entries[m.slot.rank]
+func checkEntry(p *Scheduler, m *workerInfo, k *Kind) error {
+	kind := &p.index.kinds[m.position.kindIndex]
+	l := &kind.levels[m.position.level]
+	e := l.entries[m.position.entryIndex]
 	switch {
-	case m.slot.kind != m.kind || e.m != m:
-		return fmt.Errorf("%s: its slot %+v holds %s", m.Worker, m.slot, e.m.Worker)
-	case p.s.HasView && e.asked != shares{m.askedCores / k.Cores, m.askedMemory / k.Memory}:
-		return fmt.Errorf("%s: entry %+v", m.Worker, e.asked)
-	case !l.least.within(e.asked) || e.bend < l.bend || e.bend > min(m.bendC, m.bendM):
-		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", m.Worker, e, l.least, l.bend)
-	case (p.kept[m] > 0) != (m.slot.rank >= l.free):
-		return fmt.Errorf("%s: kept %v, number %d of %d free ones", m.Worker, p.kept[m] > 0, m.slot.rank, l.free)
-	}
-	share := max(e.asked.cores/p.index.scale.cores, e.asked.memory/p.index.scale.memory)
-	if floor := float64(m.slot.level) * levelWidth; share < floor || share >= floor+levelWidth && m.slot.level < levelCount-1 {
-		return fmt.Errorf("%s: share %v at level %d", m.Worker, share, m.slot.level)
+	case m.position.kindIndex != m.kindIndex || e.worker != m:
+		return fmt.Errorf("%s: its slot %+v holds %s", m.Worker, m.position, e.worker.Worker)
+	case p.settings.HasView && e.requested != fractions{m.requestedCores / k.Cores, m.requestedMemory / k.Memory}:
+		return fmt.Errorf("%s: entry %+v", m.Worker, e.requested)
+	case !l.minRequested.within(e.requested) || e.calibration < l.minCalibration || e.calibration > min(m.coresCalibration, m.memoryCalibration):
+		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", m.Worker, e, l.minRequested, l.minCalibration)
+	case (p.reservations[m] > 0) != (m.position.entryIndex >= l.unreserved):
+		return fmt.Errorf("%s: kept %v, number %d of %d free ones", m.Worker, p.reservations[m] > 0, m.position.entryIndex, l.unreserved)
+	}
+	share := max(e.requested.cores/p.index.scale.cores, e.requested.memory/p.index.scale.memory)
+	if floor := float64(m.position.level) * levelWidth; share < floor || share >= floor+levelWidth && m.position.level < levelCount-1 {
+		return fmt.Errorf("%s: share %v at level %d", m.Worker, share, m.position.level)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 			l := &k.levels[number]
 			count += len(l.entries)
 			bit := uint64(1) << (number % 64)
-			if (k.used[number/64]&bit != 0) != (len(l.entries) > 0) || (k.free[number/64]&bit != 0) != (l.free > 0) {
+			if (k.occupied[number/64]&bit != 0) != (len(l.entries) > 0) || (k.unreserved[number/64]&bit != 0) != (l.unreserved > 0) {
 				return -1
 			}
 		}
@@ -113,15 +113,15 @@
 
 func checkPrograms(p *Scheduler) error {
 	homes := 0
-	for _, m := range p.order {
-		for program := range m.homes {
+	for _, m := range p.sorted {
+		for program := range m.residentPrograms {
 			homes++
-			if !slices.Contains(p.programs[program], m) {
+			if !slices.Contains(p.residents[program], m) {
 				return fmt.Errorf("%s is not among the machines of program %d", m.Worker, program)
 			}
 		}
 	}
-	for _, ms := range p.programs {
+	for _, ms := range p.residents {
 		homes -= len(ms)
 	}
 	if homes != 0 {
@@ -141,10 +141,10 @@
 }
 
 // probe is a task that nobody asked the placer for.
-func (b *bed) probe(program uint64) *task {
+func (b *bed) probe(program uint64) *taskInfo {
 	r := b.request("probe", "safe", 1, 2)
 	r.Program = program
-	return &task{Task: r.Task, arrived: b.now, since: b.now}
+	return &taskInfo{Task: r.Task, arrivedAt: b.now, queuedSince: b.now}
 }
 
 func levelled(rng *rand.Rand) float64 { return 0.6 + 0.04*rng.NormFloat64() }
@@ -156,13 +156,13 @@
 	for _, n := range []int{400, 4000} {
 		b := largeFleet(t, n, levelled)
 		for program := range uint64(50) {
-			b.p.nearest(b.probe(program))
-			looked[n] += float64(b.p.search.looked) / 50
+			b.p.finalists(b.probe(program))
+			looked[n] += float64(b.p.search.evaluated) / 50
 		}
 	}
 	idle := largeFleet(t, 4000, func(*rand.Rand) float64 { return 0 })
-	if idle.p.nearest(idle.probe(0)); idle.p.search.looked > enumerated {
-		t.Errorf("%d machines looked at in an idle fleet, want %d at most", idle.p.search.looked, enumerated)
+	if idle.p.finalists(idle.probe(0)); idle.p.search.evaluated > maxEnumerated {
+		t.Errorf("%d machines looked at in an idle fleet, want %d at most", idle.p.search.evaluated, maxEnumerated)
 	}
 	if looked[400] > 40 || looked[4000] > 2*looked[400] {
 		t.Errorf("machines looked at in a search, by fleet: %v", looked)
@@ -178,18 +178,18 @@
 	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	x := b.probe(0)
 	x.Cores, x.Memory = 0.25, 0.5
-	if near := b.p.nearest(x); len(near) != 1 {
+	if near := b.p.finalists(x); len(near) != 1 {
 		t.Fatalf("%d machines to draw from, want the one with room", len(near))
 	}
 	last.FreeCores, last.FreeMemory = 32*(1-1.495), 64*(1-1.495)
 	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
-	if near := b.p.nearest(x); len(near) > 0 || b.p.search.looked > 0 {
-		t.Fatalf("a full fleet: %d machines to draw from, %d looked at", len(near), b.p.search.looked)
+	if near := b.p.finalists(x); len(near) > 0 || b.p.search.evaluated > 0 {
+		t.Fatalf("a full fleet: %d machines to draw from, %d looked at", len(near), b.p.search.evaluated)
 	}
 	for _, k := range b.p.index.kinds {
 		for number := range k.levels {
-			if l := &k.levels[number]; len(l.entries) > 0 && b.p.search.limits[0].admits(l.least, l.bend) {
-				t.Errorf("level %d of %d machines is not passed over: it is taken to be asked for %+v", number, len(l.entries), l.least)
+			if l := &k.levels[number]; len(l.entries) > 0 && b.p.search.limits[0].admits(l.minRequested, l.minCalibration) {
+				t.Errorf("level %d of %d machines is not passed over: it is taken to be asked for %+v", number, len(l.entries), l.minRequested)
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 	b := newBed(t, testSettings(), 1, small("c", 0, -20), small("b", 0, -16), small("a", 0, -16), small("d", 1, -16))
 	x := b.probe(0)
 	x.Cores, x.Memory = 8, 8
-	if m := b.p.nearestToRoom(x); m == nil || m.Worker != "a" {
+	if m := b.p.closestToFitting(x); m == nil || m.Worker != "a" {
 		t.Errorf("kept %v, want a", m)
 	}
 }
@@ -210,7 +210,7 @@
 func TestSearchAllocatesNothing(t *testing.T) {
 	b := largeFleet(t, 1000, levelled)
 	x := b.probe(7)
-	if n := testing.AllocsPerRun(100, func() { b.p.choose(x) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { b.p.selectWorker(x) }); n > 0 {
 		t.Errorf("%v allocations a search", n)
 	}
 }
@@ -219,12 +219,12 @@
 func TestEqualsAreDrawnEvenly(t *testing.T) {
 	const machines, mean = 4000, 10
 	b := largeFleet(t, machines, func(*rand.Rand) float64 { return 0.3 })
-	drawn := map[*machine]int{}
+	drawn := map[*workerInfo]int{}
 	for range machines * mean {
-		drawn[b.p.choose(b.probe(0))]++
+		drawn[b.p.selectWorker(b.probe(0))]++
 	}
 	var squares float64
-	for _, m := range b.p.order {
+	for _, m := range b.p.sorted {
 		squares += math.Pow(float64(drawn[m])-mean, 2) / mean
 	}
 	// The sum has the mean of the number of machines and a deviation of sqrt(2 machines).
@@ -248,19 +248,19 @@
 		var chosen, lowest float64
 		for program := range uint64(200) {
 			x := b.probe(program % 20) // 0 is none
-			m := b.p.choose(x)
+			m := b.p.selectWorker(x)
 			least := math.Inf(1)
-			for _, o := range b.p.order {
-				least = min(least, b.p.admission(o, x))
+			for _, o := range b.p.sorted {
+				least = min(least, b.p.admissionCost(o, x))
 			}
-			got := b.p.admission(m, x)
-			if got > least+2*margin {
+			got := b.p.admissionCost(m, x)
+			if got > least+2*costMargin {
 				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, got, m.Worker, least)
 			}
 			chosen, lowest = chosen+got, lowest+least
 		}
 		// Drawn evenly among those within the margin, a choice costs half of that more.
-		if loss := (chosen - lowest) / 200; loss > 0.75*margin {
+		if loss := (chosen - lowest) / 200; loss > 0.75*costMargin {
 			t.Errorf("%s: the chosen cost %.4f more than the lowest in the mean", share.name, loss)
 		}
 	}
@@ -268,37 +268,37 @@
 
 // TestMeansOfALargeFleet has the means of a large fleet follow it after a second.
 func TestMeansOfALargeFleet(t *testing.T) {
-	b := largeFleet(t, enumerated+1, func(*rand.Rand) float64 { return 0 })
-	b.p.fleet()
-	entries := make([]Entry, len(b.p.order))
-	for i, m := range b.p.order {
+	b := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
+	b.p.meanUtilization()
+	entries := make([]Entry, len(b.p.sorted))
+	for i, m := range b.p.sorted {
 		entries[i] = m.Entry
 		entries[i].FreeCores = 16
 	}
 	b.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
-	if rho, _ := b.p.fleet(); rho != 0 {
+	if rho, _ := b.p.meanUtilization(); rho != 0 {
 		t.Errorf("share %v before a second has passed, want that of before", rho)
 	}
 	b.at(second/2, TimerFired{})
-	if rho, _ := b.p.fleet(); math.Abs(rho-0.5/b.p.bearing.cores) > 1e-9 {
-		t.Errorf("share %v after a second, want %v", rho, 0.5/b.p.bearing.cores)
+	if rho, _ := b.p.meanUtilization(); math.Abs(rho-0.5/b.p.baseline.cores) > 1e-9 {
+		t.Errorf("share %v after a second, want %v", rho, 0.5/b.p.baseline.cores)
 	}
 }
 
 // TestRoomOfALargeFleet has the spare room of a large fleet follow it with the bell.
 func TestRoomOfALargeFleet(t *testing.T) {
-	b := largeFleet(t, enumerated+1, func(*rand.Rand) float64 { return 0 })
-	b.p.s.UnitCores, b.p.s.UnitMemory = 1, 2
-	all := b.p.room()
-	for _, m := range b.p.order {
-		m.window = 0 // it may be offered nothing
-	}
-	b.at(retryEvery/2, TimerFired{})
-	if got := b.p.room(); got != all {
+	b := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
+	b.p.settings.UnitCores, b.p.settings.UnitMemory = 1, 2
+	all := b.p.freeUnits()
+	for _, m := range b.p.sorted {
+		m.attemptWindow = 0 // it may be offered nothing
+	}
+	b.at(retryInterval/2, TimerFired{})
+	if got := b.p.freeUnits(); got != all {
 		t.Errorf("room %v before the bell is due, want %v as before", got, all)
 	}
-	b.at(retryEvery/2, TimerFired{})
-	if got := b.p.room(); got != 0 {
+	b.at(retryInterval/2, TimerFired{})
+	if got := b.p.freeUnits(); got != 0 {
 		t.Errorf("room %v with the bell, want none", got)
 	}
 }
@@ -306,17 +306,17 @@
 // TestHeldTasksOfALargeFleet has held tasks looked at when the bell rings, and not at each
 // change of the list, of which a large fleet has one in each turn.
 func TestHeldTasksOfALargeFleet(t *testing.T) {
-	for _, n := range []int{enumerated, enumerated + 1} {
+	for _, n := range []int{maxEnumerated, maxEnumerated + 1} {
 		b := largeFleet(t, n, func(*rand.Rand) float64 { return 1.5 })
 		if got := of[Place](b.at(ms, b.request("1", "safe", 1, 2))); len(got) > 0 {
 			t.Fatalf("%d machines: placed %v in a full fleet", n, got)
 		}
 		room := small("m00007", 0, 20)
 		atOnce := len(of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{room}})))
-		if want := map[bool]int{true: 1}[n <= enumerated]; atOnce != want {
+		if want := map[bool]int{true: 1}[n <= maxEnumerated]; atOnce != want {
 			t.Errorf("%d machines: %d tasks placed as room was told, want %d", n, atOnce, want)
 		}
-		if later := len(of[Place](b.at(retryEvery, TimerFired{Ref: "wake"}))); atOnce+later != 1 {
+		if later := len(of[Place](b.at(retryInterval, TimerFired{Ref: "wake"}))); atOnce+later != 1 {
 			t.Errorf("%d machines: %d tasks placed by the bell, want 1 in all", n, later)
 		}
 	}
@@ -329,7 +329,7 @@
 		b.started(fmt.Sprint(i))
 	}
 	gone := WorkerList{Kind: ListDelta}
-	for _, m := range b.p.order {
+	for _, m := range b.p.sorted {
 		e := m.Entry
 		e.State = Removed
 		gone.Entries = append(gone.Entries, e)
@@ -339,14 +339,14 @@
 		b.at(0, AttemptEnded{RequestID: ticket, Attempt: len(x.attempts) - 1, Outcome: Completed, Final: true})
 	}
 	b.at(ms, WorkerList{Kind: ListDelta})
-	b.p.settle()
+	b.p.refreshIndex()
 	p := b.p
-	if left := len(p.order) + len(p.machines) + len(p.departed) + len(p.programs) + len(p.preferred) + countEntries(p); left != 0 {
+	if left := len(p.sorted) + len(p.workers) + len(p.unlisted) + len(p.residents) + len(p.preferred) + countEntries(p); left != 0 {
 		t.Errorf("left: %d machines by name, %d departed, %d programs, %d preferred, %d entries",
-			len(p.order), len(p.departed), len(p.programs), len(p.preferred), countEntries(p))
+			len(p.sorted), len(p.unlisted), len(p.residents), len(p.preferred), countEntries(p))
 	}
-	if p.fleetAsked != 0 && math.Abs(p.fleetAsked) > 1e-9 || p.listedSize != (shares{}) {
-		t.Errorf("left: %v cores asked of %+v", p.fleetAsked, p.listedSize)
+	if p.requestedCores != 0 && math.Abs(p.requestedCores) > 1e-9 || p.listedCapacity != (fractions{}) {
+		t.Errorf("left: %v cores asked of %+v", p.requestedCores, p.listedCapacity)
 	}
 }
 
--- a/placement/module_slopes_test.go
+++ b/placement/module_slopes_test.go
@@ -272,7 +272,7 @@
 }
 
 func measureHeldBell(s *site, m *meter) {
-	s.now += retryEvery
+	s.now += retryInterval
 	var actions []Action
 	m.measure(s.t, func() { actions = s.handle(TimerFired{"wake"}) })
 	s.mustWait(actions)
--- a/placement/nearest_test.go
+++ b/placement/nearest_test.go
@@ -82,14 +82,14 @@
 // it could.
 func (h *history) sendOne() bool {
 	x := h.drawTask()
-	t := &task{Task: x, class: h.p.classes[x.Class], arrived: h.now, since: h.now}
-	t.rank = h.p.rank(t)
-	m := h.p.choose(t)
+	t := &taskInfo{Task: x, classIndex: h.p.classIndexes[x.Class], arrivedAt: h.now, queuedSince: h.now}
+	t.priority = h.p.computePriority(t)
+	m := h.p.selectWorker(t)
 	if m == nil {
 		return false
 	}
 	h.p.tasks[x.RequestID] = t
-	h.p.send(t, m)
+	h.p.sendOffer(t, m)
 	h.asked[x.RequestID] = x
 	h.attempts[x.RequestID] = 1
 	h.out = append(h.out, Place{RequestID: x.RequestID, Worker: m.Worker})
@@ -99,17 +99,17 @@
 // compare compares choices as things stand. What a large fleet's means and spare room
 // are held to be for a while is computed anew first: TestMeansOfALargeFleet has that.
 func (c *comparisons) compare(h *history) error {
-	h.p.means.at, h.p.spareAt = 0, 0
+	h.p.means.computedAt, h.p.freeUnitsAt = 0, 0
 	r := newReference(h.p)
 	if err := r.compareSums(); err != nil {
 		return err
 	}
-	var tasks []*task
+	var tasks []*taskInfo
 	for range probesEach {
 		tasks = append(tasks, h.probe())
 	}
-	for i := range min(heldEach, len(h.p.waiting)) {
-		tasks = append(tasks, h.p.waiting[(i+h.rng.IntN(len(h.p.waiting)))%len(h.p.waiting)])
+	for i := range min(heldEach, len(h.p.pending)) {
+		tasks = append(tasks, h.p.pending[(i+h.rng.IntN(len(h.p.pending)))%len(h.p.pending)])
 	}
 	for _, t := range tasks {
 		if err := c.compareTask(h, r, t); err != nil {
@@ -119,31 +119,31 @@
 	return nil
 }
 
-func (c *comparisons) compareTask(h *history, r *reference, t *task) error {
-	near := h.p.nearest(t)
+func (c *comparisons) compareTask(h *history, r *reference, t *taskInfo) error {
+	near := h.p.finalists(t)
 	path, flipped, err := r.compareNearest(t, near)
 	if err != nil {
 		return err
 	}
-	if m := h.p.choose(t); (m == nil) != (near == nil) || m != nil && !slices.Contains(near, m) {
+	if m := h.p.selectWorker(t); (m == nil) != (near == nil) || m != nil && !slices.Contains(near, m) {
 		return fmt.Errorf("task %+v: chosen %v, which is not of %s", t.Task, m, names(near))
 	}
 	c.add(path, flipped)
 	if len(near) > 1 {
 		c.many++
 	}
-	if len(h.p.kept) > 0 {
+	if len(h.p.reservations) > 0 {
 		c.kept++
 	}
 	if err := r.compareKeep(t, keptFor(h.p, t)); err != nil {
 		return err
 	}
-	if len(h.p.order) == 0 {
+	if len(h.p.sorted) == 0 {
 		return nil
 	}
-	m := h.p.order[h.rng.IntN(len(h.p.order))]
+	m := h.p.sorted[h.rng.IntN(len(h.p.sorted))]
 	c.moves++
-	_, err = r.compareElsewhere(t, m, h.p.elsewhere(t, m))
+	_, err = r.compareElsewhere(t, m, h.p.fitsElsewhere(t, m))
 	return err
 }
 
@@ -156,16 +156,16 @@
 }
 
 // keptFor returns the machine that would be kept for a held task, or nil, and keeps none.
-func keptFor(p *Scheduler, t *task) (kept *machine) {
-	before := maps.Clone(p.kept)
-	p.keepFor(t)
-	for m := range p.kept {
+func keptFor(p *Scheduler, t *taskInfo) (kept *workerInfo) {
+	before := maps.Clone(p.reservations)
+	p.reserveFor(t)
+	for m := range p.reservations {
 		if _, was := before[m]; !was {
 			kept = m
 		}
 	}
 	if kept != nil {
-		p.kept, p.keptNow = before, p.keptNow[:len(p.keptNow)-1]
+		p.reservations, p.reservedWorkers = before, p.reservedWorkers[:len(p.reservedWorkers)-1]
 		p.index.release(kept)
 	}
 	return kept
@@ -194,9 +194,9 @@
 		lines = append(lines, fmt.Sprintf("%+v", h.step()))
 		probe := h.probe()
 		if asked {
-			h.p.nearest(probe)
-			for _, held := range h.p.waiting {
-				h.p.nearest(held)
+			h.p.finalists(probe)
+			for _, held := range h.p.pending {
+				h.p.finalists(held)
 			}
 		}
 	}
--- a/placement/placer.go
+++ b/placement/placer.go
@@ -7,123 +7,123 @@
 const (
 	second = int64(1_000_000)
 
-	// taken is the share of a machine that others are taken to have used, of the room
+	// contention is the share of a machine that others are taken to have used, of the room
 	// that the view newly shows, while room is short: each refusal adds a step, so many
 	// offers accepted take it back.
-	takenStep   = 0.01
-	takenOffers = 12
-	takenMost   = 0.2
+	contentionStep   = 0.01
+	contentionOffers = 12
+	maxContention   = 0.2
 )
 
 // Handle takes what happened at now and returns what to do, in order.
 func (p *Scheduler) Handle(now int64, events []Event) []Action {
-	p.now, p.out = now, nil
-	if p.born < 0 {
-		p.born = now
-		p.askAt = now + p.jitter(second/5)
+	p.now, p.actions = now, nil
+	if p.startedAt < 0 {
+		p.startedAt = now
+		p.pollAt = now + p.jitter(second/5)
 	}
 	for _, e := range events {
-		p.event(e)
+		p.handleEvent(e)
 	}
-	p.place()
-	p.discover()
-	p.wake()
-	return p.out
+	p.runPass()
+	p.pollDiscovery()
+	p.setTimer()
+	return p.actions
 }
 
-// request takes in a task. One that can never be placed is refused at once.
-func (p *Scheduler) request(rt Task) {
+// addRequest takes in a task. One that can never be placed is refused at once.
+func (p *Scheduler) addRequest(rt Task) {
 	if p.tasks[rt.RequestID] != nil {
 		return
 	}
-	class, ok := p.classes[rt.Class]
-	if !ok || rt.DeadlineUs <= p.now || !p.everFits(class, rt) {
-		p.do(Reject{RequestID: rt.RequestID})
+	class, ok := p.classIndexes[rt.Class]
+	if !ok || rt.DeadlineUs <= p.now || !p.fitsAnyKind(class, rt) {
+		p.emit(Reject{RequestID: rt.RequestID})
 		return
 	}
-	t := &task{Task: rt, class: class, arrived: p.now, since: p.now}
+	t := &taskInfo{Task: rt, classIndex: class, arrivedAt: p.now, queuedSince: p.now}
 	if rt.QueuedSinceUs > 0 {
-		t.since = min(t.since, rt.QueuedSinceUs)
+		t.queuedSince = min(t.queuedSince, rt.QueuedSinceUs)
 	}
 	p.tasks[rt.RequestID] = t
-	p.hold(t)
+	p.enqueue(t)
 }
 
-// everFits reports whether any kind could hold the task when empty.
-func (p *Scheduler) everFits(class int, t Task) bool {
-	c := &p.s.Classes[class]
+// fitsAnyKind reports whether any kind could hold the task when empty.
+func (p *Scheduler) fitsAnyKind(class int, t Task) bool {
+	c := &p.settings.Classes[class]
 	if c.Spread != ScopeNone && c.MaxPerDomain < 1 {
 		return false
 	}
-	for i, k := range p.s.Kinds {
+	for i, k := range p.settings.Kinds {
 		if (c.Kind < 0 || c.Kind == i) &&
-			t.Cores <= k.Cores*p.s.CoresOvercommit && t.Memory <= k.Memory*p.s.MemoryOvercommit {
+			t.Cores <= k.Cores*p.settings.CoresOvercommit && t.Memory <= k.Memory*p.settings.MemoryOvercommit {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Scheduler) accepted(e Accepted) {
+func (p *Scheduler) attemptAccepted(e Accepted) {
 	t := p.tasks[e.RequestID]
-	if t == nil || t.placed || t.over || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
+	if t == nil || t.accepted || t.cancelled || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
 		return
 	}
 	a := t.attempts[e.Attempt]
-	t.placed = true
-	p.unhold(t)
-	p.answered(a, e.RTTUs)
-	if !p.s.AcceptMeansRunning {
-		p.rebind(a)
+	t.accepted = true
+	p.dequeue(t)
+	p.recordResponse(a, e.RTTUs)
+	if !p.settings.AcceptMeansRunning {
+		p.redateDelta(a)
 		a.starting = true
 	}
-	a.m.heal(p.now, t.class)
-	p.taken = max(0, p.taken-takenStep/takenOffers)
-	a.m.window = min(windowMost, a.m.window+1/a.m.window)
-	p.holds(t, 1)
-	p.runs(t, a.m)
-	p.stirred = true
+	a.worker.recordSuccess(p.now, t.classIndex)
+	p.contention = max(0, p.contention-contentionStep/contentionOffers)
+	a.worker.attemptWindow = min(maxWindow, a.worker.attemptWindow+1/a.worker.attemptWindow)
+	p.addTenantCores(t, 1)
+	p.addRunning(t, a.worker)
+	p.dirty = true
 }
 
-// done takes the end of an attempt, which is also the end of a placed task.
-func (p *Scheduler) done(e AttemptEnded) {
+// ended takes the end of an attempt, which is also the end of a placed task.
+func (p *Scheduler) attemptEnded(e AttemptEnded) {
 	t := p.tasks[e.RequestID]
-	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) || t.attempts[e.Attempt].done {
+	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) || t.attempts[e.Attempt].ended {
 		return
 	}
 	a := t.attempts[e.Attempt]
-	a.done, p.stirred = true, true
-	ran := t.placed && a == t.attempts[len(t.attempts)-1]
-	p.judge(t, a, e, ran)
-	p.letGo(a.m, t.Program)
+	a.ended, p.dirty = true, true
+	ran := t.accepted && a == t.attempts[len(t.attempts)-1]
+	p.recordOutcome(t, a, e, ran)
+	p.endResident(a.worker, t.Program)
 	switch e.Outcome {
 	case Rejected, ConnectFailed, NeverSent:
-		p.unbind(a)
+		p.removeDelta(a)
 	default:
-		p.bind(a.m, -t.Cores, -t.Memory)
+		p.addDelta(a.worker, -t.Cores, -t.Memory)
 	}
 	if e.Outcome == Rejected && (e.Cause == CauseCores || e.Cause == CauseMemory) {
-		p.taken = min(takenMost, p.taken+takenStep)
-		p.refused(a.m, t, e.Cause)
+		p.contention = min(maxContention, p.contention+contentionStep)
+		p.recordRejection(a.worker, t, e.Cause)
 	}
-	if ran || e.Final || t.over {
-		p.drop(t)
+	if ran || e.Final || t.cancelled {
+		p.forgetTask(t)
 		return
 	}
 	switch e.Outcome {
 	case Rejected, ConnectFailed, NeverSent:
-		t.stands = t.stands || t.mayRun != nil && e.Cause == CauseWrongWorker
+		t.copyRunning = t.copyRunning || t.mayHaveRun != nil && e.Cause == CauseWrongWorker
 	default:
-		if t.mayRun == nil {
-			t.mayRun = a
+		if t.mayHaveRun == nil {
+			t.mayHaveRun = a
 		}
 	}
-	p.hold(t)
+	p.enqueue(t)
 }
 
-// noted takes news of a running task: how much of what it asked it uses, how
+// taskReported takes news of a running task: how much of what it asked it uses, how
 // well its machine serves it, and how full that machine's memory is.
-func (p *Scheduler) noted(e TaskReport) {
+func (p *Scheduler) taskReported(e TaskReport) {
 	t := p.tasks[e.RequestID]
 	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
 		return
@@ -133,17 +133,17 @@
 	case ReportRunning:
 		a.starting = false
 	case ReportCores:
-		if t.Cores > 0 && t.placed && !a.done {
-			p.use(0, t.Cores, &t.useC, e.Value)
+		if t.Cores > 0 && t.accepted && !a.ended {
+			p.recordUsage(0, t.Cores, &t.coresUsage, e.Value)
 		}
 	case ReportMemory:
-		if t.Memory > 0 && t.placed && !a.done {
-			p.use(1, t.Memory, &t.useM, e.Value)
+		if t.Memory > 0 && t.accepted && !a.ended {
+			p.recordUsage(1, t.Memory, &t.memoryUsage, e.Value)
 		}
 	case ReportService:
-		p.bend(a.m, &a.m.bendC, 0, p.calm()+p.fade()*(1-e.Value), p.calm(), e.Value < 0.95, 0.5)
-		p.relieve(a.m, e.Value)
+		p.calibrate(a.worker, &a.worker.coresCalibration, 0, p.saturationLoad()+p.saturationRange()*(1-e.Value), p.saturationLoad(), e.Value < 0.95, 0.5)
+		p.migrateOne(a.worker, e.Value)
 	case ReportMemoryPressure:
-		p.bend(a.m, &a.m.bendM, 1, e.Value, memoryFull, e.Value > memoryFull*0.95, 0.5)
+		p.calibrate(a.worker, &a.worker.memoryCalibration, 1, e.Value, memorySaturation, e.Value > memorySaturation*0.95, 0.5)
 	}
 }
--- a/placement/placer_test.go
+++ b/placement/placer_test.go
@@ -49,7 +49,7 @@
 	return b
 }
 
-// at moves the clock on and hands over events.
+// sentAt moves the clock on and hands over events.
 func (b *bed) at(after int64, events ...Event) []Action {
 	b.now += after
 	return b.p.Handle(b.now, events)
@@ -120,17 +120,17 @@
 func TestOwnBindsCountUntilTheViewHoldsThem(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 18))
 	b.placed(b.at(ms, b.request("1", "safe", 6, 6)), "a")
-	m := b.p.machines["a"]
-	if c, _ := b.p.load(m); c != 18 {
+	m := b.p.workers["a"]
+	if c, _ := b.p.requested(m); c != 18 {
 		t.Fatalf("load %v with the bind, want 18", c)
 	}
 	// A view that comes at once cannot hold the bind yet.
 	b.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 20)}})
-	if c, _ := b.p.load(m); c != 18 {
+	if c, _ := b.p.requested(m); c != 18 {
 		t.Fatalf("load %v after an early view, want 18", c)
 	}
 	b.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 14)}})
-	if c, _ := b.p.load(m); c != 18 {
+	if c, _ := b.p.requested(m); c != 18 {
 		t.Fatalf("load %v once the view holds it, want 18, not counted twice", c)
 	}
 }
@@ -139,7 +139,7 @@
 	b := newBed(t, testSettings(), 1, small("a", 0, 20))
 	b.placed(b.at(ms, b.request("1", "safe", 2, 4)), "a")
 	b.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
-	c, _ := b.p.load(b.p.machines["a"])
+	c, _ := b.p.requested(b.p.workers["a"])
 	if c != 12 && c != 14 { // 14 where it was tried again at once
 		t.Errorf("load %v, want 12 and at most the new bind", c)
 	}
@@ -149,7 +149,7 @@
 	b := newBed(t, testSettings(), 1, small("a", 0, 20))
 	b.at(ms, b.request("1", "safe", 2, 4))
 	b.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
-	c, mem := b.p.load(b.p.machines["a"])
+	c, mem := b.p.requested(b.p.workers["a"])
 	if c != 12 || mem+4 <= 64*1.5 {
 		t.Errorf("load %v cores, %v memory: want 12 and no room for the task", c, mem)
 	}
@@ -317,7 +317,7 @@
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 	b.placed(b.at(10*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseWrongWorker}), "b")
 	b.placed(b.at(10*ms, b.request("2", "safe", 1, 2)), "b")
-	b.at(leaves, WorkerList{Kind: ListDelta})
+	b.at(assumedDrain, WorkerList{Kind: ListDelta})
 	b.placed(b.at(0, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + second, Program: 8}}), "a")
 }
 
@@ -442,7 +442,7 @@
 	if len(of[Place](actions)) != 0 || len(of[Reject](actions)) != 1 || len(asked) != 2 {
 		t.Fatalf("after errors of %v: %v", asked, actions)
 	}
-	for _, m := range b.p.order {
+	for _, m := range b.p.sorted {
 		if !b.p.healthy(m, 0) || m.suspicion(b.now, 0) > 0.01 {
 			t.Errorf("%s: suspicion %v", m.Worker, m.suspicion(b.now, 0))
 		}
@@ -453,7 +453,7 @@
 		b.at(ms, b.request(ticket, "unsafe", 1, 2))
 		b.at(ms, AttemptEnded{RequestID: ticket, Worker: "a", Outcome: Failed})
 	}
-	if b.p.healthy(b.p.order[0], 0) {
+	if b.p.healthy(b.p.sorted[0], 0) {
 		t.Error("a machine that fails every task is well")
 	}
 }
@@ -462,18 +462,18 @@
 // ever where it takes connections and answers nothing.
 func TestReachedMachineIsTriedAgain(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
-	m := b.p.machines["a"]
-	m.hurt(b.now, 4*silenceHurt)
+	m := b.p.workers["a"]
+	m.addSuspicion(b.now, 4*timeoutSuspicion)
 	b.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
-	if s := m.suspicion(b.now, 0); !b.p.healthy(m, 0) || b.p.healthy(m, 4) || s > suspectMet {
+	if s := m.suspicion(b.now, 0); !b.p.healthy(m, 0) || b.p.healthy(m, 4) || s > reconnectedSuspicion {
 		t.Errorf("suspicion %v after it was reached", s)
 	}
-	m.hurt(b.now, silenceHurt)
+	m.addSuspicion(b.now, timeoutSuspicion)
 	b.at(ms, WorkerReachable{Worker: "a"})
 	if b.p.healthy(m, 0) {
 		t.Error("it was taken back without an answer")
 	}
-	m.heal(b.now, 0)
+	m.recordSuccess(b.now, 0)
 	b.at(ms, WorkerReachable{Worker: "a"})
 	if !b.p.healthy(m, 0) {
 		t.Error("it was not taken back after an answer")
@@ -483,7 +483,7 @@
 func TestHealthAloneNeverTurnsTheFleetAway(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	for _, m := range []string{"a", "b"} {
-		b.p.machines[m].hurt(b.now, suspectMost)
+		b.p.workers[m].addSuspicion(b.now, maxSuspicion)
 	}
 	if got := of[Place](b.at(ms, b.request("1", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("%d placed while all look bad, want 1", len(got))
@@ -494,15 +494,15 @@
 	b := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 19))
 	b.at(ms, Adopted{Task: b.request("e", "safe", 1, 1).Task, Worker: "a"})
 	b.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.96})
-	if b.p.machines["a"].bendC != 1 {
+	if b.p.workers["a"].coresCalibration != 1 {
 		t.Error("bent by ordinary noise")
 	}
 	b.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.4})
 	r := b.request("1", "safe", 1, 2)
 	r.Program = 9
 	b.placed(b.at(ms, r), "b")
-	b.p.machines["a"].relax(b.now+10*bendHalf, bendHalf)
-	if b.p.machines["a"].bendC < 0.99 {
+	b.p.workers["a"].decayCalibration(b.now+10*calibrationHalfLife, calibrationHalfLife)
+	if b.p.workers["a"].coresCalibration < 0.99 {
 		t.Error("not let go when the symptom ends")
 	}
 }
@@ -644,8 +644,8 @@
 	b.at(ms, b.request("1", "safe", 1, 1))
 	b.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
 	b.at(ms, done, done, done, TaskReport{RequestID: "1"})
-	if len(b.p.tasks) != 0 || b.p.machines["a"].refs != 0 {
-		t.Errorf("%d tasks, %d refs left", len(b.p.tasks), b.p.machines["a"].refs)
+	if len(b.p.tasks) != 0 || b.p.workers["a"].active != 0 {
+		t.Errorf("%d tasks, %d refs left", len(b.p.tasks), b.p.workers["a"].active)
 	}
 }
 
@@ -663,12 +663,12 @@
 			b.at(ms, AttemptEnded{RequestID: id, Worker: name, Outcome: Completed, Final: true})
 		}
 	}
-	if len(b.p.tasks) > 0 || len(b.p.machines) > 2 || len(b.p.waiting) > 0 {
-		t.Errorf("%d tasks, %d machines, %d waiting left", len(b.p.tasks), len(b.p.machines), len(b.p.waiting))
+	if len(b.p.tasks) > 0 || len(b.p.workers) > 2 || len(b.p.pending) > 0 {
+		t.Errorf("%d tasks, %d machines, %d waiting left", len(b.p.tasks), len(b.p.workers), len(b.p.pending))
 	}
-	for _, m := range b.p.machines {
-		if len(m.homes) > homesKept+1 || len(m.running) > 0 {
-			t.Errorf("%d homes, %d running left", len(m.homes), len(m.running))
+	for _, m := range b.p.workers {
+		if len(m.residentPrograms) > maxIdlePrograms+1 || len(m.running) > 0 {
+			t.Errorf("%d homes, %d running left", len(m.residentPrograms), len(m.running))
 		}
 	}
 }
@@ -730,23 +730,23 @@
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 	b.placed(b.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
-	if w := b.p.machines["a"].window; w >= windowFirst {
+	if w := b.p.workers["a"].attemptWindow; w >= initialWindow {
 		t.Errorf("window %v after 'too many wait', want it halved", w)
 	}
 }
 
 func TestOneSuccessDoesNotClearALossyMachine(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	m := b.p.machines["a"]
+	m := b.p.workers["a"]
 	for range 4 {
-		m.hurt(b.now, 1.5)
+		m.addSuspicion(b.now, 1.5)
 	}
-	m.heal(b.now, 0)
+	m.recordSuccess(b.now, 0)
 	if b.p.healthy(m, 0) {
 		t.Error("trusted again after one success in five")
 	}
 	for range 20 {
-		m.heal(b.now, 0)
+		m.recordSuccess(b.now, 0)
 	}
 	if !b.p.healthy(m, 0) {
 		t.Error("not trusted after twenty successes")
@@ -757,16 +757,16 @@
 	s := testSettings()
 	s.ColdStartRate = 0.2
 	b := newBed(t, s, 1, small("a", 0, 30))
-	m := b.p.machines["a"]
-	if got := b.p.pace(m); got != 1 {
+	m := b.p.workers["a"]
+	if got := b.p.startRate(m); got != 1 {
 		t.Errorf("pace %v of a warm machine, want 1", got)
 	}
 	m.StartedAtUs = b.now
-	if got := b.p.pace(m); got != 0.2 {
+	if got := b.p.startRate(m); got != 0.2 {
 		t.Errorf("pace %v at the start, want 0.2", got)
 	}
 	b.at(s.WarmUpUs / 2)
-	if got := b.p.pace(m); math.Abs(got-0.6) > 1e-9 {
+	if got := b.p.startRate(m); math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("pace %v half way, want 0.6", got)
 	}
 }
@@ -793,7 +793,7 @@
 
 func TestFullButWellMachinesAreWaitedFor(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, -16), small("c", 0, -16))
-	b.p.machines["a"].hurt(b.now, suspectMost)
+	b.p.workers["a"].addSuspicion(b.now, maxSuspicion)
 	b.placed(b.at(ms, b.request("1", "unsafe", 1, 2)), "")
 	b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
 	if got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
@@ -826,8 +826,8 @@
 func TestLeastSuspectMachinesGetFewAttempts(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	for _, m := range []string{"a", "b"} {
-		b.p.machines[m].hurt(b.now, suspectMost)
-		b.p.machines[m].window = windowMost
+		b.p.workers[m].addSuspicion(b.now, maxSuspicion)
+		b.p.workers[m].attemptWindow = maxWindow
 	}
 	n := 0
 	for i := range 20 {
@@ -843,10 +843,10 @@
 	for _, running := range []bool{false, true} {
 		s.AcceptMeansRunning = running
 		b := newBed(t, s, 1, small("a", 0, 30))
-		b.p.rttMean, b.p.rttDev = 50_000, 10_000
+		b.p.meanRTT, b.p.rttDeviation = 50_000, 10_000
 		b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 		b.at(800 * ms)
-		if got := b.p.healthy(b.p.machines["a"], 0); got != running {
+		if got := b.p.healthy(b.p.workers["a"], 0); got != running {
 			t.Errorf("yes means running %v: healthy %v after 0.8 s, want %v", running, got, running)
 		}
 	}
@@ -884,7 +884,7 @@
 	s.HasView = false
 	b := newBed(t, s, 1, small("a", 0, 0), small("b", 0, 0), small("c", 1, 0))
 	seen := map[string]int{}
-	for i := range 3 * deltasMost {
+	for i := range 3 * maxDeltas {
 		r := b.request(fmt.Sprint(i), "safe", 1, 2)
 		r.Program = 0
 		for _, p := range of[Place](b.at(ms, r)) {
@@ -892,8 +892,8 @@
 			b.at(0, Accepted{RequestID: p.RequestID, Worker: p.Worker, RTTUs: 900}, AttemptEnded{RequestID: p.RequestID, Worker: p.Worker, Outcome: Completed, Final: true})
 		}
 	}
-	for _, m := range b.p.order {
-		if seen[m.Worker] < deltasMost/2 || len(m.deltas) > deltasMost {
+	for _, m := range b.p.sorted {
+		if seen[m.Worker] < maxDeltas/2 || len(m.deltas) > maxDeltas {
 			t.Errorf("%s: %d tasks, %d changes remembered", m.Worker, seen[m.Worker], len(m.deltas))
 		}
 	}
@@ -934,7 +934,7 @@
 						now := b.now
 						b = newBed(t, s, uint64(i), cold)
 						b.now = now
-						b.p.born = now
+						b.p.startedAt = now
 					}
 					id := fmt.Sprint(j)
 					for range len(of[Place](b.at(97*ms, b.request(id, "safe", .1, .1)))) {
@@ -970,7 +970,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := Entry{Worker: "a", Kind: "large", FreeCores: 60, FreeMemory: 120}
 			b := newBed(t, testSettings(), 1, e)
-			m := b.p.machines["a"]
+			m := b.p.workers["a"]
 			b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 			if c.heard != "" {
 				b.placed(b.at(ms, b.request("2", c.heard, 1, 2)), "a")
@@ -978,10 +978,10 @@
 			}
 			b.at(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
 			b.at(100 * ms)
-			if s, l := m.suspicion(b.now, 0) < suspectOut, m.suspicion(b.now, 8) < suspectOut; s != c.safe || l != c.large {
+			if s, l := m.suspicion(b.now, 0) < ejectionThreshold, m.suspicion(b.now, 8) < ejectionThreshold; s != c.safe || l != c.large {
 				t.Errorf("in use for its class %v, for the other %v; want %v and %v", s, l, c.safe, c.large)
 			}
-			b.at(10 * suspectHalf)
+			b.at(10 * suspicionHalfLife)
 			if !b.p.healthy(m, 0) {
 				t.Error("not let go")
 			}
@@ -1035,7 +1035,7 @@
 		t.Fatalf("asked %v, want b next", got)
 	}
 	b.placed(b.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a") // the least suspect
-	acts = b.at(10*suspectHalf, r)
+	acts = b.at(10*suspicionHalfLife, r)
 	if n := len(of[Place](acts)); n != 0 {
 		t.Errorf("a ticket that is out was placed %d times more", n)
 	}
@@ -1045,13 +1045,13 @@
 	s := testSettings()
 	s.Probes = true
 	b := newBed(t, s, 1, small("a", 0, 30))
-	m := b.p.machines["a"]
+	m := b.p.workers["a"]
 	b.at(ms, ProbeResult{Worker: "a", Outcome: Completed, Load: Load{24, 48, 1, 0}})
-	if m.bendC > 0.5 {
-		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", m.bendC)
+	if m.coresCalibration > 0.5 {
+		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", m.coresCalibration)
 	}
-	m.relax(b.now+10*bendHalf, bendHalf)
-	if m.bendC < 0.99 {
+	m.decayCalibration(b.now+10*calibrationHalfLife, calibrationHalfLife)
+	if m.coresCalibration < 0.99 {
 		t.Error("not let go")
 	}
 }
@@ -1092,8 +1092,8 @@
 	// The clock jumps by two seconds, and outcomes come in any order.
 	b.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
 		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
-	if len(b.p.tasks) != 0 || len(b.p.machines["a"].unanswered) != 0 {
-		t.Errorf("%d tasks, %d unanswered left", len(b.p.tasks), len(b.p.machines["a"].unanswered))
+	if len(b.p.tasks) != 0 || len(b.p.workers["a"].unanswered) != 0 {
+		t.Errorf("%d tasks, %d unanswered left", len(b.p.tasks), len(b.p.workers["a"].unanswered))
 	}
 	var es []Entry
 	for m := range 200 { // a fleet that grows in one list, all cold
@@ -1107,11 +1107,11 @@
 
 func TestOwnStallBlamesNobody(t *testing.T) {
 	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.p.rttMean, b.p.rttDev = 20_000, 5_000
+	b.p.meanRTT, b.p.rttDeviation = 20_000, 5_000
 	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
 	// No turn for two seconds; then the answer is found beside a new request.
 	b.placed(b.at(2*second, b.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
-	if s := b.p.machines["a"].suspicion(b.now, 0); s != 0 {
+	if s := b.p.workers["a"].suspicion(b.now, 0); s != 0 {
 		t.Errorf("suspicion %v after an own stall, want none", s)
 	}
 }
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -23,69 +23,69 @@
 // reference looks at the machines of a placer as they stand.
 type reference struct {
 	p        *Scheduler
-	machines []*machine // by name
+	machines []*workerInfo // by name
 	rho      float64    // asked share of the fleet
 	mean     float64    // mean cores
 }
 
 func newReference(p *Scheduler) *reference {
-	r := &reference{p: p, machines: slices.Collect(maps.Values(p.machines))}
-	slices.SortFunc(r.machines, func(a, b *machine) int { return cmp.Compare(a.Worker, b.Worker) })
+	r := &reference{p: p, machines: slices.Collect(maps.Values(p.workers))}
+	slices.SortFunc(r.machines, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
 	r.rho, r.mean = r.fleet()
 	return r
 }
 
 // --- What a machine is asked for and bears ---
 
-func (r *reference) changesSince(m *machine, at int64) (cores, mem float64) {
+func (r *reference) changesSince(m *workerInfo, at int64) (cores, mem float64) {
 	for _, d := range slices.Backward(m.deltas) {
 		if d.at > at {
-			cores, mem = cores+d.cores, mem+d.mem
+			cores, mem = cores+d.cores, mem+d.memory
 		}
 	}
 	return cores, mem
 }
 
-func (r *reference) load(m *machine) (cores, mem float64) {
-	kind := r.p.s.Kinds[m.kind]
-	at, spareC, spareM := m.viewAt-r.p.lag, m.FreeCores, m.FreeMemory
-	if reported := m.toldAt - reportLag; m.toldRoom && reported > at {
-		at, spareC, spareM = reported, m.told.FreeCores, m.told.FreeMemory
+func (r *reference) load(m *workerInfo) (cores, mem float64) {
+	kind := r.p.settings.Kinds[m.kindIndex]
+	at, spareC, spareM := m.viewedAt-r.p.lag, m.FreeCores, m.FreeMemory
+	if reported := m.reportedAt - reportLag; m.reportsFree && reported > at {
+		at, spareC, spareM = reported, m.lastReport.FreeCores, m.lastReport.FreeMemory
 	}
 	c, b := r.changesSince(m, at)
 	return max(0, kind.Cores-spareC+c), max(0, kind.Memory-spareM+b)
 }
 
-// bent is what is left of a bend by now.
-func (r *reference) bent(m *machine, bend float64) float64 {
-	if m.bendAt == r.p.now {
+// calibrationBelow is what is left of a bend by now.
+func (r *reference) bent(m *workerInfo, bend float64) float64 {
+	if m.calibratedAt == r.p.now {
 		return bend
 	}
-	return 1 - (1-bend)*math.Exp2(-float64(r.p.now-m.bendAt)/float64(bendHalf))
+	return 1 - (1-bend)*math.Exp2(-float64(r.p.now-m.calibratedAt)/float64(calibrationHalfLife))
 }
 
 func (r *reference) calm() float64 {
 	least := math.Inf(1)
-	for _, c := range r.p.s.Classes {
+	for _, c := range r.p.settings.Classes {
 		least = min(least, c.SaturationLoad)
 	}
 	return least
 }
 
-func (r *reference) bears(m *machine) (cores, mem float64) {
+func (r *reference) bears(m *workerInfo) (cores, mem float64) {
 	p := r.p
-	kind := p.s.Kinds[m.kind]
-	c, b := p.s.CoresOvercommit, p.s.MemoryOvercommit
-	if p.asked[0] > 0 && p.used[0] > 0 {
-		c = min(c, r.calm()*p.asked[0]/p.used[0])
+	kind := p.settings.Kinds[m.kindIndex]
+	c, b := p.settings.CoresOvercommit, p.settings.MemoryOvercommit
+	if p.reportedRequests[0] > 0 && p.reportedUsage[0] > 0 {
+		c = min(c, r.calm()*p.reportedRequests[0]/p.reportedUsage[0])
 	}
-	if p.asked[1] > 0 && p.used[1] > 0 {
-		b = min(b, memoryFull*p.asked[1]/p.used[1])
+	if p.reportedRequests[1] > 0 && p.reportedUsage[1] > 0 {
+		b = min(b, memorySaturation*p.reportedRequests[1]/p.reportedUsage[1])
 	}
-	return kind.Cores * c * r.bent(m, m.bendC), kind.Memory * b * r.bent(m, m.bendM)
+	return kind.Cores * c * r.bent(m, m.coresCalibration), kind.Memory * b * r.bent(m, m.memoryCalibration)
 }
 
-func (r *reference) share(m *machine) float64 {
+func (r *reference) share(m *workerInfo) float64 {
 	c, b := r.load(m)
 	bearC, bearM := r.bears(m)
 	return max(c/bearC, b/bearM)
@@ -96,11 +96,11 @@
 func (r *reference) fleet() (rho, cores float64) {
 	var have, n float64
 	for _, m := range r.machines {
-		if !m.listed || m.State != Ready || m.kind < 0 {
+		if !m.listed || m.State != Ready || m.kindIndex < 0 {
 			continue
 		}
-		size := r.p.s.Kinds[m.kind].Cores
-		if r.p.s.HasView {
+		size := r.p.settings.Kinds[m.kindIndex].Cores
+		if r.p.settings.HasView {
 			rho += r.share(m) * size
 		}
 		have += size
@@ -114,7 +114,7 @@
 
 func (r *reference) askedCores() (sum float64) {
 	for _, m := range r.machines {
-		if m.listed && m.kind >= 0 && r.p.s.HasView {
+		if m.listed && m.kindIndex >= 0 && r.p.settings.HasView {
 			c, _ := r.load(m)
 			sum += c
 		}
@@ -124,121 +124,121 @@
 
 func (r *reference) othersBinds() (shares [2]float64) {
 	p := r.p
-	if !p.crowd || !p.s.HasView {
+	if !p.overloaded || !p.settings.HasView {
 		return shares
 	}
 	var net, squares, have [2]float64
 	for _, m := range r.machines {
-		if m.kind < 0 || !m.listed {
+		if m.kindIndex < 0 || !m.listed {
 			continue
 		}
-		kind := p.s.Kinds[m.kind]
+		kind := p.settings.Kinds[m.kindIndex]
 		have[0], have[1] = have[0]+kind.Cores, have[1]+kind.Memory
 		for _, d := range m.deltas {
-			if d.at > m.viewAt-p.lag {
-				net[0], net[1] = net[0]+d.cores, net[1]+d.mem
-				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.mem*d.mem
+			if d.at > m.viewedAt-p.lag {
+				net[0], net[1] = net[0]+d.cores, net[1]+d.memory
+				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.memory*d.memory
 			}
 		}
 	}
 	for i := range shares {
 		beyond := max(0, net[i]-2*math.Sqrt(squares[i]))
-		shares[i] = beyond * float64(p.s.FleetSize-1) / max(1, have[i])
+		shares[i] = beyond * float64(p.settings.FleetSize-1) / max(1, have[i])
 	}
 	return shares
 }
 
 func (r *reference) room() (units float64) {
 	p := r.p
-	if p.s.UnitCores <= 0 || p.s.UnitMemory <= 0 {
+	if p.settings.UnitCores <= 0 || p.settings.UnitMemory <= 0 {
 		return math.Inf(1)
 	}
 	for _, m := range r.machines {
-		if !m.listed || m.State != Ready || m.kind < 0 || !p.s.HasView {
+		if !m.listed || m.State != Ready || m.kindIndex < 0 || !p.settings.HasView {
 			continue
 		}
 		c, b := r.load(m)
 		bearC, bearM := r.bears(m)
-		free := min((bearC-c)/p.s.UnitCores, (bearM-b)/p.s.UnitMemory) / float64(p.s.FleetSize)
-		units += max(0, min(free, m.window-float64(len(m.unanswered))))
+		free := min((bearC-c)/p.settings.UnitCores, (bearM-b)/p.settings.UnitMemory) / float64(p.settings.FleetSize)
+		units += max(0, min(free, m.attemptWindow-float64(len(m.unanswered))))
 	}
 	return units
 }
 
 // --- Filters ---
 
-func (r *reference) same(a, b *machine, s Scope) bool {
+func (r *reference) same(a, b *workerInfo, s Scope) bool {
 	switch s {
 	case ScopeMachine:
 		return a == b
 	case ScopeCell:
-		return a.known && b.known && a.Cell == b.Cell
+		return a.everListed && b.everListed && a.Cell == b.Cell
 	case ScopeZone:
-		return a.known && b.known && a.Zone == b.Zone
+		return a.everListed && b.everListed && a.Zone == b.Zone
 	}
 	return true
 }
 
 // allowed is the rules, the kind and the window.
-func (r *reference) allowed(m *machine, t *task) bool {
-	c := &r.p.s.Classes[t.class]
+func (r *reference) allowed(m *workerInfo, t *taskInfo) bool {
+	c := &r.p.settings.Classes[t.classIndex]
 	switch {
-	case !m.listed || m.State != Ready || m.kind < 0 || r.p.now < m.leavingTo:
+	case !m.listed || m.State != Ready || m.kindIndex < 0 || r.p.now < m.drainingUntil:
 		return false
-	case float64(len(m.unanswered)) >= m.window:
+	case float64(len(m.unanswered)) >= m.attemptWindow:
 		return false
-	case c.Kind >= 0 && c.Kind != m.kind:
+	case c.Kind >= 0 && c.Kind != m.kindIndex:
 		return false
 	}
 	return r.inGroup(m, c, t) && r.spreadKept(m, c, t) && r.coldKept(m)
 }
 
-func (r *reference) inGroup(m *machine, c *Class, t *task) bool {
-	if t.mayRun == nil || c.Effect == Safe {
+func (r *reference) inGroup(m *workerInfo, c *Class, t *taskInfo) bool {
+	if t.mayHaveRun == nil || c.Effect == Safe {
 		return true
 	}
-	if c.Effect == Unsafe || r.p.now >= t.mayRun.at+c.WindowUs {
+	if c.Effect == Unsafe || r.p.now >= t.mayHaveRun.sentAt+c.WindowUs {
 		return false
 	}
-	return c.Group == ScopeAll || r.same(m, t.mayRun.m, c.Group)
+	return c.Group == ScopeAll || r.same(m, t.mayHaveRun.worker, c.Group)
 }
 
-func (r *reference) spreadKept(m *machine, c *Class, t *task) bool {
+func (r *reference) spreadKept(m *workerInfo, c *Class, t *taskInfo) bool {
 	if c.Spread == ScopeNone {
 		return true
 	}
 	tasks := 1
 	for _, o := range r.machines {
-		if h := o.homes[t.Program]; h != nil && (r.same(m, o, c.Spread) || !o.known && o != m) {
-			tasks += h.held
+		if h := o.residentPrograms[t.Program]; h != nil && (r.same(m, o, c.Spread) || !o.everListed && o != m) {
+			tasks += h.active
 		}
 	}
 	return tasks <= c.MaxPerDomain
 }
 
-func (r *reference) cold(m *machine) bool {
-	return m.StartedAtUs > 0 && r.p.now < m.StartedAtUs+r.p.s.WarmUpUs
+func (r *reference) cold(m *workerInfo) bool {
+	return m.StartedAtUs > 0 && r.p.now < m.StartedAtUs+r.p.settings.WarmUpUs
 }
 
-func (r *reference) coldKept(m *machine) bool {
+func (r *reference) coldKept(m *workerInfo) bool {
 	p := r.p
 	if !r.cold(m) {
 		return true
 	}
 	offersAfter := func(at int64) (n int) {
-		for _, o := range m.offers {
+		for _, o := range m.offerTimes {
 			if o > at {
 				n++
 			}
 		}
 		return n
 	}
-	span := p.s.SlowStartWindowUs*11/10 + 1
-	budget := min(p.s.SlowStartOffers, 2*(p.s.SlowStartOffers+2*math.Sqrt(p.s.SlowStartOffers)+2)/3)
-	fleet := p.s.FleetSize
-	seat := (p.s.SelfIndex + int(m.id%uint64(fleet))) % fleet
+	span := p.settings.SlowStartWindowUs*11/10 + 1
+	budget := min(p.settings.SlowStartOffers, 2*(p.settings.SlowStartOffers+2*math.Sqrt(p.settings.SlowStartOffers)+2)/3)
+	fleet := p.settings.FleetSize
+	seat := (p.settings.SelfIndex + int(m.nameHash%uint64(fleet))) % fleet
 	if int(budget) >= fleet {
-		return p.now >= p.born+span && offersAfter(max(p.now-span, m.StartedAtUs-1)) < (int(budget)+seat)/fleet
+		return p.now >= p.startedAt+span && offersAfter(max(p.now-span, m.StartedAtUs-1)) < (int(budget)+seat)/fleet
 	}
 	if budget < 1 || p.now < m.StartedAtUs {
 		return false
@@ -250,59 +250,59 @@
 	turns := (fleet + crowd - 1) / crowd
 	slot := p.now / span
 	begun := slot * span
-	return slot%int64(turns*step) == int64(seat%turns*step) && p.born < begun && offersAfter(begun-1) == 0
+	return slot%int64(turns*step) == int64(seat%turns*step) && p.startedAt < begun && offersAfter(begun-1) == 0
 }
 
-func (r *reference) suspicion(m *machine, class int) float64 {
-	d := m.doubts[class]
+func (r *reference) suspicion(m *workerInfo, class int) float64 {
+	d := m.suspicions[class]
 	if d.score == 0 {
 		return 0
 	}
-	return d.score * math.Exp2(-float64(r.p.now-d.at)/float64(suspectHalf))
+	return d.score * math.Exp2(-float64(r.p.now-d.updatedAt)/float64(suspicionHalfLife))
 }
 
 func (r *reference) patience() int64 {
-	if r.p.s.AcceptMeansRunning {
-		return max(int64(r.p.rttMean+8*r.p.rttDev), second)
+	if r.p.settings.AcceptMeansRunning {
+		return max(int64(r.p.meanRTT+8*r.p.rttDeviation), second)
 	}
-	return max(int64(r.p.rttMean+4*r.p.rttDev), second/8)
+	return max(int64(r.p.meanRTT+4*r.p.rttDeviation), second/8)
 }
 
-func (r *reference) healthy(m *machine, class int) bool {
-	if r.p.rttMean > 0 {
-		if len(m.unanswered) > 0 && r.p.now-m.unanswered[0].at > r.patience() {
+func (r *reference) healthy(m *workerInfo, class int) bool {
+	if r.p.meanRTT > 0 {
+		if len(m.unanswered) > 0 && r.p.now-m.unanswered[0].sentAt > r.patience() {
 			return false
 		}
-		if m.probedAt > 0 && r.p.now-m.probedAt > r.patience() {
+		if m.probeSentAt > 0 && r.p.now-m.probeSentAt > r.patience() {
 			return false
 		}
 	}
 	s := r.suspicion(m, class)
-	return s < suspectTry || s < suspectOut && len(m.unanswered) == 0 && r.p.s.Classes[class].Effect != Unsafe
+	return s < suspectThreshold || s < ejectionThreshold && len(m.unanswered) == 0 && r.p.settings.Classes[class].Effect != Unsafe
 }
 
 // fits reports whether m has room for t, and whether that is at a border.
-func (r *reference) fits(m *machine, t *task) (fits, border bool) {
+func (r *reference) fits(m *workerInfo, t *taskInfo) (fits, border bool) {
 	p := r.p
-	kind := p.s.Kinds[m.kind]
-	if !p.s.HasView {
-		return t.Cores <= kind.Cores*p.s.CoresOvercommit && t.Memory <= kind.Memory*p.s.MemoryOvercommit, false
+	kind := p.settings.Kinds[m.kindIndex]
+	if !p.settings.HasView {
+		return t.Cores <= kind.Cores*p.settings.CoresOvercommit && t.Memory <= kind.Memory*p.settings.MemoryOvercommit, false
 	}
 	cores, mem := r.load(m)
-	if p.crowd {
-		cores += min(p.taken*kind.Cores, max(0, m.FreeCores-m.lastingC)) + p.others[0]*kind.Cores
-		mem += min(p.taken*kind.Memory, max(0, m.FreeMemory-m.lastingM)) + p.others[1]*kind.Memory
+	if p.overloaded {
+		cores += min(p.contention*kind.Cores, max(0, m.FreeCores-m.sustainedFreeCores)) + p.concurrentPlacements[0]*kind.Cores
+		mem += min(p.contention*kind.Memory, max(0, m.FreeMemory-m.sustainedFreeMemory)) + p.concurrentPlacements[1]*kind.Memory
 	}
 	atMost := func(v, most float64) bool {
 		border = border || math.Abs(v-most) <= referenceSlack*max(1, most)
 		return v <= most
 	}
-	if !atMost(cores+t.Cores, kind.Cores*p.s.CoresOvercommit) || !atMost(mem+t.Memory, kind.Memory*p.s.MemoryOvercommit) {
+	if !atMost(cores+t.Cores, kind.Cores*p.settings.CoresOvercommit) || !atMost(mem+t.Memory, kind.Memory*p.settings.MemoryOvercommit) {
 		return false, border
 	}
 	bearC, bearM := r.bears(m)
-	small := atMost(max(t.Cores/bearC, t.Memory/bearM), largeShare)
-	if !small && p.now-t.arrived > p.s.Classes[t.class].ObjectiveUs/4 {
+	small := atMost(max(t.Cores/bearC, t.Memory/bearM), largeTaskShare)
+	if !small && p.now-t.arrivedAt > p.settings.Classes[t.classIndex].ObjectiveUs/4 {
 		return true, border
 	}
 	enoughC, enoughM := atMost(cores+t.Cores, bearC), atMost(mem+t.Memory, bearM)
@@ -311,7 +311,7 @@
 
 // --- Cost ---
 
-func (r *reference) backlog(m *machine) float64 {
+func (r *reference) backlog(m *workerInfo) float64 {
 	n := len(m.unanswered)
 	for _, t := range m.running {
 		if t.attempts[len(t.attempts)-1].starting {
@@ -319,36 +319,36 @@
 		}
 	}
 	waiting := float64(n)
-	if r.p.now-m.toldAt < reportFresh && m.told.Queued >= waiting && m.told.Queued <= 1e4 {
-		waiting = m.told.Queued
+	if r.p.now-m.reportedAt < reportValidity && m.lastReport.Queued >= waiting && m.lastReport.Queued <= 1e4 {
+		waiting = m.lastReport.Queued
 	}
-	return startShare * waiting
+	return startPenalty * waiting
 }
 
-func (r *reference) pace(m *machine) float64 {
+func (r *reference) pace(m *workerInfo) float64 {
 	if !r.cold(m) {
 		return 1
 	}
-	warm := max(0, float64(r.p.now-m.StartedAtUs)/float64(r.p.s.WarmUpUs))
-	return max(0.1, r.p.s.ColdStartRate+(1-r.p.s.ColdStartRate)*warm)
+	warm := max(0, float64(r.p.now-m.StartedAtUs)/float64(r.p.settings.WarmUpUs))
+	return max(0.1, r.p.settings.ColdStartRate+(1-r.p.settings.ColdStartRate)*warm)
 }
 
-func (r *reference) away(m *machine, t *task) float64 {
-	if t.Program == 0 || m.homes[t.Program] != nil {
+func (r *reference) away(m *workerInfo, t *taskInfo) float64 {
+	if t.Program == 0 || m.residentPrograms[t.Program] != nil {
 		return 0
 	}
-	place := (1 - float64(mix(m.id^mix(t.Program)))/math.MaxUint64) * float64(len(r.machines))
-	return min(1, place/awayOver)
+	place := (1 - float64(mix(m.nameHash^mix(t.Program)))/math.MaxUint64) * float64(len(r.machines))
+	return min(1, place/programWorkers)
 }
 
-func (r *reference) cost(m *machine, t *task) float64 {
-	cores := r.p.s.Kinds[m.kind].Cores
-	rho := min(r.rho, rhoMost)
+func (r *reference) cost(m *workerInfo, t *taskInfo) float64 {
+	cores := r.p.settings.Kinds[m.kindIndex].Cores
+	rho := min(r.rho, maxUtilization)
 	u := rho
-	if r.p.s.HasView {
+	if r.p.settings.HasView {
 		u = r.share(m)
 	}
-	u += r.backlog(m)*r.mean/cores/r.pace(m) + awayShare*r.away(m, t)
+	u += r.backlog(m)*r.mean/cores/r.pace(m) + missPenalty*r.away(m, t)
 	bearC, bearM := r.bears(m)
 	x := max(t.Cores/bearC, t.Memory/bearM)
 	return u + cores/r.mean/(1-rho)*(u*x+x*x/2)
@@ -358,8 +358,8 @@
 
 // choice is what a full scan comes to.
 type choice struct {
-	must, may []*machine // the draw is among all of must and any of may, which holds must too
-	wide      []*machine // within twice the margin
+	must, may []*workerInfo // the draw is among all of must and any of may, which holds must too
+	wide      []*workerInfo // within twice the margin
 	many      bool       // more can be chosen than are looked at one by one
 	how       string     // on what path
 }
@@ -375,27 +375,27 @@
 
 // candidate is a machine that the rules allow.
 type candidate struct {
-	m            *machine
+	m            *workerInfo
 	well         bool
 	room, border bool
 }
 
-func (r *reference) candidates(t *task) (list []candidate) {
+func (r *reference) candidates(t *taskInfo) (list []candidate) {
 	for _, m := range r.machines {
-		if !r.allowed(m, t) || t.rank*keptOver < r.p.kept[m] {
+		if !r.allowed(m, t) || t.priority*reservationFactor < r.p.reservations[m] {
 			continue
 		}
-		erred := slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.erred && a.m == m })
+		erred := slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.failed && a.worker == m })
 		room, border := r.fits(m, t)
-		list = append(list, candidate{m, r.healthy(m, t.class) && !erred, room, border})
+		list = append(list, candidate{m, r.healthy(m, t.classIndex) && !erred, room, border})
 	}
 	return list
 }
 
-// choose is the full scan over the candidates.
-func (r *reference) choose(list []candidate, t *task) choice {
-	effect := r.p.s.Classes[t.class].Effect
-	var fit, well []*machine
+// selectWorker is the full scan over the candidates.
+func (r *reference) choose(list []candidate, t *taskInfo) choice {
+	effect := r.p.settings.Classes[t.classIndex].Effect
+	var fit, well []*workerInfo
 	good := 0
 	for _, c := range list {
 		if c.well {
@@ -417,23 +417,23 @@
 		if good > bad && effect != Safe {
 			return choice{how: pathWaits}
 		}
-		least := r.leastSuspect(fit, t.class)
+		least := r.leastSuspect(fit, t.classIndex)
 		if least == nil {
 			return choice{how: pathWaits}
 		}
-		well, how = []*machine{least}, pathFallback
+		well, how = []*workerInfo{least}, pathFallback
 	}
 	for _, m := range well {
-		if m.back && effect != Unsafe {
-			return choice{[]*machine{m}, []*machine{m}, nil, false, pathReturned}
+		if m.awaitsFirstTask && effect != Unsafe {
+			return choice{[]*workerInfo{m}, []*workerInfo{m}, nil, false, pathReturned}
 		}
 	}
 	must, may, wide := r.nearLowest(well, t)
-	return choice{must, may, wide, len(well) > enumerated, how}
+	return choice{must, may, wide, len(well) > maxEnumerated, how}
 }
 
-// leastSuspect is the first of the least suspect machines that owe one answer at most.
-func (r *reference) leastSuspect(ms []*machine, class int) (least *machine) {
+// fallback is the first of the least suspect machines that owe one answer at most.
+func (r *reference) leastSuspect(ms []*workerInfo, class int) (least *workerInfo) {
 	for _, m := range ms {
 		if len(m.unanswered) <= 1 && (least == nil || r.suspicion(m, class) < r.suspicion(least, class)) {
 			least = m
@@ -442,7 +442,7 @@
 	return least
 }
 
-func (r *reference) nearLowest(ms []*machine, t *task) (must, may, wide []*machine) {
+func (r *reference) nearLowest(ms []*workerInfo, t *taskInfo) (must, may, wide []*workerInfo) {
 	least := math.Inf(1)
 	costs := make([]float64, len(ms))
 	for i, m := range ms {
@@ -450,13 +450,13 @@
 		least = min(least, costs[i])
 	}
 	for i, m := range ms {
-		if costs[i] <= least+margin-referenceSlack {
+		if costs[i] <= least+costMargin-referenceSlack {
 			must = append(must, m)
 		}
-		if costs[i] <= least+margin+referenceSlack {
+		if costs[i] <= least+costMargin+referenceSlack {
 			may = append(may, m)
 		}
-		if costs[i] <= least+2*margin {
+		if costs[i] <= least+2*costMargin {
 			wide = append(wide, m)
 		}
 	}
@@ -464,11 +464,11 @@
 }
 
 // matches reports whether machines are what this choice draws among.
-func (c choice) matches(got []*machine) bool {
+func (c choice) matches(got []*workerInfo) bool {
 	if c.many { // a part of them is drawn from
-		return len(got) > 0 && !slices.ContainsFunc(got, func(m *machine) bool { return !slices.Contains(c.wide, m) })
+		return len(got) > 0 && !slices.ContainsFunc(got, func(m *workerInfo) bool { return !slices.Contains(c.wide, m) })
 	}
-	has := map[*machine]bool{}
+	has := map[*workerInfo]bool{}
 	for _, m := range got {
 		if has[m] || !slices.Contains(c.may, m) {
 			return false
@@ -512,21 +512,21 @@
 
 // compareNearest says on what path the full scan decides about t, whether a border had
 // to be decided otherwise, and what is wrong with got.
-func (r *reference) compareNearest(t *task, got []*machine) (path string, flipped bool, err error) {
+func (r *reference) compareNearest(t *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
 	list := r.candidates(t)
 	want := r.choose(list, t)
 	ok, flipped := eachFlip(list, func(l []candidate) bool { return r.choose(l, t).matches(got) })
 	if !ok {
-		err = fmt.Errorf("task %+v, rank %v: nearest = %s, the full scan (%s) gives %s", t.Task, t.rank, names(got), want.how, names(want.may))
+		err = fmt.Errorf("task %+v, rank %v: nearest = %s, the full scan (%s) gives %s", t.Task, t.priority, names(got), want.how, names(want.may))
 	}
 	return want.how, flipped, err
 }
 
 // compareElsewhere checks whether a machine other than m has room for t.
-func (r *reference) compareElsewhere(t *task, m *machine, got bool) (flipped bool, err error) {
+func (r *reference) compareElsewhere(t *taskInfo, m *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
 	for _, o := range r.machines {
-		if o != m && r.allowed(o, t) && r.healthy(o, t.class) {
+		if o != m && r.allowed(o, t) && r.healthy(o, t.classIndex) {
 			room, border := r.fits(o, t)
 			list = append(list, candidate{o, true, room, border})
 		}
@@ -541,13 +541,13 @@
 }
 
 // compareKeep checks the machine that is newly kept for t, or nil.
-func (r *reference) compareKeep(t *task, got *machine) error {
+func (r *reference) compareKeep(t *taskInfo, got *workerInfo) error {
 	p := r.p
-	var want []*machine
-	if p.s.HasView && len(p.kept)*2 < len(r.machines) {
-		least, needs := math.Inf(1), map[*machine]float64{}
+	var want []*workerInfo
+	if p.settings.HasView && len(p.reservations)*2 < len(r.machines) {
+		least, needs := math.Inf(1), map[*workerInfo]float64{}
 		for _, m := range r.machines {
-			if p.kept[m] > 0 || !r.allowed(m, t) || !r.healthy(m, t.class) {
+			if p.reservations[m] > 0 || !r.allowed(m, t) || !r.healthy(m, t.classIndex) {
 				continue
 			}
 			c, b := r.load(m)
@@ -574,14 +574,14 @@
 // compareSums checks what is summed over the fleet.
 func (r *reference) compareSums() error {
 	p := r.p
-	rho, mean := p.fleet()
-	others, wantOthers := p.othersBinds(), r.othersBinds()
+	rho, mean := p.meanUtilization()
+	others, wantOthers := p.estimateConcurrentPlacements(), r.othersBinds()
 	for _, c := range []struct {
 		name      string
 		got, want float64
 	}{
-		{"asked share of the fleet", rho, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", p.askedCores(), r.askedCores()},
-		{"room", p.room(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
+		{"asked share of the fleet", rho, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", p.fleetRequestedCores(), r.askedCores()},
+		{"room", p.freeUnits(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
 	} {
 		if c.got != c.want && math.Abs(c.got-c.want) > referenceSlack*max(1, math.Abs(c.want)) {
 			return fmt.Errorf("%s: %v, the full scan gives %v", c.name, c.got, c.want)
@@ -590,7 +590,7 @@
 	return nil
 }
 
-func names(ms []*machine) string {
+func names(ms []*workerInfo) string {
 	if ms == nil {
 		return "none"
 	}
--- a/placement/rules.go
+++ b/placement/rules.go
@@ -5,41 +5,41 @@
 import "math"
 
 const (
-	// A cold machine falls at coldChance roots of its budget, and as many offers, over it.
-	// Those told of its start send toldMost of that at most: others may not know of it yet.
-	coldChance = 2.0
-	toldMost   = 2.0 / 3
+	// A cold machine falls at slowStartDeviations roots of its budget, and as many offers, over it.
+	// Those told of its start send informedShare of that at most: others may not know of it yet.
+	slowStartDeviations = 2.0
+	informedShare   = 2.0 / 3
 )
 
-// windowOpen reports whether machines still remember a keyed task.
-func (p *Scheduler) windowOpen(c *Class, t *task) bool {
-	return p.now < t.mayRun.at+c.WindowUs
+// repeatWindowOpen reports whether machines still remember a keyed task.
+func (p *Scheduler) repeatWindowOpen(c *Class, t *taskInfo) bool {
+	return p.now < t.mayHaveRun.sentAt+c.WindowUs
 }
 
-// inGroup keeps the second rule: what may have run goes only to the machines
+// withinGroup keeps the second rule: what may have run goes only to the machines
 // that discard its repeats.
-func (p *Scheduler) inGroup(m *machine, c *Class, t *task) bool {
-	if t.mayRun == nil || c.Effect == Safe {
+func (p *Scheduler) withinGroup(m *workerInfo, c *Class, t *taskInfo) bool {
+	if t.mayHaveRun == nil || c.Effect == Safe {
 		return true
 	}
-	if c.Effect == Unsafe || !p.windowOpen(c, t) {
+	if c.Effect == Unsafe || !p.repeatWindowOpen(c, t) {
 		return false
 	}
-	return c.Group == ScopeAll || samePlace(m, t.mayRun.m, c.Group)
+	return c.Group == ScopeAll || sameDomain(m, t.mayHaveRun.worker, c.Group)
 }
 
-// spreadKept keeps the fifth rule. A machine whose place was never told counts
+// spreadAllows keeps the fifth rule. A machine whose place was never told counts
 // in every place.
-func (p *Scheduler) spreadKept(m *machine, c *Class, t *task) bool {
+func (p *Scheduler) spreadAllows(m *workerInfo, c *Class, t *taskInfo) bool {
 	if c.Spread == ScopeNone {
 		return true
 	}
-	s := p.spreadOf(t.Program)
-	n := 1 + s.unplaced
+	s := p.countsOf(t.Program)
+	n := 1 + s.unknownDomain
 	switch c.Spread {
 	case ScopeMachine:
-		if h := m.homes[t.Program]; h != nil && m.known {
-			n += h.held
+		if h := m.residentPrograms[t.Program]; h != nil && m.everListed {
+			n += h.active
 		}
 	case ScopeCell:
 		n += s.cells[m.Cell]
@@ -49,25 +49,25 @@
 	return n <= c.MaxPerDomain
 }
 
-func (p *Scheduler) cold(m *machine) bool {
-	return m.StartedAtUs > 0 && p.now < m.StartedAtUs+p.s.WarmUpUs
+func (p *Scheduler) warmingUp(m *workerInfo) bool {
+	return m.StartedAtUs > 0 && p.now < m.StartedAtUs+p.settings.WarmUpUs
 }
 
-// coldKept keeps the fourth rule: all placers together offer a cold machine at most a
+// slowStartAllows keeps the fourth rule: all placers together offer a cold machine at most a
 // budget in any SlowStartWindowUs, here a tenth longer as offers differ in their way. Where that
 // is one or more for each, every placer keeps to its part. Else they take turns in slots of
 // the common clock, each for half as many placers as the budget, for one offer each: a span
 // touches two slots at most. What it sent before its own start a placer does not know, so
 // it sits that span or slot out.
-func (p *Scheduler) coldKept(m *machine) bool {
-	if !p.cold(m) {
+func (p *Scheduler) slowStartAllows(m *workerInfo) bool {
+	if !p.warmingUp(m) {
 		return true
 	}
-	span, n := p.s.SlowStartWindowUs*11/10+1, p.s.SlowStartOffers
-	n = min(n, toldMost*(n+coldChance*math.Sqrt(n)+coldChance))
-	fleet, seat := p.s.FleetSize, p.seat(m)
+	span, n := p.settings.SlowStartWindowUs*11/10+1, p.settings.SlowStartOffers
+	n = min(n, informedShare*(n+slowStartDeviations*math.Sqrt(n)+slowStartDeviations))
+	fleet, seat := p.settings.FleetSize, p.seatAt(m)
 	if part := (int(n) + seat) / fleet; int(n) >= fleet {
-		return p.now >= p.born+span && m.offersAfter(max(p.now-span, m.StartedAtUs-1)) < part
+		return p.now >= p.startedAt+span && m.offersAfter(max(p.now-span, m.StartedAtUs-1)) < part
 	}
 	if n < 1 || p.now < m.StartedAtUs {
 		return false
@@ -79,5 +79,5 @@
 	turns := (fleet + crowd - 1) / crowd
 	slot := p.now / span // not from its start: some may know of an earlier one only
 	begun := slot * span
-	return slot%int64(turns*step) == int64(seat%turns*step) && p.born < begun && m.offersAfter(begun-1) == 0
+	return slot%int64(turns*step) == int64(seat%turns*step) && p.startedAt < begun && m.offersAfter(begun-1) == 0
 }
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -257,7 +257,7 @@
 	return best
 }
 
-// bind starts x on w, which the list shows later.
+// addDelta starts x on w, which the list shows later.
 func (s *site) bind(x *siteTask, w *siteWorker) {
 	x.worker = w
 	w.askC, w.askM = w.askC+x.Cores, w.askM+x.Memory
@@ -316,10 +316,10 @@
 	}
 }
 
-// place asks for a worker, and answers a question about a worker's load.
+// runPass asks for a worker, and answers a question about a worker's load.
 func (s *site) place(e *exchange) {
 	actions := s.handle(Request{e.task.Task})
-	for range probesMost {
+	for range maxProbesPerTask {
 		var ask *Probe
 		for _, a := range actions {
 			switch a := a.(type) {
@@ -344,7 +344,7 @@
 	}
 }
 
-// finish makes the site follow an exchange.
+// giveFinalResponse makes the site follow an exchange.
 func (s *site) finish(e *exchange) {
 	if e.ended != nil {
 		s.unbind(e.ended)
--- a/placement/state.go
+++ b/placement/state.go
@@ -13,76 +13,76 @@
 
 // Scheduler decides for one placer. It is not safe for concurrent use.
 type Scheduler struct {
-	s       Settings
-	rng     *rand.Rand
-	classes map[string]int // by name
-	tenants map[string]int
-	// calmLevel and fadeLevel are the least Calm and Fade of all classes.
-	calmLevel, fadeLevel float64
+	settings       Settings
+	random     *rand.Rand
+	classIndexes map[string]int // by name
+	tenantIndexes map[string]int
+	// minSaturationLoad and minSaturationRange are the least Calm and Fade of all classes.
+	minSaturationLoad, minSaturationRange float64
 
 	now    int64
-	born   int64
-	out    []Action
-	wakeAt int64
+	startedAt   int64
+	actions    []Action
+	timerAt int64
 
 	// What is known of machines.
-	machines     map[string]*machine
-	order        []*machine            // by name
-	ids          []uint64              // of order
-	reordered    bool                  // ordinals and ids are those of an earlier order
-	departed     map[*machine]bool     // in order, and not listed
-	foreign      int                   // listed machines of other placers
-	returned     map[*machine]bool     // put back by hand, and perhaps used since
-	lagged       []*machine            // see laggedMachines; and others
-	bent         []*machine            // whose bends may not be forgotten yet
-	programs     map[uint64][]*machine // which machines hold tasks of a program
-	preferred    map[uint64][]*machine // the first in the order hashed from a program
-	homesChanged int64                 // counts changes of what machines hold, and of their places
-	spread       spread
+	workers     map[string]*workerInfo
+	sorted        []*workerInfo            // by name
+	nameHashes          []uint64              // of order
+	ordinalsStale    bool                  // ordinals and ids are those of an earlier order
+	unlisted     map[*workerInfo]bool     // in order, and not listed
+	foreignCount      int                   // listed machines of other placers
+	uncordoned     map[*workerInfo]bool     // put back by hand, and perhaps used since
+	lagDependent       []*workerInfo            // see lagDependentWorkers; and others
+	calibrated         []*workerInfo            // whose bends may not be forgotten yet
+	residents     map[uint64][]*workerInfo // which machines hold tasks of a program
+	preferred    map[uint64][]*workerInfo // the first in the order hashed from a program
+	version int64                 // counts changes of what machines hold, and of their places
+	counts       spreadCounts
 
 	// What all machines together have and are asked for.
-	bearing    shares  // what machines of no bend bear, as parts of their size
-	fleetAsked float64 // cores that the listed machines are asked for
-	listedSize shares  // cores and memory of the listed machines
-	means      means
-	spare      float64 // see room
-	spareAt    int64   // when spare was computed
+	baseline    fractions  // what machines of no bend bear, as parts of their size
+	requestedCores float64 // cores that the listed machines are asked for
+	listedCapacity fractions  // cores and memory of the listed machines
+	means      fleetMeans
+	cachedFreeUnits      float64 // see room
+	freeUnitsAt    int64   // when spare was computed
 
 	// Searches for machines.
-	index  fleetIndex
+	index  workerIndex
 	search search
-	visit  func(*machine) bool // consider, bound once
-	marks  []uint64            // used by nth
+	visitCandidate  func(*workerInfo) bool // consider, bound once
+	ordinalBits  []uint64            // used by nth
 
 	// Requests, and the round in which held ones are looked at.
-	tasks   map[string]*task
-	waiting []*task
-	round   []*task              // the held tasks of this round
-	stuck   map[shape]bool       // what found no machine in this round
-	kept    map[*machine]float64 // for held tasks of that rank, in this round
-	keptNow []*machine           // the same machines, in the order in which they were kept
-	stirred bool                 // something happened that may let a held task go
+	tasks   map[string]*taskInfo
+	pending []*taskInfo
+	passTasks   []*taskInfo              // the held tasks of this round
+	unschedulable   map[taskShape]bool       // what found no machine in this round
+	reservations    map[*workerInfo]float64 // for held tasks of that rank, in this round
+	reservedWorkers []*workerInfo           // the same machines, in the order in which they were kept
+	dirty bool                 // something happened that may let a held task go
 
 	// Others' binds, while more tasks come than find room.
-	taken    float64    // of the room that the view shows, by others
-	others   [2]float64 // shares of all cores and memory bound by others since the view
-	crowd    bool       // more tasks come than find room
-	keep     []float64  // units that a class leaves to those of more worth
-	roomPace float64    // at which room comes while tasks wait, or 0
+	contention    float64    // of the room that the view shows, by others
+	concurrentPlacements   [2]float64 // shares of all cores and memory bound by others since the view
+	overloaded    bool       // more tasks come than find room
+	reservedUnits     []float64  // units that a class leaves to those of more worth
+	releaseRate float64    // at which room comes while tasks wait, or 0
 
 	// What is learned of the view, of answers and of own tasks.
-	lagErr   [lagSteps]float64
-	lagSeen  float64
+	lagErrors   [lagSteps]float64
+	lagObservations  float64
 	lag      int64
-	rttMean  float64 // of answers, as TCP keeps it
-	rttDev   float64
-	asked    [2]float64 // cores and memory asked by own tasks whose use is told
-	used     [2]float64
-	ownCores []float64 // cores that own tasks hold, by tenant
-	ownTotal float64
-
-	askAt      int64 // when to ask discovery next; 0: never
-	askTries   int
+	meanRTT  float64 // of answers, as TCP keeps it
+	rttDeviation   float64
+	reportedRequests    [2]float64 // cores and memory asked by own tasks whose use is told
+	reportedUsage     [2]float64
+	tenantCores []float64 // cores that own tasks hold, by tenant
+	totalCores float64
+
+	pollAt      int64 // when to ask discovery next; 0: never
+	pollAttempts   int
 	subscribed bool
 }
 
@@ -92,23 +92,23 @@
 		return nil, fmt.Errorf("ravenhitch: %w", err)
 	}
 	p := &Scheduler{
-		s: s, rng: rand.New(rand.NewPCG(seed, uint64(s.SelfIndex))), born: -1, lag: lagFirst * lagStep,
-		classes: map[string]int{}, tenants: map[string]int{}, calmLevel: math.Inf(1), fadeLevel: math.Inf(1),
-		machines: map[string]*machine{}, departed: map[*machine]bool{}, returned: map[*machine]bool{},
-		programs: map[uint64][]*machine{}, preferred: map[uint64][]*machine{},
-		tasks: map[string]*task{}, stuck: map[shape]bool{}, kept: map[*machine]float64{},
-		ownCores: make([]float64, len(s.Tenants)), keep: make([]float64, len(s.Classes)),
-		index: newFleetIndex(len(s.Kinds)), search: newSearch(len(s.Kinds)),
+		settings: s, random: rand.New(rand.NewPCG(seed, uint64(s.SelfIndex))), startedAt: -1, lag: initialLagSteps * lagStep,
+		classIndexes: map[string]int{}, tenantIndexes: map[string]int{}, minSaturationLoad: math.Inf(1), minSaturationRange: math.Inf(1),
+		workers: map[string]*workerInfo{}, unlisted: map[*workerInfo]bool{}, uncordoned: map[*workerInfo]bool{},
+		residents: map[uint64][]*workerInfo{}, preferred: map[uint64][]*workerInfo{},
+		tasks: map[string]*taskInfo{}, unschedulable: map[taskShape]bool{}, reservations: map[*workerInfo]float64{},
+		tenantCores: make([]float64, len(s.Tenants)), reservedUnits: make([]float64, len(s.Classes)),
+		index: newWorkerIndex(len(s.Kinds)), search: newSearch(len(s.Kinds)),
 	}
 	for i, c := range s.Classes {
-		p.classes[c.Name] = i
-		p.calmLevel, p.fadeLevel = min(p.calmLevel, c.SaturationLoad), min(p.fadeLevel, c.SaturationRange)
+		p.classIndexes[c.Name] = i
+		p.minSaturationLoad, p.minSaturationRange = min(p.minSaturationLoad, c.SaturationLoad), min(p.minSaturationRange, c.SaturationRange)
 	}
 	for i, t := range s.Tenants {
-		p.tenants[t.Name] = i
+		p.tenantIndexes[t.Name] = i
 	}
-	p.bearing = p.multiples()
-	p.visit = p.consider
+	p.baseline = p.computeBaseline()
+	p.visitCandidate = p.evaluate
 	return p, nil
 }
 
@@ -144,62 +144,62 @@
 	return errors.Join(errs...)
 }
 
-func (p *Scheduler) do(a Action) {
-	p.out = append(p.out, a)
+func (p *Scheduler) emit(a Action) {
+	p.actions = append(p.actions, a)
 }
 
 // Avoids reports whether a machine gets no task of any class, as it is suspected.
 func (p *Scheduler) Avoids(name string) bool {
-	m := p.machines[name]
+	m := p.workers[name]
 	if m == nil {
 		return false
 	}
-	for class := range p.s.Classes {
-		if m.suspicion(p.now, class) < suspectOut {
+	for class := range p.settings.Classes {
+		if m.suspicion(p.now, class) < ejectionThreshold {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *Scheduler) jitter(most int64) int64 { return p.rng.Int64N(max(1, most)) + 1 }
+func (p *Scheduler) jitter(most int64) int64 { return p.random.Int64N(max(1, most)) + 1 }
 
-// event hands an event to what decides about it.
-func (p *Scheduler) event(e Event) {
+// handleEvent hands an event to what decides about it.
+func (p *Scheduler) handleEvent(e Event) {
 	switch e := e.(type) {
 	case WorkerList:
-		p.list(e)
+		p.updateWorkers(e)
 	case Request:
-		p.request(e.Task)
+		p.addRequest(e.Task)
 	case Adopted:
-		p.existing(e)
+		p.adopt(e)
 	case Accepted:
-		p.accepted(e)
+		p.attemptAccepted(e)
 	case AttemptEnded:
-		p.done(e)
+		p.attemptEnded(e)
 	case TaskReport:
-		p.noted(e)
+		p.taskReported(e)
 	case ProbeResult:
-		p.sampled(e)
+		p.probeEnded(e)
 	case WorkerReachable:
-		p.reached(e)
+		p.workerReachable(e)
 	case ClientCancelled:
-		p.gone(p.tasks[e.RequestID])
+		p.cancelRequest(p.tasks[e.RequestID])
 	case Backpressure:
-		p.roomPace, p.stirred = e.ReleaseRate, true
-		p.crowd = e.ReleaseRate > 0 || slices.ContainsFunc(e.Reserved, func(v float64) bool { return v > 0 })
-		clear(p.keep)
-		copy(p.keep, e.Reserved)
+		p.releaseRate, p.dirty = e.ReleaseRate, true
+		p.overloaded = e.ReleaseRate > 0 || slices.ContainsFunc(e.Reserved, func(v float64) bool { return v > 0 })
+		clear(p.reservedUnits)
+		copy(p.reservedUnits, e.Reserved)
 	case TimerFired:
-		p.wakeAt, p.stirred = 0, true
+		p.timerAt, p.dirty = 0, true
 	}
 }
 
-// within reports whether v is a number from least to most.
-func within(v, least, most float64) bool { return v >= least && v <= most }
+// inRange reports whether v is a number from least to most.
+func inRange(v, least, most float64) bool { return v >= least && v <= most }
 
-// faded is what is left of v after an age, if half of it goes in each half.
-func faded(v float64, age, half int64) float64 {
+// decayed is what is left of v after an age, if half of it goes in each half.
+func decayed(v float64, age, half int64) float64 {
 	if v == 0 {
 		return 0
 	}
--- a/placement/task.go
+++ b/placement/task.go
@@ -9,146 +9,146 @@
 
 // attempt is one Place, or a task that was found running.
 type attempt struct {
-	m        *machine
-	at       int64
-	waits    bool // no Accepted and no outcome yet
-	done     bool
+	worker        *workerInfo
+	sentAt       int64
+	awaitingResponse    bool // no Accepted and no outcome yet
+	ended     bool
 	starting bool
-	erred    bool // it was answered with an error
+	failed    bool // it was answered with an error
 }
 
-// task is a request that is owed an answer, or a task that runs.
-type task struct {
+// taskInfo is a request that is owed an answer, or a task that runs.
+type taskInfo struct {
 	Task
-	class    int
-	arrived  int64
-	since    int64 // since when its owner stands in line
+	classIndex    int
+	arrivedAt  int64
+	queuedSince    int64 // since when its owner stands in line
 	attempts []*attempt
-	placed   bool
-	ranAt    int64 // when it was placed
-	waiting  bool
-	over     bool     // its owner gave it up; an attempt is still out
-	mayRun   *attempt // the first attempt that may have run
-	stands   bool     // a machine said that a copy stands
-	unfit    bool     // two machines gave an error for it
-	useC     float64  // cores it was seen to use, over cores asked; 0: not told
-	useM     float64
-	rank     float64
-	probes   int // sent for it
+	accepted   bool
+	acceptedAt    int64 // when it was placed
+	pending  bool
+	cancelled     bool     // its owner gave it up; an attempt is still out
+	mayHaveRun   *attempt // the first attempt that may have run
+	copyRunning   bool     // a machine said that a copy stands
+	unusable    bool     // two machines gave an error for it
+	coresUsage     float64  // cores it was seen to use, over cores asked; 0: not told
+	memoryUsage     float64
+	priority     float64
+	probesSent   int // sent for it
 }
 
-// shape is what held tasks of one search have in common.
-type shape struct {
+// taskShape is what held tasks of one search have in common.
+type taskShape struct {
 	class      int
-	cores, mem float64
+	cores, memory float64
 	program    uint64 // where a spread is stated
 }
 
-// use corrects the sums of what own tasks asked and use.
-func (p *Scheduler) use(r int, asked float64, was *float64, now float64) {
+// recordUsage corrects the sums of what own tasks asked and use.
+func (p *Scheduler) recordUsage(r int, asked float64, was *float64, now float64) {
 	if *was == 0 {
-		p.asked[r] += asked
+		p.reportedRequests[r] += asked
 	}
-	p.used[r] += now - *was*asked
+	p.reportedUsage[r] += now - *was*asked
 	*was = max(now/asked, 1e-9)
-	p.bearing = p.multiples()
+	p.baseline = p.computeBaseline()
 }
 
-func (p *Scheduler) unhold(t *task) {
-	if t.waiting {
-		t.waiting = false
-		p.waiting = slices.DeleteFunc(p.waiting, func(b *task) bool { return b == t })
+func (p *Scheduler) dequeue(t *taskInfo) {
+	if t.pending {
+		t.pending = false
+		p.pending = slices.DeleteFunc(p.pending, func(b *taskInfo) bool { return b == t })
 	}
 }
 
-// erredOn reports whether m answered t with an error.
-func (t *task) erredOn(m *machine) bool {
-	return slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.erred && a.m == m })
+// failedOn reports whether m answered t with an error.
+func (t *taskInfo) failedOn(m *workerInfo) bool {
+	return slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.failed && a.worker == m })
 }
 
-func (p *Scheduler) holds(t *task, sign float64) {
-	p.ownTotal += sign * t.Cores
-	if i, ok := p.tenants[t.Tenant]; ok {
-		p.ownCores[i] += sign * t.Cores
+func (p *Scheduler) addTenantCores(t *taskInfo, sign float64) {
+	p.totalCores += sign * t.Cores
+	if i, ok := p.tenantIndexes[t.Tenant]; ok {
+		p.tenantCores[i] += sign * t.Cores
 	}
 }
 
-// drop forgets a task that is over.
-func (p *Scheduler) drop(t *task) {
-	p.unhold(t)
-	if t.placed {
-		p.holds(t, -1)
-		m := t.attempts[len(t.attempts)-1].m
-		m.running = slices.DeleteFunc(m.running, func(b *task) bool { return b == t })
+// forgetTask forgets a task that is over.
+func (p *Scheduler) forgetTask(t *taskInfo) {
+	p.dequeue(t)
+	if t.accepted {
+		p.addTenantCores(t, -1)
+		m := t.attempts[len(t.attempts)-1].worker
+		m.running = slices.DeleteFunc(m.running, func(b *taskInfo) bool { return b == t })
 	}
-	for r, v := range [2]*float64{&t.useC, &t.useM} {
+	for r, v := range [2]*float64{&t.coresUsage, &t.memoryUsage} {
 		if *v > 0 {
 			was := [2]float64{t.Cores, t.Memory}[r]
-			p.asked[r] -= was
-			p.used[r] -= was * *v
+			p.reportedRequests[r] -= was
+			p.reportedUsage[r] -= was * *v
 			*v = 0
-			p.bearing = p.multiples()
+			p.baseline = p.computeBaseline()
 		}
 	}
 	for _, a := range t.attempts {
-		if a.done {
+		if a.ended {
 			continue
 		}
-		a.done = true
-		if a.waits {
-			a.waits = false
-			a.m.unanswered = slices.DeleteFunc(a.m.unanswered, func(b *attempt) bool { return a == b })
+		a.ended = true
+		if a.awaitingResponse {
+			a.awaitingResponse = false
+			a.worker.unanswered = slices.DeleteFunc(a.worker.unanswered, func(b *attempt) bool { return a == b })
 		}
-		p.letGo(a.m, t.Program)
+		p.endResident(a.worker, t.Program)
 	}
 	delete(p.tasks, t.RequestID)
 }
 
-// answered keeps the mean and the spread of the time that answers take.
-func (p *Scheduler) answered(a *attempt, rtt int64) {
-	a.waits = false
-	a.m.unanswered = slices.DeleteFunc(a.m.unanswered, func(b *attempt) bool { return a == b })
-	d := float64(rtt) - p.rttMean
-	if p.rttMean == 0 {
-		p.rttMean, p.rttDev = float64(rtt), float64(rtt)/2
+// recordResponse keeps the mean and the spread of the time that answers take.
+func (p *Scheduler) recordResponse(a *attempt, rtt int64) {
+	a.awaitingResponse = false
+	a.worker.unanswered = slices.DeleteFunc(a.worker.unanswered, func(b *attempt) bool { return a == b })
+	d := float64(rtt) - p.meanRTT
+	if p.meanRTT == 0 {
+		p.meanRTT, p.rttDeviation = float64(rtt), float64(rtt)/2
 		return
 	}
-	p.rttMean += d * rttWeight
-	p.rttDev += (math.Abs(d) - p.rttDev) * rttWeight
+	p.meanRTT += d * rttWeight
+	p.rttDeviation += (math.Abs(d) - p.rttDeviation) * rttWeight
 }
 
-// existing takes over a task that runs. The view holds it already.
-func (p *Scheduler) existing(e Adopted) {
-	class, ok := p.classes[e.Class]
+// adopt takes over a task that runs. The view holds it already.
+func (p *Scheduler) adopt(e Adopted) {
+	class, ok := p.classIndexes[e.Class]
 	if !ok || p.tasks[e.RequestID] != nil {
 		return
 	}
-	m := p.machine(e.Worker)
-	a := &attempt{m: m, at: p.now}
-	t := &task{Task: e.Task, class: class, arrived: p.now, placed: true, attempts: []*attempt{a}}
+	m := p.ensureWorker(e.Worker)
+	a := &attempt{worker: m, sentAt: p.now}
+	t := &taskInfo{Task: e.Task, classIndex: class, arrivedAt: p.now, accepted: true, attempts: []*attempt{a}}
 	p.tasks[e.RequestID] = t
-	p.keepHome(m, t.Program)
-	p.holds(t, 1)
-	p.runs(t, m)
+	p.addResident(m, t.Program)
+	p.addTenantCores(t, 1)
+	p.addRunning(t, m)
 }
 
-// hold puts t among the waiting.
-func (p *Scheduler) hold(t *task) {
-	if !t.waiting {
-		t.waiting, p.stirred = true, true
-		p.waiting = append(p.waiting, t)
+// enqueue puts t among the waiting.
+func (p *Scheduler) enqueue(t *taskInfo) {
+	if !t.pending {
+		t.pending, p.dirty = true, true
+		p.pending = append(p.pending, t)
 	}
 }
 
-// gone ends a request that its owner gave up. An attempt still out counts for
+// cancelRequest ends a request that its owner gave up. An attempt still out counts for
 // the spread until its outcome.
-func (p *Scheduler) gone(t *task) {
-	if t == nil || t.placed {
+func (p *Scheduler) cancelRequest(t *taskInfo) {
+	if t == nil || t.accepted {
 		return
 	}
-	p.unhold(t)
-	t.over = true
-	if n := len(t.attempts); n == 0 || t.attempts[n-1].done {
-		p.drop(t)
+	p.dequeue(t)
+	t.cancelled = true
+	if n := len(t.attempts); n == 0 || t.attempts[n-1].ended {
+		p.forgetTask(t)
 	}
 }
