--- a/placement/alarms.go
+++ b/placement/alarms.go
@@ -12,8 +12,8 @@
 	var at int64
 	if len(p.pending) > 0 {
 		at = p.now + retryInterval
-		for _, t := range p.pending {
-			at = min(at, max(t.DeadlineUs-deadlineMarginTicks*max(p.settings.TickUs, 1000), p.now+1))
+		for _, task := range p.pending {
+			at = min(at, max(task.DeadlineUs-deadlineMarginTicks*max(p.settings.TickUs, 1000), p.now+1))
 		}
 	}
 	if p.pollAt > 0 && p.settings.PollsDiscovery && (at == 0 || p.pollAt < at) {
@@ -37,6 +37,6 @@
 
 // backoff is how long to leave discovery alone after a failed call.
 func (p *Scheduler) backoff() int64 {
-	d := min(second/4<<min(p.pollAttempts, 5), max(second, p.settings.PollWithinUs/4))
-	return d/2 + p.jitter(d/2)
+	delay := min(second/4<<min(p.pollAttempts, 5), max(second, p.settings.PollWithinUs/4))
+	return delay/2 + p.jitter(delay/2)
 }
--- a/placement/api.go
+++ b/placement/api.go
@@ -99,11 +99,11 @@
 }
 
 // Units is the size of a task in mean tasks, by the larger of cores and memory.
-func (s *Settings) Units(cores, mem float64) float64 {
+func (s *Settings) Units(cores, memory float64) float64 {
 	if s.UnitCores <= 0 || s.UnitMemory <= 0 {
 		return 1
 	}
-	return max(cores/s.UnitCores, mem/s.UnitMemory)
+	return max(cores/s.UnitCores, memory/s.UnitMemory)
 }
 
 // WorkerState is what the list says of a machine.
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -82,9 +82,9 @@
 }
 
 func (r *ramp) entry(startUs int64) Entry {
-	e := small(coldWorker, 0, 32)
-	e.StartedAtUs = startUs
-	return e
+	entry := small(coldWorker, 0, 32)
+	entry.StartedAtUs = startUs
+	return entry
 }
 
 // before is the list that placers hold until they hear of the start.
@@ -124,7 +124,7 @@
 
 // live is one life of a placer's process: from its first event until it is killed.
 func (r *ramp) live(now, until, hears int64, list WorkerList) {
-	p, err := New(r.s, r.rng.Uint64())
+	scheduler, err := New(r.s, r.rng.Uint64())
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -148,13 +148,13 @@
 			}
 			return a.at <= now
 		})
-		for held := len(p.pending); held < heldMost && due <= now; held++ {
+		for held := len(scheduler.pending); held < heldMost && due <= now; held++ {
 			next, due = next+1, due+r.every
 			events = append(events, Request{Task{
 				RequestID: fmt.Sprint(next), Class: "safe", Cores: .01, Memory: .01, DeadlineUs: now + 5000*ms,
 			}})
 		}
-		for _, sent := range of[Place](p.Handle(now, append(events, TimerFired{"wake"}))) {
+		for _, sent := range of[Place](scheduler.Handle(now, append(events, TimerFired{"wake"}))) {
 			arrives := now + r.between(1, int(longestWay/ms))
 			if now >= r.startUs { // what was sent before is lost with the process that ended
 				r.arrivals = append(r.arrivals, arrival{arrives, known > 0 && now < known+r.s.WarmUpUs})
@@ -243,17 +243,17 @@
 // A placer that hears of a start late has sent part of its budget already, as to a warm machine.
 func TestOffersBeforeTheStartWasKnownCount(t *testing.T) {
 	s := testSettings() // 8 offers for 2 placers
-	b := newBed(t, s, 1, small(coldWorker, 0, 32))
-	b.at(2 * second)
+	f := newBed(t, s, 1, small(coldWorker, 0, 32))
+	f.at(2 * second)
 	offers := func(from, requests int) (n int) {
 		for i := range requests {
 			id := fmt.Sprint(from, "-", i)
-			if len(of[Place](b.at(10*ms, b.request(id, "safe", .1, .1)))) == 0 {
-				b.at(0, ClientCancelled{id})
+			if len(of[Place](f.at(10*ms, f.request(id, "safe", .1, .1)))) == 0 {
+				f.at(0, ClientCancelled{id})
 				continue
 			}
 			n++
-			b.at(0, Accepted{RequestID: id, Worker: coldWorker, RTTUs: 1000})
+			f.at(0, Accepted{RequestID: id, Worker: coldWorker, RTTUs: 1000})
 		}
 		return n
 	}
@@ -261,17 +261,17 @@
 		t.Fatalf("%d offers to the machine before its start, want 2", n)
 	}
 	started := small(coldWorker, 0, 32)
-	started.StartedAtUs = b.now + ms
-	b.at(100 * ms)
+	started.StartedAtUs = f.now + ms
+	f.at(100 * ms)
 	if n := offers(2, 3); n != 3 {
 		t.Fatalf("%d offers to a machine taken for warm, want 3", n)
 	}
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if n := offers(3, 10); n != 1 {
 		t.Errorf("%d offers once the start is known, want 1: 3 of 4 were sent since", n)
 	}
-	started.StartedAtUs = b.now // again, and what it got this time counts no more
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
+	started.StartedAtUs = f.now // again, and what it got this time counts no more
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if n := offers(4, 10); n != 4 {
 		t.Errorf("%d offers after the next start, want 4", n)
 	}
@@ -285,16 +285,16 @@
 	for s.SelfIndex = range s.FleetSize {
 		var beds []*bed
 		for _, ago := range []int64{100 * ms, 730 * ms} {
-			e := small(coldWorker, 0, 32)
-			e.StartedAtUs = 1_000_000_000 - ago
-			beds = append(beds, newBed(t, s, 1, e))
+			entry := small(coldWorker, 0, 32)
+			entry.StartedAtUs = 1_000_000_000 - ago
+			beds = append(beds, newBed(t, s, 1, entry))
 		}
 		turns, was := 0, false
 		for range 800 {
 			may := make([]bool, len(beds))
-			for i, b := range beds {
-				b.at(10 * ms)
-				may[i] = b.p.slowStartAllows(b.p.workers[coldWorker])
+			for i, f := range beds {
+				f.at(10 * ms)
+				may[i] = f.p.slowStartAllows(f.p.workers[coldWorker])
 			}
 			if may[0] != may[1] {
 				t.Fatalf("placer %d at %d us: %v by the two starts", s.SelfIndex, beds[0].now, may)
@@ -329,15 +329,15 @@
 		s.FleetSize, s.SlowStartOffers = c.placers, c.fresh
 		sent := 0
 		for s.SelfIndex = range c.placers {
-			b := newBed(t, s, 1, small("warm", 0, -50))
+			f := newBed(t, s, 1, small("warm", 0, -50))
 			cold := small(coldWorker, 0, 32)
-			b.at(2 * second)
-			cold.StartedAtUs = b.now
-			b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{cold}})
+			f.at(2 * second)
+			cold.StartedAtUs = f.now
+			f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{cold}})
 			for i := range c.want + 1 {
 				id := fmt.Sprint(i)
-				sent += len(of[Place](b.at(0, b.request(id, "safe", .1, .1))))
-				b.at(0, Accepted{RequestID: id, Worker: coldWorker, RTTUs: 1000})
+				sent += len(of[Place](f.at(0, f.request(id, "safe", .1, .1))))
+				f.at(0, Accepted{RequestID: id, Worker: coldWorker, RTTUs: 1000})
 			}
 		}
 		if sent != c.want {
@@ -352,24 +352,24 @@
 	play := func(seed uint64, startUs int64, change func(*Settings)) (all []Action) {
 		s := testSettings()
 		change(&s)
-		rng := rand.New(rand.NewPCG(seed, 0))
+		random := rand.New(rand.NewPCG(seed, 0))
 		var entries []Entry
 		for i := range 6 {
-			e := small(fmt.Sprint("m", i), i/2, float64(16+rng.IntN(16)))
-			e.StartedAtUs = startUs
-			entries = append(entries, e)
+			entry := small(fmt.Sprint("m", i), i/2, float64(16+random.IntN(16)))
+			entry.StartedAtUs = startUs
+			entries = append(entries, entry)
 		}
-		b := newBed(t, s, seed, entries...)
+		f := newBed(t, s, seed, entries...)
 		var running []Place
 		attempts := map[string]int{} // for each ticket, ended
 		for i := range 300 {
-			r := b.request(fmt.Sprint(i), s.Classes[rng.IntN(4)].Name, 0.5+rng.Float64(), 1)
-			r.Program = uint64(rng.IntN(40))
-			events := []Event{r, TimerFired{"wake"}}
-			for len(running) > 0 && rng.IntN(3) > 0 {
+			request := f.request(fmt.Sprint(i), s.Classes[random.IntN(4)].Name, 0.5+random.Float64(), 1)
+			request.Program = uint64(random.IntN(40))
+			events := []Event{request, TimerFired{"wake"}}
+			for len(running) > 0 && random.IntN(3) > 0 {
 				status := Completed
-				if rng.IntN(20) == 0 {
-					status = []Outcome{Failed, Rejected, TimedOut, Reset}[rng.IntN(4)]
+				if random.IntN(20) == 0 {
+					status = []Outcome{Failed, Rejected, TimedOut, Reset}[random.IntN(4)]
 				}
 				end := running[0]
 				events = append(events, AttemptEnded{
@@ -380,12 +380,12 @@
 			}
 			if i%40 == 39 {
 				for j := range entries {
-					entries[j].FreeCores = float64(16 + rng.IntN(16))
+					entries[j].FreeCores = float64(16 + random.IntN(16))
 				}
 				events = append(events, WorkerList{Kind: ListFull, Entries: entries})
 			}
-			acts := b.at(int64(1+rng.IntN(20))*ms, events...)
-			all, running = append(all, acts...), append(running, of[Place](acts)...)
+			actions := f.at(int64(1+random.IntN(20))*ms, events...)
+			all, running = append(all, actions...), append(running, of[Place](actions)...)
 		}
 		return all
 	}
--- a/placement/dispatch.go
+++ b/placement/dispatch.go
@@ -23,31 +23,31 @@
 // start included while it can still be in time: when room is short, tasks that
 // are late already let those pass that are not. A tenant beyond its share ranks
 // by what its tasks are then worth.
-func (p *Scheduler) computePriority(t *taskInfo) float64 {
-	c := &p.settings.Classes[t.classIndex]
-	k := &p.settings.Kinds[0]
-	size := t.Cores + t.Memory
+func (p *Scheduler) computePriority(task *taskInfo) float64 {
+	class := &p.settings.Classes[task.classIndex]
+	kind := &p.settings.Kinds[0]
+	size := task.Cores + task.Memory
 	if p.settings.UnitCores > 0 && p.settings.UnitMemory > 0 {
-		size = t.Cores/p.settings.UnitCores + t.Memory/p.settings.UnitMemory
+		size = task.Cores/p.settings.UnitCores + task.Memory/p.settings.UnitMemory
 	}
-	v := c.Weight * size / max(t.Cores/k.Cores, t.Memory/k.Memory, 1e-9)
-	if !t.Retry && p.now < t.arrivedAt+c.ObjectiveUs && t.HasRunHint {
-		v *= 1 + c.StartBonusS*float64(second)/float64(max(t.ExpectedRunUs, second))
+	priority := class.Weight * size / max(task.Cores/kind.Cores, task.Memory/kind.Memory, 1e-9)
+	if !task.Retry && p.now < task.arrivedAt+class.ObjectiveUs && task.HasRunHint {
+		priority *= 1 + class.StartBonusS*float64(second)/float64(max(task.ExpectedRunUs, second))
 	}
-	if p.overQuota(t) {
-		v *= p.settings.OverQuotaWeight
+	if p.overQuota(task) {
+		priority *= p.settings.OverQuotaWeight
 	}
-	return v
+	return priority
 }
 
 // overQuota guesses whether the tenant is beyond its share, from its part of
 // own tasks and what the fleet is asked for.
-func (p *Scheduler) overQuota(t *taskInfo) bool {
-	i, ok := p.tenantIndexes[t.Tenant]
-	if !ok || p.totalCores <= 0 || p.settings.Tenants[i].QuotaCores <= 0 {
+func (p *Scheduler) overQuota(task *taskInfo) bool {
+	tenantIndex, ok := p.tenantIndexes[task.Tenant]
+	if !ok || p.totalCores <= 0 || p.settings.Tenants[tenantIndex].QuotaCores <= 0 {
 		return false
 	}
-	return p.tenantCores[i]/p.totalCores*p.fleetRequestedCores() > p.settings.Tenants[i].QuotaCores
+	return p.tenantCores[tenantIndex]/p.totalCores*p.fleetRequestedCores() > p.settings.Tenants[tenantIndex].QuotaCores
 }
 
 // runPass sends what can be sent, best first, and answers what can wait no more.
@@ -56,49 +56,49 @@
 		return
 	}
 	p.dirty, p.concurrentPlacements = false, p.estimateConcurrentPlacements()
-	for _, t := range p.pending {
-		t.priority = p.computePriority(t)
+	for _, task := range p.pending {
+		task.priority = p.computePriority(task)
 	}
 	slices.SortStableFunc(p.pending, func(a, b *taskInfo) int {
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.queuedSince, b.queuedSince))
 	})
 	clear(p.unschedulable)
 	p.clearReservations()
-	ahead := 0.0 // units that are held and go first
-	var room float64
+	unitsAhead := 0.0 // units that are held and go first
+	var freeUnits float64
 	if slices.Max(p.reservedUnits) > 0 {
-		room = p.freeUnits()
+		freeUnits = p.freeUnits()
 	}
 	p.passTasks = append(p.passTasks[:0], p.pending...)
-	for _, t := range p.passTasks {
-		if p.exhausted(t) {
-			p.giveFinalResponse(t)
+	for _, task := range p.passTasks {
+		if p.exhausted(task) {
+			p.giveFinalResponse(task)
 			continue
 		}
-		s := taskShape{t.classIndex, t.Cores, t.Memory, 0}
-		if p.settings.Classes[t.classIndex].Spread != ScopeNone {
-			s.program = t.Program
+		shape := taskShape{task.classIndex, task.Cores, task.Memory, 0}
+		if p.settings.Classes[task.classIndex].Spread != ScopeNone {
+			shape.program = task.Program
 		}
-		units := p.settings.Units(t.Cores, t.Memory)
-		if (!p.unschedulable[s] || t.mayHaveRun != nil) && (p.reservedUnits[t.classIndex] == 0 || room > p.reservedUnits[t.classIndex]) {
-			if m := p.selectWorker(t); m != nil {
-				if !p.probeFirst(t, m) {
-					p.sendOffer(t, m)
-					room -= units
+		units := p.settings.Units(task.Cores, task.Memory)
+		if (!p.unschedulable[shape] || task.mayHaveRun != nil) && (p.reservedUnits[task.classIndex] == 0 || freeUnits > p.reservedUnits[task.classIndex]) {
+			if worker := p.selectWorker(task); worker != nil {
+				if !p.probeFirst(task, worker) {
+					p.sendOffer(task, worker)
+					freeUnits -= units
 				}
 				continue
 			}
 		}
-		if t.mayHaveRun != nil {
+		if task.mayHaveRun != nil {
 			continue
 		}
-		p.unschedulable[s] = true
-		if p.releaseRate > 0 && (ahead+units)/p.releaseRate*float64(second) > float64(t.DeadlineUs-p.now)*latenessFactor {
-			p.giveFinalResponse(t) // room comes too late for it: its owner is told now
+		p.unschedulable[shape] = true
+		if p.releaseRate > 0 && (unitsAhead+units)/p.releaseRate*float64(second) > float64(task.DeadlineUs-p.now)*latenessFactor {
+			p.giveFinalResponse(task) // room comes too late for it: its owner is told now
 			continue
 		}
-		ahead += units
-		p.reserveFor(t)
+		unitsAhead += units
+		p.reserveFor(task)
 	}
 }
 
@@ -107,41 +107,41 @@
 // every gap before it is large enough for one of more. It would harm where all held
 // tasks are of one worth: then nothing is kept from them, or where room never comes:
 // so half of the machines stay open to all.
-func (p *Scheduler) reserveFor(t *taskInfo) {
+func (p *Scheduler) reserveFor(task *taskInfo) {
 	if !p.settings.HasView || len(p.reservations)*2 >= p.assignedCount() {
 		return
 	}
-	if m := p.closestToFitting(t); m != nil {
-		p.reserve(m, t.priority)
+	if worker := p.closestToFitting(task); worker != nil {
+		p.reserve(worker, task.priority)
 	}
 }
 
-func (p *Scheduler) sendOffer(t *taskInfo, m *workerInfo) {
-	p.dequeue(t)
-	a := &attempt{worker: m, sentAt: p.now, awaitingResponse: true}
-	t.attempts = append(t.attempts, a)
-	m.unanswered = append(m.unanswered, a)
-	p.addDelta(m, t.Cores, t.Memory)
-	p.addResident(m, t.Program)
-	m.recordOffer(p.now, 2*p.settings.SlowStartWindowUs)
-	p.emit(Place{RequestID: t.RequestID, Worker: m.Worker, AbandonAtUs: p.abandonAt(t)})
+func (p *Scheduler) sendOffer(task *taskInfo, worker *workerInfo) {
+	p.dequeue(task)
+	attempt := &attemptInfo{worker: worker, sentAt: p.now, awaitingResponse: true}
+	task.attempts = append(task.attempts, attempt)
+	worker.unanswered = append(worker.unanswered, attempt)
+	p.addDelta(worker, task.Cores, task.Memory)
+	p.addResident(worker, task.Program)
+	worker.recordOffer(p.now, 2*p.settings.SlowStartWindowUs)
+	p.emit(Place{RequestID: task.RequestID, Worker: worker.Worker, AbandonAtUs: p.abandonAt(task)})
 }
 
 // abandonAt is when an attempt is given up: well after answers usually come, so
 // that another may follow. An unsafe task could not be tried again, so it waits
 // to its deadline.
-func (p *Scheduler) abandonAt(t *taskInfo) int64 {
-	c := &p.settings.Classes[t.classIndex]
-	last := p.settings.MaxAttempts > 0 && len(t.attempts) >= p.settings.MaxAttempts
-	if c.Effect == Unsafe || last || p.meanRTT == 0 {
-		return t.DeadlineUs
+func (p *Scheduler) abandonAt(task *taskInfo) int64 {
+	class := &p.settings.Classes[task.classIndex]
+	lastAttempt := p.settings.MaxAttempts > 0 && len(task.attempts) >= p.settings.MaxAttempts
+	if class.Effect == Unsafe || lastAttempt || p.meanRTT == 0 {
+		return task.DeadlineUs
 	}
-	wait := 2 * p.responseTimeout()
+	timeout := 2 * p.responseTimeout()
 	if p.settings.AcceptMeansRunning {
 		// Quick answers come first, so early on the slow starts are not seen yet.
-		wait = max(wait, (t.DeadlineUs-p.now)*2/3)
+		timeout = max(timeout, (task.DeadlineUs-p.now)*2/3)
 	}
-	return min(t.DeadlineUs, p.now+wait)
+	return min(task.DeadlineUs, p.now+timeout)
 }
 
 // responseTimeout is how long an answer takes at the longest, by those seen; where yes
@@ -154,27 +154,27 @@
 }
 
 // exhausted reports whether nothing more can be done for a held task.
-func (p *Scheduler) exhausted(t *taskInfo) bool {
-	if t.DeadlineUs-p.now <= deadlineMarginTicks*max(p.settings.TickUs, 1000) || t.copyRunning || t.unusable {
+func (p *Scheduler) exhausted(task *taskInfo) bool {
+	if task.DeadlineUs-p.now <= deadlineMarginTicks*max(p.settings.TickUs, 1000) || task.copyRunning || task.unusable {
 		return true
 	}
-	if p.settings.MaxAttempts > 0 && len(t.attempts) >= p.settings.MaxAttempts {
+	if p.settings.MaxAttempts > 0 && len(task.attempts) >= p.settings.MaxAttempts {
 		return true
 	}
-	c := &p.settings.Classes[t.classIndex]
-	return t.mayHaveRun != nil && (c.Effect == Unsafe || c.Effect == Keyed && !p.repeatWindowOpen(c, t))
+	class := &p.settings.Classes[task.classIndex]
+	return task.mayHaveRun != nil && (class.Effect == Unsafe || class.Effect == Keyed && !p.repeatWindowOpen(class, task))
 }
 
 // giveFinalResponse gives the final answer: a refusal where the rules let us say that a
 // retry is harmless, else a failure.
-func (p *Scheduler) giveFinalResponse(t *taskInfo) {
-	c := &p.settings.Classes[t.classIndex]
-	if t.mayHaveRun == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == ScopeAll {
-		p.emit(Reject{RequestID: t.RequestID})
+func (p *Scheduler) giveFinalResponse(task *taskInfo) {
+	class := &p.settings.Classes[task.classIndex]
+	if task.mayHaveRun == nil || class.Effect == Safe || class.Effect == Keyed && class.Group == ScopeAll {
+		p.emit(Reject{RequestID: task.RequestID})
 	} else {
-		p.emit(Fail{RequestID: t.RequestID})
+		p.emit(Fail{RequestID: task.RequestID})
 	}
-	p.forgetTask(t)
+	p.forgetTask(task)
 }
 
 // wake sets the next alarm.
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -8,7 +8,7 @@
 
 // A placer is fed what happened, with the time, and returns what to do.
 func Example() {
-	p, err := placement.New(placement.Settings{
+	scheduler, err := placement.New(placement.Settings{
 		FleetSize: 1, HasView: true, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3, TickUs: 1000,
 		Kinds:   []placement.Kind{{Name: "std", Cores: 32, Memory: 64}},
 		Classes: []placement.Class{{Name: "web", Effect: placement.Safe, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2}},
@@ -18,7 +18,7 @@
 		return
 	}
 	now := int64(1_000_000)
-	for _, a := range p.Handle(now, []placement.Event{
+	for _, a := range scheduler.Handle(now, []placement.Event{
 		placement.WorkerList{Kind: placement.ListFull, Entries: []placement.Entry{
 			{Worker: "busy", Kind: "std", FreeCores: 4, FreeMemory: 8},
 			{Worker: "idle", Kind: "std", FreeCores: 30, FreeMemory: 60},
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -16,21 +16,21 @@
 	}
 	p.refreshIndex()
 	var net, squares [2]float64
-	for _, m := range p.lagDependentWorkers() {
-		if p.kindOf(m) == nil || !m.listed {
+	for _, worker := range p.lagDependentWorkers() {
+		if p.kindOf(worker) == nil || !worker.listed {
 			continue
 		}
-		for i := len(m.deltas) - 1; i >= 0; i-- {
-			if d := &m.deltas[i]; d.at > m.viewedAt-p.lag {
+		for i := len(worker.deltas) - 1; i >= 0; i-- {
+			if d := &worker.deltas[i]; d.at > worker.viewedAt-p.lag {
 				net[0], net[1] = net[0]+d.cores, net[1]+d.memory
 				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.memory*d.memory
 			}
 		}
 	}
-	have := [2]float64{p.listedCapacity.cores, p.listedCapacity.memory}
-	for r := range shares {
-		beyond := max(0, net[r]-2*math.Sqrt(squares[r]))
-		shares[r] = beyond * float64(p.sharingSchedulers()-1) / max(1, have[r])
+	capacity := [2]float64{p.listedCapacity.cores, p.listedCapacity.memory}
+	for resource := range shares {
+		excess := max(0, net[resource]-2*math.Sqrt(squares[resource]))
+		shares[resource] = excess * float64(p.sharingSchedulers()-1) / max(1, capacity[resource])
 	}
 	return shares
 }
@@ -46,12 +46,12 @@
 		return p.cachedFreeUnits
 	}
 	p.refreshIndex()
-	for _, m := range p.sorted {
-		if m.listed && m.State == Ready && m.kindIndex >= 0 && p.settings.HasView {
-			c, b := p.requested(m)
-			bc, bm := p.effectiveCapacity(m)
-			free := min((bc-c)/p.settings.UnitCores, (bm-b)/p.settings.UnitMemory) / float64(p.sharingSchedulers())
-			units += max(0, min(free, m.attemptWindow-float64(len(m.unanswered))))
+	for _, worker := range p.sorted {
+		if worker.listed && worker.State == Ready && worker.kindIndex >= 0 && p.settings.HasView {
+			cores, memory := p.requested(worker)
+			effectiveCores, effectiveMemory := p.effectiveCapacity(worker)
+			free := min((effectiveCores-cores)/p.settings.UnitCores, (effectiveMemory-memory)/p.settings.UnitMemory) / float64(p.sharingSchedulers())
+			units += max(0, min(free, worker.attemptWindow-float64(len(worker.unanswered))))
 		}
 	}
 	p.cachedFreeUnits, p.freeUnitsAt = units, p.now
@@ -60,45 +60,45 @@
 
 // fleetMeans is what all machines that are ready together are asked for.
 type fleetMeans struct {
-	computedAt    int64
-	utilization   float64 // asked share
-	meanCores float64 // mean cores
+	computedAt  int64
+	utilization float64 // asked share
+	meanCores   float64 // mean cores
 }
 
 // meanUtilization returns the asked share of the fleet and its mean cores. They only scale costs,
 // so of a large fleet they are computed anew once a second.
-func (p *Scheduler) meanUtilization() (rho, cores float64) {
+func (p *Scheduler) meanUtilization() (utilization, cores float64) {
 	if f := &p.means; p.assignedCount() > maxEnumerated && f.computedAt > 0 && p.now < f.computedAt+second {
 		return f.utilization, f.meanCores
 	}
 	p.refreshIndex()
-	var asked, have, n float64
+	var requested, capacity, workers float64
 	for i := range p.settings.Kinds {
 		count, sum := p.index.kinds[i].sum(p.index.baseline)
-		n += count
-		have += count * p.settings.Kinds[i].Cores
-		asked += sum * p.settings.Kinds[i].Cores
+		workers += count
+		capacity += count * p.settings.Kinds[i].Cores
+		requested += sum * p.settings.Kinds[i].Cores
 	}
-	asked += p.calibrationExcess()
+	requested += p.calibrationExcess()
 	p.means = fleetMeans{computedAt: p.now, meanCores: 1}
-	if n > 0 {
-		p.means.utilization, p.means.meanCores = asked/have, have/n
+	if workers > 0 {
+		p.means.utilization, p.means.meanCores = requested/capacity, capacity/workers
 	}
 	return p.means.utilization, p.means.meanCores
 }
 
 // calibrationExcess is what the asked shares of machines are over those without bends, by cores.
 func (p *Scheduler) calibrationExcess() (sum float64) {
-	bear := p.index.baseline
-	p.calibrated = slices.DeleteFunc(p.calibrated, func(m *workerInfo) bool {
-		m.decayCalibration(p.now, calibrationHalfLife)
-		if m.coresCalibration == 1 && m.memoryCalibration == 1 {
-			m.inCalibrated = false
+	baseline := p.index.baseline
+	p.calibrated = slices.DeleteFunc(p.calibrated, func(worker *workerInfo) bool {
+		worker.decayCalibration(p.now, calibrationHalfLife)
+		if worker.coresCalibration == 1 && worker.memoryCalibration == 1 {
+			worker.inCalibrated = false
 			return true
 		}
-		if k := p.kindOf(m); k != nil && m.position.indexed && p.settings.HasView {
-			straight := max(m.requestedCores/k.Cores/bear.cores, m.requestedMemory/k.Memory/bear.memory)
-			sum += (p.utilization(m) - straight) * k.Cores
+		if kind := p.kindOf(worker); kind != nil && worker.position.indexed && p.settings.HasView {
+			uncalibrated := max(worker.requestedCores/kind.Cores/baseline.cores, worker.requestedMemory/kind.Memory/baseline.memory)
+			sum += (p.utilization(worker) - uncalibrated) * kind.Cores
 		}
 		return false
 	})
@@ -106,11 +106,11 @@
 }
 
 // trackCalibrated lists m among the machines with bends.
-func (p *Scheduler) trackCalibrated(m *workerInfo) {
-	p.markStale(m)
-	if !m.inCalibrated {
-		m.inCalibrated = true
-		p.calibrated = append(p.calibrated, m)
+func (p *Scheduler) trackCalibrated(worker *workerInfo) {
+	p.markStale(worker)
+	if !worker.inCalibrated {
+		worker.inCalibrated = true
+		p.calibrated = append(p.calibrated, worker)
 	}
 }
 
@@ -125,12 +125,12 @@
 }
 
 // countForeign keeps the number of listed machines that belong to other placers.
-func (p *Scheduler) countForeign(m *workerInfo) {
-	foreign := m.listed && m.State == Foreign
-	if foreign == m.foreign {
+func (p *Scheduler) countForeign(worker *workerInfo) {
+	foreign := worker.listed && worker.State == Foreign
+	if foreign == worker.foreign {
 		return
 	}
-	m.foreign = foreign
+	worker.foreign = foreign
 	if foreign {
 		p.foreignCount++
 	} else {
@@ -153,36 +153,36 @@
 
 // spreadCounts is how many tasks of one program the machines hold, by place.
 type spreadCounts struct {
-	program      uint64
-	version int64
-	counted      bool
-	cells        map[int]int
-	zones        map[string]int
-	unknownDomain     int // at machines whose place was never told
+	program       uint64
+	version       int64
+	counted       bool
+	cells         map[int]int
+	zones         map[string]int
+	unknownDomain int // at machines whose place was never told
 }
 
 // countsOf counts the tasks of a program by place, once for all machines that are asked about.
 func (p *Scheduler) countsOf(program uint64) *spreadCounts {
-	s := &p.counts
-	if s.counted && s.program == program && s.version == p.version {
-		return s
-	}
-	if s.cells == nil {
-		s.cells, s.zones = map[int]int{}, map[string]int{}
-	}
-	clear(s.cells)
-	clear(s.zones)
-	s.program, s.version, s.counted, s.unknownDomain = program, p.version, true, 0
-	for _, m := range p.residents[program] {
-		held := m.residentPrograms[program].active
-		if !m.everListed {
-			s.unknownDomain += held
+	counts := &p.counts
+	if counts.counted && counts.program == program && counts.version == p.version {
+		return counts
+	}
+	if counts.cells == nil {
+		counts.cells, counts.zones = map[int]int{}, map[string]int{}
+	}
+	clear(counts.cells)
+	clear(counts.zones)
+	counts.program, counts.version, counts.counted, counts.unknownDomain = program, p.version, true, 0
+	for _, worker := range p.residents[program] {
+		active := worker.residentPrograms[program].active
+		if !worker.everListed {
+			counts.unknownDomain += active
 			continue
 		}
-		s.cells[m.Cell] += held
-		s.zones[m.Zone] += held
+		counts.cells[worker.Cell] += active
+		counts.zones[worker.Zone] += active
 	}
-	return s
+	return counts
 }
 
 // saturationLoad and fade are the least of all classes: one level for a machine that any may use.
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -18,37 +18,37 @@
 
 // recordHistory plays a drawn history and returns its turns after the first list, which it returns
 // as the machines that were there.
-func recordHistory(t *testing.T, seed uint64) (settings Settings, machines []Entry, turns []recorded) {
+func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, turns []recorded) {
 	t.Helper()
 	h := newHistory(t, seed)
-	machines = slices.Clone(h.entries)
+	workers = slices.Clone(h.entries)
 	h.record = func(now int64, events []Event) { turns = append(turns, recorded{now, events}) }
 	for range h.stepCount {
 		h.step()
 	}
 	settings = h.settings()
 	settings.FleetSize, settings.SelfIndex, settings.Tenants = 1, 0, nil
-	return settings, machines, turns
+	return settings, workers, turns
 }
 
 // withForeign adds the entries of other placers' machines to the lists among events: a part of them
 // to a list of changes, all to a whole one.
-func withForeign(rng *rand.Rand, events []Event, foreign []Entry) []Event {
+func withForeign(random *rand.Rand, events []Event, foreign []Entry) []Event {
 	events = slices.Clone(events)
-	for i, e := range events {
-		l, ok := e.(WorkerList)
-		if !ok || l.Kind == ListFailed {
+	for i, event := range events {
+		list, ok := event.(WorkerList)
+		if !ok || list.Kind == ListFailed {
 			continue
 		}
-		l.Entries = slices.Clone(l.Entries)
+		list.Entries = slices.Clone(list.Entries)
 		for j := range foreign {
-			foreign[j].FreeCores = rng.Float64() * 20
-			if l.Kind != ListDelta || rng.IntN(2) == 0 {
-				at := rng.IntN(len(l.Entries) + 1)
-				l.Entries = slices.Insert(l.Entries, at, foreign[j])
+			foreign[j].FreeCores = random.Float64() * 20
+			if list.Kind != ListDelta || random.IntN(2) == 0 {
+				at := random.IntN(len(list.Entries) + 1)
+				list.Entries = slices.Insert(list.Entries, at, foreign[j])
 			}
 		}
-		events[i] = l
+		events[i] = list
 	}
 	return events
 }
@@ -58,13 +58,13 @@
 func TestForeignMachinesChangeNothing(t *testing.T) {
 	placed := 0
 	for seed := range uint64(60) {
-		settings, machines, turns := recordHistory(t, seed)
-		rng := rand.New(rand.NewPCG(seed, 83))
+		settings, workers, turns := recordHistory(t, seed)
+		random := rand.New(rand.NewPCG(seed, 83))
 		var foreign []Entry
-		for i := range 1 + rng.IntN(3*len(machines)) {
-			e := machines[rng.IntN(len(machines))]
-			e.Worker, e.State, e.StartedAtUs = fmt.Sprint("f", i), Foreign, 0
-			foreign = append(foreign, e)
+		for i := range 1 + random.IntN(3*len(workers)) {
+			entry := workers[random.IntN(len(workers))]
+			entry.Worker, entry.State, entry.StartedAtUs = fmt.Sprint("f", i), Foreign, 0
+			foreign = append(foreign, entry)
 		}
 		alone, err := New(settings, seed)
 		if err != nil {
@@ -74,13 +74,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := []Event{WorkerList{Kind: ListFull, Entries: machines}}
+		first := []Event{WorkerList{Kind: ListFull, Entries: workers}}
 		turns = slices.Insert(turns, 0, recorded{turns[0].now - 1, first})
 		for i, turn := range turns {
 			want := alone.Handle(turn.now, turn.events)
-			got := among.Handle(turn.now, withForeign(rng, turn.events, foreign))
+			got := among.Handle(turn.now, withForeign(random, turn.events, foreign))
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("seed %d, turn %d, %d machines and %d foreign ones: expected\n%+v\ngot\n%+v", seed, i, len(machines),
+				t.Fatalf("seed %d, turn %d, %d machines and %d foreign ones: expected\n%+v\ngot\n%+v", seed, i, len(workers),
 					len(foreign), want, got)
 			}
 			placed += len(of[Place](want))
@@ -103,8 +103,8 @@
 		t.Errorf("expected nothing as a machine changes hands, got %+v", action)
 	}
 	bed.placed(bed.at(10*ms, bed.request("2", "safe", 1, 1)), "b")
-	if m := bed.p.workers["a"]; len(m.running) != 1 {
-		t.Errorf("expected the task at the other placer's machine to stand, got %d", len(m.running))
+	if worker := bed.p.workers["a"]; len(worker.running) != 1 {
+		t.Errorf("expected the task at the other placer's machine to stand, got %d", len(worker.running))
 	}
 	a.State, b.State = Ready, Foreign
 	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
@@ -144,12 +144,12 @@
 func TestQuotaOfDividedFleet(t *testing.T) {
 	var whole, divided []Entry
 	for i := range 90 {
-		e := small(fmt.Sprint("m", i), i, 4)
-		whole = append(whole, e)
+		entry := small(fmt.Sprint("m", i), i, 4)
+		whole = append(whole, entry)
 		if i%9 != 0 {
-			e.State, e.FreeCores = Foreign, 0 // an old view
+			entry.State, entry.FreeCores = Foreign, 0 // an old view
 		}
-		divided = append(divided, e)
+		divided = append(divided, entry)
 	}
 	want := newBed(t, testSettings(), 1, whole...).p.fleetRequestedCores()
 	if got := newBed(t, testSettings(), 1, divided...).p.fleetRequestedCores(); got < want*0.99 || got > want*1.01 {
@@ -168,13 +168,13 @@
 	if divided := newBed(t, s, 1, own, foreign).p.freeUnits(); divided <= shared || divided > 9.01*shared {
 		t.Errorf("room for %g units where machines are divided, %g where nine placers share one", divided, shared)
 	}
-	b := newBed(t, s, 1, own, foreign)
-	b.at(10*ms, Backpressure{ReleaseRate: 1})
-	for _, ticket := range []string{"1", "2", "3", "4"} {
-		b.at(10*ms, b.request(ticket, "safe", 1, 1))
+	f := newBed(t, s, 1, own, foreign)
+	f.at(10*ms, Backpressure{ReleaseRate: 1})
+	for _, requestID := range []string{"1", "2", "3", "4"} {
+		f.at(10*ms, f.request(requestID, "safe", 1, 1))
 	}
-	if b.p.overloaded = true; b.p.estimateConcurrentPlacements() != [2]float64{} {
-		t.Errorf("others are taken to bind %v at machines that they are offered nothing at", b.p.estimateConcurrentPlacements())
+	if f.p.overloaded = true; f.p.estimateConcurrentPlacements() != [2]float64{} {
+		t.Errorf("others are taken to bind %v at machines that they are offered nothing at", f.p.estimateConcurrentPlacements())
 	}
 }
 
@@ -209,9 +209,9 @@
 func TestHalfOfOwnMachinesStayOpen(t *testing.T) {
 	entries := []Entry{small("a", 1, 0), small("b", 2, 0), small("c", 3, 0), small("d", 4, 0)}
 	for i := range 40 {
-		e := small(fmt.Sprint("f", i), 5+i, 0)
-		e.State = Foreign
-		entries = append(entries, e)
+		entry := small(fmt.Sprint("f", i), 5+i, 0)
+		entry.State = Foreign
+		entries = append(entries, entry)
 	}
 	s := testSettings()
 	s.CoresOvercommit, s.MemoryOvercommit = 1, 1
--- a/placement/health.go
+++ b/placement/health.go
@@ -21,17 +21,17 @@
 	// suspicionHalfLife halves suspicion; machines over ejectionThreshold get nothing, over
 	// suspectThreshold one attempt at a time; maxSuspicion bounds how long one stays out.
 	// successFactor is what a success leaves: a machine that loses most answers some.
-	suspicionHalfLife = 6 * second
-	successFactor = 0.7
-	suspectThreshold  = 0.25
-	reconnectedSuspicion  = 0.5 // what is left where a connection came up again
-	ejectionThreshold  = 1.0
-	maxSuspicion = 6.0
+	suspicionHalfLife    = 6 * second
+	successFactor        = 0.7
+	suspectThreshold     = 0.25
+	reconnectedSuspicion = 0.5 // what is left where a connection came up again
+	ejectionThreshold    = 1.0
+	maxSuspicion         = 6.0
 
 	// initialWindow is how many unanswered attempts a machine may owe this placer at first;
 	// answers let it grow to maxWindow, 'too many offers wait' halves it.
 	initialWindow = 3.0
-	maxWindow  = 12.0
+	maxWindow     = 12.0
 
 	// assumedDrain is how long a machine that turned a task away as not to be there, or
 	// sent one away, is taken to drain though the list does not say so yet.
@@ -40,10 +40,10 @@
 	// migrateBelow is the service below which a task may be moved, restartSeconds the
 	// seconds lost by starting anew, migrationGainFactor how far gain must exceed price, as
 	// hints are rough, and defaultRemainingSeconds the seconds left where there is no hint.
-	migrateBelow   = 0.7
-	migrateAlwaysBelow  = 0.25 // and below this also with no room elsewhere
-	restartSeconds   = 1.5
-	migrationGainFactor    = 2.0
+	migrateBelow            = 0.7
+	migrateAlwaysBelow      = 0.25 // and below this also with no room elsewhere
+	restartSeconds          = 1.5
+	migrationGainFactor     = 2.0
 	defaultRemainingSeconds = 4.0
 	// migrationSeconds is over how many seconds the excess is moved: use swings, so less
 	// than all of it is meant to go.
@@ -51,30 +51,30 @@
 )
 
 // recordOutcome feeds the health of a machine with the end of an attempt.
-func (p *Scheduler) recordOutcome(t *taskInfo, a *attempt, e AttemptEnded, ran bool) {
-	if a.awaitingResponse {
-		if e.Outcome == TimedOut {
-			a.awaitingResponse = false
-			a.worker.unanswered = slices.DeleteFunc(a.worker.unanswered, func(b *attempt) bool { return a == b })
+func (p *Scheduler) recordOutcome(task *taskInfo, attempt *attemptInfo, event AttemptEnded, wasRunning bool) {
+	if attempt.awaitingResponse {
+		if event.Outcome == TimedOut {
+			attempt.awaitingResponse = false
+			attempt.worker.unanswered = slices.DeleteFunc(attempt.worker.unanswered, func(other *attemptInfo) bool { return attempt == other })
 		} else {
-			p.recordResponse(a, e.RTTUs)
+			p.recordResponse(attempt, event.RTTUs)
 		}
 	}
 	switch {
-	case e.Outcome == TimedOut:
-		p.recordTimeout(t.classIndex, a)
-	case e.Outcome == ConnectFailed:
-		a.worker.addSuspicion(p.now, timeoutSuspicion)
-	case e.Outcome == Failed:
-		p.recordError(t, a)
-	case e.Outcome == Reset && (!ran || e.Cause == CauseUnknown):
-		a.worker.addSuspicion(p.now, errorSuspicion)
-	case e.Outcome == Rejected && e.Cause == CauseQueue:
-		a.worker.attemptWindow = max(1, a.worker.attemptWindow/2)
+	case event.Outcome == TimedOut:
+		p.recordTimeout(task.classIndex, attempt)
+	case event.Outcome == ConnectFailed:
+		attempt.worker.addSuspicion(p.now, timeoutSuspicion)
+	case event.Outcome == Failed:
+		p.recordError(task, attempt)
+	case event.Outcome == Reset && (!wasRunning || event.Cause == CauseUnknown):
+		attempt.worker.addSuspicion(p.now, errorSuspicion)
+	case event.Outcome == Rejected && event.Cause == CauseQueue:
+		attempt.worker.attemptWindow = max(1, attempt.worker.attemptWindow/2)
 		// A jammed machine refuses at once: it would use up all attempts.
-		a.worker.addSuspicion(p.now, timeoutSuspicion)
-	case e.Outcome == Rejected && e.Cause == CauseWrongWorker && t.mayHaveRun == nil, ran && e.Cause == CauseDrained:
-		a.worker.drainingUntil = p.now + assumedDrain
+		attempt.worker.addSuspicion(p.now, timeoutSuspicion)
+	case event.Outcome == Rejected && event.Cause == CauseWrongWorker && task.mayHaveRun == nil, wasRunning && event.Cause == CauseDrained:
+		attempt.worker.drainingUntil = p.now + assumedDrain
 	}
 }
 
@@ -83,17 +83,17 @@
 // and those that were are cleared. It guards against tasks that no machine can use,
 // each of which would keep several healthy machines out. It would harm where machines
 // fail so often that two errors in a row are chance.
-func (p *Scheduler) recordError(t *taskInfo, a *attempt) {
-	a.failed = true
-	a.worker.addSuspicion(p.now, errorSuspicion)
-	if !slices.ContainsFunc(t.attempts, func(b *attempt) bool { return b.failed && b.worker != a.worker }) {
+func (p *Scheduler) recordError(task *taskInfo, attempt *attemptInfo) {
+	attempt.failed = true
+	attempt.worker.addSuspicion(p.now, errorSuspicion)
+	if !slices.ContainsFunc(task.attempts, func(other *attemptInfo) bool { return other.failed && other.worker != attempt.worker }) {
 		return // the next attempt goes to another machine, if there is one
 	}
-	t.unusable = true
-	for _, b := range t.attempts {
-		if b.failed {
-			b.failed = false
-			b.worker.addSuspicion(p.now, -errorSuspicion)
+	task.unusable = true
+	for _, other := range task.attempts {
+		if other.failed {
+			other.failed = false
+			other.worker.addSuspicion(p.now, -errorSuspicion)
 		}
 	}
 }
@@ -102,14 +102,14 @@
 // with all that lay on it, so the machine is tried again, one attempt at a time. It
 // would harm where a machine takes connections and answers nothing: so it has to
 // accept something before that counts again.
-func (p *Scheduler) workerReachable(e WorkerReachable) {
-	m := p.workers[e.Worker]
-	if m == nil || m.reachableAt > 0 && slices.Max(m.lastAcceptedAt) <= m.reachableAt {
+func (p *Scheduler) workerReachable(event WorkerReachable) {
+	worker := p.workers[event.Worker]
+	if worker == nil || worker.reachableAt > 0 && slices.Max(worker.lastAcceptedAt) <= worker.reachableAt {
 		return
 	}
-	m.reachableAt, p.dirty = p.now, true
-	for class := range m.suspicions {
-		m.suspicions[class] = suspicionScore{min(reconnectedSuspicion, m.suspicion(p.now, class)), p.now}
+	worker.reachableAt, p.dirty = p.now, true
+	for classIndex := range worker.suspicions {
+		worker.suspicions[classIndex] = suspicionScore{min(reconnectedSuspicion, worker.suspicion(p.now, classIndex)), p.now}
 	}
 }
 
@@ -118,52 +118,52 @@
 // alone if it answered others only, and little if it answered the same, as then a
 // part of the answers is lost. It could harm by trusting a machine that is about
 // to go silent: the next attempt tells.
-func (p *Scheduler) recordTimeout(class int, a *attempt) {
+func (p *Scheduler) recordTimeout(classIndex int, attempt *attemptInfo) {
 	switch {
-	case a.worker.lastAcceptedAt[class] > a.sentAt:
-		a.worker.addClassSuspicion(p.now, class, lossSuspicion)
-	case slices.Max(a.worker.lastAcceptedAt) > a.sentAt:
-		a.worker.addClassSuspicion(p.now, class, timeoutSuspicion)
+	case attempt.worker.lastAcceptedAt[classIndex] > attempt.sentAt:
+		attempt.worker.addClassSuspicion(p.now, classIndex, lossSuspicion)
+	case slices.Max(attempt.worker.lastAcceptedAt) > attempt.sentAt:
+		attempt.worker.addClassSuspicion(p.now, classIndex, timeoutSuspicion)
 	default:
-		a.worker.addSuspicion(p.now, timeoutSuspicion)
+		attempt.worker.addSuspicion(p.now, timeoutSuspicion)
 	}
 }
 
 // addSuspicion adds to the suspicion of m for every class.
 func (m *workerInfo) addSuspicion(now int64, by float64) {
-	for class := range m.suspicions {
-		m.addClassSuspicion(now, class, by)
+	for classIndex := range m.suspicions {
+		m.addClassSuspicion(now, classIndex, by)
 	}
 }
 
-func (m *workerInfo) addClassSuspicion(now int64, class int, by float64) {
-	m.suspicions[class] = suspicionScore{min(maxSuspicion, max(0, m.suspicion(now, class)+by)), now}
+func (m *workerInfo) addClassSuspicion(now int64, classIndex int, by float64) {
+	m.suspicions[classIndex] = suspicionScore{min(maxSuspicion, max(0, m.suspicion(now, classIndex)+by)), now}
 }
 
-func (m *workerInfo) recordSuccess(now int64, class int) {
-	m.lastAcceptedAt[class] = now
-	m.suspicions[class] = suspicionScore{m.suspicion(now, class) * successFactor, now}
+func (m *workerInfo) recordSuccess(now int64, classIndex int) {
+	m.lastAcceptedAt[classIndex] = now
+	m.suspicions[classIndex] = suspicionScore{m.suspicion(now, classIndex) * successFactor, now}
 }
 
-func (m *workerInfo) suspicion(now int64, class int) float64 {
-	return decayed(m.suspicions[class].score, now-m.suspicions[class].updatedAt, suspicionHalfLife)
+func (m *workerInfo) suspicion(now int64, classIndex int) float64 {
+	return decayed(m.suspicions[classIndex].score, now-m.suspicions[classIndex].updatedAt, suspicionHalfLife)
 }
 
 // healthy reports whether m may get a task of a class. A machine that owes an
 // answer for longer than answers take gets nothing, a suspect one is tried with
 // one attempt at a time, and not with one that must not run twice.
-func (p *Scheduler) healthy(m *workerInfo, class int) bool {
-	if len(m.unanswered) > 0 && p.meanRTT > 0 && p.now-m.unanswered[0].sentAt > p.responseTimeout() {
+func (p *Scheduler) healthy(worker *workerInfo, classIndex int) bool {
+	if len(worker.unanswered) > 0 && p.meanRTT > 0 && p.now-worker.unanswered[0].sentAt > p.responseTimeout() {
 		return false
 	}
-	if m.probeSentAt > 0 && p.meanRTT > 0 && p.now-m.probeSentAt > p.responseTimeout() {
+	if worker.probeSentAt > 0 && p.meanRTT > 0 && p.now-worker.probeSentAt > p.responseTimeout() {
 		return false
 	}
-	s := m.suspicion(p.now, class)
-	if s < suspectThreshold {
+	suspicion := worker.suspicion(p.now, classIndex)
+	if suspicion < suspectThreshold {
 		return true
 	}
-	return s < ejectionThreshold && len(m.unanswered) == 0 && p.settings.Classes[class].Effect != Unsafe
+	return suspicion < ejectionThreshold && len(worker.unanswered) == 0 && p.settings.Classes[classIndex].Effect != Unsafe
 }
 
 // calibration learns from poor service and from memory running short what a machine
@@ -171,17 +171,17 @@
 // guards against slow machines, neighbours, and tasks that use more than they
 // should, and lets go by itself. It would harm where one task of ours is served
 // badly for a reason of its own.
-func (p *Scheduler) calibrate(m *workerInfo, f *float64, r int, seen, calm float64, poor bool, sure float64) {
-	if !poor || m.kindIndex < 0 || !p.settings.HasView {
+func (p *Scheduler) calibrate(worker *workerInfo, calibration *float64, resource int, measured, target float64, poor bool, confidence float64) {
+	if !poor || worker.kindIndex < 0 || !p.settings.HasView {
 		return
 	}
-	m.decayCalibration(p.now, calibrationHalfLife)
-	c, b := p.requested(m)
-	bc, bm := p.effectiveCapacity(m)
-	share := [2]float64{c / bc, b / bm}[r] * *f
-	want := min(1, max(calibrationFloor, share*calm/max(seen, calm)))
-	*f += (want - *f) * sure
-	p.trackCalibrated(m)
+	worker.decayCalibration(p.now, calibrationHalfLife)
+	cores, memory := p.requested(worker)
+	effectiveCores, effectiveMemory := p.effectiveCapacity(worker)
+	utilization := [2]float64{cores / effectiveCores, memory / effectiveMemory}[resource] * *calibration
+	wanted := min(1, max(calibrationFloor, utilization*target/max(measured, target)))
+	*calibration += (wanted - *calibration) * confidence
+	p.trackCalibrated(worker)
 	p.dirty = true
 }
 
@@ -190,39 +190,39 @@
 // guards against machines stuck far over their calm level and those that slow down,
 // where filters come too late. It would harm where the whole fleet is as full: then
 // nothing fits and it stays.
-func (p *Scheduler) migrateOne(m *workerInfo, served float64) {
-	if served > migrateBelow || m.kindIndex < 0 || p.now-m.migratedAt < second*9/10 {
+func (p *Scheduler) migrateOne(worker *workerInfo, service float64) {
+	if service > migrateBelow || worker.kindIndex < 0 || p.now-worker.migratedAt < second*9/10 {
 		return
 	}
 	var best *taskInfo
-	var most float64
-	for _, t := range m.running {
-		c := &p.settings.Classes[t.classIndex]
-		rem := p.remainingSeconds(t)
-		price := restartSeconds + p.settings.MigrationCost*(rem+c.StartBonusS)
-		gain := (1-served)*rem - migrationGainFactor*price
-		if v := gain * c.Weight * (t.Cores + t.Memory); gain > 0 && v > most {
-			best, most = t, v
+	var bestValue float64
+	for _, task := range worker.running {
+		class := &p.settings.Classes[task.classIndex]
+		remaining := p.remainingSeconds(task)
+		price := restartSeconds + p.settings.MigrationCost*(remaining+class.StartBonusS)
+		gain := (1-service)*remaining - migrationGainFactor*price
+		if value := gain * class.Weight * (task.Cores + task.Memory); gain > 0 && value > bestValue {
+			best, bestValue = task, value
 		}
 	}
 	// All placers here hear the same, so each moves its part of the excess: what cores
 	// are used over the calm level or, where the machine slowed down, what is asked of
 	// it over what it bears now.
-	excess := p.saturationRange() * (1 - served) / (p.saturationLoad() + p.saturationRange()*(1-served))
-	excess = max(excess, 1-1/max(1, p.utilization(m)))
-	chance := excess * float64(len(m.running)) / migrationSeconds
-	if best == nil || p.random.Float64() >= chance || served > migrateAlwaysBelow && !p.fitsElsewhere(best, m) {
+	excess := p.saturationRange() * (1 - service) / (p.saturationLoad() + p.saturationRange()*(1-service))
+	excess = max(excess, 1-1/max(1, p.utilization(worker)))
+	probability := excess * float64(len(worker.running)) / migrationSeconds
+	if best == nil || p.random.Float64() >= probability || service > migrateAlwaysBelow && !p.fitsElsewhere(best, worker) {
 		return
 	}
-	m.migratedAt = p.now
+	worker.migratedAt = p.now
 	p.emit(Migrate{RequestID: best.RequestID})
-	m.running = slices.DeleteFunc(m.running, func(t *taskInfo) bool { return t == best })
+	worker.running = slices.DeleteFunc(worker.running, func(task *taskInfo) bool { return task == best })
 }
 
 // remainingSeconds is for how many seconds a task is still expected to run.
-func (p *Scheduler) remainingSeconds(t *taskInfo) float64 {
-	if !t.HasRunHint || t.ExpectedRunUs <= 0 {
+func (p *Scheduler) remainingSeconds(task *taskInfo) float64 {
+	if !task.HasRunHint || task.ExpectedRunUs <= 0 {
 		return defaultRemainingSeconds
 	}
-	return max(float64(t.ExpectedRunUs-(p.now-t.acceptedAt))/float64(second), defaultRemainingSeconds/2)
+	return max(float64(task.ExpectedRunUs-(p.now-task.acceptedAt))/float64(second), defaultRemainingSeconds/2)
 }
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -61,13 +61,13 @@
 		attempts: map[string]int{}, asked: map[string]Task{}}
 	h.condition = condition(h.rng.IntN(int(conditions)))
 	h.level = [conditions]float64{0.5, 1, 0.6, 0.5, 0}[h.condition]
-	p, err := New(h.settings(), seed)
+	scheduler, err := New(h.settings(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.p = p
-	machines := int(math.Exp(h.rng.Float64()*math.Log(historyMachines)) + 0.5)
-	for i := range machines {
+	h.p = scheduler
+	workers := int(math.Exp(h.rng.Float64()*math.Log(historyMachines)) + 0.5)
+	for i := range workers {
 		name := fmt.Sprint("m", i)
 		h.index[name] = i
 		h.entries = append(h.entries, h.drawEntry(name, i/4))
@@ -110,54 +110,54 @@
 // pick draws an index by weights.
 func (h *history) pick(weights ...int) int {
 	sum := 0
-	for _, w := range weights {
-		sum += w
+	for _, weight := range weights {
+		sum += weight
 	}
 	draw := h.rng.IntN(sum)
-	for i, w := range weights {
-		if draw < w {
+	for i, weight := range weights {
+		if draw < weight {
 			return i
 		}
-		draw -= w
+		draw -= weight
 	}
 	return 0
 }
 
 // drawEntry draws what the list says of a machine.
 func (h *history) drawEntry(name string, cell int) Entry {
-	e := Entry{Worker: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: WorkerState(h.pick(94, 3, 3))}
+	entry := Entry{Worker: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: WorkerState(h.pick(94, 3, 3))}
 	kinds := h.p.settings.Kinds
 	kind := kinds[h.rng.IntN(len(kinds))]
-	e.Kind = kind.Name
+	entry.Kind = kind.Name
 	if h.chance(0.03) {
-		e.Kind = "unknown"
+		entry.Kind = "unknown"
 	}
 	if h.chance([conditions]float64{0.05, 0.05, 0.05, 0.7, 0.02}[h.condition]) {
-		e.StartedAtUs = h.now - h.rng.Int64N(12*second)
+		entry.StartedAtUs = h.now - h.rng.Int64N(12*second)
 	}
-	return h.drawRoom(e, kind)
+	return h.drawRoom(entry, kind)
 }
 
 // drawRoom draws the room that the list shows, in quarters so that ties are common.
-func (h *history) drawRoom(e Entry, kind Kind) Entry {
+func (h *history) drawRoom(entry Entry, kind Kind) Entry {
 	quarter := func(v float64) float64 { return math.Round(v*4) / 4 }
-	asked := h.level
+	requested := h.level
 	if h.condition != mostlyIdle || h.chance(0.1) {
-		asked += (h.rng.Float64() - 0.5) * 0.3
+		requested += (h.rng.Float64() - 0.5) * 0.3
 	}
-	e.FreeCores = quarter(kind.Cores * (1 - asked))
-	e.FreeMemory = quarter(kind.Memory * (1 - asked*(0.8+0.4*h.rng.Float64())))
+	entry.FreeCores = quarter(kind.Cores * (1 - requested))
+	entry.FreeMemory = quarter(kind.Memory * (1 - requested*(0.8+0.4*h.rng.Float64())))
 	if h.condition == mostlyIdle {
-		e.FreeMemory = kind.Memory
+		entry.FreeMemory = kind.Memory
 	}
-	return e
+	return entry
 }
 
 // kindOf is the kind of an entry, or the first one where that is unknown.
-func (h *history) kindOf(e Entry) Kind {
-	for _, k := range h.p.settings.Kinds {
-		if k.Name == e.Kind {
-			return k
+func (h *history) kindOf(entry Entry) Kind {
+	for _, kind := range h.p.settings.Kinds {
+		if kind.Name == entry.Kind {
+			return kind
 		}
 	}
 	return h.p.settings.Kinds[0]
@@ -174,16 +174,16 @@
 }
 
 func (h *history) drawPause() int64 {
-	most := []int64{5 * ms, 100 * ms, 2 * second, 10 * second, 60 * second}[h.pick(40, 30, 20, 8, 2)]
-	return h.rng.Int64N(most) + 1
+	longest := []int64{5 * ms, 100 * ms, 2 * second, 10 * second, 60 * second}[h.pick(40, 30, 20, 8, 2)]
+	return h.rng.Int64N(longest) + 1
 }
 
 // handle hands over events and notes what follows from the actions. A panic fails the
 // test with what replays it.
 func (h *history) handle(events []Event) []Action {
 	defer func() {
-		if r := recover(); r != nil {
-			h.t.Fatalf("seed %d, step %d, %d machines: panic: %v\n%s", h.seed, h.steps, len(h.entries), r, debug.Stack())
+		if panicked := recover(); panicked != nil {
+			h.t.Fatalf("seed %d, step %d, %d machines: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
 		}
 	}()
 	h.steps++
@@ -191,17 +191,17 @@
 		h.record(h.now, events)
 	}
 	actions := h.p.Handle(h.now, events)
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Place:
-			h.attempts[a.RequestID]++
-			h.out = append(h.out, a)
+			h.attempts[action.RequestID]++
+			h.out = append(h.out, action)
 		case Probe:
-			h.probed = append(h.probed, a.Worker)
+			h.probed = append(h.probed, action.Worker)
 		case Reject:
-			delete(h.asked, a.RequestID)
+			delete(h.asked, action.RequestID)
 		case Fail:
-			delete(h.asked, a.RequestID)
+			delete(h.asked, action.RequestID)
 		}
 	}
 	return actions
@@ -237,11 +237,11 @@
 
 // anyTicket is of a task that has not ended, or of none.
 func (h *history) anyTicket() string {
-	tickets := slices.Sorted(maps.Keys(h.asked))
-	if len(tickets) == 0 {
+	requestIDs := slices.Sorted(maps.Keys(h.asked))
+	if len(requestIDs) == 0 {
 		return "none"
 	}
-	return tickets[h.rng.IntN(len(tickets))]
+	return requestIDs[h.rng.IntN(len(requestIDs))]
 }
 
 // drawTask draws a task of any class and shape.
@@ -250,40 +250,40 @@
 	cores := []float64{.25, .5, 1, 2, 4, 8, 16, 30, 50, 90}[h.pick(5, 15, 25, 20, 15, 8, 5, 3, 2, 1)]
 	memory := []float64{0.25, 1, 2, 8}[h.pick(1, 3, 5, 2)]
 	classes := h.p.settings.Classes
-	x := Task{
+	task := Task{
 		RequestID: fmt.Sprint("t", h.tickets), Class: classes[h.rng.IntN(len(classes))].Name, Cores: cores, Memory: cores * memory,
 		DeadlineUs: h.now + second/2 + h.rng.Int64N(10*second), Program: uint64(h.rng.IntN(historyPrograms)),
 		Tenant: []string{"small", "large", "none"}[h.rng.IntN(3)], Retry: h.chance(0.1),
 	}
 	if h.chance(0.3) {
-		x.Program = 0
+		task.Program = 0
 	}
 	if h.chance(0.6) {
-		x.HasRunHint, x.ExpectedRunUs = true, h.rng.Int64N(200*second)
+		task.HasRunHint, task.ExpectedRunUs = true, h.rng.Int64N(200*second)
 	}
 	if h.chance(0.2) {
-		x.QueuedSinceUs = h.now - h.rng.Int64N(5*second)
+		task.QueuedSinceUs = h.now - h.rng.Int64N(5*second)
 	}
-	return x
+	return task
 }
 
 func (h *history) drawRequests() (events []Event) {
-	x := h.drawTask()
+	task := h.drawTask()
 	n := 1 + h.rng.IntN(3)
-	same := h.chance(0.1)
-	if same {
+	burst := h.chance(0.1)
+	if burst {
 		n = 1 + h.rng.IntN(historyBurst)
 	}
 	for range n {
-		h.asked[x.RequestID] = x
-		events = append(events, Request{x})
+		h.asked[task.RequestID] = task
+		events = append(events, Request{task})
 		next := h.drawTask()
-		if same {
-			ticket := next.RequestID
-			next = x
-			next.RequestID = ticket
+		if burst {
+			requestID := next.RequestID
+			next = task
+			next.RequestID = requestID
 		}
-		x = next
+		task = next
 	}
 	return events
 }
@@ -291,15 +291,15 @@
 // drawExisting draws a task that was found running, at times on a machine that no list
 // has named.
 func (h *history) drawExisting() Event {
-	x := h.drawTask()
-	h.asked[x.RequestID] = x
-	h.attempts[x.RequestID] = 1
-	a := Place{RequestID: x.RequestID, Worker: h.anyMachine()}
+	task := h.drawTask()
+	h.asked[task.RequestID] = task
+	h.attempts[task.RequestID] = 1
+	place := Place{RequestID: task.RequestID, Worker: h.anyMachine()}
 	if h.chance(0.4) {
-		a.Worker = fmt.Sprint("unlisted", h.rng.IntN(5))
+		place.Worker = fmt.Sprint("unlisted", h.rng.IntN(5))
 	}
-	h.running = append(h.running, a)
-	return Adopted{x, a.Worker}
+	h.running = append(h.running, place)
+	return Adopted{task, place.Worker}
 }
 
 // drawOutcomes draws answers to attempts that are out, and ends of running tasks.
@@ -307,65 +307,65 @@
 	for range 1 + h.rng.IntN(3) {
 		if len(h.out) > 0 && h.chance(0.7) {
 			i := h.rng.IntN(len(h.out))
-			a := h.out[i]
+			place := h.out[i]
 			h.out = slices.Delete(h.out, i, i+1)
 			if h.chance(0.05) {
 				continue // it is never answered
 			}
-			events = append(events, h.drawAnswer(a))
+			events = append(events, h.drawAnswer(place))
 		} else if len(h.running) > 0 {
 			i := h.rng.IntN(len(h.running))
-			a := h.running[i]
+			place := h.running[i]
 			h.running = slices.Delete(h.running, i, i+1)
-			events = append(events, h.drawEnd(a))
+			events = append(events, h.drawEnd(place))
 		}
 	}
 	return events
 }
 
-func (h *history) drawAnswer(a Place) Event {
-	attempt, rtt := h.attempts[a.RequestID]-1, 1+h.rng.Int64N(30*ms)
+func (h *history) drawAnswer(place Place) Event {
+	attempt, rtt := h.attempts[place.RequestID]-1, 1+h.rng.Int64N(30*ms)
 	accepted := 70
 	if h.condition == mostlyFailing {
 		accepted = 10
 	}
-	done := AttemptEnded{RequestID: a.RequestID, Attempt: attempt, Worker: a.Worker, RTTUs: rtt, Final: h.chance(0.05)}
+	ended := AttemptEnded{RequestID: place.RequestID, Attempt: attempt, Worker: place.Worker, RTTUs: rtt, Final: h.chance(0.05)}
 	switch h.pick(accepted, 4, 12, 5, 4, 4, 2, 2) {
 	case 0:
-		h.running = append(h.running, a)
-		return Accepted{RequestID: a.RequestID, Attempt: attempt, Worker: a.Worker, RTTUs: rtt}
+		h.running = append(h.running, place)
+		return Accepted{RequestID: place.RequestID, Attempt: attempt, Worker: place.Worker, RTTUs: rtt}
 	case 1:
-		done.Outcome = Failed
+		ended.Outcome = Failed
 	case 2:
-		done.Outcome = Rejected
-		done.Cause = []Cause{CauseCores, CauseMemory, CauseQueue, CauseWrongWorker}[h.rng.IntN(4)]
+		ended.Outcome = Rejected
+		ended.Cause = []Cause{CauseCores, CauseMemory, CauseQueue, CauseWrongWorker}[h.rng.IntN(4)]
 	case 3:
-		done.Outcome = TimedOut
+		ended.Outcome = TimedOut
 	case 4:
-		done.Outcome = ConnectFailed
+		ended.Outcome = ConnectFailed
 	case 5:
-		done.Outcome = Reset
+		ended.Outcome = Reset
 	case 6:
-		done.Outcome = Cancelled
+		ended.Outcome = Cancelled
 	case 7:
-		done.Outcome = NeverSent
+		ended.Outcome = NeverSent
 	}
-	return done
+	return ended
 }
 
-func (h *history) drawEnd(a Place) Event {
-	done := AttemptEnded{RequestID: a.RequestID, Attempt: h.attempts[a.RequestID] - 1, Worker: a.Worker, Outcome: Completed, Final: h.chance(0.5)}
-	delete(h.asked, a.RequestID)
+func (h *history) drawEnd(place Place) Event {
+	ended := AttemptEnded{RequestID: place.RequestID, Attempt: h.attempts[place.RequestID] - 1, Worker: place.Worker, Outcome: Completed, Final: h.chance(0.5)}
+	delete(h.asked, place.RequestID)
 	switch h.pick(75, 10, 10, 5) {
 	case 1:
-		done.Outcome = Reset
-		done.Cause = []Cause{CauseUnknown, CauseEvicted, CausePreempted, CauseDrained}[h.rng.IntN(4)]
+		ended.Outcome = Reset
+		ended.Cause = []Cause{CauseUnknown, CauseEvicted, CausePreempted, CauseDrained}[h.rng.IntN(4)]
 	case 2:
-		done.Outcome = Failed
+		ended.Outcome = Failed
 	case 3:
-		done.Outcome = Cancelled
+		ended.Outcome = Cancelled
 	}
-	return done
+	return ended
 }
 
 // drawDelta draws changes of a few machines, or at times of a part of the fleet that
@@ -379,79 +379,79 @@
 	}
 	for range n {
 		i := h.rng.IntN(len(h.entries))
-		e := h.drawRoom(h.entries[i], h.kindOf(h.entries[i]))
+		entry := h.drawRoom(h.entries[i], h.kindOf(h.entries[i]))
 		if together {
-			e.State = state
+			entry.State = state
 		} else {
-			e.State = WorkerState(h.pick(92, 4, 4))
+			entry.State = WorkerState(h.pick(92, 4, 4))
 		}
 		if h.chance(0.04) || together && state == Ready {
-			e.StartedAtUs = h.now - h.rng.Int64N(second)
+			entry.StartedAtUs = h.now - h.rng.Int64N(second)
 		}
-		h.entries[i] = e
-		e.Uncordoned = h.chance(0.02)
-		changed = append(changed, e)
+		h.entries[i] = entry
+		entry.Uncordoned = h.chance(0.02)
+		changed = append(changed, entry)
 	}
 	return WorkerList{Kind: ListDelta, Entries: changed}
 }
 
 func (h *history) drawList() Event {
-	l := WorkerList{Kind: []ListKind{ListFull, ListCached, ListFailed}[h.rng.IntN(3)]}
-	if l.Kind == ListFailed {
-		return l
+	list := WorkerList{Kind: []ListKind{ListFull, ListCached, ListFailed}[h.rng.IntN(3)]}
+	if list.Kind == ListFailed {
+		return list
 	}
 	missing := 0.02
 	if h.chance(0.1) {
 		missing = 0.5
 	}
-	for _, e := range h.entries {
+	for _, entry := range h.entries {
 		if !h.chance(missing) {
-			l.Entries = append(l.Entries, e)
+			list.Entries = append(list.Entries, entry)
 		}
 	}
-	return l
+	return list
 }
 
 func (h *history) drawNotes() (events []Event) {
 	for range min(len(h.running), 1+h.rng.IntN(4)) {
-		a := h.running[h.rng.IntN(len(h.running))]
-		n := TaskReport{RequestID: a.RequestID, Attempt: h.attempts[a.RequestID] - 1, Worker: a.Worker, Kind: ReportKind(1 + h.rng.IntN(5))}
-		x := h.asked[a.RequestID]
-		switch n.Kind {
+		place := h.running[h.rng.IntN(len(h.running))]
+		report := TaskReport{RequestID: place.RequestID, Attempt: h.attempts[place.RequestID] - 1, Worker: place.Worker, Kind: ReportKind(1 + h.rng.IntN(5))}
+		task := h.asked[place.RequestID]
+		switch report.Kind {
 		case ReportCores:
-			n.Value = x.Cores * (0.3 + h.rng.Float64())
+			report.Value = task.Cores * (0.3 + h.rng.Float64())
 		case ReportMemory:
-			n.Value = x.Memory * (0.3 + h.rng.Float64())
+			report.Value = task.Memory * (0.3 + h.rng.Float64())
 		default:
-			n.Value = h.rng.Float64()*0.6 + 0.45
+			report.Value = h.rng.Float64()*0.6 + 0.45
 		}
-		events = append(events, n)
+		events = append(events, report)
 	}
 	return events
 }
 
 // drawSampled draws the answer to a probe, or a report that nobody asked for.
 func (h *history) drawSampled() []Event {
-	machine := h.anyMachine()
+	worker := h.anyMachine()
 	if len(h.probed) > 0 && h.chance(0.8) {
-		machine, h.probed = h.probed[0], h.probed[1:]
+		worker, h.probed = h.probed[0], h.probed[1:]
 	}
-	e := ProbeResult{Worker: machine, Outcome: Completed, RTTUs: ms}
+	event := ProbeResult{Worker: worker, Outcome: Completed, RTTUs: ms}
 	if h.chance(0.2) {
-		e.Outcome = TimedOut
+		event.Outcome = TimedOut
 	}
-	kind := h.kindOf(h.entries[h.index[machine]])
-	e.Load = Load{kind.Cores * (1 - h.level*h.rng.Float64()*1.2), kind.Memory * (1 - h.level*h.rng.Float64()*1.2),
+	kind := h.kindOf(h.entries[h.index[worker]])
+	event.Load = Load{kind.Cores * (1 - h.level*h.rng.Float64()*1.2), kind.Memory * (1 - h.level*h.rng.Float64()*1.2),
 		h.rng.Float64() * 1.1, float64(h.rng.IntN(6))}
 	switch h.pick(80, 10, 5, 5) {
 	case 1:
-		e.Load.FreeCores, e.Load.FreeMemory = math.NaN(), math.NaN()
+		event.Load.FreeCores, event.Load.FreeMemory = math.NaN(), math.NaN()
 	case 2:
-		e.Load.Utilization, e.Load.Queued = math.NaN(), math.NaN()
+		event.Load.Utilization, event.Load.Queued = math.NaN(), math.NaN()
 	case 3:
-		e.Load.FreeCores, e.Load.Queued = 1e9, 1e9
+		event.Load.FreeCores, event.Load.Queued = 1e9, 1e9
 	}
-	return []Event{e}
+	return []Event{event}
 }
 
 func (h *history) drawPressure() Event {
@@ -470,19 +470,19 @@
 // probe draws a task to compare choices for. It is not one of the placer's: what came
 // before it, attempts and errors, is made up.
 func (h *history) probe() *taskInfo {
-	x := h.drawTask()
-	class := h.p.classIndexes[x.Class]
-	t := &taskInfo{Task: x, classIndex: class, arrivedAt: h.now - h.rng.Int64N(3*second), queuedSince: h.now}
-	t.priority = []float64{0, 0.01, 1, 1e6}[h.rng.IntN(4)]
+	submitted := h.drawTask()
+	classIndex := h.p.classIndexes[submitted.Class]
+	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: h.now - h.rng.Int64N(3*second), queuedSince: h.now}
+	task.priority = []float64{0, 0.01, 1, 1e6}[h.rng.IntN(4)]
 	if h.chance(0.5) {
-		t.priority = h.p.computePriority(t)
+		task.priority = h.p.computePriority(task)
 	}
-	some := func() *workerInfo { return h.p.sorted[h.rng.IntN(len(h.p.sorted))] }
-	for len(h.p.sorted) > 0 && len(t.attempts) < 3 && h.chance(0.25) {
-		t.attempts = append(t.attempts, &attempt{worker: some(), sentAt: h.now - h.rng.Int64N(4*second), ended: true, failed: h.chance(0.5)})
+	anyWorker := func() *workerInfo { return h.p.sorted[h.rng.IntN(len(h.p.sorted))] }
+	for len(h.p.sorted) > 0 && len(task.attempts) < 3 && h.chance(0.25) {
+		task.attempts = append(task.attempts, &attemptInfo{worker: anyWorker(), sentAt: h.now - h.rng.Int64N(4*second), ended: true, failed: h.chance(0.5)})
 	}
-	if len(t.attempts) > 0 && h.chance(0.5) {
-		t.mayHaveRun = t.attempts[0]
+	if len(task.attempts) > 0 && h.chance(0.5) {
+		task.mayHaveRun = task.attempts[0]
 	}
-	return t
+	return task
 }
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -31,79 +31,79 @@
 }
 
 // checkIndex returns how many machines are indexed, or what is wrong with the index.
-func checkIndex(p *Scheduler) (indexed int, err error) {
+func checkIndex(scheduler *Scheduler) (indexed int, err error) {
 	sums := struct{ asked, cores, memory float64 }{}
-	for ordinal, m := range p.sorted {
-		if m.ordinal != ordinal || p.nameHashes[ordinal] != m.nameHash {
-			return 0, fmt.Errorf("%s: ordinal %d, want %d", m.Worker, m.ordinal, ordinal)
+	for ordinal, worker := range scheduler.sorted {
+		if worker.ordinal != ordinal || scheduler.nameHashes[ordinal] != worker.nameHash {
+			return 0, fmt.Errorf("%s: ordinal %d, want %d", worker.Worker, worker.ordinal, ordinal)
 		}
-		if m.listed == p.unlisted[m] {
-			return 0, fmt.Errorf("%s: listed %v, departed %v", m.Worker, m.listed, p.unlisted[m])
+		if worker.listed == scheduler.unlisted[worker] {
+			return 0, fmt.Errorf("%s: listed %v, departed %v", worker.Worker, worker.listed, scheduler.unlisted[worker])
 		}
-		k := p.kindOf(m)
-		if m.position.indexed != (m.listed && m.State == Ready && k != nil) {
-			return 0, fmt.Errorf("%s: indexed %v; %+v", m.Worker, m.position.indexed, m.Entry)
+		kind := scheduler.kindOf(worker)
+		if worker.position.indexed != (worker.listed && worker.State == Ready && kind != nil) {
+			return 0, fmt.Errorf("%s: indexed %v; %+v", worker.Worker, worker.position.indexed, worker.Entry)
 		}
-		if k == nil {
+		if kind == nil {
 			continue
 		}
-		m.stale = true
-		cores, memory := p.requested(m)
-		m.stale = false
-		if cores != m.requestedCores || memory != m.requestedMemory {
-			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", m.Worker, cores, memory, m.requestedCores, m.requestedMemory)
+		worker.stale = true
+		cores, memory := scheduler.requested(worker)
+		worker.stale = false
+		if cores != worker.requestedCores || memory != worker.requestedMemory {
+			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", worker.Worker, cores, memory, worker.requestedCores, worker.requestedMemory)
 		}
-		if m.listed && p.settings.HasView {
-			sums.asked, sums.cores, sums.memory = sums.asked+cores, sums.cores+k.Cores, sums.memory+k.Memory
+		if worker.listed && scheduler.settings.HasView {
+			sums.asked, sums.cores, sums.memory = sums.asked+cores, sums.cores+kind.Cores, sums.memory+kind.Memory
 		}
-		if !m.position.indexed {
+		if !worker.position.indexed {
 			continue
 		}
 		indexed++
-		if err := checkEntry(p, m, k); err != nil {
+		if err := checkEntry(scheduler, worker, kind); err != nil {
 			return 0, err
 		}
 	}
-	if near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }; !near(sums.asked, p.requestedCores) ||
-		!near(sums.cores, p.listedCapacity.cores) || !near(sums.memory, p.listedCapacity.memory) {
-		return 0, fmt.Errorf("sums %+v; noted %v and %+v", sums, p.requestedCores, p.listedCapacity)
+	if near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }; !near(sums.asked, scheduler.requestedCores) ||
+		!near(sums.cores, scheduler.listedCapacity.cores) || !near(sums.memory, scheduler.listedCapacity.memory) {
+		return 0, fmt.Errorf("sums %+v; noted %v and %+v", sums, scheduler.requestedCores, scheduler.listedCapacity)
 	}
-	if held := countEntries(p); held != indexed {
+	if held := countEntries(scheduler); held != indexed {
 		return 0, fmt.Errorf("%d entries of %d machines", held, indexed)
 	}
-	return indexed, checkPrograms(p)
+	return indexed, checkPrograms(scheduler)
 }
 
-func checkEntry(p *Scheduler, m *workerInfo, k *Kind) error {
-	kind := &p.index.kinds[m.position.kindIndex]
-	l := &kind.levels[m.position.level]
-	e := l.entries[m.position.entryIndex]
+func checkEntry(scheduler *Scheduler, worker *workerInfo, kind *Kind) error {
+	levels := &scheduler.index.kinds[worker.position.kindIndex]
+	level := &levels.levels[worker.position.level]
+	entry := level.entries[worker.position.entryIndex]
 	switch {
-	case m.position.kindIndex != m.kindIndex || e.worker != m:
-		return fmt.Errorf("%s: its slot %+v holds %s", m.Worker, m.position, e.worker.Worker)
-	case p.settings.HasView && e.requested != fractions{m.requestedCores / k.Cores, m.requestedMemory / k.Memory}:
-		return fmt.Errorf("%s: entry %+v", m.Worker, e.requested)
-	case !l.minRequested.within(e.requested) || e.calibration < l.minCalibration || e.calibration > min(m.coresCalibration, m.memoryCalibration):
-		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", m.Worker, e, l.minRequested, l.minCalibration)
-	case (p.reservations[m] > 0) != (m.position.entryIndex >= l.unreserved):
-		return fmt.Errorf("%s: kept %v, number %d of %d free ones", m.Worker, p.reservations[m] > 0, m.position.entryIndex, l.unreserved)
-	}
-	share := max(e.requested.cores/p.index.scale.cores, e.requested.memory/p.index.scale.memory)
-	if floor := float64(m.position.level) * levelWidth; share < floor || share >= floor+levelWidth && m.position.level < levelCount-1 {
-		return fmt.Errorf("%s: share %v at level %d", m.Worker, share, m.position.level)
+	case worker.position.kindIndex != worker.kindIndex || entry.worker != worker:
+		return fmt.Errorf("%s: its slot %+v holds %s", worker.Worker, worker.position, entry.worker.Worker)
+	case scheduler.settings.HasView && entry.requested != fractions{worker.requestedCores / kind.Cores, worker.requestedMemory / kind.Memory}:
+		return fmt.Errorf("%s: entry %+v", worker.Worker, entry.requested)
+	case !level.minRequested.within(entry.requested) || entry.calibration < level.minCalibration || entry.calibration > min(worker.coresCalibration, worker.memoryCalibration):
+		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", worker.Worker, entry, level.minRequested, level.minCalibration)
+	case (scheduler.reservations[worker] > 0) != (worker.position.entryIndex >= level.unreserved):
+		return fmt.Errorf("%s: kept %v, number %d of %d free ones", worker.Worker, scheduler.reservations[worker] > 0, worker.position.entryIndex, level.unreserved)
+	}
+	share := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
+	if floor := float64(worker.position.level) * levelWidth; share < floor || share >= floor+levelWidth && worker.position.level < levelCount-1 {
+		return fmt.Errorf("%s: share %v at level %d", worker.Worker, share, worker.position.level)
 	}
 	return nil
 }
 
 // countEntries counts the machines in all levels, and -1 where a set of levels is wrong.
-func countEntries(p *Scheduler) (count int) {
-	for i := range p.index.kinds {
-		k := &p.index.kinds[i]
-		for number := range k.levels {
-			l := &k.levels[number]
-			count += len(l.entries)
+func countEntries(scheduler *Scheduler) (count int) {
+	for i := range scheduler.index.kinds {
+		levels := &scheduler.index.kinds[i]
+		for number := range levels.levels {
+			level := &levels.levels[number]
+			count += len(level.entries)
 			bit := uint64(1) << (number % 64)
-			if (k.occupied[number/64]&bit != 0) != (len(l.entries) > 0) || (k.unreserved[number/64]&bit != 0) != (l.unreserved > 0) {
+			if (levels.occupied[number/64]&bit != 0) != (len(level.entries) > 0) || (levels.unreserved[number/64]&bit != 0) != (level.unreserved > 0) {
 				return -1
 			}
 		}
@@ -111,18 +111,18 @@
 	return count
 }
 
-func checkPrograms(p *Scheduler) error {
+func checkPrograms(scheduler *Scheduler) error {
 	homes := 0
-	for _, m := range p.sorted {
-		for program := range m.residentPrograms {
+	for _, worker := range scheduler.sorted {
+		for program := range worker.residentPrograms {
 			homes++
-			if !slices.Contains(p.residents[program], m) {
-				return fmt.Errorf("%s is not among the machines of program %d", m.Worker, program)
+			if !slices.Contains(scheduler.residents[program], worker) {
+				return fmt.Errorf("%s is not among the machines of program %d", worker.Worker, program)
 			}
 		}
 	}
-	for _, ms := range p.residents {
-		homes -= len(ms)
+	for _, workers := range scheduler.residents {
+		homes -= len(workers)
 	}
 	if homes != 0 {
 		return fmt.Errorf("%d machines too few are noted to hold programs", homes)
@@ -132,32 +132,32 @@
 
 // largeFleet is a bed with n machines of one kind that are asked for drawn shares.
 func largeFleet(t *testing.T, n int, share func(*rand.Rand) float64) *bed {
-	rng := rand.New(rand.NewPCG(1, uint64(n)))
+	random := rand.New(rand.NewPCG(1, uint64(n)))
 	entries := make([]Entry, n)
 	for i := range entries {
-		entries[i] = small(fmt.Sprintf("m%05d", i), i/8, 32*(1-share(rng)))
+		entries[i] = small(fmt.Sprintf("m%05d", i), i/8, 32*(1-share(random)))
 	}
 	return newBed(t, testSettings(), 1, entries...)
 }
 
 // probe is a task that nobody asked the placer for.
 func (b *bed) probe(program uint64) *taskInfo {
-	r := b.request("probe", "safe", 1, 2)
-	r.Program = program
-	return &taskInfo{Task: r.Task, arrivedAt: b.now, queuedSince: b.now}
+	request := b.request("probe", "safe", 1, 2)
+	request.Program = program
+	return &taskInfo{Task: request.Task, arrivedAt: b.now, queuedSince: b.now}
 }
 
-func levelled(rng *rand.Rand) float64 { return 0.6 + 0.04*rng.NormFloat64() }
+func levelled(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
 
 // TestSearchLooksAtFew bounds how many machines a search looks at, and that by less than
 // the growth of the fleet.
 func TestSearchLooksAtFew(t *testing.T) {
 	looked := map[int]float64{}
 	for _, n := range []int{400, 4000} {
-		b := largeFleet(t, n, levelled)
+		f := largeFleet(t, n, levelled)
 		for program := range uint64(50) {
-			b.p.finalists(b.probe(program))
-			looked[n] += float64(b.p.search.evaluated) / 50
+			f.p.finalists(f.probe(program))
+			looked[n] += float64(f.p.search.evaluated) / 50
 		}
 	}
 	idle := largeFleet(t, 4000, func(*rand.Rand) float64 { return 0 })
@@ -172,24 +172,24 @@
 // TestFullFleetIsRemembered has a search in a fleet without room look at no machine, and
 // pass over whole levels once one search has found that they have none.
 func TestFullFleetIsRemembered(t *testing.T) {
-	b := largeFleet(t, 4000, func(rng *rand.Rand) float64 { return 1.495 + 0.004*rng.Float64() })
+	f := largeFleet(t, 4000, func(random *rand.Rand) float64 { return 1.495 + 0.004*random.Float64() })
 	// One machine of the same level had room, which an earlier bound shows still.
 	last := small("m03999", 0, 32*(1-1.478))
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
-	x := b.probe(0)
-	x.Cores, x.Memory = 0.25, 0.5
-	if near := b.p.finalists(x); len(near) != 1 {
-		t.Fatalf("%d machines to draw from, want the one with room", len(near))
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
+	task := f.probe(0)
+	task.Cores, task.Memory = 0.25, 0.5
+	if finalists := f.p.finalists(task); len(finalists) != 1 {
+		t.Fatalf("%d machines to draw from, want the one with room", len(finalists))
 	}
 	last.FreeCores, last.FreeMemory = 32*(1-1.495), 64*(1-1.495)
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
-	if near := b.p.finalists(x); len(near) > 0 || b.p.search.evaluated > 0 {
-		t.Fatalf("a full fleet: %d machines to draw from, %d looked at", len(near), b.p.search.evaluated)
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
+	if finalists := f.p.finalists(task); len(finalists) > 0 || f.p.search.evaluated > 0 {
+		t.Fatalf("a full fleet: %d machines to draw from, %d looked at", len(finalists), f.p.search.evaluated)
 	}
-	for _, k := range b.p.index.kinds {
+	for _, k := range f.p.index.kinds {
 		for number := range k.levels {
-			if l := &k.levels[number]; len(l.entries) > 0 && b.p.search.limits[0].admits(l.minRequested, l.minCalibration) {
-				t.Errorf("level %d of %d machines is not passed over: it is taken to be asked for %+v", number, len(l.entries), l.minRequested)
+			if level := &k.levels[number]; len(level.entries) > 0 && f.p.search.limits[0].admits(level.minRequested, level.minCalibration) {
+				t.Errorf("level %d of %d machines is not passed over: it is taken to be asked for %+v", number, len(level.entries), level.minRequested)
 			}
 		}
 	}
@@ -198,19 +198,19 @@
 // TestFirstByNameIsKept has the first of equals kept for a held task, as in a small fleet
 // nothing else tells them apart.
 func TestFirstByNameIsKept(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("c", 0, -20), small("b", 0, -16), small("a", 0, -16), small("d", 1, -16))
-	x := b.probe(0)
-	x.Cores, x.Memory = 8, 8
-	if m := b.p.closestToFitting(x); m == nil || m.Worker != "a" {
-		t.Errorf("kept %v, want a", m)
+	f := newBed(t, testSettings(), 1, small("c", 0, -20), small("b", 0, -16), small("a", 0, -16), small("d", 1, -16))
+	task := f.probe(0)
+	task.Cores, task.Memory = 8, 8
+	if worker := f.p.closestToFitting(task); worker == nil || worker.Worker != "a" {
+		t.Errorf("kept %v, want a", worker)
 	}
 }
 
 // TestSearchAllocatesNothing counts the allocations of a search once its slices have grown.
 func TestSearchAllocatesNothing(t *testing.T) {
-	b := largeFleet(t, 1000, levelled)
-	x := b.probe(7)
-	if n := testing.AllocsPerRun(100, func() { b.p.selectWorker(x) }); n > 0 {
+	f := largeFleet(t, 1000, levelled)
+	task := f.probe(7)
+	if n := testing.AllocsPerRun(100, func() { f.p.selectWorker(task) }); n > 0 {
 		t.Errorf("%v allocations a search", n)
 	}
 }
@@ -218,14 +218,14 @@
 // TestEqualsAreDrawnEvenly draws often among thousands of machines that are all alike.
 func TestEqualsAreDrawnEvenly(t *testing.T) {
 	const machines, mean = 4000, 10
-	b := largeFleet(t, machines, func(*rand.Rand) float64 { return 0.3 })
+	f := largeFleet(t, machines, func(*rand.Rand) float64 { return 0.3 })
 	drawn := map[*workerInfo]int{}
 	for range machines * mean {
-		drawn[b.p.selectWorker(b.probe(0))]++
+		drawn[f.p.selectWorker(f.probe(0))]++
 	}
 	var squares float64
-	for _, m := range b.p.sorted {
-		squares += math.Pow(float64(drawn[m])-mean, 2) / mean
+	for _, worker := range f.p.sorted {
+		squares += math.Pow(float64(drawn[worker])-mean, 2) / mean
 	}
 	// The sum has the mean of the number of machines and a deviation of sqrt(2 machines).
 	if limit := machines + 6*math.Sqrt(2*machines); squares > limit {
@@ -241,21 +241,21 @@
 		draw func(*rand.Rand) float64
 	}{
 		{"levelled", levelled},
-		{"alike", func(rng *rand.Rand) float64 { return 0.5 + 0.001*rng.Float64() }},
-		{"uneven", func(rng *rand.Rand) float64 { return rng.Float64() }},
+		{"alike", func(random *rand.Rand) float64 { return 0.5 + 0.001*random.Float64() }},
+		{"uneven", func(random *rand.Rand) float64 { return random.Float64() }},
 	} {
-		b := largeFleet(t, 4000, share.draw)
+		f := largeFleet(t, 4000, share.draw)
 		var chosen, lowest float64
 		for program := range uint64(200) {
-			x := b.probe(program % 20) // 0 is none
-			m := b.p.selectWorker(x)
+			task := f.probe(program % 20) // 0 is none
+			worker := f.p.selectWorker(task)
 			least := math.Inf(1)
-			for _, o := range b.p.sorted {
-				least = min(least, b.p.admissionCost(o, x))
+			for _, other := range f.p.sorted {
+				least = min(least, f.p.admissionCost(other, task))
 			}
-			got := b.p.admissionCost(m, x)
+			got := f.p.admissionCost(worker, task)
 			if got > least+2*costMargin {
-				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, got, m.Worker, least)
+				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, got, worker.Worker, least)
 			}
 			chosen, lowest = chosen+got, lowest+least
 		}
@@ -268,37 +268,37 @@
 
 // TestMeansOfALargeFleet has the means of a large fleet follow it after a second.
 func TestMeansOfALargeFleet(t *testing.T) {
-	b := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
-	b.p.meanUtilization()
-	entries := make([]Entry, len(b.p.sorted))
-	for i, m := range b.p.sorted {
-		entries[i] = m.Entry
+	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
+	f.p.meanUtilization()
+	entries := make([]Entry, len(f.p.sorted))
+	for i, worker := range f.p.sorted {
+		entries[i] = worker.Entry
 		entries[i].FreeCores = 16
 	}
-	b.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
-	if rho, _ := b.p.meanUtilization(); rho != 0 {
-		t.Errorf("share %v before a second has passed, want that of before", rho)
+	f.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
+	if utilization, _ := f.p.meanUtilization(); utilization != 0 {
+		t.Errorf("share %v before a second has passed, want that of before", utilization)
 	}
-	b.at(second/2, TimerFired{})
-	if rho, _ := b.p.meanUtilization(); math.Abs(rho-0.5/b.p.baseline.cores) > 1e-9 {
-		t.Errorf("share %v after a second, want %v", rho, 0.5/b.p.baseline.cores)
+	f.at(second/2, TimerFired{})
+	if utilization, _ := f.p.meanUtilization(); math.Abs(utilization-0.5/f.p.baseline.cores) > 1e-9 {
+		t.Errorf("share %v after a second, want %v", utilization, 0.5/f.p.baseline.cores)
 	}
 }
 
 // TestRoomOfALargeFleet has the spare room of a large fleet follow it with the bell.
 func TestRoomOfALargeFleet(t *testing.T) {
-	b := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
-	b.p.settings.UnitCores, b.p.settings.UnitMemory = 1, 2
-	all := b.p.freeUnits()
-	for _, m := range b.p.sorted {
-		m.attemptWindow = 0 // it may be offered nothing
-	}
-	b.at(retryInterval/2, TimerFired{})
-	if got := b.p.freeUnits(); got != all {
+	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
+	f.p.settings.UnitCores, f.p.settings.UnitMemory = 1, 2
+	all := f.p.freeUnits()
+	for _, worker := range f.p.sorted {
+		worker.attemptWindow = 0 // it may be offered nothing
+	}
+	f.at(retryInterval/2, TimerFired{})
+	if got := f.p.freeUnits(); got != all {
 		t.Errorf("room %v before the bell is due, want %v as before", got, all)
 	}
-	b.at(retryInterval/2, TimerFired{})
-	if got := b.p.freeUnits(); got != 0 {
+	f.at(retryInterval/2, TimerFired{})
+	if got := f.p.freeUnits(); got != 0 {
 		t.Errorf("room %v with the bell, want none", got)
 	}
 }
@@ -307,16 +307,16 @@
 // change of the list, of which a large fleet has one in each turn.
 func TestHeldTasksOfALargeFleet(t *testing.T) {
 	for _, n := range []int{maxEnumerated, maxEnumerated + 1} {
-		b := largeFleet(t, n, func(*rand.Rand) float64 { return 1.5 })
-		if got := of[Place](b.at(ms, b.request("1", "safe", 1, 2))); len(got) > 0 {
+		f := largeFleet(t, n, func(*rand.Rand) float64 { return 1.5 })
+		if got := of[Place](f.at(ms, f.request("1", "safe", 1, 2))); len(got) > 0 {
 			t.Fatalf("%d machines: placed %v in a full fleet", n, got)
 		}
 		room := small("m00007", 0, 20)
-		atOnce := len(of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{room}})))
+		atOnce := len(of[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{room}})))
 		if want := map[bool]int{true: 1}[n <= maxEnumerated]; atOnce != want {
 			t.Errorf("%d machines: %d tasks placed as room was told, want %d", n, atOnce, want)
 		}
-		if later := len(of[Place](b.at(retryInterval, TimerFired{Ref: "wake"}))); atOnce+later != 1 {
+		if later := len(of[Place](f.at(retryInterval, TimerFired{Ref: "wake"}))); atOnce+later != 1 {
 			t.Errorf("%d machines: %d tasks placed by the bell, want 1 in all", n, later)
 		}
 	}
@@ -324,38 +324,38 @@
 
 // TestDepartedMachinesAreForgotten has nothing left of machines that went.
 func TestDepartedMachinesAreForgotten(t *testing.T) {
-	b := largeFleet(t, 100, levelled)
+	f := largeFleet(t, 100, levelled)
 	for i := range 30 {
-		b.started(fmt.Sprint(i))
+		f.started(fmt.Sprint(i))
 	}
 	gone := WorkerList{Kind: ListDelta}
-	for _, m := range b.p.sorted {
-		e := m.Entry
-		e.State = Removed
-		gone.Entries = append(gone.Entries, e)
-	}
-	b.at(ms, gone)
-	for ticket, x := range b.p.tasks {
-		b.at(0, AttemptEnded{RequestID: ticket, Attempt: len(x.attempts) - 1, Outcome: Completed, Final: true})
-	}
-	b.at(ms, WorkerList{Kind: ListDelta})
-	b.p.refreshIndex()
-	p := b.p
-	if left := len(p.sorted) + len(p.workers) + len(p.unlisted) + len(p.residents) + len(p.preferred) + countEntries(p); left != 0 {
+	for _, worker := range f.p.sorted {
+		entry := worker.Entry
+		entry.State = Removed
+		gone.Entries = append(gone.Entries, entry)
+	}
+	f.at(ms, gone)
+	for requestID, task := range f.p.tasks {
+		f.at(0, AttemptEnded{RequestID: requestID, Attempt: len(task.attempts) - 1, Outcome: Completed, Final: true})
+	}
+	f.at(ms, WorkerList{Kind: ListDelta})
+	f.p.refreshIndex()
+	scheduler := f.p
+	if left := len(scheduler.sorted) + len(scheduler.workers) + len(scheduler.unlisted) + len(scheduler.residents) + len(scheduler.preferred) + countEntries(scheduler); left != 0 {
 		t.Errorf("left: %d machines by name, %d departed, %d programs, %d preferred, %d entries",
-			len(p.sorted), len(p.unlisted), len(p.residents), len(p.preferred), countEntries(p))
+			len(scheduler.sorted), len(scheduler.unlisted), len(scheduler.residents), len(scheduler.preferred), countEntries(scheduler))
 	}
-	if p.requestedCores != 0 && math.Abs(p.requestedCores) > 1e-9 || p.listedCapacity != (fractions{}) {
-		t.Errorf("left: %v cores asked of %+v", p.requestedCores, p.listedCapacity)
+	if scheduler.requestedCores != 0 && math.Abs(scheduler.requestedCores) > 1e-9 || scheduler.listedCapacity != (fractions{}) {
+		t.Errorf("left: %v cores asked of %+v", scheduler.requestedCores, scheduler.listedCapacity)
 	}
 }
 
 // started has a task placed and accepted.
-func (b *bed) started(ticket string) {
+func (b *bed) started(requestID string) {
 	b.t.Helper()
-	got := of[Place](b.at(ms, b.request(ticket, "safe", 1, 2)))
+	got := of[Place](b.at(ms, b.request(requestID, "safe", 1, 2)))
 	if len(got) != 1 {
-		b.t.Fatalf("%d places of task %s, want 1", len(got), ticket)
+		b.t.Fatalf("%d places of task %s, want 1", len(got), requestID)
 	}
-	b.at(ms, Accepted{RequestID: ticket, Worker: got[0].Worker, RTTUs: ms})
+	b.at(ms, Accepted{RequestID: requestID, Worker: got[0].Worker, RTTUs: ms})
 }
--- a/placement/module_slopes_test.go
+++ b/placement/module_slopes_test.go
@@ -192,10 +192,10 @@
 	job := s.nextJob()
 	var events []Event
 	for i := range burstTasks {
-		x := job.task
-		x.Class, x.Cores, x.Memory, x.DeadlineUs = s.settings.Classes[0].Name, 1, 2, s.now+siteDeadline
-		x.RequestID = fmt.Sprint("burst-", s.now, "-", i)
-		events = append(events, Request{x})
+		task := job.task
+		task.Class, task.Cores, task.Memory, task.DeadlineUs = s.settings.Classes[0].Name, 1, 2, s.now+siteDeadline
+		task.RequestID = fmt.Sprint("burst-", s.now, "-", i)
+		events = append(events, Request{task})
 	}
 	var actions []Action
 	m.measure(s.t, func() { actions = s.handle(events...) })
@@ -207,8 +207,8 @@
 	for _, a := range placed {
 		s.handle(Accepted{RequestID: a.RequestID, Worker: a.Worker, RTTUs: siteRTT})
 	}
-	for _, e := range events {
-		s.handle(ClientCancelled{e.(Request).RequestID})
+	for _, event := range events {
+		s.handle(ClientCancelled{event.(Request).RequestID})
 	}
 	s.now += second
 	for _, a := range placed {
@@ -225,9 +225,9 @@
 
 // measureUnrelated measures a request of no job, which no worker has an advantage for.
 func measureUnrelated(s *site, m *meter) {
-	x := s.nextTask()
-	x.Program = 0
-	e := s.prepareTask(x)
+	task := s.nextTask()
+	task.Program = 0
+	e := s.prepareTask(task)
 	m.measure(s.t, func() { s.run(e) })
 	e.mustPlace(s)
 	s.finish(e)
@@ -239,15 +239,15 @@
 // fullSite is a site whose workers are all full, where tasks wait.
 func fullSite(t *testing.T, workers, held int) *site {
 	s := busySite(t, workers)
-	for _, w := range s.workers {
-		w.askC, w.askM = w.cores, w.mem
+	for _, worker := range s.workers {
+		worker.askC, worker.askM = worker.cores, worker.mem
 	}
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()}, Backpressure{ReleaseRate: plannedStarts / sitePlacers * float64(workers) / plannedWorkers})
 	var events []Event
 	for range held {
-		x := s.nextTask()
-		x.DeadlineUs = s.now + heldDeadline
-		events = append(events, Request{x})
+		task := s.nextTask()
+		task.DeadlineUs = s.now + heldDeadline
+		events = append(events, Request{task})
 	}
 	if placed := of[Place](s.handle(events...)); len(placed) > 0 {
 		t.Fatalf("%d tasks placed on full workers", len(placed))
@@ -265,9 +265,9 @@
 // measureHeldEntry measures a list entry that shows no room.
 func measureHeldEntry(s *site, m *meter) {
 	s.now += s.betweenUs / (2 * sitePlacers)
-	w := s.workers[s.rng.IntN(len(s.workers))]
+	worker := s.workers[s.rng.IntN(len(s.workers))]
 	var actions []Action
-	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{w.shown()}}) })
+	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{worker.shown()}}) })
 	s.mustWait(actions)
 }
 
@@ -283,11 +283,11 @@
 // measureDrain measures the drain of a part of the workers in one event.
 func measureDrain(s *site, m *meter) {
 	var entries []Entry
-	for i, w := range s.workers {
+	for i, worker := range s.workers {
 		if i%drainedPart == 0 {
-			e := w.shown()
-			e.State = Draining
-			entries = append(entries, e)
+			entry := worker.shown()
+			entry.State = Draining
+			entries = append(entries, entry)
 		}
 	}
 	s.now += second
@@ -300,27 +300,27 @@
 func loseZone(s *site, gone, back *meter) {
 	const zone = "zone-1"
 	var entries []Entry
-	for _, w := range s.workers {
-		if w.entry.Zone == zone {
-			e := w.shown()
-			e.State = Removed
-			entries = append(entries, e)
+	for _, worker := range s.workers {
+		if worker.entry.Zone == zone {
+			entry := worker.shown()
+			entry.State = Removed
+			entries = append(entries, entry)
 		}
 	}
 	s.now += second
 	gone.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
-	s.own = slices.DeleteFunc(s.own, func(x *siteTask) bool {
-		if x.worker.entry.Zone != zone {
+	s.own = slices.DeleteFunc(s.own, func(task *siteTask) bool {
+		if task.worker.entry.Zone != zone {
 			return false
 		}
-		s.handle(AttemptEnded{RequestID: x.RequestID, Worker: x.worker.entry.Worker, Outcome: Reset, Final: true})
+		s.handle(AttemptEnded{RequestID: task.RequestID, Worker: task.worker.entry.Worker, Outcome: Reset, Final: true})
 		return true
 	})
 	s.now += 20 * second
 	for i := range entries {
-		w := s.byName[entries[i].Worker]
-		w.entry.StartedAtUs, w.askC, w.askM = s.now, 0, 0
-		entries[i] = w.shown()
+		worker := s.byName[entries[i].Worker]
+		worker.entry.StartedAtUs, worker.askC, worker.askM = s.now, 0, 0
+		entries[i] = worker.shown()
 	}
 	back.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 }
@@ -334,12 +334,12 @@
 
 // measureFirstList measures the first complete list that a new placer gets.
 func measureFirstList(s *site, m *meter) {
-	p, err := New(s.settings, *seedFlag)
+	scheduler, err := New(s.settings, *seedFlag)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	entries := s.entries()
-	m.measure(s.t, func() { p.Handle(s.now, []Event{WorkerList{Kind: ListFull, Entries: entries}}) })
+	m.measure(s.t, func() { scheduler.Handle(s.now, []Event{WorkerList{Kind: ListFull, Entries: entries}}) })
 }
 
 // --- Reports ---
@@ -348,20 +348,20 @@
 func noteCase(kind ReportKind, value float64) func(*site, *meter) {
 	return func(s *site, m *meter) {
 		s.now += s.betweenUs
-		x := s.own[s.rng.IntN(len(s.own))]
+		task := s.own[s.rng.IntN(len(s.own))]
 		v := value
 		if kind == ReportCores {
-			v *= x.Cores
+			v *= task.Cores
 		}
-		m.measure(s.t, func() { s.handle(TaskReport{x.RequestID, 0, x.worker.entry.Worker, kind, v}) })
+		m.measure(s.t, func() { s.handle(TaskReport{task.RequestID, 0, task.worker.entry.Worker, kind, v}) })
 	}
 }
 
 func measureSampled(s *site, m *meter) {
 	s.now += s.betweenUs
-	w := s.workers[s.rng.IntN(len(s.workers))]
-	load := Load{w.cores - w.askC, w.mem - w.askM, w.askC / w.cores, reportedQueue}
-	m.measure(s.t, func() { s.handle(ProbeResult{w.entry.Worker, Completed, siteRTT, load}) })
+	worker := s.workers[s.rng.IntN(len(s.workers))]
+	load := Load{worker.cores - worker.askC, worker.mem - worker.askM, worker.askC / worker.cores, reportedQueue}
+	m.measure(s.t, func() { s.handle(ProbeResult{worker.entry.Worker, Completed, siteRTT, load}) })
 }
 
 // bentSite has workers that serve poorly, on which less is placed until that fades.
@@ -373,8 +373,8 @@
 
 func (s *site) reportPoor(tasks int) {
 	for range tasks {
-		x := s.own[s.rng.IntN(len(s.own))]
-		s.handle(TaskReport{x.RequestID, 0, x.worker.entry.Worker, ReportService, poorService})
+		task := s.own[s.rng.IntN(len(s.own))]
+		s.handle(TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportService, poorService})
 	}
 }
 
@@ -404,9 +404,9 @@
 }
 
 func (s *site) replica() Task {
-	x := s.nextTask()
-	x.Class, x.Program, x.Cores, x.Memory = spreadClass, 1, 1, 2
-	return x
+	task := s.nextTask()
+	task.Class, task.Program, task.Cores, task.Memory = spreadClass, 1, 1, 2
+	return task
 }
 
 // measureReplica measures a further task of the service and the end of its oldest one.
@@ -425,9 +425,9 @@
 func hugeSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	empty := 0
-	for _, w := range s.workers {
-		if w.cores > hugeCores && empty < hugeWorkers {
-			w.askC, w.askM = 0, 0
+	for _, worker := range s.workers {
+		if worker.cores > hugeCores && empty < hugeWorkers {
+			worker.askC, worker.askM = 0, 0
 			empty++
 		}
 	}
@@ -437,13 +437,13 @@
 
 // measureHuge measures the request and the end of a huge task.
 func measureHuge(s *site, m *meter) {
-	x := s.nextTask()
-	x.Class, x.Program, x.Cores, x.Memory = s.settings.Classes[0].Name, 0, hugeCores, hugeMem
-	e := &exchange{task: &siteTask{Task: x}}
+	task := s.nextTask()
+	task.Class, task.Program, task.Cores, task.Memory = s.settings.Classes[0].Name, 0, hugeCores, hugeMem
+	e := &exchange{task: &siteTask{Task: task}}
 	m.measure(s.t, func() {
 		s.run(e)
 		if e.place != nil {
-			s.handle(AttemptEnded{RequestID: x.RequestID, Worker: e.place.Worker, Outcome: Completed, Final: true})
+			s.handle(AttemptEnded{RequestID: task.RequestID, Worker: e.place.Worker, Outcome: Completed, Final: true})
 		}
 	})
 	e.mustPlace(s)
--- a/placement/nearest_test.go
+++ b/placement/nearest_test.go
@@ -81,18 +81,18 @@
 // sendOne sends a task as the placer does within a call of Handle, and reports whether
 // it could.
 func (h *history) sendOne() bool {
-	x := h.drawTask()
-	t := &taskInfo{Task: x, classIndex: h.p.classIndexes[x.Class], arrivedAt: h.now, queuedSince: h.now}
-	t.priority = h.p.computePriority(t)
-	m := h.p.selectWorker(t)
-	if m == nil {
+	submitted := h.drawTask()
+	task := &taskInfo{Task: submitted, classIndex: h.p.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
+	task.priority = h.p.computePriority(task)
+	worker := h.p.selectWorker(task)
+	if worker == nil {
 		return false
 	}
-	h.p.tasks[x.RequestID] = t
-	h.p.sendOffer(t, m)
-	h.asked[x.RequestID] = x
-	h.attempts[x.RequestID] = 1
-	h.out = append(h.out, Place{RequestID: x.RequestID, Worker: m.Worker})
+	h.p.tasks[submitted.RequestID] = task
+	h.p.sendOffer(task, worker)
+	h.asked[submitted.RequestID] = submitted
+	h.attempts[submitted.RequestID] = 1
+	h.out = append(h.out, Place{RequestID: submitted.RequestID, Worker: worker.Worker})
 	return true
 }
 
@@ -111,39 +111,39 @@
 	for i := range min(heldEach, len(h.p.pending)) {
 		tasks = append(tasks, h.p.pending[(i+h.rng.IntN(len(h.p.pending)))%len(h.p.pending)])
 	}
-	for _, t := range tasks {
-		if err := c.compareTask(h, r, t); err != nil {
+	for _, task := range tasks {
+		if err := c.compareTask(h, r, task); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *comparisons) compareTask(h *history, r *reference, t *taskInfo) error {
-	near := h.p.finalists(t)
-	path, flipped, err := r.compareNearest(t, near)
+func (c *comparisons) compareTask(h *history, r *reference, task *taskInfo) error {
+	finalists := h.p.finalists(task)
+	path, flipped, err := r.compareNearest(task, finalists)
 	if err != nil {
 		return err
 	}
-	if m := h.p.selectWorker(t); (m == nil) != (near == nil) || m != nil && !slices.Contains(near, m) {
-		return fmt.Errorf("task %+v: chosen %v, which is not of %s", t.Task, m, names(near))
+	if worker := h.p.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
+		return fmt.Errorf("task %+v: chosen %v, which is not of %s", task.Task, worker, names(finalists))
 	}
 	c.add(path, flipped)
-	if len(near) > 1 {
+	if len(finalists) > 1 {
 		c.many++
 	}
 	if len(h.p.reservations) > 0 {
 		c.kept++
 	}
-	if err := r.compareKeep(t, keptFor(h.p, t)); err != nil {
+	if err := r.compareKeep(task, keptFor(h.p, task)); err != nil {
 		return err
 	}
 	if len(h.p.sorted) == 0 {
 		return nil
 	}
-	m := h.p.sorted[h.rng.IntN(len(h.p.sorted))]
+	worker := h.p.sorted[h.rng.IntN(len(h.p.sorted))]
 	c.moves++
-	_, err = r.compareElsewhere(t, m, h.p.fitsElsewhere(t, m))
+	_, err = r.compareElsewhere(task, worker, h.p.fitsElsewhere(task, worker))
 	return err
 }
 
@@ -156,17 +156,17 @@
 }
 
 // keptFor returns the machine that would be kept for a held task, or nil, and keeps none.
-func keptFor(p *Scheduler, t *taskInfo) (kept *workerInfo) {
-	before := maps.Clone(p.reservations)
-	p.reserveFor(t)
-	for m := range p.reservations {
-		if _, was := before[m]; !was {
-			kept = m
+func keptFor(scheduler *Scheduler, task *taskInfo) (kept *workerInfo) {
+	before := maps.Clone(scheduler.reservations)
+	scheduler.reserveFor(task)
+	for worker := range scheduler.reservations {
+		if _, was := before[worker]; !was {
+			kept = worker
 		}
 	}
 	if kept != nil {
-		p.reservations, p.reservedWorkers = before, p.reservedWorkers[:len(p.reservedWorkers)-1]
-		p.index.release(kept)
+		scheduler.reservations, scheduler.reservedWorkers = before, scheduler.reservedWorkers[:len(scheduler.reservedWorkers)-1]
+		scheduler.index.release(kept)
 	}
 	return kept
 }
@@ -218,17 +218,17 @@
 func TestPoorServiceOnAnUnlistedMachine(t *testing.T) {
 	odd := small("odd", 0, 4)
 	odd.Kind = "unknown"
-	for _, machine := range []string{"unlisted", "odd"} {
-		b := newBed(t, testSettings(), 1, odd, small("a", 0, 30))
-		b.at(ms, Adopted{b.request("1", "safe", 1, 2).Task, machine})
+	for _, worker := range []string{"unlisted", "odd"} {
+		f := newBed(t, testSettings(), 1, odd, small("a", 0, 30))
+		f.at(ms, Adopted{f.request("1", "safe", 1, 2).Task, worker})
 		func() {
 			defer func() {
 				if r := recover(); r != nil {
-					t.Fatalf("a note for a task on %s: panic: %v", machine, r)
+					t.Fatalf("a note for a task on %s: panic: %v", worker, r)
 				}
 			}()
-			b.at(ms, TaskReport{"1", 0, machine, ReportService, 0.1})
+			f.at(ms, TaskReport{"1", 0, worker, ReportService, 0.1})
 		}()
-		b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
+		f.placed(f.at(ms, f.request("2", "safe", 1, 2)), "a")
 	}
 }
--- a/placement/placer.go
+++ b/placement/placer.go
@@ -12,7 +12,7 @@
 	// offers accepted take it back.
 	contentionStep   = 0.01
 	contentionOffers = 12
-	maxContention   = 0.2
+	maxContention    = 0.2
 )
 
 // Handle takes what happened at now and returns what to do, in order.
@@ -22,8 +22,8 @@
 		p.startedAt = now
 		p.pollAt = now + p.jitter(second/5)
 	}
-	for _, e := range events {
-		p.handleEvent(e)
+	for _, event := range events {
+		p.handleEvent(event)
 	}
 	p.runPass()
 	p.pollDiscovery()
@@ -32,118 +32,118 @@
 }
 
 // addRequest takes in a task. One that can never be placed is refused at once.
-func (p *Scheduler) addRequest(rt Task) {
-	if p.tasks[rt.RequestID] != nil {
+func (p *Scheduler) addRequest(submitted Task) {
+	if p.tasks[submitted.RequestID] != nil {
 		return
 	}
-	class, ok := p.classIndexes[rt.Class]
-	if !ok || rt.DeadlineUs <= p.now || !p.fitsAnyKind(class, rt) {
-		p.emit(Reject{RequestID: rt.RequestID})
+	classIndex, ok := p.classIndexes[submitted.Class]
+	if !ok || submitted.DeadlineUs <= p.now || !p.fitsAnyKind(classIndex, submitted) {
+		p.emit(Reject{RequestID: submitted.RequestID})
 		return
 	}
-	t := &taskInfo{Task: rt, classIndex: class, arrivedAt: p.now, queuedSince: p.now}
-	if rt.QueuedSinceUs > 0 {
-		t.queuedSince = min(t.queuedSince, rt.QueuedSinceUs)
+	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: p.now, queuedSince: p.now}
+	if submitted.QueuedSinceUs > 0 {
+		task.queuedSince = min(task.queuedSince, submitted.QueuedSinceUs)
 	}
-	p.tasks[rt.RequestID] = t
-	p.enqueue(t)
+	p.tasks[submitted.RequestID] = task
+	p.enqueue(task)
 }
 
 // fitsAnyKind reports whether any kind could hold the task when empty.
-func (p *Scheduler) fitsAnyKind(class int, t Task) bool {
-	c := &p.settings.Classes[class]
-	if c.Spread != ScopeNone && c.MaxPerDomain < 1 {
+func (p *Scheduler) fitsAnyKind(classIndex int, task Task) bool {
+	class := &p.settings.Classes[classIndex]
+	if class.Spread != ScopeNone && class.MaxPerDomain < 1 {
 		return false
 	}
-	for i, k := range p.settings.Kinds {
-		if (c.Kind < 0 || c.Kind == i) &&
-			t.Cores <= k.Cores*p.settings.CoresOvercommit && t.Memory <= k.Memory*p.settings.MemoryOvercommit {
+	for i, kind := range p.settings.Kinds {
+		if (class.Kind < 0 || class.Kind == i) &&
+			task.Cores <= kind.Cores*p.settings.CoresOvercommit && task.Memory <= kind.Memory*p.settings.MemoryOvercommit {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Scheduler) attemptAccepted(e Accepted) {
-	t := p.tasks[e.RequestID]
-	if t == nil || t.accepted || t.cancelled || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
+func (p *Scheduler) attemptAccepted(event Accepted) {
+	task := p.tasks[event.RequestID]
+	if task == nil || task.accepted || task.cancelled || event.Attempt < 0 || event.Attempt >= len(task.attempts) {
 		return
 	}
-	a := t.attempts[e.Attempt]
-	t.accepted = true
-	p.dequeue(t)
-	p.recordResponse(a, e.RTTUs)
+	attempt := task.attempts[event.Attempt]
+	task.accepted = true
+	p.dequeue(task)
+	p.recordResponse(attempt, event.RTTUs)
 	if !p.settings.AcceptMeansRunning {
-		p.redateDelta(a)
-		a.starting = true
+		p.redateDelta(attempt)
+		attempt.starting = true
 	}
-	a.worker.recordSuccess(p.now, t.classIndex)
+	attempt.worker.recordSuccess(p.now, task.classIndex)
 	p.contention = max(0, p.contention-contentionStep/contentionOffers)
-	a.worker.attemptWindow = min(maxWindow, a.worker.attemptWindow+1/a.worker.attemptWindow)
-	p.addTenantCores(t, 1)
-	p.addRunning(t, a.worker)
+	attempt.worker.attemptWindow = min(maxWindow, attempt.worker.attemptWindow+1/attempt.worker.attemptWindow)
+	p.addTenantCores(task, 1)
+	p.addRunning(task, attempt.worker)
 	p.dirty = true
 }
 
 // ended takes the end of an attempt, which is also the end of a placed task.
-func (p *Scheduler) attemptEnded(e AttemptEnded) {
-	t := p.tasks[e.RequestID]
-	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) || t.attempts[e.Attempt].ended {
+func (p *Scheduler) attemptEnded(event AttemptEnded) {
+	task := p.tasks[event.RequestID]
+	if task == nil || event.Attempt < 0 || event.Attempt >= len(task.attempts) || task.attempts[event.Attempt].ended {
 		return
 	}
-	a := t.attempts[e.Attempt]
-	a.ended, p.dirty = true, true
-	ran := t.accepted && a == t.attempts[len(t.attempts)-1]
-	p.recordOutcome(t, a, e, ran)
-	p.endResident(a.worker, t.Program)
-	switch e.Outcome {
+	attempt := task.attempts[event.Attempt]
+	attempt.ended, p.dirty = true, true
+	wasRunning := task.accepted && attempt == task.attempts[len(task.attempts)-1]
+	p.recordOutcome(task, attempt, event, wasRunning)
+	p.endResident(attempt.worker, task.Program)
+	switch event.Outcome {
 	case Rejected, ConnectFailed, NeverSent:
-		p.removeDelta(a)
+		p.removeDelta(attempt)
 	default:
-		p.addDelta(a.worker, -t.Cores, -t.Memory)
+		p.addDelta(attempt.worker, -task.Cores, -task.Memory)
 	}
-	if e.Outcome == Rejected && (e.Cause == CauseCores || e.Cause == CauseMemory) {
+	if event.Outcome == Rejected && (event.Cause == CauseCores || event.Cause == CauseMemory) {
 		p.contention = min(maxContention, p.contention+contentionStep)
-		p.recordRejection(a.worker, t, e.Cause)
+		p.recordRejection(attempt.worker, task, event.Cause)
 	}
-	if ran || e.Final || t.cancelled {
-		p.forgetTask(t)
+	if wasRunning || event.Final || task.cancelled {
+		p.forgetTask(task)
 		return
 	}
-	switch e.Outcome {
+	switch event.Outcome {
 	case Rejected, ConnectFailed, NeverSent:
-		t.copyRunning = t.copyRunning || t.mayHaveRun != nil && e.Cause == CauseWrongWorker
+		task.copyRunning = task.copyRunning || task.mayHaveRun != nil && event.Cause == CauseWrongWorker
 	default:
-		if t.mayHaveRun == nil {
-			t.mayHaveRun = a
+		if task.mayHaveRun == nil {
+			task.mayHaveRun = attempt
 		}
 	}
-	p.enqueue(t)
+	p.enqueue(task)
 }
 
 // taskReported takes news of a running task: how much of what it asked it uses, how
 // well its machine serves it, and how full that machine's memory is.
-func (p *Scheduler) taskReported(e TaskReport) {
-	t := p.tasks[e.RequestID]
-	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) {
+func (p *Scheduler) taskReported(event TaskReport) {
+	task := p.tasks[event.RequestID]
+	if task == nil || event.Attempt < 0 || event.Attempt >= len(task.attempts) {
 		return
 	}
-	a := t.attempts[e.Attempt]
-	switch e.Kind {
+	attempt := task.attempts[event.Attempt]
+	switch event.Kind {
 	case ReportRunning:
-		a.starting = false
+		attempt.starting = false
 	case ReportCores:
-		if t.Cores > 0 && t.accepted && !a.ended {
-			p.recordUsage(0, t.Cores, &t.coresUsage, e.Value)
+		if task.Cores > 0 && task.accepted && !attempt.ended {
+			p.recordUsage(0, task.Cores, &task.coresUsage, event.Value)
 		}
 	case ReportMemory:
-		if t.Memory > 0 && t.accepted && !a.ended {
-			p.recordUsage(1, t.Memory, &t.memoryUsage, e.Value)
+		if task.Memory > 0 && task.accepted && !attempt.ended {
+			p.recordUsage(1, task.Memory, &task.memoryUsage, event.Value)
 		}
 	case ReportService:
-		p.calibrate(a.worker, &a.worker.coresCalibration, 0, p.saturationLoad()+p.saturationRange()*(1-e.Value), p.saturationLoad(), e.Value < 0.95, 0.5)
-		p.migrateOne(a.worker, e.Value)
+		p.calibrate(attempt.worker, &attempt.worker.coresCalibration, 0, p.saturationLoad()+p.saturationRange()*(1-event.Value), p.saturationLoad(), event.Value < 0.95, 0.5)
+		p.migrateOne(attempt.worker, event.Value)
 	case ReportMemoryPressure:
-		p.calibrate(a.worker, &a.worker.memoryCalibration, 1, e.Value, memorySaturation, e.Value > memorySaturation*0.95, 0.5)
+		p.calibrate(attempt.worker, &attempt.worker.memoryCalibration, 1, event.Value, memorySaturation, event.Value > memorySaturation*0.95, 0.5)
 	}
 }
--- a/placement/placer_test.go
+++ b/placement/placer_test.go
@@ -40,13 +40,13 @@
 
 func newBed(t *testing.T, s Settings, seed uint64, entries ...Entry) *bed {
 	t.Helper()
-	p, err := New(s, seed)
+	scheduler, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, p: p, now: 1_000_000_000}
-	b.at(0, WorkerList{Kind: ListCached, Entries: entries})
-	return b
+	f := &bed{t: t, p: scheduler, now: 1_000_000_000}
+	f.at(0, WorkerList{Kind: ListCached, Entries: entries})
+	return f
 }
 
 // sentAt moves the clock on and hands over events.
@@ -55,8 +55,8 @@
 	return b.p.Handle(b.now, events)
 }
 
-func (b *bed) request(ticket, class string, cores, mem float64) Request {
-	return Request{Task{RequestID: ticket, Class: class, Cores: cores, Memory: mem, DeadlineUs: b.now + 5000*ms, Program: 7}}
+func (b *bed) request(requestID, class string, cores, memory float64) Request {
+	return Request{Task{RequestID: requestID, Class: class, Cores: cores, Memory: memory, DeadlineUs: b.now + 5000*ms, Program: 7}}
 }
 
 func small(name string, cell int, spareCores float64) Entry {
@@ -66,9 +66,9 @@
 // of returns the actions of one type.
 func of[A Action](actions []Action) []A {
 	var out []A
-	for _, a := range actions {
-		if v, ok := a.(A); ok {
-			out = append(out, v)
+	for _, action := range actions {
+		if matching, ok := action.(A); ok {
+			out = append(out, matching)
 		}
 	}
 	return out
@@ -77,8 +77,8 @@
 func (b *bed) placed(actions []Action, want string) {
 	b.t.Helper()
 	got := ""
-	for _, a := range of[Place](actions) {
-		got = a.Worker
+	for _, place := range of[Place](actions) {
+		got = place.Worker
 	}
 	if got != want {
 		b.t.Fatalf("placed on %q, want %q; actions %v", got, want, actions)
@@ -98,88 +98,88 @@
 }
 
 func TestLowestCostWins(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 8), small("b", 0, 30), small("c", 1, 16))
-	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "b")
+	f := newBed(t, testSettings(), 1, small("a", 0, 8), small("b", 0, 30), small("c", 1, 16))
+	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "b")
 }
 
 func TestNearEqualsAreDrawn(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(60) {
-		b := newBed(t, testSettings(), seed, small("a", 0, 20), small("b", 0, 20), small("c", 1, 20))
-		r := b.request("1", "safe", 1, 2)
-		r.Program = 0 // of no service
-		seen[of[Place](b.at(ms, r))[0].Worker]++
-	}
-	for _, m := range []string{"a", "b", "c"} {
-		if seen[m] < 8 {
-			t.Errorf("%s drawn %d times of 60: %v", m, seen[m], seen)
+		f := newBed(t, testSettings(), seed, small("a", 0, 20), small("b", 0, 20), small("c", 1, 20))
+		request := f.request("1", "safe", 1, 2)
+		request.Program = 0 // of no service
+		seen[of[Place](f.at(ms, request))[0].Worker]++
+	}
+	for _, name := range []string{"a", "b", "c"} {
+		if seen[name] < 8 {
+			t.Errorf("%s drawn %d times of 60: %v", name, seen[name], seen)
 		}
 	}
 }
 
 func TestOwnBindsCountUntilTheViewHoldsThem(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 18))
-	b.placed(b.at(ms, b.request("1", "safe", 6, 6)), "a")
-	m := b.p.workers["a"]
-	if c, _ := b.p.requested(m); c != 18 {
+	f := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 18))
+	f.placed(f.at(ms, f.request("1", "safe", 6, 6)), "a")
+	worker := f.p.workers["a"]
+	if c, _ := f.p.requested(worker); c != 18 {
 		t.Fatalf("load %v with the bind, want 18", c)
 	}
 	// A view that comes at once cannot hold the bind yet.
-	b.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 20)}})
-	if c, _ := b.p.requested(m); c != 18 {
+	f.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 20)}})
+	if c, _ := f.p.requested(worker); c != 18 {
 		t.Fatalf("load %v after an early view, want 18", c)
 	}
-	b.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 14)}})
-	if c, _ := b.p.requested(m); c != 18 {
+	f.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 14)}})
+	if c, _ := f.p.requested(worker); c != 18 {
 		t.Fatalf("load %v once the view holds it, want 18, not counted twice", c)
 	}
 }
 
 func TestFullTakesTheBindOut(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 20))
-	b.placed(b.at(ms, b.request("1", "safe", 2, 4)), "a")
-	b.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
-	c, _ := b.p.requested(b.p.workers["a"])
+	f := newBed(t, testSettings(), 1, small("a", 0, 20))
+	f.placed(f.at(ms, f.request("1", "safe", 2, 4)), "a")
+	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
+	c, _ := f.p.requested(f.p.workers["a"])
 	if c != 12 && c != 14 { // 14 where it was tried again at once
 		t.Errorf("load %v, want 12 and at most the new bind", c)
 	}
 }
 
 func TestRefusedForMemoryLeavesCores(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 20))
-	b.at(ms, b.request("1", "safe", 2, 4))
-	b.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
-	c, mem := b.p.requested(b.p.workers["a"])
-	if c != 12 || mem+4 <= 64*1.5 {
-		t.Errorf("load %v cores, %v memory: want 12 and no room for the task", c, mem)
+	f := newBed(t, testSettings(), 1, small("a", 0, 20))
+	f.at(ms, f.request("1", "safe", 2, 4))
+	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
+	c, memory := f.p.requested(f.p.workers["a"])
+	if c != 12 || memory+4 <= 64*1.5 {
+		t.Errorf("load %v cores, %v memory: want 12 and no room for the task", c, memory)
 	}
 }
 
 func TestLagIsLearned(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 28))
-	spare := 28.0
+	f := newBed(t, testSettings(), 1, small("a", 0, 28))
+	free := 28.0
 	type change struct{ at, by int64 }
 	var binds []change
 	for i := range 60 {
 		id := fmt.Sprint(i)
 		if i%3 != 1 {
-			b.at(0, b.request(id, "safe", 1, 1))
-			b.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
-			binds = append(binds, change{b.now, 1})
+			f.at(0, f.request(id, "safe", 1, 1))
+			f.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
+			binds = append(binds, change{f.now, 1})
 			if i%2 == 0 {
-				b.at(150*ms, AttemptEnded{RequestID: id, Worker: "a", Outcome: Completed, Final: true})
-				binds = append(binds, change{b.now, -1})
+				f.at(150*ms, AttemptEnded{RequestID: id, Worker: "a", Outcome: Completed, Final: true})
+				binds = append(binds, change{f.now, -1})
 			}
 		}
-		b.at(700 * ms)
-		for len(binds) > 0 && binds[0].at <= b.now-2500*ms {
-			spare -= float64(binds[0].by)
+		f.at(700 * ms)
+		for len(binds) > 0 && binds[0].at <= f.now-2500*ms {
+			free -= float64(binds[0].by)
 			binds = binds[1:]
 		}
-		b.at(0, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, spare)}})
+		f.at(0, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, free)}})
 	}
-	if b.p.lag < 2000*ms || b.p.lag > 3250*ms {
-		t.Errorf("lag %v, want near 2.5 s", b.p.lag)
+	if f.p.lag < 2000*ms || f.p.lag > 3250*ms {
+		t.Errorf("lag %v, want near 2.5 s", f.p.lag)
 	}
 }
 
@@ -205,18 +205,18 @@
 		{"unknown class", "nothing", []Entry{small("a", 0, 20)}, nil, 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, testSettings(), 1, c.entries...)
-			actions := b.at(ms, b.request("1", c.class, 1, 2))
+			f := newBed(t, testSettings(), 1, c.entries...)
+			actions := f.at(ms, f.request("1", c.class, 1, 2))
 			if len(c.events) > 0 {
-				actions = append(actions, b.at(4998*ms, c.events...)...)
+				actions = append(actions, f.at(4998*ms, c.events...)...)
 			}
 			for range 60 {
-				actions = append(actions, b.at(100*ms, TimerFired{"wake"})...)
+				actions = append(actions, f.at(100*ms, TimerFired{"wake"})...)
 			}
-			if d, e := len(of[Reject](actions)), len(of[Fail](actions)); d != c.deny || e != c.err {
-				t.Errorf("%d refusals and %d failures, want %d and %d: %v", d, e, c.deny, c.err, actions)
+			if rejected, failed := len(of[Reject](actions)), len(of[Fail](actions)); rejected != c.deny || failed != c.err {
+				t.Errorf("%d refusals and %d failures, want %d and %d: %v", rejected, failed, c.deny, c.err, actions)
 			}
-			if _, owed := b.p.tasks["1"]; owed && c.name != "placed" {
+			if _, pending := f.p.tasks["1"]; pending && c.name != "placed" {
 				t.Error("the task is not let go")
 			}
 		})
@@ -224,15 +224,15 @@
 }
 
 func TestHeldTaskIsAnsweredBeforeItsDeadline(t *testing.T) {
-	b := newBed(t, testSettings(), 1)
-	r := b.request("1", "safe", 1, 2)
-	actions := b.at(0, r)
-	for b.now < r.DeadlineUs {
+	f := newBed(t, testSettings(), 1)
+	request := f.request("1", "safe", 1, 2)
+	actions := f.at(0, request)
+	for f.now < request.DeadlineUs {
 		alarms := of[SetTimer](actions)
 		if len(alarms) == 0 {
 			t.Fatal("no alarm for a held task")
 		}
-		actions = b.at(alarms[len(alarms)-1].OffsetUs, TimerFired{"wake"})
+		actions = f.at(alarms[len(alarms)-1].OffsetUs, TimerFired{"wake"})
 		if len(of[Reject](actions)) == 1 {
 			return
 		}
@@ -241,36 +241,36 @@
 }
 
 func TestRepeatedEffects(t *testing.T) {
-	one := func(st Outcome) AttemptEnded { return AttemptEnded{RequestID: "1", Worker: "a", Outcome: st} }
+	ended := func(outcome Outcome) AttemptEnded { return AttemptEnded{RequestID: "1", Worker: "a", Outcome: outcome} }
 	for _, c := range []struct {
 		class string
 		after int64
 		done  AttemptEnded
 		again string // where it may go next; "" for nowhere
 	}{
-		{"safe", 10 * ms, one(Failed), "any"},
-		{"safe", 10 * ms, one(TimedOut), "any"},
-		{"unsafe", 10 * ms, one(Rejected), "any"},
-		{"unsafe", 10 * ms, one(ConnectFailed), "any"},
-		{"unsafe", 10 * ms, one(NeverSent), "any"},
-		{"unsafe", 10 * ms, one(Failed), ""},
-		{"unsafe", 10 * ms, one(TimedOut), ""},
-		{"unsafe", 10 * ms, one(Reset), ""},
-		{"unsafe", 10 * ms, one(Cancelled), ""},
-		{"all", 10 * ms, one(TimedOut), "any"},
-		{"all", 2999 * ms, one(TimedOut), "any"},
-		{"all", 3000 * ms, one(TimedOut), ""},
-		{"cell", 10 * ms, one(Reset), "b"},
-		{"cell", 2999 * ms, one(Reset), "b"},
-		{"cell", 3000 * ms, one(Reset), ""},
-		{"cell", 10 * ms, one(Rejected), "any"},
-		{"zone", 10 * ms, one(Failed), "b"},
+		{"safe", 10 * ms, ended(Failed), "any"},
+		{"safe", 10 * ms, ended(TimedOut), "any"},
+		{"unsafe", 10 * ms, ended(Rejected), "any"},
+		{"unsafe", 10 * ms, ended(ConnectFailed), "any"},
+		{"unsafe", 10 * ms, ended(NeverSent), "any"},
+		{"unsafe", 10 * ms, ended(Failed), ""},
+		{"unsafe", 10 * ms, ended(TimedOut), ""},
+		{"unsafe", 10 * ms, ended(Reset), ""},
+		{"unsafe", 10 * ms, ended(Cancelled), ""},
+		{"all", 10 * ms, ended(TimedOut), "any"},
+		{"all", 2999 * ms, ended(TimedOut), "any"},
+		{"all", 3000 * ms, ended(TimedOut), ""},
+		{"cell", 10 * ms, ended(Reset), "b"},
+		{"cell", 2999 * ms, ended(Reset), "b"},
+		{"cell", 3000 * ms, ended(Reset), ""},
+		{"cell", 10 * ms, ended(Rejected), "any"},
+		{"zone", 10 * ms, ended(Failed), "b"},
 	} {
 		t.Run(fmt.Sprintf("%s %d after %d", c.class, c.done.Outcome, c.after), func(t *testing.T) {
 			// a is emptiest, c next, and b shares a's cell and zone.
-			b := newBed(t, testSettings(), 3, small("a", 0, 30), small("b", 0, 4), small("c", 1, 20))
-			b.placed(b.at(ms, b.request("1", c.class, 1, 2)), "a")
-			got := of[Place](b.at(c.after, c.done))
+			f := newBed(t, testSettings(), 3, small("a", 0, 30), small("b", 0, 4), small("c", 1, 20))
+			f.placed(f.at(ms, f.request("1", c.class, 1, 2)), "a")
+			got := of[Place](f.at(c.after, c.done))
 			switch {
 			case c.again == "" && len(got) > 0:
 				t.Errorf("sent again to %s", got[0].Worker)
@@ -284,10 +284,10 @@
 }
 
 func TestOneAttemptAtATime(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
-	n := len(of[Place](b.at(ms, b.request("1", "safe", 1, 2))))
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
+	n := len(of[Place](f.at(ms, f.request("1", "safe", 1, 2))))
 	for range 30 {
-		n += len(of[Place](b.at(100*ms, TimerFired{"wake"})))
+		n += len(of[Place](f.at(100*ms, TimerFired{"wake"})))
 	}
 	if n != 1 {
 		t.Errorf("%d attempts out, want 1", n)
@@ -305,41 +305,41 @@
 		"absent":   {Kind: ListFull, Entries: []Entry{small("b", 0, 1)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 1))
-			b.at(ms, l)
-			b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "b")
+			f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 1))
+			f.at(ms, l)
+			f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "b")
 		})
 	}
 }
 
 func TestUnlistedDrainShows(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
-	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-	b.placed(b.at(10*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseWrongWorker}), "b")
-	b.placed(b.at(10*ms, b.request("2", "safe", 1, 2)), "b")
-	b.at(assumedDrain, WorkerList{Kind: ListDelta})
-	b.placed(b.at(0, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + second, Program: 8}}), "a")
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
+	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+	f.placed(f.at(10*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseWrongWorker}), "b")
+	f.placed(f.at(10*ms, f.request("2", "safe", 1, 2)), "b")
+	f.at(assumedDrain, WorkerList{Kind: ListDelta})
+	f.placed(f.at(0, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + second, Program: 8}}), "a")
 }
 
 func TestColdBudget(t *testing.T) {
-	cold := func(b *bed) Entry {
-		e := small("a", 0, 32)
-		e.StartedAtUs = b.now - 10*ms
-		return e
+	cold := func(f *bed) Entry {
+		entry := small("a", 0, 32)
+		entry.StartedAtUs = f.now - 10*ms
+		return entry
 	}
-	count := func(b *bed, from int) (n int) {
+	count := func(f *bed, from int) (n int) {
 		for i := range 20 {
 			id := fmt.Sprint(from, "-", i)
-			acts := b.at(10*ms, b.request(id, "safe", .1, .1))
-			n += len(of[Place](acts))
-			b.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
+			actions := f.at(10*ms, f.request(id, "safe", .1, .1))
+			n += len(of[Place](actions))
+			f.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
 		}
 		return n
 	}
 	s := testSettings() // 8 offers for 2 placers
-	b := newBed(t, s, 1, small("a", 0, 32))
-	b.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold(b)}})
-	if n := count(b, 1); n != 4 {
+	f := newBed(t, s, 1, small("a", 0, 32))
+	f.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold(f)}})
+	if n := count(f, 1); n != 4 {
 		t.Errorf("%d offers to a cold machine, want 4", n)
 	}
 	// After this placer's own start its part counts as spent for one span.
@@ -362,98 +362,98 @@
 		class string
 		want  int // of 6 tasks on cells 0, 0 and 1
 	}{{"apartMachine", 3}, {"apartCell", 4}, {"apartZone", 2}} {
-		b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30), small("c", 1, 30))
+		f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30), small("c", 1, 30))
 		n := 0
 		for i := range 6 {
-			n += len(of[Place](b.at(ms, b.request(fmt.Sprint(i), c.class, 1, 1))))
+			n += len(of[Place](f.at(ms, f.request(fmt.Sprint(i), c.class, 1, 1))))
 		}
 		if n != c.want {
 			t.Errorf("%s: %d sent, want %d", c.class, n, c.want)
 		}
-		b = newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30), small("c", 1, 30))
+		f = newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30), small("c", 1, 30))
 		var all []Event
 		for i := range 6 {
-			all = append(all, b.request(fmt.Sprint(i), c.class, 1, 1))
+			all = append(all, f.request(fmt.Sprint(i), c.class, 1, 1))
 		}
-		if n := len(of[Place](b.at(ms, all...))); n != c.want {
+		if n := len(of[Place](f.at(ms, all...))); n != c.want {
 			t.Errorf("%s: %d of a turn sent, want %d", c.class, n, c.want)
 		}
 	}
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.at(ms, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
-	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "")
-	b.placed(b.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Completed, Final: true}), "a")
-	b.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true})
-	b.placed(b.at(ms, Adopted{Task: b.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, b.request("2", "apartMachine", 1, 1)), "")
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
+	f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
+	f.placed(f.at(ms, f.request("1", "apartMachine", 1, 1)), "")
+	f.placed(f.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Completed, Final: true}), "a")
+	f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true})
+	f.placed(f.at(ms, Adopted{Task: f.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, f.request("2", "apartMachine", 1, 1)), "")
 	// What is known of one program is not taken for another, nor for what holds later.
-	b = newBed(t, testSettings(), 1, small("a", 0, 10))
-	b.at(ms, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
-	other := b.request("1", "apartMachine", 40, 40)
+	f = newBed(t, testSettings(), 1, small("a", 0, 10))
+	f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
+	other := f.request("1", "apartMachine", 40, 40)
 	other.Program = 8
-	b.placed(b.at(ms, other, b.request("2", "apartMachine", 1, 1)), "")
-	b = newBed(t, testSettings(), 1, small("a", 0, -16))
-	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "")
+	f.placed(f.at(ms, other, f.request("2", "apartMachine", 1, 1)), "")
+	f = newBed(t, testSettings(), 1, small("a", 0, -16))
+	f.placed(f.at(ms, f.request("1", "apartMachine", 1, 1)), "")
 	full := WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, -16)}}
-	b.placed(b.at(ms, full), "")
+	f.placed(f.at(ms, full), "")
 	free := WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 30)}}
-	b.placed(b.at(ms, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"}, free), "")
+	f.placed(f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"}, free), "")
 }
 
 func TestHeldTaskGoesWhenRoomAppears(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, -16))
-	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "")
-	b.placed(b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}), "a")
+	f := newBed(t, testSettings(), 1, small("a", 0, -16))
+	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "")
+	f.placed(f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}), "a")
 }
 
 func TestLargeTaskGoesOverWhatAMachineBears(t *testing.T) {
-	b := newBed(t, testSettings(), 1, Entry{Worker: "a", Kind: "large", FreeCores: 4, FreeMemory: 60})
+	f := newBed(t, testSettings(), 1, Entry{Worker: "a", Kind: "large", FreeCores: 4, FreeMemory: 60})
 	// Own tasks use all they ask, so the machine bears 0.8 of its cores.
-	b.at(0, Adopted{Task: b.request("e", "safe", 1, 1).Task, Worker: "a"})
-	b.at(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
-	b.placed(b.at(ms, b.request("s", "safe", 1, 2)), "")
-	b.placed(b.at(ms, b.request("1", "large", 20, 20)), "")
-	if got := of[Place](b.at(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
+	f.at(0, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
+	f.at(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
+	f.placed(f.at(ms, f.request("s", "safe", 1, 2)), "")
+	f.placed(f.at(ms, f.request("1", "large", 20, 20)), "")
+	if got := of[Place](f.at(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
 		t.Errorf("placed %v, want the large task alone", got)
 	}
 }
 
 func TestNoAnswerPutsAMachineOut(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
-	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-	b.placed(b.at(500*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}), "b")
-	b.at(10*ms, Accepted{RequestID: "1", Attempt: 1, Worker: "b", RTTUs: 9000})
-	b.placed(b.at(10*ms, Request{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + 5*second, Program: 8}}), "b")
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
+	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+	f.placed(f.at(500*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}), "b")
+	f.at(10*ms, Accepted{RequestID: "1", Attempt: 1, Worker: "b", RTTUs: 9000})
+	f.placed(f.at(10*ms, Request{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 5*second, Program: 8}}), "b")
 	// The symptom ends: after a while it is tried, then trusted.
-	b.placed(b.at(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: b.now + 15*second, Program: 9}}), "a")
+	f.placed(f.at(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 15*second, Program: 9}}), "a")
 }
 
 // Errors of two machines for one task speak against the task: it is asked of no
 // third, and both machines get the next tasks as before. One machine's errors for
 // different tasks still put it out.
 func TestErrorsOfTwoMachinesSpeakAgainstTheTask(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30), small("c", 1, 30))
-	actions := b.at(ms, b.request("1", "safe", 1, 2))
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30), small("c", 1, 30))
+	actions := f.at(ms, f.request("1", "safe", 1, 2))
 	asked := map[string]bool{}
 	for i := range 2 {
 		m := of[Place](actions)[0].Worker
 		asked[m] = true
-		actions = b.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: m, Outcome: Failed})
+		actions = f.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: m, Outcome: Failed})
 	}
 	if len(of[Place](actions)) != 0 || len(of[Reject](actions)) != 1 || len(asked) != 2 {
 		t.Fatalf("after errors of %v: %v", asked, actions)
 	}
-	for _, m := range b.p.sorted {
-		if !b.p.healthy(m, 0) || m.suspicion(b.now, 0) > 0.01 {
-			t.Errorf("%s: suspicion %v", m.Worker, m.suspicion(b.now, 0))
+	for _, m := range f.p.sorted {
+		if !f.p.healthy(m, 0) || m.suspicion(f.now, 0) > 0.01 {
+			t.Errorf("%s: suspicion %v", m.Worker, m.suspicion(f.now, 0))
 		}
 	}
-	b = newBed(t, testSettings(), 1, small("a", 0, 30))
+	f = newBed(t, testSettings(), 1, small("a", 0, 30))
 	for i := range 2 {
-		ticket := fmt.Sprint(i)
-		b.at(ms, b.request(ticket, "unsafe", 1, 2))
-		b.at(ms, AttemptEnded{RequestID: ticket, Worker: "a", Outcome: Failed})
+		requestID := fmt.Sprint(i)
+		f.at(ms, f.request(requestID, "unsafe", 1, 2))
+		f.at(ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Failed})
 	}
-	if b.p.healthy(b.p.sorted[0], 0) {
+	if f.p.healthy(f.p.sorted[0], 0) {
 		t.Error("a machine that fails every task is well")
 	}
 }
@@ -461,77 +461,77 @@
 // A machine that is there after a connection fell silent is tried again, but not for
 // ever where it takes connections and answers nothing.
 func TestReachedMachineIsTriedAgain(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
-	m := b.p.workers["a"]
-	m.addSuspicion(b.now, 4*timeoutSuspicion)
-	b.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
-	if s := m.suspicion(b.now, 0); !b.p.healthy(m, 0) || b.p.healthy(m, 4) || s > reconnectedSuspicion {
-		t.Errorf("suspicion %v after it was reached", s)
-	}
-	m.addSuspicion(b.now, timeoutSuspicion)
-	b.at(ms, WorkerReachable{Worker: "a"})
-	if b.p.healthy(m, 0) {
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
+	worker := f.p.workers["a"]
+	worker.addSuspicion(f.now, 4*timeoutSuspicion)
+	f.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
+	if suspicion := worker.suspicion(f.now, 0); !f.p.healthy(worker, 0) || f.p.healthy(worker, 4) || suspicion > reconnectedSuspicion {
+		t.Errorf("suspicion %v after it was reached", suspicion)
+	}
+	worker.addSuspicion(f.now, timeoutSuspicion)
+	f.at(ms, WorkerReachable{Worker: "a"})
+	if f.p.healthy(worker, 0) {
 		t.Error("it was taken back without an answer")
 	}
-	m.recordSuccess(b.now, 0)
-	b.at(ms, WorkerReachable{Worker: "a"})
-	if !b.p.healthy(m, 0) {
+	worker.recordSuccess(f.now, 0)
+	f.at(ms, WorkerReachable{Worker: "a"})
+	if !f.p.healthy(worker, 0) {
 		t.Error("it was not taken back after an answer")
 	}
 }
 
 func TestHealthAloneNeverTurnsTheFleetAway(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	for _, m := range []string{"a", "b"} {
-		b.p.workers[m].addSuspicion(b.now, maxSuspicion)
+		f.p.workers[m].addSuspicion(f.now, maxSuspicion)
 	}
-	if got := of[Place](b.at(ms, b.request("1", "safe", 1, 2))); len(got) != 1 {
+	if got := of[Place](f.at(ms, f.request("1", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("%d placed while all look bad, want 1", len(got))
 	}
 }
 
 func TestPoorServiceTurnsLoadAway(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 19))
-	b.at(ms, Adopted{Task: b.request("e", "safe", 1, 1).Task, Worker: "a"})
-	b.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.96})
-	if b.p.workers["a"].coresCalibration != 1 {
+	f := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 19))
+	f.at(ms, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
+	f.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.96})
+	if f.p.workers["a"].coresCalibration != 1 {
 		t.Error("bent by ordinary noise")
 	}
-	b.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.4})
-	r := b.request("1", "safe", 1, 2)
-	r.Program = 9
-	b.placed(b.at(ms, r), "b")
-	b.p.workers["a"].decayCalibration(b.now+10*calibrationHalfLife, calibrationHalfLife)
-	if b.p.workers["a"].coresCalibration < 0.99 {
+	f.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.4})
+	request := f.request("1", "safe", 1, 2)
+	request.Program = 9
+	f.placed(f.at(ms, request), "b")
+	f.p.workers["a"].decayCalibration(f.now+10*calibrationHalfLife, calibrationHalfLife)
+	if f.p.workers["a"].coresCalibration < 0.99 {
 		t.Error("not let go when the symptom ends")
 	}
 }
 
 func TestMovesOffAMachineThatServesNothing(t *testing.T) {
-	moves := func(service float64, elsewhere float64) (n int) {
-		b := newBed(t, testSettings(), 1, small("a", 0, 4), small("b", 0, elsewhere))
-		var ev []Event
+	migrations := func(service float64, elsewhere float64) (n int) {
+		f := newBed(t, testSettings(), 1, small("a", 0, 4), small("b", 0, elsewhere))
+		var reports []Event
 		for i := range 20 {
-			e := Adopted{Task: b.request(fmt.Sprint(i), "safe", 1, 1).Task, Worker: "a"}
-			e.HasRunHint, e.ExpectedRunUs = true, 20*second
-			ev = append(ev, e)
+			event := Adopted{Task: f.request(fmt.Sprint(i), "safe", 1, 1).Task, Worker: "a"}
+			event.HasRunHint, event.ExpectedRunUs = true, 20*second
+			reports = append(reports, event)
 		}
-		b.at(ms, ev...)
+		f.at(ms, reports...)
 		for range 10 {
-			n += len(of[Migrate](b.at(second, TaskReport{RequestID: "1", Worker: "a", Kind: ReportService, Value: service})))
+			n += len(of[Migrate](f.at(second, TaskReport{RequestID: "1", Worker: "a", Kind: ReportService, Value: service})))
 		}
 		return n
 	}
-	if n := moves(0, 30); n < 3 {
+	if n := migrations(0, 30); n < 3 {
 		t.Errorf("%d moves off a machine that serves nothing, want some", n)
 	}
-	if n := moves(0.9, 30); n != 0 {
+	if n := migrations(0.9, 30); n != 0 {
 		t.Errorf("%d moves at 0.9 of service, want none", n)
 	}
-	if n := moves(0.5, -20); n != 0 {
+	if n := migrations(0.5, -20); n != 0 {
 		t.Errorf("%d moves with no room elsewhere, want none", n)
 	}
-	if n := moves(0, -20); n < 3 {
+	if n := migrations(0, -20); n < 3 {
 		t.Errorf("%d moves off a machine that serves nothing, no room elsewhere: want some", n)
 	}
 }
@@ -540,16 +540,16 @@
 func TestPlacersDoNotHerd(t *testing.T) {
 	first := map[string]int{}
 	for i := range 40 {
-		var es []Entry
+		var entries []Entry
 		for m := range 8 {
-			es = append(es, small(fmt.Sprint("m", m), m/4, 20))
+			entries = append(entries, small(fmt.Sprint("m", m), m/4, 20))
 		}
-		b := newBed(t, testSettings(), uint64(i), es...)
-		r := b.request("1", "safe", 1, 2)
-		r.Program = uint64(i/5*977 + 1) // eight services, each at five placers
-		first[of[Place](b.at(ms, r))[0].Worker]++
-		r.RequestID, r.Program = "2", 0
-		first[of[Place](b.at(ms, r))[0].Worker]++
+		f := newBed(t, testSettings(), uint64(i), entries...)
+		request := f.request("1", "safe", 1, 2)
+		request.Program = uint64(i/5*977 + 1) // eight services, each at five placers
+		first[of[Place](f.at(ms, request))[0].Worker]++
+		request.RequestID, request.Program = "2", 0
+		first[of[Place](f.at(ms, request))[0].Worker]++
 	}
 	for m, n := range first {
 		if n > 28 {
@@ -561,26 +561,26 @@
 func TestDiscoveryIsAsked(t *testing.T) {
 	s := testSettings()
 	s.PollsDiscovery = true
-	b := newBed(t, s, 1, small("a", 0, 20))
-	n, last := 0, b.now
+	f := newBed(t, s, 1, small("a", 0, 20))
+	n, last := 0, f.now
 	for range 600 {
-		acts := b.at(50*ms, TimerFired{"wake"})
-		if len(of[WatchWorkers](acts)) == 0 {
+		actions := f.at(50*ms, TimerFired{"wake"})
+		if len(of[WatchWorkers](actions)) == 0 {
 			continue
 		}
 		n++
-		if b.now-last > s.PollWithinUs {
-			t.Fatalf("asked after %d us, want within %d", b.now-last, s.PollWithinUs)
+		if f.now-last > s.PollWithinUs {
+			t.Fatalf("asked after %d us, want within %d", f.now-last, s.PollWithinUs)
 		}
-		last = b.now
-		b.at(0, WorkerList{Kind: ListFailed})
+		last = f.now
+		f.at(0, WorkerList{Kind: ListFailed})
 	}
 	if n < 5 || n > 30 {
 		t.Errorf("asked %d times in 30 s of failures", n)
 	}
-	b.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{small("a", 0, 20)}})
+	f.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{small("a", 0, 20)}})
 	for range 100 {
-		if len(of[WatchWorkers](b.at(50*ms, TimerFired{"wake"}))) > 0 {
+		if len(of[WatchWorkers](f.at(50*ms, TimerFired{"wake"}))) > 0 {
 			t.Fatal("asked again while subscribed")
 		}
 	}
@@ -600,17 +600,17 @@
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
 			change(&s)
-			b := newBed(t, s, 1, small("a", 0, 20))
+			f := newBed(t, s, 1, small("a", 0, 20))
 			answers := 0
-			for i, c := range s.Classes {
-				r := b.request(fmt.Sprint(i), c.Name, 1, 1)
-				r.DeadlineUs = b.now + 1*ms // very short
-				acts := b.at(0, r)
-				acts = append(acts, b.at(1*ms, TimerFired{"wake"})...)
-				answers += len(of[Reject](acts)) + len(of[Fail](acts))
-				for _, a := range of[Place](acts) {
-					acts = b.at(0, AttemptEnded{RequestID: a.RequestID, Worker: a.Worker, Outcome: TimedOut})
-					answers += len(of[Reject](acts)) + len(of[Fail](acts))
+			for i, class := range s.Classes {
+				request := f.request(fmt.Sprint(i), class.Name, 1, 1)
+				request.DeadlineUs = f.now + 1*ms // very short
+				actions := f.at(0, request)
+				actions = append(actions, f.at(1*ms, TimerFired{"wake"})...)
+				answers += len(of[Reject](actions)) + len(of[Fail](actions))
+				for _, place := range of[Place](actions) {
+					actions = f.at(0, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: TimedOut})
+					answers += len(of[Reject](actions)) + len(of[Fail](actions))
 				}
 			}
 			if answers != len(s.Classes) {
@@ -638,37 +638,37 @@
 }
 
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 20))
+	f := newBed(t, testSettings(), 1, small("a", 0, 20))
 	done := AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}
-	b.at(ms, Accepted{RequestID: "x"}, done, TaskReport{RequestID: "x"}, ClientCancelled{"x"}, TimerFired{"?"}, ProbeResult{Worker: "x"})
-	b.at(ms, b.request("1", "safe", 1, 1))
-	b.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
-	b.at(ms, done, done, done, TaskReport{RequestID: "1"})
-	if len(b.p.tasks) != 0 || b.p.workers["a"].active != 0 {
-		t.Errorf("%d tasks, %d refs left", len(b.p.tasks), b.p.workers["a"].active)
+	f.at(ms, Accepted{RequestID: "x"}, done, TaskReport{RequestID: "x"}, ClientCancelled{"x"}, TimerFired{"?"}, ProbeResult{Worker: "x"})
+	f.at(ms, f.request("1", "safe", 1, 1))
+	f.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
+	f.at(ms, done, done, done, TaskReport{RequestID: "1"})
+	if len(f.p.tasks) != 0 || f.p.workers["a"].active != 0 {
+		t.Errorf("%d tasks, %d refs left", len(f.p.tasks), f.p.workers["a"].active)
 	}
 }
 
 func TestMemoryIsLetGo(t *testing.T) {
-	b := newBed(t, testSettings(), 1)
+	f := newBed(t, testSettings(), 1)
 	for i := range 300 {
 		name := fmt.Sprint("m", i)
-		b.at(100*ms, WorkerList{Kind: ListFull, Entries: []Entry{small(name, 0, 20)}})
+		f.at(100*ms, WorkerList{Kind: ListFull, Entries: []Entry{small(name, 0, 20)}})
 		for j := range 10 {
 			id := fmt.Sprint(i, "-", j)
-			r := b.request(id, "safe", 1, 1)
-			r.Program = uint64(i*10 + j)
-			b.at(ms, r)
-			b.at(ms, Accepted{RequestID: id, Worker: name, RTTUs: 1000})
-			b.at(ms, AttemptEnded{RequestID: id, Worker: name, Outcome: Completed, Final: true})
+			request := f.request(id, "safe", 1, 1)
+			request.Program = uint64(i*10 + j)
+			f.at(ms, request)
+			f.at(ms, Accepted{RequestID: id, Worker: name, RTTUs: 1000})
+			f.at(ms, AttemptEnded{RequestID: id, Worker: name, Outcome: Completed, Final: true})
 		}
 	}
-	if len(b.p.tasks) > 0 || len(b.p.workers) > 2 || len(b.p.pending) > 0 {
-		t.Errorf("%d tasks, %d machines, %d waiting left", len(b.p.tasks), len(b.p.workers), len(b.p.pending))
+	if len(f.p.tasks) > 0 || len(f.p.workers) > 2 || len(f.p.pending) > 0 {
+		t.Errorf("%d tasks, %d machines, %d waiting left", len(f.p.tasks), len(f.p.workers), len(f.p.pending))
 	}
-	for _, m := range b.p.workers {
-		if len(m.residentPrograms) > maxIdlePrograms+1 || len(m.running) > 0 {
-			t.Errorf("%d homes, %d running left", len(m.residentPrograms), len(m.running))
+	for _, worker := range f.p.workers {
+		if len(worker.residentPrograms) > maxIdlePrograms+1 || len(worker.running) > 0 {
+			t.Errorf("%d homes, %d running left", len(worker.residentPrograms), len(worker.running))
 		}
 	}
 }
@@ -678,34 +678,34 @@
 		b := newBed(t, testSettings(), 42, small("a", 0, 20), small("b", 0, 20), small("c", 1, 20), small("d", 1, 20))
 		for i := range 300 {
 			id := fmt.Sprint(i)
-			r := b.request(id, "safe", 1, 1)
-			r.Program = uint64(i % 17)
-			acts := b.at(7*ms, r)
-			all = append(all, acts...)
-			for _, p := range of[Place](acts) {
-				all = append(all, b.at(ms, Accepted{RequestID: p.RequestID, Worker: p.Worker, RTTUs: 900},
-					TaskReport{RequestID: p.RequestID, Worker: p.Worker, Kind: ReportService, Value: 0.1})...)
+			request := b.request(id, "safe", 1, 1)
+			request.Program = uint64(i % 17)
+			actions := b.at(7*ms, request)
+			all = append(all, actions...)
+			for _, place := range of[Place](actions) {
+				all = append(all, b.at(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900},
+					TaskReport{RequestID: place.RequestID, Worker: place.Worker, Kind: ReportService, Value: 0.1})...)
 			}
 		}
 		return all
 	}
-	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
+	if first, b := run(), run(); !reflect.DeepEqual(first, b) {
 		t.Error("the same events gave other actions")
 	}
 }
 
 func TestTasksStillInTimeGoFirst(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, -16))
-	late := b.request("late", "safe", 1, 2)
+	f := newBed(t, testSettings(), 1, small("a", 0, -16))
+	late := f.request("late", "safe", 1, 2)
 	late.HasRunHint, late.ExpectedRunUs = true, 10*second
-	b.at(0, late)
+	f.at(0, late)
 	fresh := late
 	fresh.RequestID = "fresh"
-	b.at(1500*ms, fresh)
+	f.at(1500*ms, fresh)
 	again := late
 	again.RequestID, again.Retry = "again", true
-	b.at(ms, again)
-	got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}))
+	f.at(ms, again)
+	got := of[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 10)}}))
 	if len(got) < 1 || got[0].RequestID != "fresh" {
 		t.Errorf("placed %v, want the task that can still start in time first", got)
 	}
@@ -714,41 +714,41 @@
 func TestPlacersMeetForAProgram(t *testing.T) {
 	first := map[string]int{}
 	for i := range 20 {
-		b := newBed(t, testSettings(), uint64(i), small("a", 0, 20), small("b", 0, 20), small("c", 1, 20), small("d", 1, -10))
-		first[of[Place](b.at(ms, b.request("1", "safe", 1, 2)))[0].Worker]++
+		f := newBed(t, testSettings(), uint64(i), small("a", 0, 20), small("b", 0, 20), small("c", 1, 20), small("d", 1, -10))
+		first[of[Place](f.at(ms, f.request("1", "safe", 1, 2)))[0].Worker]++
 	}
-	most := 0
+	maxCount := 0
 	for _, n := range first {
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	if most < 11 || first["d"] > 0 {
+	if maxCount < 11 || first["d"] > 0 {
 		t.Errorf("first choices %v, want most on one machine and none on the full one", first)
 	}
 }
 
 func TestJammedMachineIsLeftAlone(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
-	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-	b.placed(b.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
-	if w := b.p.workers["a"].attemptWindow; w >= initialWindow {
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
+	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+	f.placed(f.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
+	if w := f.p.workers["a"].attemptWindow; w >= initialWindow {
 		t.Errorf("window %v after 'too many wait', want it halved", w)
 	}
 }
 
 func TestOneSuccessDoesNotClearALossyMachine(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	m := b.p.workers["a"]
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
+	worker := f.p.workers["a"]
 	for range 4 {
-		m.addSuspicion(b.now, 1.5)
+		worker.addSuspicion(f.now, 1.5)
 	}
-	m.recordSuccess(b.now, 0)
-	if b.p.healthy(m, 0) {
+	worker.recordSuccess(f.now, 0)
+	if f.p.healthy(worker, 0) {
 		t.Error("trusted again after one success in five")
 	}
 	for range 20 {
-		m.recordSuccess(b.now, 0)
+		worker.recordSuccess(f.now, 0)
 	}
-	if !b.p.healthy(m, 0) {
+	if !f.p.healthy(worker, 0) {
 		t.Error("not trusted after twenty successes")
 	}
 }
@@ -756,17 +756,17 @@
 func TestStartsOnAColdMachineWeighMore(t *testing.T) {
 	s := testSettings()
 	s.ColdStartRate = 0.2
-	b := newBed(t, s, 1, small("a", 0, 30))
-	m := b.p.workers["a"]
-	if got := b.p.startRate(m); got != 1 {
+	f := newBed(t, s, 1, small("a", 0, 30))
+	worker := f.p.workers["a"]
+	if got := f.p.startRate(worker); got != 1 {
 		t.Errorf("pace %v of a warm machine, want 1", got)
 	}
-	m.StartedAtUs = b.now
-	if got := b.p.startRate(m); got != 0.2 {
+	worker.StartedAtUs = f.now
+	if got := f.p.startRate(worker); got != 0.2 {
 		t.Errorf("pace %v at the start, want 0.2", got)
 	}
-	b.at(s.WarmUpUs / 2)
-	if got := b.p.startRate(m); math.Abs(got-0.6) > 1e-9 {
+	f.at(s.WarmUpUs / 2)
+	if got := f.p.startRate(worker); math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("pace %v half way, want 0.6", got)
 	}
 }
@@ -776,62 +776,62 @@
 func TestGapsAreKeptForBetterTasks(t *testing.T) {
 	s := testSettings()
 	s.Classes[8].Kind = -1 // worth 3
-	tight := func(name string, spare float64) Entry { return small(name, 0, spare-16) }
-	b := newBed(t, s, 1, tight("a", 1.5), tight("b", 0.75), tight("c", 0.75))
-	if got := of[Place](b.at(ms, b.request("better", "large", 2, 2))); len(got) != 0 {
+	tight := func(name string, free float64) Entry { return small(name, 0, free-16) }
+	f := newBed(t, s, 1, tight("a", 1.5), tight("b", 0.75), tight("c", 0.75))
+	if got := of[Place](f.at(ms, f.request("better", "large", 2, 2))); len(got) != 0 {
 		t.Fatalf("there was room: %v", got)
 	}
 	for i := range 2 {
-		for _, a := range of[Place](b.at(ms, b.request(fmt.Sprint(i), "safe", 0.5, 0.5))) {
+		for _, a := range of[Place](f.at(ms, f.request(fmt.Sprint(i), "safe", 0.5, 0.5))) {
 			if a.Worker == "a" {
 				t.Errorf("task %d took the gap", i)
 			}
 		}
 	}
-	b.placed(b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{tight("a", 8)}}), "a")
+	f.placed(f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{tight("a", 8)}}), "a")
 }
 
 func TestFullButWellMachinesAreWaitedFor(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, -16), small("c", 0, -16))
-	b.p.workers["a"].addSuspicion(b.now, maxSuspicion)
-	b.placed(b.at(ms, b.request("1", "unsafe", 1, 2)), "")
-	b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
-	if got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, -16), small("c", 0, -16))
+	f.p.workers["a"].addSuspicion(f.now, maxSuspicion)
+	f.placed(f.at(ms, f.request("1", "unsafe", 1, 2)), "")
+	f.placed(f.at(ms, f.request("2", "safe", 1, 2)), "a")
+	if got := of[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
 		t.Errorf("placed %v, want the unsafe task on c", got)
 	}
 }
 
 // Found on incident ib4b606: a request was given up while its attempt was out.
 func TestAttemptsOfGoneRequestsCountForTheSpread(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "a")
-	b.at(ms, ClientCancelled{"1"})
-	b.placed(b.at(ms, b.request("2", "apartMachine", 1, 1)), "")
-	b.placed(b.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
-	if len(b.p.tasks) != 1 {
-		t.Errorf("%d tasks kept, want 1", len(b.p.tasks))
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
+	f.placed(f.at(ms, f.request("1", "apartMachine", 1, 1)), "a")
+	f.at(ms, ClientCancelled{"1"})
+	f.placed(f.at(ms, f.request("2", "apartMachine", 1, 1)), "")
+	f.placed(f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
+	if len(f.p.tasks) != 1 {
+		t.Errorf("%d tasks kept, want 1", len(f.p.tasks))
 	}
 }
 
 func TestTasksOfARestartedMachineCountForTheSpread(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.at(2*second, Adopted{Task: b.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
-	e := small("a", 0, 30)
-	e.StartedAtUs = b.now
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{e}})
-	b.placed(b.at(ms, b.request("1", "apartMachine", 1, 1)), "")
-	b.placed(b.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
+	f.at(2*second, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
+	entry := small("a", 0, 30)
+	entry.StartedAtUs = f.now
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{entry}})
+	f.placed(f.at(ms, f.request("1", "apartMachine", 1, 1)), "")
+	f.placed(f.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
 }
 
 func TestLeastSuspectMachinesGetFewAttempts(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
+	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	for _, m := range []string{"a", "b"} {
-		b.p.workers[m].addSuspicion(b.now, maxSuspicion)
-		b.p.workers[m].attemptWindow = maxWindow
+		f.p.workers[m].addSuspicion(f.now, maxSuspicion)
+		f.p.workers[m].attemptWindow = maxWindow
 	}
 	n := 0
 	for i := range 20 {
-		n += len(of[Place](b.at(ms, b.request(fmt.Sprint(i), "safe", .5, .5))))
+		n += len(of[Place](f.at(ms, f.request(fmt.Sprint(i), "safe", .5, .5))))
 	}
 	if n < 2 || n > 4 {
 		t.Errorf("%d attempts out on two silent machines, want 2 to 4", n)
@@ -842,38 +842,38 @@
 	s := testSettings()
 	for _, running := range []bool{false, true} {
 		s.AcceptMeansRunning = running
-		b := newBed(t, s, 1, small("a", 0, 30))
-		b.p.meanRTT, b.p.rttDeviation = 50_000, 10_000
-		b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
-		b.at(800 * ms)
-		if got := b.p.healthy(b.p.workers["a"], 0); got != running {
+		f := newBed(t, s, 1, small("a", 0, 30))
+		f.p.meanRTT, f.p.rttDeviation = 50_000, 10_000
+		f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+		f.at(800 * ms)
+		if got := f.p.healthy(f.p.workers["a"], 0); got != running {
 			t.Errorf("yes means running %v: healthy %v after 0.8 s, want %v", running, got, running)
 		}
 	}
 }
 
 func TestTaskThatFitsNoKindIsRefusedAtOnce(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	late := b.request("late", "safe", 1, 1)
-	late.DeadlineUs = b.now - 1
-	acts := b.at(ms, b.request("1", "safe", 97, 1), b.request("2", "large", 1, 193), late)
-	if len(of[Reject](acts)) != 3 || len(b.p.tasks) != 0 {
-		t.Errorf("actions %v, want three refusals", acts)
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
+	late := f.request("late", "safe", 1, 1)
+	late.DeadlineUs = f.now - 1
+	actions := f.at(ms, f.request("1", "safe", 97, 1), f.request("2", "large", 1, 193), late)
+	if len(of[Reject](actions)) != 3 || len(f.p.tasks) != 0 {
+		t.Errorf("actions %v, want three refusals", actions)
 	}
 }
 
 func TestTenantBeyondItsShareWaits(t *testing.T) {
 	s := testSettings()
 	s.Tenants, s.OverQuotaWeight = []Tenant{{"big", 10}, {"little", 30}}, 0.1
-	b := newBed(t, s, 1, small("a", 0, -16))
-	run := b.request("e", "safe", 10, 1)
+	f := newBed(t, s, 1, small("a", 0, -16))
+	run := f.request("e", "safe", 10, 1)
 	run.Tenant = "big"
-	b.at(0, Adopted{Task: run.Task, Worker: "a"})
-	over, within := b.request("over", "safe", 1, 2), b.request("within", "safe", 1, 2)
+	f.at(0, Adopted{Task: run.Task, Worker: "a"})
+	over, within := f.request("over", "safe", 1, 2), f.request("within", "safe", 1, 2)
 	over.Tenant, within.Tenant = "big", "little"
-	b.at(ms, over)
-	b.at(ms, within)
-	got := of[Place](b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, -14)}}))
+	f.at(ms, over)
+	f.at(ms, within)
+	got := of[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, -14)}}))
 	if len(got) == 0 || got[0].RequestID != "within" {
 		t.Errorf("placed %v, want the tenant within its share first", got)
 	}
@@ -882,19 +882,19 @@
 func TestWithoutAViewTasksSpreadAndMemoryIsBounded(t *testing.T) {
 	s := testSettings()
 	s.HasView = false
-	b := newBed(t, s, 1, small("a", 0, 0), small("b", 0, 0), small("c", 1, 0))
+	f := newBed(t, s, 1, small("a", 0, 0), small("b", 0, 0), small("c", 1, 0))
 	seen := map[string]int{}
 	for i := range 3 * maxDeltas {
-		r := b.request(fmt.Sprint(i), "safe", 1, 2)
-		r.Program = 0
-		for _, p := range of[Place](b.at(ms, r)) {
-			seen[p.Worker]++
-			b.at(0, Accepted{RequestID: p.RequestID, Worker: p.Worker, RTTUs: 900}, AttemptEnded{RequestID: p.RequestID, Worker: p.Worker, Outcome: Completed, Final: true})
+		request := f.request(fmt.Sprint(i), "safe", 1, 2)
+		request.Program = 0
+		for _, place := range of[Place](f.at(ms, request)) {
+			seen[place.Worker]++
+			f.at(0, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900}, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: Completed, Final: true})
 		}
 	}
-	for _, m := range b.p.sorted {
-		if seen[m.Worker] < maxDeltas/2 || len(m.deltas) > maxDeltas {
-			t.Errorf("%s: %d tasks, %d changes remembered", m.Worker, seen[m.Worker], len(m.deltas))
+	for _, worker := range f.p.sorted {
+		if seen[worker.Worker] < maxDeltas/2 || len(worker.deltas) > maxDeltas {
+			t.Errorf("%s: %d tasks, %d changes remembered", worker.Worker, seen[worker.Worker], len(worker.deltas))
 		}
 	}
 }
@@ -924,23 +924,23 @@
 			var sent []int64
 			for i := range c.placers {
 				s.SelfIndex = i
-				b := newBed(t, s, uint64(i), cold)
-				b.at(3*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold}})
+				f := newBed(t, s, uint64(i), cold)
+				f.at(3*second, WorkerList{Kind: ListDelta, Entries: []Entry{cold}})
 				for j := range 70 {
 					if c.stall && j%20 == 7 {
-						b.now += 2 * second // then all at once
+						f.now += 2 * second // then all at once
 					}
 					if c.reborn && j == 10+i%40 {
-						now := b.now
-						b = newBed(t, s, uint64(i), cold)
-						b.now = now
-						b.p.startedAt = now
+						now := f.now
+						f = newBed(t, s, uint64(i), cold)
+						f.now = now
+						f.p.startedAt = now
 					}
 					id := fmt.Sprint(j)
-					for range len(of[Place](b.at(97*ms, b.request(id, "safe", .1, .1)))) {
-						sent = append(sent, b.now)
+					for range len(of[Place](f.at(97*ms, f.request(id, "safe", .1, .1)))) {
+						sent = append(sent, f.now)
 					}
-					b.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
+					f.at(0, Accepted{RequestID: id, Worker: "a", RTTUs: 1000})
 				}
 			}
 			slices.Sort(sent)
@@ -968,21 +968,21 @@
 		{"answers lost", "safe", true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := Entry{Worker: "a", Kind: "large", FreeCores: 60, FreeMemory: 120}
-			b := newBed(t, testSettings(), 1, e)
-			m := b.p.workers["a"]
-			b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
+			entry := Entry{Worker: "a", Kind: "large", FreeCores: 60, FreeMemory: 120}
+			f := newBed(t, testSettings(), 1, entry)
+			worker := f.p.workers["a"]
+			f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 			if c.heard != "" {
-				b.placed(b.at(ms, b.request("2", c.heard, 1, 2)), "a")
-				b.at(ms, Accepted{RequestID: "2", Worker: "a", RTTUs: 1000})
+				f.placed(f.at(ms, f.request("2", c.heard, 1, 2)), "a")
+				f.at(ms, Accepted{RequestID: "2", Worker: "a", RTTUs: 1000})
 			}
-			b.at(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
-			b.at(100 * ms)
-			if s, l := m.suspicion(b.now, 0) < ejectionThreshold, m.suspicion(b.now, 8) < ejectionThreshold; s != c.safe || l != c.large {
-				t.Errorf("in use for its class %v, for the other %v; want %v and %v", s, l, c.safe, c.large)
+			f.at(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
+			f.at(100 * ms)
+			if safe, large := worker.suspicion(f.now, 0) < ejectionThreshold, worker.suspicion(f.now, 8) < ejectionThreshold; safe != c.safe || large != c.large {
+				t.Errorf("in use for its class %v, for the other %v; want %v and %v", safe, large, c.safe, c.large)
 			}
-			b.at(10 * suspicionHalfLife)
-			if !b.p.healthy(m, 0) {
+			f.at(10 * suspicionHalfLife)
+			if !f.p.healthy(worker, 0) {
 				t.Error("not let go")
 			}
 		})
@@ -990,8 +990,8 @@
 }
 
 func TestTasksAskTheMachineThatTheyWouldGoTo(t *testing.T) {
-	s := testSettings()
-	s.Probes = true
+	settings := testSettings()
+	settings.Probes = true
 	nan := math.NaN()
 	for _, c := range []struct {
 		name string
@@ -1006,19 +1006,19 @@
 		{"absurd", Load{1e9, -1e9, -5, 1e300}, "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, s, 1, small("a", 0, 30), small("b", 0, 16))
-			r := b.request("1", "safe", 1, 2)
-			r.Program = 0
-			acts := b.at(ms, r)
-			b.placed(acts, "")
-			if got := of[Probe](acts); len(got) != 1 || got[0].Worker != "a" {
+			f := newBed(t, settings, 1, small("a", 0, 30), small("b", 0, 16))
+			request := f.request("1", "safe", 1, 2)
+			request.Program = 0
+			actions := f.at(ms, request)
+			f.placed(actions, "")
+			if got := of[Probe](actions); len(got) != 1 || got[0].Worker != "a" {
 				t.Fatalf("asked %v, want a once", got)
 			}
-			acts = b.at(20*ms, ProbeResult{Worker: "a", Outcome: Completed, Load: c.load})
-			for _, q := range of[Probe](acts) {
-				acts = b.at(20*ms, ProbeResult{Worker: q.Worker, Outcome: Completed, Load: Load{16, 32, .5, 0}})
+			actions = f.at(20*ms, ProbeResult{Worker: "a", Outcome: Completed, Load: c.load})
+			for _, probe := range of[Probe](actions) {
+				actions = f.at(20*ms, ProbeResult{Worker: probe.Worker, Outcome: Completed, Load: Load{16, 32, .5, 0}})
 			}
-			b.placed(acts, c.want)
+			f.placed(actions, c.want)
 		})
 	}
 }
@@ -1026,17 +1026,17 @@
 func TestSilentProbeKeepsTheTaskForAnother(t *testing.T) {
 	s := testSettings()
 	s.Probes = true
-	b := newBed(t, s, 1, small("a", 0, 30), small("b", 0, 4))
-	r := b.request("1", "safe", 1, 2)
-	r.Program = 0
-	b.at(ms, r)
-	acts := b.at(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
-	if got := of[Probe](acts); len(got) != 1 || got[0].Worker != "b" {
+	f := newBed(t, s, 1, small("a", 0, 30), small("b", 0, 4))
+	request := f.request("1", "safe", 1, 2)
+	request.Program = 0
+	f.at(ms, request)
+	actions := f.at(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
+	if got := of[Probe](actions); len(got) != 1 || got[0].Worker != "b" {
 		t.Fatalf("asked %v, want b next", got)
 	}
-	b.placed(b.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a") // the least suspect
-	acts = b.at(10*suspicionHalfLife, r)
-	if n := len(of[Place](acts)); n != 0 {
+	f.placed(f.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a") // the least suspect
+	actions = f.at(10*suspicionHalfLife, request)
+	if n := len(of[Place](actions)); n != 0 {
 		t.Errorf("a ticket that is out was placed %d times more", n)
 	}
 }
@@ -1044,14 +1044,14 @@
 func TestReportedBendIsLetGo(t *testing.T) {
 	s := testSettings()
 	s.Probes = true
-	b := newBed(t, s, 1, small("a", 0, 30))
-	m := b.p.workers["a"]
-	b.at(ms, ProbeResult{Worker: "a", Outcome: Completed, Load: Load{24, 48, 1, 0}})
-	if m.coresCalibration > 0.5 {
-		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", m.coresCalibration)
-	}
-	m.decayCalibration(b.now+10*calibrationHalfLife, calibrationHalfLife)
-	if m.coresCalibration < 0.99 {
+	f := newBed(t, s, 1, small("a", 0, 30))
+	worker := f.p.workers["a"]
+	f.at(ms, ProbeResult{Worker: "a", Outcome: Completed, Load: Load{24, 48, 1, 0}})
+	if worker.coresCalibration > 0.5 {
+		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", worker.coresCalibration)
+	}
+	worker.decayCalibration(f.now+10*calibrationHalfLife, calibrationHalfLife)
+	if worker.coresCalibration < 0.99 {
 		t.Error("not let go")
 	}
 }
@@ -1059,19 +1059,19 @@
 // TestManyPlacersOnOneLateView bounds how many of 300 placers choose one machine
 // of 100 while the view stands still.
 func TestManyPlacersOnOneLateView(t *testing.T) {
-	var es []Entry
+	var entries []Entry
 	for m := range 100 {
-		es = append(es, small(fmt.Sprint("m", m), m/6, 12+float64(m%9)))
+		entries = append(entries, small(fmt.Sprint("m", m), m/6, 12+float64(m%9)))
 	}
 	first := map[string]int{}
 	s := testSettings()
 	s.FleetSize = 300
 	for i := range s.FleetSize {
 		s.SelfIndex = i
-		b := newBed(t, s, uint64(i), es...)
-		r := b.request("1", "safe", 1, 2)
-		r.Program = uint64(i%150 + 1) // two tasks of each of 150 services
-		first[of[Place](b.at(ms, r))[0].Worker]++
+		f := newBed(t, s, uint64(i), entries...)
+		request := f.request("1", "safe", 1, 2)
+		request.Program = uint64(i%150 + 1) // two tasks of each of 150 services
+		first[of[Place](f.at(ms, request))[0].Worker]++
 	}
 	for m, n := range first {
 		if n > 18 {
@@ -1086,43 +1086,43 @@
 func TestHardInput(t *testing.T) {
 	s := testSettings()
 	s.FleetSize, s.SelfIndex, s.SlowStartOffers = 300, 299, 1
-	b := newBed(t, s, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
-	r := b.request("1", "apartCell", 1, 2)
-	b.placed(b.at(ms, r), "a") // a list that names no cell
+	f := newBed(t, s, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
+	request := f.request("1", "apartCell", 1, 2)
+	f.placed(f.at(ms, request), "a") // a list that names no cell
 	// The clock jumps by two seconds, and outcomes come in any order.
-	b.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
+	f.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
 		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
-	if len(b.p.tasks) != 0 || len(b.p.workers["a"].unanswered) != 0 {
-		t.Errorf("%d tasks, %d unanswered left", len(b.p.tasks), len(b.p.workers["a"].unanswered))
+	if len(f.p.tasks) != 0 || len(f.p.workers["a"].unanswered) != 0 {
+		t.Errorf("%d tasks, %d unanswered left", len(f.p.tasks), len(f.p.workers["a"].unanswered))
 	}
-	var es []Entry
+	var entries []Entry
 	for m := range 200 { // a fleet that grows in one list, all cold
-		e := small(fmt.Sprint("c", m), m/6, 30)
-		e.StartedAtUs = b.now
-		es = append(es, e)
+		entry := small(fmt.Sprint("c", m), m/6, 30)
+		entry.StartedAtUs = f.now
+		entries = append(entries, entry)
 	}
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: es})
-	b.placed(b.at(ms, b.request("2", "safe", 1, 2)), "a")
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: entries})
+	f.placed(f.at(ms, f.request("2", "safe", 1, 2)), "a")
 }
 
 func TestOwnStallBlamesNobody(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
-	b.p.meanRTT, b.p.rttDeviation = 20_000, 5_000
-	b.placed(b.at(ms, b.request("1", "safe", 1, 2)), "a")
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
+	f.p.meanRTT, f.p.rttDeviation = 20_000, 5_000
+	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	// No turn for two seconds; then the answer is found beside a new request.
-	b.placed(b.at(2*second, b.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
-	if s := b.p.workers["a"].suspicion(b.now, 0); s != 0 {
-		t.Errorf("suspicion %v after an own stall, want none", s)
+	f.placed(f.at(2*second, f.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
+	if suspicion := f.p.workers["a"].suspicion(f.now, 0); suspicion != 0 {
+		t.Errorf("suspicion %v after an own stall, want none", suspicion)
 	}
 }
 
 // crowded is a placer that is told of room at a pace, or that room is to be kept.
-func crowded(t *testing.T, spare float64, p Backpressure) *bed {
+func crowded(t *testing.T, free float64, pressure Backpressure) *bed {
 	s := testSettings()
 	s.UnitCores, s.UnitMemory = 1, 2
-	b := newBed(t, s, 1, small("a", 0, spare), small("b", 0, spare))
-	b.at(ms, p)
-	return b
+	f := newBed(t, s, 1, small("a", 0, free), small("b", 0, free))
+	f.at(ms, pressure)
+	return f
 }
 
 // A held task that finds no room in its time by far, at the pace at which room comes,
@@ -1132,26 +1132,26 @@
 		pace float64
 		want int
 	}{{0, 0}, {1, 3}, {10, 0}} {
-		b := crowded(t, -20, Backpressure{ReleaseRate: x.pace})
-		denied := 0
+		f := crowded(t, -20, Backpressure{ReleaseRate: x.pace})
+		rejected := 0
 		for i := range 12 {
-			denied += len(of[Reject](b.at(ms, b.request(fmt.Sprint(i), "safe", 1, 2))))
+			rejected += len(of[Reject](f.at(ms, f.request(fmt.Sprint(i), "safe", 1, 2))))
 		}
 		// With 5 s left and twice that to be sure, nine units find room at one a second.
-		if denied != x.want {
-			t.Errorf("at a pace of %v: %d refused of 12, want %d", x.pace, denied, x.want)
+		if rejected != x.want {
+			t.Errorf("at a pace of %v: %d refused of 12, want %d", x.pace, rejected, x.want)
 		}
 	}
 }
 
 // Of equal rank the one whose owner stands in line for longer goes first.
 func TestPlaceInLine(t *testing.T) {
-	b := crowded(t, -20, Backpressure{})
-	late, early := b.request("late", "safe", 30, 60), b.request("early", "safe", 30, 60)
-	early.QueuedSinceUs = b.now - 3000*ms
-	b.at(ms, late)
-	b.at(ms, early)
-	got := of[Place](b.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{small("a", 0, 32)}}))
+	f := crowded(t, -20, Backpressure{})
+	late, early := f.request("late", "safe", 30, 60), f.request("early", "safe", 30, 60)
+	early.QueuedSinceUs = f.now - 3000*ms
+	f.at(ms, late)
+	f.at(ms, early)
+	got := of[Place](f.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{small("a", 0, 32)}}))
 	if len(got) != 1 || got[0].RequestID != "early" {
 		t.Errorf("placed %v", got)
 	}
@@ -1160,21 +1160,21 @@
 // While a crowd comes, a class leaves room to those of more worth, as far as they are
 // expected to need it, and no longer.
 func TestRoomIsKept(t *testing.T) {
-	keep := make([]float64, len(testSettings().Classes))
-	keep[0] = 100
-	b := crowded(t, 30, Backpressure{Reserved: keep})
-	if got := of[Place](b.at(ms, b.request("web", "safe", 1, 2))); len(got) != 0 {
+	reserved := make([]float64, len(testSettings().Classes))
+	reserved[0] = 100
+	f := crowded(t, 30, Backpressure{Reserved: reserved})
+	if got := of[Place](f.at(ms, f.request("web", "safe", 1, 2))); len(got) != 0 {
 		t.Errorf("placed %v", got)
 	}
-	if got := of[Place](b.at(ms, b.request("other", "all", 1, 2))); len(got) != 1 {
+	if got := of[Place](f.at(ms, f.request("other", "all", 1, 2))); len(got) != 1 {
 		t.Errorf("another class: placed %v", got)
 	}
-	if got := of[Place](b.at(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
+	if got := of[Place](f.at(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
 		t.Errorf("once nothing is kept: placed %v", got)
 	}
-	keep[0] = 1
-	b = crowded(t, 30, Backpressure{Reserved: keep})
-	if got := of[Place](b.at(ms, b.request("web", "safe", 1, 2))); len(got) != 1 {
+	reserved[0] = 1
+	f = crowded(t, 30, Backpressure{Reserved: reserved})
+	if got := of[Place](f.at(ms, f.request("web", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("with room for all: placed %v", got)
 	}
 }
@@ -1186,13 +1186,13 @@
 		p          Backpressure
 		least, all int
 	}{{Backpressure{}, 70, 100}, {Backpressure{ReleaseRate: 1000}, 35, 60}} {
-		b := crowded(t, 32, x.p) // two machines that accept 48 cores each
+		f := crowded(t, 32, x.p) // two machines that accept 48 cores each
 		placed := 0
 		for i := range 120 {
-			tag := fmt.Sprint(i)
-			for _, a := range of[Place](b.at(ms, b.request(tag, "safe", 1, 2))) {
+			requestID := fmt.Sprint(i)
+			for _, place := range of[Place](f.at(ms, f.request(requestID, "safe", 1, 2))) {
 				placed++
-				b.at(ms, Accepted{RequestID: a.RequestID, Worker: a.Worker, RTTUs: 20 * ms})
+				f.at(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 20 * ms})
 			}
 		}
 		if placed < x.least || placed > x.all {
@@ -1207,37 +1207,37 @@
 	s := testSettings()
 	var entries []Entry
 	for i := range 400 {
-		e := small(fmt.Sprint("m", i), i/8, 30)
+		entry := small(fmt.Sprint("m", i), i/8, 30)
 		if i >= 200 {
-			e.FreeCores, e.FreeMemory = -16, -32
+			entry.FreeCores, entry.FreeMemory = -16, -32
 		}
-		entries = append(entries, e)
+		entries = append(entries, entry)
 	}
 	for b.Loop() {
-		p, err := New(s, 1)
+		scheduler, err := New(s, 1)
 		if err != nil {
 			b.Fatal(err)
 		}
-		p.Handle(1_000_000_000, []Event{WorkerList{Kind: ListCached, Entries: entries}})
+		scheduler.Handle(1_000_000_000, []Event{WorkerList{Kind: ListCached, Entries: entries}})
 		var events []Event
 		for i := range 100 {
 			events = append(events, Request{Task{RequestID: fmt.Sprint(i), Class: "apartMachine", Cores: 1, Memory: 1,
 				DeadlineUs: 1_005_000_000, Program: uint64(i % 20)}})
 		}
-		p.Handle(1_000_001_000, events)
+		scheduler.Handle(1_000_001_000, events)
 	}
 }
 
 func TestPoorServiceOnAMachineOfUnknownKind(t *testing.T) {
-	b := newBed(t, testSettings(), 1, small("a", 0, 30))
+	f := newBed(t, testSettings(), 1, small("a", 0, 30))
 	unlisted := Adopted{Task{RequestID: "1", Class: "safe", Cores: 1, Memory: 2, HasRunHint: true, ExpectedRunUs: 60 * second}, "z"}
-	odd := small("odd", 0, 30)
-	odd.Kind = "never heard of"
-	b.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{odd}}, unlisted,
+	unknownKind := small("odd", 0, 30)
+	unknownKind.Kind = "never heard of"
+	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{unknownKind}}, unlisted,
 		Adopted{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, HasRunHint: true, ExpectedRunUs: 60 * second}, "odd"})
-	for _, m := range []string{"z", "odd"} {
-		ticket := map[string]string{"z": "1", "odd": "2"}[m]
-		if moved := of[Migrate](b.at(second, TaskReport{RequestID: ticket, Worker: m, Kind: ReportService, Value: 0.1})); len(moved) > 0 {
+	for _, name := range []string{"z", "odd"} {
+		requestID := map[string]string{"z": "1", "odd": "2"}[name]
+		if moved := of[Migrate](f.at(second, TaskReport{RequestID: requestID, Worker: name, Kind: ReportService, Value: 0.1})); len(moved) > 0 {
 			t.Errorf("moved %v off a machine whose size nobody knows", moved)
 		}
 	}
