--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -24,12 +24,12 @@
 type reference struct {
 	p        *Scheduler
 	machines []*workerInfo // by name
-	rho      float64    // asked share of the fleet
-	mean     float64    // mean cores
+	rho      float64       // asked share of the fleet
+	mean     float64       // mean cores
 }
 
-func newReference(p *Scheduler) *reference {
-	r := &reference{p: p, machines: slices.Collect(maps.Values(p.workers))}
+func newReference(scheduler *Scheduler) *reference {
+	r := &reference{p: scheduler, machines: slices.Collect(maps.Values(scheduler.workers))}
 	slices.SortFunc(r.machines, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
 	r.rho, r.mean = r.fleet()
 	return r
@@ -37,138 +37,138 @@
 
 // --- What a machine is asked for and bears ---
 
-func (r *reference) changesSince(m *workerInfo, at int64) (cores, mem float64) {
-	for _, d := range slices.Backward(m.deltas) {
+func (r *reference) changesSince(worker *workerInfo, at int64) (cores, memory float64) {
+	for _, d := range slices.Backward(worker.deltas) {
 		if d.at > at {
-			cores, mem = cores+d.cores, mem+d.memory
+			cores, memory = cores+d.cores, memory+d.memory
 		}
 	}
-	return cores, mem
+	return cores, memory
 }
 
-func (r *reference) load(m *workerInfo) (cores, mem float64) {
-	kind := r.p.settings.Kinds[m.kindIndex]
-	at, spareC, spareM := m.viewedAt-r.p.lag, m.FreeCores, m.FreeMemory
-	if reported := m.reportedAt - reportLag; m.reportsFree && reported > at {
-		at, spareC, spareM = reported, m.lastReport.FreeCores, m.lastReport.FreeMemory
+func (r *reference) load(worker *workerInfo) (cores, memory float64) {
+	kind := r.p.settings.Kinds[worker.kindIndex]
+	at, freeCores, freeMemory := worker.viewedAt-r.p.lag, worker.FreeCores, worker.FreeMemory
+	if reported := worker.reportedAt - reportLag; worker.reportsFree && reported > at {
+		at, freeCores, freeMemory = reported, worker.lastReport.FreeCores, worker.lastReport.FreeMemory
 	}
-	c, b := r.changesSince(m, at)
-	return max(0, kind.Cores-spareC+c), max(0, kind.Memory-spareM+b)
+	addedCores, addedMemory := r.changesSince(worker, at)
+	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
 }
 
 // calibrationBelow is what is left of a bend by now.
-func (r *reference) bent(m *workerInfo, bend float64) float64 {
-	if m.calibratedAt == r.p.now {
-		return bend
+func (r *reference) bent(worker *workerInfo, calibration float64) float64 {
+	if worker.calibratedAt == r.p.now {
+		return calibration
 	}
-	return 1 - (1-bend)*math.Exp2(-float64(r.p.now-m.calibratedAt)/float64(calibrationHalfLife))
+	return 1 - (1-calibration)*math.Exp2(-float64(r.p.now-worker.calibratedAt)/float64(calibrationHalfLife))
 }
 
 func (r *reference) calm() float64 {
-	least := math.Inf(1)
-	for _, c := range r.p.settings.Classes {
-		least = min(least, c.SaturationLoad)
+	lowest := math.Inf(1)
+	for _, class := range r.p.settings.Classes {
+		lowest = min(lowest, class.SaturationLoad)
 	}
-	return least
+	return lowest
 }
 
-func (r *reference) bears(m *workerInfo) (cores, mem float64) {
-	p := r.p
-	kind := p.settings.Kinds[m.kindIndex]
-	c, b := p.settings.CoresOvercommit, p.settings.MemoryOvercommit
-	if p.reportedRequests[0] > 0 && p.reportedUsage[0] > 0 {
-		c = min(c, r.calm()*p.reportedRequests[0]/p.reportedUsage[0])
+func (r *reference) bears(worker *workerInfo) (cores, memory float64) {
+	scheduler := r.p
+	kind := scheduler.settings.Kinds[worker.kindIndex]
+	coresFactor, memoryFactor := scheduler.settings.CoresOvercommit, scheduler.settings.MemoryOvercommit
+	if scheduler.reportedRequests[0] > 0 && scheduler.reportedUsage[0] > 0 {
+		coresFactor = min(coresFactor, r.calm()*scheduler.reportedRequests[0]/scheduler.reportedUsage[0])
 	}
-	if p.reportedRequests[1] > 0 && p.reportedUsage[1] > 0 {
-		b = min(b, memorySaturation*p.reportedRequests[1]/p.reportedUsage[1])
+	if scheduler.reportedRequests[1] > 0 && scheduler.reportedUsage[1] > 0 {
+		memoryFactor = min(memoryFactor, memorySaturation*scheduler.reportedRequests[1]/scheduler.reportedUsage[1])
 	}
-	return kind.Cores * c * r.bent(m, m.coresCalibration), kind.Memory * b * r.bent(m, m.memoryCalibration)
+	return kind.Cores * coresFactor * r.bent(worker, worker.coresCalibration), kind.Memory * memoryFactor * r.bent(worker, worker.memoryCalibration)
 }
 
-func (r *reference) share(m *workerInfo) float64 {
-	c, b := r.load(m)
-	bearC, bearM := r.bears(m)
-	return max(c/bearC, b/bearM)
+func (r *reference) share(worker *workerInfo) float64 {
+	cores, memory := r.load(worker)
+	effectiveCores, effectiveMemory := r.bears(worker)
+	return max(cores/effectiveCores, memory/effectiveMemory)
 }
 
 // --- Sums over the fleet ---
 
-func (r *reference) fleet() (rho, cores float64) {
-	var have, n float64
-	for _, m := range r.machines {
-		if !m.listed || m.State != Ready || m.kindIndex < 0 {
+func (r *reference) fleet() (utilization, cores float64) {
+	var capacity, workers float64
+	for _, worker := range r.machines {
+		if !worker.listed || worker.State != Ready || worker.kindIndex < 0 {
 			continue
 		}
-		size := r.p.settings.Kinds[m.kindIndex].Cores
+		size := r.p.settings.Kinds[worker.kindIndex].Cores
 		if r.p.settings.HasView {
-			rho += r.share(m) * size
+			utilization += r.share(worker) * size
 		}
-		have += size
-		n++
+		capacity += size
+		workers++
 	}
-	if n == 0 {
+	if workers == 0 {
 		return 0, 1
 	}
-	return rho / have, have / n
+	return utilization / capacity, capacity / workers
 }
 
 func (r *reference) askedCores() (sum float64) {
-	for _, m := range r.machines {
-		if m.listed && m.kindIndex >= 0 && r.p.settings.HasView {
-			c, _ := r.load(m)
-			sum += c
+	for _, worker := range r.machines {
+		if worker.listed && worker.kindIndex >= 0 && r.p.settings.HasView {
+			cores, _ := r.load(worker)
+			sum += cores
 		}
 	}
 	return sum
 }
 
 func (r *reference) othersBinds() (shares [2]float64) {
-	p := r.p
-	if !p.overloaded || !p.settings.HasView {
+	scheduler := r.p
+	if !scheduler.overloaded || !scheduler.settings.HasView {
 		return shares
 	}
-	var net, squares, have [2]float64
-	for _, m := range r.machines {
-		if m.kindIndex < 0 || !m.listed {
+	var net, squares, capacity [2]float64
+	for _, worker := range r.machines {
+		if worker.kindIndex < 0 || !worker.listed {
 			continue
 		}
-		kind := p.settings.Kinds[m.kindIndex]
-		have[0], have[1] = have[0]+kind.Cores, have[1]+kind.Memory
-		for _, d := range m.deltas {
-			if d.at > m.viewedAt-p.lag {
+		kind := scheduler.settings.Kinds[worker.kindIndex]
+		capacity[0], capacity[1] = capacity[0]+kind.Cores, capacity[1]+kind.Memory
+		for _, d := range worker.deltas {
+			if d.at > worker.viewedAt-scheduler.lag {
 				net[0], net[1] = net[0]+d.cores, net[1]+d.memory
 				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.memory*d.memory
 			}
 		}
 	}
 	for i := range shares {
-		beyond := max(0, net[i]-2*math.Sqrt(squares[i]))
-		shares[i] = beyond * float64(p.settings.FleetSize-1) / max(1, have[i])
+		excess := max(0, net[i]-2*math.Sqrt(squares[i]))
+		shares[i] = excess * float64(scheduler.settings.FleetSize-1) / max(1, capacity[i])
 	}
 	return shares
 }
 
 func (r *reference) room() (units float64) {
-	p := r.p
-	if p.settings.UnitCores <= 0 || p.settings.UnitMemory <= 0 {
+	scheduler := r.p
+	if scheduler.settings.UnitCores <= 0 || scheduler.settings.UnitMemory <= 0 {
 		return math.Inf(1)
 	}
-	for _, m := range r.machines {
-		if !m.listed || m.State != Ready || m.kindIndex < 0 || !p.settings.HasView {
+	for _, worker := range r.machines {
+		if !worker.listed || worker.State != Ready || worker.kindIndex < 0 || !scheduler.settings.HasView {
 			continue
 		}
-		c, b := r.load(m)
-		bearC, bearM := r.bears(m)
-		free := min((bearC-c)/p.settings.UnitCores, (bearM-b)/p.settings.UnitMemory) / float64(p.settings.FleetSize)
-		units += max(0, min(free, m.attemptWindow-float64(len(m.unanswered))))
+		cores, memory := r.load(worker)
+		effectiveCores, effectiveMemory := r.bears(worker)
+		free := min((effectiveCores-cores)/scheduler.settings.UnitCores, (effectiveMemory-memory)/scheduler.settings.UnitMemory) / float64(scheduler.settings.FleetSize)
+		units += max(0, min(free, worker.attemptWindow-float64(len(worker.unanswered))))
 	}
 	return units
 }
 
 // --- Filters ---
 
-func (r *reference) same(a, b *workerInfo, s Scope) bool {
-	switch s {
+func (r *reference) same(a, b *workerInfo, scope Scope) bool {
+	switch scope {
 	case ScopeMachine:
 		return a == b
 	case ScopeCell:
@@ -180,85 +180,85 @@
 }
 
 // allowed is the rules, the kind and the window.
-func (r *reference) allowed(m *workerInfo, t *taskInfo) bool {
-	c := &r.p.settings.Classes[t.classIndex]
+func (r *reference) allowed(worker *workerInfo, task *taskInfo) bool {
+	class := &r.p.settings.Classes[task.classIndex]
 	switch {
-	case !m.listed || m.State != Ready || m.kindIndex < 0 || r.p.now < m.drainingUntil:
+	case !worker.listed || worker.State != Ready || worker.kindIndex < 0 || r.p.now < worker.drainingUntil:
 		return false
-	case float64(len(m.unanswered)) >= m.attemptWindow:
+	case float64(len(worker.unanswered)) >= worker.attemptWindow:
 		return false
-	case c.Kind >= 0 && c.Kind != m.kindIndex:
+	case class.Kind >= 0 && class.Kind != worker.kindIndex:
 		return false
 	}
-	return r.inGroup(m, c, t) && r.spreadKept(m, c, t) && r.coldKept(m)
+	return r.inGroup(worker, class, task) && r.spreadKept(worker, class, task) && r.coldKept(worker)
 }
 
-func (r *reference) inGroup(m *workerInfo, c *Class, t *taskInfo) bool {
-	if t.mayHaveRun == nil || c.Effect == Safe {
+func (r *reference) inGroup(worker *workerInfo, class *Class, task *taskInfo) bool {
+	if task.mayHaveRun == nil || class.Effect == Safe {
 		return true
 	}
-	if c.Effect == Unsafe || r.p.now >= t.mayHaveRun.sentAt+c.WindowUs {
+	if class.Effect == Unsafe || r.p.now >= task.mayHaveRun.sentAt+class.WindowUs {
 		return false
 	}
-	return c.Group == ScopeAll || r.same(m, t.mayHaveRun.worker, c.Group)
+	return class.Group == ScopeAll || r.same(worker, task.mayHaveRun.worker, class.Group)
 }
 
-func (r *reference) spreadKept(m *workerInfo, c *Class, t *taskInfo) bool {
-	if c.Spread == ScopeNone {
+func (r *reference) spreadKept(worker *workerInfo, class *Class, task *taskInfo) bool {
+	if class.Spread == ScopeNone {
 		return true
 	}
 	tasks := 1
-	for _, o := range r.machines {
-		if h := o.residentPrograms[t.Program]; h != nil && (r.same(m, o, c.Spread) || !o.everListed && o != m) {
-			tasks += h.active
+	for _, other := range r.machines {
+		if resident := other.residentPrograms[task.Program]; resident != nil && (r.same(worker, other, class.Spread) || !other.everListed && other != worker) {
+			tasks += resident.active
 		}
 	}
-	return tasks <= c.MaxPerDomain
+	return tasks <= class.MaxPerDomain
 }
 
-func (r *reference) cold(m *workerInfo) bool {
-	return m.StartedAtUs > 0 && r.p.now < m.StartedAtUs+r.p.settings.WarmUpUs
+func (r *reference) cold(worker *workerInfo) bool {
+	return worker.StartedAtUs > 0 && r.p.now < worker.StartedAtUs+r.p.settings.WarmUpUs
 }
 
-func (r *reference) coldKept(m *workerInfo) bool {
-	p := r.p
-	if !r.cold(m) {
+func (r *reference) coldKept(worker *workerInfo) bool {
+	scheduler := r.p
+	if !r.cold(worker) {
 		return true
 	}
-	offersAfter := func(at int64) (n int) {
-		for _, o := range m.offerTimes {
-			if o > at {
-				n++
+	offersAfter := func(at int64) (count int) {
+		for _, offer := range worker.offerTimes {
+			if offer > at {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	span := p.settings.SlowStartWindowUs*11/10 + 1
-	budget := min(p.settings.SlowStartOffers, 2*(p.settings.SlowStartOffers+2*math.Sqrt(p.settings.SlowStartOffers)+2)/3)
-	fleet := p.settings.FleetSize
-	seat := (p.settings.SelfIndex + int(m.nameHash%uint64(fleet))) % fleet
+	window := scheduler.settings.SlowStartWindowUs*11/10 + 1
+	budget := min(scheduler.settings.SlowStartOffers, 2*(scheduler.settings.SlowStartOffers+2*math.Sqrt(scheduler.settings.SlowStartOffers)+2)/3)
+	fleet := scheduler.settings.FleetSize
+	seat := (scheduler.settings.SelfIndex + int(worker.nameHash%uint64(fleet))) % fleet
 	if int(budget) >= fleet {
-		return p.now >= p.startedAt+span && offersAfter(max(p.now-span, m.StartedAtUs-1)) < (int(budget)+seat)/fleet
+		return scheduler.now >= scheduler.startedAt+window && offersAfter(max(scheduler.now-window, worker.StartedAtUs-1)) < (int(budget)+seat)/fleet
 	}
-	if budget < 1 || p.now < m.StartedAtUs {
+	if budget < 1 || scheduler.now < worker.StartedAtUs {
 		return false
 	}
-	crowd, step := max(1, int(budget)/2), 1
+	perSlot, step := max(1, int(budget)/2), 1
 	if budget < 2 {
 		step = 2
 	}
-	turns := (fleet + crowd - 1) / crowd
-	slot := p.now / span
-	begun := slot * span
-	return slot%int64(turns*step) == int64(seat%turns*step) && p.startedAt < begun && offersAfter(begun-1) == 0
+	turns := (fleet + perSlot - 1) / perSlot
+	slot := scheduler.now / window
+	slotStart := slot * window
+	return slot%int64(turns*step) == int64(seat%turns*step) && scheduler.startedAt < slotStart && offersAfter(slotStart-1) == 0
 }
 
-func (r *reference) suspicion(m *workerInfo, class int) float64 {
-	d := m.suspicions[class]
-	if d.score == 0 {
+func (r *reference) suspicion(worker *workerInfo, classIndex int) float64 {
+	score := worker.suspicions[classIndex]
+	if score.score == 0 {
 		return 0
 	}
-	return d.score * math.Exp2(-float64(r.p.now-d.updatedAt)/float64(suspicionHalfLife))
+	return score.score * math.Exp2(-float64(r.p.now-score.updatedAt)/float64(suspicionHalfLife))
 }
 
 func (r *reference) patience() int64 {
@@ -268,90 +268,90 @@
 	return max(int64(r.p.meanRTT+4*r.p.rttDeviation), second/8)
 }
 
-func (r *reference) healthy(m *workerInfo, class int) bool {
+func (r *reference) healthy(worker *workerInfo, classIndex int) bool {
 	if r.p.meanRTT > 0 {
-		if len(m.unanswered) > 0 && r.p.now-m.unanswered[0].sentAt > r.patience() {
+		if len(worker.unanswered) > 0 && r.p.now-worker.unanswered[0].sentAt > r.patience() {
 			return false
 		}
-		if m.probeSentAt > 0 && r.p.now-m.probeSentAt > r.patience() {
+		if worker.probeSentAt > 0 && r.p.now-worker.probeSentAt > r.patience() {
 			return false
 		}
 	}
-	s := r.suspicion(m, class)
-	return s < suspectThreshold || s < ejectionThreshold && len(m.unanswered) == 0 && r.p.settings.Classes[class].Effect != Unsafe
+	suspicion := r.suspicion(worker, classIndex)
+	return suspicion < suspectThreshold || suspicion < ejectionThreshold && len(worker.unanswered) == 0 && r.p.settings.Classes[classIndex].Effect != Unsafe
 }
 
 // fits reports whether m has room for t, and whether that is at a border.
-func (r *reference) fits(m *workerInfo, t *taskInfo) (fits, border bool) {
-	p := r.p
-	kind := p.settings.Kinds[m.kindIndex]
-	if !p.settings.HasView {
-		return t.Cores <= kind.Cores*p.settings.CoresOvercommit && t.Memory <= kind.Memory*p.settings.MemoryOvercommit, false
-	}
-	cores, mem := r.load(m)
-	if p.overloaded {
-		cores += min(p.contention*kind.Cores, max(0, m.FreeCores-m.sustainedFreeCores)) + p.concurrentPlacements[0]*kind.Cores
-		mem += min(p.contention*kind.Memory, max(0, m.FreeMemory-m.sustainedFreeMemory)) + p.concurrentPlacements[1]*kind.Memory
-	}
-	atMost := func(v, most float64) bool {
-		border = border || math.Abs(v-most) <= referenceSlack*max(1, most)
-		return v <= most
-	}
-	if !atMost(cores+t.Cores, kind.Cores*p.settings.CoresOvercommit) || !atMost(mem+t.Memory, kind.Memory*p.settings.MemoryOvercommit) {
+func (r *reference) fits(worker *workerInfo, task *taskInfo) (fits, border bool) {
+	scheduler := r.p
+	kind := scheduler.settings.Kinds[worker.kindIndex]
+	if !scheduler.settings.HasView {
+		return task.Cores <= kind.Cores*scheduler.settings.CoresOvercommit && task.Memory <= kind.Memory*scheduler.settings.MemoryOvercommit, false
+	}
+	cores, memory := r.load(worker)
+	if scheduler.overloaded {
+		cores += min(scheduler.contention*kind.Cores, max(0, worker.FreeCores-worker.sustainedFreeCores)) + scheduler.concurrentPlacements[0]*kind.Cores
+		memory += min(scheduler.contention*kind.Memory, max(0, worker.FreeMemory-worker.sustainedFreeMemory)) + scheduler.concurrentPlacements[1]*kind.Memory
+	}
+	withinBound := func(value, bound float64) bool {
+		border = border || math.Abs(value-bound) <= referenceSlack*max(1, bound)
+		return value <= bound
+	}
+	if !withinBound(cores+task.Cores, kind.Cores*scheduler.settings.CoresOvercommit) || !withinBound(memory+task.Memory, kind.Memory*scheduler.settings.MemoryOvercommit) {
 		return false, border
 	}
-	bearC, bearM := r.bears(m)
-	small := atMost(max(t.Cores/bearC, t.Memory/bearM), largeTaskShare)
-	if !small && p.now-t.arrivedAt > p.settings.Classes[t.classIndex].ObjectiveUs/4 {
+	effectiveCores, effectiveMemory := r.bears(worker)
+	small := withinBound(max(task.Cores/effectiveCores, task.Memory/effectiveMemory), largeTaskShare)
+	if !small && scheduler.now-task.arrivedAt > scheduler.settings.Classes[task.classIndex].ObjectiveUs/4 {
 		return true, border
 	}
-	enoughC, enoughM := atMost(cores+t.Cores, bearC), atMost(mem+t.Memory, bearM)
-	return enoughC && enoughM, border
+	enoughCores, enoughMemory := withinBound(cores+task.Cores, effectiveCores), withinBound(memory+task.Memory, effectiveMemory)
+	return enoughCores && enoughMemory, border
 }
 
 // --- Cost ---
 
-func (r *reference) backlog(m *workerInfo) float64 {
-	n := len(m.unanswered)
-	for _, t := range m.running {
-		if t.attempts[len(t.attempts)-1].starting {
-			n++
+func (r *reference) backlog(worker *workerInfo) float64 {
+	count := len(worker.unanswered)
+	for _, task := range worker.running {
+		if task.attempts[len(task.attempts)-1].starting {
+			count++
 		}
 	}
-	waiting := float64(n)
-	if r.p.now-m.reportedAt < reportValidity && m.lastReport.Queued >= waiting && m.lastReport.Queued <= 1e4 {
-		waiting = m.lastReport.Queued
+	starts := float64(count)
+	if r.p.now-worker.reportedAt < reportValidity && worker.lastReport.Queued >= starts && worker.lastReport.Queued <= 1e4 {
+		starts = worker.lastReport.Queued
 	}
-	return startPenalty * waiting
+	return startPenalty * starts
 }
 
-func (r *reference) pace(m *workerInfo) float64 {
-	if !r.cold(m) {
+func (r *reference) pace(worker *workerInfo) float64 {
+	if !r.cold(worker) {
 		return 1
 	}
-	warm := max(0, float64(r.p.now-m.StartedAtUs)/float64(r.p.settings.WarmUpUs))
+	warm := max(0, float64(r.p.now-worker.StartedAtUs)/float64(r.p.settings.WarmUpUs))
 	return max(0.1, r.p.settings.ColdStartRate+(1-r.p.settings.ColdStartRate)*warm)
 }
 
-func (r *reference) away(m *workerInfo, t *taskInfo) float64 {
-	if t.Program == 0 || m.residentPrograms[t.Program] != nil {
+func (r *reference) away(worker *workerInfo, task *taskInfo) float64 {
+	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
 		return 0
 	}
-	place := (1 - float64(mix(m.nameHash^mix(t.Program)))/math.MaxUint64) * float64(len(r.machines))
-	return min(1, place/programWorkers)
+	rank := (1 - float64(mix(worker.nameHash^mix(task.Program)))/math.MaxUint64) * float64(len(r.machines))
+	return min(1, rank/programWorkers)
 }
 
-func (r *reference) cost(m *workerInfo, t *taskInfo) float64 {
-	cores := r.p.settings.Kinds[m.kindIndex].Cores
-	rho := min(r.rho, maxUtilization)
-	u := rho
+func (r *reference) cost(worker *workerInfo, task *taskInfo) float64 {
+	cores := r.p.settings.Kinds[worker.kindIndex].Cores
+	utilization := min(r.rho, maxUtilization)
+	backlog := utilization
 	if r.p.settings.HasView {
-		u = r.share(m)
+		backlog = r.share(worker)
 	}
-	u += r.backlog(m)*r.mean/cores/r.pace(m) + missPenalty*r.away(m, t)
-	bearC, bearM := r.bears(m)
-	x := max(t.Cores/bearC, t.Memory/bearM)
-	return u + cores/r.mean/(1-rho)*(u*x+x*x/2)
+	backlog += r.backlog(worker)*r.mean/cores/r.pace(worker) + missPenalty*r.away(worker, task)
+	effectiveCores, effectiveMemory := r.bears(worker)
+	size := max(task.Cores/effectiveCores, task.Memory/effectiveMemory)
+	return backlog + cores/r.mean/(1-utilization)*(backlog*size+size*size/2)
 }
 
 // --- The choice ---
@@ -360,8 +360,8 @@
 type choice struct {
 	must, may []*workerInfo // the draw is among all of must and any of may, which holds must too
 	wide      []*workerInfo // within twice the margin
-	many      bool       // more can be chosen than are looked at one by one
-	how       string     // on what path
+	many      bool          // more can be chosen than are looked at one by one
+	how       string        // on what path
 }
 
 // The paths of a choice.
@@ -380,84 +380,84 @@
 	room, border bool
 }
 
-func (r *reference) candidates(t *taskInfo) (list []candidate) {
-	for _, m := range r.machines {
-		if !r.allowed(m, t) || t.priority*reservationFactor < r.p.reservations[m] {
+func (r *reference) candidates(task *taskInfo) (list []candidate) {
+	for _, worker := range r.machines {
+		if !r.allowed(worker, task) || task.priority*reservationFactor < r.p.reservations[worker] {
 			continue
 		}
-		erred := slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.failed && a.worker == m })
-		room, border := r.fits(m, t)
-		list = append(list, candidate{m, r.healthy(m, t.classIndex) && !erred, room, border})
+		failed := slices.ContainsFunc(task.attempts, func(attempt *attemptInfo) bool { return attempt.failed && attempt.worker == worker })
+		fits, border := r.fits(worker, task)
+		list = append(list, candidate{worker, r.healthy(worker, task.classIndex) && !failed, fits, border})
 	}
 	return list
 }
 
 // selectWorker is the full scan over the candidates.
-func (r *reference) choose(list []candidate, t *taskInfo) choice {
-	effect := r.p.settings.Classes[t.classIndex].Effect
-	var fit, well []*workerInfo
-	good := 0
-	for _, c := range list {
-		if c.well {
-			good++
+func (r *reference) choose(list []candidate, task *taskInfo) choice {
+	effect := r.p.settings.Classes[task.classIndex].Effect
+	var fit, healthy []*workerInfo
+	healthyCount := 0
+	for _, candidate := range list {
+		if candidate.well {
+			healthyCount++
 		}
-		if c.room {
-			fit = append(fit, c.m)
-			if c.well {
-				well = append(well, c.m)
+		if candidate.room {
+			fit = append(fit, candidate.m)
+			if candidate.well {
+				healthy = append(healthy, candidate.m)
 			}
 		}
 	}
-	bad := len(list) - good
+	suspectCount := len(list) - healthyCount
 	if len(fit) == 0 {
 		return choice{how: pathNoRoom}
 	}
-	how := pathCheapest
-	if len(well) == 0 {
-		if good > bad && effect != Safe {
+	path := pathCheapest
+	if len(healthy) == 0 {
+		if healthyCount > suspectCount && effect != Safe {
 			return choice{how: pathWaits}
 		}
-		least := r.leastSuspect(fit, t.classIndex)
-		if least == nil {
+		leastSuspect := r.leastSuspect(fit, task.classIndex)
+		if leastSuspect == nil {
 			return choice{how: pathWaits}
 		}
-		well, how = []*workerInfo{least}, pathFallback
+		healthy, path = []*workerInfo{leastSuspect}, pathFallback
 	}
-	for _, m := range well {
-		if m.awaitsFirstTask && effect != Unsafe {
-			return choice{[]*workerInfo{m}, []*workerInfo{m}, nil, false, pathReturned}
+	for _, worker := range healthy {
+		if worker.awaitsFirstTask && effect != Unsafe {
+			return choice{[]*workerInfo{worker}, []*workerInfo{worker}, nil, false, pathReturned}
 		}
 	}
-	must, may, wide := r.nearLowest(well, t)
-	return choice{must, may, wide, len(well) > maxEnumerated, how}
+	must, may, wide := r.nearLowest(healthy, task)
+	return choice{must, may, wide, len(healthy) > maxEnumerated, path}
 }
 
 // fallback is the first of the least suspect machines that owe one answer at most.
-func (r *reference) leastSuspect(ms []*workerInfo, class int) (least *workerInfo) {
-	for _, m := range ms {
-		if len(m.unanswered) <= 1 && (least == nil || r.suspicion(m, class) < r.suspicion(least, class)) {
-			least = m
+func (r *reference) leastSuspect(workers []*workerInfo, classIndex int) (best *workerInfo) {
+	for _, worker := range workers {
+		if len(worker.unanswered) <= 1 && (best == nil || r.suspicion(worker, classIndex) < r.suspicion(best, classIndex)) {
+			best = worker
 		}
 	}
-	return least
+	return best
 }
 
-func (r *reference) nearLowest(ms []*workerInfo, t *taskInfo) (must, may, wide []*workerInfo) {
-	least := math.Inf(1)
-	costs := make([]float64, len(ms))
-	for i, m := range ms {
-		costs[i] = r.cost(m, t)
-		least = min(least, costs[i])
+func (r *reference) nearLowest(workers []*workerInfo, task *taskInfo) (must, may, wide []*workerInfo) {
+	lowest := math.Inf(1)
+	costs := make([]float64, len(workers))
+	for i, worker := range workers {
+		costs[i] = r.cost(worker, task)
+		lowest = min(lowest, costs[i])
 	}
-	for i, m := range ms {
-		if costs[i] <= least+costMargin-referenceSlack {
-			must = append(must, m)
+	for i, worker := range workers {
+		if costs[i] <= lowest+costMargin-referenceSlack {
+			must = append(must, worker)
 		}
-		if costs[i] <= least+costMargin+referenceSlack {
-			may = append(may, m)
+		if costs[i] <= lowest+costMargin+referenceSlack {
+			may = append(may, worker)
 		}
-		if costs[i] <= least+2*costMargin {
-			wide = append(wide, m)
+		if costs[i] <= lowest+2*costMargin {
+			wide = append(wide, worker)
 		}
 	}
 	return must, may, wide
@@ -466,17 +466,17 @@
 // matches reports whether machines are what this choice draws among.
 func (c choice) matches(got []*workerInfo) bool {
 	if c.many { // a part of them is drawn from
-		return len(got) > 0 && !slices.ContainsFunc(got, func(m *workerInfo) bool { return !slices.Contains(c.wide, m) })
+		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(c.wide, worker) })
 	}
-	has := map[*workerInfo]bool{}
-	for _, m := range got {
-		if has[m] || !slices.Contains(c.may, m) {
+	seen := map[*workerInfo]bool{}
+	for _, worker := range got {
+		if seen[worker] || !slices.Contains(c.may, worker) {
 			return false
 		}
-		has[m] = true
+		seen[worker] = true
 	}
-	for _, m := range c.must {
-		if !has[m] {
+	for _, worker := range c.must {
+		if !seen[worker] {
 			return false
 		}
 	}
@@ -485,25 +485,25 @@
 
 // eachFlip calls f with the candidates, then with those at a border of room decided
 // the other way in every combination, until f is satisfied.
-func eachFlip(list []candidate, f func([]candidate) bool) (ok, flipped bool) {
-	if f(list) {
+func eachFlip(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
+	if accept(list) {
 		return true, false
 	}
 	var border []int
-	for i, c := range list {
-		if c.border {
+	for i, candidate := range list {
+		if candidate.border {
 			border = append(border, i)
 		}
 	}
 	border = border[:min(len(border), flipsMost)]
 	for set := 1; set < 1<<len(border); set++ {
-		other := slices.Clone(list)
+		changed := slices.Clone(list)
 		for bit, i := range border {
 			if set>>bit&1 == 1 {
-				other[i].room = !other[i].room
+				changed[i].room = !changed[i].room
 			}
 		}
-		if f(other) {
+		if accept(changed) {
 			return true, true
 		}
 	}
@@ -512,52 +512,52 @@
 
 // compareNearest says on what path the full scan decides about t, whether a border had
 // to be decided otherwise, and what is wrong with got.
-func (r *reference) compareNearest(t *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
-	list := r.candidates(t)
-	want := r.choose(list, t)
-	ok, flipped := eachFlip(list, func(l []candidate) bool { return r.choose(l, t).matches(got) })
+func (r *reference) compareNearest(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
+	list := r.candidates(task)
+	want := r.choose(list, task)
+	ok, flipped := eachFlip(list, func(variant []candidate) bool { return r.choose(variant, task).matches(got) })
 	if !ok {
-		err = fmt.Errorf("task %+v, rank %v: nearest = %s, the full scan (%s) gives %s", t.Task, t.priority, names(got), want.how, names(want.may))
+		err = fmt.Errorf("task %+v, rank %v: nearest = %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.how, names(want.may))
 	}
 	return want.how, flipped, err
 }
 
 // compareElsewhere checks whether a machine other than m has room for t.
-func (r *reference) compareElsewhere(t *taskInfo, m *workerInfo, got bool) (flipped bool, err error) {
+func (r *reference) compareElsewhere(task *taskInfo, worker *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
-	for _, o := range r.machines {
-		if o != m && r.allowed(o, t) && r.healthy(o, t.classIndex) {
-			room, border := r.fits(o, t)
-			list = append(list, candidate{o, true, room, border})
+	for _, other := range r.machines {
+		if other != worker && r.allowed(other, task) && r.healthy(other, task.classIndex) {
+			fits, border := r.fits(other, task)
+			list = append(list, candidate{other, true, fits, border})
 		}
 	}
-	ok, flipped := eachFlip(list, func(l []candidate) bool {
-		return got == slices.ContainsFunc(l, func(c candidate) bool { return c.room })
+	ok, flipped := eachFlip(list, func(variant []candidate) bool {
+		return got == slices.ContainsFunc(variant, func(candidate candidate) bool { return candidate.room })
 	})
 	if !ok {
-		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", t.Task, m.Worker, got, !got)
+		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", task.Task, worker.Worker, got, !got)
 	}
 	return flipped, err
 }
 
 // compareKeep checks the machine that is newly kept for t, or nil.
-func (r *reference) compareKeep(t *taskInfo, got *workerInfo) error {
-	p := r.p
+func (r *reference) compareKeep(task *taskInfo, got *workerInfo) error {
+	scheduler := r.p
 	var want []*workerInfo
-	if p.settings.HasView && len(p.reservations)*2 < len(r.machines) {
-		least, needs := math.Inf(1), map[*workerInfo]float64{}
-		for _, m := range r.machines {
-			if p.reservations[m] > 0 || !r.allowed(m, t) || !r.healthy(m, t.classIndex) {
+	if scheduler.settings.HasView && len(scheduler.reservations)*2 < len(r.machines) {
+		lowest, needs := math.Inf(1), map[*workerInfo]float64{}
+		for _, worker := range r.machines {
+			if scheduler.reservations[worker] > 0 || !r.allowed(worker, task) || !r.healthy(worker, task.classIndex) {
 				continue
 			}
-			c, b := r.load(m)
-			bearC, bearM := r.bears(m)
-			needs[m] = max((c+t.Cores)/bearC, (b+t.Memory)/bearM)
-			least = min(least, needs[m])
+			cores, memory := r.load(worker)
+			effectiveCores, effectiveMemory := r.bears(worker)
+			needs[worker] = max((cores+task.Cores)/effectiveCores, (memory+task.Memory)/effectiveMemory)
+			lowest = min(lowest, needs[worker])
 		}
-		for m, v := range needs {
-			if v <= least+referenceSlack {
-				want = append(want, m)
+		for worker, need := range needs {
+			if need <= lowest+referenceSlack {
+				want = append(want, worker)
 			}
 		}
 	}
@@ -568,20 +568,20 @@
 	if got != nil {
 		name = got.Worker
 	}
-	return fmt.Errorf("task %+v: kept %s, the full scan gives one of %s", t.Task, name, names(want))
+	return fmt.Errorf("task %+v: kept %s, the full scan gives one of %s", task.Task, name, names(want))
 }
 
 // compareSums checks what is summed over the fleet.
 func (r *reference) compareSums() error {
-	p := r.p
-	rho, mean := p.meanUtilization()
-	others, wantOthers := p.estimateConcurrentPlacements(), r.othersBinds()
+	scheduler := r.p
+	utilization, mean := scheduler.meanUtilization()
+	others, wantOthers := scheduler.estimateConcurrentPlacements(), r.othersBinds()
 	for _, c := range []struct {
 		name      string
 		got, want float64
 	}{
-		{"asked share of the fleet", rho, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", p.fleetRequestedCores(), r.askedCores()},
-		{"room", p.freeUnits(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
+		{"asked share of the fleet", utilization, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", scheduler.fleetRequestedCores(), r.askedCores()},
+		{"room", scheduler.freeUnits(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
 	} {
 		if c.got != c.want && math.Abs(c.got-c.want) > referenceSlack*max(1, math.Abs(c.want)) {
 			return fmt.Errorf("%s: %v, the full scan gives %v", c.name, c.got, c.want)
@@ -590,13 +590,13 @@
 	return nil
 }
 
-func names(ms []*workerInfo) string {
-	if ms == nil {
+func names(workers []*workerInfo) string {
+	if workers == nil {
 		return "none"
 	}
 	var list []string
-	for _, m := range ms {
-		list = append(list, m.Worker)
+	for _, worker := range workers {
+		list = append(list, worker.Worker)
 	}
 	slices.Sort(list)
 	return "[" + strings.Join(list, " ") + "]"
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -58,9 +58,9 @@
 
 // withSpread adds a class of which each cell may hold one task of a service.
 func withSpread(s Settings) Settings {
-	c := s.Classes[0]
-	c.Name, c.Spread, c.MaxPerDomain = spreadClass, ScopeCell, 1
-	s.Classes = append(s.Classes, c)
+	class := s.Classes[0]
+	class.Name, class.Spread, class.MaxPerDomain = spreadClass, ScopeCell, 1
+	s.Classes = append(s.Classes, class)
 	return s
 }
 
@@ -86,9 +86,9 @@
 
 // shown is the worker's entry as it stands.
 func (w *siteWorker) shown() Entry {
-	e := w.entry
-	e.FreeCores, e.FreeMemory = w.cores-w.askC, w.mem-w.askM
-	return e
+	entry := w.entry
+	entry.FreeCores, entry.FreeMemory = w.cores-w.askC, w.mem-w.askM
+	return entry
 }
 
 // siteTask is a running task of the placer under test, or of another one.
@@ -137,21 +137,21 @@
 // newSite returns a placer that knows its workers and its own running tasks.
 func newSite(t testing.TB, workers int, seed uint64, settings Settings, idle bool) *site {
 	t.Helper()
-	p, err := New(settings, seed)
+	scheduler, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &site{
-		t: t, p: p, rng: rand.New(rand.NewPCG(seed, uint64(workers))), settings: settings, now: 1000 * second, idle: idle,
+		t: t, p: scheduler, rng: rand.New(rand.NewPCG(seed, uint64(workers))), settings: settings, now: 1000 * second, idle: idle,
 		byName: map[string]*siteWorker{}, betweenUs: int64(float64(second) * sitePlacers / plannedStarts * plannedWorkers / float64(workers)),
 	}
 	for i := range workers {
 		cell := i / workersInCell
 		kind := settings.Kinds[s.rng.IntN(len(settings.Kinds))]
-		w := &siteWorker{cores: kind.Cores, mem: kind.Memory, entry: Entry{
+		worker := &siteWorker{cores: kind.Cores, mem: kind.Memory, entry: Entry{
 			Worker: fmt.Sprintf("worker-%05d", i), Kind: kind.Name, Cell: cell, Zone: fmt.Sprint("zone-", cell%siteZones)}}
-		s.workers = append(s.workers, w)
-		s.byName[w.entry.Worker] = w
+		s.workers = append(s.workers, worker)
+		s.byName[worker.entry.Worker] = worker
 	}
 	if !idle {
 		s.fill(workers * plannedRunning / plannedWorkers)
@@ -166,44 +166,44 @@
 // workers' own hold as much that siteAsked is asked for whatever tasks were drawn.
 func (s *site) fill(running int) {
 	for i := range running {
-		x := &siteTask{Task: s.nextTask()}
-		s.bind(x, s.emptiest(x))
+		task := &siteTask{Task: s.nextTask()}
+		s.bind(task, s.emptiest(task))
 		if i%sitePlacers == 0 {
-			s.own = append(s.own, x)
+			s.own = append(s.own, task)
 		} else {
-			s.others = append(s.others, x)
+			s.others = append(s.others, task)
 		}
 	}
 	s.changes = nil
 	missing := siteAsked - s.askedShare()
-	for _, w := range s.workers {
-		w.askC = max(0, w.askC+missing*w.cores*s.bearsCores())
-		w.askM = max(0, w.askM+missing*w.mem)
+	for _, worker := range s.workers {
+		worker.askC = max(0, worker.askC+missing*worker.cores*s.bearsCores())
+		worker.askM = max(0, worker.askM+missing*worker.mem)
 	}
 }
 
 // introduce tells the placer of its own running tasks and of what they use.
 func (s *site) introduce() {
 	var events []Event
-	for _, x := range s.own {
-		events = append(events, Adopted{x.Task, x.worker.entry.Worker})
-		events = append(events, s.use(x)...)
+	for _, task := range s.own {
+		events = append(events, Adopted{task.Task, task.worker.entry.Worker})
+		events = append(events, s.use(task)...)
 	}
 	s.handle(events...)
 }
 
-func (s *site) use(x *siteTask) []Event {
-	machine := x.worker.entry.Worker
+func (s *site) use(task *siteTask) []Event {
+	worker := task.worker.entry.Worker
 	return []Event{
-		TaskReport{x.RequestID, 0, machine, ReportCores, x.Cores * siteCoresUse},
-		TaskReport{x.RequestID, 0, machine, ReportMemory, x.Memory * siteMemoryUse},
+		TaskReport{task.RequestID, 0, worker, ReportCores, task.Cores * siteCoresUse},
+		TaskReport{task.RequestID, 0, worker, ReportMemory, task.Memory * siteMemoryUse},
 	}
 }
 
 func (s *site) entries() []Entry {
 	entries := make([]Entry, len(s.workers))
-	for i, w := range s.workers {
-		entries[i] = w.shown()
+	for i, worker := range s.workers {
+		entries[i] = worker.shown()
 	}
 	return entries
 }
@@ -215,14 +215,14 @@
 	}
 	i := s.rng.IntN(len(s.jobs))
 	j := &s.jobs[i]
-	x := j.task
+	task := j.task
 	s.tickets++
-	x.RequestID = fmt.Sprint("task-", s.tickets)
-	x.DeadlineUs = s.now + siteDeadline
+	task.RequestID = fmt.Sprint("task-", s.tickets)
+	task.DeadlineUs = s.now + siteDeadline
 	if j.left--; j.left == 0 {
 		s.jobs = append(s.jobs[:i], s.jobs[i+1:]...)
 	}
-	return x
+	return task
 }
 
 func (s *site) nextJob() siteJob {
@@ -235,42 +235,42 @@
 		draw -= j.weight
 	}
 	draw = s.rng.IntN(100)
-	x := Task{Class: s.settings.Classes[s.rng.IntN(4)].Name, Program: s.rng.Uint64() | 1,
+	task := Task{Class: s.settings.Classes[s.rng.IntN(4)].Name, Program: s.rng.Uint64() | 1,
 		Tenant: s.settings.Tenants[s.rng.IntN(siteTenants)].Name, HasRunHint: true, ExpectedRunUs: siteRunTime}
 	for _, shape := range siteShapes {
-		if x.Cores, x.Memory = shape.cores, shape.mem; draw < shape.weight {
+		if task.Cores, task.Memory = shape.cores, shape.mem; draw < shape.weight {
 			break
 		}
 		draw -= shape.weight
 	}
-	return siteJob{x, size}
+	return siteJob{task, size}
 }
 
 // emptiest is the worker that a placer with a view like ours would choose, roughly.
-func (s *site) emptiest(x *siteTask) (best *siteWorker) {
+func (s *site) emptiest(task *siteTask) (best *siteWorker) {
 	for range siteChoices {
-		w := s.workers[s.rng.IntN(len(s.workers))]
-		if best == nil || w.share() < best.share() {
-			best = w
+		worker := s.workers[s.rng.IntN(len(s.workers))]
+		if best == nil || worker.share() < best.share() {
+			best = worker
 		}
 	}
 	return best
 }
 
 // addDelta starts x on w, which the list shows later.
-func (s *site) bind(x *siteTask, w *siteWorker) {
-	x.worker = w
-	w.askC, w.askM = w.askC+x.Cores, w.askM+x.Memory
-	s.changed(w)
+func (s *site) bind(task *siteTask, worker *siteWorker) {
+	task.worker = worker
+	worker.askC, worker.askM = worker.askC+task.Cores, worker.askM+task.Memory
+	s.changed(worker)
 }
 
-func (s *site) unbind(x *siteTask) {
-	x.worker.askC, x.worker.askM = x.worker.askC-x.Cores, x.worker.askM-x.Memory
-	s.changed(x.worker)
+func (s *site) unbind(task *siteTask) {
+	task.worker.askC, task.worker.askM = task.worker.askC-task.Cores, task.worker.askM-task.Memory
+	s.changed(task.worker)
 }
 
-func (s *site) changed(w *siteWorker) {
-	s.changes = append(s.changes, siteChange{s.now + siteViewDelay, w.shown()})
+func (s *site) changed(worker *siteWorker) {
+	s.changes = append(s.changes, siteChange{s.now + siteViewDelay, worker.shown()})
 }
 
 func (s *site) handle(events ...Event) []Action { return s.p.Handle(s.now, events) }
@@ -279,10 +279,10 @@
 func (s *site) takeRandom(list *[]*siteTask) *siteTask {
 	l := *list
 	i := s.rng.IntN(len(l))
-	x := l[i]
+	task := l[i]
 	l[i] = l[len(l)-1]
 	*list = l[:len(l)-1]
-	return x
+	return task
 }
 
 // exchange is a request with its answer, and the end of another task: the events, and
@@ -296,8 +296,8 @@
 // prepare draws the next request and the task that ends meanwhile.
 func (s *site) prepare() *exchange { return s.prepareTask(s.nextTask()) }
 
-func (s *site) prepareTask(x Task) *exchange {
-	e := &exchange{task: &siteTask{Task: x}}
+func (s *site) prepareTask(task Task) *exchange {
+	e := &exchange{task: &siteTask{Task: task}}
 	if len(s.own) > 0 {
 		e.ended = s.takeRandom(&s.own)
 	}
@@ -334,8 +334,8 @@
 			return
 		}
 		s.now += siteRTT
-		w := s.byName[ask.Worker]
-		actions = s.handle(ProbeResult{ask.Worker, Completed, siteRTT, Load{w.cores - w.askC, w.mem - w.askM, w.askC / w.cores, 0}})
+		worker := s.byName[ask.Worker]
+		actions = s.handle(ProbeResult{ask.Worker, Completed, siteRTT, Load{worker.cores - worker.askC, worker.mem - worker.askM, worker.askC / worker.cores, 0}})
 	}
 	for _, a := range actions {
 		if a, ok := a.(Place); ok {
@@ -368,15 +368,15 @@
 			break
 		}
 		s.unbind(s.takeRandom(&s.others))
-		x := &siteTask{Task: s.nextTask()}
-		s.bind(x, s.emptiest(x))
-		s.others = append(s.others, x)
+		task := &siteTask{Task: s.nextTask()}
+		s.bind(task, s.emptiest(task))
+		s.others = append(s.others, task)
 	}
 	s.now += s.betweenUs
 	for len(s.reports) > 0 && s.reports[0].due <= s.now {
-		x := s.reports[0].task
+		task := s.reports[0].task
 		s.reports = s.reports[1:]
-		events := append(s.use(x), TaskReport{x.RequestID, 0, x.worker.entry.Worker, ReportRunning, 0})
+		events := append(s.use(task), TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportRunning, 0})
 		s.handle(events...)
 	}
 	for len(s.changes) > 0 && s.changes[0].due <= s.now {
@@ -388,8 +388,8 @@
 
 // show hands over list entries, each in a call of its own.
 func (s *site) show(due []Event) {
-	for _, e := range due {
-		s.handle(e)
+	for _, event := range due {
+		s.handle(event)
 	}
 }
 
@@ -421,8 +421,8 @@
 
 // askedShare is what the fleet is asked for, over what it bears.
 func (s *site) askedShare() (mean float64) {
-	for _, w := range s.workers {
-		mean += max(w.askC/(w.cores*s.bearsCores()), w.askM/w.mem) / float64(len(s.workers))
+	for _, worker := range s.workers {
+		mean += max(worker.askC/(worker.cores*s.bearsCores()), worker.askM/worker.mem) / float64(len(s.workers))
 	}
 	return mean
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -11,9 +11,9 @@
 	lagSteps = 64
 	// initialLagSteps is the lag believed until minLagObservations changes were seen; old evidence fades
 	// by lagDecay a change.
-	initialLagSteps  = 4
-	lagDecay = 0.98
-	minLagObservations   = 20
+	initialLagSteps    = 4
+	lagDecay           = 0.98
+	minLagObservations = 20
 	// deltaRetention is how long own binds are remembered: past the longest lag.
 	deltaRetention = lagSteps*lagStep + 2*second
 	// maxDeltas bounds what is remembered of a machine whose view never comes.
@@ -21,54 +21,54 @@
 
 	// reportLag is how old a report is taken to be when it comes, reportValidity how long
 	// it spares another probe, maxProbesPerTask how many a task may cost.
-	reportLag   = second / 2
-	reportValidity = second
-	maxProbesPerTask  = 2
-	maxReportedOvercommit    = 8.0 // a report of more than this many times a machine's size is absurd
+	reportLag             = second / 2
+	reportValidity        = second
+	maxProbesPerTask      = 2
+	maxReportedOvercommit = 8.0 // a report of more than this many times a machine's size is absurd
 )
 
 // updateWorkers takes what discovery says. A machine absent from a full list is gone.
-func (p *Scheduler) updateWorkers(e WorkerList) {
-	if e.Kind == ListFailed {
+func (p *Scheduler) updateWorkers(event WorkerList) {
+	if event.Kind == ListFailed {
 		p.subscribed = false
 		p.pollAttempts++
 		p.pollAt = p.now + p.backoff()
 		return
 	}
-	if e.Kind != ListCached {
+	if event.Kind != ListCached {
 		p.subscribed, p.pollAttempts, p.pollAt = true, 0, 0
 	}
-	if e.Kind == ListFull || e.Kind == ListCached {
-		for _, m := range p.sorted {
-			p.setListed(m, false)
+	if event.Kind == ListFull || event.Kind == ListCached {
+		for _, worker := range p.sorted {
+			p.setListed(worker, false)
 		}
 	}
-	for _, x := range e.Entries {
-		p.updateWorker(x, e.Kind != ListCached)
+	for _, entry := range event.Entries {
+		p.updateWorker(entry, event.Kind != ListCached)
 	}
 	p.forgetUnlisted()
 	// Of a large fleet some change is told in each turn: held tasks wait for the bell then.
-	p.dirty = p.dirty || e.Kind != ListDelta || p.assignedCount() <= maxEnumerated
+	p.dirty = p.dirty || event.Kind != ListDelta || p.assignedCount() <= maxEnumerated
 }
 
 // learnLag compares a change of the view with own binds. The lag that explains
 // the changes best is believed. It guards against counting own binds twice and
 // against dropping them early; it covers any delay, also one that grows. Where
 // own binds are few beside those of others it learns slowly.
-func (p *Scheduler) learnLag(m *workerInfo, x Entry) {
-	k := p.kindOf(m)
-	if k == nil {
+func (p *Scheduler) learnLag(worker *workerInfo, entry Entry) {
+	kind := p.kindOf(worker)
+	if kind == nil {
 		return
 	}
-	seen := (m.FreeCores - x.FreeCores) / k.Cores
+	seen := (worker.FreeCores - entry.FreeCores) / kind.Cores
 	p.lagObservations = p.lagObservations*lagDecay + 1
 	best := 0
 	for i := range p.lagErrors {
 		lag := int64(i+1) * lagStep
-		own, _ := m.deltasSince(m.viewedAt - lag)
-		late, _ := m.deltasSince(p.now - lag)
-		d := seen - (own-late)/k.Cores
-		p.lagErrors[i] = p.lagErrors[i]*lagDecay + d*d
+		changed, _ := worker.deltasSince(worker.viewedAt - lag)
+		recent, _ := worker.deltasSince(p.now - lag)
+		difference := seen - (changed-recent)/kind.Cores
+		p.lagErrors[i] = p.lagErrors[i]*lagDecay + difference*difference
 		if p.lagErrors[i] < p.lagErrors[best] {
 			best = i
 		}
@@ -80,90 +80,90 @@
 
 // requested is what m is asked for: the view, or its report where that is newer, plus
 // own changes since.
-func (p *Scheduler) requested(m *workerInfo) (cores, mem float64) {
-	if !m.stale {
-		return m.requestedCores, m.requestedMemory
+func (p *Scheduler) requested(worker *workerInfo) (cores, memory float64) {
+	if !worker.stale {
+		return worker.requestedCores, worker.requestedMemory
 	}
-	k := p.kindOf(m)
-	at, spareC, spareM := m.viewedAt-p.lag, m.FreeCores, m.FreeMemory
-	if m.reportsFree && m.reportedAt-reportLag > at {
-		at, spareC, spareM = m.reportedAt-reportLag, m.lastReport.FreeCores, m.lastReport.FreeMemory
+	kind := p.kindOf(worker)
+	since, freeCores, freeMemory := worker.viewedAt-p.lag, worker.FreeCores, worker.FreeMemory
+	if worker.reportsFree && worker.reportedAt-reportLag > since {
+		since, freeCores, freeMemory = worker.reportedAt-reportLag, worker.lastReport.FreeCores, worker.lastReport.FreeMemory
 	}
-	c, b := m.deltasSince(at)
-	return max(0, k.Cores-spareC+c), max(0, k.Memory-spareM+b)
+	addedCores, addedMemory := worker.deltasSince(since)
+	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
 }
 
 // probeEnded takes the answer to a probe: what is asked of the machine, how busy it
 // is, how many offers and starts wait there. Values that are missing or absurd
 // are left out. Silence counts as with any attempt; an answer heals nothing, as a
 // machine may answer probes and lose tasks.
-func (p *Scheduler) probeEnded(e ProbeResult) {
-	m := p.workers[e.Worker]
-	if m == nil {
+func (p *Scheduler) probeEnded(event ProbeResult) {
+	worker := p.workers[event.Worker]
+	if worker == nil {
 		return
 	}
-	m.probeSentAt, p.dirty = 0, true
-	k := p.kindOf(m)
-	if e.Outcome != Completed {
-		m.addSuspicion(p.now, timeoutSuspicion)
+	worker.probeSentAt, p.dirty = 0, true
+	kind := p.kindOf(worker)
+	if event.Outcome != Completed {
+		worker.addSuspicion(p.now, timeoutSuspicion)
 	}
-	if e.Outcome != Completed || k == nil {
+	if event.Outcome != Completed || kind == nil {
 		return
 	}
-	m.lastReport, m.reportedAt, m.reportsFree = e.Load, p.now, false
-	p.trackLag(m)
-	p.markStale(m)
-	util, press := e.Load.Utilization, math.NaN()
-	if inRange(e.Load.FreeCores, k.Cores*(1-maxReportedOvercommit), k.Cores) && inRange(e.Load.FreeMemory, k.Memory*(1-maxReportedOvercommit), k.Memory) {
+	worker.lastReport, worker.reportedAt, worker.reportsFree = event.Load, p.now, false
+	p.trackLag(worker)
+	p.markStale(worker)
+	utilization, memoryUse := event.Load.Utilization, math.NaN()
+	if inRange(event.Load.FreeCores, kind.Cores*(1-maxReportedOvercommit), kind.Cores) && inRange(event.Load.FreeMemory, kind.Memory*(1-maxReportedOvercommit), kind.Memory) {
 		if p.settings.ReportsUsage {
-			util, press = 1-e.Load.FreeCores/k.Cores, 1-e.Load.FreeMemory/k.Memory
+			utilization, memoryUse = 1-event.Load.FreeCores/kind.Cores, 1-event.Load.FreeMemory/kind.Memory
 		} else {
-			m.reportsFree = true
+			worker.reportsFree = true
 		}
 	}
-	if inRange(util, 0, maxReportedOvercommit) {
-		p.calibrate(m, &m.coresCalibration, 0, util, p.saturationLoad(), util > p.saturationLoad(), 1)
+	if inRange(utilization, 0, maxReportedOvercommit) {
+		p.calibrate(worker, &worker.coresCalibration, 0, utilization, p.saturationLoad(), utilization > p.saturationLoad(), 1)
 	}
-	if inRange(press, 0, maxReportedOvercommit) {
-		p.calibrate(m, &m.memoryCalibration, 1, press, memorySaturation, press > memorySaturation, 1)
+	if inRange(memoryUse, 0, maxReportedOvercommit) {
+		p.calibrate(worker, &worker.memoryCalibration, 1, memoryUse, memorySaturation, memoryUse > memorySaturation, 1)
 	}
 }
 
 // backlog is the share that starts and offers waiting on m stand for: own ones, or
 // those that a recent report tells, if more.
-func (p *Scheduler) backlog(m *workerInfo) float64 {
-	n := float64(m.starting())
-	if p.now-m.reportedAt < reportValidity && inRange(m.lastReport.Queued, n, 1e4) {
-		n = m.lastReport.Queued
+func (p *Scheduler) backlog(worker *workerInfo) float64 {
+	starts := float64(worker.starting())
+	if p.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, 1e4) {
+		starts = worker.lastReport.Queued
 	}
-	return startPenalty * n
+	return startPenalty * starts
 }
 
 // probeFirst probes the machine that t would go to, where its load is only told that way
 // and was not told lately, and reports whether t waits for the answer.
-func (p *Scheduler) probeFirst(t *taskInfo, m *workerInfo) bool {
-	if !p.settings.Probes || t.probesSent >= maxProbesPerTask || m.reportedAt > 0 && p.now-m.reportedAt < reportValidity {
+func (p *Scheduler) probeFirst(task *taskInfo, worker *workerInfo) bool {
+	if !p.settings.Probes || task.probesSent >= maxProbesPerTask || worker.reportedAt > 0 && p.now-worker.reportedAt < reportValidity {
 		return false
 	}
-	if m.probeSentAt == 0 {
-		t.probesSent++
-		m.probeSentAt = p.now
-		p.emit(Probe{Worker: m.Worker})
+	if worker.probeSentAt == 0 {
+		task.probesSent++
+		worker.probeSentAt = p.now
+		p.emit(Probe{Worker: worker.Worker})
 	}
 	return true
 }
 
 // recordRejection takes a refusal for lack of room as news of the machine: until the
 // view can have followed, it has less room than the task asks.
-func (p *Scheduler) recordRejection(m *workerInfo, t *taskInfo, why Cause) {
-	k := p.kindOf(m)
-	if k == nil {
+func (p *Scheduler) recordRejection(worker *workerInfo, task *taskInfo, cause Cause) {
+	kind := p.kindOf(worker)
+	if kind == nil {
 		return
 	}
-	c, b := p.requested(m)
-	if why == CauseCores {
-		p.addDelta(m, max(0, k.Cores*p.settings.CoresOvercommit-c-t.Cores*0.99), 0)
+	cores, memory := p.requested(worker)
+	if cause == CauseCores {
+		p.addDelta(worker, max(0, kind.Cores*p.settings.CoresOvercommit-cores-task.Cores*0.99), 0)
 	} else {
-		p.addDelta(m, 0, max(0, k.Memory*p.settings.MemoryOvercommit-b-t.Memory*0.99))
+		p.addDelta(worker, 0, max(0, kind.Memory*p.settings.MemoryOvercommit-memory-task.Memory*0.99))
 	}
 }
