--- a/placement/api.go
+++ b/placement/api.go
@@ -1,24 +1,43 @@
-// Package ravenhitch decides, for one placer of a cluster scheduler, which
-// machine each task goes to. Many placers run side by side and share nothing:
-// a [Placer] knows only its [Settings], its seed and the events it was given.
+// Package placement decides, for one orchestrator of a cluster, which worker each task goes to.
+// Many orchestrators run side by side and share nothing: a [Scheduler] knows only its
+// [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
+// that the caller passes to [Scheduler.Handle].
 //
-// This file is the interface: settings, events and actions. It decides nothing.
-// Every time is in microseconds, on the clock that the caller passes to
-// [Placer.Handle].
+// The package is read from the top; each file calls only files further down:
+//
+//	scheduler.go                        creates the parts, hands events to them
+//	pass.go                             a scheduling pass: filter, score, reserve, bind
+//	requests.go, timer.go               life of requests; when to be called again
+//	migration.go, queue.go, quota.go    running tasks moved; pending tasks; tenants
+//	search.go                           candidates from the index
+//	filter.go, score.go                 feasible, healthy, fitting; admission cost
+//	view.go, totals.go, calibration.go  lists and reports; sums; learned effective capacity
+//	overload.go, health.go              concurrent placements; outlier detection
+//	slowstart.go, spread.go, repeats.go rules that no placement may break
+//	discovery.go                        when to poll discovery
+//	fleet.go                            which workers there are
+//	load.go                             what is requested of each worker
+//	reservations.go, index.go, levels.go  workers by what is requested of them
+//	residents.go, affinity.go, capacity.go  resident programs; hashed order; effective capacity
+//	environment.go                      settings, clock, random source, actions
+//	worker.go, task.go, numbers.go      what is known of one worker, of one task
+//	settings.go, api.go                 settings, events and actions: the interface
 package placement
 
+// This file owns the interface: settings, events and actions. It must never decide anything.
+
 // Effect says what repeating a task of a class may do.
 type Effect int
 
 // The kinds of effect.
 const (
 	Safe   Effect = iota + 1 // may run any number of times
-	Keyed                    // machines of a group discard repeats for a while
+	Keyed                    // workers of a group discard repeats for a while
 	Unsafe                   // must never run twice
 )
 
-// Scope names the machines that something holds for: a group that discards
-// repeats, or a place in which tasks of a service are counted.
+// Scope names the workers that something holds for: a group that discards repeats, or a
+// domain in which tasks of a program are counted.
 type Scope int
 
 // The scopes.
@@ -36,66 +55,66 @@
 	Effect          Effect
 	Group           Scope   // Keyed: ScopeAll, ScopeZone or ScopeCell
 	WindowUs        int64   // Keyed: how long a group discards repeats
-	ObjectiveUs     int64   // a start within this time earns its full worth
-	DeadlineUs      int64   // how long an owner waits
+	ObjectiveUs     int64   // latency objective: a start within this time earns the full weight
+	DeadlineUs      int64   // how long a client waits
 	Weight          float64 // of one second of full service at mean size
-	StartBonusS     float64 // seconds of service that a start in time is worth
-	Kind            int     // index of the machine kind required, or -1
-	Spread          Scope   // where tasks of one service are counted, or ScopeNone
-	MaxPerDomain    int     // tasks of one service in one such place
-	SaturationLoad  float64 // share of busy cores up to which service is full
-	SaturationRange float64 // service is nothing at Calm+Fade
+	StartBonusS     float64 // a start in time is worth so many seconds of service
+	Kind            int     // index of the kind of worker required, or -1
+	Spread          Scope   // domain in which tasks of one program are counted, or ScopeNone
+	MaxPerDomain    int     // tasks of one program in one such domain
+	SaturationLoad  float64 // part of cores in use up to which service is full
+	SaturationRange float64 // there is no service at SaturationLoad+SaturationRange
 }
 
-// Kind describes one kind of machine.
+// Kind describes one kind of worker.
 type Kind struct {
 	Name   string
 	Cores  float64
 	Memory float64
 }
 
-// Tenant describes one tenant and its share of the cores asked for.
+// Tenant describes one tenant and its quota of the requested cores.
 type Tenant struct {
 	Name       string
 	QuotaCores float64
 }
 
-// Settings are what a placer is told when it starts.
+// Settings are what a scheduler is given when it is created.
 type Settings struct {
-	SelfIndex, FleetSize int // this placer's number, and how many there are
+	SelfIndex, FleetSize int // this scheduler's number, and how many there are
 	Zone                 string
 	Classes              []Class
 	Kinds                []Kind
 	Tenants              []Tenant
-	OverQuotaWeight      float64 // worth of a task beyond its tenant's share
+	OverQuotaWeight      float64 // weight of a task beyond its tenant's quota, as a part
 
-	PollsDiscovery     bool // discovery answers only when asked
+	PollsDiscovery     bool // discovery answers only when polled
 	PollWithinUs       int64
-	HasView            bool // list entries carry the room nobody has asked for
+	HasView            bool // list entries have the free capacity
 	AcceptMeansRunning bool // Accepted means running, not merely accepted
-	Probes             bool // Probe is permitted, and tells what the module can use
-	Pings              bool // machines may be sent tests at all
-	RetryAfter         bool // refused owners may be told when to come again
-	Cancel             bool // Cancel is permitted
-	ReportsUsage       bool // reports give room not in use rather than room not asked for
-	ReportsFree        bool // probe reports carry x0 and x1
-
-	CoresOvercommit  float64 // machines accept up to this multiple of their cores
+	Probes             bool // Probe is permitted, and reports what the scheduler can use
+	Pings              bool // workers may be sent pings at all
+	RetryAfter         bool // rejected clients may be given a Retry-After
+	Cancel             bool // CancelAttempt is permitted
+	ReportsUsage       bool // reports have what is not used rather than what is not requested
+	ReportsFree        bool // reports of probes have the free capacity (x0 and x1)
+
+	CoresOvercommit  float64 // workers accept up to this multiple of their cores
 	MemoryOvercommit float64 // and of their memory
 	UnitCores        float64 // a task's size is the mean of cores over this
 	UnitMemory       float64 // and of memory over this
-	MaxAttempts      int     // attempts for each request; 0 means none is set
+	MaxAttempts      int     // attempts for each request; 0: unlimited
 
-	MigrationCost float64 // of moving each task once, as a part of all worth
+	MigrationCost float64 // of migrating each task once, as a part of all weight
 
 	AnswerSlackUs     int64
 	DrainGraceUs      int64
-	ColdStartRate     float64 // pace of starts on a machine that just came up, at least
-	WarmUpUs          int64   // it is warm after this
+	ColdStartRate     float64 // rate of starts on a worker that just started, over that of a warm one
+	WarmUpUs          int64   // a worker is warm so long after its start
 	SlowStartWindowUs int64
-	SlowStartOffers   float64
-	TickUs            int64
-	MaxRetryAfterUs   int64 // longest advice that owners honour
+	SlowStartOffers   float64 // of all schedulers to a worker that warms up, in any such window
+	TickUs            int64   // how often the caller looks at the clock
+	MaxRetryAfterUs   int64   // longest Retry-After that clients honour
 }
 
 // Units is the size of a task in mean tasks, by the larger of cores and memory.
@@ -106,40 +125,40 @@
 	return max(cores/s.UnitCores, memory/s.UnitMemory)
 }
 
-// WorkerState is what the list says of a machine.
+// WorkerState is what the list says of a worker.
 type WorkerState int
 
-// The states of a machine.
+// The states of a worker.
 const (
 	Ready WorkerState = iota
 	Draining
 	Removed
-	// Foreign is listed and ready, and another placer's: it is offered no task here, and those
-	// that stand there stay.
+	// Foreign is listed and ready, and assigned to another orchestrator: it gets no offer here,
+	// and tasks that run there stay.
 	Foreign
 )
 
-// Entry is one line of the machine list.
+// Entry is one worker of a list.
 type Entry struct {
 	Worker                string
 	Kind, Zone            string
 	Cell                  int
 	StartedAtUs           int64 // 0: long ago
 	State                 WorkerState
-	FreeCores, FreeMemory float64 // not asked for; below 0 where more was accepted; may be old if Foreign
-	// Uncordoned says that operators put it back by hand just now: it is to be used again.
+	FreeCores, FreeMemory float64 // not requested; below 0 where more was accepted; may be old if Foreign
+	// Uncordoned says that operators uncordoned it just now: it is to be used again.
 	Uncordoned bool
 }
 
-// ListKind says how a List event changes the list held.
+// ListKind says how a [WorkerList] changes the present list.
 type ListKind int
 
 // The kinds of list.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // complete
-	ListCached                 // complete, as last held, perhaps stale
-	ListFailed                 // a call failed or the subscription broke
+	ListCached                 // complete, from a cache, perhaps stale
+	ListFailed                 // a poll failed or the subscription broke
 )
 
 // Outcome is how an attempt, or a probe, ended.
@@ -149,18 +168,18 @@
 const (
 	Completed     Outcome = iota + 1 // the task has ended
 	Failed                           // an error; it may have started
-	Rejected                         // refused; it never ran
+	Rejected                         // it never ran
 	TimedOut                         // no answer; it may have been accepted
-	ConnectFailed                    // never reached the machine
+	ConnectFailed                    // the worker was never reached
 	Reset                            // lost, or the answer was cut off
-	Cancelled                        // called off
-	NeverSent                        // never sent
+	Cancelled                        // by this orchestrator
+	NeverSent                        // the offer did not leave
 )
 
-// Cause is the reason that came with an outcome.
+// Cause is why an attempt ended, as the worker says.
 type Cause int
 
-// The reasons.
+// The causes.
 const (
 	CauseUnknown Cause = iota
 	CauseCores
@@ -172,34 +191,34 @@
 	CauseDrained
 )
 
-// ReportKind is what a Note tells of a running task.
+// ReportKind is what a [TaskReport] says of a running task.
 type ReportKind int
 
-// The kinds of note.
+// The kinds of report.
 const (
 	ReportRunning        ReportKind = iota + 1
 	ReportCores                     // cores it uses
 	ReportMemory                    // memory it uses
-	ReportService                   // share of full service that it gets
-	ReportMemoryPressure            // share of its machine's memory in use
+	ReportService                   // part of full service that it gets
+	ReportMemoryPressure            // part of its worker's memory in use
 )
 
-// Load is a machine's report. A value that was not reported is NaN.
+// Load is a worker's report of itself. A value that was not reported is NaN.
 type Load struct {
 	FreeCores, FreeMemory, Utilization, Queued float64
 }
 
-// Task is what a request, or a task found running, says of itself.
+// Task is what a request, or an adopted task, says of itself.
 type Task struct {
 	RequestID     string
 	KeyHash       uint64
 	DeadlineUs    int64
 	Cores, Memory float64
 	Class         string
-	ExpectedRunUs int64 // expected run time; meaningful if Hinted
+	ExpectedRunUs int64 // expected run time; meaningful if HasRunHint
 	HasRunHint    bool
-	Retry         bool  // it came again after a refusal, failure, move or loss
-	QueuedSinceUs int64 // since when its owner stands in line; 0: since now
+	Retry         bool  // it came again after a rejection, failure, migration or loss
+	QueuedSinceUs int64 // since when its client waits; 0: since now
 	Tenant        string
 	Program       uint64
 }
@@ -207,23 +226,29 @@
 // Event is something that happened; one of the types below.
 type Event interface{ event() }
 
-// The events.
+// Events.
 type (
+	// WorkerList is a list of workers from discovery, or a change of one.
 	WorkerList struct {
 		Kind    ListKind
 		Entries []Entry
 	}
+	// Request is a request that arrived.
 	Request struct{ Task }
+	// Adopted is a running task that its client registered again after a restart.
 	Adopted struct {
 		Task
 		Worker string
 	}
+	// Accepted says that a worker accepted an attempt.
 	Accepted struct {
 		RequestID string
 		Attempt   int
 		Worker    string
 		RTTUs     int64
 	}
+	// AttemptEnded says that an attempt ended, or the running task that it became. No further
+	// attempt follows if it is final.
 	AttemptEnded struct {
 		RequestID string
 		Attempt   int
@@ -233,6 +258,7 @@
 		Final     bool
 		RTTUs     int64
 	}
+	// TaskReport is a report of a running task.
 	TaskReport struct {
 		RequestID string
 		Attempt   int
@@ -240,23 +266,26 @@
 		Kind      ReportKind
 		Value     float64
 	}
+	// ProbeResult is the answer to a [Probe], or says that there is none.
 	ProbeResult struct {
 		Worker  string
 		Outcome Outcome
 		RTTUs   int64
 		Load    Load
 	}
-	// WorkerReachable says that a machine took a connection after one to it had failed or
-	// fallen silent.
+	// WorkerReachable says that a worker took a connection after one to it had failed or got no
+	// answer.
 	WorkerReachable struct{ Worker string }
-	// Backpressure says at what pace room comes while tasks wait for it, in units a second
-	// (see Settings.Units), 0 where that is not known or nothing waits; and how many
-	// units each class is to leave to those of more worth that are on their way.
+	// Backpressure says at what rate capacity becomes free while tasks wait for it, in units a
+	// second (see Settings.Units), 0 where that is not known or nothing waits; and how many units
+	// each class is to leave to those of more weight that are on their way.
 	Backpressure struct {
 		ReleaseRate float64
 		Reserved    []float64 // by class, or nil
 	}
-	TimerFired      struct{ Ref string }
+	// TimerFired says that the time of a [SetTimer] has come.
+	TimerFired struct{ Ref string }
+	// ClientCancelled says that a client no longer wants its request.
 	ClientCancelled struct{ RequestID string }
 )
 
@@ -272,30 +301,39 @@
 func (TimerFired) event()      {}
 func (ClientCancelled) event() {}
 
-// Action is something the placer does; one of the types below.
+// Action is something that the scheduler does; one of the types below.
 type Action interface{ action() }
 
-// The actions.
+// Actions, to be taken in the order in which they are returned.
 type (
+	// Place sends an offer to a worker, and abandons the attempt at a time.
 	Place struct {
 		RequestID, Worker string
 		AbandonAtUs       int64
 	}
-	// Reject refuses a task. When its owner is to come again is not the module's to say.
-	Reject         struct{ RequestID string }
-	Fail           struct{ RequestID string }
-	Migrate        struct{ RequestID string }
-	Probe          struct{ Worker string }
-	WatchWorkers   struct{ Active bool }
+	// Reject responds that a retry is harmless. The caller adds the Retry-After.
+	Reject struct{ RequestID string }
+	// Fail responds that the task may have run.
+	Fail struct{ RequestID string }
+	// Migrate ends a running task, whose client submits it again.
+	Migrate struct{ RequestID string }
+	// Probe asks a worker for its load.
+	Probe struct{ Worker string }
+	// WatchWorkers polls discovery for changes of the list.
+	WatchWorkers struct{ Active bool }
+	// RefreshWorkers asks discovery for a complete list.
 	RefreshWorkers struct{}
-	CancelAttempt  struct {
+	// CancelAttempt calls an attempt off.
+	CancelAttempt struct {
 		RequestID string
 		Attempt   int
 	}
+	// SetTimer asks for a TimerFired after a time.
 	SetTimer struct {
 		OffsetUs int64
 		Ref      string
 	}
+	// Log writes a line to the log.
 	Log struct{ Text string }
 )
 
--- /dev/null
+++ b/placement/capacity.go
@@ -0,0 +1,79 @@
+package placement
+
+import "math"
+
+// This file owns the effective capacity of workers: what they can carry without slowing
+// down, by what running tasks use of what they requested. It must never look at how much is
+// requested of a worker.
+
+// memorySaturation is the used part of its memory over which a worker slows down.
+const memorySaturation = 0.92
+
+// capacityModel knows the effective capacity of workers.
+type capacityModel struct {
+	*environment
+	// baseline is the effective capacity of workers without calibration, over their size.
+	baseline fractions
+	// requested and used are sums over the running tasks whose use was reported.
+	requested, used [resourceCount]float64
+	// saturationLoad and saturationRange are the smallest of all classes: one level for a
+	// worker that any class may use.
+	saturationLoad, saturationRange float64
+}
+
+func newCapacityModel(env *environment) *capacityModel {
+	c := &capacityModel{environment: env, saturationLoad: math.Inf(1), saturationRange: math.Inf(1)}
+	for i := range env.settings.Classes {
+		class := &env.settings.Classes[i]
+		c.saturationLoad = min(c.saturationLoad, class.SaturationLoad)
+		c.saturationRange = min(c.saturationRange, class.SaturationRange)
+	}
+	c.updateBaseline()
+	return c
+}
+
+// updateBaseline computes the baseline: what workers accept or, where less, what brings the
+// use of cores and memory to where service degrades.
+func (c *capacityModel) updateBaseline() {
+	cores, memory := c.settings.CoresOvercommit, c.settings.MemoryOvercommit
+	if c.requested[resourceCores] > 0 && c.used[resourceCores] > 0 {
+		cores = min(cores, c.saturationLoad*c.requested[resourceCores]/c.used[resourceCores])
+	}
+	if c.requested[resourceMemory] > 0 && c.used[resourceMemory] > 0 {
+		memory = min(memory, memorySaturation*c.requested[resourceMemory]/c.used[resourceMemory])
+	}
+	c.baseline = fractions{cores, memory}
+}
+
+// of returns the effective capacity of a worker of a known kind. Utilization is counted over
+// it, so that a worker with a utilization of 1 can carry no more.
+func (c *capacityModel) of(worker *workerInfo) (cores, memory float64) {
+	kind := c.kindOf(worker)
+	worker.decayCalibration(c.now)
+	return kind.Cores * c.baseline.cores * worker.calibration[resourceCores],
+		kind.Memory * c.baseline.memory * worker.calibration[resourceMemory]
+}
+
+// recordUsage takes a report of what a running task uses of a resource that it requested.
+func (c *capacityModel) recordUsage(task *taskInfo, r resource, used float64) {
+	requested := task.requested(r)
+	if task.usage[r] == 0 {
+		c.requested[r] += requested
+	}
+	c.used[r] += used - task.usage[r]*requested
+	task.usage[r] = max(used/requested, 1e-9)
+	c.updateBaseline()
+}
+
+// forgetUsage takes a task that has ended out of the sums.
+func (c *capacityModel) forgetUsage(task *taskInfo) {
+	for r, usage := range task.usage {
+		if usage > 0 {
+			requested := task.requested(resource(r))
+			c.requested[r] -= requested
+			c.used[r] -= requested * usage
+			task.usage[r] = 0
+			c.updateBaseline()
+		}
+	}
+}
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -148,7 +148,7 @@
 			}
 			return a.at <= now
 		})
-		for held := len(scheduler.pending); held < heldMost && due <= now; held++ {
+		for held := len(scheduler.queue.pending); held < heldMost && due <= now; held++ {
 			next, due = next+1, due+r.every
 			events = append(events, Request{Task{
 				RequestID: fmt.Sprint(next), Class: "safe", Cores: .01, Memory: .01, DeadlineUs: now + 5000*ms,
@@ -294,7 +294,7 @@
 			may := make([]bool, len(beds))
 			for i, f := range beds {
 				f.at(10 * ms)
-				may[i] = f.p.slowStartAllows(f.p.workers[coldWorker])
+				may[i] = f.p.slowStart.permits(f.p.fleet.workers[coldWorker])
 			}
 			if may[0] != may[1] {
 				t.Fatalf("placer %d at %d us: %v by the two starts", s.SelfIndex, beds[0].now, may)
@@ -302,9 +302,9 @@
 			if may[0] && !was {
 				turns++
 			}
-			if again := newBed(t, s, 2, beds[0].p.workers[coldWorker].Entry); may[0] {
+			if again := newBed(t, s, 2, beds[0].p.fleet.workers[coldWorker].Entry); may[0] {
 				again.p.now, again.p.startedAt = beds[0].now, beds[0].now
-				if again.p.slowStartAllows(again.p.workers[coldWorker]) {
+				if again.p.slowStart.permits(again.p.fleet.workers[coldWorker]) {
 					t.Fatalf("placer %d offers in the turn in which it was restarted", s.SelfIndex)
 				}
 			}
--- /dev/null
+++ b/placement/filter.go
@@ -0,0 +1,95 @@
+package placement
+
+import "math"
+
+// This file owns the filters of a placement: which workers may get a task, are healthy and
+// have the free capacity. It must never compare the workers that pass.
+
+// largeTaskShare is the part of a worker from which a task counts as large.
+const largeTaskShare = 0.15
+
+// filter decides for single workers whether they can get a task.
+type filter struct {
+	*environment
+	loads        *loadTracker
+	capacity     *capacityModel
+	reservations *reservations
+	health       *health
+	slowStart    *slowStart
+	spread       *spread
+	overload     *overload
+}
+
+// feasible reports whether a worker may get a task, whether or not it is healthy or has free
+// capacity.
+func (f *filter) feasible(worker *workerInfo, class *Class, task *taskInfo) bool {
+	return f.permits(worker, class, task) && f.reservations.permits(worker, task)
+}
+
+// permits reports whether all rules but reservations let a worker get a task.
+func (f *filter) permits(worker *workerInfo, class *Class, task *taskInfo) bool {
+	return worker.listed && worker.State == Ready && f.now >= worker.drainingUntil && worker.kindIndex >= 0 &&
+		float64(len(worker.unanswered)) < worker.attemptWindow &&
+		(class.Kind < 0 || class.Kind == worker.kindIndex) &&
+		permitsRepeat(f.now, worker, class, task) && f.spread.permits(worker, class, task) &&
+		f.slowStart.permits(worker)
+}
+
+// healthy reports whether a worker is taken to start a task if it has free capacity.
+func (f *filter) healthy(worker *workerInfo, task *taskInfo) bool {
+	return f.health.healthy(worker, task.classIndex) && !task.failedOn(worker)
+}
+
+// fits reports whether a worker has free capacity for a task, by what it accepts and by its
+// effective capacity.
+func (f *filter) fits(worker *workerInfo, task *taskInfo) bool {
+	kind := f.kindOf(worker)
+	acceptedCores := kind.Cores * f.settings.CoresOvercommit
+	acceptedMemory := kind.Memory * f.settings.MemoryOvercommit
+	if !f.settings.HasView {
+		return task.Cores <= acceptedCores && task.Memory <= acceptedMemory
+	}
+	cores, memory := f.loads.requested(worker)
+	competingCores, competingMemory := f.overload.competing(worker, kind)
+	cores += competingCores
+	memory += competingMemory
+	if cores+task.Cores > acceptedCores || memory+task.Memory > acceptedMemory {
+		return false
+	}
+	effectiveCores, effectiveMemory := f.capacity.of(worker)
+	if max(task.Cores/effectiveCores, task.Memory/effectiveMemory) > largeTaskShare && f.waitedLong(task) {
+		return true // a levelled fleet has no gap for a large task
+	}
+	return cores+task.Cores <= effectiveCores && memory+task.Memory <= effectiveMemory
+}
+
+// waitedLong reports whether a task has waited for a good part of its latency objective.
+func (f *filter) waitedLong(task *taskInfo) bool {
+	return f.now-task.arrivedAt > f.classOf(task).ObjectiveUs/4
+}
+
+// limit is what is requested of a worker of a kind that fits a task (see fits). The size of
+// the task is given over that of the kind, and utilization is what it adds to that of a worker
+// without calibration.
+func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
+	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
+		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
+	}
+	accepted := fractions{f.settings.CoresOvercommit, f.settings.MemoryOvercommit}
+	if !f.settings.HasView {
+		return loadLimit{max: accepted.minus(size)}
+	}
+	if f.overload.active {
+		size.cores += f.overload.concurrent[resourceCores]
+		size.memory += f.overload.concurrent[resourceMemory]
+	}
+	limit := loadLimit{max: f.loads.index.baseline.minus(size), calibratedMax: accepted.minus(size)}
+	if f.waitedLong(task) {
+		// A large task that has waited is not held to the effective capacity; it is large where
+		// a worker has little.
+		if limit.calibrationBelow = utilization / largeTaskShare; limit.calibrationBelow > 1 {
+			limit.max = limit.calibratedMax
+		}
+	}
+	return limit
+}
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -103,15 +103,15 @@
 		t.Errorf("expected nothing as a machine changes hands, got %+v", action)
 	}
 	bed.placed(bed.at(10*ms, bed.request("2", "safe", 1, 1)), "b")
-	if worker := bed.p.workers["a"]; len(worker.running) != 1 {
+	if worker := bed.p.fleet.workers["a"]; len(worker.running) != 1 {
 		t.Errorf("expected the task at the other placer's machine to stand, got %d", len(worker.running))
 	}
 	a.State, b.State = Ready, Foreign
 	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
 	bed.placed(bed.at(10*ms, bed.request("3", "safe", 1, 1)), "a")
 	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
-	if bed.p.foreignCount != 0 {
-		t.Errorf("expected no foreign machine to be counted after it is gone, got %d", bed.p.foreignCount)
+	if bed.p.fleet.foreignCount != 0 {
+		t.Errorf("expected no foreign machine to be counted after it is gone, got %d", bed.p.fleet.foreignCount)
 	}
 }
 
@@ -121,7 +121,7 @@
 	a := small("a", 1, 8)
 	bed := newBed(t, testSettings(), 1, a)
 	bed.placed(bed.at(10*ms, bed.request("1", "safe", 1, 1)), "a")
-	seen := bed.p.lagObservations
+	seen := bed.p.view.lagObservations
 	for _, state := range []WorkerState{Foreign, Ready, Foreign, Foreign, Ready} {
 		a.State = state
 		if state == Foreign {
@@ -129,12 +129,12 @@
 		}
 		bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	}
-	if bed.p.lagObservations != seen {
-		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", bed.p.lagObservations-seen)
+	if bed.p.view.lagObservations != seen {
+		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", bed.p.view.lagObservations-seen)
 	}
 	a.FreeCores--
 	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
-	if bed.p.lagObservations == seen {
+	if bed.p.view.lagObservations == seen {
 		t.Error("expected a new view to teach of the lag")
 	}
 }
@@ -151,8 +151,8 @@
 		}
 		divided = append(divided, entry)
 	}
-	want := newBed(t, testSettings(), 1, whole...).p.fleetRequestedCores()
-	if got := newBed(t, testSettings(), 1, divided...).p.fleetRequestedCores(); got < want*0.99 || got > want*1.01 {
+	want := newBed(t, testSettings(), 1, whole...).p.fleet.requestedCores()
+	if got := newBed(t, testSettings(), 1, divided...).p.fleet.requestedCores(); got < want*0.99 || got > want*1.01 {
 		t.Errorf("expected the fleet to be asked for %g cores, got %g", want, got)
 	}
 }
@@ -164,8 +164,8 @@
 	s.FleetSize, s.UnitCores, s.UnitMemory = 9, 1, 2
 	own, foreign := small("a", 1, 8), small("b", 2, 8)
 	foreign.State = Foreign
-	shared := newBed(t, s, 1, own).p.freeUnits()
-	if divided := newBed(t, s, 1, own, foreign).p.freeUnits(); divided <= shared || divided > 9.01*shared {
+	shared := newBed(t, s, 1, own).p.totals.freeUnits()
+	if divided := newBed(t, s, 1, own, foreign).p.totals.freeUnits(); divided <= shared || divided > 9.01*shared {
 		t.Errorf("room for %g units where machines are divided, %g where nine placers share one", divided, shared)
 	}
 	f := newBed(t, s, 1, own, foreign)
@@ -173,8 +173,8 @@
 	for _, requestID := range []string{"1", "2", "3", "4"} {
 		f.at(10*ms, f.request(requestID, "safe", 1, 1))
 	}
-	if f.p.overloaded = true; f.p.estimateConcurrentPlacements() != [2]float64{} {
-		t.Errorf("others are taken to bind %v at machines that they are offered nothing at", f.p.estimateConcurrentPlacements())
+	if f.p.overload.active = true; f.p.overload.estimateConcurrent() != [2]float64{} {
+		t.Errorf("others are taken to bind %v at machines that they are offered nothing at", f.p.overload.estimateConcurrent())
 	}
 }
 
@@ -186,8 +186,8 @@
 		entries = append(entries, small(fmt.Sprint("m", i), i, 4))
 	}
 	bed := newBed(t, testSettings(), 1, entries...)
-	bed.p.refreshIndex()
-	bed.p.preferredFor(7)
+	bed.p.fleet.refresh()
+	bed.p.fleet.preferredFor(7)
 	var own []Entry
 	for i := range entries {
 		if entries[i].State = Foreign; i%2 == 0 {
@@ -196,10 +196,10 @@
 		}
 	}
 	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
-	bed.p.refreshIndex()
+	bed.p.fleet.refresh()
 	alone := newBed(t, testSettings(), 1, own...)
-	alone.p.refreshIndex()
-	if got, want := names(bed.p.preferredFor(7)), names(alone.p.preferredFor(7)); got != want {
+	alone.p.fleet.refresh()
+	if got, want := names(bed.p.fleet.preferredFor(7)), names(alone.p.fleet.preferredFor(7)); got != want {
 		t.Errorf("%s come first, expected %s", got, want)
 	}
 }
@@ -219,7 +219,7 @@
 	for i := range 10 {
 		bed.at(0, bed.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
 	}
-	if kept := len(bed.p.reservations); kept != 2 {
+	if kept := len(bed.p.reservations.priorities); kept != 2 {
 		t.Errorf("%d machines are kept for held tasks, expected 2 of the 4 own ones", kept)
 	}
 }
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -471,14 +471,14 @@
 // before it, attempts and errors, is made up.
 func (h *history) probe() *taskInfo {
 	submitted := h.drawTask()
-	classIndex := h.p.classIndexes[submitted.Class]
+	classIndex := h.p.requests.classIndexes[submitted.Class]
 	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: h.now - h.rng.Int64N(3*second), queuedSince: h.now}
 	task.priority = []float64{0, 0.01, 1, 1e6}[h.rng.IntN(4)]
 	if h.chance(0.5) {
-		task.priority = h.p.computePriority(task)
+		task.priority = h.p.queue.priority(task)
 	}
-	anyWorker := func() *workerInfo { return h.p.sorted[h.rng.IntN(len(h.p.sorted))] }
-	for len(h.p.sorted) > 0 && len(task.attempts) < 3 && h.chance(0.25) {
+	anyWorker := func() *workerInfo { return h.p.fleet.sorted[h.rng.IntN(len(h.p.fleet.sorted))] }
+	for len(h.p.fleet.sorted) > 0 && len(task.attempts) < 3 && h.chance(0.25) {
 		task.attempts = append(task.attempts, &attemptInfo{worker: anyWorker(), sentAt: h.now - h.rng.Int64N(4*second), ended: true, failed: h.chance(0.5)})
 	}
 	if len(task.attempts) > 0 && h.chance(0.5) {
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -17,7 +17,7 @@
 		h := newHistory(t, seed)
 		for step := range h.stepCount {
 			h.step()
-			h.p.refreshIndex()
+			h.p.fleet.refresh()
 			n, err := checkIndex(h.p)
 			if err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
@@ -33,12 +33,12 @@
 // checkIndex returns how many machines are indexed, or what is wrong with the index.
 func checkIndex(scheduler *Scheduler) (indexed int, err error) {
 	sums := struct{ asked, cores, memory float64 }{}
-	for ordinal, worker := range scheduler.sorted {
-		if worker.ordinal != ordinal || scheduler.nameHashes[ordinal] != worker.nameHash {
+	for ordinal, worker := range scheduler.fleet.sorted {
+		if worker.ordinal != ordinal || scheduler.fleet.nameHashes[ordinal] != worker.nameHash {
 			return 0, fmt.Errorf("%s: ordinal %d, want %d", worker.Worker, worker.ordinal, ordinal)
 		}
-		if worker.listed == scheduler.unlisted[worker] {
-			return 0, fmt.Errorf("%s: listed %v, departed %v", worker.Worker, worker.listed, scheduler.unlisted[worker])
+		if worker.listed == scheduler.fleet.unlisted[worker] {
+			return 0, fmt.Errorf("%s: listed %v, departed %v", worker.Worker, worker.listed, scheduler.fleet.unlisted[worker])
 		}
 		kind := scheduler.kindOf(worker)
 		if worker.position.indexed != (worker.listed && worker.State == Ready && kind != nil) {
@@ -48,7 +48,7 @@
 			continue
 		}
 		worker.stale = true
-		cores, memory := scheduler.requested(worker)
+		cores, memory := scheduler.loads.requested(worker)
 		worker.stale = false
 		if cores != worker.requestedCores || memory != worker.requestedMemory {
 			return 0, fmt.Errorf("%s: asked for %v and %v, noted %v and %v", worker.Worker, cores, memory, worker.requestedCores, worker.requestedMemory)
@@ -64,9 +64,9 @@
 			return 0, err
 		}
 	}
-	if near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }; !near(sums.asked, scheduler.requestedCores) ||
-		!near(sums.cores, scheduler.listedCapacity.cores) || !near(sums.memory, scheduler.listedCapacity.memory) {
-		return 0, fmt.Errorf("sums %+v; noted %v and %+v", sums, scheduler.requestedCores, scheduler.listedCapacity)
+	if near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }; !near(sums.asked, scheduler.loads.requestedCores) ||
+		!near(sums.cores, scheduler.loads.listedCapacity.cores) || !near(sums.memory, scheduler.loads.listedCapacity.memory) {
+		return 0, fmt.Errorf("sums %+v; noted %v and %+v", sums, scheduler.loads.requestedCores, scheduler.loads.listedCapacity)
 	}
 	if held := countEntries(scheduler); held != indexed {
 		return 0, fmt.Errorf("%d entries of %d machines", held, indexed)
@@ -83,10 +83,10 @@
 		return fmt.Errorf("%s: its slot %+v holds %s", worker.Worker, worker.position, entry.worker.Worker)
 	case scheduler.settings.HasView && entry.requested != fractions{worker.requestedCores / kind.Cores, worker.requestedMemory / kind.Memory}:
 		return fmt.Errorf("%s: entry %+v", worker.Worker, entry.requested)
-	case !level.minRequested.within(entry.requested) || entry.calibration < level.minCalibration || entry.calibration > min(worker.coresCalibration, worker.memoryCalibration):
+	case !level.minRequested.within(entry.requested) || entry.calibration < level.minCalibration || entry.calibration > min(worker.calibration[resourceCores], worker.calibration[resourceMemory]):
 		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", worker.Worker, entry, level.minRequested, level.minCalibration)
-	case (scheduler.reservations[worker] > 0) != (worker.position.entryIndex >= level.unreserved):
-		return fmt.Errorf("%s: kept %v, number %d of %d free ones", worker.Worker, scheduler.reservations[worker] > 0, worker.position.entryIndex, level.unreserved)
+	case (scheduler.reservations.priorities[worker] > 0) != (worker.position.entryIndex >= level.unreserved):
+		return fmt.Errorf("%s: kept %v, number %d of %d free ones", worker.Worker, scheduler.reservations.priorities[worker] > 0, worker.position.entryIndex, level.unreserved)
 	}
 	share := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
 	if floor := float64(worker.position.level) * levelWidth; share < floor || share >= floor+levelWidth && worker.position.level < levelCount-1 {
@@ -113,15 +113,15 @@
 
 func checkPrograms(scheduler *Scheduler) error {
 	homes := 0
-	for _, worker := range scheduler.sorted {
+	for _, worker := range scheduler.fleet.sorted {
 		for program := range worker.residentPrograms {
 			homes++
-			if !slices.Contains(scheduler.residents[program], worker) {
+			if !slices.Contains(scheduler.residents.workers[program], worker) {
 				return fmt.Errorf("%s is not among the machines of program %d", worker.Worker, program)
 			}
 		}
 	}
-	for _, workers := range scheduler.residents {
+	for _, workers := range scheduler.residents.workers {
 		homes -= len(workers)
 	}
 	if homes != 0 {
@@ -156,12 +156,12 @@
 	for _, n := range []int{400, 4000} {
 		f := largeFleet(t, n, levelled)
 		for program := range uint64(50) {
-			f.p.finalists(f.probe(program))
+			f.p.search.finalists(f.probe(program))
 			looked[n] += float64(f.p.search.evaluated) / 50
 		}
 	}
 	idle := largeFleet(t, 4000, func(*rand.Rand) float64 { return 0 })
-	if idle.p.finalists(idle.probe(0)); idle.p.search.evaluated > maxEnumerated {
+	if idle.p.search.finalists(idle.probe(0)); idle.p.search.evaluated > maxEnumerated {
 		t.Errorf("%d machines looked at in an idle fleet, want %d at most", idle.p.search.evaluated, maxEnumerated)
 	}
 	if looked[400] > 40 || looked[4000] > 2*looked[400] {
@@ -178,12 +178,12 @@
 	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	task := f.probe(0)
 	task.Cores, task.Memory = 0.25, 0.5
-	if finalists := f.p.finalists(task); len(finalists) != 1 {
+	if finalists := f.p.search.finalists(task); len(finalists) != 1 {
 		t.Fatalf("%d machines to draw from, want the one with room", len(finalists))
 	}
 	last.FreeCores, last.FreeMemory = 32*(1-1.495), 64*(1-1.495)
 	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
-	if finalists := f.p.finalists(task); len(finalists) > 0 || f.p.search.evaluated > 0 {
+	if finalists := f.p.search.finalists(task); len(finalists) > 0 || f.p.search.evaluated > 0 {
 		t.Fatalf("a full fleet: %d machines to draw from, %d looked at", len(finalists), f.p.search.evaluated)
 	}
 	for _, k := range f.p.index.kinds {
@@ -201,7 +201,7 @@
 	f := newBed(t, testSettings(), 1, small("c", 0, -20), small("b", 0, -16), small("a", 0, -16), small("d", 1, -16))
 	task := f.probe(0)
 	task.Cores, task.Memory = 8, 8
-	if worker := f.p.closestToFitting(task); worker == nil || worker.Worker != "a" {
+	if worker := f.p.search.closestToFitting(task); worker == nil || worker.Worker != "a" {
 		t.Errorf("kept %v, want a", worker)
 	}
 }
@@ -210,7 +210,7 @@
 func TestSearchAllocatesNothing(t *testing.T) {
 	f := largeFleet(t, 1000, levelled)
 	task := f.probe(7)
-	if n := testing.AllocsPerRun(100, func() { f.p.selectWorker(task) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { f.p.search.selectWorker(task) }); n > 0 {
 		t.Errorf("%v allocations a search", n)
 	}
 }
@@ -221,10 +221,10 @@
 	f := largeFleet(t, machines, func(*rand.Rand) float64 { return 0.3 })
 	drawn := map[*workerInfo]int{}
 	for range machines * mean {
-		drawn[f.p.selectWorker(f.probe(0))]++
+		drawn[f.p.search.selectWorker(f.probe(0))]++
 	}
 	var squares float64
-	for _, worker := range f.p.sorted {
+	for _, worker := range f.p.fleet.sorted {
 		squares += math.Pow(float64(drawn[worker])-mean, 2) / mean
 	}
 	// The sum has the mean of the number of machines and a deviation of sqrt(2 machines).
@@ -248,12 +248,12 @@
 		var chosen, lowest float64
 		for program := range uint64(200) {
 			task := f.probe(program % 20) // 0 is none
-			worker := f.p.selectWorker(task)
+			worker := f.p.search.selectWorker(task)
 			least := math.Inf(1)
-			for _, other := range f.p.sorted {
-				least = min(least, f.p.admissionCost(other, task))
+			for _, other := range f.p.fleet.sorted {
+				least = min(least, f.p.search.scorer.score(other, task))
 			}
-			got := f.p.admissionCost(worker, task)
+			got := f.p.search.scorer.score(worker, task)
 			if got > least+2*costMargin {
 				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, got, worker.Worker, least)
 			}
@@ -269,19 +269,19 @@
 // TestMeansOfALargeFleet has the means of a large fleet follow it after a second.
 func TestMeansOfALargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
-	f.p.meanUtilization()
-	entries := make([]Entry, len(f.p.sorted))
-	for i, worker := range f.p.sorted {
+	f.p.totals.means()
+	entries := make([]Entry, len(f.p.fleet.sorted))
+	for i, worker := range f.p.fleet.sorted {
 		entries[i] = worker.Entry
 		entries[i].FreeCores = 16
 	}
 	f.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
-	if utilization, _ := f.p.meanUtilization(); utilization != 0 {
+	if utilization, _ := f.p.totals.means(); utilization != 0 {
 		t.Errorf("share %v before a second has passed, want that of before", utilization)
 	}
 	f.at(second/2, TimerFired{})
-	if utilization, _ := f.p.meanUtilization(); math.Abs(utilization-0.5/f.p.baseline.cores) > 1e-9 {
-		t.Errorf("share %v after a second, want %v", utilization, 0.5/f.p.baseline.cores)
+	if utilization, _ := f.p.totals.means(); math.Abs(utilization-0.5/f.p.capacity.baseline.cores) > 1e-9 {
+		t.Errorf("share %v after a second, want %v", utilization, 0.5/f.p.capacity.baseline.cores)
 	}
 }
 
@@ -289,16 +289,16 @@
 func TestRoomOfALargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
 	f.p.settings.UnitCores, f.p.settings.UnitMemory = 1, 2
-	all := f.p.freeUnits()
-	for _, worker := range f.p.sorted {
+	all := f.p.totals.freeUnits()
+	for _, worker := range f.p.fleet.sorted {
 		worker.attemptWindow = 0 // it may be offered nothing
 	}
 	f.at(retryInterval/2, TimerFired{})
-	if got := f.p.freeUnits(); got != all {
+	if got := f.p.totals.freeUnits(); got != all {
 		t.Errorf("room %v before the bell is due, want %v as before", got, all)
 	}
 	f.at(retryInterval/2, TimerFired{})
-	if got := f.p.freeUnits(); got != 0 {
+	if got := f.p.totals.freeUnits(); got != 0 {
 		t.Errorf("room %v with the bell, want none", got)
 	}
 }
@@ -329,24 +329,24 @@
 		f.started(fmt.Sprint(i))
 	}
 	gone := WorkerList{Kind: ListDelta}
-	for _, worker := range f.p.sorted {
+	for _, worker := range f.p.fleet.sorted {
 		entry := worker.Entry
 		entry.State = Removed
 		gone.Entries = append(gone.Entries, entry)
 	}
 	f.at(ms, gone)
-	for requestID, task := range f.p.tasks {
+	for requestID, task := range f.p.requests.tasks {
 		f.at(0, AttemptEnded{RequestID: requestID, Attempt: len(task.attempts) - 1, Outcome: Completed, Final: true})
 	}
 	f.at(ms, WorkerList{Kind: ListDelta})
-	f.p.refreshIndex()
+	f.p.fleet.refresh()
 	scheduler := f.p
-	if left := len(scheduler.sorted) + len(scheduler.workers) + len(scheduler.unlisted) + len(scheduler.residents) + len(scheduler.preferred) + countEntries(scheduler); left != 0 {
+	if left := len(scheduler.fleet.sorted) + len(scheduler.fleet.workers) + len(scheduler.fleet.unlisted) + len(scheduler.residents.workers) + len(scheduler.affinity.preferred) + countEntries(scheduler); left != 0 {
 		t.Errorf("left: %d machines by name, %d departed, %d programs, %d preferred, %d entries",
-			len(scheduler.sorted), len(scheduler.unlisted), len(scheduler.residents), len(scheduler.preferred), countEntries(scheduler))
+			len(scheduler.fleet.sorted), len(scheduler.fleet.unlisted), len(scheduler.residents.workers), len(scheduler.affinity.preferred), countEntries(scheduler))
 	}
-	if scheduler.requestedCores != 0 && math.Abs(scheduler.requestedCores) > 1e-9 || scheduler.listedCapacity != (fractions{}) {
-		t.Errorf("left: %v cores asked of %+v", scheduler.requestedCores, scheduler.listedCapacity)
+	if scheduler.loads.requestedCores != 0 && math.Abs(scheduler.loads.requestedCores) > 1e-9 || scheduler.loads.listedCapacity != (fractions{}) {
+		t.Errorf("left: %v cores asked of %+v", scheduler.loads.requestedCores, scheduler.loads.listedCapacity)
 	}
 }
 
--- a/placement/nearest_test.go
+++ b/placement/nearest_test.go
@@ -82,14 +82,14 @@
 // it could.
 func (h *history) sendOne() bool {
 	submitted := h.drawTask()
-	task := &taskInfo{Task: submitted, classIndex: h.p.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
-	task.priority = h.p.computePriority(task)
-	worker := h.p.selectWorker(task)
+	task := &taskInfo{Task: submitted, classIndex: h.p.requests.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
+	task.priority = h.p.queue.priority(task)
+	worker := h.p.search.selectWorker(task)
 	if worker == nil {
 		return false
 	}
-	h.p.tasks[submitted.RequestID] = task
-	h.p.sendOffer(task, worker)
+	h.p.requests.tasks[submitted.RequestID] = task
+	h.p.pass.bind(task, worker)
 	h.asked[submitted.RequestID] = submitted
 	h.attempts[submitted.RequestID] = 1
 	h.out = append(h.out, Place{RequestID: submitted.RequestID, Worker: worker.Worker})
@@ -99,7 +99,7 @@
 // compare compares choices as things stand. What a large fleet's means and spare room
 // are held to be for a while is computed anew first: TestMeansOfALargeFleet has that.
 func (c *comparisons) compare(h *history) error {
-	h.p.means.computedAt, h.p.freeUnitsAt = 0, 0
+	h.p.totals.cachedMeans.computedAt, h.p.totals.freeUnitsAt = 0, 0
 	r := newReference(h.p)
 	if err := r.compareSums(); err != nil {
 		return err
@@ -108,8 +108,8 @@
 	for range probesEach {
 		tasks = append(tasks, h.probe())
 	}
-	for i := range min(heldEach, len(h.p.pending)) {
-		tasks = append(tasks, h.p.pending[(i+h.rng.IntN(len(h.p.pending)))%len(h.p.pending)])
+	for i := range min(heldEach, len(h.p.queue.pending)) {
+		tasks = append(tasks, h.p.queue.pending[(i+h.rng.IntN(len(h.p.queue.pending)))%len(h.p.queue.pending)])
 	}
 	for _, task := range tasks {
 		if err := c.compareTask(h, r, task); err != nil {
@@ -120,30 +120,30 @@
 }
 
 func (c *comparisons) compareTask(h *history, r *reference, task *taskInfo) error {
-	finalists := h.p.finalists(task)
+	finalists := h.p.search.finalists(task)
 	path, flipped, err := r.compareNearest(task, finalists)
 	if err != nil {
 		return err
 	}
-	if worker := h.p.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
+	if worker := h.p.search.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
 		return fmt.Errorf("task %+v: chosen %v, which is not of %s", task.Task, worker, names(finalists))
 	}
 	c.add(path, flipped)
 	if len(finalists) > 1 {
 		c.many++
 	}
-	if len(h.p.reservations) > 0 {
+	if len(h.p.reservations.priorities) > 0 {
 		c.kept++
 	}
 	if err := r.compareKeep(task, keptFor(h.p, task)); err != nil {
 		return err
 	}
-	if len(h.p.sorted) == 0 {
+	if len(h.p.fleet.sorted) == 0 {
 		return nil
 	}
-	worker := h.p.sorted[h.rng.IntN(len(h.p.sorted))]
+	worker := h.p.fleet.sorted[h.rng.IntN(len(h.p.fleet.sorted))]
 	c.moves++
-	_, err = r.compareElsewhere(task, worker, h.p.fitsElsewhere(task, worker))
+	_, err = r.compareElsewhere(task, worker, h.p.search.fitsElsewhere(task, worker))
 	return err
 }
 
@@ -157,15 +157,15 @@
 
 // keptFor returns the machine that would be kept for a held task, or nil, and keeps none.
 func keptFor(scheduler *Scheduler, task *taskInfo) (kept *workerInfo) {
-	before := maps.Clone(scheduler.reservations)
-	scheduler.reserveFor(task)
-	for worker := range scheduler.reservations {
+	before := maps.Clone(scheduler.reservations.priorities)
+	scheduler.pass.reserve(task)
+	for worker := range scheduler.reservations.priorities {
 		if _, was := before[worker]; !was {
 			kept = worker
 		}
 	}
 	if kept != nil {
-		scheduler.reservations, scheduler.reservedWorkers = before, scheduler.reservedWorkers[:len(scheduler.reservedWorkers)-1]
+		scheduler.reservations.priorities, scheduler.reservations.workers = before, scheduler.reservations.workers[:len(scheduler.reservations.workers)-1]
 		scheduler.index.release(kept)
 	}
 	return kept
@@ -194,9 +194,9 @@
 		lines = append(lines, fmt.Sprintf("%+v", h.step()))
 		probe := h.probe()
 		if asked {
-			h.p.finalists(probe)
-			for _, held := range h.p.pending {
-				h.p.finalists(held)
+			h.p.search.finalists(probe)
+			for _, held := range h.p.queue.pending {
+				h.p.search.finalists(held)
 			}
 		}
 	}
--- a/placement/placer_test.go
+++ b/placement/placer_test.go
@@ -91,7 +91,7 @@
 		{0.5, 0.1, 1, 0.5, 0.61},    // 0.5 + 2 * (0.05 + 0.005)
 		{0.5, 0.2, 0.5, 0.75, 0.74}, // 0.5 + 2 * (0.1 + 0.02)
 	} {
-		if got := cost(c.u, c.x, c.l, c.rho); math.Abs(got-c.want) > 1e-12 {
+		if got := admissionCost(c.u, c.x, c.l, c.rho); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("cost(%v, %v, %v, %v) = %v, want %v", c.u, c.x, c.l, c.rho, got, c.want)
 		}
 	}
@@ -120,17 +120,17 @@
 func TestOwnBindsCountUntilTheViewHoldsThem(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 18))
 	f.placed(f.at(ms, f.request("1", "safe", 6, 6)), "a")
-	worker := f.p.workers["a"]
-	if c, _ := f.p.requested(worker); c != 18 {
+	worker := f.p.fleet.workers["a"]
+	if c, _ := f.p.loads.requested(worker); c != 18 {
 		t.Fatalf("load %v with the bind, want 18", c)
 	}
 	// A view that comes at once cannot hold the bind yet.
 	f.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 20)}})
-	if c, _ := f.p.requested(worker); c != 18 {
+	if c, _ := f.p.loads.requested(worker); c != 18 {
 		t.Fatalf("load %v after an early view, want 18", c)
 	}
 	f.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, 14)}})
-	if c, _ := f.p.requested(worker); c != 18 {
+	if c, _ := f.p.loads.requested(worker); c != 18 {
 		t.Fatalf("load %v once the view holds it, want 18, not counted twice", c)
 	}
 }
@@ -139,7 +139,7 @@
 	f := newBed(t, testSettings(), 1, small("a", 0, 20))
 	f.placed(f.at(ms, f.request("1", "safe", 2, 4)), "a")
 	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
-	c, _ := f.p.requested(f.p.workers["a"])
+	c, _ := f.p.loads.requested(f.p.fleet.workers["a"])
 	if c != 12 && c != 14 { // 14 where it was tried again at once
 		t.Errorf("load %v, want 12 and at most the new bind", c)
 	}
@@ -149,7 +149,7 @@
 	f := newBed(t, testSettings(), 1, small("a", 0, 20))
 	f.at(ms, f.request("1", "safe", 2, 4))
 	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
-	c, memory := f.p.requested(f.p.workers["a"])
+	c, memory := f.p.loads.requested(f.p.fleet.workers["a"])
 	if c != 12 || memory+4 <= 64*1.5 {
 		t.Errorf("load %v cores, %v memory: want 12 and no room for the task", c, memory)
 	}
@@ -178,8 +178,8 @@
 		}
 		f.at(0, WorkerList{Kind: ListDelta, Entries: []Entry{small("a", 0, free)}})
 	}
-	if f.p.lag < 2000*ms || f.p.lag > 3250*ms {
-		t.Errorf("lag %v, want near 2.5 s", f.p.lag)
+	if f.p.loads.lag < 2000*ms || f.p.loads.lag > 3250*ms {
+		t.Errorf("lag %v, want near 2.5 s", f.p.loads.lag)
 	}
 }
 
@@ -216,7 +216,7 @@
 			if rejected, failed := len(of[Reject](actions)), len(of[Fail](actions)); rejected != c.deny || failed != c.err {
 				t.Errorf("%d refusals and %d failures, want %d and %d: %v", rejected, failed, c.deny, c.err, actions)
 			}
-			if _, pending := f.p.tasks["1"]; pending && c.name != "placed" {
+			if _, pending := f.p.requests.tasks["1"]; pending && c.name != "placed" {
 				t.Error("the task is not let go")
 			}
 		})
@@ -442,8 +442,8 @@
 	if len(of[Place](actions)) != 0 || len(of[Reject](actions)) != 1 || len(asked) != 2 {
 		t.Fatalf("after errors of %v: %v", asked, actions)
 	}
-	for _, m := range f.p.sorted {
-		if !f.p.healthy(m, 0) || m.suspicion(f.now, 0) > 0.01 {
+	for _, m := range f.p.fleet.sorted {
+		if !f.p.health.healthy(m, 0) || m.suspicion(f.now, 0) > 0.01 {
 			t.Errorf("%s: suspicion %v", m.Worker, m.suspicion(f.now, 0))
 		}
 	}
@@ -453,7 +453,7 @@
 		f.at(ms, f.request(requestID, "unsafe", 1, 2))
 		f.at(ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Failed})
 	}
-	if f.p.healthy(f.p.sorted[0], 0) {
+	if f.p.health.healthy(f.p.fleet.sorted[0], 0) {
 		t.Error("a machine that fails every task is well")
 	}
 }
@@ -462,20 +462,20 @@
 // ever where it takes connections and answers nothing.
 func TestReachedMachineIsTriedAgain(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
-	worker := f.p.workers["a"]
+	worker := f.p.fleet.workers["a"]
 	worker.addSuspicion(f.now, 4*timeoutSuspicion)
 	f.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
-	if suspicion := worker.suspicion(f.now, 0); !f.p.healthy(worker, 0) || f.p.healthy(worker, 4) || suspicion > reconnectedSuspicion {
+	if suspicion := worker.suspicion(f.now, 0); !f.p.health.healthy(worker, 0) || f.p.health.healthy(worker, 4) || suspicion > reconnectedSuspicion {
 		t.Errorf("suspicion %v after it was reached", suspicion)
 	}
 	worker.addSuspicion(f.now, timeoutSuspicion)
 	f.at(ms, WorkerReachable{Worker: "a"})
-	if f.p.healthy(worker, 0) {
+	if f.p.health.healthy(worker, 0) {
 		t.Error("it was taken back without an answer")
 	}
 	worker.recordSuccess(f.now, 0)
 	f.at(ms, WorkerReachable{Worker: "a"})
-	if !f.p.healthy(worker, 0) {
+	if !f.p.health.healthy(worker, 0) {
 		t.Error("it was not taken back after an answer")
 	}
 }
@@ -483,7 +483,7 @@
 func TestHealthAloneNeverTurnsTheFleetAway(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	for _, m := range []string{"a", "b"} {
-		f.p.workers[m].addSuspicion(f.now, maxSuspicion)
+		f.p.fleet.workers[m].addSuspicion(f.now, maxSuspicion)
 	}
 	if got := of[Place](f.at(ms, f.request("1", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("%d placed while all look bad, want 1", len(got))
@@ -494,15 +494,15 @@
 	f := newBed(t, testSettings(), 1, small("a", 0, 20), small("b", 0, 19))
 	f.at(ms, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
 	f.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.96})
-	if f.p.workers["a"].coresCalibration != 1 {
+	if f.p.fleet.workers["a"].calibration[resourceCores] != 1 {
 		t.Error("bent by ordinary noise")
 	}
 	f.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.4})
 	request := f.request("1", "safe", 1, 2)
 	request.Program = 9
 	f.placed(f.at(ms, request), "b")
-	f.p.workers["a"].decayCalibration(f.now+10*calibrationHalfLife, calibrationHalfLife)
-	if f.p.workers["a"].coresCalibration < 0.99 {
+	f.p.fleet.workers["a"].decayCalibration(f.now + 10*calibrationHalfLife)
+	if f.p.fleet.workers["a"].calibration[resourceCores] < 0.99 {
 		t.Error("not let go when the symptom ends")
 	}
 }
@@ -644,8 +644,8 @@
 	f.at(ms, f.request("1", "safe", 1, 1))
 	f.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
 	f.at(ms, done, done, done, TaskReport{RequestID: "1"})
-	if len(f.p.tasks) != 0 || f.p.workers["a"].active != 0 {
-		t.Errorf("%d tasks, %d refs left", len(f.p.tasks), f.p.workers["a"].active)
+	if len(f.p.requests.tasks) != 0 || f.p.fleet.workers["a"].active != 0 {
+		t.Errorf("%d tasks, %d refs left", len(f.p.requests.tasks), f.p.fleet.workers["a"].active)
 	}
 }
 
@@ -663,10 +663,10 @@
 			f.at(ms, AttemptEnded{RequestID: id, Worker: name, Outcome: Completed, Final: true})
 		}
 	}
-	if len(f.p.tasks) > 0 || len(f.p.workers) > 2 || len(f.p.pending) > 0 {
-		t.Errorf("%d tasks, %d machines, %d waiting left", len(f.p.tasks), len(f.p.workers), len(f.p.pending))
+	if len(f.p.requests.tasks) > 0 || len(f.p.fleet.workers) > 2 || len(f.p.queue.pending) > 0 {
+		t.Errorf("%d tasks, %d machines, %d waiting left", len(f.p.requests.tasks), len(f.p.fleet.workers), len(f.p.queue.pending))
 	}
-	for _, worker := range f.p.workers {
+	for _, worker := range f.p.fleet.workers {
 		if len(worker.residentPrograms) > maxIdlePrograms+1 || len(worker.running) > 0 {
 			t.Errorf("%d homes, %d running left", len(worker.residentPrograms), len(worker.running))
 		}
@@ -730,25 +730,25 @@
 	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 4))
 	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	f.placed(f.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
-	if w := f.p.workers["a"].attemptWindow; w >= initialWindow {
+	if w := f.p.fleet.workers["a"].attemptWindow; w >= initialWindow {
 		t.Errorf("window %v after 'too many wait', want it halved", w)
 	}
 }
 
 func TestOneSuccessDoesNotClearALossyMachine(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 30))
-	worker := f.p.workers["a"]
+	worker := f.p.fleet.workers["a"]
 	for range 4 {
 		worker.addSuspicion(f.now, 1.5)
 	}
 	worker.recordSuccess(f.now, 0)
-	if f.p.healthy(worker, 0) {
+	if f.p.health.healthy(worker, 0) {
 		t.Error("trusted again after one success in five")
 	}
 	for range 20 {
 		worker.recordSuccess(f.now, 0)
 	}
-	if !f.p.healthy(worker, 0) {
+	if !f.p.health.healthy(worker, 0) {
 		t.Error("not trusted after twenty successes")
 	}
 }
@@ -757,16 +757,16 @@
 	s := testSettings()
 	s.ColdStartRate = 0.2
 	f := newBed(t, s, 1, small("a", 0, 30))
-	worker := f.p.workers["a"]
-	if got := f.p.startRate(worker); got != 1 {
+	worker := f.p.fleet.workers["a"]
+	if got := f.p.slowStart.startRate(worker); got != 1 {
 		t.Errorf("pace %v of a warm machine, want 1", got)
 	}
 	worker.StartedAtUs = f.now
-	if got := f.p.startRate(worker); got != 0.2 {
+	if got := f.p.slowStart.startRate(worker); got != 0.2 {
 		t.Errorf("pace %v at the start, want 0.2", got)
 	}
 	f.at(s.WarmUpUs / 2)
-	if got := f.p.startRate(worker); math.Abs(got-0.6) > 1e-9 {
+	if got := f.p.slowStart.startRate(worker); math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("pace %v half way, want 0.6", got)
 	}
 }
@@ -793,7 +793,7 @@
 
 func TestFullButWellMachinesAreWaitedFor(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, -16), small("c", 0, -16))
-	f.p.workers["a"].addSuspicion(f.now, maxSuspicion)
+	f.p.fleet.workers["a"].addSuspicion(f.now, maxSuspicion)
 	f.placed(f.at(ms, f.request("1", "unsafe", 1, 2)), "")
 	f.placed(f.at(ms, f.request("2", "safe", 1, 2)), "a")
 	if got := of[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{small("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
@@ -808,8 +808,8 @@
 	f.at(ms, ClientCancelled{"1"})
 	f.placed(f.at(ms, f.request("2", "apartMachine", 1, 1)), "")
 	f.placed(f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
-	if len(f.p.tasks) != 1 {
-		t.Errorf("%d tasks kept, want 1", len(f.p.tasks))
+	if len(f.p.requests.tasks) != 1 {
+		t.Errorf("%d tasks kept, want 1", len(f.p.requests.tasks))
 	}
 }
 
@@ -826,8 +826,8 @@
 func TestLeastSuspectMachinesGetFewAttempts(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 30), small("b", 0, 30))
 	for _, m := range []string{"a", "b"} {
-		f.p.workers[m].addSuspicion(f.now, maxSuspicion)
-		f.p.workers[m].attemptWindow = maxWindow
+		f.p.fleet.workers[m].addSuspicion(f.now, maxSuspicion)
+		f.p.fleet.workers[m].attemptWindow = maxWindow
 	}
 	n := 0
 	for i := range 20 {
@@ -843,10 +843,10 @@
 	for _, running := range []bool{false, true} {
 		s.AcceptMeansRunning = running
 		f := newBed(t, s, 1, small("a", 0, 30))
-		f.p.meanRTT, f.p.rttDeviation = 50_000, 10_000
+		f.p.health.meanRTT, f.p.health.rttDeviation = 50_000, 10_000
 		f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 		f.at(800 * ms)
-		if got := f.p.healthy(f.p.workers["a"], 0); got != running {
+		if got := f.p.health.healthy(f.p.fleet.workers["a"], 0); got != running {
 			t.Errorf("yes means running %v: healthy %v after 0.8 s, want %v", running, got, running)
 		}
 	}
@@ -857,7 +857,7 @@
 	late := f.request("late", "safe", 1, 1)
 	late.DeadlineUs = f.now - 1
 	actions := f.at(ms, f.request("1", "safe", 97, 1), f.request("2", "large", 1, 193), late)
-	if len(of[Reject](actions)) != 3 || len(f.p.tasks) != 0 {
+	if len(of[Reject](actions)) != 3 || len(f.p.requests.tasks) != 0 {
 		t.Errorf("actions %v, want three refusals", actions)
 	}
 }
@@ -892,7 +892,7 @@
 			f.at(0, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900}, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: Completed, Final: true})
 		}
 	}
-	for _, worker := range f.p.sorted {
+	for _, worker := range f.p.fleet.sorted {
 		if seen[worker.Worker] < maxDeltas/2 || len(worker.deltas) > maxDeltas {
 			t.Errorf("%s: %d tasks, %d changes remembered", worker.Worker, seen[worker.Worker], len(worker.deltas))
 		}
@@ -970,7 +970,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			entry := Entry{Worker: "a", Kind: "large", FreeCores: 60, FreeMemory: 120}
 			f := newBed(t, testSettings(), 1, entry)
-			worker := f.p.workers["a"]
+			worker := f.p.fleet.workers["a"]
 			f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 			if c.heard != "" {
 				f.placed(f.at(ms, f.request("2", c.heard, 1, 2)), "a")
@@ -982,7 +982,7 @@
 				t.Errorf("in use for its class %v, for the other %v; want %v and %v", safe, large, c.safe, c.large)
 			}
 			f.at(10 * suspicionHalfLife)
-			if !f.p.healthy(worker, 0) {
+			if !f.p.health.healthy(worker, 0) {
 				t.Error("not let go")
 			}
 		})
@@ -1045,13 +1045,13 @@
 	s := testSettings()
 	s.Probes = true
 	f := newBed(t, s, 1, small("a", 0, 30))
-	worker := f.p.workers["a"]
+	worker := f.p.fleet.workers["a"]
 	f.at(ms, ProbeResult{Worker: "a", Outcome: Completed, Load: Load{24, 48, 1, 0}})
-	if worker.coresCalibration > 0.5 {
-		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", worker.coresCalibration)
+	if worker.calibration[resourceCores] > 0.5 {
+		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", worker.calibration[resourceCores])
 	}
-	worker.decayCalibration(f.now+10*calibrationHalfLife, calibrationHalfLife)
-	if worker.coresCalibration < 0.99 {
+	worker.decayCalibration(f.now + 10*calibrationHalfLife)
+	if worker.calibration[resourceCores] < 0.99 {
 		t.Error("not let go")
 	}
 }
@@ -1092,8 +1092,8 @@
 	// The clock jumps by two seconds, and outcomes come in any order.
 	f.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
 		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
-	if len(f.p.tasks) != 0 || len(f.p.workers["a"].unanswered) != 0 {
-		t.Errorf("%d tasks, %d unanswered left", len(f.p.tasks), len(f.p.workers["a"].unanswered))
+	if len(f.p.requests.tasks) != 0 || len(f.p.fleet.workers["a"].unanswered) != 0 {
+		t.Errorf("%d tasks, %d unanswered left", len(f.p.requests.tasks), len(f.p.fleet.workers["a"].unanswered))
 	}
 	var entries []Entry
 	for m := range 200 { // a fleet that grows in one list, all cold
@@ -1107,11 +1107,11 @@
 
 func TestOwnStallBlamesNobody(t *testing.T) {
 	f := newBed(t, testSettings(), 1, small("a", 0, 30))
-	f.p.meanRTT, f.p.rttDeviation = 20_000, 5_000
+	f.p.health.meanRTT, f.p.health.rttDeviation = 20_000, 5_000
 	f.placed(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	// No turn for two seconds; then the answer is found beside a new request.
 	f.placed(f.at(2*second, f.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
-	if suspicion := f.p.workers["a"].suspicion(f.now, 0); suspicion != 0 {
+	if suspicion := f.p.fleet.workers["a"].suspicion(f.now, 0); suspicion != 0 {
 		t.Errorf("suspicion %v after an own stall, want none", suspicion)
 	}
 }
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -29,7 +29,7 @@
 }
 
 func newReference(scheduler *Scheduler) *reference {
-	r := &reference{p: scheduler, machines: slices.Collect(maps.Values(scheduler.workers))}
+	r := &reference{p: scheduler, machines: slices.Collect(maps.Values(scheduler.fleet.workers))}
 	slices.SortFunc(r.machines, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
 	r.rho, r.mean = r.fleet()
 	return r
@@ -48,7 +48,7 @@
 
 func (r *reference) load(worker *workerInfo) (cores, memory float64) {
 	kind := r.p.settings.Kinds[worker.kindIndex]
-	at, freeCores, freeMemory := worker.viewedAt-r.p.lag, worker.FreeCores, worker.FreeMemory
+	at, freeCores, freeMemory := worker.viewedAt-r.p.loads.lag, worker.FreeCores, worker.FreeMemory
 	if reported := worker.reportedAt - reportLag; worker.reportsFree && reported > at {
 		at, freeCores, freeMemory = reported, worker.lastReport.FreeCores, worker.lastReport.FreeMemory
 	}
@@ -76,13 +76,13 @@
 	scheduler := r.p
 	kind := scheduler.settings.Kinds[worker.kindIndex]
 	coresFactor, memoryFactor := scheduler.settings.CoresOvercommit, scheduler.settings.MemoryOvercommit
-	if scheduler.reportedRequests[0] > 0 && scheduler.reportedUsage[0] > 0 {
-		coresFactor = min(coresFactor, r.calm()*scheduler.reportedRequests[0]/scheduler.reportedUsage[0])
+	if scheduler.capacity.requested[0] > 0 && scheduler.capacity.used[0] > 0 {
+		coresFactor = min(coresFactor, r.calm()*scheduler.capacity.requested[0]/scheduler.capacity.used[0])
 	}
-	if scheduler.reportedRequests[1] > 0 && scheduler.reportedUsage[1] > 0 {
-		memoryFactor = min(memoryFactor, memorySaturation*scheduler.reportedRequests[1]/scheduler.reportedUsage[1])
+	if scheduler.capacity.requested[1] > 0 && scheduler.capacity.used[1] > 0 {
+		memoryFactor = min(memoryFactor, memorySaturation*scheduler.capacity.requested[1]/scheduler.capacity.used[1])
 	}
-	return kind.Cores * coresFactor * r.bent(worker, worker.coresCalibration), kind.Memory * memoryFactor * r.bent(worker, worker.memoryCalibration)
+	return kind.Cores * coresFactor * r.bent(worker, worker.calibration[resourceCores]), kind.Memory * memoryFactor * r.bent(worker, worker.calibration[resourceMemory])
 }
 
 func (r *reference) share(worker *workerInfo) float64 {
@@ -124,7 +124,7 @@
 
 func (r *reference) othersBinds() (shares [2]float64) {
 	scheduler := r.p
-	if !scheduler.overloaded || !scheduler.settings.HasView {
+	if !scheduler.overload.active || !scheduler.settings.HasView {
 		return shares
 	}
 	var net, squares, capacity [2]float64
@@ -135,7 +135,7 @@
 		kind := scheduler.settings.Kinds[worker.kindIndex]
 		capacity[0], capacity[1] = capacity[0]+kind.Cores, capacity[1]+kind.Memory
 		for _, d := range worker.deltas {
-			if d.at > worker.viewedAt-scheduler.lag {
+			if d.at > worker.viewedAt-scheduler.loads.lag {
 				net[0], net[1] = net[0]+d.cores, net[1]+d.memory
 				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.memory*d.memory
 			}
@@ -263,13 +263,13 @@
 
 func (r *reference) patience() int64 {
 	if r.p.settings.AcceptMeansRunning {
-		return max(int64(r.p.meanRTT+8*r.p.rttDeviation), second)
+		return max(int64(r.p.health.meanRTT+8*r.p.health.rttDeviation), second)
 	}
-	return max(int64(r.p.meanRTT+4*r.p.rttDeviation), second/8)
+	return max(int64(r.p.health.meanRTT+4*r.p.health.rttDeviation), second/8)
 }
 
 func (r *reference) healthy(worker *workerInfo, classIndex int) bool {
-	if r.p.meanRTT > 0 {
+	if r.p.health.meanRTT > 0 {
 		if len(worker.unanswered) > 0 && r.p.now-worker.unanswered[0].sentAt > r.patience() {
 			return false
 		}
@@ -289,9 +289,9 @@
 		return task.Cores <= kind.Cores*scheduler.settings.CoresOvercommit && task.Memory <= kind.Memory*scheduler.settings.MemoryOvercommit, false
 	}
 	cores, memory := r.load(worker)
-	if scheduler.overloaded {
-		cores += min(scheduler.contention*kind.Cores, max(0, worker.FreeCores-worker.sustainedFreeCores)) + scheduler.concurrentPlacements[0]*kind.Cores
-		memory += min(scheduler.contention*kind.Memory, max(0, worker.FreeMemory-worker.sustainedFreeMemory)) + scheduler.concurrentPlacements[1]*kind.Memory
+	if scheduler.overload.active {
+		cores += min(scheduler.overload.contention*kind.Cores, max(0, worker.FreeCores-worker.sustainedFree[resourceCores])) + scheduler.overload.concurrent[0]*kind.Cores
+		memory += min(scheduler.overload.contention*kind.Memory, max(0, worker.FreeMemory-worker.sustainedFree[resourceMemory])) + scheduler.overload.concurrent[1]*kind.Memory
 	}
 	withinBound := func(value, bound float64) bool {
 		border = border || math.Abs(value-bound) <= referenceSlack*max(1, bound)
@@ -382,7 +382,7 @@
 
 func (r *reference) candidates(task *taskInfo) (list []candidate) {
 	for _, worker := range r.machines {
-		if !r.allowed(worker, task) || task.priority*reservationFactor < r.p.reservations[worker] {
+		if !r.allowed(worker, task) || task.priority*reservationFactor < r.p.reservations.priorities[worker] {
 			continue
 		}
 		failed := slices.ContainsFunc(task.attempts, func(attempt *attemptInfo) bool { return attempt.failed && attempt.worker == worker })
@@ -424,7 +424,7 @@
 		healthy, path = []*workerInfo{leastSuspect}, pathFallback
 	}
 	for _, worker := range healthy {
-		if worker.awaitsFirstTask && effect != Unsafe {
+		if worker.uncordonedIdle && effect != Unsafe {
 			return choice{[]*workerInfo{worker}, []*workerInfo{worker}, nil, false, pathReturned}
 		}
 	}
@@ -544,10 +544,10 @@
 func (r *reference) compareKeep(task *taskInfo, got *workerInfo) error {
 	scheduler := r.p
 	var want []*workerInfo
-	if scheduler.settings.HasView && len(scheduler.reservations)*2 < len(r.machines) {
+	if scheduler.settings.HasView && len(scheduler.reservations.priorities)*2 < len(r.machines) {
 		lowest, needs := math.Inf(1), map[*workerInfo]float64{}
 		for _, worker := range r.machines {
-			if scheduler.reservations[worker] > 0 || !r.allowed(worker, task) || !r.healthy(worker, task.classIndex) {
+			if scheduler.reservations.priorities[worker] > 0 || !r.allowed(worker, task) || !r.healthy(worker, task.classIndex) {
 				continue
 			}
 			cores, memory := r.load(worker)
@@ -574,14 +574,14 @@
 // compareSums checks what is summed over the fleet.
 func (r *reference) compareSums() error {
 	scheduler := r.p
-	utilization, mean := scheduler.meanUtilization()
-	others, wantOthers := scheduler.estimateConcurrentPlacements(), r.othersBinds()
+	utilization, mean := scheduler.totals.means()
+	others, wantOthers := scheduler.overload.estimateConcurrent(), r.othersBinds()
 	for _, c := range []struct {
 		name      string
 		got, want float64
 	}{
-		{"asked share of the fleet", utilization, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", scheduler.fleetRequestedCores(), r.askedCores()},
-		{"room", scheduler.freeUnits(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
+		{"asked share of the fleet", utilization, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", scheduler.fleet.requestedCores(), r.askedCores()},
+		{"room", scheduler.totals.freeUnits(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
 	} {
 		if c.got != c.want && math.Abs(c.got-c.want) > referenceSlack*max(1, math.Abs(c.want)) {
 			return fmt.Errorf("%s: %v, the full scan gives %v", c.name, c.got, c.want)
--- /dev/null
+++ b/placement/requests.go
@@ -0,0 +1,236 @@
+package placement
+
+// This file owns the life of every request, from its arrival to its response or completion,
+// and gives the parts below notice of it. It must never select a worker.
+
+const (
+	// fullServiceFrom is the service from which on a worker is taken to serve fully, and
+	// nearSaturation the part of memorySaturation up to which its memory is taken to suffice.
+	fullServiceFrom = 0.95
+	nearSaturation  = 0.95
+	// taskConfidence is how far one task's report is believed.
+	taskConfidence = 0.5
+)
+
+// requests knows all requests without a response and all running tasks.
+type requests struct {
+	*environment
+	queue       *queue
+	quotas      *quotas
+	capacity    *capacityModel
+	fleet       *fleet
+	loads       *loadTracker
+	residents   *residents
+	health      *health
+	overload    *overload
+	calibration *calibration
+	migration   *migration
+
+	tasks        map[string]*taskInfo // by request ID
+	classIndexes map[string]int
+}
+
+func newRequests(r requests) *requests {
+	r.tasks, r.classIndexes = map[string]*taskInfo{}, map[string]int{}
+	for i := range r.settings.Classes {
+		r.classIndexes[r.settings.Classes[i].Name] = i
+	}
+	return &r
+}
+
+// add takes a request. One that can never be placed is rejected at once.
+func (r *requests) add(submitted Task) {
+	if r.tasks[submitted.RequestID] != nil {
+		return
+	}
+	classIndex, ok := r.classIndexes[submitted.Class]
+	if !ok || submitted.DeadlineUs <= r.now || !r.fitsAnyKind(classIndex, submitted) {
+		r.emit(Reject{RequestID: submitted.RequestID})
+		return
+	}
+	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: r.now, queuedSince: r.now}
+	if submitted.QueuedSinceUs > 0 {
+		task.queuedSince = min(task.queuedSince, submitted.QueuedSinceUs)
+	}
+	r.tasks[submitted.RequestID] = task
+	r.queue.add(task)
+}
+
+// fitsAnyKind reports whether a worker of any kind could run a task when empty.
+func (r *requests) fitsAnyKind(classIndex int, task Task) bool {
+	class := &r.settings.Classes[classIndex]
+	if class.Spread != ScopeNone && class.MaxPerDomain < 1 {
+		return false
+	}
+	for i, kind := range r.settings.Kinds {
+		if (class.Kind < 0 || class.Kind == i) &&
+			task.Cores <= kind.Cores*r.settings.CoresOvercommit &&
+			task.Memory <= kind.Memory*r.settings.MemoryOvercommit {
+			return true
+		}
+	}
+	return false
+}
+
+// adopt takes over a task that runs. The view has it already.
+func (r *requests) adopt(event Adopted) {
+	classIndex, ok := r.classIndexes[event.Class]
+	if !ok || r.tasks[event.RequestID] != nil {
+		return
+	}
+	worker := r.fleet.ensure(event.Worker)
+	task := &taskInfo{
+		Task: event.Task, classIndex: classIndex, arrivedAt: r.now, accepted: true,
+		attempts: []*attemptInfo{{worker: worker, sentAt: r.now}},
+	}
+	r.tasks[event.RequestID] = task
+	r.residents.add(worker, task.Program)
+	r.quotas.start(task)
+	worker.addRunning(r.now, task)
+}
+
+// cancel ends a request that its client cancelled. An attempt that has not ended counts for
+// the spread until it has.
+func (r *requests) cancel(requestID string) {
+	task := r.tasks[requestID]
+	if task == nil || task.accepted {
+		return
+	}
+	r.queue.remove(task)
+	task.cancelled = true
+	if len(task.attempts) == 0 || task.lastAttempt().ended {
+		r.forget(task)
+	}
+}
+
+// respond gives the final response to a request that no worker accepted: a rejection where a
+// retry is harmless, else a failure.
+func (r *requests) respond(task *taskInfo) {
+	if retryIsHarmless(r.classOf(task), task) {
+		r.emit(Reject{RequestID: task.RequestID})
+	} else {
+		r.emit(Fail{RequestID: task.RequestID})
+	}
+	r.forget(task)
+}
+
+// forget forgets a request that has its final response, or a task that has ended.
+func (r *requests) forget(task *taskInfo) {
+	r.queue.remove(task)
+	if task.accepted {
+		r.quotas.end(task)
+		task.lastAttempt().worker.removeRunning(task)
+	}
+	r.capacity.forgetUsage(task)
+	for _, attempt := range task.attempts {
+		if attempt.ended {
+			continue
+		}
+		attempt.ended = true
+		if attempt.awaitingResponse {
+			attempt.stopWaiting()
+		}
+		r.residents.end(attempt.worker, task.Program, r.now)
+	}
+	delete(r.tasks, task.RequestID)
+}
+
+// attemptAccepted takes it that a worker accepted an attempt.
+func (r *requests) attemptAccepted(event Accepted) {
+	task := r.tasks[event.RequestID]
+	if task == nil || task.accepted || task.cancelled {
+		return
+	}
+	attempt := task.attempt(event.Attempt)
+	if attempt == nil {
+		return
+	}
+	task.accepted = true
+	r.queue.remove(task)
+	r.health.recordRTT(attempt, event.RTTUs)
+	if !r.settings.AcceptMeansRunning {
+		r.loads.redateDelta(attempt)
+		attempt.starting = true
+	}
+	r.health.recordAccepted(attempt.worker, task.classIndex)
+	r.overload.offerAccepted()
+	r.quotas.start(task)
+	attempt.worker.addRunning(r.now, task)
+	r.dirty = true
+}
+
+// attemptEnded takes the end of an attempt, which is also the end of a running task.
+func (r *requests) attemptEnded(event AttemptEnded) {
+	task := r.tasks[event.RequestID]
+	if task == nil {
+		return
+	}
+	attempt := task.attempt(event.Attempt)
+	if attempt == nil || attempt.ended {
+		return
+	}
+	attempt.ended, r.dirty = true, true
+	wasRunning := task.accepted && attempt == task.lastAttempt()
+	r.health.recordOutcome(task, attempt, event, wasRunning)
+	r.residents.end(attempt.worker, task.Program, r.now)
+	if event.Outcome.neverRan() {
+		r.loads.removeDelta(attempt)
+	} else {
+		r.loads.addDelta(attempt.worker, -task.Cores, -task.Memory)
+	}
+	if event.Outcome == Rejected && (event.Cause == CauseCores || event.Cause == CauseMemory) {
+		r.overload.offerRejected()
+		r.loads.recordRejection(attempt.worker, task, event.Cause)
+	}
+	if wasRunning || event.Final || task.cancelled {
+		r.forget(task)
+		return
+	}
+	if event.Outcome.neverRan() {
+		task.copyRunning = task.copyRunning || task.mayHaveRun != nil && event.Cause == CauseWrongWorker
+	} else if task.mayHaveRun == nil {
+		task.mayHaveRun = attempt
+	}
+	r.queue.add(task)
+}
+
+// neverRan reports whether the outcome of an attempt says that the task never ran.
+func (o Outcome) neverRan() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
+
+// taskReported takes a report of a running task: how much of what it requested it uses, how
+// well its worker serves it, and how full that worker's memory is.
+func (r *requests) taskReported(event TaskReport) {
+	task := r.tasks[event.RequestID]
+	if task == nil {
+		return
+	}
+	attempt := task.attempt(event.Attempt)
+	if attempt == nil {
+		return
+	}
+	running := task.accepted && !attempt.ended
+	switch event.Kind {
+	case ReportRunning:
+		attempt.starting = false
+	case ReportCores:
+		if task.Cores > 0 && running {
+			r.capacity.recordUsage(task, resourceCores, event.Value)
+		}
+	case ReportMemory:
+		if task.Memory > 0 && running {
+			r.capacity.recordUsage(task, resourceMemory, event.Value)
+		}
+	case ReportService:
+		saturationLoad, saturationRange := r.capacity.saturationLoad, r.capacity.saturationRange
+		r.calibration.learn(attempt.worker, measurement{
+			resource: resourceCores, used: saturationLoad + saturationRange*(1-event.Value), target: saturationLoad,
+			poor: event.Value < fullServiceFrom, confidence: taskConfidence,
+		})
+		r.migration.relieve(attempt.worker, event.Value)
+	case ReportMemoryPressure:
+		r.calibration.learn(attempt.worker, measurement{
+			resource: resourceMemory, used: event.Value, target: memorySaturation,
+			poor: event.Value > memorySaturation*nearSaturation, confidence: taskConfidence,
+		})
+	}
+}
--- /dev/null
+++ b/placement/scheduler.go
@@ -0,0 +1,177 @@
+package placement
+
+import (
+	"fmt"
+	"math/rand/v2"
+)
+
+// This file owns the scheduler as a whole: it creates the parts and hands events to them. It
+// must never decide anything itself.
+
+// Scheduler decides which worker each task goes to, for one orchestrator. It is not safe for
+// concurrent use.
+type Scheduler struct {
+	*environment
+	capacity     *capacityModel
+	index        *workerIndex
+	reservations *reservations
+	residents    *residents
+	affinity     *affinity
+	loads        *loadTracker
+	fleet        *fleet
+	calibration  *calibration
+	totals       *totals
+	overload     *overload
+	spread       *spread
+	slowStart    *slowStart
+	health       *health
+	view         *view
+	search       *search
+	quotas       *quotas
+	queue        *queue
+	migration    *migration
+	requests     *requests
+	pass         *schedulingPass
+	discovery    *discovery
+	timer        *timer
+}
+
+// New returns a scheduler, whose random draws follow from the seed. It returns a
+// [SettingError] for each setting that is missing or contradictory, joined.
+func New(settings Settings, seed uint64) (*Scheduler, error) {
+	if err := settings.check(); err != nil {
+		return nil, fmt.Errorf("ravenhitch: %w", err)
+	}
+	random := rand.New(rand.NewPCG(seed, uint64(settings.SelfIndex)))
+	env := &environment{settings: settings, random: random, startedAt: notStarted}
+	s := &Scheduler{environment: env}
+	s.createFleet()
+	s.createEstimators()
+	s.createDecisions()
+	return s, nil
+}
+
+// createFleet creates the parts that know the workers.
+func (s *Scheduler) createFleet() {
+	s.capacity = newCapacityModel(s.environment)
+	s.index = newWorkerIndex(len(s.settings.Kinds))
+	s.reservations = newReservations(s.index)
+	s.residents = newResidents()
+	s.affinity = newAffinity()
+	s.loads = &loadTracker{
+		environment: s.environment, capacity: s.capacity, index: s.index, reservations: s.reservations,
+		lag: initialLagSteps * lagStep,
+	}
+	s.fleet = &fleet{
+		environment: s.environment, capacity: s.capacity, loads: s.loads, residents: s.residents,
+		affinity: s.affinity, workers: map[string]*workerInfo{},
+		unlisted: map[*workerInfo]bool{}, uncordoned: map[*workerInfo]bool{},
+	}
+}
+
+// createEstimators creates the parts that learn and sum up.
+func (s *Scheduler) createEstimators() {
+	s.calibration = &calibration{environment: s.environment, capacity: s.capacity, loads: s.loads}
+	s.totals = &totals{
+		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
+		calibration: s.calibration,
+	}
+	s.overload = &overload{
+		environment: s.environment, fleet: s.fleet, loads: s.loads,
+		reservedUnits: make([]float64, len(s.settings.Classes)),
+	}
+	s.spread = &spread{residents: s.residents}
+	s.slowStart = &slowStart{environment: s.environment}
+	s.health = &health{environment: s.environment}
+	s.view = &view{
+		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
+		calibration: s.calibration,
+	}
+}
+
+// createDecisions creates the parts that decide.
+func (s *Scheduler) createDecisions() {
+	s.search = newSearch(search{
+		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
+		residents: s.residents,
+		filter: &filter{
+			environment: s.environment, loads: s.loads, capacity: s.capacity, reservations: s.reservations,
+			health: s.health, slowStart: s.slowStart, spread: s.spread, overload: s.overload,
+		},
+		scorer: &scorer{
+			environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
+			totals: s.totals, slowStart: s.slowStart, view: s.view,
+			kinds: make([]kindCost, len(s.settings.Kinds)),
+		},
+	})
+	s.quotas = newQuotas(s.environment, s.fleet)
+	s.queue = &queue{environment: s.environment, quotas: s.quotas}
+	s.migration = &migration{
+		environment: s.environment, loads: s.loads, capacity: s.capacity, search: s.search,
+	}
+	s.requests = newRequests(requests{
+		environment: s.environment, queue: s.queue, quotas: s.quotas, capacity: s.capacity,
+		fleet: s.fleet, loads: s.loads, residents: s.residents, health: s.health,
+		overload: s.overload, calibration: s.calibration, migration: s.migration,
+	})
+	s.pass = &schedulingPass{
+		environment: s.environment, fleet: s.fleet, loads: s.loads, reservations: s.reservations,
+		residents: s.residents, health: s.health, overload: s.overload, totals: s.totals, view: s.view,
+		search: s.search, queue: s.queue, requests: s.requests, unschedulable: map[taskShape]bool{},
+	}
+	s.discovery = &discovery{environment: s.environment}
+	s.timer = &timer{environment: s.environment, queue: s.queue, discovery: s.discovery}
+}
+
+// Handle takes what happened at now, in microseconds, and returns what to do, in order.
+func (s *Scheduler) Handle(now int64, events []Event) []Action {
+	s.now, s.actions = now, nil
+	if s.startedAt < 0 {
+		s.startedAt = now
+		s.discovery.start()
+	}
+	for _, event := range events {
+		s.handleEvent(event)
+	}
+	s.pass.run()
+	s.discovery.poll()
+	s.timer.set()
+	return s.actions
+}
+
+// handleEvent hands an event to the part that takes it.
+func (s *Scheduler) handleEvent(event Event) {
+	switch event := event.(type) {
+	case WorkerList:
+		s.discovery.listed(event.Kind)
+		if event.Kind != ListFailed {
+			s.view.apply(event)
+		}
+	case Request:
+		s.requests.add(event.Task)
+	case Adopted:
+		s.requests.adopt(event)
+	case Accepted:
+		s.requests.attemptAccepted(event)
+	case AttemptEnded:
+		s.requests.attemptEnded(event)
+	case TaskReport:
+		s.requests.taskReported(event)
+	case ClientCancelled:
+		s.requests.cancel(event.RequestID)
+	case ProbeResult:
+		s.view.probeEnded(event)
+	case WorkerReachable:
+		s.health.recordReachable(s.fleet.workers[event.Worker])
+	case Backpressure:
+		s.overload.apply(event)
+	case TimerFired:
+		s.timer.fired()
+	}
+}
+
+// Avoids reports whether a worker gets no task of any class, as it is suspected.
+func (s *Scheduler) Avoids(name string) bool {
+	worker := s.fleet.workers[name]
+	return worker != nil && s.health.ejected(worker)
+}
--- a/placement/search.go
+++ b/placement/search.go
@@ -1,214 +1,308 @@
 package placement
 
-// This file holds what one search for a machine knows: bounds of room and cost by kind,
-// and what was found so far. It decides nothing.
+import (
+	"cmp"
+	"math"
+	"math/bits"
+	"slices"
+)
 
-import "math"
+// This file owns the search for the worker of a task: it filters and scores candidates from
+// the index, and draws among those of near-equal score. It must never change what is known of
+// a worker, nor allocate.
 
-// search is one search. Its slices are used again by the next one.
-type search struct {
-	number                 int64 // of searches so far
-	evaluated              int   // machines that it looked at one by one
-	task                   *taskInfo
-	class                  *Class
-	utilization, meanCores float64 // of the fleet, as fleet has them
-	kindCosts              []kindCost
-	limits                 []loadLimit // by kind: what a machine with room for the task is asked for
-	taskFractions          []fractions // by kind: what the task asks, as parts of what machines bear
-	scored                 []scoredWorker
-	minCost                float64       // cost of what was found
-	finalists              []*workerInfo // found at near the least cost
-	suspects               []*workerInfo // with room, and looking bad
-}
+// costMargin is how far above the lowest admission cost still counts as equal: about what one
+// small task adds, which a late view cannot tell apart.
+const costMargin = 0.02
 
-func newSearch(kinds int) search {
-	return search{kindCosts: make([]kindCost, kinds), taskFractions: make([]fractions, kinds), limits: make([]loadLimit, kinds)}
-}
+// maxSuspectAttempts is how many unanswered attempts a suspect worker may have where all are
+// suspect.
+const maxSuspectAttempts = 2
 
-// scoredWorker is a machine that the task can go to, and its admission cost there.
+// scoredWorker is a worker that passed the filters, and its score.
 type scoredWorker struct {
 	worker *workerInfo
 	cost   float64
 }
 
-// kindCost are the terms of the admission cost that machines of one kind have in common.
-type kindCost struct {
-	hasView  bool
-	base     float64 // added to the backlog where the task's program is not known to be
-	taskSize float64 // of the task, where nothing bends what machines bear
-	weight   float64 // of the kind's cores over the mean
+// search finds workers for tasks. Its slices are used again by the next search.
+type search struct {
+	*environment
+	fleet     *fleet
+	loads     *loadTracker
+	capacity  *capacityModel
+	residents *residents
+	filter    *filter
+	scorer    *scorer
+
+	number        int64 // of searches so far
+	evaluated     int   // workers that the present search looked at one by one
+	task          *taskInfo
+	class         *Class
+	limits        []loadLimit // by kind: what is requested of a worker that fits the task
+	taskFractions []fractions // by kind: what the task adds to the utilization of a worker
+	scored        []scoredWorker
+	lowestCost    float64                // of the scored workers
+	nearLowest    []*workerInfo          // that are scored near the lowest cost
+	suspects      []*workerInfo          // that fit and are not healthy
+	visit         func(*workerInfo) bool // evaluate, bound once
+	ordinals      ordinalSet
+}
+
+func newSearch(s search) *search {
+	kinds := len(s.settings.Kinds)
+	s.limits, s.taskFractions = make([]loadLimit, kinds), make([]fractions, kinds)
+	s.visit = s.evaluate
+	return &s
 }
 
-// cost is the least cost of a machine of the kind that is asked for a share or more, and
-// that is none of those looked at by themselves.
-func (k *kindCost) cost(requested, utilization float64) float64 {
-	if !k.hasView {
-		requested = utilization
+// selectWorker returns the worker for a task, or nil where it has to wait.
+func (s *search) selectWorker(task *taskInfo) *workerInfo {
+	finalists := s.finalists(task)
+	if len(finalists) == 0 {
+		return nil
 	}
-	return cost(requested+k.base, k.taskSize, k.weight, utilization)
+	return s.ordinals.nth(finalists, s.random.IntN(len(finalists)), len(s.fleet.sorted))
 }
 
-// beginSearch starts a search for t among the machines that may have room for it.
-func (p *Scheduler) beginSearch(task *taskInfo) *search {
-	p.refreshIndex()
-	s, baseline := &p.search, p.index.baseline
+// finalists returns the workers among which that of a task is drawn, or none where it has to
+// wait.
+func (s *search) finalists(task *taskInfo) []*workerInfo {
+	finalists := s.cheapest(task)
+	if len(finalists) == 0 {
+		return s.fallback(task)
+	}
+	if worker := s.uncordonedWorker(task); worker != nil {
+		return append(finalists[:0], worker)
+	}
+	return finalists
+}
+
+// begin starts a search for a task among the workers that may have free capacity for it.
+func (s *search) begin(task *taskInfo) {
+	s.fleet.refresh()
+	baseline := s.loads.index.baseline
 	s.number++
 	s.evaluated = 0
-	s.task, s.class, s.minCost = task, &p.settings.Classes[task.classIndex], math.Inf(1)
-	s.scored, s.finalists, s.suspects = s.scored[:0], s.finalists[:0], s.suspects[:0]
-	for i := range p.settings.Kinds {
-		kind := &p.settings.Kinds[i]
-		taskSize := fractions{task.Cores / kind.Cores, task.Memory / kind.Memory}
-		s.kindCosts[i].taskSize = max(taskSize.cores/baseline.cores, taskSize.memory/baseline.memory)
-		s.limits[i] = p.admissionLimit(task, i, taskSize)
-	}
-	return s
-}
-
-// prepareCosts adds to a search what machines of each kind cost.
-func (p *Scheduler) prepareCosts(s *search) {
-	s.utilization, s.meanCores = p.meanUtilization()
-	s.utilization = min(s.utilization, maxUtilization)
-	for i := range s.kindCosts {
-		cost := &s.kindCosts[i]
-		cost.hasView, cost.base, cost.weight = p.settings.HasView, 0, p.settings.Kinds[i].Cores/s.meanCores
-		if s.task.Program != 0 {
-			cost.base = missPenalty
-		}
+	s.task, s.class, s.lowestCost = task, s.classOf(task), math.Inf(1)
+	s.scored, s.nearLowest, s.suspects = s.scored[:0], s.nearLowest[:0], s.suspects[:0]
+	for i := range s.settings.Kinds {
+		kind := &s.settings.Kinds[i]
+		size := fractions{task.Cores / kind.Cores, task.Memory / kind.Memory}
+		utilization := max(size.cores/baseline.cores, size.memory/baseline.memory)
+		s.scorer.kinds[i].size = utilization
+		s.limits[i] = s.filter.limit(task, i, size, utilization)
 	}
 }
 
-// loadLimit is what a machine of a kind that has room for t is asked for (see fits).
-func (p *Scheduler) admissionLimit(task *taskInfo, kindIndex int, taskSize fractions) loadLimit {
-	class := &p.settings.Classes[task.classIndex]
-	if class.Kind >= 0 && class.Kind != kindIndex {
-		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
-	}
-	overcommit := fractions{p.settings.CoresOvercommit, p.settings.MemoryOvercommit}
-	if !p.settings.HasView {
-		return loadLimit{max: overcommit.minus(taskSize)}
-	}
-	if p.overloaded {
-		taskSize.cores += p.concurrentPlacements[0]
-		taskSize.memory += p.concurrentPlacements[1]
+// cheapest returns the workers for a task whose admission cost is near the lowest, in no order.
+func (s *search) cheapest(task *taskInfo) []*workerInfo {
+	s.begin(task)
+	s.scorer.prepare(task)
+	if task.Program != 0 {
+		s.evaluateAll(s.residents.workers[task.Program])
+		s.evaluateAll(s.fleet.preferredFor(task.Program))
 	}
-	limit := loadLimit{max: p.index.baseline.minus(taskSize), calibratedMax: overcommit.minus(taskSize)}
-	if size := p.search.kindCosts[kindIndex].taskSize; p.now-task.arrivedAt > class.ObjectiveUs/4 {
-		// A large task that has waited is not held to what machines bear; it is large where
-		// one bears little.
-		if limit.calibrationBelow = size / largeTaskShare; limit.calibrationBelow > 1 {
-			limit.max = limit.calibratedMax
+	inverse := s.loads.index.inverseBaseline
+	s.loads.index.walk(levelWalk{limits: s.limits, random: s.random, visit: s.visit,
+		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
+			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
+			lowest := s.scorer.kinds[kindIndex].atLeast(utilization, s.scorer.utilization)
+			return lowest <= s.lowestCost+costMargin+roundingSlack
+		},
+	})
+	for _, candidate := range s.scored {
+		if candidate.cost <= s.lowestCost+costMargin {
+			s.nearLowest = append(s.nearLowest, candidate.worker)
 		}
 	}
-	return limit
+	return s.nearLowest
 }
 
-// evaluateAll looks at some machines by themselves: at all of a few, and from anywhere at
-// those of many.
-func (p *Scheduler) evaluateAll(workers []*workerInfo) {
+// evaluateAll looks at some workers by themselves: at all of a few, and from anywhere at those
+// of many.
+func (s *search) evaluateAll(workers []*workerInfo) {
 	first := 0
 	if len(workers) > maxEnumerated {
-		first = p.random.IntN(len(workers))
+		first = s.random.IntN(len(workers))
 	}
 	for i := range workers {
-		if !p.evaluate(workers[(first+i)%len(workers)]) {
+		if !s.evaluate(workers[(first+i)%len(workers)]) {
 			return
 		}
 	}
 }
 
-// lowestCost returns the machines for t whose admission cost is near the lowest, in no order.
-func (p *Scheduler) lowestCost(task *taskInfo) []*workerInfo {
-	s := p.beginSearch(task)
-	p.prepareCosts(s)
-	if task.Program != 0 {
-		p.evaluateAll(p.residents[task.Program])
-		p.evaluateAll(p.preferredFor(task.Program))
-	}
-	inverse := p.index.inverseBaseline
-	p.walkLevels(levelWalk{limits: s.limits, randomStart: true, visit: p.visitCandidate,
-		matters: func(kindIndex int, requested fractions, floor float64) bool {
-			utilization := max(floor, requested.cores*inverse.cores, requested.memory*inverse.memory)
-			return s.kindCosts[kindIndex].cost(utilization, s.utilization) <= s.minCost+costMargin+roundingSlack
-		},
-	})
-	for _, candidate := range s.scored {
-		if candidate.cost <= s.minCost+costMargin {
-			s.finalists = append(s.finalists, candidate.worker)
-		}
-	}
-	return s.finalists
-}
-
-// evaluate looks whether the task of the search can go to m, and at what cost. It reports
-// whether to look on.
-func (p *Scheduler) evaluate(worker *workerInfo) bool {
-	s := &p.search
+// evaluate filters and scores one worker for the task of the search, and reports whether to go
+// on.
+func (s *search) evaluate(worker *workerInfo) bool {
 	if worker.lastSearch == s.number {
 		return true
 	}
 	worker.lastSearch = s.number
 	s.evaluated++
-	task := s.task
-	if !p.available(worker, s.class, task) || !p.fits(worker, task) {
+	if !s.filter.feasible(worker, s.class, s.task) || !s.filter.fits(worker, s.task) {
 		return true
 	}
-	if !p.healthyFor(worker, task) {
+	if !s.filter.healthy(worker, s.task) {
 		s.suspects = append(s.suspects, worker)
 		return true
 	}
-	candidate := scoredWorker{worker, p.admissionCost(worker, task)}
-	s.scored = append(s.scored, candidate)
-	s.minCost = min(s.minCost, candidate.cost)
+	cost := s.scorer.score(worker, s.task)
+	s.scored = append(s.scored, scoredWorker{worker, cost})
+	s.lowestCost = min(s.lowestCost, cost)
 	return len(s.scored) < maxEnumerated
 }
 
-// fitsElsewhere reports whether a healthy machine other than m has room for t.
-func (p *Scheduler) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
-	p.beginSearch(task)
-	class, found := &p.settings.Classes[task.classIndex], false
-	p.walkLevels(levelWalk{limits: p.search.limits, randomStart: true,
+// uncordonedWorker returns a worker that operators uncordoned, if a task can go there: one task
+// shows that it is in use again.
+func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
+	class := s.classOf(task)
+	for worker := range s.fleet.uncordoned {
+		switch {
+		case !worker.uncordonedIdle:
+			delete(s.fleet.uncordoned, worker)
+		case class.Effect == Unsafe || !s.filter.feasible(worker, class, task) ||
+			!s.filter.healthy(worker, task) || !s.filter.fits(worker, task):
+		case found == nil || worker.ordinal < found.ordinal:
+			found = worker
+		}
+	}
+	return found
+}
+
+// fallback returns the worker for a task where each that fits is suspect, as the last search
+// found: the least suspect one, or none.
+func (s *search) fallback(task *taskInfo) []*workerInfo {
+	suspects := s.suspects
+	if len(suspects) == 0 || s.classOf(task).Effect != Safe && s.majorityHealthy(task) {
+		// A worker that fails fast looks empty: where most are healthy but full, a task waits
+		// for them, unless trying again is safe.
+		return nil
+	}
+	// Most look bad: suspect the network or the load, not them, and go on with the least
+	// suspect, few attempts at a time each: what gets no answer uses up attempts that tasks
+	// need later.
+	suspects = slices.DeleteFunc(suspects, func(worker *workerInfo) bool {
+		return len(worker.unanswered) >= maxSuspectAttempts
+	})
+	if len(suspects) == 0 {
+		return nil
+	}
+	slices.SortFunc(suspects, func(a, b *workerInfo) int {
+		return cmp.Or(cmp.Compare(a.suspicion(s.now, task.classIndex), b.suspicion(s.now, task.classIndex)),
+			cmp.Compare(a.ordinal, b.ordinal))
+	})
+	return suspects[:1]
+}
+
+// majorityHealthy reports whether more of the feasible workers are healthy than not.
+func (s *search) majorityHealthy(task *taskInfo) bool {
+	class := s.classOf(task)
+	balance := 0
+	for _, worker := range s.fleet.sorted {
+		if !s.filter.feasible(worker, class, task) {
+			continue
+		}
+		if s.filter.healthy(worker, task) {
+			balance++
+		} else {
+			balance--
+		}
+	}
+	return balance > 0
+}
+
+// fitsElsewhere reports whether a healthy worker other than the given one fits a task.
+func (s *search) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
+	s.begin(task)
+	class, found := s.classOf(task), false
+	s.loads.index.walk(levelWalk{limits: s.limits, random: s.random,
 		matters: func(int, fractions, float64) bool { return true },
 		visit: func(other *workerInfo) bool {
-			found = other != worker && p.allowed(other, class, task) && p.healthy(other, task.classIndex) && p.fits(other, task)
+			found = other != worker && s.filter.permits(other, class, task) &&
+				s.filter.health.healthy(other, task.classIndex) && s.filter.fits(other, task)
 			return !found
 		},
 	})
 	return found
 }
 
-// closestToFitting returns the machine that lacks least to have room for t, of those that are
-// not kept, or nil.
-func (p *Scheduler) closestToFitting(t *taskInfo) *workerInfo {
-	p.refreshIndex()
-	class, inverse := &p.settings.Classes[t.classIndex], p.index.inverseBaseline
-	for i := range p.settings.Kinds {
-		kind := &p.settings.Kinds[i]
-		p.search.taskFractions[i] = fractions{t.Cores / kind.Cores * inverse.cores, t.Memory / kind.Memory * inverse.memory}
+// closestToFitting returns the worker that lacks least to fit a task, of those that are not
+// reserved, or nil.
+func (s *search) closestToFitting(task *taskInfo) *workerInfo {
+	s.fleet.refresh()
+	class, inverse := s.classOf(task), s.loads.index.inverseBaseline
+	for i := range s.settings.Kinds {
+		kind := &s.settings.Kinds[i]
+		s.taskFractions[i] = fractions{
+			task.Cores / kind.Cores * inverse.cores, task.Memory / kind.Memory * inverse.memory,
+		}
 	}
 	var best *workerInfo
-	lowestNeed, slack := math.Inf(1), roundingSlack // among equals the first by name
-	if len(p.sorted) > maxEnumerated {
+	lowest, slack := math.Inf(1), roundingSlack // among equals the first by name
+	if len(s.fleet.sorted) > maxEnumerated {
 		slack = -roundingSlack // any: there may be thousands
 	}
-	p.walkLevels(levelWalk{unreservedOnly: true,
-		matters: func(kindIndex int, requested fractions, floor float64) bool {
-			t := &p.search.taskFractions[kindIndex]
-			lowestPossible := max(requested.cores*inverse.cores+t.cores, requested.memory*inverse.memory+t.memory)
-			return max(lowestPossible, floor+min(t.cores, t.memory)) <= lowestNeed+slack
+	s.loads.index.walk(levelWalk{unreservedOnly: true,
+		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
+			size := &s.taskFractions[kindIndex]
+			needed := max(requested.cores*inverse.cores+size.cores, requested.memory*inverse.memory+size.memory)
+			return max(needed, minUtilization+min(size.cores, size.memory)) <= lowest+slack
 		},
 		visit: func(worker *workerInfo) bool {
-			if !p.allowed(worker, class, t) || !p.healthy(worker, t.classIndex) {
+			if !s.filter.permits(worker, class, task) || !s.filter.health.healthy(worker, task.classIndex) {
 				return true
 			}
-			cores, memory := p.requested(worker)
-			effectiveCores, effectiveMemory := p.effectiveCapacity(worker)
-			need := max((cores+t.Cores)/effectiveCores, (memory+t.Memory)/effectiveMemory)
-			if need < lowestNeed || best != nil && need == lowestNeed && worker.ordinal < best.ordinal {
-				best, lowestNeed = worker, need
+			cores, memory := s.loads.requested(worker)
+			effectiveCores, effectiveMemory := s.capacity.of(worker)
+			needed := max((cores+task.Cores)/effectiveCores, (memory+task.Memory)/effectiveMemory)
+			if needed < lowest || best != nil && needed == lowest && worker.ordinal < best.ordinal {
+				best, lowest = worker, needed
 			}
 			return true
 		},
 	})
 	return best
 }
+
+// ordinalSet is a set of ordinals of workers, empty between uses.
+type ordinalSet []uint64
+
+// nth returns the worker of the n-th lowest ordinal. All ordinals are below a limit.
+func (o *ordinalSet) nth(workers []*workerInfo, n, limit int) (found *workerInfo) {
+	if len(workers) == 1 {
+		return workers[0]
+	}
+	for len(*o)*64 < limit {
+		*o = append(*o, 0)
+	}
+	set := *o
+	for _, worker := range workers {
+		set[worker.ordinal/64] |= 1 << (worker.ordinal % 64)
+	}
+	ordinal := nthBit(set, n)
+	for _, worker := range workers {
+		set[worker.ordinal/64] = 0
+		if worker.ordinal == ordinal {
+			found = worker
+		}
+	}
+	return found
+}
+
+// nthBit is the number of the n-th bit that is set.
+func nthBit(words []uint64, n int) int {
+	for i, word := range words {
+		ones := bits.OnesCount64(word)
+		if n >= ones {
+			n -= ones
+			continue
+		}
+		for range n {
+			word &= word - 1
+		}
+		return i*64 + bits.TrailingZeros64(word)
+	}
+	return -1
+}
--- a/placement/task.go
+++ b/placement/task.go
@@ -1,154 +1,74 @@
 package placement
 
-// This file is what a placer remembers of requests and running tasks. It decides nothing.
+import "slices"
 
-import (
-	"math"
-	"slices"
-)
+// This file owns what is remembered of one request, its attempts and its running task. It
+// must never look at other tasks or at the settings.
 
-// attemptInfo is one Place, or a task that was found running.
+// attemptInfo is one offer to a worker, or a task that was adopted.
 type attemptInfo struct {
 	worker           *workerInfo
 	sentAt           int64
-	awaitingResponse bool // no Accepted and no outcome yet
+	awaitingResponse bool // it was neither accepted nor ended
 	ended            bool
-	starting         bool
-	failed           bool // it was answered with an error
+	starting         bool // it was accepted and does not run yet
+	failed           bool // it ended with an error
 }
 
-// taskInfo is a request that is owed an answer, or a task that runs.
+// stopWaiting notes that the attempt awaits no response any more.
+func (a *attemptInfo) stopWaiting() {
+	a.awaitingResponse = false
+	isThis := func(other *attemptInfo) bool { return a == other }
+	a.worker.unanswered = slices.DeleteFunc(a.worker.unanswered, isThis)
+}
+
+// taskInfo is a request that awaits its response, or a task that runs.
 type taskInfo struct {
 	Task
 	classIndex  int
 	arrivedAt   int64
-	queuedSince int64 // since when its owner stands in line
+	queuedSince int64 // since when its client waits
+	pending     bool  // it is in the queue
+	priority    float64
 	attempts    []*attemptInfo
 	accepted    bool
-	acceptedAt  int64 // when it was placed
-	pending     bool
-	cancelled   bool         // its owner gave it up; an attempt is still out
+	acceptedAt  int64
+	cancelled   bool         // its client cancelled it, and an attempt has not ended
 	mayHaveRun  *attemptInfo // the first attempt that may have run
-	copyRunning bool         // a machine said that a copy stands
-	unusable    bool         // two machines gave an error for it
-	coresUsage  float64      // cores it was seen to use, over cores asked; 0: not told
-	memoryUsage float64
-	priority    float64
-	probesSent  int // sent for it
-}
-
-// taskShape is what held tasks of one search have in common.
-type taskShape struct {
-	class         int
-	cores, memory float64
-	program       uint64 // where a spread is stated
+	copyRunning bool         // a worker said that a copy runs
+	unusable    bool         // two workers failed it
+	probesSent  int
+	usage       [resourceCount]float64 // what it uses, over what it requested; 0: not reported
 }
 
-// recordUsage corrects the sums of what own tasks asked and use.
-func (p *Scheduler) recordUsage(resource int, requested float64, usage *float64, used float64) {
-	if *usage == 0 {
-		p.reportedRequests[resource] += requested
-	}
-	p.reportedUsage[resource] += used - *usage*requested
-	*usage = max(used/requested, 1e-9)
-	p.baseline = p.computeBaseline()
-}
+// lastAttempt returns the last attempt. There must be one.
+func (t *taskInfo) lastAttempt() *attemptInfo { return t.attempts[len(t.attempts)-1] }
 
-func (p *Scheduler) dequeue(task *taskInfo) {
-	if task.pending {
-		task.pending = false
-		p.pending = slices.DeleteFunc(p.pending, func(other *taskInfo) bool { return other == task })
+// attempt returns an attempt by its number, or nil.
+func (t *taskInfo) attempt(number int) *attemptInfo {
+	if number < 0 || number >= len(t.attempts) {
+		return nil
 	}
+	return t.attempts[number]
 }
 
-// failedOn reports whether m answered t with an error.
+// failedOn reports whether a worker ended an attempt with an error.
 func (t *taskInfo) failedOn(worker *workerInfo) bool {
-	return slices.ContainsFunc(t.attempts, func(attempt *attemptInfo) bool { return attempt.failed && attempt.worker == worker })
-}
-
-func (p *Scheduler) addTenantCores(task *taskInfo, sign float64) {
-	p.totalCores += sign * task.Cores
-	if i, ok := p.tenantIndexes[task.Tenant]; ok {
-		p.tenantCores[i] += sign * task.Cores
-	}
-}
-
-// forgetTask forgets a task that is over.
-func (p *Scheduler) forgetTask(task *taskInfo) {
-	p.dequeue(task)
-	if task.accepted {
-		p.addTenantCores(task, -1)
-		worker := task.attempts[len(task.attempts)-1].worker
-		worker.running = slices.DeleteFunc(worker.running, func(other *taskInfo) bool { return other == task })
-	}
-	for resource, usage := range [2]*float64{&task.coresUsage, &task.memoryUsage} {
-		if *usage > 0 {
-			requested := [2]float64{task.Cores, task.Memory}[resource]
-			p.reportedRequests[resource] -= requested
-			p.reportedUsage[resource] -= requested * *usage
-			*usage = 0
-			p.baseline = p.computeBaseline()
-		}
-	}
-	for _, attempt := range task.attempts {
-		if attempt.ended {
-			continue
-		}
-		attempt.ended = true
-		if attempt.awaitingResponse {
-			attempt.awaitingResponse = false
-			attempt.worker.unanswered = slices.DeleteFunc(attempt.worker.unanswered, func(other *attemptInfo) bool { return attempt == other })
-		}
-		p.endResident(attempt.worker, task.Program)
-	}
-	delete(p.tasks, task.RequestID)
-}
-
-// recordResponse keeps the mean and the spread of the time that answers take.
-func (p *Scheduler) recordResponse(attempt *attemptInfo, rtt int64) {
-	attempt.awaitingResponse = false
-	attempt.worker.unanswered = slices.DeleteFunc(attempt.worker.unanswered, func(other *attemptInfo) bool { return attempt == other })
-	deviation := float64(rtt) - p.meanRTT
-	if p.meanRTT == 0 {
-		p.meanRTT, p.rttDeviation = float64(rtt), float64(rtt)/2
-		return
-	}
-	p.meanRTT += deviation * rttWeight
-	p.rttDeviation += (math.Abs(deviation) - p.rttDeviation) * rttWeight
+	return slices.ContainsFunc(t.attempts, func(a *attemptInfo) bool { return a.failed && a.worker == worker })
 }
 
-// adopt takes over a task that runs. The view holds it already.
-func (p *Scheduler) adopt(event Adopted) {
-	classIndex, ok := p.classIndexes[event.Class]
-	if !ok || p.tasks[event.RequestID] != nil {
-		return
+// requested is what the task requests of a resource.
+func (t *taskInfo) requested(r resource) float64 {
+	if r == resourceCores {
+		return t.Cores
 	}
-	worker := p.ensureWorker(event.Worker)
-	attempt := &attemptInfo{worker: worker, sentAt: p.now}
-	task := &taskInfo{Task: event.Task, classIndex: classIndex, arrivedAt: p.now, accepted: true, attempts: []*attemptInfo{attempt}}
-	p.tasks[event.RequestID] = task
-	p.addResident(worker, task.Program)
-	p.addTenantCores(task, 1)
-	p.addRunning(task, worker)
+	return t.Memory
 }
 
-// enqueue puts t among the waiting.
-func (p *Scheduler) enqueue(task *taskInfo) {
-	if !task.pending {
-		task.pending, p.dirty = true, true
-		p.pending = append(p.pending, task)
-	}
-}
-
-// cancelRequest ends a request that its owner gave up. An attempt still out counts for
-// the spread until its outcome.
-func (p *Scheduler) cancelRequest(task *taskInfo) {
-	if task == nil || task.accepted {
-		return
-	}
-	p.dequeue(task)
-	task.cancelled = true
-	if count := len(task.attempts); count == 0 || task.attempts[count-1].ended {
-		p.forgetTask(task)
-	}
+// taskShape is what decides whether a task finds a worker: tasks of one shape that come
+// later in a scheduling pass find none where the first found none.
+type taskShape struct {
+	classIndex    int
+	cores, memory float64
+	program       uint64 // where the class limits the spread
 }
--- /dev/null
+++ b/placement/timer.go
@@ -0,0 +1,29 @@
+package placement
+
+// This file owns the time at which the scheduler is to be called again.
+
+// timerRef is the reference of the only timer.
+const timerRef = "wake"
+
+// timer asks to be called again.
+type timer struct {
+	*environment
+	queue     *queue
+	discovery *discovery
+	setFor    int64 // or 0
+}
+
+// fired takes it that the timer fired.
+func (t *timer) fired() { t.setFor, t.dirty = 0, true }
+
+// set sets the timer for what is due next, unless it is set for an earlier time.
+func (t *timer) set() {
+	at := t.queue.dueAt()
+	if pollAt := t.discovery.dueAt(); pollAt > 0 && (at == 0 || pollAt < at) {
+		at = pollAt
+	}
+	if at > 0 && (t.setFor <= t.now || at < t.setFor) {
+		t.setFor = at
+		t.emit(SetTimer{OffsetUs: max(1, at-t.now), Ref: timerRef})
+	}
+}
--- a/placement/view.go
+++ b/placement/view.go
@@ -1,169 +1,154 @@
 package placement
 
-// This file decides what a machine is taken to be asked for: what the list and reports
-// say, how late that is, and own binds since.
-
 import "math"
 
+// This file owns the view of the workers: lists, reports, and how late lists are. It must
+// never decide which worker gets a task.
+
 const (
-	// lagStep and lagSteps span the lags that the view may have: 0.25 to 16 s.
-	lagStep  = second / 4
-	lagSteps = 64
-	// initialLagSteps is the lag believed until minLagObservations changes were seen; old evidence fades
-	// by lagDecay a change.
-	initialLagSteps    = 4
+	// lagDecay is what is left of the evidence for a lag after each change of the view, and
+	// minLagObservations how much evidence a lag needs.
 	lagDecay           = 0.98
 	minLagObservations = 20
-	// deltaRetention is how long own binds are remembered: past the longest lag.
-	deltaRetention = lagSteps*lagStep + 2*second
-	// maxDeltas bounds what is remembered of a machine whose view never comes.
-	maxDeltas = 4096
-
-	// reportLag is how old a report is taken to be when it comes, reportValidity how long
-	// it spares another probe, maxProbesPerTask how many a task may cost.
-	reportLag             = second / 2
-	reportValidity        = second
-	maxProbesPerTask      = 2
-	maxReportedOvercommit = 8.0 // a report of more than this many times a machine's size is absurd
+	// reportValidity is how long a report spares another probe, maxProbesPerTask how many
+	// probes a task may cost.
+	reportValidity   = second
+	maxProbesPerTask = 2
+	// maxReportedOvercommit is over how many times a worker's size a report is absurd, and
+	// maxReportedQueue over how many offers.
+	maxReportedOvercommit = 8.0
+	maxReportedQueue      = 1e4
+	// startPenalty is what a start under way adds to a worker's backlog, at mean size: workers
+	// start few tasks at a time, and a late start loses its worth.
+	startPenalty = 0.03
 )
 
-// updateWorkers takes what discovery says. A machine absent from a full list is gone.
-func (p *Scheduler) updateWorkers(event WorkerList) {
-	if event.Kind == ListFailed {
-		p.subscribed = false
-		p.pollAttempts++
-		p.pollAt = p.now + p.backoff()
-		return
-	}
-	if event.Kind != ListCached {
-		p.subscribed, p.pollAttempts, p.pollAt = true, 0, 0
-	}
-	if event.Kind == ListFull || event.Kind == ListCached {
-		for _, worker := range p.sorted {
-			p.setListed(worker, false)
-		}
+// view takes lists and reports.
+type view struct {
+	*environment
+	fleet       *fleet
+	loads       *loadTracker
+	capacity    *capacityModel
+	calibration *calibration
+	// lagErrors are the squared errors of each lag, lagObservations the changes seen; old ones
+	// count less.
+	lagErrors       [lagSteps]float64
+	lagObservations float64
+}
+
+// apply takes a list. A worker absent from a complete list has left.
+func (v *view) apply(list WorkerList) {
+	if list.Kind == ListFull || list.Kind == ListCached {
+		v.fleet.unlistAll()
 	}
-	for _, entry := range event.Entries {
-		p.updateWorker(entry, event.Kind != ListCached)
+	for _, entry := range list.Entries {
+		v.update(entry, list.Kind != ListCached)
 	}
-	p.forgetUnlisted()
-	// Of a large fleet some change is told in each turn: held tasks wait for the bell then.
-	p.dirty = p.dirty || event.Kind != ListDelta || p.assignedCount() <= maxEnumerated
+	v.fleet.forgetUnlisted()
+	// Of a large fleet some change comes with each call: pending tasks wait for the timer then.
+	v.dirty = v.dirty || list.Kind != ListDelta || v.fleet.assignedCount() <= maxEnumerated
+}
+
+// update takes an entry of a list, which may be current or cached.
+func (v *view) update(entry Entry, current bool) {
+	worker := v.fleet.ensure(entry.Worker)
+	assigned := worker.State != Foreign && entry.State != Foreign // else its view is not current
+	if current && assigned && worker.everListed && worker.viewedAt > 0 &&
+		worker.StartedAtUs == entry.StartedAtUs && v.settings.HasView {
+		v.learnLag(worker, entry)
+	}
+	v.fleet.update(worker, entry)
 }
 
-// learnLag compares a change of the view with own binds. The lag that explains
-// the changes best is believed. It guards against counting own binds twice and
-// against dropping them early; it covers any delay, also one that grows. Where
-// own binds are few beside those of others it learns slowly.
-func (p *Scheduler) learnLag(worker *workerInfo, entry Entry) {
-	kind := p.kindOf(worker)
+// learnLag compares a change of the view with own changes. The lag that explains the changes
+// best is believed. It guards against counting own placements twice and against dropping them
+// early; it covers any delay, also one that grows. Where own placements are few beside those of
+// others it learns slowly.
+func (v *view) learnLag(worker *workerInfo, entry Entry) {
+	kind := v.kindOf(worker)
 	if kind == nil {
 		return
 	}
 	seen := (worker.FreeCores - entry.FreeCores) / kind.Cores
-	p.lagObservations = p.lagObservations*lagDecay + 1
+	v.lagObservations = v.lagObservations*lagDecay + 1
 	best := 0
-	for i := range p.lagErrors {
+	for i := range v.lagErrors {
 		lag := int64(i+1) * lagStep
 		changed, _ := worker.deltasSince(worker.viewedAt - lag)
-		recent, _ := worker.deltasSince(p.now - lag)
+		recent, _ := worker.deltasSince(v.now - lag)
 		difference := seen - (changed-recent)/kind.Cores
-		p.lagErrors[i] = p.lagErrors[i]*lagDecay + difference*difference
-		if p.lagErrors[i] < p.lagErrors[best] {
+		v.lagErrors[i] = v.lagErrors[i]*lagDecay + difference*difference
+		if v.lagErrors[i] < v.lagErrors[best] {
 			best = i
 		}
 	}
-	if p.lagObservations > minLagObservations {
-		p.setLag(int64(best+1) * lagStep)
+	if v.lagObservations > minLagObservations {
+		v.loads.setLag(int64(best+1) * lagStep)
 	}
 }
 
-// requested is what m is asked for: the view, or its report where that is newer, plus
-// own changes since.
-func (p *Scheduler) requested(worker *workerInfo) (cores, memory float64) {
-	if !worker.stale {
-		return worker.requestedCores, worker.requestedMemory
+// probeWanted probes the worker that a task would go to, where its load is only known that way
+// and was not reported lately, and reports whether the task waits for the report.
+func (v *view) probeWanted(task *taskInfo, worker *workerInfo) bool {
+	reported := worker.reportedAt > 0 && v.now-worker.reportedAt < reportValidity
+	if !v.settings.Probes || task.probesSent >= maxProbesPerTask || reported {
+		return false
 	}
-	kind := p.kindOf(worker)
-	since, freeCores, freeMemory := worker.viewedAt-p.lag, worker.FreeCores, worker.FreeMemory
-	if worker.reportsFree && worker.reportedAt-reportLag > since {
-		since, freeCores, freeMemory = worker.reportedAt-reportLag, worker.lastReport.FreeCores, worker.lastReport.FreeMemory
+	if worker.probeSentAt == 0 {
+		task.probesSent++
+		worker.probeSentAt = v.now
+		v.emit(Probe{Worker: worker.Worker})
 	}
-	addedCores, addedMemory := worker.deltasSince(since)
-	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
+	return true
 }
 
-// probeEnded takes the answer to a probe: what is asked of the machine, how busy it
-// is, how many offers and starts wait there. Values that are missing or absurd
-// are left out. Silence counts as with any attempt; an answer heals nothing, as a
-// machine may answer probes and lose tasks.
-func (p *Scheduler) probeEnded(event ProbeResult) {
-	worker := p.workers[event.Worker]
+// probeEnded takes the answer to a probe: what is requested of the worker, how busy it is, how
+// many offers and starts wait there. Values that are missing or absurd are left out. A timeout
+// counts as with any attempt; an answer heals nothing, as a worker may answer probes and lose
+// tasks.
+func (v *view) probeEnded(event ProbeResult) {
+	worker := v.fleet.workers[event.Worker]
 	if worker == nil {
 		return
 	}
-	worker.probeSentAt, p.dirty = 0, true
-	kind := p.kindOf(worker)
+	worker.probeSentAt, v.dirty = 0, true
+	kind := v.kindOf(worker)
 	if event.Outcome != Completed {
-		worker.addSuspicion(p.now, timeoutSuspicion)
+		worker.addSuspicion(v.now, timeoutSuspicion)
 	}
 	if event.Outcome != Completed || kind == nil {
 		return
 	}
-	worker.lastReport, worker.reportedAt, worker.reportsFree = event.Load, p.now, false
-	p.trackLag(worker)
-	p.markStale(worker)
+	v.loads.recordReport(worker, event.Load)
 	utilization, memoryUse := event.Load.Utilization, math.NaN()
-	if inRange(event.Load.FreeCores, kind.Cores*(1-maxReportedOvercommit), kind.Cores) && inRange(event.Load.FreeMemory, kind.Memory*(1-maxReportedOvercommit), kind.Memory) {
-		if p.settings.ReportsUsage {
+	if inRange(event.Load.FreeCores, kind.Cores*(1-maxReportedOvercommit), kind.Cores) &&
+		inRange(event.Load.FreeMemory, kind.Memory*(1-maxReportedOvercommit), kind.Memory) {
+		if v.settings.ReportsUsage {
 			utilization, memoryUse = 1-event.Load.FreeCores/kind.Cores, 1-event.Load.FreeMemory/kind.Memory
 		} else {
 			worker.reportsFree = true
 		}
 	}
 	if inRange(utilization, 0, maxReportedOvercommit) {
-		p.calibrate(worker, &worker.coresCalibration, 0, utilization, p.saturationLoad(), utilization > p.saturationLoad(), 1)
+		v.calibration.learn(worker, measurement{
+			resource: resourceCores, used: utilization, target: v.capacity.saturationLoad,
+			poor: utilization > v.capacity.saturationLoad, confidence: 1,
+		})
 	}
 	if inRange(memoryUse, 0, maxReportedOvercommit) {
-		p.calibrate(worker, &worker.memoryCalibration, 1, memoryUse, memorySaturation, memoryUse > memorySaturation, 1)
+		v.calibration.learn(worker, measurement{
+			resource: resourceMemory, used: memoryUse, target: memorySaturation,
+			poor: memoryUse > memorySaturation, confidence: 1,
+		})
 	}
 }
 
-// backlog is the share that starts and offers waiting on m stand for: own ones, or
-// those that a recent report tells, if more.
-func (p *Scheduler) backlog(worker *workerInfo) float64 {
+// backlog is the utilization that starts and offers waiting at a worker stand for: own ones, or
+// those that a recent report names, if more.
+func (v *view) backlog(worker *workerInfo) float64 {
 	starts := float64(worker.starting())
-	if p.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, 1e4) {
+	if v.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, maxReportedQueue) {
 		starts = worker.lastReport.Queued
 	}
 	return startPenalty * starts
 }
-
-// probeFirst probes the machine that t would go to, where its load is only told that way
-// and was not told lately, and reports whether t waits for the answer.
-func (p *Scheduler) probeFirst(task *taskInfo, worker *workerInfo) bool {
-	if !p.settings.Probes || task.probesSent >= maxProbesPerTask || worker.reportedAt > 0 && p.now-worker.reportedAt < reportValidity {
-		return false
-	}
-	if worker.probeSentAt == 0 {
-		task.probesSent++
-		worker.probeSentAt = p.now
-		p.emit(Probe{Worker: worker.Worker})
-	}
-	return true
-}
-
-// recordRejection takes a refusal for lack of room as news of the machine: until the
-// view can have followed, it has less room than the task asks.
-func (p *Scheduler) recordRejection(worker *workerInfo, task *taskInfo, cause Cause) {
-	kind := p.kindOf(worker)
-	if kind == nil {
-		return
-	}
-	cores, memory := p.requested(worker)
-	if cause == CauseCores {
-		p.addDelta(worker, max(0, kind.Cores*p.settings.CoresOvercommit-cores-task.Cores*0.99), 0)
-	} else {
-		p.addDelta(worker, 0, max(0, kind.Memory*p.settings.MemoryOvercommit-memory-task.Memory*0.99))
-	}
-}
