--- a/placement/api.go
+++ b/placement/api.go
@@ -1,27 +1,3 @@
-// Package placement decides, for one orchestrator of a cluster, which worker each task goes to.
-// Many orchestrators run side by side and share nothing: a [Scheduler] knows only its
-// [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
-// that the caller passes to [Scheduler.Handle].
-//
-// The package is read from the top; each file calls only files further down:
-//
-//	scheduler.go                        creates the parts, hands events to them
-//	pass.go                             a scheduling pass: filter, score, reserve, bind
-//	requests.go, timer.go               life of requests; when to be called again
-//	migration.go, queue.go, quota.go    running tasks moved; pending tasks; tenants
-//	search.go                           candidates from the index
-//	filter.go, score.go                 feasible, healthy, fitting; admission cost
-//	view.go, totals.go, calibration.go  lists and reports; sums; learned effective capacity
-//	overload.go, health.go              concurrent placements; outlier detection
-//	slowstart.go, spread.go, repeats.go rules that no placement may break
-//	discovery.go                        when to poll discovery
-//	fleet.go                            which workers there are
-//	load.go                             what is requested of each worker
-//	reservations.go, index.go, levels.go  workers by what is requested of them
-//	residents.go, affinity.go, capacity.go  resident programs; hashed order; effective capacity
-//	environment.go                      settings, clock, random source, actions
-//	worker.go, task.go, numbers.go      what is known of one worker, of one task
-//	settings.go, api.go                 settings, events and actions: the interface
 package placement
 
 // This file owns the interface: settings, events and actions. It must never decide anything.
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -47,7 +47,7 @@
 
 // track notes that a worker is calibrated.
 func (c *calibration) track(worker *workerInfo) {
-	c.loads.index.markStale(worker)
+	c.loads.index.invalidate(worker)
 	if !worker.inCalibrated {
 		worker.inCalibrated = true
 		c.workers = append(c.workers, worker)
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -45,8 +45,8 @@
 	d.emit(WatchWorkers{Active: true})
 }
 
-// dueAt is when to poll next, or 0.
-func (d *discovery) dueAt() int64 {
+// nextPollAt is when to poll next, or 0.
+func (d *discovery) nextPollAt() int64 {
 	if !d.settings.PollsDiscovery {
 		return 0
 	}
--- a/placement/environment.go
+++ b/placement/environment.go
@@ -5,10 +5,8 @@
 // This file owns what all parts of a scheduler share: the settings, the time, the random
 // source and the actions of the call at hand. It must never decide anything.
 
-const (
-	millisecond = int64(1000)
-	second      = 1000 * millisecond
-)
+// retryInterval is how often pending tasks are looked at when nothing happens.
+const retryInterval = 50 * millisecond
 
 // environment is what the parts of one scheduler share.
 type environment struct {
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -77,7 +77,7 @@
 	} else {
 		f.unlisted[worker] = true
 	}
-	f.loads.index.markStale(worker)
+	f.loads.index.invalidate(worker)
 }
 
 // countForeign keeps the number of foreign workers right after a change of one.
@@ -142,7 +142,7 @@
 	for _, worker := range removed {
 		f.residents.removeAll(worker)
 		worker.deltas, worker.reportsFree = nil, false
-		f.loads.index.markStale(worker)
+		f.loads.index.invalidate(worker)
 		delete(f.unlisted, worker)
 		delete(f.uncordoned, worker)
 		delete(f.workers, worker.Worker)
@@ -156,7 +156,7 @@
 func (f *fleet) refresh() {
 	if f.loads.index.setBaseline(f.capacity.baseline) {
 		for _, worker := range f.sorted {
-			f.loads.index.markStale(worker)
+			f.loads.index.invalidate(worker)
 		}
 	}
 	f.loads.refreshStale()
--- a/placement/index.go
+++ b/placement/index.go
@@ -49,9 +49,9 @@
 
 func drifted(now, then float64) bool { return math.Abs(now-then) > then*maxScaleDrift }
 
-// markStale notes that what is requested of a worker, or whether it may get tasks, may have
+// invalidate notes that what is requested of a worker, or whether it may get tasks, may have
 // changed.
-func (x *workerIndex) markStale(worker *workerInfo) {
+func (x *workerIndex) invalidate(worker *workerInfo) {
 	if !worker.stale {
 		worker.stale = true
 		x.stale = append(x.stale, worker)
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -10,12 +10,6 @@
 	levelCount = 128
 )
 
-// indexPosition is where a worker stands in the index.
-type indexPosition struct {
-	indexed                      bool
-	kindIndex, level, entryIndex int
-}
-
 // indexEntry is an indexed worker with what is requested of it.
 type indexEntry struct {
 	worker      *workerInfo
--- a/placement/load.go
+++ b/placement/load.go
@@ -65,7 +65,7 @@
 	}
 	worker.deltas = append(worker.deltas, delta{l.now, cores, memory})
 	l.trackLag(worker)
-	l.index.markStale(worker)
+	l.index.invalidate(worker)
 }
 
 // removeDelta takes back the change of an attempt that never ran.
@@ -74,7 +74,7 @@
 	i := slices.IndexFunc(worker.deltas, func(d delta) bool { return d.at == attempt.sentAt && d.cores >= 0 })
 	if i >= 0 {
 		worker.deltas = slices.Delete(worker.deltas, i, i+1)
-		l.index.markStale(worker)
+		l.index.invalidate(worker)
 	}
 }
 
@@ -83,7 +83,7 @@
 	for i := range attempt.worker.deltas {
 		if d := &attempt.worker.deltas[i]; d.at == attempt.sentAt && d.cores >= 0 {
 			d.at = l.now
-			l.index.markStale(attempt.worker)
+			l.index.invalidate(attempt.worker)
 			return
 		}
 	}
@@ -108,7 +108,7 @@
 func (l *loadTracker) recordReport(worker *workerInfo, report Load) {
 	worker.lastReport, worker.reportedAt, worker.reportsFree = report, l.now, false
 	l.trackLag(worker)
-	l.index.markStale(worker)
+	l.index.invalidate(worker)
 }
 
 // trackLag notes that what is requested of a worker depends on the view's lag from now on.
@@ -136,7 +136,7 @@
 	}
 	l.lag = lag
 	for _, worker := range l.lagDependentWorkers() {
-		l.index.markStale(worker)
+		l.index.invalidate(worker)
 	}
 }
 
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -37,7 +37,7 @@
 	if service > migrateBelow || worker.kindIndex < 0 || m.now-worker.migratedAt < migrationInterval {
 		return
 	}
-	task := m.mostValuable(worker, service)
+	task := m.bestCandidate(worker, service)
 	probability := m.excess(worker, service) * float64(len(worker.running)) / migrationSeconds
 	if task == nil || m.random.Float64() >= probability ||
 		service > migrateAlwaysBelow && !m.search.fitsElsewhere(task, worker) {
@@ -48,8 +48,8 @@
 	worker.removeRunning(task)
 }
 
-// mostValuable returns the task on a worker of which a migration gains the most, or nil.
-func (m *migration) mostValuable(worker *workerInfo, service float64) (best *taskInfo) {
+// bestCandidate returns the task on a worker of which a migration gains the most, or nil.
+func (m *migration) bestCandidate(worker *workerInfo, service float64) (best *taskInfo) {
 	var bestValue float64
 	for _, task := range worker.running {
 		class := m.classOf(task)
--- a/placement/numbers.go
+++ b/placement/numbers.go
@@ -4,6 +4,12 @@
 
 // This file owns arithmetic that several parts need.
 
+// Lengths of time.
+const (
+	millisecond = int64(1000)
+	second      = 1000 * millisecond
+)
+
 // roundingSlack is more than two ways to compute one utilization can differ.
 const roundingSlack = 1e-9
 
@@ -31,10 +37,10 @@
 // inRange reports whether a value is a number from low to high.
 func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
-// decayed is what is left of a value after an age, if half of it goes in each half-life.
-func decayed(value float64, age, halfLife int64) float64 {
+// decayed is what is left of a value after an age, if half of it goes in each halflife.
+func decayed(value float64, age, halflife int64) float64 {
 	if value == 0 {
 		return 0
 	}
-	return value * math.Exp2(-float64(age)/float64(halfLife))
+	return value * math.Exp2(-float64(age)/float64(halflife))
 }
--- a/placement/placer_test.go
+++ b/placement/placer_test.go
@@ -501,7 +501,7 @@
 	request := f.request("1", "safe", 1, 2)
 	request.Program = 9
 	f.placed(f.at(ms, request), "b")
-	f.p.fleet.workers["a"].decayCalibration(f.now + 10*calibrationHalfLife)
+	f.p.fleet.workers["a"].decayCalibration(f.now + 10*calibrationHalflife)
 	if f.p.fleet.workers["a"].calibration[resourceCores] < 0.99 {
 		t.Error("not let go when the symptom ends")
 	}
@@ -981,7 +981,7 @@
 			if safe, large := worker.suspicion(f.now, 0) < ejectionThreshold, worker.suspicion(f.now, 8) < ejectionThreshold; safe != c.safe || large != c.large {
 				t.Errorf("in use for its class %v, for the other %v; want %v and %v", safe, large, c.safe, c.large)
 			}
-			f.at(10 * suspicionHalfLife)
+			f.at(10 * suspicionHalflife)
 			if !f.p.health.healthy(worker, 0) {
 				t.Error("not let go")
 			}
@@ -1035,7 +1035,7 @@
 		t.Fatalf("asked %v, want b next", got)
 	}
 	f.placed(f.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a") // the least suspect
-	actions = f.at(10*suspicionHalfLife, request)
+	actions = f.at(10*suspicionHalflife, request)
 	if n := len(of[Place](actions)); n != 0 {
 		t.Errorf("a ticket that is out was placed %d times more", n)
 	}
@@ -1050,7 +1050,7 @@
 	if worker.calibration[resourceCores] > 0.5 {
 		t.Errorf("bent to %v by a machine busy with a sixth of its size, want under a half", worker.calibration[resourceCores])
 	}
-	worker.decayCalibration(f.now + 10*calibrationHalfLife)
+	worker.decayCalibration(f.now + 10*calibrationHalflife)
 	if worker.calibration[resourceCores] < 0.99 {
 		t.Error("not let go")
 	}
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -61,7 +61,7 @@
 	if worker.calibratedAt == r.p.now {
 		return calibration
 	}
-	return 1 - (1-calibration)*math.Exp2(-float64(r.p.now-worker.calibratedAt)/float64(calibrationHalfLife))
+	return 1 - (1-calibration)*math.Exp2(-float64(r.p.now-worker.calibratedAt)/float64(calibrationHalflife))
 }
 
 func (r *reference) calm() float64 {
@@ -258,7 +258,7 @@
 	if score.score == 0 {
 		return 0
 	}
-	return score.score * math.Exp2(-float64(r.p.now-score.updatedAt)/float64(suspicionHalfLife))
+	return score.score * math.Exp2(-float64(r.p.now-score.updatedAt)/float64(suspicionHalflife))
 }
 
 func (r *reference) patience() int64 {
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -173,7 +173,7 @@
 	wasRunning := task.accepted && attempt == task.lastAttempt()
 	r.health.recordOutcome(task, attempt, event, wasRunning)
 	r.residents.end(attempt.worker, task.Program, r.now)
-	if event.Outcome.neverRan() {
+	if event.Outcome.neverStarted() {
 		r.loads.removeDelta(attempt)
 	} else {
 		r.loads.addDelta(attempt.worker, -task.Cores, -task.Memory)
@@ -186,7 +186,7 @@
 		r.forget(task)
 		return
 	}
-	if event.Outcome.neverRan() {
+	if event.Outcome.neverStarted() {
 		task.copyRunning = task.copyRunning || task.mayHaveRun != nil && event.Cause == CauseWrongWorker
 	} else if task.mayHaveRun == nil {
 		task.mayHaveRun = attempt
@@ -194,8 +194,8 @@
 	r.queue.add(task)
 }
 
-// neverRan reports whether the outcome of an attempt says that the task never ran.
-func (o Outcome) neverRan() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
+// neverStarted reports whether the outcome of an attempt says that the task never ran.
+func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
 // taskReported takes a report of a running task: how much of what it requested it uses, how
 // well its worker serves it, and how full that worker's memory is.
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -1,3 +1,34 @@
+// Package placement decides, for one orchestrator of a cluster, which worker each task goes to.
+// Many orchestrators run side by side and share nothing: a [Scheduler] knows only its
+// [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
+// that the caller passes to [Scheduler.Handle].
+//
+// A placement runs through named steps: filter the workers, score those that pass, and bind the
+// task to one of the best, or reserve a worker while the task stays pending.
+//
+// The package consists of parts that own their state. A file uses only files on lines below its
+// own, or to its right:
+//
+//	scheduler.go                             creates the parts and hands events to them
+//	pass.go timer.go                         scheduling passes; when to be called again
+//	requests.go                              life of every request
+//	migration.go                             migration of running tasks
+//	search.go ordinals.go                    search for the worker of a task
+//	filter.go score.go                       feasible, healthy and fitting workers; admission cost
+//	queue.go quota.go                        pending tasks by priority; tenants
+//	overload.go view.go totals.go            concurrent placements; lists and reports; sums
+//	calibration.go                           learned effective capacity of single workers
+//	slowstart.go health.go spread.go         outlier detection; slow start; anti-affinity
+//	repeats.go discovery.go                  repeats of keyed tasks; polls of discovery
+//	fleet.go                                 which workers there are
+//	load.go                                  how much is requested of each worker
+//	reservations.go index.go levels.go       workers by how much is requested of them
+//	residents.go affinity.go capacity.go     programs on workers; effective capacity
+//	environment.go                           settings, clock, random source, actions
+//	worker.go task.go                        one worker; one task and its attempts
+//	settings.go api.go numbers.go            checks; settings, events and actions; arithmetic
+//
+// worker.go and task.go are one layer: a worker knows its attempts, an attempt its worker.
 package placement
 
 import (
--- a/placement/score.go
+++ b/placement/score.go
@@ -34,9 +34,9 @@
 	rate    float64 // cores of the kind over the mean
 }
 
-// atLeast is the lowest cost of a worker of the kind with a utilization or more, unless its
+// lowerBound is the lowest cost of a worker of the kind with a utilization or more, unless its
 // resident programs are known.
-func (k *kindCost) atLeast(utilization, fleetUtilization float64) float64 {
+func (k *kindCost) lowerBound(utilization, fleetUtilization float64) float64 {
 	if !k.hasView {
 		utilization = fleetUtilization
 	}
--- a/placement/search.go
+++ b/placement/search.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"math"
-	"math/bits"
 	"slices"
 )
 
@@ -107,7 +106,7 @@
 	s.loads.index.walk(levelWalk{limits: s.limits, random: s.random, visit: s.visit,
 		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
-			lowest := s.scorer.kinds[kindIndex].atLeast(utilization, s.scorer.utilization)
+			lowest := s.scorer.kinds[kindIndex].lowerBound(utilization, s.scorer.utilization)
 			return lowest <= s.lowestCost+costMargin+roundingSlack
 		},
 	})
@@ -265,44 +264,3 @@
 	})
 	return best
 }
-
-// ordinalSet is a set of ordinals of workers, empty between uses.
-type ordinalSet []uint64
-
-// nth returns the worker of the n-th lowest ordinal. All ordinals are below a limit.
-func (o *ordinalSet) nth(workers []*workerInfo, n, limit int) (found *workerInfo) {
-	if len(workers) == 1 {
-		return workers[0]
-	}
-	for len(*o)*64 < limit {
-		*o = append(*o, 0)
-	}
-	set := *o
-	for _, worker := range workers {
-		set[worker.ordinal/64] |= 1 << (worker.ordinal % 64)
-	}
-	ordinal := nthBit(set, n)
-	for _, worker := range workers {
-		set[worker.ordinal/64] = 0
-		if worker.ordinal == ordinal {
-			found = worker
-		}
-	}
-	return found
-}
-
-// nthBit is the number of the n-th bit that is set.
-func nthBit(words []uint64, n int) int {
-	for i, word := range words {
-		ones := bits.OnesCount64(word)
-		if n >= ones {
-			n -= ones
-			continue
-		}
-		for range n {
-			word &= word - 1
-		}
-		return i*64 + bits.TrailingZeros64(word)
-	}
-	return -1
-}
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -18,8 +18,8 @@
 
 // set sets the timer for what is due next, unless it is set for an earlier time.
 func (t *timer) set() {
-	at := t.queue.dueAt()
-	if pollAt := t.discovery.dueAt(); pollAt > 0 && (at == 0 || pollAt < at) {
+	at := t.queue.nextCheckAt()
+	if pollAt := t.discovery.nextPollAt(); pollAt > 0 && (at == 0 || pollAt < at) {
 		at = pollAt
 	}
 	if at > 0 && (t.setFor <= t.now || at < t.setFor) {
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -5,12 +5,8 @@
 // This file owns what is summed over all workers, and remembers it for a while where the
 // fleet is large. It must never decide anything.
 
-const (
-	// meansValidity is how long the means of a large fleet are remembered.
-	meansValidity = second
-	// retryInterval is how often pending tasks are looked at when nothing happens.
-	retryInterval = 50 * millisecond
-)
+// meansValidity is how long the means of a large fleet are remembered.
+const meansValidity = second
 
 // fleetMeans are means over all workers that are ready.
 type fleetMeans struct {
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -12,11 +12,11 @@
 const (
 	// sustainedViews is of how many views a worker keeps the free capacity.
 	sustainedViews = 4
-	// calibrationHalfLife is in what time half of a learned calibration is forgotten: troubles
+	// calibrationHalflife is in what time half of a learned calibration is forgotten: troubles
 	// last some ten seconds, and what goes on is reported again each second.
-	calibrationHalfLife = 8 * second
-	// suspicionHalfLife is in what time half of a suspicion is forgotten.
-	suspicionHalfLife = 6 * second
+	calibrationHalflife = 8 * second
+	// suspicionHalflife is in what time half of a suspicion is forgotten.
+	suspicionHalflife = 6 * second
 	// successFactor is what a success leaves of a suspicion: a worker that loses most answers
 	// still gives some.
 	successFactor = 0.7
@@ -53,6 +53,12 @@
 	updatedAt int64
 }
 
+// indexPosition is where a worker stands in the index.
+type indexPosition struct {
+	indexed                      bool
+	kindIndex, level, entryIndex int
+}
+
 // workerInfo is what this scheduler knows of a worker.
 type workerInfo struct {
 	Entry
@@ -181,7 +187,7 @@
 		return
 	}
 	if w.calibrated() {
-		remaining := decayed(1, now-w.calibratedAt, calibrationHalfLife)
+		remaining := decayed(1, now-w.calibratedAt, calibrationHalflife)
 		for r := range w.calibration {
 			w.calibration[r] = 1 - (1-w.calibration[r])*remaining
 		}
@@ -234,7 +240,7 @@
 // suspicion is how much speaks against the worker for tasks of a class.
 func (w *workerInfo) suspicion(now int64, classIndex int) float64 {
 	s := &w.suspicions[classIndex]
-	return decayed(s.score, now-s.updatedAt, suspicionHalfLife)
+	return decayed(s.score, now-s.updatedAt, suspicionHalflife)
 }
 
 // addSuspicion adds to the suspicion for every class.
