--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -8,31 +8,30 @@
 	"testing"
 )
 
-// This file tests that machines of other placers are offered nothing and change no decision.
+// This file tests that foreign workers get no offers and change no decision.
 
-// recorded are the events of one turn.
-type recorded struct {
+// recordedCall are the events of one call.
+type recordedCall struct {
 	now    int64
 	events []Event
 }
 
-// recordHistory plays a drawn history and returns its turns after the first list, which it returns
-// as the machines that were there.
-func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, turns []recorded) {
+// recordHistory runs a drawn history and returns the workers of its first list, and the calls after it.
+func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, calls []recordedCall) {
 	t.Helper()
 	h := newHistory(t, seed)
 	workers = slices.Clone(h.entries)
-	h.record = func(now int64, events []Event) { turns = append(turns, recorded{now, events}) }
+	h.record = func(now int64, events []Event) { calls = append(calls, recordedCall{now, events}) }
 	for range h.stepCount {
 		h.step()
 	}
 	settings = h.settings()
 	settings.FleetSize, settings.SelfIndex, settings.Tenants = 1, 0, nil
-	return settings, workers, turns
+	return settings, workers, calls
 }
 
-// withForeign adds the entries of other placers' machines to the lists among events: a part of them
-// to a list of changes, all to a whole one.
+// withForeign adds foreign entries to the lists among events: some to a list of changes, all to a
+// complete one.
 func withForeign(random *rand.Rand, events []Event, foreign []Entry) []Event {
 	events = slices.Clone(events)
 	for i, event := range events {
@@ -53,12 +52,12 @@
 	return events
 }
 
-// TestForeignMachinesChangeNothing replays histories with and without machines of other placers:
-// every action is the same.
-func TestForeignMachinesChangeNothing(t *testing.T) {
+// TestForeignWorkersChangeNothing replays histories with and without foreign workers: every action is
+// the same.
+func TestForeignWorkersChangeNothing(t *testing.T) {
 	placed := 0
 	for seed := range uint64(60) {
-		settings, workers, turns := recordHistory(t, seed)
+		settings, workers, calls := recordHistory(t, seed)
 		random := rand.New(rand.NewPCG(seed, 83))
 		var foreign []Entry
 		for i := range 1 + random.IntN(3*len(workers)) {
@@ -75,15 +74,15 @@
 			t.Fatal(err)
 		}
 		first := []Event{WorkerList{Kind: ListFull, Entries: workers}}
-		turns = slices.Insert(turns, 0, recorded{turns[0].now - 1, first})
-		for i, turn := range turns {
-			want := alone.Handle(turn.now, turn.events)
-			got := among.Handle(turn.now, withForeign(random, turn.events, foreign))
+		calls = slices.Insert(calls, 0, recordedCall{calls[0].now - 1, first})
+		for i, call := range calls {
+			want := alone.Handle(call.now, call.events)
+			got := among.Handle(call.now, withForeign(random, call.events, foreign))
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("seed %d, turn %d, %d machines and %d foreign ones: expected\n%+v\ngot\n%+v", seed, i, len(workers),
+				t.Fatalf("seed %d, call %d, %d workers and %d foreign ones: expected\n%+v\ngot\n%+v", seed, i, len(workers),
 					len(foreign), want, got)
 			}
-			placed += len(of[Place](want))
+			placed += len(ofType[Place](want))
 		}
 	}
 	if placed < 500 {
@@ -91,135 +90,135 @@
 	}
 }
 
-// TestMachineChangesHands follows one machine to another placer and back: its tasks stand, it is
-// offered nothing meanwhile, and it is offered tasks again.
-func TestMachineChangesHands(t *testing.T) {
-	a, b := small("a", 1, 8), small("b", 2, 8)
-	bed := newBed(t, testSettings(), 1, a)
-	bed.placed(bed.at(10*ms, bed.request("1", "safe", 1, 1)), "a")
-	bed.at(10*ms, Accepted{RequestID: "1", Worker: "a", RTTUs: ms})
+// TestWorkerIsReassigned follows one worker to another scheduler and back: its tasks run on, it gets
+// no offer meanwhile, and gets offers again.
+func TestWorkerIsReassigned(t *testing.T) {
+	a, b := smallWorker("a", 1, 8), smallWorker("b", 2, 8)
+	f := newFixture(t, testSettings(), 1, a)
+	f.wantPlaced(f.at(10*ms, f.request("1", "safe", 1, 1)), "a")
+	f.at(10*ms, Accepted{RequestID: "1", Worker: "a", RTTUs: ms})
 	a.State = Foreign
-	for _, action := range bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}}) {
-		t.Errorf("expected nothing as a machine changes hands, got %+v", action)
+	for _, action := range f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}}) {
+		t.Errorf("expected nothing as a worker is reassigned, got %+v", action)
 	}
-	bed.placed(bed.at(10*ms, bed.request("2", "safe", 1, 1)), "b")
-	if worker := bed.p.fleet.workers["a"]; len(worker.running) != 1 {
-		t.Errorf("expected the task at the other placer's machine to stand, got %d", len(worker.running))
+	f.wantPlaced(f.at(10*ms, f.request("2", "safe", 1, 1)), "b")
+	if worker := f.scheduler.fleet.workers["a"]; len(worker.running) != 1 {
+		t.Errorf("expected the task on the foreign worker to run on, got %d", len(worker.running))
 	}
 	a.State, b.State = Ready, Foreign
-	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
-	bed.placed(bed.at(10*ms, bed.request("3", "safe", 1, 1)), "a")
-	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
-	if bed.p.fleet.foreignCount != 0 {
-		t.Errorf("expected no foreign machine to be counted after it is gone, got %d", bed.p.fleet.foreignCount)
+	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
+	f.wantPlaced(f.at(10*ms, f.request("3", "safe", 1, 1)), "a")
+	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
+	if f.scheduler.fleet.foreignCount != 0 {
+		t.Errorf("expected no foreign worker to be counted after its removal, got %d", f.scheduler.fleet.foreignCount)
 	}
 }
 
-// TestChangeOfHandsTellsNoView keeps what is learned of the view's lag from entries that are told
-// again only since their machine changed hands, and from those of other placers' machines.
-func TestChangeOfHandsTellsNoView(t *testing.T) {
-	a := small("a", 1, 8)
-	bed := newBed(t, testSettings(), 1, a)
-	bed.placed(bed.at(10*ms, bed.request("1", "safe", 1, 1)), "a")
-	seen := bed.p.view.lagObservations
+// TestReassignmentTeachesNoLag asserts that nothing is learned of the view's lag from entries that come
+// only as their worker was reassigned, nor from those of foreign workers.
+func TestReassignmentTeachesNoLag(t *testing.T) {
+	a := smallWorker("a", 1, 8)
+	f := newFixture(t, testSettings(), 1, a)
+	f.wantPlaced(f.at(10*ms, f.request("1", "safe", 1, 1)), "a")
+	seen := f.scheduler.view.lagObservations
 	for _, state := range []WorkerState{Foreign, Ready, Foreign, Foreign, Ready} {
 		a.State = state
 		if state == Foreign {
 			a.FreeCores--
 		}
-		bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
+		f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	}
-	if bed.p.view.lagObservations != seen {
-		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", bed.p.view.lagObservations-seen)
+	if f.scheduler.view.lagObservations != seen {
+		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", f.scheduler.view.lagObservations-seen)
 	}
 	a.FreeCores--
-	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
-	if bed.p.view.lagObservations == seen {
+	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
+	if f.scheduler.view.lagObservations == seen {
 		t.Error("expected a new view to teach of the lag")
 	}
 }
 
-// TestQuotaOfDividedFleet compares the guess of what all machines are asked for with the one of a
-// placer that is told all views.
+// TestQuotaOfDividedFleet compares the guess of what is requested of all workers with that of a
+// scheduler that has all views.
 func TestQuotaOfDividedFleet(t *testing.T) {
-	var whole, divided []Entry
+	var complete, divided []Entry
 	for i := range 90 {
-		entry := small(fmt.Sprint("m", i), i, 4)
-		whole = append(whole, entry)
+		entry := smallWorker(fmt.Sprint("m", i), i, 4)
+		complete = append(complete, entry)
 		if i%9 != 0 {
 			entry.State, entry.FreeCores = Foreign, 0 // an old view
 		}
 		divided = append(divided, entry)
 	}
-	want := newBed(t, testSettings(), 1, whole...).p.fleet.requestedCores()
-	if got := newBed(t, testSettings(), 1, divided...).p.fleet.requestedCores(); got < want*0.99 || got > want*1.01 {
-		t.Errorf("expected the fleet to be asked for %g cores, got %g", want, got)
+	want := newFixture(t, testSettings(), 1, complete...).scheduler.fleet.requestedCores()
+	if got := newFixture(t, testSettings(), 1, divided...).scheduler.fleet.requestedCores(); got < want*0.99 || got > want*1.01 {
+		t.Errorf("expected %g cores to be requested of the fleet, got %g", want, got)
 	}
 }
 
-// TestDividedMachinesAreNotShared asserts that a placer whose machines are divided from the others'
-// counts on the whole room of its own, and takes nobody else to bind there.
-func TestDividedMachinesAreNotShared(t *testing.T) {
-	s := testSettings()
-	s.FleetSize, s.UnitCores, s.UnitMemory = 9, 1, 2
-	own, foreign := small("a", 1, 8), small("b", 2, 8)
+// TestAssignedWorkersAreNotShared asserts that a scheduler to which workers are assigned counts on all
+// of their free capacity, and expects no concurrent placements there.
+func TestAssignedWorkersAreNotShared(t *testing.T) {
+	settings := testSettings()
+	settings.FleetSize, settings.UnitCores, settings.UnitMemory = 9, 1, 2
+	assigned, foreign := smallWorker("a", 1, 8), smallWorker("b", 2, 8)
 	foreign.State = Foreign
-	shared := newBed(t, s, 1, own).p.totals.freeUnits()
-	if divided := newBed(t, s, 1, own, foreign).p.totals.freeUnits(); divided <= shared || divided > 9.01*shared {
-		t.Errorf("room for %g units where machines are divided, %g where nine placers share one", divided, shared)
+	shared := newFixture(t, settings, 1, assigned).scheduler.totals.freeUnits()
+	if divided := newFixture(t, settings, 1, assigned, foreign).scheduler.totals.freeUnits(); divided <= shared || divided > 9.01*shared {
+		t.Errorf("free capacity for %g units where workers are divided, %g where nine schedulers share one", divided, shared)
 	}
-	f := newBed(t, s, 1, own, foreign)
+	f := newFixture(t, settings, 1, assigned, foreign)
 	f.at(10*ms, Backpressure{ReleaseRate: 1})
 	for _, requestID := range []string{"1", "2", "3", "4"} {
 		f.at(10*ms, f.request(requestID, "safe", 1, 1))
 	}
-	if f.p.overload.active = true; f.p.overload.estimateConcurrent() != [2]float64{} {
-		t.Errorf("others are taken to bind %v at machines that they are offered nothing at", f.p.overload.estimateConcurrent())
+	if f.scheduler.overload.active = true; f.scheduler.overload.estimateConcurrent() != [2]float64{} {
+		t.Errorf("expected no concurrent placements at assigned workers, got %v", f.scheduler.overload.estimateConcurrent())
 	}
 }
 
-// TestPreferredMachinesFollowHands asserts that the machines which come first for a program are those
-// of the placer as they are now.
-func TestPreferredMachinesFollowHands(t *testing.T) {
+// TestPreferredWorkersFollowAssignment asserts that the preferred workers of a program are among those
+// that are assigned now.
+func TestPreferredWorkersFollowAssignment(t *testing.T) {
 	var entries []Entry
 	for i := range 100 {
-		entries = append(entries, small(fmt.Sprint("m", i), i, 4))
+		entries = append(entries, smallWorker(fmt.Sprint("m", i), i, 4))
 	}
-	bed := newBed(t, testSettings(), 1, entries...)
-	bed.p.fleet.refresh()
-	bed.p.fleet.preferredFor(7)
-	var own []Entry
+	f := newFixture(t, testSettings(), 1, entries...)
+	f.scheduler.fleet.refresh()
+	f.scheduler.fleet.preferredFor(7)
+	var assigned []Entry
 	for i := range entries {
 		if entries[i].State = Foreign; i%2 == 0 {
 			entries[i].State = Ready
-			own = append(own, entries[i])
+			assigned = append(assigned, entries[i])
 		}
 	}
-	bed.at(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
-	bed.p.fleet.refresh()
-	alone := newBed(t, testSettings(), 1, own...)
-	alone.p.fleet.refresh()
-	if got, want := names(bed.p.fleet.preferredFor(7)), names(alone.p.fleet.preferredFor(7)); got != want {
+	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
+	f.scheduler.fleet.refresh()
+	alone := newFixture(t, testSettings(), 1, assigned...)
+	alone.scheduler.fleet.refresh()
+	if got, want := names(f.scheduler.fleet.preferredFor(7)), names(alone.scheduler.fleet.preferredFor(7)); got != want {
 		t.Errorf("%s come first, expected %s", got, want)
 	}
 }
 
-// TestHalfOfOwnMachinesStayOpen asserts that held tasks keep half of the placer's own machines from
-// others at most, however many foreign ones there are.
-func TestHalfOfOwnMachinesStayOpen(t *testing.T) {
-	entries := []Entry{small("a", 1, 0), small("b", 2, 0), small("c", 3, 0), small("d", 4, 0)}
+// TestReservationsAreBoundedByAssignedWorkers asserts that at most half of the assigned workers are
+// reserved for pending tasks, however many foreign ones there are.
+func TestReservationsAreBoundedByAssignedWorkers(t *testing.T) {
+	entries := []Entry{smallWorker("a", 1, 0), smallWorker("b", 2, 0), smallWorker("c", 3, 0), smallWorker("d", 4, 0)}
 	for i := range 40 {
-		entry := small(fmt.Sprint("f", i), 5+i, 0)
+		entry := smallWorker(fmt.Sprint("f", i), 5+i, 0)
 		entry.State = Foreign
 		entries = append(entries, entry)
 	}
-	s := testSettings()
-	s.CoresOvercommit, s.MemoryOvercommit = 1, 1
-	bed := newBed(t, s, 1, entries...)
+	settings := testSettings()
+	settings.CoresOvercommit, settings.MemoryOvercommit = 1, 1
+	f := newFixture(t, settings, 1, entries...)
 	for i := range 10 {
-		bed.at(0, bed.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
+		f.at(0, f.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
 	}
-	if kept := len(bed.p.reservations.priorities); kept != 2 {
-		t.Errorf("%d machines are kept for held tasks, expected 2 of the 4 own ones", kept)
+	if reserved := len(f.scheduler.reservations.priorities); reserved != 2 {
+		t.Errorf("%d workers are reserved for pending tasks, expected 2 of the 4 assigned ones", reserved)
 	}
 }
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -17,95 +17,95 @@
 type condition int
 
 const (
-	mostlyWell    condition = iota
-	mostlyFull              // hardly any worker has room
-	mostlyFailing           // most attempts fail
-	mostlyCold              // most machines came up just now
-	mostlyIdle              // many machines are equally empty
-	conditions              // how many there are
+	mostlyHealthy   condition = iota
+	mostlyFull                // hardly any worker has free capacity
+	mostlyFailing             // most attempts fail
+	mostlyWarmingUp           // most workers came up just now
+	mostlyIdle                // many workers are equally empty
+	conditions                // how many there are
 )
 
 // The largest of what is drawn.
 const (
-	historyMachines = 600
+	historyWorkers  = 600
 	historySteps    = 60
 	historyBurst    = 24
 	historyPrograms = 12
 )
 
-// history is a placer, what is known outside of it, and the draw of what comes next.
+// history is a scheduler, what is known outside of it, and the random choice of what comes next.
 type history struct {
-	t         *testing.T
-	p         *Scheduler
-	seed      uint64
-	steps     int // so far
-	rng       *rand.Rand
-	condition condition
-	now       int64
-	entries   []Entry
-	index     map[string]int  // of entries, by name
-	attempts  map[string]int  // by ticket: how many were made
-	asked     map[string]Task // by ticket: not ended
-	out       []Place         // attempts without an answer
-	running   []Place         // accepted
-	probed    []string        // machines that were asked for their load
-	tickets   int
-	level     float64 // share of the machines that is asked for
-	stepCount int
-	record    func(now int64, events []Event) // what is handed over, or nil
+	t            *testing.T
+	scheduler    *Scheduler
+	seed         uint64
+	steps        int // so far
+	random       *rand.Rand
+	condition    condition
+	now          int64
+	entries      []Entry
+	index        map[string]int  // of entries, by name
+	attempts     map[string]int  // by request: how many were made
+	unfinished   map[string]Task // by request: not ended
+	offered      []Place         // attempts without an answer
+	running      []Place         // accepted
+	probed       []string        // workers with a probe that has no answer
+	requestCount int
+	level        float64 // utilization of the workers
+	stepCount    int
+	record       func(now int64, events []Event) // what is handed over, or nil
 }
 
 func newHistory(t *testing.T, seed uint64) *history {
 	t.Helper()
-	h := &history{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), now: 1000 * second, index: map[string]int{},
-		attempts: map[string]int{}, asked: map[string]Task{}}
-	h.condition = condition(h.rng.IntN(int(conditions)))
+	h := &history{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), now: 1000 * second, index: map[string]int{},
+		attempts: map[string]int{}, unfinished: map[string]Task{}}
+	h.condition = condition(h.random.IntN(int(conditions)))
 	h.level = [conditions]float64{0.5, 1, 0.6, 0.5, 0}[h.condition]
 	scheduler, err := New(h.settings(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.p = scheduler
-	workers := int(math.Exp(h.rng.Float64()*math.Log(historyMachines)) + 0.5)
+	h.scheduler = scheduler
+	workers := int(math.Exp(h.random.Float64()*math.Log(historyWorkers)) + 0.5)
 	for i := range workers {
 		name := fmt.Sprint("m", i)
 		h.index[name] = i
 		h.entries = append(h.entries, h.drawEntry(name, i/4))
 	}
-	h.stepCount = 10 + h.rng.IntN(historySteps)
-	h.handle([]Event{WorkerList{Kind: ListKind(1 + h.rng.IntN(2)), Entries: slices.Clone(h.entries)}})
+	h.stepCount = 10 + h.random.IntN(historySteps)
+	h.handle([]Event{WorkerList{Kind: ListKind(1 + h.random.IntN(2)), Entries: slices.Clone(h.entries)}})
 	return h
 }
 
 // settings are drawn around those of the other tests, whose classes are of all sorts.
 func (h *history) settings() Settings {
-	s := testSettings()
-	s.FleetSize = []int{1, 2, 9, 60}[h.rng.IntN(4)]
-	s.SelfIndex = h.rng.IntN(s.FleetSize)
-	s.HasView = h.chance(0.92)
-	s.AcceptMeansRunning = h.chance(0.3)
-	s.Probes = h.chance(0.3)
-	s.Pings, s.PollsDiscovery = true, h.chance(0.5)
-	s.ReportsUsage = h.chance(0.3)
-	s.ReportsFree = true
-	s.CoresOvercommit = []float64{1, 1, 1.5}[h.rng.IntN(3)]
-	s.MemoryOvercommit = s.CoresOvercommit
-	s.SlowStartOffers = []float64{0, 1, 8, 25, 200}[h.rng.IntN(5)]
-	s.ColdStartRate = 0.2
-	s.MaxAttempts = []int{0, 3, 3, 6}[h.rng.IntN(4)]
-	s.UnitCores, s.UnitMemory = 2, 4
-	s.OverQuotaWeight = 0.5
-	s.Tenants = []Tenant{{"small", 40}, {"large", 400}}
-	for i := range s.Classes {
-		s.Classes[i].DeadlineUs = 5 * second
-		if s.Classes[i].Spread != ScopeNone && h.chance(0.5) {
-			s.Classes[i].MaxPerDomain = 3
+	settings := testSettings()
+	settings.FleetSize = []int{1, 2, 9, 60}[h.random.IntN(4)]
+	settings.SelfIndex = h.random.IntN(settings.FleetSize)
+	settings.HasView = h.chance(0.92)
+	settings.AcceptMeansRunning = h.chance(0.3)
+	settings.Probes = h.chance(0.3)
+	settings.Pings, settings.PollsDiscovery = true, h.chance(0.5)
+	settings.ReportsUsage = h.chance(0.3)
+	settings.ReportsFree = true
+	settings.CoresOvercommit = []float64{1, 1, 1.5}[h.random.IntN(3)]
+	settings.MemoryOvercommit = settings.CoresOvercommit
+	settings.SlowStartOffers = []float64{0, 1, 8, 25, 200}[h.random.IntN(5)]
+	settings.ColdStartRate = 0.2
+	settings.MaxAttempts = []int{0, 3, 3, 6}[h.random.IntN(4)]
+	settings.UnitCores, settings.UnitMemory = 2, 4
+	settings.OverQuotaWeight = 0.5
+	settings.Tenants = []Tenant{{"small", 40}, {"large", 400}}
+	for i := range settings.Classes {
+		settings.Classes[i].DeadlineUs = 5 * second
+		if settings.Classes[i].Spread != ScopeNone && h.chance(0.5) {
+			settings.Classes[i].MaxPerDomain = 3
 		}
 	}
-	return s
+	return settings
 }
 
-func (h *history) chance(p float64) bool { return h.rng.Float64() < p }
+func (h *history) chance(p float64) bool { return h.random.Float64() < p }
 
 // pick draws an index by weights.
 func (h *history) pick(weights ...int) int {
@@ -113,7 +113,7 @@
 	for _, weight := range weights {
 		sum += weight
 	}
-	draw := h.rng.IntN(sum)
+	draw := h.random.IntN(sum)
 	for i, weight := range weights {
 		if draw < weight {
 			return i
@@ -123,30 +123,30 @@
 	return 0
 }
 
-// drawEntry draws what the list says of a machine.
+// drawEntry draws what the list says of a worker.
 func (h *history) drawEntry(name string, cell int) Entry {
 	entry := Entry{Worker: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: WorkerState(h.pick(94, 3, 3))}
-	kinds := h.p.settings.Kinds
-	kind := kinds[h.rng.IntN(len(kinds))]
+	kinds := h.scheduler.settings.Kinds
+	kind := kinds[h.random.IntN(len(kinds))]
 	entry.Kind = kind.Name
 	if h.chance(0.03) {
 		entry.Kind = "unknown"
 	}
 	if h.chance([conditions]float64{0.05, 0.05, 0.05, 0.7, 0.02}[h.condition]) {
-		entry.StartedAtUs = h.now - h.rng.Int64N(12*second)
+		entry.StartedAtUs = h.now - h.random.Int64N(12*second)
 	}
-	return h.drawRoom(entry, kind)
+	return h.drawFreeCapacity(entry, kind)
 }
 
-// drawRoom draws the room that the list shows, in quarters so that ties are common.
-func (h *history) drawRoom(entry Entry, kind Kind) Entry {
+// drawFreeCapacity draws the free capacity that the list shows, in quarters so that ties are common.
+func (h *history) drawFreeCapacity(entry Entry, kind Kind) Entry {
 	quarter := func(v float64) float64 { return math.Round(v*4) / 4 }
 	requested := h.level
 	if h.condition != mostlyIdle || h.chance(0.1) {
-		requested += (h.rng.Float64() - 0.5) * 0.3
+		requested += (h.random.Float64() - 0.5) * 0.3
 	}
 	entry.FreeCores = quarter(kind.Cores * (1 - requested))
-	entry.FreeMemory = quarter(kind.Memory * (1 - requested*(0.8+0.4*h.rng.Float64())))
+	entry.FreeMemory = quarter(kind.Memory * (1 - requested*(0.8+0.4*h.random.Float64())))
 	if h.condition == mostlyIdle {
 		entry.FreeMemory = kind.Memory
 	}
@@ -155,19 +155,19 @@
 
 // kindOf is the kind of an entry, or the first one where that is unknown.
 func (h *history) kindOf(entry Entry) Kind {
-	for _, kind := range h.p.settings.Kinds {
+	for _, kind := range h.scheduler.settings.Kinds {
 		if kind.Name == entry.Kind {
 			return kind
 		}
 	}
-	return h.p.settings.Kinds[0]
+	return h.scheduler.settings.Kinds[0]
 }
 
 // step draws the next time and events, hands them over and returns the actions.
 func (h *history) step() []Action {
 	h.now += h.drawPause()
 	var events []Event
-	for range 1 + h.rng.IntN(4) {
+	for range 1 + h.random.IntN(4) {
 		events = append(events, h.drawEvents()...)
 	}
 	return h.handle(events)
@@ -175,7 +175,7 @@
 
 func (h *history) drawPause() int64 {
 	longest := []int64{5 * ms, 100 * ms, 2 * second, 10 * second, 60 * second}[h.pick(40, 30, 20, 8, 2)]
-	return h.rng.Int64N(longest) + 1
+	return h.random.Int64N(longest) + 1
 }
 
 // handle hands over events and notes what follows from the actions. A panic fails the
@@ -183,25 +183,25 @@
 func (h *history) handle(events []Event) []Action {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			h.t.Fatalf("seed %d, step %d, %d machines: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
+			h.t.Fatalf("seed %d, step %d, %d workers: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
 		}
 	}()
 	h.steps++
 	if h.record != nil {
 		h.record(h.now, events)
 	}
-	actions := h.p.Handle(h.now, events)
+	actions := h.scheduler.Handle(h.now, events)
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Place:
 			h.attempts[action.RequestID]++
-			h.out = append(h.out, action)
+			h.offered = append(h.offered, action)
 		case Probe:
 			h.probed = append(h.probed, action.Worker)
 		case Reject:
-			delete(h.asked, action.RequestID)
+			delete(h.unfinished, action.RequestID)
 		case Fail:
-			delete(h.asked, action.RequestID)
+			delete(h.unfinished, action.RequestID)
 		}
 	}
 	return actions
@@ -218,64 +218,64 @@
 	case 3:
 		return []Event{h.drawList()}
 	case 4:
-		return h.drawNotes()
+		return h.drawReports()
 	case 5:
-		return h.drawSampled()
+		return h.drawProbeResult()
 	case 6:
-		return []Event{h.drawPressure()}
+		return []Event{h.drawBackpressure()}
 	case 7:
-		return []Event{WorkerReachable{h.anyMachine()}}
+		return []Event{WorkerReachable{h.anyWorker()}}
 	case 8:
-		return []Event{ClientCancelled{h.anyTicket()}}
+		return []Event{ClientCancelled{h.anyRequestID()}}
 	case 9:
 		return []Event{TimerFired{"wake"}}
 	}
-	return []Event{h.drawExisting()}
+	return []Event{h.drawAdopted()}
 }
 
-func (h *history) anyMachine() string { return h.entries[h.rng.IntN(len(h.entries))].Worker }
+func (h *history) anyWorker() string { return h.entries[h.random.IntN(len(h.entries))].Worker }
 
-// anyTicket is of a task that has not ended, or of none.
-func (h *history) anyTicket() string {
-	requestIDs := slices.Sorted(maps.Keys(h.asked))
+// anyRequestID is of a task that has not ended, or of none.
+func (h *history) anyRequestID() string {
+	requestIDs := slices.Sorted(maps.Keys(h.unfinished))
 	if len(requestIDs) == 0 {
 		return "none"
 	}
-	return requestIDs[h.rng.IntN(len(requestIDs))]
+	return requestIDs[h.random.IntN(len(requestIDs))]
 }
 
 // drawTask draws a task of any class and shape.
 func (h *history) drawTask() Task {
-	h.tickets++
+	h.requestCount++
 	cores := []float64{.25, .5, 1, 2, 4, 8, 16, 30, 50, 90}[h.pick(5, 15, 25, 20, 15, 8, 5, 3, 2, 1)]
 	memory := []float64{0.25, 1, 2, 8}[h.pick(1, 3, 5, 2)]
-	classes := h.p.settings.Classes
+	classes := h.scheduler.settings.Classes
 	task := Task{
-		RequestID: fmt.Sprint("t", h.tickets), Class: classes[h.rng.IntN(len(classes))].Name, Cores: cores, Memory: cores * memory,
-		DeadlineUs: h.now + second/2 + h.rng.Int64N(10*second), Program: uint64(h.rng.IntN(historyPrograms)),
-		Tenant: []string{"small", "large", "none"}[h.rng.IntN(3)], Retry: h.chance(0.1),
+		RequestID: fmt.Sprint("t", h.requestCount), Class: classes[h.random.IntN(len(classes))].Name, Cores: cores, Memory: cores * memory,
+		DeadlineUs: h.now + second/2 + h.random.Int64N(10*second), Program: uint64(h.random.IntN(historyPrograms)),
+		Tenant: []string{"small", "large", "none"}[h.random.IntN(3)], Retry: h.chance(0.1),
 	}
 	if h.chance(0.3) {
 		task.Program = 0
 	}
 	if h.chance(0.6) {
-		task.HasRunHint, task.ExpectedRunUs = true, h.rng.Int64N(200*second)
+		task.HasRunHint, task.ExpectedRunUs = true, h.random.Int64N(200*second)
 	}
 	if h.chance(0.2) {
-		task.QueuedSinceUs = h.now - h.rng.Int64N(5*second)
+		task.QueuedSinceUs = h.now - h.random.Int64N(5*second)
 	}
 	return task
 }
 
 func (h *history) drawRequests() (events []Event) {
 	task := h.drawTask()
-	n := 1 + h.rng.IntN(3)
+	count := 1 + h.random.IntN(3)
 	burst := h.chance(0.1)
 	if burst {
-		n = 1 + h.rng.IntN(historyBurst)
+		count = 1 + h.random.IntN(historyBurst)
 	}
-	for range n {
-		h.asked[task.RequestID] = task
+	for range count {
+		h.unfinished[task.RequestID] = task
 		events = append(events, Request{task})
 		next := h.drawTask()
 		if burst {
@@ -288,15 +288,15 @@
 	return events
 }
 
-// drawExisting draws a task that was found running, at times on a machine that no list
-// has named.
-func (h *history) drawExisting() Event {
+// drawAdopted draws a task that was found running, at times on a worker that was never
+// listed.
+func (h *history) drawAdopted() Event {
 	task := h.drawTask()
-	h.asked[task.RequestID] = task
+	h.unfinished[task.RequestID] = task
 	h.attempts[task.RequestID] = 1
-	place := Place{RequestID: task.RequestID, Worker: h.anyMachine()}
+	place := Place{RequestID: task.RequestID, Worker: h.anyWorker()}
 	if h.chance(0.4) {
-		place.Worker = fmt.Sprint("unlisted", h.rng.IntN(5))
+		place.Worker = fmt.Sprint("unlisted", h.random.IntN(5))
 	}
 	h.running = append(h.running, place)
 	return Adopted{task, place.Worker}
@@ -304,27 +304,27 @@
 
 // drawOutcomes draws answers to attempts that are out, and ends of running tasks.
 func (h *history) drawOutcomes() (events []Event) {
-	for range 1 + h.rng.IntN(3) {
-		if len(h.out) > 0 && h.chance(0.7) {
-			i := h.rng.IntN(len(h.out))
-			place := h.out[i]
-			h.out = slices.Delete(h.out, i, i+1)
+	for range 1 + h.random.IntN(3) {
+		if len(h.offered) > 0 && h.chance(0.7) {
+			i := h.random.IntN(len(h.offered))
+			place := h.offered[i]
+			h.offered = slices.Delete(h.offered, i, i+1)
 			if h.chance(0.05) {
 				continue // it is never answered
 			}
-			events = append(events, h.drawAnswer(place))
+			events = append(events, h.drawResponse(place))
 		} else if len(h.running) > 0 {
-			i := h.rng.IntN(len(h.running))
+			i := h.random.IntN(len(h.running))
 			place := h.running[i]
 			h.running = slices.Delete(h.running, i, i+1)
-			events = append(events, h.drawEnd(place))
+			events = append(events, h.drawCompletion(place))
 		}
 	}
 	return events
 }
 
-func (h *history) drawAnswer(place Place) Event {
-	attempt, rtt := h.attempts[place.RequestID]-1, 1+h.rng.Int64N(30*ms)
+func (h *history) drawResponse(place Place) Event {
+	attempt, rtt := h.attempts[place.RequestID]-1, 1+h.random.Int64N(30*ms)
 	accepted := 70
 	if h.condition == mostlyFailing {
 		accepted = 10
@@ -338,7 +338,7 @@
 		ended.Outcome = Failed
 	case 2:
 		ended.Outcome = Rejected
-		ended.Cause = []Cause{CauseCores, CauseMemory, CauseQueue, CauseWrongWorker}[h.rng.IntN(4)]
+		ended.Cause = []Cause{CauseCores, CauseMemory, CauseQueue, CauseWrongWorker}[h.random.IntN(4)]
 	case 3:
 		ended.Outcome = TimedOut
 	case 4:
@@ -353,13 +353,13 @@
 	return ended
 }
 
-func (h *history) drawEnd(place Place) Event {
+func (h *history) drawCompletion(place Place) Event {
 	ended := AttemptEnded{RequestID: place.RequestID, Attempt: h.attempts[place.RequestID] - 1, Worker: place.Worker, Outcome: Completed, Final: h.chance(0.5)}
-	delete(h.asked, place.RequestID)
+	delete(h.unfinished, place.RequestID)
 	switch h.pick(75, 10, 10, 5) {
 	case 1:
 		ended.Outcome = Reset
-		ended.Cause = []Cause{CauseUnknown, CauseEvicted, CausePreempted, CauseDrained}[h.rng.IntN(4)]
+		ended.Cause = []Cause{CauseUnknown, CauseEvicted, CausePreempted, CauseDrained}[h.random.IntN(4)]
 	case 2:
 		ended.Outcome = Failed
 	case 3:
@@ -368,25 +368,25 @@
 	return ended
 }
 
-// drawDelta draws changes of a few machines, or at times of a part of the fleet that
+// drawDelta draws changes of a few workers, or at times of a part of the fleet that
 // drains, is lost or comes back.
 func (h *history) drawDelta() Event {
 	var changed []Entry
-	n := 1 + h.rng.IntN(5)
+	count := 1 + h.random.IntN(5)
 	together, state := h.chance(0.08), WorkerState(h.pick(50, 25, 25))
 	if together {
-		n = 1 + len(h.entries)/4
+		count = 1 + len(h.entries)/4
 	}
-	for range n {
-		i := h.rng.IntN(len(h.entries))
-		entry := h.drawRoom(h.entries[i], h.kindOf(h.entries[i]))
+	for range count {
+		i := h.random.IntN(len(h.entries))
+		entry := h.drawFreeCapacity(h.entries[i], h.kindOf(h.entries[i]))
 		if together {
 			entry.State = state
 		} else {
 			entry.State = WorkerState(h.pick(92, 4, 4))
 		}
 		if h.chance(0.04) || together && state == Ready {
-			entry.StartedAtUs = h.now - h.rng.Int64N(second)
+			entry.StartedAtUs = h.now - h.random.Int64N(second)
 		}
 		h.entries[i] = entry
 		entry.Uncordoned = h.chance(0.02)
@@ -396,7 +396,7 @@
 }
 
 func (h *history) drawList() Event {
-	list := WorkerList{Kind: []ListKind{ListFull, ListCached, ListFailed}[h.rng.IntN(3)]}
+	list := WorkerList{Kind: []ListKind{ListFull, ListCached, ListFailed}[h.random.IntN(3)]}
 	if list.Kind == ListFailed {
 		return list
 	}
@@ -412,27 +412,27 @@
 	return list
 }
 
-func (h *history) drawNotes() (events []Event) {
-	for range min(len(h.running), 1+h.rng.IntN(4)) {
-		place := h.running[h.rng.IntN(len(h.running))]
-		report := TaskReport{RequestID: place.RequestID, Attempt: h.attempts[place.RequestID] - 1, Worker: place.Worker, Kind: ReportKind(1 + h.rng.IntN(5))}
-		task := h.asked[place.RequestID]
+func (h *history) drawReports() (events []Event) {
+	for range min(len(h.running), 1+h.random.IntN(4)) {
+		place := h.running[h.random.IntN(len(h.running))]
+		report := TaskReport{RequestID: place.RequestID, Attempt: h.attempts[place.RequestID] - 1, Worker: place.Worker, Kind: ReportKind(1 + h.random.IntN(5))}
+		task := h.unfinished[place.RequestID]
 		switch report.Kind {
 		case ReportCores:
-			report.Value = task.Cores * (0.3 + h.rng.Float64())
+			report.Value = task.Cores * (0.3 + h.random.Float64())
 		case ReportMemory:
-			report.Value = task.Memory * (0.3 + h.rng.Float64())
+			report.Value = task.Memory * (0.3 + h.random.Float64())
 		default:
-			report.Value = h.rng.Float64()*0.6 + 0.45
+			report.Value = h.random.Float64()*0.6 + 0.45
 		}
 		events = append(events, report)
 	}
 	return events
 }
 
-// drawSampled draws the answer to a probe, or a report that nobody asked for.
-func (h *history) drawSampled() []Event {
-	worker := h.anyMachine()
+// drawProbeResult draws the answer to a probe, or a report without a probe.
+func (h *history) drawProbeResult() []Event {
+	worker := h.anyWorker()
 	if len(h.probed) > 0 && h.chance(0.8) {
 		worker, h.probed = h.probed[0], h.probed[1:]
 	}
@@ -441,8 +441,8 @@
 		event.Outcome = TimedOut
 	}
 	kind := h.kindOf(h.entries[h.index[worker]])
-	event.Load = Load{kind.Cores * (1 - h.level*h.rng.Float64()*1.2), kind.Memory * (1 - h.level*h.rng.Float64()*1.2),
-		h.rng.Float64() * 1.1, float64(h.rng.IntN(6))}
+	event.Load = Load{kind.Cores * (1 - h.level*h.random.Float64()*1.2), kind.Memory * (1 - h.level*h.random.Float64()*1.2),
+		h.random.Float64() * 1.1, float64(h.random.IntN(6))}
 	switch h.pick(80, 10, 5, 5) {
 	case 1:
 		event.Load.FreeCores, event.Load.FreeMemory = math.NaN(), math.NaN()
@@ -454,32 +454,32 @@
 	return []Event{event}
 }
 
-func (h *history) drawPressure() Event {
-	e := Backpressure{}
+func (h *history) drawBackpressure() Event {
+	event := Backpressure{}
 	if h.chance(0.6) {
-		e.ReleaseRate = h.rng.Float64() * 200
+		event.ReleaseRate = h.random.Float64() * 200
 	}
 	if h.chance(0.4) {
-		for range h.p.settings.Classes {
-			e.Reserved = append(e.Reserved, float64(h.rng.IntN(3)))
+		for range h.scheduler.settings.Classes {
+			event.Reserved = append(event.Reserved, float64(h.random.IntN(3)))
 		}
 	}
-	return e
+	return event
 }
 
-// probe draws a task to compare choices for. It is not one of the placer's: what came
+// madeUpTask draws a task to compare selections for. It is not one of the scheduler's: what came
 // before it, attempts and errors, is made up.
-func (h *history) probe() *taskInfo {
+func (h *history) madeUpTask() *taskInfo {
 	submitted := h.drawTask()
-	classIndex := h.p.requests.classIndexes[submitted.Class]
-	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: h.now - h.rng.Int64N(3*second), queuedSince: h.now}
-	task.priority = []float64{0, 0.01, 1, 1e6}[h.rng.IntN(4)]
+	classIndex := h.scheduler.requests.classIndexes[submitted.Class]
+	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: h.now - h.random.Int64N(3*second), queuedSince: h.now}
+	task.priority = []float64{0, 0.01, 1, 1e6}[h.random.IntN(4)]
 	if h.chance(0.5) {
-		task.priority = h.p.queue.priority(task)
+		task.priority = h.scheduler.queue.priority(task)
 	}
-	anyWorker := func() *workerInfo { return h.p.fleet.sorted[h.rng.IntN(len(h.p.fleet.sorted))] }
-	for len(h.p.fleet.sorted) > 0 && len(task.attempts) < 3 && h.chance(0.25) {
-		task.attempts = append(task.attempts, &attemptInfo{worker: anyWorker(), sentAt: h.now - h.rng.Int64N(4*second), ended: true, failed: h.chance(0.5)})
+	anyWorker := func() *workerInfo { return h.scheduler.fleet.sorted[h.random.IntN(len(h.scheduler.fleet.sorted))] }
+	for len(h.scheduler.fleet.sorted) > 0 && len(task.attempts) < 3 && h.chance(0.25) {
+		task.attempts = append(task.attempts, &attemptInfo{worker: anyWorker(), sentAt: h.now - h.random.Int64N(4*second), ended: true, failed: h.chance(0.5)})
 	}
 	if len(task.attempts) > 0 && h.chance(0.5) {
 		task.mayHaveRun = task.attempts[0]
--- a/placement/module_slopes_test.go
+++ b/placement/module_slopes_test.go
@@ -14,18 +14,18 @@
 var caseFlag = flag.String("case", "", "TestModuleSlopes: measure this case only")
 
 const (
-	// unitBound ends a case: what costs more once is not measured at further sizes.
+	// unitBound ends a case: what takes longer once is not measured at further sizes.
 	unitBound = 2 * time.Second
 	// caseBound is how long the units of one case may take at one size.
 	caseBound = 4 * time.Second
 	// expensiveUnits is how many units are measured of events that concern the whole fleet.
 	expensiveUnits = 4
-	heldDeadline   = 3600 * second
-	heldUnits      = 12
+	pendingTimeout = 3600 * second
+	pendingUnits   = 12
 	burstTasks     = 256
 	serviceTasks   = 200
 	hugeCores      = 40
-	hugeMem        = 60
+	hugeMemory     = 60
 	hugeWorkers    = 3
 	drainedPart    = 4 // one in so many workers is drained at once
 	poorService    = 0.85
@@ -33,8 +33,8 @@
 	reportedQueue  = 1
 )
 
-// moduleCase is one kind of event, or one state of the fleet, whose cost is measured.
-type moduleCase struct {
+// eventCase is one kind of event, or one state of the fleet, whose cost is measured.
+type eventCase struct {
 	name  string
 	units int // at most
 	// start prepares a site. It may measure nothing.
@@ -47,31 +47,31 @@
 	return newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), false)
 }
 
-func moduleCases() []moduleCase {
-	n := *unitsFlag
-	cases := []moduleCase{
-		{"request", n, warmSite, measureExchange},
-		{"refusal", n, warmSite, measureRefusal},
+func eventCases() []eventCase {
+	units := *unitsFlag
+	cases := []eventCase{
+		{"request", units, warmSite, measureExchange},
+		{"rejection", units, warmSite, measureRejection},
 		{"burst_256", expensiveUnits, busySite, measureBurst},
 		{"drain_quarter", expensiveUnits, busySite, measureDrain},
 		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, m, new(meter)) }},
 		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, new(meter), m) }},
-		{"request_cold_zone", n, coldSite, measureExchange},
+		{"request_cold_zone", units, warmingSite, measureExchange},
 		{"first_list", expensiveUnits, busySite, measureFirstList},
-		{"note_cores", n, busySite, noteCase(ReportCores, siteCoresUse)},
-		{"note_service_poor", n, busySite, noteCase(ReportService, poorService)},
-		{"note_service_worst", n, busySite, noteCase(ReportService, worstService)},
-		{"sampled", n, busySite, measureSampled},
-		{"spread_200", n, serviceSite, measureReplica},
-		{"huge", n, hugeSite, measureHuge},
-		{"idle", n, idleSite, measureUnrelated},
-		{"request_bends", n, bentSite, measureBent},
+		{"note_cores", units, busySite, reportCase(ReportCores, siteCoresUse)},
+		{"note_service_poor", units, busySite, reportCase(ReportService, poorService)},
+		{"note_service_worst", units, busySite, reportCase(ReportService, worstService)},
+		{"sampled", units, busySite, measureProbeResult},
+		{"spread_200", units, serviceSite, measureReplica},
+		{"huge", units, hugeSite, measureHuge},
+		{"idle", units, idleSite, measureUnrelated},
+		{"request_bends", units, calibratedSite, measureCalibrated},
 	}
-	for _, held := range []int{10, 100, 1000} {
-		start := func(t *testing.T, workers int) *site { return fullSite(t, workers, held) }
+	for _, pending := range []int{10, 100, 1000} {
+		start := func(t *testing.T, workers int) *site { return fullSite(t, workers, pending) }
 		cases = append(cases,
-			moduleCase{fmt.Sprintf("held_%d_entry", held), min(n, heldUnits), start, measureHeldEntry},
-			moduleCase{fmt.Sprintf("held_%d_bell", held), min(n, heldUnits), start, measureHeldBell})
+			eventCase{fmt.Sprintf("held_%d_entry", pending), min(units, pendingUnits), start, measurePendingEntry},
+			eventCase{fmt.Sprintf("held_%d_bell", pending), min(units, pendingUnits), start, measurePendingTimer})
 	}
 	return cases
 }
@@ -82,21 +82,21 @@
 	holdThread(t)
 	var table [][]float64
 	var series []plot.Series
-	for i, c := range moduleCases() {
-		if *caseFlag != "" && *caseFlag != c.name {
+	for i, test := range eventCases() {
+		if *caseFlag != "" && *caseFlag != test.name {
 			continue
 		}
-		t.Run(c.name, func(t *testing.T) {
-			line := plot.Series{Name: c.name}
+		t.Run(test.name, func(t *testing.T) {
+			line := plot.Series{Name: test.name}
 			for _, workers := range sizes(t, *workersFlag) {
-				m, stopped := measureCase(t, c, workers)
+				m, stopped := measureCase(t, test, workers)
 				line.X, line.Y = append(line.X, float64(workers)), append(line.Y, m.us())
 				table = append(table, []float64{float64(i), float64(workers), m.us(), m.allocsEach(), m.bytesEach(), float64(m.units)})
 				if stopped {
 					break
 				}
 			}
-			fmt.Printf("module: case=%s exponent=%.3f\n", c.name, stats.Exponent(line.X, line.Y))
+			fmt.Printf("module: case=%s exponent=%.3f\n", test.name, stats.Exponent(line.X, line.Y))
 			series = append(series, line)
 		})
 	}
@@ -113,14 +113,14 @@
 }
 
 // measureCase measures a case at one size, and reports whether it is to stop there.
-func measureCase(t *testing.T, c moduleCase, workers int) (m *meter, stopped bool) {
+func measureCase(t *testing.T, test eventCase, workers int) (m *meter, stopped bool) {
 	holdThread(t)
 	m = &meter{}
 	from := threadTime(t)
-	s := c.start(t, workers)
-	for range c.units {
+	s := test.start(t, workers)
+	for range test.units {
 		before := m.spent
-		c.unit(s, m)
+		test.unit(s, m)
 		if m.spent-before > unitBound {
 			stopped = true
 			break
@@ -133,12 +133,12 @@
 	if stopped {
 		note = fmt.Sprintf(" stopped=unit_over_%s", unitBound)
 	}
-	fmt.Printf("module: case=%s workers=%d us=%.1f allocs=%.1f%s\n", c.name, workers, m.us(), m.allocsEach(), note)
-	t.Logf("case=%s workers=%d units=%d total_s=%.2f", c.name, workers, m.units, (threadTime(t) - from).Seconds())
+	fmt.Printf("module: case=%s workers=%d us=%.1f allocs=%.1f%s\n", test.name, workers, m.us(), m.allocsEach(), note)
+	t.Logf("case=%s workers=%d units=%d total_s=%.2f", test.name, workers, m.units, (threadTime(t) - from).Seconds())
 	return m, stopped
 }
 
-// mustPlace fails a test whose request found no room though there is some.
+// mustPlace fails a test whose request found no free capacity though there is some.
 func (e *exchange) mustPlace(s *site) {
 	s.t.Helper()
 	if e.place == nil {
@@ -161,8 +161,8 @@
 	s.show(s.elapse())
 }
 
-// measureRefusal measures a refusal for lack of cores, after which another worker is chosen.
-func measureRefusal(s *site, m *meter) {
+// measureRejection measures a rejection for lack of cores, after which another worker is chosen.
+func measureRejection(s *site, m *meter) {
 	e := s.prepare()
 	s.place(e)
 	e.mustPlace(s)
@@ -171,18 +171,18 @@
 		actions = s.handle(AttemptEnded{RequestID: e.task.RequestID, Worker: e.place.Worker, Outcome: Rejected, Cause: CauseCores, RTTUs: siteRTT})
 	})
 	e.place = nil
-	if next := of[Place](actions); len(next) == 1 {
+	if next := ofType[Place](actions); len(next) == 1 {
 		e.place = &next[0]
 		s.now += siteRTT
 		s.handle(Accepted{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, RTTUs: siteRTT})
 		s.now += siteRTT
 		s.handle(AttemptEnded{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, Outcome: Completed, Final: true})
 	} else if !s.settings.Probes {
-		s.t.Fatalf("%d attempts after a refusal, want 1", len(next))
+		s.t.Fatalf("%d attempts after a rejection, want 1", len(next))
 	} else {
 		s.handle(ClientCancelled{e.task.RequestID})
 	}
-	s.own = append(s.own, e.ended)
+	s.schedulerTasks = append(s.schedulerTasks, e.ended)
 	s.show(s.elapse())
 }
 
@@ -199,7 +199,7 @@
 	}
 	var actions []Action
 	m.measure(s.t, func() { actions = s.handle(events...) })
-	placed := of[Place](actions)
+	placed := ofType[Place](actions)
 	if len(placed) == 0 && !s.settings.Probes {
 		s.t.Fatal("nothing of the burst was placed")
 	}
@@ -234,22 +234,22 @@
 	s.show(s.elapse())
 }
 
-// --- A crowd that is held ---
+// --- Pending tasks ---
 
 // fullSite is a site whose workers are all full, where tasks wait.
-func fullSite(t *testing.T, workers, held int) *site {
+func fullSite(t *testing.T, workers, pending int) *site {
 	s := busySite(t, workers)
 	for _, worker := range s.workers {
-		worker.askC, worker.askM = worker.cores, worker.mem
+		worker.requestedCores, worker.requestedMemory = worker.cores, worker.memory
 	}
-	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()}, Backpressure{ReleaseRate: plannedStarts / sitePlacers * float64(workers) / plannedWorkers})
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()}, Backpressure{ReleaseRate: plannedStarts / siteSchedulers * float64(workers) / plannedWorkers})
 	var events []Event
-	for range held {
+	for range pending {
 		task := s.nextTask()
-		task.DeadlineUs = s.now + heldDeadline
+		task.DeadlineUs = s.now + pendingTimeout
 		events = append(events, Request{task})
 	}
-	if placed := of[Place](s.handle(events...)); len(placed) > 0 {
+	if placed := ofType[Place](s.handle(events...)); len(placed) > 0 {
 		t.Fatalf("%d tasks placed on full workers", len(placed))
 	}
 	return s
@@ -257,21 +257,21 @@
 
 func (s *site) mustWait(actions []Action) {
 	s.t.Helper()
-	if n := len(of[Place](actions)) + len(of[Reject](actions)); n > 0 {
-		s.t.Fatalf("%d held tasks were answered", n)
+	if count := len(ofType[Place](actions)) + len(ofType[Reject](actions)); count > 0 {
+		s.t.Fatalf("%d pending tasks got a response", count)
 	}
 }
 
-// measureHeldEntry measures a list entry that shows no room.
-func measureHeldEntry(s *site, m *meter) {
-	s.now += s.betweenUs / (2 * sitePlacers)
-	worker := s.workers[s.rng.IntN(len(s.workers))]
+// measurePendingEntry measures a list entry that shows no free capacity.
+func measurePendingEntry(s *site, m *meter) {
+	s.now += s.betweenUs / (2 * siteSchedulers)
+	worker := s.workers[s.random.IntN(len(s.workers))]
 	var actions []Action
 	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{worker.shown()}}) })
 	s.mustWait(actions)
 }
 
-func measureHeldBell(s *site, m *meter) {
+func measurePendingTimer(s *site, m *meter) {
 	s.now += retryInterval
 	var actions []Action
 	m.measure(s.t, func() { actions = s.handle(TimerFired{"wake"}) })
@@ -296,8 +296,8 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// loseZone measures the loss of a zone's workers in one event, and their cold return.
-func loseZone(s *site, gone, back *meter) {
+// loseZone measures the loss of a zone's workers in one event, and their restart.
+func loseZone(s *site, removal, restart *meter) {
 	const zone = "zone-1"
 	var entries []Entry
 	for _, worker := range s.workers {
@@ -308,8 +308,8 @@
 		}
 	}
 	s.now += second
-	gone.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
-	s.own = slices.DeleteFunc(s.own, func(task *siteTask) bool {
+	removal.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
+	s.schedulerTasks = slices.DeleteFunc(s.schedulerTasks, func(task *siteTask) bool {
 		if task.worker.entry.Zone != zone {
 			return false
 		}
@@ -319,20 +319,20 @@
 	s.now += 20 * second
 	for i := range entries {
 		worker := s.byName[entries[i].Worker]
-		worker.entry.StartedAtUs, worker.askC, worker.askM = s.now, 0, 0
+		worker.entry.StartedAtUs, worker.requestedCores, worker.requestedMemory = s.now, 0, 0
 		entries[i] = worker.shown()
 	}
-	back.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
+	restart.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 }
 
-// coldSite is a site of which a zone has just come back.
-func coldSite(t *testing.T, workers int) *site {
+// warmingSite is a site of which a zone has just restarted.
+func warmingSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	loseZone(s, new(meter), new(meter))
 	return s
 }
 
-// measureFirstList measures the first complete list that a new placer gets.
+// measureFirstList measures the first complete list that a new scheduler gets.
 func measureFirstList(s *site, m *meter) {
 	scheduler, err := New(s.settings, *seedFlag)
 	if err != nil {
@@ -344,11 +344,11 @@
 
 // --- Reports ---
 
-// noteCase measures a note on a random running task.
-func noteCase(kind ReportKind, value float64) func(*site, *meter) {
+// reportCase measures a report of a random running task.
+func reportCase(kind ReportKind, value float64) func(*site, *meter) {
 	return func(s *site, m *meter) {
 		s.now += s.betweenUs
-		task := s.own[s.rng.IntN(len(s.own))]
+		task := s.schedulerTasks[s.random.IntN(len(s.schedulerTasks))]
 		v := value
 		if kind == ReportCores {
 			v *= task.Cores
@@ -357,36 +357,36 @@
 	}
 }
 
-func measureSampled(s *site, m *meter) {
+func measureProbeResult(s *site, m *meter) {
 	s.now += s.betweenUs
-	worker := s.workers[s.rng.IntN(len(s.workers))]
-	load := Load{worker.cores - worker.askC, worker.mem - worker.askM, worker.askC / worker.cores, reportedQueue}
+	worker := s.workers[s.random.IntN(len(s.workers))]
+	load := Load{worker.cores - worker.requestedCores, worker.memory - worker.requestedMemory, worker.requestedCores / worker.cores, reportedQueue}
 	m.measure(s.t, func() { s.handle(ProbeResult{worker.entry.Worker, Completed, siteRTT, load}) })
 }
 
-// bentSite has workers that serve poorly, on which less is placed until that fades.
-func bentSite(t *testing.T, workers int) *site {
+// calibratedSite has workers that serve poorly, on which less is placed until that fades.
+func calibratedSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
-	s.reportPoor(len(s.own))
+	s.reportPoor(len(s.schedulerTasks))
 	return s
 }
 
 func (s *site) reportPoor(tasks int) {
 	for range tasks {
-		task := s.own[s.rng.IntN(len(s.own))]
+		task := s.schedulerTasks[s.random.IntN(len(s.schedulerTasks))]
 		s.handle(TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportService, poorService})
 	}
 }
 
-// measureBent measures a request while the reports of poor service fade; some come again.
-func measureBent(s *site, m *meter) {
-	s.reportPoor(1 + len(s.own)/100)
+// measureCalibrated measures a request while the reports of poor service fade; some come again.
+func measureCalibrated(s *site, m *meter) {
+	s.reportPoor(1 + len(s.schedulerTasks)/100)
 	measureExchange(s, m)
 }
 
 // --- Hard placements ---
 
-// serviceSite runs a service of which every cell holds one task at most.
+// serviceSite runs a service of which every cell has one task at most.
 func serviceSite(t *testing.T, workers int) *site {
 	s := newSite(t, workers, *seedFlag, withSpread(siteSettings(workers, *probesFlag)), false)
 	cells := workers / workersInCell
@@ -395,7 +395,7 @@
 		e := &exchange{task: &siteTask{Task: s.replica()}}
 		s.run(e)
 		e.mustPlace(s)
-		s.bind(e.task, s.byName[e.place.Worker])
+		s.start(e.task, s.byName[e.place.Worker])
 		s.service = append(s.service, e.task)
 		s.now += s.betweenUs
 	}
@@ -415,19 +415,19 @@
 	s.service = s.service[1:]
 	m.measure(s.t, func() { s.run(e) })
 	e.mustPlace(s)
-	s.unbind(e.ended)
-	s.bind(e.task, s.byName[e.place.Worker])
+	s.end(e.ended)
+	s.start(e.task, s.byName[e.place.Worker])
 	s.service = append(s.service, e.task)
 	s.show(s.elapse())
 }
 
-// hugeSite has a few empty workers, the only ones with room for a huge task.
+// hugeSite has a few empty workers, the only ones with free capacity for a huge task.
 func hugeSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	empty := 0
 	for _, worker := range s.workers {
 		if worker.cores > hugeCores && empty < hugeWorkers {
-			worker.askC, worker.askM = 0, 0
+			worker.requestedCores, worker.requestedMemory = 0, 0
 			empty++
 		}
 	}
@@ -438,7 +438,7 @@
 // measureHuge measures the request and the end of a huge task.
 func measureHuge(s *site, m *meter) {
 	task := s.nextTask()
-	task.Class, task.Program, task.Cores, task.Memory = s.settings.Classes[0].Name, 0, hugeCores, hugeMem
+	task.Class, task.Program, task.Cores, task.Memory = s.settings.Classes[0].Name, 0, hugeCores, hugeMemory
 	e := &exchange{task: &siteTask{Task: task}}
 	m.measure(s.t, func() {
 		s.run(e)
--- a/placement/nearest_test.go
+++ b/placement/nearest_test.go
@@ -12,29 +12,29 @@
 
 const (
 	// probesEach is for how many made-up tasks choices are compared after each step, and
-	// heldEach for how many of those that wait.
-	probesEach = 3
-	heldEach   = 2
-	// sendEvery is the part of the steps after which tasks are sent one by one, as within
+	// pendingEach for how many of those that wait.
+	probesEach  = 3
+	pendingEach = 2
+	// offerEvery is the part of the steps after which tasks are sent one by one, as within
 	// one call of Handle, and choices are compared after each.
-	sendEvery = 0.3
-	sendsEach = 3
-	// flippedMost is the part of the comparisons in which a value may lie at a border.
-	flippedMost = 0.01
+	offerEvery = 0.3
+	offersEach = 3
+	// maxFlipped is the part of the comparisons in which a value may lie at a border.
+	maxFlipped = 0.01
 )
 
 // comparisons counts what was compared, by path.
 type comparisons struct {
-	paths             map[string]int
-	total, flipped    int
-	many, kept, moves int
-	sent              int // tasks that were sent one by one
+	paths                 map[string]int
+	total, flipped        int
+	many, reserved, moves int
+	offered               int // tasks that were sent one by one
 }
 
-// TestChoiceOfAFullScan compares, over drawn fleets and histories, the machines among
-// which a task is placed with those of a full scan, and likewise what is kept for held
+// TestSelectionMatchesFullScan compares, over drawn fleets and histories, the workers among
+// which a task is placed with those of a full scan, and likewise what is reserved for pending
 // tasks, whether a task could run elsewhere, and what is summed over the fleet.
-func TestChoiceOfAFullScan(t *testing.T) {
+func TestSelectionMatchesFullScan(t *testing.T) {
 	c := &comparisons{paths: map[string]int{}}
 	for i := range *historiesFlag {
 		seed := *seedFlag + uint64(i)
@@ -42,74 +42,73 @@
 		for step := range h.stepCount {
 			h.step()
 			if err := c.compareStep(h); err != nil {
-				t.Fatalf("seed %d, step %d, %d machines: %v", seed, step, len(h.entries), err)
+				t.Fatalf("seed %d, step %d, %d workers: %v", seed, step, len(h.entries), err)
 			}
 		}
 	}
-	t.Logf("%d comparisons, %d at a border; %d draws among several, %d with machines kept, %d looks elsewhere, %d sent; by path: %v",
-		c.total, c.flipped, c.many, c.kept, c.moves, c.sent, c.paths)
-	for _, path := range []string{pathWaits, pathNoRoom, pathFallback, pathReturned, pathCheapest} {
+	t.Logf("%d comparisons, %d at a border; %d draws among several, %d with workers reserved, %d searches elsewhere, %d offered; by path: %v",
+		c.total, c.flipped, c.many, c.reserved, c.moves, c.offered, c.paths)
+	for _, path := range []string{pathWaits, pathNoCapacity, pathFallback, pathReturned, pathCheapest} {
 		if c.paths[path] == 0 {
 			t.Errorf("no comparison on the path %q", path)
 		}
 	}
-	if c.many == 0 || c.kept == 0 || c.moves == 0 || c.sent == 0 {
+	if c.many == 0 || c.reserved == 0 || c.moves == 0 || c.offered == 0 {
 		t.Error("a kind of comparison is missing")
 	}
-	if float64(c.flipped) > flippedMost*float64(c.total) {
-		t.Errorf("%d of %d comparisons at a border, more than %v", c.flipped, c.total, flippedMost)
+	if float64(c.flipped) > maxFlipped*float64(c.total) {
+		t.Errorf("%d of %d comparisons at a border, more than %v", c.flipped, c.total, maxFlipped)
 	}
 }
 
 // compareStep compares choices after a step, and as tasks are sent at the same time.
 func (c *comparisons) compareStep(h *history) error {
-	if err := c.compare(h); err != nil || !h.chance(sendEvery) {
+	if err := c.compare(h); err != nil || !h.chance(offerEvery) {
 		return err
 	}
-	for range sendsEach {
-		if !h.sendOne() {
+	for range offersEach {
+		if !h.offerOne() {
 			break
 		}
 		if err := c.compare(h); err != nil {
 			return fmt.Errorf("after a task was sent: %w", err)
 		}
-		c.sent++
+		c.offered++
 	}
 	return nil
 }
 
-// sendOne sends a task as the placer does within a call of Handle, and reports whether
-// it could.
-func (h *history) sendOne() bool {
+// offerOne offers a task as the scheduler does within a call of Handle, and reports whether it could.
+func (h *history) offerOne() bool {
 	submitted := h.drawTask()
-	task := &taskInfo{Task: submitted, classIndex: h.p.requests.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
-	task.priority = h.p.queue.priority(task)
-	worker := h.p.search.selectWorker(task)
+	task := &taskInfo{Task: submitted, classIndex: h.scheduler.requests.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
+	task.priority = h.scheduler.queue.priority(task)
+	worker := h.scheduler.search.selectWorker(task)
 	if worker == nil {
 		return false
 	}
-	h.p.requests.tasks[submitted.RequestID] = task
-	h.p.pass.bind(task, worker)
-	h.asked[submitted.RequestID] = submitted
+	h.scheduler.requests.tasks[submitted.RequestID] = task
+	h.scheduler.pass.bind(task, worker)
+	h.unfinished[submitted.RequestID] = submitted
 	h.attempts[submitted.RequestID] = 1
-	h.out = append(h.out, Place{RequestID: submitted.RequestID, Worker: worker.Worker})
+	h.offered = append(h.offered, Place{RequestID: submitted.RequestID, Worker: worker.Worker})
 	return true
 }
 
-// compare compares choices as things stand. What a large fleet's means and spare room
-// are held to be for a while is computed anew first: TestMeansOfALargeFleet has that.
+// compare compares selections as things are. The means and the free capacity of a large fleet are
+// computed anew first, as they are cached otherwise: TestMeansOfLargeFleet has that.
 func (c *comparisons) compare(h *history) error {
-	h.p.totals.cachedMeans.computedAt, h.p.totals.freeUnitsAt = 0, 0
-	r := newReference(h.p)
+	h.scheduler.totals.cachedMeans.computedAt, h.scheduler.totals.freeUnitsAt = 0, 0
+	r := newReference(h.scheduler)
 	if err := r.compareSums(); err != nil {
 		return err
 	}
 	var tasks []*taskInfo
 	for range probesEach {
-		tasks = append(tasks, h.probe())
+		tasks = append(tasks, h.madeUpTask())
 	}
-	for i := range min(heldEach, len(h.p.queue.pending)) {
-		tasks = append(tasks, h.p.queue.pending[(i+h.rng.IntN(len(h.p.queue.pending)))%len(h.p.queue.pending)])
+	for i := range min(pendingEach, len(h.scheduler.queue.pending)) {
+		tasks = append(tasks, h.scheduler.queue.pending[(i+h.random.IntN(len(h.scheduler.queue.pending)))%len(h.scheduler.queue.pending)])
 	}
 	for _, task := range tasks {
 		if err := c.compareTask(h, r, task); err != nil {
@@ -120,30 +119,30 @@
 }
 
 func (c *comparisons) compareTask(h *history, r *reference, task *taskInfo) error {
-	finalists := h.p.search.finalists(task)
-	path, flipped, err := r.compareNearest(task, finalists)
+	finalists := h.scheduler.search.finalists(task)
+	path, flipped, err := r.compareFinalists(task, finalists)
 	if err != nil {
 		return err
 	}
-	if worker := h.p.search.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
+	if worker := h.scheduler.search.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
 		return fmt.Errorf("task %+v: chosen %v, which is not of %s", task.Task, worker, names(finalists))
 	}
 	c.add(path, flipped)
 	if len(finalists) > 1 {
 		c.many++
 	}
-	if len(h.p.reservations.priorities) > 0 {
-		c.kept++
+	if len(h.scheduler.reservations.priorities) > 0 {
+		c.reserved++
 	}
-	if err := r.compareKeep(task, keptFor(h.p, task)); err != nil {
+	if err := r.compareReserved(task, reservedFor(h.scheduler, task)); err != nil {
 		return err
 	}
-	if len(h.p.fleet.sorted) == 0 {
+	if len(h.scheduler.fleet.sorted) == 0 {
 		return nil
 	}
-	worker := h.p.fleet.sorted[h.rng.IntN(len(h.p.fleet.sorted))]
+	worker := h.scheduler.fleet.sorted[h.random.IntN(len(h.scheduler.fleet.sorted))]
 	c.moves++
-	_, err = r.compareElsewhere(task, worker, h.p.search.fitsElsewhere(task, worker))
+	_, err = r.compareElsewhere(task, worker, h.scheduler.search.fitsElsewhere(task, worker))
 	return err
 }
 
@@ -155,24 +154,24 @@
 	}
 }
 
-// keptFor returns the machine that would be kept for a held task, or nil, and keeps none.
-func keptFor(scheduler *Scheduler, task *taskInfo) (kept *workerInfo) {
+// reservedFor returns the worker that would be reserved for a pending task, or nil, and reserves none.
+func reservedFor(scheduler *Scheduler, task *taskInfo) (reserved *workerInfo) {
 	before := maps.Clone(scheduler.reservations.priorities)
 	scheduler.pass.reserve(task)
 	for worker := range scheduler.reservations.priorities {
 		if _, was := before[worker]; !was {
-			kept = worker
+			reserved = worker
 		}
 	}
-	if kept != nil {
+	if reserved != nil {
 		scheduler.reservations.priorities, scheduler.reservations.workers = before, scheduler.reservations.workers[:len(scheduler.reservations.workers)-1]
-		scheduler.index.release(kept)
+		scheduler.index.release(reserved)
 	}
-	return kept
+	return reserved
 }
 
-// TestSameHistorySameActions runs two placers of one seed through one history, and a
-// third that is asked for choices in between: that must change nothing.
+// TestSameHistorySameActions runs two schedulers of one seed through one history, and a
+// third that searches workers in between: that must change nothing.
 func TestSameHistorySameActions(t *testing.T) {
 	for i := range min(*historiesFlag, 20) {
 		seed := *seedFlag + uint64(i)
@@ -181,22 +180,22 @@
 			t.Fatalf("seed %d: the same history gave other actions: %s", seed, firstDifference(first, again))
 		}
 		if asked := actionsOf(t, seed, true); !slices.Equal(first, asked) {
-			t.Fatalf("seed %d: asking for choices changed the actions: %s", seed, firstDifference(first, asked))
+			t.Fatalf("seed %d: searches in between changed the actions: %s", seed, firstDifference(first, asked))
 		}
 	}
 }
 
-// actionsOf returns the actions of a history, a line a step. Where asked is set, the
-// placer is asked for choices after each step; the draws are the same without.
-func actionsOf(t *testing.T, seed uint64, asked bool) (lines []string) {
+// actionsOf returns the actions of a history, a line a step. Where searched is set, the
+// scheduler searches workers after each step; the draws are the same without.
+func actionsOf(t *testing.T, seed uint64, searched bool) (lines []string) {
 	h := newHistory(t, seed)
 	for range h.stepCount {
 		lines = append(lines, fmt.Sprintf("%+v", h.step()))
-		probe := h.probe()
-		if asked {
-			h.p.search.finalists(probe)
-			for _, held := range h.p.queue.pending {
-				h.p.search.finalists(held)
+		probe := h.madeUpTask()
+		if searched {
+			h.scheduler.search.finalists(probe)
+			for _, task := range h.scheduler.queue.pending {
+				h.scheduler.search.finalists(task)
 			}
 		}
 	}
@@ -212,14 +211,13 @@
 	return fmt.Sprintf("%d and %d steps", len(a), len(b))
 }
 
-// TestPoorServiceOnAnUnlistedMachine tells of poor service on a machine whose size is not
-// known: no list has named it, or its kind is none of the settings'. Nothing can be
-// reckoned for it then.
-func TestPoorServiceOnAnUnlistedMachine(t *testing.T) {
-	odd := small("odd", 0, 4)
-	odd.Kind = "unknown"
+// TestPoorServiceOnUnlistedWorker reports poor service on a worker whose size is not known: it was
+// never listed, or its kind is none of the settings'. Nothing can be computed for it then.
+func TestPoorServiceOnUnlistedWorker(t *testing.T) {
+	unknownKind := smallWorker("odd", 0, 4)
+	unknownKind.Kind = "unknown"
 	for _, worker := range []string{"unlisted", "odd"} {
-		f := newBed(t, testSettings(), 1, odd, small("a", 0, 30))
+		f := newFixture(t, testSettings(), 1, unknownKind, smallWorker("a", 0, 30))
 		f.at(ms, Adopted{f.request("1", "safe", 1, 2).Task, worker})
 		func() {
 			defer func() {
@@ -229,6 +227,6 @@
 			}()
 			f.at(ms, TaskReport{"1", 0, worker, ReportService, 0.1})
 		}()
-		f.placed(f.at(ms, f.request("2", "safe", 1, 2)), "a")
+		f.wantPlaced(f.at(ms, f.request("2", "safe", 1, 2)), "a")
 	}
 }
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -9,35 +9,35 @@
 	"strings"
 )
 
-// This file holds the choice of a machine as a full scan, written out plainly from the
-// raw state of a placer. It uses none of the placer's own reckoning, so that any faster
-// way to the same choice can be compared with it.
+// This file owns the selection of a worker as a full scan, written out plainly from the raw state of a
+// scheduler. It must never use what the scheduler computes, so that any faster way to the same selection
+// can be compared with it.
 
 const (
 	// referenceSlack is how near a border a value may lie to count on either side.
 	referenceSlack = 1e-9
-	// flipsMost is up to how many machines at a border of room are tried both ways.
-	flipsMost = 5
+	// maxFlips is up to how many workers at a border of free capacity are tried both ways.
+	maxFlips = 5
 )
 
-// reference looks at the machines of a placer as they stand.
+// reference looks at the workers of a scheduler as they stand.
 type reference struct {
-	p        *Scheduler
-	machines []*workerInfo // by name
-	rho      float64       // asked share of the fleet
-	mean     float64       // mean cores
+	scheduler          *Scheduler
+	workers            []*workerInfo // by name
+	utilizationOfFleet float64       // of the fleet
+	meanCores          float64       // of the fleet
 }
 
 func newReference(scheduler *Scheduler) *reference {
-	r := &reference{p: scheduler, machines: slices.Collect(maps.Values(scheduler.fleet.workers))}
-	slices.SortFunc(r.machines, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
-	r.rho, r.mean = r.fleet()
+	r := &reference{scheduler: scheduler, workers: slices.Collect(maps.Values(scheduler.fleet.workers))}
+	slices.SortFunc(r.workers, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
+	r.utilizationOfFleet, r.meanCores = r.means()
 	return r
 }
 
-// --- What a machine is asked for and bears ---
+// --- What is requested of a worker, and its effective capacity ---
 
-func (r *reference) changesSince(worker *workerInfo, at int64) (cores, memory float64) {
+func (r *reference) deltasSince(worker *workerInfo, at int64) (cores, memory float64) {
 	for _, d := range slices.Backward(worker.deltas) {
 		if d.at > at {
 			cores, memory = cores+d.cores, memory+d.memory
@@ -46,62 +46,62 @@
 	return cores, memory
 }
 
-func (r *reference) load(worker *workerInfo) (cores, memory float64) {
-	kind := r.p.settings.Kinds[worker.kindIndex]
-	at, freeCores, freeMemory := worker.viewedAt-r.p.loads.lag, worker.FreeCores, worker.FreeMemory
+func (r *reference) requested(worker *workerInfo) (cores, memory float64) {
+	kind := r.scheduler.settings.Kinds[worker.kindIndex]
+	at, freeCores, freeMemory := worker.viewedAt-r.scheduler.loads.lag, worker.FreeCores, worker.FreeMemory
 	if reported := worker.reportedAt - reportLag; worker.reportsFree && reported > at {
 		at, freeCores, freeMemory = reported, worker.lastReport.FreeCores, worker.lastReport.FreeMemory
 	}
-	addedCores, addedMemory := r.changesSince(worker, at)
+	addedCores, addedMemory := r.deltasSince(worker, at)
 	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
 }
 
 // calibrationBelow is what is left of a bend by now.
-func (r *reference) bent(worker *workerInfo, calibration float64) float64 {
-	if worker.calibratedAt == r.p.now {
+func (r *reference) decayedCalibration(worker *workerInfo, calibration float64) float64 {
+	if worker.calibratedAt == r.scheduler.now {
 		return calibration
 	}
-	return 1 - (1-calibration)*math.Exp2(-float64(r.p.now-worker.calibratedAt)/float64(calibrationHalflife))
+	return 1 - (1-calibration)*math.Exp2(-float64(r.scheduler.now-worker.calibratedAt)/float64(calibrationHalflife))
 }
 
-func (r *reference) calm() float64 {
+func (r *reference) saturationLoad() float64 {
 	lowest := math.Inf(1)
-	for _, class := range r.p.settings.Classes {
+	for _, class := range r.scheduler.settings.Classes {
 		lowest = min(lowest, class.SaturationLoad)
 	}
 	return lowest
 }
 
-func (r *reference) bears(worker *workerInfo) (cores, memory float64) {
-	scheduler := r.p
+func (r *reference) effectiveCapacity(worker *workerInfo) (cores, memory float64) {
+	scheduler := r.scheduler
 	kind := scheduler.settings.Kinds[worker.kindIndex]
 	coresFactor, memoryFactor := scheduler.settings.CoresOvercommit, scheduler.settings.MemoryOvercommit
 	if scheduler.capacity.requested[0] > 0 && scheduler.capacity.used[0] > 0 {
-		coresFactor = min(coresFactor, r.calm()*scheduler.capacity.requested[0]/scheduler.capacity.used[0])
+		coresFactor = min(coresFactor, r.saturationLoad()*scheduler.capacity.requested[0]/scheduler.capacity.used[0])
 	}
 	if scheduler.capacity.requested[1] > 0 && scheduler.capacity.used[1] > 0 {
 		memoryFactor = min(memoryFactor, memorySaturation*scheduler.capacity.requested[1]/scheduler.capacity.used[1])
 	}
-	return kind.Cores * coresFactor * r.bent(worker, worker.calibration[resourceCores]), kind.Memory * memoryFactor * r.bent(worker, worker.calibration[resourceMemory])
+	return kind.Cores * coresFactor * r.decayedCalibration(worker, worker.calibration[resourceCores]), kind.Memory * memoryFactor * r.decayedCalibration(worker, worker.calibration[resourceMemory])
 }
 
-func (r *reference) share(worker *workerInfo) float64 {
-	cores, memory := r.load(worker)
-	effectiveCores, effectiveMemory := r.bears(worker)
+func (r *reference) utilization(worker *workerInfo) float64 {
+	cores, memory := r.requested(worker)
+	effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
 	return max(cores/effectiveCores, memory/effectiveMemory)
 }
 
 // --- Sums over the fleet ---
 
-func (r *reference) fleet() (utilization, cores float64) {
+func (r *reference) means() (utilization, cores float64) {
 	var capacity, workers float64
-	for _, worker := range r.machines {
+	for _, worker := range r.workers {
 		if !worker.listed || worker.State != Ready || worker.kindIndex < 0 {
 			continue
 		}
-		size := r.p.settings.Kinds[worker.kindIndex].Cores
-		if r.p.settings.HasView {
-			utilization += r.share(worker) * size
+		size := r.scheduler.settings.Kinds[worker.kindIndex].Cores
+		if r.scheduler.settings.HasView {
+			utilization += r.utilization(worker) * size
 		}
 		capacity += size
 		workers++
@@ -112,23 +112,23 @@
 	return utilization / capacity, capacity / workers
 }
 
-func (r *reference) askedCores() (sum float64) {
-	for _, worker := range r.machines {
-		if worker.listed && worker.kindIndex >= 0 && r.p.settings.HasView {
-			cores, _ := r.load(worker)
+func (r *reference) requestedCores() (sum float64) {
+	for _, worker := range r.workers {
+		if worker.listed && worker.kindIndex >= 0 && r.scheduler.settings.HasView {
+			cores, _ := r.requested(worker)
 			sum += cores
 		}
 	}
 	return sum
 }
 
-func (r *reference) othersBinds() (shares [2]float64) {
-	scheduler := r.p
+func (r *reference) concurrentPlacements() (shares [2]float64) {
+	scheduler := r.scheduler
 	if !scheduler.overload.active || !scheduler.settings.HasView {
 		return shares
 	}
 	var net, squares, capacity [2]float64
-	for _, worker := range r.machines {
+	for _, worker := range r.workers {
 		if worker.kindIndex < 0 || !worker.listed {
 			continue
 		}
@@ -148,17 +148,17 @@
 	return shares
 }
 
-func (r *reference) room() (units float64) {
-	scheduler := r.p
+func (r *reference) freeUnits() (units float64) {
+	scheduler := r.scheduler
 	if scheduler.settings.UnitCores <= 0 || scheduler.settings.UnitMemory <= 0 {
 		return math.Inf(1)
 	}
-	for _, worker := range r.machines {
+	for _, worker := range r.workers {
 		if !worker.listed || worker.State != Ready || worker.kindIndex < 0 || !scheduler.settings.HasView {
 			continue
 		}
-		cores, memory := r.load(worker)
-		effectiveCores, effectiveMemory := r.bears(worker)
+		cores, memory := r.requested(worker)
+		effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
 		free := min((effectiveCores-cores)/scheduler.settings.UnitCores, (effectiveMemory-memory)/scheduler.settings.UnitMemory) / float64(scheduler.settings.FleetSize)
 		units += max(0, min(free, worker.attemptWindow-float64(len(worker.unanswered))))
 	}
@@ -167,7 +167,7 @@
 
 // --- Filters ---
 
-func (r *reference) same(a, b *workerInfo, scope Scope) bool {
+func (r *reference) sameDomain(a, b *workerInfo, scope Scope) bool {
 	switch scope {
 	case ScopeMachine:
 		return a == b
@@ -179,50 +179,50 @@
 	return true
 }
 
-// allowed is the rules, the kind and the window.
-func (r *reference) allowed(worker *workerInfo, task *taskInfo) bool {
-	class := &r.p.settings.Classes[task.classIndex]
+// permits is the rules, the kind and the window.
+func (r *reference) permits(worker *workerInfo, task *taskInfo) bool {
+	class := &r.scheduler.settings.Classes[task.classIndex]
 	switch {
-	case !worker.listed || worker.State != Ready || worker.kindIndex < 0 || r.p.now < worker.drainingUntil:
+	case !worker.listed || worker.State != Ready || worker.kindIndex < 0 || r.scheduler.now < worker.drainingUntil:
 		return false
 	case float64(len(worker.unanswered)) >= worker.attemptWindow:
 		return false
 	case class.Kind >= 0 && class.Kind != worker.kindIndex:
 		return false
 	}
-	return r.inGroup(worker, class, task) && r.spreadKept(worker, class, task) && r.coldKept(worker)
+	return r.permitsRepeat(worker, class, task) && r.spreadPermits(worker, class, task) && r.slowStartPermits(worker)
 }
 
-func (r *reference) inGroup(worker *workerInfo, class *Class, task *taskInfo) bool {
+func (r *reference) permitsRepeat(worker *workerInfo, class *Class, task *taskInfo) bool {
 	if task.mayHaveRun == nil || class.Effect == Safe {
 		return true
 	}
-	if class.Effect == Unsafe || r.p.now >= task.mayHaveRun.sentAt+class.WindowUs {
+	if class.Effect == Unsafe || r.scheduler.now >= task.mayHaveRun.sentAt+class.WindowUs {
 		return false
 	}
-	return class.Group == ScopeAll || r.same(worker, task.mayHaveRun.worker, class.Group)
+	return class.Group == ScopeAll || r.sameDomain(worker, task.mayHaveRun.worker, class.Group)
 }
 
-func (r *reference) spreadKept(worker *workerInfo, class *Class, task *taskInfo) bool {
+func (r *reference) spreadPermits(worker *workerInfo, class *Class, task *taskInfo) bool {
 	if class.Spread == ScopeNone {
 		return true
 	}
 	tasks := 1
-	for _, other := range r.machines {
-		if resident := other.residentPrograms[task.Program]; resident != nil && (r.same(worker, other, class.Spread) || !other.everListed && other != worker) {
+	for _, other := range r.workers {
+		if resident := other.residentPrograms[task.Program]; resident != nil && (r.sameDomain(worker, other, class.Spread) || !other.everListed && other != worker) {
 			tasks += resident.active
 		}
 	}
 	return tasks <= class.MaxPerDomain
 }
 
-func (r *reference) cold(worker *workerInfo) bool {
-	return worker.StartedAtUs > 0 && r.p.now < worker.StartedAtUs+r.p.settings.WarmUpUs
+func (r *reference) warmingUp(worker *workerInfo) bool {
+	return worker.StartedAtUs > 0 && r.scheduler.now < worker.StartedAtUs+r.scheduler.settings.WarmUpUs
 }
 
-func (r *reference) coldKept(worker *workerInfo) bool {
-	scheduler := r.p
-	if !r.cold(worker) {
+func (r *reference) slowStartPermits(worker *workerInfo) bool {
+	scheduler := r.scheduler
+	if !r.warmingUp(worker) {
 		return true
 	}
 	offersAfter := func(at int64) (count int) {
@@ -235,10 +235,10 @@
 	}
 	window := scheduler.settings.SlowStartWindowUs*11/10 + 1
 	budget := min(scheduler.settings.SlowStartOffers, 2*(scheduler.settings.SlowStartOffers+2*math.Sqrt(scheduler.settings.SlowStartOffers)+2)/3)
-	fleet := scheduler.settings.FleetSize
-	seat := (scheduler.settings.SelfIndex + int(worker.nameHash%uint64(fleet))) % fleet
-	if int(budget) >= fleet {
-		return scheduler.now >= scheduler.startedAt+window && offersAfter(max(scheduler.now-window, worker.StartedAtUs-1)) < (int(budget)+seat)/fleet
+	schedulers := scheduler.settings.FleetSize
+	seat := (scheduler.settings.SelfIndex + int(worker.nameHash%uint64(schedulers))) % schedulers
+	if int(budget) >= schedulers {
+		return scheduler.now >= scheduler.startedAt+window && offersAfter(max(scheduler.now-window, worker.StartedAtUs-1)) < (int(budget)+seat)/schedulers
 	}
 	if budget < 1 || scheduler.now < worker.StartedAtUs {
 		return false
@@ -247,7 +247,7 @@
 	if budget < 2 {
 		step = 2
 	}
-	turns := (fleet + perSlot - 1) / perSlot
+	turns := (schedulers + perSlot - 1) / perSlot
 	slot := scheduler.now / window
 	slotStart := slot * window
 	return slot%int64(turns*step) == int64(seat%turns*step) && scheduler.startedAt < slotStart && offersAfter(slotStart-1) == 0
@@ -258,37 +258,37 @@
 	if score.score == 0 {
 		return 0
 	}
-	return score.score * math.Exp2(-float64(r.p.now-score.updatedAt)/float64(suspicionHalflife))
+	return score.score * math.Exp2(-float64(r.scheduler.now-score.updatedAt)/float64(suspicionHalflife))
 }
 
-func (r *reference) patience() int64 {
-	if r.p.settings.AcceptMeansRunning {
-		return max(int64(r.p.health.meanRTT+8*r.p.health.rttDeviation), second)
+func (r *reference) responseTimeout() int64 {
+	if r.scheduler.settings.AcceptMeansRunning {
+		return max(int64(r.scheduler.health.meanRTT+8*r.scheduler.health.rttDeviation), second)
 	}
-	return max(int64(r.p.health.meanRTT+4*r.p.health.rttDeviation), second/8)
+	return max(int64(r.scheduler.health.meanRTT+4*r.scheduler.health.rttDeviation), second/8)
 }
 
 func (r *reference) healthy(worker *workerInfo, classIndex int) bool {
-	if r.p.health.meanRTT > 0 {
-		if len(worker.unanswered) > 0 && r.p.now-worker.unanswered[0].sentAt > r.patience() {
+	if r.scheduler.health.meanRTT > 0 {
+		if len(worker.unanswered) > 0 && r.scheduler.now-worker.unanswered[0].sentAt > r.responseTimeout() {
 			return false
 		}
-		if worker.probeSentAt > 0 && r.p.now-worker.probeSentAt > r.patience() {
+		if worker.probeSentAt > 0 && r.scheduler.now-worker.probeSentAt > r.responseTimeout() {
 			return false
 		}
 	}
 	suspicion := r.suspicion(worker, classIndex)
-	return suspicion < suspectThreshold || suspicion < ejectionThreshold && len(worker.unanswered) == 0 && r.p.settings.Classes[classIndex].Effect != Unsafe
+	return suspicion < suspectThreshold || suspicion < ejectionThreshold && len(worker.unanswered) == 0 && r.scheduler.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// fits reports whether m has room for t, and whether that is at a border.
+// fits reports whether a worker has free capacity for a task, and whether that is at a border.
 func (r *reference) fits(worker *workerInfo, task *taskInfo) (fits, border bool) {
-	scheduler := r.p
+	scheduler := r.scheduler
 	kind := scheduler.settings.Kinds[worker.kindIndex]
 	if !scheduler.settings.HasView {
 		return task.Cores <= kind.Cores*scheduler.settings.CoresOvercommit && task.Memory <= kind.Memory*scheduler.settings.MemoryOvercommit, false
 	}
-	cores, memory := r.load(worker)
+	cores, memory := r.requested(worker)
 	if scheduler.overload.active {
 		cores += min(scheduler.overload.contention*kind.Cores, max(0, worker.FreeCores-worker.sustainedFree[resourceCores])) + scheduler.overload.concurrent[0]*kind.Cores
 		memory += min(scheduler.overload.contention*kind.Memory, max(0, worker.FreeMemory-worker.sustainedFree[resourceMemory])) + scheduler.overload.concurrent[1]*kind.Memory
@@ -300,7 +300,7 @@
 	if !withinBound(cores+task.Cores, kind.Cores*scheduler.settings.CoresOvercommit) || !withinBound(memory+task.Memory, kind.Memory*scheduler.settings.MemoryOvercommit) {
 		return false, border
 	}
-	effectiveCores, effectiveMemory := r.bears(worker)
+	effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
 	small := withinBound(max(task.Cores/effectiveCores, task.Memory/effectiveMemory), largeTaskShare)
 	if !small && scheduler.now-task.arrivedAt > scheduler.settings.Classes[task.classIndex].ObjectiveUs/4 {
 		return true, border
@@ -319,39 +319,39 @@
 		}
 	}
 	starts := float64(count)
-	if r.p.now-worker.reportedAt < reportValidity && worker.lastReport.Queued >= starts && worker.lastReport.Queued <= 1e4 {
+	if r.scheduler.now-worker.reportedAt < reportValidity && worker.lastReport.Queued >= starts && worker.lastReport.Queued <= 1e4 {
 		starts = worker.lastReport.Queued
 	}
 	return startPenalty * starts
 }
 
-func (r *reference) pace(worker *workerInfo) float64 {
-	if !r.cold(worker) {
+func (r *reference) startRate(worker *workerInfo) float64 {
+	if !r.warmingUp(worker) {
 		return 1
 	}
-	warm := max(0, float64(r.p.now-worker.StartedAtUs)/float64(r.p.settings.WarmUpUs))
-	return max(0.1, r.p.settings.ColdStartRate+(1-r.p.settings.ColdStartRate)*warm)
+	warm := max(0, float64(r.scheduler.now-worker.StartedAtUs)/float64(r.scheduler.settings.WarmUpUs))
+	return max(0.1, r.scheduler.settings.ColdStartRate+(1-r.scheduler.settings.ColdStartRate)*warm)
 }
 
-func (r *reference) away(worker *workerInfo, task *taskInfo) float64 {
+func (r *reference) missProbability(worker *workerInfo, task *taskInfo) float64 {
 	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
 		return 0
 	}
-	rank := (1 - float64(mix(worker.nameHash^mix(task.Program)))/math.MaxUint64) * float64(len(r.machines))
+	rank := (1 - float64(mix(worker.nameHash^mix(task.Program)))/math.MaxUint64) * float64(len(r.workers))
 	return min(1, rank/programWorkers)
 }
 
 func (r *reference) cost(worker *workerInfo, task *taskInfo) float64 {
-	cores := r.p.settings.Kinds[worker.kindIndex].Cores
-	utilization := min(r.rho, maxUtilization)
+	cores := r.scheduler.settings.Kinds[worker.kindIndex].Cores
+	utilization := min(r.utilizationOfFleet, maxUtilization)
 	backlog := utilization
-	if r.p.settings.HasView {
-		backlog = r.share(worker)
+	if r.scheduler.settings.HasView {
+		backlog = r.utilization(worker)
 	}
-	backlog += r.backlog(worker)*r.mean/cores/r.pace(worker) + missPenalty*r.away(worker, task)
-	effectiveCores, effectiveMemory := r.bears(worker)
+	backlog += r.backlog(worker)*r.meanCores/cores/r.startRate(worker) + missPenalty*r.missProbability(worker, task)
+	effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
 	size := max(task.Cores/effectiveCores, task.Memory/effectiveMemory)
-	return backlog + cores/r.mean/(1-utilization)*(backlog*size+size*size/2)
+	return backlog + cores/r.meanCores/(1-utilization)*(backlog*size+size*size/2)
 }
 
 // --- The choice ---
@@ -361,28 +361,28 @@
 	must, may []*workerInfo // the draw is among all of must and any of may, which holds must too
 	wide      []*workerInfo // within twice the margin
 	many      bool          // more can be chosen than are looked at one by one
-	how       string        // on what path
+	path      string        // on what path
 }
 
 // The paths of a choice.
 const (
-	pathWaits    = "waits"
-	pathNoRoom   = "no room"
-	pathFallback = "least suspect"
-	pathReturned = "returned by hand"
-	pathCheapest = "cheapest"
+	pathWaits      = "waits"
+	pathNoCapacity = "no room"
+	pathFallback   = "least suspect"
+	pathReturned   = "returned by hand"
+	pathCheapest   = "cheapest"
 )
 
-// candidate is a machine that the rules allow.
+// candidate is a worker that the rules allow.
 type candidate struct {
-	m            *workerInfo
-	well         bool
-	room, border bool
+	worker       *workerInfo
+	healthy      bool
+	fits, border bool
 }
 
 func (r *reference) candidates(task *taskInfo) (list []candidate) {
-	for _, worker := range r.machines {
-		if !r.allowed(worker, task) || task.priority*reservationFactor < r.p.reservations.priorities[worker] {
+	for _, worker := range r.workers {
+		if !r.permits(worker, task) || task.priority*reservationFactor < r.scheduler.reservations.priorities[worker] {
 			continue
 		}
 		failed := slices.ContainsFunc(task.attempts, func(attempt *attemptInfo) bool { return attempt.failed && attempt.worker == worker })
@@ -394,32 +394,32 @@
 
 // selectWorker is the full scan over the candidates.
 func (r *reference) choose(list []candidate, task *taskInfo) choice {
-	effect := r.p.settings.Classes[task.classIndex].Effect
+	effect := r.scheduler.settings.Classes[task.classIndex].Effect
 	var fit, healthy []*workerInfo
 	healthyCount := 0
 	for _, candidate := range list {
-		if candidate.well {
+		if candidate.healthy {
 			healthyCount++
 		}
-		if candidate.room {
-			fit = append(fit, candidate.m)
-			if candidate.well {
-				healthy = append(healthy, candidate.m)
+		if candidate.fits {
+			fit = append(fit, candidate.worker)
+			if candidate.healthy {
+				healthy = append(healthy, candidate.worker)
 			}
 		}
 	}
 	suspectCount := len(list) - healthyCount
 	if len(fit) == 0 {
-		return choice{how: pathNoRoom}
+		return choice{path: pathNoCapacity}
 	}
 	path := pathCheapest
 	if len(healthy) == 0 {
 		if healthyCount > suspectCount && effect != Safe {
-			return choice{how: pathWaits}
+			return choice{path: pathWaits}
 		}
-		leastSuspect := r.leastSuspect(fit, task.classIndex)
+		leastSuspect := r.lowestSuspicion(fit, task.classIndex)
 		if leastSuspect == nil {
-			return choice{how: pathWaits}
+			return choice{path: pathWaits}
 		}
 		healthy, path = []*workerInfo{leastSuspect}, pathFallback
 	}
@@ -432,8 +432,8 @@
 	return choice{must, may, wide, len(healthy) > maxEnumerated, path}
 }
 
-// fallback is the first of the least suspect machines that owe one answer at most.
-func (r *reference) leastSuspect(workers []*workerInfo, classIndex int) (best *workerInfo) {
+// lowestSuspicion is the first of the least suspect workers with one unanswered attempt at most.
+func (r *reference) lowestSuspicion(workers []*workerInfo, classIndex int) (best *workerInfo) {
 	for _, worker := range workers {
 		if len(worker.unanswered) <= 1 && (best == nil || r.suspicion(worker, classIndex) < r.suspicion(best, classIndex)) {
 			best = worker
@@ -463,7 +463,7 @@
 	return must, may, wide
 }
 
-// matches reports whether machines are what this choice draws among.
+// matches reports whether workers are what this choice draws among.
 func (c choice) matches(got []*workerInfo) bool {
 	if c.many { // a part of them is drawn from
 		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(c.wide, worker) })
@@ -483,7 +483,7 @@
 	return true
 }
 
-// eachFlip calls f with the candidates, then with those at a border of room decided
+// eachFlip calls f with the candidates, then with those at a border of free capacity decided
 // the other way in every combination, until f is satisfied.
 func eachFlip(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
 	if accept(list) {
@@ -495,12 +495,12 @@
 			border = append(border, i)
 		}
 	}
-	border = border[:min(len(border), flipsMost)]
+	border = border[:min(len(border), maxFlips)]
 	for set := 1; set < 1<<len(border); set++ {
 		changed := slices.Clone(list)
 		for bit, i := range border {
 			if set>>bit&1 == 1 {
-				changed[i].room = !changed[i].room
+				changed[i].fits = !changed[i].fits
 			}
 		}
 		if accept(changed) {
@@ -510,29 +510,29 @@
 	return false, false
 }
 
-// compareNearest says on what path the full scan decides about t, whether a border had
-// to be decided otherwise, and what is wrong with got.
-func (r *reference) compareNearest(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
+// compareFinalists returns on what path the full scan selects for a task, whether a border had to be
+// decided otherwise, and what is wrong with what was found.
+func (r *reference) compareFinalists(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
 	list := r.candidates(task)
 	want := r.choose(list, task)
 	ok, flipped := eachFlip(list, func(variant []candidate) bool { return r.choose(variant, task).matches(got) })
 	if !ok {
-		err = fmt.Errorf("task %+v, rank %v: nearest = %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.how, names(want.may))
+		err = fmt.Errorf("task %+v, priority %v: finalists %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.path, names(want.may))
 	}
-	return want.how, flipped, err
+	return want.path, flipped, err
 }
 
-// compareElsewhere checks whether a machine other than m has room for t.
+// compareElsewhere checks whether a worker other than the given one fits a task.
 func (r *reference) compareElsewhere(task *taskInfo, worker *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
-	for _, other := range r.machines {
-		if other != worker && r.allowed(other, task) && r.healthy(other, task.classIndex) {
+	for _, other := range r.workers {
+		if other != worker && r.permits(other, task) && r.healthy(other, task.classIndex) {
 			fits, border := r.fits(other, task)
 			list = append(list, candidate{other, true, fits, border})
 		}
 	}
 	ok, flipped := eachFlip(list, func(variant []candidate) bool {
-		return got == slices.ContainsFunc(variant, func(candidate candidate) bool { return candidate.room })
+		return got == slices.ContainsFunc(variant, func(candidate candidate) bool { return candidate.fits })
 	})
 	if !ok {
 		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", task.Task, worker.Worker, got, !got)
@@ -540,18 +540,18 @@
 	return flipped, err
 }
 
-// compareKeep checks the machine that is newly kept for t, or nil.
-func (r *reference) compareKeep(task *taskInfo, got *workerInfo) error {
-	scheduler := r.p
+// compareReserved checks the worker that is newly reserved for a task, or nil.
+func (r *reference) compareReserved(task *taskInfo, got *workerInfo) error {
+	scheduler := r.scheduler
 	var want []*workerInfo
-	if scheduler.settings.HasView && len(scheduler.reservations.priorities)*2 < len(r.machines) {
+	if scheduler.settings.HasView && len(scheduler.reservations.priorities)*2 < len(r.workers) {
 		lowest, needs := math.Inf(1), map[*workerInfo]float64{}
-		for _, worker := range r.machines {
-			if scheduler.reservations.priorities[worker] > 0 || !r.allowed(worker, task) || !r.healthy(worker, task.classIndex) {
+		for _, worker := range r.workers {
+			if scheduler.reservations.priorities[worker] > 0 || !r.permits(worker, task) || !r.healthy(worker, task.classIndex) {
 				continue
 			}
-			cores, memory := r.load(worker)
-			effectiveCores, effectiveMemory := r.bears(worker)
+			cores, memory := r.requested(worker)
+			effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
 			needs[worker] = max((cores+task.Cores)/effectiveCores, (memory+task.Memory)/effectiveMemory)
 			lowest = min(lowest, needs[worker])
 		}
@@ -568,23 +568,23 @@
 	if got != nil {
 		name = got.Worker
 	}
-	return fmt.Errorf("task %+v: kept %s, the full scan gives one of %s", task.Task, name, names(want))
+	return fmt.Errorf("task %+v: reserved %s, the full scan gives one of %s", task.Task, name, names(want))
 }
 
 // compareSums checks what is summed over the fleet.
 func (r *reference) compareSums() error {
-	scheduler := r.p
+	scheduler := r.scheduler
 	utilization, mean := scheduler.totals.means()
-	others, wantOthers := scheduler.overload.estimateConcurrent(), r.othersBinds()
-	for _, c := range []struct {
+	others, wantOthers := scheduler.overload.estimateConcurrent(), r.concurrentPlacements()
+	for _, test := range []struct {
 		name      string
 		got, want float64
 	}{
-		{"asked share of the fleet", utilization, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", scheduler.fleet.requestedCores(), r.askedCores()},
-		{"room", scheduler.totals.freeUnits(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
+		{"asked share of the fleet", utilization, r.utilizationOfFleet}, {"mean cores", mean, r.meanCores}, {"asked cores", scheduler.fleet.requestedCores(), r.requestedCores()},
+		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
 	} {
-		if c.got != c.want && math.Abs(c.got-c.want) > referenceSlack*max(1, math.Abs(c.want)) {
-			return fmt.Errorf("%s: %v, the full scan gives %v", c.name, c.got, c.want)
+		if test.got != test.want && math.Abs(test.got-test.want) > referenceSlack*max(1, math.Abs(test.want)) {
+			return fmt.Errorf("%s: %v, the full scan gives %v", test.name, test.got, test.want)
 		}
 	}
 	return nil
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -99,11 +99,11 @@
 	t.Helper()
 	var out []int
 	for _, s := range strings.Split(list, ",") {
-		n, err := strconv.Atoi(s)
-		if err != nil || n < 1 {
+		count, err := strconv.Atoi(s)
+		if err != nil || count < 1 {
 			t.Fatalf("not a list of sizes: %q", list)
 		}
-		out = append(out, n)
+		out = append(out, count)
 	}
 	return out
 }
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// This file simulates what surrounds one placer of a large fleet: workers, the tasks of
-// all placers, the list of workers and the answers to requests. The slope tests measure
-// the placer inside it.
+// This file owns the simulation of what surrounds one scheduler of a large fleet: workers, the tasks of
+// all schedulers, the list of workers and the answers to requests. The slope tests measure
+// the scheduler inside it.
 
 // The planned size, from which other sizes follow in proportion.
 const (
 	plannedWorkers   = 4000
 	plannedRunning   = 34000
 	plannedStarts    = 220.0 // a second
-	sitePlacers      = 9
+	siteSchedulers   = 9
 	siteZones        = 13
 	siteTenants      = 60
 	workersInCell    = 8
@@ -24,19 +24,19 @@
 	siteStartTime    = second // from an accepted request to a running task
 	siteRunTime      = 155 * second
 	siteOpenJobs     = 4   // jobs whose tasks come at the same time
-	siteCoresUse     = 0.9 // part of the asked cores that tasks use
+	siteCoresUse     = 0.9 // part of the requested cores that tasks use
 	siteMemoryUse    = 0.85
-	siteAsked        = 0.65 // of what the workers bear
-	siteChoices      = 16   // workers that another placer's choice is simulated with
+	siteUtilization  = 0.65 // of the effective capacity
+	siteChoices      = 16   // workers among which another scheduler selects
 	spreadClass      = "service"
 	siteDeadline     = 10 * second
 	programTaskLimit = 256
 )
 
-// siteSettings are those of one placer of the planned fleet.
+// siteSettings are those of one scheduler of the planned fleet.
 func siteSettings(workers int, probes bool) Settings {
-	s := Settings{
-		FleetSize: sitePlacers, Zone: "zone-0", HasView: true, PollsDiscovery: true, Pings: true, RetryAfter: true, Cancel: true,
+	settings := Settings{
+		FleetSize: siteSchedulers, Zone: "zone-0", HasView: true, PollsDiscovery: true, Pings: true, RetryAfter: true, Cancel: true,
 		Probes: probes, ReportsFree: true, CoresOvercommit: 1, MemoryOvercommit: 1, UnitCores: 2.6, UnitMemory: 5.7,
 		Kinds: []Kind{{"node-32", 28, 60}, {"node-64", 56, 120}},
 		Classes: []Class{
@@ -50,21 +50,21 @@
 	}
 	for i := range siteTenants {
 		// Shares from half of the mean to one and a half of it: some are exceeded.
-		mean := float64(workers) * (s.Kinds[0].Cores + s.Kinds[1].Cores) / 2 / siteTenants
-		s.Tenants = append(s.Tenants, Tenant{fmt.Sprint("team-", i), mean * (0.5 + float64(i)/siteTenants)})
+		mean := float64(workers) * (settings.Kinds[0].Cores + settings.Kinds[1].Cores) / 2 / siteTenants
+		settings.Tenants = append(settings.Tenants, Tenant{fmt.Sprint("team-", i), mean * (0.5 + float64(i)/siteTenants)})
 	}
-	return s
+	return settings
 }
 
-// withSpread adds a class of which each cell may hold one task of a service.
-func withSpread(s Settings) Settings {
-	class := s.Classes[0]
+// withSpread adds a class of which each cell may run one task of a program.
+func withSpread(settings Settings) Settings {
+	class := settings.Classes[0]
 	class.Name, class.Spread, class.MaxPerDomain = spreadClass, ScopeCell, 1
-	s.Classes = append(s.Classes, class)
-	return s
+	settings.Classes = append(settings.Classes, class)
+	return settings
 }
 
-// siteShapes are the tasks' cores and memory, with how many of a hundred ask for that.
+// siteShapes are the tasks' cores and memory, with how many of a hundred tasks have them.
 var siteShapes = []struct {
 	weight     int
 	cores, mem float64
@@ -77,21 +77,23 @@
 
 // siteWorker is a worker as it is, which the list shows later.
 type siteWorker struct {
-	entry      Entry // without the room
-	cores, mem float64
-	askC, askM float64
+	entry                           Entry // without the free capacity
+	cores, memory                   float64
+	requestedCores, requestedMemory float64
 }
 
-func (w *siteWorker) share() float64 { return max(w.askC/w.cores, w.askM/w.mem) }
+func (w *siteWorker) utilization() float64 {
+	return max(w.requestedCores/w.cores, w.requestedMemory/w.memory)
+}
 
-// shown is the worker's entry as it stands.
+// shown is the worker's entry as of now.
 func (w *siteWorker) shown() Entry {
 	entry := w.entry
-	entry.FreeCores, entry.FreeMemory = w.cores-w.askC, w.mem-w.askM
+	entry.FreeCores, entry.FreeMemory = w.cores-w.requestedCores, w.memory-w.requestedMemory
 	return entry
 }
 
-// siteTask is a running task of the placer under test, or of another one.
+// siteTask is a running task of the scheduler under test, or of another one.
 type siteTask struct {
 	Task
 	worker *siteWorker
@@ -103,38 +105,38 @@
 	left int
 }
 
-// site is a placer with its surroundings.
+// site is a scheduler with its surroundings.
 type site struct {
-	t         testing.TB
-	p         *Scheduler
-	rng       *rand.Rand
-	settings  Settings
-	now       int64
-	workers   []*siteWorker
-	byName    map[string]*siteWorker
-	own       []*siteTask // running tasks of the placer under test
-	others    []*siteTask // and of the others
-	service   []*siteTask // running tasks of a service with a spread rule
-	jobs      []siteJob
-	tickets   int
-	changes   []siteChange // that the list is still to show, in order of time
-	reports   []siteReport // that are due, in order of time
-	unplaced  int          // requests that were not placed at once
-	idle      bool         // nothing runs on the fleet
-	betweenUs int64        // time between two requests to the placer
+	t              testing.TB
+	scheduler      *Scheduler
+	random         *rand.Rand
+	settings       Settings
+	now            int64
+	workers        []*siteWorker
+	byName         map[string]*siteWorker
+	schedulerTasks []*siteTask // running tasks of the scheduler under test
+	otherTasks     []*siteTask // and of the others
+	service        []*siteTask // running tasks of a service with a spread rule
+	jobs           []siteJob
+	requestCount   int
+	changes        []siteChange // that the list is still to show, in order of time
+	reports        []siteReport // that are due, in order of time
+	unplaced       int          // requests that were not placed at once
+	idle           bool         // nothing runs on the fleet
+	betweenUs      int64        // time between two requests to the scheduler
 }
 
 type siteChange struct {
-	due   int64
-	entry Entry
+	shownAt int64
+	entry   Entry
 }
 
 type siteReport struct {
-	due  int64
-	task *siteTask
+	reportedAt int64
+	task       *siteTask
 }
 
-// newSite returns a placer that knows its workers and its own running tasks.
+// newSite returns a scheduler that knows its workers and its own running tasks.
 func newSite(t testing.TB, workers int, seed uint64, settings Settings, idle bool) *site {
 	t.Helper()
 	scheduler, err := New(settings, seed)
@@ -142,13 +144,13 @@
 		t.Fatal(err)
 	}
 	s := &site{
-		t: t, p: scheduler, rng: rand.New(rand.NewPCG(seed, uint64(workers))), settings: settings, now: 1000 * second, idle: idle,
-		byName: map[string]*siteWorker{}, betweenUs: int64(float64(second) * sitePlacers / plannedStarts * plannedWorkers / float64(workers)),
+		t: t, scheduler: scheduler, random: rand.New(rand.NewPCG(seed, uint64(workers))), settings: settings, now: 1000 * second, idle: idle,
+		byName: map[string]*siteWorker{}, betweenUs: int64(float64(second) * siteSchedulers / plannedStarts * plannedWorkers / float64(workers)),
 	}
 	for i := range workers {
 		cell := i / workersInCell
-		kind := settings.Kinds[s.rng.IntN(len(settings.Kinds))]
-		worker := &siteWorker{cores: kind.Cores, mem: kind.Memory, entry: Entry{
+		kind := settings.Kinds[s.random.IntN(len(settings.Kinds))]
+		worker := &siteWorker{cores: kind.Cores, memory: kind.Memory, entry: Entry{
 			Worker: fmt.Sprintf("worker-%05d", i), Kind: kind.Name, Cell: cell, Zone: fmt.Sprint("zone-", cell%siteZones)}}
 		s.workers = append(s.workers, worker)
 		s.byName[worker.entry.Worker] = worker
@@ -157,42 +159,42 @@
 		s.fill(workers * plannedRunning / plannedWorkers)
 	}
 	s.handle(WorkerList{Kind: ListFull, Entries: s.entries()})
-	s.introduce()
+	s.adoptTasks()
 	s.pass(20 * second)
 	return s
 }
 
-// fill starts tasks of all placers, each placer's in proportion, and lets services of the
-// workers' own hold as much that siteAsked is asked for whatever tasks were drawn.
+// fill starts tasks of all schedulers, each scheduler's in proportion, and as much besides that the
+// utilization is siteUtilization whatever tasks were drawn.
 func (s *site) fill(running int) {
 	for i := range running {
 		task := &siteTask{Task: s.nextTask()}
-		s.bind(task, s.emptiest(task))
-		if i%sitePlacers == 0 {
-			s.own = append(s.own, task)
+		s.start(task, s.emptiest(task))
+		if i%siteSchedulers == 0 {
+			s.schedulerTasks = append(s.schedulerTasks, task)
 		} else {
-			s.others = append(s.others, task)
+			s.otherTasks = append(s.otherTasks, task)
 		}
 	}
 	s.changes = nil
-	missing := siteAsked - s.askedShare()
+	missing := siteUtilization - s.meanUtilization()
 	for _, worker := range s.workers {
-		worker.askC = max(0, worker.askC+missing*worker.cores*s.bearsCores())
-		worker.askM = max(0, worker.askM+missing*worker.mem)
+		worker.requestedCores = max(0, worker.requestedCores+missing*worker.cores*s.effectiveCoresFactor())
+		worker.requestedMemory = max(0, worker.requestedMemory+missing*worker.memory)
 	}
 }
 
-// introduce tells the placer of its own running tasks and of what they use.
-func (s *site) introduce() {
+// adoptTasks registers the scheduler's running tasks with it, and reports what they use.
+func (s *site) adoptTasks() {
 	var events []Event
-	for _, task := range s.own {
+	for _, task := range s.schedulerTasks {
 		events = append(events, Adopted{task.Task, task.worker.entry.Worker})
-		events = append(events, s.use(task)...)
+		events = append(events, s.usageReports(task)...)
 	}
 	s.handle(events...)
 }
 
-func (s *site) use(task *siteTask) []Event {
+func (s *site) usageReports(task *siteTask) []Event {
 	worker := task.worker.entry.Worker
 	return []Event{
 		TaskReport{task.RequestID, 0, worker, ReportCores, task.Cores * siteCoresUse},
@@ -213,30 +215,30 @@
 	for len(s.jobs) < siteOpenJobs {
 		s.jobs = append(s.jobs, s.nextJob())
 	}
-	i := s.rng.IntN(len(s.jobs))
-	j := &s.jobs[i]
-	task := j.task
-	s.tickets++
-	task.RequestID = fmt.Sprint("task-", s.tickets)
+	i := s.random.IntN(len(s.jobs))
+	job := &s.jobs[i]
+	task := job.task
+	s.requestCount++
+	task.RequestID = fmt.Sprint("task-", s.requestCount)
 	task.DeadlineUs = s.now + siteDeadline
-	if j.left--; j.left == 0 {
+	if job.left--; job.left == 0 {
 		s.jobs = append(s.jobs[:i], s.jobs[i+1:]...)
 	}
 	return task
 }
 
 func (s *site) nextJob() siteJob {
-	draw := s.rng.IntN(1000)
+	draw := s.random.IntN(1000)
 	size := 0
-	for _, j := range siteJobs {
-		if size = j.tasks; draw < j.weight {
+	for _, job := range siteJobs {
+		if size = job.tasks; draw < job.weight {
 			break
 		}
-		draw -= j.weight
+		draw -= job.weight
 	}
-	draw = s.rng.IntN(100)
-	task := Task{Class: s.settings.Classes[s.rng.IntN(4)].Name, Program: s.rng.Uint64() | 1,
-		Tenant: s.settings.Tenants[s.rng.IntN(siteTenants)].Name, HasRunHint: true, ExpectedRunUs: siteRunTime}
+	draw = s.random.IntN(100)
+	task := Task{Class: s.settings.Classes[s.random.IntN(4)].Name, Program: s.random.Uint64() | 1,
+		Tenant: s.settings.Tenants[s.random.IntN(siteTenants)].Name, HasRunHint: true, ExpectedRunUs: siteRunTime}
 	for _, shape := range siteShapes {
 		if task.Cores, task.Memory = shape.cores, shape.mem; draw < shape.weight {
 			break
@@ -246,26 +248,26 @@
 	return siteJob{task, size}
 }
 
-// emptiest is the worker that a placer with a view like ours would choose, roughly.
+// emptiest is the worker that a scheduler with a similar view would select, roughly.
 func (s *site) emptiest(task *siteTask) (best *siteWorker) {
 	for range siteChoices {
-		worker := s.workers[s.rng.IntN(len(s.workers))]
-		if best == nil || worker.share() < best.share() {
+		worker := s.workers[s.random.IntN(len(s.workers))]
+		if best == nil || worker.utilization() < best.utilization() {
 			best = worker
 		}
 	}
 	return best
 }
 
-// addDelta starts x on w, which the list shows later.
-func (s *site) bind(task *siteTask, worker *siteWorker) {
+// start starts a task on a worker, which the list shows later.
+func (s *site) start(task *siteTask, worker *siteWorker) {
 	task.worker = worker
-	worker.askC, worker.askM = worker.askC+task.Cores, worker.askM+task.Memory
+	worker.requestedCores, worker.requestedMemory = worker.requestedCores+task.Cores, worker.requestedMemory+task.Memory
 	s.changed(worker)
 }
 
-func (s *site) unbind(task *siteTask) {
-	task.worker.askC, task.worker.askM = task.worker.askC-task.Cores, task.worker.askM-task.Memory
+func (s *site) end(task *siteTask) {
+	task.worker.requestedCores, task.worker.requestedMemory = task.worker.requestedCores-task.Cores, task.worker.requestedMemory-task.Memory
 	s.changed(task.worker)
 }
 
@@ -273,15 +275,15 @@
 	s.changes = append(s.changes, siteChange{s.now + siteViewDelay, worker.shown()})
 }
 
-func (s *site) handle(events ...Event) []Action { return s.p.Handle(s.now, events) }
+func (s *site) handle(events ...Event) []Action { return s.scheduler.Handle(s.now, events) }
 
 // takeRandom removes a task from a list.
 func (s *site) takeRandom(list *[]*siteTask) *siteTask {
-	l := *list
-	i := s.rng.IntN(len(l))
-	task := l[i]
-	l[i] = l[len(l)-1]
-	*list = l[:len(l)-1]
+	tasks := *list
+	i := s.random.IntN(len(tasks))
+	task := tasks[i]
+	tasks[i] = tasks[len(tasks)-1]
+	*list = tasks[:len(tasks)-1]
 	return task
 }
 
@@ -298,13 +300,13 @@
 
 func (s *site) prepareTask(task Task) *exchange {
 	e := &exchange{task: &siteTask{Task: task}}
-	if len(s.own) > 0 {
-		e.ended = s.takeRandom(&s.own)
+	if len(s.schedulerTasks) > 0 {
+		e.ended = s.takeRandom(&s.schedulerTasks)
 	}
 	return e
 }
 
-// run hands the events of an exchange to the placer. Only this is measured.
+// run hands the events of an exchange to the scheduler. Only this is measured.
 func (s *site) run(e *exchange) {
 	s.place(e)
 	if e.place != nil {
@@ -316,26 +318,26 @@
 	}
 }
 
-// runPass asks for a worker, and answers a question about a worker's load.
+// place submits the task of an exchange, and answers probes.
 func (s *site) place(e *exchange) {
 	actions := s.handle(Request{e.task.Task})
 	for range maxProbesPerTask {
-		var ask *Probe
+		var probe *Probe
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Place:
 				e.place = &a
 				return
 			case Probe:
-				ask = &a
+				probe = &a
 			}
 		}
-		if ask == nil {
+		if probe == nil {
 			return
 		}
 		s.now += siteRTT
-		worker := s.byName[ask.Worker]
-		actions = s.handle(ProbeResult{ask.Worker, Completed, siteRTT, Load{worker.cores - worker.askC, worker.mem - worker.askM, worker.askC / worker.cores, 0}})
+		worker := s.byName[probe.Worker]
+		actions = s.handle(ProbeResult{probe.Worker, Completed, siteRTT, Load{worker.cores - worker.requestedCores, worker.memory - worker.requestedMemory, worker.requestedCores / worker.cores, 0}})
 	}
 	for _, a := range actions {
 		if a, ok := a.(Place); ok {
@@ -344,51 +346,51 @@
 	}
 }
 
-// giveFinalResponse makes the site follow an exchange.
+// finish makes the site follow an exchange.
 func (s *site) finish(e *exchange) {
 	if e.ended != nil {
-		s.unbind(e.ended)
+		s.end(e.ended)
 	}
 	if e.place == nil {
 		s.unplaced++
 		s.handle(ClientCancelled{e.task.RequestID})
 		return
 	}
-	s.bind(e.task, s.byName[e.place.Worker])
-	s.own = append(s.own, e.task)
+	s.start(e.task, s.byName[e.place.Worker])
+	s.schedulerTasks = append(s.schedulerTasks, e.task)
 	s.reports = append(s.reports, siteReport{s.now + siteStartTime, e.task})
 }
 
 // elapse is what happens on the rest of the fleet until the next request: every other
-// placer starts a task and ends one. It returns the list entries that became due, and
-// hands over the reports of tasks that began to run.
-func (s *site) elapse() (due []Event) {
-	for range sitePlacers - 1 {
-		if len(s.others) == 0 {
+// scheduler starts a task and ends one. It returns the list entries that are shown
+// now, and hands over the reports of tasks that began to run.
+func (s *site) elapse() (changes []Event) {
+	for range siteSchedulers - 1 {
+		if len(s.otherTasks) == 0 {
 			break
 		}
-		s.unbind(s.takeRandom(&s.others))
+		s.end(s.takeRandom(&s.otherTasks))
 		task := &siteTask{Task: s.nextTask()}
-		s.bind(task, s.emptiest(task))
-		s.others = append(s.others, task)
+		s.start(task, s.emptiest(task))
+		s.otherTasks = append(s.otherTasks, task)
 	}
 	s.now += s.betweenUs
-	for len(s.reports) > 0 && s.reports[0].due <= s.now {
+	for len(s.reports) > 0 && s.reports[0].reportedAt <= s.now {
 		task := s.reports[0].task
 		s.reports = s.reports[1:]
-		events := append(s.use(task), TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportRunning, 0})
+		events := append(s.usageReports(task), TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportRunning, 0})
 		s.handle(events...)
 	}
-	for len(s.changes) > 0 && s.changes[0].due <= s.now {
-		due = append(due, WorkerList{Kind: ListDelta, Entries: []Entry{s.changes[0].entry}})
+	for len(s.changes) > 0 && s.changes[0].shownAt <= s.now {
+		changes = append(changes, WorkerList{Kind: ListDelta, Entries: []Entry{s.changes[0].entry}})
 		s.changes = s.changes[1:]
 	}
-	return due
+	return changes
 }
 
 // show hands over list entries, each in a call of its own.
-func (s *site) show(due []Event) {
-	for _, event := range due {
+func (s *site) show(changes []Event) {
+	for _, event := range changes {
 		s.handle(event)
 	}
 }
@@ -415,14 +417,16 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: entries})
 }
 
-// bearsCores is the part of its cores that a worker bears, by the calm level and by what
-// tasks use. It bears all of its memory.
-func (s *site) bearsCores() float64 { return s.settings.Classes[0].SaturationLoad / siteCoresUse }
+// effectiveCoresFactor is the effective part of a worker's cores, by the saturation load and by what
+// tasks use. All of its memory is effective.
+func (s *site) effectiveCoresFactor() float64 {
+	return s.settings.Classes[0].SaturationLoad / siteCoresUse
+}
 
-// askedShare is what the fleet is asked for, over what it bears.
-func (s *site) askedShare() (mean float64) {
+// meanUtilization is what is requested of the fleet, over its effective capacity.
+func (s *site) meanUtilization() (mean float64) {
 	for _, worker := range s.workers {
-		mean += max(worker.askC/(worker.cores*s.bearsCores()), worker.askM/worker.mem) / float64(len(s.workers))
+		mean += max(worker.requestedCores/(worker.cores*s.effectiveCoresFactor()), worker.requestedMemory/worker.memory) / float64(len(s.workers))
 	}
 	return mean
 }
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -24,15 +24,15 @@
 	// allocsGrowth bounds how much more a decision may allocate in a fleet four times
 	// as large: less than growth in proportion, with slices that double as they grow.
 	allocsGrowth = 1.5
-	// unplacedMost is the part of the requests that may find no room at once.
-	unplacedMost = 0.02
+	// maxUnplaced is the part of the requests that may find no free capacity at once.
+	maxUnplaced = 0.02
 )
 
 // slopeRow is what was measured at one size.
 type slopeRow struct {
-	workers         int
-	requests, shown meter
-	asked, unplaced float64
+	workers               int
+	requests, shown       meter
+	utilization, unplaced float64
 }
 
 // TestDecisionSlope measures how the cost of a request with its answer and the end of
@@ -40,15 +40,15 @@
 func TestDecisionSlope(t *testing.T) {
 	holdThread(t)
 	var rows []*slopeRow
-	for _, n := range sizes(t, *workersFlag) {
-		r := measureSlope(t, n)
+	for _, count := range sizes(t, *workersFlag) {
+		r := measureSlope(t, count)
 		rows = append(rows, r)
 		fmt.Printf("slope: workers=%d request_us=%.1f list_entry_us=%.2f allocs=%.1f bytes=%.0f\n",
-			n, r.requests.us(), r.shown.us(), r.requests.allocsEach(), r.requests.bytesEach())
+			count, r.requests.us(), r.shown.us(), r.requests.allocsEach(), r.requests.bytesEach())
 		t.Logf("workers=%d asked=%.3f request_p50_us=%.1f request_p99_us=%.1f unplaced=%.3f",
-			n, r.asked, r.requests.percentileUs(50), r.requests.percentileUs(99), r.unplaced)
-		if r.unplaced > unplacedMost {
-			t.Errorf("%d workers: %.3f of the requests found no room, more than %v", n, r.unplaced, unplacedMost)
+			count, r.utilization, r.requests.percentileUs(50), r.requests.percentileUs(99), r.unplaced)
+		if r.unplaced > maxUnplaced {
+			t.Errorf("%d workers: %.3f of the requests found no free capacity, more than %v", count, r.unplaced, maxUnplaced)
 		}
 	}
 	reportSlope(t, rows)
@@ -62,7 +62,7 @@
 
 func measureSlope(t *testing.T, workers int) *slopeRow {
 	s := newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), false)
-	r := &slopeRow{workers: workers, asked: s.askedShare()}
+	r := &slopeRow{workers: workers, utilization: s.meanUtilization()}
 	s.warmUp(slopeWarmUp)
 	for i := range *unitsFlag {
 		e := s.prepare()
@@ -90,7 +90,7 @@
 		entry.X, entry.Y = append(entry.X, n), append(entry.Y, r.shown.us())
 		table = append(table, []float64{n, r.requests.us(), r.shown.us(), r.requests.allocsEach(), r.requests.bytesEach(),
 			r.requests.percentileUs(50), r.requests.percentileUs(99), r.shown.percentileUs(50), r.shown.percentileUs(99),
-			r.asked, r.unplaced, float64(*seedFlag)})
+			r.utilization, r.unplaced, float64(*seedFlag)})
 	}
 	fmt.Printf("slope: exponent_request=%.3f exponent_list=%.3f\n",
 		stats.Exponent(request.X, request.Y), stats.Exponent(entry.X, entry.Y))
