--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -49,7 +49,7 @@
 	units := *unitsFlag
 	cases := []eventCase{
 		{"request", units, warmSite, measureExchange},
-		{"rejection", units, warmSite, measureRejection},
+		{"refusal", units, warmSite, measureRejection},
 		{"burst_256", expensiveUnits, busySite, measureBurst},
 		{"drain_quarter", expensiveUnits, busySite, measureDrain},
 		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, m, new(meter)) }},
--- a/placement/index.go
+++ b/placement/index.go
@@ -136,9 +136,6 @@
 type levelWalk struct {
 	limits         []loadLimit // by kind, or nil
 	unreservedOnly bool
-	// random draws where to begin in levels of more than maxEnumerated workers; nil: at the
-	// first.
-	random *rand.Rand
 	// matters reports whether workers of a kind can still matter of which these fractions at
 	// least are requested, and whose utilization is minUtilization at least.
 	matters func(kindIndex int, requested fractions, minUtilization float64) bool
@@ -146,8 +143,10 @@
 	visit func(worker *workerInfo) bool
 }
 
-// walk makes a walk.
-func (x *workerIndex) walk(walk levelWalk) {
+// walk makes a walk. In levels of more than maxEnumerated workers it begins where random draws,
+// or at the first where random is nil. (As a field of the walk, random would move everything that
+// the functions of the walk capture to the heap.)
+func (x *workerIndex) walk(walk levelWalk, random *rand.Rand) {
 	clear(x.finished)
 	// Where the baseline is above the scale, utilization is less than the levels say.
 	drift := min(x.scale.cores/x.baseline.cores, x.scale.memory/x.baseline.memory)
@@ -162,7 +161,7 @@
 			}
 			finished = false
 			level := &x.kinds[kindIndex].levels[number]
-			if len(level.entries) > 0 && !scanLevel(level, kindIndex, minUtilization, &walk) {
+			if len(level.entries) > 0 && !scanLevel(level, kindIndex, minUtilization, &walk, random) {
 				return
 			}
 		}
@@ -194,7 +193,7 @@
 
 // scanLevel looks at those workers of one level that are within the limit, and reports
 // whether to go on.
-func scanLevel(level *level, kindIndex int, minUtilization float64, walk *levelWalk) bool {
+func scanLevel(level *level, kindIndex int, minUtilization float64, walk *levelWalk, random *rand.Rand) bool {
 	limit := loadLimit{max: unlimited}
 	if walk.limits != nil {
 		limit = walk.limits[kindIndex]
@@ -207,8 +206,8 @@
 	if walk.unreservedOnly {
 		entries = entries[:level.unreserved]
 	}
-	if walk.random != nil && len(entries) > maxEnumerated {
-		first = walk.random.IntN(len(entries))
+	if random != nil && len(entries) > maxEnumerated {
+		first = random.IntN(len(entries))
 	}
 	minRequested, minCalibration := unlimited, 1.0
 	for _, part := range [2][]indexEntry{entries[first:], entries[:first]} {
--- a/placement/search.go
+++ b/placement/search.go
@@ -103,13 +103,13 @@
 		s.evaluateAll(s.fleet.preferredFor(task.Program))
 	}
 	inverse := s.loads.index.inverseBaseline
-	s.loads.index.walk(levelWalk{limits: s.limits, random: s.random, visit: s.visit,
+	s.loads.index.walk(levelWalk{limits: s.limits, visit: s.visit,
 		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
 			lowest := s.scorer.kinds[kindIndex].lowerBound(utilization, s.scorer.utilization)
 			return lowest <= s.lowestCost+costMargin+roundingSlack
 		},
-	})
+	}, s.random)
 	for _, candidate := range s.scored {
 		if candidate.cost <= s.lowestCost+costMargin {
 			s.nearLowest = append(s.nearLowest, candidate.worker)
@@ -216,14 +216,14 @@
 func (s *search) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
 	s.begin(task)
 	class, found := s.classOf(task), false
-	s.loads.index.walk(levelWalk{limits: s.limits, random: s.random,
+	s.loads.index.walk(levelWalk{limits: s.limits,
 		matters: func(int, fractions, float64) bool { return true },
 		visit: func(other *workerInfo) bool {
 			found = other != worker && s.filter.permits(other, class, task) &&
 				s.filter.health.healthy(other, task.classIndex) && s.filter.fits(other, task)
 			return !found
 		},
-	})
+	}, s.random)
 	return found
 }
 
@@ -261,6 +261,6 @@
 			}
 			return true
 		},
-	})
+	}, nil)
 	return best
 }
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -52,12 +52,18 @@
 	}
 }
 
-// TestSearchAllocatesNothing counts the allocations of a search once its slices have grown.
-func TestSearchAllocatesNothing(t *testing.T) {
+// TestSearchesAllocateNothing counts the allocations of each kind of search once its slices have grown.
+func TestSearchesAllocateNothing(t *testing.T) {
 	f := largeFleet(t, 1000, levelled)
-	task := f.madeUpTask(7)
-	if n := testing.AllocsPerRun(100, func() { f.scheduler.search.selectWorker(task) }); n > 0 {
-		t.Errorf("%v allocations a search", n)
+	task, search := f.madeUpTask(7), f.scheduler.search
+	for name, find := range map[string]func(){
+		"selectWorker":     func() { search.selectWorker(task) },
+		"fitsElsewhere":    func() { search.fitsElsewhere(task, f.scheduler.fleet.sorted[0]) },
+		"closestToFitting": func() { search.closestToFitting(task) },
+	} {
+		if count := testing.AllocsPerRun(100, find); count > 0 {
+			t.Errorf("%s: %v allocations a search", name, count)
+		}
 	}
 }
 
