--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -38,16 +38,31 @@
 	programHash := mix(program)
 	// Most are told apart by the whole number: a rank below programWorkers has a hash over this.
 	minHash := uint64(max(0, 1-1.001*programWorkers/float64(max(1, assigned))) * math.MaxUint64)
-	for i, nameHash := range nameHashes {
-		hash := mix(nameHash ^ programHash)
-		if hash >= minHash && hashedRank(hash, assigned) < programWorkers && !workers[i].foreign {
+	for i := nextHash(nameHashes, 0, programHash, minHash); i < len(nameHashes); {
+		rank := hashedRank(mix(nameHashes[i]^programHash), assigned)
+		if rank < programWorkers && !workers[i].foreign {
 			preferred = append(preferred, workers[i])
 		}
+		i = nextHash(nameHashes, i+1, programHash, minHash)
 	}
 	a.preferred[program] = preferred
 	return preferred
 }
 
+// nextHash returns the first index, from one on, at which the hash of a name and a program is
+// minHash or more, or the number of names. It is a function of its own so that its loop is small:
+// it looks at all workers.
+//
+//go:noinline
+func nextHash(nameHashes []uint64, from int, programHash, minHash uint64) int {
+	for i := from; i < len(nameHashes); i++ {
+		if mix(nameHashes[i]^programHash) >= minHash {
+			return i
+		}
+	}
+	return len(nameHashes)
+}
+
 // hashedRank is the place of a worker in the order hashed from a program, from the hash of
 // both. Only the workers assigned to this scheduler are counted.
 func hashedRank(hash uint64, assigned int) float64 {
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -59,47 +59,51 @@
 	kindIndex, level, entryIndex int
 }
 
-// workerInfo is what this scheduler knows of a worker.
+// workerInfo is what this scheduler knows of a worker. Fields that are read together stand
+// together, as a large fleet does not fit into the caches of the processor.
 type workerInfo struct {
 	Entry
-	nameHash         uint64
-	everListed       bool // so that its cell and zone are known
-	listed           bool // it is on the present list
-	foreign          bool // it is in fleet.foreignCount
-	kindIndex        int  // in Settings.Kinds, or -1
-	ordinal          int  // its number in fleet.sorted
-	uncordonedIdle   bool // it was uncordoned and got no offer since
-	drainingUntil    int64
-	migratedAt       int64                       // when a task was last migrated away
-	running          []*taskInfo                 // accepted tasks, in order of acceptance
-	active           int                         // attempts and tasks that have not ended
-	residentPrograms map[uint64]*residentProgram // by program
-	offerTimes       []int64                     // of late
-	unanswered       []*attemptInfo              // in the order in which they were sent
-	attemptWindow    float64                     // how many unanswered attempts it may have
-	suspicions       []suspicionScore            // by class
-	lastAcceptedAt   []int64                     // by class
-	reachableAt      int64                       // when it last took a connection after a failure
-	calibration      [resourceCount]float64      // effective capacity over that of its kind
-	calibratedAt     int64
-	inCalibrated     bool // it is in calibration.workers
-
-	viewedAt      int64 // when the present view came
-	viewCount     int
-	recentFree    [sustainedViews][resourceCount]float64 // free capacity in the last views
-	sustainedFree [resourceCount]float64                 // free capacity that all of these showed
-	deltas        []delta
-	lagDependent  bool  // it is in loadTracker.lagDependent
-	probeSentAt   int64 // of a probe that has not ended, or 0
-	lastReport    Load
-	reportedAt    int64 // when the last report came, or 0
-	reportsFree   bool  // the last report has the free capacity
-
-	requestedCores, requestedMemory float64 // as of now, unless stale
-	stale                           bool
+	nameHash       uint64
+	kindIndex      int  // in Settings.Kinds, or -1
+	listed         bool // it is on the present list
+	everListed     bool // so that its cell and zone are known
+	foreign        bool // it is in fleet.foreignCount
+	uncordonedIdle bool // it was uncordoned and got no offer since
+	stale          bool // requestedCores and requestedMemory are not as of now
+	reportsFree    bool // the last report has the free capacity
+	lagDependent   bool // it is in loadTracker.lagDependent
+	inCalibrated   bool // it is in calibration.workers
+
+	// How much is requested of it, and what that follows from.
+	requestedCores, requestedMemory float64
+	viewedAt                        int64 // when the present view came
+	deltas                          []delta
+	reportedAt                      int64 // when the last report came, or 0
+	lastReport                      Load
 	countedKind                     *Kind // its kind, if it is in the sums of loadTracker
 	position                        indexPosition
-	lastSearch                      int64 // number of the last search that looked at it
+	calibration                     [resourceCount]float64 // effective capacity over that of its kind
+	calibratedAt                    int64
+
+	// What a search looks at.
+	lastSearch       int64 // number of the last search that looked at it
+	ordinal          int   // its number in fleet.sorted
+	drainingUntil    int64
+	unanswered       []*attemptInfo   // in the order in which they were sent
+	attemptWindow    float64          // how many unanswered attempts it may have
+	probeSentAt      int64            // of a probe that has not ended, or 0
+	suspicions       []suspicionScore // by class
+	running          []*taskInfo      // accepted tasks, in order of acceptance
+	residentPrograms map[uint64]*residentProgram
+	sustainedFree    [resourceCount]float64 // free capacity that all of the last views showed
+
+	active         int     // attempts and tasks that have not ended
+	offerTimes     []int64 // of late
+	lastAcceptedAt []int64 // by class
+	reachableAt    int64   // when it last took a connection after a failure
+	migratedAt     int64   // when a task was last migrated away
+	viewCount      int
+	recentFree     [sustainedViews][resourceCount]float64 // free capacity in the last views
 }
 
 func newWorkerInfo(name string, classes int) *workerInfo {
