--- a/placement/filter.go
+++ b/placement/filter.go
@@ -28,9 +28,9 @@
 
 // permits reports whether all rules but reservations let a worker get a task.
 func (f *filter) permits(worker *workerInfo, class *Class, task *taskInfo) bool {
-	return worker.listed && worker.State == Ready && f.now >= worker.drainingUntil && worker.kindIndex >= 0 &&
+	return worker.listed && worker.State == Ready && f.now >= worker.drainingUntil &&
+		worker.kindIndex >= 0 && (class.Kind < 0 || class.Kind == worker.kindIndex) &&
 		float64(len(worker.unanswered)) < worker.attemptWindow &&
-		(class.Kind < 0 || class.Kind == worker.kindIndex) &&
 		permitsRepeat(f.now, worker, class, task) && f.spread.permits(worker, class, task) &&
 		f.slowStart.permits(worker)
 }
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -63,7 +63,6 @@
 // together, as a large fleet does not fit into the caches of the processor.
 type workerInfo struct {
 	Entry
-	nameHash       uint64
 	kindIndex      int  // in Settings.Kinds, or -1
 	listed         bool // it is on the present list
 	everListed     bool // so that its cell and zone are known
@@ -74,29 +73,31 @@
 	lagDependent   bool // it is in loadTracker.lagDependent
 	inCalibrated   bool // it is in calibration.workers
 
-	// How much is requested of it, and what that follows from.
+	// What filters look at first.
+	drainingUntil                   int64
+	attemptWindow                   float64        // how many unanswered attempts it may have
+	unanswered                      []*attemptInfo // in the order in which they were sent
 	requestedCores, requestedMemory float64
-	viewedAt                        int64 // when the present view came
-	deltas                          []delta
-	reportedAt                      int64 // when the last report came, or 0
-	lastReport                      Load
-	countedKind                     *Kind // its kind, if it is in the sums of loadTracker
-	position                        indexPosition
 	calibration                     [resourceCount]float64 // effective capacity over that of its kind
 	calibratedAt                    int64
-
-	// What a search looks at.
-	lastSearch       int64 // number of the last search that looked at it
-	ordinal          int   // its number in fleet.sorted
-	drainingUntil    int64
-	unanswered       []*attemptInfo   // in the order in which they were sent
-	attemptWindow    float64          // how many unanswered attempts it may have
-	probeSentAt      int64            // of a probe that has not ended, or 0
-	suspicions       []suspicionScore // by class
-	running          []*taskInfo      // accepted tasks, in order of acceptance
+	probeSentAt                     int64            // of a probe that has not ended, or 0
+	suspicions                      []suspicionScore // by class
+	lastSearch                      int64            // number of the last search that looked at it
+	ordinal                         int              // its number in fleet.sorted
+
+	// What the requested cores and memory follow from.
+	viewedAt    int64 // when the present view came
+	deltas      []delta
+	reportedAt  int64 // when the last report came, or 0
+	lastReport  Load
+	countedKind *Kind // its kind, if it is in the sums of loadTracker
+	position    indexPosition
+
+	running          []*taskInfo // accepted tasks, in order of acceptance
 	residentPrograms map[uint64]*residentProgram
 	sustainedFree    [resourceCount]float64 // free capacity that all of the last views showed
 
+	nameHash       uint64
 	active         int     // attempts and tasks that have not ended
 	offerTimes     []int64 // of late
 	lastAcceptedAt []int64 // by class
