--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -36,7 +36,7 @@
 	}
 	var preferred []*workerInfo
 	programHash := mix(program)
-	// Most are told apart by the whole number: a rank below programWorkers has a hash over this.
+	// Most are excluded by comparing whole numbers: a rank below programWorkers has a hash over this.
 	minHash := uint64(max(0, 1-1.001*programWorkers/float64(max(1, assigned))) * math.MaxUint64)
 	for i := nextHash(nameHashes, 0, programHash, minHash); i < len(nameHashes); {
 		rank := hashedRank(mix(nameHashes[i]^programHash), assigned)
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -79,13 +79,11 @@
 	if !f.settings.HasView {
 		return loadLimit{max: accepted.minus(size)}
 	}
-	if f.overload.active {
-		size.cores += f.overload.concurrent[resourceCores]
-		size.memory += f.overload.concurrent[resourceMemory]
-	}
+	concurrent := f.overload.concurrentFractions()
+	size = fractions{size.cores + concurrent.cores, size.memory + concurrent.memory}
 	limit := loadLimit{max: f.loads.index.baseline.minus(size), calibratedMax: accepted.minus(size)}
 	if f.waitedLong(task) {
-		// A large task that has waited is not held to the effective capacity; it is large where
+		// A large task that has waited may exceed the effective capacity; it is large where
 		// a worker has little.
 		if limit.calibrationBelow = utilization / largeTaskShare; limit.calibrationBelow > 1 {
 			limit.max = limit.calibratedMax
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -81,8 +81,8 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	f.wantPlaced(f.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
-	if w := f.scheduler.fleet.workers["a"].attemptWindow; w >= initialWindow {
-		t.Errorf("window %v after 'too many wait', want it halved", w)
+	if window := f.scheduler.fleet.workers["a"].attemptWindow; window >= initialWindow {
+		t.Errorf("window %v after 'too many wait', want it halved", window)
 	}
 }
 
--- a/placement/index.go
+++ b/placement/index.go
@@ -62,6 +62,11 @@
 	return &x.kinds[worker.position.kindIndex].levels[worker.position.level]
 }
 
+// sum counts the indexed workers of a kind, and adds up their utilization without calibration.
+func (x *workerIndex) sum(kindIndex int) (count, utilization float64) {
+	return x.kinds[kindIndex].sum(x.baseline)
+}
+
 // reserve moves a worker behind those that are not reserved.
 func (x *workerIndex) reserve(worker *workerInfo) {
 	if !worker.position.indexed {
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -9,17 +9,17 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20), smallWorker("b", 0, 18))
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 6, 6)), "a")
 	worker := f.scheduler.fleet.workers["a"]
-	if c, _ := f.scheduler.loads.requested(worker); c != 18 {
-		t.Fatalf("%v cores requested with the placement, want 18", c)
+	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
+		t.Fatalf("%v cores requested with the placement, want 18", cores)
 	}
 	// A view that comes at once cannot show the placement yet.
 	f.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 20)}})
-	if c, _ := f.scheduler.loads.requested(worker); c != 18 {
-		t.Fatalf("%v cores requested after an early view, want 18", c)
+	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
+		t.Fatalf("%v cores requested after an early view, want 18", cores)
 	}
 	f.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 14)}})
-	if c, _ := f.scheduler.loads.requested(worker); c != 18 {
-		t.Fatalf("%v cores requested once the view shows it, want 18, not counted twice", c)
+	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
+		t.Fatalf("%v cores requested once the view shows it, want 18, not counted twice", cores)
 	}
 }
 
@@ -27,9 +27,9 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20))
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 2, 4)), "a")
 	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
-	c, _ := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
-	if c != 12 && c != 14 { // 14 where it was tried again at once
-		t.Errorf("%v cores requested, want 12 and at most the new placement", c)
+	cores, _ := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
+	if cores != 12 && cores != 14 { // 14 where it was tried again at once
+		t.Errorf("%v cores requested, want 12 and at most the new placement", cores)
 	}
 }
 
@@ -37,9 +37,9 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20))
 	f.at(ms, f.request("1", "safe", 2, 4))
 	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
-	c, memory := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
-	if c != 12 || memory+4 <= 64*1.5 {
-		t.Errorf("%v cores and %v memory requested: want 12 and no free capacity for the task", c, memory)
+	cores, memory := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
+	if cores != 12 || memory+4 <= 64*1.5 {
+		t.Errorf("%v cores and %v memory requested: want 12 and no free capacity for the task", cores, memory)
 	}
 }
 
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -1,6 +1,9 @@
 package placement
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 // This file owns what is known of an overload: whether more tasks come than find free
 // capacity, and what the other schedulers place meanwhile. It must never reject a task.
@@ -44,6 +47,21 @@
 	copy(o.reservedUnits, event.Reserved)
 }
 
+// reservesUnits reports whether any class leaves units to others.
+func (o *overload) reservesUnits() bool { return slices.Max(o.reservedUnits) > 0 }
+
+// unitsReserved is how many units a class leaves to those of more weight.
+func (o *overload) unitsReserved(classIndex int) float64 { return o.reservedUnits[classIndex] }
+
+// timeUntilFree is how long it takes until as many units become free, in microseconds, if that
+// is known.
+func (o *overload) timeUntilFree(units float64) (us float64, known bool) {
+	if o.releaseRate <= 0 {
+		return 0, false
+	}
+	return units / o.releaseRate * float64(second), true
+}
+
 // offerAccepted lowers the contention.
 func (o *overload) offerAccepted() {
 	o.contention = max(0, o.contention-contentionStep/contentionOffers)
@@ -84,6 +102,15 @@
 	return shares
 }
 
+// concurrentFractions is what other schedulers are taken to have placed on each worker, as parts
+// of its size.
+func (o *overload) concurrentFractions() fractions {
+	if !o.active {
+		return fractions{}
+	}
+	return fractions{o.concurrent[resourceCores], o.concurrent[resourceMemory]}
+}
+
 // competing is what other schedulers are taken to have placed on a worker of a kind since the
 // view: they compete for what the view newly shows, but only this scheduler knows what its own
 // tasks released.
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -1,7 +1,5 @@
 package placement
 
-import "slices"
-
 // This file owns the scheduling pass: one look at all pending tasks, by priority. For each it
 // filters and scores the workers, and then binds the task to one of them, or reserves one and
 // keeps the task pending, or gives the final response. It must never offer a task twice at a
@@ -48,7 +46,7 @@
 	clear(p.unschedulable)
 	p.reservations.clear()
 	p.unitsAhead, p.freeUnits = 0, 0
-	if slices.Max(p.overload.reservedUnits) > 0 {
+	if p.overload.reservesUnits() {
 		p.freeUnits = p.totals.freeUnits()
 	}
 	for _, task := range tasks {
@@ -108,14 +106,14 @@
 
 // unitsLeft reports whether a task leaves the units that its class has to leave to others.
 func (p *schedulingPass) unitsLeft(task *taskInfo) bool {
-	reserved := p.overload.reservedUnits[task.classIndex]
+	reserved := p.overload.unitsReserved(task.classIndex)
 	return reserved == 0 || p.freeUnits > reserved
 }
 
 // tooLate reports whether capacity for a task becomes free well after its deadline.
 func (p *schedulingPass) tooLate(task *taskInfo, units float64) bool {
-	rate := p.overload.releaseRate
-	return rate > 0 && (p.unitsAhead+units)/rate*float64(second) > float64(task.DeadlineUs-p.now)*latenessFactor
+	timeUntilFree, known := p.overload.timeUntilFree(p.unitsAhead + units)
+	return known && timeUntilFree > float64(task.DeadlineUs-p.now)*latenessFactor
 }
 
 // reserve reserves the worker that is closest to fitting a pending task. It guards against small
@@ -123,7 +121,7 @@
 // It would harm where all pending tasks are of one priority: then nothing is kept from them, or
 // where capacity never becomes free: so half of the workers stay open to all.
 func (p *schedulingPass) reserve(task *taskInfo) {
-	if !p.settings.HasView || len(p.reservations.priorities)*2 >= p.fleet.assignedCount() {
+	if !p.settings.HasView || p.reservations.count()*2 >= p.fleet.assignedCount() {
 		return
 	}
 	if worker := p.search.closestToFitting(task); worker != nil {
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -72,7 +72,7 @@
 	return deadlineMarginTicks * max(q.settings.TickUs, millisecond)
 }
 
-// nextPollAt is when pending tasks are to be looked at next, or 0.
+// nextCheckAt is when pending tasks are to be looked at next, or 0.
 func (q *queue) nextCheckAt() int64 {
 	if len(q.pending) == 0 {
 		return 0
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -45,7 +45,7 @@
 	return list
 }
 
-// selectWorker is the full scan over the candidates.
+// selectFrom is the full scan over the candidates.
 func (r *reference) selectFrom(list []candidate, task *taskInfo) selection {
 	effect := r.scheduler.settings.Classes[task.classIndex].Effect
 	var fit, healthy []*workerInfo
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -34,6 +34,9 @@
 	clear(r.priorities)
 }
 
+// count is the number of reserved workers.
+func (r *reservations) count() int { return len(r.priorities) }
+
 // contains reports whether a worker is reserved.
 func (r *reservations) contains(worker *workerInfo) bool {
 	_, reserved := r.priorities[worker]
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -124,7 +124,7 @@
 func (s *Scheduler) createDecisions() {
 	s.search = newSearch(search{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
-		residents: s.residents,
+		residents: s.residents, health: s.health,
 		filter: &filter{
 			environment: s.environment, loads: s.loads, capacity: s.capacity, reservations: s.reservations,
 			health: s.health, slowStart: s.slowStart, spread: s.spread, overload: s.overload,
--- a/placement/score.go
+++ b/placement/score.go
@@ -50,6 +50,9 @@
 	return backlog + rate/(1-utilization)*(backlog*size+size*size/2)
 }
 
+// setSize sets the utilization that a task adds to a worker of a kind without calibration.
+func (s *scorer) setSize(kindIndex int, utilization float64) { s.kinds[kindIndex].size = utilization }
+
 // prepare computes the terms for a task, whose sizes by kind were set before.
 func (s *scorer) prepare(task *taskInfo) {
 	s.utilization, s.meanCores = s.totals.means()
--- a/placement/search.go
+++ b/placement/search.go
@@ -31,6 +31,7 @@
 	loads     *loadTracker
 	capacity  *capacityModel
 	residents *residents
+	health    *health
 	filter    *filter
 	scorer    *scorer
 
@@ -89,7 +90,7 @@
 		kind := &s.settings.Kinds[i]
 		size := fractions{task.Cores / kind.Cores, task.Memory / kind.Memory}
 		utilization := max(size.cores/baseline.cores, size.memory/baseline.memory)
-		s.scorer.kinds[i].size = utilization
+		s.scorer.setSize(i, utilization)
 		s.limits[i] = s.filter.limit(task, i, size, utilization)
 	}
 }
@@ -220,7 +221,7 @@
 		matters: func(int, fractions, float64) bool { return true },
 		visit: func(other *workerInfo) bool {
 			found = other != worker && s.filter.permits(other, class, task) &&
-				s.filter.health.healthy(other, task.classIndex) && s.filter.fits(other, task)
+				s.health.healthy(other, task.classIndex) && s.filter.fits(other, task)
 			return !found
 		},
 	}, s.random)
@@ -250,7 +251,7 @@
 			return max(needed, minUtilization+min(size.cores, size.memory)) <= lowest+slack
 		},
 		visit: func(worker *workerInfo) bool {
-			if !s.filter.permits(worker, class, task) || !s.filter.health.healthy(worker, task.classIndex) {
+			if !s.filter.permits(worker, class, task) || !s.health.healthy(worker, task.classIndex) {
 				return true
 			}
 			cores, memory := s.loads.requested(worker)
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -32,14 +32,15 @@
 // are computed anew once a second.
 func (t *totals) means() (utilization, cores float64) {
 	cached := &t.cachedMeans
-	if t.fleet.assignedCount() > maxEnumerated && cached.computedAt > 0 && t.now < cached.computedAt+meansValidity {
+	valid := cached.computedAt > 0 && t.now < cached.computedAt+meansValidity
+	if t.fleet.assignedCount() > maxEnumerated && valid {
 		return cached.utilization, cached.cores
 	}
 	t.fleet.refresh()
 	var requested, capacity, workers float64
 	index := t.loads.index
 	for i := range t.settings.Kinds {
-		count, sum := index.kinds[i].sum(index.baseline)
+		count, sum := index.sum(i)
 		workers += count
 		capacity += count * t.settings.Kinds[i].Cores
 		requested += sum * t.settings.Kinds[i].Cores
--- a/placement/view.go
+++ b/placement/view.go
@@ -19,7 +19,7 @@
 	maxReportedOvercommit = 8.0
 	maxReportedQueue      = 1e4
 	// startPenalty is what a start under way adds to a worker's backlog, at mean size: workers
-	// start few tasks at a time, and a late start loses its worth.
+	// start few tasks at a time, and a late start loses its bonus.
 	startPenalty = 0.03
 )
 
