--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -13,6 +13,7 @@
 	*environment
 	capacity *capacityModel
 	loads    *loadTracker
+	index    *workerIndex
 	workers  []*workerInfo // whose calibration may not have been forgotten yet
 }
 
@@ -47,7 +48,7 @@
 
 // track notes that a worker is calibrated.
 func (c *calibration) track(worker *workerInfo) {
-	c.loads.index.invalidate(worker)
+	c.index.invalidate(worker)
 	if !worker.inCalibrated {
 		worker.inCalibrated = true
 		c.workers = append(c.workers, worker)
@@ -57,7 +58,7 @@
 // excessUtilization is the sum, weighted by cores, of what the utilization of the workers is
 // over that without calibration.
 func (c *calibration) excessUtilization() (sum float64) {
-	baseline := c.loads.index.baseline
+	baseline := c.index.baseline
 	c.workers = slices.DeleteFunc(c.workers, func(worker *workerInfo) bool {
 		worker.decayCalibration(c.now)
 		if !worker.calibrated() {
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -12,6 +12,7 @@
 type filter struct {
 	*environment
 	loads        *loadTracker
+	index        *workerIndex
 	capacity     *capacityModel
 	reservations *reservations
 	health       *health
@@ -81,7 +82,7 @@
 	}
 	concurrent := f.overload.concurrentFractions()
 	size = fractions{size.cores + concurrent.cores, size.memory + concurrent.memory}
-	limit := loadLimit{max: f.loads.index.baseline.minus(size), calibratedMax: accepted.minus(size)}
+	limit := loadLimit{max: f.index.baseline.minus(size), calibratedMax: accepted.minus(size)}
 	if f.waitedLong(task) {
 		// A large task that has waited may exceed the effective capacity; it is large where
 		// a worker has little.
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -13,6 +13,7 @@
 	*environment
 	capacity  *capacityModel
 	loads     *loadTracker
+	index     *workerIndex
 	residents *residents
 	affinity  *affinity
 
@@ -77,7 +78,7 @@
 	} else {
 		f.unlisted[worker] = true
 	}
-	f.loads.index.invalidate(worker)
+	f.index.invalidate(worker)
 }
 
 // countForeign keeps the number of foreign workers right after a change of one.
@@ -95,6 +96,16 @@
 	f.affinity.clear()
 }
 
+// idleUncordoned returns the workers that operators uncordoned and that got no offer since.
+func (f *fleet) idleUncordoned() map[*workerInfo]bool {
+	for worker := range f.uncordoned {
+		if !worker.uncordonedIdle {
+			delete(f.uncordoned, worker)
+		}
+	}
+	return f.uncordoned
+}
+
 // unlistAll takes all workers off the list, before a full one.
 func (f *fleet) unlistAll() {
 	for _, worker := range f.sorted {
@@ -142,7 +153,7 @@
 	for _, worker := range removed {
 		f.residents.removeAll(worker)
 		worker.deltas, worker.reportsFree = nil, false
-		f.loads.index.invalidate(worker)
+		f.index.invalidate(worker)
 		delete(f.unlisted, worker)
 		delete(f.uncordoned, worker)
 		delete(f.workers, worker.Worker)
@@ -154,9 +165,9 @@
 
 // refresh brings the index and the ordinals up to date with what changed since the last search.
 func (f *fleet) refresh() {
-	if f.loads.index.setBaseline(f.capacity.baseline) {
+	if f.index.setBaseline(f.capacity.baseline) {
 		for _, worker := range f.sorted {
-			f.loads.index.invalidate(worker)
+			f.index.invalidate(worker)
 		}
 	}
 	f.loads.refreshStale()
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -94,17 +94,19 @@
 		lag: initialLagSteps * lagStep,
 	}
 	s.fleet = &fleet{
-		environment: s.environment, capacity: s.capacity, loads: s.loads, residents: s.residents,
-		affinity: s.affinity, workers: map[string]*workerInfo{},
+		environment: s.environment, capacity: s.capacity, loads: s.loads, index: s.index,
+		residents: s.residents, affinity: s.affinity, workers: map[string]*workerInfo{},
 		unlisted: map[*workerInfo]bool{}, uncordoned: map[*workerInfo]bool{},
 	}
 }
 
 // createEstimators creates the parts that learn and sum up.
 func (s *Scheduler) createEstimators() {
-	s.calibration = &calibration{environment: s.environment, capacity: s.capacity, loads: s.loads}
+	s.calibration = &calibration{
+		environment: s.environment, capacity: s.capacity, loads: s.loads, index: s.index,
+	}
 	s.totals = &totals{
-		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
+		environment: s.environment, fleet: s.fleet, loads: s.loads, index: s.index, capacity: s.capacity,
 		calibration: s.calibration,
 	}
 	s.overload = &overload{
@@ -124,10 +126,10 @@
 func (s *Scheduler) createDecisions() {
 	s.search = newSearch(search{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
-		residents: s.residents, health: s.health,
+		index: s.index, residents: s.residents, health: s.health,
 		filter: &filter{
-			environment: s.environment, loads: s.loads, capacity: s.capacity, reservations: s.reservations,
-			health: s.health, slowStart: s.slowStart, spread: s.spread, overload: s.overload,
+			environment: s.environment, loads: s.loads, index: s.index, capacity: s.capacity,
+			reservations: s.reservations, health: s.health, slowStart: s.slowStart, spread: s.spread, overload: s.overload,
 		},
 		scorer: &scorer{
 			environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
--- a/placement/search.go
+++ b/placement/search.go
@@ -30,6 +30,7 @@
 	fleet     *fleet
 	loads     *loadTracker
 	capacity  *capacityModel
+	index     *workerIndex
 	residents *residents
 	health    *health
 	filter    *filter
@@ -81,7 +82,7 @@
 // begin starts a search for a task among the workers that may have free capacity for it.
 func (s *search) begin(task *taskInfo) {
 	s.fleet.refresh()
-	baseline := s.loads.index.baseline
+	baseline := s.index.baseline
 	s.number++
 	s.evaluated = 0
 	s.task, s.class, s.lowestCost = task, s.classOf(task), math.Inf(1)
@@ -103,8 +104,8 @@
 		s.evaluateAll(s.residents.workers[task.Program])
 		s.evaluateAll(s.fleet.preferredFor(task.Program))
 	}
-	inverse := s.loads.index.inverseBaseline
-	s.loads.index.walk(levelWalk{limits: s.limits, visit: s.visit,
+	inverse := s.index.inverseBaseline
+	s.index.walk(levelWalk{limits: s.limits, visit: s.visit,
 		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
 			lowest := s.scorer.kinds[kindIndex].lowerBound(utilization, s.scorer.utilization)
@@ -158,13 +159,10 @@
 // shows that it is in use again.
 func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
 	class := s.classOf(task)
-	for worker := range s.fleet.uncordoned {
-		switch {
-		case !worker.uncordonedIdle:
-			delete(s.fleet.uncordoned, worker)
-		case class.Effect == Unsafe || !s.filter.feasible(worker, class, task) ||
-			!s.filter.healthy(worker, task) || !s.filter.fits(worker, task):
-		case found == nil || worker.ordinal < found.ordinal:
+	for worker := range s.fleet.idleUncordoned() {
+		suitable := class.Effect != Unsafe && s.filter.feasible(worker, class, task) &&
+			s.filter.healthy(worker, task) && s.filter.fits(worker, task)
+		if suitable && (found == nil || worker.ordinal < found.ordinal) {
 			found = worker
 		}
 	}
@@ -217,7 +215,7 @@
 func (s *search) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
 	s.begin(task)
 	class, found := s.classOf(task), false
-	s.loads.index.walk(levelWalk{limits: s.limits,
+	s.index.walk(levelWalk{limits: s.limits,
 		matters: func(int, fractions, float64) bool { return true },
 		visit: func(other *workerInfo) bool {
 			found = other != worker && s.filter.permits(other, class, task) &&
@@ -232,7 +230,7 @@
 // reserved, or nil.
 func (s *search) closestToFitting(task *taskInfo) *workerInfo {
 	s.fleet.refresh()
-	class, inverse := s.classOf(task), s.loads.index.inverseBaseline
+	class, inverse := s.classOf(task), s.index.inverseBaseline
 	for i := range s.settings.Kinds {
 		kind := &s.settings.Kinds[i]
 		s.taskFractions[i] = fractions{
@@ -244,7 +242,7 @@
 	if len(s.fleet.sorted) > maxEnumerated {
 		slack = -roundingSlack // any: there may be thousands
 	}
-	s.loads.index.walk(levelWalk{unreservedOnly: true,
+	s.index.walk(levelWalk{unreservedOnly: true,
 		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			size := &s.taskFractions[kindIndex]
 			needed := max(requested.cores*inverse.cores+size.cores, requested.memory*inverse.memory+size.memory)
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -20,6 +20,7 @@
 	*environment
 	fleet       *fleet
 	loads       *loadTracker
+	index       *workerIndex
 	capacity    *capacityModel
 	calibration *calibration
 	cachedMeans fleetMeans
@@ -38,9 +39,8 @@
 	}
 	t.fleet.refresh()
 	var requested, capacity, workers float64
-	index := t.loads.index
 	for i := range t.settings.Kinds {
-		count, sum := index.sum(i)
+		count, sum := t.index.sum(i)
 		workers += count
 		capacity += count * t.settings.Kinds[i].Cores
 		requested += sum * t.settings.Kinds[i].Cores
