--- /dev/null
+++ b/placement/event_measures_test.go
@@ -0,0 +1,314 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// This file owns the units that TestModuleSlopes measures, and the sites that they start from.
+
+// --- Requests ---
+
+func warmSite(t *testing.T, workers int) *site {
+	s := busySite(t, workers)
+	s.warmUp(slopeWarmUp)
+	return s
+}
+
+func measureExchange(s *site, m *meter) {
+	e := s.prepare()
+	m.measure(s.t, func() { s.run(e) })
+	s.finish(e)
+	s.show(s.elapse())
+}
+
+// measureRejection measures a rejection for lack of cores, after which another worker is selected.
+func measureRejection(s *site, m *meter) {
+	e := s.prepare()
+	s.place(e)
+	e.mustPlace(s)
+	var actions []Action
+	m.measure(s.t, func() {
+		actions = s.handle(AttemptEnded{RequestID: e.task.RequestID, Worker: e.place.Worker, Outcome: Rejected, Cause: CauseCores, RTTUs: siteRTT})
+	})
+	e.place = nil
+	if next := ofType[Place](actions); len(next) == 1 {
+		e.place = &next[0]
+		s.now += siteRTT
+		s.handle(Accepted{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, RTTUs: siteRTT})
+		s.now += siteRTT
+		s.handle(AttemptEnded{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, Outcome: Completed, Final: true})
+	} else if !s.settings.Probes {
+		s.t.Fatalf("%d attempts after a rejection, want 1", len(next))
+	} else {
+		s.handle(ClientCancelled{e.task.RequestID})
+	}
+	s.schedulerTasks = append(s.schedulerTasks, e.ended)
+	s.show(s.elapse())
+}
+
+// measureBurst measures the requests of a large job in one call. What they led to is
+// taken back afterwards.
+func measureBurst(s *site, m *meter) {
+	job := s.nextJob()
+	var events []Event
+	for i := range burstTasks {
+		task := job.task
+		task.Class, task.Cores, task.Memory, task.DeadlineUs = s.settings.Classes[0].Name, 1, 2, s.now+siteDeadline
+		task.RequestID = fmt.Sprint("burst-", s.now, "-", i)
+		events = append(events, Request{task})
+	}
+	var actions []Action
+	m.measure(s.t, func() { actions = s.handle(events...) })
+	placed := ofType[Place](actions)
+	if len(placed) == 0 && !s.settings.Probes {
+		s.t.Fatal("nothing of the burst was placed")
+	}
+	s.now += siteRTT
+	for _, a := range placed {
+		s.handle(Accepted{RequestID: a.RequestID, Worker: a.Worker, RTTUs: siteRTT})
+	}
+	for _, event := range events {
+		s.handle(ClientCancelled{event.(Request).RequestID})
+	}
+	s.now += second
+	for _, a := range placed {
+		s.handle(AttemptEnded{RequestID: a.RequestID, Worker: a.Worker, Outcome: Completed, Final: true})
+	}
+	s.now += 20 * second
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
+}
+
+// idleSite has workers that all have the same free share, by thousands.
+func idleSite(t *testing.T, workers int) *site {
+	return newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), true)
+}
+
+// measureUnrelated measures a request of no job, which no worker has an advantage for.
+func measureUnrelated(s *site, m *meter) {
+	task := s.nextTask()
+	task.Program = 0
+	e := s.prepareTask(task)
+	m.measure(s.t, func() { s.run(e) })
+	e.mustPlace(s)
+	s.finish(e)
+	s.show(s.elapse())
+}
+
+// --- Pending tasks ---
+
+// fullSite is a site whose workers are all full, where tasks wait.
+func fullSite(t *testing.T, workers, pending int) *site {
+	s := busySite(t, workers)
+	for _, worker := range s.workers {
+		worker.requestedCores, worker.requestedMemory = worker.cores, worker.memory
+	}
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()}, Backpressure{ReleaseRate: plannedStarts / siteSchedulers * float64(workers) / plannedWorkers})
+	var events []Event
+	for range pending {
+		task := s.nextTask()
+		task.DeadlineUs = s.now + pendingTimeout
+		events = append(events, Request{task})
+	}
+	if placed := ofType[Place](s.handle(events...)); len(placed) > 0 {
+		t.Fatalf("%d tasks placed on full workers", len(placed))
+	}
+	return s
+}
+
+func (s *site) mustWait(actions []Action) {
+	s.t.Helper()
+	if count := len(ofType[Place](actions)) + len(ofType[Reject](actions)); count > 0 {
+		s.t.Fatalf("%d pending tasks got a response", count)
+	}
+}
+
+// measurePendingEntry measures a list entry that shows no free capacity.
+func measurePendingEntry(s *site, m *meter) {
+	s.now += s.betweenUs / (2 * siteSchedulers)
+	worker := s.workers[s.random.IntN(len(s.workers))]
+	var actions []Action
+	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{worker.shown()}}) })
+	s.mustWait(actions)
+}
+
+func measurePendingTimer(s *site, m *meter) {
+	s.now += retryInterval
+	var actions []Action
+	m.measure(s.t, func() { actions = s.handle(TimerFired{"wake"}) })
+	s.mustWait(actions)
+}
+
+// --- Lost workers ---
+
+// measureDrain measures the drain of a part of the workers in one event.
+func measureDrain(s *site, m *meter) {
+	var entries []Entry
+	for i, worker := range s.workers {
+		if i%drainedPart == 0 {
+			entry := worker.shown()
+			entry.State = Draining
+			entries = append(entries, entry)
+		}
+	}
+	s.now += second
+	m.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
+	s.now += second
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
+}
+
+// loseZone measures the loss of a zone's workers in one event, and their restart.
+func loseZone(s *site, removal, restart *meter) {
+	const zone = "zone-1"
+	var entries []Entry
+	for _, worker := range s.workers {
+		if worker.entry.Zone == zone {
+			entry := worker.shown()
+			entry.State = Removed
+			entries = append(entries, entry)
+		}
+	}
+	s.now += second
+	removal.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
+	s.schedulerTasks = slices.DeleteFunc(s.schedulerTasks, func(task *siteTask) bool {
+		if task.worker.entry.Zone != zone {
+			return false
+		}
+		s.handle(AttemptEnded{RequestID: task.RequestID, Worker: task.worker.entry.Worker, Outcome: Reset, Final: true})
+		return true
+	})
+	s.now += 20 * second
+	for i := range entries {
+		worker := s.byName[entries[i].Worker]
+		worker.entry.StartedAtUs, worker.requestedCores, worker.requestedMemory = s.now, 0, 0
+		entries[i] = worker.shown()
+	}
+	restart.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
+}
+
+// warmingSite is a site of which a zone has just restarted.
+func warmingSite(t *testing.T, workers int) *site {
+	s := busySite(t, workers)
+	loseZone(s, new(meter), new(meter))
+	return s
+}
+
+// measureFirstList measures the first complete list that a new scheduler gets.
+func measureFirstList(s *site, m *meter) {
+	scheduler, err := New(s.settings, *seedFlag)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	entries := s.entries()
+	m.measure(s.t, func() { scheduler.Handle(s.now, []Event{WorkerList{Kind: ListFull, Entries: entries}}) })
+}
+
+// --- Reports ---
+
+// reportCase measures a report of a random running task.
+func reportCase(kind ReportKind, value float64) func(*site, *meter) {
+	return func(s *site, m *meter) {
+		s.now += s.betweenUs
+		task := s.schedulerTasks[s.random.IntN(len(s.schedulerTasks))]
+		v := value
+		if kind == ReportCores {
+			v *= task.Cores
+		}
+		m.measure(s.t, func() { s.handle(TaskReport{task.RequestID, 0, task.worker.entry.Worker, kind, v}) })
+	}
+}
+
+func measureProbeResult(s *site, m *meter) {
+	s.now += s.betweenUs
+	worker := s.workers[s.random.IntN(len(s.workers))]
+	load := Load{worker.cores - worker.requestedCores, worker.memory - worker.requestedMemory, worker.requestedCores / worker.cores, reportedQueue}
+	m.measure(s.t, func() { s.handle(ProbeResult{worker.entry.Worker, Completed, siteRTT, load}) })
+}
+
+// calibratedSite has workers that serve poorly, on which less is placed until that fades.
+func calibratedSite(t *testing.T, workers int) *site {
+	s := busySite(t, workers)
+	s.reportPoor(len(s.schedulerTasks))
+	return s
+}
+
+func (s *site) reportPoor(tasks int) {
+	for range tasks {
+		task := s.schedulerTasks[s.random.IntN(len(s.schedulerTasks))]
+		s.handle(TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportService, poorService})
+	}
+}
+
+// measureCalibrated measures a request while the reports of poor service fade; some come again.
+func measureCalibrated(s *site, m *meter) {
+	s.reportPoor(1 + len(s.schedulerTasks)/100)
+	measureExchange(s, m)
+}
+
+// --- Hard placements ---
+
+// serviceSite runs a service of which every cell has one task at most.
+func serviceSite(t *testing.T, workers int) *site {
+	s := newSite(t, workers, *seedFlag, withSpread(siteSettings(workers, *probesFlag)), false)
+	cells := workers / workersInCell
+	s.service = nil
+	for range min(serviceTasks, cells*3/4) {
+		e := &exchange{task: &siteTask{Task: s.replica()}}
+		s.run(e)
+		e.mustPlace(s)
+		s.start(e.task, s.byName[e.place.Worker])
+		s.service = append(s.service, e.task)
+		s.now += s.betweenUs
+	}
+	s.pass(20 * second)
+	return s
+}
+
+func (s *site) replica() Task {
+	task := s.nextTask()
+	task.Class, task.Program, task.Cores, task.Memory = spreadClass, 1, 1, 2
+	return task
+}
+
+// measureReplica measures a further task of the service and the end of its oldest one.
+func measureReplica(s *site, m *meter) {
+	e := &exchange{task: &siteTask{Task: s.replica()}, ended: s.service[0]}
+	s.service = s.service[1:]
+	m.measure(s.t, func() { s.run(e) })
+	e.mustPlace(s)
+	s.end(e.ended)
+	s.start(e.task, s.byName[e.place.Worker])
+	s.service = append(s.service, e.task)
+	s.show(s.elapse())
+}
+
+// hugeSite has a few empty workers, the only ones with free capacity for a huge task.
+func hugeSite(t *testing.T, workers int) *site {
+	s := busySite(t, workers)
+	empty := 0
+	for _, worker := range s.workers {
+		if worker.cores > hugeCores && empty < hugeWorkers {
+			worker.requestedCores, worker.requestedMemory = 0, 0
+			empty++
+		}
+	}
+	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
+	return s
+}
+
+// measureHuge measures the request and the end of a huge task.
+func measureHuge(s *site, m *meter) {
+	task := s.nextTask()
+	task.Class, task.Program, task.Cores, task.Memory = s.settings.Classes[0].Name, 0, hugeCores, hugeMemory
+	e := &exchange{task: &siteTask{Task: task}}
+	m.measure(s.t, func() {
+		s.run(e)
+		if e.place != nil {
+			s.handle(AttemptEnded{RequestID: task.RequestID, Worker: e.place.Worker, Outcome: Completed, Final: true})
+		}
+	})
+	e.mustPlace(s)
+	s.now += second
+	s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{s.byName[e.place.Worker].shown()}})
+}
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -1,191 +1,187 @@
 package placement
 
-// This file adds up what all machines have, are asked for and hold. It decides nothing.
-
 import (
-	"math"
+	"cmp"
 	"slices"
 )
 
-// othersBinds guesses what the others bound since the view, as shares of the fleet:
-// each as much as this placer did beyond what chance makes of binds and ends. A crowd
-// is spread over all of them.
-func (p *Scheduler) othersBinds() (shares [2]float64) {
-	if !p.crowd || !p.s.HasView {
-		return shares
-	}
-	p.settle()
-	var net, squares [2]float64
-	for _, m := range p.laggedMachines() {
-		if p.size(m) == nil || !m.listed {
-			continue
-		}
-		for i := len(m.deltas) - 1; i >= 0; i-- {
-			if d := &m.deltas[i]; d.at > m.viewAt-p.lag {
-				net[0], net[1] = net[0]+d.cores, net[1]+d.mem
-				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.mem*d.mem
-			}
-		}
-	}
-	have := [2]float64{p.listedSize.cores, p.listedSize.memory}
-	for r := range shares {
-		beyond := max(0, net[r]-2*math.Sqrt(squares[r]))
-		shares[r] = beyond * float64(p.sharers()-1) / max(1, have[r])
-	}
-	return shares
+// This file owns which workers there are: the present list, and those that left it but still
+// have attempts or tasks. It must never decide which of them gets a task.
+
+// fleet knows all workers.
+type fleet struct {
+	*environment
+	capacity  *capacityModel
+	loads     *loadTracker
+	index     *workerIndex
+	residents *residents
+	affinity  *affinity
+
+	workers       map[string]*workerInfo
+	sorted        []*workerInfo // by name
+	nameHashes    []uint64      // of sorted
+	ordinalsStale bool          // ordinals and nameHashes are those of an earlier order
+	unlisted      map[*workerInfo]bool
+	uncordoned    map[*workerInfo]bool // and some that got an offer since
+	foreignCount  int                  // listed workers that are assigned to other schedulers
 }
 
-// room is this placer's part of the room of all machines, in units, as far as it may
-// ask for it at once: a machine looks at one offer at a time. Of a large fleet it is
-// computed anew only so often; what is sent meanwhile is taken off by send.
-func (p *Scheduler) room() (units float64) {
-	if p.s.UnitCores <= 0 || p.s.UnitMemory <= 0 {
-		return math.Inf(1) // no size is told: nothing is kept from anybody
-	}
-	if p.own() > enumerated && p.spareAt > 0 && p.now < p.spareAt+retryEvery {
-		return p.spare
-	}
-	p.settle()
-	for _, m := range p.order {
-		if m.listed && m.State == Ready && m.kind >= 0 && p.s.HasView {
-			c, b := p.load(m)
-			bc, bm := p.bears(m)
-			free := min((bc-c)/p.s.UnitCores, (bm-b)/p.s.UnitMemory) / float64(p.sharers())
-			units += max(0, min(free, m.window-float64(len(m.unanswered))))
-		}
-	}
-	p.spare, p.spareAt = units, p.now
-	return units
-}
+// assignedCount is the number of workers that are assigned to no other scheduler.
+func (f *fleet) assignedCount() int { return len(f.sorted) - f.foreignCount }
 
-// means is what all machines that are ready together are asked for.
-type means struct {
-	at    int64
-	rho   float64 // asked share
-	cores float64 // mean cores
+// sharingSchedulers is how many schedulers offer tasks to a worker: all of them, but this one
+// alone where the workers are divided among them.
+func (f *fleet) sharingSchedulers() int {
+	if f.foreignCount > 0 {
+		return 1
+	}
+	return f.settings.FleetSize
 }
 
-// fleet returns the asked share of the fleet and its mean cores. They only scale costs,
-// so of a large fleet they are computed anew once a second.
-func (p *Scheduler) fleet() (rho, cores float64) {
-	if f := &p.means; p.own() > enumerated && f.at > 0 && p.now < f.at+second {
-		return f.rho, f.cores
-	}
-	p.settle()
-	var asked, have, n float64
-	for i := range p.s.Kinds {
-		count, sum := p.index.kinds[i].sum(p.index.now)
-		n += count
-		have += count * p.s.Kinds[i].Cores
-		asked += sum * p.s.Kinds[i].Cores
+// requestedCores is what is requested of all workers: of foreign ones as much as of the
+// others, whose views are known.
+func (f *fleet) requestedCores() float64 {
+	f.refresh()
+	if f.foreignCount == 0 {
+		return f.loads.requestedCores
 	}
-	asked += p.bentExcess()
-	p.means = means{at: p.now, cores: 1}
-	if n > 0 {
-		p.means.rho, p.means.cores = asked/have, have/n
-	}
-	return p.means.rho, p.means.cores
+	return f.loads.requestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
 }
 
-// bentExcess is what the asked shares of machines are over those without bends, by cores.
-func (p *Scheduler) bentExcess() (sum float64) {
-	bear := p.index.now
-	p.bent = slices.DeleteFunc(p.bent, func(m *machine) bool {
-		m.relax(p.now, bendHalf)
-		if m.bendC == 1 && m.bendM == 1 {
-			m.bentListed = false
-			return true
-		}
-		if k := p.size(m); k != nil && m.slot.indexed && p.s.HasView {
-			straight := max(m.askedCores/k.Cores/bear.cores, m.askedMemory/k.Memory/bear.memory)
-			sum += (p.share(m) - straight) * k.Cores
-		}
-		return false
-	})
-	return sum
+// ensure returns the worker of a name, which it adds if there is none.
+func (f *fleet) ensure(name string) *workerInfo {
+	worker := f.workers[name]
+	if worker != nil {
+		return worker
+	}
+	worker = newWorkerInfo(name, len(f.settings.Classes))
+	f.workers[name] = worker
+	f.unlisted[worker] = true
+	f.orderChanged()
+	i, _ := slices.BinarySearchFunc(f.sorted, name, compareName)
+	f.sorted = slices.Insert(f.sorted, i, worker)
+	return worker
 }
 
-// noteBent lists m among the machines with bends.
-func (p *Scheduler) noteBent(m *machine) {
-	p.touch(m)
-	if !m.bentListed {
-		m.bentListed = true
-		p.bent = append(p.bent, m)
-	}
+// orderChanged notes that workers come or go.
+func (f *fleet) orderChanged() {
+	f.ordinalsStale = true
+	f.affinity.clear()
 }
 
-// askedCores is what the fleet is asked for: foreign machines as much as the others, whose views
-// are told.
-func (p *Scheduler) askedCores() float64 {
-	p.settle()
-	if p.foreign == 0 {
-		return p.fleetAsked
+// setListed notes whether a worker is on the present list.
+func (f *fleet) setListed(worker *workerInfo, listed bool) {
+	worker.listed = listed
+	f.countForeign(worker)
+	if listed {
+		delete(f.unlisted, worker)
+	} else {
+		f.unlisted[worker] = true
 	}
-	return p.fleetAsked * float64(len(p.order)) / float64(max(1, p.own()))
+	f.index.invalidate(worker)
 }
 
-// countForeign keeps the number of listed machines that belong to other placers.
-func (p *Scheduler) countForeign(m *machine) {
-	foreign := m.listed && m.State == Foreign
-	if foreign == m.foreign {
+// countForeign keeps the number of foreign workers right after a change of one.
+func (f *fleet) countForeign(worker *workerInfo) {
+	foreign := worker.listed && worker.State == Foreign
+	if foreign == worker.foreign {
 		return
 	}
-	m.foreign = foreign
+	worker.foreign = foreign
 	if foreign {
-		p.foreign++
+		f.foreignCount++
 	} else {
-		p.foreign--
+		f.foreignCount--
 	}
-	clear(p.preferred)
+	f.affinity.clear()
 }
 
-// own is the number of machines that belong to no other placer.
-func (p *Scheduler) own() int { return len(p.order) - p.foreign }
+// idleUncordoned returns the workers that operators uncordoned and that got no offer since.
+func (f *fleet) idleUncordoned() map[*workerInfo]bool {
+	for worker := range f.uncordoned {
+		if !worker.uncordonedIdle {
+			delete(f.uncordoned, worker)
+		}
+	}
+	return f.uncordoned
+}
 
-// sharers is how many placers offer tasks to a machine: all of them, but this one alone where the
-// machines are divided among them.
-func (p *Scheduler) sharers() int {
-	if p.foreign > 0 {
-		return 1
+// unlistAll takes all workers off the list, before a full one.
+func (f *fleet) unlistAll() {
+	for _, worker := range f.sorted {
+		f.setListed(worker, false)
 	}
-	return p.s.FleetSize
 }
 
-// spread is how many tasks of one program the machines hold, by place.
-type spread struct {
-	program      uint64
-	homesChanged int64
-	counted      bool
-	cells        map[int]int
-	zones        map[string]int
-	unplaced     int // at machines whose place was never told
+// update takes what a list says of a worker.
+func (f *fleet) update(worker *workerInfo, entry Entry) {
+	if worker.everListed && worker.StartedAtUs != entry.StartedAtUs {
+		f.restarted(worker)
+	}
+	worker.Entry, worker.everListed = entry, true
+	f.setListed(worker, entry.State != Removed)
+	f.residents.domainsChanged()
+	worker.uncordonedIdle = worker.uncordonedIdle && worker.listed || entry.Uncordoned
+	if entry.Uncordoned {
+		f.uncordoned[worker] = true
+		clear(worker.suspicions) // what spoke against it, its restart by operators among that, is over
+	}
+	hasName := func(kind Kind) bool { return kind.Name == entry.Kind }
+	worker.kindIndex = slices.IndexFunc(f.settings.Kinds, hasName)
+	worker.viewedAt = f.now
+	worker.recordFree(entry.FreeCores, entry.FreeMemory)
+	worker.forgetDeltas(f.now - deltaRetention)
+}
+
+// restarted takes it that a worker started anew: nothing is left of what was there. What has
+// not ended yet counts for the spread until it has.
+func (f *fleet) restarted(worker *workerInfo) {
+	worker.deltas = nil
+	f.residents.removeIdle(worker)
+	worker.calibration = [resourceCount]float64{1, 1}
 }
 
-// spreadOf counts the tasks of a program by place, once for all machines that are asked about.
-func (p *Scheduler) spreadOf(program uint64) *spread {
-	s := &p.spread
-	if s.counted && s.program == program && s.homesChanged == p.homesChanged {
-		return s
+// forgetUnlisted forgets the workers off the list that have no attempt or task.
+func (f *fleet) forgetUnlisted() {
+	var removed []*workerInfo
+	for worker := range f.unlisted {
+		if worker.active == 0 {
+			removed = append(removed, worker)
+		}
 	}
-	if s.cells == nil {
-		s.cells, s.zones = map[int]int{}, map[string]int{}
+	slices.SortFunc(removed, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
+	for _, worker := range removed {
+		f.residents.removeAll(worker)
+		worker.deltas, worker.reportsFree = nil, false
+		f.index.invalidate(worker)
+		delete(f.unlisted, worker)
+		delete(f.uncordoned, worker)
+		delete(f.workers, worker.Worker)
+		i, _ := slices.BinarySearchFunc(f.sorted, worker.Worker, compareName)
+		f.sorted = slices.Delete(f.sorted, i, i+1)
+		f.orderChanged()
+	}
+}
+
+// refresh brings the index and the ordinals up to date with what changed since the last search.
+func (f *fleet) refresh() {
+	if f.index.setBaseline(f.capacity.baseline) {
+		for _, worker := range f.sorted {
+			f.index.invalidate(worker)
+		}
 	}
-	clear(s.cells)
-	clear(s.zones)
-	s.program, s.homesChanged, s.counted, s.unplaced = program, p.homesChanged, true, 0
-	for _, m := range p.programs[program] {
-		held := m.homes[program].held
-		if !m.known {
-			s.unplaced += held
-			continue
+	f.loads.refreshStale()
+	if f.ordinalsStale {
+		f.ordinalsStale = false
+		f.nameHashes = f.nameHashes[:0]
+		for ordinal, worker := range f.sorted {
+			worker.ordinal = ordinal
+			f.nameHashes = append(f.nameHashes, worker.nameHash)
 		}
-		s.cells[m.Cell] += held
-		s.zones[m.Zone] += held
 	}
-	return s
 }
 
-// calm and fade are the least of all classes: one level for a machine that any may use.
-func (p *Scheduler) calm() float64 { return p.calmLevel }
-
-func (p *Scheduler) fade() float64 { return p.fadeLevel }
+// preferredFor returns the workers over which the tasks of a program are spread.
+func (f *fleet) preferredFor(program uint64) []*workerInfo {
+	return f.affinity.workersFor(program, f.sorted, f.nameHashes, f.assignedCount())
+}
--- /dev/null
+++ b/placement/fullscan_test.go
@@ -0,0 +1,212 @@
+package placement
+
+import (
+	"flag"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+)
+
+var historiesFlag = flag.Int("histories", 40, "tests of drawn histories: how many")
+
+const (
+	// probesEach is for how many made-up tasks selections are compared after each step, and
+	// pendingEach for how many of those that wait.
+	probesEach  = 3
+	pendingEach = 2
+	// offerEvery is the part of the steps after which tasks are sent one by one, as within
+	// one call of Handle, and selections are compared after each.
+	offerEvery = 0.3
+	offersEach = 3
+	// maxFlipped is the part of the comparisons in which a value may lie at a border.
+	maxFlipped = 0.01
+)
+
+// comparisons counts what was compared, by path.
+type comparisons struct {
+	paths                 map[string]int
+	total, flipped        int
+	many, reserved, moves int
+	offered               int // tasks that were sent one by one
+}
+
+// TestSelectionMatchesFullScan compares, over drawn fleets and histories, the workers among
+// which a task is placed with those of a full scan, and likewise what is reserved for pending
+// tasks, whether a task could run elsewhere, and what is summed over the fleet.
+func TestSelectionMatchesFullScan(t *testing.T) {
+	c := &comparisons{paths: map[string]int{}}
+	for i := range *historiesFlag {
+		seed := *seedFlag + uint64(i)
+		h := newHistory(t, seed)
+		for step := range h.stepCount {
+			h.step()
+			if err := c.compareStep(h); err != nil {
+				t.Fatalf("seed %d, step %d, %d workers: %v", seed, step, len(h.entries), err)
+			}
+		}
+	}
+	t.Logf("%d comparisons, %d at a border; %d draws among several, %d with workers reserved, %d searches elsewhere, %d offered; by path: %v",
+		c.total, c.flipped, c.many, c.reserved, c.moves, c.offered, c.paths)
+	for _, path := range []string{pathWaits, pathNoCapacity, pathFallback, pathReturned, pathCheapest} {
+		if c.paths[path] == 0 {
+			t.Errorf("no comparison on the path %q", path)
+		}
+	}
+	if c.many == 0 || c.reserved == 0 || c.moves == 0 || c.offered == 0 {
+		t.Error("a kind of comparison is missing")
+	}
+	if float64(c.flipped) > maxFlipped*float64(c.total) {
+		t.Errorf("%d of %d comparisons at a border, more than %v", c.flipped, c.total, maxFlipped)
+	}
+}
+
+// compareStep compares selections after a step, and as tasks are sent at the same time.
+func (c *comparisons) compareStep(h *history) error {
+	if err := c.compare(h); err != nil || !h.chance(offerEvery) {
+		return err
+	}
+	for range offersEach {
+		if !h.offerOne() {
+			break
+		}
+		if err := c.compare(h); err != nil {
+			return fmt.Errorf("after a task was sent: %w", err)
+		}
+		c.offered++
+	}
+	return nil
+}
+
+// offerOne offers a task as the scheduler does within a call of Handle, and reports whether it could.
+func (h *history) offerOne() bool {
+	submitted := h.drawTask()
+	task := &taskInfo{Task: submitted, classIndex: h.scheduler.requests.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
+	task.priority = h.scheduler.queue.priority(task)
+	worker := h.scheduler.search.selectWorker(task)
+	if worker == nil {
+		return false
+	}
+	h.scheduler.requests.tasks[submitted.RequestID] = task
+	h.scheduler.pass.bind(task, worker)
+	h.unfinished[submitted.RequestID] = submitted
+	h.attempts[submitted.RequestID] = 1
+	h.offered = append(h.offered, Place{RequestID: submitted.RequestID, Worker: worker.Worker})
+	return true
+}
+
+// compare compares selections as things are. The means and the free capacity of a large fleet are
+// computed anew first, as they are cached otherwise: TestMeansOfLargeFleet has that.
+func (c *comparisons) compare(h *history) error {
+	h.scheduler.totals.cachedMeans.computedAt, h.scheduler.totals.freeUnitsAt = 0, 0
+	r := newReference(h.scheduler)
+	if err := r.compareSums(); err != nil {
+		return err
+	}
+	var tasks []*taskInfo
+	for range probesEach {
+		tasks = append(tasks, h.madeUpTask())
+	}
+	for i := range min(pendingEach, len(h.scheduler.queue.pending)) {
+		tasks = append(tasks, h.scheduler.queue.pending[(i+h.random.IntN(len(h.scheduler.queue.pending)))%len(h.scheduler.queue.pending)])
+	}
+	for _, task := range tasks {
+		if err := c.compareTask(h, r, task); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *comparisons) compareTask(h *history, r *reference, task *taskInfo) error {
+	finalists := h.scheduler.search.finalists(task)
+	path, flipped, err := r.compareFinalists(task, finalists)
+	if err != nil {
+		return err
+	}
+	if worker := h.scheduler.search.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
+		return fmt.Errorf("task %+v: selected %v, which is not of %s", task.Task, worker, names(finalists))
+	}
+	c.add(path, flipped)
+	if len(finalists) > 1 {
+		c.many++
+	}
+	if len(h.scheduler.reservations.priorities) > 0 {
+		c.reserved++
+	}
+	if err := r.compareReserved(task, reservedFor(h.scheduler, task)); err != nil {
+		return err
+	}
+	if len(h.scheduler.fleet.sorted) == 0 {
+		return nil
+	}
+	worker := h.scheduler.fleet.sorted[h.random.IntN(len(h.scheduler.fleet.sorted))]
+	c.moves++
+	_, err = r.compareElsewhere(task, worker, h.scheduler.search.fitsElsewhere(task, worker))
+	return err
+}
+
+func (c *comparisons) add(path string, flipped bool) {
+	c.total++
+	c.paths[path]++
+	if flipped {
+		c.flipped++
+	}
+}
+
+// reservedFor returns the worker that would be reserved for a pending task, or nil, and reserves none.
+func reservedFor(scheduler *Scheduler, task *taskInfo) (reserved *workerInfo) {
+	before := maps.Clone(scheduler.reservations.priorities)
+	scheduler.pass.reserve(task)
+	for worker := range scheduler.reservations.priorities {
+		if _, was := before[worker]; !was {
+			reserved = worker
+		}
+	}
+	if reserved != nil {
+		scheduler.reservations.priorities, scheduler.reservations.workers = before, scheduler.reservations.workers[:len(scheduler.reservations.workers)-1]
+		scheduler.index.release(reserved)
+	}
+	return reserved
+}
+
+// TestSameHistorySameActions runs two schedulers of one seed through one history, and a
+// third that searches workers in between: that must change nothing.
+func TestSameHistorySameActions(t *testing.T) {
+	for i := range min(*historiesFlag, 20) {
+		seed := *seedFlag + uint64(i)
+		first := actionsOf(t, seed, false)
+		if again := actionsOf(t, seed, false); !slices.Equal(first, again) {
+			t.Fatalf("seed %d: the same history gave other actions: %s", seed, firstDifference(first, again))
+		}
+		if searched := actionsOf(t, seed, true); !slices.Equal(first, searched) {
+			t.Fatalf("seed %d: searches in between changed the actions: %s", seed, firstDifference(first, searched))
+		}
+	}
+}
+
+// actionsOf returns the actions of a history, a line a step. Where searched is set, the
+// scheduler searches workers after each step; the draws are the same without.
+func actionsOf(t *testing.T, seed uint64, searched bool) (lines []string) {
+	h := newHistory(t, seed)
+	for range h.stepCount {
+		lines = append(lines, fmt.Sprintf("%+v", h.step()))
+		probe := h.madeUpTask()
+		if searched {
+			h.scheduler.search.finalists(probe)
+			for _, task := range h.scheduler.queue.pending {
+				h.scheduler.search.finalists(task)
+			}
+		}
+	}
+	return lines
+}
+
+func firstDifference(a, b []string) string {
+	for i := range min(len(a), len(b)) {
+		if a[i] != b[i] {
+			return fmt.Sprintf("step %d: %s and %s", i, a[i], b[i])
+		}
+	}
+	return fmt.Sprintf("%d and %d steps", len(a), len(b))
+}
--- /dev/null
+++ b/placement/layers_test.go
@@ -0,0 +1,79 @@
+package placement
+
+import (
+	"go/ast"
+	"go/importer"
+	"go/parser"
+	"go/token"
+	"go/types"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// This file tests that the files of the package use each other as the package comment says.
+
+// layersOf returns the places of the files in the package comment, counted from the top.
+func layersOf(comment string) map[string]int {
+	layers := map[string]int{}
+	for _, line := range strings.Split(comment, "\n") {
+		if !strings.HasPrefix(line, "\t") {
+			continue
+		}
+		for _, file := range regexp.MustCompile(`\w+\.go`).FindAllString(line, -1) {
+			layers[file] = len(layers)
+		}
+	}
+	return layers
+}
+
+// parsePackage returns the files of the package without its tests, and their layers.
+func parsePackage(t *testing.T, set *token.FileSet) (files []*ast.File, layers map[string]int) {
+	t.Helper()
+	paths, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(set, path, nil, parser.ParseComments)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, file)
+		if file.Doc != nil {
+			layers = layersOf(file.Doc.Text())
+		}
+	}
+	return files, layers
+}
+
+func TestFilesUseEachOtherDownwards(t *testing.T) {
+	set := token.NewFileSet()
+	files, layers := parsePackage(t, set)
+	fileOf := func(position token.Pos) string { return filepath.Base(set.Position(position).Filename) }
+	for _, file := range files {
+		if _, ok := layers[fileOf(file.Pos())]; !ok {
+			t.Errorf("%s is missing in the package comment", fileOf(file.Pos()))
+		}
+	}
+	info := &types.Info{Uses: map[*ast.Ident]types.Object{}}
+	config := types.Config{Importer: importer.ForCompiler(set, "source", nil)}
+	pkg, err := config.Check("placement", set, files, info)
+	if err != nil {
+		t.Fatal(err)
+	}
+	// A worker knows its attempts, an attempt its worker.
+	oneLayer := []string{"worker.go", "task.go"}
+	for identifier, object := range info.Uses {
+		from, to := fileOf(identifier.Pos()), fileOf(object.Pos())
+		inOneLayer := slices.Contains(oneLayer, from) && slices.Contains(oneLayer, to)
+		if object.Pkg() == pkg && layers[from] > layers[to] && !inOneLayer {
+			t.Errorf("%s: %s is declared further up, in %s", set.Position(identifier.Pos()), object.Name(), to)
+		}
+	}
+}
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -2,602 +2,352 @@
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
 	"math"
 	"slices"
-	"strings"
 )
 
-// This file holds the choice of a machine as a full scan, written out plainly from the
-// raw state of a placer. It uses none of the placer's own reckoning, so that any faster
-// way to the same choice can be compared with it.
+// This file owns the selection of a worker as a full scan, written out plainly from the raw state of a
+// scheduler. It must never use what the scheduler computes, so that any faster way to the same selection
+// can be compared with it.
 
 const (
 	// referenceSlack is how near a border a value may lie to count on either side.
 	referenceSlack = 1e-9
-	// flipsMost is up to how many machines at a border of room are tried both ways.
-	flipsMost = 5
+	// maxFlips is up to how many workers at a border of free capacity are tried both ways.
+	maxFlips = 5
 )
 
-// reference looks at the machines of a placer as they stand.
+// reference looks at the workers of a scheduler as they stand.
 type reference struct {
-	p        *Scheduler
-	machines []*machine // by name
-	rho      float64    // asked share of the fleet
-	mean     float64    // mean cores
+	scheduler          *Scheduler
+	workers            []*workerInfo // by name
+	utilizationOfFleet float64       // of the fleet
+	meanCores          float64       // of the fleet
 }
 
-func newReference(p *Scheduler) *reference {
-	r := &reference{p: p, machines: slices.Collect(maps.Values(p.machines))}
-	slices.SortFunc(r.machines, func(a, b *machine) int { return cmp.Compare(a.Worker, b.Worker) })
-	r.rho, r.mean = r.fleet()
+func newReference(scheduler *Scheduler) *reference {
+	r := &reference{scheduler: scheduler, workers: slices.Collect(maps.Values(scheduler.fleet.workers))}
+	slices.SortFunc(r.workers, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
+	r.utilizationOfFleet, r.meanCores = r.means()
 	return r
 }
 
-// --- What a machine is asked for and bears ---
+// --- What is requested of a worker, and its effective capacity ---
 
-func (r *reference) changesSince(m *machine, at int64) (cores, mem float64) {
-	for _, d := range slices.Backward(m.deltas) {
+func (r *reference) deltasSince(worker *workerInfo, at int64) (cores, memory float64) {
+	for _, d := range slices.Backward(worker.deltas) {
 		if d.at > at {
-			cores, mem = cores+d.cores, mem+d.mem
+			cores, memory = cores+d.cores, memory+d.memory
 		}
 	}
-	return cores, mem
+	return cores, memory
 }
 
-func (r *reference) load(m *machine) (cores, mem float64) {
-	kind := r.p.s.Kinds[m.kind]
-	at, spareC, spareM := m.viewAt-r.p.lag, m.FreeCores, m.FreeMemory
-	if reported := m.toldAt - reportLag; m.toldRoom && reported > at {
-		at, spareC, spareM = reported, m.told.FreeCores, m.told.FreeMemory
+func (r *reference) requested(worker *workerInfo) (cores, memory float64) {
+	kind := r.scheduler.settings.Kinds[worker.kindIndex]
+	at, freeCores, freeMemory := worker.viewedAt-r.scheduler.loads.lag, worker.FreeCores, worker.FreeMemory
+	if reported := worker.reportedAt - reportLag; worker.reportsFree && reported > at {
+		at, freeCores, freeMemory = reported, worker.lastReport.FreeCores, worker.lastReport.FreeMemory
 	}
-	c, b := r.changesSince(m, at)
-	return max(0, kind.Cores-spareC+c), max(0, kind.Memory-spareM+b)
+	addedCores, addedMemory := r.deltasSince(worker, at)
+	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
 }
 
-// bent is what is left of a bend by now.
-func (r *reference) bent(m *machine, bend float64) float64 {
-	if m.bendAt == r.p.now {
-		return bend
+// decayedCalibration is what is left of a calibration by now.
+func (r *reference) decayedCalibration(worker *workerInfo, calibration float64) float64 {
+	if worker.calibratedAt == r.scheduler.now {
+		return calibration
 	}
-	return 1 - (1-bend)*math.Exp2(-float64(r.p.now-m.bendAt)/float64(bendHalf))
+	return 1 - (1-calibration)*math.Exp2(-float64(r.scheduler.now-worker.calibratedAt)/float64(calibrationHalflife))
 }
 
-func (r *reference) calm() float64 {
-	least := math.Inf(1)
-	for _, c := range r.p.s.Classes {
-		least = min(least, c.SaturationLoad)
+func (r *reference) saturationLoad() float64 {
+	lowest := math.Inf(1)
+	for _, class := range r.scheduler.settings.Classes {
+		lowest = min(lowest, class.SaturationLoad)
 	}
-	return least
+	return lowest
 }
 
-func (r *reference) bears(m *machine) (cores, mem float64) {
-	p := r.p
-	kind := p.s.Kinds[m.kind]
-	c, b := p.s.CoresOvercommit, p.s.MemoryOvercommit
-	if p.asked[0] > 0 && p.used[0] > 0 {
-		c = min(c, r.calm()*p.asked[0]/p.used[0])
+func (r *reference) effectiveCapacity(worker *workerInfo) (cores, memory float64) {
+	scheduler := r.scheduler
+	kind := scheduler.settings.Kinds[worker.kindIndex]
+	coresFactor, memoryFactor := scheduler.settings.CoresOvercommit, scheduler.settings.MemoryOvercommit
+	if scheduler.capacity.requested[0] > 0 && scheduler.capacity.used[0] > 0 {
+		coresFactor = min(coresFactor, r.saturationLoad()*scheduler.capacity.requested[0]/scheduler.capacity.used[0])
 	}
-	if p.asked[1] > 0 && p.used[1] > 0 {
-		b = min(b, memoryFull*p.asked[1]/p.used[1])
+	if scheduler.capacity.requested[1] > 0 && scheduler.capacity.used[1] > 0 {
+		memoryFactor = min(memoryFactor, memorySaturation*scheduler.capacity.requested[1]/scheduler.capacity.used[1])
 	}
-	return kind.Cores * c * r.bent(m, m.bendC), kind.Memory * b * r.bent(m, m.bendM)
+	return kind.Cores * coresFactor * r.decayedCalibration(worker, worker.calibration[resourceCores]), kind.Memory * memoryFactor * r.decayedCalibration(worker, worker.calibration[resourceMemory])
 }
 
-func (r *reference) share(m *machine) float64 {
-	c, b := r.load(m)
-	bearC, bearM := r.bears(m)
-	return max(c/bearC, b/bearM)
+func (r *reference) utilization(worker *workerInfo) float64 {
+	cores, memory := r.requested(worker)
+	effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
+	return max(cores/effectiveCores, memory/effectiveMemory)
 }
 
 // --- Sums over the fleet ---
 
-func (r *reference) fleet() (rho, cores float64) {
-	var have, n float64
-	for _, m := range r.machines {
-		if !m.listed || m.State != Ready || m.kind < 0 {
+func (r *reference) means() (utilization, cores float64) {
+	var capacity, workers float64
+	for _, worker := range r.workers {
+		if !worker.listed || worker.State != Ready || worker.kindIndex < 0 {
 			continue
 		}
-		size := r.p.s.Kinds[m.kind].Cores
-		if r.p.s.HasView {
-			rho += r.share(m) * size
+		size := r.scheduler.settings.Kinds[worker.kindIndex].Cores
+		if r.scheduler.settings.HasView {
+			utilization += r.utilization(worker) * size
 		}
-		have += size
-		n++
+		capacity += size
+		workers++
 	}
-	if n == 0 {
+	if workers == 0 {
 		return 0, 1
 	}
-	return rho / have, have / n
+	return utilization / capacity, capacity / workers
 }
 
-func (r *reference) askedCores() (sum float64) {
-	for _, m := range r.machines {
-		if m.listed && m.kind >= 0 && r.p.s.HasView {
-			c, _ := r.load(m)
-			sum += c
+func (r *reference) requestedCores() (sum float64) {
+	for _, worker := range r.workers {
+		if worker.listed && worker.kindIndex >= 0 && r.scheduler.settings.HasView {
+			cores, _ := r.requested(worker)
+			sum += cores
 		}
 	}
 	return sum
 }
 
-func (r *reference) othersBinds() (shares [2]float64) {
-	p := r.p
-	if !p.crowd || !p.s.HasView {
+func (r *reference) concurrentPlacements() (shares [2]float64) {
+	scheduler := r.scheduler
+	if !scheduler.overload.active || !scheduler.settings.HasView {
 		return shares
 	}
-	var net, squares, have [2]float64
-	for _, m := range r.machines {
-		if m.kind < 0 || !m.listed {
+	var net, squares, capacity [2]float64
+	for _, worker := range r.workers {
+		if worker.kindIndex < 0 || !worker.listed {
 			continue
 		}
-		kind := p.s.Kinds[m.kind]
-		have[0], have[1] = have[0]+kind.Cores, have[1]+kind.Memory
-		for _, d := range m.deltas {
-			if d.at > m.viewAt-p.lag {
-				net[0], net[1] = net[0]+d.cores, net[1]+d.mem
-				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.mem*d.mem
+		kind := scheduler.settings.Kinds[worker.kindIndex]
+		capacity[0], capacity[1] = capacity[0]+kind.Cores, capacity[1]+kind.Memory
+		for _, d := range worker.deltas {
+			if d.at > worker.viewedAt-scheduler.loads.lag {
+				net[0], net[1] = net[0]+d.cores, net[1]+d.memory
+				squares[0], squares[1] = squares[0]+d.cores*d.cores, squares[1]+d.memory*d.memory
 			}
 		}
 	}
 	for i := range shares {
-		beyond := max(0, net[i]-2*math.Sqrt(squares[i]))
-		shares[i] = beyond * float64(p.s.FleetSize-1) / max(1, have[i])
+		excess := max(0, net[i]-2*math.Sqrt(squares[i]))
+		shares[i] = excess * float64(scheduler.settings.FleetSize-1) / max(1, capacity[i])
 	}
 	return shares
 }
 
-func (r *reference) room() (units float64) {
-	p := r.p
-	if p.s.UnitCores <= 0 || p.s.UnitMemory <= 0 {
+func (r *reference) freeUnits() (units float64) {
+	scheduler := r.scheduler
+	if scheduler.settings.UnitCores <= 0 || scheduler.settings.UnitMemory <= 0 {
 		return math.Inf(1)
 	}
-	for _, m := range r.machines {
-		if !m.listed || m.State != Ready || m.kind < 0 || !p.s.HasView {
+	for _, worker := range r.workers {
+		if !worker.listed || worker.State != Ready || worker.kindIndex < 0 || !scheduler.settings.HasView {
 			continue
 		}
-		c, b := r.load(m)
-		bearC, bearM := r.bears(m)
-		free := min((bearC-c)/p.s.UnitCores, (bearM-b)/p.s.UnitMemory) / float64(p.s.FleetSize)
-		units += max(0, min(free, m.window-float64(len(m.unanswered))))
+		cores, memory := r.requested(worker)
+		effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
+		free := min((effectiveCores-cores)/scheduler.settings.UnitCores, (effectiveMemory-memory)/scheduler.settings.UnitMemory) / float64(scheduler.settings.FleetSize)
+		units += max(0, min(free, worker.attemptWindow-float64(len(worker.unanswered))))
 	}
 	return units
 }
 
 // --- Filters ---
 
-func (r *reference) same(a, b *machine, s Scope) bool {
-	switch s {
+func (r *reference) sameDomain(a, b *workerInfo, scope Scope) bool {
+	switch scope {
 	case ScopeMachine:
 		return a == b
 	case ScopeCell:
-		return a.known && b.known && a.Cell == b.Cell
+		return a.everListed && b.everListed && a.Cell == b.Cell
 	case ScopeZone:
-		return a.known && b.known && a.Zone == b.Zone
+		return a.everListed && b.everListed && a.Zone == b.Zone
 	}
 	return true
 }
 
-// allowed is the rules, the kind and the window.
-func (r *reference) allowed(m *machine, t *task) bool {
-	c := &r.p.s.Classes[t.class]
+// permits is the rules, the kind and the window.
+func (r *reference) permits(worker *workerInfo, task *taskInfo) bool {
+	class := &r.scheduler.settings.Classes[task.classIndex]
 	switch {
-	case !m.listed || m.State != Ready || m.kind < 0 || r.p.now < m.leavingTo:
+	case !worker.listed || worker.State != Ready || worker.kindIndex < 0 || r.scheduler.now < worker.drainingUntil:
 		return false
-	case float64(len(m.unanswered)) >= m.window:
+	case float64(len(worker.unanswered)) >= worker.attemptWindow:
 		return false
-	case c.Kind >= 0 && c.Kind != m.kind:
+	case class.Kind >= 0 && class.Kind != worker.kindIndex:
 		return false
 	}
-	return r.inGroup(m, c, t) && r.spreadKept(m, c, t) && r.coldKept(m)
+	return r.permitsRepeat(worker, class, task) && r.spreadPermits(worker, class, task) && r.slowStartPermits(worker)
 }
 
-func (r *reference) inGroup(m *machine, c *Class, t *task) bool {
-	if t.mayRun == nil || c.Effect == Safe {
+func (r *reference) permitsRepeat(worker *workerInfo, class *Class, task *taskInfo) bool {
+	if task.mayHaveRun == nil || class.Effect == Safe {
 		return true
 	}
-	if c.Effect == Unsafe || r.p.now >= t.mayRun.at+c.WindowUs {
+	if class.Effect == Unsafe || r.scheduler.now >= task.mayHaveRun.sentAt+class.WindowUs {
 		return false
 	}
-	return c.Group == ScopeAll || r.same(m, t.mayRun.m, c.Group)
+	return class.Group == ScopeAll || r.sameDomain(worker, task.mayHaveRun.worker, class.Group)
 }
 
-func (r *reference) spreadKept(m *machine, c *Class, t *task) bool {
-	if c.Spread == ScopeNone {
+func (r *reference) spreadPermits(worker *workerInfo, class *Class, task *taskInfo) bool {
+	if class.Spread == ScopeNone {
 		return true
 	}
 	tasks := 1
-	for _, o := range r.machines {
-		if h := o.homes[t.Program]; h != nil && (r.same(m, o, c.Spread) || !o.known && o != m) {
-			tasks += h.held
+	for _, other := range r.workers {
+		if resident := other.residentPrograms[task.Program]; resident != nil && (r.sameDomain(worker, other, class.Spread) || !other.everListed && other != worker) {
+			tasks += resident.active
 		}
 	}
-	return tasks <= c.MaxPerDomain
+	return tasks <= class.MaxPerDomain
 }
 
-func (r *reference) cold(m *machine) bool {
-	return m.StartedAtUs > 0 && r.p.now < m.StartedAtUs+r.p.s.WarmUpUs
+func (r *reference) warmingUp(worker *workerInfo) bool {
+	return worker.StartedAtUs > 0 && r.scheduler.now < worker.StartedAtUs+r.scheduler.settings.WarmUpUs
 }
 
-func (r *reference) coldKept(m *machine) bool {
-	p := r.p
-	if !r.cold(m) {
+func (r *reference) slowStartPermits(worker *workerInfo) bool {
+	scheduler := r.scheduler
+	if !r.warmingUp(worker) {
 		return true
 	}
-	offersAfter := func(at int64) (n int) {
-		for _, o := range m.offers {
-			if o > at {
-				n++
+	offersAfter := func(at int64) (count int) {
+		for _, offer := range worker.offerTimes {
+			if offer > at {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	span := p.s.SlowStartWindowUs*11/10 + 1
-	budget := min(p.s.SlowStartOffers, 2*(p.s.SlowStartOffers+2*math.Sqrt(p.s.SlowStartOffers)+2)/3)
-	fleet := p.s.FleetSize
-	seat := (p.s.SelfIndex + int(m.id%uint64(fleet))) % fleet
-	if int(budget) >= fleet {
-		return p.now >= p.born+span && offersAfter(max(p.now-span, m.StartedAtUs-1)) < (int(budget)+seat)/fleet
+	window := scheduler.settings.SlowStartWindowUs*11/10 + 1
+	budget := min(scheduler.settings.SlowStartOffers, 2*(scheduler.settings.SlowStartOffers+2*math.Sqrt(scheduler.settings.SlowStartOffers)+2)/3)
+	schedulers := scheduler.settings.FleetSize
+	seat := (scheduler.settings.SelfIndex + int(worker.nameHash%uint64(schedulers))) % schedulers
+	if int(budget) >= schedulers {
+		return scheduler.now >= scheduler.startedAt+window && offersAfter(max(scheduler.now-window, worker.StartedAtUs-1)) < (int(budget)+seat)/schedulers
 	}
-	if budget < 1 || p.now < m.StartedAtUs {
+	if budget < 1 || scheduler.now < worker.StartedAtUs {
 		return false
 	}
-	crowd, step := max(1, int(budget)/2), 1
+	perSlot, step := max(1, int(budget)/2), 1
 	if budget < 2 {
 		step = 2
 	}
-	turns := (fleet + crowd - 1) / crowd
-	slot := p.now / span
-	begun := slot * span
-	return slot%int64(turns*step) == int64(seat%turns*step) && p.born < begun && offersAfter(begun-1) == 0
+	turns := (schedulers + perSlot - 1) / perSlot
+	slot := scheduler.now / window
+	slotStart := slot * window
+	return slot%int64(turns*step) == int64(seat%turns*step) && scheduler.startedAt < slotStart && offersAfter(slotStart-1) == 0
 }
 
-func (r *reference) suspicion(m *machine, class int) float64 {
-	d := m.doubts[class]
-	if d.score == 0 {
+func (r *reference) suspicion(worker *workerInfo, classIndex int) float64 {
+	score := worker.suspicions[classIndex]
+	if score.score == 0 {
 		return 0
 	}
-	return d.score * math.Exp2(-float64(r.p.now-d.at)/float64(suspectHalf))
+	return score.score * math.Exp2(-float64(r.scheduler.now-score.updatedAt)/float64(suspicionHalflife))
 }
 
-func (r *reference) patience() int64 {
-	if r.p.s.AcceptMeansRunning {
-		return max(int64(r.p.rttMean+8*r.p.rttDev), second)
+func (r *reference) responseTimeout() int64 {
+	if r.scheduler.settings.AcceptMeansRunning {
+		return max(int64(r.scheduler.health.meanRTT+8*r.scheduler.health.rttDeviation), second)
 	}
-	return max(int64(r.p.rttMean+4*r.p.rttDev), second/8)
+	return max(int64(r.scheduler.health.meanRTT+4*r.scheduler.health.rttDeviation), second/8)
 }
 
-func (r *reference) healthy(m *machine, class int) bool {
-	if r.p.rttMean > 0 {
-		if len(m.unanswered) > 0 && r.p.now-m.unanswered[0].at > r.patience() {
+func (r *reference) healthy(worker *workerInfo, classIndex int) bool {
+	if r.scheduler.health.meanRTT > 0 {
+		if len(worker.unanswered) > 0 && r.scheduler.now-worker.unanswered[0].sentAt > r.responseTimeout() {
 			return false
 		}
-		if m.probedAt > 0 && r.p.now-m.probedAt > r.patience() {
+		if worker.probeSentAt > 0 && r.scheduler.now-worker.probeSentAt > r.responseTimeout() {
 			return false
 		}
 	}
-	s := r.suspicion(m, class)
-	return s < suspectTry || s < suspectOut && len(m.unanswered) == 0 && r.p.s.Classes[class].Effect != Unsafe
+	suspicion := r.suspicion(worker, classIndex)
+	return suspicion < suspectThreshold || suspicion < ejectionThreshold && len(worker.unanswered) == 0 && r.scheduler.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// fits reports whether m has room for t, and whether that is at a border.
-func (r *reference) fits(m *machine, t *task) (fits, border bool) {
-	p := r.p
-	kind := p.s.Kinds[m.kind]
-	if !p.s.HasView {
-		return t.Cores <= kind.Cores*p.s.CoresOvercommit && t.Memory <= kind.Memory*p.s.MemoryOvercommit, false
+// fits reports whether a worker has free capacity for a task, and whether that is at a border.
+func (r *reference) fits(worker *workerInfo, task *taskInfo) (fits, border bool) {
+	scheduler := r.scheduler
+	kind := scheduler.settings.Kinds[worker.kindIndex]
+	if !scheduler.settings.HasView {
+		return task.Cores <= kind.Cores*scheduler.settings.CoresOvercommit && task.Memory <= kind.Memory*scheduler.settings.MemoryOvercommit, false
 	}
-	cores, mem := r.load(m)
-	if p.crowd {
-		cores += min(p.taken*kind.Cores, max(0, m.FreeCores-m.lastingC)) + p.others[0]*kind.Cores
-		mem += min(p.taken*kind.Memory, max(0, m.FreeMemory-m.lastingM)) + p.others[1]*kind.Memory
+	cores, memory := r.requested(worker)
+	if scheduler.overload.active {
+		cores += min(scheduler.overload.contention*kind.Cores, max(0, worker.FreeCores-worker.sustainedFree[resourceCores])) + scheduler.overload.concurrent[0]*kind.Cores
+		memory += min(scheduler.overload.contention*kind.Memory, max(0, worker.FreeMemory-worker.sustainedFree[resourceMemory])) + scheduler.overload.concurrent[1]*kind.Memory
 	}
-	atMost := func(v, most float64) bool {
-		border = border || math.Abs(v-most) <= referenceSlack*max(1, most)
-		return v <= most
+	withinBound := func(value, bound float64) bool {
+		border = border || math.Abs(value-bound) <= referenceSlack*max(1, bound)
+		return value <= bound
 	}
-	if !atMost(cores+t.Cores, kind.Cores*p.s.CoresOvercommit) || !atMost(mem+t.Memory, kind.Memory*p.s.MemoryOvercommit) {
+	if !withinBound(cores+task.Cores, kind.Cores*scheduler.settings.CoresOvercommit) || !withinBound(memory+task.Memory, kind.Memory*scheduler.settings.MemoryOvercommit) {
 		return false, border
 	}
-	bearC, bearM := r.bears(m)
-	small := atMost(max(t.Cores/bearC, t.Memory/bearM), largeShare)
-	if !small && p.now-t.arrived > p.s.Classes[t.class].ObjectiveUs/4 {
+	effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
+	small := withinBound(max(task.Cores/effectiveCores, task.Memory/effectiveMemory), largeTaskShare)
+	if !small && scheduler.now-task.arrivedAt > scheduler.settings.Classes[task.classIndex].ObjectiveUs/4 {
 		return true, border
 	}
-	enoughC, enoughM := atMost(cores+t.Cores, bearC), atMost(mem+t.Memory, bearM)
-	return enoughC && enoughM, border
+	enoughCores, enoughMemory := withinBound(cores+task.Cores, effectiveCores), withinBound(memory+task.Memory, effectiveMemory)
+	return enoughCores && enoughMemory, border
 }
 
 // --- Cost ---
 
-func (r *reference) backlog(m *machine) float64 {
-	n := len(m.unanswered)
-	for _, t := range m.running {
-		if t.attempts[len(t.attempts)-1].starting {
-			n++
+func (r *reference) backlog(worker *workerInfo) float64 {
+	count := len(worker.unanswered)
+	for _, task := range worker.running {
+		if task.attempts[len(task.attempts)-1].starting {
+			count++
 		}
 	}
-	waiting := float64(n)
-	if r.p.now-m.toldAt < reportFresh && m.told.Queued >= waiting && m.told.Queued <= 1e4 {
-		waiting = m.told.Queued
+	starts := float64(count)
+	if r.scheduler.now-worker.reportedAt < reportValidity && worker.lastReport.Queued >= starts && worker.lastReport.Queued <= 1e4 {
+		starts = worker.lastReport.Queued
 	}
-	return startShare * waiting
+	return startPenalty * starts
 }
 
-func (r *reference) pace(m *machine) float64 {
-	if !r.cold(m) {
+func (r *reference) startRate(worker *workerInfo) float64 {
+	if !r.warmingUp(worker) {
 		return 1
 	}
-	warm := max(0, float64(r.p.now-m.StartedAtUs)/float64(r.p.s.WarmUpUs))
-	return max(0.1, r.p.s.ColdStartRate+(1-r.p.s.ColdStartRate)*warm)
+	warm := max(0, float64(r.scheduler.now-worker.StartedAtUs)/float64(r.scheduler.settings.WarmUpUs))
+	return max(0.1, r.scheduler.settings.ColdStartRate+(1-r.scheduler.settings.ColdStartRate)*warm)
 }
 
-func (r *reference) away(m *machine, t *task) float64 {
-	if t.Program == 0 || m.homes[t.Program] != nil {
+func (r *reference) missProbability(worker *workerInfo, task *taskInfo) float64 {
+	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
 		return 0
 	}
-	place := (1 - float64(mix(m.id^mix(t.Program)))/math.MaxUint64) * float64(len(r.machines))
-	return min(1, place/awayOver)
+	rank := (1 - float64(mix(worker.nameHash^mix(task.Program)))/math.MaxUint64) * float64(len(r.workers))
+	return min(1, rank/programWorkers)
 }
 
-func (r *reference) cost(m *machine, t *task) float64 {
-	cores := r.p.s.Kinds[m.kind].Cores
-	rho := min(r.rho, rhoMost)
-	u := rho
-	if r.p.s.HasView {
-		u = r.share(m)
-	}
-	u += r.backlog(m)*r.mean/cores/r.pace(m) + awayShare*r.away(m, t)
-	bearC, bearM := r.bears(m)
-	x := max(t.Cores/bearC, t.Memory/bearM)
-	return u + cores/r.mean/(1-rho)*(u*x+x*x/2)
-}
-
-// --- The choice ---
-
-// choice is what a full scan comes to.
-type choice struct {
-	must, may []*machine // the draw is among all of must and any of may, which holds must too
-	wide      []*machine // within twice the margin
-	many      bool       // more can be chosen than are looked at one by one
-	how       string     // on what path
-}
-
-// The paths of a choice.
-const (
-	pathWaits    = "waits"
-	pathNoRoom   = "no room"
-	pathFallback = "least suspect"
-	pathReturned = "returned by hand"
-	pathCheapest = "cheapest"
-)
-
-// candidate is a machine that the rules allow.
-type candidate struct {
-	m            *machine
-	well         bool
-	room, border bool
-}
-
-func (r *reference) candidates(t *task) (list []candidate) {
-	for _, m := range r.machines {
-		if !r.allowed(m, t) || t.rank*keptOver < r.p.kept[m] {
-			continue
-		}
-		erred := slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.erred && a.m == m })
-		room, border := r.fits(m, t)
-		list = append(list, candidate{m, r.healthy(m, t.class) && !erred, room, border})
-	}
-	return list
-}
-
-// choose is the full scan over the candidates.
-func (r *reference) choose(list []candidate, t *task) choice {
-	effect := r.p.s.Classes[t.class].Effect
-	var fit, well []*machine
-	good := 0
-	for _, c := range list {
-		if c.well {
-			good++
-		}
-		if c.room {
-			fit = append(fit, c.m)
-			if c.well {
-				well = append(well, c.m)
-			}
-		}
-	}
-	bad := len(list) - good
-	if len(fit) == 0 {
-		return choice{how: pathNoRoom}
-	}
-	how := pathCheapest
-	if len(well) == 0 {
-		if good > bad && effect != Safe {
-			return choice{how: pathWaits}
-		}
-		least := r.leastSuspect(fit, t.class)
-		if least == nil {
-			return choice{how: pathWaits}
-		}
-		well, how = []*machine{least}, pathFallback
-	}
-	for _, m := range well {
-		if m.back && effect != Unsafe {
-			return choice{[]*machine{m}, []*machine{m}, nil, false, pathReturned}
-		}
-	}
-	must, may, wide := r.nearLowest(well, t)
-	return choice{must, may, wide, len(well) > enumerated, how}
-}
-
-// leastSuspect is the first of the least suspect machines that owe one answer at most.
-func (r *reference) leastSuspect(ms []*machine, class int) (least *machine) {
-	for _, m := range ms {
-		if len(m.unanswered) <= 1 && (least == nil || r.suspicion(m, class) < r.suspicion(least, class)) {
-			least = m
-		}
-	}
-	return least
-}
-
-func (r *reference) nearLowest(ms []*machine, t *task) (must, may, wide []*machine) {
-	least := math.Inf(1)
-	costs := make([]float64, len(ms))
-	for i, m := range ms {
-		costs[i] = r.cost(m, t)
-		least = min(least, costs[i])
-	}
-	for i, m := range ms {
-		if costs[i] <= least+margin-referenceSlack {
-			must = append(must, m)
-		}
-		if costs[i] <= least+margin+referenceSlack {
-			may = append(may, m)
-		}
-		if costs[i] <= least+2*margin {
-			wide = append(wide, m)
-		}
-	}
-	return must, may, wide
-}
-
-// matches reports whether machines are what this choice draws among.
-func (c choice) matches(got []*machine) bool {
-	if c.many { // a part of them is drawn from
-		return len(got) > 0 && !slices.ContainsFunc(got, func(m *machine) bool { return !slices.Contains(c.wide, m) })
-	}
-	has := map[*machine]bool{}
-	for _, m := range got {
-		if has[m] || !slices.Contains(c.may, m) {
-			return false
-		}
-		has[m] = true
-	}
-	for _, m := range c.must {
-		if !has[m] {
-			return false
-		}
-	}
-	return true
-}
-
-// eachFlip calls f with the candidates, then with those at a border of room decided
-// the other way in every combination, until f is satisfied.
-func eachFlip(list []candidate, f func([]candidate) bool) (ok, flipped bool) {
-	if f(list) {
-		return true, false
-	}
-	var border []int
-	for i, c := range list {
-		if c.border {
-			border = append(border, i)
-		}
-	}
-	border = border[:min(len(border), flipsMost)]
-	for set := 1; set < 1<<len(border); set++ {
-		other := slices.Clone(list)
-		for bit, i := range border {
-			if set>>bit&1 == 1 {
-				other[i].room = !other[i].room
-			}
-		}
-		if f(other) {
-			return true, true
-		}
-	}
-	return false, false
-}
-
-// compareNearest says on what path the full scan decides about t, whether a border had
-// to be decided otherwise, and what is wrong with got.
-func (r *reference) compareNearest(t *task, got []*machine) (path string, flipped bool, err error) {
-	list := r.candidates(t)
-	want := r.choose(list, t)
-	ok, flipped := eachFlip(list, func(l []candidate) bool { return r.choose(l, t).matches(got) })
-	if !ok {
-		err = fmt.Errorf("task %+v, rank %v: nearest = %s, the full scan (%s) gives %s", t.Task, t.rank, names(got), want.how, names(want.may))
-	}
-	return want.how, flipped, err
-}
-
-// compareElsewhere checks whether a machine other than m has room for t.
-func (r *reference) compareElsewhere(t *task, m *machine, got bool) (flipped bool, err error) {
-	var list []candidate
-	for _, o := range r.machines {
-		if o != m && r.allowed(o, t) && r.healthy(o, t.class) {
-			room, border := r.fits(o, t)
-			list = append(list, candidate{o, true, room, border})
-		}
-	}
-	ok, flipped := eachFlip(list, func(l []candidate) bool {
-		return got == slices.ContainsFunc(l, func(c candidate) bool { return c.room })
-	})
-	if !ok {
-		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", t.Task, m.Worker, got, !got)
-	}
-	return flipped, err
-}
-
-// compareKeep checks the machine that is newly kept for t, or nil.
-func (r *reference) compareKeep(t *task, got *machine) error {
-	p := r.p
-	var want []*machine
-	if p.s.HasView && len(p.kept)*2 < len(r.machines) {
-		least, needs := math.Inf(1), map[*machine]float64{}
-		for _, m := range r.machines {
-			if p.kept[m] > 0 || !r.allowed(m, t) || !r.healthy(m, t.class) {
-				continue
-			}
-			c, b := r.load(m)
-			bearC, bearM := r.bears(m)
-			needs[m] = max((c+t.Cores)/bearC, (b+t.Memory)/bearM)
-			least = min(least, needs[m])
-		}
-		for m, v := range needs {
-			if v <= least+referenceSlack {
-				want = append(want, m)
-			}
-		}
-	}
-	if got == nil && len(want) == 0 || slices.Contains(want, got) {
-		return nil
-	}
-	name := "none"
-	if got != nil {
-		name = got.Worker
-	}
-	return fmt.Errorf("task %+v: kept %s, the full scan gives one of %s", t.Task, name, names(want))
-}
-
-// compareSums checks what is summed over the fleet.
-func (r *reference) compareSums() error {
-	p := r.p
-	rho, mean := p.fleet()
-	others, wantOthers := p.othersBinds(), r.othersBinds()
-	for _, c := range []struct {
-		name      string
-		got, want float64
-	}{
-		{"asked share of the fleet", rho, r.rho}, {"mean cores", mean, r.mean}, {"asked cores", p.askedCores(), r.askedCores()},
-		{"room", p.room(), r.room()}, {"cores bound by others", others[0], wantOthers[0]}, {"memory bound by others", others[1], wantOthers[1]},
-	} {
-		if c.got != c.want && math.Abs(c.got-c.want) > referenceSlack*max(1, math.Abs(c.want)) {
-			return fmt.Errorf("%s: %v, the full scan gives %v", c.name, c.got, c.want)
-		}
-	}
-	return nil
-}
-
-func names(ms []*machine) string {
-	if ms == nil {
-		return "none"
-	}
-	var list []string
-	for _, m := range ms {
-		list = append(list, m.Worker)
+func (r *reference) cost(worker *workerInfo, task *taskInfo) float64 {
+	cores := r.scheduler.settings.Kinds[worker.kindIndex].Cores
+	utilization := min(r.utilizationOfFleet, maxUtilization)
+	backlog := utilization
+	if r.scheduler.settings.HasView {
+		backlog = r.utilization(worker)
 	}
-	slices.Sort(list)
-	return "[" + strings.Join(list, " ") + "]"
+	backlog += r.backlog(worker)*r.meanCores/cores/r.startRate(worker) + missPenalty*r.missProbability(worker, task)
+	effectiveCores, effectiveMemory := r.effectiveCapacity(worker)
+	size := max(task.Cores/effectiveCores, task.Memory/effectiveMemory)
+	return backlog + cores/r.meanCores/(1-utilization)*(backlog*size+size*size/2)
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -1,214 +1,265 @@
 package placement
 
-// This file holds what one search for a machine knows: bounds of room and cost by kind,
-// and what was found so far. It decides nothing.
+import (
+	"cmp"
+	"math"
+	"slices"
+)
 
-import "math"
+// This file owns the search for the worker of a task: it filters and scores candidates from
+// the index, and draws among those of near-equal score. It must never change what is known of
+// a worker, nor allocate.
 
-// search is one search. Its slices are used again by the next one.
-type search struct {
-	number    int64 // of searches so far
-	looked    int   // machines that it looked at one by one
-	task      *task
-	class     *Class
-	rho, mean float64 // of the fleet, as fleet has them
-	kinds     []kindTerms
-	limits    []limit  // by kind: what a machine with room for the task is asked for
-	asks      []shares // by kind: what the task asks, as parts of what machines bear
-	found     []priced
-	least     float64    // cost of what was found
-	near      []*machine // found at near the least cost
-	suspects  []*machine // with room, and looking bad
+// costMargin is how far above the lowest admission cost still counts as equal: about what one
+// small task adds, which a late view cannot tell apart.
+const costMargin = 0.02
+
+// maxSuspectAttempts is how many unanswered attempts a suspect worker may have where all are
+// suspect.
+const maxSuspectAttempts = 2
+
+// scoredWorker is a worker that passed the filters, and its score.
+type scoredWorker struct {
+	worker *workerInfo
+	cost   float64
 }
 
-func newSearch(kinds int) search {
-	return search{kinds: make([]kindTerms, kinds), asks: make([]shares, kinds), limits: make([]limit, kinds)}
+// search finds workers for tasks. Its slices are used again by the next search.
+type search struct {
+	*environment
+	fleet     *fleet
+	loads     *loadTracker
+	capacity  *capacityModel
+	index     *workerIndex
+	residents *residents
+	health    *health
+	filter    *filter
+	scorer    *scorer
+
+	number        int64 // of searches so far
+	evaluated     int   // workers that the present search looked at one by one
+	task          *taskInfo
+	class         *Class
+	limits        []loadLimit // by kind: what is requested of a worker that fits the task
+	taskFractions []fractions // by kind: what the task adds to the utilization of a worker
+	scored        []scoredWorker
+	lowestCost    float64                // of the scored workers
+	nearLowest    []*workerInfo          // that are scored near the lowest cost
+	suspects      []*workerInfo          // that fit and are not healthy
+	visit         func(*workerInfo) bool // evaluate, bound once
+	ordinals      ordinalSet
 }
 
-// priced is a machine that the task can go to, and its admission cost there.
-type priced struct {
-	m    *machine
-	cost float64
+func newSearch(s search) *search {
+	kinds := len(s.settings.Kinds)
+	s.limits, s.taskFractions = make([]loadLimit, kinds), make([]fractions, kinds)
+	s.visit = s.evaluate
+	return &s
 }
 
-// kindTerms are the terms of the admission cost that machines of one kind have in common.
-type kindTerms struct {
-	hasView bool
-	base    float64 // added to the backlog where the task's program is not known to be
-	size    float64 // of the task, where nothing bends what machines bear
-	weight  float64 // of the kind's cores over the mean
+// selectWorker returns the worker for a task, or nil where it has to wait.
+func (s *search) selectWorker(task *taskInfo) *workerInfo {
+	finalists := s.finalists(task)
+	if len(finalists) == 0 {
+		return nil
+	}
+	return s.ordinals.nth(finalists, s.random.IntN(len(finalists)), len(s.fleet.sorted))
 }
 
-// cost is the least cost of a machine of the kind that is asked for a share or more, and
-// that is none of those looked at by themselves.
-func (k *kindTerms) cost(asked, rho float64) float64 {
-	if !k.hasView {
-		asked = rho
+// finalists returns the workers among which that of a task is drawn, or none where it has to
+// wait.
+func (s *search) finalists(task *taskInfo) []*workerInfo {
+	finalists := s.cheapest(task)
+	if len(finalists) == 0 {
+		return s.fallback(task)
+	}
+	if worker := s.uncordonedWorker(task); worker != nil {
+		return append(finalists[:0], worker)
 	}
-	return cost(asked+k.base, k.size, k.weight, rho)
+	return finalists
 }
 
-// begin starts a search for t among the machines that may have room for it.
-func (p *Scheduler) begin(t *task) *search {
-	p.settle()
-	s, bear := &p.search, p.index.now
+// begin starts a search for a task among the workers that may have free capacity for it.
+func (s *search) begin(task *taskInfo) {
+	s.fleet.refresh()
+	baseline := s.index.baseline
 	s.number++
-	s.looked = 0
-	s.task, s.class, s.least = t, &p.s.Classes[t.class], math.Inf(1)
-	s.found, s.near, s.suspects = s.found[:0], s.near[:0], s.suspects[:0]
-	for i := range p.s.Kinds {
-		k := &p.s.Kinds[i]
-		asks := shares{t.Cores / k.Cores, t.Memory / k.Memory}
-		s.kinds[i].size = max(asks.cores/bear.cores, asks.memory/bear.memory)
-		s.limits[i] = p.limit(t, i, asks)
-	}
-	return s
+	s.evaluated = 0
+	s.task, s.class, s.lowestCost = task, s.classOf(task), math.Inf(1)
+	s.scored, s.nearLowest, s.suspects = s.scored[:0], s.nearLowest[:0], s.suspects[:0]
+	for i := range s.settings.Kinds {
+		kind := &s.settings.Kinds[i]
+		size := fractions{task.Cores / kind.Cores, task.Memory / kind.Memory}
+		utilization := max(size.cores/baseline.cores, size.memory/baseline.memory)
+		s.scorer.setSize(i, utilization)
+		s.limits[i] = s.filter.limit(task, i, size, utilization)
+	}
 }
 
-// price adds to a search what machines of each kind cost.
-func (p *Scheduler) price(s *search) {
-	s.rho, s.mean = p.fleet()
-	s.rho = min(s.rho, rhoMost)
-	for i := range s.kinds {
-		k := &s.kinds[i]
-		k.hasView, k.base, k.weight = p.s.HasView, 0, p.s.Kinds[i].Cores/s.mean
-		if s.task.Program != 0 {
-			k.base = awayShare
+// cheapest returns the workers for a task whose admission cost is near the lowest, in no order.
+func (s *search) cheapest(task *taskInfo) []*workerInfo {
+	s.begin(task)
+	s.scorer.prepare(task)
+	if task.Program != 0 {
+		s.evaluateAll(s.residents.workers[task.Program])
+		s.evaluateAll(s.fleet.preferredFor(task.Program))
+	}
+	inverse := s.index.inverseBaseline
+	s.index.walk(levelWalk{limits: s.limits, visit: s.visit,
+		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
+			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
+			lowest := s.scorer.kinds[kindIndex].lowerBound(utilization, s.scorer.utilization)
+			return lowest <= s.lowestCost+costMargin+roundingSlack
+		},
+	}, s.random)
+	for _, candidate := range s.scored {
+		if candidate.cost <= s.lowestCost+costMargin {
+			s.nearLowest = append(s.nearLowest, candidate.worker)
 		}
 	}
+	return s.nearLowest
 }
 
-// limit is what a machine of a kind that has room for t is asked for (see fits).
-func (p *Scheduler) limit(t *task, kind int, asks shares) limit {
-	c := &p.s.Classes[t.class]
-	if c.Kind >= 0 && c.Kind != kind {
-		return limit{most: shares{math.Inf(-1), math.Inf(-1)}}
-	}
-	accepted := shares{p.s.CoresOvercommit, p.s.MemoryOvercommit}
-	if !p.s.HasView {
-		return limit{most: accepted.less(asks)}
-	}
-	if p.crowd {
-		asks.cores += p.others[0]
-		asks.memory += p.others[1]
-	}
-	l := limit{most: p.index.now.less(asks), bentMost: accepted.less(asks)}
-	if size := p.search.kinds[kind].size; p.now-t.arrived > c.ObjectiveUs/4 {
-		// A large task that has waited is not held to what machines bear; it is large where
-		// one bears little.
-		if l.bent = size / largeShare; l.bent > 1 {
-			l.most = l.bentMost
+// evaluateAll looks at some workers by themselves: at all of a few, and from anywhere at those
+// of many.
+func (s *search) evaluateAll(workers []*workerInfo) {
+	first := 0
+	if len(workers) > maxEnumerated {
+		first = s.random.IntN(len(workers))
+	}
+	for i := range workers {
+		if !s.evaluate(workers[(first+i)%len(workers)]) {
+			return
 		}
 	}
-	return l
 }
 
-// considerAll looks at some machines by themselves: at all of a few, and from anywhere at
-// those of many.
-func (p *Scheduler) considerAll(ms []*machine) {
-	begin := 0
-	if len(ms) > enumerated {
-		begin = p.rng.IntN(len(ms))
+// evaluate filters and scores one worker for the task of the search, and reports whether to go
+// on.
+func (s *search) evaluate(worker *workerInfo) bool {
+	if worker.lastSearch == s.number {
+		return true
 	}
-	for i := range ms {
-		if !p.consider(ms[(begin+i)%len(ms)]) {
-			return
-		}
+	worker.lastSearch = s.number
+	s.evaluated++
+	if !s.filter.feasible(worker, s.class, s.task) || !s.filter.fits(worker, s.task) {
+		return true
+	}
+	if !s.filter.healthy(worker, s.task) {
+		s.suspects = append(s.suspects, worker)
+		return true
 	}
+	cost := s.scorer.score(worker, s.task)
+	s.scored = append(s.scored, scoredWorker{worker, cost})
+	s.lowestCost = min(s.lowestCost, cost)
+	return len(s.scored) < maxEnumerated
 }
 
-// cheapest returns the machines for t whose admission cost is near the lowest, in no order.
-func (p *Scheduler) cheapest(t *task) []*machine {
-	s := p.begin(t)
-	p.price(s)
-	if t.Program != 0 {
-		p.considerAll(p.programs[t.Program])
-		p.considerAll(p.hashedFirst(t.Program))
-	}
-	inverse := p.index.inverse
-	p.ascend(walk{limits: s.limits, sample: true, visit: p.visit,
-		matters: func(kind int, asked shares, floor float64) bool {
-			share := max(floor, asked.cores*inverse.cores, asked.memory*inverse.memory)
-			return s.kinds[kind].cost(share, s.rho) <= s.least+margin+rounding
-		},
-	})
-	for _, f := range s.found {
-		if f.cost <= s.least+margin {
-			s.near = append(s.near, f.m)
+// uncordonedWorker returns a worker that operators uncordoned, if a task can go there: one task
+// shows that it is in use again.
+func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
+	class := s.classOf(task)
+	for worker := range s.fleet.idleUncordoned() {
+		suitable := class.Effect != Unsafe && s.filter.feasible(worker, class, task) &&
+			s.filter.healthy(worker, task) && s.filter.fits(worker, task)
+		if suitable && (found == nil || worker.ordinal < found.ordinal) {
+			found = worker
 		}
 	}
-	return s.near
+	return found
 }
 
-// consider looks whether the task of the search can go to m, and at what cost. It reports
-// whether to look on.
-func (p *Scheduler) consider(m *machine) bool {
-	s := &p.search
-	if m.seen == s.number {
-		return true
+// fallback returns the worker for a task where each that fits is suspect, as the last search
+// found: the least suspect one, or none.
+func (s *search) fallback(task *taskInfo) []*workerInfo {
+	suspects := s.suspects
+	if len(suspects) == 0 || s.classOf(task).Effect != Safe && s.majorityHealthy(task) {
+		// A worker that fails fast looks empty: where most are healthy but full, a task waits
+		// for them, unless trying again is safe.
+		return nil
 	}
-	m.seen = s.number
-	s.looked++
-	t := s.task
-	if !p.open(m, s.class, t) || !p.fits(m, t) {
-		return true
+	// Most look bad: suspect the network or the load, not them, and go on with the least
+	// suspect, few attempts at a time each: what gets no answer uses up attempts that tasks
+	// need later.
+	suspects = slices.DeleteFunc(suspects, func(worker *workerInfo) bool {
+		return len(worker.unanswered) >= maxSuspectAttempts
+	})
+	if len(suspects) == 0 {
+		return nil
 	}
-	if !p.well(m, t) {
-		s.suspects = append(s.suspects, m)
-		return true
+	slices.SortFunc(suspects, func(a, b *workerInfo) int {
+		return cmp.Or(cmp.Compare(a.suspicion(s.now, task.classIndex), b.suspicion(s.now, task.classIndex)),
+			cmp.Compare(a.ordinal, b.ordinal))
+	})
+	return suspects[:1]
+}
+
+// majorityHealthy reports whether more of the feasible workers are healthy than not.
+func (s *search) majorityHealthy(task *taskInfo) bool {
+	class := s.classOf(task)
+	balance := 0
+	for _, worker := range s.fleet.sorted {
+		if !s.filter.feasible(worker, class, task) {
+			continue
+		}
+		if s.filter.healthy(worker, task) {
+			balance++
+		} else {
+			balance--
+		}
 	}
-	f := priced{m, p.admission(m, t)}
-	s.found = append(s.found, f)
-	s.least = min(s.least, f.cost)
-	return len(s.found) < enumerated
+	return balance > 0
 }
 
-// elsewhere reports whether a healthy machine other than m has room for t.
-func (p *Scheduler) elsewhere(t *task, m *machine) bool {
-	p.begin(t)
-	c, found := &p.s.Classes[t.class], false
-	p.ascend(walk{limits: p.search.limits, sample: true,
-		matters: func(int, shares, float64) bool { return true },
-		visit: func(o *machine) bool {
-			found = o != m && p.allowed(o, c, t) && p.healthy(o, t.class) && p.fits(o, t)
+// fitsElsewhere reports whether a healthy worker other than the given one fits a task.
+func (s *search) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
+	s.begin(task)
+	class, found := s.classOf(task), false
+	s.index.walk(levelWalk{limits: s.limits,
+		matters: func(int, fractions, float64) bool { return true },
+		visit: func(other *workerInfo) bool {
+			found = other != worker && s.filter.permits(other, class, task) &&
+				s.health.healthy(other, task.classIndex) && s.filter.fits(other, task)
 			return !found
 		},
-	})
+	}, s.random)
 	return found
 }
 
-// nearestToRoom returns the machine that lacks least to have room for t, of those that are
-// not kept, or nil.
-func (p *Scheduler) nearestToRoom(t *task) *machine {
-	p.settle()
-	c, inverse := &p.s.Classes[t.class], p.index.inverse
-	for i := range p.s.Kinds {
-		k := &p.s.Kinds[i]
-		p.search.asks[i] = shares{t.Cores / k.Cores * inverse.cores, t.Memory / k.Memory * inverse.memory}
-	}
-	var best *machine
-	least, slack := math.Inf(1), rounding // among equals the first by name
-	if len(p.order) > enumerated {
-		slack = -rounding // any: there may be thousands
-	}
-	p.ascend(walk{freeOnly: true,
-		matters: func(kind int, asked shares, floor float64) bool {
-			t := &p.search.asks[kind]
-			lack := max(asked.cores*inverse.cores+t.cores, asked.memory*inverse.memory+t.memory)
-			return max(lack, floor+min(t.cores, t.memory)) <= least+slack
+// closestToFitting returns the worker that lacks least to fit a task, of those that are not
+// reserved, or nil.
+func (s *search) closestToFitting(task *taskInfo) *workerInfo {
+	s.fleet.refresh()
+	class, inverse := s.classOf(task), s.index.inverseBaseline
+	for i := range s.settings.Kinds {
+		kind := &s.settings.Kinds[i]
+		s.taskFractions[i] = fractions{
+			task.Cores / kind.Cores * inverse.cores, task.Memory / kind.Memory * inverse.memory,
+		}
+	}
+	var best *workerInfo
+	lowest, slack := math.Inf(1), roundingSlack // among equals the first by name
+	if len(s.fleet.sorted) > maxEnumerated {
+		slack = -roundingSlack // any: there may be thousands
+	}
+	s.index.walk(levelWalk{unreservedOnly: true,
+		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
+			size := &s.taskFractions[kindIndex]
+			needed := max(requested.cores*inverse.cores+size.cores, requested.memory*inverse.memory+size.memory)
+			return max(needed, minUtilization+min(size.cores, size.memory)) <= lowest+slack
 		},
-		visit: func(m *machine) bool {
-			if !p.allowed(m, c, t) || !p.healthy(m, t.class) {
+		visit: func(worker *workerInfo) bool {
+			if !s.filter.permits(worker, class, task) || !s.health.healthy(worker, task.classIndex) {
 				return true
 			}
-			cores, memory := p.load(m)
-			bc, bm := p.bears(m)
-			v := max((cores+t.Cores)/bc, (memory+t.Memory)/bm)
-			if v < least || best != nil && v == least && m.ordinal < best.ordinal {
-				best, least = m, v
+			cores, memory := s.loads.requested(worker)
+			effectiveCores, effectiveMemory := s.capacity.of(worker)
+			needed := max((cores+task.Cores)/effectiveCores, (memory+task.Memory)/effectiveMemory)
+			if needed < lowest || best != nil && needed == lowest && worker.ordinal < best.ordinal {
+				best, lowest = worker, needed
 			}
 			return true
 		},
-	})
+	}, nil)
 	return best
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -1,169 +1,154 @@
 package placement
 
-// This file decides what a machine is taken to be asked for: what the list and reports
-// say, how late that is, and own binds since.
-
 import "math"
 
-const (
-	// lagStep and lagSteps span the lags that the view may have: 0.25 to 16 s.
-	lagStep  = second / 4
-	lagSteps = 64
-	// lagFirst is the lag believed until lagSure changes were seen; old evidence fades
-	// by lagMemory a change.
-	lagFirst  = 4
-	lagMemory = 0.98
-	lagSure   = 20
-	// bindsKept is how long own binds are remembered: past the longest lag.
-	bindsKept = lagSteps*lagStep + 2*second
-	// deltasMost bounds what is remembered of a machine whose view never comes.
-	deltasMost = 4096
+// This file owns the view of the workers: lists, reports, and how late lists are. It must
+// never decide which worker gets a task.
 
-	// reportLag is how old a report is taken to be when it comes, reportFresh how long
-	// it spares another probe, probesMost how many a task may cost.
-	reportLag   = second / 2
-	reportFresh = second
-	probesMost  = 2
-	overMost    = 8.0 // a report of more than this many times a machine's size is absurd
+const (
+	// lagDecay is what is left of the evidence for a lag after each change of the view, and
+	// minLagObservations how much evidence a lag needs.
+	lagDecay           = 0.98
+	minLagObservations = 20
+	// reportValidity is how long a report spares another probe, maxProbesPerTask how many
+	// probes a task may cost.
+	reportValidity   = second
+	maxProbesPerTask = 2
+	// maxReportedOvercommit is over how many times a worker's size a report is absurd, and
+	// maxReportedQueue over how many offers.
+	maxReportedOvercommit = 8.0
+	maxReportedQueue      = 1e4
+	// startPenalty is what a start under way adds to a worker's backlog, at mean size: workers
+	// start few tasks at a time, and a late start loses its bonus.
+	startPenalty = 0.03
 )
 
-// list takes what discovery says. A machine absent from a full list is gone.
-func (p *Scheduler) list(e WorkerList) {
-	if e.Kind == ListFailed {
-		p.subscribed = false
-		p.askTries++
-		p.askAt = p.now + p.backoff()
-		return
-	}
-	if e.Kind != ListCached {
-		p.subscribed, p.askTries, p.askAt = true, 0, 0
-	}
-	if e.Kind == ListFull || e.Kind == ListCached {
-		for _, m := range p.order {
-			p.setListed(m, false)
-		}
+// view takes lists and reports.
+type view struct {
+	*environment
+	fleet       *fleet
+	loads       *loadTracker
+	capacity    *capacityModel
+	calibration *calibration
+	// lagErrors are the squared errors of each lag, lagObservations the changes seen; old ones
+	// count less.
+	lagErrors       [lagSteps]float64
+	lagObservations float64
+}
+
+// apply takes a list. A worker absent from a complete list has left.
+func (v *view) apply(list WorkerList) {
+	if list.Kind == ListFull || list.Kind == ListCached {
+		v.fleet.unlistAll()
 	}
-	for _, x := range e.Entries {
-		p.entry(x, e.Kind != ListCached)
+	for _, entry := range list.Entries {
+		v.update(entry, list.Kind != ListCached)
 	}
-	p.forget()
-	// Of a large fleet some change is told in each turn: held tasks wait for the bell then.
-	p.stirred = p.stirred || e.Kind != ListDelta || p.own() <= enumerated
+	v.fleet.forgetUnlisted()
+	// Of a large fleet some change comes with each call: pending tasks wait for the timer then.
+	v.dirty = v.dirty || list.Kind != ListDelta || v.fleet.assignedCount() <= maxEnumerated
+}
+
+// update takes an entry of a list, which may be current or cached.
+func (v *view) update(entry Entry, current bool) {
+	worker := v.fleet.ensure(entry.Worker)
+	assigned := worker.State != Foreign && entry.State != Foreign // else its view is not current
+	if current && assigned && worker.everListed && worker.viewedAt > 0 &&
+		worker.StartedAtUs == entry.StartedAtUs && v.settings.HasView {
+		v.learnLag(worker, entry)
+	}
+	v.fleet.update(worker, entry)
 }
 
-// learnLag compares a change of the view with own binds. The lag that explains
-// the changes best is believed. It guards against counting own binds twice and
-// against dropping them early; it covers any delay, also one that grows. Where
-// own binds are few beside those of others it learns slowly.
-func (p *Scheduler) learnLag(m *machine, x Entry) {
-	k := p.size(m)
-	if k == nil {
+// learnLag compares a change of the view with own changes. The lag that explains the changes
+// best is believed. It guards against counting own placements twice and against dropping them
+// early; it covers any delay, also one that grows. Where own placements are few beside those of
+// others it learns slowly.
+func (v *view) learnLag(worker *workerInfo, entry Entry) {
+	kind := v.kindOf(worker)
+	if kind == nil {
 		return
 	}
-	seen := (m.FreeCores - x.FreeCores) / k.Cores
-	p.lagSeen = p.lagSeen*lagMemory + 1
+	seen := (worker.FreeCores - entry.FreeCores) / kind.Cores
+	v.lagObservations = v.lagObservations*lagDecay + 1
 	best := 0
-	for i := range p.lagErr {
+	for i := range v.lagErrors {
 		lag := int64(i+1) * lagStep
-		own, _ := m.since(m.viewAt - lag)
-		late, _ := m.since(p.now - lag)
-		d := seen - (own-late)/k.Cores
-		p.lagErr[i] = p.lagErr[i]*lagMemory + d*d
-		if p.lagErr[i] < p.lagErr[best] {
+		changed, _ := worker.deltasSince(worker.viewedAt - lag)
+		recent, _ := worker.deltasSince(v.now - lag)
+		difference := seen - (changed-recent)/kind.Cores
+		v.lagErrors[i] = v.lagErrors[i]*lagDecay + difference*difference
+		if v.lagErrors[i] < v.lagErrors[best] {
 			best = i
 		}
 	}
-	if p.lagSeen > lagSure {
-		p.setLag(int64(best+1) * lagStep)
+	if v.lagObservations > minLagObservations {
+		v.loads.setLag(int64(best+1) * lagStep)
 	}
 }
 
-// load is what m is asked for: the view, or its report where that is newer, plus
-// own changes since.
-func (p *Scheduler) load(m *machine) (cores, mem float64) {
-	if !m.stale {
-		return m.askedCores, m.askedMemory
+// probeWanted probes the worker that a task would go to, where its load is only known that way
+// and was not reported lately, and reports whether the task waits for the report.
+func (v *view) probeWanted(task *taskInfo, worker *workerInfo) bool {
+	reported := worker.reportedAt > 0 && v.now-worker.reportedAt < reportValidity
+	if !v.settings.Probes || task.probesSent >= maxProbesPerTask || reported {
+		return false
 	}
-	k := p.size(m)
-	at, spareC, spareM := m.viewAt-p.lag, m.FreeCores, m.FreeMemory
-	if m.toldRoom && m.toldAt-reportLag > at {
-		at, spareC, spareM = m.toldAt-reportLag, m.told.FreeCores, m.told.FreeMemory
+	if worker.probeSentAt == 0 {
+		task.probesSent++
+		worker.probeSentAt = v.now
+		v.emit(Probe{Worker: worker.Worker})
 	}
-	c, b := m.since(at)
-	return max(0, k.Cores-spareC+c), max(0, k.Memory-spareM+b)
+	return true
 }
 
-// sampled takes the answer to a probe: what is asked of the machine, how busy it
-// is, how many offers and starts wait there. Values that are missing or absurd
-// are left out. Silence counts as with any attempt; an answer heals nothing, as a
-// machine may answer probes and lose tasks.
-func (p *Scheduler) sampled(e ProbeResult) {
-	m := p.machines[e.Worker]
-	if m == nil {
+// probeEnded takes the answer to a probe: what is requested of the worker, how busy it is, how
+// many offers and starts wait there. Values that are missing or absurd are left out. A timeout
+// counts as with any attempt; an answer heals nothing, as a worker may answer probes and lose
+// tasks.
+func (v *view) probeEnded(event ProbeResult) {
+	worker := v.fleet.workers[event.Worker]
+	if worker == nil {
 		return
 	}
-	m.probedAt, p.stirred = 0, true
-	k := p.size(m)
-	if e.Outcome != Completed {
-		m.hurt(p.now, silenceHurt)
+	worker.probeSentAt, v.dirty = 0, true
+	kind := v.kindOf(worker)
+	if event.Outcome != Completed {
+		worker.addSuspicion(v.now, timeoutSuspicion)
 	}
-	if e.Outcome != Completed || k == nil {
+	if event.Outcome != Completed || kind == nil {
 		return
 	}
-	m.told, m.toldAt, m.toldRoom = e.Load, p.now, false
-	p.followLag(m)
-	p.touch(m)
-	util, press := e.Load.Utilization, math.NaN()
-	if within(e.Load.FreeCores, k.Cores*(1-overMost), k.Cores) && within(e.Load.FreeMemory, k.Memory*(1-overMost), k.Memory) {
-		if p.s.ReportsUsage {
-			util, press = 1-e.Load.FreeCores/k.Cores, 1-e.Load.FreeMemory/k.Memory
+	v.loads.recordReport(worker, event.Load)
+	utilization, memoryUse := event.Load.Utilization, math.NaN()
+	if inRange(event.Load.FreeCores, kind.Cores*(1-maxReportedOvercommit), kind.Cores) &&
+		inRange(event.Load.FreeMemory, kind.Memory*(1-maxReportedOvercommit), kind.Memory) {
+		if v.settings.ReportsUsage {
+			utilization, memoryUse = 1-event.Load.FreeCores/kind.Cores, 1-event.Load.FreeMemory/kind.Memory
 		} else {
-			m.toldRoom = true
+			worker.reportsFree = true
 		}
 	}
-	if within(util, 0, overMost) {
-		p.bend(m, &m.bendC, 0, util, p.calm(), util > p.calm(), 1)
+	if inRange(utilization, 0, maxReportedOvercommit) {
+		v.calibration.learn(worker, measurement{
+			resource: resourceCores, used: utilization, target: v.capacity.saturationLoad,
+			poor: utilization > v.capacity.saturationLoad, confidence: 1,
+		})
 	}
-	if within(press, 0, overMost) {
-		p.bend(m, &m.bendM, 1, press, memoryFull, press > memoryFull, 1)
+	if inRange(memoryUse, 0, maxReportedOvercommit) {
+		v.calibration.learn(worker, measurement{
+			resource: resourceMemory, used: memoryUse, target: memorySaturation,
+			poor: memoryUse > memorySaturation, confidence: 1,
+		})
 	}
 }
 
-// backlog is the share that starts and offers waiting on m stand for: own ones, or
-// those that a recent report tells, if more.
-func (p *Scheduler) backlog(m *machine) float64 {
-	n := float64(m.starting())
-	if p.now-m.toldAt < reportFresh && within(m.told.Queued, n, 1e4) {
-		n = m.told.Queued
-	}
-	return startShare * n
-}
-
-// ask probes the machine that t would go to, where its load is only told that way
-// and was not told lately, and reports whether t waits for the answer.
-func (p *Scheduler) ask(t *task, m *machine) bool {
-	if !p.s.Probes || t.probes >= probesMost || m.toldAt > 0 && p.now-m.toldAt < reportFresh {
-		return false
-	}
-	if m.probedAt == 0 {
-		t.probes++
-		m.probedAt = p.now
-		p.do(Probe{Worker: m.Worker})
-	}
-	return true
-}
-
-// refused takes a refusal for lack of room as news of the machine: until the
-// view can have followed, it has less room than the task asks.
-func (p *Scheduler) refused(m *machine, t *task, why Cause) {
-	k := p.size(m)
-	if k == nil {
-		return
-	}
-	c, b := p.load(m)
-	if why == CauseCores {
-		p.bind(m, max(0, k.Cores*p.s.CoresOvercommit-c-t.Cores*0.99), 0)
-	} else {
-		p.bind(m, 0, max(0, k.Memory*p.s.MemoryOvercommit-b-t.Memory*0.99))
-	}
+// backlog is the utilization that starts and offers waiting at a worker stand for: own ones, or
+// those that a recent report names, if more.
+func (v *view) backlog(worker *workerInfo) float64 {
+	starts := float64(worker.starting())
+	if v.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, maxReportedQueue) {
+		starts = worker.lastReport.Queued
+	}
+	return startPenalty * starts
 }
