--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -9,7 +9,7 @@
 // memorySaturation is the used part of its memory over which a worker slows down.
 const memorySaturation = 0.92
 
-// capacityModel knows the effective capacity of workers.
+// capacityModel holds the effective capacity of workers.
 type capacityModel struct {
 	*environment
 	// baseline is the effective capacity of workers without calibration, over their size.
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -8,7 +8,7 @@
 // This file owns which workers there are: the present list, and those that left it but still
 // have attempts or tasks. It must never decide which of them gets a task.
 
-// fleet knows all workers.
+// fleet is the set of all workers.
 type fleet struct {
 	*environment
 	capacity  *capacityModel
--- a/placement/health.go
+++ b/placement/health.go
@@ -39,7 +39,7 @@
 	initialRTTDeviation = 2 // part of the first answer's time
 )
 
-// health knows how far workers are to be trusted.
+// health detects outliers among workers.
 type health struct {
 	*environment
 	meanRTT, rttDeviation float64 // of answers, in microseconds, as TCP keeps them
--- a/placement/layers_test.go
+++ b/placement/layers_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A worker knows its attempts, an attempt its worker.
+	// A worker refers to its attempts, an attempt to its worker.
 	oneLayer := []string{"worker.go", "task.go"}
 	for identifier, object := range info.Uses {
 		from, to := fileOf(identifier.Pos()), fileOf(object.Pos())
--- a/placement/load.go
+++ b/placement/load.go
@@ -21,7 +21,7 @@
 	rejectedShare = 0.99
 )
 
-// loadTracker knows how much is requested of each worker, and keeps the index by it.
+// loadTracker tracks how much is requested of each worker, and keeps the index in step.
 type loadTracker struct {
 	*environment
 	capacity     *capacityModel
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -18,7 +18,7 @@
 	chanceDeviations = 2
 )
 
-// overload knows what goes on while more tasks come than find free capacity.
+// overload tracks a time in which more tasks come than find free capacity.
 type overload struct {
 	*environment
 	fleet  *fleet
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -118,7 +118,7 @@
 
 // reserve reserves the worker that is closest to fitting a pending task. It guards against small
 // tasks of low priority that take every gap before it is large enough for one of high priority.
-// It would harm where all pending tasks are of one priority: then nothing is kept from them, or
+// It would harm where all pending tasks are of one priority: then nothing is reserved, or
 // where capacity never becomes free: so half of the workers stay open to all.
 func (p *schedulingPass) reserve(task *taskInfo) {
 	if !p.settings.HasView || p.reservations.count()*2 >= p.fleet.assignedCount() {
--- a/placement/quota.go
+++ b/placement/quota.go
@@ -2,7 +2,7 @@
 
 // This file owns what tenants have of their quotas. It must never reject a task.
 
-// quotas knows the cores that own tasks hold, by tenant.
+// quotas counts the cores of running tasks, by tenant.
 type quotas struct {
 	*environment
 	fleet         *fleet
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -18,7 +18,7 @@
 	maxFlips = 5
 )
 
-// reference looks at the workers of a scheduler as they stand.
+// reference looks at the workers of a scheduler as they are.
 type reference struct {
 	scheduler          *Scheduler
 	workers            []*workerInfo // by name
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -12,7 +12,7 @@
 	taskConfidence = 0.5
 )
 
-// requests knows all requests without a response and all running tasks.
+// requests holds all requests without a response and all running tasks.
 type requests struct {
 	*environment
 	queue       *queue
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -8,7 +8,7 @@
 // the code: as many as workers keep at least.
 const maxIdlePrograms = 4
 
-// residents knows the resident programs of all workers.
+// residents holds the resident programs of all workers.
 type residents struct {
 	workers map[uint64][]*workerInfo // by program, in no order
 	// version counts the changes of resident programs, and of the domains of workers.
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -1,5 +1,5 @@
 // Package placement decides, for one orchestrator of a cluster, which worker each task goes to.
-// Many orchestrators run side by side and share nothing: a [Scheduler] knows only its
+// Many orchestrators run side by side and share nothing: a [Scheduler] depends only on its
 // [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
 // that the caller passes to [Scheduler.Handle].
 //
@@ -18,7 +18,7 @@
 //	queue.go quota.go                        pending tasks by priority; tenants
 //	overload.go view.go totals.go            concurrent placements; lists and reports; sums
 //	calibration.go                           learned effective capacity of single workers
-//	slowstart.go health.go spread.go         outlier detection; slow start; anti-affinity
+//	slowstart.go health.go spread.go         slow start; outlier detection; anti-affinity
 //	repeats.go discovery.go                  repeats of keyed tasks; polls of discovery
 //	fleet.go                                 which workers there are
 //	load.go                                  how much is requested of each worker
@@ -28,7 +28,7 @@
 //	worker.go task.go                        one worker; one task and its attempts
 //	settings.go api.go numbers.go            checks; settings, events and actions; arithmetic
 //
-// worker.go and task.go are one layer: a worker knows its attempts, an attempt its worker.
+// worker.go and task.go are one layer: a worker refers to its attempts, an attempt to its worker.
 package placement
 
 import (
--- a/placement/score.go
+++ b/placement/score.go
@@ -82,7 +82,7 @@
 }
 
 // missProbability is how likely a start on a worker lacks the program of a task, 0 to 1. A
-// worker where the program is resident has it. Else the workers stand in an order hashed from
+// worker where the program is resident has it. Else the workers have an order hashed from
 // the program, and the first programWorkers of them are ever less likely to have it.
 func (s *scorer) missProbability(worker *workerInfo, task *taskInfo) float64 {
 	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
--- a/placement/search.go
+++ b/placement/search.go
@@ -226,7 +226,7 @@
 	return found
 }
 
-// closestToFitting returns the worker that lacks least to fit a task, of those that are not
+// closestToFitting returns the worker that lacks the least capacity to fit a task, of those that are not
 // reserved, or nil.
 func (s *search) closestToFitting(task *taskInfo) *workerInfo {
 	s.fleet.refresh()
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -120,7 +120,7 @@
 	jobs           []siteJob
 	requestCount   int
 	changes        []siteChange // that the list is still to show, in order of time
-	reports        []siteReport // that are due, in order of time
+	reports        []siteReport // to be sent, in order of time
 	unplaced       int          // requests that were not placed at once
 	idle           bool         // nothing runs on the fleet
 	betweenUs      int64        // time between two requests to the scheduler
@@ -136,7 +136,7 @@
 	task       *siteTask
 }
 
-// newSite returns a scheduler that knows its workers and its own running tasks.
+// newSite returns a scheduler with its list of workers and its running tasks.
 func newSite(t testing.TB, workers int, seed uint64, settings Settings, idle bool) *site {
 	t.Helper()
 	scheduler, err := New(settings, seed)
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -7,15 +7,15 @@
 
 const (
 	// A worker that warms up fails at slowStartDeviations roots of its budget, and as many
-	// offers, over it. Those that know of its start send informedShare of that at most: others
-	// may not know of it yet.
+	// offers, over it. Schedulers that were notified of its start send informedShare of
+	// that at most: others may not be notified yet.
 	slowStartDeviations = 2.0
 	informedShare       = 2.0 / 3
 	// minStartRate bounds how slowly a worker is taken to start tasks.
 	minStartRate = 0.1
 )
 
-// slowStart knows the budget of workers that just started.
+// slowStart applies the budget of workers that just started.
 type slowStart struct{ *environment }
 
 // warmingUp reports whether a worker started just now.
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -77,7 +77,7 @@
 	return r
 }
 
-// between draws a time from least to most milliseconds.
+// between draws a time from low to high milliseconds.
 func (r *slowStartRun) between(low, high int) int64 {
 	return int64(low)*ms + r.random.Int64N(int64(high-low)*ms+1)
 }
@@ -191,9 +191,9 @@
 	return int(min(r.settings.SlowStartOffers, r.bound()*2/3))
 }
 
-// checkWindows returns the most offers within any window from schedulers that know of the start, over
+// checkWindows returns the most offers within any window from schedulers notified of the start, over
 // what they may send, and the first window that breaks the rule: more offers from all than the bound,
-// over two thirds of them from schedulers that know of the start.
+// over two thirds of them from schedulers notified of the start.
 func (r *slowStartRun) checkWindows() (maxUsed float64, broken string) {
 	slices.SortFunc(r.arrivals, func(offer, b arrival) int { return cmp.Compare(offer.at, b.at) })
 	oldest, informed := 0, 0
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -173,7 +173,7 @@
 }
 
 // TestTurnsAtWarmingWorker takes a fleet larger than the budget. Turns are the same whichever
-// start of the worker a scheduler knows, and one that was restarted in its turn leaves it out.
+// start of the worker a scheduler was notified of, and one that was restarted in its turn leaves it out.
 func TestTurnsAtWarmingWorker(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize, settings.SlowStartOffers = 24, 10
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -7,7 +7,7 @@
 )
 
 // This file owns what is known of one worker. It must never look at other workers or at the
-// settings: what follows for a task is for the parts above to say.
+// settings: what follows for a task is decided by the parts above.
 
 const (
 	// sustainedViews is of how many views a worker keeps the free capacity.
@@ -53,14 +53,14 @@
 	updatedAt int64
 }
 
-// indexPosition is where a worker stands in the index.
+// indexPosition is the place of a worker in the index.
 type indexPosition struct {
 	indexed                      bool
 	kindIndex, level, entryIndex int
 }
 
-// workerInfo is what this scheduler knows of a worker. Fields that are read together stand
-// together, as a large fleet does not fit into the caches of the processor.
+// workerInfo is the state of a worker as this scheduler sees it. Fields that are read together
+// are placed together, as a large fleet does not fit into the caches of the processor.
 type workerInfo struct {
 	Entry
 	kindIndex      int  // in Settings.Kinds, or -1
