--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -33,7 +33,7 @@
 	// no list ever named: nobody else will tell its owner.
 	openAfter  = 1_500_000
 	sweepEvery = 500_000
-	// informedShare is how long it is remembered that a node has left: well past the
+	// toldMost is how long it is remembered that a node has left: well past the
 	// last offer that could still be meant for it.
 	toldMost = 60_000_000
 	// drainMargin is how long before the drain limit offers end here.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -83,7 +83,7 @@
 	lateTick  = 450_000
 	// proxies are asked to reach whom this instance cannot.
 	proxies = 3
-	// maxProbesPerTask bounds the probes under way.
+	// probesMost bounds the probes under way.
 	probesMost = 16
 	// asksMost bounds what others may have asked for at a time.
 	asksMost = 64
