--- a/cmd/ravenhitch/admin_test.go
+++ b/cmd/ravenhitch/admin_test.go
@@ -17,8 +17,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// call makes one call of operators' staff and returns all of the answer.
-func call(t *testing.T, addr, line string) string {
+// adminCall makes one call of operators' staff and returns all of the answer.
+func adminCall(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -34,14 +34,14 @@
 	return string(b)
 }
 
-// managed starts a process on a listening socket that the platform holds.
-func managed(t *testing.T, feed *testbed.Discovery, ln net.Listener) (*server, chan error) {
+// startInherited starts a process on a listening socket that the platform holds.
+func startInherited(t *testing.T, feed *testbed.Discovery, ln net.Listener) (*server, chan error) {
 	t.Helper()
 	f, err := ln.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse([]byte(configText(feed)))
+	cfg, err := config.Parse([]byte(configJSON(feed)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,28 +57,28 @@
 	return p, over
 }
 
-func ready(t *testing.T, p *server) {
+func waitReady(t *testing.T, p *server) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); call(t, p.maddr, "HEALTH") != "+OK\n"; {
+	for limit := time.Now().Add(testbed.Patience); adminCall(t, p.adminAddr, "HEALTH") != "+OK\n"; {
 		if time.Now().After(limit) {
 			t.Fatal("never ready")
 		}
 	}
 }
 
-// ending waits until the program says that it ends.
-func ending(t *testing.T, p *server) {
+// waitShuttingDown waits until the program says that it ends.
+func waitShuttingDown(t *testing.T, p *server) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); call(t, p.maddr, "HEALTH") != "-ERR ending\n"; {
+	for limit := time.Now().Add(testbed.Patience); adminCall(t, p.adminAddr, "HEALTH") != "-ERR ending\n"; {
 		if time.Now().After(limit) {
 			t.Fatal("never says that it ends")
 		}
 	}
 }
 
-func figures(t *testing.T, addr string) (f admin.Figures) {
+func dumpedFigures(t *testing.T, addr string) (f admin.Figures) {
 	t.Helper()
-	line, rest, _ := strings.Cut(call(t, addr, "DUMP"), "\n")
+	line, rest, _ := strings.Cut(adminCall(t, addr, "DUMP"), "\n")
 	if err := json.Unmarshal([]byte(line), &f); err != nil || rest != ".\n" {
 		t.Fatalf("%q, %q: %v", line, rest, err)
 	}
@@ -87,7 +87,7 @@
 
 // Two processes serve one after the other on one socket: what is out by hand at the
 // first is out at the second, no caller is turned away, and the first ends.
-func TestUpgrade(t *testing.T) {
+func TestHandoverToSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	feed := testbed.NewDiscovery(t)
 	minions := map[string]*testbed.Worker{"a": testbed.NewWorker(t, "a"), "b": testbed.NewWorker(t, "b")}
@@ -97,11 +97,11 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	old, oldOver := managed(t, feed, ln)
-	ready(t, old)
+	old, oldOver := startInherited(t, feed, ln)
+	waitReady(t, old)
 	// Callers that say nothing hold nobody up, however many they are.
 	for range 2 * 24 {
-		c, err := net.Dial("tcp", old.maddr)
+		c, err := net.Dial("tcp", old.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,14 +110,14 @@
 	}
 	for line, want := range map[string]string{"OFFLINE x": "-ERR no minion x\n", "OFFLINE a": "+OK\n", "ONLINE x": "-ERR no minion x\n",
 		"DUMP" + strings.Repeat(" ", admin.MaxCallLength): "-ERR expected a call of at most 512 bytes\n"} {
-		if got := call(t, old.maddr, line); got != want {
+		if got := adminCall(t, old.adminAddr, line); got != want {
 			t.Errorf("%s: %q", line, got)
 		}
 	}
-	if call(t, old.maddr, "OFFLINE b"); figures(t, old.maddr).Ejected != 2 {
+	if adminCall(t, old.adminAddr, "OFFLINE b"); dumpedFigures(t, old.adminAddr).Ejected != 2 {
 		t.Error("one call out undoes another")
 	}
-	call(t, old.maddr, "ONLINE b")
+	adminCall(t, old.adminAddr, "ONLINE b")
 	first := testbed.NewClient(t, ln.Addr().String())
 	place := func(o *testbed.Client, n int, want string) {
 		t.Helper()
@@ -130,17 +130,17 @@
 	for n := range 8 {
 		place(first, n+1, "b")
 	}
-	if f := figures(t, old.maddr); f.Responses["guide-web"].OK != 8 || f.Attempts != 8 || f.Active != 8 || f.Pool != 2 || f.Ejected != 1 {
+	if f := dumpedFigures(t, old.adminAddr); f.Responses["guide-web"].OK != 8 || f.Attempts != 8 || f.Active != 8 || f.Pool != 2 || f.Ejected != 1 {
 		t.Errorf("%+v", f)
 	}
 
-	next, nextOver := managed(t, feed, ln)
-	ready(t, next)
+	next, nextOver := startInherited(t, feed, ln)
+	waitReady(t, next)
 	old.Stop()
-	ending(t, old)
+	waitShuttingDown(t, old)
 	// A call back at the first holds at the second, which did not hear it; and whoever
 	// connects now is served by the second, while the first still serves its own.
-	if f := figures(t, next.maddr); f.Ejected != 1 {
+	if f := dumpedFigures(t, next.adminAddr); f.Ejected != 1 {
 		t.Errorf("what was out by hand is not: %+v", f)
 	}
 	second := testbed.NewClient(t, ln.Addr().String())
@@ -148,13 +148,13 @@
 		place(second, n+20, "b")
 	}
 	place(first, 40, "b")
-	if f := figures(t, next.maddr); f.Responses["guide-web"].OK != 8 {
+	if f := dumpedFigures(t, next.adminAddr); f.Responses["guide-web"].OK != 8 {
 		t.Errorf("callers after the end began went to the one that ends: %+v", f)
 	}
-	if got := call(t, old.maddr, "ONLINE a"); got != "+OK\n" {
+	if got := adminCall(t, old.adminAddr, "ONLINE a"); got != "+OK\n" {
 		t.Errorf("back: %q", got)
 	}
-	for limit := time.Now().Add(testbed.Patience); figures(t, next.maddr).Ejected != 0; {
+	for limit := time.Now().Add(testbed.Patience); dumpedFigures(t, next.adminAddr).Ejected != 0; {
 		if time.Now().After(limit) {
 			t.Fatal("still out")
 		}
@@ -164,14 +164,14 @@
 		t.Error(err)
 	}
 	place(second, 51, "a")
-	if _, err := os.Stat(newHandoverStore(os.TempDir()).path); err != nil {
+	if _, err := os.Stat(newHandoverStore(os.TempDir()).cordonsPath); err != nil {
 		t.Error(err)
 	}
 	// Nobody goes on after the second: it serves whoever comes until the kill is near.
 	next.Stop()
-	ending(t, next)
+	waitShuttingDown(t, next)
 	place(testbed.NewClient(t, ln.Addr().String()), 60, "a")
-	next.l.Post(next.l.Stop)
+	next.loop.Post(next.loop.Stop)
 	if err := testbed.Wait(t, "the end", nextOver); err != nil {
 		t.Error(err)
 	}
@@ -179,13 +179,13 @@
 
 // A file that was cut short stops the start: taken for an empty one it would put
 // minions back that somebody took out.
-func TestOutsCutShort(t *testing.T) {
+func TestTruncatedCordonsStopTheStart(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	b := admin.Cordons{"a": true}.Encode()
-	if err := os.WriteFile(newHandoverStore(os.TempDir()).path, b[:len(b)-2], 0o600); err != nil {
+	if err := os.WriteFile(newHandoverStore(os.TempDir()).cordonsPath, b[:len(b)-2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse([]byte(configText(testbed.NewDiscovery(t))))
+	cfg, err := config.Parse([]byte(configJSON(testbed.NewDiscovery(t))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,8 +197,8 @@
 
 // An owner may take 2 s to write a set-up; one that never ends it is told by a close.
 func TestSlowWriter(t *testing.T) {
-	w := newWorld(t, "a")
-	slow, never := w.owner(t), w.owner(t)
+	w := newTestServer(t, "a")
+	slow, never := w.connect(t), w.connect(t)
 	b, err := json.Marshal(testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if err != nil {
 		t.Fatal(err)
@@ -225,21 +225,21 @@
 }
 
 // Processes that change the file at once lose no change.
-func TestOutsTogether(t *testing.T) {
+func TestConcurrentCordonChanges(t *testing.T) {
 	dir := t.TempDir()
 	var all sync.WaitGroup
 	for p := range 8 {
 		store := newHandoverStore(dir)
 		all.Go(func() {
 			for n := range 16 {
-				if _, err := store.change(admin.Call{Verb: admin.Offline, ID: fmt.Sprint("s-", p, "-", n)}); err != nil {
+				if _, err := store.changeCordons(admin.Call{Verb: admin.Offline, ID: fmt.Sprint("s-", p, "-", n)}); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
 	all.Wait()
-	if outs, err := newHandoverStore(dir).read(); err != nil || len(outs) != 8*16 {
+	if outs, err := newHandoverStore(dir).readCordons(); err != nil || len(outs) != 8*16 {
 		t.Errorf("%d are out: %v", len(outs), err)
 	}
 }
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -20,7 +20,7 @@
 
 // assignment divides the workers among the members that are there.
 type assignment struct {
-	use      func(discovery.Assignment) // takes a division of the workers
+	apply      func(discovery.Assignment) // takes a division of the workers
 	regions  shard.Regions
 	self     string
 	presumed []shard.Member // that are taken to be there
@@ -30,9 +30,9 @@
 // assign divides the workers, at first among the members that the operators' file names.
 func assign(l *eventloop.Loop, channel *discovery.Follower, cfg config.Config, s config.Peers) *assignment {
 	a := newAssignment(cfg.Name, cmp.Or(s.Hall, cfg.Settings.Zone), s)
-	channel.EnablePartition(a.owner())
-	a.use = channel.SetAssignment
-	l.After(presumedFor, a.presume)
+	channel.EnablePartition(a.current())
+	a.apply = channel.SetAssignment
+	l.After(presumedFor, a.endPresumption)
 	return a
 }
 
@@ -45,17 +45,17 @@
 	return a
 }
 
-// presume ends the time in which members are taken to be there that the table does not hold.
-func (a *assignment) presume() {
+// endPresumption ends the time in which members are taken to be there that the table does not hold.
+func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
-		a.use(a.owner())
+		a.apply(a.current())
 	}
 }
 
-// viewed takes a stable view of the table of members. One without this orchestrator is of a table
+// onView takes a stable view of the table of members. One without this orchestrator is of a table
 // that it has not joined yet, or that holds another process under its name: it changes nothing.
-func (a *assignment) viewed(members []membership.Member) {
+func (a *assignment) onView(members []membership.Member) {
 	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.self }) {
 		return
 	}
@@ -63,11 +63,11 @@
 	for _, m := range members {
 		a.view = append(a.view, shard.Member{Name: m.Name, Zone: m.Zone})
 	}
-	a.use(a.owner())
+	a.apply(a.current())
 }
 
-// owner divides the workers among the members as they are now.
-func (a *assignment) owner() discovery.Assignment {
+// connect divides the workers among the members as they are now.
+func (a *assignment) current() discovery.Assignment {
 	members := slices.Concat(a.presumed, a.view)
 	return func(zone string) shard.Bits { return a.regions.Assigned(zone, members, a.self) }
 }
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -9,8 +9,8 @@
 	"ravenhitch/internal/shard"
 )
 
-// shards counts what an orchestrator owns of a zone.
-func shards(owner discovery.Assignment, zone string) int { return shard.Set{"": owner(zone)}.Len() }
+// assignedShards counts what an orchestrator owns of a zone.
+func assignedShards(owner discovery.Assignment, zone string) int { return shard.Set{"": owner(zone)}.Len() }
 
 // The workers are divided among the members of the stable view, and at first among those that the file
 // names too; a view without this orchestrator changes nothing.
@@ -18,29 +18,29 @@
 	member := func(name, zone string) membership.Member { return membership.Member{Name: name, Zone: zone} }
 	a := newAssignment("n1", "z1", config.Peers{Regions: map[string]string{"z1": "west", "z2": "west", "z3": "east"},
 		Members: []config.PeerAddress{{Name: "n2", Zone: "z2"}, {Name: "n3", Zone: "z3"}}})
-	now := a.owner()
-	a.use = func(o discovery.Assignment) { now = o }
+	now := a.current()
+	a.apply = func(o discovery.Assignment) { now = o }
 	expect := func(when string, west, east int) {
 		t.Helper()
-		if got := [3]int{shards(now, "z1"), shards(now, "z2"), shards(now, "z3")}; got != [3]int{west, west, east} {
+		if got := [3]int{assignedShards(now, "z1"), assignedShards(now, "z2"), assignedShards(now, "z3")}; got != [3]int{west, west, east} {
 			t.Errorf("%s: %v shards of the zones, expected %d in the west and %d in the east", when, got, west, east)
 		}
 	}
 	expect("at the start", shard.Count/2, 0)
-	a.viewed([]membership.Member{member("n1", "z1")})
+	a.onView([]membership.Member{member("n1", "z1")})
 	expect("alone in the table, in the first seconds", shard.Count/2, 0)
-	a.presume()
+	a.endPresumption()
 	expect("alone in the table", shard.Count, 0)
-	a.viewed([]membership.Member{member("n1", "z1"), member("n2", "z2"), member("n4", "z2"), member("n3", "z3"), member("n5", "z2")})
+	a.onView([]membership.Member{member("n1", "z1"), member("n2", "z2"), member("n4", "z2"), member("n3", "z3"), member("n5", "z2")})
 	expect("with four in the west", shard.Count/4, 0)
-	a.viewed([]membership.Member{member("n2", "z2"), member("n3", "z3")})
+	a.onView([]membership.Member{member("n2", "z2"), member("n3", "z3")})
 	expect("in a view without it", shard.Count/4, 0)
-	a.viewed([]membership.Member{member("n1", "z3"), member("n2", "z2")})
+	a.onView([]membership.Member{member("n1", "z3"), member("n2", "z2")})
 	expect("moved to the east", 0, shard.Count)
 	b := newAssignment("n1", "z1", config.Peers{Members: []config.PeerAddress{{Name: "n2"}}})
-	b.use = func(o discovery.Assignment) { now = o }
-	b.presume()
-	if now = b.owner(); shards(now, "z1") != shard.Count/2 || shards(now, "z3") != shard.Count/2 {
+	b.apply = func(o discovery.Assignment) { now = o }
+	b.endPresumption()
+	if now = b.current(); assignedShards(now, "z1") != shard.Count/2 || assignedShards(now, "z3") != shard.Count/2 {
 		t.Error("who has not joined when the first seconds are over does not share with those that the file names")
 	}
 }
--- a/cmd/ravenhitch/client_gone_test.go
+++ b/cmd/ravenhitch/client_gone_test.go
@@ -14,25 +14,25 @@
 	"ravenhitch/internal/testbed"
 )
 
-// goneMost is for how long a client may have been gone when an attempt begins, by the rules.
-const goneMost = 100 * time.Millisecond
+// maxLateAttempt is for how long a client may have been gone when an attempt begins, by the rules.
+const maxLateAttempt = 100 * time.Millisecond
 
-// waits is one place where a request can wait: hold brings it about that the client's
+// waitingRequest is one place where a request can wait: hold brings it about that the client's
 // request waits there, and returns how the wait ends.
-type waits struct {
+type waitingRequest struct {
 	name    string
-	minions []string
-	// unread says that the client's leave is read only once the wait has ended.
-	unread bool
-	hold   func(t *testing.T, f *field, client *testbed.Client) (end func())
+	workers []string
+	// leaveUnread says that the client's leave is read only once the wait has ended.
+	leaveUnread bool
+	begin   func(t *testing.T, f *proxiedServer, client *testbed.Client) (end func())
 }
 
-// stand stops the loop at the point of a turn where what came in is read and nothing is
+// pauseLoop stops the loop at the point of a turn where what came in is read and nothing is
 // decided yet. The turn ends when the returned function is called.
-func (f *field) stand(t *testing.T) (end func()) {
+func (f *proxiedServer) pauseLoop(t *testing.T) (end func()) {
 	t.Helper()
 	here, on := make(chan bool), make(chan bool)
-	f.l.Post(func() {
+	f.loop.Post(func() {
 		here <- true
 		<-on
 	})
@@ -40,52 +40,52 @@
 	return func() { on <- true }
 }
 
-// long lets the turn that stands last longer than a client may have been gone.
-func (f *field) long() {
-	for began := time.Now(); time.Since(began) < goneMost; time.Sleep(time.Millisecond) {
+// outlastMaxDelay lets the turn that stands last longer than a client may have been gone.
+func (f *proxiedServer) outlastMaxDelay() {
+	for began := time.Now(); time.Since(began) < maxLateAttempt; time.Sleep(time.Millisecond) {
 	}
 }
 
-var waitingPlaces = []waits{
-	{"for a worker that takes offers", []string{"a"}, false, func(t *testing.T, f *field, client *testbed.Client) func() {
-		f.feed.Add(false, f.minions[0].ListEntry("draining"))
-		f.feed.WaitPolled(t)
-		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
-		return func() { f.feed.Add(false, f.minions[0].ListEntry("up")) }
+var waitingRequests = []waitingRequest{
+	{"for a worker that takes offers", []string{"a"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		f.discovery.Add(false, f.workers[0].ListEntry("draining"))
+		f.discovery.WaitPolled(t)
+		testbed.Send(client, leaverLine("ok-leaver"))
+		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
+		return func() { f.discovery.Add(false, f.workers[0].ListEntry("up")) }
 	}},
-	{"between attempts, as the last one is not known to be over", []string{"a", "b"}, false, func(t *testing.T, f *field, client *testbed.Client) func() {
-		testbed.Send(client, leaver("missed-leaver"))
-		f.soon(t, "the first attempt", func() bool { return f.attempts.Count(leaverTag) == 1 })
-		for _, m := range f.minions { // the first attempt's end is written, and has to be proved
+	{"between attempts, as the last one is not known to be over", []string{"a", "b"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		testbed.Send(client, leaverLine("missed-leaver"))
+		f.eventually(t, "the first attempt", func() bool { return f.attempts.Count(leaverID) == 1 })
+		for _, m := range f.workers { // the first attempt's end is written, and has to be proved
 			m.Note()
-			f.links[m.Name].Delay(80 * time.Millisecond)
+			f.proxies[m.Name].Delay(80 * time.Millisecond)
 		}
-		f.until(t, "its end is under way", func() bool { return f.nodes.UnconfirmedCancels() > 0 })
+		f.waitUntil(t, "its end is under way", func() bool { return f.pool.UnconfirmedCancels() > 0 })
 		return func() {}
 	}},
-	{"for a connection that comes up late", []string{"a"}, false, func(t *testing.T, f *field, client *testbed.Client) func() {
-		link := f.away(t)
-		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
+	{"for a connection that comes up late", []string{"a"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		link := f.moveBehindCutProxy(t)
+		testbed.Send(client, leaverLine("ok-leaver"))
+		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
 		return func() { link.Heal(t) }
 	}},
-	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, func(t *testing.T, f *field, client *testbed.Client) func() {
-		link := f.away(t)
-		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
-		end := f.stand(t)
-		before, _ := f.minions[0].DialCounts()
+	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		link := f.moveBehindCutProxy(t)
+		testbed.Send(client, leaverLine("ok-leaver"))
+		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
+		end := f.pauseLoop(t)
+		before, _ := f.workers[0].DialCounts()
 		link.Heal(t)
-		f.soon(t, "the connection", func() bool { n, _ := f.minions[0].DialCounts(); return n > before })
+		f.eventually(t, "the connection", func() bool { n, _ := f.workers[0].DialCounts(); return n > before })
 		return end
 	}},
-	{"for the rest of a long turn", []string{"a"}, true, func(t *testing.T, f *field, client *testbed.Client) func() {
-		first := f.stand(t)
-		testbed.Send(client, leaver("ok-leaver"))
+	{"for the rest of a long turn", []string{"a"}, true, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		first := f.pauseLoop(t)
+		testbed.Send(client, leaverLine("ok-leaver"))
 		here, on := make(chan bool), make(chan bool)
-		f.l.Post(func() { // in the turn that reads it
-			here <- f.c.OpenCount() == 1
+		f.loop.Post(func() { // in the turn that reads it
+			here <- f.dispatcher.OpenCount() == 1
 			<-on
 		})
 		first()
@@ -94,66 +94,66 @@
 		}
 		return func() { on <- true }
 	}},
-	{"to be read", []string{"a"}, true, func(t *testing.T, f *field, client *testbed.Client) func() {
-		end := f.stand(t)
-		testbed.Send(client, leaver("ok-leaver"))
+	{"to be read", []string{"a"}, true, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		end := f.pauseLoop(t)
+		testbed.Send(client, leaverLine("ok-leaver"))
 		return end
 	}},
-	{"behind answers that its client has not read", []string{"a"}, false, func(t *testing.T, f *field, client *testbed.Client) func() {
-		f.feed.Add(false, f.minions[0].ListEntry("draining"))
-		f.feed.WaitPolled(t)
-		client.Conn = slowReader(t, f.world)
-		testbed.Send(client, leaver("ok-leaver"))
-		f.until(t, "the request", func() bool { return f.c.OpenCount() == 1 })
-		return func() { f.feed.Add(false, f.minions[0].ListEntry("up")) }
+	{"behind answers that its client has not read", []string{"a"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+		f.discovery.Add(false, f.workers[0].ListEntry("draining"))
+		f.discovery.WaitPolled(t)
+		client.Conn = newSlowReader(t, f.testServer)
+		testbed.Send(client, leaverLine("ok-leaver"))
+		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
+		return func() { f.discovery.Add(false, f.workers[0].ListEntry("up")) }
 	}},
 }
 
-var leaverTag = testbed.RequestID(0xbeef)
+var leaverID = testbed.RequestID(0xbeef)
 
-func leaver(task string) testbed.Line { return testbed.StartLine(leaverTag, "guide-web", task, 8000) }
+func leaverLine(task string) testbed.Line { return testbed.StartLine(leaverID, "guide-web", task, 8000) }
 
-// away moves the only worker to an address whose connections do not come up.
-func (f *field) away(t *testing.T) *testbed.Proxy {
+// moveBehindCutProxy moves the only worker to an address whose connections do not come up.
+func (f *proxiedServer) moveBehindCutProxy(t *testing.T) *testbed.Proxy {
 	t.Helper()
-	link := testbed.NewProxy(t, f.minions[0])
+	link := testbed.NewProxy(t, f.workers[0])
 	link.Cut(t)
-	f.feed.Add(false, f.minions[0].ListEntry("up"))
-	f.feed.WaitPolled(t)
+	f.discovery.Add(false, f.workers[0].ListEntry("up"))
+	f.discovery.WaitPolled(t)
 	return link
 }
 
 // No attempt begins for a client that has gone, wherever its request waited and however it
 // left. The time to the last attempt's first byte is logged; below zero it came before.
-func TestNoAttemptAfterTheClient(t *testing.T) {
-	for _, c := range waitingPlaces {
+func TestNoAttemptAfterClientLeft(t *testing.T) {
+	for _, c := range waitingRequests {
 		for _, way := range []struct {
 			name  string
 			leave func(o *testbed.Client)
 		}{
 			{"closes", func(o *testbed.Client) { o.Close() }},
 			{"resets", func(o *testbed.Client) { o.Conn.(*net.TCPConn).SetLinger(0); o.Close() }},
-			{"cancels", func(o *testbed.Client) { testbed.Send(o, testbed.FinishLine("FINISH", leaverTag, 16)) }},
+			{"cancels", func(o *testbed.Client) { testbed.Send(o, testbed.FinishLine("FINISH", leaverID, 16)) }},
 		} {
 			t.Run(c.name+", "+way.name, func(t *testing.T) {
 				t.Parallel()
-				f := newGoneField(t, c.minions)
-				client := f.world.owner(t)
-				end := c.hold(t, f, client)
-				tried := f.attempts.Count(leaverTag)
+				f := newSlowDialServer(t, c.workers)
+				client := f.testServer.connect(t)
+				end := c.begin(t, f, client)
+				tried := f.attempts.Count(leaverID)
 				left := time.Now()
-				if way.leave(client); c.unread {
-					f.long()
+				if way.leave(client); c.leaveUnread {
+					f.outlastMaxDelay()
 				} else {
-					f.until(t, "the leave is read", func() bool { return f.c.OpenCount() == 0 })
+					f.waitUntil(t, "the leave is read", func() bool { return f.dispatcher.OpenCount() == 0 })
 				}
 				end()
-				f.until(t, "all ends are proved", func() bool { return f.nodes.UnconfirmedCancels() == 0 })
-				f.allTaken(t, f.ask("ok", 1, 8000)) // by then what was to leave has left
-				if n := f.attempts.Count(leaverTag) - tried; n > 0 {
-					t.Errorf("%d attempts began after the client had gone, the last %s after", n, f.attempts.Last(leaverTag).Sub(left))
+				f.waitUntil(t, "all ends are proved", func() bool { return f.pool.UnconfirmedCancels() == 0 })
+				f.expectAllStarted(t, f.submit("ok", 1, 8000)) // by then what was to leave has left
+				if n := f.attempts.Count(leaverID) - tried; n > 0 {
+					t.Errorf("%d attempts began after the client had gone, the last %s after", n, f.attempts.Last(leaverID).Sub(left))
 				}
-				if last := f.attempts.Last(leaverTag); !last.IsZero() {
+				if last := f.attempts.Last(leaverID); !last.IsZero() {
 					t.Logf("from the leave to the last attempt's first byte: %s", last.Sub(left))
 				}
 			})
@@ -161,16 +161,16 @@
 	}
 }
 
-// newGoneField is a field where connections to workers may take long to come up.
-func newGoneField(t *testing.T, minions []string) *field {
-	f := &field{links: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), got: map[string]string{}}
-	f.world = newWorldSet(t, settingsWith(t, change{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
+// newSlowDialServer is a field where connections to workers may take long to come up.
+func newSlowDialServer(t *testing.T, minions []string) *proxiedServer {
+	f := &proxiedServer{proxies: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), firstResponses: map[string]string{}}
+	f.testServer = newServerSet(t, changedSettings(t, settingChange{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
 		slog.New(slog.DiscardHandler), func(m *testbed.Worker) {
 			m.Attempts = f.attempts
-			f.links[m.Name] = testbed.NewProxy(t, m)
+			f.proxies[m.Name] = testbed.NewProxy(t, m)
 		}, minions...)
-	f.Client = f.world.owner(t)
-	f.allTaken(t, f.ask("ok", 1, 8000))
-	f.allTaken(t, f.ask("ok", 16*len(minions), 8000)) // what is new to a worker waits no longer
+	f.Client = f.testServer.connect(t)
+	f.expectAllStarted(t, f.submit("ok", 1, 8000))
+	f.expectAllStarted(t, f.submit("ok", 16*len(minions), 8000)) // what is new to a worker waits no longer
 	return f
 }
--- a/cmd/ravenhitch/closed_for_room_test.go
+++ b/cmd/ravenhitch/closed_for_room_test.go
@@ -12,7 +12,7 @@
 // A set-up that is written while its connection is being closed for another is not read
 // there. Sent again on a new connection it is answered, and only one attempt comes of it,
 // whether it crossed the close or came to a connection that was closed before.
-func TestSetUpCrossesACloseForRoom(t *testing.T) {
+func TestRequestCrossesEviction(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		before bool // the set-up is written before the close, else after it
@@ -22,44 +22,44 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldLimited(t, 64, "a")
-			crossing := w.owner(t)
-			asked(t, crossing)
-			for range tableSize - 1 {
-				asked(t, w.owner(t))
+			w := newServerWithSockets(t, 64, "a")
+			crossing := w.connect(t)
+			pingServer(t, crossing)
+			for range maxClients - 1 {
+				pingServer(t, w.connect(t))
 			}
 			rested := int64(0)
-			w.on(t, func() { rested = w.l.Now() + 150_000 }) // any of them may be closed then
-			w.until(t, "quiet clients", func() bool { return w.l.Now() > rested })
+			w.onLoop(t, func() { rested = w.loop.Now() + 150_000 }) // any of them may be closed then
+			w.waitUntil(t, "quiet clients", func() bool { return w.loop.Now() > rested })
 			setUp := testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000)
 			if c.before {
 				here, on := make(chan bool), make(chan bool)
-				w.l.Post(func() {
+				w.loop.Post(func() {
 					here <- true
 					<-on
 				})
 				testbed.Wait(t, "the loop stands", here)
-				asks := w.owner(t) // it is found first, and takes the place
+				asks := w.connect(t) // it is found first, and takes the place
 				testbed.Send(crossing, setUp)
 				on <- true
-				asked(t, asks)
+				pingServer(t, asks)
 			} else {
-				asked(t, w.owner(t))
+				pingServer(t, w.connect(t))
 				testbed.Send(crossing, setUp)
 			}
 			for l := range crossing.Lines { // until it is closed
 				t.Errorf("on the closed connection: %v", l)
 			}
-			if n := w.minions[0].StartCount("ok-1"); n != 0 {
+			if n := w.workers[0].StartCount("ok-1"); n != 0 {
 				t.Fatalf("it did not cross the close: offered %d times", n)
 			}
-			again := w.owner(t)
+			again := w.connect(t)
 			testbed.Send(again, setUp)
 			if l := testbed.Wait(t, "the answer", again.Lines); l.Verb != "STARTED" || l.Tag != testbed.RequestID(1) {
 				t.Errorf("got %v", l)
 			}
-			asked(t, again) // by then a second answer would have come
-			if n := w.minions[0].StartCount("ok-1"); n != 1 {
+			pingServer(t, again) // by then a second answer would have come
+			if n := w.workers[0].StartCount("ok-1"); n != 1 {
 				t.Errorf("offered %d times", n)
 			}
 		})
--- a/cmd/ravenhitch/command.go
+++ b/cmd/ravenhitch/command.go
@@ -50,8 +50,8 @@
 	return 0
 }
 
-// ask makes one call of operators' staff.
-func ask(addr, line string) (string, error) {
+// adminRequest makes one call of operators' staff.
+func adminRequest(addr, line string) (string, error) {
 	const patience = 2 * time.Second
 	c, err := net.DialTimeout("tcp", addr, patience)
 	if err != nil {
@@ -80,7 +80,7 @@
 
 // Run prints the table.
 func (c *peersCommand) Run(out io.Writer) error {
-	text, err := ask(c.Mgmt, "PEERS")
+	text, err := adminRequest(c.Mgmt, "PEERS")
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r record
+	var r recording
 	if err := json.Unmarshal(text, &r); err != nil || len(r.Faults) > 0 || r.Total.Started == 0 || len(r.Moments) < 10 || len(r.Steps) != 2 {
 		t.Errorf("%v; %v, %+v, %d moments, %d steps", err, r.Faults, r.Total, len(r.Moments), len(r.Steps))
 	}
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -30,23 +30,23 @@
 	p.exporters = append(p.exporters, e)
 	var again func()
 	again = func() {
-		e.Offer(metrics.Sample{At: time.UnixMicro(p.l.Now()), Figures: p.figures(e)})
-		p.l.After(m.EveryMs*1000, again)
+		e.Offer(metrics.Sample{At: time.UnixMicro(p.loop.Now()), Figures: p.figures(e)})
+		p.loop.After(m.EveryMs*1000, again)
 	}
-	p.l.After(m.EveryMs*1000, again)
+	p.loop.After(m.EveryMs*1000, again)
 }
 
-// figures is what is worth watching of the program.
+// dumpedFigures is what is worth watching of the program.
 func (p *server) figures(e *metrics.Exporter) []metrics.Figure {
-	c := p.c.Counts()
+	c := p.dispatcher.Counts()
 	counter := func(name string, v int64) metrics.Figure {
 		return metrics.Figure{Name: name, Value: float64(v), Counter: true}
 	}
 	gauge := func(name string, v int) metrics.Figure { return metrics.Figure{Name: name, Value: float64(v)} }
-	s := p.c.BackpressureFigures()
+	s := p.dispatcher.BackpressureFigures()
 	var t grpcfront.TokenCounts
-	if p.grpc != nil {
-		t = p.grpc.TokenCounts()
+	if p.grpcFront != nil {
+		t = p.grpcFront.TokenCounts()
 	}
 	return []metrics.Figure{
 		counter("tickets_good", t.Good), counter("tickets_early", t.Early), counter("tickets_expired", t.Expired),
@@ -57,8 +57,8 @@
 		counter("offers", c.Offers), counter("offers_full", c.RejectedByWorker), counter("offers_timed_out", c.TimedOut),
 		counter("offers_not_connected", c.ConnectFailed), counter("offers_reset", c.Reset),
 		counter("offers_held_back", c.Blocked), counter("samples_lost", e.Dropped()),
-		gauge("open", p.c.OpenCount()), gauge("standing", p.c.RunningCount()), gauge("owners", p.front.Connections()),
-		gauge("sockets_free", p.l.FreeDescriptors()), gauge("storm_state", int(s.State)), gauge("storm_kind", int(s.Kind)),
+		gauge("open", p.dispatcher.OpenCount()), gauge("standing", p.dispatcher.RunningCount()), gauge("owners", p.clientFront.Connections()),
+		gauge("sockets_free", p.loop.FreeDescriptors()), gauge("storm_state", int(s.State)), gauge("storm_kind", int(s.Kind)),
 		{Name: "storm_pace", Value: s.Pace}, {Name: "storm_held", Value: s.Held}, {Name: "storm_booked", Value: s.Booked},
 	}
 }
--- a/cmd/ravenhitch/full_table_test.go
+++ b/cmd/ravenhitch/full_table_test.go
@@ -10,28 +10,28 @@
 	"ravenhitch/internal/testbed"
 )
 
-// tableSize is how many clients' connections newWorldLimited(t, 64, ...) holds.
-const tableSize = 24
+// maxClients is how many clients' connections newServerWithSockets(t, 64, ...) holds.
+const maxClients = 24
 
-// quiet waits until the clients have been quiet for longer than their places are kept.
-func (w *world) quiet(t *testing.T) {
+// waitIdle waits until the clients have been quiet for longer than their places are kept.
+func (w *testServer) waitIdle(t *testing.T) {
 	t.Helper()
 	since := int64(0)
-	w.on(t, func() { since = w.l.Now() })
-	w.until(t, "a quiet client", func() bool { return w.l.Now() > since+1_100_000 })
+	w.onLoop(t, func() { since = w.loop.Now() })
+	w.waitUntil(t, "a quiet client", func() bool { return w.loop.Now() > since+1_100_000 })
 }
 
-// queued connects so many clients at once, while the loop stands: all are new to it.
-func (w *world) queued(t *testing.T, count int) (bad []*testbed.Client) {
+// connectWhilePaused connects so many clients at once, while the loop stands: all are new to it.
+func (w *testServer) connectWhilePaused(t *testing.T, count int) (bad []*testbed.Client) {
 	t.Helper()
 	here, on := make(chan bool), make(chan bool)
-	w.l.Post(func() {
+	w.loop.Post(func() {
 		here <- true
 		<-on
 	})
 	testbed.Wait(t, "the loop stands", here)
 	for range count {
-		bad = append(bad, w.owner(t))
+		bad = append(bad, w.connect(t))
 	}
 	on <- true
 	return bad
@@ -39,17 +39,17 @@
 
 // The end of a task reaches its client although the table is full of others: new ones do not
 // take the places of the last clients that are known to have tasks.
-func TestEndInAFullTable(t *testing.T) {
+func TestCompletionWithFullConnectionTable(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		say  func(t *testing.T, w *world, i int, bad *testbed.Client)
+		say  func(t *testing.T, w *testServer, i int, bad *testbed.Client)
 	}{
-		{"of clients that never ask", func(*testing.T, *world, int, *testbed.Client) {}},
-		{"of clients that ask what can't be used, and never read", func(_ *testing.T, _ *world, i int, bad *testbed.Client) {
+		{"of clients that never ask", func(*testing.T, *testServer, int, *testbed.Client) {}},
+		{"of clients that ask what can't be used, and never read", func(_ *testing.T, _ *testServer, i int, bad *testbed.Client) {
 			testbed.Send(bad, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
 		}},
-		{"of clients half of which wait for an answer, and never read", func(_ *testing.T, _ *world, i int, bad *testbed.Client) {
-			if i >= tableSize/2 {
+		{"of clients half of which wait for an answer, and never read", func(_ *testing.T, _ *testServer, i int, bad *testbed.Client) {
+			if i >= maxClients/2 {
 				return
 			}
 			testbed.Send(bad, testbed.StartLine(testbed.RequestID(100+i), "archive-cut", fmt.Sprint("silent-", i), 8000))
@@ -57,19 +57,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldLimited(t, 64, "a")
-			client := w.owner(t)
+			w := newServerWithSockets(t, 64, "a")
+			client := w.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if l := testbed.Wait(t, "the answer", client.Lines); l.Verb != "STARTED" {
 				t.Fatalf("got %v", l)
 			}
-			w.quiet(t)
-			for i, bad := range w.queued(t, 2*tableSize) {
+			w.waitIdle(t)
+			for i, bad := range w.connectWhilePaused(t, 2*maxClients) {
 				c.say(t, w, i, bad)
 			}
-			w.until(t, "a full table", func() bool { return w.l.HasQueuedConnections() || w.front.Connections() == tableSize })
-			w.on(t, func() {}) // and a turn in which some wait
-			w.minions[0].End(testbed.RequestID(1), 16)
+			w.waitUntil(t, "a full table", func() bool { return w.loop.HasQueuedConnections() || w.clientFront.Connections() == maxClients })
+			w.onLoop(t, func() {}) // and a turn in which some wait
+			w.workers[0].End(testbed.RequestID(1), 16)
 			if l := testbed.Wait(t, "the end", client.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != 16 {
 				t.Errorf("got %v", l)
 			}
@@ -79,25 +79,25 @@
 
 // An end whose client is away does not go to whoever has said something, while the client
 // may come back: it is told to the first that tests, or that has tasks.
-func TestEndIsNotToldToAnybody(t *testing.T) {
-	w := newWorldLimited(t, 64, "a")
-	client := w.owner(t)
+func TestCompletionNotReportedToStrangers(t *testing.T) {
+	w := newServerWithSockets(t, 64, "a")
+	client := w.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if l := testbed.Wait(t, "the answer", client.Lines); l.Verb != "STARTED" {
 		t.Fatalf("got %v", l)
 	}
 	client.Close()
-	w.until(t, "no client", func() bool { return w.front.Connections() == 0 })
-	bad := w.queued(t, tableSize)
+	w.waitUntil(t, "no client", func() bool { return w.clientFront.Connections() == 0 })
+	bad := w.connectWhilePaused(t, maxClients)
 	for i, o := range bad {
 		testbed.Send(o, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
 		if l := testbed.Wait(t, "the error", o.Lines); l.Cause() != 47 {
 			t.Fatalf("got %v", l)
 		}
 	}
-	w.minions[0].End(testbed.RequestID(1), 16)
-	w.until(t, "the end here", func() bool { return w.c.RunningCount() == 0 })
-	again := w.owner(t)
+	w.workers[0].End(testbed.RequestID(1), 16)
+	w.waitUntil(t, "the end here", func() bool { return w.dispatcher.RunningCount() == 0 })
+	again := w.connect(t)
 	testbed.Send(again, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
 	if l := testbed.Wait(t, "the end", again.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != 16 {
 		t.Errorf("got %v", l)
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -98,21 +98,21 @@
 // is read and checked as a whole first; one that can't be used changes nothing. It
 // may be called from any goroutine.
 func (p *server) Reload(path string) {
-	if p.grpc != nil && p.tickets != "" {
-		if keys, err := loadKeys(p.tickets); err != nil {
+	if p.grpcFront != nil && p.tokenKeysPath != "" {
+		if keys, err := loadKeys(p.tokenKeysPath); err != nil {
 			p.log.Error("retry token keys not reloaded", "err", err)
 		} else {
-			p.grpc.SetKeys(keys)
+			p.grpcFront.SetKeys(keys)
 			p.log.Info("retry token keys reloaded")
 		}
 	}
-	p.l.Post(func() {
+	p.loop.Post(func() {
 		cfg, err := config.Load(path)
 		if err != nil {
 			p.log.Error("configuration not reloaded", "err", err)
 			return
 		}
 		p.log.Info("configuration reloaded", "channel", cfg.DiscoveryAddr)
-		p.channel.SetAddress(cfg.DiscoveryAddr)
+		p.follower.SetAddress(cfg.DiscoveryAddr)
 	})
 }
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -34,8 +34,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-func (w *world) client(t *testing.T) edgepb.OrchestratorClient {
-	c, err := grpc.NewClient(w.gaddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+func (w *testServer) grpcClient(t *testing.T) edgepb.OrchestratorClient {
+	c, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,54 +43,54 @@
 	return edgepb.NewOrchestratorClient(c)
 }
 
-func offer(id, class, task string, waitMs uint32) *edgepb.Offer {
+func newOffer(id, class, task string, waitMs uint32) *edgepb.Offer {
 	return &edgepb.Offer{OfferId: id, Task: task, Class: class, Cores: 1, Memory: 2, Service: "b4d65521",
 		Description: "about " + task, WaitMs: waitMs}
 }
 
-// session is a stand-in client with a stream.
-type session struct {
+// clientSession is a stand-in client with a stream.
+type clientSession struct {
 	edgepb.Orchestrator_SessionClient
-	drop context.CancelFunc
-	got  chan *edgepb.ServerMessage
+	disconnect context.CancelFunc
+	messages  chan *edgepb.ServerMessage
 	err  error // after got is closed
 }
 
-func (w *world) session(t *testing.T, name string, seen uint64) *session {
+func (w *testServer) openSession(t *testing.T, name string, seen uint64) *clientSession {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	st, err := w.client(t).Session(ctx)
+	st, err := w.grpcClient(t).Session(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &session{Orchestrator_SessionClient: st, drop: cancel, got: make(chan *edgepb.ServerMessage, 1000)}
+	s := &clientSession{Orchestrator_SessionClient: st, disconnect: cancel, messages: make(chan *edgepb.ServerMessage, 1000)}
 	if err := st.Send(&edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Open{
 		Open: &edgepb.Open{Session: name, Seen: seen}}}); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		defer close(s.got)
+		defer close(s.messages)
 		for {
 			m, err := st.Recv()
 			if err != nil {
 				s.err = err
 				return
 			}
-			s.got <- m
+			s.messages <- m
 		}
 	}()
 	return s
 }
 
-func (s *session) offer(t *testing.T, o *edgepb.Offer) {
+func (s *clientSession) sendOffer(t *testing.T, o *edgepb.Offer) {
 	t.Helper()
 	if err := s.Send(&edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Offer{Offer: o}}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (s *session) release(t *testing.T, id string) {
+func (s *clientSession) sendRelease(t *testing.T, id string) {
 	t.Helper()
 	if err := s.Send(&edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Release{
 		Release: &edgepb.ReleaseRequest{OfferId: id}}}); err != nil {
@@ -98,23 +98,23 @@
 	}
 }
 
-// on runs f on the loop and waits for it.
-func (w *world) on(t *testing.T, f func()) {
+// onLoop runs f on the loop and waits for it.
+func (w *testServer) onLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{}, 1)
-	w.l.Post(func() { f(); done <- struct{}{} })
+	w.loop.Post(func() { f(); done <- struct{}{} })
 	testbed.Wait(t, "the loop", done)
 }
 
-func (w *world) counts(t *testing.T) (c dispatch.Counts) {
-	w.on(t, func() { c = w.c.Counts() })
+func (w *testServer) counts(t *testing.T) (c dispatch.Counts) {
+	w.onLoop(t, func() { c = w.dispatcher.Counts() })
 	return c
 }
 
-// waitFor is how long the owner of a task waits, in milliseconds. What no node
+// clientTimeoutMs is how long the owner of a task waits, in milliseconds. What no node
 // answers gets less than the module gives a single attempt, so that the number of
 // attempts does not hang on how fast the machine is.
-func waitFor(task string) int {
+func clientTimeoutMs(task string) int {
 	if strings.HasPrefix(task, "silent") {
 		return 200
 	}
@@ -125,7 +125,7 @@
 // and drain.
 func TestSameOnBothFronts(t *testing.T) {
 	kinds := []string{"ok-1", "full-1", "ok-2", "error-1", "ok-3", "silent-1", "reset-1", "ok-4"}
-	play := func(t *testing.T, w *world, place func(n int, class, task string) string, next func() string) ([]string, dispatch.Counts, []int) {
+	play := func(t *testing.T, w *testServer, place func(n int, class, task string) string, next func() string) ([]string, dispatch.Counts, []int) {
 		var outcomes []string
 		n := 0
 		for _, class := range []string{"guide-web", "archive-cut"} {
@@ -136,22 +136,22 @@
 		}
 		// Every bound task comes to its end, each with its own cause.
 		for i, rc := range []int{16, 41} {
-			w.minions[0].End(testbed.RequestID([]int{1, 3}[i]), rc)
+			w.workers[0].End(testbed.RequestID([]int{1, 3}[i]), rc)
 			outcomes = append(outcomes, next())
 		}
 		// One minion drains: what is offered from then on goes to the other only.
-		w.feed.Add(false, w.minions[0].ListEntry("draining"))
-		w.feed.WaitPolled(t)
-		before := len(w.minions[0].Starts)
+		w.discovery.Add(false, w.workers[0].ListEntry("draining"))
+		w.discovery.WaitPolled(t)
+		before := len(w.workers[0].Starts)
 		for i := range 10 {
 			outcomes = append(outcomes, place(100+i, "guide-web", fmt.Sprintf("ok-drain-%d", i)))
 		}
-		return outcomes, w.counts(t), []int{len(w.minions[0].Starts) - before, len(w.minions[1].Starts)}
+		return outcomes, w.counts(t), []int{len(w.workers[0].Starts) - before, len(w.workers[1].Starts)}
 	}
 	// The second minion comes with the drain, so that the first takes all before it.
-	prepare := func(t *testing.T) *world {
-		w := newWorld(t, "a")
-		w.minions = append(w.minions, testbed.NewWorker(t, "b"))
+	prepare := func(t *testing.T) *testServer {
+		w := newTestServer(t, "a")
+		w.workers = append(w.workers, testbed.NewWorker(t, "b"))
 		return w
 	}
 	var outcomes [2][]string
@@ -159,13 +159,13 @@
 	var drains [2][]int
 	t.Run("json lines", func(t *testing.T) {
 		w := prepare(t)
-		o := w.owner(t)
+		o := w.connect(t)
 		outcomes[0], counts[0], drains[0] = play(t, w, func(n int, class, task string) string {
 			if n == 100 {
-				w.feed.Add(false, w.minions[1].ListEntry("up"))
-				w.feed.WaitPolled(t)
+				w.discovery.Add(false, w.workers[1].ListEntry("up"))
+				w.discovery.WaitPolled(t)
 			}
-			testbed.Send(o, testbed.StartLine(testbed.RequestID(n), class, task, waitFor(task)))
+			testbed.Send(o, testbed.StartLine(testbed.RequestID(n), class, task, clientTimeoutMs(task)))
 			l := testbed.Wait(t, task, o.Lines)
 			switch {
 			case l.Verb == "STARTED":
@@ -184,14 +184,14 @@
 	})
 	t.Run("grpc", func(t *testing.T) {
 		w := prepare(t)
-		s := w.session(t, "s", 0)
+		s := w.openSession(t, "s", 0)
 		outcomes[1], counts[1], drains[1] = play(t, w, func(n int, class, task string) string {
 			if n == 100 {
-				w.feed.Add(false, w.minions[1].ListEntry("up"))
-				w.feed.WaitPolled(t)
+				w.discovery.Add(false, w.workers[1].ListEntry("up"))
+				w.discovery.WaitPolled(t)
 			}
-			s.offer(t, offer(testbed.RequestID(n), class, task, uint32(waitFor(task))))
-			m := testbed.Wait(t, task, s.got)
+			s.sendOffer(t, newOffer(testbed.RequestID(n), class, task, uint32(clientTimeoutMs(task))))
+			m := testbed.Wait(t, task, s.messages)
 			switch {
 			case m.GetBinding() != nil:
 				return "bound: " + m.GetBinding().GetDescription()
@@ -200,7 +200,7 @@
 			}
 			return "failed"
 		}, func() string {
-			if e := testbed.Wait(t, "an end", s.got).GetEnded(); e.GetHow() == edgepb.Ended_HOW_DONE {
+			if e := testbed.Wait(t, "an end", s.messages).GetEnded(); e.GetHow() == edgepb.Ended_HOW_DONE {
 				return e.GetOfferId() + " done"
 			} else {
 				return e.GetOfferId() + " lost"
@@ -222,53 +222,53 @@
 }
 
 // A binding that was sent and never read is given again, and the task starts once.
-func TestBindingUnread(t *testing.T) {
-	w := newWorld(t, "a")
-	first := w.session(t, "s", 0)
-	first.offer(t, offer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
-	binding := testbed.Wait(t, "the binding", first.got).GetBinding()
-	first.drop() // the client never looked at it
-	for range first.got {
-	}
-	again := w.session(t, "s", 0)
-	if got := testbed.Wait(t, "the binding once more", again.got); got.GetBinding().GetDescription() != binding.GetDescription() {
+func TestUnreadBindingIsResent(t *testing.T) {
+	w := newTestServer(t, "a")
+	first := w.openSession(t, "s", 0)
+	first.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
+	binding := testbed.Wait(t, "the binding", first.messages).GetBinding()
+	first.disconnect() // the client never looked at it
+	for range first.messages {
+	}
+	again := w.openSession(t, "s", 0)
+	if got := testbed.Wait(t, "the binding once more", again.messages); got.GetBinding().GetDescription() != binding.GetDescription() {
 		t.Errorf("after the resume came %v", got)
 	}
 	// A repeat of the offer, and a new offer of the same task, are bound to the same.
 	// One after the other: streams may overtake each other, and the last gets the end.
-	other := w.session(t, "another", 0)
-	for i, s := range []*session{again, again, other} {
-		s.offer(t, offer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
-		if got := testbed.Wait(t, "a repeat's answer", s.got).GetBinding(); got.GetDescription() != binding.GetDescription() ||
+	other := w.openSession(t, "another", 0)
+	for i, s := range []*clientSession{again, again, other} {
+		s.sendOffer(t, newOffer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
+		if got := testbed.Wait(t, "a repeat's answer", s.messages).GetBinding(); got.GetDescription() != binding.GetDescription() ||
 			got.GetNode() != "a" {
 			t.Errorf("repeat %d got %v", i, got)
 		}
 	}
-	w.minions[0].End(testbed.RequestID(1), 16)
-	if e := testbed.Wait(t, "the end", other.got).GetEnded(); e.GetHow() != edgepb.Ended_HOW_DONE {
+	w.workers[0].End(testbed.RequestID(1), 16)
+	if e := testbed.Wait(t, "the end", other.messages).GetEnded(); e.GetHow() != edgepb.Ended_HOW_DONE {
 		t.Errorf("the end is %v", e)
 	}
 	// A repeat that comes after the end starts nothing either.
-	other.offer(t, offer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
-	if r := testbed.Wait(t, "the late repeat's answer", other.got).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
+	other.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
+	if r := testbed.Wait(t, "the late repeat's answer", other.messages).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
 		t.Errorf("the late repeat got %v", r)
 	}
-	if n := w.minions[0].StartCount("ok-cut"); n != 1 {
+	if n := w.workers[0].StartCount("ok-cut"); n != 1 {
 		t.Errorf("the task was started %d times", n)
 	}
 }
 
 // An offer stays in while its session has no stream, and its answer is kept.
-func TestAnswerWhileAway(t *testing.T) {
-	w := newWorld(t, "a")
-	first := w.session(t, "s", 0)
-	first.offer(t, offer(testbed.RequestID(1), "guide-web", "silent-x", 600))
-	testbed.Wait(t, "the offer", w.minions[0].Starts)
-	first.drop()
-	for range first.got {
-	}
-	again := w.session(t, "s", 0)
-	if r := testbed.Wait(t, "the answer", again.got).GetRejection(); codes.Code(r.GetCode()) != codes.ResourceExhausted {
+func TestResponseWhileDisconnected(t *testing.T) {
+	w := newTestServer(t, "a")
+	first := w.openSession(t, "s", 0)
+	first.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "silent-x", 600))
+	testbed.Wait(t, "the offer", w.workers[0].Starts)
+	first.disconnect()
+	for range first.messages {
+	}
+	again := w.openSession(t, "s", 0)
+	if r := testbed.Wait(t, "the answer", again.messages).GetRejection(); codes.Code(r.GetCode()) != codes.ResourceExhausted {
 		t.Errorf("the answer is %v", r)
 	}
 }
@@ -276,22 +276,22 @@
 // Both fronts offer tasks of one service while a minion drains: what stood there
 // ends on the front that it came by, and nothing new goes there.
 func TestDrainUnderBothFronts(t *testing.T) {
-	w := newWorld(t, "a")
-	o, s := w.owner(t), w.session(t, "s", 0)
+	w := newTestServer(t, "a")
+	o, s := w.connect(t), w.openSession(t, "s", 0)
 	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-j0", 5000))
-	s.offer(t, offer(testbed.RequestID(2), "guide-web", "ok-g0", 5000))
+	s.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "ok-g0", 5000))
 	testbed.Wait(t, "an answer", o.Lines)
-	testbed.Wait(t, "a binding", s.got)
+	testbed.Wait(t, "a binding", s.messages)
 	b := testbed.NewWorker(t, "b")
-	w.feed.Add(false, b.ListEntry("up"), w.minions[0].ListEntry("draining"))
-	w.feed.WaitPolled(t)
-	before := len(w.minions[0].Starts)
+	w.discovery.Add(false, b.ListEntry("up"), w.workers[0].ListEntry("draining"))
+	w.discovery.WaitPolled(t)
+	before := len(w.workers[0].Starts)
 	for i := range 8 {
 		testbed.Send(o, testbed.StartLine(testbed.RequestID(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
-		s.offer(t, offer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
+		s.sendOffer(t, newOffer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
 	}
-	w.minions[0].End(testbed.RequestID(1), 41)
-	w.minions[0].End(testbed.RequestID(2), 41)
+	w.workers[0].End(testbed.RequestID(1), 41)
+	w.workers[0].End(testbed.RequestID(2), 41)
 	started, ended := 0, 0
 	for started+ended < 9 {
 		if l := testbed.Wait(t, "json lines", o.Lines); l.Verb == "STARTED" {
@@ -301,21 +301,21 @@
 		}
 	}
 	for started+ended < 18 {
-		if m := testbed.Wait(t, "grpc", s.got); m.GetBinding().GetNode() == "b" {
+		if m := testbed.Wait(t, "grpc", s.messages); m.GetBinding().GetNode() == "b" {
 			started++
 		} else if m.GetEnded().GetOfferId() == testbed.RequestID(2) && m.GetEnded().GetHow() == edgepb.Ended_HOW_LOST {
 			ended++
 		}
 	}
-	if started != 16 || ended != 2 || len(w.minions[0].Starts) != before || len(b.Starts) != 16 {
-		t.Errorf("%d bound, %d ended, %d offers to the draining minion", started, ended, len(w.minions[0].Starts)-before)
+	if started != 16 || ended != 2 || len(w.workers[0].Starts) != before || len(b.Starts) != 16 {
+		t.Errorf("%d bound, %d ended, %d offers to the draining minion", started, ended, len(w.workers[0].Starts)-before)
 	}
 }
 
 // Refusals, failures, bad offers, deadlines and cancellation are status codes.
 func TestStatusCodes(t *testing.T) {
-	w := newWorld(t, "a")
-	c := w.client(t)
+	w := newTestServer(t, "a")
+	c := w.grpcClient(t)
 	long := make([]byte, 9000)
 	for i := range long {
 		long[i] = 'x'
@@ -326,19 +326,19 @@
 		o    *edgepb.Offer
 		want codes.Code
 	}{
-		{"bound", offer(testbed.RequestID(1), "guide-web", "ok-1", 0), codes.OK},
-		{"refused", offer(testbed.RequestID(2), "guide-web", "full-1", 0), codes.ResourceExhausted},
-		{"failed", offer(testbed.RequestID(3), "archive-cut", "error-1", 0), codes.Unknown},
-		{"bad id", offer("12", "guide-web", "ok-2", 0), codes.InvalidArgument},
-		{"no task", offer(testbed.RequestID(4), "guide-web", "", 0), codes.InvalidArgument},
-		{"unknown class", offer(testbed.RequestID(5), "nightly", "ok-3", 0), codes.InvalidArgument},
-		{"no size", edit(offer(testbed.RequestID(6), "guide-web", "ok-4", 0), func(o *edgepb.Offer) { o.Cores, o.Memory = 0, 0 }), codes.InvalidArgument},
-		{"a negative size", edit(offer(testbed.RequestID(7), "guide-web", "ok-5", 0), func(o *edgepb.Offer) { o.Cores = -1 }), codes.InvalidArgument},
-		{"bad service", edit(offer(testbed.RequestID(8), "guide-web", "ok-6", 0), func(o *edgepb.Offer) { o.Service = "x" }), codes.InvalidArgument},
-		{"long description", edit(offer(testbed.RequestID(9), "guide-web", "ok-7", 0), func(o *edgepb.Offer) { o.Description = string(long) }), codes.InvalidArgument},
-		{"an endless wait", edit(offer(testbed.RequestID(60), "guide-web", "ok-60", 0), func(o *edgepb.Offer) { o.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
-		{"never fits", edit(offer(testbed.RequestID(10), "guide-web", "ok-8", 0), func(o *edgepb.Offer) { o.Cores = 1000 }), codes.ResourceExhausted},
-		{"another task's id", offer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
+		{"bound", newOffer(testbed.RequestID(1), "guide-web", "ok-1", 0), codes.OK},
+		{"refused", newOffer(testbed.RequestID(2), "guide-web", "full-1", 0), codes.ResourceExhausted},
+		{"failed", newOffer(testbed.RequestID(3), "archive-cut", "error-1", 0), codes.Unknown},
+		{"bad id", newOffer("12", "guide-web", "ok-2", 0), codes.InvalidArgument},
+		{"no task", newOffer(testbed.RequestID(4), "guide-web", "", 0), codes.InvalidArgument},
+		{"unknown class", newOffer(testbed.RequestID(5), "nightly", "ok-3", 0), codes.InvalidArgument},
+		{"no size", edit(newOffer(testbed.RequestID(6), "guide-web", "ok-4", 0), func(o *edgepb.Offer) { o.Cores, o.Memory = 0, 0 }), codes.InvalidArgument},
+		{"a negative size", edit(newOffer(testbed.RequestID(7), "guide-web", "ok-5", 0), func(o *edgepb.Offer) { o.Cores = -1 }), codes.InvalidArgument},
+		{"bad service", edit(newOffer(testbed.RequestID(8), "guide-web", "ok-6", 0), func(o *edgepb.Offer) { o.Service = "x" }), codes.InvalidArgument},
+		{"long description", edit(newOffer(testbed.RequestID(9), "guide-web", "ok-7", 0), func(o *edgepb.Offer) { o.Description = string(long) }), codes.InvalidArgument},
+		{"an endless wait", edit(newOffer(testbed.RequestID(60), "guide-web", "ok-60", 0), func(o *edgepb.Offer) { o.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
+		{"never fits", edit(newOffer(testbed.RequestID(10), "guide-web", "ok-8", 0), func(o *edgepb.Offer) { o.Cores = 1000 }), codes.ResourceExhausted},
+		{"another task's id", newOffer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
@@ -364,30 +364,30 @@
 			}
 		})
 	}
-	if n := w.minions[0].StartCount("error-1"); n != 1 {
+	if n := w.workers[0].StartCount("error-1"); n != 1 {
 		t.Errorf("a task that must not start twice was offered %d times after an error", n)
 	}
 	t.Run("deadline", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := c.Place(ctx, offer(testbed.RequestID(20), "archive-cut", "silent-1", 0))
+		_, err := c.Place(ctx, newOffer(testbed.RequestID(20), "archive-cut", "silent-1", 0))
 		if code := status.Code(err); code != codes.Unknown && code != codes.DeadlineExceeded || time.Since(began) > 5*time.Second {
 			t.Errorf("got %v", err)
 		}
-		givenUp(t, w.minions[0], testbed.RequestID(20))
+		waitAbandoned(t, w.workers[0], testbed.RequestID(20))
 	})
 	t.Run("cancelled", func(t *testing.T) {
-		for len(w.minions[0].Starts) > 0 {
-			<-w.minions[0].Starts
+		for len(w.workers[0].Starts) > 0 {
+			<-w.workers[0].Starts
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		errs := make(chan error, 1)
 		go func() {
-			_, err := c.Place(ctx, offer(testbed.RequestID(21), "archive-cut", "silent-2", 0))
+			_, err := c.Place(ctx, newOffer(testbed.RequestID(21), "archive-cut", "silent-2", 0))
 			errs <- err
 		}()
-		for testbed.Wait(t, "the offer", w.minions[0].Starts).Tag != testbed.RequestID(21) {
+		for testbed.Wait(t, "the offer", w.workers[0].Starts).Tag != testbed.RequestID(21) {
 		}
 		cancel()
 		if err := testbed.Wait(t, "the call's end", errs); status.Code(err) != codes.Canceled {
@@ -397,14 +397,14 @@
 		// attempt up for sure.
 		// Nothing came on the connection since the offer: a release written there may
 		// never arrive, and only the close gives the attempt up for sure.
-		for testbed.Wait(t, "the close", w.minions[0].Cut).Tag != testbed.RequestID(21) {
+		for testbed.Wait(t, "the close", w.workers[0].Cut).Tag != testbed.RequestID(21) {
 		}
 	})
 	t.Run("release", func(t *testing.T) {
 		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); err != nil {
 			t.Error(err)
 		}
-		if l := testbed.Wait(t, "the release", w.minions[0].Ends); l.Tag != testbed.RequestID(1) {
+		if l := testbed.Wait(t, "the release", w.workers[0].Ends); l.Tag != testbed.RequestID(1) {
 			t.Errorf("the minion got %v", l)
 		}
 		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(99)}); status.Code(err) != codes.NotFound {
@@ -425,35 +425,35 @@
 
 // Offers, releases and the end of a session over its stream.
 func TestSession(t *testing.T) {
-	w := newWorld(t, "a")
-	s := w.session(t, "s", 0)
-	s.offer(t, offer("nonsense", "guide-web", "ok-0", 0))
-	if r := testbed.Wait(t, "a bad offer's answer", s.got).GetRejection(); codes.Code(r.GetCode()) != codes.InvalidArgument {
+	w := newTestServer(t, "a")
+	s := w.openSession(t, "s", 0)
+	s.sendOffer(t, newOffer("nonsense", "guide-web", "ok-0", 0))
+	if r := testbed.Wait(t, "a bad offer's answer", s.messages).GetRejection(); codes.Code(r.GetCode()) != codes.InvalidArgument {
 		t.Errorf("a bad offer got %v", r)
 	}
-	s.offer(t, offer(testbed.RequestID(1), "guide-web", "full-1", 0))
-	if r := testbed.Wait(t, "a refusal", s.got).GetRejection(); r.GetRetryAfterMs() == 0 {
+	s.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "full-1", 0))
+	if r := testbed.Wait(t, "a refusal", s.messages).GetRejection(); r.GetRetryAfterMs() == 0 {
 		t.Errorf("a refusal without advice: %v", r)
 	}
-	s.offer(t, offer(testbed.RequestID(2), "guide-web", "silent-1", 5000))
-	s.release(t, testbed.RequestID(2))
-	if r := testbed.Wait(t, "the withdrawal", s.got).GetRejection(); codes.Code(r.GetCode()) != codes.Canceled {
+	s.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "silent-1", 5000))
+	s.sendRelease(t, testbed.RequestID(2))
+	if r := testbed.Wait(t, "the withdrawal", s.messages).GetRejection(); codes.Code(r.GetCode()) != codes.Canceled {
 		t.Errorf("a withdrawn offer got %v", r)
 	}
-	s.offer(t, offer(testbed.RequestID(3), "guide-web", "ok-1", 0))
-	testbed.Wait(t, "a binding", s.got)
-	s.release(t, testbed.RequestID(3))
-	if e := testbed.Wait(t, "the end", s.got).GetEnded(); e.GetHow() != edgepb.Ended_HOW_RELEASED {
+	s.sendOffer(t, newOffer(testbed.RequestID(3), "guide-web", "ok-1", 0))
+	testbed.Wait(t, "a binding", s.messages)
+	s.sendRelease(t, testbed.RequestID(3))
+	if e := testbed.Wait(t, "the end", s.messages).GetEnded(); e.GetHow() != edgepb.Ended_HOW_RELEASED {
 		t.Errorf("a released task ended with %v", e)
 	}
-	s.offer(t, offer(testbed.RequestID(4), "guide-web", "ok-2", 0))
+	s.sendOffer(t, newOffer(testbed.RequestID(4), "guide-web", "ok-2", 0))
 	if err := s.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
-	if m := testbed.Wait(t, "the last answer", s.got); m.GetBinding() == nil || m.GetNumber() != 6 {
+	if m := testbed.Wait(t, "the last answer", s.messages); m.GetBinding() == nil || m.GetNumber() != 6 {
 		t.Errorf("the last answer is %v", m)
 	}
-	for range s.got {
+	for range s.messages {
 	}
 	if !errors.Is(s.err, io.EOF) {
 		t.Errorf("the stream ended with %v", s.err)
@@ -462,14 +462,14 @@
 
 // After the word to end, new owners are still served, and the program ends well
 // once nothing is open.
-func TestStop(t *testing.T) {
-	w := newWorld(t, "a")
-	early := w.owner(t)
+func TestNewClientsServedDuringShutdown(t *testing.T) {
+	w := newTestServer(t, "a")
+	early := w.connect(t)
 	testbed.Send(early, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1200))
-	testbed.Wait(t, "the offer", w.minions[0].Starts)
+	testbed.Wait(t, "the offer", w.workers[0].Starts)
 	w.Stop()
-	w.on(t, func() {}) // the word was heard
-	late := w.owner(t)
+	w.onLoop(t, func() {}) // the word was heard
+	late := w.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-1", 5000))
 	if l := testbed.Wait(t, "the late owner's answer", late.Lines); l.Verb != "STARTED" {
 		t.Errorf("the late owner got %v", l)
@@ -477,14 +477,14 @@
 	if l := testbed.Wait(t, "the early owner's answer", early.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(1) {
 		t.Errorf("the early owner got %v", l)
 	}
-	if err := testbed.Wait(t, "the end", w.over); err != nil {
+	if err := testbed.Wait(t, "the end", w.runResult); err != nil {
 		t.Error(err)
 	}
 }
 
 // Figures reach a stand-in for Graphite and one for collectd, and tell what the
 // core counted.
-func TestFigures(t *testing.T) {
+func TestExportedFigures(t *testing.T) {
 	carbon, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -509,9 +509,9 @@
 			}
 		}()
 	}
-	w := newWorldWith(t, config.Operators{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
+	w := newServerWithOperators(t, config.Operators{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
 		Collectd: config.Metrics{Address: path, Prefix: "edge", EveryMs: 100}}, "a")
-	o := w.owner(t)
+	o := w.connect(t)
 	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the answer", o.Lines)
 	for _, want := range []string{"edge.n1.started 1 ", "edge.n1.standing 1 ", `PUTVAL "n1/edge/derive-started" interval=0.1 `,
@@ -548,23 +548,23 @@
 			t.Fatal(err)
 		}
 	}
-	w := newWorldWith(t, config.Operators{GRPCListen: "127.0.0.1:0", GRPCCert: filepath.Join(dir, "cert"),
+	w := newServerWithOperators(t, config.Operators{GRPCListen: "127.0.0.1:0", GRPCCert: filepath.Join(dir, "cert"),
 		GRPCKey: filepath.Join(dir, "key")}, "a")
 	creds, err := credentials.NewClientTLSFromFile(filepath.Join(dir, "cert"), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := grpc.NewClient(w.gaddr, grpc.WithTransportCredentials(creds))
+	conn, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
-	if b, err := edgepb.NewOrchestratorClient(conn).Place(ctx, offer(testbed.RequestID(1), "guide-web", "ok-1", 0)); err != nil || b.GetNode() != "a" {
+	if b, err := edgepb.NewOrchestratorClient(conn).Place(ctx, newOffer(testbed.RequestID(1), "guide-web", "ok-1", 0)); err != nil || b.GetNode() != "a" {
 		t.Errorf("over TLS: %v, %v", b, err)
 	}
-	if _, err := w.client(t).Place(ctx, offer(testbed.RequestID(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
+	if _, err := w.grpcClient(t).Place(ctx, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
 		t.Errorf("without TLS: %v", err)
 	}
 	health := func() healthpb.HealthCheckResponse_ServingStatus {
@@ -578,28 +578,28 @@
 		t.Errorf("at first: %v", h)
 	}
 	w.Stop()
-	w.on(t, func() {})
+	w.onLoop(t, func() {})
 	if h := health(); h != healthpb.HealthCheckResponse_NOT_SERVING {
 		t.Errorf("told to end: %v", h)
 	}
-	if _, err := edgepb.NewOrchestratorClient(conn).Place(ctx, offer(testbed.RequestID(3), "guide-web", "ok-3", 0)); err != nil {
+	if _, err := edgepb.NewOrchestratorClient(conn).Place(ctx, newOffer(testbed.RequestID(3), "guide-web", "ok-3", 0)); err != nil {
 		t.Errorf("an offer while it ends: %v", err)
 	}
 }
 
 // Neither front ends or takes over what came by the other.
-func TestFrontsApart(t *testing.T) {
-	w := newWorld(t, "a")
-	o, s := w.owner(t), w.session(t, "s", 0)
+func TestFrontsAreIsolated(t *testing.T) {
+	w := newTestServer(t, "a")
+	o, s := w.connect(t), w.openSession(t, "s", 0)
 	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-	s.offer(t, offer(testbed.RequestID(2), "guide-web", "ok-2", 5000))
+	s.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	testbed.Wait(t, "an answer", o.Lines)
-	testbed.Wait(t, "a binding", s.got)
+	testbed.Wait(t, "a binding", s.messages)
 	testbed.Send(o, testbed.FinishLine("FINISH", testbed.RequestID(2), 16))
 	if l := testbed.Wait(t, "the word that it was heard", o.Lines); l.Verb != "FINISHED" {
 		t.Errorf("got %v", l)
 	}
-	if _, err := w.client(t).Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); status.Code(err) != codes.NotFound {
+	if _, err := w.grpcClient(t).Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); status.Code(err) != codes.NotFound {
 		t.Errorf("a release of the other front's task: %v", err)
 	}
 	testbed.Send(o, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-2", 5000))
@@ -607,27 +607,27 @@
 		t.Errorf("a set-up of the other front's task got %v", l)
 	}
 	for id, task := range map[string]string{testbed.RequestID(1): "ok-9", testbed.RequestID(4): "ok-1"} {
-		s.offer(t, offer(id, "guide-web", task, 5000))
-		if r := testbed.Wait(t, "the answer", s.got).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
+		s.sendOffer(t, newOffer(id, "guide-web", task, 5000))
+		if r := testbed.Wait(t, "the answer", s.messages).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
 			t.Errorf("an offer of the other front's task got %v", r)
 		}
 	}
 	var standing int
-	if w.on(t, func() { standing = w.c.RunningCount() }); standing != 2 || w.minions[0].StartCount("ok-1") != 1 {
+	if w.onLoop(t, func() { standing = w.dispatcher.RunningCount() }); standing != 2 || w.workers[0].StartCount("ok-1") != 1 {
 		t.Errorf("%d tasks stand", standing)
 	}
 }
 
 // Whoever connects or opens a stream and says nothing holds its place for a while
 // only, and a session may have so many offers open.
-func TestBoundsOfGRPC(t *testing.T) {
-	w := newWorld(t, "a")
-	c, err := net.Dial("tcp", w.gaddr)
+func TestGRPCLimits(t *testing.T) {
+	w := newTestServer(t, "a")
+	c, err := net.Dial("tcp", w.grpcAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	st, err := w.client(t).Session(t.Context())
+	st, err := w.grpcClient(t).Session(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -638,21 +638,21 @@
 	if _, err := st.Recv(); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("the silent stream ended with %v", err)
 	}
-	s := w.session(t, "many", 0)
+	s := w.openSession(t, "many", 0)
 	for i := range 520 {
-		s.offer(t, offer(testbed.RequestID(i+1), "guide-web", fmt.Sprint("silent-", i), 60_000))
+		s.sendOffer(t, newOffer(testbed.RequestID(i+1), "guide-web", fmt.Sprint("silent-", i), 60_000))
 	}
 	for range 8 {
-		r := testbed.Wait(t, "a rejection", s.got).GetRejection()
+		r := testbed.Wait(t, "a rejection", s.messages).GetRejection()
 		if codes.Code(r.GetCode()) != codes.ResourceExhausted || r.GetRetryAfterMs() == 0 {
 			t.Errorf("got %v", r)
 		}
 	}
 }
 
-// givenUp waits for the minion to see an attempt given up: by a release with cause
+// waitAbandoned waits for the minion to see an attempt given up: by a release with cause
 // 16, or, where nothing came from it since the offer, by the close of the connection.
-func givenUp(t *testing.T, m *testbed.Worker, tag string) {
+func waitAbandoned(t *testing.T, m *testbed.Worker, tag string) {
 	t.Helper()
 	end := time.After(10 * time.Second)
 	for {
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/peer"
 )
 
-// join opens the sockets between orchestrators.
-func (p *server) join(cfg config.Config, s config.Peers) error {
+// startPeers opens the sockets between orchestrators.
+func (p *server) startPeers(cfg config.Config, s config.Peers) error {
 	incarnation, fault, err := peer.Start(s.Folder)
 	if err != nil {
 		return err
@@ -26,12 +26,12 @@
 	for _, m := range s.Members {
 		t.Members = append(t.Members, membership.Peer{Name: m.Name, Addr: m.Address})
 	}
-	if p.peers, err = peer.New(p.l, t, p.log); err != nil {
+	if p.peers, err = peer.New(p.loop, t, p.log); err != nil {
 		return err
 	}
 	p.log.Info("membership", "event", "listens", "address", p.peers.Addr())
 	if p.assignment != nil {
-		p.peers.OnView(p.assignment.viewed)
+		p.peers.OnView(p.assignment.onView)
 	}
 	return nil
 }
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -21,9 +21,9 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// storyDefault is what is played where nothing else is asked for: a hall is cut off, an
+// defaultSchedule is what is played where nothing else is asked for: a hall is cut off, an
 // orchestrator is killed meanwhile, and both come back.
-const storyDefault = "2s cut hall-b; 5s kill n3; 9s mend hall-b; 11s start n3; 14s pause n2 2s; 17s heal"
+const defaultSchedule = "2s cut hall-b; 5s kill n3; 9s mend hall-b; 11s start n3; 14s pause n2 2s; 17s heal"
 
 type rehearseCommand struct {
 	Orchestrators int      `default:"5" help:"How many orchestrators, 2 to 32."`
@@ -36,41 +36,41 @@
 	Out           string   `default:"rehearsal" placeholder:"FOLDER" help:"Where the record and the picture go."`
 }
 
-// stage is what the stand-ins have in place of a test.
-type stage struct {
+// rehearsalHost is what the stand-ins have in place of a test.
+type rehearsalHost struct {
 	out     io.Writer
 	mu      sync.Mutex
 	cleanup []func()
 	faults  []string
 }
 
-var errStage = errors.New("the rehearsal ended early")
+var errEndedEarly = errors.New("the rehearsal ended early")
 
-func (s *stage) Helper() {}
+func (s *rehearsalHost) Helper() {}
 
-func (s *stage) Cleanup(f func()) {
+func (s *rehearsalHost) Cleanup(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cleanup = append(s.cleanup, f)
 }
 
-func (s *stage) Logf(format string, args ...any) { fmt.Fprintf(s.out, format+"\n", args...) }
+func (s *rehearsalHost) Logf(format string, args ...any) { fmt.Fprintf(s.out, format+"\n", args...) }
 
-func (s *stage) Errorf(format string, args ...any) {
+func (s *rehearsalHost) Errorf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf(format, args...))
 }
 
-func (s *stage) Fatal(args ...any) {
+func (s *rehearsalHost) Fatal(args ...any) {
 	s.Errorf("%s", fmt.Sprint(args...))
-	panic(errStage)
+	panic(errEndedEarly)
 }
 
-func (s *stage) Fatalf(format string, args ...any) { s.Fatal(fmt.Sprintf(format, args...)) }
+func (s *rehearsalHost) Fatalf(format string, args ...any) { s.Fatal(fmt.Sprintf(format, args...)) }
 
-// clear gives back what was started, last first.
-func (s *stage) clear() {
+// runCleanups gives back what was started, last first.
+func (s *rehearsalHost) runCleanups() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := len(s.cleanup) - 1; i >= 0; i-- {
@@ -79,8 +79,8 @@
 	s.cleanup = nil
 }
 
-// record is what a rehearsal leaves.
-type record struct {
+// recording is what a rehearsal leaves.
+type recording struct {
 	Program  []string       `json:"program"`
 	Schedule string         `json:"schedule"`
 	Verdict  string         `json:"verdict"`
@@ -117,7 +117,7 @@
 		}
 		text = strings.ReplaceAll(strings.TrimSpace(string(b)), "\n", ";")
 	} else if text == "" && c.Seed == 0 {
-		text = storyDefault
+		text = defaultSchedule
 	}
 	steps, err := testbed.ParseSchedule(text)
 	if err != nil {
@@ -128,14 +128,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s := &stage{out: out}
-	defer s.clear()
+	s := &rehearsalHost{out: out}
+	defer s.runCleanups()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(stop)
 	defer func() {
-		if e := recover(); e == errStage {
-			err = fmt.Errorf("%w: %s", errStage, strings.Join(s.faults, "; "))
+		if e := recover(); e == errEndedEarly {
+			err = fmt.Errorf("%w: %s", errEndedEarly, strings.Join(s.faults, "; "))
 		} else if e != nil {
 			panic(e)
 		}
@@ -144,7 +144,7 @@
 }
 
 // play starts the fleet, plays the schedule and writes what was seen.
-func (c *rehearseCommand) play(s *stage, dir string, steps []testbed.Step, stop <-chan os.Signal) error {
+func (c *rehearseCommand) play(s *rehearsalHost, dir string, steps []testbed.Step, stop <-chan os.Signal) error {
 	fmt.Fprintf(s.out, "starting %d orchestrators and %d nodes\n", c.Orchestrators, c.Nodes)
 	f := fleet.New(s, fleet.Options{Programs: c.Program, Dir: dir, Orchestrators: c.Orchestrators, Nodes: c.Nodes, Seed: max(1, c.Seed)})
 	length := time.Duration(c.Seconds) * time.Second
@@ -171,7 +171,7 @@
 			}
 			continue
 		case <-stop:
-			return fmt.Errorf("%w: told to end", errStage)
+			return fmt.Errorf("%w: told to end", errEndedEarly)
 		case <-over:
 			tick.Stop()
 		}
@@ -180,14 +180,14 @@
 	return c.leave(s, f, placed, steps)
 }
 
-// leave writes the record and the picture, and says what came of it.
-func (c *rehearseCommand) leave(s *stage, f *fleet.Fleet, placed *fleet.Placed, steps []testbed.Step) error {
+// beginShutdown writes the record and the picture, and says what came of it.
+func (c *rehearseCommand) leave(s *rehearsalHost, f *fleet.Fleet, placed *fleet.Placed, steps []testbed.Step) error {
 	v := f.Judge()
 	faults := append(s.faults, v.Why...)
 	if n := len(placed.Silent()); n > 0 {
 		faults = append(faults, fmt.Sprintf("%d set-ups without an answer", n))
 	}
-	r := record{Program: c.Program, Schedule: testbed.Text(steps), Verdict: v.String(), Faults: faults, Total: placed.Total(),
+	r := recording{Program: c.Program, Schedule: testbed.Text(steps), Verdict: v.String(), Faults: faults, Total: placed.Total(),
 		P99Ms: float64(placed.P99().Microseconds()) / 1000, Seconds: placed.Seconds()}
 	r.Moments, r.Steps = f.Record()
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
@@ -212,9 +212,9 @@
 	return nil
 }
 
-// word says how an orchestrator is, and is seen.
-func word(x fleet.Seen) string {
-	return map[string]string{"up": "up", "doubted": "suspected", "dead": "cut off", "down": "down", "ghost": "gone"}[look(x)]
+// statusLabel says how an orchestrator is, and is seen.
+func statusLabel(x fleet.Seen) string {
+	return map[string]string{"up": "up", "doubted": "suspected", "dead": "cut off", "down": "down", "ghost": "gone"}[statusOf(x)]
 }
 
 // show prints how things stand: a table that is drawn over itself on a terminal, else a
@@ -229,7 +229,7 @@
 	if file != os.Stdout || err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		var words []string
 		for _, x := range m.Fleet {
-			words = append(words, x.Name+" "+word(x))
+			words = append(words, x.Name+" "+statusLabel(x))
 		}
 		fmt.Fprintf(out, "%5.1f s  %4d started, %d refused  %s\n", m.At, last.Started, last.Refused, strings.Join(words, ", "))
 		return 0
@@ -239,7 +239,7 @@
 	}
 	fmt.Fprintf(out, "%5.1f s  %4d started in the last second, %d refused, %d failed, %d lost\x1b[K\n", m.At, last.Started, last.Refused, last.Failed, last.Lost)
 	for _, x := range m.Fleet {
-		fmt.Fprintf(out, "  %-4s %-8s %-8s seen alive by %d, suspected by %d, dead by %d; sees %d\x1b[K\n", x.Name, x.Hall, word(x), x.Alive,
+		fmt.Fprintf(out, "  %-4s %-8s %-8s seen alive by %d, suspected by %d, dead by %d; sees %d\x1b[K\n", x.Name, x.Hall, statusLabel(x), x.Alive,
 			x.Suspected, x.Dead, x.Sees)
 	}
 	return len(m.Fleet) + 1
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -35,30 +35,30 @@
 // server is one orchestrator, its parts joined.
 type server struct {
 	log   *slog.Logger
-	l     *eventloop.Loop
-	c     *dispatch.Dispatcher
-	nodes *workerpool.Pool
-	addr  string // of the platform's front
-	grpc  *grpcfront.Front
-	gaddr string // of the gRPC front, "" where that is off
-	// tickets is the file of the keys of return tickets, "" where none are given
-	tickets string
+	loop     *eventloop.Loop
+	dispatcher     *dispatch.Dispatcher
+	pool *workerpool.Pool
+	clientAddr  string // of the platform's front
+	grpcFront  *grpcfront.Front
+	grpcAddr string // of the gRPC front, "" where that is off
+	// tokenKeysPath is the file of the keys of return tickets, "" where none are given
+	tokenKeysPath string
 
-	front        *clientfront.Front
-	channel      *discovery.Follower
+	clientFront        *clientfront.Front
+	follower      *discovery.Follower
 	peers        *peer.Peers // nil where no others are known
 	assignment   *assignment // of the workers to orchestrators, nil where this one uses all
 	exporters    []*metrics.Exporter
 	drainTimeout int64 // how long after Stop what is still open is answered
-	leaving      bool  // told to end
-	inherited    bool  // the platform holds the owners' socket
-	successor    bool  // a process that goes on serves it already
-	// look asks for a look at the files for a successor, nil where nobody keeps files.
-	look chan struct{}
-	// drainTimeoutBeside is how long after Stop what is open is answered where there is a successor.
-	drainTimeoutBeside int64
-	maddr              string // where operators' staff call, "" where nobody does
-	over               chan struct{}
+	shuttingDown      bool  // told to end
+	inheritedListener    bool  // the platform holds the owners' socket
+	hasSuccessor    bool  // a process that goes on serves it already
+	// statusOf asks for a look at the files for a successor, nil where nobody keeps files.
+	successorChecks chan struct{}
+	// drainTimeoutWithSuccessor is how long after Stop what is open is answered where there is a successor.
+	drainTimeoutWithSuccessor int64
+	adminAddr              string // where operators' staff call, "" where nobody does
+	stopped               chan struct{}
 }
 
 // start joins the parts and begins to listen; Run serves.
@@ -67,30 +67,30 @@
 	if err != nil {
 		return nil, err
 	}
-	p = &server{log: log, over: make(chan struct{})}
-	if p.l, err = eventloop.New(budget); err != nil {
+	p = &server{log: log, stopped: make(chan struct{})}
+	if p.loop, err = eventloop.New(budget); err != nil {
 		return nil, err
 	}
 	defer func(l *eventloop.Loop) {
 		if err != nil { // p is nil then
 			l.Close()
 		}
-	}(p.l)
+	}(p.loop)
 	if cfg.MemoryMB > 0 {
 		// What all connections together leave unread fits into a quarter of the memory.
-		p.l.SetMaxBuffered(max(minUnread, int(cfg.MemoryMB<<20)/4/budget))
+		p.loop.SetMaxBuffered(max(minUnread, int(cfg.MemoryMB<<20)/4/budget))
 	}
-	p.drainTimeout = drainTimeout(cfg.Settings, maxDeadline)
-	p.inherited = cfg.Inherited > 0
-	p.drainTimeoutBeside = drainTimeout(cfg.Settings, deadlineBeside)
-	if err = p.startCore(cfg, edge); err != nil {
+	p.drainTimeout = drainTimeout(cfg.Settings, maxDeadlineUs)
+	p.inheritedListener = cfg.Inherited > 0
+	p.drainTimeoutWithSuccessor = drainTimeout(cfg.Settings, maxDeadlineWithSuccessorUs)
+	if err = p.startDispatcher(cfg, edge); err != nil {
 		return nil, err
 	}
 	if err = p.startFronts(cfg, edge, budget); err != nil {
 		return nil, err
 	}
 	p.startExporters(cfg, edge)
-	log.Info("serving", "listen", p.addr, "grpc", p.gaddr, "mgmt", p.maddr, "known", cfg.Initial.Cursor)
+	log.Info("serving", "listen", p.clientAddr, "grpc", p.grpcAddr, "mgmt", p.adminAddr, "known", cfg.Initial.Cursor)
 	return p, nil
 }
 
@@ -110,50 +110,50 @@
 	return budget, nil
 }
 
-// startCore joins the core with the minions' side and the advisor of refused owners.
-func (p *server) startCore(cfg config.Config, edge config.Operators) (err error) {
-	p.nodes = workerpool.New(p.l, cfg.DialTimeoutUs, cfg.Settings.Pings, p.log)
-	p.nodes.SetTraceSuffixes(edge.Trace)
-	p.nodes.SetKeepAlive(edge.Workers.KeepAlive)
-	if p.c, err = dispatch.New(cfg.Settings, cfg.Seed, p.nodes, p.log); err != nil {
+// startDispatcher joins the core with the minions' side and the advisor of refused owners.
+func (p *server) startDispatcher(cfg config.Config, edge config.Operators) (err error) {
+	p.pool = workerpool.New(p.loop, cfg.DialTimeoutUs, cfg.Settings.Pings, p.log)
+	p.pool.SetTraceSuffixes(edge.Trace)
+	p.pool.SetKeepAlive(edge.Workers.KeepAlive)
+	if p.dispatcher, err = dispatch.New(cfg.Settings, cfg.Seed, p.pool, p.log); err != nil {
 		return err
 	}
-	p.c.SetTraceSuffixes(edge.Trace)
-	p.nodes.SetDispatcher(p.c)
+	p.dispatcher.SetTraceSuffixes(edge.Trace)
+	p.pool.SetDispatcher(p.dispatcher)
 	if edge.Backpressure.Constant > 0 {
-		p.c.SetAdvisor(dispatch.FixedRetryAfter(edge.Backpressure.Constant))
+		p.dispatcher.SetAdvisor(dispatch.FixedRetryAfter(edge.Backpressure.Constant))
 		return nil
 	}
 	s := dispatch.BackpressureSettings(cfg.Settings)
 	s.MinRetryAfterUs, s.Callers = edge.Backpressure.Least.Microseconds(), edge.Backpressure.Callers
-	p.c.SetAdvisor(backpressure.New(s, cfg.Seed))
+	p.dispatcher.SetAdvisor(backpressure.New(s, cfg.Seed))
 	return nil
 }
 
 // startFronts follows the command channel and begins to listen: to operators, to owners,
 // to other orchestrators, and to owners that speak gRPC.
 func (p *server) startFronts(cfg config.Config, edge config.Operators, budget int) (err error) {
-	p.front = clientfront.NewFront(p.l, p.c, budget*3/4, cfg.ConnIdleUs, p.log)
-	p.front.SetTraceSuffixes(edge.Trace)
-	shared := descriptors.New(budget, p.front.MaxConnections(), p.l.FreeDescriptors, p.front.Connections)
-	p.front.ShareDescriptors(shared)
-	p.nodes.ShareDescriptors(shared)
-	p.channel = discovery.NewFollower(p.l, p.c, p.nodes, cfg.DiscoveryAddr, cfg.DialTimeoutUs, p.log)
+	p.clientFront = clientfront.NewFront(p.loop, p.dispatcher, budget*3/4, cfg.ConnIdleUs, p.log)
+	p.clientFront.SetTraceSuffixes(edge.Trace)
+	shared := descriptors.New(budget, p.clientFront.MaxConnections(), p.loop.FreeDescriptors, p.clientFront.Connections)
+	p.clientFront.ShareDescriptors(shared)
+	p.pool.ShareDescriptors(shared)
+	p.follower = discovery.NewFollower(p.loop, p.dispatcher, p.pool, cfg.DiscoveryAddr, cfg.DialTimeoutUs, p.log)
 	if edge.Peers.Partition {
-		p.assignment = assign(p.l, p.channel, cfg, edge.Peers)
+		p.assignment = assign(p.loop, p.follower, cfg, edge.Peers)
 	}
-	p.channel.Apply(cfg.Initial, true)
-	p.channel.Start()
+	p.follower.Apply(cfg.Initial, true)
+	p.follower.Start()
 	if cfg.AdminAddr != "" {
 		if err = p.listenAdmin(cfg.AdminAddr, os.TempDir(), p.log); err != nil {
 			return fmt.Errorf("the place of operators' calls: %w", err)
 		}
 	}
-	if p.addr, err = p.front.Listen(cfg.Listen, cfg.Inherited); err != nil {
+	if p.clientAddr, err = p.clientFront.Listen(cfg.Listen, cfg.Inherited); err != nil {
 		return err
 	}
 	if edge.Peers.Listen != "" {
-		if err = p.join(cfg, edge.Peers); err != nil {
+		if err = p.startPeers(cfg, edge.Peers); err != nil {
 			return err
 		}
 	}
@@ -173,17 +173,17 @@
 	if err != nil {
 		return fmt.Errorf("grpc: %w", err)
 	}
-	p.gaddr = ln.Addr().String()
-	p.grpc = grpcfront.New(p.l, p.c, creds)
-	if p.tickets = edge.RetryTokenKeys; p.tickets != "" {
-		keys, err := loadKeys(p.tickets)
+	p.grpcAddr = ln.Addr().String()
+	p.grpcFront = grpcfront.New(p.loop, p.dispatcher, creds)
+	if p.tokenKeysPath = edge.RetryTokenKeys; p.tokenKeysPath != "" {
+		keys, err := loadKeys(p.tokenKeysPath)
 		if err != nil {
 			return err
 		}
-		p.grpc.SetKeys(keys)
+		p.grpcFront.SetKeys(keys)
 	}
 	go func() {
-		if err := p.grpc.Serve(ln); err != nil {
+		if err := p.grpcFront.Serve(ln); err != nil {
 			p.log.Error("gRPC server failed", "err", err)
 		}
 	}()
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -14,17 +14,17 @@
 
 // What a minion knows a repeat by is passed on unchanged, and what only an orchestrator
 // has a use for is not: whom the task is for, how long it runs, that it came before.
-func TestSetUpPassedOn(t *testing.T) {
-	settings := settingsWith(t, change{"RequestClasses.0.Name", "bulletin"}, change{"RequestClasses.0.Semantics", "guarded"},
-		change{"RequestClasses.0.Group", "zone"}, change{"Parties", []any{map[string]any{"Name": "studio"}}},
-		change{"FamilyInfo.ShareCores", []float64{100}})
-	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
-	o := w.owner(t)
+func TestOfferFields(t *testing.T) {
+	settings := changedSettings(t, settingChange{"RequestClasses.0.Name", "bulletin"}, settingChange{"RequestClasses.0.Semantics", "guarded"},
+		settingChange{"RequestClasses.0.Group", "zone"}, settingChange{"Parties", []any{map[string]any{"Name": "studio"}}},
+		settingChange{"FamilyInfo.ShareCores", []float64{100}})
+	w := newServerSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
+	o := w.connect(t)
 	l := testbed.StartLine(testbed.RequestID(1), "bulletin", "ok-1", 5000)
 	own := map[string]string{"idem": "279ca3614cb41c092fc30eea25e0d5b5", "tenant": "studio", "hint": "4409.9", "retry": "1"}
 	maps.Copy(l.Opts, own)
 	testbed.Send(o, l)
-	got := testbed.Wait(t, "the offer", w.minions[0].Starts)
+	got := testbed.Wait(t, "the offer", w.workers[0].Starts)
 	for _, name := range []string{"class", "key", "idem"} {
 		if got.Opts[name] != l.Opts[name] {
 			t.Errorf("%s: expected %q, got %q", name, l.Opts[name], got.Opts[name])
@@ -36,7 +36,7 @@
 	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
 		t.Errorf("got %v", l)
 	}
-	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": longName, "idem": longName} {
+	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": overlongName, "idem": overlongName} {
 		l := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
 		l.Opts[name] = value
 		testbed.Send(o, l)
@@ -46,23 +46,23 @@
 	}
 }
 
-const longName = "0123456789012345678901234567890123456789012345678901234567890123456789"
+const overlongName = "0123456789012345678901234567890123456789012345678901234567890123456789"
 
 // Where the deployment allows no tests of minions none is sent; the next attempt goes out
 // all the same, and no copy with it.
-func TestNoTests(t *testing.T) {
-	f := newFieldOf(t, settingsWith(t, change{"Limits.Probes", false}), "a", "b")
-	missed := f.ask("missed", 8, 2000)
-	f.said(t, missed)
-	f.allTaken(t, missed)
+func TestProbesDisabled(t *testing.T) {
+	f := newProxiedServerWith(t, changedSettings(t, settingChange{"Limits.Probes", false}), "a", "b")
+	missed := f.submit("missed", 8, 2000)
+	f.noteOnceHalfOffered(t, missed)
+	f.expectAllStarted(t, missed)
 	// What is withdrawn needs no proof, and costs nobody a connection.
-	silent := f.ask("silent", 4, 60_000)
-	f.said(t, silent)
+	silent := f.submit("silent", 4, 60_000)
+	f.noteOnceHalfOffered(t, silent)
 	for _, tag := range silent {
 		testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
 	}
-	f.soon(t, "no attempt out", func() bool { return len(f.attempts.Open()) == 0 })
-	for _, m := range f.minions {
+	f.eventually(t, "no attempt out", func() bool { return len(f.attempts.Open()) == 0 })
+	for _, m := range f.workers {
 		if n := m.PingCount(); n > 0 {
 			t.Errorf("%s got %d tests", m.Name, n)
 		}
@@ -73,10 +73,10 @@
 }
 
 // Where the deployment allows no advice on refusals, none is given, nor by the front itself.
-func TestNoAdvice(t *testing.T) {
-	settings := settingsWith(t, change{"Limits.RetryAfter", false})
-	w := newWorldSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
-	o := w.owner(t)
+func TestRetryAfterDisabled(t *testing.T) {
+	settings := changedSettings(t, settingChange{"Limits.RetryAfter", false})
+	w := newServerSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
+	o := w.connect(t)
 	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "full-1", 300))
 	for i := range 40 { // more than a new connection may have open
 		testbed.Send(o, testbed.StartLine(testbed.RequestID(2+i), "guide-web", "silent-2", 300))
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// stillComing is how long after SIGTERM requests keep coming.
-	stillComing = 800_000
+	// lateRequestsUs is how long after SIGTERM requests keep coming.
+	lateRequestsUs = 800_000
 	// The kill comes no sooner after SIGTERM than the longest deadline, counted as
-	// maxDeadline where it is longer, and killSlack; what is still open is answered
+	// maxDeadlineUs where it is longer, and killSlack; what is still open is answered
 	// quitEarly before it.
 	// Where the platform holds the owners' socket, another process may serve beside this
-	// one, and the kill comes no sooner than deadlineBeside and killSlack.
-	maxDeadline    = 3_000_000
-	deadlineBeside = 5_000_000
+	// one, and the kill comes no sooner than maxDeadlineWithSuccessorUs and killSlack.
+	maxDeadlineUs    = 3_000_000
+	maxDeadlineWithSuccessorUs = 5_000_000
 	killSlack      = 700_000
 	quitEarly      = 300_000
 	// quitFlush is how long of that the last answers may take to be read.
@@ -33,104 +33,104 @@
 	for _, c := range s.Classes {
 		us = max(us, c.DeadlineUs)
 	}
-	return max(stillComing, min(us, most)+killSlack-quitEarly)
+	return max(lateRequestsUs, min(us, most)+killSlack-quitEarly)
 }
 
 // Stop makes Run end once what was taken is answered. It may be called from any
 // goroutine, and more than once.
 func (p *server) Stop() {
-	p.l.Post(func() {
-		if p.inherited && !p.successor {
+	p.loop.Post(func() {
+		if p.inheritedListener && !p.hasSuccessor {
 			// A successor may have begun since the files were last looked at: whoever came
 			// meanwhile would be taken here and sent away again.
 			select {
-			case p.look <- struct{}{}:
-				p.l.After(maxLook, p.leave)
+			case p.successorChecks <- struct{}{}:
+				p.loop.After(maxLook, p.beginShutdown)
 				return
 			default:
 			}
 		}
-		p.leave()
+		p.beginShutdown()
 	})
 }
 
-// leave begins the end, once.
-func (p *server) leave() {
-	if p.leaving {
+// beginShutdown begins the end, once.
+func (p *server) beginShutdown() {
+	if p.shuttingDown {
 		return
 	}
-	p.leaving = true
-	if p.grpc != nil {
-		p.grpc.SetNotServing()
+	p.shuttingDown = true
+	if p.grpcFront != nil {
+		p.grpcFront.SetNotServing()
 	}
 	if p.peers != nil {
 		p.peers.Leave()
 	}
-	p.log.Info("shutting down", "open", p.c.OpenCount(), "running", p.c.RunningCount(), "successor", p.successor)
-	if p.inherited {
-		p.handOver(p.l.Now())
+	p.log.Info("shutting down", "open", p.dispatcher.OpenCount(), "running", p.dispatcher.RunningCount(), "successor", p.hasSuccessor)
+	if p.inheritedListener {
+		p.handOver(p.loop.Now())
 		return
 	}
-	p.end(p.l.Now())
+	p.drain(p.loop.Now())
 }
 
 // Run serves until Stop.
 func (p *server) Run() error {
-	defer p.l.Close()
-	defer close(p.over)
+	defer p.loop.Close()
+	defer close(p.stopped)
 	var timer *eventloop.Timer
 	var due int64
-	defer p.nodes.Close()
-	err := p.l.Run(func(now int64) {
-		p.c.ObserveTurn(p.l.TurnDuration())
-		p.nodes.DeliverPending()
-		p.c.Turn(now)
-		if next := p.c.NextDeadline(); next != due || !timer.Pending() {
+	defer p.pool.Close()
+	err := p.loop.Run(func(now int64) {
+		p.dispatcher.ObserveTurn(p.loop.TurnDuration())
+		p.pool.DeliverPending()
+		p.dispatcher.Turn(now)
+		if next := p.dispatcher.NextDeadline(); next != due || !timer.Pending() {
 			timer.Stop()
 			if due = next; due > 0 {
-				timer = p.l.At(due, func() {})
+				timer = p.loop.At(due, func() {})
 			}
 		}
 	})
-	if p.grpc != nil {
-		p.grpc.Close()
+	if p.grpcFront != nil {
+		p.grpcFront.Close()
 	}
 	for _, e := range p.exporters {
 		e.Close(exportersWait)
 	}
-	p.log.Info("stopped", "counts", fmt.Sprintf("%+v", p.c.Counts()))
+	p.log.Info("stopped", "counts", fmt.Sprintf("%+v", p.dispatcher.Counts()))
 	return err
 }
 
-// end keeps serving while requests still come, then ends once nothing is open and
+// drain keeps serving while requests still come, then ends once nothing is open and
 // nobody waits to be let in, and answers what is left before the kill comes. Who
 // waits in the system's queue may have sent a request, which an end would lose.
-func (p *server) end(since int64) {
-	switch age := p.l.Now() - since; {
+func (p *server) drain(since int64) {
+	switch age := p.loop.Now() - since; {
 	case age >= p.drainTimeout:
-		p.quit(since, p.drainTimeout)
-	case age >= stillComing && !p.owes() && !p.l.HasQueuedConnections():
-		p.l.Stop()
+		p.rejectAndStop(since, p.drainTimeout)
+	case age >= lateRequestsUs && !p.hasUnfinishedWork() && !p.loop.HasQueuedConnections():
+		p.loop.Stop()
 	default:
-		p.l.After(10_000, func() { p.end(since) })
+		p.loop.After(10_000, func() { p.drain(since) })
 	}
 }
 
-// owes reports whether an end now would lose something that is owed: an answer or a part of
+// hasUnfinishedWork reports whether an end now would lose something that is owed: an answer or a part of
 // one, a release, a minion's word on one.
-func (p *server) owes() bool {
-	return p.c.OpenCount() > 0 || p.front.HasUndelivered() || p.nodes.HasUnconfirmedReleases()
+func (p *server) hasUnfinishedWork() bool {
+	return p.dispatcher.OpenCount() > 0 || p.clientFront.HasUndelivered() || p.pool.HasUnconfirmedReleases()
 }
 
-// quit answers what is open at the drain timeout, and ends once the owners have taken that, or
+// rejectAndStop answers what is open at the drain timeout, and ends once the owners have taken that, or
 // shortly before the kill.
-func (p *server) quit(since, last int64) {
-	p.c.RejectAll(p.l.Now())
-	if !p.front.HasUndelivered() || p.l.Now()-since >= last+quitFlush {
-		p.l.Stop()
+func (p *server) rejectAndStop(since, last int64) {
+	p.dispatcher.RejectAll(p.loop.Now())
+	if !p.clientFront.HasUndelivered() || p.loop.Now()-since >= last+quitFlush {
+		p.loop.Stop()
 		return
 	}
-	p.l.After(10_000, func() { p.quit(since, last) })
+	p.loop.After(10_000, func() { p.rejectAndStop(since, last) })
 }
 
 // handOver ends a process whose owners' socket the platform holds. Where a successor serves
@@ -139,19 +139,19 @@
 // process, which starts only once this one was killed: so it serves until shortly
 // before that, and leaves to the queue only whom it could not answer any more.
 func (p *server) handOver(since int64) {
-	age, last := p.l.Now()-since, p.drainTimeout
-	if p.successor {
-		last = p.drainTimeoutBeside
+	age, last := p.loop.Now()-since, p.drainTimeout
+	if p.hasSuccessor {
+		last = p.drainTimeoutWithSuccessor
 	}
-	if p.successor || age >= last-stillComing/2 {
-		p.l.Unlisten(p.addr)
+	if p.hasSuccessor || age >= last-lateRequestsUs/2 {
+		p.loop.Unlisten(p.clientAddr)
 	}
 	switch {
 	case age >= last:
-		p.quit(since, last)
-	case p.successor && age >= stillComing && !p.owes():
-		p.l.Stop()
+		p.rejectAndStop(since, last)
+	case p.hasSuccessor && age >= lateRequestsUs && !p.hasUnfinishedWork():
+		p.loop.Stop()
 	default:
-		p.l.After(10_000, func() { p.handOver(since) })
+		p.loop.After(10_000, func() { p.handOver(since) })
 	}
 }
--- a/cmd/ravenhitch/standin_test.go
+++ b/cmd/ravenhitch/standin_test.go
@@ -14,7 +14,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-const settingsText = `{"SelfIndex":0,"FleetSize":1,"Zone":"hall-a","Discovery":"subscribe","TickUs":2000,
+const settingsJSON = `{"SelfIndex":0,"FleetSize":1,"Zone":"hall-a","Discovery":"subscribe","TickUs":2000,
  "Flavors":["std"],"FamilyInfo":{"View":true,"SaysYes":"accepted","CoresMultiple":1.0,"MemoryMultiple":1.0,
  "SizeCores":[32],"MemoryByKind":[64.0],"UnitCores":1.0,"UnitMemory":2.0,"Counts":"asked","ApartBy":["none","none"],
  "CalmLevel":[0.8,0.8],"LostAfter":[0.2,0.2],"KindByClass":[-1,-1],"ClassMost":[2,2],"ClassStartS":[10.0,8.0],
@@ -27,26 +27,26 @@
  "Importance":1.0,"WindowUs":5000000},{"Name":"archive-cut","Semantics":"single_shot","Group":"all",
  "OnTimeUs":6000000,"DeadlineUs":10000000,"Importance":5.0,"WindowUs":5000000}]}`
 
-// configText is a configuration that knows all events so far.
-func configText(f *testbed.Discovery) string { return configOf(f, settingsText) }
+// configJSON is a configuration that knows all events so far.
+func configJSON(f *testbed.Discovery) string { return configWith(f, settingsJSON) }
 
-func configOf(f *testbed.Discovery, settings string) string {
+func configWith(f *testbed.Discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"channel":%q,"known":%s,"settings":%s}`,
 		f.Srv.Listener.Addr(), f.InitialList(0), settings)
 }
 
-// change is one setting of another customer: its path, and its value.
-type change struct {
+// settingChange is one setting of another customer: its path, and its value.
+type settingChange struct {
 	path  string
 	value any
 }
 
-// settingsWith is settingsText with some of its settings changed.
-func settingsWith(t *testing.T, changes ...change) string {
+// changedSettings is settingsJSON with some of its settings changed.
+func changedSettings(t *testing.T, changes ...settingChange) string {
 	t.Helper()
 	var all any
-	if err := json.Unmarshal([]byte(settingsText), &all); err != nil {
+	if err := json.Unmarshal([]byte(settingsJSON), &all); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range changes {
@@ -72,49 +72,49 @@
 	return string(b)
 }
 
-// world is a program with the stand-ins round it.
-type world struct {
+// testServer is a program with the stand-ins round it.
+type testServer struct {
 	*server
-	feed    *testbed.Discovery
-	minions []*testbed.Worker
-	over    chan error
+	discovery    *testbed.Discovery
+	workers []*testbed.Worker
+	runResult    chan error
 	aged    chan int64 // how old it is by its own clock, where a test asks
 }
 
-func newWorld(t *testing.T, names ...string) *world {
-	return newWorldWith(t, config.Operators{GRPCListen: "127.0.0.1:0"}, names...)
+func newTestServer(t *testing.T, names ...string) *testServer {
+	return newServerWithOperators(t, config.Operators{GRPCListen: "127.0.0.1:0"}, names...)
 }
 
-func newWorldWith(t *testing.T, edge config.Operators, names ...string) *world {
-	return newWorldOf(t, edge, 1024, names...)
+func newServerWithOperators(t *testing.T, edge config.Operators, names ...string) *testServer {
+	return newServerOf(t, edge, 1024, names...)
 }
 
-func newWorldLimited(t *testing.T, sockets int64, names ...string) *world {
-	return newWorldOf(t, config.Operators{}, sockets, names...)
+func newServerWithSockets(t *testing.T, sockets int64, names ...string) *testServer {
+	return newServerOf(t, config.Operators{}, sockets, names...)
 }
 
-func newWorldOf(t *testing.T, edge config.Operators, sockets int64, names ...string) *world {
-	return newWorldBy(t, edge, sockets, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, names...)
+func newServerOf(t *testing.T, edge config.Operators, sockets int64, names ...string) *testServer {
+	return newServerBy(t, edge, sockets, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, names...)
 }
 
-// newWorldBy hands every minion to by before anything connects to it.
-func newWorldBy(t *testing.T, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker), names ...string) *world {
-	return newWorldSet(t, settingsText, edge, sockets, log, by, names...)
+// newServerBy hands every minion to by before anything connects to it.
+func newServerBy(t *testing.T, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker), names ...string) *testServer {
+	return newServerSet(t, settingsJSON, edge, sockets, log, by, names...)
 }
 
-// newWorldSet is the same under other settings.
-func newWorldSet(t *testing.T, settings string, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker),
-	names ...string) *world {
-	w := &world{feed: testbed.NewDiscovery(t), over: make(chan error, 1), aged: make(chan int64, 1)}
+// newServerSet is the same under other settings.
+func newServerSet(t *testing.T, settings string, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker),
+	names ...string) *testServer {
+	w := &testServer{discovery: testbed.NewDiscovery(t), runResult: make(chan error, 1), aged: make(chan int64, 1)}
 	var members []string
 	for _, n := range names {
 		m := testbed.NewWorker(t, n)
 		by(m)
-		w.minions = append(w.minions, m)
+		w.workers = append(w.workers, m)
 		members = append(members, m.ListEntry("up"))
 	}
-	w.feed.Add(true, members...)
-	cfg, err := config.Parse([]byte(configOf(w.feed, settings)))
+	w.discovery.Add(true, members...)
+	cfg, err := config.Parse([]byte(configWith(w.discovery, settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,21 +126,21 @@
 	done := make(chan struct{})
 	go func() {
 		err := w.Run()
-		w.over <- err
+		w.runResult <- err
 		close(done)
 	}()
 	t.Cleanup(func() {
-		w.l.Post(w.l.Stop)
+		w.loop.Post(w.loop.Stop)
 		<-done
 	})
 	return w
 }
 
-// owner connects a stand-in owner.
-func (w *world) owner(t *testing.T) *testbed.Client { return testbed.NewClient(t, w.addr) }
+// connect connects a stand-in owner.
+func (w *testServer) connect(t *testing.T) *testbed.Client { return testbed.NewClient(t, w.clientAddr) }
 
-// wantCause takes the owner's next line, which must speak of tag with a cause.
-func wantCause(t *testing.T, what string, o *testbed.Client, tag string, cause int) {
+// expectCause takes the owner's next line, which must speak of tag with a cause.
+func expectCause(t *testing.T, what string, o *testbed.Client, tag string, cause int) {
 	t.Helper()
 	if l := testbed.Wait(t, what, o.Lines); l.Tag != tag || l.Cause() != cause {
 		t.Errorf("%s: got %v", what, l)
--- a/cmd/ravenhitch/start_test.go
+++ b/cmd/ravenhitch/start_test.go
@@ -28,20 +28,20 @@
 // whatever it is called.
 const startListeners = 8
 
-// fleetOfStarts is the processes and what they are joined to.
-type fleetOfStarts struct {
-	feed      *testbed.Discovery
+// restartRig is the processes and what they are joined to.
+type restartRig struct {
+	discovery      *testbed.Discovery
 	processes []*testbed.Process
 }
 
-func newFleetOfStarts(t *testing.T, processes, workers int) *fleetOfStarts {
+func newRestartRig(t *testing.T, processes, workers int) *restartRig {
 	t.Helper()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "ravenhitch")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	f := &fleetOfStarts{feed: testbed.NewDiscovery(t)}
+	f := &restartRig{discovery: testbed.NewDiscovery(t)}
 	var listeners []*testbed.Worker
 	for i := range startListeners {
 		listeners = append(listeners, testbed.NewWorker(t, fmt.Sprint("listener", i)))
@@ -51,10 +51,10 @@
 		m := listeners[i%startListeners]
 		members = append(members, strings.Replace(m.ListEntry("up"), fmt.Sprintf("%q", m.Name), fmt.Sprintf(`"s-%08x"`, i), 1))
 	}
-	f.feed.Add(true, members...)
+	f.discovery.Add(true, members...)
 	for i := range processes {
 		path := filepath.Join(dir, fmt.Sprintf("config%d.json", i))
-		if err := os.WriteFile(path, []byte(configText(f.feed)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(configJSON(f.discovery)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		f.processes = append(f.processes, &testbed.Process{Name: fmt.Sprintf("n%d", i), Bin: bin,
@@ -64,7 +64,7 @@
 	return f
 }
 
-func (f *fleetOfStarts) kill() {
+func (f *restartRig) kill() {
 	for _, p := range f.processes {
 		p.End(syscall.SIGKILL)
 	}
@@ -72,7 +72,7 @@
 
 // start starts all processes at once. It returns how long each took until it had passed a
 // test, in order.
-func (f *fleetOfStarts) start(t *testing.T) []time.Duration {
+func (f *restartRig) start(t *testing.T) []time.Duration {
 	t.Helper()
 	type ready struct {
 		took time.Duration
@@ -84,7 +84,7 @@
 			began := time.Now()
 			err := p.Start()
 			if err == nil {
-				err = passesTest(p)
+				err = pingUntilReady(p)
 			}
 			all <- ready{time.Since(began), err}
 		}()
@@ -101,8 +101,8 @@
 	return took
 }
 
-// passesTest tests a process as the front does, as soon as it serves.
-func passesTest(p *testbed.Process) error {
+// pingUntilReady tests a process as the front does, as soon as it serves.
+func pingUntilReady(p *testbed.Process) error {
 	addr, err := p.WaitForLog("listen=")
 	if err != nil {
 		return err
@@ -124,8 +124,8 @@
 	}
 }
 
-// serves lets a process place a task at a worker.
-func serves(t *testing.T, p *testbed.Process, tag string) {
+// expectServes lets a process place a task at a worker.
+func expectServes(t *testing.T, p *testbed.Process, tag string) {
 	t.Helper()
 	addr, err := p.WaitForLog("listen=")
 	if err != nil {
@@ -141,12 +141,12 @@
 // All processes are killed and started again at once: each is ready again, and places tasks.
 // The times are printed and not asserted; -args -processes 16 -workers 4000 plays it in full.
 func TestRestartedAtOnce(t *testing.T) {
-	f := newFleetOfStarts(t, *startProcesses, *startWorkers)
+	f := newRestartRig(t, *startProcesses, *startWorkers)
 	f.start(t)
 	f.kill()
 	took := f.start(t)
 	for i, p := range f.processes {
-		serves(t, p, testbed.RequestID(i+1))
+		expectServes(t, p, testbed.RequestID(i+1))
 	}
 	f.kill()
 	n := len(took)
--- a/cmd/ravenhitch/tickets_test.go
+++ b/cmd/ravenhitch/tickets_test.go
@@ -20,24 +20,24 @@
 	"ravenhitch/internal/testbed"
 )
 
-const oneKey = "[keys]\nkey 2026-12 000102030405060708090a0b0c0d0e0f\n"
+const tokenKeys = "[keys]\nkey 2026-12 000102030405060708090a0b0c0d0e0f\n"
 
-// newTicketWorld is a program with keys of return tickets.
-func newTicketWorld(t *testing.T, keys string) (*world, string) {
+// newServerWithTokenKeys is a program with keys of return tickets.
+func newServerWithTokenKeys(t *testing.T, keys string) (*testServer, string) {
 	path := filepath.Join(t.TempDir(), "tickets.keys")
 	if err := os.WriteFile(path, []byte(keys), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return newWorldWith(t, config.Operators{GRPCListen: "127.0.0.1:0", RetryTokenKeys: path}, "a"), path
+	return newServerWithOperators(t, config.Operators{GRPCListen: "127.0.0.1:0", RetryTokenKeys: path}, "a"), path
 }
 
 // A ticket given by one orchestrator proves the place in line at another of the same
 // key, once, at its time; any other ticket is worth none, and the offer is served.
-func TestReturnTickets(t *testing.T) {
-	here, _ := newTicketWorld(t, oneKey)
-	there, path := newTicketWorld(t, oneKey)
-	first := offer(testbed.RequestID(1), "guide-web", "full-1", 1000)
-	_, err := here.client(t).Place(t.Context(), first)
+func TestRetryTokens(t *testing.T) {
+	here, _ := newServerWithTokenKeys(t, tokenKeys)
+	there, path := newServerWithTokenKeys(t, tokenKeys)
+	first := newOffer(testbed.RequestID(1), "guide-web", "full-1", 1000)
+	_, err := here.grpcClient(t).Place(t.Context(), first)
 	var ticket []byte
 	var wait time.Duration
 	for _, d := range status.Convert(err).Details() {
@@ -56,9 +56,9 @@
 	bring := func(task string, ticket []byte) {
 		t.Helper()
 		n++
-		o := offer(testbed.RequestID(n), "guide-web", task, 1000)
+		o := newOffer(testbed.RequestID(n), "guide-web", task, 1000)
 		o.Ticket = ticket
-		if _, err := there.client(t).Place(t.Context(), o); status.Code(err) != codes.ResourceExhausted {
+		if _, err := there.grpcClient(t).Place(t.Context(), o); status.Code(err) != codes.ResourceExhausted {
 			t.Errorf("got %v", err)
 		}
 	}
@@ -73,7 +73,7 @@
 	check := func(want grpcfront.TokenCounts) {
 		t.Helper()
 		var got grpcfront.TokenCounts
-		if there.on(t, func() { got = there.grpc.TokenCounts() }); got != want {
+		if there.onLoop(t, func() { got = there.grpcFront.TokenCounts() }); got != want {
 			t.Errorf("%+v, expected %+v", got, want)
 		}
 	}
@@ -91,16 +91,16 @@
 
 // The client package follows the advice of a real orchestrator: refused at first, it
 // comes back at its time, with its ticket, and is bound once there is room.
-func TestClientComesBack(t *testing.T) {
-	w, _ := newTicketWorld(t, oneKey)
-	conn, err := grpc.NewClient(w.gaddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+func TestClientRetriesWithToken(t *testing.T) {
+	w, _ := newServerWithTokenKeys(t, tokenKeys)
+	conn, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	b := testbed.NewWorker(t, "b")
-	w.feed.Add(true, w.minions[0].ListEntry("draining"), b.ListEntry("draining"))
-	w.feed.WaitPolled(t)
+	w.discovery.Add(true, w.workers[0].ListEntry("draining"), b.ListEntry("draining"))
+	w.discovery.WaitPolled(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testbed.Patience)
 	defer cancel()
 	type outcome struct {
@@ -113,13 +113,13 @@
 			client.Task{Name: "ok-7", Class: "guide-web", Cores: 1, Memory: 2}, nil)
 		done <- outcome{b, err}
 	}()
-	w.until(t, "a refusal", func() bool { return w.c.Counts().Rejected > 0 })
-	w.feed.Add(true, b.ListEntry("up"))
+	w.waitUntil(t, "a refusal", func() bool { return w.dispatcher.Counts().Rejected > 0 })
+	w.discovery.Add(true, b.ListEntry("up"))
 	if o := testbed.Wait(t, "the binding", done); o.error != nil || o.Node != "b" {
 		t.Errorf("got %+v", o)
 	}
 	var got grpcfront.TokenCounts
-	if w.on(t, func() { got = w.grpc.TokenCounts() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
+	if w.onLoop(t, func() { got = w.grpcFront.TokenCounts() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
 		t.Errorf("tickets: %+v", got)
 	}
 	if n := b.StartCount("ok-7"); n != 1 {
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -23,8 +23,8 @@
 // colours by how an orchestrator was and was seen.
 var colours = map[string]string{"up": "#4c9f70", "doubted": "#e3b23c", "dead": "#c8553d", "down": "#b8bec7", "ghost": "#7d8597"}
 
-// look is how an orchestrator was at a moment, as a key of colours.
-func look(x fleet.Seen) string {
+// statusOf is how an orchestrator was at a moment, as a key of colours.
+func statusOf(x fleet.Seen) string {
 	switch {
 	case !x.Up && x.Alive+x.Suspected > 0:
 		return "ghost" // it is not there, and some do not know
@@ -39,7 +39,7 @@
 }
 
 // picture is the record as SVG.
-func (r *record) picture() []byte {
+func (r *recording) picture() []byte {
 	var b bytes.Buffer
 	c := svg.New(&b)
 	rows := 0
@@ -63,7 +63,7 @@
 	return b.Bytes()
 }
 
-func (r *record) drawRows(c *svg.SVG, bars int, text string) {
+func (r *recording) drawRows(c *svg.SVG, bars int, text string) {
 	end := max(1, r.Moments[len(r.Moments)-1].At)
 	x := func(at float64) int { return leftEdge + int(max(0, at)/end*(pictureWidth-leftEdge-20)) }
 	for i, m := range r.Moments {
@@ -72,7 +72,7 @@
 			to = x(r.Moments[i+1].At)
 		}
 		for row, s := range m.Fleet {
-			c.Rect(x(m.At), topEdge+row*rowHeight, max(1, to-x(m.At)), rowHeight-4, "fill:"+colours[look(s)])
+			c.Rect(x(m.At), topEdge+row*rowHeight, max(1, to-x(m.At)), rowHeight-4, "fill:"+colours[statusOf(s)])
 		}
 	}
 	for row, s := range r.Moments[0].Fleet {
