--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -1,128 +1,117 @@
 package main
 
-// This file joins the admin listener with the program: what an operator's call does. It
-// must never answer yes before what was asked is kept, and never do disk work on the loop.
+// This file owns what an admin call does. It must never answer a change with success before the change
+// is stored, and never do disk work on the event loop: the file worker does that.
 
 import (
 	"fmt"
-	"log/slog"
-	"maps"
-	"time"
 
 	"ravenhitch/internal/admin"
 )
 
-// outsEvery is how often the file is read for what another process wrote.
-const outsEvery = 200 * time.Millisecond
-
-// listenAdmin starts to take operators' calls at an address; dir holds the files.
-func (p *server) listenAdmin(addr, dir string, log *slog.Logger) (err error) {
+// listenAdmin starts to take admin calls at an address; dir holds the handover files.
+func (s *server) listenAdmin(addr, dir string) (err error) {
 	store := newHandoverStore(dir)
-	outs, err := store.readCordons()
+	cordons, err := store.readCordons()
 	if err != nil {
 		return fmt.Errorf("minions out by hand: %w", err)
 	}
-	p.dispatcher.SetCordoned(p.loop.Now(), outs)
-	calls := make(chan func(), 64)
-	handle := p.adminHandler(store, calls)
-	if p.adminAddr, err = admin.NewListener(p.loop, log, handle).Listen(addr); err != nil {
+	s.dispatcher.SetCordoned(s.loop.Now(), cordons)
+	tasks := make(chan func(), maxQueuedFileTasks)
+	calls := &adminCalls{server: s, store: store, tasks: tasks}
+	if s.adminAddr, err = admin.NewListener(s.loop, s.log, calls.handle).Listen(addr); err != nil {
 		return err
 	}
-	p.successorChecks = make(chan struct{}, 1)
-	go p.runFileWorker(store, outs, calls)
+	s.successorChecks = make(chan struct{}, 1)
+	worker := &fileWorker{server: s, store: store, cordons: cordons, tasks: tasks}
+	go worker.run() // until the server has stopped
 	return nil
 }
 
-// adminHandler returns what carries out operators' calls.
-func (p *server) adminHandler(store handoverStore, calls chan<- func()) admin.Handler {
-	claimed := false // the file says that this process serves
-	return func(c admin.Call, answer func([]byte)) {
-		switch c.Verb {
-		case admin.Health:
-			switch {
-			case p.shuttingDown:
-				answer(admin.ErrorReply("ending"))
-			case !p.follower.Synced():
-				answer(admin.ErrorReply("the list of minions is not up to date"))
-			case claimed:
-				answer(admin.OKReply())
-			default:
-				p.runOffLoop(calls, store.claimServing, answer, func() { claimed = true })
-			}
-		case admin.Dump:
-			answer(p.dumpFigures().Reply())
-		case admin.Peers:
-			answer(p.statusReport())
-		default:
-			p.cordon(store, calls, c, answer)
-		}
+// adminCalls carries out admin calls. It belongs to the event loop.
+type adminCalls struct {
+	server         *server
+	store          handoverStore
+	tasks          chan<- func() // run by the file worker
+	claimedServing bool          // the handover files say that this process serves
+}
+
+// handle carries out one call.
+func (a *adminCalls) handle(call admin.Call, answer func([]byte)) {
+	switch call.Verb {
+	case admin.Health:
+		a.health(answer)
+	case admin.Dump:
+		answer(a.server.dumpFigures().Reply())
+	case admin.Peers:
+		answer(a.server.statusReport())
+	default:
+		a.cordon(call, answer)
 	}
 }
 
-// cordon takes a minion out or puts it back.
-func (p *server) cordon(store handoverStore, calls chan<- func(), c admin.Call, answer func([]byte)) {
-	if !p.dispatcher.HasWorker(c.ID) {
-		answer(admin.ErrorReply("no minion " + c.ID))
+// health answers whether clients may be sent here. The first success claims that this process serves.
+func (a *adminCalls) health(answer func([]byte)) {
+	switch {
+	case a.server.shuttingDown:
+		answer(admin.ErrorReply("ending"))
+	case !a.server.follower.Synced():
+		answer(admin.ErrorReply("the list of minions is not up to date"))
+	case a.claimedServing:
+		answer(admin.OKReply())
+	default:
+		a.runOffLoop(a.store.claimServing, answer, func() { a.claimedServing = true })
+	}
+}
+
+// cordon cordons or uncordons a worker.
+func (a *adminCalls) cordon(call admin.Call, answer func([]byte)) {
+	s := a.server
+	if !s.dispatcher.HasWorker(call.ID) {
+		answer(admin.ErrorReply("no minion " + call.ID))
 		return
 	}
-	var outs admin.Cordons
-	p.runOffLoop(calls, func() (err error) { outs, err = store.changeCordons(c); return err }, answer,
-		func() { p.dispatcher.SetCordoned(p.loop.Now(), outs) })
+	var cordons admin.Cordons
+	change := func() (err error) {
+		cordons, err = a.store.changeCordons(call)
+		return err
+	}
+	a.runOffLoop(change, answer, func() { s.dispatcher.SetCordoned(s.loop.Now(), cordons) })
 }
 
-// runOffLoop has work on files done off the loop, then calls then on the loop, and answers.
-func (p *server) runOffLoop(calls chan<- func(), work func() error, answer func([]byte), then func()) {
+// runOffLoop has work done by the file worker. Where that succeeds it calls apply on the loop; it
+// answers either way.
+func (a *adminCalls) runOffLoop(work func() error, answer func([]byte), apply func()) {
+	s := a.server
 	task := func() {
 		err := work()
-		p.loop.Post(func() {
+		s.loop.Post(func() {
 			if err != nil {
-				p.log.Error("admin call not stored", "err", err)
+				s.log.Error("admin call not stored", "err", err)
 				answer(admin.ErrorReply("not kept: " + err.Error()))
 				return
 			}
-			then()
+			apply()
 			answer(admin.OKReply())
 		})
 	}
 	select {
-	case calls <- task:
+	case a.tasks <- task:
 	default:
 		answer(admin.ErrorReply("too many calls"))
 	}
 }
 
-// runFileWorker does the work of calls on files, and reads what another process changed.
-func (p *server) runFileWorker(store handoverStore, seen admin.Cordons, calls <-chan func()) {
-	for tick := time.NewTicker(outsEvery); ; {
-		select {
-		case work := <-calls:
-			work()
-		case <-p.stopped:
-			tick.Stop()
-			return
-		case <-p.successorChecks:
-			successor := store.hasSuccessor()
-			p.loop.Post(func() { p.hasSuccessor = p.hasSuccessor || successor; p.beginShutdown() })
-		case <-tick.C:
-			if store.hasSuccessor() {
-				p.loop.Post(func() { p.hasSuccessor = true })
-			}
-			if outs, err := store.readCordons(); err != nil {
-				p.log.Error("cordoned workers not read", "err", err)
-			} else if !maps.Equal(outs, seen) {
-				seen = outs
-				p.loop.Post(func() { p.dispatcher.SetCordoned(p.loop.Now(), outs) })
-			}
-		}
+// dumpFigures are the figures that operators read by an admin call.
+func (s *server) dumpFigures() admin.Figures {
+	figures := admin.Figures{
+		Responses: map[string]admin.Class{},
+		Attempts:  s.pool.OffersSent(),
+		Active:    s.dispatcher.OpenCount() + s.dispatcher.RunningCount(),
 	}
-}
-
-// dumpFigures is the figures as they stand.
-func (p *server) dumpFigures() admin.Figures {
-	f := admin.Figures{Responses: map[string]admin.Class{}, Attempts: p.pool.OffersSent(), Active: p.dispatcher.OpenCount() + p.dispatcher.RunningCount()}
-	f.Pool, f.Ejected = p.dispatcher.PoolSize()
-	for name, e := range p.dispatcher.ClassTotals() {
-		f.Responses[name] = admin.Class{OK: e.Started, Shed: e.Rejected, Errors: e.Failed}
+	figures.Pool, figures.Ejected = s.dispatcher.PoolSize()
+	for name, total := range s.dispatcher.ClassTotals() {
+		figures.Responses[name] = admin.Class{OK: total.Started, Shed: total.Rejected, Errors: total.Failed}
 	}
-	return f
+	return figures
 }
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,6 +1,7 @@
 package main
 
-// This file joins the table of members with the shards that this orchestrator places tasks in.
+// This file joins the membership table with the shards of workers that this orchestrator places tasks
+// on. It must never give up a shard for a view that this orchestrator is not part of.
 
 import (
 	"cmp"
@@ -13,39 +14,40 @@
 	"ravenhitch/internal/shard"
 )
 
-// presumedFor is how long after the start members that the operators' file names are taken to be
-// there though the table does not hold them yet: as long as the death of one that vanished takes
-// to be found. Without it each of a fleet that starts together would ask for all workers.
-const presumedFor = 7_000_000
+// presumedForUs is how long after the start the members that the operators' file names are presumed
+// alive though the table doesn't list them yet: as long as it takes to find that a member is dead.
+// Without it, each of a fleet that starts together would request all workers.
+const presumedForUs = 7 * second
 
-// assignment divides the workers among the members that are there.
+// assignment divides the workers among the members that are alive. It belongs to the event loop.
 type assignment struct {
-	apply      func(discovery.Assignment) // takes a division of the workers
+	apply    func(discovery.Assignment) // takes a new division of the workers
 	regions  shard.Regions
-	self     string
-	presumed []shard.Member // that are taken to be there
-	view     []shard.Member // of the last stable view
+	name     string         // of this orchestrator
+	presumed []shard.Member // members that are presumed alive
+	view     []shard.Member // members of the last stable view
 }
 
-// assign divides the workers, at first among the members that the operators' file names.
-func assign(l *eventloop.Loop, channel *discovery.Follower, cfg config.Config, s config.Peers) *assignment {
-	a := newAssignment(cfg.Name, cmp.Or(s.Hall, cfg.Settings.Zone), s)
-	channel.EnablePartition(a.current())
-	a.apply = channel.SetAssignment
-	l.After(presumedFor, a.endPresumption)
+// startAssignment divides the workers, at first among the members that the operators' file names.
+func startAssignment(loop *eventloop.Loop, follower *discovery.Follower, cfg config.Config, peers config.Peers) *assignment {
+	a := newAssignment(cfg.Name, cmp.Or(peers.Hall, cfg.Settings.Zone), peers)
+	follower.EnablePartition(a.current())
+	a.apply = follower.SetAssignment
+	loop.After(presumedForUs, a.endPresumption)
 	return a
 }
 
-// newAssignment takes the members that the operators' file names to be there.
-func newAssignment(name, zone string, s config.Peers) *assignment {
-	a := &assignment{regions: s.Regions, self: name, presumed: []shard.Member{{Name: name, Zone: zone}}}
-	for _, m := range s.Members {
-		a.presumed = append(a.presumed, shard.Member{Name: m.Name, Zone: m.Zone})
+// newAssignment presumes the members that the operators' file names alive.
+func newAssignment(name, zone string, peers config.Peers) *assignment {
+	a := &assignment{regions: peers.Regions, name: name, presumed: []shard.Member{{Name: name, Zone: zone}}}
+	for _, member := range peers.Members {
+		a.presumed = append(a.presumed, shard.Member{Name: member.Name, Zone: member.Zone})
 	}
 	return a
 }
 
-// endPresumption ends the time in which members are taken to be there that the table does not hold.
+// endPresumption ends the time in which members are presumed alive that the table doesn't list. Where
+// there was no stable view yet, the presumption stays.
 func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
@@ -53,21 +55,21 @@
 	}
 }
 
-// onView takes a stable view of the table of members. One without this orchestrator is of a table
-// that it has not joined yet, or that holds another process under its name: it changes nothing.
+// onView takes a stable view of the membership table. A view without this orchestrator is of a table
+// that it hasn't joined yet, or that lists another process under its name: it changes nothing.
 func (a *assignment) onView(members []membership.Member) {
-	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.self }) {
+	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.name }) {
 		return
 	}
 	a.view = nil
-	for _, m := range members {
-		a.view = append(a.view, shard.Member{Name: m.Name, Zone: m.Zone})
+	for _, member := range members {
+		a.view = append(a.view, shard.Member{Name: member.Name, Zone: member.Zone})
 	}
 	a.apply(a.current())
 }
 
-// connect divides the workers among the members as they are now.
+// current divides the workers among the members as they are now.
 func (a *assignment) current() discovery.Assignment {
 	members := slices.Concat(a.presumed, a.view)
-	return func(zone string) shard.Bits { return a.regions.Assigned(zone, members, a.self) }
+	return func(zone string) shard.Bits { return a.regions.Assigned(zone, members, a.name) }
 }
--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -29,12 +29,12 @@
 		t.Setenv("ROUTER_MGMT", "")
 		os.Unsetenv("ROUTER_MGMT")
 		var out, errs bytes.Buffer
-		if code := command(strings.Fields(c.line), &out, &errs); code != 1 || !strings.Contains(errs.String(), c.want) {
+		if code := runCommand(strings.Fields(c.line), &out, &errs); code != 1 || !strings.Contains(errs.String(), c.want) {
 			t.Errorf("%s: code %d, %q", c.line, code, errs.String())
 		}
 	}
 	var errs bytes.Buffer
-	if command([]string{"rehearse", "--schedule", "2s cut; 3s heal"}, &errs, &errs); !strings.Contains(errs.String(), "step 1: expected a process or a way after cut") {
+	if runCommand([]string{"rehearse", "--schedule", "2s cut; 3s heal"}, &errs, &errs); !strings.Contains(errs.String(), "step 1: expected a process or a way after cut") {
 		t.Errorf("a bad schedule: %q", errs.String())
 	}
 }
@@ -54,8 +54,8 @@
 		t.Fatal(err)
 	}
 	var r recording
-	if err := json.Unmarshal(text, &r); err != nil || len(r.Faults) > 0 || r.Total.Started == 0 || len(r.Moments) < 10 || len(r.Steps) != 2 {
-		t.Errorf("%v; %v, %+v, %d moments, %d steps", err, r.Faults, r.Total, len(r.Moments), len(r.Steps))
+	if err := json.Unmarshal(text, &r); err != nil || len(r.Failures) > 0 || r.Total.Started == 0 || len(r.Moments) < 10 || len(r.Steps) != 2 {
+		t.Errorf("%v; %v, %+v, %d moments, %d steps", err, r.Failures, r.Total, len(r.Moments), len(r.Steps))
 	}
 	if p, err := os.ReadFile(filepath.Join(out, "picture.svg")); err != nil || !bytes.Contains(p, []byte("1s kill n2")) {
 		t.Errorf("the picture: %v", err)
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -1,6 +1,7 @@
 package main
 
-// This file sends figures to Graphite and to collectd.
+// This file exports figures of the server to Graphite and to collectd. It must never wait for a
+// receiver on the event loop: an exporter sends on its own goroutine.
 
 import (
 	"time"
@@ -10,55 +11,65 @@
 	"ravenhitch/internal/metrics"
 )
 
-// exportersWait is how long the last figures may take at the end.
-const exportersWait = 200 * time.Millisecond
+// exporterCloseTimeout is how long sending the last figures may take at a shutdown.
+const exporterCloseTimeout = 200 * time.Millisecond
 
 // startExporters sends figures to each receiver that the operators' file names.
-func (p *server) startExporters(cfg config.Config, edge config.Operators) {
-	if m := edge.Graphite; m.Address != "" {
-		p.export("tcp", m, metrics.Graphite{Prefix: m.Prefix, Name: cfg.Name})
+func (s *server) startExporters(cfg config.Config, operators config.Operators) {
+	if receiver := operators.Graphite; receiver.Address != "" {
+		s.startExporter("tcp", receiver, metrics.Graphite{Prefix: receiver.Prefix, Name: cfg.Name})
 	}
-	if m := edge.Collectd; m.Address != "" {
-		p.export("unix", m, metrics.Collectd{Prefix: m.Prefix, Name: cfg.Name,
-			Every: time.Duration(m.EveryMs) * time.Millisecond})
+	if receiver := operators.Collectd; receiver.Address != "" {
+		s.startExporter("unix", receiver, metrics.Collectd{Prefix: receiver.Prefix, Name: cfg.Name,
+			Every: time.Duration(receiver.EveryMs) * time.Millisecond})
 	}
 }
 
-// export sends figures to one receiver from now on.
-func (p *server) export(network string, m config.Metrics, protocol metrics.Protocol) {
-	e := metrics.NewExporter(network, m.Address, protocol, p.log)
-	p.exporters = append(p.exporters, e)
-	var again func()
-	again = func() {
-		e.Offer(metrics.Sample{At: time.UnixMicro(p.loop.Now()), Figures: p.figures(e)})
-		p.loop.After(m.EveryMs*1000, again)
+// startExporter sends figures to one receiver from now on.
+func (s *server) startExporter(network string, receiver config.Metrics, protocol metrics.Protocol) {
+	exporter := metrics.NewExporter(network, receiver.Address, protocol, s.log)
+	s.exporters = append(s.exporters, exporter)
+	intervalUs := receiver.EveryMs * millisecond
+	var export func()
+	export = func() {
+		exporter.Offer(metrics.Sample{At: time.UnixMicro(s.loop.Now()), Figures: s.figures(exporter)})
+		s.loop.After(intervalUs, export)
 	}
-	p.loop.After(m.EveryMs*1000, again)
+	s.loop.After(intervalUs, export)
 }
 
-// dumpedFigures is what is worth watching of the program.
-func (p *server) figures(e *metrics.Exporter) []metrics.Figure {
-	c := p.dispatcher.Counts()
+// closeExporters sends the last figures and ends the exporters.
+func (s *server) closeExporters() {
+	for _, exporter := range s.exporters {
+		exporter.Close(exporterCloseTimeout)
+	}
+}
+
+// figures are the figures of the server as they are now. Their names are what dashboards read.
+func (s *server) figures(exporter *metrics.Exporter) []metrics.Figure {
 	counter := func(name string, v int64) metrics.Figure {
 		return metrics.Figure{Name: name, Value: float64(v), Counter: true}
 	}
 	gauge := func(name string, v int) metrics.Figure { return metrics.Figure{Name: name, Value: float64(v)} }
-	s := p.dispatcher.BackpressureFigures()
-	var t grpcfront.TokenCounts
-	if p.grpcFront != nil {
-		t = p.grpcFront.TokenCounts()
+	counts, overload := s.dispatcher.Counts(), s.dispatcher.BackpressureFigures()
+	var tokens grpcfront.TokenCounts
+	if s.grpcFront != nil {
+		tokens = s.grpcFront.TokenCounts()
 	}
 	return []metrics.Figure{
-		counter("tickets_good", t.Good), counter("tickets_early", t.Early), counter("tickets_expired", t.Expired),
-		counter("tickets_used", t.Used), counter("tickets_bad", t.Bad),
-		counter("requests", c.Requests), counter("started", c.Started), counter("refused", c.Rejected),
-		counter("failed", c.Failed), counter("over", c.Completed), counter("moved", c.Migrated),
-		counter("withdrawn", c.Cancelled), counter("opened", c.Adopted), counter("resumed", c.Resumed),
-		counter("offers", c.Offers), counter("offers_full", c.RejectedByWorker), counter("offers_timed_out", c.TimedOut),
-		counter("offers_not_connected", c.ConnectFailed), counter("offers_reset", c.Reset),
-		counter("offers_held_back", c.Blocked), counter("samples_lost", e.Dropped()),
-		gauge("open", p.dispatcher.OpenCount()), gauge("standing", p.dispatcher.RunningCount()), gauge("owners", p.clientFront.Connections()),
-		gauge("sockets_free", p.loop.FreeDescriptors()), gauge("storm_state", int(s.State)), gauge("storm_kind", int(s.Kind)),
-		{Name: "storm_pace", Value: s.Pace}, {Name: "storm_held", Value: s.Held}, {Name: "storm_booked", Value: s.Booked},
+		counter("tickets_good", tokens.Good), counter("tickets_early", tokens.Early),
+		counter("tickets_expired", tokens.Expired), counter("tickets_used", tokens.Used), counter("tickets_bad", tokens.Bad),
+		counter("requests", counts.Requests), counter("started", counts.Started), counter("refused", counts.Rejected),
+		counter("failed", counts.Failed), counter("over", counts.Completed), counter("moved", counts.Migrated),
+		counter("withdrawn", counts.Cancelled), counter("opened", counts.Adopted), counter("resumed", counts.Resumed),
+		counter("offers", counts.Offers), counter("offers_full", counts.RejectedByWorker),
+		counter("offers_timed_out", counts.TimedOut), counter("offers_not_connected", counts.ConnectFailed),
+		counter("offers_reset", counts.Reset), counter("offers_held_back", counts.Blocked),
+		counter("samples_lost", exporter.Dropped()),
+		gauge("open", s.dispatcher.OpenCount()), gauge("standing", s.dispatcher.RunningCount()),
+		gauge("owners", s.clientFront.Connections()), gauge("sockets_free", s.loop.FreeDescriptors()),
+		gauge("storm_state", int(overload.State)), gauge("storm_kind", int(overload.Kind)),
+		{Name: "storm_pace", Value: overload.Pace}, {Name: "storm_held", Value: overload.Held},
+		{Name: "storm_booked", Value: overload.Booked},
 	}
 }
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the files by which a process tells the next one, or one beside it, which
-// minions are out by hand and who serves. All of it blocks: it must never run on the loop.
+// This file owns the files by which a process hands over to its successor: which workers are cordoned,
+// and which process serves. All of it blocks: it must never run on the event loop.
 
 import (
 	"errors"
@@ -18,44 +18,60 @@
 	"ravenhitch/internal/admin"
 )
 
-// handoverStore is the files in which a process leaves what its successor needs: the minions
-// out by hand, and which process serves. Its methods block: they must run off the loop.
+// The names of the files are those that earlier versions read and write.
+const (
+	cordonsFile   = "minions-out"
+	servingSuffix = ".serves"
+	lockSuffix    = ".lock"
+	stagingSuffix = ".new"
+
+	handoverFileMode = 0o600
+)
+
+// handoverStore is the files in which a process leaves what its successor needs. Its methods block.
 type handoverStore struct {
-	cordonsPath     string // of the minions out by hand; the other files' names begin with it
-	processID     string // names this process
-	previousID string // names the one that served when this one began
+	cordonsPath string // the other files' names begin with it
+	processID   string // names this process
+	previousID  string // names the process that served when this one started
 }
 
+// newHandoverStore opens the files in a directory, which may not exist yet.
 func newHandoverStore(dir string) handoverStore {
-	s := handoverStore{cordonsPath: filepath.Join(dir, "minions-out")}
-	s.processID = strconv.FormatInt(time.Now().UnixNano(), 36) + "-" + strconv.Itoa(os.Getpid())
+	s := handoverStore{
+		cordonsPath: filepath.Join(dir, cordonsFile),
+		processID:   strconv.FormatInt(time.Now().UnixNano(), 36) + "-" + strconv.Itoa(os.Getpid()),
+	}
 	s.previousID = s.serving()
 	return s
 }
 
-// serving names the process that said last that it serves, "" where none did.
+// serving names the process that claimed last that it serves, "" where none did.
 func (s handoverStore) serving() string {
-	b, _ := os.ReadFile(s.cordonsPath + ".serves") // without the file none did
+	b, _ := os.ReadFile(s.cordonsPath + servingSuffix) // a file that can't be read names no process
 	return strings.TrimSpace(string(b))
 }
 
-// claimServing says to the process that serves beside this one that this one serves now.
-func (s handoverStore) claimServing() error { return s.write(".serves", []byte(s.processID+"\n")) }
+// claimServing tells the process that serves beside this one that this one serves now.
+func (s handoverStore) claimServing() error {
+	return s.replace(servingSuffix, []byte(s.processID+"\n"))
+}
 
-// hasSuccessor reports whether a process that began after this one serves.
+// hasSuccessor reports whether a process that started after this one serves.
 func (s handoverStore) hasSuccessor() bool {
-	now := s.serving()
-	return now != s.processID && now != s.previousID
+	serving := s.serving()
+	return serving != s.processID && serving != s.previousID
 }
 
-func (s handoverStore) write(suffix string, b []byte) error {
-	if err := os.WriteFile(s.cordonsPath+suffix+".new", b, 0o600); err != nil {
+// replace replaces the file with this suffix as a whole.
+func (s handoverStore) replace(suffix string, content []byte) error {
+	path := s.cordonsPath + suffix
+	if err := os.WriteFile(path+stagingSuffix, content, handoverFileMode); err != nil {
 		return err
 	}
-	return os.Rename(s.cordonsPath+suffix+".new", s.cordonsPath+suffix)
+	return os.Rename(path+stagingSuffix, path)
 }
 
-// readCordons returns what the file holds.
+// readCordons returns the cordoned workers that the file lists.
 func (s handoverStore) readCordons() (admin.Cordons, error) {
 	b, err := os.ReadFile(s.cordonsPath)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -67,19 +83,20 @@
 	return admin.DecodeCordons(s.cordonsPath, b)
 }
 
-// settingChange carries out a call on the file, one process at a time.
-func (s handoverStore) changeCordons(c admin.Call) (outs admin.Cordons, err error) {
-	lock, err := os.OpenFile(s.cordonsPath+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+// changeCordons applies a call to the file, one process at a time, and returns what the file lists then.
+func (s handoverStore) changeCordons(call admin.Call) (admin.Cordons, error) {
+	lock, err := os.OpenFile(s.cordonsPath+lockSuffix, os.O_CREATE|os.O_RDWR, handoverFileMode)
 	if err != nil {
 		return nil, err
 	}
-	defer lock.Close() // which lets go of the lock
+	defer func() { _ = lock.Close() }() // releases the lock; nothing was written to this file
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX); err != nil {
-		return nil, fmt.Errorf("%s.lock: %w", s.cordonsPath, err)
+		return nil, fmt.Errorf("%s%s: %w", s.cordonsPath, lockSuffix, err)
 	}
-	if outs, err = s.readCordons(); err != nil {
+	cordons, err := s.readCordons()
+	if err != nil {
 		return nil, err
 	}
-	outs = outs.With(c)
-	return outs, s.write("", outs.Encode())
+	cordons = cordons.With(call)
+	return cordons, s.replace("", cordons.Encode())
 }
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -1,5 +1,6 @@
-// Command ravenhitch is one orchestrator on real sockets. This file owns the start of the
-// process: what the environment and the files say, limits, and signals.
+// Command ravenhitch is one orchestrator on real sockets. This file owns the start of the process:
+// what the command line, the environment and the files configure, limits, and signals. It must never
+// serve: the server does.
 package main
 
 import (
@@ -18,64 +19,93 @@
 	"ravenhitch/internal/config"
 )
 
+const (
+	// maxQueuedSignals is how many signals wait to be handled; more are dropped.
+	maxQueuedSignals = 8
+	// firstInheritableFD follows the standard streams.
+	firstInheritableFD = 3
+	// The memory limit of the runtime is this share of the memory that the process may use.
+	memoryLimitNumerator, memoryLimitDenominator = 6, 10
+
+	bytesPerMBShift = 20
+)
+
 func main() {
-	path := flag.String("conf", "deploy/ravenhitch.conf", "the operators' file")
+	operatorsPath := flag.String("conf", "deploy/ravenhitch.conf", "the operators' file")
 	flag.Func("edge", "no longer read; see -conf", func(string) error {
 		fmt.Fprintln(os.Stderr, "ravenhitch: -edge is no longer read: what it named moved to deploy/ravenhitch.conf, see -conf")
 		os.Exit(1)
 		return nil
 	})
 	if len(os.Args) > 1 && !strings.HasPrefix(os.Args[1], "-") {
-		os.Exit(command(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	flag.Parse()
-	if err := run(*path); err != nil {
+	if err := serve(*operatorsPath); err != nil {
 		fmt.Fprintln(os.Stderr, "ravenhitch:", err)
 		os.Exit(1)
 	}
 }
 
-func run(edgePath string) error {
-	path := os.Getenv("ROUTER_CONFIG")
-	if path == "" {
+// serve runs an orchestrator by the configuration file that the environment names and by the
+// operators' file, until a signal ends it.
+func serve(operatorsPath string) error {
+	configPath := os.Getenv("ROUTER_CONFIG")
+	if configPath == "" {
 		return errors.New("ROUTER_CONFIG is not set")
 	}
-	cfg, err := config.Load(path)
+	cfg, err := config.Load(configPath)
 	if err != nil {
 		return err
 	}
-	if err := override(&cfg); err != nil {
+	if err := overrideFromEnvironment(&cfg); err != nil {
 		return err
 	}
-	edge, err := config.LoadOperators(edgePath)
+	operators, err := config.LoadOperators(operatorsPath)
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: edge.LogLevel}))
-	runtime.GOMAXPROCS(1)
-	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(cfg.MemoryMB << 20 * 6 / 10)
-	}
-	signals := make(chan os.Signal, 8)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: operators.LogLevel}))
+	setRuntimeLimits(cfg)
+	signals := make(chan os.Signal, maxQueuedSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	p, err := start(cfg, edge, log.With("name", cfg.Name))
+	server, err := start(cfg, operators, log.With("name", cfg.Name))
 	if err != nil {
 		return err
 	}
-	go func() {
-		for s := range signals {
-			if s == syscall.SIGHUP {
-				p.Reload(path)
+	go server.handleSignals(signals, configPath)
+	return server.Run()
+}
+
+// setRuntimeLimits bounds threads and memory of the Go runtime: everything but gRPC and work on files
+// runs on one event loop.
+func setRuntimeLimits(cfg config.Config) {
+	runtime.GOMAXPROCS(1)
+	if cfg.MemoryMB > 0 {
+		debug.SetMemoryLimit(cfg.MemoryMB << bytesPerMBShift * memoryLimitNumerator / memoryLimitDenominator)
+	}
+}
+
+// handleSignals reloads on SIGHUP and stops on any other signal, until the server has stopped. Run
+// doesn't wait for it: a reload may read from a slow disk. The signals stay registered to the end, so
+// that one that comes late doesn't kill the process.
+func (s *server) handleSignals(signals <-chan os.Signal, configPath string) {
+	for {
+		select {
+		case received := <-signals:
+			if received == syscall.SIGHUP {
+				s.Reload(configPath)
 			} else {
-				p.Stop()
+				s.Stop()
 			}
+		case <-s.stopped:
+			return
 		}
-	}()
-	return p.Run()
+	}
 }
 
-// override sets what the environment says in place of the configuration.
-func override(cfg *config.Config) (err error) {
+// overrideFromEnvironment sets what the environment names in place of the configuration.
+func overrideFromEnvironment(cfg *config.Config) (err error) {
 	if v := os.Getenv("ROUTER_LISTEN"); v != "" {
 		cfg.Listen = v
 	}
@@ -83,8 +113,8 @@
 		cfg.AdminAddr = v
 	}
 	if v := os.Getenv("ROUTER_INHERITED_FD"); v != "" {
-		if cfg.Inherited, err = strconv.Atoi(v); err != nil || cfg.Inherited < 3 {
-			return fmt.Errorf("ROUTER_INHERITED_FD: expected the number of a descriptor, 3 or more, got %.40q", v)
+		if cfg.Inherited, err = strconv.Atoi(v); err != nil || cfg.Inherited < firstInheritableFD {
+			return fmt.Errorf("ROUTER_INHERITED_FD: expected the number of a descriptor, %d or more, got %.40q", firstInheritableFD, v)
 		}
 	}
 	if v := os.Getenv("ROUTER_NAME"); v != "" {
@@ -92,27 +122,3 @@
 	}
 	return nil
 }
-
-// Reload takes up the configuration file as it is now: of a running program only
-// the command channel's address can change, the rest waits for a restart. The file
-// is read and checked as a whole first; one that can't be used changes nothing. It
-// may be called from any goroutine.
-func (p *server) Reload(path string) {
-	if p.grpcFront != nil && p.tokenKeysPath != "" {
-		if keys, err := loadKeys(p.tokenKeysPath); err != nil {
-			p.log.Error("retry token keys not reloaded", "err", err)
-		} else {
-			p.grpcFront.SetKeys(keys)
-			p.log.Info("retry token keys reloaded")
-		}
-	}
-	p.loop.Post(func() {
-		cfg, err := config.Load(path)
-		if err != nil {
-			p.log.Error("configuration not reloaded", "err", err)
-			return
-		}
-		p.log.Info("configuration reloaded", "channel", cfg.DiscoveryAddr)
-		p.follower.SetAddress(cfg.DiscoveryAddr)
-	})
-}
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -1,47 +1,47 @@
 package main
 
-// This file joins the orchestrators that know each other with the program. It must never
-// start where the operators' file names no place for it.
+// This file joins the server with the other orchestrators that it knows. It must never open a socket
+// where the operators' file names no address for it.
 
 import (
+	"cmp"
+
 	"ravenhitch/internal/admin"
 	"ravenhitch/internal/config"
 	"ravenhitch/internal/membership"
 	"ravenhitch/internal/peer"
 )
 
-// startPeers opens the sockets between orchestrators.
-func (p *server) startPeers(cfg config.Config, s config.Peers) error {
-	incarnation, fault, err := peer.Start(s.Folder)
+// startPeers opens the sockets between orchestrators and joins the membership table.
+func (s *server) startPeers(cfg config.Config, peers config.Peers) error {
+	incarnation, fault, err := peer.Start(peers.Folder)
 	if err != nil {
 		return err
 	}
 	if fault != "" {
-		p.log.Warn("incarnation counter reset", "cause", fault)
-	}
-	t := peer.Settings{Listen: s.Listen, Cluster: s.Cluster, Name: cfg.Name, Zone: s.Hall, Incarnation: incarnation}
-	if t.Zone == "" {
-		t.Zone = cfg.Settings.Zone
+		s.log.Warn("incarnation counter reset", "cause", fault)
 	}
-	for _, m := range s.Members {
-		t.Members = append(t.Members, membership.Peer{Name: m.Name, Addr: m.Address})
+	settings := peer.Settings{Listen: peers.Listen, Cluster: peers.Cluster, Name: cfg.Name,
+		Zone: cmp.Or(peers.Hall, cfg.Settings.Zone), Incarnation: incarnation}
+	for _, member := range peers.Members {
+		settings.Members = append(settings.Members, membership.Peer{Name: member.Name, Addr: member.Address})
 	}
-	if p.peers, err = peer.New(p.loop, t, p.log); err != nil {
+	if s.peers, err = peer.New(s.loop, settings, s.log); err != nil {
 		return err
 	}
-	p.log.Info("membership", "event", "listens", "address", p.peers.Addr())
-	if p.assignment != nil {
-		p.peers.OnView(p.assignment.onView)
+	s.log.Info("membership", "event", "listens", "address", s.peers.Addr())
+	if s.assignment != nil {
+		s.peers.OnView(s.assignment.onView)
 	}
 	return nil
 }
 
-// statusReport is the answer to an operator who asks for the table of members.
-func (p *server) statusReport() []byte {
-	if p.peers == nil {
+// statusReport is the answer to an operator who requests the membership table.
+func (s *server) statusReport() []byte {
+	if s.peers == nil {
 		return admin.ErrorReply("no peers: [peers] names no place in the operators' file")
 	}
-	b, err := p.peers.StatusReport().Reply()
+	b, err := s.peers.StatusReport().Reply()
 	if err != nil {
 		return admin.ErrorReply(err.Error())
 	}
--- /dev/null
+++ b/cmd/ravenhitch/peers_command.go
@@ -0,0 +1,98 @@
+package main
+
+// This file owns the sub-command that prints the membership table of a running orchestrator. It only
+// reads, by one admin call.
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"ravenhitch/internal/peer"
+)
+
+const (
+	// adminTimeout bounds an admin call, from the connect to the end of the answer.
+	adminTimeout = 2 * time.Second
+	// maxAdminAnswer is how many bytes of an answer are read.
+	maxAdminAnswer = 8 << 20
+)
+
+type peersCommand struct {
+	AdminAddr string `name:"mgmt" required:"" env:"ROUTER_MGMT" placeholder:"ADDRESS:PORT" help:"Where operators' staff call it."`
+	JSON      bool   `help:"Print what it answers as it is."`
+}
+
+// Run prints the membership table.
+func (c *peersCommand) Run(out io.Writer) error {
+	text, err := adminRequest(c.AdminAddr, "PEERS")
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		_, err := fmt.Fprintln(out, text)
+		return err
+	}
+	var report peer.StatusReport
+	if err := json.Unmarshal([]byte(text), &report); err != nil {
+		return fmt.Errorf("%s: %w", c.AdminAddr, err)
+	}
+	_, err = io.WriteString(out, formatStatusReport(report))
+	return err
+}
+
+// adminRequest makes one admin call and returns the answer.
+func adminRequest(addr, call string) (string, error) {
+	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = conn.Close() }() // all of the answer is read by then
+	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
+		return "", err
+	}
+	if _, err := fmt.Fprintln(conn, call); err != nil {
+		return "", err
+	}
+	b, err := io.ReadAll(io.LimitReader(conn, maxAdminAnswer))
+	if err != nil {
+		return "", err
+	}
+	if reason, ok := strings.CutPrefix(string(b), "-ERR "); ok {
+		return "", errors.New(strings.TrimSpace(reason))
+	}
+	text, ok := strings.CutSuffix(string(b), "\n.\n")
+	if !ok {
+		return "", fmt.Errorf("%s: %s: the answer was cut off after %d bytes", addr, call, len(b))
+	}
+	return text, nil
+}
+
+// formatStatusReport lays the membership table out for a reader.
+func formatStatusReport(report peer.StatusReport) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "cluster %s, as %s sees it; view %d of %d members, %s; doubt of itself %d of 8\n\n",
+		report.Cluster, report.Name, report.View.Number, len(report.View.Names), report.View.Digest, report.Doubt)
+	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	row := func(format string, args ...any) { _, _ = fmt.Fprintf(table, format, args...) } // a Builder takes all
+	row("MEMBER\tHALL\tSTATE\tINCARNATION\tLINK\tRTT\tSILENT\tADDRESS\tEVIDENCE\n")
+	for _, m := range report.Members {
+		state := m.State
+		if m.Slow {
+			state += ", slow"
+		}
+		row("%s\t%s\t%s\t%d\t%s\t%d ms\t%d ms\t%s\t%s\n",
+			m.Name, m.Zone, state, m.Incarnation, m.Link, m.RTTMs, m.SilentMs, m.Address, m.Evidence)
+	}
+	_ = table.Flush() // a Builder takes all
+	traffic := report.Traffic
+	fmt.Fprintf(&text, "\n%d datagrams sent (%d bytes), %d received (%d), %d lost, %d refused, %d knocks\n",
+		traffic.Sent, traffic.SentBytes, traffic.Received, traffic.ReceivedBytes, traffic.Lost, traffic.Refused,
+		traffic.HandshakeProbes)
+	return text.String()
+}
--- /dev/null
+++ b/cmd/ravenhitch/recording.go
@@ -0,0 +1,76 @@
+package main
+
+// This file owns what a rehearsal leaves: a recording as JSON and its timeline as SVG, and the summary
+// that is printed at the end.
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/fleet"
+)
+
+// The files that a rehearsal leaves.
+const (
+	recordingFile = "record.json"
+	timelineFile  = "picture.svg"
+
+	recordingDirMode, recordingFileMode = 0o755, 0o644
+)
+
+// recording is what a rehearsal leaves; its JSON keys are a stored format.
+type recording struct {
+	Programs []string       `json:"program"`
+	Schedule string         `json:"schedule"`
+	Verdict  string         `json:"verdict"`
+	Failures []string       `json:"faults"`
+	Total    fleet.Second   `json:"total"`
+	P99Ms    float64        `json:"placement_p99_ms"`
+	Seconds  []fleet.Second `json:"seconds"`
+	Steps    []fleet.Done   `json:"steps"`
+	Moments  []fleet.Moment `json:"moments"`
+}
+
+// leaveRecording judges the rehearsal, writes the recording and prints the summary. Its error says
+// which rules were broken.
+func (c *rehearseCommand) leaveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placed, steps []testbed.Step) error {
+	verdict := rig.Judge()
+	failures := slices.Concat(host.failures, verdict.Why)
+	if unanswered := len(placed.Silent()); unanswered > 0 {
+		failures = append(failures, fmt.Sprintf("%d set-ups without an answer", unanswered))
+	}
+	r := recording{Programs: c.Programs, Schedule: testbed.Text(steps), Verdict: verdict.String(), Failures: failures,
+		Total: placed.Total(), P99Ms: milliseconds(placed.P99()), Seconds: placed.Seconds()}
+	r.Moments, r.Steps = rig.Record()
+	if err := r.write(c.OutputDir); err != nil {
+		return err
+	}
+	host.printf("\n%s\nplaced %d tasks, 99 of 100 within %.1f ms; %d refused, %d failed, %d lost with their orchestrator\nrecord and picture: %s\n",
+		verdict, r.Total.Started, r.P99Ms, r.Total.Refused, r.Total.Failed, r.Total.Lost, c.OutputDir)
+	if len(failures) > 0 {
+		return fmt.Errorf("%d rules broken, as %s", len(failures), failures[0])
+	}
+	return nil
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
+// write writes the recording and its timeline into a directory.
+func (r *recording) write(dir string) error {
+	if err := os.MkdirAll(dir, recordingDirMode); err != nil {
+		return err
+	}
+	b, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(filepath.Join(dir, recordingFile), b, recordingFileMode); err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, timelineFile), r.timeline(), recordingFileMode)
+}
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -1,12 +1,13 @@
 package main
 
-// This file joins the parts of one orchestrator. It must never decide on a task.
+// This file joins the parts of one orchestrator and runs its event loop. It must never decide on a
+// task: package dispatch does.
 
 import (
 	"fmt"
 	"log/slog"
-	"net"
 	"os"
+	"sync"
 
 	"ravenhitch/internal/backpressure"
 	"ravenhitch/internal/clientfront"
@@ -18,183 +19,205 @@
 	"ravenhitch/internal/grpcfront"
 	"ravenhitch/internal/metrics"
 	"ravenhitch/internal/peer"
-	"ravenhitch/internal/retrytoken"
 	"ravenhitch/internal/workerpool"
 )
 
+// The event loop counts time in microseconds.
 const (
-	// spareSockets are descriptors that are no sockets of the loop: standard
-	// streams, epoll, eventfd, and what the runtime opens for itself.
-	spareSockets = 32
-	// minUnread is what any connection may leave unread: some messages of full size.
-	minUnread = 64 << 10
-	// socketsDefault holds where the configuration names no limit.
-	socketsDefault = 1024
+	millisecond = 1_000
+	second      = 1_000 * millisecond
 )
 
-// server is one orchestrator, its parts joined.
+const (
+	// reservedDescriptors are not sockets of the event loop: standard streams, epoll, eventfd, and what
+	// the runtime opens for itself.
+	reservedDescriptors = 32
+	// defaultSockets is the limit of sockets where the configuration names none.
+	defaultSockets = 1024
+	// minSocketBudget is the least number of sockets that the event loop can serve with.
+	minSocketBudget = 16
+	// minBufferedBytes is what any connection may leave unread: some messages of full size.
+	minBufferedBytes = 64 << 10
+	// bufferedMemoryDivisor gives the share of the memory that all connections together may leave unread.
+	bufferedMemoryDivisor = 4
+)
+
+// server is one orchestrator, its parts joined. Its fields belong to the event loop, unless said
+// otherwise.
 type server struct {
-	log   *slog.Logger
-	loop     *eventloop.Loop
-	dispatcher     *dispatch.Dispatcher
-	pool *workerpool.Pool
-	clientAddr  string // of the platform's front
-	grpcFront  *grpcfront.Front
-	grpcAddr string // of the gRPC front, "" where that is off
-	// tokenKeysPath is the file of the keys of return tickets, "" where none are given
-	tokenKeysPath string
-
-	clientFront        *clientfront.Front
-	follower      *discovery.Follower
-	peers        *peer.Peers // nil where no others are known
-	assignment   *assignment // of the workers to orchestrators, nil where this one uses all
-	exporters    []*metrics.Exporter
-	drainTimeout int64 // how long after Stop what is still open is answered
-	shuttingDown      bool  // told to end
-	inheritedListener    bool  // the platform holds the owners' socket
-	hasSuccessor    bool  // a process that goes on serves it already
-	// statusOf asks for a look at the files for a successor, nil where nobody keeps files.
+	log        *slog.Logger
+	loop       *eventloop.Loop
+	dispatcher *dispatch.Dispatcher
+	pool       *workerpool.Pool
+	follower   *discovery.Follower
+	peers      *peer.Peers // nil where no other orchestrators are configured
+	assignment *assignment // of the workers to orchestrators, nil where this one uses all
+	exporters  []*metrics.Exporter
+
+	clientFront *clientfront.Front
+	clientAddr  string // where clientFront listens
+	adminAddr   string // where admin calls are taken, "" where they are not
+
+	grpcFront     *grpcfront.Front // nil where it is off
+	grpcAddr      string           // where grpcFront listens, "" where it is off
+	grpcServing   sync.WaitGroup   // the goroutine that accepts gRPC connections
+	tokenKeysPath string           // the file of the retry token keys, "" where there is none
+
+	drainTimeout              int64 // how long after Stop open requests are answered, in microseconds
+	drainTimeoutWithSuccessor int64 // the same where a successor serves
+	shuttingDown              bool
+	inheritedListener         bool // the platform owns the listening socket of the clients
+	hasSuccessor              bool // a process that started later serves on that socket
+	// successorChecks requests a look at the files for a successor; nil where admin calls are off.
 	successorChecks chan struct{}
-	// drainTimeoutWithSuccessor is how long after Stop what is open is answered where there is a successor.
-	drainTimeoutWithSuccessor int64
-	adminAddr              string // where operators' staff call, "" where nobody does
-	stopped               chan struct{}
+	// stopped is closed when Run ends, or start fails. Any goroutine may wait for it.
+	stopped chan struct{}
 }
 
 // start joins the parts and begins to listen; Run serves.
-func start(cfg config.Config, edge config.Operators, log *slog.Logger) (p *server, err error) {
-	budget, err := socketBudget(cfg, edge)
+func start(cfg config.Config, operators config.Operators, log *slog.Logger) (*server, error) {
+	budget, err := socketBudget(cfg, operators)
 	if err != nil {
 		return nil, err
 	}
-	p = &server{log: log, stopped: make(chan struct{})}
-	if p.loop, err = eventloop.New(budget); err != nil {
-		return nil, err
-	}
-	defer func(l *eventloop.Loop) {
-		if err != nil { // p is nil then
-			l.Close()
-		}
-	}(p.loop)
-	if cfg.MemoryMB > 0 {
-		// What all connections together leave unread fits into a quarter of the memory.
-		p.loop.SetMaxBuffered(max(minUnread, int(cfg.MemoryMB<<20)/4/budget))
-	}
-	p.drainTimeout = drainTimeout(cfg.Settings, maxDeadlineUs)
-	p.inheritedListener = cfg.Inherited > 0
-	p.drainTimeoutWithSuccessor = drainTimeout(cfg.Settings, maxDeadlineWithSuccessorUs)
-	if err = p.startDispatcher(cfg, edge); err != nil {
+	loop, err := eventloop.New(budget)
+	if err != nil {
 		return nil, err
 	}
-	if err = p.startFronts(cfg, edge, budget); err != nil {
+	s := &server{log: log, loop: loop, stopped: make(chan struct{}),
+		inheritedListener:         cfg.Inherited > 0,
+		drainTimeout:              drainTimeout(cfg.Settings, maxDeadlineUs),
+		drainTimeoutWithSuccessor: drainTimeout(cfg.Settings, maxDeadlineWithSuccessorUs)}
+	if err := s.startParts(cfg, operators, budget); err != nil {
+		close(s.stopped)
+		loop.Close()
 		return nil, err
 	}
-	p.startExporters(cfg, edge)
-	log.Info("serving", "listen", p.clientAddr, "grpc", p.grpcAddr, "mgmt", p.adminAddr, "known", cfg.Initial.Cursor)
-	return p, nil
+	log.Info("serving", "listen", s.clientAddr, "grpc", s.grpcAddr, "mgmt", s.adminAddr, "known", cfg.Initial.Cursor)
+	return s, nil
 }
 
-// socketBudget is how many sockets the loop may hold.
-func socketBudget(cfg config.Config, edge config.Operators) (int, error) {
+// socketBudget is how many sockets the event loop may open.
+func socketBudget(cfg config.Config, operators config.Operators) (int, error) {
 	sockets := int(cfg.Sockets)
 	if sockets <= 0 {
-		sockets = socketsDefault
+		sockets = defaultSockets
 	}
-	budget := sockets - spareSockets
-	if edge.GRPCListen != "" {
+	budget := sockets - reservedDescriptors
+	if operators.GRPCListen != "" {
 		budget -= grpcfront.Conns + 1
 	}
-	if budget < 16 {
+	if budget < minSocketBudget {
 		return 0, fmt.Errorf("a limit of %d sockets is too low", sockets)
 	}
 	return budget, nil
 }
 
-// startDispatcher joins the core with the minions' side and the advisor of refused owners.
-func (p *server) startDispatcher(cfg config.Config, edge config.Operators) (err error) {
-	p.pool = workerpool.New(p.loop, cfg.DialTimeoutUs, cfg.Settings.Pings, p.log)
-	p.pool.SetTraceSuffixes(edge.Trace)
-	p.pool.SetKeepAlive(edge.Workers.KeepAlive)
-	if p.dispatcher, err = dispatch.New(cfg.Settings, cfg.Seed, p.pool, p.log); err != nil {
+// startParts starts the parts in the order in which they need each other.
+func (s *server) startParts(cfg config.Config, operators config.Operators, budget int) error {
+	if cfg.MemoryMB > 0 {
+		perConnection := int(cfg.MemoryMB<<bytesPerMBShift) / bufferedMemoryDivisor / budget
+		s.loop.SetMaxBuffered(max(minBufferedBytes, perConnection))
+	}
+	if err := s.startDispatcher(cfg, operators); err != nil {
 		return err
 	}
-	p.dispatcher.SetTraceSuffixes(edge.Trace)
-	p.pool.SetDispatcher(p.dispatcher)
-	if edge.Backpressure.Constant > 0 {
-		p.dispatcher.SetAdvisor(dispatch.FixedRetryAfter(edge.Backpressure.Constant))
+	s.createClientFront(cfg, operators, budget)
+	s.startDiscovery(cfg, operators)
+	if err := s.listen(cfg, operators); err != nil {
+		return err
+	}
+	s.startExporters(cfg, operators)
+	return nil
+}
+
+// startDispatcher joins the dispatcher with the connections to workers and with backpressure.
+func (s *server) startDispatcher(cfg config.Config, operators config.Operators) (err error) {
+	s.pool = workerpool.New(s.loop, cfg.DialTimeoutUs, cfg.Settings.Pings, s.log)
+	s.pool.SetTraceSuffixes(operators.Trace)
+	s.pool.SetKeepAlive(operators.Workers.KeepAlive)
+	if s.dispatcher, err = dispatch.New(cfg.Settings, cfg.Seed, s.pool, s.log); err != nil {
+		return err
+	}
+	s.dispatcher.SetTraceSuffixes(operators.Trace)
+	s.pool.SetDispatcher(s.dispatcher)
+	if operators.Backpressure.Constant > 0 {
+		s.dispatcher.SetAdvisor(dispatch.FixedRetryAfter(operators.Backpressure.Constant))
 		return nil
 	}
-	s := dispatch.BackpressureSettings(cfg.Settings)
-	s.MinRetryAfterUs, s.Callers = edge.Backpressure.Least.Microseconds(), edge.Backpressure.Callers
-	p.dispatcher.SetAdvisor(backpressure.New(s, cfg.Seed))
+	settings := dispatch.BackpressureSettings(cfg.Settings)
+	settings.MinRetryAfterUs = operators.Backpressure.Least.Microseconds()
+	settings.Callers = operators.Backpressure.Callers
+	s.dispatcher.SetAdvisor(backpressure.New(settings, cfg.Seed))
 	return nil
 }
 
-// startFronts follows the command channel and begins to listen: to operators, to owners,
-// to other orchestrators, and to owners that speak gRPC.
-func (p *server) startFronts(cfg config.Config, edge config.Operators, budget int) (err error) {
-	p.clientFront = clientfront.NewFront(p.loop, p.dispatcher, budget*3/4, cfg.ConnIdleUs, p.log)
-	p.clientFront.SetTraceSuffixes(edge.Trace)
-	shared := descriptors.New(budget, p.clientFront.MaxConnections(), p.loop.FreeDescriptors, p.clientFront.Connections)
-	p.clientFront.ShareDescriptors(shared)
-	p.pool.ShareDescriptors(shared)
-	p.follower = discovery.NewFollower(p.loop, p.dispatcher, p.pool, cfg.DiscoveryAddr, cfg.DialTimeoutUs, p.log)
-	if edge.Peers.Partition {
-		p.assignment = assign(p.loop, p.follower, cfg, edge.Peers)
-	}
-	p.follower.Apply(cfg.Initial, true)
-	p.follower.Start()
+// createClientFront creates the front of the clients, which shares the descriptors with the pool.
+func (s *server) createClientFront(cfg config.Config, operators config.Operators, budget int) {
+	s.clientFront = clientfront.NewFront(s.loop, s.dispatcher, budget*3/4, cfg.ConnIdleUs, s.log)
+	s.clientFront.SetTraceSuffixes(operators.Trace)
+	shared := descriptors.New(budget, s.clientFront.MaxConnections(), s.loop.FreeDescriptors, s.clientFront.Connections)
+	s.clientFront.ShareDescriptors(shared)
+	s.pool.ShareDescriptors(shared)
+}
+
+// startDiscovery takes the initial list of workers and follows discovery from there.
+func (s *server) startDiscovery(cfg config.Config, operators config.Operators) {
+	s.follower = discovery.NewFollower(s.loop, s.dispatcher, s.pool, cfg.DiscoveryAddr, cfg.DialTimeoutUs, s.log)
+	if operators.Peers.Partition {
+		s.assignment = startAssignment(s.loop, s.follower, cfg, operators.Peers)
+	}
+	s.follower.Apply(cfg.Initial, true)
+	s.follower.Start()
+}
+
+// listen begins to listen: to operators, to clients, to other orchestrators, and to gRPC clients.
+func (s *server) listen(cfg config.Config, operators config.Operators) (err error) {
 	if cfg.AdminAddr != "" {
-		if err = p.listenAdmin(cfg.AdminAddr, os.TempDir(), p.log); err != nil {
+		if err = s.listenAdmin(cfg.AdminAddr, os.TempDir()); err != nil {
 			return fmt.Errorf("the place of operators' calls: %w", err)
 		}
 	}
-	if p.clientAddr, err = p.clientFront.Listen(cfg.Listen, cfg.Inherited); err != nil {
+	if s.clientAddr, err = s.clientFront.Listen(cfg.Listen, cfg.Inherited); err != nil {
 		return err
 	}
-	if edge.Peers.Listen != "" {
-		if err = p.startPeers(cfg, edge.Peers); err != nil {
+	if operators.Peers.Listen != "" {
+		if err = s.startPeers(cfg, operators.Peers); err != nil {
 			return err
 		}
 	}
-	if edge.GRPCListen != "" {
-		return p.startGRPC(edge)
+	if operators.GRPCListen != "" {
+		return s.startGRPC(operators)
 	}
 	return nil
 }
 
-// startGRPC serves the gRPC front, on goroutines of its own.
-func (p *server) startGRPC(edge config.Operators) error {
-	creds, err := grpcfront.Credentials(edge.GRPCCert, edge.GRPCKey)
-	if err != nil {
-		return err
-	}
-	ln, err := net.Listen("tcp", edge.GRPCListen)
-	if err != nil {
-		return fmt.Errorf("grpc: %w", err)
-	}
-	p.grpcAddr = ln.Addr().String()
-	p.grpcFront = grpcfront.New(p.loop, p.dispatcher, creds)
-	if p.tokenKeysPath = edge.RetryTokenKeys; p.tokenKeysPath != "" {
-		keys, err := loadKeys(p.tokenKeysPath)
-		if err != nil {
-			return err
-		}
-		p.grpcFront.SetKeys(keys)
-	}
-	go func() {
-		if err := p.grpcFront.Serve(ln); err != nil {
-			p.log.Error("gRPC server failed", "err", err)
-		}
-	}()
-	return nil
+// Run serves until Stop, and gives back what start opened.
+func (s *server) Run() error {
+	defer s.loop.Close()
+	defer close(s.stopped)
+	defer s.pool.Close()
+	err := s.loop.Run(s.turnHandler())
+	s.closeGRPC()
+	s.closeExporters()
+	s.log.Info("stopped", "counts", fmt.Sprintf("%+v", s.dispatcher.Counts()))
+	return err
 }
 
-// loadKeys reads the file of the keys of return tickets.
-func loadKeys(path string) (*retrytoken.Keys, error) {
-	b, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("tickets: %w", err)
+// turnHandler returns what the event loop calls once a turn, after what came in is read: the
+// dispatcher decides, and the timer follows its next deadline.
+func (s *server) turnHandler() func(now int64) {
+	var timer *eventloop.Timer
+	var deadline int64
+	return func(now int64) {
+		s.dispatcher.ObserveTurn(s.loop.TurnDuration())
+		s.pool.DeliverPending()
+		s.dispatcher.Turn(now)
+		if next := s.dispatcher.NextDeadline(); next != deadline || !timer.Pending() {
+			timer.Stop()
+			if deadline = next; deadline > 0 {
+				timer = s.loop.At(deadline, func() {})
+			}
+		}
 	}
-	return retrytoken.ParseKeys(path, b)
 }
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -1,157 +1,137 @@
 package main
 
-// This file owns the end of the program. It must never end it while a request that was taken can
+// This file owns the shutdown of the server. It must never stop while a request that was taken can
 // still be answered in time.
 
 import (
-	"fmt"
-
-	"ravenhitch/internal/eventloop"
 	"ravenhitch/placement"
 )
 
+// The platform kills the process no sooner after SIGTERM than its longest deadline and killSlackUs.
+// Times are in microseconds.
 const (
 	// lateRequestsUs is how long after SIGTERM requests keep coming.
-	lateRequestsUs = 800_000
-	// The kill comes no sooner after SIGTERM than the longest deadline, counted as
-	// maxDeadlineUs where it is longer, and killSlack; what is still open is answered
-	// quitEarly before it.
-	// Where the platform holds the owners' socket, another process may serve beside this
-	// one, and the kill comes no sooner than maxDeadlineWithSuccessorUs and killSlack.
-	maxDeadlineUs    = 3_000_000
-	maxDeadlineWithSuccessorUs = 5_000_000
-	killSlack      = 700_000
-	quitEarly      = 300_000
-	// quitFlush is how long of that the last answers may take to be read.
-	quitFlush = 200_000
-	// maxLook is how long an end waits for a look at the files, which may be on a slow disk.
-	maxLook = 100_000
+	lateRequestsUs = 800 * millisecond
+	// maxDeadlineUs is what the platform counts a longer deadline as.
+	maxDeadlineUs = 3 * second
+	// maxDeadlineWithSuccessorUs is the same where the platform owns the listening socket of the
+	// clients, so that another process may serve beside this one.
+	maxDeadlineWithSuccessorUs = 5 * second
+	killSlackUs                = 700 * millisecond
+	// killMarginUs is how long before the kill open requests are rejected.
+	killMarginUs = 300 * millisecond
+	// flushTimeoutUs is how long of that the last responses may take to be read.
+	flushTimeoutUs = 200 * millisecond
+	// maxSuccessorCheckUs is how long a shutdown waits for a look at the files, which may be on a slow disk.
+	maxSuccessorCheckUs = 100 * millisecond
+	// drainIntervalUs is how often a shutdown looks whether it can stop.
+	drainIntervalUs = 10 * millisecond
 )
 
-// drainTimeout is how long after SIGTERM requests may stay open.
-func drainTimeout(s placement.Settings, most int64) (us int64) {
-	for _, c := range s.Classes {
-		us = max(us, c.DeadlineUs)
+// drainTimeout is how long after SIGTERM requests may stay open, where the platform counts deadlines
+// up to maxDeadline.
+func drainTimeout(settings placement.Settings, maxDeadline int64) int64 {
+	longest := int64(0)
+	for _, class := range settings.Classes {
+		longest = max(longest, class.DeadlineUs)
 	}
-	return max(lateRequestsUs, min(us, most)+killSlack-quitEarly)
+	return max(lateRequestsUs, min(longest, maxDeadline)+killSlackUs-killMarginUs)
 }
 
-// Stop makes Run end once what was taken is answered. It may be called from any
-// goroutine, and more than once.
-func (p *server) Stop() {
-	p.loop.Post(func() {
-		if p.inheritedListener && !p.hasSuccessor {
-			// A successor may have begun since the files were last looked at: whoever came
-			// meanwhile would be taken here and sent away again.
-			select {
-			case p.successorChecks <- struct{}{}:
-				p.loop.After(maxLook, p.beginShutdown)
-				return
-			default:
-			}
+// Stop makes Run end once what was taken is answered. It may be called from any goroutine, and more
+// than once.
+func (s *server) Stop() {
+	s.loop.Post(func() {
+		if s.inheritedListener && !s.hasSuccessor && s.requestSuccessorCheck() {
+			s.loop.After(maxSuccessorCheckUs, s.beginShutdown)
+			return
 		}
-		p.beginShutdown()
+		s.beginShutdown()
 	})
 }
 
-// beginShutdown begins the end, once.
-func (p *server) beginShutdown() {
-	if p.shuttingDown {
+// requestSuccessorCheck has the files read for a successor that started since they were last read:
+// without it, whoever connected meanwhile would be taken here and sent away again. It reports whether
+// the check was requested; the shutdown begins with its result.
+func (s *server) requestSuccessorCheck() bool {
+	select {
+	case s.successorChecks <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+// beginShutdown begins the shutdown, once.
+func (s *server) beginShutdown() {
+	if s.shuttingDown {
 		return
 	}
-	p.shuttingDown = true
-	if p.grpcFront != nil {
-		p.grpcFront.SetNotServing()
+	s.shuttingDown = true
+	if s.grpcFront != nil {
+		s.grpcFront.SetNotServing()
 	}
-	if p.peers != nil {
-		p.peers.Leave()
+	if s.peers != nil {
+		s.peers.Leave()
 	}
-	p.log.Info("shutting down", "open", p.dispatcher.OpenCount(), "running", p.dispatcher.RunningCount(), "successor", p.hasSuccessor)
-	if p.inheritedListener {
-		p.handOver(p.loop.Now())
+	s.log.Info("shutting down", "open", s.dispatcher.OpenCount(), "running", s.dispatcher.RunningCount(), "successor", s.hasSuccessor)
+	if s.inheritedListener {
+		s.drainInherited(s.loop.Now())
 		return
 	}
-	p.drain(p.loop.Now())
+	s.drain(s.loop.Now())
 }
 
-// Run serves until Stop.
-func (p *server) Run() error {
-	defer p.loop.Close()
-	defer close(p.stopped)
-	var timer *eventloop.Timer
-	var due int64
-	defer p.pool.Close()
-	err := p.loop.Run(func(now int64) {
-		p.dispatcher.ObserveTurn(p.loop.TurnDuration())
-		p.pool.DeliverPending()
-		p.dispatcher.Turn(now)
-		if next := p.dispatcher.NextDeadline(); next != due || !timer.Pending() {
-			timer.Stop()
-			if due = next; due > 0 {
-				timer = p.loop.At(due, func() {})
-			}
-		}
-	})
-	if p.grpcFront != nil {
-		p.grpcFront.Close()
-	}
-	for _, e := range p.exporters {
-		e.Close(exportersWait)
+// drain keeps serving while requests still come, then stops once nothing is open and no connection
+// waits to be accepted, and rejects what is left before the kill comes. A connection that waits in the
+// system's queue may carry a request, which a stop would lose.
+func (s *server) drain(since int64) {
+	switch age := s.loop.Now() - since; {
+	case age >= s.drainTimeout:
+		s.rejectAndStop(since, s.drainTimeout)
+	case age >= lateRequestsUs && !s.hasUnfinishedWork() && !s.loop.HasQueuedConnections():
+		s.loop.Stop()
+	default:
+		s.loop.After(drainIntervalUs, func() { s.drain(since) })
 	}
-	p.log.Info("stopped", "counts", fmt.Sprintf("%+v", p.dispatcher.Counts()))
-	return err
 }
 
-// drain keeps serving while requests still come, then ends once nothing is open and
-// nobody waits to be let in, and answers what is left before the kill comes. Who
-// waits in the system's queue may have sent a request, which an end would lose.
-func (p *server) drain(since int64) {
-	switch age := p.loop.Now() - since; {
-	case age >= p.drainTimeout:
-		p.rejectAndStop(since, p.drainTimeout)
-	case age >= lateRequestsUs && !p.hasUnfinishedWork() && !p.loop.HasQueuedConnections():
-		p.loop.Stop()
+// drainInherited stops a process whose listening socket the platform owns. Where a successor serves
+// on it, this process stops listening at once: new clients connect there, and what is open here is
+// answered. Without one, clients connect as before and would wait in the system's queue for the next
+// process, which starts only once this one was killed: so it serves until shortly before that, and
+// leaves to the queue only those that it could not answer any more.
+func (s *server) drainInherited(since int64) {
+	age, timeout := s.loop.Now()-since, s.drainTimeout
+	if s.hasSuccessor {
+		timeout = s.drainTimeoutWithSuccessor
+	}
+	if s.hasSuccessor || age >= timeout-lateRequestsUs/2 {
+		s.loop.Unlisten(s.clientAddr)
+	}
+	switch {
+	case age >= timeout:
+		s.rejectAndStop(since, timeout)
+	case s.hasSuccessor && age >= lateRequestsUs && !s.hasUnfinishedWork():
+		s.loop.Stop()
 	default:
-		p.loop.After(10_000, func() { p.drain(since) })
+		s.loop.After(drainIntervalUs, func() { s.drainInherited(since) })
 	}
 }
 
-// hasUnfinishedWork reports whether an end now would lose something that is owed: an answer or a part of
-// one, a release, a minion's word on one.
-func (p *server) hasUnfinishedWork() bool {
-	return p.dispatcher.OpenCount() > 0 || p.clientFront.HasUndelivered() || p.pool.HasUnconfirmedReleases()
+// hasUnfinishedWork reports whether a stop now would lose a response or a part of one, a release, or a
+// worker's completion of a released task.
+func (s *server) hasUnfinishedWork() bool {
+	return s.dispatcher.OpenCount() > 0 || s.clientFront.HasUndelivered() || s.pool.HasUnconfirmedReleases()
 }
 
-// rejectAndStop answers what is open at the drain timeout, and ends once the owners have taken that, or
-// shortly before the kill.
-func (p *server) rejectAndStop(since, last int64) {
-	p.dispatcher.RejectAll(p.loop.Now())
-	if !p.clientFront.HasUndelivered() || p.loop.Now()-since >= last+quitFlush {
-		p.loop.Stop()
+// rejectAndStop rejects what is open at the drain timeout, and stops once the clients have read that,
+// or shortly before the kill.
+func (s *server) rejectAndStop(since, timeout int64) {
+	s.dispatcher.RejectAll(s.loop.Now())
+	if !s.clientFront.HasUndelivered() || s.loop.Now()-since >= timeout+flushTimeoutUs {
+		s.loop.Stop()
 		return
 	}
-	p.loop.After(10_000, func() { p.rejectAndStop(since, last) })
-}
-
-// handOver ends a process whose owners' socket the platform holds. Where a successor serves
-// it, whoever comes goes there at once, and what is open here is answered. Where none
-// does, callers come on as before and would wait in the system's queue for the next
-// process, which starts only once this one was killed: so it serves until shortly
-// before that, and leaves to the queue only whom it could not answer any more.
-func (p *server) handOver(since int64) {
-	age, last := p.loop.Now()-since, p.drainTimeout
-	if p.hasSuccessor {
-		last = p.drainTimeoutWithSuccessor
-	}
-	if p.hasSuccessor || age >= last-lateRequestsUs/2 {
-		p.loop.Unlisten(p.clientAddr)
-	}
-	switch {
-	case age >= last:
-		p.rejectAndStop(since, last)
-	case p.hasSuccessor && age >= lateRequestsUs && !p.hasUnfinishedWork():
-		p.loop.Stop()
-	default:
-		p.loop.After(10_000, func() { p.handOver(since) })
-	}
+	s.loop.After(drainIntervalUs, func() { s.rejectAndStop(since, timeout) })
 }
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -1,95 +1,113 @@
 package main
 
-// This file draws what a rehearsal showed: each orchestrator's time, as it was and as the
-// others saw it, and what was placed meanwhile.
+// This file draws the timeline of a recording as SVG: how each orchestrator was and was seen, what was
+// started meanwhile, and the faults that were played.
 
 import (
 	"bytes"
 	"fmt"
 
 	svg "github.com/ajstarks/svgo"
-
-	"ravenhitch/internal/testbed/fleet"
 )
 
+// Measures of the drawing, in pixels.
 const (
-	pictureWidth = 1000
-	rowHeight    = 26
-	leftEdge     = 110
-	topEdge      = 70
-	barsHeight   = 90
-)
+	timelineWidth = 1000
+	rowHeight     = 26
+	leftEdge      = 110
+	rightMargin   = 20
+	topEdge       = 70
+	barsHeight    = 90
+	bottomMargin  = 40
+	legendWidth   = 195
 
-// colours by how an orchestrator was and was seen.
-var colours = map[string]string{"up": "#4c9f70", "doubted": "#e3b23c", "dead": "#c8553d", "down": "#b8bec7", "ghost": "#7d8597"}
+	textStyle      = "font-family:sans-serif;font-size:12px;fill:#222"
+	stepStyle      = "font-family:sans-serif;font-size:9px;fill:#222"
+	stepLineStyle  = "stroke:#222;stroke-width:1;stroke-dasharray:3,3"
+	startedStyle   = "fill:#5b7db1"
+	backgroundFill = "fill:#ffffff"
+)
 
-// statusOf is how an orchestrator was at a moment, as a key of colours.
-func statusOf(x fleet.Seen) string {
-	switch {
-	case !x.Up && x.Alive+x.Suspected > 0:
-		return "ghost" // it is not there, and some do not know
-	case !x.Up:
-		return "down"
-	case x.Dead > 0:
-		return "dead"
-	case x.Suspected > 0:
-		return "doubted"
-	}
-	return "up"
+// timelineCanvas is a timeline that is being drawn.
+type timelineCanvas struct {
+	*svg.SVG
+	recording *recording
+	barsTop   int     // where the bars of started tasks begin
+	endS      float64 // the time at the right edge, in seconds
 }
 
-// picture is the record as SVG.
-func (r *recording) picture() []byte {
-	var b bytes.Buffer
-	c := svg.New(&b)
+// timeline draws the recording.
+func (r *recording) timeline() []byte {
+	var drawing bytes.Buffer
 	rows := 0
 	if len(r.Moments) > 0 {
 		rows = len(r.Moments[0].Fleet)
 	}
-	bars := topEdge + rows*rowHeight + 40
-	c.Start(pictureWidth, bars+barsHeight+40)
-	c.Rect(0, 0, pictureWidth, bars+barsHeight+40, "fill:#ffffff")
-	text := "font-family:sans-serif;font-size:12px;fill:#222"
-	c.Text(10, 20, "Rehearsal: "+r.Schedule, text)
-	for i, k := range []struct{ key, means string }{{"up", "runs, seen by all"}, {"doubted", "runs, suspected by some"},
-		{"dead", "runs, dead to some"}, {"ghost", "stopped, unknown to some"}, {"down", "stopped, known to all"}} {
-		c.Rect(10+i*195, 32, 12, 12, "fill:"+colours[k.key])
-		c.Text(27+i*195, 42, k.means, text)
-	}
+	canvas := timelineCanvas{SVG: svg.New(&drawing), recording: r, barsTop: topEdge + rows*rowHeight + 40}
+	height := canvas.barsTop + barsHeight + bottomMargin
+	canvas.Start(timelineWidth, height)
+	canvas.Rect(0, 0, timelineWidth, height, backgroundFill)
+	canvas.Text(10, 20, "Rehearsal: "+r.Schedule, textStyle)
+	canvas.drawLegend()
 	if rows > 0 {
-		r.drawRows(c, bars, text)
+		canvas.endS = max(1, r.Moments[len(r.Moments)-1].At)
+		canvas.drawStatuses()
+		canvas.drawStarted()
+		canvas.drawSteps()
+	}
+	canvas.End()
+	return drawing.Bytes()
+}
+
+// x is where a time in seconds is drawn.
+func (c *timelineCanvas) x(atS float64) int {
+	return leftEdge + int(max(0, atS)/c.endS*(timelineWidth-leftEdge-rightMargin))
+}
+
+func (c *timelineCanvas) drawLegend() {
+	for i, status := range legendOrder {
+		c.Rect(10+i*legendWidth, 32, 12, 12, "fill:"+status.colour)
+		c.Text(27+i*legendWidth, 42, status.legend, textStyle)
 	}
-	c.End()
-	return b.Bytes()
 }
 
-func (r *recording) drawRows(c *svg.SVG, bars int, text string) {
-	end := max(1, r.Moments[len(r.Moments)-1].At)
-	x := func(at float64) int { return leftEdge + int(max(0, at)/end*(pictureWidth-leftEdge-20)) }
-	for i, m := range r.Moments {
-		to := pictureWidth - 20
-		if i+1 < len(r.Moments) {
-			to = x(r.Moments[i+1].At)
+// drawStatuses draws a row for each orchestrator, with its status at each moment.
+func (c *timelineCanvas) drawStatuses() {
+	moments := c.recording.Moments
+	for i, moment := range moments {
+		from, to := c.x(moment.At), timelineWidth-rightMargin
+		if i+1 < len(moments) {
+			to = c.x(moments[i+1].At)
 		}
-		for row, s := range m.Fleet {
-			c.Rect(x(m.At), topEdge+row*rowHeight, max(1, to-x(m.At)), rowHeight-4, "fill:"+colours[statusOf(s)])
+		for row, seen := range moment.Fleet {
+			c.Rect(from, topEdge+row*rowHeight, max(1, to-from), rowHeight-4, "fill:"+statusOf(seen).colour)
 		}
 	}
-	for row, s := range r.Moments[0].Fleet {
-		c.Text(10, topEdge+row*rowHeight+15, s.Name+", "+s.Hall, text)
+	for row, seen := range moments[0].Fleet {
+		c.Text(10, topEdge+row*rowHeight+15, seen.Name+", "+seen.Hall, textStyle)
 	}
-	most := 1
-	for _, s := range r.Seconds {
-		most = max(most, s.Started)
+}
+
+// drawStarted draws a bar for the tasks that were started in each second.
+func (c *timelineCanvas) drawStarted() {
+	maxStarted := 1
+	for _, second := range c.recording.Seconds {
+		maxStarted = max(maxStarted, second.Started)
 	}
-	c.Text(10, bars+barsHeight, "started a second", text)
-	c.Text(10, bars+12, fmt.Sprintf("most %d", most), text)
-	for i, s := range r.Seconds {
-		h := s.Started * barsHeight / most
-		c.Rect(x(float64(i)), bars+barsHeight-h, max(1, x(1)-x(0)-2), h, "fill:#5b7db1")
+	c.Text(10, c.barsTop+barsHeight, "started a second", textStyle)
+	c.Text(10, c.barsTop+12, fmt.Sprintf("most %d", maxStarted), textStyle)
+	width := max(1, c.x(1)-c.x(0)-2)
+	for i, second := range c.recording.Seconds {
+		height := second.Started * barsHeight / maxStarted
+		c.Rect(c.x(float64(i)), c.barsTop+barsHeight-height, width, height, startedStyle)
 	}
-	for i, d := range r.Steps {
-		c.Line(x(d.At), topEdge-8, x(d.At), bars+barsHeight, "stroke:#222;stroke-width:1;stroke-dasharray:3,3")
-		c.Text(x(d.At)+3, bars-24+i%3*11, d.Step, "font-family:sans-serif;font-size:9px;fill:#222")
+}
+
+// drawSteps marks the faults that were played.
+func (c *timelineCanvas) drawSteps() {
+	for i, step := range c.recording.Steps {
+		x := c.x(step.At)
+		c.Line(x, topEdge-8, x, c.barsTop+barsHeight, stepLineStyle)
+		c.Text(x+3, c.barsTop-24+i%3*11, step.Step, stepStyle)
 	}
 }
