--- a/cmd/ravenhitch/admin_test.go
+++ b/cmd/ravenhitch/admin_test.go
@@ -20,14 +20,14 @@
 // adminCall makes one call of operators' staff and returns all of the answer.
 func adminCall(t *testing.T, addr, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
-	fmt.Fprintf(c, "%s\n", line)
-	b, err := io.ReadAll(c)
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(testbed.Patience))
+	fmt.Fprintf(conn, "%s\n", line)
+	b, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatalf("%s: %v", line, err)
 	}
@@ -35,31 +35,31 @@
 }
 
 // startInherited starts a process on a listening socket that the platform holds.
-func startInherited(t *testing.T, feed *testbed.Discovery, ln net.Listener) (*server, chan error) {
+func startInherited(t *testing.T, discovery *testbed.Discovery, listener net.Listener) (*server, chan error) {
 	t.Helper()
-	f, err := ln.(*net.TCPListener).File()
+	f, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse([]byte(configJSON(feed)))
+	cfg, err := config.Parse([]byte(configJSON(discovery)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The program gives its descriptor back itself; this one is the platform's.
 	t.Cleanup(func() { f.Close() })
 	cfg.AdminAddr, cfg.Inherited = "127.0.0.1:0", int(f.Fd())
-	p, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
+	process, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	over := make(chan error, 1)
-	go func() { over <- p.Run() }()
-	return p, over
+	go func() { over <- process.Run() }()
+	return process, over
 }
 
-func waitReady(t *testing.T, p *server) {
+func waitReady(t *testing.T, process *server) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); adminCall(t, p.adminAddr, "HEALTH") != "+OK\n"; {
+	for limit := time.Now().Add(testbed.Patience); adminCall(t, process.adminAddr, "HEALTH") != "+OK\n"; {
 		if time.Now().After(limit) {
 			t.Fatal("never ready")
 		}
@@ -67,9 +67,9 @@
 }
 
 // waitShuttingDown waits until the program says that it ends.
-func waitShuttingDown(t *testing.T, p *server) {
+func waitShuttingDown(t *testing.T, process *server) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); adminCall(t, p.adminAddr, "HEALTH") != "-ERR ending\n"; {
+	for limit := time.Now().Add(testbed.Patience); adminCall(t, process.adminAddr, "HEALTH") != "-ERR ending\n"; {
 		if time.Now().After(limit) {
 			t.Fatal("never says that it ends")
 		}
@@ -89,24 +89,24 @@
 // first is out at the second, no caller is turned away, and the first ends.
 func TestHandoverToSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	feed := testbed.NewDiscovery(t)
+	discovery := testbed.NewDiscovery(t)
 	minions := map[string]*testbed.Worker{"a": testbed.NewWorker(t, "a"), "b": testbed.NewWorker(t, "b")}
-	feed.Add(true, minions["a"].ListEntry("up"), minions["b"].ListEntry("up"))
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	discovery.Add(true, minions["a"].ListEntry("up"), minions["b"].ListEntry("up"))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	old, oldOver := startInherited(t, feed, ln)
+	defer listener.Close()
+	old, oldOver := startInherited(t, discovery, listener)
 	waitReady(t, old)
 	// Callers that say nothing hold nobody up, however many they are.
 	for range 2 * 24 {
-		c, err := net.Dial("tcp", old.adminAddr)
+		conn, err := net.Dial("tcp", old.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		fmt.Fprint(c, "HEAL")
+		defer conn.Close()
+		fmt.Fprint(conn, "HEAL")
 	}
 	for line, want := range map[string]string{"OFFLINE x": "-ERR no minion x\n", "OFFLINE a": "+OK\n", "ONLINE x": "-ERR no minion x\n",
 		"DUMP" + strings.Repeat(" ", admin.MaxCallLength): "-ERR expected a call of at most 512 bytes\n"} {
@@ -118,13 +118,13 @@
 		t.Error("one call out undoes another")
 	}
 	adminCall(t, old.adminAddr, "ONLINE b")
-	first := testbed.NewClient(t, ln.Addr().String())
-	place := func(o *testbed.Client, n int, want string) {
+	first := testbed.NewClient(t, listener.Addr().String())
+	place := func(client *testbed.Client, n int, want string) {
 		t.Helper()
 		key := fmt.Sprint("ok-", n)
-		testbed.Send(o, testbed.StartLine(testbed.RequestID(n), "guide-web", key, 5000))
-		if l := testbed.Wait(t, key, o.Lines); l.Verb != "STARTED" || *l.Blob != want+" holds about "+key {
-			t.Errorf("%s got %v", key, l)
+		testbed.Send(client, testbed.StartLine(testbed.RequestID(n), "guide-web", key, 5000))
+		if line := testbed.Wait(t, key, client.Lines); line.Verb != "STARTED" || *line.Blob != want+" holds about "+key {
+			t.Errorf("%s got %v", key, line)
 		}
 	}
 	for n := range 8 {
@@ -134,7 +134,7 @@
 		t.Errorf("%+v", f)
 	}
 
-	next, nextOver := startInherited(t, feed, ln)
+	next, nextOver := startInherited(t, discovery, listener)
 	waitReady(t, next)
 	old.Stop()
 	waitShuttingDown(t, old)
@@ -143,7 +143,7 @@
 	if f := dumpedFigures(t, next.adminAddr); f.Ejected != 1 {
 		t.Errorf("what was out by hand is not: %+v", f)
 	}
-	second := testbed.NewClient(t, ln.Addr().String())
+	second := testbed.NewClient(t, listener.Addr().String())
 	for n := range 8 {
 		place(second, n+20, "b")
 	}
@@ -170,7 +170,7 @@
 	// Nobody goes on after the second: it serves whoever comes until the kill is near.
 	next.Stop()
 	waitShuttingDown(t, next)
-	place(testbed.NewClient(t, ln.Addr().String()), 60, "a")
+	place(testbed.NewClient(t, listener.Addr().String()), 60, "a")
 	next.loop.Post(next.loop.Stop)
 	if err := testbed.Wait(t, "the end", nextOver); err != nil {
 		t.Error(err)
@@ -190,22 +190,22 @@
 		t.Fatal(err)
 	}
 	cfg.AdminAddr = "127.0.0.1:0"
-	if p, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "minions-out:3: expected") {
-		t.Errorf("%v, %v", p, err)
+	if process, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "minions-out:3: expected") {
+		t.Errorf("%v, %v", process, err)
 	}
 }
 
 // An owner may take 2 s to write a set-up; one that never ends it is told by a close.
 func TestSlowWriter(t *testing.T) {
-	w := newTestServer(t, "a")
-	slow, never := w.connect(t), w.connect(t)
+	server := newTestServer(t, "a")
+	slow, never := server.connect(t), server.connect(t)
 	b, err := json.Marshal(testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	began, half := time.Now(), len(b)/2
-	for _, o := range []*testbed.Client{slow, never} {
-		if _, err := o.Write(b[:half]); err != nil {
+	for _, client := range []*testbed.Client{slow, never} {
+		if _, err := client.Write(b[:half]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -213,11 +213,11 @@
 	if _, err := slow.Write(append(b[half:], '\n')); err != nil {
 		t.Fatal(err)
 	}
-	if l := testbed.Wait(t, "the answer", slow.Lines); l.Verb != "STARTED" {
-		t.Errorf("got %v", l)
+	if line := testbed.Wait(t, "the answer", slow.Lines); line.Verb != "STARTED" {
+		t.Errorf("got %v", line)
 	}
-	if l, ok := <-never.Lines; ok {
-		t.Errorf("half a set-up got %v", l)
+	if line, ok := <-never.Lines; ok {
+		t.Errorf("half a set-up got %v", line)
 	}
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("the close took %v", took)
--- a/cmd/ravenhitch/client_gone_test.go
+++ b/cmd/ravenhitch/client_gone_test.go
@@ -24,7 +24,7 @@
 	workers []string
 	// leaveUnread says that the client's leave is read only once the wait has ended.
 	leaveUnread bool
-	begin   func(t *testing.T, f *proxiedServer, client *testbed.Client) (end func())
+	begin   func(t *testing.T, server *proxiedServer, client *testbed.Client) (end func())
 }
 
 // pauseLoop stops the loop at the point of a turn where what came in is read and nothing is
@@ -47,45 +47,45 @@
 }
 
 var waitingRequests = []waitingRequest{
-	{"for a worker that takes offers", []string{"a"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
-		f.discovery.Add(false, f.workers[0].ListEntry("draining"))
-		f.discovery.WaitPolled(t)
+	{"for a worker that takes offers", []string{"a"}, false, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+		server.discovery.Add(false, server.workers[0].ListEntry("draining"))
+		server.discovery.WaitPolled(t)
 		testbed.Send(client, leaverLine("ok-leaver"))
-		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
-		return func() { f.discovery.Add(false, f.workers[0].ListEntry("up")) }
+		server.waitUntil(t, "the request", func() bool { return server.dispatcher.OpenCount() == 1 })
+		return func() { server.discovery.Add(false, server.workers[0].ListEntry("up")) }
 	}},
-	{"between attempts, as the last one is not known to be over", []string{"a", "b"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
+	{"between attempts, as the last one is not known to be over", []string{"a", "b"}, false, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 		testbed.Send(client, leaverLine("missed-leaver"))
-		f.eventually(t, "the first attempt", func() bool { return f.attempts.Count(leaverID) == 1 })
-		for _, m := range f.workers { // the first attempt's end is written, and has to be proved
-			m.Note()
-			f.proxies[m.Name].Delay(80 * time.Millisecond)
+		server.eventually(t, "the first attempt", func() bool { return server.attempts.Count(leaverID) == 1 })
+		for _, worker := range server.workers { // the first attempt's end is written, and has to be proved
+			worker.Note()
+			server.proxies[worker.Name].Delay(80 * time.Millisecond)
 		}
-		f.waitUntil(t, "its end is under way", func() bool { return f.pool.UnconfirmedCancels() > 0 })
+		server.waitUntil(t, "its end is under way", func() bool { return server.pool.UnconfirmedCancels() > 0 })
 		return func() {}
 	}},
-	{"for a connection that comes up late", []string{"a"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
-		link := f.moveBehindCutProxy(t)
+	{"for a connection that comes up late", []string{"a"}, false, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+		link := server.moveBehindCutProxy(t)
 		testbed.Send(client, leaverLine("ok-leaver"))
-		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
+		server.waitUntil(t, "the request", func() bool { return server.dispatcher.OpenCount() == 1 })
 		return func() { link.Heal(t) }
 	}},
-	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
-		link := f.moveBehindCutProxy(t)
+	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+		link := server.moveBehindCutProxy(t)
 		testbed.Send(client, leaverLine("ok-leaver"))
-		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
-		end := f.pauseLoop(t)
-		before, _ := f.workers[0].DialCounts()
+		server.waitUntil(t, "the request", func() bool { return server.dispatcher.OpenCount() == 1 })
+		end := server.pauseLoop(t)
+		before, _ := server.workers[0].DialCounts()
 		link.Heal(t)
-		f.eventually(t, "the connection", func() bool { n, _ := f.workers[0].DialCounts(); return n > before })
+		server.eventually(t, "the connection", func() bool { n, _ := server.workers[0].DialCounts(); return n > before })
 		return end
 	}},
-	{"for the rest of a long turn", []string{"a"}, true, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
-		first := f.pauseLoop(t)
+	{"for the rest of a long turn", []string{"a"}, true, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+		first := server.pauseLoop(t)
 		testbed.Send(client, leaverLine("ok-leaver"))
 		here, on := make(chan bool), make(chan bool)
-		f.loop.Post(func() { // in the turn that reads it
-			here <- f.dispatcher.OpenCount() == 1
+		server.loop.Post(func() { // in the turn that reads it
+			here <- server.dispatcher.OpenCount() == 1
 			<-on
 		})
 		first()
@@ -94,18 +94,18 @@
 		}
 		return func() { on <- true }
 	}},
-	{"to be read", []string{"a"}, true, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
-		end := f.pauseLoop(t)
+	{"to be read", []string{"a"}, true, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+		end := server.pauseLoop(t)
 		testbed.Send(client, leaverLine("ok-leaver"))
 		return end
 	}},
-	{"behind answers that its client has not read", []string{"a"}, false, func(t *testing.T, f *proxiedServer, client *testbed.Client) func() {
-		f.discovery.Add(false, f.workers[0].ListEntry("draining"))
-		f.discovery.WaitPolled(t)
-		client.Conn = newSlowReader(t, f.testServer)
+	{"behind answers that its client has not read", []string{"a"}, false, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+		server.discovery.Add(false, server.workers[0].ListEntry("draining"))
+		server.discovery.WaitPolled(t)
+		client.Conn = newSlowReader(t, server.testServer)
 		testbed.Send(client, leaverLine("ok-leaver"))
-		f.waitUntil(t, "the request", func() bool { return f.dispatcher.OpenCount() == 1 })
-		return func() { f.discovery.Add(false, f.workers[0].ListEntry("up")) }
+		server.waitUntil(t, "the request", func() bool { return server.dispatcher.OpenCount() == 1 })
+		return func() { server.discovery.Add(false, server.workers[0].ListEntry("up")) }
 	}},
 }
 
@@ -126,34 +126,34 @@
 // No attempt begins for a client that has gone, wherever its request waited and however it
 // left. The time to the last attempt's first byte is logged; below zero it came before.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
-	for _, c := range waitingRequests {
+	for _, test := range waitingRequests {
 		for _, way := range []struct {
 			name  string
-			leave func(o *testbed.Client)
+			leave func(client *testbed.Client)
 		}{
-			{"closes", func(o *testbed.Client) { o.Close() }},
-			{"resets", func(o *testbed.Client) { o.Conn.(*net.TCPConn).SetLinger(0); o.Close() }},
-			{"cancels", func(o *testbed.Client) { testbed.Send(o, testbed.FinishLine("FINISH", leaverID, 16)) }},
+			{"closes", func(client *testbed.Client) { client.Close() }},
+			{"resets", func(client *testbed.Client) { client.Conn.(*net.TCPConn).SetLinger(0); client.Close() }},
+			{"cancels", func(client *testbed.Client) { testbed.Send(client, testbed.FinishLine("FINISH", leaverID, 16)) }},
 		} {
-			t.Run(c.name+", "+way.name, func(t *testing.T) {
+			t.Run(test.name+", "+way.name, func(t *testing.T) {
 				t.Parallel()
-				f := newSlowDialServer(t, c.workers)
-				client := f.testServer.connect(t)
-				end := c.begin(t, f, client)
-				tried := f.attempts.Count(leaverID)
+				server := newSlowDialServer(t, test.workers)
+				client := server.testServer.connect(t)
+				end := test.begin(t, server, client)
+				tried := server.attempts.Count(leaverID)
 				left := time.Now()
-				if way.leave(client); c.leaveUnread {
-					f.outlastMaxDelay()
+				if way.leave(client); test.leaveUnread {
+					server.outlastMaxDelay()
 				} else {
-					f.waitUntil(t, "the leave is read", func() bool { return f.dispatcher.OpenCount() == 0 })
+					server.waitUntil(t, "the leave is read", func() bool { return server.dispatcher.OpenCount() == 0 })
 				}
 				end()
-				f.waitUntil(t, "all ends are proved", func() bool { return f.pool.UnconfirmedCancels() == 0 })
-				f.expectAllStarted(t, f.submit("ok", 1, 8000)) // by then what was to leave has left
-				if n := f.attempts.Count(leaverID) - tried; n > 0 {
-					t.Errorf("%d attempts began after the client had gone, the last %s after", n, f.attempts.Last(leaverID).Sub(left))
+				server.waitUntil(t, "all ends are proved", func() bool { return server.pool.UnconfirmedCancels() == 0 })
+				server.expectAllStarted(t, server.submit("ok", 1, 8000)) // by then what was to leave has left
+				if n := server.attempts.Count(leaverID) - tried; n > 0 {
+					t.Errorf("%d attempts began after the client had gone, the last %s after", n, server.attempts.Last(leaverID).Sub(left))
 				}
-				if last := f.attempts.Last(leaverID); !last.IsZero() {
+				if last := server.attempts.Last(leaverID); !last.IsZero() {
 					t.Logf("from the leave to the last attempt's first byte: %s", last.Sub(left))
 				}
 			})
@@ -163,14 +163,14 @@
 
 // newSlowDialServer is a field where connections to workers may take long to come up.
 func newSlowDialServer(t *testing.T, minions []string) *proxiedServer {
-	f := &proxiedServer{proxies: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), firstResponses: map[string]string{}}
-	f.testServer = newServerSet(t, changedSettings(t, settingChange{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
-		slog.New(slog.DiscardHandler), func(m *testbed.Worker) {
-			m.Attempts = f.attempts
-			f.proxies[m.Name] = testbed.NewProxy(t, m)
+	server := &proxiedServer{proxies: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), firstResponses: map[string]string{}}
+	server.testServer = newServerSet(t, changedSettings(t, settingChange{"Limits.DialTimeoutUs", 10_000_000}), config.Operators{}, 1024,
+		slog.New(slog.DiscardHandler), func(worker *testbed.Worker) {
+			worker.Attempts = server.attempts
+			server.proxies[worker.Name] = testbed.NewProxy(t, worker)
 		}, minions...)
-	f.Client = f.testServer.connect(t)
-	f.expectAllStarted(t, f.submit("ok", 1, 8000))
-	f.expectAllStarted(t, f.submit("ok", 16*len(minions), 8000)) // what is new to a worker waits no longer
-	return f
+	server.Client = server.testServer.connect(t)
+	server.expectAllStarted(t, server.submit("ok", 1, 8000))
+	server.expectAllStarted(t, server.submit("ok", 16*len(minions), 8000)) // what is new to a worker waits no longer
+	return server
 }
--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -15,7 +15,7 @@
 // A command that makes no sense says what was expected, and starts nothing.
 func TestCommands(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		line, want string
 	}{
 		{"peer", "unexpected argument peer"},
@@ -29,8 +29,8 @@
 		t.Setenv("ROUTER_MGMT", "")
 		os.Unsetenv("ROUTER_MGMT")
 		var out, errs bytes.Buffer
-		if code := runCommand(strings.Fields(c.line), &out, &errs); code != 1 || !strings.Contains(errs.String(), c.want) {
-			t.Errorf("%s: code %d, %q", c.line, code, errs.String())
+		if code := runCommand(strings.Fields(test.line), &out, &errs); code != 1 || !strings.Contains(errs.String(), test.want) {
+			t.Errorf("%s: code %d, %q", test.line, code, errs.String())
 		}
 	}
 	var errs bytes.Buffer
--- a/cmd/ravenhitch/full_table_test.go
+++ b/cmd/ravenhitch/full_table_test.go
@@ -40,9 +40,9 @@
 // The end of a task reaches its client although the table is full of others: new ones do not
 // take the places of the last clients that are known to have tasks.
 func TestCompletionWithFullConnectionTable(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		say  func(t *testing.T, w *testServer, i int, bad *testbed.Client)
+		say  func(t *testing.T, server *testServer, i int, bad *testbed.Client)
 	}{
 		{"of clients that never ask", func(*testing.T, *testServer, int, *testbed.Client) {}},
 		{"of clients that ask what can't be used, and never read", func(_ *testing.T, _ *testServer, i int, bad *testbed.Client) {
@@ -55,23 +55,23 @@
 			testbed.Send(bad, testbed.StartLine(testbed.RequestID(100+i), "archive-cut", fmt.Sprint("silent-", i), 8000))
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			w := newServerWithSockets(t, 64, "a")
-			client := w.connect(t)
+			server := newServerWithSockets(t, 64, "a")
+			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-			if l := testbed.Wait(t, "the answer", client.Lines); l.Verb != "STARTED" {
-				t.Fatalf("got %v", l)
+			if line := testbed.Wait(t, "the answer", client.Lines); line.Verb != "STARTED" {
+				t.Fatalf("got %v", line)
 			}
-			w.waitIdle(t)
-			for i, bad := range w.connectWhilePaused(t, 2*maxClients) {
-				c.say(t, w, i, bad)
+			server.waitIdle(t)
+			for i, bad := range server.connectWhilePaused(t, 2*maxClients) {
+				test.say(t, server, i, bad)
 			}
-			w.waitUntil(t, "a full table", func() bool { return w.loop.HasQueuedConnections() || w.clientFront.Connections() == maxClients })
-			w.onLoop(t, func() {}) // and a turn in which some wait
-			w.workers[0].End(testbed.RequestID(1), 16)
-			if l := testbed.Wait(t, "the end", client.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != 16 {
-				t.Errorf("got %v", l)
+			server.waitUntil(t, "a full table", func() bool { return server.loop.HasQueuedConnections() || server.clientFront.Connections() == maxClients })
+			server.onLoop(t, func() {}) // and a turn in which some wait
+			server.workers[0].End(testbed.RequestID(1), 16)
+			if line := testbed.Wait(t, "the end", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != 16 {
+				t.Errorf("got %v", line)
 			}
 		})
 	}
@@ -80,33 +80,33 @@
 // An end whose client is away does not go to whoever has said something, while the client
 // may come back: it is told to the first that tests, or that has tasks.
 func TestCompletionNotReportedToStrangers(t *testing.T) {
-	w := newServerWithSockets(t, 64, "a")
-	client := w.connect(t)
+	server := newServerWithSockets(t, 64, "a")
+	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-	if l := testbed.Wait(t, "the answer", client.Lines); l.Verb != "STARTED" {
-		t.Fatalf("got %v", l)
+	if line := testbed.Wait(t, "the answer", client.Lines); line.Verb != "STARTED" {
+		t.Fatalf("got %v", line)
 	}
 	client.Close()
-	w.waitUntil(t, "no client", func() bool { return w.clientFront.Connections() == 0 })
-	bad := w.connectWhilePaused(t, maxClients)
-	for i, o := range bad {
-		testbed.Send(o, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
-		if l := testbed.Wait(t, "the error", o.Lines); l.Cause() != 47 {
-			t.Fatalf("got %v", l)
+	server.waitUntil(t, "no client", func() bool { return server.clientFront.Connections() == 0 })
+	bad := server.connectWhilePaused(t, maxClients)
+	for i, client := range bad {
+		testbed.Send(client, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
+		if line := testbed.Wait(t, "the error", client.Lines); line.Cause() != 47 {
+			t.Fatalf("got %v", line)
 		}
 	}
-	w.workers[0].End(testbed.RequestID(1), 16)
-	w.waitUntil(t, "the end here", func() bool { return w.dispatcher.RunningCount() == 0 })
-	again := w.connect(t)
+	server.workers[0].End(testbed.RequestID(1), 16)
+	server.waitUntil(t, "the end here", func() bool { return server.dispatcher.RunningCount() == 0 })
+	again := server.connect(t)
 	testbed.Send(again, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
-	if l := testbed.Wait(t, "the end", again.Lines); l.Tag != testbed.RequestID(1) || l.Cause() != 16 {
-		t.Errorf("got %v", l)
+	if line := testbed.Wait(t, "the end", again.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != 16 {
+		t.Errorf("got %v", line)
 	}
-	for _, o := range bad {
+	for _, client := range bad {
 		select {
-		case l, ok := <-o.Lines:
+		case line, ok := <-client.Lines:
 			if ok {
-				t.Errorf("another got %v", l)
+				t.Errorf("another got %v", line)
 			}
 		default:
 		}
--- a/cmd/ravenhitch/giveup_test.go
+++ b/cmd/ravenhitch/giveup_test.go
@@ -86,25 +86,25 @@
 func newProxiedServer(t *testing.T, minions ...string) *proxiedServer { return newProxiedServerWith(t, settingsJSON, minions...) }
 
 func newProxiedServerWith(t *testing.T, settings string, minions ...string) *proxiedServer {
-	f := &proxiedServer{proxies: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), firstResponses: map[string]string{},
+	server := &proxiedServer{proxies: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), firstResponses: map[string]string{},
 		trace: &traceRecorder{Handler: slog.DiscardHandler, cancelledAt: map[string]int64{}}}
-	f.testServer = newServerSet(t, settings, config.Operators{}, 1024, slog.New(f.trace), func(m *testbed.Worker) {
-		m.Attempts = f.attempts
-		f.proxies[m.Name] = testbed.NewProxy(t, m)
+	server.testServer = newServerSet(t, settings, config.Operators{}, 1024, slog.New(server.trace), func(worker *testbed.Worker) {
+		worker.Attempts = server.attempts
+		server.proxies[worker.Name] = testbed.NewProxy(t, worker)
 	}, minions...)
-	f.Client = f.testServer.connect(t)
+	server.Client = server.testServer.connect(t)
 	// Quick answers, so that later attempts are given up early and many are out at a time.
-	f.waitResponses(t, f.submit("ok", 1, 5000)) // from then on the owner may have many set-ups open
-	f.expectAllStarted(t, f.submit("ok", 16*len(minions), 5000))
-	return f
+	server.waitResponses(t, server.submit("ok", 1, 5000)) // from then on the owner may have many set-ups open
+	server.expectAllStarted(t, server.submit("ok", 16*len(minions), 5000))
+	return server
 }
 
 // noteOnceHalfOffered lets every minion say something once half of the offers came.
 func (f *proxiedServer) noteOnceHalfOffered(t *testing.T, tags []string) {
 	t.Helper()
 	f.eventually(t, "half of the offers", func() bool { return 2*len(f.attempts.Open()) >= len(tags) })
-	for _, m := range f.workers {
-		m.Note()
+	for _, worker := range f.workers {
+		worker.Note()
 	}
 	f.onLoop(t, func() {}) // a turn, and another: what was said is read
 	f.onLoop(t, func() {})
@@ -115,9 +115,9 @@
 	for range n {
 		f.lastID++
 		tag := testbed.RequestID(f.lastID)
-		l := testbed.StartLine(tag, "guide-web", fmt.Sprintf("%s-%d", kind, f.lastID), leftMs)
-		l.Opts["extras"] = "cores:0.05;memory:0.1;service:00000000b4d65521"
-		testbed.Send(f, l)
+		line := testbed.StartLine(tag, "guide-web", fmt.Sprintf("%s-%d", kind, f.lastID), leftMs)
+		line.Opts["extras"] = "cores:0.05;memory:0.1;service:00000000b4d65521"
+		testbed.Send(f, line)
 		tags = append(tags, tag)
 	}
 	return tags
@@ -146,18 +146,18 @@
 }
 
 // nextLine notes the next word to the owner. Until it comes the minions keep talking.
-func (f *proxiedServer) nextLine(t *testing.T) (l testbed.Line) {
+func (f *proxiedServer) nextLine(t *testing.T) (line testbed.Line) {
 	t.Helper()
 	for limit := time.After(testbed.Patience); ; {
 		select {
-		case l := <-f.Lines:
-			if f.firstResponses[l.Tag] == "" {
-				f.firstResponses[l.Tag] = l.Verb
+		case line := <-f.Lines:
+			if f.firstResponses[line.Tag] == "" {
+				f.firstResponses[line.Tag] = line.Verb
 			}
-			return l
+			return line
 		case <-time.After(20 * time.Millisecond):
-			for _, m := range f.workers {
-				m.Note()
+			for _, worker := range f.workers {
+				worker.Note()
 			}
 		case <-limit:
 			t.Fatal("an owner waits in vain")
@@ -188,136 +188,136 @@
 // One attempt of a request is out at a time, at minions, and what ends while a way
 // fails is told once it is there again.
 func TestFailingLinks(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		minions []string
-		play    func(t *testing.T, f *proxiedServer)
+		play    func(t *testing.T, server *proxiedServer)
 	}{
 		// A give-up is on its way for longer than the next offer to another minion: that
 		// must wait until the give-up was read.
-		{"many given up at once, half of the minions far away", strings.Fields("a b c d e f g h i j k l"), func(t *testing.T, f *proxiedServer) {
-			for _, m := range f.workers[:6] {
-				f.proxies[m.Name].Delay(30 * time.Millisecond)
+		{"many given up at once, half of the minions far away", strings.Fields("a b c d e f g h i j k l"), func(t *testing.T, server *proxiedServer) {
+			for _, worker := range server.workers[:6] {
+				server.proxies[worker.Name].Delay(30 * time.Millisecond)
 			}
-			missed := f.submit("missed", 60, 2000) // five a minion
-			f.noteOnceHalfOffered(t, missed)
-			f.expectAllStarted(t, missed)
+			missed := server.submit("missed", 60, 2000) // five a minion
+			server.noteOnceHalfOffered(t, missed)
+			server.expectAllStarted(t, missed)
 		}},
 		// Give-ups that follow while the test behind the first is on its way are proved too.
-		{"given up one by one, all minions far away", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			for _, l := range f.proxies {
+		{"given up one by one, all minions far away", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			for _, l := range server.proxies {
 				l.Delay(80 * time.Millisecond)
 			}
 			var missed []string
 			for range 6 {
-				missed = append(missed, f.submit("missed", 1, 2000)...)
+				missed = append(missed, server.submit("missed", 1, 2000)...)
 				time.Sleep(20 * time.Millisecond)
 			}
-			f.expectAllStarted(t, missed)
+			server.expectAllStarted(t, missed)
 		}},
 		// The way is cut after the minion's last word: the give-up never arrives.
-		{"cut between the last word and the give-up", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			missed := f.submit("missed", 4, 2000)
-			f.noteOnceHalfOffered(t, missed)
-			f.proxies["a"].Cut(t)
-			f.expectAllStarted(t, missed)
+		{"cut between the last word and the give-up", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			missed := server.submit("missed", 4, 2000)
+			server.noteOnceHalfOffered(t, missed)
+			server.proxies["a"].Cut(t)
+			server.expectAllStarted(t, missed)
 		}},
 		// What was offered into a cut must not arrive when that heals: it stands elsewhere.
-		{"offered into a cut that heals", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			f.proxies["a"].Cut(t)
-			f.expectAllStarted(t, f.submit("ok", 40, 5000))
-			f.proxies["a"].Heal(t)
-			f.waitRunningAt(t, "a")
+		{"offered into a cut that heals", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			server.proxies["a"].Cut(t)
+			server.expectAllStarted(t, server.submit("ok", 40, 5000))
+			server.proxies["a"].Heal(t)
+			server.waitRunningAt(t, "a")
 		}},
 		// An owner withdraws what is open at a minion that is cut off since its last word,
 		// and may come again elsewhere: the attempt must not stay out for long.
-		{"withdrawn into a cut", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			silent := f.submit("silent", 4, 60_000)
-			f.noteOnceHalfOffered(t, silent)
-			f.proxies["a"].Cut(t)
+		{"withdrawn into a cut", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			silent := server.submit("silent", 4, 60_000)
+			server.noteOnceHalfOffered(t, silent)
+			server.proxies["a"].Cut(t)
 			for _, tag := range silent {
-				testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
+				testbed.Send(server, testbed.FinishLine("FINISH", tag, 16))
 			}
-			f.eventually(t, "no attempt out", func() bool { return len(f.attempts.Open()) == 0 })
+			server.eventually(t, "no attempt out", func() bool { return len(server.attempts.Open()) == 0 })
 		}},
 		// What is open at a minion that moves to another address is over at the old one
 		// before it is offered anywhere.
-		{"moved to another address", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			missed := f.submit("missed", 4, 3000)
-			f.noteOnceHalfOffered(t, missed)
+		{"moved to another address", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			missed := server.submit("missed", 4, 3000)
+			server.noteOnceHalfOffered(t, missed)
 			next := testbed.NewWorker(t, "a")
-			next.Attempts = f.attempts
-			f.discovery.Add(false, next.ListEntry("up"))
-			f.expectAllStarted(t, missed)
+			next.Attempts = server.attempts
+			server.discovery.Add(false, next.ListEntry("up"))
+			server.expectAllStarted(t, missed)
 		}},
 		// At the end of the program, what is open is given up before its owners are told.
-		{"told to end, with a way cut", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			silent := f.submit("silent", 4, 60_000)
-			f.noteOnceHalfOffered(t, silent)
-			f.proxies["a"].Cut(t)
-			f.Stop()
-			f.waitResponses(t, silent)
+		{"told to end, with a way cut", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			silent := server.submit("silent", 4, 60_000)
+			server.noteOnceHalfOffered(t, silent)
+			server.proxies["a"].Cut(t)
+			server.Stop()
+			server.waitResponses(t, silent)
 		}},
 		// A release goes out again where the connection that it was written to is gone.
-		{"released into a cut that heals", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			tag := f.attempts.Running("a")[0]
-			f.proxies["a"].Cut(t)
-			testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
-			f.waitResponses(t, f.submit("ok", 40, 5000)) // the end of some takes back what lies in the cut
-			f.proxies["a"].Heal(t)
-			for testbed.Wait(t, "the release", f.workers[0].Ends).Tag != tag {
+		{"released into a cut that heals", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			tag := server.attempts.Running("a")[0]
+			server.proxies["a"].Cut(t)
+			testbed.Send(server, testbed.FinishLine("FINISH", tag, 16))
+			server.waitResponses(t, server.submit("ok", 40, 5000)) // the end of some takes back what lies in the cut
+			server.proxies["a"].Heal(t)
+			for testbed.Wait(t, "the release", server.workers[0].Ends).Tag != tag {
 			}
 		}},
 		// The minion believes in a connection that was closed during a cut: it tells an
 		// end there and on the next connection opened, which there must be, although the
 		// one that is there is busy.
-		{"ended on a connection that is gone", []string{"a", "b"}, func(t *testing.T, f *proxiedServer) {
-			tag := f.attempts.Running("a")[0]
-			f.proxies["a"].Cut(t)
-			f.waitResponses(t, f.submit("ok", 40, 5000))
-			f.proxies["a"].Heal(t)
-			f.waitRunningAt(t, "a")
-			f.workers[0].SendFinish(tag, 16)
-			for l := f.nextLine(t); l.Tag != tag || l.Verb != "FINISH"; l = f.nextLine(t) {
+		{"ended on a connection that is gone", []string{"a", "b"}, func(t *testing.T, server *proxiedServer) {
+			tag := server.attempts.Running("a")[0]
+			server.proxies["a"].Cut(t)
+			server.waitResponses(t, server.submit("ok", 40, 5000))
+			server.proxies["a"].Heal(t)
+			server.waitRunningAt(t, "a")
+			server.workers[0].SendFinish(tag, 16)
+			for line := server.nextLine(t); line.Tag != tag || line.Verb != "FINISH"; line = server.nextLine(t) {
 			}
 		}},
 		// An end crosses the close of an older connection, on which the minion has just
 		// answered: it is told again on the next one opened, which there must be.
-		{"ended as an older connection is closed", []string{"a"}, func(t *testing.T, f *proxiedServer) {
-			tag := f.attempts.Running("a")[0]
-			f.lastID++
-			late := testbed.RequestID(f.lastID) // of a class whose attempts are not given up early
-			testbed.Send(f, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
-			f.eventually(t, "the offer", func() bool { return slices.Contains(f.attempts.Open(), late) })
-			dials, _ := f.workers[0].DialCounts()
-			f.eventually(t, "another connection", func() bool { // once the minion is silent for long
+		{"ended as an older connection is closed", []string{"a"}, func(t *testing.T, server *proxiedServer) {
+			tag := server.attempts.Running("a")[0]
+			server.lastID++
+			late := testbed.RequestID(server.lastID) // of a class whose attempts are not given up early
+			testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
+			server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.Open(), late) })
+			dials, _ := server.workers[0].DialCounts()
+			server.eventually(t, "another connection", func() bool { // once the minion is silent for long
 				time.Sleep(450 * time.Millisecond) // the owner's pace, and the minion's silence
-				f.submit("ok", 1, 5000)
-				now, _ := f.workers[0].DialCounts()
+				server.submit("ok", 1, 5000)
+				now, _ := server.workers[0].DialCounts()
 				return now > dials
 			})
-			f.proxies["a"].Delay(300 * time.Millisecond)
-			f.workers[0].Accept(late)
-			for f.firstResponses[late] == "" {
-				f.nextLine(t)
+			server.proxies["a"].Delay(300 * time.Millisecond)
+			server.workers[0].Accept(late)
+			for server.firstResponses[late] == "" {
+				server.nextLine(t)
 			}
-			f.workers[0].SendFinish(tag, 16)
-			for l := f.nextLine(t); l.Tag != tag || l.Verb != "FINISH"; l = f.nextLine(t) {
+			server.workers[0].SendFinish(tag, 16)
+			for line := server.nextLine(t); line.Tag != tag || line.Verb != "FINISH"; line = server.nextLine(t) {
 			}
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newProxiedServer(t, c.minions...)
-			c.play(t, f)
-			f.eventually(t, "the end of all attempts whose owners were answered", func() bool {
-				return !slices.ContainsFunc(f.attempts.Open(), func(tag string) bool { return f.firstResponses[tag] == "FINISH" })
+		t.Run(test.name, func(t *testing.T) {
+			server := newProxiedServer(t, test.minions...)
+			test.play(t, server)
+			server.eventually(t, "the end of all attempts whose owners were answered", func() bool {
+				return !slices.ContainsFunc(server.attempts.Open(), func(tag string) bool { return server.firstResponses[tag] == "FINISH" })
 			})
-			f.trace.mu.Lock()
-			defer f.trace.mu.Unlock()
-			if len(f.trace.earlyOffers) > 0 {
-				t.Errorf("%d offers too early, as %s", len(f.trace.earlyOffers), f.trace.earlyOffers[0])
+			server.trace.mu.Lock()
+			defer server.trace.mu.Unlock()
+			if len(server.trace.earlyOffers) > 0 {
+				t.Errorf("%d offers too early, as %s", len(server.trace.earlyOffers), server.trace.earlyOffers[0])
 			}
-			if copies := f.attempts.Duplicates(); len(copies) > 0 {
+			if copies := server.attempts.Duplicates(); len(copies) > 0 {
 				t.Errorf("%d copies, as %s", len(copies), copies[0])
 			}
 		})
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -15,66 +15,66 @@
 const heapSlack = 96 << 10
 
 // completionKinds are the ways in which a request or a task ends on sockets. Each plays one.
-var completionKinds = map[string]func(t *testing.T, w *testServer, o *testbed.Client, tag string){
-	"stood and ended": func(t *testing.T, w *testServer, o *testbed.Client, tag string) {
-		submitAndExpect(t, o, tag, "ok-1", "STARTED")
-		w.workers[0].End(tag, 16)
-		expectCompletion(t, o, tag)
+var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, tag string){
+	"stood and ended": func(t *testing.T, server *testServer, client *testbed.Client, tag string) {
+		submitAndExpect(t, client, tag, "ok-1", "STARTED")
+		server.workers[0].End(tag, 16)
+		expectCompletion(t, client, tag)
 	},
-	"released by its client": func(t *testing.T, w *testServer, o *testbed.Client, tag string) {
-		submitAndExpect(t, o, tag, "ok-1", "STARTED")
-		testbed.Send(o, testbed.FinishLine("FINISH", tag, 16))
-		if l := testbed.Wait(t, "the word on the release", o.Lines); l.Verb != "FINISHED" {
-			t.Fatalf("got %v", l)
+	"released by its client": func(t *testing.T, server *testServer, client *testbed.Client, tag string) {
+		submitAndExpect(t, client, tag, "ok-1", "STARTED")
+		testbed.Send(client, testbed.FinishLine("FINISH", tag, 16))
+		if line := testbed.Wait(t, "the word on the release", client.Lines); line.Verb != "FINISHED" {
+			t.Fatalf("got %v", line)
 		}
-		w.waitUntil(t, "its end", func() bool { return w.dispatcher.RunningCount() == 0 && !w.pool.HasUnconfirmedReleases() })
+		server.waitUntil(t, "its end", func() bool { return server.dispatcher.RunningCount() == 0 && !server.pool.HasUnconfirmedReleases() })
 	},
-	"over before its yes": func(t *testing.T, _ *testServer, o *testbed.Client, tag string) {
-		submitAndExpect(t, o, tag, "brief-1", "STARTED")
-		expectCompletion(t, o, tag)
+	"over before its yes": func(t *testing.T, _ *testServer, client *testbed.Client, tag string) {
+		submitAndExpect(t, client, tag, "brief-1", "STARTED")
+		expectCompletion(t, client, tag)
 	},
-	"withdrawn": func(t *testing.T, w *testServer, o *testbed.Client, tag string) {
-		testbed.Send(o, testbed.StartLine(tag, "archive-cut", "silent-1", 5000))
-		testbed.Wait(t, "the offer", w.workers[0].Starts)
-		testbed.Send(o, testbed.FinishLine("FINISH", tag, 16))
-		if l := testbed.Wait(t, "the word on the withdrawal", o.Lines); l.Verb != "FINISHED" {
-			t.Fatalf("got %v", l)
+	"withdrawn": func(t *testing.T, server *testServer, client *testbed.Client, tag string) {
+		testbed.Send(client, testbed.StartLine(tag, "archive-cut", "silent-1", 5000))
+		testbed.Wait(t, "the offer", server.workers[0].Starts)
+		testbed.Send(client, testbed.FinishLine("FINISH", tag, 16))
+		if line := testbed.Wait(t, "the word on the withdrawal", client.Lines); line.Verb != "FINISHED" {
+			t.Fatalf("got %v", line)
 		}
 	},
-	"its client's connection closed": func(t *testing.T, w *testServer, _ *testbed.Client, tag string) {
-		leaver, err := testbed.Dial(w.clientAddr)
+	"its client's connection closed": func(t *testing.T, server *testServer, _ *testbed.Client, tag string) {
+		leaver, err := testbed.Dial(server.clientAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		testbed.Send(leaver, testbed.StartLine(tag, "archive-cut", "silent-1", 5000))
-		testbed.Wait(t, "the offer", w.workers[0].Starts)
+		testbed.Wait(t, "the offer", server.workers[0].Starts)
 		leaver.Close()
-		w.waitUntil(t, "it left", func() bool { return w.dispatcher.OpenCount() == 0 })
+		server.waitUntil(t, "it left", func() bool { return server.dispatcher.OpenCount() == 0 })
 	},
 }
 
-func submitAndExpect(t *testing.T, o *testbed.Client, tag, task, verb string) {
+func submitAndExpect(t *testing.T, client *testbed.Client, tag, task, verb string) {
 	t.Helper()
-	testbed.Send(o, testbed.StartLine(tag, "guide-web", task, 5000))
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != verb || l.Tag != tag {
-		t.Fatalf("got %v", l)
+	testbed.Send(client, testbed.StartLine(tag, "guide-web", task, 5000))
+	if line := testbed.Wait(t, "the answer", client.Lines); line.Verb != verb || line.Tag != tag {
+		t.Fatalf("got %v", line)
 	}
 }
 
-func expectCompletion(t *testing.T, o *testbed.Client, tag string) {
+func expectCompletion(t *testing.T, client *testbed.Client, tag string) {
 	t.Helper()
-	if l := testbed.Wait(t, "the end", o.Lines); l.Verb != "FINISH" || l.Tag != tag {
-		t.Fatalf("got %v", l)
+	if line := testbed.Wait(t, "the end", client.Lines); line.Verb != "FINISH" || line.Tag != tag {
+		t.Fatalf("got %v", line)
 	}
 }
 
 // drainWorker takes what a worker notes, so that it never waits for the test.
-func drainWorker(m *testbed.Worker) {
+func drainWorker(worker *testbed.Worker) {
 	for {
 		select {
-		case <-m.Starts:
-		case <-m.Ends:
-		case <-m.Cut:
+		case <-worker.Starts:
+		case <-worker.Ends:
+		case <-worker.Cut:
 		default:
 			return
 		}
@@ -93,17 +93,17 @@
 // as a connection.
 func (w *testServer) settledHeap(t *testing.T) int64 {
 	t.Helper()
-	m := w.workers[0]
-	before, _ := m.DialCounts()
-	m.CloseConnections()
+	worker := w.workers[0]
+	before, _ := worker.DialCounts()
+	worker.CloseConnections()
 	w.waitUntil(t, "new connections to the worker", func() bool {
-		dials, open := m.DialCounts()
+		dials, open := worker.DialCounts()
 		return dials > before && open == dials-before
 	})
 	w.waitUntil(t, "nothing is owed", func() bool {
 		return w.dispatcher.OpenCount() == 0 && w.pool.UnconfirmedCancels() == 0 && !w.pool.HasUnconfirmedReleases()
 	})
-	drainWorker(m)
+	drainWorker(worker)
 	return liveHeap()
 }
 
@@ -112,17 +112,17 @@
 func TestHeapAfterManyCompletions(t *testing.T) {
 	for name, end := range completionKinds {
 		t.Run(name, func(t *testing.T) {
-			w := newServerWithSockets(t, 1024, "a")
-			o := w.connect(t)
+			server := newServerWithSockets(t, 1024, "a")
+			client := server.connect(t)
 			before := int64(0)
 			for i := range *completionsPlayed {
 				if i == *completionsPlayed/2 {
-					before = w.settledHeap(t)
+					before = server.settledHeap(t)
 				}
-				end(t, w, o, testbed.RequestID(i+1))
-				drainWorker(w.workers[0])
+				end(t, server, client, testbed.RequestID(i+1))
+				drainWorker(server.workers[0])
 			}
-			grown := w.settledHeap(t) - before
+			grown := server.settledHeap(t) - before
 			t.Logf("the heap has grown by %d bytes over %d endings", grown, *completionsPlayed-*completionsPlayed/2)
 			if grown > heapSlack {
 				t.Errorf("the heap has grown by %d bytes, expected %d at most", grown, heapSlack)
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -35,12 +35,12 @@
 )
 
 func (w *testServer) grpcClient(t *testing.T) edgepb.OrchestratorClient {
-	c, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return edgepb.NewOrchestratorClient(c)
+	t.Cleanup(func() { conn.Close() })
+	return edgepb.NewOrchestratorClient(conn)
 }
 
 func newOffer(id, class, task string, waitMs uint32) *edgepb.Offer {
@@ -64,28 +64,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &clientSession{Orchestrator_SessionClient: st, disconnect: cancel, messages: make(chan *edgepb.ServerMessage, 1000)}
+	session := &clientSession{Orchestrator_SessionClient: st, disconnect: cancel, messages: make(chan *edgepb.ServerMessage, 1000)}
 	if err := st.Send(&edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Open{
 		Open: &edgepb.Open{Session: name, Seen: seen}}}); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		defer close(s.messages)
+		defer close(session.messages)
 		for {
-			m, err := st.Recv()
+			message, err := st.Recv()
 			if err != nil {
-				s.err = err
+				session.err = err
 				return
 			}
-			s.messages <- m
+			session.messages <- message
 		}
 	}()
-	return s
+	return session
 }
 
-func (s *clientSession) sendOffer(t *testing.T, o *edgepb.Offer) {
+func (s *clientSession) sendOffer(t *testing.T, offer *edgepb.Offer) {
 	t.Helper()
-	if err := s.Send(&edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Offer{Offer: o}}); err != nil {
+	if err := s.Send(&edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Offer{Offer: offer}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -125,7 +125,7 @@
 // and drain.
 func TestSameOnBothFronts(t *testing.T) {
 	kinds := []string{"ok-1", "full-1", "ok-2", "error-1", "ok-3", "silent-1", "reset-1", "ok-4"}
-	play := func(t *testing.T, w *testServer, place func(n int, class, task string) string, next func() string) ([]string, dispatch.Counts, []int) {
+	play := func(t *testing.T, server *testServer, place func(n int, class, task string) string, next func() string) ([]string, dispatch.Counts, []int) {
 		var outcomes []string
 		n := 0
 		for _, class := range []string{"guide-web", "archive-cut"} {
@@ -136,74 +136,74 @@
 		}
 		// Every bound task comes to its end, each with its own cause.
 		for i, rc := range []int{16, 41} {
-			w.workers[0].End(testbed.RequestID([]int{1, 3}[i]), rc)
+			server.workers[0].End(testbed.RequestID([]int{1, 3}[i]), rc)
 			outcomes = append(outcomes, next())
 		}
 		// One minion drains: what is offered from then on goes to the other only.
-		w.discovery.Add(false, w.workers[0].ListEntry("draining"))
-		w.discovery.WaitPolled(t)
-		before := len(w.workers[0].Starts)
+		server.discovery.Add(false, server.workers[0].ListEntry("draining"))
+		server.discovery.WaitPolled(t)
+		before := len(server.workers[0].Starts)
 		for i := range 10 {
 			outcomes = append(outcomes, place(100+i, "guide-web", fmt.Sprintf("ok-drain-%d", i)))
 		}
-		return outcomes, w.counts(t), []int{len(w.workers[0].Starts) - before, len(w.workers[1].Starts)}
+		return outcomes, server.counts(t), []int{len(server.workers[0].Starts) - before, len(server.workers[1].Starts)}
 	}
 	// The second minion comes with the drain, so that the first takes all before it.
 	prepare := func(t *testing.T) *testServer {
-		w := newTestServer(t, "a")
-		w.workers = append(w.workers, testbed.NewWorker(t, "b"))
-		return w
+		server := newTestServer(t, "a")
+		server.workers = append(server.workers, testbed.NewWorker(t, "b"))
+		return server
 	}
 	var outcomes [2][]string
 	var counts [2]dispatch.Counts
 	var drains [2][]int
 	t.Run("json lines", func(t *testing.T) {
-		w := prepare(t)
-		o := w.connect(t)
-		outcomes[0], counts[0], drains[0] = play(t, w, func(n int, class, task string) string {
+		server := prepare(t)
+		client := server.connect(t)
+		outcomes[0], counts[0], drains[0] = play(t, server, func(n int, class, task string) string {
 			if n == 100 {
-				w.discovery.Add(false, w.workers[1].ListEntry("up"))
-				w.discovery.WaitPolled(t)
+				server.discovery.Add(false, server.workers[1].ListEntry("up"))
+				server.discovery.WaitPolled(t)
 			}
-			testbed.Send(o, testbed.StartLine(testbed.RequestID(n), class, task, clientTimeoutMs(task)))
-			l := testbed.Wait(t, task, o.Lines)
+			testbed.Send(client, testbed.StartLine(testbed.RequestID(n), class, task, clientTimeoutMs(task)))
+			line := testbed.Wait(t, task, client.Lines)
 			switch {
-			case l.Verb == "STARTED":
-				return "bound: " + *l.Blob
-			case l.Cause() == 34:
+			case line.Verb == "STARTED":
+				return "bound: " + *line.Blob
+			case line.Cause() == 34:
 				return "refused"
 			}
 			return "failed"
 		}, func() string {
-			if l := testbed.Wait(t, "an end", o.Lines); l.Cause() == 16 {
-				return l.Tag + " done"
+			if line := testbed.Wait(t, "an end", client.Lines); line.Cause() == 16 {
+				return line.Tag + " done"
 			} else {
-				return l.Tag + " lost"
+				return line.Tag + " lost"
 			}
 		})
 	})
 	t.Run("grpc", func(t *testing.T) {
-		w := prepare(t)
-		s := w.openSession(t, "s", 0)
-		outcomes[1], counts[1], drains[1] = play(t, w, func(n int, class, task string) string {
+		server := prepare(t)
+		session := server.openSession(t, "s", 0)
+		outcomes[1], counts[1], drains[1] = play(t, server, func(n int, class, task string) string {
 			if n == 100 {
-				w.discovery.Add(false, w.workers[1].ListEntry("up"))
-				w.discovery.WaitPolled(t)
+				server.discovery.Add(false, server.workers[1].ListEntry("up"))
+				server.discovery.WaitPolled(t)
 			}
-			s.sendOffer(t, newOffer(testbed.RequestID(n), class, task, uint32(clientTimeoutMs(task))))
-			m := testbed.Wait(t, task, s.messages)
+			session.sendOffer(t, newOffer(testbed.RequestID(n), class, task, uint32(clientTimeoutMs(task))))
+			message := testbed.Wait(t, task, session.messages)
 			switch {
-			case m.GetBinding() != nil:
-				return "bound: " + m.GetBinding().GetDescription()
-			case codes.Code(m.GetRejection().GetCode()) == codes.ResourceExhausted:
+			case message.GetBinding() != nil:
+				return "bound: " + message.GetBinding().GetDescription()
+			case codes.Code(message.GetRejection().GetCode()) == codes.ResourceExhausted:
 				return "refused"
 			}
 			return "failed"
 		}, func() string {
-			if e := testbed.Wait(t, "an end", s.messages).GetEnded(); e.GetHow() == edgepb.Ended_HOW_DONE {
-				return e.GetOfferId() + " done"
+			if ended := testbed.Wait(t, "an end", session.messages).GetEnded(); ended.GetHow() == edgepb.Ended_HOW_DONE {
+				return ended.GetOfferId() + " done"
 			} else {
-				return e.GetOfferId() + " lost"
+				return ended.GetOfferId() + " lost"
 			}
 		})
 	})
@@ -223,105 +223,105 @@
 
 // A binding that was sent and never read is given again, and the task starts once.
 func TestUnreadBindingIsResent(t *testing.T) {
-	w := newTestServer(t, "a")
-	first := w.openSession(t, "s", 0)
+	server := newTestServer(t, "a")
+	first := server.openSession(t, "s", 0)
 	first.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
 	binding := testbed.Wait(t, "the binding", first.messages).GetBinding()
 	first.disconnect() // the client never looked at it
 	for range first.messages {
 	}
-	again := w.openSession(t, "s", 0)
+	again := server.openSession(t, "s", 0)
 	if got := testbed.Wait(t, "the binding once more", again.messages); got.GetBinding().GetDescription() != binding.GetDescription() {
 		t.Errorf("after the resume came %v", got)
 	}
 	// A repeat of the offer, and a new offer of the same task, are bound to the same.
 	// One after the other: streams may overtake each other, and the last gets the end.
-	other := w.openSession(t, "another", 0)
-	for i, s := range []*clientSession{again, again, other} {
-		s.sendOffer(t, newOffer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
-		if got := testbed.Wait(t, "a repeat's answer", s.messages).GetBinding(); got.GetDescription() != binding.GetDescription() ||
+	other := server.openSession(t, "another", 0)
+	for i, session := range []*clientSession{again, again, other} {
+		session.sendOffer(t, newOffer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
+		if got := testbed.Wait(t, "a repeat's answer", session.messages).GetBinding(); got.GetDescription() != binding.GetDescription() ||
 			got.GetNode() != "a" {
 			t.Errorf("repeat %d got %v", i, got)
 		}
 	}
-	w.workers[0].End(testbed.RequestID(1), 16)
-	if e := testbed.Wait(t, "the end", other.messages).GetEnded(); e.GetHow() != edgepb.Ended_HOW_DONE {
-		t.Errorf("the end is %v", e)
+	server.workers[0].End(testbed.RequestID(1), 16)
+	if ended := testbed.Wait(t, "the end", other.messages).GetEnded(); ended.GetHow() != edgepb.Ended_HOW_DONE {
+		t.Errorf("the end is %v", ended)
 	}
 	// A repeat that comes after the end starts nothing either.
 	other.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
-	if r := testbed.Wait(t, "the late repeat's answer", other.messages).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
-		t.Errorf("the late repeat got %v", r)
+	if rejection := testbed.Wait(t, "the late repeat's answer", other.messages).GetRejection(); codes.Code(rejection.GetCode()) != codes.AlreadyExists {
+		t.Errorf("the late repeat got %v", rejection)
 	}
-	if n := w.workers[0].StartCount("ok-cut"); n != 1 {
+	if n := server.workers[0].StartCount("ok-cut"); n != 1 {
 		t.Errorf("the task was started %d times", n)
 	}
 }
 
 // An offer stays in while its session has no stream, and its answer is kept.
 func TestResponseWhileDisconnected(t *testing.T) {
-	w := newTestServer(t, "a")
-	first := w.openSession(t, "s", 0)
+	server := newTestServer(t, "a")
+	first := server.openSession(t, "s", 0)
 	first.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "silent-x", 600))
-	testbed.Wait(t, "the offer", w.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Starts)
 	first.disconnect()
 	for range first.messages {
 	}
-	again := w.openSession(t, "s", 0)
-	if r := testbed.Wait(t, "the answer", again.messages).GetRejection(); codes.Code(r.GetCode()) != codes.ResourceExhausted {
-		t.Errorf("the answer is %v", r)
+	again := server.openSession(t, "s", 0)
+	if rejection := testbed.Wait(t, "the answer", again.messages).GetRejection(); codes.Code(rejection.GetCode()) != codes.ResourceExhausted {
+		t.Errorf("the answer is %v", rejection)
 	}
 }
 
 // Both fronts offer tasks of one service while a minion drains: what stood there
 // ends on the front that it came by, and nothing new goes there.
 func TestDrainUnderBothFronts(t *testing.T) {
-	w := newTestServer(t, "a")
-	o, s := w.connect(t), w.openSession(t, "s", 0)
-	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-j0", 5000))
-	s.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "ok-g0", 5000))
-	testbed.Wait(t, "an answer", o.Lines)
-	testbed.Wait(t, "a binding", s.messages)
+	server := newTestServer(t, "a")
+	client, session := server.connect(t), server.openSession(t, "s", 0)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-j0", 5000))
+	session.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "ok-g0", 5000))
+	testbed.Wait(t, "an answer", client.Lines)
+	testbed.Wait(t, "a binding", session.messages)
 	b := testbed.NewWorker(t, "b")
-	w.discovery.Add(false, b.ListEntry("up"), w.workers[0].ListEntry("draining"))
-	w.discovery.WaitPolled(t)
-	before := len(w.workers[0].Starts)
+	server.discovery.Add(false, b.ListEntry("up"), server.workers[0].ListEntry("draining"))
+	server.discovery.WaitPolled(t)
+	before := len(server.workers[0].Starts)
 	for i := range 8 {
-		testbed.Send(o, testbed.StartLine(testbed.RequestID(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
-		s.sendOffer(t, newOffer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
+		testbed.Send(client, testbed.StartLine(testbed.RequestID(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
+		session.sendOffer(t, newOffer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
 	}
-	w.workers[0].End(testbed.RequestID(1), 41)
-	w.workers[0].End(testbed.RequestID(2), 41)
+	server.workers[0].End(testbed.RequestID(1), 41)
+	server.workers[0].End(testbed.RequestID(2), 41)
 	started, ended := 0, 0
 	for started+ended < 9 {
-		if l := testbed.Wait(t, "json lines", o.Lines); l.Verb == "STARTED" {
+		if line := testbed.Wait(t, "json lines", client.Lines); line.Verb == "STARTED" {
 			started++
-		} else if l.Tag == testbed.RequestID(1) && l.Cause() == 41 {
+		} else if line.Tag == testbed.RequestID(1) && line.Cause() == 41 {
 			ended++
 		}
 	}
 	for started+ended < 18 {
-		if m := testbed.Wait(t, "grpc", s.messages); m.GetBinding().GetNode() == "b" {
+		if message := testbed.Wait(t, "grpc", session.messages); message.GetBinding().GetNode() == "b" {
 			started++
-		} else if m.GetEnded().GetOfferId() == testbed.RequestID(2) && m.GetEnded().GetHow() == edgepb.Ended_HOW_LOST {
+		} else if message.GetEnded().GetOfferId() == testbed.RequestID(2) && message.GetEnded().GetHow() == edgepb.Ended_HOW_LOST {
 			ended++
 		}
 	}
-	if started != 16 || ended != 2 || len(w.workers[0].Starts) != before || len(b.Starts) != 16 {
-		t.Errorf("%d bound, %d ended, %d offers to the draining minion", started, ended, len(w.workers[0].Starts)-before)
+	if started != 16 || ended != 2 || len(server.workers[0].Starts) != before || len(b.Starts) != 16 {
+		t.Errorf("%d bound, %d ended, %d offers to the draining minion", started, ended, len(server.workers[0].Starts)-before)
 	}
 }
 
 // Refusals, failures, bad offers, deadlines and cancellation are status codes.
 func TestStatusCodes(t *testing.T) {
-	w := newTestServer(t, "a")
-	c := w.grpcClient(t)
+	server := newTestServer(t, "a")
+	client := server.grpcClient(t)
 	long := make([]byte, 9000)
 	for i := range long {
 		long[i] = 'x'
 	}
-	edit := func(o *edgepb.Offer, f func(o *edgepb.Offer)) *edgepb.Offer { f(o); return o }
-	for _, x := range []struct {
+	edit := func(offer *edgepb.Offer, f func(offer *edgepb.Offer)) *edgepb.Offer { f(offer); return offer }
+	for _, test := range []struct {
 		name string
 		o    *edgepb.Offer
 		want codes.Code
@@ -332,62 +332,62 @@
 		{"bad id", newOffer("12", "guide-web", "ok-2", 0), codes.InvalidArgument},
 		{"no task", newOffer(testbed.RequestID(4), "guide-web", "", 0), codes.InvalidArgument},
 		{"unknown class", newOffer(testbed.RequestID(5), "nightly", "ok-3", 0), codes.InvalidArgument},
-		{"no size", edit(newOffer(testbed.RequestID(6), "guide-web", "ok-4", 0), func(o *edgepb.Offer) { o.Cores, o.Memory = 0, 0 }), codes.InvalidArgument},
-		{"a negative size", edit(newOffer(testbed.RequestID(7), "guide-web", "ok-5", 0), func(o *edgepb.Offer) { o.Cores = -1 }), codes.InvalidArgument},
-		{"bad service", edit(newOffer(testbed.RequestID(8), "guide-web", "ok-6", 0), func(o *edgepb.Offer) { o.Service = "x" }), codes.InvalidArgument},
-		{"long description", edit(newOffer(testbed.RequestID(9), "guide-web", "ok-7", 0), func(o *edgepb.Offer) { o.Description = string(long) }), codes.InvalidArgument},
-		{"an endless wait", edit(newOffer(testbed.RequestID(60), "guide-web", "ok-60", 0), func(o *edgepb.Offer) { o.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
-		{"never fits", edit(newOffer(testbed.RequestID(10), "guide-web", "ok-8", 0), func(o *edgepb.Offer) { o.Cores = 1000 }), codes.ResourceExhausted},
+		{"no size", edit(newOffer(testbed.RequestID(6), "guide-web", "ok-4", 0), func(offer *edgepb.Offer) { offer.Cores, offer.Memory = 0, 0 }), codes.InvalidArgument},
+		{"a negative size", edit(newOffer(testbed.RequestID(7), "guide-web", "ok-5", 0), func(offer *edgepb.Offer) { offer.Cores = -1 }), codes.InvalidArgument},
+		{"bad service", edit(newOffer(testbed.RequestID(8), "guide-web", "ok-6", 0), func(offer *edgepb.Offer) { offer.Service = "x" }), codes.InvalidArgument},
+		{"long description", edit(newOffer(testbed.RequestID(9), "guide-web", "ok-7", 0), func(offer *edgepb.Offer) { offer.Description = string(long) }), codes.InvalidArgument},
+		{"an endless wait", edit(newOffer(testbed.RequestID(60), "guide-web", "ok-60", 0), func(offer *edgepb.Offer) { offer.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
+		{"never fits", edit(newOffer(testbed.RequestID(10), "guide-web", "ok-8", 0), func(offer *edgepb.Offer) { offer.Cores = 1000 }), codes.ResourceExhausted},
 		{"another task's id", newOffer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 			defer cancel()
-			_, err := c.Place(ctx, x.o)
-			if status.Code(err) != x.want {
-				t.Fatalf("got %v, expected %v", err, x.want)
+			_, err := client.Place(ctx, test.o)
+			if status.Code(err) != test.want {
+				t.Fatalf("got %v, expected %v", err, test.want)
 			}
 			for _, d := range status.Convert(err).Details() {
 				switch d := d.(type) {
 				case *errdetails.RetryInfo:
-					if d.GetRetryDelay().AsDuration() <= 0 || x.want != codes.ResourceExhausted {
+					if d.GetRetryDelay().AsDuration() <= 0 || test.want != codes.ResourceExhausted {
 						t.Errorf("the advice is %v", d)
 					}
 				case *errdetails.BadRequest:
-					if len(d.GetFieldViolations()) != 1 || x.want != codes.InvalidArgument {
+					if len(d.GetFieldViolations()) != 1 || test.want != codes.InvalidArgument {
 						t.Errorf("the violations are %v", d)
 					}
 				}
 			}
-			if n := len(status.Convert(err).Details()); n != 1 && (x.want == codes.InvalidArgument || x.want == codes.ResourceExhausted) {
+			if n := len(status.Convert(err).Details()); n != 1 && (test.want == codes.InvalidArgument || test.want == codes.ResourceExhausted) {
 				t.Errorf("%d details", n)
 			}
 		})
 	}
-	if n := w.workers[0].StartCount("error-1"); n != 1 {
+	if n := server.workers[0].StartCount("error-1"); n != 1 {
 		t.Errorf("a task that must not start twice was offered %d times after an error", n)
 	}
 	t.Run("deadline", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := c.Place(ctx, newOffer(testbed.RequestID(20), "archive-cut", "silent-1", 0))
+		_, err := client.Place(ctx, newOffer(testbed.RequestID(20), "archive-cut", "silent-1", 0))
 		if code := status.Code(err); code != codes.Unknown && code != codes.DeadlineExceeded || time.Since(began) > 5*time.Second {
 			t.Errorf("got %v", err)
 		}
-		waitAbandoned(t, w.workers[0], testbed.RequestID(20))
+		waitAbandoned(t, server.workers[0], testbed.RequestID(20))
 	})
 	t.Run("cancelled", func(t *testing.T) {
-		for len(w.workers[0].Starts) > 0 {
-			<-w.workers[0].Starts
+		for len(server.workers[0].Starts) > 0 {
+			<-server.workers[0].Starts
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		errs := make(chan error, 1)
 		go func() {
-			_, err := c.Place(ctx, newOffer(testbed.RequestID(21), "archive-cut", "silent-2", 0))
+			_, err := client.Place(ctx, newOffer(testbed.RequestID(21), "archive-cut", "silent-2", 0))
 			errs <- err
 		}()
-		for testbed.Wait(t, "the offer", w.workers[0].Starts).Tag != testbed.RequestID(21) {
+		for testbed.Wait(t, "the offer", server.workers[0].Starts).Tag != testbed.RequestID(21) {
 		}
 		cancel()
 		if err := testbed.Wait(t, "the call's end", errs); status.Code(err) != codes.Canceled {
@@ -397,22 +397,22 @@
 		// attempt up for sure.
 		// Nothing came on the connection since the offer: a release written there may
 		// never arrive, and only the close gives the attempt up for sure.
-		for testbed.Wait(t, "the close", w.workers[0].Cut).Tag != testbed.RequestID(21) {
+		for testbed.Wait(t, "the close", server.workers[0].Cut).Tag != testbed.RequestID(21) {
 		}
 	})
 	t.Run("release", func(t *testing.T) {
-		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); err != nil {
+		if _, err := client.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); err != nil {
 			t.Error(err)
 		}
-		if l := testbed.Wait(t, "the release", w.workers[0].Ends); l.Tag != testbed.RequestID(1) {
-			t.Errorf("the minion got %v", l)
+		if line := testbed.Wait(t, "the release", server.workers[0].Ends); line.Tag != testbed.RequestID(1) {
+			t.Errorf("the minion got %v", line)
 		}
-		if _, err := c.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(99)}); status.Code(err) != codes.NotFound {
+		if _, err := client.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(99)}); status.Code(err) != codes.NotFound {
 			t.Errorf("got %v", err)
 		}
 	})
 	t.Run("no open", func(t *testing.T) {
-		st, err := c.Session(context.Background())
+		st, err := client.Session(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -425,59 +425,59 @@
 
 // Offers, releases and the end of a session over its stream.
 func TestSession(t *testing.T) {
-	w := newTestServer(t, "a")
-	s := w.openSession(t, "s", 0)
-	s.sendOffer(t, newOffer("nonsense", "guide-web", "ok-0", 0))
-	if r := testbed.Wait(t, "a bad offer's answer", s.messages).GetRejection(); codes.Code(r.GetCode()) != codes.InvalidArgument {
-		t.Errorf("a bad offer got %v", r)
-	}
-	s.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "full-1", 0))
-	if r := testbed.Wait(t, "a refusal", s.messages).GetRejection(); r.GetRetryAfterMs() == 0 {
-		t.Errorf("a refusal without advice: %v", r)
-	}
-	s.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "silent-1", 5000))
-	s.sendRelease(t, testbed.RequestID(2))
-	if r := testbed.Wait(t, "the withdrawal", s.messages).GetRejection(); codes.Code(r.GetCode()) != codes.Canceled {
-		t.Errorf("a withdrawn offer got %v", r)
-	}
-	s.sendOffer(t, newOffer(testbed.RequestID(3), "guide-web", "ok-1", 0))
-	testbed.Wait(t, "a binding", s.messages)
-	s.sendRelease(t, testbed.RequestID(3))
-	if e := testbed.Wait(t, "the end", s.messages).GetEnded(); e.GetHow() != edgepb.Ended_HOW_RELEASED {
-		t.Errorf("a released task ended with %v", e)
-	}
-	s.sendOffer(t, newOffer(testbed.RequestID(4), "guide-web", "ok-2", 0))
-	if err := s.CloseSend(); err != nil {
+	server := newTestServer(t, "a")
+	session := server.openSession(t, "s", 0)
+	session.sendOffer(t, newOffer("nonsense", "guide-web", "ok-0", 0))
+	if rejection := testbed.Wait(t, "a bad offer's answer", session.messages).GetRejection(); codes.Code(rejection.GetCode()) != codes.InvalidArgument {
+		t.Errorf("a bad offer got %v", rejection)
+	}
+	session.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "full-1", 0))
+	if rejection := testbed.Wait(t, "a refusal", session.messages).GetRejection(); rejection.GetRetryAfterMs() == 0 {
+		t.Errorf("a refusal without advice: %v", rejection)
+	}
+	session.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "silent-1", 5000))
+	session.sendRelease(t, testbed.RequestID(2))
+	if rejection := testbed.Wait(t, "the withdrawal", session.messages).GetRejection(); codes.Code(rejection.GetCode()) != codes.Canceled {
+		t.Errorf("a withdrawn offer got %v", rejection)
+	}
+	session.sendOffer(t, newOffer(testbed.RequestID(3), "guide-web", "ok-1", 0))
+	testbed.Wait(t, "a binding", session.messages)
+	session.sendRelease(t, testbed.RequestID(3))
+	if ended := testbed.Wait(t, "the end", session.messages).GetEnded(); ended.GetHow() != edgepb.Ended_HOW_RELEASED {
+		t.Errorf("a released task ended with %v", ended)
+	}
+	session.sendOffer(t, newOffer(testbed.RequestID(4), "guide-web", "ok-2", 0))
+	if err := session.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
-	if m := testbed.Wait(t, "the last answer", s.messages); m.GetBinding() == nil || m.GetNumber() != 6 {
-		t.Errorf("the last answer is %v", m)
+	if message := testbed.Wait(t, "the last answer", session.messages); message.GetBinding() == nil || message.GetNumber() != 6 {
+		t.Errorf("the last answer is %v", message)
 	}
-	for range s.messages {
+	for range session.messages {
 	}
-	if !errors.Is(s.err, io.EOF) {
-		t.Errorf("the stream ended with %v", s.err)
+	if !errors.Is(session.err, io.EOF) {
+		t.Errorf("the stream ended with %v", session.err)
 	}
 }
 
 // After the word to end, new owners are still served, and the program ends well
 // once nothing is open.
 func TestNewClientsServedDuringShutdown(t *testing.T) {
-	w := newTestServer(t, "a")
-	early := w.connect(t)
+	server := newTestServer(t, "a")
+	early := server.connect(t)
 	testbed.Send(early, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1200))
-	testbed.Wait(t, "the offer", w.workers[0].Starts)
-	w.Stop()
-	w.onLoop(t, func() {}) // the word was heard
-	late := w.connect(t)
+	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	server.Stop()
+	server.onLoop(t, func() {}) // the word was heard
+	late := server.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-1", 5000))
-	if l := testbed.Wait(t, "the late owner's answer", late.Lines); l.Verb != "STARTED" {
-		t.Errorf("the late owner got %v", l)
+	if line := testbed.Wait(t, "the late owner's answer", late.Lines); line.Verb != "STARTED" {
+		t.Errorf("the late owner got %v", line)
 	}
-	if l := testbed.Wait(t, "the early owner's answer", early.Lines); l.Verb != "FINISH" || l.Tag != testbed.RequestID(1) {
-		t.Errorf("the early owner got %v", l)
+	if line := testbed.Wait(t, "the early owner's answer", early.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(1) {
+		t.Errorf("the early owner got %v", line)
 	}
-	if err := testbed.Wait(t, "the end", w.runResult); err != nil {
+	if err := testbed.Wait(t, "the end", server.runResult); err != nil {
 		t.Error(err)
 	}
 }
@@ -497,23 +497,23 @@
 	}
 	defer collectd.Close()
 	got := make(chan string, 10_000)
-	for ln, answer := range map[net.Listener]string{carbon: "", collectd: "0 Success\n"} {
+	for listener, answer := range map[net.Listener]string{carbon: "", collectd: "0 Success\n"} {
 		go func() {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			defer c.Close()
-			for r := bufio.NewScanner(c); r.Scan(); io.WriteString(c, answer) {
+			defer conn.Close()
+			for r := bufio.NewScanner(conn); r.Scan(); io.WriteString(conn, answer) {
 				got <- r.Text()
 			}
 		}()
 	}
-	w := newServerWithOperators(t, config.Operators{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
+	server := newServerWithOperators(t, config.Operators{Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
 		Collectd: config.Metrics{Address: path, Prefix: "edge", EveryMs: 100}}, "a")
-	o := w.connect(t)
-	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-	testbed.Wait(t, "the answer", o.Lines)
+	client := server.connect(t)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	testbed.Wait(t, "the answer", client.Lines)
 	for _, want := range []string{"edge.n1.started 1 ", "edge.n1.standing 1 ", `PUTVAL "n1/edge/derive-started" interval=0.1 `,
 		`PUTVAL "n1/edge/gauge-standing" interval=0.1 `} {
 		for {
@@ -548,13 +548,13 @@
 			t.Fatal(err)
 		}
 	}
-	w := newServerWithOperators(t, config.Operators{GRPCListen: "127.0.0.1:0", GRPCCert: filepath.Join(dir, "cert"),
+	server := newServerWithOperators(t, config.Operators{GRPCListen: "127.0.0.1:0", GRPCCert: filepath.Join(dir, "cert"),
 		GRPCKey: filepath.Join(dir, "key")}, "a")
 	creds, err := credentials.NewClientTLSFromFile(filepath.Join(dir, "cert"), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(creds))
+	conn, err := grpc.NewClient(server.grpcAddr, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -564,7 +564,7 @@
 	if b, err := edgepb.NewOrchestratorClient(conn).Place(ctx, newOffer(testbed.RequestID(1), "guide-web", "ok-1", 0)); err != nil || b.GetNode() != "a" {
 		t.Errorf("over TLS: %v, %v", b, err)
 	}
-	if _, err := w.grpcClient(t).Place(ctx, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
+	if _, err := server.grpcClient(t).Place(ctx, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
 		t.Errorf("without TLS: %v", err)
 	}
 	health := func() healthpb.HealthCheckResponse_ServingStatus {
@@ -577,8 +577,8 @@
 	if h := health(); h != healthpb.HealthCheckResponse_SERVING {
 		t.Errorf("at first: %v", h)
 	}
-	w.Stop()
-	w.onLoop(t, func() {})
+	server.Stop()
+	server.onLoop(t, func() {})
 	if h := health(); h != healthpb.HealthCheckResponse_NOT_SERVING {
 		t.Errorf("told to end: %v", h)
 	}
@@ -589,31 +589,31 @@
 
 // Neither front ends or takes over what came by the other.
 func TestFrontsAreIsolated(t *testing.T) {
-	w := newTestServer(t, "a")
-	o, s := w.connect(t), w.openSession(t, "s", 0)
-	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-	s.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 5000))
-	testbed.Wait(t, "an answer", o.Lines)
-	testbed.Wait(t, "a binding", s.messages)
-	testbed.Send(o, testbed.FinishLine("FINISH", testbed.RequestID(2), 16))
-	if l := testbed.Wait(t, "the word that it was heard", o.Lines); l.Verb != "FINISHED" {
-		t.Errorf("got %v", l)
-	}
-	if _, err := w.grpcClient(t).Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); status.Code(err) != codes.NotFound {
+	server := newTestServer(t, "a")
+	client, session := server.connect(t), server.openSession(t, "s", 0)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	session.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 5000))
+	testbed.Wait(t, "an answer", client.Lines)
+	testbed.Wait(t, "a binding", session.messages)
+	testbed.Send(client, testbed.FinishLine("FINISH", testbed.RequestID(2), 16))
+	if line := testbed.Wait(t, "the word that it was heard", client.Lines); line.Verb != "FINISHED" {
+		t.Errorf("got %v", line)
+	}
+	if _, err := server.grpcClient(t).Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); status.Code(err) != codes.NotFound {
 		t.Errorf("a release of the other front's task: %v", err)
 	}
-	testbed.Send(o, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-2", 5000))
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Tag != testbed.RequestID(3) || l.Cause() != 47 {
-		t.Errorf("a set-up of the other front's task got %v", l)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-2", 5000))
+	if line := testbed.Wait(t, "the answer", client.Lines); line.Tag != testbed.RequestID(3) || line.Cause() != 47 {
+		t.Errorf("a set-up of the other front's task got %v", line)
 	}
 	for id, task := range map[string]string{testbed.RequestID(1): "ok-9", testbed.RequestID(4): "ok-1"} {
-		s.sendOffer(t, newOffer(id, "guide-web", task, 5000))
-		if r := testbed.Wait(t, "the answer", s.messages).GetRejection(); codes.Code(r.GetCode()) != codes.AlreadyExists {
-			t.Errorf("an offer of the other front's task got %v", r)
+		session.sendOffer(t, newOffer(id, "guide-web", task, 5000))
+		if rejection := testbed.Wait(t, "the answer", session.messages).GetRejection(); codes.Code(rejection.GetCode()) != codes.AlreadyExists {
+			t.Errorf("an offer of the other front's task got %v", rejection)
 		}
 	}
 	var standing int
-	if w.onLoop(t, func() { standing = w.dispatcher.RunningCount() }); standing != 2 || w.workers[0].StartCount("ok-1") != 1 {
+	if server.onLoop(t, func() { standing = server.dispatcher.RunningCount() }); standing != 2 || server.workers[0].StartCount("ok-1") != 1 {
 		t.Errorf("%d tasks stand", standing)
 	}
 }
@@ -621,48 +621,48 @@
 // Whoever connects or opens a stream and says nothing holds its place for a while
 // only, and a session may have so many offers open.
 func TestGRPCLimits(t *testing.T) {
-	w := newTestServer(t, "a")
-	c, err := net.Dial("tcp", w.grpcAddr)
+	server := newTestServer(t, "a")
+	conn, err := net.Dial("tcp", server.grpcAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	st, err := w.grpcClient(t).Session(t.Context())
+	defer conn.Close()
+	st, err := server.grpcClient(t).Session(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetReadDeadline(time.Now().Add(testbed.Patience))
-	if _, err := io.Copy(io.Discard, c); err != nil {
+	conn.SetReadDeadline(time.Now().Add(testbed.Patience))
+	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Errorf("the silent connection was left open: %v", err)
 	}
 	if _, err := st.Recv(); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("the silent stream ended with %v", err)
 	}
-	s := w.openSession(t, "many", 0)
+	session := server.openSession(t, "many", 0)
 	for i := range 520 {
-		s.sendOffer(t, newOffer(testbed.RequestID(i+1), "guide-web", fmt.Sprint("silent-", i), 60_000))
+		session.sendOffer(t, newOffer(testbed.RequestID(i+1), "guide-web", fmt.Sprint("silent-", i), 60_000))
 	}
 	for range 8 {
-		r := testbed.Wait(t, "a rejection", s.messages).GetRejection()
-		if codes.Code(r.GetCode()) != codes.ResourceExhausted || r.GetRetryAfterMs() == 0 {
-			t.Errorf("got %v", r)
+		rejection := testbed.Wait(t, "a rejection", session.messages).GetRejection()
+		if codes.Code(rejection.GetCode()) != codes.ResourceExhausted || rejection.GetRetryAfterMs() == 0 {
+			t.Errorf("got %v", rejection)
 		}
 	}
 }
 
 // waitAbandoned waits for the minion to see an attempt given up: by a release with cause
 // 16, or, where nothing came from it since the offer, by the close of the connection.
-func waitAbandoned(t *testing.T, m *testbed.Worker, tag string) {
+func waitAbandoned(t *testing.T, worker *testbed.Worker, tag string) {
 	t.Helper()
 	end := time.After(10 * time.Second)
 	for {
 		select {
-		case l := <-m.Ends:
-			if l.Tag == tag && l.Cause() == 16 {
+		case line := <-worker.Ends:
+			if line.Tag == tag && line.Cause() == 16 {
 				return
 			}
-		case l := <-m.Cut:
-			if l.Tag == tag {
+		case line := <-worker.Cut:
+			if line.Tag == tag {
 				return
 			}
 		case <-end:
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -18,30 +18,30 @@
 	settings := changedSettings(t, settingChange{"RequestClasses.0.Name", "bulletin"}, settingChange{"RequestClasses.0.Semantics", "guarded"},
 		settingChange{"RequestClasses.0.Group", "zone"}, settingChange{"Parties", []any{map[string]any{"Name": "studio"}}},
 		settingChange{"FamilyInfo.ShareCores", []float64{100}})
-	w := newServerSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
-	o := w.connect(t)
-	l := testbed.StartLine(testbed.RequestID(1), "bulletin", "ok-1", 5000)
+	server := newServerSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
+	client := server.connect(t)
+	line := testbed.StartLine(testbed.RequestID(1), "bulletin", "ok-1", 5000)
 	own := map[string]string{"idem": "279ca3614cb41c092fc30eea25e0d5b5", "tenant": "studio", "hint": "4409.9", "retry": "1"}
-	maps.Copy(l.Opts, own)
-	testbed.Send(o, l)
-	got := testbed.Wait(t, "the offer", w.workers[0].Starts)
+	maps.Copy(line.Opts, own)
+	testbed.Send(client, line)
+	got := testbed.Wait(t, "the offer", server.workers[0].Starts)
 	for _, name := range []string{"class", "key", "idem"} {
-		if got.Opts[name] != l.Opts[name] {
-			t.Errorf("%s: expected %q, got %q", name, l.Opts[name], got.Opts[name])
+		if got.Opts[name] != line.Opts[name] {
+			t.Errorf("%s: expected %q, got %q", name, line.Opts[name], got.Opts[name])
 		}
 	}
-	if len(got.Opts) != 4 || *got.Blob != *l.Blob {
+	if len(got.Opts) != 4 || *got.Blob != *line.Blob {
 		t.Errorf("got %v about %q", got.Opts, *got.Blob)
 	}
-	if l := testbed.Wait(t, "the answer", o.Lines); l.Verb != "STARTED" {
-		t.Errorf("got %v", l)
+	if line := testbed.Wait(t, "the answer", client.Lines); line.Verb != "STARTED" {
+		t.Errorf("got %v", line)
 	}
 	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": overlongName, "idem": overlongName} {
-		l := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
-		l.Opts[name] = value
-		testbed.Send(o, l)
-		if l := testbed.Wait(t, "the error", o.Lines); l.Verb != "FINISH" || l.Cause() != 47 {
-			t.Errorf("%s %q: got %v", name, value, l)
+		line := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
+		line.Opts[name] = value
+		testbed.Send(client, line)
+		if line := testbed.Wait(t, "the error", client.Lines); line.Verb != "FINISH" || line.Cause() != 47 {
+			t.Errorf("%s %q: got %v", name, value, line)
 		}
 	}
 }
@@ -51,23 +51,23 @@
 // Where the deployment allows no tests of minions none is sent; the next attempt goes out
 // all the same, and no copy with it.
 func TestProbesDisabled(t *testing.T) {
-	f := newProxiedServerWith(t, changedSettings(t, settingChange{"Limits.Probes", false}), "a", "b")
-	missed := f.submit("missed", 8, 2000)
-	f.noteOnceHalfOffered(t, missed)
-	f.expectAllStarted(t, missed)
+	server := newProxiedServerWith(t, changedSettings(t, settingChange{"Limits.Probes", false}), "a", "b")
+	missed := server.submit("missed", 8, 2000)
+	server.noteOnceHalfOffered(t, missed)
+	server.expectAllStarted(t, missed)
 	// What is withdrawn needs no proof, and costs nobody a connection.
-	silent := f.submit("silent", 4, 60_000)
-	f.noteOnceHalfOffered(t, silent)
+	silent := server.submit("silent", 4, 60_000)
+	server.noteOnceHalfOffered(t, silent)
 	for _, tag := range silent {
-		testbed.Send(f, testbed.FinishLine("FINISH", tag, 16))
+		testbed.Send(server, testbed.FinishLine("FINISH", tag, 16))
 	}
-	f.eventually(t, "no attempt out", func() bool { return len(f.attempts.Open()) == 0 })
-	for _, m := range f.workers {
-		if n := m.PingCount(); n > 0 {
-			t.Errorf("%s got %d tests", m.Name, n)
+	server.eventually(t, "no attempt out", func() bool { return len(server.attempts.Open()) == 0 })
+	for _, worker := range server.workers {
+		if n := worker.PingCount(); n > 0 {
+			t.Errorf("%s got %d tests", worker.Name, n)
 		}
 	}
-	if copies := f.attempts.Duplicates(); len(copies) > 0 {
+	if copies := server.attempts.Duplicates(); len(copies) > 0 {
 		t.Errorf("%d copies, as %s", len(copies), copies[0])
 	}
 }
@@ -75,16 +75,16 @@
 // Where the deployment allows no advice on refusals, none is given, nor by the front itself.
 func TestRetryAfterDisabled(t *testing.T) {
 	settings := changedSettings(t, settingChange{"Limits.RetryAfter", false})
-	w := newServerSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
-	o := w.connect(t)
-	testbed.Send(o, testbed.StartLine(testbed.RequestID(1), "guide-web", "full-1", 300))
+	server := newServerSet(t, settings, config.Operators{}, 1024, slog.New(slog.DiscardHandler), func(*testbed.Worker) {}, "a")
+	client := server.connect(t)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "full-1", 300))
 	for i := range 40 { // more than a new connection may have open
-		testbed.Send(o, testbed.StartLine(testbed.RequestID(2+i), "guide-web", "silent-2", 300))
+		testbed.Send(client, testbed.StartLine(testbed.RequestID(2+i), "guide-web", "silent-2", 300))
 	}
 	for range 41 {
-		l := testbed.Wait(t, "the refusal", o.Lines)
-		if wait, ok := l.Opts["wait"]; ok || l.Cause() != 34 {
-			t.Fatalf("got %v, to stay away for %q ms", l, wait)
+		line := testbed.Wait(t, "the refusal", client.Lines)
+		if wait, ok := line.Opts["wait"]; ok || line.Cause() != 34 {
+			t.Fatalf("got %v, to stay away for %q ms", line, wait)
 		}
 	}
 }
--- a/cmd/ravenhitch/standin_test.go
+++ b/cmd/ravenhitch/standin_test.go
@@ -28,12 +28,12 @@
  "OnTimeUs":6000000,"DeadlineUs":10000000,"Importance":5.0,"WindowUs":5000000}]}`
 
 // configJSON is a configuration that knows all events so far.
-func configJSON(f *testbed.Discovery) string { return configWith(f, settingsJSON) }
+func configJSON(discovery *testbed.Discovery) string { return configWith(discovery, settingsJSON) }
 
-func configWith(f *testbed.Discovery, settings string) string {
+func configWith(discovery *testbed.Discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"channel":%q,"known":%s,"settings":%s}`,
-		f.Srv.Listener.Addr(), f.InitialList(0), settings)
+		discovery.Srv.Listener.Addr(), discovery.InitialList(0), settings)
 }
 
 // settingChange is one setting of another customer: its path, and its value.
@@ -105,44 +105,44 @@
 // newServerSet is the same under other settings.
 func newServerSet(t *testing.T, settings string, edge config.Operators, sockets int64, log *slog.Logger, by func(*testbed.Worker),
 	names ...string) *testServer {
-	w := &testServer{discovery: testbed.NewDiscovery(t), runResult: make(chan error, 1), aged: make(chan int64, 1)}
+	server := &testServer{discovery: testbed.NewDiscovery(t), runResult: make(chan error, 1), aged: make(chan int64, 1)}
 	var members []string
 	for _, n := range names {
-		m := testbed.NewWorker(t, n)
-		by(m)
-		w.workers = append(w.workers, m)
-		members = append(members, m.ListEntry("up"))
+		worker := testbed.NewWorker(t, n)
+		by(worker)
+		server.workers = append(server.workers, worker)
+		members = append(members, worker.ListEntry("up"))
 	}
-	w.discovery.Add(true, members...)
-	cfg, err := config.Parse([]byte(configWith(w.discovery, settings)))
+	server.discovery.Add(true, members...)
+	cfg, err := config.Parse([]byte(configWith(server.discovery, settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.Sockets = sockets
-	w.server, err = start(cfg, edge, log)
+	server.server, err = start(cfg, edge, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() {
-		err := w.Run()
-		w.runResult <- err
+		err := server.Run()
+		server.runResult <- err
 		close(done)
 	}()
 	t.Cleanup(func() {
-		w.loop.Post(w.loop.Stop)
+		server.loop.Post(server.loop.Stop)
 		<-done
 	})
-	return w
+	return server
 }
 
 // connect connects a stand-in owner.
 func (w *testServer) connect(t *testing.T) *testbed.Client { return testbed.NewClient(t, w.clientAddr) }
 
 // expectCause takes the owner's next line, which must speak of tag with a cause.
-func expectCause(t *testing.T, what string, o *testbed.Client, tag string, cause int) {
+func expectCause(t *testing.T, what string, client *testbed.Client, tag string, cause int) {
 	t.Helper()
-	if l := testbed.Wait(t, what, o.Lines); l.Tag != tag || l.Cause() != cause {
-		t.Errorf("%s: got %v", what, l)
+	if line := testbed.Wait(t, what, client.Lines); line.Tag != tag || line.Cause() != cause {
+		t.Errorf("%s: got %v", what, line)
 	}
 }
--- a/cmd/ravenhitch/start_test.go
+++ b/cmd/ravenhitch/start_test.go
@@ -48,8 +48,8 @@
 	}
 	var members []string
 	for i := range workers {
-		m := listeners[i%startListeners]
-		members = append(members, strings.Replace(m.ListEntry("up"), fmt.Sprintf("%q", m.Name), fmt.Sprintf(`"s-%08x"`, i), 1))
+		worker := listeners[i%startListeners]
+		members = append(members, strings.Replace(worker.ListEntry("up"), fmt.Sprintf("%q", worker.Name), fmt.Sprintf(`"s-%08x"`, i), 1))
 	}
 	f.discovery.Add(true, members...)
 	for i := range processes {
@@ -65,8 +65,8 @@
 }
 
 func (f *restartRig) kill() {
-	for _, p := range f.processes {
-		p.End(syscall.SIGKILL)
+	for _, process := range f.processes {
+		process.End(syscall.SIGKILL)
 	}
 }
 
@@ -79,12 +79,12 @@
 		err  error
 	}
 	all := make(chan ready, len(f.processes))
-	for _, p := range f.processes {
+	for _, process := range f.processes {
 		go func() {
 			began := time.Now()
-			err := p.Start()
+			err := process.Start()
 			if err == nil {
-				err = pingUntilReady(p)
+				err = pingUntilReady(process)
 			}
 			all <- ready{time.Since(began), err}
 		}()
@@ -102,39 +102,39 @@
 }
 
 // pingUntilReady tests a process as the front does, as soon as it serves.
-func pingUntilReady(p *testbed.Process) error {
-	addr, err := p.WaitForLog("listen=")
+func pingUntilReady(process *testbed.Process) error {
+	addr, err := process.WaitForLog("listen=")
 	if err != nil {
 		return err
 	}
-	o, err := testbed.Dial(addr)
+	client, err := testbed.Dial(addr)
 	if err != nil {
 		return err
 	}
-	defer o.Close()
-	testbed.Send(o, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
+	defer client.Close()
+	testbed.Send(client, testbed.Line{Verb: "ECHO", Tag: "t", Opts: map[string]string{}})
 	select {
-	case l := <-o.Lines:
-		if l.Verb != "ECHOED" || l.Cause() != 1 {
-			return fmt.Errorf("%s: the test got %v", p.Name, l)
+	case line := <-client.Lines:
+		if line.Verb != "ECHOED" || line.Cause() != 1 {
+			return fmt.Errorf("%s: the test got %v", process.Name, line)
 		}
 		return nil
 	case <-time.After(testbed.Patience):
-		return fmt.Errorf("%s: the test got no answer in %s", p.Name, testbed.Patience)
+		return fmt.Errorf("%s: the test got no answer in %s", process.Name, testbed.Patience)
 	}
 }
 
 // expectServes lets a process place a task at a worker.
-func expectServes(t *testing.T, p *testbed.Process, tag string) {
+func expectServes(t *testing.T, process *testbed.Process, tag string) {
 	t.Helper()
-	addr, err := p.WaitForLog("listen=")
+	addr, err := process.WaitForLog("listen=")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := testbed.NewClient(t, addr)
-	testbed.Send(o, testbed.StartLine(tag, "guide-web", "ok-"+tag, 6000))
-	if l := testbed.Wait(t, "the answer of "+p.Name, o.Lines); l.Verb != "STARTED" {
-		t.Errorf("%s: got %v", p.Name, l)
+	client := testbed.NewClient(t, addr)
+	testbed.Send(client, testbed.StartLine(tag, "guide-web", "ok-"+tag, 6000))
+	if line := testbed.Wait(t, "the answer of "+process.Name, client.Lines); line.Verb != "STARTED" {
+		t.Errorf("%s: got %v", process.Name, line)
 	}
 }
 
@@ -145,8 +145,8 @@
 	f.start(t)
 	f.kill()
 	took := f.start(t)
-	for i, p := range f.processes {
-		expectServes(t, p, testbed.RequestID(i+1))
+	for i, process := range f.processes {
+		expectServes(t, process, testbed.RequestID(i+1))
 	}
 	f.kill()
 	n := len(took)
--- a/cmd/ravenhitch/tickets_test.go
+++ b/cmd/ravenhitch/tickets_test.go
@@ -56,9 +56,9 @@
 	bring := func(task string, ticket []byte) {
 		t.Helper()
 		n++
-		o := newOffer(testbed.RequestID(n), "guide-web", task, 1000)
-		o.Ticket = ticket
-		if _, err := there.grpcClient(t).Place(t.Context(), o); status.Code(err) != codes.ResourceExhausted {
+		offer := newOffer(testbed.RequestID(n), "guide-web", task, 1000)
+		offer.Ticket = ticket
+		if _, err := there.grpcClient(t).Place(t.Context(), offer); status.Code(err) != codes.ResourceExhausted {
 			t.Errorf("got %v", err)
 		}
 	}
@@ -92,15 +92,15 @@
 // The client package follows the advice of a real orchestrator: refused at first, it
 // comes back at its time, with its ticket, and is bound once there is room.
 func TestClientRetriesWithToken(t *testing.T) {
-	w, _ := newServerWithTokenKeys(t, tokenKeys)
-	conn, err := grpc.NewClient(w.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	server, _ := newServerWithTokenKeys(t, tokenKeys)
+	conn, err := grpc.NewClient(server.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	b := testbed.NewWorker(t, "b")
-	w.discovery.Add(true, w.workers[0].ListEntry("draining"), b.ListEntry("draining"))
-	w.discovery.WaitPolled(t)
+	server.discovery.Add(true, server.workers[0].ListEntry("draining"), b.ListEntry("draining"))
+	server.discovery.WaitPolled(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testbed.Patience)
 	defer cancel()
 	type outcome struct {
@@ -113,13 +113,13 @@
 			client.Task{Name: "ok-7", Class: "guide-web", Cores: 1, Memory: 2}, nil)
 		done <- outcome{b, err}
 	}()
-	w.waitUntil(t, "a refusal", func() bool { return w.dispatcher.Counts().Rejected > 0 })
-	w.discovery.Add(true, b.ListEntry("up"))
+	server.waitUntil(t, "a refusal", func() bool { return server.dispatcher.Counts().Rejected > 0 })
+	server.discovery.Add(true, b.ListEntry("up"))
 	if o := testbed.Wait(t, "the binding", done); o.error != nil || o.Node != "b" {
 		t.Errorf("got %+v", o)
 	}
 	var got grpcfront.TokenCounts
-	if w.onLoop(t, func() { got = w.grpcFront.TokenCounts() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
+	if server.onLoop(t, func() { got = server.grpcFront.TokenCounts() }); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
 		t.Errorf("tickets: %+v", got)
 	}
 	if n := b.StartCount("ok-7"); n != 1 {
