--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -1,5 +1,7 @@
 package main
 
+// This file tests the division of the workers among the members that are alive.
+
 import (
 	"testing"
 
@@ -9,20 +11,18 @@
 	"ravenhitch/internal/shard"
 )
 
-// assignedShards counts what an orchestrator owns of a zone.
-func assignedShards(owner discovery.Assignment, zone string) int { return shard.Set{"": owner(zone)}.Len() }
-
-// The workers are divided among the members of the stable view, and at first among those that the file
-// names too; a view without this orchestrator changes nothing.
+// The workers are divided among the members of the stable view, and at first among those that the operators'
+// file names too; a view without this orchestrator changes nothing.
 func TestAssignment(t *testing.T) {
 	member := func(name, zone string) membership.Member { return membership.Member{Name: name, Zone: zone} }
 	a := newAssignment("n1", "z1", config.Peers{Regions: map[string]string{"z1": "west", "z2": "west", "z3": "east"},
 		Members: []config.PeerAddress{{Name: "n2", Zone: "z2"}, {Name: "n3", Zone: "z3"}}})
 	now := a.current()
-	a.apply = func(o discovery.Assignment) { now = o }
+	a.apply = func(division discovery.Assignment) { now = division }
 	expect := func(when string, west, east int) {
 		t.Helper()
-		if got := [3]int{assignedShards(now, "z1"), assignedShards(now, "z2"), assignedShards(now, "z3")}; got != [3]int{west, west, east} {
+		got := [3]int{assignedShards(now, "z1"), assignedShards(now, "z2"), assignedShards(now, "z3")}
+		if got != [3]int{west, west, east} {
 			t.Errorf("%s: %v shards of the zones, expected %d in the west and %d in the east", when, got, west, east)
 		}
 	}
@@ -37,10 +37,20 @@
 	expect("in a view without it", shard.Count/4, 0)
 	a.onView([]membership.Member{member("n1", "z3"), member("n2", "z2")})
 	expect("moved to the east", 0, shard.Count)
-	b := newAssignment("n1", "z1", config.Peers{Members: []config.PeerAddress{{Name: "n2"}}})
-	b.apply = func(o discovery.Assignment) { now = o }
-	b.endPresumption()
-	if now = b.current(); assignedShards(now, "z1") != shard.Count/2 || assignedShards(now, "z3") != shard.Count/2 {
-		t.Error("who has not joined when the first seconds are over does not share with those that the file names")
+}
+
+// An orchestrator that has not joined the table when the first seconds are over shares the workers with the
+// members that the operators' file names.
+func TestAssignmentBeforeJoining(t *testing.T) {
+	a := newAssignment("n1", "z1", config.Peers{Members: []config.PeerAddress{{Name: "n2"}}})
+	a.apply = func(discovery.Assignment) {}
+	a.endPresumption()
+	if now := a.current(); assignedShards(now, "z1") != shard.Count/2 || assignedShards(now, "z3") != shard.Count/2 {
+		t.Error("it does not share with those that the file names")
 	}
 }
+
+// assignedShards counts the shards of a zone that are assigned to this orchestrator.
+func assignedShards(division discovery.Assignment, zone string) int {
+	return shard.Set{"": division(zone)}.Len()
+}
--- /dev/null
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -0,0 +1,162 @@
+package main
+
+// This file takes discovery away: the server serves by what it knows, and follows discovery again once
+// it is back, also where idle clients fill the descriptors meanwhile.
+
+import (
+	"fmt"
+	"net"
+	"testing"
+
+	"ravenhitch/internal/testbed"
+)
+
+// The server serves by the list that it was started with while discovery refuses, is silent or can't be
+// reached, and polls again.
+func TestServesWithoutDiscovery(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		// listen returns an address for discovery, and where polls can be seen, the connections.
+		listen func(t *testing.T) (addr string, polls <-chan net.Conn)
+	}{
+		{"it refuses", func(t *testing.T) (string, <-chan net.Conn) {
+			listener := listenLocal(t)
+			testbed.Refuse(t, listener)
+			return listener.Addr().String(), nil
+		}},
+		{"it is silent", func(t *testing.T) (string, <-chan net.Conn) {
+			listener := listenLocal(t)
+			return listener.Addr().String(), acceptAll(listener)
+		}},
+		{"connections to it never come up", func(t *testing.T) (string, <-chan net.Conn) {
+			proxy := testbed.NewProxy(t, testbed.NewWorker(t, "nobody"))
+			proxy.Cut(t)
+			return proxy.Addr(), nil
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			addr, polls := test.listen(t)
+			server := startTestServer(t, serverOptions{discoveryAddr: func(string) string { return addr }}, "a")
+
+			client, restarted := server.connect(t), server.connect(t)
+			for i := range 200 { // of a client's restart, all at once
+				testbed.Send(restarted, adoptedLine(testbed.RequestID(100+i), "a"))
+			}
+			pingServer(t, client)
+			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
+				t.Errorf("got %v", line)
+			}
+			for range 2 {
+				if polls != nil {
+					closeOnCleanup(t, testbed.Wait(t, "a poll", polls))
+				}
+			}
+			server.loop.Post(server.loop.Stop)
+			if err := server.waitStopped(t); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// acceptAll accepts connections and says nothing on them, until the listener is closed.
+func acceptAll(listener net.Listener) <-chan net.Conn {
+	accepted := make(chan net.Conn, 100)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- conn
+		}
+	}()
+	return accepted
+}
+
+// relayedServer is a server that reaches discovery by a relay.
+type relayedServer struct {
+	*testServer
+	relay *testbed.Proxy
+}
+
+// newRelayedServer starts a server that serves maxClients clients, with so many workers.
+func newRelayedServer(t *testing.T, workers int) *relayedServer {
+	t.Helper()
+	var names []string
+	for i := range workers {
+		names = append(names, fmt.Sprintf("w%02d", i))
+	}
+	s := &relayedServer{}
+	s.testServer = startTestServer(t, serverOptions{sockets: smallSocketLimit, discoveryAddr: func(addr string) string {
+		s.relay = testbed.NewProxyTo(t, addr)
+		return s.relay.Addr()
+	}}, names...)
+	return s
+}
+
+// Idle clients fill the table of connections, and more wait, while discovery is away. Once it is back the
+// follower still gets its connection, a worker that discovery lists gets one, and so do a ping and a real
+// request.
+func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		begin func(t *testing.T, server *relayedServer) (end func())
+	}{
+		{"it is silent", func(t *testing.T, server *relayedServer) func() {
+			server.relay.Cut(t)
+			return func() { server.relay.Heal(t) }
+		}},
+		{"its connections break", func(t *testing.T, server *relayedServer) func() {
+			server.discovery.Srv.CloseClientConnections()
+			server.relay.Cut(t)
+			return func() { server.relay.Heal(t) }
+		}},
+		{"its connections stay open and silent", func(_ *testing.T, server *relayedServer) func() {
+			server.relay.Strand()
+			return func() {}
+		}},
+	} {
+		for _, workers := range []int{1, 40} {
+			t.Run(fmt.Sprintf("%s, %d workers", test.name, workers), func(t *testing.T) {
+				t.Parallel()
+				server := newRelayedServer(t, workers)
+				server.discovery.WaitPolled(t)
+				end := test.begin(t, server)
+				fillWithIdleClients(t, server)
+				next := testbed.NewWorker(t, "next")
+				server.discovery.Add(false, next.ListEntry("up"))
+
+				endedAt := server.now(t)
+				end()
+				server.discovery.WaitPolled(t)
+				t.Logf("the list was read %d ms after discovery was back", (server.now(t)-endedAt)/millisecond)
+
+				server.onLoop(t, func() { server.pool.Probe("next") })
+				server.waitUntil(t, "a probe", func() bool { return next.PingCount() > 0 })
+				client := server.connect(t)
+				pingServer(t, client)
+				testbed.Send(client, testbed.StartLine(testbed.RequestID(9999), "guide-web", "ok-true", 5000))
+				if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
+					t.Errorf("got %v", line)
+				}
+				server.onLoop(t, func() {
+					t.Logf("%d descriptors are free, %d clients", server.loop.FreeDescriptors(), server.clientFront.Connections())
+				})
+			})
+		}
+	}
+}
+
+// fillWithIdleClients connects more clients than the table holds, half of which send something.
+func fillWithIdleClients(t *testing.T, server *relayedServer) {
+	t.Helper()
+	for i := range 4 * maxClients {
+		client := server.connect(t)
+		if i%2 == 0 {
+			testbed.Send(client, testbed.Line{Verb: "PENDING", Tag: testbed.RequestID(i), Opts: map[string]string{}})
+		}
+	}
+}
--- /dev/null
+++ b/cmd/ravenhitch/figures_test.go
@@ -0,0 +1,64 @@
+package main
+
+// This file tests the export of figures.
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"ravenhitch/internal/config"
+	"ravenhitch/internal/testbed"
+)
+
+// Figures reach receivers that speak as Graphite and as collectd do, with what the dispatcher counted.
+func TestExportedFigures(t *testing.T) {
+	carbon := listenLocal(t)
+	path := filepath.Join(t.TempDir(), "collectd.sock")
+	collectd, err := net.Listen("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOnCleanup(t, collectd)
+	lines := make(chan string, 10_000)
+	go receiveFigures(carbon, "", lines)
+	go receiveFigures(collectd, "0 Success\n", lines)
+	server := startTestServer(t, serverOptions{operators: config.Operators{
+		Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
+		Collectd: config.Metrics{Address: path, Prefix: "edge", EveryMs: 100},
+	}}, "a")
+	client := server.connect(t)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	testbed.Wait(t, "the response", client.Lines)
+	for _, want := range []string{
+		"edge.n1.started 1 ",
+		"edge.n1.standing 1 ",
+		`PUTVAL "n1/edge/derive-started" interval=0.1 `,
+		`PUTVAL "n1/edge/gauge-standing" interval=0.1 `,
+	} {
+		for {
+			line := testbed.Wait(t, want, lines)
+			if strings.HasPrefix(line, want) && (strings.HasPrefix(line, "edge") || strings.HasSuffix(line, ":1")) {
+				break
+			}
+		}
+	}
+}
+
+// receiveFigures passes on the lines of one connection, and answers each.
+func receiveFigures(listener net.Listener, answer string, lines chan<- string) {
+	conn, err := listener.Accept()
+	if err != nil {
+		return
+	}
+	defer func() { _ = conn.Close() }() // the exporter is gone by then, or the test over
+	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
+		lines <- scanner.Text()
+		if _, err := io.WriteString(conn, answer); err != nil {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/cmd/ravenhitch/grpcclient_test.go
@@ -0,0 +1,93 @@
+package main
+
+// This file owns the gRPC clients of the tests.
+
+import (
+	"context"
+	"testing"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"ravenhitch/internal/grpcfront/edgepb"
+)
+
+// newOffer is a request of a task of one core; a timeout of 0 is none.
+func newOffer(id, class, task string, timeoutMs uint32) *edgepb.Offer {
+	return &edgepb.Offer{OfferId: id, Task: task, Class: class, Cores: 1, Memory: 2, Service: "b4d65521",
+		Description: "about " + task, WaitMs: timeoutMs}
+}
+
+// dialGRPC connects to the gRPC front of the server, without TLS.
+func (s *testServer) dialGRPC(t *testing.T) *grpc.ClientConn {
+	t.Helper()
+	conn, err := grpc.NewClient(s.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOnCleanup(t, conn)
+	return conn
+}
+
+// grpcClient is a client of its own connection.
+func (s *testServer) grpcClient(t *testing.T) edgepb.OrchestratorClient {
+	t.Helper()
+	return edgepb.NewOrchestratorClient(s.dialGRPC(t))
+}
+
+// clientSession is a client's session with a stream.
+type clientSession struct {
+	edgepb.Orchestrator_SessionClient
+	disconnect context.CancelFunc
+	messages   chan *edgepb.ServerMessage // closed when the stream ends
+	err        error                      // how the stream ended, once messages is closed
+}
+
+// openSession opens a stream of a session that has acknowledged nothing yet.
+func (s *testServer) openSession(t *testing.T, name string) *clientSession {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	stream, err := s.grpcClient(t).Session(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	session := &clientSession{Orchestrator_SessionClient: stream, disconnect: cancel, messages: make(chan *edgepb.ServerMessage, 1000)}
+	session.send(t, &edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Open{Open: &edgepb.Open{Session: name}}})
+	go func() {
+		defer close(session.messages)
+		for {
+			message, err := stream.Recv()
+			if err != nil {
+				session.err = err
+				return
+			}
+			session.messages <- message
+		}
+	}()
+	return session
+}
+
+func (s *clientSession) send(t *testing.T, message *edgepb.ClientMessage) {
+	t.Helper()
+	if err := s.Send(message); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func (s *clientSession) sendOffer(t *testing.T, offer *edgepb.Offer) {
+	t.Helper()
+	s.send(t, &edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Offer{Offer: offer}})
+}
+
+func (s *clientSession) sendRelease(t *testing.T, id string) {
+	t.Helper()
+	s.send(t, &edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Release{Release: &edgepb.ReleaseRequest{OfferId: id}}})
+}
+
+// disconnectAndDrain ends the stream and drops what came on it.
+func (s *clientSession) disconnectAndDrain() {
+	s.disconnect()
+	for range s.messages {
+	}
+}
--- /dev/null
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -0,0 +1,82 @@
+package main
+
+// This file tests a rehearsal as a process, and its schedules.
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// A rehearsal shows what was played, breaks no rule, and leaves nothing running.
+func TestRehearse(t *testing.T) {
+	program, dir := buildProgram(t), filepath.Join(t.TempDir(), "out")
+	output, err := exec.Command(program, "rehearse", "--orchestrators", "3", "--seconds", "6",
+		"--schedule", "1s kill n2; 5s heal", "--out", dir).CombinedOutput()
+	if err != nil {
+		t.Fatalf("%v: %s", err, output)
+	}
+	text, err := os.ReadFile(filepath.Join(dir, recordingFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var r recording
+	if err := json.Unmarshal(text, &r); err != nil {
+		t.Error(err)
+	}
+	if len(r.Failures) > 0 || r.Total.Started == 0 {
+		t.Errorf("failures %v, tasks %+v", r.Failures, r.Total)
+	}
+	if len(r.Moments) < 10 || len(r.Steps) != 2 {
+		t.Errorf("%d moments, %d steps", len(r.Moments), len(r.Steps))
+	}
+	if timeline, err := os.ReadFile(filepath.Join(dir, timelineFile)); err != nil || !bytes.Contains(timeline, []byte("1s kill n2")) {
+		t.Errorf("the timeline: %v", err)
+	}
+	// Its orchestrators run the same program, which no other test does.
+	commandLines, err := filepath.Glob("/proc/[0-9]*/cmdline")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range commandLines {
+		if line, err := os.ReadFile(path); err == nil && bytes.HasPrefix(line, []byte(program)) {
+			t.Errorf("still runs: %q", line)
+		}
+	}
+}
+
+// Schedules are parsed back from what they are written as.
+func TestSchedules(t *testing.T) {
+	zones := map[string][]string{"hall-a": {"n0", "n1"}, "hall-b": {"n2", "n3", "n4"}}
+	for seed := range uint64(200) {
+		steps := testbed.Draw(seed, zones, 20*time.Second)
+		again, err := testbed.ParseSchedule(testbed.Text(steps))
+		if err != nil || testbed.Text(again) != testbed.Text(steps) {
+			t.Fatalf("seed %d: %s became %s (%v)", seed, testbed.Text(steps), testbed.Text(again), err)
+		}
+	}
+	for text, want := range map[string]string{
+		"x cut a->b":               "step 1: expected a time",
+		"1s":                       "expected what is done",
+		"1s burn a":                "expected one of bandwidth",
+		"1s loss all 2":            "a share of 0 to 1",
+		"1s pause a":               "pause a TIME",
+		"1s heal all":              "nothing after heal",
+		"1s restart a new":         "empty or old",
+		"1s flap a->b 0s":          "expected a time",
+		"1s kill a; 2s cut a->b c": "step 2: expected cut a->b [but PROCESS]",
+	} {
+		t.Run(text, func(t *testing.T) {
+			if _, err := testbed.ParseSchedule(text); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("got %v, expected %q", err, want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -0,0 +1,133 @@
+package main
+
+// This file tests that a shutdown waits for what is unfinished. What opens and closes each case is an
+// event, never a time that passes.
+
+import (
+	"bufio"
+	"strings"
+	"testing"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// What is unfinished when the server is stopped, beyond the time in which requests keep coming, holds the
+// shutdown back until it is finished.
+func TestShutdownWaitsForUnfinishedWork(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		// withoutSuccessor says that finishing needs a new connection, which a successor would get.
+		withoutSuccessor bool
+		// begin leaves something unfinished, and returns how it is finished.
+		begin func(t *testing.T, server *testServer) (finish func())
+	}{
+		{"half a request has come", false, beginPartialRequest},
+		{"a response lies behind what its client has not read", false, beginUnreadResponse},
+		{"a release was not confirmed", false, beginUnconfirmedRelease},
+		{"a completion has found no client", true, beginUnreportedCompletion},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			expectShutdownWaits(t, test.begin, false)
+		})
+		if !test.withoutSuccessor {
+			t.Run(test.name+", beside a successor", func(t *testing.T) {
+				t.Parallel()
+				expectShutdownWaits(t, test.begin, true)
+			})
+		}
+	}
+}
+
+func beginPartialRequest(t *testing.T, server *testServer) func() {
+	client := server.connect(t)
+	request := lineBytes(t, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	pingServer(t, client)
+	write(t, client, request[:len(request)/2])
+	server.waitUntil(t, "half a request", server.clientFront.HasUndelivered)
+	return func() {
+		write(t, client, append(request[len(request)/2:], '\n'))
+		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
+			t.Errorf("got %v", line)
+		}
+	}
+}
+
+func beginUnreadResponse(t *testing.T, server *testServer) func() {
+	conn := newSlowReader(t, server)
+	testbed.Send(conn, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	server.waitUntil(t, "a task", func() bool { return server.dispatcher.RunningCount() == 1 })
+	return func() {
+		setReadTimeout(t, conn)
+		for scanner := bufio.NewScanner(conn); scanner.Scan(); {
+			if strings.Contains(scanner.Text(), "STARTED") {
+				return
+			}
+		}
+		t.Error("the response never came")
+	}
+}
+
+func beginUnconfirmedRelease(t *testing.T, server *testServer) func() {
+	client := server.connect(t)
+	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
+	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
+		t.Fatalf("got %v", line)
+	}
+	server.workers[0].Vanish()
+	testbed.Send(client, cancelLine(testbed.RequestID(1)))
+	pingServer(t, client)
+	return func() { server.workers[0].End(testbed.RequestID(1), causeReleased) }
+}
+
+func beginUnreportedCompletion(t *testing.T, server *testServer) func() {
+	client := server.connect(t)
+	testbed.Send(client, adoptedLine(testbed.RequestID(1), "a"))
+	pingServer(t, client)
+	closeNow(t, client)
+	server.waitConnections(t, 0)
+	server.workers[0].End(testbed.RequestID(1), causeDone)
+	server.waitUntil(t, "the completion here", server.clientFront.HasUndelivered)
+	return func() {
+		next := server.connect(t)
+		testbed.Send(next, pingLine("t"))
+		expectCause(t, "the completion", next, testbed.RequestID(1), causeDone)
+	}
+}
+
+// expectShutdownWaits stops a server with something unfinished, which must go on until that is finished.
+func expectShutdownWaits(t *testing.T, begin func(*testing.T, *testServer) func(), successor bool) {
+	t.Helper()
+	server := newTestServer(t, "a")
+	finish := begin(t, server)
+	stoppedAt := int64(0)
+	server.onLoop(t, func() {
+		server.inheritedListener, server.hasSuccessor = successor, successor
+		stoppedAt = server.loop.Now()
+	})
+	server.Stop()
+
+	ages := make(chan int64, 1)
+	limit := time.Now().Add(testbed.Patience)
+	for age := int64(0); age < lateRequestsUs+100*millisecond; {
+		select {
+		case err := <-server.runResult:
+			t.Fatalf("it ended with that unfinished: %v", err)
+		case <-time.After(time.Millisecond):
+		}
+		if time.Now().After(limit) {
+			t.Fatal("its clock stands still")
+		}
+		server.loop.Post(func() { ages <- server.loop.Now() - stoppedAt })
+		select {
+		case age = <-ages:
+		case err := <-server.runResult:
+			t.Fatalf("it ended with that unfinished: %v", err)
+		}
+	}
+	finish()
+	if err := server.waitStopped(t); err != nil {
+		t.Error(err)
+	}
+}
