--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -14,7 +14,7 @@
 	store := newHandoverStore(dir)
 	cordons, err := store.readCordons()
 	if err != nil {
-		return fmt.Errorf("minions out by hand: %w", err)
+		return fmt.Errorf("cordoned workers: %w", err)
 	}
 	s.dispatcher.SetCordoned(s.loop.Now(), cordons)
 	tasks := make(chan func(), maxQueuedFileTasks)
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file takes discovery away: the server serves by what it knows, and follows discovery again once
+// This file takes discovery away: the server serves by its last list, and follows discovery again once
 // it is back, also where idle clients fill the descriptors meanwhile.
 
 import (
--- a/cmd/ravenhitch/figures_test.go
+++ b/cmd/ravenhitch/figures_test.go
@@ -9,6 +9,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"ravenhitch/internal/config"
 	"ravenhitch/internal/testbed"
@@ -39,11 +40,20 @@
 		`PUTVAL "n1/edge/derive-started" interval=0.1 `,
 		`PUTVAL "n1/edge/gauge-standing" interval=0.1 `,
 	} {
-		for {
-			line := testbed.Wait(t, want, lines)
-			if strings.HasPrefix(line, want) && (strings.HasPrefix(line, "edge") || strings.HasSuffix(line, ":1")) {
-				break
-			}
+		waitFigure(t, lines, want)
+	}
+}
+
+// waitFigure waits for a line that begins like this; the figure itself is 1.
+func waitFigure(t *testing.T, lines <-chan string, want string) {
+	t.Helper()
+	for limit := time.Now().Add(testbed.Patience); ; {
+		line := testbed.Wait(t, want, lines)
+		if strings.HasPrefix(line, want) && (strings.HasPrefix(line, "edge") || strings.HasSuffix(line, ":1")) {
+			return
+		}
+		if time.Now().After(limit) {
+			t.Fatalf("%s: never came, the last line is %q", want, line)
 		}
 	}
 }
--- a/cmd/ravenhitch/grpc.go
+++ b/cmd/ravenhitch/grpc.go
@@ -54,7 +54,7 @@
 func loadTokenKeys(path string) (*retrytoken.Keys, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("tickets: %w", err)
+		return nil, fmt.Errorf("retry token keys: %w", err)
 	}
 	return retrytoken.ParseKeys(path, b)
 }
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -51,7 +51,7 @@
 	return strings.TrimSpace(string(b))
 }
 
-// claimServing tells the process that serves beside this one that this one serves now.
+// claimServing announces to the process that serves beside this one that this one serves now.
 func (s handoverStore) claimServing() error {
 	return s.replace(servingSuffix, []byte(s.processID+"\n"))
 }
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -29,7 +29,7 @@
 }
 
 // Two processes serve one after the other on one socket: a worker that is cordoned at the first is
-// cordoned at the second, no client is turned away, and the first ends.
+// cordoned at the second, no client is rejected, and the first ends.
 func TestHandoverToSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	discovery := testbed.NewDiscovery(t)
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -175,7 +175,7 @@
 func (s *server) listen(cfg config.Config, operators config.Operators) (err error) {
 	if cfg.AdminAddr != "" {
 		if err = s.listenAdmin(cfg.AdminAddr, os.TempDir()); err != nil {
-			return fmt.Errorf("the place of operators' calls: %w", err)
+			return fmt.Errorf("admin calls: %w", err)
 		}
 	}
 	if s.clientAddr, err = s.clientFront.Listen(cfg.Listen, cfg.Inherited); err != nil {
