--- a/client/client.go
+++ b/client/client.go
@@ -33,8 +33,8 @@
 
 // Binding says where a task runs.
 type Binding struct {
-	OfferID     string
-	Node        string // that runs it: a worker
+	RequestID   string
+	Worker      string // that runs it: a worker
 	Description string // what the worker gave for the task
 }
 
@@ -60,8 +60,8 @@
 	Budget float64
 	// Reserve is how many such retries may be saved up; 0 means 10.
 	Reserve float64
-	// Wait is the timeout of one attempt; 0 leaves it to the class.
-	Wait time.Duration
+	// AttemptTimeout is the timeout of one attempt; 0 leaves it to the class.
+	AttemptTimeout time.Duration
 	// BackOff is the first pause after a call that reached nobody, doubled each time up to thirty times
 	// itself, and drawn between 0.5 and 1 of that; 0 means 100 ms.
 	BackOff time.Duration
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -66,7 +66,7 @@
 		c, orchestrator := newScripted(Options{Reserve: 1}, append(answers, nil)...)
 		binding, err := c.Place(t.Context(), Task{Name: "x", Class: "live-relay"}, nil)
 		offers, at := orchestrator.offers, orchestrator.at
-		if err != nil || binding.Node != "a" || len(offers) != 53 {
+		if err != nil || binding.Worker != "a" || len(offers) != 53 {
 			t.Fatalf("%+v, %v after %d offers", binding, err, len(offers))
 		}
 		if at[1] != 3*time.Second || at[2] != 3*time.Second || at[3] != 4*time.Second {
--- a/client/place.go
+++ b/client/place.go
@@ -44,7 +44,7 @@
 	for {
 		binding, err := c.attempt(ctx, r)
 		if err == nil {
-			return Binding{OfferID: binding.GetOfferId(), Node: binding.GetNode(), Description: binding.GetDescription()}, nil
+			return Binding{RequestID: binding.GetOfferId(), Worker: binding.GetNode(), Description: binding.GetDescription()}, nil
 		}
 		if ctx.Err() != nil {
 			return Binding{}, ctx.Err()
@@ -62,9 +62,9 @@
 // attempt offers the task once, to the next orchestrator.
 func (c *Client) attempt(ctx context.Context, r *request) (*edgepb.Binding, error) {
 	r.attempts++
-	if c.options.Wait > 0 {
+	if c.options.AttemptTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, c.options.Wait)
+		ctx, cancel = context.WithTimeout(ctx, c.options.AttemptTimeout)
 		defer cancel()
 	}
 	return c.next().Place(ctx, &edgepb.Offer{
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -30,8 +30,8 @@
 
 // startAssignment divides the workers, at first among the members that the operators' file names.
 func startAssignment(loop *eventloop.Loop, follower *discovery.Follower, cfg config.Config, peers config.Peers) *assignment {
-	a := newAssignment(cfg.Name, cmp.Or(peers.Hall, cfg.Settings.Zone), peers)
-	follower.EnablePartition(a.current())
+	a := newAssignment(cfg.Name, cmp.Or(peers.Zone, cfg.Settings.Zone), peers)
+	follower.EnableAssignment(a.current())
 	a.apply = follower.SetAssignment
 	loop.After(presumedForUs, a.endPresumption)
 	return a
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -66,7 +66,7 @@
 	testbed.Send(client, leaverLine("missed-leaver"))
 	server.eventually(t, "the first attempt", func() bool { return server.attempts.Count(leaverID) == 1 })
 	for _, worker := range server.workers { // the first attempt's cancel is written, and has to be confirmed
-		worker.Note()
+		worker.SendNotice()
 		server.proxies[worker.Name].Delay(80 * time.Millisecond)
 	}
 	server.waitUntil(t, "its cancel in flight", func() bool { return server.pool.UnconfirmedCancels() > 0 })
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -30,7 +30,7 @@
 		}},
 		{"connections to it never come up", func(t *testing.T) (string, <-chan net.Conn) {
 			proxy := testbed.NewProxy(t, testbed.NewWorker(t, "nobody"))
-			proxy.Cut(t)
+			proxy.Partition(t)
 			return proxy.Addr(), nil
 		}},
 	} {
@@ -106,12 +106,12 @@
 		begin func(t *testing.T, server *relayedServer) (end func())
 	}{
 		{"it is silent", func(t *testing.T, server *relayedServer) func() {
-			server.relay.Cut(t)
+			server.relay.Partition(t)
 			return func() { server.relay.Heal(t) }
 		}},
 		{"its connections break", func(t *testing.T, server *relayedServer) func() {
-			server.discovery.Srv.CloseClientConnections()
-			server.relay.Cut(t)
+			server.discovery.Server.CloseClientConnections()
+			server.relay.Partition(t)
 			return func() { server.relay.Heal(t) }
 		}},
 		{"its connections stay open and silent", func(_ *testing.T, server *relayedServer) func() {
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -72,13 +72,13 @@
 func cutBeforeCancel(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 2000)
 	server.noteOnceOffered(t, missed)
-	server.proxies["a"].Cut(t)
+	server.proxies["a"].Partition(t)
 	server.expectAllStarted(t, missed)
 }
 
 // What was offered into a cut must not arrive when that heals: it runs elsewhere.
 func offeredIntoCut(t *testing.T, server *proxiedServer) {
-	server.proxies["a"].Cut(t)
+	server.proxies["a"].Partition(t)
 	server.expectAllStarted(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
 	server.waitRunningAt(t, "a")
@@ -89,7 +89,7 @@
 func cancelledIntoCut(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
 	server.noteOnceOffered(t, silent)
-	server.proxies["a"].Cut(t)
+	server.proxies["a"].Partition(t)
 	for _, id := range silent {
 		testbed.Send(server, cancelLine(id))
 	}
@@ -111,7 +111,7 @@
 func shutDownWithLinkCut(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
 	server.noteOnceOffered(t, silent)
-	server.proxies["a"].Cut(t)
+	server.proxies["a"].Partition(t)
 	server.Stop()
 	server.waitResponses(t, silent)
 }
@@ -119,7 +119,7 @@
 // A release goes out again where the connection that it was written to is gone.
 func releasedIntoCut(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
-	server.proxies["a"].Cut(t)
+	server.proxies["a"].Partition(t)
 	testbed.Send(server, cancelLine(id))
 	server.waitResponses(t, server.submit("ok", 40, 5000)) // the end of some takes back what lies in the cut
 	server.proxies["a"].Heal(t)
@@ -131,7 +131,7 @@
 // the next connection opened, which there must be, although the one that is there is busy.
 func completedOnClosedConnection(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
-	server.proxies["a"].Cut(t)
+	server.proxies["a"].Partition(t)
 	server.waitResponses(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
 	server.waitRunningAt(t, "a")
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -21,7 +21,7 @@
 	}
 	if receiver := operators.Collectd; receiver.Address != "" {
 		s.startExporter("unix", receiver, metrics.Collectd{Prefix: receiver.Prefix, Name: cfg.Name,
-			Every: time.Duration(receiver.EveryMs) * time.Millisecond})
+			Interval: time.Duration(receiver.IntervalMs) * time.Millisecond})
 	}
 }
 
@@ -29,7 +29,7 @@
 func (s *server) startExporter(network string, receiver config.Metrics, protocol metrics.Protocol) {
 	exporter := metrics.NewExporter(network, receiver.Address, protocol, s.log)
 	s.exporters = append(s.exporters, exporter)
-	intervalUs := receiver.EveryMs * millisecond
+	intervalUs := receiver.IntervalMs * millisecond
 	var export func()
 	export = func() {
 		exporter.Offer(metrics.Sample{At: time.UnixMicro(s.loop.Now()), Figures: s.figures(exporter)})
@@ -69,7 +69,7 @@
 		gauge("open", s.dispatcher.OpenCount()), gauge("standing", s.dispatcher.RunningCount()),
 		gauge("owners", s.clientFront.Connections()), gauge("sockets_free", s.loop.FreeDescriptors()),
 		gauge("storm_state", int(overload.State)), gauge("storm_kind", int(overload.Kind)),
-		{Name: "storm_pace", Value: overload.Pace}, {Name: "storm_held", Value: overload.Held},
-		{Name: "storm_booked", Value: overload.Booked},
+		{Name: "storm_pace", Value: overload.ReleaseRate}, {Name: "storm_held", Value: overload.Pending},
+		{Name: "storm_booked", Value: overload.Reserved},
 	}
 }
--- a/cmd/ravenhitch/figures_test.go
+++ b/cmd/ravenhitch/figures_test.go
@@ -28,8 +28,8 @@
 	go receiveFigures(carbon, "", lines)
 	go receiveFigures(collectd, "0 Success\n", lines)
 	server := startTestServer(t, serverOptions{operators: config.Operators{
-		Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", EveryMs: 100},
-		Collectd: config.Metrics{Address: path, Prefix: "edge", EveryMs: 100},
+		Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", IntervalMs: 100},
+		Collectd: config.Metrics{Address: path, Prefix: "edge", IntervalMs: 100},
 	}}, "a")
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
@@ -47,7 +47,7 @@
 // waitFigure waits for a line that begins like this; the figure itself is 1.
 func waitFigure(t *testing.T, lines <-chan string, want string) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); ; {
+	for limit := time.Now().Add(testbed.Timeout); ; {
 		line := testbed.Wait(t, want, lines)
 		if strings.HasPrefix(line, want) && (strings.HasPrefix(line, "edge") || strings.HasSuffix(line, ":1")) {
 			return
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -52,7 +52,7 @@
 	client, worker := server.grpcClient(t), server.workers[0]
 	for _, test := range statusCases {
 		t.Run(test.name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testbed.Timeout)
 			defer cancel()
 			_, err := client.Place(ctx, test.offer)
 			if status.Code(err) != test.want {
@@ -132,7 +132,7 @@
 	}
 	// Nothing came on the connection since the offer: a cancel written there may never arrive, and only
 	// the close abandons the attempt for sure.
-	for testbed.Wait(t, "the close", worker.Cut).Tag != testbed.RequestID(21) {
+	for testbed.Wait(t, "the close", worker.LostOffers).Tag != testbed.RequestID(21) {
 	}
 }
 
@@ -159,7 +159,7 @@
 			if line.Tag == id && line.Cause() == causeDone {
 				return
 			}
-		case line := <-worker.Cut:
+		case line := <-worker.LostOffers:
 			if line.Tag == id {
 				return
 			}
--- a/cmd/ravenhitch/grpc_tls_test.go
+++ b/cmd/ravenhitch/grpc_tls_test.go
@@ -68,7 +68,7 @@
 	}
 	closeOnCleanup(t, conn)
 	client := edgepb.NewOrchestratorClient(conn)
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Timeout)
 	defer cancel()
 	health := func() healthpb.HealthCheckResponse_ServingStatus {
 		response, err := healthpb.NewHealthClient(conn).Check(ctx, &healthpb.HealthCheckRequest{})
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -123,7 +123,7 @@
 	if got := first.call(t, "ONLINE a"); got != "+OK\n" {
 		t.Errorf("uncordon: %q", got)
 	}
-	for limit := time.Now().Add(testbed.Patience); second.figures(t).Ejected != 0; {
+	for limit := time.Now().Add(testbed.Timeout); second.figures(t).Ejected != 0; {
 		if time.Now().After(limit) {
 			t.Fatal("still cordoned")
 		}
@@ -191,7 +191,7 @@
 		t.Fatal(err)
 	}
 	cfg := serverOptions{}.config(t, discovery)
-	cfg.AdminAddr, cfg.Inherited = "127.0.0.1:0", inherited
+	cfg.AdminAddr, cfg.InheritedFD = "127.0.0.1:0", inherited
 	server, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -209,7 +209,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }() // all of the answer is read by then
-	if err := conn.SetDeadline(time.Now().Add(testbed.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	write(t, conn, []byte(line+"\n"))
@@ -223,7 +223,7 @@
 // waitReady waits until the server answers that it is healthy.
 func (p *managedProcess) waitReady(t *testing.T) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); p.call(t, "HEALTH") != "+OK\n"; {
+	for limit := time.Now().Add(testbed.Timeout); p.call(t, "HEALTH") != "+OK\n"; {
 		if time.Now().After(limit) {
 			t.Fatal("never ready")
 		}
@@ -233,7 +233,7 @@
 // waitShuttingDown waits until the server answers that it shuts down.
 func (p *managedProcess) waitShuttingDown(t *testing.T) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); p.call(t, "HEALTH") != "-ERR ending\n"; {
+	for limit := time.Now().Add(testbed.Timeout); p.call(t, "HEALTH") != "-ERR ending\n"; {
 		if time.Now().After(limit) {
 			t.Fatal("never answers that it shuts down")
 		}
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -102,7 +102,7 @@
 		select {
 		case <-worker.Starts:
 		case <-worker.Ends:
-		case <-worker.Cut:
+		case <-worker.LostOffers:
 		default:
 			return
 		}
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -113,7 +113,7 @@
 		cfg.AdminAddr = v
 	}
 	if v := os.Getenv("ROUTER_INHERITED_FD"); v != "" {
-		if cfg.Inherited, err = strconv.Atoi(v); err != nil || cfg.Inherited < firstInheritableFD {
+		if cfg.InheritedFD, err = strconv.Atoi(v); err != nil || cfg.InheritedFD < firstInheritableFD {
 			return fmt.Errorf("ROUTER_INHERITED_FD: expected the number of a descriptor, %d or more, got %.40q", firstInheritableFD, v)
 		}
 	}
--- a/cmd/ravenhitch/orchestrator_status.go
+++ b/cmd/ravenhitch/orchestrator_status.go
@@ -25,7 +25,7 @@
 var legendOrder = []orchestratorStatus{statusUp, statusSuspected, statusSeenDead, statusUnnoticed, statusDown}
 
 // statusOf is how an orchestrator was at a moment.
-func statusOf(seen fleet.Seen) orchestratorStatus {
+func statusOf(seen fleet.OrchestratorState) orchestratorStatus {
 	switch {
 	case !seen.Up && seen.Alive+seen.Suspected > 0:
 		return statusUnnoticed
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -14,7 +14,7 @@
 
 // startPeers opens the sockets between orchestrators and joins the membership table.
 func (s *server) startPeers(cfg config.Config, peers config.Peers) error {
-	incarnation, fault, err := peer.Start(peers.Folder)
+	incarnation, fault, err := peer.NextIncarnation(peers.Directory)
 	if err != nil {
 		return err
 	}
@@ -22,7 +22,7 @@
 		s.log.Warn("incarnation counter reset", "cause", fault)
 	}
 	settings := peer.Settings{Listen: peers.Listen, Cluster: peers.Cluster, Name: cfg.Name,
-		Zone: cmp.Or(peers.Hall, cfg.Settings.Zone), Incarnation: incarnation}
+		Zone: cmp.Or(peers.Zone, cfg.Settings.Zone), Incarnation: incarnation}
 	for _, member := range peers.Members {
 		settings.Members = append(settings.Members, membership.Peer{Name: member.Name, Addr: member.Address})
 	}
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -77,7 +77,7 @@
 func formatStatusReport(report peer.StatusReport) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "cluster %s, as %s sees it; view %d of %d members, %s; doubt of itself %d of 8\n\n",
-		report.Cluster, report.Name, report.View.Number, len(report.View.Names), report.View.Digest, report.Doubt)
+		report.Cluster, report.Name, report.View.Number, len(report.View.Names), report.View.Digest, report.HealthScore)
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	row := func(format string, args ...any) { _, _ = fmt.Fprintf(table, format, args...) } // a Builder takes all
 	row("MEMBER\tHALL\tSTATE\tINCARNATION\tLINK\tRTT\tSILENT\tADDRESS\tEVIDENCE\n")
@@ -87,7 +87,7 @@
 			state += ", slow"
 		}
 		row("%s\t%s\t%s\t%d\t%s\t%d ms\t%d ms\t%s\t%s\n",
-			m.Name, m.Zone, state, m.Incarnation, m.Link, m.RTTMs, m.SilentMs, m.Address, m.Evidence)
+			m.Name, m.Zone, state, m.Incarnation, m.Path, m.RTTMs, m.SinceAliveMs, m.Address, m.Evidence)
 	}
 	_ = table.Flush() // a Builder takes all
 	traffic := report.Traffic
--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -37,8 +37,8 @@
 }
 
 // show prints the latest moment and the last second that is complete.
-func (p *progressTable) show(moment fleet.Moment, seconds []fleet.Second) {
-	var last fleet.Second
+func (p *progressTable) show(moment fleet.Snapshot, seconds []fleet.SecondCounts) {
+	var last fleet.SecondCounts
 	if n := len(seconds); n > 1 {
 		last = seconds[n-2]
 	}
@@ -49,25 +49,25 @@
 	_, _ = io.WriteString(p.out, text) // the rehearsal goes on also where nobody can read this
 }
 
-func formatProgressLine(moment fleet.Moment, last fleet.Second) string {
+func formatProgressLine(moment fleet.Snapshot, last fleet.SecondCounts) string {
 	var labels []string
 	for _, seen := range moment.Fleet {
 		labels = append(labels, seen.Name+" "+statusOf(seen).label)
 	}
-	return fmt.Sprintf("%5.1f s  %4d started, %d refused  %s\n", moment.At, last.Started, last.Refused, strings.Join(labels, ", "))
+	return fmt.Sprintf("%5.1f s  %4d started, %d refused  %s\n", moment.At, last.Started, last.Rejected, strings.Join(labels, ", "))
 }
 
 // formatTable draws the table over the one that was drawn before.
-func (p *progressTable) formatTable(moment fleet.Moment, last fleet.Second) string {
+func (p *progressTable) formatTable(moment fleet.Snapshot, last fleet.SecondCounts) string {
 	var text strings.Builder
 	if p.drawn > 0 {
 		fmt.Fprintf(&text, cursorUp, p.drawn)
 	}
 	fmt.Fprintf(&text, "%5.1f s  %4d started in the last second, %d refused, %d failed, %d lost%s\n",
-		moment.At, last.Started, last.Refused, last.Failed, last.Lost, clearLine)
+		moment.At, last.Started, last.Rejected, last.Failed, last.Lost, clearLine)
 	for _, seen := range moment.Fleet {
 		fmt.Fprintf(&text, "  %-4s %-8s %-8s seen alive by %d, suspected by %d, dead by %d; sees %d%s\n",
-			seen.Name, seen.Hall, statusOf(seen).label, seen.Alive, seen.Suspected, seen.Dead, seen.Sees, clearLine)
+			seen.Name, seen.Zone, statusOf(seen).label, seen.Alive, seen.Suspected, seen.Dead, seen.Sees, clearLine)
 	}
 	p.drawn = len(moment.Fleet) + 1
 	return text.String()
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	s.eventually(t, "half of the offers", func() bool { return 2*len(s.attempts.Open()) >= len(ids) })
 	for _, worker := range s.workers {
-		worker.Note()
+		worker.SendNotice()
 	}
 	s.onLoop(t, func() {}) // a turn, and another: what was sent is read
 	s.onLoop(t, func() {})
@@ -95,7 +95,7 @@
 // nextLine takes the next line to the client. Until it comes the workers keep sending something.
 func (s *proxiedServer) nextLine(t *testing.T) testbed.Line {
 	t.Helper()
-	for limit := time.After(testbed.Patience); ; {
+	for limit := time.After(testbed.Timeout); ; {
 		select {
 		case line := <-s.Lines:
 			if s.firstResponses[line.Tag] == "" {
@@ -104,7 +104,7 @@
 			return line
 		case <-time.After(20 * time.Millisecond):
 			for _, worker := range s.workers {
-				worker.Note()
+				worker.SendNotice()
 			}
 		case <-limit:
 			t.Fatal("a client waits in vain")
@@ -128,7 +128,7 @@
 // eventually waits until a condition holds.
 func (s *proxiedServer) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); !condition(); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testbed.Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("%s: never came", what)
 		}
--- a/cmd/ravenhitch/recording.go
+++ b/cmd/ravenhitch/recording.go
@@ -25,33 +25,33 @@
 
 // recording is what a rehearsal leaves; its JSON keys are a stored format.
 type recording struct {
-	Programs []string       `json:"program"`
-	Schedule string         `json:"schedule"`
-	Verdict  string         `json:"verdict"`
-	Failures []string       `json:"faults"`
-	Total    fleet.Second   `json:"total"`
-	P99Ms    float64        `json:"placement_p99_ms"`
-	Seconds  []fleet.Second `json:"seconds"`
-	Steps    []fleet.Done   `json:"steps"`
-	Moments  []fleet.Moment `json:"moments"`
+	Programs []string             `json:"program"`
+	Schedule string               `json:"schedule"`
+	Verdict  string               `json:"verdict"`
+	Failures []string             `json:"faults"`
+	Total    fleet.SecondCounts   `json:"total"`
+	P99Ms    float64              `json:"placement_p99_ms"`
+	Seconds  []fleet.SecondCounts `json:"seconds"`
+	Steps    []fleet.ExecutedStep `json:"steps"`
+	Moments  []fleet.Snapshot     `json:"moments"`
 }
 
 // leaveRecording judges the rehearsal, writes the recording and prints the summary. Its error says
 // which rules were broken.
-func (c *rehearseCommand) leaveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placed, steps []testbed.Step) error {
+func (c *rehearseCommand) leaveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
 	verdict := rig.Judge()
-	failures := slices.Concat(host.failures, verdict.Why)
-	if unanswered := len(placed.Silent()); unanswered > 0 {
+	failures := slices.Concat(host.failures, verdict.Violations)
+	if unanswered := len(placed.Unanswered()); unanswered > 0 {
 		failures = append(failures, fmt.Sprintf("%d set-ups without an answer", unanswered))
 	}
-	r := recording{Programs: c.Programs, Schedule: testbed.Text(steps), Verdict: verdict.String(), Failures: failures,
+	r := recording{Programs: c.Programs, Schedule: testbed.FormatSchedule(steps), Verdict: verdict.String(), Failures: failures,
 		Total: placed.Total(), P99Ms: milliseconds(placed.P99()), Seconds: placed.Seconds()}
 	r.Moments, r.Steps = rig.Record()
 	if err := r.write(c.OutputDir); err != nil {
 		return err
 	}
 	host.printf("\n%s\nplaced %d tasks, 99 of 100 within %.1f ms; %d refused, %d failed, %d lost with their orchestrator\nrecord and picture: %s\n",
-		verdict, r.Total.Started, r.P99Ms, r.Total.Refused, r.Total.Failed, r.Total.Lost, c.OutputDir)
+		verdict, r.Total.Started, r.P99Ms, r.Total.Rejected, r.Total.Failed, r.Total.Lost, c.OutputDir)
 	if len(failures) > 0 {
 		return fmt.Errorf("%d rules broken, as %s", len(failures), failures[0])
 	}
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -110,7 +110,7 @@
 // play starts the fleet, plays the schedule and leaves the recording.
 func (c *rehearseCommand) play(host *rehearsalHost, dir string, steps []testbed.Step, interrupts <-chan os.Signal) error {
 	host.printf("starting %d orchestrators and %d nodes\n", c.Orchestrators, c.Workers)
-	rig := fleet.New(host, fleet.Options{Programs: c.Programs, Dir: dir, Orchestrators: c.Orchestrators, Nodes: c.Workers,
+	rig := fleet.New(host, fleet.Options{Programs: c.Programs, Dir: dir, Orchestrators: c.Orchestrators, Workers: c.Workers,
 		Seed: max(1, c.Seed)})
 	length := time.Duration(c.Seconds) * time.Second
 	if len(steps) == 0 {
@@ -119,7 +119,7 @@
 	if err := rig.Check(steps); err != nil {
 		return err
 	}
-	host.printf("playing for %s: %s\n", length, testbed.Text(steps))
+	host.printf("playing for %s: %s\n", length, testbed.FormatSchedule(steps))
 	rig.Watch()
 	placed := rig.Demand(length)
 	if err := showUntilPlayed(host, rig, placed, steps, length, interrupts); err != nil {
@@ -130,11 +130,11 @@
 
 // showUntilPlayed plays the schedule and shows the progress every second. An interrupt ends it early:
 // then the goroutine that plays is left to the end of the process, which follows.
-func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placed, steps []testbed.Step, length time.Duration,
+func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step, length time.Duration,
 	interrupts <-chan os.Signal) error {
 	played := make(chan struct{})
 	go func() {
-		rig.Play(steps, length)
+		rig.RunSchedule(steps, length)
 		placed.Wait()
 		close(played)
 	}()
--- a/cmd/ravenhitch/rehearse_test.go
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -56,10 +56,10 @@
 func TestSchedules(t *testing.T) {
 	zones := map[string][]string{"hall-a": {"n0", "n1"}, "hall-b": {"n2", "n3", "n4"}}
 	for seed := range uint64(200) {
-		steps := testbed.Draw(seed, zones, 20*time.Second)
-		again, err := testbed.ParseSchedule(testbed.Text(steps))
-		if err != nil || testbed.Text(again) != testbed.Text(steps) {
-			t.Fatalf("seed %d: %s became %s (%v)", seed, testbed.Text(steps), testbed.Text(again), err)
+		steps := testbed.DrawSchedule(seed, zones, 20*time.Second)
+		again, err := testbed.ParseSchedule(testbed.FormatSchedule(steps))
+		if err != nil || testbed.FormatSchedule(again) != testbed.FormatSchedule(steps) {
+			t.Fatalf("seed %d: %s became %s (%v)", seed, testbed.FormatSchedule(steps), testbed.FormatSchedule(again), err)
 		}
 	}
 	for text, want := range map[string]string{
--- a/cmd/ravenhitch/reload_test.go
+++ b/cmd/ravenhitch/reload_test.go
@@ -31,11 +31,11 @@
 		server.Reload(path)
 	}
 
-	if n := testbed.Wait(t, "the new discovery is polled", next.Asked); n != 1 {
+	if n := testbed.Wait(t, "the new discovery is polled", next.Polls); n != 1 {
 		t.Errorf("polled for what follows %d", n)
 	}
 	next.WaitPolled(t)
-	server.discovery.Srv.CloseClientConnections()
+	server.discovery.Server.CloseClientConnections()
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || *line.Blob != "b holds about ok-2" {
 		t.Errorf("got %v", line)
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -139,8 +139,8 @@
 			return fmt.Errorf("%s: the ping got %v", process.Name, line)
 		}
 		return nil
-	case <-time.After(testbed.Patience):
-		return fmt.Errorf("%s: the ping got no answer in %s", process.Name, testbed.Patience)
+	case <-time.After(testbed.Timeout):
+		return fmt.Errorf("%s: the ping got no answer in %s", process.Name, testbed.Timeout)
 	}
 }
 
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -114,7 +114,7 @@
 	b := testbed.NewWorker(t, "b")
 	server.discovery.Add(true, server.workers[0].ListEntry("draining"), b.ListEntry("draining"))
 	server.discovery.WaitPolled(t)
-	ctx, cancel := context.WithTimeout(t.Context(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testbed.Timeout)
 	defer cancel()
 	type result struct {
 		client.Binding
@@ -122,13 +122,13 @@
 	}
 	placed := make(chan result, 1)
 	go func() {
-		binding, err := client.New(client.Options{Wait: 300 * time.Millisecond}, conn).Place(ctx,
+		binding, err := client.New(client.Options{AttemptTimeout: 300 * time.Millisecond}, conn).Place(ctx,
 			client.Task{Name: "ok-7", Class: "guide-web", Cores: 1, Memory: 2}, nil)
 		placed <- result{binding, err}
 	}()
 	server.waitUntil(t, "a rejection", func() bool { return server.dispatcher.Counts().Rejected > 0 })
 	server.discovery.Add(true, b.ListEntry("up"))
-	if got := testbed.Wait(t, "the binding", placed); got.error != nil || got.Node != "b" {
+	if got := testbed.Wait(t, "the binding", placed); got.error != nil || got.Worker != "b" {
 		t.Errorf("got %+v", got)
 	}
 	if got := server.tokenCounts(t); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	s := &server{log: log, loop: loop, stopped: make(chan struct{}),
-		inheritedListener:         cfg.Inherited > 0,
+		inheritedListener:         cfg.InheritedFD > 0,
 		drainTimeout:              drainTimeout(cfg.Settings, maxDeadlineUs),
 		drainTimeoutWithSuccessor: drainTimeout(cfg.Settings, maxDeadlineWithSuccessorUs)}
 	if err := s.startParts(cfg, operators, budget); err != nil {
@@ -105,7 +105,7 @@
 	}
 	budget := sockets - reservedDescriptors
 	if operators.GRPCListen != "" {
-		budget -= grpcfront.Conns + 1
+		budget -= grpcfront.MaxConns + 1
 	}
 	if budget < minSocketBudget {
 		return 0, fmt.Errorf("a limit of %d sockets is too low", sockets)
@@ -135,19 +135,19 @@
 func (s *server) startDispatcher(cfg config.Config, operators config.Operators) (err error) {
 	s.pool = workerpool.New(s.loop, cfg.DialTimeoutUs, cfg.Settings.Pings, s.log)
 	s.pool.SetTraceSuffixes(operators.Trace)
-	s.pool.SetKeepAlive(operators.Workers.KeepAlive)
+	s.pool.SetKeepAlive(operators.Workers.Keepalive)
 	if s.dispatcher, err = dispatch.New(cfg.Settings, cfg.Seed, s.pool, s.log); err != nil {
 		return err
 	}
 	s.dispatcher.SetTraceSuffixes(operators.Trace)
 	s.pool.SetDispatcher(s.dispatcher)
-	if operators.Backpressure.Constant > 0 {
-		s.dispatcher.SetAdvisor(dispatch.FixedRetryAfter(operators.Backpressure.Constant))
+	if operators.Backpressure.FixedRetryAfter > 0 {
+		s.dispatcher.SetAdvisor(dispatch.FixedRetryAfter(operators.Backpressure.FixedRetryAfter))
 		return nil
 	}
 	settings := dispatch.BackpressureSettings(cfg.Settings)
-	settings.MinRetryAfterUs = operators.Backpressure.Least.Microseconds()
-	settings.Callers = operators.Backpressure.Callers
+	settings.MinRetryAfterUs = operators.Backpressure.MinRetryAfter.Microseconds()
+	settings.MaxClients = operators.Backpressure.MaxClients
 	s.dispatcher.SetAdvisor(backpressure.New(settings, cfg.Seed))
 	return nil
 }
@@ -178,7 +178,7 @@
 			return fmt.Errorf("admin calls: %w", err)
 		}
 	}
-	if s.clientAddr, err = s.clientFront.Listen(cfg.Listen, cfg.Inherited); err != nil {
+	if s.clientAddr, err = s.clientFront.Listen(cfg.Listen, cfg.InheritedFD); err != nil {
 		return err
 	}
 	if operators.Peers.Listen != "" {
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -75,7 +75,7 @@
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
 		t.Fatalf("got %v", line)
 	}
-	server.workers[0].Vanish()
+	server.workers[0].BecomeUnreachable()
 	testbed.Send(client, cancelLine(testbed.RequestID(1)))
 	pingServer(t, client)
 	return func() { server.workers[0].End(testbed.RequestID(1), causeReleased) }
@@ -109,7 +109,7 @@
 	server.Stop()
 
 	ages := make(chan int64, 1)
-	limit := time.Now().Add(testbed.Patience)
+	limit := time.Now().Add(testbed.Timeout)
 	for age := int64(0); age < lateRequestsUs+100*millisecond; {
 		select {
 		case err := <-server.runResult:
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -157,7 +157,7 @@
 // setReadTimeout bounds all that is read from a connection from now on.
 func setReadTimeout(t *testing.T, conn net.Conn) {
 	t.Helper()
-	if err := conn.SetReadDeadline(time.Now().Add(testbed.Patience)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -100,7 +100,7 @@
 	}
 	text := configWith(discovery, settings)
 	if o.discoveryAddr != nil {
-		addr := discovery.Srv.Listener.Addr().String()
+		addr := discovery.Server.Listener.Addr().String()
 		text = strings.Replace(text, addr, o.discoveryAddr(addr), 1)
 	}
 	cfg, err := config.Parse([]byte(text))
@@ -130,7 +130,7 @@
 // waitUntil runs f on the event loop until it returns true.
 func (s *testServer) waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(testbed.Patience); ; {
+	for limit := time.Now().Add(testbed.Timeout); ; {
 		ok := false
 		s.onLoop(t, func() { ok = f() })
 		if ok {
@@ -209,7 +209,7 @@
 func (s *testServer) moveBehindCutProxy(t *testing.T) *testbed.Proxy {
 	t.Helper()
 	proxy := testbed.NewProxy(t, s.workers[0])
-	proxy.Cut(t)
+	proxy.Partition(t)
 	s.discovery.Add(false, s.workers[0].ListEntry("up"))
 	s.discovery.WaitPolled(t)
 	return proxy
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -84,7 +84,7 @@
 		}
 	}
 	for row, seen := range moments[0].Fleet {
-		c.Text(10, topEdge+row*rowHeight+15, seen.Name+", "+seen.Hall, textStyle)
+		c.Text(10, topEdge+row*rowHeight+15, seen.Name+", "+seen.Zone, textStyle)
 	}
 }
 
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -24,11 +24,11 @@
 		play      func(t *testing.T, worker *testbed.Worker, trace *traceRecorder)
 		wantCause int
 	}{
-		{"vanished", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.Vanish() }, causeLost},
+		{"vanished", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.BecomeUnreachable() }, causeLost},
 		{"ended with a close and no reset", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.CloseGracefully() }, causeLost},
 		{"refusing connections, and alive", func(t *testing.T, worker *testbed.Worker, trace *traceRecorder) {
 			worker.RefuseConnections()
-			for limit := time.Now().Add(3 * testbed.Patience); trace.closingFor() < 2*maxUnresponsive; time.Sleep(time.Millisecond) {
+			for limit := time.Now().Add(3 * testbed.Timeout); trace.closingFor() < 2*maxUnresponsive; time.Sleep(time.Millisecond) {
 				if time.Now().After(limit) {
 					t.Fatal("it was not dialled for long")
 				}
@@ -125,7 +125,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the response", client.Lines)
-	server.workers[0].Die()
+	server.workers[0].Crash()
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeLost)
 }
 
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -30,7 +30,7 @@
 		controller: New(Settings{
 			Classes:         []Class{{"guide-web", 1}, {"live-relay", 3}},
 			MaxRetryAfterUs: 600 * second,
-			Callers:         clients,
+			MaxClients:      clients,
 		}, seed),
 		rate:      float64(clients) / 60,
 		remaining: clients,
@@ -117,7 +117,7 @@
 // BenchmarkDecision measures a request and its rejection, amid a million other clients.
 func BenchmarkDecision(b *testing.B) {
 	s := testSettings()
-	s.Callers = 1 << 20
+	s.MaxClients = 1 << 20
 	c, now := saturated(s, 1000, 1000)
 	rng := rand.New(rand.NewPCG(1, 2))
 	keys := make([]uint64, 1<<20)
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -35,7 +35,7 @@
 	Classes         []Class
 	MaxRetryAfterUs int64 // upper bound of Retry-After; 0 for a default
 	MinRetryAfterUs int64 // lower bound of Retry-After
-	Callers         int   // clients remembered at most; 0 for a default that fits a small host
+	MaxClients      int   // clients remembered at most; 0 for a default that fits a small host
 }
 
 // Request is a request as far as backpressure needs to know it.
@@ -68,8 +68,8 @@
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{}}
 	}
-	if s.Callers <= 0 {
-		s.Callers = defaultMaxClients
+	if s.MaxClients <= 0 {
+		s.MaxClients = defaultMaxClients
 	}
 	if s.MaxRetryAfterUs <= 0 {
 		s.MaxRetryAfterUs = defaultMaxRetryAfterUs
@@ -78,7 +78,7 @@
 	c := &Controller{
 		settings:   s,
 		rng:        rand.New(rand.NewPCG(seed, rngStream)),
-		waitlist:   newWaitlist(s.Callers),
+		waitlist:   newWaitlist(s.MaxClients),
 		calendar:   newCalendar(classes),
 		demand:     newDemandForecast(classes),
 		pending:    make([]float64, classes),
@@ -191,17 +191,17 @@
 
 // Figures are the exported figures of a Controller.
 type Figures struct {
-	State        State
-	Kind         Kind
-	Pace         float64 // release rate: units a second
-	Held, Booked float64 // units that are pending, and that have reserved slots
+	State             State
+	Kind              Kind
+	ReleaseRate       float64 // release rate: units a second
+	Pending, Reserved float64 // units that are pending, and that have reserved slots
 }
 
 // Figures returns the present figures.
 func (c *Controller) Figures(now int64) Figures {
-	f := Figures{State: c.detector.state, Kind: c.detector.kind, Pace: c.releases.rate(now), Held: c.pendingSum}
+	f := Figures{State: c.detector.state, Kind: c.detector.kind, ReleaseRate: c.releases.rate(now), Pending: c.pendingSum}
 	for class := range c.pending {
-		f.Booked += c.calendar.reserved(class)
+		f.Reserved += c.calendar.reserved(class)
 	}
 	return f
 }
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -69,7 +69,7 @@
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
-		s.Callers = 64
+		s.MaxClients = 64
 		c := New(s, rapid.Uint64().Draw(t, "seed"))
 		now := testStart
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -135,20 +135,20 @@
 			t.Fatalf("Retry-After of %.1f s", seconds(wait))
 		}
 	}
-	if f := c.Figures(now); f.Booked < 100_000 {
-		t.Errorf("%.0f units are reserved", f.Booked)
+	if f := c.Figures(now); f.Reserved < 100_000 {
+		t.Errorf("%.0f units are reserved", f.Reserved)
 	}
 	now += 200 * second
 	c.SetPending(now, nil)
-	if f := c.Figures(now); f.Booked != 0 {
-		t.Errorf("%.0f units are reserved long afterwards", f.Booked)
+	if f := c.Figures(now); f.Reserved != 0 {
+		t.Errorf("%.0f units are reserved long afterwards", f.Reserved)
 	}
 }
 
 // Given a million clients, then the waitlist keeps its size.
 func TestMemoryOfAMillionClients(t *testing.T) {
 	s := testSettings()
-	s.Callers = 4096
+	s.MaxClients = 4096
 	c, now := saturated(s, 100, 10)
 	entries := len(c.waitlist.entries)
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -41,7 +41,7 @@
 type Change struct {
 	From, To State
 	Kind     Kind
-	Why      string // the figures that led to it
+	Cause    string // the figures that led to it
 }
 
 const (
@@ -136,7 +136,7 @@
 	case d.kind == NoSurge || to == Overloaded:
 		d.kind = d.classify(&obs)
 	}
-	return Change{From: from, To: to, Kind: d.kind, Why: d.explain(&obs)}, true
+	return Change{From: from, To: to, Kind: d.kind, Cause: d.explain(&obs)}, true
 }
 
 // observe reads the counters, and learns the usual rate from them.
--- a/internal/backpressure/detector_test.go
+++ b/internal/backpressure/detector_test.go
@@ -40,7 +40,7 @@
 			}
 			c.SetPending(now, nil)
 			_, last := sendUsual(c, now, 8)
-			if last.To != Calm || last.Why == "" || c.detector.state != Calm {
+			if last.To != Calm || last.Cause == "" || c.detector.state != Calm {
 				t.Errorf("afterwards the state is %s by %+v", c.detector.state, last)
 			}
 		})
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -185,7 +185,7 @@
 // failMessage responds to an invalid message. A request of the same ID elsewhere is not touched.
 func (c *clientConn) failMessage(requestID string, err error) error {
 	c.front.log.Warn("invalid client message", "request_id", requestID, "err", err)
-	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CauseError, HasRC: true})
+	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CodeFailed, HasRC: true})
 	return c.countInvalid()
 }
 
--- a/internal/clientfront/response.go
+++ b/internal/clientfront/response.go
@@ -36,16 +36,16 @@
 	case dispatch.Migrated:
 		return jsonlines.Message{Verb: jsonlines.VerbMove, Tag: response.RequestID}
 	case dispatch.Rejected:
-		message.RC = jsonlines.CauseFull
+		message.RC = jsonlines.CodeRejected
 		if response.RetryAfterUs > 0 {
 			message.Opts = []jsonlines.Field{{Name: "wait", Value: formatMillis(response.RetryAfterUs)}}
 		}
 	case dispatch.Failed:
-		message.RC = jsonlines.CauseError
+		message.RC = jsonlines.CodeFailed
 	case dispatch.Completed:
-		message.RC = jsonlines.CauseGivenUp
+		message.RC = jsonlines.CodeEnded
 		if response.Outcome != placement.Completed {
-			message.RC = jsonlines.CauseReset
+			message.RC = jsonlines.CodeReset
 		}
 	}
 	return message
--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -38,12 +38,12 @@
 // parseSubmission reads what a client requests. The error is a *fieldError.
 func parseSubmission(message *jsonlines.Message) (dispatch.Submission, error) {
 	submission := dispatch.Submission{
-		RequestID:   message.Tag,
-		Class:       message.Opt("class"),
-		Key:         message.Opt("key"),
-		Idem:        message.Opt("idem"),
-		Tenant:      message.Opt("tenant"),
-		Description: message.Blob,
+		RequestID:      message.Tag,
+		Class:          message.Opt("class"),
+		Key:            message.Opt("key"),
+		IdempotencyKey: message.Opt("idem"),
+		Tenant:         message.Opt("tenant"),
+		Description:    message.Blob,
 	}
 	if err := parseExtras(&submission, message.Opt("extras")); err != nil {
 		return submission, err
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -94,8 +94,8 @@
 		"peers": {
 			"listen":    setWord(&o.Peers.Listen, "address:port", isAddress),
 			"cluster":   setWord(&o.Peers.Cluster, "a name of 1 to 64 bytes", isName),
-			"hall":      setWord(&o.Peers.Hall, "a name of 1 to 64 bytes", isName),
-			"folder":    setWord(&o.Peers.Folder, "the absolute path of a folder", isAbsolutePath),
+			"hall":      setWord(&o.Peers.Zone, "a name of 1 to 64 bytes", isName),
+			"folder":    setWord(&o.Peers.Directory, "the absolute path of a folder", isAbsolutePath),
 			"member":    o.Peers.addMember,
 			"region":    o.Peers.addRegion,
 			"partition": o.Peers.setPartition,
@@ -105,7 +105,7 @@
 		},
 		"storm": {
 			"advice":  o.Backpressure.setRetryAfter,
-			"least":   setDuration(&o.Backpressure.Least, 0, time.Minute),
+			"least":   setDuration(&o.Backpressure.MinRetryAfter, 0, time.Minute),
 			"callers": o.Backpressure.setMaxClients,
 		},
 	}
@@ -152,7 +152,7 @@
 // setInterval takes how often metrics are sent.
 func (m *Metrics) setInterval(d Directive) error {
 	interval, err := d.Duration(100*time.Millisecond, time.Hour)
-	m.EveryMs = interval.Milliseconds()
+	m.IntervalMs = interval.Milliseconds()
 	return err
 }
 
@@ -190,13 +190,13 @@
 		_, err := d.OneOf("booked")
 		return err
 	}
-	return setDuration(&b.Constant, time.Millisecond, time.Hour)(d)
+	return setDuration(&b.FixedRetryAfter, time.Millisecond, time.Hour)(d)
 }
 
 // setMaxClients takes how many clients are remembered.
 func (b *Backpressure) setMaxClients(d Directive) error {
 	count, err := d.Int(minRememberedClients, maxRememberedClients)
-	b.Callers = int(count)
+	b.MaxClients = int(count)
 	return err
 }
 
@@ -278,6 +278,6 @@
 	if keepalive%time.Second != 0 {
 		return d.Args[0].Wrong("whole seconds from " + minKeepalive.String() + " to " + maxKeepalive.String())
 	}
-	w.KeepAlive = keepalive
+	w.Keepalive = keepalive
 	return nil
 }
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -40,16 +40,16 @@
 
 // Metrics says where metrics are sent, and how often.
 type Metrics struct {
-	Address string
-	Prefix  string
-	EveryMs int64
+	Address    string
+	Prefix     string
+	IntervalMs int64
 }
 
 // Peers says how orchestrators find each other; off while Listen is empty.
 type Peers struct {
 	Listen, Cluster string
-	Hall            string // zone, "" for that of the configuration
-	Folder          string // directory that survives restarts, or ""
+	Zone            string // zone, "" for that of the configuration
+	Directory       string // directory that survives restarts, or ""
 	Members         []PeerAddress
 	// Partition divides the workers among the live orchestrators: each one places tasks at
 	// its own workers only, and asks discovery for the free capacity of these.
@@ -64,9 +64,9 @@
 
 // Workers says how connections to workers are monitored.
 type Workers struct {
-	// KeepAlive is the time without data after which the system probes a worker's
+	// Keepalive is the time without data after which the system probes a worker's
 	// connection, where an answer proves the connection; 0: only data does.
-	KeepAlive time.Duration
+	Keepalive time.Duration
 }
 
 // PeerAddress is where another orchestrator is reached, and its zone, "" if unknown.
@@ -74,9 +74,9 @@
 
 // Backpressure configures Retry-After.
 type Backpressure struct {
-	Constant time.Duration // the same for all; 0: that of a reserved slot
-	Least    time.Duration // lower bound of Retry-After
-	Callers  int           // clients remembered at most; 0: a number that fits a small machine
+	FixedRetryAfter time.Duration // the same for all; 0: that of a reserved slot
+	MinRetryAfter   time.Duration // lower bound of Retry-After
+	MaxClients      int           // clients remembered at most; 0: a number that fits a small machine
 }
 
 // LoadOperators reads the operators' file. If there is none, it returns the defaults. Its
@@ -99,8 +99,8 @@
 // *PositionError or a *SectionError.
 func ParseOperators(file string, text []byte) (Operators, error) {
 	o := Operators{
-		Graphite: Metrics{Prefix: defaultPrefix, EveryMs: defaultEveryMs},
-		Collectd: Metrics{Prefix: defaultPrefix, EveryMs: defaultEveryMs},
+		Graphite: Metrics{Prefix: defaultPrefix, IntervalMs: defaultEveryMs},
+		Collectd: Metrics{Prefix: defaultPrefix, IntervalMs: defaultEveryMs},
 	}
 	sections, err := ParseLines(file, text)
 	if err == nil {
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	for _, test := range cases {
 		_, err := ParseOperators("x", []byte(test.text))
-		if !errors.Is(err, ErrConfig) || !errors.Is(err, ErrConf) {
+		if !errors.Is(err, ErrConfig) || !errors.Is(err, ErrSettings) {
 			t.Errorf("%q: %v wraps not both sentinels", test.text, err)
 			continue
 		}
@@ -31,7 +31,7 @@
 // The file in the repository and a missing file give the defaults; each directive is
 // parsed as written; each error is one line that names the place and what was expected.
 func TestOperatorsFile(t *testing.T) {
-	defaults := Operators{Graphite: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", EveryMs: 10_000}}
+	defaults := Operators{Graphite: Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}}
 	for _, path := range []string{filepath.Join("..", "..", "deploy", "ravenhitch.conf"), filepath.Join(t.TempDir(), "none.conf")} {
 		if o, err := LoadOperators(path); err != nil || !reflect.DeepEqual(o, defaults) {
 			t.Errorf("%s: %+v, %v", path, o, err)
@@ -39,9 +39,9 @@
 	}
 	o, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
 		"[collectd]\naddress /run/c.sock\nevery 500ms\n[storm]\nadvice 1s\nleast 20ms\ncallers 2048"))
-	if err != nil || o.GRPCListen != "127.0.0.1:7000" || o.Graphite.Prefix != "a.b" || o.Graphite.EveryMs != 10_000 ||
-		o.Collectd.Prefix != "ravenhitch" || o.Collectd.EveryMs != 500 ||
-		o.Backpressure != (Backpressure{Constant: time.Second, Least: 20 * time.Millisecond, Callers: 2048}) {
+	if err != nil || o.GRPCListen != "127.0.0.1:7000" || o.Graphite.Prefix != "a.b" || o.Graphite.IntervalMs != 10_000 ||
+		o.Collectd.Prefix != "ravenhitch" || o.Collectd.IntervalMs != 500 ||
+		o.Backpressure != (Backpressure{FixedRetryAfter: time.Second, MinRetryAfter: 20 * time.Millisecond, MaxClients: 2048}) {
 		t.Errorf("got %+v, %v", o, err)
 	}
 	checkOperatorsErrors(t, []operatorsErrorCase{
@@ -87,7 +87,7 @@
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
 	o, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\nregion west z1 z2\nregion east z3\n"+
 		"[workers]\nkeepalive 4s\n"))
-	if err != nil || !o.Peers.Partition || o.Workers.KeepAlive != 4*time.Second ||
+	if err != nil || !o.Peers.Partition || o.Workers.Keepalive != 4*time.Second ||
 		!reflect.DeepEqual(o.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
 		!reflect.DeepEqual(o.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
 		t.Errorf("got %+v, %v", o, err)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -23,7 +23,7 @@
 type Config struct {
 	Name, Listen, DiscoveryAddr string
 	AdminAddr                   string // of the operators' calls, "" for none
-	Inherited                   int    // descriptor of an inherited listening socket, or 0
+	InheritedFD                 int    // descriptor of an inherited listening socket, or 0
 	Seed                        uint64
 	MemoryMB, Sockets           int64 // limits of the process
 	DialTimeoutUs               int64
@@ -108,8 +108,8 @@
 // parseInitial parses the list of workers at the start, which must be valid as a whole.
 func parseInitial(known gjson.Result) (Update, error) {
 	initial, err := parseUpdate(known)
-	if err == nil && len(initial.Bad) > 0 {
-		err = initial.Bad[0]
+	if err == nil && len(initial.Invalid) > 0 {
+		err = initial.Invalid[0]
 	}
 	if err != nil {
 		return Update{}, fmt.Errorf("known: %w", err)
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -100,7 +100,7 @@
 // An invalid member does not hide the others of its event.
 func TestInvalidMember(t *testing.T) {
 	u, err := ParseUpdate([]byte(`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[{"id":"x","phase":"odd"},` + workerJSON + `]}}]}`))
-	if err != nil || len(u.Bad) != 1 || len(u.Events[0].Members) != 1 {
+	if err != nil || len(u.Invalid) != 1 || len(u.Events[0].Members) != 1 {
 		t.Errorf("got %+v, %v", u, err)
 	}
 	for _, bad := range []string{"", "[]", "{"} {
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -17,15 +17,15 @@
 
 // Update is a response of discovery: the events after a cursor.
 type Update struct {
-	Cursor int64
-	Events []Event
-	Bad    []error // of members that were left out
+	Cursor  int64
+	Events  []Event
+	Invalid []error // of members that were left out
 }
 
 // Event is one numbered event of discovery.
 type Event struct {
 	Cursor   int64
-	HasNodes bool // it carries a list of workers
+	HasList  bool // it carries a list of workers
 	Complete bool // the list names all workers
 	Members  []Member
 }
@@ -61,11 +61,11 @@
 func (u *Update) addEvent(object gjson.Result) {
 	event := Event{Cursor: object.Get("cursor").Int()}
 	if nodes := object.Get("nodes"); nodes.IsObject() {
-		event.HasNodes, event.Complete = true, nodes.Get("complete").Bool()
+		event.HasList, event.Complete = true, nodes.Get("complete").Bool()
 		nodes.Get("members").ForEach(func(_, value gjson.Result) bool {
 			member, err := parseMember(value)
 			if err != nil {
-				u.Bad = append(u.Bad, err)
+				u.Invalid = append(u.Invalid, err)
 			} else {
 				event.Members = append(event.Members, member)
 			}
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -117,13 +117,13 @@
 // must be escaped.
 func escapeSet(set shard.Set) string { return strings.ReplaceAll(set.String(), "%", "%25") }
 
-// EnablePartition makes this orchestrator place tasks in its shards alone. It must be called before Apply.
-func (f *Follower) EnablePartition(assigned Assignment) {
+// EnableAssignment makes this orchestrator place tasks in its shards alone. It must be called before Apply.
+func (f *Follower) EnableAssignment(assigned Assignment) {
 	f.assignment = newShardAssignment(assigned)
 	f.publishAssignment()
 }
 
-// SetAssignment changes the shards that this orchestrator is to place tasks in. EnablePartition must have
+// SetAssignment changes the shards that this orchestrator is to place tasks in. EnableAssignment must have
 // been called.
 func (f *Follower) SetAssignment(assigned Assignment) {
 	if f.assignment.change(assigned) {
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -55,7 +55,7 @@
 		return false
 	}
 	f.cursor = event.Cursor
-	return event.HasNodes
+	return event.HasList
 }
 
 // updatePool brings the shards and the connections to workers up to date with an event.
--- a/internal/discovery/events_test.go
+++ b/internal/discovery/events_test.go
@@ -58,11 +58,11 @@
 		apply      bool
 		wantCursor int64
 	}{
-		{config.Event{Cursor: 6, HasNodes: true}, false, 6},
-		{config.Event{Cursor: 7, HasNodes: true}, true, 7},
-		{config.Event{Cursor: 7, HasNodes: true}, false, 7},
+		{config.Event{Cursor: 6, HasList: true}, false, 6},
+		{config.Event{Cursor: 7, HasList: true}, true, 7},
+		{config.Event{Cursor: 7, HasList: true}, false, 7},
 		{config.Event{Cursor: 9}, false, 9},
-		{config.Event{Cursor: 8, HasNodes: true}, false, 9},
+		{config.Event{Cursor: 8, HasList: true}, false, 9},
 	} {
 		if apply := follower.advance(test.event); apply != test.apply || follower.cursor != test.wantCursor {
 			t.Errorf("event %d: to be applied %t, cursor %d; expected %t, %d",
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -105,7 +105,7 @@
 func (d *Dispatcher) reportBackpressure() {
 	d.advisor.SetPending(d.now, d.pendingUnits)
 	if change, ok := d.advisor.Tick(d.now); ok {
-		d.log.Info("backpressure", "state", change.To, "was", change.From, "kind", change.Kind, "cause", change.Why)
+		d.log.Info("backpressure", "state", change.To, "was", change.From, "kind", change.Kind, "cause", change.Cause)
 	}
 	last := &d.lastBackpressure
 	if d.now-last.at < backpressureInterval {
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -152,12 +152,12 @@
 	d.arm(r, r.abandonAt)
 	d.trace("offer", r, "abandon_at_us", r.abandonAt, "deadline_us", r.deadline)
 	d.workers.Offer(action.Worker, Offer{
-		RequestID:   r.RequestID,
-		Class:       r.Class,
-		Key:         r.Key,
-		Idem:        r.Idem,
-		TimeoutUs:   r.abandonAt - d.now,
-		Description: r.Description,
+		RequestID:      r.RequestID,
+		Class:          r.Class,
+		Key:            r.Key,
+		IdempotencyKey: r.IdempotencyKey,
+		TimeoutUs:      r.abandonAt - d.now,
+		Description:    r.Description,
 	})
 }
 
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -10,7 +10,7 @@
 // Submission is the content of a request. Description and Idem are opaque.
 type Submission struct {
 	RequestID, Class, Key string
-	Idem                  string // the idempotency key, "" where workers of the class know none
+	IdempotencyKey        string // the idempotency key, "" where workers of the class know none
 	Tenant                string // "" where the deployment has none
 	ExpectedRunUs         int64  // how long the task is expected to run, 0 where unknown
 	Retry                 bool   // the client says that it submitted the task before
@@ -61,7 +61,7 @@
 		return &ValidationError{"task", "a name of 1 to 64 bytes"}
 	case s.Class == "" || len(s.Class) > maxNameLength:
 		return &ValidationError{"class", "a name of 1 to 64 bytes"}
-	case len(s.Idem) > maxNameLength:
+	case len(s.IdempotencyKey) > maxNameLength:
 		return &ValidationError{"idem", "a key of 64 bytes at most"}
 	case len(s.Tenant) > maxNameLength:
 		return &ValidationError{"tenant", "a name of 64 bytes at most"}
--- a/internal/dispatch/submission_test.go
+++ b/internal/dispatch/submission_test.go
@@ -23,7 +23,7 @@
 		{"no key", func(s *Submission) { s.Key = "" }, "task", "a name of 1 to 64 bytes"},
 		{"long key", func(s *Submission) { s.Key = longName }, "task", "a name of 1 to 64 bytes"},
 		{"no class", func(s *Submission) { s.Class = "" }, "class", "a name of 1 to 64 bytes"},
-		{"long idempotency key", func(s *Submission) { s.Idem = longName }, "idem", "a key of 64 bytes at most"},
+		{"long idempotency key", func(s *Submission) { s.IdempotencyKey = longName }, "idem", "a key of 64 bytes at most"},
 		{"long tenant", func(s *Submission) { s.Tenant = longName }, "tenant", "a name of 64 bytes at most"},
 		{"negative run time", func(s *Submission) { s.ExpectedRunUs = -1 }, "hint", "a time of 0 or more, a year at most"},
 		{"no cores", func(s *Submission) { s.Cores = 0 }, "cores", "a number above 0"},
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -7,9 +7,9 @@
 
 // Offer is an attempt as a worker gets it.
 type Offer struct {
-	RequestID, Class, Key, Idem string
-	TimeoutUs                   int64 // how long an answer is waited for
-	Description                 string
+	RequestID, Class, Key, IdempotencyKey string
+	TimeoutUs                             int64 // how long an answer is waited for
+	Description                           string
 }
 
 // WorkerPool carries offers to workers. What comes of them is reported with AttemptAccepted,
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -99,7 +99,7 @@
 // pollUntil calls a condition on the loop until it holds, and reports whether it did within the test's patience.
 func pollUntil(onLoop func(func()), condition func() bool) bool {
 	met := false
-	for limit := time.Now().Add(testbed.Patience); !met && time.Now().Before(limit); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testbed.Timeout); !met && time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		onLoop(func() { met = condition() })
 	}
 	return met
@@ -138,6 +138,6 @@
 	var since int64
 	onLoop(func() { since = loop.Clock() })
 	if !pollUntil(onLoop, func() bool { return idle[0].LastSeenAt() > since }) {
-		t.Fatalf("an idle connection was not seen in %s", testbed.Patience)
+		t.Fatalf("an idle connection was not seen in %s", testbed.Timeout)
 	}
 }
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	// Conns is how many connections the front serves at most.
-	Conns = 64
+	// MaxConns is how many connections the front serves at most.
+	MaxConns = 64
 	// maxStreams bounds the calls on one connection.
 	maxStreams = 100
 	// maxQueuedCalls bounds the calls that wait for the loop.
@@ -124,7 +124,7 @@
 
 // Serve accepts connections until Close.
 func (f *Front) Serve(listener net.Listener) error {
-	err := f.server.Serve(netutil.LimitListener(listener, Conns))
+	err := f.server.Serve(netutil.LimitListener(listener, MaxConns))
 	if err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 		return fmt.Errorf("grpcfront: %w", err)
 	}
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -23,12 +23,12 @@
 
 // The codes that a FINISH gives as its cause.
 const (
-	CauseGivenUp   = 16  // to a worker: cancelled or released; as a report: completed
-	CauseCancelled = 31  // from a worker: the task was ended before it completed
-	CauseFull      = 34  // rejected: a retry is harmless
-	CauseReset     = 41  // to a client: the task ended, and did not complete
-	CauseError     = 47  // failed: the task may have run
-	CauseMoot      = 102 // never sent: the task never ran
+	CodeEnded     = 16  // to a worker: cancelled or released; as a report: completed
+	CodeCancelled = 31  // from a worker: the task was ended before it completed
+	CodeRejected  = 34  // rejected: a retry is harmless
+	CodeReset     = 41  // to a client: the task ended, and did not complete
+	CodeFailed    = 47  // failed: the task may have run
+	CodeNeverSent = 102 // never sent: the task never ran
 )
 
 // Field is one entry of a message's "opts"; a number is stored as it was written.
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -37,6 +37,6 @@
 	}
 	var b [MaxNameLength + 16]byte
 	n := binary.PutUvarint(b[:], u.Incarnation)
-	text := append(binary.LittleEndian.AppendUint64(b[:n], u.Life), u.Name...)
+	text := append(binary.LittleEndian.AppendUint64(b[:n], u.Nonce), u.Name...)
 	return xxhash.Sum64(text)
 }
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -45,14 +45,14 @@
 type Event struct {
 	Kind       EventKind
 	Name, Zone string
-	Life       uint64 // incarnation nonce of the process that it concerns, else the local one
+	Nonce      uint64 // incarnation nonce of the process that it concerns, else the local one
 	Evidence   string
 }
 
 func (t *Table) report(kind EventKind, name, zone, evidence string) {
-	nonce := t.Self.Life
+	nonce := t.Self.Nonce
 	if m := t.members[name]; m != nil {
-		nonce = m.Life
+		nonce = m.Nonce
 	}
 	t.events = append(t.events, Event{kind, name, zone, nonce, evidence})
 }
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -105,15 +105,15 @@
 		size: 7,
 		play: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
-			first := c.members[3].Self.Life
+			first := c.members[3].Self.Nonce
 			x := c.startIntruder(3)
 			c.run(12 * second)
-			if x.eventCounts[NameConflict] != 1 || !x.joining || c.believers("n3", x.Self.Life) > 0 || c.believers("n3", first) != 6 {
-				t.Errorf("%v; %d believe in it, %d in the first", x.eventCounts, c.believers("n3", x.Self.Life), c.believers("n3", first))
+			if x.eventCounts[NameConflict] != 1 || !x.joining || c.believers("n3", x.Self.Nonce) > 0 || c.believers("n3", first) != 6 {
+				t.Errorf("%v; %d believe in it, %d in the first", x.eventCounts, c.believers("n3", x.Self.Nonce), c.believers("n3", first))
 			}
 			c.startFault(fault{kind: faultKill, target: 3})
 			c.run(c.now + 6*second)
-			if count := c.believers("n3", x.Self.Life); count != 6 {
+			if count := c.believers("n3", x.Self.Nonce); count != 6 {
 				t.Errorf("%d believe in it once the first is dead", count)
 			}
 		},
@@ -125,8 +125,8 @@
 			c.run(5 * second)
 			c.startFault(fault{kind: faultRestart, target: 3, end: 5*second + 10*millisecond})
 			c.run(7 * second)
-			if x := c.members[3]; c.believers("n3", x.Self.Life) != 6 || x.eventCounts[NameConflict] > 0 {
-				t.Errorf("%d believe in it: %v", c.believers("n3", x.Self.Life), x.eventCounts)
+			if x := c.members[3]; c.believers("n3", x.Self.Nonce) != 6 || x.eventCounts[NameConflict] > 0 {
+				t.Errorf("%d believe in it: %v", c.believers("n3", x.Self.Nonce), x.eventCounts)
 			}
 		},
 	},
@@ -138,7 +138,7 @@
 			c.run(3 * second) // n5 is of zone-1, and whoever takes its name of zone-0
 			x := c.startIntruder(5)
 			c.run(20 * second)
-			first, second := c.believers("n5", c.members[5].Self.Life), c.believers("n5", x.Self.Life)
+			first, second := c.believers("n5", c.members[5].Self.Nonce), c.believers("n5", x.Self.Nonce)
 			if conflicts := c.members[5].eventCounts[NameConflict] + x.eventCounts[NameConflict]; (first == 0) == (second == 0) || conflicts != 1 {
 				t.Errorf("%d believe in the one, %d in the other; %d found the conflict", first, second, conflicts)
 			}
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -10,7 +10,7 @@
 	now         int64
 	diedAt      int64 // when b was declared dead, 0 while it was not
 	eventCounts map[EventKind]int
-	answerForB  func(a Act) *Message // what b, or a relay on its behalf, answers; nil for nothing
+	answerForB  func(a Action) *Message // what b, or a relay on its behalf, answers; nil for nothing
 }
 
 func newHarness(t *testing.T) *harness {
@@ -26,7 +26,7 @@
 
 // aliveUpdate is what a member says of itself.
 func aliveUpdate(name string) Update {
-	return Update{Name: name, Zone: "zone-a", Addr: "127.0.0.1:7" + name, Life: uint64(name[0]), Incarnation: 1}
+	return Update{Name: name, Zone: "zone-a", Addr: "127.0.0.1:7" + name, Nonce: uint64(name[0]), Incarnation: 1}
 }
 
 // suspectUpdate is what others say of a member that they do not reach.
@@ -62,7 +62,7 @@
 func (h *harness) suspectB() { h.receiveUpdates(suspectUpdate("b", "c", "d", "e")) }
 
 // perform answers what the table sends.
-func (h *harness) perform(actions []Act) {
+func (h *harness) perform(actions []Action) {
 	for _, action := range actions {
 		if send, ok := action.(Send); ok && send.Message.Kind == Ping && send.Message.To != "b" {
 			h.receive(&Message{Kind: Ack, Sender: aliveUpdate(send.Message.To), Sequence: send.Message.Sequence})
@@ -88,14 +88,14 @@
 }
 
 // pathToB is how b may be reached from a: it sets what answers on behalf of b.
-type pathToB func(h *harness) func(a Act) *Message
+type pathToB func(h *harness) func(a Action) *Message
 
 // unreachable is a b that nobody reaches.
-func unreachable(*harness) func(a Act) *Message { return func(Act) *Message { return nil } }
+func unreachable(*harness) func(a Action) *Message { return func(Action) *Message { return nil } }
 
 // reachable is a b that answers pings.
-func reachable(*harness) func(a Act) *Message {
-	return func(a Act) *Message {
+func reachable(*harness) func(a Action) *Message {
+	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == Ping {
 			return &Message{Kind: Ack, Sender: aliveUpdate("b"), Sequence: send.Message.Sequence}
 		}
@@ -104,8 +104,8 @@
 }
 
 // reachableByRelay is a b that only relays reach.
-func reachableByRelay(*harness) func(a Act) *Message {
-	return func(a Act) *Message {
+func reachableByRelay(*harness) func(a Action) *Message {
+	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == PingRequest {
 			return &Message{Kind: PingRequestResult, Sender: aliveUpdate(send.Message.To), Sequence: send.Message.Sequence, Target: "b", Reached: true}
 		}
@@ -114,10 +114,10 @@
 }
 
 // reachableByHandshake is a b that answers handshake probes only.
-func reachableByHandshake(h *harness) func(a Act) *Message {
-	return func(a Act) *Message {
+func reachableByHandshake(h *harness) func(a Action) *Message {
+	return func(a Action) *Message {
 		if probe, ok := a.(HandshakeProbe); ok {
-			h.perform(h.HandshakeProbed(h.now, probe.Name, aliveUpdate("b").Life, Answered))
+			h.perform(h.HandshakeProbed(h.now, probe.Name, aliveUpdate("b").Nonce, HandshakeAnswered))
 		}
 		return nil
 	}
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -150,7 +150,7 @@
 		}
 		p.aliveIndirectly, p.reachedByRelay = true, true
 		p.directPingReceived = p.directPingReceived || m.DirectPingReceived
-		if target := t.members[m.Target]; target != nil && target.Life == p.nonce {
+		if target := t.members[m.Target]; target != nil && target.Nonce == p.nonce {
 			target.lastAliveAt = t.now
 			t.lastRelays[target.Zone] = m.Sender.Name
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -36,9 +36,9 @@
 // Update is a gossip update: the state of one member at one incarnation.
 type Update struct {
 	Name, Zone, Addr string
-	// Life is the incarnation nonce: it is drawn anew at each start of a process, and tells two processes
+	// Nonce is the incarnation nonce: it is drawn anew at each start of a process, and tells two processes
 	// under one name apart.
-	Life uint64
+	Nonce uint64
 	// Incarnation grows at each start, and whenever a member refutes a suspicion.
 	Incarnation   uint64
 	State         State
@@ -48,7 +48,7 @@
 // overrides reports whether the update is of a later incarnation of the member than another, or of the
 // process with the greater nonce where two claim the same incarnation.
 func (u *Update) overrides(other *Update) bool {
-	return u.Incarnation > other.Incarnation || u.Incarnation == other.Incarnation && u.Life > other.Life
+	return u.Incarnation > other.Incarnation || u.Incarnation == other.Incarnation && u.Nonce > other.Nonce
 }
 
 // Peer is a member named in the settings.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -91,7 +91,7 @@
 	}
 	if len(t.probes) < maxProbes {
 		m.probedAt = t.now
-		t.probes = append(t.probes, &probe{name: name, nonce: m.Life, startedAt: t.now, sequence: t.ping(name)})
+		t.probes = append(t.probes, &probe{name: name, nonce: m.Nonce, startedAt: t.now, sequence: t.ping(name)})
 	}
 	return true
 }
@@ -107,7 +107,7 @@
 	var finished []*probe
 	t.probes = slices.DeleteFunc(t.probes, func(p *probe) bool {
 		m := t.members[p.name]
-		if m == nil || m.Life != p.nonce || m.State >= Dead {
+		if m == nil || m.Nonce != p.nonce || m.State >= Dead {
 			return true
 		}
 		if p.indirectAt == 0 && !p.acked && t.now-p.startedAt >= t.directTimeout(m) {
@@ -160,28 +160,28 @@
 
 // The results.
 const (
-	Silent   HandshakeResult = iota // nothing came in time
-	Answered                        // a process answered, with an incarnation nonce
-	Refused                         // no process listens there
+	HandshakeTimedOut HandshakeResult = iota // nothing came in time
+	HandshakeAnswered                        // a process answered, with an incarnation nonce
+	HandshakeRefused                         // no process listens there
 )
 
 // HandshakeProbed takes the result of a HandshakeProbe, and the nonce of the process that answered.
-func (t *Table) HandshakeProbed(now int64, name string, nonce uint64, result HandshakeResult) []Act {
+func (t *Table) HandshakeProbed(now int64, name string, nonce uint64, result HandshakeResult) []Action {
 	t.now = now
 	m := t.members[name]
 	if m == nil || m.State >= Dead {
 		return t.takeActions()
 	}
 	for _, p := range t.probes {
-		if p.name != name || !p.handshakeStarted || p.nonce != m.Life {
+		if p.name != name || !p.handshakeStarted || p.nonce != m.Nonce {
 			continue
 		}
 		switch {
-		case result == Answered && nonce == m.Life:
+		case result == HandshakeAnswered && nonce == m.Nonce:
 			m.lastAliveAt, p.aliveIndirectly = now, true
-		case result == Silent:
+		case result == HandshakeTimedOut:
 			p.handshakeTimedOut = true
-		case result == Refused:
+		case result == HandshakeRefused:
 			p.handshakeRefused = true // relays may reach it all the same: they have a moment to say so
 		}
 	}
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -5,7 +5,7 @@
 import "math/bits"
 
 // Receive takes a message.
-func (t *Table) Receive(now int64, m *Message) []Act {
+func (t *Table) Receive(now int64, m *Message) []Action {
 	t.now = now
 	if m.To != t.Self.Name || m.Sender.Name == t.Self.Name {
 		t.receiveNameClaim(m)
@@ -18,7 +18,7 @@
 		t.applyUpdate(m.Sender)
 	}
 	sender := t.members[m.Sender.Name]
-	if sender != nil && sender.Life == m.Sender.Life && sender.State <= Suspect {
+	if sender != nil && sender.Nonce == m.Sender.Nonce && sender.State <= Suspect {
 		sender.lastAliveAt, sender.lastDatagramAt = now, now
 		t.pathWorks(sender, &sender.inbound)
 	}
@@ -41,7 +41,7 @@
 // receiveNameClaim takes a message that is meant for another name, or comes from a process under the local
 // one: of such a message only what concerns the local name counts.
 func (t *Table) receiveNameClaim(m *Message) {
-	if m.Sender.Life == t.Self.Life {
+	if m.Sender.Nonce == t.Self.Nonce {
 		return
 	}
 	if m.Sender.Name == t.Self.Name && m.Kind == Ping && t.admitted() {
@@ -54,7 +54,7 @@
 
 // receivePing answers a ping.
 func (t *Table) receivePing(m *Message, sender *member) {
-	if sender != nil && sender.Life == m.Sender.Life && m.OnBehalfOf == "" {
+	if sender != nil && sender.Nonce == m.Sender.Nonce && m.OnBehalfOf == "" {
 		sender.lastPingSequence = max(sender.lastPingSequence, m.Sequence)
 	}
 	ack := Message{Kind: Ack, Sequence: m.Sequence, OnBehalfOf: m.OnBehalfOf, OnBehalfOfSequence: m.OnBehalfOfSequence}
@@ -62,7 +62,7 @@
 		ack.DirectPingReceived = requester.lastPingSequence >= m.OnBehalfOfSequence
 	}
 	address, buckets := t.addressOf(m.Sender.Name), t.differingBuckets(m)
-	if (m.Joining || sender != nil && sender.Life != m.Sender.Life) && m.Sender.Addr != address {
+	if (m.Joining || sender != nil && sender.Nonce != m.Sender.Nonce) && m.Sender.Addr != address {
 		t.sendToAddress(m.Sender.Addr, m.Sender.Name, ack, buckets) // it may not be the process that is known
 	}
 	if address == "" {
@@ -76,7 +76,7 @@
 
 // receiveAck takes the answer to a ping: one of the local member's own probes, or one that it relays.
 func (t *Table) receiveAck(m *Message, sender *member) {
-	if sender == nil || sender.Life != m.Sender.Life {
+	if sender == nil || sender.Nonce != m.Sender.Nonce {
 		return
 	}
 	for _, p := range t.probes {
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -67,7 +67,7 @@
 // updateSelf takes an update of the local name: of this process, or of another under the same name.
 func (t *Table) updateSelf(u Update) {
 	switch {
-	case u.Life == t.Self.Life:
+	case u.Nonce == t.Self.Nonce:
 		t.refute(u)
 	case u.State >= Dead || u.Addr == t.Self.Addr:
 		// The process before is gone: it is known to be, or this one owns its address.
@@ -103,7 +103,7 @@
 }
 
 // Leave announces to some of the others that the local member leaves on purpose; gossip reaches the rest.
-func (t *Table) Leave(now int64) []Act {
+func (t *Table) Leave(now int64) []Action {
 	t.now = now
 	first := !t.departing
 	t.departing = true
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -144,7 +144,7 @@
 	}
 	x.Table = New(c.now, Config{
 		Self: Update{Name: name, Zone: fmt.Sprint("zone-", c.zone(i)), Addr: memberAddr(i),
-			Life: c.rng.Uint64(), Incarnation: x.savedIncarnation + 1},
+			Nonce: c.rng.Uint64(), Incarnation: x.savedIncarnation + 1},
 		Peers: peers,
 		Seed:  c.rng.Uint64(),
 	})
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -89,7 +89,7 @@
 	case faultKill, faultVanish:
 		x.up, x.hostDown, x.diedAt = false, f.kind == faultVanish, c.now
 		x.savedIncarnation = x.Self.Incarnation
-		nonce := x.Self.Life
+		nonce := x.Self.Nonce
 		c.schedule(c.now+detectionLimit, func() { c.checkDead(f, nonce) })
 	case faultRestart, faultRestartEmpty:
 		x.up = false
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -25,7 +25,7 @@
 		if !observer.up || i == f.target || observer.disturbedUntil > c.now-observerGrace || observer.joining {
 			continue
 		}
-		if m := observer.members[memberName(f.target)]; m != nil && m.Life == nonce && m.State <= Suspect {
+		if m := observer.members[memberName(f.target)]; m != nil && m.Nonce == nonce && m.State <= Suspect {
 			c.violations = append(c.violations, fmt.Sprintf("%s still believes %s to be %s, %s after its end",
 				memberName(i), memberName(f.target), m.State, inMilliseconds(c.now-f.start)))
 		}
@@ -80,7 +80,7 @@
 	}
 	x := c.members[j]
 	switch {
-	case x.Self.Life != e.Life:
+	case x.Self.Nonce != e.Nonce:
 	case !x.up && !x.left:
 		c.noteDetection(j)
 	case x.up && x.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now && !c.partitioned(observer, j) && !x.joining:
@@ -134,7 +134,7 @@
 // believers says how many members believe a process, by its nonce, to be in the cluster under a name.
 func (c *cluster) believers(of string, nonce uint64) (count int) {
 	for _, x := range c.members {
-		if m := x.members[of]; x.up && m != nil && m.Life == nonce && m.State <= Suspect {
+		if m := x.members[of]; x.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
 			count++
 		}
 	}
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -24,7 +24,7 @@
 )
 
 // perform does what a member's table wants done.
-func (c *cluster) perform(i int, actions []Act) {
+func (c *cluster) perform(i int, actions []Action) {
 	for _, action := range actions {
 		c.record(i, action)
 		switch action := action.(type) {
@@ -96,15 +96,15 @@
 	refused := slices.ContainsFunc(c.active(faultRefuse), func(f fault) bool { return f.target == from && f.other == to })
 	switch {
 	case refused:
-		end(c.delay, Refused, 0)
+		end(c.delay, HandshakeRefused, 0)
 	case !c.handshakePasses(from, to): // a packet is lost, and comes again too late
-		end(simHandshakeTimeout, Silent, 0)
+		end(simHandshakeTimeout, HandshakeTimedOut, 0)
 	case !c.pathOpen(from, to, c.now, true) || !c.pathOpen(to, from, c.now, true) || target.hostDown || target.up && target.pausedUntil > c.now:
-		end(simHandshakeTimeout, Silent, 0)
+		end(simHandshakeTimeout, HandshakeTimedOut, 0)
 	case !target.up:
-		end(c.delay, Refused, 0)
+		end(c.delay, HandshakeRefused, 0)
 	default:
-		end(2*c.delay+c.slowness(to), Answered, target.Self.Life)
+		end(2*c.delay+c.slowness(to), HandshakeAnswered, target.Self.Nonce)
 	}
 }
 
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -98,9 +98,9 @@
 				h.answerForB = unreachable(h)
 				h.receive(&Message{Kind: Ack, Sender: aliveUpdate("b")})
 			}
-			h.answerForB = func(a Act) *Message {
+			h.answerForB = func(a Action) *Message {
 				if probe, ok := a.(HandshakeProbe); ok && c.alone {
-					h.perform(h.HandshakeProbed(h.now, probe.Name, 0, Refused))
+					h.perform(h.HandshakeProbed(h.now, probe.Name, 0, HandshakeRefused))
 				}
 				return nil
 			}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Act is what a table wants done: a Send or a HandshakeProbe.
-type Act interface{ act() }
+// Action is what a table wants done: a Send or a HandshakeProbe.
+type Action interface{ action() }
 
 // Send asks for a datagram.
 type Send struct {
@@ -21,8 +21,8 @@
 // [Table.HandshakeProbed].
 type HandshakeProbe struct{ Name, Addr string }
 
-func (Send) act()           {}
-func (HandshakeProbe) act() {}
+func (Send) action()           {}
+func (HandshakeProbe) action() {}
 
 // Table is what the local member believes of the cluster. It is not safe for concurrent use.
 type Table struct {
@@ -62,7 +62,7 @@
 	viewStaleSince   int64 // since when the view is to be rebuilt, 0 while it is not
 	membersChangedAt int64
 	events           []Event
-	actions          []Act
+	actions          []Action
 }
 
 // member is what is believed of another member.
@@ -85,7 +85,7 @@
 	}
 	t := &Table{
 		Config:          c,
-		rng:             rand.New(rand.NewPCG(c.Seed, c.Self.Life)),
+		rng:             rand.New(rand.NewPCG(c.Seed, c.Self.Nonce)),
 		now:             now,
 		startedAt:       now,
 		lastTick:        now,
@@ -106,7 +106,7 @@
 }
 
 // takeActions returns the acts gathered so far.
-func (t *Table) takeActions() []Act {
+func (t *Table) takeActions() []Action {
 	actions := t.actions
 	t.actions = nil
 	return actions
@@ -129,7 +129,7 @@
 	if m == nil || m.State > Suspect {
 		return "", 0, false
 	}
-	return t.addressOf(name), m.Life, true
+	return t.addressOf(name), m.Nonce, true
 }
 
 // Size is how many members the cluster has, the local one counted, as far as is believed here.
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -30,7 +30,7 @@
 }
 
 // Tick runs one step of the table: the start of the local member, then of the failure detector.
-func (t *Table) Tick(now int64) []Act {
+func (t *Table) Tick(now int64) []Action {
 	expected, sinceLast := t.NextTick(), now-t.lastTick
 	t.now, t.lastTick = now, now
 	if now-expected > stallThreshold {
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -62,7 +62,7 @@
 // supersede takes an update of a later incarnation. A death of it only confirms a suspicion, as one of the
 // same incarnation does: judgeSuspects decides here too.
 func (t *Table) supersede(m *member, u Update) {
-	newProcess, was := u.Life != m.Life, m.State
+	newProcess, was := u.Nonce != m.Nonce, m.State
 	if u.State == Dead && was <= Suspect {
 		u.State = Suspect
 	}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -19,7 +19,7 @@
 	for i, u := range all {
 		u.State = min(u.State, max(Suspect, u.State/Left*Left))
 		later := u.Incarnation > expected.Incarnation || u.Incarnation == expected.Incarnation &&
-			(u.Life > expected.Life || u.Life == expected.Life && u.State > expected.State)
+			(u.Nonce > expected.Nonce || u.Nonce == expected.Nonce && u.State > expected.State)
 		if i == 0 || later {
 			expected = u
 		}
@@ -31,7 +31,7 @@
 func drawUpdate(t *rapid.T) Update {
 	u := aliveUpdate("b")
 	u.Incarnation = uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
-	u.Life = uint64(rapid.IntRange(1, 2).Draw(t, "nonce"))
+	u.Nonce = uint64(rapid.IntRange(1, 2).Draw(t, "nonce"))
 	u.State = State(rapid.IntRange(0, 3).Draw(t, "state"))
 	return u
 }
@@ -53,7 +53,7 @@
 				table.applyUpdate(all[k])
 			}
 			got := table.members["b"]
-			if got == nil || got.Incarnation != want.Incarnation || got.Life != want.Life || got.State != want.State && got.State != Dead {
+			if got == nil || got.Incarnation != want.Incarnation || got.Nonce != want.Nonce || got.State != want.State && got.State != Dead {
 				t.Fatalf("order %v: %+v, expected %+v", order, got, want)
 			}
 			if live := table.liveCount; live != boolToInt(got.State <= Suspect) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -24,7 +24,7 @@
 
 // Members is the table, the local member first, then by name.
 func (t *Table) Members() []Member {
-	lines := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Nonce: t.Self.Life,
+	lines := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Nonce: t.Self.Nonce,
 		Incarnation: t.Self.Incarnation, State: t.Self.State}}
 	for _, name := range t.names {
 		m := t.members[name]
@@ -32,7 +32,7 @@
 			Name:         name,
 			Zone:         m.Zone,
 			Addr:         m.Addr,
-			Nonce:        m.Life,
+			Nonce:        m.Nonce,
 			Incarnation:  m.Incarnation,
 			State:        m.State,
 			Slow:         m.State == Alive && m.rtt > t.DirectTimeout,
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -96,7 +96,7 @@
 		{"what?\n", 1},
 	} {
 		addr, lines := startReceiver(t, "unix", filepath.Join(t.TempDir(), "s"), test.answer)
-		e := NewExporter("unix", addr, Collectd{Prefix: "ravenhitch", Name: "n1", Every: 2500 * time.Millisecond},
+		e := NewExporter("unix", addr, Collectd{Prefix: "ravenhitch", Name: "n1", Interval: 2500 * time.Millisecond},
 			slog.New(slog.DiscardHandler))
 		e.Offer(sample)
 		expectLines(t, lines,
--- a/internal/metrics/protocol.go
+++ b/internal/metrics/protocol.go
@@ -54,7 +54,7 @@
 // lines follow it.
 type Collectd struct {
 	Prefix, Name string
-	Every        time.Duration
+	Interval     time.Duration
 }
 
 // Append implements Protocol.
@@ -66,7 +66,7 @@
 		}
 		dst = fmt.Appendf(dst, "PUTVAL \"%s/%s/%s-%s\" interval=%s %d:%s\n",
 			sanitize(c.Name), c.Prefix, valueType, sanitize(figure.Name),
-			formatValue(c.Every.Seconds()), s.At.Unix(), formatValue(figure.Value))
+			formatValue(c.Interval.Seconds()), s.At.Unix(), formatValue(figure.Value))
 	}
 	return dst
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -23,7 +23,7 @@
 const previousNonce = 0x1122334455667788
 
 // previousSender is what n2 says of itself in each of its datagrams.
-var previousSender = membership.Update{Name: "n2", Zone: "hall-b", Addr: "127.0.0.1:7102", Life: previousNonce, Incarnation: 3 << 24}
+var previousSender = membership.Update{Name: "n2", Zone: "hall-b", Addr: "127.0.0.1:7102", Nonce: previousNonce, Incarnation: 3 << 24}
 
 // previousDatagrams are datagrams to n1, and the messages that they carry.
 var previousDatagrams = []struct {
@@ -48,10 +48,10 @@
 			"72210a026e361a0e3132372e302e302e313a3731303621080000000000000028013002" +
 			"72210a026e371a0e3132372e302e302e313a3731303721090000000000000028013003",
 		membership.Message{Kind: membership.Ack, To: "n1", Sender: previousSender, Sequence: 43, OnBehalfOf: "n4", OnBehalfOfSequence: 300, DirectPingReceived: true, Updates: []membership.Update{
-			{Name: "n3", Zone: "hall-a", Addr: "127.0.0.1:7103", Life: 7, Incarnation: 9, State: membership.Suspect,
+			{Name: "n3", Zone: "hall-a", Addr: "127.0.0.1:7103", Nonce: 7, Incarnation: 9, State: membership.Suspect,
 				Confirmations: []membership.Confirmation{{Name: "n4", Zone: "hall-a", Refused: true}, {Name: "n5"}}},
-			{Name: "n6", Addr: "127.0.0.1:7106", Life: 8, Incarnation: 1, State: membership.Dead},
-			{Name: "n7", Addr: "127.0.0.1:7107", Life: 9, Incarnation: 1, State: membership.Left},
+			{Name: "n6", Addr: "127.0.0.1:7106", Nonce: 8, Incarnation: 1, State: membership.Dead},
+			{Name: "n7", Addr: "127.0.0.1:7107", Nonce: 9, Incarnation: 1, State: membership.Left},
 		}},
 	},
 	{
@@ -168,7 +168,7 @@
 			if err := os.WriteFile(file, []byte(c.before), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			incarnation, fault, err := Start(dir)
+			incarnation, fault, err := NextIncarnation(dir)
 			if err != nil || fault != "" || incarnation != c.incarnation {
 				t.Errorf("expected incarnation %d, got %d, %q, %v", c.incarnation, incarnation, fault, err)
 			}
@@ -186,10 +186,10 @@
 		`{"name":"n2","hall":"hall-b","address":"127.0.0.1:7102","incarnation":2,"state":"suspected","link":"out shut","slow":true,"rtt_ms":250,` +
 		`"silent_ms":900,"evidence":"1 of 2 in hall-a can't reach it"}],` +
 		`"traffic":{"sent":1,"sent_bytes":2,"received":3,"received_bytes":4,"lost":5,"refused":6,"knocks":7}}` + "\n.\n"
-	report := StatusReport{Cluster: "dala", Name: "n1", Doubt: 2, View: View{3, "00000000000000ff", []string{"n1", "n2"}}, Members: []Member{
-		{Name: "n1", Zone: "hall-a", Address: "127.0.0.1:7101", Incarnation: 1, State: "alive", Link: "itself"},
-		{Name: "n2", Zone: "hall-b", Address: "127.0.0.1:7102", Incarnation: 2, State: "suspected", Link: "out shut",
-			Slow: true, RTTMs: 250, SilentMs: 900, Evidence: "1 of 2 in hall-a can't reach it"},
+	report := StatusReport{Cluster: "dala", Name: "n1", HealthScore: 2, View: View{3, "00000000000000ff", []string{"n1", "n2"}}, Members: []Member{
+		{Name: "n1", Zone: "hall-a", Address: "127.0.0.1:7101", Incarnation: 1, State: "alive", Path: "itself"},
+		{Name: "n2", Zone: "hall-b", Address: "127.0.0.1:7102", Incarnation: 2, State: "suspected", Path: "out shut",
+			Slow: true, RTTMs: 250, SinceAliveMs: 900, Evidence: "1 of 2 in hall-a can't reach it"},
 	}, Traffic: Traffic{1, 2, 3, 4, 5, 6, 7}}
 	if b, err := report.Reply(); err != nil || string(b) != previous {
 		t.Errorf("expected %s, got %s, %v", previous, b, err)
@@ -205,7 +205,7 @@
 		p.OnRecord(Urgent, func(from string, b []byte) { records <- from + ": " + string(b) })
 	})
 	write(t, dial(t, "udp", p.Addr()), fromHex(t, previousDatagrams[0].encoded))
-	for limit := time.Now().Add(testbed.Patience); !strings.Contains(log.String(), "event=joined member=n2"); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testbed.Timeout); !strings.Contains(log.String(), "event=joined member=n2"); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("the ping made no member: %s", log.String())
 		}
@@ -218,7 +218,7 @@
 		if got != "n2: "+previousData {
 			t.Errorf("got the record %q", got)
 		}
-	case <-time.After(testbed.Patience):
+	case <-time.After(testbed.Timeout):
 		t.Errorf("no record came: %s", log.String())
 	}
 }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -104,7 +104,7 @@
 		Name:        u.Name,
 		Hall:        u.Zone,
 		Address:     u.Addr,
-		Life:        u.Life,
+		Life:        u.Nonce,
 		Incarnation: u.Incarnation,
 		State:       uint32(u.State),
 	}
@@ -127,7 +127,7 @@
 		Name:        r.GetName(),
 		Zone:        r.GetHall(),
 		Addr:        r.GetAddress(),
-		Life:        r.GetLife(),
+		Nonce:       r.GetLife(),
 		Incarnation: r.GetIncarnation(),
 		State:       membership.State(r.GetState()),
 	}
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -19,7 +19,7 @@
 		Name:        name.Draw(t, label),
 		Zone:        name.Draw(t, label+" zone"),
 		Addr:        "127.0.0.1:7101",
-		Life:        rapid.Uint64().Draw(t, label+" nonce"),
+		Nonce:       rapid.Uint64().Draw(t, label+" nonce"),
 		Incarnation: rapid.Uint64().Draw(t, label+" incarnation"),
 		State:       membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")),
 	}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -40,9 +40,9 @@
 // fail hands an error to the table: a refusal comes from the system of the other host, and all else that is no
 // hello is silence.
 func (h *handshakeProbe) fail(err error) {
-	result := membership.Silent
+	result := membership.HandshakeTimedOut
 	if errors.Is(err, unix.ECONNREFUSED) {
-		result = membership.Refused
+		result = membership.HandshakeRefused
 	}
 	h.report(0, result)
 }
@@ -79,6 +79,6 @@
 	}
 	h.timer.Stop()
 	conn.Close()
-	h.report(hello.GetLife(), membership.Answered)
+	h.report(hello.GetLife(), membership.HandshakeAnswered)
 	return used, nil
 }
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.net.Point(name, p.Addr()); err != nil {
+	if err := x.net.SetAddress(name, p.Addr()); err != nil {
 		t.Fatal(err)
 	}
 	return p
@@ -165,7 +165,7 @@
 // eventually waits until a condition holds on the loop.
 func (x *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(2 * testbed.Patience); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
 		ok := false
 		if x.onLoop(func() { ok = condition() }); ok {
 			return
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -49,7 +49,7 @@
 	}
 
 	write(t, dial(t, "udp", p.Addr()), []byte("nonsense"))
-	for limit := time.Now().Add(testbed.Patience); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testbed.Timeout); ; time.Sleep(time.Millisecond) {
 		var counts Counts
 		onLoop(loop, func() { counts = p.Counts() })
 		if counts.Received == 1 && counts.Refused == int64(len(cases))+1 {
@@ -64,7 +64,7 @@
 func exchange(t *testing.T, p *Peers, sent []byte) (answer []byte, err error) {
 	t.Helper()
 	conn := dial(t, "tcp", p.Addr())
-	if err := conn.SetDeadline(time.Now().Add(testbed.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	write(t, conn, sent)
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -24,10 +24,10 @@
 	startsFileMode = 0o600
 )
 
-// Start counts a start in a folder, and returns its first incarnation: greater than that of any start before
+// NextIncarnation counts a start in a folder, and returns its first incarnation: greater than that of any start before
 // that the folder knows of. Without a folder it is 1, and the others' updates say if they know of a later one.
 // A file that holds no count begins anew; fault says so, "" where there is nothing to say.
-func Start(folder string) (incarnation uint64, fault string, err error) {
+func NextIncarnation(folder string) (incarnation uint64, fault string, err error) {
 	if folder == "" {
 		return firstIncarnation, "", nil
 	}
--- a/internal/peer/incarnation_test.go
+++ b/internal/peer/incarnation_test.go
@@ -13,7 +13,7 @@
 	folder := t.TempDir()
 	last := uint64(0)
 	for range 3 {
-		incarnation, fault, err := Start(folder)
+		incarnation, fault, err := NextIncarnation(folder)
 		if err != nil || fault != "" || incarnation <= last {
 			t.Fatalf("%d after %d: %s, %v", incarnation, last, fault, err)
 		}
@@ -23,15 +23,15 @@
 		if err := os.WriteFile(filepath.Join(folder, startsFile), []byte(text), startsFileMode); err != nil {
 			t.Fatal(err)
 		}
-		incarnation, fault, err := Start(folder)
+		incarnation, fault, err := NextIncarnation(folder)
 		if err != nil || !strings.Contains(fault, "expected a count of starts") || incarnation != refutationsPerStart {
 			t.Errorf("%q: %d, %q, %v", text, incarnation, fault, err)
 		}
 	}
-	if incarnation, _, err := Start(""); err != nil || incarnation != firstIncarnation {
+	if incarnation, _, err := NextIncarnation(""); err != nil || incarnation != firstIncarnation {
 		t.Errorf("without a folder: %d, %v", incarnation, err)
 	}
-	if _, _, err := Start(filepath.Join(folder, "none")); err == nil {
+	if _, _, err := NextIncarnation(filepath.Join(folder, "none")); err == nil {
 		t.Error("a folder that does not exist is taken")
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -87,7 +87,7 @@
 	}
 	p.settings.Listen = address
 	p.table = membership.New(loop.Now(), membership.Config{
-		Self: membership.Update{Name: settings.Name, Zone: settings.Zone, Addr: address, Life: p.nonce,
+		Self: membership.Update{Name: settings.Name, Zone: settings.Zone, Addr: address, Nonce: p.nonce,
 			Incarnation: settings.Incarnation},
 		Peers: settings.Members,
 		Seed:  rand.Uint64(),
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -12,12 +12,12 @@
 
 // StatusReport is the membership table of a running orchestrator.
 type StatusReport struct {
-	Cluster string   `json:"cluster"`
-	Name    string   `json:"name"`
-	Doubt   int      `json:"doubt"` // the local health score: 0 is healthy, 8 the worst
-	View    View     `json:"view"`
-	Members []Member `json:"members"` // the local one first
-	Traffic Traffic  `json:"traffic"`
+	Cluster     string   `json:"cluster"`
+	Name        string   `json:"name"`
+	HealthScore int      `json:"doubt"` // the local health score: 0 is healthy, 8 the worst
+	View        View     `json:"view"`
+	Members     []Member `json:"members"` // the local one first
+	Traffic     Traffic  `json:"traffic"`
 }
 
 // View is the stable view.
@@ -29,16 +29,16 @@
 
 // Member is a line of the table.
 type Member struct {
-	Name        string `json:"name"`
-	Zone        string `json:"hall"`
-	Address     string `json:"address"`
-	Incarnation uint64 `json:"incarnation"`
-	State       string `json:"state"`
-	Link        string `json:"link"` // the direct path, "itself" for the local member
-	Slow        bool   `json:"slow,omitempty"`
-	RTTMs       int64  `json:"rtt_ms"`
-	SilentMs    int64  `json:"silent_ms"` // since it last proved to be alive
-	Evidence    string `json:"evidence,omitempty"`
+	Name         string `json:"name"`
+	Zone         string `json:"hall"`
+	Address      string `json:"address"`
+	Incarnation  uint64 `json:"incarnation"`
+	State        string `json:"state"`
+	Path         string `json:"link"` // the direct path, "itself" for the local member
+	Slow         bool   `json:"slow,omitempty"`
+	RTTMs        int64  `json:"rtt_ms"`
+	SinceAliveMs int64  `json:"silent_ms"` // since it last proved to be alive
+	Evidence     string `json:"evidence,omitempty"`
 }
 
 // Traffic is what passed, in datagrams and bytes.
@@ -62,16 +62,16 @@
 func (p *Peers) StatusReport() StatusReport {
 	view := p.table.View()
 	report := StatusReport{
-		Cluster: p.settings.Cluster,
-		Name:    p.settings.Name,
-		Doubt:   p.table.HealthScore(),
-		View:    View{view.Number, fmt.Sprintf("%016x", view.Digest), view.Names},
-		Traffic: p.traffic(),
+		Cluster:     p.settings.Cluster,
+		Name:        p.settings.Name,
+		HealthScore: p.table.HealthScore(),
+		View:        View{view.Number, fmt.Sprintf("%016x", view.Digest), view.Names},
+		Traffic:     p.traffic(),
 	}
 	for _, m := range p.table.Members() {
 		report.Members = append(report.Members, memberLine(&m))
 	}
-	report.Members[0].Link = localLink
+	report.Members[0].Path = localLink
 	return report
 }
 
@@ -89,16 +89,16 @@
 
 func memberLine(m *membership.Member) Member {
 	return Member{
-		Name:        m.Name,
-		Zone:        m.Zone,
-		Address:     m.Addr,
-		Incarnation: m.Incarnation,
-		State:       m.State.String(),
-		Link:        m.Path.String(),
-		Slow:        m.Slow,
-		RTTMs:       m.RTTUs / usPerMs,
-		SilentMs:    m.SinceAliveUs / usPerMs,
-		Evidence:    m.Evidence,
+		Name:         m.Name,
+		Zone:         m.Zone,
+		Address:      m.Addr,
+		Incarnation:  m.Incarnation,
+		State:        m.State.String(),
+		Path:         m.Path.String(),
+		Slow:         m.Slow,
+		RTTMs:        m.RTTUs / usPerMs,
+		SinceAliveMs: m.SinceAliveUs / usPerMs,
+		Evidence:     m.Evidence,
 	}
 }
 
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -156,7 +156,7 @@
 // TestRecordsDropped asserts that what waits for a member that is gone is dropped, counted and logged.
 func TestRecordsDropped(t *testing.T) {
 	x := newTwoPeers(t)
-	if err := x.net.Point("n1", ""); err != nil { // its host refuses connections
+	if err := x.net.SetAddress("n1", ""); err != nil { // its host refuses connections
 		t.Fatal(err)
 	}
 	x.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Cut = true })
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -36,7 +36,7 @@
 }
 
 // perform carries out what the table wants done, and reports what it found.
-func (p *Peers) perform(actions []membership.Act) {
+func (p *Peers) perform(actions []membership.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case membership.Send:
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -19,8 +19,8 @@
 
 // Discovery serves the list of workers as the command channel does.
 type Discovery struct {
-	Srv    *httptest.Server
-	Asked  chan int // what each call resumes from
+	Server *httptest.Server
+	Polls  chan int // what each call resumes from
 	mu     sync.Mutex
 	added  chan struct{} // closed when an event is added
 	events []string
@@ -28,9 +28,9 @@
 
 // NewDiscovery starts a server without events, which ends with the test.
 func NewDiscovery(t Host) *Discovery {
-	d := &Discovery{added: make(chan struct{}), Asked: make(chan int, maxPolls)}
-	d.Srv = httptest.NewServer(http.HandlerFunc(d.poll))
-	t.Cleanup(d.Srv.Close)
+	d := &Discovery{added: make(chan struct{}), Polls: make(chan int, maxPolls)}
+	d.Server = httptest.NewServer(http.HandlerFunc(d.poll))
+	t.Cleanup(d.Server.Close)
 	return d
 }
 
@@ -39,7 +39,7 @@
 	after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
 	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
 	select {
-	case d.Asked <- after:
+	case d.Polls <- after:
 	default:
 	}
 	timeout := time.After(time.Duration(blockMs) * time.Millisecond)
@@ -90,7 +90,7 @@
 func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	count, _ := d.state()
-	for Wait(t, "the command channel is asked", d.Asked) < count {
+	for Wait(t, "the command channel is asked", d.Polls) < count {
 	}
 }
 
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -20,27 +20,27 @@
 	releaseCode     = 16
 )
 
-// Placed is what became of the tasks of all clients.
-type Placed struct {
+// Placements is what became of the tasks of all clients.
+type Placements struct {
 	clients   sync.WaitGroup
 	startedAt time.Time
 
 	mu         sync.Mutex
 	took       []time.Duration // of placements
-	seconds    []Second
+	seconds    []SecondCounts
 	unanswered []string // requests that an orchestrator which ran never answered
 }
 
-// Second is what became of tasks within one second. Lost requests were not answered.
-type Second struct {
-	Started int `json:"Started"`
-	Refused int `json:"Refused"`
-	Failed  int `json:"Failed"`
-	Lost    int `json:"Lost"`
+// SecondCounts is what became of tasks within one second. Lost requests were not answered.
+type SecondCounts struct {
+	Started  int `json:"Started"`
+	Rejected int `json:"Refused"`
+	Failed   int `json:"Failed"`
+	Lost     int `json:"Lost"`
 }
 
 // P99 is the 99th percentile of the time from a submission to its start.
-func (p *Placed) P99() time.Duration {
+func (p *Placements) P99() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if slices.Sort(p.took); len(p.took) == 0 {
@@ -50,25 +50,25 @@
 }
 
 // Seconds is what became of tasks, second by second.
-func (p *Placed) Seconds() []Second {
+func (p *Placements) Seconds() []SecondCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.seconds)
 }
 
-// Silent lists the requests that an orchestrator which ran, and was reachable, never
+// Unanswered lists the requests that an orchestrator which ran, and was reachable, never
 // answered.
-func (p *Placed) Silent() []string {
+func (p *Placements) Unanswered() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.unanswered)
 }
 
 // Total sums all seconds.
-func (p *Placed) Total() (total Second) {
+func (p *Placements) Total() (total SecondCounts) {
 	for _, s := range p.Seconds() {
 		total.Started += s.Started
-		total.Refused += s.Refused
+		total.Rejected += s.Rejected
 		total.Failed += s.Failed
 		total.Lost += s.Lost
 	}
@@ -76,15 +76,15 @@
 }
 
 // Wait waits for the end of the clients.
-func (p *Placed) Wait() { p.clients.Wait() }
+func (p *Placements) Wait() { p.clients.Wait() }
 
 // count counts a response, or that there was none.
-func (p *Placed) count(took time.Duration, response testbed.Line, answered bool) {
+func (p *Placements) count(took time.Duration, response testbed.Line, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	index := int(time.Since(p.startedAt) / time.Second)
 	for len(p.seconds) <= index {
-		p.seconds = append(p.seconds, Second{})
+		p.seconds = append(p.seconds, SecondCounts{})
 	}
 	s := &p.seconds[index]
 	switch {
@@ -94,13 +94,13 @@
 		s.Started++
 		p.took = append(p.took, took)
 	case response.Opts["wait"] != "":
-		s.Refused++
+		s.Rejected++
 	default:
 		s.Failed++
 	}
 }
 
-func (p *Placed) addUnanswered(requestID string) {
+func (p *Placements) addUnanswered(requestID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unanswered = append(p.unanswered, requestID)
@@ -108,8 +108,8 @@
 
 // Demand submits tasks to every orchestrator for a while. Clients whose connection ends
 // connect again.
-func (f *Fleet) Demand(length time.Duration) *Placed {
-	p := &Placed{startedAt: time.Now()}
+func (f *Fleet) Demand(length time.Duration) *Placements {
+	p := &Placements{startedAt: time.Now()}
 	for i, o := range f.Orchestrators {
 		p.clients.Go(func() { f.submitUntil(p.startedAt.Add(length), p, i, o) })
 	}
@@ -117,7 +117,7 @@
 }
 
 // submitUntil submits tasks to an orchestrator, one after another.
-func (f *Fleet) submitUntil(deadline time.Time, p *Placed, index int, o *Orchestrator) {
+func (f *Fleet) submitUntil(deadline time.Time, p *Placements, index int, o *Orchestrator) {
 	var client *testbed.Client
 	for n := f.requestIDs.Add(1); time.Now().Before(deadline); n = f.requestIDs.Add(1) {
 		if client == nil {
@@ -142,7 +142,7 @@
 
 // submit submits a task and releases it once it has started; it reports whether there was a
 // response.
-func (f *Fleet) submit(p *Placed, client *testbed.Client, o *Orchestrator, requestID, key string) bool {
+func (f *Fleet) submit(p *Placements, client *testbed.Client, o *Orchestrator, requestID, key string) bool {
 	sentAt := time.Now()
 	testbed.Send(client, testbed.StartLine(requestID, tasksClass, key, clientTimeoutMs))
 	response, answered := receiveResponse(client, requestID)
@@ -161,7 +161,7 @@
 
 // receiveResponse is the response to a request; false where none came in time.
 func receiveResponse(client *testbed.Client, requestID string) (testbed.Line, bool) {
-	for timeout := time.After(testbed.Patience); ; {
+	for timeout := time.After(testbed.Timeout); ; {
 		select {
 		case line, open := <-client.Lines:
 			if !open || line.Tag == requestID {
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -209,7 +209,7 @@
 func (s *sample) reportsLink(reporter, subject, link string) bool {
 	report := s.reports[reporter]
 	return report != nil && slices.ContainsFunc(report.Members, func(m peer.Member) bool {
-		return m.Name == subject && m.Link == link
+		return m.Name == subject && m.Path == link
 	})
 }
 
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -60,7 +60,7 @@
 	}
 	for _, address := range []*string{&o.address, &o.adminAddress, &o.peerAddress} {
 		var err error
-		if *address, err = f.network.Place(); err != nil {
+		if *address, err = f.network.ReserveAddress(); err != nil {
 			return err
 		}
 	}
@@ -80,7 +80,7 @@
 	if err := f.listWorkers(o); err != nil {
 		return err
 	}
-	if err := f.network.Point(o.ends.discovery, o.discovery.Srv.Listener.Addr().String()); err != nil {
+	if err := f.network.SetAddress(o.ends.discovery, o.discovery.Server.Listener.Addr().String()); err != nil {
 		return err
 	}
 	channel, err := f.network.Relay(o.Name, o.ends.discovery)
@@ -157,24 +157,24 @@
 
 // setAddresses tells the network where an orchestrator is reached, "" where it has ended.
 func (f *Fleet) setAddresses(o *Orchestrator, forPeers, forClients string) error {
-	if err := f.network.Point(o.ends.front, forClients); err != nil {
+	if err := f.network.SetAddress(o.ends.front, forClients); err != nil {
 		return err
 	}
-	return f.network.Point(o.Name, forPeers)
+	return f.network.SetAddress(o.Name, forPeers)
 }
 
 // hasRun reports whether an orchestrator has run, and was not paused, since a time.
 func (o *Orchestrator) hasRun(since time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.Up() && !o.terminating && o.startedAt.Before(since) && o.pausedAt.Add(o.pausedFor).Before(since)
+	return o.IsRunning() && !o.terminating && o.startedAt.Before(since) && o.pausedAt.Add(o.pausedFor).Before(since)
 }
 
 // status is whether an orchestrator runs at a time and is not paused, and when it started.
 func (o *Orchestrator) status(at time.Time) (running bool, startedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.Up() && at.After(o.pausedAt.Add(o.pausedFor)), o.startedAt
+	return o.IsRunning() && at.After(o.pausedAt.Add(o.pausedFor)), o.startedAt
 }
 
 // setStoredStarts leaves in the directory of an orchestrator what its next start finds:
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -22,7 +22,7 @@
 	Programs      []string // builds, by turns
 	Dir           string   // for settings and stored files
 	Orchestrators int
-	Nodes         int // workers; 0: defaultWorkers
+	Workers       int // workers; 0: defaultWorkers
 	Seed          uint64
 	Alone         bool // the orchestrators are no cluster
 }
@@ -54,10 +54,10 @@
 	h.Helper()
 	f := &Fleet{host: h, network: testbed.NewNetwork(o.Seed), stop: make(chan struct{})}
 	h.Cleanup(f.close)
-	if o.Nodes == 0 {
-		o.Nodes = defaultWorkers
+	if o.Workers == 0 {
+		o.Workers = defaultWorkers
 	}
-	for i := range o.Nodes {
+	for i := range o.Workers {
 		if err := f.addWorker(i); err != nil {
 			h.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 	worker.Kind = "node-32"
 	f.goroutines.Go(func() { f.drain(worker) })
 	f.workers = append(f.workers, worker)
-	return f.network.Point(worker.Name, worker.Addr())
+	return f.network.SetAddress(worker.Name, worker.Addr())
 }
 
 // drain drops what a worker keeps for tests to receive.
@@ -104,7 +104,7 @@
 func (f *Fleet) close() {
 	close(f.stop)
 	for _, orchestrator := range f.Orchestrators {
-		if orchestrator.Up() {
+		if orchestrator.IsRunning() {
 			orchestrator.Resume()
 			orchestrator.End(syscall.SIGKILL)
 		}
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -27,7 +27,7 @@
 	for _, o := range f.Orchestrators {
 		byZone[o.Zone] = append(byZone[o.Zone], o.Name)
 	}
-	return testbed.Draw(seed, byZone, length)
+	return testbed.DrawSchedule(seed, byZone, length)
 }
 
 // Check returns an error where a schedule names what is not there.
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Play carries out a schedule, and returns after its length.
-func (f *Fleet) Play(steps []testbed.Step, length time.Duration) {
+// RunSchedule carries out a schedule, and returns after its length.
+func (f *Fleet) RunSchedule(steps []testbed.Step, length time.Duration) {
 	begin := time.Now()
 	for _, step := range steps {
 		time.Sleep(time.Until(begin.Add(step.At)))
@@ -153,7 +153,7 @@
 // applyToProcess carries out a step on a process. A start of one that runs does nothing, nor
 // does any other step on one that does not: a drawn schedule may have either.
 func (f *Fleet) applyToProcess(o *Orchestrator, step testbed.Step) error {
-	if (step.Verb == testbed.VerbStart) == o.Up() {
+	if (step.Verb == testbed.VerbStart) == o.IsRunning() {
 		return nil
 	}
 	switch step.Verb {
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -18,7 +18,7 @@
 	DetectionTimes     []time.Duration // from an end to each that detected it, sorted
 	Disagreement       time.Duration   // of the views, after the end of all faults
 	TrafficRate        float64         // bytes a second, of each member
-	Why                []string        // rules that were broken
+	Violations         []string        // rules that were broken
 }
 
 // String is the verdict as figures of one line.
@@ -38,5 +38,5 @@
 
 // violation adds a rule that was broken.
 func (v *Verdict) violation(format string, args ...any) {
-	v.Why = append(v.Why, fmt.Sprintf(format, args...))
+	v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 }
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -74,8 +74,8 @@
 	return r.address, nil
 }
 
-// Place returns an address at which a process can listen, now and when it is started again.
-func (n *Network) Place() (string, error) {
+// ReserveAddress returns an address at which a process can listen, now and when it is started again.
+func (n *Network) ReserveAddress() (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	datagrams, err := listenFreePort()
@@ -106,8 +106,8 @@
 	return nil, errNoPort
 }
 
-// Point sets where a process listens from now on; "" where it has ended.
-func (n *Network) Point(name, addr string) error {
+// SetAddress sets where a process listens from now on; "" where it has ended.
+func (n *Network) SetAddress(name, addr string) error {
 	n.mu.Lock()
 	n.addresses[name] = addr
 	n.mu.Unlock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -68,13 +68,13 @@
 // WaitForLog waits for a line of this start that contains a text, and returns the word that
 // follows it.
 func (p *Process) WaitForLog(text string) (string, error) {
-	timer := time.AfterFunc(Patience, func() {
+	timer := time.AfterFunc(Timeout, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.logChanged.Broadcast()
 	})
 	defer timer.Stop()
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(Timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := p.firstLine; ; i++ {
@@ -83,7 +83,7 @@
 				return "", fmt.Errorf("%s: %s ended: %v", errorPrefix, p.Name, p.lines[p.firstLine:])
 			}
 			if !time.Now().Before(deadline) {
-				return "", fmt.Errorf("%s: %s said no %q in %s: %v", errorPrefix, p.Name, text, Patience, p.lines[p.firstLine:])
+				return "", fmt.Errorf("%s: %s said no %q in %s: %v", errorPrefix, p.Name, text, Timeout, p.lines[p.firstLine:])
 			}
 			p.logChanged.Wait()
 		}
@@ -101,8 +101,8 @@
 	return append([]string(nil), p.lines...)
 }
 
-// Up reports whether it runs, or is paused.
-func (p *Process) Up() bool { return p.ended != nil && !p.hasEnded() }
+// IsRunning reports whether it runs, or is paused.
+func (p *Process) IsRunning() bool { return p.ended != nil && !p.hasEnded() }
 
 func (p *Process) hasEnded() bool {
 	select {
@@ -122,7 +122,7 @@
 
 // End ends it by a signal and waits for that.
 func (p *Process) End(s syscall.Signal) {
-	if !p.Up() {
+	if !p.IsRunning() {
 		return
 	}
 	p.signal(s)
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -91,8 +91,8 @@
 	p.delay = d
 }
 
-// Cut partitions both sides: nothing passes in either direction, and no connection comes up.
-func (p *Proxy) Cut(t Host) {
+// Partition partitions both sides: nothing passes in either direction, and no connection comes up.
+func (p *Proxy) Partition(t Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.partitioned = true
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -115,8 +115,8 @@
 	return number
 }
 
-// Text is a schedule as ParseSchedule reads it.
-func Text(steps []Step) string {
+// FormatSchedule is a schedule as ParseSchedule reads it.
+func FormatSchedule(steps []Step) string {
 	var texts []string
 	for _, step := range steps {
 		texts = append(texts, step.String())
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -53,9 +53,9 @@
 	steps     []Step
 }
 
-// Draw makes a schedule of faults that are all over, and healed, by the end of its length.
+// DrawSchedule makes a schedule of faults that are all over, and healed, by the end of its length.
 // The names are those of processes by zone. At most a third of the processes is killed.
-func Draw(seed uint64, zones map[string][]string, length time.Duration) []Step {
+func DrawSchedule(seed uint64, zones map[string][]string, length time.Duration) []Step {
 	d := &drawer{random: rand.New(rand.NewPCG(seed, 6)), healAt: length - healBeforeEnd}
 	for zone, processes := range zones {
 		d.zones = append(d.zones, zone)
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -14,7 +14,7 @@
 	zones := map[string][]string{"hall-a": {"n0", "n3", "n6"}, "hall-b": {"n1", "n4"}, "hall-c": {"n2", "n5"}}
 	const want = "1.2s cut n1->n0; 1.6s pause n6 2315ms; 2.2s twice all 0.10; 2.2s overtake all 0.10; 2.8s delay all 5ms 20ms; " +
 		"3.4s refuse n2->n4; 3.5s cut hall-b but n3; 4.6s restart n5 old; 5.6s cut hall-c; 6.4s loss all 0.11; 9s mend hall-c; 9s heal"
-	if got := Text(Draw(7, zones, 12*time.Second)); got != want {
+	if got := FormatSchedule(DrawSchedule(7, zones, 12*time.Second)); got != want {
 		t.Errorf("drew %s, expected %s", got, want)
 	}
 }
@@ -49,7 +49,7 @@
 	hasKill := func(steps []Step) bool {
 		return slices.ContainsFunc(steps, func(s Step) bool { return s.Verb == VerbKill })
 	}
-	if got := Text(ShrinkSchedule(steps, hasKill)); got != "2s kill n2; 9s heal" {
+	if got := FormatSchedule(ShrinkSchedule(steps, hasKill)); got != "2s kill n2; 9s heal" {
 		t.Errorf("expected the kill and the heal alone, got %s", got)
 	}
 }
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -19,8 +19,8 @@
 	Fatalf(format string, args ...any)
 }
 
-// Patience is the timeout of whatever a test waits for.
-const Patience = 10 * time.Second
+// Timeout is the timeout of whatever a test waits for.
+const Timeout = 10 * time.Second
 
 // Wait receives from a channel, and fails the test where nothing comes in time.
 func Wait[T any](t Host, what string, c <-chan T) T {
@@ -31,8 +31,8 @@
 			t.Fatalf("%s: the other side closed", what)
 		}
 		return v
-	case <-time.After(Patience):
-		t.Fatalf("%s: nothing came in %s", what, Patience)
+	case <-time.After(Timeout):
+		t.Fatalf("%s: nothing came in %s", what, Timeout)
 	}
 	panic("not reached")
 }
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -12,7 +12,7 @@
 // This file owns the stand-in worker's listener, its connections and what it reads on
 // them. What it answers is in worker_script.go and capacity_model.go.
 
-// maxLostOffers bounds the offers that Worker.Cut holds.
+// maxLostOffers bounds the offers that Worker.LostOffers holds.
 const maxLostOffers = 1000
 
 // Worker is a stand-in worker. Without a CapacityModel it answers an offer by the script
@@ -22,10 +22,10 @@
 	Kind   string    // as the list has it; "std" unless it is set
 	Starts chan Line // offers, in order; only without a CapacityModel
 	Ends   chan Line // cancels and releases, in order; the same
-	// Cut are the offers whose connection closed before the orchestrator released them,
+	// LostOffers are the offers whose connection closed before the orchestrator released them,
 	// answered or not: closing a connection cancels what is open on it. It holds maxLostOffers;
 	// what comes beyond is dropped.
-	Cut chan Line
+	LostOffers chan Line
 	// Attempts records the attempts here, where it is set before the first connection.
 	Attempts *AttemptLog
 
@@ -59,7 +59,7 @@
 		Kind:             "std",
 		Starts:           make(chan Line, maxUnread),
 		Ends:             make(chan Line, maxUnread),
-		Cut:              make(chan Line, maxLostOffers),
+		LostOffers:       make(chan Line, maxLostOffers),
 		host:             t,
 		listener:         listener,
 		model:            model,
@@ -133,7 +133,7 @@
 	w.mu.Unlock()
 	for _, line := range open {
 		select {
-		case w.Cut <- line:
+		case w.LostOffers <- line:
 		default: // nobody reads them: a full channel must not block the connection's end
 		}
 	}
@@ -233,8 +233,8 @@
 	}
 }
 
-// Note sends a notice that concerns no task on every open connection: the worker is up.
-func (w *Worker) Note() {
+// SendNotice sends a notice that concerns no task on every open connection: the worker is up.
+func (w *Worker) SendNotice() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for conn := range w.connections {
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -5,8 +5,8 @@
 // RefuseConnections refuses new connections; open ones stay.
 func (w *Worker) RefuseConnections() { Refuse(w.host, w.listener) }
 
-// Die ends it as a process is killed: open connections are reset, new ones refused.
-func (w *Worker) Die() {
+// Crash ends it as a process is killed: open connections are reset, new ones refused.
+func (w *Worker) Crash() {
 	Refuse(w.host, w.listener)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -15,9 +15,9 @@
 	}
 }
 
-// Vanish ends it as a power cut does: new connections are refused, and those that are open
+// BecomeUnreachable ends it as a power cut does: new connections are refused, and those that are open
 // stay open and unresponsive.
-func (w *Worker) Vanish() {
+func (w *Worker) BecomeUnreachable() {
 	w.mu.Lock()
 	w.unresponsive = true
 	w.mu.Unlock()
--- a/internal/workerpool/cancel_confirmations_test.go
+++ b/internal/workerpool/cancel_confirmations_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("%d connections with unconfirmed cancels", count)
 		}
 	})
-	if m := readMessage(t, received); m.Verb != jsonlines.VerbFinish || m.Tag != requestID || m.RC != jsonlines.CauseGivenUp {
+	if m := readMessage(t, received); m.Verb != jsonlines.VerbFinish || m.Tag != requestID || m.RC != jsonlines.CodeEnded {
 		t.Fatalf("received %+v, expected the cancel", m)
 	}
 	ping := readMessage(t, received)
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -121,8 +121,8 @@
 func TestCompletionBeforeRegistration(t *testing.T) {
 	lt := newLinkTest(t)
 	c := lt.listWorker().conns[0]
-	completion := &jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: "t1", RC: jsonlines.CauseGivenUp, HasRC: true}
-	rejection := &jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: "t3", RC: jsonlines.CauseFull, HasRC: true}
+	completion := &jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: "t1", RC: jsonlines.CodeEnded, HasRC: true}
+	rejection := &jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: "t3", RC: jsonlines.CodeRejected, HasRC: true}
 
 	c.handleMessage(completion)
 	lt.adopt("t1")
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -35,11 +35,11 @@
 
 // outcomesByCode maps the code of a FINISH.
 var outcomesByCode = map[int]placement.Outcome{
-	jsonlines.CauseGivenUp:   placement.Completed,
-	jsonlines.CauseCancelled: placement.Cancelled,
-	jsonlines.CauseFull:      placement.Rejected,
-	jsonlines.CauseError:     placement.Failed,
-	jsonlines.CauseMoot:      placement.NeverSent,
+	jsonlines.CodeEnded:     placement.Completed,
+	jsonlines.CodeCancelled: placement.Cancelled,
+	jsonlines.CodeRejected:  placement.Rejected,
+	jsonlines.CodeFailed:    placement.Failed,
+	jsonlines.CodeNeverSent: placement.NeverSent,
 }
 
 // pingSucceeded is the code of the answer to a ping by a healthy worker.
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -138,8 +138,8 @@
 		Blob:    offer.Description,
 		HasBlob: true,
 	}
-	if offer.Idem != "" {
-		m.Opts = append(m.Opts, jsonlines.Field{Name: "idem", Value: offer.Idem})
+	if offer.IdempotencyKey != "" {
+		m.Opts = append(m.Opts, jsonlines.Field{Name: "idem", Value: offer.IdempotencyKey})
 	}
 	return m
 }
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -68,5 +68,5 @@
 
 // sendFinish has the worker end an attempt or a running task.
 func (c *workerConn) sendFinish(requestID string) {
-	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CauseGivenUp, HasRC: true})
+	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CodeEnded, HasRC: true})
 }
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -211,7 +211,7 @@
 	discovery := o.rig.discoveries[o.index]
 	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
 	deployment := testbed.Deployment{Orchestrators: len(o.rig.orchestrators), MaxRetryAfter: o.rig.options.maxRetryAfter}
-	return deployment.Config(o.index, listen, "", discovery.Srv.Listener.Addr().String(), seed, discovery)
+	return deployment.Config(o.index, listen, "", discovery.Server.Listener.Addr().String(), seed, discovery)
 }
 
 // restart kills an orchestrator, and starts it again after a downtime.
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -57,11 +57,11 @@
 // were broken, a line each.
 func runSchedule(t *testing.T, f *fleet.Fleet, steps []testbed.Step, length time.Duration) (v fleet.Verdict, violations string) {
 	placed := f.Demand(length - time.Second)
-	f.Play(steps, length)
+	f.RunSchedule(steps, length)
 	placed.Wait()
 	v = f.Judge()
-	broken := v.Why
-	if unanswered := placed.Silent(); len(unanswered) > 0 {
+	broken := v.Violations
+	if unanswered := placed.Unanswered(); len(unanswered) > 0 {
 		broken = append(broken, fmt.Sprintf("%d requests without a response, as %s", len(unanswered), unanswered[0]))
 	}
 	if v.Disagreement > maxDisagreement {
@@ -74,7 +74,7 @@
 // TestMembers runs one schedule drawn from a seed.
 func TestMembers(t *testing.T) {
 	length := time.Duration(*secondsFlag) * time.Second
-	var withoutPeers *fleet.Placed
+	var withoutPeers *fleet.Placements
 	if flag.Lookup("test.run").Value.String() != "" { // a measurement, beside the schedule
 		t.Run("off", func(t *testing.T) {
 			withoutPeers = newFleet(t, *processesFlag, true).Demand(*calmFlag)
@@ -86,13 +86,13 @@
 	withPeers := f.Demand(*calmFlag)
 	withPeers.Wait()
 	steps := schedule(t, f, length)
-	t.Logf("seed %d: %s", *seedFlag, testbed.Text(steps))
+	t.Logf("seed %d: %s", *seedFlag, testbed.FormatSchedule(steps))
 	v, violations := runSchedule(t, f, steps, length)
 	fmt.Printf("members: %s placement_p99_ratio=%.2f\n", v, placementRatio(t, withPeers, withoutPeers))
 	if violations == "" {
 		return
 	}
-	t.Errorf("seed %d: %s\nschedule: %s", *seedFlag, violations, testbed.Text(steps))
+	t.Errorf("seed %d: %s\nschedule: %s", *seedFlag, violations, testbed.FormatSchedule(steps))
 	logMembership(t, f)
 	if *shrinkFlag {
 		shrink(t, steps, length)
@@ -114,7 +114,7 @@
 
 // placementRatio is the 99th percentile of placements with peers over that without, 0 where only one
 // was measured.
-func placementRatio(t *testing.T, withPeers, withoutPeers *fleet.Placed) float64 {
+func placementRatio(t *testing.T, withPeers, withoutPeers *fleet.Placements) float64 {
 	if withoutPeers == nil {
 		return 0
 	}
@@ -144,5 +144,5 @@
 		})
 		return fails
 	})
-	t.Logf("what is still needed: %s", testbed.Text(steps))
+	t.Logf("what is still needed: %s", testbed.FormatSchedule(steps))
 }
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -264,7 +264,7 @@
 			return false
 		}
 	}
-	return to.clients.pingAll(testbed.Patience)
+	return to.clients.pingAll(testbed.Timeout)
 }
 
 // handOverTask registers a running task at an orchestrator; where it has that already, nothing changes.
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -22,7 +22,7 @@
 func (s *simulation) judgeDeath(reporter int, event membership.Event) {
 	index := s.byName[event.Name]
 	subject := s.members[index]
-	if !subject.running || subject.nonce != event.Life || s.now-subject.startedAt < startGrace || s.network.wasCutSince(reporter, index, s.now-reachablePeriod, s.now) {
+	if !subject.running || subject.nonce != event.Nonce || s.now-subject.startedAt < startGrace || s.network.wasCutSince(reporter, index, s.now-reachablePeriod, s.now) {
 		return
 	}
 	s.falseDeaths = append(s.falseDeaths, fmt.Sprintf("%.2f s: %s has %s for dead, which is reachable: %s",
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -98,7 +98,7 @@
 			Name:        started.name,
 			Zone:        started.zone,
 			Addr:        started.address,
-			Life:        started.nonce,
+			Nonce:       started.nonce,
 			Incarnation: started.starts << incarnationBits,
 		},
 		Peers: s.seeds(),
@@ -121,7 +121,7 @@
 	ticked.nextTickAt = at
 	s.at(at, func() {
 		if ticked.running && ticked.nonce == nonce && ticked.nextTickAt == at {
-			s.call(i, func() []membership.Act { return ticked.Tick(s.now) })
+			s.call(i, func() []membership.Action { return ticked.Tick(s.now) })
 		}
 	})
 }
@@ -136,9 +136,9 @@
 }
 
 // call calls into the membership of a member, measures that, and carries out its acts.
-func (s *simulation) call(i int, into func() []membership.Act) {
+func (s *simulation) call(i int, into func() []membership.Action) {
 	called := s.members[i]
-	var acts []membership.Act
+	var acts []membership.Action
 	called.load.microseconds += s.meter.measure(func() { acts = into() })
 	for _, act := range acts {
 		switch act := act.(type) {
@@ -193,7 +193,7 @@
 			panic(err) // Encode made a datagram that Decode rejects
 		}
 	})
-	s.call(to, func() []membership.Act { return receiver.Receive(s.now, message) })
+	s.call(to, func() []membership.Action { return receiver.Receive(s.now, message) })
 }
 
 // handshake tries a connection: a process that listens answers, the host of one that does not
@@ -206,17 +206,17 @@
 	report := func(after int64, name string, other uint64, result membership.HandshakeResult) {
 		s.after(after, func() {
 			if prober.running && prober.nonce == nonce {
-				s.call(from, func() []membership.Act { return prober.HandshakeProbed(s.now, name, other, result) })
+				s.call(from, func() []membership.Action { return prober.HandshakeProbed(s.now, name, other, result) })
 			}
 		})
 	}
 	roundTrip := s.network.delay(from, to) + s.network.delay(to, from)
 	switch target := s.members[to]; {
 	case !s.network.carries(from, to, s.now):
-		report(handshakeTimeout, act.Name, 0, membership.Silent)
+		report(handshakeTimeout, act.Name, 0, membership.HandshakeTimedOut)
 	case !target.running:
-		report(roundTrip, act.Name, 0, membership.Refused)
+		report(roundTrip, act.Name, 0, membership.HandshakeRefused)
 	default: // one round trip to connect, one for the answer
-		report(2*roundTrip, act.Name, target.nonce, membership.Answered)
+		report(2*roundTrip, act.Name, target.nonce, membership.HandshakeAnswered)
 	}
 }
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -85,7 +85,7 @@
 // leave lets a member leave the cluster, and end.
 func (s *simulation) leave(i int) {
 	leaving := s.members[i]
-	s.call(i, func() []membership.Act { return leaving.Leave(s.now) })
+	s.call(i, func() []membership.Action { return leaving.Leave(s.now) })
 	s.after(minDowntime, func() { s.stop(i) })
 }
 
