--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -65,16 +65,16 @@
 // connection. Clients that are not admitted wait in the system's queue, where no response reaches them, and
 // connections without a task come by the hundred: so they go first.
 func (f *Front) admit() bool {
-	if len(f.conns) < f.maxConns && f.budget.AdmitsClient() {
+	if len(f.clients) < f.maxConns && f.budget.AdmitsClient() {
 		return true
 	}
 	found := f.findEvictable()
-	evicted := found.conn
+	evicted := found.client
 	if evicted != nil && evicted.hasTask && found.anotherSoon && found.withTask <= protectedWithTask {
 		evicted = nil
 	}
 	if evicted == nil {
-		f.log.Warn("client connection limit reached", "connections", len(f.conns))
+		f.log.Warn("client connection limit reached", "connections", len(f.clients))
 		return false
 	}
 	evicted.end()
@@ -83,7 +83,7 @@
 
 // evictable is what a search for a connection to close has found.
 type evictable struct {
-	conn        *clientConn // the one to close first, nil where none may be closed
+	client      *clientConn // the one to close first, nil where none may be closed
 	withTask    int         // connections that had tasks
 	anotherSoon bool        // a connection that had no task may be closed soon
 }
@@ -92,19 +92,19 @@
 // were idle long enough it is the one of the lowest usage, and among equals the one idle longest.
 func (f *Front) findEvictable() (found evictable) {
 	now := f.loop.Now()
-	for conn := range f.conns {
-		if conn.hasTask {
+	for client := range f.clients {
+		if client.hasTask {
 			found.withTask++
 		}
-		if len(conn.openRequests) > 0 {
+		if len(client.openRequests) > 0 {
 			continue
 		}
-		if now-conn.lastActiveAt < conn.minIdle() {
-			found.anotherSoon = found.anotherSoon || !conn.hasTask
+		if now-client.lastActiveAt < client.minIdle() {
+			found.anotherSoon = found.anotherSoon || !client.hasTask
 			continue
 		}
-		if found.conn == nil || conn.evictsBefore(found.conn) {
-			found.conn = conn
+		if found.client == nil || client.evictsBefore(found.client) {
+			found.client = client
 		}
 	}
 	return found
@@ -122,13 +122,13 @@
 // runs as long as the loop does.
 func (f *Front) sweep() {
 	now := f.loop.Now()
-	for conn := range f.conns {
+	for client := range f.clients {
 		switch {
-		case conn.isStalled(now):
-			f.log.Warn("client message timed out", "spoke", conn.hasMessage)
-			conn.end()
-		case conn.isIdle(now):
-			conn.end()
+		case client.isStalled(now):
+			f.log.Warn("client message timed out", "spoke", client.hasMessage)
+			client.end()
+		case client.isIdle(now):
+			client.end()
 		}
 	}
 	f.reportOverdue(now)
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -30,7 +30,7 @@
 	maxConns      int
 	budget        *descriptors.Budget // nil where there are enough descriptors for all
 	idleTimeoutUs int64               // after which a connection without an open request is closed, 0 for never
-	conns         map[*clientConn]bool
+	clients       map[*clientConn]bool
 	latestStarted *clientConn // last active of the connections for which a task was started, nil where there is none
 	unreported    []unreportedCompletion
 	accepted      uint64 // connections so far
@@ -41,7 +41,7 @@
 func NewFront(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, maxConns int, idleTimeoutUs int64,
 	log *slog.Logger) *Front {
 	return &Front{loop: loop, dispatcher: dispatcher, maxConns: maxConns, idleTimeoutUs: idleTimeoutUs,
-		log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, conns: map[*clientConn]bool{}}
+		log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, clients: map[*clientConn]bool{}}
 }
 
 // ShareDescriptors makes the front admit clients only as the budget allows.
@@ -54,7 +54,7 @@
 func (f *Front) SetTraceSuffixes(suffixes []string) { f.tracer.Suffixes = suffixes }
 
 // Connections is how many clients are connected.
-func (f *Front) Connections() int { return len(f.conns) }
+func (f *Front) Connections() int { return len(f.clients) }
 
 // HasUndelivered reports whether an end now would lose something: a part of a message came, bytes wait
 // for a client to read them, or a completion waits for a client to connect.
@@ -62,8 +62,8 @@
 	if len(f.unreported) > 0 {
 		return true
 	}
-	for conn := range f.conns {
-		if conn.partialSince > 0 || conn.conn.BytesBuffered() > 0 {
+	for client := range f.clients {
+		if client.partialSince > 0 || client.conn.BytesBuffered() > 0 {
 			return true
 		}
 	}
@@ -82,16 +82,16 @@
 }
 
 // add takes in a connection that was accepted, and numbers it.
-func (f *Front) add(conn *clientConn) {
-	f.conns[conn] = true
+func (f *Front) add(client *clientConn) {
+	f.clients[client] = true
 	f.accepted++
-	conn.number = f.accepted
+	client.number = f.accepted
 }
 
 // remove forgets a connection that is closed.
-func (f *Front) remove(conn *clientConn) {
-	delete(f.conns, conn)
-	if f.latestStarted == conn {
+func (f *Front) remove(client *clientConn) {
+	delete(f.clients, client)
+	if f.latestStarted == client {
 		f.latestStarted = nil
 	}
 }
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -47,9 +47,9 @@
 		return f.latestStarted
 	}
 	var best *clientConn
-	for conn := range f.conns {
-		if conn.conn.IsUp() && conn.usage() >= minUsage && (best == nil || conn.reportsBefore(best)) {
-			best = conn
+	for client := range f.clients {
+		if client.conn.IsUp() && client.usage() >= minUsage && (best == nil || client.reportsBefore(best)) {
+			best = client
 		}
 	}
 	return best
@@ -68,18 +68,18 @@
 	if len(f.unreported) == 0 || now-f.unreported[0].at <= unreportedHold {
 		return
 	}
-	if conn := f.bestConn(usageMessage); conn != nil {
-		f.reportOn(conn)
+	if client := f.bestConn(usageMessage); client != nil {
+		f.reportOn(client)
 	}
 }
 
 // reportOn sends the unreported completions on a connection, unless that is closed.
-func (f *Front) reportOn(conn *clientConn) {
-	if !conn.conn.IsUp() {
+func (f *Front) reportOn(client *clientConn) {
+	if !client.conn.IsUp() {
 		return
 	}
 	for _, completion := range f.unreported {
-		conn.conn.Write(completion.line)
+		client.conn.Write(completion.line)
 	}
 	f.unreported = nil
 }
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -7,7 +7,7 @@
 //
 // A cancel that is written may never arrive: the connection can be cut since the worker's last message. So a
 // ping is written behind it. The answer to that proves that the worker has read the cancel; where it does
-// not come, the connection is aborted, which cancels all that is open on it and takes back what still lies
+// not come, the connection is aborted, which cancels all that is open on it and discards what is still
 // in its buffers.
 
 import (
@@ -89,7 +89,7 @@
 func (c *workerConn) cancelOffer(offer *openOffer, again bool) (confirmed bool) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	c.removeOffer(offer)
-	pool.trace("cancelling attempt", requestID, "worker", worker, "left", offer.isSent(c.conn),
+	pool.trace("cancelling attempt", requestID, "worker", worker, "sent", offer.isSent(c.conn),
 		"written", offer.endOffset > 0, "quiet_us", pool.loop.Now()-c.lastReadAt)
 	if offer.endOffset == 0 { // it was not written
 		return true
@@ -191,7 +191,8 @@
 	})
 }
 
-// UnconfirmedCancels is how many connections carry a cancel that is not confirmed.
+// UnconfirmedCancels is how many connections carry a cancel that is not confirmed. It is exported for the tests of the
+// orchestrator, which wait until none is left.
 func (p *Pool) UnconfirmedCancels() (count int) {
 	for _, l := range p.links {
 		for _, c := range l.conns {
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -31,7 +31,7 @@
 	t          *testing.T
 	pool       *Pool
 	dispatcher *dispatch.Dispatcher
-	conn       *workerConn
+	workerConn *workerConn
 	worker     net.Conn
 	offeredAt  int64 // 0 until it was offered
 	cancelled  chan struct{}
@@ -42,16 +42,16 @@
 func (b *blockedOffer) turn(now int64) {
 	b.pool.DeliverPending()
 	switch {
-	case b.offeredAt == 0 && b.conn.established:
+	case b.offeredAt == 0 && b.workerConn.established:
 		b.offer(now)
-	case b.offeredAt != 0 && !b.ended && b.conn.lastReadAt > b.offeredAt:
+	case b.offeredAt != 0 && !b.ended && b.workerConn.lastReadAt > b.offeredAt:
 		b.cancel()
 	}
 }
 
 func (b *blockedOffer) offer(now int64) {
-	b.conn.conn.Write([]byte(strings.Repeat(" ", paddingBytes) + "\n"))
-	b.conn.conn.Flush()
+	b.workerConn.conn.Write([]byte(strings.Repeat(" ", paddingBytes) + "\n"))
+	b.workerConn.conn.Flush()
 	submission := newSubmission()
 	if err := b.dispatcher.Submit(now, nil, submission); err != nil {
 		b.t.Error(err)
@@ -64,8 +64,8 @@
 }
 
 func (b *blockedOffer) cancel() {
-	offer := b.conn.openOffers[requestID]
-	if offer == nil || offer.endOffset == 0 || offer.isSent(b.conn.conn) {
+	offer := b.workerConn.openOffers[requestID]
+	if offer == nil || offer.endOffset == 0 || offer.isSent(b.workerConn.conn) {
 		b.t.Errorf("the offer should wait for its worker: %+v", offer)
 	}
 	b.pool.CancelAttempt(workerName, requestID, false)
@@ -85,7 +85,7 @@
 		t:          t,
 		pool:       pool,
 		dispatcher: dispatcher,
-		conn:       pool.links[workerName].conns[0],
+		workerConn: pool.links[workerName].conns[0],
 		worker:     accept(t, listener),
 		cancelled:  make(chan struct{}),
 	}
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -17,7 +17,7 @@
 
 const (
 	// staleAfter is how long an offer may be open on a connection on which nothing comes in before new offers
-	// go out on a new one.
+	// are sent on a new one.
 	staleAfter = 400 * millisecond
 	// maxReadGap is how long nothing may come in on a connection to a worker where tasks run before another is
 	// dialled: the old one may be dead without a sign, and the completions of tasks come on the next. A
@@ -51,7 +51,7 @@
 	dialledAt   int64
 	lastReadAt  int64
 	lastUsedAt  int64 // when it was last chosen for an offer, a release or a probe
-	aliveUntil  int64 // for how long the last sign of life from the worker's system holds
+	aliveUntil  int64 // until when the last known acknowledgement by the worker's system proves it alive
 }
 
 // isStale reports whether an offer is open on the connection while nothing comes in: a worker that was cut off
@@ -86,20 +86,21 @@
 	}
 }
 
-// mayBeDead reports whether the connection may be dead without a sign: nothing came in for long, nor did the
-// worker's system give a sign of life of its own.
-func (c *workerConn) mayBeDead(now int64) bool {
+// checkAlive reports whether the connection is known to be alive: something came in lately, or the worker's system
+// acknowledged something in time. It asks this system for the last acknowledgement only where neither is known yet,
+// as that takes a system call.
+func (c *workerConn) checkAlive(now int64) bool {
 	if now-c.lastReadAt <= maxReadGap || now < c.aliveUntil {
-		return false
+		return true
 	}
 	keepAlive := c.link.pool.keepAlive
 	if keepAlive == 0 {
-		return true
+		return false
 	}
 	if age, ok := c.conn.LastAckAge(); ok {
 		c.aliveUntil = now - age + keepAlive.Microseconds() + keepAliveSlack
 	}
-	return now >= c.aliveUntil
+	return now < c.aliveUntil
 }
 
 // send writes a message, once the connection is up.
@@ -111,14 +112,14 @@
 	c.queued = append(c.queued, jsonlines.Append(nil, m))
 }
 
-// close closes the connection from this side for the given reason and settles what was open on it. Where an offer
-// may still lie in its buffers, what the worker has not taken is thrown away.
+// close closes the connection from this side for the given reason and settles what was open on it. It aborts the
+// connection where its buffers may still contain an offer or a cancel, or where the worker is unreachable.
 func (c *workerConn) close(reason error) {
-	unresponsive := errors.Is(reason, errUnresponsive)
-	if unresponsive {
+	unreachable := isUnreachable(reason)
+	if unreachable {
 		c.link.unreachable = true
 	}
-	if len(c.openOffers) > 0 || c.cancels.pending() || unresponsive {
+	if len(c.openOffers) > 0 || c.cancels.pending() || unreachable {
 		c.conn.Abort()
 	} else {
 		c.conn.Close()
@@ -147,12 +148,18 @@
 
 // endUnnoticed reports whether the worker may not know that the connection ended with err.
 func (c *workerConn) endUnnoticed(err error) bool {
-	if errors.Is(err, errUnresponsive) {
+	if isUnreachable(err) {
 		return true
 	}
 	return !isDisconnect(err) && c.link.pool.loop.Now()-c.lastReadAt > staleAfter
 }
 
+// isUnreachable reports whether this side closed a connection because its messages did not seem to reach the worker:
+// then the close may not reach it either.
+func isUnreachable(err error) bool {
+	return errors.Is(err, errUnresponsive) || errors.Is(err, errWorkerDead)
+}
+
 // Opened implements eventloop.Handler.
 func (c *workerConn) Opened(*eventloop.Conn) {
 	l, now := c.link, c.link.pool.loop.Now()
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -1,11 +1,13 @@
 package workerpool
 
-// This file owns the connections that are dialled only to receive late completions. A worker reports the completion
-// of a task on the connection of its offer while it takes that for open, and else on the next one opened. Where
-// such a connection was closed by this side, or died, and the worker does not know, the completion comes only on one
-// that is opened after it. Where the worker learns of a close, that holds for the completions that crossed it, and
-// one more connection is enough. Such a connection carries no offer, so that its own end loses nothing, and must
-// never take one.
+// This file owns the connections that are dialled only to receive late completions. They must never carry an offer.
+//
+// A worker reports the completion of a task on the connection on which the task was offered, as long as it considers
+// that connection open, and otherwise on the next connection that is opened. There are two cases in which a completion
+// was sent on a connection that had ended here already, and arrives only on one opened later:
+//   - The connection ended and the worker has not noticed. Any completion may be late.
+//   - This side closed the connection and the worker noticed a moment later. The completions that it sent before that
+//     are late, and one more connection is enough for them.
 
 import (
 	"ravenhitch/internal/dispatch"
@@ -17,7 +19,7 @@
 	lateCompletionInterval = maxReadGap
 	// lateCompletionConnLifetime is how long one stays open for what the worker has to report.
 	lateCompletionConnLifetime = 500 * millisecond
-	// lateCompletionMinDescriptors is how many descriptors must be free: offers and clients come first.
+	// lateCompletionMinDescriptors is how many descriptors must be free: offers and clients have priority.
 	lateCompletionMinDescriptors = 32
 )
 
@@ -44,14 +46,14 @@
 }
 
 // expectsLateCompletions reports whether one of these tasks may have been offered on a connection that ended since
-// without the worker's knowledge, or that this side closed last while no other was opened.
+// unnoticed by the worker, or that this side closed with no other opened since.
 func (l *link) expectsLateCompletions(tasks dispatch.TaskSummary) bool {
 	if tasks.Count == 0 {
 		return false
 	}
-	unnoticed := tasks.OldestSentAt < l.lostUnnoticedAt
-	crossed := tasks.OldestSentAt < l.prunedAt && l.openedAt <= l.prunedAt
-	return unnoticed || crossed
+	lostUnnoticed := tasks.OldestSentAt < l.lostUnnoticedAt
+	closedLast := tasks.OldestSentAt < l.prunedAt && l.openedAt <= l.prunedAt
+	return lostUnnoticed || closedLast
 }
 
 // Opened implements eventloop.Handler.
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -31,6 +31,7 @@
 // The reasons for which this side closes a connection.
 var (
 	errUnresponsive   = errors.New("nothing came in since an offer was cancelled")
+	errWorkerDead     = errors.New("the worker is dead")
 	errAddressChanged = errors.New("the worker's address changed")
 	errUnlisted       = errors.New("the worker is no longer listed")
 	errSuperseded     = errors.New("a newer connection replaced it")
@@ -62,9 +63,9 @@
 	pendingResets map[string]bool     // requests reset with their connection, of which the worker may not know yet
 	releases      unconfirmedReleases // of running tasks
 
-	lostUnnoticedAt int64 // when a connection last ended that the worker may take for open
+	lostUnnoticedAt int64 // when a connection last ended that the worker may still consider open
 	openedAt        int64 // when a connection last came up, or one for late completions was dialled
-	prunedAt        int64 // when this side last closed a connection that the worker took for open until then
+	prunedAt        int64 // when this side last closed an older connection, of which the worker learns with a delay
 }
 
 // connForSending returns the connection for new messages, perhaps one that is not up yet, or nil where none
@@ -145,10 +146,9 @@
 	})
 }
 
-// sweep looks after the connections of a worker with these tasks. It dials another connection where the one there
-// may be dead: tasks run there and nothing came in for long. Without offers nobody would notice, and the
-// completions of tasks would wait for ever. (A connection on which an offer was cancelled while nothing came in
-// is closed by the cancel.)
+// sweep maintains the connections to a worker that runs these tasks. It dials another connection where the newest one
+// is not known to be alive: no offer would show that it is dead, and the completions of the tasks would wait for ever.
+// (A connection on which an offer was cancelled while nothing came in is closed by the cancel.)
 func (l *link) sweep(tasks dispatch.TaskSummary, now int64) {
 	l.releases.expire(now)
 	l.applyRestart()
@@ -162,7 +162,7 @@
 		return
 	}
 	newest := l.conns[len(l.conns)-1]
-	if newest.conn.IsUp() && newest.mayBeDead(now) && l.pool.budget.AdmitsWorker() {
+	if newest.conn.IsUp() && !newest.checkAlive(now) && l.pool.budget.AdmitsWorker() {
 		l.dial()
 	}
 	l.dialForLateCompletions(tasks, now)
@@ -205,7 +205,7 @@
 	l.wasReset, l.refusedSince = false, 0
 	l.pool.log.Warn("worker died", "worker", l.workerID)
 	l.pool.reportLater(func() {
-		l.closeAll(errUnresponsive)
+		l.closeAll(errWorkerDead)
 		l.scheduleRedial()
 		l.pool.dispatcher.WorkerDied(l.pool.loop.Now(), l.workerID)
 	})
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -83,14 +83,14 @@
 		lt.pool.SetKeepAlive(after)
 		c := lt.listWorker().conns[0]
 		lt.runUntil(func() bool { return c.conn.IsUp() })
-		if c.mayBeDead(lt.loop.Now() + maxReadGap) {
+		if !c.checkAlive(lt.loop.Now() + maxReadGap) {
 			t.Errorf("keepalive %s: taken for dead before its time", after)
 		}
-		if mayBeDead := c.mayBeDead(lt.loop.Now() + maxReadGap + 1); mayBeDead != (after == 0) {
-			t.Errorf("keepalive %s: may be dead: %v", after, mayBeDead)
+		if alive := c.checkAlive(lt.loop.Now() + maxReadGap + 1); alive != (after != 0) {
+			t.Errorf("keepalive %s: known to be alive: %v", after, alive)
 		}
 		c.conn.Close()
-		if !c.mayBeDead(lt.loop.Now() + time.Minute.Microseconds()) {
+		if c.checkAlive(lt.loop.Now() + time.Minute.Microseconds()) {
 			t.Errorf("keepalive %s: a connection without a sign of life is taken for alive", after)
 		}
 	}
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -44,8 +44,8 @@
 
 // delayedOffer is an offer that waits on its connection until its client is seen.
 type delayedOffer struct {
-	conn  *workerConn
-	offer *openOffer
+	workerConn *workerConn
+	offer      *openOffer
 }
 
 // Offer implements dispatch.WorkerPool.
@@ -78,9 +78,9 @@
 	delayed := p.delayedOffers
 	p.delayedOffers = nil
 	for _, d := range delayed {
-		if d.conn.openOffers[d.offer.RequestID] == d.offer { // else it was cancelled, or its connection closed
-			d.conn.sendOffer(d.offer)
-			d.conn.conn.Flush()
+		if d.workerConn.openOffers[d.offer.RequestID] == d.offer { // else it was cancelled, or its connection closed
+			d.workerConn.sendOffer(d.offer)
+			d.workerConn.conn.Flush()
 		}
 	}
 }
