--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -106,7 +106,8 @@
 	case jsonlines.VerbPending, jsonlines.VerbFinished, jsonlines.VerbEchoed, jsonlines.VerbNotice:
 		// The protocol allows them, and they need no reaction.
 	default:
-		return c.failMessage(message.Tag, &fieldError{Field: "verb", Value: message.Verb, Want: "a verb of the protocol"})
+		err := &fieldError{Field: "verb", Value: message.Verb, Want: "a verb of the protocol"}
+		return c.failMessage(message.Tag, err)
 	}
 	return nil
 }
--- a/internal/clientfront/response.go
+++ b/internal/clientfront/response.go
@@ -32,7 +32,8 @@
 	message := jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: response.RequestID, HasRC: true}
 	switch response.Kind {
 	case dispatch.Started:
-		return jsonlines.Message{Verb: jsonlines.VerbStarted, Tag: response.RequestID, Blob: response.Description, HasBlob: true}
+		return jsonlines.Message{Verb: jsonlines.VerbStarted, Tag: response.RequestID,
+			Blob: response.Description, HasBlob: true}
 	case dispatch.Migrated:
 		return jsonlines.Message{Verb: jsonlines.VerbMove, Tag: response.RequestID}
 	case dispatch.Rejected:
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -6,7 +6,7 @@
 
 const (
 	// reserved descriptors are left free by clients and workers for the connection to discovery, for
-	// operators' calls, and for what is accepted before the connection that makes place for it is closed.
+	// operators' calls, and for a client that is accepted before the connection evicted for it is closed.
 	reserved = 4
 	// programUse is what the program itself has open beside the reserved ones: the listening socket
 	// and the connection to discovery.
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Given a budget of 120 descriptors, of which clients use at most 40, workers are guaranteed 74, clients 40 beside optional
-// connections to workers, and 15 beside required ones. 4 more always stay free.
+// Given a budget of 120 descriptors, of which clients use at most 40, workers are guaranteed 74, clients 40 beside
+// optional connections to workers, and 15 beside required ones. 4 more always stay free.
 func TestAdmission(t *testing.T) {
 	const total, maxClients = 120, 40
 	for _, c := range []struct {
--- a/internal/discovery/chunked.go
+++ b/internal/discovery/chunked.go
@@ -57,7 +57,8 @@
 	}
 	n, err := strconv.ParseUint(string(digits), 16, 31)
 	if err != nil || n > maxBody {
-		return 0, 0, &ResponseError{Part: "chunk size", Reason: "expected a hex number within the limit", Value: string(digits)}
+		return 0, 0, &ResponseError{Part: "chunk size", Reason: "expected a hex number within the limit",
+			Value: string(digits)}
 	}
 	return int(n), end + 1, nil
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -88,9 +88,9 @@
 	c.drop()
 }
 
-// Abort closes the connection with a reset; its handler is not notified. What the other side has not taken yet is thrown
-// away on both sides: after a plain close the system would go on trying to deliver it, and a message would arrive
-// long after its time.
+// Abort closes the connection with a reset; its handler is not notified. Both systems discard what the other side
+// has not read yet: after a plain close they would go on trying to deliver it, and a message would arrive long
+// after its time.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -120,8 +120,8 @@
 		err  error
 		want string
 	}{
-		{&OpError{Op: "read", Err: unix.ECONNRESET}, "loop: read: connection reset by peer"},
-		{&OpError{Op: "dial", Target: "127.0.0.1:1", Err: unix.ECONNRESET}, "loop: dial 127.0.0.1:1: connection reset by peer"},
+		{&OpError{Op: "read", Err: unix.ECONNRESET}, "eventloop: read: connection reset by peer"},
+		{&OpError{Op: "dial", Target: "127.0.0.1:1", Err: unix.ECONNRESET}, "eventloop: dial 127.0.0.1:1: connection reset by peer"},
 	} {
 		if got := c.err.Error(); got != c.want || !errors.Is(c.err, unix.ECONNRESET) {
 			t.Errorf("got %q, expected %q", got, c.want)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -28,10 +28,8 @@
 	defaultMaxBuffered = 1 << 20
 	// initialEvents is how many ready descriptors one poll reports at first; it grows on demand.
 	initialEvents = 256
-	// wakeValue is what is added to the counter of the wake descriptor by each post.
-	wakeValue = 1
-	// wakeSize is the size of that counter.
-	wakeSize = 8
+	// eventfdSize is the size in bytes of the counter that is read from and written to an eventfd.
+	eventfdSize = 8
 )
 
 // Loop is one epoll loop.
@@ -48,9 +46,11 @@
 	maxBuffered     int    // bytes that one connection may leave unread
 	readBuffer      []byte // of all connections, as one is read at a time
 
-	unreaped    []*Conn // closed connections whose descriptors are still open
-	unflushed   []*Conn // connections that were written to in this turn
-	dispatching bool    // events are being dispatched: a descriptor closed now could be opened again, and taken for its old user
+	unreaped  []*Conn // closed connections whose descriptors are still open
+	unflushed []*Conn // connections that were written to in this turn
+	// dispatching says that events are being dispatched. A descriptor that was closed now could be opened again for
+	// another connection, which would then get the events of the old one.
+	dispatching bool
 
 	startedAt    time.Time
 	now          int64 // when this turn began
@@ -132,8 +132,8 @@
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	wake := [wakeSize]byte{wakeValue}
-	_, _ = unix.Write(l.wakeFD, wake[:]) // a full counter means that the loop is being woken already
+	one := [eventfdSize]byte{1}         // any value but 0, in any byte order, wakes the loop
+	_, _ = unix.Write(l.wakeFD, one[:]) // a full counter means that the loop is being woken already
 }
 
 // Run takes turns until Stop. In each it gathers what is ready, calls turn once to decide on all of it, and writes
@@ -178,7 +178,7 @@
 
 func (l *Loop) dispatch(fd int, events uint32) {
 	if fd == l.wakeFD {
-		var counter [wakeSize]byte
+		var counter [eventfdSize]byte
 		_, _ = unix.Read(l.wakeFD, counter[:]) // resets it; what was posted is taken in every turn
 		return
 	}
@@ -233,7 +233,7 @@
 	for fd := range l.packetConns {
 		l.closeDescriptor(fd)
 	}
-	l.dispatching = true // connections are reaped after the walk over them
+	l.dispatching = true // connections are reaped after the loop over them
 	for _, c := range l.conns {
 		c.drop()
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -1,7 +1,7 @@
 package eventloop
 
 // This file owns the listening sockets: where they listen, and which connections they accept. It must never accept a
-// connection for which there is no place: the system's queue keeps it.
+// connection for which there is no descriptor: the system's queue keeps it.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	listenBacklog = 1024
 	// maxAcceptsPerTurn is how many connections one listener accepts before others have their turn.
 	maxAcceptsPerTurn = 256
-	// acceptPause is how long a listener accepts nothing after there was no place for a connection.
+	// acceptPause is how long a listener accepts nothing after a connection could not be accepted.
 	acceptPause = 20 * millisecond
 )
 
@@ -30,8 +30,8 @@
 }
 
 // Listen accepts connections at addr, each with a Handler of its own from accept, and returns the address that it
-// listens on. admit is asked before each whether there is a place for it; until it says so, connections wait in
-// the system's queue.
+// listens on. admit reports whether another one may be accepted; while it does not, connections wait in the
+// system's queue.
 func (l *Loop) Listen(addr string, admit func() bool, accept func() Handler) (string, error) {
 	fd, sa, err := openSocket("listen", unix.SOCK_STREAM, addr)
 	if err != nil {
@@ -61,7 +61,8 @@
 // ListenInherited accepts connections, as Listen does, on a listening socket that this process was started with.
 func (l *Loop) ListenInherited(fd int, admit func() bool, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
-		notListening := fmt.Errorf("%w (%v)", ErrNotListening, err) //nolint:errorlint // err may be nil, which %w does not print
+		//nolint:errorlint // err may be nil, which %w does not print
+		notListening := fmt.Errorf("%w (%v)", ErrNotListening, err)
 		return "", &OpError{Op: "descriptor", Target: strconv.Itoa(fd), Err: notListening}
 	}
 	unix.CloseOnExec(fd)
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// Unlisten stops accepting at an address that Listen or ListenInherited returned. What the system has queued there goes to
-// whichever other process holds the socket.
+// Unlisten stops accepting at an address that Listen or ListenInherited returned. Connections that the system has
+// queued there are left to any other process that has the socket open.
 func (l *Loop) Unlisten(addr string) {
 	for fd := range l.listeners {
 		if localAddr(fd, "") == addr {
@@ -93,7 +94,7 @@
 	}
 }
 
-// HasQueuedConnections reports whether connections may wait in the system's queue, for want of a place.
+// HasQueuedConnections reports whether connections may wait in the system's queue until they can be accepted.
 func (l *Loop) HasQueuedConnections() bool {
 	for _, listener := range l.listeners {
 		if listener.queued {
@@ -103,7 +104,7 @@
 	return false
 }
 
-// acceptAll accepts what is queued on a listener, as far as there is a place for it.
+// acceptAll accepts the connections that are queued on a listener while there are descriptors and admit allows it.
 func (l *Loop) acceptAll(listener *listener) {
 	listener.queued = true
 	for range maxAcceptsPerTurn {
@@ -151,8 +152,8 @@
 	c.handler.Opened(c)
 }
 
-// pause leaves connections in the system's queue for a while: a listener that stays ready while there is no place would
-// make the loop spin.
+// pause leaves connections in the system's queue for acceptPause: polling a listener that is ready, but whose
+// connections can't be accepted, would make the loop spin.
 func (l *Loop) pause(listener *listener) {
 	if listener.paused {
 		return
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -3,8 +3,8 @@
 // This file owns what is known of past polls: up to when all that had come in was found. It must never claim
 // that a moment is covered that may not be.
 
-// pollHistory counts the complete polls: those that reported all descriptors that were ready. A poll that reported
-// as many as it had place for may have left some out.
+// pollHistory counts the complete polls: those that reported all descriptors that were ready. A poll that filled
+// its buffer of events may have left some out.
 type pollHistory struct {
 	count          int64
 	lastAt         int64 // when the last one returned
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -17,8 +17,8 @@
 	return len(b), nil
 }
 
-// What lay in the socket while a turn lasted counts from before that turn; what came in on an idle connection counts from
-// when that was last found empty, not from its last message.
+// What lay in the socket while a turn lasted counts from before that turn; what came in on an idle connection
+// counts from when that was last found empty, not from its last message.
 func TestEarliestArrival(t *testing.T) {
 	loop, onLoop := startLoop(t, 8)
 	handler := &arrivalHandler{make(chan int64, 10)}
@@ -55,8 +55,8 @@
 	}
 }
 
-// What was read of a connection shows up to when it was last seen: where a turn leaves something unread that is before it
-// was written, else when the turn began.
+// What was read of a connection shows up to when it was last seen: where a turn leaves something unread that is
+// before it was written, else when the turn began.
 func TestLastSeenAt(t *testing.T) {
 	const messageSize = 200 // of which a turn reads 64 bytes
 	loop, onLoop := startLoop(t, 10)
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -12,7 +12,7 @@
 )
 
 // read hands over what came in. ended says that the other side has closed its end, which is then found in the same
-// turn as what came before it: a client that has left already is not served.
+// turn as what came before it, so that a client that has disconnected already is not served.
 func (c *Conn) read(ended bool) error {
 	buffer := c.loop.readBuffer
 	for i := 0; i < maxReadsPerTurn && !c.closed; i++ {
--- a/internal/eventloop/socket_options.go
+++ b/internal/eventloop/socket_options.go
@@ -12,15 +12,15 @@
 // tcpOption is an integer option of a TCP socket.
 type tcpOption struct{ name, value int }
 
-// defaultKeepAlive is the keepalive of connections on which KeepAlive is not called. Times are in seconds.
+// defaultKeepAlive is the TCP keepalive of connections on which KeepAlive is not called. Times are in seconds.
 var defaultKeepAlive = [...]tcpOption{
-	{unix.TCP_KEEPIDLE, 30},  // a probe after so long without a sign of life
-	{unix.TCP_KEEPINTVL, 10}, // and after so long without an answer to it
-	{unix.TCP_KEEPCNT, 3},    // the connection ends after so many
+	{unix.TCP_KEEPIDLE, 30},  // time without a packet before the first probe
+	{unix.TCP_KEEPINTVL, 10}, // time between probes
+	{unix.TCP_KEEPCNT, 3},    // unanswered probes after which the connection ends
 }
 
-// setSocketOptions sets what every connection needs: small messages are sent at once, and an other side that vanished
-// without a sign is found out. Where the system rejects any of this the connection is still usable.
+// setSocketOptions sets what every connection needs: small messages are sent at once, and TCP keepalive detects another
+// side that vanished. Where the system rejects any of this the connection is still usable.
 func setSocketOptions(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
@@ -29,8 +29,8 @@
 	}
 }
 
-// KeepAlive has the system ask the other side's for a sign of life after so many seconds without one, and twice more a
-// second apart; a connection that shows none ends.
+// KeepAlive sets TCP keepalive: the system sends a probe once nothing has come from the other side for so many seconds,
+// then two more, one a second. A connection on which none is answered ends.
 func (c *Conn) KeepAlive(seconds int) error {
 	for _, option := range [...]tcpOption{
 		{unix.TCP_KEEPIDLE, seconds},
--- a/internal/jsonlines/lines.go
+++ b/internal/jsonlines/lines.go
@@ -4,8 +4,8 @@
 
 import "bytes"
 
-// Lines calls handle with each complete line of b, without its end, and returns how many bytes that took. Empty lines are
-// skipped. It returns the error of handle, or ErrLineTooLong as soon as a line exceeds MaxLine.
+// Lines calls handle with each complete line of b, without its end, and returns how many bytes that took. Empty
+// lines are skipped. It returns the error of handle, or ErrLineTooLong as soon as a line exceeds MaxLine.
 func Lines(b []byte, handle func(line []byte) error) (used int, err error) {
 	for used < len(b) {
 		rest := b[used:]
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -21,7 +21,7 @@
 	VerbMove     = "MOVE"     // asks for the migration of a running task
 )
 
-// The codes that a FINISH gives as its cause.
+// The outcome codes of a FINISH, in its field "rc".
 const (
 	CodeEnded     = 16  // to a worker: cancelled or released; as a report: completed
 	CodeCancelled = 31  // from a worker: the task was ended before it completed
@@ -39,7 +39,7 @@
 type Message struct {
 	Verb, Tag string // the tag is the request ID, or that of a ping
 	Opts      []Field
-	RC        int // the code of a FINISH or ECHOED
+	RC        int // the outcome code of a FINISH or ECHOED
 	HasRC     bool
 	Blob      string // the description of a task
 	HasBlob   bool
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -85,8 +85,8 @@
 	return string(content), nil
 }
 
-// escapedString reads the rest of a string that has escapes. start is where its content begins; up to the current offset
-// there is none.
+// escapedString reads the rest of a string that has escapes. start is where its content begins; up to the current
+// offset there is none.
 func (s *scanner) escapedString(start int) (string, error) {
 	content := append([]byte(nil), s.text[start:s.offset]...)
 	rawStart := start // of the bytes since the last escape
@@ -131,8 +131,8 @@
 	return append(dst, escapedBytes[letter]), nil
 }
 
-// appendCodePoint reads an escaped UTF-16 code unit, or a pair of surrogates, and appends it as UTF-8. A lone surrogate is
-// appended in the three bytes that UTF-8 would have for it.
+// appendCodePoint reads an escaped UTF-16 code unit, or a pair of surrogates, and appends it as UTF-8. A lone
+// surrogate is appended in the three bytes that UTF-8 would have for it.
 func (s *scanner) appendCodePoint(dst []byte) ([]byte, error) {
 	unit, ok := s.codeUnit()
 	if !ok {
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -32,8 +32,8 @@
 // Info logs a line, without a limit.
 func (l *Logger) Info(text string, args ...any) { l.log.Info(text, args...) }
 
-// Warn logs a line, unless the text had its lines of this burst. The first line of the next burst is preceded by one that
-// counts what was suppressed.
+// Warn logs a line, unless the text had its lines of this burst. The first line of the next burst is preceded by
+// one that counts what was suppressed.
 func (l *Logger) Warn(text string, args ...any) {
 	b := l.bursts[text]
 	if b == nil {
--- a/internal/workerpool/helpers_test.go
+++ b/internal/workerpool/helpers_test.go
@@ -65,7 +65,8 @@
 }
 
 // offerToWorker lists the worker, and offers it a request before its connection is up. It returns that connection.
-func offerToWorker(t *testing.T, listener net.Listener, loop *eventloop.Loop, pool *Pool, dispatcher *dispatch.Dispatcher) *workerConn {
+func offerToWorker(t *testing.T, listener net.Listener, loop *eventloop.Loop, pool *Pool,
+	dispatcher *dispatch.Dispatcher) *workerConn {
 	t.Helper()
 	dispatcher.UpdateWorkers(loop.Now(), fullList())
 	pool.UpdateWorker(workerName, listener.Addr().String(), true)
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Given a worker of another orchestrator where no task runs, it is not dialled again after a failure, and a release that
-// it has not confirmed is forgotten in time.
+// Given a worker of another orchestrator where no task runs, it is not dialled again after a failure, and a release
+// that it has not confirmed is forgotten in time.
 func TestUnassignedWorkerIsNotRedialled(t *testing.T) {
 	lt := newLinkTest(t)
 	lt.pool.SetAssigned(func(string) bool { return false })
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -61,9 +61,7 @@
 		c = l.connForSending()
 	}
 	if c == nil {
-		p.reportLater(func() {
-			p.dispatcher.TaskEnded(p.loop.Now(), worker, offer.RequestID, placement.ConnectFailed, placement.CauseUnknown)
-		})
+		p.reportConnectFailed(worker, offer.RequestID)
 		return
 	}
 	offer.tries++
@@ -73,6 +71,13 @@
 	}
 }
 
+// reportConnectFailed reports that an offer was never sent, as no connection to the worker came up.
+func (p *Pool) reportConnectFailed(worker, requestID string) {
+	p.reportLater(func() {
+		p.dispatcher.TaskEnded(p.loop.Now(), worker, requestID, placement.ConnectFailed, placement.CauseUnknown)
+	})
+}
+
 // sendDelayedOffers sends the offers whose clients were to be seen first, and hands them to the system at once.
 func (p *Pool) sendDelayedOffers() {
 	delayed := p.delayedOffers
@@ -177,9 +182,7 @@
 			resend = append(resend, offer)
 		default:
 			pool.trace("offer never sent", requestID, "worker", l.workerID, "err", err)
-			pool.reportLater(func() {
-				pool.dispatcher.TaskEnded(pool.loop.Now(), l.workerID, requestID, placement.ConnectFailed, placement.CauseUnknown)
-			})
+			pool.reportConnectFailed(l.workerID, requestID)
 		}
 	}
 	for _, offer := range c.openOffers {
