--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -1,9 +1,9 @@
 package discovery
 
-// This file owns the shards of workers that are assigned to this orchestrator: those that it places tasks
-// in, and those that it is to and has not read the free capacity of yet. A shard that is lost is not used
-// from that moment on. One that is gained is used once the command channel has reported its workers, so
-// that no task is placed by a view that is older than what another orchestrator placed there.
+// This file owns which shards of workers are assigned to this orchestrator, and which of these are active: it
+// places tasks in active shards only. A shard that is lost is inactive at once. One that is gained is active once
+// discovery has reported its workers, so that no task is placed by free capacity from before another
+// orchestrator placed tasks there. It must never make a shard active otherwise.
 
 import (
 	"maps"
@@ -17,18 +17,18 @@
 // Assignment says which shards of a zone this orchestrator is to place tasks in.
 type Assignment func(zone string) shard.Bits
 
-// maxLateReportMs is how long a poll may wait where workers are assigned to orchestrators: nobody else
-// places tasks at those of this orchestrator, so that their free capacity changes by what it does itself,
-// and reports of nothing but that may come together.
+// maxLateReportMs is how long a poll may wait, in milliseconds, where workers are assigned to orchestrators: no
+// other orchestrator places tasks at those of this one, which knows itself how their free capacity changes, so
+// that discovery may delay events that report nothing else.
 const maxLateReportMs = 4_000
 
 // shardAssignment tracks the shards of one orchestrator.
 type shardAssignment struct {
 	assigned  Assignment
 	zones     map[string]string // of the workers that are listed
-	active    shard.Set         // where it places tasks
-	wanted    shard.Set         // where it is to place tasks
-	requested shard.Set         // what the poll in flight names
+	active    shard.Set         // in which it places tasks
+	wanted    shard.Set         // that are assigned, in the zones listed so far
+	requested shard.Set         // that the poll in flight names
 }
 
 func newShardAssignment(assigned Assignment) *shardAssignment {
@@ -49,9 +49,9 @@
 	return lost
 }
 
-// update takes over the zones of listed workers, and forgets all others where the list is complete. The
-// workers of a zone that no poll named are reported to everybody, so that the shards of a new zone are
-// active at once; it reports whether there is one.
+// update takes the zones from a list of workers, and forgets all others where the list is complete. Discovery reports
+// the workers of a zone that no poll named to every orchestrator, so that the shards of a new zone are active
+// at once; update reports whether there is one.
 func (s *shardAssignment) update(members []config.Member, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
@@ -84,7 +84,7 @@
 }
 
 // beginPoll notes which shards the poll that is sent now names, and returns the part of its query that
-// names to the command channel the shards of which to report free capacity, and those of which to report all of it.
+// names the shards of which discovery is to report free capacity, and those of which to report all of it.
 func (s *shardAssignment) beginPoll() (query string) {
 	if s == nil {
 		return ""
@@ -97,7 +97,7 @@
 	return query
 }
 
-// endPoll makes the shards active that the answered poll named, and reports whether any was gained so.
+// endPoll makes the shards active that the answered poll named, and reports whether there were any to make so.
 func (s *shardAssignment) endPoll() (gained bool) {
 	if s == nil {
 		return false
@@ -113,40 +113,6 @@
 	return s.wanted.Minus(s.active).Minus(s.requested).Len() > 0
 }
 
-// escapeSet is a set as a value in the query of a URL, where of its characters the percent sign alone
+// escapeSet returns a set as a value in the query of a URL. The percent sign is the only one of its characters that
 // must be escaped.
 func escapeSet(set shard.Set) string { return strings.ReplaceAll(set.String(), "%", "%25") }
-
-// EnableAssignment makes this orchestrator place tasks in its shards alone. It must be called before Apply.
-func (f *Follower) EnableAssignment(assigned Assignment) {
-	f.assignment = newShardAssignment(assigned)
-	f.publishAssignment()
-}
-
-// SetAssignment changes the shards that this orchestrator is to place tasks in. EnableAssignment must have
-// been called.
-func (f *Follower) SetAssignment(assigned Assignment) {
-	if f.assignment.change(assigned) {
-		f.publishAssignment()
-	}
-	if f.conn != nil && f.assignment.needsPoll() {
-		f.restartIn(0) // the poll in flight may wait for long, and does not name what was gained
-	}
-}
-
-// updateZones takes over the zones of listed workers, where workers are assigned to orchestrators.
-func (f *Follower) updateZones(members []config.Member, complete bool) {
-	if f.assignment != nil && f.assignment.update(members, complete) {
-		f.publishAssignment()
-	}
-}
-
-// publishAssignment sets the assigned workers at the dispatcher and at the pool of connections to workers.
-func (f *Follower) publishAssignment() {
-	// The predicate answers by the shards of this moment until the next one is published.
-	active, zones := f.assignment.active, f.assignment.zones
-	assigned := func(worker string) bool { return active.Has(zones[worker], worker) }
-	f.pool.SetAssigned(assigned)
-	f.dispatcher.SetAssignedWorkers(f.loop.Now(), assigned)
-	f.log.Info("shard assignment", "shards", active.Len(), "wanted", f.assignment.wanted.Len())
-}
--- a/internal/discovery/assignment_test.go
+++ b/internal/discovery/assignment_test.go
@@ -46,7 +46,9 @@
 	if assignment.endPoll() || !assignment.needsPoll() {
 		t.Error("a poll that was sent before the change gained shards")
 	}
-	if query := assignment.beginPoll(); query != "&room=late&shards=z1:000000000000003c,z2:000000000000003c&fresh=z1:0000000000000030,z2:0000000000000030" {
+	const wantQuery = "&room=late&shards=z1:000000000000003c,z2:000000000000003c" +
+		"&fresh=z1:0000000000000030,z2:0000000000000030"
+	if query := assignment.beginPoll(); query != wantQuery {
 		t.Errorf("a poll for gained shards has the query %q", query)
 	}
 	if assignment.needsPoll() {
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -1,13 +1,13 @@
 package discovery
 
-// This file owns the errors of responses of the command channel.
+// This file owns the errors of responses of discovery.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// ErrResponse is wrapped by every error about a response of the command channel.
+// ErrResponse is wrapped by every error about a response of discovery.
 var ErrResponse = errors.New("malformed response")
 
 // ResponseError is the error of a response that is not in the form of HTTP/1.1, or beyond what is
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -63,7 +63,7 @@
 	if event.Complete {
 		f.pool.RemoveUnlisted(namesOf(event.Members))
 	}
-	f.updateZones(event.Members, event.Complete)
+	f.updateAssignment(event.Members, event.Complete)
 	for _, member := range event.Members {
 		f.pool.UpdateWorker(member.Worker, member.Addr, member.State != placement.Removed)
 		f.pool.WorkerStarted(member.Worker, member.StartedAtUs)
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -1,11 +1,11 @@
-// Package discovery follows the command channel, from which an orchestrator learns the workers of its
-// fleet. It speaks HTTP/1.1 with it by long polls, applies each event of the list of workers once and in
-// order, and tracks the shards of workers that are assigned to this orchestrator.
+// Package discovery is the client of discovery, from which an orchestrator learns the workers of its fleet; the wire
+// calls it the command channel. The package polls it by HTTP/1.1 long polls, applies each event of the list of workers
+// once and in order, and tracks the shards of workers that are assigned to this orchestrator.
 package discovery
 
-// This file owns the connection to the command channel and the poll that waits on it. It polls without
-// pause, since an event counts as delivered once it is in the channel. It must never have two polls in
-// flight, skip an event, or stop polling.
+// This file owns the connection to discovery and the poll that waits on it. It polls without pause, since
+// an event counts as delivered once discovery has it. It must never have two polls in flight, skip an event,
+// or stop polling.
 
 import (
 	"errors"
@@ -27,21 +27,18 @@
 )
 
 const (
-	// pollBlockMs is how long the channel may block a poll until there is an event, in milliseconds as the
+	// pollBlockMs is how long discovery may block a poll until there is an event, in milliseconds as the
 	// poll names it. The poll is abandoned responseSlack after that.
 	pollBlockMs   = 1_000
 	responseSlack = 800 * millisecond
 	// redialDelay is the pause before the next dial after one that failed.
 	redialDelay = 100 * millisecond
-	// recoveryLimit is within how much time the list must be read from a channel that was
-	// unresponsive and is back, but not on the connection of the poll in flight.
-	recoveryLimit = 2 * second
-	// syncDelay is how long the channel takes at most to answer a poll for events that it
+	// syncDelay is how long discovery takes at most to answer a poll for events that it
 	// already has: it blocks a poll only while it has no event for it.
 	syncDelay = 300 * millisecond
 )
 
-// Follower follows the command channel.
+// Follower polls discovery and applies what it reports. It belongs to the event loop.
 type Follower struct {
 	loop          *eventloop.Loop
 	dispatcher    *dispatch.Dispatcher
@@ -54,13 +51,13 @@
 	pollTimer     *eventloop.Timer // abandons that poll
 	redialTimer   *eventloop.Timer // starts the next dial
 
-	firstPollAt int64 // when the channel was first polled, 0 before that
+	firstPollAt int64 // when discovery was first polled, 0 before that
 	hasResponse bool  // whether it has answered a poll
 
 	assignment *shardAssignment // nil where this orchestrator uses all workers
 }
 
-// NewFollower returns a follower of the channel at address that has applied nothing yet. A dial is
+// NewFollower returns a follower of discovery at address that has applied nothing yet. A dial is
 // abandoned after dialTimeoutUs.
 func NewFollower(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, pool *workerpool.Pool, address string,
 	dialTimeoutUs int64, log *slog.Logger) *Follower {
@@ -68,13 +65,13 @@
 		log: ratelog.New(log)}
 }
 
-// Synced reports whether this process is in sync with the channel: the channel has answered once, or
+// Synced reports whether this process is in sync with discovery, which has answered once, or
 // was polled and had no event for syncDelay.
 func (f *Follower) Synced() bool {
 	return f.hasResponse || f.firstPollAt > 0 && f.loop.Now()-f.firstPollAt > syncDelay
 }
 
-// Start dials the channel and polls it from then on.
+// Start dials discovery and polls it from then on.
 func (f *Follower) Start() {
 	conn, err := f.loop.Dial(f.address, f.dialTimeoutUs, f)
 	if err != nil {
@@ -85,7 +82,7 @@
 	f.conn = conn
 }
 
-// SetAddress continues at another address, with the events behind the last one that was applied. The
+// SetAddress continues at another address, with the events after the last one that was applied. The
 // former address sends no more events, so that the poll in flight there is abandoned.
 func (f *Follower) SetAddress(address string) {
 	if address != f.address {
@@ -106,7 +103,7 @@
 	f.redialTimer = f.loop.After(delayUs, f.Start)
 }
 
-// poll requests the events behind the cursor.
+// poll requests the events after the cursor.
 func (f *Follower) poll() {
 	blockMs := f.assignment.pollBlockMs()
 	f.conn.Write([]byte(fmt.Sprintf("GET /cmd/next?resume=%d&block=%d%s HTTP/1.1\r\nHost: %s\r\n\r\n",
@@ -135,8 +132,8 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. One response is outstanding at a time. Bytes behind it were not requested:
-// read as the next response, they would put all that follow one poll late.
+// Data implements eventloop.Handler. One response is outstanding at a time, and bytes after it were not requested:
+// taken for the next response, they would make all later responses answer the poll before theirs.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
 	if err != nil || !complete {
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -17,11 +17,16 @@
 	"ravenhitch/placement"
 )
 
-// A channel that is back is polled within the time in which the list is to be read, also where the poll in
-// flight is never answered: on a connection that stays open and unresponsive nothing but the timer notices.
+// recoveryLimit is within how much time the list must be read from discovery once it responds again, also where it
+// does not respond on the connection of the poll in flight. It is in microseconds.
+const recoveryLimit = 2 * second
+
+// Discovery that responds again is polled within recoveryLimit, also where the poll in flight is never
+// answered: on a connection that stays open and unresponsive only the timer shows that.
 func TestUnresponsiveChannelIsPolledInTime(t *testing.T) {
 	if longest := pollBlockMs*millisecond + responseSlack + redialDelay; longest >= recoveryLimit {
-		t.Errorf("a poll without a response is abandoned and repeated after %d us, expected less than %d", longest, recoveryLimit)
+		t.Errorf("a poll without a response is abandoned and repeated after %d us, expected less than %d",
+			longest, recoveryLimit)
 	}
 }
 
@@ -60,7 +65,7 @@
 	}
 }
 
-// scriptedChannel is a command channel whose next answers a test gives.
+// scriptedChannel stands in for discovery; a test scripts its answers.
 type scriptedChannel struct{ listener *net.TCPListener }
 
 // newScriptedChannel listens until the test ends.
@@ -109,9 +114,9 @@
 	}
 }
 
-// A command channel that breaks off in the middle of an event, or of the head of a response, is polled
-// again for the same event, which is applied once. One that answers twice is polled anew, and one that
-// counts from a lower number on reports nothing.
+// Where discovery breaks off in the middle of an event, or of the head of a response, it is polled again
+// for the same event, which is applied once. Where it answers twice it is polled anew, and where it
+// counts from a lower cursor on it reports nothing.
 func TestChannelBreaksOff(t *testing.T) {
 	channel := newScriptedChannel(t)
 	loop, pool, dispatcher := newPool(t)
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file owns the form of an HTTP/1.1 response of the command channel. Its parser keeps no state
+// This file owns the form of an HTTP/1.1 response of discovery. Its parser keeps no state
 // between calls and has no connection. It must never take more than linear time or panic, whatever
 // bytes come.
 
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -12,8 +12,8 @@
 	ErrBudget   = errors.New("eventloop: no descriptor left in the budget")
 )
 
-// ErrNotListening says that an inherited descriptor is no listening socket. It comes in an [OpError], whose text names the
-// package.
+// ErrNotListening says that an inherited descriptor is no listening socket. It comes in an [OpError], whose text
+// names the package.
 var ErrNotListening = errors.New("expected a listening socket")
 
 // OpError is an operation on a descriptor that failed. It wraps the error of the system call, as a [unix.Errno].
