--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -1,7 +1,8 @@
 package clientfront
 
-// This file owns one connection of a client: the messages that come on it, and the requests that are open
-// on it. It must never pass on what a client may not send.
+// This file owns one connection of a client: the messages that come on it, and the requests that are open on it. It
+// must never pass on what a client may not send, nor close the connection before it has responded to the requests
+// that are open.
 
 import (
 	"fmt"
@@ -14,12 +15,12 @@
 )
 
 const (
-	// A connection that had no task yet may have maxOpenWithoutTask requests open, more are rejected at
-	// once; one that never had a task may send maxInvalidMessages invalid messages. That guards the
-	// clients whose connections carry running tasks.
+	// A connection that had no task yet may have maxOpenWithoutTask requests open, and further ones are rejected
+	// at once; its maxInvalidMessages-th invalid message ends it. That protects the connections on which
+	// completions of tasks are reported from others.
 	maxOpenWithoutTask = 32
 	maxInvalidMessages = 64
-	// openLimitRetryAfter is when a client is to come again that had too many requests open.
+	// openLimitRetryAfter is after how long a client is to retry a request that was rejected as too many were open.
 	openLimitRetryAfter = 1 * second
 )
 
@@ -32,8 +33,8 @@
 	lastActiveAt int64           // when its last complete message came, or when it connected
 	partialSince int64           // since when a part of a message waits for the rest, 0 where none does
 	hasMessage   bool            // a complete message came
-	hasTask      bool            // a task of its was started or adopted
-	hasStarted   bool            // a task of its was started
+	hasTask      bool            // a task was started or adopted for a request on it
+	hasStarted   bool            // a task was started for a request on it
 	invalidCount int             // invalid messages
 }
 
@@ -89,7 +90,7 @@
 	return used, nil
 }
 
-// receive handles one message. An error ends the connection.
+// receive handles one message. An error ends the connection. A ping shows that a client is there to read completions.
 func (c *clientConn) receive(now int64, message *jsonlines.Message) error {
 	c.lastActiveAt, c.hasMessage = now, true
 	if c.hasStarted {
@@ -136,7 +137,7 @@
 	switch {
 	case submission.RunningOn == "":
 		c.openRequests[submission.RequestID] = true
-	case !isKnown && dispatcher.IsListed(submission.RunningOn): // anybody may register a known task again
+	case !isKnown && dispatcher.IsListed(submission.RunningOn): // registering a known task proves nothing of the client
 		c.hasTask = true
 		c.front.reportOn(c)
 	}
@@ -198,5 +199,5 @@
 	return nil
 }
 
-// send writes a message to the client.
+// send writes a message, which goes out at the end of the loop's turn.
 func (c *clientConn) send(message *jsonlines.Message) { c.conn.Write(jsonlines.Append(nil, message)) }
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -3,8 +3,8 @@
 // about tasks.
 package clientfront
 
-// This file owns the set of connections from clients, and how they are accepted. It must never close a
-// connection with an open request before the response to that is written.
+// This file owns the set of connections from clients, the socket that accepts them and the periodic sweep over
+// them. It must never serve more than its maximum of connections.
 
 import (
 	"log/slog"
@@ -21,6 +21,9 @@
 	second      = 1_000 * millisecond
 )
 
+// sweepInterval is the time between two sweeps over the connections and unreported completions.
+const sweepInterval = 250 * millisecond
+
 // Front serves clients. It belongs to the event loop.
 type Front struct {
 	loop          *eventloop.Loop
@@ -31,7 +34,7 @@
 	budget        *descriptors.Budget // nil where there are enough descriptors for all
 	idleTimeoutUs int64               // after which a connection without an open request is closed, 0 for never
 	clients       map[*clientConn]bool
-	latestStarted *clientConn // last active of the connections for which a task was started, nil where there is none
+	latestStarted *clientConn // of the connections for which a task was started the last active one, nil for none
 	unreported    []unreportedCompletion
 	accepted      uint64 // connections so far
 }
@@ -81,7 +84,16 @@
 	return f.loop.Listen(addr, f.admit, accept)
 }
 
-// add takes in a connection that was accepted, and numbers it.
+// sweep closes the connections that timed out, and reports completions that have waited long enough. It
+// runs as long as the loop does.
+func (f *Front) sweep() {
+	now := f.loop.Now()
+	f.closeTimedOut(now)
+	f.reportOverdue(now)
+	f.loop.After(sweepInterval, f.sweep)
+}
+
+// add registers a connection that was accepted, and numbers it.
 func (f *Front) add(client *clientConn) {
 	f.clients[client] = true
 	f.accepted++
--- /dev/null
+++ b/internal/clientfront/timeouts.go
@@ -0,0 +1,32 @@
+package clientfront
+
+// This file owns which connections have timed out. A connection with an open request must never count as idle.
+
+// messageTimeout is how long a connection may take for its first message, and for the rest of a message that has
+// begun: a client may take 2 s to write one, and a connection that sends none is to be closed within 3 s.
+const messageTimeout = 2_400 * millisecond
+
+// closeTimedOut closes the connections that are stalled or were idle for too long.
+func (f *Front) closeTimedOut(now int64) {
+	for client := range f.clients {
+		switch {
+		case client.isStalled(now):
+			f.log.Warn("client message timed out", "has_message", client.hasMessage)
+			client.end()
+		case client.isIdle(now):
+			client.end()
+		}
+	}
+}
+
+// isStalled reports whether a first message, or the rest of one, is overdue.
+func (c *clientConn) isStalled(now int64) bool {
+	return !c.hasMessage && now-c.lastActiveAt > messageTimeout ||
+		c.partialSince > 0 && now-c.partialSince > messageTimeout
+}
+
+// isIdle reports whether the connection has no open request and was idle for the timeout.
+func (c *clientConn) isIdle(now int64) bool {
+	timeout := c.front.idleTimeoutUs
+	return len(c.openRequests) == 0 && timeout > 0 && now-c.lastActiveAt > timeout
+}
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -1,22 +1,23 @@
 package clientfront
 
-// This file owns to which client a completion is reported, and the completions for which none is
-// connected. It must never report one to a connection that had no task while a better one may still come.
+// This file owns on which connection a completion is reported, and the completions for which no client is connected.
+// Whoever connects may be anybody: on a connection without a task it must report one only where a ping shows that a
+// client is there, or once unreportedHold is over.
 
 import "ravenhitch/internal/jsonlines"
 
 const (
 	// maxUnreported bounds the completions that wait for a client to connect.
 	maxUnreported = 10_000
-	// unreportedHold is how long they wait for a connection that is known to be a client's, while others
-	// are connected: 0.5 of the 1 s in which a client is to be notified.
+	// unreportedHold is how long they wait for a connection that had a task or pings, while others are
+	// connected: half of the 1 s in which a client is to be notified.
 	unreportedHold = 500 * millisecond
 )
 
 // unreportedCompletion is a completion for which no client is connected.
 type unreportedCompletion struct {
-	at   int64 // when it happened
-	line []byte
+	at   int64  // when it could not be reported
+	line []byte // its message
 }
 
 // reportCompletion sends a completion to the client of a request: on its connection or, where that is
@@ -27,8 +28,8 @@
 		target = f.bestConn(usageTask)
 	}
 	if target != nil {
-		f.tracer.Step("completion sent", requestID, f.loop.Now(), "connection", target.number, "own", target == origin,
-			"use", int(target.usage()))
+		f.tracer.Step("completion sent", requestID, f.loop.Now(), "connection", target.number,
+			"same_connection", target == origin, "usage", int(target.usage()))
 		target.send(message)
 		return
 	}
@@ -39,9 +40,7 @@
 }
 
 // bestConn returns an open connection of at least a usage, or nil: the last active one of those for which
-// a task was started, else of those that said where one runs, else of those that sent a message.
-// Completions go to connections that never had a task only where no better one came: whoever connects may
-// be anybody.
+// a task was started, else of those on which one was adopted, else of those that sent a message.
 func (f *Front) bestConn(minUsage usage) *clientConn {
 	if f.latestStarted != nil && f.latestStarted.conn.IsUp() {
 		return f.latestStarted
@@ -55,7 +54,7 @@
 	return best
 }
 
-// reportsBefore reports whether a completion is to go out on the connection rather than on another.
+// reportsBefore reports whether a completion is to be reported on the connection rather than on another.
 func (c *clientConn) reportsBefore(other *clientConn) bool {
 	if usage, otherUsage := c.usage(), other.usage(); usage != otherUsage {
 		return usage > otherUsage
