--- a/internal/clientfront/front_test.go
+++ b/internal/clientfront/front_test.go
@@ -13,6 +13,8 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 	"ravenhitch/internal/workerpool"
 	"ravenhitch/placement"
 )
@@ -78,12 +80,8 @@
 // dial connects a client until the test ends.
 func (f testFront) dial(t *testing.T) *client {
 	t.Helper()
-	conn, err := net.Dial("tcp", f.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test is over
-	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+	conn := nettest.Dial(t, f.addr)
+	if err := conn.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	return &client{conn, bufio.NewReader(conn)}
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -13,6 +13,8 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 	"ravenhitch/internal/workerpool"
 	"ravenhitch/placement"
 )
@@ -71,30 +73,17 @@
 // newScriptedChannel listens until the test ends.
 func newScriptedChannel(t *testing.T) *scriptedChannel {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	return &scriptedChannel{listener.(*net.TCPListener)}
+	return &scriptedChannel{nettest.Listen(t).(*net.TCPListener)}
 }
 
 // answer expects a poll that holds want on the next connection, and answers it. Unless keepOpen is set
 // the connection is closed behind the answer, else when the test ends.
 func (s *scriptedChannel) answer(t *testing.T, want, answer string, keepOpen bool) {
 	t.Helper()
-	const patience = 10 * time.Second
-	if err := s.listener.SetDeadline(time.Now().Add(patience)); err != nil {
-		t.Fatal(err)
-	}
-	conn, err := s.listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() }) // an error if it is closed already
-	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := s.listener.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
+	conn := nettest.Accept(t, s.listener)
 	for reader := bufio.NewReader(conn); ; {
 		line, err := reader.ReadString('\n')
 		if err != nil || strings.HasPrefix(line, "GET") && !strings.Contains(line, want) {
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -9,12 +9,13 @@
 	"golang.org/x/sys/unix"
 
 	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // closedPort returns an address where nobody listens.
 func closedPort(t *testing.T) string {
 	t.Helper()
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +26,7 @@
 func TestDial(t *testing.T) {
 	const timeoutUs = 250_000
 	loop, onLoop := startLoop(t, 3)
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	accepted, refused := newEchoHandler(), newEchoHandler()
 	refusedAddr := closedPort(t)
 	var conn *Conn
@@ -57,7 +58,7 @@
 		}
 	})
 
-	remote := accept(t, listener)
+	remote := nettest.Accept(t, listener)
 	onLoop(func() {
 		conn.Write([]byte("last words"))
 		conn.Close()
@@ -81,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeAtEnd(t, func() error { return unix.Close(fd) }) })
+	nettest.CloseAtEnd(t, func() error { return unix.Close(fd) })
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -3,14 +3,12 @@
 // This file owns what the tests of this package share: running loops, and connections to them.
 
 import (
-	"errors"
 	"net"
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // dialTimeoutUs is longer than a test takes.
@@ -65,47 +63,6 @@
 	}
 }
 
-// listen returns a listener that is closed at the end of the test.
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeAtEnd(t, listener.Close) })
-	return listener
-}
-
-// dial returns a connection to the loop that is closed at the end of the test.
-func dial(t *testing.T, addr string) net.Conn {
-	t.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeAtEnd(t, conn.Close) })
-	return conn
-}
-
-// accept returns the next connection of a listener, which is closed at the end of the test.
-func accept(t *testing.T, listener net.Listener) net.Conn {
-	t.Helper()
-	conn, err := listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeAtEnd(t, conn.Close) })
-	return conn
-}
-
-// closeAtEnd closes what may have been closed by the test already, or reset by the loop.
-func closeAtEnd(t *testing.T, closeFunc func() error) {
-	t.Helper()
-	if err := closeFunc(); err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, unix.ECONNRESET) {
-		t.Error(err)
-	}
-}
-
 // write writes to a connection of the test.
 func write(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
@@ -125,7 +82,7 @@
 // connectThree has the loop dial three connections to a listener of the test. It returns both ends.
 func connectThree(t *testing.T, loop *Loop, onLoop func(func())) (local [3]*Conn, remote [3]net.Conn) {
 	t.Helper()
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	for i := range local {
 		handler := newEchoHandler()
 		onLoop(func() {
@@ -135,7 +92,7 @@
 			}
 		})
 		testbed.Wait(t, "the connection", handler.opened)
-		remote[i] = accept(t, listener)
+		remote[i] = nettest.Accept(t, listener)
 	}
 	return local, remote
 }
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // arrivalHandler reports for each message when it came in at the earliest.
@@ -29,7 +30,7 @@
 			t.Error(err)
 		}
 	})
-	conn := dial(t, addr)
+	conn := nettest.Dial(t, addr)
 	onLoop(func() {})
 	write(t, conn, []byte("a"))
 	testbed.Wait(t, "the first message", handler.arrivals)
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // Given more than the system takes at once, it arrives completely and in order, both ways.
@@ -24,7 +25,7 @@
 			t.Error(err)
 		}
 	})
-	conn := dial(t, addr)
+	conn := nettest.Dial(t, addr)
 	want := bytes.Repeat([]byte("0123456789abcdef"), 120_000)
 	written := make(chan error, 1)
 	go func() {
@@ -74,14 +75,14 @@
 		}
 	})
 
-	unread := dial(t, addr)
+	unread := nettest.Dial(t, addr)
 	handler := testbed.Wait(t, "the client that does not read", handlers)
 	go writeUntilClosed(unread)
 	if err := testbed.Wait(t, "the end", handler.closed); !errors.Is(err, ErrOverflow) {
 		t.Errorf("ended with %v", err)
 	}
 
-	other := dial(t, addr)
+	other := nettest.Dial(t, addr)
 	write(t, other, []byte("x"))
 	if n, err := other.Read(make([]byte, 1)); n != 1 {
 		t.Errorf("the other one got %v", err)
@@ -148,7 +149,7 @@
 // notified, as no event comes any more.
 func TestDrainedWithinTheTurn(t *testing.T) {
 	const chunkSize = 64 << 10
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	handler := &drainHandler{opened: make(chan struct{}, 1), drained: make(chan struct{}, 10)}
 	loop, onLoop := startLoop(t, 10)
 	var local *Conn
@@ -158,7 +159,7 @@
 			t.Error(err)
 		}
 	})
-	remote := accept(t, listener)
+	remote := nettest.Accept(t, listener)
 	testbed.Wait(t, "the connection", handler.opened)
 	testbed.Wait(t, "the first turn's notification", handler.drained)
 
--- /dev/null
+++ b/internal/testbed/nettest/nettest.go
@@ -0,0 +1,58 @@
+// Package nettest owns the TCP listeners and connections of tests. Each is closed at the end of its test, and a close
+// that fails makes the test fail.
+package nettest
+
+import (
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"ravenhitch/internal/testbed"
+)
+
+// Listen returns a listener on a free port of the loopback interface.
+func Listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, listener.Close)
+	return listener
+}
+
+// Dial returns a connection to addr.
+func Dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, conn.Close)
+	return conn
+}
+
+// Accept returns the next connection of a listener. Reads from it fail after [testbed.Timeout].
+func Accept(t *testing.T, listener net.Listener) net.Conn {
+	t.Helper()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, conn.Close)
+	if err := conn.SetReadDeadline(time.Now().Add(testbed.Timeout)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// CloseAtEnd calls closeFunc at the end of the test, which may have closed the same thing before.
+func CloseAtEnd(t *testing.T, closeFunc func() error) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := closeFunc(); err != nil && !errors.Is(err, net.ErrClosed) {
+			t.Error(err)
+		}
+	})
+}
--- a/internal/workerpool/cancel_confirmations_test.go
+++ b/internal/workerpool/cancel_confirmations_test.go
@@ -12,6 +12,8 @@
 
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/jsonlines"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // Given a cancel before a ping and one after it, the ping's answer confirms the first alone.
@@ -48,11 +50,11 @@
 // cancelSentOffer offers a request to the worker, which reads it, and cancels it then.
 func cancelSentOffer(t *testing.T) *cancelledOffer {
 	t.Helper()
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
 	c := &cancelledOffer{loop: loop, pool: pool, conn: offerToWorker(t, listener, loop, pool, dispatcher)}
 	t.Cleanup(startLoop(t, loop, func(int64) { pool.DeliverPending() }))
-	c.worker = accept(t, listener)
+	c.worker = nettest.Accept(t, listener)
 	received := bufio.NewReader(c.worker)
 	if m := readMessage(t, received); m.Verb != jsonlines.VerbStart || m.Tag != requestID {
 		t.Fatalf("received %+v, expected the offer", m)
@@ -91,10 +93,10 @@
 	return m
 }
 
-// confirmed reports whether no cancel is unconfirmed any more, within the test's patience.
+// confirmed reports whether no cancel is unconfirmed any more, within testbed.Timeout.
 func (c *cancelledOffer) confirmed() bool {
 	pending := 1
-	for limit := time.Now().Add(patience); pending > 0 && time.Now().Before(limit); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testbed.Timeout); pending > 0 && time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		onLoop(c.loop, func() { pending = c.pool.UnconfirmedCancels() })
 	}
 	return pending == 0
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -12,6 +12,8 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/jsonlines"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // paddingBytes is more than the system takes for a worker that does not read.
@@ -76,7 +78,7 @@
 // Given an offer that waits for its worker to read, a cancel takes it back: it would reach the worker as soon as that
 // reads on, long after its client has gone.
 func TestCancelTakesUnsentOfferBack(t *testing.T) {
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
 	loop.SetMaxBuffered(2 * paddingBytes)
 	dispatcher.UpdateWorkers(loop.Now(), fullList())
@@ -86,18 +88,18 @@
 		pool:       pool,
 		dispatcher: dispatcher,
 		workerConn: pool.links[workerName].conns[0],
-		worker:     accept(t, listener),
+		worker:     nettest.Accept(t, listener),
 		cancelled:  make(chan struct{}),
 	}
 
 	defer startLoop(t, loop, b.turn)()
 	select {
 	case <-b.cancelled:
-	case <-time.After(patience):
+	case <-time.After(testbed.Timeout):
 		t.Fatal("the worker's message never came in")
 	}
 
-	if err := b.worker.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := b.worker.SetReadDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	received, err := io.ReadAll(b.worker)
--- a/internal/workerpool/helpers_test.go
+++ b/internal/workerpool/helpers_test.go
@@ -4,7 +4,6 @@
 // place of its worker.
 
 import (
-	"errors"
 	"log/slog"
 	"net"
 	"testing"
@@ -12,6 +11,8 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 	"ravenhitch/placement"
 )
 
@@ -20,8 +21,6 @@
 	workerName = "a"
 	// requestID names the one request of the tests that have but one.
 	requestID = "9b1f03aa5c7e2d41"
-	// patience is how long a test waits for what must come.
-	patience = 10 * time.Second
 )
 
 // newPool returns a pool on a loop of its own, and the dispatcher that it serves. The caller closes the loop.
@@ -78,40 +77,6 @@
 	return pool.links[workerName].conns[0]
 }
 
-// listen returns a listener in the place of a worker, which is closed at the end of the test.
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeAtEnd(t, listener.Close) })
-	return listener
-}
-
-// accept returns the worker's end of the next connection, which is closed at the end of the test. Reads from it
-// fail after the test's patience.
-func accept(t *testing.T, listener net.Listener) net.Conn {
-	t.Helper()
-	conn, err := listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeAtEnd(t, conn.Close) })
-	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
-		t.Fatal(err)
-	}
-	return conn
-}
-
-// closeAtEnd closes what may have been closed by the test already.
-func closeAtEnd(t *testing.T, closeFunc func() error) {
-	t.Helper()
-	if err := closeFunc(); err != nil && !errors.Is(err, net.ErrClosed) {
-		t.Error(err)
-	}
-}
-
 // startLoop runs a loop in the background; the function that it returns stops and closes the loop.
 func startLoop(t *testing.T, loop *eventloop.Loop, turn func(now int64)) (stop func()) {
 	t.Helper()
@@ -144,7 +109,7 @@
 
 func newLinkTest(t *testing.T) *linkTest {
 	t.Helper()
-	lt := &linkTest{t: t, listener: listen(t)}
+	lt := &linkTest{t: t, listener: nettest.Listen(t)}
 	lt.loop, lt.pool, lt.dispatcher = newPool(t)
 	t.Cleanup(lt.loop.Close)
 	lt.dispatcher.UpdateWorkers(lt.loop.Now(), fullList())
@@ -163,7 +128,7 @@
 // runUntil runs the loop until a condition holds; once in a test.
 func (lt *linkTest) runUntil(condition func() bool) {
 	lt.t.Helper()
-	limit := lt.loop.After(patience.Microseconds(), lt.loop.Stop)
+	limit := lt.loop.After(testbed.Timeout.Microseconds(), lt.loop.Stop)
 	met := false
 	err := lt.loop.Run(func(now int64) {
 		lt.pool.DeliverPending()
@@ -174,7 +139,7 @@
 	})
 	limit.Stop()
 	if err != nil || !met {
-		lt.t.Fatalf("the condition was not met in %s: %v", patience, err)
+		lt.t.Fatalf("the condition was not met in %s: %v", testbed.Timeout, err)
 	}
 }
 
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -9,6 +9,7 @@
 	"golang.org/x/sys/unix"
 
 	"ravenhitch/internal/dispatch"
+	"ravenhitch/internal/testbed/nettest"
 	"ravenhitch/placement"
 )
 
@@ -18,7 +19,7 @@
 // Given an offer on a connection that is reset before the offer was sent, it goes out on the next connection, once:
 // it never ran, and the worker is not to blame.
 func TestUnsentOfferIsResentAfterReset(t *testing.T) {
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
 	pool.UpdateWorker(workerName, listener.Addr().String(), true)
 	submission := newSubmission()
@@ -34,7 +35,7 @@
 	stop := startLoop(t, loop, func(int64) { pool.DeliverPending() })
 	received := ""
 	for range 2 {
-		line, _ := bufio.NewReader(accept(t, listener)).ReadString('\n') // one connection ends without a line
+		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // one connection ends without a line
 		received += line
 	}
 	if strings.Count(received, offerText) != 1 {
@@ -66,7 +67,7 @@
 func TestOfferOnLateConnection(t *testing.T) {
 	for _, c := range lateConnectionCases {
 		t.Run(c.name, func(t *testing.T) {
-			listener := listen(t)
+			listener := nettest.Listen(t)
 			loop, pool, dispatcher := newPool(t)
 			conn := offerToWorker(t, listener, loop, pool, dispatcher)
 			c.meanwhile(loop.Now(), dispatcher, pool)
@@ -83,7 +84,7 @@
 				t.Errorf("open on its connection: %v", open)
 			}
 			loop.Close()
-			received, err := io.ReadAll(accept(t, listener))
+			received, err := io.ReadAll(nettest.Accept(t, listener))
 			if err != nil || strings.Contains(string(received), offerText) != c.wantSent {
 				t.Errorf("the worker received %q, %v", received, err)
 			}
--- a/internal/workerpool/release_test.go
+++ b/internal/workerpool/release_test.go
@@ -4,6 +4,8 @@
 	"bufio"
 	"strings"
 	"testing"
+
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // Given a release that the worker has not confirmed, it is sent again on each new connection until the worker reports
@@ -18,7 +20,7 @@
 	}
 
 	lt.runUntil(func() bool { return l.conns[0].conn.IsUp() })
-	line, err := bufio.NewReader(accept(t, lt.listener)).ReadString('\n')
+	line, err := bufio.NewReader(nettest.Accept(t, lt.listener)).ReadString('\n')
 	if err != nil || !strings.Contains(line, `"verb":"FINISH","tag":"`+requestID+`"`) {
 		t.Errorf("the worker received %q, %v", line, err)
 	}
