--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -1,12 +1,11 @@
 package workerpool
 
-// This file owns one connection to a worker: its buffers, its signs of life, and how it begins and ends. It must
-// never wait for more than a moment for the rest of a message, and never report its end twice.
+// This file owns one connection to a worker: its buffers, whether it is stale or alive, and how it begins and ends.
+// It must never wait longer than partialMessageTimeout for the rest of a message, and never report its end twice.
 
 import (
 	"cmp"
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -30,13 +29,6 @@
 	keepAliveSlack = second
 )
 
-// errPartialMessage is the reason for closing a connection on which the rest of a message did not come. The
-// operators' page names its text.
-var errPartialMessage = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
-
-// errNoDescription is the reason for closing a connection on which an accepted offer came without its description.
-var errNoDescription = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
-
 // workerConn is one connection to a worker.
 type workerConn struct {
 	link         *link
@@ -54,8 +46,8 @@
 	aliveUntil  int64 // until when the last known acknowledgement by the worker's system proves it alive
 }
 
-// isStale reports whether an offer is open on the connection while nothing comes in: a worker that was cut off
-// leaves its connections open and silent, and a new one shows quickly, and with proof, that it is away.
+// isStale reports whether an offer is open on the connection while nothing comes in: where the network to a worker
+// is cut its connections stay open, and dialling a new one proves quickly that it is unreachable.
 func (c *workerConn) isStale() bool {
 	if !c.conn.IsUp() {
 		return false
@@ -75,7 +67,7 @@
 		len(c.link.releases) == 0 && len(c.link.pendingResets) == 0
 }
 
-// enableKeepAlive turns TCP keepalive on, where its signs are proof.
+// enableKeepAlive turns TCP keepalive on, where it proves that the connection is alive.
 func (c *workerConn) enableKeepAlive() {
 	after := c.link.pool.keepAlive
 	if after == 0 {
@@ -112,6 +104,11 @@
 	c.queued = append(c.queued, jsonlines.Append(nil, m))
 }
 
+// ping writes a ping; its answer carries the same tag.
+func (c *workerConn) ping(pingTag string) {
+	c.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: pingTag, HasRC: true})
+}
+
 // close closes the connection from this side for the given reason and settles what was open on it. It aborts the
 // connection where its buffers may still contain an offer or a cancel, or where the worker is unreachable.
 func (c *workerConn) close(reason error) {
@@ -154,12 +151,6 @@
 	return !isDisconnect(err) && c.link.pool.loop.Now()-c.lastReadAt > staleAfter
 }
 
-// isUnreachable reports whether this side closed a connection because its messages did not seem to reach the worker:
-// then the close may not reach it either.
-func isUnreachable(err error) bool {
-	return errors.Is(err, errUnresponsive) || errors.Is(err, errWorkerDead)
-}
-
 // Opened implements eventloop.Handler.
 func (c *workerConn) Opened(*eventloop.Conn) {
 	l, now := c.link, c.link.pool.loop.Now()
--- a/internal/workerpool/idle.go
+++ b/internal/workerpool/idle.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns which connections to workers are idle, and closes one where a worker without a connection is
-// wanted and no descriptor is left for it. It must never close a connection that anything waits on.
+// This file owns which connections to workers are idle, and closes one where a connection to another worker is
+// needed and no descriptor is left for it. It must never close a connection that anything waits on.
 
 import (
 	"cmp"
@@ -18,7 +18,7 @@
 	foundNone bool // by the last scan
 }
 
-// ensureDescriptor finds a descriptor for a connection to a worker that is wanted now, and reports whether there is
+// ensureDescriptor finds a descriptor for a connection to a worker that is needed now, and reports whether there is
 // one: a free one, that of an idle connection, or at last one that clients do not use.
 func (p *Pool) ensureDescriptor() bool {
 	if p.budget.AdmitsWorker() || p.closeIdleConn() {
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -1,13 +1,11 @@
 package workerpool
 
 // This file owns the link to one worker: at most one connection for new messages, and older ones until what is
-// open on them has ended; when they are dialled, closed and dialled again, and what refused connections and
-// restarts prove about the worker. It must never report a worker dead that may be alive.
+// open on them has ended; when they are dialled, closed and dialled again. It must never have more than
+// maxConns connections to the worker.
 
 import (
 	"errors"
-	"fmt"
-	"slices"
 
 	"golang.org/x/sys/unix"
 
@@ -18,27 +16,10 @@
 const (
 	minRedialBackoff = 100 * millisecond
 	maxRedialBackoff = 2 * second
-	// deadAfterRefused is how long a worker may refuse connections and send nothing on those that it has
-	// before it counts as dead: well over the pause of a busy one, and with maxReadGap and two sweeps before
-	// it still under the 8 s in which a completion must be reported.
-	deadAfterRefused = 2 * second
-	// deadAfterRefusedUnpinged is the same where the deployment allows no pings.
-	deadAfterRefusedUnpinged = 4 * second
 	// maxConns bounds the connections to one worker.
 	maxConns = 4
 )
 
-// The reasons for which this side closes a connection.
-var (
-	errUnresponsive   = errors.New("nothing came in since an offer was cancelled")
-	errWorkerDead     = errors.New("the worker is dead")
-	errAddressChanged = errors.New("the worker's address changed")
-	errUnlisted       = errors.New("the worker is no longer listed")
-	errSuperseded     = errors.New("a newer connection replaced it")
-	errIdle           = errors.New("the connection is idle")
-	errTooManyConns   = fmt.Errorf("more than %d connections to one worker", maxConns)
-)
-
 // link is the connections to one worker and what is known of their state.
 type link struct {
 	pool     *Pool
@@ -168,62 +149,6 @@
 	l.dialForLateCompletions(tasks, now)
 }
 
-// applyRestart ends the tasks that ran at the worker before its process was started again, once no connection is
-// left that was dialled before that: where one is, the process that ran them lives, whatever the list says. A worker
-// that dies and starts while it has no connection shows neither a reset nor, if it is quick, refused
-// connections for long.
-func (l *link) applyRestart() {
-	if !l.restartPending || slices.ContainsFunc(l.conns, l.predatesRestart) {
-		return
-	}
-	l.restartPending = false
-	l.pool.dispatcher.WorkerRestarted(l.pool.loop.Now(), l.workerID, l.processStartedAt)
-}
-
-// predatesRestart reports whether a connection is up that was dialled before the worker's process was started.
-func (l *link) predatesRestart(c *workerConn) bool {
-	return c.conn.IsUp() && c.dialledAt < l.processStartedAt
-}
-
-// connRefused takes a refused connection: nobody listens there. After a reset that proves the death of the process.
-// Else it may have ended without a sign, or may only accept no further connections: then it answers a ping on
-// those that it has. Where nothing comes in while connections are refused for deadAfterRefused, it is
-// dead, and nobody will report the completions of its tasks.
-func (l *link) connRefused() {
-	now := l.pool.loop.Now()
-	if l.refusedSince == 0 {
-		l.refusedSince = now
-		l.pingAll()
-	}
-	deadAfter := deadAfterRefused
-	if !l.pool.pingsAllowed {
-		deadAfter = deadAfterRefusedUnpinged
-	}
-	if !l.wasReset && now-l.refusedSince < deadAfter {
-		return
-	}
-	l.wasReset, l.refusedSince = false, 0
-	l.pool.log.Warn("worker died", "worker", l.workerID)
-	l.pool.reportLater(func() {
-		l.closeAll(errWorkerDead)
-		l.scheduleRedial()
-		l.pool.dispatcher.WorkerDied(l.pool.loop.Now(), l.workerID)
-	})
-}
-
-// pingAll pings the worker on all connections that are up, where the deployment allows that.
-func (l *link) pingAll() {
-	if !l.pool.pingsAllowed {
-		return
-	}
-	pingTag := fmt.Sprintf("%016x", l.pool.loop.Now())
-	for _, c := range l.conns {
-		if c.conn.IsUp() {
-			c.ping(pingTag)
-		}
-	}
-}
-
 // connClosed takes the end of a connection that this side did not close, and that was taken off the link.
 func (l *link) connClosed(err error) {
 	l.unreachable = l.unreachable || !errors.Is(err, eventloop.ErrEOF)
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -5,13 +5,10 @@
 // client may have disconnected.
 
 import (
-	"errors"
 	"maps"
 	"slices"
 	"strconv"
 
-	"golang.org/x/sys/unix"
-
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/jsonlines"
@@ -190,14 +187,3 @@
 	}
 	return resend
 }
-
-// isDisconnect reports whether a connection ended in a way that does not say whether another one would
-// come up.
-func isDisconnect(err error) bool {
-	return isReset(err) || errors.Is(err, eventloop.ErrEOF) || errors.Is(err, jsonlines.ErrMessage)
-}
-
-// isReset reports whether a connection was reset, which is what a dying process leaves.
-func isReset(err error) bool {
-	return errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
-}
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -25,10 +25,10 @@
 	millisecond = int64(1_000)
 	second      = 1_000 * millisecond
 
-	// sweepInterval is how often all workers are looked at.
+	// sweepInterval is the time between two sweeps over all workers.
 	sweepInterval = 500 * millisecond
-	// unlistedLinger is how long the connections to a worker that left the list are kept for what it
-	// still has to report: a worker that vanished would keep them for ever.
+	// unlistedLinger is how long the connections to a worker that left the list stay open for what it still
+	// has to report. There must be a limit, as a worker that vanished never closes them.
 	unlistedLinger = 10 * second
 )
 
@@ -48,8 +48,8 @@
 	delayedOffers []delayedOffer           // wait until their clients are seen
 	budget        *descriptors.Budget      // nil where there are enough descriptors for all
 	idle          idleConns
-	// keepAlive is after how long without a sign of life TCP keepalive asks a worker's system for one;
-	// 0: what the system sees of a connection proves nothing here.
+	// keepAlive is after how long without a packet from a worker's system TCP keepalive sends it a probe; 0 where
+	// its acknowledgements do not prove the worker's connection alive.
 	keepAlive time.Duration
 }
 
@@ -71,8 +71,8 @@
 // SetTraceSuffixes limits the trace to the request IDs that end in one of the suffixes; none traces all.
 func (p *Pool) SetTraceSuffixes(suffixes []string) { p.tracer.Suffixes = suffixes }
 
-// SetKeepAlive makes TCP keepalive prove that a connection is alive, and has the system ask for a sign of
-// life after so long without one. No proxy may answer in the workers' place.
+// SetKeepAlive lets TCP keepalive prove that a connection is alive, and has the system send a probe once nothing
+// has come from the worker's system for the given time. No proxy may answer in the workers' place.
 func (p *Pool) SetKeepAlive(after time.Duration) { p.keepAlive = after }
 
 // ShareDescriptors makes the pool connect workers only as the budget allows.
@@ -117,7 +117,7 @@
 	p.sortedLinks = nil
 }
 
-// sweep looks at each worker that is assigned, connected, released from or that runs tasks.
+// sweep maintains the links of workers that are assigned here, are connected, have unconfirmed releases or run tasks.
 func (p *Pool) sweep() {
 	for _, l := range p.linksByID() {
 		if l.assigned || len(l.conns) > 0 || len(l.releases) > 0 {
