--- a/internal/clientfront/unreported_test.go
+++ b/internal/clientfront/unreported_test.go
@@ -13,7 +13,8 @@
 func (f testFront) complete(id int) {
 	f.onLoop(func() {
 		disconnected := &clientConn{front: f.Front}
-		disconnected.Respond(dispatch.Response{Kind: dispatch.Completed, RequestID: fmt.Sprintf("%016x", id), Outcome: placement.Completed})
+		disconnected.Respond(dispatch.Response{Kind: dispatch.Completed, RequestID: fmt.Sprintf("%016x", id),
+			Outcome: placement.Completed})
 	})
 }
 
@@ -43,38 +44,15 @@
 // A completion goes to a client that never had a task only after it has waited for a better one.
 func TestUnreportedCompletionGoesToAnyClientInTheEnd(t *testing.T) {
 	front := startFront(t, 10)
-	silent, speaker := front.dial(t), front.dial(t)
-	speaker.send(t, echo)
-	speaker.expect(t, echoed)
+	unused, active := front.dial(t), front.dial(t)
+	active.send(t, echo)
+	active.expect(t, echoed)
 	completed := time.Now()
 	front.complete(1)
-	speaker.expect(t, finish(1, 16))
+	active.expect(t, finish(1, 16))
 	if d := time.Since(completed); d < 500*time.Millisecond {
 		t.Errorf("it was reported after %s", d)
 	}
-	silent.send(t, echo)
-	silent.expect(t, echoed)
-}
-
-// A connection that did more is the better one for completions, and the last to be closed for another;
-// among equals the one that was active later is.
-func TestConnectionsByUsage(t *testing.T) {
-	byUsage := []*clientConn{
-		{lastActiveAt: 9},
-		{lastActiveAt: 8, partialSince: 8},
-		{lastActiveAt: 5, hasMessage: true},
-		{lastActiveAt: 6, hasMessage: true, partialSince: 6},
-		{lastActiveAt: 4, hasMessage: true, hasTask: true},
-		{lastActiveAt: 3, hasMessage: true, hasTask: true, hasStarted: true},
-	}
-	for i, lower := range byUsage {
-		for j, higher := range byUsage {
-			if got, want := lower.evictsBefore(higher), i < j; got != want {
-				t.Errorf("connection %d is closed before %d: %t, expected %t", i, j, got, want)
-			}
-			if got, want := higher.reportsBefore(lower), i < j; got != want {
-				t.Errorf("connection %d reports before %d: %t, expected %t", j, i, got, want)
-			}
-		}
-	}
+	unused.send(t, echo)
+	unused.expect(t, echoed)
 }
--- /dev/null
+++ b/internal/clientfront/usage_test.go
@@ -0,0 +1,26 @@
+package clientfront
+
+import "testing"
+
+// A connection of a higher usage reports completions first, and is evicted last; among equals the one that was
+// active later.
+func TestConnectionsByUsage(t *testing.T) {
+	byUsage := []*clientConn{
+		{lastActiveAt: 9},
+		{lastActiveAt: 8, partialSince: 8},
+		{lastActiveAt: 5, hasMessage: true},
+		{lastActiveAt: 6, hasMessage: true, partialSince: 6},
+		{lastActiveAt: 4, hasMessage: true, hasTask: true},
+		{lastActiveAt: 3, hasMessage: true, hasTask: true, hasStarted: true},
+	}
+	for i, lower := range byUsage {
+		for j, higher := range byUsage {
+			if got, want := lower.evictsBefore(higher), i < j; got != want {
+				t.Errorf("connection %d is closed before %d: %t, expected %t", i, j, got, want)
+			}
+			if got, want := higher.reportsBefore(lower), i < j; got != want {
+				t.Errorf("connection %d reports before %d: %t, expected %t", j, i, got, want)
+			}
+		}
+	}
+}
--- a/internal/discovery/assignment_test.go
+++ b/internal/discovery/assignment_test.go
@@ -36,7 +36,8 @@
 		}
 	}
 	expectActive("at the start", 0x0f)
-	if query := assignment.beginPoll(); query != "&room=late&shards=z1:000000000000000f,z2:000000000000000f" || assignment.endPoll() {
+	const wantFirstQuery = "&room=late&shards=z1:000000000000000f,z2:000000000000000f"
+	if query := assignment.beginPoll(); query != wantFirstQuery || assignment.endPoll() {
 		t.Errorf("the first poll has the query %q", query)
 	}
 	if !assignment.change(sameInEveryZone(0x3c)) {
@@ -68,13 +69,15 @@
 		t.Error("the same shards count as lost")
 	}
 	if !assignment.update(membersIn("z3, 100%"), false) || assignment.active["z3, 100%"] != 0x1c {
-		t.Errorf("the shards of a zone that no poll named are not active at once, though it was reported completely: %v", assignment.active)
+		t.Errorf("the shards of a zone that no poll named are not active at once, though it was reported completely: %v",
+			assignment.active)
 	}
 	if query := assignment.beginPoll(); !strings.HasSuffix(query, ",z3%252C%2520100%2525:000000000000001c") {
 		t.Errorf("a zone's name is not escaped: %q", query)
 	}
 	var none *shardAssignment
-	if none.beginPoll() != "" || none.endPoll() || none.pollBlockMs() != pollBlockMs || assignment.pollBlockMs() != maxLateReportMs {
+	if none.beginPoll() != "" || none.endPoll() || none.pollBlockMs() != pollBlockMs ||
+		assignment.pollBlockMs() != maxLateReportMs {
 		t.Error("without an assignment a poll names shards")
 	}
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -67,18 +67,18 @@
 	}
 }
 
-// scriptedChannel stands in for discovery; a test scripts its answers.
-type scriptedChannel struct{ listener *net.TCPListener }
+// scriptedDiscovery stands in for discovery; a test scripts its answers.
+type scriptedDiscovery struct{ listener *net.TCPListener }
 
-// newScriptedChannel listens until the test ends.
-func newScriptedChannel(t *testing.T) *scriptedChannel {
+// newScriptedDiscovery listens until the test ends.
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
-	return &scriptedChannel{nettest.Listen(t).(*net.TCPListener)}
+	return &scriptedDiscovery{nettest.Listen(t).(*net.TCPListener)}
 }
 
 // answer expects a poll that holds want on the next connection, and answers it. Unless keepOpen is set
 // the connection is closed behind the answer, else when the test ends.
-func (s *scriptedChannel) answer(t *testing.T, want, answer string, keepOpen bool) {
+func (s *scriptedDiscovery) answer(t *testing.T, want, answer string, keepOpen bool) {
 	t.Helper()
 	if err := s.listener.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
@@ -107,10 +107,10 @@
 // for the same event, which is applied once. Where it answers twice it is polled anew, and where it
 // counts from a lower cursor on it reports nothing.
 func TestChannelBreaksOff(t *testing.T) {
-	channel := newScriptedChannel(t)
+	discovery := newScriptedDiscovery(t)
 	loop, pool, dispatcher := newPool(t)
 	var logged bytes.Buffer
-	follower := NewFollower(loop, dispatcher, pool, channel.listener.Addr().String(), 1_000_000,
+	follower := NewFollower(loop, dispatcher, pool, discovery.listener.Addr().String(), 1_000_000,
 		slog.New(slog.NewTextHandler(&logged, nil)))
 	follower.cursor = 6
 	follower.Start()
@@ -133,7 +133,7 @@
 		{"resume=7&", next + next, true},
 		{"resume=8&", "", false},
 	} {
-		channel.answer(t, poll.want, poll.answer, poll.keepOpen)
+		discovery.answer(t, poll.want, poll.answer, poll.keepOpen)
 	}
 	stop()
 	if !dispatcher.IsListed("s-1") {
--- a/internal/jsonlines/append.go
+++ b/internal/jsonlines/append.go
@@ -1,6 +1,7 @@
 package jsonlines
 
-// This file owns the writing of messages. What Parse has read goes out as it came in.
+// This file owns the writing of messages. A string that Parse has read must be written with the same meaning, also
+// where it contains lone surrogates.
 
 import "strconv"
 
--- a/internal/jsonlines/parse.go
+++ b/internal/jsonlines/parse.go
@@ -54,7 +54,7 @@
 	return err
 }
 
-// code reads the message's code. null counts as absent.
+// code reads the message's outcome code. null counts as absent.
 func (p *parser) code() error {
 	if p.peek() == 'n' {
 		return p.skipValue(0)
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -27,7 +27,7 @@
 	offset int // of the next byte to read
 }
 
-// expected is the error for a text that goes on otherwise.
+// expected returns the error for a text in which something else comes next than what is named.
 func (s *scanner) expected(what string) error {
 	return &SyntaxError{Expected: what, Offset: s.offset}
 }
@@ -46,7 +46,7 @@
 // at reports whether the next byte is c.
 func (s *scanner) at(c byte) bool { return s.offset < len(s.text) && s.text[s.offset] == c }
 
-// take skips space, and also c if that comes next.
+// take skips space, and also c if that comes next. It reports whether it did.
 func (s *scanner) take(c byte) bool {
 	s.skipSpace()
 	if !s.at(c) {
@@ -86,7 +86,7 @@
 }
 
 // escapedString reads the rest of a string that has escapes. start is where its content begins; up to the current
-// offset there is none.
+// offset there is no escape.
 func (s *scanner) escapedString(start int) (string, error) {
 	content := append([]byte(nil), s.text[start:s.offset]...)
 	rawStart := start // of the bytes since the last escape
@@ -237,7 +237,7 @@
 	}
 }
 
-// skipValue skips any value, which lies in so many others.
+// skipValue skips any value. depth is how many other values it is nested in.
 func (s *scanner) skipValue(depth int) error {
 	if depth > maxDepth {
 		return s.expected("less nesting")
