--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -1,10 +1,9 @@
 package clientfront
 
-// This file owns how the message of a submission is read. It must never take a figure for another than
-// the client meant: what it can't read is an error.
+// This file owns how the message of a submission is read. It must never guess what the client meant: what it can't
+// read is an error.
 
 import (
-	"fmt"
 	"math"
 	"strconv"
 	"strings"
@@ -17,24 +16,6 @@
 // still longer than the dispatcher allows.
 const maxTimeMs = 1e12
 
-// fieldError is the error of a message with an invalid field. It wraps jsonlines.ErrMessage.
-type fieldError struct {
-	Field string // its name on the wire
-	Value string // what came, empty where nothing did or the dispatcher's check failed
-	Want  string // what was expected
-}
-
-// Error implements error. Of a long value it prints the beginning.
-func (e *fieldError) Error() string {
-	if e.Value == "" {
-		return fmt.Sprintf("%v: %s: expected %s", jsonlines.ErrMessage, e.Field, e.Want)
-	}
-	return fmt.Sprintf("%v: %s: expected %s, got %.40q", jsonlines.ErrMessage, e.Field, e.Want, e.Value)
-}
-
-// Unwrap returns jsonlines.ErrMessage.
-func (e *fieldError) Unwrap() error { return jsonlines.ErrMessage }
-
 // parseSubmission reads what a client requests. The error is a *fieldError.
 func parseSubmission(message *jsonlines.Message) (dispatch.Submission, error) {
 	submission := dispatch.Submission{
