--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns offers: which connection one goes out on, when it is sent, and what becomes of it where
-// its connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
+// This file owns offers: on which connection one is sent, when, and what follows for it where its
+// connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
 // client may have disconnected.
 
 import (
@@ -16,12 +16,12 @@
 )
 
 const (
-	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent. A
-	// client that left 0.1 s ago gets no attempt any more; the other half of that is for the rest of the
-	// turn, up to the write.
+	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent. For a
+	// client that disconnected 0.1 s ago no attempt may begin; the other half of that is for the rest of
+	// the turn, up to the write.
 	maxClientLastSeenAge = 50 * millisecond
-	// maxOfferTries is how many connections an offer is put on that break before it is sent; after that
-	// the worker counts as not reached.
+	// maxOfferTries is on how many connections an offer is tried where they break before it is sent; after that
+	// it counts as never connected.
 	maxOfferTries = 3
 )
 
@@ -102,8 +102,8 @@
 	return count
 }
 
-// sendOffer writes an offer, unless its client was not seen lately or the dispatcher forbids it by now: its
-// connection may have come up late, or another one may have closed under it.
+// sendOffer writes an offer, unless its client was not seen lately or the dispatcher forbids it by now: the offer
+// may have waited for its connection to come up, or may be resent after another one ended.
 func (c *workerConn) sendOffer(offer *openOffer) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
@@ -146,7 +146,7 @@
 	return m
 }
 
-// removeOffer takes an offer off its connection. It is the one place where that happens.
+// removeOffer removes an offer from its connection, and counts it if it was sent. Offers are removed nowhere else.
 func (c *workerConn) removeOffer(offer *openOffer) {
 	delete(c.openOffers, offer.RequestID)
 	if offer.isSent(c.conn) {
@@ -163,9 +163,10 @@
 	return nil
 }
 
-// settleOffers takes all offers off a connection that ended with err, and returns those that are to be put on
-// another one. What was sent completely may have run. What was not never ran: where the connection broke under
-// it, it goes out on another at once, which is not the worker's fault; where none came up, it ends.
+// settleOffers removes all offers from a connection that ended with err, and returns those that are to be put on
+// another one. An offer that was sent completely may have run, and is reset. Any other one never ran: where an
+// established connection broke, which says nothing of the worker, it is put on another one at once; where no
+// connection came up, its attempt ends.
 func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
 	l, pool := c.link, c.link.pool
 	for _, requestID := range slices.Sorted(maps.Keys(c.openOffers)) {
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -6,7 +6,7 @@
 
 // This file owns the set of workers: which ones discovery lists, the periodic sweep over all of them,
 // and the outcomes that wait for the dispatcher. It must never call the dispatcher from within a call of
-// the dispatcher, and never take silence for an answer: deadlines belong to the dispatcher.
+// the dispatcher, and never end an attempt because its time is up: deadlines belong to the dispatcher.
 
 import (
 	"log/slog"
@@ -44,7 +44,7 @@
 	sortedLinks   []*link                  // links by worker ID, nil where that is to be sorted anew
 	isAssigned    func(worker string) bool // this orchestrator places tasks there, nil: at all workers
 	offersSent    int64                    // offers that were sent completely and are settled
-	outcomes      []func()                 // found while the dispatcher was acting, and not reported yet
+	outcomes      []func()                 // found during calls of the dispatcher, and not reported yet
 	delayedOffers []delayedOffer           // wait until their clients are seen
 	budget        *descriptors.Budget      // nil where there are enough descriptors for all
 	idle          idleConns
@@ -138,8 +138,8 @@
 	p.loop.RunAgain()
 }
 
-// DeliverPending reports to the dispatcher what was found while it was acting. It is called once what came
-// in was read; so the offers that waited for that are sent first, and at once.
+// DeliverPending reports to the dispatcher the outcomes that were found during its calls. The orchestrator calls it
+// in each turn once all that came in was read; offers that were delayed until then are sent first, and at once.
 func (p *Pool) DeliverPending() {
 	p.sendDelayedOffers()
 	for len(p.outcomes) > 0 {
@@ -151,8 +151,8 @@
 	}
 }
 
-// UpdateWorker takes the address of a worker from discovery, and whether it is listed. A changed address
-// gets connections of its own.
+// UpdateWorker applies the address of a worker from discovery, and whether it is listed. Where the address changed,
+// the connections to the former one are closed.
 func (p *Pool) UpdateWorker(worker, addr string, listed bool) {
 	l := p.links[worker]
 	if l == nil {
@@ -190,7 +190,7 @@
 	})
 }
 
-// WorkerStarted takes from discovery when the process of a worker started.
+// WorkerStarted applies from discovery when the process of a worker started, a Unix time in microseconds.
 func (p *Pool) WorkerStarted(worker string, startedAt int64) {
 	if l := p.links[worker]; l != nil && startedAt > l.processStartedAt {
 		l.processStartedAt, l.restartPending = startedAt, true
@@ -207,8 +207,8 @@
 	}
 }
 
-// Close aborts the connections on which an attempt may be open, at the end of the program. The system would
-// go on sending what lies in its buffers, and an offer would arrive when nobody waits for it.
+// Close aborts the connections on which an attempt may be open, at the end of the program. After a plain close the
+// system would go on sending what is in its buffers, and an offer would arrive that nobody waits for.
 func (p *Pool) Close() {
 	for _, l := range p.links {
 		for _, c := range l.conns {
