--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -3,8 +3,8 @@
 // about tasks.
 package clientfront
 
-// This file owns the set of connections from clients, and how they are accepted. It must never close a
-// connection with an open request before the response to that is written.
+// This file owns the set of connections from clients, the socket that accepts them and the periodic sweep over
+// them. It must never serve more than its maximum of connections.
 
 import (
 	"log/slog"
@@ -21,6 +21,9 @@
 	second      = 1_000 * millisecond
 )
 
+// sweepInterval is the time between two sweeps over the connections and unreported completions.
+const sweepInterval = 250 * millisecond
+
 // Front serves clients. It belongs to the event loop.
 type Front struct {
 	loop          *eventloop.Loop
@@ -30,8 +33,8 @@
 	maxConns      int
 	budget        *descriptors.Budget // nil where there are enough descriptors for all
 	idleTimeoutUs int64               // after which a connection without an open request is closed, 0 for never
-	conns         map[*clientConn]bool
-	latestStarted *clientConn // last active of the connections for which a task was started, nil where there is none
+	clients       map[*clientConn]bool
+	latestStarted *clientConn // of the connections for which a task was started the last active one, nil for none
 	unreported    []unreportedCompletion
 	accepted      uint64 // connections so far
 }
@@ -41,7 +44,7 @@
 func NewFront(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, maxConns int, idleTimeoutUs int64,
 	log *slog.Logger) *Front {
 	return &Front{loop: loop, dispatcher: dispatcher, maxConns: maxConns, idleTimeoutUs: idleTimeoutUs,
-		log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, conns: map[*clientConn]bool{}}
+		log: ratelog.New(log), tracer: dispatch.Tracer{Log: log}, clients: map[*clientConn]bool{}}
 }
 
 // ShareDescriptors makes the front admit clients only as the budget allows.
@@ -54,7 +57,7 @@
 func (f *Front) SetTraceSuffixes(suffixes []string) { f.tracer.Suffixes = suffixes }
 
 // Connections is how many clients are connected.
-func (f *Front) Connections() int { return len(f.conns) }
+func (f *Front) Connections() int { return len(f.clients) }
 
 // HasUndelivered reports whether an end now would lose something: a part of a message came, bytes wait
 // for a client to read them, or a completion waits for a client to connect.
@@ -62,8 +65,8 @@
 	if len(f.unreported) > 0 {
 		return true
 	}
-	for conn := range f.conns {
-		if conn.partialSince > 0 || conn.conn.BytesBuffered() > 0 {
+	for client := range f.clients {
+		if client.partialSince > 0 || client.conn.BytesBuffered() > 0 {
 			return true
 		}
 	}
@@ -81,17 +84,26 @@
 	return f.loop.Listen(addr, f.admit, accept)
 }
 
-// add takes in a connection that was accepted, and numbers it.
-func (f *Front) add(conn *clientConn) {
-	f.conns[conn] = true
+// sweep closes the connections that timed out, and reports completions that have waited long enough. It
+// runs as long as the loop does.
+func (f *Front) sweep() {
+	now := f.loop.Now()
+	f.closeTimedOut(now)
+	f.reportOverdue(now)
+	f.loop.After(sweepInterval, f.sweep)
+}
+
+// add registers a connection that was accepted, and numbers it.
+func (f *Front) add(client *clientConn) {
+	f.clients[client] = true
 	f.accepted++
-	conn.number = f.accepted
+	client.number = f.accepted
 }
 
 // remove forgets a connection that is closed.
-func (f *Front) remove(conn *clientConn) {
-	delete(f.conns, conn)
-	if f.latestStarted == conn {
+func (f *Front) remove(client *clientConn) {
+	delete(f.clients, client)
+	if f.latestStarted == client {
 		f.latestStarted = nil
 	}
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -13,15 +13,22 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 	"ravenhitch/internal/workerpool"
 	"ravenhitch/placement"
 )
 
-// A channel that is back is polled within the time in which the list is to be read, also where the poll in
-// flight is never answered: on a connection that stays open and unresponsive nothing but the timer notices.
+// recoveryLimit is within how much time the list must be read from discovery once it responds again, also where it
+// does not respond on the connection of the poll in flight. It is in microseconds.
+const recoveryLimit = 2 * second
+
+// Discovery that responds again is polled within recoveryLimit, also where the poll in flight is never
+// answered: on a connection that stays open and unresponsive only the timer shows that.
 func TestUnresponsiveChannelIsPolledInTime(t *testing.T) {
 	if longest := pollBlockMs*millisecond + responseSlack + redialDelay; longest >= recoveryLimit {
-		t.Errorf("a poll without a response is abandoned and repeated after %d us, expected less than %d", longest, recoveryLimit)
+		t.Errorf("a poll without a response is abandoned and repeated after %d us, expected less than %d",
+			longest, recoveryLimit)
 	}
 }
 
@@ -60,36 +67,23 @@
 	}
 }
 
-// scriptedChannel is a command channel whose next answers a test gives.
-type scriptedChannel struct{ listener *net.TCPListener }
+// scriptedDiscovery stands in for discovery; a test scripts its answers.
+type scriptedDiscovery struct{ listener *net.TCPListener }
 
-// newScriptedChannel listens until the test ends.
-func newScriptedChannel(t *testing.T) *scriptedChannel {
+// newScriptedDiscovery listens until the test ends.
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	return &scriptedChannel{listener.(*net.TCPListener)}
+	return &scriptedDiscovery{nettest.Listen(t).(*net.TCPListener)}
 }
 
 // answer expects a poll that holds want on the next connection, and answers it. Unless keepOpen is set
 // the connection is closed behind the answer, else when the test ends.
-func (s *scriptedChannel) answer(t *testing.T, want, answer string, keepOpen bool) {
+func (s *scriptedDiscovery) answer(t *testing.T, want, answer string, keepOpen bool) {
 	t.Helper()
-	const patience = 10 * time.Second
-	if err := s.listener.SetDeadline(time.Now().Add(patience)); err != nil {
-		t.Fatal(err)
-	}
-	conn, err := s.listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() }) // an error if it is closed already
-	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := s.listener.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
+	conn := nettest.Accept(t, s.listener)
 	for reader := bufio.NewReader(conn); ; {
 		line, err := reader.ReadString('\n')
 		if err != nil || strings.HasPrefix(line, "GET") && !strings.Contains(line, want) {
@@ -109,14 +103,14 @@
 	}
 }
 
-// A command channel that breaks off in the middle of an event, or of the head of a response, is polled
-// again for the same event, which is applied once. One that answers twice is polled anew, and one that
-// counts from a lower number on reports nothing.
+// Where discovery breaks off in the middle of an event, or of the head of a response, it is polled again
+// for the same event, which is applied once. Where it answers twice it is polled anew, and where it
+// counts from a lower cursor on it reports nothing.
 func TestChannelBreaksOff(t *testing.T) {
-	channel := newScriptedChannel(t)
+	discovery := newScriptedDiscovery(t)
 	loop, pool, dispatcher := newPool(t)
 	var logged bytes.Buffer
-	follower := NewFollower(loop, dispatcher, pool, channel.listener.Addr().String(), 1_000_000,
+	follower := NewFollower(loop, dispatcher, pool, discovery.listener.Addr().String(), 1_000_000,
 		slog.New(slog.NewTextHandler(&logged, nil)))
 	follower.cursor = 6
 	follower.Start()
@@ -139,7 +133,7 @@
 		{"resume=7&", next + next, true},
 		{"resume=8&", "", false},
 	} {
-		channel.answer(t, poll.want, poll.answer, poll.keepOpen)
+		discovery.answer(t, poll.want, poll.answer, poll.keepOpen)
 	}
 	stop()
 	if !dispatcher.IsListed("s-1") {
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -12,6 +12,8 @@
 
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/jsonlines"
+	"ravenhitch/internal/testbed"
+	"ravenhitch/internal/testbed/nettest"
 )
 
 // paddingBytes is more than the system takes for a worker that does not read.
@@ -31,7 +33,7 @@
 	t          *testing.T
 	pool       *Pool
 	dispatcher *dispatch.Dispatcher
-	conn       *workerConn
+	workerConn *workerConn
 	worker     net.Conn
 	offeredAt  int64 // 0 until it was offered
 	cancelled  chan struct{}
@@ -42,16 +44,16 @@
 func (b *blockedOffer) turn(now int64) {
 	b.pool.DeliverPending()
 	switch {
-	case b.offeredAt == 0 && b.conn.established:
+	case b.offeredAt == 0 && b.workerConn.established:
 		b.offer(now)
-	case b.offeredAt != 0 && !b.ended && b.conn.lastReadAt > b.offeredAt:
+	case b.offeredAt != 0 && !b.ended && b.workerConn.lastReadAt > b.offeredAt:
 		b.cancel()
 	}
 }
 
 func (b *blockedOffer) offer(now int64) {
-	b.conn.conn.Write([]byte(strings.Repeat(" ", paddingBytes) + "\n"))
-	b.conn.conn.Flush()
+	b.workerConn.conn.Write([]byte(strings.Repeat(" ", paddingBytes) + "\n"))
+	b.workerConn.conn.Flush()
 	submission := newSubmission()
 	if err := b.dispatcher.Submit(now, nil, submission); err != nil {
 		b.t.Error(err)
@@ -64,8 +66,8 @@
 }
 
 func (b *blockedOffer) cancel() {
-	offer := b.conn.openOffers[requestID]
-	if offer == nil || offer.endOffset == 0 || offer.isSent(b.conn.conn) {
+	offer := b.workerConn.openOffers[requestID]
+	if offer == nil || offer.endOffset == 0 || offer.isSent(b.workerConn.conn) {
 		b.t.Errorf("the offer should wait for its worker: %+v", offer)
 	}
 	b.pool.CancelAttempt(workerName, requestID, false)
@@ -76,7 +78,7 @@
 // Given an offer that waits for its worker to read, a cancel takes it back: it would reach the worker as soon as that
 // reads on, long after its client has gone.
 func TestCancelTakesUnsentOfferBack(t *testing.T) {
-	listener := listen(t)
+	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
 	loop.SetMaxBuffered(2 * paddingBytes)
 	dispatcher.UpdateWorkers(loop.Now(), fullList())
@@ -85,19 +87,19 @@
 		t:          t,
 		pool:       pool,
 		dispatcher: dispatcher,
-		conn:       pool.links[workerName].conns[0],
-		worker:     accept(t, listener),
+		workerConn: pool.links[workerName].conns[0],
+		worker:     nettest.Accept(t, listener),
 		cancelled:  make(chan struct{}),
 	}
 
 	defer startLoop(t, loop, b.turn)()
 	select {
 	case <-b.cancelled:
-	case <-time.After(patience):
+	case <-time.After(testbed.Timeout):
 		t.Fatal("the worker's message never came in")
 	}
 
-	if err := b.worker.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := b.worker.SetReadDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	received, err := io.ReadAll(b.worker)
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -1,12 +1,11 @@
 package workerpool
 
-// This file owns one connection to a worker: its buffers, its signs of life, and how it begins and ends. It must
-// never wait for more than a moment for the rest of a message, and never report its end twice.
+// This file owns one connection to a worker: its buffers, whether it is stale or alive, and how it begins and ends.
+// It must never wait longer than partialMessageTimeout for the rest of a message, and never report its end twice.
 
 import (
 	"cmp"
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -17,7 +16,7 @@
 
 const (
 	// staleAfter is how long an offer may be open on a connection on which nothing comes in before new offers
-	// go out on a new one.
+	// are sent on a new one.
 	staleAfter = 400 * millisecond
 	// maxReadGap is how long nothing may come in on a connection to a worker where tasks run before another is
 	// dialled: the old one may be dead without a sign, and the completions of tasks come on the next. A
@@ -30,13 +29,6 @@
 	keepAliveSlack = second
 )
 
-// errPartialMessage is the reason for closing a connection on which the rest of a message did not come. The
-// operators' page names its text.
-var errPartialMessage = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
-
-// errNoDescription is the reason for closing a connection on which an accepted offer came without its description.
-var errNoDescription = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
-
 // workerConn is one connection to a worker.
 type workerConn struct {
 	link         *link
@@ -51,11 +43,11 @@
 	dialledAt   int64
 	lastReadAt  int64
 	lastUsedAt  int64 // when it was last chosen for an offer, a release or a probe
-	aliveUntil  int64 // for how long the last sign of life from the worker's system holds
+	aliveUntil  int64 // until when the last known acknowledgement by the worker's system proves it alive
 }
 
-// isStale reports whether an offer is open on the connection while nothing comes in: a worker that was cut off
-// leaves its connections open and silent, and a new one shows quickly, and with proof, that it is away.
+// isStale reports whether an offer is open on the connection while nothing comes in: where the network to a worker
+// is cut its connections stay open, and dialling a new one proves quickly that it is unreachable.
 func (c *workerConn) isStale() bool {
 	if !c.conn.IsUp() {
 		return false
@@ -75,7 +67,7 @@
 		len(c.link.releases) == 0 && len(c.link.pendingResets) == 0
 }
 
-// enableKeepAlive turns TCP keepalive on, where its signs are proof.
+// enableKeepAlive turns TCP keepalive on, where it proves that the connection is alive.
 func (c *workerConn) enableKeepAlive() {
 	after := c.link.pool.keepAlive
 	if after == 0 {
@@ -86,20 +78,21 @@
 	}
 }
 
-// mayBeDead reports whether the connection may be dead without a sign: nothing came in for long, nor did the
-// worker's system give a sign of life of its own.
-func (c *workerConn) mayBeDead(now int64) bool {
+// checkAlive reports whether the connection is known to be alive: something came in lately, or the worker's system
+// acknowledged something in time. It asks this system for the last acknowledgement only where neither is known yet,
+// as that takes a system call.
+func (c *workerConn) checkAlive(now int64) bool {
 	if now-c.lastReadAt <= maxReadGap || now < c.aliveUntil {
-		return false
+		return true
 	}
 	keepAlive := c.link.pool.keepAlive
 	if keepAlive == 0 {
-		return true
+		return false
 	}
 	if age, ok := c.conn.LastAckAge(); ok {
 		c.aliveUntil = now - age + keepAlive.Microseconds() + keepAliveSlack
 	}
-	return now >= c.aliveUntil
+	return now < c.aliveUntil
 }
 
 // send writes a message, once the connection is up.
@@ -111,14 +104,19 @@
 	c.queued = append(c.queued, jsonlines.Append(nil, m))
 }
 
-// close closes the connection from this side for the given reason and settles what was open on it. Where an offer
-// may still lie in its buffers, what the worker has not taken is thrown away.
+// ping writes a ping; its answer carries the same tag.
+func (c *workerConn) ping(pingTag string) {
+	c.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: pingTag, HasRC: true})
+}
+
+// close closes the connection from this side for the given reason and settles what was open on it. It aborts the
+// connection where its buffers may still contain an offer or a cancel, or where the worker is unreachable.
 func (c *workerConn) close(reason error) {
-	unresponsive := errors.Is(reason, errUnresponsive)
-	if unresponsive {
+	unreachable := isUnreachable(reason)
+	if unreachable {
 		c.link.unreachable = true
 	}
-	if len(c.openOffers) > 0 || c.cancels.pending() || unresponsive {
+	if len(c.openOffers) > 0 || c.cancels.pending() || unreachable {
 		c.conn.Abort()
 	} else {
 		c.conn.Close()
@@ -147,7 +145,7 @@
 
 // endUnnoticed reports whether the worker may not know that the connection ended with err.
 func (c *workerConn) endUnnoticed(err error) bool {
-	if errors.Is(err, errUnresponsive) {
+	if isUnreachable(err) {
 		return true
 	}
 	return !isDisconnect(err) && c.link.pool.loop.Now()-c.lastReadAt > staleAfter
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -1,17 +1,14 @@
 package workerpool
 
-// This file owns offers: which connection one goes out on, when it is sent, and what becomes of it where
-// its connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
+// This file owns offers: on which connection one is sent, when, and what follows for it where its
+// connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
 // client may have disconnected.
 
 import (
-	"errors"
 	"maps"
 	"slices"
 	"strconv"
 
-	"golang.org/x/sys/unix"
-
 	"ravenhitch/internal/dispatch"
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/jsonlines"
@@ -19,12 +16,12 @@
 )
 
 const (
-	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent. A
-	// client that left 0.1 s ago gets no attempt any more; the other half of that is for the rest of the
-	// turn, up to the write.
+	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent. For a
+	// client that disconnected 0.1 s ago no attempt may begin; the other half of that is for the rest of
+	// the turn, up to the write.
 	maxClientLastSeenAge = 50 * millisecond
-	// maxOfferTries is how many connections an offer is put on that break before it is sent; after that
-	// the worker counts as not reached.
+	// maxOfferTries is on how many connections an offer is tried where they break before it is sent; after that
+	// it counts as never connected.
 	maxOfferTries = 3
 )
 
@@ -44,8 +41,8 @@
 
 // delayedOffer is an offer that waits on its connection until its client is seen.
 type delayedOffer struct {
-	conn  *workerConn
-	offer *openOffer
+	workerConn *workerConn
+	offer      *openOffer
 }
 
 // Offer implements dispatch.WorkerPool.
@@ -61,9 +58,7 @@
 		c = l.connForSending()
 	}
 	if c == nil {
-		p.reportLater(func() {
-			p.dispatcher.TaskEnded(p.loop.Now(), worker, offer.RequestID, placement.ConnectFailed, placement.CauseUnknown)
-		})
+		p.reportConnectFailed(worker, offer.RequestID)
 		return
 	}
 	offer.tries++
@@ -73,14 +68,21 @@
 	}
 }
 
+// reportConnectFailed reports that an offer was never sent, as no connection to the worker came up.
+func (p *Pool) reportConnectFailed(worker, requestID string) {
+	p.reportLater(func() {
+		p.dispatcher.TaskEnded(p.loop.Now(), worker, requestID, placement.ConnectFailed, placement.CauseUnknown)
+	})
+}
+
 // sendDelayedOffers sends the offers whose clients were to be seen first, and hands them to the system at once.
 func (p *Pool) sendDelayedOffers() {
 	delayed := p.delayedOffers
 	p.delayedOffers = nil
 	for _, d := range delayed {
-		if d.conn.openOffers[d.offer.RequestID] == d.offer { // else it was cancelled, or its connection closed
-			d.conn.sendOffer(d.offer)
-			d.conn.conn.Flush()
+		if d.workerConn.openOffers[d.offer.RequestID] == d.offer { // else it was cancelled, or its connection closed
+			d.workerConn.sendOffer(d.offer)
+			d.workerConn.conn.Flush()
 		}
 	}
 }
@@ -100,8 +102,8 @@
 	return count
 }
 
-// sendOffer writes an offer, unless its client was not seen lately or the dispatcher forbids it by now: its
-// connection may have come up late, or another one may have closed under it.
+// sendOffer writes an offer, unless its client was not seen lately or the dispatcher forbids it by now: the offer
+// may have waited for its connection to come up, or may be resent after another one ended.
 func (c *workerConn) sendOffer(offer *openOffer) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
@@ -144,7 +146,7 @@
 	return m
 }
 
-// removeOffer takes an offer off its connection. It is the one place where that happens.
+// removeOffer removes an offer from its connection, and counts it if it was sent. Offers are removed nowhere else.
 func (c *workerConn) removeOffer(offer *openOffer) {
 	delete(c.openOffers, offer.RequestID)
 	if offer.isSent(c.conn) {
@@ -161,9 +163,10 @@
 	return nil
 }
 
-// settleOffers takes all offers off a connection that ended with err, and returns those that are to be put on
-// another one. What was sent completely may have run. What was not never ran: where the connection broke under
-// it, it goes out on another at once, which is not the worker's fault; where none came up, it ends.
+// settleOffers removes all offers from a connection that ended with err, and returns those that are to be put on
+// another one. An offer that was sent completely may have run, and is reset. Any other one never ran: where an
+// established connection broke, which says nothing of the worker, it is put on another one at once; where no
+// connection came up, its attempt ends.
 func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
 	l, pool := c.link, c.link.pool
 	for _, requestID := range slices.Sorted(maps.Keys(c.openOffers)) {
@@ -177,9 +180,7 @@
 			resend = append(resend, offer)
 		default:
 			pool.trace("offer never sent", requestID, "worker", l.workerID, "err", err)
-			pool.reportLater(func() {
-				pool.dispatcher.TaskEnded(pool.loop.Now(), l.workerID, requestID, placement.ConnectFailed, placement.CauseUnknown)
-			})
+			pool.reportConnectFailed(l.workerID, requestID)
 		}
 	}
 	for _, offer := range c.openOffers {
@@ -187,14 +188,3 @@
 	}
 	return resend
 }
-
-// isDisconnect reports whether a connection ended in a way that does not say whether another one would
-// come up.
-func isDisconnect(err error) bool {
-	return isReset(err) || errors.Is(err, eventloop.ErrEOF) || errors.Is(err, jsonlines.ErrMessage)
-}
-
-// isReset reports whether a connection was reset, which is what a dying process leaves.
-func isReset(err error) bool {
-	return errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
-}
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -6,7 +6,7 @@
 
 // This file owns the set of workers: which ones discovery lists, the periodic sweep over all of them,
 // and the outcomes that wait for the dispatcher. It must never call the dispatcher from within a call of
-// the dispatcher, and never take silence for an answer: deadlines belong to the dispatcher.
+// the dispatcher, and never end an attempt because its time is up: deadlines belong to the dispatcher.
 
 import (
 	"log/slog"
@@ -25,10 +25,10 @@
 	millisecond = int64(1_000)
 	second      = 1_000 * millisecond
 
-	// sweepInterval is how often all workers are looked at.
+	// sweepInterval is the time between two sweeps over all workers.
 	sweepInterval = 500 * millisecond
-	// unlistedLinger is how long the connections to a worker that left the list are kept for what it
-	// still has to report: a worker that vanished would keep them for ever.
+	// unlistedLinger is how long the connections to a worker that left the list stay open for what it still
+	// has to report. There must be a limit, as a worker that vanished never closes them.
 	unlistedLinger = 10 * second
 )
 
@@ -44,12 +44,12 @@
 	sortedLinks   []*link                  // links by worker ID, nil where that is to be sorted anew
 	isAssigned    func(worker string) bool // this orchestrator places tasks there, nil: at all workers
 	offersSent    int64                    // offers that were sent completely and are settled
-	outcomes      []func()                 // found while the dispatcher was acting, and not reported yet
+	outcomes      []func()                 // found during calls of the dispatcher, and not reported yet
 	delayedOffers []delayedOffer           // wait until their clients are seen
 	budget        *descriptors.Budget      // nil where there are enough descriptors for all
 	idle          idleConns
-	// keepAlive is after how long without a sign of life TCP keepalive asks a worker's system for one;
-	// 0: what the system sees of a connection proves nothing here.
+	// keepAlive is after how long without a packet from a worker's system TCP keepalive sends it a probe; 0 where
+	// its acknowledgements do not prove the worker's connection alive.
 	keepAlive time.Duration
 }
 
@@ -71,8 +71,8 @@
 // SetTraceSuffixes limits the trace to the request IDs that end in one of the suffixes; none traces all.
 func (p *Pool) SetTraceSuffixes(suffixes []string) { p.tracer.Suffixes = suffixes }
 
-// SetKeepAlive makes TCP keepalive prove that a connection is alive, and has the system ask for a sign of
-// life after so long without one. No proxy may answer in the workers' place.
+// SetKeepAlive lets TCP keepalive prove that a connection is alive, and has the system send a probe once nothing
+// has come from the worker's system for the given time. No proxy may answer in the workers' place.
 func (p *Pool) SetKeepAlive(after time.Duration) { p.keepAlive = after }
 
 // ShareDescriptors makes the pool connect workers only as the budget allows.
@@ -117,7 +117,7 @@
 	p.sortedLinks = nil
 }
 
-// sweep looks at each worker that is assigned, connected, released from or that runs tasks.
+// sweep maintains the links of workers that are assigned here, are connected, have unconfirmed releases or run tasks.
 func (p *Pool) sweep() {
 	for _, l := range p.linksByID() {
 		if l.assigned || len(l.conns) > 0 || len(l.releases) > 0 {
@@ -138,8 +138,8 @@
 	p.loop.RunAgain()
 }
 
-// DeliverPending reports to the dispatcher what was found while it was acting. It is called once what came
-// in was read; so the offers that waited for that are sent first, and at once.
+// DeliverPending reports to the dispatcher the outcomes that were found during its calls. The orchestrator calls it
+// in each turn once all that came in was read; offers that were delayed until then are sent first, and at once.
 func (p *Pool) DeliverPending() {
 	p.sendDelayedOffers()
 	for len(p.outcomes) > 0 {
@@ -151,8 +151,8 @@
 	}
 }
 
-// UpdateWorker takes the address of a worker from discovery, and whether it is listed. A changed address
-// gets connections of its own.
+// UpdateWorker applies the address of a worker from discovery, and whether it is listed. Where the address changed,
+// the connections to the former one are closed.
 func (p *Pool) UpdateWorker(worker, addr string, listed bool) {
 	l := p.links[worker]
 	if l == nil {
@@ -190,7 +190,7 @@
 	})
 }
 
-// WorkerStarted takes from discovery when the process of a worker started.
+// WorkerStarted applies from discovery when the process of a worker started, a Unix time in microseconds.
 func (p *Pool) WorkerStarted(worker string, startedAt int64) {
 	if l := p.links[worker]; l != nil && startedAt > l.processStartedAt {
 		l.processStartedAt, l.restartPending = startedAt, true
@@ -207,8 +207,8 @@
 	}
 }
 
-// Close aborts the connections on which an attempt may be open, at the end of the program. The system would
-// go on sending what lies in its buffers, and an offer would arrive when nobody waits for it.
+// Close aborts the connections on which an attempt may be open, at the end of the program. After a plain close the
+// system would go on sending what is in its buffers, and an offer would arrive that nobody waits for.
 func (p *Pool) Close() {
 	for _, l := range p.links {
 		for _, c := range l.conns {
