--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -4,7 +4,9 @@
 // never count what is past: a slot that its client did not use is free for others.
 
 const (
-	slotUs        = int64(100_000)
+	// slotUs is the length of a slot: a tick of the waitlist, whose entries count slots in
+	// ticks.
+	slotUs        = tickUs
 	calendarSlots = 1024 // some 100 s ahead
 	// graceSlots is how late a return may be before its slot goes to others.
 	graceSlots = 5
@@ -89,5 +91,5 @@
 	c.sums[class] = max(0, c.sums[class]-freed)
 }
 
-// reserved returns the units of a class in all slots.
-func (c *calendar) reserved(class int) float64 { return c.sums[class] }
+// total returns the units of a class in all slots.
+func (c *calendar) total(class int) float64 { return c.sums[class] }
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -118,10 +118,10 @@
 		return queuedSince
 	}
 	c.detector.returned(now)
-	if e.hasReservation() {
+	if e.hasSlot() {
 		c.learnCompliance(now, class, e)
-		c.cancelReservation(now, r.Program, e)
-		e.clearReservation()
+		c.freeSlot(now, r.Program, e)
+		e.clearSlot()
 	}
 	return min(queuedSince, e.queuedSince(now))
 }
@@ -191,17 +191,18 @@
 
 // Figures are the exported figures of a Controller.
 type Figures struct {
-	State             State
-	Kind              Kind
-	ReleaseRate       float64 // release rate: units a second
-	Pending, Reserved float64 // units that are pending, and that have reserved slots
+	State       State
+	Kind        Kind
+	ReleaseRate float64 // release rate: units a second
+	Pending     float64 // units that wait for free capacity
+	InSlots     float64 // units that have reserved slots
 }
 
 // Figures returns the present figures.
 func (c *Controller) Figures(now int64) Figures {
 	f := Figures{State: c.detector.state, Kind: c.detector.kind, ReleaseRate: c.releases.rate(now), Pending: c.pendingSum}
 	for class := range c.pending {
-		f.Reserved += c.calendar.reserved(class)
+		f.InSlots += c.calendar.total(class)
 	}
 	return f
 }
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -119,8 +119,8 @@
 		for slot := range int64(calendarSlots) {
 			sum += float64(*c.calendar.at(slot, class))
 		}
-		if difference := sum - c.calendar.reserved(class); difference > 0.1 || difference < -0.1 {
-			t.Fatalf("class %d: %.2f units reserved, %.2f in the slots", class, c.calendar.reserved(class), sum)
+		if difference := sum - c.calendar.total(class); difference > 0.1 || difference < -0.1 {
+			t.Fatalf("class %d: %.2f units reserved, %.2f in the slots", class, c.calendar.total(class), sum)
 		}
 	}
 }
@@ -135,13 +135,13 @@
 			t.Fatalf("Retry-After of %.1f s", seconds(wait))
 		}
 	}
-	if f := c.Figures(now); f.Reserved < 100_000 {
-		t.Errorf("%.0f units are reserved", f.Reserved)
+	if f := c.Figures(now); f.InSlots < 100_000 {
+		t.Errorf("%.0f units are reserved", f.InSlots)
 	}
 	now += 200 * second
 	c.SetPending(now, nil)
-	if f := c.Figures(now); f.Reserved != 0 {
-		t.Errorf("%.0f units are reserved long afterwards", f.Reserved)
+	if f := c.Figures(now); f.InSlots != 0 {
+		t.Errorf("%.0f units are reserved long afterwards", f.InSlots)
 	}
 }
 
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -50,9 +50,9 @@
 	// usualTimeConstantUs is the time constant by which the usual rate follows arrivals.
 	usualTimeConstantUs = 30 * second
 	// surgeFactor is the multiple of the usual rate that is a surge, if it also is
-	// minSurge (requests a second) above it.
-	surgeFactor = 2.0
-	minSurge    = 8.0
+	// minSurgeExcess (requests a second) above it.
+	surgeFactor    = 2.0
+	minSurgeExcess = 8.0
 	// settledFactor is the multiple of the usual rate below which a surge is over.
 	settledFactor = 1.3
 	// calmAfterUs is for how long it must be over.
@@ -107,8 +107,8 @@
 	d.programs.add(r.Program)
 }
 
-// surgeRate returns the rate of requests a second from which on it is a surge.
-func (d *detector) surgeRate() float64 { return max(d.usual*surgeFactor, d.usual+minSurge) }
+// surgeThreshold returns the rate of requests a second from which on it is a surge.
+func (d *detector) surgeThreshold() float64 { return max(d.usual*surgeFactor, d.usual+minSurgeExcess) }
 
 // tick evaluates the last second, at most ten times in it, and returns a change of state if there was one.
 func (d *detector) tick(now int64, pending, releaseRate float64) (Change, bool) {
@@ -157,8 +157,8 @@
 	d.learnUsual(now, elapsed, obs.requests-obs.returned)
 	d.programs.decay(1 - min(maxProgramDecay, float64(elapsed)/float64(second)))
 	obs.congested = pending > 0 && releaseRate > 0 && pending/releaseRate > 1
-	obs.surge = obs.arrivals > d.surgeRate()
-	obs.elevated = obs.arrivals > max(d.usual*settledFactor, d.usual+minSurge/2) || obs.congested
+	obs.surge = obs.arrivals > d.surgeThreshold()
+	obs.elevated = obs.arrivals > max(d.usual*settledFactor, d.usual+minSurgeExcess/2) || obs.congested
 	return obs
 }
 
@@ -167,7 +167,7 @@
 	if d.state != Calm {
 		// A surge is not the usual, but what lasts becomes it: else a start amid a surge
 		// would have no usual rate to settle to.
-		newRequests = min(newRequests, d.surgeRate())
+		newRequests = min(newRequests, d.surgeThreshold())
 	}
 	period := min(usualTimeConstantUs, max(second, now-d.startedAt))
 	d.usual += (newRequests - d.usual) * min(1, float64(elapsed)/float64(period))
--- a/internal/backpressure/reservation.go
+++ b/internal/backpressure/forecast.go
@@ -27,17 +27,17 @@
 
 // demandForecast counts what was requested of each class in the last buckets.
 type demandForecast struct {
-	units     []demandCounts // by class
-	requests  demandCounts
-	head      int64                // the bucket that is filled now
-	reserved  []float64            // result of Controller.Reserved, by class
-	perSource [hashBuckets]uint8   // requests in the head bucket, by source
-	sources   [demandBuckets]int32 // by bucket
+	units          []demandCounts // by class
+	requests       demandCounts
+	head           int64                // the bucket that is filled now
+	higherPriority []float64            // result of Controller.Reserved, by class
+	perSource      [hashBuckets]uint8   // requests in the head bucket, by source
+	sources        [demandBuckets]int32 // by bucket
 }
 
 // newDemandForecast returns an empty forecast.
 func newDemandForecast(classes int) demandForecast {
-	return demandForecast{units: make([]demandCounts, classes), reserved: make([]float64, classes)}
+	return demandForecast{units: make([]demandCounts, classes), higherPriority: make([]float64, classes)}
 }
 
 // advance moves the ring on to now.
@@ -49,12 +49,12 @@
 	}
 	for f.head < bucket {
 		f.head++
-		slot := f.head % demandBuckets
+		index := f.head % demandBuckets
 		for class := range f.units {
-			f.units[class][slot] = 0
+			f.units[class][index] = 0
 		}
-		f.requests[slot] = 0
-		f.sources[slot] = 0
+		f.requests[index] = 0
+		f.sources[index] = 0
 		f.perSource = [hashBuckets]uint8{}
 	}
 }
@@ -73,9 +73,9 @@
 // add counts a request. Source 0 is unknown: each such request counts as from another one.
 func (f *demandForecast) add(now int64, class int, units float64, source uint64) {
 	f.advance(now)
-	slot := f.head % demandBuckets
+	index := f.head % demandBuckets
 	if source == 0 {
-		f.sources[slot]++
+		f.sources[index]++
 	} else {
 		count := &f.perSource[hashBucket(source)]
 		if *count >= maxPerSource {
@@ -83,11 +83,11 @@
 		}
 		*count++
 		if *count == 1 {
-			f.sources[slot]++
+			f.sources[index]++
 		}
 	}
-	f.units[class][slot] += units
-	f.requests[slot]++
+	f.units[class][index] += units
+	f.requests[index]++
 }
 
 // rate returns the higher one of the rates of the recent and of all buckets, a second.
@@ -110,16 +110,19 @@
 func (c *Controller) Reserved(now int64) []float64 {
 	f := &c.demand
 	f.advance(now)
-	clear(f.reserved)
-	if slices.Max(f.sources[:]) < minSources || f.rate(&f.requests) <= c.detector.surgeRate()+minSurge {
-		return f.reserved
+	clear(f.higherPriority)
+	// The windows of the forecast are shorter than the detector's second, so their rates
+	// scatter more: the excess is required once more beyond the detector's threshold.
+	threshold := c.detector.surgeThreshold() + minSurgeExcess
+	if slices.Max(f.sources[:]) < minSources || f.rate(&f.requests) <= threshold {
+		return f.higherPriority
 	}
-	for class := range f.reserved {
+	for class := range f.higherPriority {
 		for other := range f.units {
 			if c.settings.Classes[other].Priority > c.settings.Classes[class].Priority {
-				f.reserved[class] += f.rate(&f.units[other]) * float64(forecastUs) / float64(second)
+				f.higherPriority[class] += f.rate(&f.units[other]) * float64(forecastUs) / float64(second)
 			}
 		}
 	}
-	return f.reserved
+	return f.higherPriority
 }
--- a/internal/backpressure/reservation_test.go
+++ b/internal/backpressure/forecast_test.go
@@ -4,7 +4,7 @@
 
 // Given a surge, then capacity is reserved for its higher priorities; in a busy second
 // without one, and for many requests of few sources, none is.
-func TestReservedForHigherPriority(t *testing.T) {
+func TestHigherPriorityDemand(t *testing.T) {
 	c := New(testSettings(), 1)
 	now := testStart
 	for i := range 100 {
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -40,14 +40,14 @@
 	c.detector.rejected(now)
 	class := c.class(r)
 	e := c.waitlist.findOrAdd(now, r.Key, r.QueuedSinceUs)
-	if e.hasReservation() { // rejected twice over without a request between
-		c.cancelReservation(now, r.Program, e)
+	if e.hasSlot() { // rejected twice over without a request between
+		c.freeSlot(now, r.Program, e)
 	}
 	rate := c.releases.rate(now)
 	if rate <= 0 {
 		return c.rejectedAtUnknownRate(now, class, r.Units, e)
 	}
-	slot := c.reserve(now, class, r, e, rate)
+	slot := c.reserveSlot(now, class, r, e, rate)
 	wait := c.retryAfter(slot*slotUs-now, class)
 	e.recordRejection(now, class, r.Units, slot, wait)
 	return wait
@@ -58,13 +58,13 @@
 func (c *Controller) rejectedAtUnknownRate(now int64, class int, units float64, e *entry) int64 {
 	wait := min(unknownRateWaitUs+c.rng.Int64N(2*unknownRateWaitUs), c.settings.MaxRetryAfterUs)
 	e.recordRejection(now, class, units, now/slotUs, wait)
-	e.clearReservation()
+	e.clearSlot()
 	return wait
 }
 
-// reserve reserves a slot for a rejected request at a known release rate. A client that
+// reserveSlot reserves a slot for a rejected request at a known release rate. A client that
 // returned ahead of its slot keeps it.
-func (c *Controller) reserve(now int64, class int, r Request, e *entry, rate float64) (slot int64) {
+func (c *Controller) reserveSlot(now int64, class int, r Request, e *entry, rate float64) (slot int64) {
 	bucket := hashBucket(r.Program)
 	belowShare := c.fairness.belowShare(bucket)
 	c.fairness.add(bucket, r.Units)
@@ -81,8 +81,8 @@
 	return c.calendar.reserve(now, max(now, returnAt), class, r.Units, rate)
 }
 
-// cancelReservation frees the reserved slot of e, which belongs to a client of a program.
-func (c *Controller) cancelReservation(now int64, program uint64, e *entry) {
+// freeSlot frees the reserved slot of e, which belongs to a client of a program.
+func (c *Controller) freeSlot(now int64, program uint64, e *entry) {
 	c.calendar.cancel(e.class(), e.slot(now), e.load())
 	c.fairness.add(hashBucket(program), -e.load())
 }
@@ -95,9 +95,9 @@
 	for i := range c.pending {
 		if c.settings.Classes[i].Priority >= priority {
 			pending += c.pending[i]
-			reserved += c.calendar.reserved(i)
+			reserved += c.calendar.total(i)
 		} else {
-			lower += c.pending[i] + c.calendar.reserved(i)
+			lower += c.pending[i] + c.calendar.total(i)
 		}
 	}
 	ahead := pending + c.fairness.ahead(bucket, reserved+units)
@@ -106,7 +106,7 @@
 		aheadRate *= 1 - floorShare
 	}
 	// The floor of a class serves this class alone.
-	own := c.pending[class] + c.calendar.reserved(class) + units
+	own := c.pending[class] + c.calendar.total(class) + units
 	delay := min(ahead/aheadRate, own/(rate*floorShare)) // seconds
 	return now + int64(delay*float64(second))
 }
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -46,7 +46,7 @@
 	for i := range 500 {
 		c.Rejected(now, Request{Key: uint64(100 + i), Class: 0, Units: 1, TimeoutUs: second})
 	}
-	before := c.calendar.reserved(0)
+	before := c.calendar.total(0)
 	for range 10 {
 		now += second / 10
 		c.SetPending(now, []float64{300, 0, 0})
@@ -58,7 +58,7 @@
 			t.Errorf("to return at %.2f s, then at %.2f s", seconds(first-testStart), seconds(again-testStart))
 		}
 	}
-	if after := c.calendar.reserved(0); after > before+0.01 {
+	if after := c.calendar.total(0); after > before+0.01 {
 		t.Errorf("%.1f units are reserved, %.1f before", after, before)
 	}
 }
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -27,18 +27,18 @@
 	fingerprint  uint32 // 0: empty
 	firstTick    uint16 // of the first request
 	rejectedTick uint16 // of the last rejection
-	reservation  uint16 // slot, in ticks after rejectedTick; class; reservedBit
+	packedSlot   uint16 // slot, in ticks after rejectedTick; class; hasSlotBit
 	waitTicks    uint8  // Retry-After, at most maxWaitTicks
 	unitSteps    uint8  // in 1/unitScale, at most maxUnitSteps
 }
 
 // The bits of entry.reservation.
 const (
-	slotBits    = 11 // more than calendarSlots
-	classBits   = 4
-	slotMask    = 1<<slotBits - 1
-	classMask   = 1<<classBits - 1
-	reservedBit = 1 << (slotBits + classBits)
+	slotBits   = 11 // more than calendarSlots
+	classBits  = 4
+	slotMask   = 1<<slotBits - 1
+	classMask  = 1<<classBits - 1
+	hasSlotBit = 1 << (slotBits + classBits)
 )
 
 // waitlist is a hash table of entries.
@@ -121,24 +121,23 @@
 
 func (e *entry) queuedSince(now int64) int64 { return timeOfTick(now, e.firstTick) }
 func (e *entry) rejectedAt(now int64) int64  { return timeOfTick(now, e.rejectedTick) }
-func (e *entry) hasReservation() bool        { return e.reservation&reservedBit != 0 }
-func (e *entry) clearReservation()           { e.reservation &^= reservedBit }
-func (e *entry) class() int                  { return int(e.reservation >> slotBits & classMask) }
+func (e *entry) hasSlot() bool               { return e.packedSlot&hasSlotBit != 0 }
+func (e *entry) clearSlot()                  { e.packedSlot &^= hasSlotBit }
+func (e *entry) class() int                  { return int(e.packedSlot >> slotBits & classMask) }
 func (e *entry) load() float64               { return float64(e.unitSteps) / unitScale }
 func (e *entry) retryAfter() int64           { return int64(e.waitTicks) * tickUs }
 
-// slot returns the slot that was reserved last, which may be past. Slots and ticks have
-// the same length.
+// slot returns the slot that was reserved last, which may be past.
 func (e *entry) slot(now int64) int64 {
 	rejected := now/tickUs - int64(uint16(now/tickUs)-e.rejectedTick)
-	return rejected + int64(e.reservation&slotMask)
+	return rejected + int64(e.packedSlot&slotMask)
 }
 
 // recordRejection records a rejection now: its reserved slot and its Retry-After.
 func (e *entry) recordRejection(now int64, class int, units float64, slot, wait int64) {
 	e.rejectedTick = uint16(now / tickUs)
 	slotsAhead := uint16(min(max(0, slot-now/tickUs), slotMask))
-	e.reservation = slotsAhead | uint16(class&classMask)<<slotBits | reservedBit
+	e.packedSlot = slotsAhead | uint16(class&classMask)<<slotBits | hasSlotBit
 	e.waitTicks = uint8(min(maxWaitTicks, wait/tickUs))
 	e.unitSteps = uint8(min(maxUnitSteps, max(1, units*unitScale)))
 }
