--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -41,7 +41,7 @@
 	for _, s := range sections {
 		setters := known[s.Name.Text]
 		if setters == nil {
-			return s.Name.Wrong("a section of " + joinedKeys(known))
+			return s.Name.Expected("a section of " + joinedKeys(known))
 		}
 		if err := s.apply(setters); err != nil {
 			return err
@@ -58,10 +58,10 @@
 		name := d.Name.Text
 		set := setters[name]
 		if set == nil {
-			return d.Name.Wrong("in [" + s.Name.Text + "] one of " + joinedKeys(setters))
+			return d.Name.Expected("in [" + s.Name.Text + "] one of " + joinedKeys(setters))
 		}
 		if line := seen[name]; line > 0 && !repeatable[name] {
-			return d.Name.Wrong(fmt.Sprintf("each directive once; it stands in line %d", line))
+			return d.Name.Expected(fmt.Sprintf("each directive once; it stands in line %d", line))
 		}
 		seen[name] = d.Name.Line
 		if err := set(d); err != nil {
@@ -119,7 +119,7 @@
 			return err
 		}
 		if !valid(word) {
-			return d.Args[0].Wrong(want)
+			return d.Args[0].Expected(want)
 		}
 		*field = word
 		return nil
@@ -168,11 +168,11 @@
 // setTrace takes the suffixes of the request IDs that are traced.
 func (o *Operators) setTrace(d Directive) error {
 	if len(d.Args) == 0 {
-		return d.Name.Wrong("trace followed by endings of tags, in hex digits")
+		return d.Name.Expected("trace followed by endings of tags, in hex digits")
 	}
 	for _, suffix := range d.Args {
 		if !isHexSuffix(suffix.Text) {
-			return suffix.Wrong("an ending of a tag: 1 to 16 hex digits in lower case")
+			return suffix.Expected("an ending of a tag: 1 to 16 hex digits in lower case")
 		}
 		o.Trace = append(o.Trace, suffix.Text)
 	}
@@ -212,14 +212,14 @@
 	}
 	name, address := d.Args[0], d.Args[1]
 	if !isName(name.Text) {
-		return name.Wrong("a name of 1 to 64 bytes")
+		return name.Expected("a name of 1 to 64 bytes")
 	}
 	if !isAddress(address.Text) {
-		return address.Wrong("address:port")
+		return address.Expected("address:port")
 	}
 	for _, m := range p.Members {
 		if m.Name == name.Text {
-			return name.Wrong("each member once")
+			return name.Expected("each member once")
 		}
 	}
 	p.Members = append(p.Members, PeerAddress{Name: name.Text, Address: address.Text, Zone: zone})
@@ -229,14 +229,14 @@
 // memberZone returns the third argument of a member's line, "" if there is none.
 func (p *Peers) memberZone(d Directive) (string, error) {
 	if len(d.Args) < 3 {
-		if p.zonelessAt == nil {
-			p.zonelessAt = &d.Args[0]
+		if p.firstZonelessWord == nil {
+			p.firstZonelessWord = &d.Args[0]
 		}
 		return "", nil
 	}
 	zone := d.Args[2]
 	if !isName(zone.Text) {
-		return "", zone.Wrong("a zone of 1 to 64 bytes")
+		return "", zone.Expected("a zone of 1 to 64 bytes")
 	}
 	return zone.Text, nil
 }
@@ -244,18 +244,18 @@
 // addRegion takes the name of a region and its zones.
 func (p *Peers) addRegion(d Directive) error {
 	if len(d.Args) < 2 {
-		return d.Name.Wrong("region followed by its name and its zones")
+		return d.Name.Expected("region followed by its name and its zones")
 	}
 	if p.Regions == nil {
-		p.Regions, p.regionAt = map[string]string{}, &d.Name
+		p.Regions, p.firstRegionWord = map[string]string{}, &d.Name
 	}
 	region := d.Args[0].Text
 	for _, zone := range d.Args[1:] {
 		if !isName(zone.Text) {
-			return zone.Wrong("a zone of 1 to 64 bytes")
+			return zone.Expected("a zone of 1 to 64 bytes")
 		}
 		if p.Regions[zone.Text] != "" {
-			return zone.Wrong("each zone in one region")
+			return zone.Expected("each zone in one region")
 		}
 		p.Regions[zone.Text] = region
 	}
@@ -265,18 +265,18 @@
 // setPartition takes whether the workers are divided among the members.
 func (p *Peers) setPartition(d Directive) error {
 	word, err := d.OneOf("on", "off")
-	p.Partition, p.partitionAt = word == "on", &d.Name
+	p.Partition, p.partitionWord = word == "on", &d.Name
 	return err
 }
 
 // setKeepalive takes whole seconds, as the system counts them.
-func (w *Workers) setKeepalive(d Directive) error {
+func (w *WorkerConnections) setKeepalive(d Directive) error {
 	keepalive, err := d.Duration(minKeepalive, maxKeepalive)
 	if err != nil {
 		return err
 	}
 	if keepalive%time.Second != 0 {
-		return d.Args[0].Wrong("whole seconds from " + minKeepalive.String() + " to " + maxKeepalive.String())
+		return d.Args[0].Expected("whole seconds from " + minKeepalive.String() + " to " + maxKeepalive.String())
 	}
 	w.Keepalive = keepalive
 	return nil
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -63,13 +63,13 @@
 // Unwrap returns ErrConfig.
 func (e *FieldError) Unwrap() error { return ErrConfig }
 
-// MemberError is what is wrong with one worker of a list. It wraps ErrConfig.
-type MemberError struct{ Worker, Problem string }
+// WorkerError is what is wrong with one worker of a list. It wraps ErrConfig.
+type WorkerError struct{ Name, Problem string }
 
 // Error implements error.
-func (e *MemberError) Error() string {
-	return fmt.Sprintf("%s: member %.40q: %s", ErrConfig, e.Worker, e.Problem)
+func (e *WorkerError) Error() string {
+	return fmt.Sprintf("%s: member %.40q: %s", ErrConfig, e.Name, e.Problem)
 }
 
 // Unwrap returns ErrConfig.
-func (e *MemberError) Unwrap() error { return ErrConfig }
+func (e *WorkerError) Unwrap() error { return ErrConfig }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -39,8 +39,8 @@
 		t.Errorf("%v is no *FieldError of listen", err)
 	}
 	_, err = Parse([]byte(configText(addr, addr, "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested)))
-	var memberError *MemberError
-	if !errors.As(err, &memberError) || memberError.Worker != "s-00c41f7a" {
+	var workerError *WorkerError
+	if !errors.As(err, &workerError) || workerError.Name != "s-00c41f7a" {
 		t.Errorf("%v is no *MemberError of the worker", err)
 	}
 }
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -2,16 +2,14 @@
 
 // This file owns the form of line-based files, as classic daemons read them: a section's
 // name in brackets, then one directive a line, a word and its arguments; # begins a
-// comment; double quotes keep spaces in a word. What a directive means its user decides.
+// comment; double quotes keep spaces in a word. What a directive means its user decides;
+// how its arguments are read as values is in arguments.go.
 // It must never open a file, and each of its errors names the file, the line, the column
 // and what was expected.
 
 import (
 	"fmt"
-	"slices"
-	"strconv"
 	"strings"
-	"time"
 	"unicode/utf8"
 )
 
@@ -27,9 +25,9 @@
 	Line, Column int // from 1
 }
 
-// Wrong returns the error that something else was expected in place of the word. It is a
+// Expected returns the error that something else was expected in place of the word. It is a
 // *PositionError.
-func (w Word) Wrong(want string) error {
+func (w Word) Expected(want string) error {
 	return &PositionError{File: w.File, Line: w.Line, Column: w.Column, Want: want, Got: w.Text}
 }
 
@@ -69,12 +67,13 @@
 	sections []Section
 }
 
-// fail returns an error in the present line.
+// fail returns a *PositionError in the present line. Its column is counted from 1, in
+// bytes.
 func (p *lineParser) fail(column int, want, got string) error {
 	return &PositionError{File: p.file, Line: p.line, Column: column, Want: want, Got: got}
 }
 
-// parse parses the present line.
+// parse parses the present line: nothing, a heading, or a directive of the last heading.
 func (p *lineParser) parse(text string) error {
 	if len(text) > maxLineLength {
 		return p.fail(maxLineLength+1, fmt.Sprintf("a line of at most %d bytes", maxLineLength), "")
@@ -126,112 +125,52 @@
 // split splits the present line into its words, up to a comment.
 func (p *lineParser) split(text string) ([]Word, error) {
 	var words []Word
-	for at := 0; at < len(text); {
-		switch text[at] {
+	for offset := 0; offset < len(text); {
+		switch text[offset] {
 		case ' ', '\t':
-			at++
+			offset++
 			continue
 		case '#':
 			return words, nil
 		}
-		word, end, err := p.nextWord(text, at)
+		word, end, err := p.nextWord(text, offset)
 		if err != nil {
 			return nil, err
 		}
 		words = append(words, word)
-		at = end
+		offset = end
 	}
 	return words, nil
 }
 
 // nextWord returns the word that begins at an offset of a line, and the offset behind it.
-func (p *lineParser) nextWord(text string, at int) (word Word, end int, err error) {
-	if text[at] == '"' {
-		return p.quotedWord(text, at)
+func (p *lineParser) nextWord(text string, offset int) (word Word, end int, err error) {
+	if text[offset] == '"' {
+		return p.quotedWord(text, offset)
 	}
-	end = at
+	end = offset
 	for end < len(text) && !endsWord(text[end]) {
 		if text[end] == '"' {
 			return Word{}, 0, p.fail(end+1, "a space before an opening quote", text[end:])
 		}
 		end++
 	}
-	return p.word(text[at:end], at+1), end, nil
+	return p.word(text[offset:end], offset+1), end, nil
 }
 
 // quotedWord returns the word whose opening quote is at an offset of a line, and the
 // offset behind its closing quote. Its column is that of the opening quote.
-func (p *lineParser) quotedWord(text string, at int) (word Word, end int, err error) {
-	length := strings.IndexByte(text[at+1:], '"')
+func (p *lineParser) quotedWord(text string, offset int) (word Word, end int, err error) {
+	length := strings.IndexByte(text[offset+1:], '"')
 	if length < 0 {
-		return Word{}, 0, p.fail(at+1, "a closing quote", text[at:])
+		return Word{}, 0, p.fail(offset+1, "a closing quote", text[offset:])
 	}
-	end = at + length + 2
+	end = offset + length + 2
 	if end < len(text) && !endsWord(text[end]) {
 		return Word{}, 0, p.fail(end+1, "a space after a closing quote", text[end:])
 	}
-	return p.word(text[at+1:end-1], at+1), end, nil
+	return p.word(text[offset+1:end-1], offset+1), end, nil
 }
 
-// endsWord reports whether a word ends before a byte.
+// endsWord reports whether a byte ends an unquoted word: a comment needs no space before it.
 func endsWord(b byte) bool { return b == ' ' || b == '\t' || b == '#' }
-
-// requireArgs returns an error unless the directive has so many arguments.
-func (d Directive) requireArgs(count int, want string) error {
-	if len(d.Args) > count {
-		return d.Args[count].Wrong("nothing after " + want)
-	}
-	if len(d.Args) < count {
-		return &PositionError{File: d.Name.File, Line: d.Name.Line, Column: d.Name.Column, Want: d.Name.Text + " followed by " + want}
-	}
-	return nil
-}
-
-// Word returns the only argument.
-func (d Directive) Word(want string) (string, error) {
-	if err := d.requireArgs(1, want); err != nil {
-		return "", err
-	}
-	return d.Args[0].Text, nil
-}
-
-// OneOf returns the only argument, which must be one of the given words.
-func (d Directive) OneOf(words ...string) (string, error) {
-	want := strings.Join(words, " or ")
-	word, err := d.Word(want)
-	if err != nil {
-		return "", err
-	}
-	if !slices.Contains(words, word) {
-		return "", d.Args[0].Wrong(want)
-	}
-	return word, nil
-}
-
-// Duration returns the only argument as a time with its unit, as 500ms or 3s, within bounds.
-func (d Directive) Duration(minimum, maximum time.Duration) (time.Duration, error) {
-	want := fmt.Sprintf("a time with its unit, %s to %s", minimum, maximum)
-	word, err := d.Word(want)
-	if err != nil {
-		return 0, err
-	}
-	duration, err := time.ParseDuration(word)
-	if err != nil || duration < minimum || duration > maximum {
-		return 0, d.Args[0].Wrong(want)
-	}
-	return duration, nil
-}
-
-// Int returns the only argument as a whole number within bounds.
-func (d Directive) Int(minimum, maximum int64) (int64, error) {
-	want := fmt.Sprintf("a whole number, %d to %d", minimum, maximum)
-	word, err := d.Word(want)
-	if err != nil {
-		return 0, err
-	}
-	number, err := strconv.ParseInt(word, 10, 64)
-	if err != nil || number < minimum || number > maximum {
-		return 0, d.Args[0].Wrong(want)
-	}
-	return number, nil
-}
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -29,7 +29,7 @@
 	Collectd          Metrics
 	Backpressure      Backpressure
 	Peers             Peers
-	Workers           Workers
+	Workers           WorkerConnections
 	// LogLevel is the lowest level that is written: info, or debug for a line at each step
 	// of every request, which costs time under load.
 	LogLevel slog.Level
@@ -58,12 +58,13 @@
 	// orchestrators of its region.
 	Regions map[string]string
 
-	// Where the file says partition and region first, and the first member without a zone.
-	partitionAt, regionAt, zonelessAt *Word
+	// The words that an error of validate refers to: partition, the first region, and the
+	// name of the first member without a zone; nil where the file has none.
+	partitionWord, firstRegionWord, firstZonelessWord *Word
 }
 
-// Workers says how connections to workers are monitored.
-type Workers struct {
+// WorkerConnections says how connections to workers are monitored.
+type WorkerConnections struct {
 	// Keepalive is the time without data after which the system probes a worker's
 	// connection, where an answer proves the connection; 0: only data does.
 	Keepalive time.Duration
@@ -76,14 +77,15 @@
 type Backpressure struct {
 	FixedRetryAfter time.Duration // the same for all; 0: that of a reserved slot
 	MinRetryAfter   time.Duration // lower bound of Retry-After
-	MaxClients      int           // clients remembered at most; 0: a number that fits a small machine
+	MaxClients      int           // clients remembered at most; 0: a number that fits a small host
 }
 
 // LoadOperators reads the operators' file. If there is none, it returns the defaults. Its
 // errors wrap ErrConfig.
 func LoadOperators(path string) (Operators, error) {
 	if strings.HasSuffix(path, ".json") {
-		return Operators{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf", ErrConfig, path)
+		return Operators{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf",
+			ErrConfig, path)
 	}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -130,11 +132,11 @@
 func (p *Peers) validate() error {
 	switch {
 	case p.Partition && p.Listen == "":
-		return p.partitionAt.Wrong("listen and cluster beside partition on, as the workers are divided among the members")
-	case p.regionAt != nil && !p.Partition:
-		return p.regionAt.Wrong("partition on beside region")
-	case p.regionAt != nil && p.zonelessAt != nil:
-		return p.zonelessAt.Wrong("a name, address:port and the zone, as regions are named")
+		return p.partitionWord.Expected("listen and cluster beside partition on, as the workers are divided among the members")
+	case p.firstRegionWord != nil && !p.Partition:
+		return p.firstRegionWord.Expected("partition on beside region")
+	case p.firstRegionWord != nil && p.firstZonelessWord != nil:
+		return p.firstZonelessWord.Expected("a name, address:port and the zone, as regions are named")
 	}
 	return nil
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -108,8 +108,8 @@
 // parseInitial parses the list of workers at the start, which must be valid as a whole.
 func parseInitial(known gjson.Result) (Update, error) {
 	initial, err := parseUpdate(known)
-	if err == nil && len(initial.Invalid) > 0 {
-		err = initial.Invalid[0]
+	if err == nil && len(initial.InvalidWorkers) > 0 {
+		err = initial.InvalidWorkers[0]
 	}
 	if err != nil {
 		return Update{}, fmt.Errorf("known: %w", err)
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -74,10 +74,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Member{Addr: "127.1.0.9:5070", Entry: placement.Entry{Worker: "s-00c41f7a", Kind: "std", Zone: "east", Cell: 2,
+	want := Worker{Addr: "127.1.0.9:5070", Entry: placement.Entry{Worker: "s-00c41f7a", Kind: "std", Zone: "east", Cell: 2,
 		StartedAtUs: 1_700_000, FreeCores: 12, FreeMemory: -3.5}}
 	if c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeoutUs != 250_000 ||
-		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Members[0] != want {
+		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Workers[0] != want {
 		t.Errorf("got %+v", c)
 	}
 	for name, bad := range map[string]string{
@@ -100,7 +100,7 @@
 // An invalid member does not hide the others of its event.
 func TestInvalidMember(t *testing.T) {
 	u, err := ParseUpdate([]byte(`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[{"id":"x","phase":"odd"},` + workerJSON + `]}}]}`))
-	if err != nil || len(u.Invalid) != 1 || len(u.Events[0].Members) != 1 {
+	if err != nil || len(u.InvalidWorkers) != 1 || len(u.Events[0].Workers) != 1 {
 		t.Errorf("got %+v, %v", u, err)
 	}
 	for _, bad := range []string{"", "[]", "{"} {
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -17,9 +17,9 @@
 
 // Update is a response of discovery: the events after a cursor.
 type Update struct {
-	Cursor  int64
-	Events  []Event
-	Invalid []error // of members that were left out
+	Cursor         int64
+	Events         []Event
+	InvalidWorkers []error // why workers were left out: WorkerError, or without an ID
 }
 
 // Event is one numbered event of discovery.
@@ -27,11 +27,11 @@
 	Cursor   int64
 	HasList  bool // it carries a list of workers
 	Complete bool // the list names all workers
-	Members  []Member
+	Workers  []Worker
 }
 
-// Member is one worker of a list.
-type Member struct {
+// Worker is one worker of a list.
+type Worker struct {
 	placement.Entry
 	Addr string // address:port
 }
@@ -57,17 +57,17 @@
 	return update, nil
 }
 
-// addEvent adds an event, with the valid ones of its members.
+// addEvent adds an event, with the valid ones of its workers.
 func (u *Update) addEvent(object gjson.Result) {
 	event := Event{Cursor: object.Get("cursor").Int()}
-	if nodes := object.Get("nodes"); nodes.IsObject() {
-		event.HasList, event.Complete = true, nodes.Get("complete").Bool()
-		nodes.Get("members").ForEach(func(_, value gjson.Result) bool {
-			member, err := parseMember(value)
+	if list := object.Get("nodes"); list.IsObject() {
+		event.HasList, event.Complete = true, list.Get("complete").Bool()
+		list.Get("members").ForEach(func(_, value gjson.Result) bool {
+			worker, err := parseWorker(value)
 			if err != nil {
-				u.Invalid = append(u.Invalid, err)
+				u.InvalidWorkers = append(u.InvalidWorkers, err)
 			} else {
-				event.Members = append(event.Members, member)
+				event.Workers = append(event.Workers, worker)
 			}
 			return true
 		})
@@ -82,9 +82,9 @@
 	"removed":  placement.Removed,
 }
 
-// parseMember parses one worker of a list.
-func parseMember(object gjson.Result) (Member, error) {
-	member := Member{
+// parseWorker parses one worker of a list.
+func parseWorker(object gjson.Result) (Worker, error) {
+	worker := Worker{
 		Addr: object.Get("host_port").String(),
 		Entry: placement.Entry{
 			Worker:      object.Get("id").String(),
@@ -96,17 +96,18 @@
 			FreeMemory:  object.Get("spare.1").Float(),
 		},
 	}
-	if member.Worker == "" {
-		return Member{}, fmt.Errorf("%w: a member without an id", ErrConfig)
+	if worker.Worker == "" {
+		return Worker{}, fmt.Errorf("%w: a member without an id", ErrConfig)
 	}
 	phase := object.Get("phase").String()
 	state, known := workerStates[phase]
 	if !known {
-		return Member{}, &MemberError{Worker: member.Worker, Problem: fmt.Sprintf("phase %.40q is unknown", phase)}
+		return Worker{}, &WorkerError{Name: worker.Worker, Problem: fmt.Sprintf("phase %.40q is unknown", phase)}
 	}
-	member.State = state
-	if _, err := netip.ParseAddrPort(member.Addr); err != nil && state != placement.Removed {
-		return Member{}, &MemberError{Worker: member.Worker, Problem: fmt.Sprintf("host_port %.60q is no address", member.Addr)}
+	worker.State = state
+	if _, err := netip.ParseAddrPort(worker.Addr); err != nil && state != placement.Removed {
+		problem := fmt.Sprintf("host_port %.60q is no address", worker.Addr)
+		return Worker{}, &WorkerError{Name: worker.Worker, Problem: problem}
 	}
-	return member, nil
+	return worker, nil
 }
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -52,7 +52,7 @@
 // update takes over the zones of listed workers, and forgets all others where the list is complete. The
 // workers of a zone that no poll named are reported to everybody, so that the shards of a new zone are
 // active at once; it reports whether there is one.
-func (s *shardAssignment) update(members []config.Member, complete bool) (hasNewZone bool) {
+func (s *shardAssignment) update(members []config.Worker, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
 	}
@@ -135,7 +135,7 @@
 }
 
 // updateZones takes over the zones of listed workers, where workers are assigned to orchestrators.
-func (f *Follower) updateZones(members []config.Member, complete bool) {
+func (f *Follower) updateZones(members []config.Worker, complete bool) {
 	if f.assignment != nil && f.assignment.update(members, complete) {
 		f.publishAssignment()
 	}
--- a/internal/discovery/assignment_test.go
+++ b/internal/discovery/assignment_test.go
@@ -15,9 +15,9 @@
 }
 
 // membersIn lists a worker in each zone, all by different names.
-func membersIn(zones ...string) (members []config.Member) {
+func membersIn(zones ...string) (members []config.Worker) {
 	for i, zone := range zones {
-		members = append(members, config.Member{Entry: placement.Entry{Worker: zone + string(rune('a'+i)), Zone: zone}})
+		members = append(members, config.Worker{Entry: placement.Entry{Worker: zone + string(rune('a'+i)), Zone: zone}})
 	}
 	return members
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -31,7 +31,7 @@
 		if event.Complete {
 			kind = placement.ListFull
 		}
-		f.dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: kind, Entries: entriesOf(event.Members)})
+		f.dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: kind, Entries: entriesOf(event.Workers)})
 	}
 }
 
@@ -61,17 +61,17 @@
 // updatePool brings the shards and the connections to workers up to date with an event.
 func (f *Follower) updatePool(event config.Event) {
 	if event.Complete {
-		f.pool.RemoveUnlisted(namesOf(event.Members))
+		f.pool.RemoveUnlisted(namesOf(event.Workers))
 	}
-	f.updateZones(event.Members, event.Complete)
-	for _, member := range event.Members {
+	f.updateZones(event.Workers, event.Complete)
+	for _, member := range event.Workers {
 		f.pool.UpdateWorker(member.Worker, member.Addr, member.State != placement.Removed)
 		f.pool.WorkerStarted(member.Worker, member.StartedAtUs)
 	}
 }
 
 // namesOf is the set of the names of listed workers.
-func namesOf(members []config.Member) map[string]bool {
+func namesOf(members []config.Worker) map[string]bool {
 	names := make(map[string]bool, len(members))
 	for _, member := range members {
 		names[member.Worker] = true
@@ -80,7 +80,7 @@
 }
 
 // entriesOf is what a list says of its workers, without their addresses.
-func entriesOf(members []config.Member) []placement.Entry {
+func entriesOf(members []config.Worker) []placement.Entry {
 	entries := make([]placement.Entry, 0, len(members))
 	for _, member := range members {
 		entries = append(entries, member.Entry)
@@ -100,7 +100,7 @@
 	if event.Complete || l.index == nil {
 		l.entries, l.index = nil, map[string]int{}
 	}
-	for _, member := range event.Members {
+	for _, member := range event.Workers {
 		if i, found := l.index[member.Worker]; found {
 			l.entries[i] = member.Entry
 			continue
--- a/internal/discovery/events_test.go
+++ b/internal/discovery/events_test.go
@@ -14,7 +14,7 @@
 	event := func(complete bool, entries ...placement.Entry) (e config.Event) {
 		e.Complete = complete
 		for _, entry := range entries {
-			e.Members = append(e.Members, config.Member{Entry: entry})
+			e.Workers = append(e.Workers, config.Worker{Entry: entry})
 		}
 		return e
 	}
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -166,7 +166,7 @@
 
 // applyPolled applies the response of the poll in flight.
 func (f *Follower) applyPolled(update config.Update) {
-	for _, err := range update.Invalid {
+	for _, err := range update.InvalidWorkers {
 		f.log.Warn("invalid worker entry skipped", "err", err)
 	}
 	f.Apply(update, false)
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -55,7 +55,7 @@
 	keys := &Keys{}
 	for _, section := range sections {
 		if section.Name.Text != "keys" {
-			return nil, section.Name.Wrong("the section keys")
+			return nil, section.Name.Expected("the section keys")
 		}
 		for _, directive := range section.Directives {
 			if err := keys.add(directive); err != nil {
@@ -72,20 +72,20 @@
 // add appends the key of a directive.
 func (k *Keys) add(directive config.Directive) error {
 	if directive.Name.Text != "key" {
-		return directive.Name.Wrong("key")
+		return directive.Name.Expected("key")
 	}
 	if len(directive.Args) != 2 {
-		return directive.Name.Wrong("key followed by a name and a secret in hex")
+		return directive.Name.Expected("key followed by a name and a secret in hex")
 	}
 	name, secret := directive.Args[0], directive.Args[1]
 	b, err := hex.DecodeString(secret.Text)
 	if err != nil || len(b) < minSecret || len(b) > maxSecret {
 		secret.Text = "" // the error would print it
-		return secret.Wrong(fmt.Sprintf("a secret of %d to %d hex digits", 2*minSecret, 2*maxSecret))
+		return secret.Expected(fmt.Sprintf("a secret of %d to %d hex digits", 2*minSecret, 2*maxSecret))
 	}
 	id := keyID(name.Text)
 	if k.find(id) != nil {
-		return name.Wrong("a name that no other key has")
+		return name.Expected("a name that no other key has")
 	}
 	k.keys = append(k.keys, key{id, b})
 	return nil
