--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -40,15 +40,15 @@
 		}
 		r.values[path] = value
 	}
-	s := r.scheduler()
+	s := r.scalars()
 	s.Kinds = r.kinds()
 	s.Classes = r.classes()
 	s.Tenants = r.tenants()
 	return s, r.err
 }
 
-// scheduler returns the settings that stand alone.
-func (r *settingsReader) scheduler() placement.Settings {
+// scalars returns the settings with one value each: all but kinds, classes and tenants.
+func (r *settingsReader) scalars() placement.Settings {
 	return placement.Settings{
 		SelfIndex:          int(r.int("SelfIndex")),
 		FleetSize:          int(r.int("FleetSize")),
@@ -81,7 +81,7 @@
 	}
 }
 
-// kinds returns the kinds of worker.
+// kinds returns the kinds of worker. Their sizes come in lists beside that of their names.
 func (r *settingsReader) kinds() []placement.Kind {
 	names := r.list("Flavors")
 	cores, memory := r.floats("FamilyInfo.SizeCores"), r.floats("FamilyInfo.MemoryByKind")
@@ -135,7 +135,8 @@
 	return classes
 }
 
-// class returns what stands under the path of one class.
+// class returns the settings of one class that have a path of their own; the others come
+// in lists with an item for each class.
 func (r *settingsReader) class(path string) placement.Class {
 	effect, known := effects[r.values[path+"Semantics"]]
 	if !known {
