--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -5,8 +5,8 @@
 
 import "slices"
 
-// probeDead pings one of the dead: a partition that heals would never show otherwise.
-func (t *Table) probeDead() {
+// pingDead pings one of the dead: a partition that heals would never show otherwise.
+func (t *Table) pingDead() {
 	var dead []string
 	for _, name := range t.names {
 		if t.members[name].State == Dead {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -70,11 +70,11 @@
 // packBroadcasts adds the broadcasts that were passed on least, and drops those that were often enough.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
 	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping were the same
-	reserved := 0                                   // for the page: the broadcasts of an entire zone would leave it no space
+	pageSpace := 0                                  // bytes: the broadcasts of an entire zone would leave the page none
 	if buckets != 0 {
-		reserved = p.free / 2
+		pageSpace = p.free / 2
 	}
-	for i := 0; i < len(t.broadcasts) && p.free > reserved; i++ {
+	for i := 0; i < len(t.broadcasts) && p.free > pageSpace; i++ {
 		b := t.broadcasts[i]
 		if m := t.members[b.name]; inSync && m != nil && m.State == Alive {
 			b.transmits++ // the receiver has it
@@ -83,7 +83,9 @@
 		}
 	}
 	limit := t.transmitLimit()
-	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(b *broadcast) bool { return b.transmits >= limit || b.name == t.Self.Name })
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(b *broadcast) bool {
+		return b.transmits >= limit || b.name == t.Self.Name
+	})
 	slices.SortStableFunc(t.broadcasts, func(a, b *broadcast) int { return a.transmits - b.transmits })
 }
 
@@ -108,7 +110,8 @@
 // add adds the update of a member, once; false where it has no space or is not to be passed on.
 func (p *packer) add(name string) bool {
 	u, ok := p.table.updateOf(name)
-	if !ok || name == p.table.Self.Name || slices.ContainsFunc(p.message.Updates, func(o Update) bool { return o.Name == name }) {
+	packed := slices.ContainsFunc(p.message.Updates, func(other Update) bool { return other.Name == name })
+	if !ok || packed || name == p.table.Self.Name {
 		return false
 	}
 	size := u.size()
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -9,9 +9,12 @@
 // healthMultiplier is the local health multiplier of the probes' timeouts.
 func (t *Table) healthMultiplier() int64 { return int64(1 + t.healthScore) }
 
-// suspicionMultiplier is that of the suspicions' timeouts, in halves: it stops at two, so that a member that
-// is alone with its observations declares a death all the same.
-func (t *Table) suspicionMultiplier() int64 { return int64(2 + min(2, t.healthScore)) }
+// stretchSuspicion lengthens the timeout of a suspicion by half of it for each point of the score. It stops at
+// twice the timeout, so that a member that is alone with its observations declares a death all the same.
+func (t *Table) stretchSuspicion(timeout int64) int64 {
+	halves := int64(2 + min(2, t.healthScore))
+	return timeout * halves / 2
+}
 
 func (t *Table) improveHealth() { t.healthScore = max(0, t.healthScore-1) }
 
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -106,7 +106,12 @@
 		sequence:        t.sequence,
 		deadline:        t.now + t.DirectTimeout,
 	})
-	t.sendToMember(m.Target, Message{Kind: Ping, Sequence: t.sequence, OnBehalfOf: m.Sender.Name, OnBehalfOfSequence: m.Sequence})
+	t.sendToMember(m.Target, Message{
+		Kind:               Ping,
+		Sequence:           t.sequence,
+		OnBehalfOf:         m.Sender.Name,
+		OnBehalfOfSequence: m.Sequence,
+	})
 }
 
 // answerRelayedProbe tells the requester that the target acked the ping on its behalf.
@@ -132,7 +137,11 @@
 func (t *Table) expireRelayedProbes() {
 	for _, relayed := range t.relayedProbes {
 		if t.now >= relayed.deadline {
-			t.sendToMember(relayed.requester, Message{Kind: PingRequestResult, Sequence: relayed.requestSequence, Target: relayed.target})
+			t.sendToMember(relayed.requester, Message{
+				Kind:     PingRequestResult,
+				Sequence: relayed.requestSequence,
+				Target:   relayed.target,
+			})
 		}
 	}
 	t.relayedProbes = slices.DeleteFunc(t.relayedProbes, func(r *relayedProbe) bool { return t.now >= r.deadline })
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -54,14 +54,15 @@
 	for looked := 0; looked < 2 && len(t.urgentProbes) > 0; looked++ {
 		name := t.urgentProbes[0]
 		t.urgentProbes = t.urgentProbes[1:]
-		if t.startProbe(name) {
+		if t.needsProbe(name) {
+			t.startProbe(name)
 			return
 		}
 	}
 }
 
-// startProbeInOrder probes the next member in order; after the last one a new order is drawn. It reports
-// whether there was a member to probe.
+// startProbeInOrder gives the next member in order its turn; after the last one a new order is drawn. It
+// reports whether there was a member that needs a probe.
 func (t *Table) startProbeInOrder() bool {
 	for range 2*len(t.names) + 2 {
 		if len(t.probeOrder) == 0 {
@@ -75,25 +76,29 @@
 		}
 		name := t.probeOrder[0]
 		t.probeOrder = t.probeOrder[1:]
-		if t.startProbe(name) {
+		if t.needsProbe(name) {
+			t.startProbe(name)
 			return true
 		}
 	}
 	return false
 }
 
-// startProbe starts a probe unless too many are in flight. It reports false for a member that is gone or is
-// being probed.
-func (t *Table) startProbe(name string) bool {
+// needsProbe reports whether a member is still believed to be in the cluster, and is not being probed.
+func (t *Table) needsProbe(name string) bool {
 	m := t.members[name]
-	if m == nil || m.State > Suspect || t.probing(name) {
-		return false
-	}
-	if len(t.probes) < maxProbes {
-		m.probedAt = t.now
-		t.probes = append(t.probes, &probe{name: name, nonce: m.Nonce, startedAt: t.now, sequence: t.ping(name)})
+	return m != nil && m.State <= Suspect && !t.probing(name)
+}
+
+// startProbe starts the probe of a member that needs one. Where too many are in flight, the member loses its
+// turn.
+func (t *Table) startProbe(name string) {
+	if len(t.probes) >= maxProbes {
+		return
 	}
-	return true
+	m := t.members[name]
+	m.probedAt = t.now
+	t.probes = append(t.probes, &probe{name: name, nonce: m.Nonce, startedAt: t.now, sequence: t.ping(name)})
 }
 
 // directTimeout is how long an ack may take: longer for a member that is known to be far, and by the local
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -69,7 +69,8 @@
 		return
 	}
 	t.sendToAddress(address, m.Sender.Name, ack, buckets)
-	for range bits.OnesCount32(buckets) / 4 { // much of its table differs: a few pages more, but not the entire table at once
+	// Where much of its table differs it gets a few pages more, but not the entire table at once.
+	for range bits.OnesCount32(buckets) / 4 {
 		t.sendToAddress(address, m.Sender.Name, Message{Kind: Ack}, buckets)
 	}
 }
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -1,7 +1,7 @@
 package membership
 
-// This file owns the local member's own name, incarnation and state: joining, a name that another process
-// owns, refutation, leaving. No other file may change Self.
+// This file owns the local member's own name, incarnation and state: joining, a conflict over
+// the name with another process, refutation, leaving. No other file may change Self.
 
 import (
 	"fmt"
@@ -18,13 +18,13 @@
 // nameReleaseTimeout is after how long without a claim by the other process a conflict over the name is over.
 const nameReleaseTimeout = 3 * joinTimeout
 
-// maxLeaveNotices is how many members are told by a ping of their own that the local one leaves.
+// maxLeaveNotices bounds the members that the local one pings to announce that it leaves.
 const maxLeaveNotices = 8
 
 // admitted reports whether the local name is agreed: the member has joined, and nobody else owns the name.
 func (t *Table) admitted() bool { return !t.joining && t.conflictAt == 0 }
 
-// awaitName goes on asking for the name while another process owns it.
+// awaitName pings peers now and then while another process owns the name, to learn whether it still does.
 func (t *Table) awaitName() {
 	if t.now-t.conflictAt > nameReleaseTimeout {
 		t.conflictAt = 0 // nobody claims the name for the other any more
@@ -35,7 +35,7 @@
 	}
 }
 
-// claimName announces the name at the start: a member whose table has another owner objects.
+// claimName announces the name at the start: a member objects if its table has another process of that name.
 func (t *Table) claimName() {
 	if t.now >= t.nextProbeAt {
 		t.nextProbeAt = t.now + t.ProbeInterval
@@ -57,7 +57,8 @@
 	t.report(Joined, t.Self.Name, t.Self.Zone, fmt.Sprintf("incarnation %d", t.Self.Incarnation))
 }
 
-// objectToName answers another process that claims the local name with who owns it.
+// objectToName answers another process that claims the local name: it sends the update of this process, which
+// owns the name.
 func (t *Table) objectToName(m *Message) {
 	t.actions = append(t.actions, Send{Addr: m.Sender.Addr, Message: Message{
 		Kind: Ack, To: m.Sender.Name, Sender: t.Self, Sequence: m.Sequence, Updates: []Update{t.Self},
@@ -109,7 +110,9 @@
 	t.departing = true
 	if first && t.admitted() {
 		t.Self.State = Left
-		notified := slices.DeleteFunc(slices.Clone(t.names), func(name string) bool { return t.members[name].State > Suspect })
+		notified := slices.DeleteFunc(slices.Clone(t.names), func(name string) bool {
+			return t.members[name].State > Suspect
+		})
 		t.rng.Shuffle(len(notified), func(i, j int) { notified[i], notified[j] = notified[j], notified[i] })
 		for _, name := range notified[:min(len(notified), maxLeaveNotices)] {
 			t.ping(name)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -55,7 +55,9 @@
 		}
 	}
 	if added { // refused ones come first: only MaxConfirmations are passed on
-		slices.SortStableFunc(m.Confirmations, func(a, b Confirmation) int { return boolToInt(b.Refused) - boolToInt(a.Refused) })
+		slices.SortStableFunc(m.Confirmations, func(a, b Confirmation) int {
+			return boolToInt(b.Refused) - boolToInt(a.Refused)
+		})
 	}
 	return added
 }
@@ -105,7 +107,7 @@
 			continue
 		}
 		age := t.now - m.suspectedAt
-		timeout := t.suspicionTimeout(m) * t.suspicionMultiplier() / 2
+		timeout := t.stretchSuspicion(t.suspicionTimeout(m))
 		verified := t.verified(m)
 		switch {
 		case verified && age >= timeout:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -45,14 +45,14 @@
 	configuredAddrs map[string]string  // by name, from the settings
 	lastRelays      map[string]string  // by zone, who last reached a member there that did not answer directly
 
-	probeOrder      []string // the members that wait for their turn in this round
-	urgentProbes    []string // to be probed before them
-	nextProbeAt     int64
-	nextDeadProbeAt int64
-	probes          []*probe
-	relayedProbes   []*relayedProbe
-	healthScore     int
-	gracePeriodEnd  int64 // until when silence raises no suspicion
+	probeOrder     []string // the members that wait for their turn in this round
+	urgentProbes   []string // to be probed before them
+	nextProbeAt    int64
+	nextDeadPingAt int64
+	probes         []*probe
+	relayedProbes  []*relayedProbe
+	healthScore    int
+	gracePeriodEnd int64 // until when silence raises no suspicion
 
 	digests    [DigestBuckets]uint32
 	broadcasts []*broadcast
@@ -105,7 +105,7 @@
 	return t
 }
 
-// takeActions returns the acts gathered so far.
+// takeActions returns the actions gathered since the last call.
 func (t *Table) takeActions() []Action {
 	actions := t.actions
 	t.actions = nil
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -6,7 +6,7 @@
 // NextTick is when Tick wants to be called: every tickInterval while anything is unsettled, else for the
 // next probe or the next ack that is overdue. It may become sooner with each call of another method.
 func (t *Table) NextTick() int64 {
-	if !t.settled() {
+	if !t.idle() {
 		return t.lastTick + tickInterval
 	}
 	next := t.nextProbeAt
@@ -18,8 +18,8 @@
 	return max(next, t.lastTick+tickInterval)
 }
 
-// settled reports whether nobody is suspected, and nothing waits but acks that are not overdue.
-func (t *Table) settled() bool {
+// idle reports whether nobody is suspected, and nothing waits but acks that are not overdue.
+func (t *Table) idle() bool {
 	switch {
 	case !t.admitted(), t.healthScore > 0, t.viewStaleSince > 0:
 		return false
@@ -60,10 +60,10 @@
 		}
 		t.probeNext()
 	}
-	if t.now >= t.nextDeadProbeAt {
-		t.nextDeadProbeAt = t.now + deadProbeInterval
-		t.probeDead()
+	if t.now >= t.nextDeadPingAt {
+		t.nextDeadPingAt = t.now + deadPingInterval
+		t.pingDead()
 	}
 	t.judgeSuspects()
-	t.settleView()
+	t.updateView()
 }
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -43,8 +43,8 @@
 	joinTimeout = 1 * second
 	// reprobeInterval is how often a suspect is probed by those who confirm the suspicion.
 	reprobeInterval = 1 * second
-	// deadProbeInterval is how often one of the dead is pinged.
-	deadProbeInterval = 500 * millisecond
+	// deadPingInterval is how often one of the dead is pinged.
+	deadPingInterval = 500 * millisecond
 	// viewSettleTime is how long the members must not change before the stable view does.
 	viewSettleTime = 400 * millisecond
 	// maxViewDelay is how long the stable view waits for that at most.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// settleView rebuilds the view if the members have settled, or have not for too long.
-func (t *Table) settleView() {
+// updateView rebuilds a stale view once the members have settled, or after maxViewDelay.
+func (t *Table) updateView() {
 	if t.viewStaleSince == 0 {
 		return
 	}
