--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -1,8 +1,9 @@
 package peer
 
-// This file owns the form of datagrams, and the bounds of what is taken: a message past one is none. The
-// wire's words (hall, life, rumour, witness, heard, told) are mapped to the program's here, and nowhere else.
-// It must never keep bytes that it was handed.
+// This file owns the form of datagrams, and the bounds of what is taken: a message past one is malformed. It
+// maps the names of their fields (hall, life, rumour, witness, heard) to the program's terms. The field life of
+// a hello is mapped in hello.go and where hellos are checked, the names of the status report in
+// status_report.go. It must never keep bytes that it was handed.
 
 import (
 	"fmt"
@@ -88,10 +89,12 @@
 		return otherCluster(cluster, d.GetCluster(), fmt.Sprintf("%.40q", sender))
 	}
 	if d.GetVersion() > MaxVersion {
-		return noCommonVersion("%.40q needs version %d, this program speaks %d to %d", sender, d.GetVersion(), MinVersion, MaxVersion)
+		return noCommonVersion("%.40q needs version %d, this program speaks %d to %d",
+			sender, d.GetVersion(), MinVersion, MaxVersion)
 	}
 	kindKnown := d.GetKind() >= uint32(membership.Ping) && d.GetKind() <= uint32(membership.PingRequestResult)
-	namesInBounds := validName(d.GetTo()) && len(d.GetTarget()) <= membership.MaxNameLength && len(d.GetFor()) <= membership.MaxNameLength
+	namesInBounds := validName(d.GetTo()) &&
+		len(d.GetTarget()) <= membership.MaxNameLength && len(d.GetFor()) <= membership.MaxNameLength
 	listsInBounds := len(d.GetDigests()) <= membership.DigestBuckets && len(d.GetRumours()) <= maxUpdates
 	if !kindKnown || !namesInBounds || !listsInBounds {
 		return malformed("a datagram of kind %d to %.40q with %d updates", d.GetKind(), d.GetTo(), len(d.GetRumours()))
@@ -117,7 +120,8 @@
 func decodeUpdate(r *peerpb.Rumour) (u membership.Update, err error) {
 	if !validName(r.GetName()) || len(r.GetHall()) > membership.MaxNameLength || r.GetState() > uint32(membership.Left) ||
 		len(r.GetWitnesses()) > membership.MaxConfirmations {
-		return u, malformed("expected a name, a zone, a state and at most %d confirmations, got name %.40q, state %d, %d confirmations",
+		return u, malformed(
+			"expected a name, a zone, a state and at most %d confirmations, got name %.40q, state %d, %d confirmations",
 			membership.MaxConfirmations, r.GetName(), r.GetState(), len(r.GetWitnesses()))
 	}
 	if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil || len(r.GetAddress()) > membership.MaxNameLength {
@@ -135,9 +139,14 @@
 		if !validName(w.GetName()) || len(w.GetHall()) > membership.MaxNameLength {
 			return u, malformed("%s: expected the name of a confirming member, got %.40q", r.GetName(), w.GetName())
 		}
-		u.Confirmations = append(u.Confirmations, membership.Confirmation{Name: w.GetName(), Zone: w.GetHall(), Refused: w.GetRefused()})
+		u.Confirmations = append(u.Confirmations, membership.Confirmation{
+			Name:    w.GetName(),
+			Zone:    w.GetHall(),
+			Refused: w.GetRefused(),
+		})
 	}
 	return u, nil
 }
 
+// validName reports whether a name is present and within its bound.
 func validName(name string) bool { return name != "" && len(name) <= membership.MaxNameLength }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -1,6 +1,6 @@
 package peer
 
-// This file owns the errors of the package.
+// This file owns the errors about messages of other orchestrators. Those of Send are in stream.go.
 
 import (
 	"errors"
@@ -54,10 +54,3 @@
 func noCommonVersion(format string, args ...any) error {
 	return &MessageError{Reason: ErrNoCommonVersion, Detail: fmt.Sprintf(format, args...)}
 }
-
-// Why [Peers.Send] does not take a record.
-var (
-	ErrNotMember      = errors.New("peer: not a member of the cluster")
-	ErrQueueFull      = errors.New("peer: the queue is full; OnWritable is called when there is space")
-	ErrRecordTooLarge = fmt.Errorf("peer: a record of over %d bytes", maxRecord)
-)
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -22,7 +22,7 @@
 	timer  *eventloop.Timer
 }
 
-// startHandshakeProbe opens the connection.
+// startHandshakeProbe opens a connection to a member; the result goes to the table.
 func (p *Peers) startHandshakeProbe(address, member string) {
 	p.counts.HandshakeProbes++
 	h := &handshakeProbe{peers: p, member: member}
--- a/internal/peer/frame_test.go
+++ b/internal/peer/hello_test.go
@@ -32,7 +32,11 @@
 		if used > len(b) || len(m) > maxHelloFrame {
 			t.Fatalf("%d of %d bytes, a message of %d", used, len(b), len(m))
 		}
-		if hello, version, err := CheckHello("dala", m); err == nil && (version < MinVersion || version > MaxVersion || hello.GetName() == "") {
+		hello, version, err := CheckHello("dala", m)
+		if err != nil {
+			return
+		}
+		if version < MinVersion || version > MaxVersion || hello.GetName() == "" {
 			t.Fatalf("%v, version %d", hello, version)
 		}
 	})
@@ -40,7 +44,7 @@
 
 // TestVersionAgreement asserts that both ends agree on the highest version that both speak.
 func TestVersionAgreement(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		lowest, highest, want uint32
 		err                   error
 	}{
@@ -50,12 +54,18 @@
 		{2, 9, 0, ErrNoCommonVersion},
 		{0, 0, 0, ErrNoCommonVersion},
 	} {
-		b, err := proto.Marshal(&peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: c.lowest, Highest: c.highest, Features: []string{"unknown"}})
+		b, err := proto.Marshal(&peerpb.Hello{
+			Cluster:  "dala",
+			Name:     "n1",
+			Lowest:   test.lowest,
+			Highest:  test.highest,
+			Features: []string{"unknown"},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, version, err := CheckHello("dala", b); version != c.want || !errors.Is(err, c.err) {
-			t.Errorf("%+v: %d, %v", c, version, err)
+		if _, version, err := CheckHello("dala", b); version != test.want || !errors.Is(err, test.err) {
+			t.Errorf("%+v: %d, %v", test, version, err)
 		}
 	}
 }
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -6,6 +6,9 @@
 // have arrived or not: whoever sends records has to expect that.
 
 import (
+	"errors"
+	"fmt"
+
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/peer/peerpb"
 )
@@ -16,7 +19,7 @@
 // The kinds of records.
 const (
 	Urgent Kind = 1 + iota // what somebody waits for
-	Batch                  // copies of complete states
+	Bulk                   // copies of complete states, which may come late
 )
 
 const (
@@ -36,8 +39,15 @@
 	nextTurn = 1
 )
 
+// Why [Peers.Send] does not take a record.
+var (
+	ErrNotMember      = errors.New("peer: not a member of the cluster")
+	ErrQueueFull      = errors.New("peer: the queue is full; OnWritable is called when there is space")
+	ErrRecordTooLarge = fmt.Errorf("peer: a record of over %d bytes", maxRecord)
+)
+
 // maxQueued bounds what may wait of each kind for each member, in bytes.
-var maxQueued = map[Kind]int{Urgent: 512 << 10, Batch: 1 << 20}
+var maxQueued = map[Kind]int{Urgent: 512 << 10, Bulk: 1 << 20}
 
 // streamKey names a stream: records of one kind, to or from one member.
 type streamKey struct {
@@ -111,12 +121,13 @@
 	}
 	if dropped > 0 {
 		s.peers.counts.RecordsDropped += int64(dropped)
-		s.peers.log.Warn("peer records dropped", "member", s.member, "kind", uint32(s.kind), "records", dropped, "cause", cause)
+		s.peers.log.Warn("peer records dropped",
+			"member", s.member, "kind", uint32(s.kind), "records", dropped, "cause", cause)
 	}
 	delete(s.peers.outboundStreams, s.streamKey)
 }
 
-// dial opens the connection.
+// dial opens the connection, unless the member is gone or is another process now.
 func (s *outboundStream) dial() {
 	address, nonce, ok := s.peers.table.Locate(s.member)
 	if !ok || nonce != s.nonce {
@@ -131,6 +142,7 @@
 	s.conn, s.established = conn, false
 }
 
+// redialLater has the next connection opened after a delay, which doubles with each failure in a row.
 func (s *outboundStream) redialLater() {
 	s.conn, s.established = nil, false
 	s.redialDelay = min(maxRedialDelay, max(minRedialDelay, 2*s.redialDelay))
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -11,9 +11,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// batchSender sends numbered batch records from a to b, and notes what arrives. All its methods belong on the
+// bulkSender sends numbered bulk records from a to b, and notes what arrives. All its methods belong on the
 // loop.
-type batchSender struct {
+type bulkSender struct {
 	peers       *twoPeers
 	sent        int
 	received    []string // sender and number
@@ -21,13 +21,13 @@
 	urgentAfter int      // how many had arrived before the urgent record, -1 while it has not
 }
 
-// newBatchSender sets the handlers on both sides.
-func newBatchSender(x *twoPeers) *batchSender {
-	s := &batchSender{peers: x, urgentAfter: -1}
-	x.b.OnRecord(Batch, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
+// newBulkSender sets the handlers on both sides.
+func newBulkSender(x *twoPeers) *bulkSender {
+	s := &bulkSender{peers: x, urgentAfter: -1}
+	x.b.OnRecord(Bulk, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
 	x.b.OnRecord(Urgent, func(string, []byte) { s.urgentAfter = len(s.received) })
 	x.a.OnWritable(func(to string, kind Kind) {
-		if to == "n1" && kind == Batch {
+		if to == "n1" && kind == Bulk {
 			s.writable++
 		}
 	})
@@ -35,8 +35,8 @@
 }
 
 // send sends one record.
-func (s *batchSender) send() error {
-	err := s.peers.a.Send("n1", Batch, fmt.Appendf(nil, "%08d%s", s.sent, bytes.Repeat([]byte("x"), 64<<10)))
+func (s *bulkSender) send() error {
+	err := s.peers.a.Send("n1", Bulk, fmt.Appendf(nil, "%08d%s", s.sent, bytes.Repeat([]byte("x"), 64<<10)))
 	if err == nil {
 		s.sent++
 	}
@@ -44,7 +44,7 @@
 }
 
 // fill sends until the queue is full.
-func (s *batchSender) fill() (err error) {
+func (s *bulkSender) fill() (err error) {
 	for err == nil {
 		err = s.send()
 	}
@@ -52,7 +52,7 @@
 }
 
 // checkOrder asserts that all records arrived, in the order in which they were sent.
-func (s *batchSender) checkOrder(t *testing.T) {
+func (s *bulkSender) checkOrder(t *testing.T) {
 	t.Helper()
 	for i, got := range s.received {
 		if want := fmt.Sprintf("n0 %08d", i); got != want {
@@ -67,32 +67,32 @@
 func TestRecords(t *testing.T) {
 	x := newTwoPeers(t)
 	x.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
-	var batch *batchSender
+	var bulk *bulkSender
 	x.onLoop(func() {
-		batch = newBatchSender(x)
-		if err := batch.fill(); !errors.Is(err, ErrQueueFull) {
+		bulk = newBulkSender(x)
+		if err := bulk.fill(); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("too much: expected ErrQueueFull, got %v", err)
 		}
 	})
-	x.eventually(t, "some of it", func() bool { return len(batch.received) > 0 })
+	x.eventually(t, "some of it", func() bool { return len(bulk.received) > 0 })
 	x.onLoop(func() {
-		if err := batch.fill(); !errors.Is(err, ErrQueueFull) {
+		if err := bulk.fill(); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("too much again: expected ErrQueueFull, got %v", err)
 		}
 		if err := x.a.Send("n1", Urgent, []byte("now")); err != nil {
 			t.Error(err)
 		}
 	})
-	x.eventually(t, "the urgent one", func() bool { return batch.urgentAfter >= 0 })
-	x.eventually(t, "all of it", func() bool { return len(batch.received) == batch.sent })
+	x.eventually(t, "the urgent one", func() bool { return bulk.urgentAfter >= 0 })
+	x.eventually(t, "all of it", func() bool { return len(bulk.received) == bulk.sent })
 	x.onLoop(func() {
-		if batch.urgentAfter >= batch.sent-8 { // half a megabyte still waited
-			t.Errorf("the urgent one came after %d of %d", batch.urgentAfter, batch.sent)
+		if bulk.urgentAfter >= bulk.sent-8 { // half a megabyte still waited
+			t.Errorf("the urgent one came after %d of %d", bulk.urgentAfter, bulk.sent)
 		}
-		if batch.writable == 0 {
+		if bulk.writable == 0 {
 			t.Error("OnWritable was never called")
 		}
-		batch.checkOrder(t)
+		bulk.checkOrder(t)
 	})
 }
 
@@ -100,10 +100,10 @@
 func TestRecordsNotTaken(t *testing.T) {
 	x := newTwoPeers(t)
 	x.onLoop(func() {
-		if err := x.a.Send("n1", Batch, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
+		if err := x.a.Send("n1", Bulk, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
 			t.Errorf("too large: %v", err)
 		}
-		if err := x.a.Send("n9", Batch, nil); !errors.Is(err, ErrNotMember) {
+		if err := x.a.Send("n9", Bulk, nil); !errors.Is(err, ErrNotMember) {
 			t.Errorf("to no member: %v", err)
 		}
 	})
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file drives the membership table: it hands it time and datagrams, carries out what it wants done, and
-// reports its events and views.
+// This file drives the membership table: it hands the time and datagrams to the table, carries out the actions
+// of the table, and reports events and views.
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"ravenhitch/internal/membership"
 )
 
-// tick has the table do what is due.
+// tick has the table run its next step: probes, timeouts, a view that has settled.
 func (p *Peers) tick() { p.perform(p.table.Tick(p.loop.Now())) }
 
 // scheduleTick has the next tick come when the table wants it.
@@ -89,5 +89,7 @@
 		return
 	}
 	p.reportedView = view.Number
-	p.onView(slices.DeleteFunc(p.table.Members(), func(m membership.Member) bool { return !slices.Contains(view.Names, m.Name) }))
+	p.onView(slices.DeleteFunc(p.table.Members(), func(m membership.Member) bool {
+		return !slices.Contains(view.Names, m.Name)
+	}))
 }
