--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -118,7 +118,9 @@
 }
 
 // handleEvents returns the actions of a scheduler, or the text of its panic.
-func handleEvents(scheduler *placement.Scheduler, now int64, events []placement.Event) (actions []placement.Action, failure string) {
+func handleEvents(
+	scheduler *placement.Scheduler, now int64, events []placement.Event,
+) (actions []placement.Action, failure string) {
 	defer func() {
 		if r := recover(); r != nil {
 			actions, failure = nil, fmt.Sprint("panic: ", r)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -66,7 +66,8 @@
 // Invalid settings are reported for their instance, and the batch is replied to.
 func TestInvalidSettingsAreReported(t *testing.T) {
 	out := replies(t, "BATCH 1 1\nENLIST 4 1 FleetSize=0\nFLUSH\n")
-	if !strings.HasPrefix(out, "FAULT 4 ") || !strings.Contains(out, "FleetSize is missing") || !strings.HasSuffix(out, "READY 1\n") {
+	if !strings.HasPrefix(out, "FAULT 4 ") || !strings.Contains(out, "FleetSize is missing") ||
+		!strings.HasSuffix(out, "READY 1\n") {
 		t.Errorf("got %q", out)
 	}
 }
@@ -84,7 +85,8 @@
 		t.Errorf("wrote %q", out)
 	}
 	var out bytes.Buffer
-	if err := run(strings.NewReader("BATCH 5 9\nDOWN 1\n"), &out); err == nil || !strings.Contains(err.Error(), "batch 9, line 2") || out.Len() != 0 {
+	err := run(strings.NewReader("BATCH 5 9\nDOWN 1\n"), &out)
+	if err == nil || !strings.Contains(err.Error(), "batch 9, line 2") || out.Len() != 0 {
 		t.Errorf("error %v, output %q", err, out.String())
 	}
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -2,7 +2,7 @@
 
 // This file owns how batches are read: lines, the frame of a batch, and the pages of
 // workers that later messages refer to. It must never read beyond the batch that is asked
-// for.
+// for. The fields of messages and rows are read in messages.go.
 
 import (
 	"bufio"
@@ -157,25 +157,3 @@
 	d.pages[number] = page{entries: entries, sent: true}
 	return nil
 }
-
-// parseRow parses the row of one worker.
-func parseRow(line string) (placement.Entry, error) {
-	f := newFields(line)
-	if f.next() != "ROW" {
-		return placement.Entry{}, fmt.Errorf("expected ROW, got %.40q", line)
-	}
-	var e placement.Entry
-	e.Cell = int(f.int("Pack"))
-	e.StartedAtUs = f.int("StartTimeUs")
-	e.Worker = f.text("Machine")
-	e.Kind = f.next()
-	e.Zone = f.next()
-	f.float("PowerHint")
-	e.State = placement.WorkerState(f.int("StageState"))
-	e.FreeMemory = f.float("UnaskedMemory")
-	e.FreeCores = f.float("SpareCpu")
-	if err := f.end(); err != nil {
-		return placement.Entry{}, fmt.Errorf("ROW: %w", err)
-	}
-	return e, nil
-}
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -36,17 +36,21 @@
 		t.Fatalf("clock %d, batch %s, %d items", batch.NowUs, batch.Seq, len(batch.Items))
 	}
 	settings := batch.Items[0].Settings
-	if !settings.PollsDiscovery || settings.SelfIndex != 1 || settings.Kinds[1].Cores != 62 || !settings.AcceptMeansRunning || settings.Classes[1].Spread != placement.ScopeCell ||
-		settings.Classes[1].Group != placement.ScopeZone || settings.Classes[1].MaxPerDomain != 3 || batch.Items[0].Seed != 42 {
+	class := settings.Classes[1]
+	if !settings.PollsDiscovery || settings.SelfIndex != 1 || settings.Kinds[1].Cores != 62 ||
+		!settings.AcceptMeansRunning || class.Spread != placement.ScopeCell ||
+		class.Group != placement.ScopeZone || class.MaxPerDomain != 3 || batch.Items[0].Seed != 42 {
 		t.Errorf("settings %+v", settings)
 	}
 	list := batch.Items[1].Event.(placement.WorkerList)
-	if want := (placement.Entry{Worker: "mb", Kind: "l", Zone: "zb", Cell: 4, StartedAtUs: 6100000,
-		State: placement.Draining, FreeCores: -4.5, FreeMemory: 12}); list.Entries[1] != want || list.Kind != placement.ListCached {
+	want := placement.Entry{Worker: "mb", Kind: "l", Zone: "zb", Cell: 4, StartedAtUs: 6100000,
+		State: placement.Draining, FreeCores: -4.5, FreeMemory: 12}
+	if list.Entries[1] != want || list.Kind != placement.ListCached {
 		t.Errorf("entry %+v, want %+v", list.Entries[1], want)
 	}
 	request := batch.Items[2].Event.(placement.Request)
-	if request.Cores != 2 || request.Memory != 1.5 || request.Class != "job" || !request.HasRunHint || request.Tenant != "" || request.Program != 4050608788307276 {
+	if request.Cores != 2 || request.Memory != 1.5 || request.Class != "job" ||
+		!request.HasRunHint || request.Tenant != "" || request.Program != 4050608788307276 {
 		t.Errorf("request %+v", request)
 	}
 	done := batch.Items[3].Event.(placement.AttemptEnded)
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -8,8 +8,6 @@
 	"math"
 	"strconv"
 	"strings"
-
-	"ravenhitch/placement"
 )
 
 // fields reads the fields of a line in order.
@@ -81,12 +79,6 @@
 	return number
 }
 
-// stateBits returns the bits of the field StateBits.
-func (f *fields) stateBits() (hasRunHint, retry bool) {
-	bits := f.int("StateBits")
-	return bits&runHintBit != 0, bits&retryBit != 0
-}
-
 // rest returns all remaining fields.
 func (f *fields) rest() []string {
 	rest := f.parts[f.read:]
@@ -101,33 +93,3 @@
 	}
 	return f.err
 }
-
-// load returns the next field as a load report, pairs of name:value separated by commas.
-// Values that it does not carry are NaN.
-func (f *fields) load() placement.Load {
-	nan := math.NaN()
-	load := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
-	part := f.next()
-	if part == "" {
-		return load
-	}
-	for _, pair := range strings.Split(part, ",") {
-		name, text, found := strings.Cut(pair, ":")
-		value, err := strconv.ParseFloat(text, 64)
-		if !found || err != nil {
-			f.fail("expected name:value, got %.40q", pair)
-			return load
-		}
-		switch name {
-		case "x0":
-			load.FreeCores = value
-		case "x1":
-			load.FreeMemory = value
-		case "utilization":
-			load.Utilization = value
-		case "backlog":
-			load.Queued = value
-		}
-	}
-	return load
-}
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -1,7 +1,8 @@
 package simwire
 
-// This file owns the messages of the simulator: which fields each carries, in their order
-// on the wire, and which event it is. It must never reorder the reading of fields.
+// This file owns the messages of the simulator and the rows of its pages: which fields each
+// carries, in their order on the wire, and which event it is. It must never reorder the
+// reading of fields.
 
 import (
 	"fmt"
@@ -16,6 +17,12 @@
 	retryBit   = 1 << 4 // the client retries
 )
 
+// stateBits returns the bits of the field StateBits.
+func (f *fields) stateBits() (hasRunHint, retry bool) {
+	bits := f.int("StateBits")
+	return bits&runHintBit != 0, bits&retryBit != 0
+}
+
 // decodeFunc reads the fields of a message, behind the instance, into an item.
 type decodeFunc func(d *Decoder, f *fields, item *Item) error
 
@@ -164,3 +171,25 @@
 func clientCancelledEvent(f *fields) placement.Event {
 	return placement.ClientCancelled{RequestID: f.text("Ticket")}
 }
+
+// parseRow parses the row of one worker.
+func parseRow(line string) (placement.Entry, error) {
+	f := newFields(line)
+	if f.next() != "ROW" {
+		return placement.Entry{}, fmt.Errorf("expected ROW, got %.40q", line)
+	}
+	var e placement.Entry
+	e.Cell = int(f.int("Pack"))
+	e.StartedAtUs = f.int("StartTimeUs")
+	e.Worker = f.text("Machine")
+	e.Kind = f.next()
+	e.Zone = f.next()
+	f.float("PowerHint")
+	e.State = placement.WorkerState(f.int("StageState"))
+	e.FreeMemory = f.float("UnaskedMemory")
+	e.FreeCores = f.float("SpareCpu")
+	if err := f.end(); err != nil {
+		return placement.Entry{}, fmt.Errorf("ROW: %w", err)
+	}
+	return e, nil
+}
--- a/internal/simwire/settingsreader.go
+++ b/internal/simwire/settingsreader.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// isAbsent reports whether a value says nothing.
+// isAbsent reports whether a value is missing: "-" stands for none on the wire.
 func isAbsent(value string) bool { return value == "" || value == "-" }
 
 // float returns a number, 0 if it is absent.
