--- a/internal/admin/cordons.go
+++ b/internal/admin/cordons.go
@@ -69,7 +69,8 @@
 	lines := strings.Split(string(text), "\n")
 	count := len(lines) // with the empty one after the last line feed
 	if lines[0] != cordonsHeader || count < 3 || lines[count-1] != "" || lines[count-2] != cordonsTrailer {
-		return nil, &CordonsError{Path: path, Line: count, Want: fmt.Sprintf("%q first and %q last", cordonsHeader, cordonsTrailer)}
+		want := fmt.Sprintf("%q first and %q last", cordonsHeader, cordonsTrailer)
+		return nil, &CordonsError{Path: path, Line: count, Want: want}
 	}
 	for i, id := range lines[1 : count-2] {
 		if call, err := ParseCall(string(Offline) + " " + id); err != nil || call.ID != id {
--- a/internal/admin/cordons_test.go
+++ b/internal/admin/cordons_test.go
@@ -34,7 +34,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cordons, want := Cordons(nil), map[string]bool{}
 		for range rapid.IntRange(0, 20).Draw(t, "calls") {
-			call := Call{rapid.SampledFrom([]Verb{Offline, Online}).Draw(t, "verb"), rapid.StringMatching(`[a-z]{1,2}`).Draw(t, "id")}
+			verb := rapid.SampledFrom([]Verb{Offline, Online}).Draw(t, "verb")
+			call := Call{Verb: verb, ID: rapid.StringMatching(`[a-z]{1,2}`).Draw(t, "id")}
 			if cordons = cordons.With(call); call.Verb == Offline {
 				want[call.ID] = true
 			} else {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -110,19 +110,20 @@
 	c.listener.handler(call, c.reply)
 }
 
-// reply writes the reply and closes the connection.
+// reply answers the one call that a connection may send, so it closes the connection too.
 func (c *connection) reply(b []byte) {
 	c.conn.Write(b)
 	c.close()
 }
 
-// close closes the connection.
+// close ends the connection from this side. The event loop does not call Closed then, so the
+// connection is removed here.
 func (c *connection) close() {
 	c.remove()
 	c.conn.Close()
 }
 
-// remove stops the timer and takes the connection off the list of open ones.
+// remove stops the timer, and makes place for another connection.
 func (c *connection) remove() {
 	c.timer.Stop()
 	if i := slices.Index(c.listener.open, c); i >= 0 {
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -223,7 +223,8 @@
 // explain returns the cause of a change as it is logged.
 func (d *detector) explain(obs *observation) string {
 	return fmt.Sprintf(
-		"%.0f set-ups in the last second, %.1f usual; %.0f came again, %.0f were handed in as running, %.0f refused, %.0f started; "+
+		"%.0f set-ups in the last second, %.1f usual; "+
+			"%.0f came again, %.0f were handed in as running, %.0f refused, %.0f started; "+
 			"%.1f units wait at %.1f a second; the first %d services have %.0f%%",
 		obs.requests, d.usual, obs.returned, obs.adopted, obs.rejected, obs.started,
 		obs.pending, obs.releaseRate, topPrograms, 100*d.programs.topShare())
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -89,7 +89,8 @@
 		c.Rejected(now, Request{Key: uint64(i), Class: 1, Units: 1})
 	}
 	if web := c.Rejected(now, Request{Key: 1 << 30, Class: 0, Units: 1}); web > 16*second || web < 10*second {
-		t.Errorf("the first guide-web behind 2,000 live-relays returns after %.1f s; its floor is 7.5 a second behind 101", seconds(web))
+		t.Errorf("the first guide-web behind 2,000 live-relays returns after %.1f s; its floor is 7.5 a second behind 101",
+			seconds(web))
 	}
 
 	c, now = saturated(s, 50, 100)
@@ -120,7 +121,8 @@
 		}
 	}
 	if light > heavy/2 || heavy > 26*second {
-		t.Errorf("the last one of the heavy program returns after %.1f s, of the others after %.1f s", seconds(heavy), seconds(light))
+		t.Errorf("the last one of the heavy program returns after %.1f s, of the others after %.1f s",
+			seconds(heavy), seconds(light))
 	}
 }
 
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -10,7 +10,10 @@
 // FuzzLines checks what holds of any text: an error names a place in it, and what is
 // parsed, written out again, parses the same.
 func FuzzLines(f *testing.F) {
-	for _, text := range []string{"[a]\nb c # d\n", "[a]\nb \"c d\"\n", "[", "\"", "[a]\n[a]", "[a] b", "x", "[a]\r\nb\r\n", "[a]\nb \"\"", "[a]\n\"#\" b"} {
+	for _, text := range []string{
+		"[a]\nb c # d\n", "[a]\nb \"c d\"\n", "[", "\"", "[a]\n[a]", "[a] b", "x",
+		"[a]\r\nb\r\n", "[a]\nb \"\"", "[a]\n\"#\" b",
+	} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
@@ -40,7 +43,8 @@
 func checkPosition(t *testing.T, text string, err error) {
 	t.Helper()
 	var at *PositionError
-	if !errors.As(err, &at) || !errors.Is(err, ErrSettings) || at.Line < 1 || at.Line > strings.Count(text, "\n")+1 || at.Column < 1 {
+	if !errors.As(err, &at) || !errors.Is(err, ErrSettings) ||
+		at.Line < 1 || at.Line > strings.Count(text, "\n")+1 || at.Column < 1 {
 		t.Fatalf("%q: %v", text, err)
 	}
 }
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -31,17 +31,27 @@
 // The file in the repository and a missing file give the defaults; each directive is
 // parsed as written; each error is one line that names the place and what was expected.
 func TestOperatorsFile(t *testing.T) {
-	defaults := Operators{Graphite: Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}, Collectd: Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}}
-	for _, path := range []string{filepath.Join("..", "..", "deploy", "ravenhitch.conf"), filepath.Join(t.TempDir(), "none.conf")} {
+	metrics := Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}
+	defaults := Operators{Graphite: metrics, Collectd: metrics}
+	for _, path := range []string{
+		filepath.Join("..", "..", "deploy", "ravenhitch.conf"),
+		filepath.Join(t.TempDir(), "none.conf"),
+	} {
 		if o, err := LoadOperators(path); err != nil || !reflect.DeepEqual(o, defaults) {
 			t.Errorf("%s: %+v, %v", path, o, err)
 		}
 	}
-	o, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
+	wantBackpressure := Backpressure{
+		FixedRetryAfter: time.Second,
+		MinRetryAfter:   20 * time.Millisecond,
+		MaxClients:      2048,
+	}
+	o, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n"+
+		"[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
 		"[collectd]\naddress /run/c.sock\nevery 500ms\n[storm]\nadvice 1s\nleast 20ms\ncallers 2048"))
 	if err != nil || o.GRPCListen != "127.0.0.1:7000" || o.Graphite.Prefix != "a.b" || o.Graphite.IntervalMs != 10_000 ||
 		o.Collectd.Prefix != "ravenhitch" || o.Collectd.IntervalMs != 500 ||
-		o.Backpressure != (Backpressure{FixedRetryAfter: time.Second, MinRetryAfter: 20 * time.Millisecond, MaxClients: 2048}) {
+		o.Backpressure != wantBackpressure {
 		t.Errorf("got %+v, %v", o, err)
 	}
 	checkOperatorsErrors(t, []operatorsErrorCase{
@@ -68,7 +78,8 @@
 		{"[storm", "x:1:1: expected a section as [name]"},
 		{"[storm]\n\xff", "x:2:1: expected UTF-8"},
 	})
-	if _, err := LoadOperators("deploy/edge.json"); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
+	_, err = LoadOperators("deploy/edge.json")
+	if !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
 		t.Errorf("edge.json: %v", err)
 	}
 }
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -128,7 +128,7 @@
 	return err
 }
 
-// open opens the connection unless it is open.
+// open opens a connection where the last sample left none: it is kept from sample to sample.
 func (r *receiver) open() error {
 	if r.conn != nil {
 		return nil
@@ -141,7 +141,8 @@
 	return nil
 }
 
-// exchange writes a sample and reads its confirmation.
+// exchange writes a sample and reads its confirmation, both within sendTimeout: a slow receiver must
+// not hold up the goroutine that Close waits for.
 func (r *receiver) exchange(s Sample) error {
 	if err := r.conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
@@ -152,7 +153,7 @@
 	return r.protocol.Confirm(r.reader, s)
 }
 
-// close closes the connection if it is open.
+// close has the next sample open a new connection. It may be called twice.
 func (r *receiver) close() {
 	if r.conn == nil {
 		return
--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -13,8 +13,8 @@
 
 // Assigned are the shards of a zone that are assigned to one of the members.
 func (r Regions) Assigned(zone string, members []Member, name string) (assigned Bits) {
-	for shard, owner := range r.Assignments(zone, members) {
-		if owner == name {
+	for shard, assignee := range r.Assignments(zone, members) {
+		if assignee == name {
 			assigned |= 1 << shard
 		}
 	}
--- a/internal/shard/set_test.go
+++ b/internal/shard/set_test.go
@@ -25,7 +25,8 @@
 		for _, zone := range setZones {
 			for shard := range Count {
 				inA, inB := a[zone].Has(shard), b[zone].Has(shard)
-				if and[zone].Has(shard) != (inA && inB) || or[zone].Has(shard) != (inA || inB) || minus[zone].Has(shard) != (inA && !inB) {
+				if and[zone].Has(shard) != (inA && inB) || or[zone].Has(shard) != (inA || inB) ||
+					minus[zone].Has(shard) != (inA && !inB) {
 					t.Fatalf("shard %d of %q: %v and %v", shard, zone, inA, inB)
 				}
 				if inA {
@@ -50,7 +51,10 @@
 	if s, err := Parse(one); err != nil || !s.Equal(Set{"a": 1}) {
 		t.Errorf("%q: got %v, %v", one, s, err)
 	}
-	for _, text := range []string{"a", "a:", "a:12", one + "0", "a:zzzzzzzzzzzzzzzz", one + ",", "," + one, one + "," + one, "a:-000000000000001"} {
+	for _, text := range []string{
+		"a", "a:", "a:12", one + "0", "a:zzzzzzzzzzzzzzzz",
+		one + ",", "," + one, one + "," + one, "a:-000000000000001",
+	} {
 		var parseError *ParseError
 		if s, err := Parse(text); !errors.Is(err, ErrSet) || !errors.As(err, &parseError) {
 			t.Errorf("%q: expected a ParseError, got %v, %v", text, s, err)
