--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -108,8 +108,9 @@
 			first := c.members[3].Self.Nonce
 			x := c.startIntruder(3)
 			c.run(12 * second)
-			if x.eventCounts[NameConflict] != 1 || !x.joining || c.believers("n3", x.Self.Nonce) > 0 || c.believers("n3", first) != 6 {
-				t.Errorf("%v; %d believe in it, %d in the first", x.eventCounts, c.believers("n3", x.Self.Nonce), c.believers("n3", first))
+			inIntruder, inFirst := c.believers("n3", x.Self.Nonce), c.believers("n3", first)
+			if x.eventCounts[NameConflict] != 1 || !x.joining || inIntruder > 0 || inFirst != 6 {
+				t.Errorf("%v; %d believe in it, %d in the first", x.eventCounts, inIntruder, inFirst)
 			}
 			c.startFault(fault{kind: faultKill, target: 3})
 			c.run(c.now + 6*second)
@@ -139,7 +140,8 @@
 			x := c.startIntruder(5)
 			c.run(20 * second)
 			first, second := c.believers("n5", c.members[5].Self.Nonce), c.believers("n5", x.Self.Nonce)
-			if conflicts := c.members[5].eventCounts[NameConflict] + x.eventCounts[NameConflict]; (first == 0) == (second == 0) || conflicts != 1 {
+			conflicts := c.members[5].eventCounts[NameConflict] + x.eventCounts[NameConflict]
+			if (first == 0) == (second == 0) || conflicts != 1 {
 				t.Errorf("%d believe in the one, %d in the other; %d found the conflict", first, second, conflicts)
 			}
 		},
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -107,7 +107,13 @@
 func reachableByRelay(*harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == PingRequest {
-			return &Message{Kind: PingRequestResult, Sender: aliveUpdate(send.Message.To), Sequence: send.Message.Sequence, Target: "b", Reached: true}
+			return &Message{
+				Kind:     PingRequestResult,
+				Sender:   aliveUpdate(send.Message.To),
+				Sequence: send.Message.Sequence,
+				Target:   "b",
+				Reached:  true,
+			}
 		}
 		return nil
 	}
--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -109,8 +109,10 @@
 
 // print prints a line of figures, in the form of the journal.
 func (s *scheduleTally) print(took time.Duration) {
-	fmt.Printf("%d instances: schedules=%d broken=%d killed_ms=%s vanished_ms=%s one_way_found=%d of=%d most_bytes_s_member=%.0f took=%s\n",
-		s.size, s.schedules, s.violated, medianAndTail(s.detectionTimes["killed"]), medianAndTail(s.detectionTimes["vanished"]),
+	fmt.Printf("%d instances: schedules=%d broken=%d killed_ms=%s vanished_ms=%s "+
+		"one_way_found=%d of=%d most_bytes_s_member=%.0f took=%s\n",
+		s.size, s.schedules, s.violated,
+		medianAndTail(s.detectionTimes["killed"]), medianAndTail(s.detectionTimes["vanished"]),
 		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMember, took.Round(time.Second))
 }
 
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -55,7 +55,8 @@
 
 // String shows a fault in a test's message.
 func (f fault) String() string {
-	return fmt.Sprintf("%.1fs-%.1fs %s %d->%d %.2f", float64(f.start)/second, float64(f.end)/second, f.kind, f.target, f.other, f.probability)
+	return fmt.Sprintf("%.1fs-%.1fs %s %d->%d %.2f",
+		float64(f.start)/second, float64(f.end)/second, f.kind, f.target, f.other, f.probability)
 }
 
 // active are the faults of a kind that go on.
@@ -123,12 +124,19 @@
 }
 
 // drawnKinds are the kinds that faults are drawn from, each as likely.
-var drawnKinds = []faultKind{faultKill, faultVanish, faultPause, drawnLongPause, faultOneWay, faultRefuse, faultCut, drawnBridge,
-	faultLoss, faultFlap, faultSlow, faultRestart, faultRestartEmpty, faultLeave, drawnMassRestart}
+var drawnKinds = []faultKind{
+	faultKill, faultVanish, faultPause, drawnLongPause, faultOneWay, faultRefuse, faultCut, drawnBridge,
+	faultLoss, faultFlap, faultSlow, faultRestart, faultRestartEmpty, faultLeave, drawnMassRestart,
+}
 
 // drawFaults draws a schedule: a few faults, all over by the end.
 func drawFaults(size int, seed uint64) (faults []fault, end int64) {
-	d := &faultDrawer{rng: rand.New(rand.NewPCG(seed, 9)), size: size, busy: map[int]bool{0: true}, at: formationTime(size)}
+	d := &faultDrawer{
+		rng:  rand.New(rand.NewPCG(seed, 9)),
+		size: size,
+		busy: map[int]bool{0: true},
+		at:   formationTime(size),
+	}
 	for range 1 + d.rng.IntN(4) {
 		d.draw()
 	}
@@ -160,7 +168,8 @@
 		if !d.busy[i] && d.rng.IntN(10) > 0 {
 			d.busy[i] = true
 			at := start + d.rng.Int64N(second)
-			d.faults = append(d.faults, fault{kind: faultRestart, target: i, start: at, end: at + 300*millisecond + d.rng.Int64N(second)})
+			end := at + 300*millisecond + d.rng.Int64N(second)
+			d.faults = append(d.faults, fault{kind: faultRestart, target: i, start: at, end: end})
 		}
 	}
 	d.at += 4 * second
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -58,7 +58,8 @@
 			return // there is a cause, or may be one
 		}
 	}
-	c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s blames the path to %s: %s", float64(c.now)/second, memberName(i), e.Name, e.Evidence))
+	c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s blames the path to %s: %s",
+		float64(c.now)/second, memberName(i), e.Name, e.Evidence))
 }
 
 // noteOneWayFound notes the one-way faults that a member's report is right about.
@@ -83,7 +84,8 @@
 	case x.Self.Nonce != e.Nonce:
 	case !x.up && !x.left:
 		c.noteDetection(j)
-	case x.up && x.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now && !c.partitioned(observer, j) && !x.joining:
+	case x.up && !x.joining && !c.partitioned(observer, j) &&
+		x.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now:
 		c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s declares %s dead, which is alive: %s",
 			float64(c.now)/second, memberName(observer), memberName(j), e.Evidence))
 	}
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -99,7 +99,8 @@
 		end(c.delay, HandshakeRefused, 0)
 	case !c.handshakePasses(from, to): // a packet is lost, and comes again too late
 		end(simHandshakeTimeout, HandshakeTimedOut, 0)
-	case !c.pathOpen(from, to, c.now, true) || !c.pathOpen(to, from, c.now, true) || target.hostDown || target.up && target.pausedUntil > c.now:
+	case !c.pathOpen(from, to, c.now, true) || !c.pathOpen(to, from, c.now, true) ||
+		target.hostDown || target.up && target.pausedUntil > c.now:
 		end(simHandshakeTimeout, HandshakeTimedOut, 0)
 	case !target.up:
 		end(c.delay, HandshakeRefused, 0)
--- a/internal/membership/tick_test.go
+++ b/internal/membership/tick_test.go
@@ -6,7 +6,8 @@
 // suspect wants to be every tickInterval, and that what comes in between is looked at in time.
 func TestTickRate(t *testing.T) {
 	const members, seconds, vanishing = 9, 20, 4
-	c := newCluster(members, 5, []fault{{kind: faultVanish, target: vanishing, other: -1, start: 60 * second, end: 61 * second}})
+	vanish := fault{kind: faultVanish, target: vanishing, other: -1, start: 60 * second, end: 61 * second}
+	c := newCluster(members, 5, []fault{vanish})
 	c.run(formationTime(members))
 	ticks := func() (sum int) {
 		for i, x := range c.members {
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -53,7 +53,8 @@
 				table.applyUpdate(all[k])
 			}
 			got := table.members["b"]
-			if got == nil || got.Incarnation != want.Incarnation || got.Nonce != want.Nonce || got.State != want.State && got.State != Dead {
+			if got == nil || got.Incarnation != want.Incarnation || got.Nonce != want.Nonce ||
+				got.State != want.State && got.State != Dead {
 				t.Fatalf("order %v: %+v, expected %+v", order, got, want)
 			}
 			if live := table.liveCount; live != boolToInt(got.State <= Suspect) {
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -95,7 +95,8 @@
 
 // FuzzDatagram asserts what holds of any bytes: no panic, and what is taken is in bounds.
 func FuzzDatagram(f *testing.F) {
-	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Sender: membership.Update{Name: "n1", Addr: "127.0.0.1:1"}})
+	sender := membership.Update{Name: "n1", Addr: "127.0.0.1:1"}
+	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Sender: sender})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -106,7 +107,8 @@
 			return
 		}
 		if m.Kind < membership.Ping || m.Kind > membership.PingRequestResult || len(m.Sender.Name) == 0 ||
-			len(m.Sender.Name) > membership.MaxNameLength || len(m.Updates) > maxUpdates || len(m.Digests) > membership.DigestBuckets {
+			len(m.Sender.Name) > membership.MaxNameLength || len(m.Updates) > maxUpdates ||
+			len(m.Digests) > membership.DigestBuckets {
 			t.Fatalf("%+v", m)
 		}
 	})
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -1,6 +1,7 @@
 package peer
 
 import (
+	"bytes"
 	"encoding/binary"
 	"errors"
 	"io"
@@ -25,9 +26,17 @@
 		want string // of the log line
 	}{
 		{"a length of 3 GB", binary.AppendUvarint(nil, 3<<30), "expected a message of at most 65536 bytes"},
-		{"a length without an end", []byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff"), "expected a message of at most 65536 bytes"},
-		{"another cluster", helloFrame(t, &peerpb.Hello{Cluster: "other", Name: "n2", Lowest: 1, Highest: 1}), `expected \"dala\", got \"other\" from n2`},
-		{"a later version", helloFrame(t, &peerpb.Hello{Cluster: "dala", Name: "n2", Lowest: 7, Highest: 9}), "n2 speaks 7 to 9, this program 1 to 1"},
+		{"a length without an end", bytes.Repeat([]byte{0xff}, 11), "expected a message of at most 65536 bytes"},
+		{
+			"another cluster",
+			helloFrame(t, &peerpb.Hello{Cluster: "other", Name: "n2", Lowest: 1, Highest: 1}),
+			`expected \"dala\", got \"other\" from n2`,
+		},
+		{
+			"a later version",
+			helloFrame(t, &peerpb.Hello{Cluster: "dala", Name: "n2", Lowest: 7, Highest: 9}),
+			"n2 speaks 7 to 9, this program 1 to 1",
+		},
 		{"no name", helloFrame(t, &peerpb.Hello{Cluster: "dala", Lowest: 1, Highest: 1}), "a hello from"},
 	}
 	for _, c := range cases {
@@ -44,7 +53,8 @@
 	answer, err := exchange(t, p, helloFrame(t, &peerpb.Hello{Cluster: "dala", Name: "n2", Lowest: 1, Highest: 2}))
 	message, used, frameErr := decodeFrame(answer, maxHelloFrame)
 	hello, version, helloErr := CheckHello("dala", message)
-	if err != nil || frameErr != nil || used != len(answer) || helloErr != nil || version != 1 || hello.GetName() != "n1" || hello.GetLife() != p.nonce {
+	if err != nil || frameErr != nil || used != len(answer) ||
+		helloErr != nil || version != 1 || hello.GetName() != "n1" || hello.GetLife() != p.nonce {
 		t.Errorf("answered with %v (%v, %v, %v)", hello, err, frameErr, helloErr)
 	}
 
