--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -28,8 +28,8 @@
 		faults: []fault{{kind: faultPause, target: 2, start: 6 * second, end: 16 * second}},
 		play: func(t *testing.T, c *cluster) {
 			c.run(20 * second)
-			if x := c.members[2]; x.eventCounts[Died] > 0 || x.eventCounts[Stalled] == 0 {
-				t.Errorf("expected a stall and no death, got %v", x.eventCounts)
+			if process := c.members[2]; process.eventCounts[Died] > 0 || process.eventCounts[Stalled] == 0 {
+				t.Errorf("expected a stall and no death, got %v", process.eventCounts)
 			}
 		},
 	},
@@ -41,8 +41,9 @@
 			c.run(5 * second)
 			before := c.members[0].View().Number
 			c.run(60 * second)
-			if x := c.members[0]; x.eventCounts[Refuted] == 0 || x.View().Number != before {
-				t.Errorf("expected refutations and no new view, got %d new views, %v", x.View().Number-before, x.eventCounts)
+			if process := c.members[0]; process.eventCounts[Refuted] == 0 || process.View().Number != before {
+				t.Errorf("expected refutations and no new view, got %d new views, %v",
+					process.View().Number-before, process.eventCounts)
 			}
 		},
 	},
@@ -106,15 +107,15 @@
 		play: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
 			first := c.members[3].Self.Nonce
-			x := c.startIntruder(3)
+			intruder := c.startIntruder(3)
 			c.run(12 * second)
-			inIntruder, inFirst := c.believers("n3", x.Self.Nonce), c.believers("n3", first)
-			if x.eventCounts[NameConflict] != 1 || !x.joining || inIntruder > 0 || inFirst != 6 {
-				t.Errorf("%v; %d believe in it, %d in the first", x.eventCounts, inIntruder, inFirst)
+			inIntruder, inFirst := c.believers("n3", intruder.Self.Nonce), c.believers("n3", first)
+			if intruder.eventCounts[NameConflict] != 1 || !intruder.joining || inIntruder > 0 || inFirst != 6 {
+				t.Errorf("%v; %d believe in it, %d in the first", intruder.eventCounts, inIntruder, inFirst)
 			}
 			c.startFault(fault{kind: faultKill, target: 3})
 			c.run(c.now + 6*second)
-			if count := c.believers("n3", x.Self.Nonce); count != 6 {
+			if count := c.believers("n3", intruder.Self.Nonce); count != 6 {
 				t.Errorf("%d believe in it once the first is dead", count)
 			}
 		},
@@ -126,8 +127,8 @@
 			c.run(5 * second)
 			c.startFault(fault{kind: faultRestart, target: 3, end: 5*second + 10*millisecond})
 			c.run(7 * second)
-			if x := c.members[3]; c.believers("n3", x.Self.Nonce) != 6 || x.eventCounts[NameConflict] > 0 {
-				t.Errorf("%d believe in it: %v", c.believers("n3", x.Self.Nonce), x.eventCounts)
+			if process := c.members[3]; c.believers("n3", process.Self.Nonce) != 6 || process.eventCounts[NameConflict] > 0 {
+				t.Errorf("%d believe in it: %v", c.believers("n3", process.Self.Nonce), process.eventCounts)
 			}
 		},
 	},
@@ -137,10 +138,10 @@
 		faults: []fault{{kind: faultCut, target: 0, other: -1, start: 0, end: 8 * second}},
 		play: func(t *testing.T, c *cluster) {
 			c.run(3 * second) // n5 is of zone-1, and whoever takes its name of zone-0
-			x := c.startIntruder(5)
+			intruder := c.startIntruder(5)
 			c.run(20 * second)
-			first, second := c.believers("n5", c.members[5].Self.Nonce), c.believers("n5", x.Self.Nonce)
-			conflicts := c.members[5].eventCounts[NameConflict] + x.eventCounts[NameConflict]
+			first, second := c.believers("n5", c.members[5].Self.Nonce), c.believers("n5", intruder.Self.Nonce)
+			conflicts := c.members[5].eventCounts[NameConflict] + intruder.eventCounts[NameConflict]
 			if (first == 0) == (second == 0) || conflicts != 1 {
 				t.Errorf("%d believe in the one, %d in the other; %d found the conflict", first, second, conflicts)
 			}
@@ -163,9 +164,9 @@
 		faults: []fault{{kind: faultLeave, target: 3, start: 6 * second, end: 7 * second}},
 		play: func(t *testing.T, c *cluster) {
 			c.run(12 * second)
-			for i, x := range c.members {
-				if i != 3 && (x.eventCounts[LeftCluster] != 1 || x.eventCounts[Died] > 0) {
-					t.Errorf("n%d: %v", i, x.eventCounts)
+			for i, process := range c.members {
+				if i != 3 && (process.eventCounts[LeftCluster] != 1 || process.eventCounts[Died] > 0) {
+					t.Errorf("n%d: %v", i, process.eventCounts)
 				}
 			}
 		},
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -131,49 +131,49 @@
 
 // start starts the process of a member.
 func (c *cluster) start(i int) {
-	x := c.members[i]
-	x.starts++
+	process := c.members[i]
+	process.starts++
 	var peers []Peer
 	for k := range min(len(c.members), 5) {
 		j := (k * len(c.members) / 5) % len(c.members)
 		peers = append(peers, Peer{memberName(j), memberAddr(j)})
 	}
 	name := memberName(i)
-	if x.sharedName != "" {
-		name = x.sharedName
+	if process.sharedName != "" {
+		name = process.sharedName
 	}
-	x.Table = New(c.now, Config{
+	process.Table = New(c.now, Config{
 		Self: Update{Name: name, Zone: fmt.Sprint("zone-", c.zone(i)), Addr: memberAddr(i),
-			Nonce: c.rng.Uint64(), Incarnation: x.savedIncarnation + 1},
+			Nonce: c.rng.Uint64(), Incarnation: process.savedIncarnation + 1},
 		Peers: peers,
 		Seed:  c.rng.Uint64(),
 	})
-	x.up, x.left, x.hostDown, x.pausedUntil = true, false, false, 0
-	x.nextTickAt = 0
+	process.up, process.left, process.hostDown, process.pausedUntil = true, false, false, 0
+	process.nextTickAt = 0
 	c.tickMemberAt(i, c.now+c.rng.Int64N(tickInterval))
 }
 
 // scheduleTick has a member's table called when it wants to be, unless that is due sooner already.
 func (c *cluster) scheduleTick(i int) {
-	x := c.members[i]
-	at := max(x.NextTick(), c.now+1) + c.rng.Int64N(maxTimerDelay) + c.slowness(i)
-	if x.nextTickAt <= c.now || at < x.nextTickAt {
+	process := c.members[i]
+	at := max(process.NextTick(), c.now+1) + c.rng.Int64N(maxTimerDelay) + c.slowness(i)
+	if process.nextTickAt <= c.now || at < process.nextTickAt {
 		c.tickMemberAt(i, at)
 	}
 }
 
 // tickMemberAt calls a member's table at a time, if no other time is set until then.
 func (c *cluster) tickMemberAt(i int, at int64) {
-	x, start := c.members[i], c.members[i].starts
-	x.nextTickAt = at
+	process, start := c.members[i], c.members[i].starts
+	process.nextTickAt = at
 	c.schedule(at, func() {
 		switch {
-		case !x.up || x.starts != start || x.nextTickAt != at:
-		case x.pausedUntil > c.now:
-			c.tickMemberAt(i, x.pausedUntil+1)
+		case !process.up || process.starts != start || process.nextTickAt != at:
+		case process.pausedUntil > c.now:
+			c.tickMemberAt(i, process.pausedUntil+1)
 		default:
-			x.ticks++
-			c.perform(i, x.Tick(c.now))
+			process.ticks++
+			c.perform(i, process.Tick(c.now))
 			c.checkEvents(i)
 		}
 	})
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -75,34 +75,34 @@
 	if f.target < 0 || f.kind == faultCut {
 		return
 	}
-	x := c.members[f.target]
+	process := c.members[f.target]
 	if f.kind == faultPause {
-		x.pausedUntil = f.end
+		process.pausedUntil = f.end
 		if f.end-f.start >= disturbingPause {
-			x.disturbedUntil = f.end + disturbance
+			process.disturbedUntil = f.end + disturbance
 		}
 		return
 	}
-	if !x.up {
+	if !process.up {
 		return
 	}
 	switch f.kind {
 	case faultKill, faultVanish:
-		x.up, x.hostDown, x.diedAt = false, f.kind == faultVanish, c.now
-		x.savedIncarnation = x.Self.Incarnation
-		nonce := x.Self.Nonce
+		process.up, process.hostDown, process.diedAt = false, f.kind == faultVanish, c.now
+		process.savedIncarnation = process.Self.Incarnation
+		nonce := process.Self.Nonce
 		c.schedule(c.now+detectionLimit, func() { c.checkDead(f, nonce) })
 	case faultRestart, faultRestartEmpty:
-		x.up = false
-		x.savedIncarnation = x.Self.Incarnation
+		process.up = false
+		process.savedIncarnation = process.Self.Incarnation
 		if f.kind == faultRestartEmpty {
-			x.savedIncarnation = 0
+			process.savedIncarnation = 0
 		}
-		x.disturbedUntil = f.end + disturbance
+		process.disturbedUntil = f.end + disturbance
 		c.schedule(f.end, func() { c.start(f.target) })
 	case faultLeave:
-		c.perform(f.target, x.Leave(c.now))
-		c.schedule(c.now+leaveTime, func() { x.up, x.left = false, true })
+		c.perform(f.target, process.Leave(c.now))
+		c.schedule(c.now+leaveTime, func() { process.up, process.left = false, true })
 	}
 }
 
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -34,13 +34,13 @@
 
 // checkEvents looks at what a member reports.
 func (c *cluster) checkEvents(i int) {
-	x := c.members[i]
-	for _, e := range x.Events() {
+	process := c.members[i]
+	for _, e := range process.Events() {
 		c.record(i, e)
-		if x.eventCounts == nil {
-			x.eventCounts = map[EventKind]int{}
+		if process.eventCounts == nil {
+			process.eventCounts = map[EventKind]int{}
 		}
-		x.eventCounts[e.Kind]++
+		process.eventCounts[e.Kind]++
 		switch e.Kind {
 		case PathDegraded:
 			c.checkPathDegraded(i, e)
@@ -52,75 +52,75 @@
 }
 
 // checkPathDegraded asserts that a member that reports a path as working in one direction only has cause.
-func (c *cluster) checkPathDegraded(i int, e Event) {
+func (c *cluster) checkPathDegraded(reporter int, e Event) {
 	for _, f := range c.faults {
 		if (f.kind != faultLoss || f.probability > lossThatBlames) && f.start <= c.now && c.now < f.end+blameGrace {
 			return // there is a cause, or may be one
 		}
 	}
 	c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s blames the path to %s: %s",
-		float64(c.now)/second, memberName(i), e.Name, e.Evidence))
+		float64(c.now)/second, memberName(reporter), e.Name, e.Evidence))
 }
 
 // noteOneWayFound notes the one-way faults that a member's report is right about.
-func (c *cluster) noteOneWayFound(i int, e Event) {
-	for k, f := range c.faults {
-		ends := memberName(f.target) == e.Name && f.other == i || memberName(f.other) == e.Name && f.target == i
+func (c *cluster) noteOneWayFound(reporter int, e Event) {
+	for index, f := range c.faults {
+		ends := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
 		if f.kind == faultOneWay && f.start < c.now && c.now < f.end+second && ends {
-			c.oneWayFound[k] = true
+			c.oneWayFound[index] = true
 		}
 	}
 }
 
 // checkDeath asserts that a member that is declared dead is: it is down, disturbed or partitioned off.
 func (c *cluster) checkDeath(observer int, e Event) {
-	j, err := strconv.Atoi(strings.TrimPrefix(e.Name, "n"))
+	declared, err := strconv.Atoi(strings.TrimPrefix(e.Name, "n"))
 	if err != nil {
 		c.violations = append(c.violations, fmt.Sprintf("%s declares an unknown member dead: %v", memberName(observer), err))
 		return
 	}
-	x := c.members[j]
+	process := c.members[declared]
 	switch {
-	case x.Self.Nonce != e.Nonce:
-	case !x.up && !x.left:
-		c.noteDetection(j)
-	case x.up && !x.joining && !c.partitioned(observer, j) &&
-		x.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now:
+	case process.Self.Nonce != e.Nonce:
+	case !process.up && !process.left:
+		c.noteDetection(declared)
+	case process.up && !process.joining && !c.partitioned(observer, declared) &&
+		process.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now:
 		c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s declares %s dead, which is alive: %s",
-			float64(c.now)/second, memberName(observer), memberName(j), e.Evidence))
+			float64(c.now)/second, memberName(observer), memberName(declared), e.Evidence))
 	}
 }
 
 // noteDetection notes how long it took until the first member declared a dead one dead.
-func (c *cluster) noteDetection(j int) {
-	x := c.members[j]
-	key := [2]uint64{uint64(j), x.starts}
+func (c *cluster) noteDetection(member int) {
+	process := c.members[member]
+	key := [2]uint64{uint64(member), process.starts}
 	c.deathDeclarations[key]++
-	if c.deathDeclarations[key] > 1 || x.diedAt == 0 {
+	if c.deathDeclarations[key] > 1 || process.diedAt == 0 {
 		return
 	}
 	kind := "killed"
-	if x.hostDown {
+	if process.hostDown {
 		kind = "vanished"
 	}
-	c.detectionTimes[kind] = append(c.detectionTimes[kind], c.now-x.diedAt)
+	c.detectionTimes[kind] = append(c.detectionTimes[kind], c.now-process.diedAt)
 }
 
 // disagreement says how the table of a member that runs differs from who runs, "" where none does.
 func (c *cluster) disagreement() string {
 	var want []string
-	for i, x := range c.members {
-		if x.up {
+	for i, process := range c.members {
+		if process.up {
 			want = append(want, memberName(i))
 		}
 	}
 	slices.Sort(want)
-	for i, x := range c.members {
-		if !x.up {
+	for i, process := range c.members {
+		if !process.up {
 			continue
 		}
 		got := []string{}
-		for _, m := range x.Members() {
+		for _, m := range process.Members() {
 			if m.State <= Suspect {
 				got = append(got, m.Name)
 			}
@@ -135,8 +135,8 @@
 
 // believers says how many members believe a process, by its nonce, to be in the cluster under a name.
 func (c *cluster) believers(of string, nonce uint64) (count int) {
-	for _, x := range c.members {
-		if m := x.members[of]; x.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
+	for _, process := range c.members {
+		if m := process.members[of]; process.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
 			count++
 		}
 	}
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -62,23 +62,23 @@
 
 // deliver hands a datagram to a member.
 func (c *cluster) deliver(to int, m *Message) {
-	x := c.members[to]
-	if !x.up {
+	process := c.members[to]
+	if !process.up {
 		return
 	}
-	if x.pausedUntil > c.now { // it waits in the system's buffer
-		c.schedule(x.pausedUntil, func() { c.deliver(to, m) })
+	if process.pausedUntil > c.now { // it waits in the system's buffer
+		c.schedule(process.pausedUntil, func() { c.deliver(to, m) })
 		return
 	}
 	if late := c.slowness(to); late > 0 {
 		c.schedule(c.now+late, func() {
-			if x.up {
-				c.perform(to, x.Receive(c.now, m))
+			if process.up {
+				c.perform(to, process.Receive(c.now, m))
 			}
 		})
 		return
 	}
-	c.perform(to, x.Receive(c.now, m))
+	c.perform(to, process.Receive(c.now, m))
 	c.checkEvents(to)
 }
 
@@ -174,9 +174,9 @@
 	for len(next) > 0 && !seen[to] {
 		a := next[0]
 		next = next[1:]
-		for b, x := range c.members {
-			running := b == to || x.disturbedUntil < at && x.pausedUntil <= at
-			if !seen[b] && x.up && running && c.pathOpen(a, b, at, false) && c.pathOpen(b, a, at, false) {
+		for b, process := range c.members {
+			running := b == to || process.disturbedUntil < at && process.pausedUntil <= at
+			if !seen[b] && process.up && running && c.pathOpen(a, b, at, false) && c.pathOpen(b, a, at, false) {
 				seen[b] = true
 				next = append(next, b)
 			}
--- a/internal/membership/tick_test.go
+++ b/internal/membership/tick_test.go
@@ -10,9 +10,9 @@
 	c := newCluster(members, 5, []fault{vanish})
 	c.run(formationTime(members))
 	ticks := func() (sum int) {
-		for i, x := range c.members {
+		for i, process := range c.members {
 			if i != vanishing {
-				sum += x.ticks
+				sum += process.ticks
 			}
 		}
 		return sum
@@ -36,11 +36,11 @@
 func TestTickSoonerAfterPingRequest(t *testing.T) {
 	c := newCluster(3, 6, nil)
 	c.run(formationTime(3) + 10*second)
-	x := c.members[0]
-	settled := x.NextTick()
+	process := c.members[0]
+	settled := process.NextTick()
 	m := &Message{Kind: PingRequest, Sequence: 1, To: memberName(0), Sender: c.members[1].Self, Target: memberName(2)}
-	x.Receive(c.now, m)
-	if next := x.NextTick(); next >= settled || next > x.lastTick+tickInterval {
+	process.Receive(c.now, m)
+	if next := process.NextTick(); next >= settled || next > process.lastTick+tickInterval {
 		t.Errorf("after the request it wants to be called at %d, before at %d", next, settled)
 	}
 }
@@ -64,15 +64,15 @@
 func TestLateTickIsAStall(t *testing.T) {
 	c := newCluster(3, 8, nil)
 	c.run(formationTime(3) + 10*second)
-	x := c.members[0]
+	process := c.members[0]
 	for _, lateness := range []struct {
 		us    int64
 		stall bool
 	}{{stallThreshold, false}, {stallThreshold + 1, true}} {
-		x.Events()
-		x.Tick(x.NextTick() + lateness.us)
+		process.Events()
+		process.Tick(process.NextTick() + lateness.us)
 		stall := false
-		for _, e := range x.Events() {
+		for _, e := range process.Events() {
 			stall = stall || e.Kind == Stalled
 		}
 		if stall != lateness.stall {
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -118,60 +118,60 @@
 // newTwoPeers runs n0 and n1, and waits until each is a member to the other.
 func newTwoPeers(t *testing.T) *twoPeers {
 	t.Helper()
-	x := &twoPeers{net: testbed.NewNetwork(1)}
-	t.Cleanup(x.net.Close)
-	x.loop = newLoop(t, 64)
-	x.a = x.newPeer(t, "n0", "n1")
-	x.b = x.newPeer(t, "n1", "n0")
-	run(t, x.loop)
-	x.eventually(t, "both are members", func() bool {
-		_, _, bIsMember := x.a.table.Locate("n1")
-		_, _, aIsMember := x.b.table.Locate("n0")
+	pair := &twoPeers{net: testbed.NewNetwork(1)}
+	t.Cleanup(pair.net.Close)
+	pair.loop = newLoop(t, 64)
+	pair.a = pair.newPeer(t, "n0", "n1")
+	pair.b = pair.newPeer(t, "n1", "n0")
+	run(t, pair.loop)
+	pair.eventually(t, "both are members", func() bool {
+		_, _, bIsMember := pair.a.table.Locate("n1")
+		_, _, aIsMember := pair.b.table.Locate("n0")
 		return aIsMember && bIsMember
 	})
-	return x
+	return pair
 }
 
 // newPeer makes one of the two, which reaches the other by a relay.
-func (x *twoPeers) newPeer(t *testing.T, name, other string) *Peers {
+func (pair *twoPeers) newPeer(t *testing.T, name, other string) *Peers {
 	t.Helper()
-	relay, err := x.net.Relay(name, other)
+	relay, err := pair.net.Relay(name, other)
 	if err != nil {
 		t.Fatal(err)
 	}
 	settings := settingsOf(name)
 	settings.Members = []membership.Peer{{Name: other, Addr: relay}}
-	p, err := New(x.loop, settings, x.log.logger())
+	p, err := New(pair.loop, settings, pair.log.logger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.net.SetAddress(name, p.Addr()); err != nil {
+	if err := pair.net.SetAddress(name, p.Addr()); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
 // onLoop runs f on the loop and waits for it.
-func (x *twoPeers) onLoop(f func()) { onLoop(x.loop, f) }
+func (pair *twoPeers) onLoop(f func()) { onLoop(pair.loop, f) }
 
 // setConditions changes what the path from one to the other does to datagrams and connections.
-func (x *twoPeers) setConditions(t *testing.T, from, to string, set func(*testbed.Conditions)) {
+func (pair *twoPeers) setConditions(t *testing.T, from, to string, set func(*testbed.Conditions)) {
 	t.Helper()
-	if err := x.net.Set(from, to, set); err != nil {
+	if err := pair.net.Set(from, to, set); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // eventually waits until a condition holds on the loop.
-func (x *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
+func (pair *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
 		ok := false
-		if x.onLoop(func() { ok = condition() }); ok {
+		if pair.onLoop(func() { ok = condition() }); ok {
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("%s: never came; %s", what, x.log.String())
+			t.Fatalf("%s: never came; %s", what, pair.log.String())
 		}
 	}
 }
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -22,11 +22,11 @@
 }
 
 // newBulkSender sets the handlers on both sides.
-func newBulkSender(x *twoPeers) *bulkSender {
-	s := &bulkSender{peers: x, urgentAfter: -1}
-	x.b.OnRecord(Bulk, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
-	x.b.OnRecord(Urgent, func(string, []byte) { s.urgentAfter = len(s.received) })
-	x.a.OnWritable(func(to string, kind Kind) {
+func newBulkSender(pair *twoPeers) *bulkSender {
+	s := &bulkSender{peers: pair, urgentAfter: -1}
+	pair.b.OnRecord(Bulk, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
+	pair.b.OnRecord(Urgent, func(string, []byte) { s.urgentAfter = len(s.received) })
+	pair.a.OnWritable(func(to string, kind Kind) {
 		if to == "n1" && kind == Bulk {
 			s.writable++
 		}
@@ -65,27 +65,27 @@
 // TestRecords asserts that much of one kind on a thin path never delays another; that whoever sends too much is
 // told so, and when there is space again; and that all of it arrives, in order.
 func TestRecords(t *testing.T) {
-	x := newTwoPeers(t)
-	x.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
+	pair := newTwoPeers(t)
+	pair.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
 	var bulk *bulkSender
-	x.onLoop(func() {
-		bulk = newBulkSender(x)
+	pair.onLoop(func() {
+		bulk = newBulkSender(pair)
 		if err := bulk.fill(); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("too much: expected ErrQueueFull, got %v", err)
 		}
 	})
-	x.eventually(t, "some of it", func() bool { return len(bulk.received) > 0 })
-	x.onLoop(func() {
+	pair.eventually(t, "some of it", func() bool { return len(bulk.received) > 0 })
+	pair.onLoop(func() {
 		if err := bulk.fill(); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("too much again: expected ErrQueueFull, got %v", err)
 		}
-		if err := x.a.Send("n1", Urgent, []byte("now")); err != nil {
+		if err := pair.a.Send("n1", Urgent, []byte("now")); err != nil {
 			t.Error(err)
 		}
 	})
-	x.eventually(t, "the urgent one", func() bool { return bulk.urgentAfter >= 0 })
-	x.eventually(t, "all of it", func() bool { return len(bulk.received) == bulk.sent })
-	x.onLoop(func() {
+	pair.eventually(t, "the urgent one", func() bool { return bulk.urgentAfter >= 0 })
+	pair.eventually(t, "all of it", func() bool { return len(bulk.received) == bulk.sent })
+	pair.onLoop(func() {
 		if bulk.urgentAfter >= bulk.sent-8 { // half a megabyte still waited
 			t.Errorf("the urgent one came after %d of %d", bulk.urgentAfter, bulk.sent)
 		}
@@ -98,12 +98,12 @@
 
 // TestRecordsNotTaken asserts which records Send does not take.
 func TestRecordsNotTaken(t *testing.T) {
-	x := newTwoPeers(t)
-	x.onLoop(func() {
-		if err := x.a.Send("n1", Bulk, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
+	pair := newTwoPeers(t)
+	pair.onLoop(func() {
+		if err := pair.a.Send("n1", Bulk, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
 			t.Errorf("too large: %v", err)
 		}
-		if err := x.a.Send("n9", Bulk, nil); !errors.Is(err, ErrNotMember) {
+		if err := pair.a.Send("n9", Bulk, nil); !errors.Is(err, ErrNotMember) {
 			t.Errorf("to no member: %v", err)
 		}
 	})
@@ -111,21 +111,21 @@
 
 // TestRecordsAfterReset asserts that a connection that is reset is opened again, and what waits goes out on it.
 func TestRecordsAfterReset(t *testing.T) {
-	x := newTwoPeers(t)
+	pair := newTwoPeers(t)
 	received := 0
-	x.onLoop(func() { x.b.OnRecord(Urgent, func(string, []byte) { received++ }) })
+	pair.onLoop(func() { pair.b.OnRecord(Urgent, func(string, []byte) { received++ }) })
 	for round := range 3 {
 		var before, after int
-		x.onLoop(func() { before = received })
-		x.eventually(t, "a record", func() bool {
-			if err := x.a.Send("n1", Urgent, []byte("again")); err != nil {
+		pair.onLoop(func() { before = received })
+		pair.eventually(t, "a record", func() bool {
+			if err := pair.a.Send("n1", Urgent, []byte("again")); err != nil {
 				t.Error(err)
 				return true
 			}
 			after = received
 			return after > before
 		})
-		x.net.Reset("n0", "n1")
+		pair.net.Reset("n0", "n1")
 		t.Logf("round %d: %d received", round, after)
 	}
 }
@@ -133,47 +133,47 @@
 // TestNoDescriptors asserts that without a free descriptor no handshake probe can be made, and nobody is
 // declared dead for that.
 func TestNoDescriptors(t *testing.T) {
-	x := newTwoPeers(t)
+	pair := newTwoPeers(t)
 	var before int64
-	x.onLoop(func() {
-		for x.loop.FreeDescriptors() > 0 {
-			if _, err := x.loop.Listen("127.0.0.1:0", func() bool { return false }, nil); err != nil {
+	pair.onLoop(func() {
+		for pair.loop.FreeDescriptors() > 0 {
+			if _, err := pair.loop.Listen("127.0.0.1:0", func() bool { return false }, nil); err != nil {
 				t.Error(err)
 				return
 			}
 		}
-		before = x.a.Counts().Received
+		before = pair.a.Counts().Received
 	})
-	x.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Loss = 0.3 })
-	x.eventually(t, "some datagrams", func() bool { return x.a.Counts().Received > before+20 })
-	x.onLoop(func() {
-		if _, _, ok := x.a.table.Locate("n1"); !ok || strings.Contains(x.log.String(), "event=dead") {
-			t.Errorf("n1 is a member: %v; %s", ok, x.log.String())
+	pair.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Loss = 0.3 })
+	pair.eventually(t, "some datagrams", func() bool { return pair.a.Counts().Received > before+20 })
+	pair.onLoop(func() {
+		if _, _, ok := pair.a.table.Locate("n1"); !ok || strings.Contains(pair.log.String(), "event=dead") {
+			t.Errorf("n1 is a member: %v; %s", ok, pair.log.String())
 		}
 	})
 }
 
 // TestRecordsDropped asserts that what waits for a member that is gone is dropped, counted and logged.
 func TestRecordsDropped(t *testing.T) {
-	x := newTwoPeers(t)
-	if err := x.net.SetAddress("n1", ""); err != nil { // its host refuses connections
+	pair := newTwoPeers(t)
+	if err := pair.net.SetAddress("n1", ""); err != nil { // its host refuses connections
 		t.Fatal(err)
 	}
-	x.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Cut = true })
-	x.onLoop(func() {
+	pair.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Cut = true })
+	pair.onLoop(func() {
 		for range 3 {
-			if err := x.a.Send("n1", Urgent, []byte("never")); err != nil {
+			if err := pair.a.Send("n1", Urgent, []byte("never")); err != nil {
 				t.Error(err)
 			}
 		}
 	})
-	x.eventually(t, "the count", func() bool { return x.a.Counts().RecordsDropped == 3 })
-	x.onLoop(func() {
-		if err := x.a.Send("n1", Urgent, nil); !errors.Is(err, ErrNotMember) {
+	pair.eventually(t, "the count", func() bool { return pair.a.Counts().RecordsDropped == 3 })
+	pair.onLoop(func() {
+		if err := pair.a.Send("n1", Urgent, nil); !errors.Is(err, ErrNotMember) {
 			t.Errorf("to the dead: %v", err)
 		}
 	})
-	if !strings.Contains(x.log.String(), "peer records dropped") {
+	if !strings.Contains(pair.log.String(), "peer records dropped") {
 		t.Error("it was not logged")
 	}
 }
@@ -181,19 +181,19 @@
 // TestRecordsOfUnknownMember asserts that records are taken from a member of that name and nonce only, and of a
 // known kind.
 func TestRecordsOfUnknownMember(t *testing.T) {
-	x := newTwoPeers(t)
+	pair := newTwoPeers(t)
 	for _, hello := range []*peerpb.Hello{
 		{Cluster: "dala", Name: "n0", Life: 1, Lowest: 1, Highest: 1, Kind: uint32(Urgent)},
-		{Cluster: "dala", Name: "n9", Life: x.a.nonce, Lowest: 1, Highest: 1, Kind: uint32(Urgent)},
-		{Cluster: "dala", Name: "n0", Life: x.a.nonce, Lowest: 1, Highest: 1, Kind: 77},
+		{Cluster: "dala", Name: "n9", Life: pair.a.nonce, Lowest: 1, Highest: 1, Kind: uint32(Urgent)},
+		{Cluster: "dala", Name: "n0", Life: pair.a.nonce, Lowest: 1, Highest: 1, Kind: 77},
 	} {
 		var before int64
-		x.onLoop(func() { before = x.b.Counts().Refused })
-		write(t, dial(t, "tcp", x.b.Addr()), helloFrame(t, hello))
-		x.eventually(t, "the refusal", func() bool { return x.b.Counts().Refused == before+1 })
+		pair.onLoop(func() { before = pair.b.Counts().Refused })
+		write(t, dial(t, "tcp", pair.b.Addr()), helloFrame(t, hello))
+		pair.eventually(t, "the refusal", func() bool { return pair.b.Counts().Refused == before+1 })
 	}
-	x.onLoop(func() {
-		if count := x.b.Counts().RecordsTaken; count > 0 {
+	pair.onLoop(func() {
+		if count := pair.b.Counts().RecordsTaken; count > 0 {
 			t.Errorf("%d were taken", count)
 		}
 	})
