--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -83,8 +83,8 @@
 
 // freeSlot frees the reserved slot of e, which belongs to a client of a program.
 func (c *Controller) freeSlot(now int64, program uint64, e *entry) {
-	c.calendar.cancel(e.class(), e.slot(now), e.load())
-	c.fairness.add(hashBucket(program), -e.load())
+	c.calendar.cancel(e.class(), e.slot(now), e.units())
+	c.fairness.add(hashBucket(program), -e.units())
 }
 
 // expectedStart returns when there is free capacity for units of a class: after what is
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -49,8 +49,8 @@
 
 // newWaitlist returns a waitlist of at least so many clients.
 func newWaitlist(clients int) *waitlist {
-	n := uint64((clients + bucketSize - 1) / bucketSize)
-	return &waitlist{entries: make([]entry, n*bucketSize), buckets: n}
+	buckets := uint64((clients + bucketSize - 1) / bucketSize)
+	return &waitlist{entries: make([]entry, buckets*bucketSize), buckets: buckets}
 }
 
 // bucket returns the fingerprint of a key and the entries among which it is found.
@@ -124,7 +124,7 @@
 func (e *entry) hasSlot() bool               { return e.packedSlot&hasSlotBit != 0 }
 func (e *entry) clearSlot()                  { e.packedSlot &^= hasSlotBit }
 func (e *entry) class() int                  { return int(e.packedSlot >> slotBits & classMask) }
-func (e *entry) load() float64               { return float64(e.unitSteps) / unitScale }
+func (e *entry) units() float64              { return float64(e.unitSteps) / unitScale }
 func (e *entry) retryAfter() int64           { return int64(e.waitTicks) * tickUs }
 
 // slot returns the slot that was reserved last, which may be past.
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -15,8 +15,8 @@
 
 const (
 	defaultPrefix = "ravenhitch"
-	// defaultEveryMs is how often metrics are sent, in milliseconds.
-	defaultEveryMs = 10_000
+	// defaultIntervalMs is how often metrics are sent, in milliseconds.
+	defaultIntervalMs = 10_000
 )
 
 // Operators is the content of the operators' file: further protocols, each of which is off
@@ -101,8 +101,8 @@
 // *PositionError or a *SectionError.
 func ParseOperators(file string, text []byte) (Operators, error) {
 	o := Operators{
-		Graphite: Metrics{Prefix: defaultPrefix, IntervalMs: defaultEveryMs},
-		Collectd: Metrics{Prefix: defaultPrefix, IntervalMs: defaultEveryMs},
+		Graphite: Metrics{Prefix: defaultPrefix, IntervalMs: defaultIntervalMs},
+		Collectd: Metrics{Prefix: defaultPrefix, IntervalMs: defaultIntervalMs},
 	}
 	sections, err := ParseLines(file, text)
 	if err == nil {
@@ -132,7 +132,8 @@
 func (p *Peers) validate() error {
 	switch {
 	case p.Partition && p.Listen == "":
-		return p.partitionWord.Expected("listen and cluster beside partition on, as the workers are divided among the members")
+		return p.partitionWord.Expected(
+			"listen and cluster beside partition on, as the workers are divided among the members")
 	case p.firstRegionWord != nil && !p.Partition:
 		return p.firstRegionWord.Expected("partition on beside region")
 	case p.firstRegionWord != nil && p.firstZonelessWord != nil:
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -96,7 +96,8 @@
 // and each error names its place.
 func TestPartitionDirectives(t *testing.T) {
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
-	o, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\nregion west z1 z2\nregion east z3\n"+
+	o, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\n"+
+		"region west z1 z2\nregion east z3\n"+
 		"[workers]\nkeepalive 4s\n"))
 	if err != nil || !o.Peers.Partition || o.Workers.Keepalive != 4*time.Second ||
 		!reflect.DeepEqual(o.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -80,16 +80,19 @@
 		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Workers[0] != want {
 		t.Errorf("got %+v", c)
 	}
+	unknownPhase := strings.Replace(known, `"up"`, `"gone"`, 1)
+	unknownEffect := strings.Replace(nested, "single_shot", "twice", 1)
+	kindWithoutSize := strings.Replace(nested, "[26,63]", "[26]", 1)
 	for name, bad := range map[string]string{
 		"empty": "", "cut": `{"name":`, "no listen": configText("", "127.2.0.1:1", "1", known, nested),
 		"listen without port": configText("127.0.0.1", "127.2.0.1:1", "1", known, nested),
 		"no channel":          configText("127.0.0.1:1", "", "1", known, nested),
 		"seed":                configText("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
 		"no known":            configText("127.0.0.1:1", "127.2.0.1:1", "1", "null", nested),
-		"phase":               configText("127.0.0.1:1", "127.2.0.1:1", "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested),
+		"phase":               configText("127.0.0.1:1", "127.2.0.1:1", "1", unknownPhase, nested),
 		"no settings":         configText("127.0.0.1:1", "127.2.0.1:1", "1", known, "[]"),
-		"a class's effect":    configText("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "single_shot", "twice", 1)),
-		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "[26,63]", "[26]", 1)),
+		"a class's effect":    configText("127.0.0.1:1", "127.2.0.1:1", "1", known, unknownEffect),
+		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, kindWithoutSize),
 	} {
 		if _, err := Parse([]byte(bad)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v", name, err)
@@ -97,9 +100,11 @@
 	}
 }
 
-// An invalid member does not hide the others of its event.
-func TestInvalidMember(t *testing.T) {
-	u, err := ParseUpdate([]byte(`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[{"id":"x","phase":"odd"},` + workerJSON + `]}}]}`))
+// An invalid worker does not hide the others of its event.
+func TestInvalidWorker(t *testing.T) {
+	const invalidWorker = `{"id":"x","phase":"odd"}`
+	u, err := ParseUpdate([]byte(
+		`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[` + invalidWorker + `,` + workerJSON + `]}}]}`))
 	if err != nil || len(u.InvalidWorkers) != 1 || len(u.Events[0].Workers) != 1 {
 		t.Errorf("got %+v, %v", u, err)
 	}
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -134,9 +134,9 @@
 	process := c.members[i]
 	process.starts++
 	var peers []Peer
-	for k := range min(len(c.members), 5) {
-		j := (k * len(c.members) / 5) % len(c.members)
-		peers = append(peers, Peer{memberName(j), memberAddr(j)})
+	for fifth := range min(len(c.members), 5) {
+		peer := (fifth * len(c.members) / 5) % len(c.members)
+		peers = append(peers, Peer{memberName(peer), memberAddr(peer)})
 	}
 	name := memberName(i)
 	if process.sharedName != "" {
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -170,15 +170,16 @@
 
 // connected says whether a path led from one member to another at a time.
 func (c *cluster) connected(from, to int, at int64) bool {
-	seen, next := map[int]bool{from: true}, []int{from}
-	for len(next) > 0 && !seen[to] {
-		a := next[0]
-		next = next[1:]
-		for b, process := range c.members {
-			running := b == to || process.disturbedUntil < at && process.pausedUntil <= at
-			if !seen[b] && process.up && running && c.pathOpen(a, b, at, false) && c.pathOpen(b, a, at, false) {
-				seen[b] = true
-				next = append(next, b)
+	seen, queue := map[int]bool{from: true}, []int{from}
+	for len(queue) > 0 && !seen[to] {
+		reached := queue[0]
+		queue = queue[1:]
+		for neighbour, process := range c.members {
+			running := neighbour == to || process.disturbedUntil < at && process.pausedUntil <= at
+			if !seen[neighbour] && process.up && running &&
+				c.pathOpen(reached, neighbour, at, false) && c.pathOpen(neighbour, reached, at, false) {
+				seen[neighbour] = true
+				queue = append(queue, neighbour)
 			}
 		}
 	}
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -23,7 +23,13 @@
 const previousNonce = 0x1122334455667788
 
 // previousSender is what n2 says of itself in each of its datagrams.
-var previousSender = membership.Update{Name: "n2", Zone: "hall-b", Addr: "127.0.0.1:7102", Nonce: previousNonce, Incarnation: 3 << 24}
+var previousSender = membership.Update{
+	Name:        "n2",
+	Zone:        "hall-b",
+	Addr:        "127.0.0.1:7102",
+	Nonce:       previousNonce,
+	Incarnation: 3 << 24,
+}
 
 // previousDatagrams are datagrams to n1, and the messages that they carry.
 var previousDatagrams = []struct {
@@ -33,12 +39,26 @@
 	{
 		"ping with digests",
 		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a37313032218877665544332211288080801838296a0c0100000000000000efbeadde",
-		membership.Message{Kind: membership.Ping, To: "n1", Sender: previousSender, Sequence: 41, Digests: []uint32{1, 0, 0xdeadbeef}},
+		membership.Message{
+			Kind:     membership.Ping,
+			To:       "n1",
+			Sender:   previousSender,
+			Sequence: 41,
+			Digests:  []uint32{1, 0, 0xdeadbeef},
+		},
 	},
 	{
 		"ping on behalf of another, while joining",
 		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a3731303221887766554433221128808080183001382a4a026e3450ac02",
-		membership.Message{Kind: membership.Ping, To: "n1", Sender: previousSender, Joining: true, Sequence: 42, OnBehalfOf: "n4", OnBehalfOfSequence: 300},
+		membership.Message{
+			Kind:               membership.Ping,
+			To:                 "n1",
+			Sender:             previousSender,
+			Joining:            true,
+			Sequence:           42,
+			OnBehalfOf:         "n4",
+			OnBehalfOfSequence: 300,
+		},
 	},
 	{
 		"ack with updates",
@@ -47,12 +67,21 @@
 			"30013a0e0a026e34120668616c6c2d6118013a040a026e35" +
 			"72210a026e361a0e3132372e302e302e313a3731303621080000000000000028013002" +
 			"72210a026e371a0e3132372e302e302e313a3731303721090000000000000028013003",
-		membership.Message{Kind: membership.Ack, To: "n1", Sender: previousSender, Sequence: 43, OnBehalfOf: "n4", OnBehalfOfSequence: 300, DirectPingReceived: true, Updates: []membership.Update{
-			{Name: "n3", Zone: "hall-a", Addr: "127.0.0.1:7103", Nonce: 7, Incarnation: 9, State: membership.Suspect,
-				Confirmations: []membership.Confirmation{{Name: "n4", Zone: "hall-a", Refused: true}, {Name: "n5"}}},
-			{Name: "n6", Addr: "127.0.0.1:7106", Nonce: 8, Incarnation: 1, State: membership.Dead},
-			{Name: "n7", Addr: "127.0.0.1:7107", Nonce: 9, Incarnation: 1, State: membership.Left},
-		}},
+		membership.Message{
+			Kind:               membership.Ack,
+			To:                 "n1",
+			Sender:             previousSender,
+			Sequence:           43,
+			OnBehalfOf:         "n4",
+			OnBehalfOfSequence: 300,
+			DirectPingReceived: true,
+			Updates: []membership.Update{
+				{Name: "n3", Zone: "hall-a", Addr: "127.0.0.1:7103", Nonce: 7, Incarnation: 9, State: membership.Suspect,
+					Confirmations: []membership.Confirmation{{Name: "n4", Zone: "hall-a", Refused: true}, {Name: "n5"}}},
+				{Name: "n6", Addr: "127.0.0.1:7106", Nonce: 8, Incarnation: 1, State: membership.Dead},
+				{Name: "n7", Addr: "127.0.0.1:7107", Nonce: 9, Incarnation: 1, State: membership.Left},
+			},
+		},
 	},
 	{
 		"ping request",
@@ -62,7 +91,15 @@
 	{
 		"ping request answered: reached, and its own ping came there",
 		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382d42026e3358016001",
-		membership.Message{Kind: membership.PingRequestResult, To: "n1", Sender: previousSender, Sequence: 45, Target: "n3", DirectPingReceived: true, Reached: true},
+		membership.Message{
+			Kind:               membership.PingRequestResult,
+			To:                 "n1",
+			Sender:             previousSender,
+			Sequence:           45,
+			Target:             "n3",
+			DirectPingReceived: true,
+			Reached:            true,
+		},
 	},
 	{
 		"ping request answered: not reached",
@@ -186,11 +223,18 @@
 		`{"name":"n2","hall":"hall-b","address":"127.0.0.1:7102","incarnation":2,"state":"suspected","link":"out shut","slow":true,"rtt_ms":250,` +
 		`"silent_ms":900,"evidence":"1 of 2 in hall-a can't reach it"}],` +
 		`"traffic":{"sent":1,"sent_bytes":2,"received":3,"received_bytes":4,"lost":5,"refused":6,"knocks":7}}` + "\n.\n"
-	report := StatusReport{Cluster: "dala", Name: "n1", HealthScore: 2, View: View{3, "00000000000000ff", []string{"n1", "n2"}}, Members: []Member{
-		{Name: "n1", Zone: "hall-a", Address: "127.0.0.1:7101", Incarnation: 1, State: "alive", Path: "itself"},
-		{Name: "n2", Zone: "hall-b", Address: "127.0.0.1:7102", Incarnation: 2, State: "suspected", Path: "out shut",
-			Slow: true, RTTMs: 250, SinceAliveMs: 900, Evidence: "1 of 2 in hall-a can't reach it"},
-	}, Traffic: Traffic{1, 2, 3, 4, 5, 6, 7}}
+	report := StatusReport{
+		Cluster:     "dala",
+		Name:        "n1",
+		HealthScore: 2,
+		View:        View{3, "00000000000000ff", []string{"n1", "n2"}},
+		Members: []Member{
+			{Name: "n1", Zone: "hall-a", Address: "127.0.0.1:7101", Incarnation: 1, State: "alive", Path: "itself"},
+			{Name: "n2", Zone: "hall-b", Address: "127.0.0.1:7102", Incarnation: 2, State: "suspected", Path: "out shut",
+				Slow: true, RTTMs: 250, SinceAliveMs: 900, Evidence: "1 of 2 in hall-a can't reach it"},
+		},
+		Traffic: Traffic{1, 2, 3, 4, 5, 6, 7},
+	}
 	if b, err := report.Reply(); err != nil || string(b) != previous {
 		t.Errorf("expected %s, got %s, %v", previous, b, err)
 	}
@@ -205,7 +249,8 @@
 		p.OnRecord(Urgent, func(from string, b []byte) { records <- from + ": " + string(b) })
 	})
 	write(t, dial(t, "udp", p.Addr()), fromHex(t, previousDatagrams[0].encoded))
-	for limit := time.Now().Add(testbed.Timeout); !strings.Contains(log.String(), "event=joined member=n2"); time.Sleep(time.Millisecond) {
+	joined := func() bool { return strings.Contains(log.String(), "event=joined member=n2") }
+	for limit := time.Now().Add(testbed.Timeout); !joined(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("the ping made no member: %s", log.String())
 		}
