--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -110,9 +110,9 @@
 
 // previousHellos are the hello frames of n2, by the kind of records that follow; none for 0.
 var previousHellos = map[Kind]string{
-	0:      "170a0464616c6112026e3219887766554433221128013001",
-	Urgent: "190a0464616c6112026e32198877665544332211280130014001",
-	Bulk:   "190a0464616c6112026e32198877665544332211280130014002",
+	0:          "170a0464616c6112026e3219887766554433221128013001",
+	Urgent:     "190a0464616c6112026e32198877665544332211280130014001",
+	Background: "190a0464616c6112026e32198877665544332211280130014002",
 }
 
 // previousRecord is the frame of a record, and previousData what it carries.
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -18,8 +18,8 @@
 
 // The kinds of records.
 const (
-	Urgent Kind = 1 + iota // what somebody waits for
-	Bulk                   // copies of complete states, which may come late
+	Urgent     Kind = 1 + iota // what somebody waits for
+	Background                 // copies of complete states, which may come late
 )
 
 const (
@@ -47,7 +47,7 @@
 )
 
 // maxQueued bounds what may wait of each kind for each member, in bytes.
-var maxQueued = map[Kind]int{Urgent: 512 << 10, Bulk: 1 << 20}
+var maxQueued = map[Kind]int{Urgent: 512 << 10, Background: 1 << 20}
 
 // streamKey names a stream: records of one kind, to or from one member.
 type streamKey struct {
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -11,9 +11,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// bulkSender sends numbered bulk records from a to b, and notes what arrives. All its methods belong on the
+// backgroundSender sends numbered background records from a to b, and notes what arrives. All its methods belong on the
 // loop.
-type bulkSender struct {
+type backgroundSender struct {
 	peers       *twoPeers
 	sent        int
 	received    []string // sender and number
@@ -21,13 +21,13 @@
 	urgentAfter int      // how many had arrived before the urgent record, -1 while it has not
 }
 
-// newBulkSender sets the handlers on both sides.
-func newBulkSender(pair *twoPeers) *bulkSender {
-	s := &bulkSender{peers: pair, urgentAfter: -1}
-	pair.b.OnRecord(Bulk, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
+// newBackgroundSender sets the handlers on both sides.
+func newBackgroundSender(pair *twoPeers) *backgroundSender {
+	s := &backgroundSender{peers: pair, urgentAfter: -1}
+	pair.b.OnRecord(Background, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
 	pair.b.OnRecord(Urgent, func(string, []byte) { s.urgentAfter = len(s.received) })
 	pair.a.OnWritable(func(to string, kind Kind) {
-		if to == "n1" && kind == Bulk {
+		if to == "n1" && kind == Background {
 			s.writable++
 		}
 	})
@@ -35,8 +35,8 @@
 }
 
 // send sends one record.
-func (s *bulkSender) send() error {
-	err := s.peers.a.Send("n1", Bulk, fmt.Appendf(nil, "%08d%s", s.sent, bytes.Repeat([]byte("x"), 64<<10)))
+func (s *backgroundSender) send() error {
+	err := s.peers.a.Send("n1", Background, fmt.Appendf(nil, "%08d%s", s.sent, bytes.Repeat([]byte("x"), 64<<10)))
 	if err == nil {
 		s.sent++
 	}
@@ -44,7 +44,7 @@
 }
 
 // fill sends until the queue is full.
-func (s *bulkSender) fill() (err error) {
+func (s *backgroundSender) fill() (err error) {
 	for err == nil {
 		err = s.send()
 	}
@@ -52,7 +52,7 @@
 }
 
 // checkOrder asserts that all records arrived, in the order in which they were sent.
-func (s *bulkSender) checkOrder(t *testing.T) {
+func (s *backgroundSender) checkOrder(t *testing.T) {
 	t.Helper()
 	for i, got := range s.received {
 		if want := fmt.Sprintf("n0 %08d", i); got != want {
@@ -67,32 +67,32 @@
 func TestRecords(t *testing.T) {
 	pair := newTwoPeers(t)
 	pair.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
-	var bulk *bulkSender
+	var background *backgroundSender
 	pair.onLoop(func() {
-		bulk = newBulkSender(pair)
-		if err := bulk.fill(); !errors.Is(err, ErrQueueFull) {
+		background = newBackgroundSender(pair)
+		if err := background.fill(); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("too much: expected ErrQueueFull, got %v", err)
 		}
 	})
-	pair.eventually(t, "some of it", func() bool { return len(bulk.received) > 0 })
+	pair.eventually(t, "some of it", func() bool { return len(background.received) > 0 })
 	pair.onLoop(func() {
-		if err := bulk.fill(); !errors.Is(err, ErrQueueFull) {
+		if err := background.fill(); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("too much again: expected ErrQueueFull, got %v", err)
 		}
 		if err := pair.a.Send("n1", Urgent, []byte("now")); err != nil {
 			t.Error(err)
 		}
 	})
-	pair.eventually(t, "the urgent one", func() bool { return bulk.urgentAfter >= 0 })
-	pair.eventually(t, "all of it", func() bool { return len(bulk.received) == bulk.sent })
+	pair.eventually(t, "the urgent one", func() bool { return background.urgentAfter >= 0 })
+	pair.eventually(t, "all of it", func() bool { return len(background.received) == background.sent })
 	pair.onLoop(func() {
-		if bulk.urgentAfter >= bulk.sent-8 { // half a megabyte still waited
-			t.Errorf("the urgent one came after %d of %d", bulk.urgentAfter, bulk.sent)
+		if background.urgentAfter >= background.sent-8 { // half a megabyte still waited
+			t.Errorf("the urgent one came after %d of %d", background.urgentAfter, background.sent)
 		}
-		if bulk.writable == 0 {
+		if background.writable == 0 {
 			t.Error("OnWritable was never called")
 		}
-		bulk.checkOrder(t)
+		background.checkOrder(t)
 	})
 }
 
@@ -100,10 +100,10 @@
 func TestRecordsNotTaken(t *testing.T) {
 	pair := newTwoPeers(t)
 	pair.onLoop(func() {
-		if err := pair.a.Send("n1", Bulk, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
+		if err := pair.a.Send("n1", Background, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
 			t.Errorf("too large: %v", err)
 		}
-		if err := pair.a.Send("n9", Bulk, nil); !errors.Is(err, ErrNotMember) {
+		if err := pair.a.Send("n9", Background, nil); !errors.Is(err, ErrNotMember) {
 			t.Errorf("to no member: %v", err)
 		}
 	})
