--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -109,7 +109,7 @@
 }
 
 // previousHellos are the hello frames of n2, by the kind of records that follow; none for 0.
-var previousHellos = map[Kind]string{
+var previousHellos = map[RecordKind]string{
 	0:          "170a0464616c6112026e3219887766554433221128013001",
 	Urgent:     "190a0464616c6112026e32198877665544332211280130014001",
 	Background: "190a0464616c6112026e32198877665544332211280130014002",
@@ -162,7 +162,7 @@
 			t.Fatalf("kind %d: %d of %d bytes used, %v", kind, used, len(frame), err)
 		}
 		h, version, err := CheckHello("dala", message)
-		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || Kind(h.GetKind()) != kind {
+		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || RecordKind(h.GetKind()) != kind {
 			t.Errorf("kind %d: got %v, version %d, %v", kind, h, version, err)
 		}
 		p := &Peers{settings: Settings{Cluster: "dala", Name: "n2"}, nonce: previousNonce}
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -72,8 +72,8 @@
 	if m.Sender, err = decodeUpdate(d.GetSelf()); err != nil {
 		return nil, err
 	}
-	for _, r := range d.GetRumours() {
-		u, err := decodeUpdate(r)
+	for _, encoded := range d.GetRumours() {
+		u, err := decodeUpdate(encoded)
 		if err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 }
 
 func encodeUpdate(u *membership.Update) *peerpb.Rumour {
-	r := &peerpb.Rumour{
+	encoded := &peerpb.Rumour{
 		Name:        u.Name,
 		Hall:        u.Zone,
 		Address:     u.Addr,
@@ -112,32 +112,33 @@
 		State:       uint32(u.State),
 	}
 	for _, c := range u.Confirmations {
-		r.Witnesses = append(r.Witnesses, &peerpb.Witness{Name: c.Name, Hall: c.Zone, Refused: c.Refused})
+		encoded.Witnesses = append(encoded.Witnesses, &peerpb.Witness{Name: c.Name, Hall: c.Zone, Refused: c.Refused})
 	}
-	return r
+	return encoded
 }
 
-func decodeUpdate(r *peerpb.Rumour) (u membership.Update, err error) {
-	if !validName(r.GetName()) || len(r.GetHall()) > membership.MaxNameLength || r.GetState() > uint32(membership.Left) ||
-		len(r.GetWitnesses()) > membership.MaxConfirmations {
+func decodeUpdate(encoded *peerpb.Rumour) (u membership.Update, err error) {
+	if !validName(encoded.GetName()) || len(encoded.GetHall()) > membership.MaxNameLength ||
+		encoded.GetState() > uint32(membership.Left) || len(encoded.GetWitnesses()) > membership.MaxConfirmations {
 		return u, malformed(
 			"expected a name, a zone, a state and at most %d confirmations, got name %.40q, state %d, %d confirmations",
-			membership.MaxConfirmations, r.GetName(), r.GetState(), len(r.GetWitnesses()))
+			membership.MaxConfirmations, encoded.GetName(), encoded.GetState(), len(encoded.GetWitnesses()))
 	}
-	if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil || len(r.GetAddress()) > membership.MaxNameLength {
-		return u, malformed("%s: expected address:port, got %.60q", r.GetName(), r.GetAddress())
+	_, addressErr := netip.ParseAddrPort(encoded.GetAddress())
+	if addressErr != nil || len(encoded.GetAddress()) > membership.MaxNameLength {
+		return u, malformed("%s: expected address:port, got %.60q", encoded.GetName(), encoded.GetAddress())
 	}
 	u = membership.Update{
-		Name:        r.GetName(),
-		Zone:        r.GetHall(),
-		Addr:        r.GetAddress(),
-		Nonce:       r.GetLife(),
-		Incarnation: r.GetIncarnation(),
-		State:       membership.State(r.GetState()),
-	}
-	for _, w := range r.GetWitnesses() {
+		Name:        encoded.GetName(),
+		Zone:        encoded.GetHall(),
+		Addr:        encoded.GetAddress(),
+		Nonce:       encoded.GetLife(),
+		Incarnation: encoded.GetIncarnation(),
+		State:       membership.State(encoded.GetState()),
+	}
+	for _, w := range encoded.GetWitnesses() {
 		if !validName(w.GetName()) || len(w.GetHall()) > membership.MaxNameLength {
-			return u, malformed("%s: expected the name of a confirming member, got %.40q", r.GetName(), w.GetName())
+			return u, malformed("%s: expected the name of a confirming member, got %.40q", encoded.GetName(), w.GetName())
 		}
 		u.Confirmations = append(u.Confirmations, membership.Confirmation{
 			Name:    w.GetName(),
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -17,10 +17,10 @@
 )
 
 // noRecords is the kind in a hello that no records follow.
-const noRecords Kind = 0
+const noRecords RecordKind = 0
 
 // hello is the frame of this orchestrator's hello, and says which records follow.
-func (p *Peers) hello(kind Kind) []byte {
+func (p *Peers) hello(kind RecordKind) []byte {
 	b, err := encodeFrame(&peerpb.Hello{
 		Cluster: p.settings.Cluster,
 		Name:    p.settings.Name,
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	stream := streamKey{hello.GetName(), Kind(hello.GetKind())}
+	stream := streamKey{hello.GetName(), RecordKind(hello.GetKind())}
 	if stream.kind != noRecords {
 		if _, nonce, ok := in.peers.table.Locate(stream.member); !ok || nonce != hello.GetLife() {
 			return malformed("no member %s of that incarnation nonce is known here", stream.member)
@@ -119,7 +119,7 @@
 	if err := proto.Unmarshal(message, &record); err != nil {
 		return &MessageError{Reason: ErrMalformed, Detail: fmt.Sprintf("a record of %s", in.stream.member), Cause: err}
 	}
-	in.peers.counts.RecordsTaken++
+	in.peers.counts.RecordsReceived++
 	if handle := in.peers.recordHandlers[in.stream.kind]; handle != nil {
 		handle(in.stream.member, record.GetData())
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -38,11 +38,11 @@
 
 // Counts are what passed between this orchestrator and the others.
 type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes int64 // datagrams
-	Lost                                     int64 // datagrams that could not be sent
-	Refused                                  int64 // invalid messages
-	HandshakeProbes                          int64
-	Records, RecordsTaken, RecordsDropped    int64 // sent; received; lost before they were sent
+	Sent, SentBytes, Received, ReceivedBytes     int64 // datagrams
+	Lost                                         int64 // datagrams that could not be sent
+	Refused                                      int64 // invalid messages
+	HandshakeProbes                              int64
+	RecordsSent, RecordsReceived, RecordsDropped int64 // dropped: lost before they were sent
 }
 
 // Peers joins the table with its sockets. All its methods belong on the loop.
@@ -64,8 +64,8 @@
 	pendingInbound  int // inbound connections that have not announced records
 	inboundStreams  map[streamKey]*inboundConn
 	outboundStreams map[streamKey]*outboundStream
-	recordHandlers  map[Kind]func(from string, record []byte)
-	onWritable      func(to string, kind Kind)
+	recordHandlers  map[RecordKind]func(from string, record []byte)
+	onWritable      func(to string, kind RecordKind)
 }
 
 // New opens the sockets. The table begins to ping with the first turn of the loop.
@@ -78,8 +78,8 @@
 		nonce:           rand.Uint64(),
 		inboundStreams:  map[streamKey]*inboundConn{},
 		outboundStreams: map[streamKey]*outboundStream{},
-		recordHandlers:  map[Kind]func(string, []byte){},
-		onWritable:      func(string, Kind) {},
+		recordHandlers:  map[RecordKind]func(string, []byte){},
+		onWritable:      func(string, RecordKind) {},
 	}
 	address, err := p.listen()
 	if err != nil {
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -13,13 +13,13 @@
 	"ravenhitch/internal/peer/peerpb"
 )
 
-// Kind is what a record is.
-type Kind uint32
+// RecordKind says how soon a record must arrive. Its number is on the wire.
+type RecordKind uint32
 
 // The kinds of records.
 const (
-	Urgent     Kind = 1 + iota // what somebody waits for
-	Background                 // copies of complete states, which may come late
+	Urgent     RecordKind = 1 + iota // what somebody waits for
+	Background                       // copies of complete states, which may come late
 )
 
 const (
@@ -47,12 +47,12 @@
 )
 
 // maxQueued bounds what may wait of each kind for each member, in bytes.
-var maxQueued = map[Kind]int{Urgent: 512 << 10, Background: 1 << 20}
+var maxQueued = map[RecordKind]int{Urgent: 512 << 10, Background: 1 << 20}
 
 // streamKey names a stream: records of one kind, to or from one member.
 type streamKey struct {
 	member string
-	kind   Kind
+	kind   RecordKind
 }
 
 // outboundStream sends the records of one stream. It owns its connection and its timer until end.
@@ -68,16 +68,16 @@
 }
 
 // OnRecord has handle called with each record of a kind, on the loop; it may not keep the bytes.
-func (p *Peers) OnRecord(kind Kind, handle func(from string, record []byte)) {
+func (p *Peers) OnRecord(kind RecordKind, handle func(from string, record []byte)) {
 	p.recordHandlers[kind] = handle
 }
 
 // OnWritable has notify called, on the loop, when there is space again after Send returned ErrQueueFull.
-func (p *Peers) OnWritable(notify func(to string, kind Kind)) { p.onWritable = notify }
+func (p *Peers) OnWritable(notify func(to string, kind RecordKind)) { p.onWritable = notify }
 
 // Send takes a copy of a record for a member. With an error it was not taken: ErrRecordTooLarge, also for a kind
 // that no record may be of, ErrNotMember or ErrQueueFull.
-func (p *Peers) Send(to string, kind Kind, record []byte) error {
+func (p *Peers) Send(to string, kind RecordKind, record []byte) error {
 	if len(record) > maxRecord || maxQueued[kind] == 0 {
 		return ErrRecordTooLarge
 	}
@@ -205,7 +205,7 @@
 			s.peers.counts.RecordsDropped++
 			continue
 		}
-		s.peers.counts.Records++
+		s.peers.counts.RecordsSent++
 		s.conn.Write(frame)
 		written += len(frame)
 		if writable {
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -26,7 +26,7 @@
 	s := &backgroundSender{peers: pair, urgentAfter: -1}
 	pair.b.OnRecord(Background, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
 	pair.b.OnRecord(Urgent, func(string, []byte) { s.urgentAfter = len(s.received) })
-	pair.a.OnWritable(func(to string, kind Kind) {
+	pair.a.OnWritable(func(to string, kind RecordKind) {
 		if to == "n1" && kind == Background {
 			s.writable++
 		}
@@ -193,7 +193,7 @@
 		pair.eventually(t, "the refusal", func() bool { return pair.b.Counts().Refused == before+1 })
 	}
 	pair.onLoop(func() {
-		if count := pair.b.Counts().RecordsTaken; count > 0 {
+		if count := pair.b.Counts().RecordsReceived; count > 0 {
 			t.Errorf("%d were taken", count)
 		}
 	})
