--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -46,7 +46,7 @@
 	for i := range 500 {
 		c.Rejected(now, Request{Key: uint64(100 + i), Class: 0, Units: 1, TimeoutUs: second})
 	}
-	before := c.calendar.reserved(0)
+	before := c.calendar.total(0)
 	for range 10 {
 		now += second / 10
 		c.SetPending(now, []float64{300, 0, 0})
@@ -58,7 +58,7 @@
 			t.Errorf("to return at %.2f s, then at %.2f s", seconds(first-testStart), seconds(again-testStart))
 		}
 	}
-	if after := c.calendar.reserved(0); after > before+0.01 {
+	if after := c.calendar.total(0); after > before+0.01 {
 		t.Errorf("%.1f units are reserved, %.1f before", after, before)
 	}
 }
@@ -89,7 +89,8 @@
 		c.Rejected(now, Request{Key: uint64(i), Class: 1, Units: 1})
 	}
 	if web := c.Rejected(now, Request{Key: 1 << 30, Class: 0, Units: 1}); web > 16*second || web < 10*second {
-		t.Errorf("the first guide-web behind 2,000 live-relays returns after %.1f s; its floor is 7.5 a second behind 101", seconds(web))
+		t.Errorf("the first guide-web behind 2,000 live-relays returns after %.1f s; its floor is 7.5 a second behind 101",
+			seconds(web))
 	}
 
 	c, now = saturated(s, 50, 100)
@@ -120,7 +121,8 @@
 		}
 	}
 	if light > heavy/2 || heavy > 26*second {
-		t.Errorf("the last one of the heavy program returns after %.1f s, of the others after %.1f s", seconds(heavy), seconds(light))
+		t.Errorf("the last one of the heavy program returns after %.1f s, of the others after %.1f s",
+			seconds(heavy), seconds(light))
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -74,22 +74,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Member{Addr: "127.1.0.9:5070", Entry: placement.Entry{Worker: "s-00c41f7a", Kind: "std", Zone: "east", Cell: 2,
+	want := Worker{Addr: "127.1.0.9:5070", Entry: placement.Entry{Worker: "s-00c41f7a", Kind: "std", Zone: "east", Cell: 2,
 		StartedAtUs: 1_700_000, FreeCores: 12, FreeMemory: -3.5}}
 	if c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeoutUs != 250_000 ||
-		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Members[0] != want {
+		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Workers[0] != want {
 		t.Errorf("got %+v", c)
 	}
+	unknownPhase := strings.Replace(known, `"up"`, `"gone"`, 1)
+	unknownEffect := strings.Replace(nested, "single_shot", "twice", 1)
+	kindWithoutSize := strings.Replace(nested, "[26,63]", "[26]", 1)
 	for name, bad := range map[string]string{
 		"empty": "", "cut": `{"name":`, "no listen": configText("", "127.2.0.1:1", "1", known, nested),
 		"listen without port": configText("127.0.0.1", "127.2.0.1:1", "1", known, nested),
 		"no channel":          configText("127.0.0.1:1", "", "1", known, nested),
 		"seed":                configText("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
 		"no known":            configText("127.0.0.1:1", "127.2.0.1:1", "1", "null", nested),
-		"phase":               configText("127.0.0.1:1", "127.2.0.1:1", "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested),
+		"phase":               configText("127.0.0.1:1", "127.2.0.1:1", "1", unknownPhase, nested),
 		"no settings":         configText("127.0.0.1:1", "127.2.0.1:1", "1", known, "[]"),
-		"a class's effect":    configText("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "single_shot", "twice", 1)),
-		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, strings.Replace(nested, "[26,63]", "[26]", 1)),
+		"a class's effect":    configText("127.0.0.1:1", "127.2.0.1:1", "1", known, unknownEffect),
+		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, kindWithoutSize),
 	} {
 		if _, err := Parse([]byte(bad)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v", name, err)
@@ -97,10 +100,12 @@
 	}
 }
 
-// An invalid member does not hide the others of its event.
-func TestInvalidMember(t *testing.T) {
-	u, err := ParseUpdate([]byte(`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[{"id":"x","phase":"odd"},` + workerJSON + `]}}]}`))
-	if err != nil || len(u.Invalid) != 1 || len(u.Events[0].Members) != 1 {
+// An invalid worker does not hide the others of its event.
+func TestInvalidWorker(t *testing.T) {
+	const invalidWorker = `{"id":"x","phase":"odd"}`
+	u, err := ParseUpdate([]byte(
+		`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[` + invalidWorker + `,` + workerJSON + `]}}]}`))
+	if err != nil || len(u.InvalidWorkers) != 1 || len(u.Events[0].Workers) != 1 {
 		t.Errorf("got %+v, %v", u, err)
 	}
 	for _, bad := range []string{"", "[]", "{"} {
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -52,7 +52,7 @@
 // update takes the zones from a list of workers, and forgets all others where the list is complete. Discovery reports
 // the workers of a zone that no poll named to every orchestrator, so that the shards of a new zone are active
 // at once; update reports whether there is one.
-func (s *shardAssignment) update(members []config.Member, complete bool) (hasNewZone bool) {
+func (s *shardAssignment) update(members []config.Worker, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
 	}
--- a/internal/discovery/follower_assignment.go
+++ b/internal/discovery/follower_assignment.go
@@ -26,7 +26,7 @@
 }
 
 // updateAssignment applies a list of workers to the assignment, where there is one.
-func (f *Follower) updateAssignment(members []config.Member, complete bool) {
+func (f *Follower) updateAssignment(members []config.Worker, complete bool) {
 	if f.assignment != nil && f.assignment.update(members, complete) {
 		f.publishAssignment()
 	}
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -62,23 +62,23 @@
 
 // deliver hands a datagram to a member.
 func (c *cluster) deliver(to int, m *Message) {
-	x := c.members[to]
-	if !x.up {
+	process := c.members[to]
+	if !process.up {
 		return
 	}
-	if x.pausedUntil > c.now { // it waits in the system's buffer
-		c.schedule(x.pausedUntil, func() { c.deliver(to, m) })
+	if process.pausedUntil > c.now { // it waits in the system's buffer
+		c.schedule(process.pausedUntil, func() { c.deliver(to, m) })
 		return
 	}
 	if late := c.slowness(to); late > 0 {
 		c.schedule(c.now+late, func() {
-			if x.up {
-				c.perform(to, x.Receive(c.now, m))
+			if process.up {
+				c.perform(to, process.Receive(c.now, m))
 			}
 		})
 		return
 	}
-	c.perform(to, x.Receive(c.now, m))
+	c.perform(to, process.Receive(c.now, m))
 	c.checkEvents(to)
 }
 
@@ -99,7 +99,8 @@
 		end(c.delay, HandshakeRefused, 0)
 	case !c.handshakePasses(from, to): // a packet is lost, and comes again too late
 		end(simHandshakeTimeout, HandshakeTimedOut, 0)
-	case !c.pathOpen(from, to, c.now, true) || !c.pathOpen(to, from, c.now, true) || target.hostDown || target.up && target.pausedUntil > c.now:
+	case !c.pathOpen(from, to, c.now, true) || !c.pathOpen(to, from, c.now, true) ||
+		target.hostDown || target.up && target.pausedUntil > c.now:
 		end(simHandshakeTimeout, HandshakeTimedOut, 0)
 	case !target.up:
 		end(c.delay, HandshakeRefused, 0)
@@ -169,15 +170,16 @@
 
 // connected says whether a path led from one member to another at a time.
 func (c *cluster) connected(from, to int, at int64) bool {
-	seen, next := map[int]bool{from: true}, []int{from}
-	for len(next) > 0 && !seen[to] {
-		a := next[0]
-		next = next[1:]
-		for b, x := range c.members {
-			running := b == to || x.disturbedUntil < at && x.pausedUntil <= at
-			if !seen[b] && x.up && running && c.pathOpen(a, b, at, false) && c.pathOpen(b, a, at, false) {
-				seen[b] = true
-				next = append(next, b)
+	seen, queue := map[int]bool{from: true}, []int{from}
+	for len(queue) > 0 && !seen[to] {
+		reached := queue[0]
+		queue = queue[1:]
+		for neighbour, process := range c.members {
+			running := neighbour == to || process.disturbedUntil < at && process.pausedUntil <= at
+			if !seen[neighbour] && process.up && running &&
+				c.pathOpen(reached, neighbour, at, false) && c.pathOpen(neighbour, reached, at, false) {
+				seen[neighbour] = true
+				queue = append(queue, neighbour)
 			}
 		}
 	}
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -6,17 +6,20 @@
 // have arrived or not: whoever sends records has to expect that.
 
 import (
+	"errors"
+	"fmt"
+
 	"ravenhitch/internal/eventloop"
 	"ravenhitch/internal/peer/peerpb"
 )
 
-// Kind is what a record is.
-type Kind uint32
+// RecordKind says how soon a record must arrive. Its number is on the wire.
+type RecordKind uint32
 
 // The kinds of records.
 const (
-	Urgent Kind = 1 + iota // what somebody waits for
-	Batch                  // copies of complete states
+	Urgent     RecordKind = 1 + iota // what somebody waits for
+	Background                       // copies of complete states, which may come late
 )
 
 const (
@@ -36,13 +39,20 @@
 	nextTurn = 1
 )
 
+// Why [Peers.Send] does not take a record.
+var (
+	ErrNotMember      = errors.New("peer: not a member of the cluster")
+	ErrQueueFull      = errors.New("peer: the queue is full; OnWritable is called when there is space")
+	ErrRecordTooLarge = fmt.Errorf("peer: a record of over %d bytes", maxRecord)
+)
+
 // maxQueued bounds what may wait of each kind for each member, in bytes.
-var maxQueued = map[Kind]int{Urgent: 512 << 10, Batch: 1 << 20}
+var maxQueued = map[RecordKind]int{Urgent: 512 << 10, Background: 1 << 20}
 
 // streamKey names a stream: records of one kind, to or from one member.
 type streamKey struct {
 	member string
-	kind   Kind
+	kind   RecordKind
 }
 
 // outboundStream sends the records of one stream. It owns its connection and its timer until end.
@@ -58,16 +68,16 @@
 }
 
 // OnRecord has handle called with each record of a kind, on the loop; it may not keep the bytes.
-func (p *Peers) OnRecord(kind Kind, handle func(from string, record []byte)) {
+func (p *Peers) OnRecord(kind RecordKind, handle func(from string, record []byte)) {
 	p.recordHandlers[kind] = handle
 }
 
 // OnWritable has notify called, on the loop, when there is space again after Send returned ErrQueueFull.
-func (p *Peers) OnWritable(notify func(to string, kind Kind)) { p.onWritable = notify }
+func (p *Peers) OnWritable(notify func(to string, kind RecordKind)) { p.onWritable = notify }
 
 // Send takes a copy of a record for a member. With an error it was not taken: ErrRecordTooLarge, also for a kind
 // that no record may be of, ErrNotMember or ErrQueueFull.
-func (p *Peers) Send(to string, kind Kind, record []byte) error {
+func (p *Peers) Send(to string, kind RecordKind, record []byte) error {
 	if len(record) > maxRecord || maxQueued[kind] == 0 {
 		return ErrRecordTooLarge
 	}
@@ -111,12 +121,13 @@
 	}
 	if dropped > 0 {
 		s.peers.counts.RecordsDropped += int64(dropped)
-		s.peers.log.Warn("peer records dropped", "member", s.member, "kind", uint32(s.kind), "records", dropped, "cause", cause)
+		s.peers.log.Warn("peer records dropped",
+			"member", s.member, "kind", uint32(s.kind), "records", dropped, "cause", cause)
 	}
 	delete(s.peers.outboundStreams, s.streamKey)
 }
 
-// dial opens the connection.
+// dial opens the connection, unless the member is gone or is another process now.
 func (s *outboundStream) dial() {
 	address, nonce, ok := s.peers.table.Locate(s.member)
 	if !ok || nonce != s.nonce {
@@ -131,6 +142,7 @@
 	s.conn, s.established = conn, false
 }
 
+// redialLater has the next connection opened after a delay, which doubles with each failure in a row.
 func (s *outboundStream) redialLater() {
 	s.conn, s.established = nil, false
 	s.redialDelay = min(maxRedialDelay, max(minRedialDelay, 2*s.redialDelay))
@@ -193,7 +205,7 @@
 			s.peers.counts.RecordsDropped++
 			continue
 		}
-		s.peers.counts.Records++
+		s.peers.counts.RecordsSent++
 		s.conn.Write(frame)
 		written += len(frame)
 		if writable {
