--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -104,10 +104,10 @@
 	return max(recent*perSecond/recentBuckets, all*perSecond/demandBuckets)
 }
 
-// Reserved returns how many units of free capacity each class is to leave to classes of
+// HigherPriorityDemand returns how many units of free capacity each class is to leave to classes of
 // higher priority that are about to request them: 0 except in a surge. The slice belongs
 // to the Controller and is valid until the next call.
-func (c *Controller) Reserved(now int64) []float64 {
+func (c *Controller) HigherPriorityDemand(now int64) []float64 {
 	f := &c.demand
 	f.advance(now)
 	clear(f.higherPriority)
--- a/internal/backpressure/forecast_test.go
+++ b/internal/backpressure/forecast_test.go
@@ -12,7 +12,7 @@
 		c.Requested(now, Request{Key: uint64(i), Class: i % 2, Units: 1})
 		c.Tick(now)
 	}
-	if units := c.Reserved(now); units[0] != 0 {
+	if units := c.HigherPriorityDemand(now); units[0] != 0 {
 		t.Errorf("at ten a second %v are reserved", units)
 	}
 
@@ -20,10 +20,10 @@
 		now += second / 400
 		c.Requested(now, Request{Key: uint64(1000 + i), Class: i % 2, Units: 1})
 	}
-	if units := c.Reserved(now); units[0] < 60 || units[0] > 160 || units[2] != 0 {
+	if units := c.HigherPriorityDemand(now); units[0] < 60 || units[0] > 160 || units[2] != 0 {
 		t.Errorf("with 200 live-relays a second %v are reserved", units)
 	}
-	if units := c.Reserved(now + second); units[0] != 0 {
+	if units := c.HigherPriorityDemand(now + second); units[0] != 0 {
 		t.Errorf("a second later %v are reserved", units)
 	}
 
@@ -36,7 +36,7 @@
 	}
 	for range 10 {
 		now += second / 50
-		if units := c.Reserved(now); units[0] != 0 {
+		if units := c.HigherPriorityDemand(now); units[0] != 0 {
 			t.Errorf("after hundreds at once from few sources %v are reserved", units)
 		}
 	}
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -52,11 +52,11 @@
 // update takes the zones from a list of workers, and forgets all others where the list is complete. Discovery reports
 // the workers of a zone that no poll named to every orchestrator, so that the shards of a new zone are active
 // at once; update reports whether there is one.
-func (s *shardAssignment) update(members []config.Worker, complete bool) (hasNewZone bool) {
+func (s *shardAssignment) update(workers []config.Worker, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
 	}
-	for _, member := range members {
+	for _, member := range workers {
 		if member.State == placement.Removed {
 			delete(s.zones, member.Worker)
 			continue
--- a/internal/discovery/assignment_test.go
+++ b/internal/discovery/assignment_test.go
@@ -14,8 +14,8 @@
 	return func(string) shard.Bits { return shards }
 }
 
-// membersIn lists a worker in each zone, all by different names.
-func membersIn(zones ...string) (members []config.Worker) {
+// workersIn lists a worker in each zone, all by different names.
+func workersIn(zones ...string) (members []config.Worker) {
 	for i, zone := range zones {
 		members = append(members, config.Worker{Entry: placement.Entry{Worker: zone + string(rune('a'+i)), Zone: zone}})
 	}
@@ -26,7 +26,7 @@
 // answered, and only if it is still wanted.
 func TestShardAssignmentHandover(t *testing.T) {
 	assignment := newShardAssignment(sameInEveryZone(0x0f))
-	if !assignment.update(membersIn("z1", "z2"), true) || assignment.update(membersIn("z2", "z1"), false) {
+	if !assignment.update(workersIn("z1", "z2"), true) || assignment.update(workersIn("z2", "z1"), false) {
 		t.Error("a zone is not new exactly once")
 	}
 	expectActive := func(when string, want shard.Bits) {
@@ -68,7 +68,7 @@
 	if assignment.change(sameInEveryZone(0x1c)) {
 		t.Error("the same shards count as lost")
 	}
-	if !assignment.update(membersIn("z3, 100%"), false) || assignment.active["z3, 100%"] != 0x1c {
+	if !assignment.update(workersIn("z3, 100%"), false) || assignment.active["z3, 100%"] != 0x1c {
 		t.Errorf("the shards of a zone that no poll named are not active at once, though it was reported completely: %v",
 			assignment.active)
 	}
@@ -85,13 +85,13 @@
 // Nothing is stored of workers that are no longer listed: their names never come again.
 func TestShardAssignmentForgetsWorkers(t *testing.T) {
 	assignment := newShardAssignment(sameInEveryZone(1))
-	assignment.update(membersIn("z1", "z1", "z1"), true)
-	removed := membersIn("z1")
+	assignment.update(workersIn("z1", "z1", "z1"), true)
+	removed := workersIn("z1")
 	removed[0].State = placement.Removed
 	if assignment.update(removed, false); len(assignment.zones) != 2 {
 		t.Errorf("%d workers are known after one of three was removed", len(assignment.zones))
 	}
-	if assignment.update(membersIn("z1"), true); len(assignment.zones) != 1 {
+	if assignment.update(workersIn("z1"), true); len(assignment.zones) != 1 {
 		t.Errorf("%d workers are known after a complete list of one", len(assignment.zones))
 	}
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -71,18 +71,18 @@
 }
 
 // namesOf is the set of the names of listed workers.
-func namesOf(members []config.Worker) map[string]bool {
-	names := make(map[string]bool, len(members))
-	for _, member := range members {
+func namesOf(workers []config.Worker) map[string]bool {
+	names := make(map[string]bool, len(workers))
+	for _, member := range workers {
 		names[member.Worker] = true
 	}
 	return names
 }
 
 // entriesOf is what a list says of its workers, without their addresses.
-func entriesOf(members []config.Worker) []placement.Entry {
-	entries := make([]placement.Entry, 0, len(members))
-	for _, member := range members {
+func entriesOf(workers []config.Worker) []placement.Entry {
+	entries := make([]placement.Entry, 0, len(workers))
+	for _, member := range workers {
 		entries = append(entries, member.Entry)
 	}
 	return entries
--- a/internal/discovery/follower_assignment.go
+++ b/internal/discovery/follower_assignment.go
@@ -26,8 +26,8 @@
 }
 
 // updateAssignment applies a list of workers to the assignment, where there is one.
-func (f *Follower) updateAssignment(members []config.Worker, complete bool) {
-	if f.assignment != nil && f.assignment.update(members, complete) {
+func (f *Follower) updateAssignment(workers []config.Worker, complete bool) {
+	if f.assignment != nil && f.assignment.update(workers, complete) {
 		f.publishAssignment()
 	}
 }
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -28,8 +28,8 @@
 	Rejected(now int64, request backpressure.Request) (waitUs int64)
 	// ReleaseRate is how much capacity becomes free, in units a second, 0 where unknown.
 	ReleaseRate(now int64) float64
-	// Reserved is how many units each class is to leave to expected requests of higher priority.
-	Reserved(now int64) []float64
+	// HigherPriorityDemand is how many units each class is to leave to expected requests of higher priority.
+	HigherPriorityDemand(now int64) []float64
 	Tick(now int64) (backpressure.Change, bool)
 	Figures(now int64) backpressure.Figures
 }
@@ -111,7 +111,7 @@
 	if d.now-last.at < backpressureInterval {
 		return
 	}
-	releaseRate, reserved := d.advisor.ReleaseRate(d.now), d.advisor.Reserved(d.now)
+	releaseRate, reserved := d.advisor.ReleaseRate(d.now), d.advisor.HigherPriorityDemand(d.now)
 	last.at = d.now
 	if isNear(releaseRate, last.releaseRate) && slices.EqualFunc(reserved, last.reserved, isNear) {
 		return
@@ -153,8 +153,8 @@
 // ReleaseRate is unknown.
 func (FixedRetryAfter) ReleaseRate(int64) float64 { return 0 }
 
-// Reserved is nothing.
-func (FixedRetryAfter) Reserved(int64) []float64 { return nil }
+// HigherPriorityDemand is nothing.
+func (FixedRetryAfter) HigherPriorityDemand(int64) []float64 { return nil }
 
 // Tick sees no change.
 func (FixedRetryAfter) Tick(int64) (change backpressure.Change, changed bool) { return change, false }
