--- a/client/budget.go
+++ b/client/budget.go
@@ -1,6 +1,6 @@
 package client
 
-// This file owns the budget of retries that no orchestrator advised.
+// This file owns the budget of retries that no orchestrator advised. It must never wait for one.
 
 import "sync"
 
--- a/client/client.go
+++ b/client/client.go
@@ -7,7 +7,7 @@
 // advised.
 package client
 
-// This file owns what callers see: tasks, bindings, options and errors.
+// This file owns what callers see: tasks, bindings, options and errors. It must never call an orchestrator.
 
 import (
 	"fmt"
@@ -34,7 +34,7 @@
 // Binding says where a task runs.
 type Binding struct {
 	RequestID   string
-	Worker      string // that runs it: a worker
+	Worker      string // that runs it
 	Description string // what the worker gave for the task
 }
 
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -64,7 +64,8 @@
 // left to other orchestrators. Tasks that run there go on. isAssigned must answer alike until the next
 // call; nil stands for all workers.
 func (d *Dispatcher) SetAssignedWorkers(now int64, isAssigned func(worker string) bool) {
-	filter, before := &d.listFilter, d.listFilter
+	filter := &d.listFilter
+	before := listFilter{isAssigned: filter.isAssigned}
 	filter.isAssigned = isAssigned
 	var changed []string
 	for _, worker := range slices.Sorted(maps.Keys(filter.listed)) {
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -12,7 +12,8 @@
 // drainMargin is how long before the drain limit offers end here.
 const drainMargin = 500 * millisecond
 
-// The rules that an offer may break.
+// The rules that an offer may break. Their texts carry no package prefix, as they are only the values of
+// the field "cause" of log lines, which name the offer.
 var (
 	// ErrNotPending: an attempt is open, or the request is over.
 	ErrNotPending = errors.New("an attempt is open or the request is over")
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Submission is the content of a request. Description and Idem are opaque.
+// Submission is the content of a request. Description and IdempotencyKey are opaque.
 type Submission struct {
 	RequestID, Class, Key string
 	IdempotencyKey        string // the idempotency key, "" where workers of the class know none
@@ -40,9 +40,11 @@
 
 const hexDigits = "0123456789abcdefABCDEF"
 
-// ValidationError is a field of a submission that makes no sense.
+// ValidationError is a field of a submission that makes no sense. Fields go by fixed names that no single
+// wire follows: both fronts take them from here, clientfront as the text of its error and grpcfront as the
+// key of its own field.
 type ValidationError struct {
-	Field string // as the wire names it
+	Field string // as Validate names it
 	Want  string // what was expected of it
 }
 
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -9,7 +9,8 @@
 	"ravenhitch/placement"
 )
 
-// The errors of Submit. Nothing was taken in then, and no response is owed.
+// The errors of Submit. Nothing was taken in then, and no response is owed. They leave the package for the
+// fronts, so their texts carry its name.
 var (
 	ErrRequestIDInUse = errors.New("dispatch: the request ID is in use")
 	ErrKeyInUse       = errors.New("dispatch: the task was submitted elsewhere")
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -2,7 +2,8 @@
 
 // This file owns the trace of requests: one line at debug level at each step of a request, by its
 // request ID, so that one request can be followed through every orchestrator of a fleet. It must never
-// change what the dispatcher does, and costs nothing where debug lines are not written.
+// change what the dispatcher does. Where debug lines are not written it writes and formats nothing, but the
+// arguments of a step are still gathered.
 
 import (
 	"context"
--- a/internal/retrytoken/redeemed.go
+++ b/internal/retrytoken/redeemed.go
@@ -1,6 +1,7 @@
 package retrytoken
 
-// This file owns which tokens were redeemed.
+// This file owns which tokens were redeemed. It must never judge whether a token
+// is valid, nor grow without bound.
 
 // maxRedeemed bounds the tokens that are remembered.
 const maxRedeemed = 16 << 10
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -1,12 +1,14 @@
 // Package retrytoken owns retry tokens and the keys that sign them. A token says of a rejected task when
-// its client is to come back and since when it is queued, so that any orchestrator with the key, one just
-// started included, restores the place of the client in the queue without having served it before. The package is pure: the
-// time is passed in and nothing is opened. It must never make an invalid token worth more than none.
+// its client is to come back and since when it is on the waitlist, so that any orchestrator with the key,
+// one just started included, restores the client's place on the waitlist without having served it before.
+// The package is pure: the time is passed in and nothing is opened. It must never make an invalid token
+// worth more than none.
 //
 // On the wire a token is called a return ticket.
 package retrytoken
 
-// This file owns what a token says, and when it is valid.
+// This file owns what a token says, and when it is valid. It must never look at a signature: codec.go has
+// verified it before.
 
 import "errors"
 
@@ -34,7 +36,8 @@
 	EarlyUs = 250 * millisecond
 	// LateUs is how long after its slot a token is still valid.
 	LateUs = 10 * second
-	// maxWaitUs bounds the time that a token may claim to have been queued, and to the slot.
+	// maxWaitUs bounds how long a token may claim that its client was on the waitlist, and how far ahead
+	// its slot may lie.
 	maxWaitUs = int64(day)
 )
 
@@ -43,7 +46,7 @@
 	Task, Class   string
 	IssuedUs      int64  // Unix time
 	SlotUs        int64  // when the client is to come back, as Unix time
-	QueuedSinceUs int64  // since when the task is queued, as Unix time
+	QueuedSinceUs int64  // since when its client is on the waitlist, as Unix time
 	Rejections    uint16 // of the task so far
 	Nonce         uint64 // differs between tokens of one task
 }
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -71,6 +71,7 @@
 // [SettingError] for each setting that is missing or contradictory, joined.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.check(); err != nil {
+		// Not "placement:", as the simulator's wire carries this text to the operators of a deployment.
 		return nil, fmt.Errorf("ravenhitch: %w", err)
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(settings.SelfIndex)))
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -2,11 +2,13 @@
 
 import "errors"
 
-// This file owns the checks of the settings. The texts name settings as the wire does.
+// This file owns the checks of the settings. It must never change a setting. The texts are settled,
+// since operators read them: some name a setting as deployments do (CoresMultiple, MemoryMultiple,
+// FreshOffers, AttemptsCap), others by the field here, and a few in words ("Apart" is Class.Spread).
 
 // SettingError is an error of [New]: a setting is missing or contradicts another.
 type SettingError struct {
-	Setting string // as the wire names it
+	Setting string // its name, as the top of the file says
 	Problem string
 }
 
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -1,6 +1,6 @@
 package placement
 
-// This file owns the time at which the scheduler is to be called again.
+// This file owns the time at which the scheduler is to be called again. It must never do what is due then.
 
 // timerRef is the reference of the only timer.
 const timerRef = "wake"
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -24,7 +24,8 @@
 	capacity    *capacityModel
 	calibration *calibration
 	cachedMeans fleetMeans
-	// cachedFreeUnits is the result of freeUnits at freeUnitsAt, less what was offered since.
+	// cachedFreeUnits is the result of freeUnits at freeUnitsAt. What was offered since is not taken
+	// off: a scheduling pass takes its own offers off its copy.
 	cachedFreeUnits float64
 	freeUnitsAt     int64
 }
