--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -21,7 +21,7 @@
 		return
 	}
 	d.transition(r, eventCancelUnconfirmed)
-	r.endOutcome = outcome
+	r.cancelOutcome = outcome
 	d.setMayHaveRun(r)
 	d.arm(r, r.deadline)
 }
@@ -52,7 +52,7 @@
 		return
 	}
 	r.mayHaveRun = true
-	entry := d.listFilter.listed[r.worker]
+	entry := d.listFilter.entries[r.worker]
 	r.firstRun = firstAttempt{worker: r.worker, zone: entry.Zone, cell: entry.Cell, at: r.sentAt}
 }
 
@@ -64,7 +64,7 @@
 		d.workers.CancelAttempt(r.worker, r.RequestID, false)
 		d.reportAttemptEnded(r, placement.Cancelled, placement.CauseUnknown, true)
 	case stateCancelling:
-		d.reportAttemptEnded(r, r.endOutcome, placement.CauseUnknown, true)
+		d.reportAttemptEnded(r, r.cancelOutcome, placement.CauseUnknown, true)
 	}
 }
 
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -303,7 +303,7 @@
 
 // schedulerState is the state in which a worker would be listed to the scheduler.
 func (h *harness) schedulerState(worker string) placement.WorkerState {
-	return h.listFilter.adjust(h.listFilter.listed[worker]).State
+	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
 
 // checkTable fails the test where the table and what is counted beside it differ.
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -13,27 +13,27 @@
 
 // listFilter is what was listed last, and what changes it.
 type listFilter struct {
-	listed     map[string]placement.Entry // as discovery listed it
+	entries    map[string]placement.Entry // as discovery listed it
 	cordoned   map[string]bool
 	uncordoned map[string]bool          // and not listed as ready since
 	isAssigned func(worker string) bool // to this orchestrator; nil: all workers are
 }
 
 func newListFilter() listFilter {
-	return listFilter{listed: map[string]placement.Entry{}, cordoned: map[string]bool{}, uncordoned: map[string]bool{}}
+	return listFilter{entries: map[string]placement.Entry{}, cordoned: map[string]bool{}, uncordoned: map[string]bool{}}
 }
 
 // apply takes a list and returns its entries as they hold here.
 func (f *listFilter) apply(list placement.WorkerList) []placement.Entry {
 	if isCompleteList(list) {
-		clear(f.listed)
+		clear(f.entries)
 	}
 	entries := slices.Clone(list.Entries)
 	for i, entry := range entries {
 		if entry.State == placement.Removed {
-			delete(f.listed, entry.Worker)
+			delete(f.entries, entry.Worker)
 		} else {
-			f.listed[entry.Worker] = entry
+			f.entries[entry.Worker] = entry
 		}
 		entries[i] = f.adjust(entry)
 	}
@@ -68,7 +68,7 @@
 	before := listFilter{isAssigned: filter.isAssigned}
 	filter.isAssigned = isAssigned
 	var changed []string
-	for _, worker := range slices.Sorted(maps.Keys(filter.listed)) {
+	for _, worker := range slices.Sorted(maps.Keys(filter.entries)) {
 		if before.assigned(worker) != filter.assigned(worker) {
 			changed = append(changed, worker)
 		}
@@ -110,7 +110,7 @@
 func (d *Dispatcher) relist(now int64, workers []string) {
 	list := placement.WorkerList{Kind: placement.ListDelta}
 	for _, worker := range workers {
-		if entry, ok := d.listFilter.listed[worker]; ok {
+		if entry, ok := d.listFilter.entries[worker]; ok {
 			list.Entries = append(list.Entries, entry)
 		}
 	}
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -103,7 +103,7 @@
 	if r.effect != placement.Keyed || !r.mayHaveRun {
 		return nil
 	}
-	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.listed[worker]
+	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.entries[worker]
 	leavesAt := d.now + int64(d.pacer.longestTurn) // offers leave at the end of the turn
 	if leavesAt >= r.firstRun.at+class.WindowUs {
 		return ErrRepeatUnknown
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,21 +25,23 @@
 	heapIndex  int   // in the deadline heap, or -1
 
 	// The attempt that is open, or was last.
-	attempts   int // how many there were
-	attempt    int // its number
-	worker     string
-	sentAt     int64
-	abandonAt  int64
-	endOutcome placement.Outcome // cancelling: of the attempt; running with a wakeAt: of the task
-	endCause   placement.Cause
+	attempts      int // how many there were
+	attempt       int // its number
+	worker        string
+	sentAt        int64
+	abandonAt     int64
+	cancelOutcome placement.Outcome // cancelling: what the attempt counts as once the cancel is confirmed
 
 	mayHaveRun bool // an attempt may have started
 	firstRun   firstAttempt
 
 	// The running task.
-	startDescription string // what the worker said of the start, for a repeated submission
-	adoptedAt        int64  // when it was submitted as already running, or 0
-	missingSince     int64  // since when its worker is unlisted, or unresponsive; or 0
+	startDescription  string            // what the worker said of the start, for a repeated submission
+	adoptedAt         int64             // when it was submitted as already running, or 0
+	unlistedSince     int64             // running: since when its worker is unlisted, or 0
+	unresponsiveSince int64             // released: since when its worker should have reported its end, or 0
+	claimedOutcome    placement.Outcome // adopted: of the completion that came before, where one did
+	claimedCause      placement.Cause
 }
 
 // firstAttempt is the first attempt of a request that may have started, and when it was offered.
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -120,7 +120,7 @@
 	d.transition(r, eventAdopted)
 	d.advisor.Adopted(d.now, r.backpressureRequest())
 	if !d.listed[r.worker] {
-		r.missingSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
+		r.unlistedSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
 	}
 	d.event(placement.Adopted{Task: r.task(), Worker: r.worker})
 	d.claimCompletion(r)
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -68,10 +68,10 @@
 			switch {
 			case r.state != stateRunning:
 			case listed:
-				r.missingSince = 0
-			case r.missingSince == 0:
-				r.missingSince = d.now
-			case d.now-r.missingSince >= unlistedTimeout:
+				r.unlistedSince = 0
+			case r.unlistedSince == 0:
+				r.unlistedSince = d.now
+			case d.now-r.unlistedSince >= unlistedTimeout:
 				lost = append(lost, r)
 			}
 		}
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -87,14 +87,14 @@
 		d.cancelAttempt(r, placement.TimedOut)
 		d.awaitFinalAction(r)
 	case stateCancelling:
-		d.attemptEnded(r, r.endOutcome, placement.CauseUnknown)
+		d.attemptEnded(r, r.cancelOutcome, placement.CauseUnknown)
 		d.awaitFinalAction(r)
 	case statePending:
 		d.log.Warn("request left to its deadline", "request_id", r.RequestID, "class", r.Class)
 		d.event(placement.ClientCancelled{RequestID: r.RequestID})
 		d.rejectOrFail(r)
 	case stateRunning:
-		d.taskCompleted(r, r.endOutcome, r.endCause)
+		d.taskCompleted(r, r.claimedOutcome, r.claimedCause) // see claimCompletion
 	case stateTerminating:
 		d.workers.Release(r.worker, r.RequestID)
 		d.setUnresponsive(r)
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -73,6 +73,6 @@
 		return
 	}
 	d.log.Info("adopted task already completed", "request_id", r.RequestID, "worker", r.worker)
-	r.endOutcome, r.endCause = completion.outcome, completion.cause
+	r.claimedOutcome, r.claimedCause = completion.outcome, completion.cause
 	d.arm(r, d.now+1)
 }
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -47,7 +47,8 @@
 	d.respond(r, Response{Kind: Started, Description: description, Worker: worker})
 }
 
-// TaskEnded takes the end of an attempt or of a running task.
+// TaskEnded takes the end of a task as its worker knows it: of a running task, of a released one, or of
+// an attempt that was never accepted.
 func (d *Dispatcher) TaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	d.now = now
 	if r := d.unresponsive[requestID]; r != nil && r.worker == worker {
@@ -66,7 +67,7 @@
 		}
 		d.attemptEnded(r, outcome, cause)
 	case stateCancelling:
-		d.attemptEnded(r, r.endOutcome, placement.CauseUnknown)
+		d.attemptEnded(r, r.cancelOutcome, placement.CauseUnknown)
 	case stateRunning, stateTerminating:
 		if !isTaskOutcome(outcome) {
 			outcome = placement.Reset
@@ -86,7 +87,7 @@
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateCancelling {
 		d.trace("abandoned attempt ended", r)
-		d.attemptEnded(r, r.endOutcome, placement.CauseUnknown)
+		d.attemptEnded(r, r.cancelOutcome, placement.CauseUnknown)
 	}
 }
 
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -37,11 +37,11 @@
 	worker.decayCalibration(c.now)
 	cores, memory := c.loads.requested(worker)
 	effectiveCores, effectiveMemory := c.capacity.of(worker)
-	calibration := &worker.calibration[m.resource]
+	factor := &worker.calibration[m.resource]
 	utilizations := [resourceCount]float64{cores / effectiveCores, memory / effectiveMemory}
-	utilization := utilizations[m.resource] * *calibration
+	utilization := utilizations[m.resource] * *factor
 	wanted := min(1, max(calibrationFloor, utilization*m.target/max(m.used, m.target)))
-	*calibration += (wanted - *calibration) * m.confidence
+	*factor += (wanted - *factor) * m.confidence
 	c.track(worker)
 	c.dirty = true
 }
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -38,14 +38,14 @@
 	return f.settings.FleetSize
 }
 
-// requestedCores is what is requested of all workers: of foreign ones as much as of the
+// totalRequestedCores is what is requested of all workers: of foreign ones as much as of the
 // others, whose views are known.
-func (f *fleet) requestedCores() float64 {
+func (f *fleet) totalRequestedCores() float64 {
 	f.refresh()
 	if f.foreignCount == 0 {
-		return f.loads.requestedCores
+		return f.loads.listedRequestedCores
 	}
-	return f.loads.requestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
+	return f.loads.listedRequestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
 }
 
 // ensure returns the worker of a name, which it adds if there is none.
@@ -96,8 +96,8 @@
 	f.affinity.clear()
 }
 
-// idleUncordoned returns the workers that operators uncordoned and that got no offer since.
-func (f *fleet) idleUncordoned() map[*workerInfo]bool {
+// pruneUncordoned forgets the uncordoned workers that got an offer since, and returns the others.
+func (f *fleet) pruneUncordoned() map[*workerInfo]bool {
 	for worker := range f.uncordoned {
 		if !worker.uncordonedIdle {
 			delete(f.uncordoned, worker)
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("left: %d workers by name, %d unlisted, %d programs, %d preferred, %d entries",
 			len(scheduler.fleet.sorted), len(scheduler.fleet.unlisted), len(scheduler.residents.workers), len(scheduler.affinity.preferred), countEntries(scheduler))
 	}
-	if scheduler.loads.requestedCores != 0 && math.Abs(scheduler.loads.requestedCores) > 1e-9 || scheduler.loads.listedCapacity != (fractions{}) {
-		t.Errorf("left: %v cores requested of %+v", scheduler.loads.requestedCores, scheduler.loads.listedCapacity)
+	if scheduler.loads.listedRequestedCores != 0 && math.Abs(scheduler.loads.listedRequestedCores) > 1e-9 || scheduler.loads.listedCapacity != (fractions{}) {
+		t.Errorf("left: %v cores requested of %+v", scheduler.loads.listedRequestedCores, scheduler.loads.listedCapacity)
 	}
 }
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -150,8 +150,8 @@
 		}
 		divided = append(divided, entry)
 	}
-	want := newFixture(t, testSettings(), 1, complete...).scheduler.fleet.requestedCores()
-	if got := newFixture(t, testSettings(), 1, divided...).scheduler.fleet.requestedCores(); got < want*0.99 || got > want*1.01 {
+	want := newFixture(t, testSettings(), 1, complete...).scheduler.fleet.totalRequestedCores()
+	if got := newFixture(t, testSettings(), 1, divided...).scheduler.fleet.totalRequestedCores(); got < want*0.99 || got > want*1.01 {
 		t.Errorf("expected %g cores to be requested of the fleet, got %g", want, got)
 	}
 }
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -88,7 +88,7 @@
 		return false
 	}
 	h.scheduler.requests.tasks[submitted.RequestID] = task
-	h.scheduler.pass.bind(task, worker)
+	h.scheduler.pass.offer(task, worker)
 	h.unfinished[submitted.RequestID] = submitted
 	h.attempts[submitted.RequestID] = 1
 	h.offered = append(h.offered, Place{RequestID: submitted.RequestID, Worker: worker.Worker})
--- a/placement/index.go
+++ b/placement/index.go
@@ -72,10 +72,10 @@
 	if !worker.position.indexed {
 		return
 	}
-	level := x.levelOf(worker)
-	if worker.position.entryIndex < level.unreserved {
-		level.unreserved--
-		level.swap(worker.position.entryIndex, level.unreserved)
+	ownLevel := x.levelOf(worker)
+	if worker.position.entryIndex < ownLevel.unreserved {
+		ownLevel.unreserved--
+		ownLevel.swap(worker.position.entryIndex, ownLevel.unreserved)
 		x.kinds[worker.position.kindIndex].updateSets(worker.position.level)
 	}
 }
@@ -85,10 +85,10 @@
 	if !worker.position.indexed {
 		return
 	}
-	level := x.levelOf(worker)
-	if worker.position.entryIndex >= level.unreserved {
-		level.swap(worker.position.entryIndex, level.unreserved)
-		level.unreserved++
+	ownLevel := x.levelOf(worker)
+	if worker.position.entryIndex >= ownLevel.unreserved {
+		ownLevel.swap(worker.position.entryIndex, ownLevel.unreserved)
+		ownLevel.unreserved++
 		x.kinds[worker.position.kindIndex].updateSets(worker.position.level)
 	}
 }
@@ -112,9 +112,9 @@
 	}
 	position := &worker.position
 	if position.indexed && position.kindIndex == worker.kindIndex && position.level == levelNumber {
-		level := x.levelOf(worker)
-		level.entries[position.entryIndex] = entry
-		level.lowerBounds(entry)
+		ownLevel := x.levelOf(worker)
+		ownLevel.entries[position.entryIndex] = entry
+		ownLevel.lowerBounds(entry)
 		return
 	}
 	x.remove(worker)
@@ -151,22 +151,22 @@
 // walk makes a walk. In levels of more than maxEnumerated workers it begins where random draws,
 // or at the first where random is nil. (As a field of the walk, random would move everything that
 // the functions of the walk capture to the heap.)
-func (x *workerIndex) walk(walk levelWalk, random *rand.Rand) {
+func (x *workerIndex) walk(plan levelWalk, random *rand.Rand) {
 	clear(x.finished)
 	// Where the baseline is above the scale, utilization is less than the levels say.
 	drift := min(x.scale.cores/x.baseline.cores, x.scale.memory/x.baseline.memory)
-	only := walk.unreservedOnly
+	only := plan.unreservedOnly
 	for number := x.nextLevel(0, only); number < levelCount; number = x.nextLevel(number+1, only) {
 		minUtilization := max(0, float64(number)*levelWidth*drift-roundingSlack)
 		finished := true
 		for kindIndex := range x.kinds {
-			if x.finished[kindIndex] || !walk.matters(kindIndex, fractions{}, minUtilization) {
+			if x.finished[kindIndex] || !plan.matters(kindIndex, fractions{}, minUtilization) {
 				x.finished[kindIndex] = true
 				continue
 			}
 			finished = false
-			level := &x.kinds[kindIndex].levels[number]
-			if len(level.entries) > 0 && !scanLevel(level, kindIndex, minUtilization, &walk, random) {
+			current := &x.kinds[kindIndex].levels[number]
+			if len(current.entries) > 0 && !scanLevel(current, kindIndex, minUtilization, &plan, random) {
 				return
 			}
 		}
@@ -198,18 +198,18 @@
 
 // scanLevel looks at those workers of one level that are within the limit, and reports
 // whether to go on.
-func scanLevel(level *level, kindIndex int, minUtilization float64, walk *levelWalk, random *rand.Rand) bool {
+func scanLevel(current *level, kindIndex int, minUtilization float64, plan *levelWalk, random *rand.Rand) bool {
 	limit := loadLimit{max: unlimited}
-	if walk.limits != nil {
-		limit = walk.limits[kindIndex]
+	if plan.limits != nil {
+		limit = plan.limits[kindIndex]
 	}
-	if !limit.admits(level.minRequested, level.minCalibration) ||
-		!walk.matters(kindIndex, level.minRequested, minUtilization) {
+	if !limit.admits(current.minRequested, current.minCalibration) ||
+		!plan.matters(kindIndex, current.minRequested, minUtilization) {
 		return true
 	}
-	entries, first := level.entries, 0
-	if walk.unreservedOnly {
-		entries = entries[:level.unreserved]
+	entries, first := current.entries, 0
+	if plan.unreservedOnly {
+		entries = entries[:current.unreserved]
 	}
 	if random != nil && len(entries) > maxEnumerated {
 		first = random.IntN(len(entries))
@@ -221,19 +221,19 @@
 			minRequested = minRequested.smaller(entry.requested)
 			minCalibration = min(minCalibration, entry.calibration)
 			if !limit.admits(entry.requested, entry.calibration) ||
-				!walk.matters(kindIndex, entry.requested, minUtilization) {
+				!plan.matters(kindIndex, entry.requested, minUtilization) {
 				continue
 			}
-			if !walk.visit(entry.worker) {
+			if !plan.visit(entry.worker) {
 				return false
 			}
-			if !walk.matters(kindIndex, level.minRequested, minUtilization) {
+			if !plan.matters(kindIndex, current.minRequested, minUtilization) {
 				return true // none of the others can matter any more
 			}
 		}
 	}
-	if len(entries) == len(level.entries) {
-		level.minRequested, level.minCalibration = minRequested, minCalibration
+	if len(entries) == len(current.entries) {
+		current.minRequested, current.minCalibration = minRequested, minCalibration
 	}
 	return true
 }
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -51,9 +51,9 @@
 	}
 	loads := scheduler.loads
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }
-	if !near(requestedCores, loads.requestedCores) ||
+	if !near(requestedCores, loads.listedRequestedCores) ||
 		!near(capacity.cores, loads.listedCapacity.cores) || !near(capacity.memory, loads.listedCapacity.memory) {
-		return 0, fmt.Errorf("sums %v and %+v; stored %v and %+v", requestedCores, capacity, loads.requestedCores, loads.listedCapacity)
+		return 0, fmt.Errorf("sums %v and %+v; stored %v and %+v", requestedCores, capacity, loads.listedRequestedCores, loads.listedCapacity)
 	}
 	if entries := countEntries(scheduler); entries != indexed {
 		return 0, fmt.Errorf("%d entries of %d workers", entries, indexed)
--- a/placement/load.go
+++ b/placement/load.go
@@ -29,9 +29,9 @@
 	reservations *reservations
 	lag          int64         // how late the view is taken to be
 	lagDependent []*workerInfo // see lagDependentWorkers; and others
-	// requestedCores and listedCapacity are sums over the listed workers.
-	requestedCores float64
-	listedCapacity fractions // in units, not as parts of a kind
+	// listedRequestedCores and listedCapacity are sums over the listed workers that are not foreign.
+	listedRequestedCores float64
+	listedCapacity       fractions // in units, not as parts of a kind
 }
 
 // requested is what is requested of a worker of a known kind: what the view or, where newer,
@@ -151,7 +151,7 @@
 // refresh computes anew what is requested of a worker, and its position in the index.
 func (l *loadTracker) refresh(worker *workerInfo) {
 	if worker.countedKind != nil {
-		l.requestedCores -= worker.requestedCores
+		l.listedRequestedCores -= worker.requestedCores
 		l.listedCapacity.cores -= worker.countedKind.Cores
 		l.listedCapacity.memory -= worker.countedKind.Memory
 		worker.countedKind = nil
@@ -163,7 +163,7 @@
 	worker.stale = false
 	if worker.listed && !worker.foreign && kind != nil && l.settings.HasView {
 		worker.countedKind = kind
-		l.requestedCores += worker.requestedCores
+		l.listedRequestedCores += worker.requestedCores
 		l.listedCapacity.cores += kind.Cores
 		l.listedCapacity.memory += kind.Memory
 	}
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -1,7 +1,7 @@
 package placement
 
 // This file owns the scheduling pass: one look at all pending tasks, by priority. For each it
-// filters and scores the workers, and then binds the task to one of them, or reserves one and
+// filters and scores the workers, and then offers the task to one of them, or reserves one and
 // keeps the task pending, or gives the final response. It must never offer a task twice at a
 // time.
 
@@ -65,7 +65,7 @@
 	if (!p.unschedulable[shape] || task.mayHaveRun != nil) && p.unitsLeft(task) {
 		if worker := p.search.selectWorker(task); worker != nil {
 			if !p.view.probeWanted(task, worker) {
-				p.bind(task, worker)
+				p.offer(task, worker)
 				p.freeUnits -= units
 			}
 			return
@@ -129,8 +129,8 @@
 	}
 }
 
-// bind offers a task to a worker.
-func (p *schedulingPass) bind(task *taskInfo, worker *workerInfo) {
+// offer offers a task to a worker.
+func (p *schedulingPass) offer(task *taskInfo, worker *workerInfo) {
 	p.queue.remove(task)
 	attempt := &attemptInfo{worker: worker, sentAt: p.now, awaitingResponse: true}
 	task.attempts = append(task.attempts, attempt)
--- a/placement/quota.go
+++ b/placement/quota.go
@@ -40,5 +40,5 @@
 	if !ok || q.totalCores <= 0 || q.settings.Tenants[i].QuotaCores <= 0 {
 		return false
 	}
-	return q.tenantCores[i]/q.totalCores*q.fleet.requestedCores() > q.settings.Tenants[i].QuotaCores
+	return q.tenantCores[i]/q.totalCores*q.fleet.totalRequestedCores() > q.settings.Tenants[i].QuotaCores
 }
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -233,7 +233,7 @@
 		name      string
 		got, want float64
 	}{
-		{"utilization of the fleet", utilization, r.utilizationOfFleet}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.requestedCores(), r.requestedCores()},
+		{"utilization of the fleet", utilization, r.utilizationOfFleet}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.totalRequestedCores(), r.requestedCores()},
 		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"concurrent cores", others[0], wantOthers[0]}, {"concurrent memory", others[1], wantOthers[1]},
 	} {
 		if test.got != test.want && math.Abs(test.got-test.want) > referenceSlack*max(1, math.Abs(test.want)) {
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -3,7 +3,7 @@
 // [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
 // that the caller passes to [Scheduler.Handle].
 //
-// A placement runs through named steps: filter the workers, score those that pass, and bind the
+// A placement runs through named steps: filter the workers, score those that pass, and offer the
 // task to one of the best, or reserve a worker while the task stays pending.
 //
 // The package consists of parts that own their state. A file uses only files on lines below its
--- a/placement/search.go
+++ b/placement/search.go
@@ -159,7 +159,7 @@
 // shows that it is in use again.
 func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
 	class := s.classOf(task)
-	for worker := range s.fleet.idleUncordoned() {
+	for worker := range s.fleet.pruneUncordoned() {
 		suitable := class.Effect != Unsafe && s.filter.feasible(worker, class, task) &&
 			s.filter.healthy(worker, task) && s.filter.fits(worker, task)
 		if suitable && (found == nil || worker.ordinal < found.ordinal) {
