--- a/placement/api.go
+++ b/placement/api.go
@@ -152,6 +152,9 @@
 	NeverSent                        // the offer did not leave
 )
 
+// neverStarted reports whether the outcome of an attempt says that the task never ran.
+func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
+
 // Cause is why an attempt ended, as the worker says.
 type Cause int
 
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -120,7 +120,7 @@
 	a := smallWorker("a", 1, 8)
 	f := newFixture(t, testSettings(), 1, a)
 	f.wantPlaced(f.at(10*ms, f.request("1", "safe", 1, 1)), "a")
-	seen := f.scheduler.view.lagObservations
+	seen := f.scheduler.view.lag.observations
 	for _, state := range []WorkerState{Foreign, Ready, Foreign, Foreign, Ready} {
 		a.State = state
 		if state == Foreign {
@@ -128,12 +128,12 @@
 		}
 		f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	}
-	if f.scheduler.view.lagObservations != seen {
-		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", f.scheduler.view.lagObservations-seen)
+	if f.scheduler.view.lag.observations != seen {
+		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", f.scheduler.view.lag.observations-seen)
 	}
 	a.FreeCores--
 	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
-	if f.scheduler.view.lagObservations == seen {
+	if f.scheduler.view.lag.observations == seen {
 		t.Error("expected a new view to teach of the lag")
 	}
 }
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -25,7 +25,7 @@
 	health       *health
 	overload     *overload
 	totals       *totals
-	view         *view
+	probes       *probes
 	search       *search
 	queue        *queue
 	requests     *requests
@@ -64,7 +64,7 @@
 	units := p.settings.Units(task.Cores, task.Memory)
 	if (!p.unschedulable[shape] || task.mayHaveRun != nil) && p.unitsLeft(task) {
 		if worker := p.search.selectWorker(task); worker != nil {
-			if !p.view.probeWanted(task, worker) {
+			if !p.probes.wanted(task, worker) {
 				p.offer(task, worker)
 				p.freeUnits -= units
 			}
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -194,9 +194,6 @@
 	r.queue.add(task)
 }
 
-// neverStarted reports whether the outcome of an attempt says that the task never ran.
-func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
-
 // taskReported takes a report of a running task: how much of what it requested it uses, how
 // well its worker serves it, and how full that worker's memory is.
 func (r *requests) taskReported(event TaskReport) {
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -16,7 +16,8 @@
 //	search.go ordinals.go                    search for the worker of a task
 //	filter.go score.go                       feasible, healthy and fitting workers; admission cost
 //	queue.go quota.go                        pending tasks by priority; tenants
-//	overload.go view.go totals.go            concurrent placements; lists and reports; sums
+//	overload.go totals.go                    concurrent placements; sums over all workers
+//	view.go lag.go probe.go                  lists; how late they are; probes and their reports
 //	calibration.go                           learned effective capacity of single workers
 //	slowstart.go health.go spread.go         slow start; outlier detection; anti-affinity
 //	repeats.go discovery.go                  repeats of keyed tasks; polls of discovery
@@ -57,6 +58,7 @@
 	slowStart    *slowStart
 	health       *health
 	view         *view
+	probes       *probes
 	search       *search
 	quotas       *quotas
 	queue        *queue
@@ -118,6 +120,10 @@
 	s.slowStart = &slowStart{environment: s.environment}
 	s.health = &health{environment: s.environment}
 	s.view = &view{
+		environment: s.environment, fleet: s.fleet,
+		lag: &lagEstimator{environment: s.environment, loads: s.loads},
+	}
+	s.probes = &probes{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
 		calibration: s.calibration,
 	}
@@ -135,7 +141,7 @@
 		},
 		scorer: &scorer{
 			environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
-			totals: s.totals, slowStart: s.slowStart, view: s.view,
+			totals: s.totals, slowStart: s.slowStart,
 			kinds: make([]kindCost, len(s.settings.Kinds)),
 		},
 	})
@@ -151,7 +157,7 @@
 	})
 	s.pass = &schedulingPass{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, reservations: s.reservations,
-		residents: s.residents, health: s.health, overload: s.overload, totals: s.totals, view: s.view,
+		residents: s.residents, health: s.health, overload: s.overload, totals: s.totals, probes: s.probes,
 		search: s.search, queue: s.queue, requests: s.requests, unschedulable: map[taskShape]bool{},
 	}
 	s.discovery = &discovery{environment: s.environment}
@@ -195,7 +201,7 @@
 	case ClientCancelled:
 		s.requests.cancel(event.RequestID)
 	case ProbeResult:
-		s.view.probeEnded(event)
+		s.probes.ended(event)
 	case WorkerReachable:
 		s.health.recordReachable(s.fleet.workers[event.Worker])
 	case Backpressure:
--- a/placement/score.go
+++ b/placement/score.go
@@ -10,6 +10,11 @@
 	// maxUtilization keeps the factor 1/(1-rho) finite when more is requested than the
 	// effective capacity.
 	maxUtilization = 0.95
+	// startPenalty is what a start under way adds to a worker's backlog, at mean size: workers
+	// start few tasks at a time, and a late start loses its bonus.
+	startPenalty = 0.03
+	// maxReportedQueue is over how many waiting offers a report is absurd.
+	maxReportedQueue = 1e4
 )
 
 // scorer computes admission costs.
@@ -20,7 +25,6 @@
 	capacity  *capacityModel
 	totals    *totals
 	slowStart *slowStart
-	view      *view
 	// utilization and meanCores are those of the fleet, kinds the terms of the present task.
 	utilization, meanCores float64
 	kinds                  []kindCost
@@ -75,12 +79,22 @@
 		cores, memory := s.loads.requested(worker)
 		backlog = max(cores/effectiveCores, memory/effectiveMemory)
 	}
-	backlog += s.view.backlog(worker) * s.meanCores / kind.Cores / s.slowStart.startRate(worker)
+	backlog += s.startBacklog(worker) * s.meanCores / kind.Cores / s.slowStart.startRate(worker)
 	backlog += missPenalty * s.missProbability(worker, task)
 	size := max(task.Cores/effectiveCores, task.Memory/effectiveMemory)
 	return admissionCost(backlog, size, kind.Cores/s.meanCores, s.utilization)
 }
 
+// startBacklog is the utilization that starts and offers waiting at a worker stand for: own ones, or
+// those that a recent report names, if more.
+func (s *scorer) startBacklog(worker *workerInfo) float64 {
+	starts := float64(worker.starting())
+	if s.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, maxReportedQueue) {
+		starts = worker.lastReport.Queued
+	}
+	return startPenalty * starts
+}
+
 // missProbability is how likely a start on a worker lacks the program of a task, 0 to 1. A
 // worker where the program is resident has it. Else the workers have an order hashed from
 // the program, and the first programWorkers of them are ever less likely to have it.
