--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -1,10 +1,14 @@
 package dispatch
 
 // This file owns the workers' side of the table: what workers report of attempts and of running
-// tasks, and what the list says of workers. It must never send an offer.
+// tasks. It must never send an offer.
 
 import "ravenhitch/placement"
 
+// restartSkew is by how much the clock that dates a worker's start may be ahead of this one, and of
+// a task that was offered then.
+const restartSkew = 1 * second
+
 // Offer is an attempt as a worker gets it.
 type Offer struct {
 	RequestID, Class, Key, IdempotencyKey string
@@ -119,10 +123,6 @@
 	d.endTasksOn(worker, func(*request) bool { return true })
 }
 
-// restartSkew is by how much the clock that dates a worker's start may be ahead of this one, and of
-// a task that was offered then.
-const restartSkew = 1 * second
-
 // WorkerRestarted takes it that the process of a worker began at startUs and that nothing of the one
 // before is left: what ran there earlier has ended, and nobody will report it.
 func (d *Dispatcher) WorkerRestarted(now int64, worker string, startUs int64) {
@@ -150,39 +150,3 @@
 		d.unresponsiveEnded(r, placement.Reset, placement.CauseUnknown)
 	}
 }
-
-// UpdateWorkers takes a list of workers, complete or of changes, from discovery.
-func (d *Dispatcher) UpdateWorkers(now int64, list placement.WorkerList) {
-	d.now = now
-	d.hasList = true
-	if isCompleteList(list) {
-		for worker := range d.listed { // what a complete list does not name is removed
-			d.drainingSince[worker] = now
-		}
-		clear(d.listed)
-	}
-	list.Entries = d.listFilter.apply(list)
-	for _, entry := range list.Entries {
-		d.updateListed(entry)
-	}
-	d.event(list)
-}
-
-// updateListed notes whether a worker is listed, and since when it drains.
-func (d *Dispatcher) updateListed(entry placement.Entry) {
-	if entry.State == placement.Removed {
-		delete(d.listed, entry.Worker)
-	} else {
-		d.listed[entry.Worker] = true
-	}
-	if entry.State == placement.Ready || entry.State == placement.Foreign {
-		delete(d.drainingSince, entry.Worker)
-	} else if _, draining := d.drainingSince[entry.Worker]; !draining {
-		d.drainingSince[entry.Worker] = d.now
-	}
-}
-
-// isCompleteList reports whether a list names all workers, not only changes.
-func isCompleteList(list placement.WorkerList) bool {
-	return list.Kind == placement.ListFull || list.Kind == placement.ListCached
-}
