--- a/client/client.go
+++ b/client/client.go
@@ -105,8 +105,8 @@
 	return c
 }
 
-// next returns the orchestrators in turn.
-func (c *Client) next() edgepb.OrchestratorClient {
+// nextOrchestrator returns the orchestrators in turn.
+func (c *Client) nextOrchestrator() edgepb.OrchestratorClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last = (c.last + 1) % len(c.orchestrators)
--- a/client/place.go
+++ b/client/place.go
@@ -67,7 +67,7 @@
 		ctx, cancel = context.WithTimeout(ctx, c.options.AttemptTimeout)
 		defer cancel()
 	}
-	return c.next().Place(ctx, &edgepb.Offer{
+	return c.nextOrchestrator().Place(ctx, &edgepb.Offer{
 		OfferId:     r.offerID,
 		Task:        r.task.Name,
 		Class:       r.task.Class,
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -14,9 +14,9 @@
 // is over for sure: a cancel that is still in transit, or in a connection that became unresponsive,
 // ends nothing. The response does not wait for that.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
-	again := d.now < r.deadline && d.checkAttempt(r) == nil
-	sure := d.workers.CancelAttempt(r.worker, r.RequestID, again)
-	if sure || d.now >= r.deadline {
+	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
+	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
+	if confirmed || d.now >= r.deadline {
 		d.attemptEnded(r, outcome, placement.CauseUnknown)
 		return
 	}
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -7,7 +7,6 @@
 import (
 	"math"
 	"slices"
-	"time"
 
 	"ravenhitch/internal/backpressure"
 	"ravenhitch/placement"
@@ -46,9 +45,9 @@
 
 const (
 	// backpressureInterval is how often the scheduler is notified of the release rate, and
-	// backpressureStep by what share that must have changed.
-	backpressureInterval = 20 * millisecond
-	backpressureStep     = 0.05
+	// minBackpressureChange by what share that must have changed.
+	backpressureInterval  = 20 * millisecond
+	minBackpressureChange = 0.05
 )
 
 // backpressureReport is what was last reported to the scheduler.
@@ -121,43 +120,4 @@
 }
 
 // isNear reports whether a figure is much as it was.
-func isNear(now, was float64) bool { return math.Abs(now-was) <= backpressureStep*was }
-
-// FixedRetryAfter is an Advisor that gives every client the same Retry-After, and learns nothing. It
-// serves to measure others against.
-type FixedRetryAfter time.Duration
-
-// Requested says that every client joined the waitlist just now.
-func (FixedRetryAfter) Requested(now int64, _ backpressure.Request) int64 { return now }
-
-// SetPending does nothing.
-func (FixedRetryAfter) SetPending(int64, []float64) {}
-
-// Started does nothing.
-func (FixedRetryAfter) Started(int64, backpressure.Request) {}
-
-// Ended does nothing.
-func (FixedRetryAfter) Ended(int64, backpressure.Request) {}
-
-// Adopted does nothing.
-func (FixedRetryAfter) Adopted(int64, backpressure.Request) {}
-
-// Cancelled does nothing.
-func (FixedRetryAfter) Cancelled(int64, backpressure.Request) {}
-
-// Rejected is the fixed time to stay away.
-func (f FixedRetryAfter) Rejected(int64, backpressure.Request) int64 {
-	return time.Duration(f).Microseconds()
-}
-
-// ReleaseRate is unknown.
-func (FixedRetryAfter) ReleaseRate(int64) float64 { return 0 }
-
-// Reserved is nothing.
-func (FixedRetryAfter) Reserved(int64) []float64 { return nil }
-
-// Tick sees no change.
-func (FixedRetryAfter) Tick(int64) (change backpressure.Change, changed bool) { return change, false }
-
-// Figures are all zero.
-func (FixedRetryAfter) Figures(int64) (figures backpressure.Figures) { return figures }
+func isNear(now, was float64) bool { return math.Abs(now-was) <= minBackpressureChange*was }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -77,9 +77,6 @@
 	return d.find(requestID) != nil || d.unresponsive[requestID] != nil
 }
 
-// IsListed reports whether a worker is on the list.
-func (d *Dispatcher) IsListed(worker string) bool { return d.listed[worker] }
-
 // Reject ends a request of client that is still open, because its connection has ended.
 func (d *Dispatcher) Reject(now int64, client Client, requestID string) {
 	d.now = now
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -76,11 +76,6 @@
 	d.relist(now, changed)
 }
 
-// HasWorker reports whether a worker is listed or cordoned.
-func (d *Dispatcher) HasWorker(worker string) bool {
-	return d.listed[worker] || d.listFilter.cordoned[worker]
-}
-
 // SetCordoned cordons the workers that are named, and uncordons all others.
 func (d *Dispatcher) SetCordoned(now int64, cordoned map[string]bool) {
 	d.now = now
@@ -118,14 +113,3 @@
 		d.UpdateWorkers(now, list)
 	}
 }
-
-// PoolSize is how many workers are listed, and how many of these are avoided because they are
-// cordoned or by the scheduler's choice.
-func (d *Dispatcher) PoolSize() (listed, avoided int) {
-	for worker := range d.listed {
-		if d.listFilter.cordoned[worker] || d.scheduler.Avoids(worker) {
-			avoided++
-		}
-	}
-	return len(d.listed), avoided
-}
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -7,52 +7,52 @@
 const (
 	// responseTravelTime is taken off every timeout: a response travels back before it ends.
 	responseTravelTime = 10 * millisecond
-	// turnDecayTime is in what time the longest turn counts for half as much, and maxTurn the
+	// turnDecayTime is in what time the longest turn counts for half as much, and maxTurnLength the
 	// longest turn that is taken into account.
 	turnDecayTime = 1 * second
-	maxTurn       = 250 * millisecond
+	maxTurnLength = 250 * millisecond
 	// bucketLength and bucketCount are the grain and the reach of the counts of scheduled responses. A
 	// longer timeout is not counted: nothing is known of that time.
 	bucketLength = 5 * millisecond
 	bucketCount  = 4096
 	// maxEarly bounds by how much a response is scheduled earlier for the sake of others.
 	maxEarly = 200 * millisecond
-	// initialCost is what a response is taken to cost until turns have shown it, and maxCost
+	// initialResponseCost is what a response is taken to cost until turns have shown it, and maxResponseCost
 	// what it may be learned to cost, in microseconds.
-	initialCost = 20.0
-	maxCost     = 200.0
-	// minCost bounds the cost that the number of responses in a bucket follows, in microseconds.
-	minCost = initialCost / 4
+	initialResponseCost = 20.0
+	maxResponseCost     = 200.0
+	// minResponseCost bounds the cost that the number of responses in a bucket follows, in microseconds.
+	minResponseCost = initialResponseCost / 4
 	// minResponsesForCost is from how many responses on a turn shows what one costs.
 	minResponsesForCost = 32
-	// costGain is the weight of one turn in the learned cost.
-	costGain = 1.0 / 8
+	// responseCostGain is the weight of one turn in the learned cost.
+	responseCostGain = 1.0 / 8
 )
 
 // responsePacer counts the responses that are scheduled. Where too many fall into one bucket, the
 // others are scheduled in the buckets before it.
 type responsePacer struct {
-	buckets     [bucketCount]uint16 // responses scheduled, a ring over bucketLength each
-	firstBucket int64               // the first that still counts
-	longestTurn float64             // in microseconds, decaying
-	observedAt  int64
-	cost        float64 // of a response, in microseconds
-	responded   int     // responses in this turn
+	buckets      [bucketCount]uint16 // responses scheduled, a ring over bucketLength each
+	firstBucket  int64               // the first that still counts
+	longestTurn  float64             // in microseconds, decaying
+	observedAt   int64
+	responseCost float64 // of a response, in microseconds
+	responded    int     // responses in this turn
 }
 
 // observeTurn takes how long the last turn took.
 func (p *responsePacer) observeTurn(now, us int64) {
-	if p.cost == 0 {
-		p.cost = initialCost
+	if p.responseCost == 0 {
+		p.responseCost = initialResponseCost
 	}
 	if p.observedAt > 0 && now > p.observedAt {
 		p.longestTurn /= 1 + float64(now-p.observedAt)/turnDecayTime
 	}
 	p.observedAt = now
-	p.longestTurn = max(p.longestTurn, float64(min(us, maxTurn)))
+	p.longestTurn = max(p.longestTurn, float64(min(us, maxTurnLength)))
 	if p.responded >= minResponsesForCost {
-		observed := min(maxCost, float64(us)/float64(p.responded))
-		p.cost += (observed - p.cost) * costGain
+		observed := min(maxResponseCost, float64(us)/float64(p.responded))
+		p.responseCost += (observed - p.responseCost) * responseCostGain
 	}
 	p.responded = 0
 }
@@ -91,5 +91,5 @@
 // bucketCapacity is how many responses may be scheduled in one bucket: as many as half of its time is
 // enough to write.
 func (p *responsePacer) bucketCapacity() int {
-	return max(1, int(bucketLength/2/max(minCost, p.cost)))
+	return max(1, int(bucketLength/2/max(minResponseCost, p.responseCost)))
 }
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -22,11 +22,11 @@
 		earliest = min(earliest, due)
 	}
 	for bucket, count := range perBucket {
-		if float64(count)*pacer.cost > bucketLength {
-			t.Errorf("%d responses of %.0f us in bucket %d", count, pacer.cost, bucket)
+		if float64(count)*pacer.responseCost > bucketLength {
+			t.Errorf("%d responses of %.0f us in bucket %d", count, pacer.responseCost, bucket)
 		}
 	}
-	if early := timeoutAt - earliest; early < 2000*int64(initialCost) || early > maxEarly+responseTravelTime {
+	if early := timeoutAt - earliest; early < 2000*int64(initialResponseCost) || early > maxEarly+responseTravelTime {
 		t.Errorf("the first is due %d us before the timeout", early)
 	}
 	later := timeoutAt + 1*second
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -21,9 +21,9 @@
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
 	// CancelAttempt calls off an offer that was not answered, ahead of whatever is offered
-	// after it; again says that another attempt may follow. It reports whether the attempt
+	// after it; mayRetry says that another attempt may follow. It reports whether the attempt
 	// is over for sure; where it is not, CancelConfirmed says when it is.
-	CancelAttempt(worker, requestID string, again bool) (sure bool)
+	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
 	// Release ends a running task.
 	Release(worker, requestID string)
 	// Probe asks a worker for a sign of life; ProbeAnswered takes the result.
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -40,3 +40,22 @@
 func isCompleteList(list placement.WorkerList) bool {
 	return list.Kind == placement.ListFull || list.Kind == placement.ListCached
 }
+
+// IsListed reports whether a worker is on the list.
+func (d *Dispatcher) IsListed(worker string) bool { return d.listed[worker] }
+
+// HasWorker reports whether a worker is listed or cordoned.
+func (d *Dispatcher) HasWorker(worker string) bool {
+	return d.listed[worker] || d.listFilter.cordoned[worker]
+}
+
+// PoolSize is how many workers are listed, and how many of these are avoided because they are
+// cordoned or by the scheduler's choice.
+func (d *Dispatcher) PoolSize() (listed, avoided int) {
+	for worker := range d.listed {
+		if d.listFilter.cordoned[worker] || d.scheduler.Avoids(worker) {
+			avoided++
+		}
+	}
+	return len(d.listed), avoided
+}
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -45,7 +45,7 @@
 	return presentedToken{token, true, err}
 }
 
-// redeem queues a submission since the time that its token proves. It runs on the loop.
+// redeem puts a submission on the waitlist since the time that its token proves. It runs on the loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -69,9 +69,9 @@
 	return f.now-task.arrivedAt > f.classOf(task).ObjectiveUs/4
 }
 
-// limit is what is requested of a worker of a kind that fits a task (see fits). The size of
-// the task is given over that of the kind, and utilization is what it adds to that of a worker
-// without calibration.
+// limit is how much may be requested of a worker of a kind at most for a task to fit it (see
+// fits). The size of the task is given over that of the kind, and utilization is what it adds to
+// that of a worker without calibration.
 func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
 	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
 		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
--- a/placement/health.go
+++ b/placement/health.go
@@ -21,9 +21,9 @@
 	// reconnectedSuspicion is what is left of a suspicion where a connection came up again.
 	reconnectedSuspicion = 0.5
 
-	// maxWindow bounds how many unanswered attempts a worker may have: accepted ones raise the
+	// maxAttemptWindow bounds how many unanswered attempts a worker may have: accepted ones raise the
 	// window, 'too many offers wait' halves it.
-	maxWindow = 12.0
+	maxAttemptWindow = 12.0
 	// assumedDrain is how long a worker that rejected a task as not to be there, or sent one
 	// away, is taken to drain though the list does not say so yet.
 	assumedDrain = 5 * second
@@ -105,7 +105,7 @@
 // recordAccepted takes an accepted attempt of a class.
 func (h *health) recordAccepted(worker *workerInfo, classIndex int) {
 	worker.recordSuccess(h.now, classIndex)
-	worker.attemptWindow = min(maxWindow, worker.attemptWindow+1/worker.attemptWindow)
+	worker.attemptWindow = min(maxAttemptWindow, worker.attemptWindow+1/worker.attemptWindow)
 }
 
 // recordOutcome takes the end of an attempt, or of a task that was running.
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -81,7 +81,7 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	f.wantPlaced(f.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
-	if window := f.scheduler.fleet.workers["a"].attemptWindow; window >= initialWindow {
+	if window := f.scheduler.fleet.workers["a"].attemptWindow; window >= initialAttemptWindow {
 		t.Errorf("window %v after 'too many wait', want it halved", window)
 	}
 }
@@ -108,7 +108,7 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	for _, name := range []string{"a", "b"} {
 		f.scheduler.fleet.workers[name].addSuspicion(f.now, maxSuspicion)
-		f.scheduler.fleet.workers[name].attemptWindow = maxWindow
+		f.scheduler.fleet.workers[name].attemptWindow = maxAttemptWindow
 	}
 	attempts := 0
 	for i := range 20 {
--- a/placement/index.go
+++ b/placement/index.go
@@ -114,7 +114,7 @@
 	if position.indexed && position.kindIndex == worker.kindIndex && position.level == levelNumber {
 		ownLevel := x.levelOf(worker)
 		ownLevel.entries[position.entryIndex] = entry
-		ownLevel.lowerBounds(entry)
+		ownLevel.extendBounds(entry)
 		return
 	}
 	x.remove(worker)
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -38,7 +38,7 @@
 	if len(l.entries) == 0 {
 		l.minRequested, l.minCalibration = unlimited, 1
 	}
-	l.lowerBounds(entry)
+	l.extendBounds(entry)
 	l.entries = append(l.entries, entry)
 	last := len(l.entries) - 1
 	entry.worker.position.entryIndex = last
@@ -48,8 +48,8 @@
 	}
 }
 
-// lowerBounds keeps the bounds below an entry.
-func (l *level) lowerBounds(entry indexEntry) {
+// extendBounds lowers the bounds to those of an entry, where it is below them.
+func (l *level) extendBounds(entry indexEntry) {
 	l.minRequested = l.minRequested.smaller(entry.requested)
 	l.minCalibration = min(l.minCalibration, entry.calibration)
 }
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -33,22 +33,32 @@
 	return max(minStartRate, s.settings.ColdStartRate+(1-s.settings.ColdStartRate)*max(0, warm))
 }
 
-// permits reports whether a worker may get an offer without breaking the budget: all
-// schedulers together offer at most so much in any SlowStartWindowUs, here a tenth longer as
-// offers differ in their way. Where that is one or more for each, every scheduler keeps to its
-// part. Else they take turns in slots of the common clock, each for half as many schedulers as
-// the budget, for one offer each: a window touches two slots at most. What it sent before its
-// own start a scheduler does not know, so it leaves that window or slot out.
+// permits reports whether a worker may get an offer without breaking the budget. Where that is one
+// offer or more for each scheduler, every scheduler keeps to its part. Else they take turns.
 func (s *slowStart) permits(worker *workerInfo) bool {
 	if !s.warmingUp(worker) {
 		return true
 	}
+	// Offers differ in their way, so a window counts for a tenth longer.
 	window, budget := s.settings.SlowStartWindowUs*11/10+1, s.settings.SlowStartOffers
 	budget = min(budget, informedShare*(budget+slowStartDeviations*math.Sqrt(budget)+slowStartDeviations))
-	schedulers, seat := s.settings.FleetSize, s.seatAt(worker)
-	if part := (int(budget) + seat) / schedulers; int(budget) >= schedulers {
-		return s.now >= s.startedAt+window && worker.offersAfter(max(s.now-window, worker.StartedAtUs-1)) < part
+	if int(budget) >= s.settings.FleetSize {
+		return s.hasPartLeft(worker, window, int(budget))
 	}
+	return s.hasTurn(worker, window, budget)
+}
+
+// hasPartLeft reports whether this scheduler's part of the budget of the last window allows an offer.
+// What it sent before its own start it does not know, so it leaves the first window out.
+func (s *slowStart) hasPartLeft(worker *workerInfo, window int64, budget int) bool {
+	part := (budget + s.rotatedIndex(worker)) / s.settings.FleetSize
+	return s.now >= s.startedAt+window && worker.offersAfter(max(s.now-window, worker.StartedAtUs-1)) < part
+}
+
+// hasTurn reports whether this scheduler may send an offer in the present slot of the common clock. A
+// slot is for half as many schedulers as the budget, for one offer each: a window touches two slots at
+// most. The slot in which this scheduler started is left out, as it may have sent one before.
+func (s *slowStart) hasTurn(worker *workerInfo, window int64, budget float64) bool {
 	if budget < 1 || s.now < worker.StartedAtUs {
 		return false
 	}
@@ -56,14 +66,14 @@
 	if budget < 2 {
 		step = 2 // every other slot is left empty
 	}
-	turns := (schedulers + perSlot - 1) / perSlot
+	turns := (s.settings.FleetSize + perSlot - 1) / perSlot
 	slot := s.now / window // not from its start: some may know of an earlier one only
 	slotStart := slot * window
-	return slot%int64(turns*step) == int64(seat%turns*step) && s.startedAt < slotStart &&
+	return slot%int64(turns*step) == int64(s.rotatedIndex(worker)%turns*step) && s.startedAt < slotStart &&
 		worker.offersAfter(slotStart-1) == 0
 }
 
-// seatAt is this scheduler's number, counted from another scheduler for each worker.
-func (s *slowStart) seatAt(worker *workerInfo) int {
+// rotatedIndex is this scheduler's number, counted from another scheduler for each worker.
+func (s *slowStart) rotatedIndex(worker *workerInfo) int {
 	return (s.settings.SelfIndex + int(worker.nameHash%uint64(s.settings.FleetSize))) % s.settings.FleetSize
 }
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -22,8 +22,8 @@
 	successFactor = 0.7
 	// maxSuspicion bounds for how long one worker is avoided.
 	maxSuspicion = 6.0
-	// initialWindow is how many unanswered attempts a worker may have at first.
-	initialWindow = 3.0
+	// initialAttemptWindow is how many unanswered attempts a worker may have at first.
+	initialAttemptWindow = 3.0
 )
 
 // resource is an index of what tasks request of a worker.
@@ -113,7 +113,7 @@
 		nameHash:         hashName(name),
 		kindIndex:        -1,
 		residentPrograms: map[uint64]*residentProgram{},
-		attemptWindow:    initialWindow,
+		attemptWindow:    initialAttemptWindow,
 		suspicions:       make([]suspicionScore, classes),
 		lastAcceptedAt:   make([]int64, classes),
 		calibration:      [resourceCount]float64{1, 1},
