--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -29,6 +29,9 @@
 // assignedCount is the number of workers that are assigned to no other scheduler.
 func (f *fleet) assignedCount() int { return len(f.sorted) - f.foreignCount }
 
+// isLarge reports whether there are too many workers to look at each whenever something happens.
+func (f *fleet) isLarge() bool { return f.assignedCount() > maxEnumerated }
+
 // sharingSchedulers is how many schedulers offer tasks to a worker: all of them, but this one
 // alone where the workers are divided among them.
 func (f *fleet) sharingSchedulers() int {
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -48,19 +48,7 @@
 	if resident.active > 0 {
 		return
 	}
-	idle, oldest := 0, program
-	for candidate, resident := range worker.residentPrograms {
-		if resident.active > 0 {
-			continue
-		}
-		idle++
-		first := worker.residentPrograms[oldest]
-		if resident.lastEndedAt < first.lastEndedAt ||
-			resident.lastEndedAt == first.lastEndedAt && candidate < oldest {
-			oldest = candidate
-		}
-	}
-	if idle > maxIdlePrograms {
+	if idleCount, oldest := worker.idlePrograms(program); idleCount > maxIdlePrograms {
 		r.remove(worker, oldest)
 	}
 }
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -27,7 +27,8 @@
 //	residents.go affinity.go capacity.go     programs on workers; effective capacity
 //	environment.go                           settings, clock, random source, actions
 //	worker.go task.go                        one worker; one task and its attempts
-//	settings.go api.go numbers.go            checks; settings, events and actions; arithmetic
+//	settingscheck.go settings.go             checks of the settings; settings
+//	events.go actions.go numbers.go          events; actions; arithmetic
 //
 // worker.go and task.go are one layer: a worker refers to its attempts, an attempt to its worker.
 package placement
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -35,7 +35,7 @@
 func (t *totals) means() (utilization, cores float64) {
 	cached := &t.cachedMeans
 	valid := cached.computedAt > 0 && t.now < cached.computedAt+meansValidity
-	if t.fleet.assignedCount() > maxEnumerated && valid {
+	if t.fleet.isLarge() && valid {
 		return cached.utilization, cached.cores
 	}
 	t.fleet.refresh()
@@ -61,7 +61,7 @@
 	if t.settings.UnitCores <= 0 || t.settings.UnitMemory <= 0 {
 		return math.Inf(1) // no size of a unit is known: nothing is reserved for any class
 	}
-	if t.fleet.assignedCount() > maxEnumerated && t.freeUnitsAt > 0 && t.now < t.freeUnitsAt+retryInterval {
+	if t.fleet.isLarge() && t.freeUnitsAt > 0 && t.now < t.freeUnitsAt+retryInterval {
 		return t.cachedFreeUnits
 	}
 	t.fleet.refresh()
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -140,6 +140,24 @@
 	return x ^ x>>31
 }
 
+// idlePrograms counts the resident programs without an attempt or task, and returns the one of them that
+// ended first, of equals the lowest. One such program is given.
+func (w *workerInfo) idlePrograms(idle uint64) (count int, oldest uint64) {
+	oldest = idle
+	for program, resident := range w.residentPrograms {
+		if resident.active > 0 {
+			continue
+		}
+		count++
+		first := w.residentPrograms[oldest]
+		if resident.lastEndedAt < first.lastEndedAt ||
+			resident.lastEndedAt == first.lastEndedAt && program < oldest {
+			oldest = program
+		}
+	}
+	return count, oldest
+}
+
 // sameDomain reports whether two workers are known to be in one domain of a scope.
 func sameDomain(a, b *workerInfo, scope Scope) bool {
 	switch scope {
