--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 
@@ -102,13 +101,18 @@
 		t.Fatalf("%d tasks run just after the worker left the list", count)
 	}
 	h.advance(5000 * millisecond)
-	var completed []string
+	type completion struct {
+		requestID string
+		outcome   placement.Outcome
+	}
+	var completed []completion
 	for _, response := range h.received {
 		if response.Kind == Completed {
-			completed = append(completed, fmt.Sprint(response.RequestID, response.Outcome))
+			completed = append(completed, completion{response.RequestID, response.Outcome})
 		}
 	}
-	if fmt.Sprint(completed) != "[t21 t16 t36]" || h.RunningCount() != 0 {
-		t.Errorf("completed: %v", completed)
+	want := []completion{{"t2", placement.Completed}, {"t1", placement.Reset}, {"t3", placement.Reset}}
+	if !slices.Equal(completed, want) || h.RunningCount() != 0 {
+		t.Errorf("completed %v, want %v; %d tasks run", completed, want, h.RunningCount())
 	}
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -148,7 +148,7 @@
 }
 
 // CancelAttempt implements WorkerPool.
-func (h *harness) CancelAttempt(worker, requestID string, _ bool) (sure bool) {
+func (h *harness) CancelAttempt(worker, requestID string, _ bool) (confirmed bool) {
 	if h.offered[requestID] != worker || h.unconfirmed[requestID] != "" {
 		h.t.Fatalf("%s: an attempt cancelled at %s is not there", requestID, worker)
 	}
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -40,41 +40,57 @@
 	})
 }
 
+// The events that a step draws from; a submission is three times as likely as each other.
+const (
+	stepSubmit1 = iota
+	stepSubmit2
+	stepSubmit3
+	stepAccept
+	stepEnd
+	stepClientCancel
+	stepListWorker
+	stepStrayAccept
+	stepConfirmCancel
+	stepWithholdConfirm
+	stepAssignWorkers
+	stepLast = stepAssignWorkers
+)
+
 // step plays one random event, on a random request where it needs one.
 func (run *randomRun) step() {
 	id := "-"
 	if len(run.requestIDs) > 0 {
 		id = rapid.SampledFrom(run.requestIDs).Draw(run.t, "request ID")
 	}
-	event := rapid.IntRange(0, 10).Draw(run.t, "event")
-	if run.unconfirmed[id] != "" && (event == 3 || event == 4) {
-		event = 8 // a worker reports nothing of an attempt whose cancel it has read
+	event := rapid.IntRange(0, stepLast).Draw(run.t, "event")
+	if run.unconfirmed[id] != "" && (event == stepAccept || event == stepEnd) {
+		event = stepConfirmCancel // a worker reports nothing of an attempt whose cancel it has read
 	}
 	switch event {
-	case 0, 1, 2:
+	case stepSubmit1, stepSubmit2, stepSubmit3:
 		run.submitNew()
-	case 3:
+	case stepAccept:
 		if run.offered[id] != "" {
 			run.accept(id)
 		}
-	case 4:
+	case stepEnd:
 		run.endWithAnyOutcome(id)
-	case 5:
+	case stepClientCancel:
 		if run.Cancel(run.now, run.harness, id) != NotFound {
 			run.withdrawn[id] = true
 			delete(run.running, id)
 		}
-	case 6:
+	case stepListWorker:
 		worker := rapid.SampledFrom(run.workers).Draw(run.t, "worker")
 		state := rapid.SampledFrom([]placement.WorkerState{placement.Ready, placement.Draining, placement.Removed}).Draw(run.t, "state")
 		run.updateWorkers(placement.ListDelta, state, worker)
-	case 7:
+	case stepStrayAccept:
 		run.AttemptAccepted(run.now, rapid.SampledFrom(run.workers).Draw(run.t, "stray"), "unknown", "")
-	case 8:
+	case stepConfirmCancel:
 		run.confirmCancel(id)
-	case 9:
+	case stepWithholdConfirm:
 		run.withholdConfirm = !run.withholdConfirm
-	case 10:
+	case stepAssignWorkers:
 		assigned := rapid.SampledFrom(append(run.workers, "")).Draw(run.t, "assigned") // "": all
 		run.SetAssignedWorkers(run.now, func(worker string) bool { return assigned == "" || worker == assigned })
 	}
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -22,16 +22,16 @@
 	actions := f.at(ms, f.request("1", "safe", 1, 2))
 	tried := map[string]bool{}
 	for i := range 2 {
-		name := ofType[Place](actions)[0].Worker
-		tried[name] = true
-		actions = f.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: name, Outcome: Failed})
+		worker := ofType[Place](actions)[0].Worker
+		tried[worker] = true
+		actions = f.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: worker, Outcome: Failed})
 	}
 	if len(ofType[Place](actions)) != 0 || len(ofType[Reject](actions)) != 1 || len(tried) != 2 {
 		t.Fatalf("after errors of %v: %v", tried, actions)
 	}
-	for _, name := range f.scheduler.fleet.sorted {
-		if !f.scheduler.health.healthy(name, 0) || name.suspicion(f.now, 0) > 0.01 {
-			t.Errorf("%s: suspicion %v", name.Worker, name.suspicion(f.now, 0))
+	for _, worker := range f.scheduler.fleet.sorted {
+		if !f.scheduler.health.healthy(worker, 0) || worker.suspicion(f.now, 0) > 0.01 {
+			t.Errorf("%s: suspicion %v", worker.Worker, worker.suspicion(f.now, 0))
 		}
 	}
 	f = newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -88,17 +88,17 @@
 // checkEntry returns what is wrong with the entry of an indexed worker.
 func checkEntry(scheduler *Scheduler, worker *workerInfo, kind *Kind) error {
 	levels := &scheduler.index.kinds[worker.position.kindIndex]
-	level := &levels.levels[worker.position.level]
-	entry := level.entries[worker.position.entryIndex]
+	ownLevel := &levels.levels[worker.position.level]
+	entry := ownLevel.entries[worker.position.entryIndex]
 	switch {
 	case worker.position.kindIndex != worker.kindIndex || entry.worker != worker:
 		return fmt.Errorf("%s: its position %+v has %s", worker.Worker, worker.position, entry.worker.Worker)
 	case scheduler.settings.HasView && entry.requested != fractions{worker.requestedCores / kind.Cores, worker.requestedMemory / kind.Memory}:
 		return fmt.Errorf("%s: entry %+v", worker.Worker, entry.requested)
-	case !level.minRequested.within(entry.requested) || entry.calibration < level.minCalibration || entry.calibration > min(worker.calibration[resourceCores], worker.calibration[resourceMemory]):
-		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", worker.Worker, entry, level.minRequested, level.minCalibration)
-	case (scheduler.reservations.priorities[worker] > 0) != (worker.position.entryIndex >= level.unreserved):
-		return fmt.Errorf("%s: reserved %v, number %d of %d unreserved ones", worker.Worker, scheduler.reservations.priorities[worker] > 0, worker.position.entryIndex, level.unreserved)
+	case !ownLevel.minRequested.within(entry.requested) || entry.calibration < ownLevel.minCalibration || entry.calibration > min(worker.calibration[resourceCores], worker.calibration[resourceMemory]):
+		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", worker.Worker, entry, ownLevel.minRequested, ownLevel.minCalibration)
+	case (scheduler.reservations.priorities[worker] > 0) != (worker.position.entryIndex >= ownLevel.unreserved):
+		return fmt.Errorf("%s: reserved %v, number %d of %d unreserved ones", worker.Worker, scheduler.reservations.priorities[worker] > 0, worker.position.entryIndex, ownLevel.unreserved)
 	}
 	share := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
 	if floor := float64(worker.position.level) * levelWidth; share < floor || share >= floor+levelWidth && worker.position.level < levelCount-1 {
@@ -112,10 +112,10 @@
 	for i := range scheduler.index.kinds {
 		levels := &scheduler.index.kinds[i]
 		for number := range levels.levels {
-			level := &levels.levels[number]
-			count += len(level.entries)
+			current := &levels.levels[number]
+			count += len(current.entries)
 			bit := uint64(1) << (number % 64)
-			if (levels.occupied[number/64]&bit != 0) != (len(level.entries) > 0) || (levels.unreserved[number/64]&bit != 0) != (level.unreserved > 0) {
+			if (levels.occupied[number/64]&bit != 0) != (len(current.entries) > 0) || (levels.unreserved[number/64]&bit != 0) != (current.unreserved > 0) {
 				return -1
 			}
 		}
@@ -123,21 +123,22 @@
 	return count
 }
 
+// checkPrograms returns an error where the programs by worker and the workers by program differ.
 func checkPrograms(scheduler *Scheduler) error {
-	missing := 0
+	unmatched := 0 // resident programs without an entry by program
 	for _, worker := range scheduler.fleet.sorted {
 		for program := range worker.residentPrograms {
-			missing++
+			unmatched++
 			if !slices.Contains(scheduler.residents.workers[program], worker) {
 				return fmt.Errorf("%s is not among the workers of program %d", worker.Worker, program)
 			}
 		}
 	}
 	for _, workers := range scheduler.residents.workers {
-		missing -= len(workers)
+		unmatched -= len(workers)
 	}
-	if missing != 0 {
-		return fmt.Errorf("%d workers too few are stored as running programs", missing)
+	if unmatched != 0 {
+		return fmt.Errorf("%d workers too few are stored as running programs", unmatched)
 	}
 	return nil
 }
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -9,20 +9,20 @@
 // TestSearchLooksAtFew bounds how many workers a search looks at, and that by less than
 // the growth of the fleet.
 func TestSearchLooksAtFew(t *testing.T) {
-	looked := map[int]float64{}
+	evaluated := map[int]float64{}
 	for _, count := range []int{400, 4000} {
 		f := largeFleet(t, count, levelled)
 		for program := range uint64(50) {
 			f.scheduler.search.finalists(f.madeUpTask(program))
-			looked[count] += float64(f.scheduler.search.evaluated) / 50
+			evaluated[count] += float64(f.scheduler.search.evaluated) / 50
 		}
 	}
 	idle := largeFleet(t, 4000, func(*rand.Rand) float64 { return 0 })
 	if idle.scheduler.search.finalists(idle.madeUpTask(0)); idle.scheduler.search.evaluated > maxEnumerated {
 		t.Errorf("%d workers looked at in an idle fleet, want %d at most", idle.scheduler.search.evaluated, maxEnumerated)
 	}
-	if looked[400] > 40 || looked[4000] > 2*looked[400] {
-		t.Errorf("workers looked at in a search, by fleet: %v", looked)
+	if evaluated[400] > 40 || evaluated[4000] > 2*evaluated[400] {
+		t.Errorf("workers looked at in a search, by fleet: %v", evaluated)
 	}
 }
 
@@ -43,10 +43,10 @@
 	if finalists := f.scheduler.search.finalists(task); len(finalists) > 0 || f.scheduler.search.evaluated > 0 {
 		t.Fatalf("a full fleet: %d workers to draw from, %d looked at", len(finalists), f.scheduler.search.evaluated)
 	}
-	for _, k := range f.scheduler.index.kinds {
-		for number := range k.levels {
-			if level := &k.levels[number]; len(level.entries) > 0 && f.scheduler.search.limits[0].admits(level.minRequested, level.minCalibration) {
-				t.Errorf("level %d of %d workers is not passed over: its bound is %+v", number, len(level.entries), level.minRequested)
+	for _, kind := range f.scheduler.index.kinds {
+		for number := range kind.levels {
+			if current := &kind.levels[number]; len(current.entries) > 0 && f.scheduler.search.limits[0].admits(current.minRequested, current.minCalibration) {
+				t.Errorf("level %d of %d workers is not passed over: its bound is %+v", number, len(current.entries), current.minRequested)
 			}
 		}
 	}
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -195,7 +195,7 @@
 // what they may send, and the first window that breaks the rule: more offers from all than the bound,
 // over two thirds of them from schedulers notified of the start.
 func (r *slowStartRun) checkWindows() (maxUsed float64, broken string) {
-	slices.SortFunc(r.arrivals, func(offer, b arrival) int { return cmp.Compare(offer.at, b.at) })
+	slices.SortFunc(r.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	oldest, informed := 0, 0
 	for i, offer := range r.arrivals {
 		if offer.at >= r.startUs+r.settings.WarmUpUs {
