--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -89,7 +89,7 @@
 
 // reportAttemptEnded reports to the scheduler the end of an attempt; final where its request is over.
 func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
-	d.event(placement.AttemptEnded{
+	d.queueEvent(placement.AttemptEnded{
 		RequestID: r.RequestID,
 		Attempt:   r.attempt,
 		Worker:    r.worker,
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -116,7 +116,7 @@
 		return
 	}
 	last.releaseRate, last.reserved = releaseRate, slices.Clone(reserved)
-	d.event(placement.Backpressure{ReleaseRate: releaseRate, Reserved: last.reserved})
+	d.queueEvent(placement.Backpressure{ReleaseRate: releaseRate, Reserved: last.reserved})
 }
 
 // isNear reports whether a figure is much as it was.
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -84,7 +84,7 @@
 	if r == nil || r.client != client || !r.state.isOpen() {
 		return
 	}
-	d.event(placement.ClientCancelled{RequestID: r.RequestID})
+	d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 	r.mayHaveRun = r.mayHaveRun || r.state != statePending
 	d.rejectOrFail(r)
 }
@@ -122,7 +122,7 @@
 // cancelOpen ends an open request that its client no longer wants.
 func (d *Dispatcher) cancelOpen(r *request) {
 	d.counts.Cancelled++
-	d.event(placement.ClientCancelled{RequestID: r.RequestID})
+	d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 	d.advisor.Cancelled(d.now, r.backpressureRequest())
 	d.cacheResponse(r, Response{Kind: Cancelled})
 	d.endOpenAttempt(r)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -137,8 +137,8 @@
 	return count
 }
 
-// event queues an event for the scheduler.
-func (d *Dispatcher) event(e placement.Event) { d.events = append(d.events, e) }
+// queueEvent queues an event for the scheduler.
+func (d *Dispatcher) queueEvent(e placement.Event) { d.events = append(d.events, e) }
 
 // find returns the live request that clients know by a request ID, or nil.
 func (d *Dispatcher) find(requestID string) *request {
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -136,7 +136,7 @@
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
 	d.log.Error("offer blocked by invariant", "request_id", r.RequestID, "worker", worker, "cause", cause)
-	d.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempts, Worker: worker, Outcome: placement.NeverSent})
+	d.queueEvent(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempts, Worker: worker, Outcome: placement.NeverSent})
 	r.attempts++
 }
 
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -14,17 +14,17 @@
 	h.mustSubmit("t1", "cut", "k1", 5000)
 	h.advance(10 * millisecond)
 	r := h.find("t1")
-	h.act(placement.Place{RequestID: "t1", Worker: "b"}) // an attempt is open
+	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // an attempt is open
 	h.endAttempt("t1", placement.Failed)
-	h.act(placement.Place{RequestID: "t1", Worker: "b"}) // it may have started
-	h.act(placement.Reject{RequestID: "t1"})             // and can't be rejected
-	h.act(placement.Place{RequestID: "t1", Worker: "b"}) // it is over
+	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // it may have started
+	h.execute(placement.Reject{RequestID: "t1"})             // and can't be rejected
+	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // it is over
 
 	h.mustSubmit("t2", "web", "k2", 5000)
 	h.updateWorkers(placement.ListDelta, placement.Draining, "b")
 	h.now += 1900 * millisecond
 	h.Dispatcher.now = h.now
-	h.act(placement.Place{RequestID: "t2", Worker: "b"}) // draining for long
+	h.execute(placement.Place{RequestID: "t2", Worker: "b"}) // draining for long
 
 	if len(h.offers) != 1 || h.finalResponses["t1"] != Failed || r.state != stateRemoved || h.Counts().Blocked != 3 {
 		t.Errorf("offers %v, response %v, counts %+v", h.offers, h.finalResponses["t1"], h.Counts())
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -109,7 +109,7 @@
 	r.QueuedSinceUs = d.advisor.Requested(d.now, r.backpressureRequest())
 	task := r.task()
 	task.QueuedSinceUs = r.QueuedSinceUs
-	d.event(placement.Request{Task: task})
+	d.queueEvent(placement.Request{Task: task})
 	d.arm(r, r.deadline)
 }
 
@@ -122,6 +122,6 @@
 	if !d.listed[r.worker] {
 		r.unlistedSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
 	}
-	d.event(placement.Adopted{Task: r.task(), Worker: r.worker})
+	d.queueEvent(placement.Adopted{Task: r.task(), Worker: r.worker})
 	d.claimCompletion(r)
 }
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -45,7 +45,7 @@
 	}
 	for len(d.timers) > 0 && d.timers[0].at <= now {
 		timer := heap.Pop(&d.timers).(schedulerTimer)
-		d.event(placement.TimerFired{Ref: timer.ref})
+		d.queueEvent(placement.TimerFired{Ref: timer.ref})
 	}
 	if now >= d.nextSweepAt {
 		d.nextSweepAt = now + sweepInterval
@@ -54,7 +54,7 @@
 	if d.confirmList && d.hasList {
 		// The list is followed without being asked for; this confirms it to the scheduler.
 		d.confirmList = false
-		d.event(placement.WorkerList{Kind: placement.ListDelta})
+		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
 	d.runScheduler()
 	d.reportBackpressure()
@@ -74,7 +74,7 @@
 	actions := d.scheduler.Handle(d.now, events)
 	d.announcePending(actions)
 	for _, action := range actions {
-		d.act(action)
+		d.execute(action)
 	}
 }
 
@@ -91,7 +91,7 @@
 		d.awaitFinalAction(r)
 	case statePending:
 		d.log.Warn("request left to its deadline", "request_id", r.RequestID, "class", r.Class)
-		d.event(placement.ClientCancelled{RequestID: r.RequestID})
+		d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 		d.rejectOrFail(r)
 	case stateRunning:
 		d.taskCompleted(r, r.claimedOutcome, r.claimedCause) // see claimCompletion
@@ -129,8 +129,8 @@
 	}
 }
 
-// act carries out one action of the scheduler.
-func (d *Dispatcher) act(action placement.Action) {
+// execute carries out one action of the scheduler.
+func (d *Dispatcher) execute(action placement.Action) {
 	switch action := action.(type) {
 	case placement.Place:
 		if r := d.requests[action.RequestID]; r != nil {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -44,7 +44,7 @@
 	d.counts.Started++
 	d.advisor.Started(now, r.backpressureRequest())
 	d.disarm(r)
-	d.event(placement.Accepted{RequestID: requestID, Attempt: r.attempt, Worker: worker, RTTUs: now - r.sentAt})
+	d.queueEvent(placement.Accepted{RequestID: requestID, Attempt: r.attempt, Worker: worker, RTTUs: now - r.sentAt})
 	if r.Resumable {
 		r.startDescription = description
 	}
@@ -99,21 +99,21 @@
 func (d *Dispatcher) TaskReported(now int64, worker, requestID string, kind placement.ReportKind, value float64) {
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateRunning {
-		d.event(placement.TaskReport{RequestID: requestID, Attempt: r.attempt, Worker: worker, Kind: kind, Value: value})
+		d.queueEvent(placement.TaskReport{RequestID: requestID, Attempt: r.attempt, Worker: worker, Kind: kind, Value: value})
 	}
 }
 
 // ProbeAnswered takes the result of a probe.
 func (d *Dispatcher) ProbeAnswered(now int64, result placement.ProbeResult) {
 	d.now = now
-	d.event(result)
+	d.queueEvent(result)
 }
 
 // WorkerReachable takes it that a worker accepted a connection after one to it had failed or
 // become unresponsive.
 func (d *Dispatcher) WorkerReachable(now int64, worker string) {
 	d.now = now
-	d.event(placement.WorkerReachable{Worker: worker})
+	d.queueEvent(placement.WorkerReachable{Worker: worker})
 }
 
 // WorkerDied takes a proof that the process of a worker has died: what ran there has ended, and
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -19,7 +19,7 @@
 	for _, entry := range list.Entries {
 		d.updateListed(entry)
 	}
-	d.event(list)
+	d.queueEvent(list)
 }
 
 // updateListed notes whether a worker is listed, and since when it drains.
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -43,7 +43,7 @@
 	wanted := min(1, max(calibrationFloor, utilization*m.target/max(m.used, m.target)))
 	*factor += (wanted - *factor) * m.confidence
 	c.track(worker)
-	c.dirty = true
+	c.needsPass = true
 }
 
 // track notes that a worker is calibrated.
--- a/placement/environment.go
+++ b/placement/environment.go
@@ -15,9 +15,9 @@
 	startedAt int64 // when the first call came, or notStarted
 	now       int64 // of the call at hand
 	actions   []Action
-	// dirty says that something happened by which a pending task may find a worker: a
-	// scheduling pass is due.
-	dirty bool
+	// needsPass says that something happened by which a pending task may find a worker, since the
+	// last scheduling pass.
+	needsPass bool
 }
 
 // notStarted is the starting time of a scheduler before its first call.
--- a/placement/health.go
+++ b/placement/health.go
@@ -183,7 +183,7 @@
 	if worker == nil || worker.reachableAt > 0 && slices.Max(worker.lastAcceptedAt) <= worker.reachableAt {
 		return
 	}
-	worker.reachableAt, h.dirty = h.now, true
+	worker.reachableAt, h.needsPass = h.now, true
 	for classIndex := range worker.suspicions {
 		score := min(reconnectedSuspicion, worker.suspicion(h.now, classIndex))
 		worker.suspicions[classIndex] = suspicionScore{score, h.now}
--- a/placement/index.go
+++ b/placement/index.go
@@ -52,8 +52,8 @@
 // invalidate notes that what is requested of a worker, or whether it may get tasks, may have
 // changed.
 func (x *workerIndex) invalidate(worker *workerInfo) {
-	if !worker.stale {
-		worker.stale = true
+	if !worker.requestedStale {
+		worker.requestedStale = true
 		x.stale = append(x.stale, worker)
 	}
 }
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -73,9 +73,9 @@
 	if kind == nil {
 		return nil
 	}
-	worker.stale = true
+	worker.requestedStale = true
 	cores, memory := scheduler.loads.requested(worker)
-	worker.stale = false
+	worker.requestedStale = false
 	if cores != worker.requestedCores || memory != worker.requestedMemory {
 		return fmt.Errorf("%s: requested %v and %v, stored %v and %v", worker.Worker, cores, memory, worker.requestedCores, worker.requestedMemory)
 	}
--- a/placement/load.go
+++ b/placement/load.go
@@ -37,7 +37,7 @@
 // requested is what is requested of a worker of a known kind: what the view or, where newer,
 // a report says, plus the changes that this scheduler made since.
 func (l *loadTracker) requested(worker *workerInfo) (cores, memory float64) {
-	if !worker.stale {
+	if !worker.requestedStale {
 		return worker.requestedCores, worker.requestedMemory
 	}
 	kind := l.kindOf(worker)
@@ -160,7 +160,7 @@
 	if kind != nil {
 		worker.requestedCores, worker.requestedMemory = l.requested(worker)
 	}
-	worker.stale = false
+	worker.requestedStale = false
 	if worker.listed && !worker.foreign && kind != nil && l.settings.HasView {
 		worker.countedKind = kind
 		l.listedRequestedCores += worker.requestedCores
--- a/placement/numbers.go
+++ b/placement/numbers.go
@@ -1,8 +1,11 @@
 package placement
 
-import "math"
+import (
+	"hash/fnv"
+	"math"
+)
 
-// This file owns arithmetic that several parts need.
+// This file owns arithmetic and hashes that several parts need. It must never know a worker or a task.
 
 // Lengths of time.
 const (
@@ -44,3 +47,18 @@
 	}
 	return value * math.Exp2(-float64(age)/float64(halflife))
 }
+
+// hashName is the hash of a worker's name, the same at every scheduler.
+func hashName(name string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name)) // never fails
+	return hash.Sum64()
+}
+
+// mix is the finalizer of SplitMix64.
+func mix(x uint64) uint64 {
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -38,7 +38,7 @@
 
 // apply takes what backpressure says.
 func (o *overload) apply(event Backpressure) {
-	o.releaseRate, o.dirty = event.ReleaseRate, true
+	o.releaseRate, o.needsPass = event.ReleaseRate, true
 	o.active = event.ReleaseRate > 0
 	for _, units := range event.Reserved {
 		o.active = o.active || units > 0
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -37,10 +37,10 @@
 
 // run makes a pass, if something happened by which a pending task may find a worker.
 func (p *schedulingPass) run() {
-	if !p.dirty {
+	if !p.needsPass {
 		return
 	}
-	p.dirty = false
+	p.needsPass = false
 	p.overload.updateConcurrent()
 	tasks := p.queue.byPriority()
 	clear(p.unschedulable)
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -47,7 +47,7 @@
 	if worker == nil {
 		return
 	}
-	worker.probeSentAt, p.dirty = 0, true
+	worker.probeSentAt, p.needsPass = 0, true
 	kind := p.kindOf(worker)
 	if event.Outcome != Completed {
 		worker.addSuspicion(p.now, timeoutSuspicion)
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -21,7 +21,7 @@
 // add makes a task pending.
 func (q *queue) add(task *taskInfo) {
 	if !task.pending {
-		task.pending, q.dirty = true, true
+		task.pending, q.needsPass = true, true
 		q.pending = append(q.pending, task)
 	}
 }
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -156,7 +156,7 @@
 	r.overload.offerAccepted()
 	r.quotas.start(task)
 	attempt.worker.addRunning(r.now, task)
-	r.dirty = true
+	r.needsPass = true
 }
 
 // attemptEnded takes the end of an attempt, which is also the end of a running task.
@@ -169,7 +169,7 @@
 	if attempt == nil || attempt.ended {
 		return
 	}
-	attempt.ended, r.dirty = true, true
+	attempt.ended, r.needsPass = true, true
 	wasRunning := task.accepted && attempt == task.lastAttempt()
 	r.health.recordOutcome(task, attempt, event, wasRunning)
 	r.residents.end(attempt.worker, task.Program, r.now)
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -14,7 +14,7 @@
 }
 
 // fired takes it that the timer fired.
-func (t *timer) fired() { t.setFor, t.dirty = 0, true }
+func (t *timer) fired() { t.setFor, t.needsPass = 0, true }
 
 // set sets the timer for what is due next, unless it is set for an earlier time.
 func (t *timer) set() {
--- a/placement/view.go
+++ b/placement/view.go
@@ -20,7 +20,7 @@
 	}
 	v.fleet.forgetUnlisted()
 	// Of a large fleet some change comes with each call: pending tasks wait for the timer then.
-	v.dirty = v.dirty || list.Kind != ListDelta || !v.fleet.isLarge()
+	v.needsPass = v.needsPass || list.Kind != ListDelta || !v.fleet.isLarge()
 }
 
 // update takes an entry of a list, which may be current or cached.
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"slices"
 )
 
@@ -68,7 +67,7 @@
 	everListed     bool // so that its cell and zone are known
 	foreign        bool // it is in fleet.foreignCount
 	uncordonedIdle bool // it was uncordoned and got no offer since
-	stale          bool // requestedCores and requestedMemory are not as of now
+	requestedStale bool // requestedCores and requestedMemory are not as of now
 	reportsFree    bool // the last report has the free capacity
 	lagDependent   bool // it is in loadTracker.lagDependent
 	inCalibrated   bool // it is in calibration.workers
@@ -122,24 +121,9 @@
 
 func compareName(worker *workerInfo, name string) int { return cmp.Compare(worker.Worker, name) }
 
-// hashName is the hash of a worker's name, the same at every scheduler.
-func hashName(name string) uint64 {
-	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name)) // never fails
-	return hash.Sum64()
-}
-
 // programHash mixes a program and the worker, the same at every scheduler.
 func (w *workerInfo) programHash(program uint64) uint64 { return mix(w.nameHash ^ mix(program)) }
 
-// mix is the finalizer of SplitMix64.
-func mix(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
 // idlePrograms counts the resident programs without an attempt or task, and returns the one of them that
 // ended first, of equals the lowest. One such program is given.
 func (w *workerInfo) idlePrograms(idle uint64) (count int, oldest uint64) {
