--- a/client/client.go
+++ b/client/client.go
@@ -50,7 +50,8 @@
 
 // Error implements error.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("client: rejected after %d attempts, %s; retry at %s", e.Attempts, e.Reason, e.RetryAt.Format(time.RFC3339Nano))
+	retryAt := e.RetryAt.Format(time.RFC3339Nano)
+	return fmt.Sprintf("client: rejected after %d attempts, %s; retry at %s", e.Attempts, e.Reason, retryAt)
 }
 
 // Options shape a Client; the zero value has defaults.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -91,7 +91,7 @@
 func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
 	d.queueEvent(placement.AttemptEnded{
 		RequestID: r.RequestID,
-		Attempt:   r.attempt,
+		Attempt:   r.attemptNumber,
 		Worker:    r.worker,
 		Outcome:   outcome,
 		Cause:     cause,
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -69,7 +69,7 @@
 }
 
 func (d *Dispatcher) checkAttemptsLeft(r *request, _ string) error {
-	if limit := d.settings.MaxAttempts; limit > 0 && r.attempts >= limit {
+	if limit := d.settings.MaxAttempts; limit > 0 && r.attemptCount >= limit {
 		return ErrNoAttemptsLeft
 	}
 	return nil
@@ -136,16 +136,18 @@
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
 	d.log.Error("offer blocked by invariant", "request_id", r.RequestID, "worker", worker, "cause", cause)
-	d.queueEvent(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempts, Worker: worker, Outcome: placement.NeverSent})
-	r.attempts++
+	d.queueEvent(placement.AttemptEnded{
+		RequestID: r.RequestID, Attempt: r.attemptCount, Worker: worker, Outcome: placement.NeverSent,
+	})
+	r.attemptCount++
 }
 
 // sendOffer starts an attempt.
 func (d *Dispatcher) sendOffer(r *request, action placement.Place) {
 	d.counts.Offers++
 	d.transition(r, eventOffered)
-	r.worker, r.sentAt, r.attempt = action.Worker, d.now, r.attempts
-	r.attempts++
+	r.worker, r.sentAt, r.attemptNumber = action.Worker, d.now, r.attemptCount
+	r.attemptCount++
 	r.abandonAt = r.deadline
 	if action.AbandonAtUs > 0 {
 		r.abandonAt = min(r.deadline, max(action.AbandonAtUs, d.now+1))
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -41,7 +41,7 @@
 	}{
 		{"nothing against it", "web", func(*harness, *request) {}, nil},
 		{"not pending", "web", func(h *harness, r *request) { h.transition(r, eventOffered) }, ErrNotPending},
-		{"no attempts left", "web", func(h *harness, r *request) { r.attempts = h.settings.MaxAttempts }, ErrNoAttemptsLeft},
+		{"no attempts left", "web", func(h *harness, r *request) { r.attemptCount = h.settings.MaxAttempts }, ErrNoAttemptsLeft},
 		{"may have started", "cut", func(_ *harness, r *request) { r.mayHaveRun = true }, ErrSecondStart},
 		{"may have started, harmless", "web", func(_ *harness, r *request) { r.mayHaveRun = true }, nil},
 		{"deadline", "web", func(h *harness, r *request) { h.Dispatcher.now = r.deadline }, ErrDeadlinePassed},
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -15,8 +15,8 @@
 	// longer timeout is not counted: nothing is known of that time.
 	bucketLength = 5 * millisecond
 	bucketCount  = 4096
-	// maxEarly bounds by how much a response is scheduled earlier for the sake of others.
-	maxEarly = 200 * millisecond
+	// maxShift bounds by how much a response is scheduled earlier for the sake of others.
+	maxShift = 200 * millisecond
 	// initialResponseCost is what a response is taken to cost until turns have shown it, and maxResponseCost
 	// what it may be learned to cost, in microseconds.
 	initialResponseCost = 20.0
@@ -57,8 +57,9 @@
 	p.responded = 0
 }
 
-// reserve returns when the response to a client whose timeout ends at timeoutAt is to be sent, and counts it.
-func (p *responsePacer) reserve(now, timeoutAt int64) int64 {
+// scheduleResponse returns when the response to a client whose timeout ends at timeoutAt is to be sent,
+// and counts it.
+func (p *responsePacer) scheduleResponse(now, timeoutAt int64) int64 {
 	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
 	bucket := at / bucketLength
@@ -66,7 +67,7 @@
 		return at
 	}
 	capacity := p.bucketCapacity()
-	earliest := max(p.firstBucket, bucket-maxEarly/bucketLength+1)
+	earliest := max(p.firstBucket, bucket-maxShift/bucketLength+1)
 	for b := bucket; b >= earliest; b-- {
 		if count := &p.buckets[b%bucketCount]; int(*count) < capacity {
 			*count++
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,8 +25,8 @@
 	heapIndex  int   // in the deadline heap, or -1
 
 	// The attempt that is open, or was last.
-	attempts      int // how many there were
-	attempt       int // its number
+	attemptCount  int // of the request so far
+	attemptNumber int // of this one, from 0
 	worker        string
 	sentAt        int64
 	abandonAt     int64
@@ -66,7 +66,7 @@
 		classIndex: len(d.settings.Classes) - 1,
 		units:      d.settings.Units(s.Cores, s.Memory),
 		effect:     placement.Unsafe,
-		deadline:   d.pacer.reserve(d.now, receivedAt+s.TimeoutUs),
+		deadline:   d.pacer.scheduleResponse(d.now, receivedAt+s.TimeoutUs),
 		heapIndex:  -1,
 	}
 	if effect, ok := d.effects[s.Class]; ok {
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -65,7 +65,9 @@
 	if !d.settings.RetryAfter {
 		retryAfter = 0
 	}
-	d.respond(r, Response{Kind: Rejected, RetryAfterUs: retryAfter, QueuedSinceUs: r.QueuedSinceUs, Rejections: r.Rejections + 1})
+	d.respond(r, Response{
+		Kind: Rejected, RetryAfterUs: retryAfter, QueuedSinceUs: r.QueuedSinceUs, Rejections: r.Rejections + 1,
+	})
 	d.remove(r)
 }
 
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -41,5 +41,6 @@
 
 // trace writes one step of a request.
 func (d *Dispatcher) trace(step string, r *request, args ...any) {
-	d.tracer.Step(step, r.RequestID, d.now, append([]any{"state", r.state, "worker", r.worker, "attempt", r.attempt}, args...)...)
+	fields := append([]any{"state", r.state, "worker", r.worker, "attempt", r.attemptNumber}, args...)
+	d.tracer.Step(step, r.RequestID, d.now, fields...)
 }
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -150,7 +150,7 @@
 			d.migrate(r)
 		}
 	case placement.CancelAttempt:
-		if r := d.requests[action.RequestID]; r != nil && r.state == stateOffered && action.Attempt == r.attempt {
+		if r := d.requests[action.RequestID]; r != nil && r.state == stateOffered && action.Attempt == r.attemptNumber {
 			d.cancelAttempt(r, placement.Cancelled)
 		}
 	case placement.Probe:
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -44,7 +44,7 @@
 	d.counts.Started++
 	d.advisor.Started(now, r.backpressureRequest())
 	d.disarm(r)
-	d.queueEvent(placement.Accepted{RequestID: requestID, Attempt: r.attempt, Worker: worker, RTTUs: now - r.sentAt})
+	d.queueEvent(placement.Accepted{RequestID: requestID, Attempt: r.attemptNumber, Worker: worker, RTTUs: now - r.sentAt})
 	if r.Resumable {
 		r.startDescription = description
 	}
@@ -99,7 +99,7 @@
 func (d *Dispatcher) TaskReported(now int64, worker, requestID string, kind placement.ReportKind, value float64) {
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateRunning {
-		d.queueEvent(placement.TaskReport{RequestID: requestID, Attempt: r.attempt, Worker: worker, Kind: kind, Value: value})
+		d.queueEvent(placement.TaskReport{RequestID: requestID, Attempt: r.attemptNumber, Worker: worker, Kind: kind, Value: value})
 	}
 }
 
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -51,8 +51,8 @@
 	return f.loads.listedRequestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
 }
 
-// ensure returns the worker of a name, which it adds if there is none.
-func (f *fleet) ensure(name string) *workerInfo {
+// findOrAdd returns the worker of a name, which it adds if there is none.
+func (f *fleet) findOrAdd(name string) *workerInfo {
 	worker := f.workers[name]
 	if worker != nil {
 		return worker
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -78,7 +78,7 @@
 	if !ok || r.tasks[event.RequestID] != nil {
 		return
 	}
-	worker := r.fleet.ensure(event.Worker)
+	worker := r.fleet.findOrAdd(event.Worker)
 	task := &taskInfo{
 		Task: event.Task, classIndex: classIndex, arrivedAt: r.now, accepted: true,
 		attempts: []*attemptInfo{{worker: worker, sentAt: r.now}},
--- a/placement/search.go
+++ b/placement/search.go
@@ -36,7 +36,7 @@
 	filter    *filter
 	scorer    *scorer
 
-	number        int64 // of searches so far
+	searchNumber  int64 // of searches so far
 	evaluated     int   // workers that the present search looked at one by one
 	task          *taskInfo
 	class         *Class
@@ -83,7 +83,7 @@
 func (s *search) begin(task *taskInfo) {
 	s.fleet.refresh()
 	baseline := s.index.baseline
-	s.number++
+	s.searchNumber++
 	s.evaluated = 0
 	s.task, s.class, s.lowestCost = task, s.classOf(task), math.Inf(1)
 	s.scored, s.nearLowest, s.suspects = s.scored[:0], s.nearLowest[:0], s.suspects[:0]
@@ -137,10 +137,10 @@
 // evaluate filters and scores one worker for the task of the search, and reports whether to go
 // on.
 func (s *search) evaluate(worker *workerInfo) bool {
-	if worker.lastSearch == s.number {
+	if worker.lastSearch == s.searchNumber {
 		return true
 	}
-	worker.lastSearch = s.number
+	worker.lastSearch = s.searchNumber
 	s.evaluated++
 	if !s.filter.feasible(worker, s.class, s.task) || !s.filter.fits(worker, s.task) {
 		return true
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -1,6 +1,7 @@
 package placement
 
-// This file owns the time at which the scheduler is to be called again. It must never do what is due then.
+// This file owns the time at which the scheduler is to be called again. It must never look at a pending task or a
+// list.
 
 // timerRef is the reference of the only timer.
 const timerRef = "wake"
@@ -16,7 +17,7 @@
 // fired takes it that the timer fired.
 func (t *timer) fired() { t.setFor, t.needsPass = 0, true }
 
-// set sets the timer for what is due next, unless it is set for an earlier time.
+// set sets the timer for what comes next, unless it is set for an earlier time.
 func (t *timer) set() {
 	at := t.queue.nextCheckAt()
 	if pollAt := t.discovery.nextPollAt(); pollAt > 0 && (at == 0 || pollAt < at) {
--- a/placement/view.go
+++ b/placement/view.go
@@ -25,7 +25,7 @@
 
 // update takes an entry of a list, which may be current or cached.
 func (v *view) update(entry Entry, current bool) {
-	worker := v.fleet.ensure(entry.Worker)
+	worker := v.fleet.findOrAdd(entry.Worker)
 	assigned := worker.State != Foreign && entry.State != Foreign // else its view is not current
 	if current && assigned && worker.everListed && worker.viewedAt > 0 &&
 		worker.StartedAtUs == entry.StartedAtUs && v.settings.HasView {
