--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -18,6 +18,9 @@
 	"ravenhitch/placement"
 )
 
+// This file owns the table itself: how requests enter it, are found in it, and leave it. It must never
+// change the state of a request but by a transition (state.go).
+
 // Units of the times here, which are in microseconds.
 const (
 	millisecond = 1_000
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -68,6 +68,7 @@
 	return d.checkRules(sendRules[:], r, worker)
 }
 
+// checkAttemptsLeft holds the limit of the settings on attempts for each request.
 func (d *Dispatcher) checkAttemptsLeft(r *request, _ string) error {
 	if limit := d.settings.MaxAttempts; limit > 0 && r.attemptCount >= limit {
 		return ErrNoAttemptsLeft
@@ -75,6 +76,7 @@
 	return nil
 }
 
+// checkSingleStart keeps a task that must not run twice from a second attempt once the first may have run.
 func (d *Dispatcher) checkSingleStart(r *request, _ string) error {
 	if r.effect == placement.Unsafe && r.mayHaveRun {
 		return ErrSecondStart
@@ -82,6 +84,7 @@
 	return nil
 }
 
+// checkDeadline keeps an offer from leaving once its client is to have a response.
 func (d *Dispatcher) checkDeadline(r *request, _ string) error {
 	if d.now >= r.deadline {
 		return ErrDeadlinePassed
@@ -89,6 +92,7 @@
 	return nil
 }
 
+// checkDraining holds the drain limit. A worker that was removed from the list counts as draining.
 func (d *Dispatcher) checkDraining(_ *request, worker string) error {
 	since, draining := d.drainingSince[worker]
 	if draining && d.now >= since+d.drainLimit() {
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -100,6 +100,7 @@
 	return responseCache{byRequestID: map[string]Response{}}
 }
 
+// put caches a response under its request ID, in place of an earlier one.
 func (c *responseCache) put(response Response) {
 	requestID := response.RequestID
 	if _, known := c.byRequestID[requestID]; !known {
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -3,10 +3,11 @@
 import (
 	"flag"
 	"fmt"
-	"ravenhitch/internal/plot"
-	"ravenhitch/internal/stats"
 	"testing"
 	"time"
+
+	"ravenhitch/internal/plot"
+	"ravenhitch/internal/stats"
 )
 
 var caseFlag = flag.String("case", "", "TestModuleSlopes: measure this case only")
--- a/placement/index.go
+++ b/placement/index.go
@@ -47,6 +47,7 @@
 	return true
 }
 
+// drifted reports whether a part of the baseline has left the scale.
 func drifted(now, then float64) bool { return math.Abs(now-then) > then*maxScaleDrift }
 
 // invalidate notes that what is requested of a worker, or whether it may get tasks, may have
@@ -58,6 +59,7 @@
 	}
 }
 
+// levelOf returns the level of an indexed worker.
 func (x *workerIndex) levelOf(worker *workerInfo) *level {
 	return &x.kinds[worker.position.kindIndex].levels[worker.position.level]
 }
@@ -93,6 +95,7 @@
 	}
 }
 
+// remove takes a worker out of the index, if it is there.
 func (x *workerIndex) remove(worker *workerInfo) {
 	if worker.position.indexed {
 		x.levelOf(worker).remove(worker.position.entryIndex)
@@ -132,6 +135,7 @@
 	calibratedMax    fractions
 }
 
+// admits reports whether a worker of which so much is requested, at least, may have free capacity.
 func (l *loadLimit) admits(requested fractions, calibration float64) bool {
 	return requested.within(l.max) || calibration < l.calibrationBelow && requested.within(l.calibratedMax)
 }
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -29,11 +29,13 @@
 	minCalibration float64
 }
 
+// swap exchanges two entries, and keeps the positions of their workers right.
 func (l *level) swap(i, j int) {
 	l.entries[i], l.entries[j] = l.entries[j], l.entries[i]
 	l.entries[i].worker.position.entryIndex, l.entries[j].worker.position.entryIndex = i, j
 }
 
+// add appends an entry, or puts it among the unreserved ones.
 func (l *level) add(entry indexEntry, reserved bool) {
 	if len(l.entries) == 0 {
 		l.minRequested, l.minCalibration = unlimited, 1
@@ -54,6 +56,7 @@
 	l.minCalibration = min(l.minCalibration, entry.calibration)
 }
 
+// remove takes an entry out. The last one of its part takes its place, so that nothing else moves.
 func (l *level) remove(entryIndex int) {
 	if entryIndex < l.unreserved {
 		l.unreserved--
@@ -69,6 +72,7 @@
 // levelSet is a set of levels.
 type levelSet [levelCount / 64]uint64
 
+// set makes a level a member of the set, or takes it out.
 func (s *levelSet) set(levelNumber int, member bool) {
 	s[levelNumber/64] &^= 1 << (levelNumber % 64)
 	if member {
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -96,6 +96,7 @@
 		(class.Effect == Unsafe || class.Effect == Keyed && !repeatWindowOpen(p.now, class, task))
 }
 
+// shapeOf returns the shape of a task. Its program only matters where the class limits the spread.
 func (p *schedulingPass) shapeOf(task *taskInfo) taskShape {
 	shape := taskShape{classIndex: task.classIndex, cores: task.Cores, memory: task.Memory}
 	if p.classOf(task).Spread != ScopeNone {
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// remove forgets a program on a worker. The last of the program's workers takes its place.
 func (r *residents) remove(worker *workerInfo, program uint64) {
 	delete(worker.residentPrograms, program)
 	r.version++
--- a/placement/settingscheck.go
+++ b/placement/settingscheck.go
@@ -42,6 +42,7 @@
 	return errors.Join(errs...)
 }
 
+// checkClass checks one class; require notes what does not hold.
 func (s *Settings) checkClass(class *Class, require func(ok bool, setting, problem string)) {
 	name := "Class " + class.Name + ": "
 	require(class.Name != "", "a Class", "has no Name")
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -61,22 +61,22 @@
 }
 
 func measureSlope(t *testing.T, workers int) *slopeRow {
-	s := newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), false)
-	r := &slopeRow{workers: workers, utilization: s.meanUtilization()}
-	s.warmUp(slopeWarmUp)
+	fleetSite := newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), false)
+	row := &slopeRow{workers: workers, utilization: fleetSite.meanUtilization()}
+	fleetSite.warmUp(slopeWarmUp)
 	for i := range *unitsFlag {
-		e := s.prepare()
+		drawn := fleetSite.prepare()
 		if i%countEvery == 0 {
-			r.requests.count(1, func() { s.run(e) })
+			row.requests.count(1, func() { fleetSite.run(drawn) })
 		} else {
-			r.requests.time(t, 1, func() { s.run(e) })
+			row.requests.time(t, 1, func() { fleetSite.run(drawn) })
 		}
-		s.finish(e)
-		due := s.elapse()
-		r.shown.time(t, len(due), func() { s.show(due) })
+		fleetSite.finish(drawn)
+		changes := fleetSite.elapse()
+		row.shown.time(t, len(changes), func() { fleetSite.show(changes) })
 	}
-	r.unplaced = float64(s.unplaced) / float64(*unitsFlag)
-	return r
+	row.unplaced = float64(fleetSite.unplaced) / float64(*unitsFlag)
+	return row
 }
 
 // reportSlope prints the exponents and writes the samples and the chart.
@@ -84,13 +84,13 @@
 	t.Helper()
 	request, entry := plot.Series{Name: "request and answer"}, plot.Series{Name: "list entry"}
 	var table [][]float64
-	for _, r := range rows {
-		n := float64(r.workers)
-		request.X, request.Y = append(request.X, n), append(request.Y, r.requests.us())
-		entry.X, entry.Y = append(entry.X, n), append(entry.Y, r.shown.us())
-		table = append(table, []float64{n, r.requests.us(), r.shown.us(), r.requests.allocsEach(), r.requests.bytesEach(),
-			r.requests.percentileUs(50), r.requests.percentileUs(99), r.shown.percentileUs(50), r.shown.percentileUs(99),
-			r.utilization, r.unplaced, float64(*seedFlag)})
+	for _, row := range rows {
+		workers := float64(row.workers)
+		request.X, request.Y = append(request.X, workers), append(request.Y, row.requests.us())
+		entry.X, entry.Y = append(entry.X, workers), append(entry.Y, row.shown.us())
+		table = append(table, []float64{workers, row.requests.us(), row.shown.us(), row.requests.allocsEach(), row.requests.bytesEach(),
+			row.requests.percentileUs(50), row.requests.percentileUs(99), row.shown.percentileUs(50), row.shown.percentileUs(99),
+			row.utilization, row.unplaced, float64(*seedFlag)})
 	}
 	fmt.Printf("slope: exponent_request=%.3f exponent_list=%.3f\n",
 		stats.Exponent(request.X, request.Y), stats.Exponent(entry.X, entry.Y))
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -240,6 +240,7 @@
 	w.running = append(w.running, task)
 }
 
+// removeRunning notes that a task has ended, or is being migrated.
 func (w *workerInfo) removeRunning(task *taskInfo) {
 	w.running = slices.DeleteFunc(w.running, func(other *taskInfo) bool { return other == task })
 }
