--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -36,12 +36,13 @@
 	firstRun   firstAttempt
 
 	// The running task.
-	startDescription  string            // what the worker said of the start, for a repeated submission
-	adoptedAt         int64             // when it was submitted as already running, or 0
-	unlistedSince     int64             // running: since when its worker is unlisted, or 0
-	unresponsiveSince int64             // released: since when its worker should have reported its end, or 0
-	claimedOutcome    placement.Outcome // adopted: of the completion that came before, where one did
-	claimedCause      placement.Cause
+	startDescription string // what the worker said of the start, for a repeated submission
+	adoptedAt        int64  // when it was submitted as already running, or 0
+	// unaccountedSince is since when nobody accounts for the task, or 0: while it runs, since its worker
+	// is unlisted; once it is unresponsive, since the end should have been reported.
+	unaccountedSince int64
+	claimedOutcome   placement.Outcome // adopted: of the completion that came before, where one did
+	claimedCause     placement.Cause
 }
 
 // firstAttempt is the first attempt of a request that may have started, and when it was offered.
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -14,18 +14,18 @@
 	Tenant                string // "" where the deployment has none
 	ExpectedRunUs         int64  // how long the task is expected to run, 0 where unknown
 	Retry                 bool   // the client says that it submitted the task before
-	TimeoutUs             int64  // how long the client waits from ReceivedAtUs on
-	ReceivedAtUs          int64  // the earliest time at which it can have arrived, 0 for now
-	QueuedSinceUs         int64  // since when the client proved to be on the waitlist, 0 where it did not
-	Rejections            int    // how often it was rejected before, as proved
-	Connection            uint64 // the connection or session by which it came, 0 where unknown
-	Cores, Memory         float64
-	Program               uint64
-	RunningOn             string // the worker that runs the task already, or ""
-	Description           string
 	// Resumable says that the client repeats a submission whose response it has not read: a
 	// repeat of an open request or a running task gets that one's response.
-	Resumable bool
+	Resumable     bool
+	TimeoutUs     int64  // how long the client waits from ReceivedAtUs on
+	ReceivedAtUs  int64  // the earliest time at which it can have arrived, 0 for now
+	QueuedSinceUs int64  // since when the client proved to be on the waitlist, 0 where it did not
+	Rejections    int    // how often it was rejected before, as proved
+	Connection    uint64 // the connection or session by which it came, 0 where unknown
+	Cores, Memory float64
+	Program       uint64
+	RunningOn     string // the worker that runs the task already, or ""
+	Description   string
 }
 
 // The bounds of what a client may ask for. A timeout longer than a day, a task of more than a year,
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -120,7 +120,7 @@
 	d.transition(r, eventAdopted)
 	d.advisor.Adopted(d.now, r.backpressureRequest())
 	if !d.listed[r.worker] {
-		r.unlistedSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
+		r.unaccountedSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
 	}
 	d.queueEvent(placement.Adopted{Task: r.task(), Worker: r.worker})
 	d.claimCompletion(r)
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -68,10 +68,10 @@
 			switch {
 			case r.state != stateRunning:
 			case listed:
-				r.unlistedSince = 0
-			case r.unlistedSince == 0:
-				r.unlistedSince = d.now
-			case d.now-r.unlistedSince >= unlistedTimeout:
+				r.unaccountedSince = 0
+			case r.unaccountedSince == 0:
+				r.unaccountedSince = d.now
+			case d.now-r.unaccountedSince >= unlistedTimeout:
 				lost = append(lost, r)
 			}
 		}
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -19,7 +19,7 @@
 // may use its names again.
 func (d *Dispatcher) setUnresponsive(r *request) {
 	d.remove(r)
-	r.unresponsiveSince = d.now
+	r.unaccountedSince = d.now
 	d.unresponsive[r.RequestID] = r
 	d.tasksByWorker.add(r)
 }
@@ -37,7 +37,7 @@
 // did not report for long.
 func (d *Dispatcher) sweepUnresponsive() {
 	for _, r := range sortByRequestID(slices.Collect(maps.Values(d.unresponsive))) {
-		if !d.listed[r.worker] || d.now-r.unresponsiveSince >= unresponsiveRetention {
+		if !d.listed[r.worker] || d.now-r.unaccountedSince >= unresponsiveRetention {
 			d.unresponsiveEnded(r, placement.Cancelled, placement.CauseUnknown)
 		}
 	}
