--- a/client/client.go
+++ b/client/client.go
@@ -7,7 +7,7 @@
 // advised.
 package client
 
-// This file owns what callers see: tasks, bindings, options and errors.
+// This file owns what callers see: tasks, bindings, options and errors. It must never call an orchestrator.
 
 import (
 	"fmt"
@@ -34,7 +34,7 @@
 // Binding says where a task runs.
 type Binding struct {
 	RequestID   string
-	Worker      string // that runs it: a worker
+	Worker      string // that runs it
 	Description string // what the worker gave for the task
 }
 
@@ -50,7 +50,8 @@
 
 // Error implements error.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("client: rejected after %d attempts, %s; retry at %s", e.Attempts, e.Reason, e.RetryAt.Format(time.RFC3339Nano))
+	retryAt := e.RetryAt.Format(time.RFC3339Nano)
+	return fmt.Sprintf("client: rejected after %d attempts, %s; retry at %s", e.Attempts, e.Reason, retryAt)
 }
 
 // Options shape a Client; the zero value has defaults.
@@ -105,8 +106,8 @@
 	return c
 }
 
-// next returns the orchestrators in turn.
-func (c *Client) next() edgepb.OrchestratorClient {
+// nextOrchestrator returns the orchestrators in turn.
+func (c *Client) nextOrchestrator() edgepb.OrchestratorClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last = (c.last + 1) % len(c.orchestrators)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -14,14 +14,14 @@
 // is over for sure: a cancel that is still in transit, or in a connection that became unresponsive,
 // ends nothing. The response does not wait for that.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
-	again := d.now < r.deadline && d.checkAttempt(r) == nil
-	sure := d.workers.CancelAttempt(r.worker, r.RequestID, again)
-	if sure || d.now >= r.deadline {
+	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
+	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
+	if confirmed || d.now >= r.deadline {
 		d.attemptEnded(r, outcome, placement.CauseUnknown)
 		return
 	}
 	d.transition(r, eventCancelUnconfirmed)
-	r.endOutcome = outcome
+	r.cancelOutcome = outcome
 	d.setMayHaveRun(r)
 	d.arm(r, r.deadline)
 }
@@ -52,7 +52,7 @@
 		return
 	}
 	r.mayHaveRun = true
-	entry := d.listFilter.listed[r.worker]
+	entry := d.listFilter.entries[r.worker]
 	r.firstRun = firstAttempt{worker: r.worker, zone: entry.Zone, cell: entry.Cell, at: r.sentAt}
 }
 
@@ -64,7 +64,7 @@
 		d.workers.CancelAttempt(r.worker, r.RequestID, false)
 		d.reportAttemptEnded(r, placement.Cancelled, placement.CauseUnknown, true)
 	case stateCancelling:
-		d.reportAttemptEnded(r, r.endOutcome, placement.CauseUnknown, true)
+		d.reportAttemptEnded(r, r.cancelOutcome, placement.CauseUnknown, true)
 	}
 }
 
@@ -89,9 +89,9 @@
 
 // reportAttemptEnded reports to the scheduler the end of an attempt; final where its request is over.
 func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
-	d.event(placement.AttemptEnded{
+	d.queueEvent(placement.AttemptEnded{
 		RequestID: r.RequestID,
-		Attempt:   r.attempt,
+		Attempt:   r.attemptNumber,
 		Worker:    r.worker,
 		Outcome:   outcome,
 		Cause:     cause,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -18,6 +18,9 @@
 	"ravenhitch/placement"
 )
 
+// This file owns the table itself: how requests enter it, are found in it, and leave it. It must never
+// change the state of a request but by a transition (state.go).
+
 // Units of the times here, which are in microseconds.
 const (
 	millisecond = 1_000
@@ -137,8 +140,8 @@
 	return count
 }
 
-// event queues an event for the scheduler.
-func (d *Dispatcher) event(e placement.Event) { d.events = append(d.events, e) }
+// queueEvent queues an event for the scheduler.
+func (d *Dispatcher) queueEvent(e placement.Event) { d.events = append(d.events, e) }
 
 // find returns the live request that clients know by a request ID, or nil.
 func (d *Dispatcher) find(requestID string) *request {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -148,7 +148,7 @@
 }
 
 // CancelAttempt implements WorkerPool.
-func (h *harness) CancelAttempt(worker, requestID string, _ bool) (sure bool) {
+func (h *harness) CancelAttempt(worker, requestID string, _ bool) (confirmed bool) {
 	if h.offered[requestID] != worker || h.unconfirmed[requestID] != "" {
 		h.t.Fatalf("%s: an attempt cancelled at %s is not there", requestID, worker)
 	}
@@ -303,7 +303,7 @@
 
 // schedulerState is the state in which a worker would be listed to the scheduler.
 func (h *harness) schedulerState(worker string) placement.WorkerState {
-	return h.listFilter.adjust(h.listFilter.listed[worker]).State
+	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
 
 // checkTable fails the test where the table and what is counted beside it differ.
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -12,7 +12,8 @@
 // drainMargin is how long before the drain limit offers end here.
 const drainMargin = 500 * millisecond
 
-// The rules that an offer may break.
+// The rules that an offer may break. Their texts carry no package prefix, as they are only the values of
+// the field "cause" of log lines, which name the offer.
 var (
 	// ErrNotPending: an attempt is open, or the request is over.
 	ErrNotPending = errors.New("an attempt is open or the request is over")
@@ -67,13 +68,15 @@
 	return d.checkRules(sendRules[:], r, worker)
 }
 
+// checkAttemptsLeft holds the limit of the settings on attempts for each request.
 func (d *Dispatcher) checkAttemptsLeft(r *request, _ string) error {
-	if limit := d.settings.MaxAttempts; limit > 0 && r.attempts >= limit {
+	if limit := d.settings.MaxAttempts; limit > 0 && r.attemptCount >= limit {
 		return ErrNoAttemptsLeft
 	}
 	return nil
 }
 
+// checkSingleStart keeps a task that must not run twice from a second attempt once the first may have run.
 func (d *Dispatcher) checkSingleStart(r *request, _ string) error {
 	if r.effect == placement.Unsafe && r.mayHaveRun {
 		return ErrSecondStart
@@ -81,6 +84,7 @@
 	return nil
 }
 
+// checkDeadline keeps an offer from leaving once its client is to have a response.
 func (d *Dispatcher) checkDeadline(r *request, _ string) error {
 	if d.now >= r.deadline {
 		return ErrDeadlinePassed
@@ -88,6 +92,7 @@
 	return nil
 }
 
+// checkDraining holds the drain limit. A worker that was removed from the list counts as draining.
 func (d *Dispatcher) checkDraining(_ *request, worker string) error {
 	since, draining := d.drainingSince[worker]
 	if draining && d.now >= since+d.drainLimit() {
@@ -102,7 +107,7 @@
 	if r.effect != placement.Keyed || !r.mayHaveRun {
 		return nil
 	}
-	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.listed[worker]
+	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.entries[worker]
 	leavesAt := d.now + int64(d.pacer.longestTurn) // offers leave at the end of the turn
 	if leavesAt >= r.firstRun.at+class.WindowUs {
 		return ErrRepeatUnknown
@@ -135,16 +140,18 @@
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
 	d.log.Error("offer blocked by invariant", "request_id", r.RequestID, "worker", worker, "cause", cause)
-	d.event(placement.AttemptEnded{RequestID: r.RequestID, Attempt: r.attempts, Worker: worker, Outcome: placement.NeverSent})
-	r.attempts++
+	d.queueEvent(placement.AttemptEnded{
+		RequestID: r.RequestID, Attempt: r.attemptCount, Worker: worker, Outcome: placement.NeverSent,
+	})
+	r.attemptCount++
 }
 
 // sendOffer starts an attempt.
 func (d *Dispatcher) sendOffer(r *request, action placement.Place) {
 	d.counts.Offers++
 	d.transition(r, eventOffered)
-	r.worker, r.sentAt, r.attempt = action.Worker, d.now, r.attempts
-	r.attempts++
+	r.worker, r.sentAt, r.attemptNumber = action.Worker, d.now, r.attemptCount
+	r.attemptCount++
 	r.abandonAt = r.deadline
 	if action.AbandonAtUs > 0 {
 		r.abandonAt = min(r.deadline, max(action.AbandonAtUs, d.now+1))
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,13 +25,12 @@
 	heapIndex  int   // in the deadline heap, or -1
 
 	// The attempt that is open, or was last.
-	attempts   int // how many there were
-	attempt    int // its number
-	worker     string
-	sentAt     int64
-	abandonAt  int64
-	endOutcome placement.Outcome // cancelling: of the attempt; running with a wakeAt: of the task
-	endCause   placement.Cause
+	attemptCount  int // of the request so far
+	attemptNumber int // of this one, from 0
+	worker        string
+	sentAt        int64
+	abandonAt     int64
+	cancelOutcome placement.Outcome // cancelling: what the attempt counts as once the cancel is confirmed
 
 	mayHaveRun bool // an attempt may have started
 	firstRun   firstAttempt
@@ -39,7 +38,11 @@
 	// The running task.
 	startDescription string // what the worker said of the start, for a repeated submission
 	adoptedAt        int64  // when it was submitted as already running, or 0
-	missingSince     int64  // since when its worker is unlisted, or unresponsive; or 0
+	// unaccountedSince is since when nobody accounts for the task, or 0: while it runs, since its worker
+	// is unlisted; once it is unresponsive, since the end should have been reported.
+	unaccountedSince int64
+	claimedOutcome   placement.Outcome // adopted: of the completion that came before, where one did
+	claimedCause     placement.Cause
 }
 
 // firstAttempt is the first attempt of a request that may have started, and when it was offered.
@@ -64,7 +67,7 @@
 		classIndex: len(d.settings.Classes) - 1,
 		units:      d.settings.Units(s.Cores, s.Memory),
 		effect:     placement.Unsafe,
-		deadline:   d.pacer.reserve(d.now, receivedAt+s.TimeoutUs),
+		deadline:   d.pacer.scheduleResponse(d.now, receivedAt+s.TimeoutUs),
 		heapIndex:  -1,
 	}
 	if effect, ok := d.effects[s.Class]; ok {
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -65,7 +65,9 @@
 	if !d.settings.RetryAfter {
 		retryAfter = 0
 	}
-	d.respond(r, Response{Kind: Rejected, RetryAfterUs: retryAfter, QueuedSinceUs: r.QueuedSinceUs, Rejections: r.Rejections + 1})
+	d.respond(r, Response{
+		Kind: Rejected, RetryAfterUs: retryAfter, QueuedSinceUs: r.QueuedSinceUs, Rejections: r.Rejections + 1,
+	})
 	d.remove(r)
 }
 
@@ -98,6 +100,7 @@
 	return responseCache{byRequestID: map[string]Response{}}
 }
 
+// put caches a response under its request ID, in place of an earlier one.
 func (c *responseCache) put(response Response) {
 	requestID := response.RequestID
 	if _, known := c.byRequestID[requestID]; !known {
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -9,7 +9,8 @@
 	"ravenhitch/placement"
 )
 
-// The errors of Submit. Nothing was taken in then, and no response is owed.
+// The errors of Submit. Nothing was taken in then, and no response is owed. They leave the package for the
+// fronts, so their texts carry its name.
 var (
 	ErrRequestIDInUse = errors.New("dispatch: the request ID is in use")
 	ErrKeyInUse       = errors.New("dispatch: the task was submitted elsewhere")
@@ -108,7 +109,7 @@
 	r.QueuedSinceUs = d.advisor.Requested(d.now, r.backpressureRequest())
 	task := r.task()
 	task.QueuedSinceUs = r.QueuedSinceUs
-	d.event(placement.Request{Task: task})
+	d.queueEvent(placement.Request{Task: task})
 	d.arm(r, r.deadline)
 }
 
@@ -119,8 +120,8 @@
 	d.transition(r, eventAdopted)
 	d.advisor.Adopted(d.now, r.backpressureRequest())
 	if !d.listed[r.worker] {
-		r.missingSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
+		r.unaccountedSince = d.now - (unlistedTimeout - adoptedUnlistedTimeout)
 	}
-	d.event(placement.Adopted{Task: r.task(), Worker: r.worker})
+	d.queueEvent(placement.Adopted{Task: r.task(), Worker: r.worker})
 	d.claimCompletion(r)
 }
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -68,10 +68,10 @@
 			switch {
 			case r.state != stateRunning:
 			case listed:
-				r.missingSince = 0
-			case r.missingSince == 0:
-				r.missingSince = d.now
-			case d.now-r.missingSince >= unlistedTimeout:
+				r.unaccountedSince = 0
+			case r.unaccountedSince == 0:
+				r.unaccountedSince = d.now
+			case d.now-r.unaccountedSince >= unlistedTimeout:
 				lost = append(lost, r)
 			}
 		}
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -1,10 +1,14 @@
 package dispatch
 
 // This file owns the workers' side of the table: what workers report of attempts and of running
-// tasks, and what the list says of workers. It must never send an offer.
+// tasks. It must never send an offer.
 
 import "ravenhitch/placement"
 
+// restartSkew is by how much the clock that dates a worker's start may be ahead of this one, and of
+// a task that was offered then.
+const restartSkew = 1 * second
+
 // Offer is an attempt as a worker gets it.
 type Offer struct {
 	RequestID, Class, Key, IdempotencyKey string
@@ -17,9 +21,9 @@
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
 	// CancelAttempt calls off an offer that was not answered, ahead of whatever is offered
-	// after it; again says that another attempt may follow. It reports whether the attempt
+	// after it; mayRetry says that another attempt may follow. It reports whether the attempt
 	// is over for sure; where it is not, CancelConfirmed says when it is.
-	CancelAttempt(worker, requestID string, again bool) (sure bool)
+	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
 	// Release ends a running task.
 	Release(worker, requestID string)
 	// Probe asks a worker for a sign of life; ProbeAnswered takes the result.
@@ -40,14 +44,15 @@
 	d.counts.Started++
 	d.advisor.Started(now, r.backpressureRequest())
 	d.disarm(r)
-	d.event(placement.Accepted{RequestID: requestID, Attempt: r.attempt, Worker: worker, RTTUs: now - r.sentAt})
+	d.queueEvent(placement.Accepted{RequestID: requestID, Attempt: r.attemptNumber, Worker: worker, RTTUs: now - r.sentAt})
 	if r.Resumable {
 		r.startDescription = description
 	}
 	d.respond(r, Response{Kind: Started, Description: description, Worker: worker})
 }
 
-// TaskEnded takes the end of an attempt or of a running task.
+// TaskEnded takes the end of a task as its worker knows it: of a running task, of a released one, or of
+// an attempt that was never accepted.
 func (d *Dispatcher) TaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	d.now = now
 	if r := d.unresponsive[requestID]; r != nil && r.worker == worker {
@@ -66,7 +71,7 @@
 		}
 		d.attemptEnded(r, outcome, cause)
 	case stateCancelling:
-		d.attemptEnded(r, r.endOutcome, placement.CauseUnknown)
+		d.attemptEnded(r, r.cancelOutcome, placement.CauseUnknown)
 	case stateRunning, stateTerminating:
 		if !isTaskOutcome(outcome) {
 			outcome = placement.Reset
@@ -86,7 +91,7 @@
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateCancelling {
 		d.trace("abandoned attempt ended", r)
-		d.attemptEnded(r, r.endOutcome, placement.CauseUnknown)
+		d.attemptEnded(r, r.cancelOutcome, placement.CauseUnknown)
 	}
 }
 
@@ -94,21 +99,21 @@
 func (d *Dispatcher) TaskReported(now int64, worker, requestID string, kind placement.ReportKind, value float64) {
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateRunning {
-		d.event(placement.TaskReport{RequestID: requestID, Attempt: r.attempt, Worker: worker, Kind: kind, Value: value})
+		d.queueEvent(placement.TaskReport{RequestID: requestID, Attempt: r.attemptNumber, Worker: worker, Kind: kind, Value: value})
 	}
 }
 
 // ProbeAnswered takes the result of a probe.
 func (d *Dispatcher) ProbeAnswered(now int64, result placement.ProbeResult) {
 	d.now = now
-	d.event(result)
+	d.queueEvent(result)
 }
 
 // WorkerReachable takes it that a worker accepted a connection after one to it had failed or
 // become unresponsive.
 func (d *Dispatcher) WorkerReachable(now int64, worker string) {
 	d.now = now
-	d.event(placement.WorkerReachable{Worker: worker})
+	d.queueEvent(placement.WorkerReachable{Worker: worker})
 }
 
 // WorkerDied takes a proof that the process of a worker has died: what ran there has ended, and
@@ -118,10 +123,6 @@
 	d.endTasksOn(worker, func(*request) bool { return true })
 }
 
-// restartSkew is by how much the clock that dates a worker's start may be ahead of this one, and of
-// a task that was offered then.
-const restartSkew = 1 * second
-
 // WorkerRestarted takes it that the process of a worker began at startUs and that nothing of the one
 // before is left: what ran there earlier has ended, and nobody will report it.
 func (d *Dispatcher) WorkerRestarted(now int64, worker string, startUs int64) {
@@ -149,39 +150,3 @@
 		d.unresponsiveEnded(r, placement.Reset, placement.CauseUnknown)
 	}
 }
-
-// UpdateWorkers takes a list of workers, complete or of changes, from discovery.
-func (d *Dispatcher) UpdateWorkers(now int64, list placement.WorkerList) {
-	d.now = now
-	d.hasList = true
-	if isCompleteList(list) {
-		for worker := range d.listed { // what a complete list does not name is removed
-			d.drainingSince[worker] = now
-		}
-		clear(d.listed)
-	}
-	list.Entries = d.listFilter.apply(list)
-	for _, entry := range list.Entries {
-		d.updateListed(entry)
-	}
-	d.event(list)
-}
-
-// updateListed notes whether a worker is listed, and since when it drains.
-func (d *Dispatcher) updateListed(entry placement.Entry) {
-	if entry.State == placement.Removed {
-		delete(d.listed, entry.Worker)
-	} else {
-		d.listed[entry.Worker] = true
-	}
-	if entry.State == placement.Ready || entry.State == placement.Foreign {
-		delete(d.drainingSince, entry.Worker)
-	} else if _, draining := d.drainingSince[entry.Worker]; !draining {
-		d.drainingSince[entry.Worker] = d.now
-	}
-}
-
-// isCompleteList reports whether a list names all workers, not only changes.
-func isCompleteList(list placement.WorkerList) bool {
-	return list.Kind == placement.ListFull || list.Kind == placement.ListCached
-}
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -29,6 +29,9 @@
 // assignedCount is the number of workers that are assigned to no other scheduler.
 func (f *fleet) assignedCount() int { return len(f.sorted) - f.foreignCount }
 
+// isLarge reports whether there are too many workers to look at each whenever something happens.
+func (f *fleet) isLarge() bool { return f.assignedCount() > maxEnumerated }
+
 // sharingSchedulers is how many schedulers offer tasks to a worker: all of them, but this one
 // alone where the workers are divided among them.
 func (f *fleet) sharingSchedulers() int {
@@ -38,18 +41,18 @@
 	return f.settings.FleetSize
 }
 
-// requestedCores is what is requested of all workers: of foreign ones as much as of the
+// totalRequestedCores is what is requested of all workers: of foreign ones as much as of the
 // others, whose views are known.
-func (f *fleet) requestedCores() float64 {
+func (f *fleet) totalRequestedCores() float64 {
 	f.refresh()
 	if f.foreignCount == 0 {
-		return f.loads.requestedCores
+		return f.loads.listedRequestedCores
 	}
-	return f.loads.requestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
+	return f.loads.listedRequestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
 }
 
-// ensure returns the worker of a name, which it adds if there is none.
-func (f *fleet) ensure(name string) *workerInfo {
+// findOrAdd returns the worker of a name, which it adds if there is none.
+func (f *fleet) findOrAdd(name string) *workerInfo {
 	worker := f.workers[name]
 	if worker != nil {
 		return worker
@@ -96,8 +99,8 @@
 	f.affinity.clear()
 }
 
-// idleUncordoned returns the workers that operators uncordoned and that got no offer since.
-func (f *fleet) idleUncordoned() map[*workerInfo]bool {
+// pruneUncordoned forgets the uncordoned workers that got an offer since, and returns the others.
+func (f *fleet) pruneUncordoned() map[*workerInfo]bool {
 	for worker := range f.uncordoned {
 		if !worker.uncordonedIdle {
 			delete(f.uncordoned, worker)
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -1,7 +1,7 @@
 package placement
 
 // This file owns the scheduling pass: one look at all pending tasks, by priority. For each it
-// filters and scores the workers, and then binds the task to one of them, or reserves one and
+// filters and scores the workers, and then offers the task to one of them, or reserves one and
 // keeps the task pending, or gives the final response. It must never offer a task twice at a
 // time.
 
@@ -25,7 +25,7 @@
 	health       *health
 	overload     *overload
 	totals       *totals
-	view         *view
+	probes       *probes
 	search       *search
 	queue        *queue
 	requests     *requests
@@ -37,10 +37,10 @@
 
 // run makes a pass, if something happened by which a pending task may find a worker.
 func (p *schedulingPass) run() {
-	if !p.dirty {
+	if !p.needsPass {
 		return
 	}
-	p.dirty = false
+	p.needsPass = false
 	p.overload.updateConcurrent()
 	tasks := p.queue.byPriority()
 	clear(p.unschedulable)
@@ -64,8 +64,8 @@
 	units := p.settings.Units(task.Cores, task.Memory)
 	if (!p.unschedulable[shape] || task.mayHaveRun != nil) && p.unitsLeft(task) {
 		if worker := p.search.selectWorker(task); worker != nil {
-			if !p.view.probeWanted(task, worker) {
-				p.bind(task, worker)
+			if !p.probes.wanted(task, worker) {
+				p.offer(task, worker)
 				p.freeUnits -= units
 			}
 			return
@@ -96,6 +96,7 @@
 		(class.Effect == Unsafe || class.Effect == Keyed && !repeatWindowOpen(p.now, class, task))
 }
 
+// shapeOf returns the shape of a task. Its program only matters where the class limits the spread.
 func (p *schedulingPass) shapeOf(task *taskInfo) taskShape {
 	shape := taskShape{classIndex: task.classIndex, cores: task.Cores, memory: task.Memory}
 	if p.classOf(task).Spread != ScopeNone {
@@ -129,8 +130,8 @@
 	}
 }
 
-// bind offers a task to a worker.
-func (p *schedulingPass) bind(task *taskInfo, worker *workerInfo) {
+// offer offers a task to a worker.
+func (p *schedulingPass) offer(task *taskInfo, worker *workerInfo) {
 	p.queue.remove(task)
 	attempt := &attemptInfo{worker: worker, sentAt: p.now, awaitingResponse: true}
 	task.attempts = append(task.attempts, attempt)
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -78,7 +78,7 @@
 	if !ok || r.tasks[event.RequestID] != nil {
 		return
 	}
-	worker := r.fleet.ensure(event.Worker)
+	worker := r.fleet.findOrAdd(event.Worker)
 	task := &taskInfo{
 		Task: event.Task, classIndex: classIndex, arrivedAt: r.now, accepted: true,
 		attempts: []*attemptInfo{{worker: worker, sentAt: r.now}},
@@ -156,7 +156,7 @@
 	r.overload.offerAccepted()
 	r.quotas.start(task)
 	attempt.worker.addRunning(r.now, task)
-	r.dirty = true
+	r.needsPass = true
 }
 
 // attemptEnded takes the end of an attempt, which is also the end of a running task.
@@ -169,7 +169,7 @@
 	if attempt == nil || attempt.ended {
 		return
 	}
-	attempt.ended, r.dirty = true, true
+	attempt.ended, r.needsPass = true, true
 	wasRunning := task.accepted && attempt == task.lastAttempt()
 	r.health.recordOutcome(task, attempt, event, wasRunning)
 	r.residents.end(attempt.worker, task.Program, r.now)
@@ -194,9 +194,6 @@
 	r.queue.add(task)
 }
 
-// neverStarted reports whether the outcome of an attempt says that the task never ran.
-func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
-
 // taskReported takes a report of a running task: how much of what it requested it uses, how
 // well its worker serves it, and how full that worker's memory is.
 func (r *requests) taskReported(event TaskReport) {
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -48,19 +48,7 @@
 	if resident.active > 0 {
 		return
 	}
-	idle, oldest := 0, program
-	for candidate, resident := range worker.residentPrograms {
-		if resident.active > 0 {
-			continue
-		}
-		idle++
-		first := worker.residentPrograms[oldest]
-		if resident.lastEndedAt < first.lastEndedAt ||
-			resident.lastEndedAt == first.lastEndedAt && candidate < oldest {
-			oldest = candidate
-		}
-	}
-	if idle > maxIdlePrograms {
+	if idleCount, oldest := worker.idlePrograms(program); idleCount > maxIdlePrograms {
 		r.remove(worker, oldest)
 	}
 }
@@ -81,6 +69,7 @@
 	}
 }
 
+// remove forgets a program on a worker. The last of the program's workers takes its place.
 func (r *residents) remove(worker *workerInfo, program uint64) {
 	delete(worker.residentPrograms, program)
 	r.version++
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -3,7 +3,7 @@
 // [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
 // that the caller passes to [Scheduler.Handle].
 //
-// A placement runs through named steps: filter the workers, score those that pass, and bind the
+// A placement runs through named steps: filter the workers, score those that pass, and offer the
 // task to one of the best, or reserve a worker while the task stays pending.
 //
 // The package consists of parts that own their state. A file uses only files on lines below its
@@ -16,7 +16,8 @@
 //	search.go ordinals.go                    search for the worker of a task
 //	filter.go score.go                       feasible, healthy and fitting workers; admission cost
 //	queue.go quota.go                        pending tasks by priority; tenants
-//	overload.go view.go totals.go            concurrent placements; lists and reports; sums
+//	overload.go totals.go                    concurrent placements; sums over all workers
+//	view.go lag.go probe.go                  lists; how late they are; probes and their reports
 //	calibration.go                           learned effective capacity of single workers
 //	slowstart.go health.go spread.go         slow start; outlier detection; anti-affinity
 //	repeats.go discovery.go                  repeats of keyed tasks; polls of discovery
@@ -26,7 +27,8 @@
 //	residents.go affinity.go capacity.go     programs on workers; effective capacity
 //	environment.go                           settings, clock, random source, actions
 //	worker.go task.go                        one worker; one task and its attempts
-//	settings.go api.go numbers.go            checks; settings, events and actions; arithmetic
+//	settingscheck.go settings.go             checks of the settings; settings
+//	events.go actions.go numbers.go          events; actions; arithmetic
 //
 // worker.go and task.go are one layer: a worker refers to its attempts, an attempt to its worker.
 package placement
@@ -57,6 +59,7 @@
 	slowStart    *slowStart
 	health       *health
 	view         *view
+	probes       *probes
 	search       *search
 	quotas       *quotas
 	queue        *queue
@@ -71,6 +74,7 @@
 // [SettingError] for each setting that is missing or contradictory, joined.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.check(); err != nil {
+		// Not "placement:", as the simulator's wire carries this text to the operators of a deployment.
 		return nil, fmt.Errorf("ravenhitch: %w", err)
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(settings.SelfIndex)))
@@ -117,6 +121,10 @@
 	s.slowStart = &slowStart{environment: s.environment}
 	s.health = &health{environment: s.environment}
 	s.view = &view{
+		environment: s.environment, fleet: s.fleet,
+		lag: &lagEstimator{environment: s.environment, loads: s.loads},
+	}
+	s.probes = &probes{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
 		calibration: s.calibration,
 	}
@@ -134,7 +142,7 @@
 		},
 		scorer: &scorer{
 			environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
-			totals: s.totals, slowStart: s.slowStart, view: s.view,
+			totals: s.totals, slowStart: s.slowStart,
 			kinds: make([]kindCost, len(s.settings.Kinds)),
 		},
 	})
@@ -150,7 +158,7 @@
 	})
 	s.pass = &schedulingPass{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, reservations: s.reservations,
-		residents: s.residents, health: s.health, overload: s.overload, totals: s.totals, view: s.view,
+		residents: s.residents, health: s.health, overload: s.overload, totals: s.totals, probes: s.probes,
 		search: s.search, queue: s.queue, requests: s.requests, unschedulable: map[taskShape]bool{},
 	}
 	s.discovery = &discovery{environment: s.environment}
@@ -194,7 +202,7 @@
 	case ClientCancelled:
 		s.requests.cancel(event.RequestID)
 	case ProbeResult:
-		s.view.probeEnded(event)
+		s.probes.ended(event)
 	case WorkerReachable:
 		s.health.recordReachable(s.fleet.workers[event.Worker])
 	case Backpressure:
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -24,7 +24,8 @@
 	capacity    *capacityModel
 	calibration *calibration
 	cachedMeans fleetMeans
-	// cachedFreeUnits is the result of freeUnits at freeUnitsAt, less what was offered since.
+	// cachedFreeUnits is the result of freeUnits at freeUnitsAt. What was offered since is not taken
+	// off: a scheduling pass takes its own offers off its copy.
 	cachedFreeUnits float64
 	freeUnitsAt     int64
 }
@@ -34,7 +35,7 @@
 func (t *totals) means() (utilization, cores float64) {
 	cached := &t.cachedMeans
 	valid := cached.computedAt > 0 && t.now < cached.computedAt+meansValidity
-	if t.fleet.assignedCount() > maxEnumerated && valid {
+	if t.fleet.isLarge() && valid {
 		return cached.utilization, cached.cores
 	}
 	t.fleet.refresh()
@@ -60,7 +61,7 @@
 	if t.settings.UnitCores <= 0 || t.settings.UnitMemory <= 0 {
 		return math.Inf(1) // no size of a unit is known: nothing is reserved for any class
 	}
-	if t.fleet.assignedCount() > maxEnumerated && t.freeUnitsAt > 0 && t.now < t.freeUnitsAt+retryInterval {
+	if t.fleet.isLarge() && t.freeUnitsAt > 0 && t.now < t.freeUnitsAt+retryInterval {
 		return t.cachedFreeUnits
 	}
 	t.fleet.refresh()
