--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -64,9 +64,12 @@
 	t.Helper()
 	s.eventually(t, "half of the offers", func() bool { return 2*len(s.attempts.Open()) >= len(ids) })
 	for _, worker := range s.workers {
+		proxy := s.proxies[worker.Name]
+		before := proxy.Returned()
 		worker.SendNotice()
+		s.eventually(t, "the notice of "+worker.Name, func() bool { return proxy.Returned() > before })
 	}
-	s.onLoop(t, func() {}) // a turn, and another: what was sent is read
+	s.onLoop(t, func() {}) // a turn, and another: what was handed on is read
 	s.onLoop(t, func() {})
 }
 
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -32,6 +32,7 @@
 	delay       time.Duration
 	partitioned bool
 	closed      bool
+	returned    int                 // reads from the worker that were handed on so far
 	stranded    map[net.Conn]bool   // connections that carry nothing any more
 	fillers     map[string]net.Conn // fill the backlog during a partition, by local address
 	connections []net.Conn
@@ -156,6 +157,13 @@
 	return p.delay
 }
 
+// Returned is how many reads from the worker were handed on to the orchestrator so far.
+func (p *Proxy) Returned() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.returned
+}
+
 // accept forwards connections until the proxy is closed.
 func (p *Proxy) accept() {
 	for p.waitHealed() {
@@ -259,5 +267,8 @@
 			return
 		}
 		_, _ = from.Write(buffer[:n]) // forward notices the orchestrator's end
+		p.mu.Lock()
+		p.returned++
+		p.mu.Unlock()
 	}
 }
