--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -167,3 +167,27 @@
 	server.workers[0].SendFinish(id, causeDone)
 	server.waitCompletion(t, id)
 }
+
+// A worker is cut off that holds no attempt, while all first attempts are silent at the other: the second ones
+// go into the cut, and the last ones must go where a worker is reached.
+func TestLastAttemptsIntoCut(t *testing.T) {
+	for range 30 { // servers; the placement draws, and of two draws one is as wanted
+		server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
+		missed := server.submit("missed", 4, 2000)
+		server.noteOnceOffered(t, missed)
+		for _, worker := range server.workers {
+			if len(server.attempts.OpenAt(worker.Name)) < len(missed) {
+				continue
+			}
+			for name, proxy := range server.proxies {
+				if name != worker.Name {
+					proxy.Partition(t)
+				}
+			}
+			server.expectAllStarted(t, missed)
+			server.expectNoDuplicates(t)
+			return
+		}
+	}
+	t.Fatal("the first attempts were never all at one worker")
+}
