--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -68,11 +68,16 @@
 	server.expectAllStarted(t, missed)
 }
 
-// The link is cut after the worker's last message: the cancel never arrives.
+// The link is cut after the worker's last message: the cancel never arrives. It is the link of a worker that
+// holds an attempt: the placement draws among equal workers, and a may have none.
 func cutBeforeCancel(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 2000)
 	server.noteOnceOffered(t, missed)
-	server.proxies["a"].Partition(t)
+	cut := "a"
+	if len(server.attempts.OpenAt(cut)) == 0 {
+		cut = "b"
+	}
+	server.proxies[cut].Partition(t)
 	server.expectAllStarted(t, missed)
 }
 
@@ -162,3 +167,27 @@
 	server.workers[0].SendFinish(id, causeDone)
 	server.waitCompletion(t, id)
 }
+
+// A worker is cut off that holds no attempt, while all first attempts are silent at the other: the second ones
+// go into the cut, and the last ones must go where a worker is reached.
+func TestLastAttemptsIntoCut(t *testing.T) {
+	for range 30 { // servers; the placement draws, and of two draws one is as wanted
+		server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
+		missed := server.submit("missed", 4, 2000)
+		server.noteOnceOffered(t, missed)
+		for _, worker := range server.workers {
+			if len(server.attempts.OpenAt(worker.Name)) < len(missed) {
+				continue
+			}
+			for name, proxy := range server.proxies {
+				if name != worker.Name {
+					proxy.Partition(t)
+				}
+			}
+			server.expectAllStarted(t, missed)
+			server.expectNoDuplicates(t)
+			return
+		}
+	}
+	t.Fatal("the first attempts were never all at one worker")
+}
