--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	client := &Client{conn, make(chan Line, maxUnread)}
-	go client.receive()
+	go client.receive(conn)
 	return client, nil
 }
 
@@ -38,10 +38,11 @@
 	return client
 }
 
-// receive reads messages until the connection ends, or one can't be parsed.
-func (c *Client) receive() {
+// receive reads messages until the connection ends, or one can't be parsed. The connection is that of the start: a test
+// may put another one in its place.
+func (c *Client) receive(conn net.Conn) {
 	defer close(c.Lines)
-	for scanner := bufio.NewScanner(c.Conn); scanner.Scan(); {
+	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
 		var line Line
 		if json.Unmarshal(scanner.Bytes(), &line) != nil {
 			return
