--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -15,7 +15,7 @@
 const exporterCloseTimeout = 200 * time.Millisecond
 
 // startExporters sends figures to each receiver that the operators' file names.
-func (s *server) startExporters(cfg config.Config, operators config.Operators) {
+func (s *server) startExporters(cfg config.Config, operators config.OperatorSettings) {
 	if receiver := operators.Graphite; receiver.Address != "" {
 		s.startExporter("tcp", receiver, metrics.Graphite{Prefix: receiver.Prefix, Name: cfg.Name})
 	}
--- a/cmd/ravenhitch/figures_test.go
+++ b/cmd/ravenhitch/figures_test.go
@@ -27,7 +27,7 @@
 	lines := make(chan string, 10_000)
 	go receiveFigures(carbon, "", lines)
 	go receiveFigures(collectd, "0 Success\n", lines)
-	server := startTestServer(t, serverOptions{operators: config.Operators{
+	server := startTestServer(t, serverOptions{operators: config.OperatorSettings{
 		Graphite: config.Metrics{Address: carbon.Addr().String(), Prefix: "edge", IntervalMs: 100},
 		Collectd: config.Metrics{Address: path, Prefix: "edge", IntervalMs: 100},
 	}}, "a")
--- a/cmd/ravenhitch/grpc.go
+++ b/cmd/ravenhitch/grpc.go
@@ -14,7 +14,7 @@
 )
 
 // startGRPC serves the gRPC front on goroutines of its own, until closeGRPC.
-func (s *server) startGRPC(operators config.Operators) error {
+func (s *server) startGRPC(operators config.OperatorSettings) error {
 	creds, err := grpcfront.Credentials(operators.GRPCCert, operators.GRPCKey)
 	if err != nil {
 		return err
--- a/cmd/ravenhitch/grpc_tls_test.go
+++ b/cmd/ravenhitch/grpc_tls_test.go
@@ -57,7 +57,7 @@
 // With a certificate the front speaks TLS only, and reports its health until the shutdown.
 func TestTLSAndHealth(t *testing.T) {
 	certPath, keyPath := writeCertificate(t)
-	server := startTestServer(t, serverOptions{operators: config.Operators{GRPCListen: "127.0.0.1:0", GRPCCert: certPath, GRPCKey: keyPath}}, "a")
+	server := startTestServer(t, serverOptions{operators: config.OperatorSettings{GRPCListen: "127.0.0.1:0", GRPCCert: certPath, GRPCKey: keyPath}}, "a")
 	creds, err := credentials.NewClientTLSFromFile(certPath, "")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -151,7 +151,7 @@
 	}
 	cfg := serverOptions{}.config(t, testbed.NewDiscovery(t))
 	cfg.AdminAddr = "127.0.0.1:0"
-	server, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
+	server, err := start(cfg, config.OperatorSettings{}, slog.New(slog.DiscardHandler))
 	if err == nil || !strings.Contains(err.Error(), "minions-out:3: expected") {
 		t.Errorf("%v, %v", server, err)
 	}
@@ -192,7 +192,7 @@
 	}
 	cfg := serverOptions{}.config(t, discovery)
 	cfg.AdminAddr, cfg.InheritedFD = "127.0.0.1:0", inherited
-	server, err := start(cfg, config.Operators{}, slog.New(slog.DiscardHandler))
+	server, err := start(cfg, config.OperatorSettings{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -61,7 +61,7 @@
 	if err := overrideFromEnvironment(&cfg); err != nil {
 		return err
 	}
-	operators, err := config.LoadOperators(operatorsPath)
+	operators, err := config.LoadOperatorSettings(operatorsPath)
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -30,7 +30,7 @@
 	if err := os.WriteFile(keysPath, []byte(tokenKeys), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	operators := config.Operators{GRPCListen: "127.0.0.1:0", RetryTokenKeys: keysPath}
+	operators := config.OperatorSettings{GRPCListen: "127.0.0.1:0", RetryTokenKeys: keysPath}
 	return startTestServer(t, serverOptions{operators: operators}, "a"), keysPath
 }
 
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -75,7 +75,7 @@
 }
 
 // start joins the parts and begins to listen; Run serves.
-func start(cfg config.Config, operators config.Operators, log *slog.Logger) (*server, error) {
+func start(cfg config.Config, operators config.OperatorSettings, log *slog.Logger) (*server, error) {
 	budget, err := socketBudget(cfg, operators)
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 }
 
 // socketBudget is how many sockets the event loop may open.
-func socketBudget(cfg config.Config, operators config.Operators) (int, error) {
+func socketBudget(cfg config.Config, operators config.OperatorSettings) (int, error) {
 	sockets := int(cfg.Sockets)
 	if sockets <= 0 {
 		sockets = defaultSockets
@@ -114,7 +114,7 @@
 }
 
 // startParts starts the parts in the order in which they need each other.
-func (s *server) startParts(cfg config.Config, operators config.Operators, budget int) error {
+func (s *server) startParts(cfg config.Config, operators config.OperatorSettings, budget int) error {
 	if cfg.MemoryMB > 0 {
 		perConnection := int(cfg.MemoryMB<<bytesPerMBShift) / bufferedMemoryDivisor / budget
 		s.loop.SetMaxBuffered(max(minBufferedBytes, perConnection))
@@ -132,7 +132,7 @@
 }
 
 // startDispatcher joins the dispatcher with the connections to workers and with backpressure.
-func (s *server) startDispatcher(cfg config.Config, operators config.Operators) (err error) {
+func (s *server) startDispatcher(cfg config.Config, operators config.OperatorSettings) (err error) {
 	s.pool = workerpool.New(s.loop, cfg.DialTimeoutUs, cfg.Settings.Pings, s.log)
 	s.pool.SetTraceSuffixes(operators.Trace)
 	s.pool.SetKeepAlive(operators.Workers.Keepalive)
@@ -153,7 +153,7 @@
 }
 
 // createClientFront creates the front of the clients, which shares the descriptors with the pool.
-func (s *server) createClientFront(cfg config.Config, operators config.Operators, budget int) {
+func (s *server) createClientFront(cfg config.Config, operators config.OperatorSettings, budget int) {
 	s.clientFront = clientfront.NewFront(s.loop, s.dispatcher, budget*3/4, cfg.ConnIdleUs, s.log)
 	s.clientFront.SetTraceSuffixes(operators.Trace)
 	shared := descriptors.New(budget, s.clientFront.MaxConnections(), s.loop.FreeDescriptors, s.clientFront.Connections)
@@ -162,7 +162,7 @@
 }
 
 // startDiscovery takes the initial list of workers and follows discovery from there.
-func (s *server) startDiscovery(cfg config.Config, operators config.Operators) {
+func (s *server) startDiscovery(cfg config.Config, operators config.OperatorSettings) {
 	s.follower = discovery.NewFollower(s.loop, s.dispatcher, s.pool, cfg.DiscoveryAddr, cfg.DialTimeoutUs, s.log)
 	if operators.Peers.Partition {
 		s.assignment = startAssignment(s.loop, s.follower, cfg, operators.Peers)
@@ -172,7 +172,7 @@
 }
 
 // listen begins to listen: to operators, to clients, to other orchestrators, and to gRPC clients.
-func (s *server) listen(cfg config.Config, operators config.Operators) (err error) {
+func (s *server) listen(cfg config.Config, operators config.OperatorSettings) (err error) {
 	if cfg.AdminAddr != "" {
 		if err = s.listenAdmin(cfg.AdminAddr, os.TempDir()); err != nil {
 			return fmt.Errorf("admin calls: %w", err)
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -35,7 +35,7 @@
 // without a gRPC front.
 type serverOptions struct {
 	settings  string // "": settingsJSON
-	operators config.Operators
+	operators config.OperatorSettings
 	sockets   int64 // 0: defaultTestSockets
 	log       *slog.Logger
 	// onWorker gets every worker before the server knows of it.
@@ -47,7 +47,7 @@
 // newTestServer starts the usual server with a gRPC front and workers of these names.
 func newTestServer(t *testing.T, workers ...string) *testServer {
 	t.Helper()
-	return startTestServer(t, serverOptions{operators: config.Operators{GRPCListen: "127.0.0.1:0"}}, workers...)
+	return startTestServer(t, serverOptions{operators: config.OperatorSettings{GRPCListen: "127.0.0.1:0"}}, workers...)
 }
 
 // newSmallServer starts a server that serves maxClients clients, and no gRPC.
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -77,7 +77,7 @@
 }
 
 // directives returns all sections, with the setters of the fields of o.
-func (o *Operators) directives() sectionDirectives {
+func (o *OperatorSettings) directives() sectionDirectives {
 	return sectionDirectives{
 		"grpc": {
 			"listen":  setWord(&o.GRPCListen, "address:port", isAddress),
@@ -157,7 +157,7 @@
 }
 
 // setLogLevel takes the lowest level that is written.
-func (o *Operators) setLogLevel(d Directive) error {
+func (o *OperatorSettings) setLogLevel(d Directive) error {
 	level, err := d.OneOf("info", "debug")
 	if level == "debug" {
 		o.LogLevel = slog.LevelDebug
@@ -166,7 +166,7 @@
 }
 
 // setTrace takes the suffixes of the request IDs that are traced.
-func (o *Operators) setTrace(d Directive) error {
+func (o *OperatorSettings) setTrace(d Directive) error {
 	if len(d.Args) == 0 {
 		return d.Name.Expected("trace followed by endings of tags, in hex digits")
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -10,11 +10,11 @@
 // ErrConfig is wrapped by every error about the configuration and the operators' file.
 var ErrConfig = errors.New("configuration")
 
-// ErrSettings is wrapped by every error about a line-based file: the operators' file, whose
+// ErrLineFile is wrapped by every error about a line-based file: the operators' file, whose
 // errors wrap ErrConfig too, and the file of keys of retry tokens.
-var ErrSettings = errors.New("settings")
+var ErrLineFile = errors.New("settings")
 
-// PositionError is what is wrong at a place in a line-based file. It wraps ErrSettings.
+// PositionError is what is wrong at a place in a line-based file. It wraps ErrLineFile.
 type PositionError struct {
 	File         string
 	Line, Column int    // from 1
@@ -30,8 +30,8 @@
 	return text
 }
 
-// Unwrap returns ErrSettings.
-func (e *PositionError) Unwrap() error { return ErrSettings }
+// Unwrap returns ErrLineFile.
+func (e *PositionError) Unwrap() error { return ErrLineFile }
 
 // SectionError is what is wrong with a section of the operators' file as a whole.
 type SectionError struct{ File, Section, Want string }
@@ -41,8 +41,8 @@
 	return fmt.Sprintf("%s: [%s]: expected %s", e.File, e.Section, e.Want)
 }
 
-// Unwrap returns ErrSettings.
-func (e *SectionError) Unwrap() error { return ErrSettings }
+// Unwrap returns ErrLineFile.
+func (e *SectionError) Unwrap() error { return ErrLineFile }
 
 // FieldError is what is wrong with a field of the configuration. It wraps ErrConfig.
 type FieldError struct {
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -54,17 +54,17 @@
 		{"[peers]\ncluster c", "configuration: x: [peers]: expected both listen and cluster, or neither"},
 		{"[workers]\nkeepalive 1500ms", `configuration: x:2:11: expected whole seconds from 1s to 5s, got "1500ms"`},
 	} {
-		if _, err := ParseOperators("x", []byte(test.text)); err == nil || err.Error() != test.want {
+		if _, err := ParseOperatorSettings("x", []byte(test.text)); err == nil || err.Error() != test.want {
 			t.Errorf("got %v, want %s", err, test.want)
 		}
 	}
 
-	_, err := ParseOperators("x", []byte("[grpc]\nlisten here"))
+	_, err := ParseOperatorSettings("x", []byte("[grpc]\nlisten here"))
 	var at *PositionError
 	if !errors.As(err, &at) || at.File != "x" || at.Line != 2 || at.Column != 8 {
 		t.Errorf("%v is no *PositionError at x:2:8", err)
 	}
-	_, err = ParseOperators("x", []byte("[grpc]\ncert a"))
+	_, err = ParseOperatorSettings("x", []byte("[grpc]\ncert a"))
 	var sectionError *SectionError
 	if !errors.As(err, &sectionError) || sectionError.Section != "grpc" {
 		t.Errorf("%v is no *SectionError of grpc", err)
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -43,7 +43,7 @@
 func checkPosition(t *testing.T, text string, err error) {
 	t.Helper()
 	var at *PositionError
-	if !errors.As(err, &at) || !errors.Is(err, ErrSettings) ||
+	if !errors.As(err, &at) || !errors.Is(err, ErrLineFile) ||
 		at.Line < 1 || at.Line > strings.Count(text, "\n")+1 || at.Column < 1 {
 		t.Fatalf("%q: %v", text, err)
 	}
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -19,9 +19,9 @@
 	defaultIntervalMs = 10_000
 )
 
-// Operators is the content of the operators' file: further protocols, each of which is off
+// OperatorSettings is the content of the operators' file: further protocols, each of which is off
 // while its address is empty, backpressure, and the log.
-type Operators struct {
+type OperatorSettings struct {
 	GRPCListen        string
 	GRPCCert, GRPCKey string // files of a certificate and its key, or ""
 	RetryTokenKeys    string // file of the keys of retry tokens, or ""
@@ -80,27 +80,27 @@
 	MaxClients      int           // clients remembered at most; 0: a number that fits a small host
 }
 
-// LoadOperators reads the operators' file. If there is none, it returns the defaults. Its
+// LoadOperatorSettings reads the operators' file. If there is none, it returns the defaults. Its
 // errors wrap ErrConfig.
-func LoadOperators(path string) (Operators, error) {
+func LoadOperatorSettings(path string) (OperatorSettings, error) {
 	if strings.HasSuffix(path, ".json") {
-		return Operators{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf",
+		return OperatorSettings{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf",
 			ErrConfig, path)
 	}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return ParseOperators(path, nil)
+		return ParseOperatorSettings(path, nil)
 	}
 	if err != nil {
-		return Operators{}, fmt.Errorf("%w: %w", ErrConfig, err)
+		return OperatorSettings{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	return ParseOperators(path, text)
+	return ParseOperatorSettings(path, text)
 }
 
-// ParseOperators parses the text of the operators' file. Its errors wrap ErrConfig and a
+// ParseOperatorSettings parses the text of the operators' file. Its errors wrap ErrConfig and a
 // *PositionError or a *SectionError.
-func ParseOperators(file string, text []byte) (Operators, error) {
-	o := Operators{
+func ParseOperatorSettings(file string, text []byte) (OperatorSettings, error) {
+	o := OperatorSettings{
 		Graphite: Metrics{Prefix: defaultPrefix, IntervalMs: defaultIntervalMs},
 		Collectd: Metrics{Prefix: defaultPrefix, IntervalMs: defaultIntervalMs},
 	}
@@ -112,13 +112,13 @@
 		err = o.validate(file)
 	}
 	if err != nil {
-		return Operators{}, fmt.Errorf("%w: %w", ErrConfig, err)
+		return OperatorSettings{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	return o, nil
 }
 
 // validate checks what several directives must say together.
-func (o *Operators) validate(file string) error {
+func (o *OperatorSettings) validate(file string) error {
 	if (o.GRPCCert == "") != (o.GRPCKey == "") {
 		return &SectionError{File: file, Section: "grpc", Want: "both cert and key, or neither"}
 	}
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -17,8 +17,8 @@
 func checkOperatorsErrors(t *testing.T, cases []operatorsErrorCase) {
 	t.Helper()
 	for _, test := range cases {
-		_, err := ParseOperators("x", []byte(test.text))
-		if !errors.Is(err, ErrConfig) || !errors.Is(err, ErrSettings) {
+		_, err := ParseOperatorSettings("x", []byte(test.text))
+		if !errors.Is(err, ErrConfig) || !errors.Is(err, ErrLineFile) {
 			t.Errorf("%q: %v wraps not both sentinels", test.text, err)
 			continue
 		}
@@ -32,12 +32,12 @@
 // parsed as written; each error is one line that names the place and what was expected.
 func TestOperatorsFile(t *testing.T) {
 	metrics := Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}
-	defaults := Operators{Graphite: metrics, Collectd: metrics}
+	defaults := OperatorSettings{Graphite: metrics, Collectd: metrics}
 	for _, path := range []string{
 		filepath.Join("..", "..", "deploy", "ravenhitch.conf"),
 		filepath.Join(t.TempDir(), "none.conf"),
 	} {
-		if o, err := LoadOperators(path); err != nil || !reflect.DeepEqual(o, defaults) {
+		if o, err := LoadOperatorSettings(path); err != nil || !reflect.DeepEqual(o, defaults) {
 			t.Errorf("%s: %+v, %v", path, o, err)
 		}
 	}
@@ -46,7 +46,7 @@
 		MinRetryAfter:   20 * time.Millisecond,
 		MaxClients:      2048,
 	}
-	o, err := ParseOperators("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n"+
+	o, err := ParseOperatorSettings("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n"+
 		"[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
 		"[collectd]\naddress /run/c.sock\nevery 500ms\n[storm]\nadvice 1s\nleast 20ms\ncallers 2048"))
 	if err != nil || o.GRPCListen != "127.0.0.1:7000" || o.Graphite.Prefix != "a.b" || o.Graphite.IntervalMs != 10_000 ||
@@ -78,7 +78,7 @@
 		{"[storm", "x:1:1: expected a section as [name]"},
 		{"[storm]\n\xff", "x:2:1: expected UTF-8"},
 	})
-	_, err = LoadOperators("deploy/edge.json")
+	_, err = LoadOperatorSettings("deploy/edge.json")
 	if !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
 		t.Errorf("edge.json: %v", err)
 	}
@@ -86,7 +86,7 @@
 
 // The level of the log and the suffixes of traced request IDs are parsed as written.
 func TestLogDirectives(t *testing.T) {
-	o, err := ParseOperators("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
+	o, err := ParseOperatorSettings("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
 	if err != nil || o.LogLevel != slog.LevelDebug || !reflect.DeepEqual(o.Trace, []string{"42ac8ba6", "160bf556"}) {
 		t.Errorf("got %+v, %v", o, err)
 	}
@@ -96,7 +96,7 @@
 // and each error names its place.
 func TestPartitionDirectives(t *testing.T) {
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
-	o, err := ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\n"+
+	o, err := ParseOperatorSettings("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\n"+
 		"region west z1 z2\nregion east z3\n"+
 		"[workers]\nkeepalive 4s\n"))
 	if err != nil || !o.Peers.Partition || o.Workers.Keepalive != 4*time.Second ||
@@ -104,7 +104,7 @@
 		!reflect.DeepEqual(o.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
 		t.Errorf("got %+v, %v", o, err)
 	}
-	o, err = ParseOperators("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
+	o, err = ParseOperatorSettings("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
 	if err != nil || o.Peers.Partition || o.Peers.Members[0].Zone != "" {
 		t.Errorf("got %+v, %v", o, err)
 	}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -38,7 +38,7 @@
 	cut := class("cut", placement.Unsafe)
 	cut.Weight, cut.ObjectiveUs, cut.DeadlineUs = 5, 6000*millisecond, 9000*millisecond
 	apart := class("apart", placement.Safe)
-	apart.Spread, apart.MaxPerDomain = placement.ScopeMachine, 1
+	apart.Spread, apart.MaxPerDomain = placement.ScopeWorker, 1
 	return placement.Settings{
 		FleetSize: 1, HasView: true, PollsDiscovery: true, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3, TickUs: 2000,
 		PollWithinUs: 10_000 * millisecond, AnswerSlackUs: 8 * millisecond, DrainGraceUs: drainLimit, SlowStartOffers: 50,
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -46,7 +46,7 @@
 
 // ParseKeys reads a file of keys: a section [keys], and in it a line "key NAME HEX" for each, the one that
 // signs new tokens first. To rotate, add the new key last at every orchestrator, then put it first at
-// every one, then drop the old one. The error wraps config.ErrSettings and says where in the file it is.
+// every one, then drop the old one. The error wraps config.ErrLineFile and says where in the file it is.
 func ParseKeys(file string, text []byte) (*Keys, error) {
 	sections, err := config.ParseLines(file, text)
 	if err != nil {
@@ -64,7 +64,7 @@
 		}
 	}
 	if len(keys.keys) == 0 {
-		return nil, fmt.Errorf("%w: %s: expected a section [keys] with at least one key", config.ErrSettings, file)
+		return nil, fmt.Errorf("%w: %s: expected a section [keys] with at least one key", config.ErrLineFile, file)
 	}
 	return keys, nil
 }
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -142,7 +142,7 @@
 		{"[keys]\n" + oldKey + oldKey, "k:3:5: expected a name that no other key has"},
 	} {
 		_, err := ParseKeys("k", []byte(test.text))
-		if !errors.Is(err, config.ErrSettings) || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "0708090a") {
+		if !errors.Is(err, config.ErrLineFile) || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "0708090a") {
 			t.Errorf("%q: %v", test.text, err)
 		}
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -22,7 +22,7 @@
 	scopes = map[string]placement.Scope{
 		"":        placement.ScopeNone,
 		"none":    placement.ScopeNone,
-		"machine": placement.ScopeMachine,
+		"machine": placement.ScopeWorker,
 		"cell":    placement.ScopeCell,
 		"zone":    placement.ScopeZone,
 		"all":     placement.ScopeAll,
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -20,7 +20,7 @@
 			{Name: "cell", Effect: Keyed, Group: ScopeCell, WindowUs: 3000 * ms, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
 			{Name: "zone", Effect: Keyed, Group: ScopeZone, WindowUs: 3000 * ms, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
 			{Name: "unsafe", Effect: Unsafe, Weight: 1, Kind: -1, SaturationLoad: .8, SaturationRange: .2},
-			{Name: "apartMachine", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeMachine, MaxPerDomain: 1, SaturationLoad: .8, SaturationRange: .2},
+			{Name: "apartMachine", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeWorker, MaxPerDomain: 1, SaturationLoad: .8, SaturationRange: .2},
 			{Name: "apartCell", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeCell, MaxPerDomain: 2, SaturationLoad: .8, SaturationRange: .2},
 			{Name: "apartZone", Effect: Safe, Weight: 1, Kind: -1, Spread: ScopeZone, MaxPerDomain: 1, SaturationLoad: .8, SaturationRange: .2},
 			{Name: "large", Effect: Safe, ObjectiveUs: 4000 * ms, Weight: 3, Kind: 1, SaturationLoad: .8, SaturationRange: .2},
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -167,7 +167,7 @@
 
 func (r *reference) sameDomain(a, b *workerInfo, scope Scope) bool {
 	switch scope {
-	case ScopeMachine:
+	case ScopeWorker:
 		return a == b
 	case ScopeCell:
 		return a.everListed && b.everListed && a.Cell == b.Cell
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -20,7 +20,7 @@
 // The scopes.
 const (
 	ScopeNone Scope = iota
-	ScopeMachine
+	ScopeWorker
 	ScopeCell
 	ScopeZone
 	ScopeAll
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -52,7 +52,7 @@
 	counts := s.countsOf(task.Program)
 	count := 1 + counts.unknownDomain
 	switch class.Spread {
-	case ScopeMachine:
+	case ScopeWorker:
 		if resident := worker.residentPrograms[task.Program]; resident != nil && worker.everListed {
 			count += resident.active
 		}
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -145,7 +145,7 @@
 // sameDomain reports whether two workers are known to be in one domain of a scope.
 func sameDomain(a, b *workerInfo, scope Scope) bool {
 	switch scope {
-	case ScopeMachine:
+	case ScopeWorker:
 		return a == b
 	case ScopeCell:
 		return a.everListed && b.everListed && a.Cell == b.Cell
