--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -1,11 +1,13 @@
 package membership
 
-// This file owns what is done about members that are dead or have left: they are pinged now and then, and
-// forgotten once there are too many.
+// This file handles members that are dead or have left. Dead members are pinged periodically, and dead and
+// departed ones are removed from the table when there are too many.
 
 import "slices"
 
-// pingDead pings one of the dead: a partition that heals would never show otherwise.
+// pingDead pings one member that is dead, or one peer of the settings that is not in the table. Without these
+// pings, the end of a partition would never be detected. It also removes one dead or departed member if there are
+// more than maxDeadMembers.
 func (t *Table) pingDead() {
 	var dead []string
 	for _, name := range t.names {
@@ -26,8 +28,8 @@
 	}
 }
 
-// forgetDead removes the dead or departed member that was last alive the longest time ago: one that fell
-// silent lately may only be partitioned off, and must be pinged to be found again.
+// forgetDead removes the dead or departed member that was last known to be alive the longest time ago. A member
+// that became silent recently may only be partitioned off, and must be pinged to be found again.
 func (t *Table) forgetDead() {
 	oldest := -1
 	for i, name := range t.names {
--- a/internal/membership/dead_test.go
+++ b/internal/membership/dead_test.go
@@ -22,7 +22,7 @@
 	h.suspectB()
 	h.run(h.now + 20*second)
 	if m := h.members["b"]; h.diedAt == 0 || m == nil || m.State != Dead {
-		t.Errorf("b died at %s and is remembered as %+v", inMilliseconds(h.diedAt), m)
+		t.Errorf("b died at %s and is remembered as %+v", formatMilliseconds(h.diedAt), m)
 	}
 	if dead := len(h.names) - h.liveCount; dead != maxDeadMembers {
 		t.Errorf("expected %d dead and departed members to be remembered, got %d", maxDeadMembers, dead)
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file owns the digests of the table: members fall into buckets by a hash of their names, and a ping
-// carries a digest of each bucket, so that the answer need only carry what differs. Names, nonces and
-// incarnations are digested; suspicions are not.
+// This file computes the digests of the table. A hash of its name assigns each member to a bucket, and a ping
+// carries a digest of each bucket, so the answer carries only members of buckets that differ. A digest covers the
+// names, nonces and incarnations of members that are alive or suspected. It does not cover suspicions.
 
 import (
 	"encoding/binary"
@@ -10,16 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digestBucket is where a name falls.
+// digestBucket returns the bucket of a name.
 func digestBucket(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
 
-// toggleDigest puts a member into the digest of its bucket, or takes it out again.
+// toggleDigest adds a member to the digest of its bucket, or removes it if the digest contains it.
 func (t *Table) toggleDigest(u *Update) {
 	h := fingerprint(u)
 	t.digests[digestBucket(u.Name)] ^= uint32(h ^ h>>32)
 }
 
-// differingBuckets are the buckets, a bit each, in which the table of a ping's sender differs.
+// differingBuckets returns a bit mask of the buckets in which the table of a ping's sender differs.
 func (t *Table) differingBuckets(ping *Message) (buckets uint32) {
 	for i, digest := range ping.Digests {
 		if i < DigestBuckets && digest != t.digests[i] {
@@ -29,8 +29,8 @@
 	return buckets
 }
 
-// fingerprint is what a member adds to a digest: two tables of the same members, nonces and incarnations have
-// the same digests, in whatever order they learned of them.
+// fingerprint returns the contribution of a member to a digest, 0 if the member is dead or has left. Two tables
+// with the same members, nonces and incarnations have the same digests, whatever the order of their updates.
 func fingerprint(u *Update) uint64 {
 	if u.State > Suspect {
 		return 0
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file owns what the table reports: events, and the evidence for them. Their texts go to operators, in
+// This file defines the events that the table reports and the evidence for them. Operators read their texts in
 // the log and the status report.
 
 import (
@@ -9,31 +9,31 @@
 	"strings"
 )
 
-// EventKind is what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The events.
+// The kinds of events.
 const (
-	Joined EventKind = iota
+	Joined EventKind = iota // a member, or the local member itself, joined the cluster
 	Suspected
 	Refuted
 	Died
 	LeftCluster
-	Rejoined
+	Rejoined     // a member is back with another nonce, or after its death or departure
 	PathDegraded // one direction of a path is down
 	PathRecovered
-	Stalled // the local process did not run for a while
-	NameConflict
+	Stalled      // the local process did not run for a while
+	NameConflict // another process owns the local name
 	ViewChanged
 )
 
-// String is the event as the log has it.
+// String returns the name of the event kind in the log.
 func (k EventKind) String() string {
 	return [...]string{"joined", "suspected", "refuted", "dead", "left", "back", "one way", "carries again",
 		"doubts itself", "name in use", "view"}[k]
 }
 
-// removalEvent is the event of a member that is dead or has left.
+// removalEvent returns the kind of the event that reports a dead or departed member.
 func removalEvent(s State) EventKind {
 	if s == Left {
 		return LeftCluster
@@ -41,14 +41,15 @@
 	return Died
 }
 
-// Event is something that changed, and on what evidence.
+// Event is a change in the cluster and the evidence for it.
 type Event struct {
 	Kind       EventKind
 	Name, Zone string
-	Nonce      uint64 // incarnation nonce of the process that it concerns, else the local one
+	Nonce      uint64 // incarnation nonce of the named member, or the local one if the table has no such member
 	Evidence   string
 }
 
+// report queues an event for the next call of Events.
 func (t *Table) report(kind EventKind, name, zone, evidence string) {
 	nonce := t.Self.Nonce
 	if m := t.members[name]; m != nil {
@@ -57,16 +58,17 @@
 	t.events = append(t.events, Event{kind, name, zone, nonce, evidence})
 }
 
-// Events returns what happened since the last call.
+// Events returns the events since the previous call.
 func (t *Table) Events() []Event {
 	events := t.events
 	t.events = nil
 	return events
 }
 
-func inMilliseconds(us int64) string { return fmt.Sprintf("%d ms", us/millisecond) }
+func formatMilliseconds(us int64) string { return fmt.Sprintf("%d ms", us/millisecond) }
 
-// evidence says who cannot reach a member, zone by zone, and whether anybody can.
+// evidence describes how many members of each zone cannot reach a member, how many found that no process
+// listens at its address, and whether the local member reached it since the suspicion began.
 func (t *Table) evidence(m *member) string {
 	confirmations := map[string]int{}
 	var zones []string
@@ -92,7 +94,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// zoneSizes counts the members of each zone, without one of them.
+// zoneSizes returns the number of members of each zone that have not died or left, excluding one member.
 func (t *Table) zoneSizes(without *member) map[string]int {
 	sizes := map[string]int{t.Self.Zone: 1}
 	for _, name := range t.names {
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -7,11 +7,11 @@
 	name   string
 	size   int
 	faults []fault
-	play   func(t *testing.T, c *cluster)
+	run    func(t *testing.T, c *cluster)
 }
 
-// maxSuspicions runs the cluster for a minute, and asserts how often the member 2 may suspect others.
-func maxSuspicions(limit int) func(t *testing.T, c *cluster) {
+// assertMaxSuspicions runs the cluster for a minute, and asserts how often the member 2 may suspect others.
+func assertMaxSuspicions(limit int) func(t *testing.T, c *cluster) {
 	return func(t *testing.T, c *cluster) {
 		t.Helper()
 		c.run(60 * second)
@@ -26,7 +26,7 @@
 		name:   "paused 10 s, it declares nobody dead when it wakes",
 		size:   7,
 		faults: []fault{{kind: faultPause, target: 2, start: 6 * second, end: 16 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(20 * second)
 			if process := c.members[2]; process.eventCounts[Died] > 0 || process.eventCounts[Stalled] == 0 {
 				t.Errorf("expected a stall and no death, got %v", process.eventCounts)
@@ -37,7 +37,7 @@
 		name:   "30% loss kills nobody",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: -1, probability: 0.3, start: 5 * second, end: 60 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
 			before := c.members[0].View().Number
 			c.run(60 * second)
@@ -51,34 +51,34 @@
 		name:   "no datagram passes to or from one that answers handshakes",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 3, probability: 1, start: 5 * second, end: 30 * second}},
-		play:   func(_ *testing.T, c *cluster) { c.run(30 * second) },
+		run:    func(_ *testing.T, c *cluster) { c.run(30 * second) },
 	},
 	{
 		name:   "a path that refuses connections: nobody is suspected whom others reach",
 		size:   7,
 		faults: []fault{{kind: faultRefuse, target: 2, other: 3, start: 5 * second, end: 60 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.delay = 15 * millisecond // the relays' answers come long after the refusal
-			maxSuspicions(0)(t, c)
+			assertMaxSuspicions(0)(t, c)
 		},
 	},
 	{
 		name:   "a zone that is reached by one member of another zone only",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
-		play:   maxSuspicions(100), // 569 before the last relay to get through was asked first
+		run:    assertMaxSuspicions(100), // 569 before the last relay to get through was asked first
 	},
 	{
 		name:   "a zone that is reached by one of its own members only",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
-		play:   maxSuspicions(15), // 27 before the relay whose datagram came last was asked
+		run:    assertMaxSuspicions(15), // 27 before the relay whose datagram came last was asked
 	},
 	{
 		name:   "a path that works in one direction only is found",
 		size:   16,
 		faults: []fault{{kind: faultOneWay, target: 3, other: 8, start: 5 * second, end: 60 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(14 * second)
 			if len(c.oneWayFound) == 0 {
 				t.Error("not found within 9 s")
@@ -88,7 +88,7 @@
 	{
 		name: "a quarter of a large cluster is cut off and comes back: nobody is declared dead by late updates",
 		size: 3,
-		play: func(_ *testing.T, c *cluster) {
+		run: func(_ *testing.T, c *cluster) {
 			faults, _ := drawFaults(100, 50)
 			large := newCluster(100, 50, faults)
 			large.run(16 * second)
@@ -99,23 +99,23 @@
 		name:   "one whose own paths are bad suspects others less and less",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 2, probability: 0.6, start: 5 * second, end: 60 * second}},
-		play:   maxSuspicions(50), // it was 74 before there was a local health score
+		run:    assertMaxSuspicions(50), // it was 74 before there was a local health score
 	},
 	{
 		name: "a second process under a name stays outside, and takes it over from the dead",
 		size: 7,
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
 			first := c.members[3].Self.Nonce
 			intruder := c.startIntruder(3)
 			c.run(12 * second)
-			inIntruder, inFirst := c.believers("n3", intruder.Self.Nonce), c.believers("n3", first)
+			inIntruder, inFirst := c.listedBy("n3", intruder.Self.Nonce), c.listedBy("n3", first)
 			if intruder.eventCounts[NameConflict] != 1 || !intruder.joining || inIntruder > 0 || inFirst != 6 {
 				t.Errorf("%v; %d believe in it, %d in the first", intruder.eventCounts, inIntruder, inFirst)
 			}
 			c.startFault(fault{kind: faultKill, target: 3})
 			c.run(c.now + 6*second)
-			if count := c.believers("n3", intruder.Self.Nonce); count != 6 {
+			if count := c.listedBy("n3", intruder.Self.Nonce); count != 6 {
 				t.Errorf("%d believe in it once the first is dead", count)
 			}
 		},
@@ -123,12 +123,12 @@
 	{
 		name: "a name at the same address is taken over at once",
 		size: 7,
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
 			c.startFault(fault{kind: faultRestart, target: 3, end: 5*second + 10*millisecond})
 			c.run(7 * second)
-			if process := c.members[3]; c.believers("n3", process.Self.Nonce) != 6 || process.eventCounts[NameConflict] > 0 {
-				t.Errorf("%d believe in it: %v", c.believers("n3", process.Self.Nonce), process.eventCounts)
+			if process := c.members[3]; c.listedBy("n3", process.Self.Nonce) != 6 || process.eventCounts[NameConflict] > 0 {
+				t.Errorf("%d believe in it: %v", c.listedBy("n3", process.Self.Nonce), process.eventCounts)
 			}
 		},
 	},
@@ -136,11 +136,11 @@
 		name:   "two that took one name in two halves: one is left",
 		size:   6,
 		faults: []fault{{kind: faultCut, target: 0, other: -1, start: 0, end: 8 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(3 * second) // n5 is of zone-1, and whoever takes its name of zone-0
 			intruder := c.startIntruder(5)
 			c.run(20 * second)
-			first, second := c.believers("n5", c.members[5].Self.Nonce), c.believers("n5", intruder.Self.Nonce)
+			first, second := c.listedBy("n5", c.members[5].Self.Nonce), c.listedBy("n5", intruder.Self.Nonce)
 			conflicts := c.members[5].eventCounts[NameConflict] + intruder.eventCounts[NameConflict]
 			if (first == 0) == (second == 0) || conflicts != 1 {
 				t.Errorf("%d believe in the one, %d in the other; %d found the conflict", first, second, conflicts)
@@ -151,7 +151,7 @@
 		name:   "a cut that heals: nobody is declared dead by what others missed",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 2, other: -1, start: 6 * second, end: 12 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(20 * second)
 			if difference := c.disagreement(); difference != "" {
 				t.Error(difference)
@@ -162,7 +162,7 @@
 		name:   "one that leaves is not suspected",
 		size:   7,
 		faults: []fault{{kind: faultLeave, target: 3, start: 6 * second, end: 7 * second}},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(12 * second)
 			for i, process := range c.members {
 				if i != 3 && (process.eventCounts[LeftCluster] != 1 || process.eventCounts[Died] > 0) {
@@ -181,7 +181,7 @@
 			{kind: faultKill, target: 2, start: 6 * second},
 			{kind: faultKill, target: 6, start: 6 * second},
 		},
-		play: func(t *testing.T, c *cluster) {
+		run: func(t *testing.T, c *cluster) {
 			c.run(6 * second)
 			before := c.members[0].View().Number
 			c.run(12 * second)
@@ -197,7 +197,7 @@
 	for _, fc := range faultCases {
 		t.Run(fc.name, func(t *testing.T) {
 			c := newCluster(fc.size, 11, fc.faults)
-			fc.play(t, c)
+			fc.run(t, c)
 			if len(c.violations) > 0 {
 				t.Error(c.violations[0])
 			}
--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -20,9 +20,9 @@
 		before := cluster.bytes
 		cluster.run(formedAt + 20*second)
 		rate := float64(cluster.bytes-before) / 10 / float64(c.size)
-		t.Logf("%d members: formed after %s, then %.0f bytes a second and member", c.size, inMilliseconds(formedAt), rate)
+		t.Logf("%d members: formed after %s, then %.0f bytes a second and member", c.size, formatMilliseconds(formedAt), rate)
 		if intervals > c.maxIntervals || rate > c.maxBytesRate {
-			t.Errorf("%d members: formed after %s, then %.0f bytes a second and member", c.size, inMilliseconds(formedAt), rate)
+			t.Errorf("%d members: formed after %s, then %.0f bytes a second and member", c.size, formatMilliseconds(formedAt), rate)
 		}
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,32 +1,33 @@
 package membership
 
-// This file owns dissemination: each message carries the updates that are still new to the cluster, each as
-// often as a cluster of its size needs, and pages of the table to a member whose digests differ.
+// This file disseminates updates. Each message carries recent updates; an update is sent a number of times that
+// depends on the size of the cluster. An answer to a member whose digests differ also carries a page of the table.
 
 import (
 	"math/bits"
 	"slices"
 )
 
-// broadcast is an update that waits to be passed on.
+// broadcast is the queued dissemination of a member's update.
 type broadcast struct {
-	name      string
-	transmits int
+	name      string // of the member
+	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
 }
 
-// minUpdateSize is below which free space in a datagram no further member of a page is tried.
+// minUpdateSize is the free space in bytes at or below which no further member of a page is added to a datagram.
 const minUpdateSize = 64
 
-// disseminate has what is now believed of a member passed on.
+// disseminate queues the current update of a member for dissemination, and replaces a queued one.
 func (t *Table) disseminate(name string) {
 	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(b *broadcast) bool { return b.name == name })
 	t.broadcasts = append(t.broadcasts, &broadcast{name: name})
 }
 
-// transmitLimit is how often an update is passed on.
+// transmitLimit returns the number of times that an update is sent.
 func (t *Table) transmitLimit() int { return 2 * bits.Len(uint(len(t.names)+1)) }
 
-// updateOf is the update of a member; false where there is none to pass on.
+// updateOf returns the update of a member to send, with at most MaxConfirmations confirmations. It returns false
+// if the member is unknown, or is the local member and its name is not admitted.
 func (t *Table) updateOf(name string) (Update, bool) {
 	if name == t.Self.Name {
 		return t.Self, t.admitted()
@@ -42,15 +43,16 @@
 	return u, true
 }
 
-// sendToMember sends a message to a member, if its address is known.
+// sendToMember sends a message to a member. It does nothing if the member's address is unknown.
 func (t *Table) sendToMember(to string, m Message) {
 	if address := t.addressOf(to); address != "" {
 		t.sendToAddress(address, to, m, 0)
 	}
 }
 
-// sendToAddress sends a message, filled up with updates: first the one of the receiver itself, which only it
-// can refute. In buckets are the digest buckets in which the receiver's table differs, as far as is known.
+// sendToAddress adds updates to a message and sends it. The receiver's own update comes first, because only the
+// receiver can refute it. The bits of buckets are the digest buckets in which the receiver's table is known to
+// differ.
 func (t *Table) sendToAddress(address, to string, m Message, buckets uint32) {
 	m.To, m.Sender, m.Joining = to, t.Self, !t.admitted()
 	if m.Kind == Ping {
@@ -67,17 +69,19 @@
 	t.actions = append(t.actions, Send{Addr: address, Message: p.message})
 }
 
-// packBroadcasts adds the broadcasts that were passed on least, and drops those that were often enough.
+// packBroadcasts adds the updates that were sent the fewest times, and drops those that reached the transmit limit.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
-	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping were the same
-	pageSpace := 0                                  // bytes: the broadcasts of an entire zone would leave the page none
+	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping matched
+	// pageSpace is the space in bytes that is reserved for the page, because the broadcasts of an entire zone
+	// would fill the datagram.
+	pageSpace := 0
 	if buckets != 0 {
 		pageSpace = p.free / 2
 	}
 	for i := 0; i < len(t.broadcasts) && p.free > pageSpace; i++ {
 		b := t.broadcasts[i]
 		if m := t.members[b.name]; inSync && m != nil && m.State == Alive {
-			b.transmits++ // the receiver has it
+			b.transmits++ // the receiver already has the update
 		} else if p.add(b.name) {
 			b.transmits++
 		}
@@ -89,7 +93,7 @@
 	slices.SortStableFunc(t.broadcasts, func(a, b *broadcast) int { return a.transmits - b.transmits })
 }
 
-// packPage adds the next members of the buckets that differ.
+// packPage adds updates of the next members of the differing buckets, until the datagram is full.
 func (t *Table) packPage(p *packer, buckets uint32) {
 	for n := 0; n < len(t.names) && p.free > minUpdateSize; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
@@ -100,14 +104,15 @@
 	}
 }
 
-// packer fills a message with updates.
+// packer adds updates to a message.
 type packer struct {
 	table   *Table
 	message Message
-	free    int // bytes
+	free    int // free space in bytes
 }
 
-// add adds the update of a member, once; false where it has no space or is not to be passed on.
+// add adds the update of a member and reports whether it did. It adds nothing if the update does not fit, is in
+// the message already or must not be sent.
 func (p *packer) add(name string) bool {
 	u, ok := p.table.updateOf(name)
 	packed := slices.ContainsFunc(p.message.Updates, func(other Update) bool { return other.Name == name })
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -1,17 +1,18 @@
 package membership
 
-// This file owns Lifeguard's local health: how far the local member distrusts its own observations. It
-// stretches the timeouts, and silence that a stall explains raises no suspicion.
+// This file implements Lifeguard's local health score, which measures how unreliable the local member's own
+// observations are. A higher score lengthens the timeouts. In addition, silence that a stall of the local process
+// explains raises no suspicion.
 
-// HealthScore is the local health score: 0 is healthy, 8 the worst.
+// HealthScore returns the local health score, from 0 (healthy) to 8 (worst).
 func (t *Table) HealthScore() int { return t.healthScore }
 
-// healthMultiplier is the local health multiplier of the probes' timeouts.
+// healthMultiplier returns the factor by which the local health score lengthens the timeouts of probes.
 func (t *Table) healthMultiplier() int64 { return int64(1 + t.healthScore) }
 
-// stretchSuspicion lengthens the timeout of a suspicion by half of it for each point of the score. It stops at
-// twice the timeout, so that a member that is alone with its observations declares a death all the same.
-func (t *Table) stretchSuspicion(timeout int64) int64 {
+// scaleSuspicionTimeout lengthens the timeout of a suspicion by half of its value for each point of the local health
+// score. It returns at most twice the timeout, so that a member that no other member confirms still declares deaths.
+func (t *Table) scaleSuspicionTimeout(timeout int64) int64 {
 	halves := int64(2 + min(2, t.healthScore))
 	return timeout * halves / 2
 }
@@ -20,8 +21,8 @@
 
 func (t *Table) degradeHealth() { t.healthScore = min(maxHealthScore, t.healthScore+1) }
 
-// recordStall takes it that the local process did not run for a while: what it did not receive meanwhile
-// says nothing of others.
+// recordStall records that the local process did not run for some time. Messages that it did not receive during
+// that time are no evidence against other members, so all suspicions restart and a grace period begins.
 func (t *Table) recordStall(sinceLastTick int64) {
 	t.gracePeriodEnd = t.now + stallGracePeriod
 	for _, name := range t.suspects {
@@ -29,5 +30,5 @@
 			m.suspectedAt = t.now
 		}
 	}
-	t.report(Stalled, t.Self.Name, t.Self.Zone, "held up for "+inMilliseconds(sinceLastTick))
+	t.report(Stalled, t.Self.Name, t.Self.Zone, "held up for "+formatMilliseconds(sinceLastTick))
 }
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -1,18 +1,18 @@
 package membership
 
-// This file owns indirect probes, on both sides: who is asked to ping a member that does not answer, and
-// what is pinged here on behalf of others.
+// This file implements both sides of indirect probes: asking relays to ping a member that does not answer, and
+// relaying pings on behalf of other members.
 
 import "slices"
 
 // relayedProbe is a ping on behalf of another member.
 type relayedProbe struct {
 	requester, target         string
-	requestSequence, sequence uint64 // of the requester's ping request; of the ping that serves it
-	deadline                  int64
+	requestSequence, sequence uint64 // sequence numbers of the requester's ping request and of the relayed ping
+	deadline                  int64  // time at which the missing ack is reported to the requester
 }
 
-// probeIndirectly asks other members to ping one that did not answer, and for a handshake with it.
+// probeIndirectly asks relays to ping a member that did not answer, and requests a handshake probe of the member.
 func (t *Table) probeIndirectly(p *probe, m *member) {
 	p.indirectAt, p.handshakeStarted = t.now, true
 	for _, relay := range t.chooseRelays(m) {
@@ -21,7 +21,7 @@
 	t.actions = append(t.actions, HandshakeProbe{Name: m.Name, Addr: t.addressOf(m.Name)})
 }
 
-// The groups that relays are drawn from, in this order.
+// The groups from which relays are drawn, in this order, by the zone of the relay.
 const (
 	targetZone = iota
 	localZone
@@ -29,11 +29,12 @@
 	relayGroups
 )
 
-// chooseRelays draws who is asked to ping a member: one of its zone, one of the local zone, one of any
-// other, so that a path through a third zone is found where there is one.
+// chooseRelays draws the relays that are asked to ping a member: one from the member's zone, one from the local
+// zone and one from the other zones, so that a path through a third zone is found if one exists. If a group is
+// empty, the other groups supply more relays.
 func (t *Table) chooseRelays(m *member) (relays []string) {
 	groups := t.relayCandidates(m)
-	// Who last got through to that zone may be the only one who does.
+	// The last relay that reached the member's zone comes first, because it may be the only one that can.
 	if last := t.members[t.lastRelays[m.Zone]]; last != nil && last != m && last.State == Alive {
 		relays = append(relays, last.Name)
 		for i := range groups {
@@ -58,7 +59,7 @@
 	}
 }
 
-// relayCandidates are the members that may be asked to ping one, by group.
+// relayCandidates returns, by group, the alive members that may be asked to ping a member.
 func (t *Table) relayCandidates(m *member) (groups [relayGroups][]string) {
 	for _, name := range t.names {
 		candidate := t.members[name]
@@ -77,8 +78,8 @@
 	return groups
 }
 
-// drawRelay draws a relay, by its index. Of the target's zone it is the one whose datagram came last: it may
-// be all that a partition left.
+// drawRelay draws a relay and returns its index. In the target's zone it selects the candidate from which the last
+// datagram arrived, because in a partition that may be the only one that is still reachable.
 func (t *Table) drawRelay(candidates []string, group int) int {
 	drawn := t.rng.IntN(len(candidates))
 	if group != targetZone {
@@ -92,7 +93,8 @@
 	return drawn
 }
 
-// receivePingRequest pings a member on behalf of another.
+// receivePingRequest pings the target on behalf of the sender. It ignores the request if the target is unknown, dead
+// or departed, or if too many relayed probes are in flight.
 func (t *Table) receivePingRequest(m *Message) {
 	target := t.members[m.Target]
 	if target == nil || target.State >= Dead || len(t.relayedProbes) >= maxRelayedProbes {
@@ -114,7 +116,7 @@
 	})
 }
 
-// answerRelayedProbe tells the requester that the target acked the ping on its behalf.
+// answerRelayedProbe reports to the requester that the target acked the relayed ping.
 func (t *Table) answerRelayedProbe(ack *Message) {
 	i := slices.IndexFunc(t.relayedProbes, func(r *relayedProbe) bool {
 		return r.sequence == ack.Sequence && r.target == ack.Sender.Name
@@ -133,7 +135,7 @@
 	})
 }
 
-// expireRelayedProbes tells the requesters which targets did not ack in time.
+// expireRelayedProbes reports to the requesters the targets that did not ack in time.
 func (t *Table) expireRelayedProbes() {
 	for _, relayed := range t.relayedProbes {
 		if t.now >= relayed.deadline {
@@ -147,7 +149,7 @@
 	t.relayedProbes = slices.DeleteFunc(t.relayedProbes, func(r *relayedProbe) bool { return t.now >= r.deadline })
 }
 
-// receivePingRequestResult takes what a relay found.
+// receivePingRequestResult records the result of a ping that a relay sent for a local probe.
 func (t *Table) receivePingRequestResult(m *Message) {
 	for _, p := range t.probes {
 		if p.sequence != m.Sequence || p.name != m.Target {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,22 +1,22 @@
 // Package membership is the membership table and failure detector of one orchestrator, after SWIM
-// (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2017). It owns
-// what the local member believes of the others: who is a member, alive, suspected, dead, gone on purpose,
-// or back as another incarnation; which direct paths between them work; and the stable view that the rest
-// of the program may build on.
+// (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2017). It maintains
+// the local member's records of the other members: the state of each (alive, suspected, dead, or left
+// intentionally), its incarnation, and whether the direct path to it works. From these records it derives the
+// stable view of the cluster that the rest of the program uses.
 //
-// It is pure: no socket, no clock, no goroutine. Time is passed in, in microseconds, and is the local
-// member's alone: no other member's time is ever read, so a clock that was set wrong does no harm. All
-// random draws come from one seed. What the table wants done it returns as acts; their results are handed
+// The package uses no sockets, clocks or goroutines. The caller passes the current time in microseconds. Only
+// the local member's time is used, so a wrong clock on another member does no harm. All random draws come from
+// one seed. Methods return the operations to perform as a list of [Action] values; the caller hands the results
 // to [Table.Receive] and [Table.HandshakeProbed].
 //
-// It must never declare a member dead on the word of one that cannot reach it while the local member can,
-// nor for a silence that the local member may have caused itself.
+// Invariants: the table never declares a member dead because of reports from members that cannot reach it while
+// the local member can, nor because of silence that a stall of the local process may have caused.
 package membership
 
-// State is what is believed of a member.
+// State is the state of a member.
 type State uint8
 
-// The states, in the order in which one overrides another of the same incarnation.
+// The states of a member. For the same incarnation, a later state in this list overrides an earlier one.
 const (
 	Alive State = iota
 	Suspect
@@ -24,29 +24,29 @@
 	Left
 )
 
-// String is the state as the status report and the log have it.
+// String returns the name of the state in the status report and the log.
 func (s State) String() string { return [...]string{"alive", "suspected", "dead", "left"}[s&3] }
 
-// Confirmation confirms a suspicion: one more member that cannot reach the suspect.
+// Confirmation records that a member cannot reach the suspect of a suspicion.
 type Confirmation struct {
-	Name, Zone string
-	Refused    bool // the suspect's host refused the connection: no process listens there
+	Name, Zone string // of the member that cannot reach the suspect
+	Refused    bool   // whether the suspect's host refused the connection: no process listens there
 }
 
 // Update is a gossip update: the state of one member at one incarnation.
 type Update struct {
 	Name, Zone, Addr string
-	// Nonce is the incarnation nonce: it is drawn anew at each start of a process, and tells two processes
-	// under one name apart.
+	// Nonce is the incarnation nonce. Each process draws one when it starts, which distinguishes two processes
+	// that use the same name.
 	Nonce uint64
-	// Incarnation grows at each start, and whenever a member refutes a suspicion.
+	// Incarnation increases at each start of the process and each time the member refutes a suspicion.
 	Incarnation   uint64
 	State         State
-	Confirmations []Confirmation // of a suspicion
+	Confirmations []Confirmation // confirmations of the suspicion
 }
 
-// overrides reports whether the update is of a later incarnation of the member than another, or of the
-// process with the greater nonce where two claim the same incarnation.
+// overrides reports whether the update has a higher incarnation than the other update of the same member. If
+// the incarnations are equal, the update with the greater nonce overrides the other.
 func (u *Update) overrides(other *Update) bool {
 	return u.Incarnation > other.Incarnation || u.Incarnation == other.Incarnation && u.Nonce > other.Nonce
 }
@@ -54,10 +54,10 @@
 // Peer is a member named in the settings.
 type Peer struct{ Name, Addr string }
 
-// Config is what a table begins with.
+// Config is the initial configuration of a table.
 type Config struct {
 	Self  Update
-	Peers []Peer // who may be pinged first; their addresses take precedence over those in updates
+	Peers []Peer // pinged to join the cluster; their addresses take precedence over those in updates
 	Seed  uint64
 	Timing
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,50 +1,53 @@
 package membership
 
-// This file owns what members send to each other, and how large it may be.
+// This file defines the messages between members and their size limits.
 
-// Kind is what a message is.
+// Kind is the kind of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	Ping              Kind = 1 + iota
-	Ack                    // answers a Ping
+	Ack                    // the answer to a Ping
 	PingRequest            // asks a relay to ping Target
-	PingRequestResult      // answers a PingRequest
+	PingRequestResult      // the answer to a PingRequest
 )
 
-// Message is one datagram.
+// Message is the content of one datagram.
 type Message struct {
 	Kind     Kind
-	To       string // the name of the receiver
-	Sender   Update // as it is
-	Joining  bool   // the sender's name is not agreed yet
-	Sequence uint64 // of the Ping or the PingRequest, repeated in the answer
-	Target   string // of a PingRequest, repeated in the answer
-	// OnBehalfOf and OnBehalfOfSequence name, in a relay's Ping, the member whose probe it serves.
+	To       string // name of the receiver
+	Sender   Update // the sender's own update
+	Joining  bool   // whether the sender has not joined yet or another process owns its name
+	Sequence uint64 // sequence number of the Ping or the PingRequest, repeated in the answer
+	Target   string // name of the member to ping, in a PingRequest and its answer
+	// OnBehalfOf and OnBehalfOfSequence identify, in a Ping from a relay and its Ack, the member that requested
+	// the Ping and the sequence number of that member's own Ping.
 	OnBehalfOf         string
 	OnBehalfOfSequence uint64
-	// DirectPingReceived says, in the answer to such a Ping, that the Ping of that member's own probe arrived.
+	// DirectPingReceived is true, in the Ack of a Ping from a relay and in a PingRequestResult, if the requesting
+	// member's own Ping reached the target.
 	DirectPingReceived bool
-	Reached            bool // PingRequestResult: Target answered
-	// Digests are, in a Ping, of the sender's table, by bucket: the answer carries only members of the
-	// buckets that differ.
+	Reached            bool // in a PingRequestResult: whether Target answered
+	// Digests holds, in a Ping, the digests of the sender's table by bucket. The answer carries pages of the table
+	// only from buckets whose digests differ.
 	Digests []uint32
 	Updates []Update
 }
 
 const (
-	// MaxDatagramSize is in bytes: a datagram passes any usual network without fragmentation.
+	// MaxDatagramSize is the maximum size of a datagram in bytes. Datagrams of this size pass through common
+	// networks without fragmentation.
 	MaxDatagramSize = 1200
-	// DigestBuckets is how many digests a Ping has.
+	// DigestBuckets is the number of digests in a Ping.
 	DigestBuckets = 16
-	// MaxNameLength bounds names, zones and addresses, in bytes.
+	// MaxNameLength is the maximum length of a name, a zone or an address in bytes.
 	MaxNameLength = 64
-	// MaxConfirmations bounds the confirmations of a suspicion in a message.
+	// MaxConfirmations is the maximum number of confirmations of a suspicion in a message.
 	MaxConfirmations = 4
 )
 
-// size is no less than what the update takes in a datagram, in bytes.
+// size returns an upper bound of the encoded size of the update in bytes.
 func (u *Update) size() int {
 	n := 2 + 2 + len(u.Name) + 2 + len(u.Zone) + 2 + len(u.Addr) + 10 + 11 + 2
 	for _, c := range u.Confirmations {
@@ -53,7 +56,7 @@
 	return n
 }
 
-// Size is no less than what the message takes, in bytes, without the cluster's name.
+// Size returns an upper bound of the encoded size of the message in bytes, excluding the cluster's name.
 func (m *Message) Size() int {
 	n := 48 + 4*len(m.Digests) + len(m.To) + len(m.Target) + len(m.OnBehalfOf) + m.Sender.size()
 	for i := range m.Updates {
--- a/internal/membership/path.go
+++ b/internal/membership/path.go
@@ -1,25 +1,25 @@
 package membership
 
-// This file owns what is known of the direct path to each member, by direction: whether what the local
-// member sends arrives, and whether what the other sends does.
+// This file tracks the direct path to each member by direction: outbound from the local member, and inbound to
+// it.
 
-// Path is what is known of the direct path to a member.
+// Path is the state of the direct path to a member.
 type Path uint8
 
 // The states of a path.
 const (
 	PathUp           Path = iota
-	PathOutboundDown      // what the local member sends does not arrive
-	PathInboundDown       // what the other sends does not
-	PathDown
+	PathOutboundDown      // datagrams from the local member do not arrive
+	PathInboundDown       // datagrams to the local member do not arrive
+	PathDown              // neither direction works
 )
 
-// String is the path as the status report has it.
+// String returns the name of the path's state in the status report.
 func (p Path) String() string { return [...]string{"both ways", "out shut", "in shut", "shut"}[p&3] }
 
 // pathDirection is one direction of a path.
 type pathDirection struct {
-	failureWeight int // of the probes in a row that found it failing
+	failureWeight int // total weight of the consecutive probes that found it failing
 	down          bool
 }
 
@@ -31,7 +31,7 @@
 	inbound
 )
 
-// directions are the direction that is named, and the opposite one.
+// directions returns the named direction of the path to a member, and the opposite one.
 func (m *member) directions(d direction) (named, opposite *pathDirection) {
 	if d == inbound {
 		return &m.inbound, &m.outbound
@@ -39,7 +39,8 @@
 	return &m.outbound, &m.inbound
 }
 
-// pathFailed takes it that a probe found a direction failing. The path is reported where only one is down.
+// pathFailed records that a probe found a direction failing. It reports the path when this direction goes down
+// while the opposite one is up.
 func (t *Table) pathFailed(m *member, d direction, handshakeTimedOut bool) {
 	failed, opposite := m.directions(d)
 	failed.failureWeight += 1 + (handshakeFailureWeight-1)*boolToInt(handshakeTimedOut)
@@ -57,7 +58,7 @@
 	t.report(PathDegraded, m.Name, m.Zone, evidence)
 }
 
-// pathWorks takes it that a datagram arrived in a direction.
+// pathWorks records that a datagram arrived in a direction of the path.
 func (t *Table) pathWorks(m *member, p *pathDirection) {
 	p.failureWeight = 0
 	if p.down {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,47 +1,49 @@
 package membership
 
-// This file owns the probes of the failure detector: one member after another, in random order, is pinged;
-// one that does not answer in time is probed indirectly and by a handshake; what a probe found is concluded
-// once. How the indirect part is done is in indirect.go.
+// This file implements the probes of the failure detector. It pings the members one after another in random order.
+// A member that does not answer in time is probed indirectly and by a handshake. Each probe has exactly one
+// conclusion. Indirect probes are implemented in indirect.go.
 
 import "slices"
 
-// probe is one probe of one member.
+// probe is the state of one probe of a member. Its times are in microseconds.
 type probe struct {
 	name               string
 	nonce, sequence    uint64
 	startedAt          int64
-	indirectAt         int64 // when the indirect probes were sent, 0 while they were not
-	acked              bool  // by the member itself
-	aliveIndirectly    bool  // a relay reached it, or it answered the handshake
+	indirectAt         int64 // time when the indirect probes were sent, 0 before that
+	acked              bool  // the member itself acked the direct ping
+	aliveIndirectly    bool  // a relay reached the member, or the member answered the handshake
 	reachedByRelay     bool
-	directPingReceived bool // the direct ping arrived, as a relay reported
-	unreachedByRelay   bool // a relay answered that it could not reach it
+	directPingReceived bool // a relay reported that the direct ping reached the member
+	unreachedByRelay   bool // a relay reported that it could not reach the member
 	handshakeStarted   bool
-	handshakeRefused   bool // no process listens there
+	handshakeRefused   bool // no process listens at the member's address
 	handshakeTimedOut  bool
 }
 
-// ping sends a ping to a member, and returns its sequence number.
+// ping sends a ping to a member and returns the ping's sequence number.
 func (t *Table) ping(name string) uint64 {
 	t.sequence++
 	t.sendToMember(name, Message{Kind: Ping, Sequence: t.sequence})
 	return t.sequence
 }
 
-// probeSoon has a member probed before the others.
+// probeSoon queues an urgent probe of a member, unless the queue is full or the member is queued or being probed.
 func (t *Table) probeSoon(name string) {
 	if len(t.urgentProbes) < maxProbes && !slices.Contains(t.urgentProbes, name) && !t.probing(name) {
 		t.urgentProbes = append(t.urgentProbes, name)
 	}
 }
 
+// probing reports whether a probe of a member is in flight.
 func (t *Table) probing(name string) bool {
 	return slices.ContainsFunc(t.probes, func(p *probe) bool { return p.name == name })
 }
 
-// probeNext starts the next probe: an urgent one, and the next in order. Both start where both wait, so
-// that a few suspects do not keep the rest from their turn.
+// probeNext starts the next urgent probe and the next probe in order. It starts both, so that urgent probes of a
+// few suspects do not delay the probes of the other members. Without another member to probe, it pings a peer of
+// the settings.
 func (t *Table) probeNext() {
 	t.startUrgentProbe()
 	if !t.startProbeInOrder() && t.Size() == 1 {
@@ -49,7 +51,7 @@
 	}
 }
 
-// startUrgentProbe looks at two urgent probes at most, for one that is still wanted.
+// startUrgentProbe starts the first urgent probe that is still needed. It examines at most two.
 func (t *Table) startUrgentProbe() {
 	for looked := 0; looked < 2 && len(t.urgentProbes) > 0; looked++ {
 		name := t.urgentProbes[0]
@@ -61,8 +63,8 @@
 	}
 }
 
-// startProbeInOrder gives the next member in order its turn; after the last one a new order is drawn. It
-// reports whether there was a member that needs a probe.
+// startProbeInOrder starts a probe of the next member in order that needs one. After the last member it draws a new
+// random order. It reports whether any member needs a probe.
 func (t *Table) startProbeInOrder() bool {
 	for range 2*len(t.names) + 2 {
 		if len(t.probeOrder) == 0 {
@@ -84,14 +86,13 @@
 	return false
 }
 
-// needsProbe reports whether a member is still believed to be in the cluster, and is not being probed.
+// needsProbe reports whether a member is alive or suspected, and is not being probed.
 func (t *Table) needsProbe(name string) bool {
 	m := t.members[name]
 	return m != nil && m.State <= Suspect && !t.probing(name)
 }
 
-// startProbe starts the probe of a member that needs one. Where too many are in flight, the member loses its
-// turn.
+// startProbe starts a probe of a member. If maxProbes are in flight already, it skips the member.
 func (t *Table) startProbe(name string) {
 	if len(t.probes) >= maxProbes {
 		return
@@ -101,13 +102,14 @@
 	t.probes = append(t.probes, &probe{name: name, nonce: m.Nonce, startedAt: t.now, sequence: t.ping(name)})
 }
 
-// directTimeout is how long an ack may take: longer for a member that is known to be far, and by the local
-// health multiplier.
+// directTimeout returns the maximum wait for an ack. It is longer for a member with a long round-trip time, and is
+// multiplied by the local health multiplier.
 func (t *Table) directTimeout(m *member) int64 {
 	return min(t.ProbeTimeout/2, max(t.DirectTimeout, 4*m.rtt)) * t.healthMultiplier()
 }
 
-// expireProbes goes on to indirect probes where an ack is overdue, and concludes the probes that are over.
+// expireProbes starts the indirect probes of each probe whose ack is overdue, and concludes the finished probes. It
+// drops the probes of members that are dead, departed, removed or replaced by another process.
 func (t *Table) expireProbes() {
 	var finished []*probe
 	t.probes = slices.DeleteFunc(t.probes, func(p *probe) bool {
@@ -129,8 +131,9 @@
 	}
 }
 
-// finished reports whether a probe is over: answered, refused with time left for the relays to say
-// otherwise, or timed out.
+// finished reports whether a probe is over. An acked probe ends about DirectTimeout after its start. A probe whose
+// handshake was refused ends DirectTimeout/2 after its indirect probes were sent, which gives relays time to report
+// that they reach the member. Any other probe ends at ProbeTimeout times the health multiplier.
 func (t *Table) finished(p *probe) bool {
 	age := t.now - p.startedAt
 	return p.acked && age >= t.DirectTimeout-tickInterval/2 ||
@@ -138,23 +141,24 @@
 		age >= t.ProbeTimeout*t.healthMultiplier()
 }
 
-// conclude ends a probe.
+// conclude evaluates the result of a finished probe of a member.
 func (t *Table) conclude(p *probe, m *member) {
 	switch {
 	case p.acked:
 		t.improveHealth()
 	case p.aliveIndirectly:
-		// The member is alive; only the direct path is in question, in the direction that the relay found.
+		// The member is alive, so only the direct path may have failed. Whether the member received the direct
+		// ping tells which direction of the path failed.
 		if p.reachedByRelay && p.directPingReceived {
 			t.pathFailed(m, inbound, p.handshakeTimedOut)
 		} else if p.reachedByRelay {
 			t.pathFailed(m, outbound, p.handshakeTimedOut)
 		}
 		t.probeSoon(m.Name)
-	case m.lastAliveAt > p.startedAt:
+	case m.lastAliveAt > p.startedAt: // the member proved to be alive in another way
 	default:
 		if !p.unreachedByRelay && len(t.names) > 2 {
-			t.degradeHealth() // not even the relays answered
+			t.degradeHealth() // no relay answered either, so the fault may be local
 		}
 		t.suspectUnreachable(m, p.handshakeRefused)
 	}
@@ -163,14 +167,14 @@
 // HandshakeResult is the result of a HandshakeProbe.
 type HandshakeResult uint8
 
-// The results.
+// The results of a HandshakeProbe.
 const (
-	HandshakeTimedOut HandshakeResult = iota // nothing came in time
-	HandshakeAnswered                        // a process answered, with an incarnation nonce
-	HandshakeRefused                         // no process listens there
+	HandshakeTimedOut HandshakeResult = iota // no answer arrived in time
+	HandshakeAnswered                        // a process answered with its incarnation nonce
+	HandshakeRefused                         // no process listens at the address
 )
 
-// HandshakeProbed takes the result of a HandshakeProbe, and the nonce of the process that answered.
+// HandshakeProbed handles the result of a HandshakeProbe. The nonce is that of the process that answered.
 func (t *Table) HandshakeProbed(now int64, name string, nonce uint64, result HandshakeResult) []Action {
 	t.now = now
 	m := t.members[name]
@@ -187,7 +191,7 @@
 		case result == HandshakeTimedOut:
 			p.handshakeTimedOut = true
 		case result == HandshakeRefused:
-			p.handshakeRefused = true // relays may reach it all the same: they have a moment to say so
+			p.handshakeRefused = true // the probe goes on for DirectTimeout/2: relays may still reach the member
 		}
 	}
 	return t.takeActions()
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -1,10 +1,10 @@
 package membership
 
-// This file owns what is done with a received message, by its kind.
+// This file handles received messages by kind.
 
 import "math/bits"
 
-// Receive takes a message.
+// Receive handles a received message and returns the actions to perform.
 func (t *Table) Receive(now int64, m *Message) []Action {
 	t.now = now
 	if m.To != t.Self.Name || m.Sender.Name == t.Self.Name {
@@ -38,8 +38,8 @@
 	return t.takeActions()
 }
 
-// receiveNameClaim takes a message that is meant for another name, or comes from a process under the local
-// one: of such a message only what concerns the local name counts.
+// receiveNameClaim handles a message that is addressed to another name, or that comes from a process with the local
+// name. It evaluates only the part of the message that concerns the local name.
 func (t *Table) receiveNameClaim(m *Message) {
 	if m.Sender.Nonce == t.Self.Nonce {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// receivePing answers a ping.
+// receivePing answers a ping with an ack, and with pages of the table if the digests differ.
 func (t *Table) receivePing(m *Message, sender *member) {
 	if sender != nil && sender.Nonce == m.Sender.Nonce && m.OnBehalfOf == "" {
 		sender.lastPingSequence = max(sender.lastPingSequence, m.Sequence)
@@ -63,19 +63,20 @@
 	}
 	address, buckets := t.addressOf(m.Sender.Name), t.differingBuckets(m)
 	if (m.Joining || sender != nil && sender.Nonce != m.Sender.Nonce) && m.Sender.Addr != address {
-		t.sendToAddress(m.Sender.Addr, m.Sender.Name, ack, buckets) // it may not be the process that is known
+		// The sender may be another process than the one in the table, so its own address gets an ack too.
+		t.sendToAddress(m.Sender.Addr, m.Sender.Name, ack, buckets)
 	}
 	if address == "" {
 		return
 	}
 	t.sendToAddress(address, m.Sender.Name, ack, buckets)
-	// Where much of its table differs it gets a few pages more, but not the entire table at once.
+	// If many buckets differ, the sender gets a few more pages, but not the entire table at once.
 	for range bits.OnesCount32(buckets) / 4 {
 		t.sendToAddress(address, m.Sender.Name, Message{Kind: Ack}, buckets)
 	}
 }
 
-// receiveAck takes the answer to a ping: one of the local member's own probes, or one that it relays.
+// receiveAck handles the answer to a ping, which belongs to a probe of the local member or to a relayed probe.
 func (t *Table) receiveAck(m *Message, sender *member) {
 	if sender == nil || sender.Nonce != m.Sender.Nonce {
 		return
--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -15,8 +15,8 @@
 	onlySize      = flag.Int("size", 0, "play clusters of this size only")
 )
 
-// playSchedule plays one schedule, and says what it violated; "" for nothing.
-func playSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
+// runSchedule plays one schedule, and says what it violated; "" for nothing.
+func runSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
 	c = newCluster(size, seed, faults)
 	c.run(formationTime(size))
 	if difference := c.disagreement(); difference != "" {
@@ -36,7 +36,7 @@
 func shrinkFaults(size int, seed uint64, faults []fault, end int64) []fault {
 	for i := 0; i < len(faults); {
 		fewer := slices.Delete(slices.Clone(faults), i, i+1)
-		if _, violation := playSchedule(size, seed, fewer, end); violation != "" {
+		if _, violation := runSchedule(size, seed, fewer, end); violation != "" {
 			faults = fewer
 		} else {
 			i++
@@ -61,14 +61,14 @@
 	maxBytesPerSecondAndMember float64
 }
 
-// play plays a schedule and adds what it showed.
-func (s *scheduleTally) play(t *testing.T, seed uint64) {
+// run plays a schedule and adds what it showed.
+func (s *scheduleTally) run(t *testing.T, seed uint64) {
 	t.Helper()
 	faults, end := drawFaults(s.size, seed)
-	c, violation := playSchedule(s.size, seed, faults, end)
+	c, violation := runSchedule(s.size, seed, faults, end)
 	if violation != "" {
 		s.violated++
-		s.show(t, seed, violation, faults, end)
+		s.reportViolation(t, seed, violation, faults, end)
 	}
 	s.schedules++
 	for kind, times := range c.detectionTimes {
@@ -82,8 +82,8 @@
 	s.maxBytesPerSecondAndMember = max(s.maxBytesPerSecondAndMember, rate)
 }
 
-// show reports one of the first violations, with the faults that it needs.
-func (s *scheduleTally) show(t *testing.T, seed uint64, violation string, faults []fault, end int64) {
+// reportViolation reports one of the first violations, with the faults that it needs.
+func (s *scheduleTally) reportViolation(t *testing.T, seed uint64, violation string, faults []fault, end int64) {
 	t.Helper()
 	if s.violated > maxShown {
 		return
@@ -103,7 +103,7 @@
 	}
 	slices.Sort(times)
 	if times[len(times)*99/100] > 3*second {
-		t.Errorf("%d members: a killed process is found after %s", s.size, medianAndTail(times))
+		t.Errorf("%d members: a killed process is found after %s", s.size, medianAndP99(times))
 	}
 }
 
@@ -112,7 +112,7 @@
 	fmt.Printf("%d instances: schedules=%d broken=%d killed_ms=%s vanished_ms=%s "+
 		"one_way_found=%d of=%d most_bytes_s_member=%.0f took=%s\n",
 		s.size, s.schedules, s.violated,
-		medianAndTail(s.detectionTimes["killed"]), medianAndTail(s.detectionTimes["vanished"]),
+		medianAndP99(s.detectionTimes["killed"]), medianAndP99(s.detectionTimes["vanished"]),
 		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMember, took.Round(time.Second))
 }
 
@@ -140,15 +140,15 @@
 		tally := &scheduleTally{size: c.size, detectionTimes: map[string][]int64{}}
 		start := time.Now()
 		for i := range schedules {
-			tally.play(t, *firstSeed+uint64(i))
+			tally.run(t, *firstSeed+uint64(i))
 		}
 		tally.checkDetection(t)
 		tally.print(time.Since(start))
 	}
 }
 
-// medianAndTail are the median and the 99th percentile in milliseconds.
-func medianAndTail(us []int64) string {
+// medianAndP99 are the median and the 99th percentile in milliseconds.
+func medianAndP99(us []int64) string {
 	if len(us) == 0 {
 		return "none"
 	}
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -1,33 +1,33 @@
 package membership
 
-// This file owns the local member's own name, incarnation and state: joining, a conflict over
-// the name with another process, refutation, leaving. No other file may change Self.
+// This file manages the local member's own name, incarnation and state: joining the cluster, a conflict with
+// another process over the name, the refutation of suspicions, and leaving. No other file may change Self.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// How many peers of the settings are pinged at a time.
+// Number of peers of the settings that are pinged at a time, by the situation of the local member.
 const (
 	peersPingedJoining  = 3
-	peersPingedConflict = 2
-	peersPingedAlone    = 1
+	peersPingedConflict = 2 // another process owns the local name
+	peersPingedAlone    = 1 // no other member is alive or suspected
 )
 
-// nameReleaseTimeout is after how long without a claim by the other process a conflict over the name is over.
+// nameReleaseTimeout is the time without a claim by the other process after which a conflict over the name ends.
 const nameReleaseTimeout = 3 * joinTimeout
 
-// maxLeaveNotices bounds the members that the local one pings to announce that it leaves.
+// maxLeaveNotices is the maximum number of members that the local member pings to announce that it leaves.
 const maxLeaveNotices = 8
 
-// admitted reports whether the local name is agreed: the member has joined, and nobody else owns the name.
+// admitted reports whether the local member has joined and no other process owns its name.
 func (t *Table) admitted() bool { return !t.joining && t.conflictAt == 0 }
 
-// awaitName pings peers now and then while another process owns the name, to learn whether it still does.
-func (t *Table) awaitName() {
+// awaitNameRelease pings peers periodically while another process owns the name, to learn whether it still does.
+func (t *Table) awaitNameRelease() {
 	if t.now-t.conflictAt > nameReleaseTimeout {
-		t.conflictAt = 0 // nobody claims the name for the other any more
+		t.conflictAt = 0 // no member has claimed the name for the other process for nameReleaseTimeout
 	}
 	if t.now >= t.nextProbeAt {
 		t.nextProbeAt = t.now + joinTimeout
@@ -35,7 +35,8 @@
 	}
 }
 
-// claimName announces the name at the start: a member objects if its table has another process of that name.
+// claimName announces the local name to peers while the local member joins. A peer objects if its table has
+// another process with that name.
 func (t *Table) claimName() {
 	if t.now >= t.nextProbeAt {
 		t.nextProbeAt = t.now + t.ProbeInterval
@@ -43,7 +44,8 @@
 	}
 }
 
-// pingPeers pings the next few peers of the settings: a start pings few, however many are named.
+// pingPeers pings the next peers of the settings in turn. The count bounds the pings, however many peers the
+// settings name.
 func (t *Table) pingPeers(count int) {
 	for range min(count, len(t.Peers)) {
 		t.peerCursor++
@@ -51,13 +53,13 @@
 	}
 }
 
-// completeJoin ends the start: nobody else owns the name.
+// completeJoin completes the join of the local member after no other process was found to own its name.
 func (t *Table) completeJoin() {
 	t.joining = false
 	t.report(Joined, t.Self.Name, t.Self.Zone, fmt.Sprintf("incarnation %d", t.Self.Incarnation))
 }
 
-// objectToName answers another process that claims the local name: it sends the update of this process, which
+// objectToName answers another process that claims the local name with the update of the local process, which
 // owns the name.
 func (t *Table) objectToName(m *Message) {
 	t.actions = append(t.actions, Send{Addr: m.Sender.Addr, Message: Message{
@@ -65,13 +67,14 @@
 	}})
 }
 
-// updateSelf takes an update of the local name: of this process, or of another under the same name.
+// updateSelf handles an update that carries the local name: of this process, or of another process with the same
+// name.
 func (t *Table) updateSelf(u Update) {
 	switch {
 	case u.Nonce == t.Self.Nonce:
 		t.refute(u)
 	case u.State >= Dead || u.Addr == t.Self.Addr:
-		// The process before is gone: it is known to be, or this one owns its address.
+		// The other process no longer runs: it is dead or has left, or this process now uses its address.
 		t.setIncarnation(max(t.Self.Incarnation, u.Incarnation+1))
 		t.conflictAt = 0
 	case t.joining || u.overrides(&t.Self):
@@ -83,7 +86,8 @@
 	}
 }
 
-// refute outbids an update that says otherwise of this process than it says itself.
+// refute raises the local incarnation above that of an update that wrongly reports this process as suspected, dead
+// or departed. Updates of lower incarnations need no refutation, nor does the announced departure.
 func (t *Table) refute(u Update) {
 	outdated := u.Incarnation < t.Self.Incarnation
 	announced := t.departing && u.State == Left
@@ -103,7 +107,8 @@
 	t.membersChanged()
 }
 
-// Leave announces to some of the others that the local member leaves on purpose; gossip reaches the rest.
+// Leave announces to up to maxLeaveNotices members that the local member leaves intentionally. Gossip informs the
+// rest.
 func (t *Table) Leave(now int64) []Action {
 	t.now = now
 	first := !t.departing
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -14,23 +14,23 @@
 // maxTimerDelay is by how much any timer may be late.
 const maxTimerDelay = 1 * millisecond
 
-// maxSlowness is by how much the turns of a slow member may be late.
-const maxSlowness = 400 * millisecond
+// maxSlowDelay is by how much the turns of a slow member may be late.
+const maxSlowDelay = 400 * millisecond
 
 // simMember is a member of the simulated cluster: a table, and the process that it runs in.
 type simMember struct {
 	*Table
-	sharedName       string // its name, where it has that of another
-	up, left         bool
-	hostDown         bool // it went down without its host refusing connections
-	pausedUntil      int64
-	starts           uint64
-	diedAt           int64
-	savedIncarnation uint64 // the one that its folder holds
-	disturbedUntil   int64  // until when it may rightly be declared dead
-	nextTickAt       int64
-	ticks            int
-	eventCounts      map[EventKind]int
+	sharedName        string // its name, where it has that of another
+	up, left          bool
+	hostDown          bool // it went down without its host refusing connections
+	pausedUntil       int64
+	starts            uint64
+	diedAt            int64
+	savedIncarnation  uint64 // the one that its folder holds
+	deathAllowedUntil int64  // until when it may rightly be declared dead
+	nextTickAt        int64
+	ticks             int
+	eventCounts       map[EventKind]int
 }
 
 // simEvent is what happens at a time; of two at the same time the one that was scheduled first comes first.
@@ -156,7 +156,7 @@
 // scheduleTick has a member's table called when it wants to be, unless that is due sooner already.
 func (c *cluster) scheduleTick(i int) {
 	process := c.members[i]
-	at := max(process.NextTick(), c.now+1) + c.rng.Int64N(maxTimerDelay) + c.slowness(i)
+	at := max(process.NextTick(), c.now+1) + c.rng.Int64N(maxTimerDelay) + c.slowDelay(i)
 	if process.nextTickAt <= c.now || at < process.nextTickAt {
 		c.tickMemberAt(i, at)
 	}
@@ -179,11 +179,11 @@
 	})
 }
 
-// slowness is what a slow member adds to each of its turns.
-func (c *cluster) slowness(i int) int64 {
+// slowDelay is what a slow member adds to each of its turns.
+func (c *cluster) slowDelay(i int) int64 {
 	for _, f := range c.active(faultSlow) {
 		if f.target == i {
-			return c.rng.Int64N(maxSlowness)
+			return c.rng.Int64N(maxSlowDelay)
 		}
 	}
 	return 0
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -37,10 +37,10 @@
 const (
 	// detectionLimit is until when a dead member must be declared dead by all.
 	detectionLimit = 12 * second
-	// disturbance is how long after a fault of its own a member may rightly be declared dead.
-	disturbance = 2 * second
-	// disturbingPause is from which length on a pause is such a fault.
-	disturbingPause = 3 * second
+	// deathAllowance is how long after a fault of its own a member may rightly be declared dead.
+	deathAllowance = 2 * second
+	// minLongPause is from which length on a pause is such a fault.
+	minLongPause = 3 * second
 	// leaveTime is how long a process that leaves still runs.
 	leaveTime = 300 * millisecond
 )
@@ -78,8 +78,8 @@
 	process := c.members[f.target]
 	if f.kind == faultPause {
 		process.pausedUntil = f.end
-		if f.end-f.start >= disturbingPause {
-			process.disturbedUntil = f.end + disturbance
+		if f.end-f.start >= minLongPause {
+			process.deathAllowedUntil = f.end + deathAllowance
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 		if f.kind == faultRestartEmpty {
 			process.savedIncarnation = 0
 		}
-		process.disturbedUntil = f.end + disturbance
+		process.deathAllowedUntil = f.end + deathAllowance
 		c.schedule(f.end, func() { c.start(f.target) })
 	case faultLeave:
 		c.perform(f.target, process.Leave(c.now))
@@ -155,7 +155,7 @@
 		d.drawMassRestart(f.start)
 		return
 	}
-	if !d.place(&f) || !d.adjust(&f) {
+	if !d.drawTarget(&f) || !d.drawParameters(&f) {
 		return
 	}
 	d.faults = append(d.faults, f)
@@ -175,8 +175,8 @@
 	d.at += 4 * second
 }
 
-// place draws whom a fault concerns.
-func (d *faultDrawer) place(f *fault) bool {
+// drawTarget draws whom a fault concerns.
+func (d *faultDrawer) drawTarget(f *fault) bool {
 	switch f.kind {
 	case faultCut:
 		f.target = d.rng.IntN(max(1, min(4, d.size/3)))
@@ -188,21 +188,21 @@
 	case faultLoss:
 		f.target, f.probability = -1, 0.05+0.15*d.rng.Float64()
 	default:
-		f.target = d.pick()
+		f.target = d.pickIdleMember()
 		return f.target >= 0
 	}
 	return true
 }
 
-// adjust draws what is particular to a kind: another member, or another length.
-func (d *faultDrawer) adjust(f *fault) bool {
+// drawParameters draws what is particular to a kind: another member, or another length.
+func (d *faultDrawer) drawParameters(f *fault) bool {
 	switch f.kind {
 	case faultPause:
-		f.end = f.start + d.rng.Int64N(disturbingPause-100*millisecond)
+		f.end = f.start + d.rng.Int64N(minLongPause-100*millisecond)
 	case drawnLongPause:
 		f.kind, f.end = faultPause, f.start+10*second
 	case faultOneWay, faultRefuse:
-		f.other = d.pick()
+		f.other = d.pickIdleMember()
 		f.end = f.start + 12*second
 		return f.other >= 0
 	case faultRestart, faultRestartEmpty:
@@ -211,8 +211,8 @@
 	return true
 }
 
-// pick draws a member that has no fault yet, -1 where none is found.
-func (d *faultDrawer) pick() int {
+// pickIdleMember draws a member that has no fault yet, -1 where none is found.
+func (d *faultDrawer) pickIdleMember() int {
 	for range 20 {
 		if i := d.rng.IntN(d.size); !d.busy[i] {
 			d.busy[i] = true
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -13,21 +13,21 @@
 const (
 	// observerGrace is how long ago an observer's own fault must be for its belief to count.
 	observerGrace = 6 * second
-	// lossThatBlames is from which loss on a path may rightly be blamed.
-	lossThatBlames = 0.2
-	// blameGrace is how long after a fault a path may rightly be blamed.
-	blameGrace = 4 * second
+	// minReportableLoss is from which loss on a path may rightly be blamed.
+	minReportableLoss = 0.2
+	// pathReportGrace is how long after a fault a path may rightly be blamed.
+	pathReportGrace = 4 * second
 )
 
 // checkDead asserts that all declared a member dead by now.
 func (c *cluster) checkDead(f fault, nonce uint64) {
 	for i, observer := range c.members {
-		if !observer.up || i == f.target || observer.disturbedUntil > c.now-observerGrace || observer.joining {
+		if !observer.up || i == f.target || observer.deathAllowedUntil > c.now-observerGrace || observer.joining {
 			continue
 		}
 		if m := observer.members[memberName(f.target)]; m != nil && m.Nonce == nonce && m.State <= Suspect {
 			c.violations = append(c.violations, fmt.Sprintf("%s still believes %s to be %s, %s after its end",
-				memberName(i), memberName(f.target), m.State, inMilliseconds(c.now-f.start)))
+				memberName(i), memberName(f.target), m.State, formatMilliseconds(c.now-f.start)))
 		}
 	}
 }
@@ -44,7 +44,7 @@
 		switch e.Kind {
 		case PathDegraded:
 			c.checkPathDegraded(i, e)
-			c.noteOneWayFound(i, e)
+			c.recordOneWayFound(i, e)
 		case Died:
 			c.checkDeath(i, e)
 		}
@@ -54,7 +54,7 @@
 // checkPathDegraded asserts that a member that reports a path as working in one direction only has cause.
 func (c *cluster) checkPathDegraded(reporter int, e Event) {
 	for _, f := range c.faults {
-		if (f.kind != faultLoss || f.probability > lossThatBlames) && f.start <= c.now && c.now < f.end+blameGrace {
+		if (f.kind != faultLoss || f.probability > minReportableLoss) && f.start <= c.now && c.now < f.end+pathReportGrace {
 			return // there is a cause, or may be one
 		}
 	}
@@ -62,8 +62,8 @@
 		float64(c.now)/second, memberName(reporter), e.Name, e.Evidence))
 }
 
-// noteOneWayFound notes the one-way faults that a member's report is right about.
-func (c *cluster) noteOneWayFound(reporter int, e Event) {
+// recordOneWayFound notes the one-way faults that a member's report is right about.
+func (c *cluster) recordOneWayFound(reporter int, e Event) {
 	for index, f := range c.faults {
 		ends := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
 		if f.kind == faultOneWay && f.start < c.now && c.now < f.end+second && ends {
@@ -83,16 +83,16 @@
 	switch {
 	case process.Self.Nonce != e.Nonce:
 	case !process.up && !process.left:
-		c.noteDetection(declared)
+		c.recordDetection(declared)
 	case process.up && !process.joining && !c.partitioned(observer, declared) &&
-		process.disturbedUntil < c.now && c.members[observer].disturbedUntil < c.now:
+		process.deathAllowedUntil < c.now && c.members[observer].deathAllowedUntil < c.now:
 		c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s declares %s dead, which is alive: %s",
 			float64(c.now)/second, memberName(observer), memberName(declared), e.Evidence))
 	}
 }
 
-// noteDetection notes how long it took until the first member declared a dead one dead.
-func (c *cluster) noteDetection(member int) {
+// recordDetection notes how long it took until the first member declared a dead one dead.
+func (c *cluster) recordDetection(member int) {
 	process := c.members[member]
 	key := [2]uint64{uint64(member), process.starts}
 	c.deathDeclarations[key]++
@@ -133,8 +133,8 @@
 	return ""
 }
 
-// believers says how many members believe a process, by its nonce, to be in the cluster under a name.
-func (c *cluster) believers(of string, nonce uint64) (count int) {
+// listedBy says how many members believe a process, by its nonce, to be in the cluster under a name.
+func (c *cluster) listedBy(of string, nonce uint64) (count int) {
 	for _, process := range c.members {
 		if m := process.members[of]; process.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
 			count++
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -17,10 +17,10 @@
 	handshakePackets = 4
 	// flapPeriod is how long a flapping path works, and then does not.
 	flapPeriod = 700 * millisecond
-	// partitionedSince is for how long a path must have existed for members not to count as partitioned, and
+	// partitionWindow is for how long a path must have existed for members not to count as partitioned, and
 	// partitionCheckEvery at which distance in time that is looked at.
-	partitionedSince    = 6 * second
-	partitionCheckEvery = 500 * millisecond
+	partitionWindow        = 6 * second
+	partitionCheckInterval = 500 * millisecond
 )
 
 // perform does what a member's table wants done.
@@ -70,7 +70,7 @@
 		c.schedule(process.pausedUntil, func() { c.deliver(to, m) })
 		return
 	}
-	if late := c.slowness(to); late > 0 {
+	if late := c.slowDelay(to); late > 0 {
 		c.schedule(c.now+late, func() {
 			if process.up {
 				c.perform(to, process.Receive(c.now, m))
@@ -105,7 +105,7 @@
 	case !target.up:
 		end(c.delay, HandshakeRefused, 0)
 	default:
-		end(2*c.delay+c.slowness(to), HandshakeAnswered, target.Self.Nonce)
+		end(2*c.delay+c.slowDelay(to), HandshakeAnswered, target.Self.Nonce)
 	}
 }
 
@@ -160,7 +160,7 @@
 // partitioned says whether at any time of late no path led from one member to another and back, by whatever
 // members that ran.
 func (c *cluster) partitioned(from, to int) bool {
-	for at := c.now; at > c.now-partitionedSince; at -= partitionCheckEvery {
+	for at := c.now; at > c.now-partitionWindow; at -= partitionCheckInterval {
 		if !c.connected(from, to, at) {
 			return true
 		}
@@ -175,7 +175,7 @@
 		reached := queue[0]
 		queue = queue[1:]
 		for neighbour, process := range c.members {
-			running := neighbour == to || process.disturbedUntil < at && process.pausedUntil <= at
+			running := neighbour == to || process.deathAllowedUntil < at && process.pausedUntil <= at
 			if !seen[neighbour] && process.up && running &&
 				c.pathOpen(reached, neighbour, at, false) && c.pathOpen(neighbour, reached, at, false) {
 				seen[neighbour] = true
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -1,25 +1,26 @@
 package membership
 
-// This file owns suspicions: who suspects whom, how long the suspect has to refute it, and what confirms
-// it. Only judgeSuspects declares a member dead.
+// This file implements suspicions: their start, their confirmations, and the time that a suspect has to refute
+// them. Only evaluateSuspects declares a member dead.
 
 import (
 	"math"
 	"slices"
 )
 
-// suspectUnreachable is the local member's own suspicion: its probe of a member failed.
+// suspectUnreachable makes the local member suspect a member whose probe failed. During the grace period after a
+// stall it does so only if the suspect's host refused the connection.
 func (t *Table) suspectUnreachable(m *member, refused bool) {
 	if t.gracePeriodEnd > t.now && !refused {
 		return
 	}
 	if m.State == Suspect && m.lastAliveAt > m.suspectedAt {
-		m.suspectedAt = t.now // it was reached since it was suspected: this is another silence
+		m.suspectedAt = t.now // the member was reached since, so a new period of silence begins
 	}
 	t.suspect(m, []Confirmation{{Name: t.Self.Name, Zone: t.Self.Zone, Refused: refused}})
 }
 
-// suspect starts a suspicion, or confirms the one that there is.
+// suspect starts a suspicion of a member, or adds the confirmations to the existing one.
 func (t *Table) suspect(m *member, confirmations []Confirmation) {
 	if m.State == Suspect {
 		t.confirm(m, confirmations)
@@ -33,14 +34,15 @@
 	t.disseminate(m.Name)
 }
 
-// confirm takes further confirmations of a suspicion, and passes on those that are new.
+// confirm adds confirmations to an existing suspicion, and disseminates the suspicion if any of them is new.
 func (t *Table) confirm(m *member, confirmations []Confirmation) {
 	if t.addConfirmations(m, confirmations) {
 		t.disseminate(m.Name)
 	}
 }
 
-// addConfirmations adds what is not known yet; it reports whether there was anything.
+// addConfirmations adds the new confirmations to those of a member, and marks known ones as refused where a refusal
+// is new. It reports whether anything changed.
 func (t *Table) addConfirmations(m *member, confirmations []Confirmation) (added bool) {
 	for _, c := range confirmations {
 		i := slices.IndexFunc(m.Confirmations, func(known Confirmation) bool { return known.Name == c.Name })
@@ -54,7 +56,7 @@
 			added = true
 		}
 	}
-	if added { // refused ones come first: only MaxConfirmations are passed on
+	if added { // refused confirmations come first, because only MaxConfirmations are sent
 		slices.SortStableFunc(m.Confirmations, func(a, b Confirmation) int {
 			return boolToInt(b.Refused) - boolToInt(a.Refused)
 		})
@@ -62,12 +64,12 @@
 	return added
 }
 
-// suspectedBy reports whether a member confirms the suspicion.
+// suspectedBy reports whether the named member confirmed the suspicion.
 func (m *member) suspectedBy(name string) bool {
 	return slices.ContainsFunc(m.Confirmations, func(c Confirmation) bool { return c.Name == name })
 }
 
-// refusals counts the confirmations of members that found no process listening.
+// refusals returns the number of confirmations from members that found no process listening.
 func (m *member) refusals() (count int) {
 	for _, c := range m.Confirmations {
 		count += boolToInt(c.Refused)
@@ -75,10 +77,10 @@
 	return count
 }
 
-// suspicionTimeout is how long a suspicion may last: the more confirmations, the shorter, on Lifeguard's
-// logarithmic scale.
+// suspicionTimeout returns the time after which an unrefuted suspicion becomes a death. It decreases with the
+// number of confirmations on Lifeguard's logarithmic scale.
 func (t *Table) suspicionTimeout(m *member) int64 {
-	others := t.Size() - 2 // that could confirm it beside the local member
+	others := t.Size() - 2 // members that could confirm the suspicion, excluding the local one and the suspect
 	refused := m.refusals()
 	if refused >= decisiveRefusals {
 		return t.RefusedTimeout
@@ -92,14 +94,16 @@
 	return t.MaxSuspicionTimeout - int64(share*float64(t.MaxSuspicionTimeout-t.MinSuspicionTimeout))
 }
 
-// judgeSuspects declares the suspects dead whose suspicion timed out and whom nobody reached from here since
-// it began. Where they are suspected for silence, the local member has pinged them itself before.
-func (t *Table) judgeSuspects() {
+// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out, the local member
+// has not reached it since the suspicion began, and, unless enough members found that no process listens there, the
+// local member pinged it beforehand.
+func (t *Table) evaluateSuspects() {
 	t.pruneSuspects()
 	verifications := 0
 	for _, name := range t.suspects {
 		m := t.members[name]
-		// Whoever suspects a member probes it again and again: its own path may have failed.
+		// A member that confirmed a suspicion probes the suspect repeatedly, because only its own path may have
+		// failed.
 		if t.now-m.probedAt > reprobeInterval && m.suspectedBy(t.Self.Name) {
 			t.probeSoon(name)
 		}
@@ -107,7 +111,7 @@
 			continue
 		}
 		age := t.now - m.suspectedAt
-		timeout := t.stretchSuspicion(t.suspicionTimeout(m))
+		timeout := t.scaleSuspicionTimeout(t.suspicionTimeout(m))
 		verified := t.verified(m)
 		switch {
 		case verified && age >= timeout:
@@ -119,7 +123,7 @@
 	}
 }
 
-// pruneSuspects leaves those that are still suspected, once each, by name.
+// pruneSuspects removes from suspects the members that are no longer suspected, and sorts and deduplicates the rest.
 func (t *Table) pruneSuspects() {
 	t.suspects = slices.DeleteFunc(t.suspects, func(name string) bool {
 		m := t.members[name]
@@ -129,14 +133,15 @@
 	t.suspects = slices.Compact(t.suspects)
 }
 
-// verify pings a suspect before it is declared dead: in a large cluster neither its turn to be probed nor
-// its refutation may come in time. The ping tells it that it is suspected.
+// verify pings a suspect before it is declared dead, because in a large cluster its next probe in order and its
+// refutation may both come too late. The ping informs the suspect of the suspicion.
 func (t *Table) verify(m *member) {
 	m.verifiedAt = t.now
 	t.ping(m.Name)
 }
 
-// verified reports whether the suspect had its chance to answer, or needs none.
+// verified reports whether the suspect had ProbeTimeout/2 to answer the ping that verifies the suspicion, or enough
+// members found that no process listens at its address.
 func (t *Table) verified(m *member) bool {
 	if m.refusals() >= decisiveRefusals {
 		return true
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -16,7 +16,7 @@
 		suspectedAt := h.now
 		h.run(suspectedAt + 20*second)
 		if (h.diedAt > 0) != c.dead {
-			t.Errorf("%s: dead %s after the suspicion", c.name, inMilliseconds(h.diedAt-suspectedAt))
+			t.Errorf("%s: dead %s after the suspicion", c.name, formatMilliseconds(h.diedAt-suspectedAt))
 		}
 		if c.dead {
 			continue
@@ -44,7 +44,7 @@
 		receivedAt := h.now
 		h.run(receivedAt + 20*second)
 		if (h.diedAt > 0) != c.dead || h.diedAt > 0 && h.diedAt < receivedAt+3*second {
-			t.Errorf("%s: dead %s after the update", c.name, inMilliseconds(h.diedAt-receivedAt))
+			t.Errorf("%s: dead %s after the update", c.name, formatMilliseconds(h.diedAt-receivedAt))
 		}
 	}
 }
@@ -62,7 +62,7 @@
 		resumedAt := h.now
 		h.run(resumedAt + 15*second)
 		if after := h.diedAt - resumedAt; after < 3*second || after > 8*second {
-			t.Errorf("dead %s after the stall", inMilliseconds(after))
+			t.Errorf("dead %s after the stall", formatMilliseconds(after))
 		}
 	})
 	t.Run("nobody is suspected for it", func(t *testing.T) {
@@ -111,7 +111,7 @@
 			refusedAt := h.now
 			h.run(refusedAt + 10*second)
 			if after := h.diedAt - refusedAt; after <= 0 || after > c.within || c.within > 5*second && after < 3*second {
-				t.Errorf("dead after %s", inMilliseconds(after))
+				t.Errorf("dead after %s", formatMilliseconds(after))
 			}
 		})
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,84 +1,85 @@
 package membership
 
-// This file owns the table: the entries of all other members, and the one place where the state of an
-// entry changes. It must never send anything itself: what it wants done waits in actions.
+// This file defines the table, which holds the entries of all other members, and setUpdate, the only function
+// that changes the state of an entry. The table never sends anything itself: it queues actions for the caller.
 
 import (
 	"math/rand/v2"
 	"slices"
 )
 
-// Action is what a table wants done: a Send or a HandshakeProbe.
+// Action is an operation that the table asks its caller to perform: a Send or a HandshakeProbe.
 type Action interface{ action() }
 
-// Send asks for a datagram.
+// Send asks the caller to send a datagram.
 type Send struct {
 	Addr    string
 	Message Message
 }
 
-// HandshakeProbe asks for a connection on which both sides send a hello; its result is handed to
-// [Table.HandshakeProbed].
+// HandshakeProbe asks the caller to open a connection on which both sides send a hello. The caller passes the
+// result to [Table.HandshakeProbed].
 type HandshakeProbe struct{ Name, Addr string }
 
 func (Send) action()           {}
 func (HandshakeProbe) action() {}
 
-// Table is what the local member believes of the cluster. It is not safe for concurrent use.
+// Table is the membership table of the local member. Its times are in microseconds. It is not safe for concurrent
+// use.
 type Table struct {
 	Config
 	rng       *rand.Rand
 	now       int64
 	startedAt int64
 	lastTick  int64
-	sequence  uint64 // of the last ping sent
-
-	joining    bool  // the local name is not agreed yet
-	conflictAt int64 // when another process was last found to own the local name, 0 while none does
-	departing  bool
-	peerCursor int // which of Peers was pinged last
-
-	members         map[string]*member // all but the local one
-	names           []string           // of these, sorted
-	liveCount       int                // of these, neither dead nor departed
-	suspects        []string           // of these, with some that no longer are
-	configuredAddrs map[string]string  // by name, from the settings
-	lastRelays      map[string]string  // by zone, who last reached a member there that did not answer directly
-
-	probeOrder     []string // the members that wait for their turn in this round
-	urgentProbes   []string // to be probed before them
+	sequence  uint64 // sequence number of the last ping sent
+
+	joining    bool  // whether the local member has not joined yet
+	conflictAt int64 // time of the last claim to the local name by another process, 0 without a conflict
+	departing  bool  // whether Leave was called
+	peerCursor int   // counter that selects the next of Peers to ping
+
+	members         map[string]*member // all members except the local one, by name
+	names           []string           // the keys of members, sorted
+	liveCount       int                // number of entries in members that are neither dead nor departed
+	suspects        []string           // names of suspects; may include members that are no longer suspected
+	configuredAddrs map[string]string  // addresses from the settings, by name
+	lastRelays      map[string]string  // by zone, the last relay that reached a member there
+
+	probeOrder     []string // members that are still to be probed in this round
+	urgentProbes   []string // members to probe before those in probeOrder
 	nextProbeAt    int64
 	nextDeadPingAt int64
 	probes         []*probe
 	relayedProbes  []*relayedProbe
 	healthScore    int
-	gracePeriodEnd int64 // until when silence raises no suspicion
+	gracePeriodEnd int64 // end of the period in which silence raises no suspicion
 
 	digests    [DigestBuckets]uint32
 	broadcasts []*broadcast
-	pageCursor int // which of names was sent last to a member whose digests differ
+	pageCursor int // index in names of the member that was last considered for a page
 
 	view             View
-	viewStaleSince   int64 // since when the view is to be rebuilt, 0 while it is not
+	viewStaleSince   int64 // time of the first membership change that the view does not reflect, 0 without one
 	membersChangedAt int64
 	events           []Event
 	actions          []Action
 }
 
-// member is what is believed of another member.
+// member is the table's entry of another member. Its times are in microseconds.
 type member struct {
 	Update
-	lastAliveAt       int64  // when it last proved to be alive, on whatever path
-	lastDatagramAt    int64  // when a datagram of its own came
-	lastPingSequence  uint64 // of its own pings
-	rtt               int64  // smoothed
+	lastAliveAt       int64  // time of the last proof that the member is alive, direct or indirect
+	lastDatagramAt    int64  // time when the last datagram from the member arrived
+	lastPingSequence  uint64 // highest sequence number received in a ping of the member's own probes
+	rtt               int64  // smoothed round-trip time in microseconds
 	outbound, inbound pathDirection
-	suspectedAt       int64
-	probedAt          int64 // when the last probe of it started
-	verifiedAt        int64 // when it was last pinged because it is to be declared dead
+	suspectedAt       int64 // start of the suspicion, 0 without one
+	probedAt          int64 // start of the last probe of the member
+	verifiedAt        int64 // time of the last ping that verifies a suspicion before the member is declared dead
 }
 
-// New returns a table that knows the peers of the settings by their names alone.
+// New returns a table without other members. It knows the names and addresses of the peers in the settings.
 func New(now int64, c Config) *Table {
 	if c.ProbeInterval == 0 {
 		c.Timing = DefaultTiming()
@@ -105,14 +106,15 @@
 	return t
 }
 
-// takeActions returns the actions gathered since the last call.
+// takeActions returns the actions queued since the previous call.
 func (t *Table) takeActions() []Action {
 	actions := t.actions
 	t.actions = nil
 	return actions
 }
 
-// addressOf is where a member is reached from here, "" where that is not known.
+// addressOf returns the address at which the local member reaches a member, or "" if it is unknown. An address
+// from the settings takes precedence.
 func (t *Table) addressOf(name string) string {
 	if address := t.configuredAddrs[name]; address != "" {
 		return address
@@ -123,7 +125,8 @@
 	return ""
 }
 
-// Locate is where a member is reached, and its incarnation nonce; false where it is not in the cluster.
+// Locate returns the address and the incarnation nonce of another member. It returns false if the member is
+// unknown, dead or departed.
 func (t *Table) Locate(name string) (address string, nonce uint64, ok bool) {
 	m := t.members[name]
 	if m == nil || m.State > Suspect {
@@ -132,10 +135,11 @@
 	return t.addressOf(name), m.Nonce, true
 }
 
-// Size is how many members the cluster has, the local one counted, as far as is believed here.
+// Size returns the number of members that are alive or suspected, including the local one.
 func (t *Table) Size() int { return 1 + t.liveCount }
 
-// setUpdate is the one place where the state of a member changes.
+// setUpdate replaces the update of a member, and maintains everything that is derived from it. No other function
+// changes the state of a member.
 func (t *Table) setUpdate(m *member, u Update) {
 	t.toggleDigest(&m.Update)
 	t.toggleDigest(&u)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -1,10 +1,11 @@
 package membership
 
-// This file owns the pace of the table: when it wants to be called, and what it does in which order when
-// it is.
+// This file implements the periodic work of the table: the time of the next call of Tick, and the steps of Tick and
+// their order.
 
-// NextTick is when Tick wants to be called: every tickInterval while anything is unsettled, else for the
-// next probe or the next ack that is overdue. It may become sooner with each call of another method.
+// NextTick returns the time at which the caller must call Tick next. While the table is not idle, this is
+// tickInterval after the previous call. Otherwise it is the start of the next probe or the time when an ack becomes
+// overdue. Calls of other methods may make it earlier.
 func (t *Table) NextTick() int64 {
 	if !t.idle() {
 		return t.lastTick + tickInterval
@@ -18,7 +19,8 @@
 	return max(next, t.lastTick+tickInterval)
 }
 
-// idle reports whether nobody is suspected, and nothing waits but acks that are not overdue.
+// idle reports whether the table has no work before the next probe or the next overdue ack: the local member is
+// admitted and healthy, the view is current, nobody is suspected, and no relayed or urgent probe is pending.
 func (t *Table) idle() bool {
 	switch {
 	case !t.admitted(), t.healthScore > 0, t.viewStaleSince > 0:
@@ -29,7 +31,8 @@
 	return true
 }
 
-// Tick runs one step of the table: the start of the local member, then of the failure detector.
+// Tick runs one step of the table and returns the actions to perform. The step handles a name conflict, joins the
+// cluster, or runs the failure detector.
 func (t *Table) Tick(now int64) []Action {
 	expected, sinceLast := t.NextTick(), now-t.lastTick
 	t.now, t.lastTick = now, now
@@ -38,19 +41,19 @@
 	}
 	switch {
 	case t.conflictAt > 0:
-		t.awaitName()
+		t.awaitNameRelease()
 	case t.joining && now-t.startedAt <= joinTimeout:
 		t.claimName()
 	default:
 		if t.joining {
-			t.completeJoin() // nobody is there to object
+			t.completeJoin() // no member objected within joinTimeout
 		}
 		t.detectFailures()
 	}
 	return t.takeActions()
 }
 
-// detectFailures is one step of the failure detector.
+// detectFailures runs one step of the failure detector.
 func (t *Table) detectFailures() {
 	t.expireProbes()
 	t.expireRelayedProbes()
@@ -64,6 +67,6 @@
 		t.nextDeadPingAt = t.now + deadPingInterval
 		t.pingDead()
 	}
-	t.judgeSuspects()
+	t.evaluateSuspects()
 	t.updateView()
 }
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -1,26 +1,27 @@
 package membership
 
-// This file owns the time constants and bounds of the failure detector. Times are in microseconds.
+// This file defines the time constants and bounds of the failure detector. Times are in microseconds.
 
 const (
 	millisecond = 1_000
 	second      = 1_000 * millisecond
 )
 
-// Timing is the pace of a table, in microseconds.
+// Timing holds the intervals and timeouts of a table, in microseconds.
 type Timing struct {
-	ProbeInterval int64 // between two probes
-	DirectTimeout int64 // how long an ack may take before indirect probes are sent
-	ProbeTimeout  int64 // how long a probe may take, indirect probes included
-	// A suspicion that is not refuted becomes a death after MaxSuspicionTimeout with one confirmation, and
-	// after MinSuspicionTimeout with three. The minimum is the longest pause of a process that is no death,
-	// and what its refutation takes to reach the others.
+	ProbeInterval int64 // interval between the starts of two probes
+	DirectTimeout int64 // maximum wait for an ack before indirect probes are sent
+	ProbeTimeout  int64 // maximum duration of a probe, including its indirect probes
+	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout with one
+	// confirmation, and after MinSuspicionTimeout with three (two in a cluster of up to three members). The
+	// minimum covers the longest pause of a process that must not count as a death, plus the time that the
+	// process's refutation takes to reach the others.
 	MinSuspicionTimeout, MaxSuspicionTimeout int64
-	// RefusedTimeout is the same where two members found that no process listens at the suspect's address.
+	// RefusedTimeout applies instead if two members found that no process listens at the suspect's address.
 	RefusedTimeout int64
 }
 
-// DefaultTiming is for round trips of some milliseconds within one site.
+// DefaultTiming returns the timing for one site with round-trip times of a few milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
 		ProbeInterval:       200 * millisecond,
@@ -33,44 +34,46 @@
 }
 
 const (
-	// tickInterval is the shortest time between two calls of Tick that the table asks for.
+	// tickInterval is the minimum time between two calls of Tick that the table requests.
 	tickInterval = 50 * millisecond
-	// stallThreshold is how late Tick has to come to show that the local member stalled.
+	// stallThreshold is the delay of a call of Tick above which the local process counts as stalled.
 	stallThreshold = 450 * millisecond
-	// stallGracePeriod is how long after a stall the local member raises no suspicion for silence.
+	// stallGracePeriod is the time after a stall during which the local member suspects nobody for silence.
 	stallGracePeriod = 2 * second
-	// joinTimeout is how long a starting member waits for an objection to its name.
+	// joinTimeout is the time that a starting member waits for objections to its name.
 	joinTimeout = 1 * second
-	// reprobeInterval is how often a suspect is probed by those who confirm the suspicion.
+	// reprobeInterval is the interval at which each member that confirmed a suspicion probes the suspect.
 	reprobeInterval = 1 * second
-	// deadPingInterval is how often one of the dead is pinged.
+	// deadPingInterval is the interval between pings to dead members; each ping goes to one of them.
 	deadPingInterval = 500 * millisecond
-	// viewSettleTime is how long the members must not change before the stable view does.
+	// viewSettleTime is the time without membership changes after which the stable view is rebuilt.
 	viewSettleTime = 400 * millisecond
-	// maxViewDelay is how long the stable view waits for that at most.
+	// maxViewDelay is the maximum time from a membership change until the stable view is rebuilt.
 	maxViewDelay = 2 * second
 )
 
 const (
-	// indirectProbeCount is how many members are asked to ping one that does not answer: SWIM's k.
+	// indirectProbeCount is the number of members that are asked to ping one that does not answer: SWIM's k.
 	indirectProbeCount = 3
-	// maxProbes bounds the probes in flight.
+	// maxProbes is the maximum number of probes in flight.
 	maxProbes = 16
-	// maxRelayedProbes bounds the probes in flight on behalf of other members.
+	// maxRelayedProbes is the maximum number of probes in flight on behalf of other members.
 	maxRelayedProbes = 64
-	// decisiveRefusals is how many refused confirmations make a death that needs no verification.
+	// decisiveRefusals is the number of refused confirmations with which a suspect is declared dead without
+	// verification.
 	decisiveRefusals = 2
-	// maxVerifications bounds the suspects that are pinged in one tick before they are declared dead.
+	// maxVerifications is the maximum number of suspects that are pinged for verification in one tick.
 	maxVerifications = 16
-	// maxMembers bounds the names in the table: a peer that invents names fills no memory.
+	// maxMembers is the maximum number of names in the table, so that a peer that invents names cannot exhaust
+	// memory.
 	maxMembers = 4096
-	// maxDeadMembers bounds the dead and departed members that are remembered.
+	// maxDeadMembers is the number of dead and departed members above which the table starts to remove them.
 	maxDeadMembers = 1024
-	// maxHealthScore bounds the local health score.
+	// maxHealthScore is the maximum local health score.
 	maxHealthScore = 8
-	// pathDownWeight is what failures in a row must weigh before one direction of a path counts as down: one
-	// weighs handshakeFailureWeight where a handshake probe got no answer either, and else one, since packet
-	// loss alone does that.
+	// pathDownWeight is the total weight of consecutive failed probes at which one direction of a path counts
+	// as down. A failed probe weighs handshakeFailureWeight if its handshake timed out too. Otherwise it weighs
+	// 1, because packet loss alone can fail it.
 	pathDownWeight         = 14
 	handshakeFailureWeight = 2
 )
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -1,15 +1,15 @@
 package membership
 
-// This file owns how gossip updates become what is believed here. A higher incarnation overrides a lower
-// one; of the same incarnation the worse state does. The exception is a death: each member judges for
-// itself, on the confirmations of all.
+// This file applies gossip updates to the table. A higher incarnation overrides a lower one. Within one
+// incarnation, the later state in the order of the State constants overrides the earlier one. Deaths are the
+// exception: each member decides for itself whether a suspect is dead, using the confirmations of all members.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// applyUpdate takes an update of any member.
+// applyUpdate applies an update of any member, including the local one.
 func (t *Table) applyUpdate(u Update) {
 	if u.Name == t.Self.Name {
 		t.updateSelf(u)
@@ -27,7 +27,8 @@
 	}
 }
 
-// addMember takes the first update of a member, unless the table is full.
+// addMember adds a member by its first update, unless the table is full. A dead or departed member is added only
+// while the table holds at most maxDeadMembers names.
 func (t *Table) addMember(u Update) {
 	if len(t.names) >= maxMembers || u.State >= Dead && len(t.names) > maxDeadMembers {
 		return
@@ -44,26 +45,28 @@
 	}
 }
 
-// applySameIncarnation takes an update of the incarnation that is known.
+// applySameIncarnation applies an update whose incarnation and nonce equal those of the member's entry.
 func (t *Table) applySameIncarnation(m *member, u Update) {
 	switch {
 	case u.State == Suspect && m.State == Suspect:
 		t.confirm(m, u.Confirmations)
 	case u.State <= m.State:
 	case u.State == Suspect, u.State == Dead:
-		// A death that others declared only confirms the suspicion: judgeSuspects decides here too. The
-		// suspect learns of it with the next message to it, and refutes it if it is alive.
+		// A death that another member declared counts only as confirmations of a suspicion: evaluateSuspects
+		// decides whether the local member declares it too. The suspect learns of the suspicion from the next
+		// message that it receives, and refutes it if it is alive.
 		t.suspect(m, u.Confirmations)
 	default:
 		t.remove(m, u.State, u.Confirmations)
 	}
 }
 
-// supersede takes an update of a later incarnation. A death of it only confirms a suspicion, as one of the
-// same incarnation does: judgeSuspects decides here too.
+// supersede applies an update that overrides the member's entry. As for an update of the same incarnation, a
+// death that another member declared starts only a suspicion: evaluateSuspects decides whether the local member
+// declares it too.
 func (t *Table) supersede(m *member, u Update) {
-	newProcess, was := u.Nonce != m.Nonce, m.State
-	if u.State == Dead && was <= Suspect {
+	newProcess, previousState := u.Nonce != m.Nonce, m.State
+	if u.State == Dead && previousState <= Suspect {
 		u.State = Suspect
 	}
 	t.setUpdate(m, u)
@@ -75,18 +78,18 @@
 		t.report(removalEvent(u.State), u.Name, u.Zone, "")
 	case newProcess:
 		t.report(Rejoined, u.Name, u.Zone, fmt.Sprintf("as incarnation %d", u.Incarnation))
-	case was >= Dead:
+	case previousState >= Dead:
 		t.report(Rejoined, u.Name, u.Zone, "it was never away, or is reached again")
-	case was == Suspect && u.State == Alive:
+	case previousState == Suspect && u.State == Alive:
 		t.report(Refuted, u.Name, u.Zone, "")
-	case u.State == Suspect && was == Alive:
+	case u.State == Suspect && previousState == Alive:
 		t.report(Suspected, u.Name, u.Zone, t.evidence(m))
 	}
 	t.disseminate(u.Name)
 	t.membersChanged()
 }
 
-// remove takes a member out of the cluster: it is dead, or has left.
+// remove marks a member as dead or departed. Its entry stays in the table.
 func (t *Table) remove(m *member, s State, confirmations []Confirmation) {
 	t.addConfirmations(m, confirmations)
 	t.report(removalEvent(s), m.Name, m.Zone, t.evidence(m))
--- a/internal/membership/verification_test.go
+++ b/internal/membership/verification_test.go
@@ -14,7 +14,7 @@
 	suspectedAt := h.now
 	h.run(suspectedAt + second)
 	if after := h.diedAt - suspectedAt; h.diedAt == 0 || after > h.RefusedTimeout+tickInterval {
-		t.Errorf("dead %s after the suspicion", inMilliseconds(after))
+		t.Errorf("dead %s after the suspicion", formatMilliseconds(after))
 	}
 }
 
@@ -65,7 +65,7 @@
 		suspectedAt := h.now
 		h.run(suspectedAt + 10*second)
 		if (h.diedAt > 0) != c.dead || h.diedAt > suspectedAt+4*second {
-			t.Errorf("%s: dead %s after the suspicion", c.name, inMilliseconds(h.diedAt-suspectedAt))
+			t.Errorf("%s: dead %s after the suspicion", c.name, formatMilliseconds(h.diedAt-suspectedAt))
 		}
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file owns what the rest of the program sees of the members: the lines of the table, and the
-// stable view, which changes in few steps: once nothing has changed for a while, and not for a member that
-// is only suspected.
+// This file provides the membership data that the rest of the program uses: the lines of the table, and the
+// stable view. To change rarely, the stable view is rebuilt only when no membership change has occurred for a
+// while, and it keeps members that are only suspected.
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 	"strings"
 )
 
-// Member is a line of the table.
+// Member describes one member of the table.
 type Member struct {
 	Name, Zone, Addr   string
 	Nonce, Incarnation uint64
 	State              State
-	Slow               bool // alive, and slow to answer
+	Slow               bool // whether the member is alive and its round-trip time exceeds DirectTimeout
 	Path               Path
-	RTTUs              int64
-	SinceAliveUs       int64 // how long ago it last proved to be alive
-	Evidence           string
+	RTTUs              int64  // smoothed round-trip time in microseconds
+	SinceAliveUs       int64  // microseconds since the last proof that the member is alive
+	Evidence           string // evidence for the member's state, empty if it is alive
 }
 
-// Members is the table, the local member first, then by name.
+// Members returns the local member, followed by all other members sorted by name.
 func (t *Table) Members() []Member {
 	lines := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Nonce: t.Self.Nonce,
 		Incarnation: t.Self.Incarnation, State: t.Self.State}}
@@ -48,17 +48,17 @@
 	return lines
 }
 
-// View is the members that the rest of the program may count on.
+// View is a stable set of members for use by the rest of the program.
 type View struct {
-	Number int64    // of changes at the local member
-	Digest uint64   // the same wherever the same members are seen
-	Names  []string // sorted
+	Number int64    // number of views that the local member has built so far
+	Digest uint64   // hash of the members; equal on all members whose views hold the same processes
+	Names  []string // names of the members, sorted
 }
 
-// View is the stable view.
+// View returns the current stable view.
 func (t *Table) View() View { return t.view }
 
-// membersChanged has the view rebuilt once the members settle.
+// membersChanged records a membership change, after which updateView rebuilds the view.
 func (t *Table) membersChanged() {
 	t.membersChangedAt = t.now
 	if t.viewStaleSince == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// updateView rebuilds a stale view once the members have settled, or after maxViewDelay.
+// updateView rebuilds a stale view after viewSettleTime without a membership change, or after maxViewDelay.
 func (t *Table) updateView() {
 	if t.viewStaleSince == 0 {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// rebuildView makes the view of the members as they are; it reports whether that changed it.
+// rebuildView builds the view from the current members and reports whether it changed.
 func (t *Table) rebuildView() (changed bool) {
 	digest := uint64(0)
 	var names []string
@@ -88,7 +88,7 @@
 		if u.State <= Suspect {
 			names = append(names, u.Name)
 			stable := *u
-			stable.Incarnation = 0 // a refutation changes nothing for others
+			stable.Incarnation = 0 // a refutation must not change the view
 			digest ^= fingerprint(&stable)
 		}
 	}
--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -1,17 +1,17 @@
 package shard
 
-// This file owns the assignment of shards to members: rendezvous hashing with bounded loads. It must depend on
-// nothing but names, zones and regions, so that all members compute the same.
+// This file assigns shards to members by rendezvous hashing with bounded loads. The assignment must depend only on
+// names, zones and regions, so that all members compute the same one.
 
 import "slices"
 
 // Member is an orchestrator in the stable view.
 type Member struct{ Name, Zone string }
 
-// Regions are the regions of zones. Zones that are not named form one region together.
+// Regions maps each zone to its region. All zones without an entry form one region together.
 type Regions map[string]string
 
-// Assigned are the shards of a zone that are assigned to one of the members.
+// Assigned returns the shards of a zone that are assigned to the named member.
 func (r Regions) Assigned(zone string, members []Member, name string) (assigned Bits) {
 	for shard, assignee := range r.Assignments(zone, members) {
 		if assignee == name {
@@ -21,8 +21,8 @@
 	return assigned
 }
 
-// Assignments are the members that the shards of a zone are assigned to, by shard; "" for all where no member is
-// of the zone's region. Members come in any order; one that is named twice counts once.
+// Assignments returns, for each shard of a zone, the name of the member that it is assigned to. All names are "" if
+// the zone's region has no member. The order of members does not matter, and duplicate names count once.
 func (r Regions) Assignments(zone string, members []Member) (assignments [Count]string) {
 	names := r.eligible(zone, members)
 	if len(names) == 0 {
@@ -47,10 +47,10 @@
 	return assignments
 }
 
-// weight is the rendezvous weight of a member for a shard.
+// weight returns the rendezvous weight of a member for a shard, from the member's seed and the shard's key.
 func weight(seed, key uint64) uint64 { return mix(seed ^ key) }
 
-// eligible are the names of the members of a zone's region, sorted.
+// eligible returns the sorted names of the members of a zone's region, without duplicates.
 func (r Regions) eligible(zone string, members []Member) (names []string) {
 	for _, m := range members {
 		if r[m.Zone] == r[zone] {
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -18,9 +18,9 @@
 	return names
 }
 
-// checkEven asserts that the shards of a zone are assigned to members of its region alone, to nobody over the
+// checkBalanced asserts that the shards of a zone are assigned to members of its region alone, to nobody over the
 // even part, each once, and that Assigned agrees.
-func checkEven(t *rapid.T, zone string, members []Member, assignments [Count]string) {
+func checkBalanced(t *rapid.T, zone string, members []Member, assignments [Count]string) {
 	t.Helper()
 	eligible := inRegion(zone, members)
 	loads := map[string]int{}
@@ -59,7 +59,7 @@
 			}
 			return
 		}
-		checkEven(t, zone, members, assignments)
+		checkBalanced(t, zone, members, assignments)
 		shuffled := rapid.Permutation(append(slices.Clone(members), members[0])).Draw(t, "shuffled")
 		if assignments != testRegions.Assignments(zone, shuffled) {
 			t.Fatal("the order of the members, or one that is named twice, changes the assignments")
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -1,6 +1,6 @@
 package shard
 
-// This file owns sets of shards, and their text form, which discovery reads.
+// This file defines sets of shards and their text form, which discovery parses.
 
 import (
 	"errors"
@@ -13,22 +13,22 @@
 	"strings"
 )
 
-// Bits are shards of one zone, a bit each.
+// Bits is a set of shards of one zone, with one bit for each shard.
 type Bits uint64
 
-// AllBits are all shards of a zone.
+// AllBits contains all shards of a zone.
 const AllBits = ^Bits(0)
 
-// Has reports whether a shard is among them.
+// Has reports whether the set contains a shard.
 func (b Bits) Has(shard int) bool { return b>>shard&1 == 1 }
 
-// Set is a set of shards by zone. The operations return new sets.
+// Set is a set of shards by zone. And, Minus and Or return new sets.
 type Set map[string]Bits
 
-// Has reports whether the shard of a worker in a zone is in the set.
+// Has reports whether the set contains the shard of a worker in a zone.
 func (s Set) Has(zone, worker string) bool { return s[zone].Has(Of(worker)) }
 
-// Len is the number of shards in the set.
+// Len returns the number of shards in the set.
 func (s Set) Len() (count int) {
 	for _, b := range s {
 		count += bits.OnesCount64(uint64(b))
@@ -36,25 +36,26 @@
 	return count
 }
 
-// Equal reports whether both sets hold the same shards.
+// Equal reports whether both sets contain the same shards.
 func (s Set) Equal(other Set) bool { return s.Minus(other).Len() == 0 && other.Minus(s).Len() == 0 }
 
-// And is what both sets hold.
+// And returns the shards that both sets contain.
 func (s Set) And(other Set) Set {
 	return s.with(s, func(zone string, b Bits) Bits { return b & other[zone] })
 }
 
-// Minus is what the set holds and the other does not.
+// Minus returns the shards of the set that the other set does not contain.
 func (s Set) Minus(other Set) Set {
 	return s.with(s, func(zone string, b Bits) Bits { return b &^ other[zone] })
 }
 
-// Or is what either set holds.
+// Or returns the shards that at least one of the sets contains.
 func (s Set) Or(other Set) Set {
 	return s.with(other, func(zone string, b Bits) Bits { return b | s[zone] })
 }
 
-// with is a copy of the set, with the zones of another changed by a function of their bits there.
+// with returns a copy of the set in which each zone of another set has the bits that change returns. The arguments of
+// change are the zone and its bits in the other set.
 func (s Set) with(zones Set, change func(zone string, b Bits) Bits) Set {
 	changed := maps.Clone(s)
 	if changed == nil {
@@ -66,11 +67,11 @@
 	return changed
 }
 
-// bitsDigits are the hex digits of the shards of one zone.
+// bitsDigits is the number of hex digits of the shards of one zone.
 const bitsDigits = Count / 4
 
-// String is the set as Parse reads it: zone:digits for each zone, with commas between. Names of zones
-// are escaped as in URLs.
+// String returns the text form of the set, which Parse reads: zone:digits for each zone, separated by commas and
+// sorted by zone. Names of zones are escaped as in URLs.
 func (s Set) String() string {
 	var parts []string
 	for _, zone := range slices.Sorted(maps.Keys(s)) {
@@ -80,21 +81,21 @@
 	return strings.Join(parts, ",")
 }
 
-// ErrSet is wrapped by the errors of Parse.
+// ErrSet is the error that all errors of Parse wrap.
 var ErrSet = errors.New("no set of shards")
 
-// ParseError is a part of a text that is no zone of a set.
+// ParseError reports a part of a text that is not a valid zone of a set, or that repeats a zone.
 type ParseError struct{ Part string }
 
-// Error says what was expected, and what came.
+// Error returns the expected format and the invalid part.
 func (e *ParseError) Error() string {
 	return fmt.Sprintf("%v: expected a zone and %d hex digits, each zone once, got %.40q", ErrSet, bitsDigits, e.Part)
 }
 
-// Unwrap is ErrSet.
+// Unwrap returns ErrSet.
 func (e *ParseError) Unwrap() error { return ErrSet }
 
-// Parse reads a set as String writes it. Its errors are ParseErrors.
+// Parse parses the text form of a set, which String returns. Its errors are of type *ParseError.
 func Parse(text string) (Set, error) {
 	s := Set{}
 	if text == "" {
@@ -110,7 +111,7 @@
 	return s, nil
 }
 
-// parseZone reads a zone and its shards.
+// parseZone parses one zone and its shards, and reports whether the part is valid.
 func parseZone(part string) (zone string, b Bits, ok bool) {
 	escaped, digits, _ := strings.Cut(part, ":")
 	zone, err := url.PathUnescape(escaped)
