--- a/internal/membership/dead_test.go
+++ b/internal/membership/dead_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestForgetsTheLongestDead asserts that where more members are dead than are remembered, the one that was
-// alive the longest time ago is forgotten, and not one that may only be partitioned off since a moment ago.
+// TestForgetsTheLongestDead asserts that with more than maxDeadMembers dead and departed members, the table removes
+// the one that was last alive the longest time ago. A member that died recently may only be partitioned off, and must
+// stay in the table to be pinged.
 func TestForgetsTheLongestDead(t *testing.T) {
 	h := newHarness(t)
 	h.answerForB = reachable(h)
@@ -22,9 +23,10 @@
 	h.suspectB()
 	h.run(h.now + 20*second)
 	if m := h.members["b"]; h.diedAt == 0 || m == nil || m.State != Dead {
-		t.Errorf("b died at %s and is remembered as %+v", formatMilliseconds(h.diedAt), m)
+		t.Errorf("b died at %s and its entry is %+v, want a death and an entry in state dead",
+			formatMilliseconds(h.diedAt), m)
 	}
 	if dead := len(h.names) - h.liveCount; dead != maxDeadMembers {
-		t.Errorf("expected %d dead and departed members to be remembered, got %d", maxDeadMembers, dead)
+		t.Errorf("got %d dead and departed members in the table, want %d", dead, maxDeadMembers)
 	}
 }
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// faultCase plays some faults in a cluster and asserts what they must not do.
+// faultCase is a test case that runs a cluster with faults and checks their effects.
 type faultCase struct {
 	name   string
 	size   int
@@ -10,13 +10,14 @@
 	run    func(t *testing.T, c *cluster)
 }
 
-// assertMaxSuspicions runs the cluster for a minute, and asserts how often the member 2 may suspect others.
+// assertMaxSuspicions returns a function that runs the cluster until 60 s and asserts that member 2 raises at most
+// limit suspicions.
 func assertMaxSuspicions(limit int) func(t *testing.T, c *cluster) {
 	return func(t *testing.T, c *cluster) {
 		t.Helper()
 		c.run(60 * second)
 		if count := c.members[2].eventCounts[Suspected]; count > limit {
-			t.Errorf("expected at most %d suspicions, got %d", limit, count)
+			t.Errorf("member 2 raised %d suspicions, want at most %d", count, limit)
 		}
 	}
 }
@@ -29,7 +30,7 @@
 		run: func(t *testing.T, c *cluster) {
 			c.run(20 * second)
 			if process := c.members[2]; process.eventCounts[Died] > 0 || process.eventCounts[Stalled] == 0 {
-				t.Errorf("expected a stall and no death, got %v", process.eventCounts)
+				t.Errorf("got events %v of member 2, want a stall and no death", process.eventCounts)
 			}
 		},
 	},
@@ -42,7 +43,7 @@
 			before := c.members[0].View().Number
 			c.run(60 * second)
 			if process := c.members[0]; process.eventCounts[Refuted] == 0 || process.View().Number != before {
-				t.Errorf("expected refutations and no new view, got %d new views, %v",
+				t.Errorf("got %d new views and events %v of member 0, want no new view and some refutations",
 					process.View().Number-before, process.eventCounts)
 			}
 		},
@@ -58,7 +59,7 @@
 		size:   7,
 		faults: []fault{{kind: faultRefuse, target: 2, other: 3, start: 5 * second, end: 60 * second}},
 		run: func(t *testing.T, c *cluster) {
-			c.delay = 15 * millisecond // the relays' answers come long after the refusal
+			c.delay = 15 * millisecond // the relays' answers arrive long after the refusal
 			assertMaxSuspicions(0)(t, c)
 		},
 	},
@@ -66,13 +67,13 @@
 		name:   "a zone that is reached by one member of another zone only",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(100), // 569 before the last relay to get through was asked first
+		run:    assertMaxSuspicions(100), // 569 suspicions before the relay that last reached the zone was asked first
 	},
 	{
 		name:   "a zone that is reached by one of its own members only",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(15), // 27 before the relay whose datagram came last was asked
+		run:    assertMaxSuspicions(15), // 27 suspicions before the relay whose datagram arrived last was asked
 	},
 	{
 		name:   "a path that works in one direction only is found",
@@ -81,7 +82,7 @@
 		run: func(t *testing.T, c *cluster) {
 			c.run(14 * second)
 			if len(c.oneWayFound) == 0 {
-				t.Error("not found within 9 s")
+				t.Error("no member reported the one-way path within 9 s")
 			}
 		},
 	},
@@ -99,7 +100,7 @@
 		name:   "one whose own paths are bad suspects others less and less",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 2, probability: 0.6, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(50), // it was 74 before there was a local health score
+		run:    assertMaxSuspicions(50), // 74 suspicions before the local health score was introduced
 	},
 	{
 		name: "a second process under a name stays outside, and takes it over from the dead",
@@ -111,12 +112,13 @@
 			c.run(12 * second)
 			inIntruder, inFirst := c.listedBy("n3", intruder.Self.Nonce), c.listedBy("n3", first)
 			if intruder.eventCounts[NameConflict] != 1 || !intruder.joining || inIntruder > 0 || inFirst != 6 {
-				t.Errorf("%v; %d believe in it, %d in the first", intruder.eventCounts, inIntruder, inFirst)
+				t.Errorf("second process: events %v, joining %v, listed by %d members, want one name conflict, true, 0; "+
+					"first process: listed by %d, want 6", intruder.eventCounts, intruder.joining, inIntruder, inFirst)
 			}
 			c.startFault(fault{kind: faultKill, target: 3})
 			c.run(c.now + 6*second)
 			if count := c.listedBy("n3", intruder.Self.Nonce); count != 6 {
-				t.Errorf("%d believe in it once the first is dead", count)
+				t.Errorf("%d members list the second process after the death of the first, want 6", count)
 			}
 		},
 	},
@@ -128,7 +130,8 @@
 			c.startFault(fault{kind: faultRestart, target: 3, end: 5*second + 10*millisecond})
 			c.run(7 * second)
 			if process := c.members[3]; c.listedBy("n3", process.Self.Nonce) != 6 || process.eventCounts[NameConflict] > 0 {
-				t.Errorf("%d believe in it: %v", c.listedBy("n3", process.Self.Nonce), process.eventCounts)
+				t.Errorf("the restarted process: listed by %d members, events %v, want 6 and no name conflict",
+					c.listedBy("n3", process.Self.Nonce), process.eventCounts)
 			}
 		},
 	},
@@ -137,13 +140,14 @@
 		size:   6,
 		faults: []fault{{kind: faultCut, target: 0, other: -1, start: 0, end: 8 * second}},
 		run: func(t *testing.T, c *cluster) {
-			c.run(3 * second) // n5 is of zone-1, and whoever takes its name of zone-0
+			c.run(3 * second) // n5 is in zone-1, and the process that takes its name is in zone-0
 			intruder := c.startIntruder(5)
 			c.run(20 * second)
 			first, second := c.listedBy("n5", c.members[5].Self.Nonce), c.listedBy("n5", intruder.Self.Nonce)
 			conflicts := c.members[5].eventCounts[NameConflict] + intruder.eventCounts[NameConflict]
 			if (first == 0) == (second == 0) || conflicts != 1 {
-				t.Errorf("%d believe in the one, %d in the other; %d found the conflict", first, second, conflicts)
+				t.Errorf("the first process is listed by %d members, the second by %d, with %d name conflicts; "+
+					"want only one of them listed and 1 conflict", first, second, conflicts)
 			}
 		},
 	},
@@ -166,7 +170,7 @@
 			c.run(12 * second)
 			for i, process := range c.members {
 				if i != 3 && (process.eventCounts[LeftCluster] != 1 || process.eventCounts[Died] > 0) {
-					t.Errorf("n%d: %v", i, process.eventCounts)
+					t.Errorf("n%d: got events %v, want one departure and no death", i, process.eventCounts)
 				}
 			}
 		},
@@ -186,13 +190,13 @@
 			before := c.members[0].View().Number
 			c.run(12 * second)
 			if v := c.members[0].View(); v.Number > before+2 || len(v.Names) != 11 {
-				t.Errorf("%d steps to %v", v.Number-before, v.Names)
+				t.Errorf("got %d view changes to %v, want at most 2 changes to 11 members", v.Number-before, v.Names)
 			}
 		},
 	},
 }
 
-// TestFaults plays each case, and asserts that no invariant was violated besides.
+// TestFaults runs each case, and also asserts that no invariant is violated.
 func TestFaults(t *testing.T) {
 	for _, fc := range faultCases {
 		t.Run(fc.name, func(t *testing.T) {
--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// TestFormation asserts that a cluster that starts at once forms soon, and sends little after that.
+// TestFormation asserts that a cluster whose members all start at the same time forms within a maximum time, and that
+// the rate of bytes that each member sends afterwards is bounded.
 func TestFormation(t *testing.T) {
 	const interval = second / 2
 	for _, c := range []struct {
 		size         int
-		maxIntervals int64   // until it has formed
-		maxBytesRate float64 // bytes a second and member, from 10 s after that on
+		maxIntervals int64   // maximum number of intervals until the cluster has formed
+		maxBytesRate float64 // maximum bytes per second and member, measured from 10 to 20 s after the formation
 	}{{3, 4, 2000}, {16, 6, 2000}, {100, 8, 2000}, {300, 20, 2000}} {
 		cluster := newCluster(c.size, 5, nil)
 		intervals := int64(1)
@@ -22,7 +23,8 @@
 		rate := float64(cluster.bytes-before) / 10 / float64(c.size)
 		t.Logf("%d members: formed after %s, then %.0f bytes a second and member", c.size, formatMilliseconds(formedAt), rate)
 		if intervals > c.maxIntervals || rate > c.maxBytesRate {
-			t.Errorf("%d members: formed after %s, then %.0f bytes a second and member", c.size, formatMilliseconds(formedAt), rate)
+			t.Errorf("%d members: formed after %s, then %.0f bytes per second and member; want at most %s and %.0f",
+				c.size, formatMilliseconds(formedAt), rate, formatMilliseconds(c.maxIntervals*interval), c.maxBytesRate)
 		}
 	}
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -1,16 +1,16 @@
 package membership
 
-// This file owns the harness of the tests that look at one table: the local member a, among b, c, d and e.
+// This file defines the harness for tests of a single table. The local member is a; the others are b, c, d and e.
 
 import "testing"
 
-// harness is the table of a. All others answer every ping, but b answers as the test says.
+// harness is the table of member a. All other members answer every ping, except b, whose answers the test defines.
 type harness struct {
 	*Table
 	now         int64
-	diedAt      int64 // when b was declared dead, 0 while it was not
+	diedAt      int64 // time of the first death that the table declared, 0 before that
 	eventCounts map[EventKind]int
-	answerForB  func(a Action) *Message // what b, or a relay on its behalf, answers; nil for nothing
+	answerForB  func(a Action) *Message // returns the answer of b or of a relay on its behalf, nil for no answer
 }
 
 func newHarness(t *testing.T) *harness {
@@ -19,17 +19,17 @@
 	h.Table = New(h.now, Config{Self: aliveUpdate("a"), Peers: []Peer{{"b", aliveUpdate("b").Addr}}, Seed: 1})
 	h.receiveUpdates(aliveUpdate("b"), aliveUpdate("d"), aliveUpdate("e"))
 	if h.Size() != 5 {
-		t.Fatalf("expected 5 members, got %d", h.Size())
+		t.Fatalf("got %d members, want 5", h.Size())
 	}
 	return h
 }
 
-// aliveUpdate is what a member says of itself.
+// aliveUpdate returns the update that an alive member sends about itself.
 func aliveUpdate(name string) Update {
 	return Update{Name: name, Zone: "zone-a", Addr: "127.0.0.1:7" + name, Nonce: uint64(name[0]), Incarnation: 1}
 }
 
-// suspectUpdate is what others say of a member that they do not reach.
+// suspectUpdate returns an update that reports a member as suspected, with confirmations from the given members.
 func suspectUpdate(name string, confirmedBy ...string) Update {
 	u := aliveUpdate(name)
 	u.State = Suspect
@@ -39,7 +39,7 @@
 	return u
 }
 
-// refused is a suspicion whose confirmations all say that no process listens.
+// refused marks all confirmations of an update as refused and returns the update.
 func refused(u Update) Update {
 	for i := range u.Confirmations {
 		u.Confirmations[i].Refused = true
@@ -47,21 +47,21 @@
 	return u
 }
 
-// receive hands a message to the table.
+// receive passes a message to the table and performs the resulting actions.
 func (h *harness) receive(m *Message) {
 	m.To = "a"
 	h.perform(h.Receive(h.now, m))
 }
 
-// receiveUpdates hands updates to the table, as c sends them.
+// receiveUpdates passes updates to the table in a message from c.
 func (h *harness) receiveUpdates(updates ...Update) {
 	h.receive(&Message{Kind: Ack, Sender: aliveUpdate("c"), Updates: updates})
 }
 
-// suspectB has c, d and e suspect b.
+// suspectB passes the table a suspicion of b with confirmations from c, d and e.
 func (h *harness) suspectB() { h.receiveUpdates(suspectUpdate("b", "c", "d", "e")) }
 
-// perform answers what the table sends.
+// perform passes the answers to the table's actions back to the table.
 func (h *harness) perform(actions []Action) {
 	for _, action := range actions {
 		if send, ok := action.(Send); ok && send.Message.Kind == Ping && send.Message.To != "b" {
@@ -74,7 +74,7 @@
 	}
 }
 
-// run lets time pass until a time.
+// run advances the time to until in steps of tickInterval, and calls Tick at each step.
 func (h *harness) run(until int64) {
 	for ; h.now < until; h.now += tickInterval {
 		h.perform(h.Tick(h.now))
@@ -87,13 +87,13 @@
 	}
 }
 
-// pathToB is how b may be reached from a: it sets what answers on behalf of b.
+// pathToB is a way in which a may reach b. It returns the function for harness.answerForB.
 type pathToB func(h *harness) func(a Action) *Message
 
-// unreachable is a b that nobody reaches.
+// unreachable simulates a b that no member reaches.
 func unreachable(*harness) func(a Action) *Message { return func(Action) *Message { return nil } }
 
-// reachable is a b that answers pings.
+// reachable simulates a b that answers pings.
 func reachable(*harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == Ping {
@@ -103,7 +103,7 @@
 	}
 }
 
-// reachableByRelay is a b that only relays reach.
+// reachableByRelay simulates a b that only relays reach.
 func reachableByRelay(*harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == PingRequest {
@@ -119,7 +119,7 @@
 	}
 }
 
-// reachableByHandshake is a b that answers handshake probes only.
+// reachableByHandshake simulates a b that answers only handshake probes.
 func reachableByHandshake(h *harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if probe, ok := a.(HandshakeProbe); ok {
@@ -129,11 +129,11 @@
 	}
 }
 
-// pathsToB are all of them.
+// pathsToB lists all paths to b.
 var pathsToB = []struct {
 	name string
 	path pathToB
-	dead bool // a b that is suspected is declared dead
+	dead bool // whether a must declare b dead after a suspicion
 }{
 	{"unreachable", unreachable, true},
 	{"reachable", reachable, false},
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -57,7 +57,7 @@
 // Config is the initial configuration of a table.
 type Config struct {
 	Self  Update
-	Peers []Peer // pinged to join the cluster; their addresses take precedence over those in updates
+	Peers []Peer // pinged to join or rejoin the cluster; their addresses take precedence over those in updates
 	Seed  uint64
 	Timing
 }
--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -15,24 +15,24 @@
 	onlySize      = flag.Int("size", 0, "play clusters of this size only")
 )
 
-// runSchedule plays one schedule, and says what it violated; "" for nothing.
+// runSchedule runs one schedule of faults and returns a description of the violations, or "" without any.
 func runSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
 	c = newCluster(size, seed, faults)
 	c.run(formationTime(size))
 	if difference := c.disagreement(); difference != "" {
-		return c, "after the start " + difference
+		return c, "after the start: " + difference
 	}
 	c.run(end + 3*second)
 	if len(c.violations) > 0 {
 		return c, strings.Join(c.violations[:min(3, len(c.violations))], "; ")
 	}
 	if difference := c.disagreement(); difference != "" {
-		return c, "3 s after the last fault " + difference
+		return c, "3 s after the last fault: " + difference
 	}
 	return c, ""
 }
 
-// shrinkFaults leaves out what the violation does not need.
+// shrinkFaults removes the faults that are not needed to cause a violation.
 func shrinkFaults(size int, seed uint64, faults []fault, end int64) []fault {
 	for i := 0; i < len(faults); {
 		fewer := slices.Delete(slices.Clone(faults), i, i+1)
@@ -46,22 +46,23 @@
 }
 
 const (
-	// maxShown is how many violated schedules of one size are shown.
+	// maxShown is the maximum number of reported schedules with violations for each cluster size.
 	maxShown = 3
-	// maxShrunkSize is the largest cluster whose violated schedules are shrunk: larger ones take too long.
+	// maxShrunkSize is the maximum cluster size for which schedules with violations are shrunk. Larger clusters
+	// take too long.
 	maxShrunkSize = 16
 )
 
-// scheduleTally is what the schedules of one cluster size showed.
+// scheduleTally accumulates the results of the schedules of one cluster size.
 type scheduleTally struct {
 	size                       int
 	schedules, violated        int
 	oneWayFaults, oneWayFound  int
-	detectionTimes             map[string][]int64 // by kind of death
+	detectionTimes             map[string][]int64 // in microseconds, by kind of death
 	maxBytesPerSecondAndMember float64
 }
 
-// run plays a schedule and adds what it showed.
+// run runs a schedule and adds its results to the tally.
 func (s *scheduleTally) run(t *testing.T, seed uint64) {
 	t.Helper()
 	faults, end := drawFaults(s.size, seed)
@@ -82,7 +83,7 @@
 	s.maxBytesPerSecondAndMember = max(s.maxBytesPerSecondAndMember, rate)
 }
 
-// reportViolation reports one of the first violations, with the faults that it needs.
+// reportViolation fails the test with a violation and the faults that cause it, for the first maxShown violations.
 func (s *scheduleTally) reportViolation(t *testing.T, seed uint64, violation string, faults []fault, end int64) {
 	t.Helper()
 	if s.violated > maxShown {
@@ -94,7 +95,8 @@
 	t.Errorf("%d members, seed %d: %s\n%v", s.size, seed, violation, faults)
 }
 
-// checkDetection asserts that killed processes are found soon, where there are enough of them to say.
+// checkDetection asserts that the 99th percentile of the times until a killed process is declared dead is at most 3 s.
+// It requires at least 7 members and more than 20 killed processes.
 func (s *scheduleTally) checkDetection(t *testing.T) {
 	t.Helper()
 	times := s.detectionTimes["killed"]
@@ -103,11 +105,12 @@
 	}
 	slices.Sort(times)
 	if times[len(times)*99/100] > 3*second {
-		t.Errorf("%d members: a killed process is found after %s", s.size, medianAndP99(times))
+		t.Errorf("%d members: killed processes were declared dead after %s ms (median/p99), want a p99 of at most %s",
+			s.size, medianAndP99(times), formatMilliseconds(3*second))
 	}
 }
 
-// print prints a line of figures, in the form of the journal.
+// print prints one summary line of the results in key=value form.
 func (s *scheduleTally) print(took time.Duration) {
 	fmt.Printf("%d instances: schedules=%d broken=%d killed_ms=%s vanished_ms=%s "+
 		"one_way_found=%d of=%d most_bytes_s_member=%.0f took=%s\n",
@@ -116,7 +119,8 @@
 		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMember, took.Round(time.Second))
 }
 
-// schedulesOf is how many schedules of a cluster size are played.
+// schedulesOf returns the number of schedules to run for a cluster size: a percentage of the -schedules flag, or all of
+// them if -size selects this size.
 func schedulesOf(size, percent int) int {
 	switch {
 	case *onlySize > 0 && size != *onlySize:
@@ -129,7 +133,7 @@
 	return *scheduleCount * percent / 100
 }
 
-// TestSchedules plays drawn schedules of faults in clusters of several sizes, and asserts that no invariant is
+// TestSchedules runs randomly drawn schedules of faults in clusters of several sizes, and asserts that no invariant is
 // violated.
 func TestSchedules(t *testing.T) {
 	for _, c := range []struct{ size, percent int }{{3, 70}, {7, 20}, {16, 9}, {100, 1}, {1000, 0}} {
@@ -147,7 +151,8 @@
 	}
 }
 
-// medianAndP99 are the median and the 99th percentile in milliseconds.
+// medianAndP99 returns the median and the 99th percentile in milliseconds, separated by a slash, or "none" without
+// values. It sorts its argument.
 func medianAndP99(us []int64) string {
 	if len(us) == 0 {
 		return "none"
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file owns the simulated cluster: tables joined by a simulated network, on one clock, with timers that
-// are a little late. What the network does is in sim_network_test.go, what faults do in sim_faults_test.go,
-// and what must hold of the members in sim_invariants_test.go.
+// This file implements the simulated cluster: tables connected by a simulated network, with one clock and timers that
+// are slightly late. The network is in sim_network_test.go, the faults are in sim_faults_test.go, and the invariants of
+// the members are in sim_invariants_test.go.
 
 import (
 	"container/heap"
@@ -11,29 +11,30 @@
 	"math/rand/v2"
 )
 
-// maxTimerDelay is by how much any timer may be late.
+// maxTimerDelay is the upper bound of the delay of a timer, in microseconds.
 const maxTimerDelay = 1 * millisecond
 
-// maxSlowDelay is by how much the turns of a slow member may be late.
+// maxSlowDelay is the upper bound of the additional delay of a timer, a datagram or a handshake at a slow member, in
+// microseconds.
 const maxSlowDelay = 400 * millisecond
 
-// simMember is a member of the simulated cluster: a table, and the process that it runs in.
+// simMember is a member of the simulated cluster: its table and the state of its process. Times are in microseconds.
 type simMember struct {
 	*Table
-	sharedName        string // its name, where it has that of another
-	up, left          bool
-	hostDown          bool // it went down without its host refusing connections
+	sharedName        string // name of another member that this one uses too, or ""
+	up, left          bool   // whether the process runs; whether it ended after leaving intentionally
+	hostDown          bool   // whether the host is down, so that it does not refuse connections
 	pausedUntil       int64
-	starts            uint64
-	diedAt            int64
-	savedIncarnation  uint64 // the one that its folder holds
-	deathAllowedUntil int64  // until when it may rightly be declared dead
+	starts            uint64 // number of starts of the process
+	diedAt            int64  // time of the last kill or vanish fault
+	savedIncarnation  uint64 // incarnation that is stored across restarts
+	deathAllowedUntil int64  // time until which others may declare the running process dead
 	nextTickAt        int64
-	ticks             int
+	ticks             int // number of calls of Tick
 	eventCounts       map[EventKind]int
 }
 
-// simEvent is what happens at a time; of two at the same time the one that was scheduled first comes first.
+// simEvent is a scheduled event. Of two events at the same time, the one that was scheduled first runs first.
 type simEvent struct {
 	at, order int64
 	run       func()
@@ -55,7 +56,7 @@
 	return e
 }
 
-// cluster is the simulated cluster, and what it showed.
+// cluster is the simulated cluster and the results of its run. Times are in microseconds.
 type cluster struct {
 	rng             *rand.Rand
 	now, eventCount int64
@@ -64,14 +65,14 @@
 	indexByAddr     map[string]int
 	zones           int
 	faults          []fault
-	delay           int64 // of a datagram, on average
-	bytes           int64 // sent so far
-
-	violations        []string           // of the invariants
-	detectionTimes    map[string][]int64 // from a death to its detection, by kind of death
-	oneWayFound       map[int]bool       // one-way faults that either end found, by index
-	deathDeclarations map[[2]uint64]int  // by member and start
-	// transcript is written whatever the members send, ask for and report; nil where nobody reads it.
+	delay           int64 // average delay of a datagram
+	bytes           int64 // number of bytes sent so far
+
+	violations        []string           // violations of the invariants
+	detectionTimes    map[string][]int64 // times from a death to the first declaration of it, by kind of death
+	oneWayFound       map[int]bool       // one-way faults that a member at either end reported, by index in faults
+	deathDeclarations map[[2]uint64]int  // number of members that declared a death, by member index and start
+	// transcript receives all actions and events of the members; nil disables it.
 	transcript io.Writer
 }
 
@@ -104,13 +105,13 @@
 
 func (c *cluster) zone(i int) int { return i % c.zones }
 
-// schedule has something happen at a time.
+// schedule adds an event that runs at a time.
 func (c *cluster) schedule(at int64, run func()) {
 	c.eventCount++
 	heap.Push(&c.queue, simEvent{at, c.eventCount, run})
 }
 
-// run lets time pass until a time.
+// run runs all events up to a time and advances the clock to it.
 func (c *cluster) run(until int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(simEvent)
@@ -120,7 +121,7 @@
 	c.now = until
 }
 
-// startIntruder starts a further process under the name of another.
+// startIntruder adds a member whose process uses the name of another member, and starts it.
 func (c *cluster) startIntruder(of int) *simMember {
 	i := len(c.members)
 	c.members = append(c.members, &simMember{sharedName: memberName(of)})
@@ -153,7 +154,8 @@
 	c.tickMemberAt(i, c.now+c.rng.Int64N(tickInterval))
 }
 
-// scheduleTick has a member's table called when it wants to be, unless that is due sooner already.
+// scheduleTick schedules the next call of a member's Tick at the time that the table requests, unless an earlier call
+// is scheduled already.
 func (c *cluster) scheduleTick(i int) {
 	process := c.members[i]
 	at := max(process.NextTick(), c.now+1) + c.rng.Int64N(maxTimerDelay) + c.slowDelay(i)
@@ -162,7 +164,8 @@
 	}
 }
 
-// tickMemberAt calls a member's table at a time, if no other time is set until then.
+// tickMemberAt schedules a call of a member's Tick. The call does not run if the process ended or restarted meanwhile,
+// or if another call replaced it.
 func (c *cluster) tickMemberAt(i int, at int64) {
 	process, start := c.members[i], c.members[i].starts
 	process.nextTickAt = at
@@ -179,7 +182,7 @@
 	})
 }
 
-// slowDelay is what a slow member adds to each of its turns.
+// slowDelay draws the additional delay of a member, 0 if the member is not slow.
 func (c *cluster) slowDelay(i int) int64 {
 	for _, f := range c.active(faultSlow) {
 		if f.target == i {
@@ -189,9 +192,9 @@
 	return 0
 }
 
-// record writes to the transcript what a member wants done or reports.
+// record writes an action or an event of a member to the transcript.
 func (c *cluster) record(i int, what any) {
 	if c.transcript != nil {
-		_, _ = fmt.Fprintf(c.transcript, "%d %d %v\n", c.now, i, what) // a digest takes all
+		_, _ = fmt.Fprintf(c.transcript, "%d %d %v\n", c.now, i, what) // a hash never returns an error
 	}
 }
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -1,65 +1,65 @@
 package membership
 
-// This file owns the faults of the simulated cluster: what they are, how they start, and how schedules of
-// them are drawn.
+// This file defines the faults of the simulated cluster, starts them, and draws random schedules of faults.
 
 import (
 	"fmt"
 	"math/rand/v2"
 )
 
-// faultKind is what goes wrong.
+// faultKind is the kind of a fault.
 type faultKind string
 
 // The kinds of faults.
 const (
-	faultKill         faultKind = "kill"   // the process ends, and its host refuses connections
-	faultVanish       faultKind = "vanish" // the host ends
-	faultPause        faultKind = "pause"
-	faultOneWay       faultKind = "oneway" // from target to other nothing arrives
-	faultRefuse       faultKind = "refuse" // the same, and target's connections to other are refused
-	faultCut          faultKind = "cut"    // the zone target is cut off, but for the member other
-	faultLoss         faultKind = "loss"   // of datagrams to and from target, of all where it is -1
-	faultFlap         faultKind = "flap"
-	faultSlow         faultKind = "slow"
-	faultRestart      faultKind = "restart"
-	faultRestartEmpty faultKind = "empty" // the folder with the incarnation is lost
-	faultLeave        faultKind = "leave"
+	faultKill         faultKind = "kill"    // the process of target ends, and its host refuses connections
+	faultVanish       faultKind = "vanish"  // the host of target goes down and does not answer
+	faultPause        faultKind = "pause"   // the process of target does not run until the end
+	faultOneWay       faultKind = "oneway"  // datagrams and connections from target to other do not arrive
+	faultRefuse       faultKind = "refuse"  // as faultOneWay, and connections from target to other are refused
+	faultCut          faultKind = "cut"     // the zone target is cut off, except for paths to and from the member other
+	faultLoss         faultKind = "loss"    // random loss of datagrams to and from target, or of all if target is -1
+	faultFlap         faultKind = "flap"    // all paths of target fail and recover in turn
+	faultSlow         faultKind = "slow"    // timers and datagrams of target are late
+	faultRestart      faultKind = "restart" // the process of target ends at the start and starts again at the end
+	faultRestartEmpty faultKind = "empty"   // as faultRestart, and the stored incarnation is lost
+	faultLeave        faultKind = "leave"   // target leaves intentionally
 )
 
-// Kinds that are only drawn, and become others.
+// Kinds that occur only while a schedule is drawn, and are replaced by faults of the kinds above.
 const (
-	drawnLongPause   faultKind = "longpause"
-	drawnBridge      faultKind = "bridge" // a cut with a member whose paths still work
-	drawnMassRestart faultKind = "crowd"  // nine of ten members restart within a second
+	drawnLongPause   faultKind = "longpause" // a pause of 10 s
+	drawnBridge      faultKind = "bridge"    // a cut with a member whose paths still work
+	drawnMassRestart faultKind = "crowd"     // nine of ten members restart within a second
 )
 
 const (
-	// detectionLimit is until when a dead member must be declared dead by all.
+	// detectionLimit is the time after a death within which all members must declare it, in microseconds.
 	detectionLimit = 12 * second
-	// deathAllowance is how long after a fault of its own a member may rightly be declared dead.
+	// deathAllowance is the time after a long pause or a restart of a member during which others may still declare
+	// the member dead, in microseconds.
 	deathAllowance = 2 * second
-	// minLongPause is from which length on a pause is such a fault.
+	// minLongPause is the minimum length of a pause that allows others to declare the member dead, in microseconds.
 	minLongPause = 3 * second
-	// leaveTime is how long a process that leaves still runs.
+	// leaveTime is the time that a process runs after it has announced its departure, in microseconds.
 	leaveTime = 300 * millisecond
 )
 
-// fault is one thing that a schedule does, from its start to its end.
+// fault is one fault of a schedule.
 type fault struct {
 	kind          faultKind
-	target, other int // members; a zone in a cut
-	start, end    int64
-	probability   float64 // of a loss
+	target, other int     // indexes of members; in a cut, target is a zone
+	start, end    int64   // in microseconds
+	probability   float64 // loss probability of faultLoss
 }
 
-// String shows a fault in a test's message.
+// String formats a fault for test messages.
 func (f fault) String() string {
 	return fmt.Sprintf("%.1fs-%.1fs %s %d->%d %.2f",
 		float64(f.start)/second, float64(f.end)/second, f.kind, f.target, f.other, f.probability)
 }
 
-// active are the faults of a kind that go on.
+// active returns the faults of a kind that are in effect now.
 func (c *cluster) active(kind faultKind) (active []fault) {
 	for _, f := range c.faults {
 		if f.kind == kind && f.start <= c.now && c.now < f.end {
@@ -69,8 +69,8 @@
 	return active
 }
 
-// startFault does what a fault does to a process at its start; faults of the network are looked up as
-// datagrams pass.
+// startFault applies the effect of a fault on the target's process at the start of the fault. Network faults are
+// evaluated for each datagram and handshake instead.
 func (c *cluster) startFault(f fault) {
 	if f.target < 0 || f.kind == faultCut {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// formationTime is when a cluster that starts at once has formed.
+// formationTime returns the time by which a cluster must have formed whose members all start at the same time.
 func formationTime(size int) int64 {
 	if size > 100 {
 		return 30 * second
@@ -114,22 +114,23 @@
 	return 5 * second
 }
 
-// faultDrawer draws a schedule of faults.
+// faultDrawer draws a random schedule of faults.
 type faultDrawer struct {
 	rng    *rand.Rand
 	size   int          // of the cluster
-	busy   map[int]bool // members that have a fault already, or must not have one
-	at     int64        // when the next fault may start
+	busy   map[int]bool // members that have a fault already or must not have one
+	at     int64        // earliest start of the next fault, in microseconds
 	faults []fault
 }
 
-// drawnKinds are the kinds that faults are drawn from, each as likely.
+// drawnKinds lists the kinds from which faults are drawn with equal probability.
 var drawnKinds = []faultKind{
 	faultKill, faultVanish, faultPause, drawnLongPause, faultOneWay, faultRefuse, faultCut, drawnBridge,
 	faultLoss, faultFlap, faultSlow, faultRestart, faultRestartEmpty, faultLeave, drawnMassRestart,
 }
 
-// drawFaults draws a schedule: a few faults, all over by the end.
+// drawFaults draws a schedule of up to four faults, where a mass restart counts as one. All faults end by the returned
+// time.
 func drawFaults(size int, seed uint64) (faults []fault, end int64) {
 	d := &faultDrawer{
 		rng:  rand.New(rand.NewPCG(seed, 9)),
@@ -147,7 +148,7 @@
 	return d.faults, end
 }
 
-// draw draws one fault, or a crowd of restarts; none where the cluster has no place for it.
+// draw draws one fault or a mass restart. It adds nothing if the cluster has no suitable target for the fault.
 func (d *faultDrawer) draw() {
 	f := fault{kind: drawnKinds[d.rng.IntN(len(drawnKinds))], start: d.at + d.rng.Int64N(2*second), other: -1}
 	f.end = f.start + 2*second + d.rng.Int64N(6*second)
@@ -162,7 +163,7 @@
 	d.at += d.rng.Int64N(3 * second)
 }
 
-// drawMassRestart has nine of ten members restart within a second.
+// drawMassRestart draws restarts of nine of ten members that have no fault yet, all starting within a second.
 func (d *faultDrawer) drawMassRestart(start int64) {
 	for i := 1; i < d.size; i++ {
 		if !d.busy[i] && d.rng.IntN(10) > 0 {
@@ -175,13 +176,13 @@
 	d.at += 4 * second
 }
 
-// drawTarget draws whom a fault concerns.
+// drawTarget draws the target of a fault, and reports whether there is one.
 func (d *faultDrawer) drawTarget(f *fault) bool {
 	switch f.kind {
 	case faultCut:
 		f.target = d.rng.IntN(max(1, min(4, d.size/3)))
 	case drawnBridge:
-		if d.size < 6 || d.size > 16 { // one bridge does not carry the refutations of a zone of 25 in time
+		if d.size < 6 || d.size > 16 { // one member cannot pass on the refutations of a zone of 25 in time
 			return false
 		}
 		f.kind, f.target, f.other = faultCut, d.rng.IntN(min(4, d.size/3)), d.rng.IntN(d.size)
@@ -194,7 +195,8 @@
 	return true
 }
 
-// drawParameters draws what is particular to a kind: another member, or another length.
+// drawParameters draws the parameters that depend on the kind of a fault: the other member and the end. It reports
+// whether the fault can be added.
 func (d *faultDrawer) drawParameters(f *fault) bool {
 	switch f.kind {
 	case faultPause:
@@ -211,7 +213,7 @@
 	return true
 }
 
-// pickIdleMember draws a member that has no fault yet, -1 where none is found.
+// pickIdleMember draws a member that has no fault yet, and returns -1 if 20 draws find none.
 func (d *faultDrawer) pickIdleMember() int {
 	for range 20 {
 		if i := d.rng.IntN(d.size); !d.busy[i] {
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -1,7 +1,8 @@
 package membership
 
-// This file owns what must hold of the simulated members, by what the faults did, which no table sees: no
-// running member that can be reached is declared dead, each dead one is, and no path is blamed without cause.
+// This file checks the invariants of the simulated members against the faults, which the tables cannot observe: no
+// running member that can be reached is declared dead, every dead member is declared dead, and no path is reported as
+// degraded without a cause.
 
 import (
 	"fmt"
@@ -11,28 +12,30 @@
 )
 
 const (
-	// observerGrace is how long ago an observer's own fault must be for its belief to count.
+	// observerGrace is the time after deathAllowedUntil of an observer from which on its table is checked for dead
+	// members, in microseconds.
 	observerGrace = 6 * second
-	// minReportableLoss is from which loss on a path may rightly be blamed.
+	// minReportableLoss is the probability of loss above which a member may report a path as degraded.
 	minReportableLoss = 0.2
-	// pathReportGrace is how long after a fault a path may rightly be blamed.
+	// pathReportGrace is the time after the end of a fault during which a member may still report a path as degraded,
+	// in microseconds.
 	pathReportGrace = 4 * second
 )
 
-// checkDead asserts that all declared a member dead by now.
+// checkDead asserts that the tables of all running members list a killed or vanished process as dead by now.
 func (c *cluster) checkDead(f fault, nonce uint64) {
 	for i, observer := range c.members {
 		if !observer.up || i == f.target || observer.deathAllowedUntil > c.now-observerGrace || observer.joining {
 			continue
 		}
 		if m := observer.members[memberName(f.target)]; m != nil && m.Nonce == nonce && m.State <= Suspect {
-			c.violations = append(c.violations, fmt.Sprintf("%s still believes %s to be %s, %s after its end",
+			c.violations = append(c.violations, fmt.Sprintf("%s still lists %s as %s, %s after its end",
 				memberName(i), memberName(f.target), m.State, formatMilliseconds(c.now-f.start)))
 		}
 	}
 }
 
-// checkEvents looks at what a member reports.
+// checkEvents records and counts the events that a member reported, and checks them against the faults.
 func (c *cluster) checkEvents(i int) {
 	process := c.members[i]
 	for _, e := range process.Events() {
@@ -51,18 +54,18 @@
 	}
 }
 
-// checkPathDegraded asserts that a member that reports a path as working in one direction only has cause.
+// checkPathDegraded asserts that a fault may explain a member's report that one direction of a path is down.
 func (c *cluster) checkPathDegraded(reporter int, e Event) {
 	for _, f := range c.faults {
 		if (f.kind != faultLoss || f.probability > minReportableLoss) && f.start <= c.now && c.now < f.end+pathReportGrace {
-			return // there is a cause, or may be one
+			return // this fault may be the cause
 		}
 	}
-	c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s blames the path to %s: %s",
+	c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s reports the path to %s as degraded without a cause: %s",
 		float64(c.now)/second, memberName(reporter), e.Name, e.Evidence))
 }
 
-// recordOneWayFound notes the one-way faults that a member's report is right about.
+// recordOneWayFound records the one-way faults that a member's report correctly identifies.
 func (c *cluster) recordOneWayFound(reporter int, e Event) {
 	for index, f := range c.faults {
 		ends := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
@@ -72,11 +75,13 @@
 	}
 }
 
-// checkDeath asserts that a member that is declared dead is: it is down, disturbed or partitioned off.
+// checkDeath asserts that a member that another one declared dead is down, partitioned off or within its period of
+// allowed declarations. It records the detection time of a member that is down.
 func (c *cluster) checkDeath(observer int, e Event) {
 	declared, err := strconv.Atoi(strings.TrimPrefix(e.Name, "n"))
 	if err != nil {
-		c.violations = append(c.violations, fmt.Sprintf("%s declares an unknown member dead: %v", memberName(observer), err))
+		c.violations = append(c.violations, fmt.Sprintf("%s declared an unknown member dead: %v",
+			memberName(observer), err))
 		return
 	}
 	process := c.members[declared]
@@ -86,12 +91,12 @@
 		c.recordDetection(declared)
 	case process.up && !process.joining && !c.partitioned(observer, declared) &&
 		process.deathAllowedUntil < c.now && c.members[observer].deathAllowedUntil < c.now:
-		c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s declares %s dead, which is alive: %s",
+		c.violations = append(c.violations, fmt.Sprintf("%.2f s: %s declared %s dead, which is alive and reachable: %s",
 			float64(c.now)/second, memberName(observer), memberName(declared), e.Evidence))
 	}
 }
 
-// recordDetection notes how long it took until the first member declared a dead one dead.
+// recordDetection records a member's time from its death until the first other member declared it dead.
 func (c *cluster) recordDetection(member int) {
 	process := c.members[member]
 	key := [2]uint64{uint64(member), process.starts}
@@ -106,7 +111,8 @@
 	c.detectionTimes[kind] = append(c.detectionTimes[kind], c.now-process.diedAt)
 }
 
-// disagreement says how the table of a member that runs differs from who runs, "" where none does.
+// disagreement describes the first table of a running member that does not list exactly the running members, or returns
+// "" if there is none.
 func (c *cluster) disagreement() string {
 	var want []string
 	for i, process := range c.members {
@@ -127,13 +133,14 @@
 		}
 		slices.Sort(got)
 		if !slices.Equal(got, want) {
-			return fmt.Sprintf("%s believes in %v of %v", memberName(i), got, want)
+			return fmt.Sprintf("the table of %s lists %v, want %v", memberName(i), got, want)
 		}
 	}
 	return ""
 }
 
-// listedBy says how many members believe a process, by its nonce, to be in the cluster under a name.
+// listedBy returns the number of running members whose tables list a process, given by name and nonce, as alive or
+// suspected.
 func (c *cluster) listedBy(of string, nonce uint64) (count int) {
 	for _, process := range c.members {
 		if m := process.members[of]; process.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file owns the simulated network: which datagrams and connections pass, and when they arrive.
+// This file implements the simulated network: it determines which datagrams and connections pass, and when they arrive.
 
 import (
 	"fmt"
@@ -9,21 +9,21 @@
 )
 
 const (
-	// simHandshakeTimeout is after how long a handshake without an answer is over.
+	// simHandshakeTimeout is the time after which a handshake without an answer times out, in microseconds.
 	simHandshakeTimeout = 300 * millisecond
-	// duplicateOdds is one in how many datagrams arrives twice.
+	// duplicateOdds is the inverse of the probability that a datagram arrives twice.
 	duplicateOdds = 100
-	// handshakePackets is how many packets a handshake takes.
+	// handshakePackets is the number of packets of a handshake.
 	handshakePackets = 4
-	// flapPeriod is how long a flapping path works, and then does not.
+	// flapPeriod is the time after which a flapping path changes between failing and working, in microseconds.
 	flapPeriod = 700 * millisecond
-	// partitionWindow is for how long a path must have existed for members not to count as partitioned, and
-	// partitionCheckEvery at which distance in time that is looked at.
+	// partitionWindow is the time during which two members must have been connected not to count as partitioned, and
+	// partitionCheckInterval is the interval between the checks in that window, both in microseconds.
 	partitionWindow        = 6 * second
 	partitionCheckInterval = 500 * millisecond
 )
 
-// perform does what a member's table wants done.
+// perform carries out the actions of a member's table.
 func (c *cluster) perform(i int, actions []Action) {
 	for _, action := range actions {
 		c.record(i, action)
@@ -37,7 +37,7 @@
 	c.scheduleTick(i)
 }
 
-// send sends a datagram: it may be lost, or arrive twice.
+// send sends a datagram, which may be lost or arrive twice.
 func (c *cluster) send(from int, s Send) {
 	to, ok := c.indexByAddr[s.Addr]
 	if !ok {
@@ -46,7 +46,8 @@
 	size := s.Message.Size()
 	c.bytes += int64(size)
 	if size > MaxDatagramSize {
-		c.violations = append(c.violations, fmt.Sprintf("a datagram of %d bytes", size))
+		c.violations = append(c.violations, fmt.Sprintf("%s sent a datagram of %d bytes, want at most %d",
+			memberName(from), size, MaxDatagramSize))
 	}
 	copies := 1
 	if !c.datagramPasses(from, to) {
@@ -60,13 +61,14 @@
 	}
 }
 
-// deliver hands a datagram to a member.
+// deliver passes a datagram to a running member. For a paused member it waits for the end of the pause, and for a slow
+// member it adds a delay.
 func (c *cluster) deliver(to int, m *Message) {
 	process := c.members[to]
 	if !process.up {
 		return
 	}
-	if process.pausedUntil > c.now { // it waits in the system's buffer
+	if process.pausedUntil > c.now { // the datagram waits in the socket buffer
 		c.schedule(process.pausedUntil, func() { c.deliver(to, m) })
 		return
 	}
@@ -82,7 +84,7 @@
 	c.checkEvents(to)
 }
 
-// handshake carries out a handshake probe.
+// handshake simulates a handshake probe and schedules its result.
 func (c *cluster) handshake(from int, h HandshakeProbe) {
 	to := c.indexByAddr[h.Addr]
 	prober, start, target := c.members[from], c.members[from].starts, c.members[to]
@@ -97,7 +99,7 @@
 	switch {
 	case refused:
 		end(c.delay, HandshakeRefused, 0)
-	case !c.handshakePasses(from, to): // a packet is lost, and comes again too late
+	case !c.handshakePasses(from, to): // a packet is lost, and its retransmission arrives too late
 		end(simHandshakeTimeout, HandshakeTimedOut, 0)
 	case !c.pathOpen(from, to, c.now, true) || !c.pathOpen(to, from, c.now, true) ||
 		target.hostDown || target.up && target.pausedUntil > c.now:
@@ -109,7 +111,7 @@
 	}
 }
 
-// datagramPasses says whether a datagram gets from one member to another.
+// datagramPasses draws whether a datagram from one member to another arrives.
 func (c *cluster) datagramPasses(from, to int) bool {
 	for _, f := range c.active(faultLoss) {
 		if (f.target < 0 || f.target == from || f.target == to) && c.rng.Float64() < f.probability {
@@ -119,8 +121,8 @@
 	return c.pathOpen(from, to, c.now, true)
 }
 
-// handshakePasses says whether the packets of a handshake get through in time, as far as loss goes. A loss of
-// all datagrams is a firewall's, which lets connections pass.
+// handshakePasses draws whether loss lets all packets of a handshake through in time. A loss probability of 1 simulates
+// a firewall that drops datagrams and lets connections pass.
 func (c *cluster) handshakePasses(from, to int) bool {
 	for _, f := range c.active(faultLoss) {
 		concerned := f.target < 0 || f.target == from || f.target == to
@@ -131,8 +133,8 @@
 	return true
 }
 
-// pathOpen says whether the direct path from one member to another works at a time, as far as chance does not
-// decide it. Flapping paths count as open where flaps is false.
+// pathOpen reports whether the direct path from one member to another works at a time, apart from random loss. If flaps
+// is false, flapping paths count as working.
 func (c *cluster) pathOpen(from, to int, at int64, flaps bool) bool {
 	for _, f := range c.faults {
 		if f.start <= at && at < f.end && c.closesPath(f, from, to, at, flaps) {
@@ -142,14 +144,14 @@
 	return true
 }
 
-// closesPath says whether a fault closes the path from one member to another at a time within it.
+// closesPath reports whether a fault blocks the path from one member to another at a time during the fault.
 func (c *cluster) closesPath(f fault, from, to int, at int64, flaps bool) bool {
 	switch f.kind {
 	case faultOneWay, faultRefuse:
 		return f.target == from && f.other == to
 	case faultFlap:
 		return flaps && (f.target == from || f.target == to) && (at-f.start)/flapPeriod%2 == 0
-	case faultCut: // a zone, but for the paths to and from one member that still work
+	case faultCut: // the zone is cut off, except for the paths to and from one member
 		crosses := (c.zone(from) == f.target) != (c.zone(to) == f.target)
 		bridged := f.other >= 0 && (from == f.other || to == f.other)
 		return crosses && !bridged
@@ -157,8 +159,8 @@
 	return false
 }
 
-// partitioned says whether at any time of late no path led from one member to another and back, by whatever
-// members that ran.
+// partitioned reports whether at any checked time in the partition window two members were not connected, neither
+// directly nor through other running members.
 func (c *cluster) partitioned(from, to int) bool {
 	for at := c.now; at > c.now-partitionWindow; at -= partitionCheckInterval {
 		if !c.connected(from, to, at) {
@@ -168,7 +170,8 @@
 	return false
 }
 
-// connected says whether a path led from one member to another at a time.
+// connected reports whether paths that worked in both directions connected two members at a time, directly or through
+// other running members.
 func (c *cluster) connected(from, to int, at int64) bool {
 	seen, queue := map[int]bool{from: true}, []int{from}
 	for len(queue) > 0 && !seen[to] {
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestReachableMemberIsNotDeclaredDead asserts that whoever reaches a member never declares it dead, whatever
-// others say and though it never refutes that; and that whoever does not reach it, does.
+// TestReachableMemberIsNotDeclaredDead asserts that the local member never declares a suspect dead while it reaches it,
+// even if other members confirm the suspicion and the suspect never refutes it. It also asserts that the local member
+// declares a suspect dead that it does not reach.
 func TestReachableMemberIsNotDeclaredDead(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
@@ -16,23 +17,24 @@
 		suspectedAt := h.now
 		h.run(suspectedAt + 20*second)
 		if (h.diedAt > 0) != c.dead {
-			t.Errorf("%s: dead %s after the suspicion", c.name, formatMilliseconds(h.diedAt-suspectedAt))
+			t.Errorf("%s: got declared dead %v (%s after the suspicion), want %v", c.name, h.diedAt > 0,
+				formatMilliseconds(h.diedAt-suspectedAt), c.dead)
 		}
 		if c.dead {
 			continue
 		}
-		h.answerForB = unreachable(h) // for good, while the suspicion was never refuted
+		h.answerForB = unreachable(h) // permanently, while the suspicion is still not refuted
 		silentSince := h.now
 		h.run(silentSince + 15*second)
 		if h.diedAt == 0 {
-			t.Errorf("%s, then unreachable: not dead 15 s after", c.name)
+			t.Errorf("%s, then unreachable: not declared dead within 15 s", c.name)
 		}
 	}
 }
 
-// TestDeathOfLaterIncarnationIsAConfirmation asserts that a death of a later incarnation only confirms a
-// suspicion as well: whoever reaches the member does not follow it, and whoever does not declares it dead in
-// its own time.
+// TestDeathOfLaterIncarnationIsAConfirmation asserts that a death of a later incarnation that other members declared
+// counts only as confirmations of a suspicion. If the local member reaches the suspect, it does not declare it dead.
+// Otherwise it declares it dead only after its own suspicion timeout.
 func TestDeathOfLaterIncarnationIsAConfirmation(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
@@ -44,12 +46,14 @@
 		receivedAt := h.now
 		h.run(receivedAt + 20*second)
 		if (h.diedAt > 0) != c.dead || h.diedAt > 0 && h.diedAt < receivedAt+3*second {
-			t.Errorf("%s: dead %s after the update", c.name, formatMilliseconds(h.diedAt-receivedAt))
+			t.Errorf("%s: got declared dead %v (%s after the update), want %v, and not before 3 s", c.name, h.diedAt > 0,
+				formatMilliseconds(h.diedAt-receivedAt), c.dead)
 		}
 	}
 }
 
-// TestStallRaisesNoSuspicion asserts that what was not received while the local process stalled is nobody's silence.
+// TestStallRaisesNoSuspicion asserts that messages that did not arrive because the local process stalled do not count
+// as silence of other members.
 func TestStallRaisesNoSuspicion(t *testing.T) {
 	const stall = 8 * second
 	t.Run("a suspicion begins anew", func(t *testing.T) {
@@ -62,7 +66,7 @@
 		resumedAt := h.now
 		h.run(resumedAt + 15*second)
 		if after := h.diedAt - resumedAt; after < 3*second || after > 8*second {
-			t.Errorf("dead %s after the stall", formatMilliseconds(after))
+			t.Errorf("declared dead %s after the stall, want 3 to 8 s", formatMilliseconds(after))
 		}
 	})
 	t.Run("nobody is suspected for it", func(t *testing.T) {
@@ -72,19 +76,19 @@
 		h.now += stall
 		h.run(h.now + 1900*millisecond)
 		if h.eventCounts[Suspected] > 0 {
-			t.Error("suspected by a member that was stalled")
+			t.Error("the local member suspected another member after its own stall")
 		}
 	})
 }
 
-// TestRefusedSuspicionTimeout asserts that two refusals make a quick death and one does not, unless nobody
-// else is left.
+// TestRefusedSuspicionTimeout asserts that two refused confirmations lead to an early death, and that one does not,
+// unless the cluster has no member to confirm it.
 func TestRefusedSuspicionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		confirmedBy []string
-		alone       bool // a and b are the only members
-		within      int64
+		alone       bool  // a and b are the only members
+		within      int64 // maximum time until the death in microseconds
 	}{
 		{"two refusals", []string{"c", "d"}, false, 500 * millisecond},
 		{"one refusal", []string{"c"}, false, 7 * second},
@@ -111,14 +115,15 @@
 			refusedAt := h.now
 			h.run(refusedAt + 10*second)
 			if after := h.diedAt - refusedAt; after <= 0 || after > c.within || c.within > 5*second && after < 3*second {
-				t.Errorf("dead after %s", formatMilliseconds(after))
+				t.Errorf("declared dead after %s, want at most %s, and at least 3 s where that exceeds 5 s",
+					formatMilliseconds(after), formatMilliseconds(c.within))
 			}
 		})
 	}
 }
 
-// TestSuspectIsProbedAgain asserts that whoever suspects a member probes it again before it declares it dead,
-// however large the cluster: its turn in the order of probes would come too late.
+// TestSuspectIsProbedAgain asserts that a member that raised a suspicion probes the suspect again before it declares it
+// dead. In a large cluster the suspect's next probe in order would come too late.
 func TestSuspectIsProbedAgain(t *testing.T) {
 	h := newHarness(t)
 	for i := range 100 {
@@ -131,6 +136,6 @@
 	h.answerForB = reachable(h)
 	h.run(h.now + 30*second)
 	if h.diedAt > 0 {
-		t.Error("dead, though it answers")
+		t.Error("declared dead although it answers pings")
 	}
 }
--- a/internal/membership/tick_test.go
+++ b/internal/membership/tick_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestTickRate asserts that a settled table wants to be called little more often than it probes, that one with a
-// suspect wants to be every tickInterval, and that what comes in between is looked at in time.
+// TestTickRate asserts that a settled table requests at most 1.2 calls of Tick for each probe, and that a table with a
+// suspect requests a call every tickInterval.
 func TestTickRate(t *testing.T) {
 	const members, seconds, vanishing = 9, 20, 4
 	vanish := fault{kind: faultVanish, target: vanishing, other: -1, start: 60 * second, end: 61 * second}
@@ -21,18 +21,20 @@
 	c.run(c.now + seconds*second)
 	perSecond := float64(ticks()-before) / seconds / (members - 1)
 	if probes := float64(second) / float64(c.members[0].ProbeInterval); perSecond > 1.2*probes {
-		t.Errorf("%g calls a second and member while settled, %g probes", perSecond, probes)
+		t.Errorf("got %g calls per second and member while settled, want at most %g with %g probes per second",
+			perSecond, 1.2*probes, probes)
 	}
 	c.run(62 * second)
 	before = ticks()
 	c.run(64 * second)
 	perSecond = float64(ticks()-before) / 2 / (members - 1)
 	if perSecond < 0.8*second/tickInterval {
-		t.Errorf("%g calls a second and member while one is suspected", perSecond)
+		t.Errorf("got %g calls per second and member during a suspicion, want at least %g",
+			perSecond, 0.8*second/tickInterval)
 	}
 }
 
-// TestTickSoonerAfterPingRequest asserts that a ping request makes a settled table want to be called sooner.
+// TestTickSoonerAfterPingRequest asserts that a settled table requests an earlier call of Tick after a ping request.
 func TestTickSoonerAfterPingRequest(t *testing.T) {
 	c := newCluster(3, 6, nil)
 	c.run(formationTime(3) + 10*second)
@@ -41,12 +43,13 @@
 	m := &Message{Kind: PingRequest, Sequence: 1, To: memberName(0), Sender: c.members[1].Self, Target: memberName(2)}
 	process.Receive(c.now, m)
 	if next := process.NextTick(); next >= settled || next > process.lastTick+tickInterval {
-		t.Errorf("after the request it wants to be called at %d, before at %d", next, settled)
+		t.Errorf("got next tick at %d us after the request, want before %d us and at most %d us",
+			next, settled, process.lastTick+tickInterval)
 	}
 }
 
-// TestProbeRateOfTwo asserts that the only other member is probed each time, though timers are late by
-// some more or less each time.
+// TestProbeRateOfTwo asserts that in a cluster of two the other member is probed in each interval, although timers are
+// late by a varying delay.
 func TestProbeRateOfTwo(t *testing.T) {
 	const seconds = 20
 	c := newCluster(2, 7, nil)
@@ -55,12 +58,12 @@
 	c.run(c.now + seconds*second)
 	probes, expected := c.members[0].sequence-before, uint64(seconds*second/c.members[0].ProbeInterval)
 	if probes < expected*9/10 {
-		t.Errorf("%d probes in %d s, expected %d", probes, seconds, expected)
+		t.Errorf("got %d probes in %d s, want at least 90%% of %d", probes, seconds, expected)
 	}
 }
 
-// TestLateTickIsAStall asserts that a table takes itself to have stalled where it is called later than
-// stallThreshold after it wanted to be, and not before, however long its last call is ago.
+// TestLateTickIsAStall asserts that a table reports a stall exactly if Tick is called more than stallThreshold after
+// the time that NextTick returned, whatever the time since the previous call.
 func TestLateTickIsAStall(t *testing.T) {
 	c := newCluster(3, 8, nil)
 	c.run(formationTime(3) + 10*second)
@@ -76,7 +79,7 @@
 			stall = stall || e.Kind == Stalled
 		}
 		if stall != lateness.stall {
-			t.Errorf("called %d us late: expected a stall %v, got %v", lateness.us, lateness.stall, stall)
+			t.Errorf("called %d us late: got stall %v, want %v", lateness.us, stall, lateness.stall)
 		}
 	}
 }
--- a/internal/membership/transcript_test.go
+++ b/internal/membership/transcript_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// transcripts are FNV-1a digests of all that the members of a simulated cluster sent, asked for and
-// reported under drawn schedules, by the cluster's size: as commit 532e1c5 computes them.
+// transcripts holds, by cluster size, FNV-1a digests of all actions and events of the members of simulated clusters
+// under randomly drawn schedules. Commit 532e1c5 computes the same digests.
 var transcripts = []struct {
 	size, schedules int
 	digest          string
@@ -19,8 +19,8 @@
 	{100, 1, "2e7fab38c7c849c6664df35b6676083a"},
 }
 
-// TestTranscript asserts that the same seeds lead to the same messages, in the same order, at the same
-// times, and to the same events with the same evidence, as they did before.
+// TestTranscript asserts that the same seeds still produce the same messages in the same order at the same times, and
+// the same events with the same evidence.
 func TestTranscript(t *testing.T) {
 	for _, want := range transcripts {
 		t.Run(fmt.Sprint(want.size), func(t *testing.T) {
@@ -32,7 +32,7 @@
 				f.run(end + 3*second)
 			}
 			if got := hex.EncodeToString(digest.Sum(nil)); got != want.digest {
-				t.Errorf("%d schedules: expected the transcript %s, got %s", want.schedules, want.digest, got)
+				t.Errorf("%d schedules: got transcript digest %s, want %s", want.schedules, got, want.digest)
 			}
 		})
 	}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -12,9 +12,9 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261202") }
 
-// expectedUpdate is what is to be believed of one name after all updates, in whatever order they came: the
-// latest incarnation, of that the greater nonce, of that the worst state; a death counts as a suspicion here,
-// as nothing judges it.
+// expectedUpdate returns the update that a table must hold for a name after all updates, whatever their order: the one
+// with the highest incarnation, then the greatest nonce, then the latest state in the order of the State constants. A
+// death counts as a suspicion, because the test does not call evaluateSuspects.
 func expectedUpdate(all []Update) (expected Update) {
 	for i, u := range all {
 		u.State = min(u.State, max(Suspect, u.State/Left*Left))
@@ -27,7 +27,7 @@
 	return expected
 }
 
-// drawUpdate draws an update of b.
+// drawUpdate draws a random update of b.
 func drawUpdate(t *rapid.T) Update {
 	u := aliveUpdate("b")
 	u.Incarnation = uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
@@ -36,8 +36,8 @@
 	return u
 }
 
-// TestUpdatesCommute asserts that tables that received the same updates, in any order and any number of times,
-// believe the same.
+// TestUpdatesCommute asserts that tables that received the same updates hold the same state and digests, whatever the
+// order and repetition of the updates.
 func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Update
@@ -55,29 +55,31 @@
 			got := table.members["b"]
 			if got == nil || got.Incarnation != want.Incarnation || got.Nonce != want.Nonce ||
 				got.State != want.State && got.State != Dead {
-				t.Fatalf("order %v: %+v, expected %+v", order, got, want)
+				t.Fatalf("order %v: got %+v, want %+v", order, got, want)
 			}
 			if live := table.liveCount; live != boolToInt(got.State <= Suspect) {
-				t.Fatalf("%d live", live)
+				t.Fatalf("got a live count of %d, want %d", live, boolToInt(got.State <= Suspect))
 			}
 			digests[i] = table.digests
-			if got.State == Dead { // the first update was a death, which is believed of an unknown member
+			if got.State == Dead { // the first update was a death, which a table accepts for an unknown member
 				return
 			}
 		}
 		if digests[0] != digests[1] {
-			t.Fatal("the digests differ")
+			t.Fatal("the digests of the two tables differ")
 		}
 	})
 }
 
-// TestMembersAreBounded asserts that a peer that invents names fills no memory.
+// TestMembersAreBounded asserts that the table holds at most maxMembers names, so that a peer that invents names cannot
+// exhaust memory.
 func TestMembersAreBounded(t *testing.T) {
 	h := newHarness(t)
 	for i := range maxMembers + 100 {
 		h.receiveUpdates(aliveUpdate(fmt.Sprint("m", i)))
 	}
 	if count := len(h.members); count != maxMembers || count != len(h.names) || h.Size() != count+1 {
-		t.Errorf("%d names, %d of them sorted, %d live", count, len(h.names), h.Size())
+		t.Errorf("got %d members, %d sorted names and size %d, want %d, %d and %d",
+			count, len(h.names), h.Size(), maxMembers, maxMembers, maxMembers+1)
 	}
 }
--- a/internal/membership/verification_test.go
+++ b/internal/membership/verification_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRefusalsNeedNoVerification asserts that nobody waits for an answer of a suspect where two members found
-// that no process listens.
+// TestRefusalsNeedNoVerification asserts that a suspect is declared dead without waiting for a verification if at least
+// two members found that no process listens at its address.
 func TestRefusalsNeedNoVerification(t *testing.T) {
 	h := newHarness(t)
 	h.answerForB = unreachable(h)
@@ -14,12 +14,13 @@
 	suspectedAt := h.now
 	h.run(suspectedAt + second)
 	if after := h.diedAt - suspectedAt; h.diedAt == 0 || after > h.RefusedTimeout+tickInterval {
-		t.Errorf("dead %s after the suspicion", formatMilliseconds(after))
+		t.Errorf("declared dead %s after the suspicion, want at most %s",
+			formatMilliseconds(after), formatMilliseconds(h.RefusedTimeout+tickInterval))
 	}
 }
 
-// TestVerificationsAreBounded asserts that where many are suspected at once, all are pinged, but not in one
-// tick.
+// TestVerificationsAreBounded asserts that with many suspects at the same time, all are pinged for verification, but at
+// most maxVerifications of them in one tick.
 func TestVerificationsAreBounded(t *testing.T) {
 	const suspects = 200
 	h := newHarness(t)
@@ -41,14 +42,15 @@
 		}
 		maxPings = max(maxPings, pings)
 	}
-	const others = 2 // a probe's, and one of the dead
+	const others = 2 // pings per tick beside verifications: one of a probe, and one to a dead member
 	if maxPings > maxVerifications+others || len(pinged) < suspects {
-		t.Errorf("%d pinged, up to %d in one tick", len(pinged), maxPings)
+		t.Errorf("got %d members pinged and up to %d pings in one tick, want at least %d and at most %d",
+			len(pinged), maxPings, suspects, maxVerifications+others)
 	}
 }
 
-// TestSuspectIsVerified asserts that whoever learns of a suspicion pings the suspect itself before it declares
-// it dead, however large the cluster.
+// TestSuspectIsVerified asserts that a member that learns of a suspicion from others pings the suspect itself before it
+// declares it dead, also in a large cluster.
 func TestSuspectIsVerified(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -65,7 +67,8 @@
 		suspectedAt := h.now
 		h.run(suspectedAt + 10*second)
 		if (h.diedAt > 0) != c.dead || h.diedAt > suspectedAt+4*second {
-			t.Errorf("%s: dead %s after the suspicion", c.name, formatMilliseconds(h.diedAt-suspectedAt))
+			t.Errorf("%s: got declared dead %v (%s after the suspicion), want %v within 4 s", c.name, h.diedAt > 0,
+				formatMilliseconds(h.diedAt-suspectedAt), c.dead)
 		}
 	}
 }
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// inRegion are the members of a zone's region, by name.
+// inRegion returns the names of the members of a zone's region.
 func inRegion(zone string, members []Member) map[string]bool {
 	names := map[string]bool{}
 	for _, m := range members {
@@ -18,8 +18,8 @@
 	return names
 }
 
-// checkBalanced asserts that the shards of a zone are assigned to members of its region alone, to nobody over the
-// even part, each once, and that Assigned agrees.
+// checkBalanced asserts that the shards of a zone are assigned only to members of its region, that no member has more
+// than an equal share, rounded up, and that Assigned returns each shard for exactly one member.
 func checkBalanced(t *rapid.T, zone string, members []Member, assignments [Count]string) {
 	t.Helper()
 	eligible := inRegion(zone, members)
@@ -27,27 +27,27 @@
 	for _, name := range assignments {
 		loads[name]++
 	}
-	even := (Count + len(eligible) - 1) / len(eligible)
+	maxLoad := (Count + len(eligible) - 1) / len(eligible)
 	var all Bits
 	total := 0
 	for name, load := range loads {
 		if !eligible[name] {
-			t.Fatalf("%q has shards of %s and is not of its region", name, zone)
+			t.Fatalf("%q has shards of zone %s and is not in the zone's region", name, zone)
 		}
-		if load > even {
-			t.Fatalf("%s has %d shards, %d is an even part of %d members", name, load, even, len(eligible))
+		if load > maxLoad {
+			t.Fatalf("%s has %d shards, want at most %d with %d members", name, load, maxLoad, len(eligible))
 		}
 		assigned := testRegions.Assigned(zone, members, name)
 		all |= assigned
 		total += Set{zone: assigned}.Len()
 	}
 	if all != AllBits || total != Count {
-		t.Fatalf("expected each shard assigned once, got %d assignments: %x", total, all)
+		t.Fatalf("got %d assignments of the shards %x, want each of %d shards assigned once", total, all, Count)
 	}
 }
 
-// TestAssignments asserts that each shard is assigned to one member of the zone's region, in whatever order
-// members are named, and to none where the region has none.
+// TestAssignments asserts that each shard is assigned to one member of the zone's region, or to none if the region has
+// no member, and that the order of members and duplicate names do not change the assignments.
 func TestAssignments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -55,26 +55,26 @@
 		assignments := testRegions.Assignments(zone, members)
 		if len(inRegion(zone, members)) == 0 {
 			if assignments != [Count]string{} {
-				t.Fatalf("shards of a zone without members in its region are assigned: %v", assignments)
+				t.Fatalf("zone %s has no members in its region: got assignments %v, want none", zone, assignments)
 			}
 			return
 		}
 		checkBalanced(t, zone, members, assignments)
 		shuffled := rapid.Permutation(append(slices.Clone(members), members[0])).Draw(t, "shuffled")
 		if assignments != testRegions.Assignments(zone, shuffled) {
-			t.Fatal("the order of the members, or one that is named twice, changes the assignments")
+			t.Fatal("the assignments changed with the order of the members or a duplicate name")
 		}
 	})
 }
 
-// moves counts what happens to the shards of a fleet when a member goes.
+// moves counts the shards of a fleet that are reassigned when a member departs.
 type moves struct {
-	departed     int // shards that it had: they must move
-	others       int // that move besides
-	otherRegions int // of them or these, in regions that it is not of
+	departed     int // shards of the departed member, which must move
+	others       int // shards of other members that move
+	otherRegions int // shards of zones outside the departed member's region that move
 }
 
-// countMoves compares the assignments with a member and without it.
+// countMoves compares the assignments with and without a member, given by index.
 func countMoves(zones []string, regions Regions, members []Member, departing int) (m moves) {
 	rest := slices.Delete(slices.Clone(members), departing, departing+1)
 	for _, zone := range zones {
@@ -97,8 +97,8 @@
 	return m
 }
 
-// TestMoves bounds how many shards are assigned anew when a member goes: those that it had must; and none of a
-// region that it is not of.
+// TestMoves bounds the number of shards that are reassigned when a member departs: besides its own shards, at most an
+// eighth of all shards, and no shard of another region.
 func TestMoves(t *testing.T) {
 	for _, size := range []int{9, 16, 32, 100} {
 		zones, regions, members := newFleet(size)
@@ -111,10 +111,11 @@
 		}
 		t.Logf("%d members: %d shards in the mean must move when one goes, %d more move at most", size, own/size, maxOthers)
 		if maxOthers > Count*len(zones)/8 {
-			t.Errorf("%d members: expected an eighth of all shards to move beside at most, got %d", size, maxOthers)
+			t.Errorf("%d members: %d shards of other members moved, want at most %d (an eighth of all shards)",
+				size, maxOthers, Count*len(zones)/8)
 		}
 		if otherRegions > 0 {
-			t.Errorf("%d members: %d shards of other regions moved", size, otherRegions)
+			t.Errorf("%d members: %d shards of other regions moved, want 0", size, otherRegions)
 		}
 	}
 }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -16,7 +16,7 @@
 	testRegions = Regions{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 )
 
-// drawMembers draws members of some zones, whose names differ.
+// drawMembers draws members with distinct names in random zones.
 func drawMembers(t *rapid.T) (members []Member) {
 	names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,3}[0-9]{0,4}`), 1, 40, rapid.ID[string]).Draw(t, "names")
 	for _, name := range names {
@@ -25,7 +25,7 @@
 	return members
 }
 
-// newFleet makes the zones, regions and members of a fleet: 13 zones in four regions.
+// newFleet returns the zones, regions and members of a fleet with 13 zones in four regions.
 func newFleet(size int) (zones []string, regions Regions, members []Member) {
 	regions = Regions{}
 	for i := range 13 {
@@ -38,9 +38,9 @@
 	return zones, regions, members
 }
 
-// TestWorkersSpread asserts that the names of a fleet, which differ in few letters, fall into all
-// shards evenly: nine orchestrators have between 0.8 and 1.2 of their parts of 4,000 workers, with
-// regions and without.
+// TestWorkersSpread asserts that the names of a fleet, which differ in few letters, are distributed evenly over all
+// shards: each of nine orchestrators has between 0.8 and 1.2 times an equal share of 4,000 workers, with regions and
+// without.
 func TestWorkersSpread(t *testing.T) {
 	const workers, cellSize = 4000, 40
 	zones, regions, members := newFleet(9)
@@ -53,7 +53,8 @@
 		t.Logf("%s: workers by orchestrator: %v", name, assigned)
 		for member, count := range assigned {
 			if count < workers/len(members)*8/10 || count > workers/len(members)*12/10 {
-				t.Errorf("%s: %s has %d of %d workers", name, member, count, workers)
+				t.Errorf("%s: %s has %d of %d workers, want between %d and %d",
+					name, member, count, workers, workers/len(members)*8/10, workers/len(members)*12/10)
 			}
 		}
 	}
