--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -6,7 +6,7 @@
 	"ravenhitch/placement"
 )
 
-// A scheduler is given what happened, with the time, and returns what to do.
+// A scheduler receives the time and the events, and returns the actions to take.
 func Example() {
 	scheduler, err := placement.New(placement.Settings{
 		FleetSize: 1, HasView: true, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3, TickUs: 1000,
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// This file owns the filters of a placement: which workers may get a task, are healthy and
-// have the free capacity. It must never compare the workers that pass.
+// This file owns the filters of a placement: which workers may get a task, are healthy and have the
+// free capacity. It looks at one worker at a time and never compares the workers that pass.
 
-// largeTaskShare is the part of a worker from which a task counts as large.
+// largeTaskShare is the part of a worker's effective capacity above which a task counts as large.
 const largeTaskShare = 0.15
 
-// filter decides for single workers whether they can get a task.
+// filter decides for single workers whether they can run a task.
 type filter struct {
 	*environment
 	loads        *loadTracker
@@ -21,18 +21,19 @@
 	overload     *overload
 }
 
-// feasible reports whether a worker may get a task, whether or not it is healthy or has free
-// capacity.
+// feasible reports whether all rules permit a worker to get a task. It does not check whether the
+// worker is healthy or has free capacity.
 func (f *filter) feasible(worker *workerInfo, class *Class, task *taskInfo) bool {
 	return f.permits(worker, class, task) && f.reservations.permits(worker, task)
 }
 
-// permits reports whether all rules but reservations let a worker get a task.
+// permits reports whether all rules other than reservations permit a worker to get a task.
 func (f *filter) permits(worker *workerInfo, class *Class, task *taskInfo) bool {
 	return float64(len(worker.unanswered)) < worker.attemptWindow && f.permitsOnceAnswered(worker, class, task)
 }
 
-// permitsOnceAnswered reports the same where the worker had answered its attempts.
+// permitsOnceAnswered reports whether permits would be true if the worker had answered all its
+// attempts.
 func (f *filter) permitsOnceAnswered(worker *workerInfo, class *Class, task *taskInfo) bool {
 	return worker.listed && worker.State == Ready && f.now >= worker.drainingUntil &&
 		worker.kindIndex >= 0 && (class.Kind < 0 || class.Kind == worker.kindIndex) &&
@@ -40,13 +41,14 @@
 		f.slowStart.permits(worker)
 }
 
-// healthy reports whether a worker is taken to start a task if it has free capacity.
+// healthy reports whether a worker is expected to start a task if it has the free capacity: the
+// worker is healthy for the class of the task and has not failed the task before.
 func (f *filter) healthy(worker *workerInfo, task *taskInfo) bool {
 	return f.health.healthy(worker, task.classIndex) && !task.failedOn(worker)
 }
 
-// fits reports whether a worker has free capacity for a task, by what it accepts and by its
-// effective capacity.
+// fits reports whether a worker has free capacity for a task, both within what the worker accepts
+// and within its effective capacity.
 func (f *filter) fits(worker *workerInfo, task *taskInfo) bool {
 	kind := f.kindOf(worker)
 	acceptedCores := kind.Cores * f.settings.CoresOvercommit
@@ -63,19 +65,19 @@
 	}
 	effectiveCores, effectiveMemory := f.capacity.of(worker)
 	if max(task.Cores/effectiveCores, task.Memory/effectiveMemory) > largeTaskShare && f.waitedLong(task) {
-		return true // a levelled fleet has no gap for a large task
+		return true // a fleet with evenly loaded workers has no gap for a large task
 	}
 	return cores+task.Cores <= effectiveCores && memory+task.Memory <= effectiveMemory
 }
 
-// waitedLong reports whether a task has waited for a good part of its latency objective.
+// waitedLong reports whether a task has waited for more than a quarter of its latency objective.
 func (f *filter) waitedLong(task *taskInfo) bool {
 	return f.now-task.arrivedAt > f.classOf(task).ObjectiveUs/4
 }
 
-// limit is how much may be requested of a worker of a kind at most for a task to fit it (see
-// fits). The size of the task is given over that of the kind, and utilization is what it adds to
-// that of a worker without calibration.
+// limit returns the highest load at which a worker of a kind still fits a task (see fits). The size
+// of the task is given as fractions of the kind's size. utilization is the utilization that the task
+// adds to a worker without calibration.
 func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
 	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
 		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
@@ -88,8 +90,9 @@
 	size = fractions{size.cores + concurrent.cores, size.memory + concurrent.memory}
 	limit := loadLimit{max: f.index.baseline.minus(size), calibratedMax: accepted.minus(size)}
 	if f.waitedLong(task) {
-		// A large task that has waited may exceed the effective capacity; it is large where
-		// a worker has little.
+		// A large task that has waited long may exceed the effective capacity. Whether a task is
+		// large depends on the effective capacity of the worker, so the limit depends on its
+		// calibration.
 		if limit.calibrationBelow = utilization / largeTaskShare; limit.calibrationBelow > 1 {
 			limit.max = limit.calibratedMax
 		}
--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -31,13 +31,13 @@
 
 func TestLargeTaskGoesOverEffectiveCapacity(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, Entry{Worker: "a", Kind: "large", FreeCores: 4, FreeMemory: 60})
-	// Tasks use all that they request, so the effective capacity is 0.8 of the cores.
+	// Running tasks use all cores that they request, so the effective capacity is 0.8 of the cores.
 	f.at(0, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
 	f.at(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
 	f.wantPlaced(f.at(ms, f.request("s", "safe", 1, 2)), "")
 	f.wantPlaced(f.at(ms, f.request("1", "large", 20, 20)), "")
 	if got := ofType[Place](f.at(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
-		t.Errorf("placed %v, want the large task alone", got)
+		t.Errorf("got offers %v, want one of the large task", got)
 	}
 }
 
@@ -47,6 +47,6 @@
 	f.wantPlaced(f.at(ms, f.request("1", "unsafe", 1, 2)), "")
 	f.wantPlaced(f.at(ms, f.request("2", "safe", 1, 2)), "a")
 	if got := ofType[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
-		t.Errorf("placed %v, want the unsafe task on c", got)
+		t.Errorf("got offers %v, want one of the unsafe task to c", got)
 	}
 }
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// This file owns the fixture that drives one scheduler by events, and what tests draw from.
+// This file owns the fixture that drives one scheduler with events, and the settings, workers and
+// tasks that tests use.
 
 const ms = int64(1000)
 
@@ -30,7 +31,7 @@
 	}
 }
 
-// fixture drives one scheduler by events.
+// fixture drives one scheduler with events.
 type fixture struct {
 	t         *testing.T
 	scheduler *Scheduler
@@ -48,7 +49,7 @@
 	return f
 }
 
-// at moves the clock on and hands over events.
+// at advances the clock by a time in microseconds, and passes events to the scheduler.
 func (f *fixture) at(after int64, events ...Event) []Action {
 	f.now += after
 	return f.scheduler.Handle(f.now, events)
@@ -65,23 +66,23 @@
 		got = place.Worker
 	}
 	if got != want {
-		f.t.Fatalf("placed on %q, want %q; actions %v", got, want, actions)
+		f.t.Fatalf("task was offered to %q, want %q; actions %v", got, want, actions)
 	}
 }
 
-// madeUpTask is a task that was not submitted to the scheduler.
+// madeUpTask returns a task that was not submitted to the scheduler.
 func (f *fixture) madeUpTask(program uint64) *taskInfo {
 	request := f.request("probe", "safe", 1, 2)
 	request.Program = program
 	return &taskInfo{Task: request.Task, arrivedAt: f.now, queuedSince: f.now}
 }
 
-// startTask has a task placed and accepted.
+// startTask submits a task and accepts its offer on behalf of the worker.
 func (f *fixture) startTask(requestID string) {
 	f.t.Helper()
 	got := ofType[Place](f.at(ms, f.request(requestID, "safe", 1, 2)))
 	if len(got) != 1 {
-		f.t.Fatalf("%d places of task %s, want 1", len(got), requestID)
+		f.t.Fatalf("got %d offers of task %s, want 1", len(got), requestID)
 	}
 	f.at(ms, Accepted{RequestID: requestID, Worker: got[0].Worker, RTTUs: ms})
 }
@@ -101,9 +102,10 @@
 	return out
 }
 
+// levelled draws the utilization of a worker in a fleet with evenly loaded workers.
 func levelled(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
 
-// largeFleet is a fixture with many workers of one kind, whose utilizations are drawn.
+// largeFleet returns a fixture with many workers of one kind. share draws the utilization of each.
 func largeFleet(t *testing.T, workers int, share func(*rand.Rand) float64) *fixture {
 	random := rand.New(rand.NewPCG(1, uint64(workers)))
 	entries := make([]Entry, workers)
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -11,29 +11,29 @@
 var historiesFlag = flag.Int("histories", 40, "tests of drawn histories: how many")
 
 const (
-	// probesEach is for how many made-up tasks selections are compared after each step, and
-	// pendingEach for how many of those that wait.
+	// probesEach is the number of made-up tasks whose selections are compared after each step, and
+	// pendingEach that of pending tasks.
 	probesEach  = 3
 	pendingEach = 2
-	// offerEvery is the part of the steps after which tasks are sent one by one, as within
-	// one call of Handle, and selections are compared after each.
+	// offerEvery is the probability that, after a step, up to offersEach tasks are offered one by
+	// one, as within one call of Handle, and selections are compared after each of them.
 	offerEvery = 0.3
 	offersEach = 3
-	// maxFlipped is the part of the comparisons in which a value may lie at a border.
+	// maxFlipped is the maximum part of the comparisons that may depend on a value at a border.
 	maxFlipped = 0.01
 )
 
-// comparisons counts what was compared, by path.
+// comparisons counts what was compared, by path of the selection.
 type comparisons struct {
-	paths                 map[string]int
-	total, flipped        int
-	many, reserved, moves int
-	offered               int // tasks that were sent one by one
+	paths                                          map[string]int
+	total, flipped                                 int // flipped: matched only with a border value decided the other way
+	multipleFinalists, reserved, elsewhereSearches int
+	offered                                        int // tasks that were offered one by one
 }
 
-// TestSelectionMatchesFullScan compares, over drawn fleets and histories, the workers among
-// which a task is placed with those of a full scan, and likewise what is reserved for pending
-// tasks, whether a task could run elsewhere, and what is summed over the fleet.
+// TestSelectionMatchesFullScan compares the scheduler with a full scan over all workers, for random
+// fleets and histories: the finalists of a task, the worker that is reserved for a pending task,
+// whether a task fits elsewhere, and the sums over the fleet.
 func TestSelectionMatchesFullScan(t *testing.T) {
 	c := &comparisons{paths: map[string]int{}}
 	for i := range *historiesFlag {
@@ -47,21 +47,23 @@
 		}
 	}
 	t.Logf("%d comparisons, %d at a border; %d draws among several, %d with workers reserved, %d searches elsewhere, %d offered; by path: %v",
-		c.total, c.flipped, c.many, c.reserved, c.moves, c.offered, c.paths)
+		c.total, c.flipped, c.multipleFinalists, c.reserved, c.elsewhereSearches, c.offered, c.paths)
 	for _, path := range []string{pathWaits, pathNoCapacity, pathFallback, pathReturned, pathCheapest} {
 		if c.paths[path] == 0 {
-			t.Errorf("no comparison on the path %q", path)
+			t.Errorf("got no comparison on the path %q, want some", path)
 		}
 	}
-	if c.many == 0 || c.reserved == 0 || c.moves == 0 || c.offered == 0 {
-		t.Error("a kind of comparison is missing")
+	if c.multipleFinalists == 0 || c.reserved == 0 || c.elsewhereSearches == 0 || c.offered == 0 {
+		t.Errorf("got %d comparisons with several finalists, %d with reserved workers, %d searches elsewhere and %d after an offer, want some of each",
+			c.multipleFinalists, c.reserved, c.elsewhereSearches, c.offered)
 	}
 	if float64(c.flipped) > maxFlipped*float64(c.total) {
-		t.Errorf("%d of %d comparisons at a border, more than %v", c.flipped, c.total, maxFlipped)
+		t.Errorf("got %d of %d comparisons at a border, want at most a part of %v", c.flipped, c.total, maxFlipped)
 	}
 }
 
-// compareStep compares selections after a step, and as tasks are sent at the same time.
+// compareStep compares selections after a step and, with the probability offerEvery, after each of
+// some offers at the same time.
 func (c *comparisons) compareStep(h *history) error {
 	if err := c.compare(h); err != nil || !h.chance(offerEvery) {
 		return err
@@ -71,14 +73,15 @@
 			break
 		}
 		if err := c.compare(h); err != nil {
-			return fmt.Errorf("after a task was sent: %w", err)
+			return fmt.Errorf("after a task was offered: %w", err)
 		}
 		c.offered++
 	}
 	return nil
 }
 
-// offerOne offers a task as the scheduler does within a call of Handle, and reports whether it could.
+// offerOne offers a random task as the scheduler does within a call of Handle, and reports whether a
+// worker was found.
 func (h *history) offerOne() bool {
 	submitted := h.drawTask()
 	task := &taskInfo{Task: submitted, classIndex: h.scheduler.requests.classIndexes[submitted.Class], arrivedAt: h.now, queuedSince: h.now}
@@ -95,8 +98,9 @@
 	return true
 }
 
-// compare compares selections as things are. The means and the free capacity of a large fleet are
-// computed anew first, as they are cached otherwise: TestMeansOfLargeFleet has that.
+// compare compares selections in the present state. It first discards the cached means and free
+// capacity, which a large fleet recomputes only from time to time. TestMeansOfLargeFleet checks the
+// caching.
 func (c *comparisons) compare(h *history) error {
 	h.scheduler.totals.cachedMeans.computedAt, h.scheduler.totals.freeUnitsAt = 0, 0
 	r := newReference(h.scheduler)
@@ -125,11 +129,11 @@
 		return err
 	}
 	if worker := h.scheduler.search.selectWorker(task); (worker == nil) != (finalists == nil) || worker != nil && !slices.Contains(finalists, worker) {
-		return fmt.Errorf("task %+v: selected %v, which is not of %s", task.Task, worker, names(finalists))
+		return fmt.Errorf("task %+v: selected worker %v, want one of %s", task.Task, worker, names(finalists))
 	}
 	c.add(path, flipped)
 	if len(finalists) > 1 {
-		c.many++
+		c.multipleFinalists++
 	}
 	if len(h.scheduler.reservations.priorities) > 0 {
 		c.reserved++
@@ -141,7 +145,7 @@
 		return nil
 	}
 	worker := h.scheduler.fleet.sorted[h.random.IntN(len(h.scheduler.fleet.sorted))]
-	c.moves++
+	c.elsewhereSearches++
 	_, err = r.compareElsewhere(task, worker, h.scheduler.search.fitsElsewhere(task, worker))
 	return err
 }
@@ -154,7 +158,8 @@
 	}
 }
 
-// reservedFor returns the worker that would be reserved for a pending task, or nil, and reserves none.
+// reservedFor returns the worker that would be reserved for a pending task, or nil. It undoes the
+// reservation.
 func reservedFor(scheduler *Scheduler, task *taskInfo) (reserved *workerInfo) {
 	before := maps.Clone(scheduler.reservations.priorities)
 	scheduler.pass.reserve(task)
@@ -170,23 +175,24 @@
 	return reserved
 }
 
-// TestSameHistorySameActions runs two schedulers of one seed through one history, and a
-// third that searches workers in between: that must change nothing.
+// TestSameHistorySameActions runs two schedulers of one seed through one history, and a third one
+// with additional searches in between, which must not change any action.
 func TestSameHistorySameActions(t *testing.T) {
 	for i := range min(*historiesFlag, 20) {
 		seed := *seedFlag + uint64(i)
 		first := actionsOf(t, seed, false)
 		if again := actionsOf(t, seed, false); !slices.Equal(first, again) {
-			t.Fatalf("seed %d: the same history gave other actions: %s", seed, firstDifference(first, again))
+			t.Fatalf("seed %d: two runs of one history gave different actions: %s", seed, firstDifference(first, again))
 		}
 		if searched := actionsOf(t, seed, true); !slices.Equal(first, searched) {
-			t.Fatalf("seed %d: searches in between changed the actions: %s", seed, firstDifference(first, searched))
+			t.Fatalf("seed %d: additional searches changed the actions: %s", seed, firstDifference(first, searched))
 		}
 	}
 }
 
-// actionsOf returns the actions of a history, a line a step. Where searched is set, the
-// scheduler searches workers after each step; the draws are the same without.
+// actionsOf returns the actions of a history, one line for each step. If searched is true, the
+// scheduler makes additional searches after each step. The history draws the same random values in
+// both cases.
 func actionsOf(t *testing.T, seed uint64, searched bool) (lines []string) {
 	h := newHistory(t, seed)
 	for range h.stepCount {
@@ -205,8 +211,8 @@
 func firstDifference(a, b []string) string {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
-			return fmt.Sprintf("step %d: %s and %s", i, a[i], b[i])
+			return fmt.Sprintf("step %d: %s versus %s", i, a[i], b[i])
 		}
 	}
-	return fmt.Sprintf("%d and %d steps", len(a), len(b))
+	return fmt.Sprintf("%d versus %d steps", len(a), len(b))
 }
--- a/placement/index.go
+++ b/placement/index.go
@@ -6,37 +6,38 @@
 	"math/rand/v2"
 )
 
-// This file owns the index of the workers that may get tasks: by kind, and by how much of a
-// kind's size is requested of each. It is updated as events change workers, so that a search
-// looks at the few workers that can be selected and not at all of them. It must never
-// decide: what it leaves out could not have been selected.
+// This file owns the index of the workers that may get tasks, by kind and by requested capacity
+// relative to the size of the kind. It is updated when events change workers, so that a search looks
+// at the few workers that it may select and not at all of them. The index decides nothing: it leaves
+// out only workers that the search could not select.
 
 const (
-	// maxEnumerated is up to how many candidates a search looks at each of them. Of more,
-	// which then are near-equals by the hundred, it draws where to begin.
+	// maxEnumerated is the maximum number of candidates that a search scores one by one. If there
+	// are more, hundreds of them are nearly equal, and the search starts at a random one.
 	maxEnumerated = 512
-	// maxScaleDrift is by how much the effective capacity may change before all levels are
-	// built anew.
+	// maxScaleDrift is the relative change of the baseline of effective capacity above which all
+	// levels are rebuilt.
 	maxScaleDrift = 0.05
 )
 
-// workerIndex is the index of all workers. Its levels are those of the larger of the two
-// requested fractions over scale, which is what the baseline was when the index was built.
+// workerIndex is the index of all workers that may get tasks. The level of a worker follows from the
+// larger of its two requested fractions, relative to scale.
 type workerIndex struct {
-	kinds           []kindLevels
+	kinds []kindLevels
+	// scale is the baseline with which the levels were last built.
 	scale           fractions
-	baseline        fractions // effective capacity, over the size of a worker
+	baseline        fractions // effective capacity of workers without calibration, over their size
 	inverseBaseline fractions
-	stale           []*workerInfo // whose position may have changed since the last search
-	finished        []bool        // by kind, during a walk
+	stale           []*workerInfo // workers whose position may have changed since the last search
+	finished        []bool        // by kind: whether the present walk needs no more workers
 }
 
 func newWorkerIndex(kinds int) *workerIndex {
 	return &workerIndex{kinds: make([]kindLevels, kinds), finished: make([]bool, kinds)}
 }
 
-// setBaseline takes the baseline of effective capacity, and reports whether it is so far from
-// the scale that all positions are to be computed anew.
+// setBaseline sets the baseline of effective capacity, and reports whether it differs so much from
+// the scale that all positions have to be recomputed.
 func (x *workerIndex) setBaseline(baseline fractions) (rescaled bool) {
 	x.baseline = baseline
 	x.inverseBaseline = fractions{1 / baseline.cores, 1 / baseline.memory}
@@ -47,10 +48,12 @@
 	return true
 }
 
-// drifted reports whether a part of the baseline has left the scale.
-func drifted(now, then float64) bool { return math.Abs(now-then) > then*maxScaleDrift }
+// drifted reports whether one component of the baseline differs too much from that of the scale.
+func drifted(current, builtWith float64) bool {
+	return math.Abs(current-builtWith) > builtWith*maxScaleDrift
+}
 
-// invalidate notes that what is requested of a worker, or whether it may get tasks, may have
+// invalidate records that the requested capacity of a worker, or whether it may get tasks, may have
 // changed.
 func (x *workerIndex) invalidate(worker *workerInfo) {
 	if !worker.requestedStale {
@@ -64,12 +67,13 @@
 	return &x.kinds[worker.position.kindIndex].levels[worker.position.level]
 }
 
-// sum counts the indexed workers of a kind, and adds up their utilization without calibration.
+// sum returns the number of indexed workers of a kind, and the sum of their utilizations without
+// calibration.
 func (x *workerIndex) sum(kindIndex int) (count, utilization float64) {
 	return x.kinds[kindIndex].sum(x.baseline)
 }
 
-// reserve moves a worker behind those that are not reserved.
+// reserve moves a worker to the reserved entries of its level.
 func (x *workerIndex) reserve(worker *workerInfo) {
 	if !worker.position.indexed {
 		return
@@ -82,7 +86,7 @@
 	}
 }
 
-// release moves a worker back among those that are not reserved.
+// release moves a worker back to the unreserved entries of its level.
 func (x *workerIndex) release(worker *workerInfo) {
 	if !worker.position.indexed {
 		return
@@ -95,7 +99,7 @@
 	}
 }
 
-// remove takes a worker out of the index, if it is there.
+// remove removes a worker from the index, if it is indexed.
 func (x *workerIndex) remove(worker *workerInfo) {
 	if worker.position.indexed {
 		x.levelOf(worker).remove(worker.position.entryIndex)
@@ -104,7 +108,7 @@
 	}
 }
 
-// put gives a worker the position that follows from what is requested of it.
+// put adds a worker to the index, or moves it to the position that its requested capacity requires.
 func (x *workerIndex) put(worker *workerInfo, requested fractions, reserved bool) {
 	calibration := min(worker.calibration[resourceCores], worker.calibration[resourceMemory])
 	entry := indexEntry{worker, requested, calibration}
@@ -126,45 +130,45 @@
 	x.kinds[worker.kindIndex].updateSets(levelNumber)
 }
 
-// loadLimit bounds what is requested of those workers of one kind that have free capacity for
-// a task.
+// loadLimit bounds the requested capacity of workers of one kind that may have free capacity for a
+// task.
 type loadLimit struct {
 	max fractions
-	// Of a worker with a calibration under calibrationBelow, calibratedMax may be requested.
+	// A worker with a calibration below calibrationBelow is also admitted within calibratedMax.
 	calibrationBelow float64
 	calibratedMax    fractions
 }
 
-// admits reports whether a worker of which so much is requested, at least, may have free capacity.
+// admits reports whether a worker with at least the given requested capacity may have free capacity
+// for the task.
 func (l *loadLimit) admits(requested fractions, calibration float64) bool {
 	return requested.within(l.max) || calibration < l.calibrationBelow && requested.within(l.calibratedMax)
 }
 
-// levelWalk is one walk over the index, level by level from the workers of which the least is
-// requested.
+// levelWalk describes one walk over the index, level by level from the least requested workers.
 type levelWalk struct {
-	limits         []loadLimit // by kind, or nil
+	limits         []loadLimit // by kind, or nil if there are no limits
 	unreservedOnly bool
-	// matters reports whether workers of a kind can still matter of which these fractions at
-	// least are requested, and whose utilization is minUtilization at least.
-	matters func(kindIndex int, requested fractions, minUtilization float64) bool
-	// visit looks at one worker, and reports whether to go on.
+	// relevant reports whether the walk still needs workers of a kind with at least the given
+	// requested fractions and at least the utilization minUtilization.
+	relevant func(kindIndex int, requested fractions, minUtilization float64) bool
+	// visit processes one worker, and reports whether to continue.
 	visit func(worker *workerInfo) bool
 }
 
-// walk makes a walk. In levels of more than maxEnumerated workers it begins where random draws,
-// or at the first where random is nil. (As a field of the walk, random would move everything that
-// the functions of the walk capture to the heap.)
+// walk performs a walk. In levels of more than maxEnumerated workers it starts at a random worker,
+// or at the first one if random is nil. random is a parameter and not a field of levelWalk, because
+// a field would move everything that the functions of the walk capture to the heap.
 func (x *workerIndex) walk(plan levelWalk, random *rand.Rand) {
 	clear(x.finished)
-	// Where the baseline is above the scale, utilization is less than the levels say.
+	// If the baseline is above the scale, the utilization is lower than the level number indicates.
 	drift := min(x.scale.cores/x.baseline.cores, x.scale.memory/x.baseline.memory)
 	only := plan.unreservedOnly
 	for number := x.nextLevel(0, only); number < levelCount; number = x.nextLevel(number+1, only) {
 		minUtilization := max(0, float64(number)*levelWidth*drift-roundingSlack)
 		finished := true
 		for kindIndex := range x.kinds {
-			if x.finished[kindIndex] || !plan.matters(kindIndex, fractions{}, minUtilization) {
+			if x.finished[kindIndex] || !plan.relevant(kindIndex, fractions{}, minUtilization) {
 				x.finished[kindIndex] = true
 				continue
 			}
@@ -180,7 +184,8 @@
 	}
 }
 
-// nextLevel is the first level from a number on that has workers of any kind, or levelCount.
+// nextLevel returns the first level from the given one on that contains workers of any kind, or
+// levelCount.
 func (x *workerIndex) nextLevel(from int, unreservedOnly bool) int {
 	for from < levelCount {
 		var word uint64
@@ -200,15 +205,15 @@
 	return levelCount
 }
 
-// scanLevel looks at those workers of one level that are within the limit, and reports
-// whether to go on.
+// scanLevel visits the workers of one level that are within the limit, and reports whether to
+// continue with the walk.
 func scanLevel(current *level, kindIndex int, minUtilization float64, plan *levelWalk, random *rand.Rand) bool {
 	limit := loadLimit{max: unlimited}
 	if plan.limits != nil {
 		limit = plan.limits[kindIndex]
 	}
 	if !limit.admits(current.minRequested, current.minCalibration) ||
-		!plan.matters(kindIndex, current.minRequested, minUtilization) {
+		!plan.relevant(kindIndex, current.minRequested, minUtilization) {
 		return true
 	}
 	entries, first := current.entries, 0
@@ -225,14 +230,14 @@
 			minRequested = minRequested.smaller(entry.requested)
 			minCalibration = min(minCalibration, entry.calibration)
 			if !limit.admits(entry.requested, entry.calibration) ||
-				!plan.matters(kindIndex, entry.requested, minUtilization) {
+				!plan.relevant(kindIndex, entry.requested, minUtilization) {
 				continue
 			}
 			if !plan.visit(entry.worker) {
 				return false
 			}
-			if !plan.matters(kindIndex, current.minRequested, minUtilization) {
-				return true // none of the others can matter any more
+			if !plan.relevant(kindIndex, current.minRequested, minUtilization) {
+				return true // no other worker of the level is relevant any more
 			}
 		}
 	}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestIndexFollowsEvents compares the index and the sums with what they are computed from, after each
-// step of drawn histories.
+// TestIndexFollowsEvents compares the index and the sums over the fleet with values computed from
+// the state of the workers, after each step of random histories.
 func TestIndexFollowsEvents(t *testing.T) {
 	indexed := 0
 	for i := range min(*historiesFlag, 30) {
@@ -25,17 +25,17 @@
 		}
 	}
 	if indexed == 0 {
-		t.Error("no worker was indexed in any history")
+		t.Error("got no indexed worker in any history, want some")
 	}
 }
 
-// checkIndex returns how many workers are indexed, or what is wrong with the index.
+// checkIndex returns the number of indexed workers, or an error if the index is wrong.
 func checkIndex(scheduler *Scheduler) (indexed int, err error) {
 	var requestedCores float64
 	var capacity fractions
 	for ordinal, worker := range scheduler.fleet.sorted {
 		if worker.ordinal != ordinal || scheduler.fleet.nameHashes[ordinal] != worker.nameHash {
-			return 0, fmt.Errorf("%s: ordinal %d, want %d", worker.Worker, worker.ordinal, ordinal)
+			return 0, fmt.Errorf("%s: got ordinal %d, want %d, or the name hash at that ordinal is wrong", worker.Worker, worker.ordinal, ordinal)
 		}
 		if err := checkWorker(scheduler, worker); err != nil {
 			return 0, err
@@ -53,22 +53,22 @@
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }
 	if !near(requestedCores, loads.listedRequestedCores) ||
 		!near(capacity.cores, loads.listedCapacity.cores) || !near(capacity.memory, loads.listedCapacity.memory) {
-		return 0, fmt.Errorf("sums %v and %+v; stored %v and %+v", requestedCores, capacity, loads.listedRequestedCores, loads.listedCapacity)
+		return 0, fmt.Errorf("stored requested cores %v and capacity %+v, want %v and %+v", loads.listedRequestedCores, loads.listedCapacity, requestedCores, capacity)
 	}
 	if entries := countEntries(scheduler); entries != indexed {
-		return 0, fmt.Errorf("%d entries of %d workers", entries, indexed)
+		return 0, fmt.Errorf("got %d index entries (-1: wrong level sets), want %d", entries, indexed)
 	}
 	return indexed, checkPrograms(scheduler)
 }
 
-// checkWorker returns what is wrong with what is stored of one worker.
+// checkWorker returns an error if the stored state of a worker is inconsistent.
 func checkWorker(scheduler *Scheduler, worker *workerInfo) error {
 	if worker.listed == scheduler.fleet.unlisted[worker] {
-		return fmt.Errorf("%s: listed %v, unlisted %v", worker.Worker, worker.listed, scheduler.fleet.unlisted[worker])
+		return fmt.Errorf("%s: listed is %v and unlisted is %v, want exactly one of them true", worker.Worker, worker.listed, scheduler.fleet.unlisted[worker])
 	}
 	kind := scheduler.kindOf(worker)
 	if worker.position.indexed != (worker.listed && worker.State == Ready && kind != nil) {
-		return fmt.Errorf("%s: indexed %v; %+v", worker.Worker, worker.position.indexed, worker.Entry)
+		return fmt.Errorf("%s: indexed is %v, want the opposite for list entry %+v", worker.Worker, worker.position.indexed, worker.Entry)
 	}
 	if kind == nil {
 		return nil
@@ -77,7 +77,7 @@
 	cores, memory := scheduler.loads.requested(worker)
 	worker.requestedStale = false
 	if cores != worker.requestedCores || memory != worker.requestedMemory {
-		return fmt.Errorf("%s: requested %v and %v, stored %v and %v", worker.Worker, cores, memory, worker.requestedCores, worker.requestedMemory)
+		return fmt.Errorf("%s: stored requested cores %v and memory %v, want %v and %v", worker.Worker, worker.requestedCores, worker.requestedMemory, cores, memory)
 	}
 	if !worker.position.indexed {
 		return nil
@@ -85,29 +85,29 @@
 	return checkEntry(scheduler, worker, kind)
 }
 
-// checkEntry returns what is wrong with the entry of an indexed worker.
+// checkEntry returns an error if the index entry of a worker is wrong.
 func checkEntry(scheduler *Scheduler, worker *workerInfo, kind *Kind) error {
 	levels := &scheduler.index.kinds[worker.position.kindIndex]
 	ownLevel := &levels.levels[worker.position.level]
 	entry := ownLevel.entries[worker.position.entryIndex]
 	switch {
 	case worker.position.kindIndex != worker.kindIndex || entry.worker != worker:
-		return fmt.Errorf("%s: its position %+v has %s", worker.Worker, worker.position, entry.worker.Worker)
+		return fmt.Errorf("%s: position %+v has another kind or contains worker %s", worker.Worker, worker.position, entry.worker.Worker)
 	case scheduler.settings.HasView && entry.requested != fractions{worker.requestedCores / kind.Cores, worker.requestedMemory / kind.Memory}:
-		return fmt.Errorf("%s: entry %+v", worker.Worker, entry.requested)
+		return fmt.Errorf("%s: entry has requested fractions %+v, want those of the requested cores %v and memory %v", worker.Worker, entry.requested, worker.requestedCores, worker.requestedMemory)
 	case !ownLevel.minRequested.within(entry.requested) || entry.calibration < ownLevel.minCalibration || entry.calibration > min(worker.calibration[resourceCores], worker.calibration[resourceMemory]):
-		return fmt.Errorf("%s: entry %+v below the bounds %+v and %v of its level", worker.Worker, entry, ownLevel.minRequested, ownLevel.minCalibration)
+		return fmt.Errorf("%s: entry %+v is below the bounds %+v and %v of its level, or its calibration is above that of the worker", worker.Worker, entry, ownLevel.minRequested, ownLevel.minCalibration)
 	case (scheduler.reservations.priorities[worker] > 0) != (worker.position.entryIndex >= ownLevel.unreserved):
-		return fmt.Errorf("%s: reserved %v, number %d of %d unreserved ones", worker.Worker, scheduler.reservations.priorities[worker] > 0, worker.position.entryIndex, ownLevel.unreserved)
+		return fmt.Errorf("%s: reserved is %v, but its entry has index %d in a level with %d unreserved entries", worker.Worker, scheduler.reservations.priorities[worker] > 0, worker.position.entryIndex, ownLevel.unreserved)
 	}
 	share := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
 	if floor := float64(worker.position.level) * levelWidth; share < floor || share >= floor+levelWidth && worker.position.level < levelCount-1 {
-		return fmt.Errorf("%s: utilization %v at level %d", worker.Worker, share, worker.position.level)
+		return fmt.Errorf("%s: utilization %v is outside the range of level %d", worker.Worker, share, worker.position.level)
 	}
 	return nil
 }
 
-// countEntries counts the workers in all levels, and -1 where a set of levels is wrong.
+// countEntries returns the number of entries in all levels, or -1 if a set of levels is wrong.
 func countEntries(scheduler *Scheduler) (count int) {
 	for i := range scheduler.index.kinds {
 		levels := &scheduler.index.kinds[i]
@@ -123,14 +123,14 @@
 	return count
 }
 
-// checkPrograms returns an error where the programs by worker and the workers by program differ.
+// checkPrograms returns an error if the programs by worker and the workers by program do not match.
 func checkPrograms(scheduler *Scheduler) error {
-	unmatched := 0 // resident programs without an entry by program
+	unmatched := 0 // resident programs of workers minus workers of programs
 	for _, worker := range scheduler.fleet.sorted {
 		for program := range worker.residentPrograms {
 			unmatched++
 			if !slices.Contains(scheduler.residents.workers[program], worker) {
-				return fmt.Errorf("%s is not among the workers of program %d", worker.Worker, program)
+				return fmt.Errorf("%s is missing in the workers of its resident program %d", worker.Worker, program)
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 		unmatched -= len(workers)
 	}
 	if unmatched != 0 {
-		return fmt.Errorf("%d workers too few are stored as running programs", unmatched)
+		return fmt.Errorf("got %d more programs of workers than workers of programs, want as many", unmatched)
 	}
 	return nil
 }
--- a/placement/layers_test.go
+++ b/placement/layers_test.go
@@ -13,9 +13,10 @@
 	"testing"
 )
 
-// This file tests that the files of the package use each other as the package comment says.
+// This file tests that files of the package use only files of lower layers, as listed in the package
+// comment.
 
-// layersOf returns the places of the files in the package comment, counted from the top.
+// layersOf returns the position of each file in the package comment, counted from the top.
 func layersOf(comment string) map[string]int {
 	layers := map[string]int{}
 	for _, line := range strings.Split(comment, "\n") {
@@ -29,7 +30,7 @@
 	return layers
 }
 
-// parsePackage returns the files of the package without its tests, and their layers.
+// parsePackage parses the files of the package other than tests, and returns them with their layers.
 func parsePackage(t *testing.T, set *token.FileSet) (files []*ast.File, layers map[string]int) {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
@@ -58,7 +59,7 @@
 	fileOf := func(position token.Pos) string { return filepath.Base(set.Position(position).Filename) }
 	for _, file := range files {
 		if _, ok := layers[fileOf(file.Pos())]; !ok {
-			t.Errorf("%s is missing in the package comment", fileOf(file.Pos()))
+			t.Errorf("file %s is not listed in the package comment", fileOf(file.Pos()))
 		}
 	}
 	info := &types.Info{Uses: map[*ast.Ident]types.Object{}}
@@ -73,7 +74,7 @@
 		from, to := fileOf(identifier.Pos()), fileOf(object.Pos())
 		inOneLayer := slices.Contains(oneLayer, from) && slices.Contains(oneLayer, to)
 		if object.Pkg() == pkg && layers[from] > layers[to] && !inOneLayer {
-			t.Errorf("%s: %s is declared further up, in %s", set.Position(identifier.Pos()), object.Name(), to)
+			t.Errorf("%s: %s is declared in a higher layer, in %s, want a lower layer", set.Position(identifier.Pos()), object.Name(), to)
 		}
 	}
 }
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -1,41 +1,40 @@
 package placement
 
-// This file owns the levels of the index: workers of one kind of which about as much is
-// requested. It must never decide anything.
+// This file owns the levels of the index. A level holds workers of one kind with about the same
+// requested capacity. It decides nothing.
 
 const (
-	// levelWidth is the utilization that a level spans: less than [costMargin], so that the
-	// workers of one level hardly differ in cost.
+	// levelWidth is the range of utilization that a level spans. It is less than [costMargin], so
+	// that the workers of one level hardly differ in cost.
 	levelWidth = 1.0 / 64
 	levelCount = 128
 )
 
-// indexEntry is an indexed worker with what is requested of it.
+// indexEntry is an indexed worker with its requested fractions.
 type indexEntry struct {
 	worker      *workerInfo
 	requested   fractions
-	calibration float64 // its effective capacity is at least this part of that of its kind
+	calibration float64 // lower bound of its effective capacity, as a part of that of its kind
 }
 
-// level holds workers of one kind of which about as much is requested. The first of them, as
-// many as unreserved says, are not reserved.
+// level holds workers of one kind with about the same requested capacity. The first unreserved
+// entries are those of workers that are not reserved.
 type level struct {
 	entries    []indexEntry
 	unreserved int
-	// No entry has less requested than minRequested, nor a smaller calibration than
-	// minCalibration. A removal leaves both as they are; a scan of the whole level makes
-	// them exact again.
+	// minRequested and minCalibration are lower bounds for all entries. A removal leaves both as
+	// they are, and a scan of the whole level makes them exact again.
 	minRequested   fractions
 	minCalibration float64
 }
 
-// swap exchanges two entries, and keeps the positions of their workers right.
+// swap exchanges two entries and updates the positions of their workers.
 func (l *level) swap(i, j int) {
 	l.entries[i], l.entries[j] = l.entries[j], l.entries[i]
 	l.entries[i].worker.position.entryIndex, l.entries[j].worker.position.entryIndex = i, j
 }
 
-// add appends an entry, or puts it among the unreserved ones.
+// add adds an entry to the reserved or to the unreserved entries.
 func (l *level) add(entry indexEntry, reserved bool) {
 	if len(l.entries) == 0 {
 		l.minRequested, l.minCalibration = unlimited, 1
@@ -50,13 +49,13 @@
 	}
 }
 
-// extendBounds lowers the bounds to those of an entry, where it is below them.
+// extendBounds lowers the bounds as far as an entry requires.
 func (l *level) extendBounds(entry indexEntry) {
 	l.minRequested = l.minRequested.smaller(entry.requested)
 	l.minCalibration = min(l.minCalibration, entry.calibration)
 }
 
-// remove takes an entry out. The last one of its part takes its place, so that nothing else moves.
+// remove removes an entry. Only the last unreserved entry and the last entry of the level may move.
 func (l *level) remove(entryIndex int) {
 	if entryIndex < l.unreserved {
 		l.unreserved--
@@ -69,10 +68,10 @@
 	l.entries = l.entries[:last]
 }
 
-// levelSet is a set of levels.
+// levelSet is a bit set of level numbers.
 type levelSet [levelCount / 64]uint64
 
-// set makes a level a member of the set, or takes it out.
+// set adds a level to the set if member is true, and removes it otherwise.
 func (s *levelSet) set(levelNumber int, member bool) {
 	s[levelNumber/64] &^= 1 << (levelNumber % 64)
 	if member {
@@ -80,21 +79,22 @@
 	}
 }
 
-// kindLevels are the levels of one kind.
+// kindLevels holds the levels of one kind.
 type kindLevels struct {
 	levels     [levelCount]level
-	occupied   levelSet // that have workers
-	unreserved levelSet // that have workers which are not reserved
+	occupied   levelSet // levels with workers
+	unreserved levelSet // levels with workers that are not reserved
 }
 
-// updateSets keeps the sets right after a change of a level.
+// updateSets updates the sets after a change of a level.
 func (k *kindLevels) updateSets(levelNumber int) {
 	l := &k.levels[levelNumber]
 	k.occupied.set(levelNumber, len(l.entries) > 0)
 	k.unreserved.set(levelNumber, l.unreserved > 0)
 }
 
-// sum counts the workers, and adds up their utilization of a baseline of effective capacity.
+// sum returns the number of workers, and the sum of their utilizations relative to a baseline of
+// effective capacity.
 func (k *kindLevels) sum(baseline fractions) (count, utilization float64) {
 	for i := range k.levels {
 		entries := k.levels[i].entries
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -1,27 +1,29 @@
 package placement
 
-// This file owns the migration of running tasks off workers that serve poorly. It must never
-// migrate more than one task at a time.
+// This file owns the migration of running tasks off workers that serve poorly. It migrates at most
+// one task for each report.
 
 const (
-	// migrateBelow is the service below which a task may be migrated, and migrateAlwaysBelow
-	// that below which it is even if it fits nowhere else.
+	// migrateBelow is the part of full service below which a task may be migrated. Below
+	// migrateAlwaysBelow a task may be migrated even if it fits no other worker.
 	migrateBelow       = 0.7
 	migrateAlwaysBelow = 0.25
-	// restartSeconds are lost by starting anew.
+	// restartSeconds is the run time that a task loses by starting again, in seconds.
 	restartSeconds = 1.5
-	// migrationGainFactor is by how much the gain must exceed the price, as run times are rough.
+	// migrationGainFactor is the factor by which the gain must exceed the price, because expected
+	// run times are rough.
 	migrationGainFactor = 2.0
-	// defaultRemainingSeconds is what remains of a task without a run time.
+	// defaultRemainingSeconds is the assumed remaining run time of a task without a run hint, in
+	// seconds.
 	defaultRemainingSeconds = 4.0
-	// migrationSeconds is over how many seconds the excess is migrated: use swings, so less than
-	// all of it is meant to go.
+	// migrationSeconds is the time over which the excess load is migrated, in seconds. Usage
+	// fluctuates, so migrations aim at less than the whole excess.
 	migrationSeconds = 3.0
-	// migrationInterval is the time between migrations off one worker.
+	// migrationInterval is the minimum time between migrations off one worker, in microseconds.
 	migrationInterval = 900 * millisecond
 )
 
-// migration migrates tasks.
+// migration selects running tasks and migrates them.
 type migration struct {
 	*environment
 	loads    *loadTracker
@@ -29,11 +31,13 @@
 	search   *search
 }
 
-// relieve migrates one own task off a worker that serves poorly, if what it would gain elsewhere
-// in the time that it still runs is well over what a migration costs. It guards against workers
-// far over their saturation load and those that slow down, where filters come too late. It
-// would harm where the whole fleet is as full: then nothing fits and the task stays.
-func (m *migration) relieve(worker *workerInfo, service float64) {
+// maybeMigrate may migrate one task of this scheduler off a worker that serves poorly, if the gain
+// in the remaining run time of the task is well above the cost of the migration. It relieves workers
+// that are far over their saturation load or that slow down, for which the filters act too late.
+//
+// If the whole fleet is equally full, migration would do harm. In that case the task fits no other
+// worker and stays, unless the service is below migrateAlwaysBelow.
+func (m *migration) maybeMigrate(worker *workerInfo, service float64) {
 	if service > migrateBelow || worker.kindIndex < 0 || m.now-worker.migratedAt < migrationInterval {
 		return
 	}
@@ -48,7 +52,8 @@
 	worker.removeRunning(task)
 }
 
-// bestCandidate returns the task on a worker of which a migration gains the most, or nil.
+// bestCandidate returns the task on a worker whose migration gains the most, or nil if no migration
+// gains anything.
 func (m *migration) bestCandidate(worker *workerInfo, service float64) (best *taskInfo) {
 	var bestValue float64
 	for _, task := range worker.running {
@@ -63,16 +68,17 @@
 	return best
 }
 
-// excess is the part of a worker's load that should go. All schedulers here get the same
-// reports, so each migrates its part of the excess: what cores are used over the saturation
-// load or, where the worker slowed down, what is requested of it over its effective capacity.
+// excess returns the part of a worker's load that should be migrated, from 0 to 1. It is the part of
+// the used cores above the saturation load or, if that is larger because the worker slowed down, the
+// part of the requested capacity above its effective capacity. All schedulers with tasks on the
+// worker get the same reports, so each migrates its part of the excess.
 func (m *migration) excess(worker *workerInfo, service float64) float64 {
 	saturationLoad, saturationRange := m.capacity.saturationLoad, m.capacity.saturationRange
 	excess := saturationRange * (1 - service) / (saturationLoad + saturationRange*(1-service))
 	return max(excess, 1-1/max(1, m.loads.utilization(worker)))
 }
 
-// remainingSeconds is for how many seconds a task is still expected to run.
+// remainingSeconds returns the expected remaining run time of a task, in seconds.
 func (m *migration) remainingSeconds(task *taskInfo) float64 {
 	if !task.HasRunHint || task.ExpectedRunUs <= 0 {
 		return defaultRemainingSeconds
--- a/placement/migration_test.go
+++ b/placement/migration_test.go
@@ -21,15 +21,15 @@
 		return count
 	}
 	if count := migrations(0, 30); count < 3 {
-		t.Errorf("%d migrations off a worker without service, want some", count)
+		t.Errorf("got %d migrations off a worker that gives no service, want at least 3", count)
 	}
 	if count := migrations(0.9, 30); count != 0 {
-		t.Errorf("%d migrations at 0.9 of service, want none", count)
+		t.Errorf("got %d migrations off a worker that gives 0.9 of full service, want none", count)
 	}
 	if count := migrations(0.5, -20); count != 0 {
-		t.Errorf("%d migrations with no free capacity elsewhere, want none", count)
+		t.Errorf("got %d migrations at 0.5 of full service without free capacity elsewhere, want none", count)
 	}
 	if count := migrations(0, -20); count < 3 {
-		t.Errorf("%d migrations off a worker without service, no free capacity elsewhere: want some", count)
+		t.Errorf("got %d migrations off a worker that gives no service without free capacity elsewhere, want at least 3", count)
 	}
 }
--- a/placement/ordinals.go
+++ b/placement/ordinals.go
@@ -2,13 +2,14 @@
 
 import "math/bits"
 
-// This file owns the selection of the n-th of some workers by name, in linear time. It must
-// never allocate in the long run.
+// This file owns the selection of the n-th of some workers by name, in linear time. It does not
+// allocate once an ordinalSet has grown to the size of the fleet.
 
-// ordinalSet is a set of ordinals of workers, empty between uses.
+// ordinalSet is a bit set of ordinals of workers. It is empty between uses.
 type ordinalSet []uint64
 
-// nth returns the worker of the n-th lowest ordinal. All ordinals are below a limit.
+// nth returns the worker with the n-th lowest ordinal, counted from 0. All ordinals must be below
+// limit.
 func (o *ordinalSet) nth(workers []*workerInfo, n, limit int) (found *workerInfo) {
 	if len(workers) == 1 {
 		return workers[0]
@@ -30,7 +31,8 @@
 	return found
 }
 
-// nthBit is the number of the n-th bit that is set.
+// nthBit returns the number of the n-th set bit, both counted from 0, or -1 if there are not that
+// many.
 func nthBit(words []uint64, n int) int {
 	for i, word := range words {
 		ones := bits.OnesCount64(word)
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -1,21 +1,23 @@
 package placement
 
-// This file owns the scheduling pass: one look at all pending tasks, by priority. For each it
-// filters and scores the workers, and then offers the task to one of them, or reserves one and
-// keeps the task pending, or gives the final response. It must never offer a task twice at a
-// time.
+// This file owns the scheduling pass, which goes through all pending tasks by priority. For each
+// task, the pass filters and scores the workers. It then offers the task to a worker, or waits for
+// the report of a probe, or keeps the task pending and may reserve a worker for it, or gives the
+// final response. A task never has more than one open offer at a time.
 
 const (
-	// latenessFactor is by how much a pending task must be too late, by the rate at which
-	// capacity becomes free, to be rejected before its deadline.
+	// latenessFactor bounds the expected wait for capacity, as a multiple of the time left until the
+	// deadline of a pending task. A task with a longer expected wait, at the present release rate,
+	// is rejected before its deadline.
 	latenessFactor = 2.0
-	// abandonTimeouts is how many response timeouts an attempt gets.
+	// abandonTimeouts is the number of response timeouts after which an attempt is abandoned.
 	abandonTimeouts = 2
-	// offerWindows is how many slow-start windows offers are remembered.
-	offerWindows = 2
+	// offerRetentionWindows is the number of slow-start windows for which offers to a worker are
+	// remembered.
+	offerRetentionWindows = 2
 )
 
-// schedulingPass makes scheduling passes.
+// schedulingPass runs scheduling passes.
 type schedulingPass struct {
 	*environment
 	fleet        *fleet
@@ -30,12 +32,13 @@
 	queue        *queue
 	requests     *requests
 
-	unschedulable map[taskShape]bool // for which no worker was found in this pass
-	freeUnits     float64            // left in this pass; only where a class has reserved units
-	unitsAhead    float64            // of the tasks that stay pending and go first
+	unschedulable map[taskShape]bool // shapes of tasks for which this pass found no worker
+	freeUnits     float64            // free units left in this pass, if a class has reserved units
+	unitsAhead    float64            // units of the tasks earlier in this pass that stay pending
 }
 
-// run makes a pass, if something happened by which a pending task may find a worker.
+// run makes a scheduling pass if something happened since the last pass that may let a pending task
+// find a worker.
 func (p *schedulingPass) run() {
 	if !p.needsPass {
 		return
@@ -62,7 +65,7 @@
 	}
 	shape := p.shapeOf(task)
 	units := p.settings.Units(task.Cores, task.Memory)
-	if (!p.unschedulable[shape] || task.mayHaveRun != nil) && p.unitsLeft(task) {
+	if (!p.unschedulable[shape] || task.mayHaveRun != nil) && p.leavesReservedUnits(task) {
 		if worker := p.search.selectWorker(task); worker != nil {
 			if !p.probes.wanted(task, worker) {
 				p.offer(task, worker)
@@ -76,14 +79,14 @@
 	}
 	p.unschedulable[shape] = true
 	if p.tooLate(task, units) {
-		p.requests.respond(task) // its client is notified now
+		p.requests.respond(task) // the client gets the response now instead of at the deadline
 		return
 	}
 	p.unitsAhead += units
 	p.reserve(task)
 }
 
-// exhausted reports whether nothing more can be done for a pending task.
+// exhausted reports whether a pending task can get no further attempt and needs its final response.
 func (p *schedulingPass) exhausted(task *taskInfo) bool {
 	if task.DeadlineUs-p.now <= p.queue.responseMargin() || task.copyRunning || task.unusable {
 		return true
@@ -96,7 +99,8 @@
 		(class.Effect == Unsafe || class.Effect == Keyed && !repeatWindowOpen(p.now, class, task))
 }
 
-// shapeOf returns the shape of a task. Its program only matters where the class limits the spread.
+// shapeOf returns the shape of a task. The shape includes the program only if the class limits the
+// spread, because otherwise the program does not decide whether a worker is found.
 func (p *schedulingPass) shapeOf(task *taskInfo) taskShape {
 	shape := taskShape{classIndex: task.classIndex, cores: task.Cores, memory: task.Memory}
 	if p.classOf(task).Spread != ScopeNone {
@@ -105,22 +109,27 @@
 	return shape
 }
 
-// unitsLeft reports whether a task leaves the units that its class has to leave to others.
-func (p *schedulingPass) unitsLeft(task *taskInfo) bool {
+// leavesReservedUnits reports whether the free capacity left in this pass exceeds the units that the
+// class of a task has to leave to other classes.
+func (p *schedulingPass) leavesReservedUnits(task *taskInfo) bool {
 	reserved := p.overload.unitsReserved(task.classIndex)
 	return reserved == 0 || p.freeUnits > reserved
 }
 
-// tooLate reports whether capacity for a task becomes free well after its deadline.
+// tooLate reports whether capacity for a task is expected to become free only well after its
+// deadline.
 func (p *schedulingPass) tooLate(task *taskInfo, units float64) bool {
 	timeUntilFree, known := p.overload.timeUntilFree(p.unitsAhead + units)
 	return known && timeUntilFree > float64(task.DeadlineUs-p.now)*latenessFactor
 }
 
-// reserve reserves the worker that is closest to fitting a pending task. It guards against small
-// tasks of low priority that take every gap before it is large enough for one of high priority.
-// It would harm where all pending tasks are of one priority: then nothing is reserved, or
-// where capacity never becomes free: so half of the workers stay open to all.
+// reserve reserves the worker that is closest to fitting a pending task. Without reservations, small
+// tasks of low priority would take every gap before it is large enough for a task of high priority.
+//
+// Reservations would do harm in two cases, which are excluded. If all pending tasks have one
+// priority, a reservation keeps none of them from a worker (see reservationFactor). If capacity
+// never becomes free, workers still stay open to all tasks, because no worker is reserved once half
+// of them are.
 func (p *schedulingPass) reserve(task *taskInfo) {
 	if !p.settings.HasView || p.reservations.count()*2 >= p.fleet.assignedCount() {
 		return
@@ -130,7 +139,7 @@
 	}
 }
 
-// offer offers a task to a worker.
+// offer offers a task to a worker and records the attempt.
 func (p *schedulingPass) offer(task *taskInfo, worker *workerInfo) {
 	p.queue.remove(task)
 	attempt := &attemptInfo{worker: worker, sentAt: p.now, awaitingResponse: true}
@@ -138,13 +147,14 @@
 	worker.unanswered = append(worker.unanswered, attempt)
 	p.loads.addDelta(worker, task.Cores, task.Memory)
 	p.residents.add(worker, task.Program)
-	worker.recordOffer(p.now, offerWindows*p.settings.SlowStartWindowUs)
+	worker.recordOffer(p.now, offerRetentionWindows*p.settings.SlowStartWindowUs)
 	p.emit(Place{RequestID: task.RequestID, Worker: worker.Worker, AbandonAtUs: p.abandonAt(task)})
 }
 
-// abandonAt is when the last attempt of a task is abandoned: well after answers usually come,
-// so that another may follow. An unsafe task could not be tried again, so it waits to its
-// deadline.
+// abandonAt returns the time at which the latest attempt of a task is abandoned. This is well after
+// responses usually arrive, and leaves time for another attempt. The attempt lasts until the
+// deadline if the task is unsafe, as it could not be tried again, or if the attempt is the last one
+// permitted, or if no response time was measured yet.
 func (p *schedulingPass) abandonAt(task *taskInfo) int64 {
 	lastAttempt := p.settings.MaxAttempts > 0 && len(task.attempts) >= p.settings.MaxAttempts
 	if p.classOf(task).Effect == Unsafe || lastAttempt || !p.health.rttKnown() {
@@ -152,7 +162,8 @@
 	}
 	timeout := abandonTimeouts * p.health.responseTimeout()
 	if p.settings.AcceptMeansRunning {
-		// Quick answers come first, so early on the slow starts are not seen yet.
+		// Fast responses arrive first, so early response timeouts do not account for slow starts:
+		// the attempt lasts for at least two thirds of the time left.
 		timeout = max(timeout, (task.DeadlineUs-p.now)*2/3)
 	}
 	return min(task.DeadlineUs, p.now+timeout)
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// This file owns the pending tasks and their order. It must never place or reject one.
+// This file owns the pending tasks and their order. It never places or rejects a task.
 
-// deadlineMarginTicks is how many ticks before its deadline a pending task gets its response.
+// deadlineMarginTicks is the number of ticks before its deadline at which a pending task gets its
+// response.
 const deadlineMarginTicks = 4
 
 // queue holds the pending tasks.
@@ -15,7 +16,7 @@
 	*environment
 	quotas  *quotas
 	pending []*taskInfo
-	ordered []*taskInfo // see byPriority
+	ordered []*taskInfo // result of byPriority
 }
 
 // add makes a task pending.
@@ -26,7 +27,7 @@
 	}
 }
 
-// remove takes a task out, if it is pending.
+// remove removes a task if it is pending.
 func (q *queue) remove(task *taskInfo) {
 	if task.pending {
 		task.pending = false
@@ -34,8 +35,9 @@
 	}
 }
 
-// byPriority returns the pending tasks, those of the highest priority first. The result stays
-// as it is while tasks are added and removed, until the next call.
+// byPriority returns the pending tasks in descending order of priority. Tasks of equal priority are
+// ordered by how long their clients have waited, longest first. Adding and removing tasks does not
+// change the result, which is valid until the next call.
 func (q *queue) byPriority() []*taskInfo {
 	for _, task := range q.pending {
 		task.priority = q.priority(task)
@@ -47,9 +49,10 @@
 	return q.ordered
 }
 
-// priority is a task's weight for the capacity and time that it takes, the bonus of a start
-// included while it can still be in time: when capacity is short, tasks that are late already
-// let those pass that are not. Tasks of a tenant beyond its quota weigh less.
+// priority returns the weight of a task per capacity and time that it takes. The weight includes the
+// bonus for a start in time while such a start is still possible: when capacity is short, tasks that
+// can still start in time go before tasks that are late already. Tasks of a tenant over its quota
+// weigh less.
 func (q *queue) priority(task *taskInfo) float64 {
 	class := q.classOf(task)
 	kind := &q.settings.Kinds[0]
@@ -67,12 +70,14 @@
 	return priority
 }
 
-// responseMargin is how long before its deadline a pending task gets its response.
+// responseMargin returns how long before its deadline a pending task gets its response, in
+// microseconds.
 func (q *queue) responseMargin() int64 {
 	return deadlineMarginTicks * max(q.settings.TickUs, millisecond)
 }
 
-// nextCheckAt is when pending tasks are to be looked at next, or 0.
+// nextCheckAt returns the time of the next scheduling pass that pending tasks need, or 0 if no task
+// is pending.
 func (q *queue) nextCheckAt() int64 {
 	if len(q.pending) == 0 {
 		return 0
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -24,7 +24,7 @@
 	f.at(ms, again)
 	got := ofType[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 10)}}))
 	if len(got) < 1 || got[0].RequestID != "in time" {
-		t.Errorf("placed %v, want the task that can still start in time first", got)
+		t.Errorf("got offers %v, want the task that can still start in time first", got)
 	}
 }
 
@@ -41,11 +41,12 @@
 	f.at(ms, within)
 	got := ofType[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, -14)}}))
 	if len(got) == 0 || got[0].RequestID != "within" {
-		t.Errorf("placed %v, want the tenant within its quota first", got)
+		t.Errorf("got offers %v, want the task of the tenant within its quota first", got)
 	}
 }
 
-// TestQueuedSinceDecidesAmongEquals has the task go first, of equal priority, whose client waits longer.
+// TestQueuedSinceDecidesAmongEquals checks that of tasks of equal priority, the one whose client has
+// waited longer goes first.
 func TestQueuedSinceDecidesAmongEquals(t *testing.T) {
 	f := overloadedFixture(t, -20, Backpressure{})
 	late, early := f.request("late", "safe", 30, 60), f.request("early", "safe", 30, 60)
@@ -54,25 +55,25 @@
 	f.at(ms, early)
 	got := ofType[Place](f.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{smallWorker("a", 0, 32)}}))
 	if len(got) != 1 || got[0].RequestID != "early" {
-		t.Errorf("placed %v", got)
+		t.Errorf("got offers %v, want one of the task whose client has waited longer", got)
 	}
 }
 
-// TestPendingTasksOfLargeFleet has pending tasks looked at when the timer fires, and not at each change
-// of the list, of which a large fleet has one in each call.
+// TestPendingTasksOfLargeFleet checks that in a large fleet, pending tasks are scheduled when the
+// timer fires and not at each change of the list, because a large fleet has a change in each call.
 func TestPendingTasksOfLargeFleet(t *testing.T) {
 	for _, count := range []int{maxEnumerated, maxEnumerated + 1} {
 		f := largeFleet(t, count, func(*rand.Rand) float64 { return 1.5 })
 		if got := ofType[Place](f.at(ms, f.request("1", "safe", 1, 2))); len(got) > 0 {
-			t.Fatalf("%d workers: placed %v in a full fleet", count, got)
+			t.Fatalf("%d workers: got offers %v in a full fleet, want none", count, got)
 		}
 		free := smallWorker("m00007", 0, 20)
 		atOnce := len(ofType[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{free}})))
 		if want := map[bool]int{true: 1}[count <= maxEnumerated]; atOnce != want {
-			t.Errorf("%d workers: %d tasks placed as free capacity appeared, want %d", count, atOnce, want)
+			t.Errorf("%d workers: got %d offers when free capacity appeared, want %d", count, atOnce, want)
 		}
 		if later := len(ofType[Place](f.at(retryInterval, TimerFired{Ref: "wake"}))); atOnce+later != 1 {
-			t.Errorf("%d workers: %d tasks placed by the timer, want 1 in all", count, later)
+			t.Errorf("%d workers: got %d offers after the timer fired and %d before, want 1 in total", count, later, atOnce)
 		}
 	}
 }
--- a/placement/quota.go
+++ b/placement/quota.go
@@ -1,12 +1,12 @@
 package placement
 
-// This file owns what tenants have of their quotas. It must never reject a task.
+// This file owns the use of quotas by tenants. It never rejects a task.
 
-// quotas counts the cores of running tasks, by tenant.
+// quotas counts the cores requested by the running tasks of this scheduler, by tenant.
 type quotas struct {
 	*environment
 	fleet         *fleet
-	tenantIndexes map[string]int
+	tenantIndexes map[string]int // index in Settings.Tenants, by name
 	tenantCores   []float64
 	totalCores    float64
 }
@@ -20,10 +20,10 @@
 	return q
 }
 
-// start counts a task that runs.
+// start counts a task that starts running.
 func (q *quotas) start(task *taskInfo) { q.add(task.Tenant, task.Cores) }
 
-// end counts a task that runs no longer.
+// end removes a task that has ended from the counts.
 func (q *quotas) end(task *taskInfo) { q.add(task.Tenant, -task.Cores) }
 
 func (q *quotas) add(tenant string, cores float64) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// exceeded guesses whether a tenant is beyond its quota, from its part of own tasks and what
-// is requested of the fleet.
+// exceeded estimates whether a tenant is over its quota. It assumes that the tenant has the same
+// share of all requested cores of the fleet as of the cores of this scheduler's tasks.
 func (q *quotas) exceeded(tenant string) bool {
 	i, ok := q.tenantIndexes[tenant]
 	if !ok || q.totalCores <= 0 || q.settings.Tenants[i].QuotaCores <= 0 {
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -1,18 +1,20 @@
 package placement
 
-// This file owns the life of every request, from its arrival to its response or completion,
-// and gives the parts below notice of it. It must never select a worker.
+// This file owns the state of every request, from its arrival to its response or completion, and
+// notifies the components below of each change. It never selects a worker.
 
 const (
-	// fullServiceFrom is the service from which on a worker is taken to serve fully, and
-	// nearSaturation the part of memorySaturation up to which its memory is taken to suffice.
-	fullServiceFrom = 0.95
-	nearSaturation  = 0.95
-	// taskConfidence is how far one task's report is believed.
+	// fullServiceThreshold is the part of full service from which a worker counts as giving full
+	// service. nearSaturationShare is the part of memorySaturation up to which the memory of a
+	// worker counts as sufficient.
+	fullServiceThreshold = 0.95
+	nearSaturationShare  = 0.95
+	// taskConfidence is the confidence, 0 to 1, that capacity calibration has in the report of one
+	// task.
 	taskConfidence = 0.5
 )
 
-// requests holds all requests without a response and all running tasks.
+// requests holds all requests without a final response and all running tasks.
 type requests struct {
 	*environment
 	queue       *queue
@@ -27,7 +29,7 @@
 	migration   *migration
 
 	tasks        map[string]*taskInfo // by request ID
-	classIndexes map[string]int
+	classIndexes map[string]int       // index in Settings.Classes, by name
 }
 
 func newRequests(r requests) *requests {
@@ -38,7 +40,7 @@
 	return &r
 }
 
-// add takes a request. One that can never be placed is rejected at once.
+// add handles a new request. A request that no worker could ever run is rejected at once.
 func (r *requests) add(submitted Task) {
 	if r.tasks[submitted.RequestID] != nil {
 		return
@@ -56,7 +58,7 @@
 	r.queue.add(task)
 }
 
-// fitsAnyKind reports whether a worker of any kind could run a task when empty.
+// fitsAnyKind reports whether an empty worker of any kind could run a task.
 func (r *requests) fitsAnyKind(classIndex int, task Task) bool {
 	class := &r.settings.Classes[classIndex]
 	if class.Spread != ScopeNone && class.MaxPerDomain < 1 {
@@ -72,7 +74,8 @@
 	return false
 }
 
-// adopt takes over a task that runs. The view has it already.
+// adopt takes over a running task. It records no change of the requested capacity, because the view
+// already includes the task.
 func (r *requests) adopt(event Adopted) {
 	classIndex, ok := r.classIndexes[event.Class]
 	if !ok || r.tasks[event.RequestID] != nil {
@@ -89,8 +92,8 @@
 	worker.addRunning(r.now, task)
 }
 
-// cancel ends a request that its client cancelled. An attempt that has not ended counts for
-// the spread until it has.
+// cancel ends a request that its client cancelled. An attempt that has not ended counts towards the
+// spread until it ends, so its request is kept until then.
 func (r *requests) cancel(requestID string) {
 	task := r.tasks[requestID]
 	if task == nil || task.accepted {
@@ -103,8 +106,8 @@
 	}
 }
 
-// respond gives the final response to a request that no worker accepted: a rejection where a
-// retry is harmless, else a failure.
+// respond gives the final response to a request that no worker accepted: a rejection if a retry is
+// harmless, and a failure otherwise.
 func (r *requests) respond(task *taskInfo) {
 	if retryIsHarmless(r.classOf(task), task) {
 		r.emit(Reject{RequestID: task.RequestID})
@@ -114,7 +117,7 @@
 	r.forget(task)
 }
 
-// forget forgets a request that has its final response, or a task that has ended.
+// forget removes a request that has its final response, or a task that has ended.
 func (r *requests) forget(task *taskInfo) {
 	r.queue.remove(task)
 	if task.accepted {
@@ -135,7 +138,7 @@
 	delete(r.tasks, task.RequestID)
 }
 
-// attemptAccepted takes it that a worker accepted an attempt.
+// attemptAccepted handles the acceptance of an attempt by a worker.
 func (r *requests) attemptAccepted(event Accepted) {
 	task := r.tasks[event.RequestID]
 	if task == nil || task.accepted || task.cancelled {
@@ -159,7 +162,7 @@
 	r.needsPass = true
 }
 
-// attemptEnded takes the end of an attempt, which is also the end of a running task.
+// attemptEnded handles the end of an attempt, which may be the end of a running task.
 func (r *requests) attemptEnded(event AttemptEnded) {
 	task := r.tasks[event.RequestID]
 	if task == nil {
@@ -194,8 +197,9 @@
 	r.queue.add(task)
 }
 
-// taskReported takes a report of a running task: how much of what it requested it uses, how
-// well its worker serves it, and how full that worker's memory is.
+// taskReported handles a report about a running task: how much of the requested cores or memory the
+// task uses, what part of full service its worker gives, or how much of the worker's memory is in
+// use.
 func (r *requests) taskReported(event TaskReport) {
 	task := r.tasks[event.RequestID]
 	if task == nil {
@@ -221,13 +225,13 @@
 		saturationLoad, saturationRange := r.capacity.saturationLoad, r.capacity.saturationRange
 		r.calibration.learn(attempt.worker, measurement{
 			resource: resourceCores, used: saturationLoad + saturationRange*(1-event.Value), target: saturationLoad,
-			poor: event.Value < fullServiceFrom, confidence: taskConfidence,
+			poor: event.Value < fullServiceThreshold, confidence: taskConfidence,
 		})
-		r.migration.relieve(attempt.worker, event.Value)
+		r.migration.maybeMigrate(attempt.worker, event.Value)
 	case ReportMemoryPressure:
 		r.calibration.learn(attempt.worker, measurement{
 			resource: resourceMemory, used: event.Value, target: memorySaturation,
-			poor: event.Value > memorySaturation*nearSaturation, confidence: taskConfidence,
+			poor: event.Value > memorySaturation*nearSaturationShare, confidence: taskConfidence,
 		})
 	}
 }
--- a/placement/requests_test.go
+++ b/placement/requests_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestOneFinalResponse drives each way in which a request can end.
+// TestOneFinalResponse ends requests in every possible way, and checks that each gets the right
+// final response, once.
 func TestOneFinalResponse(t *testing.T) {
 	toDeadline := AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}
 	for _, test := range []struct {
@@ -36,10 +37,10 @@
 				actions = append(actions, f.at(100*ms, TimerFired{"wake"})...)
 			}
 			if rejected, failed := len(ofType[Reject](actions)), len(ofType[Fail](actions)); rejected != test.rejected || failed != test.failed {
-				t.Errorf("%d rejections and %d failures, want %d and %d: %v", rejected, failed, test.rejected, test.failed, actions)
+				t.Errorf("got %d rejections and %d failures, want %d and %d; actions %v", rejected, failed, test.rejected, test.failed, actions)
 			}
 			if _, pending := f.scheduler.requests.tasks["1"]; pending && test.name != "accepted" {
-				t.Error("the task is not forgotten")
+				t.Error("the request is still stored after its final response")
 			}
 		})
 	}
@@ -52,14 +53,14 @@
 	for f.now < request.DeadlineUs {
 		timers := ofType[SetTimer](actions)
 		if len(timers) == 0 {
-			t.Fatal("no timer for a pending task")
+			t.Fatal("no timer was set while a task was pending")
 		}
 		actions = f.at(timers[len(timers)-1].OffsetUs, TimerFired{"wake"})
 		if len(ofType[Reject](actions)) == 1 {
 			return
 		}
 	}
-	t.Error("the deadline passed without an answer")
+	t.Error("the deadline passed without a final response")
 }
 
 func TestRepeatedEffects(t *testing.T) {
@@ -68,7 +69,7 @@
 		class string
 		after int64
 		done  AttemptEnded
-		again string // where it may go next; "" for nowhere
+		again string // worker of the next attempt: "any", "b", or "" for no further attempt
 	}{
 		{"safe", 10 * ms, ended(Failed), "any"},
 		{"safe", 10 * ms, ended(TimedOut), "any"},
@@ -89,17 +90,17 @@
 		{"zone", 10 * ms, ended(Failed), "b"},
 	} {
 		t.Run(fmt.Sprintf("%s %d after %d", test.class, test.done.Outcome, test.after), func(t *testing.T) {
-			// a is emptiest, c next, and b shares a's cell and zone.
+			// Worker a is the emptiest one and c the next. Worker b is in a's cell and zone.
 			f := newFixture(t, testSettings(), 3, smallWorker("a", 0, 30), smallWorker("b", 0, 4), smallWorker("c", 1, 20))
 			f.wantPlaced(f.at(ms, f.request("1", test.class, 1, 2)), "a")
 			got := ofType[Place](f.at(test.after, test.done))
 			switch {
 			case test.again == "" && len(got) > 0:
-				t.Errorf("sent again to %s", got[0].Worker)
+				t.Errorf("task was offered again to %s, want no further attempt", got[0].Worker)
 			case test.again != "" && len(got) != 1:
-				t.Errorf("sent %d times, want once", len(got))
+				t.Errorf("got %d further offers, want 1", len(got))
 			case test.again == "b" && got[0].Worker == "c":
-				t.Error("sent again outside its group")
+				t.Error("task was offered to c, outside the group that discards its repeats")
 			}
 		})
 	}
@@ -112,7 +113,7 @@
 		attempts += len(ofType[Place](f.at(100*ms, TimerFired{"wake"})))
 	}
 	if attempts != 1 {
-		t.Errorf("%d attempts out, want 1", attempts)
+		t.Errorf("got %d attempts of an unanswered task, want 1", attempts)
 	}
 }
 
@@ -122,7 +123,7 @@
 	late.DeadlineUs = f.now - 1
 	actions := f.at(ms, f.request("1", "safe", 97, 1), f.request("2", "large", 1, 193), late)
 	if len(ofType[Reject](actions)) != 3 || len(f.scheduler.requests.tasks) != 0 {
-		t.Errorf("actions %v, want three rejections", actions)
+		t.Errorf("got actions %v and %d stored tasks, want three rejections and no task", actions, len(f.scheduler.requests.tasks))
 	}
 }
 
@@ -134,7 +135,7 @@
 	f.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
 	f.at(ms, done, done, done, TaskReport{RequestID: "1"})
 	if len(f.scheduler.requests.tasks) != 0 || f.scheduler.fleet.workers["a"].active != 0 {
-		t.Errorf("%d tasks, %d active attempts left", len(f.scheduler.requests.tasks), f.scheduler.fleet.workers["a"].active)
+		t.Errorf("got %d tasks and %d active attempts left, want none", len(f.scheduler.requests.tasks), f.scheduler.fleet.workers["a"].active)
 	}
 }
 
@@ -153,11 +154,11 @@
 		}
 	}
 	if len(f.scheduler.requests.tasks) > 0 || len(f.scheduler.fleet.workers) > 2 || len(f.scheduler.queue.pending) > 0 {
-		t.Errorf("%d tasks, %d workers, %d pending left", len(f.scheduler.requests.tasks), len(f.scheduler.fleet.workers), len(f.scheduler.queue.pending))
+		t.Errorf("got %d tasks, %d workers and %d pending tasks left, want none, at most 2 and none", len(f.scheduler.requests.tasks), len(f.scheduler.fleet.workers), len(f.scheduler.queue.pending))
 	}
 	for _, worker := range f.scheduler.fleet.workers {
 		if len(worker.residentPrograms) > maxIdlePrograms+1 || len(worker.running) > 0 {
-			t.Errorf("%d resident programs, %d running left", len(worker.residentPrograms), len(worker.running))
+			t.Errorf("got %d resident programs and %d running tasks left, want at most %d and none", len(worker.residentPrograms), len(worker.running), maxIdlePrograms+1)
 		}
 	}
 }
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -1,24 +1,24 @@
 package placement
 
-// This file owns the workers that are reserved for pending tasks during a scheduling pass. It
-// must never decide for whom a worker is reserved.
+// This file owns the set of workers that are reserved for pending tasks during a scheduling pass.
+// Its caller selects the workers and the tasks.
 
-// reservationFactor is by how much a pending task must outrank another to keep a worker from
-// it.
+// reservationFactor is the factor by which the priority of a pending task must exceed that of
+// another task for its reservation to keep the other task from the worker.
 const reservationFactor = 1.5
 
-// reservations are the workers that are reserved for pending tasks.
+// reservations holds the workers that are reserved for pending tasks.
 type reservations struct {
 	index      *workerIndex
-	priorities map[*workerInfo]float64 // of the tasks that they are reserved for
-	workers    []*workerInfo           // in the order in which they were reserved
+	priorities map[*workerInfo]float64 // priorities of the tasks that the workers are reserved for
+	workers    []*workerInfo           // in the order of their reservation
 }
 
 func newReservations(index *workerIndex) *reservations {
 	return &reservations{index: index, priorities: map[*workerInfo]float64{}}
 }
 
-// reserve reserves a worker for pending tasks of a priority, until clear.
+// reserve reserves a worker for a pending task of the given priority, until clear is called.
 func (r *reservations) reserve(worker *workerInfo, priority float64) {
 	r.priorities[worker] = priority
 	r.workers = append(r.workers, worker)
@@ -34,7 +34,7 @@
 	clear(r.priorities)
 }
 
-// count is the number of reserved workers.
+// count returns the number of reserved workers.
 func (r *reservations) count() int { return len(r.priorities) }
 
 // contains reports whether a worker is reserved.
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -1,36 +1,37 @@
-// Package placement decides, for one orchestrator of a cluster, which worker each task goes to.
-// Many orchestrators run side by side and share nothing: a [Scheduler] depends only on its
-// [Settings], its seed and the events that it was given. Time is in microseconds, on the clock
-// that the caller passes to [Scheduler.Handle].
+// Package placement selects, for one orchestrator of a cluster, the worker of each task. Many
+// orchestrators run side by side and share no state: a [Scheduler] depends only on its [Settings],
+// its seed and the events that it receives. All times are in microseconds, on the clock whose time
+// the caller passes to [Scheduler.Handle].
 //
-// A placement runs through named steps: filter the workers, score those that pass, and offer the
-// task to one of the best, or reserve a worker while the task stays pending.
+// A placement has three steps: filter the workers, score those that pass the filters, and offer the
+// task to a worker with a score near the best. If no worker has free capacity, the scheduler may
+// reserve one while the task stays pending.
 //
-// The package consists of parts that own their state. A file uses only files on lines below its
-// own, or to its right:
+// The package consists of components that own their state. The files are listed from the top layer
+// to the bottom layer. A file uses only files that follow it in the list:
 //
-//	scheduler.go                             creates the parts and hands events to them
-//	pass.go timer.go                         scheduling passes; when to be called again
-//	requests.go                              life of every request
+//	scheduler.go                             creation of the components; dispatch of events
+//	pass.go timer.go                         scheduling passes; timer for the next call
+//	requests.go                              state of every request
 //	migration.go                             migration of running tasks
 //	search.go ordinals.go                    search for the worker of a task
 //	filter.go score.go                       feasible, healthy and fitting workers; admission cost
-//	queue.go quota.go                        pending tasks by priority; tenants
+//	queue.go quota.go                        pending tasks by priority; quotas of tenants
 //	overload.go totals.go                    concurrent placements; sums over all workers
-//	view.go lag.go probe.go                  lists; how late they are; probes and their reports
+//	view.go lag.go probe.go                  worker lists; lag of the view; probes and their reports
 //	calibration.go                           learned effective capacity of single workers
 //	slowstart.go health.go spread.go         slow start; outlier detection; anti-affinity
 //	repeats.go discovery.go                  repeats of keyed tasks; polls of discovery
-//	fleet.go                                 which workers there are
-//	load.go                                  how much is requested of each worker
-//	reservations.go index.go levels.go       workers by how much is requested of them
+//	fleet.go                                 set of all workers
+//	load.go                                  cores and memory requested of each worker
+//	reservations.go index.go levels.go       reserved workers; index of workers by requested capacity
 //	residents.go affinity.go capacity.go     programs on workers; effective capacity
 //	environment.go                           settings, clock, random source, actions
 //	worker.go task.go                        one worker; one task and its attempts
-//	settingscheck.go settings.go             checks of the settings; settings
+//	settingscheck.go settings.go             validation of the settings; settings
 //	events.go actions.go numbers.go          events; actions; arithmetic
 //
-// worker.go and task.go are one layer: a worker refers to its attempts, an attempt to its worker.
+// worker.go and task.go form one layer: a worker refers to its attempts, an attempt to its worker.
 package placement
 
 import (
@@ -38,11 +39,10 @@
 	"math/rand/v2"
 )
 
-// This file owns the scheduler as a whole: it creates the parts and hands events to them. It
-// must never decide anything itself.
+// This file owns the [Scheduler]: it creates the components and dispatches events to them. All
+// decisions are made by the components.
 
-// Scheduler decides which worker each task goes to, for one orchestrator. It is not safe for
-// concurrent use.
+// Scheduler selects the worker of each task for one orchestrator. It is not safe for concurrent use.
 type Scheduler struct {
 	*environment
 	capacity     *capacityModel
@@ -70,11 +70,12 @@
 	timer        *timer
 }
 
-// New returns a scheduler, whose random draws follow from the seed. It returns a
-// [SettingError] for each setting that is missing or contradictory, joined.
+// New returns a scheduler whose random draws are determined by the seed. If settings are missing or
+// contradictory, New returns one [SettingError] for each of them, joined.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.check(); err != nil {
-		// Not "placement:", as the simulator's wire carries this text to the operators of a deployment.
+		// The prefix is not "placement:", because the simulator protocol carries this text to the
+		// operators of a deployment.
 		return nil, fmt.Errorf("ravenhitch: %w", err)
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(settings.SelfIndex)))
@@ -86,7 +87,7 @@
 	return s, nil
 }
 
-// createFleet creates the parts that know the workers.
+// createFleet creates the components that track the workers.
 func (s *Scheduler) createFleet() {
 	s.capacity = newCapacityModel(s.environment)
 	s.index = newWorkerIndex(len(s.settings.Kinds))
@@ -104,7 +105,7 @@
 	}
 }
 
-// createEstimators creates the parts that learn and sum up.
+// createEstimators creates the components that compute estimates and sums.
 func (s *Scheduler) createEstimators() {
 	s.calibration = &calibration{
 		environment: s.environment, capacity: s.capacity, loads: s.loads, index: s.index,
@@ -130,7 +131,7 @@
 	}
 }
 
-// createDecisions creates the parts that decide.
+// createDecisions creates the components that make decisions.
 func (s *Scheduler) createDecisions() {
 	s.search = newSearch(search{
 		environment: s.environment, fleet: s.fleet, loads: s.loads, capacity: s.capacity,
@@ -165,7 +166,8 @@
 	s.timer = &timer{environment: s.environment, queue: s.queue, discovery: s.discovery}
 }
 
-// Handle takes what happened at now, in microseconds, and returns what to do, in order.
+// Handle processes events at the time now, in microseconds, and returns the actions that the caller
+// has to take, in order.
 func (s *Scheduler) Handle(now int64, events []Event) []Action {
 	s.now, s.actions = now, nil
 	if s.startedAt < 0 {
@@ -181,7 +183,7 @@
 	return s.actions
 }
 
-// handleEvent hands an event to the part that takes it.
+// handleEvent dispatches an event to the component that processes it.
 func (s *Scheduler) handleEvent(event Event) {
 	switch event := event.(type) {
 	case WorkerList:
@@ -214,7 +216,7 @@
 	}
 }
 
-// Avoids reports whether a worker gets no task of any class, as it is suspected.
+// Avoids reports whether a worker gets no task of any class because it is under suspicion.
 func (s *Scheduler) Avoids(name string) bool {
 	worker := s.fleet.workers[name]
 	return worker != nil && s.health.ejected(worker)
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -25,7 +25,7 @@
 			responses := 0
 			for i, class := range settings.Classes {
 				request := f.request(fmt.Sprint(i), class.Name, 1, 1)
-				request.DeadlineUs = f.now + 1*ms // very short
+				request.DeadlineUs = f.now + 1*ms // shorter than the response margin
 				actions := f.at(0, request)
 				actions = append(actions, f.at(1*ms, TimerFired{"wake"})...)
 				responses += len(ofType[Reject](actions)) + len(ofType[Fail](actions))
@@ -35,7 +35,7 @@
 				}
 			}
 			if responses != len(settings.Classes) {
-				t.Errorf("%d responses for %d requests", responses, len(settings.Classes))
+				t.Errorf("got %d final responses, want %d, one for each request", responses, len(settings.Classes))
 			}
 		})
 	}
@@ -53,29 +53,29 @@
 		settings := testSettings()
 		change(&settings)
 		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want one that names %s", err, want)
+			t.Errorf("New returned error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
-		b := newFixture(t, testSettings(), 42, smallWorker("a", 0, 20), smallWorker("b", 0, 20), smallWorker("c", 1, 20), smallWorker("d", 1, 20))
+		f := newFixture(t, testSettings(), 42, smallWorker("a", 0, 20), smallWorker("b", 0, 20), smallWorker("c", 1, 20), smallWorker("d", 1, 20))
 		for i := range 300 {
 			requestID := fmt.Sprint(i)
-			request := b.request(requestID, "safe", 1, 1)
+			request := f.request(requestID, "safe", 1, 1)
 			request.Program = uint64(i % 17)
-			actions := b.at(7*ms, request)
+			actions := f.at(7*ms, request)
 			all = append(all, actions...)
 			for _, place := range ofType[Place](actions) {
-				all = append(all, b.at(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900},
+				all = append(all, f.at(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900},
 					TaskReport{RequestID: place.RequestID, Worker: place.Worker, Kind: ReportService, Value: 0.1})...)
 			}
 		}
 		return all
 	}
-	if first, b := run(), run(); !reflect.DeepEqual(first, b) {
-		t.Error("the same events gave other actions")
+	if first, again := run(), run(); !reflect.DeepEqual(first, again) {
+		t.Error("two schedulers with the same seed returned different actions for the same events")
 	}
 }
 
@@ -84,15 +84,15 @@
 	settings.FleetSize, settings.SelfIndex, settings.SlowStartOffers = 300, 299, 1
 	f := newFixture(t, settings, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
 	request := f.request("1", "apartCell", 1, 2)
-	f.wantPlaced(f.at(ms, request), "a") // a list that names no cell
-	// The clock jumps by two seconds, and outcomes come in any order.
+	f.wantPlaced(f.at(ms, request), "a") // the list entry names no cell, and the class limits the spread by cell
+	// The clock advances by two seconds, and events of one attempt arrive out of order.
 	f.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
 		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
 	if len(f.scheduler.requests.tasks) != 0 || len(f.scheduler.fleet.workers["a"].unanswered) != 0 {
-		t.Errorf("%d tasks, %d unanswered left", len(f.scheduler.requests.tasks), len(f.scheduler.fleet.workers["a"].unanswered))
+		t.Errorf("got %d tasks and %d unanswered attempts left, want none", len(f.scheduler.requests.tasks), len(f.scheduler.fleet.workers["a"].unanswered))
 	}
 	var entries []Entry
-	for m := range 200 { // a fleet that grows in one list, all of which warm up
+	for m := range 200 { // the fleet grows by one list with many workers, all of which are warming up
 		entry := smallWorker(fmt.Sprint("c", m), m/6, 30)
 		entry.StartedAtUs = f.now
 		entries = append(entries, entry)
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -13,7 +13,7 @@
 		{0.5, 0.2, 0.5, 0.75, 0.74}, // 0.5 + 2 * (0.1 + 0.02)
 	} {
 		if got := admissionCost(test.u, test.x, test.l, test.rho); math.Abs(got-test.want) > 1e-12 {
-			t.Errorf("cost(%v, %v, %v, %v) = %v, want %v", test.u, test.x, test.l, test.rho, got, test.want)
+			t.Errorf("admissionCost(%v, %v, %v, %v) = %v, want %v", test.u, test.x, test.l, test.rho, got, test.want)
 		}
 	}
 }
@@ -28,12 +28,12 @@
 	for seed := range uint64(60) {
 		f := newFixture(t, testSettings(), seed, smallWorker("a", 0, 20), smallWorker("b", 0, 20), smallWorker("c", 1, 20))
 		request := f.request("1", "safe", 1, 2)
-		request.Program = 0 // of no program
+		request.Program = 0 // no program
 		seen[ofType[Place](f.at(ms, request))[0].Worker]++
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		if seen[name] < 8 {
-			t.Errorf("%s drawn %d times of 60: %v", name, seen[name], seen)
+			t.Errorf("worker %s was drawn %d times of 60, want at least 8; draws %v", name, seen[name], seen)
 		}
 	}
 }
@@ -49,11 +49,12 @@
 		maxCount = max(maxCount, count)
 	}
 	if maxCount < 11 || first["d"] > 0 {
-		t.Errorf("first choices %v, want most on one worker and none on the full one", first)
+		t.Errorf("got first choices %v, want at least 11 of 20 on one worker and none on the full worker d", first)
 	}
 }
 
-// TestSchedulersDoNotHerd has many schedulers with the same late view select workers.
+// TestSchedulersDoNotHerd checks that many schedulers with the same late view do not select the same
+// workers.
 func TestSchedulersDoNotHerd(t *testing.T) {
 	first := map[string]int{}
 	for i := range 40 {
@@ -70,13 +71,13 @@
 	}
 	for name, count := range first {
 		if count > 28 {
-			t.Errorf("%d of 80 first choices on %s", count, name)
+			t.Errorf("got %d of 80 first choices on %s, want at most 28", count, name)
 		}
 	}
 }
 
-// TestManySchedulersOnOneLateView bounds how many of 300 schedulers choose one worker
-// of 100 while the view does not change.
+// TestManySchedulersOnOneLateView bounds how many of 300 schedulers select the same worker of 100
+// before their view changes.
 func TestManySchedulersOnOneLateView(t *testing.T) {
 	var entries []Entry
 	for name := range 100 {
@@ -94,10 +95,10 @@
 	}
 	for name, count := range first {
 		if count > 18 {
-			t.Errorf("%d of 300 first choices on %s, want 18 at most", count, name)
+			t.Errorf("got %d of 300 first choices on %s, want at most 18", count, name)
 		}
 	}
 	if len(first) < 50 {
-		t.Errorf("%d workers selected, want 50 %% of them at least", len(first))
+		t.Errorf("got %d selected workers, want at least 50 %% of them", len(first))
 	}
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// This file owns the search for the worker of a task: it filters and scores candidates from
-// the index, and draws among those of near-equal score. It must never change what is known of
-// a worker, nor allocate.
+// This file owns the search for the worker of a task: it filters and scores candidates from the
+// index, and draws among those with a score near the best. A search never changes the recorded state
+// of a worker, only values derived from it, and does not allocate once its slices have grown.
 
-// costMargin is how far above the lowest admission cost still counts as equal: about what one
-// small task adds, which a late view cannot tell apart.
+// costMargin is the difference from the lowest admission cost up to which a cost still counts as
+// equal. It is about the cost that one small task adds, which is too small a difference for a late
+// view to show.
 const costMargin = 0.02
 
-// maxSuspectAttempts is how many unanswered attempts a suspect worker may have where all are
-// suspect.
+// maxSuspectAttempts is the maximum number of unanswered attempts at a suspect worker if all workers
+// that fit the task are suspect.
 const maxSuspectAttempts = 2
 
-// scoredWorker is a worker that passed the filters, and its score.
+// scoredWorker is a worker that passed the filters, with its admission cost.
 type scoredWorker struct {
 	worker *workerInfo
 	cost   float64
 }
 
-// search finds workers for tasks. Its slices are used again by the next search.
+// search finds workers for tasks. Each search reuses the slices of the one before.
 type search struct {
 	*environment
 	fleet     *fleet
@@ -36,17 +37,17 @@
 	filter    *filter
 	scorer    *scorer
 
-	searchNumber  int64 // of searches so far
-	evaluated     int   // workers that the present search looked at one by one
+	searchNumber  int64 // number of searches so far
+	evaluated     int   // number of workers that the present search evaluated one by one
 	task          *taskInfo
 	class         *Class
-	limits        []loadLimit // by kind: what is requested of a worker that fits the task
-	taskFractions []fractions // by kind: what the task adds to the utilization of a worker
+	limits        []loadLimit // by kind: highest load of a worker that fits the task
+	taskFractions []fractions // by kind: utilization that the task adds to a worker
 	scored        []scoredWorker
-	lowestCost    float64                // of the scored workers
-	nearLowest    []*workerInfo          // that are scored near the lowest cost
-	suspects      []*workerInfo          // that fit and are not healthy
-	visit         func(*workerInfo) bool // evaluate, bound once
+	lowestCost    float64                // lowest cost of the scored workers
+	nearLowest    []*workerInfo          // scored workers with a cost near the lowest
+	suspects      []*workerInfo          // workers that fit but are not healthy
+	visit         func(*workerInfo) bool // the method evaluate, bound once
 	ordinals      ordinalSet
 }
 
@@ -57,7 +58,7 @@
 	return &s
 }
 
-// selectWorker returns the worker for a task, or nil where it has to wait.
+// selectWorker returns the worker for a task, or nil if the task has to wait.
 func (s *search) selectWorker(task *taskInfo) *workerInfo {
 	finalists := s.finalists(task)
 	if len(finalists) == 0 {
@@ -66,8 +67,7 @@
 	return s.ordinals.nth(finalists, s.random.IntN(len(finalists)), len(s.fleet.sorted))
 }
 
-// finalists returns the workers among which that of a task is drawn, or none where it has to
-// wait.
+// finalists returns the workers from which selectWorker draws one, or none if the task has to wait.
 func (s *search) finalists(task *taskInfo) []*workerInfo {
 	finalists := s.cheapest(task)
 	if len(finalists) == 0 {
@@ -79,7 +79,8 @@
 	return finalists
 }
 
-// begin starts a search for a task among the workers that may have free capacity for it.
+// begin starts a search: it resets the results of the last one, and computes by kind the size of the
+// task and the highest load of a worker that fits it.
 func (s *search) begin(task *taskInfo) {
 	s.fleet.refresh()
 	baseline := s.index.baseline
@@ -96,7 +97,7 @@
 	}
 }
 
-// cheapest returns the workers for a task whose admission cost is near the lowest, in no order.
+// cheapest returns the workers with an admission cost near the lowest, in no particular order.
 func (s *search) cheapest(task *taskInfo) []*workerInfo {
 	s.begin(task)
 	s.scorer.prepare(task)
@@ -106,7 +107,7 @@
 	}
 	inverse := s.index.inverseBaseline
 	s.index.walk(levelWalk{limits: s.limits, visit: s.visit,
-		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
+		relevant: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
 			lowest := s.scorer.kinds[kindIndex].lowerBound(utilization, s.scorer.utilization)
 			return lowest <= s.lowestCost+costMargin+roundingSlack
@@ -120,8 +121,8 @@
 	return s.nearLowest
 }
 
-// evaluateAll looks at some workers by themselves: at all of a few, and from anywhere at those
-// of many.
+// evaluateAll evaluates the given workers one by one until evaluate has scored enough. It starts at
+// a random worker if there are more than maxEnumerated.
 func (s *search) evaluateAll(workers []*workerInfo) {
 	first := 0
 	if len(workers) > maxEnumerated {
@@ -134,8 +135,8 @@
 	}
 }
 
-// evaluate filters and scores one worker for the task of the search, and reports whether to go
-// on.
+// evaluate filters and scores one worker for the task of the search, and reports whether to evaluate
+// more.
 func (s *search) evaluate(worker *workerInfo) bool {
 	if worker.lastSearch == s.searchNumber {
 		return true
@@ -155,8 +156,8 @@
 	return len(s.scored) < maxEnumerated
 }
 
-// uncordonedWorker returns a worker that operators uncordoned, if a task can go there: one task
-// shows that it is in use again.
+// uncordonedWorker returns the first worker by name that operators uncordoned, that got no offer
+// since and that can run a task, or nil. One task is enough to show that a worker is in use again.
 func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
 	class := s.classOf(task)
 	for worker := range s.fleet.pruneUncordoned() {
@@ -169,23 +170,24 @@
 	return found
 }
 
-// fallback returns the worker for a task where each that fits is suspect, as the last search
-// found: the least suspect one, or none.
+// fallback returns the least suspect worker for a task, or none. It requires that the last search
+// found no healthy worker that fits the task.
 func (s *search) fallback(task *taskInfo) []*workerInfo {
 	suspects := s.suspects
 	if len(suspects) == 0 || s.classOf(task).Effect != Safe && s.majorityHealthy(task) {
-		// A worker that fails fast looks empty: where most are healthy but full, a task waits
-		// for them, unless trying again is safe.
+		// A worker that fails fast looks empty. If most workers are healthy but full, the task waits
+		// for one of them, unless it is safe to repeat.
 		return nil
 	}
-	// An attempt at a worker that no connection reaches is spent for nothing, and may be the last one of
-	// its task: the task waits for a worker that is reached, even if that has to answer or to end others.
+	// An attempt at an unreachable worker is wasted, and may be the last one of its task. If any
+	// reachable worker may get the task, unreachable workers are left out, even if the task then has
+	// to wait until the reachable worker answers or ends other attempts.
 	if slices.ContainsFunc(suspects, isUnreachable) && s.anyReachable(task) {
 		suspects = slices.DeleteFunc(suspects, isUnreachable)
 	}
-	// Most look bad: suspect the network or the load, not them, and go on with the least
-	// suspect, few attempts at a time each: what gets no answer uses up attempts that tasks
-	// need later.
+	// Most workers look bad, so the likely cause is the network or the load and not the workers. The
+	// search continues with the least suspect worker, but with few attempts at a time for each:
+	// unanswered attempts use up attempts that their tasks need later.
 	suspects = slices.DeleteFunc(suspects, func(worker *workerInfo) bool {
 		return len(worker.unanswered) >= maxSuspectAttempts
 	})
@@ -201,8 +203,8 @@
 
 func isUnreachable(worker *workerInfo) bool { return worker.unreachable }
 
-// anyReachable reports whether a worker is reached that may get a task, now or once it has answered or
-// ended others.
+// anyReachable reports whether a reachable worker may get a task, now or after the worker has
+// answered or ended other attempts.
 func (s *search) anyReachable(task *taskInfo) bool {
 	class := s.classOf(task)
 	return slices.ContainsFunc(s.fleet.sorted, func(worker *workerInfo) bool {
@@ -210,7 +212,7 @@
 	})
 }
 
-// majorityHealthy reports whether more of the feasible workers are healthy than not.
+// majorityHealthy reports whether more than half of the feasible workers are healthy.
 func (s *search) majorityHealthy(task *taskInfo) bool {
 	class := s.classOf(task)
 	balance := 0
@@ -227,12 +229,12 @@
 	return balance > 0
 }
 
-// fitsElsewhere reports whether a healthy worker other than the given one fits a task.
+// fitsElsewhere reports whether a task fits a healthy worker other than the given one.
 func (s *search) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
 	s.begin(task)
 	class, found := s.classOf(task), false
 	s.index.walk(levelWalk{limits: s.limits,
-		matters: func(int, fractions, float64) bool { return true },
+		relevant: func(int, fractions, float64) bool { return true },
 		visit: func(other *workerInfo) bool {
 			found = other != worker && s.filter.permits(other, class, task) &&
 				s.health.healthy(other, task.classIndex) && s.filter.fits(other, task)
@@ -242,8 +244,8 @@
 	return found
 }
 
-// closestToFitting returns the worker that lacks the least capacity to fit a task, of those that are not
-// reserved, or nil.
+// closestToFitting returns the healthy unreserved worker that lacks the least capacity to fit a
+// task, or nil.
 func (s *search) closestToFitting(task *taskInfo) *workerInfo {
 	s.fleet.refresh()
 	class, inverse := s.classOf(task), s.index.inverseBaseline
@@ -254,12 +256,12 @@
 		}
 	}
 	var best *workerInfo
-	lowest, slack := math.Inf(1), roundingSlack // among equals the first by name
+	lowest, slack := math.Inf(1), roundingSlack // among equal workers, the first by name is returned
 	if len(s.fleet.sorted) > maxEnumerated {
-		slack = -roundingSlack // any: there may be thousands
+		slack = -roundingSlack // return any of them, as there may be thousands
 	}
 	s.index.walk(levelWalk{unreservedOnly: true,
-		matters: func(kindIndex int, requested fractions, minUtilization float64) bool {
+		relevant: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			size := &s.taskFractions[kindIndex]
 			needed := max(requested.cores*inverse.cores+size.cores, requested.memory*inverse.memory+size.memory)
 			return max(needed, minUtilization+min(size.cores, size.memory)) <= lowest+slack
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestSearchLooksAtFew bounds how many workers a search looks at, and that by less than
-// the growth of the fleet.
+// TestSearchLooksAtFew bounds the number of workers that a search evaluates. In a fleet that is ten
+// times larger, the number may at most double.
 func TestSearchLooksAtFew(t *testing.T) {
 	evaluated := map[int]float64{}
 	for _, count := range []int{400, 4000} {
@@ -19,40 +19,42 @@
 	}
 	idle := largeFleet(t, 4000, func(*rand.Rand) float64 { return 0 })
 	if idle.scheduler.search.finalists(idle.madeUpTask(0)); idle.scheduler.search.evaluated > maxEnumerated {
-		t.Errorf("%d workers looked at in an idle fleet, want %d at most", idle.scheduler.search.evaluated, maxEnumerated)
+		t.Errorf("got %d evaluated workers in an idle fleet, want at most %d", idle.scheduler.search.evaluated, maxEnumerated)
 	}
 	if evaluated[400] > 40 || evaluated[4000] > 2*evaluated[400] {
-		t.Errorf("workers looked at in a search, by fleet: %v", evaluated)
+		t.Errorf("got mean numbers of evaluated workers by fleet size %v, want at most 40 of 400 and at most twice as many of 4000", evaluated)
 	}
 }
 
-// TestFullFleetIsRemembered has a search in a fleet without free capacity look at no worker, and
-// pass over whole levels once one search has found that they have none.
+// TestFullFleetIsRemembered checks that a search in a fleet without free capacity evaluates no
+// worker, and that it skips whole levels once an earlier search has found that they have no free
+// capacity.
 func TestFullFleetIsRemembered(t *testing.T) {
 	f := largeFleet(t, 4000, func(random *rand.Rand) float64 { return 1.495 + 0.004*random.Float64() })
-	// One worker of the same level had free capacity, which an earlier bound shows still.
+	// One worker of the same level has free capacity at first, so the bound of the level stays too
+	// low when that capacity is taken.
 	last := smallWorker("m03999", 0, 32*(1-1.478))
 	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	task := f.madeUpTask(0)
 	task.Cores, task.Memory = 0.25, 0.5
 	if finalists := f.scheduler.search.finalists(task); len(finalists) != 1 {
-		t.Fatalf("%d workers to draw from, want the one with free capacity", len(finalists))
+		t.Fatalf("got %d finalists, want only the worker with free capacity", len(finalists))
 	}
 	last.FreeCores, last.FreeMemory = 32*(1-1.495), 64*(1-1.495)
 	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	if finalists := f.scheduler.search.finalists(task); len(finalists) > 0 || f.scheduler.search.evaluated > 0 {
-		t.Fatalf("a full fleet: %d workers to draw from, %d looked at", len(finalists), f.scheduler.search.evaluated)
+		t.Fatalf("got %d finalists and %d evaluated workers in a full fleet, want none", len(finalists), f.scheduler.search.evaluated)
 	}
 	for _, kind := range f.scheduler.index.kinds {
 		for number := range kind.levels {
 			if current := &kind.levels[number]; len(current.entries) > 0 && f.scheduler.search.limits[0].admits(current.minRequested, current.minCalibration) {
-				t.Errorf("level %d of %d workers is not passed over: its bound is %+v", number, len(current.entries), current.minRequested)
+				t.Errorf("level %d with %d workers is not skipped, its lower bound is %+v", number, len(current.entries), current.minRequested)
 			}
 		}
 	}
 }
 
-// TestSearchesAllocateNothing counts the allocations of each kind of search once its slices have grown.
+// TestSearchesAllocateNothing checks that no kind of search allocates once its slices have grown.
 func TestSearchesAllocateNothing(t *testing.T) {
 	f := largeFleet(t, 1000, levelled)
 	task, search := f.madeUpTask(7), f.scheduler.search
@@ -62,12 +64,13 @@
 		"closestToFitting": func() { search.closestToFitting(task) },
 	} {
 		if count := testing.AllocsPerRun(100, find); count > 0 {
-			t.Errorf("%s: %v allocations a search", name, count)
+			t.Errorf("%s: got %v allocations per search, want 0", name, count)
 		}
 	}
 }
 
-// TestEqualsAreDrawnEvenly draws often among thousands of workers that are all alike.
+// TestEqualsAreDrawnEvenly draws many times among thousands of equal workers and checks the
+// distribution with a chi-square test.
 func TestEqualsAreDrawnEvenly(t *testing.T) {
 	const workers, mean = 4000, 10
 	f := largeFleet(t, workers, func(*rand.Rand) float64 { return 0.3 })
@@ -79,14 +82,14 @@
 	for _, worker := range f.scheduler.fleet.sorted {
 		squares += math.Pow(float64(drawn[worker])-mean, 2) / mean
 	}
-	// The sum has the mean of the number of workers and a deviation of sqrt(2 workers).
+	// The sum has a mean equal to the number of workers and a standard deviation of sqrt(2*workers).
 	if limit := workers + 6*math.Sqrt(2*workers); squares > limit {
-		t.Errorf("chi-square %.0f over %d workers, %.0f at most", squares, workers, limit)
+		t.Errorf("got chi-square %.0f over %d workers, want at most %.0f", squares, workers, limit)
 	}
 }
 
-// TestSelectionInLargeFleet compares the cost of the selected worker with the lowest of all, as a large
-// fleet is looked at in part.
+// TestSelectionInLargeFleet compares the cost of the selected worker with the lowest cost of all
+// workers, because a search evaluates only a part of a large fleet.
 func TestSelectionInLargeFleet(t *testing.T) {
 	for _, share := range []struct {
 		name string
@@ -99,7 +102,7 @@
 		f := largeFleet(t, 4000, share.draw)
 		var selectedSum, lowestSum float64
 		for program := range uint64(200) {
-			task := f.madeUpTask(program % 20) // 0 is none
+			task := f.madeUpTask(program % 20) // program 0 means no program
 			worker := f.scheduler.search.selectWorker(task)
 			lowest := math.Inf(1)
 			for _, other := range f.scheduler.fleet.sorted {
@@ -107,13 +110,14 @@
 			}
 			selected := f.scheduler.search.scorer.score(worker, task)
 			if selected > lowest+2*costMargin {
-				t.Errorf("%s: cost %v at %s, the lowest is %v", share.name, selected, worker.Worker, lowest)
+				t.Errorf("%s: got cost %v at the selected worker %s, want at most %v above the lowest cost %v", share.name, selected, worker.Worker, 2*costMargin, lowest)
 			}
 			selectedSum, lowestSum = selectedSum+selected, lowestSum+lowest
 		}
-		// Drawn evenly among those within the margin, a selection costs half of that more.
+		// A selection drawn evenly from the workers within the margin costs half of the margin more
+		// than the lowest cost.
 		if loss := (selectedSum - lowestSum) / 200; loss > 0.75*costMargin {
-			t.Errorf("%s: the selected cost %.4f more than the lowest in the mean", share.name, loss)
+			t.Errorf("%s: selected workers cost %.4f more than the lowest on average, want at most %.4f", share.name, loss, 0.75*costMargin)
 		}
 	}
 }
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -1,23 +1,24 @@
 package placement
 
-// This file owns the time at which the scheduler is to be called again. It must never look at a pending task or a
-// list.
+// This file owns the timer, which determines when the caller calls the scheduler again. It gets the
+// times from the queue and from discovery, and reads neither pending tasks nor worker lists.
 
-// timerRef is the reference of the only timer.
+// timerRef is the reference of the only timer that the scheduler sets.
 const timerRef = "wake"
 
-// timer asks to be called again.
+// timer requests the next call of the scheduler.
 type timer struct {
 	*environment
 	queue     *queue
 	discovery *discovery
-	setFor    int64 // or 0
+	setFor    int64 // time for which the timer is set, in microseconds, or 0
 }
 
-// fired takes it that the timer fired.
+// fired handles the expiry of the timer, which requires a scheduling pass.
 func (t *timer) fired() { t.setFor, t.needsPass = 0, true }
 
-// set sets the timer for what comes next, unless it is set for an earlier time.
+// set sets the timer for the next check of pending tasks or poll of discovery, unless it is already
+// set for an earlier time.
 func (t *timer) set() {
 	at := t.queue.nextCheckAt()
 	if pollAt := t.discovery.nextPollAt(); pollAt > 0 && (at == 0 || pollAt < at) {
