--- a/placement/levels.go
+++ b/placement/levels.go
@@ -14,7 +14,7 @@
 type indexEntry struct {
 	worker      *workerInfo
 	requested   fractions
-	calibration float64 // lower bound of its effective capacity, as a part of that of its kind
+	calibration float64 // lower bound of the effective capacity, as a part of that of the kind
 }
 
 // level holds workers of one kind with about the same requested capacity. The first unreserved
@@ -55,7 +55,8 @@
 	l.minCalibration = min(l.minCalibration, entry.calibration)
 }
 
-// remove removes an entry. Only the last unreserved entry and the last entry of the level may move.
+// remove removes an entry. Only the last unreserved entry and the last entry of the level may move,
+// and all others keep their positions.
 func (l *level) remove(entryIndex int) {
 	if entryIndex < l.unreserved {
 		l.unreserved--
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -9,8 +9,7 @@
 	// worker counts as sufficient.
 	fullServiceThreshold = 0.95
 	nearSaturationShare  = 0.95
-	// taskConfidence is the confidence, 0 to 1, that capacity calibration has in the report of one
-	// task.
+	// taskConfidence is the weight of the report of one task in capacity calibration, from 0 to 1.
 	taskConfidence = 0.5
 )
 
--- a/placement/reservations_test.go
+++ b/placement/reservations_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestFirstByNameIsReserved checks that in a small fleet, the first by name of equal workers is
-// reserved for a pending task.
+// reserved for a pending task, because nothing else distinguishes them.
 func TestFirstByNameIsReserved(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("c", 0, -20), smallWorker("b", 0, -16), smallWorker("a", 0, -16), smallWorker("d", 1, -16))
 	task := f.madeUpTask(0)
--- a/placement/score.go
+++ b/placement/score.go
@@ -37,7 +37,7 @@
 	hasView     bool
 	missBacklog float64 // missPenalty if the task has a program, else 0
 	size        float64 // utilization that the task adds to a worker without calibration
-	rate        float64 // cores of the kind over the mean
+	rate        float64 // cores of the kind over the mean cores of the workers of the fleet
 }
 
 // lowerBound returns a lower bound of the cost at a worker of the kind with at least the given
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestManySchedulersOnOneLateView bounds how many of 300 schedulers select the same worker of 100
-// before their view changes.
+// while their view does not change.
 func TestManySchedulersOnOneLateView(t *testing.T) {
 	var entries []Entry
 	for name := range 100 {
