--- a/placement/pass.go
+++ b/placement/pass.go
@@ -128,8 +128,8 @@
 //
 // Reservations would do harm in two cases, which are excluded. If all pending tasks have one
 // priority, a reservation keeps none of them from a worker (see reservationFactor). If capacity
-// never becomes free, workers still stay open to all tasks, because reservations stop once half of
-// the workers are reserved.
+// never becomes free, the other workers stay open to all tasks, because reservations stop once half
+// of the workers are reserved.
 func (p *schedulingPass) reserve(task *taskInfo) {
 	if !p.settings.HasView || p.reservations.count()*2 >= p.fleet.assignedCount() {
 		return
