--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// This file owns capacity calibration: what poor service and memory running short say of the
-// effective capacity of single workers. It must never move a task.
+// This file owns capacity calibration: it derives the effective capacity of single workers from reports
+// of poor service and memory pressure. It must not migrate tasks.
 
-// calibrationFloor bounds how little effective capacity a worker may be taken to have.
+// calibrationFloor is the smallest calibration of a worker, as a fraction of its uncalibrated effective
+// capacity.
 const calibrationFloor = 0.05
 
 // calibration learns the effective capacity of single workers.
@@ -14,22 +15,23 @@
 	capacity *capacityModel
 	loads    *loadTracker
 	index    *workerIndex
-	workers  []*workerInfo // whose calibration may not have been forgotten yet
+	workers  []*workerInfo // workers whose calibration may not have decayed completely
 }
 
-// measurement is what one report says of the use of a resource of a worker.
+// measurement is the use of one resource of a worker, taken from one report.
 type measurement struct {
 	resource   resource
-	used       float64 // part of the worker's size
-	target     float64 // the use at which service is still full
-	poor       bool    // the worker is over the target
-	confidence float64 // by how much of the difference the calibration follows
+	used       float64 // use, as a fraction of the worker's size
+	target     float64 // largest use at which service is still full, as a fraction of the worker's size
+	poor       bool    // service is poor, or the use is near or above the target
+	confidence float64 // fraction of the difference by which the calibration follows the measurement
 }
 
-// learn takes a measurement of poor service: the worker's effective capacity is what is
-// requested of it now, less by what its use is over the target. It guards against slow
-// workers, neighbours, and tasks that use more than they should, and is forgotten by itself.
-// It would harm where one task is served badly for a reason of its own.
+// learn adjusts the calibration of a worker to a measurement of poor service. The measured effective
+// capacity is what is requested of the worker now, multiplied by target/used if the use exceeds the
+// target. Calibration protects against slow workers, against other load on their machines and against
+// tasks that use more than they requested. It decays without further measurements. It does harm if one
+// task is served poorly for a reason of its own, because the whole worker then counts as slow.
 func (c *calibration) learn(worker *workerInfo, m measurement) {
 	if !m.poor || worker.kindIndex < 0 || !c.settings.HasView {
 		return
@@ -46,7 +48,7 @@
 	c.needsPass = true
 }
 
-// track notes that a worker is calibrated.
+// track adds a worker to the calibrated workers and invalidates its position in the index.
 func (c *calibration) track(worker *workerInfo) {
 	c.index.invalidate(worker)
 	if !worker.inCalibrated {
@@ -55,8 +57,8 @@
 	}
 }
 
-// excessUtilization is the sum, weighted by cores, of what the utilization of the workers is
-// over that without calibration.
+// excessUtilization returns the utilization that calibration adds to the workers of the index, as a sum
+// weighted by cores. It drops workers from the calibrated workers whose calibration has decayed.
 func (c *calibration) excessUtilization() (sum float64) {
 	baseline := c.index.baseline
 	c.workers = slices.DeleteFunc(c.workers, func(worker *workerInfo) bool {
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -1,29 +1,32 @@
 package placement
 
-// This file owns when discovery is polled for changes. It must never read a list.
+// This file owns the schedule of polls of the discovery service. It must not read a list.
 
 const (
-	// maxInitialDelay bounds the time from the first call to the first poll.
+	// maxInitialDelay is the maximum time from the scheduler's first call to its first poll.
 	maxInitialDelay = 200 * millisecond
-	// minPollInterval is the shortest time between polls, and pollJitter what is added at most.
+	// minPollInterval is the minimum time between two polls without a response in between.
 	minPollInterval = second
-	pollJitter      = second
-	// initialBackoff doubles with each failed poll, maxBackoffDoublings times at most.
-	initialBackoff      = 250 * millisecond
+	// pollJitter is the maximum random time added to the interval.
+	pollJitter = second
+	// initialBackoff is the backoff before any doubling. It doubles with each poll and with each failure
+	// since the last list.
+	initialBackoff = 250 * millisecond
+	// maxBackoffDoublings is the maximum number of times that the backoff doubles.
 	maxBackoffDoublings = 5
 )
 
-// discovery polls discovery, where that answers only when it is polled.
+// discovery schedules polls of the discovery service if the service responds only to polls.
 type discovery struct {
 	*environment
-	pollAt   int64 // or 0: never
-	attempts int   // since the last list
+	pollAt   int64 // time of the next poll, in microseconds; 0: none is scheduled
+	attempts int   // polls plus failures since the last list
 }
 
 // start schedules the first poll.
 func (d *discovery) start() { d.pollAt = d.now + d.jitter(maxInitialDelay) }
 
-// listed takes it that a list came, or failed.
+// listed schedules the next poll after a failure, and stops polling after a list that is not a cached one.
 func (d *discovery) listed(kind ListKind) {
 	switch kind {
 	case ListFailed:
@@ -35,7 +38,7 @@
 	}
 }
 
-// poll asks for changes if it is time to.
+// poll requests changes from the discovery service if a poll is due.
 func (d *discovery) poll() {
 	if !d.settings.PollsDiscovery || d.pollAt == 0 || d.now < d.pollAt {
 		return
@@ -45,7 +48,7 @@
 	d.emit(WatchWorkers{Active: true})
 }
 
-// nextPollAt is when to poll next, or 0.
+// nextPollAt returns the time of the next poll in microseconds, or 0 if none is scheduled.
 func (d *discovery) nextPollAt() int64 {
 	if !d.settings.PollsDiscovery {
 		return 0
@@ -53,7 +56,8 @@
 	return d.pollAt
 }
 
-// backoff is how long to leave discovery alone after a failed poll.
+// backoff returns the time in microseconds from a failure to the next poll: half of it is fixed, half is
+// random.
 func (d *discovery) backoff() int64 {
 	delay := min(initialBackoff<<min(d.attempts, maxBackoffDoublings), max(second, d.settings.PollWithinUs/4))
 	return delay/2 + d.jitter(delay/2)
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file owns which workers there are: the present list, and those that left it but still
-// have attempts or tasks. It must never decide which of them gets a task.
+// This file owns the set of workers: those on the current list, and those that left it but still have
+// attempts or tasks. It must not decide which worker gets a task.
 
 // fleet is the set of all workers.
 type fleet struct {
@@ -18,22 +18,22 @@
 	affinity  *affinity
 
 	workers       map[string]*workerInfo
-	sorted        []*workerInfo // by name
-	nameHashes    []uint64      // of sorted
-	ordinalsStale bool          // ordinals and nameHashes are those of an earlier order
-	unlisted      map[*workerInfo]bool
-	uncordoned    map[*workerInfo]bool // and some that got an offer since
+	sorted        []*workerInfo        // all workers, sorted by name
+	nameHashes    []uint64             // hashes of the names of sorted, in the same order
+	ordinalsStale bool                 // workers were added or removed since ordinals and nameHashes were set
+	unlisted      map[*workerInfo]bool // workers that are not on the current list
+	uncordoned    map[*workerInfo]bool // uncordoned workers, including some that got an offer since
 	foreignCount  int                  // listed workers that are assigned to other schedulers
 }
 
-// assignedCount is the number of workers that are assigned to no other scheduler.
+// assignedCount returns the number of workers that are not assigned to another scheduler.
 func (f *fleet) assignedCount() int { return len(f.sorted) - f.foreignCount }
 
-// isLarge reports whether there are too many workers to look at each whenever something happens.
+// isLarge reports whether the fleet has too many workers to examine each of them on every event.
 func (f *fleet) isLarge() bool { return f.assignedCount() > maxEnumerated }
 
-// sharingSchedulers is how many schedulers offer tasks to a worker: all of them, but this one
-// alone where the workers are divided among them.
+// sharingSchedulers returns the number of schedulers that offer tasks to a worker. It is 1 if the workers
+// are divided among the schedulers, and the number of all schedulers otherwise.
 func (f *fleet) sharingSchedulers() int {
 	if f.foreignCount > 0 {
 		return 1
@@ -41,8 +41,8 @@
 	return f.settings.FleetSize
 }
 
-// totalRequestedCores is what is requested of all workers: of foreign ones as much as of the
-// others, whose views are known.
+// totalRequestedCores returns the cores requested of all workers. It assumes that the requests on foreign
+// workers are, on average, the same as on the other workers, because only those have a current view.
 func (f *fleet) totalRequestedCores() float64 {
 	f.refresh()
 	if f.foreignCount == 0 {
@@ -51,7 +51,7 @@
 	return f.loads.listedRequestedCores * float64(len(f.sorted)) / float64(max(1, f.assignedCount()))
 }
 
-// findOrAdd returns the worker of a name, which it adds if there is none.
+// findOrAdd returns the worker with the given name, and adds it first if it does not exist.
 func (f *fleet) findOrAdd(name string) *workerInfo {
 	worker := f.workers[name]
 	if worker != nil {
@@ -66,13 +66,13 @@
 	return worker
 }
 
-// orderChanged notes that workers come or go.
+// orderChanged invalidates the ordinals and the preferred workers after a worker was added or removed.
 func (f *fleet) orderChanged() {
 	f.ordinalsStale = true
 	f.affinity.clear()
 }
 
-// setListed notes whether a worker is on the present list.
+// setListed records whether a worker is on the current list.
 func (f *fleet) setListed(worker *workerInfo, listed bool) {
 	worker.listed = listed
 	f.countForeign(worker)
@@ -84,7 +84,7 @@
 	f.index.invalidate(worker)
 }
 
-// countForeign keeps the number of foreign workers right after a change of one.
+// countForeign updates the number of foreign workers after a change of a worker.
 func (f *fleet) countForeign(worker *workerInfo) {
 	foreign := worker.listed && worker.State == Foreign
 	if foreign == worker.foreign {
@@ -99,7 +99,8 @@
 	f.affinity.clear()
 }
 
-// pruneUncordoned forgets the uncordoned workers that got an offer since, and returns the others.
+// pruneUncordoned removes workers that have got an offer from the uncordoned workers, and returns the
+// remaining ones.
 func (f *fleet) pruneUncordoned() map[*workerInfo]bool {
 	for worker := range f.uncordoned {
 		if !worker.uncordonedIdle {
@@ -109,14 +110,14 @@
 	return f.uncordoned
 }
 
-// unlistAll takes all workers off the list, before a full one.
+// unlistAll marks all workers as not listed, before a complete list is applied.
 func (f *fleet) unlistAll() {
 	for _, worker := range f.sorted {
 		f.setListed(worker, false)
 	}
 }
 
-// update takes what a list says of a worker.
+// update applies a list entry to a worker.
 func (f *fleet) update(worker *workerInfo, entry Entry) {
 	if worker.everListed && worker.StartedAtUs != entry.StartedAtUs {
 		f.restarted(worker)
@@ -127,7 +128,8 @@
 	worker.uncordonedIdle = worker.uncordonedIdle && worker.listed || entry.Uncordoned
 	if entry.Uncordoned {
 		f.uncordoned[worker] = true
-		clear(worker.suspicions) // what spoke against it, its restart by operators among that, is over
+		// Uncordoning ends every suspicion, for example that from a restart of the worker by operators.
+		clear(worker.suspicions)
 	}
 	hasName := func(kind Kind) bool { return kind.Name == entry.Kind }
 	worker.kindIndex = slices.IndexFunc(f.settings.Kinds, hasName)
@@ -136,15 +138,15 @@
 	worker.forgetDeltas(f.now - deltaRetention)
 }
 
-// restarted takes it that a worker started anew: nothing is left of what was there. What has
-// not ended yet counts for the spread until it has.
+// restarted discards the state that a worker lost in a restart: its load changes, its idle programs and
+// its calibration. Attempts and tasks that have not ended yet count for the spread until they end.
 func (f *fleet) restarted(worker *workerInfo) {
 	worker.deltas = nil
 	f.residents.removeIdle(worker)
 	worker.calibration = [resourceCount]float64{1, 1}
 }
 
-// forgetUnlisted forgets the workers off the list that have no attempt or task.
+// forgetUnlisted removes the workers that are not listed and have no attempt or task.
 func (f *fleet) forgetUnlisted() {
 	var removed []*workerInfo
 	for worker := range f.unlisted {
@@ -166,7 +168,7 @@
 	}
 }
 
-// refresh brings the index and the ordinals up to date with what changed since the last search.
+// refresh updates the index and the ordinals with all changes since the last search.
 func (f *fleet) refresh() {
 	if f.index.setBaseline(f.capacity.baseline) {
 		for _, worker := range f.sorted {
@@ -184,7 +186,7 @@
 	}
 }
 
-// preferredFor returns the workers over which the tasks of a program are spread.
+// preferredFor returns the preferred workers of a program, over which its tasks are distributed.
 func (f *fleet) preferredFor(program uint64) []*workerInfo {
 	return f.affinity.workersFor(program, f.sorted, f.nameHashes, f.assignedCount())
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -5,47 +5,56 @@
 	"slices"
 )
 
-// This file owns outlier detection: what becomes of attempts says how far a worker is to be
-// trusted. It must never reject a task.
+// This file owns outlier detection: the outcomes of attempts determine the suspicion of a worker. It must
+// not reject tasks.
 
 const (
-	// What adds to the suspicion of a worker: no answer, an error or a loss, and no answer
-	// while others of the class came.
+	// timeoutSuspicion is added to the suspicion of a worker that does not answer.
 	timeoutSuspicion = 1.5
-	errorSuspicion   = 0.7
-	lossSuspicion    = 0.4
-	// A worker gets nothing from ejectionThreshold on, and one attempt at a time from
-	// suspectThreshold on.
+	// errorSuspicion is added for an error or a lost attempt.
+	errorSuspicion = 0.7
+	// lossSuspicion is added for a missing answer if the worker accepted another attempt of the same
+	// class in the meantime.
+	lossSuspicion = 0.4
+	// ejectionThreshold is the suspicion from which a worker gets no attempts.
 	ejectionThreshold = 1.0
-	suspectThreshold  = 0.25
-	// reconnectedSuspicion is what is left of a suspicion where a connection came up again.
+	// suspectThreshold is the suspicion from which a worker gets only one attempt at a time.
+	suspectThreshold = 0.25
+	// reconnectedSuspicion is the upper limit of the suspicion after a connection came up again.
 	reconnectedSuspicion = 0.5
 
-	// maxAttemptWindow bounds how many unanswered attempts a worker may have: accepted ones raise the
-	// window, 'too many offers wait' halves it.
+	// maxAttemptWindow is the upper limit of the attempt window, which is the number of unanswered
+	// attempts that a worker may have. An accepted attempt raises the window, and a rejection because
+	// too many offers wait halves it.
 	maxAttemptWindow = 12.0
-	// assumedDrain is how long a worker that rejected a task as not to be there, or sent one
-	// away, is taken to drain though the list does not say so yet.
+	// assumedDrain is how long a worker is assumed to be draining, although the list does not show it
+	// yet, after it rejected an attempt as the wrong worker or ended a task because it drains.
 	assumedDrain = 5 * second
 
-	// rttWeight is the weight of one answer in the mean time that answers take.
+	// rttWeight is the weight of one answer in the moving averages of the response time.
 	rttWeight = 1.0 / 16
-	// rttDeviations is how many mean deviations over the mean an answer takes at the longest;
-	// startDeviations where an answer means that the task runs.
-	rttDeviations       = 4
-	startDeviations     = 8
-	minResponseTimeout  = 125 * millisecond
-	minStartedTimeout   = second
-	initialRTTDeviation = 2 // part of the first answer's time
+	// rttDeviations is the number of mean deviations above the mean response time after which an answer
+	// is overdue.
+	rttDeviations = 4
+	// startDeviations replaces rttDeviations if acceptance means that the task runs.
+	startDeviations = 8
+	// minResponseTimeout is the lower limit of the response timeout.
+	minResponseTimeout = 125 * millisecond
+	// minStartedTimeout replaces minResponseTimeout if acceptance means that the task runs.
+	minStartedTimeout = second
+	// initialRTTDeviation is the ratio of the first response time to the initial mean deviation.
+	initialRTTDeviation = 2
 )
 
 // health detects outliers among workers.
 type health struct {
 	*environment
-	meanRTT, rttDeviation float64 // of answers, in microseconds, as TCP keeps them
+	// meanRTT and rttDeviation are moving averages of the response time and of its absolute deviation,
+	// in microseconds, as TCP keeps them. Both are 0 before the first answer.
+	meanRTT, rttDeviation float64
 }
 
-// recordRTT takes the time that the answer to an attempt took.
+// recordRTT updates the response time statistics with the answer to an attempt. rtt is in microseconds.
 func (h *health) recordRTT(attempt *attemptInfo, rtt int64) {
 	attempt.stopWaiting()
 	deviation := float64(rtt) - h.meanRTT
@@ -57,11 +66,12 @@
 	h.rttDeviation += (math.Abs(deviation) - h.rttDeviation) * rttWeight
 }
 
-// rttKnown reports whether any answer came yet.
+// rttKnown reports whether any answer has arrived yet.
 func (h *health) rttKnown() bool { return h.meanRTT != 0 }
 
-// responseTimeout is how long an answer takes at the longest, by those seen. Where an answer
-// means that the task runs, starts that queue are no sign of an unresponsive worker.
+// responseTimeout returns the time in microseconds after which an answer is overdue, derived from the
+// answers so far. If an answer means that the task runs, the timeout is longer, because starts that queue
+// at a worker do not show that it is unresponsive.
 func (h *health) responseTimeout() int64 {
 	if h.settings.AcceptMeansRunning {
 		return max(int64(h.meanRTT+startDeviations*h.rttDeviation), minStartedTimeout)
@@ -69,9 +79,8 @@
 	return max(int64(h.meanRTT+rttDeviations*h.rttDeviation), minResponseTimeout)
 }
 
-// healthy reports whether a worker may get a task of a class. A worker that owes an answer for
-// longer than answers take gets nothing, a suspect one is tried with one attempt at a time, and
-// not with one that must not run twice.
+// healthy reports whether a worker may get a task of a class. A worker with an overdue answer gets no
+// tasks. A suspect worker gets one attempt at a time, and no tasks that must not run twice.
 func (h *health) healthy(worker *workerInfo, classIndex int) bool {
 	if len(worker.unanswered) > 0 && h.overdue(worker.unanswered[0].sentAt) {
 		return false
@@ -87,12 +96,12 @@
 		h.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// overdue reports whether an answer takes longer than answers take.
+// overdue reports whether the answer to a message sent at sentAt is later than the response timeout.
 func (h *health) overdue(sentAt int64) bool {
 	return h.meanRTT > 0 && h.now-sentAt > h.responseTimeout()
 }
 
-// ejected reports whether a worker gets no task of any class.
+// ejected reports whether a worker's suspicion excludes it from tasks of every class.
 func (h *health) ejected(worker *workerInfo) bool {
 	for classIndex := range h.settings.Classes {
 		if worker.suspicion(h.now, classIndex) < ejectionThreshold {
@@ -102,14 +111,15 @@
 	return true
 }
 
-// recordAccepted takes an accepted attempt of a class.
+// recordAccepted records that a worker accepted an attempt of a class. The worker is reachable, its
+// suspicion for the class falls and its attempt window grows.
 func (h *health) recordAccepted(worker *workerInfo, classIndex int) {
 	worker.unreachable = false
 	worker.recordSuccess(h.now, classIndex)
 	worker.attemptWindow = min(maxAttemptWindow, worker.attemptWindow+1/worker.attemptWindow)
 }
 
-// recordOutcome takes the end of an attempt, or of a task that was running.
+// recordOutcome records the end of an attempt or, if wasRunning is true, of a running task.
 func (h *health) recordOutcome(task *taskInfo, attempt *attemptInfo, event AttemptEnded, wasRunning bool) {
 	worker := attempt.worker
 	if attempt.awaitingResponse {
@@ -130,7 +140,7 @@
 		worker.addSuspicion(h.now, errorSuspicion)
 	case event.Outcome == Rejected && event.Cause == CauseQueue:
 		worker.attemptWindow = max(1, worker.attemptWindow/2)
-		// A jammed worker rejects at once: it would use up all attempts.
+		// A worker with a full queue rejects at once and would otherwise use up all attempts of a task.
 		worker.addSuspicion(h.now, timeoutSuspicion)
 	case event.Outcome == Rejected && event.Cause == CauseWrongWorker && task.mayHaveRun == nil,
 		event.Cause == CauseDrained:
@@ -138,11 +148,11 @@
 	}
 }
 
-// recordTimeout takes an attempt that got no answer. It counts against the worker, but where
-// that accepted another since the attempt was sent, it is there: against the class alone if it
-// accepted other classes only, and little if it accepted the same, as then a part of the
-// answers is lost. It could harm by trusting a worker that is about to fall silent: the next
-// attempt shows.
+// recordTimeout records an attempt that got no answer. The timeout adds to the suspicion for every class,
+// unless the worker has accepted another attempt since this one was sent and is therefore reachable. If
+// it accepted only other classes, the suspicion rises for this class alone. If it accepted the same class,
+// some answers are being lost, and the suspicion for the class rises only a little. The rule does harm if
+// a worker is about to become unresponsive, but the next attempt detects that.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
@@ -155,17 +165,17 @@
 	}
 }
 
-// recordError takes an error. It counts against the worker, unless another worker failed the
-// same task: then the task is unusable, no further worker gets it, and those that did are
-// cleared. It guards against tasks that no worker can run, each of which would eject several
-// healthy workers. It would harm where workers fail so often that two errors in a row are
-// chance.
+// recordError records an attempt that ended with an error. The error raises the suspicion of the worker,
+// unless another worker failed the same task. In that case the task is unusable and goes to no further
+// worker, and the suspicion from its errors is taken back. This protects against tasks that no worker can
+// run, each of which would eject several healthy workers. It does harm if workers fail so often that two
+// errors of one task are a coincidence.
 func (h *health) recordError(task *taskInfo, attempt *attemptInfo) {
 	attempt.failed = true
 	attempt.worker.addSuspicion(h.now, errorSuspicion)
 	failedElsewhere := func(other *attemptInfo) bool { return other.failed && other.worker != attempt.worker }
 	if !slices.ContainsFunc(task.attempts, failedElsewhere) {
-		return // the next attempt goes to another worker, if there is one
+		return // the next attempt goes to another worker if there is one
 	}
 	task.unusable = true
 	for _, other := range task.attempts {
@@ -176,10 +186,10 @@
 	}
 }
 
-// recordReachable takes it that a worker is there after all: what failed was a connection, with
-// all that lay on it, so the worker is tried again, one attempt at a time. It would harm where
-// a worker takes connections and answers nothing: so it has to accept something before that
-// counts again.
+// recordReachable records that a worker took a connection after a failure. The failure was that of a
+// connection and of everything sent on it, so the worker is tried again, one attempt at a time. This would
+// do harm if a worker takes connections but answers nothing. A further connection therefore lowers the
+// suspicion only if the worker has accepted an attempt since the last one that did.
 func (h *health) recordReachable(worker *workerInfo) {
 	if worker == nil {
 		return
@@ -197,7 +207,7 @@
 	}
 }
 
-// recordUnreachable takes it that no connection to a worker is up and that the last one failed.
+// recordUnreachable records that no connection to a worker is up and that the last one failed.
 func (h *health) recordUnreachable(worker *workerInfo) {
 	if worker != nil {
 		worker.unreachable = true
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -1,28 +1,29 @@
 package placement
 
-// This file owns the lag of the view: how late lists show what this scheduler did. It must never change
-// what is known of a worker.
+// This file owns the estimate of the view's lag, which is the delay after which lists show the
+// placements of this scheduler. It must not change the state of a worker.
 
 const (
-	// lagDecay is what is left of the evidence for a lag after each change of the view, and
-	// minLagObservations how much evidence a lag needs.
+	// lagDecay is the factor by which each change of the view reduces the weight of earlier ones.
+	// minLagObservations is the weight of observations that must be exceeded before a lag is used.
 	lagDecay           = 0.98
 	minLagObservations = 20
 )
 
-// lagEstimator learns the lag of the view.
+// lagEstimator estimates the lag of the view.
 type lagEstimator struct {
 	*environment
 	loads *loadTracker
-	// squaredErrors are those of each lag, observations the changes seen; old ones count less.
+	// squaredErrors is the decayed sum of squared prediction errors, by lag in steps of lagStep.
 	squaredErrors [lagSteps]float64
-	observations  float64
+	// observations is the decayed number of view changes seen.
+	observations float64
 }
 
-// learn compares a change of the view with own changes. The lag that explains the changes
-// best is believed. It guards against counting own placements twice and against dropping them
-// early; it covers any delay, also one that grows. Where own placements are few beside those of
-// others it learns slowly.
+// learn compares a change of the view with the changes that this scheduler made, and selects the lag
+// with the smallest prediction error. A correct lag prevents own placements from being counted twice and
+// from being dropped too early. Any delay up to the longest lag is covered, including one that grows.
+// Learning is slow if this scheduler makes few of the placements.
 func (e *lagEstimator) learn(worker *workerInfo, entry Entry) {
 	kind := e.kindOf(worker)
 	if kind == nil {
--- a/placement/load.go
+++ b/placement/load.go
@@ -2,40 +2,43 @@
 
 import "slices"
 
-// This file owns how much is requested of each worker: what the list and reports say, how
-// late that is, and the changes that this scheduler made since. It must never decide anything.
+// This file owns the cores and memory requested of each worker: the values from lists and reports, their
+// lag, and the changes that this scheduler made since. It must not make placement decisions.
 
 const (
-	// lagStep and lagSteps span the lags that the view may have: 0.25 to 16 s.
+	// lagStep and lagSteps define the possible lags of the view: 0.25 to 16 s, in steps of 0.25 s.
 	lagStep  = 250 * millisecond
 	lagSteps = 64
-	// initialLagSteps is the lag, in steps, before one was learned.
+	// initialLagSteps is the assumed lag, in steps, until one is learned.
 	initialLagSteps = 4
-	// deltaRetention is how long own changes are remembered: past the longest lag.
+	// deltaRetention is how long this scheduler's own changes are kept. It exceeds the longest lag.
 	deltaRetention = lagSteps*lagStep + 2*second
-	// maxDeltas bounds what is remembered of a worker whose view never comes.
+	// maxDeltas is the maximum number of changes kept for one worker. It limits the memory used for a
+	// worker whose view never arrives.
 	maxDeltas = 4096
-	// reportLag is how old a report is taken to be when it comes.
+	// reportLag is the assumed age of a report on its arrival.
 	reportLag = 500 * millisecond
-	// rejectedShare is the part of a rejected task that certainly did not fit.
+	// rejectedShare is the fraction of a rejected task's request that is assumed not to fit.
 	rejectedShare = 0.99
 )
 
-// loadTracker tracks how much is requested of each worker, and keeps the index in step.
+// loadTracker tracks the cores and memory requested of each worker, and keeps the index up to date.
 type loadTracker struct {
 	*environment
 	capacity     *capacityModel
 	index        *workerIndex
 	reservations *reservations
-	lag          int64         // how late the view is taken to be
-	lagDependent []*workerInfo // see lagDependentWorkers; and others
-	// listedRequestedCores and listedCapacity are sums over the listed workers that are not foreign.
+	lag          int64         // assumed lag of the view, in microseconds
+	lagDependent []*workerInfo // superset of lagDependentWorkers, which prunes it
+	// listedRequestedCores is the sum of the cores requested of all listed workers of a known kind that
+	// are not foreign.
 	listedRequestedCores float64
-	listedCapacity       fractions // in units, not as parts of a kind
+	// listedCapacity is the total size of the same workers, in cores and memory rather than in fractions.
+	listedCapacity fractions
 }
 
-// requested is what is requested of a worker of a known kind: what the view or, where newer,
-// a report says, plus the changes that this scheduler made since.
+// requested returns the cores and memory requested of a worker of a known kind. They are the values of the
+// view, or of a report if that is newer, plus the changes that this scheduler made since.
 func (l *loadTracker) requested(worker *workerInfo) (cores, memory float64) {
 	if !worker.requestedStale {
 		return worker.requestedCores, worker.requestedMemory
@@ -50,15 +53,15 @@
 	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
 }
 
-// utilization is the part of its effective capacity that is requested of a worker of a known
-// kind: the larger of cores and memory.
+// utilization returns the fraction of the effective capacity that is requested of a worker of a known
+// kind. It is the larger of the fractions of cores and memory.
 func (l *loadTracker) utilization(worker *workerInfo) float64 {
 	cores, memory := l.requested(worker)
 	effectiveCores, effectiveMemory := l.capacity.of(worker)
 	return max(cores/effectiveCores, memory/effectiveMemory)
 }
 
-// addDelta notes a change that this scheduler makes now to what is requested of a worker.
+// addDelta records a change that this scheduler makes now to the cores and memory requested of a worker.
 func (l *loadTracker) addDelta(worker *workerInfo, cores, memory float64) {
 	if len(worker.deltas) >= maxDeltas {
 		worker.deltas = slices.Delete(worker.deltas, 0, len(worker.deltas)/2)
@@ -68,7 +71,7 @@
 	l.index.invalidate(worker)
 }
 
-// removeDelta takes back the change of an attempt that never ran.
+// removeDelta removes the change recorded for an attempt that never ran.
 func (l *loadTracker) removeDelta(attempt *attemptInfo) {
 	worker := attempt.worker
 	i := slices.IndexFunc(worker.deltas, func(d delta) bool { return d.at == attempt.sentAt && d.cores >= 0 })
@@ -78,7 +81,8 @@
 	}
 }
 
-// redateDelta dates the change of an attempt by its acceptance, which is what the view follows.
+// redateDelta moves the change recorded for an attempt to the time of its acceptance, which is now,
+// because the view changes with the acceptance.
 func (l *loadTracker) redateDelta(attempt *attemptInfo) {
 	for i := range attempt.worker.deltas {
 		if d := &attempt.worker.deltas[i]; d.at == attempt.sentAt && d.cores >= 0 {
@@ -89,8 +93,8 @@
 	}
 }
 
-// recordRejection takes it that a worker rejected a task for lack of cores or memory: until
-// the view can have followed, it has less free capacity than the task requests.
+// recordRejection records that a worker rejected a task for lack of cores or memory. Until the view can
+// have caught up, the worker counts as having less free capacity than the task requests.
 func (l *loadTracker) recordRejection(worker *workerInfo, task *taskInfo, cause Cause) {
 	kind := l.kindOf(worker)
 	if kind == nil {
@@ -104,14 +108,14 @@
 	}
 }
 
-// recordReport takes what a worker reports of itself.
+// recordReport records a worker's report of its own load.
 func (l *loadTracker) recordReport(worker *workerInfo, report Load) {
 	worker.lastReport, worker.reportedAt, worker.reportsFree = report, l.now, false
 	l.trackLag(worker)
 	l.index.invalidate(worker)
 }
 
-// trackLag notes that what is requested of a worker depends on the view's lag from now on.
+// trackLag adds a worker to those whose requested cores and memory depend on the view's lag.
 func (l *loadTracker) trackLag(worker *workerInfo) {
 	if !worker.lagDependent {
 		worker.lagDependent = true
@@ -119,8 +123,9 @@
 	}
 }
 
-// lagDependentWorkers are the workers for which the view's lag matters: those with own changes
-// that the view may not have yet, or with a report of their own.
+// lagDependentWorkers returns the workers whose requested cores and memory depend on the view's lag. They
+// are those with changes by this scheduler that the view may not show yet, and those with a report of
+// their free capacity.
 func (l *loadTracker) lagDependentWorkers() []*workerInfo {
 	l.lagDependent = slices.DeleteFunc(l.lagDependent, func(worker *workerInfo) bool {
 		worker.lagDependent = len(worker.deltas) > 0 || worker.reportsFree
@@ -129,7 +134,7 @@
 	return l.lagDependent
 }
 
-// setLag changes what the view's lag is taken to be.
+// setLag sets the assumed lag of the view.
 func (l *loadTracker) setLag(lag int64) {
 	if lag == l.lag {
 		return
@@ -140,7 +145,7 @@
 	}
 }
 
-// refreshStale computes anew what changed since the last search.
+// refreshStale refreshes the workers that changed since the last search.
 func (l *loadTracker) refreshStale() {
 	for _, worker := range l.index.stale {
 		l.refresh(worker)
@@ -148,7 +153,8 @@
 	l.index.stale = l.index.stale[:0]
 }
 
-// refresh computes anew what is requested of a worker, and its position in the index.
+// refresh recomputes the cores and memory requested of a worker, the sums over the listed workers, and
+// the worker's position in the index.
 func (l *loadTracker) refresh(worker *workerInfo) {
 	if worker.countedKind != nil {
 		l.listedRequestedCores -= worker.requestedCores
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -5,38 +5,43 @@
 	"slices"
 )
 
-// This file owns what is known of an overload: whether more tasks come than find free
-// capacity, and what the other schedulers place meanwhile. It must never reject a task.
+// This file owns the state of an overload: whether more tasks arrive than find free capacity, and an
+// estimate of what other schedulers place at the same time. It must not reject tasks itself.
 
 const (
-	// contentionStep is by how much a rejection for lack of capacity raises the contention;
-	// contentionOffers accepted offers take it back.
+	// contentionStep is the amount by which a rejection for lack of capacity raises the contention.
+	// contentionOffers is the number of accepted offers that lower it by the same amount.
 	contentionStep   = 0.01
 	contentionOffers = 12
-	maxContention    = 0.2
-	// chanceDeviations is how many standard deviations of own placements are put down to chance.
+	// maxContention is the upper limit of the contention.
+	maxContention = 0.2
+	// chanceDeviations is the number of standard deviations of this scheduler's net placements that
+	// are attributed to chance.
 	chanceDeviations = 2
 )
 
-// overload tracks a time in which more tasks come than find free capacity.
+// overload tracks whether the fleet is overloaded, and estimates the placements of other schedulers.
 type overload struct {
 	*environment
-	fleet  *fleet
-	loads  *loadTracker
+	fleet *fleet
+	loads *loadTracker
+	// active is true while backpressure reports a release rate or reserved units.
 	active bool
-	// contention is the part of newly shown free capacity that other schedulers are taken to
-	// have used already.
+	// contention is the free capacity, as a fraction of a worker's size, that other schedulers are
+	// assumed to have used already. It applies to free capacity that the view newly shows, at most.
 	contention float64
-	// concurrent is what other schedulers are taken to have placed since the view, as parts of
+	// concurrent is what other schedulers are assumed to have placed since the view, as fractions of
 	// the capacity of the whole fleet.
 	concurrent [resourceCount]float64
-	// reservedUnits are the units that each class leaves to those of more weight.
+	// reservedUnits is the number of units, by class, that the class leaves free for classes of
+	// higher weight.
 	reservedUnits []float64
-	// releaseRate is the units a second that become free while tasks wait, or 0.
+	// releaseRate is the capacity that becomes free while tasks wait, in units per second. It is 0 if
+	// the rate is unknown or no task waits.
 	releaseRate float64
 }
 
-// apply takes what backpressure says.
+// apply updates the state of the overload from a backpressure event.
 func (o *overload) apply(event Backpressure) {
 	o.releaseRate, o.needsPass = event.ReleaseRate, true
 	o.active = event.ReleaseRate > 0
@@ -47,14 +52,14 @@
 	copy(o.reservedUnits, event.Reserved)
 }
 
-// reservesUnits reports whether any class leaves units to others.
+// reservesUnits reports whether any class must leave units free for others.
 func (o *overload) reservesUnits() bool { return slices.Max(o.reservedUnits) > 0 }
 
-// unitsReserved is how many units a class leaves to those of more weight.
+// unitsReserved returns the number of units that a class must leave free for classes of higher weight.
 func (o *overload) unitsReserved(classIndex int) float64 { return o.reservedUnits[classIndex] }
 
-// timeUntilFree is how long it takes until as many units become free, in microseconds, if that
-// is known.
+// timeUntilFree returns the time in microseconds until the given number of units has become free. The
+// result known is false if the release rate is unknown.
 func (o *overload) timeUntilFree(units float64) (us float64, known bool) {
 	if o.releaseRate <= 0 {
 		return 0, false
@@ -62,19 +67,20 @@
 	return units / o.releaseRate * float64(second), true
 }
 
-// offerAccepted lowers the contention.
+// offerAccepted lowers the contention because a worker accepted an offer.
 func (o *overload) offerAccepted() {
 	o.contention = max(0, o.contention-contentionStep/contentionOffers)
 }
 
-// offerRejected raises the contention, as a worker had no capacity for an offer.
+// offerRejected raises the contention because a worker lacked the capacity for an offer.
 func (o *overload) offerRejected() { o.contention = min(maxContention, o.contention+contentionStep) }
 
-// updateConcurrent estimates anew what other schedulers placed since the view.
+// updateConcurrent updates the estimate of what other schedulers placed since the view.
 func (o *overload) updateConcurrent() { o.concurrent = o.estimateConcurrent() }
 
-// estimateConcurrent estimates what other schedulers placed since the view: each as much as
-// this one did beyond what chance makes of starts and ends. That is spread over all workers.
+// estimateConcurrent estimates what other schedulers placed since the view, as fractions of the fleet's
+// capacity. It assumes that each of them placed as much as this scheduler did. Only the excess of its
+// net placements over the random fluctuation of starts and ends counts.
 func (o *overload) estimateConcurrent() (shares [resourceCount]float64) {
 	if !o.active || !o.settings.HasView {
 		return shares
@@ -102,8 +108,8 @@
 	return shares
 }
 
-// concurrentFractions is what other schedulers are taken to have placed on each worker, as parts
-// of its size.
+// concurrentFractions returns what other schedulers are assumed to have placed on each worker since the
+// view, as fractions of the worker's size. It is zero without an overload.
 func (o *overload) concurrentFractions() fractions {
 	if !o.active {
 		return fractions{}
@@ -111,9 +117,10 @@
 	return fractions{o.concurrent[resourceCores], o.concurrent[resourceMemory]}
 }
 
-// competing is what other schedulers are taken to have placed on a worker of a kind since the
-// view: they compete for what the view newly shows, but only this scheduler knows what its own
-// tasks released.
+// competing returns the cores and memory that other schedulers are assumed to have placed on a worker of
+// the given kind since the view. Other schedulers compete for free capacity that the view newly shows.
+// Capacity that this scheduler's own tasks released since the view is not contested, because only this
+// scheduler knows of it. The result is zero without an overload.
 func (o *overload) competing(worker *workerInfo, kind *Kind) (cores, memory float64) {
 	if !o.active {
 		return 0, 0
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -2,19 +2,21 @@
 
 import "math"
 
-// This file owns probes of single workers and what their reports say. It must never decide which worker
-// gets a task, only that a task waits for a report.
+// This file owns probes of single workers and the evaluation of their reports. It must not decide which
+// worker gets a task, only whether a task waits for a report.
 
 const (
-	// reportValidity is how long a report spares another probe, maxProbesPerTask how many
-	// probes a task may cost.
-	reportValidity   = second
+	// reportValidity is how long a report is current. Until then the worker is not probed again, and
+	// scores use the queue length that it reported.
+	reportValidity = second
+	// maxProbesPerTask is the maximum number of probes sent for one task.
 	maxProbesPerTask = 2
-	// maxReportedOvercommit is over how many times a worker's size a report is absurd.
+	// maxReportedOvercommit is the largest plausible load in a report, as a multiple of the worker's
+	// size. Larger values are ignored.
 	maxReportedOvercommit = 8.0
 )
 
-// probes sends probes and takes their reports.
+// probes sends probes to workers and evaluates their reports.
 type probes struct {
 	*environment
 	fleet       *fleet
@@ -23,8 +25,9 @@
 	calibration *calibration
 }
 
-// wanted probes the worker that a task would go to, where its load is only known that way
-// and was not reported lately, and reports whether the task waits for the report.
+// wanted reports whether a task must wait for a report of the worker selected for it. The task waits if
+// probes are permitted, the worker has not reported within reportValidity and the task has not used up
+// its probes. A probe is sent unless one to that worker is under way.
 func (p *probes) wanted(task *taskInfo, worker *workerInfo) bool {
 	reported := worker.reportedAt > 0 && p.now-worker.reportedAt < reportValidity
 	if !p.settings.Probes || task.probesSent >= maxProbesPerTask || reported {
@@ -38,10 +41,10 @@
 	return true
 }
 
-// ended takes the answer to a probe: what is requested of the worker, how busy it is, how
-// many offers and starts wait there. Values that are missing or absurd are left out. A timeout
-// counts as with any attempt; an answer heals nothing, as a worker may answer probes and lose
-// tasks.
+// ended evaluates the result of a probe. A report contains the worker's free capacity, its utilization
+// and the number of offers and starts queued there. Missing or implausible values are ignored. A probe
+// that does not complete raises the suspicion as much as an attempt that timed out. An answer does not
+// lower the suspicion, because a worker may answer probes and still lose tasks.
 func (p *probes) ended(event ProbeResult) {
 	worker := p.fleet.workers[event.Worker]
 	if worker == nil {
--- a/placement/repeats.go
+++ b/placement/repeats.go
@@ -1,14 +1,14 @@
 package placement
 
-// This file owns the rule on repeats: what may have run goes only to workers that discard
-// repeats of it. It must never permit a harmful repeat.
+// This file owns the rule on repeats: a task that may have run goes only to workers that discard repeats
+// of it, unless repeats are safe. It must not permit a harmful repeat.
 
-// repeatWindowOpen reports whether workers still remember a keyed task that may have run.
+// repeatWindowOpen reports whether workers still discard repeats of a keyed task that may have run.
 func repeatWindowOpen(now int64, class *Class, task *taskInfo) bool {
 	return now < task.mayHaveRun.sentAt+class.WindowUs
 }
 
-// permitsRepeat reports whether a worker may get a task that may have run before.
+// permitsRepeat reports whether the rule on repeats permits a worker to get a task.
 func permitsRepeat(now int64, worker *workerInfo, class *Class, task *taskInfo) bool {
 	if task.mayHaveRun == nil || class.Effect == Safe {
 		return true
@@ -19,7 +19,8 @@
 	return class.Group == ScopeAll || sameDomain(worker, task.mayHaveRun.worker, class.Group)
 }
 
-// retryIsHarmless reports whether a client may hand in a task again that may have run here.
+// retryIsHarmless reports whether a client may safely submit a task again, although one of its attempts
+// may have run.
 func retryIsHarmless(class *Class, task *taskInfo) bool {
 	return task.mayHaveRun == nil || class.Effect == Safe || class.Effect == Keyed && class.Group == ScopeAll
 }
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -2,29 +2,31 @@
 
 import "math"
 
-// This file owns slow start: a worker that just started gets few offers, of all schedulers
-// together. It must never permit an offer over the budget.
+// This file owns slow start, which limits the offers of all schedulers together to a worker that has
+// just started. It must not permit an offer beyond the budget.
 
 const (
-	// A worker that warms up fails at slowStartDeviations roots of its budget, and as many
-	// offers, over it. Schedulers that were notified of its start send informedShare of
-	// that at most: others may not be notified yet.
+	// A worker that warms up becomes overloaded if the offers within a window exceed its budget by more
+	// than slowStartDeviations times the square root of the budget, plus slowStartDeviations offers.
+	// Schedulers that were notified of the start together send at most informedShare of that limit,
+	// because other schedulers may not have been notified yet.
 	slowStartDeviations = 2.0
 	informedShare       = 2.0 / 3
-	// minStartRate bounds how slowly a worker is taken to start tasks.
+	// minStartRate is the lowest rate at which a worker is assumed to start tasks, as a fraction of the
+	// rate of a warm worker.
 	minStartRate = 0.1
 )
 
-// slowStart applies the budget of workers that just started.
+// slowStart applies the slow-start budget to workers that have just started.
 type slowStart struct{ *environment }
 
-// warmingUp reports whether a worker started just now.
+// warmingUp reports whether a worker started less than WarmUpUs ago.
 func (s *slowStart) warmingUp(worker *workerInfo) bool {
 	return worker.StartedAtUs > 0 && s.now < worker.StartedAtUs+s.settings.WarmUpUs
 }
 
-// startRate is the rate at which a worker starts tasks, over that of one that is warm: while
-// it warms up, it looks empty and starts slowly.
+// startRate returns the rate at which a worker starts tasks, as a fraction of the rate of a warm worker.
+// A worker that warms up looks empty but starts tasks slowly.
 func (s *slowStart) startRate(worker *workerInfo) float64 {
 	if !s.warmingUp(worker) {
 		return 1
@@ -33,13 +35,13 @@
 	return max(minStartRate, s.settings.ColdStartRate+(1-s.settings.ColdStartRate)*max(0, warm))
 }
 
-// permits reports whether a worker may get an offer without breaking the budget. Where that is one
-// offer or more for each scheduler, every scheduler keeps to its part. Else they take turns.
+// permits reports whether a worker may get an offer within the budget. If the budget is at least one
+// offer per scheduler, every scheduler uses its own share. Otherwise the schedulers take turns.
 func (s *slowStart) permits(worker *workerInfo) bool {
 	if !s.warmingUp(worker) {
 		return true
 	}
-	// Offers differ in their way, so a window counts for a tenth longer.
+	// The window is a tenth longer than configured, because offers take different times to arrive.
 	window, budget := s.settings.SlowStartWindowUs*11/10+1, s.settings.SlowStartOffers
 	budget = min(budget, informedShare*(budget+slowStartDeviations*math.Sqrt(budget)+slowStartDeviations))
 	if int(budget) >= s.settings.FleetSize {
@@ -48,32 +50,35 @@
 	return s.hasTurn(worker, window, budget)
 }
 
-// hasPartLeft reports whether this scheduler's part of the budget of the last window allows an offer.
-// What it sent before its own start it does not know, so it leaves the first window out.
+// hasPartLeft reports whether this scheduler's share of the budget allows another offer in the window that
+// ends now. The scheduler sends no offer in the first window after its own start, because it does not know
+// which offers an earlier process sent.
 func (s *slowStart) hasPartLeft(worker *workerInfo, window int64, budget int) bool {
 	part := (budget + s.rotatedIndex(worker)) / s.settings.FleetSize
 	return s.now >= s.startedAt+window && worker.offersAfter(max(s.now-window, worker.StartedAtUs-1)) < part
 }
 
-// hasTurn reports whether this scheduler may send an offer in the present slot of the common clock. A
-// slot is for half as many schedulers as the budget, for one offer each: a window touches two slots at
-// most. The slot in which this scheduler started is left out, as it may have sent one before.
+// hasTurn reports whether this scheduler may send an offer in the current slot of the clock that all
+// schedulers share. A slot is as long as a window, so a window overlaps at most two slots. Half as many
+// schedulers as the budget has offers share a slot, and each of them may send one offer. A scheduler skips
+// the slot in which it started, because an earlier process may have sent its offer already.
 func (s *slowStart) hasTurn(worker *workerInfo, window int64, budget float64) bool {
 	if budget < 1 || s.now < worker.StartedAtUs {
 		return false
 	}
 	perSlot, step := max(1, int(budget)/2), 1
 	if budget < 2 {
-		step = 2 // every other slot is left empty
+		step = 2 // every other slot stays empty
 	}
 	turns := (s.settings.FleetSize + perSlot - 1) / perSlot
-	slot := s.now / window // not from its start: some may know of an earlier one only
+	// Slots do not begin at the worker's start, because some schedulers may know only an earlier start.
+	slot := s.now / window
 	slotStart := slot * window
 	return slot%int64(turns*step) == int64(s.rotatedIndex(worker)%turns*step) && s.startedAt < slotStart &&
 		worker.offersAfter(slotStart-1) == 0
 }
 
-// rotatedIndex is this scheduler's number, counted from another scheduler for each worker.
+// rotatedIndex returns this scheduler's index, rotated by an offset that depends on the worker's name.
 func (s *slowStart) rotatedIndex(worker *workerInfo) int {
 	return (s.settings.SelfIndex + int(worker.nameHash%uint64(s.settings.FleetSize))) % s.settings.FleetSize
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -1,25 +1,26 @@
 package placement
 
-// This file owns the spread (anti-affinity) of programs: at most so many tasks of one program
-// run in one domain. It must never permit one task more.
+// This file owns the spread (anti-affinity) of programs, which limits the number of tasks of one program
+// in one domain. It must not permit a task beyond that limit.
 
-// spread counts the tasks of one program at a time.
+// spread counts tasks by domain. It keeps the counts of one program at a time.
 type spread struct {
 	residents *residents
 	counts    spreadCounts
 }
 
-// spreadCounts is how many attempts and tasks of one program there are, by domain.
+// spreadCounts holds the number of attempts and tasks of one program, by domain.
 type spreadCounts struct {
 	program       uint64
-	version       int64 // of the residents that were counted
-	counted       bool
+	version       int64 // version of the residents at the time of the count
+	counted       bool  // false before the first count
 	cells         map[int]int
 	zones         map[string]int
-	unknownDomain int // on workers that were never listed
+	unknownDomain int // attempts and tasks on workers that were never listed
 }
 
-// countsOf counts the tasks of a program by domain, once for all workers of a search.
+// countsOf returns the number of attempts and tasks of a program by domain. It counts them only once for
+// all workers of a search.
 func (s *spread) countsOf(program uint64) *spreadCounts {
 	counts := &s.counts
 	if counts.counted && counts.program == program && counts.version == s.residents.version {
@@ -43,8 +44,8 @@
 	return counts
 }
 
-// permits reports whether a worker may get a task without breaking the spread of its program.
-// A task in an unknown domain counts in every one.
+// permits reports whether a worker may get a task within the spread limit of the task's class. A task in
+// an unknown domain counts in every domain.
 func (s *spread) permits(worker *workerInfo, class *Class, task *taskInfo) bool {
 	if class.Spread == ScopeNone {
 		return true
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// This file owns what is summed over all workers, and remembers it for a while where the
-// fleet is large. It must never decide anything.
+// This file owns sums and means over all workers, and caches them for a short time if the fleet is
+// large. It must not make placement decisions.
 
-// meansValidity is how long the means of a large fleet are remembered.
+// meansValidity is how long the means of a large fleet are cached.
 const meansValidity = second
 
-// fleetMeans are means over all workers that are ready.
+// fleetMeans holds means over all workers that are ready.
 type fleetMeans struct {
-	computedAt  int64
-	utilization float64 // weighted by cores
-	cores       float64
+	computedAt  int64   // time of the computation, in microseconds; 0 if there was none
+	utilization float64 // mean utilization, weighted by cores
+	cores       float64 // mean number of cores of a worker
 }
 
-// totals sums over all workers.
+// totals computes sums and means over all workers.
 type totals struct {
 	*environment
 	fleet       *fleet
@@ -24,14 +24,14 @@
 	capacity    *capacityModel
 	calibration *calibration
 	cachedMeans fleetMeans
-	// cachedFreeUnits is the result of freeUnits at freeUnitsAt. What was offered since is not taken
-	// off: a scheduling pass takes its own offers off its copy.
+	// cachedFreeUnits is the result of freeUnits at the time freeUnitsAt. Offers made since are not
+	// subtracted: a scheduling pass subtracts its own offers from its copy of the result.
 	cachedFreeUnits float64
 	freeUnitsAt     int64
 }
 
-// means returns the means over all workers. They only scale costs, so of a large fleet they
-// are computed anew once a second.
+// means returns the mean utilization and the mean number of cores of all ready workers. For a large
+// fleet it recomputes them at most once per meansValidity, which is enough because they only scale costs.
 func (t *totals) means() (utilization, cores float64) {
 	cached := &t.cachedMeans
 	valid := cached.computedAt > 0 && t.now < cached.computedAt+meansValidity
@@ -54,12 +54,13 @@
 	return cached.utilization, cached.cores
 }
 
-// freeUnits is this scheduler's part of the free capacity of all workers, in units (see
-// [Settings.Units]), as far as it may offer tasks for it at once: a worker looks at few
-// offers at a time. Of a large fleet it is computed anew only so often.
+// freeUnits returns this scheduler's share of the free capacity of all workers, in units (see
+// [Settings.Units]). Each worker counts with the number of offers that its attempt window still allows at
+// most, because a worker handles only a few offers at a time. For a large fleet the result is recomputed
+// at most once per retryInterval.
 func (t *totals) freeUnits() (units float64) {
 	if t.settings.UnitCores <= 0 || t.settings.UnitMemory <= 0 {
-		return math.Inf(1) // no size of a unit is known: nothing is reserved for any class
+		return math.Inf(1) // the size of a unit is unknown, so no class is limited by reserved units
 	}
 	if t.fleet.isLarge() && t.freeUnitsAt > 0 && t.now < t.freeUnitsAt+retryInterval {
 		return t.cachedFreeUnits
--- a/placement/view.go
+++ b/placement/view.go
@@ -1,16 +1,16 @@
 package placement
 
-// This file owns how a list of workers changes the view of them. It must never decide which worker
-// gets a task.
+// This file owns the application of worker lists to the view of the workers. It must not decide which
+// worker gets a task.
 
-// view takes lists.
+// view applies worker lists to the fleet.
 type view struct {
 	*environment
 	fleet *fleet
 	lag   *lagEstimator
 }
 
-// apply takes a list. A worker absent from a complete list has left.
+// apply applies a list to the fleet. A worker that is missing from a complete list has left the fleet.
 func (v *view) apply(list WorkerList) {
 	if list.Kind == ListFull || list.Kind == ListCached {
 		v.fleet.unlistAll()
@@ -19,14 +19,17 @@
 		v.update(entry, list.Kind != ListCached)
 	}
 	v.fleet.forgetUnlisted()
-	// Of a large fleet some change comes with each call: pending tasks wait for the timer then.
+	// A large fleet changes with nearly every call. Its deltas trigger no scheduling pass, and pending
+	// tasks wait for the timer.
 	v.needsPass = v.needsPass || list.Kind != ListDelta || !v.fleet.isLarge()
 }
 
-// update takes an entry of a list, which may be current or cached.
+// update applies one entry of a list. It learns from the entry about the lag only if current is true,
+// that is, if the list is not a cached one.
 func (v *view) update(entry Entry, current bool) {
 	worker := v.fleet.findOrAdd(entry.Worker)
-	assigned := worker.State != Foreign && entry.State != Foreign // else its view is not current
+	// The view of a foreign worker may be out of date, so it says nothing about the lag.
+	assigned := worker.State != Foreign && entry.State != Foreign
 	if current && assigned && worker.everListed && worker.viewedAt > 0 &&
 		worker.StartedAtUs == entry.StartedAtUs && v.settings.HasView {
 		v.lag.learn(worker, entry)
