--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -42,8 +42,8 @@
 	factor := &worker.calibration[m.resource]
 	utilizations := [resourceCount]float64{cores / effectiveCores, memory / effectiveMemory}
 	utilization := utilizations[m.resource] * *factor
-	wanted := min(1, max(calibrationFloor, utilization*m.target/max(m.used, m.target)))
-	*factor += (wanted - *factor) * m.confidence
+	targetFactor := min(1, max(calibrationFloor, utilization*m.target/max(m.used, m.target)))
+	*factor += (targetFactor - *factor) * m.confidence
 	c.track(worker)
 	c.needsPass = true
 }
--- a/placement/calibration_test.go
+++ b/placement/calibration_test.go
@@ -7,7 +7,8 @@
 	f.at(ms, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
 	f.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.96})
 	if f.scheduler.fleet.workers["a"].calibration[resourceCores] != 1 {
-		t.Error("calibrated by ordinary noise")
+		t.Errorf("got cores calibration %v after a report of 0.96 of full service, want 1",
+			f.scheduler.fleet.workers["a"].calibration[resourceCores])
 	}
 	f.at(ms, TaskReport{RequestID: "e", Worker: "a", Kind: ReportService, Value: 0.4})
 	request := f.request("1", "safe", 1, 2)
@@ -15,7 +16,8 @@
 	f.wantPlaced(f.at(ms, request), "b")
 	f.scheduler.fleet.workers["a"].decayCalibration(f.now + 10*calibrationHalflife)
 	if f.scheduler.fleet.workers["a"].calibration[resourceCores] < 0.99 {
-		t.Error("not forgotten when the symptom ends")
+		t.Errorf("got cores calibration %v ten half-lives after the last poor service, want at least 0.99",
+			f.scheduler.fleet.workers["a"].calibration[resourceCores])
 	}
 }
 
@@ -26,11 +28,13 @@
 	worker := f.scheduler.fleet.workers["a"]
 	f.at(ms, ProbeResult{Worker: "a", Outcome: Completed, Load: Load{24, 48, 1, 0}})
 	if worker.calibration[resourceCores] > 0.5 {
-		t.Errorf("calibrated to %v by a worker busy with a sixth of its size, want under 0.5", worker.calibration[resourceCores])
+		t.Errorf("got cores calibration %v of a fully utilized worker with 8 of 32 cores requested, want at most 0.5",
+			worker.calibration[resourceCores])
 	}
 	worker.decayCalibration(f.now + 10*calibrationHalflife)
 	if worker.calibration[resourceCores] < 0.99 {
-		t.Error("not forgotten")
+		t.Errorf("got cores calibration %v ten half-lives after the report, want at least 0.99",
+			worker.calibration[resourceCores])
 	}
 }
 
@@ -44,13 +48,14 @@
 	for _, name := range []string{"z", "unknown kind"} {
 		requestID := map[string]string{"z": "1", "unknown kind": "2"}[name]
 		if migrated := ofType[Migrate](f.at(second, TaskReport{RequestID: requestID, Worker: name, Kind: ReportService, Value: 0.1})); len(migrated) > 0 {
-			t.Errorf("migrated %v off a worker of unknown size", migrated)
+			t.Errorf("got migrations %v off worker %q of unknown size, want none", migrated, name)
 		}
 	}
 }
 
-// TestPoorServiceOnUnlistedWorker reports poor service on a worker whose size is not known: it was
-// never listed, or its kind is none of the settings'. Nothing can be computed for it then.
+// TestPoorServiceOnUnlistedWorker reports poor service on a worker of unknown size, which was never listed or
+// whose kind is not in the settings. No calibration can be computed then. The scheduler must not panic, and
+// must place later tasks.
 func TestPoorServiceOnUnlistedWorker(t *testing.T) {
 	unknownKind := smallWorker("unknown kind", 0, 4)
 	unknownKind.Kind = "unknown"
@@ -60,7 +65,7 @@
 		func() {
 			defer func() {
 				if r := recover(); r != nil {
-					t.Fatalf("a report of a task on %s: panic: %v", worker, r)
+					t.Fatalf("service report of a task on worker %q: panic: %v", worker, r)
 				}
 			}()
 			f.at(ms, TaskReport{"1", 0, worker, ReportService, 0.1})
--- a/placement/discovery_test.go
+++ b/placement/discovery_test.go
@@ -14,18 +14,18 @@
 		}
 		polls++
 		if f.now-last > settings.PollWithinUs {
-			t.Fatalf("polled after %d us, want within %d", f.now-last, settings.PollWithinUs)
+			t.Fatalf("got a poll %d us after the last one, want at most %d us", f.now-last, settings.PollWithinUs)
 		}
 		last = f.now
 		f.at(0, WorkerList{Kind: ListFailed})
 	}
 	if polls < 5 || polls > 30 {
-		t.Errorf("polled %d times in 30 s of failures", polls)
+		t.Errorf("got %d polls in 30 s of failures, want 5 to 30", polls)
 	}
 	f.at(ms, WorkerList{Kind: ListFull, Entries: []Entry{smallWorker("a", 0, 20)}})
 	for range 100 {
 		if len(ofType[WatchWorkers](f.at(50*ms, TimerFired{"wake"}))) > 0 {
-			t.Fatal("polled again while subscribed")
+			t.Fatal("got a poll after a full list, want none")
 		}
 	}
 }
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestRemovedWorkersAreForgotten has nothing left of removed workers.
+// TestRemovedWorkersAreForgotten checks that no state of removed workers remains once their tasks have ended.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	f := largeFleet(t, 100, levelled)
 	for i := range 30 {
@@ -26,10 +26,11 @@
 	f.scheduler.fleet.refresh()
 	scheduler := f.scheduler
 	if left := len(scheduler.fleet.sorted) + len(scheduler.fleet.workers) + len(scheduler.fleet.unlisted) + len(scheduler.residents.workers) + len(scheduler.affinity.preferred) + countEntries(scheduler); left != 0 {
-		t.Errorf("left: %d workers by name, %d unlisted, %d programs, %d preferred, %d entries",
+		t.Errorf("got %d workers, %d unlisted, %d resident programs, %d preferred lists, %d index entries; want 0 of each",
 			len(scheduler.fleet.sorted), len(scheduler.fleet.unlisted), len(scheduler.residents.workers), len(scheduler.affinity.preferred), countEntries(scheduler))
 	}
 	if scheduler.loads.listedRequestedCores != 0 && math.Abs(scheduler.loads.listedRequestedCores) > 1e-9 || scheduler.loads.listedCapacity != (fractions{}) {
-		t.Errorf("left: %v cores requested of %+v", scheduler.loads.listedRequestedCores, scheduler.loads.listedCapacity)
+		t.Errorf("got %v requested cores and capacity %+v of listed workers, want 0 of both",
+			scheduler.loads.listedRequestedCores, scheduler.loads.listedCapacity)
 	}
 }
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -8,15 +8,16 @@
 	"testing"
 )
 
-// This file tests that foreign workers get no offers and change no decision.
+// This file tests that foreign workers get no offers and do not change any decision.
 
-// recordedCall are the events of one call.
+// recordedCall holds the time and the events of one call of the scheduler.
 type recordedCall struct {
 	now    int64
 	events []Event
 }
 
-// recordHistory runs a drawn history and returns the workers of its first list, and the calls after it.
+// recordHistory runs a random history. It returns the settings, the workers of the first list, and the calls
+// after that list.
 func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, calls []recordedCall) {
 	t.Helper()
 	h := newHistory(t, seed)
@@ -30,8 +31,8 @@
 	return settings, workers, calls
 }
 
-// withForeign adds foreign entries to the lists among events: some to a list of changes, all to a
-// complete one.
+// withForeign returns the events with foreign entries added to the worker lists. A complete list gets all of
+// them, a list of changes gets a random selection.
 func withForeign(random *rand.Rand, events []Event, foreign []Entry) []Event {
 	events = slices.Clone(events)
 	for i, event := range events {
@@ -52,8 +53,8 @@
 	return events
 }
 
-// TestForeignWorkersChangeNothing replays histories with and without foreign workers: every action is
-// the same.
+// TestForeignWorkersChangeNothing replays histories with and without foreign workers, and checks that the
+// actions are the same.
 func TestForeignWorkersChangeNothing(t *testing.T) {
 	placed := 0
 	for seed := range uint64(60) {
@@ -65,33 +66,33 @@
 			entry.Worker, entry.State, entry.StartedAtUs = fmt.Sprint("f", i), Foreign, 0
 			foreign = append(foreign, entry)
 		}
-		alone, err := New(settings, seed)
+		withoutForeignWorkers, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		among, err := New(settings, seed)
+		withForeignWorkers, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		first := []Event{WorkerList{Kind: ListFull, Entries: workers}}
 		calls = slices.Insert(calls, 0, recordedCall{calls[0].now - 1, first})
 		for i, call := range calls {
-			want := alone.Handle(call.now, call.events)
-			got := among.Handle(call.now, withForeign(random, call.events, foreign))
+			want := withoutForeignWorkers.Handle(call.now, call.events)
+			got := withForeignWorkers.Handle(call.now, withForeign(random, call.events, foreign))
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("seed %d, call %d, %d workers and %d foreign ones: expected\n%+v\ngot\n%+v", seed, i, len(workers),
-					len(foreign), want, got)
+				t.Fatalf("seed %d, call %d, %d workers and %d foreign ones: got actions\n%+v\nwant\n%+v", seed, i, len(workers),
+					len(foreign), got, want)
 			}
 			placed += len(ofType[Place](want))
 		}
 	}
 	if placed < 500 {
-		t.Errorf("expected 500 placements compared at least, got %d", placed)
+		t.Errorf("got %d placements compared, want at least 500", placed)
 	}
 }
 
-// TestWorkerIsReassigned follows one worker to another scheduler and back: its tasks run on, it gets
-// no offer meanwhile, and gets offers again.
+// TestWorkerIsReassigned assigns one worker to another scheduler and back. Its task keeps running, and it
+// gets no offers until it is assigned to this scheduler again.
 func TestWorkerIsReassigned(t *testing.T) {
 	a, b := smallWorker("a", 1, 8), smallWorker("b", 2, 8)
 	f := newFixture(t, testSettings(), 1, a)
@@ -99,23 +100,23 @@
 	f.at(10*ms, Accepted{RequestID: "1", Worker: "a", RTTUs: ms})
 	a.State = Foreign
 	for _, action := range f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}}) {
-		t.Errorf("expected nothing as a worker is reassigned, got %+v", action)
+		t.Errorf("got action %+v when a worker is reassigned, want none", action)
 	}
 	f.wantPlaced(f.at(10*ms, f.request("2", "safe", 1, 1)), "b")
 	if worker := f.scheduler.fleet.workers["a"]; len(worker.running) != 1 {
-		t.Errorf("expected the task on the foreign worker to run on, got %d", len(worker.running))
+		t.Errorf("got %d tasks running on the foreign worker, want 1", len(worker.running))
 	}
 	a.State, b.State = Ready, Foreign
 	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
 	f.wantPlaced(f.at(10*ms, f.request("3", "safe", 1, 1)), "a")
 	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
 	if f.scheduler.fleet.foreignCount != 0 {
-		t.Errorf("expected no foreign worker to be counted after its removal, got %d", f.scheduler.fleet.foreignCount)
+		t.Errorf("got a count of %d foreign workers after the removal, want 0", f.scheduler.fleet.foreignCount)
 	}
 }
 
-// TestReassignmentTeachesNoLag asserts that nothing is learned of the view's lag from entries that come
-// only as their worker was reassigned, nor from those of foreign workers.
+// TestReassignmentTeachesNoLag checks that the lag estimate does not learn from the entries of foreign
+// workers, nor from entries that are sent only because their worker was reassigned.
 func TestReassignmentTeachesNoLag(t *testing.T) {
 	a := smallWorker("a", 1, 8)
 	f := newFixture(t, testSettings(), 1, a)
@@ -129,35 +130,35 @@
 		f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	}
 	if f.scheduler.view.lag.observations != seen {
-		t.Errorf("expected nothing to be learned of the lag, got %g changes of the view", f.scheduler.view.lag.observations-seen)
+		t.Errorf("got %g more observations of the lag after reassignments, want 0", f.scheduler.view.lag.observations-seen)
 	}
 	a.FreeCores--
 	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	if f.scheduler.view.lag.observations == seen {
-		t.Error("expected a new view to teach of the lag")
+		t.Error("got no observation of the lag from a new view of an assigned worker, want one")
 	}
 }
 
-// TestQuotaOfDividedFleet compares the guess of what is requested of all workers with that of a
-// scheduler that has all views.
+// TestQuotaOfDividedFleet compares the cores requested of all workers, as estimated by a scheduler to which
+// one worker in nine is assigned, with those of a scheduler that has current views of all workers.
 func TestQuotaOfDividedFleet(t *testing.T) {
 	var complete, divided []Entry
 	for i := range 90 {
 		entry := smallWorker(fmt.Sprint("m", i), i, 4)
 		complete = append(complete, entry)
 		if i%9 != 0 {
-			entry.State, entry.FreeCores = Foreign, 0 // an old view
+			entry.State, entry.FreeCores = Foreign, 0 // an outdated view
 		}
 		divided = append(divided, entry)
 	}
 	want := newFixture(t, testSettings(), 1, complete...).scheduler.fleet.totalRequestedCores()
 	if got := newFixture(t, testSettings(), 1, divided...).scheduler.fleet.totalRequestedCores(); got < want*0.99 || got > want*1.01 {
-		t.Errorf("expected %g cores to be requested of the fleet, got %g", want, got)
+		t.Errorf("got %g cores requested of the fleet, want %g", got, want)
 	}
 }
 
-// TestAssignedWorkersAreNotShared asserts that a scheduler to which workers are assigned counts on all
-// of their free capacity, and expects no concurrent placements there.
+// TestAssignedWorkersAreNotShared checks that a scheduler uses all free capacity of the workers assigned to
+// it, and assumes no concurrent placements of other schedulers there.
 func TestAssignedWorkersAreNotShared(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize, settings.UnitCores, settings.UnitMemory = 9, 1, 2
@@ -165,7 +166,8 @@
 	foreign.State = Foreign
 	shared := newFixture(t, settings, 1, assigned).scheduler.totals.freeUnits()
 	if divided := newFixture(t, settings, 1, assigned, foreign).scheduler.totals.freeUnits(); divided <= shared || divided > 9.01*shared {
-		t.Errorf("free capacity for %g units where workers are divided, %g where nine schedulers share one", divided, shared)
+		t.Errorf("got %g free units on a divided worker, want over the %g of a shared one, and at most 9.01 times as many",
+			divided, shared)
 	}
 	f := newFixture(t, settings, 1, assigned, foreign)
 	f.at(10*ms, Backpressure{ReleaseRate: 1})
@@ -173,12 +175,12 @@
 		f.at(10*ms, f.request(requestID, "safe", 1, 1))
 	}
 	if f.scheduler.overload.active = true; f.scheduler.overload.estimateConcurrent() != [2]float64{} {
-		t.Errorf("expected no concurrent placements at assigned workers, got %v", f.scheduler.overload.estimateConcurrent())
+		t.Errorf("got concurrent placements %v on assigned workers, want 0", f.scheduler.overload.estimateConcurrent())
 	}
 }
 
-// TestPreferredWorkersFollowAssignment asserts that the preferred workers of a program are among those
-// that are assigned now.
+// TestPreferredWorkersFollowAssignment checks that after a change of the assignment the preferred workers of
+// a program are among those that are assigned now.
 func TestPreferredWorkersFollowAssignment(t *testing.T) {
 	var entries []Entry
 	for i := range 100 {
@@ -196,15 +198,15 @@
 	}
 	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
 	f.scheduler.fleet.refresh()
-	alone := newFixture(t, testSettings(), 1, assigned...)
-	alone.scheduler.fleet.refresh()
-	if got, want := names(f.scheduler.fleet.preferredFor(7)), names(alone.scheduler.fleet.preferredFor(7)); got != want {
-		t.Errorf("%s come first, expected %s", got, want)
+	assignedOnly := newFixture(t, testSettings(), 1, assigned...)
+	assignedOnly.scheduler.fleet.refresh()
+	if got, want := names(f.scheduler.fleet.preferredFor(7)), names(assignedOnly.scheduler.fleet.preferredFor(7)); got != want {
+		t.Errorf("got preferred workers %s, want %s", got, want)
 	}
 }
 
-// TestReservationsAreBoundedByAssignedWorkers asserts that at most half of the assigned workers are
-// reserved for pending tasks, however many foreign ones there are.
+// TestReservationsAreBoundedByAssignedWorkers checks that at most half of the assigned workers are reserved
+// for pending tasks, regardless of the number of foreign workers.
 func TestReservationsAreBoundedByAssignedWorkers(t *testing.T) {
 	entries := []Entry{smallWorker("a", 1, 0), smallWorker("b", 2, 0), smallWorker("c", 3, 0), smallWorker("d", 4, 0)}
 	for i := range 40 {
@@ -219,6 +221,6 @@
 		f.at(0, f.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
 	}
 	if reserved := len(f.scheduler.reservations.priorities); reserved != 2 {
-		t.Errorf("%d workers are reserved for pending tasks, expected 2 of the 4 assigned ones", reserved)
+		t.Errorf("got %d workers reserved for pending tasks, want 2 of the 4 assigned ones", reserved)
 	}
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -151,8 +151,8 @@
 // recordTimeout records an attempt that got no answer. The timeout adds to the suspicion for every class,
 // unless the worker has accepted another attempt since this one was sent and is therefore reachable. If
 // it accepted only other classes, the suspicion rises for this class alone. If it accepted the same class,
-// some answers are being lost, and the suspicion for the class rises only a little. The rule does harm if
-// a worker is about to become unresponsive, but the next attempt detects that.
+// some answers are being lost, and the suspicion for the class rises only a little. The rule could do harm
+// by using a worker that is about to become unresponsive, but the next attempt detects that.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -11,12 +11,12 @@
 	f.wantPlaced(f.at(500*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}), "b")
 	f.at(10*ms, Accepted{RequestID: "1", Attempt: 1, Worker: "b", RTTUs: 9000})
 	f.wantPlaced(f.at(10*ms, Request{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 5*second, Program: 8}}), "b")
-	// The symptom ends: after a while it is tried, then trusted.
+	// The suspicion decays without further timeouts, and worker a gets tasks again.
 	f.wantPlaced(f.at(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 15*second, Program: 9}}), "a")
 }
 
-// TestErrorsOfTwoWorkersMakeTaskUnusable has two workers fail one task: no third gets it, and both get
-// the next tasks as before. One worker's errors for different tasks still eject it.
+// TestErrorsOfTwoWorkersMakeTaskUnusable has two workers fail one task. No third worker gets it, and neither
+// of the two is suspected. A worker that fails different tasks is still ejected.
 func TestErrorsOfTwoWorkersMakeTaskUnusable(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 	actions := f.at(ms, f.request("1", "safe", 1, 2))
@@ -27,11 +27,12 @@
 		actions = f.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: worker, Outcome: Failed})
 	}
 	if len(ofType[Place](actions)) != 0 || len(ofType[Reject](actions)) != 1 || len(tried) != 2 {
-		t.Fatalf("after errors of %v: %v", tried, actions)
+		t.Fatalf("after errors on workers %v: got actions %v, want two workers tried and one rejection only", tried, actions)
 	}
 	for _, worker := range f.scheduler.fleet.sorted {
 		if !f.scheduler.health.healthy(worker, 0) || worker.suspicion(f.now, 0) > 0.01 {
-			t.Errorf("%s: suspicion %v", worker.Worker, worker.suspicion(f.now, 0))
+			t.Errorf("worker %s: got healthy %v and suspicion %v, want healthy and at most 0.01", worker.Worker,
+				f.scheduler.health.healthy(worker, 0), worker.suspicion(f.now, 0))
 		}
 	}
 	f = newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
@@ -41,34 +42,35 @@
 		f.at(ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Failed})
 	}
 	if f.scheduler.health.healthy(f.scheduler.fleet.sorted[0], 0) {
-		t.Error("a worker that fails every task is healthy")
+		t.Error("got healthy after errors of two different tasks, want not healthy")
 	}
 }
 
-// TestReachableWorkerIsTriedAgain has a worker take a connection after one that got no answers: it is
-// tried again, but not for ever where it takes connections and answers nothing.
+// TestReachableWorkerIsTriedAgain has a worker take a new connection after one without answers. The worker is
+// tried again, but not repeatedly if it takes connections and never answers.
 func TestReachableWorkerIsTriedAgain(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	worker := f.scheduler.fleet.workers["a"]
 	worker.addSuspicion(f.now, 4*timeoutSuspicion)
 	f.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
 	if suspicion := worker.suspicion(f.now, 0); !f.scheduler.health.healthy(worker, 0) || f.scheduler.health.healthy(worker, 4) || suspicion > reconnectedSuspicion {
-		t.Errorf("suspicion %v after it was reached", suspicion)
+		t.Errorf("got suspicion %v after the worker was reached, want at most %v, healthy for class safe but not unsafe",
+			suspicion, reconnectedSuspicion)
 	}
 	worker.addSuspicion(f.now, timeoutSuspicion)
 	f.at(ms, WorkerReachable{Worker: "a"})
 	if f.scheduler.health.healthy(worker, 0) {
-		t.Error("it was healthy again without an answer")
+		t.Error("got healthy after a further connection without an answer, want not healthy")
 	}
 	worker.recordSuccess(f.now, 0)
 	f.at(ms, WorkerReachable{Worker: "a"})
 	if !f.scheduler.health.healthy(worker, 0) {
-		t.Error("it was not healthy again after an answer")
+		t.Error("got not healthy after an answer and a further connection, want healthy")
 	}
 }
 
-// TestUnreachableWorkerIsLeftOut has all workers suspect and one of them unreachable: attempts go to the one that is
-// reached, and those beyond its bound wait for it, until the other one is reached again.
+// TestUnreachableWorkerIsLeftOut has all workers suspect and one of them unreachable. Attempts go only to the
+// reachable one, up to its limit. The other tasks wait until the unreachable worker is reached again.
 func TestUnreachableWorkerIsLeftOut(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	for _, worker := range f.scheduler.fleet.sorted {
@@ -83,12 +85,12 @@
 	expectPlaces(t, f.at(ms, WorkerReachable{Worker: "b"}), "b", 2)
 	f.at(ms, Accepted{RequestID: "2", Worker: "b", RTTUs: ms})
 	if f.scheduler.fleet.workers["b"].unreachable {
-		t.Error("it is unreachable after it accepted an attempt")
+		t.Error("got worker b unreachable after it accepted an attempt, want reachable")
 	}
 }
 
-// TestUnreachableWorkersAreTriedWhereNoneIsReached has all workers suspect and unreachable: each is tried, as what is
-// known of connections may be out of date. So is the only worker of a kind.
+// TestUnreachableWorkersAreTriedWhereNoneIsReached has all workers suspect and unreachable. Each of them is
+// tried, because the state of the connections may be out of date. The only worker of a kind is also tried.
 func TestUnreachableWorkersAreTriedWhereNoneIsReached(t *testing.T) {
 	large := Entry{Worker: "c", Kind: "large", FreeCores: 60, FreeMemory: 120}
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), large)
@@ -107,8 +109,8 @@
 	expectPlaces(t, places, "b", maxSuspectAttempts)
 }
 
-// TestUnreachableWorkerReturnsByItself has a worker stay unreachable: once its suspicion is forgotten it is tried as any
-// other, since no connection may have been tried meanwhile.
+// TestUnreachableWorkerReturnsByItself has a worker stay unreachable. Once its suspicion has decayed it gets
+// tasks as any other worker, because no connection may have been attempted in the meantime.
 func TestUnreachableWorkerReturnsByItself(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.scheduler.fleet.workers["a"].addSuspicion(f.now, maxSuspicion)
@@ -117,12 +119,12 @@
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 }
 
-// TestTaskWaitsForFullWorkerThatIsReached has a worker that looks empty as nothing reaches it, beside one that is full or
-// has to answer: tasks wait for that one.
+// TestTaskWaitsForFullWorkerThatIsReached has an unreachable worker, which looks empty because no task
+// reaches it, and a reachable one that is full or has an unanswered attempt. Tasks wait for the latter.
 func TestTaskWaitsForFullWorkerThatIsReached(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		freeCores float64 // of the worker that is reached
+		freeCores float64 // free cores of the reachable worker
 		prepare   func(reached *workerInfo)
 	}{
 		{"full", -16, func(*workerInfo) {}},
@@ -142,7 +144,7 @@
 	}
 }
 
-// expectPlaces fails where not just so many attempts go to a worker.
+// expectPlaces reports an error unless exactly the wanted number of attempts goes to a worker.
 func expectPlaces(t *testing.T, actions []Action, worker string, want int) {
 	t.Helper()
 	got := 0
@@ -152,7 +154,7 @@
 		}
 	}
 	if got != want {
-		t.Errorf("%d attempts at %s, want %d; actions %v", got, worker, want, actions)
+		t.Errorf("got %d attempts at worker %s, want %d; actions %v", got, worker, want, actions)
 	}
 }
 
@@ -162,7 +164,7 @@
 		f.scheduler.fleet.workers[name].addSuspicion(f.now, maxSuspicion)
 	}
 	if got := ofType[Place](f.at(ms, f.request("1", "safe", 1, 2))); len(got) != 1 {
-		t.Errorf("%d placed while all look bad, want 1", len(got))
+		t.Errorf("got %d placements while all workers are suspect, want 1", len(got))
 	}
 }
 
@@ -171,7 +173,7 @@
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	f.wantPlaced(f.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
 	if window := f.scheduler.fleet.workers["a"].attemptWindow; window >= initialAttemptWindow {
-		t.Errorf("window %v after 'too many wait', want it halved", window)
+		t.Errorf("got attempt window %v after a rejection for a full queue, want under %v", window, initialAttemptWindow)
 	}
 }
 
@@ -183,13 +185,13 @@
 	}
 	worker.recordSuccess(f.now, 0)
 	if f.scheduler.health.healthy(worker, 0) {
-		t.Error("trusted again after one success in five")
+		t.Error("got healthy after four losses and one success, want not healthy")
 	}
 	for range 20 {
 		worker.recordSuccess(f.now, 0)
 	}
 	if !f.scheduler.health.healthy(worker, 0) {
-		t.Error("not trusted after twenty successes")
+		t.Error("got not healthy after twenty more successes, want healthy")
 	}
 }
 
@@ -204,7 +206,7 @@
 		attempts += len(ofType[Place](f.at(ms, f.request(fmt.Sprint(i), "safe", .5, .5))))
 	}
 	if attempts < 2 || attempts > 4 {
-		t.Errorf("%d attempts at two unresponsive workers, want 2 to 4", attempts)
+		t.Errorf("got %d attempts at two unresponsive workers, want 2 to 4", attempts)
 	}
 }
 
@@ -217,7 +219,7 @@
 		f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 		f.at(800 * ms)
 		if got := f.scheduler.health.healthy(f.scheduler.fleet.workers["a"], 0); got != running {
-			t.Errorf("accepted means running %v: healthy %v after 0.8 s, want %v", running, got, running)
+			t.Errorf("AcceptMeansRunning %v: got healthy %v after 0.8 s, want %v", running, got, running)
 		}
 	}
 }
@@ -225,8 +227,8 @@
 func TestTimeoutIsDistinguishedFromLoss(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		accepted    string // the class of an attempt accepted since
-		safe, large bool   // which classes are trusted then
+		accepted    string // class of an attempt that the worker accepted later, or "" for none
+		safe, large bool   // whether the worker is expected to stay below the ejection threshold, by class
 	}{
 		{"unresponsive worker", "", false, false},
 		{"unresponsive for one class", "large", false, true},
@@ -244,11 +246,12 @@
 			f.at(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
 			f.at(100 * ms)
 			if safe, large := worker.suspicion(f.now, 0) < ejectionThreshold, worker.suspicion(f.now, 8) < ejectionThreshold; safe != test.safe || large != test.large {
-				t.Errorf("not ejected for its class %v, for the other %v; want %v and %v", safe, large, test.safe, test.large)
+				t.Errorf("below the ejection threshold: got %v for class safe and %v for class large, want %v and %v",
+					safe, large, test.safe, test.large)
 			}
 			f.at(10 * suspicionHalflife)
 			if !f.scheduler.health.healthy(worker, 0) {
-				t.Error("not forgotten")
+				t.Error("got not healthy ten half-lives of the suspicion later, want healthy")
 			}
 		})
 	}
@@ -258,20 +261,21 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	f.scheduler.health.meanRTT, f.scheduler.health.rttDeviation = 20_000, 5_000
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
-	// There is no call for two seconds; then the answer comes with a new request.
+	// The scheduler is not called for two seconds. Then the answer arrives together with a new request.
 	f.wantPlaced(f.at(2*second, f.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
 	if suspicion := f.scheduler.fleet.workers["a"].suspicion(f.now, 0); suspicion != 0 {
-		t.Errorf("suspicion %v after a stall of the scheduler, want none", suspicion)
+		t.Errorf("got suspicion %v after a stall of the scheduler, want 0", suspicion)
 	}
 }
 
-// TestTaskSentAwayBlamesNobody has a worker send a task away whose acceptance was not read: it drains, which is no error.
+// TestTaskSentAwayBlamesNobody has a draining worker end a task before its acceptance was read. Draining is
+// not an error, so the worker is not suspected. It gets no tasks for the time of the assumed drain.
 func TestTaskSentAwayBlamesNobody(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
 	f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Reset, Cause: CauseDrained, Final: true})
 	if suspicion := f.scheduler.fleet.workers["a"].suspicion(f.now, 0); suspicion != 0 {
-		t.Errorf("suspicion %v", suspicion)
+		t.Errorf("got suspicion %v after the worker drained, want 0", suspicion)
 	}
 	f.wantPlaced(f.at(ms, f.request("2", "safe", 1, 2)), "b")
 	f.at(assumedDrain)
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -29,14 +29,14 @@
 	if kind == nil {
 		return
 	}
-	seen := (worker.FreeCores - entry.FreeCores) / kind.Cores
+	observedChange := (worker.FreeCores - entry.FreeCores) / kind.Cores
 	e.observations = e.observations*lagDecay + 1
 	best := 0
 	for i := range e.squaredErrors {
 		lag := int64(i+1) * lagStep
-		changed, _ := worker.deltasSince(worker.viewedAt - lag)
-		recent, _ := worker.deltasSince(e.now - lag)
-		difference := seen - (changed-recent)/kind.Cores
+		afterPreviousView, _ := worker.deltasSince(worker.viewedAt - lag)
+		afterCurrentView, _ := worker.deltasSince(e.now - lag)
+		difference := observedChange - (afterPreviousView-afterCurrentView)/kind.Cores
 		e.squaredErrors[i] = e.squaredErrors[i]*lagDecay + difference*difference
 		if e.squaredErrors[i] < e.squaredErrors[best] {
 			best = i
--- a/placement/load.go
+++ b/placement/load.go
@@ -67,7 +67,7 @@
 		worker.deltas = slices.Delete(worker.deltas, 0, len(worker.deltas)/2)
 	}
 	worker.deltas = append(worker.deltas, delta{l.now, cores, memory})
-	l.trackLag(worker)
+	l.addLagDependent(worker)
 	l.index.invalidate(worker)
 }
 
@@ -111,12 +111,12 @@
 // recordReport records a worker's report of its own load.
 func (l *loadTracker) recordReport(worker *workerInfo, report Load) {
 	worker.lastReport, worker.reportedAt, worker.reportsFree = report, l.now, false
-	l.trackLag(worker)
+	l.addLagDependent(worker)
 	l.index.invalidate(worker)
 }
 
-// trackLag adds a worker to those whose requested cores and memory depend on the view's lag.
-func (l *loadTracker) trackLag(worker *workerInfo) {
+// addLagDependent adds a worker to those whose requested cores and memory depend on the view's lag.
+func (l *loadTracker) addLagDependent(worker *workerInfo) {
 	if !worker.lagDependent {
 		worker.lagDependent = true
 		l.lagDependent = append(l.lagDependent, worker)
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -10,16 +10,16 @@
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 6, 6)), "a")
 	worker := f.scheduler.fleet.workers["a"]
 	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
-		t.Fatalf("%v cores requested with the placement, want 18", cores)
+		t.Fatalf("got %v cores requested after the placement, want 18", cores)
 	}
-	// A view that comes at once cannot show the placement yet.
+	// A view that arrives shortly after the placement cannot show it yet.
 	f.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 20)}})
 	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
-		t.Fatalf("%v cores requested after an early view, want 18", cores)
+		t.Fatalf("got %v cores requested after an early view, want 18", cores)
 	}
 	f.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 14)}})
 	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
-		t.Fatalf("%v cores requested once the view shows it, want 18, not counted twice", cores)
+		t.Fatalf("got %v cores requested once the view shows the placement, want 18 as it must not count twice", cores)
 	}
 }
 
@@ -28,8 +28,8 @@
 	f.wantPlaced(f.at(ms, f.request("1", "safe", 2, 4)), "a")
 	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
 	cores, _ := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
-	if cores != 12 && cores != 14 { // 14 where it was tried again at once
-		t.Errorf("%v cores requested, want 12 and at most the new placement", cores)
+	if cores != 12 && cores != 14 { // 14 if the task was offered again at once
+		t.Errorf("got %v cores requested after the rejection, want 12, or 14 with a new placement", cores)
 	}
 }
 
@@ -39,7 +39,7 @@
 	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
 	cores, memory := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
 	if cores != 12 || memory+4 <= 64*1.5 {
-		t.Errorf("%v cores and %v memory requested: want 12 and no free capacity for the task", cores, memory)
+		t.Errorf("got %v cores and %v memory requested, want 12 cores and memory above 92", cores, memory)
 	}
 }
 
@@ -58,7 +58,8 @@
 	}
 	for _, worker := range f.scheduler.fleet.sorted {
 		if seen[worker.Worker] < maxDeltas/2 || len(worker.deltas) > maxDeltas {
-			t.Errorf("%s: %d tasks, %d changes remembered", worker.Worker, seen[worker.Worker], len(worker.deltas))
+			t.Errorf("worker %s: got %d tasks and %d recorded changes, want at least %d tasks and at most %d changes",
+				worker.Worker, seen[worker.Worker], len(worker.deltas), maxDeltas/2, maxDeltas)
 		}
 	}
 }
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -28,7 +28,8 @@
 	// active is true while backpressure reports a release rate or reserved units.
 	active bool
 	// contention is the free capacity, as a fraction of a worker's size, that other schedulers are
-	// assumed to have used already. It applies to free capacity that the view newly shows, at most.
+	// assumed to have used already. On each worker it is limited to the free capacity that the view
+	// newly shows.
 	contention float64
 	// concurrent is what other schedulers are assumed to have placed since the view, as fractions of
 	// the capacity of the whole fleet.
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// overloadedFixture is a fixture with two workers, under backpressure.
+// overloadedFixture returns a fixture with two workers that has received a backpressure event.
 func overloadedFixture(t *testing.T, free float64, pressure Backpressure) *fixture {
 	settings := testSettings()
 	settings.UnitCores, settings.UnitMemory = 1, 2
@@ -14,8 +14,9 @@
 	return f
 }
 
-// TestRejectedOnceTooLate has a pending task rejected at once if capacity becomes free well after its
-// deadline; one that may find a worker waits; and without a release rate all wait.
+// TestRejectedOnceTooLate checks that a pending task is rejected at once if capacity becomes free only well
+// after its deadline. A task that may still find a worker stays pending, and so do all tasks if the release
+// rate is unknown.
 func TestRejectedOnceTooLate(t *testing.T) {
 	for _, test := range []struct {
 		rate float64
@@ -26,37 +27,38 @@
 		for i := range 12 {
 			rejected += len(ofType[Reject](f.at(ms, f.request(fmt.Sprint(i), "safe", 1, 2))))
 		}
-		// With 5 s left and twice that to be sure, nine units become free at one a second.
+		// The deadline is in 5 s, and a task is rejected if it needs more than twice that time. At one unit
+		// per second, nine units become free in time.
 		if rejected != test.want {
-			t.Errorf("at a rate of %v: %d rejected of 12, want %d", test.rate, rejected, test.want)
+			t.Errorf("release rate %v: got %d of 12 tasks rejected, want %d", test.rate, rejected, test.want)
 		}
 	}
 }
 
-// TestUnitsAreReservedByClass has a class leave free capacity to those of more weight during an overload,
-// as far as they are expected to need it, and no longer.
+// TestUnitsAreReservedByClass checks that a class leaves the reserved units free for classes of higher
+// weight during an overload. It gets a worker once nothing is reserved, or if there is free capacity for all.
 func TestUnitsAreReservedByClass(t *testing.T) {
 	reserved := make([]float64, len(testSettings().Classes))
 	reserved[0] = 100
 	f := overloadedFixture(t, 30, Backpressure{Reserved: reserved})
 	if got := ofType[Place](f.at(ms, f.request("web", "safe", 1, 2))); len(got) != 0 {
-		t.Errorf("placed %v", got)
+		t.Errorf("class with reserved units: got placements %v, want none", got)
 	}
 	if got := ofType[Place](f.at(ms, f.request("other", "all", 1, 2))); len(got) != 1 {
-		t.Errorf("another class: placed %v", got)
+		t.Errorf("class without reserved units: got placements %v, want 1", got)
 	}
 	if got := ofType[Place](f.at(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
-		t.Errorf("once nothing is reserved: placed %v", got)
+		t.Errorf("once nothing is reserved: got placements %v, want 1 of request web", got)
 	}
 	reserved[0] = 1
 	f = overloadedFixture(t, 30, Backpressure{Reserved: reserved})
 	if got := ofType[Place](f.at(ms, f.request("web", "safe", 1, 2))); len(got) != 1 {
-		t.Errorf("with free capacity for all: placed %v", got)
+		t.Errorf("with free capacity beyond the reserved unit: got placements %v, want 1", got)
 	}
 }
 
-// TestConcurrentPlacementsCount has other schedulers place as much as this one in an overload: it stops
-// where, with them, a worker would be full.
+// TestConcurrentPlacementsCount checks that in an overload the scheduler assumes that other schedulers place
+// as much as it does. It stops where both together would fill a worker.
 func TestConcurrentPlacementsCount(t *testing.T) {
 	for _, test := range []struct {
 		pressure Backpressure
@@ -72,7 +74,7 @@
 			}
 		}
 		if placed < test.min || placed > test.max {
-			t.Errorf("with %+v %d were placed, want %d to %d", test.pressure, placed, test.min, test.max)
+			t.Errorf("with %+v: got %d placements, want %d to %d", test.pressure, placed, test.min, test.max)
 		}
 	}
 }
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -31,8 +31,8 @@
 	if !s.warmingUp(worker) {
 		return 1
 	}
-	warm := float64(s.now-worker.StartedAtUs) / float64(s.settings.WarmUpUs)
-	return max(minStartRate, s.settings.ColdStartRate+(1-s.settings.ColdStartRate)*max(0, warm))
+	warmUpProgress := float64(s.now-worker.StartedAtUs) / float64(s.settings.WarmUpUs)
+	return max(minStartRate, s.settings.ColdStartRate+(1-s.settings.ColdStartRate)*max(0, warmUpProgress))
 }
 
 // permits reports whether a worker may get an offer within the budget. If the budget is at least one
@@ -45,23 +45,24 @@
 	window, budget := s.settings.SlowStartWindowUs*11/10+1, s.settings.SlowStartOffers
 	budget = min(budget, informedShare*(budget+slowStartDeviations*math.Sqrt(budget)+slowStartDeviations))
 	if int(budget) >= s.settings.FleetSize {
-		return s.hasPartLeft(worker, window, int(budget))
+		return s.hasShareLeft(worker, window, int(budget))
 	}
 	return s.hasTurn(worker, window, budget)
 }
 
-// hasPartLeft reports whether this scheduler's share of the budget allows another offer in the window that
+// hasShareLeft reports whether this scheduler's share of the budget allows another offer in the window that
 // ends now. The scheduler sends no offer in the first window after its own start, because it does not know
 // which offers an earlier process sent.
-func (s *slowStart) hasPartLeft(worker *workerInfo, window int64, budget int) bool {
-	part := (budget + s.rotatedIndex(worker)) / s.settings.FleetSize
-	return s.now >= s.startedAt+window && worker.offersAfter(max(s.now-window, worker.StartedAtUs-1)) < part
+func (s *slowStart) hasShareLeft(worker *workerInfo, window int64, budget int) bool {
+	share := (budget + s.rotatedIndex(worker)) / s.settings.FleetSize
+	return s.now >= s.startedAt+window && worker.offersAfter(max(s.now-window, worker.StartedAtUs-1)) < share
 }
 
 // hasTurn reports whether this scheduler may send an offer in the current slot of the clock that all
-// schedulers share. A slot is as long as a window, so a window overlaps at most two slots. Half as many
-// schedulers as the budget has offers share a slot, and each of them may send one offer. A scheduler skips
-// the slot in which it started, because an earlier process may have sent its offer already.
+// schedulers share. A slot is as long as a window, so a window overlaps at most two slots. The number of
+// schedulers with a turn in one slot is half the budget, or one if that is more, and each of them may send
+// one offer. A scheduler skips the slot in which it started, because an earlier process may have sent its
+// offer already.
 func (s *slowStart) hasTurn(worker *workerInfo, window int64, budget float64) bool {
 	if budget < 1 || s.now < worker.StartedAtUs {
 		return false
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// This file owns the slow start of one worker under the offers of a whole fleet of schedulers.
+// This file tests the slow start of one worker that gets offers from a whole fleet of schedulers.
 
 var (
 	coldSeeds = flag.Int("cold-seeds", 6, "slow starts run for each fleet size and kind of start")
@@ -19,45 +19,48 @@
 
 const (
 	warmingWorker = "cold"
-	// maxOfferTime is the longest time that an offer takes to its worker.
+	// maxOfferTime is the maximum time from the sending of an offer to its arrival at the worker.
 	maxOfferTime = 45 * ms
-	// maxPending is how many tasks wait at a scheduler: more than it may send at once.
+	// maxPending is the maximum number of tasks pending at a scheduler. It is more than the scheduler may
+	// send at once.
 	maxPending = 20
 )
 
 const (
-	newWorker    start = "new worker"    // nothing: it is not on their list
-	startedTwice start = "started twice" // that it started a little earlier
-	wasWarm      start = "was warm"      // that it is warm
+	newWorker    start = "new worker"    // the worker is not on the schedulers' lists
+	startedTwice start = "started twice" // the schedulers know a start shortly before the one under test
+	wasWarm      start = "was warm"      // the schedulers know the worker as warm
 )
 
-// A start is what schedulers know of the worker before they are notified of its start.
+// A start is the information that schedulers have about the worker before they are notified of its start.
 type start string
 
 // arrival is one offer that reached the worker.
 type arrival struct {
 	at       int64
-	informed bool // its scheduler knew of the start
+	informed bool // its scheduler was notified of a start and took the worker as warming up
 }
 
-// slowStartRun is one start of one worker, with constant demand at all schedulers.
+// slowStartRun simulates one start of one worker, with constant demand at all schedulers.
 type slowStartRun struct {
 	t                *testing.T
 	random           *rand.Rand
 	settings         Settings
 	start            start
-	earlierStartUs   int64 // when the worker started before
-	startUs          int64 // when it started now
-	requestInterval  int64 // how often a task comes to each scheduler
-	firstNotified    int64 // when the first scheduler is notified of the start
-	notifiedWithinMs int   // within how many milliseconds all of them are notified
+	earlierStartUs   int64 // time of the worker's previous start, in microseconds
+	startUs          int64 // time of the start under test, in microseconds
+	requestInterval  int64 // time between two requests at each scheduler, in microseconds
+	firstNotified    int64 // earliest time at which a scheduler is notified of the start, in microseconds
+	notifiedWithinMs int   // maximum delay of a notification after firstNotified, in milliseconds
 	arrivals         []arrival
 }
 
 func newSlowStartRun(t *testing.T, start start, schedulers, seed int) *slowStartRun {
 	r := &slowStartRun{t: t, random: rand.New(rand.NewPCG(uint64(seed), uint64(schedulers))), settings: testSettings(), start: start}
 	r.settings.FleetSize = schedulers
-	switch seed % 3 { // evenly, evenly over the logarithm, and fewer than schedulers
+	// The budget is uniform, uniform in its logarithm, or, with more than four schedulers, smaller than
+	// their number.
+	switch seed % 3 {
 	case 0:
 		r.settings.SlowStartOffers = float64(4 + r.random.IntN(197))
 	case 1:
@@ -69,15 +72,15 @@
 	r.settings.WarmUpUs = r.settings.SlowStartWindowUs*4 + 5*second
 	r.startUs = 1_000_000_000 + r.between(0, 5000)
 	r.earlierStartUs = r.startUs - r.between(50, 2000)
-	// Lists come to all at once, or to each at a time of its own.
+	// Lists reach all schedulers at nearly the same time, or each of them at a time of its own.
 	r.firstNotified, r.notifiedWithinMs = r.startUs+r.between(10, 3000), []int{20, 500, 4000}[r.random.IntN(3)]
-	// One to six budgets a window are requested of the fleet.
+	// The demand on the fleet is one to six times the budget in each window.
 	budgetsPerWindow := math.Pow(6, r.random.Float64())
 	r.requestInterval = int64(float64(r.settings.SlowStartWindowUs) * float64(schedulers) / (budgetsPerWindow * r.settings.SlowStartOffers))
 	return r
 }
 
-// between draws a time from low to high milliseconds.
+// between returns a random time from low to high milliseconds, in microseconds.
 func (r *slowStartRun) between(low, high int) int64 {
 	return int64(low)*ms + r.random.Int64N(int64(high-low)*ms+1)
 }
@@ -88,7 +91,7 @@
 	return entry
 }
 
-// initialList is the list that schedulers have until they are notified of the start.
+// initialList returns the list that schedulers have until they are notified of the start.
 func (r *slowStartRun) initialList() WorkerList {
 	switch r.start {
 	case newWorker:
@@ -99,8 +102,8 @@
 	return WorkerList{Kind: ListCached, Entries: []Entry{r.entry(0)}}
 }
 
-// runScheduler runs one scheduler through the slow start, with restarts of its process. Schedulers
-// share nothing, so they run one by one.
+// runScheduler runs one scheduler through the slow start, with restarts of its process. Schedulers run one
+// after the other, which is possible because they share nothing.
 func (r *slowStartRun) runScheduler(index int) {
 	r.settings.SelfIndex = index
 	end := r.startUs + r.settings.WarmUpUs
@@ -119,7 +122,8 @@
 		if r.random.IntN(2) == 0 && now > notifiedAt {
 			list = WorkerList{Kind: ListCached, Entries: []Entry{r.entry(r.startUs)}}
 		} else {
-			notifiedAt = max(notifiedAt, now+r.between(10, 1000)) // it came up with an older list
+			// The restarted process begins with the same list as the previous one, and is notified later.
+			notifiedAt = max(notifiedAt, now+r.between(10, 1000))
 		}
 	}
 }
@@ -131,7 +135,7 @@
 		r.t.Fatal(err)
 	}
 	var responses []delayedEvent
-	var knownStartUs int64 // the start that this scheduler was notified of
+	var knownStartUs int64 // last start of the worker that this scheduler was notified of
 	if len(list.Entries) > 0 {
 		knownStartUs = list.Entries[0].StartedAtUs
 	}
@@ -161,16 +165,17 @@
 	}
 }
 
-// delayedEvent is an event that comes at a time.
+// delayedEvent is an event with the time of its delivery.
 type delayedEvent struct {
 	at int64
 	Event
 }
 
-// accept lets an offer arrive at the worker, which accepts it and soon ends the task.
+// accept records the arrival of an offer and returns the worker's responses: it accepts the offer and
+// completes the task 1 ms later.
 func (r *slowStartRun) accept(now int64, place Place, informed bool) []delayedEvent {
 	arrivesAt := now + r.between(1, int(maxOfferTime/ms))
-	if now >= r.startUs { // what was sent before is lost with the process that ended
+	if now >= r.startUs { // offers sent earlier were lost with the previous process of the worker
 		r.arrivals = append(r.arrivals, arrival{arrivesAt, informed})
 	}
 	respondedAt := arrivesAt + r.between(1, 5)
@@ -180,21 +185,24 @@
 	}
 }
 
-// bound is how many offers within a window are put down to the budget and to chance.
+// bound returns the maximum number of offers within a window that is attributed to the budget and to
+// random fluctuation.
 func (r *slowStartRun) bound() float64 {
 	return r.settings.SlowStartOffers + 2*math.Sqrt(r.settings.SlowStartOffers) + 2
 }
 
-// informedBudget is how many offers within a window schedulers that know of the start may send: then
-// they sent no more than two thirds of those that overload the worker, whatever the others did.
+// informedBudget returns the maximum number of offers within a window from schedulers that were notified of
+// the start. If they keep to it, they sent at most two thirds of the offers that overload the worker,
+// whatever the other schedulers did.
 func (r *slowStartRun) informedBudget() int {
 	return int(min(r.settings.SlowStartOffers, r.bound()*2/3))
 }
 
-// checkWindows returns the most offers within any window from schedulers notified of the start, over
-// what they may send, and the first window that breaks the rule: more offers from all than the bound,
-// over two thirds of them from schedulers notified of the start.
-func (r *slowStartRun) checkWindows() (maxUsed float64, broken string) {
+// checkWindows returns the largest number of offers within any window from schedulers that were notified of
+// the start, as a fraction of informedBudget. It also describes the first window that breaks the rule, or
+// returns an empty string. A window breaks the rule if it has more offers than the bound and over two thirds
+// of them come from schedulers that were notified of the start.
+func (r *slowStartRun) checkWindows() (maxUsed float64, violation string) {
 	slices.SortFunc(r.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	oldest, informed := 0, 0
 	for i, offer := range r.arrivals {
@@ -210,16 +218,16 @@
 			}
 		}
 		maxUsed = max(maxUsed, float64(informed)/float64(r.informedBudget()))
-		if offers := i - oldest + 1; float64(offers) > r.bound() && 3*informed > 2*offers && broken == "" {
-			broken = fmt.Sprintf("%d offers, %d from schedulers that know of the start, within the %d ms before %.3f s",
+		if offers := i - oldest + 1; float64(offers) > r.bound() && 3*informed > 2*offers && violation == "" {
+			violation = fmt.Sprintf("got %d offers, %d from notified schedulers, within the %d ms before %.3f s",
 				offers, informed, r.settings.SlowStartWindowUs/ms, float64(offer.at-r.startUs)/float64(second))
 		}
 	}
-	return maxUsed, broken
+	return maxUsed, violation
 }
 
-// TestFleetKeepsSlowStartBudget runs slow starts of one worker under the demand of a whole fleet.
-// Schedulers are notified of the start at times of their own, and some are restarted meanwhile.
+// TestFleetKeepsSlowStartBudget runs slow starts of one worker under the demand of a whole fleet. The
+// schedulers are notified of the start at different times, and some restart during the warm-up.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	for _, start := range []start{newWorker, startedTwice, wasWarm} {
 		for _, schedulers := range []int{3, 16, 24, 32} {
@@ -237,32 +245,33 @@
 	}
 }
 
-// slowStartOutcome counts what became of slow starts.
+// slowStartOutcome counts slow starts that failed a check, by the check.
 type slowStartOutcome struct {
 	overBound, overBudget, idle int
-	maxUsed                     float64 // of the budget
+	maxUsed                     float64 // largest used fraction of the budget
 }
 
-// check runs a slow start at all schedulers and checks its offers.
+// check runs a slow start with all schedulers and checks the offers to the worker.
 func (o *slowStartOutcome) check(t *testing.T, seed int, run *slowStartRun) {
 	t.Helper()
 	for i := range run.settings.FleetSize {
 		run.runScheduler(i)
 	}
-	used, broken := run.checkWindows()
+	used, violation := run.checkWindows()
 	offers := run.settings.SlowStartOffers
-	if broken != "" {
+	if violation != "" {
 		o.overBound++
-		t.Errorf("-cold-seed %d: FreshOffers %v, bound %.1f: %s", seed, offers, run.bound(), broken)
+		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or two thirds of them from notified ones",
+			seed, offers, violation, run.bound())
 	}
 	if used > 1 {
 		o.overBudget++
-		t.Errorf("-cold-seed %d: FreshOffers %v: %.2f of the %d offers that schedulers notified of the start may send",
+		t.Errorf("-cold-seed %d: FreshOffers %v: notified schedulers used %.2f of their %d offers, want at most 1",
 			seed, offers, used, run.informedBudget())
 	}
 	if used == 0 {
 		o.idle++
-		t.Errorf("-cold-seed %d: FreshOffers %v: the worker got nothing", seed, offers)
+		t.Errorf("-cold-seed %d: FreshOffers %v: got no offers from notified schedulers, want some", seed, offers)
 	}
 	o.maxUsed = max(o.maxUsed, used)
 }
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -28,9 +28,9 @@
 	f := newFixture(t, settings, 1, smallWorker("a", 0, 32))
 	f.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(f)}})
 	if count := count(f, 1); count != 4 {
-		t.Errorf("%d offers to a worker that warms up, want 4", count)
+		t.Errorf("got %d offers to a worker that warms up, want 4", count)
 	}
-	// After this scheduler's own start its part counts as spent for one window.
+	// For one window after the scheduler's own start, its share of the budget counts as used.
 	restarted := &fixture{t: t, now: 1_000_000_000}
 	var err error
 	if restarted.scheduler, err = New(settings, 1); err != nil {
@@ -38,13 +38,13 @@
 	}
 	restarted.at(0, WorkerList{Kind: ListCached, Entries: []Entry{warming(restarted)}})
 	if count := count(restarted, 1); count != 0 {
-		t.Errorf("%d offers within the first window after a restart, want 0", count)
+		t.Errorf("got %d offers within the first window after a restart of the scheduler, want 0", count)
 	}
 	settings.SlowStartOffers = 0
 	withoutBudget := newFixture(t, settings, 1)
 	withoutBudget.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(withoutBudget)}})
 	if count := count(withoutBudget, 1); count != 0 {
-		t.Errorf("%d offers with a budget of nothing, want 0", count)
+		t.Errorf("got %d offers with a budget of 0, want 0", count)
 	}
 }
 
@@ -54,20 +54,20 @@
 	f := newFixture(t, settings, 1, smallWorker("a", 0, 30))
 	worker := f.scheduler.fleet.workers["a"]
 	if got := f.scheduler.slowStart.startRate(worker); got != 1 {
-		t.Errorf("rate %v of a warm worker, want 1", got)
+		t.Errorf("got start rate %v of a warm worker, want 1", got)
 	}
 	worker.StartedAtUs = f.now
 	if got := f.scheduler.slowStart.startRate(worker); got != 0.2 {
-		t.Errorf("rate %v at the start, want 0.2", got)
+		t.Errorf("got start rate %v at the worker's start, want 0.2", got)
 	}
 	f.at(settings.WarmUpUs / 2)
 	if got := f.scheduler.slowStart.startRate(worker); math.Abs(got-0.6) > 1e-9 {
-		t.Errorf("rate %v in the middle, want 0.6", got)
+		t.Errorf("got start rate %v halfway through the warm-up, want 0.6", got)
 	}
 }
 
-// TestManySchedulersShareSlowStartBudget has parts of the budget under one, which all schedulers once
-// used at the same moment.
+// TestManySchedulersShareSlowStartBudget checks the number of offers in a window where the budget is about
+// one offer per scheduler or less. All schedulers once used such a share at the same moment.
 func TestManySchedulersShareSlowStartBudget(t *testing.T) {
 	for _, test := range []sharedBudget{
 		{"one offer", 300, 1, false, false},
@@ -85,23 +85,24 @@
 			warming.StartedAtUs = 1_000_000_000 + 3*second
 			var sent []int64
 			for settings.SelfIndex = range test.schedulers {
-				sent = append(sent, test.offersOf(t, settings, warming)...)
+				sent = append(sent, test.offerTimes(t, settings, warming)...)
 			}
 			slices.Sort(sent)
 			if len(sent) == 0 && test.offers > 2 {
-				t.Error("a worker that warms up got nothing at all")
+				t.Error("got 0 offers to a worker that warms up, want at least 1")
 			}
 			for i, at := range sent {
 				count, _ := slices.BinarySearch(sent, at+settings.SlowStartWindowUs)
 				if count-i > int(test.offers) && at < warming.StartedAtUs+settings.WarmUpUs-settings.SlowStartWindowUs {
-					t.Fatalf("%d offers within a window, want %v at most", count-i, test.offers)
+					t.Fatalf("got %d offers within a window, want at most %v", count-i, test.offers)
 				}
 			}
 		})
 	}
 }
 
-// sharedBudget is a budget that many schedulers share.
+// sharedBudget is a case with a slow-start budget that many schedulers share. In a case with a stall, a
+// scheduler is not called for 2 s from time to time. In a case with a restart, it restarts once.
 type sharedBudget struct {
 	name           string
 	schedulers     int
@@ -109,15 +110,15 @@
 	stall, restart bool
 }
 
-// offersOf returns when one scheduler sends offers to a worker that warms up.
-func (b *sharedBudget) offersOf(t *testing.T, settings Settings, warming Entry) (sent []int64) {
+// offerTimes returns the times at which one scheduler sends offers to a worker that warms up.
+func (b *sharedBudget) offerTimes(t *testing.T, settings Settings, warming Entry) (sent []int64) {
 	t.Helper()
 	index := settings.SelfIndex
 	f := newFixture(t, settings, uint64(index), warming)
 	f.at(3*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming}})
 	for i := range 70 {
 		if b.stall && i%20 == 7 {
-			f.now += 2 * second // then all at once
+			f.now += 2 * second // the scheduler is stalled
 		}
 		if b.restart && i == 10+index%40 {
 			now := f.now
@@ -134,8 +135,8 @@
 	return sent
 }
 
-// TestOffersBeforeKnownStartCount notifies a scheduler late of a start: it has spent part of its
-// budget already, as for a warm worker.
+// TestOffersBeforeKnownStartCount notifies a scheduler late of a worker's start. Offers that it sent since
+// the start, while it took the worker for warm, count towards its share of the budget.
 func TestOffersBeforeKnownStartCount(t *testing.T) {
 	settings := testSettings() // 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker(warmingWorker, 0, 32))
@@ -153,27 +154,28 @@
 		return count
 	}
 	if count := offers(1, 2); count != 2 {
-		t.Fatalf("%d offers to the worker before its start, want 2", count)
+		t.Fatalf("got %d offers to the worker before its start, want 2", count)
 	}
 	started := smallWorker(warmingWorker, 0, 32)
 	started.StartedAtUs = f.now + ms
 	f.at(100 * ms)
 	if count := offers(2, 3); count != 3 {
-		t.Fatalf("%d offers to a worker taken for warm, want 3", count)
+		t.Fatalf("got %d offers to a worker that still counts as warm, want 3", count)
 	}
 	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if count := offers(3, 10); count != 1 {
-		t.Errorf("%d offers once the start is known, want 1: 3 of 4 were sent since", count)
+		t.Errorf("got %d offers once the start is known, want 1, as 3 of 4 were sent since the start", count)
 	}
-	started.StartedAtUs = f.now // again, and what it got this time counts no more
+	started.StartedAtUs = f.now // the worker starts again, so the offers since the last start no longer count
 	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if count := offers(4, 10); count != 4 {
-		t.Errorf("%d offers after the next start, want 4", count)
+		t.Errorf("got %d offers after the next start, want 4", count)
 	}
 }
 
-// TestTurnsAtWarmingWorker takes a fleet larger than the budget. Turns are the same whichever
-// start of the worker a scheduler was notified of, and one that was restarted in its turn leaves it out.
+// TestTurnsAtWarmingWorker checks the turns of schedulers that outnumber the budget. A scheduler's turn does
+// not depend on which start of the worker it was notified of, and a scheduler that restarts in its turn skips
+// that turn.
 func TestTurnsAtWarmingWorker(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize, settings.SlowStartOffers = 24, 10
@@ -184,7 +186,7 @@
 			entry.StartedAtUs = 1_000_000_000 - ago
 			fixtures = append(fixtures, newFixture(t, settings, 1, entry))
 		}
-		turns, before := 0, false
+		turns, permittedBefore := 0, false
 		for range 800 {
 			permitted := make([]bool, len(fixtures))
 			for i, f := range fixtures {
@@ -192,26 +194,28 @@
 				permitted[i] = f.scheduler.slowStart.permits(f.scheduler.fleet.workers[warmingWorker])
 			}
 			if permitted[0] != permitted[1] {
-				t.Fatalf("scheduler %d at %d us: %v by the two starts", settings.SelfIndex, fixtures[0].now, permitted)
+				t.Fatalf("scheduler %d at %d us: got permissions %v for the two starts, want the same for both",
+					settings.SelfIndex, fixtures[0].now, permitted)
 			}
-			if permitted[0] && !before {
+			if permitted[0] && !permittedBefore {
 				turns++
 			}
 			if restarted := newFixture(t, settings, 2, fixtures[0].scheduler.fleet.workers[warmingWorker].Entry); permitted[0] {
 				restarted.scheduler.now, restarted.scheduler.startedAt = fixtures[0].now, fixtures[0].now
 				if restarted.scheduler.slowStart.permits(restarted.scheduler.fleet.workers[warmingWorker]) {
-					t.Fatalf("scheduler %d offers in the turn in which it was restarted", settings.SelfIndex)
+					t.Fatalf("scheduler %d may send an offer in the turn in which it restarted", settings.SelfIndex)
 				}
 			}
-			before = permitted[0]
+			permittedBefore = permitted[0]
 		}
 		if turns == 0 {
-			t.Errorf("scheduler %d has no turn within 8 s", settings.SelfIndex)
+			t.Errorf("scheduler %d: got no turn within 8 s, want at least 1", settings.SelfIndex)
 		}
 	}
 }
 
-// TestPartsAddUpToSlowStartBudget gives all schedulers more than their parts at once.
+// TestPartsAddUpToSlowStartBudget gives every scheduler more tasks at once than its share of the budget
+// allows, and checks the total number of offers.
 func TestPartsAddUpToSlowStartBudget(t *testing.T) {
 	for _, test := range []struct {
 		schedulers int
@@ -236,18 +240,18 @@
 			}
 		}
 		if sent != test.want {
-			t.Errorf("%d schedulers, FreshOffers %v: %d offers at once, want %d", test.schedulers, test.offers, sent, test.want)
+			t.Errorf("%d schedulers, FreshOffers %v: got %d offers at once, want %d", test.schedulers, test.offers, sent, test.want)
 		}
 	}
 }
 
-// TestWarmWorkersHaveNoSlowStartBudget plays one drawn history with settings and starts
-// of which none makes a worker warm up: the same actions have to follow.
+// TestWarmWorkersHaveNoSlowStartBudget runs one random history with several slow-start settings and start
+// times. No worker warms up in any of them, so the actions must be the same.
 func TestWarmWorkersHaveNoSlowStartBudget(t *testing.T) {
 	for seed := range uint64(5) {
 		want := runWarmHistory(t, seed, 0, func(*Settings) {})
 		if len(ofType[Place](want)) < 150 {
-			t.Fatalf("seed %d: only %d offers", seed, len(ofType[Place](want)))
+			t.Fatalf("seed %d: got %d offers, want at least 150", seed, len(ofType[Place](want)))
 		}
 		for name, got := range map[string][]Action{
 			"no budget for workers that warm up": runWarmHistory(t, seed, 0, func(settings *Settings) { settings.SlowStartOffers = 0 }),
@@ -256,13 +260,15 @@
 			"started long ago":                   runWarmHistory(t, seed, 1, func(*Settings) {}),
 		} {
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("seed %d: %s: other actions than without a start", seed, name)
+				t.Errorf("seed %d: %s: got %d actions that differ from the %d of workers without a start time",
+					seed, name, len(got), len(want))
 			}
 		}
 	}
 }
 
-// runWarmHistory returns the actions of a history with settings and a start of all workers.
+// runWarmHistory returns the actions of a random history. change modifies the settings, and startUs is the
+// start time of all workers.
 func runWarmHistory(t *testing.T, seed uint64, startUs int64, change func(*Settings)) (all []Action) {
 	t.Helper()
 	settings := testSettings()
@@ -276,7 +282,7 @@
 	}
 	f := newFixture(t, settings, seed, entries...)
 	var running []Place
-	attempts := map[string]int{} // for each request, ended
+	attempts := map[string]int{} // number of ended attempts by request ID
 	for i := range 300 {
 		request := f.request(fmt.Sprint(i), settings.Classes[random.IntN(4)].Name, 0.5+random.Float64(), 1)
 		request.Program = uint64(random.IntN(40))
@@ -302,7 +308,7 @@
 	return all
 }
 
-// drawOutcome draws how an attempt ends: mostly well.
+// drawOutcome returns the random outcome of an attempt, which is Completed in 19 of 20 cases.
 func drawOutcome(random *rand.Rand) Outcome {
 	if random.IntN(20) == 0 {
 		return []Outcome{Failed, Rejected, TimedOut, Reset}[random.IntN(4)]
--- a/placement/spread_test.go
+++ b/placement/spread_test.go
@@ -8,7 +8,7 @@
 func TestSpread(t *testing.T) {
 	for _, test := range []struct {
 		class string
-		want  int // of 6 tasks on cells 0, 0 and 1
+		want  int // number of 6 tasks that are placed on workers in cells 0, 0 and 1
 	}{{"apartMachine", 3}, {"apartCell", 4}, {"apartZone", 2}} {
 		f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 		count := 0
@@ -16,7 +16,7 @@
 			count += len(ofType[Place](f.at(ms, f.request(fmt.Sprint(i), test.class, 1, 1))))
 		}
 		if count != test.want {
-			t.Errorf("%s: %d sent, want %d", test.class, count, test.want)
+			t.Errorf("class %s: got %d placements of tasks from single calls, want %d", test.class, count, test.want)
 		}
 		f = newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 		var all []Event
@@ -24,7 +24,7 @@
 			all = append(all, f.request(fmt.Sprint(i), test.class, 1, 1))
 		}
 		if count := len(ofType[Place](f.at(ms, all...))); count != test.want {
-			t.Errorf("%s: %d of one call sent, want %d", test.class, count, test.want)
+			t.Errorf("class %s: got %d placements of tasks from one call, want %d", test.class, count, test.want)
 		}
 	}
 }
@@ -38,7 +38,8 @@
 	f.wantPlaced(f.at(ms, Adopted{Task: f.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, f.request("2", "apartMachine", 1, 1)), "")
 }
 
-// TestSpreadCountsAreNotReused has counts of one program that are not those of another, nor of later.
+// TestSpreadCountsAreNotReused checks that cached counts are not used for another program, nor after a change
+// of the tasks.
 func TestSpreadCountsAreNotReused(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 10))
 	f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
@@ -54,7 +55,7 @@
 }
 
 // TestAttemptsOfCancelledRequestsCountForSpread cancels a request before its attempt has ended, as in
-// incident ib4b606.
+// incident ib4b606. The attempt counts for the spread until it ends.
 func TestAttemptsOfCancelledRequestsCountForSpread(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	f.wantPlaced(f.at(ms, f.request("1", "apartMachine", 1, 1)), "a")
@@ -62,7 +63,7 @@
 	f.wantPlaced(f.at(ms, f.request("2", "apartMachine", 1, 1)), "")
 	f.wantPlaced(f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
 	if len(f.scheduler.requests.tasks) != 1 {
-		t.Errorf("%d tasks remembered, want 1", len(f.scheduler.requests.tasks))
+		t.Errorf("got %d tasks in the scheduler's state, want 1", len(f.scheduler.requests.tasks))
 	}
 }
 
@@ -76,8 +77,8 @@
 	f.wantPlaced(f.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
 }
 
-// BenchmarkSpread is a call in which tasks of a class with a spread come to a large fleet, while others
-// wait for free capacity.
+// BenchmarkSpread measures a call with 100 tasks of a class with a spread limit on a fleet of 400 workers, of
+// which half are full.
 func BenchmarkSpread(b *testing.B) {
 	settings := testSettings()
 	var entries []Entry
--- a/placement/totals_test.go
+++ b/placement/totals_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMeansOfLargeFleet has the means of a large fleet follow it after a second.
+// TestMeansOfLargeFleet checks that the means of a large fleet stay the same for a second after a change and
+// show the change after that.
 func TestMeansOfLargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
 	f.scheduler.totals.means()
@@ -17,28 +18,29 @@
 	}
 	f.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
 	if utilization, _ := f.scheduler.totals.means(); utilization != 0 {
-		t.Errorf("utilization %v before a second has passed, want that of before", utilization)
+		t.Errorf("got utilization %v before a second has passed, want 0 as before the change", utilization)
 	}
 	f.at(second/2, TimerFired{})
 	if utilization, _ := f.scheduler.totals.means(); math.Abs(utilization-0.5/f.scheduler.capacity.baseline.cores) > 1e-9 {
-		t.Errorf("utilization %v after a second, want %v", utilization, 0.5/f.scheduler.capacity.baseline.cores)
+		t.Errorf("got utilization %v after a second, want %v", utilization, 0.5/f.scheduler.capacity.baseline.cores)
 	}
 }
 
-// TestFreeUnitsOfLargeFleet has the free capacity of a large fleet follow it with the timer.
+// TestFreeUnitsOfLargeFleet checks that the free units of a large fleet stay the same until the timer is due
+// and show a change after that.
 func TestFreeUnitsOfLargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
 	f.scheduler.settings.UnitCores, f.scheduler.settings.UnitMemory = 1, 2
 	all := f.scheduler.totals.freeUnits()
 	for _, worker := range f.scheduler.fleet.sorted {
-		worker.attemptWindow = 0 // it may be offered nothing
+		worker.attemptWindow = 0 // the worker may get no offers
 	}
 	f.at(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != all {
-		t.Errorf("free capacity %v before the timer is due, want %v as before", got, all)
+		t.Errorf("got %v free units before the timer is due, want %v as before the change", got, all)
 	}
 	f.at(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != 0 {
-		t.Errorf("free capacity %v with the timer, want none", got)
+		t.Errorf("got %v free units when the timer is due, want 0", got)
 	}
 }
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -30,7 +30,7 @@
 		f.at(0, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, free)}})
 	}
 	if f.scheduler.loads.lag < 2000*ms || f.scheduler.loads.lag > 3250*ms {
-		t.Errorf("lag %v, want near 2.5 s", f.scheduler.loads.lag)
+		t.Errorf("got lag %v us, want 2.0 to 3.25 s", f.scheduler.loads.lag)
 	}
 }
 
@@ -41,7 +41,7 @@
 	for _, test := range []struct {
 		name string
 		load Load
-		want string // where the task goes once a has answered
+		want string // worker that gets the task after worker a has answered
 	}{
 		{"as the view says", Load{30, 60, .1, 0}, "a"},
 		{"full since the view", Load{-16, -32, .7, 0}, "b"},
@@ -57,7 +57,7 @@
 			actions := f.at(ms, request)
 			f.wantPlaced(actions, "")
 			if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "a" {
-				t.Fatalf("probed %v, want a once", got)
+				t.Fatalf("got probes %v, want one of worker a", got)
 			}
 			actions = f.at(20*ms, ProbeResult{Worker: "a", Outcome: Completed, Load: test.load})
 			for _, probe := range ofType[Probe](actions) {
@@ -77,11 +77,12 @@
 	f.at(ms, request)
 	actions := f.at(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
 	if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "b" {
-		t.Fatalf("probed %v, want b next", got)
+		t.Fatalf("got probes %v after the first one timed out, want one of worker b", got)
 	}
-	f.wantPlaced(f.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a") // the least suspect
+	// Both workers are suspect now, and the suspicion of a is lower.
+	f.wantPlaced(f.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a")
 	actions = f.at(10*suspicionHalflife, request)
 	if count := len(ofType[Place](actions)); count != 0 {
-		t.Errorf("a request with an attempt was placed %d times more", count)
+		t.Errorf("got %d more placements of a request that has an attempt, want 0", count)
 	}
 }
