--- a/placement/actions.go
+++ b/placement/actions.go
@@ -1,35 +1,35 @@
 package placement
 
-// This file owns the actions that a scheduler returns. It must never carry one out.
+// This file defines the actions that a scheduler returns. It must not carry them out.
 
-// Action is something that the scheduler does; one of the types below.
+// Action is an output of a [Scheduler]; its dynamic type is one of the types below.
 type Action interface{ action() }
 
-// Actions, to be taken in the order in which they are returned.
+// The types of Action. The caller carries actions out in the order in which they are returned.
 type (
-	// Place sends an offer to a worker, and abandons the attempt at a time.
+	// Place sends an offer to a worker, and abandons the attempt at AbandonAtUs.
 	Place struct {
 		RequestID, Worker string
 		AbandonAtUs       int64
 	}
-	// Reject responds that a retry is harmless. The caller adds the Retry-After.
+	// Reject responds to the client that a retry is harmless. The caller adds the Retry-After.
 	Reject struct{ RequestID string }
-	// Fail responds that the task may have run.
+	// Fail responds to the client that the task may have run.
 	Fail struct{ RequestID string }
-	// Migrate ends a running task, whose client submits it again.
+	// Migrate ends a running task and lets its client submit it again.
 	Migrate struct{ RequestID string }
 	// Probe asks a worker for its load.
 	Probe struct{ Worker string }
-	// WatchWorkers polls discovery for changes of the list.
+	// WatchWorkers polls discovery for changes to the list of workers.
 	WatchWorkers struct{ Active bool }
-	// RefreshWorkers asks discovery for a complete list.
+	// RefreshWorkers requests a complete list of workers from discovery.
 	RefreshWorkers struct{}
-	// CancelAttempt calls an attempt off.
+	// CancelAttempt cancels an attempt.
 	CancelAttempt struct {
 		RequestID string
 		Attempt   int
 	}
-	// SetTimer asks for a TimerFired after a time.
+	// SetTimer requests a [TimerFired] with the same Ref after OffsetUs.
 	SetTimer struct {
 		OffsetUs int64
 		Ref      string
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -2,29 +2,30 @@
 
 import "math"
 
-// This file owns the order of workers that is hashed from a program: schedulers that share
-// nothing meet at its first workers, so that tasks of a program find its code there. It must
-// never decide anything.
+// This file computes the preferred workers of a program by rendezvous hashing: the workers are ordered
+// by a hash of the program and the worker's name, and the first ones are preferred. Schedulers that
+// share no state thereby prefer the same workers, where the program's code is likely to be resident.
+// This file must not make decisions.
 
 const (
-	// programWorkers is over how many workers the tasks of a program are spread.
+	// programWorkers is the number of workers over which the tasks of a program are spread.
 	programWorkers = 12.0
-	// maxPreferredPrograms is for how many programs the first workers are remembered.
+	// maxPreferredPrograms is the maximum number of programs whose preferred workers are cached.
 	maxPreferredPrograms = 4096
 )
 
-// affinity remembers the first workers in the order hashed from a program.
+// affinity caches the preferred workers of programs.
 type affinity struct {
 	preferred map[uint64][]*workerInfo // by program
 }
 
 func newAffinity() *affinity { return &affinity{preferred: map[uint64][]*workerInfo{}} }
 
-// clear forgets everything, as workers came or went.
+// clear empties the cache. It must be called when workers are added, removed or reassigned.
 func (a *affinity) clear() { clear(a.preferred) }
 
-// workersFor returns the first workers for a program. They are taken from workers, whose name
-// hashes are given, of which some are assigned to this scheduler.
+// workersFor returns the preferred workers of a program. They are chosen from workers, whose name
+// hashes are in nameHashes and of which assigned are assigned to this scheduler.
 func (a *affinity) workersFor(
 	program uint64, workers []*workerInfo, nameHashes []uint64, assigned int,
 ) []*workerInfo {
@@ -36,7 +37,8 @@
 	}
 	var preferred []*workerInfo
 	programHash := mix(program)
-	// Most are excluded by comparing whole numbers: a rank below programWorkers has a hash over this.
+	// An integer comparison excludes most workers: a rank below programWorkers implies a hash above
+	// minHash.
 	minHash := uint64(max(0, 1-1.001*programWorkers/float64(max(1, assigned))) * math.MaxUint64)
 	for i := nextHash(nameHashes, 0, programHash, minHash); i < len(nameHashes); {
 		rank := hashedRank(mix(nameHashes[i]^programHash), assigned)
@@ -49,9 +51,9 @@
 	return preferred
 }
 
-// nextHash returns the first index, from one on, at which the hash of a name and a program is
-// minHash or more, or the number of names. It is a function of its own so that its loop is small:
-// it looks at all workers.
+// nextHash returns the first index, starting at from, at which the hash of a name and a program is at
+// least minHash, or len(nameHashes) if there is none. It is a separate function that is not inlined,
+// to keep the loop small, as the loop runs over all workers.
 //
 //go:noinline
 func nextHash(nameHashes []uint64, from int, programHash, minHash uint64) int {
@@ -63,8 +65,8 @@
 	return len(nameHashes)
 }
 
-// hashedRank is the place of a worker in the order hashed from a program, from the hash of
-// both. Only the workers assigned to this scheduler are counted.
+// hashedRank estimates the rank of a worker in the order hashed from a program, given the hash of both.
+// The order contains only the workers that are assigned to this scheduler.
 func hashedRank(hash uint64, assigned int) float64 {
 	return (1 - float64(hash)/math.MaxUint64) * float64(assigned)
 }
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// This file owns the effective capacity of workers: what they can carry without slowing
-// down, by what running tasks use of what they requested. It must never look at how much is
-// requested of a worker.
+// This file computes the effective capacity of workers: the requested cores and memory that they can
+// carry without slowing down, derived from the share of their requests that running tasks use. It must
+// not read how much is requested of a worker.
 
-// memorySaturation is the used part of its memory over which a worker slows down.
+// memorySaturation is the used fraction of a worker's memory above which the worker slows down.
 const memorySaturation = 0.92
 
-// capacityModel holds the effective capacity of workers.
+// capacityModel computes the effective capacity of workers.
 type capacityModel struct {
 	*environment
-	// baseline is the effective capacity of workers without calibration, over their size.
+	// baseline is the effective capacity of a worker without calibration, as fractions of the size of
+	// its kind.
 	baseline fractions
-	// requested and used are sums over the running tasks whose use was reported.
+	// requested and used are sums over the running tasks that reported their use.
 	requested, used [resourceCount]float64
-	// saturationLoad and saturationRange are the smallest of all classes: one level for a
-	// worker that any class may use.
+	// saturationLoad and saturationRange are the minima over all classes, since any class may use a
+	// worker.
 	saturationLoad, saturationRange float64
 }
 
@@ -32,8 +33,8 @@
 	return c
 }
 
-// updateBaseline computes the baseline: what workers accept or, where less, what brings the
-// use of cores and memory to where service degrades.
+// updateBaseline computes the baseline: the overcommit that workers accept or, if lower, the requested
+// fraction at which the use of cores or memory reaches the level where service degrades.
 func (c *capacityModel) updateBaseline() {
 	cores, memory := c.settings.CoresOvercommit, c.settings.MemoryOvercommit
 	if c.requested[resourceCores] > 0 && c.used[resourceCores] > 0 {
@@ -45,8 +46,8 @@
 	c.baseline = fractions{cores, memory}
 }
 
-// of returns the effective capacity of a worker of a known kind. Utilization is counted over
-// it, so that a worker with a utilization of 1 can carry no more.
+// of returns the effective capacity of a worker of a known kind. Utilization is relative to effective
+// capacity: a worker with a utilization of 1 can carry no more.
 func (c *capacityModel) of(worker *workerInfo) (cores, memory float64) {
 	kind := c.kindOf(worker)
 	worker.decayCalibration(c.now)
@@ -54,7 +55,7 @@
 		kind.Memory * c.baseline.memory * worker.calibration[resourceMemory]
 }
 
-// recordUsage takes a report of what a running task uses of a resource that it requested.
+// recordUsage records a report of how much a running task uses of a resource that it requested.
 func (c *capacityModel) recordUsage(task *taskInfo, r resource, used float64) {
 	requested := task.requested(r)
 	if task.usage[r] == 0 {
@@ -65,7 +66,7 @@
 	c.updateBaseline()
 }
 
-// forgetUsage takes a task that has ended out of the sums.
+// forgetUsage removes a task that has ended from the sums.
 func (c *capacityModel) forgetUsage(task *taskInfo) {
 	for r, usage := range task.usage {
 		if usage > 0 {
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -20,7 +20,7 @@
 	e := s.prepare()
 	m.measure(s.t, func() { s.run(e) })
 	s.finish(e)
-	s.show(s.elapse())
+	s.handleEach(s.advanceToNextRequest())
 }
 
 // measureRejection measures a rejection for lack of cores, after which another worker is selected.
@@ -45,7 +45,7 @@
 		s.handle(ClientCancelled{e.task.RequestID})
 	}
 	s.schedulerTasks = append(s.schedulerTasks, e.ended)
-	s.show(s.elapse())
+	s.handleEach(s.advanceToNextRequest())
 }
 
 // measureBurst measures the requests of a large job in one call. What they led to is
@@ -93,7 +93,7 @@
 	m.measure(s.t, func() { s.run(e) })
 	e.mustPlace(s)
 	s.finish(e)
-	s.show(s.elapse())
+	s.handleEach(s.advanceToNextRequest())
 }
 
 // --- Pending tasks ---
@@ -129,7 +129,7 @@
 	s.now += s.betweenUs / (2 * siteSchedulers)
 	worker := s.workers[s.random.IntN(len(s.workers))]
 	var actions []Action
-	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{worker.shown()}}) })
+	m.measure(s.t, func() { actions = s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{worker.currentEntry()}}) })
 	s.mustWait(actions)
 }
 
@@ -146,8 +146,8 @@
 func measureDrain(s *site, m *meter) {
 	var entries []Entry
 	for i, worker := range s.workers {
-		if i%drainedPart == 0 {
-			entry := worker.shown()
+		if i%drainEvery == 0 {
+			entry := worker.currentEntry()
 			entry.State = Draining
 			entries = append(entries, entry)
 		}
@@ -158,13 +158,13 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// loseZone measures the loss of a zone's workers in one event, and their restart.
-func loseZone(s *site, removal, restart *meter) {
+// measureZoneLoss measures the loss of a zone's workers in one event, and their restart.
+func measureZoneLoss(s *site, removal, restart *meter) {
 	const zone = "zone-1"
 	var entries []Entry
 	for _, worker := range s.workers {
 		if worker.entry.Zone == zone {
-			entry := worker.shown()
+			entry := worker.currentEntry()
 			entry.State = Removed
 			entries = append(entries, entry)
 		}
@@ -182,7 +182,7 @@
 	for i := range entries {
 		worker := s.byName[entries[i].Worker]
 		worker.entry.StartedAtUs, worker.requestedCores, worker.requestedMemory = s.now, 0, 0
-		entries[i] = worker.shown()
+		entries[i] = worker.currentEntry()
 	}
 	restart.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 }
@@ -190,7 +190,7 @@
 // warmingSite is a site of which a zone has just restarted.
 func warmingSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
-	loseZone(s, new(meter), new(meter))
+	measureZoneLoss(s, new(meter), new(meter))
 	return s
 }
 
@@ -261,7 +261,7 @@
 		s.service = append(s.service, e.task)
 		s.now += s.betweenUs
 	}
-	s.pass(20 * second)
+	s.advance(20 * second)
 	return s
 }
 
@@ -280,7 +280,7 @@
 	s.end(e.ended)
 	s.start(e.task, s.byName[e.place.Worker])
 	s.service = append(s.service, e.task)
-	s.show(s.elapse())
+	s.handleEach(s.advanceToNextRequest())
 }
 
 // hugeSite has a few empty workers, the only ones with free capacity for a huge task.
@@ -310,5 +310,5 @@
 	})
 	e.mustPlace(s)
 	s.now += second
-	s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{s.byName[e.place.Worker].shown()}})
+	s.handle(WorkerList{Kind: ListDelta, Entries: []Entry{s.byName[e.place.Worker].currentEntry()}})
 }
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -13,10 +13,10 @@
 var caseFlag = flag.String("case", "", "TestModuleSlopes: measure this case only")
 
 const (
-	// unitBound ends a case: what takes longer once is not measured at further sizes.
-	unitBound = 2 * time.Second
-	// caseBound is how long the units of one case may take at one size.
-	caseBound = 4 * time.Second
+	// maxUnitTime ends a case: what takes longer once is not measured at further sizes.
+	maxUnitTime = 2 * time.Second
+	// maxCaseTime is how long the units of one case may take at one size.
+	maxCaseTime = 4 * time.Second
 	// expensiveUnits is how many units are measured of events that concern the whole fleet.
 	expensiveUnits = 4
 	pendingTimeout = 3600 * second
@@ -26,7 +26,7 @@
 	hugeCores      = 40
 	hugeMemory     = 60
 	hugeWorkers    = 3
-	drainedPart    = 4 // one in so many workers is drained at once
+	drainEvery     = 4 // one in so many workers is drained at once
 	poorService    = 0.85
 	worstService   = 0.5
 	reportedQueue  = 1
@@ -53,8 +53,8 @@
 		{"refusal", units, warmSite, measureRejection},
 		{"burst_256", expensiveUnits, busySite, measureBurst},
 		{"drain_quarter", expensiveUnits, busySite, measureDrain},
-		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, m, new(meter)) }},
-		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, new(meter), m) }},
+		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, m, new(meter)) }},
+		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, new(meter), m) }},
 		{"request_cold_zone", units, warmingSite, measureExchange},
 		{"first_list", expensiveUnits, busySite, measureFirstList},
 		{"note_cores", units, busySite, reportCase(ReportCores, siteCoresUse)},
@@ -78,7 +78,7 @@
 // TestModuleSlopes measures how the cost of the other kinds of event grows with the
 // fleet. It asserts what each event leads to, never its time.
 func TestModuleSlopes(t *testing.T) {
-	holdThread(t)
+	lockToThread(t)
 	var table [][]float64
 	var series []plot.Series
 	for i, test := range eventCases() {
@@ -113,24 +113,24 @@
 
 // measureCase measures a case at one size, and reports whether it is to stop there.
 func measureCase(t *testing.T, test eventCase, workers int) (m *meter, stopped bool) {
-	holdThread(t)
+	lockToThread(t)
 	m = &meter{}
 	from := threadTime(t)
 	s := test.start(t, workers)
 	for range test.units {
 		before := m.spent
 		test.unit(s, m)
-		if m.spent-before > unitBound {
+		if m.spent-before > maxUnitTime {
 			stopped = true
 			break
 		}
-		if m.spent > caseBound {
+		if m.spent > maxCaseTime {
 			break
 		}
 	}
 	note := ""
 	if stopped {
-		note = fmt.Sprintf(" stopped=unit_over_%s", unitBound)
+		note = fmt.Sprintf(" stopped=unit_over_%s", maxUnitTime)
 	}
 	fmt.Printf("module: case=%s workers=%d us=%.1f allocs=%.1f%s\n", test.name, workers, m.us(), m.allocsEach(), note)
 	t.Logf("case=%s workers=%d units=%d total_s=%.2f", test.name, workers, m.units, (threadTime(t) - from).Seconds())
--- a/placement/events.go
+++ b/placement/events.go
@@ -1,9 +1,9 @@
 package placement
 
-// This file owns the events that a scheduler is given, and what they say of workers and tasks. It must
-// never decide anything.
+// This file defines the events that a scheduler takes, and the data about workers and tasks that they
+// carry. It must not make decisions.
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker in a list.
 type WorkerState int
 
 // The states of a worker.
@@ -11,53 +11,53 @@
 	Ready WorkerState = iota
 	Draining
 	Removed
-	// Foreign is listed and ready, and assigned to another orchestrator: it gets no offer here,
-	// and tasks that run there stay.
+	// Foreign is the state of a worker that is ready but assigned to another orchestrator. It gets no
+	// offers from this one, and tasks that run on it stay there.
 	Foreign
 )
 
-// Entry is one worker of a list.
+// Entry is the entry of one worker in a list.
 type Entry struct {
 	Worker                string
 	Kind, Zone            string
 	Cell                  int
-	StartedAtUs           int64 // 0: long ago
+	StartedAtUs           int64 // 0 if the worker started long ago
 	State                 WorkerState
-	FreeCores, FreeMemory float64 // not requested; below 0 where more was accepted; may be old if Foreign
-	// Uncordoned says that operators uncordoned it just now: it is to be used again.
+	FreeCores, FreeMemory float64 // not requested; negative if overcommitted; may be old if Foreign
+	// Uncordoned is true if operators have just uncordoned the worker, so that it can be used again.
 	Uncordoned bool
 }
 
-// ListKind says how a [WorkerList] changes the present list.
+// ListKind is the kind of a [WorkerList], which determines how it changes the current list.
 type ListKind int
 
 // The kinds of list.
 const (
-	ListDelta  ListKind = iota // changed entries only
+	ListDelta  ListKind = iota // contains only changed entries
 	ListFull                   // complete
-	ListCached                 // complete, from a cache, perhaps stale
-	ListFailed                 // a poll failed or the subscription broke
+	ListCached                 // complete, from a cache, possibly stale
+	ListFailed                 // no list: a poll failed or the subscription broke
 )
 
-// Outcome is how an attempt, or a probe, ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome int
 
 // The outcomes.
 const (
 	Completed     Outcome = iota + 1 // the task has ended
-	Failed                           // an error; it may have started
-	Rejected                         // it never ran
-	TimedOut                         // no answer; it may have been accepted
-	ConnectFailed                    // the worker was never reached
-	Reset                            // lost, or the answer was cut off
-	Cancelled                        // by this orchestrator
-	NeverSent                        // the offer did not leave
+	Failed                           // ended with an error; the task may have started
+	Rejected                         // by the worker; the task never ran
+	TimedOut                         // no answer; the worker may have accepted the task
+	ConnectFailed                    // no connection to the worker; the task never ran
+	Reset                            // the task was lost, or the answer was cut off
+	Cancelled                        // cancelled by this orchestrator
+	NeverSent                        // the offer did not leave this orchestrator
 )
 
-// neverStarted reports whether the outcome of an attempt says that the task never ran.
+// neverStarted reports whether the outcome of an attempt implies that the task never ran.
 func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
-// Cause is why an attempt ended, as the worker says.
+// Cause is the reason for the end of an attempt that the worker reports.
 type Cause int
 
 // The causes.
@@ -72,67 +72,67 @@
 	CauseDrained
 )
 
-// EndsTask reports whether only a task that its worker had accepted can end for the cause.
+// EndsTask reports whether the cause applies only to tasks that their worker had accepted.
 func (c Cause) EndsTask() bool { return c == CauseEvicted || c == CausePreempted || c == CauseDrained }
 
-// ReportKind is what a [TaskReport] says of a running task.
+// ReportKind is the kind of a [TaskReport], which determines the meaning of its value.
 type ReportKind int
 
 // The kinds of report.
 const (
-	ReportRunning        ReportKind = iota + 1
-	ReportCores                     // cores it uses
-	ReportMemory                    // memory it uses
-	ReportService                   // part of full service that it gets
-	ReportMemoryPressure            // part of its worker's memory in use
+	ReportRunning        ReportKind = iota + 1 // the task started to run; no value
+	ReportCores                                // cores that the task uses
+	ReportMemory                               // memory that the task uses
+	ReportService                              // fraction of full service that the task gets
+	ReportMemoryPressure                       // used fraction of its worker's memory
 )
 
-// Load is a worker's report of itself. A value that was not reported is NaN.
+// Load is the load that a worker reports. A value that it did not report is NaN.
 type Load struct {
 	FreeCores, FreeMemory, Utilization, Queued float64
 }
 
-// Task is what a request, or an adopted task, says of itself.
+// Task holds the properties of a request or of an adopted task.
 type Task struct {
 	RequestID     string
 	KeyHash       uint64
 	DeadlineUs    int64
 	Cores, Memory float64
 	Class         string
-	ExpectedRunUs int64 // expected run time; meaningful if HasRunHint
+	ExpectedRunUs int64 // expected run time; valid if HasRunHint
 	HasRunHint    bool
-	Retry         bool  // it came again after a rejection, failure, migration or loss
-	QueuedSinceUs int64 // since when its client waits; 0: since now
+	Retry         bool  // resubmitted after a rejection, failure, migration or loss
+	QueuedSinceUs int64 // when its client started to wait; 0 means now
 	Tenant        string
 	Program       uint64
 }
 
-// Event is something that happened; one of the types below.
+// Event is an input of a [Scheduler]; its dynamic type is one of the types below.
 type Event interface{ event() }
 
 // Events.
 type (
-	// WorkerList is a list of workers from discovery, or a change of one.
+	// WorkerList is a list of workers from discovery, or changes to one.
 	WorkerList struct {
 		Kind    ListKind
 		Entries []Entry
 	}
 	// Request is a request that arrived.
 	Request struct{ Task }
-	// Adopted is a running task that its client registered again after a restart.
+	// Adopted is a running task that its client registered again after a restart of the orchestrator.
 	Adopted struct {
 		Task
 		Worker string
 	}
-	// Accepted says that a worker accepted an attempt.
+	// Accepted reports that a worker accepted an attempt.
 	Accepted struct {
 		RequestID string
 		Attempt   int
 		Worker    string
 		RTTUs     int64
 	}
-	// AttemptEnded says that an attempt ended, or the running task that it became. No further
-	// attempt follows if it is final.
+	// AttemptEnded reports the end of an attempt, or of the running task that the attempt became. If
+	// Final is true, no further attempt of the request follows.
 	AttemptEnded struct {
 		RequestID string
 		Attempt   int
@@ -142,7 +142,7 @@
 		Final     bool
 		RTTUs     int64
 	}
-	// TaskReport is a report of a running task.
+	// TaskReport is a report about a running task.
 	TaskReport struct {
 		RequestID string
 		Attempt   int
@@ -150,30 +150,31 @@
 		Kind      ReportKind
 		Value     float64
 	}
-	// ProbeResult is the answer to a [Probe], or says that there is none.
+	// ProbeResult is the answer to a [Probe], or reports by its outcome that there was none.
 	ProbeResult struct {
 		Worker  string
 		Outcome Outcome
 		RTTUs   int64
 		Load    Load
 	}
-	// WorkerReachable says that a worker took a connection after one to it had failed or got no
-	// answer.
+	// WorkerReachable reports that a worker accepted a connection after an earlier one had failed or had
+	// got no answer.
 	WorkerReachable struct{ Worker string }
-	// WorkerUnreachable says that no connection to a worker is up and that the last one failed: it was
-	// refused or reset, did not come up in time, or carried nothing back. WorkerReachable follows once
-	// one is up.
+	// WorkerUnreachable reports that no connection to a worker is open and that the last one failed: it
+	// was refused or reset, was not established in time, or carried no data back. WorkerReachable
+	// follows once a connection is open.
 	WorkerUnreachable struct{ Worker string }
-	// Backpressure says at what rate capacity becomes free while tasks wait for it, in units a
-	// second (see Settings.Units), 0 where that is not known or nothing waits; and how many units
-	// each class is to leave to those of more weight that are on their way.
+	// Backpressure reports the release rate, at which capacity becomes free while tasks wait for it, in
+	// units per second (see Settings.Units); it is 0 if the rate is not known or no task waits. Reserved
+	// is the number of units that each class must leave free for expected tasks of classes with more
+	// weight.
 	Backpressure struct {
 		ReleaseRate float64
 		Reserved    []float64 // by class, or nil
 	}
-	// TimerFired says that the time of a [SetTimer] has come.
+	// TimerFired reports that the time of a [SetTimer] has come.
 	TimerFired struct{ Ref string }
-	// ClientCancelled says that a client no longer wants its request.
+	// ClientCancelled reports that a client cancelled its request.
 	ClientCancelled struct{ RequestID string }
 )
 
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -217,7 +217,7 @@
 		event.Outcome = TimedOut
 	}
 	kind := h.kindOf(h.entries[h.index[worker]])
-	event.Load = Load{kind.Cores * (1 - h.level*h.random.Float64()*1.2), kind.Memory * (1 - h.level*h.random.Float64()*1.2),
+	event.Load = Load{kind.Cores * (1 - h.utilization*h.random.Float64()*1.2), kind.Memory * (1 - h.utilization*h.random.Float64()*1.2),
 		h.random.Float64() * 1.1, float64(h.random.IntN(6))}
 	switch h.pick(80, 10, 5, 5) {
 	case 1:
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -21,7 +21,7 @@
 	mostlyFailing             // most attempts fail
 	mostlyWarmingUp           // most workers came up just now
 	mostlyIdle                // many workers are equally empty
-	conditions                // how many there are
+	conditionCount            // how many there are
 )
 
 // The largest of what is drawn.
@@ -49,7 +49,7 @@
 	running      []Place         // accepted
 	probed       []string        // workers with a probe that has no answer
 	requestCount int
-	level        float64 // utilization of the workers
+	utilization  float64 // utilization of the workers
 	stepCount    int
 	record       func(now int64, events []Event) // what is handed over, or nil
 }
@@ -58,8 +58,8 @@
 	t.Helper()
 	h := &history{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), now: 1000 * second, index: map[string]int{},
 		attempts: map[string]int{}, unfinished: map[string]Task{}}
-	h.condition = condition(h.random.IntN(int(conditions)))
-	h.level = [conditions]float64{0.5, 1, 0.6, 0.5, 0}[h.condition]
+	h.condition = condition(h.random.IntN(int(conditionCount)))
+	h.utilization = [conditionCount]float64{0.5, 1, 0.6, 0.5, 0}[h.condition]
 	scheduler, err := New(h.settings(), seed)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	if h.chance(0.03) {
 		entry.Kind = "unknown"
 	}
-	if h.chance([conditions]float64{0.05, 0.05, 0.05, 0.7, 0.02}[h.condition]) {
+	if h.chance([conditionCount]float64{0.05, 0.05, 0.05, 0.7, 0.02}[h.condition]) {
 		entry.StartedAtUs = h.now - h.random.Int64N(12*second)
 	}
 	return h.drawFreeCapacity(entry, kind)
@@ -140,7 +140,7 @@
 // drawFreeCapacity draws the free capacity that the list shows, in quarters so that ties are common.
 func (h *history) drawFreeCapacity(entry Entry, kind Kind) Entry {
 	quarter := func(v float64) float64 { return math.Round(v*4) / 4 }
-	requested := h.level
+	requested := h.utilization
 	if h.condition != mostlyIdle || h.chance(0.1) {
 		requested += (h.random.Float64() - 0.5) * 0.3
 	}
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -11,10 +11,10 @@
 
 // selection is what a full scan comes to.
 type selection struct {
-	must, may []*workerInfo // the draw is among all of must and any of may, which holds must too
-	wide      []*workerInfo // within twice the margin
-	many      bool          // more can be selected than are looked at one by one
-	path      string        // on what path
+	required, permitted []*workerInfo // the draw is among all of must and any of may, which holds must too
+	withinTwiceMargin   []*workerInfo // within twice the margin
+	sampled             bool          // more can be selected than are looked at one by one
+	path                string        // on what path
 }
 
 // The paths of a selection.
@@ -110,10 +110,10 @@
 		lowest = min(lowest, costs[i])
 	}
 	for i, worker := range workers {
-		if costs[i] <= lowest+costMargin-referenceSlack {
+		if costs[i] <= lowest+costMargin-referenceTolerance {
 			must = append(must, worker)
 		}
-		if costs[i] <= lowest+costMargin+referenceSlack {
+		if costs[i] <= lowest+costMargin+referenceTolerance {
 			may = append(may, worker)
 		}
 		if costs[i] <= lowest+2*costMargin {
@@ -125,17 +125,17 @@
 
 // matches reports whether workers are what this selection draws among.
 func (s selection) matches(got []*workerInfo) bool {
-	if s.many { // a part of them is drawn from
-		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.wide, worker) })
+	if s.sampled { // a part of them is drawn from
+		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.withinTwiceMargin, worker) })
 	}
 	seen := map[*workerInfo]bool{}
 	for _, worker := range got {
-		if seen[worker] || !slices.Contains(s.may, worker) {
+		if seen[worker] || !slices.Contains(s.permitted, worker) {
 			return false
 		}
 		seen[worker] = true
 	}
-	for _, worker := range s.must {
+	for _, worker := range s.required {
 		if !seen[worker] {
 			return false
 		}
@@ -143,9 +143,9 @@
 	return true
 }
 
-// eachFlip calls f with the candidates, then with those at a border of free capacity decided
+// acceptsAnyVariant calls f with the candidates, then with those at a border of free capacity decided
 // the other way in every combination, until f is satisfied.
-func eachFlip(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
+func acceptsAnyVariant(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
 	if accept(list) {
 		return true, false
 	}
@@ -155,7 +155,7 @@
 			border = append(border, i)
 		}
 	}
-	border = border[:min(len(border), maxFlips)]
+	border = border[:min(len(border), maxBorderFlips)]
 	for set := 1; set < 1<<len(border); set++ {
 		changed := slices.Clone(list)
 		for bit, i := range border {
@@ -175,9 +175,9 @@
 func (r *reference) compareFinalists(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
 	list := r.candidates(task)
 	want := r.selectFrom(list, task)
-	ok, flipped := eachFlip(list, func(variant []candidate) bool { return r.selectFrom(variant, task).matches(got) })
+	ok, flipped := acceptsAnyVariant(list, func(variant []candidate) bool { return r.selectFrom(variant, task).matches(got) })
 	if !ok {
-		err = fmt.Errorf("task %+v, priority %v: finalists %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.path, names(want.may))
+		err = fmt.Errorf("task %+v, priority %v: finalists %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.path, names(want.permitted))
 	}
 	return want.path, flipped, err
 }
@@ -191,7 +191,7 @@
 			list = append(list, candidate{other, true, fits, border})
 		}
 	}
-	ok, flipped := eachFlip(list, func(variant []candidate) bool {
+	ok, flipped := acceptsAnyVariant(list, func(variant []candidate) bool {
 		return got == slices.ContainsFunc(variant, func(candidate candidate) bool { return candidate.fits })
 	})
 	if !ok {
@@ -216,7 +216,7 @@
 			lowest = min(lowest, needs[worker])
 		}
 		for worker, need := range needs {
-			if need <= lowest+referenceSlack {
+			if need <= lowest+referenceTolerance {
 				want = append(want, worker)
 			}
 		}
@@ -240,10 +240,10 @@
 		name      string
 		got, want float64
 	}{
-		{"utilization of the fleet", utilization, r.utilizationOfFleet}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.totalRequestedCores(), r.requestedCores()},
+		{"utilization of the fleet", utilization, r.fleetUtilization}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.totalRequestedCores(), r.requestedCores()},
 		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"concurrent cores", others[0], wantOthers[0]}, {"concurrent memory", others[1], wantOthers[1]},
 	} {
-		if test.got != test.want && math.Abs(test.got-test.want) > referenceSlack*max(1, math.Abs(test.want)) {
+		if test.got != test.want && math.Abs(test.got-test.want) > referenceTolerance*max(1, math.Abs(test.want)) {
 			return fmt.Errorf("%s: %v, the full scan gives %v", test.name, test.got, test.want)
 		}
 	}
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -12,24 +12,24 @@
 // can be compared with it.
 
 const (
-	// referenceSlack is how near a border a value may lie to count on either side.
-	referenceSlack = 1e-9
-	// maxFlips is up to how many workers at a border of free capacity are tried both ways.
-	maxFlips = 5
+	// referenceTolerance is how near a border a value may lie to count on either side.
+	referenceTolerance = 1e-9
+	// maxBorderFlips is up to how many workers at a border of free capacity are tried both ways.
+	maxBorderFlips = 5
 )
 
 // reference looks at the workers of a scheduler as they are.
 type reference struct {
-	scheduler          *Scheduler
-	workers            []*workerInfo // by name
-	utilizationOfFleet float64       // of the fleet
-	meanCores          float64       // of the fleet
+	scheduler        *Scheduler
+	workers          []*workerInfo // by name
+	fleetUtilization float64       // of the fleet
+	meanCores        float64       // of the fleet
 }
 
 func newReference(scheduler *Scheduler) *reference {
 	r := &reference{scheduler: scheduler, workers: slices.Collect(maps.Values(scheduler.fleet.workers))}
 	slices.SortFunc(r.workers, func(a, b *workerInfo) int { return cmp.Compare(a.Worker, b.Worker) })
-	r.utilizationOfFleet, r.meanCores = r.means()
+	r.fleetUtilization, r.meanCores = r.means()
 	return r
 }
 
@@ -298,7 +298,7 @@
 		memory += min(scheduler.overload.contention*kind.Memory, max(0, worker.FreeMemory-worker.sustainedFree[resourceMemory])) + scheduler.overload.concurrent[1]*kind.Memory
 	}
 	withinBound := func(value, bound float64) bool {
-		border = border || math.Abs(value-bound) <= referenceSlack*max(1, bound)
+		border = border || math.Abs(value-bound) <= referenceTolerance*max(1, bound)
 		return value <= bound
 	}
 	if !withinBound(cores+task.Cores, kind.Cores*scheduler.settings.CoresOvercommit) || !withinBound(memory+task.Memory, kind.Memory*scheduler.settings.MemoryOvercommit) {
@@ -347,7 +347,7 @@
 
 func (r *reference) cost(worker *workerInfo, task *taskInfo) float64 {
 	cores := r.scheduler.settings.Kinds[worker.kindIndex].Cores
-	utilization := min(r.utilizationOfFleet, maxUtilization)
+	utilization := min(r.fleetUtilization, maxUtilization)
 	backlog := utilization
 	if r.scheduler.settings.HasView {
 		backlog = r.utilization(worker)
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// This file owns which programs are resident on which workers. It must never decide anything.
+// This file tracks which programs are resident on which workers. It must not make decisions.
 
-// maxIdlePrograms is of how many programs, after their last task, a worker is taken to keep
-// the code: as many as workers keep at least.
+// maxIdlePrograms is the maximum number of idle programs, those without an attempt or task, that
+// count as resident on a worker. Workers keep the code of at least as many programs after the last
+// task of each.
 const maxIdlePrograms = 4
 
 // residents holds the resident programs of all workers.
 type residents struct {
-	workers map[uint64][]*workerInfo // by program, in no order
-	// version counts the changes of resident programs, and of the domains of workers.
+	workers map[uint64][]*workerInfo // by program, unordered
+	// version is incremented on each change to resident programs or to the domains of workers.
 	version int64
 }
 
 func newResidents() *residents { return &residents{workers: map[uint64][]*workerInfo{}} }
 
-// domainsChanged notes that a worker may be in other domains than before.
+// domainsChanged records that the cell or zone of a worker may have changed.
 func (r *residents) domainsChanged() { r.version++ }
 
-// add notes an attempt or task more of a program on a worker.
+// add counts one more attempt or task of a program on a worker, which makes the program resident.
 func (r *residents) add(worker *workerInfo, program uint64) {
 	resident := worker.residentPrograms[program]
 	if resident == nil {
@@ -34,8 +35,8 @@
 	r.version++
 }
 
-// end notes that an attempt or task of a program ended on a worker. Of the programs without
-// any, the ones that ended last stay resident.
+// end records that an attempt or task of a program ended on a worker. If the worker then has more
+// than maxIdlePrograms idle programs, the one that has been idle the longest is removed.
 func (r *residents) end(worker *workerInfo, program uint64, now int64) {
 	worker.active--
 	resident := worker.residentPrograms[program]
@@ -53,7 +54,7 @@
 	}
 }
 
-// removeIdle forgets the programs of a worker that have no attempt or task.
+// removeIdle removes the programs without an attempt or task from a worker.
 func (r *residents) removeIdle(worker *workerInfo) {
 	for program, resident := range worker.residentPrograms {
 		if resident.active == 0 {
@@ -62,14 +63,15 @@
 	}
 }
 
-// removeAll forgets all programs of a worker.
+// removeAll removes all programs from a worker.
 func (r *residents) removeAll(worker *workerInfo) {
 	for program := range worker.residentPrograms {
 		r.remove(worker, program)
 	}
 }
 
-// remove forgets a program on a worker. The last of the program's workers takes its place.
+// remove removes a program from a worker. In the program's list of workers, the last worker takes
+// the place of the removed one.
 func (r *residents) remove(worker *workerInfo, program uint64) {
 	delete(worker.residentPrograms, program)
 	r.version++
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -1,23 +1,23 @@
 package placement
 
-// This file owns the settings of a scheduler. It must never check them (settingscheck.go) nor decide
-// anything.
+// This file defines the settings of a scheduler. It must neither check them, which settingscheck.go does,
+// nor make decisions.
 
-// Effect says what repeating a task of a class may do.
+// Effect states whether the tasks of a class may run more than once.
 type Effect int
 
-// The kinds of effect.
+// The values of Effect.
 const (
-	Safe   Effect = iota + 1 // may run any number of times
-	Keyed                    // workers of a group discard repeats for a while
-	Unsafe                   // must never run twice
+	Safe   Effect = iota + 1 // a task may run any number of times
+	Keyed                    // the workers of a group discard repeats for a limited time
+	Unsafe                   // a task must never run twice
 )
 
-// Scope names the workers that something holds for: a group that discards repeats, or a
-// domain in which tasks of a program are counted.
+// Scope is the set of workers to which a rule applies: a group that discards repeats, or a domain in which
+// the tasks of a program are counted.
 type Scope int
 
-// The scopes.
+// The values of Scope.
 const (
 	ScopeNone Scope = iota
 	ScopeWorker
@@ -26,75 +26,79 @@
 	ScopeAll
 )
 
-// Class describes one class of tasks.
+// Class holds the settings of one class of tasks.
 type Class struct {
 	Name            string
 	Effect          Effect
-	Group           Scope   // Keyed: ScopeAll, ScopeZone or ScopeCell
-	WindowUs        int64   // Keyed: how long a group discards repeats
-	ObjectiveUs     int64   // latency objective: a start within this time earns the full weight
-	DeadlineUs      int64   // how long a client waits
-	Weight          float64 // of one second of full service at mean size
-	StartBonusS     float64 // a start in time is worth so many seconds of service
-	Kind            int     // index of the kind of worker required, or -1
-	Spread          Scope   // domain in which tasks of one program are counted, or ScopeNone
-	MaxPerDomain    int     // tasks of one program in one such domain
-	SaturationLoad  float64 // part of cores in use up to which service is full
-	SaturationRange float64 // there is no service at SaturationLoad+SaturationRange
+	Group           Scope   // only if Keyed: ScopeAll, ScopeZone or ScopeCell
+	WindowUs        int64   // only if Keyed: time for which a group discards repeats
+	ObjectiveUs     int64   // latency objective: a start within this time earns StartBonusS
+	DeadlineUs      int64   // time for which a client waits for a response
+	Weight          float64 // priority weight of one second of full service at mean size
+	StartBonusS     float64 // value of a start within the objective, in seconds of service
+	Kind            int     // index of the required kind of worker in Settings.Kinds, or -1
+	Spread          Scope   // domain in which the tasks of a program are counted, or ScopeNone
+	MaxPerDomain    int     // maximum number of tasks of a program in one such domain
+	SaturationLoad  float64 // used fraction of the cores up to which service is full
+	SaturationRange float64 // service is 0 at a load of SaturationLoad+SaturationRange
 }
 
-// Kind describes one kind of worker.
+// Kind holds the settings of one kind of worker.
 type Kind struct {
 	Name   string
 	Cores  float64
 	Memory float64
 }
 
-// Tenant describes one tenant and its quota of the requested cores.
+// Tenant holds the name of a tenant and its quota, in requested cores.
 type Tenant struct {
 	Name       string
 	QuotaCores float64
 }
 
-// Settings are what a scheduler is given when it is created.
+// Settings hold the parameters of a scheduler, which [New] takes. Fields with the suffix Us are in
+// microseconds.
 type Settings struct {
-	SelfIndex, FleetSize int // this scheduler's number, and how many there are
+	SelfIndex, FleetSize int // number of this scheduler, from 0; number of schedulers
 	Zone                 string
 	Classes              []Class
 	Kinds                []Kind
 	Tenants              []Tenant
-	OverQuotaWeight      float64 // weight of a task beyond its tenant's quota, as a part
+	OverQuotaWeight      float64 // factor on the priority of tasks of a tenant beyond its quota
 
-	PollsDiscovery     bool // discovery answers only when polled
-	PollWithinUs       int64
-	HasView            bool // list entries have the free capacity
-	AcceptMeansRunning bool // Accepted means running, not merely accepted
-	Probes             bool // Probe is permitted, and reports what the scheduler can use
-	Pings              bool // workers may be sent pings at all
-	RetryAfter         bool // rejected clients may be given a Retry-After
-	Cancel             bool // CancelAttempt is permitted
-	ReportsUsage       bool // reports have what is not used rather than what is not requested
-	ReportsFree        bool // reports of probes have the free capacity (x0 and x1)
+	PollsDiscovery     bool  // discovery answers only when it is polled
+	PollWithinUs       int64 // time within which discovery is to be polled again
+	HasView            bool  // list entries contain the free capacity
+	AcceptMeansRunning bool  // an Accepted event means that the task runs, not only that it was accepted
+	Probes             bool  // Probe is permitted, and reports contain data that the scheduler can use
+	Pings              bool  // workers may be sent pings
+	RetryAfter         bool  // rejected clients may get a Retry-After
+	Cancel             bool  // CancelAttempt is permitted
+	ReportsUsage       bool  // free capacity in reports is what is not used, rather than not requested
+	ReportsFree        bool  // reports of probes contain the free capacity (x0 and x1)
 
-	CoresOvercommit  float64 // workers accept up to this multiple of their cores
-	MemoryOvercommit float64 // and of their memory
-	UnitCores        float64 // a task's size is the mean of cores over this
-	UnitMemory       float64 // and of memory over this
-	MaxAttempts      int     // attempts for each request; 0: unlimited
+	CoresOvercommit  float64 // maximum requested cores that workers accept, as a multiple of their cores
+	MemoryOvercommit float64 // maximum requested memory, as a multiple of their memory
+	// UnitCores and UnitMemory are the size of a mean task. For Class.Weight, the size of a task is the mean
+	// of cores/UnitCores and memory/UnitMemory; Units returns the larger of the two.
+	UnitCores   float64
+	UnitMemory  float64
+	MaxAttempts int // maximum number of attempts for each request; 0: unlimited
 
-	MigrationCost float64 // of migrating each task once, as a part of all weight
+	MigrationCost float64 // cost of migrating every task once, as a fraction of the total weight
 
 	AnswerSlackUs     int64
-	DrainGraceUs      int64
-	ColdStartRate     float64 // rate of starts on a worker that just started, over that of a warm one
-	WarmUpUs          int64   // a worker is warm so long after its start
-	SlowStartWindowUs int64
-	SlowStartOffers   float64 // of all schedulers to a worker that warms up, in any such window
-	TickUs            int64   // how often the caller looks at the clock
-	MaxRetryAfterUs   int64   // longest Retry-After that clients honour
+	DrainGraceUs      int64   // time for which a draining worker may get offers
+	ColdStartRate     float64 // rate of task starts on a newly started worker, relative to a warm one
+	WarmUpUs          int64   // time from the start of a worker until it is warm
+	SlowStartWindowUs int64   // window in which SlowStartOffers counts offers
+	SlowStartOffers   float64 // maximum offers of all schedulers to a warming worker in a window
+	TickUs            int64   // interval at which the caller checks the clock
+	MaxRetryAfterUs   int64   // longest Retry-After that clients honor
 }
 
-// Units is the size of a task in mean tasks, by the larger of cores and memory.
+// Units returns the size of a task as a multiple of a mean task: the larger of its sizes in cores and in
+// memory. It returns 1 if the size of a mean task is not set.
 func (s *Settings) Units(cores, memory float64) float64 {
 	if s.UnitCores <= 0 || s.UnitMemory <= 0 {
 		return 1
--- a/placement/settingscheck.go
+++ b/placement/settingscheck.go
@@ -2,20 +2,22 @@
 
 import "errors"
 
-// This file owns the checks of the settings. It must never change a setting. The texts are settled,
-// since operators read them: some name a setting as deployments do (CoresMultiple, MemoryMultiple,
-// FreshOffers, AttemptsCap), others by the field here, and a few in words ("Apart" is Class.Spread).
+// This file checks the settings. It must not change a setting. The error texts must stay as they are,
+// since operators read them. Some name a setting as deployments do (CoresMultiple, MemoryMultiple,
+// FreshOffers, AttemptsCap), others by its field in Settings, and a few in words ("Apart" stands for
+// Class.Spread).
 
-// SettingError is an error of [New]: a setting is missing or contradicts another.
+// SettingError is the error that [New] returns for a setting that is missing, invalid or contradicts
+// another one.
 type SettingError struct {
-	Setting string // its name, as the top of the file says
+	Setting string // the name that operators know: a deployment's, a field's or a description
 	Problem string
 }
 
-// Error names the setting and the problem.
+// Error returns the name of the setting and the problem.
 func (e *SettingError) Error() string { return e.Setting + " " + e.Problem }
 
-// check returns a [SettingError] for each invalid setting, joined, or nil.
+// check returns a [SettingError] for each invalid setting, joined with [errors.Join], or nil.
 func (s *Settings) check() error {
 	var errs []error
 	require := func(ok bool, setting, problem string) {
@@ -42,7 +44,7 @@
 	return errors.Join(errs...)
 }
 
-// checkClass checks one class; require notes what does not hold.
+// checkClass checks the settings of one class. It passes the result of each check to require.
 func (s *Settings) checkClass(class *Class, require func(ok bool, setting, problem string)) {
 	name := "Class " + class.Name + ": "
 	require(class.Name != "", "a Class", "has no Name")
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -88,8 +88,8 @@
 	return float64(m.durations.Percentile(q)) / float64(time.Microsecond)
 }
 
-// holdThread keeps a test on one thread, as meter needs it.
-func holdThread(t *testing.T) {
+// lockToThread keeps a test on one thread, as meter needs it.
+func lockToThread(t *testing.T) {
 	runtime.LockOSThread()
 	t.Cleanup(runtime.UnlockOSThread)
 }
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -27,7 +27,7 @@
 	siteCoresUse     = 0.9 // part of the requested cores that tasks use
 	siteMemoryUse    = 0.85
 	siteUtilization  = 0.65 // of the effective capacity
-	siteChoices      = 16   // workers among which another scheduler selects
+	sampledWorkers   = 16   // workers among which another scheduler selects
 	spreadClass      = "service"
 	siteDeadline     = 10 * second
 	programTaskLimit = 256
@@ -86,8 +86,8 @@
 	return max(w.requestedCores/w.cores, w.requestedMemory/w.memory)
 }
 
-// shown is the worker's entry as of now.
-func (w *siteWorker) shown() Entry {
+// currentEntry is the worker's entry as of now.
+func (w *siteWorker) currentEntry() Entry {
 	entry := w.entry
 	entry.FreeCores, entry.FreeMemory = w.cores-w.requestedCores, w.memory-w.requestedMemory
 	return entry
@@ -101,8 +101,8 @@
 
 // siteJob is a job whose tasks are still coming.
 type siteJob struct {
-	task Task // what its tasks have in common
-	left int
+	task      Task // what its tasks have in common
+	remaining int
 }
 
 // site is a scheduler with its surroundings.
@@ -127,8 +127,8 @@
 }
 
 type siteChange struct {
-	shownAt int64
-	entry   Entry
+	visibleAt int64
+	entry     Entry
 }
 
 type siteReport struct {
@@ -160,7 +160,7 @@
 	}
 	s.handle(WorkerList{Kind: ListFull, Entries: s.entries()})
 	s.adoptTasks()
-	s.pass(20 * second)
+	s.advance(20 * second)
 	return s
 }
 
@@ -169,7 +169,7 @@
 func (s *site) fill(running int) {
 	for i := range running {
 		task := &siteTask{Task: s.nextTask()}
-		s.start(task, s.emptiest())
+		s.start(task, s.leastUtilizedOfSample())
 		if i%siteSchedulers == 0 {
 			s.schedulerTasks = append(s.schedulerTasks, task)
 		} else {
@@ -205,7 +205,7 @@
 func (s *site) entries() []Entry {
 	entries := make([]Entry, len(s.workers))
 	for i, worker := range s.workers {
-		entries[i] = worker.shown()
+		entries[i] = worker.currentEntry()
 	}
 	return entries
 }
@@ -221,7 +221,7 @@
 	s.requestCount++
 	task.RequestID = fmt.Sprint("task-", s.requestCount)
 	task.DeadlineUs = s.now + siteDeadline
-	if job.left--; job.left == 0 {
+	if job.remaining--; job.remaining == 0 {
 		s.jobs = append(s.jobs[:i], s.jobs[i+1:]...)
 	}
 	return task
@@ -248,9 +248,9 @@
 	return siteJob{task, size}
 }
 
-// emptiest is the worker that a scheduler with a similar view would select, roughly.
-func (s *site) emptiest() (best *siteWorker) {
-	for range siteChoices {
+// leastUtilizedOfSample is the worker that a scheduler with a similar view would select, roughly.
+func (s *site) leastUtilizedOfSample() (best *siteWorker) {
+	for range sampledWorkers {
 		worker := s.workers[s.random.IntN(len(s.workers))]
 		if best == nil || worker.utilization() < best.utilization() {
 			best = worker
@@ -272,7 +272,7 @@
 }
 
 func (s *site) changed(worker *siteWorker) {
-	s.changes = append(s.changes, siteChange{s.now + siteViewDelay, worker.shown()})
+	s.changes = append(s.changes, siteChange{s.now + siteViewDelay, worker.currentEntry()})
 }
 
 func (s *site) handle(events ...Event) []Action { return s.scheduler.Handle(s.now, events) }
@@ -287,17 +287,17 @@
 	return task
 }
 
-// elapse is what happens on the rest of the fleet until the next request: every other
+// advanceToNextRequest is what happens on the rest of the fleet until the next request: every other
 // scheduler starts a task and ends one. It returns the list entries that are shown
 // now, and hands over the reports of tasks that began to run.
-func (s *site) elapse() (changes []Event) {
+func (s *site) advanceToNextRequest() (changes []Event) {
 	for range siteSchedulers - 1 {
 		if len(s.otherTasks) == 0 {
 			break
 		}
 		s.end(s.takeRandom(&s.otherTasks))
 		task := &siteTask{Task: s.nextTask()}
-		s.start(task, s.emptiest())
+		s.start(task, s.leastUtilizedOfSample())
 		s.otherTasks = append(s.otherTasks, task)
 	}
 	s.now += s.betweenUs
@@ -307,15 +307,15 @@
 		events := append(s.usageReports(task), TaskReport{task.RequestID, 0, task.worker.entry.Worker, ReportRunning, 0})
 		s.handle(events...)
 	}
-	for len(s.changes) > 0 && s.changes[0].shownAt <= s.now {
+	for len(s.changes) > 0 && s.changes[0].visibleAt <= s.now {
 		changes = append(changes, WorkerList{Kind: ListDelta, Entries: []Entry{s.changes[0].entry}})
 		s.changes = s.changes[1:]
 	}
 	return changes
 }
 
-// show hands over list entries, each in a call of its own.
-func (s *site) show(changes []Event) {
+// handleEach hands over list entries, each in a call of its own.
+func (s *site) handleEach(changes []Event) {
 	for _, event := range changes {
 		s.handle(event)
 	}
@@ -327,13 +327,13 @@
 		e := s.prepare()
 		s.run(e)
 		s.finish(e)
-		s.show(s.elapse())
+		s.handleEach(s.advanceToNextRequest())
 	}
 	s.unplaced = 0
 }
 
-// pass lets time pass without requests, and shows what changed.
-func (s *site) pass(us int64) {
+// advance lets time advance without requests, and shows what changed.
+func (s *site) advance(us int64) {
 	s.now += us
 	var entries []Entry
 	for _, c := range s.changes {
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -31,20 +31,20 @@
 // slopeRow is what was measured at one size.
 type slopeRow struct {
 	workers               int
-	requests, shown       meter
+	requests, listEntries meter
 	utilization, unplaced float64
 }
 
 // TestDecisionSlope measures how the cost of a request with its answer and the end of
 // another task, and of a list entry, grows with the fleet. It asserts counts only.
 func TestDecisionSlope(t *testing.T) {
-	holdThread(t)
+	lockToThread(t)
 	var rows []*slopeRow
 	for _, count := range sizes(t, *workersFlag) {
 		r := measureSlope(t, count)
 		rows = append(rows, r)
 		fmt.Printf("slope: workers=%d request_us=%.1f list_entry_us=%.2f allocs=%.1f bytes=%.0f\n",
-			count, r.requests.us(), r.shown.us(), r.requests.allocsEach(), r.requests.bytesEach())
+			count, r.requests.us(), r.listEntries.us(), r.requests.allocsEach(), r.requests.bytesEach())
 		t.Logf("workers=%d asked=%.3f request_p50_us=%.1f request_p99_us=%.1f unplaced=%.3f",
 			count, r.utilization, r.requests.percentileUs(50), r.requests.percentileUs(99), r.unplaced)
 		if r.unplaced > maxUnplaced {
@@ -72,8 +72,8 @@
 			row.requests.time(t, 1, func() { fleetSite.run(drawn) })
 		}
 		fleetSite.finish(drawn)
-		changes := fleetSite.elapse()
-		row.shown.time(t, len(changes), func() { fleetSite.show(changes) })
+		changes := fleetSite.advanceToNextRequest()
+		row.listEntries.time(t, len(changes), func() { fleetSite.handleEach(changes) })
 	}
 	row.unplaced = float64(fleetSite.unplaced) / float64(*unitsFlag)
 	return row
@@ -87,9 +87,9 @@
 	for _, row := range rows {
 		workers := float64(row.workers)
 		request.X, request.Y = append(request.X, workers), append(request.Y, row.requests.us())
-		entry.X, entry.Y = append(entry.X, workers), append(entry.Y, row.shown.us())
-		table = append(table, []float64{workers, row.requests.us(), row.shown.us(), row.requests.allocsEach(), row.requests.bytesEach(),
-			row.requests.percentileUs(50), row.requests.percentileUs(99), row.shown.percentileUs(50), row.shown.percentileUs(99),
+		entry.X, entry.Y = append(entry.X, workers), append(entry.Y, row.listEntries.us())
+		table = append(table, []float64{workers, row.requests.us(), row.listEntries.us(), row.requests.allocsEach(), row.requests.bytesEach(),
+			row.requests.percentileUs(50), row.requests.percentileUs(99), row.listEntries.percentileUs(50), row.listEntries.percentileUs(99),
 			row.utilization, row.unplaced, float64(*seedFlag)})
 	}
 	fmt.Printf("slope: exponent_request=%.3f exponent_list=%.3f\n",
--- a/placement/task.go
+++ b/placement/task.go
@@ -2,49 +2,49 @@
 
 import "slices"
 
-// This file owns what is remembered of one request, its attempts and its running task. It
-// must never look at other tasks or at the settings.
+// This file holds the state of one request, its attempts and its running task. It must not read other
+// tasks or the settings.
 
-// attemptInfo is one offer to a worker, or a task that was adopted.
+// attemptInfo is the state of one offer to a worker, or of an adopted task.
 type attemptInfo struct {
 	worker           *workerInfo
 	sentAt           int64
-	awaitingResponse bool // it was neither accepted nor ended
+	awaitingResponse bool // neither accepted nor ended yet
 	ended            bool
-	starting         bool // it was accepted and does not run yet
-	failed           bool // it ended with an error
+	starting         bool // accepted, but not running yet
+	failed           bool // ended with an error
 }
 
-// stopWaiting notes that the attempt awaits no response any more.
+// stopWaiting records that the attempt no longer awaits a response.
 func (a *attemptInfo) stopWaiting() {
 	a.awaitingResponse = false
 	isThis := func(other *attemptInfo) bool { return a == other }
 	a.worker.unanswered = slices.DeleteFunc(a.worker.unanswered, isThis)
 }
 
-// taskInfo is a request that awaits its response, or a task that runs.
+// taskInfo is the state of a request that awaits its response, or of a running task.
 type taskInfo struct {
 	Task
 	classIndex  int
 	arrivedAt   int64
-	queuedSince int64 // since when its client waits
-	pending     bool  // it is in the queue
+	queuedSince int64 // when its client started to wait
+	pending     bool  // is in the queue
 	priority    float64
 	attempts    []*attemptInfo
 	accepted    bool
 	acceptedAt  int64
-	cancelled   bool         // its client cancelled it, and an attempt has not ended
-	mayHaveRun  *attemptInfo // the first attempt that may have run
-	copyRunning bool         // a worker said that a copy runs
-	unusable    bool         // two workers failed it
+	cancelled   bool         // cancelled by its client while an attempt had not ended
+	mayHaveRun  *attemptInfo // the first attempt that may have run, or nil
+	copyRunning bool         // a worker reported that a copy of the task is running
+	unusable    bool         // attempts on two workers ended with an error
 	probesSent  int
-	usage       [resourceCount]float64 // what it uses, over what it requested; 0: not reported
+	usage       [resourceCount]float64 // used fraction of what it requested; 0 if not reported
 }
 
-// lastAttempt returns the last attempt. There must be one.
+// lastAttempt returns the last attempt. It panics if there is none.
 func (t *taskInfo) lastAttempt() *attemptInfo { return t.attempts[len(t.attempts)-1] }
 
-// attempt returns an attempt by its number, or nil.
+// attempt returns the attempt with a number, or nil if there is none.
 func (t *taskInfo) attempt(number int) *attemptInfo {
 	if number < 0 || number >= len(t.attempts) {
 		return nil
@@ -52,12 +52,12 @@
 	return t.attempts[number]
 }
 
-// failedOn reports whether a worker ended an attempt with an error.
+// failedOn reports whether an attempt on a worker ended with an error.
 func (t *taskInfo) failedOn(worker *workerInfo) bool {
 	return slices.ContainsFunc(t.attempts, func(a *attemptInfo) bool { return a.failed && a.worker == worker })
 }
 
-// requested is what the task requests of a resource.
+// requested returns the amount of a resource that the task requests.
 func (t *taskInfo) requested(r resource) float64 {
 	if r == resourceCores {
 		return t.Cores
@@ -65,10 +65,11 @@
 	return t.Memory
 }
 
-// taskShape is what decides whether a task finds a worker: tasks of one shape that come
-// later in a scheduling pass find none where the first found none.
+// taskShape holds the properties that decide whether a worker is found for a task. A scheduling pass that
+// found no worker for one task does not search for later tasks of the same shape, except for tasks of
+// which an earlier attempt may have run.
 type taskShape struct {
 	classIndex    int
 	cores, memory float64
-	program       uint64 // where the class limits the spread
+	program       uint64 // 0 unless the class limits the spread
 }
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// This file owns what is known of one worker. It must never look at other workers or at the
-// settings: what follows for a task is decided by the parts above.
+// This file holds the state of one worker. It must not read other workers or the settings: the parts in
+// the layers above make the decisions about tasks.
 
 const (
-	// sustainedViews is of how many views a worker keeps the free capacity.
+	// sustainedViews is the number of latest views whose free capacity is stored for a worker.
 	sustainedViews = 4
-	// calibrationHalflife is in what time half of a learned calibration is forgotten.
+	// calibrationHalflife is the time in which a learned calibration decays by half.
 	calibrationHalflife = 8 * second
-	// suspicionHalflife is in what time half of a suspicion is forgotten.
+	// suspicionHalflife is the time in which a suspicion decays by half.
 	suspicionHalflife = 6 * second
-	// successFactor is what a success leaves of a suspicion: a worker that loses most answers
-	// still gives some.
+	// successFactor is the factor by which a success reduces a suspicion. A success does not clear it,
+	// since even a worker that loses most answers still gives some.
 	successFactor = 0.7
-	// maxSuspicion bounds for how long one worker is avoided.
+	// maxSuspicion is the upper limit of a suspicion, which bounds how long a worker is avoided.
 	maxSuspicion = 6.0
-	// initialAttemptWindow is how many unanswered attempts a worker may have at first.
+	// initialAttemptWindow is the initial maximum number of unanswered attempts of a worker.
 	initialAttemptWindow = 3.0
 )
 
-// resource is an index of what tasks request of a worker.
+// resource is the index of a resource that tasks request of a worker.
 type resource int
 
 const (
@@ -33,77 +33,78 @@
 	resourceCount
 )
 
-// delta is a change that this scheduler made to what is requested of a worker.
+// delta is a change, made by this scheduler, to the cores and memory that are requested of a worker.
 type delta struct {
 	at            int64
 	cores, memory float64
 }
 
-// residentProgram is a program of which this scheduler runs, or just ran, tasks on a worker.
+// residentProgram is a program of which this scheduler has, or recently had, attempts or tasks on a
+// worker.
 type residentProgram struct {
-	active      int   // attempts and tasks that have not ended
-	lastEndedAt int64 // when the last of them ended
+	active      int   // number of attempts and tasks that have not ended
+	lastEndedAt int64 // time at which the latest attempt or task ended
 }
 
-// suspicionScore is a suspicion as it was at a time.
+// suspicionScore is the value of a suspicion at updatedAt, from which it decays.
 type suspicionScore struct {
 	score     float64
 	updatedAt int64
 }
 
-// indexPosition is the place of a worker in the index.
+// indexPosition is the position of a worker in the index.
 type indexPosition struct {
 	indexed                      bool
 	kindIndex, level, entryIndex int
 }
 
-// workerInfo is the state of a worker as this scheduler sees it. Fields that are read together
-// are placed together, as a large fleet does not fit into the caches of the processor.
+// workerInfo is the state of a worker as this scheduler sees it. Fields that are read together are
+// adjacent, because the workers of a large fleet do not fit into the processor's caches.
 type workerInfo struct {
 	Entry
-	kindIndex      int  // in Settings.Kinds, or -1
-	listed         bool // it is on the present list
-	everListed     bool // so that its cell and zone are known
-	foreign        bool // it is in fleet.foreignCount
-	uncordonedIdle bool // it was uncordoned and got no offer since
-	requestedStale bool // requestedCores and requestedMemory are not as of now
-	reportsFree    bool // the last report has the free capacity
-	unreachable    bool // no connection to it is up, and the last one failed
-	lagDependent   bool // it is in loadTracker.lagDependent
-	inCalibrated   bool // it is in calibration.workers
-
-	// What filters look at first.
+	kindIndex      int  // index in Settings.Kinds, or -1 if unknown
+	listed         bool // is on the current list
+	everListed     bool // has been on a list, so its cell and zone are known
+	foreign        bool // is counted in fleet.foreignCount
+	uncordonedIdle bool // was uncordoned and has had no attempt or task since
+	requestedStale bool // requestedCores and requestedMemory are out of date
+	reportsFree    bool // the last report contains the free capacity
+	unreachable    bool // no connection to it is open, and the last one failed
+	lagDependent   bool // is in loadTracker.lagDependent
+	inCalibrated   bool // is in calibration.workers
+
+	// Fields that the filters read first.
 	drainingUntil                   int64
-	attemptWindow                   float64        // how many unanswered attempts it may have
-	unanswered                      []*attemptInfo // in the order in which they were sent
+	attemptWindow                   float64        // maximum number of unanswered attempts
+	unanswered                      []*attemptInfo // attempts in the order in which they were sent
 	requestedCores, requestedMemory float64
-	calibration                     [resourceCount]float64 // effective capacity over that of its kind
+	calibration                     [resourceCount]float64 // effective capacity relative to that of its kind
 	calibratedAt                    int64
-	probeSentAt                     int64            // of a probe that has not ended, or 0
+	probeSentAt                     int64            // when the probe that awaits its result was sent, or 0
 	suspicions                      []suspicionScore // by class
-	lastSearch                      int64            // number of the last search that looked at it
-	ordinal                         int              // its number in fleet.sorted
+	lastSearch                      int64            // number of the last search that evaluated it
+	ordinal                         int              // index in fleet.sorted
 
-	// What the requested cores and memory follow from.
-	viewedAt    int64 // when the present view came
+	// Fields from which requestedCores and requestedMemory are computed.
+	viewedAt    int64 // arrival time of the current view
 	deltas      []delta
-	reportedAt  int64 // when the last report came, or 0
+	reportedAt  int64 // arrival time of the last report, or 0
 	lastReport  Load
-	countedKind *Kind // its kind, if it is in the sums of loadTracker
+	countedKind *Kind // kind whose size the sums of loadTracker include for it, or nil
 	position    indexPosition
 
 	running          []*taskInfo // accepted tasks, in order of acceptance
 	residentPrograms map[uint64]*residentProgram
-	sustainedFree    [resourceCount]float64 // free capacity that all of the last views showed
+	sustainedFree    [resourceCount]float64 // minimum free capacity in the last sustainedViews views
 
 	nameHash       uint64
-	active         int     // attempts and tasks that have not ended
-	offerTimes     []int64 // of late
-	lastAcceptedAt []int64 // by class
-	reachableAt    int64   // when it last took a connection after a failure
-	migratedAt     int64   // when a task was last migrated away
+	active         int     // number of attempts and tasks that have not ended
+	offerTimes     []int64 // times of recent offers
+	lastAcceptedAt []int64 // time of the last accepted attempt, by class
+	reachableAt    int64   // time at which it last became reachable after a failure
+	migratedAt     int64   // time at which a task was last migrated away from it
 	viewCount      int
-	recentFree     [sustainedViews][resourceCount]float64 // free capacity in the last views
+	recentFree     [sustainedViews][resourceCount]float64 // free capacity in the latest views, a ring buffer
 }
 
 func newWorkerInfo(name string, classes int) *workerInfo {
@@ -121,11 +122,12 @@
 
 func compareName(worker *workerInfo, name string) int { return cmp.Compare(worker.Worker, name) }
 
-// programHash mixes a program and the worker, the same at every scheduler.
+// programHash returns a hash of a program and the worker's name, which is the same at every scheduler.
 func (w *workerInfo) programHash(program uint64) uint64 { return mix(w.nameHash ^ mix(program)) }
 
-// idlePrograms counts the resident programs without an attempt or task, and returns the one of them that
-// ended first, of equals the lowest. One such program is given.
+// idlePrograms returns the number of resident programs without an attempt or task, and the one of them
+// that has been idle the longest; among equals, the one with the lowest number. The argument idle must be
+// one of these programs.
 func (w *workerInfo) idlePrograms(idle uint64) (count int, oldest uint64) {
 	oldest = idle
 	for program, resident := range w.residentPrograms {
@@ -142,7 +144,7 @@
 	return count, oldest
 }
 
-// sameDomain reports whether two workers are known to be in one domain of a scope.
+// sameDomain reports whether two workers are known to be in the same domain of a scope.
 func sameDomain(a, b *workerInfo, scope Scope) bool {
 	switch scope {
 	case ScopeWorker:
@@ -156,7 +158,8 @@
 	}
 }
 
-// recordFree notes the free capacity that a view shows.
+// recordFree records the free capacity that a view shows, and updates sustainedFree, which is 0 until
+// there have been sustainedViews views.
 func (w *workerInfo) recordFree(cores, memory float64) {
 	w.recentFree[w.viewCount%sustainedViews] = [resourceCount]float64{cores, memory}
 	w.viewCount++
@@ -172,12 +175,12 @@
 	}
 }
 
-// forgetDeltas forgets the changes that this scheduler made before a time.
+// forgetDeltas removes the deltas that were made before a time.
 func (w *workerInfo) forgetDeltas(before int64) {
 	w.deltas = slices.DeleteFunc(w.deltas, func(d delta) bool { return d.at < before })
 }
 
-// deltasSince sums the changes that this scheduler made after a time.
+// deltasSince returns the sum of the deltas that were made after a time.
 func (w *workerInfo) deltasSince(at int64) (cores, memory float64) {
 	for i := len(w.deltas) - 1; i >= 0; i-- {
 		if d := &w.deltas[i]; d.at > at {
@@ -188,7 +191,7 @@
 	return cores, memory
 }
 
-// decayCalibration forgets what was learned of the effective capacity, with time.
+// decayCalibration applies the decay of the learned calibration, toward 1, up to the time now.
 func (w *workerInfo) decayCalibration(now int64) {
 	if w.calibratedAt == now {
 		return
@@ -202,18 +205,18 @@
 	w.calibratedAt = now
 }
 
-// calibrated reports whether the effective capacity is not just that of the kind.
+// calibrated reports whether the effective capacity differs from that of the kind.
 func (w *workerInfo) calibrated() bool {
 	return w.calibration[resourceCores] != 1 || w.calibration[resourceMemory] != 1
 }
 
-// recordOffer notes an offer, and forgets those of longer ago than the retention.
+// recordOffer records an offer, and removes the recorded offers that are older than the retention.
 func (w *workerInfo) recordOffer(now, retention int64) {
 	expired := func(at int64) bool { return at < now-retention }
 	w.offerTimes = append(slices.DeleteFunc(w.offerTimes, expired), now)
 }
 
-// offersAfter counts the offers after a time, of those that are remembered.
+// offersAfter returns the number of recorded offers after a time.
 func (w *workerInfo) offersAfter(at int64) (count int) {
 	for _, sentAt := range w.offerTimes {
 		if sentAt > at {
@@ -223,7 +226,7 @@
 	return count
 }
 
-// starting counts the attempts of this scheduler that were sent and do not run yet.
+// starting returns the number of attempts of this scheduler that were sent and do not run yet.
 func (w *workerInfo) starting() int {
 	count := len(w.unanswered)
 	for _, task := range w.running {
@@ -234,37 +237,38 @@
 	return count
 }
 
-// addRunning notes that a task runs from now on.
+// addRunning records that the worker runs a task, which it accepted at the time now.
 func (w *workerInfo) addRunning(now int64, task *taskInfo) {
 	task.acceptedAt = now
 	w.running = append(w.running, task)
 }
 
-// removeRunning notes that a task has ended, or is being migrated.
+// removeRunning records that a task has ended or is being migrated.
 func (w *workerInfo) removeRunning(task *taskInfo) {
 	w.running = slices.DeleteFunc(w.running, func(other *taskInfo) bool { return other == task })
 }
 
-// suspicion is how much speaks against the worker for tasks of a class.
+// suspicion returns the suspicion of the worker for tasks of a class at the time now, 0 if there is none.
 func (w *workerInfo) suspicion(now int64, classIndex int) float64 {
 	s := &w.suspicions[classIndex]
 	return decayed(s.score, now-s.updatedAt, suspicionHalflife)
 }
 
-// addSuspicion adds to the suspicion for every class.
+// addSuspicion adds an amount, which may be negative, to the suspicion for every class.
 func (w *workerInfo) addSuspicion(now int64, by float64) {
 	for classIndex := range w.suspicions {
 		w.addClassSuspicion(now, classIndex, by)
 	}
 }
 
-// addClassSuspicion adds to the suspicion for one class.
+// addClassSuspicion adds an amount to the suspicion for one class, and limits the result to the range from
+// 0 to maxSuspicion.
 func (w *workerInfo) addClassSuspicion(now int64, classIndex int, by float64) {
 	score := min(maxSuspicion, max(0, w.suspicion(now, classIndex)+by))
 	w.suspicions[classIndex] = suspicionScore{score, now}
 }
 
-// recordSuccess takes an accepted attempt of a class.
+// recordSuccess records an accepted attempt of a class, which reduces the suspicion for the class.
 func (w *workerInfo) recordSuccess(now int64, classIndex int) {
 	w.lastAcceptedAt[classIndex] = now
 	w.suspicions[classIndex] = suspicionScore{w.suspicion(now, classIndex) * successFactor, now}
