--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -24,8 +24,8 @@
 // clear empties the cache. It must be called when workers are added, removed or reassigned.
 func (a *affinity) clear() { clear(a.preferred) }
 
-// workersFor returns the preferred workers of a program. They are chosen from workers, whose name
-// hashes are in nameHashes and of which assigned are assigned to this scheduler.
+// workersFor returns the preferred workers of a program among the given workers. nameHashes holds the hashes
+// of their names in the same order, and assigned is how many of them are assigned to this scheduler.
 func (a *affinity) workersFor(
 	program uint64, workers []*workerInfo, nameHashes []uint64, assigned int,
 ) []*workerInfo {
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// This file owns the units that TestModuleSlopes measures, and the sites that they start from.
+// This file contains the units that TestModuleSlopes measures, and the initial sites of its cases.
 
 // --- Requests ---
 
@@ -23,7 +23,7 @@
 	s.handleEach(s.advanceToNextRequest())
 }
 
-// measureRejection measures a rejection for lack of cores, after which another worker is selected.
+// measureRejection measures a rejection for lack of cores, including the selection of another worker.
 func measureRejection(s *site, m *meter) {
 	e := s.prepare()
 	s.place(e)
@@ -40,7 +40,7 @@
 		s.now += siteRTT
 		s.handle(AttemptEnded{RequestID: e.task.RequestID, Attempt: 1, Worker: e.place.Worker, Outcome: Completed, Final: true})
 	} else if !s.settings.Probes {
-		s.t.Fatalf("%d attempts after a rejection, want 1", len(next))
+		s.t.Fatalf("got %d offers after a rejection, want 1", len(next))
 	} else {
 		s.handle(ClientCancelled{e.task.RequestID})
 	}
@@ -48,8 +48,8 @@
 	s.handleEach(s.advanceToNextRequest())
 }
 
-// measureBurst measures the requests of a large job in one call. What they led to is
-// taken back afterwards.
+// measureBurst measures the requests of a large job in one call of Handle. Afterwards, it cancels the
+// requests and ends their tasks.
 func measureBurst(s *site, m *meter) {
 	job := s.nextJob()
 	var events []Event
@@ -63,7 +63,7 @@
 	m.measure(s.t, func() { actions = s.handle(events...) })
 	placed := ofType[Place](actions)
 	if len(placed) == 0 && !s.settings.Probes {
-		s.t.Fatal("nothing of the burst was placed")
+		s.t.Fatal("got no offers for a burst of requests, want at least 1")
 	}
 	s.now += siteRTT
 	for _, a := range placed {
@@ -80,12 +80,13 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// idleSite has workers that all have the same free share, by thousands.
+// idleSite returns a site without tasks. All its workers have the same utilization, so a search in a large
+// fleet finds thousands of equal candidates.
 func idleSite(t *testing.T, workers int) *site {
 	return newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), true)
 }
 
-// measureUnrelated measures a request of no job, which no worker has an advantage for.
+// measureUnrelated measures a request without a program, for which no worker has an advantage.
 func measureUnrelated(s *site, m *meter) {
 	task := s.nextTask()
 	task.Program = 0
@@ -98,7 +99,7 @@
 
 // --- Pending tasks ---
 
-// fullSite is a site whose workers are all full, where tasks wait.
+// fullSite returns a site whose workers are all full and where a number of tasks are pending.
 func fullSite(t *testing.T, workers, pending int) *site {
 	s := busySite(t, workers)
 	for _, worker := range s.workers {
@@ -112,7 +113,7 @@
 		events = append(events, Request{task})
 	}
 	if placed := ofType[Place](s.handle(events...)); len(placed) > 0 {
-		t.Fatalf("%d tasks placed on full workers", len(placed))
+		t.Fatalf("got %d tasks placed on full workers, want 0", len(placed))
 	}
 	return s
 }
@@ -120,11 +121,11 @@
 func (s *site) mustWait(actions []Action) {
 	s.t.Helper()
 	if count := len(ofType[Place](actions)) + len(ofType[Reject](actions)); count > 0 {
-		s.t.Fatalf("%d pending tasks got a response", count)
+		s.t.Fatalf("got %d offers and rejections for pending tasks, want 0", count)
 	}
 }
 
-// measurePendingEntry measures a list entry that shows no free capacity.
+// measurePendingEntry measures a list entry without free capacity while tasks are pending.
 func measurePendingEntry(s *site, m *meter) {
 	s.now += s.betweenUs / (2 * siteSchedulers)
 	worker := s.workers[s.random.IntN(len(s.workers))]
@@ -140,9 +141,9 @@
 	s.mustWait(actions)
 }
 
-// --- Lost workers ---
+// --- Drained and removed workers ---
 
-// measureDrain measures the drain of a part of the workers in one event.
+// measureDrain measures one event that drains every worker whose index is a multiple of drainEvery.
 func measureDrain(s *site, m *meter) {
 	var entries []Entry
 	for i, worker := range s.workers {
@@ -158,7 +159,8 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// measureZoneLoss measures the loss of a zone's workers in one event, and their restart.
+// measureZoneLoss measures one event that removes all workers of a zone, and one that lists them again
+// after a restart.
 func measureZoneLoss(s *site, removal, restart *meter) {
 	const zone = "zone-1"
 	var entries []Entry
@@ -187,14 +189,14 @@
 	restart.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 }
 
-// warmingSite is a site of which a zone has just restarted.
+// warmingSite returns a site in which a zone has just restarted.
 func warmingSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	measureZoneLoss(s, new(meter), new(meter))
 	return s
 }
 
-// measureFirstList measures the first complete list that a new scheduler gets.
+// measureFirstList measures the first complete list that a new scheduler handles.
 func measureFirstList(s *site, m *meter) {
 	scheduler, err := New(s.settings, *seedFlag)
 	if err != nil {
@@ -206,7 +208,7 @@
 
 // --- Reports ---
 
-// reportCase measures a report of a random running task.
+// reportCase returns a function that measures a report about a random running task.
 func reportCase(kind ReportKind, value float64) func(*site, *meter) {
 	return func(s *site, m *meter) {
 		s.now += s.betweenUs
@@ -226,7 +228,8 @@
 	m.measure(s.t, func() { s.handle(ProbeResult{worker.entry.Worker, Completed, siteRTT, load}) })
 }
 
-// calibratedSite has workers that serve poorly, on which less is placed until that fades.
+// calibratedSite returns a site whose workers reported poor service, which lowers their effective capacity
+// until the calibration decays.
 func calibratedSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	s.reportPoor(len(s.schedulerTasks))
@@ -240,15 +243,15 @@
 	}
 }
 
-// measureCalibrated measures a request while the reports of poor service fade; some come again.
+// measureCalibrated measures a request while calibrations decay, after a few new reports of poor service.
 func measureCalibrated(s *site, m *meter) {
 	s.reportPoor(1 + len(s.schedulerTasks)/100)
 	measureExchange(s, m)
 }
 
-// --- Hard placements ---
+// --- Constrained placements ---
 
-// serviceSite runs a service of which every cell has one task at most.
+// serviceSite returns a site that runs a service with at most one task in each cell.
 func serviceSite(t *testing.T, workers int) *site {
 	s := newSite(t, workers, *seedFlag, withSpread(siteSettings(workers, *probesFlag)), false)
 	cells := workers / workersInCell
@@ -271,7 +274,7 @@
 	return task
 }
 
-// measureReplica measures a further task of the service and the end of its oldest one.
+// measureReplica measures the request of another task of the service and the end of the oldest one.
 func measureReplica(s *site, m *meter) {
 	e := &exchange{task: &siteTask{Task: s.replica()}, ended: s.service[0]}
 	s.service = s.service[1:]
@@ -283,7 +286,7 @@
 	s.handleEach(s.advanceToNextRequest())
 }
 
-// hugeSite has a few empty workers, the only ones with free capacity for a huge task.
+// hugeSite returns a site with a few empty workers, the only ones with free capacity for a huge task.
 func hugeSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	empty := 0
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -13,11 +13,13 @@
 var caseFlag = flag.String("case", "", "TestModuleSlopes: measure this case only")
 
 const (
-	// maxUnitTime ends a case: what takes longer once is not measured at further sizes.
+	// maxUnitTime is the processor time above which one unit ends its case: the case is not measured
+	// at further sizes.
 	maxUnitTime = 2 * time.Second
-	// maxCaseTime is how long the units of one case may take at one size.
+	// maxCaseTime is the processor time after which no further units of a case are measured at one size.
 	maxCaseTime = 4 * time.Second
-	// expensiveUnits is how many units are measured of events that concern the whole fleet.
+	// expensiveUnits is the number of measured units of cases whose units are expensive: bursts of requests
+	// and events that concern a large part of the fleet.
 	expensiveUnits = 4
 	pendingTimeout = 3600 * second
 	pendingUnits   = 12
@@ -26,19 +28,19 @@
 	hugeCores      = 40
 	hugeMemory     = 60
 	hugeWorkers    = 3
-	drainEvery     = 4 // one in so many workers is drained at once
+	drainEvery     = 4 // one of this many workers is drained
 	poorService    = 0.85
 	worstService   = 0.5
 	reportedQueue  = 1
 )
 
-// eventCase is one kind of event, or one state of the fleet, whose cost is measured.
+// eventCase is a kind of event, or a state of the fleet, for which the cost is measured.
 type eventCase struct {
 	name  string
-	units int // at most
-	// start prepares a site. It may measure nothing.
+	units int // maximum number of measured units
+	// start returns the initial site. It must not measure.
 	start func(t *testing.T, workers int) *site
-	// unit measures one unit.
+	// unit measures one unit with the meter.
 	unit func(s *site, m *meter)
 }
 
@@ -75,8 +77,8 @@
 	return cases
 }
 
-// TestModuleSlopes measures how the cost of the other kinds of event grows with the
-// fleet. It asserts what each event leads to, never its time.
+// TestModuleSlopes measures how the cost of further kinds of events grows with the size of the fleet. It
+// asserts the actions that follow from the events, but not their time.
 func TestModuleSlopes(t *testing.T) {
 	lockToThread(t)
 	var table [][]float64
@@ -111,7 +113,7 @@
 	}
 }
 
-// measureCase measures a case at one size, and reports whether it is to stop there.
+// measureCase measures a case at one size, and reports whether to skip the further sizes.
 func measureCase(t *testing.T, test eventCase, workers int) (m *meter, stopped bool) {
 	lockToThread(t)
 	m = &meter{}
@@ -137,10 +139,10 @@
 	return m, stopped
 }
 
-// mustPlace fails a test whose request found no free capacity though there is some.
+// mustPlace fails the test if the request of the exchange got no offer.
 func (e *exchange) mustPlace(s *site) {
 	s.t.Helper()
 	if e.place == nil {
-		s.t.Fatalf("no worker for %+v", e.task.Task)
+		s.t.Fatalf("got no offer for task %+v, want one", e.task.Task)
 	}
 }
--- a/placement/events.go
+++ b/placement/events.go
@@ -110,7 +110,7 @@
 // Event is an input of a [Scheduler]; its dynamic type is one of the types below.
 type Event interface{ event() }
 
-// Events.
+// The types of Event.
 type (
 	// WorkerList is a list of workers from discovery, or changes to one.
 	WorkerList struct {
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -7,11 +7,12 @@
 	"slices"
 )
 
-// This file owns the random draws of single events of a history.
+// This file contains the random draws of the single events of a history.
 
 func (h *history) anyWorker() string { return h.entries[h.random.IntN(len(h.entries))].Worker }
 
-// anyRequestID is of a task that has not ended, or of none.
+// anyRequestID returns the request ID of a random task that has not ended, or the ID "none" if there is no
+// such task.
 func (h *history) anyRequestID() string {
 	requestIDs := slices.Sorted(maps.Keys(h.unfinished))
 	if len(requestIDs) == 0 {
@@ -20,7 +21,7 @@
 	return requestIDs[h.random.IntN(len(requestIDs))]
 }
 
-// drawTask draws a task of any class and shape.
+// drawTask returns a task of a random class and shape.
 func (h *history) drawTask() Task {
 	h.requestCount++
 	cores := []float64{.25, .5, 1, 2, 4, 8, 16, 30, 50, 90}[h.pick(5, 15, 25, 20, 15, 8, 5, 3, 2, 1)]
@@ -64,8 +65,7 @@
 	return events
 }
 
-// drawAdopted draws a task that was found running, at times on a worker that was never
-// listed.
+// drawAdopted returns an adopted task, in some cases on a worker that was never listed.
 func (h *history) drawAdopted() Event {
 	task := h.drawTask()
 	h.unfinished[task.RequestID] = task
@@ -78,7 +78,7 @@
 	return Adopted{task, place.Worker}
 }
 
-// drawOutcomes draws answers to attempts that are out, and ends of running tasks.
+// drawOutcomes returns random answers to unanswered attempts and ends of running tasks.
 func (h *history) drawOutcomes() (events []Event) {
 	for range 1 + h.random.IntN(3) {
 		if len(h.offered) > 0 && h.chance(0.7) {
@@ -86,7 +86,7 @@
 			place := h.offered[i]
 			h.offered = slices.Delete(h.offered, i, i+1)
 			if h.chance(0.05) {
-				continue // it is never answered
+				continue // this attempt is never answered
 			}
 			events = append(events, h.drawResponse(place))
 		} else if len(h.running) > 0 {
@@ -144,8 +144,8 @@
 	return ended
 }
 
-// drawDelta draws changes of a few workers, or at times of a part of the fleet that
-// drains, is lost or comes back.
+// drawDelta returns random changes to a few workers or, in some cases, to a quarter of the fleet that
+// drains, is removed or comes back at once.
 func (h *history) drawDelta() Event {
 	var changed []Entry
 	count := 1 + h.random.IntN(5)
@@ -206,7 +206,7 @@
 	return events
 }
 
-// drawProbeResult draws the answer to a probe, or a report without a probe.
+// drawProbeResult returns a random answer to a probe, or a report from a worker that was not probed.
 func (h *history) drawProbeResult() []Event {
 	worker := h.anyWorker()
 	if len(h.probed) > 0 && h.chance(0.8) {
@@ -243,8 +243,8 @@
 	return event
 }
 
-// madeUpTask draws a task to compare selections for. It is not one of the scheduler's: what came
-// before it, attempts and errors, is made up.
+// madeUpTask returns a random task for which selections are compared. The scheduler does not know the
+// task, and the earlier attempts and errors of the task are random.
 func (h *history) madeUpTask() *taskInfo {
 	submitted := h.drawTask()
 	classIndex := h.scheduler.requests.classIndexes[submitted.Class]
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// This file draws fleets and histories of events from a seed, for tests that hold for
-// every history.
+// This file generates random fleets and histories of events from a seed, for tests of properties that
+// hold for every history.
 
-// condition is what a history is mostly like.
+// condition is the predominant state of the fleet in a history.
 type condition int
 
 const (
 	mostlyHealthy   condition = iota
-	mostlyFull                // hardly any worker has free capacity
+	mostlyFull                // few workers have free capacity
 	mostlyFailing             // most attempts fail
-	mostlyWarmingUp           // most workers came up just now
-	mostlyIdle                // many workers are equally empty
-	conditionCount            // how many there are
+	mostlyWarmingUp           // most workers started recently
+	mostlyIdle                // many workers are empty and have equal free capacity
+	conditionCount            // number of conditions
 )
 
-// The largest of what is drawn.
+// The upper limits of the random draws.
 const (
 	historyWorkers  = 600
 	historySteps    = 60
@@ -32,26 +32,27 @@
 	historyPrograms = 12
 )
 
-// history is a scheduler, what is known outside of it, and the random draws of what comes next.
+// history drives a scheduler with random events, and holds the state outside the scheduler that the
+// events depend on.
 type history struct {
 	t            *testing.T
 	scheduler    *Scheduler
 	seed         uint64
-	steps        int // so far
+	steps        int // number of calls of Handle so far
 	random       *rand.Rand
 	condition    condition
 	now          int64
 	entries      []Entry
-	index        map[string]int  // of entries, by name
-	attempts     map[string]int  // by request: how many were made
-	unfinished   map[string]Task // by request: not ended
-	offered      []Place         // attempts without an answer
-	running      []Place         // accepted
-	probed       []string        // workers with a probe that has no answer
+	index        map[string]int  // index in entries, by worker name
+	attempts     map[string]int  // number of attempts, by request ID
+	unfinished   map[string]Task // tasks that have not ended, by request ID
+	offered      []Place         // attempts that were not answered
+	running      []Place         // accepted attempts
+	probed       []string        // workers with a probe that was not answered
 	requestCount int
-	utilization  float64 // utilization of the workers
+	utilization  float64 // mean utilization of the drawn workers
 	stepCount    int
-	record       func(now int64, events []Event) // what is handed over, or nil
+	record       func(now int64, events []Event) // called with the arguments of each call of Handle, or nil
 }
 
 func newHistory(t *testing.T, seed uint64) *history {
@@ -76,7 +77,7 @@
 	return h
 }
 
-// settings are drawn around those of the other tests, whose classes are of all sorts.
+// settings returns random variations of testSettings, whose classes cover all effects and spreads.
 func (h *history) settings() Settings {
 	settings := testSettings()
 	settings.FleetSize = []int{1, 2, 9, 60}[h.random.IntN(4)]
@@ -106,7 +107,7 @@
 
 func (h *history) chance(p float64) bool { return h.random.Float64() < p }
 
-// pick draws an index by weights.
+// pick returns a random index, drawn with the given weights.
 func (h *history) pick(weights ...int) int {
 	sum := 0
 	for _, weight := range weights {
@@ -122,7 +123,7 @@
 	return 0
 }
 
-// drawEntry draws what the list says of a worker.
+// drawEntry returns a random list entry of a worker.
 func (h *history) drawEntry(name string, cell int) Entry {
 	entry := Entry{Worker: name, Cell: cell, Zone: fmt.Sprint("z", cell%4), State: WorkerState(h.pick(94, 3, 3))}
 	kinds := h.scheduler.settings.Kinds
@@ -137,7 +138,8 @@
 	return h.drawFreeCapacity(entry, kind)
 }
 
-// drawFreeCapacity draws the free capacity that the list shows, in quarters so that ties are common.
+// drawFreeCapacity sets the free capacity of an entry to random multiples of a quarter, which makes ties
+// common.
 func (h *history) drawFreeCapacity(entry Entry, kind Kind) Entry {
 	quarter := func(v float64) float64 { return math.Round(v*4) / 4 }
 	requested := h.utilization
@@ -152,7 +154,7 @@
 	return entry
 }
 
-// kindOf is the kind of an entry, or the first one where that is unknown.
+// kindOf returns the kind of an entry, or the first kind if that of the entry is unknown.
 func (h *history) kindOf(entry Entry) Kind {
 	for _, kind := range h.scheduler.settings.Kinds {
 		if kind.Name == entry.Kind {
@@ -162,7 +164,7 @@
 	return h.scheduler.settings.Kinds[0]
 }
 
-// step draws the next time and events, hands them over and returns the actions.
+// step draws the next time and events, passes them to the scheduler and returns its actions.
 func (h *history) step() []Action {
 	h.now += h.drawPause()
 	var events []Event
@@ -177,8 +179,8 @@
 	return h.random.Int64N(longest) + 1
 }
 
-// handle hands over events and notes what follows from the actions. A panic fails the
-// test with what replays it.
+// handle passes events to the scheduler and updates the history by the actions that it returns. A panic
+// fails the test with the seed and the step that reproduce it.
 func (h *history) handle(events []Event) []Action {
 	defer func() {
 		if panicked := recover(); panicked != nil {
--- a/placement/numbers.go
+++ b/placement/numbers.go
@@ -41,7 +41,7 @@
 // inRange reports whether a value lies between low and high, inclusive. It returns false for NaN.
 func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
-// decayed returns the remainder of a value after exponential decay for the time age.
+// decayed returns the remainder of a value that decays by half in each halflife, after the time age.
 func decayed(value float64, age, halflife int64) float64 {
 	if value == 0 {
 		return 0
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// This file owns the selection of the full scan, and its comparison with that of a scheduler.
+// This file contains the selection by a full scan, and its comparison with the selection of a scheduler.
 
-// selection is what a full scan comes to.
+// selection is the result of a full scan.
 type selection struct {
-	required, permitted []*workerInfo // the draw is among all of must and any of may, which holds must too
-	withinTwiceMargin   []*workerInfo // within twice the margin
-	sampled             bool          // more can be selected than are looked at one by one
-	path                string        // on what path
+	required, permitted []*workerInfo // the finalists contain all of required and only workers of permitted
+	withinTwiceMargin   []*workerInfo // workers whose cost is within twice the margin of the lowest
+	sampled             bool          // more than maxEnumerated workers qualify: the search scores only some
+	path                string        // one of the paths below
 }
 
 // The paths of a selection.
@@ -26,7 +26,7 @@
 	pathCheapest   = "cheapest"
 )
 
-// candidate is a worker that the rules allow.
+// candidate is a worker that the rules allow for a task.
 type candidate struct {
 	worker       *workerInfo
 	healthy      bool
@@ -45,7 +45,7 @@
 	return list
 }
 
-// selectFrom is the full scan over the candidates.
+// selectFrom selects among the candidates by a full scan.
 func (r *reference) selectFrom(list []candidate, task *taskInfo) selection {
 	effect := r.scheduler.settings.Classes[task.classIndex].Effect
 	var fit, healthy []*workerInfo
@@ -92,7 +92,8 @@
 	return selection{must, may, wide, len(healthy) > maxEnumerated, path}
 }
 
-// lowestSuspicion is the first of the least suspect workers with one unanswered attempt at most.
+// lowestSuspicion returns the worker with the lowest suspicion among those with at most one unanswered
+// attempt; among equals, the first one.
 func (r *reference) lowestSuspicion(workers []*workerInfo, classIndex int) (best *workerInfo) {
 	for _, worker := range workers {
 		if len(worker.unanswered) <= 1 && (best == nil || r.suspicion(worker, classIndex) < r.suspicion(best, classIndex)) {
@@ -123,9 +124,9 @@
 	return must, may, wide
 }
 
-// matches reports whether workers are what this selection draws among.
+// matches reports whether the finalists of a scheduler agree with this selection.
 func (s selection) matches(got []*workerInfo) bool {
-	if s.sampled { // a part of them is drawn from
+	if s.sampled { // the finalists are a part of the qualifying workers
 		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.withinTwiceMargin, worker) })
 	}
 	seen := map[*workerInfo]bool{}
@@ -143,8 +144,9 @@
 	return true
 }
 
-// acceptsAnyVariant calls f with the candidates, then with those at a border of free capacity decided
-// the other way in every combination, until f is satisfied.
+// acceptsAnyVariant reports whether accept returns true for the candidates or for a variant of them, and
+// whether it needed a variant. In a variant, some candidates at the limit of their free capacity have the
+// opposite value of fits; all combinations of the first maxBorderFlips of them are tried.
 func acceptsAnyVariant(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
 	if accept(list) {
 		return true, false
@@ -170,19 +172,20 @@
 	return false, false
 }
 
-// compareFinalists returns on what path the full scan selects for a task, whether a border had to be
-// decided otherwise, and what is wrong with what was found.
+// compareFinalists compares the finalists of a scheduler for a task with those of the full scan. It returns
+// the path of the full scan, whether only a variant of the candidates matched, and an error if none did.
 func (r *reference) compareFinalists(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
 	list := r.candidates(task)
 	want := r.selectFrom(list, task)
 	ok, flipped := acceptsAnyVariant(list, func(variant []candidate) bool { return r.selectFrom(variant, task).matches(got) })
 	if !ok {
-		err = fmt.Errorf("task %+v, priority %v: finalists %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.path, names(want.permitted))
+		err = fmt.Errorf("task %+v, priority %v: got finalists %s, the full scan (path %q) gives %s", task.Task, task.priority, names(got), want.path, names(want.permitted))
 	}
 	return want.path, flipped, err
 }
 
-// compareElsewhere checks whether a worker other than the given one fits a task.
+// compareElsewhere compares got, whether a scheduler found that a task fits a worker other than the given
+// one, with the full scan.
 func (r *reference) compareElsewhere(task *taskInfo, worker *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
 	for _, other := range r.workers {
@@ -195,12 +198,13 @@
 		return got == slices.ContainsFunc(variant, func(candidate candidate) bool { return candidate.fits })
 	})
 	if !ok {
-		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", task.Task, worker.Worker, got, !got)
+		err = fmt.Errorf("task %+v: fits a worker other than %s: got %v, the full scan gives %v", task.Task, worker.Worker, got, !got)
 	}
 	return flipped, err
 }
 
-// compareReserved checks the worker that is newly reserved for a task, or nil.
+// compareReserved compares the worker that a scheduler newly reserved for a task, or nil, with those that
+// the full scan would reserve.
 func (r *reference) compareReserved(task *taskInfo, got *workerInfo) error {
 	scheduler := r.scheduler
 	var want []*workerInfo
@@ -228,10 +232,10 @@
 	if got != nil {
 		name = got.Worker
 	}
-	return fmt.Errorf("task %+v: reserved %s, the full scan gives one of %s", task.Task, name, names(want))
+	return fmt.Errorf("task %+v: got reserved worker %s, the full scan gives one of %s", task.Task, name, names(want))
 }
 
-// compareSums checks what is summed over the fleet.
+// compareSums compares the sums over the fleet that a scheduler maintains with those of the full scan.
 func (r *reference) compareSums() error {
 	scheduler := r.scheduler
 	utilization, mean := scheduler.totals.means()
@@ -244,7 +248,7 @@
 		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"concurrent cores", others[0], wantOthers[0]}, {"concurrent memory", others[1], wantOthers[1]},
 	} {
 		if test.got != test.want && math.Abs(test.got-test.want) > referenceTolerance*max(1, math.Abs(test.want)) {
-			return fmt.Errorf("%s: %v, the full scan gives %v", test.name, test.got, test.want)
+			return fmt.Errorf("%s: got %v, the full scan gives %v", test.name, test.got, test.want)
 		}
 	}
 	return nil
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -7,23 +7,25 @@
 	"slices"
 )
 
-// This file owns the selection of a worker as a full scan, written out plainly from the raw state of a
-// scheduler. It must never use what the scheduler computes, so that any faster way to the same selection
-// can be compared with it.
+// This file contains the reference implementation of the selection of a worker: a full scan over the raw
+// state of a scheduler. It must not use results that the scheduler computes, so that tests can compare the
+// scheduler's faster search with it.
 
 const (
-	// referenceTolerance is how near a border a value may lie to count on either side.
+	// referenceTolerance is the maximum distance of a value from a limit at which either result of the
+	// comparison is accepted.
 	referenceTolerance = 1e-9
-	// maxBorderFlips is up to how many workers at a border of free capacity are tried both ways.
+	// maxBorderFlips is the maximum number of workers at the limit of their free capacity for which both
+	// results are tried.
 	maxBorderFlips = 5
 )
 
-// reference looks at the workers of a scheduler as they are.
+// reference computes selections from the current state of the workers of a scheduler.
 type reference struct {
 	scheduler        *Scheduler
-	workers          []*workerInfo // by name
-	fleetUtilization float64       // of the fleet
-	meanCores        float64       // of the fleet
+	workers          []*workerInfo // sorted by name
+	fleetUtilization float64       // mean utilization of the fleet, weighted by cores
+	meanCores        float64       // mean cores of a ready worker
 }
 
 func newReference(scheduler *Scheduler) *reference {
@@ -33,7 +35,7 @@
 	return r
 }
 
-// --- What is requested of a worker, and its effective capacity ---
+// --- Requested cores and memory of a worker, and its effective capacity ---
 
 func (r *reference) deltasSince(worker *workerInfo, at int64) (cores, memory float64) {
 	for _, d := range slices.Backward(worker.deltas) {
@@ -54,7 +56,7 @@
 	return max(0, kind.Cores-freeCores+addedCores), max(0, kind.Memory-freeMemory+addedMemory)
 }
 
-// decayedCalibration is what is left of a calibration by now.
+// decayedCalibration returns a calibration after its decay, toward 1, up to the current time.
 func (r *reference) decayedCalibration(worker *workerInfo, calibration float64) float64 {
 	if worker.calibratedAt == r.scheduler.now {
 		return calibration
@@ -177,7 +179,7 @@
 	return true
 }
 
-// permits is the rules, the kind and the window.
+// permits checks the attempt window of a worker and everything that permitsOnceAnswered checks.
 func (r *reference) permits(worker *workerInfo, task *taskInfo) bool {
 	class := &r.scheduler.settings.Classes[task.classIndex]
 	if float64(len(worker.unanswered)) >= worker.attemptWindow {
@@ -186,7 +188,8 @@
 	return r.permitsOnceAnswered(worker, class, task)
 }
 
-// permitsOnceAnswered is the rules and the kind.
+// permitsOnceAnswered checks whether a worker is ready, its kind, and the rules for repeats, spread and slow
+// start.
 func (r *reference) permitsOnceAnswered(worker *workerInfo, class *Class, task *taskInfo) bool {
 	switch {
 	case !worker.listed || worker.State != Ready || worker.kindIndex < 0 || r.scheduler.now < worker.drainingUntil:
@@ -285,7 +288,8 @@
 	return suspicion < suspectThreshold || suspicion < ejectionThreshold && len(worker.unanswered) == 0 && r.scheduler.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// fits reports whether a worker has free capacity for a task, and whether that is at a border.
+// fits reports whether a worker has free capacity for a task, and whether a value lies within
+// referenceTolerance of its limit.
 func (r *reference) fits(worker *workerInfo, task *taskInfo) (fits, border bool) {
 	scheduler := r.scheduler
 	kind := scheduler.settings.Kinds[worker.kindIndex]
--- a/placement/settingscheck.go
+++ b/placement/settingscheck.go
@@ -7,8 +7,8 @@
 // FreshOffers, AttemptsCap), others by its field in Settings, and a few in words ("Apart" stands for
 // Class.Spread).
 
-// SettingError is the error that [New] returns for a setting that is missing, invalid or contradicts
-// another one.
+// SettingError reports a setting that is missing, invalid or contradicts another one. [New] returns one for
+// each such setting, joined.
 type SettingError struct {
 	Setting string // the name that operators know: a deployment's, a field's or a description
 	Problem string
--- a/placement/slope_exchange_test.go
+++ b/placement/slope_exchange_test.go
@@ -1,16 +1,15 @@
 package placement
 
-// This file owns the exchange: a request with its responses, and the end of another task.
+// This file defines the exchange, the unit that the slope tests measure.
 
-// exchange is a request with its answer, and the end of another task: the events, and
-// what came of them.
+// exchange is a request, the answer to its offer, and the end of another task.
 type exchange struct {
-	task  *siteTask
-	ended *siteTask
-	place *Place
+	task  *siteTask // the requested task
+	ended *siteTask // the other task, or nil
+	place *Place    // the offer for task, or nil
 }
 
-// prepare draws the next request and the task that ends meanwhile.
+// prepare draws the next request and the other task that ends.
 func (s *site) prepare() *exchange { return s.prepareTask(s.nextTask()) }
 
 func (s *site) prepareTask(task Task) *exchange {
@@ -21,7 +20,7 @@
 	return e
 }
 
-// run hands the events of an exchange to the scheduler. Only this is measured.
+// run passes the events of an exchange to the scheduler. It is the part of an exchange that is measured.
 func (s *site) run(e *exchange) {
 	s.place(e)
 	if e.place != nil {
@@ -33,7 +32,7 @@
 	}
 }
 
-// place submits the task of an exchange, and answers probes.
+// place submits the task of an exchange, answers probes, and records the offer.
 func (s *site) place(e *exchange) {
 	actions := s.handle(Request{e.task.Task})
 	for range maxProbesPerTask {
@@ -61,7 +60,7 @@
 	}
 }
 
-// finish makes the site follow an exchange.
+// finish applies the effects of an exchange to the site. It cancels a request that got no offer.
 func (s *site) finish(e *exchange) {
 	if e.ended != nil {
 		s.end(e.ended)
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -12,12 +12,12 @@
 	"ravenhitch/internal/stats"
 )
 
-// countEvery is of how many units the allocations of one are counted.
+// countEvery is the number of units among which one has its allocations counted instead of its time.
 const countEvery = 4
 
-// meter adds up the processor time and the allocations of what is measured. Time is
-// that of the calling thread alone, so other programs count little; the collector's own
-// threads are not in it, which bytes stand for.
+// meter sums up the processor time and the allocations of the measured units. It measures the time of
+// the calling thread alone, so that other programs have little influence. The time does not include the
+// threads of the garbage collector; the allocated bytes indicate their work instead.
 type meter struct {
 	units     int
 	spent     time.Duration
@@ -27,7 +27,7 @@
 	counted   int // units whose allocations were counted
 }
 
-// threadTime is the processor time that the calling thread has used.
+// threadTime returns the processor time that the calling thread has used.
 func threadTime(t testing.TB) time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts); err != nil {
@@ -36,7 +36,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// time measures f as units units. The caller holds its thread.
+// time measures the processor time of f, which runs the given number of units. The caller must be locked
+// to its thread.
 func (m *meter) time(t testing.TB, units int, f func()) {
 	if units == 0 {
 		f()
@@ -50,7 +51,7 @@
 	m.durations.Record(d / time.Duration(units))
 }
 
-// count counts the allocations of f as those of units units.
+// count counts the allocations of f, which runs the given number of units.
 func (m *meter) count(units int, f func()) {
 	var from, to runtime.MemStats
 	runtime.ReadMemStats(&from)
@@ -61,8 +62,8 @@
 	m.bytes += to.TotalAlloc - from.TotalAlloc
 }
 
-// measure measures one unit: its time, or for the first and for some of the others its
-// allocations, as counting them disturbs what is timed.
+// measure measures one unit: both its time and its allocations for the first unit, and either of them for
+// the others, because counting allocations disturbs the measured time.
 func (m *meter) measure(t testing.TB, f func()) {
 	switch {
 	case m.units == 0:
@@ -88,20 +89,20 @@
 	return float64(m.durations.Percentile(q)) / float64(time.Microsecond)
 }
 
-// lockToThread keeps a test on one thread, as meter needs it.
+// lockToThread locks a test to its thread, since meter measures the time of one thread.
 func lockToThread(t *testing.T) {
 	runtime.LockOSThread()
 	t.Cleanup(runtime.UnlockOSThread)
 }
 
-// sizes reads a list of sizes.
+// sizes parses a comma-separated list of fleet sizes.
 func sizes(t *testing.T, list string) []int {
 	t.Helper()
 	var out []int
 	for _, s := range strings.Split(list, ",") {
 		count, err := strconv.Atoi(s)
 		if err != nil || count < 1 {
-			t.Fatalf("not a list of sizes: %q", list)
+			t.Fatalf("got list of sizes %q, want positive integers separated by commas", list)
 		}
 		out = append(out, count)
 	}
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -6,34 +6,35 @@
 	"testing"
 )
 
-// This file owns the simulation of what surrounds one scheduler of a large fleet: workers, the tasks of
-// all schedulers, the list of workers and the answers to requests. The slope tests measure
-// the scheduler inside it.
+// This file simulates the environment of one scheduler in a large fleet: the workers, the tasks of all
+// schedulers, the list of workers and the answers to requests. The slope tests measure the scheduler in
+// this environment.
 
-// The planned size, from which other sizes follow in proportion.
+// The parameters of the simulated fleet. The planned numbers of workers, running tasks and starts are
+// scaled in proportion to the number of workers of a site.
 const (
 	plannedWorkers   = 4000
 	plannedRunning   = 34000
-	plannedStarts    = 220.0 // a second
+	plannedStarts    = 220.0 // starts per second
 	siteSchedulers   = 9
 	siteZones        = 13
 	siteTenants      = 60
 	workersInCell    = 8
-	siteViewDelay    = second // until the list shows a change
+	siteViewDelay    = second // time until the list shows a change
 	siteRTT          = 4 * ms
-	siteStartTime    = second // from an accepted request to a running task
+	siteStartTime    = second // time from the acceptance of a task until it runs
 	siteRunTime      = 155 * second
-	siteOpenJobs     = 4   // jobs whose tasks come at the same time
-	siteCoresUse     = 0.9 // part of the requested cores that tasks use
-	siteMemoryUse    = 0.85
-	siteUtilization  = 0.65 // of the effective capacity
-	sampledWorkers   = 16   // workers among which another scheduler selects
+	siteOpenJobs     = 4    // number of jobs whose tasks are submitted at the same time
+	siteCoresUse     = 0.9  // fraction of the requested cores that tasks use
+	siteMemoryUse    = 0.85 // fraction of the requested memory that tasks use
+	siteUtilization  = 0.65 // fraction of the effective capacity that is requested
+	sampledWorkers   = 16   // number of random workers among which another scheduler selects
 	spreadClass      = "service"
 	siteDeadline     = 10 * second
 	programTaskLimit = 256
 )
 
-// siteSettings are those of one scheduler of the planned fleet.
+// siteSettings returns the settings of one scheduler of the planned fleet.
 func siteSettings(workers int, probes bool) Settings {
 	settings := Settings{
 		FleetSize: siteSchedulers, Zone: "zone-0", HasView: true, PollsDiscovery: true, Pings: true, RetryAfter: true, Cancel: true,
@@ -49,14 +50,14 @@
 		DrainGraceUs: 2 * second, SlowStartWindowUs: 3 * second, SlowStartOffers: 25, TickUs: 2 * ms, MaxRetryAfterUs: 30 * second, MigrationCost: 0.08,
 	}
 	for i := range siteTenants {
-		// Quotas from 0.5 to 1.5 of the mean: some are exceeded.
+		// Quotas range from 0.5 to 1.5 of the mean, so some are exceeded.
 		mean := float64(workers) * (settings.Kinds[0].Cores + settings.Kinds[1].Cores) / 2 / siteTenants
 		settings.Tenants = append(settings.Tenants, Tenant{fmt.Sprint("team-", i), mean * (0.5 + float64(i)/siteTenants)})
 	}
 	return settings
 }
 
-// withSpread adds a class of which each cell may run one task of a program.
+// withSpread adds a class that allows one task of a program in each cell.
 func withSpread(settings Settings) Settings {
 	class := settings.Classes[0]
 	class.Name, class.Spread, class.MaxPerDomain = spreadClass, ScopeCell, 1
@@ -64,20 +65,19 @@
 	return settings
 }
 
-// siteShapes are the tasks' cores and memory, with how many of a hundred tasks have them.
+// siteShapes lists the cores and memory of tasks. Weights are in percent of the tasks.
 var siteShapes = []struct {
 	weight     int
 	cores, mem float64
 }{{10, .5, 1}, {25, 1, 2}, {15, 1, 6}, {20, 2, 4}, {12, 4, 6}, {8, 4, 12}, {8, 8, 16}, {2, 16, 24}}
 
-// siteJobs are the numbers of tasks of jobs, with how many of a thousand jobs have as
-// many: 8.2 in the mean.
+// siteJobs lists the numbers of tasks of jobs, 8.2 on average. Weights are in thousandths of the jobs.
 var siteJobs = []struct{ weight, tasks int }{
 	{300, 1}, {200, 2}, {200, 4}, {150, 8}, {80, 16}, {40, 32}, {20, 64}, {7, 128}, {3, programTaskLimit}}
 
-// siteWorker is a worker as it is, which the list shows later.
+// siteWorker is the actual state of a worker, which the list shows after siteViewDelay.
 type siteWorker struct {
-	entry                           Entry // without the free capacity
+	entry                           Entry // list entry without the free capacity
 	cores, memory                   float64
 	requestedCores, requestedMemory float64
 }
@@ -86,7 +86,7 @@
 	return max(w.requestedCores/w.cores, w.requestedMemory/w.memory)
 }
 
-// currentEntry is the worker's entry as of now.
+// currentEntry returns the worker's list entry with its current free capacity.
 func (w *siteWorker) currentEntry() Entry {
 	entry := w.entry
 	entry.FreeCores, entry.FreeMemory = w.cores-w.requestedCores, w.memory-w.requestedMemory
@@ -99,13 +99,13 @@
 	worker *siteWorker
 }
 
-// siteJob is a job whose tasks are still coming.
+// siteJob is a job of which tasks remain to be submitted.
 type siteJob struct {
-	task      Task // what its tasks have in common
+	task      Task // properties that its tasks have in common
 	remaining int
 }
 
-// site is a scheduler with its surroundings.
+// site is a scheduler with its simulated environment.
 type site struct {
 	t              testing.TB
 	scheduler      *Scheduler
@@ -115,12 +115,12 @@
 	workers        []*siteWorker
 	byName         map[string]*siteWorker
 	schedulerTasks []*siteTask // running tasks of the scheduler under test
-	otherTasks     []*siteTask // and of the others
+	otherTasks     []*siteTask // running tasks of the other schedulers
 	service        []*siteTask // running tasks of a service with a spread rule
 	jobs           []siteJob
 	requestCount   int
-	changes        []siteChange // that the list is still to show, in order of time
-	reports        []siteReport // to be sent, in order of time
+	changes        []siteChange // changes that the list does not show yet, in order of time
+	reports        []siteReport // reports that were not sent yet, in order of time
 	unplaced       int          // requests that were not placed at once
 	idle           bool         // nothing runs on the fleet
 	betweenUs      int64        // time between two requests to the scheduler
@@ -136,7 +136,7 @@
 	task       *siteTask
 }
 
-// newSite returns a scheduler with its list of workers and its running tasks.
+// newSite returns a site whose scheduler has a list of workers and, unless idle, running tasks.
 func newSite(t testing.TB, workers int, seed uint64, settings Settings, idle bool) *site {
 	t.Helper()
 	scheduler, err := New(settings, seed)
@@ -164,8 +164,9 @@
 	return s
 }
 
-// fill starts tasks of all schedulers, each scheduler's in proportion, and as much besides that the
-// utilization is siteUtilization whatever tasks were drawn.
+// fill starts a number of tasks, divided evenly among all schedulers. It then adjusts the requested cores
+// and memory of every worker, so that the mean utilization is close to siteUtilization regardless of the
+// random tasks.
 func (s *site) fill(running int) {
 	for i := range running {
 		task := &siteTask{Task: s.nextTask()}
@@ -184,7 +185,8 @@
 	}
 }
 
-// adoptTasks registers the scheduler's running tasks with it, and reports what they use.
+// adoptTasks registers the running tasks of the scheduler under test with it, and reports their use of
+// cores and memory.
 func (s *site) adoptTasks() {
 	var events []Event
 	for _, task := range s.schedulerTasks {
@@ -210,7 +212,7 @@
 	return entries
 }
 
-// nextTask is a task of one of the jobs that are open.
+// nextTask returns the next task of a random open job.
 func (s *site) nextTask() Task {
 	for len(s.jobs) < siteOpenJobs {
 		s.jobs = append(s.jobs, s.nextJob())
@@ -248,7 +250,8 @@
 	return siteJob{task, size}
 }
 
-// leastUtilizedOfSample is the worker that a scheduler with a similar view would select, roughly.
+// leastUtilizedOfSample returns the least utilized of sampledWorkers random workers, which approximates
+// the selection of another scheduler with a similar view.
 func (s *site) leastUtilizedOfSample() (best *siteWorker) {
 	for range sampledWorkers {
 		worker := s.workers[s.random.IntN(len(s.workers))]
@@ -259,7 +262,7 @@
 	return best
 }
 
-// start starts a task on a worker, which the list shows later.
+// start starts a task on a worker, which the list shows after siteViewDelay.
 func (s *site) start(task *siteTask, worker *siteWorker) {
 	task.worker = worker
 	worker.requestedCores, worker.requestedMemory = worker.requestedCores+task.Cores, worker.requestedMemory+task.Memory
@@ -277,7 +280,7 @@
 
 func (s *site) handle(events ...Event) []Action { return s.scheduler.Handle(s.now, events) }
 
-// takeRandom removes a task from a list.
+// takeRandom removes a random task from a list and returns it.
 func (s *site) takeRandom(list *[]*siteTask) *siteTask {
 	tasks := *list
 	i := s.random.IntN(len(tasks))
@@ -287,9 +290,9 @@
 	return task
 }
 
-// advanceToNextRequest is what happens on the rest of the fleet until the next request: every other
-// scheduler starts a task and ends one. It returns the list entries that are shown
-// now, and hands over the reports of tasks that began to run.
+// advanceToNextRequest simulates the rest of the fleet until the next request: every other scheduler ends
+// a task and starts one. It passes the reports of tasks that began to run to the scheduler, and returns the
+// changes that the list now shows.
 func (s *site) advanceToNextRequest() (changes []Event) {
 	for range siteSchedulers - 1 {
 		if len(s.otherTasks) == 0 {
@@ -314,14 +317,14 @@
 	return changes
 }
 
-// handleEach hands over list entries, each in a call of its own.
+// handleEach passes list changes to the scheduler, each in a separate call.
 func (s *site) handleEach(changes []Event) {
 	for _, event := range changes {
 		s.handle(event)
 	}
 }
 
-// warmUp runs exchanges that are not measured.
+// warmUp runs a number of exchanges without measuring them.
 func (s *site) warmUp(exchanges int) {
 	for range exchanges {
 		e := s.prepare()
@@ -332,7 +335,7 @@
 	s.unplaced = 0
 }
 
-// advance lets time advance without requests, and shows what changed.
+// advance moves the clock forward without requests, and passes the outstanding list changes to the scheduler.
 func (s *site) advance(us int64) {
 	s.now += us
 	var entries []Entry
@@ -343,13 +346,13 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: entries})
 }
 
-// effectiveCoresFactor is the effective part of a worker's cores, by the saturation load and by what
-// tasks use. All of its memory is effective.
+// effectiveCoresFactor returns the effective capacity of a worker in cores, relative to its size, as it
+// follows from the saturation load and the use by tasks. For memory, the factor is 1.
 func (s *site) effectiveCoresFactor() float64 {
 	return s.settings.Classes[0].SaturationLoad / siteCoresUse
 }
 
-// meanUtilization is what is requested of the fleet, over its effective capacity.
+// meanUtilization returns the mean utilization of the workers, relative to their effective capacity.
 func (s *site) meanUtilization() (mean float64) {
 	for _, worker := range s.workers {
 		mean += max(worker.requestedCores/(worker.cores*s.effectiveCoresFactor()), worker.requestedMemory/worker.memory) / float64(len(s.workers))
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -19,24 +19,25 @@
 )
 
 const (
-	// slopeWarmUp is how many exchanges come before the measured ones.
+	// slopeWarmUp is the number of exchanges before the measured ones.
 	slopeWarmUp = 40
-	// allocsGrowth bounds how much more a decision may allocate in a fleet four times
-	// as large: less than growth in proportion, with slices that double as they grow.
+	// allocsGrowth is the maximum factor by which the allocations of a decision may grow in a fleet that is
+	// four times as large. It is well below proportional growth, and allows for slices that double their
+	// capacity.
 	allocsGrowth = 1.5
-	// maxUnplaced is the part of the requests that may find no free capacity at once.
+	// maxUnplaced is the maximum fraction of the requests that may find no free capacity immediately.
 	maxUnplaced = 0.02
 )
 
-// slopeRow is what was measured at one size.
+// slopeRow holds the measurements at one size.
 type slopeRow struct {
 	workers               int
 	requests, listEntries meter
 	utilization, unplaced float64
 }
 
-// TestDecisionSlope measures how the cost of a request with its answer and the end of
-// another task, and of a list entry, grows with the fleet. It asserts counts only.
+// TestDecisionSlope measures how the cost of an exchange and of a list entry grows with the size of the
+// fleet. It asserts the number of allocations and of unplaced requests, but not the time.
 func TestDecisionSlope(t *testing.T) {
 	lockToThread(t)
 	var rows []*slopeRow
@@ -48,13 +49,13 @@
 		t.Logf("workers=%d asked=%.3f request_p50_us=%.1f request_p99_us=%.1f unplaced=%.3f",
 			count, r.utilization, r.requests.percentileUs(50), r.requests.percentileUs(99), r.unplaced)
 		if r.unplaced > maxUnplaced {
-			t.Errorf("%d workers: %.3f of the requests found no free capacity, more than %v", count, r.unplaced, maxUnplaced)
+			t.Errorf("%d workers: got a fraction of %.3f of unplaced requests, want at most %v", count, r.unplaced, maxUnplaced)
 		}
 	}
 	reportSlope(t, rows)
 	if first, last := rows[0], rows[len(rows)-1]; first.workers*4 == last.workers {
 		if a, b := first.requests.allocsEach(), last.requests.allocsEach(); b > a*allocsGrowth {
-			t.Errorf("a decision allocates %.1f times at %d workers and %.1f at %d: more than %v times as often",
+			t.Errorf("got %.1f allocations per decision with %d workers and %.1f with %d, want growth by at most a factor of %v",
 				a, first.workers, b, last.workers, allocsGrowth)
 		}
 	}
@@ -79,7 +80,7 @@
 	return row
 }
 
-// reportSlope prints the exponents and writes the samples and the chart.
+// reportSlope prints the exponents of growth, and writes the samples and the chart to files.
 func reportSlope(t *testing.T, rows []*slopeRow) {
 	t.Helper()
 	request, entry := plot.Series{Name: "request and answer"}, plot.Series{Name: "list entry"}
