--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,18 +1,19 @@
 package dispatch
 
-// This file owns the ends of attempts and of tasks: what the scheduler and the client learn of them, and
-// what becomes of the request. It must never start an attempt.
+// This file owns how attempts and tasks end: it reports each end to the scheduler and the client, and updates
+// or removes the request. It must never start an attempt.
 
 import "ravenhitch/placement"
 
-// terminationTimeout is how long a worker has to report the completion of a task that was released
-// or migrated before its client may use its names again.
+// terminationTimeout is how long a worker has to report the completion of a released or migrated task. After
+// that, the client may submit the task's key again.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt. The worker is notified before anything else may be sent for
-// this request, and the scheduler learns of the end, and may offer elsewhere, only once the attempt
-// is over for sure: a cancel that is still in transit, or in a connection that became unresponsive,
-// ends nothing. The response does not wait for that.
+// cancelAttempt cancels the open attempt of a request. The worker is told before anything else may be sent
+// for this request. The scheduler learns of the end, and may offer the task elsewhere, only once the attempt
+// is certainly over: a cancel that is still in transit, or on a connection that became unresponsive, does not
+// end the attempt. The response to the client does not wait for that: at the deadline the attempt counts as
+// ended.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
 	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
@@ -26,7 +27,8 @@
 	d.arm(r, r.deadline)
 }
 
-// attemptEnded takes the end of an attempt that was not accepted. The request is pending again.
+// attemptEnded records the end of an attempt whose acceptance was not received. The request becomes pending
+// again.
 func (d *Dispatcher) attemptEnded(r *request, outcome placement.Outcome, cause placement.Cause) {
 	switch outcome {
 	case placement.Rejected:
@@ -46,9 +48,10 @@
 	d.arm(r, r.deadline)
 }
 
-// unacceptedTaskEnded takes the end of a task that ran and whose acceptance was not read. What ran and is over is
-// reported to its client within a second, whatever its class: another attempt would begin the task anew instead, and
-// outlast that. Its client cannot be sent an acceptance, since the worker's description is not known.
+// unacceptedTaskEnded records the end of a task that ran although its acceptance was not received, and fails
+// the request. The end of a task that ran is reported to its client within a second, whatever its class.
+// Another attempt would run the task again and take longer than that. The client cannot be sent an
+// acceptance, because the worker's description of the task is not known.
 func (d *Dispatcher) unacceptedTaskEnded(r *request, cause placement.Cause) {
 	d.log.Info("task ended before its acceptance", "request_id", r.RequestID, "worker", r.worker)
 	d.counts.Reset++
@@ -58,7 +61,7 @@
 	d.fail(r)
 }
 
-// setMayHaveRun notes that the attempt of r which is open, or was last, may have started.
+// setMayHaveRun records that the latest attempt of r, open or ended, may have started the task.
 func (d *Dispatcher) setMayHaveRun(r *request) {
 	if r.mayHaveRun {
 		return
@@ -68,7 +71,8 @@
 	r.firstRun = firstAttempt{worker: r.worker, zone: entry.Zone, cell: entry.Cell, at: r.sentAt}
 }
 
-// endOpenAttempt cancels an attempt that is still open at the end of its request.
+// endOpenAttempt ends the attempt that is still open when its request ends. It cancels an offered attempt and
+// reports the end to the scheduler.
 func (d *Dispatcher) endOpenAttempt(r *request) {
 	switch r.state {
 	case stateOffered:
@@ -80,15 +84,15 @@
 	}
 }
 
-// release ends a running task that is no longer wanted here.
+// release tells the worker to end a running task, and waits up to terminationTimeout for its completion.
 func (d *Dispatcher) release(r *request) {
 	d.workers.Release(r.worker, r.RequestID)
 	d.transition(r, eventReleased)
 	d.arm(r, d.now+terminationTimeout)
 }
 
-// taskCompleted takes the end of a running or terminating task. Its client is notified, unless it asked
-// for the end itself.
+// taskCompleted records the end of a running or terminating task and removes its request. The client is
+// notified unless the task was cancelled, released or migrated.
 func (d *Dispatcher) taskCompleted(r *request, outcome placement.Outcome, cause placement.Cause) {
 	d.advisor.Ended(d.now, r.backpressureRequest())
 	d.reportAttemptEnded(r, outcome, cause, true)
@@ -99,7 +103,8 @@
 	d.remove(r)
 }
 
-// reportAttemptEnded reports to the scheduler the end of an attempt; final where its request is over.
+// reportAttemptEnded reports the end of the latest attempt, or of the task that it started, to the scheduler.
+// final is true if no further attempt of the request follows.
 func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
 	d.queueEvent(placement.AttemptEnded{
 		RequestID: r.RequestID,
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -7,78 +7,78 @@
 	"ravenhitch/placement"
 )
 
-// An attempt that timed out is cancelled at its worker before the next one.
+// Checks that an attempt that timed out is cancelled at its worker before the next one starts.
 func TestTimedOutAttemptIsCancelled(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-	h.mustStart("t1", 5000) // a quick answer, so that later attempts are abandoned early
+	h.mustStart("t1", 5000) // a quick answer makes later attempts time out early
 	h.mustSubmit("t2", "web", "k2", 5000)
 	h.advance(3000 * millisecond)
 	if len(h.offers) < 3 || h.cancelled != len(h.offers)-2 {
-		t.Errorf("offers %v, %d cancelled", h.offers, h.cancelled)
+		t.Errorf("offers %v, cancelled attempts %d; want at least 3 offers and all but 2 cancelled", h.offers, h.cancelled)
 	}
 
-	// An acceptance that crossed the cancel is not passed on.
+	// An acceptance that arrives after the cancel is not passed on to the client.
 	late := "a"
 	if h.offered["t2"] == "a" {
 		late = "b"
 	}
 	h.AttemptAccepted(h.now, late, "t2", "late")
 	if kind, ok := h.finalResponses["t2"]; ok && kind == Started || len(h.received) != 1 {
-		t.Errorf("responses %v", h.received)
+		t.Errorf("responses %v, want only the start of t1", h.received)
 	}
 }
 
-// An attempt that was cancelled and may still be open holds back the next one, and
-// nothing else: not the response at its client's deadline, nor its client's cancel.
+// An attempt that was cancelled without a confirmation may still be open. It delays the next attempt, but
+// neither the response at the client's deadline nor a cancel by the client.
 func TestUnconfirmedCancel(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-	h.mustStart("t0", 5000) // a quick answer, so that later attempts are abandoned early
+	h.mustStart("t0", 5000) // a quick answer makes later attempts time out early
 	h.withholdConfirm = true
 	for _, id := range []string{"t1", "t2", "t3", "t4"} {
 		h.mustSubmit(id, "web", "k"+id, 2000)
 	}
-	h.advance(1000 * millisecond) // no second offer of any, or the harness fails
+	h.advance(1000 * millisecond) // the harness fails if any request gets a second offer
 	if len(h.offers) != 5 || len(h.unconfirmed) != 4 || h.OpenCount() != 4 {
-		t.Fatalf("offers %v, cancelled %v, open %d", h.offers, h.unconfirmed, h.OpenCount())
+		t.Fatalf("offers %v, unconfirmed cancels %v, open requests %d; want 5, 4 and 4", h.offers, h.unconfirmed, h.OpenCount())
 	}
 
 	worker := h.unconfirmed["t1"]
-	h.CancelConfirmed(h.now, "c", "t1") // another worker confirms nothing
+	h.CancelConfirmed(h.now, "c", "t1") // the confirmation of another worker is ignored
 	h.advance(0)
 	h.confirmCancel("t1")
 	h.advance(0)
 	if len(h.offers) != 6 || h.offers[5] == "t1@"+worker {
-		t.Errorf("after the confirmation: offers %v", h.offers)
+		t.Errorf("offers after the confirmation of t1: %v, want a sixth, for t1 at another worker", h.offers)
 	}
 
 	delete(h.unconfirmed, "t4")
-	h.endAttempt("t4", placement.Reset) // its connection broke: a confirmation as well
+	h.endAttempt("t4", placement.Reset) // the end of the connection confirms the cancel as well
 	if h.advance(0); len(h.offers) != 7 {
-		t.Errorf("after a reset: offers %v", h.offers)
+		t.Errorf("offers after the reset of t4's attempt: %v, want 7", h.offers)
 	}
 
 	h.confirmCancel("t1")
 	if h.Cancel(h.now, h, "t2") != WasOpen {
-		t.Error("t2 could not be cancelled")
+		t.Error("Cancel of t2 did not return WasOpen")
 	}
 	if !slices.ContainsFunc(h.events, isEndOfAttempt("t2")) {
-		t.Errorf("the scheduler does not learn of the end of t2's attempt: %v", h.events)
+		t.Errorf("no AttemptEnded of t2 among the scheduler's events: %v", h.events)
 	}
 
 	h.confirmCancel("t2")
 	h.advance(2000 * millisecond)
 	if kind, ok := h.finalResponses["t3"]; !ok || kind != Rejected || h.OpenCount() != 0 {
-		t.Errorf("t3 got %v, %d open", kind, h.OpenCount())
+		t.Errorf("t3: response kind %v, open requests %d; want Rejected and 0", kind, h.OpenCount())
 	}
 	h.confirmCancel("t3")
 	if h.advance(2000 * millisecond); len(h.offers) > 8 {
-		t.Errorf("offers after the end: %v", h.offers)
+		t.Errorf("offers after the end of all requests: %v, want at most 8", h.offers)
 	}
 }
 
-// isEndOfAttempt returns a predicate for the end of an attempt of a request.
+// isEndOfAttempt returns a predicate that matches the AttemptEnded events of a request.
 func isEndOfAttempt(requestID string) func(placement.Event) bool {
 	return func(event placement.Event) bool {
 		ended, ok := event.(placement.AttemptEnded)
@@ -86,7 +86,7 @@
 	}
 }
 
-// Running tasks end when their worker has died, or has left the list for long.
+// Running tasks end when their worker has died or has been off the list for unlistedTimeout.
 func TestLostWorkers(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -98,7 +98,7 @@
 	h.updateWorkers(placement.ListDelta, placement.Removed, "a")
 	h.advance(1000 * millisecond)
 	if count := h.RunningCount(); count != 1 {
-		t.Fatalf("%d tasks run just after the worker left the list", count)
+		t.Fatalf("running tasks 1 s after the worker left the list: %d, want 1", count)
 	}
 	h.advance(5000 * millisecond)
 	type completion struct {
@@ -113,12 +113,12 @@
 	}
 	want := []completion{{"t2", placement.Completed}, {"t1", placement.Reset}, {"t3", placement.Reset}}
 	if !slices.Equal(completed, want) || h.RunningCount() != 0 {
-		t.Errorf("completed %v, want %v; %d tasks run", completed, want, h.RunningCount())
+		t.Errorf("completions %v, want %v; running tasks %d, want 0", completed, want, h.RunningCount())
 	}
 }
 
-// An end that says that the task ran, though its acceptance was not read, ends the request at once: its client gets a
-// failure, and nothing is offered again. An end that does not say so leads to another attempt.
+// An end which shows that the task ran, although its acceptance was not received, ends the request at once:
+// the client gets a failure, and nothing is offered again. Any other end leads to another attempt.
 func TestTaskEndedBeforeItsAcceptance(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -147,10 +147,10 @@
 				h.advance(10 * millisecond)
 				kind, answered := h.finalResponses["t1"]
 				if test.ran && (!answered || kind != Failed || len(h.offers) != 1 || h.Contains("t1")) {
-					t.Errorf("response %v (%v), offers %v", kind, answered, h.offers)
+					t.Errorf("task ran: response kind %v (received: %v), offers %v; want Failed, 1 offer", kind, answered, h.offers)
 				}
 				if mayRetry := class != "cut" || !h.mayHaveRun["t1"]; !test.ran && mayRetry && len(h.offers) != 2 {
-					t.Errorf("offers %v, response %v (%v)", h.offers, kind, answered)
+					t.Errorf("task did not run: offers %v, want 2; response kind %v (received: %v)", h.offers, kind, answered)
 				}
 				h.checkTable()
 			})
@@ -158,14 +158,14 @@
 	}
 }
 
-// An end that says that the task ran, of an attempt that was given up before, ends the request while nothing was offered
-// since, and only then.
+// An end which shows that the task ran, of an attempt that was given up before, ends the request, but only if
+// nothing has been offered since.
 func TestAbandonedTaskEnded(t *testing.T) {
 	const ran, drained = placement.Reset, placement.CauseDrained
 	setUp := func(t *testing.T, withholdConfirm bool) (h *harness, worker string) {
 		h = newHarness(t)
 		h.updateWorkers(placement.ListFull, placement.Ready, "a")
-		h.mustStart("t0", 5000) // a quick answer, so that later attempts are abandoned early
+		h.mustStart("t0", 5000) // a quick answer makes later attempts time out early
 		h.withholdConfirm = withholdConfirm
 		h.mustSubmit("t1", "web", "k1", 2000)
 		h.advance(10 * millisecond)
@@ -176,16 +176,16 @@
 		h, worker := setUp(t, true)
 		h.advance(500 * millisecond)
 		if h.unconfirmed["t1"] == "" {
-			t.Fatalf("offers %v", h.offers)
+			t.Fatalf("no unconfirmed cancel of t1; offers %v", h.offers)
 		}
-		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0) // a duplicate
-		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)             // a foreign one
+		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0) // a duplicate answer
+		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)             // from a worker without this attempt
 		if h.OpenCount() != 1 {
-			t.Fatal("the request is over")
+			t.Fatal("t1 is over after ends that it had to ignore")
 		}
 		h.AbandonedTaskEnded(h.now, worker, "t1", ran, drained)
 		if !failed(h) {
-			t.Errorf("responses %v", h.received)
+			t.Errorf("responses %v, want a failure of t1, removed from the table", h.received)
 		}
 	})
 	t.Run("pending", func(t *testing.T) {
@@ -193,14 +193,14 @@
 		h.updateWorkers(placement.ListDelta, placement.Draining, "a")
 		h.endAttempt("t1", placement.Reset)
 		h.advance(10 * millisecond)
-		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Reset, 0) // does not say that the task ran
+		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Reset, 0) // does not show that the task ran
 		if h.OpenCount() != 1 || len(h.offers) != 2 {
-			t.Fatalf("offers %v, responses %v", h.offers, h.received)
+			t.Fatalf("offers %v, responses %v; want 2 offers and t1 still open", h.offers, h.received)
 		}
 		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Completed, 0)
 		h.advance(10 * millisecond)
 		if !failed(h) {
-			t.Errorf("responses %v", h.received)
+			t.Errorf("responses %v, want a failure of t1, removed from the table", h.received)
 		}
 	})
 	t.Run("offered since", func(t *testing.T) {
@@ -209,11 +209,11 @@
 		h.endAttempt("t1", placement.Reset)
 		h.advance(10 * millisecond)
 		if h.offered["t1"] != "b" {
-			t.Fatalf("offers %v", h.offers)
+			t.Fatalf("t1 is not offered to worker b; offers %v", h.offers)
 		}
 		h.AbandonedTaskEnded(h.now, worker, "t1", ran, drained)
 		if h.offered["t1"] == "" || h.OpenCount() != 1 {
-			t.Errorf("offers %v, responses %v", h.offers, h.received)
+			t.Errorf("offers %v, responses %v; want t1 still open and offered to worker b", h.offers, h.received)
 		}
 	})
 }
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file joins the table with the backpressure: it reports to the advisor what was requested, started
-// and rejected, and passes on to the scheduler what follows. It decides neither what to reject nor
-// when a client is to come again.
+// This file connects the request table with backpressure: it reports requests, starts, ends and rejections to
+// the advisor, and passes the advisor's release rate and reserved capacity on to the scheduler. It decides
+// neither which requests are rejected nor when a client retries.
 
 import (
 	"math"
@@ -12,29 +12,30 @@
 	"ravenhitch/placement"
 )
 
-// Advisor says when rejected clients are to come again. Its advice never delays a rejection.
-// Times are in microseconds.
+// Advisor computes the Retry-After of rejected clients. It never delays a rejection. Times are in
+// microseconds.
 type Advisor interface {
-	// Requested takes a request and says since when its client is on the waitlist.
+	// Requested records a request and returns the time since which its client has been on the waitlist.
 	Requested(now int64, request backpressure.Request) (since int64)
-	// SetPending sets how many units of each class are pending.
+	// SetPending sets the units of the pending requests of each class.
 	SetPending(now int64, units []float64)
 	Started(now int64, request backpressure.Request)
 	Ended(now int64, request backpressure.Request)
 	Adopted(now int64, request backpressure.Request)
 	Cancelled(now int64, request backpressure.Request)
-	// Rejected is how long the client is to stay away.
+	// Rejected records a rejection and returns how long the client has to wait before it retries.
 	Rejected(now int64, request backpressure.Request) (waitUs int64)
-	// ReleaseRate is how much capacity becomes free, in units a second, 0 where unknown.
+	// ReleaseRate returns the rate at which capacity becomes free, in units per second, or 0 if it is
+	// unknown.
 	ReleaseRate(now int64) float64
-	// HigherPriorityDemand is how many units each class is to leave to expected requests of higher priority.
+	// HigherPriorityDemand returns the units that each class must leave free for expected requests of higher
+	// priority.
 	HigherPriorityDemand(now int64) []float64
 	Tick(now int64) (backpressure.Change, bool)
 	Figures(now int64) backpressure.Figures
 }
 
-// BackpressureSettings are the settings of the backpressure that follow from those of the
-// scheduler.
+// BackpressureSettings derives the backpressure settings from those of the scheduler.
 func BackpressureSettings(settings placement.Settings) backpressure.Settings {
 	out := backpressure.Settings{MaxRetryAfterUs: settings.MaxRetryAfterUs}
 	for _, class := range settings.Classes {
@@ -44,29 +45,29 @@
 }
 
 const (
-	// backpressureInterval is how often the scheduler is notified of the release rate, and
-	// minBackpressureChange by what share that must have changed.
-	backpressureInterval  = 20 * millisecond
+	// backpressureInterval is the minimum time between two reports of the release rate to the scheduler.
+	backpressureInterval = 20 * millisecond
+	// minBackpressureChange is the relative change up to which a value is not reported again.
 	minBackpressureChange = 0.05
 )
 
-// backpressureReport is what was last reported to the scheduler.
+// backpressureReport holds the values that were last reported to the scheduler.
 type backpressureReport struct {
 	at          int64
 	releaseRate float64
 	reserved    []float64
 }
 
-// SetAdvisor sets who advises; before the first submission.
+// SetAdvisor sets the advisor. It must be called before the first submission.
 func (d *Dispatcher) SetAdvisor(advisor Advisor) { d.advisor = advisor }
 
 // AdvisesRetryAfter reports whether rejected clients get a Retry-After.
 func (d *Dispatcher) AdvisesRetryAfter() bool { return d.settings.RetryAfter }
 
-// BackpressureFigures are the figures of the backpressure that operators watch.
+// BackpressureFigures returns the backpressure figures that operators monitor.
 func (d *Dispatcher) BackpressureFigures() backpressure.Figures { return d.advisor.Figures(d.now) }
 
-// countPending keeps count of what is pending as a request moves to a state.
+// countPending updates the number and the units of pending requests when a request moves to a state.
 func (d *Dispatcher) countPending(r *request, to state) {
 	if r.state == statePending {
 		d.pendingUnits[r.classIndex] -= r.units
@@ -77,12 +78,12 @@
 		d.pendingCount++
 	}
 	if d.pendingCount == 0 {
-		clear(d.pendingUnits) // no rounding errors are left behind
+		clear(d.pendingUnits) // removes accumulated rounding errors
 	}
 }
 
-// announcePending reports to the advisor what will be pending once the actions are carried out: requests
-// that are rejected together must not get slots behind one another.
+// announcePending reports to the advisor the units that will be pending once the actions are carried out.
+// This keeps requests that are rejected together from getting slots behind one another.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
@@ -100,7 +101,8 @@
 	d.advisor.SetPending(d.now, d.remainingUnits)
 }
 
-// reportBackpressure reports to the advisor what is pending, and to the scheduler how fast capacity becomes free.
+// reportBackpressure reports the pending units to the advisor, and the release rate and the reserved units to
+// the scheduler if they have changed.
 func (d *Dispatcher) reportBackpressure() {
 	d.advisor.SetPending(d.now, d.pendingUnits)
 	if change, ok := d.advisor.Tick(d.now); ok {
@@ -119,5 +121,6 @@
 	d.queueEvent(placement.Backpressure{ReleaseRate: releaseRate, Reserved: last.reserved})
 }
 
-// isNear reports whether a figure is much as it was.
+// isNear reports whether a value differs from its last reported value by at most minBackpressureChange of
+// that.
 func isNear(now, was float64) bool { return math.Abs(now-was) <= minBackpressureChange*was }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -1,38 +1,39 @@
 package dispatch
 
-// This file owns the clients' side of the table after a submission: what a client may ask of its
-// request, and the end of its connection. It must never give a client a second final response, nor
-// speak to a worker but to end what its client no longer wants.
+// This file owns what clients do after a submission: they query or cancel a request, or their connection
+// ends. It must never give a client a second final response, and it may send workers only cancels and
+// releases of what a client no longer wants.
 
 import "ravenhitch/placement"
 
-// Client gets the responses to the requests that it submitted.
+// Client receives the responses to the requests that it submitted.
 type Client interface {
 	Respond(response Response)
 }
 
-// ConnectedClient is a Client that knows up to when its connection was read: a cancel or an end of
-// the connection that came later may not have been read yet.
+// ConnectedClient is a Client that knows up to which time its connection was read. A cancel or a disconnect
+// that arrived later may not have been read yet.
 type ConnectedClient interface {
 	Client
-	LastSeenAt() int64 // microseconds
+	// LastSeenAt returns the time up to which the connection was read, in microseconds.
+	LastSeenAt() int64
 }
 
-// ClientLastSeenAt is up to when the connection of a request's client was read, and otherwise where
-// the client doesn't know that or the request is over.
-func (d *Dispatcher) ClientLastSeenAt(requestID string, otherwise int64) int64 {
+// ClientLastSeenAt returns the time up to which the connection of a request's client was read. It returns
+// fallback if the client does not know that time or the request is over.
+func (d *Dispatcher) ClientLastSeenAt(requestID string, fallback int64) int64 {
 	if r := d.requests[requestID]; r != nil {
 		if client, ok := r.client.(ConnectedClient); ok {
 			return client.LastSeenAt()
 		}
 	}
-	return otherwise
+	return fallback
 }
 
-// Class is what a front may know of a class: the timeout of requests that name none.
+// Class holds the properties of a class that fronts need: the timeout of requests that state none.
 type Class struct{ TimeoutUs int64 }
 
-// Class returns what is known of a class, and whether it is in the settings.
+// Class returns the properties of a class and reports whether the class is in the settings.
 func (d *Dispatcher) Class(name string) (Class, bool) {
 	for _, class := range d.settings.Classes {
 		if class.Name == name {
@@ -42,42 +43,43 @@
 	return Class{}, false
 }
 
-// CancelResult is what Cancel found.
+// CancelResult is the result of Cancel.
 type CancelResult int
 
-// What Cancel may find.
+// The results of Cancel.
 const (
-	NotFound   CancelResult = iota // no such request of this client
-	WasOpen                        // the request was open, and is over without a response
-	WasRunning                     // the task was running, and is terminating
+	NotFound   CancelResult = iota // the client has no open request or running task with this request ID
+	WasOpen                        // the request was open and is removed without a response
+	WasRunning                     // the task was running and is now terminating
 )
 
-// IsResumable reports whether a request ID names a live request of a front whose clients
-// repeat submissions. A front must not end what came by another.
+// IsResumable reports whether a request ID belongs to a live request of a front whose clients repeat
+// submissions. A front must not end a request that was submitted through another front.
 func (d *Dispatcher) IsResumable(requestID string) bool {
 	r := d.find(requestID)
 	return r != nil && r.Resumable
 }
 
-// IsRunning reports whether a request ID names a running task.
+// IsRunning reports whether a request ID belongs to a running task.
 func (d *Dispatcher) IsRunning(requestID string) bool {
 	r := d.find(requestID)
 	return r != nil && r.state == stateRunning
 }
 
-// IsTerminating reports whether a request ID names a task that was released or migrated and whose
+// IsTerminating reports whether a request ID belongs to a task that was released or migrated and whose
 // completion the worker has not reported.
 func (d *Dispatcher) IsTerminating(requestID string) bool {
 	r := d.requests[requestID]
 	return r != nil && r.state == stateTerminating || d.unresponsive[requestID] != nil
 }
 
-// Contains reports whether a request ID names a request, or a task whose end is still unknown.
+// Contains reports whether a request ID belongs to a request in the table or to an unresponsive task.
 func (d *Dispatcher) Contains(requestID string) bool {
 	return d.find(requestID) != nil || d.unresponsive[requestID] != nil
 }
 
-// Reject ends a request of client that is still open, because its connection has ended.
+// Reject ends an open request of client at once, because its front closes the connection or has received the
+// request ID twice. The response is a rejection or, if a retry could do harm, a failure.
 func (d *Dispatcher) Reject(now int64, client Client, requestID string) {
 	d.now = now
 	r := d.find(requestID)
@@ -89,7 +91,7 @@
 	d.rejectOrFail(r)
 }
 
-// RejectAll ends whatever is still open; used when the program has to end.
+// RejectAll ends all open requests. It is called when the program shuts down.
 func (d *Dispatcher) RejectAll(now int64) {
 	d.now = now
 	for _, r := range d.sorted() {
@@ -98,8 +100,8 @@
 	d.events = nil
 }
 
-// Cancel ends a request that its client no longer wants, open or running. No response is owed then.
-// Where client is not nil, only a request that is still client's is cancelled.
+// Cancel ends a request that its client no longer wants, open or running. The client gets no response to
+// that. If client is not nil, only a request that still belongs to it is cancelled.
 func (d *Dispatcher) Cancel(now int64, client Client, requestID string) CancelResult {
 	d.now = now
 	r := d.find(requestID)
--- a/internal/dispatch/deadlines.go
+++ b/internal/dispatch/deadlines.go
@@ -1,21 +1,21 @@
 package dispatch
 
-// This file owns the two heaps of times to come: the deadlines of requests, and the timers of the
-// scheduler. It must never act on what they hold.
+// This file owns two heaps ordered by time: the deadlines of requests and the timers of the scheduler. It
+// must never act on their entries.
 
 import "container/heap"
 
-// deadlineHeap orders requests by the time at which the dispatcher acts on them. It implements
+// deadlineHeap orders requests by wakeAt, the time at which the dispatcher acts on them. It implements
 // heap.Interface.
 type deadlineHeap []*request
 
-// Len is the number of requests.
+// Len returns the number of requests.
 func (h deadlineHeap) Len() int { return len(h) }
 
 // Less reports whether request i comes before request j.
 func (h deadlineHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
 
-// Swap swaps two requests.
+// Swap swaps requests i and j.
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
@@ -28,7 +28,7 @@
 	*h = append(*h, r)
 }
 
-// Pop takes off the last request.
+// Pop removes and returns the last request.
 func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
@@ -39,7 +39,7 @@
 	return r
 }
 
-// arm sets the time at which the dispatcher acts on a request.
+// arm sets or changes the time at which the dispatcher acts on a request.
 func (d *Dispatcher) arm(r *request, at int64) {
 	r.wakeAt = at
 	if r.heapIndex >= 0 {
@@ -49,7 +49,7 @@
 	heap.Push(&d.deadlines, r)
 }
 
-// disarm removes a request from the deadlines.
+// disarm removes a request from the deadline heap.
 func (d *Dispatcher) disarm(r *request) {
 	if r.heapIndex >= 0 {
 		heap.Remove(&d.deadlines, r.heapIndex)
@@ -57,28 +57,28 @@
 	r.wakeAt = 0
 }
 
-// schedulerTimer is a timer of the scheduler.
+// schedulerTimer is a timer that the scheduler has set.
 type schedulerTimer struct {
-	at  int64
-	ref string
+	at  int64  // in microseconds
+	ref string // returned to the scheduler in TimerFired
 }
 
-// timerHeap orders the timers of the scheduler. It implements heap.Interface.
+// timerHeap orders the timers of the scheduler by time. It implements heap.Interface.
 type timerHeap []schedulerTimer
 
-// Len is the number of timers.
+// Len returns the number of timers.
 func (h timerHeap) Len() int { return len(h) }
 
 // Less reports whether timer i fires before timer j.
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
-// Swap swaps two timers.
+// Swap swaps timers i and j.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push appends a schedulerTimer.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(schedulerTimer)) }
 
-// Pop takes off the last timer.
+// Pop removes and returns the last timer.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,10 +1,10 @@
-// Package dispatch owns the request table: every request that a client has submitted and every
-// running task, from their first message to their last. It turns what happened into events of the
-// scheduler, and the scheduler's actions into offers, responses and releases. It knows no wire and
-// no socket, and it reads no clock: the time is passed in, in microseconds.
+// Package dispatch owns the request table: every request that a client has submitted and every running task,
+// from its first message to its last. It turns the reports of clients and workers into events for the
+// scheduler, and the scheduler's actions into offers, responses and releases. It handles no wire format and
+// no sockets, and it reads no clock: callers pass in the time, in microseconds.
 //
-// The invariants of requests (state.go) hold here, whatever a client, a worker or the scheduler
-// does. Nothing here may block, and nothing but this package may decide that a request is over.
+// The invariants of requests (state.go) hold whatever a client, a worker or the scheduler does. No function
+// of this package may block, and no other package may decide that a request is over.
 package dispatch
 
 import (
@@ -18,45 +18,45 @@
 	"ravenhitch/placement"
 )
 
-// This file owns the table itself: how requests enter it, are found in it, and leave it. It must never
-// change the state of a request but by a transition (state.go).
+// This file owns the table itself: how requests are inserted, found and removed. It must change the state of
+// a request only by a transition (state.go).
 
-// Units of the times here, which are in microseconds.
+// Units of time, in microseconds.
 const (
 	millisecond = 1_000
 	second      = 1_000 * millisecond
 )
 
-// Counts are what the dispatcher has counted since it was created.
+// Counts holds the counters of a dispatcher since its creation.
 type Counts struct {
 	Requests, Started, Rejected, Failed, Completed, Migrated, Cancelled, Adopted, Resumed int64
 	Offers, TimedOut, ConnectFailed, RejectedByWorker, Reset, Blocked                     int64
 }
 
-// Dispatcher is the request table around one scheduler. It is not safe for concurrent use.
+// Dispatcher is the request table of one scheduler. It is not safe for concurrent use.
 type Dispatcher struct {
 	scheduler  *placement.Scheduler
 	settings   placement.Settings
-	effects    map[string]placement.Effect // of a repeated start, by class
-	classIndex map[string]int              // in the settings, by class
+	effects    map[string]placement.Effect // effect of a repeated start, by class
+	classIndex map[string]int              // index in the settings, by class
 	workers    WorkerPool
 	advisor    Advisor
 	log        *slog.Logger
 	tracer     Tracer
 
-	now    int64             // of the current call
+	now    int64             // time of the current call
 	events []placement.Event // for the scheduler, at the next turn
 
-	// The requests. Each is in the table by its request ID until it is removed.
+	// The requests. A request stays in the table, under its request ID, until it is removed.
 	requests      map[string]*request
-	latestByKey   map[string]*request // the latest live request of each task
-	aliases       map[string]*request // by further request IDs of resumed requests
-	unresponsive  map[string]*request // removed from the table; their workers have not reported the end
+	latestByKey   map[string]*request // latest live request of each task, by key
+	aliases       map[string]*request // resumed requests, by their further request IDs
+	unresponsive  map[string]*request // removed from the table, but their workers have not reported the end
 	tasksByWorker runningTasks
 	unclaimed     unclaimedCompletions
 	responses     responseCache
 
-	// The times to come.
+	// Deadlines, timers and the scheduling of responses.
 	deadlines   deadlineHeap
 	timers      timerHeap
 	nextSweepAt int64
@@ -65,21 +65,21 @@
 	// The list of workers.
 	listFilter    listFilter
 	listed        map[string]bool
-	drainingSince map[string]int64 // when a worker was first listed as draining or removed
-	hasList       bool             // a list has come
+	drainingSince map[string]int64 // time since which a worker counts as draining or removed
+	hasList       bool             // a list was received
 	confirmList   bool             // the scheduler waits for confirmation that the list is followed
 
-	// What is reported to the advisor and the scheduler of pending requests and free capacity.
-	pendingUnits     []float64 // by class
+	// The values that are reported to the advisor and the scheduler.
+	pendingUnits     []float64 // units of pending requests, by class
 	pendingCount     int
-	remainingUnits   []float64 // pendingUnits after the actions of a turn; reused for its memory
+	remainingUnits   []float64 // pendingUnits after the actions of a turn; kept to reuse its memory
 	lastBackpressure backpressureReport
 
 	counts Counts
 	totals map[string]ClassTotals
 }
 
-// New returns a dispatcher that decides with a new scheduler. It sends offers by workers.
+// New returns a dispatcher with a new scheduler. The dispatcher sends its offers through workers.
 func New(settings placement.Settings, seed uint64, workers WorkerPool, log *slog.Logger) (*Dispatcher, error) {
 	scheduler, err := placement.New(settings, seed)
 	if err != nil {
@@ -117,10 +117,10 @@
 	return d, nil
 }
 
-// Counts returns what was counted so far.
+// Counts returns the counters since the creation of the dispatcher.
 func (d *Dispatcher) Counts() Counts { return d.counts }
 
-// OpenCount is the number of requests that are owed a response.
+// OpenCount returns the number of requests that have not got a final response.
 func (d *Dispatcher) OpenCount() (count int) {
 	for _, r := range d.requests {
 		if r.state.isOpen() {
@@ -130,7 +130,7 @@
 	return count
 }
 
-// RunningCount is the number of running tasks, without terminating ones.
+// RunningCount returns the number of running tasks, without terminating ones.
 func (d *Dispatcher) RunningCount() (count int) {
 	for _, r := range d.requests {
 		if r.state == stateRunning {
@@ -140,10 +140,10 @@
 	return count
 }
 
-// queueEvent queues an event for the scheduler.
+// queueEvent queues an event for the next call of the scheduler.
 func (d *Dispatcher) queueEvent(e placement.Event) { d.events = append(d.events, e) }
 
-// find returns the live request that clients know by a request ID, or nil.
+// find returns the live request with a request ID, or the one that was resumed under it, or nil.
 func (d *Dispatcher) find(requestID string) *request {
 	if r := d.requests[requestID]; r != nil {
 		return r
@@ -151,7 +151,7 @@
 	return d.aliases[requestID]
 }
 
-// insert puts a new request into the table.
+// insert adds a new request to the table.
 func (d *Dispatcher) insert(r *request) {
 	d.requests[r.RequestID] = r
 	if r.Key != "" {
@@ -159,7 +159,7 @@
 	}
 }
 
-// remove is the one place where a request leaves the table.
+// remove takes a request out of the table. No other function does that.
 func (d *Dispatcher) remove(r *request) {
 	d.disarm(r)
 	d.transition(r, eventRemoved)
@@ -170,7 +170,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // it was never resumed under another request ID
+		return // the latest submission used the request's own ID
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
@@ -179,7 +179,7 @@
 	}
 }
 
-// sorted lists the requests by request ID, so that the same events give the same actions.
+// sorted returns the requests ordered by request ID, so that the same events lead to the same actions.
 func (d *Dispatcher) sorted() []*request {
 	return sortByRequestID(slices.Collect(maps.Values(d.requests)))
 }
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -10,11 +10,11 @@
 
 const (
 	endingCount = 10_000
-	// warmUpEndings come before the heap is looked at for the first time: what is of a fixed
-	// size, as the advisor's slot calendar, is filled then.
+	// warmUpEndings is the number of endings before the first measurement of the heap. They fill structures
+	// of a fixed size, such as the advisor's slot calendar.
 	warmUpEndings = 5000
-	// heapSlack is by how much the heap may differ though nothing leaks: rows of tables that are
-	// freed later, and maps that have grown once. It is less than 7 bytes an ending.
+	// heapSlack is the number of bytes by which the heap may grow without a leak: table rows that are freed
+	// later and maps that have grown once. It is less than 7 bytes per ending.
 	heapSlack = 32 << 10
 )
 
@@ -55,31 +55,31 @@
 	"its connection is closed": func(h *harness, id string) { h.Reject(h.now, h, id) },
 }
 
-// playEnding submits the request of a number, which must be offered, and ends it.
-func (h *harness) playEnding(number int, end func(h *harness, requestID string)) {
+// submitAndEnd submits the request with a number, requires that it is offered, and ends it.
+func (h *harness) submitAndEnd(number int, end func(h *harness, requestID string)) {
 	h.t.Helper()
 	id := fmt.Sprintf("%016x", number+1)
 	h.mustSubmit(id, []string{"web", "cut"}[number%2], "k"+id, 2000)
 	h.advance(10 * millisecond)
 	if h.offered[id] == "" {
-		h.t.Fatalf("%s was not offered; offers %v", id, h.offers)
+		h.t.Fatalf("request %s was not offered; offers %v", id, h.offers)
 	}
 	end(h, id)
 	h.advance(10 * millisecond)
 }
 
-// Nothing is kept of a request that has ended, in whatever way.
+// No data of a request is kept after it has ended, in whichever way.
 func TestEndedRequestsLeaveNothing(t *testing.T) {
 	for name, end := range endingCases {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
 			for number := range 200 {
-				h.playEnding(number, end)
+				h.submitAndEnd(number, end)
 				clear(h.offered)
 			}
 			if len(h.deadlines) > 0 {
-				t.Errorf("%d deadlines", len(h.deadlines))
+				t.Errorf("deadlines right after the last ending: %d, want 0", len(h.deadlines))
 			}
 			h.advance(20 * second)
 			for what, count := range map[string]int{
@@ -88,11 +88,11 @@
 				"workers with tasks": len(h.tasksByWorker), "pending requests": h.pendingCount,
 			} {
 				if count > 0 {
-					t.Errorf("%d %s are left", count, what)
+					t.Errorf("%d %s are left, want 0", count, what)
 				}
 			}
 			if len(h.timers) > 1 {
-				t.Errorf("%d timers are left", len(h.timers))
+				t.Errorf("%d scheduler timers are left, want at most 1", len(h.timers))
 			}
 		})
 	}
@@ -110,21 +110,21 @@
 					h.advance(20 * second)
 					before = liveHeap()
 				}
-				h.playEnding(number, end)
+				h.submitAndEnd(number, end)
 				h.clearRecords()
 			}
 			h.advance(20 * second)
 			grown := liveHeap() - before
 			t.Logf("the heap has grown by %d bytes over %d endings", grown, endingCount-warmUpEndings)
 			if grown > heapSlack {
-				t.Errorf("more than %d bytes", heapSlack)
+				t.Errorf("the heap has grown by more than %d bytes", heapSlack)
 			}
 			runtime.KeepAlive(h)
 		})
 	}
 }
 
-// liveHeap is the size of what is in use once all garbage is collected.
+// liveHeap returns the size of the live heap after garbage collection, in bytes.
 func liveHeap() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -133,7 +133,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// clearRecords drops the records of the harness itself.
+// clearRecords clears the records of the harness itself.
 func (h *harness) clearRecords() {
 	for _, records := range []map[string]string{h.offered, h.running, h.class, h.unconfirmed} {
 		clear(records)
--- a/internal/dispatch/fixedretryafter.go
+++ b/internal/dispatch/fixedretryafter.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns the advisor that learns nothing. It must never decide what to reject.
+// This file owns the advisor with a fixed Retry-After. It must never decide which requests are rejected.
 
 import (
 	"time"
@@ -8,11 +8,11 @@
 	"ravenhitch/internal/backpressure"
 )
 
-// FixedRetryAfter is an Advisor that gives every client the same Retry-After, and learns nothing. It
-// serves to measure others against.
+// FixedRetryAfter is an Advisor that gives every client the same Retry-After and learns nothing. It is the
+// baseline for measurements of other advisors.
 type FixedRetryAfter time.Duration
 
-// Requested says that every client joined the waitlist just now.
+// Requested returns now: every client has just joined the waitlist.
 func (FixedRetryAfter) Requested(now int64, _ backpressure.Request) int64 { return now }
 
 // SetPending does nothing.
@@ -30,19 +30,19 @@
 // Cancelled does nothing.
 func (FixedRetryAfter) Cancelled(int64, backpressure.Request) {}
 
-// Rejected is the fixed time to stay away.
+// Rejected returns the fixed Retry-After, in microseconds.
 func (f FixedRetryAfter) Rejected(int64, backpressure.Request) int64 {
 	return time.Duration(f).Microseconds()
 }
 
-// ReleaseRate is unknown.
+// ReleaseRate returns 0: the rate is unknown.
 func (FixedRetryAfter) ReleaseRate(int64) float64 { return 0 }
 
-// HigherPriorityDemand is nothing.
+// HigherPriorityDemand returns nil: no capacity is reserved.
 func (FixedRetryAfter) HigherPriorityDemand(int64) []float64 { return nil }
 
-// Tick sees no change.
+// Tick reports no change.
 func (FixedRetryAfter) Tick(int64) (change backpressure.Change, changed bool) { return change, false }
 
-// Figures are all zero.
+// Figures returns figures that are all zero.
 func (FixedRetryAfter) Figures(int64) (figures backpressure.Figures) { return figures }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The seed is fixed here: packages without rapid reject its flags.
+	// The seed is set here because packages that do not use rapid reject its flags.
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -20,10 +20,11 @@
 	os.Exit(m.Run())
 }
 
-// drainLimit is for how long a draining worker may get offers under testSettings.
+// drainLimit is how long a draining worker may get offers under testSettings.
 const drainLimit = 2000 * millisecond
 
-// testSettings are settings with a class for each effect of a repeated start, and one with a spread.
+// testSettings returns settings with a class for each effect of a repeated start, and one class with a
+// spread.
 func testSettings() placement.Settings {
 	class := func(name string, effect placement.Effect) placement.Class {
 		return placement.Class{Name: name, Effect: effect, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2}
@@ -49,7 +50,7 @@
 	}
 }
 
-// failer is a test that the harness can fail: *testing.T or *rapid.T.
+// failer is the part of *testing.T and *rapid.T that the harness uses.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -78,19 +79,19 @@
 func (c transitionChecker) WithAttrs([]slog.Attr) slog.Handler { return c }
 func (c transitionChecker) WithGroup(string) slog.Handler      { return c }
 
-// harness plays the workers and the clients of a dispatcher, by hand: it records what they receive
-// and fails the test where an invariant does not hold.
+// harness simulates the workers and the clients of a dispatcher under the control of a test. It records what
+// they receive, and fails the test if an invariant is broken.
 type harness struct {
 	t failer
 	*Dispatcher
 	now int64
 
 	offers      []string          // all offers so far, as requestID@worker
-	offered     map[string]string // open attempts, by request ID: the worker
-	running     map[string]string // running tasks, by request ID: the worker
-	cancelled   int               // attempts that were cancelled
-	unconfirmed map[string]string // cancelled and not confirmed, by request ID: the worker
-	// withholdConfirm leaves what is cancelled from now on open until it is confirmed.
+	offered     map[string]string // workers with an open attempt, by request ID
+	running     map[string]string // workers with a running task, by request ID
+	cancelled   int               // number of cancelled attempts
+	unconfirmed map[string]string // workers with a cancelled attempt that is not confirmed, by request ID
+	// withholdConfirm keeps each attempt that is cancelled from now on open until its cancel is confirmed.
 	withholdConfirm bool
 
 	received       []Response
@@ -118,7 +119,7 @@
 	}
 	dispatcher, err := New(testSettings(), 7, h, slog.New(transitionChecker{t}))
 	if err != nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("New: %v", err)
 	}
 	h.Dispatcher = dispatcher
 	return h
@@ -131,17 +132,18 @@
 	drainedAt, draining := h.drainedAt[worker]
 	switch {
 	case h.offered[id] != "":
-		h.t.Fatalf("%s: a second attempt is open", id)
+		h.t.Fatalf("request %s: offered while another attempt is open", id)
 	case isOver || h.running[id] != "":
-		h.t.Fatalf("%s: an offer after the end", id)
+		h.t.Fatalf("request %s: offered after its final response or while its task runs", id)
 	case offer.Class == "cut" && h.mayHaveRun[id]:
-		h.t.Fatalf("%s: may start twice", id)
+		h.t.Fatalf("request %s: offered again though its task may have started and must not run twice", id)
 	case draining && h.now > drainedAt+drainLimit:
-		h.t.Fatalf("%s: offered to %s, draining since %d ms", id, worker, (h.now-drainedAt)/millisecond)
+		h.t.Fatalf("request %s: offered to worker %s, which has been draining for %d ms",
+			id, worker, (h.now-drainedAt)/millisecond)
 	case !h.listFilter.assigned(worker):
-		h.t.Fatalf("%s: offered to %s, which is assigned to another orchestrator", id, worker)
+		h.t.Fatalf("request %s: offered to worker %s, which is assigned to another orchestrator", id, worker)
 	case offer.TimeoutUs <= 0 || h.now+offer.TimeoutUs > h.deadline[id]:
-		h.t.Fatalf("%s: an offer with a timeout of %d", id, offer.TimeoutUs)
+		h.t.Fatalf("request %s: offer timeout %d us is not positive or ends after the deadline", id, offer.TimeoutUs)
 	}
 	h.offered[id] = worker
 	h.offers = append(h.offers, id+"@"+worker)
@@ -150,7 +152,7 @@
 // CancelAttempt implements WorkerPool.
 func (h *harness) CancelAttempt(worker, requestID string, _ bool) (confirmed bool) {
 	if h.offered[requestID] != worker || h.unconfirmed[requestID] != "" {
-		h.t.Fatalf("%s: an attempt cancelled at %s is not there", requestID, worker)
+		h.t.Fatalf("request %s: cancelled at worker %s, which has no open attempt of it", requestID, worker)
 	}
 	h.mayHaveRun[requestID] = true
 	h.cancelled++
@@ -174,38 +176,38 @@
 	id := response.RequestID
 	if response.Kind == Completed || response.Kind == Migrated {
 		if h.running[id] == "" {
-			h.t.Fatalf("%s: ended without having run", id)
+			h.t.Fatalf("request %s: reported as completed or migrated, but its task is not running", id)
 		}
 		delete(h.running, id)
 		return
 	}
 	if before, ok := h.finalResponses[id]; ok {
-		h.t.Fatalf("%s: response %v after %v", id, response.Kind, before)
+		h.t.Fatalf("request %s: second final response of kind %v after %v", id, response.Kind, before)
 	}
 	if h.now > h.deadline[id] {
-		h.t.Fatalf("%s: response %d ms late", id, (h.now-h.deadline[id])/millisecond)
+		h.t.Fatalf("request %s: response %d ms after the deadline", id, (h.now-h.deadline[id])/millisecond)
 	}
 	if response.Kind == Rejected && h.class[id] == "cut" && h.mayHaveRun[id] {
-		h.t.Fatalf("%s: rejected though it may have started", id)
+		h.t.Fatalf("request %s: rejected though its task may have started and must not run twice", id)
 	}
 	h.finalResponses[id] = response.Kind
 }
 
-// submit submits a request.
+// submit submits a request of a task with 2 cores and 4 units of memory.
 func (h *harness) submit(requestID, class, key string, timeoutMs int64) error {
 	h.deadline[requestID], h.class[requestID] = h.now+timeoutMs*millisecond, class
 	return h.Submit(h.now, h, Submission{RequestID: requestID, Class: class, Key: key, TimeoutUs: timeoutMs * millisecond, Cores: 2, Memory: 4})
 }
 
-// mustSubmit submits a request that must be taken in.
+// mustSubmit submits a request and fails the test if it is not accepted.
 func (h *harness) mustSubmit(requestID, class, key string, timeoutMs int64) {
 	h.t.Helper()
 	if err := h.submit(requestID, class, key, timeoutMs); err != nil {
-		h.t.Fatalf("%s: %v", requestID, err)
+		h.t.Fatalf("Submit of request %s: %v", requestID, err)
 	}
 }
 
-// mustStart submits a request of class web and lets the worker to which it is offered accept it.
+// mustStart submits a request of class web, and lets the worker to which it is offered accept it.
 func (h *harness) mustStart(requestID string, timeoutMs int64) {
 	h.t.Helper()
 	h.mustSubmit(requestID, "web", "k"+requestID, timeoutMs)
@@ -219,11 +221,11 @@
 	h.running[requestID] = worker
 	submission := Submission{RequestID: requestID, Class: "web", Key: "k" + requestID, TimeoutUs: 1000 * millisecond, Cores: 2, Memory: 4, RunningOn: worker}
 	if err := h.Submit(h.now, h, submission); err != nil {
-		h.t.Fatalf("%v", err)
+		h.t.Fatalf("Submit of a running task: %v", err)
 	}
 }
 
-// updateWorkers lists workers in a state.
+// updateWorkers sends the dispatcher a list of workers that are all in one state.
 func (h *harness) updateWorkers(kind placement.ListKind, state placement.WorkerState, workers ...string) {
 	list := placement.WorkerList{Kind: kind}
 	for _, worker := range workers {
@@ -237,7 +239,7 @@
 	h.UpdateWorkers(h.now, list)
 }
 
-// accept lets the worker of an open attempt accept it.
+// accept lets the worker with the open attempt of a request accept it.
 func (h *harness) accept(requestID string) {
 	worker := h.offered[requestID]
 	delete(h.offered, requestID)
@@ -245,7 +247,8 @@
 	h.AttemptAccepted(h.now, worker, requestID, "by "+worker)
 }
 
-// endAttempt lets the worker report the end of an open attempt, or else of a running task.
+// endAttempt lets a worker report the end of the open attempt of a request or, if there is none, of its
+// running task.
 func (h *harness) endAttempt(requestID string, outcome placement.Outcome) {
 	worker := h.offered[requestID]
 	if worker == "" {
@@ -261,7 +264,7 @@
 	h.TaskEnded(h.now, worker, requestID, outcome, 0)
 }
 
-// confirmCancel confirms that an attempt that was cancelled is over, if one is unconfirmed.
+// confirmCancel confirms the cancel of an attempt, if that is not confirmed yet.
 func (h *harness) confirmCancel(requestID string) {
 	if worker := h.unconfirmed[requestID]; worker != "" {
 		delete(h.unconfirmed, requestID)
@@ -270,7 +273,7 @@
 	}
 }
 
-// advance lets time go on, turn by turn, whenever the dispatcher asks for one.
+// advance lets time pass, and calls Turn whenever the dispatcher requests it.
 func (h *harness) advance(us int64) {
 	h.t.Helper()
 	const maxTurns = 100_000
@@ -282,7 +285,7 @@
 			break
 		}
 		if turns > maxTurns {
-			h.t.Fatalf("the dispatcher asks for turns without end")
+			h.t.Fatalf("the dispatcher requested more than maxTurns turns")
 		}
 		h.now = max(h.now, next)
 		h.Turn(h.now)
@@ -291,7 +294,7 @@
 	h.Turn(h.now)
 }
 
-// completions are the request IDs whose completions were reported, each with a blank.
+// completions returns the request IDs of the reported completions, each followed by a space.
 func (h *harness) completions() (ids string) {
 	for _, response := range h.received {
 		if response.Kind == Completed {
@@ -301,12 +304,12 @@
 	return ids
 }
 
-// schedulerState is the state in which a worker would be listed to the scheduler.
+// schedulerState returns the state in which a worker would be listed to the scheduler.
 func (h *harness) schedulerState(worker string) placement.WorkerState {
 	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
 
-// checkTable fails the test where the table and what is counted beside it differ.
+// checkTable fails the test if the request table and the counts that are kept beside it differ.
 func (h *harness) checkTable() {
 	h.t.Helper()
 	h.checkRunningTasks()
@@ -314,20 +317,20 @@
 	for id, r := range h.requests {
 		switch {
 		case r.state == stateNew || r.state == stateRemoved:
-			h.t.Fatalf("%s is in the table in state %v", id, r.state)
+			h.t.Fatalf("request %s is in the table in state %v", id, r.state)
 		case (r.state.isOpen() || r.state == stateTerminating) && r.heapIndex < 0:
-			h.t.Fatalf("%s is %v and has no deadline", id, r.state)
+			h.t.Fatalf("request %s in state %v has no deadline", id, r.state)
 		}
 		if r.state == statePending {
 			pending++
 		}
 	}
 	if pending != h.pendingCount {
-		h.t.Fatalf("%d requests are pending, %d are counted", pending, h.pendingCount)
+		h.t.Fatalf("%d requests are pending, but pendingCount is %d", pending, h.pendingCount)
 	}
 }
 
-// checkRunningTasks compares the tasks counted at each worker with the requests that occupy it.
+// checkRunningTasks compares the tasks that are counted for each worker with the requests that occupy it.
 func (h *harness) checkRunningTasks() {
 	h.t.Helper()
 	occupying := map[string]int{}
@@ -340,11 +343,11 @@
 	}
 	for worker := range h.tasksByWorker {
 		if h.TasksOn(worker).Count != occupying[worker] {
-			h.t.Fatalf("%d tasks occupy %s, %d are counted", occupying[worker], worker, h.TasksOn(worker).Count)
+			h.t.Fatalf("%d tasks occupy worker %s, but %d are counted", occupying[worker], worker, h.TasksOn(worker).Count)
 		}
 		delete(occupying, worker)
 	}
 	if len(occupying) > 0 {
-		h.t.Fatalf("tasks occupy %v and are not counted", occupying)
+		h.t.Fatalf("workers with tasks that are not counted, with the number of tasks: %v", occupying)
 	}
 }
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -9,20 +9,20 @@
 	"ravenhitch/placement"
 )
 
-// randomRun plays random events on a harness.
+// randomRun applies random events to a harness.
 type randomRun struct {
 	*harness
-	t          *rapid.T
-	workers    []string
-	requestIDs []string
-	withdrawn  map[string]bool // requests that their client cancelled
+	t               *rapid.T
+	workers         []string
+	requestIDs      []string
+	clientCancelled map[string]bool // requests that the client cancelled
 }
 
-// Whatever happens in whatever order, the invariants that the harness checks hold,
-// and every request that was not cancelled by its client has its response in the end.
+// The invariants that the harness checks hold for random events in any order, and every request that the
+// client did not cancel gets a final response.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		run := &randomRun{harness: newHarness(t), t: t, workers: []string{"a", "b", "c"}, withdrawn: map[string]bool{}}
+		run := &randomRun{harness: newHarness(t), t: t, workers: []string{"a", "b", "c"}, clientCancelled: map[string]bool{}}
 		run.updateWorkers(placement.ListFull, placement.Ready, run.workers...)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			run.step()
@@ -33,14 +33,14 @@
 		run.advance(10 * second)
 		run.checkTable()
 		for _, id := range run.requestIDs {
-			if _, ok := run.finalResponses[id]; !ok && !run.withdrawn[id] {
-				t.Fatalf("%s never got a response", id)
+			if _, ok := run.finalResponses[id]; !ok && !run.clientCancelled[id] {
+				t.Fatalf("request %s has no final response", id)
 			}
 		}
 	})
 }
 
-// The events that a step draws from; a submission is three times as likely as each other.
+// The events from which a step draws. A submission is three times as likely as any other event.
 const (
 	stepSubmit1 = iota
 	stepSubmit2
@@ -56,7 +56,7 @@
 	stepLast = stepAssignWorkers
 )
 
-// step plays one random event, on a random request where it needs one.
+// step applies one random event, to a random request if the event needs one.
 func (run *randomRun) step() {
 	id := "-"
 	if len(run.requestIDs) > 0 {
@@ -64,7 +64,7 @@
 	}
 	event := rapid.IntRange(0, stepLast).Draw(run.t, "event")
 	if run.unconfirmed[id] != "" && (event == stepAccept || event == stepEnd) {
-		event = stepConfirmCancel // a worker reports nothing of an attempt whose cancel it has read
+		event = stepConfirmCancel // a worker that has read a cancel sends no report on the attempt
 	}
 	switch event {
 	case stepSubmit1, stepSubmit2, stepSubmit3:
@@ -77,7 +77,7 @@
 		run.endWithAnyOutcome(id)
 	case stepClientCancel:
 		if run.Cancel(run.now, run.harness, id) != NotFound {
-			run.withdrawn[id] = true
+			run.clientCancelled[id] = true
 			delete(run.running, id)
 		}
 	case stepListWorker:
@@ -91,13 +91,13 @@
 	case stepWithholdConfirm:
 		run.withholdConfirm = !run.withholdConfirm
 	case stepAssignWorkers:
-		assigned := rapid.SampledFrom(append(run.workers, "")).Draw(run.t, "assigned") // "": all
+		assigned := rapid.SampledFrom(append(run.workers, "")).Draw(run.t, "assigned") // "": all workers
 		run.SetAssignedWorkers(run.now, func(worker string) bool { return assigned == "" || worker == assigned })
 	}
 }
 
-// submitNew submits a request. Clients come again with a new request ID for a key whose first request
-// is pending, offered or running.
+// submitNew submits a request. The key may be that of an earlier request that is pending, offered or running,
+// as if its client submitted the task again with a new request ID.
 func (run *randomRun) submitNew() {
 	id := fmt.Sprintf("%016x", len(run.requestIDs)+1)
 	run.requestIDs = append(run.requestIDs, id)
@@ -106,7 +106,7 @@
 	run.mustSubmit(id, class, key, rapid.Int64Range(100, 8000).Draw(run.t, "timeout"))
 }
 
-// endWithAnyOutcome ends the attempt or the running task of a request.
+// endWithAnyOutcome ends the attempt or the running task of a request with a random outcome.
 func (run *randomRun) endWithAnyOutcome(id string) {
 	outcomes := []placement.Outcome{placement.Completed, placement.Failed, placement.Rejected, placement.ConnectFailed,
 		placement.Reset, placement.Cancelled, placement.NeverSent}
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file owns which workers are cordoned or assigned to another orchestrator, and how that
-// changes the list. A cordoned worker drains for this orchestrator, whatever the list says, until an
-// operator uncordons it; a list must never uncordon it.
+// This file owns which workers are cordoned or assigned to another orchestrator, and how that changes the
+// entries of the list. A cordoned worker counts as draining for this orchestrator, whatever the list says,
+// until an operator uncordons it; a list must never uncordon it.
 
 import (
 	"maps"
@@ -11,19 +11,19 @@
 	"ravenhitch/placement"
 )
 
-// listFilter is what was listed last, and what changes it.
+// listFilter holds the latest entries from discovery and the changes that this orchestrator makes to them.
 type listFilter struct {
-	entries    map[string]placement.Entry // as discovery listed it
+	entries    map[string]placement.Entry // latest entry of each worker, as discovery listed it
 	cordoned   map[string]bool
-	uncordoned map[string]bool          // and not listed as ready since
-	isAssigned func(worker string) bool // to this orchestrator; nil: all workers are
+	uncordoned map[string]bool          // uncordoned, and not listed as ready since then
+	isAssigned func(worker string) bool // reports whether this orchestrator places tasks on a worker; nil: on all
 }
 
 func newListFilter() listFilter {
 	return listFilter{entries: map[string]placement.Entry{}, cordoned: map[string]bool{}, uncordoned: map[string]bool{}}
 }
 
-// apply takes a list and returns its entries as they hold here.
+// apply records a list and returns its entries as they apply to this orchestrator.
 func (f *listFilter) apply(list placement.WorkerList) []placement.Entry {
 	if isCompleteList(list) {
 		clear(f.entries)
@@ -40,7 +40,8 @@
 	return entries
 }
 
-// adjust returns an entry as it holds here.
+// adjust returns an entry as it applies to this orchestrator. The first ready entry of a worker after it was
+// uncordoned is marked as uncordoned.
 func (f *listFilter) adjust(entry placement.Entry) placement.Entry {
 	if entry.State == placement.Ready && f.cordoned[entry.Worker] {
 		entry.State = placement.Draining
@@ -55,13 +56,13 @@
 	return entry
 }
 
-// assigned reports whether this orchestrator places tasks at a worker.
+// assigned reports whether this orchestrator places tasks on a worker.
 func (f *listFilter) assigned(worker string) bool {
 	return f.isAssigned == nil || f.isAssigned(worker)
 }
 
-// SetAssignedWorkers says at which workers this orchestrator places tasks from now on; the others are
-// left to other orchestrators. Tasks that run there go on. isAssigned must answer alike until the next
+// SetAssignedWorkers sets the workers on which this orchestrator places tasks. It leaves the others to other
+// orchestrators, but tasks that run there continue. isAssigned must return the same results until the next
 // call; nil stands for all workers.
 func (d *Dispatcher) SetAssignedWorkers(now int64, isAssigned func(worker string) bool) {
 	filter := &d.listFilter
@@ -76,7 +77,7 @@
 	d.relist(now, changed)
 }
 
-// SetCordoned cordons the workers that are named, and uncordons all others.
+// SetCordoned cordons the workers for which cordoned is true, and uncordons all others.
 func (d *Dispatcher) SetCordoned(now int64, cordoned map[string]bool) {
 	d.now = now
 	filter := &d.listFilter
@@ -101,7 +102,7 @@
 	d.relist(now, changed)
 }
 
-// relist takes the entries of workers again, since what changes them has changed.
+// relist applies the entries of workers again after cordons or assignments have changed.
 func (d *Dispatcher) relist(now int64, workers []string) {
 	list := placement.WorkerList{Kind: placement.ListDelta}
 	for _, worker := range workers {
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// startNext submits the request of a number, lets the worker to which it is offered accept it, and
-// returns that worker.
+// startNext submits the request with a number, lets the worker to which it is offered accept it, and returns
+// that worker.
 func (h *harness) startNext(number int, keyPrefix string) (worker string) {
 	h.t.Helper()
 	id := fmt.Sprintf("%016x", number)
@@ -17,13 +17,13 @@
 	h.advance(10 * millisecond)
 	worker = h.offered[id]
 	if worker == "" {
-		h.t.Fatalf("%s: no offer", id)
+		h.t.Fatalf("request %s: no offer", id)
 	}
 	h.accept(id)
 	return worker
 }
 
-// startNextSix does the same for six requests from a number on, and returns their workers.
+// startNextSix calls startNext for six requests from a number on, and returns their workers.
 func (h *harness) startNextSix(first int, keyPrefix string) (workers []string) {
 	h.t.Helper()
 	for number := first; number < first+6; number++ {
@@ -32,7 +32,7 @@
 	return workers
 }
 
-// cordonedEvents are what may happen while worker a is cordoned.
+// cordonedEvents are events that may happen while worker a is cordoned.
 var cordonedEvents = map[string]func(h *harness){
 	"nothing":         func(*harness) {},
 	"listed as ready": func(h *harness) { h.updateWorkers(placement.ListDelta, placement.Ready, "a") },
@@ -46,40 +46,41 @@
 	"another is cordoned": func(h *harness) { h.SetCordoned(h.now, map[string]bool{"a": true, "c": true}) },
 }
 
-// A cordoned worker gets nothing, whatever discovery lists meanwhile, and is used again as soon
-// as it is uncordoned, though its process died with tasks of ours.
+// A cordoned worker gets no offers, whatever discovery lists, and is used again as soon as it is uncordoned,
+// even if its process died while it ran tasks of this orchestrator.
 func TestCordoned(t *testing.T) {
-	for name, happens := range cordonedEvents {
+	for name, event := range cordonedEvents {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
 			h.advance(4000 * millisecond)
 			h.startNextSix(0, "k"+name)
 			if !h.HasWorker("a") || h.HasWorker("x") {
-				t.Error("the wrong workers are known")
+				t.Error("HasWorker is false for the listed worker a or true for the unknown worker x")
 			}
 
 			h.SetCordoned(h.now, map[string]bool{"a": true})
-			happens(h)
+			event(h)
 			if workers := h.startNextSix(6, "k"+name); slices.Contains(workers, "a") {
-				t.Errorf("an offer to a cordoned worker: %v", workers)
+				t.Errorf("tasks were placed at %v, want none at the cordoned worker a", workers)
 			}
 			if listed, avoided := h.PoolSize(); listed != 2 || avoided != 1 {
-				t.Errorf("%d listed, %d avoided", listed, avoided)
+				t.Errorf("PoolSize returned %d listed and %d avoided workers, want 2 and 1", listed, avoided)
 			}
 
 			h.SetCordoned(h.now, nil)
 			if worker := h.startNext(12, "k"+name); worker != "a" {
-				t.Errorf("uncordoned, and the next task went to %s", worker)
+				t.Errorf("first task after the uncordoning was placed at %s, want a", worker)
 			}
 			if totals := h.ClassTotals()["web"]; totals.Started != 13 || totals.Rejected+totals.Failed != 0 {
-				t.Errorf("%+v", totals)
+				t.Errorf("totals of class web %+v, want 13 started and no others", totals)
 			}
 		})
 	}
 }
 
-// One task shows that an uncordoned worker is in use again; the next go where they would.
+// The first task after an uncordoning goes to the uncordoned worker, which shows that it is used again. Later
+// tasks are placed as usual.
 func TestUncordoned(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -95,23 +96,23 @@
 		workers += h.startNext(number, "k")
 	}
 	if workers != "aaaaaaaaab" {
-		t.Errorf("placed at %s", workers)
+		t.Errorf("tasks were placed at workers %s, want aaaaaaaaab", workers)
 	}
 
-	// What a complete list left out meanwhile is not there to be uncordoned.
+	// A cordoned worker that a complete list leaves out is gone once it is uncordoned.
 	h.SetCordoned(h.now, map[string]bool{"a": true})
 	h.updateWorkers(placement.ListFull, placement.Ready, "b")
 	if !h.HasWorker("a") {
-		t.Error("a cordoned worker can't be uncordoned")
+		t.Error("HasWorker is false for a cordoned worker that is not listed, so it can't be uncordoned")
 	}
 	h.SetCordoned(h.now, nil)
 	if listed, _ := h.PoolSize(); listed != 1 || h.HasWorker("a") {
-		t.Errorf("%d listed", listed)
+		t.Errorf("PoolSize returned %d listed workers, want 1 without a", listed)
 	}
 }
 
-// Tasks at a worker that is assigned to another orchestrator go on, and are released by their clients
-// as before; nothing new goes there, and an offer that is open may leave.
+// Tasks on a worker that is assigned to another orchestrator continue, and their clients may release them as
+// before. The worker gets no new offers, but an open offer may still be sent.
 func TestAssignedWorkers(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -122,8 +123,8 @@
 
 	h.updateWorkers(placement.ListDelta, placement.Ready, "b")
 	h.SetAssignedWorkers(h.now, func(worker string) bool { return worker == "b" })
-	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil { // longer than the drain limit
-		t.Errorf("an open offer is held back: %v", err)
+	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil { // later than the drain limit
+		t.Errorf("CheckOffer of an open offer: %v, want nil", err)
 	}
 	h.advance(0)
 	h.accept("t2")
@@ -131,18 +132,18 @@
 		h.mustSubmit(id, "web", "k"+id, 3000)
 		h.advance(10 * millisecond)
 		if h.offered[id] != "b" {
-			t.Errorf("%s went to %q", id, h.offered[id])
+			t.Errorf("request %s was offered to %q, want b", id, h.offered[id])
 		}
 		h.accept(id)
 	}
 	if tasks := h.TasksOn("a"); tasks.Count != 2 || !h.IsRunning("t1") || !h.HasWorker("a") {
-		t.Errorf("%d tasks run at a worker that was assigned to another, want 2", tasks.Count)
+		t.Errorf("tasks on a worker that was assigned to another orchestrator: %d, want 2", tasks.Count)
 	}
 	if state := h.schedulerState("a"); state != placement.Foreign {
-		t.Errorf("another orchestrator's worker is listed to the scheduler as %v", state)
+		t.Errorf("another orchestrator's worker is listed to the scheduler as %v, want Foreign", state)
 	}
 	h.updateWorkers(placement.ListDelta, placement.Draining, "a")
 	if state := h.schedulerState("a"); state != placement.Draining {
-		t.Errorf("a draining worker is listed to the scheduler as %v", state)
+		t.Errorf("a draining worker is listed to the scheduler as %v, want Draining", state)
 	}
 }
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns the offers and the rules between the scheduler's choice and the workers. No offer
-// leaves but by sendOffer, and none that breaks a rule.
+// This file owns the offers and the rules that the scheduler's choice of a worker must satisfy. Only
+// sendOffer sends an offer, and never one that breaks a rule.
 
 import (
 	"errors"
@@ -9,38 +9,39 @@
 	"ravenhitch/placement"
 )
 
-// drainMargin is how long before the drain limit offers end here.
+// drainMargin is how long before the end of the drain grace period offers to a draining worker stop.
 const drainMargin = 500 * millisecond
 
-// The rules that an offer may break. Their texts carry no package prefix, as they are only the values of
-// the field "cause" of log lines, which name the offer.
+// The errors of the rules that an offer may break. Their texts have no package prefix, because they are only
+// logged as the field "cause" of lines that name the offer.
 var (
-	// ErrNotPending: an attempt is open, or the request is over.
+	// ErrNotPending is returned if an attempt is open or the request is over.
 	ErrNotPending = errors.New("an attempt is open or the request is over")
-	// ErrRequestOver: the request has left the table.
+	// ErrRequestOver is returned if the request has left the table.
 	ErrRequestOver = errors.New("the request is over")
-	// ErrNoAttemptsLeft: the request had as many attempts as the settings allow.
+	// ErrNoAttemptsLeft is returned if the request has had as many attempts as the settings allow.
 	ErrNoAttemptsLeft = errors.New("no attempts are left")
-	// ErrSecondStart: the task may have started and must not start twice.
+	// ErrSecondStart is returned if the task may have started and must not start twice.
 	ErrSecondStart = errors.New("the task may have started and must not start twice")
-	// ErrDeadlinePassed: the deadline of the request has passed.
+	// ErrDeadlinePassed is returned if the deadline of the request has passed.
 	ErrDeadlinePassed = errors.New("the deadline has passed")
-	// ErrWorkerDraining: the worker has been draining for longer than the drain limit.
+	// ErrWorkerDraining is returned if the worker has been draining for longer than the drain limit.
 	ErrWorkerDraining = errors.New("the worker is draining")
-	// ErrRepeatUnknown: the task may have started, and workers no longer recognise a repeat.
+	// ErrRepeatUnknown is returned if the task may have started so long ago that workers no longer recognise
+	// a repeat.
 	ErrRepeatUnknown = errors.New("the task may have started, and workers no longer recognise a repeat")
-	// ErrOutsideGroup: the task may have started, and the worker does not share idempotency keys
-	// with the one where it may have.
+	// ErrOutsideGroup is returned if the task may have started and the worker does not share idempotency keys
+	// with the worker of that attempt.
 	ErrOutsideGroup = errors.New("the task may have started at a worker of another group")
 )
 
-// offerRule returns the error of a rule that an offer of r to a worker would break now, or nil.
+// offerRule returns an error if an offer of r to a worker would break the rule now, or nil.
 type offerRule func(d *Dispatcher, r *request, worker string) error
 
 var (
-	// attemptRules hold for a further attempt at any worker.
+	// attemptRules apply to a further attempt at any worker.
 	attemptRules = [...]offerRule{(*Dispatcher).checkAttemptsLeft, (*Dispatcher).checkSingleStart}
-	// sendRules hold whenever an offer leaves for a worker, however long ago it was placed.
+	// sendRules apply whenever an offer is sent to a worker, however long ago it was placed.
 	sendRules = [...]offerRule{(*Dispatcher).checkDeadline, (*Dispatcher).checkDraining, (*Dispatcher).checkKeyedRepeat}
 )
 
@@ -54,10 +55,11 @@
 	return nil
 }
 
-// checkAttempt returns what is against a further attempt of r at any worker, or nil.
+// checkAttempt returns the error of the first rule that forbids a further attempt of r at any worker, or nil.
 func (d *Dispatcher) checkAttempt(r *request) error { return d.checkRules(attemptRules[:], r, "") }
 
-// checkPlacement returns what is against the scheduler's choice of a worker for r, or nil.
+// checkPlacement returns the error of the first rule that forbids the scheduler's choice of a worker for r,
+// or nil.
 func (d *Dispatcher) checkPlacement(r *request, worker string) error {
 	if r.state != statePending {
 		return ErrNotPending
@@ -68,7 +70,7 @@
 	return d.checkRules(sendRules[:], r, worker)
 }
 
-// checkAttemptsLeft holds the limit of the settings on attempts for each request.
+// checkAttemptsLeft enforces the maximum number of attempts per request.
 func (d *Dispatcher) checkAttemptsLeft(r *request, _ string) error {
 	if limit := d.settings.MaxAttempts; limit > 0 && r.attemptCount >= limit {
 		return ErrNoAttemptsLeft
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// checkSingleStart keeps a task that must not run twice from a second attempt once the first may have run.
+// checkSingleStart forbids a further attempt of a task that must not run twice once an attempt may have run.
 func (d *Dispatcher) checkSingleStart(r *request, _ string) error {
 	if r.effect == placement.Unsafe && r.mayHaveRun {
 		return ErrSecondStart
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// checkDeadline keeps an offer from leaving once its client is to have a response.
+// checkDeadline forbids offers from the deadline of the request on, when its client gets a response.
 func (d *Dispatcher) checkDeadline(r *request, _ string) error {
 	if d.now >= r.deadline {
 		return ErrDeadlinePassed
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// checkDraining holds the drain limit. A worker that was removed from the list counts as draining.
+// checkDraining enforces the drain limit. A worker that was removed from the list counts as draining.
 func (d *Dispatcher) checkDraining(_ *request, worker string) error {
 	since, draining := d.drainingSince[worker]
 	if draining && d.now >= since+d.drainLimit() {
@@ -101,14 +103,14 @@
 	return nil
 }
 
-// checkKeyedRepeat lets a keyed task that may have started go only to workers that know its
+// checkKeyedRepeat allows a keyed task that may have started to be offered only to workers that know its
 // idempotency key from the first attempt.
 func (d *Dispatcher) checkKeyedRepeat(r *request, worker string) error {
 	if r.effect != placement.Keyed || !r.mayHaveRun {
 		return nil
 	}
 	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.entries[worker]
-	leavesAt := d.now + int64(d.pacer.longestTurn) // offers leave at the end of the turn
+	leavesAt := d.now + int64(d.pacer.longestTurn) // offers are sent at the end of the turn
 	if leavesAt >= r.firstRun.at+class.WindowUs {
 		return ErrRepeatUnknown
 	}
@@ -119,13 +121,13 @@
 	return nil
 }
 
-// drainLimit is for how long a draining worker gets offers. The margin covers what an offer may
-// wait in this process once it has left here.
+// drainLimit returns how long a draining worker gets offers, in microseconds. The margin covers the time that
+// an offer may wait in this process after it has left the dispatcher.
 func (d *Dispatcher) drainLimit() int64 {
 	return d.settings.DrainGraceUs - min(drainMargin, d.settings.DrainGraceUs/2)
 }
 
-// place sends an offer to the worker that the scheduler chose, unless that breaks a rule.
+// place sends an offer to the worker that the scheduler chose, unless the offer breaks a rule.
 func (d *Dispatcher) place(r *request, action placement.Place) {
 	if err := d.checkPlacement(r, action.Worker); err != nil {
 		d.blockOffer(r, action.Worker, err)
@@ -134,8 +136,8 @@
 	d.sendOffer(r, action)
 }
 
-// blockOffer reports to the scheduler that its choice was not sent. Its choice breaks an invariant: the
-// scheduler is at fault.
+// blockOffer reports to the scheduler that its choice was not sent. The choice breaks an invariant, which is
+// a fault of the scheduler.
 func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
@@ -146,7 +148,7 @@
 	r.attemptCount++
 }
 
-// sendOffer starts an attempt.
+// sendOffer starts an attempt at the worker that the scheduler chose.
 func (d *Dispatcher) sendOffer(r *request, action placement.Place) {
 	d.counts.Offers++
 	d.transition(r, eventOffered)
@@ -168,8 +170,8 @@
 	})
 }
 
-// CheckOffer returns the error of the rule against an offer that was placed before and leaves only
-// now, as its connection was not up; nil where there is none.
+// CheckOffer returns the error of the first rule that forbids an offer that was placed before and is sent
+// only now, because its connection was not up. It returns nil if no rule forbids the offer.
 func (d *Dispatcher) CheckOffer(now int64, worker, requestID string) error {
 	d.now = now
 	r := d.requests[requestID]
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -7,7 +7,7 @@
 	"ravenhitch/placement"
 )
 
-// The rules hold whatever the scheduler asks for.
+// An offer that breaks a rule is not sent, whatever the scheduler chooses.
 func TestOfferRules(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
@@ -16,22 +16,23 @@
 	r := h.find("t1")
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // an attempt is open
 	h.endAttempt("t1", placement.Failed)
-	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // it may have started
-	h.execute(placement.Reject{RequestID: "t1"})             // and can't be rejected
-	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // it is over
+	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // t1 may have started
+	h.execute(placement.Reject{RequestID: "t1"})             // t1 can't be rejected: it is failed
+	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // t1 is over
 
 	h.mustSubmit("t2", "web", "k2", 5000)
 	h.updateWorkers(placement.ListDelta, placement.Draining, "b")
 	h.now += 1900 * millisecond
 	h.Dispatcher.now = h.now
-	h.execute(placement.Place{RequestID: "t2", Worker: "b"}) // draining for long
+	h.execute(placement.Place{RequestID: "t2", Worker: "b"}) // b has been draining for too long
 
 	if len(h.offers) != 1 || h.finalResponses["t1"] != Failed || r.state != stateRemoved || h.Counts().Blocked != 3 {
-		t.Errorf("offers %v, response %v, counts %+v", h.offers, h.finalResponses["t1"], h.Counts())
+		t.Errorf("offers %v, response kind of t1 %v, counts %+v; want 1 offer, Failed, 3 blocked and t1 removed",
+			h.offers, h.finalResponses["t1"], h.Counts())
 	}
 }
 
-// Each rule has an error of its own.
+// Each rule has its own error.
 func TestCheckPlacement(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -68,26 +69,26 @@
 		r := h.find("t1")
 		c.prepare(h, r)
 		if err := h.checkPlacement(r, "a"); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: checkPlacement returned %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// An offer whose request is over does not leave.
+// An offer of a request that is not in the table is not sent.
 func TestCheckOfferOfUnknownRequest(t *testing.T) {
 	h := newHarness(t)
 	if err := h.CheckOffer(h.now, "a", "t1"); !errors.Is(err, ErrRequestOver) {
-		t.Errorf("got %v", err)
+		t.Errorf("CheckOffer returned %v, want ErrRequestOver", err)
 	}
 }
 
-// A keyed task that may have started goes only to workers of its group, and only while they
-// know its repeats, whenever its offer leaves; its client is rejected only where any worker
-// would know it.
+// A keyed task that may have started is offered only to workers of its group, and only as long as they
+// recognise a repeat, at the time when the offer is sent. Its client is rejected only if any worker would
+// recognise a repeat.
 func TestKeyedRepeats(t *testing.T) {
 	for _, c := range []struct {
 		class    string
-		leaves   map[string]bool // in the window, by worker
+		leaves   map[string]bool // whether an offer within the window is sent, by worker
 		response ResponseKind
 	}{
 		{"all", map[string]bool{"a": true, "near": true, "zone": true, "far": true}, Rejected},
@@ -102,26 +103,26 @@
 
 		for worker, leaves := range c.leaves {
 			if err := h.CheckOffer(offeredAt+699*millisecond, worker, "t1"); (err == nil) != leaves {
-				t.Errorf("%s to %s in the window: %v", c.class, worker, err)
+				t.Errorf("class %s, offer to %s within the window: CheckOffer returned %v", c.class, worker, err)
 			}
 			if err := h.CheckOffer(offeredAt+700*millisecond, worker, "t1"); (err == nil) != (leaves && !isKeyed) {
-				t.Errorf("%s to %s past the window: %v", c.class, worker, err)
+				t.Errorf("class %s, offer to %s after the window: CheckOffer returned %v", c.class, worker, err)
 			}
 		}
-		h.ObserveTurn(200 * millisecond) // an offer leaves at the end of a turn
+		h.ObserveTurn(200 * millisecond) // an offer is sent at the end of a turn
 		for passed, open := range map[int64]bool{499 * millisecond: true, 500 * millisecond: !isKeyed} {
 			if err := h.CheckOffer(offeredAt+passed, "a", "t1"); (err == nil) != (open && c.leaves["a"]) {
-				t.Errorf("%s after %d ms, under long turns: %v", c.class, passed/millisecond, err)
+				t.Errorf("class %s, offer after %d ms with turns of 200 ms: CheckOffer returned %v", c.class, passed/millisecond, err)
 			}
 		}
 		if h.rejectOrFail(h.requests["t1"]); h.finalResponses["t1"] != c.response {
-			t.Errorf("%s: response %v", c.class, h.finalResponses["t1"])
+			t.Errorf("class %s: wrong kind of response: %v", c.class, h.finalResponses["t1"])
 		}
 	}
 }
 
-// givenResetAttempt submits t1 of a class, whose attempt at worker a is reset, and lists workers in its
-// cell (near), in its zone (zone) and elsewhere (far). It returns when t1 was offered.
+// givenResetAttempt submits request t1 of a class and resets its attempt at worker a. It then lists workers
+// in the same cell (near), in the same zone (zone) and elsewhere (far), and returns the time of the offer.
 func (h *harness) givenResetAttempt(class string) (offeredAt int64) {
 	h.t.Helper()
 	ready := func(worker, zone string, cell int) placement.Entry {
@@ -135,7 +136,7 @@
 		ready("near", "h1", 1), ready("zone", "h1", 2), ready("far", "h2", 3)}})
 	h.withholdConfirm = true
 	if h.offered["t1"] != "a" {
-		h.t.Fatalf("%s: offers %v", class, h.offers)
+		h.t.Fatalf("class %s: t1 is not offered to worker a; offers %v", class, h.offers)
 	}
 	h.TaskEnded(h.now, "a", "t1", placement.Reset, 0)
 	return offeredAt
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,46 +1,47 @@
 package dispatch
 
-// This file owns how long before a client's timeout its response is scheduled: long enough for the
-// response to travel and for a turn of the length that turns have, and no more responses at once than
-// can be written. It must never put a deadline later than the client's, and decides nothing else.
+// This file owns how long before a client's timeout its response is scheduled: early enough for the response
+// to travel back and for a turn of the observed length, and no more responses at once than can be written. It
+// must never set a deadline later than the client's timeout, and it decides nothing else.
 
 const (
-	// responseTravelTime is taken off every timeout: a response travels back before it ends.
+	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
+	// ends.
 	responseTravelTime = 10 * millisecond
-	// turnDecayTime is in what time the longest turn counts for half as much, and maxTurnLength the
-	// longest turn that is taken into account.
+	// turnDecayTime is the time after which the longest turn counts for half as much or less.
 	turnDecayTime = 1 * second
+	// maxTurnLength is the longest turn that is taken into account.
 	maxTurnLength = 250 * millisecond
-	// bucketLength and bucketCount are the grain and the reach of the counts of scheduled responses. A
-	// longer timeout is not counted: nothing is known of that time.
+	// bucketLength is the time that one bucket of scheduled responses covers, and bucketCount is the number
+	// of buckets. Responses to longer timeouts are not counted, because nothing is known of that time.
 	bucketLength = 5 * millisecond
 	bucketCount  = 4096
-	// maxShift bounds by how much a response is scheduled earlier for the sake of others.
+	// maxShift is the maximum time by which a response is scheduled earlier to make room for others.
 	maxShift = 200 * millisecond
-	// initialResponseCost is what a response is taken to cost until turns have shown it, and maxResponseCost
-	// what it may be learned to cost, in microseconds.
+	// initialResponseCost is the assumed cost of a response until turns have shown it, in microseconds.
 	initialResponseCost = 20.0
-	maxResponseCost     = 200.0
-	// minResponseCost bounds the cost that the number of responses in a bucket follows, in microseconds.
+	// maxResponseCost is the maximum cost that may be learned, in microseconds.
+	maxResponseCost = 200.0
+	// minResponseCost is the minimum cost from which the capacity of a bucket is computed, in microseconds.
 	minResponseCost = initialResponseCost / 4
-	// minResponsesForCost is from how many responses on a turn shows what one costs.
+	// minResponsesForCost is the number of responses from which on a turn shows the cost of one.
 	minResponsesForCost = 32
 	// responseCostGain is the weight of one turn in the learned cost.
 	responseCostGain = 1.0 / 8
 )
 
-// responsePacer counts the responses that are scheduled. Where too many fall into one bucket, the
-// others are scheduled in the buckets before it.
+// responsePacer counts the scheduled responses in buckets of time. If a bucket is full, further responses are
+// scheduled in the buckets before it.
 type responsePacer struct {
-	buckets      [bucketCount]uint16 // responses scheduled, a ring over bucketLength each
-	firstBucket  int64               // the first that still counts
-	longestTurn  float64             // in microseconds, decaying
-	observedAt   int64
-	responseCost float64 // of a response, in microseconds
-	responded    int     // responses in this turn
+	buckets      [bucketCount]uint16 // number of scheduled responses; a ring, bucketLength each
+	firstBucket  int64               // number of the first bucket that still counts
+	longestTurn  float64             // decaying, in microseconds
+	observedAt   int64               // time of the last observed turn, in microseconds
+	responseCost float64             // learned cost of a response, in microseconds
+	responded    int                 // responses sent since the last observed turn
 }
 
-// observeTurn takes how long the last turn took.
+// observeTurn records the length of the last turn, in microseconds.
 func (p *responsePacer) observeTurn(now, us int64) {
 	if p.responseCost == 0 {
 		p.responseCost = initialResponseCost
@@ -57,8 +58,8 @@
 	p.responded = 0
 }
 
-// scheduleResponse returns when the response to a client whose timeout ends at timeoutAt is to be sent,
-// and counts it.
+// scheduleResponse returns the time at which to send the response to a client whose timeout ends at
+// timeoutAt, and counts the response.
 func (p *responsePacer) scheduleResponse(now, timeoutAt int64) int64 {
 	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
@@ -77,7 +78,7 @@
 	return at
 }
 
-// dropPast forgets the buckets before now.
+// dropPast clears the buckets before now.
 func (p *responsePacer) dropPast(now int64) {
 	first := now / bucketLength
 	if first-p.firstBucket > bucketCount {
@@ -89,8 +90,8 @@
 	}
 }
 
-// bucketCapacity is how many responses may be scheduled in one bucket: as many as half of its time is
-// enough to write.
+// bucketCapacity returns how many responses may be scheduled in one bucket: as many as can be written in half
+// of its time.
 func (p *responsePacer) bucketCapacity() int {
 	return max(1, int(bucketLength/2/max(minResponseCost, p.responseCost)))
 }
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// pacerStart is a point in time at which the tests of the pacer start.
+// pacerStart is the time at which the tests of the pacer start, in microseconds.
 const pacerStart = int64(1000 * second)
 
-// Responses that would be sent together are scheduled earlier, in order, by what writing them
-// takes; none later than its client's timeout.
+// Responses that are due at the same time are scheduled earlier, by the time that writing them takes. None is
+// scheduled later than its client's timeout.
 func TestResponsesDueTogether(t *testing.T) {
 	var pacer responsePacer
 	timeoutAt := pacerStart + 6*second
@@ -16,33 +16,36 @@
 	for range 2000 {
 		scheduledAt := pacer.scheduleResponse(pacerStart, timeoutAt)
 		if scheduledAt > timeoutAt-responseTravelTime {
-			t.Fatalf("scheduled %d us before the timeout", timeoutAt-scheduledAt)
+			t.Fatalf("a response is scheduled %d us before the timeout, less than the travel time", timeoutAt-scheduledAt)
 		}
 		perBucket[scheduledAt/bucketLength]++
 		earliest = min(earliest, scheduledAt)
 	}
 	for bucket, count := range perBucket {
 		if float64(count)*pacer.responseCost > bucketLength {
-			t.Errorf("%d responses of %.0f us in bucket %d", count, pacer.responseCost, bucket)
+			t.Errorf("too many responses for the length of a bucket: %d of %.0f us each in bucket %d",
+				count, pacer.responseCost, bucket)
 		}
 	}
 	if early := timeoutAt - earliest; early < 2000*int64(initialResponseCost) || early > maxShift+responseTravelTime {
-		t.Errorf("the first is scheduled %d us before the timeout", early)
+		t.Errorf("the earliest response is scheduled %d us before the timeout, too early or too late", early)
 	}
 	later := timeoutAt + 1*second
 	if scheduledAt := pacer.scheduleResponse(pacerStart, later); scheduledAt < later-responseTravelTime-1*millisecond {
-		t.Errorf("a single one is scheduled %d us before its timeout", later-scheduledAt)
+		t.Errorf("a single response is scheduled %d us before its timeout, want at most responseTravelTime + 1 ms",
+			later-scheduledAt)
 	}
 }
 
-// A long turn is reckoned with, and forgotten.
+// Responses are scheduled earlier after a long turn, but no longer so after many short ones.
 func TestLongTurns(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
 	pacer.observeTurn(now, 40*millisecond)
 	timeoutAt := now + 6*second
 	if scheduledAt := pacer.scheduleResponse(now, timeoutAt); scheduledAt > timeoutAt-responseTravelTime-40*millisecond {
-		t.Errorf("after a turn of 40 ms it is scheduled %d us before the timeout", timeoutAt-scheduledAt)
+		t.Errorf("after a turn of 40 ms, the response is scheduled %d us before the timeout, want at least responseTravelTime + 40 ms",
+			timeoutAt-scheduledAt)
 	}
 	for range 100 {
 		now += 100 * millisecond
@@ -50,19 +53,21 @@
 	}
 	timeoutAt = now + 6*second
 	if scheduledAt := pacer.scheduleResponse(now, timeoutAt); scheduledAt < timeoutAt-responseTravelTime-2*millisecond {
-		t.Errorf("ten seconds later it is scheduled %d us before the timeout", timeoutAt-scheduledAt)
+		t.Errorf("after 10 s of short turns, the response is scheduled %d us before the timeout, want at most responseTravelTime + 2 ms",
+			timeoutAt-scheduledAt)
 	}
 }
 
-// A timeout that is nearly over, beyond the reach of the buckets, or after a long pause
-// is met all the same.
+// Timeouts are also met if they are nearly over, if they are longer than the buckets cover, or after a long
+// pause.
 func TestUnusualTimeouts(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
 	for _, timeout := range []int64{1, 5 * millisecond, 20 * millisecond, 30 * second, 86_400 * second} {
 		pacer.observeTurn(now, 100)
 		if scheduledAt := pacer.scheduleResponse(now, now+timeout); scheduledAt > now+timeout-responseTravelTime {
-			t.Errorf("a timeout of %d: scheduled %d us before its end", timeout, now+timeout-scheduledAt)
+			t.Errorf("timeout of %d us: response scheduled %d us before its end, less than the travel time",
+				timeout, now+timeout-scheduledAt)
 		}
 		now += 600 * second
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns what is known of one request. It must never act on it.
+// This file owns the data of one request. It must never act on a request.
 
 import (
 	"hash/fnv"
@@ -10,49 +10,50 @@
 	"ravenhitch/placement"
 )
 
-// request is one request, and the task that it started.
+// request is a request and the task that it started.
 type request struct {
 	Submission
 	client     Client
-	responseID string // the request ID under which its client knows it
+	responseID string // request ID of the client's latest submission, used in responses
 	state      state
 	keyHash    uint64
-	classIndex int // in the settings, the last where the class is not there
-	units      float64
+	classIndex int     // index in the settings; the last index if the class is not there
+	units      float64 // size of the task, see Settings.Units
 	effect     placement.Effect
-	deadline   int64
-	wakeAt     int64 // when the dispatcher itself acts, or 0
-	heapIndex  int   // in the deadline heap, or -1
+	deadline   int64 // time by which the response is sent, in microseconds
+	wakeAt     int64 // time at which the dispatcher acts on the request, or 0
+	heapIndex  int   // index in the deadline heap, or -1
 
-	// The attempt that is open, or was last.
-	attemptCount  int // of the request so far
-	attemptNumber int // of this one, from 0
+	// The open attempt, or the latest one if none is open.
+	attemptCount  int // attempts of the request so far
+	attemptNumber int // number of this attempt, from 0
 	worker        string
-	sentAt        int64
-	abandonAt     int64
-	cancelOutcome placement.Outcome // cancelling: what the attempt counts as once the cancel is confirmed
+	sentAt        int64             // time of the offer, in microseconds
+	abandonAt     int64             // time at which the attempt is cancelled, in microseconds
+	cancelOutcome placement.Outcome // in stateCancelling: outcome of the attempt once the cancel is confirmed
 
-	mayHaveRun bool // an attempt may have started
+	mayHaveRun bool // an attempt may have started the task
 	firstRun   firstAttempt
 
 	// The running task.
-	startDescription string // what the worker said of the start, for a repeated submission
-	adoptedAt        int64  // when it was submitted as already running, or 0
-	// unaccountedSince is since when nobody accounts for the task, or 0: while it runs, since its worker
-	// is unlisted; once it is unresponsive, since the end should have been reported.
+	startDescription string // the worker's description of the task, for repeated submissions
+	adoptedAt        int64  // time at which the task was submitted as already running, or 0
+	// unaccountedSince is the time since which nobody accounts for the task, or 0. A running task is
+	// unaccounted for while its worker is unlisted; an unresponsive task, from the time by which its end
+	// should have been reported.
 	unaccountedSince int64
-	claimedOutcome   placement.Outcome // adopted: of the completion that came before, where one did
+	claimedOutcome   placement.Outcome // adopted task: outcome of a completion reported before the adoption
 	claimedCause     placement.Cause
 }
 
-// firstAttempt is the first attempt of a request that may have started, and when it was offered.
+// firstAttempt describes the first attempt of a request that may have started the task.
 type firstAttempt struct {
 	worker, zone string
 	cell         int
-	at           int64
+	at           int64 // time of the offer, in microseconds
 }
 
-// newRequest returns the request of a submission, not in the table yet.
+// newRequest returns the request of a submission. The caller inserts it into the table.
 func (d *Dispatcher) newRequest(client Client, s *Submission) *request {
 	receivedAt := d.now
 	if s.ReceivedAtUs > 0 {
@@ -79,17 +80,18 @@
 	return r
 }
 
-// keyHash is the number by which the scheduler knows a key: its value where it is hexadecimal.
+// keyHash returns the number by which the scheduler identifies a key: the value of a hexadecimal key, else a
+// hash.
 func keyHash(key string) uint64 {
 	if value, err := strconv.ParseUint(key, 16, 64); err == nil {
 		return value
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(key)) // a hash never fails
+	_, _ = h.Write([]byte(key)) // Write on a hash never returns an error
 	return h.Sum64()
 }
 
-// task is the request as the scheduler sees it.
+// task returns the request as the scheduler needs it.
 func (r *request) task() placement.Task {
 	return placement.Task{
 		RequestID:     r.RequestID,
@@ -106,7 +108,7 @@
 	}
 }
 
-// backpressureRequest is the request as the advisor sees it.
+// backpressureRequest returns the request as the advisor needs it.
 func (r *request) backpressureRequest() backpressure.Request {
 	return backpressure.Request{
 		Key:           r.keyHash,
@@ -119,6 +121,6 @@
 	}
 }
 
-// runningSince is the earliest time at which the task may have started: when it was offered, or
+// runningSince returns the earliest time at which the task may have started: when it was offered, or
 // submitted as already running.
 func (r *request) runningSince() int64 { return max(r.sentAt, r.adoptedAt) }
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -1,17 +1,17 @@
 package dispatch
 
-// This file owns the responses to clients, and remembers the final ones for clients that repeat a
-// submission. It must never give a request a second final response.
+// This file owns the responses to clients, and caches the final ones for clients that repeat a submission. It
+// must never give a request a second final response.
 
 import "ravenhitch/placement"
 
-// maxCachedResponses bounds the final responses cached for submissions that may be repeated.
+// maxCachedResponses is the maximum number of final responses that are cached for repeated submissions.
 const maxCachedResponses = 4096
 
 // ResponseKind is the kind of a response.
 type ResponseKind int
 
-// The responses. Started, Rejected and Failed are final responses to a submission, Completed and
+// The kinds of response. Started, Rejected and Failed are final responses to a submission. Completed and
 // Migrated end a running task.
 const (
 	Started ResponseKind = iota
@@ -19,23 +19,24 @@
 	Failed
 	Completed
 	Migrated
-	Cancelled // only to a repeated submission: its client cancelled the first
+	Cancelled // only for a repeated submission: the client cancelled the first one
 )
 
-// Response is what a client learns of its request.
+// Response tells a client about its request.
 type Response struct {
 	Kind          ResponseKind
 	RequestID     string
-	Description   string            // Started: what the worker said of it
-	RetryAfterUs  int64             // Rejected: how long to stay away
-	QueuedSinceUs int64             // Rejected: since when its client is on the waitlist
-	Rejections    int               // Rejected: how often, as far as was proved
-	Outcome       placement.Outcome // Completed: how the task ended
-	Cause         placement.Cause   // Rejected, Completed: the reason, where one is known
-	Worker        string            // Started: where it runs
+	Description   string            // Started: the worker's description of the task
+	RetryAfterUs  int64             // Rejected: how long to wait before a retry
+	QueuedSinceUs int64             // Rejected: time since which the client is on the waitlist
+	Rejections    int               // Rejected: number of proved rejections, this one included
+	Outcome       placement.Outcome // Completed: outcome of the task
+	Cause         placement.Cause   // Completed: cause of the end, if known
+	Worker        string            // Started: the worker that runs the task
 }
 
-// respond sends a response to the client of a request, and caches the final response to what may be repeated.
+// respond sends a response to the client of a request, and caches it if it is not Started and the request may
+// be repeated.
 func (d *Dispatcher) respond(r *request, response Response) {
 	response.RequestID = r.responseID
 	d.trace("response", r, "kind", response.Kind, "response_id", response.RequestID)
@@ -47,13 +48,15 @@
 	r.client.Respond(response)
 }
 
-// isRepeatable reports whether a further start of a request does no harm, wherever its client goes.
+// isRepeatable reports whether another start of the task does no harm, at whichever worker the client's retry
+// ends up.
 func (d *Dispatcher) isRepeatable(r *request) bool {
 	return !r.mayHaveRun || r.effect == placement.Safe ||
 		r.effect == placement.Keyed && d.settings.Classes[r.classIndex].Group == placement.ScopeAll
 }
 
-// rejectOrFail ends an open request without a start: rejected where a retry is harmless, else failed.
+// rejectOrFail ends an open request without a start: it rejects the request if a retry does no harm, and
+// otherwise fails it.
 func (d *Dispatcher) rejectOrFail(r *request) {
 	if !d.isRepeatable(r) {
 		d.fail(r)
@@ -79,7 +82,8 @@
 	d.remove(r)
 }
 
-// cacheResponse keeps the final response to a request that may be repeated.
+// cacheResponse caches the response to a resumable request, under both its own request ID and that of its
+// latest submission.
 func (d *Dispatcher) cacheResponse(r *request, response Response) {
 	if !r.Resumable {
 		return
@@ -90,7 +94,7 @@
 	}
 }
 
-// responseCache holds the latest final response under each request ID; the oldest request IDs are evicted.
+// responseCache holds the latest response under each request ID. It evicts the oldest request IDs.
 type responseCache struct {
 	byRequestID map[string]Response
 	order       []string // request IDs, oldest first
@@ -100,7 +104,7 @@
 	return responseCache{byRequestID: map[string]Response{}}
 }
 
-// put caches a response under its request ID, in place of an earlier one.
+// put caches a response under its request ID and replaces an earlier one.
 func (c *responseCache) put(response Response) {
 	requestID := response.RequestID
 	if _, known := c.byRequestID[requestID]; !known {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -1,37 +1,37 @@
 package dispatch
 
-// This file owns the states of a request and the events that move it from one to another. Nothing
-// else may write request.state. It must never decide that an event has happened.
+// This file owns the states of a request and the events that change them. No other file may write
+// request.state. It must never decide that an event has happened.
 //
-// The invariants, which the states, the offer rules (offer.go) and the callers keep together:
+// These invariants are kept by the states, the offer rules (offer.go) and the callers together:
 //
 //   - a request gets one final response, by its deadline, unless its client cancels it before;
-//   - at most one attempt of a request is open at a time, and none once the request is over;
+//   - a request has at most one open attempt at a time, and none once the request is over;
 //   - no offer goes to a worker that has been draining for longer than the drain limit;
-//   - a task that must not run twice is started at most once, and is failed rather than rejected
-//     where it may have been started;
-//   - every open or terminating request has a deadline at which the dispatcher acts itself;
-//   - a task occupies capacity of its worker from its start to its known end.
+//   - a task that must not run twice is started at most once, and its request is failed rather than rejected
+//     if the task may have been started;
+//   - every open or terminating request has a deadline at which the dispatcher acts on its own;
+//   - a task occupies capacity of its worker from its start until its end is known.
 
 import "fmt"
 
-// state is the state of a request in the table.
+// state is the state of a request.
 type state int
 
 const (
 	stateNew         state = iota // not in the table yet
 	statePending                  // no attempt is open
 	stateOffered                  // an attempt is open
-	stateCancelling               // the attempt was cancelled, and its cancel is not confirmed
+	stateCancelling               // the attempt was cancelled, and the cancel is not confirmed
 	stateRunning                  // the worker accepted the task
-	stateTerminating              // released or migrated; the worker's completion has not come
-	stateRemoved                  // out of the table
+	stateTerminating              // released or migrated, and the worker has not reported the completion
+	stateRemoved                  // no longer in the table
 	stateCount       = iota
 )
 
 var stateNames = [stateCount]string{"new", "pending", "offered", "cancelling", "running", "terminating", "removed"}
 
-// String returns the name of the state, as the trace shows it.
+// String returns the name of the state, which the trace shows.
 func (s state) String() string {
 	if s >= 0 && int(s) < len(stateNames) {
 		return stateNames[s]
@@ -39,7 +39,7 @@
 	return "unknown"
 }
 
-// isOpen reports whether the client of a request in this state is owed a response.
+// isOpen reports whether a request in this state still gets a final response.
 func (s state) isOpen() bool {
 	return s == statePending || s == stateOffered || s == stateCancelling
 }
@@ -47,18 +47,18 @@
 // occupiesWorker reports whether a request in this state occupies capacity of its worker.
 func (s state) occupiesWorker() bool { return s == stateRunning || s == stateTerminating }
 
-// stateEvent is what moves a request from one state to another.
+// stateEvent is an event that changes the state of a request.
 type stateEvent int
 
 const (
-	eventSubmitted         stateEvent = iota // its client submitted it
-	eventAdopted                             // its client submitted it as already running
+	eventSubmitted         stateEvent = iota // the client submitted the request
+	eventAdopted                             // the client submitted the task as already running
 	eventOffered                             // an offer was sent
 	eventAccepted                            // the worker accepted the offer
-	eventCancelUnconfirmed                   // the attempt was cancelled, and may still be open
+	eventCancelUnconfirmed                   // the attempt was cancelled and may still be open
 	eventAttemptEnded                        // the attempt ended without a start
 	eventReleased                            // the task was released or migrated
-	eventRemoved                             // it got its last response, or its task ended
+	eventRemoved                             // the request got its last response, or the task ended
 	eventCount             = iota
 )
 
@@ -74,7 +74,7 @@
 
 func (set stateSet) has(s state) bool { return set&(1<<s) != 0 }
 
-// transitions says for each event in which states it may happen, and to which state it leads.
+// transitions lists for each event the states in which it is legal, and the state to which it leads.
 var transitions = [eventCount]struct {
 	name string
 	from stateSet
@@ -91,7 +91,7 @@
 		stateRemoved},
 }
 
-// String returns the name of the event, as the log shows it.
+// String returns the name of the event, which the log shows.
 func (e stateEvent) String() string {
 	if e >= 0 && int(e) < len(transitions) {
 		return transitions[e].name
@@ -99,19 +99,19 @@
 	return "unknown"
 }
 
-// illegalTransitionError is an event that must not happen to a request in a state.
+// illegalTransitionError reports an event that is illegal in the state of the request.
 type illegalTransitionError struct {
 	from  state
 	event stateEvent
 }
 
-// Error returns the event and the state.
+// Error returns a text with the event and the state.
 func (e *illegalTransitionError) Error() string {
 	return fmt.Sprintf("dispatch: event %q is illegal in state %q", e.event, e.from)
 }
 
-// next returns the state to which an event leads, and an *illegalTransitionError where it must not
-// happen in state s.
+// next returns the state to which an event leads, and an *illegalTransitionError if the event is illegal in
+// state s.
 func (s state) next(event stateEvent) (state, error) {
 	rule := &transitions[event]
 	if !rule.from.has(s) {
@@ -120,9 +120,9 @@
 	return rule.to, nil
 }
 
-// transition moves a request to the state to which an event leads, and keeps count of what is pending
-// and of what occupies workers. An illegal transition is a fault of this program: it is logged, and
-// carried out all the same, since a request that is stuck would harm its client more.
+// transition moves a request to the state to which an event leads, and updates the counts of pending requests
+// and of the tasks on each worker. An illegal transition is a bug in this program. It is logged and still
+// carried out, because a stuck request would harm its client more.
 func (d *Dispatcher) transition(r *request, event stateEvent) {
 	to, err := r.state.next(event)
 	if err != nil {
@@ -136,7 +136,7 @@
 	r.state = to
 }
 
-// countOccupied keeps the running tasks of workers up to date as a request moves to a state.
+// countOccupied updates the tasks that occupy workers when a request moves to a state.
 func (d *Dispatcher) countOccupied(r *request, to state) {
 	was, is := r.state.occupiesWorker(), to.occupiesWorker()
 	switch {
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Each event is legal in just these states, and leads from all of them to one.
+// Each event is legal only in the listed states, and leads to the same state from each of them.
 func TestTransitions(t *testing.T) {
 	legal := map[stateEvent]map[state]state{
 		eventSubmitted:         {stateNew: statePending},
@@ -28,17 +28,17 @@
 			var illegal *illegalTransitionError
 			switch {
 			case isLegal && (err != nil || to != want):
-				t.Errorf("%v in state %v leads to %v (%v), want %v", event, from, to, err, want)
+				t.Errorf("event %v in state %v leads to %v (error %v), want %v", event, from, to, err, want)
 			case !isLegal && !errors.As(err, &illegal):
-				t.Errorf("%v in state %v is legal", event, from)
+				t.Errorf("event %v is legal in state %v, want an illegalTransitionError", event, from)
 			case !isLegal && (illegal.from != from || illegal.event != event):
-				t.Errorf("%v in state %v gives the error %v", event, from, illegal)
+				t.Errorf("event %v in state %v returns an error for another event or state: %v", event, from, illegal)
 			}
 		}
 	}
 }
 
-// Every state but the first can be reached, and from every state the request can leave the table.
+// Every state except the first can be reached, and a request can be removed from every state in the table.
 func TestEveryStateIsReachedAndLeft(t *testing.T) {
 	reached := statesOf(stateNew)
 	for range stateCount {
@@ -50,40 +50,40 @@
 	}
 	for s := range state(stateCount) {
 		if !reached.has(s) {
-			t.Errorf("%v can't be reached", s)
+			t.Errorf("state %v can't be reached", s)
 		}
 		if isInTable := s != stateNew && s != stateRemoved; transitions[eventRemoved].from.has(s) != isInTable {
-			t.Errorf("a request in state %v can be removed: %v", s, !isInTable)
+			t.Errorf("state %v: removal is legal: %v, want the opposite", s, !isInTable)
 		}
 		if s.isOpen() && s.occupiesWorker() {
-			t.Errorf("%v is both open and occupies a worker", s)
+			t.Errorf("state %v is open and also occupies a worker", s)
 		}
 	}
 }
 
-// States and events have names, also those that don't exist.
+// All states and events have distinct names; values that do not exist are called unknown.
 func TestStateNames(t *testing.T) {
 	names := map[string]bool{}
 	for s := range state(stateCount) {
 		names[s.String()] = true
 	}
 	if len(names) != stateCount || names[""] || names["unknown"] {
-		t.Errorf("names of the states: %v", names)
+		t.Errorf("state names are not distinct, or one is empty or unknown: %v", names)
 	}
 	names = map[string]bool{}
 	for event := range stateEvent(eventCount) {
 		names[event.String()] = true
 	}
 	if len(names) != eventCount || names[""] || names["unknown"] {
-		t.Errorf("names of the events: %v", names)
+		t.Errorf("event names are not distinct, or one is empty or unknown: %v", names)
 	}
 	if state(stateCount).String() != "unknown" || state(-1).String() != "unknown" || stateEvent(eventCount).String() != "unknown" {
-		t.Error("a state or event that doesn't exist has a name")
+		t.Error("the name of a state or event that doesn't exist is not unknown")
 	}
 }
 
-// In service an illegal transition is logged and carried out: the request goes on, and what is
-// counted beside the table stays right.
+// Outside tests, an illegal transition is logged and carried out: the request continues, and the counts
+// beside the table stay correct.
 func TestIllegalTransitionIsLogged(t *testing.T) {
 	h := newHarness(t)
 	var logged bytes.Buffer
@@ -95,17 +95,18 @@
 	h.transition(r, eventAccepted) // a pending request has no attempt
 
 	if r.state != stateRunning || h.pendingCount != 0 || h.TasksOn("a").Count != 1 {
-		t.Errorf("state %v, %d pending, %d tasks", r.state, h.pendingCount, h.TasksOn("a").Count)
+		t.Errorf("state %v, %d pending requests, %d tasks on worker a; want running, 0 and 1",
+			r.state, h.pendingCount, h.TasksOn("a").Count)
 	}
 	line := logged.String()
 	for _, part := range []string{"level=ERROR", `msg="illegal state transition"`, "request_id=t1", "accepted", "pending"} {
 		if !strings.Contains(line, part) {
-			t.Errorf("%q is missing from the log line %q", part, line)
+			t.Errorf("the text %q is missing from the log line %q", part, line)
 		}
 	}
 }
 
-// fatalRecorder records the first failure instead of failing a test.
+// fatalRecorder records that the harness reported a failure, instead of failing the test.
 type fatalRecorder struct{ failed bool }
 
 func (f *fatalRecorder) Helper()               {}
@@ -118,10 +119,10 @@
 	h.mustSubmit("t1", "web", "k1", 5000)
 	r := h.find("t1")
 	if recorder.failed {
-		t.Fatal("a legal transition fails the test")
+		t.Fatal("the harness failed the test for a legal transition")
 	}
 	h.transition(r, eventReleased)
 	if !recorder.failed {
-		t.Error("an illegal transition does not fail the test")
+		t.Error("the harness did not fail the test for an illegal transition")
 	}
 }
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns what a client may ask for, and its bounds. It must never look at a worker.
+// This file owns the content of a submission and its limits. It must never look at a worker.
 
 import (
 	"fmt"
@@ -10,51 +10,52 @@
 // Submission is the content of a request. Description and IdempotencyKey are opaque.
 type Submission struct {
 	RequestID, Class, Key string
-	IdempotencyKey        string // the idempotency key, "" where workers of the class know none
-	Tenant                string // "" where the deployment has none
-	ExpectedRunUs         int64  // how long the task is expected to run, 0 where unknown
-	Retry                 bool   // the client says that it submitted the task before
-	// Resumable says that the client repeats a submission whose response it has not read: a
-	// repeat of an open request or a running task gets that one's response.
+	IdempotencyKey        string // "" if workers of the class use none
+	Tenant                string // "" if the deployment has no tenants
+	ExpectedRunUs         int64  // expected run time in microseconds, 0 if unknown
+	Retry                 bool   // the client states that it submitted the task before
+	// Resumable is true if the client repeats a submission whose response it has not read. A repeat of an
+	// open request or of a running task gets the response to that one.
 	Resumable     bool
-	TimeoutUs     int64  // how long the client waits from ReceivedAtUs on
-	ReceivedAtUs  int64  // the earliest time at which it can have arrived, 0 for now
-	QueuedSinceUs int64  // since when the client proved to be on the waitlist, 0 where it did not
-	Rejections    int    // how often it was rejected before, as proved
-	Connection    uint64 // the connection or session by which it came, 0 where unknown
+	TimeoutUs     int64  // how long the client waits, from ReceivedAtUs on
+	ReceivedAtUs  int64  // earliest time at which the submission can have arrived, 0 for now
+	QueuedSinceUs int64  // proved time since which the client is on the waitlist, 0 if none
+	Rejections    int    // proved number of earlier rejections
+	Connection    uint64 // number of the connection or session of the client, 0 if unknown
 	Cores, Memory float64
 	Program       uint64
 	RunningOn     string // the worker that runs the task already, or ""
 	Description   string
 }
 
-// The bounds of what a client may ask for. A timeout longer than a day, a task of more than a year,
-// or an amount above a thousand million, is a mistake or worse.
+// The limits of a submission. A timeout of more than a day, a run time of more than a year or an amount of
+// 1e9 or more is a mistake or an attack.
 const (
 	maxTimeoutUs     = int64(24 * 60 * 60 * second)
 	maxExpectedRunUs = 366 * maxTimeoutUs
-	maxResource      = 1e9 // cores, and memory in the unit of the settings
+	maxResource      = 1e9 // cores, or memory in the unit of the settings
 	maxNameLength    = 64  // bytes
 	requestIDLength  = 16  // hexadecimal digits
 )
 
 const hexDigits = "0123456789abcdefABCDEF"
 
-// ValidationError is a field of a submission that makes no sense. Fields go by fixed names that no single
-// wire follows: both fronts take them from here, clientfront as the text of its error and grpcfront as the
-// key of its own field.
+// ValidationError reports an invalid field of a submission. The names of fields are fixed and follow no
+// single wire format. Both fronts use them: clientfront in the text of its error, and grpcfront as the key of
+// its own field name.
 type ValidationError struct {
-	Field string // as Validate names it
-	Want  string // what was expected of it
+	Field string // name of the field, as set by Validate
+	Want  string // description of a valid value
 }
 
-// Error returns the field and what was expected of it.
+// Error returns a text with the field and what was expected of it.
 func (e *ValidationError) Error() string {
 	return fmt.Sprintf("dispatch: invalid %s: expected %s", e.Field, e.Want)
 }
 
-// Validate returns the first field of a submission that makes no sense, or nil. Fronts ask before they
-// submit: what no worker could use must reach none, as its error would count against the worker.
+// Validate returns an error for the first invalid field of a submission, or nil. Fronts call it before
+// Submit: a submission that no worker can use must not reach a worker, because its error would count against
+// the worker.
 func (s *Submission) Validate() *ValidationError {
 	switch {
 	case len(s.RequestID) != requestIDLength || strings.Trim(s.RequestID, hexDigits) != "":
@@ -79,5 +80,5 @@
 	return nil
 }
 
-// isValidResource reports whether a task may ask for an amount; NaN it may not.
+// isValidResource reports whether a task may request an amount. NaN is not valid.
 func isValidResource(amount float64) bool { return amount > 0 && amount < maxResource }
--- a/internal/dispatch/submission_test.go
+++ b/internal/dispatch/submission_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// The first field that makes no sense is named, with what was expected of it.
+// Validate returns the first invalid field and a description of a valid value.
 func TestValidate(t *testing.T) {
 	longName := strings.Repeat("x", maxNameLength+1)
 	for _, c := range []struct {
-		name  string
-		spoil func(s *Submission)
-		field string // "": the submission is valid
-		want  string
+		name   string
+		modify func(s *Submission)
+		field  string // "": the submission is valid
+		want   string
 	}{
 		{"valid", func(*Submission) {}, "", ""},
 		{"adopted without a timeout", func(s *Submission) { s.RunningOn, s.TimeoutUs = "a", 0 }, "", ""},
@@ -34,13 +34,13 @@
 		{"the first of two", func(s *Submission) { s.Cores, s.Key = 0, "" }, "task", "a name of 1 to 64 bytes"},
 	} {
 		submission := Submission{RequestID: "9b1f03aa5c7e2d41", Class: "web", Key: "k", TimeoutUs: 5 * second, Cores: 1, Memory: 1}
-		c.spoil(&submission)
+		c.modify(&submission)
 		invalid := submission.Validate()
 		switch {
 		case invalid == nil && c.field != "":
-			t.Errorf("%s: no error, want one of %s", c.name, c.field)
+			t.Errorf("%s: Validate returned no error, want an error for field %s", c.name, c.field)
 		case invalid != nil && (invalid.Field != c.field || invalid.Want != c.want):
-			t.Errorf("%s: %v, want %s: %s", c.name, invalid, c.field, c.want)
+			t.Errorf("%s: Validate returned %v, want field %s: expected %s", c.name, invalid, c.field, c.want)
 		}
 	}
 }
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns how a submission enters the table: as a new request, as a running task, or as the
-// repeat of one that is known. It must never give a second final response.
+// This file owns how a submission enters the table: as a new request, as a running task, or as the repeat of
+// a known request. It must never give a second final response.
 
 import (
 	"errors"
@@ -9,16 +9,17 @@
 	"ravenhitch/placement"
 )
 
-// The errors of Submit. Nothing was taken in then, and no response is owed. They leave the package for the
-// fronts, so their texts carry its name.
+// The errors of Submit. A submission with an error is not added to the table and gets no response. The fronts
+// handle these errors, so their texts name this package.
 var (
 	ErrRequestIDInUse = errors.New("dispatch: the request ID is in use")
 	ErrKeyInUse       = errors.New("dispatch: the task was submitted elsewhere")
 	ErrTerminating    = errors.New("dispatch: the task is terminating")
 )
 
-// Submit takes in a submission. The response goes to client, during this call where it is known
-// already. It fails with ErrRequestIDInUse, ErrKeyInUse or ErrTerminating.
+// Submit adds a submission to the table. The response goes to client, during this call if it is known
+// already. Submit returns ErrRequestIDInUse, ErrKeyInUse or ErrTerminating if it does not accept the
+// submission.
 func (d *Dispatcher) Submit(now int64, client Client, s Submission) error {
 	d.now = now
 	if s.RunningOn != "" && d.isAlreadyAdopted(&s) {
@@ -42,9 +43,9 @@
 	return nil
 }
 
-// isAlreadyAdopted reports whether a running task is known here. What the table says of it goes on,
-// its client too: whoever repeats a request ID that it may have seen would else get the completion
-// that is owed to another. Where that client has disconnected, its front finds another.
+// isAlreadyAdopted reports whether the task of an adoption is known here. The known task keeps its data and
+// its client: otherwise anyone who repeats a request ID that they may have seen would get the completion
+// meant for another client. If that client has disconnected, its front selects another one.
 func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
 	if d.unresponsive[s.RequestID] != nil {
 		return true
@@ -59,8 +60,8 @@
 	return true
 }
 
-// resume answers a repeated submission with what is known of the first, and reports whether it did.
-// It guards against a second start where a response was sent and never read.
+// resume answers a repeated submission from the state of the first one, and reports whether it did. This
+// prevents a second start if a response was sent and never read.
 func (d *Dispatcher) resume(client Client, s *Submission) (bool, error) {
 	r := d.find(s.RequestID)
 	if r == nil {
@@ -89,10 +90,11 @@
 	return true, nil
 }
 
-// checkNames returns an error where the request ID or the key of a submission names another request.
+// checkNames returns an error if the request ID or the key of a submission belongs to another request.
 func (d *Dispatcher) checkNames(s *Submission) error {
 	if d.Contains(s.RequestID) {
-		// A response to it would be a second one to the first, or the scheduler knows it.
+		// A response to the submission would be a second response to the request, or the scheduler still
+		// knows the task as unresponsive.
 		return ErrRequestIDInUse
 	}
 	if r := d.latestByKey[s.Key]; r != nil && r.Resumable != s.Resumable && s.RunningOn == "" {
@@ -113,7 +115,7 @@
 	d.arm(r, r.deadline)
 }
 
-// adopt makes a new request a running task at the worker that its client names.
+// adopt makes a new request a running task on the worker that its client names.
 func (d *Dispatcher) adopt(r *request) {
 	d.counts.Adopted++
 	r.worker, r.mayHaveRun, r.adoptedAt = r.RunningOn, true, d.now
--- a/internal/dispatch/submit_test.go
+++ b/internal/dispatch/submit_test.go
@@ -6,12 +6,12 @@
 	"ravenhitch/placement"
 )
 
-// An adopted task needs no response to its submission, and none is owed where its client releases it.
+// An adopted task gets no response to its submission, and no completion is sent if its client releases it.
 func TestAdopted(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
 	for _, id := range []string{"t1", "t2"} {
-		for range 2 { // submitted twice, as the orchestrator may know it already
+		for range 2 { // submitted twice, because the orchestrator may know the task already
 			submission := Submission{RequestID: id, Class: "cut", Key: id, Cores: 1, Memory: 1, RunningOn: "a"}
 			if err := h.Submit(h.now, h, submission); err != nil {
 				t.Fatal(err)
@@ -21,21 +21,21 @@
 	}
 	h.advance(100 * millisecond)
 	if h.Cancel(h.now, nil, "t1") != WasRunning {
-		t.Error("t1 did not run")
+		t.Error("Cancel of t1 did not return WasRunning")
 	}
 	h.TaskEnded(h.now, "a", "t1", placement.Cancelled, 0)
 	h.endAttempt("t2", placement.Completed)
 	h.advance(100 * millisecond)
 	if len(h.received) != 1 || h.received[0].RequestID != "t2" || h.received[0].Kind != Completed {
-		t.Errorf("responses %v", h.received)
+		t.Errorf("responses %v, want only the completion of t2", h.received)
 	}
 	if counts := h.Counts(); counts.Adopted != 2 || counts.Requests != 0 {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("counts %+v, want 2 adopted and 0 requests", counts)
 	}
 }
 
-// What only the scheduler has a use for reaches it: whose task it is, how long it runs, that
-// it was submitted before.
+// The data that only the scheduler uses are passed on to it: the tenant, the expected run time, and whether
+// the task was submitted before.
 func TestSchedulerGetsWholeTask(t *testing.T) {
 	h := newHarness(t)
 	submission := Submission{RequestID: "9b1f03aa5c7e2d41", Class: "web", Key: "k", TimeoutUs: 5000 * millisecond, Cores: 1, Memory: 1,
@@ -45,6 +45,6 @@
 	}
 	task, ok := h.events[len(h.events)-1].(placement.Request)
 	if !ok || task.Tenant != "studio" || !task.HasRunHint || task.ExpectedRunUs != 4_409_900 || !task.Retry {
-		t.Errorf("events %+v", h.events)
+		t.Errorf("the last event is not a request with the tenant, run time and retry flag of its submission: %+v", h.events)
 	}
 }
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns which tasks occupy capacity at which worker: running, terminating and unresponsive
-// ones. It must never decide what becomes of them.
+// This file owns which tasks occupy capacity of which worker: running, terminating and unresponsive ones. It
+// must never decide how they end.
 
 import (
 	"maps"
@@ -9,15 +9,15 @@
 )
 
 const (
-	// unlistedTimeout is how long a task may run on a worker that left the list: its own report on
-	// the end may still come.
+	// unlistedTimeout is how long a task may run on a worker that left the list. The worker may still report
+	// the end of the task itself.
 	unlistedTimeout = 1 * second
-	// adoptedUnlistedTimeout is the same for an adopted task on a worker that no list ever named:
-	// nobody else will report its end.
+	// adoptedUnlistedTimeout replaces unlistedTimeout for a task that is adopted on an unlisted worker.
+	// Nobody else will report the end of such a task.
 	adoptedUnlistedTimeout = 1_500 * millisecond
 )
 
-// runningTasks are the tasks that occupy each worker, in no order.
+// runningTasks holds the tasks that occupy each worker, in no order.
 type runningTasks map[string][]*request
 
 func (t runningTasks) add(r *request) { t[r.worker] = append(t[r.worker], r) }
@@ -33,13 +33,13 @@
 	t[r.worker] = tasks[:last]
 }
 
-// TaskSummary is the number of tasks that occupy a worker, and their age.
+// TaskSummary describes the tasks that occupy a worker.
 type TaskSummary struct {
 	Count        int
-	OldestSentAt int64 // when the oldest was offered, in microseconds; 0 for an adopted one
+	OldestSentAt int64 // time of the oldest offer, in microseconds; 0 for an adopted task
 }
 
-// TasksOn sums up the tasks that are running or terminating at a worker.
+// TasksOn summarizes the running, terminating and unresponsive tasks on a worker.
 func (d *Dispatcher) TasksOn(worker string) (summary TaskSummary) {
 	for i, r := range d.tasksByWorker[worker] {
 		summary.Count++
@@ -50,16 +50,16 @@
 	return summary
 }
 
-// HasTasksOn reports whether any task is running or terminating at a worker.
+// HasTasksOn reports whether any running, terminating or unresponsive task is on a worker.
 func (d *Dispatcher) HasTasksOn(worker string) bool { return len(d.tasksByWorker[worker]) > 0 }
 
-// WorkersWithTasks are the workers at which any task is running or terminating, by name.
+// WorkersWithTasks returns the workers with any running, terminating or unresponsive task, sorted by name.
 func (d *Dispatcher) WorkersWithTasks() []string {
 	return slices.Sorted(maps.Keys(d.tasksByWorker))
 }
 
-// lostTasks are the tasks that have run for unlistedTimeout at a worker that no list names, by
-// request ID, so that the same events give the same actions.
+// lostTasks returns the tasks whose worker has been unlisted for unlistedTimeout while they ran. They are
+// ordered by request ID, so that the same events lead to the same actions.
 func (d *Dispatcher) lostTasks() (lost []*request) {
 	for worker, tasks := range d.tasksByWorker {
 		listed := d.listed[worker]
--- a/internal/dispatch/tasks_test.go
+++ b/internal/dispatch/tasks_test.go
@@ -6,8 +6,9 @@
 	"ravenhitch/placement"
 )
 
-// A process that began after a task was offered, or adopted, does not run it: its completion is
-// reported. What was offered since, or as good as then, runs on.
+// A worker process that started after a task was offered or adopted does not run that task, so a completion
+// of the task is reported. Tasks that were offered later, or less than restartSkew before the start,
+// continue.
 func TestWorkerRestarted(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -18,7 +19,7 @@
 	delete(h.running, "released")
 	h.advance(5000 * millisecond)
 	if !h.IsTerminating("released") {
-		t.Fatal("the released task is not unresponsive")
+		t.Fatal("the released task is not terminating after 5 s")
 	}
 	h.mustStart("justbefore", 5000)
 	start := h.now + 500*millisecond
@@ -27,13 +28,14 @@
 
 	h.WorkerRestarted(h.now, "other", start)
 	if h.completions() != "" {
-		t.Errorf("another worker's start ended %q", h.completions())
+		t.Errorf("the restart of another worker completed tasks %q, want none", h.completions())
 	}
 	h.WorkerRestarted(h.now, "a", start)
 	if h.completions() != "adopted offered " || h.IsTerminating("released") {
-		t.Errorf("completions: %q, released task is still terminating: %v", h.completions(), h.IsTerminating("released"))
+		t.Errorf("completions %q, want \"adopted offered \"; released task is terminating: %v, want false",
+			h.completions(), h.IsTerminating("released"))
 	}
 	if !h.IsRunning("justbefore") || !h.IsRunning("after") || h.TasksOn("a").Count != 2 {
-		t.Errorf("%d tasks run, want 2", h.TasksOn("a").Count)
+		t.Errorf("tasks on worker a: %d, want 2, justbefore and after, both running", h.TasksOn("a").Count)
 	}
 }
--- a/internal/dispatch/totals.go
+++ b/internal/dispatch/totals.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// This file owns the totals of final responses by class of the settings. It must never count a
-// class that the settings lack: a client that invents class names would make it grow.
+// This file owns the totals of final responses for each class in the settings. It must never count a class
+// that is not in the settings: a client that invents class names would make the totals grow without limit.
 
-// ClassTotals counts what became of the requests of one class.
+// ClassTotals counts the final responses to the requests of one class.
 type ClassTotals struct{ Started, Rejected, Failed int64 }
 
 // countResponse counts a response to a request of a class.
@@ -23,7 +23,7 @@
 	d.totals[class] = totals
 }
 
-// ClassTotals returns what became of the requests of each class of the settings.
+// ClassTotals returns the totals of each class in the settings.
 func (d *Dispatcher) ClassTotals() map[string]ClassTotals {
 	totals := make(map[string]ClassTotals, len(d.classIndex))
 	for class := range d.classIndex {
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Only request IDs with one of the suffixes are traced; without suffixes, all are.
+// Only request IDs that end in one of the suffixes are traced. Without suffixes, all are traced.
 func TestTraced(t *testing.T) {
 	for _, c := range []struct {
 		suffixes  []string
@@ -21,12 +21,12 @@
 		{[]string{"6c74d45b"}, "6c74d45b160bf556", false},
 	} {
 		if got := Traced(c.suffixes, c.requestID); got != c.want {
-			t.Errorf("Traced(%v, %s) = %v", c.suffixes, c.requestID, got)
+			t.Errorf("Traced(%v, %s) = %v, want the opposite", c.suffixes, c.requestID, got)
 		}
 	}
 }
 
-// A step is written at debug level for a traced request ID, and at no other level or request ID.
+// A step is written only if its request ID is traced and the debug level is on.
 func TestTracerStep(t *testing.T) {
 	for _, c := range []struct {
 		level    slog.Level
@@ -43,7 +43,7 @@
 		tracer := Tracer{Log: slog.New(handler), Suffixes: c.suffixes}
 		tracer.Step("offer", "6c74d45b160bf556", 42, "worker", "s-1")
 		if got := strings.Contains(logged.String(), "msg=offer request_id=6c74d45b160bf556 at_us=42 worker=s-1"); got != c.want {
-			t.Errorf("%v %v: wrote %q", c.level, c.suffixes, logged.String())
+			t.Errorf("level %v, suffixes %v: wrong log output %q", c.level, c.suffixes, logged.String())
 		}
 	}
 }
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns the turns: deadlines that have passed, the call of the scheduler, and its actions.
-// It must never send an offer itself.
+// This file owns the turns: each handles the deadlines that have passed, calls the scheduler and carries out
+// its actions. It must never send an offer itself.
 
 import (
 	"container/heap"
@@ -10,14 +10,14 @@
 )
 
 const (
-	// sweepInterval is how often the tasks of unlisted and unresponsive workers are looked at.
+	// sweepInterval is the time between two checks of unresponsive tasks and of tasks on unlisted workers.
 	sweepInterval = 500 * millisecond
-	// drainRetention is how long it is remembered that a worker left the list: well past the
-	// last offer that could still be meant for it.
+	// drainRetention is how long it is remembered that a worker left the list. It is much longer than an
+	// offer to the worker can still be on its way.
 	drainRetention = 60 * second
 )
 
-// NextDeadline is when Turn has to be called next, in microseconds, or 0.
+// NextDeadline returns the time at which Turn has to be called next, in microseconds, or 0 if there is none.
 func (d *Dispatcher) NextDeadline() int64 {
 	next := int64(0)
 	consider := func(at int64) {
@@ -37,7 +37,8 @@
 	return next
 }
 
-// Turn hands what happened to the scheduler in one go and carries out its actions.
+// Turn handles what is due, passes all queued events to the scheduler in one call and carries out its
+// actions.
 func (d *Dispatcher) Turn(now int64) {
 	d.now = now
 	for len(d.deadlines) > 0 && d.deadlines[0].wakeAt <= now {
@@ -52,7 +53,7 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// The list is followed without being asked for; this confirms it to the scheduler.
+		// Discovery is followed without a request by the scheduler. This event confirms that to it.
 		d.confirmList = false
 		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
@@ -60,11 +61,11 @@
 	d.reportBackpressure()
 }
 
-// ObserveTurn says how long the last turn took, in microseconds, from when its input was ready to
-// when its output was written.
+// ObserveTurn records how long the last turn took, in microseconds, from when its input was ready to when its
+// output was written.
 func (d *Dispatcher) ObserveTurn(us int64) { d.pacer.observeTurn(d.now, us) }
 
-// runScheduler hands the events to the scheduler, if there are any, and carries out its actions.
+// runScheduler passes the queued events to the scheduler, if there are any, and carries out its actions.
 func (d *Dispatcher) runScheduler() {
 	if len(d.events) == 0 {
 		return
@@ -78,7 +79,7 @@
 	}
 }
 
-// expire acts on a request whose wakeAt has come.
+// expire acts on a request whose wakeAt has passed.
 func (d *Dispatcher) expire(r *request) {
 	d.disarm(r)
 	switch r.state {
@@ -94,29 +95,29 @@
 		d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 		d.rejectOrFail(r)
 	case stateRunning:
-		d.taskCompleted(r, r.claimedOutcome, r.claimedCause) // see claimCompletion
+		d.taskCompleted(r, r.claimedOutcome, r.claimedCause) // set by claimCompletion
 	case stateTerminating:
 		d.workers.Release(r.worker, r.RequestID)
 		d.setUnresponsive(r)
 	}
 }
 
-// awaitFinalAction lets the scheduler end a request whose deadline has passed: it does so within
-// this turn, else the next turn does.
+// awaitFinalAction lets the scheduler end a request whose deadline has passed. If the scheduler does not do
+// so within this turn, the dispatcher ends the request in the next one.
 func (d *Dispatcher) awaitFinalAction(r *request) {
 	if d.now >= r.deadline {
 		d.arm(r, d.now+1)
 	}
 }
 
-// sweep ends tasks on workers that no list names any more. It guards against tasks that would run
-// for ever in the table where a worker vanished without a report.
+// sweep ends unresponsive tasks and tasks on unlisted workers. Without it, a task would stay in the table
+// forever if its worker vanished without a report.
 func (d *Dispatcher) sweep() {
 	if !d.hasList {
 		return
 	}
 	for worker, since := range d.drainingSince {
-		// Workers come and go with new names for ever.
+		// New worker names keep appearing, so old ones have to be dropped.
 		if !d.listed[worker] && d.now-since > drainRetention {
 			delete(d.drainingSince, worker)
 		}
@@ -166,7 +167,7 @@
 	}
 }
 
-// migrate ends a running task, and lets its client submit it again.
+// migrate ends a running task and tells its client to submit it again.
 func (d *Dispatcher) migrate(r *request) {
 	d.counts.Migrated++
 	d.respond(r, Response{Kind: Migrated})
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -1,29 +1,30 @@
 package dispatch
 
-// This file owns the unclaimed completions: those of tasks which are not known here. A client submits
-// a running task again after its orchestrator has gone, and a worker reports the completion on any
-// connection meanwhile, once: one that comes first would leave the task running for ever in the table.
-// It must never end a task that its worker did not name by its request ID.
+// This file owns unclaimed completions, which are completions of tasks that are not known here. After an
+// orchestrator has gone, its client submits the running task to another one. Meanwhile the worker may report
+// the completion, which it does only once, on any connection. If that report came first and was dropped, the
+// task would stay in the table as running forever. This file must never end a task unless its worker has
+// named it by its request ID.
 
 import "ravenhitch/placement"
 
 const (
-	// unclaimedRetention is how long such a completion is remembered: longer than clients take to
+	// unclaimedRetention is how long an unclaimed completion is remembered: longer than clients take to
 	// notice that an orchestrator is gone.
 	unclaimedRetention = 60 * second
-	// maxUnclaimed bounds them: the oldest are evicted.
+	// maxUnclaimed is the maximum number of unclaimed completions. The oldest are evicted.
 	maxUnclaimed = 4096
 )
 
-// unclaimedCompletion is the completion of a task that nobody has submitted here.
+// unclaimedCompletion is the completion of a task that no client has submitted here.
 type unclaimedCompletion struct {
 	worker  string
 	outcome placement.Outcome
-	cause   placement.Cause
+	cause   placement.Cause // time of the report, in microseconds
 	at      int64
 }
 
-// unclaimedCompletions are such completions by request ID.
+// unclaimedCompletions holds the unclaimed completions by request ID.
 type unclaimedCompletions struct {
 	byRequestID map[string]unclaimedCompletion
 	order       []string // request IDs, oldest first
@@ -33,14 +34,14 @@
 	return unclaimedCompletions{byRequestID: map[string]unclaimedCompletion{}}
 }
 
-// UnknownTaskEnded takes a worker's report that a task has ended which is not known here.
+// UnknownTaskEnded records a worker's report on the end of a task that is not known here.
 func (d *Dispatcher) UnknownTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	if isTaskOutcome(outcome) {
 		d.unclaimed.add(requestID, unclaimedCompletion{worker, outcome, cause, now})
 	}
 }
 
-// add remembers a completion; the first of a request ID counts.
+// add stores a completion unless there is one with the same request ID.
 func (u *unclaimedCompletions) add(requestID string, completion unclaimedCompletion) {
 	if _, known := u.byRequestID[requestID]; known {
 		return
@@ -50,7 +51,7 @@
 	u.order = append(u.order, requestID)
 }
 
-// evict drops what is too old, and the oldest where the limit is reached.
+// evict removes the completions that are too old, and the oldest one if there are too many.
 func (u *unclaimedCompletions) evict(now int64) {
 	evicted := 0
 	for evicted < len(u.order) {
@@ -65,8 +66,8 @@
 	u.order = u.order[evicted:]
 }
 
-// claimCompletion ends an adopted task, at the next turn, where its worker has reported its
-// completion before.
+// claimCompletion ends an adopted task in the next turn if its worker reported the completion before the
+// adoption.
 func (d *Dispatcher) claimCompletion(r *request) {
 	completion, ok := d.unclaimed.byRequestID[r.RequestID]
 	if !ok || completion.worker != r.worker || d.now-completion.at > unclaimedRetention {
--- a/internal/dispatch/unclaimed_test.go
+++ b/internal/dispatch/unclaimed_test.go
@@ -7,8 +7,8 @@
 	"ravenhitch/placement"
 )
 
-// A completion that a worker reported before the task was adopted is reported to its client, unless
-// the client itself asked for it.
+// If a worker reported a completion before the task was adopted, the completion is reported to the client,
+// unless the client itself cancelled the task.
 func TestCompletionBeforeAdoption(t *testing.T) {
 	for name, c := range map[string]struct {
 		worker    string
@@ -26,7 +26,7 @@
 		h := newHarness(t)
 		h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
 		h.UnknownTaskEnded(h.now, c.worker, "t1", c.outcome, 0)
-		h.UnknownTaskEnded(h.now, "b", "t1", placement.Completed, 0) // the first report counts
+		h.UnknownTaskEnded(h.now, "b", "t1", placement.Completed, 0) // only the first report counts
 		h.advance(c.after)
 		h.adopt("t1", "a")
 		h.adopt("t2", "a")
@@ -34,18 +34,18 @@
 
 		wantReport := c.completes && c.outcome != placement.Cancelled
 		if reported := h.completions() == "t1 "; reported != wantReport || !h.IsRunning("t2") {
-			t.Errorf("%s: completions %q", name, h.completions())
+			t.Errorf("%s: wrong completions %q, or t2 is not running", name, h.completions())
 		}
 		if len(h.received) > 0 && h.received[0].Outcome != c.outcome {
-			t.Errorf("%s: reported as %v", name, h.received[0].Outcome)
+			t.Errorf("%s: wrong outcome %v in the response", name, h.received[0].Outcome)
 		}
 		if h.IsRunning("t1") == c.completes {
-			t.Errorf("%s: the task runs: %v", name, h.IsRunning("t1"))
+			t.Errorf("%s: t1 is running: %v, want the opposite", name, h.IsRunning("t1"))
 		}
 	}
 }
 
-// Completions that nobody claims fill no memory.
+// The number of unclaimed completions is limited, and old ones are evicted.
 func TestUnclaimedCompletionsAreBounded(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 * maxUnclaimed {
@@ -54,10 +54,11 @@
 	unclaimed := &h.unclaimed
 	oldest := fmt.Sprint("t", 2*maxUnclaimed)
 	if len(unclaimed.byRequestID) != maxUnclaimed || len(unclaimed.order) != maxUnclaimed || unclaimed.order[0] != oldest {
-		t.Errorf("%d completions, %d request IDs from %s on", len(unclaimed.byRequestID), len(unclaimed.order), unclaimed.order[0])
+		t.Errorf("%d completions and %d request IDs, the oldest %s; want the latest maxUnclaimed of both",
+			len(unclaimed.byRequestID), len(unclaimed.order), unclaimed.order[0])
 	}
 	h.UnknownTaskEnded(h.now+unclaimedRetention+1, "a", "last", placement.Completed, 0)
 	if len(unclaimed.byRequestID) != 1 || len(unclaimed.order) != 1 {
-		t.Errorf("%d completions are left of what is too old", len(unclaimed.byRequestID)-1)
+		t.Errorf("%d completions older than unclaimedRetention are left, want 0", len(unclaimed.byRequestID)-1)
 	}
 }
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -1,8 +1,9 @@
 package dispatch
 
-// This file owns unresponsive tasks: released ones whose end their worker has not reported. Their
-// clients are done with them, but a worker that is cut off runs them on: for the scheduler they occupy
-// capacity, and count for the spread, until the end is known. It must never respond to a client.
+// This file owns unresponsive tasks: released tasks whose end the worker has not reported in time. Their
+// clients do not need them any more, but a worker that is cut off keeps running them. For the scheduler, they
+// occupy capacity and count for the spread until their end is known. This file must never respond to a
+// client.
 
 import (
 	"maps"
@@ -11,12 +12,12 @@
 	"ravenhitch/placement"
 )
 
-// unresponsiveRetention is how long the end of a released task may stay unknown: as long as releases
-// are sent again.
+// unresponsiveRetention is how long the end of a released task may stay unknown. Releases are resent for as
+// long.
 const unresponsiveRetention = 60 * second
 
-// setUnresponsive takes a released task out of the table, as its worker does not report. Its client
-// may use its names again.
+// setUnresponsive takes a released task out of the table because its worker has not reported the end. The
+// client may then submit the key again; the request ID stays in use until the end is known.
 func (d *Dispatcher) setUnresponsive(r *request) {
 	d.remove(r)
 	r.unaccountedSince = d.now
@@ -24,7 +25,7 @@
 	d.tasksByWorker.add(r)
 }
 
-// unresponsiveEnded takes the end of an unresponsive task.
+// unresponsiveEnded records the end of an unresponsive task.
 func (d *Dispatcher) unresponsiveEnded(r *request, outcome placement.Outcome, cause placement.Cause) {
 	delete(d.unresponsive, r.RequestID)
 	d.tasksByWorker.remove(r)
@@ -33,8 +34,8 @@
 	d.reportAttemptEnded(r, outcome, cause, true)
 }
 
-// sweepUnresponsive ends the tasks whose end nobody will report: their worker has left the list, or
-// did not report for long.
+// sweepUnresponsive ends the tasks whose end nobody will report: the worker has left the list, or has not
+// reported for unresponsiveRetention.
 func (d *Dispatcher) sweepUnresponsive() {
 	for _, r := range sortByRequestID(slices.Collect(maps.Values(d.unresponsive))) {
 		if !d.listed[r.worker] || d.now-r.unaccountedSince >= unresponsiveRetention {
--- a/internal/dispatch/unresponsive_test.go
+++ b/internal/dispatch/unresponsive_test.go
@@ -8,7 +8,7 @@
 	"ravenhitch/placement"
 )
 
-// unresponsiveEnds are the ways in which the end of an unresponsive task t1 at worker a becomes known.
+// unresponsiveEnds are the ways in which the end of an unresponsive task t1 on worker a becomes known.
 var unresponsiveEnds = map[string]func(h *harness){
 	"reported":    func(h *harness) { h.TaskEnded(h.now, "a", "t1", placement.Cancelled, 0) },
 	"worker died": func(h *harness) { h.WorkerDied(h.now, "a") },
@@ -26,48 +26,49 @@
 	},
 }
 
-// A task that was released occupies its worker for the scheduler until its end is known: a worker
-// that is cut off runs it on. Its client may use its names again before.
+// For the scheduler, a released task occupies its worker until its end is known, because a worker that is cut
+// off keeps running it. Its client may submit the key again before that.
 func TestReleasedAtUnresponsiveWorker(t *testing.T) {
 	for name, end := range unresponsiveEnds {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			h.updateWorkers(placement.ListFull, placement.Ready, "a")
-			h.mustSubmitApart("t1")
+			h.mustSubmitSpread("t1")
 			h.accept("t1")
 			if h.Cancel(h.now, nil, "t1") != WasRunning {
-				t.Fatal("t1 does not run")
+				t.Fatal("Cancel of t1 did not return WasRunning")
 			}
 			h.advance(2000 * millisecond)
 
-			h.mustSubmitApart("t2")
+			h.mustSubmitSpread("t2")
 			if h.advance(2000 * millisecond); len(h.offers) != 1 || !h.IsTerminating("t1") || h.TasksOn("a").Count != 1 {
-				t.Fatalf("offers %v, tasks %v", h.offers, h.TasksOn("a"))
+				t.Fatalf("offers %v, tasks on worker a %v; want 1 offer, 1 task and t1 terminating", h.offers, h.TasksOn("a"))
 			}
 			if err := h.submit("t1", "web", "k1", 1000); !errors.Is(err, ErrRequestIDInUse) {
-				t.Errorf("its request ID again: %v", err)
+				t.Errorf("Submit with the request ID of the released task returned %v, want ErrRequestIDInUse", err)
 			}
 			adoption := Submission{RequestID: "t1", Class: "apart", Key: "k", RunningOn: "a"}
 			if err := h.Submit(h.now, h, adoption); err != nil || h.Counts().Adopted != 0 {
-				t.Errorf("submitted as running: %v, %d", err, h.Counts().Adopted)
+				t.Errorf("Submit of t1 as a running task returned %v and adopted %d tasks, want nil and 0", err, h.Counts().Adopted)
 			}
 
 			end(h)
 			if h.advance(100 * millisecond); fmt.Sprint(h.offers) != "[t1@a t2@a]" || h.IsTerminating("t1") || len(h.unresponsive) > 0 {
-				t.Errorf("offers %v, %d unresponsive", h.offers, len(h.unresponsive))
+				t.Errorf("offers %v, %d unresponsive tasks; want [t1@a t2@a] and 0", h.offers, len(h.unresponsive))
 			}
 		})
 	}
 }
 
-// mustSubmitApart submits a resumable task of the program of which a worker may run one.
-func (h *harness) mustSubmitApart(requestID string) {
+// mustSubmitSpread submits a resumable task of class apart, of which a worker may run only one task per
+// program.
+func (h *harness) mustSubmitSpread(requestID string) {
 	h.t.Helper()
 	const timeout = 90_000 * millisecond
 	h.deadline[requestID], h.class[requestID] = h.now+timeout, "apart"
 	submission := Submission{RequestID: requestID, Class: "apart", Key: "k", Program: 7, TimeoutUs: timeout, Cores: 2, Memory: 4, Resumable: true}
 	if err := h.Submit(h.now, h, submission); err != nil {
-		h.t.Fatalf("%v", err)
+		h.t.Fatalf("Submit: %v", err)
 	}
 	h.advance(10 * millisecond)
 }
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -1,37 +1,37 @@
 package dispatch
 
-// This file owns the workers' side of the table: what workers report of attempts and of running
-// tasks. It must never send an offer.
+// This file owns the reports of workers on themselves, on attempts and on running tasks. It must never send
+// an offer.
 
 import "ravenhitch/placement"
 
-// restartSkew is by how much the clock that dates a worker's start may be ahead of this one, and of
-// a task that was offered then.
+// restartSkew is how far the clock that dates a worker's start may be ahead of the local clock. A task that
+// was offered less than that before the start may run in the new process.
 const restartSkew = 1 * second
 
-// Offer is an attempt as a worker gets it.
+// Offer is the content of an offer to a worker.
 type Offer struct {
 	RequestID, Class, Key, IdempotencyKey string
-	TimeoutUs                             int64 // how long an answer is waited for
+	TimeoutUs                             int64 // how long the worker has for its answer
 	Description                           string
 }
 
-// WorkerPool carries offers to workers. What comes of them is reported with AttemptAccepted,
-// TaskEnded, TaskReported and ProbeAnswered, never from within these calls.
+// WorkerPool sends offers to workers. The results are reported with AttemptAccepted, TaskEnded, TaskReported
+// and ProbeAnswered, never during a call of these methods.
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
-	// CancelAttempt calls off an offer that was not answered, ahead of whatever is offered
-	// after it; mayRetry says that another attempt may follow. It reports whether the attempt
-	// is over for sure; where it is not, CancelConfirmed says when it is.
+	// CancelAttempt cancels an offer that was not answered, before any later offer is sent. mayRetry states
+	// that another attempt may follow. CancelAttempt reports whether the attempt is certainly over. If it is
+	// not, CancelConfirmed is called once it is.
 	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
-	// Release ends a running task.
+	// Release tells a worker to end a running task.
 	Release(worker, requestID string)
-	// Probe asks a worker for a sign of life; ProbeAnswered takes the result.
+	// Probe asks a worker to respond. ProbeAnswered receives the result.
 	Probe(worker string)
 }
 
-// AttemptAccepted takes a worker's report that a task is running. A report on an attempt
-// that was cancelled changes nothing: its client got another response, or will.
+// AttemptAccepted handles a worker's report that a task is running. The acceptance of a cancelled attempt is
+// ignored: its client has got another response, or will get one.
 func (d *Dispatcher) AttemptAccepted(now int64, worker, requestID, description string) {
 	d.now = now
 	r := d.requests[requestID]
@@ -51,8 +51,8 @@
 	d.respond(r, Response{Kind: Started, Description: description, Worker: worker})
 }
 
-// TaskEnded takes the end of a task as its worker knows it: of a running task, of a released one, or of
-// an attempt that was never accepted.
+// TaskEnded handles a worker's report on the end of a running task, of a released task, or of an attempt that
+// was never accepted.
 func (d *Dispatcher) TaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	d.now = now
 	if r := d.unresponsive[requestID]; r != nil && r.worker == worker {
@@ -71,7 +71,7 @@
 			d.unacceptedTaskEnded(r, cause)
 			return
 		case outcome == placement.Cancelled:
-			outcome = placement.Reset // an end without a start
+			outcome = placement.Reset // the attempt ended without a start
 		}
 		d.attemptEnded(r, outcome, cause)
 	case stateCancelling:
@@ -84,9 +84,9 @@
 	}
 }
 
-// AbandonedTaskEnded takes the end of a task whose attempt was given up here without its worker's word, as it was cancelled
-// or lost with its connection. Where nothing was offered since, the request is over: another attempt would begin the
-// task anew.
+// AbandonedTaskEnded handles the end of a task whose attempt was given up here without a report from the
+// worker: the attempt was cancelled or lost with its connection. If nothing has been offered since, the
+// request is over, because another attempt would run the task again.
 func (d *Dispatcher) AbandonedTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	d.now = now
 	r := d.requests[requestID]
@@ -103,19 +103,19 @@
 	}
 }
 
-// hasRun reports whether the end of an attempt says that its task ran, though its acceptance was not read: the task ended
-// as it should, or for a cause for which only an accepted task ends.
+// hasRun reports whether the end of an attempt shows that the task ran although its acceptance was not
+// received: the task completed, or it ended for a cause that only an accepted task can have.
 func hasRun(outcome placement.Outcome, cause placement.Cause) bool {
 	return outcome == placement.Completed || outcome == placement.Reset && cause.EndsTask()
 }
 
-// isTaskOutcome reports whether a running task may end with an outcome.
+// isTaskOutcome reports whether a running task can have an outcome.
 func isTaskOutcome(outcome placement.Outcome) bool {
 	return outcome == placement.Completed || outcome == placement.Cancelled || outcome == placement.Reset
 }
 
-// CancelConfirmed takes it that a cancelled attempt is over for sure: the worker has read the
-// cancel, or its connection is closed.
+// CancelConfirmed handles the confirmation that a cancelled attempt is certainly over: the worker has read
+// the cancel, or its connection is closed.
 func (d *Dispatcher) CancelConfirmed(now int64, worker, requestID string) {
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateCancelling {
@@ -124,7 +124,7 @@
 	}
 }
 
-// TaskReported takes a report on a running task.
+// TaskReported handles a worker's report on a running task.
 func (d *Dispatcher) TaskReported(now int64, worker, requestID string, kind placement.ReportKind, value float64) {
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateRunning {
@@ -132,41 +132,41 @@
 	}
 }
 
-// ProbeAnswered takes the result of a probe.
+// ProbeAnswered handles the result of a probe.
 func (d *Dispatcher) ProbeAnswered(now int64, result placement.ProbeResult) {
 	d.now = now
 	d.queueEvent(result)
 }
 
-// WorkerReachable takes it that a worker accepted a connection after one to it had failed or
+// WorkerReachable handles the report that a worker accepted a connection after an earlier one had failed or
 // become unresponsive.
 func (d *Dispatcher) WorkerReachable(now int64, worker string) {
 	d.now = now
 	d.queueEvent(placement.WorkerReachable{Worker: worker})
 }
 
-// WorkerUnreachable takes it that no connection to a worker is up and that the last one failed.
+// WorkerUnreachable handles the report that no connection to a worker is up and that the last one failed.
 func (d *Dispatcher) WorkerUnreachable(now int64, worker string) {
 	d.now = now
 	d.queueEvent(placement.WorkerUnreachable{Worker: worker})
 }
 
-// WorkerDied takes a proof that the process of a worker has died: what ran there has ended, and
-// nobody will report it.
+// WorkerDied handles a proof that the process of a worker has died. The tasks that ran there have ended, and
+// nobody will report that.
 func (d *Dispatcher) WorkerDied(now int64, worker string) {
 	d.now = now
 	d.endTasksOn(worker, func(*request) bool { return true })
 }
 
-// WorkerRestarted takes it that the process of a worker began at startUs and that nothing of the one
-// before is left: what ran there earlier has ended, and nobody will report it.
+// WorkerRestarted handles the report that the process of a worker started at startUs and that its previous
+// process is gone. The tasks that ran there before have ended, and nobody will report that.
 func (d *Dispatcher) WorkerRestarted(now int64, worker string, startUs int64) {
 	d.now = now
 	d.endTasksOn(worker, func(r *request) bool { return r.runningSince() < startUs-restartSkew })
 }
 
-// endTasksOn ends the selected tasks of a worker: first those of the table, then the unresponsive
-// ones, each by request ID.
+// endTasksOn ends the selected tasks of a worker: first those in the table, then the unresponsive ones, each
+// ordered by request ID.
 func (d *Dispatcher) endTasksOn(worker string, selected func(*request) bool) {
 	var inTable, unresponsive []*request
 	for _, r := range d.tasksByWorker[worker] {
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -1,16 +1,16 @@
 package dispatch
 
-// This file owns what the list says of workers: which are listed, and since when which drain. It must
-// never end a task, nor change an entry itself: that is the list filter's (listfilter.go).
+// This file owns which workers are listed, and since when workers have been draining. It must never end a
+// task or change an entry. Only the list filter (listfilter.go) changes entries.
 
 import "ravenhitch/placement"
 
-// UpdateWorkers takes a list of workers, complete or of changes, from discovery.
+// UpdateWorkers applies a list of workers from discovery, complete or with changes only.
 func (d *Dispatcher) UpdateWorkers(now int64, list placement.WorkerList) {
 	d.now = now
 	d.hasList = true
 	if isCompleteList(list) {
-		for worker := range d.listed { // what a complete list does not name is removed
+		for worker := range d.listed { // workers that a complete list does not name are removed
 			d.drainingSince[worker] = now
 		}
 		clear(d.listed)
@@ -22,7 +22,7 @@
 	d.queueEvent(list)
 }
 
-// updateListed notes whether a worker is listed, and since when it drains.
+// updateListed records whether a worker is listed and since when it has been draining.
 func (d *Dispatcher) updateListed(entry placement.Entry) {
 	if entry.State == placement.Removed {
 		delete(d.listed, entry.Worker)
@@ -36,7 +36,7 @@
 	}
 }
 
-// isCompleteList reports whether a list names all workers, not only changes.
+// isCompleteList reports whether a list names all workers rather than only changes.
 func isCompleteList(list placement.WorkerList) bool {
 	return list.Kind == placement.ListFull || list.Kind == placement.ListCached
 }
@@ -49,8 +49,8 @@
 	return d.listed[worker] || d.listFilter.cordoned[worker]
 }
 
-// PoolSize is how many workers are listed, and how many of these are avoided because they are
-// cordoned or by the scheduler's choice.
+// PoolSize returns the number of listed workers, and how many of them are avoided because they are cordoned
+// or the scheduler avoids them.
 func (d *Dispatcher) PoolSize() (listed, avoided int) {
 	for worker := range d.listed {
 		if d.listFilter.cordoned[worker] || d.scheduler.Avoids(worker) {
