--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,11 +9,11 @@
 // that, the client may submit the task's key again.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt of a request. The worker is told before anything else may be sent
-// for this request. The scheduler learns of the end, and may offer the task elsewhere, only once the attempt
-// is certainly over: a cancel that is still in transit, or on a connection that became unresponsive, does not
-// end the attempt. The response to the client does not wait for that: at the deadline the attempt counts as
-// ended.
+// cancelAttempt cancels the open attempt of a request. The cancel goes to the worker before anything else may be
+// sent for this request. The scheduler learns of the end, and may offer the task elsewhere, only once the
+// attempt is certainly over: a cancel that is still in transit, or on a connection that became unresponsive,
+// does not end the attempt. The response to the client does not wait for that: at the deadline, the attempt
+// counts as ended.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
 	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -7,7 +7,7 @@
 	"ravenhitch/placement"
 )
 
-// Checks that an attempt that timed out is cancelled at its worker before the next one starts.
+// An attempt that timed out is cancelled at its worker before the next one starts.
 func TestTimedOutAttemptIsCancelled(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
@@ -41,7 +41,8 @@
 	}
 	h.advance(1000 * millisecond) // the harness fails if any request gets a second offer
 	if len(h.offers) != 5 || len(h.unconfirmed) != 4 || h.OpenCount() != 4 {
-		t.Fatalf("offers %v, unconfirmed cancels %v, open requests %d; want 5, 4 and 4", h.offers, h.unconfirmed, h.OpenCount())
+		t.Fatalf("offers %v, unconfirmed cancels %v, open requests %d; want 5, 4 and 4",
+			h.offers, h.unconfirmed, h.OpenCount())
 	}
 
 	worker := h.unconfirmed["t1"]
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -121,6 +121,6 @@
 	d.queueEvent(placement.Backpressure{ReleaseRate: releaseRate, Reserved: last.reserved})
 }
 
-// isNear reports whether a value differs from its last reported value by at most minBackpressureChange of
-// that.
+// isNear reports whether the relative change of a value since the last report is at most
+// minBackpressureChange.
 func isNear(now, was float64) bool { return math.Abs(now-was) <= minBackpressureChange*was }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -78,8 +78,8 @@
 	return d.find(requestID) != nil || d.unresponsive[requestID] != nil
 }
 
-// Reject ends an open request of client at once, because its front closes the connection or has received the
-// request ID twice. The response is a rejection or, if a retry could do harm, a failure.
+// Reject ends an open request of client at once. Fronts call it when they close a connection or receive a
+// duplicate request ID. The response is a rejection or, if a retry could do harm, a failure.
 func (d *Dispatcher) Reject(now int64, client Client, requestID string) {
 	d.now = now
 	r := d.find(requestID)
@@ -100,8 +100,8 @@
 	d.events = nil
 }
 
-// Cancel ends a request that its client no longer wants, open or running. The client gets no response to
-// that. If client is not nil, only a request that still belongs to it is cancelled.
+// Cancel ends a request that its client no longer wants, open or running. The client gets no
+// response. If client is not nil, only a request that still belongs to it is cancelled.
 func (d *Dispatcher) Cancel(now int64, client Client, requestID string) CancelResult {
 	d.now = now
 	r := d.find(requestID)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -143,7 +143,7 @@
 // queueEvent queues an event for the next call of the scheduler.
 func (d *Dispatcher) queueEvent(e placement.Event) { d.events = append(d.events, e) }
 
-// find returns the live request with a request ID, or the one that was resumed under it, or nil.
+// find returns the live request with the given request ID, or the one that was resumed under it, or nil.
 func (d *Dispatcher) find(requestID string) *request {
 	if r := d.requests[requestID]; r != nil {
 		return r
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -16,7 +16,7 @@
 	entries    map[string]placement.Entry // latest entry of each worker, as discovery listed it
 	cordoned   map[string]bool
 	uncordoned map[string]bool          // uncordoned, and not listed as ready since then
-	isAssigned func(worker string) bool // reports whether this orchestrator places tasks on a worker; nil: on all
+	isAssigned func(worker string) bool // whether a worker is assigned to this orchestrator; nil: all are
 }
 
 func newListFilter() listFilter {
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -9,7 +9,7 @@
 	"ravenhitch/placement"
 )
 
-// drainMargin is how long before the end of the drain grace period offers to a draining worker stop.
+// drainMargin is the time before the end of the drain grace period at which offers to a draining worker stop.
 const drainMargin = 500 * millisecond
 
 // The errors of the rules that an offer may break. Their texts have no package prefix, because they are only
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// checkDeadline forbids offers from the deadline of the request on, when its client gets a response.
+// checkDeadline forbids offers at or after the deadline of the request, when its client gets a response.
 func (d *Dispatcher) checkDeadline(r *request, _ string) error {
 	if d.now >= r.deadline {
 		return ErrDeadlinePassed
@@ -136,8 +136,8 @@
 	d.sendOffer(r, action)
 }
 
-// blockOffer reports to the scheduler that its choice was not sent. The choice breaks an invariant, which is
-// a fault of the scheduler.
+// blockOffer reports to the scheduler that its choice was not sent. A choice that breaks an invariant is a
+// fault of the scheduler.
 func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -112,7 +112,8 @@
 		h.ObserveTurn(200 * millisecond) // an offer is sent at the end of a turn
 		for passed, open := range map[int64]bool{499 * millisecond: true, 500 * millisecond: !isKeyed} {
 			if err := h.CheckOffer(offeredAt+passed, "a", "t1"); (err == nil) != (open && c.leaves["a"]) {
-				t.Errorf("class %s, offer after %d ms with turns of 200 ms: CheckOffer returned %v", c.class, passed/millisecond, err)
+				t.Errorf("class %s, offer after %d ms with turns of 200 ms: CheckOffer returned %v",
+					c.class, passed/millisecond, err)
 			}
 		}
 		if h.rejectOrFail(h.requests["t1"]); h.finalResponses["t1"] != c.response {
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -8,23 +8,24 @@
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
 	// ends.
 	responseTravelTime = 10 * millisecond
-	// turnDecayTime is the time after which the longest turn counts for half as much or less.
+	// turnDecayTime is the time in which the recorded longest turn decays to half of its length or less.
 	turnDecayTime = 1 * second
 	// maxTurnLength is the longest turn that is taken into account.
 	maxTurnLength = 250 * millisecond
 	// bucketLength is the time that one bucket of scheduled responses covers, and bucketCount is the number
-	// of buckets. Responses to longer timeouts are not counted, because nothing is known of that time.
+	// of buckets. Responses that are due later are not counted, because nothing is known of that time.
 	bucketLength = 5 * millisecond
 	bucketCount  = 4096
 	// maxShift is the maximum time by which a response is scheduled earlier to make room for others.
 	maxShift = 200 * millisecond
-	// initialResponseCost is the assumed cost of a response until turns have shown it, in microseconds.
+	// initialResponseCost is the assumed time that a response takes until turns have shown it, in microseconds.
 	initialResponseCost = 20.0
-	// maxResponseCost is the maximum cost that may be learned, in microseconds.
+	// maxResponseCost is the maximum time per response that is learned from a turn, in microseconds.
 	maxResponseCost = 200.0
-	// minResponseCost is the minimum cost from which the capacity of a bucket is computed, in microseconds.
+	// minResponseCost is the lower bound of the time per response when the capacity of a bucket is computed, in
+	// microseconds.
 	minResponseCost = initialResponseCost / 4
-	// minResponsesForCost is the number of responses from which on a turn shows the cost of one.
+	// minResponsesForCost is the minimum number of responses in a turn for its length to show the cost of one.
 	minResponsesForCost = 32
 	// responseCostGain is the weight of one turn in the learned cost.
 	responseCostGain = 1.0 / 8
@@ -37,7 +38,7 @@
 	firstBucket  int64               // number of the first bucket that still counts
 	longestTurn  float64             // decaying, in microseconds
 	observedAt   int64               // time of the last observed turn, in microseconds
-	responseCost float64             // learned cost of a response, in microseconds
+	responseCost float64             // learned time per response, in microseconds
 	responded    int                 // responses sent since the last observed turn
 }
 
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -44,7 +44,7 @@
 	pacer.observeTurn(now, 40*millisecond)
 	timeoutAt := now + 6*second
 	if scheduledAt := pacer.scheduleResponse(now, timeoutAt); scheduledAt > timeoutAt-responseTravelTime-40*millisecond {
-		t.Errorf("after a turn of 40 ms, the response is scheduled %d us before the timeout, want at least responseTravelTime + 40 ms",
+		t.Errorf("response after a turn of 40 ms: scheduled %d us early, want responseTravelTime + 40 ms or more",
 			timeoutAt-scheduledAt)
 	}
 	for range 100 {
@@ -53,7 +53,7 @@
 	}
 	timeoutAt = now + 6*second
 	if scheduledAt := pacer.scheduleResponse(now, timeoutAt); scheduledAt < timeoutAt-responseTravelTime-2*millisecond {
-		t.Errorf("after 10 s of short turns, the response is scheduled %d us before the timeout, want at most responseTravelTime + 2 ms",
+		t.Errorf("response after 10 s of short turns: scheduled %d us early, want responseTravelTime + 2 ms or less",
 			timeoutAt-scheduledAt)
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -38,8 +38,8 @@
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
 	adoptedAt        int64  // time at which the task was submitted as already running, or 0
-	// unaccountedSince is the time since which nobody accounts for the task, or 0. A running task is
-	// unaccounted for while its worker is unlisted; an unresponsive task, from the time by which its end
+	// unaccountedSince is the time since which nobody accounts for the task, or 0. For a running task, it is
+	// the time since which the worker is unlisted. For an unresponsive task, it is the time by which the end
 	// should have been reported.
 	unaccountedSince int64
 	claimedOutcome   placement.Outcome // adopted task: outcome of a completion reported before the adoption
@@ -80,8 +80,8 @@
 	return r
 }
 
-// keyHash returns the number by which the scheduler identifies a key: the value of a hexadecimal key, else a
-// hash.
+// keyHash returns the number by which the scheduler identifies a key: the value of a hexadecimal key, or
+// a hash of any other key.
 func keyHash(key string) uint64 {
 	if value, err := strconv.ParseUint(key, 16, 64); err == nil {
 		return value
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -35,8 +35,8 @@
 	Worker        string            // Started: the worker that runs the task
 }
 
-// respond sends a response to the client of a request, and caches it if it is not Started and the request may
-// be repeated.
+// respond sends a response to the client of a request. It also caches the response for repeated submissions,
+// unless the response is Started: resume answers for a running task.
 func (d *Dispatcher) respond(r *request, response Response) {
 	response.RequestID = r.responseID
 	d.trace("response", r, "kind", response.Kind, "response_id", response.RequestID)
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -78,7 +78,7 @@
 		t.Errorf("event names are not distinct, or one is empty or unknown: %v", names)
 	}
 	if state(stateCount).String() != "unknown" || state(-1).String() != "unknown" || stateEvent(eventCount).String() != "unknown" {
-		t.Error("the name of a state or event that doesn't exist is not unknown")
+		t.Error("the name of a state or event that doesn't exist is not \"unknown\"")
 	}
 }
 
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -93,8 +93,8 @@
 // checkNames returns an error if the request ID or the key of a submission belongs to another request.
 func (d *Dispatcher) checkNames(s *Submission) error {
 	if d.Contains(s.RequestID) {
-		// A response to the submission would be a second response to the request, or the scheduler still
-		// knows the task as unresponsive.
+		// A response to this submission would be a second one to the known request. If the task is
+		// unresponsive, the scheduler still uses the request ID.
 		return ErrRequestIDInUse
 	}
 	if r := d.latestByKey[s.Key]; r != nil && r.Resumable != s.Resumable && s.RunningOn == "" {
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -12,8 +12,8 @@
 	// unlistedTimeout is how long a task may run on a worker that left the list. The worker may still report
 	// the end of the task itself.
 	unlistedTimeout = 1 * second
-	// adoptedUnlistedTimeout replaces unlistedTimeout for a task that is adopted on an unlisted worker.
-	// Nobody else will report the end of such a task.
+	// adoptedUnlistedTimeout is the same limit for a task that is adopted on an unlisted worker. It applies
+	// because nobody else will report the end of such a task.
 	adoptedUnlistedTimeout = 1_500 * millisecond
 )
 
--- a/internal/dispatch/tasks_test.go
+++ b/internal/dispatch/tasks_test.go
@@ -7,7 +7,7 @@
 )
 
 // A worker process that started after a task was offered or adopted does not run that task, so a completion
-// of the task is reported. Tasks that were offered later, or less than restartSkew before the start,
+// of the task is reported. Tasks that were offered later, or at most restartSkew before the start,
 // continue.
 func TestWorkerRestarted(t *testing.T) {
 	h := newHarness(t)
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -18,7 +18,7 @@
 	Suffixes []string // suffixes of the traced request IDs; none: all are traced
 }
 
-// Step writes one step of a request that happened at a time in microseconds.
+// Step writes one step of a request. The time of the step, at, is in microseconds.
 func (t Tracer) Step(step, requestID string, at int64, args ...any) {
 	if t.Log != nil && t.Log.Enabled(context.Background(), slog.LevelDebug) && Traced(t.Suffixes, requestID) {
 		t.Log.Debug(step, append([]any{"request_id", requestID, "at_us", at}, args...)...)
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -12,8 +12,8 @@
 const (
 	// sweepInterval is the time between two checks of unresponsive tasks and of tasks on unlisted workers.
 	sweepInterval = 500 * millisecond
-	// drainRetention is how long it is remembered that a worker left the list. It is much longer than an
-	// offer to the worker can still be on its way.
+	// drainRetention is how long it is remembered that a worker left the list. It ends well after the last
+	// offer to that worker that may still be waiting to be sent.
 	drainRetention = 60 * second
 )
 
@@ -37,8 +37,8 @@
 	return next
 }
 
-// Turn handles what is due, passes all queued events to the scheduler in one call and carries out its
-// actions.
+// Turn handles the deadlines and timers that have passed, passes all queued events to the scheduler in one
+// call and carries out the scheduler's actions.
 func (d *Dispatcher) Turn(now int64) {
 	d.now = now
 	for len(d.deadlines) > 0 && d.deadlines[0].wakeAt <= now {
@@ -53,7 +53,8 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// Discovery is followed without a request by the scheduler. This event confirms that to it.
+		// Changes of the list are followed even if the scheduler does not request them. This event confirms
+		// to the scheduler that they are followed.
 		d.confirmList = false
 		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
@@ -95,7 +96,7 @@
 		d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 		d.rejectOrFail(r)
 	case stateRunning:
-		d.taskCompleted(r, r.claimedOutcome, r.claimedCause) // set by claimCompletion
+		d.taskCompleted(r, r.claimedOutcome, r.claimedCause) // an adopted task; claimCompletion has set the outcome
 	case stateTerminating:
 		d.workers.Release(r.worker, r.RequestID)
 		d.setUnresponsive(r)
@@ -110,14 +111,14 @@
 	}
 }
 
-// sweep ends unresponsive tasks and tasks on unlisted workers. Without it, a task would stay in the table
-// forever if its worker vanished without a report.
+// sweep ends unresponsive tasks and tasks on workers that are no longer listed. Without it, a task would stay
+// in the table forever if its worker vanished without a report.
 func (d *Dispatcher) sweep() {
 	if !d.hasList {
 		return
 	}
 	for worker, since := range d.drainingSince {
-		// New worker names keep appearing, so old ones have to be dropped.
+		// Old names have to be deleted, because workers with new names keep appearing.
 		if !d.listed[worker] && d.now-since > drainRetention {
 			delete(d.drainingSince, worker)
 		}
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -2,8 +2,8 @@
 
 // This file owns unclaimed completions, which are completions of tasks that are not known here. After an
 // orchestrator has gone, its client submits the running task to another one. Meanwhile the worker may report
-// the completion, which it does only once, on any connection. If that report came first and was dropped, the
-// task would stay in the table as running forever. This file must never end a task unless its worker has
+// the completion, which it does only once, on any connection. If a completion that comes first were dropped,
+// the task would stay in the table as running forever. This file must never end a task unless its worker has
 // named it by its request ID.
 
 import "ravenhitch/placement"
@@ -20,8 +20,8 @@
 type unclaimedCompletion struct {
 	worker  string
 	outcome placement.Outcome
-	cause   placement.Cause // time of the report, in microseconds
-	at      int64
+	cause   placement.Cause
+	at      int64 // time of the report, in microseconds
 }
 
 // unclaimedCompletions holds the unclaimed completions by request ID.
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // This file owns unresponsive tasks: released tasks whose end the worker has not reported in time. Their
-// clients do not need them any more, but a worker that is cut off keeps running them. For the scheduler, they
+// clients no longer need them, but a worker that is cut off keeps running them. For the scheduler, they
 // occupy capacity and count for the spread until their end is known. This file must never respond to a
 // client.
 
@@ -12,8 +12,8 @@
 	"ravenhitch/placement"
 )
 
-// unresponsiveRetention is how long the end of a released task may stay unknown. Releases are resent for as
-// long.
+// unresponsiveRetention is how long the end of an unresponsive task may stay unknown. It is the time for
+// which releases are resent.
 const unresponsiveRetention = 60 * second
 
 // setUnresponsive takes a released task out of the table because its worker has not reported the end. The
@@ -34,8 +34,8 @@
 	d.reportAttemptEnded(r, outcome, cause, true)
 }
 
-// sweepUnresponsive ends the tasks whose end nobody will report: the worker has left the list, or has not
-// reported for unresponsiveRetention.
+// sweepUnresponsive ends the unresponsive tasks whose end nobody will report: the worker has left the list,
+// or has not reported the end for unresponsiveRetention.
 func (d *Dispatcher) sweepUnresponsive() {
 	for _, r := range sortByRequestID(slices.Collect(maps.Values(d.unresponsive))) {
 		if !d.listed[r.worker] || d.now-r.unaccountedSince >= unresponsiveRetention {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -6,7 +6,7 @@
 import "ravenhitch/placement"
 
 // restartSkew is how far the clock that dates a worker's start may be ahead of the local clock. A task that
-// was offered less than that before the start may run in the new process.
+// was offered at most that long before the start is taken to run in the new process.
 const restartSkew = 1 * second
 
 // Offer is the content of an offer to a worker.
@@ -109,7 +109,7 @@
 	return outcome == placement.Completed || outcome == placement.Reset && cause.EndsTask()
 }
 
-// isTaskOutcome reports whether a running task can have an outcome.
+// isTaskOutcome reports whether a running task can end with the given outcome.
 func isTaskOutcome(outcome placement.Outcome) bool {
 	return outcome == placement.Completed || outcome == placement.Cancelled || outcome == placement.Reset
 }
