--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -13,11 +13,13 @@
 var caseFlag = flag.String("case", "", "TestModuleSlopes: measure this case only")
 
 const (
-	// unitBound ends a case: what takes longer once is not measured at further sizes.
-	unitBound = 2 * time.Second
-	// caseBound is how long the units of one case may take at one size.
-	caseBound = 4 * time.Second
-	// expensiveUnits is how many units are measured of events that concern the whole fleet.
+	// maxUnitTime is the processor time above which one unit ends its case: the case is not measured
+	// at further sizes.
+	maxUnitTime = 2 * time.Second
+	// maxCaseTime is the processor time after which no further units of a case are measured at one size.
+	maxCaseTime = 4 * time.Second
+	// expensiveUnits is the number of measured units of cases whose units are expensive: bursts of requests
+	// and events that concern a large part of the fleet.
 	expensiveUnits = 4
 	pendingTimeout = 3600 * second
 	pendingUnits   = 12
@@ -26,19 +28,19 @@
 	hugeCores      = 40
 	hugeMemory     = 60
 	hugeWorkers    = 3
-	drainedPart    = 4 // one in so many workers is drained at once
+	drainEvery     = 4 // one of this many workers is drained
 	poorService    = 0.85
 	worstService   = 0.5
 	reportedQueue  = 1
 )
 
-// eventCase is one kind of event, or one state of the fleet, whose cost is measured.
+// eventCase is a kind of event, or a state of the fleet, for which the cost is measured.
 type eventCase struct {
 	name  string
-	units int // at most
-	// start prepares a site. It may measure nothing.
+	units int // maximum number of measured units
+	// start returns the initial site. It must not measure.
 	start func(t *testing.T, workers int) *site
-	// unit measures one unit.
+	// unit measures one unit with the meter.
 	unit func(s *site, m *meter)
 }
 
@@ -53,8 +55,8 @@
 		{"refusal", units, warmSite, measureRejection},
 		{"burst_256", expensiveUnits, busySite, measureBurst},
 		{"drain_quarter", expensiveUnits, busySite, measureDrain},
-		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, m, new(meter)) }},
-		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { loseZone(s, new(meter), m) }},
+		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, m, new(meter)) }},
+		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, new(meter), m) }},
 		{"request_cold_zone", units, warmingSite, measureExchange},
 		{"first_list", expensiveUnits, busySite, measureFirstList},
 		{"note_cores", units, busySite, reportCase(ReportCores, siteCoresUse)},
@@ -75,10 +77,10 @@
 	return cases
 }
 
-// TestModuleSlopes measures how the cost of the other kinds of event grows with the
-// fleet. It asserts what each event leads to, never its time.
+// TestModuleSlopes measures how the cost of further kinds of events grows with the size of the fleet. It
+// asserts the actions that follow from the events, but not their time.
 func TestModuleSlopes(t *testing.T) {
-	holdThread(t)
+	lockToThread(t)
 	var table [][]float64
 	var series []plot.Series
 	for i, test := range eventCases() {
@@ -111,36 +113,36 @@
 	}
 }
 
-// measureCase measures a case at one size, and reports whether it is to stop there.
+// measureCase measures a case at one size, and reports whether to skip the further sizes.
 func measureCase(t *testing.T, test eventCase, workers int) (m *meter, stopped bool) {
-	holdThread(t)
+	lockToThread(t)
 	m = &meter{}
 	from := threadTime(t)
 	s := test.start(t, workers)
 	for range test.units {
 		before := m.spent
 		test.unit(s, m)
-		if m.spent-before > unitBound {
+		if m.spent-before > maxUnitTime {
 			stopped = true
 			break
 		}
-		if m.spent > caseBound {
+		if m.spent > maxCaseTime {
 			break
 		}
 	}
 	note := ""
 	if stopped {
-		note = fmt.Sprintf(" stopped=unit_over_%s", unitBound)
+		note = fmt.Sprintf(" stopped=unit_over_%s", maxUnitTime)
 	}
 	fmt.Printf("module: case=%s workers=%d us=%.1f allocs=%.1f%s\n", test.name, workers, m.us(), m.allocsEach(), note)
 	t.Logf("case=%s workers=%d units=%d total_s=%.2f", test.name, workers, m.units, (threadTime(t) - from).Seconds())
 	return m, stopped
 }
 
-// mustPlace fails a test whose request found no free capacity though there is some.
+// mustPlace fails the test if the request of the exchange got no offer.
 func (e *exchange) mustPlace(s *site) {
 	s.t.Helper()
 	if e.place == nil {
-		s.t.Fatalf("no worker for %+v", e.task.Task)
+		s.t.Fatalf("got no offer for task %+v, want one", e.task.Task)
 	}
 }
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// This file owns the selection of the full scan, and its comparison with that of a scheduler.
+// This file contains the selection by a full scan, and its comparison with the selection of a scheduler.
 
-// selection is what a full scan comes to.
+// selection is the result of a full scan.
 type selection struct {
-	must, may []*workerInfo // the draw is among all of must and any of may, which holds must too
-	wide      []*workerInfo // within twice the margin
-	many      bool          // more can be selected than are looked at one by one
-	path      string        // on what path
+	required, permitted []*workerInfo // the finalists contain all of required and only workers of permitted
+	withinTwiceMargin   []*workerInfo // workers whose cost is within twice the margin of the lowest
+	sampled             bool          // more than maxEnumerated workers qualify: the search scores only some
+	path                string        // one of the paths below
 }
 
 // The paths of a selection.
@@ -26,7 +26,7 @@
 	pathCheapest   = "cheapest"
 )
 
-// candidate is a worker that the rules allow.
+// candidate is a worker that the rules allow for a task.
 type candidate struct {
 	worker       *workerInfo
 	healthy      bool
@@ -45,7 +45,7 @@
 	return list
 }
 
-// selectFrom is the full scan over the candidates.
+// selectFrom selects among the candidates by a full scan.
 func (r *reference) selectFrom(list []candidate, task *taskInfo) selection {
 	effect := r.scheduler.settings.Classes[task.classIndex].Effect
 	var fit, healthy []*workerInfo
@@ -92,7 +92,8 @@
 	return selection{must, may, wide, len(healthy) > maxEnumerated, path}
 }
 
-// lowestSuspicion is the first of the least suspect workers with one unanswered attempt at most.
+// lowestSuspicion returns the worker with the lowest suspicion among those with at most one unanswered
+// attempt; among equals, the first one.
 func (r *reference) lowestSuspicion(workers []*workerInfo, classIndex int) (best *workerInfo) {
 	for _, worker := range workers {
 		if len(worker.unanswered) <= 1 && (best == nil || r.suspicion(worker, classIndex) < r.suspicion(best, classIndex)) {
@@ -110,10 +111,10 @@
 		lowest = min(lowest, costs[i])
 	}
 	for i, worker := range workers {
-		if costs[i] <= lowest+costMargin-referenceSlack {
+		if costs[i] <= lowest+costMargin-referenceTolerance {
 			must = append(must, worker)
 		}
-		if costs[i] <= lowest+costMargin+referenceSlack {
+		if costs[i] <= lowest+costMargin+referenceTolerance {
 			may = append(may, worker)
 		}
 		if costs[i] <= lowest+2*costMargin {
@@ -123,19 +124,19 @@
 	return must, may, wide
 }
 
-// matches reports whether workers are what this selection draws among.
+// matches reports whether the finalists of a scheduler agree with this selection.
 func (s selection) matches(got []*workerInfo) bool {
-	if s.many { // a part of them is drawn from
-		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.wide, worker) })
+	if s.sampled { // the finalists are a part of the qualifying workers
+		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.withinTwiceMargin, worker) })
 	}
 	seen := map[*workerInfo]bool{}
 	for _, worker := range got {
-		if seen[worker] || !slices.Contains(s.may, worker) {
+		if seen[worker] || !slices.Contains(s.permitted, worker) {
 			return false
 		}
 		seen[worker] = true
 	}
-	for _, worker := range s.must {
+	for _, worker := range s.required {
 		if !seen[worker] {
 			return false
 		}
@@ -143,9 +144,10 @@
 	return true
 }
 
-// eachFlip calls f with the candidates, then with those at a border of free capacity decided
-// the other way in every combination, until f is satisfied.
-func eachFlip(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
+// acceptsAnyVariant reports whether accept returns true for the candidates or for a variant of them, and
+// whether it needed a variant. In a variant, some candidates at the limit of their free capacity have the
+// opposite value of fits; all combinations of the first maxBorderFlips of them are tried.
+func acceptsAnyVariant(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
 	if accept(list) {
 		return true, false
 	}
@@ -155,7 +157,7 @@
 			border = append(border, i)
 		}
 	}
-	border = border[:min(len(border), maxFlips)]
+	border = border[:min(len(border), maxBorderFlips)]
 	for set := 1; set < 1<<len(border); set++ {
 		changed := slices.Clone(list)
 		for bit, i := range border {
@@ -170,19 +172,20 @@
 	return false, false
 }
 
-// compareFinalists returns on what path the full scan selects for a task, whether a border had to be
-// decided otherwise, and what is wrong with what was found.
+// compareFinalists compares the finalists of a scheduler for a task with those of the full scan. It returns
+// the path of the full scan, whether only a variant of the candidates matched, and an error if none did.
 func (r *reference) compareFinalists(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
 	list := r.candidates(task)
 	want := r.selectFrom(list, task)
-	ok, flipped := eachFlip(list, func(variant []candidate) bool { return r.selectFrom(variant, task).matches(got) })
+	ok, flipped := acceptsAnyVariant(list, func(variant []candidate) bool { return r.selectFrom(variant, task).matches(got) })
 	if !ok {
-		err = fmt.Errorf("task %+v, priority %v: finalists %s, the full scan (%s) gives %s", task.Task, task.priority, names(got), want.path, names(want.may))
+		err = fmt.Errorf("task %+v, priority %v: got finalists %s, the full scan (path %q) gives %s", task.Task, task.priority, names(got), want.path, names(want.permitted))
 	}
 	return want.path, flipped, err
 }
 
-// compareElsewhere checks whether a worker other than the given one fits a task.
+// compareElsewhere compares got, whether a scheduler found that a task fits a worker other than the given
+// one, with the full scan.
 func (r *reference) compareElsewhere(task *taskInfo, worker *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
 	for _, other := range r.workers {
@@ -191,16 +194,17 @@
 			list = append(list, candidate{other, true, fits, border})
 		}
 	}
-	ok, flipped := eachFlip(list, func(variant []candidate) bool {
+	ok, flipped := acceptsAnyVariant(list, func(variant []candidate) bool {
 		return got == slices.ContainsFunc(variant, func(candidate candidate) bool { return candidate.fits })
 	})
 	if !ok {
-		err = fmt.Errorf("task %+v away from %s: elsewhere = %v, the full scan gives %v", task.Task, worker.Worker, got, !got)
+		err = fmt.Errorf("task %+v: fits a worker other than %s: got %v, the full scan gives %v", task.Task, worker.Worker, got, !got)
 	}
 	return flipped, err
 }
 
-// compareReserved checks the worker that is newly reserved for a task, or nil.
+// compareReserved compares the worker that a scheduler newly reserved for a task, or nil, with those that
+// the full scan would reserve.
 func (r *reference) compareReserved(task *taskInfo, got *workerInfo) error {
 	scheduler := r.scheduler
 	var want []*workerInfo
@@ -216,7 +220,7 @@
 			lowest = min(lowest, needs[worker])
 		}
 		for worker, need := range needs {
-			if need <= lowest+referenceSlack {
+			if need <= lowest+referenceTolerance {
 				want = append(want, worker)
 			}
 		}
@@ -228,10 +232,10 @@
 	if got != nil {
 		name = got.Worker
 	}
-	return fmt.Errorf("task %+v: reserved %s, the full scan gives one of %s", task.Task, name, names(want))
+	return fmt.Errorf("task %+v: got reserved worker %s, the full scan gives one of %s", task.Task, name, names(want))
 }
 
-// compareSums checks what is summed over the fleet.
+// compareSums compares the sums over the fleet that a scheduler maintains with those of the full scan.
 func (r *reference) compareSums() error {
 	scheduler := r.scheduler
 	utilization, mean := scheduler.totals.means()
@@ -240,11 +244,11 @@
 		name      string
 		got, want float64
 	}{
-		{"utilization of the fleet", utilization, r.utilizationOfFleet}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.totalRequestedCores(), r.requestedCores()},
+		{"utilization of the fleet", utilization, r.fleetUtilization}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.totalRequestedCores(), r.requestedCores()},
 		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"concurrent cores", others[0], wantOthers[0]}, {"concurrent memory", others[1], wantOthers[1]},
 	} {
-		if test.got != test.want && math.Abs(test.got-test.want) > referenceSlack*max(1, math.Abs(test.want)) {
-			return fmt.Errorf("%s: %v, the full scan gives %v", test.name, test.got, test.want)
+		if test.got != test.want && math.Abs(test.got-test.want) > referenceTolerance*max(1, math.Abs(test.want)) {
+			return fmt.Errorf("%s: got %v, the full scan gives %v", test.name, test.got, test.want)
 		}
 	}
 	return nil
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -19,42 +19,43 @@
 )
 
 const (
-	// slopeWarmUp is how many exchanges come before the measured ones.
+	// slopeWarmUp is the number of exchanges before the measured ones.
 	slopeWarmUp = 40
-	// allocsGrowth bounds how much more a decision may allocate in a fleet four times
-	// as large: less than growth in proportion, with slices that double as they grow.
+	// allocsGrowth is the maximum factor by which the allocations of a decision may grow in a fleet that is
+	// four times as large. It is well below proportional growth, and allows for slices that double their
+	// capacity.
 	allocsGrowth = 1.5
-	// maxUnplaced is the part of the requests that may find no free capacity at once.
+	// maxUnplaced is the maximum fraction of the requests that may find no free capacity immediately.
 	maxUnplaced = 0.02
 )
 
-// slopeRow is what was measured at one size.
+// slopeRow holds the measurements at one size.
 type slopeRow struct {
 	workers               int
-	requests, shown       meter
+	requests, listEntries meter
 	utilization, unplaced float64
 }
 
-// TestDecisionSlope measures how the cost of a request with its answer and the end of
-// another task, and of a list entry, grows with the fleet. It asserts counts only.
+// TestDecisionSlope measures how the cost of an exchange and of a list entry grows with the size of the
+// fleet. It asserts the number of allocations and of unplaced requests, but not the time.
 func TestDecisionSlope(t *testing.T) {
-	holdThread(t)
+	lockToThread(t)
 	var rows []*slopeRow
 	for _, count := range sizes(t, *workersFlag) {
 		r := measureSlope(t, count)
 		rows = append(rows, r)
 		fmt.Printf("slope: workers=%d request_us=%.1f list_entry_us=%.2f allocs=%.1f bytes=%.0f\n",
-			count, r.requests.us(), r.shown.us(), r.requests.allocsEach(), r.requests.bytesEach())
+			count, r.requests.us(), r.listEntries.us(), r.requests.allocsEach(), r.requests.bytesEach())
 		t.Logf("workers=%d asked=%.3f request_p50_us=%.1f request_p99_us=%.1f unplaced=%.3f",
 			count, r.utilization, r.requests.percentileUs(50), r.requests.percentileUs(99), r.unplaced)
 		if r.unplaced > maxUnplaced {
-			t.Errorf("%d workers: %.3f of the requests found no free capacity, more than %v", count, r.unplaced, maxUnplaced)
+			t.Errorf("%d workers: got a fraction of %.3f of unplaced requests, want at most %v", count, r.unplaced, maxUnplaced)
 		}
 	}
 	reportSlope(t, rows)
 	if first, last := rows[0], rows[len(rows)-1]; first.workers*4 == last.workers {
 		if a, b := first.requests.allocsEach(), last.requests.allocsEach(); b > a*allocsGrowth {
-			t.Errorf("a decision allocates %.1f times at %d workers and %.1f at %d: more than %v times as often",
+			t.Errorf("got %.1f allocations per decision with %d workers and %.1f with %d, want growth by at most a factor of %v",
 				a, first.workers, b, last.workers, allocsGrowth)
 		}
 	}
@@ -72,14 +73,14 @@
 			row.requests.time(t, 1, func() { fleetSite.run(drawn) })
 		}
 		fleetSite.finish(drawn)
-		changes := fleetSite.elapse()
-		row.shown.time(t, len(changes), func() { fleetSite.show(changes) })
+		changes := fleetSite.advanceToNextRequest()
+		row.listEntries.time(t, len(changes), func() { fleetSite.handleEach(changes) })
 	}
 	row.unplaced = float64(fleetSite.unplaced) / float64(*unitsFlag)
 	return row
 }
 
-// reportSlope prints the exponents and writes the samples and the chart.
+// reportSlope prints the exponents of growth, and writes the samples and the chart to files.
 func reportSlope(t *testing.T, rows []*slopeRow) {
 	t.Helper()
 	request, entry := plot.Series{Name: "request and answer"}, plot.Series{Name: "list entry"}
@@ -87,9 +88,9 @@
 	for _, row := range rows {
 		workers := float64(row.workers)
 		request.X, request.Y = append(request.X, workers), append(request.Y, row.requests.us())
-		entry.X, entry.Y = append(entry.X, workers), append(entry.Y, row.shown.us())
-		table = append(table, []float64{workers, row.requests.us(), row.shown.us(), row.requests.allocsEach(), row.requests.bytesEach(),
-			row.requests.percentileUs(50), row.requests.percentileUs(99), row.shown.percentileUs(50), row.shown.percentileUs(99),
+		entry.X, entry.Y = append(entry.X, workers), append(entry.Y, row.listEntries.us())
+		table = append(table, []float64{workers, row.requests.us(), row.listEntries.us(), row.requests.allocsEach(), row.requests.bytesEach(),
+			row.requests.percentileUs(50), row.requests.percentileUs(99), row.listEntries.percentileUs(50), row.listEntries.percentileUs(99),
 			row.utilization, row.unplaced, float64(*seedFlag)})
 	}
 	fmt.Printf("slope: exponent_request=%.3f exponent_list=%.3f\n",
