--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,68 +1,73 @@
-// Package descriptors owns how the file descriptors of one process are shared between connections to
-// clients and connections to workers, where both could use more than there are. Each side may borrow
-// what the other does not use, and leaves free the share that the other is guaranteed; the connection to
-// discovery always finds one. It opens and closes nothing itself.
+// Package descriptors decides how the file descriptors of one process are shared between connections to
+// clients and connections to workers when both together could use more than the limit. Each side may
+// borrow descriptors that the other side does not use, but leaves free the share that the other side is
+// guaranteed. A descriptor always remains for the connection to discovery. The package opens and closes
+// no descriptors itself.
 package descriptors
 
 const (
-	// reserved descriptors are left free by clients and workers for the connection to discovery, for
-	// operators' calls, and for a client that is accepted before the connection evicted for it is closed.
+	// reserved is the number of descriptors that clients and workers leave free. They serve the connection
+	// to discovery, admin calls of operators, and a client that is accepted before the connection evicted
+	// for it is closed.
 	reserved = 4
-	// programUse is what the program itself has open beside the reserved ones: the listening socket
-	// and the connection to discovery.
+	// programUse is the number of descriptors that the program itself keeps open in addition to the
+	// reserved ones: the listening socket and the connection to discovery.
 	programUse = 2
-	// clientShareDivisor gives the share of the budget, one in so many, that optional connections
-	// to workers leave to clients: clients use at most a third of the limit.
+	// clientShareDivisor determines the share of the budget (1/clientShareDivisor) that optional
+	// connections to workers leave to clients. A third suffices because clients use at most a third
+	// of the limit.
 	clientShareDivisor = 3
-	// minClientShareDivisor gives the share that is left to clients even by required connections to
-	// workers: those to workers with running tasks, or for which an offer waits.
+	// minClientShareDivisor determines the share of the budget (1/minClientShareDivisor) that even
+	// required connections to workers leave to clients. A connection is required if the worker has
+	// running tasks or an offer is waiting for it.
 	minClientShareDivisor = 8
 )
 
-// Budget is the descriptor budget of one process, shared between clients and workers. A nil Budget
-// admits every connection.
+// Budget is the descriptor budget of one process, shared between connections to clients and connections
+// to workers. A nil Budget admits every connection.
 type Budget struct {
-	free       func() int // descriptors that are not in use
-	total      int
-	maxClients int
-	clients    func() int // connected now
-	workers    int        // connections to workers
+	freeDescriptors  func() int // returns the number of descriptors not in use
+	total            int        // size of the budget, in descriptors
+	maxClients       int        // maximum number of client connections
+	connectedClients func() int // returns the number of client connections
+	workerConns      int        // number of connections to workers
 }
 
-// New returns a budget of total descriptors, of which clients use at most maxClients; free returns how
-// many are not in use, and clients how many clients are connected.
+// New returns a budget of total descriptors, of which clients use at most maxClients. The function free
+// returns the number of descriptors not in use, and clients returns the number of connected clients.
 func New(total, maxClients int, free, clients func() int) *Budget {
-	return &Budget{free: free, total: total, maxClients: maxClients, clients: clients}
+	return &Budget{freeDescriptors: free, total: total, maxClients: maxClients, connectedClients: clients}
 }
 
-// WorkersConnected counts connections to workers that were opened, or closed where count is negative.
+// WorkersConnected adds count to the number of connections to workers. A negative count records closed
+// connections.
 func (b *Budget) WorkersConnected(count int) {
 	if b != nil {
-		b.workers += count
+		b.workerConns += count
 	}
 }
 
-// AdmitsClient reports whether another client may be connected beside those that are.
+// AdmitsClient reports whether the budget allows one more connection to a client.
 func (b *Budget) AdmitsClient() bool {
 	if b == nil {
 		return true
 	}
 	workerShare := b.total - b.maxClients - reserved - programUse
-	return b.free() > reserved+max(0, workerShare-b.workers)
+	return b.freeDescriptors() > reserved+max(0, workerShare-b.workerConns)
 }
 
-// AdmitsWorker reports whether another worker may be connected beside those that are.
-func (b *Budget) AdmitsWorker() bool { return b.leavesToClients(clientShareDivisor) }
+// AdmitsWorker reports whether the budget allows one more optional connection to a worker.
+func (b *Budget) AdmitsWorker() bool { return b.preservesClientShare(clientShareDivisor) }
 
-// AdmitsRequiredWorker reports whether a worker may be connected that has running tasks, or for which an
-// offer waits.
-func (b *Budget) AdmitsRequiredWorker() bool { return b.leavesToClients(minClientShareDivisor) }
+// AdmitsRequiredWorker reports whether the budget allows one more connection to a worker that has running
+// tasks or for which an offer is waiting.
+func (b *Budget) AdmitsRequiredWorker() bool { return b.preservesClientShare(minClientShareDivisor) }
 
-// leavesToClients reports whether clients still find their share, one in divisor of the budget, beside
-// another connection to a worker.
-func (b *Budget) leavesToClients(divisor int) bool {
+// preservesClientShare reports whether one more connection to a worker still leaves clients their share,
+// which is 1/divisor of the budget.
+func (b *Budget) preservesClientShare(divisor int) bool {
 	if b == nil {
 		return true
 	}
-	return b.free() > reserved+max(0, b.total/divisor-b.clients())
+	return b.freeDescriptors() > reserved+max(0, b.total/divisor-b.connectedClients())
 }
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Given a budget of 120 descriptors, of which clients use at most 40, workers are guaranteed 74, clients 40 beside
-// optional connections to workers, and 15 beside required ones. 4 more always stay free.
+// In a budget of 120 descriptors with at most 40 clients, workers are guaranteed 74 descriptors. Clients are
+// guaranteed 40 against optional connections to workers and 15 against required ones. A further 4 descriptors always
+// stay free.
 func TestAdmission(t *testing.T) {
 	const total, maxClients = 120, 40
 	for _, c := range []struct {
@@ -25,28 +26,28 @@
 			budget := New(total, maxClients, func() int { return c.free }, func() int { return c.clients })
 			budget.WorkersConnected(c.workers)
 			if got := budget.AdmitsClient(); got != c.wantClient {
-				t.Errorf("admits a client: %v", got)
+				t.Errorf("AdmitsClient() = %v, want %v", got, c.wantClient)
 			}
 			if got := budget.AdmitsWorker(); got != c.wantWorker {
-				t.Errorf("admits a worker: %v", got)
+				t.Errorf("AdmitsWorker() = %v, want %v", got, c.wantWorker)
 			}
 			if got := budget.AdmitsRequiredWorker(); got != c.wantRequiredWorker {
-				t.Errorf("admits a required worker: %v", got)
+				t.Errorf("AdmitsRequiredWorker() = %v, want %v", got, c.wantRequiredWorker)
 			}
 		})
 	}
 }
 
-// Given closed connections to workers, their share is guaranteed again.
+// After connections to workers are closed, the share of the workers is guaranteed again.
 func TestWorkersDisconnected(t *testing.T) {
 	budget := New(120, 40, func() int { return 50 }, func() int { return 0 })
 	budget.WorkersConnected(74)
 	if !budget.AdmitsClient() {
-		t.Error("no client is admitted though workers use their share")
+		t.Error("AdmitsClient() = false while workers use their whole share, want true")
 	}
 	budget.WorkersConnected(-74)
 	if budget.AdmitsClient() {
-		t.Error("a client is admitted in the share of the workers")
+		t.Error("AdmitsClient() = true while the share of the workers is unused, want false")
 	}
 }
 
@@ -54,6 +55,6 @@
 	var budget *Budget
 	budget.WorkersConnected(1)
 	if !budget.AdmitsClient() || !budget.AdmitsWorker() || !budget.AdmitsRequiredWorker() {
-		t.Error("a connection was rejected")
+		t.Error("a nil Budget rejected a connection")
 	}
 }
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns how an attempt ends that a worker has not answered: a cancel is written, or the connection is
-// aborted for it. It must never leave an offer in transit that could reach the worker after its attempt is over.
+// This file owns the cancellation of attempts that a worker has not answered: it either writes a cancel or aborts the
+// connection. It must never leave an offer in transit that could reach the worker after the attempt is over.
 
 import (
 	"slices"
@@ -20,23 +20,23 @@
 		}
 	}
 	l.pruneConns()
-	l.ensureConnected() // on which the worker reports the ends of tasks that run there
+	l.ensureConnected() // the worker needs a connection to report the ends of its running tasks
 	return confirmed
 }
 
-// cancelOffer cancels an open offer and reports whether that is confirmed already. mayRetry says that another
+// cancelOffer cancels an open offer and reports whether the cancel is already confirmed. mayRetry is true if another
 // attempt may follow.
 func (c *workerConn) cancelOffer(offer *openOffer, mayRetry bool) (confirmed bool) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	c.removeOffer(offer)
 	pool.trace("cancelling attempt", requestID, "worker", worker, "sent", offer.isSent(c.conn),
 		"written", offer.endOffset > 0, "quiet_us", pool.loop.Now()-c.lastReadAt)
-	if offer.endOffset == 0 { // it was not written
+	if offer.endOffset == 0 { // the offer was not written
 		return true
 	}
 	responsive := c.lastReadAt >= offer.offeredAt
 	confirmable := pool.pingsAllowed || !mayRetry
-	if offer.isSent(c.conn) && responsive && confirmable { // an offer that is not sent completely still would be
+	if offer.isSent(c.conn) && responsive && confirmable { // the rest of a partially sent offer would still be sent
 		c.sendCancel(requestID)
 		return !pool.pingsAllowed
 	}
@@ -45,9 +45,9 @@
 	return false
 }
 
-// sendCancel writes a cancel, ahead of all that is written after it on any connection. Where the system does
-// not take it completely, the ping behind it is not answered either. Where the deployment allows no pings
-// nothing confirms it, and no attempt may follow it.
+// sendCancel writes and flushes a cancel, so that it is sent before anything written later on any connection. If the
+// operating system does not accept the cancel completely, the ping behind it is not answered either. If the
+// deployment does not allow pings, nothing confirms the cancel, and no other attempt may follow.
 func (c *workerConn) sendCancel(requestID string) {
 	c.sendFinish(requestID)
 	switch {
@@ -60,8 +60,8 @@
 	c.conn.Flush()
 }
 
-// UnconfirmedCancels is how many connections carry a cancel that is not confirmed. It is exported for the tests of the
-// orchestrator, which wait until none is left.
+// UnconfirmedCancels returns the number of connections with an unconfirmed cancel. It is exported for the tests of
+// the orchestrator, which wait until the number is 0.
 func (p *Pool) UnconfirmedCancels() (count int) {
 	for _, l := range p.links {
 		for _, c := range l.conns {
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -1,9 +1,10 @@
 package workerpool
 
-// This file owns the confirmation that a worker has read a cancel. A cancel that is written may never arrive: the
-// connection can be cut since the worker's last message. So a ping is written behind it, and the answer to that
-// proves that the worker has read the cancel. Where it does not come, the connection is aborted, which cancels all that
-// is open on it and discards what is still in its buffers. A cancel that was only written must never count as read.
+// This file owns the confirmation that a worker has read a cancel. A written cancel may never arrive, because the
+// network may have been cut since the worker's last message. Therefore a ping is written behind the cancel, and its
+// answer proves that the worker has read the cancel. If no answer arrives, the connection is aborted, which cancels
+// all attempts that are open on it and discards its buffers. A cancel must never be considered read only because it
+// was written.
 
 import (
 	"fmt"
@@ -12,37 +13,37 @@
 	"ravenhitch/internal/eventloop"
 )
 
-// confirmationTimeout is how long nothing at all may come in on a connection after a cancel was written there,
-// the ping's answer included: a ping waits behind the worker's decisions on offers. Where other messages come, a ping
-// may take as long as a connection may take to come up.
+// confirmationTimeout is the maximum time without any received data on a connection after a cancel was written on it.
+// Any data counts, not only the answer to the ping, because a ping waits behind the worker's decisions on offers.
+// While other messages arrive, the answer to a ping may take as long as the establishment of a connection may take.
 const confirmationTimeout = 100 * millisecond
 
-// cancelConfirmations are the cancels written on one connection that the worker is not known to have read. One
-// ping is in flight at a time, as pings cost the worker work.
+// cancelConfirmations holds the cancels that were written on one connection and that the worker is not known to have
+// read. At most one ping is in flight at a time, because each ping costs the worker work.
 type cancelConfirmations struct {
-	pingTag    string   // of the ping in flight, "" for none
-	pingSentAt int64    // when it was written
-	beforePing []string // requests cancelled before it was written: its answer confirms them
-	afterPing  []string // requests cancelled since: for the next ping
-	timer      *eventloop.Timer
+	pingTag    string           // tag of the ping in flight, "" for none
+	pingSentAt int64            // time at which the ping was written
+	beforePing []string         // requests cancelled before the ping was written, which its answer confirms
+	afterPing  []string         // requests cancelled after the ping was written, which the next ping confirms
+	timer      *eventloop.Timer // fires when the confirmation times out
 }
 
-// pending reports whether a cancel waits for its confirmation.
+// pending reports whether a cancel awaits confirmation.
 func (cc *cancelConfirmations) pending() bool { return cc.pingTag != "" }
 
-// isAnswer reports whether pingTag is that of the ping in flight.
+// isAnswer reports whether pingTag is the tag of the ping in flight.
 func (cc *cancelConfirmations) isAnswer(pingTag string) bool {
 	return cc.pending() && pingTag == cc.pingTag
 }
 
-// await records a ping that is written now behind the cancels of some requests.
+// await records that a ping is written now behind the cancels of the given requests.
 func (cc *cancelConfirmations) await(requestIDs []string, now int64) {
 	cc.pingTag = fmt.Sprintf("%016x", now)
 	cc.pingSentAt = now
 	cc.beforePing, cc.afterPing = requestIDs, nil
 }
 
-// reset removes all cancels and returns them.
+// reset removes all cancels, stops the timer and returns the removed state.
 func (cc *cancelConfirmations) reset() cancelConfirmations {
 	cc.timer.Stop()
 	cancels := *cc
@@ -50,7 +51,7 @@
 	return cancels
 }
 
-// pingBehindCancels writes a ping behind the cancels of some requests.
+// pingBehindCancels writes a ping behind the cancels of the given requests and starts the confirmation timer.
 func (c *workerConn) pingBehindCancels(requestIDs []string) {
 	loop := c.link.pool.loop
 	c.cancels.await(requestIDs, loop.Now())
@@ -58,8 +59,8 @@
 	c.cancels.timer = loop.After(confirmationTimeout, c.confirmationTimedOut)
 }
 
-// confirmationTimedOut aborts the connection, unless other messages have come in since the ping was written and
-// it may take longer.
+// confirmationTimedOut aborts the connection. If data was received after the ping was written and the dial timeout
+// has not yet passed since then, it waits for another confirmationTimeout instead.
 func (c *workerConn) confirmationTimedOut() {
 	l, pool := c.link, c.link.pool
 	now := pool.loop.Now()
@@ -73,7 +74,8 @@
 	l.ensureConnected()
 }
 
-// pingAnswered confirms the cancels that were written before the ping, and pings behind those written since.
+// pingAnswered confirms the cancels that were written before the ping, and writes another ping behind the cancels
+// that were written after it.
 func (c *workerConn) pingAnswered() {
 	pool := c.link.pool
 	cancels := c.cancels.reset()
@@ -89,7 +91,8 @@
 	c.link.pruneConns()
 }
 
-// confirmCancelsByClose reports the cancels that the end of the connection has carried out.
+// confirmCancelsByClose reports the cancels on a connection that ended as confirmed, because its end cancels the
+// attempts. It does so after the time in which the close may be in transit to the worker.
 func (c *workerConn) confirmCancelsByClose() {
 	l, pool := c.link, c.link.pool
 	cancels := c.cancels.reset()
--- a/internal/workerpool/cancel_confirmations_test.go
+++ b/internal/workerpool/cancel_confirmations_test.go
@@ -16,38 +16,38 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// Given a cancel before a ping and one after it, the ping's answer confirms the first alone.
+// A ping's answer confirms the cancels written before the ping, not those written after it.
 func TestCancelConfirmations(t *testing.T) {
 	var cancels cancelConfirmations
 	if cancels.pending() || cancels.isAnswer("") {
-		t.Error("pending before any cancel")
+		t.Errorf("before any cancel: pending() = %v, isAnswer(\"\") = %v, want false", cancels.pending(), cancels.isAnswer(""))
 	}
 
 	cancels.await([]string{"before"}, 255)
 	cancels.afterPing = append(cancels.afterPing, "after")
 	if !cancels.pending() || !cancels.isAnswer("00000000000000ff") || cancels.isAnswer("00000000000000fe") {
-		t.Errorf("waits for another answer than the ping's: %+v", cancels)
+		t.Errorf("state %+v does not await the answer to ping 00000000000000ff", cancels)
 	}
 
-	noted := cancels.reset()
-	if !slices.Equal(noted.beforePing, []string{"before"}) || !slices.Equal(noted.afterPing, []string{"after"}) {
-		t.Errorf("noted %+v", noted)
+	removed := cancels.reset()
+	if !slices.Equal(removed.beforePing, []string{"before"}) || !slices.Equal(removed.afterPing, []string{"after"}) {
+		t.Errorf("reset() = %+v, want beforePing [before], afterPing [after]", removed)
 	}
 	if cancels.pending() {
-		t.Error("pending after the reset")
+		t.Error("pending() = true after reset, want false")
 	}
 }
 
-// cancelledOffer is an offer that its worker has read, and whose cancel the worker has read too.
+// cancelledOffer is an offer whose worker has read both the offer and its cancel.
 type cancelledOffer struct {
 	loop    *eventloop.Loop
 	pool    *Pool
 	conn    *workerConn
 	worker  net.Conn
-	pingTag string // of the ping behind the cancel
+	pingTag string // tag of the ping behind the cancel
 }
 
-// cancelSentOffer offers a request to the worker, which reads it, and cancels it then.
+// cancelSentOffer offers a request to the worker, and cancels the offer after the worker has read it.
 func cancelSentOffer(t *testing.T) *cancelledOffer {
 	t.Helper()
 	listener := nettest.Listen(t)
@@ -57,23 +57,23 @@
 	c.worker = nettest.Accept(t, listener)
 	received := bufio.NewReader(c.worker)
 	if m := readMessage(t, received); m.Verb != jsonlines.VerbStart || m.Tag != requestID {
-		t.Fatalf("received %+v, expected the offer", m)
+		t.Fatalf("the worker received %+v, want the offer", m)
 	}
 
 	onLoop(loop, func() {
 		if pool.CancelAttempt(workerName, requestID, true) {
-			t.Error("the cancel counts as confirmed before the worker has answered")
+			t.Error("CancelAttempt() = true before the worker has answered, want false")
 		}
 		if count := pool.UnconfirmedCancels(); count != 1 {
-			t.Errorf("%d connections with unconfirmed cancels", count)
+			t.Errorf("UnconfirmedCancels() = %d, want 1", count)
 		}
 	})
 	if m := readMessage(t, received); m.Verb != jsonlines.VerbFinish || m.Tag != requestID || m.RC != jsonlines.CodeEnded {
-		t.Fatalf("received %+v, expected the cancel", m)
+		t.Fatalf("the worker received %+v, want the cancel", m)
 	}
 	ping := readMessage(t, received)
 	if ping.Verb != jsonlines.VerbEcho {
-		t.Fatalf("received %+v, expected the ping behind the cancel", ping)
+		t.Fatalf("the worker received %+v, want the ping behind the cancel", ping)
 	}
 	c.pingTag = ping.Tag
 	return c
@@ -93,7 +93,7 @@
 	return m
 }
 
-// confirmed reports whether no cancel is unconfirmed any more, within testbed.Timeout.
+// confirmed waits for at most testbed.Timeout and reports whether all cancels are confirmed.
 func (c *cancelledOffer) confirmed() bool {
 	pending := 1
 	for limit := time.Now().Add(testbed.Timeout); pending > 0 && time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -102,7 +102,7 @@
 	return pending == 0
 }
 
-// Given a cancel, the answer to the ping behind it confirms it, and the connection stays.
+// The answer to the ping behind a cancel confirms the cancel, and the connection stays open.
 func TestCancelIsConfirmedByPing(t *testing.T) {
 	c := cancelSentOffer(t)
 	answer := jsonlines.Message{Verb: jsonlines.VerbEchoed, Tag: c.pingTag, RC: pingSucceeded, HasRC: true}
@@ -110,31 +110,32 @@
 		t.Fatal(err)
 	}
 	if !c.confirmed() {
-		t.Error("the cancel is unconfirmed after the answer")
+		t.Error("the cancel is still unconfirmed after the answer to the ping")
 	}
 	onLoop(c.loop, func() {
 		if !c.conn.conn.IsUp() {
-			t.Error("the connection was closed")
+			t.Error("the connection was closed after the answer to the ping")
 		}
 	})
 }
 
-// Given a cancel whose ping is not answered, the connection is aborted and another one dialled.
+// If the ping behind a cancel is not answered, the connection is aborted and another one is dialled.
 func TestUnansweredPingAbortsConnection(t *testing.T) {
 	c := cancelSentOffer(t)
 	if _, err := c.worker.Read(make([]byte, 1)); !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("the worker's connection ended with %v", err)
+		t.Errorf("the worker's connection ended with %v, want %v", err, unix.ECONNRESET)
 	}
 	if !c.confirmed() {
-		t.Error("the cancel is unconfirmed after the abort")
+		t.Error("the cancel is still unconfirmed after the abort")
 	}
 	onLoop(c.loop, func() {
 		l := c.pool.links[workerName]
 		if !c.conn.conn.IsClosed() || l.lostUnnoticedAt == 0 {
-			t.Errorf("closed %v, lost unnoticed at %d", c.conn.conn.IsClosed(), l.lostUnnoticedAt)
+			t.Errorf("IsClosed() = %v, want true; lostUnnoticedAt = %d, want a time other than 0",
+				c.conn.conn.IsClosed(), l.lostUnnoticedAt)
 		}
 		if len(l.conns) != 1 || l.conns[0] == c.conn {
-			t.Error("no other connection was dialled")
+			t.Errorf("the link has %d connections, want 1 newly dialled connection", len(l.conns))
 		}
 	})
 }
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -16,10 +16,10 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// paddingBytes is more than the system takes for a worker that does not read.
+// paddingBytes is more than the operating system buffers for a worker that does not read.
 const paddingBytes = 32 << 20
 
-// runningNotice is a message that shows that the worker is there.
+// runningNotice returns a message that shows that the worker is responsive.
 func runningNotice() []byte {
 	return jsonlines.Append(nil, &jsonlines.Message{
 		Verb: jsonlines.VerbNotice,
@@ -28,25 +28,25 @@
 	})
 }
 
-// blockedOffer is an offer on a connection whose worker is there, but does not read.
+// blockedOffer is an offer on a connection whose worker is responsive but does not read.
 type blockedOffer struct {
 	t          *testing.T
 	pool       *Pool
 	dispatcher *dispatch.Dispatcher
 	workerConn *workerConn
 	worker     net.Conn
-	offeredAt  int64 // 0 until it was offered
-	cancelled  chan struct{}
-	ended      bool
+	offeredAt  int64         // time at which the offer was made, 0 before
+	cancelled  chan struct{} // closed after CancelAttempt was called
+	cancelDone bool          // CancelAttempt was called
 }
 
-// turn offers once the connection is up, and cancels once the worker's message has come in.
+// turn makes the offer once the connection is established, and cancels it once the worker's message has arrived.
 func (b *blockedOffer) turn(now int64) {
 	b.pool.DeliverPending()
 	switch {
 	case b.offeredAt == 0 && b.workerConn.established:
 		b.offer(now)
-	case b.offeredAt != 0 && !b.ended && b.workerConn.lastReadAt > b.offeredAt:
+	case b.offeredAt != 0 && !b.cancelDone && b.workerConn.lastReadAt > b.offeredAt:
 		b.cancel()
 	}
 }
@@ -68,15 +68,15 @@
 func (b *blockedOffer) cancel() {
 	offer := b.workerConn.openOffers[requestID]
 	if offer == nil || offer.endOffset == 0 || offer.isSent(b.workerConn.conn) {
-		b.t.Errorf("the offer should wait for its worker: %+v", offer)
+		b.t.Errorf("offer %+v, want one that is written but not sent completely", offer)
 	}
 	b.pool.CancelAttempt(workerName, requestID, false)
-	b.ended = true
+	b.cancelDone = true
 	close(b.cancelled)
 }
 
-// Given an offer that waits for its worker to read, a cancel takes it back: it would reach the worker as soon as that
-// reads on, long after its client has gone.
+// The cancel of an offer that is still buffered, because its worker does not read, discards the offer. Otherwise the
+// offer would reach the worker when it reads again, long after the client has disconnected.
 func TestCancelTakesUnsentOfferBack(t *testing.T) {
 	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
@@ -96,7 +96,7 @@
 	select {
 	case <-b.cancelled:
 	case <-time.After(testbed.Timeout):
-		t.Fatal("the worker's message never came in")
+		t.Fatalf("the offer was not cancelled within %s", testbed.Timeout)
 	}
 
 	if err := b.worker.SetReadDeadline(time.Now().Add(testbed.Timeout)); err != nil {
@@ -105,6 +105,7 @@
 	received, err := io.ReadAll(b.worker)
 	offered := strings.Contains(string(received), jsonlines.VerbStart)
 	if offered || !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("the worker read %d bytes, then %v; the offer among them: %v", len(received), err, offered)
+		t.Errorf("the worker read %d bytes, then error %v, want %v; offer received: %v, want false",
+			len(received), err, unix.ECONNRESET, offered)
 	}
 }
--- a/internal/workerpool/close_transit.go
+++ b/internal/workerpool/close_transit.go
@@ -1,25 +1,26 @@
 package workerpool
 
-// This file owns how long the close of a connection may be in transit to the worker. What the close ends must never be
-// reported as ended before that.
+// This file owns the time for which the close of a connection may be in transit to the worker. An attempt that the
+// close ends must never be reported as ended before that time has passed.
 
 import "ravenhitch/placement"
 
-// A close is in transit to the worker for as long as a message is, and nothing reports its arrival. So what a
-// close cancels is over once a message there and back could have been in transit: the shortest time that a
-// connection to that worker took to come up, within these bounds. The upper one is the protocol's slack.
+// A close takes as long as a message to reach the worker, and nothing reports its arrival. Therefore an attempt that
+// a close cancels is considered over after one round trip to the worker. The round trip is estimated as the shortest
+// time in which a connection to that worker was established, limited to these bounds. The upper bound is the slack
+// that the protocol allows.
 const (
 	minCloseTransit = 2 * millisecond
 	maxCloseTransit = 50 * millisecond
 )
 
-// afterCloseTransit calls f once a close that is sent now has reached the worker.
+// afterCloseTransit calls f after the time in which a close that is sent now reaches the worker.
 func (l *link) afterCloseTransit(f func()) {
 	l.pool.loop.After(min(max(l.minConnectUs, minCloseTransit), maxCloseTransit), f)
 }
 
-// reportReset reports that an offer was reset with its connection, once the worker knows of that too. Until then
-// the attempt may be running.
+// reportReset reports that an offer was reset with its connection. The report is delayed until the worker has noticed
+// the close as well, because until then the attempt may be running.
 func (l *link) reportReset(requestID string) {
 	if l.pendingResets == nil {
 		l.pendingResets = map[string]bool{}
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -1,7 +1,8 @@
 package workerpool
 
-// This file owns one connection to a worker: its buffers, whether it is stale or alive, and how it begins and ends.
-// It must never wait longer than partialMessageTimeout for the rest of a message, and never report its end twice.
+// This file owns one connection to a worker: its queued messages, whether it is stale or alive, and its opening and
+// closing. It must never wait longer than partialMessageTimeout for the rest of a message, and never report the end
+// of a connection twice.
 
 import (
 	"cmp"
@@ -15,15 +16,16 @@
 )
 
 const (
-	// staleAfter is how long an offer may be open on a connection on which nothing comes in before new offers
-	// are sent on a new one.
+	// staleAfter is how long an offer may be open on a connection without received data before new offers are
+	// sent on a new connection.
 	staleAfter = 400 * millisecond
-	// maxReadGap is how long nothing may come in on a connection to a worker where tasks run before another is
-	// dialled: a completion not reported for 8 s is lost.
+	// maxReadGap is the maximum time without received data on a connection to a worker with running tasks. After
+	// that time another connection is dialled, because a completion that is not reported within 8 s is lost.
 	maxReadGap = 3 * second
-	// partialMessageTimeout is how long an incomplete message may wait for its rest: it holds up all behind it.
+	// partialMessageTimeout is the maximum time to wait for the rest of an incomplete message. The time is limited
+	// because an incomplete message delays every message behind it.
 	partialMessageTimeout = 250 * millisecond
-	// keepAliveSlack is how much longer than TCP keepalive's interval the answer to its probe may take.
+	// keepAliveSlack is added to the idle time of TCP keepalive to allow for the answer to its probe.
 	keepAliveSlack = second
 )
 
@@ -31,21 +33,22 @@
 type workerConn struct {
 	link         *link
 	conn         *eventloop.Conn
-	openOffers   map[string]*openOffer // by request ID
-	queued       [][]byte              // messages that wait for the connection to come up
-	partialTimer *eventloop.Timer      // for the rest of an incomplete message
-	probes       map[string]int64      // when each open probe was written, by the tag of its ping
+	openOffers   map[string]*openOffer // offers without an answer from the worker, by request ID
+	queued       [][]byte              // messages to write once the connection is established
+	partialTimer *eventloop.Timer      // limits the wait for the rest of an incomplete message
+	probes       map[string]int64      // time at which each open probe was requested, by the tag of its ping
 	cancels      cancelConfirmations
 
-	established bool // it came up, though it may be closed by now
-	dialledAt   int64
-	lastReadAt  int64
-	lastUsedAt  int64 // when it was last chosen for an offer, a release or a probe
-	aliveUntil  int64 // until when the last known acknowledgement by the worker's system proves it alive
+	established bool  // true from when the connection is established, even after it is closed
+	dialledAt   int64 // time of the dial
+	lastReadAt  int64 // time at which data was last received, initially that at which the connection was established
+	lastUsedAt  int64 // time at which the connection was last chosen for an offer, a release or a probe
+	aliveUntil  int64 // time until which the last known TCP acknowledgement proves that the connection is alive
 }
 
-// isStale reports whether an offer is open on the connection while nothing comes in: where the network to a worker
-// is cut its connections stay open, and dialling a new one proves quickly that it is unreachable.
+// isStale reports whether an offer has been open on the connection for longer than staleAfter without received data.
+// If the network to a worker is cut, its connections stay open, but dialling a new connection quickly proves that the
+// worker is unreachable.
 func (c *workerConn) isStale() bool {
 	if !c.conn.IsUp() {
 		return false
@@ -59,26 +62,28 @@
 	return false
 }
 
-// isIdle reports whether nothing is open on the connection, nor waits for an answer.
+// isIdle reports whether the connection is up and nothing on it awaits an answer: no offer, probe or cancel, and no
+// release or reset of its link.
 func (c *workerConn) isIdle() bool {
 	return c.conn.IsUp() && len(c.openOffers) == 0 && len(c.probes) == 0 && !c.cancels.pending() &&
 		len(c.link.releases) == 0 && len(c.link.pendingResets) == 0
 }
 
-// enableKeepAlive turns TCP keepalive on, where it proves that the connection is alive.
+// enableKeepAlive enables TCP keepalive if the pool accepts TCP acknowledgements as proof that the connection is
+// alive.
 func (c *workerConn) enableKeepAlive() {
-	after := c.link.pool.keepAlive
-	if after == 0 {
+	idleTime := c.link.pool.keepAlive
+	if idleTime == 0 {
 		return
 	}
-	if err := c.conn.KeepAlive(int(after / time.Second)); err != nil {
+	if err := c.conn.KeepAlive(int(idleTime / time.Second)); err != nil {
 		c.link.pool.log.Warn("keepalive not set", "worker", c.link.workerID, "err", err)
 	}
 }
 
-// checkAlive reports whether the connection is known to be alive: something came in lately, or the worker's system
-// acknowledged something in time. It asks this system for the last acknowledgement only where neither is known yet,
-// as that takes a system call.
+// checkAlive reports whether the connection is known to be alive: either data was received within maxReadGap, or the
+// worker's operating system acknowledged a packet recently enough. checkAlive asks the local operating system for the
+// last acknowledgement only if neither is known already, because that takes a system call.
 func (c *workerConn) checkAlive(now int64) bool {
 	if now-c.lastReadAt <= maxReadGap || now < c.aliveUntil {
 		return true
@@ -93,7 +98,7 @@
 	return now < c.aliveUntil
 }
 
-// send writes a message, once the connection is up.
+// send writes a message, or queues it until the connection is established.
 func (c *workerConn) send(m *jsonlines.Message) {
 	if c.conn.IsUp() {
 		c.conn.Write(jsonlines.Append(nil, m))
@@ -102,13 +107,14 @@
 	c.queued = append(c.queued, jsonlines.Append(nil, m))
 }
 
-// ping writes a ping; its answer carries the same tag.
+// ping sends a ping. The answer of the worker carries the same tag.
 func (c *workerConn) ping(pingTag string) {
 	c.send(&jsonlines.Message{Verb: jsonlines.VerbEcho, Tag: pingTag, HasRC: true})
 }
 
-// close closes the connection from this side for the given reason and settles what was open on it. It aborts the
-// connection where its buffers may still contain an offer or a cancel, or where the worker is unreachable.
+// close closes the connection from this side for the given reason and settles the offers, probes and cancels that are
+// open on it. It aborts the connection if its buffers may still contain an offer or a cancel, or if the worker is
+// unreachable.
 func (c *workerConn) close(reason error) {
 	unreachable := isUnreachable(reason)
 	if unreachable {
@@ -122,7 +128,8 @@
 	c.detach(reason)
 }
 
-// detach takes the connection, which ended with err, off its link and settles what was open on it.
+// detach removes the connection, which ended with err, from its link and settles the offers, probes and cancels that
+// are open on it.
 func (c *workerConn) detach(err error) {
 	l, pool := c.link, c.link.pool
 	c.partialTimer.Stop()
@@ -141,7 +148,7 @@
 	}
 }
 
-// endUnnoticed reports whether the worker may not know that the connection ended with err.
+// endUnnoticed reports whether the worker may not have noticed that the connection ended with err.
 func (c *workerConn) endUnnoticed(err error) bool {
 	if isUnreachable(err) {
 		return true
@@ -173,10 +180,11 @@
 	l.pruneConns()
 }
 
-// offersInOrder returns the open offers in the order in which the dispatcher made them: those of one turn have the same
-// age, and the scheduler places tasks of high priority first.
+// offersInOrder returns the open offers in the order in which the dispatcher made them. The time of an offer cannot
+// determine this order, because all offers of one turn have the same time. The order matters because the scheduler
+// places tasks of high priority first.
 func (c *workerConn) offersInOrder() []*openOffer {
-	byNumber := func(a, b *openOffer) int { return cmp.Compare(a.number, b.number) }
+	byNumber := func(a, b *openOffer) int { return cmp.Compare(a.sequence, b.sequence) }
 	return slices.SortedFunc(maps.Values(c.openOffers), byNumber)
 }
 
--- a/internal/workerpool/end_reasons.go
+++ b/internal/workerpool/end_reasons.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns the reasons for which a connection to a worker ends, and what they say of the worker. It must
-// never take a reason that does not say whether the worker is alive for one that does.
+// This file owns the reasons for which a connection to a worker ends, and what each reason proves about the worker.
+// It must never treat a reason as proof that the worker is alive or dead if the reason does not prove that.
 
 import (
 	"errors"
@@ -13,37 +13,37 @@
 	"ravenhitch/internal/jsonlines"
 )
 
-// The reasons for which this side closes a connection.
+// Reasons for which this side closes a connection.
 var (
-	errUnresponsive   = errors.New("nothing came in since an offer was cancelled")
+	errUnresponsive   = errors.New("the cancel of an offer was not confirmed")
 	errWorkerDead     = errors.New("the worker is dead")
 	errAddressChanged = errors.New("the worker's address changed")
 	errUnlisted       = errors.New("the worker is no longer listed")
-	errSuperseded     = errors.New("a newer connection replaced it")
+	errSuperseded     = errors.New("replaced by a newer connection")
 	errIdle           = errors.New("the connection is idle")
 	errTooManyConns   = fmt.Errorf("more than %d connections to one worker", maxConns)
 )
 
-// errPartialMessage is the reason for closing a connection on which the rest of a message did not come. The
-// operators' page names its text.
+// errPartialMessage is the reason for closing a connection on which the rest of a message did not arrive in time. Its
+// text is documented for operators.
 var errPartialMessage = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
 
-// errNoDescription is the reason for closing a connection on which an accepted offer came without its description.
+// errNoDescription is the reason for closing a connection on which the acceptance of an offer lacks its description.
 var errNoDescription = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
 
-// isUnreachable reports whether this side closed a connection because its messages did not seem to reach the worker:
-// then the close may not reach it either.
+// isUnreachable reports whether this side closed a connection because its messages apparently did not reach the
+// worker. In that case the close may not reach the worker either.
 func isUnreachable(err error) bool {
 	return errors.Is(err, errUnresponsive) || errors.Is(err, errWorkerDead)
 }
 
-// isDisconnect reports whether a connection ended in a way that does not say whether another one would
-// come up.
+// isDisconnect reports whether a connection ended in a way that does not show whether another connection could be
+// established.
 func isDisconnect(err error) bool {
 	return isReset(err) || errors.Is(err, eventloop.ErrEOF) || errors.Is(err, jsonlines.ErrMessage)
 }
 
-// isReset reports whether a connection was reset, which is what a dying process leaves.
+// isReset reports whether a connection was reset, which happens when the process on the other side dies.
 func isReset(err error) bool {
 	return errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
 }
--- a/internal/workerpool/helpers_test.go
+++ b/internal/workerpool/helpers_test.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns what the tests of this package share: a pool on a loop of its own, and a listener in the
-// place of its worker.
+// This file owns the helpers that the tests of this package share: a pool on a separate loop, and a listener
+// that takes the place of the worker.
 
 import (
 	"log/slog"
@@ -17,13 +17,13 @@
 )
 
 const (
-	// workerName names the one worker of these tests.
+	// workerName is the name of the only worker in these tests.
 	workerName = "a"
-	// requestID names the one request of the tests that have but one.
+	// requestID is the ID of the request in tests with a single request.
 	requestID = "9b1f03aa5c7e2d41"
 )
 
-// newPool returns a pool on a loop of its own, and the dispatcher that it serves. The caller closes the loop.
+// newPool returns a new loop, a pool that runs on it, and the pool's dispatcher. The caller must close the loop.
 func newPool(t *testing.T) (*eventloop.Loop, *Pool, *dispatch.Dispatcher) {
 	t.Helper()
 	loop, err := eventloop.New(10)
@@ -47,23 +47,24 @@
 	return loop, pool, dispatcher
 }
 
-// fullList is a list of the one worker of these tests.
+// fullList returns a full list that contains only the worker of these tests.
 func fullList() placement.WorkerList {
 	entries := []placement.Entry{{Worker: workerName, Kind: "std"}}
 	return placement.WorkerList{Kind: placement.ListFull, Entries: entries}
 }
 
-// newSubmission returns a request for all of a worker, which must not run twice.
+// newSubmission returns a submission that requests all resources of a worker and must not run twice.
 func newSubmission() dispatch.Submission {
 	return dispatch.Submission{RequestID: requestID, Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
 }
 
-// offerOf returns the offer of a submission.
+// offerOf returns the offer for a submission.
 func offerOf(s dispatch.Submission) dispatch.Offer {
 	return dispatch.Offer{RequestID: s.RequestID, Class: s.Class, Key: s.Key, TimeoutUs: s.TimeoutUs}
 }
 
-// offerToWorker lists the worker, and offers it a request before its connection is up. It returns that connection.
+// offerToWorker lists the worker and makes an offer to it before its connection is established. It returns the
+// connection.
 func offerToWorker(t *testing.T, listener net.Listener, loop *eventloop.Loop, pool *Pool,
 	dispatcher *dispatch.Dispatcher) *workerConn {
 	t.Helper()
@@ -77,28 +78,28 @@
 	return pool.links[workerName].conns[0]
 }
 
-// startLoop runs a loop in the background; the function that it returns stops and closes the loop.
+// startLoop runs a loop in the background. The returned function stops and closes the loop.
 func startLoop(t *testing.T, loop *eventloop.Loop, turn func(now int64)) (stop func()) {
 	t.Helper()
-	ended := make(chan error, 1)
-	go func() { ended <- loop.Run(turn) }()
+	result := make(chan error, 1)
+	go func() { result <- loop.Run(turn) }()
 	return func() {
 		loop.Post(loop.Stop)
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 		loop.Close()
 	}
 }
 
-// onLoop calls f on a loop that runs in the background, and waits for that.
+// onLoop calls f on a loop that runs in the background, and waits until f has returned.
 func onLoop(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// linkTest is a worker's listener, and an orchestrator with a link to that worker.
+// linkTest holds the listener of a worker and the parts of an orchestrator with a link to that worker.
 type linkTest struct {
 	t          *testing.T
 	listener   net.Listener
@@ -116,19 +117,19 @@
 	return lt
 }
 
-// listWorker has the pool take the worker from the list, and returns its link.
+// listWorker adds the worker to the pool, as discovery does, and returns the link to the worker.
 func (lt *linkTest) listWorker() *link {
 	lt.pool.UpdateWorker(workerName, lt.listener.Addr().String(), true)
 	return lt.pool.links[workerName]
 }
 
-// sweep looks at the worker as the periodic sweep does.
+// sweep maintains the link as the periodic sweep does.
 func (lt *linkTest) sweep(l *link) { l.sweep(lt.dispatcher.TasksOn(workerName), lt.loop.Now()) }
 
-// runUntil runs the loop until a condition holds; once in a test.
+// runUntil runs the loop until a condition holds. A test may call it only once.
 func (lt *linkTest) runUntil(condition func() bool) {
 	lt.t.Helper()
-	limit := lt.loop.After(testbed.Timeout.Microseconds(), lt.loop.Stop)
+	timeout := lt.loop.After(testbed.Timeout.Microseconds(), lt.loop.Stop)
 	met := false
 	err := lt.loop.Run(func(now int64) {
 		lt.pool.DeliverPending()
@@ -137,13 +138,13 @@
 			lt.loop.Stop()
 		}
 	})
-	limit.Stop()
+	timeout.Stop()
 	if err != nil || !met {
-		lt.t.Fatalf("the condition was not met in %s: %v", testbed.Timeout, err)
+		lt.t.Fatalf("the condition was not met within %s; the loop ended with error %v", testbed.Timeout, err)
 	}
 }
 
-// adopt registers a task that runs at the worker.
+// adopt submits a task that is already running at the worker.
 func (lt *linkTest) adopt(requestID string) {
 	lt.t.Helper()
 	s := dispatch.Submission{
@@ -160,10 +161,10 @@
 	}
 }
 
-// futureStart is a start of the worker's process after all that happened so far.
+// futureStart returns a start time of the worker's process that is later than all previous events of the test.
 func (lt *linkTest) futureStart() int64 { return lt.loop.Now() + time.Minute.Microseconds() }
 
-// discardingClient is a client that reads no response.
+// discardingClient is a client that discards all responses.
 type discardingClient struct{}
 
 func (discardingClient) Respond(dispatch.Response) {}
--- a/internal/workerpool/idle.go
+++ b/internal/workerpool/idle.go
@@ -1,25 +1,26 @@
 package workerpool
 
-// This file owns which connections to workers are idle, and closes one where a connection to another worker is
-// needed and no descriptor is left for it. It must never close a connection that anything waits on.
+// This file tracks which connections to workers are idle, and closes an idle connection if a connection to another
+// worker is needed and no descriptor is free. It must never close a connection on which anything awaits an answer.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// minIdleScanInterval is how soon idle connections are looked for again where there were none.
+// minIdleScanInterval is the minimum time between a scan that found no idle connection and the next scan.
 const minIdleScanInterval = 100 * millisecond
 
-// idleConns are the connections that may be closed for another one, as of the last scan.
+// idleConns holds the result of the last scan for connections that may be closed to free a descriptor.
 type idleConns struct {
 	conns     []*workerConn // least recently used first
-	scannedAt int64
-	foundNone bool // by the last scan
+	scannedAt int64         // time of the last scan
+	foundNone bool          // the last scan found no idle connection
 }
 
-// ensureDescriptor finds a descriptor for a connection to a worker that is needed now, and reports whether there is
-// one: a free one, that of an idle connection, or at last one that clients do not use.
+// ensureDescriptor reports whether a descriptor is available for a required connection to a worker. It first looks
+// for a free descriptor, then closes an idle connection, and finally uses a descriptor of the clients' share that
+// clients do not use.
 func (p *Pool) ensureDescriptor() bool {
 	if p.budget.AdmitsWorker() || p.closeIdleConn() {
 		return true
@@ -33,15 +34,15 @@
 	return p.budget.AdmitsRequiredWorker()
 }
 
-// mayScanIdleConns reports whether a scan may find more than the last one did: at most one in a turn, and after one
-// that found none only once minIdleScanInterval is over.
+// mayScanIdleConns reports whether to scan for idle connections again. There is at most one scan in a turn of the
+// loop, and no scan within minIdleScanInterval of a scan that found none.
 func (p *Pool) mayScanIdleConns() bool {
 	age := p.loop.Now() - p.idle.scannedAt
 	return age != 0 && (!p.idle.foundNone || age >= minIdleScanInterval)
 }
 
-// closeIdleConn closes the least recently used of the connections that are still idle, and reports whether there
-// was one.
+// closeIdleConn closes the least recently used connection of the last scan that is still idle and has not been used
+// since, and reports whether there was one.
 func (p *Pool) closeIdleConn() bool {
 	for len(p.idle.conns) > 0 {
 		c := p.idle.conns[0]
@@ -54,7 +55,7 @@
 	return false
 }
 
-// scanIdleConns notes the connections to workers that nothing waits on and where no task runs.
+// scanIdleConns records the idle connections to workers at which no task runs.
 func (p *Pool) scanIdleConns() {
 	p.idle.conns, p.idle.scannedAt = p.idle.conns[:0], p.loop.Now()
 	for worker, l := range p.links {
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -2,12 +2,12 @@
 
 // This file owns the connections that are dialled only to receive late completions. They must never carry an offer.
 //
-// A worker reports the completion of a task on the connection on which the task was offered, as long as it considers
-// that connection open, and otherwise on the next connection that is opened. There are two cases in which a completion
-// was sent on a connection that had ended here already, and arrives only on one opened later:
+// A worker reports the completion of a task on the connection on which the task was offered while it considers that
+// connection open, and otherwise on the next connection that is opened. In two cases the worker sends a completion on
+// a connection that has already ended on this side, and the completion arrives only on a connection opened later:
 //   - The connection ended and the worker has not noticed. Any completion may be late.
-//   - This side closed the connection and the worker noticed a moment later. The completions that it sent before that
-//     are late, and one more connection is enough for them.
+//   - This side closed the connection and the worker noticed shortly afterwards. The completions that the worker sent
+//     in between are late, and one more connection suffices to receive them.
 
 import (
 	"ravenhitch/internal/dispatch"
@@ -15,19 +15,21 @@
 )
 
 const (
-	// lateCompletionInterval is how often such a connection is dialled: a completion not reported for 8 s is lost.
+	// lateCompletionInterval is the time after which a connection for late completions is dialled again. It is
+	// limited because a completion that is not reported within 8 s is lost.
 	lateCompletionInterval = maxReadGap
-	// lateCompletionConnLifetime is how long one stays open for what the worker has to report.
+	// lateCompletionConnLifetime is how long a connection for late completions stays open for the worker's reports.
 	lateCompletionConnLifetime = 500 * millisecond
-	// lateCompletionMinDescriptors is how many descriptors must be free: offers and clients have priority.
+	// lateCompletionMinDescriptors is the number of descriptors that must be free before such a connection is
+	// dialled, because offers and clients have priority.
 	lateCompletionMinDescriptors = 32
 )
 
-// lateCompletionConn is a connection for late completions. Its link does not list it.
+// lateCompletionConn is a connection for late completions. It is not part of link.conns.
 type lateCompletionConn struct{ workerConn }
 
-// dialForLateCompletions dials such a connection where the completion of one of these tasks may wait for it, unless
-// another connection was opened in time.
+// dialForLateCompletions dials a connection for late completions if the completion of one of the given tasks may be
+// late, unless another connection was opened or an older one was closed within lateCompletionInterval.
 func (l *link) dialForLateCompletions(tasks dispatch.TaskSummary, now int64) {
 	if !l.expectsLateCompletions(tasks) || now-max(l.openedAt, l.prunedAt) < lateCompletionInterval {
 		return
@@ -36,17 +38,17 @@
 		return
 	}
 	if count := len(l.conns); count == 0 || !l.conns[count-1].conn.IsUp() {
-		return // the next one that comes up is such a connection
+		return // the next connection to be established also receives late completions
 	}
-	l.openedAt = now // also where it fails: not in every sweep
+	l.openedAt = now // set even if the dial fails, so that it is not repeated in every sweep
 	c := &lateCompletionConn{workerConn{link: l, probes: map[string]int64{}}}
 	if conn, err := l.pool.loop.Dial(l.addr, l.pool.dialTimeoutUs, c); err == nil {
 		c.conn = conn
 	}
 }
 
-// expectsLateCompletions reports whether one of these tasks may have been offered on a connection that ended since
-// unnoticed by the worker, or that this side closed with no other opened since.
+// expectsLateCompletions reports whether one of the given tasks may have been offered on a connection that has since
+// ended without the worker noticing, or that this side has since closed without opening another connection.
 func (l *link) expectsLateCompletions(tasks dispatch.TaskSummary) bool {
 	if tasks.Count == 0 {
 		return false
@@ -61,13 +63,14 @@
 	c.link.pool.loop.After(lateCompletionConnLifetime, conn.Close)
 }
 
-// Data implements eventloop.Handler. The rest of an incomplete message is not waited for: the connection is closed
-// soon, and that says nothing about the worker.
+// Data implements eventloop.Handler. There is no time limit for the rest of an incomplete message, because the
+// connection is closed soon anyway and an incomplete message on it proves nothing about the worker.
 func (c *lateCompletionConn) Data(conn *eventloop.Conn, b []byte) (int, error) {
 	used, err := c.workerConn.Data(conn, b)
 	c.partialTimer.Stop()
 	return used, err
 }
 
-// Closed implements eventloop.Handler. That it did not come up says nothing: offers show that.
+// Closed implements eventloop.Handler. It ignores the end of the connection: whether the worker is reachable is
+// decided by the connections that carry offers.
 func (c *lateCompletionConn) Closed(*eventloop.Conn, error) {}
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -1,8 +1,8 @@
 package workerpool
 
-// This file owns the link to one worker: at most one connection for new messages, and older ones until what is
-// open on them has ended; when they are dialled, closed and dialled again. It must never have more than
-// maxConns connections to the worker.
+// This file owns the link to one worker: at most one connection for new messages, and older connections until no offer
+// is open on them. It decides when connections are dialled, closed and redialled. A link must never have more than
+// maxConns connections.
 
 import (
 	"errors"
@@ -17,41 +17,41 @@
 const (
 	minRedialBackoff = 100 * millisecond
 	maxRedialBackoff = 2 * second
-	// maxConns bounds the connections to one worker.
+	// maxConns is the maximum number of connections to one worker.
 	maxConns = 4
 )
 
-// link is the connections to one worker and what is known of their state.
+// link holds the connections to one worker and the state of the worker that they reveal.
 type link struct {
 	pool     *Pool
 	workerID string
 	addr     string
-	listed   bool
-	assigned bool // this orchestrator places tasks there
+	listed   bool // discovery lists the worker
+	assigned bool // this orchestrator places tasks at the worker
 
-	// processStartedAt is when the list says that the process of the worker started, 0 for long ago, and
-	// restartPending that this was not yet applied to the tasks that ran there.
+	// processStartedAt is the time at which the worker's process started according to discovery; 0 means long ago.
+	// restartPending is true until that start has been applied to the tasks that ran at the worker.
 	processStartedAt int64
 	restartPending   bool
 
-	conns         []*workerConn // the last one takes new messages
-	redialBackoff int64         // before the next dial
+	conns         []*workerConn // oldest first; new messages are sent on the last one
+	redialBackoff int64         // delay before the next dial
 	redialTimer   *eventloop.Timer
-	wasReset      bool  // a connection was reset: a refused one now proves the worker dead
-	unreachable   bool  // a connection failed or was unresponsive, and none came up since
-	refusedSince  int64 // since when connections were refused while nothing came in, 0 for never
-	minConnectUs  int64 // the shortest time that a connection took to come up, 0 while none has
+	wasReset      bool  // a connection was reset, so that a refused connection now proves that the worker is dead
+	unreachable   bool  // a connection failed or was unresponsive, and none has been established since
+	refusedSince  int64 // time of the first refused connection since data was last received, 0 for none
+	minConnectUs  int64 // shortest time in which a connection was established, 0 if none has been
 
-	pendingResets map[string]bool     // requests reset with their connection, of which the worker may not know yet
-	releases      unconfirmedReleases // of running tasks
+	pendingResets map[string]bool     // requests reset with their connection, which the worker may not have noticed
+	releases      unconfirmedReleases // unconfirmed releases of running tasks
 
-	lostUnnoticedAt int64 // when a connection last ended that the worker may still consider open
-	openedAt        int64 // when a connection last came up, or one for late completions was dialled
-	prunedAt        int64 // when this side last closed an older connection, of which the worker learns with a delay
+	lostUnnoticedAt int64 // time of the last end of a connection that the worker may still consider open
+	openedAt        int64 // time at which a connection was last established, or one for late completions was dialled
+	prunedAt        int64 // time at which this side last closed an older connection, which the worker notices later
 }
 
-// connForSending returns the connection for new messages, perhaps one that is not up yet, or nil where none
-// could even be dialled.
+// connForSending returns the connection for new messages, dialling one if needed. The connection may not be
+// established yet. connForSending returns nil if no connection could be dialled.
 func (l *link) connForSending() *workerConn {
 	if count := len(l.conns); count > 0 {
 		c := l.conns[count-1]
@@ -67,7 +67,7 @@
 	return l.dial()
 }
 
-// dial starts a connection, or returns nil where that fails at once.
+// dial starts a connection and returns it, or nil if the dial fails immediately.
 func (l *link) dial() *workerConn {
 	if len(l.conns) >= maxConns {
 		l.conns[0].close(errTooManyConns)
@@ -96,27 +96,29 @@
 	return c
 }
 
-// ensureConnected keeps a connection to a listed worker that is assigned here, where the budget allows it:
-// running tasks belong to no connection, and their completion comes on any.
+// ensureConnected dials a listed worker that is assigned to this orchestrator and has no connection, if the budget
+// allows it. The connection is needed even without offers: running tasks are not bound to a connection, and a worker
+// may report their completion on any connection.
 func (l *link) ensureConnected() {
 	if l.assigned && l.needsDial() && l.pool.budget.AdmitsWorker() {
 		l.dial()
 	}
 }
 
-// requireConnected keeps a connection to a listed worker where tasks run: idle ones are closed for it.
+// requireConnected dials a listed worker that runs tasks and has no connection. If no descriptor is free, an idle
+// connection to another worker is closed for it.
 func (l *link) requireConnected() {
 	if l.needsDial() && l.pool.ensureDescriptor() {
 		l.dial()
 	}
 }
 
-// needsDial reports whether a listed worker has no connection, and no redial is scheduled.
+// needsDial reports whether the worker is listed, has no connection and no redial is scheduled.
 func (l *link) needsDial() bool {
 	return l.listed && len(l.conns) == 0 && !l.redialTimer.Pending()
 }
 
-// scheduleRedial dials again after a backoff that grows with each failure.
+// scheduleRedial schedules a dial after a backoff that doubles with each failure, up to maxRedialBackoff.
 func (l *link) scheduleRedial() {
 	if !l.listed || l.redialTimer.Pending() {
 		return
@@ -129,14 +131,15 @@
 	})
 }
 
-// sweep maintains the connections to a worker that runs these tasks. It dials another connection where the newest one
-// is not known to be alive: no offer would show that it is dead, and the completions of the tasks would wait for ever.
-// (A connection on which an offer was cancelled while nothing came in is closed by the cancel.)
+// sweep maintains the connections to a worker, given a summary of the tasks that run there. If tasks run and the
+// newest connection is not known to be alive, sweep dials another one. Otherwise a dead connection would go
+// unnoticed while no offer is sent, and the completions of the tasks would never arrive. (If an offer is cancelled on
+// a connection without received data, the cancel itself closes that connection.)
 func (l *link) sweep(tasks dispatch.TaskSummary, now int64) {
 	l.releases.expire(now)
 	l.applyRestart()
 	if tasks.Count == 0 {
-		l.ensureConnected() // where the budget did not allow it before
+		l.ensureConnected() // the budget may not have allowed it before
 		l.closeUnassigned()
 		return
 	}
@@ -151,7 +154,7 @@
 	l.dialForLateCompletions(tasks, now)
 }
 
-// connClosed takes the end of a connection that this side did not close, and that was taken off the link.
+// connClosed handles the end of a connection that this side did not close and that is already removed from the link.
 func (l *link) connClosed(err error) {
 	if !errors.Is(err, eventloop.ErrEOF) {
 		l.setUnreachable()
@@ -173,8 +176,9 @@
 	}
 }
 
-// setUnreachable notes that a connection did not come up, broke or carried nothing back. The scheduler is notified in
-// the next turn unless a connection is up then: it would spend attempts on a worker that this pool knows not to reach.
+// setUnreachable records that a connection could not be established, broke or returned no data. The scheduler is
+// notified in the next turn unless a connection is up by then. Without the notification, the scheduler would spend
+// attempts on a worker that the pool knows to be unreachable.
 func (l *link) setUnreachable() {
 	l.unreachable = true
 	l.pool.reportLater(func() {
@@ -184,7 +188,7 @@
 	})
 }
 
-// pruneConns closes the older connections with no open offer, once the newest is up.
+// pruneConns closes the older connections without an open offer if the newest connection is up.
 func (l *link) pruneConns() {
 	for i := 0; i < len(l.conns)-1; {
 		c, newest := l.conns[i], l.conns[len(l.conns)-1]
@@ -197,8 +201,8 @@
 	}
 }
 
-// closeUnassigned closes the connection to a worker that is assigned to another orchestrator if it is idle. No task
-// of this one runs there.
+// closeUnassigned closes an idle connection to a worker that is assigned to another orchestrator. The caller ensures
+// that no task of this orchestrator runs at the worker.
 func (l *link) closeUnassigned() {
 	if !l.assigned && len(l.conns) == 1 && l.conns[0].isIdle() {
 		l.conns[0].close(errIdle)
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// Given a task at a worker, a new start of the worker on the list ends the task once no connection is older than that
-// start, and only once.
+// A new start time of a worker in the list ends the tasks at the worker as soon as no connection is older than the
+// start. One start ends tasks only once.
 func TestListedStartEndsTasks(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
@@ -19,28 +19,28 @@
 
 	lt.pool.WorkerStarted(workerName, lt.futureStart())
 	if !lt.dispatcher.IsRunning("t1") {
-		t.Fatal("a start on the list ended a task though a connection is up that was dialled before it")
+		t.Fatal("a listed start ended a task while a connection dialled before the start was up")
 	}
 	lt.sweep(l)
 	if !lt.dispatcher.IsRunning("t1") {
-		t.Fatal("the sweep ended it")
+		t.Fatal("the sweep ended a task while a connection dialled before the start was up")
 	}
 
 	l.closeAll(errAddressChanged)
 	lt.sweep(l)
 	if lt.dispatcher.IsRunning("t1") {
-		t.Error("the task runs on though no connection is left from before the start")
+		t.Error("the task is still running after all connections dialled before the start were closed")
 	}
 
 	lt.adopt("t2")
 	lt.sweep(l)
-	lt.pool.WorkerStarted(workerName, l.processStartedAt) // reported again
+	lt.pool.WorkerStarted(workerName, l.processStartedAt) // discovery reports the same start again
 	if !lt.dispatcher.IsRunning("t2") {
-		t.Error("one start ended tasks twice")
+		t.Error("a start that was already applied ended another task")
 	}
 }
 
-// Connections are kept to the workers that are assigned to this orchestrator, and to others while tasks run there.
+// An orchestrator keeps connections to its assigned workers, and to other workers only while its tasks run there.
 func TestConnectionsToAssignedWorkers(t *testing.T) {
 	lt := newLinkTest(t)
 	assigned := false
@@ -48,56 +48,56 @@
 	l := lt.listWorker()
 	lt.sweep(l)
 	if len(l.conns) != 0 {
-		t.Fatal("a worker of another orchestrator was dialled for nothing")
+		t.Fatalf("%d connections to an unassigned worker without tasks, want 0", len(l.conns))
 	}
 
 	lt.adopt("t1")
 	lt.sweep(l)
 	if len(l.conns) != 1 {
-		t.Fatal("a worker was not dialled where a task runs")
+		t.Fatalf("%d connections to an unassigned worker with a task, want 1", len(l.conns))
 	}
 
 	lt.runUntil(func() bool { return l.conns[0].conn.IsUp() })
 	lt.sweep(l)
 	if len(l.conns) != 1 {
-		t.Fatal("the connection was closed while a task runs")
+		t.Fatalf("%d connections after a sweep while a task runs, want 1", len(l.conns))
 	}
 
 	lt.dispatcher.TaskEnded(lt.loop.Now(), workerName, "t1", placement.Completed, 0)
 	lt.sweep(l)
 	if len(l.conns) != 0 {
-		t.Fatal("the connection to a worker of another orchestrator stays though no task runs there")
+		t.Fatalf("%d connections to an unassigned worker after its last task ended, want 0", len(l.conns))
 	}
 
 	assigned = true
 	lt.pool.SetAssigned(func(string) bool { return assigned })
 	if len(l.conns) != 1 {
-		t.Error("a worker was not dialled as it was assigned to this orchestrator")
+		t.Errorf("%d connections to a newly assigned worker, want 1", len(l.conns))
 	}
 }
 
-// Given TCP keepalive, a connection on which nothing comes in is not taken for dead while the system sees it alive.
+// With TCP keepalive, a connection without received data is considered alive while TCP acknowledgements arrive.
 func TestKeepAliveProvesConnectionAlive(t *testing.T) {
-	for _, after := range []time.Duration{0, 2 * time.Second} {
+	for _, keepAlive := range []time.Duration{0, 2 * time.Second} {
 		lt := newLinkTest(t)
-		lt.pool.SetKeepAlive(after)
+		lt.pool.SetKeepAlive(keepAlive)
 		c := lt.listWorker().conns[0]
 		lt.runUntil(func() bool { return c.conn.IsUp() })
 		if !c.checkAlive(lt.loop.Now() + maxReadGap) {
-			t.Errorf("keepalive %s: taken for dead before its time", after)
+			t.Errorf("keepalive %s: checkAlive() = false within maxReadGap, want true", keepAlive)
 		}
-		if alive := c.checkAlive(lt.loop.Now() + maxReadGap + 1); alive != (after != 0) {
-			t.Errorf("keepalive %s: known to be alive: %v", after, alive)
+		if alive := c.checkAlive(lt.loop.Now() + maxReadGap + 1); alive != (keepAlive != 0) {
+			t.Errorf("keepalive %s: checkAlive() = %v after maxReadGap, want %v", keepAlive, alive, keepAlive != 0)
 		}
 		c.conn.Close()
 		if c.checkAlive(lt.loop.Now() + time.Minute.Microseconds()) {
-			t.Errorf("keepalive %s: a connection without a sign of life is taken for alive", after)
+			t.Errorf("keepalive %s: checkAlive() = true a minute after the connection was closed, want false", keepAlive)
 		}
 	}
 }
 
-// Given a worker of another orchestrator where no task runs, it is not dialled again after a failure, and a release
-// that it has not confirmed is forgotten in time.
+// An unassigned worker without tasks is not redialled after a failure, and an unconfirmed release to such a worker
+// expires.
 func TestUnassignedWorkerIsNotRedialled(t *testing.T) {
 	lt := newLinkTest(t)
 	lt.pool.SetAssigned(func(string) bool { return false })
@@ -105,19 +105,19 @@
 	l.releases = unconfirmedReleases{"t1": lt.loop.Now() - releaseRetention - 1}
 	l.scheduleRedial()
 
-	passed := false
-	lt.loop.After(2*minRedialBackoff+sweepInterval, func() { passed = true }) // after the redial and a sweep
-	lt.runUntil(func() bool { return passed })
+	elapsed := false
+	lt.loop.After(2*minRedialBackoff+sweepInterval, func() { elapsed = true }) // later than the redial and a sweep
+	lt.runUntil(func() bool { return elapsed })
 
 	if len(l.conns) != 0 || l.openedAt != 0 {
-		t.Error("it was dialled")
+		t.Errorf("%d connections, openedAt = %d, want 0 and 0", len(l.conns), l.openedAt)
 	}
 	if len(l.releases) != 0 {
-		t.Error("a release that was not confirmed is retained")
+		t.Errorf("%d unconfirmed releases after their retention time, want 0", len(l.releases))
 	}
 }
 
-// Given the completion of a task that is not known yet, it is reported once the task's client registers the task.
+// The completion of a task that is not known yet is reported as soon as the client submits the running task.
 func TestCompletionBeforeRegistration(t *testing.T) {
 	lt := newLinkTest(t)
 	c := lt.listWorker().conns[0]
@@ -127,11 +127,12 @@
 	c.handleMessage(completion)
 	lt.adopt("t1")
 	lt.adopt("t2")
-	c.handleMessage(rejection) // no completion of a task
+	c.handleMessage(rejection) // a rejection is not the completion of a task
 	lt.adopt("t3")
 
 	lt.runUntil(func() bool { return !lt.dispatcher.IsRunning("t1") })
 	if !lt.dispatcher.IsRunning("t2") || !lt.dispatcher.IsRunning("t3") {
-		t.Error("another task was ended")
+		t.Errorf("running tasks: t2 %v, t3 %v, want true for both",
+			lt.dispatcher.IsRunning("t2"), lt.dispatcher.IsRunning("t3"))
 	}
 }
--- a/internal/workerpool/liveness.go
+++ b/internal/workerpool/liveness.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns what refused connections and restarts prove about a worker. It must never report a worker dead that
-// may be alive.
+// This file decides from refused connections and restarts whether a worker's process has died. It must never report a
+// worker as dead that may be alive.
 
 import (
 	"fmt"
@@ -9,17 +9,17 @@
 )
 
 const (
-	// deadAfterRefused is how long a worker may refuse connections and send nothing on those that it has
-	// before it counts as dead: under the 8 s in which a completion must be reported.
+	// deadAfterRefused is how long a worker may refuse connections, and send nothing on its open connections,
+	// before it is considered dead. It is below the 8 s within which a completion must be reported.
 	deadAfterRefused = 2 * second
-	// deadAfterRefusedUnpinged is the same where the deployment allows no pings.
+	// deadAfterRefusedUnpinged replaces deadAfterRefused if the deployment does not allow pings.
 	deadAfterRefusedUnpinged = 4 * second
 )
 
-// applyRestart ends the tasks that ran at the worker before its process was started again, once no connection is
-// left that was dialled before that: where one is, the process that ran them lives, whatever the list says. A worker
-// that dies and starts while it has no connection shows neither a reset nor, if it is quick, refused
-// connections for long.
+// applyRestart ends the tasks that ran at the worker before its process was restarted, as soon as no connection
+// remains that was dialled before the restart. While such a connection is up, the process that ran the tasks is
+// alive, whatever the list of discovery says. The start time from discovery is needed because a worker that dies and
+// restarts while it has no connection causes no reset, and refuses connections only briefly if it restarts quickly.
 func (l *link) applyRestart() {
 	if !l.restartPending || slices.ContainsFunc(l.conns, l.predatesRestart) {
 		return
@@ -28,15 +28,16 @@
 	l.pool.dispatcher.WorkerRestarted(l.pool.loop.Now(), l.workerID, l.processStartedAt)
 }
 
-// predatesRestart reports whether a connection is up that was dialled before the worker's process was started.
+// predatesRestart reports whether a connection is up and was dialled before the worker's process started.
 func (l *link) predatesRestart(c *workerConn) bool {
 	return c.conn.IsUp() && c.dialledAt < l.processStartedAt
 }
 
-// connRefused takes a refused connection: nobody listens there. After a reset that proves the death of the process.
-// Else it may have ended without a sign, or may only accept no further connections: then it answers a ping on
-// those that it has. Where nothing comes in while connections are refused for deadAfterRefused, it is
-// dead, and nobody will report the completions of its tasks.
+// connRefused handles a refused connection, which means that no process listens at the worker's address. After a
+// reset of an earlier connection, this proves that the worker's process has died. Without a reset, the process may have
+// died unnoticed, or may be alive and accept no further connections. A live process answers a ping on its open
+// connections. If connections are refused for deadAfterRefused and no data is received, the worker is dead and the
+// completions of its tasks will never be reported.
 func (l *link) connRefused() {
 	now := l.pool.loop.Now()
 	if l.refusedSince == 0 {
@@ -59,7 +60,7 @@
 	})
 }
 
-// pingAll pings the worker on all connections that are up, where the deployment allows that.
+// pingAll pings the worker on all connections that are up, if the deployment allows pings.
 func (l *link) pingAll() {
 	if !l.pool.pingsAllowed {
 		return
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file turns what workers send into outcomes for the dispatcher. It must never end an attempt by an answer
-// that came on another connection than the attempt's offer.
+// This file translates the messages of workers into outcomes for the dispatcher. It must never end an attempt because
+// of an answer that arrived on a connection other than that of the attempt's offer.
 
 import (
 	"strconv"
@@ -10,10 +10,10 @@
 	"ravenhitch/placement"
 )
 
-// maxReportValue bounds the values that are taken from reports of tasks.
+// maxReportValue is the limit below which values in reports on tasks are accepted.
 const maxReportValue = 1e9
 
-// reportKindsByNote maps the note of a NOTICE.
+// reportKindsByNote maps the note of a NOTICE message to the kind of report.
 var reportKindsByNote = map[string]placement.ReportKind{
 	"up":    placement.ReportRunning,
 	"cpu":   placement.ReportCores,
@@ -22,7 +22,7 @@
 	"tight": placement.ReportMemoryPressure,
 }
 
-// causesByNote maps the note of a FINISH.
+// causesByNote maps the note of a FINISH message to the cause of the end.
 var causesByNote = map[string]placement.Cause{
 	"cpu_full":   placement.CauseCores,
 	"mem_full":   placement.CauseMemory,
@@ -33,7 +33,7 @@
 	"drained":    placement.CauseDrained,
 }
 
-// outcomesByCode maps the code of a FINISH.
+// outcomesByCode maps the code of a FINISH message to the outcome.
 var outcomesByCode = map[int]placement.Outcome{
 	jsonlines.CodeEnded:     placement.Completed,
 	jsonlines.CodeCancelled: placement.Cancelled,
@@ -42,10 +42,10 @@
 	jsonlines.CodeNeverSent: placement.NeverSent,
 }
 
-// pingSucceeded is the code of the answer to a ping by a healthy worker.
+// pingSucceeded is the code with which a healthy worker answers a ping.
 const pingSucceeded = 1
 
-// handleLine takes one line from the worker. An error ends the connection.
+// handleLine parses and handles one line from the worker. An error ends the connection.
 func (c *workerConn) handleLine(line []byte) error {
 	m, err := jsonlines.Parse(line)
 	if err == nil && m.Verb == jsonlines.VerbStarted && !m.HasBlob {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// handleMessage takes one message from the worker. Verbs that are not known here are ignored.
+// handleMessage handles one message from the worker. Messages with an unknown verb are ignored.
 func (c *workerConn) handleMessage(m *jsonlines.Message) {
 	switch m.Verb {
 	case jsonlines.VerbStarted:
@@ -77,7 +77,7 @@
 	}
 }
 
-// handleStarted takes the acceptance of an offer.
+// handleStarted handles the acceptance of an offer.
 func (c *workerConn) handleStarted(m *jsonlines.Message) {
 	offer := c.writtenOffer(m.Tag)
 	if offer == nil {
@@ -89,7 +89,7 @@
 	c.link.pruneConns()
 }
 
-// handleFinish takes the end of an attempt or of a running task.
+// handleFinish handles the end of an attempt or of a running task.
 func (c *workerConn) handleFinish(m *jsonlines.Message) {
 	outcome, known := outcomesByCode[m.RC]
 	if !known {
@@ -103,21 +103,22 @@
 	c.finishTask(outcome, m)
 }
 
-// finishOffer takes the end of the attempt whose offer is open on this connection.
+// finishOffer handles the end of an attempt whose offer is open on this connection.
 func (c *workerConn) finishOffer(offer *openOffer, outcome placement.Outcome, m *jsonlines.Message) {
 	dispatcher, worker, now := c.link.pool.dispatcher, c.link.workerID, c.link.pool.loop.Now()
 	c.removeOffer(offer)
 	c.link.pool.trace("worker ended offer", m.Tag, "worker", worker, "code", m.RC, "note", m.Opt("note"), "description", m.HasBlob)
-	if outcome == placement.Completed && m.HasBlob { // the task completed before its acceptance was sent: it is both
+	if outcome == placement.Completed && m.HasBlob { // the task completed before the acceptance was sent: report both
 		dispatcher.AttemptAccepted(now, worker, m.Tag, m.Blob)
 	}
 	dispatcher.TaskEnded(now, worker, m.Tag, outcome, causesByNote[m.Opt("note")])
 	c.link.pruneConns()
 }
 
-// finishTask takes the end of a request that has no open offer on this connection: it is the completion of a running
-// task, of one whose attempt was given up here, or a duplicate or foreign answer, which must end no attempt. That it was
-// rejected or never sent is no completion of a running task: it is a duplicate of the answer to an earlier attempt.
+// finishTask handles the end of a request that has no open offer on this connection. The message is the completion of
+// a running task, the completion of a task whose attempt was abandoned here, or a duplicate or foreign answer, which
+// must not end an attempt. The outcomes "rejected" and "never sent" do not complete a running task: such a message
+// duplicates the answer to an earlier attempt.
 func (c *workerConn) finishTask(outcome placement.Outcome, m *jsonlines.Message) {
 	dispatcher, worker, now := c.link.pool.dispatcher, c.link.workerID, c.link.pool.loop.Now()
 	cause := causesByNote[m.Opt("note")]
@@ -132,7 +133,7 @@
 	}
 }
 
-// handleNotice takes a report on a running task. That it is running comes without a value.
+// handleNotice handles a report on a running task. Only the report that the task is running may lack a valid value.
 func (c *workerConn) handleNotice(m *jsonlines.Message) {
 	value, err := strconv.ParseFloat(m.Opt("value"), 64)
 	kind, known := reportKindsByNote[m.Opt("note")]
@@ -143,7 +144,7 @@
 	}
 }
 
-// handleEchoed takes the answer to a ping: that behind cancels, or that of a probe.
+// handleEchoed handles the answer to a ping, which was sent either after cancels or as a probe.
 func (c *workerConn) handleEchoed(m *jsonlines.Message) {
 	if c.cancels.isAnswer(m.Tag) {
 		c.pingAnswered()
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -1,8 +1,8 @@
 package workerpool
 
-// This file owns offers: on which connection one is sent, when, and what follows for it where its
-// connection ends. It must never send an offer that the dispatcher did not ask for, nor one whose
-// client may have disconnected.
+// This file owns offers: the connection on which an offer is sent, the time at which it is sent, and what
+// happens to it when its connection ends. It must never send an offer that the dispatcher did not request,
+// nor an offer whose client may have disconnected.
 
 import (
 	"strconv"
@@ -14,30 +14,30 @@
 )
 
 const (
-	// maxClientLastSeenAge is how long ago the client may have been last seen when its offer is sent: for one
-	// that disconnected 0.1 s ago no attempt may begin.
+	// maxClientLastSeenAge is the maximum time between the last read of a client's connection and the sending of
+	// the client's offer: no attempt may start for a client that disconnected 0.1 s ago.
 	maxClientLastSeenAge = 50 * millisecond
-	// maxOfferTries is on how many connections an offer is tried where they break before it is sent; after that
-	// it counts as never connected.
+	// maxOfferTries is the maximum number of connections on which an offer is tried if each connection breaks
+	// before the offer is sent. After that the outcome of the attempt is ConnectFailed.
 	maxOfferTries = 3
 )
 
-// openOffer is an offer without an answer.
+// openOffer is an offer that the worker has not answered.
 type openOffer struct {
 	dispatch.Offer
-	number    uint64 // of all offers of this process, in order
-	offeredAt int64
-	deadline  int64 // when the dispatcher abandons it
-	endOffset int64 // of its last byte in what was written on its connection, 0 until it is written
-	tries     int   // connections that it was put on
+	sequence  uint64 // position in the order of all offers of this process
+	offeredAt int64  // time at which the dispatcher made the offer
+	deadline  int64  // time at which the dispatcher abandons the attempt
+	endOffset int64  // offset of the end of the offer in the bytes written on its connection, 0 until it is written
+	tries     int    // number of connections on which the offer was tried
 }
 
-// isSent reports whether all of the offer was sent, so that it may have reached the worker.
+// isSent reports whether the offer was sent completely and may therefore have reached the worker.
 func (o *openOffer) isSent(conn *eventloop.Conn) bool {
 	return o.endOffset > 0 && o.endOffset <= conn.BytesSent()
 }
 
-// delayedOffer is an offer that waits on its connection until its client is seen.
+// delayedOffer is an offer that waits on its connection until the connection of its client has been read.
 type delayedOffer struct {
 	workerConn *workerConn
 	offer      *openOffer
@@ -46,11 +46,11 @@
 // Offer implements dispatch.WorkerPool.
 func (p *Pool) Offer(worker string, offer dispatch.Offer) {
 	now := p.loop.Now()
-	p.offers++
-	p.putOffer(worker, &openOffer{Offer: offer, number: p.offers, offeredAt: now, deadline: now + offer.TimeoutUs})
+	p.offersMade++
+	p.putOffer(worker, &openOffer{Offer: offer, sequence: p.offersMade, offeredAt: now, deadline: now + offer.TimeoutUs})
 }
 
-// putOffer puts an offer on a connection to the worker, on which it is sent once that is up.
+// putOffer adds an offer to a connection to the worker, and sends it as soon as the connection is up.
 func (p *Pool) putOffer(worker string, offer *openOffer) {
 	var c *workerConn
 	if l := p.links[worker]; l != nil {
@@ -67,26 +67,28 @@
 	}
 }
 
-// reportConnectFailed reports that an offer was never sent, as no connection to the worker came up.
+// reportConnectFailed reports that an offer was never sent because no connection to the worker could be established
+// or every connection broke before the offer was sent.
 func (p *Pool) reportConnectFailed(worker, requestID string) {
 	p.reportLater(func() {
 		p.dispatcher.TaskEnded(p.loop.Now(), worker, requestID, placement.ConnectFailed, placement.CauseUnknown)
 	})
 }
 
-// sendDelayedOffers sends the offers whose clients were to be seen first, and hands them to the system at once.
+// sendDelayedOffers sends the offers that waited until the connections of their clients were read, and flushes them
+// immediately.
 func (p *Pool) sendDelayedOffers() {
 	delayed := p.delayedOffers
 	p.delayedOffers = nil
 	for _, d := range delayed {
-		if d.workerConn.openOffers[d.offer.RequestID] == d.offer { // else it was cancelled, or its connection closed
+		if d.workerConn.openOffers[d.offer.RequestID] == d.offer { // otherwise cancelled, or its connection ended
 			d.workerConn.sendOffer(d.offer)
 			d.workerConn.conn.Flush()
 		}
 	}
 }
 
-// OffersSent is how many offers were sent completely.
+// OffersSent returns the number of offers that were sent completely.
 func (p *Pool) OffersSent() int64 {
 	count := p.offersSent
 	for _, l := range p.links {
@@ -101,8 +103,10 @@
 	return count
 }
 
-// sendOffer writes an offer, unless its client was not seen lately or the dispatcher forbids it by now: the offer
-// may have waited for its connection to come up, or may be resent after another one ended.
+// sendOffer writes an offer to its connection. If the connection of the client was not read recently, sendOffer
+// delays the offer. If the dispatcher no longer allows the offer, sendOffer reports that it was never sent. Both are
+// possible because an offer may have waited for its connection to be established or may be resent after another
+// connection ended.
 func (c *workerConn) sendOffer(offer *openOffer) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
@@ -125,7 +129,7 @@
 	offer.endOffset = c.conn.BytesWritten()
 }
 
-// offerMessage is the wire form of an offer that is sent now. It has at least a millisecond left.
+// offerMessage returns the wire message for an offer that is sent now. The time left in it is at least 1 ms.
 func offerMessage(offer *openOffer, now int64) jsonlines.Message {
 	leftMs := max(1, (offer.deadline-now)/millisecond)
 	m := jsonlines.Message{
@@ -145,7 +149,8 @@
 	return m
 }
 
-// removeOffer removes an offer from its connection, and counts it if it was sent. Offers are removed nowhere else.
+// removeOffer removes an offer from its connection, and counts the offer if it was sent. All removals go through
+// removeOffer.
 func (c *workerConn) removeOffer(offer *openOffer) {
 	delete(c.openOffers, offer.RequestID)
 	if offer.isSent(c.conn) {
@@ -153,8 +158,8 @@
 	}
 }
 
-// writtenOffer returns the open offer of a request if it was written on this connection, else nil: only
-// such a one can have been answered.
+// writtenOffer returns the open offer of a request if it was written on this connection, and nil otherwise. Only a
+// written offer can have been answered.
 func (c *workerConn) writtenOffer(requestID string) *openOffer {
 	if offer := c.openOffers[requestID]; offer != nil && offer.endOffset > 0 {
 		return offer
@@ -162,10 +167,11 @@
 	return nil
 }
 
-// settleOffers removes all offers from a connection that ended with err, and returns those that are to be put on
-// another one. An offer that was sent completely may have run, and is reset. Any other one never ran: where an
-// established connection broke, which says nothing of the worker, it is put on another one at once; where no
-// connection came up, its attempt ends.
+// settleOffers removes all offers from a connection that ended with err, and returns the offers to resend on another
+// connection. An offer that was sent completely may have run, so it is reported as reset. Any other offer never ran.
+// If an established connection broke, which does not show whether the worker is alive, such an offer is resent
+// immediately while the worker is listed, on at most maxOfferTries connections. In all other cases, for example if no
+// connection could be established, the attempt ends.
 func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
 	l, pool := c.link, c.link.pool
 	for _, offer := range c.offersInOrder() {
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -16,11 +16,11 @@
 	"ravenhitch/placement"
 )
 
-// offerText is what shows an offer in what a worker has read.
+// offerText is the text that identifies an offer in the data that a worker has read.
 const offerText = `"verb":"START"`
 
-// Given an offer on a connection that is reset before the offer was sent, it goes out on the next connection, once:
-// it never ran, and the worker is not to blame.
+// An offer on a connection that is reset before the offer is sent is sent exactly once, on the next connection. The
+// task never ran, and the reset does not prove that the worker failed.
 func TestUnsentOfferIsResentAfterReset(t *testing.T) {
 	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
@@ -31,27 +31,27 @@
 	}
 	pool.Offer(workerName, offerOf(submission))
 
-	reset := pool.links[workerName].conns[0]
-	reset.conn.Close()
-	reset.Closed(reset.conn, unix.ECONNRESET)
+	resetConn := pool.links[workerName].conns[0]
+	resetConn.conn.Close()
+	resetConn.Closed(resetConn.conn, unix.ECONNRESET)
 
 	stop := startLoop(t, loop, func(int64) { pool.DeliverPending() })
 	received := ""
 	for range 2 {
-		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // one connection ends without a line
+		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // one connection yields no line
 		received += line
 	}
 	if strings.Count(received, offerText) != 1 {
-		t.Errorf("the worker received %q", received)
+		t.Errorf("the worker received %q, want exactly one offer", received)
 	}
 	stop()
 }
 
-// lateConnectionCases are what may happen while an offer waits for its connection to come up.
+// lateConnectionCases lists the events that may occur while an offer waits for its connection to be established.
 var lateConnectionCases = []struct {
-	name      string
-	meanwhile func(now int64, dispatcher *dispatch.Dispatcher, pool *Pool)
-	wantSent  bool
+	name     string
+	event    func(now int64, dispatcher *dispatch.Dispatcher, pool *Pool)
+	wantSent bool
 }{
 	{"nothing", func(int64, *dispatch.Dispatcher, *Pool) {}, true},
 	{"its client cancels it", func(_ int64, _ *dispatch.Dispatcher, pool *Pool) {
@@ -66,15 +66,15 @@
 	}, false},
 }
 
-// Given an offer whose connection comes up late, it is not sent where it must not be any more.
+// An offer that waited for its connection is not sent if it was cancelled or its worker may no longer receive offers.
 func TestOfferOnLateConnection(t *testing.T) {
 	for _, c := range lateConnectionCases {
 		t.Run(c.name, func(t *testing.T) {
 			listener := nettest.Listen(t)
 			loop, pool, dispatcher := newPool(t)
 			conn := offerToWorker(t, listener, loop, pool, dispatcher)
-			c.meanwhile(loop.Now(), dispatcher, pool)
-			err := loop.Run(func(int64) { // until the connection is up and what came of that is reported
+			c.event(loop.Now(), dispatcher, pool)
+			err := loop.Run(func(int64) { // until the connection is established and its outcomes are reported
 				if pool.DeliverPending(); conn.established {
 					loop.Stop()
 				}
@@ -84,34 +84,34 @@
 			}
 
 			if open := conn.openOffers[requestID] != nil; open != c.wantSent {
-				t.Errorf("open on its connection: %v", open)
+				t.Errorf("offer open on its connection: %v, want %v", open, c.wantSent)
 			}
 			loop.Close()
 			received, err := io.ReadAll(nettest.Accept(t, listener))
 			if err != nil || strings.Contains(string(received), offerText) != c.wantSent {
-				t.Errorf("the worker received %q, %v", received, err)
+				t.Errorf("the worker received %q, error %v; want an offer: %v", received, err, c.wantSent)
 			}
 		})
 	}
 }
 
-// Given offers that wait for one connection, they leave in the order in which they were made. They were sorted by their
-// age, which is the same for all of one turn, so that they left in the order of a map: the same seed played differently,
-// and a task of low priority could go ahead of one of high priority.
+// Offers that wait for one connection are sent in the order in which they were made. This guards against sorting
+// offers by age: offers of one turn have the same age, so they were sent in map order. As a result, runs with the
+// same seed differed, and a task of low priority could be offered before a task of high priority.
 func TestWaitingOffersLeaveInOrder(t *testing.T) {
 	lt := newLinkTest(t)
 	lt.listWorker()
 	const offers = 20
-	var made []string
+	var offered []string
 	for i := range offers {
 		submission := newSubmission()
-		submission.RequestID = testbed.RequestID(offers - i) // against the order of request IDs
+		submission.RequestID = testbed.RequestID(offers - i) // the reverse of the order of request IDs
 		submission.Key = submission.RequestID
 		if err := lt.dispatcher.Submit(lt.loop.Now(), nil, submission); err != nil {
 			t.Fatal(err)
 		}
 		lt.pool.Offer(workerName, offerOf(submission))
-		made = append(made, submission.RequestID)
+		offered = append(offered, submission.RequestID)
 	}
 	var sent []string
 	go func() {
@@ -129,7 +129,7 @@
 	if err := lt.loop.Run(func(int64) { lt.pool.DeliverPending() }); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(sent, made) {
-		t.Errorf("made %v, sent %v", made, sent)
+	if !slices.Equal(sent, offered) {
+		t.Errorf("sent offers %v, want %v", sent, offered)
 	}
 }
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -1,12 +1,13 @@
-// Package workerpool owns the connections of an orchestrator to its workers. It carries offers, cancels,
-// releases and probes of the dispatcher to them, and turns what they send into outcomes for the
-// dispatcher. All of it runs on the event loop; every time is in microseconds of the loop's clock
-// unless its type says otherwise.
+// Package workerpool owns the connections of an orchestrator to its workers. It sends the offers, cancels,
+// releases and probes of the dispatcher to the workers, and translates the messages of the workers into
+// outcomes for the dispatcher. All of the package runs on the event loop. Times are in microseconds of the
+// loop's clock unless their type says otherwise.
 package workerpool
 
-// This file owns the set of workers: which ones discovery lists, the periodic sweep over all of them,
-// and the outcomes that wait for the dispatcher. It must never call the dispatcher from within a call of
-// the dispatcher, and never end an attempt because its time is up: deadlines belong to the dispatcher.
+// This file owns the set of workers that discovery lists, the periodic sweep over all of them, and the
+// outcomes that wait to be reported to the dispatcher. It must never call the dispatcher while the dispatcher
+// is calling the pool, and never end an attempt because its deadline has passed: deadlines belong to the
+// dispatcher.
 
 import (
 	"log/slog"
@@ -27,37 +28,38 @@
 
 	// sweepInterval is the time between two sweeps over all workers.
 	sweepInterval = 500 * millisecond
-	// unlistedLinger is how long the connections to a worker that left the list stay open for what it still
-	// has to report. There must be a limit, as a worker that vanished never closes them.
+	// unlistedLinger is how long the connections to a worker stay open after discovery no longer lists it, so
+	// that the worker can send its remaining reports. The time is limited because a worker that has vanished
+	// never closes its connections.
 	unlistedLinger = 10 * second
 )
 
-// Pool connects the dispatcher to the workers. It owns the link to each of them.
+// Pool connects the dispatcher to the workers. It owns the link to each worker.
 type Pool struct {
-	loop          *eventloop.Loop
-	dispatcher    *dispatch.Dispatcher
-	log           *ratelog.Logger
-	tracer        dispatch.Tracer
-	dialTimeoutUs int64
-	pingsAllowed  bool // the deployment lets workers be sent pings
-	links         map[string]*link
-	sortedLinks   []*link                  // links by worker ID, nil where that is to be sorted anew
-	isAssigned    func(worker string) bool // this orchestrator places tasks there, nil: at all workers
-	offers        uint64                   // offers so far
-	offersSent    int64                    // offers that were sent completely and are settled
-	outcomes      []func()                 // found during calls of the dispatcher, and not reported yet
-	delayedOffers []delayedOffer           // wait until their clients are seen
-	budget        *descriptors.Budget      // nil where there are enough descriptors for all
-	idle          idleConns
-	// keepAlive is after how long without a packet from a worker's system TCP keepalive sends it a probe; 0 where
-	// its acknowledgements do not prove the worker's connection alive.
+	loop           *eventloop.Loop
+	dispatcher     *dispatch.Dispatcher
+	log            *ratelog.Logger
+	tracer         dispatch.Tracer
+	dialTimeoutUs  int64
+	pingsAllowed   bool                     // the deployment allows pings to workers
+	links          map[string]*link         // by worker ID
+	sortedLinks    []*link                  // the links sorted by worker ID; nil if they must be sorted again
+	isAssigned     func(worker string) bool // this orchestrator places tasks at the worker; nil for all workers
+	offersMade     uint64                   // number of offers since the start
+	offersSent     int64                    // number of offers that were sent completely and are no longer open
+	pendingReports []func()                 // outcomes found during calls by the dispatcher and not yet reported to it
+	delayedOffers  []delayedOffer           // offers that wait until the connections of their clients have been read
+	budget         *descriptors.Budget      // nil if descriptors are not limited
+	idle           idleConns
+	// keepAlive is the time without a packet from the worker's operating system after which TCP keepalive sends a
+	// probe. It is 0 if TCP acknowledgements do not prove that the connection to the worker is alive.
 	keepAlive time.Duration
 }
 
 var _ dispatch.WorkerPool = (*Pool)(nil)
 
-// New returns a pool without workers. dialTimeoutUs, in microseconds, bounds how long a connection may take
-// to come up; pingsAllowed says that workers may be sent pings. SetDispatcher sets the dispatcher.
+// New returns a pool without workers. dialTimeoutUs is the maximum time, in microseconds, for establishing a
+// connection. pingsAllowed is true if the pool may send pings to workers. SetDispatcher sets the dispatcher.
 func New(loop *eventloop.Loop, dialTimeoutUs int64, pingsAllowed bool, log *slog.Logger) *Pool {
 	return &Pool{
 		loop:          loop,
@@ -69,24 +71,27 @@
 	}
 }
 
-// SetTraceSuffixes limits the trace to the request IDs that end in one of the suffixes; none traces all.
+// SetTraceSuffixes limits the trace to the request IDs that end in one of the suffixes. Without suffixes, all
+// requests are traced.
 func (p *Pool) SetTraceSuffixes(suffixes []string) { p.tracer.Suffixes = suffixes }
 
-// SetKeepAlive lets TCP keepalive prove that a connection is alive, and has the system send a probe once nothing
-// has come from the worker's system for the given time. No proxy may answer in the workers' place.
-func (p *Pool) SetKeepAlive(after time.Duration) { p.keepAlive = after }
+// SetKeepAlive makes the pool accept TCP acknowledgements as proof that a connection is alive, and enables TCP
+// keepalive: the operating system sends a probe after idleTime without a packet from the worker's operating system.
+// No proxy between the pool and a worker may acknowledge packets on the worker's behalf.
+func (p *Pool) SetKeepAlive(idleTime time.Duration) { p.keepAlive = idleTime }
 
-// ShareDescriptors makes the pool connect workers only as the budget allows.
+// ShareDescriptors makes the pool open connections to workers only if the budget admits them.
 func (p *Pool) ShareDescriptors(budget *descriptors.Budget) { p.budget = budget }
 
-// SetDispatcher sets the dispatcher that outcomes are reported to, and starts the periodic sweep.
+// SetDispatcher sets the dispatcher to which the pool reports outcomes, and starts the periodic sweep.
 func (p *Pool) SetDispatcher(dispatcher *dispatch.Dispatcher) {
 	p.dispatcher = dispatcher
 	p.loop.After(sweepInterval, p.sweep)
 }
 
-// SetAssigned sets at which workers this orchestrator places tasks: connections to these are kept up, and to
-// the others while tasks run there. isAssigned must give the same answers until the next call.
+// SetAssigned sets the function that reports whether this orchestrator places tasks at a worker. The pool keeps
+// connections to these workers up, and to other workers only while tasks run there. isAssigned must return the same
+// result for a worker until the next call of SetAssigned.
 func (p *Pool) SetAssigned(isAssigned func(worker string) bool) {
 	p.isAssigned = isAssigned
 	for _, l := range p.linksByID() {
@@ -98,7 +103,8 @@
 
 func (p *Pool) assigned(worker string) bool { return p.isAssigned == nil || p.isAssigned(worker) }
 
-// linksByID returns all links, sorted by worker ID. The slice stays as it is while links come and go.
+// linksByID returns all links, sorted by worker ID. The returned slice does not change when links are added or
+// removed.
 func (p *Pool) linksByID() []*link {
 	if p.sortedLinks == nil {
 		p.sortedLinks = slices.SortedFunc(maps.Values(p.links), func(a, b *link) int {
@@ -118,14 +124,15 @@
 	p.sortedLinks = nil
 }
 
-// sweep maintains the links of workers that are assigned here, are connected, have unconfirmed releases or run tasks.
+// sweep maintains the links of workers that are assigned to this orchestrator, are connected, have unconfirmed
+// releases or run tasks.
 func (p *Pool) sweep() {
 	for _, l := range p.linksByID() {
 		if l.assigned || len(l.conns) > 0 || len(l.releases) > 0 {
 			l.sweep(p.dispatcher.TasksOn(l.workerID), p.loop.Now())
 		}
 	}
-	for _, worker := range p.dispatcher.WorkersWithTasks() { // unassigned ones
+	for _, worker := range p.dispatcher.WorkersWithTasks() { // for unassigned workers, which the first loop skips
 		if l := p.links[worker]; l != nil && !l.assigned && len(l.conns) == 0 {
 			l.sweep(p.dispatcher.TasksOn(worker), p.loop.Now())
 		}
@@ -133,27 +140,29 @@
 	p.loop.After(sweepInterval, p.sweep)
 }
 
-// reportLater reports an outcome to the dispatcher in the next turn, not from within its call.
+// reportLater queues an outcome that DeliverPending reports to the dispatcher, and requests another turn of the loop.
+// The outcome is not reported at once because the caller may be running within a call by the dispatcher.
 func (p *Pool) reportLater(report func()) {
-	p.outcomes = append(p.outcomes, report)
+	p.pendingReports = append(p.pendingReports, report)
 	p.loop.RunAgain()
 }
 
-// DeliverPending reports to the dispatcher the outcomes that were found during its calls. The orchestrator calls it
-// in each turn once all that came in was read; offers that were delayed until then are sent first, and at once.
+// DeliverPending reports to the dispatcher the outcomes that were found during its calls. The orchestrator calls
+// DeliverPending in each turn of the loop after all received data has been read. DeliverPending first sends the
+// offers that were delayed until then, and flushes them immediately.
 func (p *Pool) DeliverPending() {
 	p.sendDelayedOffers()
-	for len(p.outcomes) > 0 {
-		batch := p.outcomes
-		p.outcomes = nil
+	for len(p.pendingReports) > 0 {
+		batch := p.pendingReports
+		p.pendingReports = nil
 		for _, report := range batch {
 			report()
 		}
 	}
 }
 
-// UpdateWorker applies the address of a worker from discovery, and whether it is listed. Where the address changed,
-// the connections to the former one are closed.
+// UpdateWorker applies an update from discovery: the address of a worker and whether the worker is listed. If the
+// address changed, the connections to the old address are closed.
 func (p *Pool) UpdateWorker(worker, addr string, listed bool) {
 	l := p.links[worker]
 	if l == nil {
@@ -175,8 +184,8 @@
 	p.unlist(l)
 }
 
-// unlist removes a worker that is no longer listed: at once where it has no connection, else after
-// unlistedLinger, unless it is listed again by then.
+// unlist removes a worker that is no longer listed. A worker without a connection is removed immediately, any other
+// worker after unlistedLinger unless it is listed again by then.
 func (p *Pool) unlist(l *link) {
 	l.redialTimer.Stop()
 	if len(l.conns) == 0 {
@@ -191,7 +200,7 @@
 	})
 }
 
-// WorkerStarted applies from discovery when the process of a worker started, a Unix time in microseconds.
+// WorkerStarted applies the start time of a worker's process that discovery reported, as a Unix time in microseconds.
 func (p *Pool) WorkerStarted(worker string, startedAt int64) {
 	if l := p.links[worker]; l != nil && startedAt > l.processStartedAt {
 		l.processStartedAt, l.restartPending = startedAt, true
@@ -199,7 +208,7 @@
 	}
 }
 
-// RemoveUnlisted removes the workers that a full list did not name.
+// RemoveUnlisted removes the workers that are missing from a full list of discovery.
 func (p *Pool) RemoveUnlisted(listed map[string]bool) {
 	for _, l := range p.linksByID() {
 		if !listed[l.workerID] {
@@ -208,8 +217,9 @@
 	}
 }
 
-// Close aborts the connections on which an attempt may be open, at the end of the program. After a plain close the
-// system would go on sending what is in its buffers, and an offer would arrive that nobody waits for.
+// Close aborts the connections on which an attempt may be open. It is called when the program ends. After a plain
+// close, the operating system would continue to send its buffers, and the worker would receive an offer whose result
+// nobody awaits.
 func (p *Pool) Close() {
 	for _, l := range p.links {
 		for _, c := range l.conns {
@@ -220,7 +230,7 @@
 	}
 }
 
-// trace writes one step of a request at debug level.
+// trace logs one step of a request at debug level.
 func (p *Pool) trace(step, requestID string, args ...any) {
 	p.tracer.Step(step, requestID, p.loop.Now(), args...)
 }
--- a/internal/workerpool/probe.go
+++ b/internal/workerpool/probe.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns probes: the pings by which the dispatcher asks how a worker is, and the load reports in
-// their answers. It must never report a probe more than once.
+// This file owns probes: the pings with which the dispatcher checks a worker, and the load reports in the
+// answers. It must never report the result of a probe more than once.
 
 import (
 	"maps"
@@ -32,7 +32,7 @@
 	p.loop.After(p.dialTimeoutUs, func() { c.endProbe(pingTag, placement.TimedOut, "") })
 }
 
-// endProbe reports the outcome of a probe, if it is still open. load is the load report of the answer.
+// endProbe reports the outcome of a probe if the probe is still open. load is the load report in the worker's answer.
 func (c *workerConn) endProbe(pingTag string, outcome placement.Outcome, load string) {
 	sentAt, ok := c.probes[pingTag]
 	if !ok {
@@ -49,14 +49,15 @@
 	})
 }
 
-// failProbes ends the probes that are open on a connection that ended.
+// failProbes reports ConnectFailed for the probes that are open on a connection that ended.
 func (c *workerConn) failProbes() {
 	for _, pingTag := range slices.Sorted(maps.Keys(c.probes)) {
 		c.endProbe(pingTag, placement.ConnectFailed, "")
 	}
 }
 
-// parseLoad reads a load report: pairs of a name, a colon and a number. What is absent or no number is NaN.
+// parseLoad parses a load report, which consists of name:number pairs separated by semicolons or commas. A value that
+// is absent or not a number is NaN.
 func parseLoad(text string) placement.Load {
 	nan := math.NaN()
 	load := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
--- a/internal/workerpool/probe_test.go
+++ b/internal/workerpool/probe_test.go
@@ -32,7 +32,7 @@
 				"queued":      {got.Queued, c.want.Queued},
 			} {
 				if got, want := pair[0], pair[1]; got != want && !(math.IsNaN(got) && math.IsNaN(want)) {
-					t.Errorf("%s: got %v, expected %v", field, got, want)
+					t.Errorf("%s: got %v, want %v", field, got, want)
 				}
 			}
 		})
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns releases of running tasks and whether workers have confirmed them. A worker confirms one by
-// reporting that the task has ended; until then the release is sent again on each new connection.
+// This file owns the releases of running tasks and records which ones workers have not confirmed. A worker confirms a
+// release by reporting that the task has ended. Until then the release is sent again on each new connection.
 
 import (
 	"maps"
@@ -11,25 +11,25 @@
 )
 
 const (
-	// maxUnconfirmedReleases bounds the unconfirmed releases of one worker.
+	// maxUnconfirmedReleases is the maximum number of unconfirmed releases that are remembered for one worker.
 	maxUnconfirmedReleases = 1024
-	// releaseRetention is how long an unconfirmed release is remembered: the longest network cut that
-	// connections outlive.
+	// releaseRetention is how long an unconfirmed release is remembered. It equals the longest network outage
+	// that connections survive.
 	releaseRetention = 60 * second
 )
 
-// unconfirmedReleases are the releases that one worker has not confirmed: when each was requested, by
-// request ID.
+// unconfirmedReleases maps the request ID of each release that one worker has not confirmed to the time at which
+// the release was requested.
 type unconfirmedReleases map[string]int64
 
-// expire forgets the releases that are older than releaseRetention.
+// expire deletes the releases that are older than releaseRetention.
 func (r unconfirmedReleases) expire(now int64) {
 	if len(r) > 0 {
 		maps.DeleteFunc(r, func(_ string, requestedAt int64) bool { return now-requestedAt > releaseRetention })
 	}
 }
 
-// confirm forgets the release of a task that the worker has reported ended.
+// confirm deletes the release of a task whose end the worker has reported.
 func (r unconfirmedReleases) confirm(requestID string) { delete(r, requestID) }
 
 // Release implements dispatch.WorkerPool.
@@ -44,12 +44,12 @@
 	if len(l.releases) < maxUnconfirmedReleases {
 		l.releases[requestID] = p.loop.Now()
 	}
-	if c := l.connForSending(); c != nil && c.conn.IsUp() { // else it goes out once one is
+	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise sent once a connection is up
 		c.sendFinish(requestID)
 	}
 }
 
-// HasUnconfirmedReleases reports whether a worker has not confirmed a release yet.
+// HasUnconfirmedReleases reports whether any worker has an unconfirmed release.
 func (p *Pool) HasUnconfirmedReleases() bool {
 	for _, l := range p.links {
 		if len(l.releases) > 0 {
@@ -59,14 +59,14 @@
 	return false
 }
 
-// resendReleases writes on a new connection the releases that were not confirmed on those before.
+// resendReleases sends the releases that the worker has not confirmed on a newly established connection.
 func (c *workerConn) resendReleases() {
 	for _, requestID := range slices.Sorted(maps.Keys(c.link.releases)) {
 		c.sendFinish(requestID)
 	}
 }
 
-// sendFinish has the worker end an attempt or a running task.
+// sendFinish requests the worker to end an attempt or a running task.
 func (c *workerConn) sendFinish(requestID string) {
 	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CodeEnded, HasRC: true})
 }
