--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -1,11 +1,13 @@
-// Package metrics sends figures to Graphite, in its plaintext protocol, and to collectd, in
-// the plain text protocol of its unixsock plugin. It owns one connection and one goroutine
-// for each of them. It must never make the caller wait: a sample that comes while the last
-// one is still being sent is dropped, and a receiver that is down or slow costs samples and
-// nothing else.
+// Package metrics sends figures to Graphite in its plaintext protocol, and to collectd in
+// the plain text protocol of its unixsock plugin. Each exporter owns one connection and one
+// goroutine.
+//
+// The package must never make its caller wait. A sample that is offered while an earlier one
+// is still queued is dropped. A receiver that is down or slow costs samples, and has no other
+// effect on the program.
 package metrics
 
-// This file owns the exporter: its goroutine, its connection, and what is dropped.
+// This file owns the exporter: its goroutine, its connection, and the count of dropped samples.
 
 import (
 	"bufio"
@@ -17,25 +19,27 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	sendTimeout = 2 * time.Second // for a sample and its confirmation
-	// retryInterval is for how long a receiver is not tried again after a failure.
+	sendTimeout = 2 * time.Second // maximum time to write a sample and read its confirmation
+	// retryInterval is the time after a failure during which samples are dropped without an
+	// attempt to send them.
 	retryInterval = time.Second
 )
 
-// Figure is one value. A counter only grows while the program runs.
+// Figure is one named value. It is a counter, which never decreases while the program runs, or
+// a gauge.
 type Figure struct {
 	Name    string
 	Value   float64
 	Counter bool
 }
 
-// Sample holds the figures at one time.
+// Sample holds the values of all figures at one time.
 type Sample struct {
 	At      time.Time
 	Figures []Figure
 }
 
-// Exporter sends samples to one receiver. Close ends it.
+// Exporter sends samples to one receiver until Close is called.
 type Exporter struct {
 	network, addr string
 	protocol      Protocol
@@ -45,7 +49,8 @@
 	dropped       atomic.Int64
 }
 
-// NewExporter starts to send to addr; the network is as for net.Dial.
+// NewExporter starts an exporter that sends samples to addr. The network and addr are those of
+// net.Dial.
 func NewExporter(network, addr string, protocol Protocol, log *slog.Logger) *Exporter {
 	e := &Exporter{
 		network:  network,
@@ -59,8 +64,8 @@
 	return e
 }
 
-// Offer takes a sample, and reports false if it drops it because one is still queued. It
-// never blocks.
+// Offer queues a sample and returns true. If another sample is still queued, Offer drops the new
+// one and returns false. It never blocks.
 func (e *Exporter) Offer(s Sample) bool {
 	select {
 	case e.samples <- s:
@@ -71,11 +76,11 @@
 	}
 }
 
-// Dropped returns how many samples were dropped or lost.
+// Dropped returns the number of samples that were dropped or could not be sent.
 func (e *Exporter) Dropped() int64 { return e.dropped.Load() }
 
-// Close ends the exporter once the queued sample is sent or lost, and waits for that until
-// the timeout. Offer must not be called after it.
+// Close ends the exporter after the queued sample, if any, is sent or lost. It waits for the end
+// of the exporter for at most timeout. Offer must not be called after Close.
 func (e *Exporter) Close(timeout time.Duration) {
 	close(e.samples)
 	select {
@@ -84,12 +89,12 @@
 	}
 }
 
-// run sends the samples until there are no more.
+// run sends the queued samples until Close is called.
 func (e *Exporter) run() {
 	defer close(e.done)
 	r := receiver{network: e.network, addr: e.addr, protocol: e.protocol}
 	defer r.close()
-	var failedAt time.Time // zero while the receiver works
+	var failedAt time.Time // time of the last failure, zero if the last attempt to send succeeded
 	for s := range e.samples {
 		if !failedAt.IsZero() && time.Since(failedAt) < retryInterval {
 			e.dropped.Add(1)
@@ -101,14 +106,14 @@
 			continue
 		}
 		e.dropped.Add(1)
-		if failedAt.IsZero() { // the first failure alone is logged
+		if failedAt.IsZero() { // only the first failure in a row is logged
 			e.log.Warn("metrics export failed", "to", e.addr, "err", err)
 		}
 		failedAt = time.Now()
 	}
 }
 
-// receiver is the connection to a receiver, which is opened when a sample needs it.
+// receiver is the connection to a receiver. It is opened when a sample is to be sent.
 type receiver struct {
 	network, addr string
 	protocol      Protocol
@@ -116,7 +121,7 @@
 	reader        *bufio.Reader
 }
 
-// send sends a sample and reads its confirmation. After an error the connection is closed.
+// send sends a sample and reads its confirmation. It closes the connection after an error.
 func (r *receiver) send(s Sample) error {
 	err := r.open()
 	if err == nil {
@@ -128,7 +133,7 @@
 	return err
 }
 
-// open opens a connection where the last sample left none: it is kept from sample to sample.
+// open opens the connection unless it is still open from an earlier sample.
 func (r *receiver) open() error {
 	if r.conn != nil {
 		return nil
@@ -141,8 +146,8 @@
 	return nil
 }
 
-// exchange writes a sample and reads its confirmation, both within sendTimeout: a slow receiver must
-// not hold up the goroutine that Close waits for.
+// exchange writes a sample and reads its confirmation, both within sendTimeout. The limit keeps a
+// slow receiver from delaying the end of the goroutine, which Close waits for.
 func (r *receiver) exchange(s Sample) error {
 	if err := r.conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
@@ -153,11 +158,12 @@
 	return r.protocol.Confirm(r.reader, s)
 }
 
-// close has the next sample open a new connection. It may be called twice.
+// close closes the connection, so that the next sample opens a new one. It does nothing if the
+// connection is closed.
 func (r *receiver) close() {
 	if r.conn == nil {
 		return
 	}
-	_ = r.conn.Close() // nothing is left to be sent
+	_ = r.conn.Close() // nothing is left to be sent, so an error is ignored
 	r.conn = nil
 }
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -13,14 +13,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// sample holds a counter and a gauge.
+// sample is a sample with a counter and a gauge.
 var sample = Sample{
 	At:      time.Unix(1_700_000_000, 0),
 	Figures: []Figure{{"offers", 12, true}, {"open requests", 0.5, false}},
 }
 
-// startReceiver starts a receiver that answers each line, and returns its address and the
-// lines that it gets.
+// startReceiver starts a receiver that replies to each line with answer. It returns the
+// receiver's address and a channel of the received lines.
 func startReceiver(t *testing.T, network, addr, answer string) (string, chan string) {
 	t.Helper()
 	ln, err := net.Listen(network, addr)
@@ -41,9 +41,10 @@
 	return ln.Addr().String(), lines
 }
 
-// answerLines passes on each line of a connection and answers it, until the connection ends.
+// answerLines sends each line of a connection to lines and replies to it, until the connection
+// ends.
 func answerLines(conn net.Conn, answer string, lines chan<- string) {
-	defer func() { _ = conn.Close() }() // the exporter ends it first
+	defer func() { _ = conn.Close() }() // the exporter has closed its end by then
 	for r := bufio.NewReader(conn); ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// closeOrFail closes c.
+// closeOrFail closes c. It fails the test on an error, unless c was already closed.
 func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -62,17 +63,17 @@
 	}
 }
 
-// expectLines checks the next lines that a receiver gets.
+// expectLines checks that the next lines of a receiver are want.
 func expectLines(t *testing.T, lines <-chan string, want ...string) {
 	t.Helper()
 	for _, wantLine := range want {
 		if line := testbed.Wait(t, "a line", lines); line != wantLine {
-			t.Errorf("got %q, expected %q", line, wantLine)
+			t.Errorf("got line %q, want %q", line, wantLine)
 		}
 	}
 }
 
-// Graphite gets a line for each figure, and no sample is lost.
+// TestGraphite asserts that Graphite receives a line for each figure, and that no sample is lost.
 func TestGraphite(t *testing.T) {
 	addr, lines := startReceiver(t, "tcp", "127.0.0.1:0", "")
 	e := NewExporter("tcp", addr, Graphite{Prefix: "edge.almaty", Name: "n1.x"}, slog.New(slog.DiscardHandler))
@@ -80,11 +81,12 @@
 	expectLines(t, lines, "edge.almaty.n1_x.offers 12 1700000000\n", "edge.almaty.n1_x.open_requests 0.5 1700000000\n")
 	e.Close(10 * time.Second)
 	if e.Dropped() != 0 {
-		t.Errorf("%d samples lost", e.Dropped())
+		t.Errorf("got %d lost samples, want 0", e.Dropped())
 	}
 }
 
-// Collectd gets a PUTVAL for each figure, and a sample that it rejects counts as lost.
+// TestCollectd asserts that collectd receives a PUTVAL command for each figure, and that a sample
+// counts as lost if collectd rejects it or does not reply with a status line.
 func TestCollectd(t *testing.T) {
 	for _, test := range []struct {
 		answer string
@@ -104,12 +106,13 @@
 			"PUTVAL \"n1/ravenhitch/gauge-open_requests\" interval=2.5 1700000000:0.5\n")
 		e.Close(10 * time.Second)
 		if e.Dropped() != test.lost {
-			t.Errorf("%q: %d samples lost, expected %d", test.answer, e.Dropped(), test.lost)
+			t.Errorf("answer %q: got %d lost samples, want %d", test.answer, e.Dropped(), test.lost)
 		}
 	}
 }
 
-// Given a receiver that is down, then Offer never blocks, and each sample counts as lost.
+// TestOfferNeverBlocks asserts that Offer does not block while the receiver is down, and that each
+// sample counts as lost.
 func TestOfferNeverBlocks(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,17 +121,17 @@
 	closeOrFail(t, ln)
 	e := NewExporter("tcp", ln.Addr().String(), Graphite{Prefix: "p", Name: "n"}, slog.New(slog.DiscardHandler))
 	began := time.Now()
-	taken := int64(0)
+	accepted := int64(0)
 	for range 1000 {
 		if e.Offer(sample) {
-			taken++
+			accepted++
 		}
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("1000 offers took %s", took)
+		t.Errorf("1000 calls of Offer took %s, want at most 1s", took)
 	}
 	e.Close(10 * time.Second)
 	if e.Dropped() != 1000 {
-		t.Errorf("%d of 1000 samples lost, %d were taken", e.Dropped(), taken)
+		t.Errorf("got %d lost samples, want 1000; Offer accepted %d", e.Dropped(), accepted)
 	}
 }
--- a/internal/metrics/protocol.go
+++ b/internal/metrics/protocol.go
@@ -1,7 +1,7 @@
 package metrics
 
-// This file owns the two protocols: the text of a sample, and the reading of a
-// confirmation. It must never hold a connection.
+// This file owns the two protocols. It formats samples and reads confirmations. It must never
+// keep a connection.
 
 import (
 	"bufio"
@@ -11,15 +11,17 @@
 	"time"
 )
 
-// Protocol is the form in which samples are sent.
+// Protocol formats samples for a receiver and reads its confirmations.
 type Protocol interface {
-	// Append appends the text of a sample.
+	// Append appends the text of a sample to dst.
 	Append(dst []byte, s Sample) []byte
-	// Confirm reads the receiver's answer to a sample, if the protocol has one.
+	// Confirm reads the receiver's confirmation of a sample, if the protocol has confirmations. It
+	// returns an error if the receiver rejected the sample or the confirmation cannot be read.
 	Confirm(r *bufio.Reader, s Sample) error
 }
 
-// sanitize makes a name safe in both protocols.
+// sanitize makes a name safe in both protocols: it replaces each character that is not an ASCII
+// letter, a digit, '_' or '-' with '_'.
 func sanitize(name string) string {
 	return strings.Map(func(r rune) rune {
 		switch {
@@ -30,11 +32,11 @@
 	}, name)
 }
 
-// formatValue returns a value in the shortest decimal form without an exponent.
+// formatValue formats a value in the shortest decimal form without an exponent.
 func formatValue(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
 
-// Graphite is the plaintext protocol: a line "path value timestamp" for each figure, and
-// no answer.
+// Graphite is Graphite's plaintext protocol. It sends a line "path value timestamp" for each
+// figure. The receiver sends no confirmation.
 type Graphite struct{ Prefix, Name string }
 
 // Append implements Protocol.
@@ -49,9 +51,10 @@
 // Confirm implements Protocol.
 func (Graphite) Confirm(*bufio.Reader, Sample) error { return nil }
 
-// Collectd is the plain text protocol: a PUTVAL for each figure, and a status line in
-// answer to each, whose number is below 0 if the value was rejected, and else how many
-// lines follow it.
+// Collectd is collectd's plain text protocol. It sends a PUTVAL command for each figure. The
+// receiver answers each command with a status line that begins with a number. A negative number
+// says that the value was rejected. Otherwise it is the number of lines that follow the status
+// line.
 type Collectd struct {
 	Prefix, Name string
 	Interval     time.Duration
@@ -72,7 +75,7 @@
 }
 
 // Confirm implements Protocol. It returns a *RejectedError if a value was rejected, and a
-// *StatusLineError if the answer is no status line.
+// *StatusLineError if the answer to a command is not a status line.
 func (c Collectd) Confirm(r *bufio.Reader, s Sample) error {
 	var rejection string
 	for range s.Figures {
@@ -109,16 +112,18 @@
 	return status, text, nil
 }
 
-// StatusLineError is an answer of collectd that is no status line.
+// StatusLineError reports an answer of collectd that is not a status line.
 type StatusLineError struct{ Line string }
 
 // Error implements error.
 func (e *StatusLineError) Error() string {
-	return fmt.Sprintf("metrics: not a status line: %.60q", e.Line)
+	return fmt.Sprintf("metrics: expected a status line of collectd, got %.60q", e.Line)
 }
 
-// RejectedError says that collectd rejected a value, and why.
+// RejectedError reports that collectd rejected a value. Text is collectd's reason.
 type RejectedError struct{ Text string }
 
 // Error implements error.
-func (e *RejectedError) Error() string { return fmt.Sprintf("metrics: not taken: %.60q", e.Text) }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("metrics: collectd rejected a value: %.60q", e.Text)
+}
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -16,13 +16,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// The constants of this file are the bytes that the build of commit 532e1c5 writes: an orchestrator of
-// that build and one of this build are members of one cluster while it is upgraded.
+// The encoded constants in this file are the bytes that the build of commit 532e1c5 ("the previous build") writes.
+// Orchestrators of that build and of this one are members of the same cluster while it is upgraded, so each must
+// read what the other writes.
 
-// previousNonce is the incarnation nonce of the member n2 whose bytes these are.
+// previousNonce is the incarnation nonce of the member n2, which sends the messages in this file.
 const previousNonce = 0x1122334455667788
 
-// previousSender is what n2 says of itself in each of its datagrams.
+// previousSender is the update about itself that n2 puts into each of its datagrams.
 var previousSender = membership.Update{
 	Name:        "n2",
 	Zone:        "hall-b",
@@ -31,7 +32,7 @@
 	Incarnation: 3 << 24,
 }
 
-// previousDatagrams are datagrams to n1, and the messages that they carry.
+// previousDatagrams holds datagrams from n2 to n1, encoded in hexadecimal digits, and the messages that they carry.
 var previousDatagrams = []struct {
 	name, encoded string
 	message       membership.Message
@@ -108,20 +109,21 @@
 	},
 }
 
-// previousHellos are the hello frames of n2, by the kind of records that follow; none for 0.
+// previousHellos holds the hello frames of n2 in hexadecimal digits, by the kind of records that follow. No records
+// follow the hello of kind 0.
 var previousHellos = map[RecordKind]string{
 	0:          "170a0464616c6112026e3219887766554433221128013001",
 	Urgent:     "190a0464616c6112026e32198877665544332211280130014001",
 	Background: "190a0464616c6112026e32198877665544332211280130014002",
 }
 
-// previousRecord is the frame of a record, and previousData what it carries.
+// previousRecord is the frame of a record in hexadecimal digits, and previousData is the content of the record.
 const (
 	previousRecord = "0a0a0861207265636f7264"
 	previousData   = "a record"
 )
 
-// fromHex are the bytes that a constant of this file spells.
+// fromHex decodes a constant of this file from hexadecimal digits.
 func fromHex(t *testing.T, digits string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(digits)
@@ -131,7 +133,7 @@
 	return b
 }
 
-// TestPreviousDatagrams asserts that this build reads the previous build's datagrams, and writes the same.
+// TestPreviousDatagrams asserts that this build decodes the previous build's datagrams and encodes the same bytes.
 func TestPreviousDatagrams(t *testing.T) {
 	for _, c := range previousDatagrams {
 		t.Run(c.name, func(t *testing.T) {
@@ -140,57 +142,57 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(*got, c.message) {
-				t.Errorf("expected %+v, got %+v", c.message, *got)
+				t.Errorf("got message %+v, want %+v", *got, c.message)
 			}
 			b, err := Encode("dala", &c.message)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if written := hex.EncodeToString(b); written != c.encoded {
-				t.Errorf("expected the bytes %s, got %s", c.encoded, written)
+				t.Errorf("got encoded datagram %s, want %s", written, c.encoded)
 			}
 		})
 	}
 }
 
-// TestPreviousHellos asserts that this build takes the previous build's hello frames, and writes the same.
+// TestPreviousHellos asserts that this build accepts the previous build's hello frames and encodes the same bytes.
 func TestPreviousHellos(t *testing.T) {
 	for kind, encoded := range previousHellos {
 		frame := fromHex(t, encoded)
 		message, used, err := decodeFrame(frame, maxHelloFrame)
 		if err != nil || used != len(frame) {
-			t.Fatalf("kind %d: %d of %d bytes used, %v", kind, used, len(frame), err)
+			t.Fatalf("kind %d: decodeFrame used %d of %d bytes and returned error %v", kind, used, len(frame), err)
 		}
 		h, version, err := CheckHello("dala", message)
 		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || RecordKind(h.GetKind()) != kind {
-			t.Errorf("kind %d: got %v, version %d, %v", kind, h, version, err)
+			t.Errorf("kind %d: got hello %v, version %d, error %v, want a hello of n2 with version 1", kind, h, version, err)
 		}
 		p := &Peers{settings: Settings{Cluster: "dala", Name: "n2"}, nonce: previousNonce}
 		if written := hex.EncodeToString(p.hello(kind)); written != encoded {
-			t.Errorf("kind %d: expected the bytes %s, got %s", kind, encoded, written)
+			t.Errorf("kind %d: got encoded hello %s, want %s", kind, written, encoded)
 		}
 	}
 }
 
-// TestPreviousRecord asserts that this build takes the previous build's record frame, and writes the same.
+// TestPreviousRecord asserts that this build accepts the previous build's record frame and encodes the same bytes.
 func TestPreviousRecord(t *testing.T) {
 	encoded := fromHex(t, previousRecord)
 	message, used, err := decodeFrame(encoded, maxRecordFrame)
 	if err != nil || used != len(encoded) {
-		t.Fatalf("%d of %d bytes used, %v", used, len(encoded), err)
+		t.Fatalf("decodeFrame used %d of %d bytes and returned error %v", used, len(encoded), err)
 	}
 	var r peerpb.Record
 	if err := proto.Unmarshal(message, &r); err != nil || string(r.GetData()) != previousData {
-		t.Errorf("expected %q, got %q, %v", previousData, r.GetData(), err)
+		t.Errorf("got record %q, error %v, want %q", r.GetData(), err, previousData)
 	}
 	written, err := encodeFrame(&peerpb.Record{Data: []byte(previousData)}, maxRecordFrame)
 	if err != nil || hex.EncodeToString(written) != previousRecord {
-		t.Errorf("expected the bytes %s, got %x, %v", previousRecord, written, err)
+		t.Errorf("got encoded record %x, error %v, want %s", written, err, previousRecord)
 	}
 }
 
-// TestPreviousStartsFile asserts that this build goes on where the previous build's file of starts ends, and
-// leaves a file that the previous build reads.
+// TestPreviousStartsFile asserts that this build continues the count in the previous build's file of starts, and
+// leaves a file in the format that the previous build reads.
 func TestPreviousStartsFile(t *testing.T) {
 	for _, c := range []struct {
 		name, before, after string
@@ -207,16 +209,17 @@
 			}
 			incarnation, fault, err := NextIncarnation(dir)
 			if err != nil || fault != "" || incarnation != c.incarnation {
-				t.Errorf("expected incarnation %d, got %d, %q, %v", c.incarnation, incarnation, fault, err)
+				t.Errorf("got incarnation %d, fault %q, error %v, want incarnation %d", incarnation, fault, err, c.incarnation)
 			}
 			if b, err := os.ReadFile(file); err != nil || string(b) != c.after {
-				t.Errorf("expected %q in the file, got %q, %v", c.after, b, err)
+				t.Errorf("got file content %q, error %v, want %q", b, err, c.after)
 			}
 		})
 	}
 }
 
-// TestPreviousStatusReport asserts that the status report has the previous build's JSON names, in its order.
+// TestPreviousStatusReport asserts that the status report has the same JSON names in the same order as in the previous
+// build.
 func TestPreviousStatusReport(t *testing.T) {
 	const previous = `{"cluster":"dala","name":"n1","doubt":2,"view":{"number":3,"digest":"00000000000000ff","names":["n1","n2"]},` +
 		`"members":[{"name":"n1","hall":"hall-a","address":"127.0.0.1:7101","incarnation":1,"state":"alive","link":"itself","rtt_ms":0,"silent_ms":0},` +
@@ -236,12 +239,13 @@
 		Traffic: Traffic{1, 2, 3, 4, 5, 6, 7},
 	}
 	if b, err := report.Reply(); err != nil || string(b) != previous {
-		t.Errorf("expected %s, got %s, %v", previous, b, err)
+		t.Errorf("got status report %s, error %v, want %s", b, err, previous)
 	}
 }
 
-// TestPreviousBuildSendsRecords plays a member of the previous build to a running one of this build: its ping
-// makes it a member, and on a connection that its hello opens its records are taken.
+// TestPreviousBuildSendsRecords sends the bytes of a member of the previous build to a running orchestrator of this
+// build. It asserts that the ping makes the sender a member, and that a record is accepted on a connection that
+// begins with the sender's hello.
 func TestPreviousBuildSendsRecords(t *testing.T) {
 	loop, p, log := startPeer(t, "n1")
 	records := make(chan string, 1)
@@ -250,9 +254,9 @@
 	})
 	write(t, dial(t, "udp", p.Addr()), fromHex(t, previousDatagrams[0].encoded))
 	joined := func() bool { return strings.Contains(log.String(), "event=joined member=n2") }
-	for limit := time.Now().Add(testbed.Timeout); !joined(); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("the ping made no member: %s", log.String())
+	for deadline := time.Now().Add(testbed.Timeout); !joined(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("n2 did not become a member after its ping; log: %s", log.String())
 		}
 	}
 	conn := dial(t, "tcp", p.Addr())
@@ -261,9 +265,9 @@
 	select {
 	case got := <-records:
 		if got != "n2: "+previousData {
-			t.Errorf("got the record %q", got)
+			t.Errorf("got record %q, want %q", got, "n2: "+previousData)
 		}
 	case <-time.After(testbed.Timeout):
-		t.Errorf("no record came: %s", log.String())
+		t.Errorf("no record arrived within %v; log: %s", testbed.Timeout, log.String())
 	}
 }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -1,9 +1,11 @@
 package peer
 
-// This file owns the form of datagrams, and the bounds of what is taken: a message past one is malformed. It
-// maps the names of their fields (hall, life, rumour, witness, heard) to the program's terms. The field life of
-// a hello is mapped in hello.go and where hellos are checked, the names of the status report in
-// status_report.go. It must never keep bytes that it was handed.
+// This file encodes, decodes and validates datagrams. A datagram that exceeds a limit is malformed. The decoder must
+// never retain the bytes passed to it.
+//
+// This file also maps the names of fields on the wire (hall, life, rumour, witness, heard) to the terms of the
+// program. The field life of a hello is mapped in hello.go and where hellos are checked, the names in the status
+// report in status_report.go.
 
 import (
 	"fmt"
@@ -15,16 +17,16 @@
 	"ravenhitch/internal/peer/peerpb"
 )
 
-// The versions of the protocol that this program speaks.
+// The range of protocol versions that this program supports.
 const (
 	MinVersion = 1
 	MaxVersion = 1
 )
 
-// maxUpdates bounds the updates of a datagram.
+// maxUpdates is the maximum number of updates in a datagram.
 const maxUpdates = 64
 
-// Encode writes a datagram.
+// Encode returns m encoded as a datagram for the named cluster.
 func Encode(cluster string, m *membership.Message) ([]byte, error) {
 	d := &peerpb.Datagram{
 		Cluster: cluster,
@@ -47,7 +49,7 @@
 	return proto.Marshal(d)
 }
 
-// Decode reads a datagram. Its errors are MessageErrors.
+// Decode decodes and validates a datagram, which must be of the named cluster. Its errors are of type *MessageError.
 func Decode(cluster string, b []byte) (*membership.Message, error) {
 	var d peerpb.Datagram
 	if err := proto.Unmarshal(b, &d); err != nil {
@@ -82,14 +84,14 @@
 	return m, nil
 }
 
-// checkDatagram checks all of a datagram but its updates.
+// checkDatagram validates all fields of a datagram except its updates.
 func checkDatagram(cluster string, d *peerpb.Datagram) error {
 	sender := d.GetSelf().GetName()
 	if d.GetCluster() != cluster {
 		return otherCluster(cluster, d.GetCluster(), fmt.Sprintf("%.40q", sender))
 	}
 	if d.GetVersion() > MaxVersion {
-		return noCommonVersion("%.40q needs version %d, this program speaks %d to %d",
+		return noCommonVersion("a datagram from %.40q needs version %d, this program supports %d to %d",
 			sender, d.GetVersion(), MinVersion, MaxVersion)
 	}
 	kindKnown := d.GetKind() >= uint32(membership.Ping) && d.GetKind() <= uint32(membership.PingRequestResult)
@@ -97,7 +99,7 @@
 		len(d.GetTarget()) <= membership.MaxNameLength && len(d.GetFor()) <= membership.MaxNameLength
 	listsInBounds := len(d.GetDigests()) <= membership.DigestBuckets && len(d.GetRumours()) <= maxUpdates
 	if !kindKnown || !namesInBounds || !listsInBounds {
-		return malformed("a datagram of kind %d to %.40q with %d updates", d.GetKind(), d.GetTo(), len(d.GetRumours()))
+		return malformed("invalid datagram: kind %d, to %.40q, %d updates", d.GetKind(), d.GetTo(), len(d.GetRumours()))
 	}
 	return nil
 }
@@ -138,7 +140,7 @@
 	}
 	for _, w := range encoded.GetWitnesses() {
 		if !validName(w.GetName()) || len(w.GetHall()) > membership.MaxNameLength {
-			return u, malformed("%s: expected the name of a confirming member, got %.40q", encoded.GetName(), w.GetName())
+			return u, malformed("%s: expected a confirmation with member name and zone, got name %.40q", encoded.GetName(), w.GetName())
 		}
 		u.Confirmations = append(u.Confirmations, membership.Confirmation{
 			Name:    w.GetName(),
@@ -149,5 +151,5 @@
 	return u, nil
 }
 
-// validName reports whether a name is present and within its bound.
+// validName reports whether a name is not empty and has at most membership.MaxNameLength bytes.
 func validName(name string) bool { return name != "" && len(name) <= membership.MaxNameLength }
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -12,7 +12,7 @@
 	"ravenhitch/internal/peer/peerpb"
 )
 
-// drawUpdate draws an update.
+// drawUpdate draws a gossip update within the limits of the protocol.
 func drawUpdate(t *rapid.T, label string) membership.Update {
 	name := rapid.StringMatching(`[a-z0-9-]{1,64}`)
 	u := membership.Update{
@@ -30,7 +30,7 @@
 	return u
 }
 
-// drawMessage draws a message with all fields.
+// drawMessage draws a message in which all fields are set.
 func drawMessage(t *rapid.T) *membership.Message {
 	m := &membership.Message{
 		Kind:               membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")),
@@ -51,8 +51,9 @@
 	return m
 }
 
-// TestDatagramRoundTrip asserts that what is written reads the same, is never larger than the table reckons,
-// and reads the same by a program that knows fewer fields: unknown fields are passed over.
+// TestDatagramRoundTrip asserts that decoding an encoded message yields the same message, and that the datagram is
+// never larger than Message.Size predicts. It also asserts that unknown fields, such as those of a newer peer, are
+// ignored, and that a datagram of another cluster is rejected.
 func TestDatagramRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
@@ -61,7 +62,7 @@
 			t.Fatal(err)
 		}
 		if len(b) > m.Size()+membership.MaxNameLength {
-			t.Fatalf("%d bytes, reckoned %d", len(b), m.Size())
+			t.Fatalf("got a datagram of %d bytes, want at most Size() = %d and the cluster name", len(b), m.Size())
 		}
 		b = protowire.AppendTag(b, 99, protowire.BytesType)
 		b = protowire.AppendBytes(b, []byte("of a newer peer"))
@@ -74,26 +75,27 @@
 			t.Fatal(err)
 		}
 		if want, _ := Encode("dala", m); string(again) != string(want) {
-			t.Fatalf("%+v became %+v", m, got)
+			t.Fatalf("after decoding: got %+v, want %+v", got, m)
 		}
 		if _, err := Decode("other", b); !errors.Is(err, ErrOtherCluster) {
-			t.Fatalf("of another cluster: %v", err)
+			t.Fatalf("datagram of another cluster: got error %v, want %v", err, ErrOtherCluster)
 		}
 	})
 }
 
-// TestDatagramOfLaterVersion asserts that a datagram that needs a later version is not taken.
+// TestDatagramOfLaterVersion asserts that a datagram that needs a later protocol version is rejected.
 func TestDatagramOfLaterVersion(t *testing.T) {
 	b, err := proto.Marshal(&peerpb.Datagram{Cluster: "dala", Version: MaxVersion + 1, Kind: 1, To: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Decode("dala", b); !errors.Is(err, ErrNoCommonVersion) {
-		t.Errorf("expected ErrNoCommonVersion, got %v", err)
+		t.Errorf("got error %v, want %v", err, ErrNoCommonVersion)
 	}
 }
 
-// FuzzDatagram asserts what holds of any bytes: no panic, and what is taken is in bounds.
+// FuzzDatagram asserts for arbitrary bytes that Decode does not panic, and that every message it returns is within the
+// limits of the protocol.
 func FuzzDatagram(f *testing.F) {
 	sender := membership.Update{Name: "n1", Addr: "127.0.0.1:1"}
 	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Sender: sender})
@@ -109,7 +111,7 @@
 		if m.Kind < membership.Ping || m.Kind > membership.PingRequestResult || len(m.Sender.Name) == 0 ||
 			len(m.Sender.Name) > membership.MaxNameLength || len(m.Updates) > maxUpdates ||
 			len(m.Digests) > membership.DigestBuckets {
-			t.Fatalf("%+v", m)
+			t.Fatalf("Decode returned a message outside the limits: %+v", m)
 		}
 	})
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -1,27 +1,27 @@
 package peer
 
-// This file owns the errors about messages of other orchestrators. Those of Send are in stream.go.
+// This file owns the errors about messages from other orchestrators. The errors of Peers.Send are in stream.go.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// Why a message of another orchestrator is not taken.
+// Reasons why a message from another orchestrator is rejected.
 var (
 	ErrMalformed       = errors.New("peer: malformed message")
-	ErrOtherCluster    = errors.New("peer: of another cluster")
-	ErrNoCommonVersion = errors.New("peer: no version in common")
+	ErrOtherCluster    = errors.New("peer: message from another cluster")
+	ErrNoCommonVersion = errors.New("peer: no common protocol version")
 )
 
-// MessageError says what is wrong with a message of another orchestrator.
+// MessageError reports an invalid message from another orchestrator.
 type MessageError struct {
 	Reason error  // ErrMalformed, ErrOtherCluster or ErrNoCommonVersion
-	Detail string // what was expected, and what came
-	Cause  error  // of the decoder, nil where it took the bytes
+	Detail string // the expected and the received values
+	Cause  error  // the error of the decoder, nil if the message was decoded
 }
 
-// Error is the reason, and the detail or the cause.
+// Error returns the reason, followed by the detail, the cause or both.
 func (e *MessageError) Error() string {
 	switch {
 	case e.Cause == nil:
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%v: %s: %v", e.Reason, e.Detail, e.Cause)
 }
 
-// Unwrap is the reason, and the cause.
+// Unwrap returns the reason, and the cause if there is one.
 func (e *MessageError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{e.Reason}
@@ -40,17 +40,17 @@
 	return []error{e.Reason, e.Cause}
 }
 
-// malformed is a MessageError for ErrMalformed.
+// malformed returns a MessageError for ErrMalformed.
 func malformed(format string, args ...any) error {
 	return &MessageError{Reason: ErrMalformed, Detail: fmt.Sprintf(format, args...)}
 }
 
-// otherCluster is a MessageError for ErrOtherCluster.
+// otherCluster returns a MessageError for ErrOtherCluster.
 func otherCluster(want, got, sender string) error {
 	return &MessageError{Reason: ErrOtherCluster, Detail: fmt.Sprintf("expected %q, got %.40q from %s", want, got, sender)}
 }
 
-// noCommonVersion is a MessageError for ErrNoCommonVersion.
+// noCommonVersion returns a MessageError for ErrNoCommonVersion.
 func noCommonVersion(format string, args ...any) error {
 	return &MessageError{Reason: ErrNoCommonVersion, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,7 +1,8 @@
 package peer
 
-// This file owns the frames that are sent on connections: each is a message with its length as a varint before
-// it. It must never allocate what a length claims before its bytes have come.
+// This file encodes and decodes the frames that are sent on connections. A frame is the length of a message as a
+// varint, followed by the message. The decoder must never allocate memory for an announced length before the
+// bytes have arrived.
 
 import (
 	"encoding/binary"
@@ -9,20 +10,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// encodeFrame writes a message of at most limit bytes with its length before it.
+// encodeFrame returns m as a frame. It returns an error if the encoded message is longer than limit bytes.
 func encodeFrame(m proto.Message, limit int) ([]byte, error) {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
 	if len(b) > limit {
-		return nil, malformed("%d bytes of at most %d", len(b), limit)
+		return nil, malformed("the encoded message has %d bytes, at most %d are allowed", len(b), limit)
 	}
 	return append(binary.AppendUvarint(nil, uint64(len(b))), b...), nil
 }
 
-// decodeFrame finds the first message in b, of at most limit bytes; used is 0 while it is incomplete. The
-// length that a frame claims is never allocated: the bytes are waited for as they come.
+// decodeFrame returns the first message in b and the number of bytes of its frame, or used = 0 while the frame is
+// incomplete. A message longer than limit bytes is an error. The returned message is part of b: nothing is
+// allocated for the length that a frame announces.
 func decodeFrame(b []byte, limit uint64) (message []byte, used int, err error) {
 	length, prefix := binary.Uvarint(b)
 	tooLong := prefix > 0 && length > limit
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file owns handshake probes: a connection each, opened to see which process sends a hello, and closed
-// once that is known.
+// This file owns handshake probes. A handshake probe opens a connection to a member's address to learn which process
+// answers there with a hello, and closes the connection once the hello has arrived.
 
 import (
 	"errors"
@@ -12,17 +12,18 @@
 	"ravenhitch/internal/membership"
 )
 
-// handshakeTimeout is how long a connection opened here may take until both sides sent their hello.
+// handshakeTimeout is the maximum duration of a handshake probe, from the dial to the other side's hello. For the
+// connection of an outbound stream it limits the dial alone.
 const handshakeTimeout = 300 * millisecond
 
-// handshakeProbe is a connection that this orchestrator opened to see who answers.
+// handshakeProbe is a connection that this orchestrator opened to learn which process listens at a member's address.
 type handshakeProbe struct {
 	peers  *Peers
 	member string
 	timer  *eventloop.Timer
 }
 
-// startHandshakeProbe opens a connection to a member; the result goes to the table.
+// startHandshakeProbe opens a connection to the address of a member. The result is reported to the table.
 func (p *Peers) startHandshakeProbe(address, member string) {
 	p.counts.HandshakeProbes++
 	h := &handshakeProbe{peers: p, member: member}
@@ -37,8 +38,8 @@
 	})
 }
 
-// fail hands an error to the table: a refusal comes from the system of the other host, and all else that is no
-// hello is silence.
+// fail reports a probe without a valid hello to the table. A refused connection is an answer from the operating
+// system of the member's host: no process listens there. Every other error counts as no answer.
 func (h *handshakeProbe) fail(err error) {
 	result := membership.HandshakeTimedOut
 	if errors.Is(err, unix.ECONNREFUSED) {
@@ -47,7 +48,7 @@
 	h.report(0, result)
 }
 
-// report hands the result to the table.
+// report passes the result to the table. nonce is the incarnation nonce in the hello, or 0 without one.
 func (h *handshakeProbe) report(nonce uint64, result membership.HandshakeResult) {
 	p := h.peers
 	p.perform(p.table.HandshakeProbed(p.loop.Now(), h.member, nonce, result))
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -1,6 +1,6 @@
 package peer
 
-// This file owns what the tests of this package share: a loop that runs, and two orchestrators on it.
+// This file owns the helpers that the tests of this package share: event loops, and orchestrators that run on them.
 
 import (
 	"io"
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261202") }
 
-// logBuffer keeps what is logged.
+// logBuffer collects log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -39,7 +39,7 @@
 
 func (l *logBuffer) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
-// newLoop makes a loop that the test closes.
+// newLoop returns an event loop that is closed at the end of the test.
 func newLoop(t *testing.T, descriptors int) *eventloop.Loop {
 	t.Helper()
 	loop, err := eventloop.New(descriptors)
@@ -50,7 +50,7 @@
 	return loop
 }
 
-// run runs a loop until the test ends.
+// run runs an event loop until the end of the test.
 func run(t *testing.T, loop *eventloop.Loop) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -63,12 +63,12 @@
 	})
 }
 
-// settingsOf are those of a member without others.
+// settingsOf returns the settings of a member that knows no other members.
 func settingsOf(name string) Settings {
 	return Settings{Listen: "127.0.0.1:0", Cluster: "dala", Name: name, Zone: "zone-a", Incarnation: 1}
 }
 
-// startPeer runs a member without others.
+// startPeer starts a member that knows no other members, on a running event loop of its own.
 func startPeer(t *testing.T, name string) (*eventloop.Loop, *Peers, *logBuffer) {
 	t.Helper()
 	loop := newLoop(t, 32)
@@ -81,7 +81,7 @@
 	return loop, p, log
 }
 
-// dial opens a connection that the test closes.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, network, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial(network, address)
@@ -92,7 +92,7 @@
 	return conn
 }
 
-// write writes bytes to a connection.
+// write writes b to w and fails the test on an error.
 func write(t *testing.T, w io.Writer, b []byte) {
 	t.Helper()
 	if _, err := w.Write(b); err != nil {
@@ -100,14 +100,14 @@
 	}
 }
 
-// onLoop runs f on a loop and waits for it.
+// onLoop runs f on an event loop and waits until f has returned.
 func onLoop(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// twoPeers is two orchestrators on one loop, with relays between them.
+// twoPeers holds two orchestrators on one event loop that reach each other through relays.
 type twoPeers struct {
 	loop *eventloop.Loop
 	net  *testbed.Network
@@ -115,7 +115,7 @@
 	log  logBuffer
 }
 
-// newTwoPeers runs n0 and n1, and waits until each is a member to the other.
+// newTwoPeers starts the orchestrators n0 and n1 and waits until each sees the other as a member.
 func newTwoPeers(t *testing.T) *twoPeers {
 	t.Helper()
 	pair := &twoPeers{net: testbed.NewNetwork(1)}
@@ -124,7 +124,7 @@
 	pair.a = pair.newPeer(t, "n0", "n1")
 	pair.b = pair.newPeer(t, "n1", "n0")
 	run(t, pair.loop)
-	pair.eventually(t, "both are members", func() bool {
+	pair.eventually(t, "n0 and n1 to see each other as members", func() bool {
 		_, _, bIsMember := pair.a.table.Locate("n1")
 		_, _, aIsMember := pair.b.table.Locate("n0")
 		return aIsMember && bIsMember
@@ -132,7 +132,7 @@
 	return pair
 }
 
-// newPeer makes one of the two, which reaches the other by a relay.
+// newPeer creates one of the two orchestrators, which reaches the other through a relay.
 func (pair *twoPeers) newPeer(t *testing.T, name, other string) *Peers {
 	t.Helper()
 	relay, err := pair.net.Relay(name, other)
@@ -151,10 +151,10 @@
 	return p
 }
 
-// onLoop runs f on the loop and waits for it.
+// onLoop runs f on the event loop and waits until f has returned.
 func (pair *twoPeers) onLoop(f func()) { onLoop(pair.loop, f) }
 
-// setConditions changes what the path from one to the other does to datagrams and connections.
+// setConditions changes the network conditions of the path between two orchestrators, in one direction.
 func (pair *twoPeers) setConditions(t *testing.T, from, to string, set func(*testbed.Conditions)) {
 	t.Helper()
 	if err := pair.net.Set(from, to, set); err != nil {
@@ -162,16 +162,16 @@
 	}
 }
 
-// eventually waits until a condition holds on the loop.
+// eventually waits until condition, evaluated on the event loop, returns true. what names the event that is awaited.
 func (pair *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
 		ok := false
 		if pair.onLoop(func() { ok = condition() }); ok {
 			return
 		}
-		if time.Now().After(limit) {
-			t.Fatalf("%s: never came; %s", what, pair.log.String())
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s; log: %s", what, pair.log.String())
 		}
 	}
 }
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -1,7 +1,8 @@
 package peer
 
-// This file owns the hello, which is the first frame of a connection in both directions: who sends it, which
-// versions it speaks, and which records follow. It must never take one of another cluster.
+// This file owns the hello, the first frame of a connection in both directions. A hello names its sender, the
+// protocol versions that the sender supports, and the kind of records that follow. A hello from another cluster
+// must never be accepted.
 
 import (
 	"google.golang.org/protobuf/proto"
@@ -10,16 +11,16 @@
 )
 
 const (
-	// maxHelloFrame bounds a hello, in bytes.
+	// maxHelloFrame is the maximum size of a hello, in bytes.
 	maxHelloFrame = 64 << 10
-	// maxFeatures bounds the features that a hello names.
+	// maxFeatures is the maximum number of features that a hello names.
 	maxFeatures = 64
 )
 
-// noRecords is the kind in a hello that no records follow.
+// noRecords is the record kind in a hello that is not followed by records.
 const noRecords RecordKind = 0
 
-// hello is the frame of this orchestrator's hello, and says which records follow.
+// hello returns the frame of this orchestrator's hello. kind is the kind of records that follow it, or noRecords.
 func (p *Peers) hello(kind RecordKind) []byte {
 	b, err := encodeFrame(&peerpb.Hello{
 		Cluster: p.settings.Cluster,
@@ -29,28 +30,28 @@
 		Highest: MaxVersion,
 		Kind:    uint32(kind),
 	}, maxHelloFrame)
-	if err != nil { // names are bounded by the settings: this can't happen
+	if err != nil { // cannot happen: the settings limit the length of names
 		p.log.Error("peer hello not encoded", "err", err)
 	}
 	return b
 }
 
-// CheckHello reads a peer's hello, and agrees on the highest version that both speak. Its errors are
-// MessageErrors.
+// CheckHello decodes and validates a peer's hello. It returns the hello and the highest protocol version that both
+// sides support. Its errors are of type *MessageError.
 func CheckHello(cluster string, b []byte) (hello *peerpb.Hello, version uint32, err error) {
 	hello = &peerpb.Hello{}
 	if err := proto.Unmarshal(b, hello); err != nil {
 		return nil, 0, &MessageError{Reason: ErrMalformed, Cause: err}
 	}
 	if !validName(hello.GetName()) || len(hello.GetFeatures()) > maxFeatures {
-		return nil, 0, malformed("a hello from %.40q with %d features", hello.GetName(), len(hello.GetFeatures()))
+		return nil, 0, malformed("invalid hello: name %.40q, %d features", hello.GetName(), len(hello.GetFeatures()))
 	}
 	if hello.GetCluster() != cluster {
 		return nil, 0, otherCluster(cluster, hello.GetCluster(), hello.GetName())
 	}
 	version = min(MaxVersion, hello.GetHighest())
 	if version < max(MinVersion, hello.GetLowest()) {
-		return nil, 0, noCommonVersion("%s speaks %d to %d, this program %d to %d",
+		return nil, 0, noCommonVersion("%s supports versions %d to %d, this program supports %d to %d",
 			hello.GetName(), hello.GetLowest(), hello.GetHighest(), MinVersion, MaxVersion)
 	}
 	return hello, version, nil
--- a/internal/peer/hello_test.go
+++ b/internal/peer/hello_test.go
@@ -10,7 +10,7 @@
 	"ravenhitch/internal/peer/peerpb"
 )
 
-// helloFrame is the frame of a hello.
+// helloFrame returns the frame of a hello.
 func helloFrame(t testing.TB, hello *peerpb.Hello) []byte {
 	t.Helper()
 	b, err := encodeFrame(hello, maxHelloFrame)
@@ -20,7 +20,8 @@
 	return b
 }
 
-// FuzzHello asserts what holds of any bytes: no panic, and what is taken is in bounds.
+// FuzzHello asserts for arbitrary bytes that decoding a hello does not panic, and that an accepted hello is within the
+// limits of the protocol.
 func FuzzHello(f *testing.F) {
 	f.Add(helloFrame(f, &peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: 1, Highest: 1}))
 	f.Add(binary.AppendUvarint(nil, 3<<30))
@@ -30,19 +31,21 @@
 			return
 		}
 		if used > len(b) || len(m) > maxHelloFrame {
-			t.Fatalf("%d of %d bytes, a message of %d", used, len(b), len(m))
+			t.Fatalf("decodeFrame used %d of %d bytes and returned a message of %d bytes, want at most %d",
+				used, len(b), len(m), maxHelloFrame)
 		}
 		hello, version, err := CheckHello("dala", m)
 		if err != nil {
 			return
 		}
 		if version < MinVersion || version > MaxVersion || hello.GetName() == "" {
-			t.Fatalf("%v, version %d", hello, version)
+			t.Fatalf("CheckHello returned hello %v and version %d, want a name and a supported version", hello, version)
 		}
 	})
 }
 
-// TestVersionAgreement asserts that both ends agree on the highest version that both speak.
+// TestVersionAgreement asserts that CheckHello returns the highest version that both sides support, and an error if
+// there is none.
 func TestVersionAgreement(t *testing.T) {
 	for _, test := range []struct {
 		lowest, highest, want uint32
@@ -65,7 +68,8 @@
 			t.Fatal(err)
 		}
 		if _, version, err := CheckHello("dala", b); version != test.want || !errors.Is(err, test.err) {
-			t.Errorf("%+v: %d, %v", test, version, err)
+			t.Errorf("versions %d to %d: got version %d, error %v, want %d, %v",
+				test.lowest, test.highest, version, err, test.want, test.err)
 		}
 	}
 }
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file owns the inbound connections: a hello each, and the records that follow on some. It must never
-// take a record from a peer that is not a member by that name and incarnation nonce.
+// This file owns the inbound connections. Each begins with a hello, which some peers follow with records. A record
+// must never be accepted unless its sender is a member with the name and the incarnation nonce of the hello.
 
 import (
 	"fmt"
@@ -13,18 +13,18 @@
 )
 
 const (
-	// helloTimeout is how long an inbound connection may take to send its hello.
+	// helloTimeout is the time after which an inbound connection is closed unless its hello has announced records.
 	helloTimeout = 2 * second
-	// maxPendingInbound bounds the inbound connections that have not announced records.
+	// maxPendingInbound is the maximum number of inbound connections that have not announced records.
 	maxPendingInbound = 32
 )
 
 // inboundConn is a connection that another orchestrator opened.
 type inboundConn struct {
 	peers      *Peers
-	helloTimer *eventloop.Timer // ends the connection unless its hello comes in time
+	helloTimer *eventloop.Timer // closes the connection unless its hello announces records in time
 	conn       *eventloop.Conn
-	stream     streamKey // whose records come; its kind is noRecords before the hello, and where none do
+	stream     streamKey // announced by the hello; the kind is noRecords until a hello announces records
 }
 
 // Opened implements eventloop.Handler.
@@ -37,7 +37,8 @@
 	})
 }
 
-// release gives back what the connection counts against: the limit of inbound connections, or its stream.
+// release removes the connection from the count of pending inbound connections, or from the inbound streams if its
+// hello announced records.
 func (in *inboundConn) release() {
 	if in.stream.kind == noRecords {
 		in.helloTimer.Stop()
@@ -47,9 +48,9 @@
 	}
 }
 
-// startStream makes it the one connection of its stream: the peer that opened an earlier one has abandoned
-// that. It no longer counts against the limit of inbound connections, so that many streams keep no other peer
-// from connecting.
+// startStream makes the connection the only one of its stream. It closes an earlier connection of the stream, which
+// the peer has abandoned by opening this one. A connection of a stream no longer counts as pending, so that many
+// streams do not keep other peers from connecting.
 func (in *inboundConn) startStream(stream streamKey) {
 	in.release()
 	in.stream = stream
@@ -82,7 +83,7 @@
 	}
 }
 
-// maxFrame is the size of the largest message that may come next, in bytes.
+// maxFrame returns the maximum size of the next message, in bytes.
 func (in *inboundConn) maxFrame() uint64 {
 	if in.stream.kind == noRecords {
 		return maxHelloFrame
@@ -90,7 +91,7 @@
 	return maxRecordFrame
 }
 
-// receive takes one message: the hello, or a record where the hello announced them.
+// receive handles one message: a record if a hello announced records, otherwise a hello.
 func (in *inboundConn) receive(conn *eventloop.Conn, message []byte) error {
 	if in.stream.kind != noRecords {
 		return in.receiveRecord(message)
@@ -102,10 +103,10 @@
 	stream := streamKey{hello.GetName(), RecordKind(hello.GetKind())}
 	if stream.kind != noRecords {
 		if _, nonce, ok := in.peers.table.Locate(stream.member); !ok || nonce != hello.GetLife() {
-			return malformed("no member %s of that incarnation nonce is known here", stream.member)
+			return malformed("%s is not a known member with the incarnation nonce of its hello", stream.member)
 		}
 		if maxQueued[stream.kind] == 0 {
-			return noCommonVersion("%s sends records of kind %d", stream.member, stream.kind)
+			return noCommonVersion("%s announced records of the unknown kind %d", stream.member, stream.kind)
 		}
 		in.startStream(stream)
 	}
@@ -113,11 +114,11 @@
 	return nil
 }
 
-// receiveRecord hands one record to the handler of its kind.
+// receiveRecord passes one record to the handler of its kind. A record without a handler is counted and dropped.
 func (in *inboundConn) receiveRecord(message []byte) error {
 	var record peerpb.Record
 	if err := proto.Unmarshal(message, &record); err != nil {
-		return &MessageError{Reason: ErrMalformed, Detail: fmt.Sprintf("a record of %s", in.stream.member), Cause: err}
+		return &MessageError{Reason: ErrMalformed, Detail: fmt.Sprintf("a record from %s", in.stream.member), Cause: err}
 	}
 	in.peers.counts.RecordsReceived++
 	if handle := in.peers.recordHandlers[in.stream.kind]; handle != nil {
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -15,15 +15,15 @@
 	"ravenhitch/internal/testbed"
 )
 
-// TestInboundConnections asserts that an inbound connection whose bytes are invalid is closed with one log line that
-// says why, and costs no memory by what it claims, and that the next hello is answered. It asserts the same of
-// datagrams, which end nothing.
+// TestInboundConnections asserts that an inbound connection that sends invalid bytes is closed without an answer, that
+// the reason is logged, and that a valid hello on a later connection is answered. It also asserts that an invalid
+// datagram is counted as refused. An announced length of 3 GB must be rejected before memory is allocated for it.
 func TestInboundConnections(t *testing.T) {
 	loop, p, log := startPeer(t, "n1")
 	cases := []struct {
 		name string
 		sent []byte
-		want string // of the log line
+		want string // part of the log line
 	}{
 		{"a length of 3 GB", binary.AppendUvarint(nil, 3<<30), "expected a message of at most 65536 bytes"},
 		{"a length without an end", bytes.Repeat([]byte{0xff}, 11), "expected a message of at most 65536 bytes"},
@@ -35,18 +35,18 @@
 		{
 			"a later version",
 			helloFrame(t, &peerpb.Hello{Cluster: "dala", Name: "n2", Lowest: 7, Highest: 9}),
-			"n2 speaks 7 to 9, this program 1 to 1",
+			"n2 supports versions 7 to 9, this program supports 1 to 1",
 		},
-		{"no name", helloFrame(t, &peerpb.Hello{Cluster: "dala", Lowest: 1, Highest: 1}), "a hello from"},
+		{"no name", helloFrame(t, &peerpb.Hello{Cluster: "dala", Lowest: 1, Highest: 1}), `invalid hello: name \"\", 0 features`},
 	}
 	for _, c := range cases {
 		answer, err := exchange(t, p, c.sent)
 		closed := errors.Is(err, io.EOF) || errors.Is(err, unix.ECONNRESET)
 		if !closed || len(answer) > 0 {
-			t.Errorf("%s: %q got %q, %v", c.name, c.sent, answer, err)
+			t.Errorf("%s: sent %q, got answer %q and error %v, want a closed connection", c.name, c.sent, answer, err)
 		}
 		if !strings.Contains(log.String(), c.want) {
-			t.Errorf("%s: %q was not logged: %s", c.name, c.want, log.String())
+			t.Errorf("%s: expected %q in the log, got: %s", c.name, c.want, log.String())
 		}
 	}
 
@@ -55,22 +55,23 @@
 	hello, version, helloErr := CheckHello("dala", message)
 	if err != nil || frameErr != nil || used != len(answer) ||
 		helloErr != nil || version != 1 || hello.GetName() != "n1" || hello.GetLife() != p.nonce {
-		t.Errorf("answered with %v (%v, %v, %v)", hello, err, frameErr, helloErr)
+		t.Errorf("valid hello: got answer %v, version %d (errors: %v, %v, %v), want the hello of n1 with version 1",
+			hello, version, err, frameErr, helloErr)
 	}
 
 	write(t, dial(t, "udp", p.Addr()), []byte("nonsense"))
-	for limit := time.Now().Add(testbed.Timeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testbed.Timeout); ; time.Sleep(time.Millisecond) {
 		var counts Counts
 		onLoop(loop, func() { counts = p.Counts() })
 		if counts.Received == 1 && counts.Refused == int64(len(cases))+1 {
 			break
-		} else if time.Now().After(limit) {
-			t.Fatalf("%+v", counts)
+		} else if time.Now().After(deadline) {
+			t.Fatalf("got counts %+v, want 1 datagram received and %d messages refused", counts, len(cases)+1)
 		}
 	}
 }
 
-// exchange sends bytes on a connection of their own, and returns what comes back first.
+// exchange sends bytes on a new connection and returns the result of the first read from it.
 func exchange(t *testing.T, p *Peers, sent []byte) (answer []byte, err error) {
 	t.Helper()
 	conn := dial(t, "tcp", p.Addr())
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -1,7 +1,8 @@
 package peer
 
-// This file owns the counter of starts in a folder that outlives the process, by which the incarnations of
-// one name grow. It blocks: it belongs before the event loop runs.
+// This file owns the counter of process starts, which is stored in a directory that outlives the process. The counter
+// gives each start of an orchestrator a greater incarnation than the start before. The file access blocks, so it
+// must happen before the event loop runs.
 
 import (
 	"errors"
@@ -14,24 +15,27 @@
 )
 
 const (
-	// refutationsPerStart is how often one start may refute a suspicion before its incarnation reaches the
-	// next start's.
+	// refutationsPerStart is the number of incarnations between one start and the next. Each refutation of a
+	// suspicion uses one, so a process can refute that many before its incarnation reaches the next start's.
 	refutationsPerStart = 1 << 24
-	// firstIncarnation is that of a start without a folder.
+	// firstIncarnation is the incarnation of a start without a directory.
 	firstIncarnation = 1
-	// startsFile is the name of the counter's file: the count in decimal digits, and a line feed.
+	// startsFile is the name of the counter's file. It holds the number of starts in decimal digits and a line feed.
 	startsFile     = "starts"
 	startsFileMode = 0o600
 )
 
-// NextIncarnation counts a start in a folder, and returns its first incarnation: greater than that of any start before
-// that the folder knows of. Without a folder it is 1, and the others' updates say if they know of a later one.
-// A file that holds no count begins anew; fault says so, "" where there is nothing to say.
-func NextIncarnation(folder string) (incarnation uint64, fault string, err error) {
-	if folder == "" {
+// NextIncarnation increments the counter of starts in a directory and returns the first incarnation of this start,
+// which is greater than that of every earlier start counted there. Without a directory (dir is "") it returns 1.
+// If the incarnation is too low, because there is no directory or the file is an older copy, the membership table
+// raises it when the updates of other members name a later one.
+// If the counter's file holds no valid count, counting starts again from 1 and fault describes the file; otherwise
+// fault is "".
+func NextIncarnation(dir string) (incarnation uint64, fault string, err error) {
+	if dir == "" {
 		return firstIncarnation, "", nil
 	}
-	path := filepath.Join(folder, startsFile)
+	path := filepath.Join(dir, startsFile)
 	starts, fault, err := readStarts(path)
 	if err != nil {
 		return 0, "", fmt.Errorf("peers: %w", err)
@@ -43,7 +47,8 @@
 	return starts * refutationsPerStart, fault, nil
 }
 
-// readStarts reads the counter, 0 where there is no file; fault says what is wrong with one that holds none.
+// readStarts reads the counter. It returns 0 if there is no file, or if the file holds no valid count; in the latter
+// case fault describes the file.
 func readStarts(path string) (starts uint64, fault string, err error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -59,14 +64,14 @@
 	return starts, "", nil
 }
 
-// parseStarts reads a complete file; false where it holds no count.
+// parseStarts returns the count in the text of the file. ok is false if the text is not a count and a line feed.
 func parseStarts(text string) (starts uint64, ok bool) {
 	digits, complete := strings.CutSuffix(text, "\n")
 	starts, err := strconv.ParseUint(digits, 10, 32)
 	return starts, complete && err == nil
 }
 
-// writeStarts replaces the file, so that it is never found half written.
+// writeStarts writes the counter to a new file and renames it, so that a reader never sees a partly written file.
 func writeStarts(path string, starts uint64) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, fmt.Appendf(nil, "%d\n", starts), startsFileMode); err != nil {
--- a/internal/peer/incarnation_test.go
+++ b/internal/peer/incarnation_test.go
@@ -7,31 +7,33 @@
 	"testing"
 )
 
-// TestIncarnationsGrow asserts that incarnations grow from start to start; that a file that holds no count
-// begins anew, and an older copy of it does no harm that the others could not mend.
+// TestIncarnationsGrow asserts that the incarnation grows with each start, that counting starts again from 1 if the
+// file holds no valid count, that the incarnation is firstIncarnation without a directory, and that a missing
+// directory is an error.
 func TestIncarnationsGrow(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	last := uint64(0)
 	for range 3 {
-		incarnation, fault, err := NextIncarnation(folder)
+		incarnation, fault, err := NextIncarnation(dir)
 		if err != nil || fault != "" || incarnation <= last {
-			t.Fatalf("%d after %d: %s, %v", incarnation, last, fault, err)
+			t.Fatalf("got incarnation %d, fault %q, error %v, want an incarnation above %d", incarnation, fault, err, last)
 		}
 		last = incarnation
 	}
 	for _, text := range []string{"", "3", "x\n", "-1\n", "99999999999\n"} {
-		if err := os.WriteFile(filepath.Join(folder, startsFile), []byte(text), startsFileMode); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, startsFile), []byte(text), startsFileMode); err != nil {
 			t.Fatal(err)
 		}
-		incarnation, fault, err := NextIncarnation(folder)
+		incarnation, fault, err := NextIncarnation(dir)
 		if err != nil || !strings.Contains(fault, "expected a count of starts") || incarnation != refutationsPerStart {
-			t.Errorf("%q: %d, %q, %v", text, incarnation, fault, err)
+			t.Errorf("file content %q: got incarnation %d, fault %q, error %v, want incarnation %d and a fault",
+				text, incarnation, fault, err, refutationsPerStart)
 		}
 	}
 	if incarnation, _, err := NextIncarnation(""); err != nil || incarnation != firstIncarnation {
-		t.Errorf("without a folder: %d, %v", incarnation, err)
+		t.Errorf("without a directory: got incarnation %d, error %v, want %d", incarnation, err, firstIncarnation)
 	}
-	if _, _, err := NextIncarnation(filepath.Join(folder, "none")); err == nil {
-		t.Error("a folder that does not exist is taken")
+	if _, _, err := NextIncarnation(filepath.Join(dir, "none")); err == nil {
+		t.Error("directory that does not exist: got no error")
 	}
 }
--- a/internal/peer/listen_test.go
+++ b/internal/peer/listen_test.go
@@ -11,7 +11,7 @@
 	"ravenhitch/internal/eventloop"
 )
 
-// portsInUse are addresses whose ports are in use for datagrams while the test runs.
+// portsInUse returns the addresses of count ports that are in use for datagrams until the end of the test.
 func portsInUse(t *testing.T, count int) map[string]bool {
 	t.Helper()
 	used := map[string]bool{}
@@ -30,7 +30,7 @@
 	return used
 }
 
-// listenTCP listens at an address, and stops at once.
+// listenTCP opens a listening socket at an address and closes it. It returns the error of the open.
 func listenTCP(t *testing.T, address string) error {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -43,24 +43,24 @@
 	return nil
 }
 
-// TestPortsInUse asserts that where any port will do, one that is in use for datagrams is passed over.
+// TestPortsInUse asserts that New tries another port if the one that the system chose is in use for datagrams.
 func TestPortsInUse(t *testing.T) {
 	used := portsInUse(t, 500)
-	for range 1000 { // one in fifty of these meets a port in use
+	for range 1000 { // about one start in fifty is given a port in use
 		loop, err := eventloop.New(8)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p, err := New(loop, settingsOf("n1"), slog.New(slog.DiscardHandler))
 		if err != nil || used[p.Addr()] {
-			t.Fatalf("%v", err)
+			t.Fatalf("New with port 0: got error %v, want no error and a port that is not in use", err)
 		}
 		loop.Close()
 	}
 }
 
-// TestNamedPortInUse asserts that a named port that is in use for datagrams is an error, and that what was
-// opened there is closed.
+// TestNamedPortInUse asserts that New returns an error if the configured port is in use for datagrams, and that it
+// closes the listening socket that it opened on that port.
 func TestNamedPortInUse(t *testing.T) {
 	settings := settingsOf("n1")
 	for settings.Listen = range portsInUse(t, 500) {
@@ -70,9 +70,9 @@
 	}
 	loop := newLoop(t, 8)
 	if _, err := New(loop, settings, slog.New(slog.DiscardHandler)); !errors.Is(err, unix.EADDRINUSE) {
-		t.Errorf("expected EADDRINUSE, got %v", err)
+		t.Errorf("New on a port in use: got error %v, want %v", err, unix.EADDRINUSE)
 	}
 	if err := listenTCP(t, settings.Listen); err != nil {
-		t.Fatalf("not closed: %v", err)
+		t.Fatalf("listening again on %s: got error %v, want the port to be closed", settings.Listen, err)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,9 +1,13 @@
-// Package peer owns the sockets between orchestrators, on the one event loop: datagrams for the membership
-// table, handshake probes, and streams of records. What comes it hands to the pure table (package
-// membership), and does what the table wants done. It must never decide who is alive, never block, and never
-// let an invalid message reach the table: a peer that sends one is disconnected with one log line.
+// Package peer connects orchestrators with each other. It owns the sockets between them, which all run on the one
+// event loop: a datagram socket for the membership table, connections for handshake probes, and streams of
+// records. It hands received messages to the membership table (package membership, which does no I/O) and carries
+// out the actions that the table returns.
 //
-// The loop owns the sockets and timers, and ends them with itself.
+// Package peer must never decide which members are alive, never block, and never let an invalid message reach the
+// table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Either is
+// logged in one line, and the number of lines is limited.
+//
+// The event loop owns the sockets and timers, and closes them when it is closed.
 package peer
 
 import (
@@ -20,32 +24,33 @@
 	"ravenhitch/internal/ratelog"
 )
 
-// Units of time on the loop.
+// Units of time in microseconds, the unit of the event loop.
 const (
 	millisecond = 1_000
 	second      = 1_000 * millisecond
 )
 
-// maxPorts is how many ports are tried where any will do.
+// maxPorts is the maximum number of ports that are tried if the settings leave the port to the system.
 const maxPorts = 16
 
-// Settings say who this orchestrator is among the others.
+// Settings identify this orchestrator in the cluster. Listen is the address for datagrams and connections of other
+// orchestrators; with port 0, the system chooses the port.
 type Settings struct {
 	Listen, Cluster, Name, Zone string
-	Members                     []membership.Peer // who are pinged first
-	Incarnation                 uint64            // of this start, greater than any before that is known of
+	Members                     []membership.Peer // the members that are pinged first
+	Incarnation                 uint64            // first of this process, greater than every earlier one known
 }
 
-// Counts are what passed between this orchestrator and the others.
+// Counts holds the number of messages exchanged with other orchestrators since the start.
 type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes     int64 // datagrams
+	Sent, SentBytes, Received, ReceivedBytes     int64 // datagrams, and their bytes
 	Lost                                         int64 // datagrams that could not be sent
-	Refused                                      int64 // invalid messages
+	Refused                                      int64 // invalid datagrams, and connections closed for an invalid message
 	HandshakeProbes                              int64
-	RecordsSent, RecordsReceived, RecordsDropped int64 // dropped: lost before they were sent
+	RecordsSent, RecordsReceived, RecordsDropped int64 // dropped: accepted by Send, but never sent
 }
 
-// Peers joins the table with its sockets. All its methods belong on the loop.
+// Peers connects the membership table with its sockets. All its methods must be called on the event loop.
 type Peers struct {
 	loop           *eventloop.Loop
 	settings       Settings
@@ -57,18 +62,18 @@
 
 	table        *membership.Table
 	tickTimer    *eventloop.Timer
-	tickAt       int64
-	onView       func([]membership.Member) // or nil
-	reportedView int64                     // number of the view that onView was called with last
+	tickAt       int64                     // when tickTimer fires
+	onView       func([]membership.Member) // nil until OnView is called
+	reportedView int64                     // number of the view that onView was last called with
 
-	pendingInbound  int // inbound connections that have not announced records
+	pendingInbound  int // number of inbound connections that have not announced records
 	inboundStreams  map[streamKey]*inboundConn
 	outboundStreams map[streamKey]*outboundStream
 	recordHandlers  map[RecordKind]func(from string, record []byte)
 	onWritable      func(to string, kind RecordKind)
 }
 
-// New opens the sockets. The table begins to ping with the first turn of the loop.
+// New opens the sockets and starts the membership table, which sends pings while the event loop runs.
 func New(loop *eventloop.Loop, settings Settings, log *slog.Logger) (*Peers, error) {
 	p := &Peers{
 		loop:            loop,
@@ -96,8 +101,9 @@
 	return p, nil
 }
 
-// listen takes connections and datagrams at one port. Where any port will do, the one that the system gives for
-// connections may be in use for datagrams: then another is asked for.
+// listen opens one port for both connections and datagrams, and returns its address. If the settings leave the port
+// to the system, the port that the system chooses for connections may be in use for datagrams. listen then asks
+// for another one, up to maxPorts times in all.
 func (p *Peers) listen() (address string, err error) {
 	anyPort := strings.HasSuffix(p.settings.Listen, ":0")
 	admission := eventloop.AdmissionFunc(func() bool { return p.pendingInbound < maxPendingInbound })
@@ -119,11 +125,11 @@
 	return "", err
 }
 
-// Addr is where others reach this orchestrator.
+// Addr returns the address at which other orchestrators reach this one.
 func (p *Peers) Addr() string { return p.settings.Listen }
 
-// Leave tells the others that this orchestrator leaves on purpose.
+// Leave announces to other members that this orchestrator leaves the cluster on purpose.
 func (p *Peers) Leave() { p.perform(p.table.Leave(p.loop.Now())) }
 
-// Counts returns what passed so far.
+// Counts returns the counts since the start.
 func (p *Peers) Counts() Counts { return p.counts }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -1,17 +1,17 @@
 package peer
 
-// This file owns the queue of records that wait to be sent to one member, of one kind: first in, first out,
-// bounded in bytes. It is pure. It must never lose a record that is not counted.
+// This file owns the queue of records that wait to be sent on one stream. It does no I/O. A record must never leave
+// the queue unless pop returns it or clear counts it.
 
-// recordQueue is a queue of records.
+// recordQueue is a first-in, first-out queue of records with a limit on their total size.
 type recordQueue struct {
-	limit    int // bytes
+	limit    int // maximum total size of the records, in bytes
 	records  [][]byte
-	bytes    int
-	rejected bool // a record was rejected since there was space last
+	bytes    int  // total size of the records
+	rejected bool // push has rejected a record, and pop has not reported writable since
 }
 
-// push appends a record; false where it has no space.
+// push appends a record. It returns false if the record does not fit into the queue.
 func (q *recordQueue) push(record []byte) bool {
 	if q.bytes+len(record) > q.limit {
 		q.rejected = true
@@ -22,8 +22,8 @@
 	return true
 }
 
-// pop removes the first record, nil where there is none. It reports writable once after a record was rejected,
-// when half of the space is free.
+// pop removes and returns the first record, or nil if the queue is empty. After push has rejected a record, pop
+// returns writable = true once, as soon as at most half of the limit is used.
 func (q *recordQueue) pop() (record []byte, writable bool) {
 	if len(q.records) == 0 {
 		return nil, false
@@ -37,7 +37,7 @@
 	return record, writable
 }
 
-// clear drops all records, and returns how many there were.
+// clear removes all records and returns their number.
 func (q *recordQueue) clear() (dropped int) {
 	dropped = len(q.records)
 	q.records, q.bytes, q.rejected = nil, 0, false
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file owns the status report: the membership table as operators read it. Its JSON names stay as they
-// are: tools of operators read them.
+// This file owns the status report, which shows the membership table to operators. The JSON names must not change,
+// because operators' tools read them.
 
 import (
 	"encoding/json"
@@ -10,55 +10,55 @@
 	"ravenhitch/internal/membership"
 )
 
-// StatusReport is the membership table of a running orchestrator.
+// StatusReport is the membership table of a running orchestrator, as operators read it.
 type StatusReport struct {
 	Cluster     string   `json:"cluster"`
 	Name        string   `json:"name"`
-	HealthScore int      `json:"doubt"` // the local health score: 0 is healthy, 8 the worst
+	HealthScore int      `json:"doubt"` // the local health score, from 0 (healthy) to 8 (worst)
 	View        View     `json:"view"`
-	Members     []Member `json:"members"` // the local one first
+	Members     []Member `json:"members"` // the local member first, then by name
 	Traffic     Traffic  `json:"traffic"`
 }
 
-// View is the stable view.
+// View is the stable view of the membership.
 type View struct {
-	Number int64    `json:"number"` // of changes at this orchestrator
-	Digest string   `json:"digest"` // the same wherever the same members are seen
+	Number int64    `json:"number"` // counts the changes of the view at this orchestrator
+	Digest string   `json:"digest"` // equal at all orchestrators whose views hold the same members
 	Names  []string `json:"names"`
 }
 
-// Member is a line of the table.
+// Member is one line of the membership table.
 type Member struct {
 	Name         string `json:"name"`
 	Zone         string `json:"hall"`
 	Address      string `json:"address"`
 	Incarnation  uint64 `json:"incarnation"`
 	State        string `json:"state"`
-	Path         string `json:"link"` // the direct path, "itself" for the local member
+	Path         string `json:"link"` // state of the direct path; localMemberPath for the local member
 	Slow         bool   `json:"slow,omitempty"`
 	RTTMs        int64  `json:"rtt_ms"`
-	SinceAliveMs int64  `json:"silent_ms"` // since it last proved to be alive
+	SinceAliveMs int64  `json:"silent_ms"` // milliseconds since the member last proved to be alive
 	Evidence     string `json:"evidence,omitempty"`
 }
 
-// Traffic is what passed, in datagrams and bytes.
+// Traffic holds the number of datagrams, bytes and handshake probes since the start.
 type Traffic struct {
 	Sent            int64 `json:"sent"`
 	SentBytes       int64 `json:"sent_bytes"`
 	Received        int64 `json:"received"`
 	ReceivedBytes   int64 `json:"received_bytes"`
-	Lost            int64 `json:"lost"`    // could not be sent
-	Refused         int64 `json:"refused"` // were invalid
+	Lost            int64 `json:"lost"`    // datagrams that could not be sent
+	Refused         int64 `json:"refused"` // invalid datagrams, and connections closed for an invalid message
 	HandshakeProbes int64 `json:"knocks"`
 }
 
 const (
 	usPerMs = 1_000
-	// localLink stands in place of a path to the local member.
-	localLink = "itself"
+	// localMemberPath is the value of Member.Path for the local member, to which there is no path.
+	localMemberPath = "itself"
 )
 
-// StatusReport is the table as it is now.
+// StatusReport returns the current membership table.
 func (p *Peers) StatusReport() StatusReport {
 	view := p.table.View()
 	report := StatusReport{
@@ -71,7 +71,7 @@
 	for _, m := range p.table.Members() {
 		report.Members = append(report.Members, memberLine(&m))
 	}
-	report.Members[0].Path = localLink
+	report.Members[0].Path = localMemberPath
 	return report
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-// Reply is the report as the answer to an admin call: a line of JSON, then a line ".".
+// Reply returns the report as the reply to an admin call: one line of JSON, followed by a line that holds only ".".
 func (r StatusReport) Reply() ([]byte, error) {
 	b, err := json.Marshal(r)
 	return append(b, "\n.\n"...), err
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -1,9 +1,11 @@
 package peer
 
-// This file owns the outbound streams of records: one connection for each member and kind, opened when there
-// is something to send, so that much of one kind never delays another, and nothing delays the datagrams. A
-// record that was taken is sent, or counted as dropped; one that was in flight when a connection ended may
-// have arrived or not: whoever sends records has to expect that.
+// This file owns the outbound streams of records. Each pair of member and record kind has its own connection, which
+// is opened when there is a record to send. Many records of one kind therefore never delay those of another, and no
+// record delays the datagrams.
+//
+// A record that Send accepted is either sent or counted as dropped. A record that was in flight when its connection
+// ended may or may not have arrived; the senders of records must handle both cases.
 
 import (
 	"errors"
@@ -13,70 +15,74 @@
 	"ravenhitch/internal/peer/peerpb"
 )
 
-// RecordKind says how soon a record must arrive. Its number is on the wire.
+// RecordKind is the urgency of a record. Its number is part of the wire protocol.
 type RecordKind uint32
 
 // The kinds of records.
 const (
-	Urgent     RecordKind = 1 + iota // what somebody waits for
-	Background                       // copies of complete states, which may come late
+	Urgent     RecordKind = 1 + iota // records that somebody waits for
+	Background                       // copies of complete states, which may arrive late
 )
 
 const (
-	// maxRecord bounds one record, in bytes.
+	// maxRecord is the maximum size of a record, in bytes.
 	maxRecord = 256 << 10
-	// maxRecordFrame bounds the message that carries one.
+	// maxRecordFrame is the maximum size of the encoded message that carries a record, in bytes.
 	maxRecordFrame = maxRecord + 64
-	// maxBurst is how many bytes are written for one member and kind before others have their turn.
+	// maxBurst is the number of bytes after which a stream stops writing until the next turn of the event loop, to
+	// let other connections proceed. The last frame may exceed it.
 	maxBurst = 256 << 10
-	// minRedialDelay is how long after the first failure a connection is opened again; the delay doubles with
-	// each further one, up to maxRedialDelay.
+	// minRedialDelay is the delay before a connection is opened again after a first failure. It doubles with each
+	// further failure in a row, up to maxRedialDelay.
 	minRedialDelay = 100 * millisecond
 	maxRedialDelay = 2 * second
-	// idleTimeout is how long a connection is kept with nothing to send.
+	// idleTimeout is the time after which a connection without records to send is closed.
 	idleTimeout = 30 * second
-	// nextTurn is the shortest delay: whatever else is ready comes first.
+	// nextTurn is the shortest timer delay, in microseconds. Other events that are ready are handled first.
 	nextTurn = 1
 )
 
-// Why [Peers.Send] does not take a record.
+// Reasons why [Peers.Send] rejects a record. ErrRecordTooLarge also stands for an unknown kind.
 var (
 	ErrNotMember      = errors.New("peer: not a member of the cluster")
 	ErrQueueFull      = errors.New("peer: the queue is full; OnWritable is called when there is space")
-	ErrRecordTooLarge = fmt.Errorf("peer: a record of over %d bytes", maxRecord)
+	ErrRecordTooLarge = fmt.Errorf("peer: the record is over %d bytes or its kind is unknown", maxRecord)
 )
 
-// maxQueued bounds what may wait of each kind for each member, in bytes.
+// maxQueued is the maximum size of the queue for each member, in bytes, by record kind. A kind that is not in the map
+// is unknown.
 var maxQueued = map[RecordKind]int{Urgent: 512 << 10, Background: 1 << 20}
 
-// streamKey names a stream: records of one kind, to or from one member.
+// streamKey identifies a stream, which carries records of one kind to or from one member.
 type streamKey struct {
 	member string
 	kind   RecordKind
 }
 
-// outboundStream sends the records of one stream. It owns its connection and its timer until end.
+// outboundStream sends the records of one stream. It owns its connection and its timer until end is called.
 type outboundStream struct {
 	streamKey
 	peers       *Peers
 	queue       recordQueue
-	conn        *eventloop.Conn // nil where there is none
-	nonce       uint64          // of the process that the records are for
-	established bool            // both sides sent their hello
-	redialDelay int64
-	timer       *eventloop.Timer // for the next dial, or for the idle timeout
+	conn        *eventloop.Conn  // nil while no connection is open or being opened
+	nonce       uint64           // incarnation nonce of the process that the records are for
+	established bool             // the other side's hello has arrived and is valid
+	redialDelay int64            // in microseconds; 0 after a successful hello
+	timer       *eventloop.Timer // for the next dial, the next burst or the idle timeout
 }
 
-// OnRecord has handle called with each record of a kind, on the loop; it may not keep the bytes.
+// OnRecord registers handle, which is called on the event loop with each received record of a kind. handle must not
+// retain the bytes of the record.
 func (p *Peers) OnRecord(kind RecordKind, handle func(from string, record []byte)) {
 	p.recordHandlers[kind] = handle
 }
 
-// OnWritable has notify called, on the loop, when there is space again after Send returned ErrQueueFull.
+// OnWritable registers notify, which is called on the event loop when a queue has space again after Send returned
+// ErrQueueFull.
 func (p *Peers) OnWritable(notify func(to string, kind RecordKind)) { p.onWritable = notify }
 
-// Send takes a copy of a record for a member. With an error it was not taken: ErrRecordTooLarge, also for a kind
-// that no record may be of, ErrNotMember or ErrQueueFull.
+// Send queues a copy of a record for a member. If the record is rejected, Send returns ErrNotMember, ErrQueueFull or
+// ErrRecordTooLarge. It returns ErrRecordTooLarge also for an unknown kind.
 func (p *Peers) Send(to string, kind RecordKind, record []byte) error {
 	if len(record) > maxRecord || maxQueued[kind] == 0 {
 		return ErrRecordTooLarge
@@ -101,7 +107,7 @@
 	return nil
 }
 
-// endStreams ends the streams to a member that is gone, or back as another process.
+// endStreams ends the outbound streams to a member that died, left, or restarted as another process.
 func (p *Peers) endStreams(member string) {
 	for kind := range maxQueued {
 		if s := p.outboundStreams[streamKey{member, kind}]; s != nil {
@@ -110,7 +116,7 @@
 	}
 }
 
-// end closes the stream, and logs what is lost with it.
+// end closes the stream. It counts and logs the records that are dropped with it.
 func (s *outboundStream) end(cause string) {
 	s.timer.Stop()
 	dropped := s.queue.clear()
@@ -127,7 +133,7 @@
 	delete(s.peers.outboundStreams, s.streamKey)
 }
 
-// dial opens the connection, unless the member is gone or is another process now.
+// dial opens the connection. It ends the stream instead if the member has left the cluster or is another process now.
 func (s *outboundStream) dial() {
 	address, nonce, ok := s.peers.table.Locate(s.member)
 	if !ok || nonce != s.nonce {
@@ -142,7 +148,7 @@
 	s.conn, s.established = conn, false
 }
 
-// redialLater has the next connection opened after a delay, which doubles with each failure in a row.
+// redialLater schedules the next dial after a delay that doubles with each failure in a row.
 func (s *outboundStream) redialLater() {
 	s.conn, s.established = nil, false
 	s.redialDelay = min(maxRedialDelay, max(minRedialDelay, 2*s.redialDelay))
@@ -152,7 +158,7 @@
 // Opened implements eventloop.Handler.
 func (s *outboundStream) Opened(conn *eventloop.Conn) { conn.Write(s.peers.hello(s.kind)) }
 
-// Closed implements eventloop.Handler. What waits goes out on the next connection.
+// Closed implements eventloop.Handler. Queued records are sent on the next connection.
 func (s *outboundStream) Closed(*eventloop.Conn, error) {
 	s.timer.Stop()
 	if len(s.queue.records) == 0 {
@@ -162,7 +168,7 @@
 	s.redialLater()
 }
 
-// Data implements eventloop.Handler: all that comes is the other side's hello.
+// Data implements eventloop.Handler. The only message expected on an outbound stream is the other side's hello.
 func (s *outboundStream) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	message, used, err := decodeFrame(b, maxHelloFrame)
 	if err != nil || used == 0 {
@@ -170,7 +176,7 @@
 	}
 	hello, _, err := CheckHello(s.peers.settings.Cluster, message)
 	if err == nil && (hello.GetName() != s.member || hello.GetLife() != s.nonce) {
-		err = malformed("%s of another incarnation nonce answers at the address of %s", hello.GetName(), s.member)
+		err = malformed("%s answers at the address of %s, with another name or incarnation nonce", hello.GetName(), s.member)
 	}
 	if err != nil {
 		s.peers.counts.Refused++
@@ -185,7 +191,7 @@
 // Drained implements eventloop.Drainer.
 func (s *outboundStream) Drained(*eventloop.Conn) { s.flush() }
 
-// flush writes what waits, as long as the system takes it.
+// flush writes queued records until the queue is empty, the system accepts no more bytes, or maxBurst is reached.
 func (s *outboundStream) flush() {
 	if s.conn == nil || !s.established {
 		return
@@ -193,7 +199,7 @@
 	s.timer.Stop()
 	for written := 0; written < maxBurst; {
 		if s.conn.BytesWritten() > s.conn.BytesSent() && !s.conn.Flush() {
-			return // Drained is called once the system took all
+			return // Drained is called once the system has accepted all bytes
 		}
 		record, writable := s.queue.pop()
 		if record == nil {
@@ -201,7 +207,7 @@
 			return
 		}
 		frame, err := encodeFrame(&peerpb.Record{Data: record}, maxRecordFrame)
-		if err != nil { // Send bounds records: this can't happen
+		if err != nil { // cannot happen: Send limits the size of records
 			s.peers.counts.RecordsDropped++
 			continue
 		}
@@ -212,5 +218,5 @@
 			s.peers.onWritable(s.member, s.kind)
 		}
 	}
-	s.timer = s.peers.loop.After(nextTurn, s.flush) // others have their turn
+	s.timer = s.peers.loop.After(nextTurn, s.flush) // let other connections proceed first
 }
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -12,17 +12,17 @@
 	"ravenhitch/internal/testbed"
 )
 
-// backgroundSender sends numbered background records from a to b, and notes what arrives. All its methods belong on the
-// loop.
+// backgroundSender sends numbered background records from a to b and keeps track of their arrival. All its methods must
+// be called on the event loop.
 type backgroundSender struct {
 	peers       *twoPeers
 	sent        int
-	received    []string // sender and number
-	writable    int      // calls of OnWritable for its stream
-	urgentAfter int      // how many had arrived before the urgent record, -1 while it has not
+	received    []string // sender and number of each received background record
+	writable    int      // number of calls of the OnWritable handler for the background stream
+	urgentAfter int      // number of background records that arrived before the urgent record; -1 until it arrives
 }
 
-// newBackgroundSender sets the handlers on both sides.
+// newBackgroundSender returns a backgroundSender and registers its handlers on both sides.
 func newBackgroundSender(pair *twoPeers) *backgroundSender {
 	s := &backgroundSender{peers: pair, urgentAfter: -1}
 	pair.b.OnRecord(Background, func(from string, b []byte) { s.received = append(s.received, from+" "+string(b[:8])) })
@@ -35,7 +35,7 @@
 	return s
 }
 
-// send sends one record.
+// send sends the next background record.
 func (s *backgroundSender) send() error {
 	err := s.peers.a.Send("n1", Background, fmt.Appendf(nil, "%08d%s", s.sent, bytes.Repeat([]byte("x"), 64<<10)))
 	if err == nil {
@@ -44,7 +44,7 @@
 	return err
 }
 
-// fill sends until the queue is full.
+// fill sends records until Send returns an error, and returns that error.
 func (s *backgroundSender) fill() (err error) {
 	for err == nil {
 		err = s.send()
@@ -52,19 +52,20 @@
 	return err
 }
 
-// checkOrder asserts that all records arrived, in the order in which they were sent.
+// checkOrder asserts that the received records arrived in the order in which they were sent, without gaps.
 func (s *backgroundSender) checkOrder(t *testing.T) {
 	t.Helper()
 	for i, got := range s.received {
 		if want := fmt.Sprintf("n0 %08d", i); got != want {
-			t.Errorf("expected the record %q, got %q", want, got)
+			t.Errorf("record %d: got %q, want %q", i, got, want)
 			return
 		}
 	}
 }
 
-// TestRecords asserts that much of one kind on a thin path never delays another; that whoever sends too much is
-// told so, and when there is space again; and that all of it arrives, in order.
+// TestRecords asserts that many background records on a path of low bandwidth do not delay an urgent record. It also
+// asserts that Send returns ErrQueueFull when the queue is full, that OnWritable reports when it has space again, and
+// that all accepted records arrive in order.
 func TestRecords(t *testing.T) {
 	pair := newTwoPeers(t)
 	pair.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
@@ -72,45 +73,46 @@
 	pair.onLoop(func() {
 		background = newBackgroundSender(pair)
 		if err := background.fill(); !errors.Is(err, ErrQueueFull) {
-			t.Errorf("too much: expected ErrQueueFull, got %v", err)
+			t.Errorf("first fill of the queue: got error %v, want %v", err, ErrQueueFull)
 		}
 	})
-	pair.eventually(t, "some of it", func() bool { return len(background.received) > 0 })
+	pair.eventually(t, "the first background record", func() bool { return len(background.received) > 0 })
 	pair.onLoop(func() {
 		if err := background.fill(); !errors.Is(err, ErrQueueFull) {
-			t.Errorf("too much again: expected ErrQueueFull, got %v", err)
+			t.Errorf("second fill of the queue: got error %v, want %v", err, ErrQueueFull)
 		}
 		if err := pair.a.Send("n1", Urgent, []byte("now")); err != nil {
 			t.Error(err)
 		}
 	})
-	pair.eventually(t, "the urgent one", func() bool { return background.urgentAfter >= 0 })
-	pair.eventually(t, "all of it", func() bool { return len(background.received) == background.sent })
+	pair.eventually(t, "the urgent record", func() bool { return background.urgentAfter >= 0 })
+	pair.eventually(t, "all background records", func() bool { return len(background.received) == background.sent })
 	pair.onLoop(func() {
-		if background.urgentAfter >= background.sent-8 { // half a megabyte still waited
-			t.Errorf("the urgent one came after %d of %d", background.urgentAfter, background.sent)
+		if background.urgentAfter >= background.sent-8 { // 8 records of 64 KiB: half a megabyte was still queued
+			t.Errorf("the urgent record arrived after %d of %d background records, want fewer than %d",
+				background.urgentAfter, background.sent, background.sent-8)
 		}
 		if background.writable == 0 {
-			t.Error("OnWritable was never called")
+			t.Error("the OnWritable handler was never called for the background stream")
 		}
 		background.checkOrder(t)
 	})
 }
 
-// TestRecordsNotTaken asserts which records Send does not take.
+// TestRecordsNotTaken asserts that Send rejects a record that is too large and a record to an unknown member.
 func TestRecordsNotTaken(t *testing.T) {
 	pair := newTwoPeers(t)
 	pair.onLoop(func() {
 		if err := pair.a.Send("n1", Background, make([]byte, maxRecord+1)); !errors.Is(err, ErrRecordTooLarge) {
-			t.Errorf("too large: %v", err)
+			t.Errorf("record of %d bytes: got error %v, want %v", maxRecord+1, err, ErrRecordTooLarge)
 		}
 		if err := pair.a.Send("n9", Background, nil); !errors.Is(err, ErrNotMember) {
-			t.Errorf("to no member: %v", err)
+			t.Errorf("record to the unknown member n9: got error %v, want %v", err, ErrNotMember)
 		}
 	})
 }
 
-// TestRecordsAfterReset asserts that a connection that is reset is opened again, and what waits goes out on it.
+// TestRecordsAfterReset asserts that a stream opens a new connection after a reset, and that records arrive on it.
 func TestRecordsAfterReset(t *testing.T) {
 	pair := newTwoPeers(t)
 	received := 0
@@ -118,7 +120,7 @@
 	for round := range 3 {
 		var before, after int
 		pair.onLoop(func() { before = received })
-		pair.eventually(t, "a record", func() bool {
+		pair.eventually(t, "a record to arrive", func() bool {
 			if err := pair.a.Send("n1", Urgent, []byte("again")); err != nil {
 				t.Error(err)
 				return true
@@ -127,12 +129,12 @@
 			return after > before
 		})
 		pair.net.Reset("n0", "n1")
-		t.Logf("round %d: %d received", round, after)
+		t.Logf("round %d: %d records received so far", round, after)
 	}
 }
 
-// TestNoDescriptors asserts that without a free descriptor no handshake probe can be made, and nobody is
-// declared dead for that.
+// TestNoDescriptors asserts that a member is not declared dead because the local process has no free descriptor for
+// a handshake probe.
 func TestNoDescriptors(t *testing.T) {
 	pair := newTwoPeers(t)
 	var before int64
@@ -146,15 +148,16 @@
 		before = pair.a.Counts().Received
 	})
 	pair.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Loss = 0.3 })
-	pair.eventually(t, "some datagrams", func() bool { return pair.a.Counts().Received > before+20 })
+	pair.eventually(t, "more than 20 further datagrams", func() bool { return pair.a.Counts().Received > before+20 })
 	pair.onLoop(func() {
 		if _, _, ok := pair.a.table.Locate("n1"); !ok || strings.Contains(pair.log.String(), "event=dead") {
-			t.Errorf("n1 is a member: %v; %s", ok, pair.log.String())
+			t.Errorf("n1 is a member: got %v, want true, without a dead event; log: %s", ok, pair.log.String())
 		}
 	})
 }
 
-// TestRecordsDropped asserts that what waits for a member that is gone is dropped, counted and logged.
+// TestRecordsDropped asserts that the records queued for a member are dropped, counted and logged when the member is
+// declared dead.
 func TestRecordsDropped(t *testing.T) {
 	pair := newTwoPeers(t)
 	if err := pair.net.SetAddress("n1", ""); err != nil { // its host refuses connections
@@ -168,19 +171,19 @@
 			}
 		}
 	})
-	pair.eventually(t, "the count", func() bool { return pair.a.Counts().RecordsDropped == 3 })
+	pair.eventually(t, "3 dropped records", func() bool { return pair.a.Counts().RecordsDropped == 3 })
 	pair.onLoop(func() {
 		if err := pair.a.Send("n1", Urgent, nil); !errors.Is(err, ErrNotMember) {
-			t.Errorf("to the dead: %v", err)
+			t.Errorf("record to the dead member n1: got error %v, want %v", err, ErrNotMember)
 		}
 	})
 	if !strings.Contains(pair.log.String(), "peer records dropped") {
-		t.Error("it was not logged")
+		t.Errorf("expected \"peer records dropped\" in the log, got: %s", pair.log.String())
 	}
 }
 
-// TestRecordsOfUnknownMember asserts that records are taken from a member of that name and nonce only, and of a
-// known kind.
+// TestRecordsOfUnknownMember asserts that a connection for records is refused if the hello has the name of no member,
+// the wrong incarnation nonce or an unknown record kind.
 func TestRecordsOfUnknownMember(t *testing.T) {
 	pair := newTwoPeers(t)
 	for _, hello := range []*peerpb.Hello{
@@ -191,11 +194,11 @@
 		var before int64
 		pair.onLoop(func() { before = pair.b.Counts().Refused })
 		write(t, dial(t, "tcp", pair.b.Addr()), helloFrame(t, hello))
-		pair.eventually(t, "the refusal", func() bool { return pair.b.Counts().Refused == before+1 })
+		pair.eventually(t, "the hello to be refused", func() bool { return pair.b.Counts().Refused == before+1 })
 	}
 	pair.onLoop(func() {
 		if count := pair.b.Counts().RecordsReceived; count > 0 {
-			t.Errorf("%d were taken", count)
+			t.Errorf("got %d accepted records, want 0", count)
 		}
 	})
 }
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file drives the membership table: it hands the time and datagrams to the table, carries out the actions
-// of the table, and reports events and views.
+// This file drives the membership table. It passes the time and received datagrams to the table, carries out the
+// actions that the table returns, and reports the table's events and views.
 
 import (
 	"slices"
@@ -9,10 +9,11 @@
 	"ravenhitch/internal/membership"
 )
 
-// tick has the table run its next step: probes, timeouts, a view that has settled.
+// tick runs the next step of the table, which sends probes, handles timeouts and publishes a settled view.
 func (p *Peers) tick() { p.perform(p.table.Tick(p.loop.Now())) }
 
-// scheduleTick has the next tick come when the table wants it.
+// scheduleTick sets the timer for the next tick to the time that the table requests, unless the timer is already set
+// to an earlier time.
 func (p *Peers) scheduleTick() {
 	at := max(p.table.NextTick(), p.loop.Now()+1)
 	if p.tickTimer.Pending() && p.tickAt <= at {
@@ -22,7 +23,7 @@
 	p.tickTimer, p.tickAt = p.loop.At(at, p.tick), at
 }
 
-// receive hands a datagram to the table.
+// receive decodes a datagram and passes it to the table. An invalid datagram is counted, logged and dropped.
 func (p *Peers) receive(b []byte) {
 	p.counts.Received++
 	p.counts.ReceivedBytes += int64(len(b))
@@ -35,7 +36,7 @@
 	p.perform(p.table.Receive(p.loop.Now(), m))
 }
 
-// perform carries out what the table wants done, and reports what it found.
+// perform carries out the actions that the table returned, reports its events and view, and schedules the next tick.
 func (p *Peers) perform(actions []membership.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -50,7 +51,7 @@
 	p.scheduleTick()
 }
 
-// send sends a datagram, or counts it as lost.
+// send sends a datagram. If that fails, send counts the datagram as lost and logs the error.
 func (p *Peers) send(s *membership.Send) {
 	b, err := Encode(p.settings.Cluster, &s.Message)
 	if err == nil {
@@ -65,7 +66,7 @@
 	p.counts.SentBytes += int64(len(b))
 }
 
-// reportEvents logs the events of the table, and ends the streams to members that are gone.
+// reportEvents logs the events of the table. It ends the streams to members that died, left or restarted.
 func (p *Peers) reportEvents() {
 	for _, e := range p.table.Events() {
 		switch e.Kind {
@@ -76,13 +77,14 @@
 	}
 }
 
-// OnView has notify called with the members of each stable view from now on, on the loop.
+// OnView registers notify, which is called on the event loop with the members of the current stable view, if there is
+// one, and of each later view.
 func (p *Peers) OnView(notify func([]membership.Member)) {
 	p.onView = notify
 	p.reportView()
 }
 
-// reportView reports a view that is new.
+// reportView calls the handler set by OnView if the stable view has changed since the last call.
 func (p *Peers) reportView() {
 	view := p.table.View()
 	if p.onView == nil || view.Number == p.reportedView {
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,4 +1,5 @@
-// Package ratelog owns a logger whose warnings with the same text are limited. It is not safe for concurrent use.
+// Package ratelog provides a logger that limits the rate of warnings with the same text. It is not safe for concurrent
+// use.
 package ratelog
 
 import (
@@ -7,19 +8,19 @@
 )
 
 const (
-	// burstInterval is how long a burst lasts: after it, the text has its lines again.
+	// burstInterval is the duration of a burst. The first warning with a text after it starts a new burst.
 	burstInterval = time.Second
-	// maxLinesPerBurst is how many lines one text has in a burst.
+	// maxLinesPerBurst is the maximum number of lines with the same text in a burst.
 	maxLinesPerBurst = 5
 )
 
-// Logger is a logger whose warnings with the same text are limited to a few a second.
+// Logger writes at most maxLinesPerBurst warnings with the same text in each burstInterval.
 type Logger struct {
 	log    *slog.Logger
-	bursts map[string]*burst // by text
+	bursts map[string]*burst // by the text of the warning
 }
 
-// burst counts the lines of one text.
+// burst counts the warnings with one text since startedAt.
 type burst struct {
 	startedAt  time.Time
 	lines      int
@@ -29,11 +30,11 @@
 // New returns a Logger that writes to log.
 func New(log *slog.Logger) *Logger { return &Logger{log: log, bursts: map[string]*burst{}} }
 
-// Info logs a line, without a limit.
+// Info logs a line. The number of lines is not limited.
 func (l *Logger) Info(text string, args ...any) { l.log.Info(text, args...) }
 
-// Warn logs a line, unless the text had its lines of this burst. The first line of the next burst is preceded by
-// one that counts what was suppressed.
+// Warn logs a line, or suppresses it if the text has reached the limit of the current burst. If a burst suppressed
+// lines, the first line after the burst is preceded by a line with the number of suppressed lines.
 func (l *Logger) Warn(text string, args ...any) {
 	b := l.bursts[text]
 	if b == nil {
--- a/internal/ratelog/ratelog_test.go
+++ b/internal/ratelog/ratelog_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newTestLogger returns a logger and what it has written.
+// newTestLogger returns a logger and the buffer that it writes to.
 func newTestLogger() (*Logger, *bytes.Buffer) {
 	written := &bytes.Buffer{}
 	return New(slog.New(slog.NewTextHandler(written, nil))), written
@@ -30,13 +30,13 @@
 				c.log(logger, "event", "call", i)
 			}
 			if lines := strings.Count(written.String(), "msg=event call="); lines != c.wantLines {
-				t.Errorf("%d lines, expected %d", lines, c.wantLines)
+				t.Errorf("got %d log lines, want %d", lines, c.wantLines)
 			}
 		})
 	}
 }
 
-// Given a text that is over its limit, another one is logged all the same.
+// TestLimitIsPerText asserts that a text that has reached its limit does not suppress lines with another text.
 func TestLimitIsPerText(t *testing.T) {
 	logger, written := newTestLogger()
 	for range 2 * maxLinesPerBurst {
@@ -44,11 +44,12 @@
 	}
 	logger.Warn("second")
 	if !strings.Contains(written.String(), "msg=second") {
-		t.Errorf("the second text is missing:\n%s", written)
+		t.Errorf("the line with the second text is missing from the log:\n%s", written)
 	}
 }
 
-// Given suppressed lines, the first line of the next burst is preceded by their count.
+// TestSuppressedLinesAreCounted asserts that the first line after a burst that suppressed lines is preceded by their
+// number.
 func TestSuppressedLinesAreCounted(t *testing.T) {
 	logger, written := newTestLogger()
 	for range maxLinesPerBurst + 3 {
@@ -62,6 +63,6 @@
 
 	lines := strings.Split(strings.TrimSpace(written.String()), "\n")
 	if len(lines) != 2 || !strings.HasSuffix(lines[0], "msg=event left_out=3") || !strings.HasSuffix(lines[1], "msg=event burst=2") {
-		t.Errorf("logged:\n%s", written)
+		t.Errorf("expected a line with left_out=3 and a line with burst=2, got:\n%s", written)
 	}
 }
