--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -6,25 +6,26 @@
 	"testing"
 )
 
-// retryStorm simulates an orchestrator whose clients all come within a second, with a
-// minute's work: they are queued for at most six seconds, and return after their Retry-After.
+// retryStorm simulates an orchestrator whose clients all send their first request within
+// one second, with work for one minute in total. At most six seconds of work are pending;
+// other requests are rejected, and their clients return after Retry-After.
 type retryStorm struct {
 	controller *Controller
-	rate       float64 // units a second that are released
-	arrivals   [1 << 14][]arrival
-	queue      []uint64 // keys of pending requests
-	capacity   float64  // units that are free
-	remaining  int      // clients whose task has not started
-	decisions  int
+	rate       float64            // units that are released per second
+	arrivals   [1 << 14][]arrival // by slot
+	queue      []uint64           // keys of pending requests
+	capacity   float64            // free units
+	remaining  int                // number of clients whose task has not started
+	decisions  int                // number of calls of Requested and Rejected
 }
 
 // arrival is a request of a client.
 type arrival struct {
-	at  int64
+	at  int64 // time in microseconds
 	key uint64
 }
 
-// newRetryStorm returns a storm of so many clients.
+// newRetryStorm returns a retry storm of a number of clients.
 func newRetryStorm(rng *rand.Rand, clients int, seed uint64) *retryStorm {
 	s := &retryStorm{
 		controller: New(Settings{
@@ -42,7 +43,8 @@
 	return s
 }
 
-// run plays the storm until all tasks have started, and returns how long that took.
+// run simulates the storm until all tasks have started, and returns the simulated time in
+// microseconds.
 func (s *retryStorm) run() (took int64) {
 	var now int64
 	for slot := 0; s.remaining > 0 && slot < len(s.arrivals); slot++ {
@@ -56,7 +58,7 @@
 	return now - testStart
 }
 
-// request takes a request, or rejects it when the queue is full.
+// request makes the request of a client pending, or rejects it if the queue is full.
 func (s *retryStorm) request(now int64, key uint64) {
 	r := Request{Key: key, Class: int(key % 2), Units: 1, TimeoutUs: 6 * second}
 	s.controller.Requested(now, r)
@@ -72,7 +74,7 @@
 	s.arrivals[i] = append(s.arrivals[i], arrival{testStart + int64(slot)*slotUs, key})
 }
 
-// start starts as many pending tasks as one slot releases capacity for.
+// start starts the pending tasks for which capacity is released in one slot.
 func (s *retryStorm) start(now int64) {
 	s.capacity = min(s.capacity+s.rate*seconds(slotUs), s.rate)
 	for len(s.queue) > 0 && s.capacity >= 1 {
@@ -83,8 +85,9 @@
 	}
 }
 
-// runRetryStorms plays so many clients against 50 orchestrators. It returns how long the
-// slowest took against its work over the release rate, and the memory of a client.
+// runRetryStorms simulates clients that are distributed over 50 orchestrators. It returns
+// the time that the slowest orchestrator took, relative to the 60 s of its work at the
+// release rate, the number of decisions, and the memory per client in bytes.
 func runRetryStorms(clients int, seed uint64) (ratio float64, decisions int, bytesPerClient float64) {
 	const orchestrators = 50
 	rng := rand.New(rand.NewPCG(seed, 9))
@@ -114,7 +117,8 @@
 	}
 }
 
-// BenchmarkDecision measures a request and its rejection, amid a million other clients.
+// BenchmarkDecision measures a request and its rejection while a million clients are on the
+// waitlist.
 func BenchmarkDecision(b *testing.B) {
 	s := testSettings()
 	s.MaxClients = 1 << 20
--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -1,26 +1,28 @@
 package backpressure
 
-// This file owns the slot calendar: how many units are expected to return when. It must
-// never count what is past: a slot that its client did not use is free for others.
+// This file implements the slot calendar: how many units rejected clients are expected to
+// bring back in each slot. It never counts the units of past slots: capacity that a client
+// did not return for is available to other clients.
 
 const (
-	// slotUs is the length of a slot: a tick of the waitlist, whose entries count slots in
-	// ticks.
+	// slotUs is the duration of a slot. It equals a tick of the waitlist, because waitlist
+	// entries count slots in ticks.
 	slotUs        = tickUs
-	calendarSlots = 1024 // some 100 s ahead
-	// graceSlots is how late a return may be before its slot goes to others.
+	calendarSlots = 1024 // about 100 s
+	// graceSlots is the number of slots by which a client may return late before its
+	// reserved units become available to other clients.
 	graceSlots = 5
 )
 
-// calendar is a ring of slots.
+// calendar is a ring buffer of slots with the units reserved in each.
 type calendar struct {
 	classes int
-	units   []float32 // by slot and class
-	sums    []float64 // by class
-	base    int64     // the first slot that still counts
+	units   []float32 // reserved units, by slot and class
+	sums    []float64 // reserved units in all slots, by class
+	base    int64     // first slot that still counts, -1 before the first advance
 }
 
-// newCalendar returns an empty calendar.
+// newCalendar returns an empty calendar for a number of classes.
 func newCalendar(classes int) *calendar {
 	return &calendar{
 		classes: classes,
@@ -30,12 +32,12 @@
 	}
 }
 
-// at returns the units of a class in a slot.
+// at returns a pointer to the reserved units of a class in a slot.
 func (c *calendar) at(slot int64, class int) *float32 {
 	return &c.units[int(slot%calendarSlots)*c.classes+class]
 }
 
-// advance drops past slots.
+// advance drops the slots that ended more than graceSlots before now.
 func (c *calendar) advance(now int64) {
 	first := now/slotUs - graceSlots
 	if c.base < 0 || first-c.base >= calendarSlots {
@@ -53,9 +55,10 @@
 	}
 }
 
-// reserve reserves units of a class in the first slot from a time on that has capacity
-// left at a release rate, and returns the slot. If all slots are full it is the last one:
-// its client will be rejected again.
+// reserve reserves units of a class and returns their slot: the first slot after both now
+// and from in which the units fit into the capacity that is released at the given rate, in
+// units per second. Any number of units fits into an empty slot. If all slots are full,
+// reserve uses the last slot of the calendar, and the client will be rejected again.
 func (c *calendar) reserve(now, from int64, class int, units, rate float64) int64 {
 	first := max(from, now)/slotUs + 1
 	last := c.base + calendarSlots - 1
@@ -74,13 +77,13 @@
 	return slot
 }
 
-// add reserves units in a slot, full or not.
+// add reserves units in a slot, even if the slot is full.
 func (c *calendar) add(slot int64, class int, units float64) {
 	*c.at(slot, class) += float32(units)
 	c.sums[class] += units
 }
 
-// cancel frees reserved units, unless their slot is past.
+// cancel frees reserved units. It does nothing if their slot is past or outside the calendar.
 func (c *calendar) cancel(class int, slot int64, units float64) {
 	if class >= c.classes || slot < c.base || slot >= c.base+calendarSlots {
 		return
@@ -91,5 +94,5 @@
 	c.sums[class] = max(0, c.sums[class]-freed)
 }
 
-// total returns the units of a class in all slots.
+// total returns the reserved units of a class in all slots.
 func (c *calendar) total(class int) float64 { return c.sums[class] }
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -1,23 +1,28 @@
-// Package backpressure detects retry storms and computes for each rejected client when
-// to come again, so that there is free capacity for it when it does. It owns what is remembered
-// of rejected clients, the estimate of the release rate, the calendar of reserved slots
-// and the forecast of demand. It is pure: no I/O, no clock, no goroutine; the time is
-// passed in, and random numbers come from a seed. It must never choose a worker, reject a
-// request or delay a response: it only states the Retry-After of a rejection, since when
-// a client is queued, and the release rate.
+// Package backpressure detects retry storms and computes a Retry-After for each rejected
+// request, such that free capacity is available for the client when it returns. It holds
+// the waitlist of rejected clients, the estimate of the release rate, the calendar of
+// reserved slots and the demand forecast.
 //
-// Times are in microseconds. Capacity is counted in units: the size of a mean task.
+// The package is pure: it does no I/O, reads no clock and starts no goroutine. The caller
+// passes in the time, and random numbers are drawn from a seeded generator. The package
+// never selects a worker, rejects a request or delays a response. It only reports the
+// Retry-After of a rejection, the time since which a client is queued, the release rate,
+// the expected demand of higher priorities and the state of overload.
+//
+// Times are in microseconds. Capacity is measured in units; one unit is the size of a mean
+// task.
 package backpressure
 
-// This file owns the Controller, which joins the parts: it takes the events of requests
-// and hands them to the parts that learn from them. It must never estimate anything itself.
+// This file implements the Controller, which passes the events of requests to the waitlist,
+// the calendar, the detector and the estimators. The Controller itself estimates nothing.
 
 import "math/rand/v2"
 
 const (
 	second = int64(1_000_000)
 
-	// rngStream keeps the random numbers of this package apart from others of one seed.
+	// rngStream makes the random numbers of this package independent of those that other
+	// packages draw from the same seed.
 	rngStream = 0x5707
 
 	defaultMaxClients      = 32 << 10
@@ -27,25 +32,25 @@
 // Class describes a request class.
 type Class struct {
 	Name     string
-	Priority float64 // higher goes first
+	Priority float64 // requests of classes with a higher priority go first
 }
 
-// Settings configure a Controller.
+// Settings configures a Controller.
 type Settings struct {
 	Classes         []Class
-	MaxRetryAfterUs int64 // upper bound of Retry-After; 0 for a default
-	MinRetryAfterUs int64 // lower bound of Retry-After
-	MaxClients      int   // clients remembered at most; 0 for a default that fits a small host
+	MaxRetryAfterUs int64 // upper bound of Retry-After; 0 selects 3 s
+	MinRetryAfterUs int64 // lower bound of Retry-After, unless MaxRetryAfterUs is lower
+	MaxClients      int   // size of the waitlist; 0 selects 32,768, which fits a small host
 }
 
-// Request is a request as far as backpressure needs to know it.
+// Request holds the properties of a request that backpressure uses.
 type Request struct {
-	Key, Program  uint64
-	Class         int // index into Settings.Classes; any other counts as the last class
+	Key, Program  uint64 // hash of the request key, and ID of the program
+	Class         int    // index into Settings.Classes; a value out of range selects the last class
 	Units         float64
-	TimeoutUs     int64  // how long the client waits for the response
-	Connection    uint64 // the connection or session that it came by, 0 if unknown
-	QueuedSinceUs int64  // since when it is queued, proved by a retry token; 0 without one
+	TimeoutUs     int64  // time for which the client waits for the response
+	Connection    uint64 // ID of the connection or session that the request arrived on, 0 if unknown
+	QueuedSinceUs int64  // time since which the client is queued, as proven by a retry token; 0 without a token
 }
 
 // Controller is the backpressure state of one orchestrator. It is not safe for concurrent use.
@@ -58,12 +63,12 @@
 	detector   detector
 	demand     demandForecast
 	fairness   fairShare
-	pending    []float64 // units, by class
-	pendingSum float64   // units
-	compliance []float64 // the share of Retry-After that clients stay away, by class
+	pending    []float64 // pending units, by class
+	pendingSum float64   // pending units of all classes
+	compliance []float64 // mean fraction of Retry-After for which clients stay away, by class
 }
 
-// New returns a Controller. Zero settings get their defaults.
+// New returns a Controller. Settings that are zero get their default values.
 func New(s Settings, seed uint64) *Controller {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{}}
@@ -90,7 +95,7 @@
 	return c
 }
 
-// class returns the index of a request's class.
+// class returns the index of a request's class in Settings.Classes.
 func (c *Controller) class(r Request) int {
 	if r.Class < 0 || r.Class >= len(c.settings.Classes) {
 		return len(c.settings.Classes) - 1
@@ -98,9 +103,9 @@
 	return r.Class
 }
 
-// Requested takes a request and returns since when its client is queued: from now on, or
-// from its first request. A client loses no place by being rejected, and wins none by
-// retrying more often.
+// Requested records a request and returns the time since which its client is queued: the
+// time of its first request if the waitlist or a retry token proves it, otherwise now. A
+// rejection does not set a client back, and retrying more often does not advance it.
 func (c *Controller) Requested(now int64, r Request) (queuedSinceUs int64) {
 	c.advance(now)
 	class := c.class(r)
@@ -126,8 +131,9 @@
 	return min(queuedSince, e.queuedSince(now))
 }
 
-// SetPending sets how many units of each class wait for free capacity. Requests that are
-// rejected next must not be among them.
+// SetPending sets the number of units of each class that wait for free capacity. It must not
+// include requests that are about to be rejected: they would count twice, as pending and by
+// their reserved slots.
 func (c *Controller) SetPending(now int64, units []float64) {
 	c.advance(now)
 	c.pendingSum = 0
@@ -141,7 +147,8 @@
 	c.releases.setPending(now, c.pendingSum > 0)
 }
 
-// Started takes a request whose task is running: its place on the waitlist is used.
+// Started records that the task of a request is running, and removes its client from the
+// waitlist.
 func (c *Controller) Started(now int64, r Request) {
 	c.advance(now)
 	c.releases.started(now, r.Units)
@@ -149,26 +156,28 @@
 	c.waitlist.remove(r.Key)
 }
 
-// Ended takes the completion of a running task: its capacity is free again.
+// Ended records the completion of a running task, which frees its capacity.
 func (c *Controller) Ended(now int64, r Request) {
 	c.advance(now)
 	c.releases.completed(now, r.Units)
 }
 
-// Adopted takes a task that was registered as already running.
+// Adopted records a task that was registered as already running.
 func (c *Controller) Adopted(now int64, r Request) {
 	c.advance(now)
 	c.detector.adopted(now, r)
 }
 
-// Cancelled takes a request that its client cancelled.
+// Cancelled records that a client cancelled its request, and removes the client from the
+// waitlist.
 func (c *Controller) Cancelled(now int64, r Request) {
 	c.advance(now)
 	c.waitlist.remove(r.Key)
 }
 
-// ReleaseRate returns the units of capacity that become free in a second, or 0 while that
-// is unknown: without pending requests, starts do not show how much more would fit.
+// ReleaseRate returns the capacity that becomes free, in units per second. It returns 0
+// while the rate is unknown: without pending requests, the started tasks do not show how
+// many more tasks would fit.
 func (c *Controller) ReleaseRate(now int64) float64 {
 	if !c.releases.known(now) {
 		return 0
@@ -176,29 +185,31 @@
 	return c.releases.rate(now)
 }
 
-// advance moves the parts on to now. A clock that went back moves nothing.
+// advance moves the calendar and the fair share forward to now. If the clock went back, no
+// slot expires and no count decays.
 func (c *Controller) advance(now int64) {
 	c.calendar.advance(now)
 	c.fairness.advance(now)
 }
 
-// Tick evaluates what came since the last tick, and returns the change of state if there
-// was one. Call it at least ten times a second while requests come.
+// Tick updates the state of overload from the events of the last second. It returns the
+// change of state and reports whether there was one. Call it at least ten times per second
+// while requests arrive.
 func (c *Controller) Tick(now int64) (Change, bool) {
 	c.advance(now)
 	return c.detector.tick(now, c.pendingSum, c.releases.rate(now))
 }
 
-// Figures are the exported figures of a Controller.
+// Figures holds the metrics of a Controller.
 type Figures struct {
 	State       State
 	Kind        Kind
-	ReleaseRate float64 // release rate: units a second
+	ReleaseRate float64 // last known release rate in units per second, 0 if there is none
 	Pending     float64 // units that wait for free capacity
 	InSlots     float64 // units that have reserved slots
 }
 
-// Figures returns the present figures.
+// Figures returns the current metrics.
 func (c *Controller) Figures(now int64) Figures {
 	f := Figures{State: c.detector.state, Kind: c.detector.kind, ReleaseRate: c.releases.rate(now), Pending: c.pendingSum}
 	for class := range c.pending {
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -11,10 +11,10 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261201") }
 
-// testStart is the time at which tests begin.
+// testStart is the time at which tests begin, in microseconds.
 const testStart = int64(1_700_000_000_000_000)
 
-// testSettings returns settings with three classes of rising priority.
+// testSettings returns settings with three classes of increasing priority.
 func testSettings() Settings {
 	return Settings{
 		Classes:         []Class{{"guide-web", 1}, {"live-relay", 3}, {"archive-cut", 5}},
@@ -22,15 +22,15 @@
 	}
 }
 
-// withMaxRetryAfter returns testSettings with another upper bound of Retry-After.
+// withMaxRetryAfter returns testSettings with the given upper bound of Retry-After.
 func withMaxRetryAfter(maxRetryAfterUs int64) Settings {
 	s := testSettings()
 	s.MaxRetryAfterUs = maxRetryAfterUs
 	return s
 }
 
-// saturated returns a Controller that has seen a release rate (units a second) while so
-// many units were pending, and the time at which it has.
+// saturated returns a Controller after three seconds of starts at the given rate, in units
+// per second, with the given number of units pending. It also returns the time at the end.
 func saturated(s Settings, rate, pending float64) (*Controller, int64) {
 	c := New(s, 1)
 	now := testStart
@@ -42,30 +42,30 @@
 	return c, now
 }
 
-// seconds converts microseconds, for messages.
+// seconds converts microseconds to seconds, for messages.
 func seconds(us int64) float64 { return float64(us) / float64(second) }
 
-// Given a client whose retry token proves since when it is queued, when it comes to an
-// orchestrator that does not know it, then it is queued since that time, also after another
-// rejection; a time in the future wins it nothing.
+// A client with a retry token that arrives at an orchestrator for the first time is queued
+// since the time that its token proves, also after another rejection. A token with a time
+// in the future has no effect.
 func TestQueuedSinceOfRetryToken(t *testing.T) {
 	c, now := saturated(testSettings(), 50, 300)
 	since := now - 4*second
 	r := Request{Key: 9, Units: 1, TimeoutUs: 6 * second, QueuedSinceUs: since}
 	if at := c.Requested(now, r); at != since {
-		t.Errorf("queued %d us later than its token proves", at-since)
+		t.Errorf("client is queued %d us later than its token proves, want 0", at-since)
 	}
 	c.Rejected(now, r)
 	if at := c.Requested(now+second, Request{Key: 9, Units: 1}); at > since+tickUs {
-		t.Errorf("after another rejection queued %d us later", at-since)
+		t.Errorf("after another rejection, client is queued %d us later than its token proves, want at most %d", at-since, tickUs)
 	}
 	if at := c.Requested(now, Request{Key: 10, Units: 1, QueuedSinceUs: now + second}); at != now {
-		t.Errorf("with a token of the future queued %d us from now", at-now)
+		t.Errorf("with a token of the future, client is queued since now%+d us, want now", at-now)
 	}
 }
 
-// Given any order of events, also with a clock that goes back, then results stay within
-// their bounds and the calendar's sums match its slots.
+// For any order of events, even if the clock goes back, results stay within their bounds
+// and the calendar's totals equal the sums over its slots.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
@@ -80,7 +80,7 @@
 	})
 }
 
-// sendRandomEvent draws an event, hands it to c and checks the result.
+// sendRandomEvent passes a random event to c and checks the result.
 func sendRandomEvent(t *rapid.T, c *Controller, now int64) {
 	t.Helper()
 	r := Request{
@@ -92,13 +92,13 @@
 	switch rapid.IntRange(0, 6).Draw(t, "event") {
 	case 0:
 		if since := c.Requested(now, r); since > now {
-			t.Fatalf("queued since %d, now is %d", since, now)
+			t.Fatalf("client is queued since %d, want at most the current time %d", since, now)
 		}
 	case 1:
 		c.Started(now, r)
 	case 2, 3:
 		if wait := c.Rejected(now, r); wait < 0 || wait > c.settings.MaxRetryAfterUs {
-			t.Fatalf("Retry-After of %d us", wait)
+			t.Fatalf("Retry-After is %d us, want between 0 and %d", wait, c.settings.MaxRetryAfterUs)
 		}
 	case 4:
 		c.SetPending(now, []float64{r.Units, 0, r.Units})
@@ -111,7 +111,8 @@
 	}
 }
 
-// checkCalendarSums checks that the sum of each class is that of its slots.
+// checkCalendarSums checks that the calendar's total of each class equals the sum over its
+// slots.
 func checkCalendarSums(t *rapid.T, c *Controller) {
 	t.Helper()
 	for class := range c.settings.Classes {
@@ -120,32 +121,32 @@
 			sum += float64(*c.calendar.at(slot, class))
 		}
 		if difference := sum - c.calendar.total(class); difference > 0.1 || difference < -0.1 {
-			t.Fatalf("class %d: %.2f units reserved, %.2f in the slots", class, c.calendar.total(class), sum)
+			t.Fatalf("class %d: total is %.2f units, want %.2f, the sum over the slots", class, c.calendar.total(class), sum)
 		}
 	}
 }
 
-// Given a calendar with every slot reserved, then Retry-After stays within its bound, and
-// what is past is forgotten.
+// If every slot of the calendar is reserved, Retry-After stays within its bounds, and past
+// reservations are dropped.
 func TestEverySlotReserved(t *testing.T) {
 	c, now := saturated(testSettings(), 10, 100)
 	for i := range 50_000 {
 		r := Request{Key: uint64(i), Program: uint64(i), Units: 4, TimeoutUs: second}
 		if wait := c.Rejected(now, r); wait < 0 || wait > 3*second {
-			t.Fatalf("Retry-After of %.1f s", seconds(wait))
+			t.Fatalf("Retry-After is %.1f s, want between 0 and 3 s", seconds(wait))
 		}
 	}
 	if f := c.Figures(now); f.InSlots < 100_000 {
-		t.Errorf("%.0f units are reserved", f.InSlots)
+		t.Errorf("%.0f units are reserved, want at least 100000", f.InSlots)
 	}
 	now += 200 * second
 	c.SetPending(now, nil)
 	if f := c.Figures(now); f.InSlots != 0 {
-		t.Errorf("%.0f units are reserved long afterwards", f.InSlots)
+		t.Errorf("%.0f units are still reserved 200 s later, want 0", f.InSlots)
 	}
 }
 
-// Given a million clients, then the waitlist keeps its size.
+// The waitlist keeps its size when a million clients are rejected.
 func TestMemoryOfAMillionClients(t *testing.T) {
 	s := testSettings()
 	s.MaxClients = 4096
@@ -157,10 +158,10 @@
 		r := Request{Key: rng.Uint64(), Class: rng.IntN(3), Units: 1, TimeoutUs: 6 * second}
 		c.Requested(now, r)
 		if wait := c.Rejected(now, r); wait > s.MaxRetryAfterUs {
-			t.Fatalf("Retry-After of %d us", wait)
+			t.Fatalf("Retry-After is %d us, want at most %d", wait, s.MaxRetryAfterUs)
 		}
 	}
 	if len(c.waitlist.entries) != entries {
-		t.Error("the waitlist grew")
+		t.Errorf("waitlist has %d entries, want %d", len(c.waitlist.entries), entries)
 	}
 }
--- a/internal/backpressure/counters.go
+++ b/internal/backpressure/counters.go
@@ -1,25 +1,26 @@
 package backpressure
 
-// This file owns the counters that the detector reads: events in the last second, and the
-// most frequent programs. They must never allocate.
+// This file implements the counters that the detector reads: the number of events in the
+// last second, and the most frequent programs. Counting must never allocate memory.
 
 const (
 	windowBuckets  = 10
 	windowBucketUs = second / windowBuckets
-	// trackedPrograms is the number of counters of frequent programs.
+	// trackedPrograms is the number of counters in frequentPrograms.
 	trackedPrograms = 16
-	// topPrograms is how many programs are few.
+	// topPrograms is the number of programs whose combined share of the events makes a
+	// surge a Reconnect.
 	topPrograms = 3
 )
 
 // eventWindow counts events over the last second. The zero value is ready for use.
 type eventWindow struct {
 	counts [windowBuckets]int32
-	head   int64 // the bucket that is filled now
-	sum    int32
+	head   int64 // number of the bucket that is being filled
+	sum    int32 // of counts
 }
 
-// advance moves the window on to now.
+// advance moves the window forward to now.
 func (w *eventWindow) advance(now int64) {
 	bucket := now / windowBucketUs
 	if w.head == 0 || bucket-w.head >= windowBuckets {
@@ -41,18 +42,18 @@
 	w.sum++
 }
 
-// frequentPrograms counts the most frequent programs by the algorithm of Misra and Gries:
-// a program with more than a seventeenth of all events is among them. The zero value is
-// ready for use.
+// frequentPrograms counts the events of the most frequent programs with the Misra-Gries
+// algorithm: 16 counters track every program that has more than one seventeenth of all
+// events. The zero value is ready for use.
 type frequentPrograms struct {
 	programs [trackedPrograms]uint64
 	counts   [trackedPrograms]float64
-	all      float64
+	total    float64 // events of all programs
 }
 
 // add counts an event of a program.
 func (p *frequentPrograms) add(program uint64) {
-	p.all++
+	p.total++
 	free := -1
 	for i := range p.programs {
 		switch {
@@ -72,7 +73,8 @@
 	}
 }
 
-// topShare returns the share of all events that the topPrograms most frequent have.
+// topShare returns the estimated fraction of all events that belong to the topPrograms most
+// frequent programs.
 func (p *frequentPrograms) topShare() float64 {
 	var top [topPrograms]float64 // descending
 	for _, count := range p.counts {
@@ -86,12 +88,12 @@
 	for _, count := range top {
 		sum += count
 	}
-	return sum / max(1, p.all)
+	return sum / max(1, p.total)
 }
 
 // decay multiplies all counts by a factor.
 func (p *frequentPrograms) decay(factor float64) {
-	p.all *= factor
+	p.total *= factor
 	for i := range p.counts {
 		p.counts[i] *= factor
 	}
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -1,8 +1,8 @@
 package backpressure
 
-// This file owns the detection of retry storms: whether more requests arrive than usual,
-// whether there is capacity for them, and what kind of surge that makes. It must never
-// change a Retry-After: it only observes.
+// This file implements the detection of retry storms. The detector determines whether more
+// requests arrive than the baseline rate, whether there is capacity for them, and the kind
+// of surge. It only observes and must never change a Retry-After.
 
 import "fmt"
 
@@ -12,59 +12,63 @@
 // The states of overload.
 const (
 	Calm       State = iota
-	Rising           // more requests arrive than usual
-	Overloaded       // more than there is free capacity for
-	Settling         // arrivals are as usual again, for a short time
+	Rising           // more requests arrive than the baseline rate
+	Overloaded       // more requests arrive than there is free capacity for
+	Settling         // arrivals are no longer elevated, but not yet for long enough to be Calm
 )
 
-// String returns the state as the log and the operators' pages name it.
+// String returns the name of the state in logs and on the operators' pages.
 func (s State) String() string { return [...]string{"calm", "rising", "storm", "settling"}[s] }
 
-// Kind is what a surge of requests is made of.
+// Kind classifies a surge of requests by what causes it.
 type Kind int
 
 // The kinds of surge.
 const (
 	NoSurge   Kind = iota
-	Burst          // new demand
-	Retries        // rejected clients that come back
-	Reconnect      // tasks of a few programs come back together
-	Restart        // tasks are registered as running after a start
+	Burst          // new requests
+	Retries        // rejected clients that return
+	Reconnect      // tasks of a few programs that return together
+	Restart        // tasks that are registered as running after the orchestrator started
 )
 
-// String returns the kind as the log and the operators' pages name it.
+// String returns the name of the kind in logs and on the operators' pages.
 func (k Kind) String() string {
 	return [...]string{"none", "burst", "retries", "reconnect", "restart"}[k]
 }
 
-// Change is a change of state, and its cause.
+// Change describes a change of the state of overload.
 type Change struct {
 	From, To State
 	Kind     Kind
-	Cause    string // the figures that led to it
+	Cause    string // observed values that led to the change, for the log
 }
 
 const (
-	// evaluationIntervalUs is the shortest time between two evaluations.
+	// evaluationIntervalUs is the minimum time between two evaluations.
 	evaluationIntervalUs = second / 10
-	// usualTimeConstantUs is the time constant by which the usual rate follows arrivals.
-	usualTimeConstantUs = 30 * second
-	// surgeFactor is the multiple of the usual rate that is a surge, if it also is
-	// minSurgeExcess (requests a second) above it.
+	// baselineTimeConstantUs is the time constant with which the baseline rate follows the
+	// rate of new requests.
+	baselineTimeConstantUs = 30 * second
+	// Arrivals are a surge if they exceed surgeFactor times the baseline rate and also
+	// exceed the baseline rate by minSurgeExcess requests per second.
 	surgeFactor    = 2.0
 	minSurgeExcess = 8.0
-	// settledFactor is the multiple of the usual rate below which a surge is over.
+	// A surge is over when arrivals are at most settledFactor times the baseline rate, or
+	// exceed the baseline rate by at most half of minSurgeExcess.
 	settledFactor = 1.3
-	// calmAfterUs is for how long it must be over.
+	// calmAfterUs is the time for which a surge must be over before the state is Calm.
 	calmAfterUs = 2 * second
-	// maxProgramDecay bounds the share of program counts that is forgotten at once.
+	// maxProgramDecay is the maximum fraction of the program counts that one evaluation
+	// discards.
 	maxProgramDecay = 0.9
 
-	// The shares of all requests by which the kinds of surge differ.
-	retriesShare     = 0.3 // returned clients
+	// Minimum fractions of all arrivals by which the kinds of surge are distinguished.
+	retriesShare     = 0.3 // requests of returned clients
 	topProgramsShare = 0.6 // requests of the topPrograms most frequent programs
 	adoptedShare     = 0.4 // adopted tasks
-	// restartWithinUs is for how long after a start adopted tasks make a restart.
+	// restartWithinUs is the time after the detector's first tick during which a surge of
+	// adopted tasks is classified as Restart.
 	restartWithinUs = 10 * second
 )
 
@@ -72,25 +76,25 @@
 type detector struct {
 	requests, returns, rejections, adoptions, starts eventWindow
 
-	programs   frequentPrograms
-	usual      float64 // requests a second
-	startedAt  int64   // the first tick
-	tickedAt   int64   // the last tick, 0 before the first
-	elevatedAt int64   // the last tick at which arrivals were elevated
-	state      State
-	kind       Kind
+	programs       frequentPrograms
+	baseline       float64 // usual rate of new requests per second
+	firstTickAt    int64   // time of the first tick
+	lastTickAt     int64   // time of the last evaluated tick, 0 before the first
+	lastElevatedAt int64   // time of the last tick with observation.elevated set
+	state          State
+	kind           Kind
 }
 
-// observation is what the detector evaluates at one tick.
+// observation holds the input of one evaluation by the detector.
 type observation struct {
-	requests, returned, adopted, rejected, started float64 // in the last second
+	requests, returned, adopted, rejected, started float64 // number of events in the last second
 
 	arrivals    float64 // requests and adopted tasks in the last second
 	pending     float64 // units
-	releaseRate float64 // units a second
-	congested   bool    // more is pending than is released in a second
-	surge       bool    // arrivals are above the rate of a surge
-	elevated    bool    // arrivals are above the usual, or congested
+	releaseRate float64 // units per second
+	congested   bool    // more units are pending than are released in a second
+	surge       bool    // arrivals are above the surge threshold
+	elevated    bool    // arrivals are too high for a surge to be over, or congested is set
 }
 
 func (d *detector) requested(now int64, r Request) {
@@ -107,23 +111,26 @@
 	d.programs.add(r.Program)
 }
 
-// surgeThreshold returns the rate of requests a second from which on it is a surge.
-func (d *detector) surgeThreshold() float64 { return max(d.usual*surgeFactor, d.usual+minSurgeExcess) }
+// surgeThreshold returns the rate of requests per second above which arrivals are a surge.
+func (d *detector) surgeThreshold() float64 {
+	return max(d.baseline*surgeFactor, d.baseline+minSurgeExcess)
+}
 
-// tick evaluates the last second, at most ten times in it, and returns a change of state if there was one.
+// tick evaluates the events of the last second, at most once per evaluationIntervalUs. It
+// returns the change of state and reports whether there was one.
 func (d *detector) tick(now int64, pending, releaseRate float64) (Change, bool) {
-	if d.tickedAt == 0 {
-		d.startedAt, d.tickedAt = now, now
+	if d.lastTickAt == 0 {
+		d.firstTickAt, d.lastTickAt = now, now
 		return Change{}, false
 	}
-	elapsed := now - d.tickedAt
+	elapsed := now - d.lastTickAt
 	if elapsed < evaluationIntervalUs {
 		return Change{}, false
 	}
-	d.tickedAt = now
+	d.lastTickAt = now
 	obs := d.observe(now, elapsed, pending, releaseRate)
 	if obs.elevated {
-		d.elevatedAt = now
+		d.lastElevatedAt = now
 	}
 	from, to := d.state, d.nextState(now, &obs)
 	if to == from {
@@ -139,7 +146,7 @@
 	return Change{From: from, To: to, Kind: d.kind, Cause: d.explain(&obs)}, true
 }
 
-// observe reads the counters, and learns the usual rate from them.
+// observe reads the counters and updates the baseline rate from them.
 func (d *detector) observe(now, elapsed int64, pending, releaseRate float64) observation {
 	for _, w := range []*eventWindow{&d.requests, &d.returns, &d.rejections, &d.adoptions, &d.starts} {
 		w.advance(now)
@@ -154,28 +161,30 @@
 		releaseRate: releaseRate,
 	}
 	obs.arrivals = obs.requests + obs.adopted
-	d.learnUsual(now, elapsed, obs.requests-obs.returned)
+	d.updateBaseline(now, elapsed, obs.requests-obs.returned)
 	d.programs.decay(1 - min(maxProgramDecay, float64(elapsed)/float64(second)))
 	obs.congested = pending > 0 && releaseRate > 0 && pending/releaseRate > 1
 	obs.surge = obs.arrivals > d.surgeThreshold()
-	obs.elevated = obs.arrivals > max(d.usual*settledFactor, d.usual+minSurgeExcess/2) || obs.congested
+	obs.elevated = obs.arrivals > max(d.baseline*settledFactor, d.baseline+minSurgeExcess/2) || obs.congested
 	return obs
 }
 
-// learnUsual moves the usual rate towards the rate of new requests a second.
-func (d *detector) learnUsual(now, elapsed int64, newRequests float64) {
+// updateBaseline moves the baseline rate towards newRequests, the number of new requests in
+// the last second.
+func (d *detector) updateBaseline(now, elapsed int64, newRequests float64) {
 	if d.state != Calm {
-		// A surge is not the usual, but what lasts becomes it: else a start amid a surge
-		// would have no usual rate to settle to.
+		// A surge raises the baseline only slowly, because at most the surge threshold
+		// counts. A rate that lasts still becomes the baseline: an orchestrator that starts
+		// during a surge would otherwise have no baseline to settle to.
 		newRequests = min(newRequests, d.surgeThreshold())
 	}
-	period := min(usualTimeConstantUs, max(second, now-d.startedAt))
-	d.usual += (newRequests - d.usual) * min(1, float64(elapsed)/float64(period))
+	period := min(baselineTimeConstantUs, max(second, now-d.firstTickAt))
+	d.baseline += (newRequests - d.baseline) * min(1, float64(elapsed)/float64(period))
 }
 
-// nextState returns the state that follows from an observation.
+// nextState returns the state of overload after an observation.
 func (d *detector) nextState(now int64, obs *observation) State {
-	settled := now-d.elevatedAt >= calmAfterUs
+	settled := now-d.lastElevatedAt >= calmAfterUs
 	switch d.state {
 	case Calm:
 		switch {
@@ -186,7 +195,7 @@
 		}
 	case Rising:
 		switch {
-		case obs.congested || obs.rejected > d.usual:
+		case obs.congested || obs.rejected > d.baseline:
 			return Overloaded
 		case !obs.elevated && settled:
 			return Calm
@@ -206,26 +215,26 @@
 	return d.state
 }
 
-// classify returns the kind of the present surge.
+// classify returns the kind of the current surge.
 func (d *detector) classify(obs *observation) Kind {
-	adoptedMuch := obs.arrivals > 0 && obs.adopted/obs.arrivals > adoptedShare
+	manyAdopted := obs.arrivals > 0 && obs.adopted/obs.arrivals > adoptedShare
 	switch {
-	case adoptedMuch && d.tickedAt-d.startedAt < restartWithinUs:
+	case manyAdopted && d.lastTickAt-d.firstTickAt < restartWithinUs:
 		return Restart
 	case obs.arrivals > 0 && obs.returned/obs.arrivals > retriesShare:
 		return Retries
-	case d.programs.topShare() > topProgramsShare, adoptedMuch:
+	case d.programs.topShare() > topProgramsShare, manyAdopted:
 		return Reconnect
 	}
 	return Burst
 }
 
-// explain returns the cause of a change as it is logged.
+// explain returns the text of Change.Cause.
 func (d *detector) explain(obs *observation) string {
 	return fmt.Sprintf(
-		"%.0f set-ups in the last second, %.1f usual; "+
-			"%.0f came again, %.0f were handed in as running, %.0f refused, %.0f started; "+
-			"%.1f units wait at %.1f a second; the first %d services have %.0f%%",
-		obs.requests, d.usual, obs.returned, obs.adopted, obs.rejected, obs.started,
+		"%.0f requests in the last second, baseline rate %.1f per second; "+
+			"%.0f clients returned, %.0f tasks adopted, %.0f requests rejected, %.0f tasks started; "+
+			"%.1f units pending, release rate %.1f per second; the top %d programs have %.0f%% of arrivals",
+		obs.requests, d.baseline, obs.returned, obs.adopted, obs.rejected, obs.started,
 		obs.pending, obs.releaseRate, topPrograms, 100*d.programs.topShare())
 }
--- a/internal/backpressure/detector_test.go
+++ b/internal/backpressure/detector_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each kind of surge is recognised, and the state is calm again after each.
+// The detector classifies each kind of surge, and returns to Calm after each.
 func TestDetection(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -36,19 +36,19 @@
 			}
 			now, kind := sendSurge(c, now, test.send)
 			if kind != test.want {
-				t.Errorf("it was taken for %s", kind)
+				t.Errorf("surge is classified as %s, want %s", kind, test.want)
 			}
 			c.SetPending(now, nil)
 			_, last := sendUsual(c, now, 8)
 			if last.To != Calm || last.Cause == "" || c.detector.state != Calm {
-				t.Errorf("afterwards the state is %s by %+v", c.detector.state, last)
+				t.Errorf("after the surge, state is %s and the last change is %+v, want calm with a cause", c.detector.state, last)
 			}
 		})
 	}
 }
 
-// sendUsual sends ten requests a second, and returns the time after them and the last
-// change of state.
+// sendUsual sends ten requests per second for a number of seconds. It returns the time
+// after the last request, and the last change of state.
 func sendUsual(c *Controller, now int64, seconds int) (end int64, last Change) {
 	for range seconds * 10 {
 		now += second / 10
@@ -60,8 +60,9 @@
 	return now, last
 }
 
-// sendSurge sends 300 events a second for two seconds while more and more is pending, and
-// returns the time after them and the kind while overloaded.
+// sendSurge sends 300 events per second for two seconds while the pending units increase.
+// It returns the time after the last event, and the kind of surge while the state is
+// Overloaded.
 func sendSurge(c *Controller, now int64, send func(c *Controller, now int64, i int)) (end int64, kind Kind) {
 	for i := range 600 {
 		now += second / 300
@@ -75,8 +76,8 @@
 	return now, kind
 }
 
-// Given clients of a zone that return with their tasks still running, beside new requests,
-// then adopted tasks count as no retries, and the surge is a reconnect.
+// If clients return with their tasks still running while other clients send new requests,
+// adopted tasks do not count as retries, and the surge is a Reconnect.
 func TestAdoptedTasksAreNoRetries(t *testing.T) {
 	c := New(testSettings(), 1)
 	now := testStart
@@ -99,6 +100,7 @@
 		}
 	}
 	if kind != Reconnect || c.ReleaseRate(now) > 1 {
-		t.Errorf("taken for %s, at a release rate of %.1f though nothing started", kind, c.ReleaseRate(now))
+		t.Errorf("surge is classified as %s, want %s; release rate is %.1f without any start, want at most 1",
+			kind, Reconnect, c.ReleaseRate(now))
 	}
 }
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -1,30 +1,32 @@
 package backpressure
 
-// This file owns the fair share of programs among the reserved slots: a program that
-// wants most of the capacity must not put the others behind all of its requests. Programs
-// are counted in buckets by a hash; two in one bucket share its share.
+// This file implements the fair share of programs among the reserved slots: a program that
+// requests most of the capacity must not delay the requests of other programs behind all of
+// its own. Programs are counted in hash buckets, and programs in the same bucket have one
+// share together.
 
 const (
-	// decayIntervalUs is how often reserved units are made to count for less: half of
-	// their weight is left after three seconds, by when their clients have returned, or
-	// others have taken their place.
+	// decayIntervalUs is the interval at which the counts of reserved units are multiplied
+	// by decayFactor. Half of a count is left after three seconds, by which time its
+	// clients have returned or other clients have taken their place.
 	decayIntervalUs = second / 10
 	decayFactor     = 0.977
-	// maxDecaySteps is after how many steps at once everything is forgotten.
+	// maxDecaySteps is the maximum number of decay steps at once. If more are due, all
+	// counts are reset.
 	maxDecaySteps = 1000
-	// minBucketUnits is half a step of entry.unitSteps: less counts as nothing.
+	// minBucketUnits is half a step of entry.unitSteps. A smaller count becomes zero.
 	minBucketUnits = 1.0 / unitScale / 2
 )
 
 // fairShare counts reserved units by program. The zero value is ready for use.
 type fairShare struct {
-	decayedAt int64
-	units     [hashBuckets]float32
-	active    int // buckets with reserved units
-	sum       float64
+	decayedAt int64                // time up to which the counts have decayed
+	units     [hashBuckets]float32 // reserved units, by bucket
+	active    int                  // number of buckets with reserved units
+	sum       float64              // reserved units in all buckets
 }
 
-// advance decays the counts.
+// advance decays the counts up to now.
 func (f *fairShare) advance(now int64) {
 	if f.decayedAt == 0 || now < f.decayedAt {
 		f.decayedAt = now
@@ -43,7 +45,7 @@
 	}
 }
 
-// add counts units, which may be negative.
+// add adds units, which may be negative, to the count of a bucket.
 func (f *fairShare) add(bucket int, units float64) {
 	before := f.units[bucket]
 	after := max(0, before+float32(units))
@@ -60,14 +62,15 @@
 	}
 }
 
-// ahead returns how many of the reserved units ahead of a request count for its program,
-// whose own are counted already: if programs took turns, only as many of each program as
-// its own has would go first.
+// ahead returns how many of the reserved units ahead of a request delay it if programs take
+// turns: of each active program, at most as many units as the program of the request has
+// reserved. The bucket of that program must already count the request.
 func (f *fairShare) ahead(bucket int, units float64) float64 {
 	return min(units, float64(f.units[bucket])*float64(max(1, f.active)))
 }
 
-// belowShare reports whether a program has less than half of the mean reserved units.
+// belowShare reports whether a bucket has less than half of the mean reserved units of all
+// active buckets.
 func (f *fairShare) belowShare(bucket int) bool {
 	return f.active > 1 && float64(f.units[bucket])*float64(f.active) < f.sum/2
 }
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// This file owns the demand forecast: the capacity that classes of higher priority will
-// want in the next moment of a surge, so that lower ones do not take it just before.
-// Without a surge it must reserve nothing: requests that fit beside the forecast are never
-// delayed.
+// This file implements the demand forecast: during a surge, it estimates the capacity that
+// classes of higher priority are about to request, so that classes of lower priority do not
+// take it just before. Without a surge it reserves nothing: requests that fit beside the
+// forecast are never delayed.
 
 const (
 	demandBucketUs = second / 20
 	demandBuckets  = 6
-	// recentBuckets is how many of the last buckets show the beginning of a surge.
+	// recentBuckets is the number of latest buckets that show the beginning of a surge.
 	recentBuckets = 2
-	// forecastUs is how far the forecast reaches: as long as lower priorities can be
-	// pending and still start in time.
+	// forecastUs is the horizon of the forecast: the time for which requests of lower
+	// priority can be pending and still start in time.
 	forecastUs = second / 2
-	// maxPerSource is how many requests of one source count in a bucket: hundreds at once
-	// from one source are no surge.
+	// maxPerSource is the maximum number of requests of one source that count in a bucket:
+	// hundreds of requests at once from one source are not a surge.
 	maxPerSource = 2
-	// minSources is from how many sources requests must come in a bucket to be a surge.
+	// minSources is the minimum number of sources in one bucket that makes a surge.
 	minSources = 10
 )
 
-// demandCounts are counts by bucket, a ring.
+// demandCounts is a ring buffer of counts by bucket.
 type demandCounts [demandBuckets]float64
 
-// demandForecast counts what was requested of each class in the last buckets.
+// demandForecast counts the units of each class that were requested in the last buckets.
 type demandForecast struct {
-	units          []demandCounts // by class
-	requests       demandCounts
-	head           int64                // the bucket that is filled now
-	higherPriority []float64            // result of Controller.Reserved, by class
-	perSource      [hashBuckets]uint8   // requests in the head bucket, by source
-	sources        [demandBuckets]int32 // by bucket
+	units          []demandCounts       // requested units, by class
+	requests       demandCounts         // requests of all classes
+	head           int64                // number of the bucket that is being filled
+	higherPriority []float64            // result of Controller.HigherPriorityDemand, by class
+	perSource      [hashBuckets]uint8   // requests in the head bucket, by hash bucket of the source
+	sources        [demandBuckets]int32 // number of sources, by bucket
 }
 
-// newDemandForecast returns an empty forecast.
+// newDemandForecast returns an empty forecast for a number of classes.
 func newDemandForecast(classes int) demandForecast {
 	return demandForecast{units: make([]demandCounts, classes), higherPriority: make([]float64, classes)}
 }
 
-// advance moves the ring on to now.
+// advance moves the ring buffers forward to now.
 func (f *demandForecast) advance(now int64) {
 	bucket := now / demandBucketUs
 	if f.head == 0 || bucket-f.head >= demandBuckets {
@@ -59,7 +59,7 @@
 	}
 }
 
-// reset empties all buckets.
+// reset empties all buckets and makes bucket the one that is being filled.
 func (f *demandForecast) reset(bucket int64) {
 	for class := range f.units {
 		f.units[class] = demandCounts{}
@@ -70,7 +70,8 @@
 	f.head = bucket
 }
 
-// add counts a request. Source 0 is unknown: each such request counts as from another one.
+// add counts a request. Source 0 means unknown; each request of an unknown source counts as
+// one of a new source.
 func (f *demandForecast) add(now int64, class int, units float64, source uint64) {
 	f.advance(now)
 	index := f.head % demandBuckets
@@ -90,7 +91,8 @@
 	f.requests[index]++
 }
 
-// rate returns the higher one of the rates of the recent and of all buckets, a second.
+// rate returns the rate per second over the recent buckets or over all buckets, whichever
+// is higher.
 func (f *demandForecast) rate(counts *demandCounts) float64 {
 	var recent, all float64
 	for age := range int64(demandBuckets) {
@@ -104,15 +106,17 @@
 	return max(recent*perSecond/recentBuckets, all*perSecond/demandBuckets)
 }
 
-// HigherPriorityDemand returns how many units of free capacity each class is to leave to classes of
-// higher priority that are about to request them: 0 except in a surge. The slice belongs
-// to the Controller and is valid until the next call.
+// HigherPriorityDemand returns, by class, the number of units of free capacity that the
+// class must leave to classes of higher priority that are about to request them. The
+// numbers are 0 except during a surge. The Controller owns the slice, which is valid until
+// the next call.
 func (c *Controller) HigherPriorityDemand(now int64) []float64 {
 	f := &c.demand
 	f.advance(now)
 	clear(f.higherPriority)
-	// The windows of the forecast are shorter than the detector's second, so their rates
-	// scatter more: the excess is required once more beyond the detector's threshold.
+	// The windows of the forecast are shorter than the one-second window of the detector, so
+	// their rates vary more. Therefore minSurgeExcess is added once more to the detector's
+	// threshold.
 	threshold := c.detector.surgeThreshold() + minSurgeExcess
 	if slices.Max(f.sources[:]) < minSources || f.rate(&f.requests) <= threshold {
 		return f.higherPriority
--- a/internal/backpressure/hash.go
+++ b/internal/backpressure/hash.go
@@ -1,12 +1,13 @@
 package backpressure
 
-// This file owns the hash of keys, programs and connections. It must never change: which
-// keys share a bucket follows from it.
+// This file implements the hash of keys, programs and connections. The hash must never
+// change, because it determines which keys share a bucket.
 
 // hashBuckets is the number of buckets in which programs and connections are counted.
 const hashBuckets = 256
 
-// hash spreads keys, which may be numbered in order (the finalizer of SplitMix64).
+// hash returns the SplitMix64 finalizer of x, which distributes keys evenly even if they are
+// numbered sequentially.
 func hash(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/backpressure/releaserate.go
+++ b/internal/backpressure/releaserate.go
@@ -1,34 +1,36 @@
 package backpressure
 
-// This file owns the estimate of the release rate: how many units of capacity become free
-// in a second. It is learned from starts while requests are pending, since only then do
-// starts show how much there is, and from completions of own tasks, whose capacity this
-// orchestrator knows of first. It must never take a time without requests for a lack of
-// capacity.
+// This file implements the estimate of the release rate: the number of units of capacity
+// that become free per second. The estimate is learned from the tasks that start while
+// requests are pending, since only then do starts show how much capacity there is, and from
+// the completions of this orchestrator's own tasks, because it learns of their capacity
+// first. A time without requests must never count as a lack of capacity.
 
 const (
 	rateBucketUs = second / 10
 	rateBuckets  = 20
-	// knownAfterUs is for how long requests must be pending until the rate is known.
+	// knownAfterUs is the time for which requests must be pending before the rate is known.
 	knownAfterUs = second / 2
-	// idleAfterUs is how long nothing may be pending before the next pending request
-	// begins a new period.
+	// idleAfterUs is the time without pending requests after which the next pending request
+	// begins a new measurement period.
 	idleAfterUs = second / 4
-	// minRate (units a second) keeps times finite where nothing starts at all.
+	// minRate is the minimum rate in units per second. It keeps expected start times finite
+	// while no task starts at all.
 	minRate = 0.2
 )
 
-// rateEstimator is a window of the last two seconds. The zero value is ready for use.
+// rateEstimator estimates the release rate over a window of the last two seconds. The zero
+// value is ready for use.
 type rateEstimator struct {
-	starts       [rateBuckets]float64 // units
-	completions  [rateBuckets]float64 // units
-	head         int64                // the bucket that is filled now
-	pendingSince int64                // 0 while nothing is pending
-	lastPending  int64                // when something was pending last
-	latest       float64              // the rate known last, units a second
+	starts       [rateBuckets]float64 // started units, by bucket
+	completions  [rateBuckets]float64 // completed units, by bucket
+	head         int64                // number of the bucket that is being filled
+	pendingSince int64                // start of the measurement period, 0 while there is none
+	lastPending  int64                // last time at which requests were pending
+	lastKnown    float64              // last known rate in units per second
 }
 
-// advance moves the window on to now.
+// advance moves the window forward to now.
 func (r *rateEstimator) advance(now int64) {
 	bucket := now / rateBucketUs
 	if bucket-r.head >= rateBuckets || r.head == 0 {
@@ -54,7 +56,7 @@
 	r.starts[r.head%rateBuckets] += units
 }
 
-// setPending takes whether requests are pending.
+// setPending records whether requests are pending at now.
 func (r *rateEstimator) setPending(now int64, pending bool) {
 	r.advance(now)
 	switch {
@@ -67,17 +69,19 @@
 	}
 }
 
-// known reports whether requests have been pending for long enough to know the rate.
+// known reports whether requests have been pending for long enough for the rate to be known.
 func (r *rateEstimator) known(now int64) bool {
 	return r.pendingSince > 0 && now-r.pendingSince >= knownAfterUs && now-r.lastPending <= idleAfterUs
 }
 
-// rate returns the units a second over the window, or over the part of it in which
-// requests were pending. While that is unknown it returns the rate known last, 0 if none.
+// rate returns the release rate in units per second, at least minRate. It is the rate of
+// starts over the part of the window in which requests were pending, or the rate of
+// completions over the whole window, whichever is higher. While the rate is unknown, rate
+// returns the last known rate, or 0 if there is none.
 func (r *rateEstimator) rate(now int64) float64 {
 	r.advance(now)
 	if !r.known(now) {
-		return r.latest
+		return r.lastKnown
 	}
 	buckets := min(rateBuckets, (now-r.pendingSince)/rateBucketUs+1)
 	var starts float64
@@ -90,6 +94,6 @@
 		completions += units
 	}
 	const window = float64(rateBuckets*rateBucketUs) / float64(second)
-	r.latest = max(minRate, starts/span, completions/window)
-	return r.latest
+	r.lastKnown = max(minRate, starts/span, completions/window)
+	return r.lastKnown
 }
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Given a thousand clients that are rejected at once, then they return over the time in
+// If a thousand clients are rejected at once, their returns are spread over the time in
 // which their capacity is released, and no slot is reserved beyond the release rate.
 func TestReturnsSpread(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 100)
@@ -15,16 +15,16 @@
 	}
 	for slot, count := range returns {
 		if count > 6 && slot != now/slotUs+1 {
-			t.Errorf("%d in one slot at 5 a slot", count)
+			t.Errorf("%d clients return in slot %d, want at most 6 at a release rate of 5 per slot", count, slot)
 		}
 	}
 	if want := (1100/50 - 4) * second; last < want*8/10 || last > want*12/10 {
-		t.Errorf("the last one returns after %.1f s, expected about %.1f", seconds(last), seconds(want))
+		t.Errorf("last client returns after %.1f s, want %.1f s within 20%%", seconds(last), seconds(want))
 	}
 }
 
-// Given that all pending requests are rejected at once, then the last one waits for the
-// others, and for them once only.
+// If all pending requests are rejected at once, the last one waits for the others only
+// once: they do not also count as pending.
 func TestAllPendingRejected(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 500)
 	c.SetPending(now, []float64{0, 0, 0}) // as the dispatcher does before it rejects
@@ -33,12 +33,12 @@
 		last = max(last, c.Rejected(now, Request{Key: uint64(i), Program: uint64(i % 50), Units: 1}))
 	}
 	if last < 9*second || last > 11*second {
-		t.Errorf("500 at 50 a second: the last one returns after %.1f s", seconds(last))
+		t.Errorf("with 500 clients at 50 per second, the last one returns after %.1f s, want 9 to 11 s", seconds(last))
 	}
 }
 
-// Given a client that returns too early again and again, then it keeps its place, and the
-// others keep theirs.
+// A client that repeatedly returns too early keeps its place on the waitlist, and so do the
+// other clients.
 func TestEarlyReturnKeepsPlace(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 300)
 	r := Request{Key: 7, Class: 0, Units: 1, TimeoutUs: second}
@@ -52,19 +52,20 @@
 		c.SetPending(now, []float64{300, 0, 0})
 		c.Started(now, Request{Key: uint64(now), Units: 5})
 		if since := c.Requested(now, r); since > testStart+4*second {
-			t.Errorf("it is queued since %.1f s", seconds(since-testStart))
+			t.Errorf("client is queued since %.1f s, want at most 4 s", seconds(since-testStart))
 		}
 		if again := now + c.Rejected(now, r); again > first+2*slotUs {
-			t.Errorf("to return at %.2f s, then at %.2f s", seconds(first-testStart), seconds(again-testStart))
+			t.Errorf("client is to return at %.2f s, want at most %.2f s, its first time, and two slots",
+				seconds(again-testStart), seconds(first-testStart))
 		}
 	}
 	if after := c.calendar.total(0); after > before+0.01 {
-		t.Errorf("%.1f units are reserved, %.1f before", after, before)
+		t.Errorf("%.1f units are reserved, want at most %.1f as before", after, before)
 	}
 }
 
-// Given clients that stay away for a third of Retry-After, then the compliance of their
-// class becomes a third, and that of other classes stays.
+// If clients stay away for a third of Retry-After, the compliance of their class becomes a
+// third, and that of other classes does not change.
 func TestComplianceLearned(t *testing.T) {
 	c, now := saturated(testSettings(), 20, 200)
 	for i := range 300 {
@@ -73,15 +74,15 @@
 		c.Requested(now+wait/3, r)
 	}
 	if got := c.compliance[0]; got < 0.28 || got > 0.4 {
-		t.Errorf("learned a compliance of %.2f, expected 0.33", got)
+		t.Errorf("compliance is %.2f, want 0.28 to 0.40", got)
 	}
 	if c.compliance[1] != 1 {
-		t.Error("another class learned from it")
+		t.Errorf("compliance of another class is %.2f, want 1", c.compliance[1])
 	}
 }
 
-// Given classes of different priority, then the higher one returns first, and the lower
-// one still gets its floor.
+// Of two classes with different priorities, clients of the higher one return first, and
+// the lower one still gets floorShare of the release rate.
 func TestPrioritiesAndFloor(t *testing.T) {
 	s := withMaxRetryAfter(90 * second)
 	c, now := saturated(s, 50, 100)
@@ -89,8 +90,8 @@
 		c.Rejected(now, Request{Key: uint64(i), Class: 1, Units: 1})
 	}
 	if web := c.Rejected(now, Request{Key: 1 << 30, Class: 0, Units: 1}); web > 16*second || web < 10*second {
-		t.Errorf("the first guide-web behind 2,000 live-relays returns after %.1f s; its floor is 7.5 a second behind 101",
-			seconds(web))
+		t.Errorf("first guide-web client behind 2,000 live-relay clients returns after %.1f s, want 10 to 16 s: "+
+			"101 units at its floor of 7.5 per second", seconds(web))
 	}
 
 	c, now = saturated(s, 50, 100)
@@ -98,12 +99,12 @@
 		c.Rejected(now, Request{Key: uint64(i), Class: 0, Units: 1})
 	}
 	if relay := c.Rejected(now, Request{Key: 1 << 30, Class: 1, Units: 1}); relay > second/2 {
-		t.Errorf("a live-relay behind 1,000 guide-webs returns after %.1f s", seconds(relay))
+		t.Errorf("live-relay client behind 1,000 guide-web clients returns after %.1f s, want at most 0.5 s", seconds(relay))
 	}
 }
 
-// Given one program with nine tenths of the rejections, then the other programs do not wait
-// for all of these, and it still gets what they leave.
+// If one program has nine tenths of the rejections, the other programs do not wait for all
+// of its requests, and the program still gets the capacity that the others leave.
 func TestFairShareOfPrograms(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(90*second), 50, 100)
 	const heavyProgram = uint64(1)
@@ -121,12 +122,14 @@
 		}
 	}
 	if light > heavy/2 || heavy > 26*second {
-		t.Errorf("the last one of the heavy program returns after %.1f s, of the others after %.1f s",
+		t.Errorf("last client of the heavy program returns after %.1f s, want at most 26 s; "+
+			"last client of the others after %.1f s, want at most half of that",
 			seconds(heavy), seconds(light))
 	}
 }
 
-// Given a second retry storm amid the first, then its clients return behind those of the first.
+// Clients of a second retry storm that begins during the first return after those of the
+// first.
 func TestSecondStormReturnsBehindFirst(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(90*second), 50, 100)
 	var first, later int64
@@ -134,7 +137,7 @@
 		r := Request{Key: uint64(i), Program: uint64(i % 50), Units: 1, TimeoutUs: second}
 		first = max(first, now+c.Rejected(now, r))
 	}
-	for i := range 100 { // tasks of the first go on starting
+	for i := range 100 { // tasks of the first storm continue to start
 		now += second / 50
 		c.SetPending(now, []float64{100, 0, 0})
 		c.Started(now, Request{Key: uint64(1<<41 + i), Units: 1})
@@ -144,6 +147,6 @@
 		later = max(later, now+c.Rejected(now, r))
 	}
 	if gap := later - first; gap < 7*second || gap > 15*second {
-		t.Errorf("the second ends %.1f s after the first, expected about 10", seconds(gap))
+		t.Errorf("last return of the second storm is %.1f s after that of the first, want 7 to 15 s", seconds(gap))
 	}
 }
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -1,59 +1,60 @@
 package backpressure
 
-// This file owns the waitlist: the rejected clients that are expected back, in a table of
-// fixed size. A client is recognised by 32 bits of its key's hash within a bucket of
-// eight, so one that is new is taken for another with a chance of at most 8 in 2^32 at
-// each request. In a full bucket a new client replaces the one that was rejected longest
-// ago, which is then taken for new when it returns. The table must never grow.
+// This file implements the waitlist: the rejected clients that are expected to return, in a
+// hash table of fixed size. The table must never grow. A client is identified by 32 bits of
+// its key's hash within a bucket of eight entries, so each request of a new client is
+// mistaken for one of another client with a probability of at most 8 in 2^32. In a full
+// bucket, a new client replaces the client that was rejected longest ago, which then counts
+// as new when it returns.
 
 const (
 	bucketSize = 8
-	// tickUs is the resolution of stored times. Ticks wrap after 65,536; times are
-	// unambiguous for half of that, some 54 minutes.
+	// tickUs is the resolution of stored times. Ticks wrap around after 65,536, so times are
+	// unambiguous for half of that, about 54 minutes.
 	tickUs = int64(100_000)
-	// staleTicks is the age at which an entry is taken for that of another client: ten
-	// minutes, for which no client stays away.
+	// staleTicks is the age from which an entry counts as that of another client: ten
+	// minutes, because no client stays away for that long.
 	staleTicks = 6000
-	// emptyAge is the age of an empty entry: older than any other.
+	// emptyAge is the age of an empty entry, greater than that of any other entry.
 	emptyAge = 1 << 16
 
-	unitScale    = 16.0 // steps of a unit
-	maxUnitSteps = 255  // steps
-	maxWaitTicks = 255  // ticks
+	unitScale    = 16.0 // steps per unit
+	maxUnitSteps = 255  // maximum of entry.unitSteps
+	maxWaitTicks = 255  // maximum of entry.waitTicks
 )
 
-// entry is a rejected client: 12 bytes.
+// entry describes a rejected client in 12 bytes.
 type entry struct {
-	fingerprint  uint32 // 0: empty
-	firstTick    uint16 // of the first request
-	rejectedTick uint16 // of the last rejection
-	packedSlot   uint16 // slot, in ticks after rejectedTick; class; hasSlotBit
-	waitTicks    uint8  // Retry-After, at most maxWaitTicks
-	unitSteps    uint8  // in 1/unitScale, at most maxUnitSteps
+	fingerprint  uint32 // upper 32 bits of the hash of the key, 0 for an empty entry
+	firstTick    uint16 // time of the first request
+	rejectedTick uint16 // time of the last rejection
+	packedSlot   uint16 // slot in ticks after rejectedTick, class, and hasSlotBit
+	waitTicks    uint8  // Retry-After in ticks, at most maxWaitTicks
+	unitSteps    uint8  // units in steps of 1/unitScale, at most maxUnitSteps
 }
 
-// The bits of entry.reservation.
+// The bits of entry.packedSlot.
 const (
-	slotBits   = 11 // more than calendarSlots
+	slotBits   = 11 // enough for calendarSlots
 	classBits  = 4
 	slotMask   = 1<<slotBits - 1
 	classMask  = 1<<classBits - 1
 	hasSlotBit = 1 << (slotBits + classBits)
 )
 
-// waitlist is a hash table of entries.
+// waitlist is a hash table of entries, with bucketSize entries per bucket.
 type waitlist struct {
 	entries []entry
 	buckets uint64
 }
 
-// newWaitlist returns a waitlist of at least so many clients.
+// newWaitlist returns an empty waitlist with room for at least the given number of clients.
 func newWaitlist(clients int) *waitlist {
 	buckets := uint64((clients + bucketSize - 1) / bucketSize)
 	return &waitlist{entries: make([]entry, buckets*bucketSize), buckets: buckets}
 }
 
-// bucket returns the fingerprint of a key and the entries among which it is found.
+// bucket returns the fingerprint of a key and the entries of its bucket.
 func (w *waitlist) bucket(key uint64) (fingerprint uint32, entries []entry) {
 	h := hash(key)
 	fingerprint = max(1, uint32(h>>32))
@@ -72,8 +73,9 @@
 	return nil
 }
 
-// findOrAdd returns the entry of a client, a new one if there is none or it is stale. A
-// new one is queued since queuedSince, or since now if that is 0.
+// findOrAdd returns the entry of a client. If there is none or it is stale, findOrAdd adds
+// a new entry, which is queued since queuedSince, or since now if queuedSince is 0, in the
+// future or stale.
 func (w *waitlist) findOrAdd(now int64, key uint64, queuedSince int64) *entry {
 	fingerprint, entries := w.bucket(key)
 	tick := uint16(now / tickUs)
@@ -99,14 +101,15 @@
 	return replaced
 }
 
-// remove forgets a client.
+// remove removes a client.
 func (w *waitlist) remove(key uint64) {
 	if e := w.find(key); e != nil {
 		*e = entry{}
 	}
 }
 
-// age returns the ticks since the last rejection.
+// age returns the number of ticks from the last rejection to tick, or emptyAge for an empty
+// entry.
 func (e *entry) age(tick uint16) int {
 	if e.fingerprint == 0 {
 		return emptyAge
@@ -114,7 +117,7 @@
 	return int(tick - e.rejectedTick)
 }
 
-// timeOfTick returns the time, at or before now, of a tick.
+// timeOfTick returns the time of a tick that is not later than now.
 func timeOfTick(now int64, tick uint16) int64 {
 	return now - int64(uint16(now/tickUs)-tick)*tickUs
 }
@@ -127,13 +130,14 @@
 func (e *entry) units() float64              { return float64(e.unitSteps) / unitScale }
 func (e *entry) retryAfter() int64           { return int64(e.waitTicks) * tickUs }
 
-// slot returns the slot that was reserved last, which may be past.
+// slot returns the number of the slot that was reserved last. The slot may be past.
 func (e *entry) slot(now int64) int64 {
 	rejected := now/tickUs - int64(uint16(now/tickUs)-e.rejectedTick)
 	return rejected + int64(e.packedSlot&slotMask)
 }
 
-// recordRejection records a rejection now: its reserved slot and its Retry-After.
+// recordRejection records a rejection at now with its class, units, reserved slot and
+// Retry-After.
 func (e *entry) recordRejection(now int64, class int, units float64, slot, wait int64) {
 	e.rejectedTick = uint16(now / tickUs)
 	slotsAhead := uint16(min(max(0, slot-now/tickUs), slotMask))
