--- a/internal/retrytoken/codec.go
+++ b/internal/retrytoken/codec.go
@@ -1,14 +1,15 @@
 package retrytoken
 
-// This file owns the form of tokens on the wire, and their signature. It must never return what a token
-// says before its signature was verified.
+// This file implements the wire format of retry tokens and their signature. It never returns the contents
+// of a token before the signature is verified.
 //
-// A token is a head of fixed size, the names of its task and of its class with their lengths in a byte
-// before each, and the signature of all that. Numbers are big-endian:
+// A token consists of a header of fixed size, the name of the task, the name of the class, and the signature
+// of all bytes before it. Each name is preceded by its length in one byte. Numbers in the header are
+// big-endian:
 //
 //	offset  bytes  field
 //	0       1      version
-//	1       4      ID of the key
+//	1       4      key ID
 //	5       8      IssuedUs
 //	13      8      QueuedSinceUs
 //	21      8      Nonce
@@ -22,33 +23,33 @@
 )
 
 const (
-	version       = 1
-	keyIDAt       = 1
-	issuedAt      = 5
-	queuedSinceAt = 13
-	nonceAt       = 21
-	waitAt        = 29
-	rejectionsAt  = 33
-	headSize      = 35
+	version           = 1
+	keyIDOffset       = 1
+	issuedOffset      = 5
+	queuedSinceOffset = 13
+	nonceOffset       = 21
+	waitOffset        = 29
+	rejectionsOffset  = 33
+	headerSize        = 35
 
-	maxName       = 64 // bytes of the name of a task or a class
-	signatureSize = 16 // of HMAC-SHA256, truncated as RFC 2104 allows
+	maxNameSize   = 64 // maximum length of a task or class name in bytes
+	signatureSize = 16 // bytes of an HMAC-SHA256, truncated as RFC 2104 allows
 
-	minTokenSize = headSize + 2 + signatureSize
-	// MaxTokenSize is the size of the longest token, in bytes.
-	MaxTokenSize = headSize + 2*(1+maxName) + signatureSize
+	minTokenSize = headerSize + 2 + signatureSize
+	// MaxTokenSize is the maximum size of a token in bytes.
+	MaxTokenSize = headerSize + 2*(1+maxNameSize) + signatureSize
 )
 
-// sign returns the signature of the bytes before it in a token.
+// sign returns the signature of body, the bytes of a token before its signature.
 func (k *key) sign(body []byte) []byte {
 	mac := hmac.New(sha256.New, k.secret)
 	mac.Write(body)
 	return mac.Sum(nil)[:signatureSize]
 }
 
-// Issue writes and signs a token. It returns nil where there is no key, or a name is too long.
+// Issue encodes and signs a token with the first key. It returns nil if there is no key or a name is too long.
 func (k *Keys) Issue(t Token) []byte {
-	if !k.IsSet() || len(t.Task) > maxName || len(t.Class) > maxName {
+	if !k.IsSet() || len(t.Task) > maxNameSize || len(t.Class) > maxNameSize {
 		return nil
 	}
 	signer := &k.keys[0]
@@ -66,13 +67,13 @@
 	return append(b, signer.sign(b)...)
 }
 
-// Verify reads a token and verifies its signature. The error is ErrMalformed, ErrUnknownKey or
-// ErrSignature. Whether the token is valid now is for Token.Check to say.
+// Verify verifies the signature of a token and decodes the token. The error is ErrMalformed, ErrUnknownKey
+// or ErrSignature. Verify does not check whether the token is valid at present; Token.Check does.
 func (k *Keys) Verify(b []byte) (Token, error) {
 	if len(b) < minTokenSize || len(b) > MaxTokenSize || b[0] != version {
 		return Token{}, ErrMalformed
 	}
-	signer := k.find(binary.BigEndian.Uint32(b[keyIDAt:]))
+	signer := k.find(binary.BigEndian.Uint32(b[keyIDOffset:]))
 	if signer == nil {
 		return Token{}, ErrUnknownKey
 	}
@@ -83,20 +84,20 @@
 	return decode(body)
 }
 
-// decode reads a token without its signature, of the size of a head at least.
+// decode decodes body, a token without its signature. The body must have at least headerSize bytes.
 func decode(body []byte) (Token, error) {
-	issuedUs := int64(binary.BigEndian.Uint64(body[issuedAt:]))
+	issuedUs := int64(binary.BigEndian.Uint64(body[issuedOffset:]))
 	t := Token{
 		IssuedUs:      issuedUs,
-		SlotUs:        issuedUs + int64(binary.BigEndian.Uint32(body[waitAt:]))*millisecond,
-		QueuedSinceUs: int64(binary.BigEndian.Uint64(body[queuedSinceAt:])),
-		Rejections:    binary.BigEndian.Uint16(body[rejectionsAt:]),
-		Nonce:         binary.BigEndian.Uint64(body[nonceAt:]),
+		SlotUs:        issuedUs + int64(binary.BigEndian.Uint32(body[waitOffset:]))*millisecond,
+		QueuedSinceUs: int64(binary.BigEndian.Uint64(body[queuedSinceOffset:])),
+		Rejections:    binary.BigEndian.Uint16(body[rejectionsOffset:]),
+		Nonce:         binary.BigEndian.Uint64(body[nonceOffset:]),
 	}
-	rest := body[headSize:]
+	rest := body[headerSize:]
 	for _, name := range []*string{&t.Task, &t.Class} {
 		var ok bool
-		if *name, rest, ok = cutName(rest); !ok {
+		if *name, rest, ok = readName(rest); !ok {
 			return Token{}, ErrMalformed
 		}
 	}
@@ -106,13 +107,14 @@
 	return t, nil
 }
 
-// appendName writes a name behind its length.
+// appendName appends the length of a name in one byte, and the name.
 func appendName(b []byte, name string) []byte {
 	return append(append(b, byte(len(name))), name...)
 }
 
-// cutName reads a name behind its length. It reports whether there is one.
-func cutName(b []byte) (name string, rest []byte, ok bool) {
+// readName reads a name that follows its length in one byte. It returns the name and the remaining bytes,
+// and reports whether b holds a complete name.
+func readName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return "", nil, false
 	}
--- a/internal/retrytoken/compat_test.go
+++ b/internal/retrytoken/compat_test.go
@@ -7,20 +7,21 @@
 	"testing"
 )
 
-// What the program wrote at commit 532e1c5, when tokens were called tickets: orchestrators of different
-// versions run beside each other, and clients present tokens from before an update.
+// The key files and tokens in this file are those of commit 532e1c5, in which tokens were called tickets. They
+// guard against a change of the format: orchestrators of different versions run at the same time, and clients
+// present tokens that were issued before an update.
 const (
 	releasedKeys = "[keys]\nkey 2026-12 000102030405060708090a0b0c0d0e0f\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n"
-	releasedOld  = "[keys]\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n" // of those, the second alone
+	releasedOld  = "[keys]\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n" // only the second key of releasedKeys
 )
 
-// Tokens of the released version verify, and the same token is written in the same bytes.
+// Tokens of the released version verify, and issuing the same token gives the same bytes.
 func TestReleasedTokens(t *testing.T) {
 	const issued = 1764684000123456
 	for i, test := range []struct {
-		keys   string // that the token was signed with
+		keys   string // key file, whose first key signed the token
 		issued Token
-		slotUs int64 // as it is read: in whole milliseconds from when it was issued, a day at most
+		slotUs int64 // SlotUs of the verified token: whole milliseconds after IssuedUs, at most a day
 		token  string
 	}{
 		{releasedKeys, Token{Task: "7f3a9c21e0b4d655", Class: "live-relay", IssuedUs: 1700000000000000, SlotUs: 1700000003000000,
@@ -48,7 +49,7 @@
 				t.Fatal(err)
 			}
 			if got := hex.EncodeToString(signer.Issue(test.issued)); got != test.token {
-				t.Errorf("issued as\n%s, expected\n%s", got, test.token)
+				t.Errorf("issued token is\n%s, want\n%s", got, test.token)
 			}
 			both, err := ParseKeys("keys", []byte(releasedKeys))
 			if err != nil {
@@ -61,13 +62,13 @@
 			want := test.issued
 			want.SlotUs = test.slotUs
 			if got, err := both.Verify(b); err != nil || got != want {
-				t.Errorf("verified as %+v, %v, expected %+v", got, err, want)
+				t.Errorf("Verify returned %+v, %v, want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// A token of the released version whose key is not configured any more is one of an unknown key.
+// A token of the released version fails with ErrUnknownKey once its key is no longer configured.
 func TestReleasedTokenOfDroppedKey(t *testing.T) {
 	both, old := []byte(releasedKeys), []byte(releasedOld)
 	signer, err := ParseKeys("keys", both)
@@ -79,6 +80,6 @@
 		t.Fatal(err)
 	}
 	if _, err := verifier.Verify(signer.Issue(sampleToken())); !errors.Is(err, ErrUnknownKey) {
-		t.Errorf("got %v", err)
+		t.Errorf("Verify returned %v, want %v", err, ErrUnknownKey)
 	}
 }
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -1,7 +1,7 @@
 package retrytoken
 
-// This file owns the keys of one process, and the form of the file that they come from. It must never let
-// a secret reach an error.
+// This file implements the signing keys of a process and the parser of the key file. An error must never
+// contain a secret.
 
 import (
 	"crypto/sha256"
@@ -12,26 +12,26 @@
 	"ravenhitch/internal/config"
 )
 
-// The bounds of a secret, in bytes.
+// Bounds of the size of a secret, in bytes.
 const (
-	minSecret = 16
-	maxSecret = 64
+	minSecretSize = 16
+	maxSecretSize = 64
 )
 
-// key is a secret and a short form of its name.
+// key is a signing key.
 type key struct {
-	id     uint32
+	id     uint32 // result of keyID for the name of the key
 	secret []byte
 }
 
-// Keys are the keys of a process. The first signs new tokens, all verify. The zero value and nil have
-// none: they issue no token and verify none.
+// Keys holds the signing keys of a process. The first key signs new tokens, and all keys verify tokens. The
+// zero value and nil hold no key, so they issue and verify no tokens.
 type Keys struct{ keys []key }
 
-// IsSet reports whether there is a key.
+// IsSet reports whether there is at least one key.
 func (k *Keys) IsSet() bool { return k != nil && len(k.keys) > 0 }
 
-// find returns the key of an ID, or nil.
+// find returns the key with an ID, or nil if there is none.
 func (k *Keys) find(id uint32) *key {
 	if k == nil {
 		return nil
@@ -44,9 +44,10 @@
 	return nil
 }
 
-// ParseKeys reads a file of keys: a section [keys], and in it a line "key NAME HEX" for each, the one that
-// signs new tokens first. To rotate, add the new key last at every orchestrator, then put it first at
-// every one, then drop the old one. The error wraps config.ErrLineFile and says where in the file it is.
+// ParseKeys parses the text of a key file: a section [keys] with one line "key NAME HEX" per key. The first
+// key signs new tokens. To rotate keys, add the new key as the last one at every orchestrator, then make it
+// the first one at every orchestrator, then remove the old key. The error wraps config.ErrLineFile and names
+// the position in the file.
 func ParseKeys(file string, text []byte) (*Keys, error) {
 	sections, err := config.ParseLines(file, text)
 	if err != nil {
@@ -55,7 +56,7 @@
 	keys := &Keys{}
 	for _, section := range sections {
 		if section.Name.Text != "keys" {
-			return nil, section.Name.Expected("the section keys")
+			return nil, section.Name.Expected("section [keys]")
 		}
 		for _, directive := range section.Directives {
 			if err := keys.add(directive); err != nil {
@@ -69,7 +70,7 @@
 	return keys, nil
 }
 
-// add appends the key of a directive.
+// add parses a directive and appends its key.
 func (k *Keys) add(directive config.Directive) error {
 	if directive.Name.Text != "key" {
 		return directive.Name.Expected("key")
@@ -79,9 +80,9 @@
 	}
 	name, secret := directive.Args[0], directive.Args[1]
 	b, err := hex.DecodeString(secret.Text)
-	if err != nil || len(b) < minSecret || len(b) > maxSecret {
-		secret.Text = "" // the error would print it
-		return secret.Expected(fmt.Sprintf("a secret of %d to %d hex digits", 2*minSecret, 2*maxSecret))
+	if err != nil || len(b) < minSecretSize || len(b) > maxSecretSize {
+		secret.Text = "" // the error would contain the secret
+		return secret.Expected(fmt.Sprintf("a secret of %d to %d hex digits", 2*minSecretSize, 2*maxSecretSize))
 	}
 	id := keyID(name.Text)
 	if k.find(id) != nil {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// keyID is the short form of a key's name that tokens carry.
+// keyID returns the ID that identifies a key in tokens: the first four bytes of the SHA-256 hash of its name.
 func keyID(name string) uint32 {
 	sum := sha256.Sum256([]byte(name))
 	return binary.BigEndian.Uint32(sum[:])
--- a/internal/retrytoken/redeemed.go
+++ b/internal/retrytoken/redeemed.go
@@ -1,21 +1,21 @@
 package retrytoken
 
-// This file owns which tokens were redeemed. It must never judge whether a token
-// is valid, nor grow without bound.
+// This file records which tokens were redeemed, in bounded memory. It does not check whether a token is
+// valid.
 
-// maxRedeemed bounds the tokens that are remembered.
+// maxRedeemed is the maximum number of tokens that a Redeemed remembers.
 const maxRedeemed = 16 << 10
 
-// Redeemed remembers the tokens that were redeemed last; the zero value remembers none. It is of bounded
-// size: where more tokens are valid at once, the oldest is forgotten and could be redeemed again here;
-// its task still runs at most once.
+// Redeemed remembers the tokens that were redeemed last. The zero value remembers none. Its size is bounded:
+// if more than maxRedeemed tokens are valid at once, the oldest is forgotten and could be redeemed again at
+// this orchestrator. The task of that token still runs at most once.
 type Redeemed struct {
-	nonces map[uint64]struct{}
-	order  []uint64 // a ring, once it is full
-	oldest int      // index into order
+	nonces map[uint64]struct{} // of the remembered tokens
+	order  []uint64            // nonces in the order of redemption; a ring buffer once it is full
+	oldest int                 // index of the oldest nonce in order
 }
 
-// Redeem remembers a token, or returns ErrUsed where it was redeemed before.
+// Redeem remembers a token as redeemed. It returns ErrUsed if the token was redeemed before.
 func (r *Redeemed) Redeem(t *Token) error {
 	if r.nonces == nil {
 		r.nonces = map[uint64]struct{}{}
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -11,7 +11,7 @@
 
 const now = int64(1_700_000_000_000_000)
 
-// parseKeys reads a file of keys that must be valid.
+// parseKeys parses the lines of a [keys] section, which must be valid.
 func parseKeys(t testing.TB, text string) *Keys {
 	t.Helper()
 	keys, err := ParseKeys("k", []byte("[keys]\n"+text))
@@ -27,41 +27,41 @@
 	unknownKey = "key theirs 00112233445566778899aabbccddeeff\n"
 )
 
-// sampleToken is a token that was issued now for a slot in three seconds.
+// sampleToken returns a token that is issued at now for a slot three seconds later.
 func sampleToken() Token {
 	return Token{Task: "7f3a9c21e0b4d655", Class: "live-relay", IssuedUs: now, SlotUs: now + 3_000_000,
 		QueuedSinceUs: now - 5_000_000, Rejections: 2, Nonce: 42}
 }
 
-// A token is valid for its task alone, from a little before its slot until ten seconds after. Whatever makes
-// it invalid has an error of its own.
+// A token is valid only for its task, from EarlyUs before its slot until LateUs after it. Each reason why a
+// token is invalid has its own error.
 func TestTokenValidity(t *testing.T) {
 	keys := parseKeys(t, oldKey)
 	valid := keys.Issue(sampleToken())
 	if len(valid) == 0 || len(valid) > MaxTokenSize {
-		t.Fatalf("%d bytes", len(valid))
+		t.Fatalf("token has %d bytes, want between 1 and %d", len(valid), MaxTokenSize)
 	}
 	unknown := parseKeys(t, unknownKey).Issue(sampleToken())
 	for _, test := range []struct {
 		name  string
 		token []byte
-		at    int64 // from when it was issued
+		at    int64 // microseconds after the issue of the token
 		task  string
 		want  error
 	}{
 		{"valid", valid, 3_000_000, "", nil},
-		{"a little early", valid, 3_000_000 - EarlyUs, "", nil},
+		{"early within the tolerance", valid, 3_000_000 - EarlyUs, "", nil},
 		{"early", valid, 3_000_000 - EarlyUs - 1, "", ErrEarly},
-		{"at once", valid, 0, "", ErrEarly},
+		{"right after issue", valid, 0, "", ErrEarly},
 		{"late", valid, 3_000_000 + LateUs, "", nil},
 		{"expired", valid, 3_000_000 + LateUs + 1, "", ErrExpired},
-		{"the clock set back", valid, -86_400_000_000, "", ErrEarly},
+		{"clock set back by a day", valid, -86_400_000_000, "", ErrEarly},
 		{"another task", valid, 3_000_000, "another", ErrMismatch},
 		{"unknown key", unknown, 3_000_000, "", ErrUnknownKey},
-		{"cut", valid[:len(valid)-1], 3_000_000, "", ErrSignature},
-		{"longer", append(bytes.Clone(valid), 0), 3_000_000, "", ErrSignature},
+		{"truncated", valid[:len(valid)-1], 3_000_000, "", ErrSignature},
+		{"with an extra byte", append(bytes.Clone(valid), 0), 3_000_000, "", ErrSignature},
 		{"empty", nil, 3_000_000, "", ErrMalformed},
-		{"huge", make([]byte, 1<<20), 3_000_000, "", ErrMalformed},
+		{"of 1 MiB", make([]byte, 1<<20), 3_000_000, "", ErrMalformed},
 		{"another version", append([]byte{2}, valid[1:]...), 3_000_000, "", ErrMalformed},
 	} {
 		got, err := keys.Verify(test.token)
@@ -73,12 +73,12 @@
 			err = got.Check(now+test.at, task, "live-relay")
 		}
 		if !errors.Is(err, test.want) || test.want == nil && err != nil {
-			t.Errorf("%s: %v, expected %v", test.name, err, test.want)
+			t.Errorf("token %q: got error %v, want %v", test.name, err, test.want)
 		}
 	}
 }
 
-// A token that was changed in any bit does not verify, and an unchanged one says what it was issued for.
+// A token with any bit flipped does not verify, and an unchanged token decodes to its original contents.
 func TestSignatureCoversEveryBit(t *testing.T) {
 	keys := parseKeys(t, oldKey)
 	valid := keys.Issue(sampleToken())
@@ -86,28 +86,28 @@
 		b := bytes.Clone(valid)
 		b[i/8] ^= 1 << (i % 8)
 		if _, err := keys.Verify(b); err == nil {
-			t.Errorf("it verifies with bit %d flipped", i)
+			t.Errorf("Verify accepted a token with bit %d flipped", i)
 		}
 	}
 	if got, err := keys.Verify(valid); err != nil || got != sampleToken() {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("Verify returned %+v, %v, want %+v", got, err, sampleToken())
 	}
 }
 
-// Without a key no token is issued, and none verifies.
+// Without a key, no token is issued and none verifies.
 func TestWithoutKeys(t *testing.T) {
 	valid := parseKeys(t, oldKey).Issue(sampleToken())
 	for _, keys := range []*Keys{nil, {}} {
 		if keys.Issue(sampleToken()) != nil {
-			t.Error("issued without a key")
+			t.Error("Issue returned a token without a key")
 		}
 		if _, err := keys.Verify(valid); !errors.Is(err, ErrUnknownKey) {
-			t.Errorf("verified without a key: %v", err)
+			t.Errorf("without a key, Verify returned %v, want %v", err, ErrUnknownKey)
 		}
 	}
 }
 
-// Keys rotate with an overlap: old tokens verify as long as the old key is configured.
+// During a key rotation, old tokens verify as long as the old key is configured.
 func TestKeyRotation(t *testing.T) {
 	before, both, after := parseKeys(t, oldKey), parseKeys(t, newKey+oldKey), parseKeys(t, newKey)
 	oldToken, newToken := before.Issue(sampleToken()), both.Issue(sampleToken())
@@ -124,17 +124,17 @@
 		{"new token, old key", before, newToken, ErrUnknownKey},
 	} {
 		if _, err := test.keys.Verify(test.token); !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, expected %v", test.name, err, test.want)
+			t.Errorf("%s: Verify returned %v, want %v", test.name, err, test.want)
 		}
 	}
 }
 
-// The error of an invalid file of keys says where it is and what was expected, and no secret.
+// The error for an invalid key file names the position and what was expected, and contains no secret.
 func TestInvalidKeys(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"", "expected a section [keys]"},
 		{"[keys]", "at least one key"},
-		{"[kees]", "k:1:2: expected the section keys"},
+		{"[kees]", "k:1:2: expected section [keys]"},
 		{"[keys]\nkee a b", "k:2:1: expected key"},
 		{"[keys]\nkey a", "k:2:1: expected key followed by"},
 		{"[keys]\nkey a 00", "k:2:7: expected a secret of 32 to 128 hex digits"},
@@ -143,12 +143,13 @@
 	} {
 		_, err := ParseKeys("k", []byte(test.text))
 		if !errors.Is(err, config.ErrLineFile) || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "0708090a") {
-			t.Errorf("%q: %v", test.text, err)
+			t.Errorf("key file %q: got error %v, want ErrLineFile with %q and without the secret", test.text, err, test.want)
 		}
 	}
 }
 
-// A token is redeemed once, also when many others come between, and only so many are remembered.
+// A token is redeemed only once, even if many other tokens are redeemed in between, and at most maxRedeemed
+// tokens are remembered.
 func TestRedeemedOnce(t *testing.T) {
 	var redeemed Redeemed
 	first := sampleToken()
@@ -162,7 +163,7 @@
 		}
 	}
 	if err := redeemed.Redeem(&first); !errors.Is(err, ErrUsed) {
-		t.Errorf("redeemed again: %v", err)
+		t.Errorf("second Redeem of the same token returned %v, want %v", err, ErrUsed)
 	}
 	for i := range uint64(3 * maxRedeemed) {
 		other := Token{Nonce: 1_000_000 + i}
@@ -171,11 +172,11 @@
 		}
 	}
 	if len(redeemed.nonces) != maxRedeemed || len(redeemed.order) != maxRedeemed {
-		t.Errorf("%d are remembered", len(redeemed.nonces))
+		t.Errorf("%d nonces in the set and %d in order, want %d", len(redeemed.nonces), len(redeemed.order), maxRedeemed)
 	}
 }
 
-// Whatever bytes come, nothing verifies but what was issued.
+// For arbitrary bytes, Verify accepts only tokens that Issue returns.
 func FuzzVerify(f *testing.F) {
 	keys := parseKeys(f, oldKey)
 	valid := keys.Issue(sampleToken())
@@ -187,12 +188,12 @@
 			return
 		}
 		if again := keys.Issue(got); !bytes.Equal(again, b) {
-			t.Errorf("%x was verified as %+v", b, got)
+			t.Errorf("Verify accepted %x as %+v, which Issue encodes as %x", b, got, again)
 		}
 	})
 }
 
-// BenchmarkVerify measures what a token costs that an offer presents.
+// BenchmarkVerify measures the cost of verifying the token of an offer.
 func BenchmarkVerify(b *testing.B) {
 	keys := parseKeys(b, oldKey)
 	valid := keys.Issue(sampleToken())
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -1,30 +1,32 @@
-// Package retrytoken owns retry tokens and the keys that sign them. A token says of a rejected task when
-// its client is to come back and since when it is on the waitlist, so that any orchestrator with the key,
-// one just started included, restores the client's place on the waitlist without having served it before.
-// The package is pure: the time is passed in and nothing is opened. It must never make an invalid token
-// worth more than none.
+// Package retrytoken issues and verifies retry tokens and parses the keys that sign them. The retry token of
+// a rejected task states when its client is to return and since when the client is on the waitlist. With
+// the token, any orchestrator that has the key restores the client's place on the waitlist, even if the
+// orchestrator has just started and never served the client before.
 //
-// On the wire a token is called a return ticket.
+// The package is pure: the caller passes in the time, and the package opens no file or connection. An
+// invalid token must never have more effect than no token.
+//
+// The wire protocol calls a retry token a return ticket.
 package retrytoken
 
-// This file owns what a token says, and when it is valid. It must never look at a signature: codec.go has
-// verified it before.
+// This file defines the contents of a token and the rules of its validity. It does not look at signatures,
+// because codec.go verifies them first.
 
 import "errors"
 
-// The reasons why a token is invalid. With each the offer counts as one without a token, and its client does
-// not learn of it: who forges tokens must not learn from the errors.
+// Reasons why a token is invalid. The offer then counts as one without a token, and its client is not told
+// the reason: an attacker who forges tokens must not learn from the errors.
 var (
-	ErrMalformed  = errors.New("retrytoken: malformed")
-	ErrUnknownKey = errors.New("retrytoken: signed with an unknown key")
-	ErrSignature  = errors.New("retrytoken: forged or altered")
-	ErrMismatch   = errors.New("retrytoken: of another task or class")
-	ErrEarly      = errors.New("retrytoken: presented too early")
-	ErrExpired    = errors.New("retrytoken: expired")
-	ErrUsed       = errors.New("retrytoken: redeemed before")
+	ErrMalformed  = errors.New("retrytoken: malformed token")
+	ErrUnknownKey = errors.New("retrytoken: token signed with an unknown key")
+	ErrSignature  = errors.New("retrytoken: invalid signature, token forged or altered")
+	ErrMismatch   = errors.New("retrytoken: token issued for another task or class")
+	ErrEarly      = errors.New("retrytoken: token presented too early")
+	ErrExpired    = errors.New("retrytoken: token expired")
+	ErrUsed       = errors.New("retrytoken: token already redeemed")
 )
 
-// The units of the times of tokens, which are in microseconds.
+// Units of time in microseconds.
 const (
 	millisecond = 1_000
 	second      = 1_000 * millisecond
@@ -32,27 +34,28 @@
 )
 
 const (
-	// EarlyUs is how much too early a token may be presented: clocks differ, and so do links.
+	// EarlyUs is the maximum time before its slot at which a token is valid. It allows for differences between
+	// clocks and between network latencies.
 	EarlyUs = 250 * millisecond
-	// LateUs is how long after its slot a token is still valid.
+	// LateUs is the maximum time after its slot at which a token is valid.
 	LateUs = 10 * second
-	// maxWaitUs bounds how long a token may claim that its client was on the waitlist, and how far ahead
-	// its slot may lie.
+	// maxWaitUs is the maximum time for which a token may claim that its client was on the waitlist, and the
+	// maximum time from its issue to its slot.
 	maxWaitUs = int64(day)
 )
 
-// Token is what a token says.
+// Token holds the contents of a retry token.
 type Token struct {
-	Task, Class   string
-	IssuedUs      int64  // Unix time
-	SlotUs        int64  // when the client is to come back, as Unix time
-	QueuedSinceUs int64  // since when its client is on the waitlist, as Unix time
-	Rejections    uint16 // of the task so far
+	Task, Class   string // names of the task and of its class
+	IssuedUs      int64  // time of issue, as Unix time in microseconds
+	SlotUs        int64  // time at which the client is to return, as Unix time in microseconds
+	QueuedSinceUs int64  // time since which the client is on the waitlist, as Unix time in microseconds
+	Rejections    uint16 // number of rejections of the task so far
 	Nonce         uint64 // differs between tokens of one task
 }
 
-// Check returns an error unless a token whose signature was verified is valid for a task now. The time is
-// a Unix time in microseconds.
+// Check returns nil if the token is valid for a task at now, a Unix time in microseconds. Otherwise the error
+// is ErrMismatch, ErrMalformed, ErrEarly or ErrExpired. The signature of the token must have been verified.
 func (t *Token) Check(now int64, task, class string) error {
 	switch {
 	case t.Task != task || t.Class != class:
