--- a/client/budget.go
+++ b/client/budget.go
@@ -1,32 +1,33 @@
 package client
 
-// This file owns the budget of retries that no orchestrator advised. It must never wait for one.
+// This file implements the budget of retries that no orchestrator advised. It never waits for a retry to
+// become available.
 
 import "sync"
 
-// retryBudget bounds retries to a part of the tasks that are offered, so that clients of orchestrators that
-// are down don't multiply the load. It is safe for concurrent use.
+// retryBudget limits the retries to a fraction of the offered tasks, so that clients do not multiply the load
+// while orchestrators are down. It is safe for concurrent use.
 type retryBudget struct {
-	perTask float64
-	reserve float64
+	perTask float64 // retries that each new task adds
+	reserve float64 // maximum number of available retries
 
 	mu        sync.Mutex
-	available float64
+	available float64 // number of available retries
 }
 
 func newRetryBudget(perTask, reserve float64) *retryBudget {
 	return &retryBudget{perTask: perTask, reserve: reserve, available: reserve}
 }
 
-// earn adds what a new task adds.
-func (b *retryBudget) earn() {
+// deposit adds the retries of one new task.
+func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.available = min(b.reserve, b.available+b.perTask)
 }
 
-// spend takes a retry, and reports whether there was one.
-func (b *retryBudget) spend() bool {
+// withdraw takes one retry from the budget and reports whether one was available.
+func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.available < 1 {
--- a/client/client.go
+++ b/client/client.go
@@ -1,13 +1,14 @@
-// Package client offers tasks to orchestrators over gRPC and follows their advice: it offers a rejected
-// task again at its reserved slot, with the retry token that proves its place in line, to any of the
-// orchestrators. It is the reference of how a client behaves in a retry storm.
+// Package client offers tasks to orchestrators over gRPC and follows their advice. It offers a rejected task
+// again at the reserved slot, to any of the orchestrators, with the retry token that proves the place of the
+// task on the waitlist. It is the reference implementation of how a client behaves in a retry storm.
 //
-// It must never offer a task again that may have started, never come back before the time that an
-// orchestrator advised, and never wait beyond its caller's deadline: then it returns at once, with what it was
-// advised.
+// The package never offers a task again after an orchestrator reported that the task may have started. It
+// repeats an offer that got no response, under the same ID, but not if Task.Once is set. It never offers a
+// task again before the time that an orchestrator advised, and never waits beyond the caller's deadline: if
+// the advised time is not before the deadline, it returns at once with the advised time and the retry token.
 package client
 
-// This file owns what callers see: tasks, bindings, options and errors. It must never call an orchestrator.
+// This file defines the types that callers use: tasks, bindings, options and errors. It calls no orchestrator.
 
 import (
 	"fmt"
@@ -20,32 +21,32 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// Task is what is offered.
+// Task describes a task to be offered.
 type Task struct {
-	Name, Class   string // the name stays the same when it comes again
+	Name, Class   string // the name stays the same in every offer of the task
 	Cores, Memory float64
 	Program       string // up to 16 hex digits, or ""
 	Description   string // passed to the worker unchanged
-	// Once says that the task must not be started twice: a call without a response is not repeated
-	// then, since the task may have started.
+	// Once is true if the task must not be started twice. A call without a response is then not repeated,
+	// since the task may have started.
 	Once bool
 }
 
-// Binding says where a task runs.
+// Binding describes the assignment of a started task to a worker.
 type Binding struct {
-	RequestID   string
-	Worker      string // that runs it
-	Description string // what the worker gave for the task
+	RequestID   string // ID under which the orchestrator accepted the task
+	Worker      string // name of the worker that runs the task
+	Description string // text that the worker returned for the task
 }
 
-// RejectedError is the error of a task that was rejected and not offered again: its time to come back lies
-// beyond the caller's deadline, or the budget of retries is used up. The task never ran, or running it
-// twice does no harm.
+// RejectedError is returned for a task that was rejected or got no response, and that is not offered again
+// because the next attempt would be after the caller's deadline or the retry budget is exhausted. Either the
+// task never ran, or running it twice does no harm.
 type RejectedError struct {
-	RetryAt  time.Time // when the task is to be offered again
-	Token    []byte    // proves its place in line then, to Client.Place of any process; nil where there is none
-	Attempts int       // so far
-	Reason   string    // why the client did not go on
+	RetryAt  time.Time // time at which the task is to be offered again
+	Token    []byte    // retry token to pass to Client.Place, in any process; nil if there is none
+	Attempts int       // number of attempts so far
+	Reason   string    // reason why the client made no further attempt
 }
 
 // Error implements error.
@@ -54,21 +55,23 @@
 	return fmt.Sprintf("client: rejected after %d attempts, %s; retry at %s", e.Attempts, e.Reason, retryAt)
 }
 
-// Options shape a Client; the zero value has defaults.
+// Options configures a Client. Fields that are zero get default values.
 type Options struct {
-	// Budget is the part of a retry that each new task adds to what may be retried without advice, after
-	// calls that failed to reach an orchestrator; 0 means 0.2.
+	// Budget is the number of retries, usually a fraction, that each new task adds to the retry budget. A
+	// retry without an orchestrator's advice, after a call that reached no orchestrator or got no response,
+	// uses up one. 0 selects 0.2.
 	Budget float64
-	// Reserve is how many such retries may be saved up; 0 means 10.
+	// Reserve is the initial and maximum number of retries in the budget. 0 selects 10.
 	Reserve float64
-	// AttemptTimeout is the timeout of one attempt; 0 leaves it to the class.
+	// AttemptTimeout is the timeout of one attempt. 0 leaves the timeout to the class.
 	AttemptTimeout time.Duration
-	// BackOff is the first pause after a call that reached nobody, doubled each time up to thirty times
-	// itself, and drawn between 0.5 and 1 of that; 0 means 100 ms.
+	// BackOff is the delay before the first retry that uses the budget. The delay doubles with each such
+	// retry up to 30 times BackOff, and is multiplied by a random factor between 0.5 and 1. 0 selects
+	// 100 ms.
 	BackOff time.Duration
 }
 
-// The defaults of Options, and how far the pause grows.
+// Default values of Options, and the maximum delay as a multiple of Options.BackOff.
 const (
 	defaultBudget    = 0.2
 	defaultReserve   = 10
@@ -76,18 +79,18 @@
 	maxBackOffFactor = 30
 )
 
-// Client offers tasks. It is safe for concurrent use.
+// Client offers tasks to orchestrators. It is safe for concurrent use.
 type Client struct {
 	options       Options
 	budget        *retryBudget
 	orchestrators []edgepb.OrchestratorClient
 
 	mu   sync.Mutex
-	last int // the orchestrator that was called last
+	last int // index of the orchestrator that was called last
 }
 
-// New returns a client of one or more orchestrators that verify each other's retry tokens. It does not
-// close the connections.
+// New returns a Client that offers tasks over connections to one or more orchestrators, which must verify
+// each other's retry tokens. The Client does not close the connections.
 func New(options Options, conns ...grpc.ClientConnInterface) *Client {
 	if options.Budget <= 0 {
 		options.Budget = defaultBudget
@@ -106,7 +109,7 @@
 	return c
 }
 
-// nextOrchestrator returns the orchestrators in turn.
+// nextOrchestrator returns the orchestrators in round-robin order.
 func (c *Client) nextOrchestrator() edgepb.OrchestratorClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,27 +16,27 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// scriptedOrchestrator answers as a test says, and notes which offers came and when.
+// scriptedOrchestrator returns the responses that a test specifies, and records the offers and their times.
 type scriptedOrchestrator struct {
 	edgepb.OrchestratorClient
-	answers []error // nil for a binding; the last one repeats
-	offers  []*edgepb.Offer
-	at      []time.Duration // of the offers, from the start
-	started time.Time
+	responses []error // by offer; nil stands for a binding, and the last one repeats
+	offers    []*edgepb.Offer
+	offeredAt []time.Duration // times of the offers since started
+	started   time.Time
 }
 
 // Place implements edgepb.OrchestratorClient.
 func (s *scriptedOrchestrator) Place(_ context.Context, offer *edgepb.Offer, _ ...grpc.CallOption) (*edgepb.Binding, error) {
 	s.offers = append(s.offers, offer)
-	s.at = append(s.at, time.Since(s.started))
-	err := s.answers[min(len(s.offers), len(s.answers))-1]
+	s.offeredAt = append(s.offeredAt, time.Since(s.started))
+	err := s.responses[min(len(s.offers), len(s.responses))-1]
 	if err != nil {
 		return nil, err
 	}
 	return &edgepb.Binding{OfferId: offer.GetOfferId(), Node: "a"}, nil
 }
 
-// rejection is the status of a rejection with a delay and a token.
+// rejection returns the status of a rejection with a delay and a retry token.
 func rejection(t *testing.T, after time.Duration, token string) error {
 	t.Helper()
 	s, err := status.New(codes.ResourceExhausted, "refused").WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)},
@@ -47,16 +47,16 @@
 	return s.Err()
 }
 
-// newScripted returns a client of an orchestrator that answers as given.
+// newScripted returns a client and its only orchestrator, which returns the given responses.
 func newScripted(options Options, answers ...error) (*Client, *scriptedOrchestrator) {
 	c := New(options, nil)
-	orchestrator := &scriptedOrchestrator{answers: answers, started: time.Now()}
+	orchestrator := &scriptedOrchestrator{responses: answers, started: time.Now()}
 	c.orchestrators = []edgepb.OrchestratorClient{orchestrator}
 	return c, orchestrator
 }
 
-// A rejected task comes back at its slot and not before, with its token and a new ID. That costs no budget,
-// however often it happens.
+// A rejected task is offered again at its reserved slot and not earlier, with its last retry token and a new
+// offer ID. This uses no retry budget, regardless of the number of rejections.
 func TestComesBackAtItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		answers := []error{rejection(t, 3*time.Second, "one"), rejection(t, 0, "two")}
@@ -65,23 +65,25 @@
 		}
 		c, orchestrator := newScripted(Options{Reserve: 1}, append(answers, nil)...)
 		binding, err := c.Place(t.Context(), Task{Name: "x", Class: "live-relay"}, nil)
-		offers, at := orchestrator.offers, orchestrator.at
+		offers, at := orchestrator.offers, orchestrator.offeredAt
 		if err != nil || binding.Worker != "a" || len(offers) != 53 {
-			t.Fatalf("%+v, %v after %d offers", binding, err, len(offers))
+			t.Fatalf("Place returned %+v, %v after %d offers, want worker a after 53 offers", binding, err, len(offers))
 		}
 		if at[1] != 3*time.Second || at[2] != 3*time.Second || at[3] != 4*time.Second {
-			t.Errorf("it came back at %v", at[:4])
+			t.Errorf("first four offers at %v, want 0s, 3s, 3s and 4s", at[:4])
 		}
 		if string(offers[1].GetTicket()) != "one" || string(offers[2].GetTicket()) != "two" || offers[0].GetTicket() != nil {
-			t.Error("it presented another token than its last")
+			t.Errorf("the first three offers have tokens %q, %q and %q, want none, \"one\" and \"two\"",
+				offers[0].GetTicket(), offers[1].GetTicket(), offers[2].GetTicket())
 		}
 		if offers[0].GetOfferId() == offers[1].GetOfferId() || len(offers[0].GetOfferId()) != 16 || offers[1].GetTask() != "x" {
-			t.Error("a rejected offer was repeated under its ID, or its task under another name")
+			t.Errorf("offers have IDs %q and %q, want different IDs of 16 digits; the second is for task %q, want x",
+				offers[0].GetOfferId(), offers[1].GetOfferId(), offers[1].GetTask())
 		}
 	})
 }
 
-// Where its slot lies beyond the deadline, the caller learns at once when that is.
+// If the reserved slot is after the deadline, Place returns the time of the slot and the token at once.
 func TestSlotBeyondDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, orchestrator := newScripted(Options{}, rejection(t, time.Minute, "later"))
@@ -91,35 +93,38 @@
 		var rejected *RejectedError
 		if !errors.As(err, &rejected) || string(rejected.Token) != "later" || time.Until(rejected.RetryAt) != time.Minute ||
 			time.Since(orchestrator.started) != 0 || rejected.Attempts != 1 {
-			t.Errorf("got %v after %s", err, time.Since(orchestrator.started))
+			t.Errorf("Place returned %v after %s, want a RejectedError at once with a retry in 1m0s, token \"later\" and 1 attempt",
+				err, time.Since(orchestrator.started))
 		}
 	})
 }
 
-// An offer that reached nobody is repeated under its ID within a budget, with growing pauses.
+// An offer that reached no orchestrator is repeated under the same ID within the retry budget, with growing
+// delays.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, orchestrator := newScripted(Options{Reserve: 4}, status.Error(codes.Unavailable, "away"))
 		_, err := c.Place(t.Context(), Task{Name: "x"}, nil)
-		offers, at := orchestrator.offers, orchestrator.at
+		offers, at := orchestrator.offers, orchestrator.offeredAt
 		var rejected *RejectedError
 		if !errors.As(err, &rejected) || len(offers) != 5 || offers[0].GetOfferId() != offers[4].GetOfferId() {
-			t.Fatalf("%v after %d offers", err, len(offers))
+			t.Fatalf("Place returned %v after %d offers, want a RejectedError after 5 offers with the same ID", err, len(offers))
 		}
 		for i := 1; i < 5; i++ {
 			pause := 100 * time.Millisecond << (i - 1)
 			if d := at[i] - at[i-1]; d < pause/2 || d > pause {
-				t.Errorf("the pause before offer %d was %s", i, d)
+				t.Errorf("delay before offer %d is %s, want between %s and %s", i, d, pause/2, pause)
 			}
 		}
 		_, err = c.Place(t.Context(), Task{Name: "y"}, nil)
 		if !errors.As(err, &rejected) || len(orchestrator.offers) != 6 {
-			t.Errorf("with no budget left: %v after %d offers", err, len(orchestrator.offers)-5)
+			t.Errorf("with an exhausted budget, Place returned %v after %d offers, want a RejectedError after 1 offer",
+				err, len(orchestrator.offers)-5)
 		}
 	})
 }
 
-// A task that may have started is never offered again.
+// A task that is invalid or may have started is never offered again.
 func TestNeverOfferedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		once bool
@@ -134,14 +139,14 @@
 			c, orchestrator := newScripted(Options{}, test.err)
 			_, err := c.Place(t.Context(), Task{Name: "x", Once: test.once}, nil)
 			if !errors.Is(err, test.err) || len(orchestrator.offers) != 1 {
-				t.Errorf("%s: %v after %d offers", name, err, len(orchestrator.offers))
+				t.Errorf("%s: Place returned %v after %d offers, want %v after 1 offer", name, err, len(orchestrator.offers), test.err)
 			}
 		})
 	}
 }
 
-// An orchestrator that accepted nothing and says when to try again is followed: the same offer comes back
-// then, and costs no budget.
+// If an orchestrator accepted nothing and advises when to retry, the same offer is repeated at that time and
+// uses no retry budget.
 func TestUnavailableWithAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unavailable, err := status.New(codes.Unavailable, "ended").WithDetails(
@@ -153,15 +158,16 @@
 		if _, err := c.Place(t.Context(), Task{Name: "x", Once: true}, []byte("token")); err != nil {
 			t.Fatal(err)
 		}
-		offers, at := orchestrator.offers, orchestrator.at
+		offers, at := orchestrator.offers, orchestrator.offeredAt
 		if len(offers) != 4 || at[3] != 3*time.Second || offers[0].GetOfferId() != offers[3].GetOfferId() ||
 			string(offers[3].GetTicket()) != "token" {
-			t.Errorf("%d offers at %v", len(offers), at)
+			t.Errorf("%d offers at %v with IDs from %q to %q, want 4 with the same ID and token, the last one at 3s",
+				len(offers), at, offers[0].GetOfferId(), offers[len(offers)-1].GetOfferId())
 		}
 	})
 }
 
-// A caller that stops waiting gets its context's error at once.
+// If the context is cancelled during a wait, Place returns the context's error at once.
 func TestCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, orchestrator := newScripted(Options{}, rejection(t, time.Hour, ""))
@@ -169,14 +175,14 @@
 		time.AfterFunc(time.Second, cancel)
 		_, err := c.Place(ctx, Task{Name: "x"}, nil)
 		if !errors.Is(err, context.Canceled) || time.Since(orchestrator.started) != time.Second {
-			t.Errorf("%v after %s", err, time.Since(orchestrator.started))
+			t.Errorf("Place returned %v after %s, want %v after 1s", err, time.Since(orchestrator.started), context.Canceled)
 		}
 	})
 }
 
-// A client without orchestrators says so.
+// A client without connections returns errNoOrchestrator.
 func TestNoOrchestrator(t *testing.T) {
 	if _, err := New(Options{}).Place(t.Context(), Task{Name: "x"}, nil); !errors.Is(err, errNoOrchestrator) {
-		t.Errorf("got %v", err)
+		t.Errorf("Place returned %v, want %v", err, errNoOrchestrator)
 	}
 }
--- a/client/place.go
+++ b/client/place.go
@@ -1,6 +1,7 @@
 package client
 
-// This file owns the attempts of one task. It must never offer a task again that may have started.
+// This file implements the attempts to start one task. It never offers a task again that may have started,
+// except that it repeats an offer without a response, under the same ID, unless Task.Once is set.
 
 import (
 	"context"
@@ -17,29 +18,29 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// errNoOrchestrator is the error of a client without connections.
-var errNoOrchestrator = errors.New("client: no orchestrator to offer to")
+// errNoOrchestrator is returned by Client.Place if the Client has no connections.
+var errNoOrchestrator = errors.New("client: no connection to an orchestrator")
 
-// request is a task that does not run yet.
+// request holds the state of a task until it is started.
 type request struct {
 	task     Task
-	offerID  string // the same for repeats of one offer, which get the same response
-	token    []byte // proves the place in line, nil before the first rejection
-	attempts int    // so far
-	pause    time.Duration
+	offerID  string        // ID of the current offer; its repeats have the same ID and get the same response
+	token    []byte        // retry token that proves the place on the waitlist, or nil
+	attempts int           // number of attempts so far
+	pause    time.Duration // next back-off delay, before its random factor
 }
 
-// Place offers a task until it runs. The token of an earlier RejectedError may be given, nil for none; it
-// must not be presented before its time.
+// Place offers a task until it is started. The token is that of an earlier RejectedError, or nil. Place must
+// not be called with a token before RejectedError.RetryAt.
 //
-// The error is a *RejectedError where the task can come back later, the context's where its time is up, and
-// else a gRPC status: INVALID_ARGUMENT, ALREADY_EXISTS, and UNKNOWN, where the task may have started and
-// must not be offered again unseen.
+// The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done.
+// Otherwise it is the gRPC status of the last attempt, such as INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
+// After UNKNOWN the task may have started, and must not be offered again without checking whether it runs.
 func (c *Client) Place(ctx context.Context, task Task, token []byte) (Binding, error) {
 	if len(c.orchestrators) == 0 {
 		return Binding{}, errNoOrchestrator
 	}
-	c.budget.earn()
+	c.budget.deposit()
 	r := &request{task: task, offerID: newOfferID(), token: token, pause: c.options.BackOff}
 	for {
 		binding, err := c.attempt(ctx, r)
@@ -79,33 +80,35 @@
 	})
 }
 
-// prepareRetry says after which delay the task is to be offered again. It returns an error where it must
-// not be: that of the attempt, or a *RejectedError where the budget is used up.
+// prepareRetry prepares the next attempt after a failed one, and returns the delay before it. It returns an
+// error if the task must not be offered again: attemptErr, or a *RejectedError if the retry budget is
+// exhausted.
 func (c *Client) prepareRetry(r *request, attemptErr error) (delay time.Duration, err error) {
-	advised := adviceOf(attemptErr)
+	advised := parseAdvice(attemptErr)
 	switch code := status.Code(attemptErr); {
 	case code == codes.ResourceExhausted:
-		// The slot is reserved: it costs no budget to come back to it. The offer has its response, so that
-		// the next one is new.
+		// The orchestrator reserved a slot, so returning to it uses no retry budget. The offer got its
+		// response, so the next attempt is a new offer with a new ID.
 		r.token, r.offerID = advised.token, newOfferID()
 		if advised.hasDelay {
 			return advised.delay, nil
 		}
 		return r.pause, nil
 	case code == codes.Unavailable && advised.hasDelay:
-		return advised.delay, nil // the orchestrator accepted nothing, and says when to try again
+		return advised.delay, nil // the orchestrator accepted nothing and advised when to retry
 	case (code == codes.Unavailable || code == codes.DeadlineExceeded) && !r.task.Once:
-		// No orchestrator was reached, or the response was lost: a repeat of the same offer gets the same
-		// response where it was accepted.
-		if !c.budget.spend() {
-			return 0, r.rejected(time.Now().Add(r.pause), "the budget of retries is used up")
+		// No orchestrator was reached, or the response was lost. If an orchestrator accepted the offer, a
+		// repeat with the same ID gets the same response.
+		if !c.budget.withdraw() {
+			return 0, r.rejected(time.Now().Add(r.pause), "retry budget exhausted")
 		}
 		return r.backOff(c.options.BackOff * maxBackOffFactor), nil
 	}
 	return 0, attemptErr
 }
 
-// backOff draws the next pause, and doubles the one after it up to a maximum.
+// backOff returns a random delay between half of the current pause and all of it, and doubles the pause up to
+// maxPause.
 func (r *request) backOff(maxPause time.Duration) time.Duration {
 	half := r.pause / 2
 	delay := half + time.Duration(mathrand.Int64N(int64(half)+1))
@@ -113,12 +116,12 @@
 	return delay
 }
 
-// wait waits for a delay. Where it would last until the context's deadline, it returns a *RejectedError at
-// once.
+// wait waits for a delay. It returns a *RejectedError at once if the delay would end at or after the deadline
+// of ctx.
 func (r *request) wait(ctx context.Context, delay time.Duration) error {
 	at := time.Now().Add(delay)
 	if deadline, ok := ctx.Deadline(); ok && !at.Before(deadline) {
-		return r.rejected(at, "its time lies beyond the deadline")
+		return r.rejected(at, "next attempt would be after the deadline")
 	}
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -130,20 +133,20 @@
 	}
 }
 
-// rejected is the error of a task that may come back later.
+// rejected returns the *RejectedError of a task that may be offered again at retryAt.
 func (r *request) rejected(retryAt time.Time, reason string) error {
 	return &RejectedError{RetryAt: retryAt, Token: r.token, Attempts: r.attempts, Reason: reason}
 }
 
-// advice is what a status says of the next attempt.
+// advice holds the details of a gRPC status that concern the next attempt.
 type advice struct {
-	hasDelay bool
-	delay    time.Duration
-	token    []byte // proves the place in line then, or nil
+	hasDelay bool          // whether the status advises a delay
+	delay    time.Duration // advised delay before the next attempt
+	token    []byte        // retry token for the next attempt, or nil
 }
 
-// adviceOf reads the details of a status.
-func adviceOf(err error) (a advice) {
+// parseAdvice reads the advice from the details of the gRPC status of err.
+func parseAdvice(err error) (a advice) {
 	for _, detail := range status.Convert(err).Details() {
 		switch detail := detail.(type) {
 		case *errdetails.RetryInfo:
@@ -155,7 +158,7 @@
 	return a
 }
 
-// newOfferID is a random ID for an offer.
+// newOfferID returns a random offer ID of 16 hexadecimal digits.
 func newOfferID() string {
 	var b [8]byte
 	rand.Read(b[:]) // never fails
