--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -1,23 +1,27 @@
 package clientfront
 
-// This file owns which clients are admitted, and which idle connection is evicted for another one where the limit
-// of connections is reached, or no descriptor is free for clients. It must never evict a connection with an open
+// This file owns the admission of clients. When the connection limit is reached, or no file descriptor is free for
+// clients, it chooses the idle connection to evict for a new one. It must never evict a connection with an open
 // request.
 
 const (
-	// minIdleWithTask is how long a connection must have been idle to be evicted: a submission may be in flight on
-	// one that was just used. minIdleWithoutTask is the same for one that never had a task: a client that
-	// connects to submit a task does so at once, and sends again what crosses the close within 50 ms.
+	// minIdleWithTask is the minimum idle time, in microseconds, after which a connection that had a task may be
+	// evicted: on a connection that was just used, a submission may be in flight.
+	// minIdleWithoutTask is the minimum idle time for a connection that never had a task: a client that connects
+	// to submit a task does so at once, and if the submission crosses the close, the client resends the submission
+	// within 50 ms.
 	minIdleWithTask    = 1 * second
 	minIdleWithoutTask = 100 * millisecond
-	// protectedWithTask is up to how many connections that had tasks are not evicted while one that had none will
-	// be idle long enough soon: completions are reported on them, also those whose own connection is closed. A
-	// flood of connections without a task would else evict all of them within minIdleWithoutTask.
+	// protectedWithTask is the maximum number of connections with tasks that are protected: while a front has no
+	// more than these, none of them is evicted if a connection without a task becomes evictable soon.
+	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
+	// Without the protection, a flood of connections without a task would evict all connections with tasks within
+	// minIdleWithoutTask.
 	protectedWithTask = 8
 )
 
-// minIdle is how long the connection must have been idle to be evicted. A client that has not read all its
-// responses has as long for that as for writing a message.
+// minIdle returns the minimum idle time, in microseconds, after which the connection may be evicted. While responses
+// wait to be read by the client, this is messageTimeout, the time that a client also has to write a message.
 func (c *clientConn) minIdle() int64 {
 	switch {
 	case c.conn.BytesBuffered() > 0:
@@ -28,43 +32,45 @@
 	return minIdleWithoutTask
 }
 
-// admission admits clients to a front. Those that are not admitted wait in the system's queue, where no response reaches
-// them.
+// admission decides whether a front accepts another connection. Connections that are not accepted wait in the listen
+// queue of the operating system, where they get no response.
 type admission struct{ front *Front }
 
-// HasCapacity implements eventloop.Admission.
+// HasCapacity implements eventloop.Admission. It reports whether the front is below its connection limit and the
+// descriptor budget admits another client.
 func (a admission) HasCapacity() bool {
 	f := a.front
 	return len(f.clients) < f.maxConns && f.budget.AdmitsClient()
 }
 
-// MakeCapacity implements eventloop.Admission: it closes an idle connection. Connections without a task may come by the
-// hundred, so they are evicted first.
+// MakeCapacity implements eventloop.Admission. It evicts an idle connection and reports whether it found one.
+// Connections without a task are evicted first because they may arrive by the hundred.
 func (a admission) MakeCapacity() bool {
 	f := a.front
 	found := f.findEvictable()
 	evicted := found.client
-	if evicted != nil && evicted.hasTask && found.anotherSoon && found.withTask <= protectedWithTask {
+	if evicted != nil && evicted.hasTask && found.evictableSoon && found.withTask <= protectedWithTask {
 		evicted = nil
 	}
 	if evicted == nil {
 		f.log.Warn("client connection limit reached", "connections", len(f.clients))
 		return false
 	}
-	evicted.end()
+	evicted.rejectAndClose()
 	return true
 }
 
-// evictable is what a search for a connection to evict has found.
-type evictable struct {
-	client      *clientConn // the one to evict first, nil where none may be evicted
-	withTask    int         // connections that had tasks
-	anotherSoon bool        // a connection that had no task may be evicted soon
+// evictionSearchResult is the result of a search for a connection to evict.
+type evictionSearchResult struct {
+	client        *clientConn // the connection to evict first, or nil if none may be evicted
+	withTask      int         // number of connections that had a task
+	evictableSoon bool        // a connection without a task and without open requests is not idle for long enough yet
 }
 
-// findEvictable looks for the connection to evict first. Of those without an open request that
-// were idle long enough it is the one of the lowest usage, and among equals the one idle longest.
-func (f *Front) findEvictable() (found evictable) {
+// findEvictable searches for the connection to evict first. Candidates are the connections without an open request
+// that have been idle for at least minIdle. The candidate with the lowest usage is chosen, and among equals the one
+// that has been idle longest.
+func (f *Front) findEvictable() (found evictionSearchResult) {
 	now := f.loop.Now()
 	for client := range f.clients {
 		if client.hasTask {
@@ -74,7 +80,7 @@
 			continue
 		}
 		if now-client.lastActiveAt < client.minIdle() {
-			found.anotherSoon = found.anotherSoon || !client.hasTask
+			found.evictableSoon = found.evictableSoon || !client.hasTask
 			continue
 		}
 		if found.client == nil || client.evictsBefore(found.client) {
@@ -84,7 +90,8 @@
 	return found
 }
 
-// evictsBefore reports whether the connection is to be evicted rather than another.
+// evictsBefore reports whether c is to be evicted rather than other. Ties in usage and idle time are broken in
+// favor of evicting the older connection.
 func (c *clientConn) evictsBefore(other *clientConn) bool {
 	if usage, otherUsage := c.usage(), other.usage(); usage != otherUsage {
 		return usage < otherUsage
--- a/internal/clientfront/admission_test.go
+++ b/internal/clientfront/admission_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Where the limit of connections is reached, those that never sent a message are evicted before one that
-// did, and one for each client that comes.
+// At the connection limit, each new client evicts exactly one connection, and connections that never sent a message
+// are evicted before a connection that did.
 func TestAdmissionClosesLeastUsed(t *testing.T) {
 	front := startFront(t, 3)
 	active, unused, alsoUnused := front.dial(t), front.dial(t), front.dial(t)
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -1,8 +1,8 @@
 package clientfront
 
-// This file owns one connection of a client: the messages that come on it, and the requests that are open on it. It
-// must never pass on what a client may not send, nor close the connection before it has responded to the requests
-// that are open.
+// This file owns a single client connection: the messages received on it and the requests that are open on it. It
+// must never forward a message that a client may not send, and it must respond to every open request before it
+// closes the connection.
 
 import (
 	"fmt"
@@ -15,39 +15,43 @@
 )
 
 const (
-	// A connection that had no task yet may have maxOpenWithoutTask requests open, and further ones are rejected
-	// at once; its maxInvalidMessages-th invalid message ends it. That protects the connections on which
-	// completions of tasks are reported from others.
+	// maxOpenWithoutTask is the maximum number of open requests on a connection that has had no task yet; further
+	// requests are rejected at once. maxInvalidMessages is the number of invalid messages at which such a
+	// connection is closed. Both limits protect the connections that report the completions of tasks from other
+	// connections.
 	maxOpenWithoutTask = 32
 	maxInvalidMessages = 64
-	// openLimitRetryAfter is after how long a client is to retry a request that was rejected as too many were open.
+	// openLimitRetryAfter is the Retry-After, in microseconds, of a request that is rejected because too many
+	// requests are open.
 	openLimitRetryAfter = 1 * second
 )
 
-// clientConn is one connection. It is the dispatch.Client of the requests that came on it.
+// clientConn is a connection of a client. It is the dispatch.Client of the requests received on it. Its times are in
+// microseconds on the clock of the event loop.
 type clientConn struct {
 	front        *Front
 	conn         *eventloop.Conn
-	number       uint64          // of the connection, from 1
-	openRequests map[string]bool // IDs of requests without a response
-	lastActiveAt int64           // when its last complete message came, or when it connected
-	partialSince int64           // since when a part of a message waits for the rest, 0 where none does
-	hasMessage   bool            // a complete message came
-	hasTask      bool            // a task was started or adopted for a request on it
-	hasStarted   bool            // a task was started for a request on it
-	invalidCount int             // invalid messages
+	number       uint64          // sequence number among the accepted connections, from 1
+	openRequests map[string]bool // IDs of the requests that have no response yet
+	lastActiveAt int64           // time of the last complete message, or of the connect if there was none
+	partialSince int64           // time since which an incomplete message waits for its rest, or 0 if there is none
+	hasMessage   bool            // a complete message was received
+	hasTask      bool            // a task was started or adopted for a request on this connection
+	hasStarted   bool            // a task was started for a request on this connection
+	invalidCount int             // number of invalid messages received
 }
 
-// Opened implements eventloop.Handler.
+// Opened implements eventloop.Handler. It registers the connection with the front.
 func (c *clientConn) Opened(conn *eventloop.Conn) {
 	c.conn, c.lastActiveAt = conn, c.front.loop.Now()
 	c.front.add(c)
 }
 
-// LastSeenAt implements dispatch.ConnectedClient.
+// LastSeenAt implements dispatch.ConnectedClient. It returns the time, in microseconds, up to which the connection has
+// been read.
 func (c *clientConn) LastSeenAt() int64 { return c.conn.LastSeenAt() }
 
-// Closed implements eventloop.Handler. It cancels the requests that are open.
+// Closed implements eventloop.Handler. It cancels the open requests of the connection.
 func (c *clientConn) Closed(_ *eventloop.Conn, _ error) {
 	c.front.remove(c)
 	for _, requestID := range slices.Sorted(maps.Keys(c.openRequests)) {
@@ -56,9 +60,9 @@
 	c.openRequests = nil
 }
 
-// end closes the connection from this side. Open requests are rejected before that, at once: nothing
-// more that comes on the connection can be read.
-func (c *clientConn) end() {
+// rejectAndClose closes the connection from this side. It first rejects the open requests, at once, because nothing
+// further can be read from the connection.
+func (c *clientConn) rejectAndClose() {
 	for _, requestID := range slices.Sorted(maps.Keys(c.openRequests)) {
 		c.front.dispatcher.Reject(c.front.loop.Now(), c, requestID)
 	}
@@ -66,7 +70,8 @@
 	c.conn.Close()
 }
 
-// Data implements eventloop.Handler. A malformed message ends the connection.
+// Data implements eventloop.Handler. It handles the complete messages in b, and closes the connection after a
+// malformed message.
 func (c *clientConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	now := c.front.loop.Now()
 	used, err := jsonlines.Lines(b, func(line []byte) error {
@@ -78,7 +83,7 @@
 	})
 	if err != nil {
 		c.front.log.Warn("malformed client message", "err", err)
-		c.end()
+		c.rejectAndClose()
 		return used, nil
 	}
 	switch {
@@ -90,7 +95,8 @@
 	return used, nil
 }
 
-// receive handles one message. An error ends the connection. A ping shows that a client is there to read completions.
+// receive handles one message. If it returns an error, the connection is closed. A ping triggers the report of
+// unreported completions because the ping shows that a client is present to read them.
 func (c *clientConn) receive(now int64, message *jsonlines.Message) error {
 	c.lastActiveAt, c.hasMessage = now, true
 	if c.hasStarted {
@@ -105,15 +111,16 @@
 		c.front.reportOn(c)
 		c.send(&jsonlines.Message{Verb: jsonlines.VerbEchoed, Tag: message.Tag, RC: 1, HasRC: true})
 	case jsonlines.VerbPending, jsonlines.VerbFinished, jsonlines.VerbEchoed, jsonlines.VerbNotice:
-		// The protocol allows them, and they need no reaction.
+		// The protocol allows these messages, and they need no response.
 	default:
-		err := &fieldError{Field: "verb", Value: message.Verb, Want: "a verb of the protocol"}
+		err := &fieldError{Field: "verb", Value: message.Verb, Want: "a known verb"}
 		return c.failMessage(message.Tag, err)
 	}
 	return nil
 }
 
-// submit hands a request to the dispatcher, or responds to it itself.
+// submit submits a request to the dispatcher, or responds directly if the request is invalid, a duplicate or over the
+// limit of open requests.
 func (c *clientConn) submit(now int64, message *jsonlines.Message) error {
 	submission, err := parseSubmission(message)
 	if err == nil {
@@ -137,14 +144,14 @@
 	switch {
 	case submission.RunningOn == "":
 		c.openRequests[submission.RequestID] = true
-	case !isKnown && dispatcher.IsListed(submission.RunningOn): // registering a known task proves nothing of the client
+	case !isKnown && dispatcher.IsListed(submission.RunningOn): // a known task proves nothing about the client
 		c.hasTask = true
 		c.front.reportOn(c)
 	}
 	return nil
 }
 
-// checkClass returns an error where there is no such class.
+// checkClass returns an error if the settings have no class with the given name.
 func (f *Front) checkClass(name string) error {
 	if _, known := f.dispatcher.Class(name); !known {
 		return &fieldError{Field: "class", Value: name, Want: "a known class"}
@@ -152,15 +159,15 @@
 	return nil
 }
 
-// rejectDuplicate responds to two requests of one ID on this connection, once for both: a client could not
-// distinguish for which of them a response is.
+// rejectDuplicate rejects two requests with the same ID on this connection. It sends a single response for both
+// because a client could not tell which of the two requests a response belongs to.
 func (c *clientConn) rejectDuplicate(now int64, requestID string) error {
 	c.front.dispatcher.Reject(now, c, requestID)
 	c.front.log.Warn("duplicate request ID on connection", "request_id", requestID)
 	return c.countInvalid()
 }
 
-// rejectOverLimit rejects a request of a connection that has too many open for one without a task.
+// rejectOverLimit rejects a request on a connection that has had no task and has maxOpenWithoutTask requests open.
 func (c *clientConn) rejectOverLimit(requestID string) {
 	retryAfterUs := int64(0)
 	if c.front.dispatcher.AdvisesRetryAfter() {
@@ -170,7 +177,7 @@
 	c.front.log.Warn("too many open requests on new connection", "open", len(c.openRequests))
 }
 
-// finish cancels a request that is open on this connection, or releases a running task.
+// finish handles a FINISH: it cancels a request that is open on this connection, or releases a running task.
 func (c *clientConn) finish(now int64, requestID string) {
 	dispatcher := c.front.dispatcher
 	switch {
@@ -178,20 +185,22 @@
 		delete(c.openRequests, requestID)
 		dispatcher.Cancel(now, c, requestID)
 	case dispatcher.IsRunning(requestID) && !dispatcher.IsResumable(requestID):
-		// Otherwise it is open on another connection, or belongs to another front.
+		// Any other known request is open on another connection or belongs to another front, and is not cancelled.
 		dispatcher.Cancel(now, nil, requestID)
 	}
 	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinished, Tag: requestID})
 }
 
-// failMessage responds to an invalid message. A request of the same ID elsewhere is not touched.
+// failMessage responds to an invalid message with CodeFailed. A request with the same ID on another connection is not
+// affected.
 func (c *clientConn) failMessage(requestID string, err error) error {
 	c.front.log.Warn("invalid client message", "request_id", requestID, "err", err)
 	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CodeFailed, HasRC: true})
 	return c.countInvalid()
 }
 
-// countInvalid counts an invalid message. It returns an error where the connection had too many.
+// countInvalid counts an invalid message. It returns an error if the connection has had no task and reaches
+// maxInvalidMessages.
 func (c *clientConn) countInvalid() error {
 	if c.invalidCount++; c.invalidCount >= maxInvalidMessages && !c.hasTask {
 		return fmt.Errorf("%w: %d invalid messages on one connection", jsonlines.ErrMessage, c.invalidCount)
@@ -199,5 +208,5 @@
 	return nil
 }
 
-// send writes a message, which goes out at the end of the loop's turn.
+// send queues a message, which is written to the socket at the end of the event loop's turn.
 func (c *clientConn) send(message *jsonlines.Message) { c.conn.Write(jsonlines.Append(nil, message)) }
--- a/internal/clientfront/conn_test.go
+++ b/internal/clientfront/conn_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each message has its response on the wire.
+// Each message gets its expected response on the wire.
 func TestMessages(t *testing.T) {
 	front := startFront(t, 10)
 	for _, test := range []struct {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Of a connection without a task 32 requests may be open; the next is rejected at once.
+// A connection without a task may have 32 open requests; the next request is rejected at once.
 func TestOpenRequestsAreLimited(t *testing.T) {
 	c := startFront(t, 10).dial(t)
 	for id := range 33 {
@@ -47,7 +47,7 @@
 	c.expect(t, finish(32, 34), echoed)
 }
 
-// A malformed message ends the connection, once open requests were rejected in the order of their IDs.
+// A malformed message closes the connection after its open requests have been rejected in the order of their IDs.
 func TestMalformedMessageEndsConnection(t *testing.T) {
 	c := startFront(t, 10).dial(t)
 	c.send(t, start(2), start(1), `{"verb":`)
@@ -55,7 +55,7 @@
 	c.expectEnd(t)
 }
 
-// The 64th invalid message ends a connection without a task.
+// The 64th invalid message closes a connection without a task.
 func TestInvalidMessagesEndConnection(t *testing.T) {
 	c := startFront(t, 10).dial(t)
 	for id := range 64 {
--- a/internal/clientfront/errors.go
+++ b/internal/clientfront/errors.go
@@ -1,6 +1,6 @@
 package clientfront
 
-// This file owns the errors of messages from clients.
+// This file owns the errors for invalid client messages.
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 	"ravenhitch/internal/jsonlines"
 )
 
-// fieldError is the error of a message with an invalid field. It wraps jsonlines.ErrMessage.
+// fieldError is the error for a message with an invalid field. It wraps jsonlines.ErrMessage.
 type fieldError struct {
-	Field string // its name on the wire
-	Value string // what came, empty where nothing did or the dispatcher's check failed
-	Want  string // what was expected
+	Field string // name of the field on the wire, or its name in a dispatch.ValidationError
+	Value string // received value; empty if the field was absent or failed the dispatcher's validation
+	Want  string // description of the expected value
 }
 
-// Error implements error. Of a long value it prints the beginning.
+// Error implements the error interface. It truncates the received value to 40 characters.
 func (e *fieldError) Error() string {
 	if e.Value == "" {
 		return fmt.Sprintf("%v: %s: expected %s", jsonlines.ErrMessage, e.Field, e.Want)
--- a/internal/clientfront/helpers_test.go
+++ b/internal/clientfront/helpers_test.go
@@ -1,6 +1,7 @@
 package clientfront
 
-// This file owns what the tests of this package share: a front on a loop of its own, and clients of it.
+// This file owns the shared helpers of this package's tests: a front on its own event loop, and clients that
+// connect to it.
 
 import (
 	"bufio"
@@ -21,13 +22,13 @@
 	"ravenhitch/placement"
 )
 
-// testFront is a front that serves clients without any worker.
+// testFront is a front that serves clients and has no workers.
 type testFront struct {
 	*Front
 	addr string
 }
 
-// startFront serves clients until the test ends.
+// startFront starts a front that serves at most maxConns clients until the test ends, without an idle timeout.
 func startFront(t *testing.T, maxConns int) testFront {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -63,7 +64,7 @@
 	return testFront{front, addr}
 }
 
-// onLoop runs a function on the loop, and waits for that.
+// onLoop runs a function on the event loop and waits until the function returns.
 func (f testFront) onLoop(run func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() {
@@ -73,13 +74,13 @@
 	<-done
 }
 
-// client is a connection of a client.
+// client is the client's side of a connection to the front.
 type client struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// dial connects a client until the test ends.
+// dial connects a client, which is disconnected at the end of the test.
 func (f testFront) dial(t *testing.T) *client {
 	t.Helper()
 	conn := nettest.Dial(t, f.addr)
@@ -89,7 +90,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// send writes lines.
+// send writes lines to the front, each with a line feed.
 func (c *client) send(t *testing.T, lines ...string) {
 	t.Helper()
 	if _, err := io.WriteString(c.conn, strings.Join(lines, "\n")+"\n"); err != nil {
@@ -97,31 +98,31 @@
 	}
 }
 
-// expect reads lines that must be as given.
+// expect reads one line for each given line, and fails the test if they differ.
 func (c *client) expect(t *testing.T, lines ...string) {
 	t.Helper()
 	for _, want := range lines {
 		if got, err := c.reader.ReadString('\n'); err != nil || got != want+"\n" {
-			t.Fatalf("got %q, %v, expected %s", got, err, want)
+			t.Fatalf("read line: got %q and error %v, want %s", got, err, want)
 		}
 	}
 }
 
-// expectEnd expects that the connection is closed with nothing left to read.
+// expectEnd fails the test unless the connection is closed with nothing left to read.
 func (c *client) expectEnd(t *testing.T) {
 	t.Helper()
 	if rest, err := c.reader.ReadString('\n'); rest != "" || !errors.Is(err, io.EOF) {
-		t.Fatalf("got %q, %v, expected the end", rest, err)
+		t.Fatalf("read from a closed connection: got %q and error %v, want nothing and io.EOF", rest, err)
 	}
 }
 
-// start is a valid submission.
+// start returns the line of a valid submission.
 func start(id int) string {
 	return fmt.Sprintf(`{"verb":"START","tag":"%016x","opts":{"class":"web","key":"k%d","left":60000,`+
 		`"extras":"cores:1;memory:1"},"blob":"d"}`, id, id)
 }
 
-// finish is the response of an outcome.
+// finish returns the line of a final response with an outcome code.
 func finish(id, rc int) string {
 	return fmt.Sprintf(`{"verb":"FINISH","tag":"%016x","opts":{},"rc":%d}`, id, rc)
 }
--- a/internal/clientfront/response.go
+++ b/internal/clientfront/response.go
@@ -1,6 +1,6 @@
 package clientfront
 
-// This file owns the form of responses and completions on the wire, and on which connection they go out.
+// This file owns the encoding of responses and completions, and the choice of the connection on which they are sent.
 
 import (
 	"strconv"
@@ -10,8 +10,8 @@
 	"ravenhitch/placement"
 )
 
-// Respond implements dispatch.Client. A completion is reported on another connection where that of the
-// request is closed: a running task belongs to no connection.
+// Respond implements dispatch.Client. If the connection of the request is closed, a completion or migration is
+// reported on another connection, since a running task belongs to no connection.
 func (c *clientConn) Respond(response dispatch.Response) {
 	message := encodeResponse(response)
 	switch response.Kind {
@@ -27,7 +27,7 @@
 	c.send(&message)
 }
 
-// encodeResponse is the message of a response or a completion.
+// encodeResponse returns the message for a response or completion.
 func encodeResponse(response dispatch.Response) jsonlines.Message {
 	message := jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: response.RequestID, HasRC: true}
 	switch response.Kind {
@@ -52,7 +52,7 @@
 	return message
 }
 
-// formatMillis writes microseconds as milliseconds, rounded up.
+// formatMillis formats a time in microseconds as milliseconds, rounded up.
 func formatMillis(us int64) string {
 	return strconv.FormatInt((us+millisecond-1)/millisecond, 10)
 }
--- a/internal/clientfront/response_test.go
+++ b/internal/clientfront/response_test.go
@@ -8,7 +8,7 @@
 	"ravenhitch/placement"
 )
 
-// Responses and completions have the form of the protocol.
+// Responses and completions are encoded as the protocol defines.
 func TestEncodeResponse(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -28,7 +28,7 @@
 			test.response.RequestID = "x"
 			message := encodeResponse(test.response)
 			if got := string(jsonlines.Append(nil, &message)); got != test.want+"\n" {
-				t.Errorf("got %s, expected %s", got, test.want)
+				t.Errorf("encoded response: got %s, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -1,7 +1,7 @@
 package clientfront
 
-// This file owns how the message of a submission is read. It must never guess what the client meant: what it can't
-// read is an error.
+// This file owns the parsing of submission messages. It must never guess the meaning of a field: a value that it
+// cannot parse is an error.
 
 import (
 	"math"
@@ -12,11 +12,11 @@
 	"ravenhitch/internal/jsonlines"
 )
 
-// maxTimeMs is what a longer time, in milliseconds, is read as: it fits the dispatcher's clock and is
-// still longer than the dispatcher allows.
+// maxTimeMs is the upper bound, in milliseconds, to which longer times are clamped. It fits the dispatcher's clock
+// and still exceeds the longest time that the dispatcher accepts.
 const maxTimeMs = 1e12
 
-// parseSubmission reads what a client requests. The error is a *fieldError.
+// parseSubmission parses a client's submission. A non-nil error is a *fieldError.
 func parseSubmission(message *jsonlines.Message) (dispatch.Submission, error) {
 	submission := dispatch.Submission{
 		RequestID:      message.Tag,
@@ -35,8 +35,8 @@
 	if err := parseRetry(&submission, message.Opt("retry")); err != nil {
 		return submission, err
 	}
-	if submission.RunningOn == "" { // else no response is waited for
-		if err := parseLeft(&submission, message.Opt("left")); err != nil {
+	if submission.RunningOn == "" { // a client that registers a running task waits for no response
+		if err := parseTimeout(&submission, message.Opt("left")); err != nil {
 			return submission, err
 		}
 	}
@@ -49,7 +49,7 @@
 	return submission, nil
 }
 
-// parseExtras reads pairs such as "cores:1.5;memory:2". Those of unknown names are passed over.
+// parseExtras parses name-value pairs such as "cores:1.5;memory:2". It ignores pairs with an unknown name.
 func parseExtras(submission *dispatch.Submission, extras string) error {
 	for pair := range strings.SplitSeq(extras, ";") {
 		name, value, _ := strings.Cut(pair, ":")
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// parseHint reads how long the task is expected to run.
+// parseHint parses the expected run time of the task, in milliseconds. A time below -1 ms is clamped to -1 ms,
+// which the dispatcher's validation still rejects.
 func parseHint(submission *dispatch.Submission, hint string) error {
 	if hint == "" {
 		return nil
@@ -84,21 +85,22 @@
 	return nil
 }
 
-// parseRetry reads how often the client submitted the task before.
+// parseRetry parses the number of times that the client has submitted the task before.
 func parseRetry(submission *dispatch.Submission, retry string) error {
 	if retry == "" {
 		return nil
 	}
 	count, err := strconv.ParseUint(retry, 10, 32)
 	if err != nil {
-		return &fieldError{Field: "retry", Value: retry, Want: "a number of submissions"}
+		return &fieldError{Field: "retry", Value: retry, Want: "the number of earlier submissions"}
 	}
 	submission.Retry = count > 0
 	return nil
 }
 
-// parseLeft reads the timeout of the request.
-func parseLeft(submission *dispatch.Submission, left string) error {
+// parseTimeout parses the timeout of the request, in milliseconds. A negative timeout is clamped to 0, which the
+// dispatcher's validation rejects.
+func parseTimeout(submission *dispatch.Submission, left string) error {
 	ms, err := strconv.ParseFloat(left, 64)
 	if err != nil || math.IsNaN(ms) {
 		return &fieldError{Field: "left", Value: left, Want: "a number of milliseconds"}
--- a/internal/clientfront/submission_test.go
+++ b/internal/clientfront/submission_test.go
@@ -9,14 +9,14 @@
 
 const validExtras = "cores:1.5;memory:2.5;service:ff"
 
-// submissionMessage is a message of a submission that is valid but for what is given.
+// submissionMessage returns the message of a submission that is valid if the given values of "left" and "extras" are.
 func submissionMessage(left, extras string) jsonlines.Message {
 	return jsonlines.Message{Verb: jsonlines.VerbStart, Tag: "9b1f03aa5c7e2d41", HasBlob: true,
 		Opts: []jsonlines.Field{{Name: "class", Value: "web"}, {Name: "key", Value: "k"},
 			{Name: "left", Value: left}, {Name: "extras", Value: extras}}}
 }
 
-// A submission passes only with figures that make sense, and its timeout is read as written.
+// A submission is accepted only if its numbers are valid, and its timeout is converted to microseconds exactly.
 func TestParseSubmission(t *testing.T) {
 	for _, test := range []struct {
 		left, extras string
@@ -47,38 +47,38 @@
 		message := submissionMessage(test.left, test.extras)
 		got, err := parseSubmission(&message)
 		if (err == nil) != test.valid || test.valid && got.TimeoutUs != test.timeoutUs {
-			t.Errorf("%+v: got %+v, %v", test, got, err)
+			t.Errorf("test case %+v: got submission %+v and error %v", test, got, err)
 		}
 	}
 	message := submissionMessage("1500", validExtras+";at:s-1;new:thing")
 	got, _ := parseSubmission(&message)
 	if got.Cores != 1.5 || got.Memory != 2.5 || got.Program != 255 || got.RunningOn != "s-1" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want 1.5 cores, 2.5 memory, program 255 and worker s-1", got)
 	}
 }
 
-// Without an ID, a description or a key a submission does not pass.
+// A submission without a valid request ID, a description or a key is rejected as invalid.
 func TestParseSubmissionIncomplete(t *testing.T) {
-	for name, spoil := range map[string]func(message *jsonlines.Message){
+	for name, corrupt := range map[string]func(message *jsonlines.Message){
 		"tag":         func(message *jsonlines.Message) { message.Tag = "9b1f03aa5c7e2d4x" },
 		"no tag":      func(message *jsonlines.Message) { message.Tag = "" },
 		"description": func(message *jsonlines.Message) { message.HasBlob = false },
 		"key":         func(message *jsonlines.Message) { message.Opts[1].Value = "" },
 	} {
 		message := submissionMessage("1500", validExtras)
-		spoil(&message)
+		corrupt(&message)
 		if _, err := parseSubmission(&message); err == nil {
-			t.Errorf("%s: it passed", name)
+			t.Errorf("invalid submission (%s): got no error, want one", name)
 		}
 	}
 }
 
-// The error of a submission names the field on the wire and what came in it.
+// The error for an invalid submission names the field on the wire and the received value.
 func TestParseSubmissionErrors(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		left, extras string
-		more         jsonlines.Field
+		extraOpt     jsonlines.Field
 		field, value string
 	}{
 		{"a timeout that is not a number", "soon", validExtras, jsonlines.Field{}, "left", "soon"},
@@ -91,14 +91,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			message := submissionMessage(test.left, test.extras)
-			message.Opts = append(message.Opts, test.more)
+			message.Opts = append(message.Opts, test.extraOpt)
 			_, err := parseSubmission(&message)
 			var got *fieldError
 			if !errors.As(err, &got) || !errors.Is(err, jsonlines.ErrMessage) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got error %v, want a fieldError that wraps ErrMessage", err)
 			}
 			if got.Field != test.field || got.Value != test.value || got.Want == "" {
-				t.Errorf("got %+v, expected field %q and value %q", got, test.field, test.value)
+				t.Errorf("got error %+v, want field %q, value %q and a description of the expected value", got, test.field, test.value)
 			}
 		})
 	}
--- a/internal/clientfront/timeouts.go
+++ b/internal/clientfront/timeouts.go
@@ -5,13 +5,15 @@
 	"slices"
 )
 
-// This file owns which connections have timed out. A connection with an open request must never count as idle.
+// This file owns the timeouts of connections. A connection with an open request must never count as idle.
 
-// messageTimeout is how long a connection may take for its first message, and for the rest of a message that has
-// begun: a client may take 2 s to write one, and a connection that sends none is to be closed within 3 s.
+// messageTimeout is the maximum time, in microseconds, that a connection may take for its first message and for the
+// rest of a message that has begun. A client may take 2 s to write a message, and a connection that sends none must
+// be closed within 3 s.
 const messageTimeout = 2_400 * millisecond
 
-// closeTimedOut closes the connections that are stalled or were idle for too long, in the order in which they came.
+// closeTimedOut closes the connections that are stalled or have been idle for too long, in the order in which they
+// were accepted.
 func (f *Front) closeTimedOut(now int64) {
 	var timedOut []*clientConn
 	for client := range f.clients {
@@ -24,17 +26,17 @@
 		if client.isStalled(now) {
 			f.log.Warn("client message timed out", "has_message", client.hasMessage)
 		}
-		client.end()
+		client.rejectAndClose()
 	}
 }
 
-// isStalled reports whether a first message, or the rest of one, is overdue.
+// isStalled reports whether the first message, or the rest of an incomplete message, is overdue.
 func (c *clientConn) isStalled(now int64) bool {
 	return !c.hasMessage && now-c.lastActiveAt > messageTimeout ||
 		c.partialSince > 0 && now-c.partialSince > messageTimeout
 }
 
-// isIdle reports whether the connection has no open request and was idle for the timeout.
+// isIdle reports whether the connection has no open request and has been idle for longer than the idle timeout.
 func (c *clientConn) isIdle(now int64) bool {
 	timeout := c.front.idleTimeoutUs
 	return len(c.openRequests) == 0 && timeout > 0 && now-c.lastActiveAt > timeout
--- a/internal/clientfront/timeouts_test.go
+++ b/internal/clientfront/timeouts_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// A client that never sends its first message is disconnected, but not within the 2 s that it may take.
+// A client that never sends its first message is disconnected, but not within the 2 s that it may take to send one.
 func TestSilentClientIsDisconnected(t *testing.T) {
 	c := startFront(t, 10).dial(t)
-	began := time.Now()
+	startedAt := time.Now()
 	c.expectEnd(t)
-	if d := time.Since(began); d < 2*time.Second {
-		t.Errorf("it was disconnected after %s", d)
+	if d := time.Since(startedAt); d < 2*time.Second {
+		t.Errorf("silent client was disconnected after %s, want 2 s or more", d)
 	}
 }
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -1,27 +1,30 @@
 package clientfront
 
-// This file owns on which connection a completion is reported, and the completions for which no client is connected.
-// Whoever connects may be anybody: on a connection without a task it must report one only where a ping shows that a
-// client is there, or once unreportedHold is over.
+// This file owns the choice of the connection on which a completion is reported, and the completions for which no
+// client is connected. Any program may connect, so an open connection does not show that a client is present. On a
+// connection without a task, a completion may therefore be reported only after a ping, which shows that a client is
+// present, or once unreportedWait is over.
 
 import "ravenhitch/internal/jsonlines"
 
 const (
-	// maxUnreported bounds the completions that wait for a client to connect.
+	// maxUnreported is the maximum number of completions that wait for a client to connect. Further ones are dropped.
 	maxUnreported = 10_000
-	// unreportedHold is how long they wait for a connection that had a task or pings, while others are
-	// connected: half of the 1 s in which a client is to be notified.
-	unreportedHold = 500 * millisecond
+	// unreportedWait is the time, in microseconds, that unreported completions wait for a connection that starts or
+	// adopts a task or sends a ping, while only other connections are open. It is half of the 1 s within which a
+	// client must be notified.
+	unreportedWait = 500 * millisecond
 )
 
 // unreportedCompletion is a completion for which no client is connected.
 type unreportedCompletion struct {
-	at   int64  // when it could not be reported
-	line []byte // its message
+	queuedAt int64  // time at which the completion could not be reported, in microseconds
+	line     []byte // the encoded message
 }
 
-// reportCompletion sends a completion to the client of a request: on its connection or, where that is
-// closed, on the best other one. Where there is none it waits.
+// reportCompletion sends a completion to the client of a request. It uses the connection of the request or, if that
+// is closed, the best other connection that had a task. If there is none, the completion is stored until a client
+// connects.
 func (f *Front) reportCompletion(origin *clientConn, requestID string, message *jsonlines.Message) {
 	target := origin
 	if !origin.conn.IsUp() {
@@ -39,8 +42,9 @@
 	}
 }
 
-// bestConn returns an open connection of at least a usage, or nil: the last active one of those for which
-// a task was started, else of those on which one was adopted, else of those that sent a message.
+// bestConn returns the best open connection for reporting a completion, or nil if none has at least minUsage. It
+// prefers connections on which a task was started, then those on which a task was adopted, then those that sent a
+// message. Among equals, it prefers the last active connection.
 func (f *Front) bestConn(minUsage usage) *clientConn {
 	if f.latestStarted != nil && f.latestStarted.conn.IsUp() {
 		return f.latestStarted
@@ -54,7 +58,7 @@
 	return best
 }
 
-// reportsBefore reports whether a completion is to be reported on the connection rather than on another.
+// reportsBefore reports whether a completion is to be reported on c rather than on other.
 func (c *clientConn) reportsBefore(other *clientConn) bool {
 	if usage, otherUsage := c.usage(), other.usage(); usage != otherUsage {
 		return usage > otherUsage
@@ -62,9 +66,10 @@
 	return c.lastActiveAt > other.lastActiveAt || c.lastActiveAt == other.lastActiveAt && c.number > other.number
 }
 
-// reportOverdue sends the unreported completions to any client once the first has waited long enough.
+// reportOverdue sends the unreported completions on any connection that sent a message, once the oldest of them has
+// waited for longer than unreportedWait.
 func (f *Front) reportOverdue(now int64) {
-	if len(f.unreported) == 0 || now-f.unreported[0].at <= unreportedHold {
+	if len(f.unreported) == 0 || now-f.unreported[0].queuedAt <= unreportedWait {
 		return
 	}
 	if client := f.bestConn(usageMessage); client != nil {
@@ -72,7 +77,7 @@
 	}
 }
 
-// reportOn sends the unreported completions on a connection, unless that is closed.
+// reportOn sends all unreported completions on the connection of client, unless the connection is closed.
 func (f *Front) reportOn(client *clientConn) {
 	if !client.conn.IsUp() {
 		return
--- a/internal/clientfront/unreported_test.go
+++ b/internal/clientfront/unreported_test.go
@@ -9,7 +9,7 @@
 	"ravenhitch/placement"
 )
 
-// complete ends a running task whose client is not connected any more.
+// complete reports the completion of a task whose client is no longer connected.
 func (f testFront) complete(id int) {
 	f.onLoop(func() {
 		disconnected := &clientConn{front: f.Front}
@@ -18,30 +18,30 @@
 	})
 }
 
-// hasUndelivered is HasUndelivered, from another goroutine than the loop's.
+// hasUndelivered calls HasUndelivered on the event loop, for use by other goroutines.
 func (f testFront) hasUndelivered() (has bool) {
 	f.onLoop(func() { has = f.HasUndelivered() })
 	return has
 }
 
-// A completion for which no client is connected waits for one, and is reported before the answer to the
-// message that shows that there is one.
+// A completion for which no client is connected is stored until a client sends a ping. It is reported before the
+// response to the ping.
 func TestUnreportedCompletionsWait(t *testing.T) {
 	front := startFront(t, 10)
 	front.complete(1)
 	front.complete(2)
 	if !front.hasUndelivered() {
-		t.Error("a completion was lost")
+		t.Error("HasUndelivered: got false with unreported completions, want true")
 	}
 	c := front.dial(t)
 	c.send(t, echo)
 	c.expect(t, finish(1, 16), finish(2, 16), echoed)
 	if front.hasUndelivered() {
-		t.Error("completions wait that were reported")
+		t.Error("HasUndelivered: got true after all completions were reported, want false")
 	}
 }
 
-// A completion goes to a client that never had a task only after it has waited for a better one.
+// A completion is reported to a client that never had a task only after it has waited 500 ms for a better one.
 func TestUnreportedCompletionGoesToAnyClientInTheEnd(t *testing.T) {
 	front := startFront(t, 10)
 	unused, active := front.dial(t), front.dial(t)
@@ -51,7 +51,7 @@
 	front.complete(1)
 	active.expect(t, finish(1, 16))
 	if d := time.Since(completed); d < 500*time.Millisecond {
-		t.Errorf("it was reported after %s", d)
+		t.Errorf("completion was reported after %s, want 500 ms or more", d)
 	}
 	unused.send(t, echo)
 	unused.expect(t, echoed)
--- a/internal/clientfront/usage.go
+++ b/internal/clientfront/usage.go
@@ -1,20 +1,21 @@
 package clientfront
 
-// This file owns the usage of connections, by which they are ranked: one of the lowest usage is evicted first, and
-// one of the highest gets the completions. It must decide nothing by itself.
+// This file owns the usage of connections, by which they are ranked: connections with the lowest usage are evicted
+// first, and those with the highest usage get the completions. It must only rank connections and decide nothing by
+// itself.
 
-// usage says how far a connection has been used by a client, least first.
+// usage is the extent to which a client has used a connection. Higher values mean more use.
 type usage int
 
 const (
-	usageNone    usage = iota
-	usagePartial       // it sent a part of its first message
-	usageMessage       // it sent a message
-	usageTask          // a running task was adopted on it
-	usageStarted       // a task was started for a request on it
+	usageNone    usage = iota // the client sent nothing
+	usagePartial              // the client sent a part of its first message
+	usageMessage              // the client sent a complete message
+	usageTask                 // a running task was adopted for a request on the connection
+	usageStarted              // a task was started for a request on the connection
 )
 
-// usage returns the highest usage that the connection has reached.
+// usage returns the highest usage that the connection has reached so far.
 func (c *clientConn) usage() usage {
 	switch {
 	case c.hasStarted:
--- a/internal/clientfront/usage_test.go
+++ b/internal/clientfront/usage_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A connection of a higher usage reports completions first, and is evicted last; among equals the one that was
-// active later, and among those of one turn the one that came later.
+// A connection with a higher usage is preferred for completions and evicted later. Among equals, this holds for the
+// connection that was active later, and among those active in the same turn, for the one that was accepted later.
 func TestConnectionsByUsage(t *testing.T) {
 	byUsage := []*clientConn{
 		{lastActiveAt: 9, number: 1},
@@ -17,10 +17,10 @@
 	for i, lower := range byUsage {
 		for j, higher := range byUsage {
 			if got, want := lower.evictsBefore(higher), i < j; got != want {
-				t.Errorf("connection %d is closed before %d: %t, expected %t", i, j, got, want)
+				t.Errorf("connection %d is evicted before connection %d: got %t, want %t", i, j, got, want)
 			}
 			if got, want := higher.reportsBefore(lower), i < j; got != want {
-				t.Errorf("connection %d reports before %d: %t, expected %t", j, i, got, want)
+				t.Errorf("connection %d reports before connection %d: got %t, want %t", j, i, got, want)
 			}
 		}
 	}
--- a/internal/jsonlines/append.go
+++ b/internal/jsonlines/append.go
@@ -1,16 +1,17 @@
 package jsonlines
 
-// This file owns the writing of messages. A string that Parse has read must be written with the same meaning, also
-// where it contains lone surrogates.
+// This file owns the encoding of messages. It must encode a string that Parse has decoded to an equivalent JSON
+// string, including any lone surrogates.
 
 import "strconv"
 
 const hexDigits = "0123456789abcdef"
 
-// shortEscapes gives the letter behind the backslash for the bytes that have a short escape.
+// shortEscapes maps a byte to the letter that follows the backslash in its short escape sequence, or to 0 if the byte
+// has none.
 var shortEscapes = [256]byte{'"': '"', '\\': '\\', '\b': 'b', '\f': 'f', '\n': 'n', '\r': 'r', '\t': 't'}
 
-// Append appends m as a line.
+// Append appends m to dst as one line, including the line feed, and returns the extended slice.
 func Append(dst []byte, m *Message) []byte {
 	dst = append(dst, `{"verb":`...)
 	dst = appendString(dst, m.Verb)
@@ -37,7 +38,7 @@
 	return append(dst, '}', '\n')
 }
 
-// appendString appends text as a JSON string.
+// appendString appends text to dst as a quoted JSON string.
 func appendString(dst []byte, text string) []byte {
 	dst = append(dst, '"')
 	for i := 0; i < len(text); i++ {
@@ -57,12 +58,13 @@
 	return append(dst, '"')
 }
 
-// isLoneSurrogate reports whether text begins with the three bytes that the scanner stores for a lone surrogate.
+// isLoneSurrogate reports whether text, which must not be empty, begins with the three-byte encoding that the scanner
+// uses for a lone surrogate.
 func isLoneSurrogate(text string) bool {
 	return text[0] == 0xed && len(text) > 2 && text[1] >= 0xa0
 }
 
-// appendCodeUnit appends a UTF-16 code unit as an escape of four digits.
+// appendCodeUnit appends a UTF-16 code unit as an escape sequence with four hexadecimal digits.
 func appendCodeUnit(dst []byte, unit int) []byte {
 	return append(dst, '\\', 'u', hexDigits[unit>>12], hexDigits[unit>>8&15], hexDigits[unit>>4&15], hexDigits[unit&15])
 }
--- a/internal/jsonlines/errors.go
+++ b/internal/jsonlines/errors.go
@@ -1,28 +1,28 @@
 package jsonlines
 
-// This file owns the errors of the parsers.
+// This file owns the errors that Lines and Parse return.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// ErrMessage is wrapped by every error of the parsers.
+// ErrMessage is wrapped by every error of this package.
 var ErrMessage = errors.New("malformed message")
 
-// What is wrong with a message that is valid JSON, or may be.
+// Errors for a message whose JSON is valid or was not parsed.
 var (
 	ErrNoVerb      = fmt.Errorf("%w: no verb", ErrMessage)
-	ErrLineTooLong = fmt.Errorf("%w: a line of more than %d bytes", ErrMessage, MaxLine)
+	ErrLineTooLong = fmt.Errorf("%w: line exceeds %d bytes", ErrMessage, MaxLine)
 )
 
-// SyntaxError is a line that is no valid message. It wraps ErrMessage.
+// SyntaxError is returned for a line that violates the syntax of a message. It wraps ErrMessage.
 type SyntaxError struct {
-	Expected string // what should have come
-	Offset   int    // in the line, in bytes
+	Expected string // description of the expected element
+	Offset   int    // position of the error in the line, in bytes from 0
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("%v: expected %s at byte %d", ErrMessage, e.Expected, e.Offset)
 }
--- a/internal/jsonlines/lines.go
+++ b/internal/jsonlines/lines.go
@@ -1,11 +1,13 @@
 package jsonlines
 
-// This file owns how a stream of bytes is divided into lines.
+// This file owns the splitting of a byte stream into lines.
 
 import "bytes"
 
-// Lines calls handle with each complete line of b, without its end, and returns how many bytes that took. Empty
-// lines are skipped. It returns the error of handle, or ErrLineTooLong as soon as a line exceeds MaxLine.
+// Lines calls handle with each complete line of b and returns the number of bytes consumed. Each line is passed
+// without its line feed and without trailing carriage returns and spaces; lines that are then empty are skipped.
+// Lines stops at the first error of handle and returns it. It returns ErrLineTooLong as soon as a line is known to
+// exceed MaxLine bytes, even if the line is still incomplete.
 func Lines(b []byte, handle func(line []byte) error) (used int, err error) {
 	for used < len(b) {
 		rest := b[used:]
@@ -28,7 +30,7 @@
 	return used, nil
 }
 
-// trimEnd removes carriage returns and spaces from the end of a line.
+// trimEnd removes trailing carriage returns and spaces from a line.
 func trimEnd(line []byte) []byte {
 	for len(line) > 0 && (line[len(line)-1] == '\r' || line[len(line)-1] == ' ') {
 		line = line[:len(line)-1]
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -1,51 +1,51 @@
-// Package jsonlines owns the wire form of the messages between clients, orchestrators and workers: one JSON object a
-// line. Its parsers keep no state between messages, own no socket, and must never panic or take more than linear time,
-// whatever bytes they are given.
+// Package jsonlines encodes and parses the messages between clients, orchestrators and workers. On the wire, each
+// message is one JSON object on a line of its own. The parsers keep no state between messages and do no network I/O.
+// For any input, they must neither panic nor take more than linear time.
 package jsonlines
 
-// This file owns the message and the words of the protocol.
+// This file owns the Message type and the verbs and outcome codes of the protocol.
 
-// MaxLine is the size of the longest message in bytes, its line feed included.
+// MaxLine is the maximum size of an encoded message in bytes, including its line feed.
 const MaxLine = 16 << 10
 
 // The verbs of the protocol.
 const (
-	VerbStart    = "START"    // a client's request, or an offer to a worker
+	VerbStart    = "START"    // submits a client's request, or offers a task to a worker
 	VerbPending  = "PENDING"  // the request waits for free capacity
-	VerbStarted  = "STARTED"  // the task runs
-	VerbFinish   = "FINISH"   // ends a request or a task, or reports its end
-	VerbFinished = "FINISHED" // answers a FINISH
+	VerbStarted  = "STARTED"  // the task is running
+	VerbFinish   = "FINISH"   // ends a request or a task, or reports that it ended
+	VerbFinished = "FINISHED" // acknowledges a FINISH
 	VerbEcho     = "ECHO"     // a ping
-	VerbEchoed   = "ECHOED"   // the answer to a ping
+	VerbEchoed   = "ECHOED"   // the reply to a ping
 	VerbNotice   = "NOTICE"   // a worker's report on a running task
-	VerbMove     = "MOVE"     // asks for the migration of a running task
+	VerbMove     = "MOVE"     // to a client: its running task is migrated, and the client submits it again
 )
 
-// The outcome codes of a FINISH, in its field "rc".
+// The outcome codes of a FINISH, which stand in its member "rc".
 const (
-	CodeEnded     = 16  // to a worker: cancelled or released; as a report: completed
-	CodeCancelled = 31  // from a worker: the task was ended before it completed
-	CodeRejected  = 34  // rejected: a retry is harmless
-	CodeReset     = 41  // to a client: the task ended, and did not complete
-	CodeFailed    = 47  // failed: the task may have run
-	CodeNeverSent = 102 // never sent: the task never ran
+	CodeEnded     = 16  // to a worker: the request is cancelled or released; as a report: the task completed
+	CodeCancelled = 31  // from a worker: the task was cancelled before it completed
+	CodeRejected  = 34  // the request was rejected, and a retry is harmless
+	CodeReset     = 41  // to a client: the task ended without completing
+	CodeFailed    = 47  // the request failed, and the task may have run
+	CodeNeverSent = 102 // the request was never sent, and the task never ran
 )
 
-// Field is one entry of a message's "opts"; a number is stored as it was written.
+// Field is one entry of the object "opts" of a message. A numeric value keeps the text that it has on the wire.
 type Field struct{ Name, Value string }
 
-// Message is one line. Strings hold what the JSON strings stood for; a lone surrogate, which no UTF-8 stands for, is
-// stored in three bytes so that it goes out as it came in.
+// Message is one message of the protocol. Its strings are decoded JSON strings in UTF-8. A lone surrogate, which
+// has no valid UTF-8 encoding, is stored as three bytes, and Append writes it back as the same escape sequence.
 type Message struct {
-	Verb, Tag string // the tag is the request ID, or that of a ping
+	Verb, Tag string // Tag is a request ID, or the ID of a ping
 	Opts      []Field
-	RC        int // the outcome code of a FINISH or ECHOED
-	HasRC     bool
-	Blob      string // the description of a task
-	HasBlob   bool
+	RC        int    // outcome code of a FINISH, or result code of an ECHOED
+	HasRC     bool   // the message has an "rc"
+	Blob      string // description of the task
+	HasBlob   bool   // the message has a "blob"
 }
 
-// Opt returns the value of a field, "" where it is absent.
+// Opt returns the value of the first field with the given name, or "" if the message has none.
 func (m *Message) Opt(name string) string {
 	for _, f := range m.Opts {
 		if f.Name == name {
--- a/internal/jsonlines/message_test.go
+++ b/internal/jsonlines/message_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261201") }
 
-// messages draws messages that may go out.
+// messages generates messages that Append may be given.
 var messages = rapid.Custom(func(t *rapid.T) Message {
 	m := Message{Verb: rapid.SampledFrom([]string{VerbStart, VerbStarted, VerbFinish, VerbNotice}).Draw(t, "verb"),
 		Tag: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "tag")}
@@ -31,13 +31,13 @@
 	return m
 })
 
-// encode returns the line of a message, without its line feed.
+// encode returns a message as a line without its line feed.
 func encode(m *Message) []byte { return bytes.TrimSuffix(Append(nil, m), []byte("\n")) }
 
-// discardLine takes a line and does nothing with it.
+// discardLine is a line handler that does nothing.
 func discardLine([]byte) error { return nil }
 
-// Given a stream that is cut anywhere, the messages come out as they went in.
+// A stream of messages that arrives in pieces cut at arbitrary positions is parsed to the same messages.
 func TestStreamCutAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(messages, 1, 5).Draw(t, "messages")
@@ -54,12 +54,12 @@
 			})
 		})
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("got %v and %+v, expected %+v", err, got, want)
+			t.Fatalf("parsed stream: got error %v and messages %+v, want %+v", err, got, want)
 		}
 	})
 }
 
-// Given bytes that are no message, or barely one, what is parsed goes out and comes back as it was.
+// For corrupted lines and random bytes, a message that still parses survives encoding and a second parse unchanged.
 func TestParseCorruptedLines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := messages.Draw(t, "message")
@@ -74,17 +74,17 @@
 		if err != nil {
 			return
 		}
-		again, err := Parse(encode(&got))
-		if err != nil || !reflect.DeepEqual(again, got) {
-			t.Fatalf("%q gave %+v, then %+v (%v)", line, got, again, err)
+		reparsed, err := Parse(encode(&got))
+		if err != nil || !reflect.DeepEqual(reparsed, got) {
+			t.Fatalf("line %q: re-encoded and reparsed to %+v (error %v), want %+v", line, reparsed, err, got)
 		}
 	})
 }
 
 func TestParse(t *testing.T) {
-	deep := strings.Repeat("[", 5000) + strings.Repeat("]", 5000)
-	for _, c := range []struct{ name, line, want string }{ // want is the line written again, "" for an error
-		{"a finish", `{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`,
+	deeplyNested := strings.Repeat("[", 5000) + strings.Repeat("]", 5000)
+	for _, c := range []struct{ name, line, want string }{ // want is the re-encoded line, or "" if Parse must fail
+		{"a FINISH", `{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`,
 			`{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}`},
 		{"numbers as fields", `{"verb":"NOTICE","opts":{"note":"cpu","value":0.5},"x":[1,{"y":null}],"tag":"a"}`,
 			`{"verb":"NOTICE","tag":"a","opts":{"note":"cpu","value":"0.5"}}`},
@@ -97,18 +97,18 @@
 		{"not an object", `["verb"]`, ""},
 		{"a raw control character", "{\"verb\":\"E\x01\"}", ""},
 		{"not UTF-8", "{\"verb\":\"E\xff\"}", ""},
-		{"too deep", `{"verb":"ECHO","x":` + deep + `}`, ""},
+		{"nested too deeply", `{"verb":"ECHO","x":` + deeplyNested + `}`, ""},
 		{"rc too large", `{"verb":"ECHO","rc":99999999999999999999}`, ""},
 		{"rc with a fraction", `{"verb":"ECHO","rc":1.5}`, ""},
 	} {
 		m, err := Parse([]byte(c.line))
 		if got := string(encode(&m)); err == nil && got != c.want || (err == nil) != (c.want != "") {
-			t.Errorf("%s: got %s and %v, expected %s", c.name, got, err, c.want)
+			t.Errorf("%s: got line %s and error %v, want line %q", c.name, got, err, c.want)
 		}
 	}
 }
 
-// The errors of the parser say what was expected and where, and match ErrMessage.
+// A parse error names the expected element and its byte offset where it applies, and wraps ErrMessage.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`{"tag":"a"}`, "malformed message: no verb"},
@@ -119,38 +119,38 @@
 	} {
 		_, err := Parse([]byte(c.line))
 		if err == nil || err.Error() != c.want || !errors.Is(err, ErrMessage) {
-			t.Errorf("%s: got %v, expected %s", c.line, err, c.want)
+			t.Errorf("line %s: got error %v, want %s", c.line, err, c.want)
 		}
 	}
 	var syntax *SyntaxError
 	if _, err := Parse([]byte(`{"verb":1}`)); !errors.As(err, &syntax) || *syntax != (SyntaxError{"a string", 8}) {
-		t.Errorf("got %v", err)
+		t.Errorf("verb that is a number: got error %v, want a SyntaxError for a string at byte 8", err)
 	}
 }
 
-// A line of 16 KiB passes, and a longer one is rejected before it is complete.
+// A line of 16 KiB is accepted, and a longer one is rejected before it is complete.
 func TestLineLength(t *testing.T) {
 	m := Message{Verb: VerbStart, Tag: "9b1f03aa5c7e2d41", HasBlob: true}
 	m.Blob = strings.Repeat("x", MaxLine-len(Append(nil, &m)))
 	line := Append(nil, &m)
 	if used, err := Lines(line, discardLine); used != MaxLine || err != nil {
-		t.Errorf("used %d, %v", used, err)
+		t.Errorf("line of 16 KiB: got %d bytes used and error %v, want all bytes used and no error", used, err)
 	}
 	if _, err := Lines(line[:MaxLine-1], discardLine); err != nil {
-		t.Errorf("a line that may still end: %v", err)
+		t.Errorf("incomplete line of one byte less than 16 KiB: got error %v, want none", err)
 	}
 	if _, err := Lines(bytes.Repeat([]byte("x"), MaxLine), discardLine); !errors.Is(err, ErrLineTooLong) {
-		t.Errorf("a line of more than 16 KiB: %v", err)
+		t.Errorf("line of more than 16 KiB: got error %v, want ErrLineTooLong", err)
 	}
 }
 
-// No message grows on its way through, but for its line feed.
+// Parsing and re-encoding a message makes it no longer, apart from the line feed that is appended.
 func TestMessagesDoNotGrow(t *testing.T) {
 	for _, blob := range []string{`\b\f\n\r\t\"\\\/`, `\u0001\ud800`, "é\u007f"} {
 		line := `{"verb":"START","tag":"a","opts":{},"blob":"` + blob + `"}`
 		m, err := Parse([]byte(line))
 		if written := Append(nil, &m); err != nil || len(written) > len(line)+1 {
-			t.Errorf("%s became %s (%v)", line, written, err)
+			t.Errorf("line %s: re-encoded to %s (error %v), want no longer line and no error", line, written, err)
 		}
 	}
 }
--- a/internal/jsonlines/parse.go
+++ b/internal/jsonlines/parse.go
@@ -1,16 +1,16 @@
 package jsonlines
 
-// This file owns the reading of a message from its JSON object. Members that it does not know are skipped.
+// This file owns the parsing of a message from its JSON object. Unknown members of the object are skipped.
 
 import "strconv"
 
-// parser reads one message.
+// parser parses one message.
 type parser struct {
 	scanner
 	message Message
 }
 
-// Parse reads one line, without its line feed. Its errors wrap ErrMessage.
+// Parse parses one line, given without its line feed. Its errors wrap ErrMessage.
 func Parse(line []byte) (Message, error) {
 	p := parser{scanner: scanner{text: line}}
 	if err := p.object(p.member); err != nil {
@@ -25,7 +25,7 @@
 	return p.message, nil
 }
 
-// member reads the value of one member of the message's object.
+// member parses the value of the named member of the message's JSON object.
 func (p *parser) member(name string) (err error) {
 	switch name {
 	case "verb":
@@ -44,7 +44,7 @@
 	return err
 }
 
-// blob reads the message's blob. A value that is no string counts as absent.
+// blob parses the member "blob". A value that is not a string counts as absent.
 func (p *parser) blob() (err error) {
 	if p.peek() != '"' {
 		return p.skipValue(0)
@@ -54,7 +54,7 @@
 	return err
 }
 
-// code reads the message's outcome code. null counts as absent.
+// code parses the outcome code in the member "rc". A null counts as absent.
 func (p *parser) code() error {
 	if p.peek() == 'n' {
 		return p.skipValue(0)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// fields reads the message's fields. null counts as none.
+// fields parses the fields in the member "opts". A null counts as an empty object.
 func (p *parser) fields() error {
 	if p.peek() == 'n' {
 		return p.skipValue(0)
@@ -79,7 +79,7 @@
 	return p.object(p.field)
 }
 
-// field reads one field. A value that is neither a string nor a number counts as absent.
+// field parses the value of the named field. A field whose value is neither a string nor a number is skipped.
 func (p *parser) field(name string) error {
 	var value string
 	var err error
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -1,7 +1,7 @@
 package jsonlines
 
-// This file owns the reading of JSON text, byte by byte. It must never read a byte more often than a bounded number of
-// times.
+// This file owns the scanning of JSON text. It must read each byte at most a constant number of times, so that
+// parsing takes linear time.
 
 import (
 	"strconv"
@@ -9,27 +9,28 @@
 	"unicode/utf8"
 )
 
-// maxDepth bounds how deep a value that is skipped may be nested.
+// maxDepth is the maximum nesting depth of a skipped value.
 const maxDepth = 32
 
-// codeUnitDigits is how many hexadecimal digits stand for a UTF-16 code unit.
+// codeUnitDigits is the number of hexadecimal digits in the escape sequence of a UTF-16 code unit.
 const codeUnitDigits = 4
 
-// escapedBytes gives the byte for the letter behind the backslash of a short escape.
-var escapedBytes = [256]byte{'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t'}
+// unescapedBytes maps the letter that follows the backslash in a short escape sequence to the byte that the sequence
+// represents, or to 0 if there is no such sequence.
+var unescapedBytes = [256]byte{'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t'}
 
-// literals are the values that are single words.
+// literals are the JSON literal names.
 var literals = [...]string{"true", "false", "null"}
 
-// scanner reads JSON values from a text.
+// scanner reads JSON values from text.
 type scanner struct {
 	text   []byte
-	offset int // of the next byte to read
+	offset int // index in text of the next byte to read
 }
 
-// expected returns the error for a text in which something else comes next than what is named.
-func (s *scanner) expected(what string) error {
-	return &SyntaxError{Expected: what, Offset: s.offset}
+// expected returns a SyntaxError for a text in which the described element does not follow at the current offset.
+func (s *scanner) expected(element string) error {
+	return &SyntaxError{Expected: element, Offset: s.offset}
 }
 
 func (s *scanner) skipSpace() {
@@ -46,8 +47,8 @@
 // at reports whether the next byte is c.
 func (s *scanner) at(c byte) bool { return s.offset < len(s.text) && s.text[s.offset] == c }
 
-// take skips space, and also c if that comes next. It reports whether it did.
-func (s *scanner) take(c byte) bool {
+// consume skips whitespace and then the byte c if it comes next. It reports whether it skipped c.
+func (s *scanner) consume(c byte) bool {
 	s.skipSpace()
 	if !s.at(c) {
 		return false
@@ -56,7 +57,7 @@
 	return true
 }
 
-// peek skips space and returns the next byte, 0 at the end.
+// peek skips whitespace and returns the next byte without consuming it, or 0 at the end of the text.
 func (s *scanner) peek() byte {
 	s.skipSpace()
 	if s.offset < len(s.text) {
@@ -65,9 +66,9 @@
 	return 0
 }
 
-// str reads a string.
+// str reads a quoted string and returns it decoded.
 func (s *scanner) str() (string, error) {
-	if !s.take('"') {
+	if !s.consume('"') {
 		return "", s.expected("a string")
 	}
 	start := s.offset
@@ -80,20 +81,20 @@
 	content := s.text[start:s.offset]
 	s.offset++
 	if !utf8.Valid(content) {
-		return "", s.expected("UTF-8")
+		return "", s.expected("valid UTF-8")
 	}
 	return string(content), nil
 }
 
-// escapedString reads the rest of a string that has escapes. start is where its content begins; up to the current
-// offset there is no escape.
+// escapedString reads the rest of a string that contains escape sequences or is malformed, and returns the whole
+// string decoded. The content of the string begins at start and has no escape sequence before the current offset.
 func (s *scanner) escapedString(start int) (string, error) {
 	content := append([]byte(nil), s.text[start:s.offset]...)
-	rawStart := start // of the bytes since the last escape
+	rawStart := start // offset of the first byte that is not yet checked to be UTF-8
 	for s.offset < len(s.text) {
 		c := s.text[s.offset]
 		if (c == '"' || c == '\\') && !utf8.Valid(s.text[rawStart:s.offset]) {
-			return "", s.expected("UTF-8")
+			return "", s.expected("valid UTF-8")
 		}
 		switch {
 		case c == '"':
@@ -115,24 +116,25 @@
 	return "", s.expected("the end of a string")
 }
 
-// appendEscaped reads an escape, at whose backslash the scanner is, and appends what it stands for.
+// appendEscaped reads an escape sequence, whose backslash is at the current offset, and appends the decoded bytes to
+// dst.
 func (s *scanner) appendEscaped(dst []byte) ([]byte, error) {
 	if s.offset+1 >= len(s.text) {
-		return nil, s.expected("an escape")
+		return nil, s.expected("a valid escape sequence")
 	}
 	letter := s.text[s.offset+1]
 	if letter == 'u' {
 		return s.appendCodePoint(dst)
 	}
-	if escapedBytes[letter] == 0 {
-		return nil, s.expected("an escape")
+	if unescapedBytes[letter] == 0 {
+		return nil, s.expected("a valid escape sequence")
 	}
 	s.offset += 2
-	return append(dst, escapedBytes[letter]), nil
+	return append(dst, unescapedBytes[letter]), nil
 }
 
-// appendCodePoint reads an escaped UTF-16 code unit, or a pair of surrogates, and appends it as UTF-8. A lone
-// surrogate is appended in the three bytes that UTF-8 would have for it.
+// appendCodePoint reads an escaped UTF-16 code unit, or an escaped surrogate pair, and appends the code point to
+// dst in UTF-8. A lone surrogate is appended as the three bytes that the UTF-8 scheme would assign to its value.
 func (s *scanner) appendCodePoint(dst []byte) ([]byte, error) {
 	unit, ok := s.codeUnit()
 	if !ok {
@@ -151,7 +153,7 @@
 	return append(dst, 0xe0|byte(unit>>12), 0x80|byte(unit>>6&0x3f), 0x80|byte(unit&0x3f)), nil
 }
 
-// codeUnit reads an escaped UTF-16 code unit if one comes next.
+// codeUnit reads an escaped UTF-16 code unit. If none comes next, it returns false and consumes nothing.
 func (s *scanner) codeUnit() (rune, bool) {
 	digits := s.offset + len(`\u`)
 	end := digits + codeUnitDigits
@@ -166,12 +168,12 @@
 	return rune(unit), true
 }
 
-// startsNumber reports whether c is the first byte of a number.
+// startsNumber reports whether a number may begin with c.
 func startsNumber(c byte) bool { return c == '-' || isDigit(c) }
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// number reads a number and returns its text.
+// number reads a number and returns its text unconverted.
 func (s *scanner) number() (string, error) {
 	s.skipSpace()
 	start := s.offset
@@ -200,7 +202,7 @@
 	return string(s.text[start:s.offset]), nil
 }
 
-// digits skips digits and reports whether there was one.
+// digits skips decimal digits and reports whether there was at least one.
 func (s *scanner) digits() bool {
 	start := s.offset
 	for s.offset < len(s.text) && isDigit(s.text[s.offset]) {
@@ -209,12 +211,13 @@
 	return s.offset > start
 }
 
-// object reads an object and calls value at the value of each member, which it must read.
-func (s *scanner) object(value func(name string) error) error {
-	if !s.take('{') {
+// object reads an object. For each member, it calls readValue with the member's name; readValue must consume the
+// member's value, which comes next.
+func (s *scanner) object(readValue func(name string) error) error {
+	if !s.consume('{') {
 		return s.expected("an object")
 	}
-	if s.take('}') {
+	if s.consume('}') {
 		return nil
 	}
 	for {
@@ -222,22 +225,22 @@
 		if err != nil {
 			return err
 		}
-		if !s.take(':') {
+		if !s.consume(':') {
 			return s.expected("a colon")
 		}
-		if err := value(name); err != nil {
+		if err := readValue(name); err != nil {
 			return err
 		}
-		if s.take('}') {
+		if s.consume('}') {
 			return nil
 		}
-		if !s.take(',') {
+		if !s.consume(',') {
 			return s.expected("a comma")
 		}
 	}
 }
 
-// skipValue skips any value. depth is how many other values it is nested in.
+// skipValue skips one value of any type. depth is the number of skipped values that enclose it, at most maxDepth.
 func (s *scanner) skipValue(depth int) error {
 	if depth > maxDepth {
 		return s.expected("less nesting")
@@ -257,20 +260,21 @@
 	return s.skipLiteral()
 }
 
-// skipArray skips an array, at whose bracket the scanner is.
+// skipArray skips an array whose opening bracket is at the current offset. depth is the number of skipped values that
+// enclose the array.
 func (s *scanner) skipArray(depth int) error {
 	s.offset++
-	if s.take(']') {
+	if s.consume(']') {
 		return nil
 	}
 	for {
 		if err := s.skipValue(depth + 1); err != nil {
 			return err
 		}
-		if s.take(']') {
+		if s.consume(']') {
 			return nil
 		}
-		if !s.take(',') {
+		if !s.consume(',') {
 			return s.expected("a comma")
 		}
 	}
