--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -1,9 +1,10 @@
 package discovery
 
-// This file owns which shards of workers are assigned to this orchestrator, and which of these are active: it
-// places tasks in active shards only. A shard that is lost is inactive at once. One that is gained is active once
-// discovery has reported its workers, so that no task is placed by free capacity from before another
-// orchestrator placed tasks there. It must never make a shard active otherwise.
+// This file owns the set of shards of workers that are assigned to this orchestrator and the subset of them that
+// is active; the orchestrator places tasks in active shards only. A lost shard becomes inactive at once. A gained
+// shard becomes active after discovery has reported the free capacity of its workers: another orchestrator placed
+// tasks there before, so the free capacity that is known from earlier reports may be outdated. Invariant: a shard
+// becomes active in no other way, except that the shards of a new zone are active at once (see update).
 
 import (
 	"maps"
@@ -14,28 +15,30 @@
 	"ravenhitch/placement"
 )
 
-// Assignment says which shards of a zone this orchestrator is to place tasks in.
+// Assignment returns the shards of a zone that are assigned to this orchestrator.
 type Assignment func(zone string) shard.Bits
 
-// maxLateReportMs is how long a poll may wait, in milliseconds, where workers are assigned to orchestrators: no
-// other orchestrator places tasks at those of this one, which knows itself how their free capacity changes, so
-// that discovery may delay events that report nothing else.
+// maxLateReportMs is the maximum time that discovery blocks a poll if workers are assigned to orchestrators, in
+// milliseconds. It is longer than pollBlockMs because discovery may delay events that report only free capacity:
+// no other orchestrator places tasks at the workers of this one, so this orchestrator knows by itself how their
+// free capacity changes.
 const maxLateReportMs = 4_000
 
-// shardAssignment tracks the shards of one orchestrator.
+// shardAssignment tracks the shards that are assigned to this orchestrator and those that are active.
 type shardAssignment struct {
 	assigned  Assignment
-	zones     map[string]string // of the workers that are listed
-	active    shard.Set         // in which it places tasks
-	wanted    shard.Set         // that are assigned, in the zones listed so far
-	requested shard.Set         // that the poll in flight names
+	zones     map[string]string // zone of each listed worker, by worker
+	active    shard.Set         // shards in which this orchestrator places tasks
+	wanted    shard.Set         // assigned shards in the zones that were listed so far
+	requested shard.Set         // shards that the poll in flight names
 }
 
 func newShardAssignment(assigned Assignment) *shardAssignment {
 	return &shardAssignment{assigned: assigned, zones: map[string]string{}, active: shard.Set{}, wanted: shard.Set{}}
 }
 
-// change replaces the assignment, and reports whether an active shard was lost.
+// change replaces the assignment and deactivates the active shards that are no longer assigned. It reports whether
+// there were any.
 func (s *shardAssignment) change(assigned Assignment) (lost bool) {
 	s.assigned = assigned
 	wanted := shard.Set{}
@@ -49,9 +52,9 @@
 	return lost
 }
 
-// update takes the zones from a list of workers, and forgets all others where the list is complete. Discovery reports
-// the workers of a zone that no poll named to every orchestrator, so that the shards of a new zone are active
-// at once; update reports whether there is one.
+// update stores the zones of the listed workers. If the list is complete, it deletes the zones of all other workers.
+// The assigned shards of a new zone become active at once, because discovery reports the workers of a zone that no
+// poll named to every orchestrator. update reports whether the list has a new zone.
 func (s *shardAssignment) update(workers []config.Worker, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
@@ -75,7 +78,7 @@
 	return hasNewZone
 }
 
-// pollBlockMs is how long a poll may wait for an event, in milliseconds.
+// pollBlockMs returns the maximum time that discovery blocks a poll until there is an event, in milliseconds.
 func (s *shardAssignment) pollBlockMs() int64 {
 	if s == nil {
 		return pollBlockMs
@@ -83,8 +86,9 @@
 	return maxLateReportMs
 }
 
-// beginPoll notes which shards the poll that is sent now names, and returns the part of its query that
-// names the shards of which discovery is to report free capacity, and those of which to report all of it.
+// beginPoll returns the part of a poll's query that names shards, and stores the assigned shards as those that the
+// poll in flight names. The parameter "shards" names the shards whose free capacity discovery reports. The
+// parameter "fresh" names the gained shards, for which discovery must report the free capacity of every worker.
 func (s *shardAssignment) beginPoll() (query string) {
 	if s == nil {
 		return ""
@@ -97,7 +101,8 @@
 	return query
 }
 
-// endPoll makes the shards active that the answered poll named, and reports whether there were any to make so.
+// endPoll activates the shards that the answered poll named and that are still assigned. It reports whether a shard
+// became active.
 func (s *shardAssignment) endPoll() (gained bool) {
 	if s == nil {
 		return false
@@ -108,11 +113,11 @@
 	return gained
 }
 
-// needsPoll reports whether shards were gained that the poll in flight does not name.
+// needsPoll reports whether there are gained shards that the poll in flight does not name.
 func (s *shardAssignment) needsPoll() bool {
 	return s.wanted.Minus(s.active).Minus(s.requested).Len() > 0
 }
 
-// escapeSet returns a set as a value in the query of a URL. The percent sign is the only one of its characters that
-// must be escaped.
+// escapeSet returns the text form of a set, escaped for use as a value in a URL query. The percent sign is the only
+// character of that form that must be escaped.
 func escapeSet(set shard.Set) string { return strings.ReplaceAll(set.String(), "%", "%25") }
--- a/internal/discovery/chunked.go
+++ b/internal/discovery/chunked.go
@@ -1,48 +1,50 @@
 package discovery
 
-// This file owns the chunked transfer coding of HTTP/1.1.
+// This file owns the decoding of the chunked transfer coding of HTTP/1.1.
 
 import (
 	"bytes"
 	"strconv"
 )
 
-// maxChunkLine bounds the line with a chunk's size and its extensions, in bytes without the line feed.
+// maxChunkLine is the maximum length of the line that holds the size and the extensions of a chunk, in bytes and
+// without the line feed.
 const maxChunkLine = 65
 
-// decodeChunked joins the chunks of a body; used is 0 while bytes are missing.
+// decodeChunked decodes a chunked body at the start of b. used is the number of bytes that the encoded body takes in
+// b, or 0 if it is incomplete.
 func decodeChunked(b []byte) (body []byte, used int, err error) {
-	for at := 0; ; {
-		size, lineLength, err := parseChunkSize(b[at:])
+	for offset := 0; ; {
+		size, lineLength, err := parseChunkSize(b[offset:])
 		if err != nil || lineLength == 0 {
 			return nil, 0, err
 		}
 		if len(body)+size > maxBody {
 			return nil, 0, &ResponseError{Part: "chunked body", Reason: "too long"}
 		}
-		at += lineLength
+		offset += lineLength
 		if size == 0 {
-			length, err := skipTrailers(b[at:])
+			length, err := skipTrailers(b[offset:])
 			if err != nil || length == 0 {
 				return nil, 0, err
 			}
-			return body, at + length, nil
+			return body, offset + length, nil
 		}
-		end := at + size
+		end := offset + size
 		if len(b) < end+len(lineEnd) {
 			return nil, 0, nil
 		}
 		if string(b[end:end+len(lineEnd)]) != lineEnd {
-			return nil, 0, &ResponseError{Part: "chunk", Reason: "expected a line end behind it",
+			return nil, 0, &ResponseError{Part: "chunk", Reason: "expected a line end after the chunk data",
 				Value: string(b[end : end+len(lineEnd)])}
 		}
-		body = append(body, b[at:end]...)
-		at = end + len(lineEnd)
+		body = append(body, b[offset:end]...)
+		offset = end + len(lineEnd)
 	}
 }
 
-// parseChunkSize reads the line before a chunk; length is that of the line with its end, 0 while bytes
-// are missing.
+// parseChunkSize parses the line that precedes the data of a chunk. size is the size of the data in bytes. length is
+// the length of the line with its line feed in bytes, or 0 if the line is incomplete.
 func parseChunkSize(b []byte) (size, length int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxChunkLine+1)], '\n')
 	if end < 0 {
@@ -52,37 +54,37 @@
 		return 0, 0, nil
 	}
 	digits := b[:end]
-	if to := bytes.IndexAny(digits, "\r; "); to >= 0 {
-		digits = digits[:to]
+	if sizeEnd := bytes.IndexAny(digits, "\r; "); sizeEnd >= 0 {
+		digits = digits[:sizeEnd]
 	}
 	n, err := strconv.ParseUint(string(digits), 16, 31)
 	if err != nil || n > maxBody {
-		return 0, 0, &ResponseError{Part: "chunk size", Reason: "expected a hex number within the limit",
+		return 0, 0, &ResponseError{Part: "chunk size", Reason: "expected a hexadecimal number within the limit",
 			Value: string(digits)}
 	}
 	return int(n), end + 1, nil
 }
 
-// skipTrailers passes over the headers that may follow the last chunk, and the empty line behind them;
-// length counts their bytes, 0 while some are missing.
+// skipTrailers returns the length in bytes of the optional trailer headers after the last chunk, including the empty
+// line that ends them, or 0 if they are incomplete.
 func skipTrailers(b []byte) (length int, err error) {
-	for at := 0; at < len(b); {
-		end := bytes.IndexByte(b[at:], '\n')
-		missing := end < 0
-		if missing {
-			end = len(b) - at
+	for offset := 0; offset < len(b); {
+		end := bytes.IndexByte(b[offset:], '\n')
+		incomplete := end < 0
+		if incomplete {
+			end = len(b) - offset
 		}
-		line := b[at : at+end]
-		at += end
+		line := b[offset : offset+end]
+		offset += end
 		switch {
-		case at > maxHead:
+		case offset > maxHead:
 			return 0, &ResponseError{Part: "trailers", Reason: "too long"}
-		case missing:
+		case incomplete:
 			return 0, nil
 		case len(line) == 0 || string(line) == "\r":
-			return at + 1, nil
+			return offset + 1, nil
 		}
-		at++
+		offset++
 	}
 	return 0, nil
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -1,24 +1,24 @@
 package discovery
 
-// This file owns the errors of responses of discovery.
+// This file owns the errors for invalid responses of discovery.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// ErrResponse is wrapped by every error about a response of discovery.
+// ErrResponse is wrapped by every error of this package for an invalid response of discovery.
 var ErrResponse = errors.New("malformed response")
 
-// ResponseError is the error of a response that is not in the form of HTTP/1.1, or beyond what is
-// accepted of it. It wraps ErrResponse.
+// ResponseError is the error for a response that is malformed HTTP/1.1, exceeds a limit, or uses an unsupported
+// feature of HTTP/1.1. It wraps ErrResponse.
 type ResponseError struct {
-	Part   string // of the response, such as "status line" or "content-length"
-	Reason string // what is wrong with it
-	Value  string // what came, empty where it is the length that is wrong
+	Part   string // the invalid part of the response, such as "status line" or "content-length"
+	Reason string // the reason why the part is invalid
+	Value  string // the invalid value; empty if the part is too long or missing
 }
 
-// Error implements error. Of a long value it prints the beginning.
+// Error implements error. It truncates the value to its first 40 characters.
 func (e *ResponseError) Error() string {
 	if e.Value == "" {
 		return fmt.Sprintf("%v: %s: %s", ErrResponse, e.Part, e.Reason)
@@ -29,12 +29,12 @@
 // Unwrap returns ErrResponse.
 func (e *ResponseError) Unwrap() error { return ErrResponse }
 
-// StatusError is the error of a response with another status than 200. It wraps ErrResponse.
+// StatusError is the error for a response whose status is not 200. It wraps ErrResponse.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("%v: the command channel answered %d", ErrResponse, e.Status)
+	return fmt.Sprintf("%v: unexpected HTTP status %d from the command channel", ErrResponse, e.Status)
 }
 
 // Unwrap returns ErrResponse.
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -1,15 +1,16 @@
 package discovery
 
-// This file owns the number of the last event that was applied, and what an event does to the scheduler,
-// to the connections to workers and to the shards. It must never apply an event twice or out of order.
+// This file owns the cursor, the number of the last event that was applied, and the application of events to the
+// scheduler, to the pool of connections to workers and to the shard assignment. Invariant: events are applied in
+// order, and each at most once.
 
 import (
 	"ravenhitch/internal/config"
 	"ravenhitch/placement"
 )
 
-// Apply applies events in order. Where cached is set they come from the configuration, and what they say
-// of workers may be old.
+// Apply applies the events of an update in order. If cached is true, the events come from the configuration, and
+// their information about workers may be outdated.
 func (f *Follower) Apply(update config.Update, cached bool) {
 	if cached {
 		f.applyCached(update)
@@ -19,7 +20,7 @@
 	f.cursor = max(f.cursor, update.Cursor)
 }
 
-// applyLive hands each event to the scheduler as a list of its own.
+// applyLive passes each event to the scheduler as a separate list.
 func (f *Follower) applyLive(update config.Update) {
 	now := f.loop.Now()
 	for _, event := range update.Events {
@@ -31,11 +32,11 @@
 		if event.Complete {
 			kind = placement.ListFull
 		}
-		f.dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: kind, Entries: entriesOf(event.Workers)})
+		f.dispatcher.UpdateWorkers(now, placement.WorkerList{Kind: kind, Entries: placementEntries(event.Workers)})
 	}
 }
 
-// applyCached folds the events of the configuration into one list for the scheduler.
+// applyCached combines the events of the configuration into one list for the scheduler.
 func (f *Follower) applyCached(update config.Update) {
 	var list foldedList
 	for _, event := range update.Events {
@@ -48,8 +49,8 @@
 	f.dispatcher.UpdateWorkers(f.loop.Now(), placement.WorkerList{Kind: placement.ListCached, Entries: list.present()})
 }
 
-// advance moves the cursor to an event. It reports whether the event is to be applied: it is a new one,
-// and it lists workers.
+// advance moves the cursor to an event, unless the cursor is there or beyond already. It reports whether the event
+// must be applied: the event is new and has a list of workers.
 func (f *Follower) advance(event config.Event) bool {
 	if event.Cursor <= f.cursor {
 		return false
@@ -58,10 +59,10 @@
 	return event.HasList
 }
 
-// updatePool brings the shards and the connections to workers up to date with an event.
+// updatePool applies an event to the pool of connections to workers and to the shard assignment.
 func (f *Follower) updatePool(event config.Event) {
 	if event.Complete {
-		f.pool.RemoveUnlisted(namesOf(event.Workers))
+		f.pool.RemoveUnlisted(workerNames(event.Workers))
 	}
 	f.updateAssignment(event.Workers, event.Complete)
 	for _, member := range event.Workers {
@@ -70,8 +71,8 @@
 	}
 }
 
-// namesOf is the set of the names of listed workers.
-func namesOf(workers []config.Worker) map[string]bool {
+// workerNames returns the set of the names of listed workers.
+func workerNames(workers []config.Worker) map[string]bool {
 	names := make(map[string]bool, len(workers))
 	for _, member := range workers {
 		names[member.Worker] = true
@@ -79,8 +80,8 @@
 	return names
 }
 
-// entriesOf is what a list says of its workers, without their addresses.
-func entriesOf(workers []config.Worker) []placement.Entry {
+// placementEntries returns the entries of listed workers, without their addresses.
+func placementEntries(workers []config.Worker) []placement.Entry {
 	entries := make([]placement.Entry, 0, len(workers))
 	for _, member := range workers {
 		entries = append(entries, member.Entry)
@@ -88,14 +89,14 @@
 	return entries
 }
 
-// foldedList is the list of workers after some events, in the order in which the workers were first
+// foldedList combines a sequence of events into one list of workers, in the order in which the workers were first
 // listed. The zero value is an empty list.
 type foldedList struct {
 	entries []placement.Entry
-	index   map[string]int // into entries, by worker
+	index   map[string]int // index into entries, by worker
 }
 
-// fold applies an event to the list.
+// fold applies an event to the list. A complete event replaces the list.
 func (l *foldedList) fold(event config.Event) {
 	if event.Complete || l.index == nil {
 		l.entries, l.index = nil, map[string]int{}
@@ -110,7 +111,7 @@
 	}
 }
 
-// present is the list without the workers that were removed.
+// present returns the entries of the list without those of removed workers.
 func (l *foldedList) present() []placement.Entry {
 	var present []placement.Entry
 	for _, entry := range l.entries {
--- a/internal/discovery/events_test.go
+++ b/internal/discovery/events_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// Events fold into the last state of each worker, in the order in which workers were first listed; a
-// complete list replaces what was listed before.
+// TestFoldedList asserts that a foldedList holds the latest entry of each worker, in the order in which the workers
+// were first listed, and that a complete list replaces the entries before it.
 func TestFoldedList(t *testing.T) {
 	event := func(complete bool, entries ...placement.Entry) (e config.Event) {
 		e.Complete = complete
@@ -44,13 +44,14 @@
 				got = append(got, entry.Worker+"@"+entry.Zone)
 			}
 			if !slices.Equal(got, test.want) {
-				t.Errorf("got %v, expected %v", got, test.want)
+				t.Errorf("list of workers: got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// An event is applied once and in order, and moves the cursor also where it lists no workers.
+// TestCursorAdvances asserts that an event is applied once and in order, and that an event without a list of workers
+// moves the cursor too.
 func TestCursorAdvances(t *testing.T) {
 	follower := &Follower{cursor: 6}
 	for _, test := range []struct {
@@ -65,7 +66,7 @@
 		{config.Event{Cursor: 8, HasList: true}, false, 9},
 	} {
 		if apply := follower.advance(test.event); apply != test.apply || follower.cursor != test.wantCursor {
-			t.Errorf("event %d: to be applied %t, cursor %d; expected %t, %d",
+			t.Errorf("event %d: got apply %t, cursor %d; want apply %t, cursor %d",
 				test.event.Cursor, apply, follower.cursor, test.apply, test.wantCursor)
 		}
 	}
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -1,11 +1,11 @@
-// Package discovery is the client of discovery, from which an orchestrator learns the workers of its fleet; the wire
-// calls it the command channel. The package polls it by HTTP/1.1 long polls, applies each event of the list of workers
-// once and in order, and tracks the shards of workers that are assigned to this orchestrator.
+// Package discovery is the client of the discovery service, which lists the workers of a fleet. The wire protocol calls
+// the service the command channel. The package polls discovery with HTTP/1.1 long polls, applies each event of the
+// list of workers once and in order, and tracks the shards of workers that are assigned to this orchestrator.
 package discovery
 
-// This file owns the connection to discovery and the poll that waits on it. It polls without pause, since
-// an event counts as delivered once discovery has it. It must never have two polls in flight, skip an event,
-// or stop polling.
+// This file owns the connection to discovery and the poll in flight. The follower polls continuously, because an
+// event counts as delivered once discovery has it. Invariant: the follower never has two polls in flight, never
+// skips an event and never stops polling.
 
 import (
 	"errors"
@@ -20,21 +20,21 @@
 	"ravenhitch/internal/workerpool"
 )
 
-// The units of the event loop's clock, which counts microseconds.
+// These are units of time in microseconds, the unit of the event loop's clock.
 const (
 	millisecond = 1_000
 	second      = 1_000 * millisecond
 )
 
 const (
-	// pollBlockMs is how long discovery may block a poll until there is an event, in milliseconds as the
-	// poll names it. The poll is abandoned responseSlack after that.
+	// pollBlockMs is the maximum time that discovery blocks a poll until there is an event, in milliseconds, the
+	// unit of the poll's parameter. The poll is abandoned if its response takes responseSlack longer than that.
 	pollBlockMs   = 1_000
 	responseSlack = 800 * millisecond
-	// redialDelay is the pause before the next dial after one that failed.
+	// redialDelay is the delay before the next dial after a failed dial or a closed connection.
 	redialDelay = 100 * millisecond
-	// syncDelay is how long discovery takes at most to answer a poll for events that it
-	// already has: it blocks a poll only while it has no event for it.
+	// syncDelay is the maximum time that discovery takes to answer a poll for events that it already has.
+	// Discovery blocks a poll only while it has no event for the poll.
 	syncDelay = 300 * millisecond
 )
 
@@ -47,31 +47,31 @@
 	address       string
 	dialTimeoutUs int64
 	cursor        int64            // number of the last event that was applied
-	conn          *eventloop.Conn  // of the poll in flight, nil while there is none
-	pollTimer     *eventloop.Timer // abandons that poll
+	conn          *eventloop.Conn  // connection to discovery, open or being dialled; nil if there is none
+	pollTimer     *eventloop.Timer // abandons the poll in flight
 	redialTimer   *eventloop.Timer // starts the next dial
 
-	firstPollAt int64 // when discovery was first polled, 0 before that
-	hasResponse bool  // whether it has answered a poll
+	firstPollAt int64 // Unix time of the first poll in microseconds, 0 before the first poll
+	hasResponse bool  // discovery has answered at least one poll
 
-	assignment *shardAssignment // nil where this orchestrator uses all workers
+	assignment *shardAssignment // nil if this orchestrator uses all workers
 }
 
-// NewFollower returns a follower of discovery at address that has applied nothing yet. A dial is
-// abandoned after dialTimeoutUs.
+// NewFollower returns a follower that polls discovery at address once Start is called. dialTimeoutUs is the timeout
+// of a dial in microseconds.
 func NewFollower(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, pool *workerpool.Pool, address string,
 	dialTimeoutUs int64, log *slog.Logger) *Follower {
 	return &Follower{loop: loop, dispatcher: dispatcher, pool: pool, address: address, dialTimeoutUs: dialTimeoutUs,
 		log: ratelog.New(log)}
 }
 
-// Synced reports whether this process is in sync with discovery, which has answered once, or
-// was polled and had no event for syncDelay.
+// Synced reports whether the follower is in sync with discovery: discovery has answered a poll, or more than
+// syncDelay has passed since the first poll, which means that discovery has no event to report.
 func (f *Follower) Synced() bool {
 	return f.hasResponse || f.firstPollAt > 0 && f.loop.Now()-f.firstPollAt > syncDelay
 }
 
-// Start dials discovery and polls it from then on.
+// Start dials discovery. The follower polls discovery from the time the connection opens.
 func (f *Follower) Start() {
 	conn, err := f.loop.Dial(f.address, f.dialTimeoutUs, f)
 	if err != nil {
@@ -82,8 +82,8 @@
 	f.conn = conn
 }
 
-// SetAddress continues at another address, with the events after the last one that was applied. The
-// former address sends no more events, so that the poll in flight there is abandoned.
+// SetAddress changes the address of discovery. The poll in flight is abandoned, because the former address sends
+// no more events. The next poll goes to the new address and requests the events after the last one that was applied.
 func (f *Follower) SetAddress(address string) {
 	if address != f.address {
 		f.address = address
@@ -91,8 +91,9 @@
 	}
 }
 
-// restartIn abandons the poll in flight and dials anew after a delay. Events that the abandoned poll did
-// not bring completely come again, as the cursor is that of the last event that was applied.
+// restartIn abandons the poll in flight, closes the connection, and dials again after a delay in microseconds. The
+// next poll requests the events that the abandoned poll did not deliver completely, because the cursor is the number
+// of the last event that was applied.
 func (f *Follower) restartIn(delayUs int64) {
 	f.pollTimer.Stop()
 	f.redialTimer.Stop()
@@ -103,7 +104,7 @@
 	f.redialTimer = f.loop.After(delayUs, f.Start)
 }
 
-// poll requests the events after the cursor.
+// poll sends a request for the events after the cursor, and starts the timer that abandons the poll.
 func (f *Follower) poll() {
 	blockMs := f.assignment.pollBlockMs()
 	f.conn.Write([]byte(fmt.Sprintf("GET /cmd/next?resume=%d&block=%d%s HTTP/1.1\r\nHost: %s\r\n\r\n",
@@ -115,16 +116,16 @@
 	f.pollTimer = f.loop.After(blockMs*millisecond+responseSlack, f.abandonPoll)
 }
 
-// abandonPoll polls on a new connection, as no response came in time.
+// abandonPoll abandons the poll in flight, which was not answered in time, and polls on a new connection.
 func (f *Follower) abandonPoll() {
 	f.log.Warn("discovery timed out", "cursor", f.cursor)
 	f.restartIn(0)
 }
 
-// Opened implements eventloop.Handler.
+// Opened implements eventloop.Handler. It sends the first poll on the connection.
 func (f *Follower) Opened(*eventloop.Conn) { f.poll() }
 
-// Closed implements eventloop.Handler.
+// Closed implements eventloop.Handler. It dials again after redialDelay.
 func (f *Follower) Closed(_ *eventloop.Conn, err error) {
 	if !errors.Is(err, eventloop.ErrEOF) {
 		f.log.Warn("discovery disconnected", "cursor", f.cursor, "err", err)
@@ -132,8 +133,10 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. One response is outstanding at a time, and bytes after it were not requested:
-// taken for the next response, they would make all later responses answer the poll before theirs.
+// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. At most
+// one response is outstanding, so bytes after it were not requested, and Data continues on a new connection: if
+// these bytes were taken as the response of the next poll, each later response would be matched to the poll after
+// its own.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
 	if err != nil || !complete {
@@ -161,7 +164,7 @@
 	return used, nil
 }
 
-// applyPolled applies the response of the poll in flight.
+// applyPolled applies the update from the response of the poll in flight, and activates the shards that the poll named.
 func (f *Follower) applyPolled(update config.Update) {
 	for _, err := range update.InvalidWorkers {
 		f.log.Warn("invalid worker entry skipped", "err", err)
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -19,20 +19,21 @@
 	"ravenhitch/placement"
 )
 
-// recoveryLimit is within how much time the list must be read from discovery once it responds again, also where it
-// does not respond on the connection of the poll in flight. It is in microseconds.
+// recoveryLimit is the maximum time from when discovery responds again until the follower polls it, in microseconds.
+// It applies even if discovery does not respond on the connection of the poll in flight.
 const recoveryLimit = 2 * second
 
-// Discovery that responds again is polled within recoveryLimit, also where the poll in flight is never
-// answered: on a connection that stays open and unresponsive only the timer shows that.
+// TestUnresponsiveChannelIsPolledInTime asserts that the timeouts of a poll add up to less than recoveryLimit. If the
+// poll in flight is never answered and its connection stays open, only the timer of the poll detects the failure.
 func TestUnresponsiveChannelIsPolledInTime(t *testing.T) {
 	if longest := pollBlockMs*millisecond + responseSlack + redialDelay; longest >= recoveryLimit {
-		t.Errorf("a poll without a response is abandoned and repeated after %d us, expected less than %d",
+		t.Errorf("a poll without a response is abandoned and repeated after %d us, want less than %d us",
 			longest, recoveryLimit)
 	}
 }
 
-// newPool returns a pool of workers on a loop of its own, and the dispatcher that it serves.
+// newPool returns a new event loop, and a worker pool and a dispatcher that are connected to each other and run on
+// the loop.
 func newPool(t *testing.T) (*eventloop.Loop, *workerpool.Pool, *dispatch.Dispatcher) {
 	t.Helper()
 	loop, err := eventloop.New(10)
@@ -50,8 +51,9 @@
 	return loop, pool, dispatcher
 }
 
-// run runs a loop with its pool and dispatcher until the returned function is called.
-func run(t *testing.T, loop *eventloop.Loop, pool *workerpool.Pool, dispatcher *dispatch.Dispatcher) (stop func()) {
+// runLoop runs a loop with its pool and dispatcher on a goroutine. The returned function stops the loop and waits for
+// the goroutine.
+func runLoop(t *testing.T, loop *eventloop.Loop, pool *workerpool.Pool, dispatcher *dispatch.Dispatcher) (stop func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -67,18 +69,18 @@
 	}
 }
 
-// scriptedDiscovery stands in for discovery; a test scripts its answers.
+// scriptedDiscovery is a fake discovery server whose responses the test sets one by one.
 type scriptedDiscovery struct{ listener *net.TCPListener }
 
-// newScriptedDiscovery listens until the test ends.
+// newScriptedDiscovery returns a server that listens until the test ends.
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	return &scriptedDiscovery{nettest.Listen(t).(*net.TCPListener)}
 }
 
-// answer expects a poll that holds want on the next connection, and answers it. Unless keepOpen is set
-// the connection is closed behind the answer, else when the test ends.
-func (s *scriptedDiscovery) answer(t *testing.T, want, answer string, keepOpen bool) {
+// respond accepts the next connection, expects a poll whose request line contains want, and sends the response. It
+// then closes the connection, unless keepOpen is true: the connection then stays open until the test ends.
+func (s *scriptedDiscovery) respond(t *testing.T, want, response string, keepOpen bool) {
 	t.Helper()
 	if err := s.listener.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
@@ -87,13 +89,13 @@
 	for reader := bufio.NewReader(conn); ; {
 		line, err := reader.ReadString('\n')
 		if err != nil || strings.HasPrefix(line, "GET") && !strings.Contains(line, want) {
-			t.Fatalf("polled with %q (%v), expected %s", line, err, want)
+			t.Fatalf("poll: got line %q, error %v; want a request line that contains %q", line, err, want)
 		}
 		if line == "\r\n" {
 			break
 		}
 	}
-	if _, err := io.WriteString(conn, answer); err != nil {
+	if _, err := io.WriteString(conn, response); err != nil {
 		t.Fatal(err)
 	}
 	if !keepOpen {
@@ -103,9 +105,9 @@
 	}
 }
 
-// Where discovery breaks off in the middle of an event, or of the head of a response, it is polled again
-// for the same event, which is applied once. Where it answers twice it is polled anew, and where it
-// counts from a lower cursor on it reports nothing.
+// TestChannelBreaksOff asserts that the follower polls again for the same event if discovery closes the connection in
+// the middle of an event or of the head of a response, and then applies the event once. After two responses to one
+// poll, the follower polls on a new connection. A response with a lower cursor changes nothing.
 func TestChannelBreaksOff(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	loop, pool, dispatcher := newPool(t)
@@ -114,7 +116,7 @@
 		slog.New(slog.NewTextHandler(&logged, nil)))
 	follower.cursor = 6
 	follower.Start()
-	stop := run(t, loop, pool, dispatcher)
+	stop := runLoop(t, loop, pool, dispatcher)
 
 	body := `{"cursor":7,"cmds":[{"cursor":7,"nodes":{"complete":false,"members":[{"id":"s-1","host_port":"127.0.0.1:9",` +
 		`"locality":"h","flavor":"std","cell":1,"phase":"draining","size":1,"up_since_ms":0,"spare":[1,1]}]}}]}`
@@ -122,8 +124,8 @@
 	lower := "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\n{\"cursor\":5,\"cmds\":[]} "
 	next := strings.ReplaceAll(complete, `"cursor":7`, `"cursor":8`)
 	for _, poll := range []struct {
-		want, answer string
-		keepOpen     bool
+		want, response string
+		keepOpen       bool
 	}{
 		{"resume=6&", complete[:len(complete)-40], false},
 		{"resume=6&", complete[:12], false},
@@ -133,13 +135,13 @@
 		{"resume=7&", next + next, true},
 		{"resume=8&", "", false},
 	} {
-		discovery.answer(t, poll.want, poll.answer, poll.keepOpen)
+		discovery.respond(t, poll.want, poll.response, poll.keepOpen)
 	}
 	stop()
 	if !dispatcher.IsListed("s-1") {
-		t.Error("the event was not applied")
+		t.Error("worker s-1 is not listed, want the event that lists it to be applied")
 	}
-	if strings.Contains(logged.String(), "discovery timed out") { // a poll waited in vain
-		t.Error(logged.String())
+	if strings.Contains(logged.String(), "discovery timed out") {
+		t.Errorf("a poll timed out, want none to; log:\n%s", logged.String())
 	}
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -1,8 +1,7 @@
 package discovery
 
-// This file owns the form of an HTTP/1.1 response of discovery. Its parser keeps no state
-// between calls and has no connection. It must never take more than linear time or panic, whatever
-// bytes come.
+// This file owns the parser of HTTP/1.1 responses of discovery. The parser keeps no state between calls and has no
+// access to the connection. Invariant: for any input, the parser runs in linear time and does not panic.
 
 import (
 	"bytes"
@@ -12,8 +11,8 @@
 )
 
 const (
-	maxHead = 16 << 10 // bytes, also of the trailers of a chunked body
-	maxBody = 2 << 20  // bytes
+	maxHead = 16 << 10 // maximum size of the head, and of the trailers of a chunked body, in bytes
+	maxBody = 2 << 20  // maximum size of the body in bytes
 )
 
 const (
@@ -21,23 +20,25 @@
 	lineEnd = "\r\n"
 )
 
-// response is an HTTP response.
+// response holds the parts of an HTTP response that the follower uses.
 type response struct {
 	status   int
 	body     []byte
-	reusable bool // whether the connection may be used again
+	reusable bool // the connection may be used for another request
 }
 
-// isInterim reports whether another response follows to the same request.
+// isInterim reports whether the response is an interim (1xx) response, which another response to the same request
+// follows.
 func (r *response) isInterim() bool { return r.status < http.StatusOK }
 
-// hasNoBody reports whether a response of this status ends with its head, by the protocol.
+// hasNoBody reports whether a response of this status never has a body according to HTTP/1.1.
 func (r *response) hasNoBody() bool {
 	return r.isInterim() || r.status == http.StatusNoContent || r.status == http.StatusNotModified
 }
 
-// parseFinalResponse reads a response from the start of b and passes over interim ones before it. It is
-// not complete while bytes are missing; used counts what need not come again even then.
+// parseFinalResponse parses the first final response in b and skips the interim responses before it. complete is
+// false if bytes of the final response are missing. used is the number of bytes at the start of b that need not be
+// passed to the next call; it counts skipped interim responses even if complete is false.
 func parseFinalResponse(b []byte) (r response, used int, complete bool, err error) {
 	for {
 		r, length, err := parseResponse(b[used:])
@@ -51,8 +52,8 @@
 	}
 }
 
-// parseResponse reads a response from the start of b; used is 0 while bytes are missing. The body is part
-// of b, unless it came in chunks.
+// parseResponse parses the response at the start of b. used is the length of the response in bytes, or 0 if the
+// response is incomplete. The body is a slice of b unless it is chunked.
 func parseResponse(b []byte) (r response, used int, err error) {
 	end := bytes.Index(b[:min(len(b), maxHead+len(headEnd)-1)], []byte(headEnd))
 	if end < 0 {
@@ -75,18 +76,18 @@
 	return r, bodyAt + length, nil
 }
 
-// head is what the status line and the headers of a response say.
+// head holds the information of the status line and the headers of a response.
 type head struct {
 	status   int
 	reusable bool
-	length   int  // of the body in bytes, or noLength
-	chunked  bool // the body comes in chunks
+	length   int  // length of the body in bytes, or noLength
+	chunked  bool // the body uses the chunked transfer coding
 }
 
-// noLength is the length of a response without the header content-length.
+// noLength is the value of head.length for a response without a content-length header.
 const noLength = -1
 
-// parseHead reads the status line and the headers, without the empty line behind them.
+// parseHead parses the status line and the headers. b must not include the empty line that ends the headers.
 func parseHead(b []byte) (head, error) {
 	h := head{length: noLength}
 	line, rest := cutLine(b)
@@ -102,7 +103,7 @@
 	return h, nil
 }
 
-// cutLine returns the first line of a head, up to a carriage return, and what follows its end.
+// cutLine splits a head at the end of its first line, which a carriage return marks. rest starts after the line end.
 func cutLine(b []byte) (line string, rest []byte) {
 	end := bytes.IndexByte(b, '\r')
 	if end < 0 {
@@ -111,7 +112,7 @@
 	return string(b[:end]), b[min(len(b), end+len(lineEnd)):]
 }
 
-// parseStatusLine reads a line such as "HTTP/1.1 200 OK".
+// parseStatusLine parses a status line such as "HTTP/1.1 200 OK".
 func (h *head) parseStatusLine(line string) (err error) {
 	const version = "HTTP/1."
 	const minorAt, statusAt, statusEnd = len(version), len(version) + 2, len(version) + 5
@@ -125,7 +126,8 @@
 	return nil
 }
 
-// parseHeader reads one header. Those that say nothing of the connection or the body are passed over.
+// parseHeader parses one header line. It ignores headers that concern neither the connection nor the length or the
+// transfer coding of the body.
 func (h *head) parseHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found {
@@ -150,7 +152,8 @@
 	return nil
 }
 
-// parseBody reads the body that follows the head; length counts the bytes that it takes in b.
+// parseBody returns the body at the start of b. length is the number of bytes that the encoded body takes in b.
+// complete is false if bytes of the body are missing.
 func (h *head) parseBody(r *response, b []byte) (body []byte, length int, complete bool, err error) {
 	switch {
 	case h.chunked:
@@ -164,10 +167,11 @@
 	case r.hasNoBody():
 		return nil, 0, true, nil
 	}
-	return nil, 0, false, &ResponseError{Part: "head", Reason: "no length of the body"}
+	return nil, 0, false, &ResponseError{Part: "head", Reason: "neither content-length nor chunked coding"}
 }
 
-// asciiLower is the text with its ASCII capitals in lower case. Headers know no other letters.
+// asciiLower returns text with its ASCII upper-case letters in lower case. The names and values of headers that the
+// parser compares are ASCII.
 func asciiLower(text string) string {
 	lower := []byte(text)
 	for i, c := range lower {
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261201") }
 
-// appendChunked draws how a body is cut into chunks, and appends a response of them.
+// appendChunked appends a response with a chunked body to b. The sizes of the chunks are drawn at random.
 func appendChunked(t *rapid.T, b, body []byte) []byte {
 	b = append(b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n"...)
 	for len(body) > 0 {
@@ -25,7 +25,7 @@
 	return append(b, rapid.SampledFrom([]string{"0\r\n\r\n", "0\r\na: b\r\n\r\n"}).Draw(t, "end")...)
 }
 
-// Responses that come in any pieces are read as they were written.
+// TestResponseCutAnywhere asserts that responses are parsed correctly when they arrive in pieces of any size.
 func TestResponseCutAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want [][]byte
@@ -48,17 +48,18 @@
 			return used, err
 		})
 		if err != nil || len(got) != len(want) {
-			t.Fatalf("got %d of %d responses, %v", len(got), len(want), err)
+			t.Fatalf("got %d responses, error %v; want %d responses, no error", len(got), err, len(want))
 		}
 		for i := range want {
 			if !bytes.Equal(got[i], want[i]) {
-				t.Fatalf("response %d is %q, expected %q", i, got[i], want[i])
+				t.Fatalf("body of response %d: got %q, want %q", i, got[i], want[i])
 			}
 		}
 	})
 }
 
-// Bytes that were overwritten at random do no harm.
+// TestResponseGarbage asserts that the parser handles a response with randomly overwritten bytes without a panic and
+// with a valid number of used bytes, and that it rejects malformed responses.
 func TestResponseGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n")
@@ -66,19 +67,20 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
 		if _, used, err := parseResponse(b); used < 0 || used > len(b) || used > 0 && err != nil {
-			t.Fatalf("%q: used %d, %v", b, used, err)
+			t.Fatalf("response %q: got used %d of %d bytes, error %v; want used within the response, and 0 with an error",
+				b, used, len(b), err)
 		}
 	})
 	for _, b := range []string{"nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", strings.Repeat("x", maxHead),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"} {
 		if _, used, err := parseResponse([]byte(b)); err == nil || used != 0 {
-			t.Errorf("%.40q: used %d, %v", b, used, err)
+			t.Errorf("response %.40q: got used %d, error %v; want used 0 and an error", b, used, err)
 		}
 	}
 }
 
-// An error says which part of a response is malformed, and with which value.
+// TestResponseErrors asserts that the error for an invalid response names the invalid part and its value.
 func TestResponseErrors(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct{ name, response, part, value string }{
@@ -100,16 +102,17 @@
 			_, used, err := parseResponse([]byte(test.response))
 			var got *ResponseError
 			if used != 0 || !errors.As(err, &got) || !errors.Is(err, ErrResponse) {
-				t.Fatalf("used %d, %v", used, err)
+				t.Fatalf("got used %d, error %v; want used 0 and a ResponseError that wraps ErrResponse", used, err)
 			}
 			if got.Part != test.part || got.Value != test.value {
-				t.Errorf("got part %q and value %q, expected %q and %q", got.Part, got.Value, test.part, test.value)
+				t.Errorf("got part %q, value %q; want part %q, value %q", got.Part, got.Value, test.part, test.value)
 			}
 		})
 	}
 }
 
-// What is on the limit is accepted, and what is incomplete is waited for.
+// TestResponseLimits asserts that the parser accepts responses at the limits, and reports an incomplete response as
+// such instead of failing.
 func TestResponseLimits(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct {
@@ -129,7 +132,7 @@
 				want = len(test.response)
 			}
 			if _, used, err := parseResponse([]byte(test.response)); used != want || err != nil {
-				t.Errorf("used %d of %d bytes, %v", used, len(test.response), err)
+				t.Errorf("got used %d, error %v; want used %d, no error", used, err, want)
 			}
 		})
 	}
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -1,10 +1,11 @@
-// Package grpcfront serves clients over gRPC: offers stream in, bindings stream out. It decides nothing
-// about tasks.
+// Package grpcfront implements the gRPC API of the orchestrator: clients send offers of tasks and receive
+// bindings, over a stream or by single calls. The package makes no decision about a task: all decisions are
+// the dispatcher's.
 package grpcfront
 
-// This file owns the gRPC server, and the queue from its goroutines to the event loop. Those goroutines only
-// pass on to the loop what came in, and take what is to go out from bounded queues. They must never call
-// the dispatcher outside the loop, or make the loop wait.
+// This file owns the gRPC server and the queue from its goroutines to the event loop. The goroutines pass
+// received messages to the loop and send the messages that the loop puts into bounded queues, and nothing
+// more. Invariant: they never call the dispatcher outside the loop, and never block the loop.
 
 import (
 	"errors"
@@ -29,43 +30,46 @@
 )
 
 const (
-	// MaxConns is how many connections the front serves at most.
+	// MaxConns is the maximum number of connections that the front serves at a time.
 	MaxConns = 64
-	// maxStreams bounds the calls on one connection.
+	// maxStreams is the maximum number of concurrent calls on one connection.
 	maxStreams = 100
-	// maxQueuedCalls bounds the calls that wait for the loop.
+	// maxQueuedCalls is the maximum number of calls that are queued for the event loop.
 	maxQueuedCalls = 2048
-	// maxHeaders and maxMessage bound what a client sends, in bytes.
+	// maxHeaders and maxMessage are the maximum sizes of the header list and of one message from a client,
+	// in bytes.
 	maxHeaders = 16 << 10
 	maxMessage = 2 * maxDescription
-	// bufferSize is for each connection and direction, in bytes: links are slow, memory is short.
+	// bufferSize is the size of the read buffer and of the write buffer of each connection, in bytes. It is
+	// small because links are slow and memory is scarce.
 	bufferSize = 8 << 10
 )
 
 const (
-	// firstMessageTimeout is how long a connection may take to speak HTTP/2, and a stream to open its
-	// session.
+	// firstMessageTimeout is the maximum time for a new connection to complete its HTTP/2 handshake, and for
+	// a new stream to open its session.
 	firstMessageTimeout = 1500 * time.Millisecond
-	// maxIdle is how long a connection without a call stays open.
+	// maxIdle is the time after which a connection without calls is closed.
 	maxIdle = 30 * time.Second
-	// A connection that was idle for pingInterval is closed unless it answers a ping within pingTimeout.
+	// The server pings a connection that was idle for pingInterval, and closes the connection if the reply
+	// does not arrive within pingTimeout.
 	pingInterval = 20 * time.Second
 	pingTimeout  = 5 * time.Second
-	// minClientPingInterval is how often a client may ping.
+	// minClientPingInterval is the minimum time between two pings from a client.
 	minClientPingInterval = 5 * time.Second
-	// closeTimeout is how long Close waits for calls to end.
+	// closeTimeout is the maximum time that Close waits for calls to end.
 	closeTimeout = 300 * time.Millisecond
 )
 
-// Loop is what the front needs of the event loop: a queue for other goroutines, and on the loop itself
-// the time and timers.
+// Loop is the part of the event loop that the front uses. Post may be called from any goroutine; Now and
+// After may be called on the loop only.
 type Loop interface {
 	Post(f func())
 	Now() int64
 	After(us int64, f func()) *eventloop.Timer
 }
 
-// Dispatcher is what the front needs of the dispatcher. It is called on the loop only.
+// Dispatcher is the part of the dispatcher that the front uses. Its methods are called on the loop only.
 type Dispatcher interface {
 	Submit(now int64, client dispatch.Client, submission dispatch.Submission) error
 	Cancel(now int64, client dispatch.Client, requestID string) dispatch.CancelResult
@@ -73,25 +77,27 @@
 	IsResumable(requestID string) bool
 }
 
-// Front is the gRPC front.
+// Front is the gRPC server of an orchestrator. It forwards offers and releases to the dispatcher, and
+// responses to the clients.
 type Front struct {
 	edgepb.UnimplementedOrchestratorServer
 	loop        Loop
 	dispatcher  Dispatcher
 	server      *grpc.Server
 	health      *health.Server
-	queuedCalls atomic.Int64 // that wait for the loop
+	queuedCalls atomic.Int64 // number of calls that are queued for the loop
 	keys        atomic.Pointer[retrytoken.Keys]
 
-	// What follows belongs to the loop.
+	// The following fields belong to the loop.
 	redeemed       retrytoken.Redeemed
 	tokenCounts    TokenCounts
 	sessions       map[string]*session // by name
-	sessionsOpened uint64              // so far
+	sessionsOpened uint64              // number of sessions created since the start
 	closing        bool
 }
 
-// Credentials reads a certificate and its key from files. Without either, connections are plain.
+// Credentials loads a TLS certificate and its key from the files at cert and key. If both paths are empty,
+// it returns credentials for connections without TLS.
 func Credentials(cert, key string) (credentials.TransportCredentials, error) {
 	if cert == "" && key == "" {
 		return insecure.NewCredentials(), nil
@@ -103,7 +109,8 @@
 	return creds, nil
 }
 
-// New returns a front that serves nothing yet.
+// New returns a front that uses the given loop, dispatcher and transport credentials. The front serves no
+// connections until Serve is called.
 func New(loop Loop, dispatcher Dispatcher, creds credentials.TransportCredentials) *Front {
 	f := &Front{loop: loop, dispatcher: dispatcher, sessions: map[string]*session{}, health: health.NewServer()}
 	f.server = grpc.NewServer(
@@ -122,7 +129,8 @@
 	return f
 }
 
-// Serve accepts connections until Close.
+// Serve serves connections from the listener until Close is called, and then returns nil. It returns an error if
+// the listener fails.
 func (f *Front) Serve(listener net.Listener) error {
 	err := f.server.Serve(netutil.LimitListener(listener, MaxConns))
 	if err != nil && !errors.Is(err, grpc.ErrServerStopped) {
@@ -131,12 +139,12 @@
 	return nil
 }
 
-// SetNotServing sends clients that watch the front's health elsewhere. What they still send is
-// served as before.
+// SetNotServing sets the status of the gRPC health service to NOT_SERVING, so that clients that watch it
+// move to another orchestrator. Calls and messages that still arrive are served as before.
 func (f *Front) SetNotServing() { f.health.Shutdown() }
 
-// Close ends the streams once what they were sent is written, and the server with them. The loop must have
-// ended, or the call must come from it.
+// Close ends each stream after its queued messages are sent, and then stops the server. Calls that have not
+// ended within closeTimeout are aborted. Close must be called on the loop, or after the loop has ended.
 func (f *Front) Close() {
 	f.closing = true
 	for _, session := range f.sessions {
@@ -145,7 +153,7 @@
 		}
 	}
 	stopped := make(chan struct{})
-	go func() { // it ends with Stop at the latest
+	go func() { // GracefulStop returns when Stop is called, at the latest
 		f.server.GracefulStop()
 		close(stopped)
 	}()
@@ -156,7 +164,8 @@
 	}
 }
 
-// post runs call on the loop, or returns a status where too many wait there already.
+// post queues call to be run on the loop. If maxQueuedCalls calls are queued already, it returns a gRPC
+// status error instead.
 func (f *Front) post(call func()) error {
 	if f.queuedCalls.Add(1) > maxQueuedCalls {
 		f.queuedCalls.Add(-1)
--- a/internal/grpcfront/front_test.go
+++ b/internal/grpcfront/front_test.go
@@ -11,7 +11,7 @@
 	"ravenhitch/internal/eventloop"
 )
 
-// manualLoop is a loop that runs what was posted when a test says so.
+// manualLoop is a Loop that stores posted functions and timers until the test runs them. Its clock always reads 1 us.
 type manualLoop struct {
 	posted []func()
 	timers []func()
@@ -24,14 +24,14 @@
 	return nil
 }
 
-// runPosted runs what was posted.
+// runPosted runs the posted functions in order.
 func (l *manualLoop) runPosted() {
 	for _, f := range l.posted {
 		f()
 	}
 }
 
-// silentDispatcher accepts every submission and responds to none.
+// silentDispatcher accepts every submission and never responds.
 type silentDispatcher struct{}
 
 func (silentDispatcher) Submit(int64, dispatch.Client, dispatch.Submission) error { return nil }
@@ -43,25 +43,27 @@
 }
 func (silentDispatcher) IsResumable(string) bool { return true }
 
-// newFront returns a front on a manual loop.
+// newFront returns a front with a manualLoop and a silentDispatcher.
 func newFront() (*Front, *manualLoop) {
 	loop := &manualLoop{}
 	return New(loop, silentDispatcher{}, insecure.NewCredentials()), loop
 }
 
-// The calls that wait for the loop are bounded; what comes over that is rejected at once.
+// TestQueueIsBounded asserts that a call is rejected at once while maxQueuedCalls calls are queued for the loop, and
+// is accepted again after the loop has run them.
 func TestQueueIsBounded(t *testing.T) {
 	front, loop := newFront()
 	for i := range maxQueuedCalls {
 		if err := front.post(func() {}); err != nil {
-			t.Fatalf("call %d: %v", i, err)
+			t.Fatalf("post of call %d: got error %v, want nil", i, err)
 		}
 	}
 	if err := front.post(func() {}); status.Code(err) != codes.ResourceExhausted || len(loop.posted) != maxQueuedCalls {
-		t.Fatalf("got %v with %d posted", err, len(loop.posted))
+		t.Fatalf("post to a full queue: got error %v and %d posted calls, want ResourceExhausted and %d",
+			err, len(loop.posted), maxQueuedCalls)
 	}
 	loop.runPosted()
 	if err := front.post(func() {}); err != nil {
-		t.Errorf("after the loop ran: %v", err)
+		t.Errorf("post after the loop has run the queue: got error %v, want nil", err)
 	}
 }
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -1,6 +1,7 @@
 package grpcfront
 
-// This file owns how an offer becomes a submission. It must never pass on an offer with an invalid field.
+// This file owns the validation of offers and their conversion to submissions. Invariant: an offer with an
+// invalid field never reaches the dispatcher.
 
 import (
 	"errors"
@@ -14,19 +15,20 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// maxDescription bounds the description of a task, in bytes; maxEscaped bounds it in a message to a worker,
-// whose messages are bounded too.
+// maxDescription is the maximum size of the description of a task, in bytes. maxEscaped is the maximum size
+// of the description after JSON escaping, in bytes: the size of a message to a worker is limited too.
 const (
 	maxDescription = 8 << 10
 	maxEscaped     = maxDescription * 3 / 2
 )
 
-// protocolFields are the names in the protocol of the fields that dispatch.Submission checks.
+// protocolFields maps the field names in the errors of dispatch.Submission.Validate to the names of the
+// corresponding fields of edgepb.Offer.
 var protocolFields = map[string]string{"tag": "offer_id", "task": "task", "class": "class", "cores": "cores",
 	"memory": "memory", "wait": "wait_ms"}
 
-// parseOffer reads an offer. It runs outside the loop and must not use the dispatcher. The error is a
-// status.
+// parseOffer validates an offer and converts it to a submission. It runs outside the loop, so it must not
+// use the dispatcher. The error is a gRPC status error.
 func parseOffer(offer *edgepb.Offer) (dispatch.Submission, error) {
 	submission := dispatch.Submission{
 		RequestID:   offer.GetOfferId(),
@@ -54,10 +56,11 @@
 	return submission, nil
 }
 
-// checkSubmission returns a status where a field of the submission is invalid.
+// checkSubmission returns a gRPC status error if a field of the submission is invalid.
 func checkSubmission(submission dispatch.Submission) error {
 	if submission.TimeoutUs == 0 {
-		submission.TimeoutUs = 1 // the class's own timeout, or the call's deadline, comes in its place
+		// 0 is valid: submitPlace or submit replaces it with the deadline of the call or the timeout of the class.
+		submission.TimeoutUs = 1
 	}
 	if err := submission.Validate(); err != nil {
 		return fieldStatus(protocolFields[err.Field], "expected "+err.Want)
@@ -65,12 +68,13 @@
 	return nil
 }
 
-// isDescription reports whether a text can be passed on to a worker.
+// isDescription reports whether text is a valid description of a task: it is UTF-8, and its size is within
+// the limits both before and after escaping.
 func isDescription(text string) bool {
 	return utf8.ValidString(text) && len(text) <= maxDescription && escapedLen(text) <= maxEscaped
 }
 
-// escapedLen is how long a text may become in a message to a worker, in bytes.
+// escapedLen returns the maximum length of text after JSON escaping in a message to a worker, in bytes.
 func escapedLen(text string) int {
 	const escapedControl, escapedQuote = len(`\u0000`), len(`\"`)
 	length := len(text)
@@ -85,7 +89,8 @@
 	return length
 }
 
-// submit hands a submission to the dispatcher. It runs on the loop. The error is a status.
+// submit passes a submission to the dispatcher. If the submission has no timeout, it gets the timeout of its
+// class. submit runs on the loop. The error is a gRPC status error.
 func (f *Front) submit(client dispatch.Client, submission dispatch.Submission) error {
 	class, known := f.dispatcher.Class(submission.Class)
 	if !known {
--- a/internal/grpcfront/offer_test.go
+++ b/internal/grpcfront/offer_test.go
@@ -9,18 +9,20 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// An offer is read into a submission, and an invalid one has a status that names its field.
+// TestParseOffer asserts that a valid offer is converted to a submission, and that the status of an invalid offer
+// names the invalid field.
 func TestParseOffer(t *testing.T) {
 	valid := &edgepb.Offer{OfferId: "9b1f03aa5c7e2d41", Task: "t", Class: "web", Cores: 1.5, Memory: 2.5, Service: "ff",
 		Description: "d", WaitMs: 1500}
 	submission, err := parseOffer(valid)
 	if err != nil || submission.TimeoutUs != 1_500_000 || submission.Program != 255 || !submission.Resumable {
-		t.Errorf("got %+v, %v", submission, err)
+		t.Errorf("valid offer: got submission %+v, error %v; want timeout 1500000 us, program 255, resumable, no error",
+			submission, err)
 	}
 	for _, test := range []struct {
-		name  string
-		spoil func(offer *edgepb.Offer)
-		want  string
+		name   string
+		modify func(offer *edgepb.Offer)
+		want   string
 	}{
 		{"no wait", func(o *edgepb.Offer) { o.WaitMs = 0 }, "OK: "},
 		{"no ID", func(o *edgepb.Offer) { o.OfferId = "" }, "InvalidArgument: offer_id: expected 16 hex digits"},
@@ -42,10 +44,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			offer := proto.Clone(valid).(*edgepb.Offer)
-			test.spoil(offer)
+			test.modify(offer)
 			_, err := parseOffer(offer)
-			if got := text(err); got != test.want {
-				t.Errorf("got %q, expected %q", got, test.want)
+			if got := formatStatus(err); got != test.want {
+				t.Errorf("status: got %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/grpcfront/rpc_test.go
+++ b/internal/grpcfront/rpc_test.go
@@ -24,8 +24,8 @@
 	"ravenhitch/placement"
 )
 
-// goroutineLoop runs what is posted one after the other, each in the goroutine that posts it, until it is
-// stopped.
+// goroutineLoop is a Loop that runs each posted function at once, on the goroutine that posts it and one function
+// at a time. After stop it discards posted functions.
 type goroutineLoop struct {
 	mu      sync.Mutex
 	stopped bool
@@ -48,10 +48,11 @@
 func (l *goroutineLoop) Now() int64                           { return time.Now().UnixMicro() }
 func (l *goroutineLoop) After(int64, func()) *eventloop.Timer { return nil }
 
-// classDispatcher responds to each submission as its class says. It belongs to the loop.
+// classDispatcher is a Dispatcher whose response to a submission depends on the name of its class. It belongs to
+// the loop.
 type classDispatcher struct {
-	open    map[string]dispatch.Client // without a response
-	running map[string]dispatch.Client
+	open    map[string]dispatch.Client // clients of the requests without a response, by request ID
+	running map[string]dispatch.Client // clients of the running tasks, by request ID
 }
 
 func (d *classDispatcher) Submit(_ int64, client dispatch.Client, submission dispatch.Submission) error {
@@ -92,7 +93,7 @@
 
 func (d *classDispatcher) IsResumable(string) bool { return true }
 
-// serve serves a front until the test ends, and returns a client of it.
+// serve runs a front until the test ends, and returns a client of the front, its loop and its dispatcher.
 func serve(t *testing.T) (edgepb.OrchestratorClient, *goroutineLoop, *classDispatcher) {
 	t.Helper()
 	loop := &goroutineLoop{}
@@ -119,13 +120,13 @@
 	return edgepb.NewOrchestratorClient(conn), loop, dispatcher
 }
 
-// newOffer is a valid offer of a class; its number makes its ID.
+// newOffer returns a valid offer of a class. Its ID and the name of its task are derived from number.
 func newOffer(number int, class string) *edgepb.Offer {
 	return &edgepb.Offer{OfferId: fmt.Sprintf("%016x", number), Task: fmt.Sprintf("task-%d", number), Class: class,
 		Cores: 1, Memory: 1, Description: "d"}
 }
 
-// Place returns a binding or the status of its response.
+// TestPlace asserts that Place returns the binding of a started task, and the status of any other response.
 func TestPlace(t *testing.T) {
 	client, _, _ := serve(t)
 	for _, test := range []struct {
@@ -142,22 +143,22 @@
 		t.Run(test.class, func(t *testing.T) {
 			binding, err := client.Place(t.Context(), newOffer(1, test.class))
 			if status.Code(err) != test.code || status.Convert(err).Message() != test.text {
-				t.Fatalf("got %v, expected %s: %s", err, test.code, test.text)
+				t.Fatalf("Place: got error %v, want %s: %s", err, test.code, test.text)
 			}
 			if err == nil && (binding.GetNode() != "a" || binding.GetTask() != "task-1" || binding.GetDescription() != "answer to d") {
-				t.Errorf("got %v", binding)
+				t.Errorf("Place: got binding %v, want node a, task task-1, description %q", binding, "answer to d")
 			}
 		})
 	}
 }
 
-// A call that is cancelled cancels its offer.
+// TestPlaceCancelled asserts that the offer of a Place call is cancelled when the deadline of the call passes.
 func TestPlaceCancelled(t *testing.T) {
 	client, loop, dispatcher := serve(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if _, err := client.Place(ctx, newOffer(1, "waits")); status.Code(err) != codes.DeadlineExceeded {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Place: got error %v, want DeadlineExceeded", err)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		var open int
@@ -166,12 +167,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the offer is still open")
+			t.Fatalf("%d offers are open 10 s after the call has ended, want 0", open)
 		}
 	}
 }
 
-// Release ends a running task once.
+// TestRelease asserts that Release ends a running task, and that a second Release of it fails with NotFound.
 func TestRelease(t *testing.T) {
 	client, _, _ := serve(t)
 	if _, err := client.Place(t.Context(), newOffer(1, "starts")); err != nil {
@@ -179,16 +180,16 @@
 	}
 	request := &edgepb.ReleaseRequest{OfferId: newOffer(1, "").GetOfferId()}
 	if _, err := client.Release(t.Context(), request); err != nil {
-		t.Error(err)
+		t.Errorf("first Release: %v", err)
 	}
 	if _, err := client.Release(t.Context(), request); status.Code(err) != codes.NotFound ||
 		status.Convert(err).Message() != "no such offer or task" {
-		t.Errorf("released again: %v", err)
+		t.Errorf("second Release: got error %v, want NotFound: no such offer or task", err)
 	}
 }
 
-// describe is a message of a session in short.
-func describe(m *edgepb.ServerMessage) string {
+// formatMessage returns a short text form of a message that a session has sent.
+func formatMessage(m *edgepb.ServerMessage) string {
 	text := fmt.Sprintf("%d ", m.GetNumber())
 	switch kind := m.GetKind().(type) {
 	case *edgepb.ServerMessage_Binding:
@@ -202,13 +203,13 @@
 	return text
 }
 
-// session is a stream of a session at its client.
+// session is the client's side of a stream of a session.
 type session struct {
 	edgepb.Orchestrator_SessionClient
 }
 
-// open opens a session whose messages up to a number were read.
-func open(t *testing.T, client edgepb.OrchestratorClient, seen uint64) session {
+// openSession opens a stream of the session "s". seen is the number of the last message that the client has read.
+func openSession(t *testing.T, client edgepb.OrchestratorClient, seen uint64) session {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	t.Cleanup(cancel)
@@ -239,20 +240,21 @@
 		Release: &edgepb.ReleaseRequest{OfferId: newOffer(number, "").GetOfferId()}}})
 }
 
+// expect asserts that the given messages, in the form of formatMessage, are received next.
 func (s session) expect(t *testing.T, messages ...string) {
 	t.Helper()
 	for _, want := range messages {
 		m, err := s.Recv()
 		if err != nil {
-			t.Fatalf("got %v, expected %s", err, want)
+			t.Fatalf("Recv: got error %v, want message %q", err, want)
 		}
-		if got := describe(m); got != want {
-			t.Errorf("got %s, expected %s", got, want)
+		if got := formatMessage(m); got != want {
+			t.Errorf("Recv: got message %q, want %q", got, want)
 		}
 	}
 }
 
-// expectEnd expects that the stream ends with a status.
+// expectEnd asserts that the stream ends next, with a status of the given code and message.
 func (s session) expectEnd(t *testing.T, code codes.Code, message string) {
 	t.Helper()
 	m, err := s.Recv()
@@ -260,14 +262,15 @@
 		return
 	}
 	if status.Code(err) != code || status.Convert(err).Message() != message {
-		t.Errorf("got %v, %v, expected %s: %s", m, err, code, message)
+		t.Errorf("Recv at the end of the stream: got message %v, error %v; want status %s: %s", m, err, code, message)
 	}
 }
 
-// A session gets the responses to its offers, and the ends of its tasks.
+// TestSessionMessages asserts which messages a client receives in a session for each response to an offer and for
+// each end of a task.
 func TestSessionMessages(t *testing.T) {
 	client, loop, dispatcher := serve(t)
-	s := open(t, client, 0)
+	s := openSession(t, client, 0)
 	s.offer(t, newOffer(1, "starts"))
 	s.expect(t, "1 binding task-1 at a")
 	s.offer(t, newOffer(2, "rejected"))
@@ -306,19 +309,20 @@
 	s.expectEnd(t, codes.OK, "")
 }
 
-// The next stream of a session gets what its client has not read, and replaces the one before.
+// TestSessionContinues asserts that a new stream of a session receives the messages that the client has not read, and
+// that the previous stream ends.
 func TestSessionContinues(t *testing.T) {
 	client, _, _ := serve(t)
-	first := open(t, client, 0)
+	first := openSession(t, client, 0)
 	first.offer(t, newOffer(1, "starts"))
 	first.offer(t, newOffer(2, "starts"))
 	first.expect(t, "1 binding task-1 at a", "2 binding task-2 at a")
-	second := open(t, client, 1)
+	second := openSession(t, client, 1)
 	second.expect(t, "2 binding task-2 at a")
 	first.expectEnd(t, codes.Aborted, "a newer stream opened the session")
 }
 
-// A stream whose messages are not of the protocol ends with a status that says so.
+// TestInvalidStreams asserts the final status of streams that violate the protocol.
 func TestInvalidStreams(t *testing.T) {
 	client, _, _ := serve(t)
 	t.Run("not opened", func(t *testing.T) {
@@ -337,7 +341,7 @@
 		session{stream}.expectEnd(t, codes.InvalidArgument, "open: the first message must name a session in 1 to 64 bytes")
 	})
 	t.Run("opened twice", func(t *testing.T) {
-		s := open(t, client, 0)
+		s := openSession(t, client, 0)
 		s.send(t, &edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Open{Open: &edgepb.Open{Session: "s"}}})
 		s.expectEnd(t, codes.InvalidArgument, "expected an offer, a release or an ack")
 	})
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -1,8 +1,9 @@
 package grpcfront
 
-// This file owns the sessions: the offers and tasks of each, and the messages that its client has not
-// acknowledged. They belong to the loop and outlive their streams. A session must never send a message
-// that it could not repeat on the next stream, as far as maxUnacknowledged goes.
+// This file owns the sessions: the offers and tasks of each session, and the messages that its client has not
+// acknowledged. Sessions belong to the loop and outlive their streams. Invariant: a session stores each
+// message before it sends it, so that the next stream can resend the last maxUnacknowledged messages that the
+// client has not acknowledged.
 
 import (
 	"time"
@@ -17,39 +18,42 @@
 )
 
 const (
-	// maxSessions bounds the sessions, with and without a stream.
+	// maxSessions is the maximum number of sessions, with and without a stream.
 	maxSessions = 1024
-	// maxOpenOffers bounds the offers of a session without a response.
+	// maxOpenOffers is the maximum number of offers of one session that have no response yet.
 	maxOpenOffers = 512
-	// maxUnacknowledged bounds the messages that are stored for a client that has not acknowledged them.
+	// maxUnacknowledged is the maximum number of unacknowledged messages that one session stores. When it is
+	// exceeded, the oldest message is dropped.
 	maxUnacknowledged = 512
-	// maxSessionName bounds the name of a session, in bytes.
+	// maxSessionName is the maximum length of the name of a session, in bytes.
 	maxSessionName = 64
-	// sessionTimeoutUs is how long a session without a stream is stored, in microseconds.
+	// sessionTimeoutUs is the time after which a session without a stream is deleted, in microseconds.
 	sessionTimeoutUs = int64(2 * time.Minute / time.Microsecond)
-	// sessionBit is set in the numbers that name sessions to the dispatcher: no connection's number
-	// reaches it.
+	// sessionBit is set in the number by which the dispatcher identifies a session. The numbers of
+	// connections never reach this bit, so the two kinds of numbers do not collide.
 	sessionBit = uint64(1) << 63
 )
 
-// session is the dispatch.Client of the offers made in it.
+// session is the state of one named session of a client. It is the dispatch.Client of the offers that are
+// made in the session.
 type session struct {
 	front          *Front
 	name           string
-	number         uint64  // names the session to the dispatcher
-	stream         *stream // nil while none is open
-	lastMessage    uint64  // number of the last message, from 1
+	number         uint64  // identifies the session to the dispatcher
+	stream         *stream // the current stream, nil if none is open
+	lastMessage    uint64  // number of the last message; the first message has number 1
 	unacknowledged []*edgepb.ServerMessage
-	openOffers     map[string]openOffer // without a response, by request ID
-	runningTasks   map[string]string    // names of tasks, by request ID
-	clientClosed   bool                 // the client sends nothing more on the stream
-	expiry         *eventloop.Timer     // runs while there is no stream
+	openOffers     map[string]openOffer // offers without a response, by request ID
+	runningTasks   map[string]string    // names of running tasks, by request ID
+	clientClosed   bool                 // the client has closed its side of the current stream
+	expiry         *eventloop.Timer     // deletes the session; runs while the session has no stream
 }
 
-// openOffer is what an open offer requests.
+// openOffer holds the names of the task and the class of an open offer.
 type openOffer struct{ task, class string }
 
-// push numbers a message, stores it until it is acknowledged, and sends it.
+// push assigns the next number to a message, stores the message until the client acknowledges it, and sends it
+// if the session has a stream.
 func (s *session) push(message *edgepb.ServerMessage) {
 	s.lastMessage++
 	message.Number = s.lastMessage
@@ -62,17 +66,18 @@
 	}
 }
 
-// pushBinding notifies the client that its task was started.
+// pushBinding sends the client the binding of a task that was started.
 func (s *session) pushBinding(binding *edgepb.Binding) {
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Binding{Binding: binding}})
 }
 
-// pushEnded notifies the client that its task is over.
+// pushEnded notifies the client that a running task has ended.
 func (s *session) pushEnded(ended *edgepb.Ended) {
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: ended}})
 }
 
-// pushRejection notifies the client that its task was not started, with the status that Place would return.
+// pushRejection notifies the client that its offer was rejected. The message carries err, the status that Place
+// would return, and the retry token, nil if there is none.
 func (s *session) pushRejection(requestID, task string, err error, token []byte) {
 	st := status.Convert(err)
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Rejection{Rejection: &edgepb.Rejection{
@@ -80,7 +85,7 @@
 		RetryAfterMs: retryAfterMs(st)}}})
 }
 
-// acknowledge forgets the messages up to a number.
+// acknowledge deletes the stored messages whose number is at most upTo.
 func (s *session) acknowledge(upTo uint64) {
 	i := 0
 	for i < len(s.unacknowledged) && s.unacknowledged[i].Number <= upTo {
@@ -89,12 +94,12 @@
 	s.unacknowledged = append(s.unacknowledged[:0], s.unacknowledged[i:]...)
 }
 
-// Respond implements dispatch.Client.
+// Respond implements dispatch.Client. It converts the response to a message and pushes it to the client.
 func (s *session) Respond(response dispatch.Response) {
 	if response.Kind == dispatch.Completed || response.Kind == dispatch.Migrated {
 		if task, running := s.runningTasks[response.RequestID]; running {
 			delete(s.runningTasks, response.RequestID)
-			s.pushEnded(endedOf(response, task))
+			s.pushEnded(newEnded(response, task))
 			return
 		}
 	}
@@ -106,15 +111,16 @@
 		s.runningTasks[response.RequestID] = offer.task
 		s.pushBinding(newBinding(response.RequestID, offer.task, response))
 	}
-	s.endIfSettled()
+	s.endIfAllResponded()
 }
 
-// endReasons are the texts of the protocol for why a task was ended.
+// endReasons maps the cause of the end of a task to the reason text in the Ended message. The texts are part
+// of the protocol.
 var endReasons = map[placement.Cause]string{placement.CauseEvicted: "evicted for memory",
 	placement.CausePreempted: "pushed out", placement.CauseDrained: "sent away"}
 
-// endedOf is the message of a completion or a migration.
-func endedOf(response dispatch.Response, task string) *edgepb.Ended {
+// newEnded returns the Ended message for a completion or a migration.
+func newEnded(response dispatch.Response, task string) *edgepb.Ended {
 	how := edgepb.Ended_HOW_LOST
 	switch {
 	case response.Kind == dispatch.Migrated:
@@ -125,15 +131,18 @@
 	return &edgepb.Ended{OfferId: response.RequestID, Task: task, How: how, Reason: endReasons[response.Cause]}
 }
 
-// endIfSettled ends the stream of a client that has closed its side, once all its offers have responses.
-func (s *session) endIfSettled() {
+// endIfAllResponded ends the stream if the client has closed its side and every offer of the session has a
+// response.
+func (s *session) endIfAllResponded() {
 	if s.clientClosed && len(s.openOffers) == 0 && s.stream != nil {
 		s.stream.end(nil)
 	}
 }
 
-// attach makes st the stream of a session, and repeats the messages behind the number that its client has
-// read. It returns nil, and ends the stream, where there are too many sessions.
+// attach makes st the stream of the session with the given name, and creates the session if it does not exist.
+// A stream that the session already has is ended. attach resends the stored messages after number seen, the
+// last message that the client has read. If the number of sessions is at its limit or the front is closing,
+// it ends st and returns nil.
 func (f *Front) attach(name string, seen uint64, st *stream) *session {
 	s := f.sessions[name]
 	if f.closing || s == nil && len(f.sessions) >= maxSessions {
@@ -155,7 +164,7 @@
 	return s
 }
 
-// newSession adds a session without a stream.
+// newSession creates and registers a session without a stream.
 func (f *Front) newSession(name string) *session {
 	f.sessionsOpened++
 	s := &session{front: f, name: name, number: sessionBit | f.sessionsOpened,
@@ -164,8 +173,8 @@
 	return s
 }
 
-// detach leaves the session without a stream, unless it has another. Open offers go on until their
-// deadlines, and tasks run on.
+// detach ends the stream st. If st is the current stream of the session, the session then has no stream and
+// expires after sessionTimeoutUs. Its open offers stay open until their deadlines, and its tasks keep running.
 func (s *session) detach(st *stream) {
 	st.end(nil)
 	if s.stream != st {
@@ -179,10 +188,11 @@
 	})
 }
 
-// offer submits an offer of the session.
+// offer submits an offer that was received in the session. A repeat of an offer that is open
+// in the session is ignored.
 func (s *session) offer(offer *edgepb.Offer, submission dispatch.Submission, token presentedToken) {
 	if open, found := s.openOffers[submission.RequestID]; found && open.task == submission.Key {
-		return // its response will come in this session
+		return // the session gets the response to the open offer
 	}
 	if len(s.openOffers) >= maxOpenOffers {
 		s.pushRejection(submission.RequestID, submission.Key,
@@ -198,20 +208,20 @@
 	}
 }
 
-// rejectOffer rejects an offer that was not submitted.
+// rejectOffer sends the client a rejection of an offer that was not submitted.
 func (s *session) rejectOffer(offer *edgepb.Offer, err error) {
 	s.pushRejection(offer.GetOfferId(), offer.GetTask(), err, nil)
-	s.endIfSettled()
+	s.endIfAllResponded()
 }
 
-// release ends an offer or a task of the session. Either way the client is notified of it once.
+// release cancels an open offer or ends a running task of the session, and notifies the client once.
 func (s *session) release(requestID string) {
 	switch s.front.dispatcher.Cancel(s.front.loop.Now(), s, requestID) {
 	case dispatch.WasOpen:
 		task := s.openOffers[requestID].task
 		delete(s.openOffers, requestID)
 		s.pushRejection(requestID, task, errCancelled, nil)
-		s.endIfSettled()
+		s.endIfAllResponded()
 	case dispatch.WasRunning:
 		task := s.runningTasks[requestID]
 		delete(s.runningTasks, requestID)
--- a/internal/grpcfront/session_test.go
+++ b/internal/grpcfront/session_test.go
@@ -11,12 +11,13 @@
 	"ravenhitch/placement"
 )
 
-// respondStarted notifies a session that a worker has started a task.
+// respondStarted passes a session the response that worker "a" has started a task.
 func respondStarted(s *session, requestID string) {
 	s.Respond(dispatch.Response{Kind: dispatch.Started, RequestID: requestID, Worker: "a"})
 }
 
-// A client that does not read loses its stream, and none of the messages that are stored for it.
+// TestSlowReader asserts that a stream ends when its client does not read, and that the next stream resends the
+// messages that are stored for the client.
 func TestSlowReader(t *testing.T) {
 	front, _ := newFront()
 	slow := newStream()
@@ -25,20 +26,23 @@
 		respondStarted(s, "x")
 	}
 	if !slow.ended || status.Code(slow.err) != codes.ResourceExhausted {
-		t.Fatalf("ended %v with %v", slow.ended, slow.err)
+		t.Fatalf("stream of a client that does not read: got ended=%v, error %v; want ended=true, ResourceExhausted",
+			slow.ended, slow.err)
 	}
 	s.detach(slow)
 	next := newStream()
 	front.attach("s", maxOutbox-1, next)
 	if len(next.outbox) != 2 || (<-next.outbox).Number != maxOutbox {
-		t.Errorf("%d messages came again", len(next.outbox)+1)
+		t.Errorf("second stream: %d messages left in the outbox; want 2 messages resent, the first with number %d",
+			len(next.outbox), maxOutbox)
 	}
 	if next.ended {
-		t.Error("the new stream ended")
+		t.Errorf("the new stream has ended with %v, want it open", next.err)
 	}
 }
 
-// Acknowledged messages are not sent again, and a newer stream replaces the one before.
+// TestNewerStreamReplaces asserts that a newer stream of a session ends the previous one, that acknowledged messages
+// are not sent again, and that a late detach of the previous stream leaves the session attached.
 func TestNewerStreamReplaces(t *testing.T) {
 	front, loop := newFront()
 	first, second := newStream(), newStream()
@@ -46,43 +50,45 @@
 	respondStarted(s, "x")
 	s.Respond(dispatch.Response{Kind: dispatch.Completed, RequestID: "x", Outcome: placement.Reset, Cause: placement.CauseEvicted})
 	if m := <-first.outbox; m.GetBinding().GetNode() != "a" {
-		t.Errorf("got %v", m)
+		t.Errorf("first message: got %v, want a binding to node a", m)
 	}
 	if m := <-first.outbox; m.GetEnded().GetHow() != edgepb.Ended_HOW_LOST || m.GetEnded().GetReason() == "" {
-		t.Errorf("got %v", m)
+		t.Errorf("second message: got %v, want Ended with HOW_LOST and a reason", m)
 	}
 	s.acknowledge(1)
 	if front.attach("s", 0, second) != s || status.Code(first.err) != codes.Aborted || len(second.outbox) != 1 {
-		t.Errorf("the first stream ended with %v, %d messages came again", first.err, len(second.outbox))
+		t.Errorf("after the second attach: first stream ended with %v, %d messages resent; want the same session, "+
+			"Aborted, 1 message", first.err, len(second.outbox))
 	}
-	s.detach(first) // late, when it is not the session's stream any more
+	s.detach(first) // the second stream has replaced the first one already
 	if s.stream != second || len(loop.timers) != 0 {
-		t.Error("a stream that was replaced detached the session")
+		t.Errorf("detach of a replaced stream: second stream attached=%v, %d expiry timers started; want true, 0",
+			s.stream == second, len(loop.timers))
 	}
 }
 
-// A session without a stream expires.
+// TestSessionExpires asserts that a session without a stream is deleted when its expiry timer fires.
 func TestSessionExpires(t *testing.T) {
 	front, loop := newFront()
 	only := newStream()
 	s := front.attach("s", 0, only)
 	s.detach(only)
 	if len(loop.timers) != 1 {
-		t.Fatalf("%d timers", len(loop.timers))
+		t.Fatalf("got %d timers after detach, want 1", len(loop.timers))
 	}
 	loop.timers[0]()
 	if len(front.sessions) != 0 {
-		t.Error("the session is still there")
+		t.Errorf("got %d sessions after expiry, want 0", len(front.sessions))
 	}
 }
 
-// The sessions are bounded; a stream that opens one over that is ended.
+// TestSessionsAreBounded asserts that a stream that would open more than maxSessions sessions is ended.
 func TestSessionsAreBounded(t *testing.T) {
 	front, _ := newFront()
 	for i := range maxSessions {
 		front.attach(string(rune('a'+i)), 0, newStream())
 	}
 	if over := newStream(); front.attach("one more", 0, over) != nil || status.Code(over.err) != codes.Unavailable {
-		t.Errorf("over the limit: %v", over.err)
+		t.Errorf("attach over the limit of sessions: stream ended with %v, want Unavailable and no session", over.err)
 	}
 }
--- a/internal/grpcfront/status.go
+++ b/internal/grpcfront/status.go
@@ -1,7 +1,7 @@
 package grpcfront
 
-// This file owns the statuses of gRPC that clients get. Their codes, messages and details are part of the
-// protocol: clients act on them, and they must never change.
+// This file owns the gRPC statuses that are returned to clients. Their codes, messages and details are part of
+// the protocol and must never change, because clients act on them.
 
 import (
 	"time"
@@ -16,7 +16,7 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// The statuses without details.
+// These status errors have no details.
 var (
 	errShutdown       = status.Error(codes.Unavailable, "the orchestrator ends; open the session again")
 	errDeadlinePassed = status.Error(codes.DeadlineExceeded, "the call's time was up when it came")
@@ -31,10 +31,11 @@
 	errUnknownMessage = status.Error(codes.InvalidArgument, "expected an offer, a release or an ack")
 )
 
-// defaultRetryAfter is the advice where the dispatcher has none.
+// defaultRetryAfter is the retry delay in a status if the dispatcher gives none.
 const defaultRetryAfter = time.Second
 
-// withDetail adds a detail to a status. A status that takes none is returned without it.
+// withDetail returns the error of a status with a detail added. If the detail cannot be added, it returns the
+// error of the plain status.
 func withDetail(plain *status.Status, detail protoadapt.MessageV1) error {
 	detailed, err := plain.WithDetails(detail)
 	if err != nil {
@@ -43,18 +44,19 @@
 	return detailed.Err()
 }
 
-// retryStatus is a status that says when to try again.
+// retryStatus returns a status error with a RetryInfo detail: the client may retry after the given delay.
 func retryStatus(code codes.Code, message string, after time.Duration) error {
 	return withDetail(status.New(code, message), &errdetails.RetryInfo{RetryDelay: durationpb.New(after)})
 }
 
-// fieldStatus is the status of a message with an invalid field, and says what is wrong with it.
+// fieldStatus returns an InvalidArgument status error with a BadRequest detail that names the invalid field and
+// describes the problem.
 func fieldStatus(field, problem string) error {
 	return withDetail(status.New(codes.InvalidArgument, field+": "+problem), &errdetails.BadRequest{
 		FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: field, Description: problem}}})
 }
 
-// responseStatus is the status of a response, nil where the task was started.
+// responseStatus returns the status error for a response, or nil if the task was started.
 func responseStatus(response dispatch.Response) error {
 	switch response.Kind {
 	case dispatch.Started:
@@ -73,7 +75,7 @@
 	return errCompleted
 }
 
-// withToken adds a retry token to the status of a rejection, where there is one.
+// withToken adds a retry token to the status error of a rejection. If token is nil, it returns err unchanged.
 func withToken(err error, token []byte) error {
 	if token == nil {
 		return err
@@ -81,7 +83,7 @@
 	return withDetail(status.Convert(err), &edgepb.ReturnTicket{Ticket: token})
 }
 
-// retryAfterMs is how long a status says to wait, in milliseconds; 0 where it has no advice.
+// retryAfterMs returns the retry delay in the details of a status, in milliseconds, or 0 if there is none.
 func retryAfterMs(s *status.Status) (ms uint32) {
 	for _, detail := range s.Details() {
 		if info, ok := detail.(*errdetails.RetryInfo); ok {
--- a/internal/grpcfront/status_test.go
+++ b/internal/grpcfront/status_test.go
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// text is a status with its details, as a client gets it.
-func text(err error) string {
+// formatStatus returns the text form of a status with the details that a client receives.
+func formatStatus(err error) string {
 	s := status.Convert(err)
 	result := fmt.Sprintf("%s: %s", s.Code(), s.Message())
 	if ms := retryAfterMs(s); ms > 0 {
@@ -25,7 +25,7 @@
 	return result
 }
 
-// The statuses of responses are part of the protocol.
+// TestResponseStatus asserts the status for each kind of response. The statuses are part of the protocol.
 func TestResponseStatus(t *testing.T) {
 	rejected := dispatch.Response{Kind: dispatch.Rejected, RetryAfterUs: 2_500_000}
 	for _, test := range []struct {
@@ -50,8 +50,8 @@
 			"AlreadyExists: the offer was bound and its task is over"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := text(test.err); got != test.want {
-				t.Errorf("got %q, expected %q", got, test.want)
+			if got := formatStatus(test.err); got != test.want {
+				t.Errorf("status: got %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -1,7 +1,7 @@
 package grpcfront
 
-// This file owns the streams of sessions: what goes between one gRPC stream and the loop. A stream must
-// never make the loop wait for its client to read.
+// This file owns the streams of sessions: it passes messages between a gRPC stream and the event loop.
+// Invariant: a stream whose client does not read never blocks the loop.
 
 import (
 	"errors"
@@ -13,25 +13,25 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// maxOutbox bounds the messages that wait for one stream to be read.
+// maxOutbox is the maximum number of messages that are queued for one stream.
 const maxOutbox = 512
 
-// stream is one stream of a session. The loop alone writes to its outbox and ends it.
+// stream is one gRPC stream of a session. Only the loop adds messages to the outbox and ends the stream.
 type stream struct {
 	outbox chan *edgepb.ServerMessage
 	done   chan struct{} // closed when the stream is ended
-	err    error         // the status that it ends with, set before done is closed
+	err    error         // the final status of the stream, set before done is closed
 
-	// What follows belongs to the loop.
+	// The following fields belong to the loop.
 	ended   bool
-	session *session // nil until it is attached, and where there are too many sessions
+	session *session // nil until the stream is attached, and if attach has refused the stream
 }
 
 func newStream() *stream {
 	return &stream{outbox: make(chan *edgepb.ServerMessage, maxOutbox), done: make(chan struct{})}
 }
 
-// end ends the stream with a status, unless it was ended before.
+// end ends the stream with the status err; nil stands for OK. If the stream has ended already, end does nothing.
 func (st *stream) end(err error) {
 	if !st.ended {
 		st.ended, st.err = true, err
@@ -39,7 +39,8 @@
 	}
 }
 
-// send gives the stream a message, or ends it where its client does not read.
+// send queues a message for the stream without blocking. If the outbox is full because the client does not
+// read, it ends the stream.
 func (st *stream) send(message *edgepb.ServerMessage) {
 	if st.ended {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// Session implements edgepb.OrchestratorServer.
+// Session implements edgepb.OrchestratorServer. It serves one stream of a session until the stream ends.
 func (f *Front) Session(server edgepb.Orchestrator_SessionServer) error {
 	first, err := receiveFirst(server)
 	if err != nil {
@@ -65,7 +66,7 @@
 	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receiveAll(server, st) // its Recv returns once this call has
+	go f.receiveAll(server, st) // ends after this call has returned: server.Recv then returns an error
 	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
@@ -74,15 +75,15 @@
 	return st.write(server)
 }
 
-// receiveFirst returns the first message of a stream. One that never comes would occupy a stream, and its
-// connection, for ever.
+// receiveFirst returns the first message of a stream. It fails with errNotOpened after firstMessageTimeout:
+// without this limit, a client that sends nothing would occupy the stream and its connection forever.
 func receiveFirst(server edgepb.Orchestrator_SessionServer) (*edgepb.ClientMessage, error) {
 	type received struct {
 		message *edgepb.ClientMessage
 		err     error
 	}
 	result := make(chan received, 1)
-	go func() { // its Recv returns once the call has, at the latest
+	go func() { // ends after the call to Session has returned, at the latest: server.Recv then returns an error
 		message, err := server.Recv()
 		result <- received{message, err}
 	}()
@@ -94,7 +95,8 @@
 	}
 }
 
-// receiveAll passes what comes on a stream to the loop, until it ends.
+// receiveAll passes the messages that are received on a stream to the loop, until Recv or receive returns
+// an error. A receive error ends the stream.
 func (f *Front) receiveAll(server edgepb.Orchestrator_SessionServer, st *stream) {
 	for {
 		message, err := server.Recv()
@@ -109,8 +111,8 @@
 	}
 }
 
-// receiveEnd handles the end of what comes: the client has closed its side, or the stream is broken. It
-// runs on the loop.
+// receiveEnd handles err, the error that ended receiving: io.EOF means that the client has closed its side, any
+// other error that the stream is broken. It runs on the loop.
 func (st *stream) receiveEnd(err error) {
 	s := st.session
 	switch {
@@ -119,11 +121,11 @@
 		s.detach(st)
 	case s.stream == st:
 		s.clientClosed = true
-		s.endIfSettled()
+		s.endIfAllResponded()
 	}
 }
 
-// receive passes one message of a client to the loop. An error is the status that ends the stream.
+// receive passes one message from the client to the loop. The error is the status that the stream ends with.
 func (f *Front) receive(message *edgepb.ClientMessage, st *stream) error {
 	switch kind := message.GetKind().(type) {
 	case *edgepb.ClientMessage_Offer:
@@ -131,13 +133,13 @@
 	case *edgepb.ClientMessage_Release:
 		requestID := kind.Release.GetOfferId()
 		return f.post(func() {
-			if s := st.attached(); s != nil {
+			if s := st.attachedSession(); s != nil {
 				s.release(requestID)
 			}
 		})
 	case *edgepb.ClientMessage_Ack:
 		return f.post(func() {
-			if s := st.session; s != nil { // also where another stream has replaced this one
+			if s := st.session; s != nil { // an ack is valid even if a newer stream has replaced this one
 				s.acknowledge(kind.Ack)
 			}
 		})
@@ -145,12 +147,12 @@
 	return errUnknownMessage
 }
 
-// receiveOffer reads an offer and passes it to the loop.
+// receiveOffer validates an offer and its retry token, and passes the offer or its rejection to the loop.
 func (f *Front) receiveOffer(offer *edgepb.Offer, st *stream) error {
 	submission, invalid := parseOffer(offer)
 	token := f.verifyToken(offer)
 	return f.post(func() {
-		switch s := st.attached(); {
+		switch s := st.attachedSession(); {
 		case s == nil:
 		case invalid != nil:
 			s.rejectOffer(offer, invalid)
@@ -160,15 +162,17 @@
 	})
 }
 
-// attached is the session of which this is the stream, or nil. It is for the loop only.
-func (st *stream) attached() *session {
+// attachedSession returns the session whose current stream is st, or nil if a newer stream has replaced st or st
+// was never attached. It must be called on the loop only.
+func (st *stream) attachedSession() *session {
 	if st.session == nil || st.session.stream != st {
 		return nil
 	}
 	return st.session
 }
 
-// write sends the messages of the outbox until the stream ends. Those from before its end are sent first.
+// write sends the messages of the outbox until the stream ends, and returns the status that the stream ends
+// with. Messages that were queued before the end are sent before write returns.
 func (st *stream) write(server edgepb.Orchestrator_SessionServer) error {
 	for {
 		if err := st.writePending(server); err != nil {
@@ -190,7 +194,7 @@
 	}
 }
 
-// writePending sends the messages that are in the outbox now.
+// writePending sends the messages that are queued in the outbox, without waiting for further ones.
 func (st *stream) writePending(server edgepb.Orchestrator_SessionServer) error {
 	for {
 		select {
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -1,8 +1,10 @@
 package grpcfront
 
-// This file owns the retry tokens of this front: those issued with rejections, and those that offers
-// present. Signatures are made and verified beside the loop, where calls come in; what was redeemed belongs
-// to the loop. An invalid token counts as none, and its client must never learn that.
+// This file owns the retry tokens of the front: the tokens that are issued with rejections, and the tokens that
+// clients present with offers. Tokens are verified outside the loop, on the goroutine that receives the offer.
+// Tokens for Place are signed outside the loop too, tokens for sessions on the loop. The set of redeemed tokens
+// belongs to the loop. An offer with an invalid token is treated like an offer without one, and the client must
+// never learn that the token was invalid.
 
 import (
 	"errors"
@@ -15,24 +17,27 @@
 	"ravenhitch/internal/retrytoken"
 )
 
-// TokenCounts counts the tokens that offers presented: those that were good, and the others by what was
-// wrong. Bad are those that are not in any other count.
+// TokenCounts counts the tokens that were presented with offers. Good counts the valid tokens, Early those
+// presented too early for their slot, Expired those presented too late, Used those redeemed before, and Bad all other
+// invalid tokens.
 type TokenCounts struct{ Good, Early, Expired, Used, Bad int64 }
 
-// SetKeys sets the keys from now on. It may be called from any goroutine.
+// SetKeys replaces the keys that sign and verify tokens. It may be called from any goroutine.
 func (f *Front) SetKeys(keys *retrytoken.Keys) { f.keys.Store(keys) }
 
-// TokenCounts is what was presented so far. It is for the loop only.
+// TokenCounts returns the counts of the tokens presented so far. It must be called on the loop only.
 func (f *Front) TokenCounts() TokenCounts { return f.tokenCounts }
 
-// presentedToken is the token of an offer. The zero value is that of an offer without one.
+// presentedToken is the result of the verification of the token of an offer. The zero value stands for an offer
+// without a token.
 type presentedToken struct {
 	retrytoken.Token
 	presented bool
-	err       error // why the token is invalid
+	err       error // the reason why the token is invalid, nil if it is valid
 }
 
-// verifyToken reads the token of an offer. It runs outside the loop.
+// verifyToken decodes and verifies the token of an offer. If the front has no keys, it ignores the token. It runs
+// outside the loop.
 func (f *Front) verifyToken(offer *edgepb.Offer) presentedToken {
 	keys := f.keys.Load()
 	if len(offer.GetTicket()) == 0 || !keys.IsSet() {
@@ -45,7 +50,9 @@
 	return presentedToken{token, true, err}
 }
 
-// redeem puts a submission on the waitlist since the time that its token proves. It runs on the loop.
+// redeem redeems a token. If the token is valid and was not redeemed before, redeem copies two values from the token
+// to the submission: the time since which the client is on the waitlist, and the number of rejections. redeem runs
+// on the loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
@@ -60,7 +67,7 @@
 	f.tokenCounts.count(err)
 }
 
-// count counts a token by why it is invalid, nil where it is good.
+// count increments the counter for err, the reason why a token is invalid; nil stands for a valid token.
 func (c *TokenCounts) count(err error) {
 	switch {
 	case err == nil:
@@ -76,7 +83,8 @@
 	}
 }
 
-// issueToken writes the token that goes with a rejection. It is nil for other responses and without keys.
+// issueToken returns a signed retry token for a rejection. It returns nil for other responses, and if the front
+// has no keys.
 func (f *Front) issueToken(response dispatch.Response, task, class string) []byte {
 	keys := f.keys.Load()
 	if response.Kind != dispatch.Rejected || !keys.IsSet() {
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -1,7 +1,7 @@
 package grpcfront
 
-// This file owns the calls with one request and one response: Place and Release. They must never outlive
-// their context.
+// This file owns the unary calls Place and Release. Invariant: a call returns when its context ends, at the
+// latest.
 
 import (
 	"context"
@@ -12,19 +12,19 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// placeCall is the dispatch.Client of an offer made by Place. Whatever comes after the first response it
-// ignores: the call is over.
+// placeCall is the dispatch.Client of an offer made by Place. It ignores every response after the first,
+// because the first response ends the call.
 type placeCall struct {
-	response  chan dispatch.Response // of size one
-	rejection chan error             // of size one: the status of an offer that was not submitted
-	responded bool                   // belongs to the loop
+	response  chan dispatch.Response // the first response; has capacity 1, so that the loop never blocks
+	rejection chan error             // the status of an offer that was not submitted; has capacity 1
+	responded bool                   // whether a response was received; belongs to the loop
 }
 
 func newPlaceCall() *placeCall {
 	return &placeCall{response: make(chan dispatch.Response, 1), rejection: make(chan error, 1)}
 }
 
-// Respond implements dispatch.Client.
+// Respond implements dispatch.Client. It passes the first response to Place.
 func (c *placeCall) Respond(response dispatch.Response) {
 	if !c.responded {
 		c.responded = true
@@ -32,7 +32,7 @@
 	}
 }
 
-// Place implements edgepb.OrchestratorServer.
+// Place implements edgepb.OrchestratorServer. It submits one offer and returns the binding of its task.
 func (f *Front) Place(ctx context.Context, offer *edgepb.Offer) (*edgepb.Binding, error) {
 	submission, err := parseOffer(offer)
 	if err != nil {
@@ -59,7 +59,8 @@
 	}
 }
 
-// submitPlace submits the offer of a call, with the call's deadline as its timeout. It runs on the loop.
+// submitPlace submits the offer of a call. If the call has a deadline, the deadline replaces the timeout of the
+// submission. submitPlace runs on the loop.
 func (f *Front) submitPlace(ctx context.Context, call *placeCall, submission dispatch.Submission, token presentedToken) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		submission.TimeoutUs = deadline.UnixMicro() - f.loop.Now()
@@ -74,15 +75,16 @@
 	return f.submit(call, submission)
 }
 
-// cancelPlace cancels the offer of a call whose client waits no more. It runs on the loop. A task that was
-// started meanwhile goes on; a repeat of the offer gets its binding.
+// cancelPlace cancels the offer of a call whose context has ended. If the task was started in the meantime, the
+// task keeps running, and a repeat of the offer gets its binding. cancelPlace runs on the loop.
 func (f *Front) cancelPlace(call *placeCall, requestID string) {
 	if !call.responded {
 		f.dispatcher.Cancel(f.loop.Now(), call, requestID)
 	}
 }
 
-// placeResult is what Place returns for a response.
+// placeResult returns the result of Place for a response: the binding, or a gRPC status error that may carry a
+// retry token.
 func (f *Front) placeResult(offer *edgepb.Offer, response dispatch.Response) (*edgepb.Binding, error) {
 	if err := responseStatus(response); err != nil {
 		return nil, withToken(err, f.issueToken(response, offer.GetTask(), offer.GetClass()))
@@ -90,12 +92,12 @@
 	return newBinding(offer.GetOfferId(), offer.GetTask(), response), nil
 }
 
-// newBinding is the binding of a task that was started.
+// newBinding returns the binding of a task that was started.
 func newBinding(offerID, task string, response dispatch.Response) *edgepb.Binding {
 	return &edgepb.Binding{OfferId: offerID, Task: task, Node: response.Worker, Description: response.Description}
 }
 
-// Release implements edgepb.OrchestratorServer.
+// Release implements edgepb.OrchestratorServer. It cancels an open offer or ends a running task.
 func (f *Front) Release(ctx context.Context, request *edgepb.ReleaseRequest) (*edgepb.ReleaseResponse, error) {
 	cancelled := make(chan dispatch.CancelResult, 1)
 	if err := f.post(func() { cancelled <- f.release(request.GetOfferId()) }); err != nil {
@@ -112,9 +114,10 @@
 	}
 }
 
-// release ends an offer or a task of this front, whoever made it. It runs on the loop.
+// release cancels an open offer or ends a running task that was submitted over gRPC, by any client. It runs on
+// the loop.
 func (f *Front) release(requestID string) dispatch.CancelResult {
-	if !f.dispatcher.IsResumable(requestID) { // also where the platform's front has it
+	if !f.dispatcher.IsResumable(requestID) { // unknown, or submitted through the other front (package clientfront)
 		return dispatch.NotFound
 	}
 	return f.dispatcher.Cancel(f.loop.Now(), nil, requestID)
