--- a/internal/eventloop/address.go
+++ b/internal/eventloop/address.go
@@ -1,6 +1,7 @@
 package eventloop
 
-// This file owns how addresses are read and written. It must never resolve a name, which would block the loop.
+// This file contains the parsing and formatting of addresses. It never resolves host names, because a lookup would
+// block the loop.
 
 import (
 	"fmt"
@@ -9,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxQuotedAddr bounds how much of an invalid address an error quotes.
+// maxQuotedAddr is the maximum number of characters of an invalid address that an error quotes.
 const maxQuotedAddr = 60
 
-// parseAddr reads an IP address and a port.
+// parseAddr parses an IP address with a port into a socket address and its address family.
 func parseAddr(addr string) (family int, sa unix.Sockaddr, err error) {
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -25,8 +26,8 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: parsed.Addr().As16()}, nil
 }
 
-// localAddr is the IPv4 address that a socket is bound to, or fallback for another family or where the system does
-// not report one.
+// localAddr returns the IPv4 address and port that a socket is bound to. It returns fallback if the socket has
+// another address family or the kernel reports no address.
 func localAddr(fd int, fallback string) string {
 	sa, err := unix.Getsockname(fd)
 	if err != nil {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,51 +1,55 @@
 package eventloop
 
-// This file owns connections: how they begin and end. It must never close the descriptor of a connection while events
-// are being dispatched, and never notify a handler of an end that its user has asked for.
+// This file contains how connections are opened and closed. The descriptor of a connection is never closed while
+// events are being dispatched, and a handler is never notified of a close that its user requested.
 
 import (
 	"golang.org/x/sys/unix"
 )
 
-// Handler takes the events of one connection. Data returns how many of the bytes gathered so far it has used; the rest
-// comes again with what follows, and an error ends the connection. Closed is called once for every connection that opened
-// or was dialled, unless its user closed or aborted it.
+// Handler handles the events of one connection.
+//
+// Opened is called when the connection is established. Data is called with all received bytes that it has not used
+// yet, and returns how many of them it has used; the rest is passed again together with the bytes received next. If
+// Data returns an error, the connection is closed with that error. Closed is called once for every connection that
+// was opened or dialled, unless its user closed or aborted it.
 type Handler interface {
 	Opened(c *Conn)
 	Data(c *Conn, b []byte) (used int, err error)
 	Closed(c *Conn, err error)
 }
 
-// Drainer is a Handler that is notified when the system has taken all that it had not taken at once.
+// Drainer is a Handler that is notified when the kernel has accepted all output of its connection, after it had
+// accepted only a part at first. It is also notified after Opened of a dialled connection, if no output is left then.
 type Drainer interface {
 	Drained(c *Conn)
 }
 
-// Conn is a connection of the loop. A nil Conn is closed.
+// Conn is a TCP connection that a [Loop] owns. A nil Conn counts as closed.
 type Conn struct {
 	loop      *Loop
 	fd        int
 	handler   Handler
-	dialTimer *Timer // nil where the connection was accepted
+	dialTimer *Timer // nil if the connection was accepted
 
 	established bool
 	closed      bool
-	interest    uint32 // epoll events that it is watched for
+	interest    uint32 // epoll events that the descriptor is watched for
 
-	input       []byte // read, and not used by the handler yet
-	output      []byte // written by the user, and not taken by the system yet
-	flushQueued bool   // this turn will try to send the output
-	awaitsDrain bool   // the system did not take all at once, and the handler waits for that
+	input       []byte // received bytes that the handler has not used yet
+	output      []byte // bytes written by the user that the kernel has not accepted yet
+	flushQueued bool   // the output is flushed at the end of this turn
+	awaitsDrain bool   // the kernel accepted only a part of the output; the handler is notified once it accepts the rest
 
 	bytesWritten int64
 	bytesSent    int64
 
-	emptyAt    int64 // when nothing was left to read, by the clock and not by the turn
-	unreadPoll int64 // the number of the complete poll after which something may have been left to read
+	emptyAt    int64 // [Loop.Clock] time at which nothing was left to read
+	unreadPoll int64 // number of the last complete poll after which data may have been left unread
 }
 
-// Dial starts a connection, which fails with [ErrTimeout] unless it is established in timeoutUs microseconds. An error
-// says that it could not be started; whatever comes later is reported to the handler.
+// Dial starts to connect to addr. The connection fails with [ErrTimeout] unless it is established within timeoutUs
+// microseconds. Dial returns an error if the attempt cannot be started; later failures are reported to the handler.
 func (l *Loop) Dial(addr string, timeoutUs int64, handler Handler) (*Conn, error) {
 	if l.FreeDescriptors() <= 0 {
 		return nil, ErrBudget
@@ -79,28 +83,29 @@
 // IsClosed reports whether the connection is closed.
 func (c *Conn) IsClosed() bool { return c == nil || c.closed }
 
-// Close sends what the system takes at once and closes the connection; its handler is not notified.
+// Close sends as much of the output as the kernel accepts at once, and closes the connection. The handler is not
+// notified.
 func (c *Conn) Close() {
 	if c.closed {
 		return
 	}
-	_ = c.flush() // the connection ends either way
+	_ = c.flush() // the connection is closed even if this fails
 	c.drop()
 }
 
-// Abort closes the connection with a reset; its handler is not notified. Both systems discard what the other side
-// has not read yet: after a plain close they would go on trying to deliver it, and a message would arrive long
-// after its time.
+// Abort closes the connection with a TCP reset. The handler is not notified. The reset makes the kernels on both
+// sides discard data that the other side has not read yet. After a plain close they would keep trying to deliver
+// that data, and a message could arrive long after it was due.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
 	}
-	// A system that rejects the option closes plainly, which still ends the connection.
+	// If the kernel rejects the option, the connection is closed without a reset.
 	_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	c.drop()
 }
 
-// drop marks the connection closed and leaves its descriptor to reap.
+// drop marks the connection as closed. Its descriptor is closed by [Loop.reap].
 func (c *Conn) drop() {
 	if c.closed {
 		return
@@ -113,7 +118,7 @@
 	}
 }
 
-// fail ends the connection and reports err to its handler.
+// fail closes the connection and reports err to its handler.
 func (c *Conn) fail(err error) {
 	if c.closed {
 		return
@@ -123,9 +128,10 @@
 	c.loop.runAgain = true
 }
 
-// reap closes the descriptors of dropped connections: at once where the loop is not dispatching events, so that a close
-// is sent before anything that is written after it; else as soon as all events were dispatched, so that a
-// descriptor that is opened again is not taken for the old connection.
+// reap closes the descriptors of dropped connections. Outside the dispatch of events it runs at once, so that the
+// close is sent before anything that is written after it. During the dispatch it is deferred until all events are
+// dispatched: the number of a closed descriptor may be reused, and the events of the old connection would go to the
+// new one.
 func (l *Loop) reap() {
 	for _, c := range l.unreaped {
 		delete(l.conns, c.fd)
@@ -135,8 +141,8 @@
 	l.unreaped = l.unreaped[:0]
 }
 
-// ready takes the epoll events of the connection.
-func (c *Conn) ready(events uint32) {
+// handleEvents handles the epoll events of the connection.
+func (c *Conn) handleEvents(events uint32) {
 	if !c.established && !c.finishDial(events) {
 		return
 	}
@@ -151,11 +157,12 @@
 			c.fail(err)
 			return
 		}
-		c.drained()
+		c.notifyDrained()
 	}
 }
 
-// finishDial takes the first epoll events of a dialled connection, and reports whether it is open.
+// finishDial handles the epoll events of a dialled connection until it is established, and reports whether the
+// connection is open.
 func (c *Conn) finishDial(events uint32) bool {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
--- a/internal/eventloop/descriptor.go
+++ b/internal/eventloop/descriptor.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// This file owns what is done to descriptors of any kind: they are opened, watched, counted against the budget and
-// closed. No descriptor of the loop may be closed elsewhere.
+// This file contains the operations on descriptors of any kind: opening, watching, counting against the budget and
+// closing. Descriptors of the loop are closed nowhere else.
 
 import (
 	"golang.org/x/sys/unix"
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// closeDescriptor closes a descriptor that addDescriptor has added.
+// closeDescriptor closes a descriptor that was added by addDescriptor and returns it to the budget.
 func (l *Loop) closeDescriptor(fd int) {
 	closeFD(fd)
 	l.openDescriptors--
@@ -29,10 +29,10 @@
 	return nil
 }
 
-// closeFD closes a descriptor. An error is of no use: Linux releases the descriptor in any case.
+// closeFD closes a descriptor. It ignores an error, because Linux releases the descriptor in any case.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
-// openSocket opens a non-blocking socket for an address; op names the operation in its error.
+// openSocket opens a non-blocking socket of the address family of addr. An error names op as the failed operation.
 func openSocket(op string, socketType int, addr string) (fd int, sa unix.Sockaddr, err error) {
 	family, sa, err := parseAddr(addr)
 	if err != nil {
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -12,7 +12,7 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// closedPort returns an address where nobody listens.
+// closedPort returns a loopback address on which no socket listens.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	listener := nettest.Listen(t)
@@ -22,7 +22,8 @@
 	return listener.Addr().String()
 }
 
-// Dials succeed, are refused, are bounded by the budget, and what was written before a close still arrives.
+// TestDial checks that a dial succeeds at a listener and is refused without one, that dials are limited by the
+// descriptor budget, and that bytes written before a close still arrive.
 func TestDial(t *testing.T) {
 	const timeoutUs = 250_000
 	loop, onLoop := startLoop(t, 3)
@@ -39,22 +40,22 @@
 			refused.closed <- err
 		}
 	})
-	testbed.Wait(t, "the connection", accepted.opened)
-	if err := testbed.Wait(t, "the refusal", refused.closed); !errors.Is(err, unix.ECONNREFUSED) {
-		t.Errorf("refused with %v", err)
+	testbed.Wait(t, "the dialled connection", accepted.opened)
+	if err := testbed.Wait(t, "the refused connection", refused.closed); !errors.Is(err, unix.ECONNREFUSED) {
+		t.Errorf("dial of a closed port: got error %v, want %v", err, unix.ECONNREFUSED)
 	}
 
 	onLoop(func() {
 		for range 2 {
 			if _, err := loop.Dial(listener.Addr().String(), timeoutUs, newEchoHandler()); err != nil {
-				t.Errorf("within the budget: %v", err)
+				t.Errorf("dial within the descriptor budget: got error %v, want none", err)
 			}
 		}
 		if _, err := loop.Dial(listener.Addr().String(), timeoutUs, newEchoHandler()); !errors.Is(err, ErrBudget) {
-			t.Errorf("over the budget: %v", err)
+			t.Errorf("dial over the descriptor budget: got error %v, want %v", err, ErrBudget)
 		}
 		if _, err := loop.Dial("nowhere", timeoutUs, newEchoHandler()); err == nil {
-			t.Error("an address that is none was dialled")
+			t.Error("dial of an invalid address: got no error, want one")
 		}
 	})
 
@@ -65,18 +66,18 @@
 		conn.Close()
 	})
 	if received, err := io.ReadAll(remote); err != nil || string(received) != "last words" {
-		t.Errorf("received %q, %v", received, err)
+		t.Errorf("remote end received %q, error %v; want %q and no error", received, err, "last words")
 	}
 	onLoop(func() {
 		if loop.FreeDescriptors() != 1 {
-			t.Errorf("%d descriptors are free", loop.FreeDescriptors())
+			t.Errorf("free descriptors: got %d, want 1", loop.FreeDescriptors())
 		}
 	})
 }
 
-// fullQueue listens with a queue of one that nobody empties, and returns the address: what comes after the first is
-// never established.
-func fullQueue(t *testing.T) string {
+// listenWithFullQueue returns the address of a socket that listens with an accept queue of one and never accepts.
+// Connections after the first are never established.
+func listenWithFullQueue(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -97,10 +98,10 @@
 	return addr.String()
 }
 
-// A connection that is not established in time ends with ErrTimeout.
+// TestDialTimeout checks that a dialled connection that is not established in time is closed with ErrTimeout.
 func TestDialTimeout(t *testing.T) {
 	loop, onLoop := startLoop(t, 100)
-	addr := fullQueue(t)
+	addr := listenWithFullQueue(t)
 	closed := make(chan error, 10)
 	onLoop(func() {
 		for range 6 {
@@ -111,11 +112,12 @@
 			}
 		}
 	})
-	if err := testbed.Wait(t, "the timeout", closed); !errors.Is(err, ErrTimeout) {
-		t.Errorf("ended with %v", err)
+	if err := testbed.Wait(t, "the dial timeout", closed); !errors.Is(err, ErrTimeout) {
+		t.Errorf("connection closed with error %v, want %v", err, ErrTimeout)
 	}
 }
 
+// TestOpErrorNamesOperationAndTarget checks the text of an OpError and that it wraps its cause.
 func TestOpErrorNamesOperationAndTarget(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -125,7 +127,7 @@
 		{&OpError{Op: "dial", Target: "127.0.0.1:1", Err: unix.ECONNRESET}, "eventloop: dial 127.0.0.1:1: connection reset by peer"},
 	} {
 		if got := c.err.Error(); got != c.want || !errors.Is(c.err, unix.ECONNRESET) {
-			t.Errorf("got %q, expected %q", got, c.want)
+			t.Errorf("OpError: got text %q, want %q and an error that wraps %v", got, c.want, unix.ECONNRESET)
 		}
 	}
 }
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -1,25 +1,26 @@
 package eventloop
 
-// This file owns the errors that users of the loop may match.
+// This file contains the errors that users of the package may match.
 
 import "errors"
 
-// The errors for which the loop itself ends a connection, or opens none.
+// Errors with which the loop closes a connection ([ErrTimeout], [ErrEOF], [ErrOverflow]) or refuses to dial one
+// ([ErrBudget]).
 var (
 	ErrTimeout  = errors.New("eventloop: connection not established in time")
 	ErrEOF      = errors.New("eventloop: closed by the other side")
-	ErrOverflow = errors.New("eventloop: the other side does not read")
+	ErrOverflow = errors.New("eventloop: too much unsent output: the other side does not read")
 	ErrBudget   = errors.New("eventloop: no descriptor left in the budget")
 )
 
-// ErrNotListening says that an inherited descriptor is no listening socket. It comes in an [OpError], whose text
-// names the package.
+// ErrNotListening means that an inherited descriptor is not a listening socket. It is wrapped in an [OpError], whose
+// text names the package.
 var ErrNotListening = errors.New("expected a listening socket")
 
-// OpError is an operation on a descriptor that failed. It wraps the error of the system call, as a [unix.Errno].
+// OpError reports a failed operation. It wraps the cause, which is a [unix.Errno] if a system call failed.
 type OpError struct {
-	Op     string // what failed, such as "dial" or "read"
-	Target string // on what, such as an address; "" for the connection that is notified of it
+	Op     string // operation that failed, such as "dial" or "read"
+	Target string // object of the operation, such as an address; "" for the connection whose handler gets the error
 	Err    error
 }
 
@@ -31,5 +32,5 @@
 	return "eventloop: " + e.Op + " " + e.Target + ": " + e.Err.Error()
 }
 
-// Unwrap returns the error of the system call.
+// Unwrap returns the cause.
 func (e *OpError) Unwrap() error { return e.Err }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,16 +1,18 @@
-// Package eventloop owns the epoll descriptor, every socket, their buffers, the timers and the
-// descriptor budget. One goroutine runs the loop; nothing else may touch what it owns, except through
-// [Loop.Post]. It knows no protocol and must never block: not on a socket, not on another goroutine.
-// The descriptor of a connection is closed in one place only, [Loop.reap].
+// Package eventloop implements an event loop on epoll. It owns the epoll descriptor, all sockets, their
+// buffers, the timers and the descriptor budget. One goroutine runs the loop; any other goroutine may
+// access what the loop owns only through [Loop.Post]. The package knows no protocol and never blocks,
+// neither on a socket nor on another goroutine. The descriptor of a connection is closed in one place
+// only, [Loop.reap].
 //
-// What a user writes goes out at the end of the turn, in the order in which connections were first
-// written to. What must be sent before anything else of the turn is handed to the system at once: by
-// [Conn.Flush], and by a close, which is not put off either.
+// One iteration of the loop is called a turn. Output is sent at the end of the turn, in the order in
+// which connections were first written to. Output that must be sent before all other output of the turn
+// is passed to the kernel at once by [Conn.Flush]. A close is not deferred to the end of the turn either.
 //
-// Times are in microseconds of the Unix clock.
+// Times are Unix times in microseconds.
 package eventloop
 
-// This file owns the loop itself: its start and end, its turns, and what other goroutines post to it.
+// This file contains the loop itself: its creation and shutdown, its turns, and the functions that other goroutines
+// post to it.
 
 import (
 	"sync"
@@ -20,22 +22,23 @@
 )
 
 const (
-	millisecond = int64(1_000)
+	millisecond = int64(1_000) // in microseconds
 
-	// readBufferSize bounds one read of a connection.
+	// readBufferSize is the maximum number of bytes that one read of a connection returns.
 	readBufferSize = 64 << 10
-	// defaultMaxBuffered bounds what one connection may leave unread, unless SetMaxBuffered sets another bound.
+	// defaultMaxBuffered is the maximum number of output bytes that one connection may leave unread, unless
+	// SetMaxBuffered sets another limit.
 	defaultMaxBuffered = 1 << 20
-	// initialEvents is how many ready descriptors one poll reports at first; it grows on demand.
+	// initialEvents is the initial number of ready descriptors that one poll can report. The buffer grows on demand.
 	initialEvents = 256
 	// eventfdSize is the size in bytes of the counter that is read from and written to an eventfd.
 	eventfdSize = 8
 )
 
-// Loop is one epoll loop.
+// Loop is an event loop that runs on one epoll descriptor.
 type Loop struct {
 	epollFD     int
-	wakeFD      int // an eventfd that is written to by Post
+	wakeFD      int // eventfd that Post writes to
 	conns       map[int]*Conn
 	listeners   map[int]*listener
 	packetConns map[int]*PacketConn
@@ -43,28 +46,28 @@
 
 	maxDescriptors  int
 	openDescriptors int
-	maxBuffered     int    // bytes that one connection may leave unread
-	readBuffer      []byte // of all connections, as one is read at a time
+	maxBuffered     int    // maximum output of one connection, in bytes, that the kernel has not accepted
+	readBuffer      []byte // shared by all connections, because only one is read at a time
 
 	unreaped  []*Conn // closed connections whose descriptors are still open
 	unflushed []*Conn // connections that were written to in this turn
-	// dispatching says that events are being dispatched. A descriptor that was closed now could be opened again for
-	// another connection, which would then get the events of the old one.
+	// dispatching is true while events are being dispatched. The number of a descriptor that is closed then could be
+	// reused for another connection, which would get the events of the old one.
 	dispatching bool
 
 	startedAt    time.Time
-	now          int64 // when this turn began
-	turnDuration int64 // of the last turn
+	now          int64 // time at which this turn began
+	turnDuration int64 // duration of the last turn in microseconds
 	polls        pollHistory
-	runAgain     bool // take the next turn without waiting
+	runAgain     bool // the next turn starts without waiting for events
 	stopping     bool
 
-	lastPostAt int64 // when what was posted was last taken
+	lastPostAt int64 // time at which the loop last took the posted functions
 	mu         sync.Mutex
 	posted     []func() // guarded by mu
 }
 
-// New returns a loop that holds at most maxDescriptors sockets. Close releases it.
+// New returns a loop that opens at most maxDescriptors sockets. Close releases its resources.
 func New(maxDescriptors int) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -86,7 +89,7 @@
 		readBuffer:     make([]byte, readBufferSize),
 		startedAt:      time.Now(),
 	}
-	l.tick()
+	l.updateNow()
 	if err := l.epollCtl(unix.EPOLL_CTL_ADD, wakeFD, unix.EPOLLIN); err != nil {
 		closeFD(epollFD)
 		closeFD(wakeFD)
@@ -95,49 +98,52 @@
 	return l, nil
 }
 
-// tick sets the time of this turn.
-func (l *Loop) tick() { l.now = l.Clock() }
+// updateNow updates the time that Now returns.
+func (l *Loop) updateNow() { l.now = l.Clock() }
 
-// Clock reads the time amid a turn, where [Loop.Now] is when the turn began. It is the Unix clock as it stood at the
-// start, carried on by the monotonic one: a step of the system's clock would fire all timers at once, or none for
-// as long as it went back.
+// Clock returns the current Unix time in microseconds, whereas [Loop.Now] returns the time at which the turn began.
+// It adds the time elapsed on the monotonic clock to the wall-clock time at which the loop was created. If the loop
+// followed the wall clock, a step forward could fire all timers at once, and a step back would delay every timer by
+// the size of the step.
 func (l *Loop) Clock() int64 {
 	return l.startedAt.UnixMicro() + time.Since(l.startedAt).Microseconds()
 }
 
-// Now is the Unix time at which this turn began, in microseconds.
+// Now returns the Unix time at which this turn began, in microseconds.
 func (l *Loop) Now() int64 { return l.now }
 
-// TurnDuration is how long the last turn took, in microseconds, from the poll to the last write.
+// TurnDuration returns the duration of the last turn, in microseconds, from the return of the poll to the last write.
 func (l *Loop) TurnDuration() int64 { return l.turnDuration }
 
-// LastPostAt is when what other goroutines had posted was last taken.
+// LastPostAt returns the Unix time, in microseconds, at which the loop last took the functions that other goroutines
+// had posted.
 func (l *Loop) LastPostAt() int64 { return l.lastPostAt }
 
-// FreeDescriptors is how many sockets may still be opened.
+// FreeDescriptors returns the number of sockets that may still be opened within the budget.
 func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
-// SetMaxBuffered sets how many bytes one connection may leave unread, beyond what the system buffers, before it
-// is closed with [ErrOverflow].
+// SetMaxBuffered sets the maximum number of output bytes that the other side of one connection may leave unread,
+// beyond those that the kernel buffers. A connection over the limit is closed with [ErrOverflow].
 func (l *Loop) SetMaxBuffered(maxBytes int) { l.maxBuffered = maxBytes }
 
-// RunAgain makes the loop take another turn without waiting.
+// RunAgain makes the loop start the next turn without waiting for events.
 func (l *Loop) RunAgain() { l.runAgain = true }
 
-// Stop ends Run after this turn.
+// Stop makes Run return after this turn.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Post has the loop call f in its next turn. Any goroutine may call it.
+// Post makes the loop call f on its own goroutine: in the current turn if that has not run its posted functions yet,
+// otherwise in the next turn. Any goroutine may call Post.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	one := [eventfdSize]byte{1}         // any value but 0, in any byte order, wakes the loop
-	_, _ = unix.Write(l.wakeFD, one[:]) // a full counter means that the loop is being woken already
+	one := [eventfdSize]byte{1}         // any value other than 0, in any byte order, wakes the loop
+	_, _ = unix.Write(l.wakeFD, one[:]) // fails if the counter is full: then a wake-up is already pending
 }
 
-// Run takes turns until Stop. In each it gathers what is ready, calls turn once to decide on all of it, and writes
-// what came of that.
+// Run runs turns until Stop is called. Each turn handles all ready descriptors, posted functions and due timers, then
+// calls turn once with the time at which the turn began, and finally sends the output.
 func (l *Loop) Run(turn func(now int64)) error {
 	events := make([]unix.EpollEvent, initialEvents)
 	for !l.stopping {
@@ -146,16 +152,16 @@
 			return &OpError{Op: "epoll_wait", Err: err}
 		}
 		l.runAgain = false
-		l.tick()
-		complete := err == nil && n < len(events) // else some that are ready may not be reported
+		l.updateNow()
+		complete := err == nil && n < len(events) // a full buffer may omit ready descriptors
 		if complete {
-			l.polls.begin(l.now)
+			l.polls.recordPoll(l.now)
 		}
 		l.dispatchAll(events[:max(0, n)])
 		if complete {
-			l.polls.processed()
+			l.polls.markProcessed()
 		} else if n == len(events) {
-			events = make([]unix.EpollEvent, 2*len(events)) // the next poll reports all
+			events = make([]unix.EpollEvent, 2*len(events)) // room for the ready descriptors that were omitted
 		}
 		l.runPosted()
 		l.fireTimers()
@@ -166,7 +172,8 @@
 	return nil
 }
 
-// dispatchAll hands each event to what is ready, and then closes the descriptors of the connections that ended.
+// dispatchAll dispatches each event to the owner of its descriptor, and then closes the descriptors of dropped
+// connections.
 func (l *Loop) dispatchAll(events []unix.EpollEvent) {
 	l.dispatching = true
 	for _, event := range events {
@@ -179,7 +186,7 @@
 func (l *Loop) dispatch(fd int, events uint32) {
 	if fd == l.wakeFD {
 		var counter [eventfdSize]byte
-		_, _ = unix.Read(l.wakeFD, counter[:]) // resets it; what was posted is taken in every turn
+		_, _ = unix.Read(l.wakeFD, counter[:]) // resets the counter; posted functions are taken in every turn
 		return
 	}
 	if listener := l.listeners[fd]; listener != nil {
@@ -191,11 +198,11 @@
 		return
 	}
 	if c := l.conns[fd]; c != nil && !c.closed {
-		c.ready(events)
+		c.handleEvents(events)
 	}
 }
 
-// runPosted calls what other goroutines have posted.
+// runPosted calls the functions that other goroutines have posted.
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
@@ -206,7 +213,8 @@
 	}
 }
 
-// flushAll writes what was written to connections in this turn, also by the handlers that it calls.
+// flushAll sends the output of all connections that were written to in this turn, including output written by the
+// handlers that flushAll itself calls.
 func (l *Loop) flushAll() {
 	for i := 0; i < len(l.unflushed); i++ {
 		c := l.unflushed[i]
@@ -218,14 +226,14 @@
 			c.fail(err)
 			continue
 		}
-		if c.awaitsDrain { // the other side read on within the turn: no event will report that
-			c.drained()
+		if c.awaitsDrain { // the other side read the rest within the turn, so no event will report it
+			c.notifyDrained()
 		}
 	}
 	l.unflushed = l.unflushed[:0]
 }
 
-// Close closes all descriptors. Handlers are not notified.
+// Close closes all descriptors of the loop. Handlers are not notified.
 func (l *Loop) Close() {
 	for fd := range l.listeners {
 		l.closeDescriptor(fd)
@@ -233,7 +241,7 @@
 	for fd := range l.packetConns {
 		l.closeDescriptor(fd)
 	}
-	l.dispatching = true // connections are reaped after the loop over them
+	l.dispatching = true // defers reap until all connections are dropped
 	for _, c := range l.conns {
 		c.drop()
 	}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -1,6 +1,6 @@
 package eventloop
 
-// This file owns what the tests of this package share: running loops, and connections to them.
+// This file contains the helpers shared by the tests of this package: running loops, handlers and connections.
 
 import (
 	"net"
@@ -11,10 +11,10 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// dialTimeoutUs is longer than a test takes.
+// dialTimeoutUs is a dial timeout, in microseconds, that is longer than any test takes.
 const dialTimeoutUs = 10_000_000
 
-// testHandler reports what happens to its connection to a test.
+// testHandler is a Handler that reports the events of its connection on channels.
 type testHandler struct {
 	opened chan struct{}
 	closed chan error
@@ -25,7 +25,7 @@
 func (h *testHandler) Data(c *Conn, b []byte) (int, error) { return h.data(c, b) }
 func (h *testHandler) Closed(_ *Conn, err error)           { h.closed <- err }
 
-// newEchoHandler returns a handler that sends back what it gets.
+// newEchoHandler returns a handler that sends back all bytes that it receives.
 func newEchoHandler() *testHandler {
 	return &testHandler{
 		opened: make(chan struct{}, 10),
@@ -34,9 +34,11 @@
 	}
 }
 
+// admitAll is an Admission that always has capacity.
 var admitAll = AdmissionFunc(func() bool { return true })
 
-// startLoop runs a loop until the end of the test. onLoop calls a function on it and waits for that.
+// startLoop runs a loop until the end of the test. onLoop calls a function on the goroutine of the loop and waits
+// until it returns.
 func startLoop(t *testing.T, maxDescriptors int) (loop *Loop, onLoop func(f func())) {
 	t.Helper()
 	loop, err := New(maxDescriptors)
@@ -59,11 +61,11 @@
 		t.Helper()
 		done := make(chan bool, 1)
 		loop.Post(func() { f(); done <- true })
-		testbed.Wait(t, "the loop", done)
+		testbed.Wait(t, "a function call on the loop", done)
 	}
 }
 
-// write writes to a connection of the test.
+// write writes b to conn and reports an error to the test.
 func write(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
 	if _, err := conn.Write(b); err != nil {
@@ -71,7 +73,7 @@
 	}
 }
 
-// setReadDeadline sets until when reads of a connection of the test may wait.
+// setReadDeadline sets the read deadline of conn and reports an error to the test.
 func setReadDeadline(t *testing.T, conn net.Conn, deadline time.Time) {
 	t.Helper()
 	if err := conn.SetReadDeadline(deadline); err != nil {
@@ -79,7 +81,7 @@
 	}
 }
 
-// connectThree has the loop dial three connections to a listener of the test. It returns both ends.
+// connectThree makes the loop dial three connections to a listener of the test. It returns both ends of each.
 func connectThree(t *testing.T, loop *Loop, onLoop func(func())) (local [3]*Conn, remote [3]net.Conn) {
 	t.Helper()
 	listener := nettest.Listen(t)
@@ -91,7 +93,7 @@
 				t.Error(err)
 			}
 		})
-		testbed.Wait(t, "the connection", handler.opened)
+		testbed.Wait(t, "a dialled connection", handler.opened)
 		remote[i] = nettest.Accept(t, listener)
 	}
 	return local, remote
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// This file owns the listening sockets: where they listen, and which connections they accept. It must never accept a
-// connection for which there is no descriptor: the system's queue keeps it.
+// This file contains the listening sockets: their addresses, and which connections they accept. A connection for
+// which the budget has no descriptor is never accepted; it stays in the kernel's accept queue.
 
 import (
 	"fmt"
@@ -11,25 +11,27 @@
 )
 
 const (
-	// listenBacklog is how many connections the system queues on a listening socket.
+	// listenBacklog is the maximum length of the kernel's accept queue of a listening socket.
 	listenBacklog = 1024
-	// maxAcceptsPerTurn is how many connections one listener accepts before others have their turn.
+	// maxAcceptsPerTurn is the maximum number of connections that one listener accepts in a turn, so that others are
+	// served.
 	maxAcceptsPerTurn = 256
-	// acceptPause is how long a listener accepts nothing after a connection could not be accepted.
+	// acceptPause is the time, in microseconds, for which a listener pauses after a connection could not be accepted.
 	acceptPause = 20 * millisecond
 )
 
-// Admission decides whether another connection is accepted. While it is not, connections wait in the system's queue.
+// Admission decides whether a listener accepts another connection. Connections that are not accepted wait in the
+// kernel's accept queue.
 type Admission interface {
-	// HasCapacity reports whether one may be accepted as things are. It changes nothing, as it is also called
-	// where no connection waits.
+	// HasCapacity reports whether another connection may be accepted. It must have no side effects, because it is
+	// also called when no connection is waiting.
 	HasCapacity() bool
-	// MakeCapacity is called for a connection that waits where there is no capacity, and reports whether there
-	// is now. It may close another connection.
+	// MakeCapacity is called if a connection is waiting and there is no capacity. It may close another connection,
+	// and reports whether there is capacity now.
 	MakeCapacity() bool
 }
 
-// AdmissionFunc is an Admission that reports whether there is capacity, and cannot make any.
+// AdmissionFunc is an Admission that reports whether there is capacity, and that cannot make capacity.
 type AdmissionFunc func() bool
 
 // HasCapacity implements Admission.
@@ -44,12 +46,12 @@
 	admission Admission
 	accept    func() Handler
 	paused    bool
-	queued    bool  // connections may wait in the system's queue; false once none was found
-	emptyAt   int64 // when none was found
+	queued    bool  // connections may wait in the accept queue; false once the queue was found empty
+	emptyAt   int64 // time at which the accept queue was last found empty
 }
 
-// Listen accepts connections at addr while admission allows it, each with a Handler of its own from accept, and returns
-// the address that it listens on.
+// Listen accepts connections at addr while admission permits it. It calls accept for the Handler of each connection,
+// and returns the address that it listens on.
 func (l *Loop) Listen(addr string, admission Admission, accept func() Handler) (string, error) {
 	fd, sa, err := openSocket("listen", unix.SOCK_STREAM, addr)
 	if err != nil {
@@ -66,7 +68,7 @@
 }
 
 func bindAndListen(fd int, sa unix.Sockaddr) error {
-	// A restart takes the address over while old connections still linger.
+	// SO_REUSEADDR lets a restarted process bind the address while connections of its predecessor still linger.
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return err
 	}
@@ -76,7 +78,8 @@
 	return unix.Listen(fd, listenBacklog)
 }
 
-// ListenInherited accepts connections, as Listen does, on a listening socket that this process was started with.
+// ListenInherited accepts connections, as Listen does, on a listening socket that this process has inherited. It
+// returns the address of the socket, or "" if that is not an IPv4 address.
 func (l *Loop) ListenInherited(fd int, admission Admission, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		//nolint:errorlint // err may be nil, which %w does not print
@@ -101,8 +104,8 @@
 	return nil
 }
 
-// Unlisten stops accepting at an address that Listen or ListenInherited returned. Connections that the system has
-// queued there are left to any other process that has the socket open.
+// Unlisten closes the listening socket at an address that Listen or ListenInherited returned. Connections in its
+// accept queue are left to any other process that has the socket open.
 func (l *Loop) Unlisten(addr string) {
 	for fd := range l.listeners {
 		if localAddr(fd, "") == addr {
@@ -112,7 +115,7 @@
 	}
 }
 
-// HasQueuedConnections reports whether connections may wait in the system's queue until they can be accepted.
+// HasQueuedConnections reports whether connections may be waiting in the kernel's accept queue of a listener.
 func (l *Loop) HasQueuedConnections() bool {
 	for _, listener := range l.listeners {
 		if listener.queued {
@@ -122,18 +125,19 @@
 	return false
 }
 
-// acceptAll accepts the connections that are queued on a listener while there are descriptors and its admission allows
-// it.
+// acceptAll accepts the connections in the accept queue of a listener while there are free descriptors and its
+// admission permits it.
 func (l *Loop) acceptAll(listener *listener) {
 	listener.queued = true
 	for range maxAcceptsPerTurn {
 		hasDescriptor := l.FreeDescriptors() > 0
 		if !hasDescriptor || !listener.admission.HasCapacity() {
-			if !isQueued(listener.fd) {
-				l.noneQueued(listener)
+			if !hasQueuedConnection(listener.fd) {
+				l.markQueueEmpty(listener)
 				return
 			}
-			// An admission may close a connection of another client: that must not happen where nobody waits.
+			// MakeCapacity may close the connection of another client, which must not happen if no connection is
+			// waiting.
 			if !hasDescriptor || !listener.admission.MakeCapacity() {
 				l.pause(listener)
 				return
@@ -148,7 +152,7 @@
 			l.pause(listener)
 			return
 		case unix.EAGAIN:
-			l.noneQueued(listener)
+			l.markQueueEmpty(listener)
 			return
 		default:
 			return
@@ -156,21 +160,22 @@
 	}
 }
 
-// noneQueued notes that no connection waits at a listener.
-func (l *Loop) noneQueued(listener *listener) {
+// markQueueEmpty records that the accept queue of a listener is empty.
+func (l *Loop) markQueueEmpty(listener *listener) {
 	listener.queued = false
 	listener.emptyAt = l.Clock()
 }
 
-// isQueued reports whether a connection waits at a listening socket, or may.
-func isQueued(fd int) bool {
+// hasQueuedConnection reports whether a connection is waiting in the accept queue of a socket. It also returns true
+// if the queue cannot be polled.
+func hasQueuedConnection(fd int) bool {
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	ready, err := unix.Poll(poll, 0)
 	return err != nil || ready > 0
 }
 
-// addAccepted opens a connection that was accepted. One that cannot be watched ends unseen: its handler was never
-// notified of its begin, and would give back what it never took.
+// addAccepted adds a connection that was accepted. A connection that epoll rejects is closed without a call of
+// Handler.Closed: Opened was not called either, and Closed would release what Opened never acquired.
 func (l *Loop) addAccepted(fd int, listener *listener) {
 	setSocketOptions(fd)
 	c := &Conn{
@@ -190,14 +195,14 @@
 	c.handler.Opened(c)
 }
 
-// pause leaves connections in the system's queue for acceptPause: polling a listener that is ready, but whose
-// connections can't be accepted, would make the loop spin.
+// pause leaves connections in the accept queue for acceptPause. If a listener whose connections cannot be accepted
+// were still watched, every poll would return at once and the loop would spin.
 func (l *Loop) pause(listener *listener) {
 	if listener.paused {
 		return
 	}
 	listener.paused = true
-	_ = l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, 0) // it can't fail for a descriptor that is watched
+	_ = l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, 0) // cannot fail for a watched descriptor
 	l.After(acceptPause, func() {
 		if l.listeners[listener.fd] == listener {
 			listener.paused = false
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -1,6 +1,6 @@
 package eventloop
 
-// This file tests which connections a listener accepts, and for whom room is made.
+// This file tests which connections a listener accepts, and when it asks its admission to make capacity.
 
 import (
 	"os"
@@ -12,15 +12,16 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// countingAdmission has no capacity, and makes some for each connection.
-type countingAdmission struct{ made int }
+// countingAdmission is an Admission without capacity that makes capacity on each request and counts the requests.
+type countingAdmission struct{ makeCapacityCalls int }
 
 func (*countingAdmission) HasCapacity() bool    { return false }
-func (a *countingAdmission) MakeCapacity() bool { a.made++; return true }
+func (a *countingAdmission) MakeCapacity() bool { a.makeCapacityCalls++; return true }
 
-// At the limit room is made once for each connection that comes, and not for the look that finds that no further one
-// waits. Each accept was preceded by the call that makes room, so that a client's idle connection was closed for nobody:
-// it was made 6 times for 3 that came.
+// TestCapacityIsMadeForThoseThatWait checks that a listener without capacity calls MakeCapacity once for each
+// waiting connection, and not when it finds the accept queue empty. It guards against a fault in which MakeCapacity
+// was called before every accept, also the one that finds no connection. It ran 6 times for 3 connections, and so
+// closed the idle connection of a client although no connection was waiting.
 func TestCapacityIsMadeForThoseThatWait(t *testing.T) {
 	loop, onLoop := startLoop(t, 20)
 	admission := &countingAdmission{}
@@ -35,16 +36,18 @@
 	const clients = 3
 	for range clients {
 		nettest.Dial(t, addr)
-		testbed.Wait(t, "the connection", handler.opened)
+		testbed.Wait(t, "an accepted connection", handler.opened)
 	}
 	onLoop(func() {
-		if admission.made != clients || loop.HasQueuedConnections() {
-			t.Errorf("capacity was made %d times for %d connections; more wait: %v", admission.made, clients, loop.HasQueuedConnections())
+		if admission.makeCapacityCalls != clients || loop.HasQueuedConnections() {
+			t.Errorf("calls of MakeCapacity: got %d, want %d; HasQueuedConnections: got %v, want false",
+				admission.makeCapacityCalls, clients, loop.HasQueuedConnections())
 		}
 	})
 }
 
-// A listener without capacity and without a connection that waits does not hold back a shutdown.
+// TestNobodyWaitsAtAFullListener checks that HasQueuedConnections, which delays a shutdown, is false for a listener
+// without capacity on which no connection is waiting.
 func TestNobodyWaitsAtAFullListener(t *testing.T) {
 	loop, onLoop := startLoop(t, 20)
 	full := false
@@ -59,16 +62,17 @@
 		}
 	})
 	nettest.Dial(t, addr)
-	testbed.Wait(t, "the connection", handler.opened)
+	testbed.Wait(t, "the accepted connection", handler.opened)
 	onLoop(func() {
 		if loop.HasQueuedConnections() {
-			t.Error("a connection is taken to wait")
+			t.Error("HasQueuedConnections: got true, want false as no connection is waiting")
 		}
 	})
 }
 
-// A connection that epoll rejects ends unseen. Its handler was notified of the end alone, so that the count of a peer's
-// pending connections, which begins with Opened, fell below zero, and its limit rose by one with each.
+// TestUnwatchableConnectionEndsUnseen checks that the handler of a connection that epoll rejects is not notified. It
+// guards against a fault in which the handler was notified of the close only. The count of pending inbound peer
+// connections, which is incremented in Opened, then fell below zero, and their limit rose by one each time.
 func TestUnwatchableConnectionEndsUnseen(t *testing.T) {
 	loop, err := New(10)
 	if err != nil {
@@ -87,12 +91,12 @@
 	handler := newEchoHandler()
 	loop.addAccepted(fd, &listener{accept: func() Handler { return handler }})
 	if len(handler.opened)+len(handler.closed) > 0 {
-		t.Errorf("opened %d times, closed %d times", len(handler.opened), len(handler.closed))
+		t.Errorf("handler calls: got %d of Opened and %d of Closed, want none", len(handler.opened), len(handler.closed))
 	}
 	if _, err := unix.FcntlInt(uintptr(fd), unix.F_GETFD, 0); err == nil {
-		t.Error("its descriptor is open")
+		t.Error("the descriptor of the rejected connection is still open")
 	}
 	if loop.FreeDescriptors() != 10 {
-		t.Errorf("%d descriptors are free", loop.FreeDescriptors())
+		t.Errorf("free descriptors: got %d, want 10", loop.FreeDescriptors())
 	}
 }
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -1,30 +1,32 @@
 package eventloop
 
-// This file owns datagram sockets. A datagram that the system does not take at once is dropped, as it may be on the
-// network: nothing waits here.
+// This file contains the datagram sockets. Outgoing datagrams are not queued: one that the kernel does not accept at
+// once is dropped, just as the network may drop it.
 
 import (
 	"golang.org/x/sys/unix"
 )
 
 const (
-	// maxDatagramSize is the largest datagram that is read completely; a longer one is cut.
+	// maxDatagramSize is the size in bytes of the largest datagram that is read completely. A longer one is
+	// truncated.
 	maxDatagramSize = 2048
-	// maxDatagramsPerTurn is how many datagrams are read before others have their turn.
+	// maxDatagramsPerTurn is the maximum number of datagrams that one socket reads in a turn, so that other
+	// descriptors are served.
 	maxDatagramsPerTurn = 64
 )
 
-// PacketConn is a socket for datagrams.
+// PacketConn is a UDP socket that a [Loop] owns.
 type PacketConn struct {
 	fd      int
 	receive func(b []byte)
 	dropped int64
 }
 
-// ListenPacket opens a socket for datagrams at addr, which the loop closes. receive is handed each, which it must not
-// retain.
+// ListenPacket opens a UDP socket at addr. The loop calls receive with each datagram, which receive must not retain,
+// and closes the socket when the loop itself is closed.
 func (l *Loop) ListenPacket(addr string, receive func(b []byte)) (*PacketConn, error) {
-	const op = "datagrams at"
+	const op = "listen for datagrams at"
 	fd, sa, err := openSocket(op, unix.SOCK_DGRAM, addr)
 	if err != nil {
 		return nil, err
@@ -41,7 +43,7 @@
 	return p, nil
 }
 
-// Send sends a datagram, or drops it.
+// Send sends a datagram. If that fails, the datagram is dropped and Send returns the error.
 func (p *PacketConn) Send(addr string, b []byte) error {
 	_, sa, err := parseAddr(addr)
 	if err != nil {
@@ -49,15 +51,15 @@
 	}
 	if err := unix.Sendto(p.fd, b, 0, sa); err != nil {
 		p.dropped++
-		return &OpError{Op: "datagram to", Target: addr, Err: err}
+		return &OpError{Op: "send datagram to", Target: addr, Err: err}
 	}
 	return nil
 }
 
-// Dropped is how many datagrams the system did not take.
+// Dropped returns the number of outgoing datagrams that the kernel did not accept.
 func (p *PacketConn) Dropped() int64 { return p.dropped }
 
-// receiveAll hands over the datagrams that came in.
+// receiveAll calls receive with the datagrams that have arrived, up to maxDatagramsPerTurn.
 func (p *PacketConn) receiveAll() {
 	var datagram [maxDatagramSize]byte
 	for range maxDatagramsPerTurn {
@@ -65,7 +67,7 @@
 		switch err {
 		case nil:
 			p.receive(datagram[:n])
-		case unix.EINTR, unix.ECONNREFUSED: // the latter is about one that was sent before
+		case unix.EINTR, unix.ECONNREFUSED: // ECONNREFUSED refers to a datagram that was sent earlier
 		default:
 			return
 		}
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -1,32 +1,33 @@
 package eventloop
 
-// This file owns what is known of past polls: up to when all that had come in was found. It must never claim
-// that a moment is covered that may not be.
+// This file contains the record of past polls, which shows up to which time all received data is known to have been
+// read. If that is uncertain, the functions here return an earlier time, never a later one.
 
-// pollHistory counts the complete polls: those that reported all descriptors that were ready. A poll that filled
-// its buffer of events may have left some out.
+// pollHistory counts the complete polls, which are those that reported all ready descriptors. A poll that filled its
+// buffer of events is not complete, because it may have omitted some. Times are Unix times in microseconds.
 type pollHistory struct {
-	count          int64
-	lastAt         int64 // when the last one returned
-	previousAt     int64 // when the one before it returned: what is ready now came in since
-	processedAt    int64 // when the last one returned of which all that it reported was read
-	processedCount int64 // its number
+	count          int64 // complete polls so far; also the number of the last one
+	lastAt         int64 // time at which the last complete poll returned
+	previousAt     int64 // time at which the complete poll before that returned; what is ready now arrived later
+	processedAt    int64 // time at which the last complete poll whose events are all dispatched returned
+	processedCount int64 // number of that poll
 }
 
-// begin notes a complete poll.
-func (h *pollHistory) begin(now int64) {
+// recordPoll records a complete poll that returned at now.
+func (h *pollHistory) recordPoll(now int64) {
 	h.previousAt, h.lastAt = h.lastAt, now
 	h.count++
 }
 
-// processed notes that all that the last complete poll reported was read.
-func (h *pollHistory) processed() {
+// markProcessed records that all events of the last complete poll are dispatched.
+func (h *pollHistory) markProcessed() {
 	h.processedAt, h.processedCount = h.lastAt, h.count
 }
 
-// EarliestArrival is the earliest moment at which what the connection hands over in this turn can have come in: when
-// it was last found empty, or when the previous poll reported all connections with something to read and this
-// was not among them.
+// EarliestArrival returns the earliest time at which the data that the connection delivers in this turn can have
+// arrived. That is the time at which the connection was last found empty or, if later, the time at which the
+// previous complete poll returned. The poll counts only if no data may have been left unread after it: a complete
+// poll that does not report a connection shows that the connection was empty then.
 func (c *Conn) EarliestArrival() int64 {
 	polls := &c.loop.polls
 	if polls.count <= c.unreadPoll+1 {
@@ -35,9 +36,9 @@
 	return min(c.loop.now, max(c.emptyAt, polls.previousAt))
 }
 
-// LastSeenAt is a moment up to which nothing that the other side had sent, an end of the connection included, was
-// left unread. It lies back by as long as the turn takes so far, and by more where a turn did not read all that
-// there was.
+// LastSeenAt returns a time up to which everything received from the other side, including a close, has been read.
+// It lies in the past by at least the time that the current turn has taken so far, and by more if a turn did not
+// read all available data.
 func (c *Conn) LastSeenAt() int64 {
 	if polls := &c.loop.polls; c.unreadPoll < polls.processedCount {
 		return polls.processedAt
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -8,7 +8,7 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// arrivalHandler reports for each message when it came in at the earliest.
+// arrivalHandler reports the EarliestArrival of each message on a channel.
 type arrivalHandler struct{ arrivals chan int64 }
 
 func (*arrivalHandler) Opened(*Conn)        {}
@@ -18,8 +18,9 @@
 	return len(b), nil
 }
 
-// What lay in the socket while a turn lasted counts from before that turn; what came in on an idle connection
-// counts from when that was last found empty, not from its last message.
+// TestEarliestArrival checks the earliest arrival time of a message. If the message waited in the socket during a
+// long turn, that time is not later than the beginning of the turn. If it arrived on an idle connection, that time
+// is not earlier than when the connection was last found empty, which is later than its previous message.
 func TestEarliestArrival(t *testing.T) {
 	loop, onLoop := startLoop(t, 8)
 	handler := &arrivalHandler{make(chan int64, 10)}
@@ -37,29 +38,30 @@
 	onLoop(func() {})
 
 	var foundEmptyAt int64
-	onLoop(func() { foundEmptyAt = loop.Clock() }) // an idle turn: the connection was found empty
+	onLoop(func() { foundEmptyAt = loop.Clock() }) // an idle turn, which finds the connection empty
 	onLoop(func() {})
 	write(t, conn, []byte("b"))
 	if at := testbed.Wait(t, "the second message", handler.arrivals); at < foundEmptyAt {
-		t.Errorf("a message to an idle connection counts from %d us before it was found empty", foundEmptyAt-at)
+		t.Errorf("message on an idle connection: earliest arrival is %d us before the connection was found empty",
+			foundEmptyAt-at)
 	}
 
 	var turnStartedAt int64
-	onLoop(func() { // a long turn, with a message that comes in early in it
+	onLoop(func() { // a long turn, at the beginning of which a message arrives
 		turnStartedAt = loop.Clock()
 		write(t, conn, []byte("c"))
 		for loop.Clock() < turnStartedAt+20_000 {
 		}
 	})
 	if at := testbed.Wait(t, "the third message", handler.arrivals); at > turnStartedAt {
-		t.Errorf("a message that came in during a long turn counts from %d us later", at-turnStartedAt)
+		t.Errorf("message during a long turn: earliest arrival is %d us after the beginning of the turn", at-turnStartedAt)
 	}
 }
 
-// What was read of a connection shows up to when it was last seen: where a turn leaves something unread that is
-// before it was written, else when the turn began.
+// TestLastSeenAt checks LastSeenAt of a connection: while a turn has left data unread, it is not later than the
+// write of that data; after all data is read, it is later. An idle connection counts as read.
 func TestLastSeenAt(t *testing.T) {
-	const messageSize = 200 // of which a turn reads 64 bytes
+	const messageSize = 200 // bytes; a turn reads 64 of them
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
 	reads := make(chan int, 100)
@@ -72,32 +74,33 @@
 	})
 
 	var writtenAt int64
-	onLoop(func() { // what is written here is read from the next turn on
+	onLoop(func() { // data written in this turn is read from the next turn on
 		writtenAt = loop.Clock()
 		write(t, remote[0], make([]byte, messageSize))
 		loop.Post(func() {
 			if at := local[0].LastSeenAt(); at > writtenAt {
-				t.Errorf("partly read, and last seen %d us after it was written", at-writtenAt)
+				t.Errorf("partly read connection: LastSeenAt is %d us after the write, want it not later", at-writtenAt)
 			}
 		})
 	})
 	for n := 0; n < messageSize; {
-		n += testbed.Wait(t, "what was written", reads)
+		n += testbed.Wait(t, "the rest of the message", reads)
 	}
 
 	var lastSeenAt int64
 	onLoop(func() { lastSeenAt = local[0].LastSeenAt() })
 	if lastSeenAt <= writtenAt {
-		t.Errorf("all was read, and it is last seen %d us before that was written", writtenAt-lastSeenAt)
+		t.Errorf("completely read connection: LastSeenAt is %d us before the write, want it later", writtenAt-lastSeenAt)
 	}
 	onLoop(func() {
 		if local[1].unreadPoll >= loop.polls.processedCount {
-			t.Error("an idle connection counts as not read")
+			t.Errorf("idle connection: unreadPoll is %d, want it below processedCount %d",
+				local[1].unreadPoll, loop.polls.processedCount)
 		}
 	})
 }
 
-// pollUntil calls a condition on the loop until it holds, and reports whether it did within the test's patience.
+// pollUntil calls condition on the loop until it returns true, and reports whether it did within [testbed.Timeout].
 func pollUntil(onLoop func(func()), condition func() bool) bool {
 	met := false
 	for limit := time.Now().Add(testbed.Timeout); !met && time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -106,8 +109,8 @@
 	return met
 }
 
-// Given more connections that are ready in every turn than a poll reports at first, an idle one counts as seen
-// all the same.
+// TestLastSeenAmongManyThatAreReady checks that LastSeenAt of an idle connection advances while more connections are
+// ready in every turn than a poll can report initially.
 func TestLastSeenAmongManyThatAreReady(t *testing.T) {
 	const pairs = initialEvents + 64
 	loop, onLoop := startLoop(t, 3*pairs)
@@ -133,12 +136,12 @@
 		return loop.openDescriptors >= 2*pairs && loop.Now() > loop.startedAt.UnixMicro()+700_000
 	})
 	if !connected {
-		t.Fatal("the connections did not come up")
+		t.Fatalf("connections were not established within %s", testbed.Timeout)
 	}
 
 	var since int64
 	onLoop(func() { since = loop.Clock() })
 	if !pollUntil(onLoop, func() bool { return idle[0].LastSeenAt() > since }) {
-		t.Fatalf("an idle connection was not seen in %s", testbed.Timeout)
+		t.Fatalf("LastSeenAt of an idle connection did not advance within %s", testbed.Timeout)
 	}
 }
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -1,18 +1,20 @@
 package eventloop
 
-// This file owns what is read from connections. It must never keep the loop with one connection while others wait.
+// This file contains reading from connections. The number of reads per connection and turn is bounded, so that one
+// connection does not delay the others.
 
 import "golang.org/x/sys/unix"
 
 const (
-	// maxReadsPerTurn is how often one connection is read before others have their turn.
+	// maxReadsPerTurn is the maximum number of reads from one connection in a turn.
 	maxReadsPerTurn = 4
-	// maxIdleBuffer is how much capacity an empty buffer retains.
+	// maxIdleBuffer is the maximum capacity in bytes that an empty buffer retains.
 	maxIdleBuffer = 4 << 10
 )
 
-// read hands over what came in. ended says that the other side has closed its end, which is then found in the same
-// turn as what came before it, so that a client that has disconnected already is not served.
+// read delivers the received data to the handler. ended is true if the other side has closed the connection. In that
+// case read continues to the end of the stream, so that the data and the close are found in the same turn and a
+// client that has already disconnected is not served.
 func (c *Conn) read(ended bool) error {
 	buffer := c.loop.readBuffer
 	for i := 0; i < maxReadsPerTurn && !c.closed; i++ {
@@ -31,7 +33,7 @@
 		if n == 0 {
 			return ErrEOF
 		}
-		if err := c.handOver(buffer[:n]); err != nil {
+		if err := c.deliverInput(buffer[:n]); err != nil {
 			return err
 		}
 		if c.closed {
@@ -46,8 +48,8 @@
 	return nil
 }
 
-// handOver hands the handler all that it has not used and what was read now.
-func (c *Conn) handOver(received []byte) error {
+// deliverInput passes the unused input and the bytes just received to the handler.
+func (c *Conn) deliverInput(received []byte) error {
 	pending := received
 	if len(c.input) > 0 {
 		c.input = append(c.input, received...)
--- a/internal/eventloop/socket_options.go
+++ b/internal/eventloop/socket_options.go
@@ -1,26 +1,27 @@
 package eventloop
 
-// This file owns the options of TCP connections, and what the system knows of the other side.
+// This file contains the socket options of TCP connections, and the kernel's information about the other side.
 
 import (
 	"golang.org/x/sys/unix"
 )
 
-// tcpEstablished is TCP_ESTABLISHED, the state of a connection that is up.
+// tcpEstablished is TCP_ESTABLISHED, the kernel's state of an established connection.
 const tcpEstablished = 1
 
 // tcpOption is an integer option of a TCP socket.
 type tcpOption struct{ name, value int }
 
-// defaultKeepAlive is the TCP keepalive of connections on which KeepAlive is not called. Times are in seconds.
+// defaultKeepAlive is the TCP keepalive setting of connections on which KeepAlive is not called. Times are in
+// seconds.
 var defaultKeepAlive = [...]tcpOption{
 	{unix.TCP_KEEPIDLE, 30},  // time without a packet before the first probe
 	{unix.TCP_KEEPINTVL, 10}, // time between probes
-	{unix.TCP_KEEPCNT, 3},    // unanswered probes after which the connection ends
+	{unix.TCP_KEEPCNT, 3},    // unanswered probes after which the kernel drops the connection
 }
 
-// setSocketOptions sets what every connection needs: small messages are sent at once, and TCP keepalive detects another
-// side that vanished. Where the system rejects any of this the connection is still usable.
+// setSocketOptions sets the options of every connection: small messages are sent at once, and TCP keepalive detects
+// that the other side has vanished. Errors are ignored, because the connection is usable without these options.
 func setSocketOptions(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
@@ -29,8 +30,9 @@
 	}
 }
 
-// KeepAlive sets TCP keepalive: the system sends a probe once nothing has come from the other side for so many seconds,
-// then two more, one a second. A connection on which none is answered ends.
+// KeepAlive configures TCP keepalive. The kernel sends a probe once nothing has arrived from the other side for the
+// given number of seconds, and then two more at intervals of one second. It drops the connection if no probe is
+// answered.
 func (c *Conn) KeepAlive(seconds int) error {
 	for _, option := range [...]tcpOption{
 		{unix.TCP_KEEPIDLE, seconds},
@@ -44,8 +46,8 @@
 	return nil
 }
 
-// LastAckAge is how long ago, in microseconds, the other side's system last acknowledged anything; false where the
-// system does not report that.
+// LastAckAge returns the time, in microseconds, since the kernel of the other side last acknowledged anything. ok is
+// false if the connection is not established or the local kernel does not report that time.
 func (c *Conn) LastAckAge() (ageUs int64, ok bool) {
 	if !c.IsUp() {
 		return 0, false
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,27 +1,27 @@
 package eventloop
 
-// This file owns the timers, in the order of their times. It must never fire one before its time, nor one that was
+// This file contains the timers, ordered by their times. A timer never fires before its time, nor after it was
 // stopped.
 
 import "container/heap"
 
-// maxPollWaitMs is how long a poll waits for events where no timer is pending before that, in milliseconds.
+// maxPollWaitMs is the maximum time, in milliseconds, that a poll waits for events.
 const maxPollWaitMs = 1000
 
-// Timer is a call at a time to come. A nil Timer is not pending, and may be stopped.
+// Timer is a function call scheduled for a later time. A nil Timer is not pending, and Stop has no effect on it.
 type Timer struct {
 	loop  *Loop
-	at    int64
+	at    int64 // Unix time in microseconds
 	call  func()
-	index int // in the heap
-	done  bool
+	index int  // index in the heap
+	done  bool // fired or stopped
 }
 
-// Pending reports whether the timer's call is still to come.
+// Pending reports whether the timer has neither fired nor been stopped.
 func (t *Timer) Pending() bool { return t != nil && !t.done }
 
-// Stop cancels the timer. It leaves the heap at once: timers are stopped far more often than they fire, and would
-// lie there until their time.
+// Stop cancels the timer and removes it from the heap at once. Timers are stopped far more often than they fire, so
+// stopped timers would otherwise accumulate in the heap until their time.
 func (t *Timer) Stop() {
 	if t.Pending() {
 		t.done, t.call = true, nil
@@ -29,17 +29,17 @@
 	}
 }
 
-// At calls f once the clock has reached at, a Unix time in microseconds.
+// At schedules a call of f for the Unix time at, in microseconds.
 func (l *Loop) At(at int64, f func()) *Timer {
 	t := &Timer{loop: l, at: at, call: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// After calls f once delayUs microseconds have passed since this turn began.
+// After schedules a call of f for delayUs microseconds after the beginning of this turn.
 func (l *Loop) After(delayUs int64, f func()) *Timer { return l.At(l.now+delayUs, f) }
 
-// fireTimers calls the timers whose time has come.
+// fireTimers calls the functions of all timers that are due.
 func (l *Loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		t := heap.Pop(&l.timers).(*Timer)
@@ -49,8 +49,8 @@
 	}
 }
 
-// pollTimeout is how long to wait for events, in milliseconds. It rounds up, so that a turn does not begin before the
-// time of its timer.
+// pollTimeout returns the maximum time to wait for events, in milliseconds. It rounds up, so that a turn does not
+// begin before the timer that it waits for is due.
 func (l *Loop) pollTimeout() int {
 	if l.runAgain {
 		return 0
@@ -58,12 +58,12 @@
 	if len(l.timers) == 0 {
 		return maxPollWaitMs
 	}
-	l.tick()
+	l.updateNow()
 	waitMs := (l.timers[0].at - l.now + millisecond - 1) / millisecond
 	return int(min(maxPollWaitMs, max(0, waitMs)))
 }
 
-// timerHeap implements heap.Interface, the earliest timer first.
+// timerHeap implements heap.Interface. The earliest timer comes first.
 type timerHeap []*Timer
 
 // Len implements heap.Interface.
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -6,7 +6,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// Timers fire in the order of their times, and not once they were stopped.
+// TestTimers checks that timers fire in the order of their times, and that a stopped timer does not fire.
 func TestTimers(t *testing.T) {
 	loop, onLoop := startLoop(t, 2)
 	var order []int
@@ -17,13 +17,13 @@
 		stopped := loop.After(2000, func() { order = append(order, 9) })
 		stopped.Stop()
 		if stopped.Pending() {
-			t.Error("a stopped timer is pending")
+			t.Error("Pending of a stopped timer: got true, want false")
 		}
 	})
-	testbed.Wait(t, "the timers", done)
+	testbed.Wait(t, "the last timer", done)
 	onLoop(func() {
 		if len(order) != 2 || order[0] != 1 {
-			t.Errorf("called in order %v", order)
+			t.Errorf("timers fired in order %v, want [1 2]", order)
 		}
 	})
 }
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -1,20 +1,21 @@
 package eventloop
 
-// This file owns what is written to connections, and what of it the system has taken. It must never send the bytes of
-// one connection in another order than they were written in.
+// This file contains writing to connections, and the count of the bytes that the kernel has accepted. The bytes of a
+// connection are always sent in the order in which they were written.
 
 import "golang.org/x/sys/unix"
 
-// BytesWritten is how many bytes were handed to Write so far.
+// BytesWritten returns the number of bytes passed to Write so far.
 func (c *Conn) BytesWritten() int64 { return c.bytesWritten }
 
-// BytesSent is how many of the bytes written the system has taken. The others have not reached the other side.
+// BytesSent returns how many of the written bytes the kernel has accepted. The remaining bytes have not reached the
+// other side.
 func (c *Conn) BytesSent() int64 { return c.bytesSent }
 
-// BytesBuffered is how many bytes wait for the system to take them.
+// BytesBuffered returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) BytesBuffered() int { return len(c.output) }
 
-// Write queues b, which is copied; the bytes go out at the end of the turn.
+// Write queues a copy of b, which is sent at the end of the turn.
 func (c *Conn) Write(b []byte) {
 	if c.closed {
 		return
@@ -27,8 +28,8 @@
 	}
 }
 
-// Flush hands what was written so far to the system now, ahead of what other connections have to write in this turn. It
-// reports whether the system took all of it; an error is reported to the handler at the end of the turn.
+// Flush passes the output written so far to the kernel at once, before the output of other connections in this turn.
+// It reports whether the kernel accepted all of it. An error is reported to the handler at the end of the turn.
 func (c *Conn) Flush() bool {
 	if c.closed || !c.established {
 		return false
@@ -37,7 +38,7 @@
 	return err == nil && len(c.output) == 0
 }
 
-// flush writes what the system takes. It returns the error that ends the connection.
+// flush writes as much of the output as the kernel accepts. If it returns an error, the caller closes the connection.
 func (c *Conn) flush() error {
 	for c.established && !c.closed && len(c.output) > 0 {
 		n, err := unix.Write(c.fd, c.output)
@@ -68,7 +69,8 @@
 	return nil
 }
 
-// updateInterest watches the connection for what it waits for now.
+// updateInterest watches the connection for input, and for writability if there is output left or the connection is
+// not established.
 func (c *Conn) updateInterest() {
 	if c.closed {
 		return
@@ -79,12 +81,12 @@
 	}
 	if interest != c.interest {
 		c.interest = interest
-		_ = c.loop.epollCtl(unix.EPOLL_CTL_MOD, c.fd, interest) // it can't fail for a descriptor that is watched
+		_ = c.loop.epollCtl(unix.EPOLL_CTL_MOD, c.fd, interest) // cannot fail for a watched descriptor
 	}
 }
 
-// drained notifies the handler that nothing is left of what the system had not taken at once.
-func (c *Conn) drained() {
+// notifyDrained notifies a handler that implements Drainer, if no output is left.
+func (c *Conn) notifyDrained() {
 	if c.closed || len(c.output) > 0 {
 		return
 	}
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -14,7 +14,8 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// Given more than the system takes at once, it arrives completely and in order, both ways.
+// TestPartialWrites checks that data of which the kernel accepts only a part at once arrives completely and in
+// order, in both directions.
 func TestPartialWrites(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	handler := newEchoHandler()
@@ -35,20 +36,20 @@
 
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("what came back differs (%v)", err)
+		t.Errorf("echoed data differs from the data sent (read error: %v)", err)
 	}
-	if err := testbed.Wait(t, "the write", written); err != nil {
+	if err := testbed.Wait(t, "the write of the client", written); err != nil {
 		t.Error(err)
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := testbed.Wait(t, "the end", handler.closed); !errors.Is(err, ErrEOF) {
-		t.Errorf("ended with %v", err)
+	if err := testbed.Wait(t, "the close of the connection", handler.closed); !errors.Is(err, ErrEOF) {
+		t.Errorf("connection closed with error %v, want %v", err, ErrEOF)
 	}
 }
 
-// writeUntilClosed writes to a connection and reads nothing.
+// writeUntilClosed writes to a connection until that fails, and reads nothing.
 func writeUntilClosed(conn net.Conn) {
 	for b := make([]byte, 1<<20); ; {
 		if _, err := conn.Write(b); err != nil {
@@ -57,7 +58,8 @@
 	}
 }
 
-// Given a client that does not read, its connection ends with ErrOverflow, and others go on.
+// TestOverflow checks that the connection of a client that does not read is closed with ErrOverflow, and that other
+// connections still work.
 func TestOverflow(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	var addr string
@@ -75,21 +77,22 @@
 		}
 	})
 
-	unread := nettest.Dial(t, addr)
-	handler := testbed.Wait(t, "the client that does not read", handlers)
-	go writeUntilClosed(unread)
-	if err := testbed.Wait(t, "the end", handler.closed); !errors.Is(err, ErrOverflow) {
-		t.Errorf("ended with %v", err)
+	nonReader := nettest.Dial(t, addr)
+	handler := testbed.Wait(t, "the connection of the client that does not read", handlers)
+	go writeUntilClosed(nonReader)
+	if err := testbed.Wait(t, "the close of the connection", handler.closed); !errors.Is(err, ErrOverflow) {
+		t.Errorf("connection closed with error %v, want %v", err, ErrOverflow)
 	}
 
 	other := nettest.Dial(t, addr)
 	write(t, other, []byte("x"))
 	if n, err := other.Read(make([]byte, 1)); n != 1 {
-		t.Errorf("the other one got %v", err)
+		t.Errorf("other connection: read %d bytes, error %v; want 1 byte", n, err)
 	}
 }
 
-// What is flushed or closed amid a turn is sent before that turn's ordinary writes, though those were requested first.
+// TestFlushAndCloseAreSentAheadOfTheTurn checks that a flush and a close take effect during the turn, before the
+// ordinary writes of the turn, even if those were requested first.
 func TestFlushAndCloseAreSentAheadOfTheTurn(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
@@ -97,7 +100,7 @@
 		local[0].Write([]byte("last"))
 		local[1].Write([]byte("first"))
 		if !local[1].Flush() {
-			t.Error("the system did not take five bytes")
+			t.Error("Flush of five bytes: got false, want true")
 		}
 		local[2].Close()
 		b := make([]byte, 10)
@@ -105,20 +108,20 @@
 			setReadDeadline(t, remote[i], time.Now().Add(50*time.Millisecond))
 			n, err := remote[i].Read(b)
 			if string(b[:n]) != want || (i == 2) != errors.Is(err, io.EOF) {
-				t.Errorf("connection %d, amid the turn: %q, %v", i, b[:n], err)
+				t.Errorf("connection %d, during the turn: read %q, error %v; want %q", i, b[:n], err, want)
 			}
 		}
 		if loop.FreeDescriptors() != 10-2 {
-			t.Errorf("%d descriptors are free after a close", loop.FreeDescriptors())
+			t.Errorf("free descriptors after a close: got %d, want %d", loop.FreeDescriptors(), 10-2)
 		}
 		setReadDeadline(t, remote[0], time.Time{})
 	})
 	if n, err := remote[0].Read(make([]byte, 10)); n != 4 {
-		t.Errorf("after the turn: %d bytes, %v", n, err)
+		t.Errorf("connection 0, after the turn: read %d bytes, error %v; want 4 bytes", n, err)
 	}
 }
 
-// An abort takes back what the other side has not received, and resets the connection.
+// TestAbort checks that an abort resets the connection and discards the data that the other side has not received.
 func TestAbort(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
@@ -127,17 +130,18 @@
 		loop.SetMaxBuffered(maxBuffered)
 		local[0].Write(make([]byte, maxBuffered))
 		if local[0].Flush() {
-			t.Error("the system took more than it can buffer")
+			t.Errorf("Flush of %d bytes: got true, want false as the kernel cannot buffer them", maxBuffered)
 		}
 		local[0].Abort()
 		local[0].Abort()
 	})
 	if n, err := io.Copy(io.Discard, remote[0]); !errors.Is(err, unix.ECONNRESET) || n >= maxBuffered {
-		t.Errorf("%d bytes, then %v", n, err)
+		t.Errorf("remote end read %d bytes, then error %v; want fewer than %d bytes, then %v",
+			n, err, maxBuffered, unix.ECONNRESET)
 	}
 }
 
-// drainHandler reports when it is notified that the system has taken all.
+// drainHandler reports calls of Opened and Drained on channels.
 type drainHandler struct{ opened, drained chan struct{} }
 
 func (h *drainHandler) Opened(*Conn)                         { h.opened <- struct{}{} }
@@ -145,8 +149,9 @@
 func (h *drainHandler) Closed(*Conn, error)                  {}
 func (h *drainHandler) Drained(*Conn)                        { h.drained <- struct{}{} }
 
-// Given a connection whose other side reads on before the end of the turn, it is written to then, and its handler
-// notified, as no event comes any more.
+// TestDrainedWithinTheTurn checks a connection whose other side reads the pending output before the end of the turn.
+// The loop then sends the rest at the end of the turn and notifies the handler, because no further event will
+// arrive.
 func TestDrainedWithinTheTurn(t *testing.T) {
 	const chunkSize = 64 << 10
 	listener := nettest.Listen(t)
@@ -160,8 +165,8 @@
 		}
 	})
 	remote := nettest.Accept(t, listener)
-	testbed.Wait(t, "the connection", handler.opened)
-	testbed.Wait(t, "the first turn's notification", handler.drained)
+	testbed.Wait(t, "the dialled connection", handler.opened)
+	testbed.Wait(t, "the call of Drained after Opened", handler.drained)
 
 	onLoop(func() {
 		for local.Write(make([]byte, chunkSize)); local.Flush(); {
@@ -171,5 +176,5 @@
 			t.Error(err)
 		}
 	})
-	testbed.Wait(t, "the notification that the system has taken all", handler.drained)
+	testbed.Wait(t, "the call of Drained after the turn", handler.drained)
 }
