--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs schedulers on the simulator's wire: batches come in on standard
-// input, replies go out on standard output.
+// Command simadapter runs schedulers for the simulator. It reads batches of events from standard
+// input and writes replies to standard output, in the wire format of package simwire.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// run replies to each batch of in until its end.
+// run replies on out to each batch of in. It returns nil if in ends between batches.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	a := &adapter{schedulers: map[int]*placement.Scheduler{}, encoder: simwire.NewEncoder(out)}
@@ -38,20 +38,20 @@
 	}
 }
 
-// adapter holds the schedulers by instance. They share nothing.
+// adapter contains the running schedulers by instance. Schedulers share no state.
 type adapter struct {
 	schedulers map[int]*placement.Scheduler
 	encoder    *simwire.Encoder
 }
 
-// pendingEvents are the events of a batch by instance, in the order in which instances
-// first had one.
+// pendingEvents contains the events of a batch by instance. Its order lists the instances in the order of
+// their first event.
 type pendingEvents struct {
 	order  []int
 	events map[int][]placement.Event
 }
 
-// add adds an event of an instance.
+// add adds an event for an instance.
 func (p *pendingEvents) add(instance int, event placement.Event) {
 	if _, known := p.events[instance]; !known {
 		p.order = append(p.order, instance)
@@ -59,14 +59,14 @@
 	p.events[instance] = append(p.events[instance], event)
 }
 
-// drop drops the events of an instance.
+// drop removes the events of an instance.
 func (p *pendingEvents) drop(instance int) {
 	delete(p.events, instance)
 	p.order = slices.DeleteFunc(p.order, func(other int) bool { return other == instance })
 }
 
-// reply starts and stops instances, hands each its events in order of arrival, and writes
-// the actions.
+// reply handles a batch: it starts and stops instances, passes the events to each instance in their
+// order in the batch, and writes the resulting actions.
 func (a *adapter) reply(batch simwire.Batch) error {
 	pending := pendingEvents{events: map[int][]placement.Event{}}
 	for _, item := range batch.Items {
@@ -91,8 +91,8 @@
 	return a.encoder.End(batch.Seq)
 }
 
-// start starts an instance, in place of the one before. Invalid settings are reported to
-// the simulator.
+// start starts an instance, which replaces any instance of the same number. Invalid settings are
+// reported to the simulator in a FAULT line.
 func (a *adapter) start(item simwire.Item) error {
 	scheduler, err := placement.New(item.Settings, item.Seed)
 	if err != nil {
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// handle hands events to an instance and writes its actions. Events of an unknown instance
-// are dropped.
+// handle passes events to an instance and writes its actions, or a FAULT line if it panics. Events for an
+// unknown instance are dropped.
 func (a *adapter) handle(instance int, now int64, events []placement.Event) error {
 	scheduler, known := a.schedulers[instance]
 	if !known {
@@ -117,7 +117,7 @@
 	return a.encoder.Actions(instance, actions)
 }
 
-// handleEvents returns the actions of a scheduler, or the text of its panic.
+// handleEvents returns the actions of a scheduler for events, or the text of its panic.
 func handleEvents(
 	scheduler *placement.Scheduler, now int64, events []placement.Event,
 ) (actions []placement.Action, failure string) {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// settings are those of one class and one kind of worker.
+// settings contains the settings of a scheduler with one class and one kind of worker.
 const settings = "FleetSize=2 SelfIndex=0 Flavors=s FamilyInfo.SizeCores=40 FamilyInfo.MemoryByKind=80 FamilyInfo.View=true " +
 	"FamilyInfo.CoresMultiple=1.5 FamilyInfo.MemoryMultiple=1.5 RequestClasses.count=1 RequestClasses.0.Name=job " +
 	"RequestClasses.0.Semantics=free TickUs=2000"
 
-// conversation returns batches that start the instances and send each some requests.
-func conversation(instances ...int) string {
+// startAndRequestBatches returns a batch that starts the instances, followed by 50 batches with one request for each
+// instance.
+func startAndRequestBatches(instances ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "BATCH 1000000 1\n")
 	for _, i := range instances {
@@ -31,7 +32,7 @@
 	return b.String()
 }
 
-// replies returns what is written for an input.
+// replies returns the output of the adapter for an input.
 func replies(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -41,7 +42,7 @@
 	return out.String()
 }
 
-// linesOf returns the lines of the replies that are of one instance.
+// linesOf returns the lines of out that belong to one instance.
 func linesOf(out string, instance int) string {
 	var lines []string
 	for _, line := range strings.Split(out, "\n") {
@@ -52,41 +53,43 @@
 	return strings.Join(lines, "\n")
 }
 
-// An instance acts alone as it does beside others.
+// TestInstancesShareNothing checks that an instance returns the same actions alone and among other instances.
 func TestInstancesShareNothing(t *testing.T) {
-	together := replies(t, conversation(1, 2, 3))
+	together := replies(t, startAndRequestBatches(1, 2, 3))
 	for i := 1; i <= 3; i++ {
-		alone := linesOf(replies(t, conversation(i)), i)
+		alone := linesOf(replies(t, startAndRequestBatches(i)), i)
 		if alone == "" || alone != linesOf(together, i) {
-			t.Errorf("instance %d acts otherwise alone than beside others", i)
+			t.Errorf("instance %d: got no actions when it runs alone, or other actions than among other instances", i)
 		}
 	}
 }
 
-// Invalid settings are reported for their instance, and the batch is replied to.
+// TestInvalidSettingsAreReported checks that invalid settings are reported for their instance and that the reply to
+// the batch is complete.
 func TestInvalidSettingsAreReported(t *testing.T) {
 	out := replies(t, "BATCH 1 1\nENLIST 4 1 FleetSize=0\nFLUSH\n")
 	if !strings.HasPrefix(out, "FAULT 4 ") || !strings.Contains(out, "FleetSize is missing") ||
 		!strings.HasSuffix(out, "READY 1\n") {
-		t.Errorf("got %q", out)
+		t.Errorf("reply to invalid settings: got %q, want a FAULT line for instance 4 and READY 1", out)
 	}
 }
 
-// A panic of a scheduler becomes a text.
+// TestPanicIsReported checks that a panic of a scheduler is returned as a text, without actions.
 func TestPanicIsReported(t *testing.T) {
 	if actions, failure := handleEvents(nil, 1, nil); actions != nil || !strings.HasPrefix(failure, "panic: ") {
-		t.Errorf("actions %v, failure %q", actions, failure)
+		t.Errorf("got actions %v, failure %q; want no actions and a failure that begins with \"panic: \"", actions, failure)
 	}
 }
 
-// Input may end between batches, and not within one.
+// TestEndOfInput checks that the input may end between batches, and that an end within a batch is an error.
 func TestEndOfInput(t *testing.T) {
 	if out := replies(t, ""); out != "" {
-		t.Errorf("wrote %q", out)
+		t.Errorf("output for empty input: got %q, want none", out)
 	}
 	var out bytes.Buffer
 	err := run(strings.NewReader("BATCH 5 9\nDOWN 1\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "batch 9, line 2") || out.Len() != 0 {
-		t.Errorf("error %v, output %q", err, out.String())
+		t.Errorf("input that ends within a batch: got error %v, output %q; want an error at batch 9, line 2 and no output",
+			err, out.String())
 	}
 }
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -12,10 +12,10 @@
 	maxIdleBuffer = 4 << 10
 )
 
-// read delivers the received data to the handler. ended is true if the other side has closed the connection. In that
-// case read continues to the end of the stream, so that the data and the close are found in the same turn and a
-// client that has already disconnected is not served.
-func (c *Conn) read(ended bool) error {
+// read delivers the received data to the handler. remoteClosed is true if the other side has closed the connection.
+// In that case read continues to the end of the stream, so that the data and the close are found in the same turn
+// and a client that has already disconnected is not served.
+func (c *Conn) read(remoteClosed bool) error {
 	buffer := c.loop.readBuffer
 	for i := 0; i < maxReadsPerTurn && !c.closed; i++ {
 		startedAt := c.loop.Clock()
@@ -39,7 +39,7 @@
 		if c.closed {
 			return nil
 		}
-		if n < len(buffer) && !ended {
+		if n < len(buffer) && !remoteClosed {
 			c.emptyAt = startedAt
 			return nil
 		}
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -1,8 +1,8 @@
 package simwire
 
-// This file owns how batches are read: lines, the frame of a batch, and the pages of
-// workers that later messages refer to. It must never read beyond the batch that is asked
-// for. The fields of messages and rows are read in messages.go.
+// This file contains the reading of batches: lines, the BATCH and FLUSH lines around a batch, and
+// the pages of workers that later messages refer to. It never reads lines beyond the requested
+// batch. The fields of messages and rows are read in messages.go.
 
 import (
 	"bufio"
@@ -16,21 +16,21 @@
 
 const (
 	bufferSize = 1 << 16 // bytes
-	maxPages   = 16
+	maxPages   = 16      // pages that a Decoder stores, numbered from 0
 )
 
-// Decoder reads batches. It is not safe for concurrent use.
+// Decoder reads batches from the simulator. It is not safe for concurrent use.
 type Decoder struct {
 	reader *bufio.Reader
 	pages  [maxPages]page
 	line   int    // number of the last line read
-	seq    string // of the present batch
+	seq    string // sequence of the current batch, "-" before the first
 }
 
 // page is a list of workers that ENDPOINTS messages refer to.
 type page struct {
 	entries []placement.Entry
-	sent    bool
+	sent    bool // whether the input has contained this page
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -38,7 +38,8 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, bufferSize), seq: "-"}
 }
 
-// readLine returns the next line. It returns io.EOF only if no byte was left.
+// readLine returns the next line without its line ending. It returns io.EOF only if no byte is left, and
+// io.ErrUnexpectedEOF if the last line has no newline.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -52,7 +53,7 @@
 	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
 }
 
-// readInnerLine returns the next line within a batch, where the input must not end.
+// readInnerLine returns the next line within a batch. It returns io.ErrUnexpectedEOF if the input ends.
 func (d *Decoder) readInnerLine() (string, error) {
 	line, err := d.readLine()
 	if errors.Is(err, io.EOF) {
@@ -61,13 +62,13 @@
 	return line, err
 }
 
-// fail returns err with its place.
-func (d *Decoder) fail(err error) error {
+// syntaxError returns a SyntaxError that wraps err with the current batch and line.
+func (d *Decoder) syntaxError(err error) error {
 	return &SyntaxError{Batch: d.seq, Line: d.line, Err: err}
 }
 
 // Next reads one batch. It returns io.EOF if the input ends between batches, and a
-// *SyntaxError if it departs from the wire.
+// *SyntaxError if the input is malformed, ends within a batch or cannot be read.
 func (d *Decoder) Next() (Batch, error) {
 	line, err := d.readLine()
 	for err == nil && line == "" {
@@ -77,17 +78,17 @@
 		return Batch{}, io.EOF
 	}
 	if err != nil {
-		return Batch{}, d.fail(fmt.Errorf("expected a BATCH line: %w", err))
+		return Batch{}, d.syntaxError(fmt.Errorf("expected a BATCH line: %w", err))
 	}
 	batch, err := d.parseHeader(line)
 	if err != nil {
-		return batch, d.fail(err)
+		return batch, d.syntaxError(err)
 	}
 	d.seq = batch.Seq
 	for {
 		line, err := d.readInnerLine()
 		if err != nil {
-			return batch, d.fail(fmt.Errorf("expected an event or FLUSH: %w", err))
+			return batch, d.syntaxError(fmt.Errorf("expected an event or FLUSH: %w", err))
 		}
 		if line == "" {
 			continue
@@ -96,7 +97,7 @@
 			return batch, nil
 		}
 		if err := d.parseMessage(&batch, line); err != nil {
-			return batch, d.fail(err)
+			return batch, d.syntaxError(err)
 		}
 	}
 }
@@ -111,14 +112,14 @@
 	return batch, f.end()
 }
 
-// parseMessage parses a message and adds it to the batch.
+// parseMessage parses a message and adds it to the batch. A page is stored in the Decoder instead.
 func (d *Decoder) parseMessage(batch *Batch, line string) error {
 	f := newFields(line)
 	name := f.next()
 	if name == "SNAPSHOT_ROWS" {
 		return d.readPage(f)
 	}
-	decode, known := messages[name]
+	decode, known := messageDecoders[name]
 	if !known {
 		return fmt.Errorf("unknown message %.40q", name)
 	}
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// readPage reads the rows of a page, which replaces the one before.
+// readPage reads the rows of a page, which replaces the previous page of the same number.
 func (d *Decoder) readPage(f *fields) error {
 	number, rows := f.int("Page"), f.int("Hosts")
 	if err := f.end(); err != nil {
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -9,7 +9,7 @@
 	"ravenhitch/placement"
 )
 
-// settingsText are settings of two classes, two kinds of worker and one unknown path.
+// settingsText contains settings with two classes, two kinds of worker and one unknown path.
 const settingsText = "Discovery=subscribe FleetSize=2 SelfIndex=1 Flavors=s,l FamilyInfo.SizeCores=39,62 " +
 	"FamilyInfo.MemoryByKind=111.0,174.0 FamilyInfo.CoresMultiple=2.5 FamilyInfo.MemoryMultiple=1.5 " +
 	"FamilyInfo.ApartBy=none,cell FamilyInfo.ClassMost=2,3 FamilyInfo.KindByClass=-1,1 FamilyInfo.SaysYes=running " +
@@ -17,7 +17,8 @@
 	"RequestClasses.1.Name=big RequestClasses.1.Semantics=guarded RequestClasses.1.Group=zone " +
 	"RequestClasses.1.WindowUs=6000000 TickUs=2000 Some.New.Key=whatever"
 
-// A batch carries its messages as items, in order, and the input ends between batches.
+// TestBatch checks that the messages of a batch are decoded into items in order, and that Next returns io.EOF if the
+// input ends between batches.
 func TestBatch(t *testing.T) {
 	input := "BATCH 8412250 12\n" +
 		"ENLIST 3 42 " + settingsText + "\n" +
@@ -33,42 +34,45 @@
 		t.Fatal(err)
 	}
 	if batch.NowUs != 8412250 || batch.Seq != "12" || len(batch.Items) != 8 {
-		t.Fatalf("clock %d, batch %s, %d items", batch.NowUs, batch.Seq, len(batch.Items))
+		t.Fatalf("first batch: got clock %d, sequence %s, %d items; want 8412250, 12, 8",
+			batch.NowUs, batch.Seq, len(batch.Items))
 	}
 	settings := batch.Items[0].Settings
 	class := settings.Classes[1]
 	if !settings.PollsDiscovery || settings.SelfIndex != 1 || settings.Kinds[1].Cores != 62 ||
 		!settings.AcceptMeansRunning || class.Spread != placement.ScopeCell ||
 		class.Group != placement.ScopeZone || class.MaxPerDomain != 3 || batch.Items[0].Seed != 42 {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("ENLIST: got unexpected settings %+v or seed %d, want seed 42", settings, batch.Items[0].Seed)
 	}
 	list := batch.Items[1].Event.(placement.WorkerList)
 	want := placement.Entry{Worker: "mb", Kind: "l", Zone: "zb", Cell: 4, StartedAtUs: 6100000,
 		State: placement.Draining, FreeCores: -4.5, FreeMemory: 12}
 	if list.Entries[1] != want || list.Kind != placement.ListCached {
-		t.Errorf("entry %+v, want %+v", list.Entries[1], want)
+		t.Errorf("ENDPOINTS: got entry %+v in a list of kind %d, want %+v, %d",
+			list.Entries[1], list.Kind, want, placement.ListCached)
 	}
 	request := batch.Items[2].Event.(placement.Request)
 	if request.Cores != 2 || request.Memory != 1.5 || request.Class != "job" ||
 		!request.HasRunHint || request.Tenant != "" || request.Program != 4050608788307276 {
-		t.Errorf("request %+v", request)
+		t.Errorf("REQUEST: got unexpected event %+v", request)
 	}
 	done := batch.Items[3].Event.(placement.AttemptEnded)
 	if done.Cause != placement.CauseQueue || done.Outcome != placement.Rejected || done.Final || done.RTTUs != 18500 {
-		t.Errorf("done %+v", done)
+		t.Errorf("DONE: got unexpected event %+v", done)
 	}
 	if got := batch.Items[5].Event.(placement.ProbeResult); got.Load.Utilization != 0.62 || got.Load.Queued != 3 {
-		t.Errorf("sampled %+v", got)
+		t.Errorf("SAMPLED: got %+v, want utilization 0.62 and 3 queued", got)
 	}
 	if batch, err = decoder.Next(); err != nil || len(batch.Items) != 0 || batch.Seq != "13" {
-		t.Errorf("second batch %+v, %v", batch, err)
+		t.Errorf("second batch: got %+v, error %v; want sequence 13 without items", batch, err)
 	}
 	if _, err = decoder.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v, want EOF", err)
+		t.Errorf("Next at the end of the input: got error %v, want %v", err, io.EOF)
 	}
 }
 
-// Given a page that is sent again, then lists name its entries as of their message.
+// TestPagesAreReplaced checks that a page may be sent again, and that a list contains the entries that its page has
+// at the time of the ENDPOINTS message.
 func TestPagesAreReplaced(t *testing.T) {
 	input := "BATCH 1 1\nSNAPSHOT_ROWS 2 1\nROW 0 - ma s z 1 0 1 1\nENDPOINTS 1 1 1 2\n" +
 		"SNAPSHOT_ROWS 2 1\nROW 0 - mb s z 1 0 1 1\nENDPOINTS 1 1 2 2\nENDPOINTS 1 3 2 9\nFLUSH\n"
@@ -78,15 +82,15 @@
 	}
 	for i, want := range []string{"ma", "mb"} {
 		if got := b.Items[i].Event.(placement.WorkerList).Entries[0].Worker; got != want {
-			t.Errorf("list %d names %s, want %s", i, got, want)
+			t.Errorf("list %d: got worker %s, want %s", i, got, want)
 		}
 	}
 	if got := b.Items[2].Event.(placement.WorkerList); got.Kind != placement.ListFailed || got.Entries != nil {
-		t.Errorf("failed list %+v", got)
+		t.Errorf("failed list: got %+v, want kind %d without entries", got, placement.ListFailed)
 	}
 }
 
-// Input that departs from the wire is a SyntaxError that says where.
+// TestMalformed checks that malformed input causes a SyntaxError whose text names the problem.
 func TestMalformed(t *testing.T) {
 	for name, test := range map[string]struct{ in, want string }{
 		"no batch":        {"HELLO\n", "expected BATCH"},
@@ -108,12 +112,12 @@
 		_, err := NewDecoder(strings.NewReader(test.in)).Next()
 		var syntaxError *SyntaxError
 		if !errors.As(err, &syntaxError) || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: error %v, want a SyntaxError with %q", name, err, test.want)
+			t.Errorf("%s: got error %v, want a SyntaxError that contains %q", name, err, test.want)
 		}
 	}
 }
 
-// Any input is read to its end or to a SyntaxError.
+// FuzzDecoder checks that the Decoder reads any input until io.EOF or a SyntaxError.
 func FuzzDecoder(f *testing.F) {
 	f.Add("BATCH 1 1\nBELL 3 a\nFLUSH\n")
 	f.Add("BATCH 1 1\nENLIST 3 42 " + settingsText + "\nFLUSH\n")
@@ -129,7 +133,7 @@
 			if err != nil {
 				var syntaxError *SyntaxError
 				if !errors.As(err, &syntaxError) {
-					t.Fatalf("error %v is no SyntaxError", err)
+					t.Fatalf("got error %v of type %T, want a SyntaxError", err, err)
 				}
 				return
 			}
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -1,6 +1,6 @@
 package simwire
 
-// This file owns how replies are written. It must never write a reply out before its end.
+// This file contains the writing of replies. Lines are buffered, and a reply is flushed when it is complete.
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"ravenhitch/placement"
 )
 
-// Encoder writes replies. It is not safe for concurrent use.
+// Encoder writes replies to the simulator. It is not safe for concurrent use.
 type Encoder struct{ w *bufio.Writer }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -19,7 +19,7 @@
 	return &Encoder{w: bufio.NewWriterSize(w, bufferSize)}
 }
 
-// Actions writes the actions of one instance.
+// Actions writes the actions of one instance, one per line.
 func (e *Encoder) Actions(instance int, actions []placement.Action) error {
 	for _, action := range actions {
 		if err := e.action(instance, action); err != nil {
@@ -62,13 +62,13 @@
 	return err
 }
 
-// Failed writes that the scheduler of an instance has failed.
+// Failed writes a FAULT line, which reports that the scheduler of an instance has failed.
 func (e *Encoder) Failed(instance int, text string) error {
 	_, err := fmt.Fprintf(e.w, "FAULT %d %s\n", instance, singleLine(text))
 	return err
 }
 
-// End ends the reply to the batch of a sequence, and flushes it.
+// End completes the reply to the batch with sequence seq and flushes it.
 func (e *Encoder) End(seq string) error {
 	if _, err := fmt.Fprintf(e.w, "READY %s\n", seq); err != nil {
 		return err
@@ -76,7 +76,8 @@
 	return e.w.Flush()
 }
 
-// singleLine returns a text on one line, with single spaces.
+// singleLine returns text with each run of white space, including line breaks, replaced by a single space. It returns
+// "no text" if nothing is left.
 func singleLine(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
 	if text == "" {
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -8,7 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// Each action is a line of its own, and nothing is written out before the reply ends.
+// TestEncode checks that each action is written as one line, and that nothing is written before the reply is
+// complete.
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	encoder := NewEncoder(&out)
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if out.Len() != 0 {
-		t.Error("written before the reply ended")
+		t.Errorf("got %d bytes of output before End, want none", out.Len())
 	}
 	if err := errors.Join(encoder.Failed(3, "panic: x"), encoder.End("12")); err != nil {
 		t.Fatal(err)
@@ -29,6 +30,6 @@
 	want := "PLACE 3 t m 9\nDENY 3 t 0\nERROR 3 t\nMOVE 3 t\nASK_LOAD 3 m\nOBSERVE 3 1\nREFRESH 3\nCANCEL 3 t 1\n" +
 		"SET_ALARM 3 7 wake\nSAY_LOG 3 two lines\nFAULT 3 panic: x\nREADY 12\n"
 	if out.String() != want {
-		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
+		t.Errorf("reply: got\n%s\nwant\n%s", out.String(), want)
 	}
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -1,13 +1,14 @@
 package simwire
 
-// This file owns the errors of the package. Their texts go back to the simulator.
+// This file contains the errors of the package. Command simadapter prints their texts on standard error, and a
+// SettingError of the configuration is also reported to operators.
 
 import "fmt"
 
-// SyntaxError tells where the input departs from the wire.
+// SyntaxError reports where the input is malformed or cannot be read.
 type SyntaxError struct {
-	Batch string // its sequence, "-" before the first
-	Line  int    // from 1
+	Batch string // sequence of the batch, "-" before the first
+	Line  int    // line number, starting at 1
 	Err   error
 }
 
@@ -19,10 +20,10 @@
 // Unwrap returns the cause.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// SettingError is an invalid setting.
+// SettingError reports an invalid setting.
 type SettingError struct {
-	Key       string // its path, "" if there is none
-	Want, Got string
+	Key       string // path of the setting, "" if there is none
+	Want, Got string // description of a valid value, and the actual value
 }
 
 // Error implements error.
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file owns the fields of a line, which are separated by single spaces; "-" is an
-// absent one. It must never fail at once: it keeps the first error until end.
+// This file contains the reading of the fields of a line. Fields are separated by single
+// spaces, and "-" stands for an absent field. The first error is stored and returned by end.
 
 import (
 	"fmt"
@@ -13,21 +13,21 @@
 // fields reads the fields of a line in order.
 type fields struct {
 	parts []string
-	read  int // how many were read
-	err   error
+	read  int   // number of fields read so far
+	err   error // first error
 }
 
-// newFields returns the fields of a line.
+// newFields splits a line into its fields.
 func newFields(line string) *fields { return &fields{parts: strings.Split(line, " ")} }
 
-// fail keeps an error, unless there is one.
+// fail stores an error, unless one is stored already.
 func (f *fields) fail(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf(format, args...)
 	}
 }
 
-// next returns the next field, "" if it is absent.
+// next returns the next field, or "" if it is absent.
 func (f *fields) next() string {
 	if f.read >= len(f.parts) {
 		f.fail("expected more than %d parts", len(f.parts))
@@ -41,8 +41,8 @@
 	return part
 }
 
-// text returns the next field, which must not be absent.
-func (f *fields) text(name string) string {
+// required returns the next field. It stores an error if the field is absent.
+func (f *fields) required(name string) string {
 	part := f.next()
 	if part == "" {
 		f.fail("expected %s", name)
@@ -50,7 +50,7 @@
 	return part
 }
 
-// int returns the next field as a whole number, 0 if it is absent.
+// int returns the next field as a whole number, or 0 if it is absent.
 func (f *fields) int(name string) int64 {
 	part := f.next()
 	if part == "" {
@@ -63,10 +63,10 @@
 	return number
 }
 
-// uint returns the next field, a whole number, as the unsigned one of the same bits.
+// uint returns the next field, a signed whole number, converted to the unsigned integer with the same bits.
 func (f *fields) uint(name string) uint64 { return uint64(f.int(name)) }
 
-// float returns the next field as a finite number, 0 if it is absent.
+// float returns the next field as a finite number, or 0 if it is absent.
 func (f *fields) float(name string) float64 {
 	part := f.next()
 	if part == "" {
@@ -86,7 +86,7 @@
 	return rest
 }
 
-// end returns the first error, or one if fields remain.
+// end returns the first stored error. If there is none, it returns an error if unread fields remain.
 func (f *fields) end() error {
 	if f.err == nil && f.read != len(f.parts) {
 		return fmt.Errorf("expected %d parts, got %d", f.read, len(f.parts))
--- a/internal/simwire/load.go
+++ b/internal/simwire/load.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file owns the form of load reports, which are one field of a message. It must never
-// take a value that a report does not carry for 0: it is NaN.
+// This file contains the parsing of load reports, each of which is one field of a message. A
+// value that is missing in a report is NaN, never 0.
 
 import (
 	"math"
@@ -11,8 +11,8 @@
 	"ravenhitch/placement"
 )
 
-// load returns the next field as a load report, pairs of name:value separated by commas.
-// Values that it does not carry are NaN.
+// load parses the next field as a load report, which consists of name:value pairs separated by
+// commas. Values that are missing in the report are NaN.
 func (f *fields) load() placement.Load {
 	nan := math.NaN()
 	load := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -1,8 +1,8 @@
 package simwire
 
-// This file owns the messages of the simulator and the rows of its pages: which fields each
-// carries, in their order on the wire, and which event it is. It must never reorder the
-// reading of fields.
+// This file contains the decoding of the simulator's messages and of the rows of its pages: the
+// fields of each and the event that it becomes. The order in which the fields are read is their
+// order on the wire and must not change.
 
 import (
 	"fmt"
@@ -11,23 +11,23 @@
 	"ravenhitch/placement"
 )
 
-// The bits of the field StateBits.
+// Bits of the field StateBits.
 const (
-	runHintBit = 1 << 0 // LastsUs is known
-	retryBit   = 1 << 4 // the client retries
+	runHintBit = 1 << 0 // the field LastsUs is valid
+	retryBit   = 1 << 4 // the request is a retry
 )
 
-// stateBits returns the bits of the field StateBits.
+// stateBits reads the field StateBits and returns its bits.
 func (f *fields) stateBits() (hasRunHint, retry bool) {
 	bits := f.int("StateBits")
 	return bits&runHintBit != 0, bits&retryBit != 0
 }
 
-// decodeFunc reads the fields of a message, behind the instance, into an item.
+// decodeFunc reads the fields of a message that follow the instance, and stores them in item.
 type decodeFunc func(d *Decoder, f *fields, item *Item) error
 
-// messages are the messages by name.
-var messages = map[string]decodeFunc{
+// messageDecoders maps the name of each message to its decodeFunc.
+var messageDecoders = map[string]decodeFunc{
 	"ENLIST":           decodeEnlist,
 	"DOWN":             decodeDown,
 	"ENDPOINTS":        decodeEndpoints,
@@ -42,7 +42,7 @@
 	"DATAGRAM":         decodeDatagram,
 }
 
-// eventDecoder returns the decodeFunc of a message that is an event by its fields alone.
+// eventDecoder returns a decodeFunc for a message whose fields alone determine an event.
 func eventDecoder(read func(f *fields) placement.Event) decodeFunc {
 	return func(_ *Decoder, f *fields, item *Item) error {
 		item.Event = read(f)
@@ -50,7 +50,7 @@
 	}
 }
 
-// decodeEnlist reads the start of an instance.
+// decodeEnlist reads an ENLIST message, which starts an instance.
 func decodeEnlist(_ *Decoder, f *fields, item *Item) (err error) {
 	item.Kind = InstanceStarted
 	item.Seed = f.uint("Prng")
@@ -58,13 +58,13 @@
 	return err
 }
 
-// decodeDown reads the end of an instance.
+// decodeDown reads a DOWN message, which stops an instance.
 func decodeDown(_ *Decoder, _ *fields, item *Item) error {
 	item.Kind = InstanceStopped
 	return nil
 }
 
-// decodeDatagram passes over a message between instances.
+// decodeDatagram skips a DATAGRAM, which is a message between instances that schedulers do not use.
 func decodeDatagram(_ *Decoder, f *fields, item *Item) error {
 	item.Kind = Ignored
 	f.int("From")
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// decodeEndpoints reads a list of workers, which refers to a page unless it failed.
+// decodeEndpoints reads an ENDPOINTS message, which is a list of workers. Unless the list is a ListFailed, the
+// message refers to a page that was sent before.
 func decodeEndpoints(d *Decoder, f *fields, item *Item) error {
 	kind := f.int("Scope")
 	f.next()
@@ -94,7 +95,7 @@
 
 func requestEvent(f *fields) placement.Event {
 	var t placement.Task
-	t.RequestID = f.text("Ticket")
+	t.RequestID = f.required("Ticket")
 	t.KeyHash = f.uint("Workload")
 	t.DeadlineUs = f.int("DeadlineUs")
 	t.Cores = f.float("WantCores")
@@ -109,8 +110,8 @@
 
 func adoptedEvent(f *fields) placement.Event {
 	var e placement.Adopted
-	e.RequestID = f.text("Ticket")
-	e.Worker = f.text("Machine")
+	e.RequestID = f.required("Ticket")
+	e.Worker = f.required("Machine")
 	e.HasRunHint, e.Retry = f.stateBits()
 	e.ExpectedRunUs = f.int("LastsUs")
 	e.Tenant = f.next()
@@ -125,31 +126,31 @@
 
 func acceptedEvent(f *fields) placement.Event {
 	var e placement.Accepted
-	e.RequestID = f.text("Ticket")
+	e.RequestID = f.required("Ticket")
 	e.Attempt = int(f.int("Copy"))
-	e.Worker = f.text("Machine")
+	e.Worker = f.required("Machine")
 	e.RTTUs = f.int("RttUs")
 	return e
 }
 
 func attemptEndedEvent(f *fields) placement.Event {
 	var e placement.AttemptEnded
-	e.RequestID = f.text("Ticket")
+	e.RequestID = f.required("Ticket")
 	e.Cause = placement.Cause(f.int("Info"))
 	e.Final = f.int("Closed") == 1
 	e.RTTUs = f.int("RttUs")
 	e.Outcome = placement.Outcome(f.int("StateCode"))
 	e.Attempt = int(f.int("Copy"))
-	e.Worker = f.text("Machine")
+	e.Worker = f.required("Machine")
 	f.load()
 	return e
 }
 
 func taskReportEvent(f *fields) placement.Event {
 	var e placement.TaskReport
-	e.RequestID = f.text("Ticket")
+	e.RequestID = f.required("Ticket")
 	e.Attempt = int(f.int("Copy"))
-	e.Worker = f.text("Machine")
+	e.Worker = f.required("Machine")
 	e.Kind = placement.ReportKind(f.int("What"))
 	e.Value = f.float("Value")
 	return e
@@ -157,7 +158,7 @@
 
 func probeResultEvent(f *fields) placement.Event {
 	var e placement.ProbeResult
-	e.Worker = f.text("Machine")
+	e.Worker = f.required("Machine")
 	e.Outcome = placement.Outcome(f.int("StateCode"))
 	e.RTTUs = f.int("RttUs")
 	e.Load = f.load()
@@ -165,14 +166,14 @@
 }
 
 func timerEvent(f *fields) placement.Event {
-	return placement.TimerFired{Ref: f.text("Ref")}
+	return placement.TimerFired{Ref: f.required("Ref")}
 }
 
 func clientCancelledEvent(f *fields) placement.Event {
-	return placement.ClientCancelled{RequestID: f.text("Ticket")}
+	return placement.ClientCancelled{RequestID: f.required("Ticket")}
 }
 
-// parseRow parses the row of one worker.
+// parseRow parses a ROW line, which describes one worker of a page.
 func parseRow(line string) (placement.Entry, error) {
 	f := newFields(line)
 	if f.next() != "ROW" {
@@ -181,7 +182,7 @@
 	var e placement.Entry
 	e.Cell = int(f.int("Pack"))
 	e.StartedAtUs = f.int("StartTimeUs")
-	e.Worker = f.text("Machine")
+	e.Worker = f.required("Machine")
 	e.Kind = f.next()
 	e.Zone = f.next()
 	f.float("PowerHint")
--- a/internal/simwire/messages_test.go
+++ b/internal/simwire/messages_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// Each message carries its fields in the order of the wire. The expected events are those
-// that the build of 1 December 2026 decoded.
+// TestMessages checks that the fields of each message are decoded in their order on the wire. The expected events
+// were recorded from the build of 1 December 2026.
 func TestMessages(t *testing.T) {
 	for _, test := range []struct {
 		line string
@@ -31,17 +31,18 @@
 	} {
 		batch, err := NewDecoder(strings.NewReader("BATCH 5 1\n" + test.line + "\nFLUSH\n")).Next()
 		if err != nil || len(batch.Items) != 1 {
-			t.Errorf("%s: %+v, %v", test.line, batch, err)
+			t.Errorf("%s: got batch %+v, error %v; want one item", test.line, batch, err)
 			continue
 		}
 		item := batch.Items[0]
 		if item.Kind != EventReceived || item.Instance != 3 || !reflect.DeepEqual(item.Event, test.want) {
-			t.Errorf("%s: got %+v, want %+v", test.line, item, test.want)
+			t.Errorf("%s: got %+v, want event %+v for instance 3", test.line, item, test.want)
 		}
 	}
 }
 
-// Messages that are no events say what becomes of their instance.
+// TestInstanceMessages checks the items of messages that are not events: the stop of an instance and an ignored
+// message.
 func TestInstanceMessages(t *testing.T) {
 	for line, want := range map[string]Item{
 		"DOWN 5":              {Kind: InstanceStopped, Instance: 5},
@@ -49,7 +50,7 @@
 	} {
 		batch, err := NewDecoder(strings.NewReader("BATCH 5 1\n" + line + "\nFLUSH\n")).Next()
 		if err != nil || len(batch.Items) != 1 || !reflect.DeepEqual(batch.Items[0], want) {
-			t.Errorf("%s: %+v, %v, want %+v", line, batch, err, want)
+			t.Errorf("%s: got batch %+v, error %v; want item %+v", line, batch, err, want)
 		}
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,8 +1,7 @@
 package simwire
 
-// This file owns the settings of an instance: which path of the wire is which setting of
-// the scheduler. It must never fill in a setting that is missing, beyond the defaults that
-// it names.
+// This file contains the mapping from the paths of settings on the wire to the settings of a
+// scheduler. It adds no values for missing settings except the defaults that are named here.
 
 import (
 	"fmt"
@@ -12,7 +11,7 @@
 	"ravenhitch/placement"
 )
 
-// The values of a class's Semantics and of the settings that are scopes.
+// Values of the Semantics of a class, and of the settings that are scopes.
 var (
 	effects = map[string]placement.Effect{
 		"free":        placement.Safe,
@@ -29,8 +28,8 @@
 	}
 )
 
-// Settings returns the settings of path=value pairs. Unknown paths are passed over. Its
-// error is a *SettingError.
+// Settings parses path=value pairs into the settings of a scheduler. It ignores unknown paths. An
+// error that it returns is a *SettingError.
 func Settings(pairs []string) (placement.Settings, error) {
 	r := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, pair := range pairs {
@@ -47,7 +46,7 @@
 	return s, r.err
 }
 
-// scalars returns the settings with one value each: all but kinds, classes and tenants.
+// scalars returns all settings except kinds, classes and tenants.
 func (r *settingsReader) scalars() placement.Settings {
 	return placement.Settings{
 		SelfIndex:          int(r.int("SelfIndex")),
@@ -81,7 +80,7 @@
 	}
 }
 
-// kinds returns the kinds of worker. Their sizes come in lists beside that of their names.
+// kinds returns the kinds of worker. Their names and sizes are in separate lists with one item for each kind.
 func (r *settingsReader) kinds() []placement.Kind {
 	names := r.list("Flavors")
 	cores, memory := r.floats("FamilyInfo.SizeCores"), r.floats("FamilyInfo.MemoryByKind")
@@ -101,7 +100,7 @@
 	return kinds
 }
 
-// classes returns the request classes.
+// classes returns the request classes with all their settings.
 func (r *settingsReader) classes() []placement.Class {
 	count := int(r.int("RequestClasses.count"))
 	if count < 0 || count > len(r.values) {
@@ -135,8 +134,8 @@
 	return classes
 }
 
-// class returns the settings of one class that have a path of their own; the others come
-// in lists with an item for each class.
+// class returns those settings of one class that have a path of their own. The other settings are in lists
+// with one item for each class.
 func (r *settingsReader) class(path string) placement.Class {
 	effect, known := effects[r.values[path+"Semantics"]]
 	if !known {
@@ -153,7 +152,7 @@
 	}
 }
 
-// tenants returns the tenants and their quotas.
+// tenants returns the tenants and their quotas of cores.
 func (r *settingsReader) tenants() []placement.Tenant {
 	count := int(r.int("Parties.count"))
 	if count <= 0 {
--- a/internal/simwire/settingsreader.go
+++ b/internal/simwire/settingsreader.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file owns how the values of settings are read. It must never fail at once: it keeps
-// the first error.
+// This file contains the parsing of the values of settings. The first error is stored, and
+// reading continues after it.
 
 import (
 	"fmt"
@@ -11,23 +11,23 @@
 	"ravenhitch/placement"
 )
 
-// settingsReader holds the values of settings by path.
+// settingsReader parses the values of settings and stores the first error.
 type settingsReader struct {
-	values map[string]string
-	err    error
+	values map[string]string // by path
+	err    error             // first error, a *SettingError
 }
 
-// fail keeps the error that a setting is invalid, unless there is an error.
+// fail stores the error that a setting is invalid, unless an error is stored already.
 func (r *settingsReader) fail(path, want string) {
 	if r.err == nil {
 		r.err = &SettingError{Key: path, Want: want, Got: r.values[path]}
 	}
 }
 
-// isAbsent reports whether a value is missing: "-" stands for none on the wire.
+// isAbsent reports whether a value is missing. On the wire, "-" stands for a missing value.
 func isAbsent(value string) bool { return value == "" || value == "-" }
 
-// float returns a number, 0 if it is absent.
+// float returns the value at a path as a number, or 0 if it is absent.
 func (r *settingsReader) float(path string) float64 {
 	value := r.values[path]
 	if isAbsent(value) {
@@ -40,16 +40,16 @@
 	return number
 }
 
-// int returns the whole part of a number, 0 if it is absent.
+// int returns the value at a path as a number truncated to a whole one, or 0 if it is absent.
 func (r *settingsReader) int(path string) int64 { return int64(r.float(path)) }
 
-// bool returns whether a setting is on.
+// bool reports whether the value at a path is "true" or "1".
 func (r *settingsReader) bool(path string) bool {
 	value := r.values[path]
 	return value == "true" || value == "1"
 }
 
-// list returns the items of a list, none if it is absent.
+// list returns the items of the comma-separated list at a path, or none if it is absent.
 func (r *settingsReader) list(path string) []string {
 	value := r.values[path]
 	if isAbsent(value) {
@@ -58,7 +58,7 @@
 	return strings.Split(value, ",")
 }
 
-// floats returns the items of a list of numbers.
+// floats returns the numbers of the list at a path, or none if it is absent.
 func (r *settingsReader) floats(path string) []float64 {
 	var numbers []float64
 	for _, item := range r.list(path) {
@@ -71,8 +71,8 @@
 	return numbers
 }
 
-// perClass returns a list of numbers, one for each class. An absent list has the default
-// for each.
+// perClass returns the list of numbers at a path, which must have one item for each class. If the
+// list is absent, every item is defaultValue.
 func (r *settingsReader) perClass(path string, classes int, defaultValue float64) []float64 {
 	numbers := r.floats(path)
 	if len(numbers) == 0 {
@@ -87,7 +87,7 @@
 	return numbers
 }
 
-// scope returns the scope of a value at a path.
+// scope returns the scope that value names. An error names path as the setting.
 func (r *settingsReader) scope(path, value string) placement.Scope {
 	scope, known := scopes[value]
 	if !known {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,24 +1,24 @@
-// Package simwire translates the simulator's text lines into events for schedulers, and the
-// actions of schedulers into lines. It owns the form of that wire. It must never decide
-// anything: what the events mean is up to package placement.
+// Package simwire translates between the simulator's wire format, which consists of lines of text,
+// and package placement: it decodes lines into events for schedulers and encodes the actions of
+// schedulers as lines. It makes no scheduling decisions; package placement interprets the events.
 package simwire
 
-// This file owns what a batch carries.
+// This file contains the types of a decoded batch.
 
 import "ravenhitch/placement"
 
-// ItemKind says what an Item carries.
+// ItemKind is the kind of an Item. It determines which fields of the Item are set.
 type ItemKind int
 
-// The kinds of item.
+// The kinds of item. Instance is set in all of them.
 const (
-	InstanceStarted ItemKind = iota // Settings and Seed of a new instance
-	InstanceStopped                 // the instance is killed
-	EventReceived                   // Event
-	Ignored                         // a message that means nothing to a scheduler
+	InstanceStarted ItemKind = iota // an instance starts, with Settings and Seed
+	InstanceStopped                 // the instance stops
+	EventReceived                   // the instance receives Event
+	Ignored                         // a message that schedulers do not use
 )
 
-// Item is one message of a batch, for one instance.
+// Item is one decoded message of a batch. It is addressed to one instance of the scheduler.
 type Item struct {
 	Kind     ItemKind
 	Instance int
@@ -27,9 +27,9 @@
 	Event    placement.Event
 }
 
-// Batch is what happened at one moment.
+// Batch contains the messages of one moment of simulated time, in order.
 type Batch struct {
-	NowUs int64 // the simulator's clock
-	Seq   string
+	NowUs int64  // the simulator's clock in microseconds
+	Seq   string // sequence that the reply repeats
 	Items []Item
 }
