--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -1,47 +1,47 @@
-// Package admin owns what operators may ask of a running orchestrator: the connections of
-// operators, the form of calls and replies, the figures, and the list of cordoned workers.
-// It must never decide where a task goes.
+// Package admin owns the interface by which operators inspect and control a running orchestrator:
+// the connections of operators, the format of admin calls and replies, the figures, and the list of
+// cordoned workers. It must never decide on which worker a task is placed.
 package admin
 
-// This file owns the form of calls and of the replies that carry no figures. It must never
-// carry a call out.
+// This file owns the format of admin calls and of the replies without figures. It must never carry
+// out a call.
 
 import (
 	"fmt"
 	"strings"
 )
 
-// MaxCallLength is the length of the longest call in bytes, its line feed included.
+// MaxCallLength is the maximum length of a call in bytes, including its line feed.
 const MaxCallLength = 512
 
-// maxWorkerIDLength bounds the ID of a worker, in bytes.
+// maxWorkerIDLength is the maximum length of a worker's ID in bytes.
 const maxWorkerIDLength = 128
 
-// Verb names a call.
+// Verb is the first word of a call, which selects the operation.
 type Verb string
 
-// The calls.
+// The verbs of all calls.
 const (
-	Health  Verb = "HEALTH"  // whether the orchestrator is ready
-	Dump    Verb = "DUMP"    // the figures
-	Offline Verb = "OFFLINE" // cordon a worker
-	Online  Verb = "ONLINE"  // uncordon a worker
-	Peers   Verb = "PEERS"   // the members of the cluster
+	Health  Verb = "HEALTH"  // reports whether the orchestrator is ready
+	Dump    Verb = "DUMP"    // returns the figures
+	Offline Verb = "OFFLINE" // cordons a worker
+	Online  Verb = "ONLINE"  // uncordons a worker
+	Peers   Verb = "PEERS"   // returns the members of the cluster
 )
 
-// callForms lists the calls, for error replies.
+// callForms lists the valid calls for error replies.
 const callForms = "HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID"
 
-// Call is one call of an operator.
+// Call is one admin call.
 type Call struct {
 	Verb Verb
-	ID   string // of a worker, for Offline and Online
+	ID   string // ID of the worker, for Offline and Online
 }
 
-// CallError is a malformed call. Its text is part of the reply.
+// CallError reports a malformed call. Its text is part of the reply.
 type CallError struct {
-	Verb      Verb   // "" if there is none or it is unknown
-	Want, Got string // Got is "" if Want says it all
+	Verb      Verb   // "" if it is missing or unknown
+	Want, Got string // Got is "" if Want is sufficient
 }
 
 // Error implements error.
@@ -57,7 +57,7 @@
 	return text
 }
 
-// ParseCall parses a line, with or without its line feed. Its error is a *CallError.
+// ParseCall parses the line of a call, with or without its line feed. Its error is a *CallError.
 func ParseCall(line string) (Call, error) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -84,17 +84,18 @@
 	return Call{Verb: verb, ID: words[1]}, nil
 }
 
-// validWorkerID reports whether a word may be the ID of a worker.
+// validWorkerID reports whether id can be the ID of a worker: it is not too long and contains no
+// control character.
 func validWorkerID(id string) bool {
 	isControl := func(r rune) bool { return r < ' ' || r == 0x7f }
 	return len(id) <= maxWorkerIDLength && !strings.ContainsFunc(id, isControl)
 }
 
-// OKReply returns the reply to a call that was carried out.
+// OKReply returns the reply to a call that succeeded.
 func OKReply() []byte { return []byte("+OK\n") }
 
-// ErrorReply returns the reply to a call that was not carried out. The reason is put on
-// one line.
+// ErrorReply returns the reply to a call that failed. It replaces control characters in reason by
+// spaces, so that the reply is a single line.
 func ErrorReply(reason string) []byte {
 	reason = strings.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/admin/call_test.go
+++ b/internal/admin/call_test.go
@@ -22,20 +22,20 @@
 		longOfflineCall(1): {},
 	} {
 		if got, err := ParseCall(line); got != want || (err != nil) != (want == Call{}) {
-			t.Errorf("%q: %v, %v", line, got, err)
+			t.Errorf("ParseCall(%q): got %v, error %v, want %v", line, got, err, want)
 		}
 	}
 	if got := string(ErrorReply("a\nb\r")); got != "-ERR a b \n" {
-		t.Errorf("a reason of two lines: %q", got)
+		t.Errorf("reason of two lines: got reply %q, want %q", got, "-ERR a b \n")
 	}
 }
 
-// longOfflineCall returns a call whose ID is so many bytes longer than allowed.
+// longOfflineCall returns a call with a worker ID that exceeds the maximum length by excess bytes.
 func longOfflineCall(excess int) string {
 	return "OFFLINE " + strings.Repeat("a", maxWorkerIDLength+excess)
 }
 
-// The replies are, byte for byte, those of the build of 1 December 2026.
+// Replies equal, byte for byte, those of the build of 1 December 2026.
 func TestRepliesAsBefore(t *testing.T) {
 	for _, test := range []struct{ line, want string }{
 		{"", "-ERR malformed call: expected HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID, got an empty line\n"},
@@ -48,14 +48,14 @@
 		_, err := ParseCall(test.line)
 		var callError *CallError
 		if !errors.As(err, &callError) {
-			t.Errorf("%q: %v is no *CallError", test.line, err)
+			t.Errorf("ParseCall(%q): got error %v, want a *CallError", test.line, err)
 			continue
 		}
 		if got := string(ErrorReply(err.Error())); got != test.want {
-			t.Errorf("%q: got %q, want %q", test.line, got, test.want)
+			t.Errorf("reply to %q: got %q, want %q", test.line, got, test.want)
 		}
 	}
 	if got := string(OKReply()); got != "+OK\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("OKReply: got %q, want %q", got, "+OK\n")
 	}
 }
--- a/internal/admin/cordons.go
+++ b/internal/admin/cordons.go
@@ -1,8 +1,8 @@
 package admin
 
-// This file owns the list of cordoned workers, and the form of the file that carries it
-// from one process to the next. It must never take a file that it can't read for an empty
-// list: that would uncordon a worker that an operator cordoned.
+// This file owns the list of cordoned workers and the format of the file that passes the list from one
+// process to the next. It must never treat an unreadable file as an empty list: that would uncordon
+// workers that an operator cordoned.
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// The first and the last line of the file. A file that was cut short lacks the last one.
+// The first and the last line of the file. A truncated file lacks the last line.
 const (
 	cordonsHeader  = "ravenhitch minions out by hand, 1"
 	cordonsTrailer = "end"
 )
 
-// Cordons are the IDs of the cordoned workers.
+// Cordons is the set of the IDs of cordoned workers.
 type Cordons map[string]bool
 
-// With returns the cordons after a call; c stays as it is. Cordoning twice is the same as
-// once, and one Online undoes any number of Offline.
+// With returns the set after a call, without changing c. Cordoning a worker twice has the same effect
+// as cordoning it once, and one Online call undoes any number of Offline calls.
 func (c Cordons) With(call Call) Cordons {
 	after := maps.Clone(c)
 	if after == nil {
@@ -36,18 +36,18 @@
 	return after
 }
 
-// Encode returns the text of the file: the header, the IDs in order, the trailer.
+// Encode returns the text of the file: lines with the header, the sorted IDs and the trailer.
 func (c Cordons) Encode() []byte {
 	lines := append([]string{cordonsHeader}, slices.Sorted(maps.Keys(c))...)
 	return []byte(strings.Join(append(lines, cordonsTrailer, ""), "\n"))
 }
 
-// CordonsError is an invalid line of the file of cordoned workers.
+// CordonsError reports an invalid line in the file of cordoned workers.
 type CordonsError struct {
 	Path string
 	Line int
 	Want string
-	Got  string // quoted, "" if Want says it all
+	Got  string // quoted; "" if Want is sufficient
 }
 
 // Error implements error.
@@ -59,15 +59,15 @@
 	return text
 }
 
-// DecodeCordons parses the text of the file at path; an empty one holds no IDs. Its error
-// is a *CordonsError.
+// DecodeCordons parses the text of the file at path. An empty text is an empty set. Its error is a
+// *CordonsError.
 func DecodeCordons(path string, text []byte) (Cordons, error) {
 	cordons := Cordons{}
 	if len(text) == 0 {
 		return cordons, nil
 	}
 	lines := strings.Split(string(text), "\n")
-	count := len(lines) // with the empty one after the last line feed
+	count := len(lines) // includes the empty string after the last line feed
 	if lines[0] != cordonsHeader || count < 3 || lines[count-1] != "" || lines[count-2] != cordonsTrailer {
 		want := fmt.Sprintf("%q first and %q last", cordonsHeader, cordonsTrailer)
 		return nil, &CordonsError{Path: path, Line: count, Want: want}
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -1,29 +1,29 @@
 package admin
 
-// This file owns the form of the figures. It must never round or guess one.
+// This file owns the format of the figures. It must never round or estimate a figure.
 
 import "encoding/json"
 
-// Class counts the responses to requests of one class since the start.
+// Class counts the responses to requests of one class since the orchestrator started.
 type Class struct {
-	OK     int64 `json:"ok"`     // started
-	Shed   int64 `json:"shed"`   // rejected
-	Errors int64 `json:"errors"` // failed
+	OK     int64 `json:"ok"`     // requests started
+	Shed   int64 `json:"shed"`   // requests rejected
+	Errors int64 `json:"errors"` // requests failed
 }
 
-// Figures are the figures in the reply to Dump.
+// Figures is the content of the reply to Dump.
 type Figures struct {
-	Responses map[string]Class `json:"responses"`    // by name of the class
-	Attempts  int64            `json:"tries"`        // offers sent to workers
-	Active    int              `json:"active"`       // requests without a response, and running tasks
-	Pool      int              `json:"pool_size"`    // workers on the list
-	Ejected   int              `json:"pool_ejected"` // of these, the cordoned and the suspected ones
+	Responses map[string]Class `json:"responses"`    // by the name of the class
+	Attempts  int64            `json:"tries"`        // number of offers sent to workers
+	Active    int              `json:"active"`       // number of requests without a response plus running tasks
+	Pool      int              `json:"pool_size"`    // number of listed workers
+	Ejected   int              `json:"pool_ejected"` // number of listed workers that are cordoned or suspected
 }
 
-// Reply returns the reply to Dump: the figures as one line of JSON, then a line ".".
+// Reply returns the reply to Dump: the figures as one line of JSON, followed by the line ".".
 func (f Figures) Reply() []byte {
 	b, err := json.Marshal(f)
-	if err != nil { // impossible: Marshal fails on floats only, and no figure is one
+	if err != nil { // cannot happen: of numbers Marshal rejects only floats, and no figure is a float
 		return ErrorReply(err.Error())
 	}
 	return append(b, "\n.\n"...)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -1,8 +1,8 @@
 package admin
 
-// This file owns the connections of operators: one call of one line each, one reply, then
-// the close. It must never delay a request of a client, nor let connections that send
-// nothing take the place of one that sends a call.
+// This file owns the connections of operators. A connection carries one call of one line and its
+// reply, and is then closed. The listener must never delay a client's request, nor let connections that
+// send nothing keep out a connection that sends a call.
 
 import (
 	"bytes"
@@ -15,20 +15,21 @@
 )
 
 const (
-	second = 1_000_000 // microseconds
+	second = 1_000_000 // in microseconds
 
-	// maxConnections is how many connections are open at a time. For a further one, the
-	// oldest one without a whole call is closed.
+	// maxConnections is the maximum number of open connections. To accept a further
+	// connection, the listener closes the oldest connection without a complete call.
 	maxConnections = 24
-	// callTimeoutUs is how long a connection may take to send its call.
+	// callTimeoutUs is how long a connection may stay open, in microseconds. It bounds the time
+	// until the call is complete and its reply is written.
 	callTimeoutUs = 10 * second
 )
 
-// Handler carries out a call of an operator. It is called on the event loop, once for each
-// valid call. It calls reply once, on the loop, at once or later.
+// Handler carries out an admin call. It is called on the event loop, once for each valid call. It
+// must call reply once, on the event loop, immediately or later.
 type Handler func(call Call, reply func([]byte))
 
-// Listener accepts connections of operators.
+// Listener accepts connections of operators and passes their calls to a Handler.
 type Listener struct {
 	loop    *eventloop.Loop
 	log     *ratelog.Logger
@@ -36,28 +37,29 @@
 	open    []*connection // oldest first
 }
 
-// NewListener returns a listener that hands calls to handler.
+// NewListener returns a listener that passes calls to handler.
 func NewListener(loop *eventloop.Loop, log *slog.Logger, handler Handler) *Listener {
 	return &Listener{loop: loop, log: ratelog.New(log), handler: handler}
 }
 
-// Listen starts to accept connections, and returns the address in use. The loop closes
-// the socket when it ends.
+// Listen starts to accept connections at addr and returns the address in use. The event loop closes
+// the socket when the loop ends.
 func (l *Listener) Listen(addr string) (string, error) {
 	accept := func() eventloop.Handler { return &connection{listener: l} }
 	return l.loop.Listen(addr, admission{l}, accept)
 }
 
-// admission admits connections to a listener.
+// admission limits the number of open connections of a listener.
 type admission struct{ listener *Listener }
 
 // HasCapacity implements eventloop.Admission.
 func (a admission) HasCapacity() bool { return len(a.listener.open) < maxConnections }
 
-// MakeCapacity implements eventloop.Admission: it closes the oldest connection without a call.
+// MakeCapacity implements eventloop.Admission. It closes the oldest connection without a complete call
+// and reports whether there was one.
 func (a admission) MakeCapacity() bool {
 	for _, c := range a.listener.open {
-		if !c.called {
+		if !c.hasCall {
 			c.close()
 			return true
 		}
@@ -69,7 +71,7 @@
 type connection struct {
 	listener *Listener
 	conn     *eventloop.Conn
-	called   bool // its whole call has come
+	hasCall  bool // the call is complete, or exceeds MaxCallLength
 	timer    *eventloop.Timer
 }
 
@@ -85,14 +87,14 @@
 
 // Data implements eventloop.Handler.
 func (c *connection) Data(_ *eventloop.Conn, data []byte) (used int, err error) {
-	if c.called {
-		return len(data), nil // one call a connection
+	if c.hasCall {
+		return len(data), nil // a connection carries only one call
 	}
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 && len(data) <= MaxCallLength {
 		return 0, nil
 	}
-	c.called = true
+	c.hasCall = true
 	if end < 0 || end >= MaxCallLength {
 		c.reply(ErrorReply(fmt.Sprintf("expected a call of at most %d bytes", MaxCallLength)))
 		return len(data), nil
@@ -101,7 +103,7 @@
 	return len(data), nil
 }
 
-// handle hands a call to the handler, or replies that it is malformed.
+// handle passes a call to the handler, or replies with an error if the call is malformed.
 func (c *connection) handle(line string) {
 	call, err := ParseCall(line)
 	if err != nil {
@@ -112,20 +114,20 @@
 	c.listener.handler(call, c.reply)
 }
 
-// reply answers the one call that a connection may send, so it closes the connection too.
+// reply sends the reply to the only call that a connection carries, and closes the connection.
 func (c *connection) reply(b []byte) {
 	c.conn.Write(b)
 	c.close()
 }
 
-// close ends the connection from this side. The event loop does not call Closed then, so the
-// connection is removed here.
+// close closes the connection from this side. The event loop does not call Closed in this case, so
+// close also removes the connection from the listener.
 func (c *connection) close() {
 	c.remove()
 	c.conn.Close()
 }
 
-// remove stops the timer, and makes place for another connection.
+// remove stops the timer and removes the connection from the listener's open connections.
 func (c *connection) remove() {
 	c.timer.Stop()
 	if i := slices.Index(c.listener.open, c); i >= 0 {
--- a/internal/config/arguments.go
+++ b/internal/config/arguments.go
@@ -1,8 +1,8 @@
 package config
 
-// This file owns how the arguments of a directive are read as values of a type, within
-// bounds. Each of its errors is a *PositionError at the argument, or at the directive where
-// one is missing.
+// This file owns the conversion of a directive's arguments to typed values within bounds.
+// Each of its errors is a *PositionError. Its position is that of the invalid argument, or
+// that of the directive's name if an argument is missing.
 
 import (
 	"fmt"
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// requireArgs returns an error unless the directive has so many arguments.
+// requireArgs returns an error unless the directive has exactly count arguments. The error text
+// describes the expected arguments by want.
 func (d Directive) requireArgs(count int, want string) error {
 	if len(d.Args) > count {
 		return d.Args[count].Expected("nothing after " + want)
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// Word returns the only argument.
+// Word returns the directive's only argument, which want describes in error texts.
 func (d Directive) Word(want string) (string, error) {
 	if err := d.requireArgs(1, want); err != nil {
 		return "", err
@@ -36,7 +37,7 @@
 	return d.Args[0].Text, nil
 }
 
-// OneOf returns the only argument, which must be one of the given words.
+// OneOf returns the directive's only argument, which must be one of the given words.
 func (d Directive) OneOf(words ...string) (string, error) {
 	want := strings.Join(words, " or ")
 	word, err := d.Word(want)
@@ -49,7 +50,8 @@
 	return word, nil
 }
 
-// Duration returns the only argument as a time with its unit, as 500ms or 3s, within bounds.
+// Duration parses the directive's only argument as a duration with a unit, such as 500ms or 3s. It
+// must be at least minimum and at most maximum.
 func (d Directive) Duration(minimum, maximum time.Duration) (time.Duration, error) {
 	want := fmt.Sprintf("a time with its unit, %s to %s", minimum, maximum)
 	word, err := d.Word(want)
@@ -63,7 +65,8 @@
 	return duration, nil
 }
 
-// Int returns the only argument as a whole number within bounds.
+// Int parses the directive's only argument as a decimal integer, which must be at least minimum and
+// at most maximum.
 func (d Directive) Int(minimum, maximum int64) (int64, error) {
 	want := fmt.Sprintf("a whole number, %d to %d", minimum, maximum)
 	word, err := d.Word(want)
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -1,8 +1,8 @@
 package config
 
-// This file owns the directives of the operators' file: which ones each section takes, and
-// what they set. It must never rename one, nor change the text of an error: operators know
-// them.
+// This file owns the directives of the operators' file: which directives each section accepts,
+// and which settings they set. It must never rename a directive or change the text of an error,
+// because operators know these names and texts.
 
 import (
 	"fmt"
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxNameLength        = 64 // bytes, of members, zones and clusters
-	maxTraceSuffixLength = 16 // hex digits of a request ID
+	maxNameLength        = 64 // in bytes, for names of members, zones and clusters
+	maxTraceSuffixLength = 16 // in hex digits, the length of a request ID
 
-	// The bounds of the keepalive: a completion must be reported within 8 s, and another
-	// one may be needed once the connection is found dead.
+	// Bounds of the keepalive time. A completion must be reported within 8 s, and once a
+	// connection is found dead, the completion may need another connection.
 	minKeepalive = time.Second
 	maxKeepalive = 5 * time.Second
 
@@ -27,16 +27,18 @@
 	maxRememberedClients = 16 << 20
 )
 
-// setter sets what a directive says.
+// setter applies a directive to the setting that it controls.
 type setter = func(d Directive) error
 
-// sectionDirectives are the setters of all directives, by section and name.
+// sectionDirectives holds the setters of all directives, by the section's name and the directive's
+// name.
 type sectionDirectives map[string]map[string]setter
 
-// repeatable are the directives that may occur more than once.
+// repeatable lists the directives that may occur more than once in a section.
 var repeatable = map[string]bool{"member": true, "region": true}
 
-// apply hands each directive to its setter.
+// apply calls the setter of each directive. It returns an error for a section that known does not
+// contain.
 func apply(sections []Section, known sectionDirectives) error {
 	for _, s := range sections {
 		setters := known[s.Name.Text]
@@ -50,10 +52,10 @@
 	return nil
 }
 
-// apply hands each directive of the section to its setter, each at most once unless it is
-// repeatable.
+// apply calls the setter of each directive of the section. It returns an error for an unknown
+// directive, and for one that occurs again although it is not repeatable.
 func (s Section) apply(setters map[string]setter) error {
-	seen := map[string]int{} // line, by name
+	seen := map[string]int{} // line number by name of the directive
 	for _, d := range s.Directives {
 		name := d.Name.Text
 		set := setters[name]
@@ -71,12 +73,12 @@
 	return nil
 }
 
-// joinedKeys lists the keys of a map, for messages.
+// joinedKeys returns the sorted keys of a map, separated by commas, for error texts.
 func joinedKeys[V any](m map[string]V) string {
 	return strings.Join(slices.Sorted(maps.Keys(m)), ", ")
 }
 
-// directives returns all sections, with the setters of the fields of o.
+// directives returns the setters of all directives. They set the fields of o.
 func (o *OperatorSettings) directives() sectionDirectives {
 	return sectionDirectives{
 		"grpc": {
@@ -111,7 +113,8 @@
 	}
 }
 
-// setWord returns the setter of a valid word.
+// setWord returns a setter that stores the directive's only argument in field if valid reports true
+// for it. want describes the argument in error texts.
 func setWord(field *string, want string, valid func(string) bool) setter {
 	return func(d Directive) error {
 		word, err := d.Word(want)
@@ -126,7 +129,8 @@
 	}
 }
 
-// setDuration returns the setter of a duration within bounds.
+// setDuration returns a setter that stores the directive's only argument, a duration of at least
+// minimum and at most maximum, in field.
 func setDuration(field *time.Duration, minimum, maximum time.Duration) setter {
 	return func(d Directive) (err error) {
 		*field, err = d.Duration(minimum, maximum)
@@ -138,25 +142,26 @@
 func isAbsolutePath(word string) bool { return strings.HasPrefix(word, "/") }
 func isNotEmpty(word string) bool     { return word != "" }
 func isName(word string) bool         { return word != "" && len(word) <= maxNameLength }
-func isFigurePrefix(word string) bool { return word != "" && !strings.ContainsAny(word, " \t/\"") }
+func isMetricPrefix(word string) bool { return word != "" && !strings.ContainsAny(word, " \t/\"") }
 
-// directives returns the setters of a section of metrics; want and valid are of its address.
+// directives returns the setters of a section that configures a receiver of metrics. The receiver's
+// address must satisfy valid, and want describes it in error texts.
 func (m *Metrics) directives(want string, valid func(string) bool) map[string]setter {
 	return map[string]setter{
 		"address": setWord(&m.Address, want, valid),
-		"prefix":  setWord(&m.Prefix, "a name without spaces, slashes or quotes", isFigurePrefix),
+		"prefix":  setWord(&m.Prefix, "a name without spaces, slashes or quotes", isMetricPrefix),
 		"every":   m.setInterval,
 	}
 }
 
-// setInterval takes how often metrics are sent.
+// setInterval sets the interval at which metrics are sent.
 func (m *Metrics) setInterval(d Directive) error {
 	interval, err := d.Duration(100*time.Millisecond, time.Hour)
 	m.IntervalMs = interval.Milliseconds()
 	return err
 }
 
-// setLogLevel takes the lowest level that is written.
+// setLogLevel sets the lowest level of log lines that are written.
 func (o *OperatorSettings) setLogLevel(d Directive) error {
 	level, err := d.OneOf("info", "debug")
 	if level == "debug" {
@@ -165,7 +170,7 @@
 	return err
 }
 
-// setTrace takes the suffixes of the request IDs that are traced.
+// setTrace adds the directive's arguments to the suffixes of the request IDs that are traced.
 func (o *OperatorSettings) setTrace(d Directive) error {
 	if len(d.Args) == 0 {
 		return d.Name.Expected("trace followed by endings of tags, in hex digits")
@@ -179,12 +184,13 @@
 	return nil
 }
 
-// isHexSuffix reports whether a word may be the end of a request ID.
+// isHexSuffix reports whether a word can be the end of a request ID: 1 to 16 lower-case hex digits.
 func isHexSuffix(word string) bool {
 	return word != "" && len(word) <= maxTraceSuffixLength && strings.Trim(word, "0123456789abcdef") == ""
 }
 
-// setRetryAfter takes the word booked, or one Retry-After for all.
+// setRetryAfter sets how Retry-After is determined: by each client's reserved slot if the argument
+// is "booked", or as one fixed duration for all clients.
 func (b *Backpressure) setRetryAfter(d Directive) error {
 	if len(d.Args) > 0 && d.Args[0].Text == "booked" {
 		_, err := d.OneOf("booked")
@@ -193,14 +199,15 @@
 	return setDuration(&b.FixedRetryAfter, time.Millisecond, time.Hour)(d)
 }
 
-// setMaxClients takes how many clients are remembered.
+// setMaxClients sets the maximum number of rejected clients that are remembered.
 func (b *Backpressure) setMaxClients(d Directive) error {
 	count, err := d.Int(minRememberedClients, maxRememberedClients)
 	b.MaxClients = int(count)
 	return err
 }
 
-// addMember takes the name of another orchestrator, its address, and perhaps its zone.
+// addMember adds another orchestrator. The arguments are its name, its address and optionally its
+// zone.
 func (p *Peers) addMember(d Directive) error {
 	const want = "a name and address:port, and its zone where regions are named"
 	if err := d.requireArgs(min(3, max(2, len(d.Args))), want); err != nil {
@@ -226,7 +233,8 @@
 	return nil
 }
 
-// memberZone returns the third argument of a member's line, "" if there is none.
+// memberZone returns the zone of a member directive, which is the optional third argument, or "". It
+// records the first member without a zone for validate.
 func (p *Peers) memberZone(d Directive) (string, error) {
 	if len(d.Args) < 3 {
 		if p.firstZonelessWord == nil {
@@ -241,7 +249,7 @@
 	return zone.Text, nil
 }
 
-// addRegion takes the name of a region and its zones.
+// addRegion assigns zones to a region. The first argument is the region's name, the others are zones.
 func (p *Peers) addRegion(d Directive) error {
 	if len(d.Args) < 2 {
 		return d.Name.Expected("region followed by its name and its zones")
@@ -262,14 +270,15 @@
 	return nil
 }
 
-// setPartition takes whether the workers are divided among the members.
+// setPartition sets whether the workers are divided among the members.
 func (p *Peers) setPartition(d Directive) error {
 	word, err := d.OneOf("on", "off")
 	p.Partition, p.partitionWord = word == "on", &d.Name
 	return err
 }
 
-// setKeepalive takes whole seconds, as the system counts them.
+// setKeepalive sets the keepalive time. It must be in whole seconds, the unit of the operating
+// system's TCP keepalive option.
 func (w *WorkerConnections) setKeepalive(d Directive) error {
 	keepalive, err := d.Duration(minKeepalive, maxKeepalive)
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -1,24 +1,26 @@
 package config
 
-// This file owns the errors of the package. Their texts are shown to operators.
+// This file owns the error types of the package. Their texts are shown to operators.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// ErrConfig is wrapped by every error about the configuration and the operators' file.
+// ErrConfig is wrapped by every error about the configuration, a list of workers or the operators'
+// file.
 var ErrConfig = errors.New("configuration")
 
-// ErrLineFile is wrapped by every error about a line-based file: the operators' file, whose
-// errors wrap ErrConfig too, and the file of keys of retry tokens.
+// ErrLineFile is wrapped by every error about the content of a line-based file: the operators' file,
+// whose errors also wrap ErrConfig, and the file of retry token keys.
 var ErrLineFile = errors.New("settings")
 
-// PositionError is what is wrong at a place in a line-based file. It wraps ErrLineFile.
+// PositionError reports invalid or missing text at a position in a line-based file. It wraps
+// ErrLineFile.
 type PositionError struct {
 	File         string
-	Line, Column int    // from 1
-	Want, Got    string // Got is "" if there is nothing
+	Line, Column int    // counted from 1; Column in bytes
+	Want, Got    string // Got is "" if there is no text to quote
 }
 
 // Error implements error.
@@ -33,7 +35,8 @@
 // Unwrap returns ErrLineFile.
 func (e *PositionError) Unwrap() error { return ErrLineFile }
 
-// SectionError is what is wrong with a section of the operators' file as a whole.
+// SectionError reports directives of a section of the operators' file that are invalid together. It
+// wraps ErrLineFile.
 type SectionError struct{ File, Section, Want string }
 
 // Error implements error.
@@ -44,11 +47,11 @@
 // Unwrap returns ErrLineFile.
 func (e *SectionError) Unwrap() error { return ErrLineFile }
 
-// FieldError is what is wrong with a field of the configuration. It wraps ErrConfig.
+// FieldError reports an invalid field of the configuration. It wraps ErrConfig.
 type FieldError struct {
-	Field string // its path, as settings.Limits.DialTimeoutUs
+	Field string // path of the field, such as settings.Limits.DialTimeoutUs
 	Want  string
-	Got   string // quoted, "" if Want says it all
+	Got   string // quoted; "" if Want is sufficient
 }
 
 // Error implements error.
@@ -63,7 +66,7 @@
 // Unwrap returns ErrConfig.
 func (e *FieldError) Unwrap() error { return ErrConfig }
 
-// WorkerError is what is wrong with one worker of a list. It wraps ErrConfig.
+// WorkerError reports an invalid worker in a list of workers. It wraps ErrConfig.
 type WorkerError struct{ Name, Problem string }
 
 // Error implements error.
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The texts of errors are, byte for byte, those of the build of 1 December 2026, which
-// operators know. The errors carry the place.
+// Error texts equal, byte for byte, those of the build of 1 December 2026, because operators know
+// them. The errors also identify the invalid field or worker.
 func TestErrorTextsOfConfiguration(t *testing.T) {
 	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + workerJSON + `]}}]}`
 	const addr = "127.0.0.1:1"
@@ -29,23 +29,24 @@
 			"configuration: settings.Limits.DialTimeoutUs: expected a time above 0"},
 	} {
 		if _, err := Parse([]byte(test.text)); err == nil || err.Error() != test.want {
-			t.Errorf("got %v, want %s", err, test.want)
+			t.Errorf("Parse: got error %v, want %s", err, test.want)
 		}
 	}
 
 	_, err := Parse([]byte(configText("here", addr, "1", known, nested)))
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != "listen" {
-		t.Errorf("%v is no *FieldError of listen", err)
+		t.Errorf("got error %v, want a *FieldError for field listen", err)
 	}
 	_, err = Parse([]byte(configText(addr, addr, "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested)))
 	var workerError *WorkerError
 	if !errors.As(err, &workerError) || workerError.Name != "s-00c41f7a" {
-		t.Errorf("%v is no *MemberError of the worker", err)
+		t.Errorf("got error %v, want a *WorkerError for worker s-00c41f7a", err)
 	}
 }
 
-// As above, for the operators' file.
+// Error texts about the operators' file equal, byte for byte, those of the build of 1 December 2026,
+// because operators know them. The errors also identify the invalid position or section.
 func TestErrorTextsOfOperatorsFile(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"[grpc]\ncert a", "configuration: x: [grpc]: expected both cert and key, or neither"},
@@ -55,18 +56,18 @@
 		{"[workers]\nkeepalive 1500ms", `configuration: x:2:11: expected whole seconds from 1s to 5s, got "1500ms"`},
 	} {
 		if _, err := ParseOperatorSettings("x", []byte(test.text)); err == nil || err.Error() != test.want {
-			t.Errorf("got %v, want %s", err, test.want)
+			t.Errorf("ParseOperatorSettings(%q): got error %v, want %s", test.text, err, test.want)
 		}
 	}
 
 	_, err := ParseOperatorSettings("x", []byte("[grpc]\nlisten here"))
 	var at *PositionError
 	if !errors.As(err, &at) || at.File != "x" || at.Line != 2 || at.Column != 8 {
-		t.Errorf("%v is no *PositionError at x:2:8", err)
+		t.Errorf("got error %v, want a *PositionError at x:2:8", err)
 	}
 	_, err = ParseOperatorSettings("x", []byte("[grpc]\ncert a"))
 	var sectionError *SectionError
 	if !errors.As(err, &sectionError) || sectionError.Section != "grpc" {
-		t.Errorf("%v is no *SectionError of grpc", err)
+		t.Errorf("got error %v, want a *SectionError for section grpc", err)
 	}
 }
--- a/internal/config/flatten.go
+++ b/internal/config/flatten.go
@@ -1,7 +1,7 @@
 package config
 
-// This file owns how nested settings become the flat pairs of the simulator's wire. It
-// must never interpret one.
+// This file owns the conversion of nested settings to the flat path=value pairs of the simulator's
+// wire format. It must never interpret a setting.
 
 import (
 	"strconv"
@@ -10,15 +10,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// Pairs returns nested settings as the path=value pairs of the simulator's wire, in the
-// order of the text.
+// Pairs returns nested settings as the path=value pairs of the simulator's wire format, in the order
+// in which the settings appear in the JSON text.
 func Pairs(settings gjson.Result) []string {
 	var pairs []string
 	flatten("", settings, &pairs)
 	return pairs
 }
 
-// flatten appends the pairs of a value at a path.
+// flatten appends the pairs of the value at path to pairs.
 func flatten(path string, value gjson.Result, pairs *[]string) {
 	switch {
 	case value.IsObject():
@@ -33,8 +33,9 @@
 	}
 }
 
-// flattenArray appends the pairs of an array: its length and one path an item if these are
-// objects, else one pair with the items separated by commas.
+// flattenArray appends the pairs of the array at path to pairs. An array of objects becomes a pair
+// with its length and the pairs of each object, at the path with the object's index. Any other array
+// becomes one pair with the items separated by commas.
 func flattenArray(path string, items []gjson.Result, pairs *[]string) {
 	if len(items) > 0 && items[0].IsObject() {
 		*pairs = append(*pairs, join(path, "count")+"="+strconv.Itoa(len(items)))
@@ -50,7 +51,7 @@
 	*pairs = append(*pairs, path+"="+strings.Join(scalars, ","))
 }
 
-// join returns the path of a field.
+// join returns the path of the field that name denotes in the object at path.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -58,10 +59,11 @@
 	return path + "." + name
 }
 
-// separators can't stand within a value on the simulator's wire.
+// separators replaces the characters that separate pairs and items on the simulator's wire, so that
+// no value contains them.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-// scalar returns a value as the simulator's wire has it; "-" is none.
+// scalar returns a value in the simulator's wire format, in which "-" stands for null.
 func scalar(value gjson.Result) string {
 	if value.Type == gjson.Null {
 		return "-"
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -1,11 +1,11 @@
 package config
 
-// This file owns the form of line-based files, as classic daemons read them: a section's
-// name in brackets, then one directive a line, a word and its arguments; # begins a
-// comment; double quotes keep spaces in a word. What a directive means its user decides;
-// how its arguments are read as values is in arguments.go.
-// It must never open a file, and each of its errors names the file, the line, the column
-// and what was expected.
+// This file owns the syntax of line-based files, which is that of classic Unix daemons: a section
+// starts with its name in brackets, and each further line holds one directive, a name followed by
+// arguments. # begins a comment, and double quotes allow spaces in a word. The caller decides what a
+// directive means; arguments.go converts arguments to values.
+// The parser must never open a file, and each of its errors names the file, the line, the column and
+// the expected text.
 
 import (
 	"fmt"
@@ -18,32 +18,32 @@
 	maxLineLength = 4 << 10 // bytes
 )
 
-// Word is a word and its place.
+// Word is a word of a line-based file and its position.
 type Word struct {
 	Text         string
 	File         string
-	Line, Column int // from 1
+	Line, Column int // counted from 1; Column in bytes
 }
 
-// Expected returns the error that something else was expected in place of the word. It is a
-// *PositionError.
+// Expected returns a *PositionError that reports the word where want was expected.
 func (w Word) Expected(want string) error {
 	return &PositionError{File: w.File, Line: w.Line, Column: w.Column, Want: want, Got: w.Text}
 }
 
-// Directive is a line of a section.
+// Directive is one line of a section: a name and its arguments.
 type Directive struct {
 	Name Word
 	Args []Word
 }
 
-// Section is a heading and the directives below it.
+// Section is a heading and the directives that follow it.
 type Section struct {
 	Name       Word
 	Directives []Directive
 }
 
-// ParseLines parses the text of a file. Its errors are *PositionError.
+// ParseLines parses the text of a line-based file. file is the name of the file in error texts. Each
+// error is a *PositionError.
 func ParseLines(file string, text []byte) ([]Section, error) {
 	if len(text) > maxFileSize {
 		return nil, &PositionError{File: file, Line: 1, Column: 1, Want: fmt.Sprintf("at most %d bytes", maxFileSize)}
@@ -60,69 +60,70 @@
 	return p.sections, nil
 }
 
-// lineParser parses a file line by line.
+// lineParser parses a line-based file, one line at a time.
 type lineParser struct {
 	file     string
-	line     int // number of the present line, from 1
+	line     int // number of the current line, counted from 1
 	sections []Section
 }
 
-// fail returns a *PositionError in the present line. Its column is counted from 1, in
-// bytes.
-func (p *lineParser) fail(column int, want, got string) error {
+// errorAt returns a *PositionError at a column of the current line, counted from 1 in bytes.
+func (p *lineParser) errorAt(column int, want, got string) error {
 	return &PositionError{File: p.file, Line: p.line, Column: column, Want: want, Got: got}
 }
 
-// parse parses the present line: nothing, a heading, or a directive of the last heading.
+// parse parses the current line, which holds a heading, a directive of the last section, or nothing
+// but spaces and a comment.
 func (p *lineParser) parse(text string) error {
 	if len(text) > maxLineLength {
-		return p.fail(maxLineLength+1, fmt.Sprintf("a line of at most %d bytes", maxLineLength), "")
+		return p.errorAt(maxLineLength+1, fmt.Sprintf("a line of at most %d bytes", maxLineLength), "")
 	}
 	if !utf8.ValidString(text) {
-		return p.fail(1, "UTF-8", text)
+		return p.errorAt(1, "UTF-8", text)
 	}
 	words, err := p.split(text)
 	if err != nil || len(words) == 0 {
 		return err
 	}
 	first := words[0]
-	if strings.HasPrefix(first.Text, "[") && text[first.Column-1] == '[' { // not in quotes
+	if strings.HasPrefix(first.Text, "[") && text[first.Column-1] == '[' { // the word is not quoted
 		return p.addSection(words)
 	}
 	if len(p.sections) == 0 {
-		return p.fail(first.Column, "a section as [name] before the first directive", first.Text)
+		return p.errorAt(first.Column, "a section as [name] before the first directive", first.Text)
 	}
 	section := &p.sections[len(p.sections)-1]
 	section.Directives = append(section.Directives, Directive{Name: first, Args: words[1:]})
 	return nil
 }
 
-// addSection adds the section of a heading, whose first word begins with a bracket.
+// addSection adds the section that a heading begins. words are the words of the heading's line, of
+// which the first starts with a bracket.
 func (p *lineParser) addSection(words []Word) error {
 	heading := words[0]
 	name := strings.TrimSuffix(heading.Text[1:], "]")
 	if !strings.HasSuffix(heading.Text, "]") || name == "" {
-		return p.fail(heading.Column, "a section as [name]", heading.Text)
+		return p.errorAt(heading.Column, "a section as [name]", heading.Text)
 	}
 	if len(words) > 1 {
-		return p.fail(words[1].Column, "nothing after a section's name", words[1].Text)
+		return p.errorAt(words[1].Column, "nothing after a section's name", words[1].Text)
 	}
 	for _, s := range p.sections {
 		if s.Name.Text == name {
 			want := fmt.Sprintf("each section once; %s began in line %d", name, s.Name.Line)
-			return p.fail(heading.Column, want, heading.Text)
+			return p.errorAt(heading.Column, want, heading.Text)
 		}
 	}
 	p.sections = append(p.sections, Section{Name: p.word(name, heading.Column+1)})
 	return nil
 }
 
-// word returns a word of the present line.
+// word returns a Word at a column of the current line.
 func (p *lineParser) word(text string, column int) Word {
 	return Word{Text: text, File: p.file, Line: p.line, Column: column}
 }
 
-// split splits the present line into its words, up to a comment.
+// split splits the text of the current line into words, without a trailing comment.
 func (p *lineParser) split(text string) ([]Word, error) {
 	var words []Word
 	for offset := 0; offset < len(text); {
@@ -143,7 +144,8 @@
 	return words, nil
 }
 
-// nextWord returns the word that begins at an offset of a line, and the offset behind it.
+// nextWord returns the word that begins at an offset of the current line, and the offset of the byte
+// after it.
 func (p *lineParser) nextWord(text string, offset int) (word Word, end int, err error) {
 	if text[offset] == '"' {
 		return p.quotedWord(text, offset)
@@ -151,26 +153,27 @@
 	end = offset
 	for end < len(text) && !endsWord(text[end]) {
 		if text[end] == '"' {
-			return Word{}, 0, p.fail(end+1, "a space before an opening quote", text[end:])
+			return Word{}, 0, p.errorAt(end+1, "a space before an opening quote", text[end:])
 		}
 		end++
 	}
 	return p.word(text[offset:end], offset+1), end, nil
 }
 
-// quotedWord returns the word whose opening quote is at an offset of a line, and the
-// offset behind its closing quote. Its column is that of the opening quote.
+// quotedWord returns the word whose opening quote is at an offset of the current line, and the offset
+// of the byte after its closing quote. The column of the word is that of the opening quote.
 func (p *lineParser) quotedWord(text string, offset int) (word Word, end int, err error) {
 	length := strings.IndexByte(text[offset+1:], '"')
 	if length < 0 {
-		return Word{}, 0, p.fail(offset+1, "a closing quote", text[offset:])
+		return Word{}, 0, p.errorAt(offset+1, "a closing quote", text[offset:])
 	}
 	end = offset + length + 2
 	if end < len(text) && !endsWord(text[end]) {
-		return Word{}, 0, p.fail(end+1, "a space after a closing quote", text[end:])
+		return Word{}, 0, p.errorAt(end+1, "a space after a closing quote", text[end:])
 	}
 	return p.word(text[offset+1:end-1], offset+1), end, nil
 }
 
-// endsWord reports whether a byte ends an unquoted word: a comment needs no space before it.
+// endsWord reports whether a byte ends a word: a space, a tab or the # of a comment, which needs no
+// space before it.
 func endsWord(b byte) bool { return b == ' ' || b == '\t' || b == '#' }
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzLines checks what holds of any text: an error names a place in it, and what is
-// parsed, written out again, parses the same.
+// FuzzLines checks two properties for any text: an error names a position within the text, and
+// sections that are parsed, written as text and parsed again have the same directives.
 func FuzzLines(f *testing.F) {
 	for _, text := range []string{
 		"[a]\nb c # d\n", "[a]\nb \"c d\"\n", "[", "\"", "[a]\n[a]", "[a] b", "x",
@@ -24,14 +24,14 @@
 		}
 		written := writeSections(sections)
 		if strings.ContainsAny(written, "\r") {
-			return // one that ends a quoted line would be taken for a part of the line's end
+			return // a carriage return at the end of a line would be parsed as part of the line ending
 		}
 		again, err := ParseLines("f", []byte(written))
 		if err != nil {
-			t.Fatalf("%q became %q: %v", text, written, err)
+			t.Fatalf("%q was written as %q, which gives error %v", text, written, err)
 		}
 		if len(again) != len(sections) {
-			t.Fatalf("%q became %q", text, written)
+			t.Fatalf("%q was written as %q: got %d sections, want %d", text, written, len(again), len(sections))
 		}
 		for i := range again {
 			checkSameSection(t, again[i], sections[i])
@@ -39,17 +39,19 @@
 	})
 }
 
-// checkPosition checks that an error names a place in a text.
+// checkPosition checks that err is a *PositionError that wraps ErrLineFile and names a position within
+// the text.
 func checkPosition(t *testing.T, text string, err error) {
 	t.Helper()
 	var at *PositionError
 	if !errors.As(err, &at) || !errors.Is(err, ErrLineFile) ||
 		at.Line < 1 || at.Line > strings.Count(text, "\n")+1 || at.Column < 1 {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("%q: got error %v, want a *PositionError within the text", text, err)
 	}
 }
 
-// writeSections returns the text of a file with all words in quotes.
+// writeSections returns the text of a line-based file with the given sections, in which all words of
+// directives are quoted.
 func writeSections(sections []Section) string {
 	var text strings.Builder
 	for _, section := range sections {
@@ -64,27 +66,28 @@
 	return text.String()
 }
 
-// checkSameSection checks that two sections have the same names and numbers of arguments.
+// checkSameSection checks that two sections have the same name, and directives with the same names and
+// numbers of arguments.
 func checkSameSection(t *testing.T, got, want Section) {
 	t.Helper()
 	if len(got.Directives) != len(want.Directives) || got.Name.Text != want.Name.Text {
-		t.Fatalf("%+v became %+v", want, got)
+		t.Fatalf("parsed again: got section %+v, want %+v", got, want)
 	}
 	for i, directive := range got.Directives {
 		if before := want.Directives[i]; len(directive.Args) != len(before.Args) || directive.Name.Text != before.Name.Text {
-			t.Fatalf("%+v became %+v", before, directive)
+			t.Fatalf("parsed again: got directive %+v, want %+v", directive, before)
 		}
 	}
 }
 
-// A file that is too long, or has a line that is, is an error.
+// A file or a line that exceeds its maximum length is an error.
 func TestMaxLengths(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{strings.Repeat("#\n", maxFileSize), "f:1:1: expected at most"},
 		{"[a]\n" + strings.Repeat("x", maxLineLength+1), "f:2:4097: expected a line of at most"},
 	} {
 		if _, err := ParseLines("f", []byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want %q in it", err, test.want)
 		}
 	}
 }
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -1,8 +1,8 @@
 package config
 
-// This file owns what the operators' file may say: its types, how it is loaded, and what
-// several directives must say together. It must never pass over an unknown directive: a
-// misspelt one would silently leave its part off.
+// This file owns the settings of the operators' file: their types, the loading of the file, and the
+// rules that concern several directives together. It must never ignore an unknown directive: a
+// misspelt directive would silently leave its feature off.
 
 import (
 	"errors"
@@ -15,73 +15,77 @@
 
 const (
 	defaultPrefix = "ravenhitch"
-	// defaultIntervalMs is how often metrics are sent, in milliseconds.
+	// defaultIntervalMs is the default interval at which metrics are sent, in milliseconds.
 	defaultIntervalMs = 10_000
 )
 
-// OperatorSettings is the content of the operators' file: further protocols, each of which is off
-// while its address is empty, backpressure, and the log.
+// OperatorSettings is the content of the operators' file: optional protocols, each of which is off
+// while its address is empty, and the settings of backpressure, worker connections and the log.
 type OperatorSettings struct {
 	GRPCListen        string
-	GRPCCert, GRPCKey string // files of a certificate and its key, or ""
-	RetryTokenKeys    string // file of the keys of retry tokens, or ""
+	GRPCCert, GRPCKey string // paths of the certificate and its key, or ""
+	RetryTokenKeys    string // path of the file of retry token keys, or ""
 	Graphite          Metrics
 	Collectd          Metrics
 	Backpressure      Backpressure
 	Peers             Peers
 	Workers           WorkerConnections
-	// LogLevel is the lowest level that is written: info, or debug for a line at each step
-	// of every request, which costs time under load.
+	// LogLevel is the lowest level of log lines that are written. At the debug level, each
+	// step of every request writes a line, which costs time under load.
 	LogLevel slog.Level
-	// Trace limits the debug lines of requests to request IDs that end in one of these
-	// hex digits; none: every request.
+	// Trace limits the debug lines about requests to request IDs that end in one of these
+	// suffixes of hex digits. If it is empty, every request is logged.
 	Trace []string
 }
 
-// Metrics says where metrics are sent, and how often.
+// Metrics configures a receiver of metrics: its address, the prefix of the names of metrics, and the
+// interval at which they are sent.
 type Metrics struct {
 	Address    string
 	Prefix     string
 	IntervalMs int64
 }
 
-// Peers says how orchestrators find each other; off while Listen is empty.
+// Peers configures the connections to other orchestrators, which are off while Listen is empty.
 type Peers struct {
 	Listen, Cluster string
-	Zone            string // zone, "" for that of the configuration
-	Directory       string // directory that survives restarts, or ""
+	Zone            string // zone of this orchestrator, "" for the zone of the configuration
+	Directory       string // path of a directory that survives restarts, or ""
 	Members         []PeerAddress
-	// Partition divides the workers among the live orchestrators: each one places tasks at
-	// its own workers only, and asks discovery for the free capacity of these.
+	// Partition divides the workers among the live orchestrators: each orchestrator places
+	// tasks on its own workers only, and requests from discovery the free capacity of these
+	// workers only.
 	Partition bool
-	// Regions maps zones to regions: the workers of a zone are divided among the
+	// Regions maps each zone to its region. The workers of a zone are divided among the
 	// orchestrators of its region.
 	Regions map[string]string
 
-	// The words that an error of validate refers to: partition, the first region, and the
-	// name of the first member without a zone; nil where the file has none.
+	// Words whose positions validate reports in its errors: the name of the directive
+	// partition, the name of the first directive region, and the name of the first member
+	// without a zone. Each is nil if the file contains no such word.
 	partitionWord, firstRegionWord, firstZonelessWord *Word
 }
 
-// WorkerConnections says how connections to workers are monitored.
+// WorkerConnections configures how connections to workers are monitored.
 type WorkerConnections struct {
-	// Keepalive is the time without data after which the system probes a worker's
-	// connection, where an answer proves the connection; 0: only data does.
+	// Keepalive is the time without data after which the operating system probes a worker's
+	// connection by TCP keepalive. An answer to the probe proves that the connection is
+	// alive. If Keepalive is 0, only data proves this.
 	Keepalive time.Duration
 }
 
-// PeerAddress is where another orchestrator is reached, and its zone, "" if unknown.
+// PeerAddress is the name, the address and the zone of another orchestrator. Zone is "" if unknown.
 type PeerAddress struct{ Name, Address, Zone string }
 
 // Backpressure configures Retry-After.
 type Backpressure struct {
-	FixedRetryAfter time.Duration // the same for all; 0: that of a reserved slot
-	MinRetryAfter   time.Duration // lower bound of Retry-After
-	MaxClients      int           // clients remembered at most; 0: a number that fits a small host
+	FixedRetryAfter time.Duration // Retry-After of all clients; 0: each client gets that of its reserved slot
+	MinRetryAfter   time.Duration // lower bound of Retry-After unless FixedRetryAfter is set
+	MaxClients      int           // maximum number of rejected clients remembered; 0: a default that fits a small host
 }
 
-// LoadOperatorSettings reads the operators' file. If there is none, it returns the defaults. Its
-// errors wrap ErrConfig.
+// LoadOperatorSettings reads the operators' file. If the file does not exist, it returns the defaults.
+// Its errors wrap ErrConfig.
 func LoadOperatorSettings(path string) (OperatorSettings, error) {
 	if strings.HasSuffix(path, ".json") {
 		return OperatorSettings{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf",
@@ -97,8 +101,8 @@
 	return ParseOperatorSettings(path, text)
 }
 
-// ParseOperatorSettings parses the text of the operators' file. Its errors wrap ErrConfig and a
-// *PositionError or a *SectionError.
+// ParseOperatorSettings parses the text of the operators' file. file is the name of the file in error
+// texts. Errors wrap ErrConfig and a *PositionError or a *SectionError.
 func ParseOperatorSettings(file string, text []byte) (OperatorSettings, error) {
 	o := OperatorSettings{
 		Graphite: Metrics{Prefix: defaultPrefix, IntervalMs: defaultIntervalMs},
@@ -117,7 +121,7 @@
 	return o, nil
 }
 
-// validate checks what several directives must say together.
+// validate checks the rules that concern several directives together.
 func (o *OperatorSettings) validate(file string) error {
 	if (o.GRPCCert == "") != (o.GRPCKey == "") {
 		return &SectionError{File: file, Section: "grpc", Want: "both cert and key, or neither"}
@@ -128,7 +132,7 @@
 	return o.Peers.validate()
 }
 
-// validate checks what the directives of a partition must say together.
+// validate checks the rules that concern the directives partition, region and member together.
 func (p *Peers) validate() error {
 	switch {
 	case p.Partition && p.Listen == "":
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// operatorsErrorCase is an invalid operators' file, and what its error says.
+// operatorsErrorCase is an invalid operators' file and a part of the expected error text.
 type operatorsErrorCase struct{ text, want string }
 
-// checkOperatorsErrors checks that each text is an error of one line that says what is wanted.
+// checkOperatorsErrors checks that each text gives an error of one line that contains the expected part.
 func checkOperatorsErrors(t *testing.T, cases []operatorsErrorCase) {
 	t.Helper()
 	for _, test := range cases {
 		_, err := ParseOperatorSettings("x", []byte(test.text))
 		if !errors.Is(err, ErrConfig) || !errors.Is(err, ErrLineFile) {
-			t.Errorf("%q: %v wraps not both sentinels", test.text, err)
+			t.Errorf("%q: got error %v, want one that wraps ErrConfig and ErrLineFile", test.text, err)
 			continue
 		}
 		if strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%q: got %v", test.text, err)
+			t.Errorf("%q: got error %v, want one line with %q in it", test.text, err, test.want)
 		}
 	}
 }
 
-// The file in the repository and a missing file give the defaults; each directive is
-// parsed as written; each error is one line that names the place and what was expected.
+// The file in the repository and a missing file give the defaults. Each directive is parsed as
+// written. Each error is one line that names the position and the expected text.
 func TestOperatorsFile(t *testing.T) {
 	metrics := Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}
 	defaults := OperatorSettings{Graphite: metrics, Collectd: metrics}
@@ -38,7 +38,7 @@
 		filepath.Join(t.TempDir(), "none.conf"),
 	} {
 		if o, err := LoadOperatorSettings(path); err != nil || !reflect.DeepEqual(o, defaults) {
-			t.Errorf("%s: %+v, %v", path, o, err)
+			t.Errorf("%s: got %+v, %v, want the defaults %+v", path, o, err, defaults)
 		}
 	}
 	wantBackpressure := Backpressure{
@@ -52,7 +52,7 @@
 	if err != nil || o.GRPCListen != "127.0.0.1:7000" || o.Graphite.Prefix != "a.b" || o.Graphite.IntervalMs != 10_000 ||
 		o.Collectd.Prefix != "ravenhitch" || o.Collectd.IntervalMs != 500 ||
 		o.Backpressure != wantBackpressure {
-		t.Errorf("got %+v, %v", o, err)
+		t.Errorf("got settings %+v, error %v, want the values in the text and defaults for the others", o, err)
 	}
 	checkOperatorsErrors(t, []operatorsErrorCase{
 		{"listen 127.0.0.1:1", "x:1:1: expected a section"},
@@ -80,20 +80,20 @@
 	})
 	_, err = LoadOperatorSettings("deploy/edge.json")
 	if !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), "deploy/ravenhitch.conf") {
-		t.Errorf("edge.json: %v", err)
+		t.Errorf("edge.json: got error %v, want one that refers to deploy/ravenhitch.conf", err)
 	}
 }
 
-// The level of the log and the suffixes of traced request IDs are parsed as written.
+// The log level and the suffixes of traced request IDs are parsed as written.
 func TestLogDirectives(t *testing.T) {
 	o, err := ParseOperatorSettings("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
 	if err != nil || o.LogLevel != slog.LevelDebug || !reflect.DeepEqual(o.Trace, []string{"42ac8ba6", "160bf556"}) {
-		t.Errorf("got %+v, %v", o, err)
+		t.Errorf("got level %v, trace %q, error %v, want debug, 42ac8ba6 and 160bf556", o.LogLevel, o.Trace, err)
 	}
 }
 
-// The partition of the workers, its regions and the zones of members are parsed as written,
-// and each error names its place.
+// The directives about the partition of the workers, its regions and the zones of members are parsed
+// as written, and each error names its position.
 func TestPartitionDirectives(t *testing.T) {
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
 	o, err := ParseOperatorSettings("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\n"+
@@ -102,11 +102,11 @@
 	if err != nil || !o.Peers.Partition || o.Workers.Keepalive != 4*time.Second ||
 		!reflect.DeepEqual(o.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
 		!reflect.DeepEqual(o.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
-		t.Errorf("got %+v, %v", o, err)
+		t.Errorf("got settings %+v, error %v, want the values in the text", o, err)
 	}
 	o, err = ParseOperatorSettings("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
 	if err != nil || o.Peers.Partition || o.Peers.Members[0].Zone != "" {
-		t.Errorf("got %+v, %v", o, err)
+		t.Errorf("got settings %+v, error %v, want no partition and a member without a zone", o, err)
 	}
 	checkOperatorsErrors(t, []operatorsErrorCase{
 		{peers + "partition maybe", "x:4:11: expected on or off"},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,11 +1,10 @@
-// Package config owns the form of what an orchestrator is configured by: the
-// configuration of the platform and the lists of discovery, both JSON, and the operators'
-// file. It must never hold state, open anything but these files, or fill in a setting that
-// is missing: what the settings mean is decided in package simwire, for the simulator's
-// wire and for the configuration alike.
+// Package config owns the formats of an orchestrator's configuration: the configuration file of the
+// platform and discovery's lists of workers, which are both JSON, and the operators' file. It must
+// never keep state, open any other file, or supply a value for a missing setting: package simwire
+// decides what the settings mean, both on the simulator's wire and in the configuration.
 package config
 
-// This file owns the configuration of the platform, which is decoded with gjson.
+// This file owns the configuration file of the platform, which it parses with gjson.
 
 import (
 	"fmt"
@@ -19,15 +18,15 @@
 	"ravenhitch/placement"
 )
 
-// Config is the configuration that an orchestrator starts with.
+// Config is the configuration with which an orchestrator starts.
 type Config struct {
 	Name, Listen, DiscoveryAddr string
-	AdminAddr                   string // of the operators' calls, "" for none
+	AdminAddr                   string // address for admin calls, or "" for none
 	InheritedFD                 int    // descriptor of an inherited listening socket, or 0
 	Seed                        uint64
-	MemoryMB, Sockets           int64 // limits of the process
+	MemoryMB, Sockets           int64 // limits of the process: memory in MB, number of sockets
 	DialTimeoutUs               int64
-	ConnIdleUs                  int64 // 0: idle connections stay open
+	ConnIdleUs                  int64 // idle time after which a client's connection is closed; 0: never
 	Initial                     Update
 	Settings                    placement.Settings
 }
@@ -76,7 +75,7 @@
 	return c, nil
 }
 
-// validateAddresses checks the form of the addresses.
+// validateAddresses checks that each address has the form address:port.
 func (c *Config) validateAddresses() error {
 	for _, field := range []struct {
 		name, addr string
@@ -96,7 +95,7 @@
 	return nil
 }
 
-// parseSeed parses the seed of random numbers.
+// parseSeed parses the seed of the random numbers, which is hexadecimal.
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -105,7 +104,7 @@
 	return seed, nil
 }
 
-// parseInitial parses the list of workers at the start, which must be valid as a whole.
+// parseInitial parses the initial list of workers. It returns an error if any worker in it is invalid.
 func parseInitial(known gjson.Result) (Update, error) {
 	initial, err := parseUpdate(known)
 	if err == nil && len(initial.InvalidWorkers) > 0 {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -12,8 +12,8 @@
 	"ravenhitch/placement"
 )
 
-// nested and flat are the same settings in the form of the configuration and in that of
-// the simulator's wire.
+// nested and flat hold the same settings, in the format of the configuration and in that of the
+// simulator's wire.
 const nested = `{"FamilyInfo":{"ApartBy":["none","cell"],"Bound":false,"CalmLevel":[0.8,0.75],"ClassMost":[2,3],
  "ClassStartS":[10.0,8.0],"CoresMultiple":1.5,"Counts":"asked","FreshOffers":56.0,"KindByClass":[-1,1],"LostAfter":[0.25,0.15],
  "MemoryByKind":[56.0,117.0],"MemoryMultiple":1.0,"ReportX0":"cores of the machine, free","SaysYes":"accepted","ShareCores":[],
@@ -39,7 +39,7 @@
  Rules.AnswerSlackUs=8000 Rules.AskWithinUs=10000000 Rules.ColdShare=0.21 Rules.ColdUs=16000000 Rules.DrainGraceUs=2000000
  Rules.OverloadForUs=3000000 SelfIndex=1 TickUs=2000 Zone=hall-c`
 
-// Settings mean the same on both wires.
+// Nested settings and the same settings as flat pairs give equal results.
 func TestSettingsOnBothWires(t *testing.T) {
 	a, err := simwire.Settings(Pairs(gjson.Parse(nested)))
 	if err != nil {
@@ -50,24 +50,24 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("nested settings give\n%+v\nflat ones\n%+v", a, b)
+		t.Errorf("settings differ: nested JSON gives\n%+v\nflat pairs give\n%+v", a, b)
 	}
 	if a.Classes[1].Effect != placement.Unsafe || a.Kinds[1].Cores != 63 || a.SlowStartOffers != 56 {
-		t.Errorf("settings are %+v", a)
+		t.Errorf("got settings %+v, want an unsafe class 1, 63 cores in kind 1 and 56 slow start offers", a)
 	}
 }
 
-// workerJSON is a worker of a list.
+// workerJSON is a valid entry of a list of workers.
 const workerJSON = `{"id":"s-00c41f7a","host_port":"127.1.0.9:5070","locality":"east","flavor":"std","cell":2,"phase":"up",
  "size":4,"up_since_ms":1700,"spare":[12,-3.5]}`
 
-// configText returns a configuration.
+// configText returns the text of a configuration file with the given fields.
 func configText(listen, channel, seed, known, settings string) string {
 	return `{"name":"n3","listen":"` + listen + `","seed":"` + seed + `","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	 "channel":"` + channel + `","known":` + known + `,"settings":` + settings + `}`
 }
 
-// A configuration is parsed as written, and each invalid one is an error of one line.
+// A valid configuration is parsed as written, and each invalid one gives an error of one line.
 func TestParse(t *testing.T) {
 	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + workerJSON + `]}}]}`
 	c, err := Parse([]byte(configText("127.0.0.4:5070", "127.2.0.1:9092", "8c1f30d27a5be964", known, nested)))
@@ -78,7 +78,7 @@
 		StartedAtUs: 1_700_000, FreeCores: 12, FreeMemory: -3.5}}
 	if c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeoutUs != 250_000 ||
 		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Workers[0] != want {
-		t.Errorf("got %+v", c)
+		t.Errorf("got configuration %+v, want the values in the text", c)
 	}
 	unknownPhase := strings.Replace(known, `"up"`, `"gone"`, 1)
 	unknownEffect := strings.Replace(nested, "single_shot", "twice", 1)
@@ -95,22 +95,22 @@
 		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, kindWithoutSize),
 	} {
 		if _, err := Parse([]byte(bad)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v, want one line that wraps ErrConfig", name, err)
 		}
 	}
 }
 
-// An invalid worker does not hide the others of its event.
+// An invalid worker does not hide the valid workers of its event.
 func TestInvalidWorker(t *testing.T) {
 	const invalidWorker = `{"id":"x","phase":"odd"}`
 	u, err := ParseUpdate([]byte(
 		`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[` + invalidWorker + `,` + workerJSON + `]}}]}`))
 	if err != nil || len(u.InvalidWorkers) != 1 || len(u.Events[0].Workers) != 1 {
-		t.Errorf("got %+v, %v", u, err)
+		t.Errorf("got update %+v, error %v, want one valid and one invalid worker", u, err)
 	}
 	for _, bad := range []string{"", "[]", "{"} {
 		if _, err := ParseUpdate([]byte(bad)); !errors.Is(err, ErrConfig) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: got error %v, want one that wraps ErrConfig", bad, err)
 		}
 	}
 }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -1,7 +1,7 @@
 package config
 
-// This file owns the form of discovery's lists of workers. It must never let one invalid
-// worker hide the others of its list.
+// This file owns the format of discovery's lists of workers. It must never let one invalid worker
+// hide the other workers of its list.
 
 import (
 	"fmt"
@@ -12,25 +12,26 @@
 	"ravenhitch/placement"
 )
 
-// errInvalidJSON is the error of a text that is not JSON at all.
+// errInvalidJSON is the error for a text that is not valid JSON.
 var errInvalidJSON = fmt.Errorf("%w: not valid JSON", ErrConfig)
 
-// Update is a response of discovery: the events after a cursor.
+// Update is a response of discovery, or the initial list of workers in the configuration: a cursor
+// and the events up to it.
 type Update struct {
 	Cursor         int64
 	Events         []Event
-	InvalidWorkers []error // why workers were left out: WorkerError, or without an ID
+	InvalidWorkers []error // one for each worker left out: a *WorkerError, or another error if its ID is missing
 }
 
 // Event is one numbered event of discovery.
 type Event struct {
 	Cursor   int64
-	HasList  bool // it carries a list of workers
-	Complete bool // the list names all workers
+	HasList  bool // the event contains a list of workers
+	Complete bool // the list contains all workers
 	Workers  []Worker
 }
 
-// Worker is one worker of a list.
+// Worker is one entry of a list of workers.
 type Worker struct {
 	placement.Entry
 	Addr string // address:port
@@ -44,7 +45,7 @@
 	return parseUpdate(gjson.ParseBytes(text))
 }
 
-// parseUpdate parses an object with a cursor and events.
+// parseUpdate parses a JSON object with a cursor and events.
 func parseUpdate(object gjson.Result) (Update, error) {
 	if !object.IsObject() {
 		return Update{}, fmt.Errorf("%w: expected an object", ErrConfig)
@@ -57,7 +58,8 @@
 	return update, nil
 }
 
-// addEvent adds an event, with the valid ones of its workers.
+// addEvent parses an event and adds it with its valid workers. For each invalid worker it adds an
+// error to InvalidWorkers.
 func (u *Update) addEvent(object gjson.Result) {
 	event := Event{Cursor: object.Get("cursor").Int()}
 	if list := object.Get("nodes"); list.IsObject() {
@@ -75,14 +77,14 @@
 	u.Events = append(u.Events, event)
 }
 
-// workerStates are the phases of the list.
+// workerStates maps the phases in a list of workers to worker states.
 var workerStates = map[string]placement.WorkerState{
 	"up":       placement.Ready,
 	"draining": placement.Draining,
 	"removed":  placement.Removed,
 }
 
-// parseWorker parses one worker of a list.
+// parseWorker parses one entry of a list of workers.
 func parseWorker(object gjson.Result) (Worker, error) {
 	worker := Worker{
 		Addr: object.Get("host_port").String(),
--- a/internal/plot/axis.go
+++ b/internal/plot/axis.go
@@ -1,52 +1,53 @@
 package plot
 
-// This file owns the logarithmic axes: their ends, their ticks, and which pixel a value is.
+// This file owns the logarithmic axes: their ends, their ticks, and the mapping of values to pixels.
 
 import (
 	"math"
 	"strconv"
 )
 
-// maxPlainLabel is the value from which on labels of ticks have an exponent.
+// maxPlainLabel is the smallest value at which the label of a tick has an exponent.
 const maxPlainLabel = 1e6
 
-// denseDecades is the number of decades up to which an axis has ticks within a decade too.
+// denseDecades is the maximum length of an axis, in decades, at which it also has ticks within decades.
 const denseDecades = 3.0
 
-// tickSteps are the ticks of a decade; tickTolerance absorbs rounding.
+// tickSteps are the multiples of a power of ten at which an axis may have ticks.
 var tickSteps = []float64{1, 2, 5}
 
+// tickTolerance is the relative tolerance for rounding errors when a value is compared with a tick.
 const tickTolerance = 1e-9
 
 // tickLabel returns the label of a tick.
 func tickLabel(value float64) string {
-	value, _ = strconv.ParseFloat(strconv.FormatFloat(value, 'g', 6, 64), 64) // without rounding errors
+	value, _ = strconv.ParseFloat(strconv.FormatFloat(value, 'g', 6, 64), 64) // removes rounding errors
 	if value >= 1 && value < maxPlainLabel {
 		return strconv.FormatFloat(value, 'f', -1, 64)
 	}
 	return strconv.FormatFloat(value, 'g', -1, 64)
 }
 
-// axis maps values to pixels by their logarithm.
+// axis maps values to pixels on a logarithmic scale.
 type axis struct {
-	low, high float64 // the values at its ends
-	from, to  int     // the pixels at its ends
+	low, high float64 // values at the ends of the axis
+	from, to  int     // pixels at the ends of the axis
 }
 
 // newAxis returns an axis without values.
 func newAxis() *axis { return &axis{low: math.Inf(1), high: math.Inf(-1)} }
 
-// include extends the axis to a value.
+// include extends the axis so that it contains a value.
 func (a *axis) include(value float64) {
 	a.low = min(a.low, value)
 	a.high = max(a.high, value)
 }
 
-// isEmpty reports whether the axis has no value.
+// isEmpty reports whether the axis contains no value.
 func (a *axis) isEmpty() bool { return a.low > a.high }
 
-// place lays the axis between two pixels, and extends it to ticks at its ends.
-func (a *axis) place(from, to int) {
+// layout extends the axis so that it ends at ticks, and maps its ends to two pixels.
+func (a *axis) layout(from, to int) {
 	a.from, a.to = from, to
 	a.low, a.high = tickBelow(a.low), tickAbove(a.high)
 	if a.low == a.high {
@@ -54,18 +55,19 @@
 	}
 }
 
-// pixel returns the pixel of a value.
+// pixel returns the pixel that a value is mapped to.
 func (a *axis) pixel(value float64) int {
 	fraction := math.Log(value/a.low) / math.Log(a.high/a.low)
 	return a.from + int(math.Round(fraction*float64(a.to-a.from)))
 }
 
-// contains reports whether a value is within the axis, but for rounding.
+// contains reports whether a value lies within the axis, except for rounding errors.
 func (a *axis) contains(value float64) bool {
 	return value >= a.low*(1-tickTolerance) && value <= a.high*(1+tickTolerance)
 }
 
-// ticks returns the powers of ten within the axis, and on a short axis 2 and 5 times those.
+// ticks returns the powers of ten within the axis. On an axis of at most denseDecades it also returns 2
+// and 5 times these powers.
 func (a *axis) ticks() []float64 {
 	steps := tickSteps
 	if math.Log10(a.high/a.low) > denseDecades {
@@ -82,7 +84,7 @@
 	return ticks
 }
 
-// decadeOf returns the power of ten at or below a value.
+// decadeOf returns the largest power of ten that is at most a value.
 func decadeOf(value float64) float64 { return math.Pow(10, math.Floor(math.Log10(value))) }
 
 // tickBelow returns the largest tick that is at most a value.
--- a/internal/plot/axis_test.go
+++ b/internal/plot/axis_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// near reports whether two numbers are equal but for rounding.
+// near reports whether two numbers are equal except for rounding errors.
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// An axis ends at the ticks around its values.
+// tickBelow and tickAbove return the ticks around a value, at which an axis ends.
 func TestAxisEndsAtTicks(t *testing.T) {
 	for _, test := range []struct{ value, below, above float64 }{
 		{1, 1, 1}, {3, 2, 5}, {7, 5, 10}, {23, 20, 50}, {0.6, 0.5, 1}, {16000, 10000, 20000},
 	} {
 		if below, above := tickBelow(test.value), tickAbove(test.value); !near(below/test.below, 1) || !near(above/test.above, 1) {
-			t.Errorf("ticks of %v are %v and %v, want %v and %v", test.value, below, above, test.below, test.above)
+			t.Errorf("ticks around %v: got %v and %v, want %v and %v", test.value, below, above, test.below, test.above)
 		}
 	}
 }
--- a/internal/plot/chart.go
+++ b/internal/plot/chart.go
@@ -1,8 +1,8 @@
-// Package plot draws what scale tests sample, as SVG files with logarithmic axes. It must
-// never evaluate a sample: that is package stats'.
+// Package plot draws the samples of scale tests as SVG files with logarithmic axes. It must never
+// evaluate a sample: package stats does that.
 package plot
 
-// This file owns the layout of a chart and its drawing.
+// This file owns the layout and the drawing of a chart.
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Series is one named line of a chart.
+// Series is one named line of a chart, through the points (X[i], Y[i]).
 type Series struct {
 	Name string
 	X, Y []float64
@@ -24,7 +24,7 @@
 	chartWidth   = 900
 	chartHeight  = 560
 	marginLeft   = 90
-	marginRight  = 220 // holds the legend
+	marginRight  = 220 // includes the legend
 	marginTop    = 50
 	marginBottom = 60
 	legendStep   = 20
@@ -39,12 +39,12 @@
 	axisStyle  = "stroke:#222;stroke-width:1"
 )
 
-// palette holds the colours of the series, which repeat after the last.
+// palette lists the colours of the series. A chart with more series uses the colours repeatedly.
 var palette = []string{"#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf", "#8c564b", "#e377c2", "#7f7f7f", "#bcbd22"}
 
-// Chart draws the series as an SVG file with logarithmic axes, ticks and a legend.
-// Points that are not both above zero have no place on such axes and are left out; it
-// is an error if none remains.
+// Chart writes an SVG file at path that shows the series on logarithmic axes with ticks and a legend.
+// Points with a coordinate that is zero, negative or infinite have no position on logarithmic axes and
+// are left out. Chart returns an error if no point remains.
 func Chart(path, title, xLabel, yLabel string, series ...Series) error {
 	x, y := newAxis(), newAxis()
 	for _, s := range series {
@@ -56,8 +56,8 @@
 	if x.isEmpty() {
 		return fmt.Errorf("plot: chart %q has no point above zero", title)
 	}
-	x.place(marginLeft, chartWidth-marginRight)
-	y.place(chartHeight-marginBottom, marginTop)
+	x.layout(marginLeft, chartWidth-marginRight)
+	y.layout(chartHeight-marginBottom, marginTop)
 
 	var text bytes.Buffer
 	canvas := svg.New(&text)
@@ -72,7 +72,7 @@
 	return os.WriteFile(path, text.Bytes(), 0o644)
 }
 
-// forEachPoint calls f for every point that has a place on logarithmic axes.
+// forEachPoint calls f for every point of the series that has a position on logarithmic axes.
 func (s Series) forEachPoint(f func(x, y float64)) {
 	for i := range min(len(s.X), len(s.Y)) {
 		if s.X[i] > 0 && s.Y[i] > 0 && !math.IsInf(s.X[i], 1) && !math.IsInf(s.Y[i], 1) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// draw draws the line, the points and the legend of the series.
+// draw draws the line, the points and the legend entry of the series.
 func (s Series) draw(canvas *svg.SVG, x, y *axis, colour string, legendY int) {
 	var pixelsX, pixelsY []int
 	s.forEachPoint(func(valueX, valueY float64) {
--- a/internal/plot/chart_test.go
+++ b/internal/plot/chart_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// A chart is XML with its labels, legend and the points that have a logarithm.
+// A chart is valid XML that contains its title, its labels, its legend, and each point with positive
+// coordinates.
 func TestChart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.svg")
 	err := Chart(path, "Cost & size", "workers", "us",
@@ -28,18 +29,18 @@
 		if _, err := decoder.Token(); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			t.Fatalf("not XML: %v", err)
+			t.Fatalf("the chart is not valid XML: %v", err)
 		}
 	}
 	for _, want := range []string{"Cost &amp; size", ">workers<", ">us<", ">list entry<", ">100<", ">5000<", ">1<", ">2000<"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the chart lacks %q", want)
+			t.Errorf("the chart does not contain %q", want)
 		}
 	}
 	if points := strings.Count(text, "<circle"); points != 5 {
-		t.Errorf("%d points, want 5: one has no logarithm", points)
+		t.Errorf("got %d points, want 5: the sixth has no logarithm", points)
 	}
 	if Chart(path, "empty", "", "", Series{"none", []float64{0}, []float64{1}}) == nil {
-		t.Error("no error without a point")
+		t.Error("chart without a point above zero: got no error, want one")
 	}
 }
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest runs the tests of packages with properties (pgregory.net/rapid) from a
-// fixed seed, so that each run draws the same. It serves tests alone.
+// Package rapidtest supports property-based tests (pgregory.net/rapid). It runs them with a fixed seed,
+// so that each run draws the same values. Only tests may use it.
 package rapidtest
 
 import (
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Main is the TestMain of a package with properties. The seed is set here, since packages
-// without rapid reject its flags. It does not return.
+// Main is the TestMain of a package with property-based tests. It sets rapid's flags, because on the
+// command line of go test they would also reach packages without rapid, which reject them. Main does
+// not return.
 func Main(m *testing.M, seed string) {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -21,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// Feed hands data to consume as an event loop does: in pieces cut at random places, each
-// with what was not used before. It returns the first error of consume.
+// Feed passes data to consume as an event loop does: in pieces of random lengths, each after the bytes
+// that consume has not used yet. It returns the first error of consume.
 func Feed(t *rapid.T, data []byte, consume func([]byte) (used int, err error)) error {
 	var buffered []byte
 	for len(data) > 0 {
--- a/internal/stats/durations.go
+++ b/internal/stats/durations.go
@@ -1,6 +1,6 @@
 package stats
 
-// This file owns the distribution of durations.
+// This file owns the histogram of durations.
 
 import (
 	"time"
@@ -8,29 +8,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range and precision of Durations.
+// Range and precision of Durations.
 const (
 	minDuration       = time.Nanosecond
 	maxDuration       = time.Hour
 	significantDigits = 3
 )
 
-// Durations counts durations from a nanosecond to an hour, to three significant
+// Durations is a histogram of durations from 1 ns to 1 h with a precision of three significant
 // digits. The zero value is ready for use. It is not safe for concurrent use.
 type Durations struct {
 	histogram *hdrhistogram.Histogram
 }
 
-// Record counts a duration. One outside the range counts as its nearest end.
+// Record adds a duration. A duration outside the range is recorded as the nearest bound of the range.
 func (d *Durations) Record(duration time.Duration) {
 	if d.histogram == nil {
 		d.histogram = hdrhistogram.New(int64(minDuration), int64(maxDuration), significantDigits)
 	}
-	// A value within the range that the histogram was made for is never rejected.
+	// RecordValue fails only for a value outside the range of the histogram.
 	_ = d.histogram.RecordValue(int64(min(maxDuration, max(minDuration, duration))))
 }
 
-// Count returns how many durations were recorded.
+// Count returns the number of recorded durations.
 func (d *Durations) Count() int64 {
 	if d.histogram == nil {
 		return 0
@@ -38,8 +38,8 @@
 	return d.histogram.TotalCount()
 }
 
-// Percentile returns the duration that percent of those recorded do not exceed, 0 without
-// any.
+// Percentile returns the duration that the given percentage of the recorded durations does not
+// exceed, or 0 if none was recorded.
 func (d *Durations) Percentile(percent float64) time.Duration {
 	if d.histogram == nil {
 		return 0
@@ -47,7 +47,7 @@
 	return time.Duration(d.histogram.ValueAtQuantile(percent))
 }
 
-// Max returns the longest duration recorded, 0 without any.
+// Max returns the longest recorded duration, or 0 if none was recorded.
 func (d *Durations) Max() time.Duration {
 	if d.histogram == nil {
 		return 0
--- a/internal/stats/fit.go
+++ b/internal/stats/fit.go
@@ -1,16 +1,15 @@
-// Package stats evaluates what scale tests sample: how a cost grows with a size, and how
-// durations are distributed. It must never take a sample itself, and draws nothing: that
-// is package plot's.
+// Package stats evaluates the samples of scale tests: how a cost grows with a size, and how durations
+// are distributed. It must never take samples itself or draw charts: package plot draws them.
 package stats
 
 // This file owns the least-squares fits.
 
 import "math"
 
-// Exponent returns the exponent e of the power law values = c * sizes^e that fits
-// best: the least-squares slope of log values over log sizes. Pairs that are not both
-// above zero have no logarithm and are left out. It is NaN with fewer than two
-// distinct sizes.
+// Exponent returns the exponent e of the power law values = c * sizes^e that fits the samples best.
+// It is the least-squares slope of log(values) over log(sizes). Pairs in which a number is zero or
+// negative have no logarithm and are left out. The result is NaN if fewer than two distinct sizes
+// remain.
 func Exponent(sizes, values []float64) float64 {
 	var logSizes, logValues []float64
 	for i := range min(len(sizes), len(values)) {
@@ -23,8 +22,8 @@
 	return slope
 }
 
-// Line returns the least-squares line values = intercept + slope * sizes. Both are
-// NaN with fewer than two distinct sizes.
+// Line returns the intercept and the slope of the least-squares line values = intercept + slope * sizes.
+// Both are NaN if there are fewer than two distinct sizes.
 func Line(sizes, values []float64) (intercept, slope float64) {
 	count := min(len(sizes), len(values))
 	var meanSize, meanValue float64
@@ -32,7 +31,7 @@
 		meanSize += sizes[i] / float64(count)
 		meanValue += values[i] / float64(count)
 	}
-	var variance, covariance float64 // times count
+	var variance, covariance float64 // both multiplied by count
 	for i := range count {
 		deviation := sizes[i] - meanSize
 		variance += deviation * deviation
--- a/internal/stats/fit_test.go
+++ b/internal/stats/fit_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// near reports whether two numbers are equal but for rounding.
+// near reports whether two numbers are equal except for rounding errors.
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// The exponent of a power law is found whatever its factor.
+// Exponent returns the exponent of an exact power law, independent of its constant factor.
 func TestExponentOfAPowerLaw(t *testing.T) {
 	sizes := []float64{100, 400, 1000, 4000, 16000}
 	for _, want := range []float64{0, 0.3, 1, 2} {
@@ -17,33 +17,33 @@
 			values = append(values, 7*math.Pow(s, want))
 		}
 		if got := Exponent(sizes, values); !near(got, want) {
-			t.Errorf("exponent %v, want %v", got, want)
+			t.Errorf("got exponent %v, want %v", got, want)
 		}
 	}
 }
 
-// Pairs without a logarithm are left out.
+// Pairs without a logarithm are left out, and a single size has no exponent.
 func TestExponentLeavesOutWhatHasNoLogarithm(t *testing.T) {
 	if got := Exponent([]float64{0, 1, 10, 100}, []float64{5, 1, 10, 0}); !near(got, 1) {
-		t.Errorf("exponent %v, want 1", got)
+		t.Errorf("got exponent %v, want 1", got)
 	}
 	if got := Exponent([]float64{10}, []float64{1}); !math.IsNaN(got) {
-		t.Errorf("exponent %v of one point, want NaN", got)
+		t.Errorf("one point: got exponent %v, want NaN", got)
 	}
 }
 
-// The line through exact points, and the least-squares one through others.
+// Line returns the line through points that lie on one, and the least-squares line for other points.
 func TestLine(t *testing.T) {
 	intercept, slope := Line([]float64{1, 2, 3}, []float64{5, 7, 9})
 	if !near(intercept, 3) || !near(slope, 2) {
-		t.Errorf("line %v + %v x, want 3 + 2 x", intercept, slope)
+		t.Errorf("points on a line: got %v + %v x, want 3 + 2 x", intercept, slope)
 	}
-	// By hand: mean 2 and 2, slope (1*1 + 0*1 + 1*0)/2.
+	// Calculated by hand: both means are 2, and the slope is (1*1 + 0*1 + 1*0)/2.
 	intercept, slope = Line([]float64{1, 2, 3}, []float64{1, 3, 2})
 	if !near(intercept, 1) || !near(slope, 0.5) {
-		t.Errorf("line %v + %v x, want 1 + 0.5 x", intercept, slope)
+		t.Errorf("points beside a line: got %v + %v x, want 1 + 0.5 x", intercept, slope)
 	}
 	if a, b := Line([]float64{2, 2}, []float64{1, 3}); !math.IsNaN(a) || !math.IsNaN(b) {
-		t.Errorf("line %v + %v x through one size, want NaN", a, b)
+		t.Errorf("two points of one size: got %v + %v x, want NaN", a, b)
 	}
 }
--- a/internal/stats/table.go
+++ b/internal/stats/table.go
@@ -1,6 +1,6 @@
 package stats
 
-// This file owns the tables that tests write.
+// This file owns the CSV tables that scale tests write.
 
 import (
 	"encoding/csv"
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// WriteTable writes a CSV file with a header line and one line a row.
+// WriteTable writes a CSV file with a header line and one line for each row.
 func WriteTable(path string, header []string, rows [][]float64) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/stats/table_test.go
+++ b/internal/stats/table_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A table is a header and a line for each row.
+// A table consists of a header line and one line for each row.
 func TestWriteTable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.csv")
 	if err := WriteTable(path, []string{"workers", "us"}, [][]float64{{100, 1.5}, {4000, math.NaN()}}); err != nil {
@@ -21,6 +21,6 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if WriteTable(filepath.Join(t.TempDir(), "none", "t.csv"), nil, nil) == nil {
-		t.Error("no error where the directory is missing")
+		t.Error("path in a missing directory: got no error, want one")
 	}
 }
