--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns what an admin call does. It must never answer a change with success before the change
-// is stored, and never do disk work on the event loop: the file worker does that.
+// This file carries out admin calls. A change is answered with success only after it is stored. Disk work
+// never runs on the event loop; the file worker does it.
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 	"ravenhitch/internal/admin"
 )
 
-// listenAdmin starts to take admin calls at an address; dir holds the handover files.
+// listenAdmin listens for admin calls at addr. dir is the directory of the handover files.
 func (s *server) listenAdmin(addr, dir string) (err error) {
 	store := newHandoverStore(dir)
 	cordons, err := store.readCordons()
 	if err != nil {
-		return fmt.Errorf("cordoned workers: %w", err)
+		return fmt.Errorf("read the cordoned workers: %w", err)
 	}
 	s.dispatcher.SetCordoned(s.loop.Now(), cordons)
 	tasks := make(chan func(), maxQueuedFileTasks)
@@ -24,7 +24,7 @@
 	}
 	s.successorChecks = make(chan struct{}, 1)
 	worker := &fileWorker{server: s, store: store, cordons: cordons, tasks: tasks}
-	go worker.run() // until the server has stopped
+	go worker.run() // returns when the server has stopped
 	return nil
 }
 
@@ -32,11 +32,11 @@
 type adminCalls struct {
 	server         *server
 	store          handoverStore
-	tasks          chan<- func() // run by the file worker
-	claimedServing bool          // the handover files say that this process serves
+	tasks          chan<- func() // disk work for the file worker
+	claimedServing bool          // true once the handover files name this process as the serving one
 }
 
-// handle carries out one call.
+// handle carries out one call and passes the reply to answer.
 func (a *adminCalls) handle(call admin.Call, answer func([]byte)) {
 	switch call.Verb {
 	case admin.Health:
@@ -50,7 +50,8 @@
 	}
 }
 
-// health answers whether clients may be sent here. The first success claims that this process serves.
+// health answers whether this orchestrator is ready for clients. The first call that succeeds also records in
+// the handover files that this process serves.
 func (a *adminCalls) health(answer func([]byte)) {
 	switch {
 	case a.server.shuttingDown:
@@ -64,7 +65,7 @@
 	}
 }
 
-// cordon cordons or uncordons a worker.
+// cordon cordons or uncordons a worker, as the call says, and stores the change.
 func (a *adminCalls) cordon(call admin.Call, answer func([]byte)) {
 	s := a.server
 	if !s.dispatcher.HasWorker(call.ID) {
@@ -79,8 +80,8 @@
 	a.runOffLoop(change, answer, func() { s.dispatcher.SetCordoned(s.loop.Now(), cordons) })
 }
 
-// runOffLoop has work done by the file worker. Where that succeeds it calls apply on the loop; it
-// answers either way.
+// runOffLoop queues work for the file worker. If work succeeds, apply runs on the event loop before the
+// success reply. If work fails or the queue is full, the reply is an error and apply does not run.
 func (a *adminCalls) runOffLoop(work func() error, answer func([]byte), apply func()) {
 	s := a.server
 	task := func() {
@@ -102,7 +103,7 @@
 	}
 }
 
-// dumpFigures are the figures that operators read by an admin call.
+// dumpFigures returns the figures that the admin call DUMP reports.
 func (s *server) dumpFigures() admin.Figures {
 	figures := admin.Figures{
 		Responses: map[string]admin.Class{},
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,7 +1,7 @@
 package main
 
-// This file joins the membership table with the shards of workers that this orchestrator places tasks
-// on. It must never give up a shard for a view that this orchestrator is not part of.
+// This file derives the shards of workers that this orchestrator places tasks on from the membership table.
+// A view that does not contain this orchestrator never makes it give up a shard.
 
 import (
 	"cmp"
@@ -14,30 +14,31 @@
 	"ravenhitch/internal/shard"
 )
 
-// presumedForUs is how long after the start the members that the operators' file names are presumed
-// alive though the table doesn't list them yet: as long as it takes to find that a member is dead.
-// Without it, each of a fleet that starts together would request all workers.
-const presumedForUs = 7 * second
+// presumptionUs is the time after the start, in microseconds, during which the members named in the operators'
+// file are presumed alive even if the membership table does not list them yet. It equals the time that the
+// detection of a dead member takes. Without it, every orchestrator of a fleet that starts at the same time
+// would request all workers.
+const presumptionUs = 7 * second
 
-// assignment divides the workers among the members that are alive. It belongs to the event loop.
+// assignment divides the workers among the live members. It is used on the event loop only.
 type assignment struct {
-	apply    func(discovery.Assignment) // takes a new division of the workers
+	apply    func(discovery.Assignment) // puts a new division of the workers into effect
 	regions  shard.Regions
-	name     string         // of this orchestrator
-	presumed []shard.Member // members that are presumed alive
-	view     []shard.Member // members of the last stable view
+	name     string         // name of this orchestrator
+	presumed []shard.Member // members presumed alive, this orchestrator included; nil once the presumption has ended
+	view     []shard.Member // members of the last stable view; empty before the first one
 }
 
-// startAssignment divides the workers, at first among the members that the operators' file names.
+// startAssignment starts to divide the workers, initially among the members named in the operators' file.
 func startAssignment(loop *eventloop.Loop, follower *discovery.Follower, cfg config.Config, peers config.Peers) *assignment {
 	a := newAssignment(cfg.Name, cmp.Or(peers.Zone, cfg.Settings.Zone), peers)
 	follower.EnableAssignment(a.current())
 	a.apply = follower.SetAssignment
-	loop.After(presumedForUs, a.endPresumption)
+	loop.After(presumptionUs, a.endPresumption)
 	return a
 }
 
-// newAssignment presumes the members that the operators' file names alive.
+// newAssignment returns an assignment that presumes the members named in the operators' file alive.
 func newAssignment(name, zone string, peers config.Peers) *assignment {
 	a := &assignment{regions: peers.Regions, name: name, presumed: []shard.Member{{Name: name, Zone: zone}}}
 	for _, member := range peers.Members {
@@ -46,8 +47,8 @@
 	return a
 }
 
-// endPresumption ends the time in which members are presumed alive that the table doesn't list. Where
-// there was no stable view yet, the presumption stays.
+// endPresumption stops presuming members alive that the membership table does not list. Without a stable view
+// so far, it changes nothing: the members stay presumed alive.
 func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
@@ -55,8 +56,9 @@
 	}
 }
 
-// onView takes a stable view of the membership table. A view without this orchestrator is of a table
-// that it hasn't joined yet, or that lists another process under its name: it changes nothing.
+// onView divides the workers among the members of a new stable view. It ignores a view that does not contain
+// this orchestrator: the orchestrator has not joined that table yet, or the table lists another process under
+// its name.
 func (a *assignment) onView(members []membership.Member) {
 	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.name }) {
 		return
@@ -68,7 +70,7 @@
 	a.apply(a.current())
 }
 
-// current divides the workers among the members as they are now.
+// current returns the division of the workers among the current members.
 func (a *assignment) current() discovery.Assignment {
 	members := slices.Concat(a.presumed, a.view)
 	return func(zone string) shard.Bits { return a.regions.Assigned(zone, members, a.name) }
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests the division of the workers among the members that are alive.
+// This file tests the division of the workers among the live members.
 
 import (
 	"testing"
@@ -11,8 +11,8 @@
 	"ravenhitch/internal/shard"
 )
 
-// The workers are divided among the members of the stable view, and at first among those that the operators'
-// file names too; a view without this orchestrator changes nothing.
+// The workers are divided among the members of the stable view and, until the presumption ends, also among those
+// named in the operators' file. A view without this orchestrator changes nothing.
 func TestAssignment(t *testing.T) {
 	member := func(name, zone string) membership.Member { return membership.Member{Name: name, Zone: zone} }
 	a := newAssignment("n1", "z1", config.Peers{Regions: map[string]string{"z1": "west", "z2": "west", "z3": "east"},
@@ -23,7 +23,7 @@
 		t.Helper()
 		got := [3]int{assignedShards(now, "z1"), assignedShards(now, "z2"), assignedShards(now, "z3")}
 		if got != [3]int{west, west, east} {
-			t.Errorf("%s: %v shards of the zones, expected %d in the west and %d in the east", when, got, west, east)
+			t.Errorf("%s: assigned shards of zones z1, z2 and z3: got %v, want %v", when, got, [3]int{west, west, east})
 		}
 	}
 	expect("at the start", shard.Count/2, 0)
@@ -39,18 +39,19 @@
 	expect("moved to the east", 0, shard.Count)
 }
 
-// An orchestrator that has not joined the table when the first seconds are over shares the workers with the
-// members that the operators' file names.
+// An orchestrator that has not joined the membership table when the presumption would end still shares the
+// workers with the members named in the operators' file.
 func TestAssignmentBeforeJoining(t *testing.T) {
 	a := newAssignment("n1", "z1", config.Peers{Members: []config.PeerAddress{{Name: "n2"}}})
 	a.apply = func(discovery.Assignment) {}
 	a.endPresumption()
 	if now := a.current(); assignedShards(now, "z1") != shard.Count/2 || assignedShards(now, "z3") != shard.Count/2 {
-		t.Error("it does not share with those that the file names")
+		t.Errorf("got %d shards of z1 and %d of z3, want %d of each",
+			assignedShards(now, "z1"), assignedShards(now, "z3"), shard.Count/2)
 	}
 }
 
-// assignedShards counts the shards of a zone that are assigned to this orchestrator.
+// assignedShards returns the number of shards of a zone that are assigned to this orchestrator.
 func assignedShards(division discovery.Assignment, zone string) int {
 	return shard.Set{"": division(zone)}.Len()
 }
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests that the fronts for JSON lines and for gRPC do the same, and leave alone what came by
-// the other.
+// This file tests that the fronts for JSON lines and for gRPC behave the same, and that neither front affects
+// requests and tasks of the other.
 
 import (
 	"context"
@@ -20,44 +20,45 @@
 
 // frontUser is a client of either front.
 type frontUser interface {
-	// place submits the nth request and returns its outcome.
+	// place submits request number n and returns its outcome.
 	place(t *testing.T, n int, class, task string) string
-	// nextCompletion is the next completion that is reported, and whether the task succeeded.
+	// nextCompletion waits for the next completion and returns its request ID and "done" or "lost".
 	nextCompletion(t *testing.T) string
 }
 
-// frontRun is what came of the same requests on one front.
+// frontRun is the result of runOnFront on one front.
 type frontRun struct {
-	outcomes        []string
-	counts          dispatch.Counts
-	offersWhenDrain [2]int // to the draining worker and to the other
+	outcomes          []string // of all requests and completions, in order
+	counts            dispatch.Counts
+	offersDuringDrain [2]int // number of offers during the drain: to the draining worker and to the other one
 }
 
-// The same offers, completions and drain on either front give the same outcomes, counts and drain.
+// The same requests, completions and drain have the same outcomes, counts and offers on both fronts.
 func TestSameOnBothFronts(t *testing.T) {
 	var jsonLines, grpc frontRun
 	t.Run("json lines", func(t *testing.T) {
-		jsonLines = playOnFront(t, func(server *testServer) frontUser { return jsonLinesUser{server.connect(t)} })
+		jsonLines = runOnFront(t, func(server *testServer) frontUser { return jsonLinesUser{server.connect(t)} })
 	})
 	t.Run("grpc", func(t *testing.T) {
-		grpc = playOnFront(t, func(server *testServer) frontUser { return grpcUser{server.openSession(t, "s")} })
+		grpc = runOnFront(t, func(server *testServer) frontUser { return grpcUser{server.openSession(t, "s")} })
 	})
 	if t.Failed() {
 		return
 	}
 	if !slices.Equal(jsonLines.outcomes, grpc.outcomes) {
-		t.Errorf("outcomes differ:\n%q\n%q", jsonLines.outcomes, grpc.outcomes)
+		t.Errorf("outcomes differ:\nJSON lines: %q\ngRPC:       %q", jsonLines.outcomes, grpc.outcomes)
 	}
 	if jsonLines.counts != grpc.counts {
-		t.Errorf("counts differ:\n%+v\n%+v", jsonLines.counts, grpc.counts)
+		t.Errorf("counts differ:\nJSON lines: %+v\ngRPC:       %+v", jsonLines.counts, grpc.counts)
 	}
-	if jsonLines.offersWhenDrain != grpc.offersWhenDrain || jsonLines.offersWhenDrain != [2]int{0, 10} {
-		t.Errorf("offers to the draining worker and to the other: %v and %v", jsonLines.offersWhenDrain, grpc.offersWhenDrain)
+	if jsonLines.offersDuringDrain != grpc.offersDuringDrain || jsonLines.offersDuringDrain != [2]int{0, 10} {
+		t.Errorf("offers to the draining worker and to the other: got %v on JSON lines and %v on gRPC, want [0 10] on both",
+			jsonLines.offersDuringDrain, grpc.offersDuringDrain)
 	}
 }
 
-// playOnFront places tasks of all kinds, lets two complete, and drains their worker.
-func playOnFront(t *testing.T, connect func(*testServer) frontUser) (run frontRun) {
+// runOnFront submits tasks that a worker answers in different ways, completes two of them, and drains the worker.
+func runOnFront(t *testing.T, connect func(*testServer) frontUser) (run frontRun) {
 	t.Helper()
 	server := newTestServer(t, "a")
 	draining, other := server.workers[0], testbed.NewWorker(t, "b")
@@ -74,7 +75,7 @@
 		draining.End(testbed.RequestID(completion.n), completion.cause)
 		run.outcomes = append(run.outcomes, user.nextCompletion(t))
 	}
-	// One worker drains and another comes: what is offered from then on goes to the other only.
+	// The worker drains and another one is listed: further offers go to the other one only.
 	server.discovery.Add(false, draining.ListEntry("draining"))
 	server.discovery.WaitPolled(t)
 	before := len(draining.Starts)
@@ -84,7 +85,7 @@
 		run.outcomes = append(run.outcomes, user.place(t, 100+i, "guide-web", fmt.Sprintf("ok-drain-%d", i)))
 	}
 	run.counts = server.counts(t)
-	run.offersWhenDrain = [2]int{len(draining.Starts) - before, len(other.Starts)}
+	run.offersDuringDrain = [2]int{len(draining.Starts) - before, len(other.Starts)}
 	return run
 }
 
@@ -138,9 +139,9 @@
 	return ended.GetOfferId() + " lost"
 }
 
-// clientTimeoutMs is the timeout of a task's request, in milliseconds. What no worker answers gets less
-// than the scheduler gives a single attempt, so that the number of attempts does not depend on the
-// speed of the computer.
+// clientTimeoutMs returns the timeout of a task's request in milliseconds. Offers of silent tasks are never
+// answered; their timeout is shorter than that of a single attempt, so that the number of attempts does not
+// depend on the speed of the computer.
 func clientTimeoutMs(task string) int {
 	if strings.HasPrefix(task, "silent") {
 		return 200
@@ -148,8 +149,8 @@
 	return 5000
 }
 
-// Both fronts offer tasks of one program while a worker drains: what ran there ends on the front that it
-// came by, and nothing new goes there.
+// While a worker drains, the end of a task that runs there is reported on the front that submitted it, and neither
+// front offers new tasks to that worker.
 func TestDrainUnderBothFronts(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, session := server.connect(t), server.openSession(t, "s")
@@ -185,11 +186,12 @@
 		}
 	}
 	if started != 16 || ended != 2 || len(draining.Starts) != before || len(other.Starts) != 16 {
-		t.Errorf("%d started, %d ended, %d offers to the draining worker", started, ended, len(draining.Starts)-before)
+		t.Errorf("got %d started, %d ended, %d offers to the draining worker and %d to the other; want 16, 2, 0 and 16",
+			started, ended, len(draining.Starts)-before, len(other.Starts))
 	}
 }
 
-// Neither front ends or takes over what came by the other.
+// Neither front releases or takes over a task that was submitted through the other one.
 func TestFrontsAreIsolated(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, session := server.connect(t), server.openSession(t, "s")
@@ -200,24 +202,24 @@
 
 	testbed.Send(client, cancelLine(testbed.RequestID(2)))
 	if line := testbed.Wait(t, "the confirmation of the release", client.Lines); line.Verb != "FINISHED" {
-		t.Errorf("got %v", line)
+		t.Errorf("a release of the gRPC front's task got %v, want FINISHED", line)
 	}
 	release := &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}
 	if _, err := server.grpcClient(t).Release(context.Background(), release); status.Code(err) != codes.NotFound {
-		t.Errorf("a release of the other front's task: %v", err)
+		t.Errorf("a release of the JSON lines front's task: got error %v, want code NotFound", err)
 	}
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(3) || line.Cause() != causeFailed {
-		t.Errorf("a submission of the other front's task got %v", line)
+		t.Errorf("a submission of the gRPC front's task got %v, want cause %d", line, causeFailed)
 	}
 	for id, task := range map[string]string{testbed.RequestID(1): "ok-9", testbed.RequestID(4): "ok-1"} {
 		session.sendOffer(t, newOffer(id, "guide-web", task, 5000))
 		rejection := testbed.Wait(t, "the response", session.messages).GetRejection()
 		if codes.Code(rejection.GetCode()) != codes.AlreadyExists {
-			t.Errorf("an offer of the other front's task got %v", rejection)
+			t.Errorf("offer %s of the other front's request or task got %v, want code AlreadyExists", id, rejection)
 		}
 	}
 	if running := server.runningTasks(t); running != 2 || server.workers[0].StartCount("ok-1") != 1 {
-		t.Errorf("%d tasks run", running)
+		t.Errorf("got %d running tasks and %d offers of ok-1, want 2 and 1", running, server.workers[0].StartCount("ok-1"))
 	}
 }
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file lets clients leave at each place where a request can wait: no attempt may begin for a client
-// that has left.
+// This file tests that no attempt begins for a client that has left. The client leaves at each point where its
+// request can wait.
 
 import (
 	"testing"
@@ -10,29 +10,29 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxLateAttempt is for how long a client may have left when an attempt begins, by the rules.
+// maxLateAttempt is the maximum time, by the rules, between the leave of a client and an attempt that still begins.
 const maxLateAttempt = 100 * time.Millisecond
 
-// leaverID is the request of the client that leaves.
+// leaverID is the request ID of the client that leaves.
 var leaverID = testbed.RequestID(0xbeef)
 
-// leaverLine is the submission of the client that leaves.
+// leaverLine returns the submission of the client that leaves.
 func leaverLine(task string) testbed.Line {
 	return testbed.StartLine(leaverID, "guide-web", task, 8000)
 }
 
-// leaveMethod is how a client leaves with its request open.
+// leaveMethod is one way in which a client leaves while its request is open.
 type leaveMethod struct {
 	name  string
 	leave func(t *testing.T, client *testbed.Client)
 }
 
-// waitingRequest is one place where a request can wait: begin submits the client's request so that it
-// waits there, and returns how the wait ends.
+// waitingRequest is one point where a request can wait. begin submits the client's request such that it waits
+// there, and returns a function that ends the wait.
 type waitingRequest struct {
 	name    string
 	workers []string
-	// leaveUnread says that the client's leave is read only once the wait has ended.
+	// leaveUnread is true if the server reads the client's leave only after the wait has ended.
 	leaveUnread bool
 	begin       func(t *testing.T, server *proxiedServer, client *testbed.Client) (end func())
 }
@@ -41,7 +41,7 @@
 	{"for a worker that takes offers", []string{"a"}, false, waitForFreeWorker},
 	{"between attempts, as the last one is not confirmed to be cancelled", []string{"a", "b"}, false, waitForCancelConfirmation},
 	{"for a connection that comes up late", []string{"a"}, false, waitForConnection},
-	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, waitForConnectionInThatTurn},
+	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, waitForConnectionInLeaveTurn},
 	{"for the rest of a long turn", []string{"a"}, true, waitForLongTurn},
 	{"to be read", []string{"a"}, true, func(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 		resume := server.pauseLoop(t)
@@ -65,11 +65,12 @@
 func waitForCancelConfirmation(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 	testbed.Send(client, leaverLine("missed-leaver"))
 	server.eventually(t, "the first attempt", func() bool { return server.attempts.Count(leaverID) == 1 })
-	for _, worker := range server.workers { // the first attempt's cancel is written, and has to be confirmed
+	// After a notice, the server writes a cancel instead of closing the connection. The delay postpones its confirmation.
+	for _, worker := range server.workers {
 		worker.SendNotice()
 		server.proxies[worker.Name].Delay(80 * time.Millisecond)
 	}
-	server.waitUntil(t, "its cancel in flight", func() bool { return server.pool.UnconfirmedCancels() > 0 })
+	server.waitUntil(t, "an unconfirmed cancel", func() bool { return server.pool.UnconfirmedCancels() > 0 })
 	return func() {}
 }
 
@@ -79,7 +80,7 @@
 	return func() { proxy.Heal(t) }
 }
 
-func waitForConnectionInThatTurn(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
+func waitForConnectionInLeaveTurn(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 	proxy := server.moveBehindCutProxy(t)
 	server.submitLeaver(t, client)
 	resume := server.pauseLoop(t)
@@ -96,13 +97,13 @@
 	resumeBefore := server.pauseLoop(t)
 	testbed.Send(client, leaverLine("ok-leaver"))
 	wasRead, resumed := make(chan bool), make(chan bool)
-	server.loop.Post(func() { // in the turn that reads it
+	server.loop.Post(func() { // runs in the turn that reads the request
 		wasRead <- server.dispatcher.OpenCount() == 1
 		<-resumed
 	})
 	resumeBefore()
-	if !testbed.Wait(t, "the turn", wasRead) {
-		t.Fatal("the request was not read in that turn")
+	if !testbed.Wait(t, "the turn that reads the request", wasRead) {
+		t.Fatal("the request was not read in the turn after the pause")
 	}
 	return func() { resumed <- true }
 }
@@ -114,14 +115,15 @@
 	s.waitUntil(t, "the request", func() bool { return s.dispatcher.OpenCount() == 1 })
 }
 
-// outlastMaxDelay lets the turn that is paused last longer than a client may have left.
-func (s *proxiedServer) outlastMaxDelay() {
+// waitMaxLateAttempt waits for maxLateAttempt, so that the paused turn lasts longer than that.
+func (s *proxiedServer) waitMaxLateAttempt() {
 	for began := time.Now(); time.Since(began) < maxLateAttempt; time.Sleep(time.Millisecond) {
 	}
 }
 
-// No attempt begins for a client that has left, wherever its request waited and however it left. The
-// time to the last attempt's first byte is logged; below zero it came before.
+// No attempt begins for a client that has left, wherever its request waits and however the client leaves. The test
+// logs the time from the leave to the first byte of the last attempt, which is negative if that attempt came
+// before the leave.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	for _, test := range waitingRequests {
 		for _, method := range []leaveMethod{
@@ -140,16 +142,17 @@
 
 				left := time.Now()
 				if method.leave(t, client); test.leaveUnread {
-					server.outlastMaxDelay()
+					server.waitMaxLateAttempt()
 				} else {
-					server.waitUntil(t, "the leave is read", func() bool { return server.dispatcher.OpenCount() == 0 })
+					server.waitUntil(t, "the end of the open request", func() bool { return server.dispatcher.OpenCount() == 0 })
 				}
 				end()
 
-				server.waitUntil(t, "all cancels are confirmed", func() bool { return server.pool.UnconfirmedCancels() == 0 })
-				server.expectAllStarted(t, server.submit("ok", 1, 8000)) // by then what was to leave has left
+				server.waitUntil(t, "no unconfirmed cancel", func() bool { return server.pool.UnconfirmedCancels() == 0 })
+				server.expectAllStarted(t, server.submit("ok", 1, 8000)) // a late attempt would arrive before this response
 				if n := server.attempts.Count(leaverID) - attempts; n > 0 {
-					t.Errorf("%d attempts began after the client had left, the last %s after", n, server.attempts.Last(leaverID).Sub(left))
+					t.Errorf("%d attempts began after the client had left, want none; the last %s after",
+						n, server.attempts.Last(leaverID).Sub(left))
 				}
 				if last := server.attempts.Last(leaverID); !last.IsZero() {
 					t.Logf("from the leave to the last attempt's first byte: %s", last.Sub(left))
@@ -159,23 +162,24 @@
 	}
 }
 
-// newSlowDialServer starts a server where connections to workers may take long to come up.
+// newSlowDialServer starts a server with a long dial timeout for connections to workers, and has it start tasks on
+// the workers.
 func newSlowDialServer(t *testing.T, workers []string) *proxiedServer {
 	t.Helper()
 	server := newProxiedServer(t, longDialTimeout(t), nil, workers...)
 	server.expectAllStarted(t, server.submit("ok", 1, 8000))
-	server.expectAllStarted(t, server.submit("ok", 16*len(workers), 8000)) // what is new to a worker waits no longer
+	server.expectAllStarted(t, server.submit("ok", 16*len(workers), 8000)) // so that later offers no longer wait
 	return server
 }
 
-// Nothing goes out for a request whose client left while it waited, however it left and whatever it
-// waited for.
+// No offer is sent for a request whose client left while the request waited, however the client left and whatever
+// the request waited for.
 func TestNoOfferForCancelledRequest(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// begin makes requests wait from now on, until end is called.
+		// begin makes requests wait until end is called.
 		begin func(t *testing.T, server *testServer) (end func())
-		read  bool // the requests are read meanwhile
+		read  bool // true if the server reads requests during the wait
 	}{
 		{"for a worker that takes offers", func(t *testing.T, server *testServer) func() {
 			server.drainOnlyWorker(t)
@@ -209,7 +213,7 @@
 					server.waitUntil(t, "the request", func() bool { return server.dispatcher.OpenCount() == 1 })
 				}
 				if method.leave(t, client); test.read {
-					server.waitUntil(t, "it left", func() bool { return server.dispatcher.OpenCount() == 0 })
+					server.waitUntil(t, "the end of the open request", func() bool { return server.dispatcher.OpenCount() == 0 })
 				}
 				end()
 				expectOnlyNextIsOffered(t, server)
@@ -218,18 +222,18 @@
 	}
 }
 
-// expectOnlyNextIsOffered submits a further request, the only one that may be offered.
+// expectOnlyNextIsOffered submits another request and fails the test unless it is the only one that is offered.
 func expectOnlyNextIsOffered(t *testing.T, server *testServer) {
 	t.Helper()
 	next := server.connect(t)
 	testbed.Send(next, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "the offer", server.workers[0].Starts); line.Tag != testbed.RequestID(2) {
-		t.Errorf("%s was offered", line.Tag)
+		t.Errorf("request %s was offered, want %s", line.Tag, testbed.RequestID(2))
 	}
 	if line := testbed.Wait(t, "the response", next.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+		t.Errorf("the next request got %v, want STARTED", line)
 	}
 	if n := len(server.workers[0].Starts); n > 0 {
-		t.Errorf("%d offers more", n)
+		t.Errorf("%d further offers, want none", n)
 	}
 }
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests what the server does with the lines of clients: malformed, invalid, slowly written, and
-// what of a submission it passes on.
+// This file tests how the server handles malformed, invalid and slowly written lines of clients, and which fields
+// of a submission it passes on to workers.
 
 import (
 	"fmt"
@@ -14,13 +14,14 @@
 )
 
 const (
-	// overlongLine is more bytes than a line may have.
+	// overlongLine is a number of bytes above the maximum length of a line.
 	overlongLine = 17 << 10
-	// overlongName is longer than a tenant's name or an idempotency key may be.
+	// overlongName exceeds the maximum length of a tenant's name and of an idempotency key.
 	overlongName = "0123456789012345678901234567890123456789012345678901234567890123456789"
 )
 
-// A malformed line ends its own connection only, with a response to what was taken before it, at once.
+// A malformed line ends only its own connection. Requests that were accepted before it on that connection get a
+// response at once.
 func TestMalformedLines(t *testing.T) {
 	server := newTestServer(t, "a")
 	malformed, overlong, valid, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
@@ -32,24 +33,24 @@
 	write(t, half, []byte("{\"verb\":"))
 
 	for line := range overlong.Lines {
-		t.Errorf("an overlong line got %v", line)
+		t.Errorf("the client with an overlong line got %v, want the end of its connection", line)
 	}
 	testbed.Send(valid, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "another client's response", valid.Lines); line.Verb != "STARTED" {
-		t.Errorf("another client got %v", line)
+		t.Errorf("another client got %v, want STARTED", line)
 	}
 	if line := testbed.Wait(t, "the response", malformed.Lines); line.Tag != testbed.RequestID(1) || line.Verb != "FINISH" {
-		t.Errorf("got %v", line)
+		t.Errorf("the client with a malformed line got %v, want FINISH for %s", line, testbed.RequestID(1))
 	}
 	for line := range malformed.Lines {
-		t.Errorf("got %v after the response", line)
+		t.Errorf("the client with a malformed line got %v after the response, want the end of its connection", line)
 	}
 	for line := range half.Lines {
-		t.Errorf("half a line got %v", line)
+		t.Errorf("the client with half a line got %v, want the end of its connection", line)
 	}
 }
 
-// A line that comes byte by byte is whole.
+// A line that is written byte by byte is read as one line.
 func TestLineInPieces(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -58,12 +59,12 @@
 		write(t, client, []byte{b})
 	}
 	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(4) || line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+		t.Errorf("got %v, want STARTED for %s", line, testbed.RequestID(4))
 	}
 }
 
-// What is invalid is answered with an error at the front and reaches no worker: there it would only count
-// against the worker.
+// The front answers an invalid submission with an error and sends it to no worker, where the failure would only
+// count against the worker.
 func TestInvalidSubmissions(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -86,21 +87,21 @@
 			test.invalidate(&line)
 			testbed.Send(client, line)
 			if got := testbed.Wait(t, "an error", client.Lines); got.Verb != "FINISH" || got.Cause() != causeFailed || got.Tag != line.Tag {
-				t.Errorf("got %v", got)
+				t.Errorf("got %v, want FINISH for %q with cause %d", got, line.Tag, causeFailed)
 			}
 		})
 	}
 	if n := server.workers[0].StartCount("ok-bad"); n != 0 {
-		t.Errorf("%d reached a worker", n)
+		t.Errorf("%d invalid submissions were offered to the worker, want none", n)
 	}
 	t.Run("another client's request ID", func(t *testing.T) { expectForeignIDIsLeftAlone(t, server, client) })
 	t.Run("the same request twice", func(t *testing.T) { expectOneResponseToDuplicate(t, server, client) })
-	t.Run("adopted, on an unknown worker", func(t *testing.T) { expectAdoptionNowhereEnds(t, client) })
+	t.Run("adopted, on an unknown worker", func(t *testing.T) { expectAdoptionOnUnknownWorkerEnds(t, client) })
 	t.Run("too many requests", func(t *testing.T) { expectTooManyAreRejected(t, server) })
 }
 
-// A request ID that is open elsewhere, with another description: the first request is not touched, nor
-// can it be cancelled from elsewhere.
+// A client submits a request ID that is already open for another client, with another task: it gets an error, and
+// neither its submission nor its cancel affects the first request.
 func expectForeignIDIsLeftAlone(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	other := server.connect(t)
@@ -113,7 +114,7 @@
 	expectCause(t, "the first request's own response", client, testbed.RequestID(1), causeRejected)
 }
 
-// Two requests of one ID on one connection: one response, and it is no start.
+// Two requests with the same ID on one connection get one response together, which is not STARTED.
 func expectOneResponseToDuplicate(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	request := testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-2", 5000)
@@ -121,24 +122,25 @@
 	testbed.Wait(t, "the offer", server.workers[0].Starts)
 	testbed.Send(client, request)
 	if line := testbed.Wait(t, "one response to both", client.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(2) {
-		t.Errorf("got %v", line)
+		t.Errorf("got %v, want FINISH for %s", line, testbed.RequestID(2))
 	}
 }
 
-// A task that is registered as running on an unknown worker ends in time.
-func expectAdoptionNowhereEnds(t *testing.T, client *testbed.Client) {
+// A task that a client registers as running on an unknown worker is reported as ended within 3 s.
+func expectAdoptionOnUnknownWorkerEnds(t *testing.T, client *testbed.Client) {
 	t.Helper()
 	began := time.Now()
 	request := testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000)
 	request.Opts["extras"] += ";at:nowhere"
 	testbed.Send(client, request)
-	line := testbed.Wait(t, "its end", client.Lines)
+	line := testbed.Wait(t, "the end of the task", client.Lines)
 	if line.Verb != "FINISH" || line.Tag != testbed.RequestID(3) || time.Since(began) > 3*time.Second {
-		t.Errorf("got %v after %s", line, time.Since(began))
+		t.Errorf("got %v after %s, want FINISH for %s within 3s", line, time.Since(began), testbed.RequestID(3))
 	}
 }
 
-// More than a new connection may have open is rejected at once; enough of what is invalid ends it.
+// Requests above the limit of open requests of a new connection are rejected at once. Too many invalid messages end
+// the connection, with a response to each open request.
 func expectTooManyAreRejected(t *testing.T, server *testServer) {
 	t.Helper()
 	client := server.connect(t)
@@ -147,7 +149,7 @@
 	}
 	for range 8 {
 		if line := testbed.Wait(t, "a rejection", client.Lines); line.Cause() != causeRejected || line.Opts["wait"] == "" {
-			t.Errorf("got %v", line)
+			t.Errorf("got %v, want cause %d with a Retry-After", line, causeRejected)
 		}
 	}
 	for range 70 {
@@ -156,15 +158,15 @@
 	responses := 0
 	for line := range client.Lines {
 		if responses++; line.Verb != "FINISH" {
-			t.Errorf("got %v", line)
+			t.Errorf("got %v, want FINISH", line)
 		}
 	}
 	if responses < 32 {
-		t.Errorf("%d responses before the end", responses)
+		t.Errorf("%d responses before the end of the connection, want at least 32", responses)
 	}
 }
 
-// A client may take 2 s to write a request; the connection of one that never ends it is closed.
+// A client may take 2 s to write a request. A connection on which a request stays incomplete is closed.
 func TestSlowWriter(t *testing.T) {
 	server := newTestServer(t, "a")
 	slow, never := server.connect(t), server.connect(t)
@@ -173,21 +175,21 @@
 	for _, client := range []*testbed.Client{slow, never} {
 		write(t, client, request[:half])
 	}
-	time.Sleep(2*time.Second - time.Since(began)) // what the client does, not what the test waits for
+	time.Sleep(2*time.Second - time.Since(began)) // simulates the slow client; the test waits for nothing here
 	write(t, slow, append(request[half:], '\n'))
 	if line := testbed.Wait(t, "the response", slow.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+		t.Errorf("the slow client got %v, want STARTED", line)
 	}
 	if line, ok := <-never.Lines; ok {
-		t.Errorf("half a request got %v", line)
+		t.Errorf("the client with half a request got %v, want the end of its connection", line)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("the close took %v", took)
+		t.Errorf("the connection with half a request was closed after %v, want at most 3s", took)
 	}
 }
 
-// What a worker recognises a repeat by is passed on unchanged, and what only an orchestrator uses is not:
-// the tenant, the hint of the duration, the repeat.
+// An offer carries unchanged the fields by which a worker recognises a repeated request. It omits the fields that
+// only an orchestrator uses: the tenant, the hint of the duration, and the number of earlier submissions.
 func TestOfferFields(t *testing.T) {
 	settings := changedSettings(t, settingChange{"RequestClasses.0.Name", "bulletin"}, settingChange{"RequestClasses.0.Semantics", "guarded"},
 		settingChange{"RequestClasses.0.Group", "zone"}, settingChange{"Parties", []any{map[string]any{"Name": "studio"}}},
@@ -200,21 +202,22 @@
 	offer := testbed.Wait(t, "the offer", server.workers[0].Starts)
 	for _, name := range []string{"class", "key", "idem"} {
 		if offer.Opts[name] != request.Opts[name] {
-			t.Errorf("%s: expected %q, got %q", name, request.Opts[name], offer.Opts[name])
+			t.Errorf("%s: got %q, want %q", name, offer.Opts[name], request.Opts[name])
 		}
 	}
 	if len(offer.Opts) != 4 || *offer.Blob != *request.Blob {
-		t.Errorf("got %v about %q", offer.Opts, *offer.Blob)
+		t.Errorf("got offer fields %v with description %q, want 4 fields with description %q",
+			offer.Opts, *offer.Blob, *request.Blob)
 	}
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+		t.Errorf("got %v, want STARTED", line)
 	}
 	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": overlongName, "idem": overlongName} {
 		request := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
 		request.Opts[name] = value
 		testbed.Send(client, request)
 		if line := testbed.Wait(t, "the error", client.Lines); line.Verb != "FINISH" || line.Cause() != causeFailed {
-			t.Errorf("%s %q: got %v", name, value, line)
+			t.Errorf("%s %q: got %v, want FINISH with cause %d", name, value, line, causeFailed)
 		}
 	}
 }
--- a/cmd/ravenhitch/command.go
+++ b/cmd/ravenhitch/command.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the parsing of sub-commands. Each sub-command ends by itself, and none serves.
+// This file parses and runs the sub-commands. Each one ends by itself, and none starts a server.
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands are the sub-commands that may follow the program's name. The names of fields and tags are
-// the names of commands and flags.
+// commands lists the sub-commands of the program. Kong derives the names of commands and flags from the field
+// names and tags.
 type commands struct {
 	Peers    peersCommand    `cmd:"" help:"Print who a running orchestrator believes is there."`
 	Rehearse rehearseCommand `cmd:"" help:"Play faults between orchestrators on this machine, and show what comes of it."`
@@ -18,7 +18,7 @@
 
 const (
 	exitFailure = 1
-	// notExited is no exit code: kong has not asked for the end of the process.
+	// notExited stands for the absence of an exit code: kong has not called its exit function.
 	notExited = -1
 )
 
@@ -26,12 +26,14 @@
 func runCommand(args []string, out, errs io.Writer) int {
 	exitCode, err := parseAndRun(args, out, errs)
 	if err != nil {
-		_, _ = fmt.Fprintln(errs, "ravenhitch:", err) // nowhere else to report to
+		_, _ = fmt.Fprintln(errs, "ravenhitch:", err) // a failed write to standard error cannot be reported anywhere
 		return exitFailure
 	}
 	return exitCode
 }
 
+// parseAndRun parses the arguments and runs the sub-command that they name. If kong has printed the help
+// instead, it returns the exit code that kong requested.
 func parseAndRun(args []string, out, errs io.Writer) (exitCode int, err error) {
 	exitCode = notExited
 	parser, err := kong.New(new(commands), kong.Name("ravenhitch"), kong.Description("Without a command it serves; see -h."),
@@ -41,7 +43,7 @@
 	}
 	parsed, err := parser.Parse(args)
 	if exitCode != notExited {
-		return exitCode, nil // help was requested, and printed
+		return exitCode, nil // kong has printed the requested help
 	}
 	if err != nil {
 		return exitCode, err
--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests the sub-commands' arguments.
+// This file tests the arguments of the sub-commands.
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// Arguments that can't be used are answered by what was expected, and start nothing.
+// Invalid arguments end a sub-command with exit code 1 and an error that names what was expected.
 func TestCommands(t *testing.T) {
-	t.Setenv("ROUTER_MGMT", "") // restored at the end
+	t.Setenv("ROUTER_MGMT", "") // restores the variable at the end of the test
 	if err := os.Unsetenv("ROUTER_MGMT"); err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
 			var out, errs bytes.Buffer
 			if code := runCommand(test.args, &out, &errs); code != 1 || !strings.Contains(errs.String(), test.want) {
-				t.Errorf("code %d, %q", code, errs.String())
+				t.Errorf("exit code %d with %q, want code 1 and %q", code, errs.String(), test.want)
 			}
 		})
 	}
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests which connections of clients are evicted at the limit, and that nobody loses a
-// response by it.
+// This file tests which client connections are evicted at the connection limit, and that no client loses a
+// response by an eviction.
 
 import (
 	"bufio"
@@ -13,8 +13,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// At the limit of connections one that never sent anything is evicted first, before one that has begun
-// to, then one with nothing open on it that was idle for a while; one that waits for a response never is.
+// At the connection limit, connections that never sent anything are evicted first, before one that has sent part
+// of a message, and before one that has no open request and was idle for a while. A connection with an open
+// request is never evicted.
 func TestEvictionOrderAtConnectionLimit(t *testing.T) {
 	server := newSmallServer(t, "a")
 	busy := server.connect(t)
@@ -35,30 +36,31 @@
 	began := time.Now()
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 6000))
 	if line := testbed.Wait(t, "the late client's response", late.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+		t.Errorf("the late client got %v, want STARTED", line)
 	}
 	if d := time.Since(began); d > time.Second {
-		t.Errorf("the late client waited %s", d)
+		t.Errorf("the late client waited %s for its response, want at most 1s", d)
 	}
 
 	write(t, writing, append(request[len(request)/2:], '\n'))
-	if line := testbed.Wait(t, "the response to the one that writes slowly", writing.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+	if line := testbed.Wait(t, "the response to the client that writes slowly", writing.Lines); line.Verb != "STARTED" {
+		t.Errorf("the client that writes slowly got %v, want STARTED", line)
 	}
-	for range silent { // all of them, in time
+	for range silent { // every silent connection is closed in time
 		testbed.Wait(t, "the end of a silent connection", closed)
 	}
 	if d := time.Since(began); d > 3*time.Second {
-		t.Errorf("the silent ones were closed after %s", d)
+		t.Errorf("the silent connections were closed after %s, want at most 3s", d)
 	}
 	if line := testbed.Wait(t, "the busy client's response", busy.Lines); line.Tag != testbed.RequestID(1) {
-		t.Errorf("got %v", line)
+		t.Errorf("the busy client got %v, want the response to request %s", line, testbed.RequestID(1))
 	}
 	testbed.Send(pinged, pingLine("u"))
 	testbed.Wait(t, "the answer to the second ping", pinged.Lines)
 }
 
-// connectSilent connects so many clients that send nothing. Each end of a connection is sent to closed.
+// connectSilent connects count clients that send nothing. The channel closed receives a value for each of these
+// connections that ends.
 func connectSilent(t *testing.T, server *testServer, count int) (closed <-chan bool) {
 	t.Helper()
 	ends := make(chan bool, count)
@@ -73,8 +75,9 @@
 	return ends
 }
 
-// Connections that sent one ping and stay are evicted at once; those that had a task are after a while,
-// and until then the server does not stop with a connection in the system's queue.
+// An idle connection that has only sent a ping is evicted at once for a new client. One that had a task is
+// evicted only after it was idle for a while; until then, a new client waits in the system's queue, and the
+// server does not stop while a connection is queued there.
 func TestQueuedConnectionsAreServed(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for i := range maxClients {
@@ -88,35 +91,35 @@
 		client := server.connect(t)
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || time.Since(began) > 700*time.Millisecond {
-			t.Errorf("got %v after %s", line, time.Since(began))
+			t.Errorf("client %d got %v after %s, want STARTED within 700ms", i, line, time.Since(began))
 		}
 		withTask = append(withTask, client)
 	}
 	server.Stop()
 	late := server.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(99), "guide-web", "ok-99", 5000))
-	if line := testbed.Wait(t, "the response to the one in the queue", late.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+	if line := testbed.Wait(t, "the response to the queued client", late.Lines); line.Verb != "STARTED" {
+		t.Errorf("the queued client got %v, want STARTED", line)
 	}
-	for line := range withTask[0].Lines { // closed
-		t.Errorf("the one idle longest got %v", line)
+	for line := range withTask[0].Lines { // until the connection is closed
+		t.Errorf("the client that was idle longest got %v, want the end of its connection", line)
 	}
 }
 
-// A client that has not read its response yet is not evicted for one that waits for a connection.
+// A client that has not read its response yet is not evicted for a client whose connection waits in the queue.
 func TestSlowReaderIsNotEvicted(t *testing.T) {
 	server := newSmallServer(t, "a")
 	slow := newSlowReader(t, server)
 	testbed.Send(slow, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-	server.waitUntil(t, "a task", func() bool { return server.dispatcher.RunningCount() == 1 })
+	server.waitUntil(t, "a running task", func() bool { return server.dispatcher.RunningCount() == 1 })
 	since := server.now(t)
 	for i := range maxClients - 1 {
 		testbed.Send(server.connect(t), testbed.StartLine(testbed.RequestID(10+i), "archive-cut", fmt.Sprint("silent-", i), 60_000))
 	}
-	server.waitUntil(t, "all are busy", func() bool { return server.dispatcher.OpenCount() == maxClients-1 })
+	server.waitUntil(t, "all other clients busy", func() bool { return server.dispatcher.OpenCount() == maxClients-1 })
 	late := server.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 9000))
-	server.waitUntil(t, "it waits, for longer than an idle connection is protected", func() bool {
+	server.waitUntil(t, "a queued client, for longer than an idle connection is protected", func() bool {
 		return server.loop.HasQueuedConnections() && server.loop.Now() > since+1_200*millisecond
 	})
 	setReadTimeout(t, slow)
@@ -125,20 +128,20 @@
 		started = strings.Contains(scanner.Text(), "STARTED")
 	}
 	if !started {
-		t.Errorf("its response never came: %v", scanner.Err())
+		t.Errorf("the slow reader got no STARTED response: %v", scanner.Err())
 	}
 	if line := testbed.Wait(t, "the late client's response", late.Lines); line.Tag != testbed.RequestID(2) {
-		t.Errorf("got %v", line)
+		t.Errorf("the late client got %v, want the response to request %s", line, testbed.RequestID(2))
 	}
 }
 
-// A request that is written while its connection is evicted is not read there. Sent again on a new
-// connection it gets a response, and only one attempt comes of it, whether it crossed the close or came
-// to a connection that was closed before.
+// A request that is written while its connection is evicted is not read there. When the client sends it again on
+// a new connection, it gets one response and is offered once, whether it was written just before the close or
+// after it.
 func TestRequestCrossesEviction(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		before bool // the request is written before the close, else after it
+		before bool // true if the request is written before the close, false if after it
 	}{
 		{"written before the close", true},
 		{"written after the close", false},
@@ -151,13 +154,13 @@
 			for range maxClients - 1 {
 				pingServer(t, server.connect(t))
 			}
-			evictableFrom := server.now(t) + 150*millisecond // for any of them
-			server.waitUntil(t, "idle clients", func() bool { return server.loop.Now() > evictableFrom })
+			evictableFrom := server.now(t) + 150*millisecond // all connections may be evicted from then on
+			server.waitUntil(t, "clients idle for 150 ms", func() bool { return server.loop.Now() > evictableFrom })
 			request := testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000)
 
 			if test.before {
 				resume := server.pauseLoop(t)
-				next := server.connect(t) // it is found first, and evicts the other
+				next := server.connect(t) // the server accepts it before it reads the request, and evicts crossing
 				testbed.Send(crossing, request)
 				resume()
 				pingServer(t, next)
@@ -165,28 +168,28 @@
 				pingServer(t, server.connect(t))
 				testbed.Send(crossing, request)
 			}
-			for line := range crossing.Lines { // until it is closed
-				t.Errorf("on the closed connection: %v", line)
+			for line := range crossing.Lines { // until the connection is closed
+				t.Errorf("the evicted client got %v, want the end of its connection", line)
 			}
 			if n := server.workers[0].StartCount("ok-1"); n != 0 {
-				t.Fatalf("it did not cross the close: offered %d times", n)
+				t.Fatalf("the request on the evicted connection was offered %d times, want none", n)
 			}
 
 			again := server.connect(t)
 			testbed.Send(again, request)
 			if line := testbed.Wait(t, "the response", again.Lines); line.Verb != "STARTED" || line.Tag != testbed.RequestID(1) {
-				t.Errorf("got %v", line)
+				t.Errorf("the repeated request got %v, want STARTED for %s", line, testbed.RequestID(1))
 			}
-			pingServer(t, again) // by then a second response would have come
+			pingServer(t, again) // a second response would arrive before the answer to the ping
 			if n := server.workers[0].StartCount("ok-1"); n != 1 {
-				t.Errorf("offered %d times", n)
+				t.Errorf("the task was offered %d times, want once", n)
 			}
 		})
 	}
 }
 
-// At the limit one idle connection is closed for a client that comes, and none for nobody: a client that uses its
-// connection then would find it closed.
+// At the connection limit, one idle connection is evicted for each new client, and none without a new client: a
+// client that uses its connection at that moment would find it closed for no reason.
 func TestNoEvictionForNobody(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for range maxClients {
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file lists more workers than there are descriptors.
+// This file tests servers that have more listed workers than descriptors.
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// Where there are more workers than descriptors, those that are needed are connected in place of idle
-// ones. The connection to a worker with a running task stays, as the completion comes there.
+// With more workers than descriptors, the server closes connections to idle workers to connect to those that it
+// needs. It keeps the connection to a worker with a running task, because the completion arrives on it.
 func TestIdleWorkerConnectionsAreEvicted(t *testing.T) {
 	const workers, tasks = 60, 6
 	server := newRelayedServer(t, workers)
@@ -19,10 +19,10 @@
 	for i := range tasks {
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-			t.Fatalf("got %v", line)
+			t.Fatalf("request %d got %v, want STARTED", i+1, line)
 		}
 	}
-	for _, worker := range slices.Concat(server.workers, server.workers) { // one by one: there are too few descriptors for all
+	for _, worker := range slices.Concat(server.workers, server.workers) { // one by one: there are too few descriptors
 		if worker.TaskCount() > 0 {
 			continue
 		}
@@ -32,7 +32,7 @@
 	}
 	for _, worker := range server.workers {
 		if _, open := worker.DialCounts(); open == 0 && worker.TaskCount() > 0 {
-			t.Fatalf("no connection to %s, where a task runs", worker.Name)
+			t.Fatalf("no connection to %s, which has a running task", worker.Name)
 		}
 	}
 	for i := range tasks {
@@ -42,13 +42,13 @@
 			}
 		}
 		if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
-			t.Errorf("got %v", line)
+			t.Errorf("got %v, want the completion of request %s with cause %d", line, testbed.RequestID(i+1), causeDone)
 		}
 	}
 }
 
-// Where more workers than descriptors are listed, those with running tasks are connected in place of idle
-// ones, and beyond that with what clients do not use.
+// With more workers than descriptors, the server connects to the workers with running tasks: it closes connections
+// to idle workers and also borrows descriptors that clients do not use.
 func TestWorkersWithRunningTasksAreConnected(t *testing.T) {
 	const workers, tasks = 60, 20
 	server := newRelayedServer(t, workers)
@@ -74,13 +74,13 @@
 		}
 	}
 	if len(completed) != tasks {
-		t.Errorf("%d completions of %d were reported", len(completed), tasks)
+		t.Errorf("%d of %d completions were reported, want all", len(completed), tasks)
 	}
 	other := server.connect(t)
 	pingServer(t, other)
 	server.onLoop(t, func() {
 		if free := server.loop.FreeDescriptors(); free < 4 {
-			t.Errorf("%d descriptors are left free, want those of discovery and operators", free)
+			t.Errorf("%d descriptors are free, want at least the 4 reserved for discovery and operators", free)
 		}
 	})
 }
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -1,7 +1,7 @@
 package main
 
-// This file exports figures of the server to Graphite and to collectd. It must never wait for a
-// receiver on the event loop: an exporter sends on its own goroutine.
+// This file exports figures of the server to Graphite and to collectd. The event loop never waits for a
+// receiver: each exporter sends on its own goroutine.
 
 import (
 	"time"
@@ -11,10 +11,10 @@
 	"ravenhitch/internal/metrics"
 )
 
-// exporterCloseTimeout is how long sending the last figures may take at a shutdown.
+// exporterCloseTimeout is the maximum time that an exporter gets at a shutdown to send its last figures.
 const exporterCloseTimeout = 200 * time.Millisecond
 
-// startExporters sends figures to each receiver that the operators' file names.
+// startExporters starts an exporter for each receiver named in the operators' file.
 func (s *server) startExporters(cfg config.Config, operators config.OperatorSettings) {
 	if receiver := operators.Graphite; receiver.Address != "" {
 		s.startExporter("tcp", receiver, metrics.Graphite{Prefix: receiver.Prefix, Name: cfg.Name})
@@ -25,7 +25,7 @@
 	}
 }
 
-// startExporter sends figures to one receiver from now on.
+// startExporter starts an exporter that sends figures to one receiver at the configured interval.
 func (s *server) startExporter(network string, receiver config.Metrics, protocol metrics.Protocol) {
 	exporter := metrics.NewExporter(network, receiver.Address, protocol, s.log)
 	s.exporters = append(s.exporters, exporter)
@@ -38,14 +38,16 @@
 	s.loop.After(intervalUs, export)
 }
 
-// closeExporters sends the last figures and ends the exporters.
+// closeExporters stops the exporters one after another. Each one gets exporterCloseTimeout to send the figures
+// that are still queued.
 func (s *server) closeExporters() {
 	for _, exporter := range s.exporters {
 		exporter.Close(exporterCloseTimeout)
 	}
 }
 
-// figures are the figures of the server as they are now. Their names are what dashboards read.
+// figures returns the current figures of the server. Dashboards refer to them by name, so the names must not
+// change.
 func (s *server) figures(exporter *metrics.Exporter) []metrics.Figure {
 	counter := func(name string, v int64) metrics.Figure {
 		return metrics.Figure{Name: name, Value: float64(v), Counter: true}
--- a/cmd/ravenhitch/figures_test.go
+++ b/cmd/ravenhitch/figures_test.go
@@ -15,7 +15,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// Figures reach receivers that speak as Graphite and as collectd do, with what the dispatcher counted.
+// The counts of the dispatcher are exported to a Graphite and to a collectd receiver.
 func TestExportedFigures(t *testing.T) {
 	carbon := listenLocal(t)
 	path := filepath.Join(t.TempDir(), "collectd.sock")
@@ -44,7 +44,7 @@
 	}
 }
 
-// waitFigure waits for a line that begins like this; the figure itself is 1.
+// waitFigure waits for a line that begins with want. The value in a line for collectd must be 1.
 func waitFigure(t *testing.T, lines <-chan string, want string) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Timeout); ; {
@@ -53,18 +53,18 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("%s: never came, the last line is %q", want, line)
+			t.Fatalf("no line with prefix %q within %s; the last line is %q", want, testbed.Timeout, line)
 		}
 	}
 }
 
-// receiveFigures passes on the lines of one connection, and answers each.
+// receiveFigures accepts one connection, sends its lines to the channel lines and writes answer after each one.
 func receiveFigures(listener net.Listener, answer string, lines chan<- string) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return
 	}
-	defer func() { _ = conn.Close() }() // the exporter is gone by then, or the test over
+	defer func() { _ = conn.Close() }() // the exporter has ended by then, or the test is over
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
 		lines <- scanner.Text()
 		if _, err := io.WriteString(conn, answer); err != nil {
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the goroutine that reads and writes the handover files. It must never touch the
-// server's fields: what it finds is posted to the event loop.
+// This file owns the goroutine that reads and writes the handover files. The goroutine never accesses fields
+// that belong to the event loop; it posts its results to the loop.
 
 import (
 	"maps"
@@ -11,22 +11,22 @@
 )
 
 const (
-	// handoverReadInterval is how often the files are read for what another process wrote.
+	// handoverReadInterval is the interval at which the files are read for changes by other processes.
 	handoverReadInterval = 200 * time.Millisecond
-	// maxQueuedFileTasks is how many admin calls may wait for the file worker.
+	// maxQueuedFileTasks is the maximum number of admin calls that wait for the file worker.
 	maxQueuedFileTasks = 64
 )
 
-// fileWorker does the disk work of admin calls, and reads what other processes write.
+// fileWorker does the disk work of admin calls and polls the handover files for changes by other processes.
 type fileWorker struct {
 	server  *server
 	store   handoverStore
-	cordons admin.Cordons // as read last
-	tasks   <-chan func()
+	cordons admin.Cordons // cordoned workers, as last read from the file
+	tasks   <-chan func() // disk work of admin calls
 }
 
-// run works until the server has stopped. The server doesn't wait for it, as the disk may be slow: the
-// end of the process must not hang on it.
+// run works until the server has stopped. The server does not wait for it to return: the disk may be slow, and
+// that must not delay the end of the process.
 func (w *fileWorker) run() {
 	ticker := time.NewTicker(handoverReadInterval)
 	defer ticker.Stop()
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkSuccessor looks for a successor on behalf of a shutdown, which begins with the result.
+// checkSuccessor checks for a successor on request of a shutdown, and begins the shutdown with the result.
 func (w *fileWorker) checkSuccessor() {
 	s, found := w.server, w.store.hasSuccessor()
 	s.loop.Post(func() {
@@ -53,7 +53,7 @@
 	})
 }
 
-// readFiles takes up what other processes wrote since the last time.
+// readFiles passes changes that other processes made to the files since the last read to the event loop.
 func (w *fileWorker) readFiles() {
 	s := w.server
 	if w.store.hasSuccessor() {
--- a/cmd/ravenhitch/grpc.go
+++ b/cmd/ravenhitch/grpc.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the gRPC front of the server: its listener, its goroutine, and the retry token keys
-// that it is given. What clients ask for is submitted on the event loop by package grpcfront.
+// This file owns the gRPC front of the server: its listener, its goroutine and the retry token keys that it
+// uses. Package grpcfront submits the requests of clients on the event loop.
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"ravenhitch/internal/retrytoken"
 )
 
-// startGRPC serves the gRPC front on goroutines of its own, until closeGRPC.
+// startGRPC starts the gRPC front, which serves on goroutines of its own until closeGRPC.
 func (s *server) startGRPC(operators config.OperatorSettings) error {
 	creds, err := grpcfront.Credentials(operators.GRPCCert, operators.GRPCKey)
 	if err != nil {
@@ -28,7 +28,7 @@
 	if s.tokenKeysPath = operators.RetryTokenKeys; s.tokenKeysPath != "" {
 		keys, err := loadTokenKeys(s.tokenKeysPath)
 		if err != nil {
-			_ = listener.Close() // the keys' error is the one to report
+			_ = listener.Close() // the error of the keys is returned instead
 			return err
 		}
 		s.grpcFront.SetKeys(keys)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// closeGRPC ends the gRPC front and waits for its goroutine. The event loop must have ended.
+// closeGRPC stops the gRPC front and waits for its goroutine. The event loop must have ended before the call.
 func (s *server) closeGRPC() {
 	if s.grpcFront == nil {
 		return
@@ -50,7 +50,7 @@
 	s.grpcServing.Wait()
 }
 
-// loadTokenKeys reads the file of the retry token keys.
+// loadTokenKeys reads the retry token keys from the file at path.
 func loadTokenKeys(path string) (*retrytoken.Keys, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/ravenhitch/grpcclient_test.go
+++ b/cmd/ravenhitch/grpcclient_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the gRPC clients of the tests.
+// This file provides the gRPC clients of the tests.
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// newOffer is a request of a task of one core; a timeout of 0 is none.
+// newOffer returns the offer of a task of one core. The timeout is in milliseconds; 0 sets none.
 func newOffer(id, class, task string, timeoutMs uint32) *edgepb.Offer {
 	return &edgepb.Offer{OfferId: id, Task: task, Class: class, Cores: 1, Memory: 2, Service: "b4d65521",
 		Description: "about " + task, WaitMs: timeoutMs}
 }
 
-// dialGRPC connects to the gRPC front of the server, without TLS.
+// dialGRPC returns a connection without TLS to the gRPC front of the server. It is closed at the end of the test.
 func (s *testServer) dialGRPC(t *testing.T) *grpc.ClientConn {
 	t.Helper()
 	conn, err := grpc.NewClient(s.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -29,21 +29,21 @@
 	return conn
 }
 
-// grpcClient is a client of its own connection.
+// grpcClient returns a gRPC client with a connection of its own.
 func (s *testServer) grpcClient(t *testing.T) edgepb.OrchestratorClient {
 	t.Helper()
 	return edgepb.NewOrchestratorClient(s.dialGRPC(t))
 }
 
-// clientSession is a client's session with a stream.
+// clientSession is one stream of a client's session.
 type clientSession struct {
 	edgepb.Orchestrator_SessionClient
 	disconnect context.CancelFunc
 	messages   chan *edgepb.ServerMessage // closed when the stream ends
-	err        error                      // how the stream ended, once messages is closed
+	err        error                      // error that ended the stream, valid once messages is closed
 }
 
-// openSession opens a stream of a session that has acknowledged nothing yet.
+// openSession opens a stream of the named session and acknowledges no message of an earlier one.
 func (s *testServer) openSession(t *testing.T, name string) *clientSession {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -85,7 +85,7 @@
 	s.send(t, &edgepb.ClientMessage{Kind: &edgepb.ClientMessage_Release{Release: &edgepb.ReleaseRequest{OfferId: id}}})
 }
 
-// disconnectAndDrain ends the stream and drops what came on it.
+// disconnectAndDrain ends the stream and discards its remaining messages.
 func (s *clientSession) disconnectAndDrain() {
 	s.disconnect()
 	for range s.messages {
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the files by which a process hands over to its successor: which workers are cordoned,
-// and which process serves. All of it blocks: it must never run on the event loop.
+// This file owns the files by which a process hands over to its successor: the list of cordoned workers and
+// the ID of the process that serves. All functions block on disk I/O and must never run on the event loop.
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 	"ravenhitch/internal/admin"
 )
 
-// The names of the files are those that earlier versions read and write.
+// Earlier versions of the program read and write files of these names, so the names must not change.
 const (
 	cordonsFile   = "minions-out"
 	servingSuffix = ".serves"
@@ -28,14 +28,14 @@
 	handoverFileMode = 0o600
 )
 
-// handoverStore is the files in which a process leaves what its successor needs. Its methods block.
+// handoverStore reads and writes the files by which a process passes state to its successor. Its methods block.
 type handoverStore struct {
-	cordonsPath string // the other files' names begin with it
-	processID   string // names this process
-	previousID  string // names the process that served when this one started
+	cordonsPath string // path of the list of cordoned workers; the other files add a suffix to it
+	processID   string // ID of this process
+	previousID  string // ID of the process that served when this one started, "" if there was none
 }
 
-// newHandoverStore opens the files in a directory, which may not exist yet.
+// newHandoverStore returns a store whose files are in dir. The files may not exist yet.
 func newHandoverStore(dir string) handoverStore {
 	s := handoverStore{
 		cordonsPath: filepath.Join(dir, cordonsFile),
@@ -45,24 +45,25 @@
 	return s
 }
 
-// serving names the process that claimed last that it serves, "" where none did.
+// serving returns the ID of the process that last called claimServing, or "" if none did.
 func (s handoverStore) serving() string {
-	b, _ := os.ReadFile(s.cordonsPath + servingSuffix) // a file that can't be read names no process
+	b, _ := os.ReadFile(s.cordonsPath + servingSuffix) // a file that cannot be read counts as naming no process
 	return strings.TrimSpace(string(b))
 }
 
-// claimServing announces to the process that serves beside this one that this one serves now.
+// claimServing records that this process serves now, which tells a process that already serves that it has a
+// successor.
 func (s handoverStore) claimServing() error {
 	return s.replace(servingSuffix, []byte(s.processID+"\n"))
 }
 
-// hasSuccessor reports whether a process that started after this one serves.
+// hasSuccessor reports whether a process that started after this one serves now.
 func (s handoverStore) hasSuccessor() bool {
 	serving := s.serving()
 	return serving != s.processID && serving != s.previousID
 }
 
-// replace replaces the file with this suffix as a whole.
+// replace atomically replaces the content of the file with this suffix.
 func (s handoverStore) replace(suffix string, content []byte) error {
 	path := s.cordonsPath + suffix
 	if err := os.WriteFile(path+stagingSuffix, content, handoverFileMode); err != nil {
@@ -71,7 +72,7 @@
 	return os.Rename(path+stagingSuffix, path)
 }
 
-// readCordons returns the cordoned workers that the file lists.
+// readCordons returns the cordoned workers that the file lists. A missing file lists none.
 func (s handoverStore) readCordons() (admin.Cordons, error) {
 	b, err := os.ReadFile(s.cordonsPath)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -83,13 +84,14 @@
 	return admin.DecodeCordons(s.cordonsPath, b)
 }
 
-// changeCordons applies a call to the file, one process at a time, and returns what the file lists then.
+// changeCordons applies a call to the list of cordoned workers in the file and returns the new list. A file
+// lock admits one process at a time.
 func (s handoverStore) changeCordons(call admin.Call) (admin.Cordons, error) {
 	lock, err := os.OpenFile(s.cordonsPath+lockSuffix, os.O_CREATE|os.O_RDWR, handoverFileMode)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = lock.Close() }() // releases the lock; nothing was written to this file
+	defer func() { _ = lock.Close() }() // releases the lock; the lock file has no content that could be lost
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX); err != nil {
 		return nil, fmt.Errorf("%s%s: %w", s.cordonsPath, lockSuffix, err)
 	}
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -1,6 +1,6 @@
-// Command ravenhitch is one orchestrator on real sockets. This file owns the start of the process:
-// what the command line, the environment and the files configure, limits, and signals. It must never
-// serve: the server does.
+// Command ravenhitch runs one orchestrator on real sockets. This file starts the process: it reads the command
+// line, the environment and the configuration files, sets the limits of the runtime, and handles signals. The
+// serving itself belongs to the type server.
 package main
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	// maxQueuedSignals is how many signals wait to be handled; more are dropped.
+	// maxQueuedSignals is the maximum number of signals that wait to be handled; further ones are dropped.
 	maxQueuedSignals = 8
-	// firstInheritableFD follows the standard streams.
+	// firstInheritableFD is the first file descriptor after those of the standard streams.
 	firstInheritableFD = 3
-	// The memory limit of the runtime is this share of the memory that the process may use.
+	// The memory limit of the Go runtime is this fraction of the memory that the process may use.
 	memoryLimitNumerator, memoryLimitDenominator = 6, 10
 
 	bytesPerMBShift = 20
@@ -47,8 +47,8 @@
 	}
 }
 
-// serve runs an orchestrator by the configuration file that the environment names and by the
-// operators' file, until a signal ends it.
+// serve runs an orchestrator until a signal ends it. The environment names its configuration file;
+// operatorsPath is the path of the operators' file.
 func serve(operatorsPath string) error {
 	configPath := os.Getenv("ROUTER_CONFIG")
 	if configPath == "" {
@@ -77,8 +77,8 @@
 	return server.Run()
 }
 
-// setRuntimeLimits bounds threads and memory of the Go runtime: everything but gRPC and work on files
-// runs on one event loop.
+// setRuntimeLimits limits the Go runtime to one processor, because everything except gRPC and disk work runs on
+// one event loop, and limits its memory if the configuration sets a limit.
 func setRuntimeLimits(cfg config.Config) {
 	runtime.GOMAXPROCS(1)
 	if cfg.MemoryMB > 0 {
@@ -86,9 +86,9 @@
 	}
 }
 
-// handleSignals reloads on SIGHUP and stops on any other signal, until the server has stopped. Run
-// doesn't wait for it: a reload may read from a slow disk. The signals stay registered to the end, so
-// that one that comes late doesn't kill the process.
+// handleSignals reloads on SIGHUP and stops the server on any other signal. It returns when the server has
+// stopped. Run does not wait for it, as a reload may read from a slow disk. The signals stay registered until
+// the process ends, because a late signal would otherwise kill the process.
 func (s *server) handleSignals(signals <-chan os.Signal, configPath string) {
 	for {
 		select {
@@ -104,7 +104,7 @@
 	}
 }
 
-// overrideFromEnvironment sets what the environment names in place of the configuration.
+// overrideFromEnvironment replaces settings of the configuration by those that environment variables set.
 func overrideFromEnvironment(cfg *config.Config) (err error) {
 	if v := os.Getenv("ROUTER_LISTEN"); v != "" {
 		cfg.Listen = v
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -15,8 +15,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A configuration that can't be used ends the program with one line, SIGTERM with exit code 0 after what is
-// open is answered.
+// An invalid configuration ends the program with exit code 1 and one line on standard error. SIGHUP with an invalid
+// configuration is logged and changes nothing. SIGTERM ends the program with exit code 0 after the open requests
+// are answered.
 func TestProgram(t *testing.T) {
 	program, configPath := buildProgram(t), filepath.Join(t.TempDir(), "config.json")
 	command := func(text string) *exec.Cmd {
@@ -31,7 +32,7 @@
 		cmd := command(text)
 		output, err := cmd.CombinedOutput()
 		if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(output), "\n") != 1 || !strings.HasPrefix(string(output), "ravenhitch: ") {
-			t.Errorf("%q: %v, %q", text, err, output)
+			t.Errorf("configuration %q: %v with output %q, want exit code 1 and one line", text, err, output)
 		}
 	}
 
@@ -39,7 +40,7 @@
 	discovery.Add(true, worker.ListEntry("up"))
 	cmd := command(configJSON(discovery))
 	lines := startLogged(t, cmd)
-	_, addr, _ := strings.Cut(testbed.Wait(t, "the first line", lines), "listen=")
+	_, addr, _ := strings.Cut(testbed.Wait(t, "the first log line", lines), "listen=")
 	client := testbed.NewClient(t, strings.Fields(addr)[0])
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1500))
 	testbed.Wait(t, "the offer", worker.Starts)
@@ -47,23 +48,23 @@
 	if err := os.WriteFile(configPath, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	signalProcess(t, cmd, syscall.SIGHUP) // a file that can't be used: one line, and it goes on
+	signalProcess(t, cmd, syscall.SIGHUP) // the file is invalid: the program logs one line and continues
 	for line := ""; !strings.Contains(line, "configuration not reloaded"); {
-		line = testbed.Wait(t, "the line about the file", lines)
+		line = testbed.Wait(t, "the log line about the invalid configuration", lines)
 	}
 
 	began := time.Now()
 	signalProcess(t, cmd, syscall.SIGTERM)
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(1) || !hasValidRetryAfter(line) {
-		t.Errorf("got %v", line)
+		t.Errorf("got %v, want a rejection of %s with a valid Retry-After", line, testbed.RequestID(1))
 	}
 	if err := cmd.Wait(); err != nil || time.Since(began) > 3700*time.Millisecond {
-		t.Errorf("ended with %v after %s", err, time.Since(began))
+		t.Errorf("the program ended with %v after %s, want exit code 0 within 3.7s", err, time.Since(began))
 	}
 }
 
-// startLogged starts a process and returns what it logs, line by line. At the end of the test it is killed,
-// where it has not ended.
+// startLogged starts a process and returns a channel of the lines that it logs. The process is killed at the end
+// of the test if it still runs.
 func startLogged(t *testing.T, cmd *exec.Cmd) <-chan string {
 	t.Helper()
 	log, err := cmd.StderrPipe()
@@ -73,7 +74,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it has ended, unless the test failed
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // the process has already ended unless the test failed
 	lines := make(chan string, 100)
 	go func() {
 		for scanner := bufio.NewScanner(log); scanner.Scan(); {
--- a/cmd/ravenhitch/orchestrator_status.go
+++ b/cmd/ravenhitch/orchestrator_status.go
@@ -1,16 +1,16 @@
 package main
 
-// This file names how an orchestrator of a rehearsal is, and is seen by the others.
+// This file defines the statuses of an orchestrator in a rehearsal: whether it runs, and how the others see it.
 
 import (
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// orchestratorStatus is how an orchestrator is and is seen, and how that is shown.
+// orchestratorStatus is the status of one orchestrator, with its texts and its colour for display.
 type orchestratorStatus struct {
-	label  string // in the progress table
-	legend string // in the timeline
-	colour string // in the timeline
+	label  string // text in the progress table
+	legend string // text in the legend of the timeline
+	colour string // fill colour in the timeline
 }
 
 var (
@@ -21,19 +21,19 @@
 	statusDown      = orchestratorStatus{"down", "stopped, known to all", "#b8bec7"}
 )
 
-// legendOrder is the order of the legend of the timeline.
+// legendOrder lists the statuses in the order of the timeline's legend.
 var legendOrder = []orchestratorStatus{statusUp, statusSuspected, statusSeenDead, statusUnnoticed, statusDown}
 
-// statusOf is how an orchestrator was at a moment.
-func statusOf(seen fleet.OrchestratorState) orchestratorStatus {
+// statusOf returns the status of an orchestrator in one sample.
+func statusOf(state fleet.OrchestratorState) orchestratorStatus {
 	switch {
-	case !seen.Up && seen.Alive+seen.Suspected > 0:
+	case !state.Up && state.Alive+state.Suspected > 0:
 		return statusUnnoticed
-	case !seen.Up:
+	case !state.Up:
 		return statusDown
-	case seen.Dead > 0:
+	case state.Dead > 0:
 		return statusSeenDead
-	case seen.Suspected > 0:
+	case state.Suspected > 0:
 		return statusSuspected
 	}
 	return statusUp
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -1,7 +1,7 @@
 package main
 
-// This file joins the server with the other orchestrators that it knows. It must never open a socket
-// where the operators' file names no address for it.
+// This file connects the server with the other orchestrators of its cluster. The server calls startPeers only
+// if the operators' file names an address to listen on; without one, no socket is opened.
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"ravenhitch/internal/peer"
 )
 
-// startPeers opens the sockets between orchestrators and joins the membership table.
+// startPeers opens the sockets for the other orchestrators and joins the membership table.
 func (s *server) startPeers(cfg config.Config, peers config.Peers) error {
 	incarnation, fault, err := peer.NextIncarnation(peers.Directory)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// statusReport is the answer to an operator who requests the membership table.
+// statusReport returns the reply to the admin call PEERS: the membership table, or an error.
 func (s *server) statusReport() []byte {
 	if s.peers == nil {
 		return admin.ErrorReply("no peers: [peers] names no place in the operators' file")
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the sub-command that prints the membership table of a running orchestrator. It only
-// reads, by one admin call.
+// This file owns the sub-command that prints the membership table of a running orchestrator. It makes one admin
+// call and changes nothing.
 
 import (
 	"encoding/json"
@@ -17,9 +17,9 @@
 )
 
 const (
-	// adminTimeout bounds an admin call, from the connect to the end of the answer.
+	// adminTimeout is the timeout of connecting, and again of sending the call and reading the whole answer.
 	adminTimeout = 2 * time.Second
-	// maxAdminAnswer is how many bytes of an answer are read.
+	// maxAdminAnswer is the maximum number of bytes that are read of an answer.
 	maxAdminAnswer = 8 << 20
 )
 
@@ -28,7 +28,7 @@
 	JSON      bool   `help:"Print what it answers as it is."`
 }
 
-// Run prints the membership table.
+// Run requests the membership table and prints it to out.
 func (c *peersCommand) Run(out io.Writer) error {
 	text, err := adminRequest(c.AdminAddr, "PEERS")
 	if err != nil {
@@ -46,13 +46,13 @@
 	return err
 }
 
-// adminRequest makes one admin call and returns the answer.
+// adminRequest makes one admin call and returns the text of the answer, without the line "." that ends it.
 func adminRequest(addr, call string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // all of the answer is read by then
+	defer func() { _ = conn.Close() }() // the answer has been read by then
 	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return "", err
 	}
@@ -73,13 +73,13 @@
 	return text, nil
 }
 
-// formatStatusReport lays the membership table out for a reader.
+// formatStatusReport formats the membership table as text with aligned columns.
 func formatStatusReport(report peer.StatusReport) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "cluster %s, as %s sees it; view %d of %d members, %s; doubt of itself %d of 8\n\n",
 		report.Cluster, report.Name, report.View.Number, len(report.View.Names), report.View.Digest, report.HealthScore)
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
-	row := func(format string, args ...any) { _, _ = fmt.Fprintf(table, format, args...) } // a Builder takes all
+	row := func(format string, args ...any) { _, _ = fmt.Fprintf(table, format, args...) } // a Builder never fails
 	row("MEMBER\tHALL\tSTATE\tINCARNATION\tLINK\tRTT\tSILENT\tADDRESS\tEVIDENCE\n")
 	for _, m := range report.Members {
 		state := m.State
@@ -89,7 +89,7 @@
 		row("%s\t%s\t%s\t%d\t%s\t%d ms\t%d ms\t%s\t%s\n",
 			m.Name, m.Zone, state, m.Incarnation, m.Path, m.RTTMs, m.SinceAliveMs, m.Address, m.Evidence)
 	}
-	_ = table.Flush() // a Builder takes all
+	_ = table.Flush() // a Builder never fails
 	traffic := report.Traffic
 	fmt.Fprintf(&text, "\n%d datagrams sent (%d bytes), %d received (%d), %d lost, %d refused, %d knocks\n",
 		traffic.Sent, traffic.SentBytes, traffic.Received, traffic.ReceivedBytes, traffic.Lost, traffic.Refused,
--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -1,7 +1,7 @@
 package main
 
-// This file shows the progress of a rehearsal: a table that is redrawn in place on a terminal, else a
-// line at a time.
+// This file shows the progress of a rehearsal: on a terminal as a table that is redrawn in place, otherwise as
+// one line per update.
 
 import (
 	"fmt"
@@ -12,63 +12,64 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// Control sequences of a terminal.
+// Terminal control sequences.
 const (
 	cursorUp  = "\x1b[%dA"
 	clearLine = "\x1b[K"
 )
 
-// progressTable prints how the orchestrators of a rehearsal are.
+// progressTable prints the state of the orchestrators of a rehearsal.
 type progressTable struct {
 	out        io.Writer
 	isTerminal bool
-	drawn      int // lines of the table that stands on the terminal
+	drawnLines int // number of lines of the table that was last drawn on the terminal
 }
 
 func newProgressTable(out io.Writer) *progressTable {
 	return &progressTable{out: out, isTerminal: isTerminal(out)}
 }
 
-// isTerminal reports whether out is the standard output, and that a terminal.
+// isTerminal reports whether out is the standard output and the standard output is a terminal.
 func isTerminal(out io.Writer) bool {
 	file, _ := out.(*os.File)
 	info, err := os.Stdout.Stat()
 	return file == os.Stdout && err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// show prints the latest moment and the last second that is complete.
-func (p *progressTable) show(moment fleet.Snapshot, seconds []fleet.SecondCounts) {
+// show prints the latest sample and the counts of the last complete second.
+func (p *progressTable) show(snapshot fleet.Snapshot, seconds []fleet.SecondCounts) {
 	var last fleet.SecondCounts
 	if n := len(seconds); n > 1 {
 		last = seconds[n-2]
 	}
-	text := formatProgressLine(moment, last)
+	text := formatProgressLine(snapshot, last)
 	if p.isTerminal {
-		text = p.formatTable(moment, last)
+		text = p.formatTable(snapshot, last)
 	}
-	_, _ = io.WriteString(p.out, text) // the rehearsal goes on also where nobody can read this
+	_, _ = io.WriteString(p.out, text) // the rehearsal continues even if its output cannot be written
 }
 
-func formatProgressLine(moment fleet.Snapshot, last fleet.SecondCounts) string {
+func formatProgressLine(snapshot fleet.Snapshot, last fleet.SecondCounts) string {
 	var labels []string
-	for _, seen := range moment.Fleet {
-		labels = append(labels, seen.Name+" "+statusOf(seen).label)
+	for _, state := range snapshot.Fleet {
+		labels = append(labels, state.Name+" "+statusOf(state).label)
 	}
-	return fmt.Sprintf("%5.1f s  %4d started, %d refused  %s\n", moment.At, last.Started, last.Rejected, strings.Join(labels, ", "))
+	return fmt.Sprintf("%5.1f s  %4d started, %d refused  %s\n",
+		snapshot.At, last.Started, last.Rejected, strings.Join(labels, ", "))
 }
 
-// formatTable draws the table over the one that was drawn before.
-func (p *progressTable) formatTable(moment fleet.Snapshot, last fleet.SecondCounts) string {
+// formatTable returns the text that draws the table over the previous one on the terminal.
+func (p *progressTable) formatTable(snapshot fleet.Snapshot, last fleet.SecondCounts) string {
 	var text strings.Builder
-	if p.drawn > 0 {
-		fmt.Fprintf(&text, cursorUp, p.drawn)
+	if p.drawnLines > 0 {
+		fmt.Fprintf(&text, cursorUp, p.drawnLines)
 	}
 	fmt.Fprintf(&text, "%5.1f s  %4d started in the last second, %d refused, %d failed, %d lost%s\n",
-		moment.At, last.Started, last.Rejected, last.Failed, last.Lost, clearLine)
-	for _, seen := range moment.Fleet {
+		snapshot.At, last.Started, last.Rejected, last.Failed, last.Lost, clearLine)
+	for _, state := range snapshot.Fleet {
 		fmt.Fprintf(&text, "  %-4s %-8s %-8s seen alive by %d, suspected by %d, dead by %d; sees %d%s\n",
-			seen.Name, seen.Zone, statusOf(seen).label, seen.Alive, seen.Suspected, seen.Dead, seen.Sees, clearLine)
+			state.Name, state.Zone, statusOf(state).label, state.Alive, state.Suspected, state.Dead, state.Sees, clearLine)
 	}
-	p.drawn = len(moment.Fleet) + 1
+	p.drawnLines = len(snapshot.Fleet) + 1
 	return text.String()
 }
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the rig of tests in which connections to workers fail: a server whose workers are
-// reached by proxies, one client, and a log of the attempts at all workers.
+// This file provides the test environment in which connections to workers fail: a server that reaches its
+// workers through proxies, one client, and a log of the attempts at all workers.
 
 import (
 	"fmt"
@@ -12,17 +12,17 @@
 	"ravenhitch/internal/testbed"
 )
 
-// proxiedServer is a server whose workers are reached by proxies, with a client of its own.
+// proxiedServer is a server that reaches its workers through proxies, with one connected client.
 type proxiedServer struct {
 	*testServer
 	*testbed.Client
-	proxies        map[string]*testbed.Proxy
+	proxies        map[string]*testbed.Proxy // by worker
 	attempts       *testbed.AttemptLog
-	lastID         int
+	lastID         int               // number of the last request ID
 	firstResponses map[string]string // verb of the first response, by request ID
 }
 
-// newProxiedServer starts a server under these settings.
+// newProxiedServer starts a server with the given settings, log and workers, and connects its client.
 func newProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := &proxiedServer{proxies: map[string]*testbed.Proxy{}, attempts: testbed.NewAttemptLog(), firstResponses: map[string]string{}}
@@ -34,18 +34,18 @@
 	return s
 }
 
-// newWarmProxiedServer starts a server that knows its workers to answer quickly, so that later attempts
-// are abandoned early and many are in flight at a time.
+// newWarmProxiedServer starts a server that has already measured quick answers from its workers. It therefore
+// abandons later attempts early and has many in flight at a time.
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
-	s.waitResponses(t, s.submit("ok", 1, 5000)) // from then on the client may have many requests open
+	s.waitResponses(t, s.submit("ok", 1, 5000)) // the first task on a connection lifts its low limit of open requests
 	s.expectAllStarted(t, s.submit("ok", 16*len(workers), 5000))
 	return s
 }
 
-// submit submits so many requests of small tasks at once and returns their request IDs. The kind of a
-// task is what a worker does with it.
+// submit submits count requests of small tasks at once and returns their request IDs. kind names the script by
+// which a worker answers the offers; see testbed.Worker.
 func (s *proxiedServer) submit(kind string, count, timeoutMs int) (ids []string) {
 	for range count {
 		s.lastID++
@@ -58,8 +58,8 @@
 	return ids
 }
 
-// noteOnceOffered lets every worker send something once half of the offers came, and waits until
-// the server has read that.
+// noteOnceOffered waits until there are at least half as many open attempts as requests. It then lets every
+// worker send a notice and waits until the server has read the notices.
 func (s *proxiedServer) noteOnceOffered(t *testing.T, ids []string) {
 	t.Helper()
 	s.eventually(t, "half of the offers", func() bool { return 2*len(s.attempts.Open()) >= len(ids) })
@@ -69,11 +69,11 @@
 		worker.SendNotice()
 		s.eventually(t, "the notice of "+worker.Name, func() bool { return proxy.Returned() > before })
 	}
-	s.onLoop(t, func() {}) // a turn, and another: what was handed on is read
+	s.onLoop(t, func() {}) // after two turns, the server has read everything that was forwarded
 	s.onLoop(t, func() {})
 }
 
-// waitResponses waits for the responses to all requests, and returns how many were started.
+// waitResponses waits for the first response to each request and returns the number of requests that were started.
 func (s *proxiedServer) waitResponses(t *testing.T, ids []string) (started int) {
 	t.Helper()
 	for _, id := range ids {
@@ -87,15 +87,15 @@
 	return started
 }
 
-// expectAllStarted waits for the responses, all of which must be a start.
+// expectAllStarted waits for the first response to each request and fails the test unless all were started.
 func (s *proxiedServer) expectAllStarted(t *testing.T, ids []string) {
 	t.Helper()
 	if started := s.waitResponses(t, ids); started != len(ids) {
-		t.Errorf("%d of %d were started", started, len(ids))
+		t.Errorf("%d of %d requests were started, want all", started, len(ids))
 	}
 }
 
-// nextLine takes the next line to the client. Until it comes the workers keep sending something.
+// nextLine returns the next line that the client receives. While it waits, every worker sends a notice each 20 ms.
 func (s *proxiedServer) nextLine(t *testing.T) testbed.Line {
 	t.Helper()
 	for limit := time.After(testbed.Timeout); ; {
@@ -110,12 +110,12 @@
 				worker.SendNotice()
 			}
 		case <-limit:
-			t.Fatal("a client waits in vain")
+			t.Fatalf("the client received no line within %s", testbed.Timeout)
 		}
 	}
 }
 
-// waitCompletion takes lines until the completion of a task.
+// waitCompletion reads lines until the completion of the task with this request ID.
 func (s *proxiedServer) waitCompletion(t *testing.T, id string) {
 	t.Helper()
 	for line := s.nextLine(t); line.Tag != id || line.Verb != "FINISH"; line = s.nextLine(t) {
@@ -128,17 +128,17 @@
 	s.eventually(t, "no open attempt", func() bool { return len(s.attempts.Open()) == 0 })
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, and fails the test if it does not within testbed.Timeout.
 func (s *proxiedServer) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%s: never came", what)
+			t.Fatalf("%s: condition not met within %s", what, testbed.Timeout)
 		}
 	}
 }
 
-// waitRunningAt submits tasks until a further one runs on a worker.
+// waitRunningAt submits tasks until one more of them runs on the worker.
 func (s *proxiedServer) waitRunningAt(t *testing.T, worker string) {
 	t.Helper()
 	before := len(s.attempts.Running(worker))
@@ -148,10 +148,11 @@
 	})
 }
 
-// expectNoDuplicates fails where a worker got an offer while another attempt of its request was in flight.
+// expectNoDuplicates fails the test if a worker received an offer while another attempt of its request was in
+// flight.
 func (s *proxiedServer) expectNoDuplicates(t *testing.T) {
 	t.Helper()
 	if duplicates := s.attempts.Duplicates(); len(duplicates) > 0 {
-		t.Errorf("%d duplicate attempts, as %s", len(duplicates), duplicates[0])
+		t.Errorf("%d duplicate attempts, want none; the first: %s", len(duplicates), duplicates[0])
 	}
 }
--- a/cmd/ravenhitch/recording.go
+++ b/cmd/ravenhitch/recording.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns what a rehearsal leaves: a recording as JSON and its timeline as SVG, and the summary
-// that is printed at the end.
+// This file owns the results of a rehearsal: the recording as JSON, its timeline as SVG, and the summary that
+// is printed at the end.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// The files that a rehearsal leaves.
+// The files that a rehearsal writes, and the modes of files and directories.
 const (
 	recordingFile = "record.json"
 	timelineFile  = "picture.svg"
@@ -23,7 +23,7 @@
 	recordingDirMode, recordingFileMode = 0o755, 0o644
 )
 
-// recording is what a rehearsal leaves; its JSON keys are a stored format.
+// recording is the stored result of a rehearsal. Its JSON keys are a stored format and must not change.
 type recording struct {
 	Programs []string             `json:"program"`
 	Schedule string               `json:"schedule"`
@@ -36,9 +36,9 @@
 	Moments  []fleet.Snapshot     `json:"moments"`
 }
 
-// leaveRecording judges the rehearsal, writes the recording and prints the summary. Its error says
-// which rules were broken.
-func (c *rehearseCommand) leaveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
+// saveRecording judges the rehearsal, writes the recording and prints the summary. If rules were broken, its
+// error gives their number and the first of them.
+func (c *rehearseCommand) saveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
 	verdict := rig.Judge()
 	failures := slices.Concat(host.failures, verdict.Violations)
 	if unanswered := len(placed.Unanswered()); unanswered > 0 {
@@ -60,7 +60,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// write writes the recording and its timeline into a directory.
+// write writes the recording and its timeline into a directory, which it creates if necessary.
 func (r *recording) write(dir string) error {
 	if err := os.MkdirAll(dir, recordingDirMode); err != nil {
 		return err
--- a/cmd/ravenhitch/rehearsal_host.go
+++ b/cmd/ravenhitch/rehearsal_host.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns what the testbed gets in place of a test: it prints what is logged, notes failures and
-// runs the cleanups. It must never end the process.
+// This file implements the host that the testbed uses in a rehearsal in place of a test: it prints log lines,
+// records failures and runs cleanups. It never ends the process.
 
 import (
 	"errors"
@@ -11,11 +11,12 @@
 	"sync"
 )
 
-// errEndedEarly is wrapped by the error of a rehearsal that was not played to its end.
+// errEndedEarly is wrapped by the error of a rehearsal that ended before its schedule did.
 var errEndedEarly = errors.New("the rehearsal ended early")
 
-// rehearsalHost is the testbed.Host of a rehearsal. It may be used from many goroutines, but for Fatal
-// and Fatalf, which panic as a test's Fatal ends its goroutine: they are for the one that called Run.
+// rehearsalHost is the testbed.Host of a rehearsal. Its methods may be called from any goroutine, except Fatal
+// and Fatalf: these panic, as the Fatal of a test ends the goroutine of the test, so only the goroutine that
+// runs rehearseCommand.Run may call them.
 type rehearsalHost struct {
 	out      io.Writer
 	mu       sync.Mutex
@@ -23,15 +24,15 @@
 	failures []string
 }
 
-// printf prints progress. A rehearsal is played to its end also where nobody can read that.
+// printf prints progress. It ignores write errors: a rehearsal continues even if its output cannot be written.
 func (h *rehearsalHost) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(h.out, format, args...)
 }
 
-// Helper marks a test helper in a test, and nothing here.
+// Helper implements testbed.Host and does nothing.
 func (h *rehearsalHost) Helper() {}
 
-// Cleanup has f called at the end of the rehearsal.
+// Cleanup registers f to be called at the end of the rehearsal.
 func (h *rehearsalHost) Cleanup(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,14 +42,14 @@
 // Logf prints a line.
 func (h *rehearsalHost) Logf(format string, args ...any) { h.printf(format+"\n", args...) }
 
-// Errorf notes a failure, and the rehearsal goes on.
+// Errorf records a failure. The rehearsal continues.
 func (h *rehearsalHost) Errorf(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures = append(h.failures, fmt.Sprintf(format, args...))
 }
 
-// Fatal notes a failure and ends the rehearsal: it panics with errEndedEarly.
+// Fatal records a failure and ends the rehearsal by a panic with errEndedEarly.
 func (h *rehearsalHost) Fatal(args ...any) {
 	h.Errorf("%s", fmt.Sprint(args...))
 	panic(errEndedEarly)
@@ -57,7 +58,7 @@
 // Fatalf is Fatal with a format.
 func (h *rehearsalHost) Fatalf(format string, args ...any) { h.Fatal(fmt.Sprintf(format, args...)) }
 
-// recoverFatal returns the error for a panic by Fatal, and passes any other panic on.
+// recoverFatal returns the error for a recovered panic of Fatal. It panics again with any other reason.
 func (h *rehearsalHost) recoverFatal(reason any) error {
 	if err, ok := reason.(error); !ok || !errors.Is(err, errEndedEarly) {
 		panic(reason)
@@ -65,7 +66,7 @@
 	return fmt.Errorf("%w: %s", errEndedEarly, strings.Join(h.failures, "; "))
 }
 
-// runCleanups ends what was started, last first.
+// runCleanups calls the registered cleanups, the last registered first.
 func (h *rehearsalHost) runCleanups() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -1,8 +1,7 @@
 package main
 
-// This file owns the rehearse sub-command: it starts a fleet of orchestrators as processes, plays a
-// schedule of faults, and leaves a recording. It must never serve itself, ends by itself, and leaves
-// nothing running.
+// This file owns the rehearse sub-command. It starts a fleet of orchestrators as processes, plays a schedule of
+// faults and writes a recording. It does not serve, ends by itself, and leaves no process running.
 
 import (
 	"fmt"
@@ -17,8 +16,8 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// defaultSchedule is played where no other is given: a zone is cut off, an orchestrator is killed
-// meanwhile, and both come back.
+// defaultSchedule is played if no other schedule and no seed is given. It cuts off a zone, kills an orchestrator
+// in the meantime, ends both faults, and finally pauses an orchestrator.
 const defaultSchedule = "2s cut hall-b; 5s kill n3; 9s mend hall-b; 11s start n3; 14s pause n2 2s; 17s heal"
 
 type rehearseCommand struct {
@@ -32,7 +31,7 @@
 	OutputDir     string   `name:"out" default:"rehearsal" placeholder:"FOLDER" help:"Where the record and the picture go."`
 }
 
-// Run plays the rehearsal.
+// Run plays the rehearsal and prints its progress to out.
 func (c *rehearseCommand) Run(out io.Writer) (err error) {
 	if err := c.checkBounds(); err != nil {
 		return err
@@ -48,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // only settings and kept files of ended processes
+	defer func() { _ = os.RemoveAll(dir) }() // holds only settings and stored files of processes that have ended
 	host := &rehearsalHost{out: out}
 	defer host.runCleanups()
 	interrupts := make(chan os.Signal, 1)
@@ -62,7 +61,7 @@
 	return c.play(host, dir, steps, interrupts)
 }
 
-// checkBounds checks the flags that count something.
+// checkBounds returns an error if the value of a numeric flag is out of bounds.
 func (c *rehearseCommand) checkBounds() error {
 	for _, flag := range []struct {
 		name            string
@@ -79,7 +78,7 @@
 	return nil
 }
 
-// setDefaultProgram starts this program where no other is named.
+// setDefaultProgram selects this program as the one to start if the flags name none.
 func (c *rehearseCommand) setDefaultProgram() error {
 	if len(c.Programs) > 0 {
 		return nil
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// parseSchedule returns the faults to play; none where they are to be drawn from a seed.
+// parseSchedule returns the steps of the schedule, or none if they are to be drawn from a seed.
 func (c *rehearseCommand) parseSchedule() ([]testbed.Step, error) {
 	text := c.Schedule
 	if c.ScheduleFile != "" {
@@ -107,7 +106,7 @@
 	return testbed.ParseSchedule(text)
 }
 
-// play starts the fleet, plays the schedule and leaves the recording.
+// play starts the fleet, plays the schedule and writes the recording.
 func (c *rehearseCommand) play(host *rehearsalHost, dir string, steps []testbed.Step, interrupts <-chan os.Signal) error {
 	host.printf("starting %d orchestrators and %d nodes\n", c.Orchestrators, c.Workers)
 	rig := fleet.New(host, fleet.Options{Programs: c.Programs, Dir: dir, Orchestrators: c.Orchestrators, Workers: c.Workers,
@@ -125,11 +124,11 @@
 	if err := showUntilPlayed(host, rig, placed, steps, length, interrupts); err != nil {
 		return err
 	}
-	return c.leaveRecording(host, rig, placed, steps)
+	return c.saveRecording(host, rig, placed, steps)
 }
 
-// showUntilPlayed plays the schedule and shows the progress every second. An interrupt ends it early:
-// then the goroutine that plays is left to the end of the process, which follows.
+// showUntilPlayed plays the schedule and shows the progress every second. If an interrupt ends it early, the
+// goroutine that plays the schedule keeps running until the process ends, which follows.
 func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step, length time.Duration,
 	interrupts <-chan os.Signal) error {
 	played := make(chan struct{})
@@ -144,8 +143,8 @@
 	for {
 		select {
 		case <-ticker.C:
-			if moment, ok := rig.Last(); ok {
-				progress.show(moment, placed.Seconds())
+			if snapshot, ok := rig.Last(); ok {
+				progress.show(snapshot, placed.Seconds())
 			}
 		case <-interrupts:
 			return fmt.Errorf("%w: told to end", errEndedEarly)
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -1,7 +1,7 @@
 package main
 
-// This file joins the parts of one orchestrator and runs its event loop. It must never decide on a
-// task: package dispatch does.
+// This file assembles the parts of one orchestrator and runs its event loop. Decisions on tasks belong to
+// package dispatch.
 
 import (
 	"fmt"
@@ -22,27 +22,29 @@
 	"ravenhitch/internal/workerpool"
 )
 
-// The event loop counts time in microseconds.
+// Units of the event loop's clock, which counts microseconds.
 const (
 	millisecond = 1_000
 	second      = 1_000 * millisecond
 )
 
 const (
-	// reservedDescriptors are not sockets of the event loop: standard streams, epoll, eventfd, and what
-	// the runtime opens for itself.
+	// reservedDescriptors is the number of descriptors that are not available as sockets of the event loop:
+	// those of the standard streams, epoll, eventfd, and files that the Go runtime opens.
 	reservedDescriptors = 32
-	// defaultSockets is the limit of sockets where the configuration names none.
+	// defaultSockets is the limit of sockets if the configuration sets none.
 	defaultSockets = 1024
-	// minSocketBudget is the least number of sockets that the event loop can serve with.
+	// minSocketBudget is the minimum number of sockets with which the event loop can serve.
 	minSocketBudget = 16
-	// minBufferedBytes is what any connection may leave unread: some messages of full size.
+	// minBufferedBytes is the number of unread bytes that every connection may at least leave in the send
+	// buffer: a few messages of the maximum size.
 	minBufferedBytes = 64 << 10
-	// bufferedMemoryDivisor gives the share of the memory that all connections together may leave unread.
+	// bufferedMemoryDivisor is the divisor that yields the part of the memory which all connections together
+	// may occupy with unread bytes.
 	bufferedMemoryDivisor = 4
 )
 
-// server is one orchestrator, its parts joined. Its fields belong to the event loop, unless said
+// server is one orchestrator with all its parts. Its fields belong to the event loop unless their comments say
 // otherwise.
 type server struct {
 	log        *slog.Logger
@@ -50,31 +52,31 @@
 	dispatcher *dispatch.Dispatcher
 	pool       *workerpool.Pool
 	follower   *discovery.Follower
-	peers      *peer.Peers // nil where no other orchestrators are configured
-	assignment *assignment // of the workers to orchestrators, nil where this one uses all
+	peers      *peer.Peers // nil if no other orchestrators are configured
+	assignment *assignment // division of the workers among orchestrators, nil if this one uses all workers
 	exporters  []*metrics.Exporter
 
 	clientFront *clientfront.Front
-	clientAddr  string // where clientFront listens
-	adminAddr   string // where admin calls are taken, "" where they are not
+	clientAddr  string // address that clientFront listens on
+	adminAddr   string // address for admin calls, "" if they are off
 
-	grpcFront     *grpcfront.Front // nil where it is off
-	grpcAddr      string           // where grpcFront listens, "" where it is off
-	grpcServing   sync.WaitGroup   // the goroutine that accepts gRPC connections
-	tokenKeysPath string           // the file of the retry token keys, "" where there is none
+	grpcFront     *grpcfront.Front // nil if gRPC is off
+	grpcAddr      string           // address that grpcFront listens on, "" if gRPC is off
+	grpcServing   sync.WaitGroup   // tracks the goroutine that accepts gRPC connections
+	tokenKeysPath string           // path of the file of the retry token keys, "" if there is none
 
-	drainTimeout              int64 // how long after Stop open requests are answered, in microseconds
-	drainTimeoutWithSuccessor int64 // the same where a successor serves
+	drainTimeout              int64 // maximum time after Stop for open requests, in microseconds
+	drainTimeoutWithSuccessor int64 // drainTimeout for the case that a successor serves
 	shuttingDown              bool
-	inheritedListener         bool // the platform owns the listening socket of the clients
-	hasSuccessor              bool // a process that started later serves on that socket
-	// successorChecks requests a look at the files for a successor; nil where admin calls are off.
+	inheritedListener         bool // true if the platform owns the listening socket for clients
+	hasSuccessor              bool // true if a process that started later serves on that socket
+	// successorChecks requests that the file worker checks for a successor; nil if admin calls are off.
 	successorChecks chan struct{}
-	// stopped is closed when Run ends, or start fails. Any goroutine may wait for it.
+	// stopped is closed when Run returns or start fails. Any goroutine may wait for it.
 	stopped chan struct{}
 }
 
-// start joins the parts and begins to listen; Run serves.
+// start assembles the server and starts to listen. The caller then calls Run, which serves.
 func start(cfg config.Config, operators config.OperatorSettings, log *slog.Logger) (*server, error) {
 	budget, err := socketBudget(cfg, operators)
 	if err != nil {
@@ -97,7 +99,7 @@
 	return s, nil
 }
 
-// socketBudget is how many sockets the event loop may open.
+// socketBudget returns the number of sockets that the event loop may open.
 func socketBudget(cfg config.Config, operators config.OperatorSettings) (int, error) {
 	sockets := int(cfg.Sockets)
 	if sockets <= 0 {
@@ -113,7 +115,7 @@
 	return budget, nil
 }
 
-// startParts starts the parts in the order in which they need each other.
+// startParts starts the parts in the order of their dependencies.
 func (s *server) startParts(cfg config.Config, operators config.OperatorSettings, budget int) error {
 	if cfg.MemoryMB > 0 {
 		perConnection := int(cfg.MemoryMB<<bytesPerMBShift) / bufferedMemoryDivisor / budget
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// startDispatcher joins the dispatcher with the connections to workers and with backpressure.
+// startDispatcher creates the pool of connections to workers, the dispatcher and its backpressure advisor.
 func (s *server) startDispatcher(cfg config.Config, operators config.OperatorSettings) (err error) {
 	s.pool = workerpool.New(s.loop, cfg.DialTimeoutUs, cfg.Settings.Pings, s.log)
 	s.pool.SetTraceSuffixes(operators.Trace)
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// createClientFront creates the front of the clients, which shares the descriptors with the pool.
+// createClientFront creates the front for clients on JSON lines, which shares a descriptor budget with the pool.
 func (s *server) createClientFront(cfg config.Config, operators config.OperatorSettings, budget int) {
 	s.clientFront = clientfront.NewFront(s.loop, s.dispatcher, budget*3/4, cfg.ConnIdleUs, s.log)
 	s.clientFront.SetTraceSuffixes(operators.Trace)
@@ -161,7 +163,7 @@
 	s.pool.ShareDescriptors(shared)
 }
 
-// startDiscovery takes the initial list of workers and follows discovery from there.
+// startDiscovery applies the initial list of workers and polls discovery for the events after it.
 func (s *server) startDiscovery(cfg config.Config, operators config.OperatorSettings) {
 	s.follower = discovery.NewFollower(s.loop, s.dispatcher, s.pool, cfg.DiscoveryAddr, cfg.DialTimeoutUs, s.log)
 	if operators.Peers.Partition {
@@ -171,7 +173,7 @@
 	s.follower.Start()
 }
 
-// listen begins to listen: to operators, to clients, to other orchestrators, and to gRPC clients.
+// listen starts the listeners for operators, clients, other orchestrators and gRPC clients, as configured.
 func (s *server) listen(cfg config.Config, operators config.OperatorSettings) (err error) {
 	if cfg.AdminAddr != "" {
 		if err = s.listenAdmin(cfg.AdminAddr, os.TempDir()); err != nil {
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// Run serves until Stop, and gives back what start opened.
+// Run serves until Stop and then closes everything that start opened.
 func (s *server) Run() error {
 	defer s.loop.Close()
 	defer close(s.stopped)
@@ -204,8 +206,8 @@
 	return err
 }
 
-// turnHandler returns what the event loop calls once a turn, after what came in is read: the
-// dispatcher decides, and the timer follows its next deadline.
+// turnHandler returns the function that the event loop calls once in each turn, after all input is read. It lets
+// the dispatcher decide and sets a timer to the dispatcher's next deadline.
 func (s *server) turnHandler() func(now int64) {
 	var timer *eventloop.Timer
 	var deadline int64
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -1,35 +1,36 @@
 package main
 
-// This file owns the shutdown of the server. It must never stop while a request that was taken can
-// still be answered in time.
+// This file owns the shutdown of the server. The server never stops while an accepted request can still be
+// answered in time.
 
 import (
 	"ravenhitch/placement"
 )
 
-// The platform kills the process no sooner after SIGTERM than its longest deadline and killSlackUs.
-// Times are in microseconds.
+// Times of a shutdown, in microseconds. After SIGTERM, the platform waits at least for the longest deadline of
+// a request class plus killSlackUs before it kills the process.
 const (
-	// lateRequestsUs is how long after SIGTERM requests keep coming.
+	// lateRequestsUs is the time after SIGTERM during which new requests still arrive.
 	lateRequestsUs = 800 * millisecond
-	// maxDeadlineUs is what the platform counts a longer deadline as.
+	// maxDeadlineUs is the upper limit of the deadline in that wait: the platform counts a longer one as this.
 	maxDeadlineUs = 3 * second
-	// maxDeadlineWithSuccessorUs is the same where the platform owns the listening socket of the
-	// clients, so that another process may serve beside this one.
+	// maxDeadlineWithSuccessorUs is this upper limit if the platform owns the listening socket for clients and
+	// a successor serves on it beside this process.
 	maxDeadlineWithSuccessorUs = 5 * second
 	killSlackUs                = 700 * millisecond
-	// killMarginUs is how long before the kill open requests are rejected.
+	// killMarginUs is the time before the kill at which open requests are rejected.
 	killMarginUs = 300 * millisecond
-	// flushTimeoutUs is how long of that the last responses may take to be read.
+	// flushTimeoutUs is the part of killMarginUs in which clients may still read their last responses.
 	flushTimeoutUs = 200 * millisecond
-	// maxSuccessorCheckUs is how long a shutdown waits for a look at the files, which may be on a slow disk.
+	// maxSuccessorCheckUs is the maximum time that a shutdown waits for the check of the handover files for a
+	// successor: the files may be on a slow disk.
 	maxSuccessorCheckUs = 100 * millisecond
-	// drainIntervalUs is how often a shutdown looks whether it can stop.
+	// drainIntervalUs is the interval at which a shutdown checks whether it can stop.
 	drainIntervalUs = 10 * millisecond
 )
 
-// drainTimeout is how long after SIGTERM requests may stay open, where the platform counts deadlines
-// up to maxDeadline.
+// drainTimeout returns how long after SIGTERM requests may stay open, in microseconds, if the platform counts
+// deadlines up to maxDeadline.
 func drainTimeout(settings placement.Settings, maxDeadline int64) int64 {
 	longest := int64(0)
 	for _, class := range settings.Classes {
@@ -38,8 +39,8 @@
 	return max(lateRequestsUs, min(longest, maxDeadline)+killSlackUs-killMarginUs)
 }
 
-// Stop makes Run end once what was taken is answered. It may be called from any goroutine, and more
-// than once.
+// Stop begins the shutdown: Run returns once the accepted requests are answered or the drain timeout has passed.
+// Stop may be called from any goroutine and more than once.
 func (s *server) Stop() {
 	s.loop.Post(func() {
 		if s.inheritedListener && !s.hasSuccessor && s.requestSuccessorCheck() {
@@ -50,9 +51,10 @@
 	})
 }
 
-// requestSuccessorCheck has the files read for a successor that started since they were last read:
-// without it, whoever connected meanwhile would be taken here and sent away again. It reports whether
-// the check was requested; the shutdown begins with its result.
+// requestSuccessorCheck asks the file worker to check for a successor that started after the handover files were
+// last read. Without the check, a client that connects in the meantime would be accepted here and sent away
+// again. requestSuccessorCheck reports whether the request was queued; the result of the check begins the
+// shutdown.
 func (s *server) requestSuccessorCheck() bool {
 	select {
 	case s.successorChecks <- struct{}{}:
@@ -62,7 +64,7 @@
 	}
 }
 
-// beginShutdown begins the shutdown, once.
+// beginShutdown begins the shutdown. Further calls do nothing.
 func (s *server) beginShutdown() {
 	if s.shuttingDown {
 		return
@@ -82,9 +84,9 @@
 	s.drain(s.loop.Now())
 }
 
-// drain keeps serving while requests still come, then stops once nothing is open and no connection
-// waits to be accepted, and rejects what is left before the kill comes. A connection that waits in the
-// system's queue may carry a request, which a stop would lose.
+// drain serves on while requests still arrive, for lateRequestsUs. It then stops as soon as no work is unfinished
+// and no connection waits in the system's queue to be accepted: such a connection may carry a request, which a
+// stop would lose. At the drain timeout, shortly before the kill, it rejects all open requests.
 func (s *server) drain(since int64) {
 	switch age := s.loop.Now() - since; {
 	case age >= s.drainTimeout:
@@ -96,11 +98,12 @@
 	}
 }
 
-// drainInherited stops a process whose listening socket the platform owns. Where a successor serves
-// on it, this process stops listening at once: new clients connect there, and what is open here is
-// answered. Without one, clients connect as before and would wait in the system's queue for the next
-// process, which starts only once this one was killed: so it serves until shortly before that, and
-// leaves to the queue only those that it could not answer any more.
+// drainInherited drains a process whose listening socket is owned by the platform. If a successor serves on that
+// socket, this process stops listening at once: new clients connect to the successor, and this process answers
+// the requests that are open here. Without a successor, clients still connect, and those that are not accepted
+// wait in the system's queue for the next process, which starts only after this one is killed. This process
+// therefore serves until shortly before the kill, and leaves to the queue only the clients that it could no
+// longer answer.
 func (s *server) drainInherited(since int64) {
 	age, timeout := s.loop.Now()-since, s.drainTimeout
 	if s.hasSuccessor {
@@ -119,14 +122,15 @@
 	}
 }
 
-// hasUnfinishedWork reports whether a stop now would lose a response or a part of one, a release, or a
-// worker's completion of a released task.
+// hasUnfinishedWork reports whether a stop now would lose something: an open request, a message that a client has
+// sent only in part, output that a client has not read, an unreported completion, or a release that its worker
+// has not confirmed by reporting the end of the task.
 func (s *server) hasUnfinishedWork() bool {
 	return s.dispatcher.OpenCount() > 0 || s.clientFront.HasUndelivered() || s.pool.HasUnconfirmedReleases()
 }
 
-// rejectAndStop rejects what is open at the drain timeout, and stops once the clients have read that,
-// or shortly before the kill.
+// rejectAndStop rejects the requests that are open at the drain timeout. It stops once the clients have read
+// the rejections, at the latest flushTimeoutUs after the drain timeout, which is shortly before the kill.
 func (s *server) rejectAndStop(since, timeout int64) {
 	s.dispatcher.RejectAll(s.loop.Now())
 	if !s.clientFront.HasUndelivered() || s.loop.Now()-since >= timeout+flushTimeoutUs {
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -1,7 +1,6 @@
 package main
 
-// This file owns what tests do with connections of clients on JSON lines, and how they give back what
-// they opened.
+// This file provides helpers for connections of clients on JSON lines, and for closing what a test has opened.
 
 import (
 	"encoding/json"
@@ -17,55 +16,55 @@
 	"ravenhitch/internal/testbed"
 )
 
-// Causes of FINISH, as the protocol numbers them.
+// Causes of FINISH by their numbers in the protocol.
 const (
-	causeDone      = 16 // the task ended as it should, or a client or an orchestrator ends it
-	causeRejected  = 34 // a retry is harmless
-	causeReleased  = 31 // a worker confirms a release
-	causeLost      = 41 // the connection or the worker is lost
-	causeFailed    = 47 // the task may have run
-	causeNeverSent = 102
+	causeDone      = 16  // the task completed, or a client or an orchestrator cancels or releases it
+	causeRejected  = 34  // the request was rejected; a retry is harmless
+	causeReleased  = 31  // a worker confirms a release
+	causeLost      = 41  // the connection or the worker was lost
+	causeFailed    = 47  // the request failed; its task may have run
+	causeNeverSent = 102 // the offer was never sent, so the task never ran
 )
 
-// cancelLine cancels an open request, or releases a running task.
+// cancelLine returns the line that cancels an open request or releases a running task.
 func cancelLine(requestID string) testbed.Line {
 	return testbed.FinishLine("FINISH", requestID, causeDone)
 }
 
-// expectCause takes the client's next line, which must be of this request and have this cause.
+// expectCause fails the test unless the client's next line is for this request and has this cause.
 func expectCause(t *testing.T, what string, client *testbed.Client, requestID string, cause int) {
 	t.Helper()
 	if line := testbed.Wait(t, what, client.Lines); line.Tag != requestID || line.Cause() != cause {
-		t.Errorf("%s: got %v", what, line)
+		t.Errorf("%s: got %v, want cause %d for request %s", what, line, cause, requestID)
 	}
 }
 
-// pingLine is a ping with this tag.
+// pingLine returns a ping with this tag.
 func pingLine(tag string) testbed.Line {
 	return testbed.Line{Verb: "ECHO", Tag: tag, Opts: map[string]string{}}
 }
 
-// pingServer waits for the answer to a ping: by then the server has read all that the client sent before.
+// pingServer sends a ping and waits for its answer. By then, the server has read all that the client sent before.
 func pingServer(t *testing.T, client *testbed.Client) {
 	t.Helper()
 	testbed.Send(client, pingLine("t"))
 	line := testbed.Wait(t, "the answer to a ping", client.Lines)
-	if line.Verb == "FINISHED" { // confirms a release that was sent before
+	if line.Verb == "FINISHED" { // the confirmation of a release that the client sent before the ping
 		line = testbed.Wait(t, "the answer to a ping", client.Lines)
 	}
 	if line.Verb != "ECHOED" {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v as the answer to a ping, want ECHOED", line)
 	}
 }
 
-// adoptedLine registers a task again that runs on a worker already.
+// adoptedLine returns the line by which a client registers a task that already runs on a worker.
 func adoptedLine(requestID, worker string) testbed.Line {
 	line := testbed.StartLine(requestID, "guide-web", "ok-"+requestID, 5000)
 	line.Opts["extras"] += ";at:" + worker
 	return line
 }
 
-// lineBytes is a line as it is written, without its line feed.
+// lineBytes returns the encoded line without its line feed.
 func lineBytes(t *testing.T, line testbed.Line) []byte {
 	t.Helper()
 	b, err := json.Marshal(line)
@@ -75,16 +74,17 @@
 	return b
 }
 
-// hasValidRetryAfter reports whether a rejection says when to come again, within the settings' longest.
+// hasValidRetryAfter reports whether a rejection has a Retry-After of at most 3000 ms, the maximum of the settings.
 func hasValidRetryAfter(line testbed.Line) bool {
 	ms, err := strconv.Atoi(line.Opts["wait"])
 	return err == nil && ms >= 0 && ms <= 3000
 }
 
-// newSlowReader connects a client that has more responses to read than the system buffers.
+// newSlowReader connects a client that does not read, and fills the system's buffers with responses to its pings
+// until the server has to keep further ones in its own buffer.
 func newSlowReader(t *testing.T, server *testServer) net.Conn {
 	t.Helper()
-	// A receive buffer of fixed size: the system would go on widening it.
+	// The fixed size of the receive buffer stops the system from enlarging it further and further.
 	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		var optionErr error
 		err := c.Control(func(fd uintptr) {
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, conn)
-	turnsBehind := 0 // turns in which something was left to write since the last ping was sent
+	turnsBehind := 0 // consecutive turns with unwritten output since the last pings were sent
 	server.waitUntil(t, "more responses than the system buffers", func() bool {
 		if turnsBehind++; server.clientFront.HasUndelivered() {
 			return turnsBehind == 5
@@ -111,7 +111,7 @@
 	return conn
 }
 
-// closeOnCleanup closes at the end of the test what the test may have closed before.
+// closeOnCleanup closes closer at the end of the test. The test may close it earlier.
 func closeOnCleanup(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -121,7 +121,7 @@
 	})
 }
 
-// closeNow closes what the test needs closed from here on.
+// closeNow closes closer and fails the test if that returns an error.
 func closeNow(t *testing.T, closer io.Closer) {
 	t.Helper()
 	if err := closer.Close(); err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// closeWrite closes the sending half of a client's connection.
+// closeWrite closes the sending direction of a client's connection.
 func closeWrite(t *testing.T, client *testbed.Client) {
 	t.Helper()
 	if err := client.Conn.(*net.TCPConn).CloseWrite(); err != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// reset closes a client's connection with a reset.
+// reset closes a client's connection by a TCP reset.
 func reset(t *testing.T, client *testbed.Client) {
 	t.Helper()
 	if err := client.Conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -146,7 +146,7 @@
 	closeNow(t, client)
 }
 
-// write writes bytes that need not be a whole line.
+// write writes bytes, which need not form a whole line.
 func write(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
 	if _, err := conn.Write(b); err != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// setReadTimeout bounds all that is read from a connection from now on.
+// setReadTimeout sets a deadline of testbed.Timeout from now for all further reads from a connection.
 func setReadTimeout(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(testbed.Timeout)); err != nil {
--- a/cmd/ravenhitch/testconfig_test.go
+++ b/cmd/ravenhitch/testconfig_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the configurations that the tests run with.
+// This file provides the configurations of the servers that the tests run.
 
 import (
 	"encoding/json"
@@ -25,22 +25,23 @@
  "Importance":1.0,"WindowUs":5000000},{"Name":"archive-cut","Semantics":"single_shot","Group":"all",
  "OnTimeUs":6000000,"DeadlineUs":10000000,"Importance":5.0,"WindowUs":5000000}]}`
 
-// configJSON is a configuration that knows all events of discovery so far.
+// configJSON returns a configuration whose initial list of workers contains all events of discovery so far.
 func configJSON(discovery *testbed.Discovery) string { return configWith(discovery, settingsJSON) }
 
+// configWith is configJSON with other settings.
 func configWith(discovery *testbed.Discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"channel":%q,"known":%s,"settings":%s}`,
 		discovery.Server.Listener.Addr(), discovery.InitialList(0), settings)
 }
 
-// settingChange is one setting of another deployment: its path in settingsJSON, and its value.
+// settingChange replaces the value of the setting at a path of settingsJSON.
 type settingChange struct {
 	path  string
 	value any
 }
 
-// changedSettings is settingsJSON with some of its settings changed.
+// changedSettings returns settingsJSON with the given changes.
 func changedSettings(t *testing.T, changes ...settingChange) string {
 	t.Helper()
 	var settings any
@@ -62,7 +63,7 @@
 	return string(b)
 }
 
-// settingAt is one step down: a key of an object, or an index of a list.
+// settingAt returns the child of parent at one step of a path: a key of an object or an index of a list.
 func settingAt(t *testing.T, parent any, step string) any {
 	t.Helper()
 	list, ok := parent.([]any)
@@ -76,14 +77,14 @@
 	return list[i]
 }
 
-// shortDeadlines are settings whose longest deadline is half a second, so that a shutdown is short.
+// shortDeadlines returns settings whose longest deadline is 500 ms, which makes a shutdown short.
 func shortDeadlines(t *testing.T) string {
 	t.Helper()
 	return changedSettings(t, settingChange{"RequestClasses.0.DeadlineUs", 500 * millisecond},
 		settingChange{"RequestClasses.1.DeadlineUs", 500 * millisecond})
 }
 
-// longDialTimeout are settings under which connections to workers may take long to come up.
+// longDialTimeout returns settings with a dial timeout of 10 s for connections to workers.
 func longDialTimeout(t *testing.T) string {
 	t.Helper()
 	return changedSettings(t, settingChange{"Limits.DialTimeoutUs", 10 * second})
--- a/cmd/ravenhitch/testprocess_test.go
+++ b/cmd/ravenhitch/testprocess_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what tests need to run the program as a process.
+// This file provides helpers for running the program as a process.
 
 import (
 	"os/exec"
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-// buildProgram builds the program and returns its path.
+// buildProgram builds the program and returns the path of the executable.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ravenhitch")
 	if output, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("go build: %v: %s", err, output)
 	}
 	return path
 }
 
-// signalProcess sends a signal to a process that was started.
+// signalProcess sends a signal to a running process.
 func signalProcess(t *testing.T, cmd *exec.Cmd, signal syscall.Signal) {
 	t.Helper()
 	if err := cmd.Process.Signal(signal); err != nil {
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the server that the tests run: an orchestrator in this process, with testbed workers
-// and discovery around it. It must never decide what a test expects.
+// This file provides the server that the tests run: an orchestrator in this process, with workers and discovery
+// of the testbed. It decides nothing about what a test expects.
 
 import (
 	"fmt"
@@ -17,46 +17,47 @@
 
 const (
 	defaultTestSockets = 1024
-	// smallSocketLimit leaves maxClients connections to clients: 32 descriptors are reserved, and three
-	// quarters of the rest are for clients.
+	// smallSocketLimit is the limit of sockets at which a server has maxClients connections to clients: 32
+	// descriptors are reserved, and clients use at most three quarters of the others.
 	smallSocketLimit = 64
 	maxClients       = 24
 )
 
-// testServer is a server that runs, and what it talks to.
+// testServer is a running server with its discovery and its workers.
 type testServer struct {
 	*server
 	discovery *testbed.Discovery
 	workers   []*testbed.Worker
-	runResult chan error // what Run returned
+	runResult chan error // receives the result of Run
 }
 
-// serverOptions say how a test server differs from the usual one. The zero value is the usual one
-// without a gRPC front.
+// serverOptions configures a test server. The zero value is a server with settingsJSON, without a gRPC front
+// and without a log.
 type serverOptions struct {
-	settings  string // "": settingsJSON
+	settings  string // settings of the configuration; "" means settingsJSON
 	operators config.OperatorSettings
-	sockets   int64 // 0: defaultTestSockets
-	log       *slog.Logger
-	// onWorker gets every worker before the server knows of it.
+	sockets   int64        // limit of sockets; 0 means defaultTestSockets
+	log       *slog.Logger // nil discards the log
+	// onWorker is called with each worker before discovery lists it.
 	onWorker func(*testbed.Worker)
-	// discoveryAddr returns where the server reaches discovery, which listens at addr.
+	// discoveryAddr returns the address at which the server reaches discovery, which listens at addr; nil
+	// means addr itself.
 	discoveryAddr func(addr string) string
 }
 
-// newTestServer starts the usual server with a gRPC front and workers of these names.
+// newTestServer starts a server with settingsJSON, a gRPC front and workers of these names.
 func newTestServer(t *testing.T, workers ...string) *testServer {
 	t.Helper()
 	return startTestServer(t, serverOptions{operators: config.OperatorSettings{GRPCListen: "127.0.0.1:0"}}, workers...)
 }
 
-// newSmallServer starts a server that serves maxClients clients, and no gRPC.
+// newSmallServer starts a server that serves at most maxClients clients and has no gRPC front.
 func newSmallServer(t *testing.T, workers ...string) *testServer {
 	t.Helper()
 	return startTestServer(t, serverOptions{sockets: smallSocketLimit}, workers...)
 }
 
-// startTestServer starts a server with workers of these names. It is stopped at the end of the test.
+// startTestServer starts a server with workers of these names. The server is stopped at the end of the test.
 func startTestServer(t *testing.T, options serverOptions, workers ...string) *testServer {
 	t.Helper()
 	s := &testServer{discovery: testbed.NewDiscovery(t), runResult: make(chan error, 1)}
@@ -91,7 +92,7 @@
 	return s
 }
 
-// config is the configuration of a server that knows all events of discovery so far.
+// config returns the configuration of the server. Its initial list contains all events of discovery so far.
 func (o serverOptions) config(t *testing.T, discovery *testbed.Discovery) config.Config {
 	t.Helper()
 	settings := o.settings
@@ -113,10 +114,10 @@
 	return cfg
 }
 
-// connect connects a client.
+// connect returns a new client on JSON lines that is connected to the server.
 func (s *testServer) connect(t *testing.T) *testbed.Client { return testbed.NewClient(t, s.clientAddr) }
 
-// onLoop runs f on the event loop and waits for it.
+// onLoop runs f on the event loop and waits until it has returned.
 func (s *testServer) onLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{}, 1)
@@ -124,10 +125,11 @@
 		f()
 		done <- struct{}{}
 	})
-	testbed.Wait(t, "the loop", done)
+	testbed.Wait(t, "a call on the event loop", done)
 }
 
-// waitUntil runs f on the event loop until it returns true.
+// waitUntil calls f on the event loop until it returns true, and fails the test if that takes longer than
+// testbed.Timeout.
 func (s *testServer) waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Timeout); ; {
@@ -137,13 +139,13 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("%s: never came", what)
+			t.Fatalf("%s: condition not met within %s", what, testbed.Timeout)
 		}
 	}
 }
 
-// pauseLoop stops the event loop in a turn in which what came in is read and nothing is decided yet.
-// The turn ends when resume is called.
+// pauseLoop pauses the event loop within a turn, after all input is read and before the dispatcher decides.
+// Calling resume lets the turn continue.
 func (s *testServer) pauseLoop(t *testing.T) (resume func()) {
 	t.Helper()
 	paused, resumed := make(chan bool), make(chan bool)
@@ -151,40 +153,40 @@
 		paused <- true
 		<-resumed
 	})
-	testbed.Wait(t, "the loop is paused", paused)
+	testbed.Wait(t, "the pause of the event loop", paused)
 	return func() { resumed <- true }
 }
 
-// counts are the dispatcher's counts.
+// counts returns the dispatcher's counts.
 func (s *testServer) counts(t *testing.T) (counts dispatch.Counts) {
 	t.Helper()
 	s.onLoop(t, func() { counts = s.dispatcher.Counts() })
 	return counts
 }
 
-// runningTasks is the dispatcher's count of running tasks.
+// runningTasks returns the dispatcher's number of running tasks.
 func (s *testServer) runningTasks(t *testing.T) (count int) {
 	t.Helper()
 	s.onLoop(t, func() { count = s.dispatcher.RunningCount() })
 	return count
 }
 
-// now is the time of the event loop, in microseconds.
+// now returns the time of the event loop in microseconds.
 func (s *testServer) now(t *testing.T) (us int64) {
 	t.Helper()
 	s.onLoop(t, func() { us = s.loop.Now() })
 	return us
 }
 
-// waitIdle waits until all connected clients have been idle for longer than their connections are
+// waitIdle waits until all connected clients have been idle for 1.1 s, which is longer than an idle connection is
 // protected from eviction.
 func (s *testServer) waitIdle(t *testing.T) {
 	t.Helper()
 	since := s.now(t)
-	s.waitUntil(t, "an idle client", func() bool { return s.loop.Now() > since+1_100*millisecond })
+	s.waitUntil(t, "clients idle for 1.1 s", func() bool { return s.loop.Now() > since+1_100*millisecond })
 }
 
-// connectWhilePaused connects so many clients while the event loop is paused: all are new to it at once.
+// connectWhilePaused connects count clients while the event loop is paused, which then accepts them all at once.
 func (s *testServer) connectWhilePaused(t *testing.T, count int) (clients []*testbed.Client) {
 	t.Helper()
 	resume := s.pauseLoop(t)
@@ -195,17 +197,18 @@
 	return clients
 }
 
-// drainOnlyWorker lets the only worker drain: requests are pending from then on.
+// drainOnlyWorker makes the only worker drain. Requests stay pending from then on.
 func (s *testServer) drainOnlyWorker(t *testing.T) {
 	t.Helper()
 	s.discovery.Add(false, s.workers[0].ListEntry("draining"))
 	s.discovery.WaitPolled(t)
 }
 
-// undrainOnlyWorker ends that.
+// undrainOnlyWorker ends the drain of the only worker.
 func (s *testServer) undrainOnlyWorker() { s.discovery.Add(false, s.workers[0].ListEntry("up")) }
 
-// moveBehindCutProxy moves the only worker to an address where connections don't come up.
+// moveBehindCutProxy moves the only worker behind a partitioned proxy, where no connection is established until
+// the proxy heals.
 func (s *testServer) moveBehindCutProxy(t *testing.T) *testbed.Proxy {
 	t.Helper()
 	proxy := testbed.NewProxy(t, s.workers[0])
@@ -215,13 +218,13 @@
 	return proxy
 }
 
-// waitConnections waits until so many clients are connected.
+// waitConnections waits until count clients are connected.
 func (s *testServer) waitConnections(t *testing.T, count int) {
 	t.Helper()
 	s.waitUntil(t, fmt.Sprintf("%d connected clients", count), func() bool { return s.clientFront.Connections() == count })
 }
 
-// waitStopped waits until Run has returned, and returns its error.
+// waitStopped waits until Run has returned and returns its error.
 func (s *testServer) waitStopped(t *testing.T) error {
 	t.Helper()
 	return testbed.Wait(t, "the end of the server", s.runResult)
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -1,7 +1,7 @@
 package main
 
-// This file draws the timeline of a recording as SVG: how each orchestrator was and was seen, what was
-// started meanwhile, and the faults that were played.
+// This file draws the timeline of a recording as SVG: the status of each orchestrator, the tasks that were
+// started in each second, and the faults that were played.
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Measures of the drawing, in pixels.
+// Dimensions of the drawing in pixels, and its styles.
 const (
 	timelineWidth = 1000
 	rowHeight     = 26
@@ -28,15 +28,15 @@
 	backgroundFill = "fill:#ffffff"
 )
 
-// timelineCanvas is a timeline that is being drawn.
+// timelineCanvas draws the timeline of one recording.
 type timelineCanvas struct {
 	*svg.SVG
 	recording *recording
-	barsTop   int     // where the bars of started tasks begin
-	endS      float64 // the time at the right edge, in seconds
+	barsTop   int     // upper edge of the bars of started tasks, in pixels
+	endS      float64 // time at the right edge, in seconds
 }
 
-// timeline draws the recording.
+// timeline returns the drawing of the recording as SVG.
 func (r *recording) timeline() []byte {
 	var drawing bytes.Buffer
 	rows := 0
@@ -59,7 +59,7 @@
 	return drawing.Bytes()
 }
 
-// x is where a time in seconds is drawn.
+// x returns the horizontal position, in pixels, of a time in seconds.
 func (c *timelineCanvas) x(atS float64) int {
 	return leftEdge + int(max(0, atS)/c.endS*(timelineWidth-leftEdge-rightMargin))
 }
@@ -71,24 +71,24 @@
 	}
 }
 
-// drawStatuses draws a row for each orchestrator, with its status at each moment.
+// drawStatuses draws a row for each orchestrator, with its status in each sample.
 func (c *timelineCanvas) drawStatuses() {
 	moments := c.recording.Moments
-	for i, moment := range moments {
-		from, to := c.x(moment.At), timelineWidth-rightMargin
+	for i, snapshot := range moments {
+		from, to := c.x(snapshot.At), timelineWidth-rightMargin
 		if i+1 < len(moments) {
 			to = c.x(moments[i+1].At)
 		}
-		for row, seen := range moment.Fleet {
-			c.Rect(from, topEdge+row*rowHeight, max(1, to-from), rowHeight-4, "fill:"+statusOf(seen).colour)
+		for row, state := range snapshot.Fleet {
+			c.Rect(from, topEdge+row*rowHeight, max(1, to-from), rowHeight-4, "fill:"+statusOf(state).colour)
 		}
 	}
-	for row, seen := range moments[0].Fleet {
-		c.Text(10, topEdge+row*rowHeight+15, seen.Name+", "+seen.Zone, textStyle)
+	for row, state := range moments[0].Fleet {
+		c.Text(10, topEdge+row*rowHeight+15, state.Name+", "+state.Zone, textStyle)
 	}
 }
 
-// drawStarted draws a bar for the tasks that were started in each second.
+// drawStarted draws one bar per second for the number of tasks that were started in it.
 func (c *timelineCanvas) drawStarted() {
 	maxStarted := 1
 	for _, second := range c.recording.Seconds {
@@ -103,7 +103,7 @@
 	}
 }
 
-// drawSteps marks the faults that were played.
+// drawSteps marks the times of the faults that were played.
 func (c *timelineCanvas) drawSteps() {
 	for i, step := range c.recording.Steps {
 		x := c.x(step.At)
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what tests learn from the server's own log.
+// This file provides the log handler by which tests observe the attempts and connections of a server.
 
 import (
 	"context"
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// minCloseTravelUs is how long the close that abandons an attempt takes to reach its worker at least, by
-// the rules: an offer that follows it sooner is too early.
+// minCloseTravelUs is the minimum time, by the rules, that the close of a connection takes to reach the worker
+// whose attempt it abandons, in microseconds. The next offer of the request is too early if it follows sooner.
 const minCloseTravelUs = 2 * millisecond
 
-// traceRecorder is a log handler that notes offers which left before a close that abandoned the attempt
-// before can have reached its worker, and when connections to workers ended.
+// traceRecorder is a log handler that records offers which were sent too early, before the close that abandoned
+// the previous attempt can have reached its worker. It also records when connections to workers ended.
 type traceRecorder struct {
 	slog.Handler
 	mu             sync.Mutex
-	cancelledAt    map[string]int64 // when an attempt was cancelled and not confirmed to be, by request ID
-	earlyOffers    []string
-	connectionEnds []time.Time
+	cancelledAt    map[string]int64 // time of each unconfirmed cancel in microseconds, by request ID
+	earlyOffers    []string         // descriptions of the offers that were sent too early
+	connectionEnds []time.Time      // in order
 }
 
 func newTraceRecorder() *traceRecorder {
 	return &traceRecorder{Handler: slog.DiscardHandler, cancelledAt: map[string]int64{}}
 }
 
-// closingFor is for how long connections to workers have kept ending.
+// closingFor returns the time between the first and the last end of a connection to a worker.
 func (r *traceRecorder) closingFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,20 +39,20 @@
 	return r.connectionEnds[len(r.connectionEnds)-1].Sub(r.connectionEnds[0])
 }
 
-// expectNoEarlyOffers fails where an offer left too early.
+// expectNoEarlyOffers fails the test if an offer was sent too early.
 func (r *traceRecorder) expectNoEarlyOffers(t *testing.T) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.earlyOffers) > 0 {
-		t.Errorf("%d offers too early, as %s", len(r.earlyOffers), r.earlyOffers[0])
+		t.Errorf("%d offers were sent too early, want none; the first: %s", len(r.earlyOffers), r.earlyOffers[0])
 	}
 }
 
-// Enabled takes all records, the trace included.
+// Enabled accepts records of all levels, which include the trace.
 func (*traceRecorder) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle notes a record.
+// Handle records the event of one log record.
 func (r *traceRecorder) Handle(_ context.Context, record slog.Record) error {
 	requestID, atUs, written := "", int64(0), true
 	record.Attrs(func(attr slog.Attr) bool {
@@ -72,7 +72,7 @@
 	case "worker connection closed":
 		r.connectionEnds = append(r.connectionEnds, record.Time)
 	case "cancelling attempt", "connection lost with offer open":
-		if written { // else the offer was never sent
+		if written { // otherwise the offer was never sent
 			r.cancelledAt[requestID] = atUs
 		}
 	case "cancel confirmed":
@@ -86,7 +86,8 @@
 func (r *traceRecorder) noteOffer(requestID string, atUs int64) {
 	if cancelledAt, ok := r.cancelledAt[requestID]; ok && atUs-cancelledAt < minCloseTravelUs {
 		r.earlyOffers = append(r.earlyOffers,
-			fmt.Sprintf("%s was offered %d us after its last attempt was closed", requestID, atUs-cancelledAt))
+			fmt.Sprintf("%s was offered %d us after its previous attempt was closed, want at least %d us",
+				requestID, atUs-cancelledAt, minCloseTravelUs))
 	}
 	delete(r.cancelledAt, requestID)
 }
