--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests to which client the completion of a task is reported.
+// This file tests which client receives the completion of a task.
 
 import (
 	"fmt"
@@ -10,8 +10,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A client that submits a running task again gets nothing of it: the completion goes to the client that
-// submitted it first, and where that one has left to one that a task was started for.
+// A second client that submits a running task again does not receive its completion. The completion goes to
+// the client that submitted the task first or, if that client has disconnected, to a client for which a task
+// was started.
 func TestCompletionGoesToItsClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first, served, second := server.connect(t), server.connect(t), server.connect(t)
@@ -21,12 +22,12 @@
 	pingServer(t, first)
 	testbed.Send(served, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
 	if line := testbed.Wait(t, "the response", served.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v, want STARTED", line)
 	}
 	for i := 1; i <= 2; i++ {
 		testbed.Send(second, adoptedLine(testbed.RequestID(i), "a"))
 	}
-	testbed.Send(second, adoptedLine(testbed.RequestID(4), "a")) // one that no other client has
+	testbed.Send(second, adoptedLine(testbed.RequestID(4), "a")) // no other client submitted this task
 	pingServer(t, second)
 
 	server.workers[0].End(testbed.RequestID(1), causeDone)
@@ -37,7 +38,7 @@
 	server.workers[0].End(testbed.RequestID(2), causeDone)
 	expectCause(t, "the second completion", served, testbed.RequestID(2), causeDone)
 
-	for range 9 { // clients that only ping
+	for range 9 { // these clients only ping
 		pingServer(t, server.connect(t))
 	}
 	closeNow(t, served)
@@ -46,21 +47,21 @@
 	expectCause(t, "the third completion", second, testbed.RequestID(3), causeDone)
 }
 
-// A task belongs to no connection: its completion goes to another client's connection, or to the next one
-// that comes.
+// A task is not bound to a connection. If the client's connection is closed, the completion goes to the
+// connection of another client, or to the next client that connects.
 func TestCompletionGoesToAnotherClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first := server.connect(t)
 	for i, task := range []string{"ok-1", "ok-2"} {
 		testbed.Send(first, testbed.StartLine(testbed.RequestID(i+1), "guide-web", task, 5000))
 		if line := testbed.Wait(t, task, first.Lines); line.Verb != "STARTED" || *line.Blob != "a holds about "+task {
-			t.Fatalf("%s got %v", task, line)
+			t.Fatalf("task %s: got %v, want STARTED from worker a", task, line)
 		}
 	}
 	second := server.connect(t)
 	testbed.Send(second, pingLine("t"))
 	if line := testbed.Wait(t, "the answer to a ping", second.Lines); line.Verb != "ECHOED" || line.Cause() != 1 || line.Tag != "t" {
-		t.Errorf("the ping got %v", line)
+		t.Errorf("ping: got %v, want ECHOED with code 1 and tag t", line)
 	}
 
 	closeNow(t, first)
@@ -71,24 +72,27 @@
 	closeNow(t, second)
 	server.waitConnections(t, 0)
 	server.workers[0].End(testbed.RequestID(2), causeLost)
-	server.waitUntil(t, "the completion here", func() bool { return server.dispatcher.RunningCount() == 0 })
-	// One that only connects may be anybody: the completion waits for one that sends something.
+	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
+	// A connection that sends nothing may belong to any process. The completion waits for a connection that
+	// sends a message.
 	silent, third := server.connect(t), server.connect(t)
 	testbed.Send(third, pingLine("t"))
 	expectCause(t, "the second completion", third, testbed.RequestID(2), causeLost)
-	for line := range silent.Lines { // closed after a while
-		t.Errorf("the silent one got %v", line)
+	for line := range silent.Lines { // until the server closes the idle connection
+		t.Errorf("the connection that sent nothing got %v, want no line", line)
 	}
 }
 
-// A completion that found no client waits for one that is known to be a client, while others come that may
-// be anybody; where only those come, it goes to one of them in time.
+// A completion for which no client is connected waits for a connection that is known to belong to a client,
+// while other connections, which may belong to any process, are opened. If only such connections are opened,
+// the completion goes to one of them before it is overdue.
 func TestCompletionWaitsForAClient(t *testing.T) {
 	invalid := testbed.StartLine(testbed.RequestID(2), "no-such-class", "ok-2", 5000)
 	for _, test := range []struct {
 		name  string
-		sends []testbed.Line // by the client that gets the completion
-		// before is what that client gets first, where no other is connected.
+		sends []testbed.Line // messages of the client that receives the completion
+		// before lists the verbs of the lines that the client receives before the completion. If it is not
+		// empty, no other client is connected.
 		before []string
 	}{
 		{"a task is started for it", []testbed.Line{testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000)}, nil},
@@ -106,16 +110,16 @@
 			closeNow(t, first)
 			server.waitConnections(t, 0)
 			server.workers[0].End(testbed.RequestID(1), causeDone)
-			server.waitUntil(t, "the completion here", func() bool { return server.dispatcher.RunningCount() == 1 })
+			server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 1 })
 
-			stranger := server.connect(t)
-			testbed.Send(stranger, adoptedLine(testbed.RequestID(5), "a")) // which it may know by chance
-			testbed.Send(stranger, invalid)
-			if line := testbed.Wait(t, "the error", stranger.Lines); line.Tag != testbed.RequestID(2) || line.Cause() != causeFailed {
-				t.Fatalf("got %v", line)
+			unknown := server.connect(t)
+			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a")) // it may have guessed the request ID
+			testbed.Send(unknown, invalid)
+			if line := testbed.Wait(t, "the error", unknown.Lines); line.Tag != testbed.RequestID(2) || line.Cause() != causeFailed {
+				t.Fatalf("invalid submission: got %v, want an error for request 2", line)
 			}
 			if len(test.before) > 0 {
-				closeNow(t, stranger)
+				closeNow(t, unknown)
 				server.waitConnections(t, 0)
 			}
 
@@ -124,8 +128,8 @@
 				testbed.Send(client, line)
 			}
 			for _, verb := range test.before {
-				if line := testbed.Wait(t, "what comes before", client.Lines); line.Verb != verb || line.Tag == testbed.RequestID(1) {
-					t.Fatalf("got %v", line)
+				if line := testbed.Wait(t, "a line before the completion", client.Lines); line.Verb != verb || line.Tag == testbed.RequestID(1) {
+					t.Fatalf("got %v before the completion, want FINISH of another request", line)
 				}
 			}
 			expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
@@ -133,8 +137,8 @@
 	}
 }
 
-// A task may complete before its worker reports its start: the worker reports both in one message, and so
-// both are reported to the client, of whatever class, and nothing is sent again.
+// A task may complete before its worker reports that it started. The worker then reports both in one message.
+// The client receives the start and the completion, whatever the class, and the task is not offered again.
 func TestCompletionWithStart(t *testing.T) {
 	server := newTestServer(t, "a", "b")
 	client := server.connect(t)
@@ -143,23 +147,23 @@
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+1), class, task, 5000))
 		line := testbed.Wait(t, "the response", client.Lines)
 		if line.Verb != "STARTED" || line.Tag != testbed.RequestID(i+1) || !strings.HasSuffix(*line.Blob, " held about "+task) {
-			t.Fatalf("%s got %v", task, line)
+			t.Fatalf("task %s: got %v, want STARTED", task, line)
 		}
 		line = testbed.Wait(t, "the completion", client.Lines)
 		if line.Verb != "FINISH" || line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
-			t.Errorf("%s got %v", task, line)
+			t.Errorf("task %s: got %v, want its completion", task, line)
 		}
 		if n := server.workers[0].StartCount(task) + server.workers[1].StartCount(task); n != 1 {
-			t.Errorf("%s was offered %d times", task, n)
+			t.Errorf("task %s: offered %d times, want 1", task, n)
 		}
 	}
 	if n := server.runningTasks(t); n != 0 {
-		t.Errorf("%d tasks run", n)
+		t.Errorf("got %d running tasks, want 0", n)
 	}
 }
 
-// An adopted task needs no response, and its completion is reported; its client's release reaches the
-// worker.
+// The submission of an adopted task gets no response. The completion of the task is reported to the client,
+// and a release by the client reaches the worker.
 func TestAdoptedTasks(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -168,34 +172,34 @@
 		line.Opts["extras"] += ";at:a"
 		testbed.Send(client, line)
 	}
-	server.waitUntil(t, "both run", func() bool { return server.dispatcher.RunningCount() == 2 })
+	server.waitUntil(t, "two running tasks", func() bool { return server.dispatcher.RunningCount() == 2 })
 	server.workers[0].End(testbed.RequestID(1), causeDone)
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
 	testbed.Send(client, cancelLine(testbed.RequestID(2)))
 	if line := testbed.Wait(t, "the release", server.workers[0].Ends); line.Tag != testbed.RequestID(2) {
-		t.Errorf("the worker got %v", line)
+		t.Errorf("the worker got %v, want the release of request 2", line)
 	}
 	if len(server.workers[0].Starts) != 0 {
-		t.Error("a running task was offered")
+		t.Error("the worker got an offer of an adopted task, want none")
 	}
 }
 
-// The completion of a task reaches its client although the table of connections is full of others: new
-// ones do not evict the last clients that are known to have tasks.
+// The completion of a task reaches its client even if the connection table is full of other connections: new
+// connections do not evict the last connections that have had tasks.
 func TestCompletionWithFullConnectionTable(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		send func(i int, stranger *testbed.Client)
+		send func(i int, other *testbed.Client)
 	}{
 		{"of clients that never submit", func(int, *testbed.Client) {}},
-		{"of clients that submit what is invalid, and never read", func(i int, stranger *testbed.Client) {
-			testbed.Send(stranger, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
+		{"of clients that submit what is invalid, and never read", func(i int, other *testbed.Client) {
+			testbed.Send(other, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
 		}},
-		{"of clients half of which wait for a response, and never read", func(i int, stranger *testbed.Client) {
+		{"of clients half of which wait for a response, and never read", func(i int, other *testbed.Client) {
 			if i >= maxClients/2 {
 				return
 			}
-			testbed.Send(stranger, testbed.StartLine(testbed.RequestID(100+i), "archive-cut", fmt.Sprint("silent-", i), 8000))
+			testbed.Send(other, testbed.StartLine(testbed.RequestID(100+i), "archive-cut", fmt.Sprint("silent-", i), 8000))
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -204,54 +208,54 @@
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Fatalf("got %v", line)
+				t.Fatalf("got %v, want STARTED", line)
 			}
 			server.waitIdle(t)
-			for i, stranger := range server.connectWhilePaused(t, 2*maxClients) {
-				test.send(i, stranger)
+			for i, other := range server.connectWhilePaused(t, 2*maxClients) {
+				test.send(i, other)
 			}
-			server.waitUntil(t, "a full table", func() bool {
+			server.waitUntil(t, "a full connection table", func() bool {
 				return server.loop.HasQueuedConnections() || server.clientFront.Connections() == maxClients
 			})
-			server.onLoop(t, func() {}) // and a turn in which some wait
+			server.onLoop(t, func() {}) // one more turn of the event loop, with connections queued
 			server.workers[0].End(testbed.RequestID(1), causeDone)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
-				t.Errorf("got %v", line)
+				t.Errorf("got %v, want the completion of request 1", line)
 			}
 		})
 	}
 }
 
-// A completion whose client is away does not go to whoever has sent something, while the client may come
-// back: it is reported to the first that pings, or that has tasks.
+// While a client is disconnected and may reconnect, its completion does not go to a connection that has only
+// sent messages. The completion is reported on the first connection that pings or has had tasks.
 func TestCompletionNotReportedToStrangers(t *testing.T) {
 	server := newSmallServer(t, "a")
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v, want STARTED", line)
 	}
 	closeNow(t, client)
 	server.waitConnections(t, 0)
-	strangers := server.connectWhilePaused(t, maxClients)
-	for i, stranger := range strangers {
-		testbed.Send(stranger, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
-		if line := testbed.Wait(t, "the error", stranger.Lines); line.Cause() != causeFailed {
-			t.Fatalf("got %v", line)
+	others := server.connectWhilePaused(t, maxClients)
+	for i, other := range others {
+		testbed.Send(other, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
+		if line := testbed.Wait(t, "the error", other.Lines); line.Cause() != causeFailed {
+			t.Fatalf("invalid submission: got %v, want an error", line)
 		}
 	}
 	server.workers[0].End(testbed.RequestID(1), causeDone)
-	server.waitUntil(t, "the completion here", func() bool { return server.dispatcher.RunningCount() == 0 })
-	again := server.connect(t)
-	testbed.Send(again, pingLine("t"))
-	if line := testbed.Wait(t, "the completion", again.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
-		t.Errorf("got %v", line)
+	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
+	reconnected := server.connect(t)
+	testbed.Send(reconnected, pingLine("t"))
+	if line := testbed.Wait(t, "the completion", reconnected.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
+		t.Errorf("got %v, want the completion of request 1", line)
 	}
-	for _, stranger := range strangers {
+	for _, other := range others {
 		select {
-		case line, ok := <-stranger.Lines:
+		case line, ok := <-other.Lines:
 			if ok {
-				t.Errorf("another got %v", line)
+				t.Errorf("another connection got %v, want no line", line)
 			}
 		default:
 		}
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file takes discovery away: the server serves by its last list, and follows discovery again once
-// it is back, also where idle clients fill the descriptors meanwhile.
+// This file tests outages of discovery. The server keeps serving with the last list of workers and follows
+// discovery again after the outage, even if idle clients use up the descriptors in the meantime.
 
 import (
 	"fmt"
@@ -11,12 +11,13 @@
 	"ravenhitch/internal/testbed"
 )
 
-// The server serves by the list that it was started with while discovery refuses, is silent or can't be
-// reached, and polls again.
+// While discovery refuses connections, is silent or is unreachable, the server serves with the list of workers
+// that it was started with, and keeps polling.
 func TestServesWithoutDiscovery(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// listen returns an address for discovery, and where polls can be seen, the connections.
+		// listen returns the address of discovery and, if discovery accepts connections, a channel of the
+		// connections that polls open; otherwise the channel is nil.
 		listen func(t *testing.T) (addr string, polls <-chan net.Conn)
 	}{
 		{"it refuses", func(t *testing.T) (string, <-chan net.Conn) {
@@ -40,13 +41,13 @@
 			server := startTestServer(t, serverOptions{discoveryAddr: func(string) string { return addr }}, "a")
 
 			client, restarted := server.connect(t), server.connect(t)
-			for i := range 200 { // of a client's restart, all at once
+			for i := range 200 { // a restarted client registers its running tasks, all at once
 				testbed.Send(restarted, adoptedLine(testbed.RequestID(100+i), "a"))
 			}
 			pingServer(t, client)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Errorf("got %v", line)
+				t.Errorf("got %v, want STARTED", line)
 			}
 			for range 2 {
 				if polls != nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// acceptAll accepts connections and says nothing on them, until the listener is closed.
+// acceptAll accepts connections until the listener is closed, and sends nothing on them.
 func acceptAll(listener net.Listener) <-chan net.Conn {
 	accepted := make(chan net.Conn, 100)
 	go func() {
@@ -76,13 +77,13 @@
 	return accepted
 }
 
-// relayedServer is a server that reaches discovery by a relay.
+// relayedServer is a server that connects to discovery through a proxy.
 type relayedServer struct {
 	*testServer
 	relay *testbed.Proxy
 }
 
-// newRelayedServer starts a server that serves maxClients clients, with so many workers.
+// newRelayedServer starts a server with the given number of workers, which serves at most maxClients clients.
 func newRelayedServer(t *testing.T, workers int) *relayedServer {
 	t.Helper()
 	var names []string
@@ -97,9 +98,9 @@
 	return s
 }
 
-// Idle clients fill the table of connections, and more wait, while discovery is away. Once it is back the
-// follower still gets its connection, a worker that discovery lists gets one, and so do a ping and a real
-// request.
+// During an outage of discovery, idle clients fill the connection table and more connections are queued. After
+// the outage, the server still connects to discovery and to a newly listed worker, and still serves a new
+// client that pings and submits a request.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -132,7 +133,7 @@
 				endedAt := server.now(t)
 				end()
 				server.discovery.WaitPolled(t)
-				t.Logf("the list was read %d ms after discovery was back", (server.now(t)-endedAt)/millisecond)
+				t.Logf("the list of workers was read %d ms after the outage", (server.now(t)-endedAt)/millisecond)
 
 				server.onLoop(t, func() { server.pool.Probe("next") })
 				server.waitUntil(t, "a probe", func() bool { return next.PingCount() > 0 })
@@ -140,17 +141,18 @@
 				pingServer(t, client)
 				testbed.Send(client, testbed.StartLine(testbed.RequestID(9999), "guide-web", "ok-true", 5000))
 				if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-					t.Errorf("got %v", line)
+					t.Errorf("got %v, want STARTED", line)
 				}
 				server.onLoop(t, func() {
-					t.Logf("%d descriptors are free, %d clients", server.loop.FreeDescriptors(), server.clientFront.Connections())
+					t.Logf("%d free descriptors, %d connected clients", server.loop.FreeDescriptors(), server.clientFront.Connections())
 				})
 			})
 		}
 	}
 }
 
-// fillWithIdleClients connects more clients than the table holds, half of which send something.
+// fillWithIdleClients connects four times as many clients as the connection table holds. Every second client
+// sends one message.
 func fillWithIdleClients(t *testing.T, server *relayedServer) {
 	t.Helper()
 	for i := range 4 * maxClients {
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file ends attempts and tasks while the connection to their worker fails.
+// This file tests attempts and tasks that end while the connection to their worker fails.
 
 import (
 	"log/slog"
@@ -12,8 +12,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// At most one attempt of a request is in flight at workers at a time, and what ends while a link fails is
-// reported once the link works again.
+// At most one attempt of a request is in flight at a time. Completions and releases that occur while a
+// connection fails are delivered once the worker is reachable again.
 func TestFailingLinks(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -44,18 +44,18 @@
 	}
 }
 
-// A cancel takes longer to arrive than the next offer to another worker: that offer must wait until the
-// cancel was read.
+// A cancel takes longer to arrive than the next offer takes to another worker. That offer must wait until the
+// first worker has read the cancel.
 func manyAbandonedAtOnce(t *testing.T, server *proxiedServer) {
 	for _, worker := range server.workers[:6] {
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
 	}
-	missed := server.submit("missed", 60, 2000) // five a worker
+	missed := server.submit("missed", 60, 2000) // five per worker
 	server.noteOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
 }
 
-// Cancels that follow while the ping behind the first is in flight are confirmed too.
+// Cancels that are sent while the ping after the first cancel is in flight are confirmed too.
 func abandonedOneByOne(t *testing.T, server *proxiedServer) {
 	for _, proxy := range server.proxies {
 		proxy.Delay(80 * time.Millisecond)
@@ -68,8 +68,9 @@
 	server.expectAllStarted(t, missed)
 }
 
-// The link is cut after the worker's last message: the cancel never arrives. It is the link of a worker that
-// holds an attempt: the placement draws among equal workers, and a may have none.
+// The connection is cut after the worker's last message, so the cancel never arrives. The test cuts the
+// connection of a worker that has an attempt: the scheduler chooses at random among equal workers, and worker
+// a may have no attempt.
 func cutBeforeCancel(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 2000)
 	server.noteOnceOffered(t, missed)
@@ -81,7 +82,8 @@
 	server.expectAllStarted(t, missed)
 }
 
-// What was offered into a cut must not arrive when that heals: it runs elsewhere.
+// An offer that was written during a partition must not arrive after the partition, because the task runs on
+// another worker by then.
 func offeredIntoCut(t *testing.T, server *proxiedServer) {
 	server.proxies["a"].Partition(t)
 	server.expectAllStarted(t, server.submit("ok", 40, 5000))
@@ -89,8 +91,8 @@
 	server.waitRunningAt(t, "a")
 }
 
-// A client cancels what is open at a worker that is cut off since its last message, and may come again
-// elsewhere: the attempt must not stay in flight for long.
+// A client cancels requests that are open at a worker that has been partitioned since its last message. The
+// client may submit them to another orchestrator, so the attempts must not stay in flight for long.
 func cancelledIntoCut(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
 	server.noteOnceOffered(t, silent)
@@ -101,8 +103,8 @@
 	server.waitNoOpenAttempt(t)
 }
 
-// What is open at a worker that moves to another address is over at the old one before it is offered
-// anywhere.
+// When a worker moves to another address, its open attempts end at the old address before their requests are
+// offered again to any worker.
 func movedToAnotherAddress(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 3000)
 	server.noteOnceOffered(t, missed)
@@ -112,7 +114,7 @@
 	server.expectAllStarted(t, missed)
 }
 
-// At a shutdown, what is open is cancelled before its clients get a response.
+// At a shutdown, open attempts are cancelled before their clients get a response.
 func shutDownWithLinkCut(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
 	server.noteOnceOffered(t, silent)
@@ -121,19 +123,21 @@
 	server.waitResponses(t, silent)
 }
 
-// A release goes out again where the connection that it was written to is gone.
+// A release is sent again if the connection on which it was written has ended.
 func releasedIntoCut(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
 	testbed.Send(server, cancelLine(id))
-	server.waitResponses(t, server.submit("ok", 40, 5000)) // the end of some takes back what lies in the cut
+	// When attempts on the partitioned connection end, the connection is reset, which discards the release.
+	server.waitResponses(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
 	for testbed.Wait(t, "the release", server.workers[0].Ends).Tag != id {
 	}
 }
 
-// The worker believes in a connection that was closed during a cut: it reports a completion there and on
-// the next connection opened, which there must be, although the one that is there is busy.
+// A worker considers a connection open that the server closed during a partition. The worker reports a
+// completion on that connection and on the next one that is opened. The server must open another connection,
+// although an existing one is in use.
 func completedOnClosedConnection(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
@@ -144,17 +148,17 @@
 	server.waitCompletion(t, id)
 }
 
-// A completion crosses the close of an older connection, on which the worker has just responded: it is
-// reported again on the next one opened, which there must be.
+// A worker sends a completion on an older connection while the server closes it, just after the worker's
+// response on it. The worker reports the completion again on the next connection, which the server must open.
 func completedDuringClose(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.lastID++
-	late := testbed.RequestID(server.lastID) // of a class whose attempts are not abandoned early
+	late := testbed.RequestID(server.lastID) // attempts of its class are not abandoned early
 	testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
 	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.Open(), late) })
 	dials, _ := server.workers[0].DialCounts()
-	server.eventually(t, "another connection", func() bool { // once the worker is silent for long
-		time.Sleep(450 * time.Millisecond) // the client's pace, and the worker's silence
+	server.eventually(t, "another connection", func() bool { // opened after the worker has been silent for long
+		time.Sleep(450 * time.Millisecond) // the interval between the client's requests, in which the worker is silent
 		server.submit("ok", 1, 5000)
 		now, _ := server.workers[0].DialCounts()
 		return now > dials
@@ -168,15 +172,18 @@
 	server.waitCompletion(t, id)
 }
 
-// A worker is cut off that holds no attempt, while all first attempts are silent at the other: the second ones
-// go into the cut, and the last ones must go where a worker is reached.
+// All first attempts are silent at one of two workers, and the other worker, which has no attempt, is
+// partitioned. Second attempts are offered to the partitioned worker; the last attempts must be offered to the
+// worker that is reachable.
 //
-// Both workers are suspect then. The worker pool knew that no connection reached the one that is cut off, and reported
-// only the opposite; once the other one had its two attempts, the fallback of the search was left with that one. The trace
-// of each rejected request shows it: the connection carried nothing back and was closed, 'offer attempt=2' names the same
-// worker 3 ms later, and 'offer never sent' follows as the next connection is not established in time.
+// Both workers are suspect at that point. The worker pool knew that no connection reached the partitioned worker
+// but reported only the opposite to the scheduler, that a worker is reachable again. Once the reachable worker
+// had two attempts, the most that a suspect worker gets, the fallback of the search was left with the partitioned
+// one. In the trace of each rejected request, the connection carried nothing back and was closed, 'offer attempt=2'
+// named the same worker 3 ms later, and 'offer never sent' followed because the next connection was not
+// established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
-	for range 30 { // servers; the placement draws, and of two draws one is as wanted
+	for range 30 { // servers: placement is random, and about every second draw puts all attempts at one worker
 		server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 		missed := server.submit("missed", 4, 2000)
 		server.noteOnceOffered(t, missed)
@@ -194,5 +201,5 @@
 			return
 		}
 	}
-	t.Fatal("the first attempts were never all at one worker")
+	t.Fatal("the first attempts were never all at one worker, in 30 servers")
 }
--- a/cmd/ravenhitch/grpc_session_test.go
+++ b/cmd/ravenhitch/grpc_session_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests sessions of the gRPC front: streams that end and are resumed, and their limits.
+// This file tests the sessions of the gRPC front: sessions that are resumed on a new stream, and limits.
 
 import (
 	"errors"
@@ -16,82 +16,85 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A binding that was sent and never read is sent again, and the task starts once.
+// A binding that was sent and not acknowledged is sent again on the next stream of the session, and the task
+// starts once.
 func TestUnreadBindingIsResent(t *testing.T) {
 	server := newTestServer(t, "a")
 	first := server.openSession(t, "s")
 	first.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
 	binding := testbed.Wait(t, "the binding", first.messages).GetBinding()
-	first.disconnectAndDrain() // the client never acknowledged it
-	again := server.openSession(t, "s")
-	if got := testbed.Wait(t, "the binding once more", again.messages); got.GetBinding().GetDescription() != binding.GetDescription() {
-		t.Errorf("after the resume came %v", got)
+	first.disconnectAndDrain() // the client has not acknowledged the binding
+	resumed := server.openSession(t, "s")
+	if got := testbed.Wait(t, "the binding again", resumed.messages); got.GetBinding().GetDescription() != binding.GetDescription() {
+		t.Errorf("first message of the resumed session: got %v, want the same binding", got)
 	}
 
-	// A repeat of the offer, and a new offer of the same task, get the same binding. One after the other:
-	// streams may overtake each other, and the last gets the completion.
+	// A repeat of the offer and a new offer of the same task get the same binding. They are sent one after the
+	// other because messages on different streams may arrive in any order, and the last session to offer the
+	// task gets the completion.
 	other := server.openSession(t, "another")
-	for i, session := range []*clientSession{again, again, other} {
+	for i, session := range []*clientSession{resumed, resumed, other} {
 		session.sendOffer(t, newOffer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
-		got := testbed.Wait(t, "a repeat's response", session.messages).GetBinding()
+		got := testbed.Wait(t, "the response to a repeat", session.messages).GetBinding()
 		if got.GetDescription() != binding.GetDescription() || got.GetNode() != "a" {
-			t.Errorf("repeat %d got %v", i, got)
+			t.Errorf("repeat %d: got %v, want the same binding to worker a", i, got)
 		}
 	}
 	server.workers[0].End(testbed.RequestID(1), causeDone)
 	if ended := testbed.Wait(t, "the completion", other.messages).GetEnded(); ended.GetHow() != edgepb.Ended_HOW_DONE {
-		t.Errorf("the completion is %v", ended)
+		t.Errorf("completion: got %v, want HOW_DONE", ended)
 	}
 
-	// A repeat that comes after the completion starts nothing either.
+	// A repeat after the completion does not start the task either.
 	other.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
-	rejection := testbed.Wait(t, "the late repeat's response", other.messages).GetRejection()
+	rejection := testbed.Wait(t, "the response to the late repeat", other.messages).GetRejection()
 	if codes.Code(rejection.GetCode()) != codes.AlreadyExists {
-		t.Errorf("the late repeat got %v", rejection)
+		t.Errorf("repeat after the completion: got %v, want code AlreadyExists", rejection)
 	}
 	if n := server.workers[0].StartCount("ok-cut"); n != 1 {
-		t.Errorf("the task was started %d times", n)
+		t.Errorf("the task was offered to the worker %d times, want 1", n)
 	}
 }
 
-// An offer stays open while its session has no stream, and the response waits for the next stream.
+// An offer stays open while its session has no stream, and its response is sent on the next stream.
 func TestResponseWhileDisconnected(t *testing.T) {
 	server := newTestServer(t, "a")
 	first := server.openSession(t, "s")
 	first.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "silent-x", 600))
 	testbed.Wait(t, "the offer", server.workers[0].Starts)
 	first.disconnectAndDrain()
-	again := server.openSession(t, "s")
-	rejection := testbed.Wait(t, "the response", again.messages).GetRejection()
+	resumed := server.openSession(t, "s")
+	rejection := testbed.Wait(t, "the response", resumed.messages).GetRejection()
 	if codes.Code(rejection.GetCode()) != codes.ResourceExhausted {
-		t.Errorf("the response is %v", rejection)
+		t.Errorf("response: got %v, want code ResourceExhausted", rejection)
 	}
 }
 
-// Offers, releases and the end of a session over its stream.
+// A session responds to offers, cancels and releases on its stream. Once the client has closed its side and
+// the last response is sent, the stream ends without an error.
 func TestSession(t *testing.T) {
 	server := newTestServer(t, "a")
 	session := server.openSession(t, "s")
 	nextRejection := func(what string) *edgepb.Rejection { return testbed.Wait(t, what, session.messages).GetRejection() }
 
 	session.sendOffer(t, newOffer("nonsense", "guide-web", "ok-0", 0))
-	if rejection := nextRejection("an invalid offer's response"); codes.Code(rejection.GetCode()) != codes.InvalidArgument {
-		t.Errorf("an invalid offer got %v", rejection)
+	if rejection := nextRejection("the response to an invalid offer"); codes.Code(rejection.GetCode()) != codes.InvalidArgument {
+		t.Errorf("invalid offer: got %v, want code InvalidArgument", rejection)
 	}
 	session.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "full-1", 0))
 	if rejection := nextRejection("a rejection"); rejection.GetRetryAfterMs() == 0 {
-		t.Errorf("a rejection without Retry-After: %v", rejection)
+		t.Errorf("rejection: got %v, want a Retry-After", rejection)
 	}
 	session.sendOffer(t, newOffer(testbed.RequestID(2), "guide-web", "silent-1", 5000))
 	session.sendRelease(t, testbed.RequestID(2))
-	if rejection := nextRejection("the cancel's response"); codes.Code(rejection.GetCode()) != codes.Canceled {
-		t.Errorf("a cancelled offer got %v", rejection)
+	if rejection := nextRejection("the response to the cancel"); codes.Code(rejection.GetCode()) != codes.Canceled {
+		t.Errorf("cancelled offer: got %v, want code Canceled", rejection)
 	}
 	session.sendOffer(t, newOffer(testbed.RequestID(3), "guide-web", "ok-1", 0))
 	testbed.Wait(t, "a binding", session.messages)
 	session.sendRelease(t, testbed.RequestID(3))
 	if ended := testbed.Wait(t, "the completion", session.messages).GetEnded(); ended.GetHow() != edgepb.Ended_HOW_RELEASED {
-		t.Errorf("a released task ended with %v", ended)
+		t.Errorf("released task: got %v, want HOW_RELEASED", ended)
 	}
 
 	session.sendOffer(t, newOffer(testbed.RequestID(4), "guide-web", "ok-2", 0))
@@ -99,17 +102,17 @@
 		t.Fatal(err)
 	}
 	if message := testbed.Wait(t, "the last response", session.messages); message.GetBinding() == nil || message.GetNumber() != 6 {
-		t.Errorf("the last response is %v", message)
+		t.Errorf("last response: got %v, want a binding with number 6", message)
 	}
 	for range session.messages {
 	}
 	if !errors.Is(session.err, io.EOF) {
-		t.Errorf("the stream ended with %v", session.err)
+		t.Errorf("end of the stream: got error %v, want io.EOF", session.err)
 	}
 }
 
-// A client that connects or opens a stream and sends nothing is disconnected after a while, and a session
-// may have so many offers open.
+// The server closes a connection or a stream on which the client sends nothing before the timeout for its first
+// message. A session may have at most 512 open offers; the server rejects more with a Retry-After.
 func TestGRPCLimits(t *testing.T) {
 	server := newTestServer(t, "a")
 	conn, err := net.Dial("tcp", server.grpcAddr)
@@ -123,10 +126,10 @@
 	}
 	setReadTimeout(t, conn)
 	if _, err := io.Copy(io.Discard, conn); err != nil {
-		t.Errorf("the silent connection was left open: %v", err)
+		t.Errorf("silent connection: got error %v, want a close by the server", err)
 	}
 	if _, err := stream.Recv(); status.Code(err) != codes.DeadlineExceeded {
-		t.Errorf("the silent stream ended with %v", err)
+		t.Errorf("silent stream: got error %v, want DeadlineExceeded", err)
 	}
 	session := server.openSession(t, "many")
 	for i := range 520 {
@@ -135,7 +138,7 @@
 	for range 8 {
 		rejection := testbed.Wait(t, "a rejection", session.messages).GetRejection()
 		if codes.Code(rejection.GetCode()) != codes.ResourceExhausted || rejection.GetRetryAfterMs() == 0 {
-			t.Errorf("got %v", rejection)
+			t.Errorf("offer above the limit: got %v, want code ResourceExhausted and a Retry-After", rejection)
 		}
 	}
 }
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -16,15 +16,15 @@
 	"ravenhitch/internal/testbed"
 )
 
-// statusCase is an offer and the status code that it gets.
+// statusCase is an offer and the expected status code of its response.
 type statusCase struct {
 	name  string
 	offer *edgepb.Offer
 	want  codes.Code
 }
 
-// changed is an offer of a class that may be retried, with one change.
-func changed(id int, task string, change func(offer *edgepb.Offer)) *edgepb.Offer {
+// offerWith returns an offer of class guide-web, whose requests may be retried, after a change to it.
+func offerWith(id int, task string, change func(offer *edgepb.Offer)) *edgepb.Offer {
 	offer := newOffer(testbed.RequestID(id), "guide-web", task, 0)
 	change(offer)
 	return offer
@@ -37,16 +37,17 @@
 	{"invalid id", newOffer("12", "guide-web", "ok-2", 0), codes.InvalidArgument},
 	{"no task", newOffer(testbed.RequestID(4), "guide-web", "", 0), codes.InvalidArgument},
 	{"unknown class", newOffer(testbed.RequestID(5), "nightly", "ok-3", 0), codes.InvalidArgument},
-	{"no size", changed(6, "ok-4", func(offer *edgepb.Offer) { offer.Cores, offer.Memory = 0, 0 }), codes.InvalidArgument},
-	{"a negative size", changed(7, "ok-5", func(offer *edgepb.Offer) { offer.Cores = -1 }), codes.InvalidArgument},
-	{"invalid program", changed(8, "ok-6", func(offer *edgepb.Offer) { offer.Service = "x" }), codes.InvalidArgument},
-	{"long description", changed(9, "ok-7", func(offer *edgepb.Offer) { offer.Description = strings.Repeat("x", 9000) }), codes.InvalidArgument},
-	{"an endless timeout", changed(60, "ok-60", func(offer *edgepb.Offer) { offer.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
-	{"never fits", changed(10, "ok-8", func(offer *edgepb.Offer) { offer.Cores = 1000 }), codes.ResourceExhausted},
+	{"no size", offerWith(6, "ok-4", func(offer *edgepb.Offer) { offer.Cores, offer.Memory = 0, 0 }), codes.InvalidArgument},
+	{"a negative size", offerWith(7, "ok-5", func(offer *edgepb.Offer) { offer.Cores = -1 }), codes.InvalidArgument},
+	{"invalid program", offerWith(8, "ok-6", func(offer *edgepb.Offer) { offer.Service = "x" }), codes.InvalidArgument},
+	{"long description", offerWith(9, "ok-7", func(offer *edgepb.Offer) { offer.Description = strings.Repeat("x", 9000) }), codes.InvalidArgument},
+	{"an endless timeout", offerWith(60, "ok-60", func(offer *edgepb.Offer) { offer.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
+	{"never fits", offerWith(10, "ok-8", func(offer *edgepb.Offer) { offer.Cores = 1000 }), codes.ResourceExhausted},
 	{"another task's id", newOffer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
 }
 
-// Rejections, failures, invalid offers, deadlines and cancellation are status codes.
+// A rejection, a failure, an invalid offer, an expired deadline and a cancellation each end the call with their
+// status code.
 func TestStatusCodes(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, worker := server.grpcClient(t), server.workers[0]
@@ -56,13 +57,13 @@
 			defer cancel()
 			_, err := client.Place(ctx, test.offer)
 			if status.Code(err) != test.want {
-				t.Fatalf("got %v, expected %v", err, test.want)
+				t.Fatalf("got status %v, want code %v", err, test.want)
 			}
 			expectDetails(t, err, test.want)
 		})
 	}
 	if n := worker.StartCount("error-1"); n != 1 {
-		t.Errorf("a task that must not start twice was offered %d times after an error", n)
+		t.Errorf("a task that must not start twice was offered %d times, want 1, as its worker reported an error", n)
 	}
 	t.Run("deadline", func(t *testing.T) { expectDeadline(t, client, worker) })
 	t.Run("cancelled", func(t *testing.T) { expectCancelled(t, client, worker) })
@@ -76,13 +77,13 @@
 			t.Fatal(err)
 		}
 		if _, err := stream.Recv(); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("got %v", err)
+			t.Errorf("stream without an open message: got status %v, want InvalidArgument", err)
 		}
 	})
 }
 
-// expectDetails checks the details of a status: a rejection says when to retry, an invalid offer what is
-// invalid.
+// expectDetails checks the details of a status: a rejection contains the delay before a retry, and the status
+// of an invalid offer contains the field violation.
 func expectDetails(t *testing.T, err error, code codes.Code) {
 	t.Helper()
 	details := status.Convert(err).Details()
@@ -90,16 +91,16 @@
 		switch detail := detail.(type) {
 		case *errdetails.RetryInfo:
 			if detail.GetRetryDelay().AsDuration() <= 0 || code != codes.ResourceExhausted {
-				t.Errorf("the delay is %v", detail)
+				t.Errorf("got RetryInfo %v, want a positive delay, and only with ResourceExhausted", detail)
 			}
 		case *errdetails.BadRequest:
 			if len(detail.GetFieldViolations()) != 1 || code != codes.InvalidArgument {
-				t.Errorf("the violations are %v", detail)
+				t.Errorf("got BadRequest %v, want one field violation, and only with InvalidArgument", detail)
 			}
 		}
 	}
 	if n := len(details); n != 1 && (code == codes.InvalidArgument || code == codes.ResourceExhausted) {
-		t.Errorf("%d details", n)
+		t.Errorf("got %d status details, want 1", n)
 	}
 }
 
@@ -109,7 +110,7 @@
 	began := time.Now()
 	_, err := client.Place(ctx, newOffer(testbed.RequestID(20), "archive-cut", "silent-1", 0))
 	if code := status.Code(err); code != codes.Unknown && code != codes.DeadlineExceeded || time.Since(began) > 5*time.Second {
-		t.Errorf("got %v", err)
+		t.Errorf("offer with a deadline of 300 ms: got status %v, want DeadlineExceeded or Unknown within 5 s", err)
 	}
 	waitAbandoned(t, worker, testbed.RequestID(20))
 }
@@ -127,11 +128,11 @@
 	for testbed.Wait(t, "the offer", worker.Starts).Tag != testbed.RequestID(21) {
 	}
 	cancel()
-	if err := testbed.Wait(t, "the call's end", errs); status.Code(err) != codes.Canceled {
-		t.Errorf("got %v", err)
+	if err := testbed.Wait(t, "the end of the call", errs); status.Code(err) != codes.Canceled {
+		t.Errorf("cancelled call: got status %v, want Canceled", err)
 	}
-	// Nothing came on the connection since the offer: a cancel written there may never arrive, and only
-	// the close abandons the attempt for sure.
+	// The worker has sent nothing on the connection since the offer. A cancel written there may never arrive,
+	// and only closing the connection is certain to abandon the attempt.
 	for testbed.Wait(t, "the close", worker.LostOffers).Tag != testbed.RequestID(21) {
 	}
 }
@@ -141,15 +142,15 @@
 		t.Error(err)
 	}
 	if line := testbed.Wait(t, "the release", worker.Ends); line.Tag != testbed.RequestID(1) {
-		t.Errorf("the worker got %v", line)
+		t.Errorf("the worker got %v, want the release of request 1", line)
 	}
 	if _, err := client.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(99)}); status.Code(err) != codes.NotFound {
-		t.Errorf("got %v", err)
+		t.Errorf("release of an unknown offer: got status %v, want NotFound", err)
 	}
 }
 
-// waitAbandoned waits for the worker to see an attempt abandoned: by a cancel, or, where nothing came from
-// it since the offer, by the close of the connection.
+// waitAbandoned waits until an attempt is abandoned at the worker: by a cancel or, if the worker has sent
+// nothing since the offer, by the close of the connection.
 func waitAbandoned(t *testing.T, worker *testbed.Worker, id string) {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
@@ -164,7 +165,7 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("%s was not abandoned in 10 s", id)
+			t.Fatalf("the attempt of request %s was not abandoned within 10 s", id)
 		}
 	}
 }
--- a/cmd/ravenhitch/grpc_tls_test.go
+++ b/cmd/ravenhitch/grpc_tls_test.go
@@ -27,7 +27,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// writeCertificate writes a certificate for the loopback interface, and its key, into files.
+// writeCertificate writes a self-signed certificate for 127.0.0.1 and its private key to files.
 func writeCertificate(t *testing.T) (certPath, keyPath string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -54,7 +54,8 @@
 	return certPath, keyPath
 }
 
-// With a certificate the front speaks TLS only, and reports its health until the shutdown.
+// With a certificate, the gRPC front accepts only TLS connections. Its health service reports SERVING before a
+// shutdown and NOT_SERVING during one, while offers are still served.
 func TestTLSAndHealth(t *testing.T) {
 	certPath, keyPath := writeCertificate(t)
 	server := startTestServer(t, serverOptions{operators: config.OperatorSettings{GRPCListen: "127.0.0.1:0", GRPCCert: certPath, GRPCKey: keyPath}}, "a")
@@ -80,20 +81,20 @@
 
 	binding, err := client.Place(ctx, newOffer(testbed.RequestID(1), "guide-web", "ok-1", 0))
 	if err != nil || binding.GetNode() != "a" {
-		t.Errorf("over TLS: %v, %v", binding, err)
+		t.Errorf("offer over TLS: got %v, error %v, want a binding to worker a", binding, err)
 	}
 	if _, err := server.grpcClient(t).Place(ctx, newOffer(testbed.RequestID(2), "guide-web", "ok-2", 0)); status.Code(err) != codes.Unavailable {
-		t.Errorf("without TLS: %v", err)
+		t.Errorf("offer without TLS: got status %v, want Unavailable", err)
 	}
 	if status := health(); status != healthpb.HealthCheckResponse_SERVING {
-		t.Errorf("at first: %v", status)
+		t.Errorf("health before the shutdown: got %v, want SERVING", status)
 	}
 	server.Stop()
 	server.onLoop(t, func() {})
 	if status := health(); status != healthpb.HealthCheckResponse_NOT_SERVING {
-		t.Errorf("shutting down: %v", status)
+		t.Errorf("health during the shutdown: got %v, want NOT_SERVING", status)
 	}
 	if _, err := client.Place(ctx, newOffer(testbed.RequestID(3), "guide-web", "ok-3", 0)); err != nil {
-		t.Errorf("an offer during the shutdown: %v", err)
+		t.Errorf("offer during the shutdown: got error %v, want none", err)
 	}
 }
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests admin calls and the handover files: one process that hands over to a successor on a
-// listening socket of the platform.
+// This file tests admin calls, the handover files, and the handover from one process to its successor on a
+// listening socket that the platform owns.
 
 import (
 	"encoding/json"
@@ -22,14 +22,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// managedProcess is a server whose listening socket the platform owns.
+// managedProcess is a server that listens on a socket that the platform owns.
 type managedProcess struct {
 	*server
 	runResult chan error
 }
 
-// Two processes serve one after the other on one socket: a worker that is cordoned at the first is
-// cordoned at the second, no client is rejected, and the first ends.
+// Two processes serve on the same socket, one after the other. A worker that is cordoned at the first process is
+// cordoned at the second, no client is rejected, and the first process ends.
 func TestHandoverToSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	discovery := testbed.NewDiscovery(t)
@@ -45,7 +45,7 @@
 		expectStartedAt(t, firstClient, n+1, "b")
 	}
 	if f := first.figures(t); f.Responses["guide-web"].OK != 8 || f.Attempts != 8 || f.Active != 8 || f.Pool != 2 || f.Ejected != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("figures of the first process: got %+v, want 8 started, 8 attempts, 8 active, 2 workers and 1 ejected", f)
 	}
 
 	second := startManaged(t, discovery, listener)
@@ -53,7 +53,7 @@
 	first.Stop()
 	first.waitShuttingDown(t)
 	secondClient := expectSuccessorServes(t, first, second, firstClient, listener.Addr().String())
-	if err := testbed.Wait(t, "the end of the first", first.runResult); err != nil {
+	if err := testbed.Wait(t, "the end of the first process", first.runResult); err != nil {
 		t.Error(err)
 	}
 	expectStartedAt(t, secondClient, 51, "a")
@@ -61,18 +61,18 @@
 		t.Error(err)
 	}
 
-	// The second has no successor: it serves whoever comes until the kill is near.
+	// The second process has no successor, so it accepts clients until shortly before it is killed.
 	second.Stop()
 	second.waitShuttingDown(t)
 	expectStartedAt(t, testbed.NewClient(t, listener.Addr().String()), 60, "a")
 	second.loop.Post(second.loop.Stop)
-	if err := testbed.Wait(t, "the end", second.runResult); err != nil {
+	if err := testbed.Wait(t, "the end of the second process", second.runResult); err != nil {
 		t.Error(err)
 	}
 }
 
-// connectSilentOperators connects operators that never end their call: they hold nobody up, however many
-// they are.
+// connectSilentOperators opens admin connections whose calls are never complete. Any number of them must not
+// delay other operators.
 func connectSilentOperators(t *testing.T, process *managedProcess, count int) {
 	t.Helper()
 	for range count {
@@ -85,7 +85,7 @@
 	}
 }
 
-// expectAdminAnswers checks the answers to admin calls, and leaves worker a cordoned.
+// expectAdminAnswers checks the replies to admin calls. It leaves worker a cordoned.
 func expectAdminAnswers(t *testing.T, process *managedProcess) {
 	t.Helper()
 	for call, want := range map[string]string{
@@ -95,22 +95,23 @@
 		"DUMP" + strings.Repeat(" ", admin.MaxCallLength): "-ERR expected a call of at most 512 bytes\n",
 	} {
 		if got := process.call(t, call); got != want {
-			t.Errorf("%s: %q", call, got)
+			t.Errorf("admin call %s: got the wrong reply %q", call, got)
 		}
 	}
 	if process.call(t, "OFFLINE b"); process.figures(t).Ejected != 2 {
-		t.Error("one call to cordon undoes another")
+		t.Error("the number of cordoned workers is not 2 after calls to cordon a and b")
 	}
 	process.call(t, "ONLINE b")
 }
 
-// expectSuccessorServes checks what holds while the first process shuts down beside the second: a call to
-// uncordon at the first holds at the second, which did not get it; and clients that connect now are served
-// by the second, while the first still serves its own. It returns a client of the second.
+// expectSuccessorServes checks the time in which the first process shuts down and the second serves. A call to
+// uncordon a worker at the first process takes effect at the second as well. Clients that connect now are served
+// by the second process, and the first still serves the clients that were connected to it. The function returns
+// a client of the second process.
 func expectSuccessorServes(t *testing.T, first, second *managedProcess, firstClient *testbed.Client, addr string) *testbed.Client {
 	t.Helper()
 	if f := second.figures(t); f.Ejected != 1 {
-		t.Errorf("the cordoned worker is not: %+v", f)
+		t.Errorf("figures of the second process: got %+v, want 1 ejected worker", f)
 	}
 	secondClient := testbed.NewClient(t, addr)
 	for n := range 8 {
@@ -118,31 +119,32 @@
 	}
 	expectStartedAt(t, firstClient, 40, "b")
 	if f := second.figures(t); f.Responses["guide-web"].OK != 8 {
-		t.Errorf("clients after the shutdown began went to the one that shuts down: %+v", f)
+		t.Errorf("figures of the second process: got %+v, want 8 started for the client that connected during the shutdown", f)
 	}
 	if got := first.call(t, "ONLINE a"); got != "+OK\n" {
-		t.Errorf("uncordon: %q", got)
+		t.Errorf("uncordon at the first process: got %q, want +OK", got)
 	}
 	for limit := time.Now().Add(testbed.Timeout); second.figures(t).Ejected != 0; {
 		if time.Now().After(limit) {
-			t.Fatal("still cordoned")
+			t.Fatal("the worker is still cordoned at the second process")
 		}
 	}
 	expectStartedAt(t, secondClient, 50, "a")
 	return secondClient
 }
 
-// expectStartedAt submits the nth task, which must start on a worker.
+// expectStartedAt submits task n and checks that it starts on the worker.
 func expectStartedAt(t *testing.T, client *testbed.Client, n int, worker string) {
 	t.Helper()
 	task := fmt.Sprint("ok-", n)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(n), "guide-web", task, 5000))
 	if line := testbed.Wait(t, task, client.Lines); line.Verb != "STARTED" || *line.Blob != worker+" holds about "+task {
-		t.Errorf("%s got %v", task, line)
+		t.Errorf("task %s: got %v, want STARTED from the expected worker", task, line)
 	}
 }
 
-// A cordons file that was cut short stops the start: taken for an empty one it would uncordon workers.
+// A server does not start if the file of cordoned workers is truncated. Reading it as an empty file would
+// uncordon workers.
 func TestTruncatedCordonsStopTheStart(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	b := admin.Cordons{"a": true}.Encode()
@@ -153,11 +155,11 @@
 	cfg.AdminAddr = "127.0.0.1:0"
 	server, err := start(cfg, config.OperatorSettings{}, slog.New(slog.DiscardHandler))
 	if err == nil || !strings.Contains(err.Error(), "minions-out:3: expected") {
-		t.Errorf("%v, %v", server, err)
+		t.Errorf("start with a truncated file: got server %v, error %v, want an error at minions-out:3", server, err)
 	}
 }
 
-// Processes that change the file at once lose no change.
+// No change is lost if several processes change the file of cordoned workers at the same time.
 func TestConcurrentCordonChanges(t *testing.T) {
 	dir := t.TempDir()
 	var processes sync.WaitGroup
@@ -173,11 +175,11 @@
 	}
 	processes.Wait()
 	if cordons, err := newHandoverStore(dir).readCordons(); err != nil || len(cordons) != 8*16 {
-		t.Errorf("%d are cordoned: %v", len(cordons), err)
+		t.Errorf("got %d cordoned workers, error %v, want 128", len(cordons), err)
 	}
 }
 
-// startManaged starts a server on a listening socket that the platform owns.
+// startManaged starts a server that inherits a listening socket from the platform.
 func startManaged(t *testing.T, discovery *testbed.Discovery, listener net.Listener) *managedProcess {
 	t.Helper()
 	file, err := listener.(*net.TCPListener).File()
@@ -185,7 +187,7 @@
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, file)
-	// The server closes the descriptor that it inherits: it gets a copy, as a child process does.
+	// The server closes the descriptor that it inherits, so it gets a duplicate, as a child process does.
 	inherited, err := unix.Dup(int(file.Fd()))
 	if err != nil {
 		t.Fatal(err)
@@ -201,51 +203,51 @@
 	return process
 }
 
-// call makes one admin call and returns all of the answer.
+// call makes one admin call and returns the whole reply.
 func (p *managedProcess) call(t *testing.T, line string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // all of the answer is read by then
+	defer func() { _ = conn.Close() }() // the whole reply has been read
 	if err := conn.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	write(t, conn, []byte(line+"\n"))
 	b, err := io.ReadAll(conn)
 	if err != nil {
-		t.Fatalf("%s: %v", line, err)
+		t.Fatalf("admin call %s: reading the reply: %v", line, err)
 	}
 	return string(b)
 }
 
-// waitReady waits until the server answers that it is healthy.
+// waitReady waits until the server replies to HEALTH that it is healthy.
 func (p *managedProcess) waitReady(t *testing.T) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Timeout); p.call(t, "HEALTH") != "+OK\n"; {
 		if time.Now().After(limit) {
-			t.Fatal("never ready")
+			t.Fatal("the server did not become healthy in time")
 		}
 	}
 }
 
-// waitShuttingDown waits until the server answers that it shuts down.
+// waitShuttingDown waits until the server replies to HEALTH that it is shutting down.
 func (p *managedProcess) waitShuttingDown(t *testing.T) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Timeout); p.call(t, "HEALTH") != "-ERR ending\n"; {
 		if time.Now().After(limit) {
-			t.Fatal("never answers that it shuts down")
+			t.Fatal("the server did not reply in time that it is shutting down")
 		}
 	}
 }
 
-// figures are the figures that an operator gets.
+// figures returns the figures that the server reports to operators.
 func (p *managedProcess) figures(t *testing.T) (figures admin.Figures) {
 	t.Helper()
 	line, rest, _ := strings.Cut(p.call(t, "DUMP"), "\n")
 	if err := json.Unmarshal([]byte(line), &figures); err != nil || rest != ".\n" {
-		t.Fatalf("%q, %q: %v", line, rest, err)
+		t.Fatalf("admin call DUMP: got %q, then %q, error %v, want JSON, then a line with a dot", line, rest, err)
 	}
 	return figures
 }
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests that the heap does not grow with the number of completions.
+// This file tests that the heap of the server does not grow with the number of completions.
 
 import (
 	"flag"
@@ -12,11 +12,12 @@
 
 var completionsPlayed = flag.Int("endings", 2000, "endings of each kind over loopback")
 
-// heapSlack is what the heap of the server and the testbed may differ by where nothing is leaked: buffers
-// of connections, and what the runtime has not freed yet.
+// heapSlack is the maximum growth in bytes of the heap of the server and the testbed if nothing is leaked. It
+// covers the buffers of connections and the memory that the runtime has not freed yet.
 const heapSlack = 96 << 10
 
-// completionKinds are the ways in which a request or a task ends on sockets. Each plays one.
+// completionKinds maps each way in which a request or a task ends over sockets to a function that submits one
+// and ends it in that way.
 var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "ok-1")
@@ -27,9 +28,9 @@
 		submitAndExpectStart(t, client, id, "ok-1")
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the release", client.Lines); line.Verb != "FINISHED" {
-			t.Fatalf("got %v", line)
+			t.Fatalf("got %v, want FINISHED", line)
 		}
-		server.waitUntil(t, "its end", func() bool {
+		server.waitUntil(t, "the confirmed end of the task", func() bool {
 			return server.dispatcher.RunningCount() == 0 && !server.pool.HasUnconfirmedReleases()
 		})
 	},
@@ -42,23 +43,23 @@
 		testbed.Wait(t, "the offer", server.workers[0].Starts)
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the cancel", client.Lines); line.Verb != "FINISHED" {
-			t.Fatalf("got %v", line)
+			t.Fatalf("got %v, want FINISHED", line)
 		}
 	},
 	"its client's connection closed": func(t *testing.T, server *testServer, _ *testbed.Client, id string) {
-		leaver, err := testbed.Dial(server.clientAddr)
+		leaving, err := testbed.Dial(server.clientAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		testbed.Send(leaver, testbed.StartLine(id, "archive-cut", "silent-1", 5000))
+		testbed.Send(leaving, testbed.StartLine(id, "archive-cut", "silent-1", 5000))
 		testbed.Wait(t, "the offer", server.workers[0].Starts)
-		closeNow(t, leaver)
-		server.waitUntil(t, "it left", func() bool { return server.dispatcher.OpenCount() == 0 })
+		closeNow(t, leaving)
+		server.waitUntil(t, "the end of the request", func() bool { return server.dispatcher.OpenCount() == 0 })
 	},
 }
 
-// What the fronts, the event loop and the connections to workers hold does not grow with the number of
-// completions either.
+// The memory that the fronts, the event loop and the connections to workers use does not grow with the number of
+// completions.
 func TestHeapAfterManyCompletions(t *testing.T) {
 	for name, complete := range completionKinds {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +76,7 @@
 			grown := server.settledHeap(t) - before
 			t.Logf("the heap has grown by %d bytes over %d completions", grown, *completionsPlayed-*completionsPlayed/2)
 			if grown > heapSlack {
-				t.Errorf("the heap has grown by %d bytes, expected %d at most", grown, heapSlack)
+				t.Errorf("the heap has grown by %d bytes, want at most %d", grown, heapSlack)
 			}
 		})
 	}
@@ -85,18 +86,19 @@
 	t.Helper()
 	testbed.Send(client, testbed.StartLine(id, "guide-web", task, 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || line.Tag != id {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v, want STARTED for the submitted request", line)
 	}
 }
 
 func expectCompletion(t *testing.T, client *testbed.Client, id string) {
 	t.Helper()
 	if line := testbed.Wait(t, "the completion", client.Lines); line.Verb != "FINISH" || line.Tag != id {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v, want FINISH for the submitted request", line)
 	}
 }
 
-// discardNotes takes what a worker notes, so that it never waits for the test.
+// discardNotes empties the channels to which a worker reports offers and their ends. Otherwise the worker would
+// block on a full channel.
 func discardNotes(worker *testbed.Worker) {
 	for {
 		select {
@@ -109,7 +111,8 @@
 	}
 }
 
-// liveHeap is what is reachable. A second collection frees what finalizers held in the first.
+// liveHeap returns the size of the reachable heap in bytes. The second garbage collection frees the objects that
+// finalizers kept reachable in the first one.
 func liveHeap() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -118,8 +121,9 @@
 	return int64(stats.HeapAlloc)
 }
 
-// settledHeap is the live heap once the worker has freed its notes, which it holds for as long as a
-// connection.
+// settledHeap returns the size of the live heap in bytes after the worker has freed the records that it keeps
+// for each connection. It closes the worker's connections for that, and waits until no request, cancel or
+// release is pending.
 func (s *testServer) settledHeap(t *testing.T) int64 {
 	t.Helper()
 	worker := s.workers[0]
@@ -129,7 +133,7 @@
 		dials, open := worker.DialCounts()
 		return dials > before && open == dials-before
 	})
-	s.waitUntil(t, "nothing is unfinished", func() bool {
+	s.waitUntil(t, "the end of all open requests, cancels and releases", func() bool {
 		return s.dispatcher.OpenCount() == 0 && s.pool.UnconfirmedCancels() == 0 && !s.pool.HasUnconfirmedReleases()
 	})
 	discardNotes(worker)
--- a/cmd/ravenhitch/rehearse_test.go
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests a rehearsal as a process, and its schedules.
+// This file tests the sub-command rehearse as a process, and its schedules of faults.
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A rehearsal shows what was played, breaks no rule, and leaves nothing running.
+// A rehearsal records the load and the faults that it ran, reports no failed check, and leaves no process running.
 func TestRehearse(t *testing.T) {
 	program, dir := buildProgram(t), filepath.Join(t.TempDir(), "out")
 	output, err := exec.Command(program, "rehearse", "--orchestrators", "3", "--seconds", "6",
@@ -32,34 +32,34 @@
 		t.Error(err)
 	}
 	if len(r.Failures) > 0 || r.Total.Started == 0 {
-		t.Errorf("failures %v, tasks %+v", r.Failures, r.Total)
+		t.Errorf("recording: got failures %v and totals %+v, want no failures and some started tasks", r.Failures, r.Total)
 	}
 	if len(r.Moments) < 10 || len(r.Steps) != 2 {
-		t.Errorf("%d moments, %d steps", len(r.Moments), len(r.Steps))
+		t.Errorf("recording: got %d moments and %d steps, want at least 10 moments and 2 steps", len(r.Moments), len(r.Steps))
 	}
 	if timeline, err := os.ReadFile(filepath.Join(dir, timelineFile)); err != nil || !bytes.Contains(timeline, []byte("1s kill n2")) {
-		t.Errorf("the timeline: %v", err)
+		t.Errorf("timeline: read error %v, or the step \"1s kill n2\" is missing", err)
 	}
-	// Its orchestrators run the same program, which no other test does.
+	// The orchestrators of the rehearsal run the same binary, which no other test runs.
 	commandLines, err := filepath.Glob("/proc/[0-9]*/cmdline")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range commandLines {
 		if line, err := os.ReadFile(path); err == nil && bytes.HasPrefix(line, []byte(program)) {
-			t.Errorf("still runs: %q", line)
+			t.Errorf("a process of the rehearsal still runs: %q", line)
 		}
 	}
 }
 
-// Schedules are parsed back from what they are written as.
+// A formatted schedule parses to the same schedule, and invalid schedules give an error that names the mistake.
 func TestSchedules(t *testing.T) {
 	zones := map[string][]string{"hall-a": {"n0", "n1"}, "hall-b": {"n2", "n3", "n4"}}
 	for seed := range uint64(200) {
 		steps := testbed.DrawSchedule(seed, zones, 20*time.Second)
-		again, err := testbed.ParseSchedule(testbed.FormatSchedule(steps))
-		if err != nil || testbed.FormatSchedule(again) != testbed.FormatSchedule(steps) {
-			t.Fatalf("seed %d: %s became %s (%v)", seed, testbed.FormatSchedule(steps), testbed.FormatSchedule(again), err)
+		reparsed, err := testbed.ParseSchedule(testbed.FormatSchedule(steps))
+		if err != nil || testbed.FormatSchedule(reparsed) != testbed.FormatSchedule(steps) {
+			t.Fatalf("seed %d: schedule %s was parsed as %s, error %v", seed, testbed.FormatSchedule(steps), testbed.FormatSchedule(reparsed), err)
 		}
 	}
 	for text, want := range map[string]string{
@@ -75,7 +75,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if _, err := testbed.ParseSchedule(text); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got %v, expected %q", err, want)
+				t.Errorf("got error %v, want %q in it", err, want)
 			}
 		})
 	}
--- a/cmd/ravenhitch/reload_test.go
+++ b/cmd/ravenhitch/reload_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests a changed configuration of a running server.
+// This file tests that a running server reloads its configuration.
 
 import (
 	"os"
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A new configuration moves the server to another discovery, which it polls for what follows the last
-// event; one that can't be used changes nothing. Open requests and running tasks are not touched.
+// After a reload with another discovery address, the server polls the new discovery for the events after the last
+// one that it applied. An invalid configuration changes nothing. Open requests and running tasks are unaffected.
 func TestReload(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -31,14 +31,14 @@
 		server.Reload(path)
 	}
 
-	if n := testbed.Wait(t, "the new discovery is polled", next.Polls); n != 1 {
-		t.Errorf("polled for what follows %d", n)
+	if n := testbed.Wait(t, "a poll of the new discovery", next.Polls); n != 1 {
+		t.Errorf("first poll of the new discovery: got events after %d, want events after 1", n)
 	}
 	next.WaitPolled(t)
 	server.discovery.Server.CloseClientConnections()
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || *line.Blob != "b holds about ok-2" {
-		t.Errorf("got %v", line)
+		t.Errorf("request 2: got %v, want STARTED from worker b", line)
 	}
 	server.workers[0].End(testbed.RequestID(1), causeDone)
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file restarts many processes at once, with many workers known from their configurations, and
-// measures how long each takes until it is ready: until it has answered a ping, which is what the front
+// This file restarts many processes at once, each with many workers in its configuration, and measures how long
+// each process takes to become ready. A process is ready when it has answered a ping, which is what the front end
 // of the platform waits for.
 
 import (
@@ -19,18 +19,18 @@
 )
 
 var (
-	startProcesses = flag.Int("processes", 4, "processes that are restarted at once")
-	startWorkers   = flag.Int("workers", 200, "workers that they know")
+	restartProcesses = flag.Int("processes", 4, "processes that are restarted at once")
+	restartWorkers   = flag.Int("workers", 200, "workers that they know")
 )
 
-// startListeners is how many listeners the workers share: each worker is a connection of its own, whatever
-// it is called.
-const startListeners = 8
+// sharedListeners is the number of listeners that the workers share. The server opens a separate
+// connection to each worker, whether or not workers share an address.
+const sharedListeners = 8
 
-// All processes are killed and started again at once: each is ready again, and places tasks. The times are
-// printed and not asserted; -args -processes 16 -workers 4000 plays it in full.
+// All processes are killed and started again at once. Each becomes ready again and starts a task on a worker. The
+// times are printed and not checked. The full-size test is -args -processes 16 -workers 4000.
 func TestRestartedAtOnce(t *testing.T) {
-	rig := newRestartRig(t, *startProcesses, *startWorkers)
+	rig := newRestartRig(t, *restartProcesses, *restartWorkers)
 	rig.start(t)
 	rig.kill()
 	took := rig.start(t)
@@ -39,17 +39,17 @@
 	}
 	rig.kill()
 	n := len(took)
-	t.Logf("start: processes=%d workers=%d ready=%d median_ms=%d nine_in_ten_ms=%d slowest_ms=%d", n, *startWorkers, n,
+	t.Logf("start: processes=%d workers=%d ready=%d median_ms=%d nine_in_ten_ms=%d slowest_ms=%d", n, *restartWorkers, n,
 		took[n/2].Milliseconds(), took[(9*n+9)/10-1].Milliseconds(), took[n-1].Milliseconds())
 }
 
-// restartRig is the processes and the discovery that they follow.
+// restartRig consists of the processes to restart and the discovery that they follow.
 type restartRig struct {
 	discovery *testbed.Discovery
 	processes []*testbed.Process
 }
 
-// newRestartRig prepares processes, and starts none.
+// newRestartRig prepares the processes without starting them.
 func newRestartRig(t *testing.T, processes, workers int) *restartRig {
 	t.Helper()
 	program, dir := buildProgram(t), t.TempDir()
@@ -68,30 +68,29 @@
 	return rig
 }
 
-// workerEntries lists so many workers, which share listeners.
+// workerEntries returns the list entries of the given number of workers, which share listeners.
 func workerEntries(t *testing.T, workers int) (entries []string) {
 	t.Helper()
 	var listeners []*testbed.Worker
-	for i := range startListeners {
+	for i := range sharedListeners {
 		listeners = append(listeners, testbed.NewWorker(t, fmt.Sprint("listener", i)))
 	}
 	for i := range workers {
-		listener := listeners[i%startListeners]
+		listener := listeners[i%sharedListeners]
 		entry := strings.Replace(listener.ListEntry("up"), fmt.Sprintf("%q", listener.Name), fmt.Sprintf(`"s-%08x"`, i), 1)
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
-// kill kills all processes that run.
+// kill kills all running processes.
 func (r *restartRig) kill() {
 	for _, process := range r.processes {
 		process.End(syscall.SIGKILL)
 	}
 }
 
-// start starts all processes at once. It returns how long each took until it had answered a ping, in
-// order.
+// start starts all processes at once. It returns the times that they took to answer a ping, in ascending order.
 func (r *restartRig) start(t *testing.T) []time.Duration {
 	t.Helper()
 	type ready struct {
@@ -121,7 +120,8 @@
 	return took
 }
 
-// pingUntilReady pings a process as the front of the platform does, as soon as it serves.
+// pingUntilReady pings a process as soon as it listens, as the front end of the platform does, and waits for the
+// answer.
 func pingUntilReady(process *testbed.Process) error {
 	addr, err := process.WaitForLog("listen=")
 	if err != nil {
@@ -131,20 +131,20 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = client.Close() }() // the answer is read by then
+	defer func() { _ = client.Close() }() // the answer has been read
 	testbed.Send(client, pingLine("t"))
 	select {
 	case line := <-client.Lines:
 		if line.Verb != "ECHOED" || line.Cause() != 1 {
-			return fmt.Errorf("%s: the ping got %v", process.Name, line)
+			return fmt.Errorf("%s: the ping got %v, want ECHOED with code 1", process.Name, line)
 		}
 		return nil
 	case <-time.After(testbed.Timeout):
-		return fmt.Errorf("%s: the ping got no answer in %s", process.Name, testbed.Timeout)
+		return fmt.Errorf("%s: the ping got no answer within %s", process.Name, testbed.Timeout)
 	}
 }
 
-// expectServes lets a process place a task on a worker.
+// expectServes submits a task to a process and checks that it starts.
 func expectServes(t *testing.T, process *testbed.Process, id string) {
 	t.Helper()
 	addr, err := process.WaitForLog("listen=")
@@ -153,7 +153,7 @@
 	}
 	client := testbed.NewClient(t, addr)
 	testbed.Send(client, testbed.StartLine(id, "guide-web", "ok-"+id, 6000))
-	if line := testbed.Wait(t, "the response of "+process.Name, client.Lines); line.Verb != "STARTED" {
-		t.Errorf("%s: got %v", process.Name, line)
+	if line := testbed.Wait(t, "the response from "+process.Name, client.Lines); line.Verb != "STARTED" {
+		t.Errorf("%s: got %v, want STARTED", process.Name, line)
 	}
 }
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -1,6 +1,7 @@
 package main
 
-// This file tests retry tokens: proofs of a place in line, which any orchestrator of the same keys takes.
+// This file tests retry tokens. A retry token proves a request's place in the waitlist to any orchestrator that has
+// the same keys.
 
 import (
 	"bytes"
@@ -23,7 +24,7 @@
 
 const tokenKeys = "[keys]\nkey 2026-12 000102030405060708090a0b0c0d0e0f\n"
 
-// newServerWithTokenKeys starts a server with retry token keys, and returns where they are stored.
+// newServerWithTokenKeys starts a server with retry token keys. It returns the server and the path of the key file.
 func newServerWithTokenKeys(t *testing.T) (server *testServer, keysPath string) {
 	t.Helper()
 	keysPath = filepath.Join(t.TempDir(), "tickets.keys")
@@ -34,62 +35,63 @@
 	return startTestServer(t, serverOptions{operators: operators}, "a"), keysPath
 }
 
-// tokenCounts are the counts of retry tokens that came.
+// tokenCounts returns the counts of the retry tokens that the server received.
 func (s *testServer) tokenCounts(t *testing.T) (counts grpcfront.TokenCounts) {
 	t.Helper()
 	s.onLoop(t, func() { counts = s.grpcFront.TokenCounts() })
 	return counts
 }
 
-// expectTokenCounts checks the counts of retry tokens that came.
+// expectTokenCounts checks the counts of the retry tokens that the server received.
 func (s *testServer) expectTokenCounts(t *testing.T, want grpcfront.TokenCounts) {
 	t.Helper()
 	if got := s.tokenCounts(t); got != want {
-		t.Errorf("%+v, expected %+v", got, want)
+		t.Errorf("retry token counts: got %+v, want %+v", got, want)
 	}
 }
 
-// A token that one orchestrator gave proves the place in line at another of the same keys, once, at its
-// time; any other token is worth nothing, and the offer is served.
+// A retry token that one orchestrator issued is valid at another orchestrator with the same keys, but only once and
+// not before its Retry-After has passed. A token that is early, used or invalid has no effect: the offer is handled
+// like one without a token.
 func TestRetryTokens(t *testing.T) {
-	here, _ := newServerWithTokenKeys(t)
-	there, keysPath := newServerWithTokenKeys(t)
-	token, retryAfter := rejectedWithToken(t, here)
+	issuer, _ := newServerWithTokenKeys(t)
+	verifier, keysPath := newServerWithTokenKeys(t)
+	token, retryAfter := rejectWithToken(t, issuer)
 	rejectedAt := time.Now()
 	n := 1
-	bring := func(task string, token []byte) {
+	placeWithToken := func(task string, token []byte) {
 		t.Helper()
 		n++
 		offer := newOffer(testbed.RequestID(n), "guide-web", task, 1000)
 		offer.Ticket = token
-		if _, err := there.grpcClient(t).Place(t.Context(), offer); status.Code(err) != codes.ResourceExhausted {
-			t.Errorf("got %v", err)
+		if _, err := verifier.grpcClient(t).Place(t.Context(), offer); status.Code(err) != codes.ResourceExhausted {
+			t.Errorf("offer with a retry token: got status %v, want ResourceExhausted", err)
 		}
 	}
 
 	altered := bytes.Clone(token)
 	altered[10] ^= 1
-	bring("full-1", token) // early
-	bring("full-1", altered)
-	bring("full-2", token) // another task's
+	placeWithToken("full-1", token)   // early
+	placeWithToken("full-1", altered) // invalid
+	placeWithToken("full-2", token)   // issued for another task
 	<-time.After(time.Until(rejectedAt.Add(retryAfter)))
-	bring("full-1", token)
-	bring("full-1", token) // used
-	there.expectTokenCounts(t, grpcfront.TokenCounts{Good: 1, Early: 1, Used: 1, Bad: 2})
+	placeWithToken("full-1", token)
+	placeWithToken("full-1", token) // used
+	verifier.expectTokenCounts(t, grpcfront.TokenCounts{Good: 1, Early: 1, Used: 1, Bad: 2})
 
-	// Keys that can't be used change nothing; new ones hold from then on.
+	// A key file without a valid key changes nothing; valid new keys apply after the reload.
 	for _, text := range []string{"[keys]", "[keys]\nkey 2027-01 ffffffffffffffffffffffffffffffff\n"} {
 		if err := os.WriteFile(keysPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		there.Reload("none")
-		bring("full-1", token)
+		verifier.Reload("none")
+		placeWithToken("full-1", token)
 	}
-	there.expectTokenCounts(t, grpcfront.TokenCounts{Good: 1, Early: 1, Used: 2, Bad: 3})
+	verifier.expectTokenCounts(t, grpcfront.TokenCounts{Good: 1, Early: 1, Used: 2, Bad: 3})
 }
 
-// rejectedWithToken has a request rejected, and returns the token and when to come again.
-func rejectedWithToken(t *testing.T, server *testServer) (token []byte, retryAfter time.Duration) {
+// rejectWithToken submits a request that is rejected, and returns its retry token and its Retry-After.
+func rejectWithToken(t *testing.T, server *testServer) (token []byte, retryAfter time.Duration) {
 	t.Helper()
 	_, err := server.grpcClient(t).Place(t.Context(), newOffer(testbed.RequestID(1), "guide-web", "full-1", 1000))
 	for _, detail := range status.Convert(err).Details() {
@@ -101,13 +103,13 @@
 		}
 	}
 	if status.Code(err) != codes.ResourceExhausted || len(token) == 0 || retryAfter <= 0 || retryAfter > 3*time.Second {
-		t.Fatalf("got %v with a token of %d bytes, to come back after %s", err, len(token), retryAfter)
+		t.Fatalf("got status %v with a token of %d bytes and Retry-After %s, want ResourceExhausted, a token and at most 3 s", err, len(token), retryAfter)
 	}
 	return token, retryAfter
 }
 
-// The client package follows the Retry-After of a real orchestrator: rejected at first, it comes back at its
-// time, with its token, and is started once there is free capacity.
+// The client package follows the Retry-After of a real orchestrator. A task that was rejected is submitted again
+// after the Retry-After, with its retry token, and starts once there is free capacity.
 func TestClientRetriesWithToken(t *testing.T) {
 	server, _ := newServerWithTokenKeys(t)
 	conn := server.dialGRPC(t)
@@ -129,12 +131,12 @@
 	server.waitUntil(t, "a rejection", func() bool { return server.dispatcher.Counts().Rejected > 0 })
 	server.discovery.Add(true, b.ListEntry("up"))
 	if got := testbed.Wait(t, "the binding", placed); got.error != nil || got.Worker != "b" {
-		t.Errorf("got %+v", got)
+		t.Errorf("Place: got %+v, want a binding to worker b", got)
 	}
 	if got := server.tokenCounts(t); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
-		t.Errorf("tokens: %+v", got)
+		t.Errorf("retry token counts: got %+v, want one good token and no other", got)
 	}
 	if n := b.StartCount("ok-7"); n != 1 {
-		t.Errorf("it was started %d times", n)
+		t.Errorf("the task was offered to worker b %d times, want 1", n)
 	}
 }
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests what becomes of a task that was accepted and has ended, and whose acceptance was never read.
+// This file tests tasks that a worker accepted and ended before the orchestrator read the acceptance.
 
 import (
 	"testing"
@@ -8,17 +8,16 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A worker accepts tasks, and begins to drain before its acceptance is read: it sends them away, each with a FINISH of
-// code 41 and the note drained. Such a note says that the task ran, so the request is over and its client is owed that
-// at once. Instead the end was taken for that of an offer which broke on its way, and a task that may be repeated was
-// begun again elsewhere.
+// A worker accepts tasks and begins to drain before the orchestrator has read the acceptances. The worker ends each task
+// with a FINISH of code 41 and the note drained. The note means that the task ran, so the request is over and its client
+// gets a response at once. The orchestrator used to treat the end as that of an offer that was lost in transit, and
+// offered a task that may be repeated to another worker.
 //
-// In each broken play that was traced, every request that the rule names had one line
+// In a trace of the failure, each such request has the line
 //
 //	msg="worker ended offer" code=41 note=drained description=false
 //
-// and after it an offer to another worker; those of the same line that broke nothing were answered, or ended for the
-// second time, within the second.
+// followed by an offer to another worker.
 func TestTaskSentAwayBeforeItsAcceptance(t *testing.T) {
 	for _, class := range []string{"guide-web", "archive-cut"} {
 		t.Run(class, func(t *testing.T) {
@@ -28,13 +27,14 @@
 			server.sendAwayOnceOffered(t, testbed.RequestID(1))
 			expectCause(t, "the response", client, testbed.RequestID(1), causeFailed)
 			if offers := server.workers[0].StartCount("held-1") + server.workers[1].StartCount("held-1"); offers != 1 {
-				t.Errorf("offered %d times", offers)
+				t.Errorf("the task was offered %d times, want 1", offers)
 			}
 		})
 	}
 }
 
-// sendAwayOnceOffered lets the worker at which the task of a request runs send it away.
+// sendAwayOnceOffered waits until the task of a request runs at a worker, and has that worker end it as a draining
+// worker does.
 func (s *testServer) sendAwayOnceOffered(t *testing.T, requestID string) {
 	t.Helper()
 	for {
@@ -44,17 +44,18 @@
 				return
 			}
 		}
-		s.onLoop(t, func() {}) // a turn
+		s.onLoop(t, func() {}) // wait for a turn of the event loop
 	}
 }
 
-// A worker accepts a task, and the connection is closed before its acceptance is read: the request is pending, as it may
-// be tried again, but no worker is there for it. Then the worker reports the end of the task on the next connection, as it
-// does: the task ran and is over, so the request is answered at once, and not tried again once a worker is there.
+// A worker accepts a task, and the connection is closed before the orchestrator has read the acceptance. The request is
+// pending because it may be retried, but no worker is available. The worker then reports the end of the task on its next
+// connection. The task ran and is over, so the request gets a response at once and is not offered again when a worker
+// becomes available.
 //
-// The soak showed it (seed 15): 'connection lost with offer open', the end at the worker 220 ms later, nothing of it in
-// the trace, and 'offer attempt=1' to another worker 380 ms after that. An end that came by another connection than the
-// offer's was taken only for a running task or for one that is not known.
+// The orchestrator used to accept an end on another connection than that of the offer only for a running task or an
+// unknown one. In the soak with seed 15, the trace showed 'connection lost with offer open', the worker ended the task
+// 220 ms later without a line in the trace, and 'offer attempt=1' to another worker followed 380 ms after that.
 func TestTaskEndedOnAnotherConnection(t *testing.T) {
 	for _, end := range []struct {
 		name string
@@ -71,13 +72,13 @@
 			testbed.Wait(t, "the offer", worker.Starts)
 			server.drainOnlyWorker(t)
 			worker.CloseConnections()
-			server.waitUntil(t, "the reset", func() bool { return server.dispatcher.Counts().Reset == 1 })
+			server.waitUntil(t, "the reset attempt", func() bool { return server.dispatcher.Counts().Reset == 1 })
 			end.send(worker, testbed.RequestID(1))
 			expectCause(t, "the response", client, testbed.RequestID(1), causeFailed)
 			server.undrainOnlyWorker()
 			server.discovery.WaitPolled(t)
 			if offers := worker.StartCount("held-1"); offers != 1 {
-				t.Errorf("offered %d times", offers)
+				t.Errorf("the task was offered %d times, want 1", offers)
 			}
 		})
 	}
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests what is answered, and how connections end, at a shutdown.
+// This file tests responses and the end of connections during a shutdown.
 
 import (
 	"bufio"
@@ -18,8 +18,7 @@
 	"ravenhitch/placement"
 )
 
-// During a shutdown new clients are still served, and the server stops without an error once nothing is
-// open.
+// New clients are still served during a shutdown. The server stops without an error once no request is open.
 func TestNewClientsServedDuringShutdown(t *testing.T) {
 	server := newTestServer(t, "a")
 	early := server.connect(t)
@@ -29,19 +28,19 @@
 	server.onLoop(t, func() {}) // the shutdown has begun
 	late := server.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-1", 5000))
-	if line := testbed.Wait(t, "the late client's response", late.Lines); line.Verb != "STARTED" {
-		t.Errorf("the late client got %v", line)
+	if line := testbed.Wait(t, "the response to the late client", late.Lines); line.Verb != "STARTED" {
+		t.Errorf("late client: got %v, want STARTED", line)
 	}
-	if line := testbed.Wait(t, "the early client's response", early.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(1) {
-		t.Errorf("the early client got %v", line)
+	if line := testbed.Wait(t, "the response to the early client", early.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(1) {
+		t.Errorf("early client: got %v, want FINISH for request 1", line)
 	}
 	if err := server.waitStopped(t); err != nil {
 		t.Error(err)
 	}
 }
 
-// Stopped again and again, and made to reload in the same instant, the server answers what is open once,
-// by what may have become of it.
+// If the server is stopped twice and reloads its configuration at the same time, each open request gets exactly one
+// response: a failure if its task may have run and must not run again, and a rejection otherwise.
 func TestRepeatedStop(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
 	client := server.connect(t)
@@ -51,10 +50,10 @@
 		testbed.Wait(t, "the offer", server.workers[0].Starts)
 	}
 	server.drainOnlyWorker(t)
-	for i, class := range classes { // these are never offered
+	for i, class := range classes { // never offered, as the only worker is draining
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+3), class, fmt.Sprint("ok-", i), 60_000))
 	}
-	server.waitUntil(t, "all are open", func() bool { return server.dispatcher.OpenCount() == 4 })
+	server.waitUntil(t, "four open requests", func() bool { return server.dispatcher.OpenCount() == 4 })
 	next := testbed.NewDiscovery(t)
 	next.CopyFrom(server.discovery)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -70,25 +69,25 @@
 	for range 4 {
 		line := testbed.Wait(t, "a response", client.Lines)
 		if got[line.Tag] != 0 || line.Verb != "FINISH" {
-			t.Errorf("got %v", line)
+			t.Errorf("got %v, want one FINISH for each request", line)
 		}
 		got[line.Tag] = line.Cause()
 	}
 	want := map[string]int{testbed.RequestID(1): causeRejected, testbed.RequestID(2): causeFailed,
 		testbed.RequestID(3): causeRejected, testbed.RequestID(4): causeRejected}
 	if !maps.Equal(got, want) {
-		t.Errorf("answered %v, expected %v", got, want)
+		t.Errorf("codes of the responses by request ID: got %v, want %v", got, want)
 	}
 	if err := server.waitStopped(t); err != nil {
 		t.Error(err)
 	}
-	for line := range client.Lines { // closed
-		t.Errorf("a second response: %v", line)
+	for line := range client.Lines { // until the server closes the connection
+		t.Errorf("got %v after all responses, want no line", line)
 	}
 }
 
-// At the drain timeout the server does not stop in the turn in which it rejects what is open: slow readers
-// have a moment for that.
+// At the drain timeout, the server does not stop in the turn of the event loop in which it rejects the open requests.
+// Clients that read slowly still have time to read their responses.
 func TestResponsesFlushedAtDrainTimeout(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
 	conn := newSlowReader(t, server)
@@ -108,15 +107,16 @@
 	select {
 	case <-turnAfter:
 	case err := <-server.runResult:
-		t.Fatalf("it stopped as it answered: %v", err)
+		t.Fatalf("the server stopped in the turn in which it rejected the open request: %v", err)
 	}
-	if err := server.waitStopped(t); err != nil { // with nothing read
+	if err := server.waitStopped(t); err != nil { // the client has read nothing
 		t.Error(err)
 	}
 }
 
-// At the end of the server a connection on which an attempt may be in flight is reset: what lies in it
-// would else be delivered when nobody waits for it. Others are closed.
+// When the server stops, it resets each connection on which an attempt may be in flight. Otherwise, unsent data of the
+// connection would be delivered after the server has stopped, when no client waits for the result. Other connections
+// are closed.
 func TestWorkerConnectionsAtShutdown(t *testing.T) {
 	for name, inFlight := range map[string]bool{"an attempt is in flight": true, "no attempt is": false} {
 		t.Run(name, func(t *testing.T) {
@@ -134,9 +134,10 @@
 			if inFlight {
 				testbed.Send(server.connect(t), testbed.StartLine(testbed.RequestID(1), "archive-cut", "k", 60_000))
 				if line, err := reader.ReadString('\n'); err != nil || !strings.Contains(line, "START") {
-					t.Fatalf("the offer is %q, %v", line, err)
+					t.Fatalf("got line %q, error %v, want the offer", line, err)
 				}
-				// Its last message comes after the offer: the cancel is written.
+				// The worker sends a message after the offer, so the server writes a cancel instead of closing the
+				// connection.
 				testbed.Send(worker, testbed.Line{Verb: "NOTICE", Tag: testbed.RequestID(0), Opts: map[string]string{"note": "up", "value": "0"}})
 			}
 			server.Stop()
@@ -144,13 +145,14 @@
 				t.Error(err)
 			}
 			if _, err := io.Copy(io.Discard, reader); errors.Is(err, syscall.ECONNRESET) != inFlight {
-				t.Errorf("the connection's end is %v", err)
+				t.Errorf("end of the connection: got error %v, want a reset only if an attempt is in flight", err)
 			}
 		})
 	}
 }
 
-// What is open at SIGTERM is answered before the kill comes, which depends on the longest deadline.
+// Requests that are open at SIGTERM get a response before the platform kills the process, at a time that depends on the
+// longest deadline.
 func TestDrainTimeout(t *testing.T) {
 	for longest, want := range map[int64]int64{
 		1 * second:        1_400 * millisecond,
@@ -160,7 +162,7 @@
 		settings := placement.Settings{Classes: []placement.Class{{DeadlineUs: 50 * millisecond}, {DeadlineUs: longest}}}
 		t.Run(fmt.Sprintf("longest deadline %d us", longest), func(t *testing.T) {
 			if got := drainTimeout(settings, maxDeadlineUs); got != want {
-				t.Errorf("drain timeout after %d us, expected %d", got, want)
+				t.Errorf("drain timeout: got %d us, want %d us", got, want)
 			}
 		})
 	}
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests that a shutdown waits for what is unfinished. What opens and closes each case is an
-// event, never a time that passes.
+// This file tests that a shutdown waits for unfinished work. Each test case begins and finishes the work by an event,
+// never by waiting for some time.
 
 import (
 	"bufio"
@@ -12,14 +12,15 @@
 	"ravenhitch/internal/testbed"
 )
 
-// What is unfinished when the server is stopped, beyond the time in which requests keep coming, holds the
-// shutdown back until it is finished.
+// A shutdown waits for the work that is unfinished when the server is stopped, even after lateRequestsUs, the time in
+// which requests still arrive.
 func TestShutdownWaitsForUnfinishedWork(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// withoutSuccessor says that finishing needs a new connection, which a successor would get.
+		// withoutSuccessor is true if a new connection is needed to finish the work. A successor would get that
+		// connection, so the case runs only without one.
 		withoutSuccessor bool
-		// begin leaves something unfinished, and returns how it is finished.
+		// begin leaves some work unfinished and returns the function that finishes it.
 		begin func(t *testing.T, server *testServer) (finish func())
 	}{
 		{"half a request has come", false, beginPartialRequest},
@@ -49,7 +50,7 @@
 	return func() {
 		write(t, client, append(request[len(request)/2:], '\n'))
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-			t.Errorf("got %v", line)
+			t.Errorf("got %v, want STARTED", line)
 		}
 	}
 }
@@ -57,7 +58,7 @@
 func beginUnreadResponse(t *testing.T, server *testServer) func() {
 	conn := newSlowReader(t, server)
 	testbed.Send(conn, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
-	server.waitUntil(t, "a task", func() bool { return server.dispatcher.RunningCount() == 1 })
+	server.waitUntil(t, "a running task", func() bool { return server.dispatcher.RunningCount() == 1 })
 	return func() {
 		setReadTimeout(t, conn)
 		for scanner := bufio.NewScanner(conn); scanner.Scan(); {
@@ -65,7 +66,7 @@
 				return
 			}
 		}
-		t.Error("the response never came")
+		t.Error("the connection ended or timed out without the response")
 	}
 }
 
@@ -73,7 +74,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v, want STARTED", line)
 	}
 	server.workers[0].BecomeUnreachable()
 	testbed.Send(client, cancelLine(testbed.RequestID(1)))
@@ -88,7 +89,7 @@
 	closeNow(t, client)
 	server.waitConnections(t, 0)
 	server.workers[0].End(testbed.RequestID(1), causeDone)
-	server.waitUntil(t, "the completion here", server.clientFront.HasUndelivered)
+	server.waitUntil(t, "the completion at the server", server.clientFront.HasUndelivered)
 	return func() {
 		next := server.connect(t)
 		testbed.Send(next, pingLine("t"))
@@ -96,7 +97,7 @@
 	}
 }
 
-// expectShutdownWaits stops a server with something unfinished, which must go on until that is finished.
+// expectShutdownWaits stops a server that has unfinished work, and checks that it runs until the work is finished.
 func expectShutdownWaits(t *testing.T, begin func(*testing.T, *testServer) func(), successor bool) {
 	t.Helper()
 	server := newTestServer(t, "a")
@@ -113,17 +114,17 @@
 	for age := int64(0); age < lateRequestsUs+100*millisecond; {
 		select {
 		case err := <-server.runResult:
-			t.Fatalf("it ended with that unfinished: %v", err)
+			t.Fatalf("the server stopped with the work unfinished: %v", err)
 		case <-time.After(time.Millisecond):
 		}
 		if time.Now().After(limit) {
-			t.Fatal("its clock stands still")
+			t.Fatal("the time of the event loop did not reach lateRequestsUs in time")
 		}
 		server.loop.Post(func() { ages <- server.loop.Now() - stoppedAt })
 		select {
 		case age = <-ages:
 		case err := <-server.runResult:
-			t.Fatalf("it ended with that unfinished: %v", err)
+			t.Fatalf("the server stopped with the work unfinished: %v", err)
 		}
 	}
 	finish()
--- a/cmd/ravenhitch/unreachable_workers_test.go
+++ b/cmd/ravenhitch/unreachable_workers_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests that attempts go where a worker is reached while all workers are suspect.
+// This file tests that attempts are offered to reachable workers while all workers are suspect.
 
 import (
 	"strings"
@@ -9,17 +9,19 @@
 	"ravenhitch/internal/testbed"
 )
 
-// All workers are suspect, as all first attempts are silent, and some of them are reached by no connection: the attempts
-// that follow go to the others, and wait for them where they have as many as a suspect worker may have.
+// All workers are suspect because all first attempts are silent, and no connection reaches some of the workers. The
+// next attempts are offered to the reachable workers. If those have as many attempts as a suspect worker may have,
+// the requests wait for them.
 //
-// The worker pool knew that no connection reached a worker, and told the scheduler only the opposite (see
-// TestLastAttemptsIntoCut). Where connections are refused, the trace of a rejected request has two attempts that were spent
-// so within 3 ms: 'offer never sent' with 'connection refused', after its first one was reset with its connection.
+// The worker pool knew that no connection reached a worker but reported only the opposite to the scheduler (see
+// TestLastAttemptsIntoCut). If connections are refused, the trace of a rejected request shows two attempts that were
+// wasted in this way within 3 ms: 'offer never sent' with 'connection refused', after the first attempt was reset with
+// its connection.
 func TestAttemptsBesideUnreachableWorkers(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		workers string
-		disturb func(t *testing.T, server *proxiedServer, worker *testbed.Worker)
+		name        string
+		workers     string
+		injectFault func(t *testing.T, server *proxiedServer, worker *testbed.Worker)
 	}{
 		{"half of twelve are cut off", "a b c d e f g h i j k l", func(t *testing.T, server *proxiedServer, worker *testbed.Worker) {
 			server.proxies[worker.Name].Partition(t)
@@ -34,7 +36,7 @@
 			server.noteOnceOffered(t, missed)
 			for i, worker := range server.workers {
 				if i%2 == 0 {
-					test.disturb(t, server, worker)
+					test.injectFault(t, server, worker)
 				}
 			}
 			server.expectAllStarted(t, missed)
@@ -43,7 +45,7 @@
 	}
 }
 
-// Once all connections carry again, the workers that were left out get tasks.
+// Workers that got no attempts because they were unreachable get tasks again once their connections work.
 func TestWorkersReturnOnceReached(t *testing.T) {
 	server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 	missed := server.submit("missed", 4, 2000)
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests connections to workers that are refused, reset, silent or reused.
+// This file tests connections to workers that are refused, reset or silent, and reused addresses of workers.
 
 import (
 	"fmt"
@@ -12,25 +12,26 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxUnresponsive is how long a worker that refuses connections and is silent is taken to be alive.
-const maxUnresponsive = 2 * time.Second
+// deadAfterRefused is the time after which the worker pool considers a worker dead that refuses connections and sends
+// nothing on its open ones. It equals the constant of the same name in package workerpool.
+const deadAfterRefused = 2 * time.Second
 
-// A worker that refuses connections and is silent on those that it has is dead, and nobody else will
-// report the completions of its tasks. One that only takes no further connections is alive: its tasks
-// end by its own report.
+// A worker that refuses connections and is silent on its open ones is dead. The server then reports its tasks lost, as
+// no other process will report their completions. A worker that only refuses new connections is alive, and its tasks
+// end when it reports their completions.
 func TestWorkersRefusingConnections(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		play      func(t *testing.T, worker *testbed.Worker, trace *traceRecorder)
-		wantCause int
+		name        string
+		injectFault func(t *testing.T, worker *testbed.Worker, trace *traceRecorder)
+		wantCause   int
 	}{
 		{"vanished", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.BecomeUnreachable() }, causeLost},
 		{"ended with a close and no reset", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.CloseGracefully() }, causeLost},
 		{"refusing connections, and alive", func(t *testing.T, worker *testbed.Worker, trace *traceRecorder) {
 			worker.RefuseConnections()
-			for limit := time.Now().Add(3 * testbed.Timeout); trace.closingFor() < 2*maxUnresponsive; time.Sleep(time.Millisecond) {
+			for limit := time.Now().Add(3 * testbed.Timeout); trace.closingFor() < 2*deadAfterRefused; time.Sleep(time.Millisecond) {
 				if time.Now().After(limit) {
-					t.Fatal("it was not dialled for long")
+					t.Fatal("the server did not keep dialling the worker for twice deadAfterRefused")
 				}
 			}
 			worker.SendFinish(testbed.RequestID(1), causeDone)
@@ -43,18 +44,18 @@
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Fatalf("got %v", line)
+				t.Fatalf("got %v, want STARTED", line)
 			}
-			test.play(t, server.workers[0], trace)
+			test.injectFault(t, server.workers[0], trace)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != test.wantCause {
-				t.Errorf("got %v, expected %d", line, test.wantCause)
+				t.Errorf("completion of request 1: got %v, want code %d", line, test.wantCause)
 			}
 		})
 	}
 }
 
-// A refused connection proves that nothing ran, so even a task that must not start twice is offered to
-// another worker.
+// A refused connection proves that the offer never reached the worker, so even a task that must not start twice is
+// offered to another worker.
 func TestRefusedConnection(t *testing.T) {
 	server := newTestServer(t)
 	dead, alive := testbed.NewWorker(t, "dead"), testbed.NewWorker(t, "alive")
@@ -66,19 +67,19 @@
 		task := fmt.Sprint("ok-", i)
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i), "archive-cut", task, 5000))
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || *line.Blob != "alive holds about "+task {
-			t.Errorf("got %v", line)
+			t.Errorf("got %v, want STARTED from worker alive", line)
 		}
 		if alive.StartCount(task) != 1 {
-			t.Errorf("%s was started %d times", task, alive.StartCount(task))
+			t.Errorf("task %s: offered to worker alive %d times, want 1", task, alive.StartCount(task))
 		}
 	}
 	if n := server.counts(t).ConnectFailed; n == 0 {
-		t.Error("the dead worker was never tried")
+		t.Error("got no failed connection, want at least one attempt at worker dead")
 	}
 }
 
-// Where an attempt was abandoned and nothing came in since, the next goes out on a new connection: to a
-// worker that was cut off, that one fails with proof that nothing ran.
+// If an attempt was abandoned and the worker has sent nothing since the offer, the next attempt is offered on a new
+// connection. If the worker is partitioned, that connection fails, which proves that the attempt never ran.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -89,12 +90,12 @@
 		testbed.Wait(t, what, server.workers[0].Starts)
 	}
 	if dials, _ := server.workers[0].DialCounts(); dials < 2 {
-		t.Errorf("%d connections", dials)
+		t.Errorf("got %d connections to the worker, want at least 2", dials)
 	}
 }
 
-// Where tasks run and nothing comes in, the connection may be dead without a sign: another one is opened,
-// on which the worker reports the completions.
+// While tasks run and the worker sends nothing, the connection may be dead without an error. The server opens another
+// connection, on which the worker reports the completions.
 func TestIdleConnectionIsVerified(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -106,20 +107,21 @@
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
 }
 
-// A connection that breaks after the offer proves nothing: such a task is not offered again.
+// A reset after the offer was sent does not prove that the task never ran, so a task that must not start twice is not
+// offered again.
 func TestResetAfterOffer(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "archive-cut", "reset-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Cause() == causeRejected || line.Verb != "FINISH" {
-		t.Errorf("got %v", line)
+		t.Errorf("got %v, want FINISH with a code other than a rejection", line)
 	}
 	if n := server.workers[0].StartCount("reset-1"); n != 1 {
-		t.Errorf("offered %d times", n)
+		t.Errorf("the task was offered %d times, want 1", n)
 	}
 }
 
-// A worker whose process dies resets its connections and refuses new ones: its tasks are reported lost.
+// The connections of a worker whose process dies are reset and new ones are refused. The server reports its tasks lost.
 func TestDeadWorker(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -129,7 +131,7 @@
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeLost)
 }
 
-// A new worker at the address of a removed one is not taken for it.
+// A new worker at the address of a removed worker is a different worker: the tasks of the removed worker are lost.
 func TestReusedWorkerAddress(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -141,11 +143,11 @@
 	server.discovery.WaitPolled(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(2) || line.Verb != "STARTED" {
-		t.Errorf("got %v", line)
+		t.Errorf("got %v, want STARTED for request 2", line)
 	}
-	// What ran on the removed worker ends without a report of it.
+	// The task on the removed worker ends although no worker has reported its completion.
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeLost)
 	if running := server.runningTasks(t); running != 1 {
-		t.Errorf("%d tasks run", running)
+		t.Errorf("got %d running tasks, want 1", running)
 	}
 }
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests responses of workers that are malformed, late or doubled.
+// This file tests responses of workers that are malformed, late or duplicated.
 
 import (
 	"testing"
@@ -9,9 +9,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A response that stops short, lacks its description or comes with more than is its own: nothing
-// malformed is passed on, the connection is closed, others on it are settled too, and the class decides
-// on another attempt.
+// A worker's response is truncated, has no description, or comes with a duplicate and a response to an unknown request.
+// The server forwards nothing malformed to the client. After a malformed response, it closes the connection and ends
+// the other attempts on it as well; the class of each request determines whether there is another attempt.
 func TestMalformedWorkerResponses(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -24,44 +24,45 @@
 	testbed.Send(client, pingLine("t"))
 	verbs := testbed.Wait(t, "one line", client.Lines).Verb + testbed.Wait(t, "another", client.Lines).Verb
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
-	if line := testbed.Wait(t, "the next task's response", client.Lines); line.Tag != testbed.RequestID(3) || len(verbs) != len("STARTEDECHOED") {
-		t.Errorf("got %v after %s", line, verbs)
+	if line := testbed.Wait(t, "the response to the next task", client.Lines); line.Tag != testbed.RequestID(3) || len(verbs) != len("STARTEDECHOED") {
+		t.Errorf("got %v after %s, want the response to request 3 after STARTED and ECHOED", line, verbs)
 	}
 }
 
-// expectMalformedIsSettled submits tasks, the first response to which the worker spoils in one way.
+// expectMalformedIsSettled submits tasks for which the worker's first response is malformed, and checks that each request
+// gets its response.
 func expectMalformedIsSettled(t *testing.T, worker *testbed.Worker, client *testbed.Client, kind string, firstID int) {
 	t.Helper()
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID), "guide-web", kind+"-web", 5000))
 	line := testbed.Wait(t, kind, client.Lines)
 	if line.Verb != "STARTED" || line.Tag != testbed.RequestID(firstID) || *line.Blob != "about "+kind+"-web" {
-		t.Errorf("%s: got %v", kind, line)
+		t.Errorf("%s: got %v, want STARTED with the description of the second attempt", kind, line)
 	}
-	// Others on the connection, and one that must not start twice, are not left to their deadline.
+	// Another request on the connection, and one whose task must not start twice, fail before their deadline.
 	began := time.Now()
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID+1), "archive-cut", "silent-"+kind, 10_000))
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID+2), "archive-cut", kind+"-cut", 10_000))
 	for range 2 {
 		if line := testbed.Wait(t, "a failure", client.Lines); line.Verb != "FINISH" || line.Cause() == causeRejected {
-			t.Errorf("%s: got %v", kind, line)
+			t.Errorf("%s: got %v, want FINISH with a code other than a rejection", kind, line)
 		}
 	}
 	if d := time.Since(began); d > 3*time.Second {
-		t.Errorf("%s: settled after %s", kind, d)
+		t.Errorf("%s: got both responses after %s, want at most 3 s", kind, d)
 	}
 	if n := worker.StartCount(kind+"-cut") + worker.StartCount("silent-"+kind); n != 2 {
-		t.Errorf("%s: started %d times", kind, n)
+		t.Errorf("%s: got %d offers of the two tasks, want 2", kind, n)
 	}
 }
 
-// A duplicate of a rejection, which some workers send late and on any connection, ends no task that was
-// started since.
+// Some workers send a rejection twice, the second time late and on any connection. The duplicate must not end a task
+// that has started since.
 func TestLateDuplicateRejection(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v", line)
+		t.Fatalf("got %v, want STARTED", line)
 	}
 	for _, cause := range []int{causeRejected, causeNeverSent, causeDone} {
 		server.workers[0].End(testbed.RequestID(1), cause)
