--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -7,48 +7,51 @@
 	"time"
 )
 
-// This file owns the record of attempts as workers see them, for the rule that at most one
-// attempt of a request is in flight: from the arrival of its offer until its outcome is
-// written, its cancel is read, or the orchestrator closes its connection. A running task is
-// in flight until its completion. It must never judge more than that rule.
-
-// AttemptLog records the attempts at all workers that share it. A nil one records nothing.
+// This file owns the record of attempts from the workers' side. It checks one rule and must
+// never check any other: at most one attempt of a request is in flight at any time. An attempt
+// is in flight from the arrival of its offer until the worker writes the outcome or reads the
+// cancel, or until the orchestrator closes the connection. If the worker accepts the task, the
+// attempt is in flight until the task completes.
+
+// AttemptLog records the attempts at all workers that share it. Recording to a nil AttemptLog
+// does nothing; a nil AttemptLog cannot be queried.
 type AttemptLog struct {
-	mu           sync.Mutex
-	inFlight     map[string]map[string]attempt // by request ID and worker
-	disconnected map[string]func() bool        // by connection: whether the orchestrator has closed it
-	offers       map[string]int                // by request ID
-	lastOffer    map[string]time.Time          // by request ID
-	lastWorker   map[string]string             // that got the last offer, by request ID
-	arrivals     map[string][]Arrival          // by worker
-	duplicates   []string
+	mu         sync.Mutex
+	inFlight   map[string]map[string]attempt // by request ID and worker
+	isClosed   map[string]func() bool        // by connection; reports whether the orchestrator has closed it
+	offers     map[string]int                // by request ID
+	lastOffer  map[string]time.Time          // by request ID
+	lastWorker map[string]string             // worker that received the last offer, by request ID
+	arrivals   map[string][]Arrival          // by worker
+	duplicates []string                      // descriptions of the violations
 }
 
-// Arrival is an offer that reached a worker, and when.
+// Arrival is the arrival of an offer at a worker.
 type Arrival struct {
 	RequestID string
 	At        time.Time
 }
 
-// attempt is one in flight: by the connection of its offer, or running.
+// attempt is an attempt in flight at a worker.
 type attempt struct {
-	connection string
-	running    bool
+	connection string // on which the offer arrived, "" if the task is running
+	running    bool   // the worker has accepted the task
 }
 
-// NewAttemptLog returns a record without attempts.
+// NewAttemptLog returns an empty AttemptLog.
 func NewAttemptLog() *AttemptLog {
 	return &AttemptLog{
-		inFlight:     map[string]map[string]attempt{},
-		disconnected: map[string]func() bool{},
-		offers:       map[string]int{},
-		lastOffer:    map[string]time.Time{},
-		lastWorker:   map[string]string{},
-		arrivals:     map[string][]Arrival{},
+		inFlight:   map[string]map[string]attempt{},
+		isClosed:   map[string]func() bool{},
+		offers:     map[string]int{},
+		lastOffer:  map[string]time.Time{},
+		lastWorker: map[string]string{},
+		arrivals:   map[string][]Arrival{},
 	}
 }
 
-// offered records that an offer reached a worker.
+// offered records that an offer reached a worker, and a violation if another attempt of the
+// request is in flight.
 func (a *AttemptLog) offered(worker, connection, requestID string) {
 	if a == nil {
 		return
@@ -60,8 +63,8 @@
 	a.lastOffer[requestID], a.lastWorker[requestID] = now, worker
 	a.arrivals[worker] = append(a.arrivals[worker], Arrival{requestID, now})
 	for other, earlier := range a.inFlight[requestID] {
-		if closed := a.disconnected[earlier.connection]; closed != nil && closed() {
-			continue // whoever reads the connection has not come to its end yet
+		if closed := a.isClosed[earlier.connection]; closed != nil && closed() {
+			continue // the goroutine that reads the connection has not recorded the close yet
 		}
 		a.duplicates = append(a.duplicates,
 			fmt.Sprintf("%s came to %s while in flight at %s (running there: %v)", requestID, worker, other, earlier.running))
@@ -72,7 +75,7 @@
 	a.inFlight[requestID][worker] = attempt{connection: connection}
 }
 
-// accepted records that a worker runs the task of a request.
+// accepted records that a worker has accepted the task of a request and runs it.
 func (a *AttemptLog) accepted(worker, requestID string) {
 	if a == nil {
 		return
@@ -95,26 +98,26 @@
 	delete(a.inFlight[requestID], worker)
 }
 
-// connected records a connection, named by the address that the worker sees, and how to
-// learn whether the orchestrator has closed it.
+// connected records a new connection. The connection is identified by its remote address at
+// the worker; closed reports whether the orchestrator has closed it.
 func (a *AttemptLog) connected(connection string, closed func() bool) {
 	if a == nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.disconnected[connection] = closed
+	a.isClosed[connection] = closed
 }
 
-// connectionClosed records the end of a connection on the orchestrator's side, which ends
-// the attempts on it.
+// connectionClosed records that the orchestrator has closed a connection, which ends the
+// attempts on it except for running tasks.
 func (a *AttemptLog) connectionClosed(connection string) {
 	if a == nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.disconnected, connection)
+	delete(a.isClosed, connection)
 	for _, attempts := range a.inFlight {
 		for worker, open := range attempts {
 			if !open.running && open.connection == connection {
@@ -124,22 +127,22 @@
 	}
 }
 
-// Duplicates describes the offers that came while another attempt of their request was in
-// flight.
+// Duplicates returns a description of each offer that arrived while another attempt of its
+// request was in flight.
 func (a *AttemptLog) Duplicates() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.duplicates)
 }
 
-// Arrivals are the offers that reached a worker, in order.
+// Arrivals returns the offers that reached a worker, in the order of their arrival.
 func (a *AttemptLog) Arrivals(worker string) []Arrival {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.arrivals[worker])
 }
 
-// workerLost records the end of a worker's process, which ends all that is in flight there.
+// workerLost records the end of a worker's process, which ends every attempt and task there.
 func (a *AttemptLog) workerLost(worker string) {
 	if a == nil {
 		return
@@ -151,28 +154,31 @@
 	}
 }
 
-// Count is the number of offers of a request.
+// Count returns the number of offers of a request.
 func (a *AttemptLog) Count(requestID string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.offers[requestID]
 }
 
-// Last is when the last offer of a request came, the zero time where none did.
+// Last returns the arrival time of the last offer of a request, or the zero time if there was
+// no offer.
 func (a *AttemptLog) Last(requestID string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastOffer[requestID]
 }
 
-// LastWorker is the worker that got the last offer of a request, "" where none did.
+// LastWorker returns the name of the worker that received the last offer of a request, or ""
+// if there was no offer.
 func (a *AttemptLog) LastWorker(requestID string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastWorker[requestID]
 }
 
-// Open lists the requests with an attempt in flight whose task does not run.
+// Open returns the IDs of the requests with an attempt in flight whose task is not running.
+// A request with such attempts at several workers is listed once for each.
 func (a *AttemptLog) Open() (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,7 +192,8 @@
 	return requestIDs
 }
 
-// OpenAt lists those of Open whose attempt is in flight at a worker.
+// OpenAt returns the IDs of the requests with an attempt in flight at one worker whose task is
+// not running there.
 func (a *AttemptLog) OpenAt(worker string) (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -198,7 +205,7 @@
 	return requestIDs
 }
 
-// Running lists the requests whose tasks run at a worker.
+// Running returns the IDs of the requests whose tasks are running at a worker.
 func (a *AttemptLog) Running(worker string) (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -10,42 +10,46 @@
 )
 
 // This file owns the emulated capacity behind stand-in workers: cores and memory, the queue
-// of offers that are inspected one at a time, and the few starts at a time. It must never
-// place anything itself.
+// of offers that are inspected one at a time, and the limit on concurrent task starts. It must
+// never decide which worker gets a task.
 
-// WorkerSpec says what an emulated worker can do.
+// WorkerSpec describes the capacity and the timing of an emulated worker.
 type WorkerSpec struct {
 	Name, Zone, Kind string
 	Cell             int
 	Cores, Memory    float64
-	InspectionTime   [2]time.Duration // from and to, of one offer
-	QueueLength      int              // offers that may wait
-	MaxStarting      int              // at a time
-	// A worker that has just started runs at ColdStartRate of full speed, reaches that after
-	// SlowStart, and fails once it is offered more than FallMultiple times what it can start,
-	// InitialBudget at least, within OverloadWindow.
-	UpSince                                    time.Time // zero: long ago
+	InspectionTime   [2]time.Duration // shortest and longest inspection of one offer
+	QueueLength      int              // maximum number of offers that wait for inspection
+	MaxStarting      int              // maximum number of tasks that start at the same time
+	// A worker that started at UpSince begins at the fraction ColdStartRate of full speed and
+	// reaches full speed after SlowStart. Until then it stops responding to offers once it gets
+	// more than FallMultiple times as many offers within OverloadWindow as it can start tasks in
+	// that time. It always tolerates InitialBudget offers.
+	UpSince                                    time.Time // zero if slow start is over
 	ColdStartRate, FallMultiple, InitialBudget float64
 	SlowStart, OverloadWindow                  time.Duration
-	MeanStartTime                              time.Duration // of a task, at full speed
+	MeanStartTime                              time.Duration // mean start time of a task at full speed
 }
 
-// Observer is notified of what emulated workers do. It may be called from many goroutines.
+// Observer is notified of events at emulated workers. Its methods may be called from several
+// goroutines at the same time.
 type Observer interface {
-	// Offered, Rejected and Cancelled notify of offers, Rejected before the message is sent.
+	// Offered is called when an offer arrives, Rejected before a rejection is sent, and
+	// Cancelled when the cancel of an offer or the release of a task arrives.
 	Offered(worker, requestID string)
 	Rejected(worker, requestID string)
 	Cancelled(worker, requestID string)
-	// Accepted, Started and Completed notify of tasks.
+	// Accepted is called before the acceptance of a task is sent, Started when its start time is
+	// over, and Completed before its completion is sent.
 	Accepted(worker, key, requestID string, t Task)
 	Started(key string)
 	Completed(key, requestID string)
 }
 
-// capacitySlack is what rounding may add to the requests of tasks.
+// capacitySlack is the tolerance for rounding errors in the sum of the tasks' requests.
 const capacitySlack = 1e-9
 
-// CapacityModel is an emulated worker. Each orchestrator reaches it by a Worker of its own.
+// CapacityModel is an emulated worker. Each orchestrator connects to it through its own Worker.
 type CapacityModel struct {
 	WorkerSpec
 	observer   Observer
@@ -58,13 +62,13 @@
 	requestedCores  float64
 	requestedMemory float64
 	running         map[string]*runningTask // by request ID
-	queued          map[string]bool         // offers that wait, by request ID; false: cancelled meanwhile
+	queued          map[string]bool         // offers not decided yet, by request ID; false if cancelled
 	slowStart       slowStart
 	rejections      map[string]int // by cause
-	workers         []*Worker      // by orchestrator
+	workers         []*Worker      // one for each orchestrator
 }
 
-// offer is one that waits to be inspected.
+// offer is an offer that waits to be inspected.
 type offer struct {
 	worker *Worker
 	conn   net.Conn
@@ -72,18 +76,18 @@
 	task   Task
 }
 
-// runningTask is one that was accepted and has not ended.
+// runningTask is a task that was accepted and has not completed.
 type runningTask struct {
 	Task
 	worker    *Worker
-	conn      net.Conn // of its offer
+	conn      net.Conn // on which the offer arrived
 	key       string
-	stop      chan struct{}
+	stop      chan struct{} // closed when the task is cancelled
 	cancelled bool
 }
 
-// NewCapacityModel starts an emulated worker, which ends with the test. The seed draws its
-// inspection times.
+// NewCapacityModel starts an emulated worker that stops at the end of the test. The seed
+// determines the sequence of inspection times.
 func NewCapacityModel(t Host, spec WorkerSpec, observer Observer, seed uint64) *CapacityModel {
 	m := &CapacityModel{
 		WorkerSpec: spec,
@@ -102,7 +106,7 @@
 	return m
 }
 
-// NewWorker opens the listener by which one orchestrator reaches the emulated worker.
+// NewWorker returns a Worker through which one orchestrator connects to the emulated worker.
 func (m *CapacityModel) NewWorker(t Host) *Worker {
 	worker := newWorker(t, m.Name, m)
 	m.mu.Lock()
@@ -111,20 +115,21 @@
 	return worker
 }
 
-// offered queues an offer, or rejects it where the queue is full.
+// offered queues an offer for inspection, or rejects it if the queue is full. An overloaded
+// worker ignores the offer.
 func (m *CapacityModel) offered(conn net.Conn, line Line) {
 	m.observer.Offered(m.Name, line.Tag)
 	m.mu.Lock()
 	worker := m.workerOf(conn)
 	m.slowStart.countOffer()
-	fallen := m.slowStart.fallen
+	overloaded := m.slowStart.overloaded
 	m.mu.Unlock()
 	task, err := parseTask(*line.Blob)
 	if err != nil {
 		Send(conn, FinishLine("FINISH", line.Tag, codeFailed))
 		return
 	}
-	if fallen {
+	if overloaded {
 		return
 	}
 	m.mu.Lock()
@@ -140,7 +145,8 @@
 	}
 }
 
-// workerOf is whose connection one is, nil where it has ended. The lock is held.
+// workerOf returns the Worker that owns a connection, or nil if the connection has ended. The
+// caller holds the lock.
 func (m *CapacityModel) workerOf(conn net.Conn) (found *Worker) {
 	for _, worker := range m.workers {
 		if worker.has(conn) {
@@ -158,7 +164,7 @@
 	Send(conn, rejectedLine(requestID, cause))
 }
 
-// inspectQueue takes the offers one at a time.
+// inspectQueue inspects the queued offers one at a time until the model stops.
 func (m *CapacityModel) inspectQueue() {
 	for {
 		select {
@@ -177,7 +183,8 @@
 	}
 }
 
-// inspectionTime draws how long an offer is inspected; false where it was cancelled.
+// inspectionTime draws the inspection time of an offer. It returns false if the offer was
+// cancelled.
 func (m *CapacityModel) inspectionTime(requestID string) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,7 +196,8 @@
 	return shortest + time.Duration(m.random.Int64N(int64(longest-shortest)+1)), true
 }
 
-// sleep waits; it returns false where that was cut short.
+// sleep waits for a duration. It returns false if the cancellation or the end of the model
+// interrupted the wait.
 func (m *CapacityModel) sleep(d time.Duration, cancelled <-chan struct{}) bool {
 	select {
 	case <-time.After(d):
@@ -200,18 +208,19 @@
 	return false
 }
 
-// decide accepts or rejects an offer that was inspected.
+// decide accepts or rejects an inspected offer. It ignores the offer if it was cancelled or if
+// the worker is overloaded.
 func (m *CapacityModel) decide(o offer) {
 	m.mu.Lock()
 	queued := m.queued[o.line.Tag]
 	delete(m.queued, o.line.Tag)
-	if !queued || m.slowStart.fallen {
+	if !queued || m.slowStart.overloaded {
 		m.mu.Unlock()
 		return
 	}
-	if short := m.shortage(o.task); short != "" {
+	if cause := m.shortage(o.task); cause != "" {
 		m.mu.Unlock()
-		m.reject(o.conn, o.line.Tag, short)
+		m.reject(o.conn, o.line.Tag, cause)
 		return
 	}
 	m.requestedCores += o.task.Cores
@@ -224,8 +233,8 @@
 	go m.run(o.line.Tag, task)
 }
 
-// shortage is the cause of a rejection for want of capacity, "" where there is enough. The
-// lock is held.
+// shortage returns the cause of the rejection if the free capacity does not suffice for a task,
+// and "" if it does. The caller holds the lock.
 func (m *CapacityModel) shortage(t Task) string {
 	switch {
 	case m.requestedCores+t.Cores > m.Cores+capacitySlack:
@@ -236,7 +245,7 @@
 	return ""
 }
 
-// run starts an accepted task, and ends it after its run time.
+// run starts an accepted task and completes it after its run time or when it is cancelled.
 func (m *CapacityModel) run(requestID string, task *runningTask) {
 	select {
 	case m.startSlots <- struct{}{}:
@@ -258,7 +267,7 @@
 	m.complete(requestID, task)
 }
 
-// complete frees the capacity of a task and reports its completion.
+// complete frees the capacity of a task and reports its completion to the orchestrator.
 func (m *CapacityModel) complete(requestID string, task *runningTask) {
 	m.mu.Lock()
 	delete(m.running, requestID)
@@ -273,7 +282,7 @@
 	task.worker.report(task.conn, FinishLine("FINISH", requestID, code))
 }
 
-// cancelled takes the cancel of an offer, or the release of a running task.
+// cancelled handles the cancel of an offer or the release of a running task.
 func (m *CapacityModel) cancelled(requestID string) {
 	m.observer.Cancelled(m.Name, requestID)
 	m.mu.Lock()
@@ -287,30 +296,30 @@
 	}
 }
 
-// FreeCapacity is what no running task has requested.
+// FreeCapacity returns the cores and the memory that are not requested by running tasks.
 func (m *CapacityModel) FreeCapacity() (cores, memory float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.Cores - m.requestedCores, m.Memory - m.requestedMemory
 }
 
-// PeakLoad is the highest load of offers while the worker warmed up, over what it can take
-// then.
+// PeakLoad returns the maximum, during slow start, of the number of offers within the overload
+// window divided by the number that the worker tolerates.
 func (m *CapacityModel) PeakLoad() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.slowStart.peakLoad
 }
 
-// Rejections counts the offers that were rejected, by cause.
+// Rejections returns the number of rejected offers by cause.
 func (m *CapacityModel) Rejections() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.rejections)
 }
 
-// ListEntry is the worker's entry on the list as one orchestrator gets it, with some free
-// capacity.
+// ListEntry returns the worker's entry in the list for one orchestrator, which connects to the
+// given Worker. The entry has the given phase and free capacity.
 func (m *CapacityModel) ListEntry(worker *Worker, phase string, cores, memory float64) string {
 	upSince := int64(0)
 	if !m.UpSince.IsZero() {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -6,18 +6,18 @@
 	"net"
 )
 
-// This file owns the stand-in client's connection. It must never connect again by itself.
+// This file owns the stand-in client's connection. It must never reconnect by itself.
 
-// maxUnread bounds the messages that a stand-in keeps for a test to receive.
+// maxUnread is the maximum number of messages that a stand-in buffers for a test to receive.
 const maxUnread = 1000
 
-// Client is a client's connection. Lines is closed when that ends.
+// Client is the connection of a stand-in client.
 type Client struct {
 	net.Conn
-	Lines chan Line
+	Lines chan Line // received messages, closed when the connection ends
 }
 
-// Dial connects a client.
+// Dial connects a client to addr. The caller closes the connection.
 func Dial(addr string) (*Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return client, nil
 }
 
-// NewClient connects a client for a test, at whose end the connection is closed.
+// NewClient connects a client to addr. The connection is closed at the end of the test.
 func NewClient(t Host, addr string) *Client {
 	client, err := Dial(addr)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return client
 }
 
-// receive reads messages until the connection ends, or one can't be parsed. The connection is that of the start: a test
-// may put another one in its place.
+// receive reads messages from conn until it ends or a message cannot be parsed. It takes the connection as a parameter
+// because a test may replace the Client's embedded connection.
 func (c *Client) receive(conn net.Conn) {
 	defer close(c.Lines)
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
--- a/internal/testbed/conditions.go
+++ b/internal/testbed/conditions.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// This file owns the conditions of a direction between two processes: the faults that are
-// injected into what passes.
+// This file owns the conditions of one direction between two processes: the faults that are
+// injected into its traffic.
 
-// Conditions are those of one direction. The zero value is a healthy network.
+// Conditions are the network conditions of one direction. The zero value is a healthy network.
 type Conditions struct {
-	Cut                      bool          // nothing passes, and nobody is notified
-	Refuse                   bool          // connections are refused, datagrams lost
-	Delay, Jitter            time.Duration // of what passes
-	Loss, Duplicate, Reorder float64       // shares of datagrams: lost, sent twice, delayed past later ones
-	Bandwidth                int           // bytes a second, 0: no limit
-	Flap                     time.Duration // cut for so long, open for so long, from FlapSince on
-	FlapSince                time.Time
+	Cut                      bool          // nothing passes, and neither side gets an error
+	Refuse                   bool          // connections are refused, and datagrams are lost
+	Delay, Jitter            time.Duration // constant part, and upper bound of the random part, of the delay
+	Loss, Duplicate, Reorder float64       // fractions of datagrams lost, sent twice, delayed past later ones
+	Bandwidth                int           // in bytes per second, 0 for no limit
+	Flap                     time.Duration // length of each alternating cut and open period, 0 for none
+	FlapSince                time.Time     // start of the first cut period
 }
 
-// isCut reports whether nothing passes at a time.
+// isCut reports whether the direction is cut at the given time.
 func (c Conditions) isCut(now time.Time) bool {
 	return c.Cut || c.Flap > 0 && now.Sub(c.FlapSince)/c.Flap%2 == 0
 }
 
-// extraDelay is what a reordered datagram is delayed beyond its delay.
+// extraDelay returns the delay that is added to the delay of a reordered datagram.
 func (c Conditions) extraDelay() time.Duration { return 2*c.Delay + 20*time.Millisecond }
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// This file owns the deployment that rigs start orchestrators for: its classes and limits.
-// The settings' names are the program's.
+// This file owns the configuration of the orchestrators that test rigs start: their classes
+// and limits. The names of the settings are defined by the program.
 
-// Deployment is what all orchestrators of a rig share.
+// Deployment is the configuration that all orchestrators of a rig share.
 type Deployment struct {
 	Orchestrators int
-	MaxRetryAfter time.Duration // the longest Retry-After that rejected clients get
-	Deadline      time.Duration // of all classes, 0: 5 to 10 s
-	DrainGrace    time.Duration // for which a draining worker may get offers, 0: 2 s
-	Sockets       int           // limit of each orchestrator, 0: 1024
-	MemoryMB      int           // the same, 0: 192
+	MaxRetryAfter time.Duration // maximum Retry-After that rejected clients get
+	Deadline      time.Duration // deadline of all classes, 0 for 5 to 10 s by class
+	DrainGrace    time.Duration // time for which a draining worker may get offers, 0 for 2 s
+	Sockets       int           // socket limit of each orchestrator, 0 for 1024
+	MemoryMB      int           // memory limit of each orchestrator in MB, 0 for 192
 }
 
-// The limits and deadlines of a deployment that names none.
+// Limits and deadlines of a deployment that leaves them zero.
 const (
 	defaultSockets    = 1024
 	defaultMemoryMB   = 192
@@ -29,15 +29,16 @@
 	cutDeadline       = 10 * time.Second
 )
 
-// deadlineUs is the deadline of a class in microseconds, where the deployment names none for all.
+// deadlineUs returns the deadline of a class in microseconds: the deployment's deadline, or the
+// default of the class if the deployment has none.
 func (d Deployment) deadlineUs(class time.Duration) int64 {
 	return cmp.Or(d.Deadline, class).Microseconds()
 }
 
-// zones is the number of zones; orchestrators take them in turn.
+// zones is the number of zones. Orchestrators are assigned to them round-robin.
 const zones = 3
 
-// Settings are those of the orchestrator with an index.
+// Settings returns the settings of the orchestrator with the given index as JSON.
 func (d Deployment) Settings(index int) string {
 	return fmt.Sprintf(`{"SelfIndex":%d,"FleetSize":%d,"Zone":"hall-%c","Discovery":"subscribe","TickUs":2000,
  "Flavors":["node-32","node-64"],"FamilyInfo":{"View":true,"SaysYes":"accepted","CoresMultiple":1.0,"MemoryMultiple":1.0,
@@ -55,8 +56,8 @@
 		d.deadlineUs(webDeadline), d.deadlineUs(relayDeadline), d.deadlineUs(cutDeadline))
 }
 
-// Config is the configuration of the orchestrator with an index, which reaches discovery at
-// the address channel. The address for operators, mgmt, may be "".
+// Config returns the configuration of the orchestrator with the given index as JSON. The
+// orchestrator connects to discovery at the address channel. The admin address mgmt may be "".
 func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed,
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// This file owns the stand-in for discovery: its events, and the calls that wait for more.
-// It must never know which workers there are but by Add and CopyFrom.
+// This file owns the stand-in for discovery: its events and the polls that wait for new ones.
+// It must learn about workers only through Add and CopyFrom.
 
-// maxPolls bounds the polls that Discovery.Asked holds; what comes beyond is dropped.
+// maxPolls is the capacity of Discovery.Polls. Further polls are answered but not recorded.
 const maxPolls = 1000
 
-// Discovery serves the list of workers as the command channel does.
+// Discovery serves the list of workers with the protocol of the command channel.
 type Discovery struct {
 	Server *httptest.Server
-	Polls  chan int // what each call resumes from
+	Polls  chan int // number of the last event that the caller of each poll has applied
 	mu     sync.Mutex
-	added  chan struct{} // closed when an event is added
+	added  chan struct{} // closed and replaced when an event is added
 	events []string
 }
 
-// NewDiscovery starts a server without events, which ends with the test.
+// NewDiscovery starts a server without events. The server is closed at the end of the test.
 func NewDiscovery(t Host) *Discovery {
 	d := &Discovery{added: make(chan struct{}), Polls: make(chan int, maxPolls)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.poll))
@@ -34,7 +34,8 @@
 	return d
 }
 
-// poll answers a call for the events after one, once there are any or its time is up.
+// poll answers a poll for the events after a given one as soon as there are any, or when the
+// time that the caller allows is over.
 func (d *Discovery) poll(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
 	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
@@ -57,24 +58,24 @@
 		}
 		break
 	}
-	_, _ = io.WriteString(w, d.InitialList(after)) // a caller that is gone polls again
+	_, _ = io.WriteString(w, d.InitialList(after)) // a caller whose connection has ended polls again
 }
 
-// state is the number of events, and what is closed when there is one more.
+// state returns the number of events and a channel that is closed when Add adds one.
 func (d *Discovery) state() (count int, added <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.events), d.added
 }
 
-// InitialList is the answer to a call that has applied the events up to after.
+// InitialList returns the response to a poll whose caller has applied the first after events.
 func (d *Discovery) InitialList(after int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(d.events), strings.Join(d.events[min(after, len(d.events)):], ","))
 }
 
-// Add adds an event with the entries of workers; a complete one lists all there are.
+// Add adds an event with worker entries; complete states that the event lists all workers.
 func (d *Discovery) Add(complete bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,8 +86,8 @@
 	d.added = make(chan struct{})
 }
 
-// WaitPolled waits until the program calls for what follows all events so far, which it does
-// once it has applied them.
+// WaitPolled waits until the program polls for the events after the current last one. The
+// program does so once it has applied all earlier events.
 func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	count, _ := d.state()
@@ -94,7 +95,7 @@
 	}
 }
 
-// CopyFrom adds all events of another discovery so far.
+// CopyFrom appends the current events of another Discovery. It does not wake waiting polls.
 func (d *Discovery) CopyFrom(from *Discovery) {
 	from.mu.Lock()
 	defer from.mu.Unlock()
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -7,10 +7,10 @@
 	"strconv"
 )
 
-// This file owns the messages of the JSON lines protocol as stand-ins write them. It must
-// never use the codec that it is there to test.
+// This file owns the messages of the JSON lines protocol as stand-ins encode them. It must
+// never use the program's codec, which is under test.
 
-// Line is one message.
+// Line is one message of the JSON lines protocol.
 type Line struct {
 	Verb string            `json:"verb"`
 	Tag  string            `json:"tag"`
@@ -19,7 +19,7 @@
 	Blob *string           `json:"blob,omitempty"`
 }
 
-// Codes of FINISH and ECHOED messages, as the protocol numbers them.
+// Codes of FINISH and ECHOED messages, as the protocol defines them.
 const (
 	codeOK        = 1
 	codeEnded     = 16
@@ -29,10 +29,10 @@
 	codeFailed    = 47
 )
 
-// noCode is the code of a message that carries none.
+// noCode is returned by Cause for a message without a code.
 const noCode = -1
 
-// Cause is the code of a message, -1 where it has none.
+// Cause returns the code of a message, or -1 if it has none.
 func (l Line) Cause() int {
 	if l.RC == nil {
 		return noCode
@@ -48,38 +48,38 @@
 // RequestID returns the nth request ID.
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// StartLine returns the submission of a task of one core, to be answered within leftMs
-// milliseconds.
+// StartLine returns the submission of a task that requests one core. The response is due
+// within leftMs milliseconds.
 func StartLine(requestID, class, key string, leftMs int) Line {
 	blob := "about " + key
 	return Line{Verb: "START", Tag: requestID, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
 		"left": strconv.Itoa(leftMs), "extras": "cores:1;memory:2;service:00000000b4d65521"}}
 }
 
-// startedLine returns the message that a task was accepted.
+// startedLine returns the acceptance of a task.
 func startedLine(requestID, blob string) Line {
 	return Line{Verb: "STARTED", Tag: requestID, Opts: map[string]string{}, Blob: &blob}
 }
 
-// rejectedLine returns the message that an offer was rejected, with its cause.
+// rejectedLine returns the rejection of an offer with its cause.
 func rejectedLine(requestID, cause string) Line {
 	line := FinishLine("FINISH", requestID, codeRejected)
 	line.Opts["note"] = cause
 	return line
 }
 
-// drainedLine returns the message that a draining worker has sent a task away.
+// drainedLine returns the message by which a draining worker reports that it ended a task.
 func drainedLine(requestID string) Line {
 	line := FinishLine("FINISH", requestID, codeReset)
 	line.Opts["note"] = "drained"
 	return line
 }
 
-// Send writes a message. That the other side is gone shows when reading.
+// Send writes a message. It ignores write errors: a closed connection is detected by its reader.
 func Send(w io.Writer, l Line) {
 	b, err := json.Marshal(l)
 	if err != nil {
 		panic(err)
 	}
-	_, _ = w.Write(append(b, '\n')) // whoever reads the connection notices its end
+	_, _ = w.Write(append(b, '\n')) // the reader of the connection detects its end
 }
--- a/internal/testbed/nettest/nettest.go
+++ b/internal/testbed/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest owns the TCP listeners and connections of tests. Each is closed at the end of its test, and a close
-// that fails makes the test fail.
+// Package nettest provides TCP listeners and connections for tests. Each is closed at the end of its test, and the
+// test fails if the close fails.
 package nettest
 
 import (
@@ -11,7 +11,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// Listen returns a listener on a free port of the loopback interface.
+// Listen returns a TCP listener on a free port of the loopback interface.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,7 +22,7 @@
 	return listener
 }
 
-// Dial returns a connection to addr.
+// Dial returns a TCP connection to addr.
 func Dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -47,7 +47,8 @@
 	return conn
 }
 
-// CloseAtEnd calls closeFunc at the end of the test, which may have closed the same thing before.
+// CloseAtEnd calls closeFunc at the end of the test. The test fails if closeFunc returns an error other than
+// net.ErrClosed, which means that the test has closed the socket itself.
 func CloseAtEnd(t *testing.T, closeFunc func() error) {
 	t.Helper()
 	t.Cleanup(func() {
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -10,40 +10,42 @@
 	"time"
 )
 
-// This file owns the network between processes: its relays, one for each ordered pair, and
-// the conditions of each direction. It must never carry anything itself.
+// This file owns the network between processes: the relays, one for each ordered pair of
+// processes, and the conditions of each direction. It must never forward data itself; the
+// relays do.
 
 const (
-	firstPort    = 20_000 // below those that the kernel gives out by itself
+	firstPort    = 20_000 // below the range of ephemeral ports
 	portCount    = 10_000
 	portAttempts = 5_000
 )
 
-// portsUsed counts the ports that were given out, of all networks of this process, so that
-// each has its own. It begins where other processes are not likely to.
+// portsUsed counts the ports tried by all networks of this process, so that no two of them
+// use the same port. Its initial value depends on the process ID because other processes then
+// most likely try other ports.
 var portsUsed atomic.Int64
 
 func init() { portsUsed.Store(int64(os.Getpid()) * 997) }
 
 var errNoPort = errors.New(errorPrefix + ": no port is free")
 
-// direction is an ordered pair of processes.
+// direction is an ordered pair of processes: the sender and the receiver.
 type direction struct{ from, to string }
 
 func (d direction) reverse() direction { return direction{d.to, d.from} }
 
-// Network is the network between processes. Its chances are drawn from one seed.
+// Network is the network between processes. All its random decisions are drawn from one seed.
 type Network struct {
 	mu         sync.Mutex
 	changed    *sync.Cond // conditions changed, or the network is closed
 	random     *rand.Rand
 	conditions map[direction]Conditions
-	addresses  map[string]string // where each process listens, "" where none does
+	addresses  map[string]string // listen address by process, "" for a process that has ended
 	relays     map[direction]*relay
 	changedAt  map[direction]time.Time // when the conditions of a direction last changed
 	closed     bool
-	// Passed and Stopped count what got through and what did not, of datagrams and of reads
-	// of connections.
+	// Passed counts forwarded datagrams and forwarded reads of connections. Stopped counts lost
+	// datagrams and the reads that a cut held back, which are forwarded once it heals.
 	Passed, Stopped atomic.Int64
 }
 
@@ -60,7 +62,8 @@
 	return n
 }
 
-// Relay opens the path from one process to another and returns the address where it begins.
+// Relay opens the path from one process to another and returns the address that the first
+// one connects and sends to.
 func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +77,7 @@
 	return r.address, nil
 }
 
-// ReserveAddress returns an address at which a process can listen, now and when it is started again.
+// ReserveAddress returns an address at which a process can listen now and after each restart.
 func (n *Network) ReserveAddress() (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,9 +88,9 @@
 	return datagrams.LocalAddr().String(), datagrams.Close()
 }
 
-// listenFreePort listens on a port that is free for datagrams and for connections, below
-// those that the kernel gives out by itself: one that is closed for a while is still free
-// afterwards.
+// listenFreePort listens on a port that is free for datagrams and for connections. The port is
+// below the range of ephemeral ports: the kernel does not assign it to another socket while no
+// process listens on it.
 func listenFreePort() (*net.UDPConn, error) {
 	for range portAttempts {
 		port := firstPort + int(portsUsed.Add(1))%portCount
@@ -106,7 +109,7 @@
 	return nil, errNoPort
 }
 
-// SetAddress sets where a process listens from now on; "" where it has ended.
+// SetAddress sets the listen address of a process, or "" for a process that has ended.
 func (n *Network) SetAddress(name, addr string) error {
 	n.mu.Lock()
 	n.addresses[name] = addr
@@ -127,7 +130,7 @@
 	return n.updateListeners()
 }
 
-// Heal ends all conditions.
+// Heal restores healthy conditions in all directions.
 func (n *Network) Heal() error {
 	n.mu.Lock()
 	for d := range n.conditions {
@@ -139,7 +142,7 @@
 	return n.updateListeners()
 }
 
-// Reset ends the connections of one direction with a reset.
+// Reset resets the connections that were opened in one direction.
 func (n *Network) Reset(from, to string) {
 	n.mu.Lock()
 	r := n.relays[direction{from, to}]
@@ -149,7 +152,7 @@
 	}
 }
 
-// Close ends all relays.
+// Close closes all relays.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -162,7 +165,8 @@
 	}
 }
 
-// Open reports whether a direction carries, but for chance and for flapping.
+// Open reports whether a direction is neither cut nor refuses connections. It ignores
+// flapping and random loss.
 func (n *Network) Open(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -178,8 +182,8 @@
 	return n.relays[d] != nil || n.relays[d.reverse()] != nil
 }
 
-// WasHealthy reports whether both directions between two processes have been without a fault
-// since a time.
+// WasHealthy reports whether both directions between two processes have had no fault since the
+// given time.
 func (n *Network) WasHealthy(a, b string, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,15 +196,15 @@
 	return true
 }
 
-// path is the conditions of a direction, and the address at its far end.
+// path returns the conditions of a direction and the listen address of its receiver.
 func (n *Network) path(d direction) (conditions Conditions, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.conditions[d], n.addresses[d.to]
 }
 
-// draws reports whether an event of some probability happens.
-func (n *Network) draws(probability float64) bool {
+// drawEvent decides at random, with the given probability, whether an event happens.
+func (n *Network) drawEvent(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -209,7 +213,7 @@
 	return n.random.Float64() < probability
 }
 
-// delay draws how long some bytes are on their way.
+// delay draws the time that a number of bytes takes to arrive.
 func (n *Network) delay(c Conditions, bytes int) time.Duration {
 	d := c.Delay
 	if c.Jitter > 0 {
@@ -223,7 +227,8 @@
 	return d
 }
 
-// updateListeners lets each relay accept connections or refuse them, as is so now.
+// updateListeners makes each relay accept or refuse connections according to the current
+// conditions and listen addresses.
 func (n *Network) updateListeners() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -235,15 +240,15 @@
 	return nil
 }
 
-// flapPoll is how often a flapping direction is looked at.
+// flapPoll is the interval at which waitOpen checks a flapping direction.
 const flapPoll = 10 * time.Millisecond
 
-// waitOpen waits while a direction is cut; it returns false once the network is closed.
+// waitOpen waits while a direction is cut. It returns false if the network is closed.
 func (n *Network) waitOpen(d direction) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for !n.closed && n.conditions[d].isCut(time.Now()) {
-		if n.conditions[d].Flap > 0 { // nothing notifies of its turns
+		if n.conditions[d].Flap > 0 { // the start of an open period is not signalled
 			n.mu.Unlock()
 			time.Sleep(flapPoll)
 			n.mu.Lock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// This file owns processes of the program: their start, their log, their signals and their
-// end. It must never signal a process that it did not start.
+// This file owns the processes of the program that tests and rehearsals start: their start,
+// log, signals and end. It must never signal a process that it did not start.
 
-// Process is one process, which may be started again after its end.
+// Process is a process of the program. It may be restarted after it has ended.
 type Process struct {
 	Name, Bin string
 	Args, Env []string
 
 	mu         sync.Mutex
 	cmd        *exec.Cmd
-	ended      chan struct{} // closed with the process
-	endedAt    time.Time     // when it was closed last
-	lines      []string
-	firstLine  int // of this start: those before it are of earlier ones
-	logChanged *sync.Cond
+	ended      chan struct{} // closed when the process ends; replaced by each start
+	endedAt    time.Time     // time of the last end
+	lines      []string      // log lines of all starts
+	firstLine  int           // index in lines of the first line of the last start
+	logChanged *sync.Cond    // lines has grown, or the process has ended
 }
 
-// Start starts it.
+// Start starts the process. A running process must not be started.
 func (p *Process) Start() error {
 	cmd := exec.Command(p.Bin, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// follow collects the log of a process, and waits for its end.
+// follow collects the log of a process and waits for its end.
 func (p *Process) follow(cmd *exec.Cmd, log io.Reader, ended chan<- struct{}) {
 	for scanner := bufio.NewScanner(log); scanner.Scan(); {
 		p.mu.Lock()
@@ -60,7 +60,7 @@
 		p.logChanged.Broadcast()
 		p.mu.Unlock()
 	}
-	_ = cmd.Wait() // how it ended does not matter: most processes are killed
+	_ = cmd.Wait() // the exit status is no error here: most processes are killed
 	p.mu.Lock()
 	p.endedAt = time.Now()
 	close(ended)
@@ -68,8 +68,8 @@
 	p.mu.Unlock()
 }
 
-// WaitForLog waits for a line of this start that contains a text, and returns the word that
-// follows it.
+// WaitForLog waits for a log line of the last start that contains a text. It returns the word
+// that follows the text.
 func (p *Process) WaitForLog(text string) (string, error) {
 	timer := time.AfterFunc(Timeout, func() {
 		p.mu.Lock()
@@ -97,14 +97,15 @@
 	}
 }
 
-// Lines is all that it has logged, over all starts.
+// Lines returns the log lines of all starts.
 func (p *Process) Lines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-// IsRunning reports whether it runs, or is paused.
+// IsRunning reports whether the process was started and has not ended. A paused process counts
+// as running.
 func (p *Process) IsRunning() bool { return p.ended != nil && !p.hasEnded() }
 
 func (p *Process) hasEnded() bool {
@@ -116,24 +117,25 @@
 	}
 }
 
-// Ended is closed once the process that was started last has ended.
+// Ended returns a channel that is closed when the process that was started last ends.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Exit is the code with which it ended last, -1 where a signal ended it, and when that was. It must have ended.
+// Exit returns the exit code and the time of the last end. The code is -1 if a signal ended the
+// process. The process must have ended.
 func (p *Process) Exit() (code int, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.ProcessState.ExitCode(), p.endedAt
 }
 
-// PID is the number of the process that was started last.
+// PID returns the ID of the process that was started last.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// End ends it by a signal and waits for that.
+// End sends a signal that ends the process and waits for the end.
 func (p *Process) End(s syscall.Signal) {
 	if !p.IsRunning() {
 		return
@@ -142,18 +144,18 @@
 	<-p.ended
 }
 
-// Pause stops it where it is; Resume lets it go on.
+// Pause suspends the process with SIGSTOP until Resume.
 func (p *Process) Pause() { p.Signal(syscall.SIGSTOP) }
 
-// Resume is described at Pause.
+// Resume continues a paused process.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// Signal sends it a signal; one that has ended gets none.
+// Signal sends a signal to the process. It does nothing if the process has ended.
 func (p *Process) Signal(s syscall.Signal) {
-	_ = p.cmd.Process.Signal(s) // it fails where the process has just ended
+	_ = p.cmd.Process.Signal(s) // the error of a process that has just ended is expected
 }
 
-// BuildProgram builds the program into a directory and returns its path.
+// BuildProgram builds the program into a directory and returns the path of the binary.
 func BuildProgram(directory string) (string, error) {
 	binary := filepath.Join(directory, "ravenhitch")
 	out, err := exec.Command("go", "build", "-o", binary, "ravenhitch/cmd/ravenhitch").CombinedOutput()
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// This file owns the path between an orchestrator and one worker, as a proxy that a test
-// delays and partitions. It acts as a network does: what is sent into a partition waits in
-// the sender and arrives once that heals, unless the sender resets its connection, which
-// takes it back; the other side learns nothing of a reset during a partition, and takes its
-// connection for open; no connection comes up during a partition.
+// This file owns the path between an orchestrator and one worker: a proxy that a test delays
+// and partitions. The proxy behaves like a network during a partition:
+//   - Data that is sent into the partition is held back and arrives once the partition heals. If
+//     the sender resets the connection first, the data is discarded.
+//   - A reset does not reach the other side, whose connection still looks open.
+//   - No connection is established.
 
 const (
-	proxyBuffer     = 16 << 10 // bytes of one read
-	maxSegments     = 10_000   // in flight in one connection
+	proxyBuffer     = 16 << 10 // maximum size of one read in bytes
+	maxSegments     = 10_000   // maximum number of segments in flight per connection
 	normalBacklog   = 1024
-	backlogFullTime = 50 * time.Millisecond // after which a dial that does not come up shows a full backlog
+	backlogFullTime = 50 * time.Millisecond // a dial that takes longer shows that the backlog is full
 )
 
-// Proxy forwards connections to one address.
+// Proxy forwards connections to one address and injects network faults.
 type Proxy struct {
 	listener *net.TCPListener
 	target   string
@@ -31,22 +32,23 @@
 	changed     *sync.Cond // partitioned or healed, or closed
 	delay       time.Duration
 	partitioned bool
-	muted       bool // what the worker sends waits
+	muted       bool // data from the worker is held back
 	closed      bool
-	returned    int                 // reads from the worker that were handed on so far
-	stranded    map[net.Conn]bool   // connections that carry nothing any more
+	returned    int                 // number of reads from the worker that were forwarded
+	stranded    map[net.Conn]bool   // connections that stay open and forward nothing
 	fillers     map[string]net.Conn // fill the backlog during a partition, by local address
-	connections []net.Conn
+	connections []net.Conn          // both sides of each connection
 }
 
-// NewProxy forwards to a worker, whose list entries name the proxy's address from now on.
+// NewProxy returns a proxy that forwards to a worker. The worker's list entries then have the
+// proxy's address.
 func NewProxy(t Host, w *Worker) *Proxy {
 	proxy := newProxy(t, w.listener.Addr().String(), w.Attempts)
 	w.proxyAddress = proxy.Addr()
 	return proxy
 }
 
-// NewProxyTo forwards to an address.
+// NewProxyTo returns a proxy that forwards to an address.
 func NewProxyTo(t Host, addr string) *Proxy { return newProxy(t, addr, nil) }
 
 func newProxy(t Host, target string, attempts *AttemptLog) *Proxy {
@@ -61,7 +63,7 @@
 	return p
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 func (p *Proxy) close() {
@@ -75,8 +77,8 @@
 	}
 }
 
-// Strand lets the connections that are open stay so and carry nothing any more. New ones
-// are as before.
+// Strand makes the proxy forward nothing more on the connections that are open now, neither data
+// nor their end. New connections are not affected.
 func (p *Proxy) Strand() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,10 +88,10 @@
 	}
 }
 
-// Mute lets what the worker sends wait until Unmute; what is sent to it arrives.
+// Mute holds back all data from the worker until Unmute. Data to the worker still arrives.
 func (p *Proxy) Mute() { p.setMuted(true) }
 
-// Unmute is described at Mute.
+// Unmute ends the effect of Mute and forwards the data that was held back.
 func (p *Proxy) Unmute() { p.setMuted(false) }
 
 func (p *Proxy) setMuted(muted bool) {
@@ -105,7 +107,7 @@
 	p.ResetConnections()
 }
 
-// ResetConnections resets the open connections, on both sides. New ones are as before.
+// ResetConnections resets both sides of the open connections. New connections are not affected.
 func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,19 +117,20 @@
 	p.connections = nil
 }
 
-// Delay sets how long messages to the worker are on their way.
+// Delay sets the delay of data to the worker.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Partition partitions both sides: nothing passes in either direction, and no connection comes up.
+// Partition separates the orchestrator from the worker until Heal: no data passes in either
+// direction, and no connection is established.
 func (p *Proxy) Partition(t Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.partitioned = true
-	p.setAcceptDeadline(t, time.Unix(1, 0)) // accept stops
+	p.setAcceptDeadline(t, time.Unix(1, 0)) // makes a blocked Accept return
 	setBacklog(t, p.listener, 0)
 	for {
 		conn, err := net.DialTimeout("tcp", p.listener.Addr().String(), backlogFullTime)
@@ -138,7 +141,7 @@
 	}
 }
 
-// Heal ends a partition.
+// Heal ends a partition. Data that was held back is then forwarded.
 func (p *Proxy) Heal(t Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,7 +157,7 @@
 	}
 }
 
-// waitHealed waits for the end of a partition; it returns false once the proxy is closed.
+// waitHealed waits for the end of a partition. It returns false if the proxy is closed.
 func (p *Proxy) waitHealed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,9 +175,9 @@
 	}
 }
 
-// carries waits for the end of a partition; it reports whether a connection still carries
-// something.
-func (p *Proxy) carries(conn net.Conn) bool {
+// waitForwarding waits for the end of a partition. It then reports whether the proxy still forwards
+// data of a connection.
+func (p *Proxy) waitForwarding(conn net.Conn) bool {
 	if !p.waitHealed() {
 		return false
 	}
@@ -195,7 +198,7 @@
 	return p.delay
 }
 
-// Returned is how many reads from the worker were handed on to the orchestrator so far.
+// Returned returns the number of reads from the worker that were forwarded to the orchestrator.
 func (p *Proxy) Returned() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,7 +231,8 @@
 	}
 }
 
-// takeFiller returns the far end of an accepted connection that filled the backlog, or nil.
+// takeFiller returns the dialing side of an accepted connection if Partition opened it to fill
+// the backlog, and nil otherwise.
 func (p *Proxy) takeFiller(accepted net.Conn) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,14 +242,15 @@
 	return filler
 }
 
-// segment is what was read at once, and when; or the error that ended the reading.
+// segment is the result of one read: the data and its time, or the error that ended the
+// connection.
 type segment struct {
 	at    time.Time
 	bytes []byte
 	err   error
 }
 
-// forward carries what the orchestrator sends.
+// forward forwards data from the orchestrator to the worker, each segment after the delay.
 func (p *Proxy) forward(from, to net.Conn) {
 	segments := make(chan segment, maxSegments)
 	reset := make(chan struct{})
@@ -253,14 +258,14 @@
 	for next := range segments {
 		time.Sleep(time.Until(next.at.Add(p.currentDelay())))
 		wasPartitioned := p.isPartitioned()
-		if !p.carries(from) {
+		if !p.waitForwarding(from) {
 			return
 		}
 		select {
 		case <-reset:
 			if !wasPartitioned {
 				ResetConnection(to)
-			} // else the worker learns nothing of it, and what was on its way is lost
+			} // a reset during a partition does not reach the worker, and the data in flight is lost
 			return
 		default:
 		}
@@ -268,12 +273,12 @@
 			CloseQuietly(to)
 			return
 		}
-		_, _ = to.Write(next.bytes) // backward notices the worker's end
+		_, _ = to.Write(next.bytes) // backward detects that the worker closed the connection
 	}
 }
 
-// readSegments reads what the orchestrator sends, to the end of its connection. It closes
-// reset where that end is a reset.
+// readSegments reads data from the orchestrator until the connection ends. It closes reset if
+// the orchestrator resets the connection.
 func (p *Proxy) readSegments(from, to net.Conn, segments chan<- segment, reset chan<- struct{}) {
 	for {
 		buffer := make([]byte, proxyBuffer)
@@ -292,20 +297,21 @@
 	}
 }
 
-// backward carries what the worker sends. What comes for a connection that is gone is lost.
+// backward forwards data from the worker to the orchestrator. Data for a connection that the
+// orchestrator has closed is lost.
 func (p *Proxy) backward(from, to net.Conn) {
 	for {
 		buffer := make([]byte, proxyBuffer)
 		n, err := to.Read(buffer)
 		p.waitUnmuted()
-		if !p.carries(from) {
+		if !p.waitForwarding(from) {
 			return
 		}
 		if err != nil {
 			CloseQuietly(from)
 			return
 		}
-		_, _ = from.Write(buffer[:n]) // forward notices the orchestrator's end
+		_, _ = from.Write(buffer[:n]) // forward detects that the orchestrator closed the connection
 		p.mu.Lock()
 		p.returned++
 		p.mu.Unlock()
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -10,26 +10,29 @@
 	"time"
 )
 
-// This file owns the relay from one process to another, for datagrams and connections under
-// one port. What a connection carries into a cut waits and arrives once that heals; a
-// datagram is lost. Where no process is at the far end, the relay refuses, as its host would.
+// This file owns the relay from one process to another, which forwards datagrams and
+// connections at one port. During a cut, data on a connection is held back and arrives once the
+// cut heals, and datagrams are lost. If the target process does not run, the relay refuses
+// connections and drops datagrams, as the host of that process would.
 
 const (
-	maxDatagram       = 64 << 10 // bytes
-	relayBuffer       = 16 << 10 // bytes of one read of a connection
+	maxDatagram       = 64 << 10 // in bytes
+	relayBuffer       = 16 << 10 // maximum size of one read of a connection in bytes
 	relayDialTimeout  = time.Second
 	listenAttempts    = 200
 	listenRetryPeriod = time.Millisecond
 )
 
+// relay forwards datagrams and connections in one direction. Responses on its connections pass
+// in the reverse direction.
 type relay struct {
 	direction
 	network   *Network
-	address   string
+	address   string // at which the relay listens
 	datagrams *net.UDPConn
 
 	mu          sync.Mutex
-	listener    net.Listener // nil while it refuses connections
+	listener    net.Listener // nil while the relay refuses connections
 	connections map[net.Conn]bool
 }
 
@@ -47,7 +50,8 @@
 	r.resetConnections()
 }
 
-// setListening lets the relay accept connections, or refuse them.
+// setListening makes the relay accept or refuse connections. A relay that starts to refuse them
+// also resets the open ones.
 func (r *relay) setListening(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,8 +71,9 @@
 	return nil
 }
 
-// listenAgain listens at an address that may just have been closed: a process that is being
-// started has a copy of the descriptor for a moment.
+// listenAgain listens at an address whose previous listener may just have been closed. It
+// retries while the address is in use: a child process that is being started holds a copy of
+// the old descriptor until it executes its program.
 func listenAgain(address string) (listener net.Listener, err error) {
 	for range listenAttempts {
 		if listener, err = net.Listen("tcp4", address); !errors.Is(err, syscall.EADDRINUSE) {
@@ -79,7 +84,7 @@
 	return listener, err
 }
 
-// resetConnections ends all connections with a reset.
+// resetConnections resets all open connections.
 func (r *relay) resetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,17 +113,17 @@
 	}
 }
 
-// relayDatagram forwards one datagram as the conditions have it: not at all, once or twice,
-// and each copy with a delay of its own.
+// relayDatagram drops a datagram or forwards one or two copies of it, as the conditions of the
+// direction determine. Each copy has a delay of its own.
 func (r *relay) relayDatagram(out *net.UDPConn, datagram []byte) {
 	conditions, target := r.network.path(r.direction)
-	if target == "" || conditions.Refuse || conditions.isCut(time.Now()) || r.network.draws(conditions.Loss) {
+	if target == "" || conditions.Refuse || conditions.isCut(time.Now()) || r.network.drawEvent(conditions.Loss) {
 		r.network.Stopped.Add(1)
 		return
 	}
 	r.network.Passed.Add(1)
 	copies := 1
-	if r.network.draws(conditions.Duplicate) {
+	if r.network.drawEvent(conditions.Duplicate) {
 		copies = 2
 	}
 	address, err := net.ResolveUDPAddr("udp4", target)
@@ -127,7 +132,7 @@
 	}
 	for range copies {
 		delay := r.network.delay(conditions, len(datagram))
-		if r.network.draws(conditions.Reorder) {
+		if r.network.drawEvent(conditions.Reorder) {
 			delay += conditions.extraDelay()
 		}
 		content := append([]byte(nil), datagram...)
@@ -140,7 +145,7 @@
 	}
 }
 
-// accept takes connections until a listener is closed.
+// accept accepts connections until the listener is closed.
 func (r *relay) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -152,8 +157,8 @@
 	}
 }
 
-// connect leads an accepted connection on to the far end, once both directions carry, and
-// returns when both sides have ended.
+// connect connects an accepted connection to the target process once neither direction is cut.
+// It returns when both sides have ended.
 func (r *relay) connect(near net.Conn) {
 	defer r.remove(near)
 	if !r.network.waitOpen(r.direction) || !r.network.waitOpen(r.reverse()) {
@@ -170,9 +175,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.carry(far, near, r.reverse())
+		r.copyStream(far, near, r.reverse())
 	}()
-	r.carry(near, far, r.direction)
+	r.copyStream(near, far, r.direction)
 	<-done
 }
 
@@ -189,14 +194,14 @@
 	CloseQuietly(conn)
 }
 
-// carry carries what one side of a connection sends, until it ends; then it closes both.
-func (r *relay) carry(source, sink net.Conn, d direction) {
+// copyStream forwards data from source to sink until either ends, then closes both.
+func (r *relay) copyStream(source, sink net.Conn, d direction) {
 	defer CloseQuietly(sink)
 	defer CloseQuietly(source)
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := source.Read(buffer)
-		if n > 0 && !r.pass(sink, buffer[:n], d) {
+		if n > 0 && !r.writeWhenOpen(sink, buffer[:n], d) {
 			return
 		}
 		if err != nil {
@@ -208,8 +213,9 @@
 	}
 }
 
-// pass writes what was read once its direction carries; it reports whether that worked.
-func (r *relay) pass(sink net.Conn, content []byte, d direction) bool {
+// writeWhenOpen writes data to sink once the direction is not cut and the delay is over. It reports
+// whether the write succeeded.
+func (r *relay) writeWhenOpen(sink net.Conn, content []byte, d direction) bool {
 	if conditions, _ := r.network.path(d); conditions.isCut(time.Now()) {
 		r.network.Stopped.Add(1)
 	}
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// This file owns the text form of fault schedules: steps with ; between them.
+// This file owns the text form of fault schedules: steps separated by semicolons.
 //
 //	2s cut a->b; 4s pause c 3s; 6s kill d empty; 8s heal
 //
-// A path is a->b, a<->b, hall-x (all paths between a zone and the others) or all. The words
-// of the text form are the program's command line: they must never change.
+// A path is a->b, a<->b, hall-x (all paths between the zone hall-x and the other zones) or all.
+// The words of the text form are part of the program's command line and must never change.
 
-// Verbs of a schedule.
+// Verbs of schedule steps.
 const (
 	VerbCut       = "cut"
 	VerbRefuse    = "refuse"
@@ -37,33 +37,34 @@
 	VerbHeal      = "heal"
 )
 
-// AllPaths is the path of a step on all paths between orchestrators.
+// AllPaths is the path of a step that affects all paths between orchestrators.
 const AllPaths = "all"
 
-// except stands before the process that a cut spares.
+// except precedes the process that a cut does not affect.
 const except = "but"
 
-// What the folder of a process that is started again holds.
+// Contents of the folder of a restarted process: no stored file, or the one of its first start.
 const (
 	FolderEmpty = "empty"
 	FolderOld   = "old"
 )
 
-// Step is one fault, or the end of faults.
+// Step is a step of a schedule. It starts or ends faults.
 type Step struct {
-	At    time.Duration // since the begin of the schedule
+	At    time.Duration // since the start of the schedule
 	Verb  string
-	Where string   // a process or a path, "" with heal
-	Args  []string // as the verb has them
+	Where string   // process or path, "" for heal
+	Args  []string // arguments of the verb
 }
 
-// verbForm says what a verb takes.
+// verbForm describes the arguments of a verb.
 type verbForm struct {
-	minArgs, maxArgs int // but for a cut
-	usage            string
+	minArgs, maxArgs int    // number of arguments, unused for cut
+	usage            string // arguments as an error shows them
 }
 
-// verbForms are those of all verbs but heal, which takes nothing.
+// verbForms contains the forms of all verbs except heal, which has neither a process or path nor
+// arguments.
 var verbForms = map[string]verbForm{
 	VerbCut:       {usage: "[but PROCESS]"},
 	VerbRefuse:    {},
@@ -82,7 +83,7 @@
 	VerbRestart:   {maxArgs: 1, usage: "[empty | old]"},
 }
 
-// String is the step as ParseSchedule reads it.
+// String returns the step in the form that ParseSchedule reads.
 func (s Step) String() string {
 	words := []string{s.At.String(), s.Verb}
 	if s.Where != "" {
@@ -91,7 +92,7 @@
 	return strings.Join(append(words, s.Args...), " ")
 }
 
-// OnProcess reports whether the step is on a process, and not on a path or on everything.
+// OnProcess reports whether the step affects one process, as opposed to paths.
 func (s Step) OnProcess() bool {
 	switch s.Verb {
 	case VerbPause, VerbKill, VerbTerminate, VerbStart, VerbRestart:
@@ -100,22 +101,24 @@
 	return false
 }
 
-// Spares reports whether a cut leaves the paths of a process open.
+// Spares reports whether a cut does not affect the paths of a process.
 func (s Step) Spares(process string) bool { return len(s.Args) == 2 && s.Args[1] == process }
 
-// Duration is an argument, a length of time, of a step that ParseSchedule or Draw made.
+// Duration returns an argument that is a duration. The step must come from ParseSchedule or
+// DrawSchedule.
 func (s Step) Duration(arg int) time.Duration {
-	d, _ := time.ParseDuration(s.Args[arg]) // ParseSchedule has checked it
+	d, _ := time.ParseDuration(s.Args[arg]) // ParseSchedule has checked the argument
 	return d
 }
 
-// Number is an argument, a share or a count, of a step that ParseSchedule or Draw made.
+// Number returns an argument that is a fraction or a count. The step must come from
+// ParseSchedule or DrawSchedule.
 func (s Step) Number(arg int) float64 {
-	number, _ := strconv.ParseFloat(s.Args[arg], 64) // ParseSchedule has checked it
+	number, _ := strconv.ParseFloat(s.Args[arg], 64) // ParseSchedule has checked the argument
 	return number
 }
 
-// FormatSchedule is a schedule as ParseSchedule reads it.
+// FormatSchedule returns a schedule in the form that ParseSchedule reads.
 func FormatSchedule(steps []Step) string {
 	var texts []string
 	for _, step := range steps {
@@ -127,13 +130,13 @@
 // ErrSchedule is wrapped by every ScheduleError.
 var ErrSchedule = errors.New("schedule")
 
-// ScheduleError says which step of a schedule is invalid, and why.
+// ScheduleError describes an invalid step of a schedule.
 type ScheduleError struct {
-	Step          int // from 1
+	Step          int // position of the step, starting at 1
 	Expected, Got string
 }
 
-// Error says which step it is, what was expected, and what was there.
+// Error returns the number of the step, the expected text and the actual text.
 func (e *ScheduleError) Error() string {
 	return fmt.Sprintf("%s: step %d: expected %s, got %.40q", ErrSchedule, e.Step, e.Expected, e.Got)
 }
@@ -141,7 +144,7 @@
 // Unwrap returns ErrSchedule.
 func (e *ScheduleError) Unwrap() error { return ErrSchedule }
 
-// ParseSchedule reads a schedule, and sorts its steps by time. Its errors are ScheduleErrors.
+// ParseSchedule parses a schedule and sorts its steps by time. Every error is a *ScheduleError.
 func ParseSchedule(text string) (steps []Step, err error) {
 	for i, part := range strings.Split(text, ";") {
 		if strings.TrimSpace(part) == "" {
@@ -161,7 +164,7 @@
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 }
 
-// parseStep reads one step; expected is "" where it is valid.
+// parseStep parses one step. If the step is valid, expected is "".
 func parseStep(part string) (step Step, expected, got string) {
 	words := strings.Fields(part)
 	var err error
@@ -186,7 +189,7 @@
 		return step, "a process or a way after " + step.Verb, ""
 	}
 	step.Where, step.Args = words[2], words[3:]
-	if !form.takes(step) {
+	if !form.acceptsArgCount(step) {
 		return step, fmt.Sprintf("%s %s %s", step.Verb, step.Where, form.usage), part
 	}
 	for _, arg := range step.Args {
@@ -197,9 +200,9 @@
 	return step, "", ""
 }
 
-// takes reports whether a step has as many arguments as its verb takes. Those of a cut are
-// two words: but PROCESS.
-func (f verbForm) takes(step Step) bool {
+// acceptsArgCount reports whether a step has a valid number of arguments for its verb. A cut has either
+// none or the two words "but PROCESS".
+func (f verbForm) acceptsArgCount(step Step) bool {
 	if step.Verb == VerbCut {
 		return len(step.Args) == 0 || len(step.Args) == 2 && step.Args[0] == except
 	}
@@ -215,7 +218,8 @@
 	return names
 }
 
-// expectedArg says what was expected in place of an argument, "" where it is valid.
+// expectedArg describes the valid values of an argument if the argument is invalid. It returns
+// "" if the argument is valid.
 func expectedArg(verb, arg string) string {
 	switch verb {
 	case VerbDelay, VerbPause, VerbFlap:
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// This file owns how a schedule is drawn from a seed, and how one that fails is made
-// shorter. The same seed must always give the same schedule: neither the order of draws nor
-// their bounds may change.
+// This file owns the generation of a schedule from a seed and the reduction of a failing
+// schedule. The same seed must always give the same schedule, so neither the order nor the
+// bounds of the random draws may change.
 
 const (
-	firstFault    = time.Second             // a schedule's first fault comes no sooner
-	maxFaultGap   = 1200 * time.Millisecond // between two faults
-	healBeforeEnd = 3 * time.Second         // all faults end so long before the schedule does
-	minFault      = 2 * time.Second         // the last fault is open so long, at least
-	minKill       = 9 * time.Second         // a kill comes so long before the faults' end, to be detected
-	maxKilled     = 3                       // at most one process in so many is killed
-	roundTo       = 100 * time.Millisecond  // times of steps
+	firstFault       = time.Second             // earliest time of the first fault
+	maxFaultGap      = 1200 * time.Millisecond // maximum time between the starts of two faults
+	healBeforeEnd    = 3 * time.Second         // time between the heal step and the end of the schedule
+	minFaultLength   = 2 * time.Second         // minimum time between the last fault and the heal step
+	minKillLength    = 9 * time.Second         // minimum time between a kill and the heal step, to be detected
+	processesPerKill = 3                       // at most one in this number of processes is killed
+	roundTo          = 100 * time.Millisecond  // times of faults are rounded to a multiple of this
 )
 
-// faultKind is a kind of fault that is drawn.
+// faultKind is a kind of fault that DrawSchedule can draw.
 type faultKind string
 
 const (
@@ -38,25 +38,27 @@
 	faultRefuse        faultKind = "refused connections"
 )
 
-// processesOf is how many processes of its own a fault needs.
-var processesOf = map[faultKind]int{faultAsymmetricCut: 2, faultRefuse: 2, faultFlap: 2, faultKill: 1, faultRestart: 1, faultPause: 1, faultBridge: 1}
+// processesNeeded contains the number of processes without an earlier fault that each kind of fault
+// needs. Kinds that are not listed need none.
+var processesNeeded = map[faultKind]int{faultAsymmetricCut: 2, faultRefuse: 2, faultFlap: 2, faultKill: 1, faultRestart: 1, faultPause: 1, faultBridge: 1}
 
-// drawer draws a schedule. Each process has a fault of its own, so that the effects can be
-// told from each other.
-type drawer struct {
+// scheduleDrawer draws a schedule. No process is named by two faults, so the effects of the faults can
+// be distinguished. Faults of zones and of all paths come in addition.
+type scheduleDrawer struct {
 	random    *rand.Rand
 	processes []string // in the order in which they get faults
 	zones     []string
-	next      int // process without a fault
-	killed    int
-	healAt    time.Duration
+	next      int           // index of the first process without a fault
+	killed    int           // number of kills drawn, including those left out
+	healAt    time.Duration // time of the heal step
 	steps     []Step
 }
 
-// DrawSchedule makes a schedule of faults that are all over, and healed, by the end of its length.
-// The names are those of processes by zone. At most a third of the processes is killed.
+// DrawSchedule generates a schedule from a seed. All faults except kills are over before the given
+// length ends. zones contains the names of the processes by zone. At most a third of the processes
+// are killed.
 func DrawSchedule(seed uint64, zones map[string][]string, length time.Duration) []Step {
-	d := &drawer{random: rand.New(rand.NewPCG(seed, 6)), healAt: length - healBeforeEnd}
+	d := &scheduleDrawer{random: rand.New(rand.NewPCG(seed, 6)), healAt: length - healBeforeEnd}
 	for zone, processes := range zones {
 		d.zones = append(d.zones, zone)
 		d.processes = append(d.processes, processes...)
@@ -67,14 +69,15 @@
 	kinds := []faultKind{faultKill, faultRestart, faultPause, faultAsymmetricCut, faultLoss, faultFlap, faultDelay, faultZoneCut, faultBridge,
 		faultDuplicate, faultRefuse}
 	shuffle(d.random, kinds)
-	// Every schedule opens with the end of a process and a path that carries in one direction only.
+	// The first two faults of every schedule are a kill, which draw leaves out if the schedule is
+	// too short for it, and a cut of one direction of a path.
 	at := firstFault
 	for _, kind := range append([]faultKind{faultKill, faultAsymmetricCut}, kinds...) {
 		at += time.Duration(d.random.Int64N(int64(maxFaultGap)))
-		if at > d.healAt-minFault {
+		if at > d.healAt-minFaultLength {
 			break
 		}
-		if processesOf[kind] <= len(d.processes)-d.next {
+		if processesNeeded[kind] <= len(d.processes)-d.next {
 			d.draw(kind, at)
 		}
 	}
@@ -87,11 +90,12 @@
 	random.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 }
 
-// draw adds the steps of one fault.
-func (d *drawer) draw(kind faultKind, at time.Duration) {
+// draw adds the steps of one fault. It leaves out a kill that is too late to be detected or
+// would exceed the maximum number of kills.
+func (d *scheduleDrawer) draw(kind faultKind, at time.Duration) {
 	switch kind {
 	case faultKill:
-		if d.killed++; d.killed <= len(d.processes)/maxKilled && at <= d.healAt-minKill {
+		if d.killed++; d.killed <= len(d.processes)/processesPerKill && at <= d.healAt-minKillLength {
 			d.add(at, VerbKill, d.process())
 		}
 	case faultRestart:
@@ -120,20 +124,20 @@
 	}
 }
 
-func (d *drawer) add(at time.Duration, verb, where string, args ...string) {
+func (d *scheduleDrawer) add(at time.Duration, verb, where string, args ...string) {
 	d.steps = append(d.steps, Step{At: at.Round(roundTo), Verb: verb, Where: where, Args: args})
 }
 
-// process takes the next process that has no fault.
-func (d *drawer) process() string {
+// process returns the next process without a fault and marks it as used.
+func (d *scheduleDrawer) process() string {
 	d.next++
 	return d.processes[d.next-1]
 }
 
-func (d *drawer) zone() string { return d.zones[d.random.IntN(len(d.zones))] }
+func (d *scheduleDrawer) zone() string { return d.zones[d.random.IntN(len(d.zones))] }
 
-// ShrinkSchedule leaves out the steps that a failing schedule does not need to fail. A heal
-// stays.
+// ShrinkSchedule removes each step of a failing schedule without which the schedule still fails.
+// It never removes a heal step.
 func ShrinkSchedule(steps []Step, fails func([]Step) bool) []Step {
 	for i := 0; i < len(steps); {
 		shorter := slices.Delete(slices.Clone(steps), i, i+1)
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// This file tests the text form of schedules and how they are drawn.
+// This file tests the text form of schedules and their generation from a seed.
 
-// The same seed always draws the same schedule: this one was drawn in December 2026.
+// The same seed must always give the same schedule. The test guards against a change of the order
+// or the bounds of the random draws: the expected schedule was drawn in December 2026.
 func TestDrawIsStable(t *testing.T) {
 	zones := map[string][]string{"hall-a": {"n0", "n3", "n6"}, "hall-b": {"n1", "n4"}, "hall-c": {"n2", "n5"}}
 	const want = "1.2s cut n1->n0; 1.6s pause n6 2315ms; 2.2s twice all 0.10; 2.2s overtake all 0.10; 2.8s delay all 5ms 20ms; " +
 		"3.4s refuse n2->n4; 3.5s cut hall-b but n3; 4.6s restart n5 old; 5.6s cut hall-c; 6.4s loss all 0.11; 9s mend hall-c; 9s heal"
 	if got := FormatSchedule(DrawSchedule(7, zones, 12*time.Second)); got != want {
-		t.Errorf("drew %s, expected %s", got, want)
+		t.Errorf("DrawSchedule with seed 7: got %s, want %s", got, want)
 	}
 }
 
@@ -32,11 +33,11 @@
 		_, err := ParseSchedule(c.text)
 		var invalid *ScheduleError
 		if !errors.Is(err, ErrSchedule) || !errors.As(err, &invalid) {
-			t.Errorf("%q: expected a ScheduleError, got %v", c.text, err)
+			t.Errorf("ParseSchedule(%q): got error %v, want a *ScheduleError", c.text, err)
 			continue
 		}
 		if want := (ScheduleError{Step: 2, Expected: c.expected, Got: c.got}); *invalid != want {
-			t.Errorf("%q: expected %+v, got %+v", c.text, want, *invalid)
+			t.Errorf("ParseSchedule(%q): want error %+v, got %+v", c.text, want, *invalid)
 		}
 	}
 }
@@ -50,6 +51,6 @@
 		return slices.ContainsFunc(steps, func(s Step) bool { return s.Verb == VerbKill })
 	}
 	if got := FormatSchedule(ShrinkSchedule(steps, hasKill)); got != "2s kill n2; 9s heal" {
-		t.Errorf("expected the kill and the heal alone, got %s", got)
+		t.Errorf("ShrinkSchedule: got %s, want only the kill and the heal step", got)
 	}
 }
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// This file owns how a worker that has just started performs: slowly at first, and not at
-// all after an overload. A CapacityModel guards it by its lock.
+// This file owns the slow start of an emulated worker: a worker that has just started is slow,
+// and it stops responding to offers if it is overloaded meanwhile.
 
-// slowStart counts the offers to a worker that is warming up. Without a start time the
-// worker has run for long.
+// slowStart counts the offers to a worker during slow start. A worker without a start time runs
+// at full speed. The lock of the CapacityModel guards the slowStart.
 type slowStart struct {
-	spec     *WorkerSpec
-	offers   []time.Time // within the overload window
-	peakLoad float64     // of offers, over what it can take
-	fallen   bool        // overloaded: it answers nothing any more
+	spec       *WorkerSpec
+	offers     []time.Time // within the overload window
+	peakLoad   float64     // maximum ratio of the offers to the tolerated number of offers
+	overloaded bool        // the worker was overloaded and ignores all offers
 }
 
 func (s *slowStart) warmingUp() bool {
 	return !s.spec.UpSince.IsZero() && time.Since(s.spec.UpSince) <= s.spec.SlowStart
 }
 
-// speed is its share of full speed.
+// speed returns the current speed of the worker as a fraction of full speed.
 func (s *slowStart) speed() float64 {
 	if !s.warmingUp() {
 		return 1
@@ -26,8 +26,8 @@
 	return s.spec.ColdStartRate + (1-s.spec.ColdStartRate)*time.Since(s.spec.UpSince).Seconds()/s.spec.SlowStart.Seconds()
 }
 
-// countOffer counts an offer against what the worker can take, and overloads it by what is
-// too much.
+// countOffer counts an offer during slow start. It marks the worker as overloaded if the number
+// of offers within the overload window exceeds the tolerated number.
 func (s *slowStart) countOffer() {
 	if !s.warmingUp() {
 		return
@@ -41,6 +41,6 @@
 	limit := max(s.spec.InitialBudget, s.spec.FallMultiple*starts)
 	s.peakLoad = max(s.peakLoad, float64(len(s.offers))/limit)
 	if s.peakLoad > 1 {
-		s.fallen = true
+		s.overloaded = true
 	}
 }
--- a/internal/testbed/sockets.go
+++ b/internal/testbed/sockets.go
@@ -7,10 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file owns how stand-ins end sockets: in good order, by a reset, or by refusal.
+// This file owns the ways in which stand-ins end sockets: an orderly close, a reset, or the
+// refusal of connections.
 
-// CloseQuietly closes what a stand-in owns. Its error is neglected: what is closed twice,
-// or whose other side is gone, is closed either way.
+// CloseQuietly closes a socket or another resource of a stand-in. It ignores the error of Close:
+// the resource is closed even if it was closed before or its peer has disconnected.
 func CloseQuietly(c io.Closer) { _ = c.Close() }
 
 // ResetConnection closes a TCP connection with a reset.
@@ -19,23 +20,24 @@
 	CloseQuietly(conn)
 }
 
-// resetOnClose lets the next Close of a TCP connection send a reset.
+// resetOnClose makes the next Close of a TCP connection send a reset.
 func resetOnClose(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // it fails on a closed socket, which needs no reset
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a closed socket, which needs no reset
 }
 
-// Refuse makes a listener refuse connections from now on. Its port stays taken until it is
-// closed: given back, it could be another test's, to which whoever dials here would come.
+// Refuse makes a listener refuse connections from now on. The port stays in use until the
+// listener is closed: if the port were released, another test could get it and would receive the
+// connections to this listener.
 func Refuse(t Host, ln net.Listener) {
 	control(t, ln, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) })
 }
 
-// setBacklog bounds the connections that wait at a listener to be accepted.
+// setBacklog sets the maximum number of connections that wait at a listener to be accepted.
 func setBacklog(t Host, ln net.Listener, backlog int) {
 	control(t, ln, func(fd int) error { return unix.Listen(fd, backlog) })
 }
 
-// control makes a system call on a listener's descriptor.
+// control calls a function with the file descriptor of a listener. An error fails the test.
 func control(t Host, ln net.Listener, call func(fd int) error) {
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -50,8 +52,8 @@
 	}
 }
 
-// closedByPeer reports whether the other side of a connection has closed it, by the
-// kernel's state of the socket and not by what was read.
+// closedByPeer reports whether the other side of a connection has closed it. It uses the
+// kernel's state of the socket, so it does not depend on what was read from the connection.
 func closedByPeer(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/testbed/task.go
+++ b/internal/testbed/task.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// This file owns the form in which a submission describes a task to a capacity model.
+// This file owns the text form in which a submission describes a task to a CapacityModel.
 
-// Task is what the description of a submission says of its task.
+// Task is the description of a task in a submission.
 type Task struct {
 	Class              string
-	Cores, Memory      float64       // cores, and memory in the units of the list
-	StartTime, RunTime time.Duration // of a start at full speed, and from the start to the end
+	Cores, Memory      float64       // number of cores, and memory in the unit of the worker list
+	StartTime, RunTime time.Duration // time of the start at full speed, and time from then to the end
 }
 
-// Describe writes a task as a description.
+// Describe returns the text form of a task.
 func (t Task) Describe() string {
 	return fmt.Sprintf("%s %g %g %d %d", t.Class, t.Cores, t.Memory, t.StartTime, t.RunTime)
 }
 
-// parseTask reads what Describe wrote.
+// parseTask parses the text form that Describe returns.
 func parseTask(description string) (t Task, err error) {
 	_, err = fmt.Sscanf(description, "%s %g %g %d %d", &t.Class, &t.Cores, &t.Memory, &t.StartTime, &t.RunTime)
 	return t, err
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,15 +1,15 @@
-// Package testbed holds the stand-ins that tests and rehearsals run against: workers,
-// discovery and clients on JSON lines, the network between orchestrators, and faults that
-// are injected into it. The stand-ins are written from the protocol's specification with libraries
-// that the program itself does not use for it. A stand-in owns what it listens on and
-// closes it at the end of the test; it must never be part of a program that serves.
+// Package testbed provides the stand-ins for tests and rehearsals: workers, discovery and
+// clients that use the JSON lines protocol, and the network between orchestrators with injected
+// faults. The stand-ins implement the protocol's specification with libraries that the program
+// itself does not use for the protocol. A stand-in owns its listeners and closes them at the end
+// of the test. It must never be part of an orchestrator that serves clients.
 package testbed
 
 import "time"
 
-// This file owns what stand-ins need of whoever runs them.
+// This file owns the interface that stand-ins require of the test or rehearsal that runs them.
 
-// Host runs stand-ins: a test, or a rehearsal.
+// Host runs stand-ins. It is a test or a rehearsal.
 type Host interface {
 	Helper()
 	Cleanup(f func())
@@ -19,24 +19,25 @@
 	Fatalf(format string, args ...any)
 }
 
-// Timeout is the timeout of whatever a test waits for.
+// Timeout is the maximum time for which a test waits for an event.
 const Timeout = 10 * time.Second
 
-// Wait receives from a channel, and fails the test where nothing comes in time.
+// Wait receives a value from a channel. It fails the test if the channel is closed or no value
+// arrives within Timeout. The failure message names the expected event by what.
 func Wait[T any](t Host, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v, ok := <-c:
 		if !ok {
-			t.Fatalf("%s: the other side closed", what)
+			t.Fatalf("%s: the channel was closed, want a value", what)
 		}
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("%s: nothing came in %s", what, Timeout)
+		t.Fatalf("%s: no value was received within %s", what, Timeout)
 	}
 	panic("not reached")
 }
 
-// errorPrefix opens the package's errors. It is the package's former name, which stays
-// since the sub-command rehearse prints it.
+// errorPrefix is the prefix of the package's errors. It is the package's former name and must not
+// change because the rehearse sub-command prints it.
 const errorPrefix = "standin"
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -11,46 +11,47 @@
 	"time"
 )
 
-// This file owns the stand-in worker's listener, its connections and what it reads on
-// them. What it answers is in worker_script.go and capacity_model.go.
+// This file owns the stand-in worker's listener and connections and the messages that it reads.
+// The responses to offers are in worker_script.go and capacity_model.go.
 
-// maxLostOffers bounds the offers that Worker.LostOffers holds.
+// maxLostOffers is the capacity of Worker.LostOffers.
 const maxLostOffers = 1000
 
-// Worker is a stand-in worker. Without a CapacityModel it answers an offer by the script
-// that the task's key names (see answerByScript); with one, the model answers.
+// Worker is a stand-in worker. If it has a CapacityModel, the model responds to offers.
+// Otherwise the script that the task's key names determines the response (see answerByScript).
 type Worker struct {
 	Name   string
-	Kind   string    // as the list has it; "std" unless it is set
-	Starts chan Line // offers, in order; only without a CapacityModel
-	Ends   chan Line // cancels and releases, in order; the same
-	// LostOffers are the offers whose connection closed before the orchestrator released them,
-	// answered or not: closing a connection cancels what is open on it. It holds maxLostOffers;
-	// what comes beyond is dropped.
+	Kind   string    // kind in the worker's list entry, "std" unless the test sets it
+	Starts chan Line // received offers, in order; only without a CapacityModel
+	Ends   chan Line // received cancels and releases, in order; only without a CapacityModel
+	// LostOffers receives each offer whose connection closed before the orchestrator released the
+	// offer, whether the worker responded or not: closing a connection cancels its open offers.
+	// Offers that exceed the capacity of maxLostOffers are dropped.
 	LostOffers chan Line
-	// Attempts records the attempts here, where it is set before the first connection.
+	// Attempts records the attempts at this worker. It must be set before the first connection;
+	// nil records nothing.
 	Attempts *AttemptLog
 
 	host         Host
 	listener     net.Listener
-	proxyAddress string // where orchestrators reach it, "" where that is its listener's
+	proxyAddress string // address for orchestrators, "" for the listener's address
 	model        *CapacityModel
 
 	mu               sync.Mutex
-	dialled          *sync.Cond // a connection came
+	dialled          *sync.Cond // a connection was accepted
 	connections      map[net.Conn]bool
-	offerConnections map[string]net.Conn // by request ID
-	running          map[string]bool     // by request ID
-	offers           map[string]int      // by key
-	dials            int                 // connections so far
-	unreported       []Line              // completions for the next connection
-	unresponsive     bool                // it reads, and writes nothing any more
-	incarnation      int                 // of its process: how often it crashed
+	offerConnections map[string]net.Conn // connection of each offer, by request ID
+	running          map[string]bool     // running tasks, by request ID
+	offers           map[string]int      // number of offers, by the task's key
+	dials            int                 // number of connections accepted
+	unreported       []Line              // completions to send on the next connection
+	unresponsive     bool                // the worker reads messages and ignores them
+	incarnation      int                 // number of crashes
 	connectionEnds   []time.Time
-	pings            int // so far
+	pings            int // number of pings received
 }
 
-// NewWorker starts a worker that follows its script, and ends with the test.
+// NewWorker starts a worker without a CapacityModel. The worker is closed at the end of the test.
 func NewWorker(t Host, name string) *Worker { return newWorker(t, name, nil) }
 
 func newWorker(t Host, name string, model *CapacityModel) *Worker {
@@ -78,7 +79,7 @@
 	return w
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (w *Worker) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -92,7 +93,7 @@
 		unreported := w.unreported
 		w.unreported = nil
 		w.mu.Unlock()
-		if w.proxyAddress == "" { // else the proxy knows what the orchestrator closed
+		if w.proxyAddress == "" { // behind a proxy, the proxy detects the closes of the orchestrator
 			w.Attempts.connected(conn.RemoteAddr().String(), func() bool { return closedByPeer(conn.(*net.TCPConn)) })
 		}
 		for _, line := range unreported {
@@ -109,19 +110,19 @@
 	w.CloseConnections()
 }
 
-// serve reads a connection to its end.
+// serve handles the messages of a connection until it ends.
 func (w *Worker) serve(conn net.Conn) {
 	w.mu.Lock()
 	incarnation := w.incarnation
 	w.mu.Unlock()
-	open := map[string]Line{} // offers on this connection that were not released
+	open := map[string]Line{} // offers on this connection that were not released, by request ID
 	defer func() { w.disconnected(conn, open) }()
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
 		var line Line
 		if json.Unmarshal(scanner.Bytes(), &line) != nil {
 			return
 		}
-		if !w.reads(incarnation) {
+		if !w.isResponsive(incarnation) {
 			continue
 		}
 		switch line.Verb {
@@ -139,24 +140,26 @@
 	}
 }
 
-// disconnected takes the end of a connection and the offers that were open on it.
+// disconnected handles the end of a connection. open contains the offers on it that were not
+// released.
 func (w *Worker) disconnected(conn net.Conn, open map[string]Line) {
 	w.mu.Lock()
 	delete(w.connections, conn)
 	w.connectionEnds = append(w.connectionEnds, time.Now())
 	maps.DeleteFunc(w.offerConnections, func(_ string, offered net.Conn) bool { return offered == conn })
 	w.mu.Unlock()
-	// Also behind a proxy, which has recorded the close when it came: the worker may have read an offer after that.
+	// A proxy has already recorded the close when it arrived there. The worker records it again because it may have
+	// read an offer after that.
 	w.Attempts.connectionClosed(conn.RemoteAddr().String())
 	for _, line := range open {
 		select {
 		case w.LostOffers <- line:
-		default: // nobody reads them: a full channel must not block the connection's end
+		default: // the test does not read LostOffers: a full channel must not block the end of the connection
 		}
 	}
 }
 
-// receiveOffer takes an offer, and reports whether its connection is still open.
+// receiveOffer handles an offer and reports whether its connection is still open.
 func (w *Worker) receiveOffer(conn net.Conn, line Line) (open bool) {
 	if w.model == nil {
 		w.mu.Lock()
@@ -203,8 +206,8 @@
 	return w.connections[conn]
 }
 
-// report sends what concerns a task on the connection of its offer, else on any open one,
-// else on the next.
+// report sends a message about a task on the connection of its offer. If that connection has
+// ended, report uses any open connection, or the next one if none is open.
 func (w *Worker) report(conn net.Conn, line Line) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -220,17 +223,17 @@
 	Send(conn, line)
 }
 
-// SendFinish completes a running task as the protocol has it: reported on the connection of
-// its offer while that looks open here, else on any open one, and also on the next one
-// opened.
+// SendFinish completes a running task and reports the completion as the protocol specifies: on
+// the connection of the offer if that connection looks open to the worker, otherwise on any open
+// connection, and in both cases also on the next connection.
 func (w *Worker) SendFinish(requestID string, rc int) {
 	w.sendEnd(requestID, FinishLine("FINISH", requestID, rc))
 }
 
-// SendAway ends a running task as a draining worker does, reported as SendFinish has it.
+// SendAway ends a running task as a draining worker does and reports the end like SendFinish.
 func (w *Worker) SendAway(requestID string) { w.sendEnd(requestID, drainedLine(requestID)) }
 
-// sendEnd ends a running task, and reports that with a message.
+// sendEnd ends a running task and reports the end with the given message.
 func (w *Worker) sendEnd(requestID string, line Line) {
 	w.Attempts.ended(w.Name, requestID)
 	w.mu.Lock()
@@ -243,8 +246,8 @@
 	w.mu.Unlock()
 }
 
-// End completes a task with a code, reported on any open connection or on the next one
-// opened, for which it waits.
+// End completes a task and reports the completion with a code on any open connection. If none is
+// open, End waits for the next one.
 func (w *Worker) End(requestID string, rc int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -259,7 +262,8 @@
 	}
 }
 
-// SendNotice sends a notice that concerns no task on every open connection: the worker is up.
+// SendNotice sends a notice on every open connection. The notice reports that the worker is up
+// and concerns no task.
 func (w *Worker) SendNotice() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -268,7 +272,7 @@
 	}
 }
 
-// Addr is where orchestrators reach it.
+// Addr returns the address at which orchestrators connect to the worker.
 func (w *Worker) Addr() string {
 	if w.proxyAddress != "" {
 		return w.proxyAddress
@@ -276,52 +280,53 @@
 	return w.listener.Addr().String()
 }
 
-// StartCount is the number of offers of a task.
+// StartCount returns the number of offers of the task with a key.
 func (w *Worker) StartCount(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.offers[key]
 }
 
-// HasTask reports whether the task of a request runs.
+// HasTask reports whether the task of a request is running.
 func (w *Worker) HasTask(requestID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.running[requestID]
 }
 
-// TaskCount is the number of running tasks.
+// TaskCount returns the number of running tasks.
 func (w *Worker) TaskCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.running)
 }
 
-// PingCount is the number of pings so far.
+// PingCount returns the number of pings received so far.
 func (w *Worker) PingCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.pings
 }
 
-// DialCounts is how many connections came, and how many are open.
-func (w *Worker) DialCounts() (came, open int) {
+// DialCounts returns the number of connections accepted so far and the number that are open.
+func (w *Worker) DialCounts() (accepted, open int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dials, len(w.connections)
 }
 
-// LostConnection reports whether one of its connections ended between two times, from whichever side.
+// LostConnection reports whether a connection of the worker ended between two times, whichever side
+// closed it.
 func (w *Worker) LostConnection(from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.ContainsFunc(w.connectionEnds, func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// ListEntry is its entry on the list.
+// ListEntry returns the worker's list entry with a phase.
 func (w *Worker) ListEntry(phase string) string { return w.ListEntryAt(phase, w.Addr()) }
 
-// ListEntryAt is the same for whoever reaches it at another address.
+// ListEntryAt returns the worker's list entry with a phase and an address other than Addr.
 func (w *Worker) ListEntryAt(phase, addr string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"hall-a","flavor":%q,"cell":1,"phase":%q,"size":1,`+
 		`"up_since_ms":0,"spare":[32,64]}`, w.Name, addr, w.Kind, phase)
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -2,10 +2,11 @@
 
 // This file owns the faults that a test injects into a stand-in worker.
 
-// RefuseConnections refuses new connections; open ones stay.
+// RefuseConnections refuses new connections. Open connections stay open.
 func (w *Worker) RefuseConnections() { Refuse(w.host, w.listener) }
 
-// Crash ends it as a process is killed: open connections are reset, new ones refused.
+// Crash ends the worker like a killed process: open connections are reset, new ones are refused,
+// and running tasks are lost.
 func (w *Worker) Crash() {
 	Refuse(w.host, w.listener)
 	w.mu.Lock()
@@ -18,7 +19,7 @@
 	w.Attempts.workerLost(w.Name)
 }
 
-// Recover starts a new process at the address of one that Crash has ended: nothing runs there.
+// Recover restarts a crashed worker at the same address, without running tasks.
 func (w *Worker) Recover() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -34,15 +35,15 @@
 	return nil
 }
 
-// Hang lets it accept connections, and neither act on anything nor answer.
+// Hang makes the worker ignore all messages. It still accepts connections.
 func (w *Worker) Hang() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unresponsive = true
 }
 
-// BecomeUnreachable ends it as a power cut does: new connections are refused, and those that are open
-// stay open and unresponsive.
+// BecomeUnreachable ends the worker like a power failure: new connections are refused, and open
+// connections stay open without a response.
 func (w *Worker) BecomeUnreachable() {
 	w.mu.Lock()
 	w.unresponsive = true
@@ -50,14 +51,14 @@
 	Refuse(w.host, w.listener)
 }
 
-// CloseGracefully ends it as a process does that shuts down: open connections are closed,
-// new ones refused.
+// CloseGracefully ends the worker like a process that shuts down: open connections are closed,
+// and new ones are refused.
 func (w *Worker) CloseGracefully() {
 	Refuse(w.host, w.listener)
 	w.CloseConnections()
 }
 
-// CloseConnections closes its connections and accepts new ones.
+// CloseConnections closes the open connections. New connections are accepted.
 func (w *Worker) CloseConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,7 +67,8 @@
 	}
 }
 
-// Forget takes its connections for lost, and waits for a new one.
+// Forget makes the worker treat its open connections as lost, without closing them, and waits for
+// a new connection.
 func (w *Worker) Forget() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,8 +79,9 @@
 	}
 }
 
-// reads reports whether the process of an incarnation lives and acts on what it reads.
-func (w *Worker) reads(incarnation int) bool {
+// isResponsive reports whether the worker still handles messages that arrive for an incarnation: it has
+// not crashed since, and it is responsive.
+func (w *Worker) isResponsive(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.unresponsive && w.incarnation == incarnation
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -6,14 +6,21 @@
 	"strings"
 )
 
-// This file owns what a stand-in worker without a CapacityModel answers to an offer.
+// This file owns the responses to offers of a stand-in worker without a CapacityModel.
 
-// answerByScript answers an offer as the first word of the task's key says: ok-, full-,
-// error-, silent- or reset-. A task missed- is silent at the first attempt of a request and
-// ok at those after, at whatever worker. What is half- or bare- is invalid at the first offer
-// of a task and fine at the next; twice- is a duplicate and a foreign answer. A task brief- is
-// over before it was accepted: one message says both. A task held- runs, and its acceptance
-// never comes. It reports whether the connection is still open.
+// answerByScript responds to an offer according to the script, the first word of the task's key.
+// It reports whether the connection is still open. The scripts are:
+//   - ok- accepts the task.
+//   - full- rejects the offer with the cause busy.
+//   - error- reports that the task failed.
+//   - silent- and any unknown word give no response.
+//   - reset- resets the connection.
+//   - missed- is silent- at the first attempt of a request and ok- at later attempts, at any worker.
+//   - half- and bare- give an invalid response at the first offer of a task, half a message or one
+//     without its blob, and an acceptance at later offers.
+//   - twice- gives an acceptance twice, after two responses to a request that was never sent.
+//   - brief- completes the task before its acceptance: one message reports both.
+//   - held- runs the task and never sends the acceptance.
 func (w *Worker) answerByScript(conn net.Conn, line Line) (open bool) {
 	key := line.Opts["key"]
 	w.mu.Lock()
@@ -56,7 +63,8 @@
 	return true
 }
 
-// script is the first word of a task's key, with missed- resolved by the attempt's number.
+// script returns the first word of a task's key, with missed replaced by silent at the first
+// attempt and by ok at later attempts.
 func (w *Worker) script(line Line) string {
 	script, _, _ := strings.Cut(line.Opts["key"], "-")
 	if script != "missed" {
@@ -68,7 +76,7 @@
 	return "silent"
 }
 
-// Accept answers an offer that the worker was silent about.
+// Accept accepts an offer to which the worker has not responded.
 func (w *Worker) Accept(requestID string) {
 	w.mu.Lock()
 	conn := w.offerConnections[requestID]
@@ -76,13 +84,13 @@
 	w.startTask(conn, requestID, requestID)
 }
 
-// startTask lets a task run and answers its offer.
+// startTask runs a task and accepts its offer.
 func (w *Worker) startTask(conn net.Conn, requestID, description string) {
 	w.runTask(requestID)
 	Send(conn, startedLine(requestID, w.Name+" holds "+description))
 }
 
-// runTask lets a task run, and answers nothing.
+// runTask runs a task without a response to its offer.
 func (w *Worker) runTask(requestID string) {
 	w.mu.Lock()
 	w.running[requestID] = true
@@ -90,7 +98,8 @@
 	w.Attempts.accepted(w.Name, requestID)
 }
 
-// answerInvalid answers with half a message, or with one that lacks its blob.
+// answerInvalid sends a message without its blob for the script bare, and otherwise the first half
+// of a message.
 func answerInvalid(conn net.Conn, script string, line Line) {
 	line.Verb = "STARTED"
 	if script == "bare" {
@@ -102,10 +111,11 @@
 	if err != nil {
 		panic(err)
 	}
-	_, _ = conn.Write(text[:len(text)/2]) // whoever reads the connection notices its end
+	_, _ = conn.Write(text[:len(text)/2]) // the reader of the connection detects its end
 }
 
-// answerTwice answers a request that the orchestrator never sent, and then an offer twice.
+// answerTwice sends an acceptance and a rejection of a request that the orchestrator never sent,
+// and then accepts an offer twice.
 func answerTwice(conn net.Conn, line Line) {
 	line.Verb = "STARTED"
 	foreign := line
