--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -9,29 +9,31 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the clients that submit tasks to a fleet: one at each orchestrator, one task
-// after another, whatever its response. It must never count a response that did not come.
+// This file implements the clients that submit tasks to a fleet. Each orchestrator has one client,
+// which submits one task at a time and continues whatever the response is. A request without a
+// response is counted as lost, never as rejected or failed.
 
 const (
-	submissionPause = 5 * time.Millisecond // of a client between two tasks
-	redialPause     = 20 * submissionPause
-	clientTimeoutMs = 5000 // of a request
+	submissionPause = 5 * time.Millisecond // pause of a client between two tasks
+	redialPause     = 20 * submissionPause // pause of a client after a failed dial
+	clientTimeoutMs = 5000                 // timeout of a request, in milliseconds
 	tasksClass      = "guide-web"
-	releaseCode     = 16
+	releaseCode     = 16 // code of the FINISH message by which a client releases a task
 )
 
-// Placements is what became of the tasks of all clients.
+// Placements collects the results of the tasks that all clients submit.
 type Placements struct {
 	clients   sync.WaitGroup
 	startedAt time.Time
 
-	mu         sync.Mutex
-	took       []time.Duration // of placements
-	seconds    []SecondCounts
-	unanswered []string // requests that an orchestrator which ran never answered
+	mu             sync.Mutex
+	placementTimes []time.Duration // from submission to start, of each started task
+	seconds        []SecondCounts  // by seconds since startedAt
+	unanswered     []string        // IDs of the requests that Unanswered returns
 }
 
-// SecondCounts is what became of tasks within one second. Lost requests were not answered.
+// SecondCounts counts the tasks whose result was recorded within one second. Lost counts requests
+// without a response.
 type SecondCounts struct {
 	Started  int `json:"Started"`
 	Rejected int `json:"Refused"`
@@ -39,32 +41,32 @@
 	Lost     int `json:"Lost"`
 }
 
-// P99 is the 99th percentile of the time from a submission to its start.
+// P99 returns the 99th percentile of the time from submission to start, or 0 if no task started.
 func (p *Placements) P99() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if slices.Sort(p.took); len(p.took) == 0 {
+	if slices.Sort(p.placementTimes); len(p.placementTimes) == 0 {
 		return 0
 	}
-	return p.took[len(p.took)*99/100]
+	return p.placementTimes[len(p.placementTimes)*99/100]
 }
 
-// Seconds is what became of tasks, second by second.
+// Seconds returns the counts of each second since the clients started.
 func (p *Placements) Seconds() []SecondCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.seconds)
 }
 
-// Unanswered lists the requests that an orchestrator which ran, and was reachable, never
-// answered.
+// Unanswered returns the IDs of the requests that got no response although the orchestrator ran and
+// was reachable.
 func (p *Placements) Unanswered() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.unanswered)
 }
 
-// Total sums all seconds.
+// Total returns the sum of the counts of all seconds.
 func (p *Placements) Total() (total SecondCounts) {
 	for _, s := range p.Seconds() {
 		total.Started += s.Started
@@ -75,10 +77,11 @@
 	return total
 }
 
-// Wait waits for the end of the clients.
+// Wait returns when all clients have finished.
 func (p *Placements) Wait() { p.clients.Wait() }
 
-// count counts a response, or that there was none.
+// count adds the result of one request to the counts of the current second. Without a response,
+// answered is false and the request counts as lost.
 func (p *Placements) count(took time.Duration, response testbed.Line, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +95,7 @@
 		s.Lost++
 	case response.Verb == "STARTED":
 		s.Started++
-		p.took = append(p.took, took)
+		p.placementTimes = append(p.placementTimes, took)
 	case response.Opts["wait"] != "":
 		s.Rejected++
 	default:
@@ -106,8 +109,8 @@
 	p.unanswered = append(p.unanswered, requestID)
 }
 
-// Demand submits tasks to every orchestrator for a while. Clients whose connection ends
-// connect again.
+// Demand starts a client for each orchestrator and returns at once. The clients submit tasks for the
+// given time and reconnect if their connection ends.
 func (f *Fleet) Demand(length time.Duration) *Placements {
 	p := &Placements{startedAt: time.Now()}
 	for i, o := range f.Orchestrators {
@@ -116,7 +119,7 @@
 	return p
 }
 
-// submitUntil submits tasks to an orchestrator, one after another.
+// submitUntil submits tasks to an orchestrator, one at a time, until the deadline.
 func (f *Fleet) submitUntil(deadline time.Time, p *Placements, index int, o *Orchestrator) {
 	var client *testbed.Client
 	for n := f.requestIDs.Add(1); time.Now().Before(deadline); n = f.requestIDs.Add(1) {
@@ -140,7 +143,7 @@
 	}
 }
 
-// submit submits a task and releases it once it has started; it reports whether there was a
+// submit submits a task and releases it once it has started. It reports whether there was a
 // response.
 func (f *Fleet) submit(p *Placements, client *testbed.Client, o *Orchestrator, requestID, key string) bool {
 	sentAt := time.Now()
@@ -148,7 +151,7 @@
 	response, answered := receiveResponse(client, requestID)
 	p.count(time.Since(sentAt), response, answered)
 	if !answered {
-		if o.hasRun(sentAt) && f.network.WasHealthy(o.ends.clients, o.ends.front, sentAt) {
+		if o.hasRun(sentAt) && f.network.WasHealthy(o.endpoints.clients, o.endpoints.front, sentAt) {
 			p.addUnanswered(requestID)
 		}
 		return false
@@ -159,7 +162,8 @@
 	return true
 }
 
-// receiveResponse is the response to a request; false where none came in time.
+// receiveResponse returns the response to a request, or false if the connection ends or
+// testbed.Timeout passes first.
 func receiveResponse(client *testbed.Client, requestID string) (testbed.Line, bool) {
 	for timeout := time.After(testbed.Timeout); ; {
 		select {
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -10,17 +10,18 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns how the membership tables of a fleet are judged, by the faults that were
-// injected. It must never take a table's word for the state of the rig.
+// This file evaluates the membership tables that the orchestrators of a fleet report. It compares
+// them with the injected faults and the sampled state of processes and paths, and never derives the
+// state of the fleet from a membership table.
 
 const (
-	partitionGrace   = 6 * time.Second // how long a partition may still show as a death
-	restartGrace     = 3 * time.Second // how long one that started again may be reported dead
-	maxDetection     = 9 * time.Second // by when an end must be detected
-	minAsymmetricCut = 8 * time.Second // an asymmetric cut that long must be detected
+	partitionGrace   = 6 * time.Second // after a partition, how long its members may still be reported dead
+	restartGrace     = 3 * time.Second // after a start, how long reports of death by or about the member are ignored
+	maxDetection     = 9 * time.Second // maximum time in which a stopped orchestrator must be detected
+	minAsymmetricCut = 8 * time.Second // an asymmetric cut that lasts longer must be detected
 )
 
-// States and links of members in a status report.
+// Member states and path states in a status report.
 const (
 	stateAlive     = "alive"
 	stateSuspected = "suspected"
@@ -30,34 +31,34 @@
 	linkInShut     = "in shut"
 )
 
-// belief is what one orchestrator reports of another.
-type belief struct{ reporter, subject string }
+// memberPair identifies the report of one orchestrator about another.
+type memberPair struct{ reporter, subject string }
 
-// absence is how long an orchestrator did not run, by the schedule.
+// absence is the period for which a schedule stopped an orchestrator.
 type absence struct{ from, to time.Time }
 
-// evaluation is a verdict in the making.
+// evaluation holds the intermediate state from which a verdict is built.
 type evaluation struct {
 	fleet       *Fleet
 	verdict     Verdict
-	absences    map[string]absence // the last of each orchestrator
-	unreachable map[belief]time.Time
-	detected    map[belief]time.Duration
-	falseDead   map[belief]bool
-	firstView   map[string]int64 // number of the first view reported
-	latestView  map[string]int64
+	absences    map[string]absence           // latest absence of each orchestrator, by name
+	unreachable map[memberPair]time.Time     // last sample in which the reporter could not reach the subject
+	detected    map[memberPair]time.Duration // from the stop of the subject to the reporter's first report of it
+	falseDead   map[memberPair]bool          // pairs that are counted in Verdict.FalseDead
+	firstView   map[string]int64             // number of the first view that each orchestrator reported
+	latestView  map[string]int64             // highest view number that each orchestrator reported
 }
 
-// Judge returns the verdict on all samples so far. There must be one at least.
+// Judge returns the verdict on all samples so far. At least one sample must have been taken.
 func (f *Fleet) Judge() Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := &evaluation{
 		fleet:       f,
 		absences:    map[string]absence{},
-		unreachable: map[belief]time.Time{},
-		detected:    map[belief]time.Duration{},
-		falseDead:   map[belief]bool{},
+		unreachable: map[memberPair]time.Time{},
+		detected:    map[memberPair]time.Duration{},
+		falseDead:   map[memberPair]bool{},
 		firstView:   map[string]int64{},
 		latestView:  map[string]int64{},
 	}
@@ -65,22 +66,22 @@
 	for i := range f.samples {
 		e.readSample(&f.samples[i])
 	}
-	e.judgeDetection()
-	e.judgeAsymmetricCuts()
-	e.judgeAgreement()
+	e.evaluateDetection()
+	e.evaluateAsymmetricCuts()
+	e.evaluateAgreement()
 	e.measureTraffic()
 	return e.verdict
 }
 
-// last is the last sample.
-func (f *Fleet) last() *sample { return &f.samples[len(f.samples)-1] }
+// lastSample returns the latest sample. It panics if there is none.
+func (f *Fleet) lastSample() *sample { return &f.samples[len(f.samples)-1] }
 
-// readSchedule counts the faults, and finds when orchestrators were absent.
+// readSchedule counts the faults among the applied steps and records the absences of orchestrators.
 func (e *evaluation) readSchedule() {
 	for _, step := range e.fleet.applied {
 		switch step.Verb {
 		case testbed.VerbKill, testbed.VerbTerminate:
-			e.absences[step.Where] = absence{step.at, e.fleet.last().at}
+			e.absences[step.Where] = absence{step.at, e.fleet.lastSample().at}
 		case testbed.VerbStart:
 			if a, ok := e.absences[step.Where]; ok {
 				e.absences[step.Where] = absence{a.from, step.at}
@@ -92,12 +93,13 @@
 	}
 }
 
-// readSample reads the reports of all orchestrators in one sample.
+// readSample evaluates the reports of one sample and records which orchestrators could not reach each
+// other.
 func (e *evaluation) readSample(s *sample) {
 	for _, o := range e.fleet.Orchestrators {
 		for _, other := range e.fleet.Orchestrators {
 			if o != other && !s.connected(o.Name, other.Name) {
-				e.unreachable[belief{o.Name, other.Name}] = s.at
+				e.unreachable[memberPair{o.Name, other.Name}] = s.at
 			}
 		}
 		if report := s.reports[o.Name]; report != nil {
@@ -111,52 +113,55 @@
 		e.firstView[reporter] = report.View.Number
 	}
 	e.latestView[reporter] = max(e.latestView[reporter], report.View.Number)
-	for _, member := range report.Members[1:] { // the first is the reporter itself
+	for _, member := range report.Members[1:] { // the first member is the reporter itself
 		if member.State == stateDead || member.State == stateLeft {
-			e.readDeath(s, belief{reporter, member.Name}, member.Evidence)
+			e.evaluateDeathReport(s, memberPair{reporter, member.Name}, member.Evidence)
 		}
 	}
 }
 
-// readDeath reads that one orchestrator reports another as dead: rightly, or not.
-func (e *evaluation) readDeath(s *sample, b belief, evidence string) {
-	absent, ended := e.absences[b.subject]
+// evaluateDeathReport evaluates a report that a member is dead or left: as its detection if the
+// schedule had stopped the member, as a false report if the member must be alive.
+func (e *evaluation) evaluateDeathReport(s *sample, pair memberPair, evidence string) {
+	absent, ended := e.absences[pair.subject]
 	if ended && s.at.After(absent.from) && s.at.Before(absent.to) {
-		if _, known := e.detected[b]; !known {
-			e.detected[b] = s.at.Sub(absent.from)
+		if _, known := e.detected[pair]; !known {
+			e.detected[pair] = s.at.Sub(absent.from)
 		}
 		return
 	}
-	if !e.falseDead[b] && e.mustBeAlive(s, b) {
-		e.falseDead[b] = true
+	if !e.falseDead[pair] && e.mustBeAlive(s, pair) {
+		e.falseDead[pair] = true
 		e.verdict.FalseDead++
-		e.verdict.violation("%.1f s: %s holds %s for dead, which lives: %s", s.at.Sub(e.fleet.startedAt).Seconds(), b.reporter, b.subject, evidence)
+		e.verdict.violation("%.1f s: %s holds %s for dead, which lives: %s", s.at.Sub(e.fleet.startedAt).Seconds(), pair.reporter, pair.subject, evidence)
 	}
 }
 
-// mustBeAlive reports whether the subject of a belief ran for so long, and was reachable for
-// so long, that it must not be reported dead.
-func (e *evaluation) mustBeAlive(s *sample, b belief) bool {
-	unreachable := e.unreachable[b]
-	return s.running[b.subject] &&
-		s.at.Sub(s.startedAt[b.subject]) > restartGrace &&
-		s.at.Sub(s.startedAt[b.reporter]) > restartGrace &&
+// mustBeAlive reports whether the reporter must not report the subject dead: the subject runs, both
+// started more than restartGrace ago, and the reporter has been able to reach the subject for more
+// than partitionGrace.
+func (e *evaluation) mustBeAlive(s *sample, pair memberPair) bool {
+	unreachable := e.unreachable[pair]
+	return s.running[pair.subject] &&
+		s.at.Sub(s.startedAt[pair.subject]) > restartGrace &&
+		s.at.Sub(s.startedAt[pair.reporter]) > restartGrace &&
 		(unreachable.IsZero() || s.at.Sub(unreachable) > partitionGrace)
 }
 
-// judgeDetection looks at whether every end was detected by all that ran at the end, and
-// counts the changes of views.
-func (e *evaluation) judgeDetection() {
+// evaluateDetection counts the view changes and collects the detection times of stopped orchestrators.
+// Every orchestrator that runs in the last sample must have detected each one that was stopped for
+// more than maxDetection.
+func (e *evaluation) evaluateDetection() {
 	for reporter, latest := range e.latestView {
 		e.verdict.ViewChanges += latest - e.firstView[reporter]
 	}
 	for _, subject := range slices.Sorted(maps.Keys(e.absences)) {
 		absent := e.absences[subject]
 		for _, o := range e.fleet.Orchestrators {
-			if !e.fleet.last().running[o.Name] || o.Name == subject {
+			if !e.fleet.lastSample().running[o.Name] || o.Name == subject {
 				continue
 			}
-			if took, ok := e.detected[belief{o.Name, subject}]; ok {
+			if took, ok := e.detected[memberPair{o.Name, subject}]; ok {
 				e.verdict.DetectionTimes = append(e.verdict.DetectionTimes, took)
 			} else if absent.to.Sub(absent.from) > maxDetection {
 				e.verdict.MissedDead++
@@ -167,21 +172,22 @@
 	slices.Sort(e.verdict.DetectionTimes)
 }
 
-// judgeAsymmetricCuts counts the cuts of one direction that either end reported.
-func (e *evaluation) judgeAsymmetricCuts() {
+// evaluateAsymmetricCuts counts the asymmetric cuts that must be detected, and those among them that
+// either end reported.
+func (e *evaluation) evaluateAsymmetricCuts() {
 	for _, step := range e.fleet.applied {
 		cut, ok := asymmetricCut(step)
 		if !ok || !e.fleet.mustDetect(cut, step.at) {
 			continue
 		}
 		e.verdict.AsymmetricCuts++
-		if e.fleet.detects(cut, step.at) {
+		if e.fleet.cutDetected(cut, step.at) {
 			e.verdict.AsymmetricDetected++
 		}
 	}
 }
 
-// asymmetricCut is the path of a step that cuts one direction.
+// asymmetricCut returns the path that a step cuts in one direction only, or false for any other step.
 func asymmetricCut(step appliedStep) (path, bool) {
 	from, to, ok := strings.Cut(step.Where, "->")
 	if !ok || step.Verb != testbed.VerbCut || strings.HasSuffix(from, "<") {
@@ -190,22 +196,23 @@
 	return path{from, to}, true
 }
 
-// mustDetect reports whether a cut was open for long, between orchestrators that did not end.
+// mustDetect reports whether a cut must be detected: its path is not open in a sample more than
+// minAsymmetricCut later, and the schedule stopped neither of its ends.
 func (f *Fleet) mustDetect(cut path, since time.Time) bool {
 	lasted := slices.ContainsFunc(f.samples, func(s sample) bool {
 		return s.at.Sub(since) > minAsymmetricCut && !s.open[cut]
 	})
-	return lasted && !f.wasEnded(cut.from) && !f.wasEnded(cut.to)
+	return lasted && !f.wasStopped(cut.from) && !f.wasStopped(cut.to)
 }
 
-// detects reports whether either end of an asymmetric cut reported it.
-func (f *Fleet) detects(cut path, since time.Time) bool {
+// cutDetected reports whether either end of an asymmetric cut has reported it since a time.
+func (f *Fleet) cutDetected(cut path, since time.Time) bool {
 	return slices.ContainsFunc(f.samples, func(s sample) bool {
 		return !s.at.Before(since) && (s.reportsLink(cut.from, cut.to, linkOutShut) || s.reportsLink(cut.to, cut.from, linkInShut))
 	})
 }
 
-// reportsLink reports whether one orchestrator reports a link to another in a state.
+// reportsLink reports whether one orchestrator reports its path to another as being in the state link.
 func (s *sample) reportsLink(reporter, subject, link string) bool {
 	report := s.reports[reporter]
 	return report != nil && slices.ContainsFunc(report.Members, func(m peer.Member) bool {
@@ -213,16 +220,16 @@
 	})
 }
 
-// wasEnded reports whether the schedule ended an orchestrator.
-func (f *Fleet) wasEnded(name string) bool {
+// wasStopped reports whether the schedule stopped or restarted an orchestrator.
+func (f *Fleet) wasStopped(name string) bool {
 	return slices.ContainsFunc(f.applied, func(step appliedStep) bool {
 		return step.Where == name && (step.Verb == testbed.VerbKill || step.Verb == testbed.VerbTerminate || step.Verb == testbed.VerbRestart)
 	})
 }
 
-// judgeAgreement looks at how long after the end of all faults the views differed from the
-// orchestrators that ran.
-func (e *evaluation) judgeAgreement() {
+// evaluateAgreement measures how long after the end of all faults any reported view still differs
+// from the set of running orchestrators.
+func (e *evaluation) evaluateAgreement() {
 	for i := range e.fleet.samples {
 		s := &e.fleet.samples[i]
 		if s.at.Before(e.fleet.healedAt) {
@@ -235,7 +242,7 @@
 				continue
 			}
 			e.verdict.Disagreement = s.at.Sub(e.fleet.healedAt)
-			if s == e.fleet.last() {
+			if s == e.fleet.lastSample() {
 				e.verdict.violation("at the end %s sees %v, and %v are there", reporter, viewed, running)
 			}
 		}
@@ -252,9 +259,9 @@
 	return names
 }
 
-// measureTraffic takes the traffic of members from their last reports.
+// measureTraffic computes the mean traffic of a member from the reports of the last sample.
 func (e *evaluation) measureTraffic() {
-	end := e.fleet.last()
+	end := e.fleet.lastSample()
 	var sent int64
 	for _, report := range end.reports {
 		sent += report.Traffic.SentBytes
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -11,40 +11,41 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns one orchestrator of a rig: its addresses, its configuration, its start and
-// whether it runs. It must never inject a fault.
+// This file implements one orchestrator of a fleet: its addresses, its configuration, its start and
+// its process state. It injects no faults.
 
-// Orchestrator is one orchestrator, as a process that may be started again.
+// Orchestrator is one orchestrator of a fleet, as a process that can be restarted.
 type Orchestrator struct {
 	testbed.Process
 	Zone string
 
-	directory    string // of its settings and stored files
-	address      string // for clients
+	directory    string // holds its configuration and stored files
+	address      string // client address of the process itself
 	adminAddress string
 	peerAddress  string
-	frontAddress string // where its clients reach it, by a relay
+	frontAddress string // address of the relay through which its clients reach it
 	discovery    *testbed.Discovery
-	ends         endpoints
+	endpoints    endpoints
 
-	mu          sync.Mutex // guards what the schedule changes
+	mu          sync.Mutex // guards the fields below, which the schedule changes
 	startedAt   time.Time
-	terminating bool // a signal that ends it is on its way
-	pausedAt    time.Time
-	pausedFor   time.Duration
+	terminating bool          // a signal that ends it is being or was sent; the next start resets this
+	pausedAt    time.Time     // start of the latest pause
+	pausedFor   time.Duration // length of the latest pause
 }
 
-// endpoints name the other ends of an orchestrator's paths, as schedules do.
+// endpoints holds the names by which schedules refer to the ends of an orchestrator's paths to its
+// clients and to discovery.
 type endpoints struct{ clients, front, discovery string }
 
-// storedStarts is the stored file that counts an orchestrator's starts.
-const storedStarts = "starts"
+// startsFile is the name of the stored file in which an orchestrator counts its starts.
+const startsFile = "starts"
 
 const (
-	maxRetryAfter = 3 * time.Second
-	privateDir    = 0o700
-	privateFile   = 0o600
-	seedStep      = 1000 // between the seeds of two orchestrators
+	maxRetryAfter   = 3 * time.Second
+	privateDirMode  = 0o700
+	privateFileMode = 0o600
+	seedStep        = 1000 // difference between the seeds of consecutive orchestrators
 )
 
 func (f *Fleet) addOrchestrator(index int, directory string) error {
@@ -52,10 +53,10 @@
 		Process:   testbed.Process{Name: fmt.Sprint("n", index)},
 		Zone:      fmt.Sprintf("hall-%c", 'a'+index%zoneCount),
 		discovery: testbed.NewDiscovery(f.host),
-		ends:      endpoints{clients: fmt.Sprint("o", index), front: fmt.Sprint("f", index), discovery: fmt.Sprint("c", index)},
+		endpoints: endpoints{clients: fmt.Sprint("o", index), front: fmt.Sprint("f", index), discovery: fmt.Sprint("c", index)},
 	}
 	o.directory = filepath.Join(directory, o.Name)
-	if err := os.MkdirAll(o.directory, privateDir); err != nil {
+	if err := os.MkdirAll(o.directory, privateDirMode); err != nil {
 		return err
 	}
 	for _, address := range []*string{&o.address, &o.adminAddress, &o.peerAddress} {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// configure opens the paths of an orchestrator and writes its configuration.
+// configure opens the paths of an orchestrator and writes its configuration files.
 func (f *Fleet) configure(index int, o *Orchestrator, options Options) error {
 	operatorsFile := ""
 	if !options.Alone {
@@ -80,14 +81,14 @@
 	if err := f.listWorkers(o); err != nil {
 		return err
 	}
-	if err := f.network.SetAddress(o.ends.discovery, o.discovery.Server.Listener.Addr().String()); err != nil {
+	if err := f.network.SetAddress(o.endpoints.discovery, o.discovery.Server.Listener.Addr().String()); err != nil {
 		return err
 	}
-	channel, err := f.network.Relay(o.Name, o.ends.discovery)
+	channel, err := f.network.Relay(o.Name, o.endpoints.discovery)
 	if err != nil {
 		return err
 	}
-	if o.frontAddress, err = f.network.Relay(o.ends.clients, o.ends.front); err != nil {
+	if o.frontAddress, err = f.network.Relay(o.endpoints.clients, o.endpoints.front); err != nil {
 		return err
 	}
 	deployment := testbed.Deployment{Orchestrators: options.Orchestrators, MaxRetryAfter: maxRetryAfter}
@@ -96,8 +97,8 @@
 	return o.writeConfiguration(options.Programs[index%len(options.Programs)], settings, operatorsFile)
 }
 
-// peerSection opens the paths to all other orchestrators, and returns the section of the
-// operators' file that names them.
+// peerSection opens the paths to all other orchestrators and returns the [peers] section of the
+// operators' file, which names them.
 func (f *Fleet) peerSection(o *Orchestrator) (string, error) {
 	var section strings.Builder
 	fmt.Fprintf(&section, "[peers]\nlisten %s\ncluster rig\nfolder %s\n", o.peerAddress, o.directory)
@@ -114,7 +115,7 @@
 	return section.String(), nil
 }
 
-// listWorkers opens the paths to all workers, and lists them for an orchestrator.
+// listWorkers opens the paths to all workers and adds the workers to the orchestrator's discovery.
 func (f *Fleet) listWorkers(o *Orchestrator) error {
 	var entries []string
 	for _, worker := range f.workers {
@@ -130,10 +131,10 @@
 
 func (o *Orchestrator) writeConfiguration(program, settings, operatorsFile string) error {
 	path := filepath.Join(o.directory, "config.json")
-	if err := os.WriteFile(path, []byte(settings), privateFile); err != nil {
+	if err := os.WriteFile(path, []byte(settings), privateFileMode); err != nil {
 		return err
 	}
-	if err := os.WriteFile(path+".conf", []byte(operatorsFile), privateFile); err != nil {
+	if err := os.WriteFile(path+".conf", []byte(operatorsFile), privateFileMode); err != nil {
 		return err
 	}
 	o.Bin, o.Args = program, []string{"-conf", path + ".conf"}
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// start starts an orchestrator and returns once it serves.
+// start starts an orchestrator and returns once it logs that it is serving.
 func (f *Fleet) start(o *Orchestrator) error {
 	if err := o.Start(); err != nil {
 		return err
@@ -155,33 +156,35 @@
 	return f.setAddresses(o, o.peerAddress, o.address)
 }
 
-// setAddresses tells the network where an orchestrator is reached, "" where it has ended.
+// setAddresses sets the addresses at which the network reaches an orchestrator; "" means that the
+// process has ended.
 func (f *Fleet) setAddresses(o *Orchestrator, forPeers, forClients string) error {
-	if err := f.network.SetAddress(o.ends.front, forClients); err != nil {
+	if err := f.network.SetAddress(o.endpoints.front, forClients); err != nil {
 		return err
 	}
 	return f.network.SetAddress(o.Name, forPeers)
 }
 
-// hasRun reports whether an orchestrator has run, and was not paused, since a time.
+// hasRun reports whether an orchestrator has run without a pause since a time and has not been sent a
+// signal that ends it.
 func (o *Orchestrator) hasRun(since time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.IsRunning() && !o.terminating && o.startedAt.Before(since) && o.pausedAt.Add(o.pausedFor).Before(since)
 }
 
-// status is whether an orchestrator runs at a time and is not paused, and when it started.
+// status returns whether an orchestrator runs and is not paused at a time, and when it last started.
 func (o *Orchestrator) status(at time.Time) (running bool, startedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.IsRunning() && at.After(o.pausedAt.Add(o.pausedFor)), o.startedAt
 }
 
-// setStoredStarts leaves in the directory of an orchestrator what its next start finds:
-// nothing, or the file of its first start.
+// setStoredStarts sets the start counter that the next start of an orchestrator finds: none if folder
+// is testbed.FolderEmpty, otherwise the counter as the first start left it.
 func (o *Orchestrator) setStoredStarts(folder string) error {
-	path := filepath.Join(o.directory, storedStarts)
-	if err := os.WriteFile(path, []byte("1\n"), privateFile); err != nil {
+	path := filepath.Join(o.directory, startsFile)
+	if err := os.WriteFile(path, []byte("1\n"), privateFileMode); err != nil {
 		return err
 	}
 	if folder == testbed.FolderEmpty {
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -1,85 +1,85 @@
 package fleet
 
-// This file owns the record of a rehearsal: at each sample, the state of every orchestrator
-// and how many of the others believed what of it. Its JSON keys are read by what draws the
-// timeline, and stay.
+// This file builds the record of a rehearsal: for each sample, the state of every orchestrator and
+// the number of other orchestrators that report it alive, suspected or dead. The JSON keys must not
+// change because the code that draws the timeline reads them.
 
-// OrchestratorState is one orchestrator in one sample.
+// OrchestratorState describes one orchestrator in one sample.
 type OrchestratorState struct {
 	Name      string `json:"name"`
 	Zone      string `json:"hall"`
-	Up        bool   `json:"up"`        // runs, and is not paused
-	Alive     int    `json:"alive"`     // others that have it for alive,
-	Suspected int    `json:"suspected"` // that suspect it,
-	Dead      int    `json:"dead"`      // and that have it for dead or left
-	Sees      int    `json:"sees"`      // members of its own stable view
+	Up        bool   `json:"up"`        // whether it runs and is not paused
+	Alive     int    `json:"alive"`     // number of others that report it alive
+	Suspected int    `json:"suspected"` // number of others that suspect it
+	Dead      int    `json:"dead"`      // number of others that report it dead or left
+	Sees      int    `json:"sees"`      // number of members in its own stable view
 }
 
-// Snapshot is all orchestrators in one sample.
+// Snapshot describes all orchestrators in one sample.
 type Snapshot struct {
-	At    float64             `json:"at_s"` // since the fleet was up
+	At    float64             `json:"at_s"` // seconds since the fleet started
 	Fleet []OrchestratorState `json:"fleet"`
 }
 
-// ExecutedStep is a step that was carried out.
+// ExecutedStep is a step of the schedule that was executed.
 type ExecutedStep struct {
-	At   float64 `json:"at_s"` // since the fleet was up
+	At   float64 `json:"at_s"` // seconds since the fleet started
 	Step string  `json:"step"`
 }
 
-// Record is all samples so far, and the steps that were carried out.
-func (f *Fleet) Record() (moments []Snapshot, done []ExecutedStep) {
+// Record returns a snapshot of each sample so far and the executed steps.
+func (f *Fleet) Record() (snapshots []Snapshot, steps []ExecutedStep) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.samples {
-		moments = append(moments, f.moment(&f.samples[i]))
+		snapshots = append(snapshots, f.snapshot(&f.samples[i]))
 	}
 	for _, step := range f.applied {
-		done = append(done, ExecutedStep{step.at.Sub(f.startedAt).Seconds(), step.String()})
+		steps = append(steps, ExecutedStep{step.at.Sub(f.startedAt).Seconds(), step.String()})
 	}
-	return moments, done
+	return snapshots, steps
 }
 
-// Last is the latest sample; false where there is none yet.
+// Last returns a snapshot of the latest sample, or false if there is none yet.
 func (f *Fleet) Last() (Snapshot, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.samples) == 0 {
 		return Snapshot{}, false
 	}
-	return f.moment(&f.samples[len(f.samples)-1]), true
+	return f.snapshot(&f.samples[len(f.samples)-1]), true
 }
 
-func (f *Fleet) moment(s *sample) Snapshot {
+func (f *Fleet) snapshot(s *sample) Snapshot {
 	m := Snapshot{At: s.at.Sub(f.startedAt).Seconds()}
 	for _, o := range f.Orchestrators {
-		seen := OrchestratorState{Name: o.Name, Zone: o.Zone, Up: s.running[o.Name]}
+		state := OrchestratorState{Name: o.Name, Zone: o.Zone, Up: s.running[o.Name]}
 		if report := s.reports[o.Name]; report != nil {
-			seen.Sees = len(report.View.Names)
+			state.Sees = len(report.View.Names)
 		}
-		s.countBeliefs(&seen)
-		m.Fleet = append(m.Fleet, seen)
+		s.countReports(&state)
+		m.Fleet = append(m.Fleet, state)
 	}
 	return m
 }
 
-// countBeliefs counts what the others believe of an orchestrator.
-func (s *sample) countBeliefs(seen *OrchestratorState) {
+// countReports counts the other orchestrators that report an orchestrator alive, suspected or dead.
+func (s *sample) countReports(state *OrchestratorState) {
 	for reporter, report := range s.reports {
-		if reporter == seen.Name {
+		if reporter == state.Name {
 			continue
 		}
 		for _, member := range report.Members {
-			if member.Name != seen.Name {
+			if member.Name != state.Name {
 				continue
 			}
 			switch member.State {
 			case stateAlive:
-				seen.Alive++
+				state.Alive++
 			case stateSuspected:
-				seen.Suspected++
+				state.Suspected++
 			default:
-				seen.Dead++
+				state.Dead++
 			}
 		}
 	}
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -1,7 +1,8 @@
-// Package fleet is the rig: orchestrators as processes of the real program, connected to
-// each other, to workers, clients and discovery on loopback through relays that fail by a
-// schedule. It owns what it starts, and leaves nothing running. What must hold it judges by
-// the faults that it injected, and never by what the orchestrators report of each other.
+// Package fleet runs a fleet of orchestrators as processes of the real program. Relays on loopback
+// addresses connect them to each other and to workers, clients and discovery, and a schedule injects
+// faults into these paths and processes. The package owns everything that it starts and leaves nothing
+// running. It decides which rules must hold by the faults that it injected, never by what the
+// orchestrators report about each other.
 package fleet
 
 import (
@@ -15,16 +16,16 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the start and the end of a rig.
+// This file implements the start and the shutdown of a fleet.
 
-// Options say what a fleet is made of.
+// Options configure a fleet.
 type Options struct {
-	Programs      []string // builds, by turns
-	Dir           string   // for settings and stored files
-	Orchestrators int
-	Workers       int // workers; 0: defaultWorkers
-	Seed          uint64
-	Alone         bool // the orchestrators are no cluster
+	Programs      []string // paths of program builds, assigned to the orchestrators in turn
+	Dir           string   // parent directory of the configuration and stored files
+	Orchestrators int      // number of orchestrators
+	Workers       int      // number of workers; 0 means defaultWorkers
+	Seed          uint64   // seed of the network's random faults; the orchestrators' seeds are derived from it
+	Alone         bool     // run the orchestrators without peers, not as a cluster
 }
 
 const (
@@ -32,24 +33,24 @@
 	zoneCount      = 3
 )
 
-// Fleet is a running rig.
+// Fleet is a running fleet of orchestrators and the workers, relays and discovery that they use.
 type Fleet struct {
 	Orchestrators []*Orchestrator
 	host          testbed.Host
 	network       *testbed.Network
 	workers       []*testbed.Worker
-	startedAt     time.Time
-	requestIDs    atomic.Int64
+	startedAt     time.Time    // when all orchestrators had started
+	requestIDs    atomic.Int64 // number of request IDs given out
 	stop          chan struct{}
 	goroutines    sync.WaitGroup
 
-	mu       sync.Mutex // guards what the schedule changes
-	healedAt time.Time
+	mu       sync.Mutex // guards the fields below
+	healedAt time.Time  // time of the latest heal step, which ends all network faults
 	samples  []sample
 	applied  []appliedStep
 }
 
-// New starts a fleet in three zones, which ends with the host's cleanup.
+// New starts a fleet in three zones. The host's cleanup shuts it down.
 func New(h testbed.Host, o Options) *Fleet {
 	h.Helper()
 	f := &Fleet{host: h, network: testbed.NewNetwork(o.Seed), stop: make(chan struct{})}
@@ -84,13 +85,13 @@
 func (f *Fleet) addWorker(index int) error {
 	worker := testbed.NewWorker(f.host, fmt.Sprint("s", index))
 	worker.Kind = "node-32"
-	f.goroutines.Go(func() { f.drain(worker) })
+	f.goroutines.Go(func() { f.discardEvents(worker) })
 	f.workers = append(f.workers, worker)
 	return f.network.SetAddress(worker.Name, worker.Addr())
 }
 
-// drain drops what a worker keeps for tests to receive.
-func (f *Fleet) drain(worker *testbed.Worker) {
+// discardEvents receives and discards the messages that a worker queues for tests.
+func (f *Fleet) discardEvents(worker *testbed.Worker) {
 	for {
 		select {
 		case <-worker.Starts:
@@ -113,7 +114,7 @@
 	f.goroutines.Wait()
 }
 
-// orchestrator returns the one with a name, or nil.
+// orchestrator returns the orchestrator with a name, or nil.
 func (f *Fleet) orchestrator(name string) *Orchestrator {
 	i := slices.IndexFunc(f.Orchestrators, func(o *Orchestrator) bool { return o.Name == name })
 	if i < 0 {
--- a/internal/testbed/fleet/sample.go
+++ b/internal/testbed/fleet/sample.go
@@ -13,24 +13,24 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the samples: every orchestrator is asked for its membership table, and the
-// state of processes and paths at that time is recorded beside it. It must never judge.
+// This file takes samples: it requests the membership table of every orchestrator and records the
+// state of the processes and paths at the same time. It does not evaluate them; judge.go does.
 
 const (
-	samplePeriod  = 100 * time.Millisecond
-	statusTimeout = 2 * samplePeriod
+	samplePeriod  = 100 * time.Millisecond // time between two samples, and the timeout of a dial
+	statusTimeout = 2 * samplePeriod       // timeout of a status request after the dial
 )
 
-// sample is what all orchestrators reported at one time, and the state of the rig then.
+// sample holds the status reports of all orchestrators at one time, and the state of the fleet then.
 type sample struct {
 	at        time.Time
-	reports   map[string]*peer.StatusReport // by orchestrator; none where it did not answer
-	running   map[string]bool               // and not paused
-	startedAt map[string]time.Time
-	open      map[path]bool // paths that carry
+	reports   map[string]*peer.StatusReport // by orchestrator; absent if it did not answer
+	running   map[string]bool               // whether an orchestrator runs and is not paused
+	startedAt map[string]time.Time          // latest start of each orchestrator
+	open      map[path]bool                 // paths between orchestrators that are neither cut nor refusing
 }
 
-// Watch takes samples until the rig ends.
+// Watch starts to take samples, every samplePeriod until the fleet shuts down.
 func (f *Fleet) Watch() {
 	f.goroutines.Go(func() {
 		ticker := time.NewTicker(samplePeriod)
@@ -49,9 +49,9 @@
 	})
 }
 
-// takeSample asks all orchestrators that run at once.
+// takeSample takes a sample, with concurrent status requests to all running orchestrators.
 func (f *Fleet) takeSample() sample {
-	s := f.stateOfRig()
+	s := f.newSample()
 	var mu sync.Mutex
 	var requests sync.WaitGroup
 	for _, o := range f.Orchestrators {
@@ -70,8 +70,8 @@
 	return s
 }
 
-// stateOfRig is a sample without reports.
-func (f *Fleet) stateOfRig() sample {
+// newSample returns a sample of the processes and paths, without status reports.
+func (f *Fleet) newSample() sample {
 	s := sample{
 		at:        time.Now(),
 		reports:   map[string]*peer.StatusReport{},
@@ -90,8 +90,8 @@
 	return s
 }
 
-// connected reports whether two orchestrators could reach each other, directly or through
-// others that ran, with both directions of each path open.
+// connected reports whether two orchestrators could reach each other, directly or through other
+// running orchestrators, over paths that are open in both directions.
 func (s *sample) connected(a, b string) bool {
 	reached, queue := map[string]bool{a: true}, []string{a}
 	for len(queue) > 0 && !reached[b] {
@@ -107,7 +107,8 @@
 	return reached[b]
 }
 
-// requestStatus asks an orchestrator for its membership table; nil where it does not answer.
+// requestStatus requests the status report of an orchestrator. It returns nil if there is no complete
+// and valid answer in time.
 func requestStatus(adminAddress string) *peer.StatusReport {
 	conn, err := net.DialTimeout("tcp", adminAddress, samplePeriod)
 	if err != nil {
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -9,19 +9,19 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns how the steps of a schedule are carried out. It must never draw anything
-// itself.
+// This file executes the steps of a schedule. It makes no random choices of its own: these are all
+// made when the schedule is drawn.
 
-// appliedStep is a step and when it was carried out.
+// appliedStep is a step and the time at which it was executed.
 type appliedStep struct {
 	testbed.Step
 	at time.Time
 }
 
-// path is a direction between two processes.
+// path is one direction between two processes.
 type path struct{ from, to string }
 
-// Draw makes a schedule for this fleet.
+// Draw returns a schedule for this fleet, drawn from a seed.
 func (f *Fleet) Draw(seed uint64, length time.Duration) []testbed.Step {
 	byZone := map[string][]string{}
 	for _, o := range f.Orchestrators {
@@ -30,7 +30,7 @@
 	return testbed.DrawSchedule(seed, byZone, length)
 }
 
-// Check returns an error where a schedule names what is not there.
+// Check returns an error if a schedule names a process or path that the fleet does not have.
 func (f *Fleet) Check(steps []testbed.Step) error {
 	for _, step := range steps {
 		if err := f.checkStep(step); err != nil {
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// RunSchedule carries out a schedule, and returns after its length.
+// RunSchedule executes the steps of a schedule at their times and returns after its length. It reports
+// steps that fail to the host and continues.
 func (f *Fleet) RunSchedule(steps []testbed.Step, length time.Duration) {
 	begin := time.Now()
 	for _, step := range steps {
@@ -77,7 +78,7 @@
 	time.Sleep(time.Until(begin.Add(length)))
 }
 
-// paths are those that a step is on.
+// paths returns the paths that a step affects.
 func (f *Fleet) paths(step testbed.Step) (paths []path) {
 	if a, b, ok := strings.Cut(step.Where, "<->"); ok {
 		return []path{{a, b}, {b, a}}
@@ -97,7 +98,7 @@
 	return paths
 }
 
-// apply carries out a step.
+// apply executes a step.
 func (f *Fleet) apply(step testbed.Step) error {
 	if step.Verb == testbed.VerbHeal {
 		f.mu.Lock()
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// changeConditions carries out a step on the conditions of a path.
+// changeConditions applies a step to the conditions of a path.
 func changeConditions(c *testbed.Conditions, step testbed.Step) {
 	switch step.Verb {
 	case testbed.VerbCut:
@@ -150,8 +151,8 @@
 	}
 }
 
-// applyToProcess carries out a step on a process. A start of one that runs does nothing, nor
-// does any other step on one that does not: a drawn schedule may have either.
+// applyToProcess executes a step on a process. It ignores a start of a process that already runs, and
+// any other step on a process that does not run, because a drawn schedule may contain both.
 func (f *Fleet) applyToProcess(o *Orchestrator, step testbed.Step) error {
 	if (step.Verb == testbed.VerbStart) == o.IsRunning() {
 		return nil
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// pause stops a process for some time. The rig's end cuts that short.
+// pause suspends a process for a time, or until the fleet shuts down.
 func (f *Fleet) pause(o *Orchestrator, length time.Duration) {
 	o.mu.Lock()
 	o.pausedAt, o.pausedFor = time.Now(), length
@@ -189,6 +190,7 @@
 	})
 }
 
+// end sends a process a signal, waits until it has ended and clears its addresses.
 func (f *Fleet) end(o *Orchestrator, signal syscall.Signal) error {
 	o.mu.Lock()
 	o.terminating = true
@@ -197,6 +199,7 @@
 	return f.setAddresses(o, "", "")
 }
 
+// startAgain starts a process that has ended. A step with an argument first sets the stored start counter.
 func (f *Fleet) startAgain(o *Orchestrator, step testbed.Step) error {
 	if len(step.Args) == 1 {
 		if err := o.setStoredStarts(step.Args[0]); err != nil {
--- a/internal/testbed/hollow/byte_counters.go
+++ b/internal/testbed/hollow/byte_counters.go
@@ -2,12 +2,12 @@
 
 import "net"
 
-// This file owns the counts of bytes on connections.
+// This file implements connections and listeners that count bytes.
 
-// ByteCounters count what a stand-in received and sent.
+// ByteCounters counts the bytes that a simulated worker, client or server receives and sends.
 type ByteCounters struct{ Received, Sent counter }
 
-// Count returns a connection that counts into b.
+// Count returns a connection that reads and writes conn and adds the bytes to b.
 func (b *ByteCounters) Count(conn net.Conn) net.Conn { return countingConnection{conn, b} }
 
 type countingConnection struct {
@@ -15,14 +15,14 @@
 	bytes *ByteCounters
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the received bytes.
 func (c countingConnection) Read(content []byte) (int, error) {
 	n, err := c.Conn.Read(content)
 	c.bytes.Received.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the sent bytes.
 func (c countingConnection) Write(content []byte) (int, error) {
 	n, err := c.Conn.Write(content)
 	c.bytes.Sent.Add(int64(n))
@@ -34,7 +34,7 @@
 	bytes *ByteCounters
 }
 
-// Accept returns a connection that counts.
+// Accept accepts a connection and returns it with its bytes counted.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -11,18 +11,20 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns one connection of an orchestrator to a worker. It must never know of tasks.
+// This file implements one connection from an orchestrator to a worker. It reads and writes messages
+// and does not depend on the state of tasks.
 
-// unknownOrchestrator stands for whoever opened a connection by which no offer came yet.
+// unknownOrchestrator is the orchestrator index of a connection on which no offer has arrived yet.
 const unknownOrchestrator = -1
 
 type connection struct {
 	worker *Worker
 	socket net.Conn
-	// orchestrator is who opened it, as the first offer shows. The worker's lock guards it.
+	// orchestrator is the index of the orchestrator that opened the connection, learned from the request
+	// ID of an offer. The worker's lock guards it.
 	orchestrator int
 	writing      sync.Mutex
-	usedAt       atomic.Int64 // Unix time of its last message or of its begin, in nanoseconds
+	usedAt       atomic.Int64 // Unix time of the last message, or of the start of the connection, in nanoseconds
 }
 
 func newConnection(w *Worker, socket net.Conn) *connection {
@@ -33,9 +35,9 @@
 
 func (c *connection) touch() { c.usedAt.Store(time.Now().UnixNano()) }
 
-// closeUnused closes the connections without a message since a moment, unless the worker is
+// closeIdle closes the connections that have had no message since a time, unless the worker is
 // unresponsive.
-func (w *Worker) closeUnused(since time.Time) {
+func (w *Worker) closeIdle(since time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for c := range w.connections {
@@ -45,7 +47,7 @@
 	}
 }
 
-// send writes a message. That the other side is gone shows when reading.
+// send writes a message. It ignores write errors because the reader notices a closed connection.
 func (c *connection) send(line testbed.Line) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -56,7 +58,8 @@
 
 func (c *connection) reset() { testbed.ResetConnection(c.socket) }
 
-// serve reads the connection to its end.
+// serve reads and handles messages until the connection ends or a message is malformed. An
+// unresponsive worker reads messages but does not handle them.
 func (c *connection) serve() {
 	defer c.close()
 	for scanner := bufio.NewScanner(c.socket); scanner.Scan(); {
@@ -97,7 +100,7 @@
 	}
 }
 
-// identify learns from a request ID whose connection it is.
+// identify records the orchestrator that opened the connection, which the request ID of an offer names.
 func (c *connection) identify(requestID string) {
 	if orchestrator, ok := OrchestratorOf(requestID); ok {
 		c.worker.mutex.Lock()
@@ -106,8 +109,8 @@
 	}
 }
 
-// Ping sends a ping with options on one of the worker's connections; it reports whether there
-// was one.
+// Ping sends a ping with options on any one of the worker's connections. It reports whether there was
+// a connection.
 func (w *Worker) Ping(requestID string, options map[string]string) bool {
 	w.mutex.Lock()
 	var to *connection
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -9,26 +9,26 @@
 	"ravenhitch/internal/shard"
 )
 
-// This file owns the events of the worker list, and which of them answer a poll. An
-// orchestrator that names shards in its polls gets the free capacity of their workers alone;
-// phase and address of a worker go to all.
+// This file implements the events of the worker list and selects the entries that answer a poll. An
+// orchestrator that names shards of a zone in its polls gets changes of free capacity in that zone only
+// for the workers of these shards. A change of a worker's phase or address goes to all orchestrators.
 
-// maxEvents bounds the events that are kept. An orchestrator that is further behind gets the
-// complete list.
+// maxEvents is the maximum number of events that are kept. An orchestrator that is further behind gets
+// the complete list.
 const maxEvents = 128
 
-// Discovery publishes the list of a fleet: complete at first, then the entries that changed,
-// periodically.
+// Discovery publishes the worker list of a fleet: first the complete list, then periodically the
+// entries that changed.
 type Discovery struct {
 	fleet  *Fleet
 	period time.Duration
 
 	mutex       sync.Mutex
-	revision    int           // of the last event
-	events      []event       // the latest, in order
+	revision    int           // revision of the last event
+	events      []event       // latest maxEvents events, in order
 	added       chan struct{} // closed when an event is added
 	paused      bool
-	entriesSent int64 // of all changes so far
+	entriesSent int64 // number of changed entries published so far
 
 	stop       chan struct{}
 	goroutines sync.WaitGroup
@@ -39,68 +39,69 @@
 	entries  []eventEntry
 }
 
-// eventEntry is the entry of a worker as text.
+// eventEntry is the list entry of a worker in an event.
 type eventEntry struct {
-	text         string
+	text         string // as JSON
 	worker       *Worker
-	stateChanged bool // and not its free capacity alone
+	stateChanged bool // its phase or address changed, not only its free capacity
 }
 
-// poll is what an orchestrator calls for.
+// poll is a request of an orchestrator for the events that follow a cursor.
 type poll struct {
-	base          int       // the revision before its first event
-	after         int       // the cursor of the last event that it has applied
-	shards        shard.Set // whose free capacity it wants
-	delayCapacity bool      // changes of free capacity alone may wait for the end of the call
+	base          int       // revision before the orchestrator's first event; revision = base + cursor
+	after         int       // cursor of the last event that the orchestrator has applied
+	shards        shard.Set // shards whose free capacity it wants, in each zone that it names
+	delayCapacity bool      // changes of only free capacity may wait until the poll times out
 }
 
-// lastRevision is that of the last event that the orchestrator has applied.
+// lastRevision returns the revision of the last event that the orchestrator has applied.
 func (p *poll) lastRevision() int { return p.base + p.after }
 
-// wants reports whether an entry answers the poll: one of its shards, one of a zone that it
-// does not name, and any whose state changed.
+// wants reports whether an entry answers the poll: its worker is in one of the poll's shards or in a
+// zone that the poll does not name, or the worker's state changed.
 func (p *poll) wants(e *eventEntry) bool {
 	_, named := p.shards[e.worker.Zone]
 	return e.stateChanged || !named || p.shards.Has(e.worker.Zone, e.worker.ID)
 }
 
-// NewDiscovery starts to publish changes with a period.
+// NewDiscovery returns a Discovery that publishes changes once per period.
 func NewDiscovery(fleet *Fleet, period time.Duration) *Discovery {
 	d := &Discovery{fleet: fleet, period: period, revision: 1, added: make(chan struct{}), stop: make(chan struct{})}
 	d.goroutines.Go(d.publishPeriodically)
 	return d
 }
 
-// SetPaused holds changes back, or lets those since be published at the end of the period.
+// SetPaused pauses or resumes publishing. Changes made during the pause are published at the end of
+// the period in which it is resumed.
 func (d *Discovery) SetPaused(paused bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.paused = paused
 }
 
-// EntriesSent is the number of entries that changed so far, each counted once for all
-// orchestrators.
+// EntriesSent returns the number of changed entries published so far. An entry counts once, however
+// many orchestrators receive it.
 func (d *Discovery) EntriesSent() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.entriesSent
 }
 
-// Revision is that of the last event.
+// Revision returns the revision of the last event.
 func (d *Discovery) Revision() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.revision
 }
 
-// Pending reports whether anything changed that is not published yet.
+// Pending reports whether there are changes that are not published yet.
 func (d *Discovery) Pending() bool {
 	d.fleet.mutex.Lock()
 	defer d.fleet.mutex.Unlock()
 	return len(d.fleet.changed) > 0
 }
 
-// Close ends the publishing. Subscriptions end by their own Close.
+// Close stops publishing. It does not close subscriptions; each has its own Close.
 func (d *Discovery) Close() {
 	close(d.stop)
 	d.goroutines.Wait()
@@ -119,7 +120,7 @@
 	}
 }
 
-// publishChanges adds an event of what changed.
+// publishChanges adds an event with the entries that changed since the last one, unless it is paused.
 func (d *Discovery) publishChanges() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -131,14 +132,14 @@
 		return
 	}
 	var entries []eventEntry
-	for index, what := range changed {
-		entries = append(entries, d.fleet.Workers[index].eventEntry(what))
+	for index, kind := range changed {
+		entries = append(entries, d.fleet.Workers[index].eventEntry(kind))
 	}
 	d.entriesSent += int64(len(entries))
 	d.add(entries)
 }
 
-// publishShards adds an event of the workers of some shards as they are now.
+// publishShards adds an event with the current entries of the workers of some shards.
 func (d *Discovery) publishShards(shards shard.Set) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -151,7 +152,7 @@
 	d.add(entries)
 }
 
-// add adds an event. The lock is held.
+// add adds an event. The caller holds the lock.
 func (d *Discovery) add(entries []eventEntry) {
 	d.revision++
 	d.events = append(d.events, event{d.revision, entries})
@@ -162,7 +163,7 @@
 	d.added = make(chan struct{})
 }
 
-// completeEvent is the complete list as one event. The lock is held.
+// completeEvent returns the complete list as the text of one event. The caller holds the lock.
 func (d *Discovery) completeEvent(cursor int) string {
 	entries := make([]string, 0, len(d.fleet.Workers))
 	for _, w := range d.fleet.Workers {
@@ -176,13 +177,13 @@
 		strings.Join(entries, ","))
 }
 
-// answerText is the answer to a poll with one event, or with none where that is "".
+// answerText returns the answer to a poll with one event, or with no event if event is "".
 func answerText(cursor int, event string) string {
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, cursor, event)
 }
 
-// answer is the answer to a poll, or "" and what is closed when an event is added; cursor is
-// that of the last event.
+// answer returns the answer to a poll. If there is nothing to send yet, answer is "" and added is
+// closed when the next event is added. cursor is the cursor of the last event.
 func (d *Discovery) answer(p *poll) (answer string, cursor int, added <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -198,8 +199,9 @@
 	return answerText(cursor, eventText(cursor, d.revision, false, entries)), cursor, nil
 }
 
-// entriesSince are the entries that answer a poll, of what changed after a revision: the
-// latest of each worker, and whether the state of any changed. The lock is held.
+// entriesSince returns the latest entry of each worker that answers a poll, among the entries that
+// changed after a revision. urgent is true if the state of any of these workers changed. The caller
+// holds the lock.
 func (d *Discovery) entriesSince(revision int, p *poll) (texts []string, urgent bool) {
 	indexes := map[*Worker]int{}
 	for _, e := range d.events {
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -1,8 +1,8 @@
-// Package hollow holds workers that run nothing: thousands of them share one process. Each has
-// a listener of its own on a loopback address, answers offers, pings and releases as the
-// protocol has it, accounts for its capacity, and completes a task after its run time. The
-// package also holds the stand-in for discovery that lists them. It must never be part of a
-// program that serves.
+// Package hollow provides hollow workers, which run no tasks, so that thousands of them share one
+// process. Each worker has its own listener on a loopback address, answers offers, pings and releases
+// according to the protocol, accounts for its capacity and completes a task after its run time. The
+// package also provides a stand-in for discovery that lists the workers. A program that serves must
+// not include this package.
 package hollow
 
 import (
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// This file owns a set of workers, its counters, and which workers changed.
+// This file implements a set of workers, its counters, and the record of the workers that changed.
 
-// Observer is notified of what becomes of tasks at the workers. It is called from many
-// goroutines, and never with a lock of the fleet held.
+// Observer is notified when workers accept and end tasks. It is called from many goroutines, and never
+// while a lock of the fleet is held.
 type Observer interface {
-	// Accepted is called before the message is written.
+	// Accepted is called when a worker accepts a task, before it sends the message that says so.
 	Accepted(worker, key, requestID string)
-	// Ended is called before the completion is reported. Lost tasks were on a worker that
-	// failed: nobody reports their completion.
+	// Ended is called when a task ends, before the worker reports its completion. lost is true if the
+	// worker failed: the completion is then never reported.
 	Ended(worker, requestID string, at time.Time, lost bool)
 }
 
-// Kind is a kind of worker.
+// Kind is a kind of worker, with its capacity in cores and memory.
 type Kind struct {
 	Name          string
 	Cores, Memory float64
 }
 
-// Options say what a fleet is made of.
+// Options configure a fleet.
 type Options struct {
 	Workers     int
-	Kinds       []Kind        // by turns
-	Zones       []string      // by turns
-	CellSize    int           // workers in a cell
-	IdleTimeout time.Duration // after which a connection without a message is closed; 0: never
+	Kinds       []Kind        // assigned to the workers in turn
+	Zones       []string      // assigned to the cells in turn
+	CellSize    int           // number of workers per cell
+	IdleTimeout time.Duration // connections without a message for this long are closed; 0 means never
 }
 
 // Fleet is a set of workers.
@@ -45,7 +45,7 @@
 	observer Observer
 
 	mutex   sync.Mutex
-	changed changes // since takeChanges was called
+	changed changes // recorded since the last call of takeChanges
 
 	rejections          counter
 	messages            counter
@@ -55,10 +55,10 @@
 	stop                chan struct{}
 }
 
-// firstWorkerID is the number in the ID of the first worker.
+// firstWorkerID is the number in the ID of the first worker; the following IDs count up from it.
 const firstWorkerID = 0xc41f00
 
-// NewFleet starts the workers.
+// NewFleet starts the workers of a fleet.
 func NewFleet(options Options, observer Observer) (*Fleet, error) {
 	f := &Fleet{observer: observer, changed: changes{}, stop: make(chan struct{})}
 	for i := range options.Workers {
@@ -85,10 +85,10 @@
 	return f, nil
 }
 
-// idleChecks is how often within the idle timeout connections are looked at.
+// idleChecks is the number of checks for idle connections per idle timeout.
 const idleChecks = 30
 
-// closeIdle closes connections on which there was no message for a timeout.
+// closeIdle closes connections that have had no message for the timeout, until the fleet is closed.
 func (f *Fleet) closeIdle(timeout time.Duration) {
 	ticker := time.NewTicker(timeout / idleChecks)
 	defer ticker.Stop()
@@ -96,7 +96,7 @@
 		select {
 		case now := <-ticker.C:
 			for _, w := range f.Workers {
-				w.closeUnused(now.Add(-timeout))
+				w.closeIdle(now.Add(-timeout))
 			}
 		case <-f.stop:
 			return
@@ -104,67 +104,69 @@
 	}
 }
 
-// loopbackAddress is the nth address of this process: the workers of two processes share none,
-// as far as their process IDs differ in the low bits.
+// loopbackAddress returns the nth loopback address of this process, with any free port. Two processes
+// use different addresses unless their process IDs are equal modulo 200.
 func loopbackAddress(n int) string {
-	const hosts = 250 // a last byte of 0 or 255 looks like a network's
+	const hosts = 250 // avoids 0 and 255 as the last byte, which look like network and broadcast addresses
 	return fmt.Sprintf("127.%d.%d.%d:0", 16+os.Getpid()%200, n/hosts, 1+n%hosts)
 }
 
-// Rejections is the number of offers that were rejected for want of capacity so far.
+// Rejections returns the number of offers rejected so far for lack of capacity.
 func (f *Fleet) Rejections() int64 { return f.rejections.Load() }
 
-// Messages is the number of messages that the workers read and wrote so far.
+// Messages returns the number of messages that the workers have read and written so far.
 func (f *Fleet) Messages() int64 { return f.messages.Load() }
 
-// ConnectionsAccepted is the number of connections that came so far.
+// ConnectionsAccepted returns the number of connections accepted so far.
 func (f *Fleet) ConnectionsAccepted() int64 { return f.connectionsAccepted.Load() }
 
-// AcceptFailures is how often a connection had to wait since the process had no descriptor left.
+// AcceptFailures returns the number of failed attempts to accept a connection. Each time, the connection
+// had to wait because the process had no file descriptor left.
 func (f *Fleet) AcceptFailures() int64 { return f.acceptFailures.Load() }
 
-// Connections is the number of open connections to all workers.
+// Connections returns the number of open connections to all workers.
 func (f *Fleet) Connections() int {
 	return f.count(func(w *Worker) int { return len(w.connections) })
 }
 
-// Running is the number of running tasks.
+// Running returns the number of running tasks on all workers.
 func (f *Fleet) Running() int {
 	return f.count(func(w *Worker) int { return len(w.tasks) })
 }
 
-// count sums a number over all workers, each under its lock.
-func (f *Fleet) count(of func(*Worker) int) (total int) {
+// count returns the sum of value over all workers. It calls value with the worker's lock held.
+func (f *Fleet) count(value func(*Worker) int) (total int) {
 	for _, w := range f.Workers {
 		w.mutex.Lock()
-		total += of(w)
+		total += value(w)
 		w.mutex.Unlock()
 	}
 	return total
 }
 
-// change is what changed of a worker's entry on the list.
-type change int
+// changeKind is the kind of change of a worker's entry in the worker list. The larger value prevails if
+// both kinds are recorded.
+type changeKind int
 
 const (
-	capacityChanged change = iota // only its free capacity
-	stateChanged                  // its phase or its address
+	capacityChanged changeKind = iota // only its free capacity changed
+	stateChanged                      // its phase or its address changed
 )
 
-// changes are those of workers, by index.
-type changes map[int]change
+// changes holds the kind of change of each changed worker, by worker index.
+type changes map[int]changeKind
 
-// RecordChange records that the free capacity of a worker changed, though it may be the same: the
-// list sends its entry again.
+// RecordChange records a change of the free capacity of the worker with an index, so that discovery
+// publishes its entry again. The capacity may in fact be the same.
 func (f *Fleet) RecordChange(index int) { f.recordChange(index, capacityChanged) }
 
-func (f *Fleet) recordChange(index int, what change) {
+func (f *Fleet) recordChange(index int, kind changeKind) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.changed[index] = max(f.changed[index], what)
+	f.changed[index] = max(f.changed[index], kind)
 }
 
-// takeChanges returns what changed since the last call.
+// takeChanges returns and clears the changes recorded since the last call.
 func (f *Fleet) takeChanges() changes {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -173,7 +175,7 @@
 	return changed
 }
 
-// Close ends all workers, and returns when none of their goroutines runs any more.
+// Close stops all workers and returns when all goroutines of the fleet have ended.
 func (f *Fleet) Close() {
 	close(f.stop)
 	for _, w := range f.Workers {
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -14,28 +14,28 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file tests hollow workers and the discovery that lists them as an orchestrator sees them.
+// This file tests hollow workers and their discovery through the interfaces that orchestrators use.
 
-// countingObserver counts what an Observer is notified of.
+// countingObserver is an Observer that counts its notifications.
 type countingObserver struct {
 	mutex          sync.Mutex
 	accepted, lost int
 	ended          chan string
 }
 
-func (t *countingObserver) Accepted(_, _, _ string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.accepted++
+func (o *countingObserver) Accepted(_, _, _ string) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.accepted++
 }
 
-func (t *countingObserver) Ended(_, requestID string, _ time.Time, lost bool) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (o *countingObserver) Ended(_, requestID string, _ time.Time, lost bool) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	if lost {
-		t.lost++
+		o.lost++
 	}
-	t.ended <- requestID
+	o.ended <- requestID
 }
 
 func newTestFleet(t *testing.T, workers int) (*Fleet, *countingObserver) {
@@ -61,28 +61,28 @@
 	c := testbed.NewClient(t, f.Workers[0].address)
 	first, second, third := RequestID(0, 1), RequestID(0, 2), RequestID(0, 3)
 	testbed.Send(c, submission(first, Task{Cores: 2, Memory: 1, RunTime: time.Hour}))
-	if got := testbed.Wait(t, "the answer", c.Lines); got.Verb != "STARTED" || got.Tag != first {
-		t.Errorf("expected the first task to run, got %+v", got)
+	if got := testbed.Wait(t, "response to the first offer", c.Lines); got.Verb != "STARTED" || got.Tag != first {
+		t.Errorf("first offer: got %+v, want STARTED of %s", got, first)
 	}
 	testbed.Send(c, submission(second, Task{Cores: 1, Memory: 1, RunTime: time.Hour}))
-	if got := testbed.Wait(t, "the rejection", c.Lines); got.Cause() != codeRejected || got.Opts["note"] != "cpu_full" {
-		t.Errorf("expected the second task to be rejected for want of cores, got %+v", got)
+	if got := testbed.Wait(t, "response to the second offer", c.Lines); got.Cause() != codeRejected || got.Opts["note"] != "cpu_full" {
+		t.Errorf("second offer: got %+v, want code %d with the note cpu_full", got, codeRejected)
 	}
 	testbed.Send(c, testbed.FinishLine("FINISH", first, codeEnded))
-	if got := testbed.Wait(t, "the release", c.Lines); got.Cause() != codeCancelled || got.Tag != first {
-		t.Errorf("expected the first task to be cancelled, got %+v", got)
+	if got := testbed.Wait(t, "cancel confirmation", c.Lines); got.Cause() != codeCancelled || got.Tag != first {
+		t.Errorf("release of the first task: got %+v, want code %d of %s", got, codeCancelled, first)
 	}
 	testbed.Send(c, submission(third, Task{Cores: 1, Memory: 4, RunTime: time.Millisecond}))
-	testbed.Wait(t, "the answer", c.Lines)
-	if got := testbed.Wait(t, "the end", c.Lines); got.Cause() != codeEnded || got.Tag != third {
-		t.Errorf("expected the third task to come to its end, got %+v", got)
+	testbed.Wait(t, "response to the third offer", c.Lines)
+	if got := testbed.Wait(t, "completion of the third task", c.Lines); got.Cause() != codeEnded || got.Tag != third {
+		t.Errorf("end of the third task: got %+v, want code %d of %s", got, codeEnded, third)
 	}
 	testbed.Send(c, testbed.FinishLine("ECHO", third, 0))
-	if got := testbed.Wait(t, "the pong", c.Lines); got.Verb != "ECHOED" || got.Cause() != 1 {
-		t.Errorf("expected the answer to a ping, got %+v", got)
+	if got := testbed.Wait(t, "response to the ping", c.Lines); got.Verb != "ECHOED" || got.Cause() != 1 {
+		t.Errorf("ping: got %+v, want ECHOED with code 1", got)
 	}
 	if observer.accepted != 2 || f.Rejections() != 1 || f.Running() != 0 {
-		t.Errorf("expected 2 starts, 1 rejection and no task left, got %d, %d and %d", observer.accepted, f.Rejections(), f.Running())
+		t.Errorf("got %d accepted, %d rejected and %d running tasks, want 2, 1 and 0", observer.accepted, f.Rejections(), f.Running())
 	}
 }
 
@@ -91,24 +91,24 @@
 	w := f.Workers[0]
 	other, mine := testbed.NewClient(t, w.address), testbed.NewClient(t, w.address)
 	testbed.Send(other, submission(RequestID(0, 1), Task{Cores: 1, Memory: 1, RunTime: time.Hour}))
-	testbed.Wait(t, "the other's answer", other.Lines)
+	testbed.Wait(t, "response to the other orchestrator's offer", other.Lines)
 	testbed.Send(mine, submission(RequestID(1, 1), Task{Cores: 1, Memory: 1, RunTime: time.Hour}))
-	testbed.Wait(t, "the answer", mine.Lines)
+	testbed.Wait(t, "response to the offer", mine.Lines)
 	adopted := RequestID(1, 2)
 	if !w.AddRunning(adopted, "adopted", Task{RunTime: time.Millisecond}) {
-		t.Fatal("expected free capacity for a task that ran before")
+		t.Fatal("AddRunning returned false, want free capacity for the adopted task")
 	}
 	f.StartRunTimes()
-	if got := testbed.Wait(t, "the end", mine.Lines); got.Tag != adopted || got.Cause() != codeEnded {
-		t.Errorf("expected the end of %s, got %+v", adopted, got)
+	if got := testbed.Wait(t, "completion of the adopted task", mine.Lines); got.Tag != adopted || got.Cause() != codeEnded {
+		t.Errorf("open connection of its orchestrator: got %+v, want the completion of %s", got, adopted)
 	}
 	late := testbed.NewClient(t, w.address)
-	if got := testbed.Wait(t, "the end on the next connection", late.Lines); got.Tag != adopted {
-		t.Errorf("expected the end of %s, got %+v", adopted, got)
+	if got := testbed.Wait(t, "completion on a new connection", late.Lines); got.Tag != adopted {
+		t.Errorf("new connection: got %+v, want the completion of %s", got, adopted)
 	}
 	testbed.Send(other, testbed.FinishLine("ECHO", RequestID(0, 9), 0))
-	if got := testbed.Wait(t, "the other's pong", other.Lines); got.Verb != "ECHOED" {
-		t.Errorf("expected nothing but a pong at the other orchestrator, got %+v", got)
+	if got := testbed.Wait(t, "response to the other orchestrator's ping", other.Lines); got.Verb != "ECHOED" {
+		t.Errorf("other orchestrator: got %+v, want only the ECHOED of its ping", got)
 	}
 }
 
@@ -117,25 +117,25 @@
 	w := f.Workers[0]
 	c := testbed.NewClient(t, w.address)
 	testbed.Send(c, submission(RequestID(0, 1), Task{Cores: 1, Memory: 1, RunTime: time.Hour}))
-	testbed.Wait(t, "the answer", c.Lines)
+	testbed.Wait(t, "response to the first offer", c.Lines)
 	w.Stop(Crash)
-	if requestID := testbed.Wait(t, "the task's loss", observer.ended); requestID != RequestID(0, 1) || observer.lost != 1 {
-		t.Errorf("expected the loss of the task, got %s, %d lost", requestID, observer.lost)
+	if requestID := testbed.Wait(t, "end of the lost task", observer.ended); requestID != RequestID(0, 1) || observer.lost != 1 {
+		t.Errorf("after the crash: got the end of %s and %d lost tasks, want %s and 1", requestID, observer.lost, RequestID(0, 1))
 	}
 	if _, open := <-c.Lines; open {
-		t.Error("expected the connection to end without a message")
+		t.Error("got a message on the connection after the crash, want its end")
 	}
 	if again, err := net.Dial("tcp", w.address); err == nil {
 		testbed.CloseQuietly(again)
-		t.Error("expected a connection to be refused")
+		t.Error("the crashed worker accepted a connection, want it refused")
 	}
 	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	c = testbed.NewClient(t, w.address)
 	testbed.Send(c, submission(RequestID(0, 2), Task{Cores: 2, Memory: 4, RunTime: time.Hour}))
-	if got := testbed.Wait(t, "the answer", c.Lines); got.Verb != "STARTED" {
-		t.Errorf("expected all capacity to be free, got %+v", got)
+	if got := testbed.Wait(t, "response to an offer of the full capacity", c.Lines); got.Verb != "STARTED" {
+		t.Errorf("offer of the full capacity after the restart: got %+v, want STARTED", got)
 	}
 }
 
@@ -144,19 +144,19 @@
 	w := f.Workers[0]
 	c := testbed.NewClient(t, w.address)
 	testbed.Send(c, testbed.FinishLine("ECHO", RequestID(0, 1), 0))
-	testbed.Wait(t, "the pong", c.Lines)
+	testbed.Wait(t, "response to the first ping", c.Lines)
 	beforePing := time.Now()
-	w.closeUnused(beforePing.Add(-time.Hour))
+	w.closeIdle(beforePing.Add(-time.Hour))
 	testbed.Send(c, testbed.FinishLine("ECHO", RequestID(0, 2), 0))
-	testbed.Wait(t, "the pong on a connection that is in use", c.Lines)
-	w.closeUnused(time.Now())
+	testbed.Wait(t, "response to a ping on a connection that is not idle", c.Lines)
+	w.closeIdle(time.Now())
 	if line, open := <-c.Lines; open {
-		t.Errorf("expected the connection to be closed, got %+v", line)
+		t.Errorf("idle connection: got the message %+v, want it closed", line)
 	}
 }
 
-// polled is the answer to a poll.
-type polled struct {
+// pollAnswer is the parsed answer to a poll.
+type pollAnswer struct {
 	Cursor int `json:"cursor"`
 	Cmds   []struct {
 		Cursor int `json:"cursor"`
@@ -171,7 +171,7 @@
 	} `json:"cmds"`
 }
 
-func parsePolled(t *testing.T, text []byte) (l polled) {
+func parsePollAnswer(t *testing.T, text []byte) (l pollAnswer) {
 	t.Helper()
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
@@ -179,14 +179,14 @@
 	return l
 }
 
-func pollAfter(t *testing.T, u *Subscription, resume int) polled {
-	return pollWith(t, u, resume, "&block=5000")
+func pollAfter(t *testing.T, subscription *Subscription, resume int) pollAnswer {
+	return pollWith(t, subscription, resume, "&block=5000")
 }
 
-// pollWith polls with further parameters.
-func pollWith(t *testing.T, u *Subscription, resume int, parameters string) polled {
+// pollWith polls with additional query parameters.
+func pollWith(t *testing.T, subscription *Subscription, resume int, parameters string) pollAnswer {
 	t.Helper()
-	answer, err := http.Get("http://" + u.Address() + "/cmd/next?resume=" + strconv.Itoa(resume) + parameters)
+	answer, err := http.Get("http://" + subscription.Address() + "/cmd/next?resume=" + strconv.Itoa(resume) + parameters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,53 +195,54 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return parsePolled(t, text)
+	return parsePollAnswer(t, text)
 }
 
-// newTestDiscovery makes a discovery that publishes when the test says so, and a subscription to it.
+// newTestDiscovery returns a discovery, which the test makes publish by calling publishChanges, and a
+// subscription to it.
 func newTestDiscovery(t *testing.T, f *Fleet) (*Discovery, *Subscription) {
 	t.Helper()
 	d := NewDiscovery(f, time.Hour)
 	t.Cleanup(d.Close)
-	u, err := d.Subscribe()
+	subscription, err := d.Subscribe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(u.Close)
-	return d, u
+	t.Cleanup(subscription.Close)
+	return d, subscription
 }
 
 func TestDiscoveryPublishesChanges(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
-	d, u := newTestDiscovery(t, f)
-	initial := parsePolled(t, []byte(u.InitialList()))
+	d, subscription := newTestDiscovery(t, f)
+	initial := parsePollAnswer(t, []byte(subscription.InitialList()))
 	if initial.Cursor != 1 || !initial.Cmds[0].Nodes.Complete || len(initial.Cmds[0].Nodes.Members) != 3 {
-		t.Errorf("expected a complete list of 3 as event 1, got %+v", initial)
+		t.Errorf("initial list: got %+v, want a complete list of 3 workers as event 1", initial)
 	}
 	f.Workers[1].SetPhase("removed")
 	d.publishChanges()
-	changes := pollAfter(t, u, 1)
+	changes := pollAfter(t, subscription, 1)
 	if changes.Cursor != 2 || len(changes.Cmds) != 1 || changes.Cmds[0].Nodes.Complete || changes.Cmds[0].Nodes.Members[0].Phase != "removed" {
-		t.Errorf("expected event 2 with the removed worker alone, got %+v", changes)
+		t.Errorf("after a change: got %+v, want event 2 with only the removed worker", changes)
 	}
 	for range maxEvents + 1 {
 		f.RecordChange(0)
 		d.publishChanges()
 	}
-	complete := pollAfter(t, u, 2)
+	complete := pollAfter(t, subscription, 2)
 	if len(complete.Cmds) != 1 || !complete.Cmds[0].Nodes.Complete || complete.Cursor != maxEvents+3 {
-		t.Errorf("expected the complete list as event %d for whoever is too far behind, got %+v", maxEvents+3, complete)
+		t.Errorf("orchestrator more than %d events behind: got %+v, want the complete list as event %d", maxEvents, complete, maxEvents+3)
 	}
-	if last := u.LastPolled(); last != 2 {
-		t.Errorf("expected revision 2 as the last one polled, got %d", last)
+	if last := subscription.LastPolled(); last != 2 {
+		t.Errorf("LastPolled: got %d, want 2", last)
 	}
-	if initial := parsePolled(t, []byte(u.InitialList())); initial.Cursor != 1 {
-		t.Errorf("expected events to be numbered anew at a start, got %d", initial.Cursor)
+	if initial := parsePollAnswer(t, []byte(subscription.InitialList())); initial.Cursor != 1 {
+		t.Errorf("initial list of the second start: got event %d, want 1", initial.Cursor)
 	}
 }
 
-// ids are the workers in an answer.
-func (l polled) ids() (ids string) {
+// ids returns the IDs of the workers in an answer, each followed by a space.
+func (l pollAnswer) ids() (ids string) {
 	for _, event := range l.Cmds {
 		for _, m := range event.Nodes.Members {
 			ids += m.ID + " "
@@ -250,12 +251,13 @@
 	return ids
 }
 
-// An orchestrator that names shards gets the free capacity of their workers alone, and the state of
-// all; the capacity of zones that it does not name, and of shards that it asks for anew.
+// A poll that names shards gets changes of free capacity for the workers of these shards and of zones
+// that it does not name, the current entries of shards that it requests with fresh, and all changes of
+// state.
 func TestDiscoveryFiltersByShard(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
-	d, u := newTestDiscovery(t, f)
-	u.InitialList()
+	d, subscription := newTestDiscovery(t, f)
+	subscription.InitialList()
 	w := f.Workers[1]
 	allButOne := shard.Set{}
 	for _, other := range f.Workers {
@@ -264,40 +266,40 @@
 	allButOne[w.Zone] &^= 1 << shard.Of(w.ID)
 	one := shard.Set{w.Zone: 1 << shard.Of(w.ID)}
 	for _, c := range []struct {
-		what, parameters, ids string
+		name, parameters, ids string
 		change                func()
 	}{
-		{"capacity, of a shard that is not named", "&shards=" + allButOne.String(), "", func() { f.RecordChange(1) }},
-		{"capacity, of a shard that is named", "&shards=" + one.String(), w.ID + " ", func() { f.RecordChange(1) }},
-		{"capacity, of a zone that is not named", "&shards=elsewhere:ffffffffffffffff", w.ID + " ", func() { f.RecordChange(1) }},
+		{"capacity in a shard that is not named", "&shards=" + allButOne.String(), "", func() { f.RecordChange(1) }},
+		{"capacity in a named shard", "&shards=" + one.String(), w.ID + " ", func() { f.RecordChange(1) }},
+		{"capacity in a zone that is not named", "&shards=elsewhere:ffffffffffffffff", w.ID + " ", func() { f.RecordChange(1) }},
 		{"capacity, without shards", "", w.ID + " ", func() { f.RecordChange(1) }},
-		{"a state, of a shard that is not named", "&shards=" + allButOne.String(), w.ID + " ", func() { w.SetPhase("draining") }},
-		{"capacity after a state", "&shards=" + allButOne.String(), w.ID + " ", func() { w.SetPhase("up"); f.RecordChange(1) }},
-		{"nothing, asked anew", "&shards=" + one.String() + "&fresh=" + one.String(), w.ID + " ", func() {}},
+		{"state in a shard that is not named", "&shards=" + allButOne.String(), w.ID + " ", func() { w.SetPhase("draining") }},
+		{"state, then capacity, in a shard that is not named", "&shards=" + allButOne.String(), w.ID + " ", func() { w.SetPhase("up"); f.RecordChange(1) }},
+		{"no change, requested with fresh", "&shards=" + one.String() + "&fresh=" + one.String(), w.ID + " ", func() {}},
 	} {
 		from := d.Revision()
 		c.change()
 		d.publishChanges()
-		answer := pollWith(t, u, from, "&block=20"+c.parameters)
+		answer := pollWith(t, subscription, from, "&block=20"+c.parameters)
 		if answer.ids() != c.ids {
-			t.Errorf("%s: got %q, expected %q", c.what, answer.ids(), c.ids)
+			t.Errorf("%s: got workers %q, want %q", c.name, answer.ids(), c.ids)
 		}
 		if answer.Cursor != d.Revision() {
-			t.Errorf("%s: at event %d, expected %d", c.what, answer.Cursor, d.Revision())
+			t.Errorf("%s: got cursor %d, want %d", c.name, answer.Cursor, d.Revision())
 		}
 	}
-	answer, err := http.Get("http://" + u.Address() + "/cmd/next?resume=1&shards=what")
+	answer, err := http.Get("http://" + subscription.Address() + "/cmd/next?resume=1&shards=what")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer testbed.CloseQuietly(answer.Body)
 	if answer.StatusCode != http.StatusBadRequest {
-		t.Errorf("shards that can't be parsed: status %d", answer.StatusCode)
+		t.Errorf("invalid shards: got status %d, want %d", answer.StatusCode, http.StatusBadRequest)
 	}
 }
 
-// Changes of capacity alone wait for the end of a call that allows it, and the latest of each worker
-// is sent; a change of state is sent at once, and with it what waits.
+// Changes of only free capacity wait until the end of a poll that allows this, and the latest entry of
+// each worker is sent. A change of state is sent at once, together with the waiting changes.
 func TestDiscoveryDelaysCapacity(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	d, _ := newTestDiscovery(t, f)
@@ -307,18 +309,18 @@
 		d.publishChanges()
 	}
 	if answer, last, more := d.answer(&late); answer != "" || more == nil || last != d.Revision() {
-		t.Errorf("capacity alone is sent at once: %q", answer)
+		t.Errorf("change of capacity: got answer %q with cursor %d, want no answer yet and the latest cursor", answer, last)
 	}
 	f.Workers[1].SetPhase("draining")
 	d.publishChanges()
 	answer, _, _ := d.answer(&late)
-	if ids := parsePolled(t, []byte(answer)).ids(); ids != f.Workers[0].ID+" "+f.Workers[1].ID+" " {
-		t.Errorf("with a state %q is sent", ids)
+	if ids := parsePollAnswer(t, []byte(answer)).ids(); ids != f.Workers[0].ID+" "+f.Workers[1].ID+" " {
+		t.Errorf("change of state after one of capacity: got workers %q, want %s and %s", ids, f.Workers[0].ID, f.Workers[1].ID)
 	}
 	late.after, late.delayCapacity = d.Revision(), false
 	f.RecordChange(2)
 	d.publishChanges()
-	if answer, _, _ = d.answer(&late); parsePolled(t, []byte(answer)).ids() != f.Workers[2].ID+" " {
-		t.Errorf("without leave to delay %q is sent", answer)
+	if answer, _, _ = d.answer(&late); parsePollAnswer(t, []byte(answer)).ids() != f.Workers[2].ID+" " {
+		t.Errorf("poll that does not allow a delay: got %q, want an event with only %s", answer, f.Workers[2].ID)
 	}
 }
--- a/internal/testbed/hollow/subscription.go
+++ b/internal/testbed/hollow/subscription.go
@@ -14,10 +14,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the HTTP server by which one orchestrator polls discovery, and what it has
-// applied.
+// This file implements the HTTP server at which one orchestrator polls discovery, and records which
+// events the orchestrator has applied.
 
-// Subscription is the command channel of one orchestrator.
+// Subscription is the command channel of one orchestrator, by which it polls discovery.
 type Subscription struct {
 	discovery  *Discovery
 	server     *http.Server
@@ -25,11 +25,11 @@
 	goroutines sync.WaitGroup
 
 	mutex      sync.Mutex
-	base       int // the revision before the first event of the orchestrator's current start
-	lastPolled int // the revision of the last event that it polled beyond
+	base       int // revision before the first event since the orchestrator's latest start
+	lastPolled int // revision of the last event that the orchestrator has applied, by its latest poll
 }
 
-// Subscribe opens a command channel.
+// Subscribe opens a command channel for one orchestrator.
 func (d *Discovery) Subscribe() (*Subscription, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,30 +41,32 @@
 	return s, nil
 }
 
-// serve serves polls until Close. Another end shows as polls without an answer.
+// serve serves polls until Close. It ignores any other error of the server, which shows as polls
+// without an answer.
 func (s *Subscription) serve() { _ = s.server.Serve(s.listener) }
 
-// Close ends the channel.
+// Close closes the command channel and waits until its server has ended.
 func (s *Subscription) Close() {
 	testbed.CloseQuietly(s.server)
 	s.goroutines.Wait()
 }
 
-// Address is where the orchestrator polls.
+// Address returns the address that the orchestrator polls.
 func (s *Subscription) Address() string { return s.listener.Addr().String() }
 
-// Bytes counts what goes over the channel; Received is what the orchestrator sent.
+// Bytes returns the byte counters of the command channel. Received counts the bytes that the
+// orchestrator sent.
 func (s *Subscription) Bytes() *ByteCounters { return s.listener.bytes }
 
-// LastPolled is the revision of the last event that the orchestrator has applied.
+// LastPolled returns the revision of the last event that the orchestrator has applied.
 func (s *Subscription) LastPolled() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lastPolled
 }
 
-// InitialList is what the configuration of an orchestrator that starts now holds: events are
-// numbered anew from 1.
+// InitialList returns the complete list for the configuration of an orchestrator that starts now. It
+// restarts the numbering of the orchestrator's events at 1.
 func (s *Subscription) InitialList() string {
 	s.discovery.mutex.Lock()
 	defer s.discovery.mutex.Unlock()
@@ -75,7 +77,7 @@
 	return answerText(1, s.discovery.completeEvent(1))
 }
 
-// servePoll answers a call for what follows an event.
+// servePoll answers a poll for the events that follow a cursor.
 func (s *Subscription) servePoll(w http.ResponseWriter, r *http.Request) {
 	p, refresh, err := parsePoll(r)
 	if err != nil {
@@ -92,11 +94,11 @@
 	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
 	answer, err := s.waitForAnswer(r, p, time.Duration(blockMs)*time.Millisecond)
 	if err == nil {
-		_, _ = io.WriteString(w, answer) // an orchestrator that is gone polls again
+		_, _ = io.WriteString(w, answer) // an orchestrator whose connection ended polls again
 	}
 }
 
-// parsePoll reads a call, and the shards whose workers it asks for anew.
+// parsePoll parses a poll. refresh holds the shards whose entries the orchestrator requests again.
 func parsePoll(r *http.Request) (p *poll, refresh shard.Set, err error) {
 	query := r.URL.Query()
 	after, _ := strconv.Atoi(query.Get("resume"))
@@ -106,8 +108,8 @@
 	return p, refresh, cmp.Or(shardsErr, freshErr)
 }
 
-// waitForAnswer waits for an answer to a poll, or for its timeout; it returns an error where
-// the orchestrator is gone.
+// waitForAnswer waits for an answer to a poll. After the timeout, the answer includes delayed changes
+// of free capacity, or no event. It returns an error if the orchestrator ends the request.
 func (s *Subscription) waitForAnswer(r *http.Request, p *poll, timeout time.Duration) (string, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/testbed/hollow/task.go
+++ b/internal/testbed/hollow/task.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// This file owns the form of request IDs and of task descriptions.
+// This file defines the formats of request IDs and task descriptions.
 
-// orchestratorBits is how many low bits of a request ID number the requests of one
-// orchestrator.
-const orchestratorBits = 48
+// requestNumberBits is the number of low bits of a request ID that hold the number of the request. The
+// bits above hold the orchestrator's index plus 1.
+const requestNumberBits = 48
 
-// RequestID returns the ID of the nth request to an orchestrator. It names the orchestrator,
-// so that a worker learns whose connection an offer came by.
+// RequestID returns the ID of the nth request to the orchestrator with an index. The ID contains the
+// index, from which a worker learns which orchestrator opened the connection of an offer.
 func RequestID(orchestrator int, n uint64) string {
-	return fmt.Sprintf("%016x", uint64(orchestrator+1)<<orchestratorBits|n)
+	return fmt.Sprintf("%016x", uint64(orchestrator+1)<<requestNumberBits|n)
 }
 
-// OrchestratorOf returns the orchestrator that a request ID names, or false for an ID of
-// another form.
+// OrchestratorOf returns the index of the orchestrator that a request ID names, or false if the ID has
+// another format.
 func OrchestratorOf(requestID string) (int, bool) {
 	number, err := strconv.ParseUint(requestID, 16, 64)
-	if err != nil || number>>orchestratorBits == 0 {
+	if err != nil || number>>requestNumberBits == 0 {
 		return 0, false
 	}
-	return int(number>>orchestratorBits) - 1, true
+	return int(number>>requestNumberBits) - 1, true
 }
 
-// Task is what the description of a submission says of its task.
+// Task holds the properties of a task that the description in its submission contains.
 type Task struct {
 	Cores, Memory float64
-	RunTime       time.Duration // from its start to its completion
+	RunTime       time.Duration // time from its start to its completion
 }
 
-// Describe writes the task as a description.
+// Describe returns the description of the task: cores, memory, and run time in microseconds.
 func (t Task) Describe() string {
 	return fmt.Sprintf("%g %g %d", t.Cores, t.Memory, t.RunTime.Microseconds())
 }
 
-// ParseTask reads what Describe wrote.
+// ParseTask parses a description that Describe returned.
 func ParseTask(description string) (Task, error) {
 	var t Task
 	var runTimeUs int64
 	if _, err := fmt.Sscanf(description, "%g %g %d", &t.Cores, &t.Memory, &runTimeUs); err != nil {
-		return t, fmt.Errorf("hollow: description %.40q: %w", description, err)
+		return t, fmt.Errorf("hollow: invalid task description %.40q: %w", description, err)
 	}
 	t.RunTime = time.Duration(runTimeUs) * time.Microsecond
 	return t, nil
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -12,14 +12,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns a worker's listener, its faults and its entry on the list.
+// This file implements a worker's listener, its failures and its entry in the worker list.
 
 type counter = atomic.Int64
 
-// acceptRetryPause is the pause after a connection that could not be accepted.
+// acceptRetryPause is the pause after a failed accept.
 const acceptRetryPause = 20 * time.Millisecond
 
-// phaseUp is the phase of a worker that takes offers.
+// phaseUp is the phase of a worker that accepts offers.
 const phaseUp = "up"
 
 // Worker is one hollow worker.
@@ -35,22 +35,22 @@
 	listener        net.Listener
 	connections     map[*connection]bool
 	tasks           map[string]*runningTask // by request ID
-	unreported      []completion            // for connections that open later
+	unreported      []completion            // recent completions, sent again on each new connection
 	requestedCores  float64
 	requestedMemory float64
-	phase           string    // on the list, "" for up
-	startedAt       time.Time // zero: long ago
+	phase           string    // phase in the worker list, "" for up
+	startedAt       time.Time // time of the latest restart; zero, listed as 0, means long ago
 	unresponsive    bool
 }
 
-// FailureMode is how a worker fails.
+// FailureMode is the way in which a worker fails.
 type FailureMode int
 
 const (
-	// Crash is the death of its process: connections are reset, new ones refused.
+	// Crash is the crash of the worker's process: its connections are reset and new ones refused.
 	Crash FailureMode = iota
-	// Unreachable is the loss of its host or its network: open connections stay and say
-	// nothing. New ones are refused, as no host can be taken off the loopback network.
+	// Unreachable is the loss of the worker's host or network: its connections stay open but are silent.
+	// New connections are refused, because a host cannot be removed from the loopback network.
 	Unreachable
 )
 
@@ -66,30 +66,30 @@
 	return nil
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (w *Worker) accept(listener net.Listener) {
 	for {
 		socket, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // no descriptor is left: the connection waits in the backlog
+		case err != nil: // no file descriptor is left: the connection waits in the backlog
 			w.fleet.acceptFailures.Add(1)
 			<-time.After(acceptRetryPause)
 			continue
 		}
 		w.fleet.connectionsAccepted.Add(1)
 		c := newConnection(w, socket)
-		for _, line := range w.connected(c) {
+		for _, line := range w.addConnection(c) {
 			c.send(line)
 		}
 		w.fleet.goroutines.Go(c.serve)
 	}
 }
 
-// connected adds a connection, and returns the completions that go to it: of a new one the
-// worker does not know yet whose it is.
-func (w *Worker) connected(c *connection) (lines []testbed.Line) {
+// addConnection adds a connection and returns the completions to send on it. These are all unreported
+// ones, because the worker does not know yet which orchestrator opened the connection.
+func (w *Worker) addConnection(c *connection) (lines []testbed.Line) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.connections[c] = true
@@ -100,7 +100,7 @@
 	return lines
 }
 
-// Stop makes the worker fail. Its tasks are lost.
+// Stop makes the worker fail. All its tasks are lost.
 func (w *Worker) Stop(mode FailureMode) {
 	w.mutex.Lock()
 	if w.listener != nil {
@@ -130,7 +130,8 @@
 	}
 }
 
-// Restart starts a worker that was stopped, at its address, and lists since when it is up.
+// Restart starts a stopped worker at the same address and updates its entry, with its start time, in
+// the worker list.
 func (w *Worker) Restart() error {
 	w.mutex.Lock()
 	w.unresponsive, w.startedAt = false, time.Now()
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// SetPhase sets the worker's phase on the list.
+// SetPhase sets the worker's phase in the worker list.
 func (w *Worker) SetPhase(phase string) {
 	w.mutex.Lock()
 	w.phase = phase
@@ -155,7 +156,7 @@
 	w.fleet.recordChange(w.index, stateChanged)
 }
 
-// entry is its entry on the list.
+// entry returns the worker's entry in the worker list, as JSON.
 func (w *Worker) entry() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -170,7 +171,7 @@
 		w.ID, w.address, w.Zone, w.Kind.Name, w.Cell, phase, upSinceMs, w.Kind.Cores-w.requestedCores, w.Kind.Memory-w.requestedMemory)
 }
 
-// eventEntry is its entry on the list as part of an event.
-func (w *Worker) eventEntry(what change) eventEntry {
-	return eventEntry{text: w.entry(), worker: w, stateChanged: what == stateChanged}
+// eventEntry returns the worker's entry in the worker list as part of an event.
+func (w *Worker) eventEntry(kind changeKind) eventEntry {
+	return eventEntry{text: w.entry(), worker: w, stateChanged: kind == stateChanged}
 }
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -6,10 +6,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns a worker's tasks: what they request of its capacity, their run times, and
-// the reports of their completions.
+// This file implements a worker's tasks: their requested capacity, their run times and the reports of
+// their completions.
 
-// Codes of FINISH and ECHOED messages that workers use, as the protocol numbers them.
+// Codes of the FINISH and ECHOED messages that workers send, with the numbers of the protocol.
 const (
 	codeOK        = 1
 	codeEnded     = 16
@@ -18,25 +18,27 @@
 	codeFailed    = 47
 )
 
-// reportFor is how long a completion goes to each connection that is opened after it.
-const reportFor = 60 * time.Second
+// completionRetention is the time after a task's end during which its completion is also sent on each
+// new connection.
+const completionRetention = 60 * time.Second
 
-// runningTask is one that was accepted and has not ended.
+// runningTask is a task that was accepted and has not ended.
 type runningTask struct {
 	Task
 	key          string
 	orchestrator int
-	connection   *connection // of its offer, nil where it ran before
-	timer        *time.Timer // of its run time, nil before that starts
+	connection   *connection // connection of its offer, nil if AddRunning added the task
+	timer        *time.Timer // ends the task after its run time, nil until the run time starts
 }
 
-// completion is the end of a task, as it is reported on connections that open later.
+// completion is the end of a task, which is reported again on connections that open later.
 type completion struct {
 	line testbed.Line
 	at   time.Time
 }
 
-// receiveOffer accepts an offer, or rejects it for want of capacity.
+// receiveOffer accepts an offer or rejects it for lack of capacity. An offer with an invalid task
+// description fails.
 func (w *Worker) receiveOffer(from *connection, line testbed.Line) {
 	t, err := ParseTask(*line.Blob)
 	if err != nil {
@@ -64,9 +66,10 @@
 	from.send(testbed.Line{Verb: "STARTED", Tag: line.Tag, Opts: map[string]string{}, Blob: &blob})
 }
 
-// reserve takes what a task requests, or returns what is short. The lock is held.
+// reserve reserves the capacity that a task requests. If there is not enough, it reserves nothing and
+// returns the cause of the rejection. The caller holds the lock.
 func (w *Worker) reserve(t Task) (shortage string) {
-	const slack = 1e-9 // what rounding may add
+	const slack = 1e-9 // tolerance for rounding errors
 	switch {
 	case w.requestedCores+t.Cores > w.Kind.Cores+slack:
 		return "cpu_full"
@@ -78,13 +81,13 @@
 	return ""
 }
 
-// startRunTime ends a task after its run time. The lock is held.
+// startRunTime starts the timer that ends a task after its run time. The caller holds the lock.
 func (w *Worker) startRunTime(requestID string, task *runningTask) {
 	task.timer = time.AfterFunc(task.RunTime, func() { w.complete(requestID, codeEnded) })
 }
 
-// AddRunning adds a task that ran before the test began; StartRunTimes starts its run time. It
-// reports whether there was free capacity.
+// AddRunning adds a task that was running before the test began. It reports whether there was enough
+// free capacity. The run time of the task starts with StartRunTimes.
 func (w *Worker) AddRunning(requestID, key string, t Task) bool {
 	orchestrator, _ := OrchestratorOf(requestID)
 	w.mutex.Lock()
@@ -110,9 +113,8 @@
 	}
 }
 
-// complete frees the capacity of a task and reports its completion: on the connection of its
-// offer, else on those of its orchestrator, else on those that may be its; and on the next
-// ones opened.
+// complete frees the capacity of a task and reports its completion. The report goes to the connections
+// that reportConnections returns, and to each connection opened within completionRetention.
 func (w *Worker) complete(requestID string, code int) {
 	now := time.Now()
 	line := testbed.FinishLine("FINISH", requestID, code)
@@ -123,7 +125,7 @@
 		return
 	}
 	w.remove(requestID, task)
-	connections := w.reportTo(task)
+	connections := w.reportConnections(task)
 	w.dropOldCompletions()
 	w.unreported = append(w.unreported, completion{line, now})
 	w.mutex.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// remove takes a task off the worker. The lock is held.
+// remove removes a task from the worker and frees its capacity. The caller holds the lock.
 func (w *Worker) remove(requestID string, task *runningTask) {
 	delete(w.tasks, requestID)
 	if task.timer != nil {
@@ -144,8 +146,10 @@
 	w.requestedMemory -= task.Memory
 }
 
-// reportTo are the connections for the completion of a task. The lock is held.
-func (w *Worker) reportTo(task *runningTask) []*connection {
+// reportConnections returns the connections on which to report the completion of a task: the connection
+// of its offer if that is still open, otherwise one of its orchestrator's connections, otherwise all
+// connections whose orchestrator is unknown. The caller holds the lock.
+func (w *Worker) reportConnections(task *runningTask) []*connection {
 	if task.connection != nil && w.connections[task.connection] {
 		return []*connection{task.connection}
 	}
@@ -161,14 +165,15 @@
 	return unknown
 }
 
-// dropOldCompletions drops what is reported no more. The lock is held.
+// dropOldCompletions drops completions that are older than completionRetention. The caller holds the
+// lock.
 func (w *Worker) dropOldCompletions() {
-	for len(w.unreported) > 0 && time.Since(w.unreported[0].at) > reportFor {
+	for len(w.unreported) > 0 && time.Since(w.unreported[0].at) > completionRetention {
 		w.unreported = w.unreported[1:]
 	}
 }
 
-// TaskCount is the number of running tasks.
+// TaskCount returns the number of running tasks.
 func (w *Worker) TaskCount() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
