--- a/test/ci/module_limits_test.go
+++ b/test/ci/module_limits_test.go
@@ -8,20 +8,21 @@
 	"testing"
 )
 
-// This file tests .ci/module-limits, which limits the size of the scheduler's files.
+// This file tests .ci/module-limits, which limits the line length of the scheduler's files.
 
-// The limits are those of all files that the deploy file names, together.
+// TestModuleLimits checks that every file that the policy list of the deploy file names must exist and have no line of over
+// 110 characters, whatever its number of lines.
 func TestModuleLimits(t *testing.T) {
-	code, wide := strings.Repeat("x\n\n \t\n", 475), strings.Repeat("x", 110)+"\n"
+	manyLines, widestLine := strings.Repeat("x\n\n \t\n", 475), strings.Repeat("x", 110)+"\n"
 	for _, c := range []struct{ name, deploy, first, second, message string }{
-		{"one file", `policy = ["a.go"]`, code + code, code, ""},
-		{"two files", "build = \"x\"\npolicy = [\"a.go\", \"b.go\"]\nnode = [\"c.go\"]", code, code, ""},
-		{"a list of several lines", "policy = [\n  \"a.go\",\n  \"b.go\",\n]\n", code, code + "x" + wide, "b.go:1426: longer than 110 characters"},
-		{"one of any length", `policy = ["a.go"]`, code + code + "x", "", ""},
-		{"a wide line in the first", `policy = ["a.go", "b.go"]`, "x" + wide, code, "a.go:1: longer than 110 characters"},
-		{"as wide as may be", `policy = ["a.go", "b.go"]`, wide, wide, ""},
-		{"a wide line", `policy = ["a.go", "b.go"]`, wide, wide + "x" + wide, "b.go:2: longer than 110 characters"},
-		{"a list in a comment", "policy = [\"a.go\"]\n# policy = [\"b.go\"]", code, "x" + wide, ""},
+		{"one file", `policy = ["a.go"]`, manyLines + manyLines, manyLines, ""},
+		{"two files", "build = \"x\"\npolicy = [\"a.go\", \"b.go\"]\nnode = [\"c.go\"]", manyLines, manyLines, ""},
+		{"a list of several lines", "policy = [\n  \"a.go\",\n  \"b.go\",\n]\n", manyLines, manyLines + "x" + widestLine, "b.go:1426: longer than 110 characters"},
+		{"one of any length", `policy = ["a.go"]`, manyLines + manyLines + "x", "", ""},
+		{"a wide line in the first", `policy = ["a.go", "b.go"]`, "x" + widestLine, manyLines, "a.go:1: longer than 110 characters"},
+		{"as wide as may be", `policy = ["a.go", "b.go"]`, widestLine, widestLine, ""},
+		{"a wide line", `policy = ["a.go", "b.go"]`, widestLine, widestLine + "x" + widestLine, "b.go:2: longer than 110 characters"},
+		{"a list in a comment", "policy = [\"a.go\"]\n# policy = [\"b.go\"]", manyLines, "x" + widestLine, ""},
 		{"no list", `node = ["a.go"]`, "", "", `expected policy = ["FILE", ...]`},
 		{"an empty list", `policy = []`, "", "", `expected policy = ["FILE", ...]`},
 		{"no such file", `policy = ["a.go", "c.go"]`, "", "", "policy names c.go, which is no file"},
@@ -41,7 +42,7 @@
 			command.Dir = dir
 			out, err := command.CombinedOutput()
 			if (err == nil) != (c.message == "") || !strings.Contains(string(out), c.message) {
-				t.Errorf("printed %q, %v; expected %q", out, err, c.message)
+				t.Errorf("module-limits: got output %q, error %v; want output that contains %q", out, err, c.message)
 			}
 		})
 	}
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -8,13 +8,13 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the hard cases.
+// This file defines the hard cases.
 
-// Each hard case by itself, with real processes: a schedule, and no rule may be broken. They
-// take half a minute in parallel; run them by their name.
+// TestCases runs a fixed fault schedule for each hard case, with real processes, and checks that no rule is violated. The
+// cases run in parallel and take half a minute, so they are skipped unless the -run flag is set.
 func TestCases(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
-		t.Skip("a measurement; run it by its name")
+		t.Skip("a measurement of half a minute; select it by its name with -run")
 	}
 	if _, err := build(); err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 				t.Error(violations)
 			}
 			if v.AsymmetricCuts > v.AsymmetricDetected {
-				t.Errorf("%d of %d asymmetric cuts detected", v.AsymmetricDetected, v.AsymmetricCuts)
+				t.Errorf("detected %d of %d asymmetric cuts, want all", v.AsymmetricDetected, v.AsymmetricCuts)
 			}
 		})
 	}
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -1,6 +1,5 @@
-// Package cluster injects faults between processes of the real program, and judges what they
-// report. The rig is internal/testbed/fleet; this package owns only the schedules that are run and
-// what must hold.
+// Package cluster injects faults between processes of the real program and checks the membership that they report. The
+// test rig is internal/testbed/fleet; this package only defines the schedules to run and the rules that must hold.
 package cluster
 
 import (
@@ -17,21 +16,21 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// This file owns the test of a drawn schedule, and what all schedules have in common.
+// This file tests a randomly drawn schedule and defines the helpers that all schedules share.
 
 var (
-	seedFlag      = flag.Uint64("seed", 7, "draws the schedule")
-	processesFlag = flag.Int("processes", 7, "orchestrators")
+	seedFlag      = flag.Uint64("seed", 7, "seed from which the schedule is drawn")
+	processesFlag = flag.Int("processes", 7, "number of orchestrators")
 	secondsFlag   = flag.Int("seconds", 20, "length of the schedule")
-	scheduleFlag  = flag.String("schedule", "", "run this schedule in place of one that is drawn")
-	calmFlag      = flag.Duration("calm", 3*time.Second, "how long tasks are submitted before, without and with peers")
-	shrinkFlag    = flag.Bool("shrink", false, "make a schedule that fails shorter, a run a try")
+	scheduleFlag  = flag.String("schedule", "", "schedule to run instead of a drawn one")
+	calmFlag      = flag.Duration("calm", 3*time.Second, "how long tasks are submitted before the schedule, without and with peers")
+	shrinkFlag    = flag.Bool("shrink", false, "shorten a schedule that fails; each attempt is one run")
 )
 
-// maxDisagreement is how long after the end of all faults the tables may differ.
+// maxDisagreement is how long after the end of all faults the membership tables may still differ.
 const maxDisagreement = 3 * time.Second
 
-// build builds the program once.
+// build builds the program on its first call and returns the path of the binary.
 var build = sync.OnceValues(func() (string, error) {
 	binary, err := filepath.Abs("../../bin/ravenhitch")
 	if err != nil {
@@ -43,7 +42,7 @@
 	return binary, nil
 })
 
-// newFleet starts a fleet of so many orchestrators; alone, they are no cluster.
+// newFleet starts a fleet with the given number of orchestrators. If alone is set, they do not form a cluster.
 func newFleet(t *testing.T, orchestrators int, alone bool) *fleet.Fleet {
 	t.Helper()
 	binary, err := build()
@@ -53,29 +52,29 @@
 	return fleet.New(t, fleet.Options{Programs: []string{binary}, Dir: t.TempDir(), Orchestrators: orchestrators, Seed: *seedFlag, Alone: alone})
 }
 
-// runSchedule runs a schedule while tasks are submitted, and returns the verdict and the rules that
-// were broken, a line each.
+// runSchedule runs a schedule while clients submit tasks. It returns the verdict and the violated rules, one per line.
 func runSchedule(t *testing.T, f *fleet.Fleet, steps []testbed.Step, length time.Duration) (v fleet.Verdict, violations string) {
-	placed := f.Demand(length - time.Second)
+	placements := f.Demand(length - time.Second)
 	f.RunSchedule(steps, length)
-	placed.Wait()
+	placements.Wait()
 	v = f.Judge()
-	broken := v.Violations
-	if unanswered := placed.Unanswered(); len(unanswered) > 0 {
-		broken = append(broken, fmt.Sprintf("%d requests without a response, as %s", len(unanswered), unanswered[0]))
+	brokenRules := v.Violations
+	if unanswered := placements.Unanswered(); len(unanswered) > 0 {
+		brokenRules = append(brokenRules, fmt.Sprintf("%d requests without a response, for example %s", len(unanswered), unanswered[0]))
 	}
 	if v.Disagreement > maxDisagreement {
-		broken = append(broken, fmt.Sprintf("tables differ %s after the end of all faults", v.Disagreement))
+		brokenRules = append(brokenRules, fmt.Sprintf("membership tables still differ %s after the end of all faults", v.Disagreement))
 	}
-	t.Logf("placed: %+v", placed.Total())
-	return v, strings.Join(broken, "\n")
+	t.Logf("placed: %+v", placements.Total())
+	return v, strings.Join(brokenRules, "\n")
 }
 
-// TestMembers runs one schedule drawn from a seed.
+// TestMembers runs the schedule that a flag gives, or one drawn from a seed, and checks that no rule is violated. If the
+// -run flag is set, it also measures placements without peers first.
 func TestMembers(t *testing.T) {
 	length := time.Duration(*secondsFlag) * time.Second
 	var withoutPeers *fleet.Placements
-	if flag.Lookup("test.run").Value.String() != "" { // a measurement, beside the schedule
+	if flag.Lookup("test.run").Value.String() != "" { // a measurement only, not part of the schedule
 		t.Run("off", func(t *testing.T) {
 			withoutPeers = newFleet(t, *processesFlag, true).Demand(*calmFlag)
 			withoutPeers.Wait()
@@ -99,7 +98,7 @@
 	}
 }
 
-// schedule is the one that a flag names, or one that is drawn.
+// schedule returns the schedule of the flag, or a drawn one if the flag is not set.
 func schedule(t *testing.T, f *fleet.Fleet, length time.Duration) []testbed.Step {
 	t.Helper()
 	if *scheduleFlag == "" {
@@ -112,8 +111,8 @@
 	return steps
 }
 
-// placementRatio is the 99th percentile of placements with peers over that without, 0 where only one
-// was measured.
+// placementRatio returns the 99th percentile of placement times with peers divided by that without peers, or 0 if
+// placements without peers were not measured.
 func placementRatio(t *testing.T, withPeers, withoutPeers *fleet.Placements) float64 {
 	if withoutPeers == nil {
 		return 0
@@ -122,7 +121,7 @@
 	return float64(withPeers.P99()) / float64(max(1, withoutPeers.P99()))
 }
 
-// logMembership logs what the orchestrators logged of membership, and their warnings.
+// logMembership repeats the orchestrators' log lines on membership, their warnings and their errors.
 func logMembership(t *testing.T, f *fleet.Fleet) {
 	for _, orchestrator := range f.Orchestrators {
 		for _, line := range orchestrator.Lines() {
@@ -133,7 +132,7 @@
 	}
 }
 
-// shrink logs the steps that a schedule needs to fail.
+// shrink removes the steps that a failing schedule does not need to fail, and logs the remaining ones.
 func shrink(t *testing.T, steps []testbed.Step, length time.Duration) {
 	steps = testbed.ShrinkSchedule(steps, func(shorter []testbed.Step) (fails bool) {
 		t.Run("shrink", func(t *testing.T) {
@@ -144,5 +143,5 @@
 		})
 		return fails
 	})
-	t.Logf("what is still needed: %s", testbed.FormatSchedule(steps))
+	t.Logf("shortened schedule that still fails: %s", testbed.FormatSchedule(steps))
 }
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -9,21 +9,22 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns what clients do. They use their open connections until the process has ended, and draw everything from
-// the life's seed.
+// This file defines the behaviour of clients. A client keeps using its open connection until the process has exited,
+// and draws all its choices from the scenario's seed.
 
-// Codes of FINISH messages, as the protocol numbers them.
+// codeEnded is the code of FINISH messages by which clients cancel requests and workers complete tasks.
 const codeEnded = 16
 
 const (
-	maxOpen      = 4 // requests open on a connection
+	maxOpen      = 4 // requests without a response on one connection
 	maxThinkTime = 40 * time.Millisecond
 	redialPause  = 20 * time.Millisecond
-	// newConnectionsFor is for how long after the first signal clients connect anew where a connection ended.
-	newConnectionsFor = 400 * time.Millisecond
+	// reconnectWindow is how long after the first terminating signal clients still reconnect when a connection ends.
+	reconnectWindow = 400 * time.Millisecond
 )
 
-// scripts are what workers do with tasks, with how many of a hundred tasks each has.
+// scripts lists the ways in which workers answer offers, each with its share of tasks in percent. Package testbed
+// implements them.
 var scripts = []struct {
 	name  string
 	share int
@@ -31,32 +32,32 @@
 	{"ok", 60}, {"full", 8}, {"missed", 9}, {"silent", 4}, {"error", 3}, {"brief", 4}, {"held", 6}, {"twice", 2}, {"half", 2}, {"reset", 2},
 }
 
-// spoilingScripts are those that only some lives have.
-var spoilingScripts = map[string]bool{"half": true, "reset": true}
+// faultyAnswerScripts are the scripts that are used only in scenarios whose plan has faultyAnswers set.
+var faultyAnswerScripts = map[string]bool{"half": true, "reset": true}
 
-// client is one client, which has one connection at a time.
+// client submits requests to one process, on one connection at a time.
 type client struct {
-	life    *life
-	process *process
-	index   int
-	random  *rand.Rand
-	lastID  int
-	conn    *testbed.Client
-	record  *connection
-	open    map[string]bool // requests without a response on the connection
-	retry   string          // key of a task that is submitted again next, "" for none
+	scenario *scenario
+	process  *process
+	index    int
+	random   *rand.Rand
+	lastID   int
+	conn     *testbed.Client
+	record   *connection
+	open     map[string]bool // IDs of the requests without a response on the connection
+	retryKey string          // key of a rejected task that the next submission retries, "" for none
 }
 
-func newClient(l *life, p *process, index int) *client {
+func newClient(s *scenario, p *process, index int) *client {
 	stream := uint64(40 + p.index*1000 + index)
-	return &client{life: l, process: p, index: index, random: rand.New(rand.NewPCG(l.plan.seed, stream)), open: map[string]bool{}}
+	return &client{scenario: s, process: p, index: index, random: rand.New(rand.NewPCG(s.plan.seed, stream)), open: map[string]bool{}}
 }
 
-// run uses connections until the process has ended.
+// run connects and uses connections until the process has exited.
 func (c *client) run() {
 	for c.process.IsRunning() {
 		if !c.connect() {
-			if !c.life.sleep(redialPause) {
+			if !c.scenario.sleep(redialPause) {
 				return
 			}
 			continue
@@ -65,16 +66,17 @@
 	}
 }
 
-// connect connects, and reports whether that worked.
+// connect opens a connection and reports whether it succeeded. Once reconnectWindow has passed since the first terminating
+// signal, it no longer tries. It records a refusal only before half of that window has passed.
 func (c *client) connect() bool {
 	since := c.process.sinceStop(time.Now())
-	if since > newConnectionsFor {
+	if since > reconnectWindow {
 		return false
 	}
 	conn, err := testbed.Dial(c.process.address)
 	if err != nil {
-		if since < newConnectionsFor/2 && c.process.IsRunning() {
-			c.life.ledger.refused()
+		if since < reconnectWindow/2 && c.process.IsRunning() {
+			c.scenario.ledger.refused()
 		}
 		return false
 	}
@@ -83,7 +85,7 @@
 	return true
 }
 
-// useConnection submits requests and takes responses until the connection ends.
+// useConnection submits requests and receives responses until the connection ends.
 func (c *client) useConnection() {
 	defer testbed.CloseQuietly(c.conn)
 	think := time.NewTimer(0)
@@ -92,12 +94,12 @@
 		select {
 		case line, ok := <-c.conn.Lines:
 			if !ok {
-				c.life.ledger.connectionEnded(c.open, time.Now())
+				c.scenario.ledger.connectionEnded(c.open, time.Now())
 				return
 			}
 			c.receive(line)
 		case <-think.C:
-			if !c.act() {
+			if !c.performNextAction() {
 				return
 			}
 			think.Reset(time.Duration(c.random.Int64N(int64(maxThinkTime))))
@@ -105,8 +107,8 @@
 	}
 }
 
-// act does what the client does next, and reports whether it stays.
-func (c *client) act() bool {
+// performNextAction performs a random action and reports whether the client keeps its connection.
+func (c *client) performNextAction() bool {
 	switch draw := c.random.IntN(200); {
 	case draw == 0:
 		c.leave()
@@ -119,10 +121,10 @@
 	return true
 }
 
-// leave closes the connection with whatever is open on it.
+// leave closes the connection, which abandons all requests that are open on it.
 func (c *client) leave() {
-	c.life.ledger.left(c.open, time.Now())
-	c.life.ledger.closed(c.record, time.Now())
+	c.scenario.ledger.left(c.open, time.Now())
+	c.scenario.ledger.closed(c.record, time.Now())
 	testbed.CloseQuietly(c.conn)
 }
 
@@ -130,14 +132,14 @@
 func (c *client) cancel() {
 	for requestID := range c.open {
 		delete(c.open, requestID)
-		c.life.ledger.left(map[string]bool{requestID: true}, time.Now())
+		c.scenario.ledger.left(map[string]bool{requestID: true}, time.Now())
 		testbed.Send(c.conn, testbed.FinishLine("FINISH", requestID, codeEnded))
 		return
 	}
 }
 
-// submit submits a request, in two parts where it is slow.
-func (c *client) submit(slowly bool) {
+// submit submits a request. If inTwoParts is set, it pauses after the first half of the message.
+func (c *client) submit(inTwoParts bool) {
 	c.lastID++
 	requestID := testbed.RequestID(c.process.index<<32 | c.index<<20 | c.lastID)
 	line := testbed.StartLine(requestID, c.drawClass(), c.drawKey(), int(c.drawTimeout().Milliseconds()))
@@ -145,60 +147,62 @@
 	var text strings.Builder
 	testbed.Send(&text, line)
 	sent := text.String()
-	if slowly {
+	if inTwoParts {
 		half := len(sent) / 2
-		_, _ = c.conn.Write([]byte(sent[:half])) // an end shows when reading
-		c.life.sleep(maxThinkTime)
+		_, _ = c.conn.Write([]byte(sent[:half])) // the reader of the connection detects a closed connection
+		c.scenario.sleep(maxThinkTime)
 		sent = sent[half:]
 	}
 	c.open[requestID] = true
-	c.life.ledger.submitted(c.process, c.record, line, time.Now())
-	_, _ = c.conn.Write([]byte(sent)) // an end shows when reading
+	c.scenario.ledger.submitted(c.process, c.record, line, time.Now())
+	_, _ = c.conn.Write([]byte(sent)) // the reader of the connection detects a closed connection
 }
 
-// singleStartClass is the class of tasks that must not start twice.
+// singleStartClass is the class whose tasks must not start twice.
 const singleStartClass = "archive-cut"
 
-// drawClass draws the class of a request.
+// drawClass draws the class of a request at random.
 func (c *client) drawClass() string {
 	return []string{"guide-web", "guide-web", "live-relay", singleStartClass}[c.random.IntN(4)]
 }
 
-// drawKey draws the key of a task, whose first word is what workers do with it.
+// drawKey returns the key of the task to submit: the key to retry, if there is one, or a new one. The first word of a new
+// key names the script by which workers answer the task's offers.
 func (c *client) drawKey() string {
-	if key := c.retry; key != "" {
-		c.retry = ""
+	if key := c.retryKey; key != "" {
+		c.retryKey = ""
 		return key
 	}
 	draw := c.random.IntN(100)
 	for _, script := range scripts {
 		draw -= script.share
-		if draw < 0 && spoilingScripts[script.name] && !c.life.plan.spoilsAnswers {
+		if draw < 0 && faultyAnswerScripts[script.name] && !c.scenario.plan.faultyAnswers {
 			script = scripts[0]
 		}
 		if draw < 0 {
 			return fmt.Sprintf("%s-%d-%d-%d", script.name, c.process.index, c.index, c.lastID)
 		}
 	}
-	panic("the shares of the scripts make less than a hundred")
+	panic("the shares of the scripts add up to less than 100 percent")
 }
 
-// drawTimeout draws how long a request has, in one of six next to nothing.
+// drawTimeout draws the timeout of a request. One in six is shorter than 20 ms, which leaves almost no time to respond.
 func (c *client) drawTimeout() time.Duration {
 	if c.random.IntN(6) == 0 {
-		return between(c.random, time.Millisecond, 20*time.Millisecond)
+		return drawDuration(c.random, time.Millisecond, 20*time.Millisecond)
 	}
-	return between(c.random, c.life.plan.deadline/4, c.life.plan.deadline)
+	return drawDuration(c.random, c.scenario.plan.deadline/4, c.scenario.plan.deadline)
 }
 
-// receive takes a message. Some rejected tasks are submitted again at once.
+// receive handles a message from the process. One in three tasks whose first response is a FINISH message is retried by
+// the next submission.
 func (c *client) receive(line testbed.Line) {
-	key, isResponse := c.life.ledger.received(line, time.Now())
+	key, isResponse := c.scenario.ledger.received(line, time.Now())
 	if !isResponse {
 		return
 	}
 	delete(c.open, line.Tag)
 	if line.Verb == "FINISH" && c.random.IntN(3) == 0 {
-		c.retry = key
+		c.retryKey = key
 	}
 }
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// This file owns the judgement of a life by the protocol's rules. Every limit is the protocol's.
+// This file checks a finished scenario against the rules of the protocol. The limits are those of the protocol, with
+// slack for the test's own delays.
 
 const (
-	responseSlack   = 500 * time.Millisecond // a response comes so long after its time at most
-	reportLimit     = time.Second            // within which a completion is reported
-	leaveLimit      = 100 * time.Millisecond // after which no attempt begins once its client left
-	crossingLimit   = 50 * time.Millisecond  // a request may cross a close for so long
-	ruleSlack       = 50 * time.Millisecond  // on every limit of the rules
-	maxDelayOfPaths = 75 * time.Millisecond  // of what is sent to a worker, by the faults that are drawn
+	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
+	reportLimit   = time.Second            // maximum time until a completion is reported to the client
+	leaveLimit    = 100 * time.Millisecond // maximum time between a client leaving and the last attempt of its request
+	crossingLimit = 50 * time.Millisecond  // maximum time for which a message and a close may cross
+	ruleSlack     = 50 * time.Millisecond  // tolerance of the test on reportLimit and drainGrace
+	maxPathDelay  = 75 * time.Millisecond  // maximum delay of messages to a worker by faultDelay
 )
 
-// verdict is what was counted in a life, or in several, and the story of the first case.
+// verdict holds the counts of one scenario or the sum of several, and the details of the first violation.
 type verdict struct {
-	requests, afterSIGTERM                                                    int
-	lost, late, unreported, twice, afterLeave, toDraining, unclean, overLimit int
-	story                                                                     string
+	requests, afterSIGTERM                                                              int
+	lost, late, unreported, duplicates, afterLeave, toDraining, uncleanExits, overLimit int
+	firstViolation                                                                      string
 }
 
-func (v verdict) broken() int {
-	return v.lost + v.late + v.unreported + v.twice + v.afterLeave + v.toDraining + v.unclean + v.overLimit
+func (v verdict) violations() int {
+	return v.lost + v.late + v.unreported + v.duplicates + v.afterLeave + v.toDraining + v.uncleanExits + v.overLimit
 }
 
 func (v verdict) String() string {
 	return fmt.Sprintf("requests=%d after_sigterm=%d lost=%d late=%d untold=%d twice=%d after_leave=%d to_draining=%d unclean_exits=%d over_limits=%d",
-		v.requests, v.afterSIGTERM, v.lost, v.late, v.unreported, v.twice, v.afterLeave, v.toDraining, v.unclean, v.overLimit)
+		v.requests, v.afterSIGTERM, v.lost, v.late, v.unreported, v.duplicates, v.afterLeave, v.toDraining, v.uncleanExits, v.overLimit)
 }
 
 func (v *verdict) add(other verdict) {
@@ -41,63 +42,64 @@
 	v.lost += other.lost
 	v.late += other.late
 	v.unreported += other.unreported
-	v.twice += other.twice
+	v.duplicates += other.duplicates
 	v.afterLeave += other.afterLeave
 	v.toDraining += other.toDraining
-	v.unclean += other.unclean
+	v.uncleanExits += other.uncleanExits
 	v.overLimit += other.overLimit
 }
 
-// broke counts a case and keeps the first one's story.
-func (v *verdict) broke(count *int, rule string, story ...string) {
+// addViolation increments a count and keeps the details of the first violation.
+func (v *verdict) addViolation(count *int, rule string, details ...string) {
 	*count++
-	if v.story == "" {
-		v.story = rule + ": " + strings.Join(story, "\n")
+	if v.firstViolation == "" {
+		v.firstViolation = rule + ": " + strings.Join(details, "\n")
 	}
 }
 
-// judge judges a life that is over.
-func (l *life) judge() (v verdict) {
-	for _, p := range l.processes {
-		l.judgeProcess(&v, p)
+// judge checks a finished scenario.
+func (s *scenario) judge() (v verdict) {
+	for _, p := range s.processes {
+		s.judgeProcess(&v, p)
 	}
-	taken := map[string]bool{}
-	for _, p := range l.processes {
-		for requestID := range p.takenRequests() {
-			taken[requestID] = true
+	readIDs := map[string]bool{}
+	for _, p := range s.processes {
+		for requestID := range p.readRequestIDs() {
+			readIDs[requestID] = true
 		}
 	}
-	requests := l.ledger.sorted()
+	requests := s.ledger.sorted()
 	v.requests = len(requests)
 	for _, r := range requests {
-		l.judgeRequest(&v, r, taken[r.id])
+		s.judgeRequest(&v, r, readIDs[r.id])
 	}
-	for range l.ledger.refusedClients {
-		v.broke(&v.lost, "lost", "a connection was refused while new ones still come")
+	for range s.ledger.refusedConnections {
+		v.addViolation(&v.lost, "lost (refused connection)", "a connection was refused while the process still has to accept new ones")
 	}
-	l.judgeDuplicates(&v)
-	for _, p := range l.processes {
-		l.judgeDrains(&v, p)
+	s.judgeDuplicates(&v)
+	for _, p := range s.processes {
+		s.judgeDrains(&v, p)
 	}
 	return v
 }
 
-// judgeDuplicates counts the attempts that came while another one of the same request was in flight. A worker may run a
-// task whose acceptance was lost with its connection, or behind what could not be read: that the process could not know,
-// and a class that may be repeated may be tried again then. It may not once the process has read the acceptance.
-func (l *life) judgeDuplicates(v *verdict) {
-	for _, duplicate := range l.attempts.Duplicates() {
+// judgeDuplicates counts the attempts that reached a worker while another attempt of the same request was in flight. One
+// case is allowed: a worker runs a task whose acceptance was lost with its connection or followed unreadable bytes. The
+// process cannot know of that task and may attempt the request again if its class allows repeated starts. Once the process
+// has read the acceptance, another attempt is a violation.
+func (s *scenario) judgeDuplicates(v *verdict) {
+	for _, duplicate := range s.attempts.Duplicates() {
 		requestID, _, _ := strings.Cut(duplicate, " ")
-		r := l.ledger.requests[requestID]
-		ranUnknown := strings.Contains(duplicate, "running there: true")
-		if ranUnknown && r.class != singleStartClass && !r.process.offeredAfterStart(requestID) {
+		r := s.ledger.requests[requestID]
+		wasRunning := strings.Contains(duplicate, "running there: true")
+		if wasRunning && r.class != singleStartClass && !r.process.offeredAfterStart(requestID) {
 			continue
 		}
-		v.broke(&v.twice, "twice", append([]string{duplicate}, l.storyOf(r)...)...)
+		v.addViolation(&v.duplicates, "twice (duplicate attempt)", append([]string{duplicate}, s.describeRequest(r)...)...)
 	}
 }
 
-// sorted are the requests in the order in which they were submitted.
+// sorted returns the requests in the order of their submission.
 func (l *ledger) sorted() (requests []*request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,82 +110,89 @@
 	return requests
 }
 
-// judgeProcess judges how a process ended and what it used.
-func (l *life) judgeProcess(v *verdict, p *process) {
+// judgeProcess checks that a process exited by itself with code 0 and kept its limits on descriptors and memory.
+func (s *scenario) judgeProcess(v *verdict, p *process) {
 	if p.killed || p.exitCode != 0 {
 		lines := p.Lines()
-		v.broke(&v.unclean, "unclean exit", fmt.Sprintf("%s killed %v, code %d", p.Name, p.killed, p.exitCode),
+		v.addViolation(&v.uncleanExits, "unclean_exits", fmt.Sprintf("%s: killed %v, exit code %d", p.Name, p.killed, p.exitCode),
 			strings.Join(lines[max(0, len(lines)-20):], "\n"))
 	}
-	if p.maxDescriptors > l.plan.sockets || p.maxMemoryKB > l.plan.memoryMB<<10 {
-		v.broke(&v.overLimit, "over limit", fmt.Sprintf("%s: %d of %d descriptors, %d of %d kB", p.Name, p.maxDescriptors,
-			l.plan.sockets, p.maxMemoryKB, l.plan.memoryMB<<10))
+	if p.maxDescriptors > s.plan.sockets || p.maxMemoryKB > s.plan.memoryMB<<10 {
+		v.addViolation(&v.overLimit, "over_limits",
+			fmt.Sprintf("%s: used %d descriptors of %d allowed, %d kB of memory of %d allowed", p.Name,
+				p.maxDescriptors, s.plan.sockets, p.maxMemoryKB, s.plan.memoryMB<<10))
 	}
 }
 
-// judgeRequest judges what became of a request; taken says that its process has read it.
-func (l *life) judgeRequest(v *verdict, r *request, taken bool) {
+// judgeRequest checks the responses, the completion and the attempts of a request. wasRead reports whether the process
+// read the request.
+func (s *scenario) judgeRequest(v *verdict, r *request, wasRead bool) {
 	if r.process.sinceStop(r.submittedAt) >= 0 {
 		v.afterSIGTERM++
 	}
-	if l.isLost(r, taken) {
-		v.broke(&v.lost, "lost", append(l.storyOf(r), fmt.Sprintf("taken %v", taken))...)
+	if s.isLost(r, wasRead) {
+		v.addViolation(&v.lost, "lost (no response)",
+			append(s.describeRequest(r), fmt.Sprintf("request read by the process: %v", wasRead))...)
 	}
 	due := r.submittedAt.Add(r.timeout + responseSlack)
-	if r.leftAt.IsZero() && r.answeredAt.After(due.Add(l.pause.between(r.submittedAt, r.answeredAt))) {
-		v.broke(&v.late, "late", l.storyOf(r)...)
+	if r.leftAt.IsZero() && r.respondedAt.After(due.Add(s.pauses.totalBetween(r.submittedAt, r.respondedAt))) {
+		v.addViolation(&v.late, "late (response after its limit)", s.describeRequest(r)...)
 	}
-	if l.isUnreported(r) {
-		v.broke(&v.unreported, "untold", l.storyOf(r)...)
+	if s.isUnreported(r) {
+		v.addViolation(&v.unreported, "untold (completion not reported in time)", s.describeRequest(r)...)
 	}
-	if r.answers > 1 && r.leftAt.IsZero() {
-		v.broke(&v.twice, "answered twice", l.storyOf(r)...)
+	if r.responses > 1 && r.leftAt.IsZero() {
+		v.addViolation(&v.duplicates, "twice (more than one response)", s.describeRequest(r)...)
 	}
-	offeredAt := l.attempts.Last(r.id)
-	limit := r.leftAt.Add(leaveLimit + maxDelayOfPaths)
-	if !r.leftAt.IsZero() && offeredAt.After(limit.Add(l.pause.between(r.leftAt, offeredAt))) {
-		v.broke(&v.afterLeave, "after leave", append(l.storyOf(r), fmt.Sprintf("offered %s after that", offeredAt.Sub(r.leftAt)))...)
+	offeredAt := s.attempts.Last(r.id)
+	limit := r.leftAt.Add(leaveLimit + maxPathDelay)
+	if !r.leftAt.IsZero() && offeredAt.After(limit.Add(s.pauses.totalBetween(r.leftAt, offeredAt))) {
+		v.addViolation(&v.afterLeave, "after_leave (offer after its client left)",
+			append(s.describeRequest(r), fmt.Sprintf("offered %s after the client left", offeredAt.Sub(r.leftAt)))...)
 	}
 }
 
-// isLost reports whether a request has no response though its client waited for it. One that crossed the close of its
-// connection is not lost, if the process had not read it.
-func (l *life) isLost(r *request, taken bool) bool {
-	if !r.answeredAt.IsZero() || !r.leftAt.IsZero() {
+// isLost reports whether a request has no response although its client waited for one. A request that crossed the close
+// of its connection is not lost if the process had not read it.
+func (s *scenario) isLost(r *request, wasRead bool) bool {
+	if !r.respondedAt.IsZero() || !r.leftAt.IsZero() {
 		return false
 	}
-	crossed := !r.lostAt.IsZero() && r.lostAt.Sub(r.submittedAt) <= crossingLimit+l.pause.between(r.submittedAt, r.lostAt)
-	return taken || !crossed
+	crossed := !r.disconnectedAt.IsZero() &&
+		r.disconnectedAt.Sub(r.submittedAt) <= crossingLimit+s.pauses.totalBetween(r.submittedAt, r.disconnectedAt)
+	return wasRead || !crossed
 }
 
-// lostReportTime is for how long a worker's report may be in a connection that ends.
-const lostReportTime = 100 * time.Millisecond
+// reportLossWindow is the maximum age of a worker's report that is lost with a connection: a report sent within this time
+// before the connection ended may still have been in transit.
+const reportLossWindow = 100 * time.Millisecond
 
-// isUnreported reports whether the end of a task was not reported to its client in time. Not judged is what its process
-// may not have learned, or had no time to report: the worker's path was disturbed since the submission, a connection to it
-// ended around the report (one that cannot be sent is due after 8 s), or the process ended before; and a report that
-// crossed the close of its connection by the client.
-func (l *life) isUnreported(r *request) bool {
-	if r.endedAt.IsZero() || !r.leftAt.IsZero() || !r.lostAt.IsZero() {
+// isUnreported reports whether the completion of a task was not reported to its client in time. It returns false where
+// the process may not have learned of the completion or had no time to report it: the worker or its path had a fault since
+// the submission, a connection to the worker ended around its report (a worker that could not send a report has 8 s for it), or the process exited before the limit. It also returns false where the process's report crossed the close of its
+// connection by the client.
+func (s *scenario) isUnreported(r *request) bool {
+	if r.endedAt.IsZero() || !r.leftAt.IsZero() || !r.disconnectedAt.IsZero() {
 		return false
 	}
 	due := r.endedAt.Add(reportLimit + ruleSlack)
-	due = due.Add(l.pause.between(r.endedAt, due))
-	if r.process.exitedAt.Before(due) || r.worker.wasDisturbed(r.submittedAt, due) ||
-		r.worker.LostConnection(r.endedAt.Add(-lostReportTime), due) {
+	due = due.Add(s.pauses.totalBetween(r.endedAt, due))
+	if r.process.exitedAt.Before(due) || r.worker.hadFault(r.submittedAt, due) ||
+		r.worker.LostConnection(r.endedAt.Add(-reportLossWindow), due) {
 		return false
 	}
-	if r.reportedAt.IsZero() && l.crossedClose(r) {
+	if r.reportedAt.IsZero() && s.crossedClose(r) {
 		return false
 	}
 	return r.reportedAt.IsZero() || r.reportedAt.After(due)
 }
 
-// crossedClose reports whether the end of a task was sent on a connection that its client closed at the same time.
-func (l *life) crossedClose(r *request) bool {
-	number := r.process.reportedOn(r.id)
-	for _, other := range l.ledger.requests {
-		if other.process != r.process || number == "" || other.process.connectionOf(other.id) != number {
+// crossedClose reports whether the process sent the completion of a task on a connection that its client closed within
+// crossingLimit of the task's end.
+func (s *scenario) crossedClose(r *request) bool {
+	number := r.process.completionConnection(r.id)
+	for _, other := range s.ledger.requests {
+		if other.process != r.process || number == "" || other.process.submissionConnection(other.id) != number {
 			continue
 		}
 		closedAt := other.connection.closedAt
@@ -192,49 +201,52 @@
 	return false
 }
 
-// judgeDrains counts the offers that came to draining workers too late, by processes whose discovery was not disturbed.
-func (l *life) judgeDrains(v *verdict, p *process) {
+// judgeDrains counts the offers that reached draining workers later than drainGrace. Processes whose discovery had a fault
+// are exempt.
+func (s *scenario) judgeDrains(v *verdict, p *process) {
 	for _, w := range p.workers {
-		drainedAt := w.drained()
-		if drainedAt.IsZero() {
+		drainingSince := w.drainStart()
+		if drainingSince.IsZero() {
 			continue
 		}
-		for _, arrival := range l.attempts.Arrivals(w.Name) {
-			r := l.ledger.requests[arrival.RequestID]
-			limit := drainedAt.Add(drainGrace + ruleSlack)
-			limit = limit.Add(l.pause.between(drainedAt, arrival.At))
-			if r != nil && !r.process.discoveryDisturbed.Load() && arrival.At.After(limit) {
-				v.broke(&v.toDraining, "to draining", append(l.storyOf(r), fmt.Sprintf("%s drains since %s before", w.Name, arrival.At.Sub(drainedAt)))...)
+		for _, arrival := range s.attempts.Arrivals(w.Name) {
+			r := s.ledger.requests[arrival.RequestID]
+			limit := drainingSince.Add(drainGrace + ruleSlack)
+			limit = limit.Add(s.pauses.totalBetween(drainingSince, arrival.At))
+			if r != nil && !r.process.discoveryFaulted.Load() && arrival.At.After(limit) {
+				v.addViolation(&v.toDraining, "to_draining (offer to a draining worker)", append(s.describeRequest(r),
+					fmt.Sprintf("%s had been draining for %s", w.Name, arrival.At.Sub(drainingSince)))...)
 			}
 		}
 	}
 }
 
-// storyOf is what is known of a request: what was seen, and its process's trace.
-func (l *life) storyOf(r *request) []string {
+// describeRequest returns the observed times of a request and the log lines of its process that name it.
+func (s *scenario) describeRequest(r *request) []string {
 	if r == nil {
 		return nil
 	}
-	return append([]string{r.String()}, r.process.story(r.id)...)
+	return append([]string{r.String()}, r.process.requestLogLines(r.id)...)
 }
 
-// pauseInterval is how often the host's pauses are looked for, and minPause the least that counts as one.
+// The pause meter wakes every pauseInterval and counts a wake-up that is late by more than minPause as a pause.
 const (
 	pauseInterval = 5 * time.Millisecond
 	minPause      = 10 * time.Millisecond
 )
 
-// pauseMeter notes for how long this process was not run though it was due: what it sees then, it sees late.
+// pauseMeter records the times at which the host did not schedule the test process although it was due. Events in such a
+// pause are observed late.
 type pauseMeter struct {
 	mu     sync.Mutex
 	pauses []interval
 }
 
-// run notes pauses until a channel is closed.
-func (m *pauseMeter) run(over <-chan struct{}) {
+// run records pauses until done is closed.
+func (m *pauseMeter) run(done <-chan struct{}) {
 	for last := time.Now(); ; {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(pauseInterval):
 		}
@@ -248,8 +260,8 @@
 	}
 }
 
-// between sums up the pauses between two times.
-func (m *pauseMeter) between(from, to time.Time) (sum time.Duration) {
+// totalBetween returns the total length of the pauses that overlap the time between from and to.
+func (m *pauseMeter) totalBetween(from, to time.Time) (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, pause := range m.pauses {
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -9,53 +9,55 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the record of all requests, as clients and workers saw them. It must never judge them.
+// This file records all requests as clients and workers observed them. It checks no rules.
 
-// request is one request, as it was seen. Times that did not come are zero.
+// request records the observations of one request. The time of an event that did not happen is zero.
 type request struct {
-	id, key     string
-	class       string
-	process     *process
-	timeout     time.Duration
-	submittedAt time.Time
-	answeredAt  time.Time   // its first response came
-	answer      string      // that response
-	answers     int         // final responses, or reports of its completion beyond the first
-	leftAt      time.Time   // its client cancelled it or left
-	lostAt      time.Time   // its connection ended before the response
-	connection  *connection // that it was submitted on
-	worker      *worker     // where its task ended
-	endedAt     time.Time   // its task ended there
-	reportedAt  time.Time   // the end was reported to its client
+	id, key        string
+	class          string
+	process        *process
+	timeout        time.Duration
+	submittedAt    time.Time
+	respondedAt    time.Time   // when its first response arrived
+	response       string      // verb of its first response
+	responses      int         // number of responses, plus reports of its completion after the first
+	leftAt         time.Time   // when its client cancelled it or left
+	disconnectedAt time.Time   // when its connection ended before the response
+	connection     *connection // connection of its submission
+	worker         *worker     // worker at which its task ended
+	endedAt        time.Time   // when its task ended at the worker
+	reportedAt     time.Time   // when the completion was reported to its client
 }
 
-// connection is one connection of a client.
+// connection records one connection of a client.
 type connection struct {
-	closedAt time.Time // when its client closed it
+	closedAt time.Time // when the client closed it; zero if it did not
 }
 
-// ledger records the requests.
+// ledger records the requests of all clients, by request ID.
 type ledger struct {
-	mu             sync.Mutex
-	requests       map[string]*request
-	refusedClients int // connections refused while new ones still come
+	mu                 sync.Mutex
+	requests           map[string]*request
+	refusedConnections int // connections that a process refused while it still had to accept new ones
 }
 
 func newLedger() *ledger { return &ledger{requests: map[string]*request{}} }
 
-// submitted records a request before its last byte is written.
-func (l *ledger) submitted(p *process, on *connection, line testbed.Line, now time.Time) {
+// submitted records a request. Clients call it before they write the last byte of the request.
+func (l *ledger) submitted(p *process, conn *connection, line testbed.Line, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	timeout, err := time.ParseDuration(line.Opts["left"] + "ms")
 	if err != nil {
 		panic(err)
 	}
-	l.requests[line.Tag] = &request{id: line.Tag, key: line.Opts["key"], class: line.Opts["class"], process: p, connection: on,
+	l.requests[line.Tag] = &request{id: line.Tag, key: line.Opts["key"], class: line.Opts["class"], process: p, connection: conn,
 		timeout: timeout, submittedAt: now}
 }
 
-// received records a message to a client. It returns the key of its request, and whether it is the first response.
+// received records a message to a client. It returns the key of the message's request and reports whether the message is
+// the first response. Messages with another verb or an unknown request ID are
+// ignored.
 func (l *ledger) received(line testbed.Line, now time.Time) (key string, isResponse bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,23 +65,23 @@
 	if r == nil || line.Verb != "STARTED" && line.Verb != "FINISH" && line.Verb != "MOVE" {
 		return "", false
 	}
-	isCompletion := r.answer == "STARTED" && line.Verb != "STARTED"
+	isCompletion := r.response == "STARTED" && line.Verb != "STARTED"
 	switch {
-	case r.answeredAt.IsZero():
-		r.answeredAt, r.answer, r.answers = now, line.Verb, 1
+	case r.respondedAt.IsZero():
+		r.respondedAt, r.response, r.responses = now, line.Verb, 1
 		if line.Verb != "STARTED" {
-			r.reportedAt = now // nothing more is owed
+			r.reportedAt = now // after any first response but STARTED, no completion report is due
 		}
 		return r.key, true
 	case isCompletion && r.reportedAt.IsZero():
 		r.reportedAt = now
 	default:
-		r.answers++
+		r.responses++
 	}
 	return r.key, false
 }
 
-// left records that a client cancelled requests or left.
+// left records that a client cancelled requests or left with them open.
 func (l *ledger) left(requestIDs map[string]bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,19 +90,19 @@
 	}
 }
 
-// closed records that a client closes its connection.
+// closed records that a client closed its connection.
 func (l *ledger) closed(c *connection, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.closedAt = now
 }
 
-// connectionEnded records the end of a connection on which requests were open.
+// connectionEnded records for each open request that its connection ended before a response.
 func (l *ledger) connectionEnded(requestIDs map[string]bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for requestID := range requestIDs {
-		l.requests[requestID].lostAt = now
+		l.requests[requestID].disconnectedAt = now
 	}
 }
 
@@ -108,10 +110,10 @@
 func (l *ledger) refused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refusedClients++
+	l.refusedConnections++
 }
 
-// endedAtWorker records that a task ends now.
+// endedAtWorker records that the task of a request ends now at a worker. Only the first end counts.
 func (l *ledger) endedAtWorker(requestID string, w *worker) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,15 +122,15 @@
 	}
 }
 
-// isHeld reports whether the worker never answers the offer of a request.
-func (l *ledger) isHeld(requestID string) bool {
+// isNeverAccepted reports whether workers run the task of a request without ever answering its offer.
+func (l *ledger) isNeverAccepted(requestID string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[requestID]
 	return r != nil && strings.HasPrefix(r.key, "held-")
 }
 
-// String is what was seen of a request, in milliseconds since it was submitted.
+// String formats the observations of a request, with times in milliseconds since its submission.
 func (r *request) String() string {
 	since := func(at time.Time) string {
 		if at.IsZero() {
@@ -136,8 +138,9 @@
 		}
 		return fmt.Sprintf("%.1f", float64(at.Sub(r.submittedAt).Microseconds())/1000)
 	}
-	return fmt.Sprintf("request %s (%s, %s) to %s, timeout %s, submitted %s: answered %s %s (%d answers), client left %s, "+
-		"connection lost %s, connection closed by its client %s, task ended %s, reported %s", r.id, r.class, r.key, r.process.Name, r.timeout,
-		r.submittedAt.Format("15:04:05.000000"), since(r.answeredAt), r.answer, r.answers, since(r.leftAt), since(r.lostAt),
+	return fmt.Sprintf("request %s (class %s, key %s) to %s, timeout %s, submitted at %s; in ms since then: "+
+		"first response %s %s (%d responses), client cancelled or left %s, connection lost %s, connection closed by its client %s, task ended %s, completion reported %s",
+		r.id, r.class, r.key, r.process.Name, r.timeout,
+		r.submittedAt.Format("15:04:05.000000"), since(r.respondedAt), r.response, r.responses, since(r.leftAt), since(r.disconnectedAt),
 		since(r.connection.closedAt), since(r.endedAt), since(r.reportedAt))
 }
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -13,60 +13,60 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns one life: its workers, discovery and processes, the traffic, and the course of time. It must never
-// judge what it sees.
+// This file runs one scenario: its workers, discovery, processes, traffic and faults. It only records observations;
+// judge_test.go checks them.
 
-// life is one life that is played.
-type life struct {
+// scenario is one run of a plan.
+type scenario struct {
 	t         *testing.T
 	plan      plan
 	startedAt time.Time
 	attempts  *testbed.AttemptLog
 	ledger    *ledger
 	processes []*process
-	pause     pauseMeter
-	over      chan struct{} // closed once the last process has ended
+	pauses    pauseMeter
+	done      chan struct{} // closed once the last process has exited
 }
 
-// worker is one worker, its path and what is known of its faults.
+// worker is a stand-in worker with the path to it and the record of its faults.
 type worker struct {
 	*testbed.Worker
-	proxy *testbed.Proxy // nil where it is reached directly
+	proxy *testbed.Proxy // nil if the process reaches the worker directly
 
-	faulted   sync.Mutex // held while a fault lasts: one that would begin meanwhile is left out
-	mu        sync.Mutex // guards what follows
-	disturbed []interval
-	drainedAt time.Time // when the list said so, the zero time for never
-	sendsAway bool      // it has been sending its tasks away since
-	hung      bool
+	faultMutex     sync.Mutex // held while a fault lasts; a fault that would overlap with it is skipped
+	mu             sync.Mutex // guards the fields below
+	faultIntervals []interval
+	drainingSince  time.Time // when discovery listed the worker as draining, the zero time if it never did
+	evictsTasks    bool      // the worker has been evicting its tasks since then
+	hung           bool
 }
 
-// interval is from one time to another; the zero time as its end is for ever.
+// interval is the time between from and to. A zero to means that the interval has no end.
 type interval struct{ from, to time.Time }
 
-// overlaps reports whether the interval has a moment between two times.
+// overlaps reports whether the interval overlaps the time between from and to.
 func (i interval) overlaps(from, to time.Time) bool {
 	return i.from.Before(to) && (i.to.IsZero() || i.to.After(from))
 }
 
-// disturb notes a fault that begins now, and returns what notes its end.
-func (w *worker) disturb() (end func()) {
+// beginFault records the start of a fault and returns a function that records its end.
+func (w *worker) beginFault() (end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	i := len(w.disturbed)
-	w.disturbed = append(w.disturbed, interval{from: time.Now()})
+	i := len(w.faultIntervals)
+	w.faultIntervals = append(w.faultIntervals, interval{from: time.Now()})
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.disturbed[i].to = time.Now()
+		w.faultIntervals[i].to = time.Now()
 	}
 }
 
-// wasDisturbed reports whether there was a fault between two times.
-func (w *worker) wasDisturbed(from, to time.Time) bool {
+// hadFault reports whether a fault overlapped the time between from and to.
+func (w *worker) hadFault(from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, i := range w.disturbed {
+	for _, i := range w.faultIntervals {
 		if i.overlaps(from, to) {
 			return true
 		}
@@ -74,16 +74,16 @@
 	return false
 }
 
-func (w *worker) drained() time.Time {
+func (w *worker) drainStart() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.drainedAt
+	return w.drainingSince
 }
 
-func (w *worker) isSendingAway() bool {
+func (w *worker) isEvicting() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.sendsAway
+	return w.evictsTasks
 }
 
 func (w *worker) isHung() bool {
@@ -92,44 +92,44 @@
 	return w.hung
 }
 
-// playLife plays the life of a plan to its end.
-func playLife(t *testing.T, binary string, p plan) *life {
+// runScenario runs the scenario of a plan until all its processes have exited.
+func runScenario(t *testing.T, binary string, p plan) *scenario {
 	t.Helper()
-	l := &life{t: t, plan: p, attempts: testbed.NewAttemptLog(), ledger: newLedger(), over: make(chan struct{})}
-	l.startProcesses(binary)
-	l.startedAt = time.Now()
-	go l.pause.run(l.over)
+	s := &scenario{t: t, plan: p, attempts: testbed.NewAttemptLog(), ledger: newLedger(), done: make(chan struct{})}
+	s.startProcesses(binary)
+	s.startedAt = time.Now()
+	go s.pauses.run(s.done)
 
 	var group sync.WaitGroup
-	for _, p := range l.processes {
+	for _, p := range s.processes {
 		group.Go(p.watchUsage)
 		group.Go(p.endTasks)
-		for i := range l.plan.clients {
-			group.Go(newClient(l, p, i).run)
+		for i := range s.plan.clients {
+			group.Go(newClient(s, p, i).run)
 		}
-		if l.plan.crowd > 0 {
-			group.Go(p.crowd)
+		if s.plan.stalledConnections > 0 {
+			group.Go(p.openStalledConnections)
 		}
 	}
-	group.Go(l.playFaults)
-	var ends sync.WaitGroup
-	for _, p := range l.processes {
-		ends.Go(p.end)
+	group.Go(s.injectFaults)
+	var exits sync.WaitGroup
+	for _, p := range s.processes {
+		exits.Go(p.stopOrKill)
 	}
-	ends.Wait()
-	close(l.over)
+	exits.Wait()
+	close(s.done)
 	group.Wait()
-	return l
+	return s
 }
 
-// startWorkers starts the workers of a process; every second one is reached by a proxy. They serve no other process, as
-// a stand-in reports the end of a task on any of its connections.
-func (l *life) startWorkers(p *process) {
-	for i := range l.plan.workers {
-		w := &worker{Worker: testbed.NewWorker(l.t, fmt.Sprintf("s-%d-%d", p.index, i))}
-		w.Kind, w.Attempts = "node-64", l.attempts
+// startWorkers starts the workers of a process. Every second one is reached through a proxy. The workers serve no other
+// process, because a stand-in may report the end of a task on any of its connections.
+func (s *scenario) startWorkers(p *process) {
+	for i := range s.plan.workers {
+		w := &worker{Worker: testbed.NewWorker(s.t, fmt.Sprintf("s-%d-%d", p.index, i))}
+		w.Kind, w.Attempts = "node-64", s.attempts
 		if i%2 == 0 {
-			w.proxy = testbed.NewProxy(l.t, w.Worker)
+			w.proxy = testbed.NewProxy(s.t, w.Worker)
 		}
 		go discard(w.Starts)
 		go discard(w.Ends)
@@ -137,124 +137,127 @@
 	}
 }
 
-// discard takes lines that nobody else reads, so that the worker goes on.
+// discard drains a channel that the test does not use, so that the worker does not block on it.
 func discard(lines <-chan testbed.Line) {
 	for range lines {
 	}
 }
 
-// startProcesses starts the processes, each with workers and discovery of its own.
-func (l *life) startProcesses(binary string) {
-	l.t.Helper()
-	for i := range l.plan.processes {
-		p := &process{life: l, index: i, discovery: testbed.NewDiscovery(l.t)}
-		l.startWorkers(p)
+// startProcesses starts the processes, each with its own workers and its own discovery.
+func (s *scenario) startProcesses(binary string) {
+	s.t.Helper()
+	for i := range s.plan.processes {
+		p := &process{scenario: s, index: i, discovery: testbed.NewDiscovery(s.t)}
+		s.startWorkers(p)
 		var entries []string
 		for _, w := range p.workers {
 			entries = append(entries, w.ListEntry("up"))
 		}
 		p.discovery.Add(true, entries...)
-		p.path = testbed.NewProxyTo(l.t, p.discovery.Server.Listener.Addr().String())
+		p.path = testbed.NewProxyTo(s.t, p.discovery.Server.Listener.Addr().String())
 		if err := p.start(binary); err != nil {
-			l.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		l.t.Cleanup(func() { p.End(syscall.SIGKILL) })
-		l.processes = append(l.processes, p)
+		s.t.Cleanup(func() { p.End(syscall.SIGKILL) })
+		s.processes = append(s.processes, p)
 	}
 }
 
-// endInterval is how often a running task is ended.
+// endInterval is the time between two ends of running tasks.
 const endInterval = 10 * time.Millisecond
 
-// endTasks ends running tasks of a process one by one.
+// endTasks ends a random running task of the process every endInterval.
 func (p *process) endTasks() {
-	l := p.life
-	random := rand.New(rand.NewPCG(l.plan.seed, uint64(20+p.index)))
-	for l.sleep(endInterval) {
+	s := p.scenario
+	random := rand.New(rand.NewPCG(s.plan.seed, uint64(20+p.index)))
+	for s.sleep(endInterval) {
 		w := p.workers[random.IntN(len(p.workers))]
-		running := l.attempts.Running(w.Name)
+		running := s.attempts.Running(w.Name)
 		if len(running) == 0 || w.isHung() {
 			continue
 		}
-		l.endTask(w, running[random.IntN(len(running))])
+		s.endTask(w, running[random.IntN(len(running))])
 	}
 }
 
-// endTask ends a running task: a draining worker sends it away, and so does one that never answered its offer.
-func (l *life) endTask(w *worker, requestID string) {
-	if l.attempts.LastWorker(requestID) == w.Name { // else it is a copy that its process has given up
-		l.ledger.endedAtWorker(requestID, w)
+// endTask ends a running task. The worker evicts the task if the worker is draining with eviction or never answered the
+// task's offer, and reports its completion otherwise.
+func (s *scenario) endTask(w *worker, requestID string) {
+	if s.attempts.LastWorker(requestID) == w.Name { // otherwise the task is a copy that its process has abandoned
+		s.ledger.endedAtWorker(requestID, w)
 	}
-	if w.isSendingAway() || l.ledger.isHeld(requestID) {
+	if w.isEvicting() || s.ledger.isNeverAccepted(requestID) {
 		w.SendAway(requestID)
 		return
 	}
 	w.SendFinish(requestID, codeEnded)
 }
 
-// sleep waits, and reports whether the life goes on.
-func (l *life) sleep(d time.Duration) bool {
+// sleep waits for d or the end of the scenario, and reports whether the scenario is still running.
+func (s *scenario) sleep(d time.Duration) bool {
 	select {
-	case <-l.over:
+	case <-s.done:
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-// playFaults plays the faults of the plan, each in its time.
-func (l *life) playFaults() {
+// injectFaults injects the faults of the plan, each at its time.
+func (s *scenario) injectFaults() {
 	var group sync.WaitGroup
 	defer group.Wait()
-	for _, f := range l.plan.faults {
-		if !l.sleep(time.Until(l.startedAt.Add(f.at))) {
+	for _, f := range s.plan.faults {
+		if !s.sleep(time.Until(s.startedAt.Add(f.at))) {
 			return
 		}
-		group.Go(func() { l.playFault(f) })
+		group.Go(func() { s.injectFault(f) })
 	}
 }
 
-// playFault plays one fault to its end.
-func (l *life) playFault(f fault) {
-	p := l.processes[f.process]
+// injectFault injects one fault. For a temporary fault of a worker or its path, it records the time in which the fault may
+// have effects, which includes settleTime. A hang counts as a fault until the end of the scenario.
+func (s *scenario) injectFault(f fault) {
+	p := s.processes[f.process]
 	w := p.workers[f.worker]
 	switch f.kind {
 	case faultDiscoveryCut, faultDiscoveryDelay, faultDiscoveryMove:
-		l.disturbDiscovery(p, f)
+		s.injectDiscoveryFault(p, f)
 	case faultDrain, faultDrainSlowly:
 		p.drain(w, f.kind == faultDrain)
 	case faultHang:
-		w.disturb()
+		w.beginFault()
 		w.mu.Lock()
 		w.hung = true
 		w.mu.Unlock()
 		w.Hang()
 	default:
-		end := w.disturb()
-		l.disturbWorker(w, f)
-		l.sleep(settleTime)
+		end := w.beginFault()
+		s.injectWorkerFault(w, f)
+		s.sleep(settleTime)
 		end()
 	}
 }
 
-// disturbWorker plays a fault of a worker or its path that ends.
-func (l *life) disturbWorker(w *worker, f fault) {
-	if !w.faulted.TryLock() {
+// injectWorkerFault injects a temporary fault of a worker or its path. It skips the fault while the worker has another
+// one.
+func (s *scenario) injectWorkerFault(w *worker, f fault) {
+	if !w.faultMutex.TryLock() {
 		return
 	}
-	defer w.faulted.Unlock()
+	defer w.faultMutex.Unlock()
 	switch f.kind {
 	case faultCut:
-		w.proxy.Partition(l.t)
-		l.sleep(f.length)
-		w.proxy.Heal(l.t)
+		w.proxy.Partition(s.t)
+		s.sleep(f.length)
+		w.proxy.Heal(s.t)
 	case faultDelay:
 		w.proxy.Delay(f.length / 20)
-		l.sleep(f.length)
+		s.sleep(f.length)
 		w.proxy.Delay(0)
 	case faultMute:
 		w.proxy.Mute()
-		l.sleep(f.length)
+		s.sleep(f.length)
 		w.proxy.Unmute()
 	case faultReset:
 		w.proxy.ResetConnections()
@@ -262,66 +265,67 @@
 		w.CloseConnections()
 	case faultRestart:
 		w.Crash()
-		l.sleep(f.length / 2)
+		s.sleep(f.length / 2)
 		if err := w.Recover(); err != nil {
-			l.t.Error(err)
+			s.t.Error(err)
 		}
 	}
 }
 
-// settleTime is for how long after a fault its effects may be seen: a connection is dialled again after 2 s at most.
+// settleTime is how long the effects of a fault may last after its end: the process redials a connection after at most 2 s.
 const settleTime = 2500 * time.Millisecond
 
-// drain lets a worker drain: first the list says so, then it may send its tasks away one by one.
-func (p *process) drain(w *worker, sendsAway bool) {
-	l := p.life
+// drain lists a worker as draining. If evictsTasks is set, the worker then evicts its tasks one by one. A worker drains
+// at most once.
+func (p *process) drain(w *worker, evictsTasks bool) {
+	s := p.scenario
 	w.mu.Lock()
-	isFirst := w.drainedAt.IsZero()
+	isFirst := w.drainingSince.IsZero()
 	if isFirst {
-		w.drainedAt, w.sendsAway = time.Now(), sendsAway
+		w.drainingSince, w.evictsTasks = time.Now(), evictsTasks
 	}
 	w.mu.Unlock()
 	if !isFirst {
 		return
 	}
-	p.list(w.ListEntry("draining"))
-	for sendsAway && l.sleep(endInterval) {
-		running := l.attempts.Running(w.Name)
+	p.publishEntry(w.ListEntry("draining"))
+	for evictsTasks && s.sleep(endInterval) {
+		running := s.attempts.Running(w.Name)
 		if len(running) == 0 || w.isHung() {
 			continue
 		}
-		l.endTask(w, running[0])
+		s.endTask(w, running[0])
 	}
 }
 
-// disturbDiscovery plays a fault of a process's discovery.
-func (l *life) disturbDiscovery(p *process, f fault) {
-	p.discoveryDisturbed.Store(true)
-	if !p.pathFaulted.TryLock() {
+// injectDiscoveryFault injects a fault of a process's discovery. It skips the fault while another one lasts.
+func (s *scenario) injectDiscoveryFault(p *process, f fault) {
+	p.discoveryFaulted.Store(true)
+	if !p.discoveryFaultMutex.TryLock() {
 		return
 	}
-	defer p.pathFaulted.Unlock()
+	defer p.discoveryFaultMutex.Unlock()
 	switch f.kind {
 	case faultDiscoveryCut:
-		p.path.Partition(l.t)
-		l.sleep(f.length)
-		p.path.Heal(l.t)
+		p.path.Partition(s.t)
+		s.sleep(f.length)
+		p.path.Heal(s.t)
 	case faultDiscoveryDelay:
 		p.path.Delay(f.length / 5)
-		l.sleep(f.length)
+		s.sleep(f.length)
 		p.path.Delay(0)
 	case faultDiscoveryMove:
 		if err := p.moveDiscovery(); err != nil {
-			l.t.Error(err)
+			s.t.Error(err)
 		}
 	}
 }
 
-// directory is where a process has its files.
-func (l *life) directory(p *process) string {
-	directory := filepath.Join(l.t.TempDir(), p.Name)
+// directory creates the directory for the files of a process and returns its path.
+func (s *scenario) directory(p *process) string {
+	directory := filepath.Join(s.t.TempDir(), p.Name)
 	if err := os.MkdirAll(directory, 0o700); err != nil {
-		l.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return directory
 }
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// This file owns what a life is made of, drawn from its seed. It must never look at the clock: the same seed gives the
+// This file derives the plan of a scenario from its seed. It never reads the clock, so the same seed always gives the
 // same plan.
 
 const (
-	// killDelay is how long after the longest deadline, counted as maxKillDeadline where it is longer, the kill
-	// comes at the earliest, from the first signal to end on.
+	// The platform kills a process no earlier than min(longest deadline, maxKillDeadline) + killDelay after the first
+	// terminating signal. The test kills it at that time.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// drainGrace is for how long a draining worker may get offers.
+	// drainGrace is how long after its drain began a worker may still get offers.
 	drainGrace = 600 * time.Millisecond
 
 	minStopAt, maxStopAt = 1200 * time.Millisecond, 2 * time.Second
-	// faultsAfterStop is for how long after the first signal faults begin.
+	// faultsAfterStop is how long after the first signal new faults may still begin.
 	faultsAfterStop = 800 * time.Millisecond
 )
 
-// faultKind is a kind of fault.
+// faultKind names a kind of fault, as the summary of a plan prints it.
 type faultKind string
 
-// Faults of paths to workers, of workers, and of discovery.
+// Faults of the paths to workers, of workers, and of discovery.
 const (
 	faultCut            faultKind = "cut"
 	faultDelay          faultKind = "delay"
-	faultMute           faultKind = "mute" // what is sent to the worker arrives, and nothing comes back
+	faultMute           faultKind = "mute" // messages reach the worker, and its own messages are withheld
 	faultReset          faultKind = "reset"
-	faultRestart        faultKind = "restart"      // at the same address
-	faultDrain          faultKind = "drain"        // and it sends its tasks away one by one
-	faultDrainSlowly    faultKind = "drain-slowly" // and its tasks go on
-	faultHang           faultKind = "hang"         // to the end
-	faultClose          faultKind = "close"        // of all connections
+	faultRestart        faultKind = "restart"      // crash of the worker and restart at the same address
+	faultDrain          faultKind = "drain"        // the worker drains and evicts its tasks one by one
+	faultDrainSlowly    faultKind = "drain-slowly" // the worker drains and its tasks run on
+	faultHang           faultKind = "hang"         // the worker hangs until the scenario ends
+	faultClose          faultKind = "close"        // the worker closes all its connections
 	faultDiscoveryCut   faultKind = "discovery-cut"
 	faultDiscoveryDelay faultKind = "discovery-delay"
-	faultDiscoveryMove  faultKind = "discovery-move" // to another address, with SIGHUP
+	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to another address, announced by SIGHUP
 )
 
 var (
@@ -50,37 +50,38 @@
 	discoveryFaults = []faultKind{faultDiscoveryCut, faultDiscoveryDelay, faultDiscoveryMove}
 )
 
-// fault is one fault: of a worker or its path, or of the discovery of a process.
+// fault is one fault of a worker, of the path to a worker, or of the discovery of a process.
 type fault struct {
 	kind    faultKind
-	at      time.Duration // since the begin of the life
+	at      time.Duration // since the start of the scenario
 	length  time.Duration
 	process int
-	worker  int // its index among the workers of the process; unless the fault is of discovery
+	worker  int // index among the workers of the process; unused by faults of discovery
 }
 
-// signalStep is one signal of the series that ends the processes.
+// signalStep is one signal of the series that terminates the processes.
 type signalStep struct {
-	after  time.Duration // the one before
+	after  time.Duration // delay after the previous signal
 	signal syscall.Signal
 }
 
-// plan is a life: its size, its faults and its end. Workers with an even index are reached by proxies.
+// plan describes a scenario: its size, its faults and the signals that end it. Workers with an even index are reached
+// through proxies.
 type plan struct {
-	seed              uint64
-	processes         int
-	workers           int // of each process
-	clients           int // the same
-	deadline          time.Duration
-	sockets, memoryMB int
-	crowd             int // connections that say nothing or half a message, of each process
-	faults            []fault
-	spoilsAnswers     bool // workers send half a message, or reset their connection in place of an answer
-	stopAt            time.Duration
-	signals           []signalStep
+	seed               uint64
+	processes          int
+	workers            int // per process
+	clients            int // per process
+	deadline           time.Duration
+	sockets, memoryMB  int
+	stalledConnections int // number of connections per process that send nothing or half a message
+	faults             []fault
+	faultyAnswers      bool // some workers send half a message, or reset their connection instead of answering
+	stopAt             time.Duration
+	signals            []signalStep
 }
 
-// signalSeries are the series of signals that end a process.
+// signalSeries lists the series of signals that terminate a process.
 var signalSeries = [][]syscall.Signal{
 	{syscall.SIGTERM},
 	{syscall.SIGINT},
@@ -90,7 +91,7 @@
 	{syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 }
 
-// drawPlan draws the life of a seed.
+// drawPlan returns the plan that a seed determines.
 func drawPlan(seed uint64) plan {
 	random := rand.New(rand.NewPCG(seed, 38))
 	p := plan{
@@ -101,31 +102,32 @@
 		deadline:  []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second}[random.IntN(4)],
 		sockets:   256,
 		memoryMB:  64,
-		stopAt:    between(random, minStopAt, maxStopAt),
+		stopAt:    drawDuration(random, minStopAt, maxStopAt),
 	}
 	if random.IntN(3) == 0 {
-		p.sockets, p.memoryMB, p.crowd = p.sockets/2, p.memoryMB/2, 100+random.IntN(400)
+		p.sockets, p.memoryMB, p.stalledConnections = p.sockets/2, p.memoryMB/2, 100+random.IntN(400)
 	}
-	p.spoilsAnswers = random.IntN(3) == 0
+	p.faultyAnswers = random.IntN(3) == 0
 	for range p.processes * (2 + random.IntN(4)) {
 		p.faults = append(p.faults, p.drawFault(random))
 	}
 	slices.SortFunc(p.faults, func(a, b fault) int { return int(a.at - b.at) })
 	for i, signal := range signalSeries[random.IntN(len(signalSeries))] {
 		step := signalStep{signal: signal}
-		if i > 0 && random.IntN(2) == 0 { // else in the same instant
-			step.after = between(random, time.Millisecond, 300*time.Millisecond)
+		if i > 0 && random.IntN(2) == 0 { // other signals follow the previous one at once
+			step.after = drawDuration(random, time.Millisecond, 300*time.Millisecond)
 		}
 		p.signals = append(p.signals, step)
 	}
 	return p
 }
 
-// drawFault draws one fault.
+// drawFault draws one fault. Faults of paths go to workers with an even index, which have a proxy, and faults of workers
+// to those with an odd index.
 func (p *plan) drawFault(random *rand.Rand) fault {
 	f := fault{
-		at:      between(random, 100*time.Millisecond, p.stopAt+faultsAfterStop),
-		length:  between(random, 100*time.Millisecond, 1500*time.Millisecond),
+		at:      drawDuration(random, 100*time.Millisecond, p.stopAt+faultsAfterStop),
+		length:  drawDuration(random, 100*time.Millisecond, 1500*time.Millisecond),
 		process: random.IntN(p.processes),
 	}
 	switch random.IntN(5) {
@@ -139,17 +141,17 @@
 	return f
 }
 
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
+func drawDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Int64N(int64(most-least)))
 }
 
-// killAfter is how long after the first signal to end the kill comes at the earliest.
+// killAfter returns the time between the first terminating signal and the kill.
 func (p *plan) killAfter() time.Duration { return min(p.deadline, maxKillDeadline) + killDelay }
 
-// String is the plan in one line.
+// String formats the plan as one line.
 func (p plan) String() string {
 	words := []string{fmt.Sprintf("processes=%d workers=%d clients=%d deadline=%s crowd=%d spoilt=%v stop=%s", p.processes, p.workers,
-		p.clients, p.deadline, p.crowd, p.spoilsAnswers, p.stopAt.Round(time.Millisecond))}
+		p.clients, p.deadline, p.stalledConnections, p.faultyAnswers, p.stopAt.Round(time.Millisecond))}
 	for _, f := range p.faults {
 		words = append(words, fmt.Sprintf("%s:%d.%d@%s+%s", f.kind, f.process, f.worker, f.at.Round(time.Millisecond), f.length.Round(time.Millisecond)))
 	}
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -15,59 +15,60 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns one process of the program: its files, the series of signals that ends it, the kill, and what it uses.
+// This file runs one process of the program: its files, the signals that terminate it, the kill, and its use of
+// descriptors and memory.
 
-// process is one orchestrator.
+// process is one orchestrator process.
 type process struct {
 	testbed.Process
-	life    *life
-	index   int
-	workers []*worker
-	address string
-	path    *testbed.Proxy // to discovery
-	// pathFaulted is held while a fault of discovery lasts: one that would begin meanwhile is left out.
-	pathFaulted sync.Mutex
-	config      string // the file's path
+	scenario *scenario
+	index    int
+	workers  []*worker
+	address  string
+	path     *testbed.Proxy // proxy to discovery
+	// discoveryFaultMutex is held while a fault of discovery lasts. A fault that would overlap with it is skipped.
+	discoveryFaultMutex sync.Mutex
+	config              string // path of the configuration file
 
 	mu        sync.Mutex // guards discovery
 	discovery *testbed.Discovery
 
-	discoveryDisturbed atomic.Bool
-	stoppedAt          atomic.Int64 // when the first signal to end was sent, in Unix nanoseconds, 0 before
-	killed             bool         // it did not end by itself
-	exitCode           int
-	exitedAt           time.Time
+	discoveryFaulted atomic.Bool
+	stoppedAt        atomic.Int64 // time of the first terminating signal in Unix nanoseconds, 0 before it
+	killed           bool         // the process had to be killed
+	exitCode         int
+	exitedAt         time.Time
 
 	maxDescriptors int
 	maxMemoryKB    int
 }
 
-// deployment is that of all processes of a life.
-func (l *life) deployment() testbed.Deployment {
-	return testbed.Deployment{Orchestrators: l.plan.processes, MaxRetryAfter: time.Second, Deadline: l.plan.deadline,
-		DrainGrace: drainGrace, Sockets: l.plan.sockets, MemoryMB: l.plan.memoryMB}
+// deployment returns the deployment that all processes of the scenario share.
+func (s *scenario) deployment() testbed.Deployment {
+	return testbed.Deployment{Orchestrators: s.plan.processes, MaxRetryAfter: time.Second, Deadline: s.plan.deadline,
+		DrainGrace: drainGrace, Sockets: s.plan.sockets, MemoryMB: s.plan.memoryMB}
 }
 
-// writeConfig writes the configuration with discovery at an address.
+// writeConfig writes the configuration file. Its channel is the address at which the process reaches discovery.
 func (p *process) writeConfig(channel string) error {
-	seed := p.life.plan.seed<<8 + uint64(p.index) + 1
-	text := p.life.deployment().Config(p.index, "127.0.0.1:0", "", channel, seed, p.discovery)
+	seed := p.scenario.plan.seed<<8 + uint64(p.index) + 1
+	text := p.scenario.deployment().Config(p.index, "127.0.0.1:0", "", channel, seed, p.discovery)
 	return os.WriteFile(p.config, []byte(text), 0o600)
 }
 
-// start starts the process, which traces every request.
+// start starts the process and waits until it serves. At log level debug, the process traces every request.
 func (p *process) start(binary string) error {
 	p.Name = fmt.Sprint("n", p.index)
-	directory := p.life.directory(p)
+	directory := p.scenario.directory(p)
 	p.config = filepath.Join(directory, "config.json")
-	operatorsFile := filepath.Join(directory, "ravenhitch.conf")
-	if err := os.WriteFile(operatorsFile, []byte("[log]\nlevel debug\n"), 0o600); err != nil {
+	operatorConfig := filepath.Join(directory, "ravenhitch.conf")
+	if err := os.WriteFile(operatorConfig, []byte("[log]\nlevel debug\n"), 0o600); err != nil {
 		return err
 	}
 	if err := p.writeConfig(p.path.Addr()); err != nil {
 		return err
 	}
-	p.Bin, p.Args = binary, []string{"-conf", operatorsFile}
+	p.Bin, p.Args = binary, []string{"-conf", operatorConfig}
 	p.Env = []string{"ROUTER_CONFIG=" + p.config, "ROUTER_LISTEN=", "ROUTER_NAME=", "ROUTER_MGMT=", "TMPDIR=" + directory}
 	if err := p.Start(); err != nil {
 		return err
@@ -77,18 +78,18 @@
 	return err
 }
 
-// list adds a change of the list of workers.
-func (p *process) list(entry string) {
+// publishEntry adds a change of one worker's entry to the list that discovery serves.
+func (p *process) publishEntry(entry string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.discovery.Add(false, entry)
 }
 
-// moveDiscovery lets discovery go on at another address, and has the process read that.
+// moveDiscovery moves discovery to another address and makes the process reload its configuration.
 func (p *process) moveDiscovery() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := testbed.NewDiscovery(p.life.t)
+	next := testbed.NewDiscovery(p.scenario.t)
 	next.CopyFrom(p.discovery)
 	p.discovery = next
 	if err := p.writeConfig(next.Server.Listener.Addr().String()); err != nil {
@@ -98,11 +99,11 @@
 	return nil
 }
 
-// end sends the series of signals, and kills the process once the kill is due.
-func (p *process) end() {
-	time.Sleep(time.Until(p.life.startedAt.Add(p.life.plan.stopAt)))
+// stopOrKill sends the series of signals and kills the process if it has not exited when the kill is due.
+func (p *process) stopOrKill() {
+	time.Sleep(time.Until(p.scenario.startedAt.Add(p.scenario.plan.stopAt)))
 	go p.sendSignals()
-	kill := time.NewTimer(p.life.plan.killAfter() + p.untilStop())
+	kill := time.NewTimer(p.scenario.plan.killAfter() + p.firstStopDelay())
 	defer kill.Stop()
 	select {
 	case <-p.Ended():
@@ -113,9 +114,10 @@
 	p.exitCode, p.exitedAt = p.Exit()
 }
 
-// untilStop is how long after the first signal of the series the first one to end comes.
-func (p *process) untilStop() (d time.Duration) {
-	for _, step := range p.life.plan.signals {
+// firstStopDelay returns the delay of the first terminating signal after the start of the series. SIGHUP is not a
+// terminating signal.
+func (p *process) firstStopDelay() (d time.Duration) {
+	for _, step := range p.scenario.plan.signals {
 		if d += step.after; step.signal != syscall.SIGHUP {
 			return d
 		}
@@ -123,9 +125,9 @@
 	return d
 }
 
-// sendSignals sends the series.
+// sendSignals sends the series of signals.
 func (p *process) sendSignals() {
-	for _, step := range p.life.plan.signals {
+	for _, step := range p.scenario.plan.signals {
 		time.Sleep(step.after)
 		if step.signal != syscall.SIGHUP && p.stoppedAt.Load() == 0 {
 			p.stoppedAt.Store(time.Now().UnixNano())
@@ -134,7 +136,7 @@
 	}
 }
 
-// sinceStop is how long ago the first signal to end was sent, negative before.
+// sinceStop returns the time since the first terminating signal, which is negative before the signal.
 func (p *process) sinceStop(now time.Time) time.Duration {
 	at := p.stoppedAt.Load()
 	if at == 0 {
@@ -143,19 +145,19 @@
 	return now.Sub(time.Unix(0, at))
 }
 
-// takenRequests are the IDs of the requests that the process has read, by its trace.
-func (p *process) takenRequests() map[string]bool {
-	taken := map[string]bool{}
+// readRequestIDs returns the IDs of the requests that the process has read, according to its trace.
+func (p *process) readRequestIDs() map[string]bool {
+	ids := map[string]bool{}
 	for _, line := range p.Lines() {
 		if _, rest, ok := strings.Cut(line, `msg=request `); ok {
-			taken[fieldOf(rest, "request_id")] = true
+			ids[logField(rest, "request_id")] = true
 		}
 	}
-	return taken
+	return ids
 }
 
-// story is what the process logged of a request.
-func (p *process) story(requestID string) (lines []string) {
+// requestLogLines returns the log lines of the process that name a request.
+func (p *process) requestLogLines(requestID string) (lines []string) {
 	for _, line := range p.Lines() {
 		if strings.Contains(line, requestID) {
 			lines = append(lines, "  "+p.Name+" "+line)
@@ -164,30 +166,32 @@
 	return lines
 }
 
-// connectionOf is the number of the connection that a request came on, by the trace; "" where the trace has none.
-func (p *process) connectionOf(requestID string) string {
-	return p.traced(requestID, "msg=request ", "connection")
+// submissionConnection returns the number of the connection on which the process read a request, or "" if the trace has
+// none.
+func (p *process) submissionConnection(requestID string) string {
+	return p.traceField(requestID, "msg=request ", "connection")
 }
 
-// reportedOn is the number of the connection on which the end of a task was sent, "" where that was not sent.
-func (p *process) reportedOn(requestID string) string {
-	return p.traced(requestID, `msg="completion sent" `, "connection")
+// completionConnection returns the number of the connection on which the process sent the completion of a task, or "" if
+// it sent none.
+func (p *process) completionConnection(requestID string) string {
+	return p.traceField(requestID, `msg="completion sent" `, "connection")
 }
 
-// traced is a field of the trace's line of a step of a request.
-func (p *process) traced(requestID, step, field string) string {
-	for _, line := range p.story(requestID) {
+// traceField returns a field of the first trace line of a request that contains step, or "" if there is no such line.
+func (p *process) traceField(requestID, step, field string) string {
+	for _, line := range p.requestLogLines(requestID) {
 		if strings.Contains(line, step) {
-			return fieldOf(line, " "+field)
+			return logField(line, " "+field)
 		}
 	}
 	return ""
 }
 
-// offeredAfterStart reports whether the process offered a request again after it had read an acceptance.
+// offeredAfterStart reports whether the process offered a request again after it had read a worker's acceptance.
 func (p *process) offeredAfterStart(requestID string) bool {
 	started := false
-	for _, line := range p.story(requestID) {
+	for _, line := range p.requestLogLines(requestID) {
 		started = started || strings.Contains(line, "msg=started ")
 		if started && strings.Contains(line, "msg=offer ") {
 			return true
@@ -196,30 +200,30 @@
 	return false
 }
 
-// saveLogs writes the logs of all processes into a folder, unless that is "".
-func (l *life) saveLogs(folder string) {
-	if folder == "" {
+// saveLogs writes the logs of all processes to a directory. It does nothing if the directory is "".
+func (s *scenario) saveLogs(directory string) {
+	if directory == "" {
 		return
 	}
-	for _, p := range l.processes {
-		path := filepath.Join(folder, fmt.Sprintf("seed%d-%s.log", l.plan.seed, p.Name))
+	for _, p := range s.processes {
+		path := filepath.Join(directory, fmt.Sprintf("seed%d-%s.log", s.plan.seed, p.Name))
 		if err := os.WriteFile(path, []byte(strings.Join(p.Lines(), "\n")+"\n"), 0o600); err != nil {
-			l.t.Error(err)
+			s.t.Error(err)
 		}
 	}
 }
 
-// fieldOf is the value of a field of a log line.
-func fieldOf(line, name string) string {
+// logField returns the value of a field of a log line, or "" if the line does not have the field.
+func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, name+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return value
 }
 
-// usageInterval is how often descriptors and memory are looked at.
+// usageInterval is the time between two samples of descriptors and memory.
 const usageInterval = 50 * time.Millisecond
 
-// watchUsage notes the most descriptors and memory of the process.
+// watchUsage records the maximum number of descriptors and the peak memory of the process.
 func (p *process) watchUsage() {
 	for p.IsRunning() {
 		directory := fmt.Sprintf("/proc/%d", p.PID())
@@ -234,23 +238,25 @@
 				}
 			}
 		}
-		if !p.life.sleep(usageInterval) {
+		if !p.scenario.sleep(usageInterval) {
 			return
 		}
 	}
 }
 
-// crowdLead is how long before the first signal the crowd begins to come, and crowdInterval the time between two of it.
+// Stalled connections are opened from stalledConnectionsLead before the first signal on, one every
+// stalledConnectionsInterval.
 const (
-	crowdLead     = 300 * time.Millisecond
-	crowdInterval = 2 * time.Millisecond
+	stalledConnectionsLead     = 300 * time.Millisecond
+	stalledConnectionsInterval = 2 * time.Millisecond
 )
 
-// crowd opens connections that say nothing or half a message, until the process has ended.
-func (p *process) crowd() {
-	p.life.sleep(time.Until(p.life.startedAt.Add(p.life.plan.stopAt - crowdLead)))
-	for i := range p.life.plan.crowd {
-		if !p.life.sleep(crowdInterval) || !p.IsRunning() {
+// openStalledConnections opens connections that send nothing or half a message, and keeps them until the process has
+// exited.
+func (p *process) openStalledConnections() {
+	p.scenario.sleep(time.Until(p.scenario.startedAt.Add(p.scenario.plan.stopAt - stalledConnectionsLead)))
+	for i := range p.scenario.plan.stalledConnections {
+		if !p.scenario.sleep(stalledConnectionsInterval) || !p.IsRunning() {
 			return
 		}
 		conn, err := net.Dial("tcp", p.address)
@@ -259,7 +265,7 @@
 		}
 		defer testbed.CloseQuietly(conn)
 		if i%2 == 0 {
-			_, _ = conn.Write([]byte(`{"verb":"START","tag":"9b1f`)) // the process may have closed it
+			_, _ = conn.Write([]byte(`{"verb":"START","tag":"9b1f`)) // the process may have closed the connection
 		}
 	}
 	<-p.Ended()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,12 +1,13 @@
-// Package soak plays short lives of the real program and judges them by what clients and workers saw: one to three
-// processes serve drawn traffic beside drawn faults until signals end them, and clients go on using their connections
-// until the platform's kill is due.
+// Package soak runs short randomized scenarios against the real program and checks them by what clients and workers
+// observed. In a scenario, one to three orchestrator processes serve random traffic under random faults until signals
+// terminate them. Clients keep using their connections until a process exits, or until the platform's kill is due.
 //
 //	go test ./test/soak -run TestSoak -v -args -seeds 50 -first 1
 //
-// Each seed draws one life. A broken seed prints its command, its counts and the story of its first case.
+// Each seed determines one scenario. A seed that violates a rule prints the command that reproduces it, its counts and
+// the details of its first violation.
 //
-// This file owns the flags and the test.
+// This file defines the flags and the test.
 package soak
 
 import (
@@ -20,13 +21,13 @@
 )
 
 var (
-	seedsFlag = flag.Int("seeds", 24, "lives to play, each of a seed of its own")
-	firstFlag = flag.Uint64("first", 1, "the first seed")
-	lanesFlag = flag.Int("lanes", 4, "lives that are played at a time")
-	logsFlag  = flag.String("logs", "", "folder for the logs of the processes; \"\": none")
+	seedsFlag = flag.Int("seeds", 24, "number of scenarios to run, each with its own seed")
+	firstFlag = flag.Uint64("first", 1, "first seed")
+	lanesFlag = flag.Int("lanes", 4, "number of scenarios that run at a time")
+	logsFlag  = flag.String("logs", "", "directory for the logs of the processes; \"\" writes none")
 )
 
-// build builds the program once.
+// build builds the program on its first call and returns the path of the binary.
 var build = sync.OnceValues(func() (string, error) {
 	directory, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -35,8 +36,9 @@
 	return testbed.BuildProgram(directory)
 })
 
-// Every request has one response in time, every completion is reported, nothing runs twice or after its client left, and
-// each process ends by itself before the kill, whatever fails meanwhile.
+// TestSoak checks, under random faults, that every request gets exactly one response in time, that every completion is
+// reported, that no task runs twice, that no attempt begins after its client left, and that each process exits by itself
+// before the kill.
 func TestSoak(t *testing.T) {
 	binary, err := build()
 	if err != nil {
@@ -49,21 +51,21 @@
 	})
 	var total verdict
 	var mutex sync.Mutex
-	lanes := make(chan struct{}, *lanesFlag)
-	var lives sync.WaitGroup
+	slots := make(chan struct{}, *lanesFlag)
+	var scenarios sync.WaitGroup
 	for i := range *seedsFlag {
-		lanes <- struct{}{}
-		lives.Go(func() {
-			defer func() { <-lanes }()
+		slots <- struct{}{}
+		scenarios.Go(func() {
+			defer func() { <-slots }()
 			t.Run("", func(t *testing.T) {
 				plan := drawPlan(*firstFlag + uint64(i))
-				l := playLife(t, binary, plan)
-				v := l.judge()
+				s := runScenario(t, binary, plan)
+				v := s.judge()
 				t.Logf("soak seed=%d %s: %s", plan.seed, plan, v)
-				l.saveLogs(*logsFlag)
-				if v.broken() > 0 {
-					t.Errorf("seed %d is broken: go test ./test/soak -run TestSoak -v -args -seeds 1 -first %d\n%s",
-						plan.seed, plan.seed, v.story)
+				s.saveLogs(*logsFlag)
+				if v.violations() > 0 {
+					t.Errorf("seed %d violated a rule; reproduce with: go test ./test/soak -run TestSoak -v -args -seeds 1 -first %d\n%s",
+						plan.seed, plan.seed, v.firstViolation)
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -71,6 +73,6 @@
 			})
 		})
 	}
-	lives.Wait()
+	scenarios.Wait()
 	t.Logf("soak: seeds=%d %s", *seedsFlag, total)
 }
