--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -11,53 +11,54 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the clients: what each submits, when it retries, and what was answered.
+// This file owns the clients: their submissions, their retries and the responses they receive.
 
 const (
-	clientTimeout     = 90 * time.Second // after which a client stops trying
+	clientTimeout     = 90 * time.Second // from the first submission until a client stops retrying
 	minRetryPause     = 1100 * ms
 	retryJitter       = 1400 * ms
 	redialPause       = 100 * ms
-	maybeStartedPause = 3 * time.Second // of a task that must not start twice, before its client looks
-	responseGrace     = 2 * time.Second // after a request's timeout
-	codeRejected      = 34
+	maybeStartedPause = 3 * time.Second // before a client checks whether a task that must not start twice was accepted
+	responseGrace     = 2 * time.Second // wait for a response beyond the request's timeout
+	codeRejected      = 34              // code of a FINISH message that rejects a request
 )
 
-// result is what became of a job.
+// result is the result of a job, as its client sees it.
 type result struct {
 	*job
 	submissions int
 	rejections  int
-	submittedAt time.Time // first
-	startedAt   time.Time // as its client has it
-	abandoned   bool
+	submittedAt time.Time // first attempt to submit
+	startedAt   time.Time // when the client received STARTED or found that a worker had accepted the task
+	abandoned   bool      // the task had not started within clientTimeout
 }
 
-// response is a final message on a request, or that its connection ended.
+// response is a STARTED or FINISH message for a request, or the notice that its connection ended
+// without a final response.
 type response struct {
 	testbed.Line
 	at           time.Time
 	disconnected bool
 }
 
-// clients submit jobs.
+// clients holds the connections that all clients share and the counts that they record.
 type clients struct {
 	rig           *rig
-	compliance    float64 // the share of a Retry-After that they wait
-	stormAt       time.Time
+	compliance    float64   // share of a Retry-After that clients wait
+	stormAt       time.Time // start of the storm
 	lastRequestID atomic.Int64
 	connections   [][]*connection // by orchestrator
 
 	mu                 sync.Mutex
 	started            []startedTask
-	submittedAt        []time.Time     // of all requests
-	lateBy             []time.Duration // of responses after the request's timeout
-	duplicateResponses int
-	unanswered         int // requests
+	submittedAt        []time.Time     // times of all submissions
+	lateBy             []time.Duration // lateness of the responses that countLate counted
+	duplicateResponses int             // repeated STARTED messages for a request
+	unanswered         int             // requests without a response at responseGrace after their timeout
 	retryAfters        []time.Duration
 }
 
-// startedTask is a task and the orchestrator that started it.
+// startedTask is a task for which a client received STARTED, with the orchestrator that sent it.
 type startedTask struct {
 	*job
 	requestID    string
@@ -76,9 +77,9 @@
 	return c
 }
 
-// handOver registers the running tasks that an orchestrator had started before its restart, as
-// their clients do; it returns how many.
-func (c *clients) handOver(orchestrator int) (registered int) {
+// registerRunningTasks registers with a restarted orchestrator the running tasks that it had started
+// before its restart, as the clients of the tasks do. It returns the number of registered tasks.
+func (c *clients) registerRunningTasks(orchestrator int) (registered int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, task := range c.started {
@@ -95,14 +96,14 @@
 	return registered
 }
 
-// submission is the message that submits a job, without its timeout.
+// submission returns the message that submits a job, without the request's timeout.
 func (j *job) submission(requestID string) testbed.Line {
 	blob := j.Describe()
 	return testbed.Line{Verb: "START", Tag: requestID, Blob: &blob, Opts: map[string]string{
 		"class": j.class.name, "key": j.key, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", j.Cores, j.Memory, j.program)}}
 }
 
-// run submits a job until it has started, or for clientTimeout.
+// run submits a job and retries until the task has started or clientTimeout is over.
 func (c *clients) run(j *job) *result {
 	r := &result{job: j}
 	random := rand.New(rand.NewPCG(j.seed, 3))
@@ -110,33 +111,33 @@
 	r.submittedAt = time.Now()
 	for deadline := r.submittedAt.Add(clientTimeout); time.Now().Before(deadline); {
 		pause := minRetryPause + time.Duration(random.Float64()*float64(retryJitter))
-		answer, sentAt, ok := c.submit(j, random, r)
-		if !ok { // the orchestrator is down; the front tries another
+		resp, sentAt, ok := c.submit(j, random, r)
+		if !ok { // The orchestrator is down: draw one again soon, as a front end tries another.
 			time.Sleep(redialPause)
 			continue
 		}
-		if answer.Verb == "STARTED" {
-			r.startedAt = answer.at
+		if resp.Verb == "STARTED" {
+			r.startedAt = resp.at
 			return r
 		}
-		if answer.disconnected || answer.Cause() != codeRejected {
+		if resp.disconnected || resp.Cause() != codeRejected {
 			if c.mayHaveStarted(j) {
 				r.startedAt = time.Now()
 				return r
 			}
 		} else {
 			r.rejections++
-			pause = max(pause, c.retryAfter(answer))
+			pause = max(pause, c.retryAfter(resp))
 		}
-		c.countLate(j, answer, sentAt)
+		c.countLate(j, resp, sentAt)
 		time.Sleep(pause)
 	}
 	r.abandoned = true
 	return r
 }
 
-// mayHaveStarted waits for a task that must not start twice, and reports whether a worker
-// accepted it.
+// mayHaveStarted waits for maybeStartedPause if a task must not start twice, and then reports whether a
+// worker has accepted it. It returns false at once for other tasks.
 func (c *clients) mayHaveStarted(j *job) bool {
 	if j.class.name != classArchiveCut {
 		return false
@@ -145,7 +146,8 @@
 	return c.rig.recorder.wasAccepted(j.key)
 }
 
-// retryAfter is how long a client waits after a rejection, by its compliance.
+// retryAfter records the Retry-After of a rejection and returns how long the client waits: the share
+// of the Retry-After that its compliance gives.
 func (c *clients) retryAfter(rejection response) time.Duration {
 	waitMs, _ := strconv.Atoi(rejection.Opts["wait"])
 	c.mu.Lock()
@@ -154,10 +156,11 @@
 	return time.Duration(c.compliance * float64(waitMs) * float64(ms))
 }
 
-// countLate counts a response after its request's timeout.
-func (c *clients) countLate(j *job, answer response, sentAt time.Time) {
-	late := answer.at.Sub(sentAt) - j.class.responseTimeout
-	if answer.disconnected || late <= 0 {
+// countLate counts a response that came after the timeout of its request. run calls it only for
+// responses after which it retries: a late STARTED is not counted.
+func (c *clients) countLate(j *job, resp response, sentAt time.Time) {
+	late := resp.at.Sub(sentAt) - j.class.responseTimeout
+	if resp.disconnected || late <= 0 {
 		return
 	}
 	c.mu.Lock()
@@ -165,9 +168,10 @@
 	c.lateBy = append(c.lateBy, late)
 }
 
-// submit sends one request and waits for its response; it returns false where it could not be
-// sent.
-func (c *clients) submit(j *job, random *rand.Rand, r *result) (answer response, sentAt time.Time, ok bool) {
+// submit sends one request to an orchestrator drawn at random and waits for the response. It returns
+// false if the orchestrator cannot be dialled. A request that has no response at responseGrace
+// after its timeout is counted and treated as disconnected.
+func (c *clients) submit(j *job, random *rand.Rand, r *result) (resp response, sentAt time.Time, ok bool) {
 	conn := c.connections[random.IntN(len(c.connections))][random.IntN(connectionsEach)]
 	requestID := testbed.RequestID(int(c.lastRequestID.Add(1)))
 	line := j.submission(requestID)
@@ -176,37 +180,37 @@
 	sentAt = time.Now()
 	responses, err := conn.submit(line)
 	if err != nil {
-		return answer, sentAt, false
+		return resp, sentAt, false
 	}
 	r.submissions++
 	c.mu.Lock()
 	c.submittedAt = append(c.submittedAt, sentAt)
 	c.mu.Unlock()
 	select {
-	case answer = <-responses:
-		c.answered(j, requestID, conn.orchestrator, answer)
+	case resp = <-responses:
+		c.recordResponse(j, requestID, conn.orchestrator, resp)
 	case <-time.After(j.class.responseTimeout + responseGrace):
 		c.mu.Lock()
 		c.unanswered++
 		c.mu.Unlock()
-		answer = response{disconnected: true}
+		resp = response{disconnected: true}
 	}
-	return answer, sentAt, true
+	return resp, sentAt, true
 }
 
-// answered records a response.
-func (c *clients) answered(j *job, requestID string, orchestrator int, answer response) {
-	if !answer.disconnected {
-		c.rig.recorder.history.add(operation{requestID: requestID, kind: answered, response: kindOfResponse(answer.Line)})
+// recordResponse adds a response to the history, and a task that it reports as started to c.started.
+func (c *clients) recordResponse(j *job, requestID string, orchestrator int, resp response) {
+	if !resp.disconnected {
+		c.rig.recorder.history.add(operation{requestID: requestID, kind: answered, response: kindOfResponse(resp.Line)})
 	}
-	if answer.Verb == "STARTED" {
+	if resp.Verb == "STARTED" {
 		c.mu.Lock()
 		c.started = append(c.started, startedTask{j, requestID, orchestrator})
 		c.mu.Unlock()
 	}
 }
 
-// inFlight is the number of requests without a response.
+// inFlight returns the number of requests without a response, over all connections.
 func (c *clients) inFlight() (n int) {
 	for _, connections := range c.connections {
 		for _, conn := range connections {
@@ -216,6 +220,7 @@
 	return n
 }
 
+// kindOfResponse returns the name under which the history records a final response.
 func kindOfResponse(line testbed.Line) string {
 	switch {
 	case line.Verb == "STARTED":
--- a/test/backpressure/connection_test.go
+++ b/test/backpressure/connection_test.go
@@ -7,27 +7,29 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the clients' connections, which are dialled again where they ended.
+// This file owns the clients' connections. A connection that has ended is dialled again by the next
+// submission on it.
 
-// connectionsEach is the number of clients' connections to one orchestrator.
+// connectionsEach is the number of client connections to each orchestrator.
 const connectionsEach = 100
 
-// connection is one connection to an orchestrator.
+// connection is a connection to one orchestrator, shared by the requests of several clients.
 type connection struct {
 	clients      *clients
-	orchestrator int // its index
+	orchestrator int // index of the orchestrator
 
 	mu        sync.Mutex
-	client    *testbed.Client          // nil where it ended
-	responses map[string]chan response // by request ID
-	answered  map[string]bool          // requests with a final response
+	client    *testbed.Client          // nil before the first submission and after the connection ended
+	responses map[string]chan response // open requests, by request ID
+	answered  map[string]bool          // request IDs that have a final response
 }
 
 func newConnection(c *clients, orchestrator int) *connection {
 	return &connection{clients: c, orchestrator: orchestrator, responses: map[string]chan response{}, answered: map[string]bool{}}
 }
 
-// submit sends a request and returns where its response comes.
+// submit sends a request, after dialling if there is no connection, and returns the channel that
+// receives the responses to it.
 func (c *connection) submit(line testbed.Line) (<-chan response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +47,8 @@
 	return responses, nil
 }
 
-// read reads a connection to its end, and notifies the requests without a response of that.
+// read receives messages until the connection ends. It then sends a disconnected response to each
+// request that has no final response.
 func (c *connection) read(client *testbed.Client) {
 	for line := range client.Lines {
 		c.receive(line)
@@ -64,6 +67,8 @@
 	clear(c.responses)
 }
 
+// receive passes a STARTED or FINISH message to the client of its request. A repeated STARTED is
+// counted as a duplicate response and not passed on. Messages after a FINISH are ignored.
 func (c *connection) receive(line testbed.Line) {
 	now := time.Now()
 	c.mu.Lock()
@@ -85,7 +90,7 @@
 	responses <- response{Line: line, at: now}
 }
 
-// inFlight is the number of requests without a response.
+// inFlight returns the number of requests on the connection without a final response.
 func (c *connection) inFlight() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -8,25 +8,25 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the demand: the classes of the deployment and the tasks that are drawn from
-// them. The same seed must always draw the same tasks.
+// This file owns the demand: the classes of the deployment and the tasks that are drawn from them.
+// The same seed must always draw the same tasks.
 
 const ms = time.Millisecond
 
-// class is a class of the deployment.
+// class is a request class of the deployment, with the ranges from which its tasks are drawn.
 type class struct {
 	name             string
-	share            float64      // of all tasks
-	shapes           [][2]float64 // cores and memory, by program
+	share            float64      // share of all tasks that are of this class
+	shapes           [][2]float64 // cores and memory of a task; each program draws one pair
 	responseTimeout  time.Duration
 	latencyObjective time.Duration
-	startTime        [2]time.Duration // from and to
-	meanRunTime      [2]time.Duration // from and to, by program
+	startTime        [2]time.Duration // minimum and maximum at full speed, drawn for each task
+	meanRunTime      [2]time.Duration // minimum and maximum of the mean run time, drawn for each program
 }
 
 const (
 	classRelay      = "live-relay"
-	classArchiveCut = "archive-cut" // never to be started twice
+	classArchiveCut = "archive-cut" // its tasks must never start twice
 )
 
 var classes = []class{
@@ -53,37 +53,39 @@
 	class   *class
 	key     string
 	program uint64
-	at      time.Duration // of its first submission, from the storm's begin
-	inStorm bool
-	seed    uint64 // of its client's draws
+	at      time.Duration // of the first submission, relative to the start of the storm
+	inStorm bool          // false: usual demand
+	seed    uint64        // of the draws that its client makes
 }
 
-// Prefixes of keys.
+// Prefixes of the keys of jobs.
 const (
 	stormPrefix = "c"
 	usualPrefix = "k"
 )
 
-// program is what several tasks run.
+// program is a program that several tasks of one class run. They have the same cores and memory.
 type program struct {
 	class       *class
 	id          uint64
 	shape       [2]float64
 	meanRunTime time.Duration
-	tasksLeft   int // of those that run it
+	tasksLeft   int // number of tasks that are still to be drawn for the program
 }
 
-// demand draws tasks.
+// demand draws tasks and the programs that they run.
 type demand struct {
 	random   *rand.Rand
 	programs []*program
 }
 
-// drawJobs draws n tasks that are first submitted within a span that begins at a time.
+// drawJobs draws n jobs that are first submitted between begin and begin+span, relative to the start of
+// the storm. A run time is drawn from an exponential distribution around the program's mean run time,
+// limited to 0.1 to 3 times that mean.
 func drawJobs(random *rand.Rand, prefix string, n int, begin, span time.Duration) (jobs []*job) {
 	d := demand{random: random}
 	for i := range n {
-		p := d.program(d.class())
+		p := d.programWithTasksLeft(d.drawClass())
 		p.tasksLeft--
 		runTime := time.Duration(float64(p.meanRunTime) * min(3, max(0.1, random.ExpFloat64())))
 		jobs = append(jobs, &job{
@@ -94,13 +96,14 @@
 			seed:    random.Uint64(),
 			inStorm: prefix == stormPrefix,
 			Task: testbed.Task{Class: p.class.name, Cores: p.shape[0], Memory: p.shape[1],
-				StartTime: between(random, p.class.startTime), RunTime: runTime},
+				StartTime: uniformDuration(random, p.class.startTime), RunTime: runTime},
 		})
 	}
 	return jobs
 }
 
-func (d *demand) class() *class {
+// drawClass draws a class by the classes' shares of all tasks.
+func (d *demand) drawClass() *class {
 	pick := d.random.Float64()
 	for i := range classes {
 		if pick -= classes[i].share; pick < 0 {
@@ -110,8 +113,9 @@
 	return &classes[0]
 }
 
-// program is the latest one of a class with tasks left, or a new one.
-func (d *demand) program(c *class) (found *program) {
+// programWithTasksLeft returns the newest program of a class that has tasks left, or adds one of 7 to
+// 18 tasks.
+func (d *demand) programWithTasksLeft(c *class) (found *program) {
 	for _, p := range d.programs {
 		if p.class == c && p.tasksLeft > 0 {
 			found = p
@@ -122,7 +126,7 @@
 			class:       c,
 			id:          d.random.Uint64() >> 16,
 			shape:       c.shapes[d.random.IntN(len(c.shapes))],
-			meanRunTime: between(d.random, c.meanRunTime),
+			meanRunTime: uniformDuration(d.random, c.meanRunTime),
 			tasksLeft:   7 + d.random.IntN(12),
 		}
 		d.programs = append(d.programs, found)
@@ -130,6 +134,7 @@
 	return found
 }
 
-func between(random *rand.Rand, bounds [2]time.Duration) time.Duration {
+// uniformDuration draws a duration from a uniform distribution between two bounds.
+func uniformDuration(random *rand.Rand, bounds [2]time.Duration) time.Duration {
 	return bounds[0] + time.Duration(random.Float64()*float64(bounds[1]-bounds[0]))
 }
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -8,54 +8,55 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// This file owns the figures of a storm: how they are taken from results, clients, recorder and
-// workers.
+// This file owns the figures of a storm, which are computed from the results of the jobs and from the
+// counts of clients, recorder and emulated workers.
 
-// figures are what one storm showed.
+// figures holds the measurements of one storm.
 type figures struct {
-	lastStartBound    float64 // seconds from the storm's begin, at least
-	relaysInTimeBound float64 // share, at most
-	settledAt         float64 // seconds from the storm's begin
+	lastStartBound    float64 // earliest possible last start, in seconds since the start of the storm
+	relaysInTimeBound float64 // upper bound of relaysInTime
+	settledAt         float64 // end of the storm, in seconds since its start
 
 	submissionsPerStart float64
-	relaysInTime        float64 // share
-	offersPerStart      float64
-	peakColdLoad        float64 // of a worker that has just started, over what it can take
-	utilization         float64 // while tasks were pending
+	relaysInTime        float64 // share of the storm's started live-relay tasks within their latency objective
+	offersPerStart      float64 // offers that workers accepted or rejected, per acceptance
+	peakColdLoad        float64 // highest load of a worker in slow start; above 1, it stops answering
+	utilization         float64 // mean utilization while many requests were pending, 0 to 1
 
 	lateResponses      int
 	maxLate            time.Duration
 	duplicateResponses int
-	duplicateStarts    int
-	unanswered         int
-	neverStarted       int
+	duplicateStarts    int // acceptances of archive-cut tasks beyond the first of each key
+	unanswered         int // requests
+	neverStarted       int // tasks of the storm
 	history            porcupine.CheckResult
 }
 
-// take takes the figures of a storm that has settled.
-func (f *figures) take(t *testing.T, r *rig, c *clients, results []*result, usualRate float64) {
+// collect computes the figures of a storm that has settled, and logs a summary.
+func (f *figures) collect(t *testing.T, r *rig, c *clients, results []*result, usualRate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	submissions, starts := f.takeResults(r, c, results)
-	f.takeArrivals(c, usualRate)
+	submissions, starts := f.collectResults(r, c, results)
+	f.collectArrivals(c, usualRate)
 	f.lateResponses, f.duplicateResponses, f.unanswered = len(c.lateBy), c.duplicateResponses, c.unanswered
 	for _, late := range c.lateBy {
 		f.maxLate = max(f.maxLate, late)
 	}
-	f.takeOffers(t, r)
+	f.collectOffers(t, r)
 	logStarts(t, c, results)
 	var retryAfterSum time.Duration
 	for _, retryAfter := range c.retryAfters {
 		retryAfterSum += retryAfter
 	}
-	t.Logf("bound %.1f s, settled %.1f s; %d submissions for %d starts, %d never; %d rejections, Retry-After %s in the mean; "+
-		"late %d, most %s; relays in time %.3f of %.3f",
+	t.Logf("lower bound %.1f s, settled at %.1f s; %d submissions for %d starts, %d tasks never started; %d rejections, "+
+		"mean Retry-After %s; %d late responses, at most %s late; relays in time %.3f, upper bound %.3f",
 		f.lastStartBound, f.settledAt, submissions, starts, f.neverStarted, len(c.retryAfters),
 		retryAfterSum/time.Duration(max(1, len(c.retryAfters))), f.lateResponses, f.maxLate, f.relaysInTime, f.relaysInTimeBound)
 }
 
-// takeResults counts submissions and starts, and the relays that started in time.
-func (f *figures) takeResults(r *rig, c *clients, results []*result) (submissions, starts int) {
+// collectResults counts the submissions and starts of the storm's tasks, and the live-relay tasks that
+// started within their latency objective.
+func (f *figures) collectResults(r *rig, c *clients, results []*result) (submissions, starts int) {
 	relays, inTime := 0, 0
 	for _, res := range results {
 		submissions += res.submissions
@@ -78,9 +79,9 @@
 	return submissions, starts
 }
 
-// takeArrivals finds when the arrivals are back at the usual rate: from the end of the last
-// second above it.
-func (f *figures) takeArrivals(c *clients, usualRate float64) {
+// collectArrivals moves settledAt to the time at which the arrivals are back at the usual rate: the end
+// of the last second with more than 1.2 times the usual arrivals plus 15.
+func (f *figures) collectArrivals(c *clients, usualRate float64) {
 	arrivals := slices.SortedFunc(slices.Values(c.submittedAt), time.Time.Compare)
 	for i := range arrivals {
 		end := i
@@ -93,10 +94,11 @@
 	}
 }
 
-// takeOffers counts what workers did with offers.
-func (f *figures) takeOffers(t *testing.T, r *rig) {
+// collectOffers counts the acceptances and rejections of offers by the workers, and finds the peak load
+// of workers in slow start.
+func (f *figures) collectOffers(t *testing.T, r *rig) {
 	f.duplicateStarts = r.recorder.duplicateStartCount()
-	acceptances, copies := r.recorder.acceptanceCounts()
+	acceptances, duplicates := r.recorder.acceptanceCounts()
 	rejections, byCause := 0, map[string]int{}
 	for _, model := range r.models {
 		f.peakColdLoad = max(f.peakColdLoad, model.PeakLoad())
@@ -106,10 +108,11 @@
 		}
 	}
 	f.offersPerStart = float64(acceptances+rejections) / float64(max(1, acceptances))
-	t.Logf("offers rejected: %v; %d copies", byCause, copies)
+	t.Logf("offers rejected, by cause: %v; %d duplicate acceptances", byCause, duplicates)
 }
 
-// logStarts logs how long tasks of the storm took to start.
+// logStarts logs how many of the storm's tasks had started by several times, and each class's delay from
+// the first submission to the start.
 func logStarts(t *testing.T, c *clients, results []*result) {
 	for _, at := range []time.Duration{200 * ms, 400 * ms, 600 * ms, 800 * ms, 1000 * ms, 2 * time.Second} {
 		byClass := map[string]int{}
@@ -118,24 +121,25 @@
 				byClass[res.Class]++
 			}
 		}
-		t.Logf("started by %s: %v", at, byClass)
+		t.Logf("tasks started by %s, by class: %v", at, byClass)
 	}
 	for _, class := range classes {
-		var took []float64
+		var startDelays []float64
 		for _, res := range results {
 			if res.class.name == class.name && !res.abandoned {
-				took = append(took, res.startedAt.Sub(res.submittedAt).Seconds())
+				startDelays = append(startDelays, res.startedAt.Sub(res.submittedAt).Seconds())
 			}
 		}
-		slices.Sort(took)
-		if n := len(took); n > 0 {
-			t.Logf("%s: %d started, after %.2f s (median), %.2f s (95 of 100), %.2f s (last)", class.name, n, took[n/2], took[n*95/100], took[n-1])
+		slices.Sort(startDelays)
+		if n := len(startDelays); n > 0 {
+			t.Logf("%s: %d tasks started; start delay %.2f s (median), %.2f s (95th percentile), %.2f s (maximum)",
+				class.name, n, startDelays[n/2], startDelays[n*95/100], startDelays[n-1])
 		}
 	}
 }
 
-// utilizationUntil is the share of all capacity that was requested while tasks were pending,
-// until stop is closed.
+// utilizationUntil samples the utilization every 50 ms until stop is closed and returns the mean. It
+// ignores the first 2 s of the storm and samples with fewer than 50 requests in flight.
 func (r *rig) utilizationUntil(stop <-chan struct{}, c *clients) float64 {
 	const minPending, period, settling = 50, 50 * ms, 2 * time.Second
 	var sum, n float64
@@ -152,8 +156,8 @@
 	}
 }
 
-// utilization is the share of the cores that was requested, or that other requests leave no
-// memory for.
+// utilization returns the share of the workers' cores that running tasks have requested or that no task
+// can use because other tasks have requested the memory.
 func (r *rig) utilization() float64 {
 	var free, total float64
 	for _, model := range r.models {
--- a/test/backpressure/flood_test.go
+++ b/test/backpressure/flood_test.go
@@ -14,19 +14,20 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file measures responses that are due together: no task fits, so that all clients are owed
-// their rejection in time.
+// This file measures how late responses are that are due at the same moment. A single worker gets many
+// requests at once, each for its whole capacity; those that do not start must be rejected at their common
+// timeout.
 
-// flood is many requests at the same moment.
+// flood is a set of requests that are sent at the same moment, and the measured responses.
 type flood struct {
 	timeout time.Duration // of each request
 
 	mu        sync.Mutex
-	lateBy    []time.Duration // of the responses after their timeout
-	responses int
+	lateBy    []time.Duration // lateness of the responses that came after the timeout
+	responses int             // all messages received, up to the number of requests
 }
 
-// runFlood sends n requests in the same moment over so many connections.
+// runFlood sends n requests at the same moment, spread evenly over connections.
 func runFlood(t *testing.T, operatorsFile string, n, connections int, timeout time.Duration) *flood {
 	t.Helper()
 	r := newRig(t, rigOptions{workers: 1, orchestrators: 1, operatorsFile: operatorsFile, seed: 1, maxRetryAfter: 3 * time.Second})
@@ -53,7 +54,8 @@
 	return f
 }
 
-// request is the nth one, of a task that fills a worker.
+// request returns the encoded nth request. It requests all cores and memory of a worker; the description
+// that the emulated worker reads has no cores and no run time, so an accepted task completes at once.
 func (f *flood) request(t *testing.T, n int) []byte {
 	t.Helper()
 	blob := testbed.Task{Class: "guide-web"}.Describe()
@@ -66,7 +68,7 @@
 	return append(text, '\n')
 }
 
-// send sends requests at once, and receives their responses for so long as they may be due.
+// send writes requests in one go and receives up to count messages until 3 s after the timeout.
 func (f *flood) send(t *testing.T, client *testbed.Client, requests []byte, count int) {
 	sentAt := time.Now()
 	if _, err := client.Write(requests); err != nil {
@@ -83,19 +85,20 @@
 	}
 }
 
-func (f *flood) receive(took time.Duration) {
+// receive counts a message that came elapsed after its request was sent.
+func (f *flood) receive(elapsed time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.responses++
-	if late := took - f.timeout; late > 0 {
+	if late := elapsed - f.timeout; late > 0 {
 		f.lateBy = append(f.lateBy, late)
 	}
 }
 
-// TestFlood prints how many of 2,000 responses that are due together come too late.
+// TestFlood prints how many of 2,000 responses (flag -clients) come after the timeout of their requests.
 func TestFlood(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
-		t.Skip("a measurement; run it by its name")
+		t.Skip("measurement: runs only if selected with -run")
 	}
 	for _, name := range []string{"before", "after"} {
 		for range 3 {
--- a/test/backpressure/history_test.go
+++ b/test/backpressure/history_test.go
@@ -8,43 +8,44 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// This file owns the history of a storm, as workers and clients saw it, and what must hold of
-// each request: one final response, one attempt in flight, none that begins after the response.
+// This file owns the history of a storm, as workers and clients observe it, and its check against the
+// rules for each request: at most one final response, at most one attempt in flight, and no attempt that
+// begins after an acceptance or after the final response.
 
-// operationKind is what happened to a request.
+// operationKind is the kind of event that an operation records for a request.
 type operationKind int
 
 const (
 	offered   operationKind = iota // an offer reached a worker
-	rejected                       // the worker rejected it
-	accepted                       // or accepted it
-	cancelled                      // it was cancelled there
-	answered                       // the client has the final response
+	rejected                       // a worker rejected an offer
+	accepted                       // a worker accepted an offer
+	cancelled                      // a cancel or a release reached a worker
+	answered                       // the client received the final response
 )
 
-// The final responses to a request.
+// Kinds of final response to a request.
 const (
 	responseStarted  = "started"
 	responseRejected = "rejected"
 	responseFailed   = "failed"
 )
 
-// operation is one that happened to a request.
+// operation is one event in the history of a request.
 type operation struct {
 	requestID string
 	kind      operationKind
-	worker    string // of an attempt
-	response  string // of a request that was answered
+	worker    string // of the attempt; empty if kind is answered
+	response  string // kind of final response; empty unless kind is answered
 }
 
-// requestState is what has become of a request.
+// requestState is the state of a request that follows from the operations so far.
 type requestState struct {
-	offeredTo  string // the worker with an attempt in flight
-	acceptedBy string
-	response   string
+	offeredTo  string // worker with the attempt in flight; empty if there is none
+	acceptedBy string // worker that accepted the task; empty if there is none
+	response   string // kind of final response; empty if there is none
 }
 
-// apply is the state after an operation, and whether that may happen in the state before.
+// apply reports whether the rules allow an operation in state s, and returns the state after it.
 func (s requestState) apply(o operation) (valid bool, after requestState) {
 	switch o.kind {
 	case offered:
@@ -55,7 +56,9 @@
 		s.offeredTo = ""
 	case accepted:
 		valid = true
-		if s.offeredTo == o.worker { // else it was cancelled meanwhile: a copy, which the worker is to end
+		// If offeredTo differs, the attempt was cancelled before its acceptance: the accepted task is a
+		// duplicate, which the worker must end.
+		if s.offeredTo == o.worker {
 			s.offeredTo, s.acceptedBy = "", o.worker
 		}
 	case cancelled:
@@ -70,16 +73,17 @@
 	return valid, s
 }
 
-// history records operations. The zero value is ready.
+// history records operations with the time spans in which they happened. The zero value is ready to use.
 type history struct {
 	mu         sync.Mutex
 	startedAt  time.Time
-	sentAt     map[string]int64 // by request ID
+	sentAt     map[string]int64 // when the client sent a request, in nanoseconds since startedAt, by request ID
 	operations []porcupine.Operation
 }
 
-// now is the time since the first call. The lock is held, or nothing else runs yet.
-func (h *history) now() int64 {
+// elapsed returns the nanoseconds since its first call. The caller holds the lock, or nothing else uses
+// the history yet.
+func (h *history) elapsed() int64 {
 	if h.startedAt.IsZero() {
 		h.startedAt = time.Now()
 		h.sentAt = map[string]int64{}
@@ -87,19 +91,20 @@
 	return int64(time.Since(h.startedAt))
 }
 
-// sent records that a client sends a request.
+// sent records that a client is about to send a request.
 func (h *history) sent(requestID string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sentAt[requestID] = h.now()
+	h.sentAt[requestID] = h.elapsed()
 }
 
-// add records an operation that was seen now. What a worker reads late happened at the
-// orchestrator some time since the request was sent; what a worker says happens now.
+// add records an operation that is observed now. A rejection or an acceptance by a worker happens now.
+// Offers, cancels and final responses are sent by the orchestrator and may be read late: they happened at
+// some time between the sending of the request and now.
 func (h *history) add(o operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	now := h.now()
+	now := h.elapsed()
 	earliest := h.sentAt[o.requestID]
 	if o.kind == rejected || o.kind == accepted {
 		earliest = now
@@ -107,8 +112,9 @@
 	h.operations = append(h.operations, porcupine.Operation{Input: o, Call: earliest, Return: now, ClientId: len(h.operations)})
 }
 
+// model is the model of a request that the history is checked against.
 var model = porcupine.Model{
-	Partition: byRequest,
+	Partition: partitionByRequest,
 	Init:      func() any { return requestState{} },
 	Step: func(state, input, _ any) (bool, any) {
 		return state.(requestState).apply(input.(operation))
@@ -116,7 +122,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func byRequest(all []porcupine.Operation) (partitions [][]porcupine.Operation) {
+// partitionByRequest groups operations by request ID: the rules hold for each request separately.
+func partitionByRequest(all []porcupine.Operation) (partitions [][]porcupine.Operation) {
 	byID := map[string][]porcupine.Operation{}
 	for _, o := range all {
 		id := o.Input.(operation).requestID
@@ -128,14 +135,15 @@
 	return partitions
 }
 
-// check reports whether the history can have come of requests that each obey the rules.
+// check reports whether some order of the operations, within their time spans, obeys the rules for each
+// request. The result is Unknown if the check takes longer than timeout.
 func (h *history) check(timeout time.Duration) porcupine.CheckResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return porcupine.CheckOperationsTimeout(model, h.operations, timeout)
 }
 
-// The checker finds what it is there to find.
+// Guards against a model that accepts everything: each history breaks one rule and the check must fail.
 func TestHistoriesThatBreakRules(t *testing.T) {
 	for name, operations := range map[string][]operation{
 		"two attempts in flight": {
@@ -156,13 +164,13 @@
 		},
 	} {
 		var h history
-		h.now()
+		h.elapsed()
 		for i, o := range operations {
 			o.requestID = "t"
 			h.operations = append(h.operations, porcupine.Operation{Input: o, Call: int64(2 * i), Return: int64(2*i + 1), ClientId: i})
 		}
 		if r := h.check(time.Second); r != porcupine.Illegal {
-			t.Errorf("%s: %s", name, r)
+			t.Errorf("%s: got check result %s, want %s", name, r, porcupine.Illegal)
 		}
 	}
 }
--- a/test/backpressure/lower_bound_test.go
+++ b/test/backpressure/lower_bound_test.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// This file owns the bound on what any orchestrator can reach: the workers as one pool whose
-// free capacity is all known, and which inspects offers and starts tasks as fast as its workers
-// do; relays first, then in the order of submission.
+// This file owns the bound on the results that any orchestrator can reach. It simulates all workers as
+// one pool whose free capacity is always known, and which inspects offers and starts tasks as fast as its
+// workers together. Live-relay tasks start first, then the others; each in the order of submission.
 
-// boundStep is the step of the pool's time.
+// boundStep is the time step of the simulation.
 const boundStep = 10 * ms
 
-// pool is the workers as one.
+// pool simulates all workers as one.
 type pool struct {
-	cores, memory float64 // free
-	inspections   float64 // of offers, a step
-	maxTokens     float64
-	tokens        float64         // offers that can be inspected now
-	slotFreeAt    []time.Duration // of each place for a start
-	completions   []poolCompletion
-	lastStart     time.Duration // of a task of the storm
-	relaysInTime  int           // of the storm
+	cores, memory      float64          // free capacity
+	inspectionsPerStep float64          // offers that all workers inspect in one time step
+	maxTokens          float64          // upper limit of tokens
+	tokens             float64          // offers that can be inspected now
+	slotFreeAt         []time.Duration  // when each start slot becomes free
+	completions        []poolCompletion // of running tasks
+	lastStart          time.Duration    // when the last task of the storm was accepted
+	relaysInTime       int              // live-relay tasks of the storm that met their latency objective
 }
 
-// poolCompletion is the end of a task in the pool.
+// poolCompletion is the time at which a running task completes and frees its capacity.
 type poolCompletion struct {
 	at  time.Duration
 	job *job
 }
 
+// newPool returns the pool of the emulated workers. Those that have just started count as full workers,
+// except for their start slots, which count at ColdStartRate.
 func newPool(workers int) *pool {
 	p := &pool{maxTokens: float64(workers)}
 	slots := 0.0
 	for i, spec := range workerSpecs(workers, 0) {
 		p.cores += spec.Cores
 		p.memory += spec.Memory
-		p.inspections += float64(boundStep) / float64((spec.InspectionTime[0]+spec.InspectionTime[1])/2)
+		p.inspectionsPerStep += float64(boundStep) / float64((spec.InspectionTime[0]+spec.InspectionTime[1])/2)
 		speed := 1.0
 		if i < workers/coldDivisor {
 			speed = spec.ColdStartRate
@@ -47,14 +49,15 @@
 	return p
 }
 
-// lowerBound is the time at which the last task of the storm can have started, and the share of
-// the storm's relays that can start in time.
+// lowerBound returns the earliest time at which the last task of the storm can start, relative to the
+// start of the storm, and the largest share of the storm's live-relay tasks that can meet their latency
+// objective.
 func lowerBound(jobs []*job, workers int) (lastStart time.Duration, relaysInTime float64) {
 	p := newPool(workers)
 	arrivals := slices.SortedFunc(slices.Values(jobs), func(a, b *job) int { return int(a.at - b.at) })
 	var pending []*job
 	for now := arrivals[0].at; len(arrivals) > 0 || len(pending) > 0; now += boundStep {
-		p.tokens = min(p.tokens+p.inspections, p.maxTokens)
+		p.tokens = min(p.tokens+p.inspectionsPerStep, p.maxTokens)
 		for len(arrivals) > 0 && arrivals[0].at <= now {
 			pending = append(pending, arrivals[0])
 			arrivals = arrivals[1:]
@@ -66,7 +69,7 @@
 	return p.lastStart, float64(p.relaysInTime) / float64(max(1, countStormRelays(jobs)))
 }
 
-// complete frees the capacity of the tasks that have ended.
+// complete frees the capacity of the tasks that have completed by now.
 func (p *pool) complete(now time.Duration) {
 	p.completions = slices.DeleteFunc(p.completions, func(c poolCompletion) bool {
 		if c.at > now {
@@ -78,7 +81,8 @@
 	})
 }
 
-// start starts a task, unless free capacity or inspections are short.
+// start starts a task and returns true, or returns false if free capacity or inspection tokens are
+// insufficient.
 func (p *pool) start(j *job, now time.Duration) bool {
 	if j.Cores > p.cores || j.Memory > p.memory || p.tokens < 1 {
 		return false
@@ -99,7 +103,7 @@
 	return true
 }
 
-// nextSlot is the one that is free first.
+// nextSlot returns the index of the start slot that becomes free first.
 func (p *pool) nextSlot() (first int) {
 	for i := range p.slotFreeAt {
 		if p.slotFreeAt[i] < p.slotFreeAt[first] {
@@ -111,6 +115,7 @@
 
 func (j *job) isRelay() bool { return j.Class == classRelay }
 
+// priority returns the rank by which the pool starts pending tasks; higher ranks start first.
 func (j *job) priority() int {
 	if j.isRelay() {
 		return 1
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -7,9 +7,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns what the emulated workers report: the history of offers, and what runs where.
+// This file owns the records of what the emulated workers report: the history of offers, and the worker
+// that runs each task.
 
-// placement is where a task runs, by which request.
+// placement is the worker that runs a task and the request by which it was accepted.
 type placement struct{ worker, requestID string }
 
 // recorder implements testbed.Observer.
@@ -17,15 +18,15 @@
 	history history
 
 	mu              sync.Mutex
-	acceptances     map[string]int       // by key
-	running         map[string]placement // by key
-	firstStartedAt  map[string]time.Time // by key
-	duplicateStarts int                  // archive-cuts accepted again
+	acceptances     map[string]int       // number of acceptances, by key
+	running         map[string]placement // placement of the last acceptance until it completes, by key
+	firstStartedAt  map[string]time.Time // when the task first finished its start, by key
+	duplicateStarts int                  // acceptances of archive-cut tasks beyond the first of each key
 }
 
 func newRecorder() *recorder {
 	r := &recorder{acceptances: map[string]int{}, running: map[string]placement{}, firstStartedAt: map[string]time.Time{}}
-	r.history.now()
+	r.history.elapsed()
 	return r
 }
 
@@ -74,7 +75,7 @@
 	}
 }
 
-// placementOf is where a task runs; false where it does not.
+// placementOf returns the placement of a task, and false if the task is not running.
 func (r *recorder) placementOf(key string) (placement, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,14 +83,14 @@
 	return p, ok
 }
 
-// wasAccepted reports whether any worker accepted a task so far.
+// wasAccepted reports whether any worker has accepted a task so far.
 func (r *recorder) wasAccepted(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.acceptances[key] > 0
 }
 
-// startedWithin reports whether a task started, and so long after a time at most.
+// startedWithin reports whether a task has started, at most limit after since.
 func (r *recorder) startedWithin(key string, since time.Time, limit time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,15 +98,16 @@
 	return !at.IsZero() && at.Sub(since) <= limit
 }
 
-// acceptanceCounts are the acceptances so far, and those of tasks that had one before.
-func (r *recorder) acceptanceCounts() (all, copies int) {
+// acceptanceCounts returns the number of all acceptances so far, and how many of them were of a task
+// that had been accepted before.
+func (r *recorder) acceptanceCounts() (all, duplicates int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range r.acceptances {
 		all += n
-		copies += n - 1
+		duplicates += n - 1
 	}
-	return all, copies
+	return all, duplicates
 }
 
 func (r *recorder) duplicateStartCount() int {
--- a/test/backpressure/retry_storm_test.go
+++ b/test/backpressure/retry_storm_test.go
@@ -13,7 +13,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// This file runs retry storms: many clients submit at once, beside the usual demand.
+// This file runs retry storms: many clients submit at once, in addition to the usual demand.
 
 var (
 	seedFlag    = flag.Uint64("seed", 7, "draws the storm")
@@ -27,41 +27,44 @@
 	onlyFlag    = flag.String("only", "", "run before or after only")
 )
 
-// The operators' files: Retry-After as it was before, and with reserved slots.
+// Operators' files. The first sets a fixed Retry-After of 1 s for all clients, the behaviour before
+// reserved slots; the second sets a Retry-After that returns clients in reserved slots.
 const (
 	fileBefore = "testdata/before.conf"
 	fileAfter  = "testdata/after.conf"
 )
 
 const (
-	stormSpan     = 360 * ms // in which the clients of a storm first submit
-	demandAfter   = 60 * time.Second
-	startupTime   = 100 * ms // before the usual demand begins
-	wakeupLead    = 10 * ms  // before a client's first submission
-	restartBegin  = -500 * ms
-	restartPeriod = 1500 * ms
-	downtime      = 700 * ms
+	stormSpan     = 360 * ms         // time span of the first submissions of the storm's clients
+	demandAfter   = 60 * time.Second // length of the usual demand after the start of the storm
+	startupTime   = 100 * ms         // before the usual demand begins
+	wakeupLead    = 10 * ms          // time between the wake-up of a client and its first submission
+	restartBegin  = -500 * ms        // kill of the first orchestrator, relative to the start of the storm
+	restartPeriod = 1500 * ms        // from the kill of one orchestrator to the kill of the next
+	downtime      = 700 * ms         // from the kill of an orchestrator to its next start
 )
 
-// stormOptions say what a storm is made of.
+// stormOptions holds the size and the settings of a storm. usualRate is in tasks per second, compliance is
+// the share of a Retry-After that clients wait, and demandBefore is the length of the usual demand before
+// the storm.
 type stormOptions struct {
 	seed                            uint64
 	clients, workers, orchestrators int
 	compliance, usualRate           float64
 	restart                         bool
-	maxRetryAfter, usualFor         time.Duration
+	maxRetryAfter, demandBefore     time.Duration
 	operatorsFile                   string
 }
 
-// drawJobs draws the storm's tasks and those of the usual demand.
+// drawJobs draws the jobs of the storm and of the usual demand.
 func (o stormOptions) drawJobs() []*job {
 	random := rand.New(rand.NewPCG(o.seed, 5))
 	storm := drawJobs(random, stormPrefix, o.clients, 0, stormSpan)
-	length := o.usualFor + demandAfter
-	return append(storm, drawJobs(random, usualPrefix, int(o.usualRate*length.Seconds()), -o.usualFor, length)...)
+	length := o.demandBefore + demandAfter
+	return append(storm, drawJobs(random, usualPrefix, int(o.usualRate*length.Seconds()), -o.demandBefore, length)...)
 }
 
-// runStorm runs one storm.
+// runStorm runs one storm and returns its figures.
 func runStorm(t *testing.T, options stormOptions) (f figures) {
 	r := newRig(t, rigOptions{workers: options.workers, coldWorkers: options.workers / coldDivisor, orchestrators: options.orchestrators,
 		operatorsFile: options.operatorsFile, seed: options.seed, maxRetryAfter: options.maxRetryAfter})
@@ -74,30 +77,30 @@
 	jobs := options.drawJobs()
 	lastStart, relaysInTime := lowerBound(jobs, options.workers)
 	f.lastStartBound, f.relaysInTimeBound = lastStart.Seconds(), relaysInTime
-	c := newClients(r, options.compliance, time.Now().Add(options.usualFor+startupTime))
+	c := newClients(r, options.compliance, time.Now().Add(options.demandBefore+startupTime))
 	settled := make(chan struct{})
 	restarted := make(chan int, 1)
 	go func() { restarted <- r.restartAll(c, options.restart) }()
 	utilization := make(chan float64, 1)
 	go func() { utilization <- r.utilizationUntil(settled, c) }()
 	results := c.runAll(jobs, settled)
-	handedOver := <-restarted
+	registered := <-restarted
 	close(settled)
 	if options.restart {
-		t.Logf("%d running tasks were handed over", handedOver)
+		t.Logf("%d running tasks were registered with restarted orchestrators", registered)
 	}
 	f.utilization = <-utilization
-	f.take(t, r, c, results, options.usualRate)
+	f.collect(t, r, c, results, options.usualRate)
 	for _, o := range r.orchestrators {
 		o.End(syscall.SIGKILL)
 	}
 	f.history = r.recorder.history.check(time.Minute)
-	r.logFindings()
+	r.logNotableLines()
 	return f
 }
 
-// runAll lets a client run for each job, until settled is closed, and returns the results of the
-// storm once it is over.
+// runAll runs a client for each job and returns the results of the storm's jobs once all of them have
+// ended. Clients of the usual demand that have not begun when settled is closed do not run.
 func (c *clients) runAll(jobs []*job, settled <-chan struct{}) (results []*result) {
 	var mu sync.Mutex
 	var storm sync.WaitGroup
@@ -124,23 +127,23 @@
 	return results
 }
 
-// restartAll restarts the orchestrators one after another around the storm's begin, where that is
-// on, and returns how many running tasks were handed over to them.
-func (r *rig) restartAll(c *clients, on bool) int {
-	if !on {
+// restartAll restarts the orchestrators one after another around the start of the storm if enabled is
+// true. It returns the number of running tasks that were registered with them after their restart.
+func (r *rig) restartAll(c *clients, enabled bool) int {
+	if !enabled {
 		return 0
 	}
-	handedOver := 0
+	registered := 0
 	for i, o := range r.orchestrators {
 		time.Sleep(time.Until(c.stormAt.Add(time.Duration(i)*restartPeriod + restartBegin)))
 		o.restart(downtime)
-		handedOver += c.handOver(i)
+		registered += c.registerRunningTasks(i)
 	}
-	return handedOver
+	return registered
 }
 
-// logFindings logs what the orchestrators logged of the storm.
-func (r *rig) logFindings() {
+// logNotableLines logs the lines of the orchestrators' logs about backpressure, errors and deadlines.
+func (r *rig) logNotableLines() {
 	for _, o := range r.orchestrators {
 		for _, line := range o.Lines() {
 			if strings.Contains(line, "backpressure") || strings.Contains(line, "ERROR") || strings.Contains(line, "deadline") {
@@ -150,31 +153,35 @@
 	}
 }
 
-// TestStormSmall runs a short storm and asserts what must hold in every one.
+// TestStormSmall runs a short storm, without and with restarts of the orchestrators, and checks the rules
+// of every storm: each request has one response, each task starts, no archive-cut starts twice, no worker
+// in slow start is overloaded, and the history obeys the rules for requests.
 func TestStormSmall(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restart=", restart), func(t *testing.T) {
 			f := runStorm(t, stormOptions{seed: 11, clients: 300, workers: 8, compliance: 0.3, usualRate: 5, orchestrators: 3, restart: restart,
-				maxRetryAfter: 3 * time.Second, usualFor: time.Second, operatorsFile: fileAfter})
+				maxRetryAfter: 3 * time.Second, demandBefore: time.Second, operatorsFile: fileAfter})
 			if f.duplicateResponses != 0 || f.duplicateStarts != 0 || f.unanswered != 0 || f.neverStarted != 0 || f.peakColdLoad > 1 ||
 				f.history != porcupine.Ok {
-				t.Errorf("%d answered twice, %d archive-cuts started twice, %d unanswered, %d never started, a cold worker at %.2f of its "+
-					"bound, history %s",
-					f.duplicateResponses, f.duplicateStarts, f.unanswered, f.neverStarted, f.peakColdLoad, f.history)
+				t.Errorf("got %d duplicate responses, %d duplicate archive-cut starts, %d unanswered requests and %d tasks "+
+					"never started, want 0 of each; got peak load %.2f of a worker in slow start, want at most 1; "+
+					"got history check %s, want %s",
+					f.duplicateResponses, f.duplicateStarts, f.unanswered, f.neverStarted, f.peakColdLoad,
+					f.history, porcupine.Ok)
 			}
 		})
 	}
 }
 
-// TestStorm2000 runs one storm with Retry-After as it was before and one with reserved slots, and
-// prints both on one line.
+// TestStorm2000 runs one storm with a fixed Retry-After and one with reserved slots, by default with 2,000
+// clients, and prints the figures of both on one line.
 func TestStorm2000(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
-		t.Skip("a measurement of a minute; run it by its name")
+		t.Skip("measurement of about a minute: runs only if selected with -run")
 	}
 	var before, after figures
 	options := stormOptions{seed: *seedFlag, clients: *clientsFlag, workers: *nodesFlag, compliance: *honourFlag, usualRate: *calmFlag,
-		restart: *restartFlag, maxRetryAfter: *longestFlag, usualFor: 4 * time.Second, orchestrators: *orchFlag}
+		restart: *restartFlag, maxRetryAfter: *longestFlag, demandBefore: 4 * time.Second, orchestrators: *orchFlag}
 	if *onlyFlag != "after" {
 		t.Run("before", func(t *testing.T) { options.operatorsFile = fileBefore; before = runStorm(t, options) })
 	}
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -1,5 +1,5 @@
-// Package backpressure runs retry storms against the real program: three orchestrators as
-// processes of their own, emulated workers, and thousands of clients on loopback.
+// Package backpressure runs retry storms against the real program: each orchestrator is a separate
+// process, three by default, and the workers and thousands of clients are emulated over loopback.
 package backpressure
 
 import (
@@ -14,19 +14,20 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the rig: the emulated workers, the orchestrators and the list that they get.
+// This file owns the rig: the emulated workers, the orchestrator processes and the list of workers
+// that discovery serves to them.
 
 const (
-	zoneCount  = 3
-	listPeriod = 500 * ms
-	// listLag is how late the list is.
-	listLag = 1500 * ms
-	// coldDivisor: of so many workers one has just started.
+	zoneCount     = 3
+	publishPeriod = 500 * ms
+	// publishLag is the age of the free capacities in the published list.
+	publishLag = 1500 * ms
+	// coldDivisor is the number of workers per worker that has just started and is in slow start.
 	coldDivisor = 7
 	binDir      = "../../bin"
 )
 
-// build builds the program once.
+// build builds the program on the first call and returns the path of the binary on each call.
 var build = sync.OnceValues(func() (string, error) {
 	directory, err := filepath.Abs(binDir)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return testbed.BuildProgram(directory)
 })
 
-// rigOptions say what a rig is made of.
+// rigOptions holds the size and the settings of a rig.
 type rigOptions struct {
 	workers, coldWorkers, orchestrators int
 	operatorsFile                       string
@@ -43,7 +44,7 @@
 	maxRetryAfter                       time.Duration
 }
 
-// rig is a set of emulated workers with their orchestrators.
+// rig is a set of emulated workers and the orchestrators that offer tasks to them.
 type rig struct {
 	t             testing.TB
 	options       rigOptions
@@ -51,14 +52,14 @@
 	binary        string
 	operatorsFile string
 	models        []*testbed.CapacityModel
-	workers       [][]*testbed.Worker // by orchestrator
-	discoveries   []*testbed.Discovery
+	workers       [][]*testbed.Worker  // listeners of the workers, by orchestrator
+	discoveries   []*testbed.Discovery // by orchestrator
 	orchestrators []*orchestrator
 	recorder      *recorder
 	stop          chan struct{}
 }
 
-// orchestrator is one process, which may be started again at its address.
+// orchestrator is one orchestrator process. After its end it can be started again at the same address.
 type orchestrator struct {
 	testbed.Process
 	rig     *rig
@@ -66,8 +67,9 @@
 	address string
 }
 
-// workerSpecs are the emulated workers: two thirds node-32, by turns in each zone; the first
-// have just started.
+// workerSpecs returns the specifications of the emulated workers. Every third worker is a node-64 and
+// the others are node-32. Zones are assigned round-robin; with three zones, all node-64 workers are in
+// the last zone. The first cold workers have just started.
 func workerSpecs(workers, cold int) (specs []testbed.WorkerSpec) {
 	const cellSize = 6
 	for i := range workers {
@@ -88,7 +90,8 @@
 	return specs
 }
 
-// newRig starts the emulated workers; orchestrators are started by start.
+// newRig starts the emulated workers and publishes their list. It prepares the orchestrators without
+// starting them; orchestrator.start does that.
 func newRig(t testing.TB, options rigOptions) *rig {
 	t.Helper()
 	binary, err := build()
@@ -133,7 +136,7 @@
 	r.orchestrators = append(r.orchestrators, &orchestrator{Process: testbed.Process{Name: fmt.Sprint("n", index)}, rig: r, index: index})
 }
 
-// capacity is the free capacity of a worker.
+// capacity is the free capacity of a worker, in cores and in the memory units of the list.
 type capacity struct{ cores, memory float64 }
 
 func (r *rig) freeCapacities() (free []capacity) {
@@ -144,7 +147,8 @@
 	return free
 }
 
-// publish lists the workers with such free capacities for each orchestrator.
+// publish adds an event with all workers and the given free capacities to the list of each
+// orchestrator. If complete is true, the event replaces the list.
 func (r *rig) publish(complete bool, free []capacity) {
 	for i, discovery := range r.discoveries {
 		var entries []string
@@ -155,16 +159,16 @@
 	}
 }
 
-// publishPeriodically lists the workers as they were listLag ago.
+// publishPeriodically publishes, every publishPeriod, the free capacities as they were publishLag ago.
 func (r *rig) publishPeriodically() {
-	ticker := time.NewTicker(listPeriod)
+	ticker := time.NewTicker(publishPeriod)
 	defer ticker.Stop()
 	var past [][]capacity
 	for {
 		select {
 		case <-ticker.C:
 			past = append(past, r.freeCapacities())
-			if lag := int(listLag / listPeriod); len(past) > lag {
+			if lag := int(publishLag / publishPeriod); len(past) > lag {
 				r.publish(false, past[len(past)-1-lag])
 			}
 		case <-r.stop:
@@ -173,8 +177,8 @@
 	}
 }
 
-// start starts an orchestrator, and returns once it serves. It may be called from any
-// goroutine of the test.
+// start starts an orchestrator and returns once it serves clients. It reports failures with t.Error,
+// so it can be called from any goroutine of the test.
 func (o *orchestrator) start() {
 	listen := o.address
 	if listen == "" {
@@ -195,12 +199,13 @@
 	if err != nil {
 		o.rig.t.Error(err)
 	}
-	if o.address == "" { // it stays the same, since clients read it meanwhile
+	if o.address == "" { // Set once: clients read the address during a restart, which reuses it.
 		o.address = address
 	}
 }
 
-// configuration is that of a start now: each has a seed of its own.
+// configuration returns the configuration of an orchestrator that starts now. The seed depends on the
+// time and the index, so that each start draws differently.
 func (o *orchestrator) configuration(listen string) string {
 	discovery := o.rig.discoveries[o.index]
 	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
@@ -208,7 +213,7 @@
 	return deployment.Config(o.index, listen, "", discovery.Server.Listener.Addr().String(), seed, discovery)
 }
 
-// restart kills an orchestrator, and starts it again after a downtime.
+// restart kills an orchestrator with SIGKILL and starts it again after downtime.
 func (o *orchestrator) restart(downtime time.Duration) {
 	o.End(syscall.SIGKILL)
 	time.Sleep(downtime)
