--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -15,32 +15,34 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the clients: their connections, what they write, and when they retry.
+// This file contains the clients: their connections, the messages that they send, and their retries.
 
 const (
-	// connectionsEach is the number of clients' connections to one orchestrator; a third of its
-	// descriptors is allowed.
+	// connectionsEach is the number of client connections to each orchestrator. An orchestrator allows
+	// clients at most a third of its descriptor limit.
 	connectionsEach = 40
-	// dialTimeout and writeTimeout bound the wait for an orchestrator that does not accept.
+	// dialTimeout and writeTimeout limit how long a client waits for an orchestrator that does not
+	// accept connections or data.
 	dialTimeout       = time.Second
 	writeTimeout      = time.Second
 	minRetryPause     = 200 * time.Millisecond
 	retryAfterFailure = time.Second
 )
 
-// retryAfter is when the client of a rejected request is to come again.
+// retryAfter returns the time that a client waits before it retries a rejected request: the response's
+// wait in milliseconds, but at least minRetryPause.
 func retryAfter(line testbed.Line) time.Duration {
 	waitMs, _ := strconv.Atoi(line.Opts["wait"])
 	return max(minRetryPause, time.Duration(waitMs)*time.Millisecond)
 }
 
-// pool is the clients' connections to one orchestrator.
+// pool holds the client connections to one orchestrator.
 type pool struct {
 	orchestrator *orchestrator
 	connections  []*connection
 	bytes        hollow.ByteCounters
 	messages     atomic.Int64
-	next         atomic.Uint64 // request, for its ID and its connection
+	next         atomic.Uint64 // number of the last request; selects the request ID and the connection
 }
 
 func newPool(o *orchestrator) *pool {
@@ -51,28 +53,28 @@
 	return p
 }
 
-// pick returns a connection and a new request ID.
+// pick returns the next connection in rotation and a new request ID.
 func (p *pool) pick() (*connection, string) {
 	n := p.next.Add(1)
 	return p.connections[n%connectionsEach], hollow.RequestID(p.orchestrator.index, n)
 }
 
-// close ends all connections.
+// close closes all connections of the pool.
 func (p *pool) close() {
 	for _, c := range p.connections {
 		c.close()
 	}
 }
 
-// connection is one connection, dialled again where it ended.
+// connection is one client connection. The next write after it ends dials it again.
 type connection struct {
 	pool   *pool
 	mutex  sync.Mutex
 	socket net.Conn
-	pings  map[string]chan struct{} // without an answer
+	pings  map[string]chan struct{} // unanswered pings by request ID; each channel is closed by the answer
 }
 
-// close ends the connection, if there is one.
+// close closes the socket, if one is open.
 func (c *connection) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,7 +83,7 @@
 	}
 }
 
-// write sends a message, on a new connection where there is none.
+// write sends a message. It dials first if no socket is open.
 func (c *connection) write(line testbed.Line) error {
 	text, err := json.Marshal(line)
 	if err != nil {
@@ -102,11 +104,11 @@
 	return err
 }
 
-// dial connects. The lock is held.
+// dial opens the socket and starts its reader. The caller holds c.mutex.
 func (c *connection) dial() error {
 	raw, err := net.DialTimeout("tcp", c.pool.orchestrator.address, dialTimeout)
 	if err != nil {
-		return fmt.Errorf("client of %s: %w", c.pool.orchestrator.Name, err)
+		return fmt.Errorf("dial client connection to %s: %w", c.pool.orchestrator.Name, err)
 	}
 	socket := c.pool.bytes.Count(raw)
 	c.socket = socket
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// read reads the connection to its end.
+// read handles the messages that the orchestrator sends until the connection ends.
 func (c *connection) read(socket net.Conn) {
 	for scanner := bufio.NewScanner(socket); scanner.Scan(); {
 		var line testbed.Line
@@ -137,7 +139,7 @@
 	c.pool.orchestrator.rig.ledger.connectionLost(c)
 }
 
-// pingAnswered takes the answer to a ping.
+// pingAnswered closes the channel of a ping and forgets the ping.
 func (c *connection) pingAnswered(requestID string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -147,7 +149,7 @@
 	}
 }
 
-// ping sends a ping, and returns what is closed once it is answered.
+// ping sends a ping and returns a channel that is closed when the answer arrives.
 func (c *connection) ping(options map[string]string) (<-chan struct{}, error) {
 	requestID := hollow.RequestID(c.pool.orchestrator.index, c.pool.next.Add(1))
 	ping := testbed.FinishLine("ECHO", requestID, 0)
@@ -166,17 +168,17 @@
 	return answered, nil
 }
 
-// cancel cancels a request.
+// cancel sends the cancellation of a request.
 func (c *connection) cancel(requestID string) {
-	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded)) // the end of a connection cancels it too
+	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded)) // if the write fails, the end of the connection cancels the request
 }
 
-// clients submit tasks.
+// clients submits tasks to the orchestrators and retries them.
 type clients struct {
 	rig     *rig
 	mutex   sync.Mutex
 	random  *rand.Rand
-	sent    []int // tasks, by orchestrator
+	sent    []int // number of tasks submitted, by orchestrator index
 	stopped bool
 }
 
@@ -184,7 +186,8 @@
 	return &clients{rig: r, random: rand.New(rand.NewPCG(r.options.seed, 31)), sent: make([]int, r.options.orchestrators)}
 }
 
-// leastUsed returns the admitted orchestrator that was sent the fewest tasks so far.
+// leastUsed returns the admitted orchestrator to which the fewest tasks have been submitted so far, or
+// nil if none is admitted.
 func (c *clients) leastUsed() *orchestrator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -197,7 +200,7 @@
 	return fewest
 }
 
-// submit submits a job to one orchestrator, all tasks at once.
+// submit submits all tasks of a job at once to one orchestrator. run draws the run time of each task.
 func (c *clients) submit(j job, run func() time.Duration) {
 	to := c.leastUsed()
 	for i := range j.size {
@@ -206,7 +209,7 @@
 	}
 }
 
-// submitTask submits a task.
+// submitTask submits a task to an orchestrator. If to is nil, it schedules a retry instead.
 func (c *clients) submitTask(t *task, to *orchestrator) {
 	if to == nil {
 		c.rig.ledger.retry(t, retryAfterFailure)
@@ -224,7 +227,8 @@
 	}
 }
 
-// retry submits a task again after a pause, unless it runs by now: then its response was lost.
+// retry submits a task again after a pause plus random jitter. If the task is already running, its
+// response was lost, so retry registers the running task instead.
 func (c *clients) retry(t *task, after time.Duration) {
 	jitter := time.Duration(rand.Float64() * float64(minRetryPause))
 	time.AfterFunc(after+jitter, func() {
@@ -242,22 +246,22 @@
 	})
 }
 
-// stop ends retries, or allows those that come from now on.
+// stop disables retries if stop is true, and enables future retries otherwise.
 func (c *clients) stop(stop bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.stopped = stop
 }
 
-// submission is the message that submits a task, without the client's timeout.
+// submission returns the message that submits a task, without the client's timeout (option "left").
 func (t *task) submission(requestID string) testbed.Line {
 	description := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}.Describe()
 	return testbed.Line{Verb: "START", Tag: requestID, Blob: &description, Opts: map[string]string{"class": t.job.class.name, "key": t.key,
 		"tenant": t.job.tenant, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", t.job.task.Cores, t.job.task.Memory, t.job.program)}}
 }
 
-// handOver registers running tasks at an orchestrator, and returns once it has answered a ping behind
-// them on each connection, or false after a timeout.
+// handOver registers running tasks at an orchestrator. It then sends a ping on each connection and
+// reports whether the orchestrator answers all of them within the timeout.
 func (c *clients) handOver(to *orchestrator, running []*task) bool {
 	for _, t := range running {
 		if !c.handOverTask(to, t) {
@@ -267,7 +271,8 @@
 	return to.clients.pingAll(testbed.Timeout)
 }
 
-// handOverTask registers a running task at an orchestrator; where it has that already, nothing changes.
+// handOverTask registers a running task at an orchestrator and reports whether the message could be
+// written. Registering a task that the orchestrator already has changes nothing.
 func (c *clients) handOverTask(to *orchestrator, t *task) bool {
 	conn, _ := to.clients.pick()
 	line := t.submission(t.requestID)
@@ -275,7 +280,7 @@
 	return conn.write(line) == nil
 }
 
-// pingAll waits until a ping is answered on all connections; it returns false after a timeout.
+// pingAll sends a ping on each connection and reports whether all of them are answered within timeout.
 func (p *pool) pingAll(timeout time.Duration) bool {
 	expired := time.After(timeout)
 	var pings []<-chan struct{}
--- a/test/scale/demand_test.go
+++ b/test/scale/demand_test.go
@@ -9,18 +9,19 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the demand: classes, tenants, kinds of workers, and jobs of tasks.
+// This file contains the demand: classes, tenants, kinds of workers, and jobs of tasks.
 
-// class is a class of the deployment.
+// class is a request class of the deployment.
 type class struct {
 	name, semantics                   string
-	share                             float64       // of all jobs
-	latencyObjective, responseTimeout time.Duration // of a task's start, and of the response to one request
+	share                             float64       // fraction of all jobs
+	latencyObjective, responseTimeout time.Duration // objective for a task's start; limit for the response to one request
 	urgent                            bool
 }
 
-// The semantics of classes: repeats do no harm, are discarded by the workers for repeatWindow, or
-// must never be.
+// The semantics of a class determine what a repeated start of the same task means: with free it is
+// harmless, with guarded the workers discard it within repeatWindow, and with single_shot it must never
+// happen.
 const (
 	semanticsFree       = "free"
 	semanticsGuarded    = "guarded"
@@ -35,23 +36,24 @@
 }
 
 const (
-	// urgentLimit is when an urgent task must have started.
+	// urgentLimit is the maximum time from the submission of an urgent task to its start.
 	urgentLimit = 8 * time.Second
 	tenants     = 60
-	// largestJob is that of a gang. Sizes are drawn evenly on a logarithmic scale, 46 tasks in the
-	// mean: at 220 starts a second 4.8 jobs a second, which at the peak is nine times the mean
-	// rate of 48,000 jobs a day.
+	// largestJob is the maximum number of tasks in a job, the size of a gang. Job sizes are uniform on
+	// a logarithmic scale with a mean of 46 tasks, so 220 starts a second make 4.8 jobs a second. This
+	// peak rate is nine times the mean rate of 48,000 jobs a day.
 	largestJob  = 256
 	regions     = 4
 	zones       = 13
-	maxCellSize = 40 // workers: each zone has a cell
+	maxCellSize = 40 // workers; a small fleet has smaller cells, so that each zone has a cell
 )
 
 var kinds = []hollow.Kind{{Name: "node-32", Cores: 28, Memory: 60}, {Name: "node-32b", Cores: 28, Memory: 60},
 	{Name: "node-64", Cores: 56, Memory: 120}}
 
-// shapes are the cores that tasks request, each with twice the memory: 2.75 cores in the mean, so
-// that 34,000 tasks fill 4,000 workers to 63%.
+// shapes lists the cores that tasks request and the fraction of tasks that request them. The amount of
+// memory that a task requests is twice its number of cores. The mean is 2.75 cores, so 34,000 tasks
+// bring 4,000 workers to a utilization of 63%.
 var shapes = []struct{ cores, share float64 }{{1, 0.35}, {2, 0.30}, {4, 0.25}, {8, 0.10}}
 
 const meanCores = 2.75
@@ -69,19 +71,20 @@
 	tenant  string
 	program uint64
 	size    int
-	task    hollow.Task // each of them, but for the run time
+	task    hollow.Task // resources that each task requests; the run time differs between tasks and is unset
 	name    string
 }
 
-// demand draws jobs.
+// demand draws random jobs.
 type demand struct {
 	random      *rand.Rand
 	meanRunTime time.Duration
-	largestJob  int // tasks
-	jobs        int
+	largestJob  int // maximum number of tasks in a job
+	jobs        int // number of jobs drawn so far
 }
 
-// largestSeconds are the seconds of starts that the largest job of a small size has.
+// largestSeconds limits the largest job of a small run: it has at most the number of tasks that the whole
+// fleet starts in this many seconds.
 const largestSeconds = 2
 
 func newDemand(seed uint64, o options) *demand {
@@ -119,15 +122,15 @@
 	return shapes[0].cores
 }
 
-// tenant draws one of the tenants: the first submit the most.
+// tenant draws a tenant. Tenants with lower numbers submit more jobs.
 func (d *demand) tenant() string {
 	return tenantName(int(tenants * math.Pow(d.random.Float64(), 2)))
 }
 
 func tenantName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// runTime draws a run time. The exponential has no memory: it also is what is left of the run time of
-// a task that ran before.
+// runTime draws a run time from an exponential distribution. The distribution is memoryless, so it also
+// applies to the remaining run time of a task that is already running.
 func (d *demand) runTime() time.Duration {
 	return time.Duration(float64(d.meanRunTime) * d.random.ExpFloat64())
 }
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -9,22 +9,23 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the failures that are injected after the peak. Demand goes on meanwhile.
+// This file contains the failures that are injected after the peak while the demand continues.
 
 const (
-	// listDetection is how long discovery takes to list failed workers as removed.
+	// listDetection is the time that discovery takes to list failed workers as removed.
 	listDetection = 3 * time.Second
-	// downtime is how long a process does not run at a restart.
+	// downtime is the time for which a process is down during a restart.
 	downtime = 2 * time.Second
-	// convergenceTimeout bounds the wait until all know of a failure.
+	// convergenceTimeout limits the wait until all orchestrators and clients know of a failure.
 	convergenceTimeout = 20 * time.Second
-	// plannedRestarts is the operators' number of restarts on a day, all in one minute, at
-	// plannedWorkers; a small fleet restarts the same share of its workers.
+	// plannedRestarts is the number of worker restarts on one day that the operators plan for in a fleet of
+	// plannedWorkers. The test runs all of them within one minute. A smaller fleet restarts the same
+	// fraction of its workers.
 	plannedRestarts = 460
 	plannedWorkers  = 4000
 )
 
-// The kinds of failures, in their order.
+// The kinds of failures, in the order in which they are injected.
 const (
 	failCell             = "rack"
 	failZone             = "zone"
@@ -35,7 +36,8 @@
 
 var failureKinds = []string{failCell, failZone, failOrchestrators, failWorkerRestarts, failAllOrchestrators}
 
-// baseline is what had been counted when a failure began.
+// baseline holds the counters at one moment. report subtracts those from the start of a failure from the
+// current ones.
 type baseline struct {
 	at                time.Time
 	counts            counts
@@ -43,7 +45,7 @@
 	rejections        int64
 }
 
-// baseline counts what has happened so far.
+// baseline returns the current counters.
 func (r *rig) baseline() baseline {
 	b := baseline{at: time.Now(), counts: r.ledger.snapshot(), messages: r.fleet.Messages(), rejections: r.fleet.Rejections()}
 	for _, o := range r.orchestrators {
@@ -53,8 +55,8 @@
 	return b
 }
 
-// report prints the line of a failure. Tasks that were lost are those of workers that failed; cut
-// counts the completions with another cause than the end of a task's run time.
+// report prints the line of a failure. Its field tasks_lost is the number of tasks on the workers that
+// failed. Its field cut is the number of completions whose cause is not the end of the task's run time.
 func (r *rig) report(kind string, parts, lost int, b baseline, knownAfter time.Duration, known bool) {
 	now, c := r.baseline(), r.ledger.snapshot()
 	fmt.Printf("scale-failure: kind=%s parts=%d tasks_lost=%d known=%v knowledge_s=%.2f seconds=%.1f messages=%d list_kb=%d "+
@@ -68,7 +70,7 @@
 		c.repeats-b.counts.repeats, r.ledger.lostUnreported())
 }
 
-// injectFailures injects one failure after another.
+// injectFailures injects the selected failures one after another while jobs are submitted.
 func (r *rig) injectFailures(s *samples) {
 	r.clients.stop(false)
 	stop := make(chan struct{})
@@ -92,13 +94,14 @@
 	r.clients.stop(true)
 }
 
-// loseWorkers makes workers unreachable. All is known when every orchestrator has applied the list
-// without them and every client has a report of its lost task.
-func (r *rig) loseWorkers(kind string, which func(*hollow.Worker) bool) {
+// loseWorkers makes the selected workers unreachable and restarts them after the report. The failure is
+// known when every orchestrator has applied a list that shows these workers as removed and every client
+// has been notified of its lost tasks.
+func (r *rig) loseWorkers(kind string, selected func(*hollow.Worker) bool) {
 	b, lost, unreportedBefore := r.baseline(), 0, r.ledger.lostUnreported()
 	var failed []*hollow.Worker
 	for _, w := range r.fleet.Workers {
-		if which(w) {
+		if selected(w) {
 			failed = append(failed, w)
 			lost += w.TaskCount()
 			w.Stop(hollow.Unreachable)
@@ -114,7 +117,7 @@
 	r.restartAll(failed)
 }
 
-// restartAll starts failed workers again.
+// restartAll restarts failed workers.
 func (r *rig) restartAll(workers []*hollow.Worker) {
 	for _, w := range workers {
 		if err := w.Restart(); err != nil {
@@ -123,7 +126,7 @@
 	}
 }
 
-// listApplied reports whether every orchestrator has applied the list up to a revision.
+// listApplied reports whether every orchestrator has applied the worker list up to a revision.
 func (r *rig) listApplied(revision int) bool {
 	for _, o := range r.orchestrators {
 		if o.subscription.LastPolled() < revision {
@@ -133,10 +136,10 @@
 	return true
 }
 
-// conditionPeriod is how often a condition is polled that no message announces.
+// conditionPeriod is the polling interval for conditions that no message announces.
 const conditionPeriod = 20 * time.Millisecond
 
-// waitUntil waits for a condition, and reports whether it came true within convergenceTimeout.
+// waitUntil polls a condition and reports whether it became true within convergenceTimeout.
 func (r *rig) waitUntil(condition func() bool) bool {
 	ticker, timeout := time.NewTicker(conditionPeriod), time.After(convergenceTimeout)
 	defer ticker.Stop()
@@ -150,12 +153,13 @@
 	return true
 }
 
-// restartOrchestrators kills orchestrators and starts them again after downtime, without state. All is
-// known when each of them has answered a ping behind the tasks that its clients registered again.
-func (r *rig) restartOrchestrators(kind string, which []*orchestrator) {
-	b, restarted := r.baseline(), make([]bool, len(which))
+// restartOrchestrators kills orchestrators and starts them again after downtime without their state. The
+// failure is known when each of them has answered the pings that its clients send after they have
+// registered their running tasks again.
+func (r *rig) restartOrchestrators(kind string, targets []*orchestrator) {
+	b, restarted := r.baseline(), make([]bool, len(targets))
 	var group sync.WaitGroup
-	for i, o := range which {
+	for i, o := range targets {
 		o.admitted.Store(false)
 		o.kill()
 		group.Go(func() { restarted[i] = r.restart(o) })
@@ -166,12 +170,13 @@
 		known = known && ok
 	}
 	knownAfter := time.Since(b.at)
-	// Completions that are late because of it show within their limit.
+	// After completionLimit, the counters include every completion that is late because of the restart.
 	<-time.After(completionLimit)
-	r.report(kind, len(which), 0, b, knownAfter, known)
+	r.report(kind, len(targets), 0, b, knownAfter, known)
 }
 
-// restart starts an orchestrator, admits it once it answers pings, and hands its running tasks over.
+// restart starts an orchestrator after downtime, admits it when it answers pings or after admitTimeout, and
+// registers its running tasks again. It reports whether the orchestrator answered the pings that follow.
 func (r *rig) restart(o *orchestrator) bool {
 	<-time.After(downtime)
 	if err := o.start(); err != nil {
@@ -186,9 +191,9 @@
 	return r.clients.handOver(o, running)
 }
 
-// restartWorkers restarts workers one after another within a minute: their processes crash, and are
-// up again after downtime at the same address. All is known when each client has a report of its lost
-// task; the time counts from when the last worker is up again.
+// restartWorkers restarts workers one after another within a minute: each process crashes and is up again
+// at the same address after downtime. The failure is known when every client has been notified of its lost
+// tasks. The reported time starts when the last worker is up again.
 func (r *rig) restartWorkers(kind string) {
 	b, unreportedBefore := r.baseline(), r.ledger.lostUnreported()
 	restarts := max(1, plannedRestarts*len(r.fleet.Workers)/plannedWorkers)
@@ -196,7 +201,7 @@
 	lost, done := 0, 0
 	stop := make(chan struct{})
 	var group sync.WaitGroup
-	repeat(float64(restarts)/time.Minute.Seconds(), stop, func() {
+	callAtRate(float64(restarts)/time.Minute.Seconds(), stop, func() {
 		if done == restarts {
 			return
 		}
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -8,13 +8,13 @@
 	"ravenhitch/internal/shard"
 )
 
-// This file owns the shards of workers that members take as assigned to them, and the test that a
-// region's cut moves none, and a death only those of its region.
+// This file contains the calculation of the shards that members consider assigned to them. Its test checks
+// that cutting off a region moves no shards, and that the death of a member moves only shards of its region.
 
-// reassignedWithin is within how many seconds the shards of a member that ended are assigned again.
+// reassignedWithin is the maximum time in seconds until the shards of a stopped member are assigned again.
 const reassignedWithin = 10
 
-// regionsOfZones are the regions of all zones.
+// regionsOfZones returns the region of each zone.
 func (n *network) regionsOfZones() shard.Regions {
 	names := shard.Regions{}
 	for zone := range n.zones {
@@ -23,7 +23,7 @@
 	return names
 }
 
-// assignedTo are the shards of a member, as the program takes them from the stable view.
+// assignedTo returns the shards of member i, derived from its stable view as in the program.
 func (s *simulation) assignedTo(i int) shard.Set {
 	self, regions, assigned := s.members[i], s.network.regionsOfZones(), shard.Set{}
 	names := self.View().Names
@@ -41,9 +41,10 @@
 	return assigned
 }
 
-// assignments are the shards of all members that run.
+// assignments maps the index of each running member to its shards.
 type assignments map[int]shard.Set
 
+// assignments returns the current shards of all running members.
 func (s *simulation) assignments() assignments {
 	assigned := assignments{}
 	for i, m := range s.members {
@@ -54,11 +55,12 @@
 	return assigned
 }
 
-// conflicts count the shards that no member, or more than one, takes as assigned to it.
+// conflicts counts the shards that no member, or more than one member, considers assigned to it.
 type conflicts struct{ unassigned, duplicates int }
 
 func (c conflicts) any() bool { return c.unassigned+c.duplicates > 0 }
 
+// conflicts counts the conflicts in the assignments.
 func (a assignments) conflicts(regions shard.Regions) (found conflicts) {
 	for zone := range regions {
 		for n := range shard.Count {
@@ -79,7 +81,7 @@
 	return found
 }
 
-// addedSince counts the shards that members have now and did not have before.
+// addedSince counts the shards that members have in a but not in before.
 func (a assignments) addedSince(before assignments) (n int) {
 	for i, assigned := range a {
 		n += assigned.Minus(before[i]).Len()
@@ -87,29 +89,30 @@
 	return n
 }
 
-// TestShardsInACut runs a region's cut and one death: each shard is assigned once before, nothing
-// moves for the cut or its healing, and after the death only shards of its region have moved, within
+// TestShardsInACut cuts off a region, heals the cut, and then stops one member. Before the cut, each shard
+// must be assigned to exactly one member. The cut and its healing must not move any shard. After the member
+// has stopped, only shards of its region may move, and each must be assigned to one member again within
 // reassignedWithin seconds.
 func TestShardsInACut(t *testing.T) {
 	const regions, zones = 4, 13
 	for _, n := range sizes(t) {
 		s := newScenario(n, regions, zones, *seedFlag)
-		s.untilAgreed(forming)
+		s.waitForAgreement(forming)
 		s.advance(forming, settleTime)
 		before := s.assignments()
 		s.checkConflicts(t, "before the cut", before)
-		moved := s.moveInCut(before)
+		moved := s.maxMovedInCut(before)
 		if moved > 0 {
-			t.Errorf("%d members: %d shards moved for the cut of a region", n, moved)
+			t.Errorf("%d members: %d shards moved when a region was cut off, want 0", n, moved)
 		}
 		const dead = 0
 		s.stop(dead)
-		seconds, maxDuplicates := s.untilAssigned()
+		seconds, maxDuplicates := s.waitForAssignment()
 		after := s.assignments()
 		s.checkConflicts(t, fmt.Sprintf("%d s after a death", seconds), after)
 		for i, assigned := range after {
 			if s.network.region(i) != s.network.region(dead) && !assigned.Equal(before[i]) {
-				t.Errorf("%d members: the shards of %s moved for a death in another region", n, s.members[i].name)
+				t.Errorf("%d members: shards of %s moved after a death in another region", n, s.members[i].name)
 			}
 		}
 		fmt.Printf("assignment: instances=%d shards=%d moved_in_cut=%d moved_by_death=%d owned_again_s=%d doubles_most=%d\n", n,
@@ -117,17 +120,17 @@
 	}
 }
 
-// checkConflicts asserts that each shard is assigned to one member.
+// checkConflicts asserts that each shard is assigned to exactly one member.
 func (s *scenario) checkConflicts(t *testing.T, when string, assigned assignments) {
 	t.Helper()
 	if c := assigned.conflicts(s.network.regionsOfZones()); c.any() {
-		t.Errorf("%d members, %s: %d shards are assigned to nobody and %d to several", s.memberCount, when, c.unassigned, c.duplicates)
+		t.Errorf("%d members, %s: %d shards assigned to no member and %d to several, want none of either", s.memberCount, when, c.unassigned, c.duplicates)
 	}
 }
 
-// moveInCut cuts a region for a while, and returns the highest number of shards that had moved
-// during the cut or shortly after.
-func (s *scenario) moveInCut(before assignments) (moved int) {
+// maxMovedInCut cuts off a region for cutSeconds. It returns the maximum number of shards that had moved
+// since before at any second of the cut or of the secondsAfter that follow it.
+func (s *scenario) maxMovedInCut(before assignments) (moved int) {
 	const cutSeconds, secondsAfter = 120, 30
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
 	for range cutSeconds + secondsAfter {
@@ -137,9 +140,10 @@
 	return moved
 }
 
-// untilAssigned lets time pass until each shard is assigned to one member, or reassignedWithin. It
-// returns the seconds, and the highest number of shards that were assigned to several.
-func (s *scenario) untilAssigned() (seconds, maxDuplicates int) {
+// waitForAssignment advances time until each shard is assigned to exactly one member, but at most for
+// reassignedWithin seconds. It returns the seconds that passed and the maximum number of shards that were
+// assigned to several members at the same time.
+func (s *scenario) waitForAssignment() (seconds, maxDuplicates int) {
 	for ; seconds < reassignedWithin; seconds++ {
 		c := s.assignments().conflicts(s.network.regionsOfZones())
 		maxDuplicates = max(maxDuplicates, c.duplicates)
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -1,10 +1,10 @@
-// Package hollow measures what membership costs as the number of orchestrators grows, and
-// whether all tables agree after a region was partitioned off for an hour. The orchestrators
-// are hollow: of each only its membership runs, all in one process, joined by a simulated
-// network under virtual time. Datagrams have the form that they have on the wire. All is
-// drawn from one seed.
+// Package hollow measures the cost of membership as the number of orchestrators grows, and tests
+// whether all membership tables agree after a region has been cut off, for instance for an hour. The
+// orchestrators are hollow: only their membership runs. All of them run in one process under virtual
+// time and are connected by a simulated network. Datagrams are encoded as on the wire. One seed
+// determines all random values.
 //
-// This file owns the flags, the sizes that are run, and what must hold at each.
+// This file contains the flags, the sizes to run, and the assertions for each size.
 package hollow
 
 import (
@@ -33,17 +33,18 @@
 )
 
 const (
-	// maxBytesExponent bounds the power of the number of members by which a member's traffic grows.
+	// maxBytesExponent is the maximum exponent of the power law by which the traffic of a member grows
+	// with the number of members.
 	maxBytesExponent = 0.25
-	// maxSplitTime is how long a cut may last, in seconds, before each side has all of the other
-	// for dead.
+	// maxSplitTime is the maximum time in seconds from the start of a cut until each side considers all
+	// members of the other side dead.
 	maxSplitTime = 60
-	// maxDeadMessages bounds what a member sends to dead ones, in datagrams a second.
+	// maxDeadMessages is the maximum number of datagrams per second that a member sends to dead members.
 	maxDeadMessages = 2.5
 )
 
 func TestHollowOrchestrators(t *testing.T) {
-	runtime.LockOSThread() // processor time is that of one thread
+	runtime.LockOSThread() // processor time is measured per thread
 	defer runtime.UnlockOSThread()
 	var results []result
 	for _, n := range sizes(t) {
@@ -58,37 +59,38 @@
 	report(t, results)
 }
 
+// sizes returns the numbers of orchestrators in the flag -instances.
 func sizes(t *testing.T) (out []int) {
 	for text := range strings.SplitSeq(*instancesFlag, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 2 {
-			t.Fatalf("-instances: expected numbers from 2 on, got %q", text)
+			t.Fatalf("-instances: got %q, want integers of at least 2", text)
 		}
 		out = append(out, n)
 	}
 	return out
 }
 
-// check asserts what must hold at every size.
+// check asserts the properties that must hold at every size.
 func check(t *testing.T, r *result) {
 	if len(r.falseDeaths) > 0 {
-		t.Errorf("%d members: %d false deaths, the first: %s", r.memberCount, len(r.falseDeaths), r.falseDeaths[0])
+		t.Errorf("%d members: got %d false deaths, want none; first: %s", r.memberCount, len(r.falseDeaths), r.falseDeaths[0])
 	}
 	for ph := forming; ph < phaseCount; ph++ {
-		isShort := ph == cut && r.cutSeconds < maxSplitTime // each side need not have the other for dead so soon
+		isShort := ph == cut && r.cutSeconds < maxSplitTime // too short for each side to consider the other dead
 		if r.records[ph].seconds > 0 && r.agreedAfter[ph] == never && !isShort {
-			t.Errorf("%d members: the tables do not come to agree in phase %s", r.memberCount, ph)
+			t.Errorf("%d members: the tables do not agree within phase %s", r.memberCount, ph)
 		}
 	}
 	if r.deadEntriesAfter > 0 {
-		t.Errorf("%d members: %d entries of members that stayed dead after the cut", r.memberCount, r.deadEntriesAfter)
+		t.Errorf("%d members: got %d entries of dead members after the cut has healed, want 0", r.memberCount, r.deadEntriesAfter)
 	}
 	if d := r.records[cut].tail.toDead; d > maxDeadMessages {
-		t.Errorf("%d members: each sends %.1f datagrams a second to dead members", r.memberCount, d)
+		t.Errorf("%d members: each sends %.1f datagrams a second to dead members, want at most %.1f", r.memberCount, d, maxDeadMessages)
 	}
 }
 
-// report prints the exponents, and writes samples and charts.
+// report writes the samples and, for several sizes, the charts. It prints and checks the exponents of growth.
 func report(t *testing.T, results []result) {
 	dir := *outFlag
 	if dir == "" {
@@ -105,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if len(n) < 2 {
-		return // one size has no exponent
+		return // an exponent needs at least two sizes
 	}
 	for _, c := range []struct {
 		file, label string
@@ -120,11 +122,11 @@
 	exponent := stats.Exponent(n, bytes)
 	fmt.Printf("hollow: exponent_bytes=%.3f exponent_us=%.3f exponent_heap=%.3f\n", exponent, stats.Exponent(n, us), stats.Exponent(n, heap))
 	if exponent > maxBytesExponent {
-		t.Errorf("the bytes a second and member grow with the members to the power of %.3f, expected at most %.2f", exponent, maxBytesExponent)
+		t.Errorf("bytes per second and member grow with the number of members to the power of %.3f, want at most %.2f", exponent, maxBytesExponent)
 	}
 }
 
-// The same seed gives the same scenario, but for what the clock and the heap measure.
+// TestReplays checks that the same seed gives the same loads and agreement times, except for processor time.
 func TestReplays(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -139,6 +141,6 @@
 	loads, agree := replay()
 	again, agreeAgain := replay()
 	if loads != again || agree != agreeAgain {
-		t.Errorf("the same seed gives %v, %v and then %v, %v", loads, agree, again, agreeAgain)
+		t.Errorf("the same seed gives loads %v, agreement times %v and then loads %v, agreement times %v", loads, agree, again, agreeAgain)
 	}
 }
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -6,31 +6,34 @@
 	"ravenhitch/internal/membership"
 )
 
-// This file owns what is judged of the members' reports, by the state of the simulation. It must
-// never take a report for that.
+// This file contains the checks of the members' reports and tables against the state of the simulation.
+// The checks must rely on that state alone and never on what a member reports.
 
 const (
-	// reachablePeriod is for how long a member must have been reachable for its death to be false.
+	// reachablePeriod is the time in microseconds for which a member must have been reachable before a
+	// report of its death counts as false.
 	reachablePeriod = 6 * second
-	// startGrace is how long after its start a process may still be reported as the one before.
+	// startGrace is the time in microseconds after the start of a process within which others may still
+	// report it dead, because they may mean the process before it.
 	startGrace = 2 * second
 )
 
-// judgeDeath judges a death that a member reports. It is false where the subject runs and both
-// could reach each other throughout the last seconds: the network has no cut but that of a
-// region, so within one side of it all are reachable.
-func (s *simulation) judgeDeath(reporter int, event membership.Event) {
+// checkDeath checks a death that a member reports and records it if it is false. A death is false if the
+// process with the reported incarnation nonce has run for at least startGrace and both members could reach
+// each other throughout the last reachablePeriod. The network has no other cut than that of one region, so
+// all members on the same side of the cut can reach each other.
+func (s *simulation) checkDeath(reporter int, event membership.Event) {
 	index := s.byName[event.Name]
 	subject := s.members[index]
 	if !subject.running || subject.nonce != event.Nonce || s.now-subject.startedAt < startGrace || s.network.wasCutSince(reporter, index, s.now-reachablePeriod, s.now) {
 		return
 	}
-	s.falseDeaths = append(s.falseDeaths, fmt.Sprintf("%.2f s: %s has %s for dead, which is reachable: %s",
+	s.falseDeaths = append(s.falseDeaths, fmt.Sprintf("at %.2f s, %s reported the reachable member %s dead: %s",
 		float64(s.now)/second, s.members[reporter].name, event.Name, event.Evidence))
 }
 
-// tablesAgree reports whether the tables of all that run have exactly those that run and are
-// reachable, each with its current incarnation nonce.
+// tablesAgree reports whether the table of each running member contains exactly the running members that it
+// can reach, each with its current incarnation nonce.
 func (s *simulation) tablesAgree() bool {
 	sides := map[bool]int{}
 	for i, x := range s.members {
@@ -38,7 +41,7 @@
 			sides[s.side(i)]++
 		}
 	}
-	for i, x := range s.members { // the sizes first, which is cheap
+	for i, x := range s.members { // compares the sizes first, which is cheap
 		if x.running && x.Size() != sides[s.side(i)] {
 			return false
 		}
@@ -51,13 +54,13 @@
 	return true
 }
 
-// side is the side of the cut that a member is on; there is only one without a cut.
+// side returns the side of the cut that member i is on. Without a cut, all members are on the same side.
 func (s *simulation) side(i int) bool {
 	return s.network.inCutRegion(i) && s.now >= s.network.cutFrom && s.now < s.network.cutUntil
 }
 
-// tableIsComplete reports whether the table of a member has each other one of its side with its
-// current incarnation nonce.
+// tableIsComplete reports whether the table of member i contains each other running member on its side of
+// the cut with that member's current incarnation nonce.
 func (s *simulation) tableIsComplete(i int) bool {
 	for j, other := range s.members {
 		if i == j || !other.running || s.side(i) != s.side(j) {
@@ -70,7 +73,8 @@
 	return true
 }
 
-// countDeadEntries counts the entries of dead members in all tables, and the most in one.
+// countDeadEntries returns the number of entries of dead members in all tables of running members, and the
+// maximum in one table.
 func (s *simulation) countDeadEntries() (all, highest int) {
 	for _, x := range s.members {
 		if !x.running {
--- a/test/scale/hollow/long_dead_test.go
+++ b/test/scale/hollow/long_dead_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// This file tests what members that died long ago cost the others.
+// This file tests the effect of members that died long ago on the others.
 
-// Members that died long ago and never come back do not prevent the others from finding each
-// other after a cut.
+// TestHealAmongTheLongDead checks that members that died long ago and never come back do not prevent the
+// others from finding each other after a cut.
 func TestHealAmongTheLongDead(t *testing.T) {
 	const n, cutSeconds = 9, 60
 	for _, dead := range []int{0, 100} {
@@ -14,17 +14,18 @@
 			s.add(i)
 			s.start(i)
 		}
-		s.untilAgreed(forming)
+		s.waitForAgreement(forming)
 		for i := n; i < n+dead; i++ {
 			s.stop(i)
 		}
-		s.untilAgreed(calm)
+		s.waitForAgreement(calm)
 		s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
 		s.advance(cut, cutSeconds*second)
-		s.untilAgreed(healed)
+		s.waitForAgreement(healed)
 		t.Logf("%d long dead: agree %.1f s after the cut", dead, s.agreedAfter[healed])
 		if s.agreedAfter[healed] == never || len(s.simulation.falseDeaths) > 0 {
-			t.Errorf("%d long dead: the tables do not agree, or deaths are false: %v", dead, s.simulation.falseDeaths)
+			t.Errorf("%d long-dead members: tables agree %.1f s after the cut (%d means never), false deaths %v; want agreement and no false deaths",
+				dead, s.agreedAfter[healed], never, s.simulation.falseDeaths)
 		}
 	}
 }
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -1,14 +1,15 @@
 package hollow
 
-// This file owns the measurements: the load of members, by phase.
+// This file contains the measurements of the load on members, by phase.
 
-// load is what one member caused since that was last read.
+// load holds the traffic and processor time that one member caused since its load was last read, or a sum
+// or a rate of such loads.
 type load struct {
-	bytes, messages     float64 // sent, as on the wire
-	toDead, toDeadBytes float64 // of these, to members that the sender does not have for alive
-	handshakes          float64
-	microseconds        float64 // of the processor, in calls into membership
-	codec               float64 // the same, to encode and decode datagrams
+	bytes, messages     float64 // bytes and datagrams sent, as on the wire
+	toDead, toDeadBytes float64 // the part sent to members that the sender does not consider alive
+	handshakes          float64 // number of handshake probes started
+	microseconds        float64 // processor time of calls into membership
+	codec               float64 // processor microseconds to encode and decode datagrams
 }
 
 func (l *load) add(o load) {
@@ -21,25 +22,25 @@
 	l.codec += o.codec
 }
 
-// dividedBy is a load divided among members and seconds.
+// dividedBy returns the load divided by a number, such as that of members times seconds.
 func (l load) dividedBy(by float64) load {
 	return load{l.bytes / by, l.messages / by, l.toDead / by, l.toDeadBytes / by, l.handshakes / by, l.microseconds / by, l.codec / by}
 }
 
-// meter measures processor time.
+// meter measures processor time and corrects it for the cost of reading the clock.
 type meter struct{ clockCost float64 }
 
-// measure returns the processor microseconds of a call.
+// measure makes a call and returns its processor time in microseconds.
 func (m *meter) measure(call func()) float64 {
 	from := processorMicroseconds()
 	call()
 	return max(0, processorMicroseconds()-from-m.clockCost)
 }
 
-// phase is a part of a scenario.
+// phase is one part of a scenario.
 type phase int
 
-// The phases, in their order.
+// The phases, in the order in which they run.
 const (
 	forming phase = iota
 	calm
@@ -54,18 +55,18 @@
 	return [...]string{"forming", "calm", "cut", "healed", "tenth_restarted", "all_restarted"}[p]
 }
 
-// phaseRecord is what the members caused in one phase, second by second.
+// phaseRecord holds the loads of all members in one phase, sampled once per second.
 type phaseRecord struct {
 	seconds           float64
 	total             load
-	peak              load // of the second with the most bytes, a member
-	maxMemberBytes    float64
-	maxMemberMessages float64
-	maxMemberUs       float64 // of any one member in any one second
-	tail              load    // of the last seconds of a cut, a member and second
+	peak              load    // mean per member in the second with the most bytes
+	maxMemberBytes    float64 // maximum of any one member in any one second
+	maxMemberMessages float64 // maximum of any one member in any one second
+	maxMemberUs       float64 // maximum of any one member in any one second, in microseconds
+	tail              load    // mean per member and second in the last reportedCutTail of a cut
 }
 
-// mean is the load a second and member.
+// mean returns the mean load per second and member.
 func (r *phaseRecord) mean(members int) load {
 	return r.total.dividedBy(max(1, r.seconds) * float64(members))
 }
--- a/test/scale/hollow/network_test.go
+++ b/test/scale/hollow/network_test.go
@@ -2,9 +2,10 @@
 
 import "math/rand/v2"
 
-// This file owns the simulated network.
+// This file contains the simulated network.
 
-// Delays of one direction, in microseconds. A datagram takes up to a quarter longer.
+// One-way delays in microseconds. Random jitter of up to 1/jitterDivisor of the delay is added for each
+// datagram.
 const (
 	delayWithinZone     = 300
 	delayWithinRegion   = 1_000
@@ -12,36 +13,36 @@
 	jitterDivisor       = 4
 )
 
-// network has the zones and regions of the members, the delays between them, and one region
-// that may be cut from the others.
+// network simulates the zones and regions of the members, the delays between them, and a cut that separates
+// one region from the others.
 type network struct {
 	regions, zones int
 	random         *rand.Rand
 	cutRegion      int
-	cutFrom        int64
-	cutUntil       int64 // the cut is over, or there was none, once this has passed
+	cutFrom        int64 // start of the cut, in microseconds of virtual time
+	cutUntil       int64 // end of the cut; no cut is active from this time on
 }
 
 func (n *network) zone(i int) int   { return i % n.zones }
 func (n *network) region(i int) int { return n.zone(i) % n.regions }
 
-// inCutRegion reports whether a member is in the region that is cut off, or was last.
+// inCutRegion reports whether member i is in the region that the current or the last cut separates.
 func (n *network) inCutRegion(i int) bool { return n.region(i) == n.cutRegion }
 
-// carries reports whether the network carries between two members at a moment.
-func (n *network) carries(i, j int, moment int64) bool {
+// delivers reports whether the network delivers traffic between two members at a moment.
+func (n *network) delivers(i, j int, moment int64) bool {
 	isCut := n.cutFrom <= moment && moment < n.cutUntil
 	return !isCut || n.inCutRegion(i) == n.inCutRegion(j)
 }
 
-// wasCutSince reports whether the network did not carry between two members at some time since
-// a moment.
+// wasCutSince reports whether a cut separated two members at any time between since and now. It considers
+// only the current or the last cut.
 func (n *network) wasCutSince(i, j int, since, now int64) bool {
 	overlaps := n.cutFrom <= now && since < n.cutUntil
 	return overlaps && n.inCutRegion(i) != n.inCutRegion(j)
 }
 
-// delay draws how long a datagram takes.
+// delay draws the one-way delay of a datagram in microseconds.
 func (n *network) delay(i, j int) int64 {
 	d := int64(delayBetweenRegions)
 	switch {
--- a/test/scale/hollow/processor_test.go
+++ b/test/scale/hollow/processor_test.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file owns the clocks: processor time and the size of the heap.
+// This file measures processor time and the size of the heap.
 
-// processorMicroseconds is the processor time of this thread, which another busy process does
-// not lengthen. The caller has locked the thread by runtime.LockOSThread.
+// processorMicroseconds returns the processor time of the current thread in microseconds. Load from other
+// processes does not increase it. The caller must have called runtime.LockOSThread.
 func processorMicroseconds() float64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts); err != nil {
@@ -18,7 +18,7 @@
 	return float64(ts.Sec)*second + float64(ts.Nsec)/1000
 }
 
-// clockCost is the processor time in microseconds that a measurement adds to its result.
+// clockCost returns the processor time in microseconds that reading the clock adds to a measurement.
 func clockCost() float64 {
 	const rounds = 10_000
 	from := processorMicroseconds()
@@ -28,10 +28,10 @@
 	return (processorMicroseconds() - from) / rounds
 }
 
-// heapBytes is the size of all reachable objects.
+// heapBytes returns the size of all reachable heap objects in bytes.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the first may leave what finalizers and pools reach
+	runtime.GC() // the first may keep objects that finalizers and pools reach
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -2,44 +2,45 @@
 
 import "fmt"
 
-// This file owns the scenario: its phases, the samples taken in them, and the lines printed.
+// This file contains the scenario: its phases, the samples taken in them, and the lines that it prints.
 
 const (
-	// agreementCheckPeriod is how often the tables are compared while they converge.
+	// agreementCheckPeriod is the interval in microseconds at which the tables are compared until they agree.
 	agreementCheckPeriod = 100_000
-	// agreementTimeout is how long they may take for that.
+	// agreementTimeout is the maximum time for which a phase waits for the tables to agree.
 	agreementTimeout = 180 * second
-	// settleTime is how long the updates of the start may circulate before the calm.
+	// settleTime is the time for which updates from the start may still circulate before the phase calm.
 	settleTime = 10 * second
-	// timeAfterAgreement is how long a phase lasts from agreement on.
+	// timeAfterAgreement is the time for which a phase continues after the tables agree.
 	timeAfterAgreement = 10 * second
-	// minDowntime and maxDowntime bound how long a restarting process does not run.
+	// minDowntime and maxDowntime are the limits of the downtime of a process that restarts, in microseconds.
 	maxDowntime = second
 	minDowntime = 300_000
-	// reportedCutTail is the end of a cut, whose traffic is reported by itself.
+	// reportedCutTail is the length of the last part of a cut, whose traffic is reported separately.
 	reportedCutTail = 30 * second
-	// maxSecondsBesideCut is no less than what a scenario lasts beside its cut.
+	// maxSecondsBesideCut is an upper bound on the duration in seconds of a scenario, not counting the phases
+	// calm and cut.
 	maxSecondsBesideCut = (4*agreementTimeout + settleTime + 3*timeAfterAgreement + 2*(second+maxDowntime)) / second
-	// never stands for the time of an agreement that did not come.
+	// never is the agreement time of a phase in which the tables did not agree.
 	never = -1
 )
 
-// result is what one size showed.
+// result holds the measured values of one size.
 type result struct {
 	memberCount        int
 	cutSeconds         float64
 	records            [phaseCount]phaseRecord
-	samples            []float64 // of all rows, in order
-	heapPerMember      float64   // a member, in calm
-	heapPerMemberInCut float64   // a member, at the end of the cut
-	deadEntries        int       // entries of dead members at the end of the cut, in all tables
-	maxDeadEntries     int       // in one table
-	agreedAfter        [phaseCount]float64
-	deadEntriesAfter   int // entries of dead members once all agree again
+	samples            []float64           // values of all rows in order; sampleHeader names the columns
+	heapPerMember      float64             // bytes per member at the end of calm
+	heapPerMemberInCut float64             // bytes per member at the end of the cut
+	deadEntries        int                 // entries of dead members at the end of the cut, in all tables
+	maxDeadEntries     int                 // maximum number of those entries in one table
+	agreedAfter        [phaseCount]float64 // seconds until the tables agreed, or never
+	deadEntriesAfter   int                 // entries of dead members in all tables after the cut, once the tables agree
 	falseDeaths        []string
 }
 
-// scenario is one simulation on its way through the phases.
+// scenario is a simulation that runs through the phases, with its result.
 type scenario struct {
 	*simulation
 	result
@@ -50,14 +51,14 @@
 	return &scenario{simulation: newSimulation(members, regions, zones, seed), result: result{memberCount: members}}
 }
 
-// run runs all phases of one scenario, or those up to the calm where there is no cut.
+// run runs all phases of one scenario, or only those up to calm if cutSeconds is 0.
 func run(n, regions, zones int, calmSeconds, cutSeconds float64, seed uint64) result {
-	// What measures must not grow while the heap is measured.
+	// The samples are allocated in advance, because growth of this slice would distort the heap measurements.
 	samples := make([]float64, 0, (int(calmSeconds+cutSeconds)+maxSecondsBesideCut)*len(sampleHeader))
 	before := heapBytes()
 	s := newScenario(n, regions, zones, seed)
 	s.cutSeconds, s.samples = cutSeconds, samples
-	s.untilAgreed(forming)
+	s.waitForAgreement(forming)
 	s.advance(forming, settleTime)
 	s.advance(calm, int64(calmSeconds*second))
 	s.heapPerMember = (heapBytes() - before) / float64(n)
@@ -69,7 +70,7 @@
 	s.cutRegion(cutSeconds)
 	s.heapPerMemberInCut = (heapBytes() - before) / float64(n)
 	s.deadEntries, s.maxDeadEntries = s.countDeadEntries()
-	s.untilAgreed(healed)
+	s.waitForAgreement(healed)
 	s.deadEntriesAfter, _ = s.countDeadEntries()
 	s.advance(healed, timeAfterAgreement)
 	s.restartMembers(tenthRestarted, max(1, n/10))
@@ -78,35 +79,37 @@
 	return s.result
 }
 
-// cutRegion cuts one region from the others for so long; it is healed when this returns.
+// cutRegion cuts off one region for a number of seconds. The cut has healed when it returns.
 func (s *scenario) cutRegion(seconds float64) {
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+int64(seconds*second)
-	s.untilAgreedBy(cut, s.network.cutUntil)
+	s.waitForAgreementBy(cut, s.network.cutUntil)
 	s.advance(cut, max(0, s.network.cutUntil-reportedCutTail-s.now))
-	rest := s.records[cut].total
+	beforeTail := s.records[cut].total
 	from := s.now
 	s.advance(cut, s.network.cutUntil-s.now)
 	if s.now > from {
-		last := s.records[cut].total
-		last.add(rest.dividedBy(-1))
-		s.records[cut].tail = last.dividedBy(float64(s.now-from) / second * float64(s.memberCount))
+		tail := s.records[cut].total
+		tail.add(beforeTail.dividedBy(-1))
+		s.records[cut].tail = tail.dividedBy(float64(s.now-from) / second * float64(s.memberCount))
 	}
 }
 
-// restartMembers restarts so many within a second.
+// restartMembers restarts n random members within one second and waits until the tables agree.
 func (s *scenario) restartMembers(ph phase, n int) {
 	for _, i := range s.random.Perm(s.memberCount)[:n] {
 		s.restart(i, s.random.Int64N(second), minDowntime+s.random.Int64N(maxDowntime-minDowntime))
 	}
 	s.advance(ph, second+maxDowntime)
-	s.untilAgreed(ph)
+	s.waitForAgreement(ph)
 	s.advance(ph, timeAfterAgreement)
 }
 
-// untilAgreed lets time pass until all tables are the same and right.
-func (s *scenario) untilAgreed(ph phase) { s.untilAgreedBy(ph, s.now+agreementTimeout) }
+// waitForAgreement advances time until the tables agree, but at most for agreementTimeout. It records the
+// time that this takes.
+func (s *scenario) waitForAgreement(ph phase) { s.waitForAgreementBy(ph, s.now+agreementTimeout) }
 
-func (s *scenario) untilAgreedBy(ph phase, deadline int64) {
+// waitForAgreementBy advances time until the tables agree, but not past the deadline.
+func (s *scenario) waitForAgreementBy(ph phase, deadline int64) {
 	from := s.now
 	s.agreedAfter[ph] = never
 	for s.now < deadline {
@@ -118,7 +121,7 @@
 	}
 }
 
-// advance lets time pass and takes a sample at each full second.
+// advance advances time by a duration in microseconds and takes a sample at each full second and at the end.
 func (s *scenario) advance(ph phase, duration int64) {
 	until := s.now + duration
 	for s.now < until {
@@ -131,8 +134,8 @@
 	}
 }
 
-// recordSample reads the loads of all members into the record of a phase. What was caused in a
-// part of a second counts with the rest of that second for the peaks.
+// recordSample adds the loads of all members to the record of a phase and resets them. Peaks are computed per
+// full second: load from part of a second is added to that of the rest of the second.
 func (s *scenario) recordSample(ph phase, fullSecond bool) {
 	r := &s.records[ph]
 	for _, m := range s.members {
@@ -159,11 +162,12 @@
 		mean.bytes, mean.messages, mean.toDead, mean.handshakes, mean.microseconds, mean.codec)
 }
 
-// sampleHeader names the columns of a sample.
+// sampleHeader holds the column names of the samples.
 var sampleHeader = []string{"instances", "second", "phase", "bytes_s_member", "messages_s_member", "messages_to_dead_s_member",
 	"handshakes_s_member", "us_s_member", "codec_us_s_member"}
 
-// longestDisagreement is the longest that tables took to be the same again after a fault.
+// longestDisagreement returns the longest time in seconds that the tables took to agree again after a fault, or
+// never.
 func (r *result) longestDisagreement() (worst float64) {
 	for _, ph := range []phase{healed, tenthRestarted, allRestarted} {
 		if r.agreedAfter[ph] == never {
@@ -174,6 +178,7 @@
 	return worst
 }
 
+// String returns the line with the figures of one size.
 func (r *result) String() string {
 	c, last := r.records[calm].mean(r.memberCount), r.records[cut].tail
 	return fmt.Sprintf("hollow: instances=%d bytes_s_member=%.0f messages_s_member=%.1f us_s_member=%.0f heap_bytes_member=%.0f form_s=%.1f"+
@@ -185,8 +190,8 @@
 		r.deadEntriesAfter, r.agreedAfter[tenthRestarted], r.agreedAfter[allRestarted], c.codec)
 }
 
-// phaseLine is what a phase cost: on the mean, in its most expensive second, and its most
-// expensive member in any second.
+// phaseLine returns the line with the cost of a phase per member: the mean, the mean in the second with the
+// most bytes, and the maximum of any one member in any one second.
 func (r *result) phaseLine(ph phase) string {
 	m, k := r.records[ph].mean(r.memberCount), r.records[ph].peak
 	return fmt.Sprintf("hollow: instances=%d phase=%s seconds=%.0f bytes_s_member=%.0f messages_s_member=%.1f us_s_member=%.0f"+
--- a/test/scale/hollow/scheduler_test.go
+++ b/test/scale/hollow/scheduler_test.go
@@ -2,15 +2,15 @@
 
 import "container/heap"
 
-// This file owns virtual time: the queue of events, by their moments.
+// This file contains virtual time and the queue of events, ordered by time.
 
-// event is something that happens at a moment of virtual time.
+// event is a function to run at a moment of virtual time.
 type event struct {
-	at, number int64 // number orders the events of one moment by when they were added
+	at, number int64 // time in microseconds; number orders events with the same time by when they were added
 	run        func()
 }
 
-// eventHeap orders events by their moment.
+// eventHeap is a heap of events ordered by time and number.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -27,23 +27,23 @@
 	return last
 }
 
-// scheduler runs events in the order of their moments: time jumps from one to the next.
+// scheduler runs events in order of time. Virtual time jumps from one event to the next.
 type scheduler struct {
 	now    int64 // microseconds
-	number int64
+	number int64 // number of the last event added
 	events eventHeap
 }
 
-// at calls run at a moment of virtual time.
+// at schedules run for a moment of virtual time, in microseconds.
 func (s *scheduler) at(moment int64, run func()) {
 	s.number++
 	heap.Push(&s.events, event{moment, s.number, run})
 }
 
-// after calls run once that many microseconds have passed.
+// after schedules run for a time that is delay microseconds from now.
 func (s *scheduler) after(delay int64, run func()) { s.at(s.now+delay, run) }
 
-// runUntil lets time pass.
+// runUntil runs all events up to and including a moment and sets the time to that moment.
 func (s *scheduler) runUntil(moment int64) {
 	for len(s.events) > 0 && s.events[0].at <= moment {
 		next := heap.Pop(&s.events).(event)
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -8,47 +8,47 @@
 	"ravenhitch/internal/peer"
 )
 
-// This file owns the simulated members: their processes, the calls into their membership, and the
-// datagrams and handshakes between them. It must never judge what they report.
+// This file contains the simulated members: their processes, the calls into their membership, and the
+// datagrams and handshakes between them. It must not check what the members report.
 
 const (
-	second = 1_000_000
+	second = 1_000_000 // microseconds
 
 	clusterName = "hollow"
-	// handshakeTimeout is that of package peer.
+	// handshakeTimeout is the handshake timeout of package peer, in microseconds.
 	handshakeTimeout = 300_000
-	// maxSeeds is how many members the settings of each name.
+	// maxSeeds is the maximum number of members that the settings of each member name.
 	maxSeeds = 5
-	// incarnationBits are the low bits of an incarnation, which count the refutations within one
-	// start, as in the program.
+	// incarnationBits is the number of low bits of an incarnation that count the refutations since the
+	// process started, as in the program.
 	incarnationBits = 24
 )
 
-// member is one orchestrator of which nothing runs but its membership.
+// member is an orchestrator of which only the membership runs.
 type member struct {
 	*membership.Table
 	name, address, zone string
 	running             bool
-	nonce               uint64
-	starts              uint64
-	startedAt           int64
-	nextTickAt          int64 // when its membership is ticked next
-	load, currentSecond load  // since the last sample; in the current second
+	nonce               uint64 // incarnation nonce
+	starts              uint64 // number of starts so far
+	startedAt           int64  // virtual time of the last start, in microseconds
+	nextTickAt          int64  // virtual time of the next tick of its membership, in microseconds
+	load, currentSecond load   // load since the last sample; load in the current second up to that sample
 }
 
-// simulation is members joined by a network, under virtual time.
+// simulation connects members by a simulated network under virtual time.
 type simulation struct {
 	scheduler
 	network     network
 	random      *rand.Rand
 	members     []*member
-	byAddress   map[string]int
-	byName      map[string]int
+	byAddress   map[string]int // index in members
+	byName      map[string]int // index in members
 	meter       meter
-	falseDeaths []string // deaths reported of members that ran and were reachable
+	falseDeaths []string // descriptions of deaths reported for members that ran and were reachable
 }
 
-// newSimulation starts n members.
+// newSimulation returns a simulation with n running members.
 func newSimulation(n, regions, zones int, seed uint64) *simulation {
 	s := &simulation{
 		network:   network{regions: regions, zones: zones, random: rand.New(rand.NewPCG(seed, 1))},
@@ -66,7 +66,7 @@
 	return s
 }
 
-// add adds a member that does not run yet.
+// add adds member i, which does not run yet.
 func (s *simulation) add(i int) {
 	zone := s.network.zone(i)
 	added := &member{
@@ -78,7 +78,7 @@
 	s.byAddress[added.address], s.byName[added.name] = i, i
 }
 
-// seeds are the members that the settings of every member name.
+// seeds returns the members that the settings of every member name.
 func (s *simulation) seeds() (seeds []membership.Peer) {
 	n := len(s.members)
 	for k := range min(n, maxSeeds) {
@@ -88,7 +88,7 @@
 	return seeds
 }
 
-// start starts the process of a member, with an incarnation nonce of its own.
+// start starts the process of a member with a new incarnation nonce.
 func (s *simulation) start(i int) {
 	started := s.members[i]
 	started.starts++
@@ -107,7 +107,7 @@
 	s.tickAt(i, s.now+s.random.Int64N(started.NextTick()-s.now))
 }
 
-// schedule lets the membership of a member tick when it asks for that, unless a tick is due sooner.
+// schedule schedules the next tick that the membership of a member requests, unless an earlier one is pending.
 func (s *simulation) schedule(i int) {
 	scheduled := s.members[i]
 	if at := max(scheduled.NextTick(), s.now+1); scheduled.nextTickAt <= s.now || at < scheduled.nextTickAt {
@@ -115,7 +115,8 @@
 	}
 }
 
-// tickAt lets the membership of a member tick at a time, if no other time is set until then.
+// tickAt schedules a tick of the membership of a member. The tick is dropped if another time is scheduled or
+// the process ends before then.
 func (s *simulation) tickAt(i int, at int64) {
 	ticked, nonce := s.members[i], s.members[i].nonce
 	ticked.nextTickAt = at
@@ -129,58 +130,59 @@
 // stop kills the process of a member.
 func (s *simulation) stop(i int) { s.members[i].running = false }
 
-// restart stops a member after a delay and starts it again after a downtime.
+// restart stops a member after a delay and starts it again after a downtime, both in microseconds.
 func (s *simulation) restart(i int, delay, downtime int64) {
 	s.after(delay, func() { s.stop(i) })
 	s.after(delay+downtime, func() { s.start(i) })
 }
 
-// call calls into the membership of a member, measures that, and carries out its acts.
-func (s *simulation) call(i int, into func() []membership.Action) {
+// call makes a call into the membership of a member, measures its processor time, executes the returned
+// actions, and checks the deaths that the member reports.
+func (s *simulation) call(i int, operation func() []membership.Action) {
 	called := s.members[i]
-	var acts []membership.Action
-	called.load.microseconds += s.meter.measure(func() { acts = into() })
-	for _, act := range acts {
-		switch act := act.(type) {
+	var actions []membership.Action
+	called.load.microseconds += s.meter.measure(func() { actions = operation() })
+	for _, action := range actions {
+		switch action := action.(type) {
 		case membership.Send:
-			s.send(i, act)
+			s.send(i, action)
 		case membership.HandshakeProbe:
-			s.handshake(i, act)
+			s.handshake(i, action)
 		}
 	}
 	for _, e := range called.Events() {
 		if e.Kind == membership.Died {
-			s.judgeDeath(i, e)
+			s.checkDeath(i, e)
 		}
 	}
 	s.schedule(i)
 }
 
-// send carries a datagram in the form that it has on the wire.
-func (s *simulation) send(from int, act membership.Send) {
+// send encodes a message as on the wire and delivers the datagram after the delay of the network.
+func (s *simulation) send(from int, action membership.Send) {
 	sender := s.members[from]
 	var datagram []byte
 	sender.load.codec += s.meter.measure(func() {
-		b, err := peer.Encode(clusterName, &act.Message)
+		b, err := peer.Encode(clusterName, &action.Message)
 		if err != nil {
-			panic(err) // the table made a message that can't be encoded
+			panic(err) // the table produced a message that cannot be encoded
 		}
 		datagram = b
 	})
 	sender.load.bytes += float64(len(datagram))
 	sender.load.messages++
-	if _, _, ok := sender.Locate(act.Message.To); !ok && sender.Size() > 1 {
+	if _, _, ok := sender.Locate(action.Message.To); !ok && sender.Size() > 1 {
 		sender.load.toDead++
 		sender.load.toDeadBytes += float64(len(datagram))
 	}
-	to, ok := s.byAddress[act.Addr]
-	if !ok || !s.network.carries(from, to, s.now) {
+	to, ok := s.byAddress[action.Addr]
+	if !ok || !s.network.delivers(from, to, s.now) {
 		return
 	}
 	s.after(s.network.delay(from, to), func() { s.deliver(to, datagram) })
 }
 
-// deliver hands a datagram to the member at its address, if that runs.
+// deliver passes a datagram to the membership of a member, if its process runs.
 func (s *simulation) deliver(to int, datagram []byte) {
 	receiver := s.members[to]
 	if !receiver.running {
@@ -190,18 +192,18 @@
 	receiver.load.codec += s.meter.measure(func() {
 		var err error
 		if message, err = peer.Decode(clusterName, datagram); err != nil {
-			panic(err) // Encode made a datagram that Decode rejects
+			panic(err) // Encode produced a datagram that Decode rejects
 		}
 	})
 	s.call(to, func() []membership.Action { return receiver.Receive(s.now, message) })
 }
 
-// handshake tries a connection: a process that listens answers, the host of one that does not
-// run refuses, and across a partition nothing comes back.
-func (s *simulation) handshake(from int, act membership.HandshakeProbe) {
+// handshake simulates a connection attempt and reports its result to the prober. A running process answers,
+// the host of a process that does not run refuses the connection, and an attempt across a cut times out.
+func (s *simulation) handshake(from int, action membership.HandshakeProbe) {
 	prober := s.members[from]
 	prober.load.handshakes++
-	to := s.byAddress[act.Addr]
+	to := s.byAddress[action.Addr]
 	nonce := prober.nonce
 	report := func(after int64, name string, other uint64, result membership.HandshakeResult) {
 		s.after(after, func() {
@@ -212,11 +214,11 @@
 	}
 	roundTrip := s.network.delay(from, to) + s.network.delay(to, from)
 	switch target := s.members[to]; {
-	case !s.network.carries(from, to, s.now):
-		report(handshakeTimeout, act.Name, 0, membership.HandshakeTimedOut)
+	case !s.network.delivers(from, to, s.now):
+		report(handshakeTimeout, action.Name, 0, membership.HandshakeTimedOut)
 	case !target.running:
-		report(roundTrip, act.Name, 0, membership.HandshakeRefused)
-	default: // one round trip to connect, one for the answer
-		report(2*roundTrip, act.Name, target.nonce, membership.HandshakeAnswered)
+		report(roundTrip, action.Name, 0, membership.HandshakeRefused)
+	default: // one round trip to connect and one for the answer
+		report(2*roundTrip, action.Name, target.nonce, membership.HandshakeAnswered)
 	}
 }
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -8,8 +8,9 @@
 
 // This file tests changes of the cluster during a cut.
 
-// What happens on either side of a cut while it lasts is known to all after it: who restarted,
-// moved, left or joined meanwhile, and also where no member remembers the others.
+// TestChangesWithinCut checks that after a cut all members know of the changes that happened on either side
+// during the cut: members that restarted, moved to another address, left or joined. They must also find each
+// other if all members restarted, so that none remembers the others.
 func TestChangesWithinCut(t *testing.T) {
 	const cutSeconds = 60
 	for _, c := range []struct {
@@ -29,7 +30,7 @@
 			}
 		}},
 		{"one of the cut region moves to another address", func(s *scenario) {
-			i := s.inCutRegion()[1] // the first is in the settings of all, with its address
+			i := s.inCutRegion()[1] // the first member's address is in the settings of all members
 			s.stop(i)
 			s.move(i)
 			s.start(i)
@@ -39,7 +40,7 @@
 			s.leave(s.inCutRegion()[1])
 		}},
 		{"one is replaced under another name on each side", func(s *scenario) {
-			for range s.network.zones { // one in each zone
+			for range s.network.zones { // adds one member in each zone
 				i := len(s.members)
 				s.add(i)
 				s.start(i)
@@ -55,24 +56,24 @@
 	} {
 		for _, n := range []int{9, 32} {
 			s := newScenario(n, *regionsFlag, *zonesFlag, *seedFlag)
-			s.untilAgreed(forming)
+			s.waitForAgreement(forming)
 			s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
 			s.advance(cut, cutSeconds/2*second)
 			c.change(s)
 			s.advance(cut, s.network.cutUntil-s.now)
-			s.untilAgreed(healed)
+			s.waitForAgreement(healed)
 			t.Logf("%s, %d members: agree %.1f s after the cut, %d false deaths", c.name, n, s.agreedAfter[healed], len(s.simulation.falseDeaths))
 			if s.agreedAfter[forming] == never || s.agreedAfter[healed] == never {
-				t.Errorf("%s, %d members: the tables do not agree", c.name, n)
+				t.Errorf("%s, %d members: the tables do not agree before or after the cut", c.name, n)
 			}
 			if len(s.simulation.falseDeaths) > 0 {
-				t.Errorf("%s, %d members: %s", c.name, n, s.simulation.falseDeaths[0])
+				t.Errorf("%s, %d members: got %d false deaths, want none; first: %s", c.name, n, len(s.simulation.falseDeaths), s.simulation.falseDeaths[0])
 			}
 		}
 	}
 }
 
-// inCutRegion are the members of the region that is cut off.
+// inCutRegion returns the members of the region that is cut off.
 func (s *simulation) inCutRegion() (out []int) {
 	for i := range s.members {
 		if s.network.inCutRegion(i) {
@@ -82,14 +83,14 @@
 	return out
 }
 
-// leave lets a member leave the cluster, and end.
+// leave makes a member leave the cluster and stops its process after minDowntime.
 func (s *simulation) leave(i int) {
 	leaving := s.members[i]
 	s.call(i, func() []membership.Action { return leaving.Leave(s.now) })
 	s.after(minDowntime, func() { s.stop(i) })
 }
 
-// move gives a member that does not run another address.
+// move gives a stopped member another address.
 func (s *simulation) move(i int) {
 	moved := s.members[i]
 	delete(s.byAddress, moved.address)
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -11,22 +11,22 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the ledger: every task as its client and its workers see it, and the rules that are
-// checked on both.
+// This file contains the ledger, which records every task as seen by its client and by the workers and
+// counts violations of the rules that compare both.
 
-// completionLimit is how long the report of a completion may take to its client.
+// completionLimit is the maximum time from the completion of a task to its report to the client.
 const completionLimit = 8 * time.Second
 
-// task is one that a client wants, however many requests that takes.
+// task is one task that a client wants to run. It may take several requests to start it.
 type task struct {
 	job          job
 	key          string
 	runTime      time.Duration
 	submittedAt  time.Time
 	running      bool
-	orchestrator *orchestrator // of the last request
-	worker       string        // where it runs
-	requestID    string        // of the last request
+	orchestrator *orchestrator // orchestrator of the last request
+	worker       string        // ID of the worker on which the task runs
+	requestID    string        // ID of the last request
 }
 
 // request is one submission of a task.
@@ -38,7 +38,7 @@
 	answered   bool
 }
 
-// counts are what clients and workers have seen so far.
+// counts holds the numbers of events that clients and workers have seen so far.
 type counts struct {
 	submitted, started, rejected, failed, ended, aborted, migrated, unreachable              int
 	urgentLate, unanswered, duplicateStarts, duplicateResponses, lateCompletions, unreported int
@@ -46,27 +46,27 @@
 	foreignStarts                                                                            int // starts at workers of another orchestrator
 }
 
-// rulesBroken adds up what must never be.
+// rulesBroken returns the number of violations of rules that must always hold.
 func (c counts) rulesBroken() int {
 	return c.unanswered + c.duplicateStarts + c.duplicateResponses + c.lateCompletions + c.unreported
 }
 
-// ledger records the tasks. It implements hollow.Observer.
+// ledger records all tasks and requests. It implements hollow.Observer.
 type ledger struct {
 	mutex      sync.Mutex
 	counts     counts
-	requests   map[string]*request  // by request ID, in flight or running
-	pending    map[*task]bool       // that have not started
-	running    map[string][]run     // what runs, by the task's key
-	keys       map[string]string    // of running tasks, by request ID
-	lost       map[string]bool      // request IDs in unreported whose worker failed
-	unreported map[string]time.Time // completions without a report to the client yet, by request ID
-	starts     *hdrhistogram.Histogram
+	requests   map[string]*request     // requests in flight and of running tasks, by request ID
+	pending    map[*task]bool          // tasks that have not started
+	running    map[string][]run        // attempts that run, by the task's key
+	keys       map[string]string       // keys of running tasks, by request ID
+	lost       map[string]bool         // request IDs of unreported completions whose worker failed
+	unreported map[string]time.Time    // times of completions not yet reported to the client, by request ID
+	starts     *hdrhistogram.Histogram // microseconds from a task's first submission to its start
 	closed     bool
 	logf       func(format string, args ...any)
-	received   chan struct{}                             // has an element after messages came
+	received   chan struct{}                             // has an element after messages have been received
 	retry      func(t *task, after time.Duration)        // submits a task again
-	placesAt   func(o *orchestrator, worker string) bool // it places tasks there
+	placesAt   func(o *orchestrator, worker string) bool // reports whether o places tasks at the worker
 }
 
 const (
@@ -74,12 +74,12 @@
 	histogramDigits = 3
 )
 
-// recordDuration records a length of time, which the bounds of a histogram limit.
+// recordDuration records a duration in microseconds, limited to the bounds of the histogram.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(histogramMaxUs, max(1, d.Microseconds()))) // a value within the bounds never fails
+	_ = h.RecordValue(min(histogramMaxUs, max(1, d.Microseconds()))) // RecordValue fails only for values out of bounds
 }
 
-// Codes of FINISH messages, as the protocol numbers them.
+// Cause codes of FINISH messages in the protocol.
 const (
 	codeEnded       = 16
 	codeRejected    = 34
@@ -100,7 +100,7 @@
 	}
 }
 
-// submit records a request before it is written.
+// submit records a request. The client calls it before it writes the request.
 func (l *ledger) submit(t *task, requestID string, conn *connection) {
 	r := &request{task: t, requestID: requestID, connection: conn}
 	l.mutex.Lock()
@@ -111,11 +111,11 @@
 	r.deadline = time.AfterFunc(t.job.class.responseTimeout+responseGrace, func() { l.deadlinePassed(r) })
 }
 
-// responseGrace is how long after a request's timeout its response still counts: the rules allow
-// 58 ms, and the rest is for a busy host.
+// responseGrace is the time after a request's timeout for which its response is still accepted. The rules
+// allow 58 ms; the remainder allows for delays on a busy host.
 const responseGrace = time.Second
 
-// deadlinePassed takes a request without a response; its client cancels it and retries.
+// deadlinePassed counts a request without a response as unanswered. Its client cancels it and retries.
 func (l *ledger) deadlinePassed(r *request) {
 	l.mutex.Lock()
 	if r.answered || l.closed {
@@ -125,13 +125,13 @@
 	l.counts.unanswered++
 	r.answered = true
 	delete(l.requests, r.requestID)
-	l.reported(r.requestID)
+	l.clearUnreported(r.requestID)
 	l.mutex.Unlock()
 	r.connection.cancel(r.requestID)
 	l.retry(r.task, minRetryPause)
 }
 
-// unreachable takes a request that could not be written.
+// unreachable counts a request that could not be written. Its client retries.
 func (l *ledger) unreachable(requestID string) {
 	l.mutex.Lock()
 	r := l.requests[requestID]
@@ -147,7 +147,7 @@
 	l.retry(r.task, retryAfterFailure)
 }
 
-// adopt records a task that ran before at a worker.
+// adopt records a task that was already running at a worker before the run.
 func (l *ledger) adopt(t *task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -156,8 +156,8 @@
 	l.running[t.key], l.keys[t.requestID] = []run{{t.worker, t.requestID, time.Now()}}, t.key
 }
 
-// startedUnanswered reports whether a task runs though its client has no response: that was lost with
-// the connection. The task counts as running from now on.
+// startedUnanswered reports whether a task runs although its client has no response, because the response
+// was lost with the connection. If so, the ledger records the task as running.
 func (l *ledger) startedUnanswered(t *task) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -171,7 +171,7 @@
 	return true
 }
 
-// receive takes what an orchestrator sent.
+// receive handles a message from an orchestrator.
 func (l *ledger) receive(line testbed.Line) {
 	now := time.Now()
 	l.mutex.Lock()
@@ -196,9 +196,9 @@
 	}
 }
 
-// settle waits until no request is in flight and no completion older than a second is unreported, or
-// for a timeout. The last request's timeout and the last completion's limit pass within that, so that
-// what is late then is counted.
+// settle waits until no request is in flight and no completion older than one second is unreported, but
+// at most for timeout. The timeout exceeds every request timeout and completionLimit, so that anything
+// late by then has been counted.
 func (l *ledger) settle(timeout time.Duration) {
 	expired := time.After(timeout)
 	for !l.settled(time.Second) {
@@ -210,6 +210,7 @@
 	}
 }
 
+// settled reports whether no request is in flight and no completion older than age is unreported.
 func (l *ledger) settled(age time.Duration) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -226,7 +227,7 @@
 	return true
 }
 
-// started takes the response that a task was started. The lock is held.
+// started handles the response that a task has started. The caller holds l.mutex.
 func (l *ledger) started(r *request, line testbed.Line, now time.Time) {
 	if r.answered {
 		l.counts.duplicateResponses++
@@ -248,13 +249,13 @@
 	}
 }
 
-// reject takes a rejection or a failure, and returns after what time the client retries. The lock is
-// held.
+// reject handles the rejection or failure of a request and returns the time after which the client
+// retries. The caller holds l.mutex.
 func (l *ledger) reject(r *request, line testbed.Line) time.Duration {
 	r.answered = true
 	r.deadline.Stop()
 	delete(l.requests, r.requestID)
-	l.reported(r.requestID)
+	l.clearUnreported(r.requestID)
 	switch line.Cause() {
 	case codeRejected, codeUnavailable, codeNeverSent:
 		l.counts.rejected++
@@ -264,12 +265,12 @@
 	return retryAfterFailure
 }
 
-// complete takes the completion or the migration of a running task, and returns after what time the
-// client retries, or 0. The lock is held.
+// complete handles the completion or migration of a running task. It returns the time after which the
+// client submits the task again, or 0 if the task is complete. The caller holds l.mutex.
 func (l *ledger) complete(r *request, line testbed.Line, now time.Time) time.Duration {
 	delete(l.requests, r.requestID)
 	if at, ok := l.unreported[r.requestID]; ok {
-		l.reported(r.requestID)
+		l.clearUnreported(r.requestID)
 		if now.Sub(at) > completionLimit {
 			l.counts.lateCompletions++
 		}
@@ -287,7 +288,7 @@
 	return 0
 }
 
-// connectionLost takes the requests in flight on a connection that ended; their clients retry.
+// connectionLost counts the requests in flight on a connection that ended as failed. Their clients retry.
 func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
 	var inFlight []*request
@@ -307,8 +308,9 @@
 	}
 }
 
-// runningAt returns the running tasks that an orchestrator has started. Those that completed while it
-// was down need no report: their clients learn it as they look for the tasks to hand over.
+// runningAt returns the running tasks that an orchestrator has started. Tasks that completed while the
+// orchestrator was down need no report: their clients find that out when they look for the tasks to
+// register again.
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -319,14 +321,15 @@
 			running = append(running, r.task)
 		default:
 			delete(l.requests, requestID)
-			l.reported(requestID)
+			l.clearUnreported(requestID)
 			l.counts.endedWhileDown++
 		}
 	}
 	return running
 }
 
-// snapshot returns the counts, with what is overdue by now.
+// snapshot returns the counts, including urgent tasks that have not started and completions that have not
+// been reported within their limits.
 func (l *ledger) snapshot() counts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -344,10 +347,11 @@
 	return c
 }
 
-// maxUnreportedLogged bounds the completions that are described one by one.
+// maxUnreportedLogged is the maximum number of unreported completions that are described one by one.
 const maxUnreportedLogged = 12
 
-// describeUnreported describes the completions without a report to the client in time.
+// describeUnreported returns a line for each completion that was not reported to its client within
+// completionLimit, up to maxUnreportedLogged lines.
 func (l *ledger) describeUnreported() (lines []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -362,7 +366,7 @@
 	return lines
 }
 
-// close stops the checks.
+// close stops the timers and checks of the ledger.
 func (l *ledger) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -374,14 +378,15 @@
 	}
 }
 
-// resetStarts forgets how long starts took.
+// resetStarts clears the recorded start times.
 func (l *ledger) resetStarts() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.starts.Reset()
 }
 
-// startPercentileMs is a percentile of the time from a task's first request to its start.
+// startPercentileMs returns a percentile of the time from a task's first request to its start, in
+// milliseconds.
 func (l *ledger) startPercentileMs(percentile float64) float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/scale/options_test.go
+++ b/test/scale/options_test.go
@@ -1,26 +1,34 @@
-// Package scale runs the size that the operators plan for against the real program: a few
-// orchestrators as processes of their own, thousands of hollow workers that share the test's
-// process, discovery, and clients at a steady rate beside running tasks that are registered at once.
-// It measures what each orchestrator needs, and counts broken rules.
+// Package scale tests the real program at the size that the operators plan for. It runs a few
+// orchestrators, each in its own process. The test's process runs thousands of hollow workers, discovery,
+// and clients. The clients register running tasks all at once and then submit tasks at a steady rate. The
+// test measures the resources that each orchestrator uses and counts rule violations.
 //
-// The size that is planned for:
+// The command for the planned size is:
 //
 //	go test ./test/scale -run TestScale -v -args -workers 4000 -orchestrators 9 -starts 220 -running 34000 -seconds 60 -seed 1
 //
-// What an orchestrator needs apart from its limit of descriptors: three of the nine, as connections of
-// more don't fit the 20,000 descriptors of the test's process, with the others' tasks and list changes:
+// The following command measures what an orchestrator uses when its descriptor limit (default 1024) does
+// not constrain it. It runs three of the nine orchestrators and simulates the tasks and list changes of
+// the others, because the connections of more orchestrators would exceed the limit of 20,000 descriptors
+// of the test's process:
 //
 //	... -args -workers 4000 -orchestrators 3 -fleet-size 9 -sockets 4990 -starts 73.33 -running 11333 -seconds 35 -seed 1 -parts
 //
-// Phases, each with a line of its own: idle (connections, membership, pings of the prober), messages
-// (the data path: pings in place of submissions, as many messages as the starts make), list (with
-// -parts: list changes alone), standing (running tasks, none of them completing, and nothing else),
-// work (with -parts: starts and completions without list changes) and peak (all). The last line's
-// cpu_control_pct_max is the peak without what messages need over idle. -peers=false runs without
-// membership, -partition=false with all workers at each orchestrator, -keepalive=0 without TCP
-// keep-alive; -failures injects failures after the peak.
+// The test prints one line for each of its phases:
+//   - idle: connections, membership, and the pings of the prober.
+//   - messages: the data path alone. Pings replace submissions and make as many messages as the starts
+//     would.
+//   - list (only with -parts): list changes alone.
+//   - standing: running tasks, none of which completes, and no other load.
+//   - work (only with -parts): starts and completions without list changes.
+//   - peak: starts, completions and list changes on top of the running tasks.
 //
-// This file owns the flags.
+// The field cpu_control_pct_max of the last line is the processor time of the peak minus the difference
+// between the phases messages and idle. -peers=false runs without membership, -partition=false assigns all
+// workers to every orchestrator, -keepalive=0 disables TCP keep-alive, and -failures injects failures after
+// the peak.
+//
+// This file contains the flags.
 package scale
 
 import (
@@ -54,7 +62,7 @@
 	kindsFlag     = flag.String("failure-kinds", strings.Join(failureKinds, ","), "which failures")
 )
 
-// options are the flags of one run.
+// options holds the flag values of one run.
 type options struct {
 	workers, orchestrators, running int
 	starts                          float64
@@ -95,10 +103,11 @@
 	return o
 }
 
-// foreignShare is how many orchestrators don't run, for each that does.
+// foreignShare returns the number of orchestrators that the settings count but the test does not run, per
+// orchestrator that it runs.
 func (o options) foreignShare() float64 { return float64(o.fleetSize)/float64(o.orchestrators) - 1 }
 
-// regions are those of the zones, where each has an orchestrator.
+// regions returns the region of each zone, or nil if there are fewer orchestrators than regions.
 func (o options) regions() shard.Regions {
 	names := zoneNames()
 	if o.orchestrators < regions {
@@ -113,11 +122,12 @@
 
 func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// meanRunTime is the run time that keeps the number of running tasks steady.
+// meanRunTime returns the mean run time that keeps the number of running tasks constant.
 func (o options) meanRunTime() time.Duration { return toDuration(float64(o.running) / o.starts) }
 
-// calibration is the length of the phases idle and messages. What is subtracted from the peak is
-// the difference of two of them: of 6 s each, the kernel's ticks of 10 ms alone made it 0.3% of a core.
+// calibration returns the length of the phases idle, messages and standing. The difference between
+// messages and idle is subtracted from the peak. With phases of 6 s, the kernel's 10 ms ticks alone made
+// this difference 0.3% of a core.
 func (o options) calibration() time.Duration {
 	return max(time.Second/2, min(20*time.Second, o.peak/3))
 }
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -16,28 +16,28 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the orchestrators' processes: addresses, start, end, and what they answer to admin
-// calls.
+// This file contains the orchestrators' processes: their addresses, start and end, and the admin calls to
+// them.
 
-// Addresses of an orchestrator. Those that others must know before it starts have a loopback
-// address of this process's own, apart from the workers', and a fixed port.
+// Fixed ports of an orchestrator for the addresses that others must know before it starts. The loopback
+// IP address depends on the test's process ID and differs from the workers' addresses.
 const (
 	peerPort  = 7101
 	adminPort = 7102
 )
 
-// orchestrator is one process, which may be started again.
+// orchestrator is one orchestrator process. It can be started again after it has ended.
 type orchestrator struct {
 	testbed.Process
 	rig           *rig
 	index         int
-	address       string // where clients connect, once it has started
-	starts        int
+	address       string // address for clients; set by the first start
+	starts        int    // number of starts so far
 	subscription  *hollow.Subscription
 	clients       *pool
 	prober        *prober
-	admitted      atomic.Bool // clients may submit tasks to it
-	lastPeerBytes int64       // bytes of membership messages at the last answered call
+	admitted      atomic.Bool // whether clients may submit tasks to the orchestrator
+	lastPeerBytes int64       // bytes of membership messages at the last admin call that was answered
 }
 
 func newOrchestrator(r *rig, index int) (*orchestrator, error) {
@@ -65,7 +65,7 @@
 	return o.address
 }
 
-// start starts it with the list as it is now, and returns once it logs that it serves.
+// start starts the process with the current worker list and returns once the process logs that it serves.
 func (o *orchestrator) start() error {
 	directory := filepath.Join(o.rig.directory, o.Name)
 	if err := os.MkdirAll(directory, 0o700); err != nil {
@@ -89,20 +89,20 @@
 		return err
 	}
 	address, err := o.WaitForLog(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
-	if o.address == "" { // it stays the same, since clients read it meanwhile
+	if o.address == "" { // a restart keeps the address, which clients read concurrently
 		o.address = address
 	}
 	return err
 }
 
-// kill ends it by SIGKILL.
+// kill ends the process with SIGKILL.
 func (o *orchestrator) kill() { o.End(syscall.SIGKILL) }
 
-// adminTimeout bounds an admin call.
+// adminTimeout is the timeout of an admin call.
 const adminTimeout = 2 * time.Second
 
-// adminCall makes a call as operators do, and parses the line of JSON that answers it.
-func (o *orchestrator) adminCall(call string, into any) error {
+// adminCall makes an admin call as operators do and parses the line of JSON in the reply into response.
+func (o *orchestrator) adminCall(call string, response any) error {
 	conn, err := net.DialTimeout("tcp", o.adminAddress(), adminTimeout)
 	if err != nil {
 		return err
@@ -118,18 +118,18 @@
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal([]byte(line), into)
+	return json.Unmarshal([]byte(line), response)
 }
 
-// activeTasks is the number of tasks it has, in flight or running.
+// activeTasks returns the number of tasks that the orchestrator has in flight or running.
 func (o *orchestrator) activeTasks() (int, error) {
 	var answer struct{ Active int }
 	err := o.adminCall("DUMP", &answer)
 	return answer.Active, err
 }
 
-// peerBytes are those of its membership messages since its start, in both directions; where it
-// does not answer, those of its last answer.
+// peerBytes returns the number of bytes of membership messages in both directions since the process
+// started. If the orchestrator does not answer, peerBytes returns the number from its last answer.
 func (o *orchestrator) peerBytes() int64 {
 	var answer struct {
 		Traffic struct {
@@ -143,7 +143,7 @@
 	return o.lastPeerBytes
 }
 
-// logBytes is the length of its log.
+// logBytes returns the length of the orchestrator's log in bytes.
 func (o *orchestrator) logBytes() (n int64) {
 	for _, line := range o.Lines() {
 		n += int64(len(line) + 1)
@@ -151,7 +151,7 @@
 	return n
 }
 
-// warnings counts the warnings in its log by their message, and returns the first of each.
+// warnings counts the warnings in the log by message and returns the first line of each message.
 func (o *orchestrator) warnings() (count map[string]int, first []string) {
 	count = map[string]int{}
 	for _, line := range o.Lines() {
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// This file owns the phases: the load of each, and what each orchestrator used in it.
+// This file contains the phases: the load in each phase, and the resources that each orchestrator uses.
 
-// measurement is what one orchestrator had used at a moment.
+// measurement holds the cumulative resource usage of one orchestrator at one moment.
 type measurement struct {
 	usage
 	at                    time.Time
-	listIn, listOut       int64 // bytes; in is what came to the orchestrator
+	listIn, listOut       int64 // bytes; In is the direction to the orchestrator
 	clientsIn, clientsOut int64
 	peerBytes, logBytes   int64
 	clientMessages        int64
@@ -40,14 +40,14 @@
 	return m
 }
 
-// phase is a span of the run.
+// phase holds the measurements of one phase of the run.
 type phase struct {
 	name          string
-	before, after []measurement // by orchestrator
-	dials         int64         // connections to workers that all orchestrators together opened
+	before, after []measurement // by orchestrator index
+	dials         int64         // number of connections that all orchestrators together opened to workers
 }
 
-// runPhase runs the loads of a phase for a while, and measures before and after.
+// runPhase runs the loads of a phase for the given time and measures all orchestrators before and after.
 func (r *rig) runPhase(name string, length time.Duration, loads ...func(stop <-chan struct{})) phase {
 	p := phase{name: name, before: r.measureAll()}
 	dials := r.fleet.ConnectionsAccepted()
@@ -64,8 +64,8 @@
 	return p
 }
 
-// measureAll measures all orchestrators at the same time: one that answers no calls must not delay the
-// others' measurements.
+// measureAll measures all orchestrators concurrently, so that one that answers no admin calls does not
+// delay the measurements of the others.
 func (r *rig) measureAll() []measurement {
 	all := make([]measurement, len(r.orchestrators))
 	var group sync.WaitGroup
@@ -76,8 +76,8 @@
 	return all
 }
 
-// each returns the largest and the mean of a figure over the orchestrators.
-func (p phase) each(figure func(from, until measurement, seconds float64) float64) (highest, mean float64) {
+// maxAndMean returns the maximum and the mean of a figure over all orchestrators.
+func (p phase) maxAndMean(figure func(from, until measurement, seconds float64) float64) (highest, mean float64) {
 	for i := range p.before {
 		value := figure(p.before[i], p.after[i], p.after[i].at.Sub(p.before[i].at).Seconds())
 		highest, mean = max(highest, value), mean+value/float64(len(p.before))
@@ -89,7 +89,8 @@
 	return 100 * (until.cpuSeconds - from.cpuSeconds) / seconds
 }
 
-// controlKB is the list with its polls, and the membership messages.
+// controlKB returns the control traffic in KiB per second: the worker list, its polls, and membership
+// messages.
 func controlKB(from, until measurement, seconds float64) float64 {
 	return float64(until.listIn-from.listIn+until.listOut-from.listOut+until.peerBytes-from.peerBytes) / 1024 / seconds
 }
@@ -102,7 +103,8 @@
 	return float64(until.clientsIn-from.clientsIn+until.clientsOut-from.clientsOut) / 1024 / seconds
 }
 
-// workersKB is what remains of all that was read and written: workers and admin calls.
+// workersKB returns the traffic with workers and of admin calls in KiB per second. It is the difference
+// between all bytes that the process read and wrote and the bytes of the list, clients and log.
 func workersKB(from, until measurement, seconds float64) float64 {
 	all := until.read - from.read + until.written - from.written
 	other := until.listIn - from.listIn + until.listOut - from.listOut + until.clientsIn - from.clientsIn +
@@ -110,26 +112,26 @@
 	return float64(all-other) / 1024 / seconds
 }
 
-// String is a line of the phase's figures.
+// String returns the line with the figures of the phase.
 func (p phase) String() string {
-	cpu, cpuMean := p.each(cpuPercent)
-	control, _ := p.each(controlKB)
-	peers, _ := p.each(peersKB)
-	clients, _ := p.each(clientsKB)
-	workers, _ := p.each(workersKB)
-	rss, _ := p.each(func(_, m measurement, _ float64) float64 { return m.residentMB })
+	cpu, cpuMean := p.maxAndMean(cpuPercent)
+	control, _ := p.maxAndMean(controlKB)
+	peers, _ := p.maxAndMean(peersKB)
+	clients, _ := p.maxAndMean(clientsKB)
+	workers, _ := p.maxAndMean(workersKB)
+	rss, _ := p.maxAndMean(func(_, m measurement, _ float64) float64 { return m.residentMB })
 	length := p.after[0].at.Sub(p.before[0].at).Seconds()
 	return fmt.Sprintf("scale-phase: name=%s seconds=%.1f cpu_pct_max=%.2f cpu_pct_mean=%.2f control_kb_s_max=%.1f peers_kb_s_max=%.1f "+
 		"clients_kb_s_max=%.1f workers_kb_s_max=%.1f rss_mb_max=%.1f dials_s=%.0f", p.name, length, cpu, cpuMean,
 		control, peers, clients, workers, rss, float64(p.dials)/length)
 }
 
-// repeatStep is how often a rate is caught up with.
-const repeatStep = 5 * time.Millisecond
+// catchUpInterval is the interval at which callAtRate makes the calls that are due.
+const catchUpInterval = 5 * time.Millisecond
 
-// repeat calls f so many times a second until stop.
-func repeat(rate float64, stop <-chan struct{}, f func()) {
-	ticker := time.NewTicker(repeatStep)
+// callAtRate calls f at a rate per second until stop is closed.
+func callAtRate(rate float64, stop <-chan struct{}, f func()) {
+	ticker := time.NewTicker(catchUpInterval)
 	defer ticker.Stop()
 	startedAt, done := time.Now(), 0.0
 	for {
@@ -144,26 +146,27 @@
 	}
 }
 
-// A start makes one message in each direction with its client, and two with its worker: offer and
-// acceptance, and the completion, which is reported to the client. A ping with its answer is one in
-// each direction.
+// A start makes one message in each direction between orchestrator and client, and two between orchestrator
+// and worker: the offer and the acceptance, and later the completion, which is also reported to the client.
+// A ping with its answer makes one message in each direction. The constants are the numbers of pings that
+// replace a start.
 const (
 	clientPingsPerStart = 1
 	workerPingsPerStart = 2
 )
 
-// pingLikeStarts sends pings instead of submissions, as many as the starts' messages and with the
-// fields of submissions: the data path without requests, decisions or tasks.
+// pingLikeStarts sends pings instead of submissions. The pings make as many messages as the starts would
+// and carry the fields of submissions, so they load the data path without requests, decisions or tasks.
 func (r *rig) pingLikeStarts(stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.options.seed, 41))
 	fields := (&task{job: newDemand(r.options.seed, r.options).next(), key: "job-000001-001"}).submission("").Opts
 	fields["left"] = strconv.Itoa(10_000)
 	n := 0
-	repeat(r.options.starts*(clientPingsPerStart+workerPingsPerStart), stop, func() {
+	callAtRate(r.options.starts*(clientPingsPerStart+workerPingsPerStart), stop, func() {
 		if n++; n%(clientPingsPerStart+workerPingsPerStart) == 0 {
 			to := r.orchestrators[n/(clientPingsPerStart+workerPingsPerStart)%len(r.orchestrators)].clients
 			conn, _ := to.pick()
-			_, _ = conn.ping(fields) // admit finds an orchestrator that takes none
+			_, _ = conn.ping(fields) // an error is ignored here: admit logs orchestrators that answer no pings
 			return
 		}
 		for range maxPlacementTries {
@@ -174,29 +177,31 @@
 	})
 }
 
-// changesPerStart is the number of changes to the list that a start makes: itself, and its completion.
+// changesPerStart is the number of list changes that each started task causes: one for its start and one
+// for its completion.
 const changesPerStart = 2
 
-// allListChanges sends as many changed entries as at the peak, though nothing changes.
+// allListChanges makes discovery send as many entries as at the peak, although no capacity changes.
 func (r *rig) allListChanges(stop <-chan struct{}) {
 	r.changeEntries(r.options.starts*changesPerStart*(1+r.options.foreignShare()), stop)
 }
 
-// foreignListChanges sends the changes of the orchestrators that don't run.
+// foreignListChanges simulates the list changes of the orchestrators that the test does not run.
 func (r *rig) foreignListChanges(stop <-chan struct{}) {
 	r.changeEntries(r.options.starts*changesPerStart*r.options.foreignShare(), stop)
 }
 
+// changeEntries marks the entries of random workers as changed, at a rate per second.
 func (r *rig) changeEntries(rate float64, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.options.seed, 43))
-	repeat(rate, stop, func() { r.fleet.RecordChange(random.IntN(len(r.fleet.Workers))) })
+	callAtRate(rate, stop, func() { r.fleet.RecordChange(random.IntN(len(r.fleet.Workers))) })
 }
 
-// submitJobs submits jobs at the rate of the peak: all tasks of one at once, and the next when their
-// time is over.
+// submitJobs submits jobs so that tasks arrive at the rate of the peak on average. All tasks of a job are
+// submitted at once, and the next job follows when the rate has caught up with them.
 func (r *rig) submitJobs(stop <-chan struct{}) {
-	ahead := 0 // tasks that were submitted before their time
-	repeat(r.options.starts, stop, func() {
+	ahead := 0 // number of tasks submitted ahead of the rate
+	callAtRate(r.options.starts, stop, func() {
 		if ahead == 0 {
 			next := r.demand.next()
 			r.clients.submit(next, r.demand.runTime)
--- a/test/scale/prober_test.go
+++ b/test/scale/prober_test.go
@@ -7,20 +7,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file owns the pings that measure how long the turns of an orchestrator's event loop take.
+// This file contains the pings that measure how long the turns (iterations) of an orchestrator's event loop
+// take.
 
-// probePeriod is the time between two pings. Ten a second cost an orchestrator some 0.05% of a core,
-// which is part of the phase idle.
+// probePeriod is the interval between two pings. Ten pings a second cost an orchestrator about 0.05% of a
+// core, which the phase idle includes.
 const probePeriod = 100 * time.Millisecond
 
-// prober pings an orchestrator at a steady rate, on a connection of its own, whether or not the ping
-// before was answered. A ping is answered at the end of the turn that reads it, so that its round
-// trip is an upper bound of that turn and the rest of the one before: the longest is taken for the
-// slowest turn. A turn between two pings is missed.
+// prober pings an orchestrator at a fixed rate on its own connection, whether or not earlier pings have been
+// answered. The orchestrator answers a ping at the end of the event loop's turn that reads it. The round
+// trip is therefore an upper bound on the duration of that turn plus the rest of the turn before. The
+// longest round trip is reported as the slowest turn. A turn that falls between two pings is missed.
 type prober struct {
 	connection *connection
 	mutex      sync.Mutex
-	roundTrips *hdrhistogram.Histogram
+	roundTrips *hdrhistogram.Histogram // microseconds
 	stop       chan struct{}
 	group      sync.WaitGroup
 }
@@ -46,7 +47,7 @@
 	sent := time.Now()
 	answered, err := p.connection.ping(map[string]string{})
 	if err != nil {
-		return // the orchestrator does not run
+		return // the orchestrator is down
 	}
 	select {
 	case <-answered:
@@ -57,14 +58,14 @@
 	}
 }
 
-// reset forgets the round trips so far.
+// reset clears the recorded round trips.
 func (p *prober) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.roundTrips.Reset()
 }
 
-// slowest is the longest round trip since reset, and whether there was any.
+// slowest returns the longest round trip since the last reset, and whether any was recorded.
 func (p *prober) slowest() (time.Duration, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -16,7 +16,8 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file owns the rig: workers, discovery, orchestrators, clients, and the tasks that ran before.
+// This file contains the rig: workers, discovery, orchestrators, clients, and the tasks that were running
+// before the run.
 
 type rig struct {
 	t             *testing.T
@@ -32,7 +33,7 @@
 	probing       sync.WaitGroup
 }
 
-// build builds the program once.
+// build builds the program on its first call and returns the path of the binary.
 var build = sync.OnceValues(func() (string, error) {
 	directory, err := filepath.Abs("../../bin")
 	if err != nil {
@@ -41,22 +42,23 @@
 	return testbed.BuildProgram(directory)
 })
 
-var errDescriptors = errors.New("the sockets of this run don't fit the descriptors of this process")
+var errDescriptors = errors.New("the sockets of this run exceed the descriptor limit of the test process")
 
-// spareDescriptors are those of the test's process beside workers and their connections.
+// spareDescriptors is the number of descriptors that the test's process needs in addition to those of the
+// workers and their connections.
 const spareDescriptors = 1000
 
-// checkDescriptors returns an error where listeners and connections don't fit the limit of this
-// process. Fewer orchestrators with their part of the demand need fewer: see -fleet-size.
+// checkDescriptors returns an error if the listeners and connections exceed the descriptor limit of this
+// process. A run with fewer orchestrators and their part of the demand needs fewer: see -fleet-size.
 func (o options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	const connectionsPerWorker = 2 // an orchestrator opens a second one beside an unresponsive one
+	const connectionsPerWorker = 2 // an orchestrator opens a second connection if the first is unresponsive
 	need := o.workers + o.orchestrators*min(connectionsPerWorker*o.workers+connectionsEach, o.sockets) + spareDescriptors
 	if uint64(need) > limit.Cur {
-		return fmt.Errorf("%w: %d needed, %d allowed", errDescriptors, need, limit.Cur)
+		return fmt.Errorf("%w: need %d descriptors, limit is %d", errDescriptors, need, limit.Cur)
 	}
 	return nil
 }
@@ -85,8 +87,8 @@
 	return r
 }
 
-// startOrchestrators starts them one after another. Each names the others as members, so that all
-// have their addresses before the first one starts.
+// startOrchestrators starts the orchestrators one after another. All of them have their peer addresses
+// before the first one starts, because each configuration names the others as members.
 func (r *rig) startOrchestrators() {
 	r.t.Helper()
 	for i := range r.options.orchestrators {
@@ -104,8 +106,8 @@
 	}
 }
 
-// admit lets clients submit to the orchestrators that answer a ping on each connection, as the front
-// does; after the platform's timeout to all of them.
+// admit lets clients submit to each orchestrator as soon as it answers a ping on each connection, as the
+// platform's front end does. After admitTimeout, clients submit to an orchestrator even without answers.
 func (r *rig) admit() {
 	var group sync.WaitGroup
 	for _, o := range r.orchestrators {
@@ -122,12 +124,13 @@
 	group.Wait()
 }
 
-// admitTimeout is the platform's timeout for orchestrators at the start of a run.
+// admitTimeout is the platform's timeout for an orchestrator to answer pings at the start of a run.
 const admitTimeout = 30 * time.Second
 
-// drawRunning draws the tasks that ran before, and places them at workers with free capacity: with
-// -partition, at those assigned to the orchestrator that placed them. One whose workers have no free
-// capacity would have rejected the task; then the next one is taken.
+// drawRunning draws the tasks that were running before the run and places them at workers with free
+// capacity. With -partition, these are the workers that are assigned to the orchestrator of the task. An
+// orchestrator whose workers have no free capacity would have rejected the task, so the next orchestrator
+// is tried.
 func (r *rig) drawRunning() []*task {
 	var all []*task
 	workers := r.workersByOrchestrator()
@@ -139,7 +142,7 @@
 			t := &task{job: j, key: fmt.Sprintf("%s-%03d", j.name, i), runTime: r.demand.runTime(), orchestrator: placedBy}
 			for tries := 0; !r.placeRunning(t, workers[t.orchestrator], random); tries++ {
 				if tries == len(r.orchestrators) {
-					r.t.Fatalf("no free capacity for a task of %g cores that ran before", t.job.task.Cores)
+					r.t.Fatalf("found no worker with free capacity for an already running task of %g cores", t.job.task.Cores)
 				}
 				t.orchestrator = r.orchestrators[(t.orchestrator.index+1)%len(r.orchestrators)]
 			}
@@ -150,10 +153,10 @@
 	return all
 }
 
-// maxPlacementTries bounds the workers that are tried for one that fits.
+// maxPlacementTries is the maximum number of random workers that are tried for one task or ping.
 const maxPlacementTries = 1000
 
-// workersByOrchestrator are the workers that are assigned to each orchestrator.
+// workersByOrchestrator returns the workers that are assigned to each orchestrator.
 func (r *rig) workersByOrchestrator() map[*orchestrator][]*hollow.Worker {
 	workers := map[*orchestrator][]*hollow.Worker{}
 	for _, w := range r.fleet.Workers {
@@ -164,7 +167,7 @@
 	return workers
 }
 
-// assigned are the orchestrators that place tasks at a worker while all run.
+// assigned returns the orchestrators that place tasks at a worker while all orchestrators run.
 func (r *rig) assigned(w *hollow.Worker) []*orchestrator {
 	if !r.options.partition {
 		return r.orchestrators
@@ -177,19 +180,20 @@
 	return slices.DeleteFunc(slices.Clone(r.orchestrators), func(o *orchestrator) bool { return o.Name != assignee })
 }
 
-// placesAt reports whether an orchestrator places tasks at a worker while all run.
+// placesAt reports whether an orchestrator places tasks at a worker while all orchestrators run.
 func (r *rig) placesAt(o *orchestrator, worker string) bool {
 	i := slices.IndexFunc(r.fleet.Workers, func(w *hollow.Worker) bool { return w.ID == worker })
 	return i >= 0 && slices.Contains(r.assigned(r.fleet.Workers[i]), o)
 }
 
-// placeRunning lets a task of its orchestrator run at one of some workers that has free capacity.
+// placeRunning makes a task run, under a new request ID, at a random one of the workers that has free
+// capacity. It reports whether it found one.
 func (r *rig) placeRunning(t *task, workers []*hollow.Worker, random *rand.Rand) bool {
 	_, requestID := t.orchestrator.clients.pick()
 	return r.placeRunningAs(t, workers, random, requestID)
 }
 
-// placeRunningAs does so under a request ID.
+// placeRunningAs does the same as placeRunning under a given request ID.
 func (r *rig) placeRunningAs(t *task, workers []*hollow.Worker, random *rand.Rand, requestID string) bool {
 	running := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}
 	for range maxPlacementTries {
@@ -202,23 +206,24 @@
 	return false
 }
 
-// foreignRunTime is longer than any test: tasks of orchestrators that don't run never complete.
+// foreignRunTime is longer than any test, so that the tasks of orchestrators that don't run never complete.
 const foreignRunTime = time.Hour
 
-// addForeignTasks places the tasks of the orchestrators that the settings count and that don't run, so
-// that the workers have as little free capacity as they would have.
+// addForeignTasks places the tasks of the orchestrators that the settings count but the test does not run,
+// so that the workers have as little free capacity as if all orchestrators ran.
 func (r *rig) addForeignTasks() {
 	random, demand := rand.New(rand.NewPCG(r.options.seed, 47)), newDemand(r.options.seed+1, r.options)
 	for i := range int(r.options.foreignShare() * float64(r.options.running)) {
 		t := &task{job: demand.next(), key: fmt.Sprintf("others-%06d", i), orchestrator: r.orchestrators[0], runTime: foreignRunTime}
 		if !r.placeRunningAs(t, r.fleet.Workers, random, hollow.RequestID(r.options.fleetSize, uint64(i))) {
-			r.t.Fatalf("no free capacity for a task of %g cores of another orchestrator", t.job.task.Cores)
+			r.t.Fatalf("found no worker with free capacity for a task of %g cores of an orchestrator that does not run", t.job.task.Cores)
 		}
 	}
 }
 
-// adoptRunning places the tasks that ran before and registers them at the orchestrators. Their run
-// times begin with Fleet.StartRunTimes. It returns how many the orchestrators say that they have.
+// adoptRunning places the tasks that were running before the run and registers them at the orchestrators.
+// Their run times begin with Fleet.StartRunTimes. It returns the number of tasks that the orchestrators
+// report.
 func (r *rig) adoptRunning() (adopted int) {
 	byOrchestrator := map[*orchestrator][]*task{}
 	for _, t := range r.drawRunning() {
@@ -247,7 +252,7 @@
 	return adopted
 }
 
-// close ends all that newRig started.
+// close stops everything that newRig started.
 func (r *rig) close() {
 	r.ledger.close()
 	if r.clients != nil {
--- a/test/scale/samples_test.go
+++ b/test/scale/samples_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// This file owns the samples: one a second of each orchestrator, written as CSV.
+// This file contains the samples: one per second and orchestrator, written as CSV.
 
 const samplePeriod = time.Second
 
 type samples struct {
 	rig         *rig
-	mutex       sync.Mutex // one sample at a time
+	mutex       sync.Mutex // serializes record
 	file        *os.File
 	writer      *csv.Writer
 	startedAt   time.Time
-	phase       atomic.Value // its name
-	descriptors atomic.Int64 // the highest number at an orchestrator
-	peakMB      atomic.Int64 // the highest resident memory of one
+	phase       atomic.Value // name of the current phase
+	descriptors atomic.Int64 // maximum number of open descriptors of any orchestrator
+	peakMB      atomic.Int64 // maximum resident memory of any orchestrator, in MiB rounded up
 	stop        chan struct{}
 	group       sync.WaitGroup
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// record writes a sample of each orchestrator.
+// record writes one sample of each orchestrator that runs.
 func (s *samples) record() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,7 +60,7 @@
 	for _, o := range s.rig.orchestrators {
 		used, err := processUsage(o.PID())
 		if err != nil {
-			continue // it does not run
+			continue // the process does not run
 		}
 		s.descriptors.Store(max(s.descriptors.Load(), int64(used.descriptors)))
 		s.peakMB.Store(max(s.peakMB.Load(), int64(used.peakMB+0.999)))
@@ -75,10 +75,10 @@
 	}
 }
 
-// write adds a row. Its error comes again at close.
+// write adds a row. The CSV writer keeps an error, which close returns.
 func (s *samples) write(row []string) { _ = s.writer.Write(row) }
 
-// close writes what is left, and returns the first error of all writes.
+// close stops sampling, flushes the file, and returns the first error of all writes.
 func (s *samples) close() error {
 	close(s.stop)
 	s.group.Wait()
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// This file owns the order of a run's phases, what the run asserts, and its last line.
+// This file contains the order of the phases of a run, the assertions on its result, and its last line.
 
-// settleTimeout is longer than the timeout of any request, and than completionLimit.
+// settleTimeout is longer than the timeout of any request and longer than completionLimit.
 const settleTimeout = 20 * time.Second
 
-// result is what a run showed.
+// result holds the measured values of a run.
 type result struct {
 	options              options
 	adopted, running     int
 	idle, messages, peak phase
-	started              int
+	started              int // number of starts in the peak
 	counts               counts
 	descriptors, peakMB  int64
-	p50, p99             float64
+	p50, p99             float64 // of the time to start, in milliseconds
 	slowestTurn          time.Duration
-	pinged               bool
+	pinged               bool // whether any ping of the prober was answered
 }
 
-// TestScale runs the peak. Its small size, without flags, is asserted by counts only.
+// TestScale runs all phases and checks the rules. Without flags it runs a small size. It asserts counts
+// only, never times.
 func TestScale(t *testing.T) {
 	o := flagOptions()
 	r := newRig(t, o)
@@ -54,7 +55,7 @@
 	fmt.Println(res)
 }
 
-// runPhases runs the phases in their order.
+// runPhases runs all phases up to the peak in order and waits until requests and completions settle.
 func (r *rig) runPhases(s *samples) result {
 	res := result{options: r.options}
 	s.phase.Store("admit")
@@ -91,7 +92,7 @@
 	return res
 }
 
-// runPeak runs the peak itself.
+// runPeak runs the peak phase and stores its figures in res.
 func (r *rig) runPeak(s *samples, res *result) {
 	s.phase.Store("peak")
 	before := r.ledger.snapshot()
@@ -109,8 +110,9 @@
 	}
 }
 
-// controlPercent is the processor time of the peak without that of the data path: what pings with
-// the same messages need over doing nothing.
+// controlPercent returns the processor time of the peak without that of the data path, in percent of a core,
+// as the maximum over all orchestrators. The processor time of the data path is the difference between the
+// phases messages, in which pings make the same number of messages, and idle.
 func (res result) controlPercent() (highest float64) {
 	for i := range res.peak.before {
 		percent := func(p phase) float64 {
@@ -121,36 +123,36 @@
 	return highest
 }
 
-// check asserts what holds at any size: counts, never times.
+// check asserts what must hold at any size. It checks counts and never times.
 func (res result) check(t *testing.T) {
 	t.Helper()
 	checkRules(t, "at the peak", res.counts)
 	if res.adopted != res.options.running {
-		t.Errorf("expected the %d tasks that ran before to be known, got %d", res.options.running, res.adopted)
+		t.Errorf("orchestrators know %d of the already running tasks, want %d", res.adopted, res.options.running)
 	}
 	if res.descriptors > int64(res.options.sockets) {
-		t.Errorf("expected at most %d descriptors, got %d", res.options.sockets, res.descriptors)
+		t.Errorf("an orchestrator had %d descriptors open, want at most %d", res.descriptors, res.options.sockets)
 	}
 	if res.counts.foreignStarts != 0 {
-		t.Errorf("expected no start at a worker of another orchestrator, got %d", res.counts.foreignStarts)
+		t.Errorf("got %d starts at workers assigned to another orchestrator, want 0", res.counts.foreignStarts)
 	}
 	if res.started == 0 {
-		t.Error("expected starts, got none")
+		t.Error("got no starts in the peak, want at least 1")
 	}
 }
 
 func checkRules(t *testing.T, when string, c counts) {
 	t.Helper()
 	if c.unanswered != 0 || c.rulesBroken() != 0 {
-		t.Errorf("unanswered and broken rules %s: expected none, got %+v", when, c)
+		t.Errorf("unanswered requests or rule violations %s: got %+v, want none", when, c)
 	}
 }
 
-// String is the last line of a run. The slowest turn is described at prober; it is -1 where no
-// ping was answered.
+// String returns the last line of a run. The type prober describes the slowest turn, which is -1 if no ping
+// was answered.
 func (res result) String() string {
-	cpu, _ := res.peak.each(cpuPercent)
-	control, _ := res.peak.each(controlKB)
+	cpu, _ := res.peak.maxAndMean(cpuPercent)
+	control, _ := res.peak.maxAndMean(controlKB)
 	elapsed := res.peak.after[0].at.Sub(res.peak.before[0].at).Seconds()
 	slowest := -1.0
 	if res.pinged {
@@ -163,7 +165,7 @@
 		res.p50, res.p99, res.counts.urgentLate, res.counts.unanswered, res.counts.rulesBroken(), slowest)
 }
 
-// writeLogs writes the orchestrators' logs, where -log names a folder.
+// writeLogs writes the orchestrators' logs to the folder that -log names, if any.
 func (r *rig) writeLogs() {
 	if r.options.logs == "" {
 		return
@@ -176,7 +178,8 @@
 	}
 }
 
-// logFindings logs the counts of clients and workers and the orchestrators' warnings.
+// logFindings logs the counts of clients and workers, unreported completions, and the orchestrators'
+// warnings.
 func (r *rig) logFindings() {
 	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.snapshot(), r.fleet.Rejections(), r.discovery.EntriesSent(),
 		r.fleet.AcceptFailures())
--- a/test/scale/settings_test.go
+++ b/test/scale/settings_test.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// This file owns the configuration of an orchestrator.
+// This file contains the configuration of an orchestrator.
 
 const memoryLimitMB = 192
 
-// settings are those of one orchestrator, in the platform's form.
+// settings returns the settings of one orchestrator in the platform's format.
 func settings(index int, o options) map[string]any {
 	var parties, requestClasses []map[string]any
 	var shares []float64
@@ -60,19 +60,20 @@
 	}
 }
 
-// configuration is the configuration file of an orchestrator that starts now.
+// configuration returns the configuration file for the next start of an orchestrator.
 func (o *orchestrator) configuration() ([]byte, error) {
 	text, err := json.Marshal(map[string]any{"name": o.Name, "listen": o.listenAddress(), "mgmt": o.adminAddress(),
 		"seed":    fmt.Sprintf("%x", o.rig.options.seed*1000+uint64(o.index*10+o.starts+1)),
 		"limits":  map[string]any{"cores": 1.0, "memory_mb": memoryLimitMB, "sockets": o.rig.options.sockets},
 		"channel": o.subscription.Address(), "known": json.RawMessage(o.subscription.InitialList()), "settings": settings(o.index, o.rig.options)})
 	if err != nil {
-		return nil, fmt.Errorf("configuration of %s: %w", o.Name, err)
+		return nil, fmt.Errorf("marshal configuration of %s: %w", o.Name, err)
 	}
 	return text, nil
 }
 
-// operatorsFile is its operators' file: it names the other orchestrators, unless -peers is off.
+// operatorsFile returns the operators' file of an orchestrator. The file names the other orchestrators,
+// unless -peers is off.
 func (o *orchestrator) operatorsFile() string {
 	text := ""
 	if o.rig.options.keepAlive > 0 {
@@ -96,7 +97,7 @@
 	return text
 }
 
-// regionLines are the regions in the operators' file.
+// regionLines returns the lines of the operators' file that define the regions.
 func (o options) regionLines() (text string) {
 	zones := map[string][]string{}
 	for zone, region := range o.regions() {
@@ -108,5 +109,5 @@
 	return text
 }
 
-// zone is that of an orchestrator.
+// zone returns the zone of an orchestrator.
 func (o *orchestrator) zone() string { return zoneNames()[o.index%zones] }
--- a/test/scale/usage_test.go
+++ b/test/scale/usage_test.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// This file owns what the kernel reports of a process.
+// This file reads the resource usage of a process from /proc.
 
-// usage is what a process has used so far, and has open.
+// usage holds the resources that a process has used so far and the number of its open descriptors.
 type usage struct {
 	cpuSeconds  float64
-	residentMB  float64
-	peakMB      float64
+	residentMB  float64 // MiB
+	peakMB      float64 // maximum of residentMB so far
 	descriptors int
-	read        int64 // bytes of all reads and writes, sockets among them; datagrams are not
-	written     int64
+	read        int64 // bytes that the process read, from sockets as well, except datagrams
+	written     int64 // bytes that the process wrote, to sockets as well, except datagrams
 }
 
-// errNoThreads says that a process has ended.
-var errNoThreads = errors.New("no threads")
+// errNoThreads is returned for a process that has ended.
+var errNoThreads = errors.New("process has ended: no threads")
 
-// processUsage reads what the kernel reports of a process that runs.
+// processUsage reads the resource usage of a running process.
 func processUsage(pid int) (usage, error) {
 	var u usage
 	root := fmt.Sprintf("/proc/%d", pid)
@@ -38,7 +38,7 @@
 	for _, thread := range threads {
 		text, err := os.ReadFile(thread)
 		if err != nil {
-			continue // it has just ended
+			continue // the thread has ended
 		}
 		first, _, _ := strings.Cut(string(text), " ")
 		ran, _ := strconv.ParseFloat(first, 64)
@@ -59,7 +59,7 @@
 	return u, err
 }
 
-// fields reads the lines of a file with a name, a colon and a whole number; others are left out.
+// fields parses the lines of a file that consist of a name, a colon and an integer. It skips other lines.
 func fields(path string) (map[string]int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// This file owns what workers notify the ledger of: what runs where, what starts twice, and what
-// completed without a report to its client.
+// This file contains the ledger's handlers for worker events. They track which tasks run on which workers,
+// tasks that start twice, and completions that have not been reported to their clients.
 
-// run is a task at a worker. Attempts of one request have the same request ID at all workers.
+// run is a task that runs at a worker. Attempts of one request have the same request ID at all workers.
 type run struct {
 	worker, requestID string
-	at                time.Time
+	at                time.Time // time of the start
 }
 
-// Accepted implements hollow.Observer.
+// Accepted implements hollow.Observer. It records that a task has started at a worker.
 func (l *ledger) Accepted(worker, key, requestID string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -22,12 +22,13 @@
 		l.duplicateStart(requestID, worker, other[0])
 	}
 	l.running[key], l.keys[requestID] = append(l.running[key], run{worker, requestID, time.Now()}), key
-	delete(l.unreported, requestID) // an earlier attempt was cancelled
+	delete(l.unreported, requestID) // the completion was that of an earlier, cancelled attempt
 }
 
-// duplicateStart counts a task that starts while it runs elsewhere: as a broken rule, or as a repeat
-// where the rules allow one. A free class may be repeated without a limit; a guarded one within its
-// window, as real workers discard the repeat, which hollow ones don't. The lock is held.
+// duplicateStart counts a task that starts while it already runs, either as a rule violation or, where the
+// rules allow it, as a repeat. Tasks of a free class may be repeated without limit. Tasks of a guarded class
+// may be repeated within repeatWindow, because real workers discard such a repeat although hollow workers
+// do not. The caller holds l.mutex.
 func (l *ledger) duplicateStart(requestID, worker string, other run) {
 	r := l.requests[requestID]
 	switch {
@@ -47,10 +48,11 @@
 	}
 }
 
-// maxDuplicatesLogged bounds the duplicate starts that are logged one by one.
+// maxDuplicatesLogged is the maximum number of duplicate starts that are logged one by one.
 const maxDuplicatesLogged = 5
 
-// Ended implements hollow.Observer.
+// Ended implements hollow.Observer. It records a completion that the client must be notified of, unless
+// another attempt of the same request still runs.
 func (l *ledger) Ended(worker, requestID string, at time.Time, lost bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -72,14 +74,15 @@
 	}
 }
 
-// reported forgets the completion of a request: its client has the report, or is owed none. The lock
-// is held.
-func (l *ledger) reported(requestID string) {
+// clearUnreported removes the completion of a request from the unreported ones, because its client has
+// been notified or needs no report. The caller holds l.mutex.
+func (l *ledger) clearUnreported(requestID string) {
 	delete(l.unreported, requestID)
 	delete(l.lost, requestID)
 }
 
-// lostUnreported is how many tasks were lost with their workers without a report to their clients yet.
+// lostUnreported returns the number of tasks that were lost with their workers and not yet reported to
+// their clients.
 func (l *ledger) lostUnreported() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
