--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -72,20 +72,20 @@
 	}
 	// Running tasks complete, each with its own cause.
 	for _, completion := range []struct{ n, cause int }{{1, causeDone}, {3, causeLost}} {
-		draining.End(testbed.RequestID(completion.n), completion.cause)
+		draining.ReportCompletion(testbed.RequestID(completion.n), completion.cause)
 		run.outcomes = append(run.outcomes, user.nextCompletion(t))
 	}
 	// The worker drains and another one is listed: further offers go to the other one only.
 	server.discovery.Add(false, draining.ListEntry("draining"))
 	server.discovery.WaitPolled(t)
-	before := len(draining.Starts)
+	before := len(draining.Offers)
 	server.discovery.Add(false, other.ListEntry("up"))
 	server.discovery.WaitPolled(t)
 	for i := range 10 {
 		run.outcomes = append(run.outcomes, user.place(t, 100+i, "guide-web", fmt.Sprintf("ok-drain-%d", i)))
 	}
 	run.counts = server.counts(t)
-	run.offersDuringDrain = [2]int{len(draining.Starts) - before, len(other.Starts)}
+	run.offersDuringDrain = [2]int{len(draining.Offers) - before, len(other.Offers)}
 	return run
 }
 
@@ -161,14 +161,14 @@
 	draining, other := server.workers[0], testbed.NewWorker(t, "b")
 	server.discovery.Add(false, other.ListEntry("up"), draining.ListEntry("draining"))
 	server.discovery.WaitPolled(t)
-	before := len(draining.Starts)
+	before := len(draining.Offers)
 
 	for i := range 8 {
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
 		session.sendOffer(t, newOffer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
 	}
-	draining.End(testbed.RequestID(1), causeLost)
-	draining.End(testbed.RequestID(2), causeLost)
+	draining.ReportCompletion(testbed.RequestID(1), causeLost)
+	draining.ReportCompletion(testbed.RequestID(2), causeLost)
 
 	started, ended := 0, 0
 	for started+ended < 9 {
@@ -185,9 +185,9 @@
 			ended++
 		}
 	}
-	if started != 16 || ended != 2 || len(draining.Starts) != before || len(other.Starts) != 16 {
+	if started != 16 || ended != 2 || len(draining.Offers) != before || len(other.Offers) != 16 {
 		t.Errorf("got %d started, %d ended, %d offers to the draining worker and %d to the other; want 16, 2, 0 and 16",
-			started, ended, len(draining.Starts)-before, len(other.Starts))
+			started, ended, len(draining.Offers)-before, len(other.Offers))
 	}
 }
 
@@ -219,7 +219,7 @@
 			t.Errorf("offer %s of the other front's request or task got %v, want code AlreadyExists", id, rejection)
 		}
 	}
-	if running := server.runningTasks(t); running != 2 || server.workers[0].StartCount("ok-1") != 1 {
-		t.Errorf("got %d running tasks and %d offers of ok-1, want 2 and 1", running, server.workers[0].StartCount("ok-1"))
+	if running := server.runningTasks(t); running != 2 || server.workers[0].OfferCount("ok-1") != 1 {
+		t.Errorf("got %d running tasks and %d offers of ok-1, want 2 and 1", running, server.workers[0].OfferCount("ok-1"))
 	}
 }
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -64,7 +64,7 @@
 
 func waitForCancelConfirmation(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 	testbed.Send(client, leaverLine("missed-leaver"))
-	server.eventually(t, "the first attempt", func() bool { return server.attempts.Count(leaverID) == 1 })
+	server.eventually(t, "the first attempt", func() bool { return server.attempts.OfferCount(leaverID) == 1 })
 	// After a notice, the server writes a cancel instead of closing the connection. The delay postpones its confirmation.
 	for _, worker := range server.workers {
 		worker.SendNotice()
@@ -138,7 +138,7 @@
 				server := newSlowDialServer(t, test.workers)
 				client := server.connect(t)
 				end := test.begin(t, server, client)
-				attempts := server.attempts.Count(leaverID)
+				attempts := server.attempts.OfferCount(leaverID)
 
 				left := time.Now()
 				if method.leave(t, client); test.leaveUnread {
@@ -150,11 +150,11 @@
 
 				server.waitUntil(t, "no unconfirmed cancel", func() bool { return server.pool.UnconfirmedCancels() == 0 })
 				server.expectAllStarted(t, server.submit("ok", 1, 8000)) // a late attempt would arrive before this response
-				if n := server.attempts.Count(leaverID) - attempts; n > 0 {
+				if n := server.attempts.OfferCount(leaverID) - attempts; n > 0 {
 					t.Errorf("%d attempts began after the client had left, want none; the last %s after",
-						n, server.attempts.Last(leaverID).Sub(left))
+						n, server.attempts.LastOfferAt(leaverID).Sub(left))
 				}
-				if last := server.attempts.Last(leaverID); !last.IsZero() {
+				if last := server.attempts.LastOfferAt(leaverID); !last.IsZero() {
 					t.Logf("from the leave to the last attempt's first byte: %s", last.Sub(left))
 				}
 			})
@@ -227,13 +227,13 @@
 	t.Helper()
 	next := server.connect(t)
 	testbed.Send(next, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
-	if line := testbed.Wait(t, "the offer", server.workers[0].Starts); line.Tag != testbed.RequestID(2) {
+	if line := testbed.Wait(t, "the offer", server.workers[0].Offers); line.Tag != testbed.RequestID(2) {
 		t.Errorf("request %s was offered, want %s", line.Tag, testbed.RequestID(2))
 	}
 	if line := testbed.Wait(t, "the response", next.Lines); line.Verb != "STARTED" {
 		t.Errorf("the next request got %v, want STARTED", line)
 	}
-	if n := len(server.workers[0].Starts); n > 0 {
+	if n := len(server.workers[0].Offers); n > 0 {
 		t.Errorf("%d further offers, want none", n)
 	}
 }
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -26,7 +26,7 @@
 	server := newTestServer(t, "a")
 	malformed, overlong, valid, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
 	testbed.Send(malformed, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 60_000))
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 
 	write(t, malformed, []byte("{\"verb\":\"START\"\n"))
 	write(t, overlong, []byte(strings.Repeat("x", overlongLine)))
@@ -91,7 +91,7 @@
 			}
 		})
 	}
-	if n := server.workers[0].StartCount("ok-bad"); n != 0 {
+	if n := server.workers[0].OfferCount("ok-bad"); n != 0 {
 		t.Errorf("%d invalid submissions were offered to the worker, want none", n)
 	}
 	t.Run("another client's request ID", func(t *testing.T) { expectForeignIDIsLeftAlone(t, server, client) })
@@ -106,7 +106,7 @@
 	t.Helper()
 	other := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 300))
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	testbed.Send(other, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-other", 5000))
 	expectCause(t, "the error", other, testbed.RequestID(1), causeFailed)
 	testbed.Send(other, cancelLine(testbed.RequestID(1)))
@@ -119,7 +119,7 @@
 	t.Helper()
 	request := testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-2", 5000)
 	testbed.Send(client, request)
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	testbed.Send(client, request)
 	if line := testbed.Wait(t, "one response to both", client.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(2) {
 		t.Errorf("got %v, want FINISH for %s", line, testbed.RequestID(2))
@@ -199,7 +199,7 @@
 	request := testbed.StartLine(testbed.RequestID(1), "bulletin", "ok-1", 5000)
 	maps.Copy(request.Opts, map[string]string{"idem": "279ca3614cb41c092fc30eea25e0d5b5", "tenant": "studio", "hint": "4409.9", "retry": "1"})
 	testbed.Send(client, request)
-	offer := testbed.Wait(t, "the offer", server.workers[0].Starts)
+	offer := testbed.Wait(t, "the offer", server.workers[0].Offers)
 	for _, name := range []string{"class", "key", "idem"} {
 		if offer.Opts[name] != request.Opts[name] {
 			t.Errorf("%s: got %q, want %q", name, offer.Opts[name], request.Opts[name])
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -30,12 +30,12 @@
 	testbed.Send(second, adoptedLine(testbed.RequestID(4), "a")) // no other client submitted this task
 	pingServer(t, second)
 
-	server.workers[0].End(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 	expectCause(t, "the completion", first, testbed.RequestID(1), causeDone)
 
 	closeNow(t, first)
 	server.waitConnections(t, 2)
-	server.workers[0].End(testbed.RequestID(2), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(2), causeDone)
 	expectCause(t, "the second completion", served, testbed.RequestID(2), causeDone)
 
 	for range 9 { // these clients only ping
@@ -43,7 +43,7 @@
 	}
 	closeNow(t, served)
 	server.waitConnections(t, 10)
-	server.workers[0].End(testbed.RequestID(3), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(3), causeDone)
 	expectCause(t, "the third completion", second, testbed.RequestID(3), causeDone)
 }
 
@@ -66,12 +66,12 @@
 
 	closeNow(t, first)
 	server.waitConnections(t, 1)
-	server.workers[0].End(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 	expectCause(t, "the first completion", second, testbed.RequestID(1), causeDone)
 
 	closeNow(t, second)
 	server.waitConnections(t, 0)
-	server.workers[0].End(testbed.RequestID(2), causeLost)
+	server.workers[0].ReportCompletion(testbed.RequestID(2), causeLost)
 	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
 	// A connection that sends nothing may belong to any process. The completion waits for a connection that
 	// sends a message.
@@ -109,7 +109,7 @@
 			pingServer(t, first)
 			closeNow(t, first)
 			server.waitConnections(t, 0)
-			server.workers[0].End(testbed.RequestID(1), causeDone)
+			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 			server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 1 })
 
 			unknown := server.connect(t)
@@ -153,7 +153,7 @@
 		if line.Verb != "FINISH" || line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
 			t.Errorf("task %s: got %v, want its completion", task, line)
 		}
-		if n := server.workers[0].StartCount(task) + server.workers[1].StartCount(task); n != 1 {
+		if n := server.workers[0].OfferCount(task) + server.workers[1].OfferCount(task); n != 1 {
 			t.Errorf("task %s: offered %d times, want 1", task, n)
 		}
 	}
@@ -173,13 +173,13 @@
 		testbed.Send(client, line)
 	}
 	server.waitUntil(t, "two running tasks", func() bool { return server.dispatcher.RunningCount() == 2 })
-	server.workers[0].End(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
 	testbed.Send(client, cancelLine(testbed.RequestID(2)))
-	if line := testbed.Wait(t, "the release", server.workers[0].Ends); line.Tag != testbed.RequestID(2) {
+	if line := testbed.Wait(t, "the release", server.workers[0].Cancels); line.Tag != testbed.RequestID(2) {
 		t.Errorf("the worker got %v, want the release of request 2", line)
 	}
-	if len(server.workers[0].Starts) != 0 {
+	if len(server.workers[0].Offers) != 0 {
 		t.Error("the worker got an offer of an adopted task, want none")
 	}
 }
@@ -218,7 +218,7 @@
 				return server.loop.HasQueuedConnections() || server.clientFront.Connections() == maxClients
 			})
 			server.onLoop(t, func() {}) // one more turn of the event loop, with connections queued
-			server.workers[0].End(testbed.RequestID(1), causeDone)
+			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
 				t.Errorf("got %v, want the completion of request 1", line)
 			}
@@ -244,7 +244,7 @@
 			t.Fatalf("invalid submission: got %v, want an error", line)
 		}
 	}
-	server.workers[0].End(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
 	reconnected := server.connect(t)
 	testbed.Send(reconnected, pingLine("t"))
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -20,7 +20,7 @@
 	server := newSmallServer(t, "a")
 	busy := server.connect(t)
 	testbed.Send(busy, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 3000))
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	pinged := server.connect(t)
 	testbed.Send(pinged, pingLine("t"))
 	testbed.Wait(t, "the answer to a ping", pinged.Lines)
@@ -171,7 +171,7 @@
 			for line := range crossing.Lines { // until the connection is closed
 				t.Errorf("the evicted client got %v, want the end of its connection", line)
 			}
-			if n := server.workers[0].StartCount("ok-1"); n != 0 {
+			if n := server.workers[0].OfferCount("ok-1"); n != 0 {
 				t.Fatalf("the request on the evicted connection was offered %d times, want none", n)
 			}
 
@@ -181,7 +181,7 @@
 				t.Errorf("the repeated request got %v, want STARTED for %s", line, testbed.RequestID(1))
 			}
 			pingServer(t, again) // a second response would arrive before the answer to the ping
-			if n := server.workers[0].StartCount("ok-1"); n != 1 {
+			if n := server.workers[0].OfferCount("ok-1"); n != 1 {
 				t.Errorf("the task was offered %d times, want once", n)
 			}
 		})
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -14,7 +14,7 @@
 // needs. It keeps the connection to a worker with a running task, because the completion arrives on it.
 func TestIdleWorkerConnectionsAreEvicted(t *testing.T) {
 	const workers, tasks = 60, 6
-	server := newRelayedServer(t, workers)
+	server := newServerWithDiscoveryProxy(t, workers)
 	client := server.connect(t)
 	for i := range tasks {
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+1), "guide-web", fmt.Sprint("ok-", i), 5000))
@@ -38,7 +38,7 @@
 	for i := range tasks {
 		for _, worker := range server.workers {
 			if worker.HasTask(testbed.RequestID(i + 1)) {
-				worker.End(testbed.RequestID(i+1), causeDone)
+				worker.ReportCompletion(testbed.RequestID(i+1), causeDone)
 			}
 		}
 		if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
@@ -51,7 +51,7 @@
 // to idle workers and also borrows descriptors that clients do not use.
 func TestWorkersWithRunningTasksAreConnected(t *testing.T) {
 	const workers, tasks = 60, 20
-	server := newRelayedServer(t, workers)
+	server := newServerWithDiscoveryProxy(t, workers)
 	server.discovery.WaitPolled(t)
 	client := server.connect(t)
 	busy := server.workers[workers-tasks:]
@@ -65,7 +65,7 @@
 		})
 	}
 	for i, worker := range busy {
-		worker.End(testbed.RequestID(i+1), causeDone)
+		worker.ReportCompletion(testbed.RequestID(i+1), causeDone)
 	}
 	completed := map[string]bool{}
 	for range busy {
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -77,23 +77,23 @@
 	return accepted
 }
 
-// relayedServer is a server that connects to discovery through a proxy.
-type relayedServer struct {
+// discoveryProxyServer is a server that connects to discovery through a proxy.
+type discoveryProxyServer struct {
 	*testServer
-	relay *testbed.Proxy
+	discoveryProxy *testbed.Proxy
 }
 
-// newRelayedServer starts a server with the given number of workers, which serves at most maxClients clients.
-func newRelayedServer(t *testing.T, workers int) *relayedServer {
+// newServerWithDiscoveryProxy starts a server with the given number of workers, which serves at most maxClients clients.
+func newServerWithDiscoveryProxy(t *testing.T, workers int) *discoveryProxyServer {
 	t.Helper()
 	var names []string
 	for i := range workers {
 		names = append(names, fmt.Sprintf("w%02d", i))
 	}
-	s := &relayedServer{}
+	s := &discoveryProxyServer{}
 	s.testServer = startTestServer(t, serverOptions{sockets: smallSocketLimit, discoveryAddr: func(addr string) string {
-		s.relay = testbed.NewProxyTo(t, addr)
-		return s.relay.Addr()
+		s.discoveryProxy = testbed.NewProxyTo(t, addr)
+		return s.discoveryProxy.Addr()
 	}}, names...)
 	return s
 }
@@ -104,26 +104,26 @@
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		begin func(t *testing.T, server *relayedServer) (end func())
+		begin func(t *testing.T, server *discoveryProxyServer) (end func())
 	}{
-		{"it is silent", func(t *testing.T, server *relayedServer) func() {
-			server.relay.Partition(t)
-			return func() { server.relay.Heal(t) }
+		{"it is silent", func(t *testing.T, server *discoveryProxyServer) func() {
+			server.discoveryProxy.Partition(t)
+			return func() { server.discoveryProxy.Heal(t) }
 		}},
-		{"its connections break", func(t *testing.T, server *relayedServer) func() {
+		{"its connections break", func(t *testing.T, server *discoveryProxyServer) func() {
 			server.discovery.Server.CloseClientConnections()
-			server.relay.Partition(t)
-			return func() { server.relay.Heal(t) }
+			server.discoveryProxy.Partition(t)
+			return func() { server.discoveryProxy.Heal(t) }
 		}},
-		{"its connections stay open and silent", func(_ *testing.T, server *relayedServer) func() {
-			server.relay.Strand()
+		{"its connections stay open and silent", func(_ *testing.T, server *discoveryProxyServer) func() {
+			server.discoveryProxy.Blackhole()
 			return func() {}
 		}},
 	} {
 		for _, workers := range []int{1, 40} {
 			t.Run(fmt.Sprintf("%s, %d workers", test.name, workers), func(t *testing.T) {
 				t.Parallel()
-				server := newRelayedServer(t, workers)
+				server := newServerWithDiscoveryProxy(t, workers)
 				server.discovery.WaitPolled(t)
 				end := test.begin(t, server)
 				fillWithIdleClients(t, server)
@@ -153,7 +153,7 @@
 
 // fillWithIdleClients connects four times as many clients as the connection table holds. Every second client
 // sends one message.
-func fillWithIdleClients(t *testing.T, server *relayedServer) {
+func fillWithIdleClients(t *testing.T, server *discoveryProxyServer) {
 	t.Helper()
 	for i := range 4 * maxClients {
 		client := server.connect(t)
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -36,7 +36,7 @@
 			server := newWarmProxiedServer(t, settingsJSON, slog.New(trace), test.workers...)
 			test.play(t, server)
 			server.eventually(t, "the end of all attempts whose clients got a response", func() bool {
-				return !slices.ContainsFunc(server.attempts.Open(), func(id string) bool { return server.firstResponses[id] == "FINISH" })
+				return !slices.ContainsFunc(server.attempts.InFlight(), func(id string) bool { return server.firstResponses[id] == "FINISH" })
 			})
 			trace.expectNoEarlyOffers(t)
 			server.expectNoDuplicates(t)
@@ -51,7 +51,7 @@
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
 	}
 	missed := server.submit("missed", 60, 2000) // five per worker
-	server.noteOnceOffered(t, missed)
+	server.sendNoticesOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
 }
 
@@ -73,9 +73,9 @@
 // a may have no attempt.
 func cutBeforeCancel(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 2000)
-	server.noteOnceOffered(t, missed)
+	server.sendNoticesOnceOffered(t, missed)
 	cut := "a"
-	if len(server.attempts.OpenAt(cut)) == 0 {
+	if len(server.attempts.InFlightAt(cut)) == 0 {
 		cut = "b"
 	}
 	server.proxies[cut].Partition(t)
@@ -95,7 +95,7 @@
 // client may submit them to another orchestrator, so the attempts must not stay in flight for long.
 func cancelledIntoCut(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
-	server.noteOnceOffered(t, silent)
+	server.sendNoticesOnceOffered(t, silent)
 	server.proxies["a"].Partition(t)
 	for _, id := range silent {
 		testbed.Send(server, cancelLine(id))
@@ -107,7 +107,7 @@
 // offered again to any worker.
 func movedToAnotherAddress(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 3000)
-	server.noteOnceOffered(t, missed)
+	server.sendNoticesOnceOffered(t, missed)
 	next := testbed.NewWorker(t, "a")
 	next.Attempts = server.attempts
 	server.discovery.Add(false, next.ListEntry("up"))
@@ -117,7 +117,7 @@
 // At a shutdown, open attempts are cancelled before their clients get a response.
 func shutDownWithLinkCut(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
-	server.noteOnceOffered(t, silent)
+	server.sendNoticesOnceOffered(t, silent)
 	server.proxies["a"].Partition(t)
 	server.Stop()
 	server.waitResponses(t, silent)
@@ -131,7 +131,7 @@
 	// When attempts on the partitioned connection end, the connection is reset, which discards the release.
 	server.waitResponses(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
-	for testbed.Wait(t, "the release", server.workers[0].Ends).Tag != id {
+	for testbed.Wait(t, "the release", server.workers[0].Cancels).Tag != id {
 	}
 }
 
@@ -155,7 +155,7 @@
 	server.lastID++
 	late := testbed.RequestID(server.lastID) // attempts of its class are not abandoned early
 	testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
-	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.Open(), late) })
+	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.InFlight(), late) })
 	dials, _ := server.workers[0].DialCounts()
 	server.eventually(t, "another connection", func() bool { // opened after the worker has been silent for long
 		time.Sleep(450 * time.Millisecond) // the interval between the client's requests, in which the worker is silent
@@ -186,9 +186,9 @@
 	for range 30 { // servers: placement is random, and about every second draw puts all attempts at one worker
 		server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 		missed := server.submit("missed", 4, 2000)
-		server.noteOnceOffered(t, missed)
+		server.sendNoticesOnceOffered(t, missed)
 		for _, worker := range server.workers {
-			if len(server.attempts.OpenAt(worker.Name)) < len(missed) {
+			if len(server.attempts.InFlightAt(worker.Name)) < len(missed) {
 				continue
 			}
 			for name, proxy := range server.proxies {
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -71,7 +71,7 @@
 		gauge("open", s.dispatcher.OpenCount()), gauge("standing", s.dispatcher.RunningCount()),
 		gauge("owners", s.clientFront.Connections()), gauge("sockets_free", s.loop.FreeDescriptors()),
 		gauge("storm_state", int(overload.State)), gauge("storm_kind", int(overload.Kind)),
-		{Name: "storm_pace", Value: overload.ReleaseRate}, {Name: "storm_held", Value: overload.Pending},
-		{Name: "storm_booked", Value: overload.InSlots},
+		{Name: "storm_pace", Value: overload.ReleaseRate}, {Name: "storm_held", Value: overload.PendingUnits},
+		{Name: "storm_booked", Value: overload.ReservedUnits},
 	}
 }
--- a/cmd/ravenhitch/grpc.go
+++ b/cmd/ravenhitch/grpc.go
@@ -25,7 +25,7 @@
 	}
 	s.grpcAddr = listener.Addr().String()
 	s.grpcFront = grpcfront.New(s.loop, s.dispatcher, creds)
-	if s.tokenKeysPath = operators.RetryTokenKeys; s.tokenKeysPath != "" {
+	if s.tokenKeysPath = operators.RetryTokenKeysPath; s.tokenKeysPath != "" {
 		keys, err := loadTokenKeys(s.tokenKeysPath)
 		if err != nil {
 			_ = listener.Close() // the error of the keys is returned instead
--- a/cmd/ravenhitch/grpc_session_test.go
+++ b/cmd/ravenhitch/grpc_session_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("repeat %d: got %v, want the same binding to worker a", i, got)
 		}
 	}
-	server.workers[0].End(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 	if ended := testbed.Wait(t, "the completion", other.messages).GetEnded(); ended.GetHow() != edgepb.Ended_HOW_DONE {
 		t.Errorf("completion: got %v, want HOW_DONE", ended)
 	}
@@ -51,7 +51,7 @@
 	if codes.Code(rejection.GetCode()) != codes.AlreadyExists {
 		t.Errorf("repeat after the completion: got %v, want code AlreadyExists", rejection)
 	}
-	if n := server.workers[0].StartCount("ok-cut"); n != 1 {
+	if n := server.workers[0].OfferCount("ok-cut"); n != 1 {
 		t.Errorf("the task was offered to the worker %d times, want 1", n)
 	}
 }
@@ -61,7 +61,7 @@
 	server := newTestServer(t, "a")
 	first := server.openSession(t, "s")
 	first.sendOffer(t, newOffer(testbed.RequestID(1), "guide-web", "silent-x", 600))
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	first.disconnectAndDrain()
 	resumed := server.openSession(t, "s")
 	rejection := testbed.Wait(t, "the response", resumed.messages).GetRejection()
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -62,7 +62,7 @@
 			expectDetails(t, err, test.want)
 		})
 	}
-	if n := worker.StartCount("error-1"); n != 1 {
+	if n := worker.OfferCount("error-1"); n != 1 {
 		t.Errorf("a task that must not start twice was offered %d times, want 1, as its worker reported an error", n)
 	}
 	t.Run("deadline", func(t *testing.T) { expectDeadline(t, client, worker) })
@@ -116,8 +116,8 @@
 }
 
 func expectCancelled(t *testing.T, client edgepb.OrchestratorClient, worker *testbed.Worker) {
-	for len(worker.Starts) > 0 {
-		<-worker.Starts
+	for len(worker.Offers) > 0 {
+		<-worker.Offers
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	errs := make(chan error, 1)
@@ -125,7 +125,7 @@
 		_, err := client.Place(ctx, newOffer(testbed.RequestID(21), "archive-cut", "silent-2", 0))
 		errs <- err
 	}()
-	for testbed.Wait(t, "the offer", worker.Starts).Tag != testbed.RequestID(21) {
+	for testbed.Wait(t, "the offer", worker.Offers).Tag != testbed.RequestID(21) {
 	}
 	cancel()
 	if err := testbed.Wait(t, "the end of the call", errs); status.Code(err) != codes.Canceled {
@@ -141,7 +141,7 @@
 	if _, err := client.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(1)}); err != nil {
 		t.Error(err)
 	}
-	if line := testbed.Wait(t, "the release", worker.Ends); line.Tag != testbed.RequestID(1) {
+	if line := testbed.Wait(t, "the release", worker.Cancels); line.Tag != testbed.RequestID(1) {
 		t.Errorf("the worker got %v, want the release of request 1", line)
 	}
 	if _, err := client.Release(context.Background(), &edgepb.ReleaseRequest{OfferId: testbed.RequestID(99)}); status.Code(err) != codes.NotFound {
@@ -156,7 +156,7 @@
 	timeout := time.After(10 * time.Second)
 	for {
 		select {
-		case line := <-worker.Ends:
+		case line := <-worker.Cancels:
 			if line.Tag == id && line.Cause() == causeDone {
 				return
 			}
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -21,7 +21,7 @@
 var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "ok-1")
-		server.workers[0].End(id, causeDone)
+		server.workers[0].ReportCompletion(id, causeDone)
 		expectCompletion(t, client, id)
 	},
 	"released by its client": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
@@ -40,7 +40,7 @@
 	},
 	"cancelled": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		testbed.Send(client, testbed.StartLine(id, "archive-cut", "silent-1", 5000))
-		testbed.Wait(t, "the offer", server.workers[0].Starts)
+		testbed.Wait(t, "the offer", server.workers[0].Offers)
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the cancel", client.Lines); line.Verb != "FINISHED" {
 			t.Fatalf("got %v, want FINISHED", line)
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 		testbed.Send(leaving, testbed.StartLine(id, "archive-cut", "silent-1", 5000))
-		testbed.Wait(t, "the offer", server.workers[0].Starts)
+		testbed.Wait(t, "the offer", server.workers[0].Offers)
 		closeNow(t, leaving)
 		server.waitUntil(t, "the end of the request", func() bool { return server.dispatcher.OpenCount() == 0 })
 	},
@@ -102,8 +102,8 @@
 func discardNotes(worker *testbed.Worker) {
 	for {
 		select {
-		case <-worker.Starts:
-		case <-worker.Ends:
+		case <-worker.Offers:
+		case <-worker.Cancels:
 		case <-worker.LostOffers:
 		default:
 			return
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -43,7 +43,7 @@
 	_, addr, _ := strings.Cut(testbed.Wait(t, "the first log line", lines), "listen=")
 	client := testbed.NewClient(t, strings.Fields(addr)[0])
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1500))
-	testbed.Wait(t, "the offer", worker.Starts)
+	testbed.Wait(t, "the offer", worker.Offers)
 
 	if err := os.WriteFile(configPath, nil, 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -68,7 +68,7 @@
 		snapshot.At, last.Started, last.Rejected, last.Failed, last.Lost, clearLine)
 	for _, state := range snapshot.Fleet {
 		fmt.Fprintf(&text, "  %-4s %-8s %-8s seen alive by %d, suspected by %d, dead by %d; sees %d%s\n",
-			state.Name, state.Zone, statusOf(state).label, state.Alive, state.Suspected, state.Dead, state.Sees, clearLine)
+			state.Name, state.Zone, statusOf(state).label, state.Alive, state.Suspected, state.Dead, state.ViewSize, clearLine)
 	}
 	p.drawnLines = len(snapshot.Fleet) + 1
 	return text.String()
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -58,16 +58,16 @@
 	return ids
 }
 
-// noteOnceOffered waits until there are at least half as many open attempts as requests. It then lets every
+// sendNoticesOnceOffered waits until there are at least half as many open attempts as requests. It then lets every
 // worker send a notice and waits until the server has read the notices.
-func (s *proxiedServer) noteOnceOffered(t *testing.T, ids []string) {
+func (s *proxiedServer) sendNoticesOnceOffered(t *testing.T, ids []string) {
 	t.Helper()
-	s.eventually(t, "half of the offers", func() bool { return 2*len(s.attempts.Open()) >= len(ids) })
+	s.eventually(t, "half of the offers", func() bool { return 2*len(s.attempts.InFlight()) >= len(ids) })
 	for _, worker := range s.workers {
 		proxy := s.proxies[worker.Name]
-		before := proxy.Returned()
+		before := proxy.ForwardedReads()
 		worker.SendNotice()
-		s.eventually(t, "the notice of "+worker.Name, func() bool { return proxy.Returned() > before })
+		s.eventually(t, "the notice of "+worker.Name, func() bool { return proxy.ForwardedReads() > before })
 	}
 	s.onLoop(t, func() {}) // after two turns, the server has read everything that was forwarded
 	s.onLoop(t, func() {})
@@ -125,7 +125,7 @@
 // waitNoOpenAttempt waits until no attempt is in flight.
 func (s *proxiedServer) waitNoOpenAttempt(t *testing.T) {
 	t.Helper()
-	s.eventually(t, "no open attempt", func() bool { return len(s.attempts.Open()) == 0 })
+	s.eventually(t, "no open attempt", func() bool { return len(s.attempts.InFlight()) == 0 })
 }
 
 // eventually waits until a condition holds, and fails the test if it does not within testbed.Timeout.
--- a/cmd/ravenhitch/recording.go
+++ b/cmd/ravenhitch/recording.go
@@ -39,7 +39,7 @@
 // saveRecording judges the rehearsal, writes the recording and prints the summary. If rules were broken, its
 // error gives their number and the first of them.
 func (c *rehearseCommand) saveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
-	verdict := rig.Judge()
+	verdict := rig.Evaluate()
 	failures := slices.Concat(host.failures, verdict.Violations)
 	if unanswered := len(placed.Unanswered()); unanswered > 0 {
 		failures = append(failures, fmt.Sprintf("%d requests without a response", unanswered))
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -113,14 +113,14 @@
 		Seed: max(1, c.Seed)})
 	length := time.Duration(c.Seconds) * time.Second
 	if len(steps) == 0 {
-		steps = rig.Draw(c.Seed, length)
+		steps = rig.DrawSchedule(c.Seed, length)
 	}
-	if err := rig.Check(steps); err != nil {
+	if err := rig.CheckSchedule(steps); err != nil {
 		return err
 	}
 	host.printf("playing for %s: %s\n", length, testbed.FormatSchedule(steps))
-	rig.Watch()
-	placed := rig.Demand(length)
+	rig.StartSampling()
+	placed := rig.SubmitTasks(length)
 	if err := showUntilPlayed(host, rig, placed, steps, length, interrupts); err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			if snapshot, ok := rig.Last(); ok {
+			if snapshot, ok := rig.LatestSnapshot(); ok {
 				progress.show(snapshot, placed.Seconds())
 			}
 		case <-interrupts:
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -31,7 +31,7 @@
 	if err := os.WriteFile(keysPath, []byte(tokenKeys), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	operators := config.OperatorSettings{GRPCListen: "127.0.0.1:0", RetryTokenKeys: keysPath}
+	operators := config.OperatorSettings{GRPCListen: "127.0.0.1:0", RetryTokenKeysPath: keysPath}
 	return startTestServer(t, serverOptions{operators: operators}, "a"), keysPath
 }
 
@@ -136,7 +136,7 @@
 	if got := server.tokenCounts(t); got.Good != 1 || got.Bad+got.Early+got.Expired+got.Used != 0 {
 		t.Errorf("retry token counts: got %+v, want one good token and no other", got)
 	}
-	if n := b.StartCount("ok-7"); n != 1 {
+	if n := b.OfferCount("ok-7"); n != 1 {
 		t.Errorf("the task was offered to worker b %d times, want 1", n)
 	}
 }
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -24,23 +24,23 @@
 			server := newTestServer(t, "a", "b")
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), class, "held-1", 5000))
-			server.sendAwayOnceOffered(t, testbed.RequestID(1))
+			server.evictOnceOffered(t, testbed.RequestID(1))
 			expectCause(t, "the response", client, testbed.RequestID(1), causeFailed)
-			if offers := server.workers[0].StartCount("held-1") + server.workers[1].StartCount("held-1"); offers != 1 {
+			if offers := server.workers[0].OfferCount("held-1") + server.workers[1].OfferCount("held-1"); offers != 1 {
 				t.Errorf("the task was offered %d times, want 1", offers)
 			}
 		})
 	}
 }
 
-// sendAwayOnceOffered waits until the task of a request runs at a worker, and has that worker end it as a draining
+// evictOnceOffered waits until the task of a request runs at a worker, and has that worker end it as a draining
 // worker does.
-func (s *testServer) sendAwayOnceOffered(t *testing.T, requestID string) {
+func (s *testServer) evictOnceOffered(t *testing.T, requestID string) {
 	t.Helper()
 	for {
 		for _, worker := range s.workers {
 			if worker.HasTask(requestID) {
-				worker.SendAway(requestID)
+				worker.EvictTask(requestID)
 				return
 			}
 		}
@@ -61,7 +61,7 @@
 		name string
 		send func(worker *testbed.Worker, requestID string)
 	}{
-		{"sent away", func(worker *testbed.Worker, requestID string) { worker.SendAway(requestID) }},
+		{"sent away", func(worker *testbed.Worker, requestID string) { worker.EvictTask(requestID) }},
 		{"completed", func(worker *testbed.Worker, requestID string) { worker.SendFinish(requestID, causeDone) }},
 	} {
 		t.Run(end.name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 			worker := server.workers[0]
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "held-1", 5000))
-			testbed.Wait(t, "the offer", worker.Starts)
+			testbed.Wait(t, "the offer", worker.Offers)
 			server.drainOnlyWorker(t)
 			worker.CloseConnections()
 			server.waitUntil(t, "the reset attempt", func() bool { return server.dispatcher.Counts().Reset == 1 })
@@ -77,7 +77,7 @@
 			expectCause(t, "the response", client, testbed.RequestID(1), causeFailed)
 			server.undrainOnlyWorker()
 			server.discovery.WaitPolled(t)
-			if offers := worker.StartCount("held-1"); offers != 1 {
+			if offers := worker.OfferCount("held-1"); offers != 1 {
 				t.Errorf("the task was offered %d times, want 1", offers)
 			}
 		})
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -149,7 +149,7 @@
 	}
 	settings := dispatch.BackpressureSettings(cfg.Settings)
 	settings.MinRetryAfterUs = operators.Backpressure.MinRetryAfter.Microseconds()
-	settings.MaxClients = operators.Backpressure.MaxClients
+	settings.MaxClients = operators.Backpressure.MaxRememberedClients
 	s.dispatcher.SetAdvisor(backpressure.New(settings, cfg.Seed))
 	return nil
 }
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -13,11 +13,11 @@
 func TestProbesDisabled(t *testing.T) {
 	server := newWarmProxiedServer(t, changedSettings(t, settingChange{"Limits.Probes", false}), nil, "a", "b")
 	missed := server.submit("missed", 8, 2000)
-	server.noteOnceOffered(t, missed)
+	server.sendNoticesOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
 	// Cancelled requests need no cancel confirmation, and no connection is closed for them.
 	silent := server.submit("silent", 4, 60_000)
-	server.noteOnceOffered(t, silent)
+	server.sendNoticesOnceOffered(t, silent)
 	for _, id := range silent {
 		testbed.Send(server, cancelLine(id))
 	}
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -23,7 +23,7 @@
 	server := newTestServer(t, "a")
 	early := server.connect(t)
 	testbed.Send(early, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1200))
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	server.Stop()
 	server.onLoop(t, func() {}) // the shutdown has begun
 	late := server.connect(t)
@@ -47,7 +47,7 @@
 	classes := []string{"guide-web", "archive-cut"}
 	for i, class := range classes {
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+1), class, fmt.Sprint("silent-", i), 60_000))
-		testbed.Wait(t, "the offer", server.workers[0].Starts)
+		testbed.Wait(t, "the offer", server.workers[0].Offers)
 	}
 	server.drainOnlyWorker(t)
 	for i, class := range classes { // never offered, as the only worker is draining
@@ -92,7 +92,7 @@
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
 	conn := newSlowReader(t, server)
 	testbed.Send(conn, testbed.StartLine(testbed.RequestID(1), "archive-cut", "silent-1", 60_000))
-	testbed.Wait(t, "the offer", server.workers[0].Starts)
+	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	turnAfter := make(chan bool, 1)
 	var check func()
 	check = func() {
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -29,8 +29,8 @@
 	return &traceRecorder{Handler: slog.DiscardHandler, cancelledAt: map[string]int64{}}
 }
 
-// closingFor returns the time between the first and the last end of a connection to a worker.
-func (r *traceRecorder) closingFor() time.Duration {
+// closingDuration returns the time between the first and the last end of a connection to a worker.
+func (r *traceRecorder) closingDuration() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.connectionEnds) == 0 {
--- a/cmd/ravenhitch/unreachable_workers_test.go
+++ b/cmd/ravenhitch/unreachable_workers_test.go
@@ -33,7 +33,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := newWarmProxiedServer(t, settingsJSON, nil, strings.Fields(test.workers)...)
 			missed := server.submit("missed", 4*len(server.workers), 4000)
-			server.noteOnceOffered(t, missed)
+			server.sendNoticesOnceOffered(t, missed)
 			for i, worker := range server.workers {
 				if i%2 == 0 {
 					test.injectFault(t, server, worker)
@@ -49,7 +49,7 @@
 func TestWorkersReturnOnceReached(t *testing.T) {
 	server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 	missed := server.submit("missed", 4, 2000)
-	server.noteOnceOffered(t, missed)
+	server.sendNoticesOnceOffered(t, missed)
 	for _, proxy := range server.proxies {
 		proxy.Partition(t)
 	}
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -29,7 +29,7 @@
 		{"ended with a close and no reset", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.CloseGracefully() }, causeLost},
 		{"refusing connections, and alive", func(t *testing.T, worker *testbed.Worker, trace *traceRecorder) {
 			worker.RefuseConnections()
-			for limit := time.Now().Add(3 * testbed.Timeout); trace.closingFor() < 2*deadAfterRefused; time.Sleep(time.Millisecond) {
+			for limit := time.Now().Add(3 * testbed.Timeout); trace.closingDuration() < 2*deadAfterRefused; time.Sleep(time.Millisecond) {
 				if time.Now().After(limit) {
 					t.Fatal("the server did not keep dialling the worker for twice deadAfterRefused")
 				}
@@ -69,8 +69,8 @@
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || *line.Blob != "alive holds about "+task {
 			t.Errorf("got %v, want STARTED from worker alive", line)
 		}
-		if alive.StartCount(task) != 1 {
-			t.Errorf("task %s: offered to worker alive %d times, want 1", task, alive.StartCount(task))
+		if alive.OfferCount(task) != 1 {
+			t.Errorf("task %s: offered to worker alive %d times, want 1", task, alive.OfferCount(task))
 		}
 	}
 	if n := server.counts(t).ConnectFailed; n == 0 {
@@ -87,7 +87,7 @@
 	testbed.Wait(t, "the response", client.Lines)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-1", 5000))
 	for _, what := range []string{"ok-1", "the first attempt", "the second attempt"} {
-		testbed.Wait(t, what, server.workers[0].Starts)
+		testbed.Wait(t, what, server.workers[0].Offers)
 	}
 	if dials, _ := server.workers[0].DialCounts(); dials < 2 {
 		t.Errorf("got %d connections to the worker, want at least 2", dials)
@@ -102,8 +102,8 @@
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the response", client.Lines)
 	worker := server.workers[0]
-	worker.Forget()
-	worker.End(testbed.RequestID(1), causeDone)
+	worker.ForgetConnections()
+	worker.ReportCompletion(testbed.RequestID(1), causeDone)
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
 }
 
@@ -116,7 +116,7 @@
 	if line := testbed.Wait(t, "the response", client.Lines); line.Cause() == causeRejected || line.Verb != "FINISH" {
 		t.Errorf("got %v, want FINISH with a code other than a rejection", line)
 	}
-	if n := server.workers[0].StartCount("reset-1"); n != 1 {
+	if n := server.workers[0].OfferCount("reset-1"); n != 1 {
 		t.Errorf("the task was offered %d times, want 1", n)
 	}
 }
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -50,7 +50,7 @@
 	if d := time.Since(began); d > 3*time.Second {
 		t.Errorf("%s: got both responses after %s, want at most 3 s", kind, d)
 	}
-	if n := worker.StartCount(kind+"-cut") + worker.StartCount("silent-"+kind); n != 2 {
+	if n := worker.OfferCount(kind+"-cut") + worker.OfferCount("silent-"+kind); n != 2 {
 		t.Errorf("%s: got %d offers of the two tasks, want 2", kind, n)
 	}
 }
@@ -65,7 +65,7 @@
 		t.Fatalf("got %v, want STARTED", line)
 	}
 	for _, cause := range []int{causeRejected, causeNeverSent, causeDone} {
-		server.workers[0].End(testbed.RequestID(1), cause)
+		server.workers[0].ReportCompletion(testbed.RequestID(1), cause)
 	}
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	return a.encoder.End(batch.Seq)
+	return a.encoder.EndReply(batch.Seq)
 }
 
 // start starts an instance, which replaces any instance of the same number. Invalid settings are
@@ -97,7 +97,7 @@
 	scheduler, err := placement.New(item.Settings, item.Seed)
 	if err != nil {
 		delete(a.schedulers, item.Instance)
-		return a.encoder.Failed(item.Instance, err.Error())
+		return a.encoder.WriteFault(item.Instance, err.Error())
 	}
 	a.schedulers[item.Instance] = scheduler
 	return nil
@@ -112,9 +112,9 @@
 	}
 	actions, failure := handleEvents(scheduler, now, events)
 	if failure != "" {
-		return a.encoder.Failed(instance, failure)
+		return a.encoder.WriteFault(instance, failure)
 	}
-	return a.encoder.Actions(instance, actions)
+	return a.encoder.WriteActions(instance, actions)
 }
 
 // handleEvents returns the actions of a scheduler for events, or the text of its panic.
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -202,18 +202,18 @@
 
 // Figures holds the metrics of a Controller.
 type Figures struct {
-	State       State
-	Kind        Kind
-	ReleaseRate float64 // last known release rate in units per second, 0 if there is none
-	Pending     float64 // units that wait for free capacity
-	InSlots     float64 // units that have reserved slots
+	State         State
+	Kind          Kind
+	ReleaseRate   float64 // last known release rate in units per second, 0 if there is none
+	PendingUnits  float64 // units that wait for free capacity
+	ReservedUnits float64 // units that have reserved slots
 }
 
 // Figures returns the current metrics.
 func (c *Controller) Figures(now int64) Figures {
-	f := Figures{State: c.detector.state, Kind: c.detector.kind, ReleaseRate: c.releases.rate(now), Pending: c.pendingSum}
+	f := Figures{State: c.detector.state, Kind: c.detector.kind, ReleaseRate: c.releases.rate(now), PendingUnits: c.pendingSum}
 	for class := range c.pending {
-		f.InSlots += c.calendar.total(class)
+		f.ReservedUnits += c.calendar.total(class)
 	}
 	return f
 }
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -136,13 +136,13 @@
 			t.Fatalf("Retry-After is %.1f s, want between 0 and 3 s", seconds(wait))
 		}
 	}
-	if f := c.Figures(now); f.InSlots < 100_000 {
-		t.Errorf("%.0f units are reserved, want at least 100000", f.InSlots)
+	if f := c.Figures(now); f.ReservedUnits < 100_000 {
+		t.Errorf("%.0f units are reserved, want at least 100000", f.ReservedUnits)
 	}
 	now += 200 * second
 	c.SetPending(now, nil)
-	if f := c.Figures(now); f.InSlots != 0 {
-		t.Errorf("%.0f units are still reserved 200 s later, want 0", f.InSlots)
+	if f := c.Figures(now); f.ReservedUnits != 0 {
+		t.Errorf("%.0f units are still reserved 200 s later, want 0", f.ReservedUnits)
 	}
 }
 
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -74,7 +74,7 @@
 // malformed message.
 func (c *clientConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	now := c.front.loop.Now()
-	used, err := jsonlines.Lines(b, func(line []byte) error {
+	used, err := jsonlines.ForEachLine(b, func(line []byte) error {
 		message, err := jsonlines.Parse(line)
 		if err != nil {
 			return err
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -85,7 +85,7 @@
 			"listen":  setWord(&o.GRPCListen, "address:port", isAddress),
 			"cert":    setWord(&o.GRPCCert, "the file of a certificate", isNotEmpty),
 			"key":     setWord(&o.GRPCKey, "the file of its key", isNotEmpty),
-			"tickets": setWord(&o.RetryTokenKeys, "the file of the keys of return tickets", isNotEmpty),
+			"tickets": setWord(&o.RetryTokenKeysPath, "the file of the keys of return tickets", isNotEmpty),
 		},
 		"graphite": o.Graphite.directives("address:port", isAddress),
 		"collectd": o.Collectd.directives("the absolute path of a Unix socket", isAbsolutePath),
@@ -202,7 +202,7 @@
 // setMaxClients sets the maximum number of rejected clients that are remembered.
 func (b *Backpressure) setMaxClients(d Directive) error {
 	count, err := d.Int(minRememberedClients, maxRememberedClients)
-	b.MaxClients = int(count)
+	b.MaxRememberedClients = int(count)
 	return err
 }
 
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -22,14 +22,14 @@
 // OperatorSettings is the content of the operators' file: optional protocols, each of which is off
 // while its address is empty, and the settings of backpressure, worker connections and the log.
 type OperatorSettings struct {
-	GRPCListen        string
-	GRPCCert, GRPCKey string // paths of the certificate and its key, or ""
-	RetryTokenKeys    string // path of the file of retry token keys, or ""
-	Graphite          Metrics
-	Collectd          Metrics
-	Backpressure      Backpressure
-	Peers             Peers
-	Workers           WorkerConnections
+	GRPCListen         string
+	GRPCCert, GRPCKey  string // paths of the certificate and its key, or ""
+	RetryTokenKeysPath string // path of the file of retry token keys, or ""
+	Graphite           Metrics
+	Collectd           Metrics
+	Backpressure       Backpressure
+	Peers              Peers
+	Workers            WorkerConnections
 	// LogLevel is the lowest level of log lines that are written. At the debug level, each
 	// step of every request writes a line, which costs time under load.
 	LogLevel slog.Level
@@ -79,9 +79,9 @@
 
 // Backpressure configures Retry-After.
 type Backpressure struct {
-	FixedRetryAfter time.Duration // Retry-After of all clients; 0: each client gets that of its reserved slot
-	MinRetryAfter   time.Duration // lower bound of Retry-After unless FixedRetryAfter is set
-	MaxClients      int           // maximum number of rejected clients remembered; 0: a default that fits a small host
+	FixedRetryAfter      time.Duration // Retry-After of all clients; 0: each client gets that of its reserved slot
+	MinRetryAfter        time.Duration // lower bound of Retry-After unless FixedRetryAfter is set
+	MaxRememberedClients int           // maximum number of rejected clients remembered; 0: a default that fits a small host
 }
 
 // LoadOperatorSettings reads the operators' file. If the file does not exist, it returns the defaults.
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -42,9 +42,9 @@
 		}
 	}
 	wantBackpressure := Backpressure{
-		FixedRetryAfter: time.Second,
-		MinRetryAfter:   20 * time.Millisecond,
-		MaxClients:      2048,
+		FixedRetryAfter:      time.Second,
+		MinRetryAfter:        20 * time.Millisecond,
+		MaxRememberedClients: 2048,
 	}
 	o, err := ParseOperatorSettings("x", []byte("[grpc]\nlisten 127.0.0.1:7000 # here\n\n"+
 		"[graphite]\r\n address 127.0.0.1:2003\r\n\tprefix \"a.b\"\n"+
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -121,7 +121,7 @@
 	if !object.IsObject() {
 		return placement.Settings{}, &FieldError{Field: "settings", Want: "an object"}
 	}
-	settings, err := simwire.Settings(Pairs(object))
+	settings, err := simwire.ParseSettings(Pairs(object))
 	if err != nil {
 		return placement.Settings{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -41,11 +41,11 @@
 
 // Nested settings and the same settings as flat pairs give equal results.
 func TestSettingsOnBothWires(t *testing.T) {
-	a, err := simwire.Settings(Pairs(gjson.Parse(nested)))
+	a, err := simwire.ParseSettings(Pairs(gjson.Parse(nested)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := simwire.Settings(strings.Fields(flat))
+	b, err := simwire.ParseSettings(strings.Fields(flat))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -39,9 +39,9 @@
 	return &Budget{freeDescriptors: free, total: total, maxClients: maxClients, connectedClients: clients}
 }
 
-// WorkersConnected adds count to the number of connections to workers. A negative count records closed
+// AddWorkerConns adds count to the number of connections to workers. A negative count records closed
 // connections.
-func (b *Budget) WorkersConnected(count int) {
+func (b *Budget) AddWorkerConns(count int) {
 	if b != nil {
 		b.workerConns += count
 	}
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := New(total, maxClients, func() int { return c.free }, func() int { return c.clients })
-			budget.WorkersConnected(c.workers)
+			budget.AddWorkerConns(c.workers)
 			if got := budget.AdmitsClient(); got != c.wantClient {
 				t.Errorf("AdmitsClient() = %v, want %v", got, c.wantClient)
 			}
@@ -41,11 +41,11 @@
 // After connections to workers are closed, the share of the workers is guaranteed again.
 func TestWorkersDisconnected(t *testing.T) {
 	budget := New(120, 40, func() int { return 50 }, func() int { return 0 })
-	budget.WorkersConnected(74)
+	budget.AddWorkerConns(74)
 	if !budget.AdmitsClient() {
 		t.Error("AdmitsClient() = false while workers use their whole share, want true")
 	}
-	budget.WorkersConnected(-74)
+	budget.AddWorkerConns(-74)
 	if budget.AdmitsClient() {
 		t.Error("AdmitsClient() = true while the share of the workers is unused, want false")
 	}
@@ -53,7 +53,7 @@
 
 func TestNilBudgetAdmitsAll(t *testing.T) {
 	var budget *Budget
-	budget.WorkersConnected(1)
+	budget.AddWorkerConns(1)
 	if !budget.AdmitsClient() || !budget.AdmitsWorker() || !budget.AdmitsRequiredWorker() {
 		t.Error("a nil Budget rejected a connection")
 	}
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -67,7 +67,7 @@
 	f.updateAssignment(event.Workers, event.Complete)
 	for _, member := range event.Workers {
 		f.pool.UpdateWorker(member.Worker, member.Addr, member.State != placement.Removed)
-		f.pool.WorkerStarted(member.Worker, member.StartedAtUs)
+		f.pool.UpdateWorkerStart(member.Worker, member.StartedAtUs)
 	}
 }
 
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -52,7 +52,7 @@
 // microseconds. Dial returns an error if the attempt cannot be started; later failures are reported to the handler.
 func (l *Loop) Dial(addr string, timeoutUs int64, handler Handler) (*Conn, error) {
 	if l.FreeDescriptors() <= 0 {
-		return nil, ErrBudget
+		return nil, ErrNoDescriptor
 	}
 	fd, sa, err := openSocket("dial", unix.SOCK_STREAM, addr)
 	if err != nil {
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -51,8 +51,8 @@
 				t.Errorf("dial within the descriptor budget: got error %v, want none", err)
 			}
 		}
-		if _, err := loop.Dial(listener.Addr().String(), timeoutUs, newEchoHandler()); !errors.Is(err, ErrBudget) {
-			t.Errorf("dial over the descriptor budget: got error %v, want %v", err, ErrBudget)
+		if _, err := loop.Dial(listener.Addr().String(), timeoutUs, newEchoHandler()); !errors.Is(err, ErrNoDescriptor) {
+			t.Errorf("dial over the descriptor budget: got error %v, want %v", err, ErrNoDescriptor)
 		}
 		if _, err := loop.Dial("nowhere", timeoutUs, newEchoHandler()); err == nil {
 			t.Error("dial of an invalid address: got no error, want one")
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -5,12 +5,12 @@
 import "errors"
 
 // Errors with which the loop closes a connection ([ErrTimeout], [ErrEOF], [ErrOverflow]) or refuses to dial one
-// ([ErrBudget]).
+// ([ErrNoDescriptor]).
 var (
-	ErrTimeout  = errors.New("eventloop: connection not established in time")
-	ErrEOF      = errors.New("eventloop: closed by the other side")
-	ErrOverflow = errors.New("eventloop: too much unsent output: the other side does not read")
-	ErrBudget   = errors.New("eventloop: no descriptor left in the budget")
+	ErrTimeout      = errors.New("eventloop: connection not established in time")
+	ErrEOF          = errors.New("eventloop: closed by the other side")
+	ErrOverflow     = errors.New("eventloop: too much unsent output: the other side does not read")
+	ErrNoDescriptor = errors.New("eventloop: no descriptor left in the budget")
 )
 
 // ErrNotListening means that an inherited descriptor is not a listening socket. It is wrapped in an [OpError], whose
--- a/internal/jsonlines/lines.go
+++ b/internal/jsonlines/lines.go
@@ -4,11 +4,11 @@
 
 import "bytes"
 
-// Lines calls handle with each complete line of b and returns the number of bytes consumed. Each line is passed
+// ForEachLine calls handle with each complete line of b and returns the number of bytes consumed. Each line is passed
 // without its line feed and without trailing carriage returns and spaces; lines that are then empty are skipped.
-// Lines stops at the first error of handle and returns it. It returns ErrLineTooLong as soon as a line is known to
+// ForEachLine stops at the first error of handle and returns it. It returns ErrLineTooLong as soon as a line is known to
 // exceed MaxLine bytes, even if the line is still incomplete.
-func Lines(b []byte, handle func(line []byte) error) (used int, err error) {
+func ForEachLine(b []byte, handle func(line []byte) error) (used int, err error) {
 	for used < len(b) {
 		rest := b[used:]
 		length := bytes.IndexByte(rest[:min(len(rest), MaxLine)], '\n')
--- a/internal/jsonlines/message_test.go
+++ b/internal/jsonlines/message_test.go
@@ -47,7 +47,7 @@
 		}
 		var got []Message
 		err := rapidtest.Feed(t, stream, func(b []byte) (int, error) {
-			return Lines(b, func(line []byte) error {
+			return ForEachLine(b, func(line []byte) error {
 				m, err := Parse(line)
 				got = append(got, m)
 				return err
@@ -133,13 +133,13 @@
 	m := Message{Verb: VerbStart, Tag: "9b1f03aa5c7e2d41", HasBlob: true}
 	m.Blob = strings.Repeat("x", MaxLine-len(Append(nil, &m)))
 	line := Append(nil, &m)
-	if used, err := Lines(line, discardLine); used != MaxLine || err != nil {
+	if used, err := ForEachLine(line, discardLine); used != MaxLine || err != nil {
 		t.Errorf("line of 16 KiB: got %d bytes used and error %v, want all bytes used and no error", used, err)
 	}
-	if _, err := Lines(line[:MaxLine-1], discardLine); err != nil {
+	if _, err := ForEachLine(line[:MaxLine-1], discardLine); err != nil {
 		t.Errorf("incomplete line of one byte less than 16 KiB: got error %v, want none", err)
 	}
-	if _, err := Lines(bytes.Repeat([]byte("x"), MaxLine), discardLine); !errors.Is(err, ErrLineTooLong) {
+	if _, err := ForEachLine(bytes.Repeat([]byte("x"), MaxLine), discardLine); !errors.Is(err, ErrLineTooLong) {
 		t.Errorf("line of more than 16 KiB: got error %v, want ErrLineTooLong", err)
 	}
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -123,7 +123,7 @@
 func reachableByHandshake(h *harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if probe, ok := a.(HandshakeProbe); ok {
-			h.perform(h.HandshakeProbed(h.now, probe.Name, aliveUpdate("b").Nonce, HandshakeAnswered))
+			h.perform(h.HandshakeProbeDone(h.now, probe.Name, aliveUpdate("b").Nonce, HandshakeAnswered))
 		}
 		return nil
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -7,7 +7,7 @@
 // The package uses no sockets, clocks or goroutines. The caller passes the current time in microseconds. Only
 // the local member's time is used, so a wrong clock on another member does no harm. All random draws come from
 // one seed. Methods return the operations to perform as a list of [Action] values; the caller hands the results
-// to [Table.Receive] and [Table.HandshakeProbed].
+// to [Table.Receive] and [Table.HandshakeProbeDone].
 //
 // Invariants: the table never declares a member dead because of reports from members that cannot reach it while
 // the local member can, nor because of silence that a stall of the local process may have caused.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -174,8 +174,8 @@
 	HandshakeRefused                         // no process listens at the address
 )
 
-// HandshakeProbed handles the result of a HandshakeProbe. The nonce is that of the process that answered.
-func (t *Table) HandshakeProbed(now int64, name string, nonce uint64, result HandshakeResult) []Action {
+// HandshakeProbeDone handles the result of a HandshakeProbe. The nonce is that of the process that answered.
+func (t *Table) HandshakeProbeDone(now int64, name string, nonce uint64, result HandshakeResult) []Action {
 	t.now = now
 	m := t.members[name]
 	if m == nil || m.State >= Dead {
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -91,7 +91,7 @@
 	end := func(after int64, result HandshakeResult, nonce uint64) {
 		c.schedule(c.now+after, func() {
 			if prober.up && prober.starts == start && prober.pausedUntil <= c.now {
-				c.perform(from, prober.HandshakeProbed(c.now, h.Name, nonce, result))
+				c.perform(from, prober.HandshakeProbeDone(c.now, h.Name, nonce, result))
 			}
 		})
 	}
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -104,7 +104,7 @@
 			}
 			h.answerForB = func(a Action) *Message {
 				if probe, ok := a.(HandshakeProbe); ok && c.alone {
-					h.perform(h.HandshakeProbed(h.now, probe.Name, 0, HandshakeRefused))
+					h.perform(h.HandshakeProbeDone(h.now, probe.Name, 0, HandshakeRefused))
 				}
 				return nil
 			}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -18,7 +18,7 @@
 }
 
 // HandshakeProbe asks the caller to open a connection on which both sides send a hello. The caller passes the
-// result to [Table.HandshakeProbed].
+// result to [Table.HandshakeProbeDone].
 type HandshakeProbe struct{ Name, Addr string }
 
 func (Send) action()           {}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -51,7 +51,7 @@
 // report passes the result to the table. nonce is the incarnation nonce in the hello, or 0 without one.
 func (h *handshakeProbe) report(nonce uint64, result membership.HandshakeResult) {
 	p := h.peers
-	p.perform(p.table.HandshakeProbed(p.loop.Now(), h.member, nonce, result))
+	p.perform(p.table.HandshakeProbeDone(p.loop.Now(), h.member, nonce, result))
 }
 
 // Opened implements eventloop.Handler.
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -81,19 +81,19 @@
 	return strings.Join(parts, ",")
 }
 
-// ErrSet is the error that all errors of Parse wrap.
-var ErrSet = errors.New("no set of shards")
+// ErrInvalidSet is the error that all errors of Parse wrap.
+var ErrInvalidSet = errors.New("no set of shards")
 
 // ParseError reports a part of a text that is not a valid zone of a set, or that repeats a zone.
 type ParseError struct{ Part string }
 
 // Error returns the expected format and the invalid part.
 func (e *ParseError) Error() string {
-	return fmt.Sprintf("%v: expected a zone and %d hex digits, each zone once, got %.40q", ErrSet, bitsDigits, e.Part)
+	return fmt.Sprintf("%v: expected a zone and %d hex digits, each zone once, got %.40q", ErrInvalidSet, bitsDigits, e.Part)
 }
 
 // Unwrap returns ErrSet.
-func (e *ParseError) Unwrap() error { return ErrSet }
+func (e *ParseError) Unwrap() error { return ErrInvalidSet }
 
 // Parse parses the text form of a set, which String returns. Its errors are of type *ParseError.
 func Parse(text string) (Set, error) {
--- a/internal/shard/set_test.go
+++ b/internal/shard/set_test.go
@@ -57,7 +57,7 @@
 		one + ",", "," + one, one + "," + one, "a:-000000000000001",
 	} {
 		var parseError *ParseError
-		if s, err := Parse(text); !errors.Is(err, ErrSet) || !errors.As(err, &parseError) {
+		if s, err := Parse(text); !errors.Is(err, ErrInvalidSet) || !errors.As(err, &parseError) {
 			t.Errorf("Parse(%q): got %v, %v, want a ParseError", text, s, err)
 		}
 	}
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -19,8 +19,8 @@
 	return &Encoder{w: bufio.NewWriterSize(w, bufferSize)}
 }
 
-// Actions writes the actions of one instance, one per line.
-func (e *Encoder) Actions(instance int, actions []placement.Action) error {
+// WriteActions writes the actions of one instance, one per line.
+func (e *Encoder) WriteActions(instance int, actions []placement.Action) error {
 	for _, action := range actions {
 		if err := e.action(instance, action); err != nil {
 			return err
@@ -62,14 +62,14 @@
 	return err
 }
 
-// Failed writes a FAULT line, which reports that the scheduler of an instance has failed.
-func (e *Encoder) Failed(instance int, text string) error {
+// WriteFault writes a FAULT line, which reports that the scheduler of an instance has failed.
+func (e *Encoder) WriteFault(instance int, text string) error {
 	_, err := fmt.Fprintf(e.w, "FAULT %d %s\n", instance, singleLine(text))
 	return err
 }
 
-// End completes the reply to the batch with sequence seq and flushes it.
-func (e *Encoder) End(seq string) error {
+// EndReply completes the reply to the batch with sequence seq and flushes it.
+func (e *Encoder) EndReply(seq string) error {
 	if _, err := fmt.Fprintf(e.w, "READY %s\n", seq); err != nil {
 		return err
 	}
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -13,7 +13,7 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	encoder := NewEncoder(&out)
-	if err := encoder.Actions(3, []placement.Action{
+	if err := encoder.WriteActions(3, []placement.Action{
 		placement.Place{RequestID: "t", Worker: "m", AbandonAtUs: 9}, placement.Reject{RequestID: "t"},
 		placement.Fail{RequestID: "t"}, placement.Migrate{RequestID: "t"}, placement.Probe{Worker: "m"},
 		placement.WatchWorkers{Active: true}, placement.RefreshWorkers{}, placement.CancelAttempt{RequestID: "t", Attempt: 1},
@@ -24,7 +24,7 @@
 	if out.Len() != 0 {
 		t.Errorf("got %d bytes of output before End, want none", out.Len())
 	}
-	if err := errors.Join(encoder.Failed(3, "panic: x"), encoder.End("12")); err != nil {
+	if err := errors.Join(encoder.WriteFault(3, "panic: x"), encoder.EndReply("12")); err != nil {
 		t.Fatal(err)
 	}
 	want := "PLACE 3 t m 9\nDENY 3 t 0\nERROR 3 t\nMOVE 3 t\nASK_LOAD 3 m\nOBSERVE 3 1\nREFRESH 3\nCANCEL 3 t 1\n" +
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -54,7 +54,7 @@
 func decodeEnlist(_ *Decoder, f *fields, item *Item) (err error) {
 	item.Kind = InstanceStarted
 	item.Seed = f.uint("Prng")
-	item.Settings, err = Settings(f.rest())
+	item.Settings, err = ParseSettings(f.rest())
 	return err
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -28,9 +28,9 @@
 	}
 )
 
-// Settings parses path=value pairs into the settings of a scheduler. It ignores unknown paths. An
+// ParseSettings parses path=value pairs into the settings of a scheduler. It ignores unknown paths. An
 // error that it returns is a *SettingError.
-func Settings(pairs []string) (placement.Settings, error) {
+func ParseSettings(pairs []string) (placement.Settings, error) {
 	r := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, pair := range pairs {
 		path, value, found := strings.Cut(pair, "=")
--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -154,16 +154,16 @@
 	}
 }
 
-// Count returns the number of offers of a request.
-func (a *AttemptLog) Count(requestID string) int {
+// OfferCount returns the number of offers of a request.
+func (a *AttemptLog) OfferCount(requestID string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.offers[requestID]
 }
 
-// Last returns the arrival time of the last offer of a request, or the zero time if there was
+// LastOfferAt returns the arrival time of the last offer of a request, or the zero time if there was
 // no offer.
-func (a *AttemptLog) Last(requestID string) time.Time {
+func (a *AttemptLog) LastOfferAt(requestID string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastOffer[requestID]
@@ -177,9 +177,9 @@
 	return a.lastWorker[requestID]
 }
 
-// Open returns the IDs of the requests with an attempt in flight whose task is not running.
+// InFlight returns the IDs of the requests with an attempt in flight whose task is not running.
 // A request with such attempts at several workers is listed once for each.
-func (a *AttemptLog) Open() (requestIDs []string) {
+func (a *AttemptLog) InFlight() (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for requestID, attempts := range a.inFlight {
@@ -192,9 +192,9 @@
 	return requestIDs
 }
 
-// OpenAt returns the IDs of the requests with an attempt in flight at one worker whose task is
+// InFlightAt returns the IDs of the requests with an attempt in flight at one worker whose task is
 // not running there.
-func (a *AttemptLog) OpenAt(worker string) (requestIDs []string) {
+func (a *AttemptLog) InFlightAt(worker string) (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for requestID, attempts := range a.inFlight {
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -109,9 +109,9 @@
 	p.unanswered = append(p.unanswered, requestID)
 }
 
-// Demand starts a client for each orchestrator and returns at once. The clients submit tasks for the
+// SubmitTasks starts a client for each orchestrator and returns at once. The clients submit tasks for the
 // given time and reconnect if their connection ends.
-func (f *Fleet) Demand(length time.Duration) *Placements {
+func (f *Fleet) SubmitTasks(length time.Duration) *Placements {
 	p := &Placements{startedAt: time.Now()}
 	for i, o := range f.Orchestrators {
 		p.clients.Go(func() { f.submitUntil(p.startedAt.Add(length), p, i, o) })
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -49,8 +49,8 @@
 	latestView  map[string]int64             // highest view number that each orchestrator reported
 }
 
-// Judge returns the verdict on all samples so far. At least one sample must have been taken.
-func (f *Fleet) Judge() Verdict {
+// Evaluate returns the verdict on all samples so far. At least one sample must have been taken.
+func (f *Fleet) Evaluate() Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := &evaluation{
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -72,7 +72,7 @@
 // configure opens the paths of an orchestrator and writes its configuration files.
 func (f *Fleet) configure(index int, o *Orchestrator, options Options) error {
 	operatorsFile := ""
-	if !options.Alone {
+	if !options.WithoutPeers {
 		var err error
 		if operatorsFile, err = f.peerSection(o); err != nil {
 			return err
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -12,7 +12,7 @@
 	Alive     int    `json:"alive"`     // number of others that report it alive
 	Suspected int    `json:"suspected"` // number of others that suspect it
 	Dead      int    `json:"dead"`      // number of others that report it dead or left
-	Sees      int    `json:"sees"`      // number of members in its own stable view
+	ViewSize  int    `json:"sees"`      // number of members in its own stable view
 }
 
 // Snapshot describes all orchestrators in one sample.
@@ -40,8 +40,8 @@
 	return snapshots, steps
 }
 
-// Last returns a snapshot of the latest sample, or false if there is none yet.
-func (f *Fleet) Last() (Snapshot, bool) {
+// LatestSnapshot returns a snapshot of the latest sample, or false if there is none yet.
+func (f *Fleet) LatestSnapshot() (Snapshot, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.samples) == 0 {
@@ -55,7 +55,7 @@
 	for _, o := range f.Orchestrators {
 		state := OrchestratorState{Name: o.Name, Zone: o.Zone, Up: s.running[o.Name]}
 		if report := s.reports[o.Name]; report != nil {
-			state.Sees = len(report.View.Names)
+			state.ViewSize = len(report.View.Names)
 		}
 		s.countReports(&state)
 		m.Fleet = append(m.Fleet, state)
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -25,7 +25,7 @@
 	Orchestrators int      // number of orchestrators
 	Workers       int      // number of workers; 0 means defaultWorkers
 	Seed          uint64   // seed of the network's random faults; the orchestrators' seeds are derived from it
-	Alone         bool     // run the orchestrators without peers, not as a cluster
+	WithoutPeers  bool     // run the orchestrators without peers, not as a cluster
 }
 
 const (
@@ -94,8 +94,8 @@
 func (f *Fleet) discardEvents(worker *testbed.Worker) {
 	for {
 		select {
-		case <-worker.Starts:
-		case <-worker.Ends:
+		case <-worker.Offers:
+		case <-worker.Cancels:
 		case <-f.stop:
 			return
 		}
--- a/internal/testbed/fleet/sample.go
+++ b/internal/testbed/fleet/sample.go
@@ -30,8 +30,8 @@
 	open      map[path]bool                 // paths between orchestrators that are neither cut nor refusing
 }
 
-// Watch starts to take samples, every samplePeriod until the fleet shuts down.
-func (f *Fleet) Watch() {
+// StartSampling starts to take samples, every samplePeriod until the fleet shuts down.
+func (f *Fleet) StartSampling() {
 	f.goroutines.Go(func() {
 		ticker := time.NewTicker(samplePeriod)
 		defer ticker.Stop()
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -21,8 +21,8 @@
 // path is one direction between two processes.
 type path struct{ from, to string }
 
-// Draw returns a schedule for this fleet, drawn from a seed.
-func (f *Fleet) Draw(seed uint64, length time.Duration) []testbed.Step {
+// DrawSchedule returns a schedule for this fleet, drawn from a seed.
+func (f *Fleet) DrawSchedule(seed uint64, length time.Duration) []testbed.Step {
 	byZone := map[string][]string{}
 	for _, o := range f.Orchestrators {
 		byZone[o.Zone] = append(byZone[o.Zone], o.Name)
@@ -30,8 +30,8 @@
 	return testbed.DrawSchedule(seed, byZone, length)
 }
 
-// Check returns an error if a schedule names a process or path that the fleet does not have.
-func (f *Fleet) Check(steps []testbed.Step) error {
+// CheckSchedule returns an error if a schedule names a process or path that the fleet does not have.
+func (f *Fleet) CheckSchedule(steps []testbed.Step) error {
 	for _, step := range steps {
 		if err := f.checkStep(step); err != nil {
 			return err
--- a/internal/testbed/hollow/byte_counters.go
+++ b/internal/testbed/hollow/byte_counters.go
@@ -7,8 +7,8 @@
 // ByteCounters counts the bytes that a simulated worker, client or server receives and sends.
 type ByteCounters struct{ Received, Sent counter }
 
-// Count returns a connection that reads and writes conn and adds the bytes to b.
-func (b *ByteCounters) Count(conn net.Conn) net.Conn { return countingConnection{conn, b} }
+// Wrap returns a connection that reads and writes conn and adds the bytes to b.
+func (b *ByteCounters) Wrap(conn net.Conn) net.Conn { return countingConnection{conn, b} }
 
 type countingConnection struct {
 	net.Conn
@@ -40,5 +40,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.bytes.Count(conn), nil
+	return l.bytes.Wrap(conn), nil
 }
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -79,9 +79,9 @@
 	d.paused = paused
 }
 
-// EntriesSent returns the number of changed entries published so far. An entry counts once, however
+// EntriesPublished returns the number of changed entries published so far. An entry counts once, however
 // many orchestrators receive it.
-func (d *Discovery) EntriesSent() int64 {
+func (d *Discovery) EntriesPublished() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.entriesSent
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -233,7 +233,7 @@
 	if len(complete.Cmds) != 1 || !complete.Cmds[0].Nodes.Complete || complete.Cursor != maxEvents+3 {
 		t.Errorf("orchestrator more than %d events behind: got %+v, want the complete list as event %d", maxEvents, complete, maxEvents+3)
 	}
-	if last := subscription.LastPolled(); last != 2 {
+	if last := subscription.LastAppliedRevision(); last != 2 {
 		t.Errorf("LastPolled: got %d, want 2", last)
 	}
 	if initial := parsePollAnswer(t, []byte(subscription.InitialList())); initial.Cursor != 1 {
--- a/internal/testbed/hollow/subscription.go
+++ b/internal/testbed/hollow/subscription.go
@@ -58,8 +58,8 @@
 // orchestrator sent.
 func (s *Subscription) Bytes() *ByteCounters { return s.listener.bytes }
 
-// LastPolled returns the revision of the last event that the orchestrator has applied.
-func (s *Subscription) LastPolled() int {
+// LastAppliedRevision returns the revision of the last event that the orchestrator has applied.
+func (s *Subscription) LastAppliedRevision() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lastPolled
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Strand makes the proxy forward nothing more on the connections that are open now, neither data
+// Blackhole makes the proxy forward nothing more on the connections that are open now, neither data
 // nor their end. New connections are not affected.
-func (p *Proxy) Strand() {
+func (p *Proxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stranded = map[net.Conn]bool{}
@@ -198,8 +198,8 @@
 	return p.delay
 }
 
-// Returned returns the number of reads from the worker that were forwarded to the orchestrator.
-func (p *Proxy) Returned() int {
+// ForwardedReads returns the number of reads from the worker that were forwarded to the orchestrator.
+func (p *Proxy) ForwardedReads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.returned
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -20,10 +20,10 @@
 // Worker is a stand-in worker. If it has a CapacityModel, the model responds to offers.
 // Otherwise the script that the task's key names determines the response (see answerByScript).
 type Worker struct {
-	Name   string
-	Kind   string    // kind in the worker's list entry, "std" unless the test sets it
-	Starts chan Line // received offers, in order; only without a CapacityModel
-	Ends   chan Line // received cancels and releases, in order; only without a CapacityModel
+	Name    string
+	Kind    string    // kind in the worker's list entry, "std" unless the test sets it
+	Offers  chan Line // received offers, in order; only without a CapacityModel
+	Cancels chan Line // received cancels and releases, in order; only without a CapacityModel
 	// LostOffers receives each offer whose connection closed before the orchestrator released the
 	// offer, whether the worker responded or not: closing a connection cancels its open offers.
 	// Offers that exceed the capacity of maxLostOffers are dropped.
@@ -42,7 +42,7 @@
 	connections      map[net.Conn]bool
 	offerConnections map[string]net.Conn // connection of each offer, by request ID
 	running          map[string]bool     // running tasks, by request ID
-	offers           map[string]int      // number of offers, by the task's key
+	offerCounts      map[string]int      // number of offers, by the task's key
 	dials            int                 // number of connections accepted
 	unreported       []Line              // completions to send on the next connection
 	unresponsive     bool                // the worker reads messages and ignores them
@@ -62,8 +62,8 @@
 	w := &Worker{
 		Name:             name,
 		Kind:             "std",
-		Starts:           make(chan Line, maxUnread),
-		Ends:             make(chan Line, maxUnread),
+		Offers:           make(chan Line, maxUnread),
+		Cancels:          make(chan Line, maxUnread),
 		LostOffers:       make(chan Line, maxLostOffers),
 		host:             t,
 		listener:         listener,
@@ -71,7 +71,7 @@
 		connections:      map[net.Conn]bool{},
 		offerConnections: map[string]net.Conn{},
 		running:          map[string]bool{},
-		offers:           map[string]int{},
+		offerCounts:      map[string]int{},
 	}
 	w.dialled = sync.NewCond(&w.mu)
 	go w.accept(listener)
@@ -172,7 +172,7 @@
 		return true
 	}
 	open = w.answerByScript(conn, line)
-	w.Starts <- line
+	w.Offers <- line
 	return open
 }
 
@@ -190,7 +190,7 @@
 	if wasRunning {
 		Send(conn, FinishLine("FINISH", line.Tag, codeCancelled))
 	}
-	w.Ends <- line
+	w.Cancels <- line
 }
 
 func (w *Worker) receivePing(conn net.Conn, line Line) {
@@ -230,8 +230,8 @@
 	w.sendEnd(requestID, FinishLine("FINISH", requestID, rc))
 }
 
-// SendAway ends a running task as a draining worker does and reports the end like SendFinish.
-func (w *Worker) SendAway(requestID string) { w.sendEnd(requestID, drainedLine(requestID)) }
+// EvictTask ends a running task as a draining worker does and reports the end like SendFinish.
+func (w *Worker) EvictTask(requestID string) { w.sendEnd(requestID, drainedLine(requestID)) }
 
 // sendEnd ends a running task and reports the end with the given message.
 func (w *Worker) sendEnd(requestID string, line Line) {
@@ -246,9 +246,9 @@
 	w.mu.Unlock()
 }
 
-// End completes a task and reports the completion with a code on any open connection. If none is
-// open, End waits for the next one.
-func (w *Worker) End(requestID string, rc int) {
+// ReportCompletion completes a task and reports the completion with a code on any open connection. If none is
+// open, ReportCompletion waits for the next one.
+func (w *Worker) ReportCompletion(requestID string, rc int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.running, requestID)
@@ -280,11 +280,11 @@
 	return w.listener.Addr().String()
 }
 
-// StartCount returns the number of offers of the task with a key.
-func (w *Worker) StartCount(key string) int {
+// OfferCount returns the number of offers of the task with a key.
+func (w *Worker) OfferCount(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.offers[key]
+	return w.offerCounts[key]
 }
 
 // HasTask reports whether the task of a request is running.
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// Forget makes the worker treat its open connections as lost, without closing them, and waits for
+// ForgetConnections makes the worker treat its open connections as lost, without closing them, and waits for
 // a new connection.
-func (w *Worker) Forget() {
+func (w *Worker) ForgetConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	dials := w.dials
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -24,13 +24,13 @@
 func (w *Worker) answerByScript(conn net.Conn, line Line) (open bool) {
 	key := line.Opts["key"]
 	w.mu.Lock()
-	w.offers[key]++
+	w.offerCounts[key]++
 	w.mu.Unlock()
 	switch script := w.script(line); script {
 	case "ok":
 		w.startTask(conn, line.Tag, *line.Blob)
 	case "half", "bare":
-		if w.StartCount(key) == 1 {
+		if w.OfferCount(key) == 1 {
 			answerInvalid(conn, script, line)
 			return true
 		}
@@ -70,7 +70,7 @@
 	if script != "missed" {
 		return script
 	}
-	if w.Attempts.Count(line.Tag) > 1 {
+	if w.Attempts.OfferCount(line.Tag) > 1 {
 		return "ok"
 	}
 	return "silent"
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -139,7 +139,7 @@
 	}
 	before := len(l.conns)
 	l.conns = slices.DeleteFunc(l.conns, func(other *workerConn) bool { return other == c })
-	pool.budget.WorkersConnected(len(l.conns) - before)
+	pool.budget.AddWorkerConns(len(l.conns) - before)
 	resend := c.settleOffers(err)
 	c.failProbes()
 	for _, offer := range resend {
@@ -201,7 +201,7 @@
 func (c *workerConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	loop := c.link.pool.loop
 	c.lastReadAt, c.link.refusedSince = loop.Now(), 0
-	used, err := jsonlines.Lines(b, c.handleLine)
+	used, err := jsonlines.ForEachLine(b, c.handleLine)
 	if used > 0 {
 		c.partialTimer.Stop()
 	}
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -92,7 +92,7 @@
 	}
 	c.conn = conn
 	l.conns = append(l.conns, c)
-	l.pool.budget.WorkersConnected(1)
+	l.pool.budget.AddWorkerConns(1)
 	return c
 }
 
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -13,11 +13,11 @@
 func TestListedStartEndsTasks(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
-	lt.pool.WorkerStarted(workerName, 0)
+	lt.pool.UpdateWorkerStart(workerName, 0)
 	lt.adopt("t1")
 	lt.runUntil(func() bool { return l.conns[0].conn.IsUp() })
 
-	lt.pool.WorkerStarted(workerName, lt.futureStart())
+	lt.pool.UpdateWorkerStart(workerName, lt.futureStart())
 	if !lt.dispatcher.IsRunning("t1") {
 		t.Fatal("a listed start ended a task while a connection dialled before the start was up")
 	}
@@ -34,7 +34,7 @@
 
 	lt.adopt("t2")
 	lt.sweep(l)
-	lt.pool.WorkerStarted(workerName, l.processStartedAt) // discovery reports the same start again
+	lt.pool.UpdateWorkerStart(workerName, l.processStartedAt) // discovery reports the same start again
 	if !lt.dispatcher.IsRunning("t2") {
 		t.Error("a start that was already applied ended another task")
 	}
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -200,8 +200,8 @@
 	})
 }
 
-// WorkerStarted applies the start time of a worker's process that discovery reported, as a Unix time in microseconds.
-func (p *Pool) WorkerStarted(worker string, startedAt int64) {
+// UpdateWorkerStart applies the start time of a worker's process that discovery reported, as a Unix time in microseconds.
+func (p *Pool) UpdateWorkerStart(worker string, startedAt int64) {
 	if l := p.links[worker]; l != nil && startedAt > l.processStartedAt {
 		l.processStartedAt, l.restartPending = startedAt, true
 		l.applyRestart()
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -8,8 +8,8 @@
 // This file must not make decisions.
 
 const (
-	// programWorkers is the number of workers over which the tasks of a program are spread.
-	programWorkers = 12.0
+	// preferredWorkerCount is the number of workers over which the tasks of a program are spread.
+	preferredWorkerCount = 12.0
 	// maxPreferredPrograms is the maximum number of programs whose preferred workers are cached.
 	maxPreferredPrograms = 4096
 )
@@ -24,9 +24,9 @@
 // clear empties the cache. It must be called when workers are added, removed or reassigned.
 func (a *affinity) clear() { clear(a.preferred) }
 
-// workersFor returns the preferred workers of a program among the given workers. nameHashes holds the hashes
+// preferredWorkers returns the preferred workers of a program among the given workers. nameHashes holds the hashes
 // of their names in the same order, and assigned is how many of them are assigned to this scheduler.
-func (a *affinity) workersFor(
+func (a *affinity) preferredWorkers(
 	program uint64, workers []*workerInfo, nameHashes []uint64, assigned int,
 ) []*workerInfo {
 	if preferred, ok := a.preferred[program]; ok {
@@ -39,10 +39,10 @@
 	programHash := mix(program)
 	// An integer comparison excludes most workers: a rank below programWorkers implies a hash above
 	// minHash.
-	minHash := uint64(max(0, 1-1.001*programWorkers/float64(max(1, assigned))) * math.MaxUint64)
+	minHash := uint64(max(0, 1-1.001*preferredWorkerCount/float64(max(1, assigned))) * math.MaxUint64)
 	for i := nextHash(nameHashes, 0, programHash, minHash); i < len(nameHashes); {
 		rank := hashedRank(mix(nameHashes[i]^programHash), assigned)
-		if rank < programWorkers && !workers[i].foreign {
+		if rank < preferredWorkerCount && !workers[i].foreign {
 			preferred = append(preferred, workers[i])
 		}
 		i = nextHash(nameHashes, i+1, programHash, minHash)
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -38,7 +38,7 @@
 	}
 	worker.decayCalibration(c.now)
 	cores, memory := c.loads.requested(worker)
-	effectiveCores, effectiveMemory := c.capacity.of(worker)
+	effectiveCores, effectiveMemory := c.capacity.effective(worker)
 	factor := &worker.calibration[m.resource]
 	utilizations := [resourceCount]float64{cores / effectiveCores, memory / effectiveMemory}
 	utilization := utilizations[m.resource] * *factor
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -46,9 +46,9 @@
 	c.baseline = fractions{cores, memory}
 }
 
-// of returns the effective capacity of a worker of a known kind. Utilization is relative to effective
-// capacity: a worker with a utilization of 1 can carry no more.
-func (c *capacityModel) of(worker *workerInfo) (cores, memory float64) {
+// effective returns the effective capacity effective a worker effective a known kind. Utilization is relative to effective
+// capacity: a worker with a utilization effective 1 can carry no more.
+func (c *capacityModel) effective(worker *workerInfo) (cores, memory float64) {
 	kind := c.kindOf(worker)
 	worker.decayCalibration(c.now)
 	return kind.Cores * c.baseline.cores * worker.calibration[resourceCores],
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -26,8 +26,8 @@
 // start schedules the first poll.
 func (d *discovery) start() { d.pollAt = d.now + d.jitter(maxInitialDelay) }
 
-// listed schedules the next poll after a failure, and stops polling after a list that is not a cached one.
-func (d *discovery) listed(kind ListKind) {
+// recordList schedules the next poll after a failure, and stops polling after a list that is not a cached one.
+func (d *discovery) recordList(kind ListKind) {
 	switch kind {
 	case ListFailed:
 		d.attempts++
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -63,7 +63,7 @@
 	if cores+task.Cores > acceptedCores || memory+task.Memory > acceptedMemory {
 		return false
 	}
-	effectiveCores, effectiveMemory := f.capacity.of(worker)
+	effectiveCores, effectiveMemory := f.capacity.effective(worker)
 	if max(task.Cores/effectiveCores, task.Memory/effectiveMemory) > largeTaskShare && f.waitedLong(task) {
 		return true // a fleet with evenly loaded workers has no gap for a large task
 	}
--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -14,29 +14,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 1))
-			f.at(ms, list)
-			f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "b")
+			f.handleAfter(ms, list)
+			f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "b")
 		})
 	}
 }
 
 func TestUnlistedDrainIsAssumed(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
-	f.wantPlaced(f.at(10*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseWrongWorker}), "b")
-	f.wantPlaced(f.at(10*ms, f.request("2", "safe", 1, 2)), "b")
-	f.at(assumedDrain, WorkerList{Kind: ListDelta})
-	f.wantPlaced(f.at(0, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + second, Program: 8}}), "a")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
+	f.wantPlaced(f.handleAfter(10*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseWrongWorker}), "b")
+	f.wantPlaced(f.handleAfter(10*ms, f.request("2", "safe", 1, 2)), "b")
+	f.handleAfter(assumedDrain, WorkerList{Kind: ListDelta})
+	f.wantPlaced(f.handleAfter(0, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + second, Program: 8}}), "a")
 }
 
 func TestLargeTaskGoesOverEffectiveCapacity(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, Entry{Worker: "a", Kind: "large", FreeCores: 4, FreeMemory: 60})
 	// Running tasks use all cores that they request, so the effective capacity is 0.8 of the cores.
-	f.at(0, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
-	f.at(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
-	f.wantPlaced(f.at(ms, f.request("s", "safe", 1, 2)), "")
-	f.wantPlaced(f.at(ms, f.request("1", "large", 20, 20)), "")
-	if got := ofType[Place](f.at(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
+	f.handleAfter(0, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
+	f.handleAfter(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
+	f.wantPlaced(f.handleAfter(ms, f.request("s", "safe", 1, 2)), "")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "large", 20, 20)), "")
+	if got := ofType[Place](f.handleAfter(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
 		t.Errorf("got offers %v, want one of the large task", got)
 	}
 }
@@ -44,9 +44,9 @@
 func TestFullHealthyWorkersAreWaitedFor(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, -16), smallWorker("c", 0, -16))
 	f.scheduler.fleet.workers["a"].addSuspicion(f.now, maxSuspicion)
-	f.wantPlaced(f.at(ms, f.request("1", "unsafe", 1, 2)), "")
-	f.wantPlaced(f.at(ms, f.request("2", "safe", 1, 2)), "a")
-	if got := ofType[Place](f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "unsafe", 1, 2)), "")
+	f.wantPlaced(f.handleAfter(ms, f.request("2", "safe", 1, 2)), "a")
+	if got := ofType[Place](f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
 		t.Errorf("got offers %v, want one of the unsafe task to c", got)
 	}
 }
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -45,12 +45,12 @@
 		t.Fatal(err)
 	}
 	f := &fixture{t: t, scheduler: scheduler, now: 1_000_000_000}
-	f.at(0, WorkerList{Kind: ListCached, Entries: entries})
+	f.handleAfter(0, WorkerList{Kind: ListCached, Entries: entries})
 	return f
 }
 
-// at advances the clock by a time in microseconds, and passes events to the scheduler.
-func (f *fixture) at(after int64, events ...Event) []Action {
+// handleAfter advances the clock by a time in microseconds, and passes events to the scheduler.
+func (f *fixture) handleAfter(after int64, events ...Event) []Action {
 	f.now += after
 	return f.scheduler.Handle(f.now, events)
 }
@@ -70,8 +70,8 @@
 	}
 }
 
-// madeUpTask returns a task that was not submitted to the scheduler.
-func (f *fixture) madeUpTask(program uint64) *taskInfo {
+// syntheticTask returns a task that was not submitted to the scheduler.
+func (f *fixture) syntheticTask(program uint64) *taskInfo {
 	request := f.request("probe", "safe", 1, 2)
 	request.Program = program
 	return &taskInfo{Task: request.Task, arrivedAt: f.now, queuedSince: f.now}
@@ -80,11 +80,11 @@
 // startTask submits a task and accepts its offer on behalf of the worker.
 func (f *fixture) startTask(requestID string) {
 	f.t.Helper()
-	got := ofType[Place](f.at(ms, f.request(requestID, "safe", 1, 2)))
+	got := ofType[Place](f.handleAfter(ms, f.request(requestID, "safe", 1, 2)))
 	if len(got) != 1 {
 		f.t.Fatalf("got %d offers of task %s, want 1", len(got), requestID)
 	}
-	f.at(ms, Accepted{RequestID: requestID, Worker: got[0].Worker, RTTUs: ms})
+	f.handleAfter(ms, Accepted{RequestID: requestID, Worker: got[0].Worker, RTTUs: ms})
 }
 
 func smallWorker(name string, cell int, spareCores float64) Entry {
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -188,5 +188,5 @@
 
 // preferredFor returns the preferred workers of a program, over which its tasks are distributed.
 func (f *fleet) preferredFor(program uint64) []*workerInfo {
-	return f.affinity.workersFor(program, f.sorted, f.nameHashes, f.assignedCount())
+	return f.affinity.preferredWorkers(program, f.sorted, f.nameHashes, f.assignedCount())
 }
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -18,11 +18,11 @@
 		entry.State = Removed
 		removed.Entries = append(removed.Entries, entry)
 	}
-	f.at(ms, removed)
+	f.handleAfter(ms, removed)
 	for requestID, task := range f.scheduler.requests.tasks {
-		f.at(0, AttemptEnded{RequestID: requestID, Attempt: len(task.attempts) - 1, Outcome: Completed, Final: true})
+		f.handleAfter(0, AttemptEnded{RequestID: requestID, Attempt: len(task.attempts) - 1, Outcome: Completed, Final: true})
 	}
-	f.at(ms, WorkerList{Kind: ListDelta})
+	f.handleAfter(ms, WorkerList{Kind: ListDelta})
 	f.scheduler.fleet.refresh()
 	scheduler := f.scheduler
 	if left := len(scheduler.fleet.sorted) + len(scheduler.fleet.workers) + len(scheduler.fleet.unlisted) + len(scheduler.residents.workers) + len(scheduler.affinity.preferred) + countEntries(scheduler); left != 0 {
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -96,20 +96,20 @@
 func TestWorkerIsReassigned(t *testing.T) {
 	a, b := smallWorker("a", 1, 8), smallWorker("b", 2, 8)
 	f := newFixture(t, testSettings(), 1, a)
-	f.wantPlaced(f.at(10*ms, f.request("1", "safe", 1, 1)), "a")
-	f.at(10*ms, Accepted{RequestID: "1", Worker: "a", RTTUs: ms})
+	f.wantPlaced(f.handleAfter(10*ms, f.request("1", "safe", 1, 1)), "a")
+	f.handleAfter(10*ms, Accepted{RequestID: "1", Worker: "a", RTTUs: ms})
 	a.State = Foreign
-	for _, action := range f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}}) {
+	for _, action := range f.handleAfter(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}}) {
 		t.Errorf("got action %+v when a worker is reassigned, want none", action)
 	}
-	f.wantPlaced(f.at(10*ms, f.request("2", "safe", 1, 1)), "b")
+	f.wantPlaced(f.handleAfter(10*ms, f.request("2", "safe", 1, 1)), "b")
 	if worker := f.scheduler.fleet.workers["a"]; len(worker.running) != 1 {
 		t.Errorf("got %d tasks running on the foreign worker, want 1", len(worker.running))
 	}
 	a.State, b.State = Ready, Foreign
-	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
-	f.wantPlaced(f.at(10*ms, f.request("3", "safe", 1, 1)), "a")
-	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
+	f.handleAfter(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a, b}})
+	f.wantPlaced(f.handleAfter(10*ms, f.request("3", "safe", 1, 1)), "a")
+	f.handleAfter(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{{Worker: "b", State: Removed}}})
 	if f.scheduler.fleet.foreignCount != 0 {
 		t.Errorf("got a count of %d foreign workers after the removal, want 0", f.scheduler.fleet.foreignCount)
 	}
@@ -120,20 +120,20 @@
 func TestReassignmentTeachesNoLag(t *testing.T) {
 	a := smallWorker("a", 1, 8)
 	f := newFixture(t, testSettings(), 1, a)
-	f.wantPlaced(f.at(10*ms, f.request("1", "safe", 1, 1)), "a")
+	f.wantPlaced(f.handleAfter(10*ms, f.request("1", "safe", 1, 1)), "a")
 	seen := f.scheduler.view.lag.observations
 	for _, state := range []WorkerState{Foreign, Ready, Foreign, Foreign, Ready} {
 		a.State = state
 		if state == Foreign {
 			a.FreeCores--
 		}
-		f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
+		f.handleAfter(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	}
 	if f.scheduler.view.lag.observations != seen {
 		t.Errorf("got %g more observations of the lag after reassignments, want 0", f.scheduler.view.lag.observations-seen)
 	}
 	a.FreeCores--
-	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
+	f.handleAfter(10*ms, WorkerList{Kind: ListDelta, Entries: []Entry{a}})
 	if f.scheduler.view.lag.observations == seen {
 		t.Error("got no observation of the lag from a new view of an assigned worker, want one")
 	}
@@ -170,9 +170,9 @@
 			divided, shared)
 	}
 	f := newFixture(t, settings, 1, assigned, foreign)
-	f.at(10*ms, Backpressure{ReleaseRate: 1})
+	f.handleAfter(10*ms, Backpressure{ReleaseRate: 1})
 	for _, requestID := range []string{"1", "2", "3", "4"} {
-		f.at(10*ms, f.request(requestID, "safe", 1, 1))
+		f.handleAfter(10*ms, f.request(requestID, "safe", 1, 1))
 	}
 	if f.scheduler.overload.active = true; f.scheduler.overload.estimateConcurrent() != [2]float64{} {
 		t.Errorf("got concurrent placements %v on assigned workers, want 0", f.scheduler.overload.estimateConcurrent())
@@ -196,7 +196,7 @@
 			assigned = append(assigned, entries[i])
 		}
 	}
-	f.at(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
+	f.handleAfter(10*ms, WorkerList{Kind: ListDelta, Entries: entries})
 	f.scheduler.fleet.refresh()
 	assignedOnly := newFixture(t, testSettings(), 1, assigned...)
 	assignedOnly.scheduler.fleet.refresh()
@@ -218,7 +218,7 @@
 	settings.CoresOvercommit, settings.MemoryOvercommit = 1, 1
 	f := newFixture(t, settings, 1, entries...)
 	for i := range 10 {
-		f.at(0, f.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
+		f.handleAfter(0, f.request(fmt.Sprint(i), "safe", 1+float64(i), 1))
 	}
 	if reserved := len(f.scheduler.reservations.priorities); reserved != 2 {
 		t.Errorf("got %d workers reserved for pending tasks, want 2 of the 4 assigned ones", reserved)
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -48,7 +48,7 @@
 	}
 	t.Logf("%d comparisons, %d at a border; %d draws among several, %d with workers reserved, %d searches elsewhere, %d offered; by path: %v",
 		c.total, c.flipped, c.multipleFinalists, c.reserved, c.elsewhereSearches, c.offered, c.paths)
-	for _, path := range []string{pathWaits, pathNoCapacity, pathFallback, pathReturned, pathCheapest} {
+	for _, path := range []string{pathWaits, pathNoCapacity, pathFallback, pathUncordoned, pathCheapest} {
 		if c.paths[path] == 0 {
 			t.Errorf("got no comparison on the path %q, want some", path)
 		}
@@ -109,7 +109,7 @@
 	}
 	var tasks []*taskInfo
 	for range probesEach {
-		tasks = append(tasks, h.madeUpTask())
+		tasks = append(tasks, h.syntheticTask())
 	}
 	for i := range min(pendingEach, len(h.scheduler.queue.pending)) {
 		tasks = append(tasks, h.scheduler.queue.pending[(i+h.random.IntN(len(h.scheduler.queue.pending)))%len(h.scheduler.queue.pending)])
@@ -197,7 +197,7 @@
 	h := newHistory(t, seed)
 	for range h.stepCount {
 		lines = append(lines, fmt.Sprintf("%+v", h.step()))
-		probe := h.madeUpTask()
+		probe := h.syntheticTask()
 		if searched {
 			h.scheduler.search.finalists(probe)
 			for _, task := range h.scheduler.queue.pending {
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -7,24 +7,24 @@
 
 func TestTimeoutEjectsWorker(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
-	f.wantPlaced(f.at(500*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}), "b")
-	f.at(10*ms, Accepted{RequestID: "1", Attempt: 1, Worker: "b", RTTUs: 9000})
-	f.wantPlaced(f.at(10*ms, Request{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 5*second, Program: 8}}), "b")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
+	f.wantPlaced(f.handleAfter(500*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}), "b")
+	f.handleAfter(10*ms, Accepted{RequestID: "1", Attempt: 1, Worker: "b", RTTUs: 9000})
+	f.wantPlaced(f.handleAfter(10*ms, Request{Task{RequestID: "2", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 5*second, Program: 8}}), "b")
 	// The suspicion decays without further timeouts, and worker a gets tasks again.
-	f.wantPlaced(f.at(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 15*second, Program: 9}}), "a")
+	f.wantPlaced(f.handleAfter(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 15*second, Program: 9}}), "a")
 }
 
 // TestErrorsOfTwoWorkersMakeTaskUnusable has two workers fail one task. No third worker gets it, and neither
 // of the two is suspected. A worker that fails different tasks is still ejected.
 func TestErrorsOfTwoWorkersMakeTaskUnusable(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
-	actions := f.at(ms, f.request("1", "safe", 1, 2))
+	actions := f.handleAfter(ms, f.request("1", "safe", 1, 2))
 	tried := map[string]bool{}
 	for i := range 2 {
 		worker := ofType[Place](actions)[0].Worker
 		tried[worker] = true
-		actions = f.at(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: worker, Outcome: Failed})
+		actions = f.handleAfter(ms, AttemptEnded{RequestID: "1", Attempt: i, Worker: worker, Outcome: Failed})
 	}
 	if len(ofType[Place](actions)) != 0 || len(ofType[Reject](actions)) != 1 || len(tried) != 2 {
 		t.Fatalf("after errors on workers %v: got actions %v, want two workers tried and one rejection only", tried, actions)
@@ -38,8 +38,8 @@
 	f = newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	for i := range 2 {
 		requestID := fmt.Sprint(i)
-		f.at(ms, f.request(requestID, "unsafe", 1, 2))
-		f.at(ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Failed})
+		f.handleAfter(ms, f.request(requestID, "unsafe", 1, 2))
+		f.handleAfter(ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Failed})
 	}
 	if f.scheduler.health.healthy(f.scheduler.fleet.sorted[0], 0) {
 		t.Error("got healthy after errors of two different tasks, want not healthy")
@@ -52,18 +52,18 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	worker := f.scheduler.fleet.workers["a"]
 	worker.addSuspicion(f.now, 4*timeoutSuspicion)
-	f.at(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
+	f.handleAfter(ms, WorkerReachable{Worker: "a"}, WorkerReachable{Worker: "unknown"})
 	if suspicion := worker.suspicion(f.now, 0); !f.scheduler.health.healthy(worker, 0) || f.scheduler.health.healthy(worker, 4) || suspicion > reconnectedSuspicion {
 		t.Errorf("got suspicion %v after the worker was reached, want at most %v, healthy for class safe but not unsafe",
 			suspicion, reconnectedSuspicion)
 	}
 	worker.addSuspicion(f.now, timeoutSuspicion)
-	f.at(ms, WorkerReachable{Worker: "a"})
+	f.handleAfter(ms, WorkerReachable{Worker: "a"})
 	if f.scheduler.health.healthy(worker, 0) {
 		t.Error("got healthy after a further connection without an answer, want not healthy")
 	}
 	worker.recordSuccess(f.now, 0)
-	f.at(ms, WorkerReachable{Worker: "a"})
+	f.handleAfter(ms, WorkerReachable{Worker: "a"})
 	if !f.scheduler.health.healthy(worker, 0) {
 		t.Error("got not healthy after an answer and a further connection, want healthy")
 	}
@@ -76,14 +76,14 @@
 	for _, worker := range f.scheduler.fleet.sorted {
 		worker.addSuspicion(f.now, maxSuspicion)
 	}
-	f.at(0, WorkerUnreachable{Worker: "b"}, WorkerUnreachable{Worker: "unknown"})
+	f.handleAfter(0, WorkerUnreachable{Worker: "b"}, WorkerUnreachable{Worker: "unknown"})
 	var requests []Event
 	for i := range maxSuspectAttempts + 2 {
 		requests = append(requests, f.request(fmt.Sprint(i), "safe", 1, 2))
 	}
-	expectPlaces(t, f.at(ms, requests...), "a", maxSuspectAttempts)
-	expectPlaces(t, f.at(ms, WorkerReachable{Worker: "b"}), "b", 2)
-	f.at(ms, Accepted{RequestID: "2", Worker: "b", RTTUs: ms})
+	expectPlaces(t, f.handleAfter(ms, requests...), "a", maxSuspectAttempts)
+	expectPlaces(t, f.handleAfter(ms, WorkerReachable{Worker: "b"}), "b", 2)
+	f.handleAfter(ms, Accepted{RequestID: "2", Worker: "b", RTTUs: ms})
 	if f.scheduler.fleet.workers["b"].unreachable {
 		t.Error("got worker b unreachable after it accepted an attempt, want reachable")
 	}
@@ -97,14 +97,14 @@
 	for _, worker := range f.scheduler.fleet.sorted {
 		worker.addSuspicion(f.now, maxSuspicion)
 	}
-	f.at(0, WorkerUnreachable{Worker: "c"})
-	expectPlaces(t, f.at(ms, f.request("1", "large", 1, 2)), "c", 1)
-	f.at(0, WorkerUnreachable{Worker: "a"}, WorkerUnreachable{Worker: "b"})
+	f.handleAfter(0, WorkerUnreachable{Worker: "c"})
+	expectPlaces(t, f.handleAfter(ms, f.request("1", "large", 1, 2)), "c", 1)
+	f.handleAfter(0, WorkerUnreachable{Worker: "a"}, WorkerUnreachable{Worker: "b"})
 	var requests []Event
 	for i := range 2 * maxSuspectAttempts {
 		requests = append(requests, f.request(fmt.Sprint("2", i), "safe", 1, 2))
 	}
-	places := f.at(ms, requests...)
+	places := f.handleAfter(ms, requests...)
 	expectPlaces(t, places, "a", maxSuspectAttempts)
 	expectPlaces(t, places, "b", maxSuspectAttempts)
 }
@@ -114,9 +114,9 @@
 func TestUnreachableWorkerReturnsByItself(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.scheduler.fleet.workers["a"].addSuspicion(f.now, maxSuspicion)
-	f.at(0, WorkerUnreachable{Worker: "a"})
-	f.at(10 * suspicionHalflife)
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+	f.handleAfter(0, WorkerUnreachable{Worker: "a"})
+	f.handleAfter(10 * suspicionHalflife)
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
 }
 
 // TestTaskWaitsForFullWorkerThatIsReached has an unreachable worker, which looks empty because no task
@@ -138,8 +138,8 @@
 			f := newFixture(t, testSettings(), 1, smallWorker("a", 0, test.freeCores), smallWorker("b", 0, 30))
 			f.scheduler.fleet.workers["b"].addSuspicion(f.now, maxSuspicion)
 			test.prepare(f.scheduler.fleet.workers["a"])
-			f.at(0, WorkerUnreachable{Worker: "b"})
-			expectPlaces(t, f.at(ms, f.request("1", "safe", 1, 2)), "b", 0)
+			f.handleAfter(0, WorkerUnreachable{Worker: "b"})
+			expectPlaces(t, f.handleAfter(ms, f.request("1", "safe", 1, 2)), "b", 0)
 		})
 	}
 }
@@ -163,15 +163,15 @@
 	for _, name := range []string{"a", "b"} {
 		f.scheduler.fleet.workers[name].addSuspicion(f.now, maxSuspicion)
 	}
-	if got := ofType[Place](f.at(ms, f.request("1", "safe", 1, 2))); len(got) != 1 {
+	if got := ofType[Place](f.handleAfter(ms, f.request("1", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("got %d placements while all workers are suspect, want 1", len(got))
 	}
 }
 
 func TestJammedWorkerIsLeftAlone(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
-	f.wantPlaced(f.at(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
+	f.wantPlaced(f.handleAfter(5*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue}), "b")
 	if window := f.scheduler.fleet.workers["a"].attemptWindow; window >= initialAttemptWindow {
 		t.Errorf("got attempt window %v after a rejection for a full queue, want under %v", window, initialAttemptWindow)
 	}
@@ -203,7 +203,7 @@
 	}
 	attempts := 0
 	for i := range 20 {
-		attempts += len(ofType[Place](f.at(ms, f.request(fmt.Sprint(i), "safe", .5, .5))))
+		attempts += len(ofType[Place](f.handleAfter(ms, f.request(fmt.Sprint(i), "safe", .5, .5))))
 	}
 	if attempts < 2 || attempts > 4 {
 		t.Errorf("got %d attempts at two unresponsive workers, want 2 to 4", attempts)
@@ -216,8 +216,8 @@
 		settings.AcceptMeansRunning = running
 		f := newFixture(t, settings, 1, smallWorker("a", 0, 30))
 		f.scheduler.health.meanRTT, f.scheduler.health.rttDeviation = 50_000, 10_000
-		f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
-		f.at(800 * ms)
+		f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
+		f.handleAfter(800 * ms)
 		if got := f.scheduler.health.healthy(f.scheduler.fleet.workers["a"], 0); got != running {
 			t.Errorf("AcceptMeansRunning %v: got healthy %v after 0.8 s, want %v", running, got, running)
 		}
@@ -238,18 +238,18 @@
 			entry := Entry{Worker: "a", Kind: "large", FreeCores: 60, FreeMemory: 120}
 			f := newFixture(t, testSettings(), 1, entry)
 			worker := f.scheduler.fleet.workers["a"]
-			f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+			f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
 			if test.accepted != "" {
-				f.wantPlaced(f.at(ms, f.request("2", test.accepted, 1, 2)), "a")
-				f.at(ms, Accepted{RequestID: "2", Worker: "a", RTTUs: 1000})
+				f.wantPlaced(f.handleAfter(ms, f.request("2", test.accepted, 1, 2)), "a")
+				f.handleAfter(ms, Accepted{RequestID: "2", Worker: "a", RTTUs: 1000})
 			}
-			f.at(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
-			f.at(100 * ms)
+			f.handleAfter(100*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true})
+			f.handleAfter(100 * ms)
 			if safe, large := worker.suspicion(f.now, 0) < ejectionThreshold, worker.suspicion(f.now, 8) < ejectionThreshold; safe != test.safe || large != test.large {
 				t.Errorf("below the ejection threshold: got %v for class safe and %v for class large, want %v and %v",
 					safe, large, test.safe, test.large)
 			}
-			f.at(10 * suspicionHalflife)
+			f.handleAfter(10 * suspicionHalflife)
 			if !f.scheduler.health.healthy(worker, 0) {
 				t.Error("got not healthy ten half-lives of the suspicion later, want healthy")
 			}
@@ -260,9 +260,9 @@
 func TestSchedulerStallBlamesNobody(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	f.scheduler.health.meanRTT, f.scheduler.health.rttDeviation = 20_000, 5_000
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
 	// The scheduler is not called for two seconds. Then the answer arrives together with a new request.
-	f.wantPlaced(f.at(2*second, f.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
+	f.wantPlaced(f.handleAfter(2*second, f.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
 	if suspicion := f.scheduler.fleet.workers["a"].suspicion(f.now, 0); suspicion != 0 {
 		t.Errorf("got suspicion %v after a stall of the scheduler, want 0", suspicion)
 	}
@@ -272,12 +272,12 @@
 // not an error, so the worker is not suspected. It gets no tasks for the time of the assumed drain.
 func TestTaskSentAwayBlamesNobody(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "a")
-	f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Reset, Cause: CauseDrained, Final: true})
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
+	f.handleAfter(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Reset, Cause: CauseDrained, Final: true})
 	if suspicion := f.scheduler.fleet.workers["a"].suspicion(f.now, 0); suspicion != 0 {
 		t.Errorf("got suspicion %v after the worker drained, want 0", suspicion)
 	}
-	f.wantPlaced(f.at(ms, f.request("2", "safe", 1, 2)), "b")
-	f.at(assumedDrain)
-	f.wantPlaced(f.at(ms, f.request("3", "safe", 1, 2)), "a")
+	f.wantPlaced(f.handleAfter(ms, f.request("2", "safe", 1, 2)), "b")
+	f.handleAfter(assumedDrain)
+	f.wantPlaced(f.handleAfter(ms, f.request("3", "safe", 1, 2)), "a")
 }
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -243,9 +243,9 @@
 	return event
 }
 
-// madeUpTask returns a random task for which selections are compared. The scheduler does not know the
+// syntheticTask returns a random task for which selections are compared. The scheduler does not know the
 // task, and the earlier attempts and errors of the task are random.
-func (h *history) madeUpTask() *taskInfo {
+func (h *history) syntheticTask() *taskInfo {
 	submitted := h.drawTask()
 	classIndex := h.scheduler.requests.classIndexes[submitted.Class]
 	task := &taskInfo{Task: submitted, classIndex: classIndex, arrivedAt: h.now - h.random.Int64N(3*second), queuedSince: h.now}
--- a/placement/index.go
+++ b/placement/index.go
@@ -165,7 +165,7 @@
 	drift := min(x.scale.cores/x.baseline.cores, x.scale.memory/x.baseline.memory)
 	only := plan.unreservedOnly
 	for number := x.nextLevel(0, only); number < levelCount; number = x.nextLevel(number+1, only) {
-		minUtilization := max(0, float64(number)*levelWidth*drift-roundingSlack)
+		minUtilization := max(0, float64(number)*levelWidth*drift-roundingTolerance)
 		finished := true
 		for kindIndex := range x.kinds {
 			if x.finished[kindIndex] || !plan.relevant(kindIndex, fractions{}, minUtilization) {
@@ -227,7 +227,7 @@
 	for _, part := range [2][]indexEntry{entries[first:], entries[:first]} {
 		for i := range part {
 			entry := &part[i]
-			minRequested = minRequested.smaller(entry.requested)
+			minRequested = minRequested.elementwiseMin(entry.requested)
 			minCalibration = min(minCalibration, entry.calibration)
 			if !limit.admits(entry.requested, entry.calibration) ||
 				!plan.relevant(kindIndex, entry.requested, minUtilization) {
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -51,7 +51,7 @@
 
 // extendBounds lowers the bounds as far as an entry requires.
 func (l *level) extendBounds(entry indexEntry) {
-	l.minRequested = l.minRequested.smaller(entry.requested)
+	l.minRequested = l.minRequested.elementwiseMin(entry.requested)
 	l.minCalibration = min(l.minCalibration, entry.calibration)
 }
 
--- a/placement/load.go
+++ b/placement/load.go
@@ -57,7 +57,7 @@
 // kind. It is the larger of the fractions of cores and memory.
 func (l *loadTracker) utilization(worker *workerInfo) float64 {
 	cores, memory := l.requested(worker)
-	effectiveCores, effectiveMemory := l.capacity.of(worker)
+	effectiveCores, effectiveMemory := l.capacity.effective(worker)
 	return max(cores/effectiveCores, memory/effectiveMemory)
 }
 
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -7,17 +7,17 @@
 
 func TestPlacementsCountUntilViewShowsThem(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20), smallWorker("b", 0, 18))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 6, 6)), "a")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 6, 6)), "a")
 	worker := f.scheduler.fleet.workers["a"]
 	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
 		t.Fatalf("got %v cores requested after the placement, want 18", cores)
 	}
 	// A view that arrives shortly after the placement cannot show it yet.
-	f.at(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 20)}})
+	f.handleAfter(100*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 20)}})
 	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
 		t.Fatalf("got %v cores requested after an early view, want 18", cores)
 	}
-	f.at(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 14)}})
+	f.handleAfter(5000*ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 14)}})
 	if cores, _ := f.scheduler.loads.requested(worker); cores != 18 {
 		t.Fatalf("got %v cores requested once the view shows the placement, want 18 as it must not count twice", cores)
 	}
@@ -25,8 +25,8 @@
 
 func TestRejectionTakesPlacementBack(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 2, 4)), "a")
-	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 2, 4)), "a")
+	f.handleAfter(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseQueue})
 	cores, _ := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
 	if cores != 12 && cores != 14 { // 14 if the task was offered again at once
 		t.Errorf("got %v cores requested after the rejection, want 12, or 14 with a new placement", cores)
@@ -35,8 +35,8 @@
 
 func TestRejectionForMemoryLeavesCores(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20))
-	f.at(ms, f.request("1", "safe", 2, 4))
-	f.at(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
+	f.handleAfter(ms, f.request("1", "safe", 2, 4))
+	f.handleAfter(20*ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Rejected, Cause: CauseMemory})
 	cores, memory := f.scheduler.loads.requested(f.scheduler.fleet.workers["a"])
 	if cores != 12 || memory+4 <= 64*1.5 {
 		t.Errorf("got %v cores and %v memory requested, want 12 cores and memory above 92", cores, memory)
@@ -51,9 +51,9 @@
 	for i := range 3 * maxDeltas {
 		request := f.request(fmt.Sprint(i), "safe", 1, 2)
 		request.Program = 0
-		for _, place := range ofType[Place](f.at(ms, request)) {
+		for _, place := range ofType[Place](f.handleAfter(ms, request)) {
 			seen[place.Worker]++
-			f.at(0, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900}, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: Completed, Final: true})
+			f.handleAfter(0, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900}, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: Completed, Final: true})
 		}
 	}
 	for _, worker := range f.scheduler.fleet.sorted {
--- a/placement/migration_test.go
+++ b/placement/migration_test.go
@@ -14,9 +14,9 @@
 			event.HasRunHint, event.ExpectedRunUs = true, 20*second
 			reports = append(reports, event)
 		}
-		f.at(ms, reports...)
+		f.handleAfter(ms, reports...)
 		for range 10 {
-			count += len(ofType[Migrate](f.at(second, TaskReport{RequestID: "1", Worker: "a", Kind: ReportService, Value: service})))
+			count += len(ofType[Migrate](f.handleAfter(second, TaskReport{RequestID: "1", Worker: "a", Kind: ReportService, Value: service})))
 		}
 		return count
 	}
--- a/placement/numbers.go
+++ b/placement/numbers.go
@@ -14,8 +14,8 @@
 	second      = 1000 * millisecond
 )
 
-// roundingSlack exceeds the rounding difference between two ways to compute the same utilization.
-const roundingSlack = 1e-9
+// roundingTolerance exceeds the rounding difference between two ways to compute the same utilization.
+const roundingTolerance = 1e-9
 
 // fractions holds amounts of cores and memory, as fractions of the size of a kind of worker.
 type fractions struct{ cores, memory float64 }
@@ -28,14 +28,14 @@
 	return f.cores <= limit.cores && f.memory <= limit.memory
 }
 
-// smaller returns the minimum of the cores and the minimum of the memory of f and o.
-func (f fractions) smaller(o fractions) fractions {
+// elementwiseMin returns the minimum of the cores and the minimum of the memory of f and o.
+func (f fractions) elementwiseMin(o fractions) fractions {
 	return fractions{min(f.cores, o.cores), min(f.memory, o.memory)}
 }
 
 // minus returns f minus o, plus roundingSlack to allow for rounding.
 func (f fractions) minus(o fractions) fractions {
-	return fractions{f.cores - o.cores + roundingSlack, f.memory - o.memory + roundingSlack}
+	return fractions{f.cores - o.cores + roundingTolerance, f.memory - o.memory + roundingTolerance}
 }
 
 // inRange reports whether a value lies between low and high, inclusive. It returns false for NaN.
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -10,7 +10,7 @@
 	settings := testSettings()
 	settings.UnitCores, settings.UnitMemory = 1, 2
 	f := newFixture(t, settings, 1, smallWorker("a", 0, free), smallWorker("b", 0, free))
-	f.at(ms, pressure)
+	f.handleAfter(ms, pressure)
 	return f
 }
 
@@ -25,7 +25,7 @@
 		f := overloadedFixture(t, -20, Backpressure{ReleaseRate: test.rate})
 		rejected := 0
 		for i := range 12 {
-			rejected += len(ofType[Reject](f.at(ms, f.request(fmt.Sprint(i), "safe", 1, 2))))
+			rejected += len(ofType[Reject](f.handleAfter(ms, f.request(fmt.Sprint(i), "safe", 1, 2))))
 		}
 		// The deadline is in 5 s, and a task is rejected if it needs more than twice that time. At one unit
 		// per second, nine units become free in time.
@@ -41,18 +41,18 @@
 	reserved := make([]float64, len(testSettings().Classes))
 	reserved[0] = 100
 	f := overloadedFixture(t, 30, Backpressure{Reserved: reserved})
-	if got := ofType[Place](f.at(ms, f.request("web", "safe", 1, 2))); len(got) != 0 {
+	if got := ofType[Place](f.handleAfter(ms, f.request("web", "safe", 1, 2))); len(got) != 0 {
 		t.Errorf("class with reserved units: got placements %v, want none", got)
 	}
-	if got := ofType[Place](f.at(ms, f.request("other", "all", 1, 2))); len(got) != 1 {
+	if got := ofType[Place](f.handleAfter(ms, f.request("other", "all", 1, 2))); len(got) != 1 {
 		t.Errorf("class without reserved units: got placements %v, want 1", got)
 	}
-	if got := ofType[Place](f.at(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
+	if got := ofType[Place](f.handleAfter(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
 		t.Errorf("once nothing is reserved: got placements %v, want 1 of request web", got)
 	}
 	reserved[0] = 1
 	f = overloadedFixture(t, 30, Backpressure{Reserved: reserved})
-	if got := ofType[Place](f.at(ms, f.request("web", "safe", 1, 2))); len(got) != 1 {
+	if got := ofType[Place](f.handleAfter(ms, f.request("web", "safe", 1, 2))); len(got) != 1 {
 		t.Errorf("with free capacity beyond the reserved unit: got placements %v, want 1", got)
 	}
 }
@@ -68,9 +68,9 @@
 		placed := 0
 		for i := range 120 {
 			requestID := fmt.Sprint(i)
-			for _, place := range ofType[Place](f.at(ms, f.request(requestID, "safe", 1, 2))) {
+			for _, place := range ofType[Place](f.handleAfter(ms, f.request(requestID, "safe", 1, 2))) {
 				placed++
-				f.at(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 20 * ms})
+				f.handleAfter(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 20 * ms})
 			}
 		}
 		if placed < test.min || placed > test.max {
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -67,7 +67,7 @@
 	units := p.settings.Units(task.Cores, task.Memory)
 	if (!p.unschedulable[shape] || task.mayHaveRun != nil) && p.leavesReservedUnits(task) {
 		if worker := p.search.selectWorker(task); worker != nil {
-			if !p.probes.wanted(task, worker) {
+			if !p.probes.mustWaitForReport(task, worker) {
 				p.offer(task, worker)
 				p.freeUnits -= units
 			}
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -25,10 +25,10 @@
 	calibration *calibration
 }
 
-// wanted reports whether a task must wait for a report of the worker selected for it. The task waits if
-// probes are permitted, the worker has not reported within reportValidity and the task has not used up
-// its probes. A probe is sent unless one to that worker is under way.
-func (p *probes) wanted(task *taskInfo, worker *workerInfo) bool {
+// mustWaitForReport reports whether a task must wait for a report of the worker selected for it. The task
+// waits if probes are permitted, the worker has not reported within reportValidity and the task has not
+// used up its probes. A probe is sent unless one to that worker is under way.
+func (p *probes) mustWaitForReport(task *taskInfo, worker *workerInfo) bool {
 	reported := worker.reportedAt > 0 && p.now-worker.reportedAt < reportValidity
 	if !p.settings.Probes || task.probesSent >= maxProbesPerTask || reported {
 		return false
@@ -41,11 +41,11 @@
 	return true
 }
 
-// ended evaluates the result of a probe. A report contains the worker's free capacity, its utilization
+// recordResult evaluates the result of a probe. A report contains the worker's free capacity, its utilization
 // and the number of offers and starts queued there. Missing or implausible values are ignored. A probe
 // that does not complete raises the suspicion as much as an attempt that timed out. An answer does not
 // lower the suspicion, because a worker may answer probes and still lose tasks.
-func (p *probes) ended(event ProbeResult) {
+func (p *probes) recordResult(event ProbeResult) {
 	worker := p.fleet.workers[event.Worker]
 	if worker == nil {
 		return
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -22,7 +22,7 @@
 	pathWaits      = "waits"
 	pathNoCapacity = "no free capacity"
 	pathFallback   = "least suspect"
-	pathReturned   = "uncordoned"
+	pathUncordoned = "uncordoned"
 	pathCheapest   = "cheapest"
 )
 
@@ -85,7 +85,7 @@
 	}
 	for _, worker := range healthy {
 		if worker.uncordonedIdle && effect != Unsafe {
-			return selection{[]*workerInfo{worker}, []*workerInfo{worker}, nil, false, pathReturned}
+			return selection{[]*workerInfo{worker}, []*workerInfo{worker}, nil, false, pathUncordoned}
 		}
 	}
 	must, may, wide := r.nearLowest(healthy, task)
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -346,7 +346,7 @@
 		return 0
 	}
 	rank := (1 - float64(mix(worker.nameHash^mix(task.Program)))/math.MaxUint64) * float64(len(r.workers))
-	return min(1, rank/programWorkers)
+	return min(1, rank/preferredWorkerCount)
 }
 
 func (r *reference) cost(worker *workerInfo, task *taskInfo) float64 {
--- a/placement/requests_test.go
+++ b/placement/requests_test.go
@@ -29,12 +29,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, testSettings(), 1, test.entries...)
-			actions := f.at(ms, f.request("1", test.class, 1, 2))
+			actions := f.handleAfter(ms, f.request("1", test.class, 1, 2))
 			if len(test.events) > 0 {
-				actions = append(actions, f.at(4998*ms, test.events...)...)
+				actions = append(actions, f.handleAfter(4998*ms, test.events...)...)
 			}
 			for range 60 {
-				actions = append(actions, f.at(100*ms, TimerFired{"wake"})...)
+				actions = append(actions, f.handleAfter(100*ms, TimerFired{"wake"})...)
 			}
 			if rejected, failed := len(ofType[Reject](actions)), len(ofType[Fail](actions)); rejected != test.rejected || failed != test.failed {
 				t.Errorf("got %d rejections and %d failures, want %d and %d; actions %v", rejected, failed, test.rejected, test.failed, actions)
@@ -49,13 +49,13 @@
 func TestPendingTaskGetsResponseBeforeDeadline(t *testing.T) {
 	f := newFixture(t, testSettings(), 1)
 	request := f.request("1", "safe", 1, 2)
-	actions := f.at(0, request)
+	actions := f.handleAfter(0, request)
 	for f.now < request.DeadlineUs {
 		timers := ofType[SetTimer](actions)
 		if len(timers) == 0 {
 			t.Fatal("no timer was set while a task was pending")
 		}
-		actions = f.at(timers[len(timers)-1].OffsetUs, TimerFired{"wake"})
+		actions = f.handleAfter(timers[len(timers)-1].OffsetUs, TimerFired{"wake"})
 		if len(ofType[Reject](actions)) == 1 {
 			return
 		}
@@ -92,8 +92,8 @@
 		t.Run(fmt.Sprintf("%s %d after %d", test.class, test.done.Outcome, test.after), func(t *testing.T) {
 			// Worker a is the emptiest one and c the next. Worker b is in a's cell and zone.
 			f := newFixture(t, testSettings(), 3, smallWorker("a", 0, 30), smallWorker("b", 0, 4), smallWorker("c", 1, 20))
-			f.wantPlaced(f.at(ms, f.request("1", test.class, 1, 2)), "a")
-			got := ofType[Place](f.at(test.after, test.done))
+			f.wantPlaced(f.handleAfter(ms, f.request("1", test.class, 1, 2)), "a")
+			got := ofType[Place](f.handleAfter(test.after, test.done))
 			switch {
 			case test.again == "" && len(got) > 0:
 				t.Errorf("task was offered again to %s, want no further attempt", got[0].Worker)
@@ -108,9 +108,9 @@
 
 func TestOneAttemptAtATime(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
-	attempts := len(ofType[Place](f.at(ms, f.request("1", "safe", 1, 2))))
+	attempts := len(ofType[Place](f.handleAfter(ms, f.request("1", "safe", 1, 2))))
 	for range 30 {
-		attempts += len(ofType[Place](f.at(100*ms, TimerFired{"wake"})))
+		attempts += len(ofType[Place](f.handleAfter(100*ms, TimerFired{"wake"})))
 	}
 	if attempts != 1 {
 		t.Errorf("got %d attempts of an unanswered task, want 1", attempts)
@@ -121,7 +121,7 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	late := f.request("late", "safe", 1, 1)
 	late.DeadlineUs = f.now - 1
-	actions := f.at(ms, f.request("1", "safe", 97, 1), f.request("2", "large", 1, 193), late)
+	actions := f.handleAfter(ms, f.request("1", "safe", 97, 1), f.request("2", "large", 1, 193), late)
 	if len(ofType[Reject](actions)) != 3 || len(f.scheduler.requests.tasks) != 0 {
 		t.Errorf("got actions %v and %d stored tasks, want three rejections and no task", actions, len(f.scheduler.requests.tasks))
 	}
@@ -130,10 +130,10 @@
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 20))
 	done := AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}
-	f.at(ms, Accepted{RequestID: "x"}, done, TaskReport{RequestID: "x"}, ClientCancelled{"x"}, TimerFired{"?"}, ProbeResult{Worker: "x"})
-	f.at(ms, f.request("1", "safe", 1, 1))
-	f.at(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
-	f.at(ms, done, done, done, TaskReport{RequestID: "1"})
+	f.handleAfter(ms, Accepted{RequestID: "x"}, done, TaskReport{RequestID: "x"}, ClientCancelled{"x"}, TimerFired{"?"}, ProbeResult{Worker: "x"})
+	f.handleAfter(ms, f.request("1", "safe", 1, 1))
+	f.handleAfter(ms, Accepted{RequestID: "1", Attempt: 9}, Accepted{RequestID: "1", Worker: "a"}, Accepted{RequestID: "1", Worker: "a"})
+	f.handleAfter(ms, done, done, done, TaskReport{RequestID: "1"})
 	if len(f.scheduler.requests.tasks) != 0 || f.scheduler.fleet.workers["a"].active != 0 {
 		t.Errorf("got %d tasks and %d active attempts left, want none", len(f.scheduler.requests.tasks), f.scheduler.fleet.workers["a"].active)
 	}
@@ -143,14 +143,14 @@
 	f := newFixture(t, testSettings(), 1)
 	for i := range 300 {
 		name := fmt.Sprint("m", i)
-		f.at(100*ms, WorkerList{Kind: ListFull, Entries: []Entry{smallWorker(name, 0, 20)}})
+		f.handleAfter(100*ms, WorkerList{Kind: ListFull, Entries: []Entry{smallWorker(name, 0, 20)}})
 		for j := range 10 {
 			requestID := fmt.Sprint(i, "-", j)
 			request := f.request(requestID, "safe", 1, 1)
 			request.Program = uint64(i*10 + j)
-			f.at(ms, request)
-			f.at(ms, Accepted{RequestID: requestID, Worker: name, RTTUs: 1000})
-			f.at(ms, AttemptEnded{RequestID: requestID, Worker: name, Outcome: Completed, Final: true})
+			f.handleAfter(ms, request)
+			f.handleAfter(ms, Accepted{RequestID: requestID, Worker: name, RTTUs: 1000})
+			f.handleAfter(ms, AttemptEnded{RequestID: requestID, Worker: name, Outcome: Completed, Final: true})
 		}
 	}
 	if len(f.scheduler.requests.tasks) > 0 || len(f.scheduler.fleet.workers) > 2 || len(f.scheduler.queue.pending) > 0 {
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -187,7 +187,7 @@
 func (s *Scheduler) handleEvent(event Event) {
 	switch event := event.(type) {
 	case WorkerList:
-		s.discovery.listed(event.Kind)
+		s.discovery.recordList(event.Kind)
 		if event.Kind != ListFailed {
 			s.view.apply(event)
 		}
@@ -204,7 +204,7 @@
 	case ClientCancelled:
 		s.requests.cancel(event.RequestID)
 	case ProbeResult:
-		s.probes.ended(event)
+		s.probes.recordResult(event)
 	case WorkerReachable:
 		s.health.recordReachable(s.fleet.workers[event.Worker])
 	case WorkerUnreachable:
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -26,11 +26,11 @@
 			for i, class := range settings.Classes {
 				request := f.request(fmt.Sprint(i), class.Name, 1, 1)
 				request.DeadlineUs = f.now + 1*ms // shorter than the response margin
-				actions := f.at(0, request)
-				actions = append(actions, f.at(1*ms, TimerFired{"wake"})...)
+				actions := f.handleAfter(0, request)
+				actions = append(actions, f.handleAfter(1*ms, TimerFired{"wake"})...)
 				responses += len(ofType[Reject](actions)) + len(ofType[Fail](actions))
 				for _, place := range ofType[Place](actions) {
-					actions = f.at(0, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: TimedOut})
+					actions = f.handleAfter(0, AttemptEnded{RequestID: place.RequestID, Worker: place.Worker, Outcome: TimedOut})
 					responses += len(ofType[Reject](actions)) + len(ofType[Fail](actions))
 				}
 			}
@@ -65,10 +65,10 @@
 			requestID := fmt.Sprint(i)
 			request := f.request(requestID, "safe", 1, 1)
 			request.Program = uint64(i % 17)
-			actions := f.at(7*ms, request)
+			actions := f.handleAfter(7*ms, request)
 			all = append(all, actions...)
 			for _, place := range ofType[Place](actions) {
-				all = append(all, f.at(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900},
+				all = append(all, f.handleAfter(ms, Accepted{RequestID: place.RequestID, Worker: place.Worker, RTTUs: 900},
 					TaskReport{RequestID: place.RequestID, Worker: place.Worker, Kind: ReportService, Value: 0.1})...)
 			}
 		}
@@ -84,9 +84,9 @@
 	settings.FleetSize, settings.SelfIndex, settings.SlowStartOffers = 300, 299, 1
 	f := newFixture(t, settings, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
 	request := f.request("1", "apartCell", 1, 2)
-	f.wantPlaced(f.at(ms, request), "a") // the list entry names no cell, and the class limits the spread by cell
+	f.wantPlaced(f.handleAfter(ms, request), "a") // the list entry names no cell, and the class limits the spread by cell
 	// The clock advances by two seconds, and events of one attempt arrive out of order.
-	f.at(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
+	f.handleAfter(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
 		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
 	if len(f.scheduler.requests.tasks) != 0 || len(f.scheduler.fleet.workers["a"].unanswered) != 0 {
 		t.Errorf("got %d tasks and %d unanswered attempts left, want none", len(f.scheduler.requests.tasks), len(f.scheduler.fleet.workers["a"].unanswered))
@@ -97,6 +97,6 @@
 		entry.StartedAtUs = f.now
 		entries = append(entries, entry)
 	}
-	f.at(ms, WorkerList{Kind: ListDelta, Entries: entries})
-	f.wantPlaced(f.at(ms, f.request("2", "safe", 1, 2)), "a")
+	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: entries})
+	f.wantPlaced(f.handleAfter(ms, f.request("2", "safe", 1, 2)), "a")
 }
--- a/placement/score.go
+++ b/placement/score.go
@@ -76,7 +76,7 @@
 // score returns the admission cost of a task at a worker.
 func (s *scorer) score(worker *workerInfo, task *taskInfo) float64 {
 	kind := s.kindOf(worker)
-	effectiveCores, effectiveMemory := s.capacity.of(worker)
+	effectiveCores, effectiveMemory := s.capacity.effective(worker)
 	backlog := s.utilization
 	if s.settings.HasView {
 		cores, memory := s.loads.requested(worker)
@@ -106,5 +106,5 @@
 	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
 		return 0
 	}
-	return min(1, hashedRank(worker.programHash(task.Program), s.fleet.assignedCount())/programWorkers)
+	return min(1, hashedRank(worker.programHash(task.Program), s.fleet.assignedCount())/preferredWorkerCount)
 }
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -20,7 +20,7 @@
 
 func TestLowestCostWins(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 8), smallWorker("b", 0, 30), smallWorker("c", 1, 16))
-	f.wantPlaced(f.at(ms, f.request("1", "safe", 1, 2)), "b")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "b")
 }
 
 func TestNearEqualsAreDrawn(t *testing.T) {
@@ -29,7 +29,7 @@
 		f := newFixture(t, testSettings(), seed, smallWorker("a", 0, 20), smallWorker("b", 0, 20), smallWorker("c", 1, 20))
 		request := f.request("1", "safe", 1, 2)
 		request.Program = 0 // no program
-		seen[ofType[Place](f.at(ms, request))[0].Worker]++
+		seen[ofType[Place](f.handleAfter(ms, request))[0].Worker]++
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		if seen[name] < 8 {
@@ -42,7 +42,7 @@
 	first := map[string]int{}
 	for i := range 20 {
 		f := newFixture(t, testSettings(), uint64(i), smallWorker("a", 0, 20), smallWorker("b", 0, 20), smallWorker("c", 1, 20), smallWorker("d", 1, -10))
-		first[ofType[Place](f.at(ms, f.request("1", "safe", 1, 2)))[0].Worker]++
+		first[ofType[Place](f.handleAfter(ms, f.request("1", "safe", 1, 2)))[0].Worker]++
 	}
 	maxCount := 0
 	for _, count := range first {
@@ -65,9 +65,9 @@
 		f := newFixture(t, testSettings(), uint64(i), entries...)
 		request := f.request("1", "safe", 1, 2)
 		request.Program = uint64(i/5*977 + 1) // eight programs, each at five schedulers
-		first[ofType[Place](f.at(ms, request))[0].Worker]++
+		first[ofType[Place](f.handleAfter(ms, request))[0].Worker]++
 		request.RequestID, request.Program = "2", 0
-		first[ofType[Place](f.at(ms, request))[0].Worker]++
+		first[ofType[Place](f.handleAfter(ms, request))[0].Worker]++
 	}
 	for name, count := range first {
 		if count > 28 {
@@ -91,7 +91,7 @@
 		f := newFixture(t, settings, uint64(i), entries...)
 		request := f.request("1", "safe", 1, 2)
 		request.Program = uint64(i%150 + 1) // two tasks of each of 150 programs
-		first[ofType[Place](f.at(ms, request))[0].Worker]++
+		first[ofType[Place](f.handleAfter(ms, request))[0].Worker]++
 	}
 	for name, count := range first {
 		if count > 18 {
--- a/placement/search.go
+++ b/placement/search.go
@@ -110,7 +110,7 @@
 		relevant: func(kindIndex int, requested fractions, minUtilization float64) bool {
 			utilization := max(minUtilization, requested.cores*inverse.cores, requested.memory*inverse.memory)
 			lowest := s.scorer.kinds[kindIndex].lowerBound(utilization, s.scorer.utilization)
-			return lowest <= s.lowestCost+costMargin+roundingSlack
+			return lowest <= s.lowestCost+costMargin+roundingTolerance
 		},
 	}, s.random)
 	for _, candidate := range s.scored {
@@ -256,9 +256,9 @@
 		}
 	}
 	var best *workerInfo
-	lowest, slack := math.Inf(1), roundingSlack // among equal workers, the first by name is returned
+	lowest, slack := math.Inf(1), roundingTolerance // among equal workers, the first by name is returned
 	if len(s.fleet.sorted) > maxEnumerated {
-		slack = -roundingSlack // return any of them, as there may be thousands
+		slack = -roundingTolerance // return any of them, as there may be thousands
 	}
 	s.index.walk(levelWalk{unreservedOnly: true,
 		relevant: func(kindIndex int, requested fractions, minUtilization float64) bool {
@@ -271,7 +271,7 @@
 				return true
 			}
 			cores, memory := s.loads.requested(worker)
-			effectiveCores, effectiveMemory := s.capacity.of(worker)
+			effectiveCores, effectiveMemory := s.capacity.effective(worker)
 			needed := max((cores+task.Cores)/effectiveCores, (memory+task.Memory)/effectiveMemory)
 			if needed < lowest || best != nil && needed == lowest && worker.ordinal < best.ordinal {
 				best, lowest = worker, needed
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -13,12 +13,12 @@
 	for _, count := range []int{400, 4000} {
 		f := largeFleet(t, count, levelled)
 		for program := range uint64(50) {
-			f.scheduler.search.finalists(f.madeUpTask(program))
+			f.scheduler.search.finalists(f.syntheticTask(program))
 			evaluated[count] += float64(f.scheduler.search.evaluated) / 50
 		}
 	}
 	idle := largeFleet(t, 4000, func(*rand.Rand) float64 { return 0 })
-	if idle.scheduler.search.finalists(idle.madeUpTask(0)); idle.scheduler.search.evaluated > maxEnumerated {
+	if idle.scheduler.search.finalists(idle.syntheticTask(0)); idle.scheduler.search.evaluated > maxEnumerated {
 		t.Errorf("got %d evaluated workers in an idle fleet, want at most %d", idle.scheduler.search.evaluated, maxEnumerated)
 	}
 	if evaluated[400] > 40 || evaluated[4000] > 2*evaluated[400] {
@@ -34,14 +34,14 @@
 	// One worker of the same level has free capacity at first, so the bound of the level stays too
 	// low when that capacity is taken.
 	last := smallWorker("m03999", 0, 32*(1-1.478))
-	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
-	task := f.madeUpTask(0)
+	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
+	task := f.syntheticTask(0)
 	task.Cores, task.Memory = 0.25, 0.5
 	if finalists := f.scheduler.search.finalists(task); len(finalists) != 1 {
 		t.Fatalf("got %d finalists, want only the worker with free capacity", len(finalists))
 	}
 	last.FreeCores, last.FreeMemory = 32*(1-1.495), 64*(1-1.495)
-	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
+	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	if finalists := f.scheduler.search.finalists(task); len(finalists) > 0 || f.scheduler.search.evaluated > 0 {
 		t.Fatalf("got %d finalists and %d evaluated workers in a full fleet, want none", len(finalists), f.scheduler.search.evaluated)
 	}
@@ -57,7 +57,7 @@
 // TestSearchesAllocateNothing checks that no kind of search allocates once its slices have grown.
 func TestSearchesAllocateNothing(t *testing.T) {
 	f := largeFleet(t, 1000, levelled)
-	task, search := f.madeUpTask(7), f.scheduler.search
+	task, search := f.syntheticTask(7), f.scheduler.search
 	for name, find := range map[string]func(){
 		"selectWorker":     func() { search.selectWorker(task) },
 		"fitsElsewhere":    func() { search.fitsElsewhere(task, f.scheduler.fleet.sorted[0]) },
@@ -76,7 +76,7 @@
 	f := largeFleet(t, workers, func(*rand.Rand) float64 { return 0.3 })
 	drawn := map[*workerInfo]int{}
 	for range workers * mean {
-		drawn[f.scheduler.search.selectWorker(f.madeUpTask(0))]++
+		drawn[f.scheduler.search.selectWorker(f.syntheticTask(0))]++
 	}
 	var squares float64
 	for _, worker := range f.scheduler.fleet.sorted {
@@ -102,7 +102,7 @@
 		f := largeFleet(t, 4000, share.draw)
 		var selectedSum, lowestSum float64
 		for program := range uint64(200) {
-			task := f.madeUpTask(program % 20) // program 0 means no program
+			task := f.syntheticTask(program % 20) // program 0 means no program
 			worker := f.scheduler.search.selectWorker(task)
 			lowest := math.Inf(1)
 			for _, other := range f.scheduler.fleet.sorted {
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -18,15 +18,15 @@
 	count := func(f *fixture, from int) (count int) {
 		for i := range 20 {
 			requestID := fmt.Sprint(from, "-", i)
-			actions := f.at(10*ms, f.request(requestID, "safe", .1, .1))
+			actions := f.handleAfter(10*ms, f.request(requestID, "safe", .1, .1))
 			count += len(ofType[Place](actions))
-			f.at(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
+			f.handleAfter(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
 		}
 		return count
 	}
 	settings := testSettings() // 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker("a", 0, 32))
-	f.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(f)}})
+	f.handleAfter(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(f)}})
 	if count := count(f, 1); count != 4 {
 		t.Errorf("got %d offers to a worker that warms up, want 4", count)
 	}
@@ -36,13 +36,13 @@
 	if restarted.scheduler, err = New(settings, 1); err != nil {
 		t.Fatal(err)
 	}
-	restarted.at(0, WorkerList{Kind: ListCached, Entries: []Entry{warming(restarted)}})
+	restarted.handleAfter(0, WorkerList{Kind: ListCached, Entries: []Entry{warming(restarted)}})
 	if count := count(restarted, 1); count != 0 {
 		t.Errorf("got %d offers within the first window after a restart of the scheduler, want 0", count)
 	}
 	settings.SlowStartOffers = 0
 	withoutBudget := newFixture(t, settings, 1)
-	withoutBudget.at(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(withoutBudget)}})
+	withoutBudget.handleAfter(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(withoutBudget)}})
 	if count := count(withoutBudget, 1); count != 0 {
 		t.Errorf("got %d offers with a budget of 0, want 0", count)
 	}
@@ -60,7 +60,7 @@
 	if got := f.scheduler.slowStart.startRate(worker); got != 0.2 {
 		t.Errorf("got start rate %v at the worker's start, want 0.2", got)
 	}
-	f.at(settings.WarmUpUs / 2)
+	f.handleAfter(settings.WarmUpUs / 2)
 	if got := f.scheduler.slowStart.startRate(worker); math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("got start rate %v halfway through the warm-up, want 0.6", got)
 	}
@@ -115,7 +115,7 @@
 	t.Helper()
 	index := settings.SelfIndex
 	f := newFixture(t, settings, uint64(index), warming)
-	f.at(3*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming}})
+	f.handleAfter(3*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming}})
 	for i := range 70 {
 		if b.stall && i%20 == 7 {
 			f.now += 2 * second // the scheduler is stalled
@@ -127,10 +127,10 @@
 			f.scheduler.startedAt = now
 		}
 		requestID := fmt.Sprint(i)
-		for range len(ofType[Place](f.at(97*ms, f.request(requestID, "safe", .1, .1)))) {
+		for range len(ofType[Place](f.handleAfter(97*ms, f.request(requestID, "safe", .1, .1)))) {
 			sent = append(sent, f.now)
 		}
-		f.at(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
+		f.handleAfter(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
 	}
 	return sent
 }
@@ -140,16 +140,16 @@
 func TestOffersBeforeKnownStartCount(t *testing.T) {
 	settings := testSettings() // 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker(warmingWorker, 0, 32))
-	f.at(2 * second)
+	f.handleAfter(2 * second)
 	offers := func(from, requests int) (count int) {
 		for i := range requests {
 			requestID := fmt.Sprint(from, "-", i)
-			if len(ofType[Place](f.at(10*ms, f.request(requestID, "safe", .1, .1)))) == 0 {
-				f.at(0, ClientCancelled{requestID})
+			if len(ofType[Place](f.handleAfter(10*ms, f.request(requestID, "safe", .1, .1)))) == 0 {
+				f.handleAfter(0, ClientCancelled{requestID})
 				continue
 			}
 			count++
-			f.at(0, Accepted{RequestID: requestID, Worker: warmingWorker, RTTUs: 1000})
+			f.handleAfter(0, Accepted{RequestID: requestID, Worker: warmingWorker, RTTUs: 1000})
 		}
 		return count
 	}
@@ -158,16 +158,16 @@
 	}
 	started := smallWorker(warmingWorker, 0, 32)
 	started.StartedAtUs = f.now + ms
-	f.at(100 * ms)
+	f.handleAfter(100 * ms)
 	if count := offers(2, 3); count != 3 {
 		t.Fatalf("got %d offers to a worker that still counts as warm, want 3", count)
 	}
-	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
+	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if count := offers(3, 10); count != 1 {
 		t.Errorf("got %d offers once the start is known, want 1, as 3 of 4 were sent since the start", count)
 	}
 	started.StartedAtUs = f.now // the worker starts again, so the offers since the last start no longer count
-	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
+	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if count := offers(4, 10); count != 4 {
 		t.Errorf("got %d offers after the next start, want 4", count)
 	}
@@ -190,7 +190,7 @@
 		for range 800 {
 			permitted := make([]bool, len(fixtures))
 			for i, f := range fixtures {
-				f.at(10 * ms)
+				f.handleAfter(10 * ms)
 				permitted[i] = f.scheduler.slowStart.permits(f.scheduler.fleet.workers[warmingWorker])
 			}
 			if permitted[0] != permitted[1] {
@@ -230,13 +230,13 @@
 		for settings.SelfIndex = range test.schedulers {
 			f := newFixture(t, settings, 1, smallWorker("warm", 0, -50))
 			warming := smallWorker(warmingWorker, 0, 32)
-			f.at(2 * second)
+			f.handleAfter(2 * second)
 			warming.StartedAtUs = f.now
-			f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{warming}})
+			f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{warming}})
 			for i := range test.want + 1 {
 				requestID := fmt.Sprint(i)
-				sent += len(ofType[Place](f.at(0, f.request(requestID, "safe", .1, .1))))
-				f.at(0, Accepted{RequestID: requestID, Worker: warmingWorker, RTTUs: 1000})
+				sent += len(ofType[Place](f.handleAfter(0, f.request(requestID, "safe", .1, .1))))
+				f.handleAfter(0, Accepted{RequestID: requestID, Worker: warmingWorker, RTTUs: 1000})
 			}
 		}
 		if sent != test.want {
@@ -302,7 +302,7 @@
 			}
 			events = append(events, WorkerList{Kind: ListFull, Entries: entries})
 		}
-		actions := f.at(int64(1+random.IntN(20))*ms, events...)
+		actions := f.handleAfter(int64(1+random.IntN(20))*ms, events...)
 		all, running = append(all, actions...), append(running, ofType[Place](actions)...)
 	}
 	return all
--- a/placement/spread_test.go
+++ b/placement/spread_test.go
@@ -13,7 +13,7 @@
 		f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 		count := 0
 		for i := range 6 {
-			count += len(ofType[Place](f.at(ms, f.request(fmt.Sprint(i), test.class, 1, 1))))
+			count += len(ofType[Place](f.handleAfter(ms, f.request(fmt.Sprint(i), test.class, 1, 1))))
 		}
 		if count != test.want {
 			t.Errorf("class %s: got %d placements of tasks from single calls, want %d", test.class, count, test.want)
@@ -23,7 +23,7 @@
 		for i := range 6 {
 			all = append(all, f.request(fmt.Sprint(i), test.class, 1, 1))
 		}
-		if count := len(ofType[Place](f.at(ms, all...))); count != test.want {
+		if count := len(ofType[Place](f.handleAfter(ms, all...))); count != test.want {
 			t.Errorf("class %s: got %d placements of tasks from one call, want %d", test.class, count, test.want)
 		}
 	}
@@ -31,37 +31,37 @@
 
 func TestAdoptedTasksCountForSpread(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
-	f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
-	f.wantPlaced(f.at(ms, f.request("1", "apartMachine", 1, 1)), "")
-	f.wantPlaced(f.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Completed, Final: true}), "a")
-	f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true})
-	f.wantPlaced(f.at(ms, Adopted{Task: f.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, f.request("2", "apartMachine", 1, 1)), "")
+	f.handleAfter(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "apartMachine", 1, 1)), "")
+	f.wantPlaced(f.handleAfter(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Completed, Final: true}), "a")
+	f.handleAfter(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true})
+	f.wantPlaced(f.handleAfter(ms, Adopted{Task: f.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, f.request("2", "apartMachine", 1, 1)), "")
 }
 
 // TestSpreadCountsAreNotReused checks that cached counts are not used for another program, nor after a change
 // of the tasks.
 func TestSpreadCountsAreNotReused(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 10))
-	f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
+	f.handleAfter(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
 	other := f.request("1", "apartMachine", 40, 40)
 	other.Program = 8
-	f.wantPlaced(f.at(ms, other, f.request("2", "apartMachine", 1, 1)), "")
+	f.wantPlaced(f.handleAfter(ms, other, f.request("2", "apartMachine", 1, 1)), "")
 	f = newFixture(t, testSettings(), 1, smallWorker("a", 0, -16))
-	f.wantPlaced(f.at(ms, f.request("1", "apartMachine", 1, 1)), "")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "apartMachine", 1, 1)), "")
 	full := WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, -16)}}
-	f.wantPlaced(f.at(ms, full), "")
+	f.wantPlaced(f.handleAfter(ms, full), "")
 	free := WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, 30)}}
-	f.wantPlaced(f.at(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"}, free), "")
+	f.wantPlaced(f.handleAfter(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"}, free), "")
 }
 
 // TestAttemptsOfCancelledRequestsCountForSpread cancels a request before its attempt has ended, as in
 // incident ib4b606. The attempt counts for the spread until it ends.
 func TestAttemptsOfCancelledRequestsCountForSpread(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
-	f.wantPlaced(f.at(ms, f.request("1", "apartMachine", 1, 1)), "a")
-	f.at(ms, ClientCancelled{"1"})
-	f.wantPlaced(f.at(ms, f.request("2", "apartMachine", 1, 1)), "")
-	f.wantPlaced(f.at(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "apartMachine", 1, 1)), "a")
+	f.handleAfter(ms, ClientCancelled{"1"})
+	f.wantPlaced(f.handleAfter(ms, f.request("2", "apartMachine", 1, 1)), "")
+	f.wantPlaced(f.handleAfter(ms, AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut, Final: true}), "a")
 	if len(f.scheduler.requests.tasks) != 1 {
 		t.Errorf("got %d tasks in the scheduler's state, want 1", len(f.scheduler.requests.tasks))
 	}
@@ -69,12 +69,12 @@
 
 func TestTasksOfRestartedWorkerCountForSpread(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
-	f.at(2*second, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
+	f.handleAfter(2*second, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
 	entry := smallWorker("a", 0, 30)
 	entry.StartedAtUs = f.now
-	f.at(ms, WorkerList{Kind: ListDelta, Entries: []Entry{entry}})
-	f.wantPlaced(f.at(ms, f.request("1", "apartMachine", 1, 1)), "")
-	f.wantPlaced(f.at(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
+	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{entry}})
+	f.wantPlaced(f.handleAfter(ms, f.request("1", "apartMachine", 1, 1)), "")
+	f.wantPlaced(f.handleAfter(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
 }
 
 // BenchmarkSpread measures a call with 100 tasks of a class with a spread limit on a fleet of 400 workers, of
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -69,7 +69,7 @@
 	for _, worker := range t.fleet.sorted {
 		if worker.listed && worker.State == Ready && worker.kindIndex >= 0 && t.settings.HasView {
 			cores, memory := t.loads.requested(worker)
-			effectiveCores, effectiveMemory := t.capacity.of(worker)
+			effectiveCores, effectiveMemory := t.capacity.effective(worker)
 			free := min((effectiveCores-cores)/t.settings.UnitCores,
 				(effectiveMemory-memory)/t.settings.UnitMemory)
 			free /= float64(t.fleet.sharingSchedulers())
--- a/placement/totals_test.go
+++ b/placement/totals_test.go
@@ -16,11 +16,11 @@
 		entries[i] = worker.Entry
 		entries[i].FreeCores = 16
 	}
-	f.at(second/2, WorkerList{Kind: ListDelta, Entries: entries})
+	f.handleAfter(second/2, WorkerList{Kind: ListDelta, Entries: entries})
 	if utilization, _ := f.scheduler.totals.means(); utilization != 0 {
 		t.Errorf("got utilization %v before a second has passed, want 0 as before the change", utilization)
 	}
-	f.at(second/2, TimerFired{})
+	f.handleAfter(second/2, TimerFired{})
 	if utilization, _ := f.scheduler.totals.means(); math.Abs(utilization-0.5/f.scheduler.capacity.baseline.cores) > 1e-9 {
 		t.Errorf("got utilization %v after a second, want %v", utilization, 0.5/f.scheduler.capacity.baseline.cores)
 	}
@@ -35,11 +35,11 @@
 	for _, worker := range f.scheduler.fleet.sorted {
 		worker.attemptWindow = 0 // the worker may get no offers
 	}
-	f.at(retryInterval/2, TimerFired{})
+	f.handleAfter(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != all {
 		t.Errorf("got %v free units before the timer is due, want %v as before the change", got, all)
 	}
-	f.at(retryInterval/2, TimerFired{})
+	f.handleAfter(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != 0 {
 		t.Errorf("got %v free units when the timer is due, want 0", got)
 	}
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -14,20 +14,20 @@
 	for i := range 60 {
 		requestID := fmt.Sprint(i)
 		if i%3 != 1 {
-			f.at(0, f.request(requestID, "safe", 1, 1))
-			f.at(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
+			f.handleAfter(0, f.request(requestID, "safe", 1, 1))
+			f.handleAfter(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
 			binds = append(binds, change{f.now, 1})
 			if i%2 == 0 {
-				f.at(150*ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Completed, Final: true})
+				f.handleAfter(150*ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Completed, Final: true})
 				binds = append(binds, change{f.now, -1})
 			}
 		}
-		f.at(700 * ms)
+		f.handleAfter(700 * ms)
 		for len(binds) > 0 && binds[0].at <= f.now-2500*ms {
 			free -= float64(binds[0].by)
 			binds = binds[1:]
 		}
-		f.at(0, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, free)}})
+		f.handleAfter(0, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, free)}})
 	}
 	if f.scheduler.loads.lag < 2000*ms || f.scheduler.loads.lag > 3250*ms {
 		t.Errorf("got lag %v us, want 2.0 to 3.25 s", f.scheduler.loads.lag)
@@ -54,14 +54,14 @@
 			f := newFixture(t, settings, 1, smallWorker("a", 0, 30), smallWorker("b", 0, 16))
 			request := f.request("1", "safe", 1, 2)
 			request.Program = 0
-			actions := f.at(ms, request)
+			actions := f.handleAfter(ms, request)
 			f.wantPlaced(actions, "")
 			if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "a" {
 				t.Fatalf("got probes %v, want one of worker a", got)
 			}
-			actions = f.at(20*ms, ProbeResult{Worker: "a", Outcome: Completed, Load: test.load})
+			actions = f.handleAfter(20*ms, ProbeResult{Worker: "a", Outcome: Completed, Load: test.load})
 			for _, probe := range ofType[Probe](actions) {
-				actions = f.at(20*ms, ProbeResult{Worker: probe.Worker, Outcome: Completed, Load: Load{16, 32, .5, 0}})
+				actions = f.handleAfter(20*ms, ProbeResult{Worker: probe.Worker, Outcome: Completed, Load: Load{16, 32, .5, 0}})
 			}
 			f.wantPlaced(actions, test.want)
 		})
@@ -74,14 +74,14 @@
 	f := newFixture(t, settings, 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	request := f.request("1", "safe", 1, 2)
 	request.Program = 0
-	f.at(ms, request)
-	actions := f.at(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
+	f.handleAfter(ms, request)
+	actions := f.handleAfter(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
 	if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "b" {
 		t.Fatalf("got probes %v after the first one timed out, want one of worker b", got)
 	}
 	// Both workers are suspect now, and the suspicion of a is lower.
-	f.wantPlaced(f.at(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a")
-	actions = f.at(10*suspicionHalflife, request)
+	f.wantPlaced(f.handleAfter(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a")
+	actions = f.handleAfter(10*suspicionHalflife, request)
 	if count := len(ofType[Place](actions)); count != 0 {
 		t.Errorf("got %d more placements of a request that has an attempt, want 0", count)
 	}
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -43,7 +43,7 @@
 				t.Fatal(err)
 			}
 			f := newFleet(t, c.orchestrators, false)
-			f.Watch()
+			f.StartSampling()
 			v, violations := runSchedule(t, f, steps, time.Duration(c.seconds)*time.Second)
 			t.Logf("%s: %s", c.name, v)
 			if violations != "" {
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -49,15 +49,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fleet.New(t, fleet.Options{Programs: []string{binary}, Dir: t.TempDir(), Orchestrators: orchestrators, Seed: *seedFlag, Alone: alone})
+	return fleet.New(t, fleet.Options{Programs: []string{binary}, Dir: t.TempDir(), Orchestrators: orchestrators, Seed: *seedFlag, WithoutPeers: alone})
 }
 
 // runSchedule runs a schedule while clients submit tasks. It returns the verdict and the violated rules, one per line.
 func runSchedule(t *testing.T, f *fleet.Fleet, steps []testbed.Step, length time.Duration) (v fleet.Verdict, violations string) {
-	placements := f.Demand(length - time.Second)
+	placements := f.SubmitTasks(length - time.Second)
 	f.RunSchedule(steps, length)
 	placements.Wait()
-	v = f.Judge()
+	v = f.Evaluate()
 	brokenRules := v.Violations
 	if unanswered := placements.Unanswered(); len(unanswered) > 0 {
 		brokenRules = append(brokenRules, fmt.Sprintf("%d requests without a response, for example %s", len(unanswered), unanswered[0]))
@@ -76,13 +76,13 @@
 	var withoutPeers *fleet.Placements
 	if flag.Lookup("test.run").Value.String() != "" { // a measurement only, not part of the schedule
 		t.Run("off", func(t *testing.T) {
-			withoutPeers = newFleet(t, *processesFlag, true).Demand(*calmFlag)
+			withoutPeers = newFleet(t, *processesFlag, true).SubmitTasks(*calmFlag)
 			withoutPeers.Wait()
 		})
 	}
 	f := newFleet(t, *processesFlag, false)
-	f.Watch()
-	withPeers := f.Demand(*calmFlag)
+	f.StartSampling()
+	withPeers := f.SubmitTasks(*calmFlag)
 	withPeers.Wait()
 	steps := schedule(t, f, length)
 	t.Logf("seed %d: %s", *seedFlag, testbed.FormatSchedule(steps))
@@ -102,7 +102,7 @@
 func schedule(t *testing.T, f *fleet.Fleet, length time.Duration) []testbed.Step {
 	t.Helper()
 	if *scheduleFlag == "" {
-		return f.Draw(*seedFlag, length)
+		return f.DrawSchedule(*seedFlag, length)
 	}
 	steps, err := testbed.ParseSchedule(*scheduleFlag)
 	if err != nil {
@@ -137,7 +137,7 @@
 	steps = testbed.ShrinkSchedule(steps, func(shorter []testbed.Step) (fails bool) {
 		t.Run("shrink", func(t *testing.T) {
 			f := newFleet(t, *processesFlag, false)
-			f.Watch()
+			f.StartSampling()
 			_, violations := runSchedule(t, f, shorter, length)
 			fails = violations != ""
 		})
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return fmt.Errorf("dial client connection to %s: %w", c.pool.orchestrator.Name, err)
 	}
-	socket := c.pool.bytes.Count(raw)
+	socket := c.pool.bytes.Wrap(raw)
 	c.socket = socket
 	go c.read(socket)
 	return nil
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -129,7 +129,7 @@
 // listApplied reports whether every orchestrator has applied the worker list up to a revision.
 func (r *rig) listApplied(revision int) bool {
 	for _, o := range r.orchestrators {
-		if o.subscription.LastPolled() < revision {
+		if o.subscription.LastAppliedRevision() < revision {
 			return false
 		}
 	}
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -208,7 +208,7 @@
 	report := func(after int64, name string, other uint64, result membership.HandshakeResult) {
 		s.after(after, func() {
 			if prober.running && prober.nonce == nonce {
-				s.call(from, func() []membership.Action { return prober.HandshakeProbed(s.now, name, other, result) })
+				s.call(from, func() []membership.Action { return prober.HandshakeProbeDone(s.now, name, other, result) })
 			}
 		})
 	}
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -181,7 +181,7 @@
 // logFindings logs the counts of clients and workers, unreported completions, and the orchestrators'
 // warnings.
 func (r *rig) logFindings() {
-	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.snapshot(), r.fleet.Rejections(), r.discovery.EntriesSent(),
+	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.snapshot(), r.fleet.Rejections(), r.discovery.EntriesPublished(),
 		r.fleet.AcceptFailures())
 	for _, line := range r.ledger.describeUnreported() {
 		r.t.Log("scale-unreported: " + line)
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -144,7 +144,7 @@
 	if r.responses > 1 && r.leftAt.IsZero() {
 		v.addViolation(&v.duplicates, "twice (more than one response)", s.describeRequest(r)...)
 	}
-	offeredAt := s.attempts.Last(r.id)
+	offeredAt := s.attempts.LastOfferAt(r.id)
 	limit := r.leftAt.Add(leaveLimit + maxPathDelay)
 	if !r.leftAt.IsZero() && offeredAt.After(limit.Add(s.pauses.totalBetween(r.leftAt, offeredAt))) {
 		v.addViolation(&v.afterLeave, "after_leave (offer after its client left)",
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -131,8 +131,8 @@
 		if i%2 == 0 {
 			w.proxy = testbed.NewProxy(s.t, w.Worker)
 		}
-		go discard(w.Starts)
-		go discard(w.Ends)
+		go discard(w.Offers)
+		go discard(w.Cancels)
 		p.workers = append(p.workers, w)
 	}
 }
@@ -187,7 +187,7 @@
 		s.ledger.endedAtWorker(requestID, w)
 	}
 	if w.isEvicting() || s.ledger.isNeverAccepted(requestID) {
-		w.SendAway(requestID)
+		w.EvictTask(requestID)
 		return
 	}
 	w.SendFinish(requestID, codeEnded)
