--- a/placement/actions.go
+++ b/placement/actions.go
@@ -7,14 +7,16 @@
 
 // The types of Action. The caller carries actions out in the order in which they are returned.
 type (
-	// Place sends an offer to a worker, and abandons the attempt at AbandonAtUs.
+	// Place offers a task to a worker. The caller abandons the attempt at the time AbandonAtUs, in
+	// microseconds.
 	Place struct {
 		RequestID, Worker string
 		AbandonAtUs       int64
 	}
-	// Reject responds to the client that a retry is harmless. The caller adds the Retry-After.
+	// Reject is the final response to a request whose client may safely submit it again. The caller
+	// adds the Retry-After.
 	Reject struct{ RequestID string }
-	// Fail responds to the client that the task may have run.
+	// Fail is the final response to a request whose task may have run.
 	Fail struct{ RequestID string }
 	// Migrate ends a running task and lets its client submit it again.
 	Migrate struct{ RequestID string }
@@ -24,12 +26,12 @@
 	WatchWorkers struct{ Active bool }
 	// RefreshWorkers requests a complete list of workers from discovery.
 	RefreshWorkers struct{}
-	// CancelAttempt cancels an attempt.
+	// CancelAttempt cancels an attempt of a request. Attempts are numbered from 0.
 	CancelAttempt struct {
 		RequestID string
 		Attempt   int
 	}
-	// SetTimer requests a [TimerFired] with the same Ref after OffsetUs.
+	// SetTimer requests a [TimerFired] with the same Ref after OffsetUs microseconds.
 	SetTimer struct {
 		OffsetUs int64
 		Ref      string
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -16,7 +16,7 @@
 
 // affinity caches the preferred workers of programs.
 type affinity struct {
-	preferred map[uint64][]*workerInfo // by program
+	preferred map[uint64][]*workerInfo // preferred workers by program
 }
 
 func newAffinity() *affinity { return &affinity{preferred: map[uint64][]*workerInfo{}} }
@@ -24,8 +24,9 @@
 // clear empties the cache. It must be called when workers are added, removed or reassigned.
 func (a *affinity) clear() { clear(a.preferred) }
 
-// preferredWorkers returns the preferred workers of a program among the given workers. nameHashes holds the hashes
-// of their names in the same order, and assigned is how many of them are assigned to this scheduler.
+// preferredWorkers returns the preferred workers of a program among the given workers. nameHashes holds the
+// hashes of the workers' names in the same order. assigned is the number of workers that are assigned to
+// this scheduler.
 func (a *affinity) preferredWorkers(
 	program uint64, workers []*workerInfo, nameHashes []uint64, assigned int,
 ) []*workerInfo {
@@ -37,7 +38,7 @@
 	}
 	var preferred []*workerInfo
 	programHash := mix(program)
-	// An integer comparison excludes most workers: a rank below programWorkers implies a hash above
+	// An integer comparison excludes most workers: a rank below preferredWorkerCount implies a hash above
 	// minHash.
 	minHash := uint64(max(0, 1-1.001*preferredWorkerCount/float64(max(1, assigned))) * math.MaxUint64)
 	for i := nextHash(nameHashes, 0, programHash, minHash); i < len(nameHashes); {
@@ -65,8 +66,9 @@
 	return len(nameHashes)
 }
 
-// hashedRank estimates the rank of a worker in the order hashed from a program, given the hash of both.
-// The order contains only the workers that are assigned to this scheduler.
+// hashedRank estimates the rank of a worker in the order of the workers by a hash of the program and the
+// worker's name. hash is the hash of this worker, and assigned is the number of workers in the order, which
+// are those that are assigned to this scheduler.
 func hashedRank(hash uint64, assigned int) float64 {
 	return (1 - float64(hash)/math.MaxUint64) * float64(assigned)
 }
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -28,10 +28,10 @@
 }
 
 // learn adjusts the calibration of a worker to a measurement of poor service. The measured effective
-// capacity is what is requested of the worker now, multiplied by target/used if the use exceeds the
-// target. Calibration protects against slow workers, against other load on their machines and against
-// tasks that use more than they requested. It decays without further measurements. It does harm if one
-// task is served poorly for a reason of its own, because the whole worker then counts as slow.
+// capacity is the capacity requested of the worker now, multiplied by target/used if the use exceeds
+// the target. Calibration protects against slow workers, against other load on their machines and
+// against tasks that use more than they requested. A calibration decays without further measurements.
+// It does harm if a task itself causes its poor service, because the whole worker then counts as slow.
 func (c *calibration) learn(worker *workerInfo, m measurement) {
 	if !m.poor || worker.kindIndex < 0 || !c.settings.HasView {
 		return
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -15,7 +15,8 @@
 	// baseline is the effective capacity of a worker without calibration, as fractions of the size of
 	// its kind.
 	baseline fractions
-	// requested and used are sums over the running tasks that reported their use.
+	// requested and used are the amounts of each resource that running tasks request and use, summed over the
+	// tasks that reported their use.
 	requested, used [resourceCount]float64
 	// saturationLoad and saturationRange are the minima over all classes, since any class may use a
 	// worker.
@@ -46,8 +47,8 @@
 	c.baseline = fractions{cores, memory}
 }
 
-// effective returns the effective capacity effective a worker effective a known kind. Utilization is relative to effective
-// capacity: a worker with a utilization effective 1 can carry no more.
+// effective returns the effective capacity of a worker of a known kind. Utilization is relative to
+// effective capacity: a worker with a utilization of 1 can carry no more.
 func (c *capacityModel) effective(worker *workerInfo) (cores, memory float64) {
 	kind := c.kindOf(worker)
 	worker.decayCalibration(c.now)
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -1,16 +1,16 @@
 package placement
 
-// This file owns the schedule of polls of the discovery service. It must not read a list.
+// This file owns the schedule of polls of the discovery service. It must not read worker lists.
 
 const (
 	// maxInitialDelay is the maximum time from the scheduler's first call to its first poll.
 	maxInitialDelay = 200 * millisecond
 	// minPollInterval is the minimum time between two polls without a response in between.
 	minPollInterval = second
-	// pollJitter is the maximum random time added to the interval.
+	// pollJitter is the maximum random time added to the time between two polls.
 	pollJitter = second
-	// initialBackoff is the backoff before any doubling. It doubles with each poll and with each failure
-	// since the last list.
+	// initialBackoff is the backoff before any doubling. Each poll and each failure since the last list
+	// doubles the backoff.
 	initialBackoff = 250 * millisecond
 	// maxBackoffDoublings is the maximum number of times that the backoff doubles.
 	maxBackoffDoublings = 5
@@ -20,13 +20,14 @@
 type discovery struct {
 	*environment
 	pollAt   int64 // time of the next poll, in microseconds; 0: none is scheduled
-	attempts int   // polls plus failures since the last list
+	attempts int   // number of polls and failures since the last list
 }
 
 // start schedules the first poll.
 func (d *discovery) start() { d.pollAt = d.now + d.jitter(maxInitialDelay) }
 
-// recordList schedules the next poll after a failure, and stops polling after a list that is not a cached one.
+// recordList schedules the next poll after a failure. It stops polling after a list, unless the list is a
+// cached one.
 func (d *discovery) recordList(kind ListKind) {
 	switch kind {
 	case ListFailed:
@@ -38,7 +39,7 @@
 	}
 }
 
-// poll requests changes from the discovery service if a poll is due.
+// poll requests changes from the discovery service if the time of the next poll has come.
 func (d *discovery) poll() {
 	if !d.settings.PollsDiscovery || d.pollAt == 0 || d.now < d.pollAt {
 		return
--- a/placement/discovery_test.go
+++ b/placement/discovery_test.go
@@ -14,7 +14,7 @@
 		}
 		polls++
 		if f.now-last > settings.PollWithinUs {
-			t.Fatalf("got a poll %d us after the last one, want at most %d us", f.now-last, settings.PollWithinUs)
+			t.Fatalf("got a poll %d us after the previous one, want at most %d us", f.now-last, settings.PollWithinUs)
 		}
 		last = f.now
 		f.handleAfter(0, WorkerList{Kind: ListFailed})
--- a/placement/environment.go
+++ b/placement/environment.go
@@ -2,18 +2,19 @@
 
 import "math/rand/v2"
 
-// This file holds what all parts of a scheduler share: the settings, the time, the random source and the
-// actions of the current call. It must not make decisions.
+// This file holds the state that all components of a scheduler share: the settings, the time, the random
+// source and the actions of the current call. It must not make decisions.
 
-// retryInterval is the time after which pending tasks are considered again if no event comes first.
+// retryInterval is the time, in microseconds, after which a scheduling pass considers pending tasks
+// again if no event triggers a pass earlier.
 const retryInterval = 50 * millisecond
 
-// environment holds the state that the parts of one scheduler share.
+// environment holds the state that the components of one scheduler share.
 type environment struct {
 	settings  Settings
 	random    *rand.Rand
-	startedAt int64 // time of the first call, or notStarted
-	now       int64 // time of the current call
+	startedAt int64 // time of the first call, in microseconds, or notStarted
+	now       int64 // time of the current call, in microseconds
 	actions   []Action
 	// needsPass is true if an event since the last scheduling pass may allow a pending task to be
 	// placed.
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -286,7 +286,7 @@
 	s.handleEach(s.advanceToNextRequest())
 }
 
-// hugeSite returns a site with a few empty workers, the only ones with free capacity for a huge task.
+// hugeSite returns a site with a few empty workers, the only workers with free capacity for a huge task.
 func hugeSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	empty := 0
--- a/placement/events.go
+++ b/placement/events.go
@@ -1,7 +1,7 @@
 package placement
 
-// This file defines the events that a scheduler takes, and the data about workers and tasks that they
-// carry. It must not make decisions.
+// This file defines the events that a scheduler takes, and the data about workers and tasks in these
+// events. It must not make decisions.
 
 // WorkerState is the state of a worker in a list.
 type WorkerState int
@@ -11,8 +11,8 @@
 	Ready WorkerState = iota
 	Draining
 	Removed
-	// Foreign is the state of a worker that is ready but assigned to another orchestrator. It gets no
-	// offers from this one, and tasks that run on it stay there.
+	// Foreign is the state of a worker that is ready but assigned to another orchestrator. A foreign
+	// worker gets no offers from this orchestrator, and the tasks that run on the worker stay there.
 	Foreign
 )
 
@@ -21,9 +21,9 @@
 	Worker                string
 	Kind, Zone            string
 	Cell                  int
-	StartedAtUs           int64 // 0 if the worker started long ago
+	StartedAtUs           int64 // time of the worker's start; 0 if it started long ago
 	State                 WorkerState
-	FreeCores, FreeMemory float64 // not requested; negative if overcommitted; may be old if Foreign
+	FreeCores, FreeMemory float64 // not requested; negative if overcommitted; outdated if Foreign
 	// Uncordoned is true if operators have just uncordoned the worker, so that it can be used again.
 	Uncordoned bool
 }
@@ -45,8 +45,8 @@
 // The outcomes.
 const (
 	Completed     Outcome = iota + 1 // the task has ended
-	Failed                           // ended with an error; the task may have started
-	Rejected                         // by the worker; the task never ran
+	Failed                           // the attempt ended with an error; the task may have started
+	Rejected                         // the worker rejected the offer; the task never ran
 	TimedOut                         // no answer; the worker may have accepted the task
 	ConnectFailed                    // no connection to the worker; the task never ran
 	Reset                            // the task was lost, or the answer was cut off
@@ -87,7 +87,7 @@
 	ReportMemoryPressure                       // used fraction of its worker's memory
 )
 
-// Load is the load that a worker reports. A value that it did not report is NaN.
+// Load is the load that a worker reports. A value that the worker did not report is NaN.
 type Load struct {
 	FreeCores, FreeMemory, Utilization, Queued float64
 }
@@ -102,7 +102,7 @@
 	ExpectedRunUs int64 // expected run time; valid if HasRunHint
 	HasRunHint    bool
 	Retry         bool  // resubmitted after a rejection, failure, migration or loss
-	QueuedSinceUs int64 // when its client started to wait; 0 means now
+	QueuedSinceUs int64 // time at which the client started to wait; 0: now
 	Tenant        string
 	Program       uint64
 }
@@ -150,19 +150,19 @@
 		Kind      ReportKind
 		Value     float64
 	}
-	// ProbeResult is the answer to a [Probe], or reports by its outcome that there was none.
+	// ProbeResult is the result of a [Probe]. Load is valid only if Outcome is Completed.
 	ProbeResult struct {
 		Worker  string
 		Outcome Outcome
 		RTTUs   int64
 		Load    Load
 	}
-	// WorkerReachable reports that a worker accepted a connection after an earlier one had failed or had
-	// got no answer.
+	// WorkerReachable reports that a worker accepted a connection after an earlier connection had failed
+	// or had carried no answer.
 	WorkerReachable struct{ Worker string }
-	// WorkerUnreachable reports that no connection to a worker is open and that the last one failed: it
-	// was refused or reset, was not established in time, or carried no data back. WorkerReachable
-	// follows once a connection is open.
+	// WorkerUnreachable reports that no connection to a worker is open and that the last connection
+	// failed: it was refused or reset, was not established in time, or carried no data back.
+	// WorkerReachable follows once a connection is open.
 	WorkerUnreachable struct{ Worker string }
 	// Backpressure reports the release rate, at which capacity becomes free while tasks wait for it, in
 	// units per second (see Settings.Units); it is 0 if the rate is not known or no task waits. Reserved
@@ -172,7 +172,7 @@
 		ReleaseRate float64
 		Reserved    []float64 // by class, or nil
 	}
-	// TimerFired reports that the time of a [SetTimer] has come.
+	// TimerFired reports that the timer of the [SetTimer] with the same Ref has expired.
 	TimerFired struct{ Ref string }
 	// ClientCancelled reports that a client cancelled its request.
 	ClientCancelled struct{ RequestID string }
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-// This file owns the filters of a placement: which workers may get a task, are healthy and have the
-// free capacity. It looks at one worker at a time and never compares the workers that pass.
+// This file owns the filters of a placement, which determine whether a worker may get a task, is
+// healthy and has the free capacity. A filter looks at one worker at a time and never compares
+// workers.
 
-// largeTaskShare is the part of a worker's effective capacity above which a task counts as large.
+// largeTaskShare is the fraction of a worker's effective capacity above which a task counts as
+// large.
 const largeTaskShare = 0.15
 
 // filter decides for single workers whether they can run a task.
@@ -65,7 +67,7 @@
 	}
 	effectiveCores, effectiveMemory := f.capacity.effective(worker)
 	if max(task.Cores/effectiveCores, task.Memory/effectiveMemory) > largeTaskShare && f.waitedLong(task) {
-		return true // a fleet with evenly loaded workers has no gap for a large task
+		return true // no worker of an evenly loaded fleet has enough free capacity for a large task
 	}
 	return cores+task.Cores <= effectiveCores && memory+task.Memory <= effectiveMemory
 }
@@ -90,8 +92,8 @@
 	size = fractions{size.cores + concurrent.cores, size.memory + concurrent.memory}
 	limit := loadLimit{max: f.index.baseline.minus(size), calibratedMax: accepted.minus(size)}
 	if f.waitedLong(task) {
-		// A large task that has waited long may exceed the effective capacity. Whether a task is
-		// large depends on the effective capacity of the worker, so the limit depends on its
+		// A large task that has waited long may exceed the effective capacity. Whether a task is large
+		// depends on the effective capacity of the worker, so the limit depends on the worker's
 		// calibration.
 		if limit.calibrationBelow = utilization / largeTaskShare; limit.calibrationBelow > 1 {
 			limit.max = limit.calibratedMax
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -42,7 +42,8 @@
 }
 
 // totalRequestedCores returns the cores requested of all workers. It assumes that the requests on foreign
-// workers are, on average, the same as on the other workers, because only those have a current view.
+// workers are, on average, the same as on the other workers, because only the other workers have a
+// current view.
 func (f *fleet) totalRequestedCores() float64 {
 	f.refresh()
 	if f.foreignCount == 0 {
@@ -128,7 +129,7 @@
 	worker.uncordonedIdle = worker.uncordonedIdle && worker.listed || entry.Uncordoned
 	if entry.Uncordoned {
 		f.uncordoned[worker] = true
-		// Uncordoning ends every suspicion, for example that from a restart of the worker by operators.
+		// Uncordoning ends every suspicion, for example one caused by operators who restarted the worker.
 		clear(worker.suspicions)
 	}
 	hasName := func(kind Kind) bool { return kind.Name == entry.Kind }
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -11,22 +11,22 @@
 var historiesFlag = flag.Int("histories", 40, "tests of drawn histories: how many")
 
 const (
-	// probesEach is the number of made-up tasks whose selections are compared after each step, and
-	// pendingEach that of pending tasks.
+	// probesEach is the number of synthetic tasks whose selections are compared after each step.
+	// pendingEach is the maximum number of pending tasks for which this is done.
 	probesEach  = 3
 	pendingEach = 2
 	// offerEvery is the probability that, after a step, up to offersEach tasks are offered one by
 	// one, as within one call of Handle, and selections are compared after each of them.
 	offerEvery = 0.3
 	offersEach = 3
-	// maxFlipped is the maximum part of the comparisons that may depend on a value at a border.
+	// maxFlipped is the maximum fraction of the comparisons that may depend on a value at its limit.
 	maxFlipped = 0.01
 )
 
 // comparisons counts what was compared, by path of the selection.
 type comparisons struct {
 	paths                                          map[string]int
-	total, flipped                                 int // flipped: matched only with a border value decided the other way
+	total, flipped                                 int // flipped: matched only if a value at its limit was decided the other way
 	multipleFinalists, reserved, elsewhereSearches int
 	offered                                        int // tasks that were offered one by one
 }
@@ -58,7 +58,7 @@
 			c.multipleFinalists, c.reserved, c.elsewhereSearches, c.offered)
 	}
 	if float64(c.flipped) > maxFlipped*float64(c.total) {
-		t.Errorf("got %d of %d comparisons at a border, want at most a part of %v", c.flipped, c.total, maxFlipped)
+		t.Errorf("got %d of %d comparisons that depend on a value at its limit, want at most a fraction of %v", c.flipped, c.total, maxFlipped)
 	}
 }
 
@@ -98,7 +98,7 @@
 	return true
 }
 
-// compare compares selections in the present state. It first discards the cached means and free
+// compare compares selections in the current state. It first discards the cached means and free
 // capacity, which a large fleet recomputes only from time to time. TestMeansOfLargeFleet checks the
 // caching.
 func (c *comparisons) compare(h *history) error {
--- a/placement/health.go
+++ b/placement/health.go
@@ -11,21 +11,21 @@
 const (
 	// timeoutSuspicion is added to the suspicion of a worker that does not answer.
 	timeoutSuspicion = 1.5
-	// errorSuspicion is added for an error or a lost attempt.
+	// errorSuspicion is added to the suspicion of a worker for an error or a lost attempt.
 	errorSuspicion = 0.7
-	// lossSuspicion is added for a missing answer if the worker accepted another attempt of the same
-	// class in the meantime.
+	// lossSuspicion is added to the suspicion of a worker for a missing answer if the worker accepted another
+	// attempt of the same class in the meantime.
 	lossSuspicion = 0.4
-	// ejectionThreshold is the suspicion from which a worker gets no attempts.
+	// ejectionThreshold is the lowest suspicion at which a worker gets no attempts.
 	ejectionThreshold = 1.0
-	// suspectThreshold is the suspicion from which a worker gets only one attempt at a time.
+	// suspectThreshold is the lowest suspicion at which a worker gets only one attempt at a time.
 	suspectThreshold = 0.25
-	// reconnectedSuspicion is the upper limit of the suspicion after a connection came up again.
+	// reconnectedSuspicion is the upper limit of the suspicion after a connection was established again.
 	reconnectedSuspicion = 0.5
 
-	// maxAttemptWindow is the upper limit of the attempt window, which is the number of unanswered
-	// attempts that a worker may have. An accepted attempt raises the window, and a rejection because
-	// too many offers wait halves it.
+	// maxAttemptWindow is the upper limit of the attempt window, which is the number of unanswered attempts
+	// that a worker may have. An accepted attempt raises the window, and a rejection because the worker's
+	// queue is full halves it.
 	maxAttemptWindow = 12.0
 	// assumedDrain is how long a worker is assumed to be draining, although the list does not show it
 	// yet, after it rejected an attempt as the wrong worker or ended a task because it drains.
@@ -49,8 +49,8 @@
 // health detects outliers among workers.
 type health struct {
 	*environment
-	// meanRTT and rttDeviation are moving averages of the response time and of its absolute deviation,
-	// in microseconds, as TCP keeps them. Both are 0 before the first answer.
+	// meanRTT and rttDeviation are moving averages of the response time and of its absolute deviation, in
+	// microseconds, computed as in TCP. Both are 0 before the first answer.
 	meanRTT, rttDeviation float64
 }
 
@@ -70,8 +70,8 @@
 func (h *health) rttKnown() bool { return h.meanRTT != 0 }
 
 // responseTimeout returns the time in microseconds after which an answer is overdue, derived from the
-// answers so far. If an answer means that the task runs, the timeout is longer, because starts that queue
-// at a worker do not show that it is unresponsive.
+// answers so far. If an answer means that the task runs, the timeout is longer, because a worker whose
+// starts are queued is not necessarily unresponsive.
 func (h *health) responseTimeout() int64 {
 	if h.settings.AcceptMeansRunning {
 		return max(int64(h.meanRTT+startDeviations*h.rttDeviation), minStartedTimeout)
@@ -96,7 +96,7 @@
 		h.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// overdue reports whether the answer to a message sent at sentAt is later than the response timeout.
+// overdue reports whether the response timeout of a message sent at sentAt has passed.
 func (h *health) overdue(sentAt int64) bool {
 	return h.meanRTT > 0 && h.now-sentAt > h.responseTimeout()
 }
@@ -149,10 +149,10 @@
 }
 
 // recordTimeout records an attempt that got no answer. The timeout adds to the suspicion for every class,
-// unless the worker has accepted another attempt since this one was sent and is therefore reachable. If
-// it accepted only other classes, the suspicion rises for this class alone. If it accepted the same class,
+// unless the worker has accepted another attempt since this one was sent and is therefore reachable. If it
+// accepted only other classes, the suspicion rises for this class alone. If it accepted the same class,
 // some answers are being lost, and the suspicion for the class rises only a little. The rule could do harm
-// by using a worker that is about to become unresponsive, but the next attempt detects that.
+// by using a worker that is about to become unresponsive, but the next attempt detects this.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
@@ -186,10 +186,10 @@
 	}
 }
 
-// recordReachable records that a worker took a connection after a failure. The failure was that of a
-// connection and of everything sent on it, so the worker is tried again, one attempt at a time. This would
-// do harm if a worker takes connections but answers nothing. A further connection therefore lowers the
-// suspicion only if the worker has accepted an attempt since the last one that did.
+// recordReachable records that a worker accepted a connection after an earlier one failed. The failure of
+// a connection affects everything sent on it, so the worker is tried again, one attempt at a time. This
+// would do harm if a worker accepts connections but answers nothing. A further connection therefore lowers
+// the suspicion only if the worker has accepted an attempt since a connection last lowered it.
 func (h *health) recordReachable(worker *workerInfo) {
 	if worker == nil {
 		return
@@ -207,7 +207,7 @@
 	}
 }
 
-// recordUnreachable records that no connection to a worker is up and that the last one failed.
+// recordUnreachable records that no connection to a worker is open and that the last one failed.
 func (h *health) recordUnreachable(worker *workerInfo) {
 	if worker != nil {
 		worker.unreachable = true
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -15,8 +15,8 @@
 	f.wantPlaced(f.handleAfter(10*second, Request{Task{RequestID: "3", Class: "safe", Cores: 1, Memory: 2, DeadlineUs: f.now + 15*second, Program: 9}}), "a")
 }
 
-// TestErrorsOfTwoWorkersMakeTaskUnusable has two workers fail one task. No third worker gets it, and neither
-// of the two is suspected. A worker that fails different tasks is still ejected.
+// TestErrorsOfTwoWorkersMakeTaskUnusable has two workers fail one task. No third worker gets the task, and
+// neither of the two workers is suspected. A worker that fails different tasks is still ejected.
 func TestErrorsOfTwoWorkersMakeTaskUnusable(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 	actions := f.handleAfter(ms, f.request("1", "safe", 1, 2))
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestReachableWorkerIsTriedAgain has a worker take a new connection after one without answers. The worker is
-// tried again, but not repeatedly if it takes connections and never answers.
+// TestReachableWorkerIsTriedAgain has a worker accept a new connection after one without answers. The
+// worker is tried again, but not repeatedly if it accepts connections and never answers.
 func TestReachableWorkerIsTriedAgain(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	worker := f.scheduler.fleet.workers["a"]
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestUnreachableWorkerIsLeftOut has all workers suspect and one of them unreachable. Attempts go only to the
-// reachable one, up to its limit. The other tasks wait until the unreachable worker is reached again.
+// TestUnreachableWorkerIsLeftOut has all workers suspect and one of them unreachable. Attempts go only to
+// the reachable worker, up to its limit. The other tasks wait until the unreachable worker is reached
+// again.
 func TestUnreachableWorkerIsLeftOut(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	for _, worker := range f.scheduler.fleet.sorted {
@@ -120,7 +121,8 @@
 }
 
 // TestTaskWaitsForFullWorkerThatIsReached has an unreachable worker, which looks empty because no task
-// reaches it, and a reachable one that is full or has an unanswered attempt. Tasks wait for the latter.
+// reaches it, and a reachable one that is full or has an unanswered attempt. Tasks wait for the reachable
+// worker.
 func TestTaskWaitsForFullWorkerThatIsReached(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -268,8 +270,9 @@
 	}
 }
 
-// TestTaskSentAwayBlamesNobody has a draining worker end a task before its acceptance was read. Draining is
-// not an error, so the worker is not suspected. It gets no tasks for the time of the assumed drain.
+// TestTaskSentAwayBlamesNobody has a draining worker evict a task before its acceptance was read. Draining
+// is not an error, so the worker is not suspected. The worker gets no tasks for the time of the assumed
+// drain.
 func TestTaskSentAwayBlamesNobody(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -145,7 +145,7 @@
 }
 
 // drawDelta returns random changes to a few workers or, in some cases, to a quarter of the fleet that
-// drains, is removed or comes back at once.
+// drains, is removed or becomes ready at the same time.
 func (h *history) drawDelta() Event {
 	var changed []Entry
 	count := 1 + h.random.IntN(5)
@@ -243,8 +243,8 @@
 	return event
 }
 
-// syntheticTask returns a random task for which selections are compared. The scheduler does not know the
-// task, and the earlier attempts and errors of the task are random.
+// syntheticTask returns a random task for which selections are compared. The task was not submitted to the
+// scheduler, and the earlier attempts and errors of the task are random.
 func (h *history) syntheticTask() *taskInfo {
 	submitted := h.drawTask()
 	classIndex := h.scheduler.requests.classIndexes[submitted.Class]
--- a/placement/index.go
+++ b/placement/index.go
@@ -7,9 +7,9 @@
 )
 
 // This file owns the index of the workers that may get tasks, by kind and by requested capacity
-// relative to the size of the kind. It is updated when events change workers, so that a search looks
-// at the few workers that it may select and not at all of them. The index decides nothing: it leaves
-// out only workers that the search could not select.
+// relative to the size of the kind. The index is updated when events change workers, so that a
+// search examines the few workers that it may select and not all of them. The index makes no
+// decisions: it leaves out only workers that the search could not select.
 
 const (
 	// maxEnumerated is the maximum number of candidates that a search scores one by one. If there
@@ -20,16 +20,16 @@
 	maxScaleDrift = 0.05
 )
 
-// workerIndex is the index of all workers that may get tasks. The level of a worker follows from the
-// larger of its two requested fractions, relative to scale.
+// workerIndex is the index of all workers that may get tasks. The level of a worker is determined by
+// the larger of its two requested fractions, relative to scale.
 type workerIndex struct {
 	kinds []kindLevels
 	// scale is the baseline with which the levels were last built.
 	scale           fractions
-	baseline        fractions // effective capacity of workers without calibration, over their size
+	baseline        fractions // effective capacity of workers without calibration, divided by their size
 	inverseBaseline fractions
 	stale           []*workerInfo // workers whose position may have changed since the last search
-	finished        []bool        // by kind: whether the present walk needs no more workers
+	finished        []bool        // by kind: whether the current walk needs no more workers
 }
 
 func newWorkerIndex(kinds int) *workerIndex {
@@ -48,7 +48,8 @@
 	return true
 }
 
-// drifted reports whether one component of the baseline differs too much from that of the scale.
+// drifted reports whether one component of the baseline differs too much from the same component of
+// the scale.
 func drifted(current, builtWith float64) bool {
 	return math.Abs(current-builtWith) > builtWith*maxScaleDrift
 }
@@ -145,7 +146,8 @@
 	return requested.within(l.max) || calibration < l.calibrationBelow && requested.within(l.calibratedMax)
 }
 
-// levelWalk describes one walk over the index, level by level from the least requested workers.
+// levelWalk describes one walk over the index, level by level, beginning with the least utilized
+// workers.
 type levelWalk struct {
 	limits         []loadLimit // by kind, or nil if there are no limits
 	unreservedOnly bool
@@ -184,8 +186,8 @@
 	}
 }
 
-// nextLevel returns the first level from the given one on that contains workers of any kind, or
-// levelCount.
+// nextLevel returns the number of the first level, starting at from, that contains workers of any
+// kind (unreserved ones if unreservedOnly is true), or levelCount if there is none.
 func (x *workerIndex) nextLevel(from int, unreservedOnly bool) int {
 	for from < levelCount {
 		var word uint64
@@ -207,7 +209,8 @@
 
 // scanLevel visits the workers of one level that are within the limit, and reports whether to
 // continue with the walk.
-func scanLevel(current *level, kindIndex int, minUtilization float64, plan *levelWalk, random *rand.Rand) bool {
+func scanLevel(current *level, kindIndex int, minUtilization float64, plan *levelWalk,
+	random *rand.Rand) bool {
 	limit := loadLimit{max: unlimited}
 	if plan.limits != nil {
 		limit = plan.limits[kindIndex]
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -4,8 +4,8 @@
 // placements of this scheduler. It must not change the state of a worker.
 
 const (
-	// lagDecay is the factor by which each change of the view reduces the weight of earlier ones.
-	// minLagObservations is the weight of observations that must be exceeded before a lag is used.
+	// lagDecay is the factor by which each change of the view reduces the weight of earlier changes.
+	// minLagObservations is the decayed number of observations above which the estimated lag is used.
 	lagDecay           = 0.98
 	minLagObservations = 20
 )
@@ -21,9 +21,9 @@
 }
 
 // learn compares a change of the view with the changes that this scheduler made, and selects the lag
-// with the smallest prediction error. A correct lag prevents own placements from being counted twice and
-// from being dropped too early. Any delay up to the longest lag is covered, including one that grows.
-// Learning is slow if this scheduler makes few of the placements.
+// with the smallest prediction error. A correct lag prevents this scheduler's placements from being
+// counted twice and from being dropped too early. Any delay up to the longest lag is covered, including
+// an increasing delay. Learning is slow if this scheduler makes few of the placements.
 func (e *lagEstimator) learn(worker *workerInfo, entry Entry) {
 	kind := e.kindOf(worker)
 	if kind == nil {
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -1,7 +1,7 @@
 package placement
 
 // This file owns the levels of the index. A level holds workers of one kind with about the same
-// requested capacity. It decides nothing.
+// requested capacity. The levels make no decisions.
 
 const (
 	// levelWidth is the range of utilization that a level spans. It is less than [costMargin], so
@@ -14,16 +14,16 @@
 type indexEntry struct {
 	worker      *workerInfo
 	requested   fractions
-	calibration float64 // lower bound of the effective capacity, as a part of that of the kind
+	calibration float64 // lower bound of the worker's effective capacity, relative to that of its kind
 }
 
-// level holds workers of one kind with about the same requested capacity. The first unreserved
-// entries are those of workers that are not reserved.
+// level holds workers of one kind with about the same requested capacity. The entries of workers
+// that are not reserved come first; unreserved is the number of these entries.
 type level struct {
 	entries    []indexEntry
 	unreserved int
-	// minRequested and minCalibration are lower bounds for all entries. A removal leaves both as
-	// they are, and a scan of the whole level makes them exact again.
+	// minRequested and minCalibration are lower bounds for all entries. Removing an entry does not
+	// change them, and a scan of the whole level makes them exact again.
 	minRequested   fractions
 	minCalibration float64
 }
@@ -83,8 +83,8 @@
 // kindLevels holds the levels of one kind.
 type kindLevels struct {
 	levels     [levelCount]level
-	occupied   levelSet // levels with workers
-	unreserved levelSet // levels with workers that are not reserved
+	occupied   levelSet // levels that contain workers
+	unreserved levelSet // levels that contain workers that are not reserved
 }
 
 // updateSets updates the sets after a change of a level.
--- a/placement/load.go
+++ b/placement/load.go
@@ -9,9 +9,9 @@
 	// lagStep and lagSteps define the possible lags of the view: 0.25 to 16 s, in steps of 0.25 s.
 	lagStep  = 250 * millisecond
 	lagSteps = 64
-	// initialLagSteps is the assumed lag, in steps, until one is learned.
+	// initialLagSteps is the assumed lag, in steps, until the lag has been learned.
 	initialLagSteps = 4
-	// deltaRetention is how long this scheduler's own changes are kept. It exceeds the longest lag.
+	// deltaRetention is the time for which this scheduler's own changes are kept. It exceeds the longest lag.
 	deltaRetention = lagSteps*lagStep + 2*second
 	// maxDeltas is the maximum number of changes kept for one worker. It limits the memory used for a
 	// worker whose view never arrives.
@@ -33,12 +33,13 @@
 	// listedRequestedCores is the sum of the cores requested of all listed workers of a known kind that
 	// are not foreign.
 	listedRequestedCores float64
-	// listedCapacity is the total size of the same workers, in cores and memory rather than in fractions.
+	// listedCapacity is the total size of the workers that listedRequestedCores counts. It is in cores and
+	// memory, not in fractions.
 	listedCapacity fractions
 }
 
 // requested returns the cores and memory requested of a worker of a known kind. They are the values of the
-// view, or of a report if that is newer, plus the changes that this scheduler made since.
+// view, or of a newer report, plus the changes that this scheduler made since.
 func (l *loadTracker) requested(worker *workerInfo) (cores, memory float64) {
 	if !worker.requestedStale {
 		return worker.requestedCores, worker.requestedMemory
@@ -94,7 +95,7 @@
 }
 
 // recordRejection records that a worker rejected a task for lack of cores or memory. Until the view can
-// have caught up, the worker counts as having less free capacity than the task requests.
+// show the current load, the worker counts as having less free capacity than the task requests.
 func (l *loadTracker) recordRejection(worker *workerInfo, task *taskInfo, cause Cause) {
 	kind := l.kindOf(worker)
 	if kind == nil {
@@ -124,8 +125,8 @@
 }
 
 // lagDependentWorkers returns the workers whose requested cores and memory depend on the view's lag. They
-// are those with changes by this scheduler that the view may not show yet, and those with a report of
-// their free capacity.
+// are the workers with changes by this scheduler that the view may not show yet, and the workers that
+// reported their free capacity.
 func (l *loadTracker) lagDependentWorkers() []*workerInfo {
 	l.lagDependent = slices.DeleteFunc(l.lagDependent, func(worker *workerInfo) bool {
 		worker.lagDependent = len(worker.deltas) > 0 || worker.reportsFree
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -4,14 +4,14 @@
 // one task for each report.
 
 const (
-	// migrateBelow is the part of full service below which a task may be migrated. Below
+	// migrateBelow is the fraction of full service below which a task may be migrated. Below
 	// migrateAlwaysBelow a task may be migrated even if it fits no other worker.
 	migrateBelow       = 0.7
 	migrateAlwaysBelow = 0.25
 	// restartSeconds is the run time that a task loses by starting again, in seconds.
 	restartSeconds = 1.5
-	// migrationGainFactor is the factor by which the gain must exceed the price, because expected
-	// run times are rough.
+	// migrationGainFactor is the factor by which the gain must exceed the price, because expected run
+	// times are imprecise.
 	migrationGainFactor = 2.0
 	// defaultRemainingSeconds is the assumed remaining run time of a task without a run hint, in
 	// seconds.
--- a/placement/numbers.go
+++ b/placement/numbers.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// This file contains arithmetic and hashes that several parts use. It must not depend on the types of
-// workers and tasks.
+// This file contains arithmetic and hashes that several components use. It must not depend on the
+// types of workers and tasks.
 
 // Durations in microseconds.
 const (
@@ -33,7 +33,7 @@
 	return fractions{min(f.cores, o.cores), min(f.memory, o.memory)}
 }
 
-// minus returns f minus o, plus roundingSlack to allow for rounding.
+// minus returns f minus o, plus roundingTolerance to allow for rounding.
 func (f fractions) minus(o fractions) fractions {
 	return fractions{f.cores - o.cores + roundingTolerance, f.memory - o.memory + roundingTolerance}
 }
@@ -41,7 +41,8 @@
 // inRange reports whether a value lies between low and high, inclusive. It returns false for NaN.
 func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
-// decayed returns the remainder of a value that decays by half in each halflife, after the time age.
+// decayed returns a value after its decay during the time age. The value decays by half in each
+// halflife.
 func decayed(value float64, age, halflife int64) float64 {
 	if value == 0 {
 		return 0
--- a/placement/ordinals.go
+++ b/placement/ordinals.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// This file owns the selection of the n-th of some workers by name, in linear time. It does not
-// allocate once an ordinalSet has grown to the size of the fleet.
+// This file owns the selection of the n-th worker by name from a list of workers, in linear time.
+// It does not allocate once an ordinalSet has grown to the size of the fleet.
 
 // ordinalSet is a bit set of ordinals of workers. It is empty between uses.
 type ordinalSet []uint64
@@ -31,8 +31,7 @@
 	return found
 }
 
-// nthBit returns the number of the n-th set bit, both counted from 0, or -1 if there are not that
-// many.
+// nthBit returns the number of the n-th set bit, both counted from 0, or -1 if fewer bits are set.
 func nthBit(words []uint64, n int) int {
 	for i, word := range words {
 		ones := bits.OnesCount64(word)
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -10,7 +10,7 @@
 
 const (
 	// contentionStep is the amount by which a rejection for lack of capacity raises the contention.
-	// contentionOffers is the number of accepted offers that lower it by the same amount.
+	// contentionOffers is the number of accepted offers that lower the contention by the same amount.
 	contentionStep   = 0.01
 	contentionOffers = 12
 	// maxContention is the upper limit of the contention.
@@ -27,12 +27,12 @@
 	loads *loadTracker
 	// active is true while backpressure reports a release rate or reserved units.
 	active bool
-	// contention is the free capacity, as a fraction of a worker's size, that other schedulers are
-	// assumed to have used already. On each worker it is limited to the free capacity that the view
+	// contention is the free capacity, as a fraction of a worker's size, that other schedulers are assumed
+	// to have used already. On each worker, the contention is limited to the free capacity that the view
 	// newly shows.
 	contention float64
-	// concurrent is what other schedulers are assumed to have placed since the view, as fractions of
-	// the capacity of the whole fleet.
+	// concurrent is the amount of each resource that other schedulers are assumed to have placed since the
+	// current view, as a fraction of the capacity of the whole fleet.
 	concurrent [resourceCount]float64
 	// reservedUnits is the number of units, by class, that the class leaves free for classes of
 	// higher weight.
@@ -76,12 +76,12 @@
 // offerRejected raises the contention because a worker lacked the capacity for an offer.
 func (o *overload) offerRejected() { o.contention = min(maxContention, o.contention+contentionStep) }
 
-// updateConcurrent updates the estimate of what other schedulers placed since the view.
+// updateConcurrent updates the estimate of the placements of other schedulers since the current view.
 func (o *overload) updateConcurrent() { o.concurrent = o.estimateConcurrent() }
 
-// estimateConcurrent estimates what other schedulers placed since the view, as fractions of the fleet's
-// capacity. It assumes that each of them placed as much as this scheduler did. Only the excess of its
-// net placements over the random fluctuation of starts and ends counts.
+// estimateConcurrent estimates how much other schedulers placed since the current view, as fractions of
+// the fleet's capacity. It assumes that each of them placed as much as this scheduler did. Only the
+// excess of this scheduler's net placements over the random fluctuation of starts and ends counts.
 func (o *overload) estimateConcurrent() (shares [resourceCount]float64) {
 	if !o.active || !o.settings.HasView {
 		return shares
@@ -109,8 +109,8 @@
 	return shares
 }
 
-// concurrentFractions returns what other schedulers are assumed to have placed on each worker since the
-// view, as fractions of the worker's size. It is zero without an overload.
+// concurrentFractions returns how much other schedulers are assumed to have placed on each worker since
+// the current view, as fractions of the worker's size. The result is zero without an overload.
 func (o *overload) concurrentFractions() fractions {
 	if !o.active {
 		return fractions{}
@@ -119,9 +119,9 @@
 }
 
 // competing returns the cores and memory that other schedulers are assumed to have placed on a worker of
-// the given kind since the view. Other schedulers compete for free capacity that the view newly shows.
-// Capacity that this scheduler's own tasks released since the view is not contested, because only this
-// scheduler knows of it. The result is zero without an overload.
+// the given kind since the current view. Other schedulers compete for free capacity that the view newly
+// shows. Capacity that this scheduler's own tasks released since the view is not contested, because
+// other schedulers have no information about it. The result is zero without an overload.
 func (o *overload) competing(worker *workerInfo, kind *Kind) (cores, memory float64) {
 	if !o.active {
 		return 0, 0
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -27,8 +27,8 @@
 		for i := range 12 {
 			rejected += len(ofType[Reject](f.handleAfter(ms, f.request(fmt.Sprint(i), "safe", 1, 2))))
 		}
-		// The deadline is in 5 s, and a task is rejected if it needs more than twice that time. At one unit
-		// per second, nine units become free in time.
+		// The deadline is in 5 s, and a task is rejected if its expected wait is more than twice that time. At
+		// one unit per second, nine units become free in time.
 		if rejected != test.want {
 			t.Errorf("release rate %v: got %d of 12 tasks rejected, want %d", test.rate, rejected, test.want)
 		}
@@ -36,7 +36,8 @@
 }
 
 // TestUnitsAreReservedByClass checks that a class leaves the reserved units free for classes of higher
-// weight during an overload. It gets a worker once nothing is reserved, or if there is free capacity for all.
+// weight during an overload. A task of the class gets a worker once nothing is reserved, or if there is
+// free capacity for all classes.
 func TestUnitsAreReservedByClass(t *testing.T) {
 	reserved := make([]float64, len(testSettings().Classes))
 	reserved[0] = 100
@@ -57,8 +58,9 @@
 	}
 }
 
-// TestConcurrentPlacementsCount checks that in an overload the scheduler assumes that other schedulers place
-// as much as it does. It stops where both together would fill a worker.
+// TestConcurrentPlacementsCount checks that in an overload the scheduler assumes that other schedulers
+// place as much as it does. It stops sending offers once its own and the assumed placements would fill the
+// workers.
 func TestConcurrentPlacementsCount(t *testing.T) {
 	for _, test := range []struct {
 		pressure Backpressure
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -13,7 +13,7 @@
 	// abandonTimeouts is the number of response timeouts after which an attempt is abandoned.
 	abandonTimeouts = 2
 	// offerRetentionWindows is the number of slow-start windows for which offers to a worker are
-	// remembered.
+	// recorded.
 	offerRetentionWindows = 2
 )
 
@@ -37,8 +37,7 @@
 	unitsAhead    float64            // units of the tasks earlier in this pass that stay pending
 }
 
-// run makes a scheduling pass if something happened since the last pass that may let a pending task
-// find a worker.
+// run makes a scheduling pass if an event since the last pass may allow a pending task to be placed.
 func (p *schedulingPass) run() {
 	if !p.needsPass {
 		return
@@ -124,7 +123,8 @@
 }
 
 // reserve reserves the worker that is closest to fitting a pending task. Without reservations, small
-// tasks of low priority would take every gap before it is large enough for a task of high priority.
+// tasks of low priority would take all free capacity of a worker before it suffices for a larger
+// task of high priority.
 //
 // Reservations would do harm in two cases, which are excluded. If all pending tasks have one
 // priority, a reservation keeps none of them from a worker (see reservationFactor). If capacity
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -6,8 +6,8 @@
 // worker gets a task, only whether a task waits for a report.
 
 const (
-	// reportValidity is how long a report is current. Until then the worker is not probed again, and
-	// scores use the queue length that it reported.
+	// reportValidity is the time for which a report is current. During this time, the worker is not probed
+	// again, and scores use the queue length from the report.
 	reportValidity = second
 	// maxProbesPerTask is the maximum number of probes sent for one task.
 	maxProbesPerTask = 2
@@ -27,7 +27,7 @@
 
 // mustWaitForReport reports whether a task must wait for a report of the worker selected for it. The task
 // waits if probes are permitted, the worker has not reported within reportValidity and the task has not
-// used up its probes. A probe is sent unless one to that worker is under way.
+// used up its probes. A probe is sent unless another probe of the worker awaits its result.
 func (p *probes) mustWaitForReport(task *taskInfo, worker *workerInfo) bool {
 	reported := worker.reportedAt > 0 && p.now-worker.reportedAt < reportValidity
 	if !p.settings.Probes || task.probesSent >= maxProbesPerTask || reported {
@@ -41,10 +41,10 @@
 	return true
 }
 
-// recordResult evaluates the result of a probe. A report contains the worker's free capacity, its utilization
-// and the number of offers and starts queued there. Missing or implausible values are ignored. A probe
-// that does not complete raises the suspicion as much as an attempt that timed out. An answer does not
-// lower the suspicion, because a worker may answer probes and still lose tasks.
+// recordResult evaluates the result of a probe. A report contains the worker's free capacity, its
+// utilization and the number of offers and starts in its queue. Missing or implausible values are ignored.
+// A probe that does not complete raises the suspicion as much as an attempt that timed out. An answer does
+// not lower the suspicion, because a worker may answer probes and still lose tasks.
 func (p *probes) recordResult(event ProbeResult) {
 	worker := p.fleet.workers[event.Worker]
 	if worker == nil {
--- a/placement/quota.go
+++ b/placement/quota.go
@@ -1,6 +1,6 @@
 package placement
 
-// This file owns the use of quotas by tenants. It never rejects a task.
+// This file tracks how much of their quotas tenants use. It never rejects a task.
 
 // quotas counts the cores requested by the running tasks of this scheduler, by tenant.
 type quotas struct {
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -26,7 +26,7 @@
 	pathCheapest   = "cheapest"
 )
 
-// candidate is a worker that the rules allow for a task.
+// candidate is a worker that the rules permit to get a task.
 type candidate struct {
 	worker       *workerInfo
 	healthy      bool
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -12,8 +12,8 @@
 // scheduler's faster search with it.
 
 const (
-	// referenceTolerance is the maximum distance of a value from a limit at which either result of the
-	// comparison is accepted.
+	// referenceTolerance is the maximum distance of a value from a limit at which both results of the
+	// comparison are accepted.
 	referenceTolerance = 1e-9
 	// maxBorderFlips is the maximum number of workers at the limit of their free capacity for which both
 	// results are tried.
--- a/placement/repeats.go
+++ b/placement/repeats.go
@@ -1,7 +1,7 @@
 package placement
 
-// This file owns the rule on repeats: a task that may have run goes only to workers that discard repeats
-// of it, unless repeats are safe. It must not permit a harmful repeat.
+// This file owns the rule on repeats: a task that may have run goes only to workers that discard its
+// repeats, unless repeats are safe. It must not permit a harmful repeat.
 
 // repeatWindowOpen reports whether workers still discard repeats of a keyed task that may have run.
 func repeatWindowOpen(now int64, class *Class, task *taskInfo) bool {
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -1,12 +1,12 @@
 package placement
 
 // This file owns the state of every request, from its arrival to its response or completion, and
-// notifies the components below of each change. It never selects a worker.
+// notifies the components of lower layers of each change. It never selects a worker.
 
 const (
-	// fullServiceThreshold is the part of full service from which a worker counts as giving full
-	// service. nearSaturationShare is the part of memorySaturation up to which the memory of a
-	// worker counts as sufficient.
+	// fullServiceThreshold is the smallest fraction of full service that counts as full service.
+	// nearSaturationShare is the fraction of memorySaturation up to which the memory of a worker
+	// counts as sufficient.
 	fullServiceThreshold = 0.95
 	nearSaturationShare  = 0.95
 	// taskConfidence is the weight of the report of one task in capacity calibration, from 0 to 1.
@@ -197,8 +197,8 @@
 }
 
 // taskReported handles a report about a running task: how much of the requested cores or memory the
-// task uses, what part of full service its worker gives, or how much of the worker's memory is in
-// use.
+// task uses, what fraction of full service its worker gives, or how much of the worker's memory is
+// in use.
 func (r *requests) taskReported(event TaskReport) {
 	task := r.tasks[event.RequestID]
 	if task == nil {
--- a/placement/requests_test.go
+++ b/placement/requests_test.go
@@ -40,7 +40,7 @@
 				t.Errorf("got %d rejections and %d failures, want %d and %d; actions %v", rejected, failed, test.rejected, test.failed, actions)
 			}
 			if _, pending := f.scheduler.requests.tasks["1"]; pending && test.name != "accepted" {
-				t.Error("the request is still stored after its final response")
+				t.Error("got the request still stored after its final response, want it removed")
 			}
 		})
 	}
@@ -53,14 +53,14 @@
 	for f.now < request.DeadlineUs {
 		timers := ofType[SetTimer](actions)
 		if len(timers) == 0 {
-			t.Fatal("no timer was set while a task was pending")
+			t.Fatal("got no timer while a task is pending, want one")
 		}
 		actions = f.handleAfter(timers[len(timers)-1].OffsetUs, TimerFired{"wake"})
 		if len(ofType[Reject](actions)) == 1 {
 			return
 		}
 	}
-	t.Error("the deadline passed without a final response")
+	t.Error("got no rejection until the deadline, want one")
 }
 
 func TestRepeatedEffects(t *testing.T) {
@@ -100,7 +100,7 @@
 			case test.again != "" && len(got) != 1:
 				t.Errorf("got %d further offers, want 1", len(got))
 			case test.again == "b" && got[0].Worker == "c":
-				t.Error("task was offered to c, outside the group that discards its repeats")
+				t.Error("task was offered to c, outside the group that discards its repeats, want b")
 			}
 		})
 	}
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -1,10 +1,11 @@
 package placement
 
 // This file owns the set of workers that are reserved for pending tasks during a scheduling pass.
-// Its caller selects the workers and the tasks.
+// The scheduling pass selects the workers and the tasks.
 
-// reservationFactor is the factor by which the priority of a pending task must exceed that of
-// another task for its reservation to keep the other task from the worker.
+// reservationFactor is the factor by which the priority of a pending task must exceed the priority
+// of another task, so that the worker reserved for the pending task gets no offer of the other
+// task.
 const reservationFactor = 1.5
 
 // reservations holds the workers that are reserved for pending tasks.
@@ -43,7 +44,7 @@
 	return reserved
 }
 
-// permits reports whether no reservation keeps a task from a worker.
+// permits reports whether the reservations permit a worker to get a task.
 func (r *reservations) permits(worker *workerInfo, task *taskInfo) bool {
 	return len(r.priorities) == 0 || task.priority*reservationFactor >= r.priorities[worker]
 }
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -75,7 +75,7 @@
 		return all
 	}
 	if first, again := run(), run(); !reflect.DeepEqual(first, again) {
-		t.Error("two schedulers with the same seed returned different actions for the same events")
+		t.Error("got different actions from two schedulers with the same seed and the same events, want the same actions")
 	}
 }
 
--- a/placement/score.go
+++ b/placement/score.go
@@ -1,6 +1,6 @@
 package placement
 
-// This file owns the score of a placement: the admission cost of a task at a worker. It never
+// This file owns the score of a placement: the admission cost of a task at a worker. The score never
 // excludes a worker.
 
 const (
@@ -26,8 +26,8 @@
 	capacity  *capacityModel
 	totals    *totals
 	slowStart *slowStart
-	// utilization and meanCores are means over the fleet. kinds holds the terms for the present
-	// task, by kind.
+	// utilization and meanCores are means over the fleet. kinds holds the terms for the current task,
+	// by kind.
 	utilization, meanCores float64
 	kinds                  []kindCost
 }
@@ -37,7 +37,7 @@
 	hasView     bool
 	missBacklog float64 // missPenalty if the task has a program, else 0
 	size        float64 // utilization that the task adds to a worker without calibration
-	rate        float64 // cores of the kind over the mean cores of the workers of the fleet
+	rate        float64 // cores of the kind, divided by the mean cores of a worker
 }
 
 // lowerBound returns a lower bound of the cost at a worker of the kind with at least the given
@@ -89,8 +89,8 @@
 }
 
 // startBacklog returns the utilization that accounts for starts in progress and offers that wait at
-// a worker. It counts those of this scheduler, or those in a recent report of the worker if they are
-// more.
+// a worker. It counts the offers and starts of this scheduler, or the number in a recent report of
+// the worker if that number is higher.
 func (s *scorer) startBacklog(worker *workerInfo) float64 {
 	starts := float64(worker.starting())
 	if s.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, maxReportedQueue) {
@@ -101,7 +101,8 @@
 
 // missProbability estimates the probability, 0 to 1, that the program of a task is missing on a
 // worker at the start. It is 0 if the program is known to be resident. Otherwise it rises with the
-// worker's rank in the order hashed from the program, and reaches 1 at the rank programWorkers.
+// worker's rank in the order hashed from the program, and reaches 1 at the rank
+// preferredWorkerCount.
 func (s *scorer) missProbability(worker *workerInfo, task *taskInfo) float64 {
 	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
 		return 0
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -99,6 +99,6 @@
 		}
 	}
 	if len(first) < 50 {
-		t.Errorf("got %d selected workers, want at least 50 %% of them", len(first))
+		t.Errorf("got %d selected workers of 100, want at least 50", len(first))
 	}
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -25,7 +25,7 @@
 	cost   float64
 }
 
-// search finds workers for tasks. Each search reuses the slices of the one before.
+// search finds workers for tasks. Each search reuses the slices of the previous search.
 type search struct {
 	*environment
 	fleet     *fleet
@@ -38,7 +38,7 @@
 	scorer    *scorer
 
 	searchNumber  int64 // number of searches so far
-	evaluated     int   // number of workers that the present search evaluated one by one
+	evaluated     int   // number of workers that the current search evaluated one by one
 	task          *taskInfo
 	class         *Class
 	limits        []loadLimit // by kind: highest load of a worker that fits the task
@@ -79,8 +79,8 @@
 	return finalists
 }
 
-// begin starts a search: it resets the results of the last one, and computes by kind the size of the
-// task and the highest load of a worker that fits it.
+// begin starts a search: it resets the results of the previous search, and computes by kind the size
+// of the task and the highest load of a worker that fits it.
 func (s *search) begin(task *taskInfo) {
 	s.fleet.refresh()
 	baseline := s.index.baseline
@@ -179,15 +179,15 @@
 		// for one of them, unless it is safe to repeat.
 		return nil
 	}
-	// An attempt at an unreachable worker is wasted, and may be the last one of its task. If any
-	// reachable worker may get the task, unreachable workers are left out, even if the task then has
-	// to wait until the reachable worker answers or ends other attempts.
+	// An attempt at an unreachable worker is wasted, and may be the last attempt of its task. If any
+	// reachable worker may get the task, unreachable workers are left out, even if the task then has to
+	// wait until the reachable worker answers or ends other attempts.
 	if slices.ContainsFunc(suspects, isUnreachable) && s.anyReachable(task) {
 		suspects = slices.DeleteFunc(suspects, isUnreachable)
 	}
-	// Most workers look bad, so the likely cause is the network or the load and not the workers. The
-	// search continues with the least suspect worker, but with few attempts at a time for each:
-	// unanswered attempts use up attempts that their tasks need later.
+	// Most workers are suspect, so the likely cause is the network or the load and not the workers. The
+	// search continues with the least suspect worker, but with few attempts at a time for each worker,
+	// because unanswered attempts use up attempts that their tasks need later.
 	suspects = slices.DeleteFunc(suspects, func(worker *workerInfo) bool {
 		return len(worker.unanswered) >= maxSuspectAttempts
 	})
@@ -258,7 +258,7 @@
 	var best *workerInfo
 	lowest, slack := math.Inf(1), roundingTolerance // among equal workers, the first by name is returned
 	if len(s.fleet.sorted) > maxEnumerated {
-		slack = -roundingTolerance // return any of them, as there may be thousands
+		slack = -roundingTolerance // return any of the equal workers, as there may be thousands
 	}
 	s.index.walk(levelWalk{unreservedOnly: true,
 		relevant: func(kindIndex int, requested fractions, minUtilization float64) bool {
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -48,7 +48,7 @@
 	for _, kind := range f.scheduler.index.kinds {
 		for number := range kind.levels {
 			if current := &kind.levels[number]; len(current.entries) > 0 && f.scheduler.search.limits[0].admits(current.minRequested, current.minCalibration) {
-				t.Errorf("level %d with %d workers is not skipped, its lower bound is %+v", number, len(current.entries), current.minRequested)
+				t.Errorf("got level %d with %d workers and the lower bound %+v admitted, want it skipped", number, len(current.entries), current.minRequested)
 			}
 		}
 	}
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -1,6 +1,6 @@
 package placement
 
-// This file defines the settings of a scheduler. It must neither check them, which settingscheck.go does,
+// This file defines the settings of a scheduler. It must neither check the settings (see settingscheck.go)
 // nor make decisions.
 
 // Effect states whether the tasks of a class may run more than once.
@@ -30,8 +30,8 @@
 type Class struct {
 	Name            string
 	Effect          Effect
-	Group           Scope   // only if Keyed: ScopeAll, ScopeZone or ScopeCell
-	WindowUs        int64   // only if Keyed: time for which a group discards repeats
+	Group           Scope   // if Keyed: group that discards repeats, ScopeAll, ScopeZone or ScopeCell
+	WindowUs        int64   // if Keyed: time for which the group discards repeats
 	ObjectiveUs     int64   // latency objective: a start within this time earns StartBonusS
 	DeadlineUs      int64   // time for which a client waits for a response
 	Weight          float64 // priority weight of one second of full service at mean size
@@ -67,18 +67,18 @@
 	OverQuotaWeight      float64 // factor on the priority of tasks of a tenant beyond its quota
 
 	PollsDiscovery     bool  // discovery answers only when it is polled
-	PollWithinUs       int64 // time within which discovery is to be polled again
+	PollWithinUs       int64 // maximum time between two polls of discovery
 	HasView            bool  // list entries contain the free capacity
 	AcceptMeansRunning bool  // an Accepted event means that the task runs, not only that it was accepted
 	Probes             bool  // Probe is permitted, and reports contain data that the scheduler can use
 	Pings              bool  // workers may be sent pings
 	RetryAfter         bool  // rejected clients may get a Retry-After
 	Cancel             bool  // CancelAttempt is permitted
-	ReportsUsage       bool  // free capacity in reports is what is not used, rather than not requested
+	ReportsUsage       bool  // reports state the capacity that is not used, instead of not requested
 	ReportsFree        bool  // reports of probes contain the free capacity (x0 and x1)
 
 	CoresOvercommit  float64 // maximum requested cores that workers accept, as a multiple of their cores
-	MemoryOvercommit float64 // maximum requested memory, as a multiple of their memory
+	MemoryOvercommit float64 // maximum requested memory that workers accept, as a multiple of their memory
 	// UnitCores and UnitMemory are the size of a mean task. For Class.Weight, the size of a task is the mean
 	// of cores/UnitCores and memory/UnitMemory; Units returns the larger of the two.
 	UnitCores   float64
@@ -87,7 +87,7 @@
 
 	MigrationCost float64 // cost of migrating every task once, as a fraction of the total weight
 
-	AnswerSlackUs     int64
+	AnswerSlackUs     int64   // not used by the scheduler; must not be negative
 	DrainGraceUs      int64   // time for which a draining worker may get offers
 	ColdStartRate     float64 // rate of task starts on a newly started worker, relative to a warm one
 	WarmUpUs          int64   // time from the start of a worker until it is warm
--- a/placement/settingscheck.go
+++ b/placement/settingscheck.go
@@ -2,15 +2,15 @@
 
 import "errors"
 
-// This file checks the settings. It must not change a setting. The error texts must stay as they are,
-// since operators read them. Some name a setting as deployments do (CoresMultiple, MemoryMultiple,
+// This file checks the settings. It must not change a setting. The error texts must stay as they are, since
+// operators read them. Some texts name a setting as deployments do (CoresMultiple, MemoryMultiple,
 // FreshOffers, AttemptsCap), others by its field in Settings, and a few in words ("Apart" stands for
 // Class.Spread).
 
 // SettingError reports a setting that is missing, invalid or contradicts another one. [New] returns one for
 // each such setting, joined.
 type SettingError struct {
-	Setting string // the name that operators know: a deployment's, a field's or a description
+	Setting string // name in a deployment, field name in Settings, or description in words
 	Problem string
 }
 
--- a/placement/slope_exchange_test.go
+++ b/placement/slope_exchange_test.go
@@ -2,10 +2,10 @@
 
 // This file defines the exchange, the unit that the slope tests measure.
 
-// exchange is a request, the answer to its offer, and the end of another task.
+// exchange consists of a request, the answer to its offer, and the end of another task.
 type exchange struct {
 	task  *siteTask // the requested task
-	ended *siteTask // the other task, or nil
+	ended *siteTask // the other task, which ends, or nil
 	place *Place    // the offer for task, or nil
 }
 
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -12,7 +12,8 @@
 	"ravenhitch/internal/stats"
 )
 
-// countEvery is the number of units among which one has its allocations counted instead of its time.
+// countEvery is the interval, in units, at which the allocations of a unit are counted instead of its
+// time.
 const countEvery = 4
 
 // meter sums up the processor time and the allocations of the measured units. It measures the time of
@@ -62,8 +63,8 @@
 	m.bytes += to.TotalAlloc - from.TotalAlloc
 }
 
-// measure measures one unit: both its time and its allocations for the first unit, and either of them for
-// the others, because counting allocations disturbs the measured time.
+// measure measures one unit: the time and the allocations of the first unit, and only one of the two for
+// each later unit, because counting allocations disturbs the measured time.
 func (m *meter) measure(t testing.TB, f func()) {
 	switch {
 	case m.units == 0:
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -101,7 +101,7 @@
 
 // siteJob is a job of which tasks remain to be submitted.
 type siteJob struct {
-	task      Task // properties that its tasks have in common
+	task      Task // common properties of the tasks
 	remaining int
 }
 
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// This file owns slow start, which limits the offers of all schedulers together to a worker that has
-// just started. It must not permit an offer beyond the budget.
+// This file owns slow start, which limits the offers of all schedulers together to a worker that has just
+// started. It must not permit an offer beyond the slow-start budget.
 
 const (
 	// A worker that warms up becomes overloaded if the offers within a window exceed its budget by more
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -28,7 +28,7 @@
 
 const (
 	newWorker    start = "new worker"    // the worker is not on the schedulers' lists
-	startedTwice start = "started twice" // the schedulers know a start shortly before the one under test
+	startedTwice start = "started twice" // the schedulers know an earlier start, shortly before the start under test
 	wasWarm      start = "was warm"      // the schedulers know the worker as warm
 )
 
@@ -38,7 +38,7 @@
 // arrival is one offer that reached the worker.
 type arrival struct {
 	at       int64
-	informed bool // its scheduler was notified of a start and took the worker as warming up
+	informed bool // the scheduler was notified of a start and considered the worker warming up
 }
 
 // slowStartRun simulates one start of one worker, with constant demand at all schedulers.
@@ -72,7 +72,7 @@
 	r.settings.WarmUpUs = r.settings.SlowStartWindowUs*4 + 5*second
 	r.startUs = 1_000_000_000 + r.between(0, 5000)
 	r.earlierStartUs = r.startUs - r.between(50, 2000)
-	// Lists reach all schedulers at nearly the same time, or each of them at a time of its own.
+	// Lists reach all schedulers at nearly the same time, or each of them at a different time.
 	r.firstNotified, r.notifiedWithinMs = r.startUs+r.between(10, 3000), []int{20, 500, 4000}[r.random.IntN(3)]
 	// The demand on the fleet is one to six times the budget in each window.
 	budgetsPerWindow := math.Pow(6, r.random.Float64())
@@ -192,8 +192,8 @@
 }
 
 // informedBudget returns the maximum number of offers within a window from schedulers that were notified of
-// the start. If they keep to it, they sent at most two thirds of the offers that overload the worker,
-// whatever the other schedulers did.
+// the start. If they send no more, they sent at most two thirds of the offers that overload the worker,
+// regardless of the other schedulers.
 func (r *slowStartRun) informedBudget() int {
 	return int(min(r.settings.SlowStartOffers, r.bound()*2/3))
 }
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestManySchedulersShareSlowStartBudget checks the number of offers in a window where the budget is about
-// one offer per scheduler or less. All schedulers once used such a share at the same moment.
+// one offer per scheduler or less. It guards against schedulers that all use their share at the same time.
 func TestManySchedulersShareSlowStartBudget(t *testing.T) {
 	for _, test := range []sharedBudget{
 		{"one offer", 300, 1, false, false},
@@ -136,7 +136,7 @@
 }
 
 // TestOffersBeforeKnownStartCount notifies a scheduler late of a worker's start. Offers that it sent since
-// the start, while it took the worker for warm, count towards its share of the budget.
+// the start, while it considered the worker warm, count towards its share of the budget.
 func TestOffersBeforeKnownStartCount(t *testing.T) {
 	settings := testSettings() // 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker(warmingWorker, 0, 32))
@@ -203,7 +203,7 @@
 			if restarted := newFixture(t, settings, 2, fixtures[0].scheduler.fleet.workers[warmingWorker].Entry); permitted[0] {
 				restarted.scheduler.now, restarted.scheduler.startedAt = fixtures[0].now, fixtures[0].now
 				if restarted.scheduler.slowStart.permits(restarted.scheduler.fleet.workers[warmingWorker]) {
-					t.Fatalf("scheduler %d may send an offer in the turn in which it restarted", settings.SelfIndex)
+					t.Fatalf("scheduler %d: got permission for an offer in the turn in which it restarted, want none", settings.SelfIndex)
 				}
 			}
 			permittedBefore = permitted[0]
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -1,7 +1,7 @@
 package placement
 
 // This file owns the spread (anti-affinity) of programs, which limits the number of tasks of one program
-// in one domain. It must not permit a task beyond that limit.
+// in one domain. It must not permit a task beyond this limit.
 
 // spread counts tasks by domain. It keeps the counts of one program at a time.
 type spread struct {
@@ -19,8 +19,8 @@
 	unknownDomain int // attempts and tasks on workers that were never listed
 }
 
-// countsOf returns the number of attempts and tasks of a program by domain. It counts them only once for
-// all workers of a search.
+// countsOf returns the number of attempts and tasks of a program by domain. It counts them again only
+// after the program or the residents changed.
 func (s *spread) countsOf(program uint64) *spreadCounts {
 	counts := &s.counts
 	if counts.counted && counts.program == program && counts.version == s.residents.version {
--- a/placement/task.go
+++ b/placement/task.go
@@ -27,7 +27,7 @@
 	Task
 	classIndex  int
 	arrivedAt   int64
-	queuedSince int64 // when its client started to wait
+	queuedSince int64 // time at which its client started to wait
 	pending     bool  // is in the queue
 	priority    float64
 	attempts    []*attemptInfo
@@ -38,7 +38,7 @@
 	copyRunning bool         // a worker reported that a copy of the task is running
 	unusable    bool         // attempts on two workers ended with an error
 	probesSent  int
-	usage       [resourceCount]float64 // used fraction of what it requested; 0 if not reported
+	usage       [resourceCount]float64 // used fraction of each requested resource; 0 if not reported
 }
 
 // lastAttempt returns the last attempt. It panics if there is none.
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -55,9 +55,9 @@
 }
 
 // freeUnits returns this scheduler's share of the free capacity of all workers, in units (see
-// [Settings.Units]). Each worker counts with the number of offers that its attempt window still allows at
-// most, because a worker handles only a few offers at a time. For a large fleet the result is recomputed
-// at most once per retryInterval.
+// [Settings.Units]). A worker counts for at most the number of offers that its attempt window still
+// allows, because a worker handles only a few offers at a time. For a large fleet the result is
+// recomputed at most once per retryInterval.
 func (t *totals) freeUnits() (units float64) {
 	if t.settings.UnitCores <= 0 || t.settings.UnitMemory <= 0 {
 		return math.Inf(1) // the size of a unit is unknown, so no class is limited by reserved units
--- a/placement/totals_test.go
+++ b/placement/totals_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestFreeUnitsOfLargeFleet checks that the free units of a large fleet stay the same until the timer is due
-// and show a change after that.
+// TestFreeUnitsOfLargeFleet checks that the free units of a large fleet stay the same for retryInterval
+// after a change and show the change after that.
 func TestFreeUnitsOfLargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
 	f.scheduler.settings.UnitCores, f.scheduler.settings.UnitMemory = 1, 2
@@ -37,10 +37,10 @@
 	}
 	f.handleAfter(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != all {
-		t.Errorf("got %v free units before the timer is due, want %v as before the change", got, all)
+		t.Errorf("got %v free units before retryInterval has passed, want %v as before the change", got, all)
 	}
 	f.handleAfter(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != 0 {
-		t.Errorf("got %v free units when the timer is due, want 0", got)
+		t.Errorf("got %v free units after retryInterval, want 0", got)
 	}
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -1,7 +1,6 @@
 package placement
 
-// This file owns the application of worker lists to the view of the workers. It must not decide which
-// worker gets a task.
+// This file applies worker lists to the fleet. It must not decide which worker gets a task.
 
 // view applies worker lists to the fleet.
 type view struct {
@@ -25,7 +24,7 @@
 }
 
 // update applies one entry of a list. It learns from the entry about the lag only if current is true,
-// that is, if the list is not a cached one.
+// that is, if the list is not cached.
 func (v *view) update(entry Entry, current bool) {
 	worker := v.fleet.findOrAdd(entry.Worker)
 	// The view of a foreign worker may be out of date, so it says nothing about the lag.
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -77,7 +77,7 @@
 	f.handleAfter(ms, request)
 	actions := f.handleAfter(250*ms, ProbeResult{Worker: "a", Outcome: TimedOut})
 	if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "b" {
-		t.Fatalf("got probes %v after the first one timed out, want one of worker b", got)
+		t.Fatalf("got probes %v after the probe of worker a timed out, want one of worker b", got)
 	}
 	// Both workers are suspect now, and the suspicion of a is lower.
 	f.wantPlaced(f.handleAfter(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a")
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file holds the state of one worker. It must not read other workers or the settings: the parts in
-// the layers above make the decisions about tasks.
+// This file holds the state of one worker. It must not read other workers or the settings: the components
+// in the layers above make the decisions about tasks.
 
 const (
 	// sustainedViews is the number of latest views whose free capacity is stored for a worker.
@@ -15,8 +15,8 @@
 	calibrationHalflife = 8 * second
 	// suspicionHalflife is the time in which a suspicion decays by half.
 	suspicionHalflife = 6 * second
-	// successFactor is the factor by which a success reduces a suspicion. A success does not clear it,
-	// since even a worker that loses most answers still gives some.
+	// successFactor is the factor by which a success reduces a suspicion. A success does not clear the
+	// suspicion, since even a worker that loses most answers still sends some.
 	successFactor = 0.7
 	// maxSuspicion is the upper limit of a suspicion, which bounds how long a worker is avoided.
 	maxSuspicion = 6.0
@@ -63,15 +63,15 @@
 type workerInfo struct {
 	Entry
 	kindIndex      int  // index in Settings.Kinds, or -1 if unknown
-	listed         bool // is on the current list
-	everListed     bool // has been on a list, so its cell and zone are known
-	foreign        bool // is counted in fleet.foreignCount
-	uncordonedIdle bool // was uncordoned and has had no attempt or task since
+	listed         bool // the worker is on the current list
+	everListed     bool // the worker has been on a list, so its cell and zone are known
+	foreign        bool // fleet.foreignCount counts the worker
+	uncordonedIdle bool // the worker was uncordoned and has had no attempt or task since
 	requestedStale bool // requestedCores and requestedMemory are out of date
 	reportsFree    bool // the last report contains the free capacity
-	unreachable    bool // no connection to it is open, and the last one failed
-	lagDependent   bool // is in loadTracker.lagDependent
-	inCalibrated   bool // is in calibration.workers
+	unreachable    bool // no connection to the worker is open, and the last one failed
+	lagDependent   bool // loadTracker.lagDependent contains the worker
+	inCalibrated   bool // calibration.workers contains the worker
 
 	// Fields that the filters read first.
 	drainingUntil                   int64
@@ -80,9 +80,9 @@
 	requestedCores, requestedMemory float64
 	calibration                     [resourceCount]float64 // effective capacity relative to that of its kind
 	calibratedAt                    int64
-	probeSentAt                     int64            // when the probe that awaits its result was sent, or 0
+	probeSentAt                     int64            // time at which the unanswered probe was sent, or 0
 	suspicions                      []suspicionScore // by class
-	lastSearch                      int64            // number of the last search that evaluated it
+	lastSearch                      int64            // number of the last search that evaluated the worker
 	ordinal                         int              // index in fleet.sorted
 
 	// Fields from which requestedCores and requestedMemory are computed.
@@ -90,7 +90,7 @@
 	deltas      []delta
 	reportedAt  int64 // arrival time of the last report, or 0
 	lastReport  Load
-	countedKind *Kind // kind whose size the sums of loadTracker include for it, or nil
+	countedKind *Kind // kind whose size the sums of loadTracker include for the worker, or nil
 	position    indexPosition
 
 	running          []*taskInfo // accepted tasks, in order of acceptance
@@ -101,8 +101,8 @@
 	active         int     // number of attempts and tasks that have not ended
 	offerTimes     []int64 // times of recent offers
 	lastAcceptedAt []int64 // time of the last accepted attempt, by class
-	reachableAt    int64   // time at which it last became reachable after a failure
-	migratedAt     int64   // time at which a task was last migrated away from it
+	reachableAt    int64   // time at which the worker last became reachable after a failure
+	migratedAt     int64   // time at which a task was last migrated off the worker
 	viewCount      int
 	recentFree     [sustainedViews][resourceCount]float64 // free capacity in the latest views, a ring buffer
 }
@@ -125,9 +125,9 @@
 // programHash returns a hash of a program and the worker's name, which is the same at every scheduler.
 func (w *workerInfo) programHash(program uint64) uint64 { return mix(w.nameHash ^ mix(program)) }
 
-// idlePrograms returns the number of resident programs without an attempt or task, and the one of them
-// that has been idle the longest; among equals, the one with the lowest number. The argument idle must be
-// one of these programs.
+// idlePrograms returns the number of resident programs without an attempt or task, and the program that
+// has been idle the longest of these; among equals, the one with the lowest number. The argument idle must
+// be one of these programs.
 func (w *workerInfo) idlePrograms(idle uint64) (count int, oldest uint64) {
 	oldest = idle
 	for program, resident := range w.residentPrograms {
