--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -8,7 +8,7 @@
 // This file must not make decisions.
 
 const (
-	// preferredWorkerCount is the number of workers over which the tasks of a program are spread.
+	// preferredWorkerCount is the number of workers over which the tasks of a program are distributed.
 	preferredWorkerCount = 12.0
 	// maxPreferredPrograms is the maximum number of programs whose preferred workers are cached.
 	maxPreferredPrograms = 4096
@@ -66,9 +66,9 @@
 	return len(nameHashes)
 }
 
-// hashedRank estimates the rank of a worker in the order of the workers by a hash of the program and the
-// worker's name. hash is the hash of this worker, and assigned is the number of workers in the order, which
-// are those that are assigned to this scheduler.
+// hashedRank estimates the rank of a worker, from 0, among the workers that are assigned to this scheduler,
+// ordered by a hash of a program and the worker's name. hash is the hash of this worker, and assigned is
+// the number of assigned workers.
 func hashedRank(hash uint64, assigned int) float64 {
 	return (1 - float64(hash)/math.MaxUint64) * float64(assigned)
 }
--- a/placement/environment.go
+++ b/placement/environment.go
@@ -24,7 +24,7 @@
 // notStarted is the value of startedAt before the first call.
 const notStarted = -1
 
-// emit appends an action to those that the current call returns.
+// emit appends an action to the actions that the current call returns.
 func (e *environment) emit(action Action) {
 	e.actions = append(e.actions, action)
 }
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -159,8 +159,8 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// measureZoneLoss measures one event that removes all workers of a zone, and one that lists them again
-// after a restart.
+// measureZoneLoss measures one event that removes all workers of a zone, and one event that lists the
+// workers again after a restart.
 func measureZoneLoss(s *site, removal, restart *meter) {
 	const zone = "zone-1"
 	var entries []Entry
--- a/placement/events.go
+++ b/placement/events.go
@@ -23,7 +23,7 @@
 	Cell                  int
 	StartedAtUs           int64 // time of the worker's start; 0 if it started long ago
 	State                 WorkerState
-	FreeCores, FreeMemory float64 // not requested; negative if overcommitted; outdated if Foreign
+	FreeCores, FreeMemory float64 // not requested; negative if overcommitted; may be outdated if Foreign
 	// Uncordoned is true if operators have just uncordoned the worker, so that it can be used again.
 	Uncordoned bool
 }
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -105,8 +105,8 @@
 // levelled draws the utilization of a worker in a fleet with evenly loaded workers.
 func levelled(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
 
-// largeFleet returns a fixture with many workers of one kind. share draws the utilization of each
-// worker.
+// largeFleet returns a fixture with many workers of one kind. share draws each worker's
+// utilization.
 func largeFleet(t *testing.T, workers int, share func(*rand.Rand) float64) *fixture {
 	random := rand.New(rand.NewPCG(1, uint64(workers)))
 	entries := make([]Entry, workers)
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file owns the set of workers: those on the current list, and those that left it but still have
-// attempts or tasks. It must not decide which worker gets a task.
+// This file owns the set of workers: the workers on the current list, and the workers that left the list
+// but still have attempts or tasks. It must not decide which worker gets a task.
 
 // fleet is the set of all workers.
 type fleet struct {
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -23,7 +23,7 @@
 	maxFlipped = 0.01
 )
 
-// comparisons counts what was compared, by path of the selection.
+// comparisons counts the comparisons of selections, by path and by property.
 type comparisons struct {
 	paths                                          map[string]int
 	total, flipped                                 int // flipped: matched only if a value at its limit was decided the other way
@@ -182,10 +182,10 @@
 		seed := *seedFlag + uint64(i)
 		first := actionsOf(t, seed, false)
 		if again := actionsOf(t, seed, false); !slices.Equal(first, again) {
-			t.Fatalf("seed %d: two runs of one history gave different actions: %s", seed, firstDifference(first, again))
+			t.Fatalf("seed %d: got different actions in two runs of one history, want the same: %s", seed, firstDifference(first, again))
 		}
 		if searched := actionsOf(t, seed, true); !slices.Equal(first, searched) {
-			t.Fatalf("seed %d: additional searches changed the actions: %s", seed, firstDifference(first, searched))
+			t.Fatalf("seed %d: got different actions with additional searches, want the same: %s", seed, firstDifference(first, searched))
 		}
 	}
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -167,9 +167,9 @@
 
 // recordError records an attempt that ended with an error. The error raises the suspicion of the worker,
 // unless another worker failed the same task. In that case the task is unusable and goes to no further
-// worker, and the suspicion from its errors is taken back. This protects against tasks that no worker can
-// run, each of which would eject several healthy workers. It does harm if workers fail so often that two
-// errors of one task are a coincidence.
+// worker, and the suspicion from its errors is subtracted again. This protects against tasks that no
+// worker can run, each of which would eject several healthy workers. It does harm if workers fail so often
+// that two errors of one task are a coincidence.
 func (h *health) recordError(task *taskInfo, attempt *attemptInfo) {
 	attempt.failed = true
 	attempt.worker.addSuspicion(h.now, errorSuspicion)
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -92,7 +92,7 @@
 	entry := ownLevel.entries[worker.position.entryIndex]
 	switch {
 	case worker.position.kindIndex != worker.kindIndex || entry.worker != worker:
-		return fmt.Errorf("%s: position %+v has another kind or contains worker %s", worker.Worker, worker.position, entry.worker.Worker)
+		return fmt.Errorf("%s: got position %+v, which contains worker %s, want a position that has the worker's kind and contains the worker", worker.Worker, worker.position, entry.worker.Worker)
 	case scheduler.settings.HasView && entry.requested != fractions{worker.requestedCores / kind.Cores, worker.requestedMemory / kind.Memory}:
 		return fmt.Errorf("%s: entry has requested fractions %+v, want those of the requested cores %v and memory %v", worker.Worker, entry.requested, worker.requestedCores, worker.requestedMemory)
 	case !ownLevel.minRequested.within(entry.requested) || entry.calibration < ownLevel.minCalibration || entry.calibration > min(worker.calibration[resourceCores], worker.calibration[resourceMemory]):
@@ -102,7 +102,7 @@
 	}
 	share := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
 	if floor := float64(worker.position.level) * levelWidth; share < floor || share >= floor+levelWidth && worker.position.level < levelCount-1 {
-		return fmt.Errorf("%s: utilization %v is outside the range of level %d", worker.Worker, share, worker.position.level)
+		return fmt.Errorf("%s: got utilization %v, want one in the range of level %d", worker.Worker, share, worker.position.level)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		for program := range worker.residentPrograms {
 			unmatched++
 			if !slices.Contains(scheduler.residents.workers[program], worker) {
-				return fmt.Errorf("%s is missing in the workers of its resident program %d", worker.Worker, program)
+				return fmt.Errorf("%s: got no entry in the workers of its resident program %d, want one", worker.Worker, program)
 			}
 		}
 	}
--- a/placement/load.go
+++ b/placement/load.go
@@ -116,7 +116,7 @@
 	l.index.invalidate(worker)
 }
 
-// addLagDependent adds a worker to those whose requested cores and memory depend on the view's lag.
+// addLagDependent records that the requested cores and memory of a worker depend on the view's lag.
 func (l *loadTracker) addLagDependent(worker *workerInfo) {
 	if !worker.lagDependent {
 		worker.lagDependent = true
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -10,7 +10,7 @@
 	migrateAlwaysBelow = 0.25
 	// restartSeconds is the run time that a task loses by starting again, in seconds.
 	restartSeconds = 1.5
-	// migrationGainFactor is the factor by which the gain must exceed the price, because expected run
+	// migrationGainFactor is the factor by which the gain must exceed the cost, because expected run
 	// times are imprecise.
 	migrationGainFactor = 2.0
 	// defaultRemainingSeconds is the assumed remaining run time of a task without a run hint, in
@@ -59,8 +59,8 @@
 	for _, task := range worker.running {
 		class := m.classOf(task)
 		remaining := m.remainingSeconds(task)
-		price := restartSeconds + m.settings.MigrationCost*(remaining+class.StartBonusS)
-		gain := (1-service)*remaining - migrationGainFactor*price
+		cost := restartSeconds + m.settings.MigrationCost*(remaining+class.StartBonusS)
+		gain := (1-service)*remaining - migrationGainFactor*cost
 		if value := gain * class.Weight * (task.Cores + task.Memory); gain > 0 && value > bestValue {
 			best, bestValue = task, value
 		}
--- a/placement/numbers.go
+++ b/placement/numbers.go
@@ -23,7 +23,7 @@
 // unlimited exceeds all other fractions.
 var unlimited = fractions{math.Inf(1), math.Inf(1)}
 
-// within reports whether neither the cores nor the memory exceed those of a limit.
+// within reports whether neither the cores nor the memory of f exceed the limit.
 func (f fractions) within(limit fractions) bool {
 	return f.cores <= limit.cores && f.memory <= limit.memory
 }
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestQueuedSinceDecidesAmongEquals checks that of tasks of equal priority, the one whose client has
-// waited longer goes first.
+// TestQueuedSinceDecidesAmongEquals checks that among tasks of equal priority, the task whose client
+// has waited longer goes first.
 func TestQueuedSinceDecidesAmongEquals(t *testing.T) {
 	f := overloadedFixture(t, -20, Backpressure{})
 	late, early := f.request("late", "safe", 30, 60), f.request("early", "safe", 30, 60)
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -203,8 +203,8 @@
 	return flipped, err
 }
 
-// compareReserved compares the worker that a scheduler newly reserved for a task, or nil, with those that
-// the full scan would reserve.
+// compareReserved compares the worker that a scheduler newly reserved for a task, or nil, with the workers
+// of which the full scan would reserve one.
 func (r *reference) compareReserved(task *taskInfo, got *workerInfo) error {
 	scheduler := r.scheduler
 	var want []*workerInfo
--- a/placement/reservations_test.go
+++ b/placement/reservations_test.go
@@ -19,7 +19,7 @@
 	for i := range 2 {
 		for _, a := range ofType[Place](f.handleAfter(ms, f.request(fmt.Sprint(i), "safe", 0.5, 0.5))) {
 			if a.Worker == "a" {
-				t.Errorf("task %d of low priority was offered to the reserved worker", i)
+				t.Errorf("task %d of low priority: got an offer to the reserved worker, want none", i)
 			}
 		}
 	}
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -4,9 +4,9 @@
 
 // This file tracks which programs are resident on which workers. It must not make decisions.
 
-// maxIdlePrograms is the maximum number of idle programs, those without an attempt or task, that
-// count as resident on a worker. Workers keep the code of at least this many programs after the
-// last task of each.
+// maxIdlePrograms is the maximum number of idle programs that count as resident on a worker. An
+// idle program has no attempt or task. Workers keep the code of at least this many programs after
+// the last task of each.
 const maxIdlePrograms = 4
 
 // residents holds the resident programs of all workers.
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -3,9 +3,9 @@
 // its seed and the events that it receives. All times are in microseconds, on the clock whose time
 // the caller passes to [Scheduler.Handle].
 //
-// A placement has three steps: filter the workers, score those that pass the filters, and offer the
-// task to a worker with a score near the best. If no worker has free capacity, the scheduler may
-// reserve one while the task stays pending.
+// A placement has three steps: filter the workers, score the workers that pass the filters, and
+// offer the task to a worker with a score near the best. If no worker has free capacity, the
+// scheduler may reserve one while the task stays pending.
 //
 // The package consists of components that own their state. The files are listed from the top layer
 // to the bottom layer. A file uses only files that follow it in the list:
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -12,8 +12,7 @@
 	"ravenhitch/internal/stats"
 )
 
-// countEvery is the interval, in units, at which the allocations of a unit are counted instead of its
-// time.
+// countEvery is the interval, in units, at which allocations are counted instead of the time.
 const countEvery = 4
 
 // meter sums up the processor time and the allocations of the measured units. It measures the time of
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -103,7 +103,7 @@
 }
 
 // runScheduler runs one scheduler through the slow start, with restarts of its process. Schedulers run one
-// after the other, which is possible because they share nothing.
+// after the other, which is possible because they share no state.
 func (r *slowStartRun) runScheduler(index int) {
 	r.settings.SelfIndex = index
 	end := r.startUs + r.settings.WarmUpUs
@@ -192,8 +192,8 @@
 }
 
 // informedBudget returns the maximum number of offers within a window from schedulers that were notified of
-// the start. If they send no more, they sent at most two thirds of the offers that overload the worker,
-// regardless of the other schedulers.
+// the start. If these schedulers send no more, at most two thirds of the offers that overload the worker
+// are theirs, however many offers the other schedulers send.
 func (r *slowStartRun) informedBudget() int {
 	return int(min(r.settings.SlowStartOffers, r.bound()*2/3))
 }
@@ -261,7 +261,7 @@
 	offers := run.settings.SlowStartOffers
 	if violation != "" {
 		o.overBound++
-		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or two thirds of them from notified ones",
+		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or two thirds of them from notified schedulers",
 			seed, offers, violation, run.bound())
 	}
 	if used > 1 {
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -102,7 +102,7 @@
 }
 
 // sharedBudget is a case with a slow-start budget that many schedulers share. In a case with a stall, a
-// scheduler is not called for 2 s from time to time. In a case with a restart, it restarts once.
+// scheduler is not called for 2 s from time to time. In a case with a restart, a scheduler restarts once.
 type sharedBudget struct {
 	name           string
 	schedulers     int
