--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -20,8 +20,8 @@
 
 // maxLateReportMs is the maximum time that discovery blocks a poll if workers are assigned to orchestrators, in
 // milliseconds. It is longer than pollBlockMs because discovery may delay events that report only free capacity:
-// no other orchestrator places tasks at the workers of this one, so this orchestrator knows by itself how their
-// free capacity changes.
+// no other orchestrator places tasks at this orchestrator's workers, so this orchestrator can compute the changes of
+// their free capacity itself.
 const maxLateReportMs = 4_000
 
 // shardAssignment tracks the shards that are assigned to this orchestrator and those that are active.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,19 +1,19 @@
 package dispatch
 
-// This file owns how attempts and tasks end: it reports each end to the scheduler and the client, and updates
-// or removes the request. It must never start an attempt.
+// This file owns the ends of attempts and tasks: it reports each end to the scheduler and the client, and
+// updates or removes the request. It must never start an attempt.
 
 import "ravenhitch/placement"
 
-// terminationTimeout is how long a worker has to report the completion of a released or migrated task. After
-// that, the client may submit the task's key again.
+// terminationTimeout is the maximum time for a worker to report the completion of a released or migrated task.
+// After this time, the client may submit the task's key again.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt of a request. The cancel goes to the worker before anything else may be
-// sent for this request. The scheduler learns of the end, and may offer the task elsewhere, only once the
+// cancelAttempt cancels the open attempt of a request. The cancel is sent to the worker before any other message
+// for this request. The end is reported to the scheduler, which may then offer the task elsewhere, only once the
 // attempt is certainly over: a cancel that is still in transit, or on a connection that became unresponsive,
-// does not end the attempt. The response to the client does not wait for that: at the deadline, the attempt
-// counts as ended.
+// does not end the attempt. The response to the client does not wait for the confirmation: at the deadline of
+// the request, the attempt counts as ended.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
 	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
@@ -49,9 +49,9 @@
 }
 
 // unacceptedTaskEnded records the end of a task that ran although its acceptance was not received, and fails
-// the request. The end of a task that ran is reported to its client within a second, whatever its class.
-// Another attempt would run the task again and take longer than that. The client cannot be sent an
-// acceptance, because the worker's description of the task is not known.
+// the request. The end of a task that ran is reported to its client within a second, whatever the class of the
+// task. Another attempt would run the task again and take longer than a second. No acceptance can be sent to the
+// client, because the worker's description of the task is not known.
 func (d *Dispatcher) unacceptedTaskEnded(r *request, cause placement.Cause) {
 	d.log.Info("task ended before its acceptance", "request_id", r.RequestID, "worker", r.worker)
 	d.counts.Reset++
@@ -84,7 +84,7 @@
 	}
 }
 
-// release tells the worker to end a running task, and waits up to terminationTimeout for its completion.
+// release requests the worker to end a running task, and waits up to terminationTimeout for the completion.
 func (d *Dispatcher) release(r *request) {
 	d.workers.Release(r.worker, r.RequestID)
 	d.transition(r, eventReleased)
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -119,7 +119,7 @@
 }
 
 // An end which shows that the task ran, although its acceptance was not received, ends the request at once:
-// the client gets a failure, and nothing is offered again. Any other end leads to another attempt.
+// the client gets a failure, and the task is not offered again. Any other end leads to another attempt.
 func TestTaskEndedBeforeItsAcceptance(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -159,8 +159,8 @@
 	}
 }
 
-// An end which shows that the task ran, of an attempt that was given up before, ends the request, but only if
-// nothing has been offered since.
+// If a worker reports an end which shows that the task of an abandoned attempt ran, the request fails, but only
+// if the task has not been offered again since.
 func TestAbandonedTaskEnded(t *testing.T) {
 	const ran, drained = placement.Reset, placement.CauseDrained
 	setUp := func(t *testing.T, withholdConfirm bool) (h *harness, worker string) {
@@ -182,7 +182,7 @@
 		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0) // a duplicate answer
 		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)             // from a worker without this attempt
 		if h.OpenCount() != 1 {
-			t.Fatal("t1 is over after ends that it had to ignore")
+			t.Fatal("t1 is over after reports that the dispatcher must ignore, want it still open")
 		}
 		h.AbandonedTaskEnded(h.now, worker, "t1", ran, drained)
 		if !failed(h) {
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -83,7 +83,8 @@
 }
 
 // announcePending reports to the advisor the units that will be pending once the actions are carried out.
-// This keeps requests that are rejected together from getting slots behind one another.
+// Requests that the actions reject are excluded, so that requests rejected together do not get slots behind one
+// another.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file owns what clients do after a submission: they query or cancel a request, or their connection
-// ends. It must never give a client a second final response, and it may send workers only cancels and
-// releases of what a client no longer wants.
+// This file owns the calls that may follow a submission: a front queries or cancels a request, or ends it with
+// the client's connection. It must never give a client a second final response. The only messages that it may
+// send to workers are cancels and releases for the requests that these calls end.
 
 import "ravenhitch/placement"
 
@@ -11,8 +11,8 @@
 	Respond(response Response)
 }
 
-// ConnectedClient is a Client that knows up to which time its connection was read. A cancel or a disconnect
-// that arrived later may not have been read yet.
+// ConnectedClient is a Client that reports the time up to which its connection was read. A cancel or a
+// disconnect that arrived later may not have been read yet.
 type ConnectedClient interface {
 	Client
 	// LastSeenAt returns the time up to which the connection was read, in microseconds.
@@ -20,7 +20,7 @@
 }
 
 // ClientLastSeenAt returns the time up to which the connection of a request's client was read. It returns
-// fallback if the client does not know that time or the request is over.
+// fallback if the client does not report this time or the request is over.
 func (d *Dispatcher) ClientLastSeenAt(requestID string, fallback int64) int64 {
 	if r := d.requests[requestID]; r != nil {
 		if client, ok := r.client.(ConnectedClient); ok {
@@ -30,7 +30,8 @@
 	return fallback
 }
 
-// Class holds the properties of a class that fronts need: the timeout of requests that state none.
+// Class holds the properties of a class that fronts need. TimeoutUs is the timeout, in microseconds, of requests
+// that state no timeout.
 type Class struct{ TimeoutUs int64 }
 
 // Class returns the properties of a class and reports whether the class is in the settings.
@@ -100,8 +101,8 @@
 	d.events = nil
 }
 
-// Cancel ends a request that its client no longer wants, open or running. The client gets no
-// response. If client is not nil, only a request that still belongs to it is cancelled.
+// Cancel cancels an open request or releases a running task. The client gets no response. If client is not nil,
+// Cancel does so only if the request still belongs to this client.
 func (d *Dispatcher) Cancel(now int64, client Client, requestID string) CancelResult {
 	d.now = now
 	r := d.find(requestID)
@@ -121,7 +122,7 @@
 	return NotFound
 }
 
-// cancelOpen ends an open request that its client no longer wants.
+// cancelOpen removes an open request that its client cancelled, without a response.
 func (d *Dispatcher) cancelOpen(r *request) {
 	d.counts.Cancelled++
 	d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -45,13 +45,13 @@
 	tracer     Tracer
 
 	now    int64             // time of the current call
-	events []placement.Event // for the scheduler, at the next turn
+	events []placement.Event // events to pass to the scheduler in the next turn
 
 	// The requests. A request stays in the table, under its request ID, until it is removed.
 	requests      map[string]*request
-	latestByKey   map[string]*request // latest live request of each task, by key
-	aliases       map[string]*request // resumed requests, by their further request IDs
-	unresponsive  map[string]*request // removed from the table, but their workers have not reported the end
+	latestByKey   map[string]*request // latest request of each task, by key
+	aliases       map[string]*request // resumed requests, by the request IDs of repeated submissions
+	unresponsive  map[string]*request // requests removed from the table whose workers have not reported the end
 	tasksByWorker runningTasks
 	unclaimed     unclaimedCompletions
 	responses     responseCache
@@ -67,7 +67,7 @@
 	listed        map[string]bool
 	drainingSince map[string]int64 // time since which a worker counts as draining or removed
 	hasList       bool             // a list was received
-	confirmList   bool             // the scheduler waits for confirmation that the list is followed
+	confirmList   bool             // the scheduler awaits confirmation that it receives changes of the list
 
 	// The values that are reported to the advisor and the scheduler.
 	pendingUnits     []float64 // units of pending requests, by class
@@ -120,7 +120,7 @@
 // Counts returns the counters since the creation of the dispatcher.
 func (d *Dispatcher) Counts() Counts { return d.counts }
 
-// OpenCount returns the number of requests that have not got a final response.
+// OpenCount returns the number of requests without a final response.
 func (d *Dispatcher) OpenCount() (count int) {
 	for _, r := range d.requests {
 		if r.state.isOpen() {
@@ -130,7 +130,7 @@
 	return count
 }
 
-// RunningCount returns the number of running tasks, without terminating ones.
+// RunningCount returns the number of running tasks, excluding terminating tasks.
 func (d *Dispatcher) RunningCount() (count int) {
 	for _, r := range d.requests {
 		if r.state == stateRunning {
@@ -143,7 +143,8 @@
 // queueEvent queues an event for the next call of the scheduler.
 func (d *Dispatcher) queueEvent(e placement.Event) { d.events = append(d.events, e) }
 
-// find returns the live request with the given request ID, or the one that was resumed under it, or nil.
+// find returns the request in the table with the given request ID, or the request that was resumed under this
+// ID, or nil.
 func (d *Dispatcher) find(requestID string) *request {
 	if r := d.requests[requestID]; r != nil {
 		return r
@@ -159,7 +160,7 @@
 	}
 }
 
-// remove takes a request out of the table. No other function does that.
+// remove removes a request from the table. No other function removes requests.
 func (d *Dispatcher) remove(r *request) {
 	d.disarm(r)
 	d.transition(r, eventRemoved)
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -68,7 +68,7 @@
 	h.advance(10 * millisecond)
 }
 
-// No data of a request is kept after it has ended, in whichever way.
+// No data of a request is kept after it has ended, whatever the kind of its end.
 func TestEndedRequestsLeaveNothing(t *testing.T) {
 	for name, end := range endingCases {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 			grown := liveHeap() - before
 			t.Logf("the heap has grown by %d bytes over %d endings", grown, endingCount-warmUpEndings)
 			if grown > heapSlack {
-				t.Errorf("the heap has grown by more than %d bytes", heapSlack)
+				t.Errorf("the heap has grown by more than the limit of %d bytes", heapSlack)
 			}
 			runtime.KeepAlive(h)
 		})
--- a/internal/dispatch/fixedretryafter.go
+++ b/internal/dispatch/fixedretryafter.go
@@ -8,8 +8,8 @@
 	"ravenhitch/internal/backpressure"
 )
 
-// FixedRetryAfter is an Advisor that gives every client the same Retry-After and learns nothing. It is the
-// baseline for measurements of other advisors.
+// FixedRetryAfter is an Advisor that gives every client the same Retry-After and ignores all reports. It is
+// the baseline for measurements of other advisors.
 type FixedRetryAfter time.Duration
 
 // Requested returns now: every client has just joined the waitlist.
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -264,7 +264,7 @@
 	h.TaskEnded(h.now, worker, requestID, outcome, 0)
 }
 
-// confirmCancel confirms the cancel of an attempt, if that is not confirmed yet.
+// confirmCancel confirms the cancel of an attempt unless it is confirmed already.
 func (h *harness) confirmCancel(requestID string) {
 	if worker := h.unconfirmed[requestID]; worker != "" {
 		delete(h.unconfirmed, requestID)
@@ -285,7 +285,7 @@
 			break
 		}
 		if turns > maxTurns {
-			h.t.Fatalf("the dispatcher requested more than maxTurns turns")
+			h.t.Fatalf("the dispatcher requested more than maxTurns turns in one call of advance")
 		}
 		h.now = max(h.now, next)
 		h.Turn(h.now)
@@ -309,7 +309,7 @@
 	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
 
-// checkTable fails the test if the request table and the counts that are kept beside it differ.
+// checkTable fails the test if the request table and the counts that are derived from it differ.
 func (h *harness) checkTable() {
 	h.t.Helper()
 	h.checkRunningTasks()
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file owns which workers are cordoned or assigned to another orchestrator, and how that changes the
-// entries of the list. A cordoned worker counts as draining for this orchestrator, whatever the list says,
-// until an operator uncordons it; a list must never uncordon it.
+// This file owns the sets of workers that are cordoned or assigned to another orchestrator, and applies both
+// sets to the entries of the list. A cordoned worker counts as draining for this orchestrator, whatever the list
+// says, until an operator uncordons it. A list must never uncordon a worker.
 
 import (
 	"maps"
@@ -15,8 +15,8 @@
 type listFilter struct {
 	entries    map[string]placement.Entry // latest entry of each worker, as discovery listed it
 	cordoned   map[string]bool
-	uncordoned map[string]bool          // uncordoned, and not listed as ready since then
-	isAssigned func(worker string) bool // whether a worker is assigned to this orchestrator; nil: all are
+	uncordoned map[string]bool          // workers that were uncordoned and have not been listed as ready since
+	isAssigned func(worker string) bool // reports whether a worker is assigned to this orchestrator; nil if all are
 }
 
 func newListFilter() listFilter {
@@ -61,9 +61,9 @@
 	return f.isAssigned == nil || f.isAssigned(worker)
 }
 
-// SetAssignedWorkers sets the workers on which this orchestrator places tasks. It leaves the others to other
-// orchestrators, but tasks that run there continue. isAssigned must return the same results until the next
-// call; nil stands for all workers.
+// SetAssignedWorkers sets the workers on which this orchestrator places tasks. All other workers are left to other
+// orchestrators, but tasks that already run on them continue. isAssigned must return the same results until the
+// next call; nil selects all workers.
 func (d *Dispatcher) SetAssignedWorkers(now int64, isAssigned func(worker string) bool) {
 	filter := &d.listFilter
 	before := listFilter{isAssigned: filter.isAssigned}
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -99,11 +99,11 @@
 		t.Errorf("tasks were placed at workers %s, want aaaaaaaaab", workers)
 	}
 
-	// A cordoned worker that a complete list leaves out is gone once it is uncordoned.
+	// A cordoned worker that is missing from a complete list is removed once it is uncordoned.
 	h.SetCordoned(h.now, map[string]bool{"a": true})
 	h.updateWorkers(placement.ListFull, placement.Ready, "b")
 	if !h.HasWorker("a") {
-		t.Error("HasWorker is false for a cordoned worker that is not listed, so it can't be uncordoned")
+		t.Error("HasWorker is false for a cordoned worker that is not listed, so it can't be uncordoned; want true")
 	}
 	h.SetCordoned(h.now, nil)
 	if listed, _ := h.PoolSize(); listed != 1 || h.HasWorker("a") {
@@ -137,7 +137,7 @@
 		h.accept(id)
 	}
 	if tasks := h.TasksOn("a"); tasks.Count != 2 || !h.IsRunning("t1") || !h.HasWorker("a") {
-		t.Errorf("tasks on a worker that was assigned to another orchestrator: %d, want 2", tasks.Count)
+		t.Errorf("tasks on foreign worker a: %d; want 2, with t1 running and HasWorker true", tasks.Count)
 	}
 	if state := h.schedulerState("a"); state != placement.Foreign {
 		t.Errorf("another orchestrator's worker is listed to the scheduler as %v, want Foreign", state)
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // This file owns the offers and the rules that the scheduler's choice of a worker must satisfy. Only
-// sendOffer sends an offer, and never one that breaks a rule.
+// sendOffer sends offers. It must never send an offer that breaks a rule.
 
 import (
 	"errors"
@@ -31,7 +31,7 @@
 	// a repeat.
 	ErrRepeatUnknown = errors.New("the task may have started, and workers no longer recognise a repeat")
 	// ErrOutsideGroup is returned if the task may have started and the worker does not share idempotency keys
-	// with the worker of that attempt.
+	// with the worker that may have started it.
 	ErrOutsideGroup = errors.New("the task may have started at a worker of another group")
 )
 
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// checkDeadline forbids offers at or after the deadline of the request, when its client gets a response.
+// checkDeadline forbids offers at or after the deadline of the request, because its client gets the final
+// response by then.
 func (d *Dispatcher) checkDeadline(r *request, _ string) error {
 	if d.now >= r.deadline {
 		return ErrDeadlinePassed
@@ -136,8 +137,8 @@
 	d.sendOffer(r, action)
 }
 
-// blockOffer reports to the scheduler that its choice was not sent. A choice that breaks an invariant is a
-// fault of the scheduler.
+// blockOffer reports to the scheduler that the offer to the chosen worker was not sent. A choice that breaks an
+// invariant is a fault of the scheduler.
 func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
@@ -170,8 +171,8 @@
 	})
 }
 
-// CheckOffer returns the error of the first rule that forbids an offer that was placed before and is sent
-// only now, because its connection was not up. It returns nil if no rule forbids the offer.
+// CheckOffer returns the error of the first rule that forbids sending an offer that was placed earlier and had to
+// wait for a connection to the worker. It returns nil if no rule forbids the offer.
 func (d *Dispatcher) CheckOffer(now int64, worker, requestID string) error {
 	d.now = now
 	r := d.requests[requestID]
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,8 +1,9 @@
 package dispatch
 
-// This file owns how long before a client's timeout its response is scheduled: early enough for the response
-// to travel back and for a turn of the observed length, and no more responses at once than can be written. It
-// must never set a deadline later than the client's timeout, and it decides nothing else.
+// This file schedules the responses to clients whose timeouts end. A response is scheduled early
+// enough before the timeout for a turn of the observed length and for its travel to the client, and only as many
+// responses are scheduled at once as can be written. A response must never be scheduled later than the client's
+// timeout.
 
 const (
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
@@ -13,30 +14,31 @@
 	// maxTurnLength is the longest turn that is taken into account.
 	maxTurnLength = 250 * millisecond
 	// bucketLength is the time that one bucket of scheduled responses covers, and bucketCount is the number
-	// of buckets. Responses that are due later are not counted, because nothing is known of that time.
+	// of buckets. Responses scheduled after the last bucket are not counted, because nothing is known
+	// about that time yet.
 	bucketLength = 5 * millisecond
 	bucketCount  = 4096
 	// maxShift is the maximum time by which a response is scheduled earlier to make room for others.
 	maxShift = 200 * millisecond
-	// initialResponseCost is the assumed time that a response takes until turns have shown it, in microseconds.
+	// initialResponseCost is the time per response that is assumed until it is learned from turns, in microseconds.
 	initialResponseCost = 20.0
 	// maxResponseCost is the maximum time per response that is learned from a turn, in microseconds.
 	maxResponseCost = 200.0
 	// minResponseCost is the lower bound of the time per response when the capacity of a bucket is computed, in
 	// microseconds.
 	minResponseCost = initialResponseCost / 4
-	// minResponsesForCost is the minimum number of responses in a turn for its length to show the cost of one.
+	// minResponsesForCost is the minimum number of responses in a turn from which the time per response is learned.
 	minResponsesForCost = 32
-	// responseCostGain is the weight of one turn in the learned cost.
+	// responseCostGain is the weight of one turn in the learned time per response.
 	responseCostGain = 1.0 / 8
 )
 
 // responsePacer counts the scheduled responses in buckets of time. If a bucket is full, further responses are
 // scheduled in the buckets before it.
 type responsePacer struct {
-	buckets      [bucketCount]uint16 // number of scheduled responses; a ring, bucketLength each
-	firstBucket  int64               // number of the first bucket that still counts
-	longestTurn  float64             // decaying, in microseconds
+	buckets      [bucketCount]uint16 // number of scheduled responses in each bucket, as a ring buffer
+	firstBucket  int64               // number of the first bucket that is not in the past
+	longestTurn  float64             // longest recent turn, which decays with time, in microseconds
 	observedAt   int64               // time of the last observed turn, in microseconds
 	responseCost float64             // learned time per response, in microseconds
 	responded    int                 // responses sent since the last observed turn
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -5,8 +5,8 @@
 // pacerStart is the time at which the tests of the pacer start, in microseconds.
 const pacerStart = int64(1000 * second)
 
-// Responses that are due at the same time are scheduled earlier, by the time that writing them takes. None is
-// scheduled later than its client's timeout.
+// Responses to timeouts that end at the same time are scheduled earlier, by the time that writing them takes. None
+// is scheduled later than its client's timeout.
 func TestResponsesDueTogether(t *testing.T) {
 	var pacer responsePacer
 	timeoutAt := pacerStart + 6*second
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -17,8 +17,8 @@
 	responseID string // request ID of the client's latest submission, used in responses
 	state      state
 	keyHash    uint64
-	classIndex int     // index in the settings; the last index if the class is not there
-	units      float64 // size of the task, see Settings.Units
+	classIndex int     // index of the class in the settings; the last index if the class is not in them
+	units      float64 // size of the task in units (see Settings.Units)
 	effect     placement.Effect
 	deadline   int64 // time by which the response is sent, in microseconds
 	wakeAt     int64 // time at which the dispatcher acts on the request, or 0
@@ -26,7 +26,7 @@
 
 	// The open attempt, or the latest one if none is open.
 	attemptCount  int // attempts of the request so far
-	attemptNumber int // number of this attempt, from 0
+	attemptNumber int // number of the open or latest attempt, starting at 0
 	worker        string
 	sentAt        int64             // time of the offer, in microseconds
 	abandonAt     int64             // time at which the attempt is cancelled, in microseconds
@@ -38,9 +38,8 @@
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
 	adoptedAt        int64  // time at which the task was submitted as already running, or 0
-	// unaccountedSince is the time since which nobody accounts for the task, or 0. For a running task, it is
-	// the time since which the worker is unlisted. For an unresponsive task, it is the time by which the end
-	// should have been reported.
+	// unaccountedSince is, for a running task, the time since which its worker has been unlisted and, for an
+	// unresponsive task, the time by which its end should have been reported. It is in microseconds, 0 for none.
 	unaccountedSince int64
 	claimedOutcome   placement.Outcome // adopted task: outcome of a completion reported before the adoption
 	claimedCause     placement.Cause
@@ -91,7 +90,7 @@
 	return h.Sum64()
 }
 
-// task returns the request as the scheduler needs it.
+// task returns the description of the request for the scheduler.
 func (r *request) task() placement.Task {
 	return placement.Task{
 		RequestID:     r.RequestID,
@@ -108,7 +107,7 @@
 	}
 }
 
-// backpressureRequest returns the request as the advisor needs it.
+// backpressureRequest returns the description of the request for the advisor.
 func (r *request) backpressureRequest() backpressure.Request {
 	return backpressure.Request{
 		Key:           r.keyHash,
@@ -121,6 +120,6 @@
 	}
 }
 
-// runningSince returns the earliest time at which the task may have started: when it was offered, or
-// submitted as already running.
+// runningSince returns the earliest time at which the task may have started: the time of its offer, or of its
+// submission as already running.
 func (r *request) runningSince() int64 { return max(r.sentAt, r.adoptedAt) }
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -22,7 +22,7 @@
 	Cancelled // only for a repeated submission: the client cancelled the first one
 )
 
-// Response tells a client about its request.
+// Response is a message to a client about one of its requests.
 type Response struct {
 	Kind          ResponseKind
 	RequestID     string
@@ -35,8 +35,8 @@
 	Worker        string            // Started: the worker that runs the task
 }
 
-// respond sends a response to the client of a request. It also caches the response for repeated submissions,
-// unless the response is Started: resume answers for a running task.
+// respond sends a response to the client of a request. It also caches the response for repeated submissions. A
+// Started response is not cached, because resume answers the repeats while the task runs.
 func (d *Dispatcher) respond(r *request, response Response) {
 	response.RequestID = r.responseID
 	d.trace("response", r, "kind", response.Kind, "response_id", response.RequestID)
@@ -48,15 +48,15 @@
 	r.client.Respond(response)
 }
 
-// isRepeatable reports whether another start of the task does no harm, at whichever worker the client's retry
-// ends up.
+// isRepeatable reports whether another start of the task does no harm, whichever worker receives the client's
+// retry.
 func (d *Dispatcher) isRepeatable(r *request) bool {
 	return !r.mayHaveRun || r.effect == placement.Safe ||
 		r.effect == placement.Keyed && d.settings.Classes[r.classIndex].Group == placement.ScopeAll
 }
 
-// rejectOrFail ends an open request without a start: it rejects the request if a retry does no harm, and
-// otherwise fails it.
+// rejectOrFail ends an open request whose task was not accepted. It rejects the request if a retry does no harm,
+// and fails it otherwise.
 func (d *Dispatcher) rejectOrFail(r *request) {
 	if !d.isRepeatable(r) {
 		d.fail(r)
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Outside tests, an illegal transition is logged and carried out: the request continues, and the counts
-// beside the table stay correct.
+// Outside tests, an illegal transition is logged and carried out: the request continues, and the
+// counts of the table stay correct.
 func TestIllegalTransitionIsLogged(t *testing.T) {
 	h := newHarness(t)
 	var logged bytes.Buffer
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -15,9 +15,9 @@
 	ExpectedRunUs         int64  // expected run time in microseconds, 0 if unknown
 	Retry                 bool   // the client states that it submitted the task before
 	// Resumable is true if the client repeats a submission whose response it has not read. A repeat of an
-	// open request or of a running task gets the response to that one.
+	// open request or of a running task gets the response to the first submission.
 	Resumable     bool
-	TimeoutUs     int64  // how long the client waits, from ReceivedAtUs on
+	TimeoutUs     int64  // timeout of the client, measured from ReceivedAtUs
 	ReceivedAtUs  int64  // earliest time at which the submission can have arrived, 0 for now
 	QueuedSinceUs int64  // proved time since which the client is on the waitlist, 0 if none
 	Rejections    int    // proved number of earlier rejections
@@ -41,8 +41,8 @@
 const hexDigits = "0123456789abcdefABCDEF"
 
 // ValidationError reports an invalid field of a submission. The names of fields are fixed and follow no
-// single wire format. Both fronts use them: clientfront in the text of its error, and grpcfront as the key of
-// its own field name.
+// single wire format. Both fronts use them: clientfront in the text of its error, and grpcfront to look
+// up its own field name.
 type ValidationError struct {
 	Field string // name of the field, as set by Validate
 	Want  string // description of a valid value
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -43,9 +43,10 @@
 	return nil
 }
 
-// isAlreadyAdopted reports whether the task of an adoption is known here. The known task keeps its data and
-// its client: otherwise anyone who repeats a request ID that they may have seen would get the completion
-// meant for another client. If that client has disconnected, its front selects another one.
+// isAlreadyAdopted reports whether the task of an adoption is already in the table or unresponsive. Such a task
+// keeps its data and its client. Otherwise, anyone who has seen a request ID could submit it and receive the
+// completion that is meant for another client. If the client of the task has disconnected, its front selects
+// another client.
 func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
 	if d.unresponsive[s.RequestID] != nil {
 		return true
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns which tasks occupy capacity of which worker: running, terminating and unresponsive ones. It
-// must never decide how they end.
+// This file owns the running, terminating and unresponsive tasks that occupy capacity of each worker. It must
+// never decide how a task ends.
 
 import (
 	"maps"
@@ -9,15 +9,15 @@
 )
 
 const (
-	// unlistedTimeout is how long a task may run on a worker that left the list. The worker may still report
-	// the end of the task itself.
+	// unlistedTimeout is the time for which a task still counts as running after its worker left the list. During
+	// this time, the worker may still report the end of the task.
 	unlistedTimeout = 1 * second
-	// adoptedUnlistedTimeout is the same limit for a task that is adopted on an unlisted worker. It applies
-	// because nobody else will report the end of such a task.
+	// adoptedUnlistedTimeout replaces unlistedTimeout for a task that is adopted on an unlisted worker. The time
+	// is limited because nobody else will report the end of such a task.
 	adoptedUnlistedTimeout = 1_500 * millisecond
 )
 
-// runningTasks holds the tasks that occupy each worker, in no order.
+// runningTasks holds the tasks that occupy each worker, in arbitrary order.
 type runningTasks map[string][]*request
 
 func (t runningTasks) add(r *request) { t[r.worker] = append(t[r.worker], r) }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -15,7 +15,7 @@
 // workers both use it, so that one search finds all steps of a request.
 type Tracer struct {
 	Log      *slog.Logger
-	Suffixes []string // suffixes of the traced request IDs; none: all are traced
+	Suffixes []string // suffixes of the traced request IDs; if there are none, all are traced
 }
 
 // Step writes one step of a request. The time of the step, at, is in microseconds.
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -12,8 +12,8 @@
 const (
 	// sweepInterval is the time between two checks of unresponsive tasks and of tasks on unlisted workers.
 	sweepInterval = 500 * millisecond
-	// drainRetention is how long it is remembered that a worker left the list. It ends well after the last
-	// offer to that worker that may still be waiting to be sent.
+	// drainRetention is the time for which drainingSince keeps a worker that left the list. It is much longer
+	// than an offer to the worker may wait to be sent.
 	drainRetention = 60 * second
 )
 
@@ -53,8 +53,8 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// Changes of the list are followed even if the scheduler does not request them. This event confirms
-		// to the scheduler that they are followed.
+		// The dispatcher passes changes of the list to the scheduler even without a request. This list, which
+		// has no entries, confirms to the scheduler that it does.
 		d.confirmList = false
 		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
@@ -104,7 +104,7 @@
 }
 
 // awaitFinalAction lets the scheduler end a request whose deadline has passed. If the scheduler does not do
-// so within this turn, the dispatcher ends the request in the next one.
+// so within this turn, the dispatcher ends the request in the next turn.
 func (d *Dispatcher) awaitFinalAction(r *request) {
 	if d.now >= r.deadline {
 		d.arm(r, d.now+1)
@@ -168,7 +168,7 @@
 	}
 }
 
-// migrate ends a running task and tells its client to submit it again.
+// migrate releases a running task and notifies its client, which submits the task again.
 func (d *Dispatcher) migrate(r *request) {
 	d.counts.Migrated++
 	d.respond(r, Response{Kind: Migrated})
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -1,16 +1,16 @@
 package dispatch
 
-// This file owns unclaimed completions, which are completions of tasks that are not known here. After an
-// orchestrator has gone, its client submits the running task to another one. Meanwhile the worker may report
-// the completion, which it does only once, on any connection. If a completion that comes first were dropped,
-// the task would stay in the table as running forever. This file must never end a task unless its worker has
-// named it by its request ID.
+// This file owns unclaimed completions: completions of tasks that no client has submitted to this orchestrator.
+// After an orchestrator has ended, its clients submit their running tasks to another orchestrator. A worker
+// reports the completion of a task only once, on any connection, and may do so before the client's submission. If
+// that completion were dropped, the task would stay in the table as running forever. This file must never end a
+// task unless its worker has reported the end with the task's request ID.
 
 import "ravenhitch/placement"
 
 const (
-	// unclaimedRetention is how long an unclaimed completion is remembered: longer than clients take to
-	// notice that an orchestrator is gone.
+	// unclaimedRetention is the time for which an unclaimed completion is kept. It is longer than clients take
+	// to detect that an orchestrator has ended.
 	unclaimedRetention = 60 * second
 	// maxUnclaimed is the maximum number of unclaimed completions. The oldest are evicted.
 	maxUnclaimed = 4096
@@ -34,7 +34,7 @@
 	return unclaimedCompletions{byRequestID: map[string]unclaimedCompletion{}}
 }
 
-// UnknownTaskEnded records a worker's report on the end of a task that is not known here.
+// UnknownTaskEnded records a worker's report on the end of a task that is not in the table.
 func (d *Dispatcher) UnknownTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	if isTaskOutcome(outcome) {
 		d.unclaimed.add(requestID, unclaimedCompletion{worker, outcome, cause, now})
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // This file owns unresponsive tasks: released tasks whose end the worker has not reported in time. Their
-// clients no longer need them, but a worker that is cut off keeps running them. For the scheduler, they
+// clients no longer need them, but a worker that cannot be reached keeps running them. For the scheduler, they
 // occupy capacity and count for the spread until their end is known. This file must never respond to a
 // client.
 
@@ -12,12 +12,12 @@
 	"ravenhitch/placement"
 )
 
-// unresponsiveRetention is how long the end of an unresponsive task may stay unknown. It is the time for
-// which releases are resent.
+// unresponsiveRetention is the time without a report after which an unresponsive task counts as ended. It equals
+// the time for which releases are resent.
 const unresponsiveRetention = 60 * second
 
-// setUnresponsive takes a released task out of the table because its worker has not reported the end. The
-// client may then submit the key again; the request ID stays in use until the end is known.
+// setUnresponsive removes a released task from the table because its worker has not reported the end. The
+// client may then submit the key again. The request ID stays in use until the end is known.
 func (d *Dispatcher) setUnresponsive(r *request) {
 	d.remove(r)
 	r.unaccountedSince = d.now
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -5,14 +5,14 @@
 
 import "ravenhitch/placement"
 
-// restartSkew is how far the clock that dates a worker's start may be ahead of the local clock. A task that
-// was offered at most that long before the start is taken to run in the new process.
+// restartSkew is the maximum time by which the clock that dates a worker's start may be ahead of the local clock.
+// A task that was offered at most restartSkew before the start is assumed to run in the new process.
 const restartSkew = 1 * second
 
 // Offer is the content of an offer to a worker.
 type Offer struct {
 	RequestID, Class, Key, IdempotencyKey string
-	TimeoutUs                             int64 // how long the worker has for its answer
+	TimeoutUs                             int64 // time for the worker to answer, in microseconds
 	Description                           string
 }
 
@@ -21,10 +21,10 @@
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
 	// CancelAttempt cancels an offer that was not answered, before any later offer is sent. mayRetry states
-	// that another attempt may follow. CancelAttempt reports whether the attempt is certainly over. If it is
-	// not, CancelConfirmed is called once it is.
+	// that another attempt may follow. CancelAttempt reports whether the attempt is certainly over.
+	// Otherwise, CancelConfirmed is called once the attempt is over.
 	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
-	// Release tells a worker to end a running task.
+	// Release requests a worker to end a running task.
 	Release(worker, requestID string)
 	// Probe asks a worker to respond. ProbeAnswered receives the result.
 	Probe(worker string)
@@ -84,9 +84,9 @@
 	}
 }
 
-// AbandonedTaskEnded handles the end of a task whose attempt was given up here without a report from the
-// worker: the attempt was cancelled or lost with its connection. If nothing has been offered since, the
-// request is over, because another attempt would run the task again.
+// AbandonedTaskEnded handles a worker's report on the end of a task whose attempt was abandoned earlier: the
+// attempt was cancelled or lost with its connection. If the task ran and has not been offered again since, the
+// request fails, because another attempt would run the task again.
 func (d *Dispatcher) AbandonedTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	d.now = now
 	r := d.requests[requestID]
@@ -152,14 +152,14 @@
 }
 
 // WorkerDied handles a proof that the process of a worker has died. The tasks that ran there have ended, and
-// nobody will report that.
+// nobody will report their completions.
 func (d *Dispatcher) WorkerDied(now int64, worker string) {
 	d.now = now
 	d.endTasksOn(worker, func(*request) bool { return true })
 }
 
 // WorkerRestarted handles the report that the process of a worker started at startUs and that its previous
-// process is gone. The tasks that ran there before have ended, and nobody will report that.
+// process has ended. The tasks of the previous process have ended too, and nobody will report their completions.
 func (d *Dispatcher) WorkerRestarted(now int64, worker string, startUs int64) {
 	d.now = now
 	d.endTasksOn(worker, func(r *request) bool { return r.runningSince() < startUs-restartSkew })
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns which workers are listed, and since when workers have been draining. It must never end a
-// task or change an entry. Only the list filter (listfilter.go) changes entries.
+// This file owns the set of listed workers and the times since which workers have been draining. It must never
+// end a task or change an entry. Only the list filter (listfilter.go) changes entries.
 
 import "ravenhitch/placement"
 
@@ -49,8 +49,7 @@
 	return d.listed[worker] || d.listFilter.cordoned[worker]
 }
 
-// PoolSize returns the number of listed workers, and how many of them are avoided because they are cordoned
-// or the scheduler avoids them.
+// PoolSize returns the number of listed workers, and how many of them are cordoned or avoided by the scheduler.
 func (d *Dispatcher) PoolSize() (listed, avoided int) {
 	for worker := range d.listed {
 		if d.listFilter.cordoned[worker] || d.scheduler.Avoids(worker) {
--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// forgetDead removes the dead or departed member that was last known to be alive the longest time ago. A member
+// forgetDead removes the dead or departed member with the oldest proof that it was alive. A member
 // that became silent recently may only be partitioned off, and must be pinged to be found again.
 func (t *Table) forgetDead() {
 	oldest := -1
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -22,7 +22,7 @@
 	Rejoined     // a member is back with another nonce, or after its death or departure
 	PathDegraded // one direction of a path is down
 	PathRecovered
-	Stalled      // the local process did not run for a while
+	Stalled      // the local process did not run for some time
 	NameConflict // another process owns the local name
 	ViewChanged
 )
--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -21,7 +21,7 @@
 		before := cluster.bytes
 		cluster.run(formedAt + 20*second)
 		rate := float64(cluster.bytes-before) / 10 / float64(c.size)
-		t.Logf("%d members: formed after %s, then %.0f bytes a second and member", c.size, formatMilliseconds(formedAt), rate)
+		t.Logf("%d members: formed after %s, then %.0f bytes per second and member", c.size, formatMilliseconds(formedAt), rate)
 		if intervals > c.maxIntervals || rate > c.maxBytesRate {
 			t.Errorf("%d members: formed after %s, then %.0f bytes per second and member; want at most %s and %.0f",
 				c.size, formatMilliseconds(formedAt), rate, formatMilliseconds(c.maxIntervals*interval), c.maxBytesRate)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -148,7 +148,7 @@
 		t.improveHealth()
 	case p.aliveIndirectly:
 		// The member is alive, so only the direct path may have failed. Whether the member received the direct
-		// ping tells which direction of the path failed.
+		// ping shows which direction of the path failed.
 		if p.reachedByRelay && p.directPingReceived {
 			t.pathFailed(m, inbound, p.handshakeTimedOut)
 		} else if p.reachedByRelay {
@@ -191,7 +191,7 @@
 		case result == HandshakeTimedOut:
 			p.handshakeTimedOut = true
 		case result == HandshakeRefused:
-			p.handshakeRefused = true // the probe goes on for DirectTimeout/2: relays may still reach the member
+			p.handshakeRefused = true // the probe continues for DirectTimeout/2, because relays may still reach the member
 		}
 	}
 	return t.takeActions()
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -21,7 +21,7 @@
 // simMember is a member of the simulated cluster: its table and the state of its process. Times are in microseconds.
 type simMember struct {
 	*Table
-	sharedName        string // name of another member that this one uses too, or ""
+	sharedName        string // name that this member shares with another member, or ""
 	up, left          bool   // whether the process runs; whether it ended after leaving intentionally
 	hostDown          bool   // whether the host is down, so that it does not refuse connections
 	pausedUntil       int64
@@ -164,8 +164,8 @@
 	}
 }
 
-// tickMemberAt schedules a call of a member's Tick. The call does not run if the process ended or restarted meanwhile,
-// or if another call replaced it.
+// tickMemberAt schedules a call of a member's Tick. The call does not run if the process has ended or restarted by
+// then, or if another call replaced it.
 func (c *cluster) tickMemberAt(i int, at int64) {
 	process, start := c.members[i], c.members[i].starts
 	process.nextTickAt = at
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -16,13 +16,13 @@
 	faultVanish       faultKind = "vanish"  // the host of target goes down and does not answer
 	faultPause        faultKind = "pause"   // the process of target does not run until the end
 	faultOneWay       faultKind = "oneway"  // datagrams and connections from target to other do not arrive
-	faultRefuse       faultKind = "refuse"  // as faultOneWay, and connections from target to other are refused
+	faultRefuse       faultKind = "refuse"  // like faultOneWay, but connections from target to other are refused
 	faultCut          faultKind = "cut"     // the zone target is cut off, except for paths to and from the member other
 	faultLoss         faultKind = "loss"    // random loss of datagrams to and from target, or of all if target is -1
-	faultFlap         faultKind = "flap"    // all paths of target fail and recover in turn
+	faultFlap         faultKind = "flap"    // all paths of target fail and recover alternately
 	faultSlow         faultKind = "slow"    // timers and datagrams of target are late
 	faultRestart      faultKind = "restart" // the process of target ends at the start and starts again at the end
-	faultRestartEmpty faultKind = "empty"   // as faultRestart, and the stored incarnation is lost
+	faultRestartEmpty faultKind = "empty"   // like faultRestart, but the stored incarnation is lost
 	faultLeave        faultKind = "leave"   // target leaves intentionally
 )
 
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -17,7 +17,7 @@
 		suspectedAt := h.now
 		h.run(suspectedAt + 20*second)
 		if (h.diedAt > 0) != c.dead {
-			t.Errorf("%s: got declared dead %v (%s after the suspicion), want %v", c.name, h.diedAt > 0,
+			t.Errorf("%s: got b declared dead %v (%s after the suspicion), want %v", c.name, h.diedAt > 0,
 				formatMilliseconds(h.diedAt-suspectedAt), c.dead)
 		}
 		if c.dead {
@@ -27,7 +27,7 @@
 		silentSince := h.now
 		h.run(silentSince + 15*second)
 		if h.diedAt == 0 {
-			t.Errorf("%s, then unreachable: not declared dead within 15 s", c.name)
+			t.Errorf("%s, then unreachable: b was not declared dead within 15 s", c.name)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 		receivedAt := h.now
 		h.run(receivedAt + 20*second)
 		if (h.diedAt > 0) != c.dead || h.diedAt > 0 && h.diedAt < receivedAt+3*second {
-			t.Errorf("%s: got declared dead %v (%s after the update), want %v, and not before 3 s", c.name, h.diedAt > 0,
+			t.Errorf("%s: got b declared dead %v (%s after the update), want %v, and not before 3 s", c.name, h.diedAt > 0,
 				formatMilliseconds(h.diedAt-receivedAt), c.dead)
 		}
 	}
@@ -66,7 +66,7 @@
 		resumedAt := h.now
 		h.run(resumedAt + 15*second)
 		if after := h.diedAt - resumedAt; after < 3*second || after > 8*second {
-			t.Errorf("declared dead %s after the stall, want 3 to 8 s", formatMilliseconds(after))
+			t.Errorf("b was declared dead %s after the stall, want 3 to 8 s", formatMilliseconds(after))
 		}
 	})
 	t.Run("nobody is suspected for it", func(t *testing.T) {
@@ -115,7 +115,7 @@
 			refusedAt := h.now
 			h.run(refusedAt + 10*second)
 			if after := h.diedAt - refusedAt; after <= 0 || after > c.within || c.within > 5*second && after < 3*second {
-				t.Errorf("declared dead after %s, want at most %s, and at least 3 s where that exceeds 5 s",
+				t.Errorf("b was declared dead after %s, want at most %s, and at least 3 s if the maximum exceeds 5 s",
 					formatMilliseconds(after), formatMilliseconds(c.within))
 			}
 		})
@@ -136,6 +136,6 @@
 	h.answerForB = reachable(h)
 	h.run(h.now + 30*second)
 	if h.diedAt > 0 {
-		t.Error("declared dead although it answers pings")
+		t.Error("b was declared dead although it answers pings")
 	}
 }
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -17,7 +17,7 @@
 	// minimum covers the longest pause of a process that must not count as a death, plus the time that the
 	// process's refutation takes to reach the others.
 	MinSuspicionTimeout, MaxSuspicionTimeout int64
-	// RefusedTimeout applies instead if two members found that no process listens at the suspect's address.
+	// RefusedTimeout replaces both if two members found that no process listens at the suspect's address.
 	RefusedTimeout int64
 }
 
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -53,8 +53,8 @@
 	case u.State <= m.State:
 	case u.State == Suspect, u.State == Dead:
 		// A death that another member declared counts only as confirmations of a suspicion: evaluateSuspects
-		// decides whether the local member declares it too. The suspect learns of the suspicion from the next
-		// message that it receives, and refutes it if it is alive.
+		// decides whether the local member declares it too. The next message to the suspect contains the
+		// suspicion, and the suspect refutes it if it is alive.
 		t.suspect(m, u.Confirmations)
 	default:
 		t.remove(m, u.State, u.Confirmations)
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -97,8 +97,8 @@
 	return m
 }
 
-// TestMoves bounds the number of shards that are reassigned when a member departs: besides its own shards, at most an
-// eighth of all shards, and no shard of another region.
+// TestMoves bounds the number of shards that are reassigned when a member departs: in addition to its own shards,
+// at most an eighth of all shards, and no shard of another region.
 func TestMoves(t *testing.T) {
 	for _, size := range []int{9, 16, 32, 100} {
 		zones, regions, members := newFleet(size)
@@ -109,7 +109,7 @@
 			own += m.departed
 			otherRegions += m.otherRegions
 		}
-		t.Logf("%d members: %d shards in the mean must move when one goes, %d more move at most", size, own/size, maxOthers)
+		t.Logf("%d members: %d shards on average must move at a departure, at most %d others move", size, own/size, maxOthers)
 		if maxOthers > Count*len(zones)/8 {
 			t.Errorf("%d members: %d shards of other members moved, want at most %d (an eighth of all shards)",
 				size, maxOthers, Count*len(zones)/8)
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -92,7 +92,7 @@
 	return fmt.Sprintf("%v: expected a zone and %d hex digits, each zone once, got %.40q", ErrInvalidSet, bitsDigits, e.Part)
 }
 
-// Unwrap returns ErrSet.
+// Unwrap returns ErrInvalidSet.
 func (e *ParseError) Unwrap() error { return ErrInvalidSet }
 
 // Parse parses the text form of a set, which String returns. Its errors are of type *ParseError.
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -36,7 +36,8 @@
 	}
 	responsive := c.lastReadAt >= offer.offeredAt
 	confirmable := pool.pingsAllowed || !mayRetry
-	if offer.isSent(c.conn) && responsive && confirmable { // the rest of a partially sent offer would still be sent
+	// A cancel does not suffice for a partially sent offer, because the rest of the offer would still be sent.
+	if offer.isSent(c.conn) && responsive && confirmable {
 		c.sendCancel(requestID)
 		return !pool.pingsAllowed
 	}
@@ -46,7 +47,7 @@
 }
 
 // sendCancel writes and flushes a cancel, so that it is sent before anything written later on any connection. If the
-// operating system does not accept the cancel completely, the ping behind it is not answered either. If the
+// operating system does not accept the cancel completely, the ping behind the cancel is not answered either. If the
 // deployment does not allow pings, nothing confirms the cancel, and no other attempt may follow.
 func (c *workerConn) sendCancel(requestID string) {
 	c.sendFinish(requestID)
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -15,7 +15,7 @@
 
 // confirmationTimeout is the maximum time without any received data on a connection after a cancel was written on it.
 // Any data counts, not only the answer to the ping, because a ping waits behind the worker's decisions on offers.
-// While other messages arrive, the answer to a ping may take as long as the establishment of a connection may take.
+// While other data arrives, the answer to a ping may take up to the dial timeout.
 const confirmationTimeout = 100 * millisecond
 
 // cancelConfirmations holds the cancels that were written on one connection and that the worker is not known to have
@@ -91,8 +91,8 @@
 	c.link.pruneConns()
 }
 
-// confirmCancelsByClose reports the cancels on a connection that ended as confirmed, because its end cancels the
-// attempts. It does so after the time in which the close may be in transit to the worker.
+// confirmCancelsByClose reports as confirmed the cancels on a connection that ended, because the end of the connection
+// cancels the attempts. The report is delayed by the time for which the close may be in transit to the worker.
 func (c *workerConn) confirmCancelsByClose() {
 	l, pool := c.link, c.link.pool
 	cancels := c.cancels.reset()
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -41,7 +41,7 @@
 
 	established bool  // true from when the connection is established, even after it is closed
 	dialledAt   int64 // time of the dial
-	lastReadAt  int64 // time at which data was last received, initially that at which the connection was established
+	lastReadAt  int64 // time at which data was last received, or at which the connection was established
 	lastUsedAt  int64 // time at which the connection was last chosen for an offer, a release or a probe
 	aliveUntil  int64 // time until which the last known TCP acknowledgement proves that the connection is alive
 }
@@ -83,7 +83,7 @@
 
 // checkAlive reports whether the connection is known to be alive: either data was received within maxReadGap, or the
 // worker's operating system acknowledged a packet recently enough. checkAlive asks the local operating system for the
-// last acknowledgement only if neither is known already, because that takes a system call.
+// last acknowledgement only if neither is known already, because the query takes a system call.
 func (c *workerConn) checkAlive(now int64) bool {
 	if now-c.lastReadAt <= maxReadGap || now < c.aliveUntil {
 		return true
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -21,7 +21,7 @@
 	maxConns = 4
 )
 
-// link holds the connections to one worker and the state of the worker that they reveal.
+// link holds the connections to one worker and the state of the worker that is derived from them.
 type link struct {
 	pool     *Pool
 	workerID string
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -1,8 +1,8 @@
 package workerpool
 
-// This file owns offers: the connection on which an offer is sent, the time at which it is sent, and what
-// happens to it when its connection ends. It must never send an offer that the dispatcher did not request,
-// nor an offer whose client may have disconnected.
+// This file owns offers: it chooses the connection and the time at which an offer is sent, and settles the offers of
+// a connection that ended. It must never send an offer that the dispatcher did not request, nor an offer whose client
+// may have disconnected.
 
 import (
 	"strconv"
@@ -81,7 +81,7 @@
 	delayed := p.delayedOffers
 	p.delayedOffers = nil
 	for _, d := range delayed {
-		if d.workerConn.openOffers[d.offer.RequestID] == d.offer { // otherwise cancelled, or its connection ended
+		if d.workerConn.openOffers[d.offer.RequestID] == d.offer { // neither cancelled nor settled since
 			d.workerConn.sendOffer(d.offer)
 			d.workerConn.conn.Flush()
 		}
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns the releases of running tasks and records which ones workers have not confirmed. A worker confirms a
-// release by reporting that the task has ended. Until then the release is sent again on each new connection.
+// This file owns the releases of running tasks and records the unconfirmed releases. A worker confirms a release by
+// reporting that the task has ended. Until then the release is sent again on each new connection.
 
 import (
 	"maps"
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxUnconfirmedReleases is the maximum number of unconfirmed releases that are remembered for one worker.
+	// maxUnconfirmedReleases is the maximum number of unconfirmed releases that are kept for one worker.
 	maxUnconfirmedReleases = 1024
-	// releaseRetention is how long an unconfirmed release is remembered. It equals the longest network outage
+	// releaseRetention is the time for which an unconfirmed release is kept. It equals the longest network outage
 	// that connections survive.
 	releaseRetention = 60 * second
 )
@@ -44,7 +44,7 @@
 	if len(l.releases) < maxUnconfirmedReleases {
 		l.releases[requestID] = p.loop.Now()
 	}
-	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise sent once a connection is up
+	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends the release
 		c.sendFinish(requestID)
 	}
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// sendFinish requests the worker to end an attempt or a running task.
+// sendFinish sends a message that requests the end of an attempt or of a running task.
 func (c *workerConn) sendFinish(requestID string) {
 	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinish, Tag: requestID, RC: jsonlines.CodeEnded, HasRC: true})
 }
