--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,9 +1,8 @@
 package dispatch
 
-// This file schedules the responses to clients whose timeouts end. A response is scheduled early
-// enough before the timeout for a turn of the observed length and for its travel to the client, and only as many
-// responses are scheduled at once as can be written. A response must never be scheduled later than the client's
-// timeout.
+// This file schedules the responses to clients whose timeouts end. A response is scheduled early enough before the
+// timeout for a turn of the observed length and for its travel to the client, and only as many responses are
+// scheduled at once as can be written. A response must never be scheduled later than the client's timeout.
 
 const (
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -23,12 +23,12 @@
 	}
 	for bucket, count := range perBucket {
 		if float64(count)*pacer.responseCost > bucketLength {
-			t.Errorf("too many responses for the length of a bucket: %d of %.0f us each in bucket %d",
+			t.Errorf("%d responses of %.0f us each in bucket %d, want at most bucketLength in total",
 				count, pacer.responseCost, bucket)
 		}
 	}
 	if early := timeoutAt - earliest; early < 2000*int64(initialResponseCost) || early > maxShift+responseTravelTime {
-		t.Errorf("the earliest response is scheduled %d us before the timeout, too early or too late", early)
+		t.Errorf("earliest response: %d us before its timeout, want 2000 * initialResponseCost to maxShift + responseTravelTime", early)
 	}
 	later := timeoutAt + 1*second
 	if scheduledAt := pacer.scheduleResponse(pacerStart, later); scheduledAt < later-responseTravelTime-1*millisecond {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -21,7 +21,7 @@
 	units      float64 // size of the task in units (see Settings.Units)
 	effect     placement.Effect
 	deadline   int64 // time by which the response is sent, in microseconds
-	wakeAt     int64 // time at which the dispatcher acts on the request, or 0
+	wakeAt     int64 // time at which the dispatcher acts on the request, in microseconds, or 0
 	heapIndex  int   // index in the deadline heap, or -1
 
 	// The open attempt, or the latest one if none is open.
@@ -37,7 +37,7 @@
 
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
-	adoptedAt        int64  // time at which the task was submitted as already running, or 0
+	adoptedAt        int64  // time at which the task was submitted as already running, in microseconds, or 0
 	// unaccountedSince is, for a running task, the time since which its worker has been unlisted and, for an
 	// unresponsive task, the time by which its end should have been reported. It is in microseconds, 0 for none.
 	unaccountedSince int64
--- a/internal/membership/verification_test.go
+++ b/internal/membership/verification_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestSuspectIsVerified asserts that a member that learns of a suspicion from others pings the suspect itself before it
-// declares it dead, also in a large cluster.
+// TestSuspectIsVerified asserts that a member that receives a suspicion from other members pings the suspect itself
+// before it declares the suspect dead, also in a large cluster.
 func TestSuspectIsVerified(t *testing.T) {
 	for _, c := range []struct {
 		name string
