--- a/client/client.go
+++ b/client/client.go
@@ -1,11 +1,12 @@
-// Package client offers tasks to orchestrators over gRPC and follows their advice. It offers a rejected task
-// again at the reserved slot, to any of the orchestrators, with the retry token that proves the place of the
-// task on the waitlist. It is the reference implementation of how a client behaves in a retry storm.
+// Package client offers tasks to orchestrators over gRPC and follows their retry advice. It offers a
+// rejected task again at the reserved slot, to any of the orchestrators, with the retry token that proves the
+// place of the task on the waitlist. It is the reference implementation of how a client behaves in a retry storm.
 //
 // The package never offers a task again after an orchestrator reported that the task may have started. It
 // repeats an offer that got no response, under the same ID, but not if Task.Once is set. It never offers a
 // task again before the time that an orchestrator advised, and never waits beyond the caller's deadline: if
-// the advised time is not before the deadline, it returns at once with the advised time and the retry token.
+// the advised time is not before the deadline, Client.Place returns at once with the advised time and the retry
+// token.
 package client
 
 // This file defines the types that callers use: tasks, bindings, options and errors. It calls no orchestrator.
@@ -23,7 +24,7 @@
 
 // Task describes a task to be offered.
 type Task struct {
-	Name, Class   string // the name stays the same in every offer of the task
+	Name, Class   string // Name is the same in every offer of the task
 	Cores, Memory float64
 	Program       string // up to 16 hex digits, or ""
 	Description   string // passed to the worker unchanged
@@ -58,12 +59,13 @@
 // Options configures a Client. Fields that are zero get default values.
 type Options struct {
 	// Budget is the number of retries, usually a fraction, that each new task adds to the retry budget. A
-	// retry without an orchestrator's advice, after a call that reached no orchestrator or got no response,
-	// uses up one. 0 selects 0.2.
+	// retry without an orchestrator's advice, made after a call that reached no orchestrator or got no
+	// response, uses one retry of the budget. 0 selects 0.2.
 	Budget float64
 	// Reserve is the initial and maximum number of retries in the budget. 0 selects 10.
 	Reserve float64
-	// AttemptTimeout is the timeout of one attempt. 0 leaves the timeout to the class.
+	// AttemptTimeout is the timeout of one attempt. If it is 0, the caller's deadline applies, or without a
+	// deadline the timeout of the class.
 	AttemptTimeout time.Duration
 	// BackOff is the delay before the first retry that uses the budget. The delay doubles with each such
 	// retry up to 30 times BackOff, and is multiplied by a random factor between 0.5 and 1. 0 selects
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,7 +19,7 @@
 // scriptedOrchestrator returns the responses that a test specifies, and records the offers and their times.
 type scriptedOrchestrator struct {
 	edgepb.OrchestratorClient
-	responses []error // by offer; nil stands for a binding, and the last one repeats
+	responses []error // by offer; nil stands for a binding, and the last response repeats
 	offers    []*edgepb.Offer
 	offeredAt []time.Duration // times of the offers since started
 	started   time.Time
--- a/client/place.go
+++ b/client/place.go
@@ -24,7 +24,7 @@
 // request holds the state of a task until it is started.
 type request struct {
 	task     Task
-	offerID  string        // ID of the current offer; its repeats have the same ID and get the same response
+	offerID  string        // ID of the current offer; a repeat of the offer has the same ID and gets the same response
 	token    []byte        // retry token that proves the place on the waitlist, or nil
 	attempts int           // number of attempts so far
 	pause    time.Duration // next back-off delay, before its random factor
@@ -80,8 +80,8 @@
 	})
 }
 
-// prepareRetry prepares the next attempt after a failed one, and returns the delay before it. It returns an
-// error if the task must not be offered again: attemptErr, or a *RejectedError if the retry budget is
+// prepareRetry prepares the next attempt after a failed one, and returns the delay before the next attempt.
+// It returns an error if the task must not be offered again: attemptErr, or a *RejectedError if the retry budget is
 // exhausted.
 func (c *Client) prepareRetry(r *request, attemptErr error) (delay time.Duration, err error) {
 	advised := parseAdvice(attemptErr)
@@ -140,7 +140,7 @@
 
 // advice holds the details of a gRPC status that concern the next attempt.
 type advice struct {
-	hasDelay bool          // whether the status advises a delay
+	hasDelay bool          // the status advises a delay
 	delay    time.Duration // advised delay before the next attempt
 	token    []byte        // retry token for the next attempt, or nil
 }
--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -1,14 +1,14 @@
 package backpressure
 
-// This file implements the slot calendar: how many units rejected clients are expected to
-// bring back in each slot. It never counts the units of past slots: capacity that a client
-// did not return for is available to other clients.
+// This file implements the slot calendar, which counts the units that rejected clients are
+// expected to request again in each slot. It drops the units of past slots, because the
+// capacity of a client that did not return is available to other clients.
 
 const (
 	// slotUs is the duration of a slot. It equals a tick of the waitlist, because waitlist
 	// entries count slots in ticks.
 	slotUs        = tickUs
-	calendarSlots = 1024 // about 100 s
+	calendarSlots = 1024 // number of slots, about 100 s
 	// graceSlots is the number of slots by which a client may return late before its
 	// reserved units become available to other clients.
 	graceSlots = 5
@@ -19,7 +19,7 @@
 	classes int
 	units   []float32 // reserved units, by slot and class
 	sums    []float64 // reserved units in all slots, by class
-	base    int64     // first slot that still counts, -1 before the first advance
+	base    int64     // first slot that is still counted, -1 before the first advance
 }
 
 // newCalendar returns an empty calendar for a number of classes.
--- a/internal/backpressure/counters.go
+++ b/internal/backpressure/counters.go
@@ -17,7 +17,7 @@
 type eventWindow struct {
 	counts [windowBuckets]int32
 	head   int64 // number of the bucket that is being filled
-	sum    int32 // of counts
+	sum    int32 // sum of counts
 }
 
 // advance moves the window forward to now.
@@ -48,7 +48,7 @@
 type frequentPrograms struct {
 	programs [trackedPrograms]uint64
 	counts   [trackedPrograms]float64
-	total    float64 // events of all programs
+	total    float64 // number of events of all programs
 }
 
 // add counts an event of a program.
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -54,10 +54,10 @@
 	// exceed the baseline rate by minSurgeExcess requests per second.
 	surgeFactor    = 2.0
 	minSurgeExcess = 8.0
-	// A surge is over when arrivals are at most settledFactor times the baseline rate, or
+	// A surge has ended when arrivals are at most settledFactor times the baseline rate, or
 	// exceed the baseline rate by at most half of minSurgeExcess.
 	settledFactor = 1.3
-	// calmAfterUs is the time for which a surge must be over before the state is Calm.
+	// calmAfterUs is the time without elevated arrivals after which the state is Calm.
 	calmAfterUs = 2 * second
 	// maxProgramDecay is the maximum fraction of the program counts that one evaluation
 	// discards.
@@ -94,7 +94,7 @@
 	releaseRate float64 // units per second
 	congested   bool    // more units are pending than are released in a second
 	surge       bool    // arrivals are above the surge threshold
-	elevated    bool    // arrivals are too high for a surge to be over, or congested is set
+	elevated    bool    // arrivals are too high for a surge to have ended, or congested is set
 }
 
 func (d *detector) requested(now int64, r Request) {
@@ -146,7 +146,7 @@
 	return Change{From: from, To: to, Kind: d.kind, Cause: d.explain(&obs)}, true
 }
 
-// observe reads the counters and updates the baseline rate from them.
+// observe returns an observation of the last second and updates the baseline rate from it.
 func (d *detector) observe(now, elapsed int64, pending, releaseRate float64) observation {
 	for _, w := range []*eventWindow{&d.requests, &d.returns, &d.rejections, &d.adoptions, &d.starts} {
 		w.advance(now)
@@ -173,9 +173,9 @@
 // the last second.
 func (d *detector) updateBaseline(now, elapsed int64, newRequests float64) {
 	if d.state != Calm {
-		// A surge raises the baseline only slowly, because at most the surge threshold
-		// counts. A rate that lasts still becomes the baseline: an orchestrator that starts
-		// during a surge would otherwise have no baseline to settle to.
+		// Requests above the surge threshold do not count, so that a surge raises the
+		// baseline only slowly. A rate that persists still becomes the baseline: otherwise
+		// an orchestrator that starts during a surge would have no baseline to return to.
 		newRequests = min(newRequests, d.surgeThreshold())
 	}
 	period := min(baselineTimeConstantUs, max(second, now-d.firstTickAt))
--- a/internal/backpressure/detector_test.go
+++ b/internal/backpressure/detector_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The detector classifies each kind of surge, and returns to Calm after each.
+// The detector classifies each kind of surge, and returns to Calm after the surge.
 func TestDetection(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -7,12 +7,12 @@
 
 const (
 	// decayIntervalUs is the interval at which the counts of reserved units are multiplied
-	// by decayFactor. Half of a count is left after three seconds, by which time its
+	// by decayFactor. Half of a count is left after three seconds, because by then its
 	// clients have returned or other clients have taken their place.
 	decayIntervalUs = second / 10
 	decayFactor     = 0.977
-	// maxDecaySteps is the maximum number of decay steps at once. If more are due, all
-	// counts are reset.
+	// maxDecaySteps is the maximum number of decay steps at once. If more steps are
+	// needed, all counts are reset.
 	maxDecaySteps = 1000
 	// minBucketUnits is half a step of entry.unitSteps. A smaller count becomes zero.
 	minBucketUnits = 1.0 / unitScale / 2
@@ -62,9 +62,10 @@
 	}
 }
 
-// ahead returns how many of the reserved units ahead of a request delay it if programs take
-// turns: of each active program, at most as many units as the program of the request has
-// reserved. The bucket of that program must already count the request.
+// ahead returns the number of reserved units that delay a request if programs take turns.
+// Each active program then delays the request by at most the number of units that the
+// request's own program has reserved. units is the number of reserved units including those
+// of the request, and bucket is that of its program, which must already count the request.
 func (f *fairShare) ahead(bucket int, units float64) float64 {
 	return min(units, float64(f.units[bucket])*float64(max(1, f.active)))
 }
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // This file implements the demand forecast: during a surge, it estimates the capacity that
-// classes of higher priority are about to request, so that classes of lower priority do not
-// take it just before. Without a surge it reserves nothing: requests that fit beside the
-// forecast are never delayed.
+// classes of higher priority are about to request, so that classes of lower priority leave
+// this capacity free. Without a surge, no capacity is reserved. Requests that fit into the
+// remaining capacity are never delayed.
 
 const (
 	demandBucketUs = second / 20
@@ -15,10 +15,10 @@
 	// forecastUs is the horizon of the forecast: the time for which requests of lower
 	// priority can be pending and still start in time.
 	forecastUs = second / 2
-	// maxPerSource is the maximum number of requests of one source that count in a bucket:
-	// hundreds of requests at once from one source are not a surge.
+	// maxPerSource is the maximum number of requests of one source that count in a bucket,
+	// because hundreds of requests at once from one source are not a surge.
 	maxPerSource = 2
-	// minSources is the minimum number of sources in one bucket that makes a surge.
+	// minSources is the minimum number of sources in one bucket for a surge.
 	minSources = 10
 )
 
--- a/internal/backpressure/releaserate.go
+++ b/internal/backpressure/releaserate.go
@@ -1,10 +1,10 @@
 package backpressure
 
 // This file implements the estimate of the release rate: the number of units of capacity
-// that become free per second. The estimate is learned from the tasks that start while
-// requests are pending, since only then do starts show how much capacity there is, and from
-// the completions of this orchestrator's own tasks, because it learns of their capacity
-// first. A time without requests must never count as a lack of capacity.
+// that become free per second. The estimate is learned from two sources: the tasks that
+// start while requests are pending, since starts show the available capacity only then, and
+// the completions of this orchestrator's own tasks, whose freed capacity this orchestrator
+// learns of first. A time without requests must never count as a lack of capacity.
 
 const (
 	rateBucketUs = second / 10
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -5,12 +5,12 @@
 // client returns in that slot. Retry-After never exceeds the upper bound in the settings.
 
 const (
-	// leadShare is the fraction of a client's timeout by which the client returns before its
-	// expected start: its request is then pending, and uses capacity that other clients
-	// leave.
+	// leadShare is the fraction of a client's timeout by which the client returns before the
+	// expected start of its task. Its request is then already pending, and can use capacity
+	// that other clients do not use.
 	leadShare = 0.6
-	// floorShare is the fraction of the release rate that lower priorities get while higher
-	// priorities wait, so that no class starves.
+	// floorShare is the fraction of the release rate that lower priorities get while
+	// requests of higher priorities wait, so that no class starves.
 	floorShare = 0.15
 	// spreadShare is the fraction of the maximum Retry-After over which returns are spread
 	// if their computed Retry-After exceeds the maximum.
@@ -29,7 +29,7 @@
 	// considered to have ignored it.
 	ignoredShare = 0.2
 	// minLearnedRetryAfterUs is the minimum Retry-After from which compliance is learned.
-	// Below it, clients stay away for other reasons than Retry-After.
+	// With a shorter Retry-After, clients stay away for other reasons.
 	minLearnedRetryAfterUs = 3 * second / 2
 
 	// unknownRateWaitUs is the minimum Retry-After while the release rate is unknown. A
@@ -93,8 +93,8 @@
 	c.fairness.add(hashBucket(program), -e.units())
 }
 
-// expectedStart returns the time at which free capacity for units of a class is expected:
-// after the pending units and the units with reserved slots that go first.
+// expectedStart returns the time at which free capacity for units of a class is expected,
+// after capacity for all pending and reserved units that go first.
 func (c *Controller) expectedStart(now int64, class, bucket int, units, rate float64) int64 {
 	priority := c.settings.Classes[class].Priority
 	var pending, reserved, lower float64
@@ -122,8 +122,8 @@
 func (c *Controller) retryAfter(returnIn int64, class int) int64 {
 	wait := int64(float64(max(0, returnIn)) / max(minCompliance, c.compliance[class]))
 	if longest := c.settings.MaxRetryAfterUs; wait > longest {
-		// Retry-After exceeds its upper bound: such clients return before their slots, spread
-		// over a range of times.
+		// The computed Retry-After exceeds its upper bound. Such clients return before their
+		// slots, at random times so that they do not return all at once.
 		return longest - int64(c.rng.Float64()*spreadShare*float64(longest))
 	}
 	return max(wait, min(c.settings.MinRetryAfterUs, c.settings.MaxRetryAfterUs))
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -27,7 +27,7 @@
 // once: they do not also count as pending.
 func TestAllPendingRejected(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 500)
-	c.SetPending(now, []float64{0, 0, 0}) // as the dispatcher does before it rejects
+	c.SetPending(now, []float64{0, 0, 0}) // as the dispatcher does before it rejects requests
 	var last int64
 	for i := range 500 {
 		last = max(last, c.Rejected(now, Request{Key: uint64(i), Program: uint64(i % 50), Units: 1}))
@@ -55,7 +55,7 @@
 			t.Errorf("client is queued since %.1f s, want at most 4 s", seconds(since-testStart))
 		}
 		if again := now + c.Rejected(now, r); again > first+2*slotUs {
-			t.Errorf("client is to return at %.2f s, want at most %.2f s, its first time, and two slots",
+			t.Errorf("client is to return at %.2f s, want at most two slots after %.2f s, the time of its first Retry-After",
 				seconds(again-testStart), seconds(first-testStart))
 		}
 	}
@@ -90,8 +90,8 @@
 		c.Rejected(now, Request{Key: uint64(i), Class: 1, Units: 1})
 	}
 	if web := c.Rejected(now, Request{Key: 1 << 30, Class: 0, Units: 1}); web > 16*second || web < 10*second {
-		t.Errorf("first guide-web client behind 2,000 live-relay clients returns after %.1f s, want 10 to 16 s: "+
-			"101 units at its floor of 7.5 per second", seconds(web))
+		t.Errorf("first guide-web client behind 2,000 live-relay clients returns after %.1f s, want 10 to 16 s "+
+			"for 101 units at the floor of 7.5 units per second", seconds(web))
 	}
 
 	c, now = saturated(s, 50, 100)
@@ -104,7 +104,7 @@
 }
 
 // If one program has nine tenths of the rejections, the other programs do not wait for all
-// of its requests, and the program still gets the capacity that the others leave.
+// of its requests, and the program still gets the capacity that they do not use.
 func TestFairShareOfPrograms(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(90*second), 50, 100)
 	const heavyProgram = uint64(1)
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -4,8 +4,8 @@
 // hash table of fixed size. The table must never grow. A client is identified by 32 bits of
 // its key's hash within a bucket of eight entries, so each request of a new client is
 // mistaken for one of another client with a probability of at most 8 in 2^32. In a full
-// bucket, a new client replaces the client that was rejected longest ago, which then counts
-// as new when it returns.
+// bucket, a new client replaces the client that was rejected longest ago. The replaced
+// client counts as new when it returns.
 
 const (
 	bucketSize = 8
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -12,8 +12,8 @@
 	// within 50 ms.
 	minIdleWithTask    = 1 * second
 	minIdleWithoutTask = 100 * millisecond
-	// protectedWithTask is the maximum number of connections with tasks that are protected: while a front has no
-	// more than these, none of them is evicted if a connection without a task becomes evictable soon.
+	// protectedWithTask is the maximum number of connections with tasks that are protected: while a front has at
+	// most this many, it evicts none of them if a connection without a task becomes evictable soon.
 	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
 	// Without the protection, a flood of connections without a task would evict all connections with tasks within
 	// minIdleWithoutTask.
@@ -21,7 +21,8 @@
 )
 
 // minIdle returns the minimum idle time, in microseconds, after which the connection may be evicted. While responses
-// wait to be read by the client, this is messageTimeout, the time that a client also has to write a message.
+// wait for the client to read them, the minimum is messageTimeout, which is also the time that a client has to write
+// a message.
 func (c *clientConn) minIdle() int64 {
 	switch {
 	case c.conn.BytesBuffered() > 0:
@@ -64,7 +65,7 @@
 type evictionSearchResult struct {
 	client        *clientConn // the connection to evict first, or nil if none may be evicted
 	withTask      int         // number of connections that had a task
-	evictableSoon bool        // a connection without a task and without open requests is not idle for long enough yet
+	evictableSoon bool        // a connection without a task or open requests has not been idle for minIdle yet
 }
 
 // findEvictable searches for the connection to evict first. Candidates are the connections without an open request
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -34,7 +34,7 @@
 	number       uint64          // sequence number among the accepted connections, from 1
 	openRequests map[string]bool // IDs of the requests that have no response yet
 	lastActiveAt int64           // time of the last complete message, or of the connect if there was none
-	partialSince int64           // time since which an incomplete message waits for its rest, or 0 if there is none
+	partialSince int64           // time since which the rest of an incomplete message is awaited, 0 if there is none
 	hasMessage   bool            // a complete message was received
 	hasTask      bool            // a task was started or adopted for a request on this connection
 	hasStarted   bool            // a task was started for a request on this connection
@@ -60,8 +60,8 @@
 	c.openRequests = nil
 }
 
-// rejectAndClose closes the connection from this side. It first rejects the open requests, at once, because nothing
-// further can be read from the connection.
+// rejectAndClose rejects the open requests and closes the connection. It rejects the requests at once, because
+// nothing further can be read from the connection.
 func (c *clientConn) rejectAndClose() {
 	for _, requestID := range slices.Sorted(maps.Keys(c.openRequests)) {
 		c.front.dispatcher.Reject(c.front.loop.Now(), c, requestID)
@@ -95,7 +95,7 @@
 	return used, nil
 }
 
-// receive handles one message. If it returns an error, the connection is closed. A ping triggers the report of
+// receive handles one message. If receive returns an error, the connection is closed. A ping triggers the report of
 // unreported completions because the ping shows that a client is present to read them.
 func (c *clientConn) receive(now int64, message *jsonlines.Message) error {
 	c.lastActiveAt, c.hasMessage = now, true
@@ -144,7 +144,7 @@
 	switch {
 	case submission.RunningOn == "":
 		c.openRequests[submission.RequestID] = true
-	case !isKnown && dispatcher.IsListed(submission.RunningOn): // a known task proves nothing about the client
+	case !isKnown && dispatcher.IsListed(submission.RunningOn): // the sender of a known task need not be its client
 		c.hasTask = true
 		c.front.reportOn(c)
 	}
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -34,7 +34,7 @@
 	budget        *descriptors.Budget // nil if there are enough descriptors for all connections
 	idleTimeoutUs int64               // maximum idle time of a connection without open requests, 0 for no limit
 	clients       map[*clientConn]bool
-	latestStarted *clientConn // the last active of the connections with a started task, or nil if there is none
+	latestStarted *clientConn // most recently active connection with a started task, or nil if there is none
 	unreported    []unreportedCompletion
 	accepted      uint64 // number of connections accepted so far
 }
--- a/internal/clientfront/helpers_test.go
+++ b/internal/clientfront/helpers_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// expect reads one line for each given line, and fails the test if they differ.
+// expect reads one line for each given line, and fails the test if the two differ.
 func (c *client) expect(t *testing.T, lines ...string) {
 	t.Helper()
 	for _, want := range lines {
--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -12,8 +12,8 @@
 	"ravenhitch/internal/jsonlines"
 )
 
-// maxTimeMs is the upper bound, in milliseconds, to which longer times are clamped. It fits the dispatcher's clock
-// and still exceeds the longest time that the dispatcher accepts.
+// maxTimeMs is the upper bound, in milliseconds, to which longer times are clamped. The bound fits the dispatcher's
+// clock and still exceeds the longest time that the dispatcher accepts.
 const maxTimeMs = 1e12
 
 // parseSubmission parses a client's submission. A non-nil error is a *fieldError.
@@ -35,7 +35,7 @@
 	if err := parseRetry(&submission, message.Opt("retry")); err != nil {
 		return submission, err
 	}
-	if submission.RunningOn == "" { // a client that registers a running task waits for no response
+	if submission.RunningOn == "" { // a client that registers a running task does not wait for a response
 		if err := parseTimeout(&submission, message.Opt("left")); err != nil {
 			return submission, err
 		}
--- a/internal/clientfront/timeouts.go
+++ b/internal/clientfront/timeouts.go
@@ -8,8 +8,8 @@
 // This file owns the timeouts of connections. A connection with an open request must never count as idle.
 
 // messageTimeout is the maximum time, in microseconds, that a connection may take for its first message and for the
-// rest of a message that has begun. A client may take 2 s to write a message, and a connection that sends none must
-// be closed within 3 s.
+// rest of an incomplete message. A client may take 2 s to write a message, and a connection that sends no message
+// must be closed within 3 s.
 const messageTimeout = 2_400 * millisecond
 
 // closeTimedOut closes the connections that are stalled or have been idle for too long, in the order in which they
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -3,16 +3,17 @@
 // This file owns the choice of the connection on which a completion is reported, and the completions for which no
 // client is connected. Any program may connect, so an open connection does not show that a client is present. On a
 // connection without a task, a completion may therefore be reported only after a ping, which shows that a client is
-// present, or once unreportedWait is over.
+// present, or after unreportedWait.
 
 import "ravenhitch/internal/jsonlines"
 
 const (
-	// maxUnreported is the maximum number of completions that wait for a client to connect. Further ones are dropped.
+	// maxUnreported is the maximum number of completions that wait for a client to connect. Further
+	// completions are dropped.
 	maxUnreported = 10_000
-	// unreportedWait is the time, in microseconds, that unreported completions wait for a connection that starts or
-	// adopts a task or sends a ping, while only other connections are open. It is half of the 1 s within which a
-	// client must be notified.
+	// unreportedWait is the time, in microseconds, for which unreported completions wait for a connection on which a
+	// task is started or adopted or a ping is received. After this time, they are reported on any connection that
+	// sent a message. It is half of the 1 s within which a client must be notified.
 	unreportedWait = 500 * millisecond
 )
 
@@ -23,8 +24,8 @@
 }
 
 // reportCompletion sends a completion to the client of a request. It uses the connection of the request or, if that
-// is closed, the best other connection that had a task. If there is none, the completion is stored until a client
-// connects.
+// connection is closed, the best other connection that had a task. If no connection had a task, the completion is
+// stored until a client connects.
 func (f *Front) reportCompletion(origin *clientConn, requestID string, message *jsonlines.Message) {
 	target := origin
 	if !origin.conn.IsUp() {
@@ -44,7 +45,7 @@
 
 // bestConn returns the best open connection for reporting a completion, or nil if none has at least minUsage. It
 // prefers connections on which a task was started, then those on which a task was adopted, then those that sent a
-// message. Among equals, it prefers the last active connection.
+// message. Among equals, it prefers the most recently active connection.
 func (f *Front) bestConn(minUsage usage) *clientConn {
 	if f.latestStarted != nil && f.latestStarted.conn.IsUp() {
 		return f.latestStarted
--- a/internal/clientfront/unreported_test.go
+++ b/internal/clientfront/unreported_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// A completion is reported to a client that never had a task only after it has waited 500 ms for a better one.
+// A completion is reported to a client that never had a task only after the completion has waited 500 ms for a better
+// connection.
 func TestUnreportedCompletionGoesToAnyClientInTheEnd(t *testing.T) {
 	front := startFront(t, 10)
 	unused, active := front.dial(t), front.dial(t)
--- a/internal/clientfront/usage_test.go
+++ b/internal/clientfront/usage_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A connection with a higher usage is preferred for completions and evicted later. Among equals, this holds for the
-// connection that was active later, and among those active in the same turn, for the one that was accepted later.
+// A connection with a higher usage is preferred for completions and evicted later. Connections with equal usage are
+// ranked by the time of their last activity, and if the times are equal, by the order in which they were accepted. The
+// later connection ranks higher.
 func TestConnectionsByUsage(t *testing.T) {
 	byUsage := []*clientConn{
 		{lastActiveAt: 9, number: 1},
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -3,9 +3,9 @@
 // the dispatcher's.
 package grpcfront
 
-// This file owns the gRPC server and the queue from its goroutines to the event loop. The goroutines pass
-// received messages to the loop and send the messages that the loop puts into bounded queues, and nothing
-// more. Invariant: they never call the dispatcher outside the loop, and never block the loop.
+// This file owns the gRPC server and the queue from its goroutines to the event loop. The goroutines only
+// pass received messages to the event loop, and send the messages that the event loop puts into bounded queues.
+// Invariant: the goroutines never call the dispatcher outside the event loop, and never block the event loop.
 
 import (
 	"errors"
@@ -30,7 +30,7 @@
 )
 
 const (
-	// MaxConns is the maximum number of connections that the front serves at a time.
+	// MaxConns is the maximum number of connections that the front serves at the same time.
 	MaxConns = 64
 	// maxStreams is the maximum number of concurrent calls on one connection.
 	maxStreams = 100
@@ -62,14 +62,14 @@
 )
 
 // Loop is the part of the event loop that the front uses. Post may be called from any goroutine; Now and
-// After may be called on the loop only.
+// After may be called on the event loop only.
 type Loop interface {
 	Post(f func())
 	Now() int64
 	After(us int64, f func()) *eventloop.Timer
 }
 
-// Dispatcher is the part of the dispatcher that the front uses. Its methods are called on the loop only.
+// Dispatcher is the part of the dispatcher that the front uses. Its methods are called on the event loop only.
 type Dispatcher interface {
 	Submit(now int64, client dispatch.Client, submission dispatch.Submission) error
 	Cancel(now int64, client dispatch.Client, requestID string) dispatch.CancelResult
@@ -85,10 +85,10 @@
 	dispatcher  Dispatcher
 	server      *grpc.Server
 	health      *health.Server
-	queuedCalls atomic.Int64 // number of calls that are queued for the loop
+	queuedCalls atomic.Int64 // number of calls that are queued for the event loop
 	keys        atomic.Pointer[retrytoken.Keys]
 
-	// The following fields belong to the loop.
+	// The following fields belong to the event loop.
 	redeemed       retrytoken.Redeemed
 	tokenCounts    TokenCounts
 	sessions       map[string]*session // by name
@@ -144,7 +144,7 @@
 func (f *Front) SetNotServing() { f.health.Shutdown() }
 
 // Close ends each stream after its queued messages are sent, and then stops the server. Calls that have not
-// ended within closeTimeout are aborted. Close must be called on the loop, or after the loop has ended.
+// ended within closeTimeout are aborted. Close must be called on the event loop, or after the event loop has ended.
 func (f *Front) Close() {
 	f.closing = true
 	for _, session := range f.sessions {
@@ -164,7 +164,7 @@
 	}
 }
 
-// post queues call to be run on the loop. If maxQueuedCalls calls are queued already, it returns a gRPC
+// post queues call to be run on the event loop. If maxQueuedCalls calls are queued already, it returns a gRPC
 // status error instead.
 func (f *Front) post(call func()) error {
 	if f.queuedCalls.Add(1) > maxQueuedCalls {
--- a/internal/grpcfront/front_test.go
+++ b/internal/grpcfront/front_test.go
@@ -49,8 +49,8 @@
 	return New(loop, silentDispatcher{}, insecure.NewCredentials()), loop
 }
 
-// TestQueueIsBounded asserts that a call is rejected at once while maxQueuedCalls calls are queued for the loop, and
-// is accepted again after the loop has run them.
+// TestQueueIsBounded asserts that a call is rejected at once while maxQueuedCalls calls are queued for the event loop,
+// and is accepted again after the event loop has run them.
 func TestQueueIsBounded(t *testing.T) {
 	front, loop := newFront()
 	for i := range maxQueuedCalls {
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -27,7 +27,7 @@
 var protocolFields = map[string]string{"tag": "offer_id", "task": "task", "class": "class", "cores": "cores",
 	"memory": "memory", "wait": "wait_ms"}
 
-// parseOffer validates an offer and converts it to a submission. It runs outside the loop, so it must not
+// parseOffer validates an offer and converts it to a submission. It runs outside the event loop, so it must not
 // use the dispatcher. The error is a gRPC status error.
 func parseOffer(offer *edgepb.Offer) (dispatch.Submission, error) {
 	submission := dispatch.Submission{
@@ -90,7 +90,7 @@
 }
 
 // submit passes a submission to the dispatcher. If the submission has no timeout, it gets the timeout of its
-// class. submit runs on the loop. The error is a gRPC status error.
+// class. submit runs on the event loop. The error is a gRPC status error.
 func (f *Front) submit(client dispatch.Client, submission dispatch.Submission) error {
 	class, known := f.dispatcher.Class(submission.Class)
 	if !known {
--- a/internal/grpcfront/rpc_test.go
+++ b/internal/grpcfront/rpc_test.go
@@ -49,7 +49,7 @@
 func (l *goroutineLoop) After(int64, func()) *eventloop.Timer { return nil }
 
 // classDispatcher is a Dispatcher whose response to a submission depends on the name of its class. It belongs to
-// the loop.
+// the event loop.
 type classDispatcher struct {
 	open    map[string]dispatch.Client // clients of the requests without a response, by request ID
 	running map[string]dispatch.Client // clients of the running tasks, by request ID
@@ -180,7 +180,7 @@
 	}
 	request := &edgepb.ReleaseRequest{OfferId: newOffer(1, "").GetOfferId()}
 	if _, err := client.Release(t.Context(), request); err != nil {
-		t.Errorf("first Release: %v", err)
+		t.Errorf("first Release: got error %v, want nil", err)
 	}
 	if _, err := client.Release(t.Context(), request); status.Code(err) != codes.NotFound ||
 		status.Convert(err).Message() != "no such offer or task" {
@@ -188,7 +188,7 @@
 	}
 }
 
-// formatMessage returns a short text form of a message that a session has sent.
+// formatMessage returns a short text form of a message that the front has sent in a session.
 func formatMessage(m *edgepb.ServerMessage) string {
 	text := fmt.Sprintf("%d ", m.GetNumber())
 	switch kind := m.GetKind().(type) {
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -1,7 +1,7 @@
 package grpcfront
 
 // This file owns the sessions: the offers and tasks of each session, and the messages that its client has not
-// acknowledged. Sessions belong to the loop and outlive their streams. Invariant: a session stores each
+// acknowledged. Sessions belong to the event loop and outlive their streams. Invariant: a session stores each
 // message before it sends it, so that the next stream can resend the last maxUnacknowledged messages that the
 // client has not acknowledged.
 
@@ -40,7 +40,7 @@
 	front          *Front
 	name           string
 	number         uint64  // identifies the session to the dispatcher
-	stream         *stream // the current stream, nil if none is open
+	stream         *stream // the current stream, nil if there is none
 	lastMessage    uint64  // number of the last message; the first message has number 1
 	unacknowledged []*edgepb.ServerMessage
 	openOffers     map[string]openOffer // offers without a response, by request ID
@@ -141,8 +141,8 @@
 
 // attach makes st the stream of the session with the given name, and creates the session if it does not exist.
 // A stream that the session already has is ended. attach resends the stored messages after number seen, the
-// last message that the client has read. If the number of sessions is at its limit or the front is closing,
-// it ends st and returns nil.
+// last message that the client has read. If the front is closing, or if a new session would exceed
+// maxSessions, attach ends st and returns nil.
 func (f *Front) attach(name string, seen uint64, st *stream) *session {
 	s := f.sessions[name]
 	if f.closing || s == nil && len(f.sessions) >= maxSessions {
--- a/internal/grpcfront/session_test.go
+++ b/internal/grpcfront/session_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("after the second attach: first stream ended with %v, %d messages resent; want the same session, "+
 			"Aborted, 1 message", first.err, len(second.outbox))
 	}
-	s.detach(first) // the second stream has replaced the first one already
+	s.detach(first) // the second stream has already replaced the first one
 	if s.stream != second || len(loop.timers) != 0 {
 		t.Errorf("detach of a replaced stream: second stream attached=%v, %d expiry timers started; want true, 0",
 			s.stream == second, len(loop.timers))
--- a/internal/grpcfront/status.go
+++ b/internal/grpcfront/status.go
@@ -16,7 +16,7 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// These status errors have no details.
+// Status errors without details.
 var (
 	errShutdown       = status.Error(codes.Unavailable, "the orchestrator ends; open the session again")
 	errDeadlinePassed = status.Error(codes.DeadlineExceeded, "the call's time was up when it came")
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -1,7 +1,7 @@
 package grpcfront
 
 // This file owns the streams of sessions: it passes messages between a gRPC stream and the event loop.
-// Invariant: a stream whose client does not read never blocks the loop.
+// Invariant: a stream whose client does not read never blocks the event loop.
 
 import (
 	"errors"
@@ -16,15 +16,15 @@
 // maxOutbox is the maximum number of messages that are queued for one stream.
 const maxOutbox = 512
 
-// stream is one gRPC stream of a session. Only the loop adds messages to the outbox and ends the stream.
+// stream is one gRPC stream of a session. Only the event loop adds messages to the outbox and ends the stream.
 type stream struct {
 	outbox chan *edgepb.ServerMessage
 	done   chan struct{} // closed when the stream is ended
 	err    error         // the final status of the stream, set before done is closed
 
-	// The following fields belong to the loop.
+	// The following fields belong to the event loop.
 	ended   bool
-	session *session // nil until the stream is attached, and if attach has refused the stream
+	session *session // nil until the stream is attached, and after attach has refused the stream
 }
 
 func newStream() *stream {
@@ -95,7 +95,7 @@
 	}
 }
 
-// receiveAll passes the messages that are received on a stream to the loop, until Recv or receive returns
+// receiveAll passes the messages that are received on a stream to the event loop, until Recv or receive returns
 // an error. A receive error ends the stream.
 func (f *Front) receiveAll(server edgepb.Orchestrator_SessionServer, st *stream) {
 	for {
@@ -112,7 +112,7 @@
 }
 
 // receiveEnd handles err, the error that ended receiving: io.EOF means that the client has closed its side, any
-// other error that the stream is broken. It runs on the loop.
+// other error that the stream is broken. It runs on the event loop.
 func (st *stream) receiveEnd(err error) {
 	s := st.session
 	switch {
@@ -125,7 +125,7 @@
 	}
 }
 
-// receive passes one message from the client to the loop. The error is the status that the stream ends with.
+// receive passes one message from the client to the event loop. The error is the status that the stream ends with.
 func (f *Front) receive(message *edgepb.ClientMessage, st *stream) error {
 	switch kind := message.GetKind().(type) {
 	case *edgepb.ClientMessage_Offer:
@@ -147,7 +147,7 @@
 	return errUnknownMessage
 }
 
-// receiveOffer validates an offer and its retry token, and passes the offer or its rejection to the loop.
+// receiveOffer validates an offer and its retry token, and passes the offer or its rejection to the event loop.
 func (f *Front) receiveOffer(offer *edgepb.Offer, st *stream) error {
 	submission, invalid := parseOffer(offer)
 	token := f.verifyToken(offer)
@@ -163,7 +163,7 @@
 }
 
 // attachedSession returns the session whose current stream is st, or nil if a newer stream has replaced st or st
-// was never attached. It must be called on the loop only.
+// was never attached. It must be called on the event loop only.
 func (st *stream) attachedSession() *session {
 	if st.session == nil || st.session.stream != st {
 		return nil
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -1,10 +1,10 @@
 package grpcfront
 
 // This file owns the retry tokens of the front: the tokens that are issued with rejections, and the tokens that
-// clients present with offers. Tokens are verified outside the loop, on the goroutine that receives the offer.
-// Tokens for Place are signed outside the loop too, tokens for sessions on the loop. The set of redeemed tokens
-// belongs to the loop. An offer with an invalid token is treated like an offer without one, and the client must
-// never learn that the token was invalid.
+// clients present with offers. Tokens are verified outside the event loop, on the goroutine that receives the
+// offer. Tokens for Place are also signed outside the event loop, while tokens for sessions are signed on the
+// event loop. The set of redeemed tokens belongs to the event loop. An offer with an invalid token is treated like
+// an offer without one, and the client must never learn that the token was invalid.
 
 import (
 	"errors"
@@ -25,7 +25,7 @@
 // SetKeys replaces the keys that sign and verify tokens. It may be called from any goroutine.
 func (f *Front) SetKeys(keys *retrytoken.Keys) { f.keys.Store(keys) }
 
-// TokenCounts returns the counts of the tokens presented so far. It must be called on the loop only.
+// TokenCounts returns the counts of the tokens presented so far. It must be called on the event loop only.
 func (f *Front) TokenCounts() TokenCounts { return f.tokenCounts }
 
 // presentedToken is the result of the verification of the token of an offer. The zero value stands for an offer
@@ -37,7 +37,7 @@
 }
 
 // verifyToken decodes and verifies the token of an offer. If the front has no keys, it ignores the token. It runs
-// outside the loop.
+// outside the event loop.
 func (f *Front) verifyToken(offer *edgepb.Offer) presentedToken {
 	keys := f.keys.Load()
 	if len(offer.GetTicket()) == 0 || !keys.IsSet() {
@@ -50,9 +50,9 @@
 	return presentedToken{token, true, err}
 }
 
-// redeem redeems a token. If the token is valid and was not redeemed before, redeem copies two values from the token
-// to the submission: the time since which the client is on the waitlist, and the number of rejections. redeem runs
-// on the loop.
+// redeem redeems a token. If the token is valid and was not redeemed before, redeem copies two values from the token to
+// the submission: the time since which the client is on the waitlist, and the number of rejections. redeem runs on the
+// event loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -15,9 +15,9 @@
 // placeCall is the dispatch.Client of an offer made by Place. It ignores every response after the first,
 // because the first response ends the call.
 type placeCall struct {
-	response  chan dispatch.Response // the first response; has capacity 1, so that the loop never blocks
+	response  chan dispatch.Response // the first response; has capacity 1, so that the event loop never blocks
 	rejection chan error             // the status of an offer that was not submitted; has capacity 1
-	responded bool                   // whether a response was received; belongs to the loop
+	responded bool                   // whether a response was received; belongs to the event loop
 }
 
 func newPlaceCall() *placeCall {
@@ -60,7 +60,7 @@
 }
 
 // submitPlace submits the offer of a call. If the call has a deadline, the deadline replaces the timeout of the
-// submission. submitPlace runs on the loop.
+// submission. submitPlace runs on the event loop.
 func (f *Front) submitPlace(ctx context.Context, call *placeCall, submission dispatch.Submission, token presentedToken) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		submission.TimeoutUs = deadline.UnixMicro() - f.loop.Now()
@@ -76,7 +76,7 @@
 }
 
 // cancelPlace cancels the offer of a call whose context has ended. If the task was started in the meantime, the
-// task keeps running, and a repeat of the offer gets its binding. cancelPlace runs on the loop.
+// task keeps running, and a repeat of the offer gets its binding. cancelPlace runs on the event loop.
 func (f *Front) cancelPlace(call *placeCall, requestID string) {
 	if !call.responded {
 		f.dispatcher.Cancel(f.loop.Now(), call, requestID)
@@ -115,7 +115,7 @@
 }
 
 // release cancels an open offer or ends a running task that was submitted over gRPC, by any client. It runs on
-// the loop.
+// the event loop.
 func (f *Front) release(requestID string) dispatch.CancelResult {
 	if !f.dispatcher.IsResumable(requestID) { // unknown, or submitted through the other front (package clientfront)
 		return dispatch.NotFound
--- a/internal/jsonlines/errors.go
+++ b/internal/jsonlines/errors.go
@@ -1,6 +1,6 @@
 package jsonlines
 
-// This file owns the errors that Lines and Parse return.
+// This file owns the errors that ForEachLine and Parse return.
 
 import (
 	"errors"
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -13,15 +13,15 @@
 	VerbStart    = "START"    // submits a client's request, or offers a task to a worker
 	VerbPending  = "PENDING"  // the request waits for free capacity
 	VerbStarted  = "STARTED"  // the task is running
-	VerbFinish   = "FINISH"   // ends a request or a task, or reports that it ended
+	VerbFinish   = "FINISH"   // ends a request or a task, or reports its end
 	VerbFinished = "FINISHED" // acknowledges a FINISH
 	VerbEcho     = "ECHO"     // a ping
 	VerbEchoed   = "ECHOED"   // the reply to a ping
 	VerbNotice   = "NOTICE"   // a worker's report on a running task
-	VerbMove     = "MOVE"     // to a client: its running task is migrated, and the client submits it again
+	VerbMove     = "MOVE"     // to a client: its running task is migrated, and the client submits the task again
 )
 
-// The outcome codes of a FINISH, which stand in its member "rc".
+// The outcome codes of a FINISH, which are sent in its member "rc".
 const (
 	CodeEnded     = 16  // to a worker: the request is cancelled or released; as a report: the task completed
 	CodeCancelled = 31  // from a worker: the task was cancelled before it completed
--- a/internal/jsonlines/message_test.go
+++ b/internal/jsonlines/message_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "20261201") }
 
-// messages generates messages that Append may be given.
+// messages generates valid arguments of Append.
 var messages = rapid.Custom(func(t *rapid.T) Message {
 	m := Message{Verb: rapid.SampledFrom([]string{VerbStart, VerbStarted, VerbFinish, VerbNotice}).Draw(t, "verb"),
 		Tag: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "tag")}
@@ -108,7 +108,7 @@
 	}
 }
 
-// A parse error names the expected element and its byte offset where it applies, and wraps ErrMessage.
+// A syntax error names the expected element and its byte offset. Every parse error wraps ErrMessage.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`{"tag":"a"}`, "malformed message: no verb"},
@@ -137,7 +137,7 @@
 		t.Errorf("line of 16 KiB: got %d bytes used and error %v, want all bytes used and no error", used, err)
 	}
 	if _, err := ForEachLine(line[:MaxLine-1], discardLine); err != nil {
-		t.Errorf("incomplete line of one byte less than 16 KiB: got error %v, want none", err)
+		t.Errorf("incomplete line of 1 byte less than 16 KiB: got error %v, want none", err)
 	}
 	if _, err := ForEachLine(bytes.Repeat([]byte("x"), MaxLine), discardLine); !errors.Is(err, ErrLineTooLong) {
 		t.Errorf("line of more than 16 KiB: got error %v, want ErrLineTooLong", err)
@@ -150,7 +150,7 @@
 		line := `{"verb":"START","tag":"a","opts":{},"blob":"` + blob + `"}`
 		m, err := Parse([]byte(line))
 		if written := Append(nil, &m); err != nil || len(written) > len(line)+1 {
-			t.Errorf("line %s: re-encoded to %s (error %v), want no longer line and no error", line, written, err)
+			t.Errorf("line %s: re-encoded to %s (error %v), want a line that is at most as long and no error", line, written, err)
 		}
 	}
 }
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -28,7 +28,7 @@
 	offset int // index in text of the next byte to read
 }
 
-// expected returns a SyntaxError for a text in which the described element does not follow at the current offset.
+// expected returns a SyntaxError: the described element was expected at the current offset.
 func (s *scanner) expected(element string) error {
 	return &SyntaxError{Expected: element, Offset: s.offset}
 }
@@ -211,8 +211,8 @@
 	return s.offset > start
 }
 
-// object reads an object. For each member, it calls readValue with the member's name; readValue must consume the
-// member's value, which comes next.
+// object reads an object. For each member, it calls readValue with the member's name; readValue must then consume
+// the member's value.
 func (s *scanner) object(readValue func(name string) error) error {
 	if !s.consume('{') {
 		return s.expected("an object")
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -3,8 +3,8 @@
 // goroutine.
 //
 // The package must never make its caller wait. A sample that is offered while an earlier one
-// is still queued is dropped. A receiver that is down or slow costs samples, and has no other
-// effect on the program.
+// is still queued is dropped. If a receiver is down or slow, samples are lost, and the
+// rest of the program is not affected.
 package metrics
 
 // This file owns the exporter: its goroutine, its connection, and the count of dropped samples.
@@ -113,7 +113,8 @@
 	}
 }
 
-// receiver is the connection to a receiver. It is opened when a sample is to be sent.
+// receiver holds the connection to the receiver of the samples. The connection is opened when a
+// sample is to be sent.
 type receiver struct {
 	network, addr string
 	protocol      Protocol
@@ -164,6 +165,6 @@
 	if r.conn == nil {
 		return
 	}
-	_ = r.conn.Close() // nothing is left to be sent, so an error is ignored
+	_ = r.conn.Close() // all data was sent or is lost, so an error does not matter
 	r.conn = nil
 }
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestGraphite asserts that Graphite receives a line for each figure, and that no sample is lost.
+// TestGraphite asserts that Graphite receives a line for each figure, and that no sample is
+// dropped.
 func TestGraphite(t *testing.T) {
 	addr, lines := startReceiver(t, "tcp", "127.0.0.1:0", "")
 	e := NewExporter("tcp", addr, Graphite{Prefix: "edge.almaty", Name: "n1.x"}, slog.New(slog.DiscardHandler))
@@ -81,12 +82,12 @@
 	expectLines(t, lines, "edge.almaty.n1_x.offers 12 1700000000\n", "edge.almaty.n1_x.open_requests 0.5 1700000000\n")
 	e.Close(10 * time.Second)
 	if e.Dropped() != 0 {
-		t.Errorf("got %d lost samples, want 0", e.Dropped())
+		t.Errorf("got %d dropped samples, want 0", e.Dropped())
 	}
 }
 
 // TestCollectd asserts that collectd receives a PUTVAL command for each figure, and that a sample
-// counts as lost if collectd rejects it or does not reply with a status line.
+// counts as dropped if collectd rejects the sample or does not reply with a status line.
 func TestCollectd(t *testing.T) {
 	for _, test := range []struct {
 		answer string
@@ -106,13 +107,13 @@
 			"PUTVAL \"n1/ravenhitch/gauge-open_requests\" interval=2.5 1700000000:0.5\n")
 		e.Close(10 * time.Second)
 		if e.Dropped() != test.lost {
-			t.Errorf("answer %q: got %d lost samples, want %d", test.answer, e.Dropped(), test.lost)
+			t.Errorf("answer %q: got %d dropped samples, want %d", test.answer, e.Dropped(), test.lost)
 		}
 	}
 }
 
 // TestOfferNeverBlocks asserts that Offer does not block while the receiver is down, and that each
-// sample counts as lost.
+// sample counts as dropped.
 func TestOfferNeverBlocks(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,6 +133,6 @@
 	}
 	e.Close(10 * time.Second)
 	if e.Dropped() != 1000 {
-		t.Errorf("got %d lost samples, want 1000; Offer accepted %d", e.Dropped(), accepted)
+		t.Errorf("got %d dropped samples, want 1000; Offer accepted %d", e.Dropped(), accepted)
 	}
 }
--- a/internal/metrics/protocol.go
+++ b/internal/metrics/protocol.go
@@ -53,8 +53,8 @@
 
 // Collectd is collectd's plain text protocol. It sends a PUTVAL command for each figure. The
 // receiver answers each command with a status line that begins with a number. A negative number
-// says that the value was rejected. Otherwise it is the number of lines that follow the status
-// line.
+// means that the value was rejected. Any other number is the count of lines that follow the
+// status line.
 type Collectd struct {
 	Prefix, Name string
 	Interval     time.Duration
@@ -75,7 +75,7 @@
 }
 
 // Confirm implements Protocol. It returns a *RejectedError if a value was rejected, and a
-// *StatusLineError if the answer to a command is not a status line.
+// *StatusLineError if the answer to a command does not begin with a status line.
 func (c Collectd) Confirm(r *bufio.Reader, s Sample) error {
 	var rejection string
 	for range s.Figures {
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -17,8 +17,8 @@
 )
 
 // The encoded constants in this file are the bytes that the build of commit 532e1c5 ("the previous build") writes.
-// Orchestrators of that build and of this one are members of the same cluster while it is upgraded, so each must
-// read what the other writes.
+// While a cluster is upgraded, orchestrators of the previous build and of this build are members of it, so each build
+// must read the messages and files that the other build writes.
 
 // previousNonce is the incarnation nonce of the member n2, which sends the messages in this file.
 const previousNonce = 0x1122334455667788
@@ -161,7 +161,7 @@
 		frame := fromHex(t, encoded)
 		message, used, err := decodeFrame(frame, maxHelloFrame)
 		if err != nil || used != len(frame) {
-			t.Fatalf("kind %d: decodeFrame used %d of %d bytes and returned error %v", kind, used, len(frame), err)
+			t.Fatalf("kind %d: decodeFrame used %d of %d bytes and returned error %v, want all bytes and no error", kind, used, len(frame), err)
 		}
 		h, version, err := CheckHello("dala", message)
 		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || RecordKind(h.GetKind()) != kind {
@@ -179,7 +179,7 @@
 	encoded := fromHex(t, previousRecord)
 	message, used, err := decodeFrame(encoded, maxRecordFrame)
 	if err != nil || used != len(encoded) {
-		t.Fatalf("decodeFrame used %d of %d bytes and returned error %v", used, len(encoded), err)
+		t.Fatalf("decodeFrame used %d of %d bytes and returned error %v, want all bytes and no error", used, len(encoded), err)
 	}
 	var r peerpb.Record
 	if err := proto.Unmarshal(message, &r); err != nil || string(r.GetData()) != previousData {
@@ -192,7 +192,7 @@
 }
 
 // TestPreviousStartsFile asserts that this build continues the count in the previous build's file of starts, and
-// leaves a file in the format that the previous build reads.
+// writes the file in the format that the previous build reads.
 func TestPreviousStartsFile(t *testing.T) {
 	for _, c := range []struct {
 		name, before, after string
@@ -209,7 +209,7 @@
 			}
 			incarnation, fault, err := NextIncarnation(dir)
 			if err != nil || fault != "" || incarnation != c.incarnation {
-				t.Errorf("got incarnation %d, fault %q, error %v, want incarnation %d", incarnation, fault, err, c.incarnation)
+				t.Errorf("got incarnation %d, fault %q, error %v, want incarnation %d, no fault and no error", incarnation, fault, err, c.incarnation)
 			}
 			if b, err := os.ReadFile(file); err != nil || string(b) != c.after {
 				t.Errorf("got file content %q, error %v, want %q", b, err, c.after)
@@ -256,7 +256,7 @@
 	joined := func() bool { return strings.Contains(log.String(), "event=joined member=n2") }
 	for deadline := time.Now().Add(testbed.Timeout); !joined(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("n2 did not become a member after its ping; log: %s", log.String())
+			t.Fatalf("n2 is not a member after its ping, want a joined event; log: %s", log.String())
 		}
 	}
 	conn := dial(t, "tcp", p.Addr())
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -3,9 +3,9 @@
 // This file encodes, decodes and validates datagrams. A datagram that exceeds a limit is malformed. The decoder must
 // never retain the bytes passed to it.
 //
-// This file also maps the names of fields on the wire (hall, life, rumour, witness, heard) to the terms of the
-// program. The field life of a hello is mapped in hello.go and where hellos are checked, the names in the status
-// report in status_report.go.
+// This file also maps the names of fields on the wire (hall, life, rumour, witness, heard) to the terms of this
+// program. The field life of a hello is mapped in hello.go, handshake.go, stream.go and inbound.go. The names in the
+// status report are mapped in status_report.go.
 
 import (
 	"fmt"
@@ -49,7 +49,8 @@
 	return proto.Marshal(d)
 }
 
-// Decode decodes and validates a datagram, which must be of the named cluster. Its errors are of type *MessageError.
+// Decode decodes and validates a datagram, which must be of the named cluster. The errors that
+// Decode returns are of type *MessageError.
 func Decode(cluster string, b []byte) (*membership.Message, error) {
 	var d peerpb.Datagram
 	if err := proto.Unmarshal(b, &d); err != nil {
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -12,8 +12,8 @@
 	"ravenhitch/internal/membership"
 )
 
-// handshakeTimeout is the maximum duration of a handshake probe, from the dial to the other side's hello. For the
-// connection of an outbound stream it limits the dial alone.
+// handshakeTimeout is the maximum duration of a handshake probe, from the dial to the peer's hello. For the
+// connection of an outbound stream, handshakeTimeout limits only the dial.
 const handshakeTimeout = 300 * millisecond
 
 // handshakeProbe is a connection that this orchestrator opened to learn which process listens at a member's address.
@@ -23,7 +23,8 @@
 	timer  *eventloop.Timer
 }
 
-// startHandshakeProbe opens a connection to the address of a member. The result is reported to the table.
+// startHandshakeProbe opens a connection to the address of a member. The result is reported to the
+// membership table.
 func (p *Peers) startHandshakeProbe(address, member string) {
 	p.counts.HandshakeProbes++
 	h := &handshakeProbe{peers: p, member: member}
@@ -48,7 +49,7 @@
 	h.report(0, result)
 }
 
-// report passes the result to the table. nonce is the incarnation nonce in the hello, or 0 without one.
+// report passes the result to the table. nonce is the incarnation nonce in the hello, or 0 if there is no hello.
 func (h *handshakeProbe) report(nonce uint64, result membership.HandshakeResult) {
 	p := h.peers
 	p.perform(p.table.HandshakeProbeDone(p.loop.Now(), h.member, nonce, result))
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the other side may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the peer may have closed the connection
 	return conn
 }
 
@@ -162,7 +162,8 @@
 	}
 }
 
-// eventually waits until condition, evaluated on the event loop, returns true. what names the event that is awaited.
+// eventually waits until condition, evaluated on the event loop, returns true. what describes the condition in the
+// error message.
 func (pair *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file owns the inbound connections. Each begins with a hello, which some peers follow with records. A record
-// must never be accepted unless its sender is a member with the name and the incarnation nonce of the hello.
+// This file owns the inbound connections. Each connection begins with a hello, which may be followed by records. A
+// record must never be accepted unless its sender is a member with the name and the incarnation nonce of the hello.
 
 import (
 	"fmt"
@@ -49,8 +49,8 @@
 }
 
 // startStream makes the connection the only one of its stream. It closes an earlier connection of the stream, which
-// the peer has abandoned by opening this one. A connection of a stream no longer counts as pending, so that many
-// streams do not keep other peers from connecting.
+// the peer has abandoned by opening this one. The connection then no longer counts as pending, so that many streams
+// do not prevent other peers from connecting.
 func (in *inboundConn) startStream(stream streamKey) {
 	in.release()
 	in.stream = stream
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -16,7 +16,8 @@
 
 const (
 	// refutationsPerStart is the number of incarnations between one start and the next. Each refutation of a
-	// suspicion uses one, so a process can refute that many before its incarnation reaches the next start's.
+	// suspicion uses one, so a process can refute that many suspicions before its incarnation reaches that of the
+	// next start.
 	refutationsPerStart = 1 << 24
 	// firstIncarnation is the incarnation of a start without a directory.
 	firstIncarnation = 1
@@ -28,7 +29,7 @@
 // NextIncarnation increments the counter of starts in a directory and returns the first incarnation of this start,
 // which is greater than that of every earlier start counted there. Without a directory (dir is "") it returns 1.
 // If the incarnation is too low, because there is no directory or the file is an older copy, the membership table
-// raises it when the updates of other members name a later one.
+// raises the incarnation when an update from another member contains a later one.
 // If the counter's file holds no valid count, counting starts again from 1 and fault describes the file; otherwise
 // fault is "".
 func NextIncarnation(dir string) (incarnation uint64, fault string, err error) {
@@ -48,7 +49,7 @@
 }
 
 // readStarts reads the counter. It returns 0 if there is no file, or if the file holds no valid count; in the latter
-// case fault describes the file.
+// case, fault describes the file.
 func readStarts(path string) (starts uint64, fault string, err error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/peer/incarnation_test.go
+++ b/internal/peer/incarnation_test.go
@@ -34,6 +34,6 @@
 		t.Errorf("without a directory: got incarnation %d, error %v, want %d", incarnation, err, firstIncarnation)
 	}
 	if _, _, err := NextIncarnation(filepath.Join(dir, "none")); err == nil {
-		t.Error("directory that does not exist: got no error")
+		t.Error("directory that does not exist: got no error, want one")
 	}
 }
--- a/internal/peer/listen_test.go
+++ b/internal/peer/listen_test.go
@@ -30,7 +30,7 @@
 	return used
 }
 
-// listenTCP opens a listening socket at an address and closes it. It returns the error of the open.
+// listenTCP opens a listening socket at an address and closes it. It returns the error of net.Listen.
 func listenTCP(t *testing.T, address string) error {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -46,7 +46,7 @@
 // TestPortsInUse asserts that New tries another port if the one that the system chose is in use for datagrams.
 func TestPortsInUse(t *testing.T) {
 	used := portsInUse(t, 500)
-	for range 1000 { // about one start in fifty is given a port in use
+	for range 1000 { // about one start in fifty gets a port in use
 		loop, err := eventloop.New(8)
 		if err != nil {
 			t.Fatal(err)
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestNamedPortInUse asserts that New returns an error if the configured port is in use for datagrams, and that it
-// closes the listening socket that it opened on that port.
+// TestNamedPortInUse asserts that New returns an error if the configured port is in use for datagrams, and that New
+// then closes the listening socket that it opened on that port.
 func TestNamedPortInUse(t *testing.T) {
 	settings := settingsOf("n1")
 	for settings.Listen = range portsInUse(t, 500) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,13 +1,14 @@
-// Package peer connects orchestrators with each other. It owns the sockets between them, which all run on the one
-// event loop: a datagram socket for the membership table, connections for handshake probes, and streams of
-// records. It hands received messages to the membership table (package membership, which does no I/O) and carries
-// out the actions that the table returns.
+// Package peer connects orchestrators with each other. It opens the sockets between them, all on one event loop: a
+// datagram socket for the membership table, connections for handshake probes, and streams of records. It passes
+// received messages to the membership table (package membership, which does no I/O) and carries out the actions
+// that the table returns.
 //
 // Package peer must never decide which members are alive, never block, and never let an invalid message reach the
-// table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Either is
-// logged in one line, and the number of lines is limited.
+// table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Each of
+// these events is logged in one line, at a limited rate.
 //
-// The event loop owns the sockets and timers, and closes them when it is closed.
+// The sockets and timers are registered with the event loop. Closing the loop closes the sockets, and no timer
+// fires afterwards.
 package peer
 
 import (
@@ -37,17 +38,17 @@
 // orchestrators; with port 0, the system chooses the port.
 type Settings struct {
 	Listen, Cluster, Name, Zone string
-	Members                     []membership.Peer // the members that are pinged first
-	Incarnation                 uint64            // first of this process, greater than every earlier one known
+	Members                     []membership.Peer // members that this orchestrator pings first
+	Incarnation                 uint64            // first incarnation of this process, greater than all known earlier ones
 }
 
 // Counts holds the number of messages exchanged with other orchestrators since the start.
 type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes     int64 // datagrams, and their bytes
+	Sent, SentBytes, Received, ReceivedBytes     int64 // number of datagrams, and their size
 	Lost                                         int64 // datagrams that could not be sent
 	Refused                                      int64 // invalid datagrams, and connections closed for an invalid message
 	HandshakeProbes                              int64
-	RecordsSent, RecordsReceived, RecordsDropped int64 // dropped: accepted by Send, but never sent
+	RecordsSent, RecordsReceived, RecordsDropped int64 // RecordsDropped: accepted by Send, but never sent
 }
 
 // Peers connects the membership table with its sockets. All its methods must be called on the event loop.
@@ -62,7 +63,7 @@
 
 	table        *membership.Table
 	tickTimer    *eventloop.Timer
-	tickAt       int64                     // when tickTimer fires
+	tickAt       int64                     // time at which tickTimer fires, in microseconds
 	onView       func([]membership.Member) // nil until OnView is called
 	reportedView int64                     // number of the view that onView was last called with
 
@@ -103,7 +104,7 @@
 
 // listen opens one port for both connections and datagrams, and returns its address. If the settings leave the port
 // to the system, the port that the system chooses for connections may be in use for datagrams. listen then asks
-// for another one, up to maxPorts times in all.
+// the system for another port, and tries at most maxPorts ports in total.
 func (p *Peers) listen() (address string, err error) {
 	anyPort := strings.HasSuffix(p.settings.Listen, ":0")
 	admission := eventloop.AdmissionFunc(func() bool { return p.pendingInbound < maxPendingInbound })
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -16,14 +16,14 @@
 	Name        string   `json:"name"`
 	HealthScore int      `json:"doubt"` // the local health score, from 0 (healthy) to 8 (worst)
 	View        View     `json:"view"`
-	Members     []Member `json:"members"` // the local member first, then by name
+	Members     []Member `json:"members"` // the local member first, the others sorted by name
 	Traffic     Traffic  `json:"traffic"`
 }
 
 // View is the stable view of the membership.
 type View struct {
-	Number int64    `json:"number"` // counts the changes of the view at this orchestrator
-	Digest string   `json:"digest"` // equal at all orchestrators whose views hold the same members
+	Number int64    `json:"number"` // number of views that this orchestrator has built so far
+	Digest string   `json:"digest"` // equal at all orchestrators whose views have the same members
 	Names  []string `json:"names"`
 }
 
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -20,7 +20,7 @@
 
 // The kinds of records.
 const (
-	Urgent     RecordKind = 1 + iota // records that somebody waits for
+	Urgent     RecordKind = 1 + iota // records whose arrival is awaited
 	Background                       // copies of complete states, which may arrive late
 )
 
@@ -30,7 +30,7 @@
 	// maxRecordFrame is the maximum size of the encoded message that carries a record, in bytes.
 	maxRecordFrame = maxRecord + 64
 	// maxBurst is the number of bytes after which a stream stops writing until the next turn of the event loop, to
-	// let other connections proceed. The last frame may exceed it.
+	// let other connections proceed. The last frame of a burst may exceed maxBurst.
 	maxBurst = 256 << 10
 	// minRedialDelay is the delay before a connection is opened again after a first failure. It doubles with each
 	// further failure in a row, up to maxRedialDelay.
@@ -38,7 +38,8 @@
 	maxRedialDelay = 2 * second
 	// idleTimeout is the time after which a connection without records to send is closed.
 	idleTimeout = 30 * second
-	// nextTurn is the shortest timer delay, in microseconds. Other events that are ready are handled first.
+	// nextTurn is the shortest timer delay, in microseconds. Events that are ready by then are handled before
+	// the timer fires.
 	nextTurn = 1
 )
 
@@ -59,16 +60,17 @@
 	kind   RecordKind
 }
 
-// outboundStream sends the records of one stream. It owns its connection and its timer until end is called.
+// outboundStream sends the records of one stream. It owns its connection and its timer until it
+// is removed from Peers.outboundStreams.
 type outboundStream struct {
 	streamKey
 	peers       *Peers
 	queue       recordQueue
 	conn        *eventloop.Conn  // nil while no connection is open or being opened
 	nonce       uint64           // incarnation nonce of the process that the records are for
-	established bool             // the other side's hello has arrived and is valid
-	redialDelay int64            // in microseconds; 0 after a successful hello
-	timer       *eventloop.Timer // for the next dial, the next burst or the idle timeout
+	established bool             // whether the peer's hello has arrived and is valid
+	redialDelay int64            // last delay before a dial, in microseconds; 0 after a valid hello
+	timer       *eventloop.Timer // fires at the next dial, the next burst or the idle timeout
 }
 
 // OnRecord registers handle, which is called on the event loop with each received record of a kind. handle must not
@@ -116,7 +118,7 @@
 	}
 }
 
-// end closes the stream. It counts and logs the records that are dropped with it.
+// end closes the stream. It counts and logs the records that are dropped from the queue.
 func (s *outboundStream) end(cause string) {
 	s.timer.Stop()
 	dropped := s.queue.clear()
@@ -133,7 +135,8 @@
 	delete(s.peers.outboundStreams, s.streamKey)
 }
 
-// dial opens the connection. It ends the stream instead if the member has left the cluster or is another process now.
+// dial opens the connection. If the member has left the cluster or has restarted as another process, dial ends
+// the stream instead.
 func (s *outboundStream) dial() {
 	address, nonce, ok := s.peers.table.Locate(s.member)
 	if !ok || nonce != s.nonce {
@@ -168,7 +171,7 @@
 	s.redialLater()
 }
 
-// Data implements eventloop.Handler. The only message expected on an outbound stream is the other side's hello.
+// Data implements eventloop.Handler. The only message expected on an outbound stream is the peer's hello.
 func (s *outboundStream) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	message, used, err := decodeFrame(b, maxHelloFrame)
 	if err != nil || used == 0 {
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -64,8 +64,8 @@
 }
 
 // TestRecords asserts that many background records on a path of low bandwidth do not delay an urgent record. It also
-// asserts that Send returns ErrQueueFull when the queue is full, that OnWritable reports when it has space again, and
-// that all accepted records arrive in order.
+// asserts that Send returns ErrQueueFull when the queue is full, that the OnWritable handler is called when the queue
+// has space again, and that all accepted records arrive in order.
 func TestRecords(t *testing.T) {
 	pair := newTwoPeers(t)
 	pair.setConditions(t, "n0", "n1", func(c *testbed.Conditions) { c.Bandwidth = 2 << 20 })
@@ -93,7 +93,7 @@
 				background.urgentAfter, background.sent, background.sent-8)
 		}
 		if background.writable == 0 {
-			t.Error("the OnWritable handler was never called for the background stream")
+			t.Error("the OnWritable handler was called 0 times for the background stream, want at least 1")
 		}
 		background.checkOrder(t)
 	})
@@ -151,7 +151,7 @@
 	pair.eventually(t, "more than 20 further datagrams", func() bool { return pair.a.Counts().Received > before+20 })
 	pair.onLoop(func() {
 		if _, _, ok := pair.a.table.Locate("n1"); !ok || strings.Contains(pair.log.String(), "event=dead") {
-			t.Errorf("n1 is a member: got %v, want true, without a dead event; log: %s", ok, pair.log.String())
+			t.Errorf("n1 is a member: got %v, want true and no dead event in the log: %s", ok, pair.log.String())
 		}
 	})
 }
@@ -160,7 +160,7 @@
 // declared dead.
 func TestRecordsDropped(t *testing.T) {
 	pair := newTwoPeers(t)
-	if err := pair.net.SetAddress("n1", ""); err != nil { // its host refuses connections
+	if err := pair.net.SetAddress("n1", ""); err != nil { // the host of n1 then refuses connections
 		t.Fatal(err)
 	}
 	pair.setConditions(t, "n1", "n0", func(c *testbed.Conditions) { c.Cut = true })
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -9,7 +9,7 @@
 	"ravenhitch/internal/membership"
 )
 
-// tick runs the next step of the table, which sends probes, handles timeouts and publishes a settled view.
+// tick runs the next step of the table, which sends probes, handles timeouts and rebuilds the stable view.
 func (p *Peers) tick() { p.perform(p.table.Tick(p.loop.Now())) }
 
 // scheduleTick sets the timer for the next tick to the time that the table requests, unless the timer is already set
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// burstInterval is the duration of a burst. The first warning with a text after it starts a new burst.
+	// burstInterval is the duration of a burst. The first warning with a text after that time
+	// starts a new burst.
 	burstInterval = time.Second
 	// maxLinesPerBurst is the maximum number of lines with the same text in a burst.
 	maxLinesPerBurst = 5
@@ -20,7 +21,7 @@
 	bursts map[string]*burst // by the text of the warning
 }
 
-// burst counts the warnings with one text since startedAt.
+// burst counts the warnings with the same text since startedAt.
 type burst struct {
 	startedAt  time.Time
 	lines      int
@@ -33,7 +34,7 @@
 // Info logs a line. The number of lines is not limited.
 func (l *Logger) Info(text string, args ...any) { l.log.Info(text, args...) }
 
-// Warn logs a line, or suppresses it if the text has reached the limit of the current burst. If a burst suppressed
+// Warn logs a line, or suppresses the line if its text has reached the limit of the current burst. If a burst suppressed
 // lines, the first line after the burst is preceded by a line with the number of suppressed lines.
 func (l *Logger) Warn(text string, args ...any) {
 	b := l.bursts[text]
--- a/internal/retrytoken/codec.go
+++ b/internal/retrytoken/codec.go
@@ -68,7 +68,7 @@
 }
 
 // Verify verifies the signature of a token and decodes the token. The error is ErrMalformed, ErrUnknownKey
-// or ErrSignature. Verify does not check whether the token is valid at present; Token.Check does.
+// or ErrSignature. Verify does not check whether the token is valid at the current time; Token.Check does.
 func (k *Keys) Verify(b []byte) (Token, error) {
 	if len(b) < minTokenSize || len(b) > MaxTokenSize || b[0] != version {
 		return Token{}, ErrMalformed
--- a/internal/retrytoken/redeemed.go
+++ b/internal/retrytoken/redeemed.go
@@ -6,11 +6,11 @@
 // maxRedeemed is the maximum number of tokens that a Redeemed remembers.
 const maxRedeemed = 16 << 10
 
-// Redeemed remembers the tokens that were redeemed last. The zero value remembers none. Its size is bounded:
-// if more than maxRedeemed tokens are valid at once, the oldest is forgotten and could be redeemed again at
-// this orchestrator. The task of that token still runs at most once.
+// Redeemed remembers the most recently redeemed tokens. The zero value remembers none. Its size is bounded:
+// if more than maxRedeemed tokens are valid at once, the token that was redeemed first is dropped and could be
+// redeemed again at this orchestrator. The task of the dropped token still runs at most once.
 type Redeemed struct {
-	nonces map[uint64]struct{} // of the remembered tokens
+	nonces map[uint64]struct{} // nonces of the remembered tokens
 	order  []uint64            // nonces in the order of redemption; a ring buffer once it is full
 	oldest int                 // index of the oldest nonce in order
 }
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -86,7 +86,7 @@
 		b := bytes.Clone(valid)
 		b[i/8] ^= 1 << (i % 8)
 		if _, err := keys.Verify(b); err == nil {
-			t.Errorf("Verify accepted a token with bit %d flipped", i)
+			t.Errorf("Verify accepted a token with bit %d flipped, want an error", i)
 		}
 	}
 	if got, err := keys.Verify(valid); err != nil || got != sampleToken() {
@@ -99,7 +99,7 @@
 	valid := parseKeys(t, oldKey).Issue(sampleToken())
 	for _, keys := range []*Keys{nil, {}} {
 		if keys.Issue(sampleToken()) != nil {
-			t.Error("Issue returned a token without a key")
+			t.Error("without a key, Issue returned a token, want nil")
 		}
 		if _, err := keys.Verify(valid); !errors.Is(err, ErrUnknownKey) {
 			t.Errorf("without a key, Verify returned %v, want %v", err, ErrUnknownKey)
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -14,8 +14,8 @@
 
 import "errors"
 
-// Reasons why a token is invalid. The offer then counts as one without a token, and its client is not told
-// the reason: an attacker who forges tokens must not learn from the errors.
+// Reasons why a token is invalid. The offer then counts as one without a token. The reason is not sent to the
+// client, because an attacker who forges tokens must not learn from the errors.
 var (
 	ErrMalformed  = errors.New("retrytoken: malformed token")
 	ErrUnknownKey = errors.New("retrytoken: token signed with an unknown key")
@@ -40,7 +40,7 @@
 	// LateUs is the maximum time after its slot at which a token is valid.
 	LateUs = 10 * second
 	// maxWaitUs is the maximum time for which a token may claim that its client was on the waitlist, and the
-	// maximum time from its issue to its slot.
+	// maximum time from the issue of a token to its slot.
 	maxWaitUs = int64(day)
 )
 
