--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,7 @@
 // Package client offers tasks to orchestrators over gRPC and follows their retry advice. It offers a
 // rejected task again at the reserved slot, to any of the orchestrators, with the retry token that proves the
-// place of the task on the waitlist. It is the reference implementation of how a client behaves in a retry storm.
+// place of the task on the waitlist. The package is the reference implementation of a client's
+// behavior in a retry storm.
 //
 // The package never offers a task again after an orchestrator reported that the task may have started. It
 // repeats an offer that got no response, under the same ID, but not if Task.Once is set. It never offers a
--- a/client/place.go
+++ b/client/place.go
@@ -34,7 +34,7 @@
 // not be called with a token before RejectedError.RetryAt.
 //
 // The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done.
-// Otherwise it is the gRPC status of the last attempt, such as INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
+// Otherwise the error is the gRPC status of the last attempt, such as INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
 // After UNKNOWN the task may have started, and must not be offered again without checking whether it runs.
 func (c *Client) Place(ctx context.Context, task Task, token []byte) (Binding, error) {
 	if len(c.orchestrators) == 0 {
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -7,8 +7,9 @@
 )
 
 // retryStorm simulates an orchestrator whose clients all send their first request within
-// one second, with work for one minute in total. At most six seconds of work are pending;
-// other requests are rejected, and their clients return after Retry-After.
+// one second. To start all their tasks takes one minute at the release rate. At most six
+// seconds of work are pending; other requests are rejected, and their clients return after
+// Retry-After.
 type retryStorm struct {
 	controller *Controller
 	rate       float64            // units that are released per second
@@ -86,8 +87,8 @@
 }
 
 // runRetryStorms simulates clients that are distributed over 50 orchestrators. It returns
-// the time that the slowest orchestrator took, relative to the 60 s of its work at the
-// release rate, the number of decisions, and the memory per client in bytes.
+// the time that the slowest orchestrator took, relative to the 60 s that its work takes at
+// the release rate, the number of decisions, and the memory per client in bytes.
 func runRetryStorms(clients int, seed uint64) (ratio float64, decisions int, bytesPerClient float64) {
 	const orchestrators = 50
 	rng := rand.New(rand.NewPCG(seed, 9))
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -40,7 +40,7 @@
 	Classes         []Class
 	MaxRetryAfterUs int64 // upper bound of Retry-After; 0 selects 3 s
 	MinRetryAfterUs int64 // lower bound of Retry-After, unless MaxRetryAfterUs is lower
-	MaxClients      int   // size of the waitlist; 0 selects 32,768, which fits a small host
+	MaxClients      int   // size of the waitlist in clients; 0 selects 32,768, which suits a small host
 }
 
 // Request holds the properties of a request that backpressure uses.
@@ -132,8 +132,8 @@
 }
 
 // SetPending sets the number of units of each class that wait for free capacity. It must not
-// include requests that are about to be rejected: they would count twice, as pending and by
-// their reserved slots.
+// include requests that are about to be rejected, because these would count twice: as pending
+// units and as reserved units.
 func (c *Controller) SetPending(now int64, units []float64) {
 	c.advance(now)
 	c.pendingSum = 0
@@ -193,8 +193,8 @@
 }
 
 // Tick updates the state of overload from the events of the last second. It returns the
-// change of state and reports whether there was one. Call it at least ten times per second
-// while requests arrive.
+// change of state and reports whether there was one. Tick must be called at least ten times
+// per second while requests arrive.
 func (c *Controller) Tick(now int64) (Change, bool) {
 	c.advance(now)
 	return c.detector.tick(now, c.pendingSum, c.releases.rate(now))
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -53,11 +53,11 @@
 	since := now - 4*second
 	r := Request{Key: 9, Units: 1, TimeoutUs: 6 * second, QueuedSinceUs: since}
 	if at := c.Requested(now, r); at != since {
-		t.Errorf("client is queued since a time %d us after the one that its token proves, want 0", at-since)
+		t.Errorf("client is queued %d us later than its token proves, want 0", at-since)
 	}
 	c.Rejected(now, r)
 	if at := c.Requested(now+second, Request{Key: 9, Units: 1}); at > since+tickUs {
-		t.Errorf("after another rejection, client is queued since a time %d us after the one that its token proves, want at most %d", at-since, tickUs)
+		t.Errorf("after another rejection, client is queued %d us later than its token proves, want at most %d", at-since, tickUs)
 	}
 	if at := c.Requested(now, Request{Key: 10, Units: 1, QueuedSinceUs: now + second}); at != now {
 		t.Errorf("with a token of the future, client is queued since now%+d us, want now", at-now)
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -1,9 +1,9 @@
 package backpressure
 
 // This file implements the fair share of programs among the reserved slots: a program that
-// requests most of the capacity must not delay the requests of other programs behind all of
-// its own. Programs are counted in hash buckets, and programs in the same bucket have one
-// share together.
+// requests most of the capacity must not make the requests of other programs wait for all of
+// its own. Programs are counted in hash buckets, and all programs in one bucket have a single
+// share.
 
 const (
 	// decayIntervalUs is the interval at which the counts of reserved units are multiplied
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -22,8 +22,8 @@
 	// complianceWeight is the weight of one return in the moving average of the compliance
 	// of a class.
 	complianceWeight = 1.0 / 32
-	// minCompliance is the minimum compliance by which Retry-After is corrected. Below it, a
-	// longer Retry-After would not keep clients away for longer.
+	// minCompliance is the lower bound of the compliance by which Retry-After is divided.
+	// Clients of lower compliance would not stay away for longer with a longer Retry-After.
 	minCompliance = 0.25
 	// ignoredShare is the fraction of Retry-After below which a client that returns is
 	// considered to have ignored it.
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// If all pending requests are rejected at once, the last one waits for the others only
-// once: they do not also count as pending.
+// If all pending requests are rejected at once, the last request waits for the other
+// requests only once: rejected requests do not also count as pending.
 func TestAllPendingRejected(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 500)
 	c.SetPending(now, []float64{0, 0, 0}) // as the dispatcher does before it rejects requests
@@ -128,8 +128,8 @@
 	}
 }
 
-// Clients of a second retry storm that begins during the first return after those of the
-// first.
+// If a second retry storm begins during a first one, its clients return after the clients of
+// the first storm.
 func TestSecondStormReturnsBehindFirst(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(90*second), 50, 100)
 	var first, later int64
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -74,8 +74,8 @@
 }
 
 // findOrAdd returns the entry of a client. If there is none or it is stale, findOrAdd adds
-// a new entry, which is queued since queuedSince, or since now if queuedSince is 0, in the
-// future or stale.
+// a new entry, whose client counts as queued since queuedSince, or since now if queuedSince
+// is 0, in the future or stale.
 func (w *waitlist) findOrAdd(now int64, key uint64, queuedSince int64) *entry {
 	fingerprint, entries := w.bucket(key)
 	tick := uint16(now / tickUs)
@@ -130,7 +130,7 @@
 func (e *entry) units() float64              { return float64(e.unitSteps) / unitScale }
 func (e *entry) retryAfter() int64           { return int64(e.waitTicks) * tickUs }
 
-// slot returns the number of the slot that was reserved last. The slot may be past.
+// slot returns the number of the slot that was reserved last. The slot may be in the past.
 func (e *entry) slot(now int64) int64 {
 	rejected := now/tickUs - int64(uint16(now/tickUs)-e.rejectedTick)
 	return rejected + int64(e.packedSlot&slotMask)
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -69,8 +69,8 @@
 }
 
 // findEvictable searches for the connection to evict first. Candidates are the connections without an open request
-// that have been idle for at least minIdle. The candidate with the lowest usage is chosen, and among equals the one
-// that has been idle longest.
+// that have been idle for at least minIdle. The candidate with the lowest usage is chosen, and among candidates of
+// equal usage the one that has been idle longest.
 func (f *Front) findEvictable() (found evictionSearchResult) {
 	now := f.loop.Now()
 	for client := range f.clients {
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -33,7 +33,7 @@
 	conn         *eventloop.Conn
 	number       uint64          // sequence number among the accepted connections, from 1
 	openRequests map[string]bool // IDs of the requests that have no response yet
-	lastActiveAt int64           // time of the last complete message, or of the connect if there was none
+	lastActiveAt int64           // time of the last complete message, or of the opening if there was none
 	partialSince int64           // time since which the rest of an incomplete message is awaited, 0 if there is none
 	hasMessage   bool            // a complete message was received
 	hasTask      bool            // a task was started or adopted for a request on this connection
--- a/internal/clientfront/submission_test.go
+++ b/internal/clientfront/submission_test.go
@@ -47,7 +47,8 @@
 		message := submissionMessage(test.left, test.extras)
 		got, err := parseSubmission(&message)
 		if (err == nil) != test.valid || test.valid && got.TimeoutUs != test.timeoutUs {
-			t.Errorf("test case %+v: got submission %+v and error %v, want the validity and timeout of the test case", test, got, err)
+			t.Errorf("test case %+v: got submission %+v and error %v, want the validity and timeout of the test case",
+				test, got, err)
 		}
 	}
 	message := submissionMessage("1500", validExtras+";at:s-1;new:thing")
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// SetNotServing sets the status of the gRPC health service to NOT_SERVING, so that clients that watch it
-// move to another orchestrator. Calls and messages that still arrive are served as before.
+// SetNotServing sets the status of the gRPC health service to NOT_SERVING, so that clients that watch the
+// status move to another orchestrator. Calls and messages that still arrive are served as before.
 func (f *Front) SetNotServing() { f.health.Shutdown() }
 
 // Close ends each stream after its queued messages are sent, and then stops the server. Calls that have not
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -2,7 +2,7 @@
 
 // This file owns the sessions: the offers and tasks of each session, and the messages that its client has not
 // acknowledged. Sessions belong to the event loop and outlive their streams. Invariant: a session stores each
-// message before it sends it, so that the next stream can resend the last maxUnacknowledged messages that the
+// message before sending it, so that the next stream can resend the last maxUnacknowledged messages that the
 // client has not acknowledged.
 
 import (
@@ -22,8 +22,8 @@
 	maxSessions = 1024
 	// maxOpenOffers is the maximum number of offers of one session that have no response yet.
 	maxOpenOffers = 512
-	// maxUnacknowledged is the maximum number of unacknowledged messages that one session stores. When it is
-	// exceeded, the oldest message is dropped.
+	// maxUnacknowledged is the maximum number of unacknowledged messages that one session stores. When a
+	// session exceeds this number, its oldest message is dropped.
 	maxUnacknowledged = 512
 	// maxSessionName is the maximum length of the name of a session, in bytes.
 	maxSessionName = 64
--- a/internal/grpcfront/session_test.go
+++ b/internal/grpcfront/session_test.go
@@ -37,7 +37,7 @@
 			len(next.outbox), maxOutbox)
 	}
 	if next.ended {
-		t.Errorf("the new stream has ended with %v, want it open", next.err)
+		t.Errorf("second stream: ended with %v, want an open stream", next.err)
 	}
 }
 
--- a/internal/jsonlines/message_test.go
+++ b/internal/jsonlines/message_test.go
@@ -144,13 +144,14 @@
 	}
 }
 
-// Parsing and re-encoding a message makes it no longer, apart from the line feed that is appended.
+// Parsing and re-encoding a message does not make the message longer, except for the appended line feed.
 func TestMessagesDoNotGrow(t *testing.T) {
 	for _, blob := range []string{`\b\f\n\r\t\"\\\/`, `\u0001\ud800`, "é\u007f"} {
 		line := `{"verb":"START","tag":"a","opts":{},"blob":"` + blob + `"}`
 		m, err := Parse([]byte(line))
 		if written := Append(nil, &m); err != nil || len(written) > len(line)+1 {
-			t.Errorf("line %s: re-encoded to %s (error %v), want a line that is at most as long and no error", line, written, err)
+			t.Errorf("line %s: re-encoded to %s (error %v), want a line that is at most as long and no error",
+				line, written, err)
 		}
 	}
 }
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -49,8 +49,8 @@
 	dropped       atomic.Int64
 }
 
-// NewExporter starts an exporter that sends samples to addr. The network and addr are those of
-// net.Dial.
+// NewExporter starts an exporter that sends samples to addr. network and addr are passed to
+// net.DialTimeout.
 func NewExporter(network, addr string, protocol Protocol, log *slog.Logger) *Exporter {
 	e := &Exporter{
 		network:  network,
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -161,7 +161,8 @@
 		frame := fromHex(t, encoded)
 		message, used, err := decodeFrame(frame, maxHelloFrame)
 		if err != nil || used != len(frame) {
-			t.Fatalf("kind %d: decodeFrame used %d of %d bytes and returned error %v, want all bytes and no error", kind, used, len(frame), err)
+			t.Fatalf("kind %d: decodeFrame used %d of %d bytes and returned error %v, want all bytes and no error",
+				kind, used, len(frame), err)
 		}
 		h, version, err := CheckHello("dala", message)
 		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || RecordKind(h.GetKind()) != kind {
@@ -179,7 +180,8 @@
 	encoded := fromHex(t, previousRecord)
 	message, used, err := decodeFrame(encoded, maxRecordFrame)
 	if err != nil || used != len(encoded) {
-		t.Fatalf("decodeFrame used %d of %d bytes and returned error %v, want all bytes and no error", used, len(encoded), err)
+		t.Fatalf("decodeFrame used %d of %d bytes and returned error %v, want all bytes and no error",
+			used, len(encoded), err)
 	}
 	var r peerpb.Record
 	if err := proto.Unmarshal(message, &r); err != nil || string(r.GetData()) != previousData {
@@ -209,7 +211,8 @@
 			}
 			incarnation, fault, err := NextIncarnation(dir)
 			if err != nil || fault != "" || incarnation != c.incarnation {
-				t.Errorf("got incarnation %d, fault %q, error %v, want incarnation %d, no fault and no error", incarnation, fault, err, c.incarnation)
+				t.Errorf("got incarnation %d, fault %q, error %v, want incarnation %d, no fault and no error",
+					incarnation, fault, err, c.incarnation)
 			}
 			if b, err := os.ReadFile(file); err != nil || string(b) != c.after {
 				t.Errorf("got file content %q, error %v, want %q", b, err, c.after)
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -49,8 +49,8 @@
 	return proto.Marshal(d)
 }
 
-// Decode decodes and validates a datagram, which must be of the named cluster. The errors that
-// Decode returns are of type *MessageError.
+// Decode decodes and validates a datagram, which must be of the named cluster. The errors that Decode returns are of
+// type *MessageError.
 func Decode(cluster string, b []byte) (*membership.Message, error) {
 	var d peerpb.Datagram
 	if err := proto.Unmarshal(b, &d); err != nil {
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -23,8 +23,8 @@
 	timer  *eventloop.Timer
 }
 
-// startHandshakeProbe opens a connection to the address of a member. The result is reported to the
-// membership table.
+// startHandshakeProbe opens a connection to the address of a member. The result is reported to the membership
+// table.
 func (p *Peers) startHandshakeProbe(address, member string) {
 	p.counts.HandshakeProbes++
 	h := &handshakeProbe{peers: p, member: member}
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -43,7 +43,7 @@
 	nextTurn = 1
 )
 
-// Reasons why [Peers.Send] rejects a record. ErrRecordTooLarge also stands for an unknown kind.
+// Reasons why [Peers.Send] rejects a record. ErrRecordTooLarge is also returned for an unknown kind.
 var (
 	ErrNotMember      = errors.New("peer: not a member of the cluster")
 	ErrQueueFull      = errors.New("peer: the queue is full; OnWritable is called when there is space")
@@ -60,8 +60,8 @@
 	kind   RecordKind
 }
 
-// outboundStream sends the records of one stream. It owns its connection and its timer until it
-// is removed from Peers.outboundStreams.
+// outboundStream sends the records of one stream. It owns its connection and its timer until it is removed
+// from Peers.outboundStreams.
 type outboundStream struct {
 	streamKey
 	peers       *Peers
@@ -84,7 +84,7 @@
 func (p *Peers) OnWritable(notify func(to string, kind RecordKind)) { p.onWritable = notify }
 
 // Send queues a copy of a record for a member. If the record is rejected, Send returns ErrNotMember, ErrQueueFull or
-// ErrRecordTooLarge. It returns ErrRecordTooLarge also for an unknown kind.
+// ErrRecordTooLarge.
 func (p *Peers) Send(to string, kind RecordKind, record []byte) error {
 	if len(record) > maxRecord || maxQueued[kind] == 0 {
 		return ErrRecordTooLarge
