--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// cordon cordons or uncordons a worker, as the call says, and stores the change.
+// cordon cordons or uncordons a worker, as the call requests, and stores the change.
 func (a *adminCalls) cordon(call admin.Call, answer func([]byte)) {
 	s := a.server
 	if !s.dispatcher.HasWorker(call.ID) {
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,7 +1,7 @@
 package main
 
 // This file derives the shards of workers that this orchestrator places tasks on from the membership table.
-// A view that does not contain this orchestrator never makes it give up a shard.
+// A view that does not contain this orchestrator never changes the shards that it uses.
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 
 // assignment divides the workers among the live members. It is used on the event loop only.
 type assignment struct {
-	apply    func(discovery.Assignment) // puts a new division of the workers into effect
+	apply    func(discovery.Assignment) // applies a new division of the workers
 	regions  shard.Regions
 	name     string         // name of this orchestrator
 	presumed []shard.Member // members presumed alive, this orchestrator included; nil once the presumption has ended
@@ -47,8 +47,8 @@
 	return a
 }
 
-// endPresumption stops presuming members alive that the membership table does not list. Without a stable view
-// so far, it changes nothing: the members stay presumed alive.
+// endPresumption stops presuming members alive that the membership table does not list. If there has been
+// no stable view yet, it changes nothing, and the members stay presumed alive.
 func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -11,8 +11,8 @@
 	"ravenhitch/internal/shard"
 )
 
-// The workers are divided among the members of the stable view and, until the presumption ends, also among those
-// named in the operators' file. A view without this orchestrator changes nothing.
+// The workers are divided among the members of the stable view and, until the presumption ends, also among the
+// members named in the operators' file. A view without this orchestrator changes nothing.
 func TestAssignment(t *testing.T) {
 	member := func(name, zone string) membership.Member { return membership.Member{Name: name, Zone: zone} }
 	a := newAssignment("n1", "z1", config.Peers{Regions: map[string]string{"z1": "west", "z2": "west", "z3": "east"},
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -70,12 +70,12 @@
 			run.outcomes = append(run.outcomes, task+" "+user.place(t, n, class, task+"-"+class))
 		}
 	}
-	// Running tasks complete, each with its own cause.
+	// Two running tasks end with different causes.
 	for _, completion := range []struct{ n, cause int }{{1, causeDone}, {3, causeLost}} {
 		draining.ReportCompletion(testbed.RequestID(completion.n), completion.cause)
 		run.outcomes = append(run.outcomes, user.nextCompletion(t))
 	}
-	// The worker drains and another one is listed: further offers go to the other one only.
+	// The worker drains and worker b is listed: further offers go to worker b only.
 	server.discovery.Add(false, draining.ListEntry("draining"))
 	server.discovery.WaitPolled(t)
 	before := len(draining.Offers)
@@ -140,8 +140,8 @@
 }
 
 // clientTimeoutMs returns the timeout of a task's request in milliseconds. Offers of silent tasks are never
-// answered; their timeout is shorter than that of a single attempt, so that the number of attempts does not
-// depend on the speed of the computer.
+// answered. The timeout of their requests is shorter than the timeout of a single attempt, so that the number of
+// attempts does not depend on the speed of the computer.
 func clientTimeoutMs(task string) int {
 	if strings.HasPrefix(task, "silent") {
 		return 200
@@ -149,7 +149,7 @@
 	return 5000
 }
 
-// While a worker drains, the end of a task that runs there is reported on the front that submitted it, and neither
+// While a worker drains, the end of one of its tasks is reported on the front that submitted the task, and neither
 // front offers new tasks to that worker.
 func TestDrainUnderBothFronts(t *testing.T) {
 	server := newTestServer(t, "a")
@@ -191,7 +191,7 @@
 	}
 }
 
-// Neither front releases or takes over a task that was submitted through the other one.
+// Neither front releases or takes over a task that was submitted through the other front.
 func TestFrontsAreIsolated(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, session := server.connect(t), server.openSession(t, "s")
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests that no attempt begins for a client that has left. The client leaves at each point where its
-// request can wait.
+// This file tests that no attempt begins for a client that has left, by disconnecting or by cancelling its request.
+// The client leaves at each point where its request can wait.
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxLateAttempt is the maximum time, by the rules, between the leave of a client and an attempt that still begins.
+// maxLateAttempt is the maximum time that the rules allow from a client's leave to the start of an attempt for it.
 const maxLateAttempt = 100 * time.Millisecond
 
 // leaverID is the request ID of the client that leaves.
@@ -28,11 +28,11 @@
 }
 
 // waitingRequest is one point where a request can wait. begin submits the client's request such that it waits
-// there, and returns a function that ends the wait.
+// at this point, and returns a function that ends the wait.
 type waitingRequest struct {
 	name    string
 	workers []string
-	// leaveUnread is true if the server reads the client's leave only after the wait has ended.
+	// leaveUnread is true if the server reads the client's disconnect or cancel only after the wait has ended.
 	leaveUnread bool
 	begin       func(t *testing.T, server *proxiedServer, client *testbed.Client) (end func())
 }
@@ -65,7 +65,7 @@
 func waitForCancelConfirmation(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 	testbed.Send(client, leaverLine("missed-leaver"))
 	server.eventually(t, "the first attempt", func() bool { return server.attempts.OfferCount(leaverID) == 1 })
-	// After a notice, the server writes a cancel instead of closing the connection. The delay postpones its confirmation.
+	// After a notice, the server writes a cancel instead of closing the connection. The delay postpones the confirmation.
 	for _, worker := range server.workers {
 		worker.SendNotice()
 		server.proxies[worker.Name].Delay(80 * time.Millisecond)
@@ -115,7 +115,7 @@
 	s.waitUntil(t, "the request", func() bool { return s.dispatcher.OpenCount() == 1 })
 }
 
-// waitMaxLateAttempt waits for maxLateAttempt, so that the paused turn lasts longer than that.
+// waitMaxLateAttempt waits for maxLateAttempt, so that the paused turn lasts longer than maxLateAttempt.
 func (s *proxiedServer) waitMaxLateAttempt() {
 	for began := time.Now(); time.Since(began) < maxLateAttempt; time.Sleep(time.Millisecond) {
 	}
@@ -151,7 +151,7 @@
 				server.waitUntil(t, "no unconfirmed cancel", func() bool { return server.pool.UnconfirmedCancels() == 0 })
 				server.expectAllStarted(t, server.submit("ok", 1, 8000)) // a late attempt would arrive before this response
 				if n := server.attempts.OfferCount(leaverID) - attempts; n > 0 {
-					t.Errorf("%d attempts began after the client had left, want none; the last %s after",
+					t.Errorf("%d attempts began after the client had left, want none; the last began %s after the leave",
 						n, server.attempts.LastOfferAt(leaverID).Sub(left))
 				}
 				if last := server.attempts.LastOfferAt(leaverID); !last.IsZero() {
@@ -222,7 +222,7 @@
 	}
 }
 
-// expectOnlyNextIsOffered submits another request and fails the test unless it is the only one that is offered.
+// expectOnlyNextIsOffered submits another request and fails the test unless it is the only request that is offered.
 func expectOnlyNextIsOffered(t *testing.T, server *testServer) {
 	t.Helper()
 	next := server.connect(t)
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -20,8 +20,8 @@
 	overlongName = "0123456789012345678901234567890123456789012345678901234567890123456789"
 )
 
-// A malformed line ends only its own connection. Requests that were accepted before it on that connection get a
-// response at once.
+// A malformed line ends only its own connection. Requests that were accepted before this line on its
+// connection get a response at once.
 func TestMalformedLines(t *testing.T) {
 	server := newTestServer(t, "a")
 	malformed, overlong, valid, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
@@ -63,7 +63,7 @@
 	}
 }
 
-// The front answers an invalid submission with an error and sends it to no worker, where the failure would only
+// The front answers an invalid submission with an error and does not offer it to a worker: the failure would
 // count against the worker.
 func TestInvalidSubmissions(t *testing.T) {
 	server := newTestServer(t, "a")
@@ -100,8 +100,8 @@
 	t.Run("too many requests", func(t *testing.T) { expectTooManyAreRejected(t, server) })
 }
 
-// A client submits a request ID that is already open for another client, with another task: it gets an error, and
-// neither its submission nor its cancel affects the first request.
+// A client that submits a request ID that is open for another client, with another task, gets an error. Neither its
+// submission nor its cancel affects the first request.
 func expectForeignIDIsLeftAlone(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	other := server.connect(t)
@@ -114,7 +114,7 @@
 	expectCause(t, "the first request's own response", client, testbed.RequestID(1), causeRejected)
 }
 
-// Two requests with the same ID on one connection get one response together, which is not STARTED.
+// Two requests with the same ID on one connection get a single response, which is not STARTED.
 func expectOneResponseToDuplicate(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	request := testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-2", 5000)
@@ -188,7 +188,7 @@
 	}
 }
 
-// An offer carries unchanged the fields by which a worker recognises a repeated request. It omits the fields that
+// An offer contains, unchanged, the fields by which a worker recognises a repeated request. It omits the fields that
 // only an orchestrator uses: the tenant, the hint of the duration, and the number of earlier submissions.
 func TestOfferFields(t *testing.T) {
 	settings := changedSettings(t, settingChange{"RequestClasses.0.Name", "bulletin"}, settingChange{"RequestClasses.0.Semantics", "guarded"},
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -10,7 +10,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A second client that submits a running task again does not receive its completion. The completion goes to
+// A second client that submits a running task again does not receive the task's completion. The completion goes to
 // the client that submitted the task first or, if that client has disconnected, to a client for which a task
 // was started.
 func TestCompletionGoesToItsClient(t *testing.T) {
@@ -85,7 +85,7 @@
 
 // A completion for which no client is connected waits for a connection that is known to belong to a client,
 // while other connections, which may belong to any process, are opened. If only such connections are opened,
-// the completion goes to one of them before it is overdue.
+// the completion goes to one of them before the deadline for its report.
 func TestCompletionWaitsForAClient(t *testing.T) {
 	invalid := testbed.StartLine(testbed.RequestID(2), "no-such-class", "ok-2", 5000)
 	for _, test := range []struct {
@@ -113,7 +113,7 @@
 			server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 1 })
 
 			unknown := server.connect(t)
-			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a")) // it may have guessed the request ID
+			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a")) // this client may have guessed the request ID
 			testbed.Send(unknown, invalid)
 			if line := testbed.Wait(t, "the error", unknown.Lines); line.Tag != testbed.RequestID(2) || line.Cause() != causeFailed {
 				t.Fatalf("invalid submission: got %v, want an error for request 2", line)
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -13,9 +13,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// At the connection limit, connections that never sent anything are evicted first, before one that has sent part
-// of a message, and before one that has no open request and was idle for a while. A connection with an open
-// request is never evicted.
+// At the connection limit, connections that never sent anything are evicted first, before connections that have
+// sent part of a message and before idle connections without an open request. A connection with an open request
+// is never evicted.
 func TestEvictionOrderAtConnectionLimit(t *testing.T) {
 	server := newSmallServer(t, "a")
 	busy := server.connect(t)
@@ -75,9 +75,9 @@
 	return ends
 }
 
-// An idle connection that has only sent a ping is evicted at once for a new client. One that had a task is
-// evicted only after it was idle for a while; until then, a new client waits in the system's queue, and the
-// server does not stop while a connection is queued there.
+// An idle connection that has only sent a ping is evicted at once for a new client. A connection that
+// had a task is evicted only after it was idle for a while; until then, a new client waits in the kernel's accept
+// queue, and the server does not stop while a connection waits in that queue.
 func TestQueuedConnectionsAreServed(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for i := range maxClients {
@@ -106,7 +106,7 @@
 	}
 }
 
-// A client that has not read its response yet is not evicted for a client whose connection waits in the queue.
+// A client that has not read its response yet is not evicted for a client whose connection waits in the accept queue.
 func TestSlowReaderIsNotEvicted(t *testing.T) {
 	server := newSmallServer(t, "a")
 	slow := newSlowReader(t, server)
@@ -135,9 +135,9 @@
 	}
 }
 
-// A request that is written while its connection is evicted is not read there. When the client sends it again on
-// a new connection, it gets one response and is offered once, whether it was written just before the close or
-// after it.
+// A request that is written while its connection is evicted is not read. When the client sends it again on
+// a new connection, it gets one response and is offered once, whether it was first written just before
+// the close or just after it.
 func TestRequestCrossesEviction(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -160,7 +160,7 @@
 
 			if test.before {
 				resume := server.pauseLoop(t)
-				next := server.connect(t) // the server accepts it before it reads the request, and evicts crossing
+				next := server.connect(t) // the server accepts next before it reads the request, and evicts crossing
 				testbed.Send(crossing, request)
 				resume()
 				pingServer(t, next)
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// With more workers than descriptors, the server closes connections to idle workers to connect to those that it
-// needs. It keeps the connection to a worker with a running task, because the completion arrives on it.
+// With more workers than descriptors, the server closes connections to idle workers to connect to the workers
+// that it needs. It keeps the connection to a worker with a running task, because the completion arrives on it.
 func TestIdleWorkerConnectionsAreEvicted(t *testing.T) {
 	const workers, tasks = 60, 6
 	server := newServerWithDiscoveryProxy(t, workers)
@@ -22,7 +22,7 @@
 			t.Fatalf("request %d got %v, want STARTED", i+1, line)
 		}
 	}
-	for _, worker := range slices.Concat(server.workers, server.workers) { // one by one: there are too few descriptors
+	for _, worker := range slices.Concat(server.workers, server.workers) { // one by one, because there are too few descriptors
 		if worker.TaskCount() > 0 {
 			continue
 		}
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// fillWithIdleClients connects four times as many clients as the connection table holds. Every second client
+// fillWithIdleClients connects four times as many clients as the connection table can contain. Every second client
 // sends one message.
 func fillWithIdleClients(t *testing.T, server *discoveryProxyServer) {
 	t.Helper()
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -82,8 +82,8 @@
 	server.expectAllStarted(t, missed)
 }
 
-// An offer that was written during a partition must not arrive after the partition, because the task runs on
-// another worker by then.
+// An offer that was written during a partition must not arrive after the partition, because the task already
+// runs on another worker.
 func offeredIntoCut(t *testing.T, server *proxiedServer) {
 	server.proxies["a"].Partition(t)
 	server.expectAllStarted(t, server.submit("ok", 40, 5000))
@@ -148,8 +148,8 @@
 	server.waitCompletion(t, id)
 }
 
-// A worker sends a completion on an older connection while the server closes it, just after the worker's
-// response on it. The worker reports the completion again on the next connection, which the server must open.
+// A worker sends a completion on an older connection while the server closes it, just after the
+// worker has sent a response on that connection. The worker reports the completion again on the next connection, which the server must open.
 func completedDuringClose(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.lastID++
@@ -157,7 +157,7 @@
 	testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
 	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.InFlight(), late) })
 	dials, _ := server.workers[0].DialCounts()
-	server.eventually(t, "another connection", func() bool { // opened after the worker has been silent for long
+	server.eventually(t, "another connection", func() bool { // opened after the worker has been silent for a long time
 		time.Sleep(450 * time.Millisecond) // the interval between the client's requests, in which the worker is silent
 		server.submit("ok", 1, 5000)
 		now, _ := server.workers[0].DialCounts()
@@ -176,14 +176,14 @@
 // partitioned. Second attempts are offered to the partitioned worker; the last attempts must be offered to the
 // worker that is reachable.
 //
-// Both workers are suspect at that point. The worker pool knew that no connection reached the partitioned worker
-// but reported only the opposite to the scheduler, that a worker is reachable again. Once the reachable worker
-// had two attempts, the most that a suspect worker gets, the fallback of the search was left with the partitioned
-// one. In the trace of each rejected request, the connection carried nothing back and was closed, 'offer attempt=2'
-// named the same worker 3 ms later, and 'offer never sent' followed because the next connection was not
-// established in time.
+// Both workers are suspect at that point. In the fault that this test guards against, the worker pool knew that no
+// connection reached the partitioned worker but did not report this to the scheduler; it only reported when a worker
+// was reachable again. Once the reachable worker had two attempts, the maximum for a suspect worker, the fallback of
+// the search had only the partitioned worker left. In the trace of each rejected request, the connection carried
+// nothing back and was closed, 'offer attempt=2' named the same worker 3 ms later, and 'offer never sent' followed
+// because the next connection was not established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
-	for range 30 { // servers: placement is random, and about every second draw puts all attempts at one worker
+	for range 30 { // up to 30 servers: placement is random, and about every second draw puts all attempts at one worker
 		server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 		missed := server.submit("missed", 4, 2000)
 		server.sendNoticesOnceOffered(t, missed)
--- a/cmd/ravenhitch/figures_test.go
+++ b/cmd/ravenhitch/figures_test.go
@@ -58,13 +58,13 @@
 	}
 }
 
-// receiveFigures accepts one connection, sends its lines to the channel lines and writes answer after each one.
+// receiveFigures accepts one connection, sends its lines to the channel lines and writes answer after each line.
 func receiveFigures(listener net.Listener, answer string, lines chan<- string) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return
 	}
-	defer func() { _ = conn.Close() }() // the exporter has ended by then, or the test is over
+	defer func() { _ = conn.Close() }() // the exporter or the test has ended by then
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
 		lines <- scanner.Text()
 		if _, err := io.WriteString(conn, answer); err != nil {
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -26,7 +26,7 @@
 }
 
 // run works until the server has stopped. The server does not wait for it to return: the disk may be slow, and
-// that must not delay the end of the process.
+// a slow disk must not delay the exit of the process.
 func (w *fileWorker) run() {
 	ticker := time.NewTicker(handoverReadInterval)
 	defer ticker.Stop()
@@ -53,7 +53,7 @@
 	})
 }
 
-// readFiles passes changes that other processes made to the files since the last read to the event loop.
+// readFiles reads the files and posts changes that other processes made since the last read to the event loop.
 func (w *fileWorker) readFiles() {
 	s := w.server
 	if w.store.hasSuccessor() {
--- a/cmd/ravenhitch/grpc_session_test.go
+++ b/cmd/ravenhitch/grpc_session_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests the sessions of the gRPC front: sessions that are resumed on a new stream, and limits.
+// This file tests the sessions of the gRPC front: the resumption of a session on a new stream, and the limits.
 
 import (
 	"errors"
@@ -112,7 +112,7 @@
 }
 
 // The server closes a connection or a stream on which the client sends nothing before the timeout for its first
-// message. A session may have at most 512 open offers; the server rejects more with a Retry-After.
+// message. A session may have at most 512 open offers; the server rejects further offers with a Retry-After.
 func TestGRPCLimits(t *testing.T) {
 	server := newTestServer(t, "a")
 	conn, err := net.Dial("tcp", server.grpcAddr)
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -131,7 +131,7 @@
 	if err := testbed.Wait(t, "the end of the call", errs); status.Code(err) != codes.Canceled {
 		t.Errorf("cancelled call: got status %v, want Canceled", err)
 	}
-	// The worker has sent nothing on the connection since the offer. A cancel written there may never arrive,
+	// The worker has sent nothing on the connection since the offer. A cancel written on it may never arrive,
 	// and only closing the connection is certain to abandon the attempt.
 	for testbed.Wait(t, "the close", worker.LostOffers).Tag != testbed.RequestID(21) {
 	}
--- a/cmd/ravenhitch/grpcclient_test.go
+++ b/cmd/ravenhitch/grpcclient_test.go
@@ -43,7 +43,7 @@
 	err        error                      // error that ended the stream, valid once messages is closed
 }
 
-// openSession opens a stream of the named session and acknowledges no message of an earlier one.
+// openSession opens a stream of the named session and acknowledges no message of an earlier stream.
 func (s *testServer) openSession(t *testing.T, name string) *clientSession {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -18,7 +18,7 @@
 	"ravenhitch/internal/admin"
 )
 
-// Earlier versions of the program read and write files of these names, so the names must not change.
+// Earlier versions of the program read and write files with these names, so the names must not change.
 const (
 	cordonsFile   = "minions-out"
 	servingSuffix = ".serves"
@@ -51,8 +51,8 @@
 	return strings.TrimSpace(string(b))
 }
 
-// claimServing records that this process serves now, which tells a process that already serves that it has a
-// successor.
+// claimServing records that this process serves now. A process that served before recognises from this record that
+// it has a successor.
 func (s handoverStore) claimServing() error {
 	return s.replace(servingSuffix, []byte(s.processID+"\n"))
 }
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -38,7 +38,7 @@
 	first := startManaged(t, discovery, listener)
 	first.waitReady(t)
 	connectSilentOperators(t, first, 2*24)
-	expectAdminAnswers(t, first)
+	expectAdminReplies(t, first)
 
 	firstClient := testbed.NewClient(t, listener.Addr().String())
 	for n := range 8 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// expectAdminAnswers checks the replies to admin calls. It leaves worker a cordoned.
-func expectAdminAnswers(t *testing.T, process *managedProcess) {
+// expectAdminReplies checks the replies to admin calls. It leaves worker a cordoned.
+func expectAdminReplies(t *testing.T, process *managedProcess) {
 	t.Helper()
 	for call, want := range map[string]string{
 		"OFFLINE x": "-ERR no worker x\n",
@@ -104,7 +104,7 @@
 	process.call(t, "ONLINE b")
 }
 
-// expectSuccessorServes checks the time in which the first process shuts down and the second serves. A call to
+// expectSuccessorServes checks the period in which the first process shuts down and the second serves. A call to
 // uncordon a worker at the first process takes effect at the second as well. Clients that connect now are served
 // by the second process, and the first still serves the clients that were connected to it. The function returns
 // a client of the second process.
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -16,8 +16,8 @@
 // covers the buffers of connections and the memory that the runtime has not freed yet.
 const heapSlack = 96 << 10
 
-// completionKinds maps each way in which a request or a task ends over sockets to a function that submits one
-// and ends it in that way.
+// completionKinds maps the name of each way in which a request or a task can end to a function that submits a
+// request and ends it or its task in that way.
 var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "ok-1")
@@ -121,9 +121,9 @@
 	return int64(stats.HeapAlloc)
 }
 
-// settledHeap returns the size of the live heap in bytes after the worker has freed the records that it keeps
-// for each connection. It closes the worker's connections for that, and waits until no request, cancel or
-// release is pending.
+// settledHeap returns the size of the live heap in bytes. It first closes the worker's connections, which makes
+// the worker free the records that it keeps for each connection, and waits until no request, cancel or release is
+// pending.
 func (s *testServer) settledHeap(t *testing.T) int64 {
 	t.Helper()
 	worker := s.workers[0]
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// adminTimeout is the timeout of connecting, and again of sending the call and reading the whole answer.
+	// adminTimeout is the timeout of connecting, and also the timeout of sending the call and reading the reply.
 	adminTimeout = 2 * time.Second
-	// maxAdminAnswer is the maximum number of bytes that are read of an answer.
-	maxAdminAnswer = 8 << 20
+	// maxAdminReply is the maximum number of bytes of a reply that are read.
+	maxAdminReply = 8 << 20
 )
 
 type peersCommand struct {
@@ -46,20 +46,20 @@
 	return err
 }
 
-// adminRequest makes one admin call and returns the text of the answer, without the line "." that ends it.
+// adminRequest makes one admin call and returns the text of the reply, without the final line ".".
 func adminRequest(addr, call string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // the answer has been read by then
+	defer func() { _ = conn.Close() }() // the reply has been read by then
 	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return "", err
 	}
 	if _, err := fmt.Fprintln(conn, call); err != nil {
 		return "", err
 	}
-	b, err := io.ReadAll(io.LimitReader(conn, maxAdminAnswer))
+	b, err := io.ReadAll(io.LimitReader(conn, maxAdminReply))
 	if err != nil {
 		return "", err
 	}
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -39,13 +39,13 @@
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
-	s.waitResponses(t, s.submit("ok", 1, 5000)) // the first task on a connection lifts its low limit of open requests
+	s.waitResponses(t, s.submit("ok", 1, 5000)) // the first task on a connection raises the low limit of its open requests
 	s.expectAllStarted(t, s.submit("ok", 16*len(workers), 5000))
 	return s
 }
 
-// submit submits count requests of small tasks at once and returns their request IDs. kind names the script by
-// which a worker answers the offers; see testbed.Worker.
+// submit submits count requests of small tasks at once and returns their request IDs. kind determines
+// how a worker answers the offers; see testbed.Worker.
 func (s *proxiedServer) submit(kind string, count, timeoutMs int) (ids []string) {
 	for range count {
 		s.lastID++
@@ -95,7 +95,7 @@
 	}
 }
 
-// nextLine returns the next line that the client receives. While it waits, every worker sends a notice each 20 ms.
+// nextLine returns the next line that the client receives. While it waits, every worker sends a notice every 20 ms.
 func (s *proxiedServer) nextLine(t *testing.T) testbed.Line {
 	t.Helper()
 	for limit := time.After(testbed.Timeout); ; {
@@ -128,7 +128,7 @@
 	s.eventually(t, "no open attempt", func() bool { return len(s.attempts.InFlight()) == 0 })
 }
 
-// eventually waits until a condition holds, and fails the test if it does not within testbed.Timeout.
+// eventually waits until a condition is met, and fails the test if it is not met within testbed.Timeout.
 func (s *proxiedServer) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(testbed.Timeout); !condition(); time.Sleep(time.Millisecond) {
--- a/cmd/ravenhitch/recording.go
+++ b/cmd/ravenhitch/recording.go
@@ -36,7 +36,7 @@
 	Moments  []fleet.Snapshot     `json:"moments"`
 }
 
-// saveRecording judges the rehearsal, writes the recording and prints the summary. If rules were broken, its
+// saveRecording evaluates the rehearsal, writes the recording and prints the summary. If rules were broken, its
 // error gives their number and the first of them.
 func (c *rehearseCommand) saveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
 	verdict := rig.Evaluate()
--- a/cmd/ravenhitch/rehearsal_host.go
+++ b/cmd/ravenhitch/rehearsal_host.go
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// errEndedEarly is wrapped by the error of a rehearsal that ended before its schedule did.
+// errEndedEarly is wrapped by the error of a rehearsal that ended before its schedule was completed.
 var errEndedEarly = errors.New("the rehearsal ended early")
 
 // rehearsalHost is the testbed.Host of a rehearsal. Its methods may be called from any goroutine, except Fatal
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -17,7 +17,7 @@
 )
 
 // defaultSchedule is played if no other schedule and no seed is given. It cuts off a zone, kills an orchestrator
-// in the meantime, ends both faults, and finally pauses an orchestrator.
+// while the zone is cut off, ends both faults, and finally pauses an orchestrator.
 const defaultSchedule = "2s cut hall-b; 5s kill n3; 9s mend hall-b; 11s start n3; 14s pause n2 2s; 17s heal"
 
 type rehearseCommand struct {
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // holds only settings and stored files of processes that have ended
+	defer func() { _ = os.RemoveAll(dir) }() // contains only settings and stored files of processes that have ended
 	host := &rehearsalHost{out: out}
 	defer host.runCleanups()
 	interrupts := make(chan os.Signal, 1)
@@ -128,7 +128,7 @@
 }
 
 // showUntilPlayed plays the schedule and shows the progress every second. If an interrupt ends it early, the
-// goroutine that plays the schedule keeps running until the process ends, which follows.
+// goroutine that plays the schedule keeps running until the process exits, which follows immediately.
 func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step, length time.Duration,
 	interrupts <-chan os.Signal) error {
 	played := make(chan struct{})
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -1,8 +1,8 @@
 package main
 
 // This file restarts many processes at once, each with many workers in its configuration, and measures how long
-// each process takes to become ready. A process is ready when it has answered a ping, which is what the front end
-// of the platform waits for.
+// each process takes to become ready. A process is ready when it has answered a ping. The front end of the
+// platform waits for this answer.
 
 import (
 	"flag"
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -52,7 +52,7 @@
 
 // A retry token that one orchestrator issued is valid at another orchestrator with the same keys, but only once and
 // not before its Retry-After has passed. A token that is early, used or invalid has no effect: the offer is handled
-// like one without a token.
+// like an offer without a token.
 func TestRetryTokens(t *testing.T) {
 	issuer, _ := newServerWithTokenKeys(t)
 	verifier, keysPath := newServerWithTokenKeys(t)
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -9,9 +9,9 @@
 )
 
 // A worker accepts tasks and begins to drain before the orchestrator has read the acceptances. The worker ends each task
-// with a FINISH of code 41 and the note drained. The note means that the task ran, so the request is over and its client
-// gets a response at once. The orchestrator used to treat the end as that of an offer that was lost in transit, and
-// offered a task that may be repeated to another worker.
+// with a FINISH of code 41 and the note drained. The note means that the task ran, so the request ends and its client
+// gets a response at once. The orchestrator used to treat this FINISH as the loss of an offer in transit. If the task
+// could be repeated, it was offered to another worker.
 //
 // In a trace of the failure, each such request has the line
 //
@@ -33,8 +33,8 @@
 	}
 }
 
-// evictOnceOffered waits until the task of a request runs at a worker, and has that worker end it as a draining
-// worker does.
+// evictOnceOffered waits until the task of a request runs on a worker, and makes that worker evict the task, as a
+// draining worker does.
 func (s *testServer) evictOnceOffered(t *testing.T, requestID string) {
 	t.Helper()
 	for {
@@ -50,11 +50,11 @@
 
 // A worker accepts a task, and the connection is closed before the orchestrator has read the acceptance. The request is
 // pending because it may be retried, but no worker is available. The worker then reports the end of the task on its next
-// connection. The task ran and is over, so the request gets a response at once and is not offered again when a worker
-// becomes available.
+// connection. The task ran and has ended, so the request gets a response at once and is not offered again when a
+// worker becomes available.
 //
-// The orchestrator used to accept an end on another connection than that of the offer only for a running task or an
-// unknown one. In the soak with seed 15, the trace showed 'connection lost with offer open', the worker ended the task
+// The orchestrator used to accept the end of a task on a connection other than the offer's only if the task was running
+// or unknown. In the soak with seed 15, the trace showed 'connection lost with offer open', the worker ended the task
 // 220 ms later without a line in the trace, and 'offer attempt=1' to another worker followed 380 ms after that.
 func TestTaskEndedOnAnotherConnection(t *testing.T) {
 	for _, end := range []struct {
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -36,11 +36,11 @@
 	defaultSockets = 1024
 	// minSocketBudget is the minimum number of sockets with which the event loop can serve.
 	minSocketBudget = 16
-	// minBufferedBytes is the number of unread bytes that every connection may at least leave in the send
-	// buffer: a few messages of the maximum size.
+	// minBufferedBytes is the lower bound of the limit of unread bytes in the send buffer of a connection: a few
+	// messages of the maximum size.
 	minBufferedBytes = 64 << 10
-	// bufferedMemoryDivisor is the divisor that yields the part of the memory which all connections together
-	// may occupy with unread bytes.
+	// bufferedMemoryDivisor limits the unread bytes of all connections together to 1/bufferedMemoryDivisor of
+	// the memory.
 	bufferedMemoryDivisor = 4
 )
 
@@ -69,7 +69,7 @@
 	drainTimeoutWithSuccessor int64 // drainTimeout for the case that a successor serves
 	shuttingDown              bool
 	inheritedListener         bool // true if the platform owns the listening socket for clients
-	hasSuccessor              bool // true if a process that started later serves on that socket
+	hasSuccessor              bool // true if a process that started later serves on the inherited socket
 	// successorChecks requests that the file worker checks for a successor; nil if admin calls are off.
 	successorChecks chan struct{}
 	// stopped is closed when Run returns or start fails. Any goroutine may wait for it.
@@ -206,8 +206,8 @@
 	return err
 }
 
-// turnHandler returns the function that the event loop calls once in each turn, after all input is read. It lets
-// the dispatcher decide and sets a timer to the dispatcher's next deadline.
+// turnHandler returns the function that the event loop calls once in each turn, after all input is read. The
+// function lets the dispatcher decide and sets a timer to the dispatcher's next deadline.
 func (s *server) turnHandler() func(now int64) {
 	var timer *eventloop.Timer
 	var deadline int64
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -12,10 +12,10 @@
 const (
 	// lateRequestsUs is the time after SIGTERM during which new requests still arrive.
 	lateRequestsUs = 800 * millisecond
-	// maxDeadlineUs is the upper limit of the deadline in that wait: the platform counts a longer one as this.
+	// maxDeadlineUs is the maximum deadline in the platform's wait: a longer deadline counts as maxDeadlineUs.
 	maxDeadlineUs = 3 * second
-	// maxDeadlineWithSuccessorUs is this upper limit if the platform owns the listening socket for clients and
-	// a successor serves on it beside this process.
+	// maxDeadlineWithSuccessorUs replaces maxDeadlineUs if the platform owns the listening socket for clients
+	// and a successor serves on it at the same time as this process.
 	maxDeadlineWithSuccessorUs = 5 * second
 	killSlackUs                = 700 * millisecond
 	// killMarginUs is the time before the kill at which open requests are rejected.
@@ -52,8 +52,8 @@
 }
 
 // requestSuccessorCheck asks the file worker to check for a successor that started after the handover files were
-// last read. Without the check, a client that connects in the meantime would be accepted here and sent away
-// again. requestSuccessorCheck reports whether the request was queued; the result of the check begins the
+// last read. Without the check, a client that connects before the next read would be accepted here and then
+// disconnected. requestSuccessorCheck reports whether the request was queued; the result of the check begins the
 // shutdown.
 func (s *server) requestSuccessorCheck() bool {
 	select {
@@ -84,9 +84,9 @@
 	s.drain(s.loop.Now())
 }
 
-// drain serves on while requests still arrive, for lateRequestsUs. It then stops as soon as no work is unfinished
-// and no connection waits in the system's queue to be accepted: such a connection may carry a request, which a
-// stop would lose. At the drain timeout, shortly before the kill, it rejects all open requests.
+// drain keeps serving for lateRequestsUs, because requests still arrive in this time. It then stops as soon as no
+// work is unfinished and no connection waits in the kernel's accept queue: such a connection may carry a request,
+// which a stop would lose. At the drain timeout, shortly before the kill, it rejects all open requests.
 func (s *server) drain(since int64) {
 	switch age := s.loop.Now() - since; {
 	case age >= s.drainTimeout:
@@ -100,10 +100,10 @@
 
 // drainInherited drains a process whose listening socket is owned by the platform. If a successor serves on that
 // socket, this process stops listening at once: new clients connect to the successor, and this process answers
-// the requests that are open here. Without a successor, clients still connect, and those that are not accepted
-// wait in the system's queue for the next process, which starts only after this one is killed. This process
-// therefore serves until shortly before the kill, and leaves to the queue only the clients that it could no
-// longer answer.
+// the requests that are open here. Without a successor, clients still connect, and clients that are not accepted
+// wait in the kernel's accept queue for the next process, which starts only after this one is killed. This
+// process therefore serves until shortly before the kill, and leaves in the queue only the clients that it could
+// no longer answer.
 func (s *server) drainInherited(since int64) {
 	age, timeout := s.loop.Now()-since, s.drainTimeout
 	if s.hasSuccessor {
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -80,11 +80,11 @@
 	return err == nil && ms >= 0 && ms <= 3000
 }
 
-// newSlowReader connects a client that does not read, and fills the system's buffers with responses to its pings
-// until the server has to keep further ones in its own buffer.
+// newSlowReader connects a client that does not read, and fills the kernel's buffers with responses to its pings
+// until the server has to keep further responses in its own buffer.
 func newSlowReader(t *testing.T, server *testServer) net.Conn {
 	t.Helper()
-	// The fixed size of the receive buffer stops the system from enlarging it further and further.
+	// The fixed size of the receive buffer prevents the kernel from enlarging the buffer automatically.
 	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		var optionErr error
 		err := c.Control(func(fd uintptr) {
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -1,7 +1,7 @@
 package main
 
 // This file provides the server that the tests run: an orchestrator in this process, with workers and discovery
-// of the testbed. It decides nothing about what a test expects.
+// of the testbed. It contains no expectations of individual tests.
 
 import (
 	"fmt"
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -13,10 +13,10 @@
 )
 
 // deadAfterRefused is the time after which the worker pool considers a worker dead that refuses connections and sends
-// nothing on its open ones. It equals the constant of the same name in package workerpool.
+// nothing on its open connections. It equals the constant of the same name in package workerpool.
 const deadAfterRefused = 2 * time.Second
 
-// A worker that refuses connections and is silent on its open ones is dead. The server then reports its tasks lost, as
+// A worker that refuses connections and is silent on its open connections is dead. The server then reports its tasks lost, as
 // no other process will report their completions. A worker that only refuses new connections is alive, and its tasks
 // end when it reports their completions.
 func TestWorkersRefusingConnections(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// The connections of a worker whose process dies are reset and new ones are refused. The server reports its tasks lost.
+// The connections of a worker whose process dies are reset, and new connections are refused. The server reports its tasks lost.
 func TestDeadWorker(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -91,7 +91,7 @@
 	return a.encoder.EndReply(batch.Seq)
 }
 
-// start starts an instance, which replaces any instance of the same number. Invalid settings are
+// start starts an instance, which replaces any instance with the same number. Invalid settings are
 // reported to the simulator in a FAULT line.
 func (a *adapter) start(item simwire.Item) error {
 	scheduler, err := placement.New(item.Settings, item.Seed)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -1,8 +1,8 @@
 package admin
 
 // This file owns the connections of operators. A connection carries one call of one line and its
-// reply, and is then closed. The listener must never delay a client's request, nor let connections that
-// send nothing keep out a connection that sends a call.
+// reply, and is then closed. The listener must never delay a client's request, nor refuse a
+// connection that sends a call because of connections that send nothing.
 
 import (
 	"bytes"
@@ -20,8 +20,8 @@
 	// maxConnections is the maximum number of open connections. To accept a further
 	// connection, the listener closes the oldest connection without a complete call.
 	maxConnections = 24
-	// callTimeoutUs is how long a connection may stay open, in microseconds. It bounds the time
-	// until the call is complete and its reply is written.
+	// callTimeoutUs is the maximum time, in microseconds, for which a connection stays open. It
+	// bounds the time until the call is complete and its reply is written.
 	callTimeoutUs = 10 * second
 )
 
@@ -71,7 +71,7 @@
 type connection struct {
 	listener *Listener
 	conn     *eventloop.Conn
-	hasCall  bool // the call is complete, or exceeds MaxCallLength
+	hasCall  bool // true once the call is complete or exceeds MaxCallLength
 	timer    *eventloop.Timer
 }
 
--- a/internal/config/arguments.go
+++ b/internal/config/arguments.go
@@ -1,8 +1,8 @@
 package config
 
 // This file owns the conversion of a directive's arguments to typed values within bounds.
-// Each of its errors is a *PositionError. Its position is that of the invalid argument, or
-// that of the directive's name if an argument is missing.
+// Each error is a *PositionError at the invalid argument, or at the directive's name if an
+// argument is missing.
 
 import (
 	"fmt"
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -30,8 +30,8 @@
 // setter applies a directive to the setting that it controls.
 type setter = func(d Directive) error
 
-// sectionDirectives holds the setters of all directives, by the section's name and the directive's
-// name.
+// sectionDirectives contains the setters of all directives, by the section's name and the
+// directive's name.
 type sectionDirectives map[string]map[string]setter
 
 // repeatable lists the directives that may occur more than once in a section.
@@ -53,7 +53,7 @@
 }
 
 // apply calls the setter of each directive of the section. It returns an error for an unknown
-// directive, and for one that occurs again although it is not repeatable.
+// directive, and for a second occurrence of a directive that is not repeatable.
 func (s Section) apply(setters map[string]setter) error {
 	seen := map[string]int{} // line number by name of the directive
 	for _, d := range s.Directives {
--- a/internal/config/flatten.go
+++ b/internal/config/flatten.go
@@ -34,8 +34,8 @@
 }
 
 // flattenArray appends the pairs of the array at path to pairs. An array of objects becomes a pair
-// with its length and the pairs of each object, at the path with the object's index. Any other array
-// becomes one pair with the items separated by commas.
+// with its length, and the pairs of each object at the path that ends in the object's index. Any other
+// array becomes one pair with the items separated by commas.
 func flattenArray(path string, items []gjson.Result, pairs *[]string) {
 	if len(items) > 0 && items[0].IsObject() {
 		*pairs = append(*pairs, join(path, "count")+"="+strconv.Itoa(len(items)))
@@ -51,7 +51,7 @@
 	*pairs = append(*pairs, path+"="+strings.Join(scalars, ","))
 }
 
-// join returns the path of the field that name denotes in the object at path.
+// join returns the path of the field called name in the object at path.
 func join(path, name string) string {
 	if path == "" {
 		return name
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -1,6 +1,6 @@
 package config
 
-// This file owns the syntax of line-based files, which is that of classic Unix daemons: a section
+// This file owns the syntax of line-based files, which is common for Unix daemons: a section
 // starts with its name in brackets, and each further line holds one directive, a name followed by
 // arguments. # begins a comment, and double quotes allow spaces in a word. The caller decides what a
 // directive means; arguments.go converts arguments to values.
@@ -25,7 +25,7 @@
 	Line, Column int // counted from 1; Column in bytes
 }
 
-// Expected returns a *PositionError that reports the word where want was expected.
+// Expected returns a *PositionError that reports that want was expected in place of the word.
 func (w Word) Expected(want string) error {
 	return &PositionError{File: w.File, Line: w.Line, Column: w.Column, Want: want, Got: w.Text}
 }
@@ -72,8 +72,8 @@
 	return &PositionError{File: p.file, Line: p.line, Column: column, Want: want, Got: got}
 }
 
-// parse parses the current line, which holds a heading, a directive of the last section, or nothing
-// but spaces and a comment.
+// parse parses the current line, which contains a heading, a directive of the last section, or
+// nothing but spaces and a comment.
 func (p *lineParser) parse(text string) error {
 	if len(text) > maxLineLength {
 		return p.errorAt(maxLineLength+1, fmt.Sprintf("a line of at most %d bytes", maxLineLength), "")
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -79,7 +79,7 @@
 
 // Backpressure configures Retry-After.
 type Backpressure struct {
-	FixedRetryAfter      time.Duration // Retry-After of all clients; 0: each client gets that of its reserved slot
+	FixedRetryAfter      time.Duration // Retry-After of all clients; 0: derived from the reserved slot of each client
 	MinRetryAfter        time.Duration // lower bound of Retry-After unless FixedRetryAfter is set
 	MaxRememberedClients int           // maximum number of rejected clients remembered; 0: a default that fits a small host
 }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -1,7 +1,7 @@
 package config
 
-// This file owns the format of discovery's lists of workers. It must never let one invalid worker
-// hide the other workers of its list.
+// This file owns the format of discovery's lists of workers. An invalid worker must never cause the
+// other workers of its list to be left out.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 var errInvalidJSON = fmt.Errorf("%w: not valid JSON", ErrConfig)
 
 // Update is a response of discovery, or the initial list of workers in the configuration: a cursor
-// and the events up to it.
+// and the events up to this cursor.
 type Update struct {
 	Cursor         int64
 	Events         []Event
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// This file contains how connections are opened and closed. The descriptor of a connection is never closed while
-// events are being dispatched, and a handler is never notified of a close that its user requested.
+// This file contains the opening and closing of connections. The descriptor of a connection is never closed while
+// events are being dispatched, and a handler is never notified of a close that the user of the package requested.
 
 import (
 	"golang.org/x/sys/unix"
@@ -12,15 +12,16 @@
 // Opened is called when the connection is established. Data is called with all received bytes that it has not used
 // yet, and returns how many of them it has used; the rest is passed again together with the bytes received next. If
 // Data returns an error, the connection is closed with that error. Closed is called once for every connection that
-// was opened or dialled, unless its user closed or aborted it.
+// was opened or dialled, unless the user of the package closed or aborted the connection.
 type Handler interface {
 	Opened(c *Conn)
 	Data(c *Conn, b []byte) (used int, err error)
 	Closed(c *Conn, err error)
 }
 
-// Drainer is a Handler that is notified when the kernel has accepted all output of its connection, after it had
-// accepted only a part at first. It is also notified after Opened of a dialled connection, if no output is left then.
+// Drainer may be implemented by a Handler. Drained is called when the kernel, after accepting only a part of the output
+// of a connection, has accepted the rest. For a dialled connection, Drained is also called after Opened if no output is
+// left.
 type Drainer interface {
 	Drained(c *Conn)
 }
@@ -38,13 +39,13 @@
 
 	input       []byte // received bytes that the handler has not used yet
 	output      []byte // bytes written by the user that the kernel has not accepted yet
-	flushQueued bool   // the output is flushed at the end of this turn
-	awaitsDrain bool   // the kernel accepted only a part of the output; the handler is notified once it accepts the rest
+	flushQueued bool   // true if the output will be flushed at the end of this turn
+	awaitsDrain bool   // true after the kernel accepted only a part of the output, until it accepts the rest
 
 	bytesWritten int64
 	bytesSent    int64
 
-	emptyAt    int64 // [Loop.Clock] time at which nothing was left to read
+	emptyAt    int64 // last [Loop.Clock] time at which nothing was left to read
 	unreadPoll int64 // number of the last complete poll after which data may have been left unread
 }
 
@@ -94,8 +95,8 @@
 }
 
 // Abort closes the connection with a TCP reset. The handler is not notified. The reset makes the kernels on both
-// sides discard data that the other side has not read yet. After a plain close they would keep trying to deliver
-// that data, and a message could arrive long after it was due.
+// sides discard data that the other side has not read yet. After a plain close, the kernels would keep trying
+// to deliver this data, and a message could arrive long after its deadline.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
@@ -130,8 +131,8 @@
 
 // reap closes the descriptors of dropped connections. Outside the dispatch of events it runs at once, so that the
 // close is sent before anything that is written after it. During the dispatch it is deferred until all events are
-// dispatched: the number of a closed descriptor may be reused, and the events of the old connection would go to the
-// new one.
+// dispatched: the number of a closed descriptor could be reused, and the events of the old connection would go to
+// the new one.
 func (l *Loop) reap() {
 	for _, c := range l.unreaped {
 		delete(l.conns, c.fd)
@@ -161,8 +162,8 @@
 	}
 }
 
-// finishDial handles the epoll events of a dialled connection until it is established, and reports whether the
-// connection is open.
+// finishDial handles the epoll events of a dialled connection until it is established. It reports whether the
+// connection is established and not closed.
 func (c *Conn) finishDial(events uint32) bool {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -20,7 +20,7 @@
 // OpError reports a failed operation. It wraps the cause, which is a [unix.Errno] if a system call failed.
 type OpError struct {
 	Op     string // operation that failed, such as "dial" or "read"
-	Target string // object of the operation, such as an address; "" for the connection whose handler gets the error
+	Target string // object of the operation, such as an address; "" if the operation needs none
 	Err    error
 }
 
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,12 +1,12 @@
 // Package eventloop implements an event loop on epoll. It owns the epoll descriptor, all sockets, their
-// buffers, the timers and the descriptor budget. One goroutine runs the loop; any other goroutine may
-// access what the loop owns only through [Loop.Post]. The package knows no protocol and never blocks,
-// neither on a socket nor on another goroutine. The descriptor of a connection is closed in one place
-// only, [Loop.reap].
+// buffers, the timers and the descriptor budget. One goroutine runs the loop; other goroutines may access
+// the resources of the loop only through [Loop.Post]. The package implements no protocol and never blocks
+// on a socket or on another goroutine. The descriptor of a connection is closed in one place only,
+// [Loop.reap].
 //
 // One iteration of the loop is called a turn. Output is sent at the end of the turn, in the order in
 // which connections were first written to. Output that must be sent before all other output of the turn
-// is passed to the kernel at once by [Conn.Flush]. A close is not deferred to the end of the turn either.
+// is passed to the kernel at once by [Conn.Flush]. A close does not wait for the end of the turn either.
 //
 // Times are Unix times in microseconds.
 package eventloop
@@ -51,8 +51,8 @@
 
 	unreaped  []*Conn // closed connections whose descriptors are still open
 	unflushed []*Conn // connections that were written to in this turn
-	// dispatching is true while events are being dispatched. The number of a descriptor that is closed then could be
-	// reused for another connection, which would get the events of the old one.
+	// dispatching is true while events are being dispatched. In this time, no descriptor of a connection is closed: its
+	// number could be reused for a new connection, which would get the events of the old one.
 	dispatching bool
 
 	startedAt    time.Time
@@ -123,7 +123,7 @@
 func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
 // SetMaxBuffered sets the maximum number of output bytes that the other side of one connection may leave unread,
-// beyond those that the kernel buffers. A connection over the limit is closed with [ErrOverflow].
+// not counting the bytes that the kernel buffers. A connection over the limit is closed with [ErrOverflow].
 func (l *Loop) SetMaxBuffered(maxBytes int) { l.maxBuffered = maxBytes }
 
 // RunAgain makes the loop start the next turn without waiting for events.
@@ -132,8 +132,8 @@
 // Stop makes Run return after this turn.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Post makes the loop call f on its own goroutine: in the current turn if that has not run its posted functions yet,
-// otherwise in the next turn. Any goroutine may call Post.
+// Post makes the loop call f on its own goroutine: in the current turn if the loop has not run the posted functions of this
+// turn yet, otherwise in the next turn. Any goroutine may call Post.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -142,7 +142,7 @@
 	_, _ = unix.Write(l.wakeFD, one[:]) // fails if the counter is full: then a wake-up is already pending
 }
 
-// Run runs turns until Stop is called. Each turn handles all ready descriptors, posted functions and due timers, then
+// Run runs turns until Stop is called. Each turn handles all ready descriptors, posted functions and expired timers, then
 // calls turn once with the time at which the turn began, and finally sends the output.
 func (l *Loop) Run(turn func(now int64)) error {
 	events := make([]unix.EpollEvent, initialEvents)
@@ -153,7 +153,7 @@
 		}
 		l.runAgain = false
 		l.updateNow()
-		complete := err == nil && n < len(events) // a full buffer may omit ready descriptors
+		complete := err == nil && n < len(events) // if the buffer is full, ready descriptors may have been omitted
 		if complete {
 			l.polls.recordPoll(l.now)
 		}
@@ -226,7 +226,7 @@
 			c.fail(err)
 			continue
 		}
-		if c.awaitsDrain { // the other side read the rest within the turn, so no event will report it
+		if c.awaitsDrain { // the kernel accepted the rest within the turn, so no event will report this
 			c.notifyDrained()
 		}
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -13,8 +13,8 @@
 const (
 	// listenBacklog is the maximum length of the kernel's accept queue of a listening socket.
 	listenBacklog = 1024
-	// maxAcceptsPerTurn is the maximum number of connections that one listener accepts in a turn, so that others are
-	// served.
+	// maxAcceptsPerTurn is the maximum number of connections that one listener accepts in a turn, so that other
+	// descriptors are served.
 	maxAcceptsPerTurn = 256
 	// acceptPause is the time, in microseconds, for which a listener pauses after a connection could not be accepted.
 	acceptPause = 20 * millisecond
@@ -46,7 +46,7 @@
 	admission Admission
 	accept    func() Handler
 	paused    bool
-	queued    bool  // connections may wait in the accept queue; false once the queue was found empty
+	queued    bool  // true if connections may be waiting in the accept queue; false once it was found empty
 	emptyAt   int64 // time at which the accept queue was last found empty
 }
 
@@ -79,7 +79,7 @@
 }
 
 // ListenInherited accepts connections, as Listen does, on a listening socket that this process has inherited. It
-// returns the address of the socket, or "" if that is not an IPv4 address.
+// returns the address of the socket, or "" if this is not an IPv4 address.
 func (l *Loop) ListenInherited(fd int, admission Admission, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		//nolint:errorlint // err may be nil, which %w does not print
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -20,8 +20,8 @@
 
 // TestCapacityIsMadeForThoseThatWait checks that a listener without capacity calls MakeCapacity once for each
 // waiting connection, and not when it finds the accept queue empty. It guards against a fault in which MakeCapacity
-// was called before every accept, also the one that finds no connection. It ran 6 times for 3 connections, and so
-// closed the idle connection of a client although no connection was waiting.
+// was called before every accept, including the accept that finds no connection. MakeCapacity then ran 6 times for 3
+// connections, and closed the idle connection of a client although no connection was waiting.
 func TestCapacityIsMadeForThoseThatWait(t *testing.T) {
 	loop, onLoop := startLoop(t, 20)
 	admission := &countingAdmission{}
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -1,15 +1,15 @@
 package eventloop
 
-// This file contains the datagram sockets. Outgoing datagrams are not queued: one that the kernel does not accept at
-// once is dropped, just as the network may drop it.
+// This file contains the datagram sockets. Outgoing datagrams are not queued: a datagram that the kernel does not
+// accept at once is dropped, just as the network may drop any datagram.
 
 import (
 	"golang.org/x/sys/unix"
 )
 
 const (
-	// maxDatagramSize is the size in bytes of the largest datagram that is read completely. A longer one is
-	// truncated.
+	// maxDatagramSize is the size in bytes of the largest datagram that is read completely. A longer
+	// datagram is truncated.
 	maxDatagramSize = 2048
 	// maxDatagramsPerTurn is the maximum number of datagrams that one socket reads in a turn, so that other
 	// descriptors are served.
@@ -43,7 +43,7 @@
 	return p, nil
 }
 
-// Send sends a datagram. If that fails, the datagram is dropped and Send returns the error.
+// Send sends a datagram to addr. A datagram that cannot be sent at once is dropped, and Send returns the error.
 func (p *PacketConn) Send(addr string, b []byte) error {
 	_, sa, err := parseAddr(addr)
 	if err != nil {
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -1,16 +1,17 @@
 package eventloop
 
-// This file contains the record of past polls, which shows up to which time all received data is known to have been
-// read. If that is uncertain, the functions here return an earlier time, never a later one.
+// This file contains the record of past polls. The functions here derive from it the time up to which all received data
+// has been read. If this time is uncertain, they return an earlier time, never a later one.
 
 // pollHistory counts the complete polls, which are those that reported all ready descriptors. A poll that filled its
-// buffer of events is not complete, because it may have omitted some. Times are Unix times in microseconds.
+// buffer of events is not complete, because it may have omitted ready
+// descriptors. Times are Unix times in microseconds.
 type pollHistory struct {
 	count          int64 // complete polls so far; also the number of the last one
 	lastAt         int64 // time at which the last complete poll returned
-	previousAt     int64 // time at which the complete poll before that returned; what is ready now arrived later
-	processedAt    int64 // time at which the last complete poll whose events are all dispatched returned
-	processedCount int64 // number of that poll
+	previousAt     int64 // time at which the complete poll before the last one returned
+	processedAt    int64 // time at which the last complete poll returned whose events are all dispatched
+	processedCount int64 // number of the poll that returned at processedAt
 }
 
 // recordPoll records a complete poll that returned at now.
@@ -25,9 +26,9 @@
 }
 
 // EarliestArrival returns the earliest time at which the data that the connection delivers in this turn can have
-// arrived. That is the time at which the connection was last found empty or, if later, the time at which the
-// previous complete poll returned. The poll counts only if no data may have been left unread after it: a complete
-// poll that does not report a connection shows that the connection was empty then.
+// arrived. This is the time at which the connection was last found empty or, if later, the time at which the
+// previous complete poll returned. The previous poll counts only if no data may have been left unread after it: a
+// complete poll that does not report a connection shows that the connection was empty at that time.
 func (c *Conn) EarliestArrival() int64 {
 	polls := &c.loop.polls
 	if polls.count <= c.unreadPoll+1 {
@@ -37,8 +38,8 @@
 }
 
 // LastSeenAt returns a time up to which everything received from the other side, including a close, has been read.
-// It lies in the past by at least the time that the current turn has taken so far, and by more if a turn did not
-// read all available data.
+// The returned time is earlier than the current time by at least the time that the current turn has taken so far, and
+// by more if a turn did not read all available data.
 func (c *Conn) LastSeenAt() int64 {
 	if polls := &c.loop.polls; c.unreadPoll < polls.processedCount {
 		return polls.processedAt
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestLastSeenAt checks LastSeenAt of a connection: while a turn has left data unread, it is not later than the
-// write of that data; after all data is read, it is later. An idle connection counts as read.
+// write of that data; after all data is read, it is later. An idle connection counts as completely read.
 func TestLastSeenAt(t *testing.T) {
 	const messageSize = 200 // bytes; a turn reads 64 of them
 	loop, onLoop := startLoop(t, 10)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -39,7 +39,7 @@
 // After schedules a call of f for delayUs microseconds after the beginning of this turn.
 func (l *Loop) After(delayUs int64, f func()) *Timer { return l.At(l.now+delayUs, f) }
 
-// fireTimers calls the functions of all timers that are due.
+// fireTimers calls the functions of all expired timers.
 func (l *Loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		t := heap.Pop(&l.timers).(*Timer)
@@ -49,8 +49,8 @@
 	}
 }
 
-// pollTimeout returns the maximum time to wait for events, in milliseconds. It rounds up, so that a turn does not
-// begin before the timer that it waits for is due.
+// pollTimeout returns the maximum time to wait for events, in milliseconds. It rounds up, so that the next
+// turn does not begin before the earliest timer expires.
 func (l *Loop) pollTimeout() int {
 	if l.runAgain {
 		return 0
--- a/internal/plot/axis.go
+++ b/internal/plot/axis.go
@@ -61,7 +61,7 @@
 	return a.from + int(math.Round(fraction*float64(a.to-a.from)))
 }
 
-// contains reports whether a value lies within the axis, except for rounding errors.
+// contains reports whether a value is within the axis, with a tolerance for rounding errors.
 func (a *axis) contains(value float64) bool {
 	return value >= a.low*(1-tickTolerance) && value <= a.high*(1+tickTolerance)
 }
--- a/internal/plot/chart.go
+++ b/internal/plot/chart.go
@@ -39,7 +39,7 @@
 	axisStyle  = "stroke:#222;stroke-width:1"
 )
 
-// palette lists the colours of the series. A chart with more series uses the colours repeatedly.
+// palette lists the colours of the series. A chart with more series reuses the colours.
 var palette = []string{"#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf", "#8c564b", "#e377c2", "#7f7f7f", "#bcbd22"}
 
 // Chart writes an SVG file at path that shows the series on logarithmic axes with ticks and a legend.
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// Feed passes data to consume as an event loop does: in pieces of random lengths, each after the bytes
-// that consume has not used yet. It returns the first error of consume.
+// Feed passes data to consume as an event loop does: in pieces of random lengths, each preceded by the
+// bytes that consume has not used yet. It returns the first error of consume.
 func Feed(t *rapid.T, data []byte, consume func([]byte) (used int, err error)) error {
 	var buffered []byte
 	for len(data) > 0 {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -16,7 +16,7 @@
 
 const (
 	bufferSize = 1 << 16 // bytes
-	maxPages   = 16      // pages that a Decoder stores, numbered from 0
+	maxPages   = 16      // maximum number of pages, which are numbered from 0
 )
 
 // Decoder reads batches from the simulator. It is not safe for concurrent use.
@@ -30,7 +30,7 @@
 // page is a list of workers that ENDPOINTS messages refer to.
 type page struct {
 	entries []placement.Entry
-	sent    bool // whether the input has contained this page
+	sent    bool // true once the input has contained this page
 }
 
 // NewDecoder returns a Decoder that reads from r.
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the decoding of the simulator's messages and of the rows of its pages: the
-// fields of each and the event that it becomes. The order in which the fields are read is their
+// This file contains the decoding of the simulator's messages into events, and of the rows of its
+// pages into entries. The order in which the fields are read is their
 // order on the wire and must not change.
 
 import (
@@ -13,8 +13,8 @@
 
 // Bits of the field StateBits.
 const (
-	runHintBit = 1 << 0 // the field LastsUs is valid
-	retryBit   = 1 << 4 // the request is a retry
+	runHintBit = 1 << 0 // set if the field LastsUs is valid
+	retryBit   = 1 << 4 // set if the request is a retry
 )
 
 // stateBits reads the field StateBits and returns its bits.
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// decodeEndpoints reads an ENDPOINTS message, which is a list of workers. Unless the list is a ListFailed, the
-// message refers to a page that was sent before.
+// decodeEndpoints reads an ENDPOINTS message, which is a list of workers. Unless the kind of the list is
+// ListFailed, the message refers to a page that was sent earlier.
 func decodeEndpoints(d *Decoder, f *fields, item *Item) error {
 	kind := f.int("Scope")
 	f.next()
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,7 +11,7 @@
 	"ravenhitch/placement"
 )
 
-// Values of the Semantics of a class, and of the settings that are scopes.
+// effects maps the wire values of the Semantics of a class. scopes maps those of all settings that name a scope.
 var (
 	effects = map[string]placement.Effect{
 		"free":        placement.Safe,
@@ -134,8 +134,8 @@
 	return classes
 }
 
-// class returns those settings of one class that have a path of their own. The other settings are in lists
-// with one item for each class.
+// class returns the settings of one class whose paths begin with path. The other settings of the classes are
+// in lists with one item for each class.
 func (r *settingsReader) class(path string) placement.Class {
 	effect, known := effects[r.values[path+"Semantics"]]
 	if !known {
--- a/internal/simwire/settingsreader.go
+++ b/internal/simwire/settingsreader.go
@@ -40,7 +40,7 @@
 	return number
 }
 
-// int returns the value at a path as a number truncated to a whole one, or 0 if it is absent.
+// int returns the value at a path as a number truncated to an integer, or 0 if it is absent.
 func (r *settingsReader) int(path string) int64 { return int64(r.float(path)) }
 
 // bool reports whether the value at a path is "true" or "1".
@@ -49,7 +49,7 @@
 	return value == "true" || value == "1"
 }
 
-// list returns the items of the comma-separated list at a path, or none if it is absent.
+// list returns the items of the comma-separated list at a path, or nil if the list is absent.
 func (r *settingsReader) list(path string) []string {
 	value := r.values[path]
 	if isAbsent(value) {
@@ -58,7 +58,7 @@
 	return strings.Split(value, ",")
 }
 
-// floats returns the numbers of the list at a path, or none if it is absent.
+// floats returns the numbers of the list at a path, or nil if the list is absent.
 func (r *settingsReader) floats(path string) []float64 {
 	var numbers []float64
 	for _, item := range r.list(path) {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -10,9 +10,9 @@
 // ItemKind is the kind of an Item. It determines which fields of the Item are set.
 type ItemKind int
 
-// The kinds of item. Instance is set in all of them.
+// The kinds of item. The field Instance is set in items of every kind.
 const (
-	InstanceStarted ItemKind = iota // an instance starts, with Settings and Seed
+	InstanceStarted ItemKind = iota // the instance starts, with Settings and Seed
 	InstanceStopped                 // the instance stops
 	EventReceived                   // the instance receives Event
 	Ignored                         // a message that schedulers do not use
--- a/internal/stats/durations_test.go
+++ b/internal/stats/durations_test.go
@@ -7,7 +7,7 @@
 )
 
 // Percentiles are correct to three significant digits, and durations outside the range are recorded as
-// its nearest bound.
+// the nearest bound of the range.
 func TestDurations(t *testing.T) {
 	var d Durations
 	if d.Percentile(99) != 0 || d.Max() != 0 || d.Count() != 0 {
