--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,7 +1,7 @@
 package main
 
 // This file derives the shards of workers that this orchestrator places tasks on from the membership table.
-// A view that does not contain this orchestrator never changes the shards that it uses.
+// A view without this orchestrator never changes the shards that are assigned to it.
 
 import (
 	"cmp"
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -46,7 +46,7 @@
 	a.apply = func(discovery.Assignment) {}
 	a.endPresumption()
 	if now := a.current(); assignedShards(now, "z1") != shard.Count/2 || assignedShards(now, "z3") != shard.Count/2 {
-		t.Errorf("got %d shards of z1 and %d of z3, want %d of each",
+		t.Errorf("assigned shards: got %d of z1 and %d of z3, want %d of each",
 			assignedShards(now, "z1"), assignedShards(now, "z3"), shard.Count/2)
 	}
 }
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -30,7 +30,7 @@
 type frontRun struct {
 	outcomes          []string // of all requests and completions, in order
 	counts            dispatch.Counts
-	offersDuringDrain [2]int // number of offers during the drain: to the draining worker and to the other one
+	offersDuringDrain [2]int // number of offers during the drain: to the draining worker and to worker b
 }
 
 // The same requests, completions and drain have the same outcomes, counts and offers on both fronts.
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -10,7 +10,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxLateAttempt is the maximum time that the rules allow from a client's leave to the start of an attempt for it.
+// maxLateAttempt is the maximum time that the rules allow from a client's leave to the start of an attempt.
 const maxLateAttempt = 100 * time.Millisecond
 
 // leaverID is the request ID of the client that leaves.
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -59,7 +59,7 @@
 		write(t, client, []byte{b})
 	}
 	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(4) || line.Verb != "STARTED" {
-		t.Errorf("got %v, want STARTED for %s", line, testbed.RequestID(4))
+		t.Errorf("response: got %v, want STARTED for %s", line, testbed.RequestID(4))
 	}
 }
 
@@ -87,7 +87,7 @@
 			test.invalidate(&line)
 			testbed.Send(client, line)
 			if got := testbed.Wait(t, "an error", client.Lines); got.Verb != "FINISH" || got.Cause() != causeFailed || got.Tag != line.Tag {
-				t.Errorf("got %v, want FINISH for %q with cause %d", got, line.Tag, causeFailed)
+				t.Errorf("invalid submission: got %v, want FINISH for %q with cause %d", got, line.Tag, causeFailed)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	testbed.Send(client, request)
 	if line := testbed.Wait(t, "one response to both", client.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(2) {
-		t.Errorf("got %v, want FINISH for %s", line, testbed.RequestID(2))
+		t.Errorf("response to both: got %v, want FINISH for %s", line, testbed.RequestID(2))
 	}
 }
 
@@ -135,7 +135,7 @@
 	testbed.Send(client, request)
 	line := testbed.Wait(t, "the end of the task", client.Lines)
 	if line.Verb != "FINISH" || line.Tag != testbed.RequestID(3) || time.Since(began) > 3*time.Second {
-		t.Errorf("got %v after %s, want FINISH for %s within 3s", line, time.Since(began), testbed.RequestID(3))
+		t.Errorf("end of the task: got %v after %s, want FINISH for %s within 3s", line, time.Since(began), testbed.RequestID(3))
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	for range 8 {
 		if line := testbed.Wait(t, "a rejection", client.Lines); line.Cause() != causeRejected || line.Opts["wait"] == "" {
-			t.Errorf("got %v, want cause %d with a Retry-After", line, causeRejected)
+			t.Errorf("rejection: got %v, want cause %d with a Retry-After", line, causeRejected)
 		}
 	}
 	for range 70 {
@@ -158,7 +158,7 @@
 	responses := 0
 	for line := range client.Lines {
 		if responses++; line.Verb != "FINISH" {
-			t.Errorf("got %v, want FINISH", line)
+			t.Errorf("response before the end of the connection: got %v, want FINISH", line)
 		}
 	}
 	if responses < 32 {
@@ -210,7 +210,7 @@
 			offer.Opts, *offer.Blob, *request.Blob)
 	}
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v, want STARTED", line)
+		t.Errorf("response: got %v, want STARTED", line)
 	}
 	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": overlongName, "idem": overlongName} {
 		request := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -33,7 +33,7 @@
 		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
 			var out, errs bytes.Buffer
 			if code := runCommand(test.args, &out, &errs); code != 1 || !strings.Contains(errs.String(), test.want) {
-				t.Errorf("exit code %d with %q, want code 1 and %q", code, errs.String(), test.want)
+				t.Errorf("got exit code %d, standard error %q; want code 1, a text with %q", code, errs.String(), test.want)
 			}
 		})
 	}
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -22,7 +22,7 @@
 	pingServer(t, first)
 	testbed.Send(served, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
 	if line := testbed.Wait(t, "the response", served.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v, want STARTED", line)
+		t.Fatalf("response: got %v, want STARTED", line)
 	}
 	for i := 1; i <= 2; i++ {
 		testbed.Send(second, adoptedLine(testbed.RequestID(i), "a"))
@@ -129,7 +129,7 @@
 			}
 			for _, verb := range test.before {
 				if line := testbed.Wait(t, "a line before the completion", client.Lines); line.Verb != verb || line.Tag == testbed.RequestID(1) {
-					t.Fatalf("got %v before the completion, want FINISH of another request", line)
+					t.Fatalf("line before the completion: got %v, want FINISH of another request", line)
 				}
 			}
 			expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
@@ -208,7 +208,7 @@
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Fatalf("got %v, want STARTED", line)
+				t.Fatalf("response: got %v, want STARTED", line)
 			}
 			server.waitIdle(t)
 			for i, other := range server.connectWhilePaused(t, 2*maxClients) {
@@ -220,7 +220,7 @@
 			server.onLoop(t, func() {}) // one more turn of the event loop, with connections queued
 			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
-				t.Errorf("got %v, want the completion of request 1", line)
+				t.Errorf("completion: got %v, want the completion of request 1", line)
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v, want STARTED", line)
+		t.Fatalf("response: got %v, want STARTED", line)
 	}
 	closeNow(t, client)
 	server.waitConnections(t, 0)
@@ -249,7 +249,7 @@
 	reconnected := server.connect(t)
 	testbed.Send(reconnected, pingLine("t"))
 	if line := testbed.Wait(t, "the completion", reconnected.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
-		t.Errorf("got %v, want the completion of request 1", line)
+		t.Errorf("completion: got %v, want the completion of request 1", line)
 	}
 	for _, other := range others {
 		select {
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 		if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
-			t.Errorf("got %v, want the completion of request %s with cause %d", line, testbed.RequestID(i+1), causeDone)
+			t.Errorf("completion: got %v, want request %s with cause %d", line, testbed.RequestID(i+1), causeDone)
 		}
 	}
 }
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -1,7 +1,7 @@
 package main
 
 // This file tests outages of discovery. The server keeps serving with the last list of workers and follows
-// discovery again after the outage, even if idle clients use up the descriptors in the meantime.
+// discovery again after the outage, even if idle clients use up the descriptors during the outage.
 
 import (
 	"fmt"
@@ -47,7 +47,7 @@
 			pingServer(t, client)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Errorf("got %v, want STARTED", line)
+				t.Errorf("response: got %v, want STARTED", line)
 			}
 			for range 2 {
 				if polls != nil {
@@ -141,7 +141,7 @@
 				pingServer(t, client)
 				testbed.Send(client, testbed.StartLine(testbed.RequestID(9999), "guide-web", "ok-true", 5000))
 				if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-					t.Errorf("got %v, want STARTED", line)
+					t.Errorf("response: got %v, want STARTED", line)
 				}
 				server.onLoop(t, func() {
 					t.Logf("%d free descriptors, %d connected clients", server.loop.FreeDescriptors(), server.clientFront.Connections())
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -136,7 +136,7 @@
 }
 
 // A worker considers a connection open that the server closed during a partition. The worker reports a
-// completion on that connection and on the next one that is opened. The server must open another connection,
+// completion on that connection and on the next connection. The server must open another connection,
 // although an existing one is in use.
 func completedOnClosedConnection(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -57,7 +57,7 @@
 			defer cancel()
 			_, err := client.Place(ctx, test.offer)
 			if status.Code(err) != test.want {
-				t.Fatalf("got status %v, want code %v", err, test.want)
+				t.Fatalf("Place: got status %v, want code %v", err, test.want)
 			}
 			expectDetails(t, err, test.want)
 		})
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -28,7 +28,7 @@
 		submitAndExpectStart(t, client, id, "ok-1")
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the release", client.Lines); line.Verb != "FINISHED" {
-			t.Fatalf("got %v, want FINISHED", line)
+			t.Fatalf("confirmation of the release: got %v, want FINISHED", line)
 		}
 		server.waitUntil(t, "the confirmed end of the task", func() bool {
 			return server.dispatcher.RunningCount() == 0 && !server.pool.HasUnconfirmedReleases()
@@ -43,7 +43,7 @@
 		testbed.Wait(t, "the offer", server.workers[0].Offers)
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the cancel", client.Lines); line.Verb != "FINISHED" {
-			t.Fatalf("got %v, want FINISHED", line)
+			t.Fatalf("confirmation of the cancel: got %v, want FINISHED", line)
 		}
 	},
 	"its client's connection closed": func(t *testing.T, server *testServer, _ *testbed.Client, id string) {
@@ -86,14 +86,14 @@
 	t.Helper()
 	testbed.Send(client, testbed.StartLine(id, "guide-web", task, 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || line.Tag != id {
-		t.Fatalf("got %v, want STARTED for the submitted request", line)
+		t.Fatalf("response: got %v, want STARTED for the submitted request", line)
 	}
 }
 
 func expectCompletion(t *testing.T, client *testbed.Client, id string) {
 	t.Helper()
 	if line := testbed.Wait(t, "the completion", client.Lines); line.Verb != "FINISH" || line.Tag != id {
-		t.Fatalf("got %v, want FINISH for the submitted request", line)
+		t.Fatalf("completion: got %v, want FINISH for the submitted request", line)
 	}
 }
 
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// maxQueuedSignals is the maximum number of signals that wait to be handled; further ones are dropped.
+	// maxQueuedSignals is the maximum number of signals that wait to be handled; further signals are dropped.
 	maxQueuedSignals = 8
 	// firstInheritableFD is the first file descriptor after those of the standard streams.
 	firstInheritableFD = 3
@@ -104,7 +104,7 @@
 	}
 }
 
-// overrideFromEnvironment replaces settings of the configuration by those that environment variables set.
+// overrideFromEnvironment replaces settings of the configuration by the values of environment variables.
 func overrideFromEnvironment(cfg *config.Config) (err error) {
 	if v := os.Getenv("ROUTER_LISTEN"); v != "" {
 		cfg.Listen = v
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -56,7 +56,7 @@
 	began := time.Now()
 	signalProcess(t, cmd, syscall.SIGTERM)
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(1) || !hasValidRetryAfter(line) {
-		t.Errorf("got %v, want a rejection of %s with a valid Retry-After", line, testbed.RequestID(1))
+		t.Errorf("response: got %v, want a rejection of %s with a valid Retry-After", line, testbed.RequestID(1))
 	}
 	if err := cmd.Wait(); err != nil || time.Since(began) > 3700*time.Millisecond {
 		t.Errorf("the program ended with %v after %s, want exit code 0 within 3.7s", err, time.Since(began))
--- a/cmd/ravenhitch/rehearse_test.go
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -75,7 +75,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if _, err := testbed.ParseSchedule(text); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got error %v, want %q in it", err, want)
+				t.Errorf("ParseSchedule: got error %v, want one that contains %q", err, want)
 			}
 		})
 	}
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -30,7 +30,7 @@
 
 const (
 	// reservedDescriptors is the number of descriptors that are not available as sockets of the event loop:
-	// those of the standard streams, epoll, eventfd, and files that the Go runtime opens.
+	// the descriptors of the standard streams, epoll, eventfd, and files that the Go runtime opens.
 	reservedDescriptors = 32
 	// defaultSockets is the limit of sockets if the configuration sets none.
 	defaultSockets = 1024
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -41,7 +41,7 @@
 	for range 41 {
 		line := testbed.Wait(t, "the rejection", client.Lines)
 		if retryAfter, ok := line.Opts["wait"]; ok || line.Cause() != causeRejected {
-			t.Fatalf("got %v with Retry-After %q ms, want a rejection without Retry-After", line, retryAfter)
+			t.Fatalf("rejection: got %v with Retry-After %q ms, want a rejection without Retry-After", line, retryAfter)
 		}
 	}
 }
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -69,7 +69,7 @@
 	for range 4 {
 		line := testbed.Wait(t, "a response", client.Lines)
 		if got[line.Tag] != 0 || line.Verb != "FINISH" {
-			t.Errorf("got %v, want one FINISH for each request", line)
+			t.Errorf("response: got %v, want one FINISH for each request", line)
 		}
 		got[line.Tag] = line.Cause()
 	}
@@ -82,7 +82,7 @@
 		t.Error(err)
 	}
 	for line := range client.Lines { // until the server closes the connection
-		t.Errorf("got %v after all responses, want no line", line)
+		t.Errorf("line after all responses: got %v, want none", line)
 	}
 }
 
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -50,7 +50,7 @@
 	return func() {
 		write(t, client, append(request[len(request)/2:], '\n'))
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-			t.Errorf("got %v, want STARTED", line)
+			t.Errorf("response: got %v, want STARTED", line)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v, want STARTED", line)
+		t.Fatalf("response: got %v, want STARTED", line)
 	}
 	server.workers[0].BecomeUnreachable()
 	testbed.Send(client, cancelLine(testbed.RequestID(1)))
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -53,7 +53,7 @@
 		line = testbed.Wait(t, "the answer to a ping", client.Lines)
 	}
 	if line.Verb != "ECHOED" {
-		t.Fatalf("got %v as the answer to a ping, want ECHOED", line)
+		t.Fatalf("answer to a ping: got %v, want ECHOED", line)
 	}
 }
 
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -44,7 +44,7 @@
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Fatalf("got %v, want STARTED", line)
+				t.Fatalf("response: got %v, want STARTED", line)
 			}
 			test.injectFault(t, server.workers[0], trace)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != test.wantCause {
@@ -67,7 +67,7 @@
 		task := fmt.Sprint("ok-", i)
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i), "archive-cut", task, 5000))
 		if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || *line.Blob != "alive holds about "+task {
-			t.Errorf("got %v, want STARTED from worker alive", line)
+			t.Errorf("response: got %v, want STARTED from worker alive", line)
 		}
 		if alive.OfferCount(task) != 1 {
 			t.Errorf("task %s: offered to worker alive %d times, want 1", task, alive.OfferCount(task))
@@ -114,7 +114,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "archive-cut", "reset-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Cause() == causeRejected || line.Verb != "FINISH" {
-		t.Errorf("got %v, want FINISH with a code other than a rejection", line)
+		t.Errorf("response: got %v, want FINISH with a code other than a rejection", line)
 	}
 	if n := server.workers[0].OfferCount("reset-1"); n != 1 {
 		t.Errorf("the task was offered %d times, want 1", n)
@@ -143,7 +143,7 @@
 	server.discovery.WaitPolled(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(2) || line.Verb != "STARTED" {
-		t.Errorf("got %v, want STARTED for request 2", line)
+		t.Errorf("response: got %v, want STARTED for request 2", line)
 	}
 	// The task on the removed worker ends although no worker has reported its completion.
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeLost)
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -25,7 +25,7 @@
 	verbs := testbed.Wait(t, "one line", client.Lines).Verb + testbed.Wait(t, "another", client.Lines).Verb
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
 	if line := testbed.Wait(t, "the response to the next task", client.Lines); line.Tag != testbed.RequestID(3) || len(verbs) != len("STARTEDECHOED") {
-		t.Errorf("got %v after %s, want the response to request 3 after STARTED and ECHOED", line, verbs)
+		t.Errorf("next response: got %v after %s, want the response to request 3 after STARTED and ECHOED", line, verbs)
 	}
 }
 
@@ -62,7 +62,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v, want STARTED", line)
+		t.Fatalf("response: got %v, want STARTED", line)
 	}
 	for _, cause := range []int{causeRejected, causeNeverSent, causeDone} {
 		server.workers[0].ReportCompletion(testbed.RequestID(1), cause)
--- a/internal/admin/call_test.go
+++ b/internal/admin/call_test.go
@@ -35,7 +35,7 @@
 	return "OFFLINE " + strings.Repeat("a", maxWorkerIDLength+excess)
 }
 
-// Replies equal, byte for byte, those of the build of 1 December 2026.
+// Replies equal the replies of the build of 1 December 2026 byte for byte.
 func TestRepliesAsBefore(t *testing.T) {
 	for _, test := range []struct{ line, want string }{
 		{"", "-ERR malformed call: expected HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID, got an empty line\n"},
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Error texts equal, byte for byte, those of the build of 1 December 2026, because operators know
+// Error texts equal the texts of the build of 1 December 2026 byte for byte, because operators know
 // them. The errors also identify the invalid field or worker.
 func TestErrorTextsOfConfiguration(t *testing.T) {
 	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + workerJSON + `]}}]}`
@@ -36,16 +36,16 @@
 	_, err := Parse([]byte(configText("here", addr, "1", known, nested)))
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != "listen" {
-		t.Errorf("got error %v, want a *FieldError for field listen", err)
+		t.Errorf("invalid listen address: got error %v, want a *FieldError for field listen", err)
 	}
 	_, err = Parse([]byte(configText(addr, addr, "1", strings.Replace(known, `"up"`, `"gone"`, 1), nested)))
 	var workerError *WorkerError
 	if !errors.As(err, &workerError) || workerError.Name != "s-00c41f7a" {
-		t.Errorf("got error %v, want a *WorkerError for worker s-00c41f7a", err)
+		t.Errorf("unknown phase: got error %v, want a *WorkerError for worker s-00c41f7a", err)
 	}
 }
 
-// Error texts about the operators' file equal, byte for byte, those of the build of 1 December 2026,
+// Error texts about the operators' file equal the texts of the build of 1 December 2026 byte for byte,
 // because operators know them. The errors also identify the invalid position or section.
 func TestErrorTextsOfOperatorsFile(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
@@ -63,11 +63,11 @@
 	_, err := ParseOperatorSettings("x", []byte("[grpc]\nlisten here"))
 	var at *PositionError
 	if !errors.As(err, &at) || at.File != "x" || at.Line != 2 || at.Column != 8 {
-		t.Errorf("got error %v, want a *PositionError at x:2:8", err)
+		t.Errorf("invalid address: got error %v, want a *PositionError at x:2:8", err)
 	}
 	_, err = ParseOperatorSettings("x", []byte("[grpc]\ncert a"))
 	var sectionError *SectionError
 	if !errors.As(err, &sectionError) || sectionError.Section != "grpc" {
-		t.Errorf("got error %v, want a *SectionError for section grpc", err)
+		t.Errorf("certificate without a key: got error %v, want a *SectionError for section grpc", err)
 	}
 }
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -1,11 +1,10 @@
 package config
 
 // This file owns the syntax of line-based files, which is common for Unix daemons: a section
-// starts with its name in brackets, and each further line holds one directive, a name followed by
-// arguments. # begins a comment, and double quotes allow spaces in a word. The caller decides what a
-// directive means; arguments.go converts arguments to values.
-// The parser must never open a file, and each of its errors names the file, the line, the column and
-// the expected text.
+// starts with its name in brackets, and each further line contains one directive, a name followed by
+// arguments. # begins a comment, and double quotes allow spaces in a word. The caller interprets the
+// directives; arguments.go converts arguments to values. The parser must never open a file, and each of
+// its errors names the file, the line, the column and the expected text.
 
 import (
 	"fmt"
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -87,7 +87,7 @@
 		{"[a]\n" + strings.Repeat("x", maxLineLength+1), "f:2:4097: expected a line of at most"},
 	} {
 		if _, err := ParseLines("f", []byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("got error %v, want %q in it", err, test.want)
+			t.Errorf("ParseLines: got error %v, want one that contains %q", err, test.want)
 		}
 	}
 }
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -88,7 +88,7 @@
 func TestLogDirectives(t *testing.T) {
 	o, err := ParseOperatorSettings("x", []byte("[log]\nlevel debug\ntrace 42ac8ba6 160bf556\n"))
 	if err != nil || o.LogLevel != slog.LevelDebug || !reflect.DeepEqual(o.Trace, []string{"42ac8ba6", "160bf556"}) {
-		t.Errorf("got level %v, trace %q, error %v, want debug, 42ac8ba6 and 160bf556", o.LogLevel, o.Trace, err)
+		t.Errorf("log settings: got level %v, trace %q, error %v, want debug, 42ac8ba6 and 160bf556", o.LogLevel, o.Trace, err)
 	}
 }
 
@@ -102,11 +102,11 @@
 	if err != nil || !o.Peers.Partition || o.Workers.Keepalive != 4*time.Second ||
 		!reflect.DeepEqual(o.Peers.Members, []PeerAddress{{"n2", "127.0.0.1:2", "z2"}}) ||
 		!reflect.DeepEqual(o.Peers.Regions, map[string]string{"z1": "west", "z2": "west", "z3": "east"}) {
-		t.Errorf("got settings %+v, error %v, want the values in the text", o, err)
+		t.Errorf("partition on: got settings %+v, error %v, want the values in the text", o, err)
 	}
 	o, err = ParseOperatorSettings("x", []byte(peers+"member n2 127.0.0.1:2\npartition off\n"))
 	if err != nil || o.Peers.Partition || o.Peers.Members[0].Zone != "" {
-		t.Errorf("got settings %+v, error %v, want no partition and a member without a zone", o, err)
+		t.Errorf("partition off: got settings %+v, error %v, want no partition and a member without a zone", o, err)
 	}
 	checkOperatorsErrors(t, []operatorsErrorCase{
 		{peers + "partition maybe", "x:4:11: expected on or off"},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,7 +1,7 @@
 // Package config owns the formats of an orchestrator's configuration: the configuration file of the
 // platform and discovery's lists of workers, which are both JSON, and the operators' file. It must
 // never keep state, open any other file, or supply a value for a missing setting: package simwire
-// decides what the settings mean, both on the simulator's wire and in the configuration.
+// defines the meaning of the settings, both on the simulator's wire and in the configuration.
 package config
 
 // This file owns the configuration file of the platform, which it parses with gjson.
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -12,8 +12,8 @@
 	"ravenhitch/placement"
 )
 
-// nested and flat hold the same settings, in the format of the configuration and in that of the
-// simulator's wire.
+// nested and flat contain the same settings: nested in the format of the configuration, flat in the wire
+// format of the simulator.
 const nested = `{"FamilyInfo":{"ApartBy":["none","cell"],"Bound":false,"CalmLevel":[0.8,0.75],"ClassMost":[2,3],
  "ClassStartS":[10.0,8.0],"CoresMultiple":1.5,"Counts":"asked","FreshOffers":56.0,"KindByClass":[-1,1],"LostAfter":[0.25,0.15],
  "MemoryByKind":[56.0,117.0],"MemoryMultiple":1.0,"ReportX0":"cores of the machine, free","SaysYes":"accepted","ShareCores":[],
@@ -53,7 +53,7 @@
 		t.Errorf("settings differ: nested JSON gives\n%+v\nflat pairs give\n%+v", a, b)
 	}
 	if a.Classes[1].Effect != placement.Unsafe || a.Kinds[1].Cores != 63 || a.SlowStartOffers != 56 {
-		t.Errorf("got settings %+v, want an unsafe class 1, 63 cores in kind 1 and 56 slow start offers", a)
+		t.Errorf("ParseSettings: got %+v, want an unsafe class 1, 63 cores in kind 1 and 56 slow start offers", a)
 	}
 }
 
@@ -78,7 +78,7 @@
 		StartedAtUs: 1_700_000, FreeCores: 12, FreeMemory: -3.5}}
 	if c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeoutUs != 250_000 ||
 		c.Initial.Cursor != 3 || !c.Initial.Events[0].Complete || c.Initial.Events[0].Workers[0] != want {
-		t.Errorf("got configuration %+v, want the values in the text", c)
+		t.Errorf("Parse: got configuration %+v, want the values in the text", c)
 	}
 	unknownPhase := strings.Replace(known, `"up"`, `"gone"`, 1)
 	unknownEffect := strings.Replace(nested, "single_shot", "twice", 1)
@@ -106,7 +106,7 @@
 	u, err := ParseUpdate([]byte(
 		`{"cursor":4,"cmds":[{"cursor":4,"nodes":{"members":[` + invalidWorker + `,` + workerJSON + `]}}]}`))
 	if err != nil || len(u.InvalidWorkers) != 1 || len(u.Events[0].Workers) != 1 {
-		t.Errorf("got update %+v, error %v, want one valid and one invalid worker", u, err)
+		t.Errorf("ParseUpdate: got %+v, error %v, want one valid and one invalid worker", u, err)
 	}
 	for _, bad := range []string{"", "[]", "{"} {
 		if _, err := ParseUpdate([]byte(bad)); !errors.Is(err, ErrConfig) {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -51,8 +51,8 @@
 
 	unreaped  []*Conn // closed connections whose descriptors are still open
 	unflushed []*Conn // connections that were written to in this turn
-	// dispatching is true while events are being dispatched. In this time, no descriptor of a connection is closed: its
-	// number could be reused for a new connection, which would get the events of the old one.
+	// dispatching is true while events are being dispatched. In this time, the descriptors of dropped connections stay
+	// open: the number of a closed descriptor could be reused, and the new connection would get the events of the old.
 	dispatching bool
 
 	startedAt    time.Time
@@ -132,8 +132,8 @@
 // Stop makes Run return after this turn.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Post makes the loop call f on its own goroutine: in the current turn if the loop has not run the posted functions of this
-// turn yet, otherwise in the next turn. Any goroutine may call Post.
+// Post makes the loop call f on its own goroutine: in the current turn if the loop has not yet run the posted functions
+// of this turn, otherwise in the next turn. Any goroutine may call Post.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxDatagramSize is the size in bytes of the largest datagram that is read completely. A longer
-	// datagram is truncated.
+	// maxDatagramSize is the size in bytes of the largest datagram that is read completely. A longer datagram is
+	// truncated.
 	maxDatagramSize = 2048
 	// maxDatagramsPerTurn is the maximum number of datagrams that one socket reads in a turn, so that other
 	// descriptors are served.
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -3,9 +3,9 @@
 // This file contains the record of past polls. The functions here derive from it the time up to which all received data
 // has been read. If this time is uncertain, they return an earlier time, never a later one.
 
-// pollHistory counts the complete polls, which are those that reported all ready descriptors. A poll that filled its
-// buffer of events is not complete, because it may have omitted ready
-// descriptors. Times are Unix times in microseconds.
+// pollHistory counts the complete polls. A poll is complete if it reported all ready descriptors. A poll that filled
+// its buffer of events is not complete, because it may have omitted ready descriptors. Times are Unix times in
+// microseconds.
 type pollHistory struct {
 	count          int64 // complete polls so far; also the number of the last one
 	lastAt         int64 // time at which the last complete poll returned
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -92,7 +92,7 @@
 }
 
 // TestFlushAndCloseAreSentAheadOfTheTurn checks that a flush and a close take effect during the turn, before the
-// ordinary writes of the turn, even if those were requested first.
+// ordinary writes of the turn, even if the writes were requested first.
 func TestFlushAndCloseAreSentAheadOfTheTurn(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -133,7 +133,7 @@
 			if err != nil {
 				var syntaxError *SyntaxError
 				if !errors.As(err, &syntaxError) {
-					t.Fatalf("got error %v of type %T, want a SyntaxError", err, err)
+					t.Fatalf("Next: got error %v of type %T, want a SyntaxError", err, err)
 				}
 				return
 			}
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if out.Len() != 0 {
-		t.Errorf("got %d bytes of output before EndReply, want none", out.Len())
+		t.Errorf("output before EndReply: got %d bytes, want none", out.Len())
 	}
 	if err := errors.Join(encoder.WriteFault(3, "panic: x"), encoder.EndReply("12")); err != nil {
 		t.Fatal(err)
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -1,8 +1,8 @@
 package simwire
 
 // This file contains the decoding of the simulator's messages into events, and of the rows of its
-// pages into entries. The order in which the fields are read is their
-// order on the wire and must not change.
+// pages into entries. The order in which the fields are read is their order on the wire and must not
+// change.
 
 import (
 	"fmt"
--- a/internal/stats/durations_test.go
+++ b/internal/stats/durations_test.go
@@ -20,7 +20,7 @@
 		{d.Percentile(50), 500 * time.Millisecond}, {d.Percentile(99), 990 * time.Millisecond}, {d.Max(), time.Second},
 	} {
 		if off := math.Abs(float64(test.got)/float64(test.want) - 1); off > 0.001 {
-			t.Errorf("got %v, want %v to three significant digits", test.got, test.want)
+			t.Errorf("percentile or maximum: got %v, want %v to three significant digits", test.got, test.want)
 		}
 	}
 	d.Record(-time.Second)
--- a/internal/stats/fit_test.go
+++ b/internal/stats/fit_test.go
@@ -17,7 +17,7 @@
 			values = append(values, 7*math.Pow(s, want))
 		}
 		if got := Exponent(sizes, values); !near(got, want) {
-			t.Errorf("got exponent %v, want %v", got, want)
+			t.Errorf("exact power law: got exponent %v, want %v", got, want)
 		}
 	}
 }
@@ -25,7 +25,7 @@
 // Pairs without a logarithm are left out, and a single size has no exponent.
 func TestExponentLeavesOutWhatHasNoLogarithm(t *testing.T) {
 	if got := Exponent([]float64{0, 1, 10, 100}, []float64{5, 1, 10, 0}); !near(got, 1) {
-		t.Errorf("got exponent %v, want 1", got)
+		t.Errorf("points without a logarithm: got exponent %v, want 1", got)
 	}
 	if got := Exponent([]float64{10}, []float64{1}); !math.IsNaN(got) {
 		t.Errorf("one point: got exponent %v, want NaN", got)
--- a/internal/stats/table_test.go
+++ b/internal/stats/table_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if want := "workers,us\n100,1.5\n4000,NaN\n"; string(got) != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("file: got %q, want %q", got, want)
 	}
 	if WriteTable(filepath.Join(t.TempDir(), "none", "t.csv"), nil, nil) == nil {
 		t.Error("path in a missing directory: got no error, want one")
