--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -18,11 +18,11 @@
 type AttemptLog struct {
 	mu         sync.Mutex
 	inFlight   map[string]map[string]attempt // by request ID and worker
-	isClosed   map[string]func() bool        // by connection; reports whether the orchestrator has closed it
-	offers     map[string]int                // by request ID
-	lastOffer  map[string]time.Time          // by request ID
+	isClosed   map[string]func() bool        // by connection: reports whether the orchestrator has closed the connection
+	offers     map[string]int                // number of offers, by request ID
+	lastOffer  map[string]time.Time          // arrival time of the last offer, by request ID
 	lastWorker map[string]string             // worker that received the last offer, by request ID
-	arrivals   map[string][]Arrival          // by worker
+	arrivals   map[string][]Arrival          // arrivals of offers, by worker
 	duplicates []string                      // descriptions of the violations
 }
 
@@ -34,7 +34,7 @@
 
 // attempt is an attempt in flight at a worker.
 type attempt struct {
-	connection string // on which the offer arrived, "" if the task is running
+	connection string // connection on which the offer arrived, "" if the task is running
 	running    bool   // the worker has accepted the task
 }
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// offered records that an offer reached a worker, and a violation if another attempt of the
-// request is in flight.
+// offered records that an offer reached a worker. If another attempt of the request is in flight, offered also
+// records a violation.
 func (a *AttemptLog) offered(worker, connection, requestID string) {
 	if a == nil {
 		return
@@ -75,7 +75,7 @@
 	a.inFlight[requestID][worker] = attempt{connection: connection}
 }
 
-// accepted records that a worker has accepted the task of a request and runs it.
+// accepted records that a worker has accepted and runs the task of a request.
 func (a *AttemptLog) accepted(worker, requestID string) {
 	if a == nil {
 		return
@@ -88,7 +88,7 @@
 	a.inFlight[requestID][worker] = attempt{running: true}
 }
 
-// ended records the end of an attempt or of its task.
+// ended records the end of an attempt or of the attempt's task.
 func (a *AttemptLog) ended(worker, requestID string) {
 	if a == nil {
 		return
@@ -127,22 +127,22 @@
 	}
 }
 
-// Duplicates returns a description of each offer that arrived while another attempt of its
-// request was in flight.
+// Duplicates returns a description of each offer that arrived while another attempt of the same request was in
+// flight.
 func (a *AttemptLog) Duplicates() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.duplicates)
 }
 
-// Arrivals returns the offers that reached a worker, in the order of their arrival.
+// Arrivals returns the offers that reached a worker, in order of arrival.
 func (a *AttemptLog) Arrivals(worker string) []Arrival {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.arrivals[worker])
 }
 
-// workerLost records the end of a worker's process, which ends every attempt and task there.
+// workerLost records the end of a worker's process, which ends all attempts and tasks at the worker.
 func (a *AttemptLog) workerLost(worker string) {
 	if a == nil {
 		return
@@ -192,8 +192,8 @@
 	return requestIDs
 }
 
-// InFlightAt returns the IDs of the requests with an attempt in flight at one worker whose task is
-// not running there.
+// InFlightAt returns the IDs of the requests with an attempt in flight at a worker whose task is not running at this
+// worker.
 func (a *AttemptLog) InFlightAt(worker string) (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// This file owns the emulated capacity behind stand-in workers: cores and memory, the queue
-// of offers that are inspected one at a time, and the limit on concurrent task starts. It must
-// never decide which worker gets a task.
+// This file owns the emulated capacity of stand-in workers: cores and memory, the queue of offers that are inspected
+// one at a time, and the limit on concurrent task starts. It must never decide which worker gets a task.
 
 // WorkerSpec describes the capacity and the timing of an emulated worker.
 type WorkerSpec struct {
@@ -21,11 +20,11 @@
 	InspectionTime   [2]time.Duration // shortest and longest inspection of one offer
 	QueueLength      int              // maximum number of offers that wait for inspection
 	MaxStarting      int              // maximum number of tasks that start at the same time
-	// A worker that started at UpSince begins at the fraction ColdStartRate of full speed and
-	// reaches full speed after SlowStart. Until then it stops responding to offers once it gets
-	// more than FallMultiple times as many offers within OverloadWindow as it can start tasks in
-	// that time. It always tolerates InitialBudget offers.
-	UpSince                                    time.Time // zero if slow start is over
+	// A worker that started at UpSince begins at the fraction ColdStartRate of full speed and reaches full speed
+	// after SlowStart. During slow start, the worker stops responding to offers once it gets more than FallMultiple
+	// times as many offers within OverloadWindow as it can start tasks in OverloadWindow. It always tolerates
+	// InitialBudget offers.
+	UpSince                                    time.Time // start time of the worker, zero for a worker at full speed
 	ColdStartRate, FallMultiple, InitialBudget float64
 	SlowStart, OverloadWindow                  time.Duration
 	MeanStartTime                              time.Duration // mean start time of a task at full speed
@@ -39,8 +38,8 @@
 	Offered(worker, requestID string)
 	Rejected(worker, requestID string)
 	Cancelled(worker, requestID string)
-	// Accepted is called before the acceptance of a task is sent, Started when its start time is
-	// over, and Completed before its completion is sent.
+	// Accepted is called before the acceptance of a task is sent, Started when the task's start time has elapsed, and
+	// Completed before the task's completion is sent.
 	Accepted(worker, key, requestID string, t Task)
 	Started(key string)
 	Completed(key, requestID string)
@@ -62,7 +61,7 @@
 	requestedCores  float64
 	requestedMemory float64
 	running         map[string]*runningTask // by request ID
-	queued          map[string]bool         // offers not decided yet, by request ID; false if cancelled
+	queued          map[string]bool         // queued offers without a decision, by request ID; false if cancelled
 	slowStart       slowStart
 	rejections      map[string]int // by cause
 	workers         []*Worker      // one for each orchestrator
@@ -80,7 +79,7 @@
 type runningTask struct {
 	Task
 	worker    *Worker
-	conn      net.Conn // on which the offer arrived
+	conn      net.Conn // connection on which the offer arrived
 	key       string
 	stop      chan struct{} // closed when the task is cancelled
 	cancelled bool
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -38,8 +38,8 @@
 	return client
 }
 
-// receive reads messages from conn until it ends or a message cannot be parsed. It takes the connection as a parameter
-// because a test may replace the Client's embedded connection.
+// receive reads messages from conn until the connection ends or a message cannot be parsed. The connection is a
+// parameter because a test may replace the Client's embedded connection.
 func (c *Client) receive(conn net.Conn) {
 	defer close(c.Lines)
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
--- a/internal/testbed/conditions.go
+++ b/internal/testbed/conditions.go
@@ -7,7 +7,7 @@
 
 // Conditions are the network conditions of one direction. The zero value is a healthy network.
 type Conditions struct {
-	Cut                      bool          // nothing passes, and neither side gets an error
+	Cut                      bool          // no data passes, and neither side gets an error
 	Refuse                   bool          // connections are refused, and datagrams are lost
 	Delay, Jitter            time.Duration // constant part, and upper bound of the random part, of the delay
 	Loss, Duplicate, Reorder float64       // fractions of datagrams lost, sent twice, delayed past later ones
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -34,8 +34,8 @@
 	return d
 }
 
-// poll answers a poll for the events after a given one as soon as there are any, or when the
-// time that the caller allows is over.
+// poll answers a poll for the events after a given event as soon as such an event exists, or when the timeout that
+// the caller sets expires.
 func (d *Discovery) poll(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
 	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
@@ -58,7 +58,7 @@
 		}
 		break
 	}
-	_, _ = io.WriteString(w, d.InitialList(after)) // a caller whose connection has ended polls again
+	_, _ = io.WriteString(w, d.InitialList(after)) // write errors are ignored: a caller whose connection has ended polls again
 }
 
 // state returns the number of events and a channel that is closed when Add adds one.
@@ -86,8 +86,8 @@
 	d.added = make(chan struct{})
 }
 
-// WaitPolled waits until the program polls for the events after the current last one. The
-// program does so once it has applied all earlier events.
+// WaitPolled waits until the program polls for the events after the last event. The program sends this poll once it
+// has applied all events.
 func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	count, _ := d.state()
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -28,7 +28,7 @@
 
 	mu             sync.Mutex
 	placementTimes []time.Duration // from submission to start, of each started task
-	seconds        []SecondCounts  // by seconds since startedAt
+	seconds        []SecondCounts  // counts of each second since startedAt
 	unanswered     []string        // IDs of the requests that Unanswered returns
 }
 
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -15,8 +15,8 @@
 // state of the fleet from a membership table.
 
 const (
-	partitionGrace   = 6 * time.Second // after a partition, how long its members may still be reported dead
-	restartGrace     = 3 * time.Second // after a start, how long reports of death by or about the member are ignored
+	partitionGrace   = 6 * time.Second // time after a partition during which its members may still be reported dead
+	restartGrace     = 3 * time.Second // time after a start during which reports of death by or about the member are ignored
 	maxDetection     = 9 * time.Second // maximum time in which a stopped orchestrator must be detected
 	minAsymmetricCut = 8 * time.Second // an asymmetric cut that lasts longer must be detected
 )
@@ -42,8 +42,8 @@
 	fleet       *Fleet
 	verdict     Verdict
 	absences    map[string]absence           // latest absence of each orchestrator, by name
-	unreachable map[memberPair]time.Time     // last sample in which the reporter could not reach the subject
-	detected    map[memberPair]time.Duration // from the stop of the subject to the reporter's first report of it
+	unreachable map[memberPair]time.Time     // time of the last sample in which the reporter could not reach the subject
+	detected    map[memberPair]time.Duration // time from the stop of the subject to the reporter's first report of its death
 	falseDead   map[memberPair]bool          // pairs that are counted in Verdict.FalseDead
 	firstView   map[string]int64             // number of the first view that each orchestrator reported
 	latestView  map[string]int64             // highest view number that each orchestrator reported
@@ -172,8 +172,8 @@
 	slices.Sort(e.verdict.DetectionTimes)
 }
 
-// evaluateAsymmetricCuts counts the asymmetric cuts that must be detected, and those among them that
-// either end reported.
+// evaluateAsymmetricCuts counts the asymmetric cuts that must be detected, and the cuts among them that either end
+// reported.
 func (e *evaluation) evaluateAsymmetricCuts() {
 	for _, step := range e.fleet.applied {
 		cut, ok := asymmetricCut(step)
@@ -196,8 +196,8 @@
 	return path{from, to}, true
 }
 
-// mustDetect reports whether a cut must be detected: its path is not open in a sample more than
-// minAsymmetricCut later, and the schedule stopped neither of its ends.
+// mustDetect reports whether a cut must be detected: the path is not open in a sample taken more than
+// minAsymmetricCut after the cut, and the schedule stopped neither end of the path.
 func (f *Fleet) mustDetect(cut path, since time.Time) bool {
 	lasted := slices.ContainsFunc(f.samples, func(s sample) bool {
 		return s.at.Sub(since) > minAsymmetricCut && !s.open[cut]
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -19,17 +19,17 @@
 	testbed.Process
 	Zone string
 
-	directory    string // holds its configuration and stored files
+	directory    string // folder of the orchestrator's configuration and stored files
 	address      string // client address of the process itself
 	adminAddress string
 	peerAddress  string
-	frontAddress string // address of the relay through which its clients reach it
+	frontAddress string // address of the relay through which clients reach the orchestrator
 	discovery    *testbed.Discovery
 	endpoints    endpoints
 
 	mu          sync.Mutex // guards the fields below, which the schedule changes
 	startedAt   time.Time
-	terminating bool          // a signal that ends it is being or was sent; the next start resets this
+	terminating bool          // a signal that ends the process is being or was sent; the next start resets this to false
 	pausedAt    time.Time     // start of the latest pause
 	pausedFor   time.Duration // length of the latest pause
 }
@@ -97,8 +97,8 @@
 	return o.writeConfiguration(options.Programs[index%len(options.Programs)], settings, operatorsFile)
 }
 
-// peerSection opens the paths to all other orchestrators and returns the [peers] section of the
-// operators' file, which names them.
+// peerSection opens the paths to all other orchestrators and returns the [peers] section of the operators' file,
+// which names these orchestrators.
 func (f *Fleet) peerSection(o *Orchestrator) (string, error) {
 	var section strings.Builder
 	fmt.Fprintf(&section, "[peers]\nlisten %s\ncluster rig\nfolder %s\n", o.peerAddress, o.directory)
@@ -180,8 +180,8 @@
 	return o.IsRunning() && at.After(o.pausedAt.Add(o.pausedFor)), o.startedAt
 }
 
-// setStoredStarts sets the start counter that the next start of an orchestrator finds: none if folder
-// is testbed.FolderEmpty, otherwise the counter as the first start left it.
+// setStoredStarts sets the start counter that the next start of an orchestrator finds: none if folder is
+// testbed.FolderEmpty, otherwise the value that the first start stored.
 func (o *Orchestrator) setStoredStarts(folder string) error {
 	path := filepath.Join(o.directory, startsFile)
 	if err := os.WriteFile(path, []byte("1\n"), privateFileMode); err != nil {
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -8,11 +8,11 @@
 type OrchestratorState struct {
 	Name      string `json:"name"`
 	Zone      string `json:"hall"`
-	Up        bool   `json:"up"`        // whether it runs and is not paused
-	Alive     int    `json:"alive"`     // number of others that report it alive
-	Suspected int    `json:"suspected"` // number of others that suspect it
-	Dead      int    `json:"dead"`      // number of others that report it dead or left
-	ViewSize  int    `json:"sees"`      // number of members in its own stable view
+	Up        bool   `json:"up"`        // whether the orchestrator runs and is not paused
+	Alive     int    `json:"alive"`     // number of other orchestrators that report it alive
+	Suspected int    `json:"suspected"` // number of other orchestrators that suspect it
+	Dead      int    `json:"dead"`      // number of other orchestrators that report it dead or left
+	ViewSize  int    `json:"sees"`      // number of members in the orchestrator's own stable view
 }
 
 // Snapshot describes all orchestrators in one sample.
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -39,8 +39,8 @@
 	host          testbed.Host
 	network       *testbed.Network
 	workers       []*testbed.Worker
-	startedAt     time.Time    // when all orchestrators had started
-	requestIDs    atomic.Int64 // number of request IDs given out
+	startedAt     time.Time    // time at which all orchestrators had started
+	requestIDs    atomic.Int64 // number of assigned request IDs
 	stop          chan struct{}
 	goroutines    sync.WaitGroup
 
--- a/internal/testbed/fleet/sample.go
+++ b/internal/testbed/fleet/sample.go
@@ -13,18 +13,18 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file takes samples: it requests the membership table of every orchestrator and records the
-// state of the processes and paths at the same time. It does not evaluate them; judge.go does.
+// This file takes samples: it requests the membership table of every orchestrator and records the state of the
+// processes and paths at the same time. judge.go evaluates the samples.
 
 const (
 	samplePeriod  = 100 * time.Millisecond // time between two samples, and the timeout of a dial
 	statusTimeout = 2 * samplePeriod       // timeout of a status request after the dial
 )
 
-// sample holds the status reports of all orchestrators at one time, and the state of the fleet then.
+// sample holds the status reports of all orchestrators and the state of the fleet at one time.
 type sample struct {
 	at        time.Time
-	reports   map[string]*peer.StatusReport // by orchestrator; absent if it did not answer
+	reports   map[string]*peer.StatusReport // by orchestrator name; none for an orchestrator that did not answer
 	running   map[string]bool               // whether an orchestrator runs and is not paused
 	startedAt map[string]time.Time          // latest start of each orchestrator
 	open      map[path]bool                 // paths between orchestrators that are neither cut nor refusing
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -9,8 +9,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file executes the steps of a schedule. It makes no random choices of its own: these are all
-// made when the schedule is drawn.
+// This file executes the steps of a schedule. It makes no random choices: all of them are made when the schedule is
+// drawn.
 
 // appliedStep is a step and the time at which it was executed.
 type appliedStep struct {
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -16,7 +16,7 @@
 	AsymmetricDetected int             // cuts among AsymmetricCuts that either end reported
 	ViewChanges        int64           // changes of the stable view, summed over all orchestrators
 	DetectionTimes     []time.Duration // from a stop to its detection by each other orchestrator, sorted
-	Disagreement       time.Duration   // how long after the end of all faults any view was still wrong
+	Disagreement       time.Duration   // time from the end of all faults to the last sample with a wrong view
 	TrafficRate        float64         // mean of the bytes that a member sent per second
 	Violations         []string        // one line for each broken rule
 }
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -20,8 +20,8 @@
 type connection struct {
 	worker *Worker
 	socket net.Conn
-	// orchestrator is the index of the orchestrator that opened the connection, learned from the request
-	// ID of an offer. The worker's lock guards it.
+	// orchestrator is the index of the orchestrator that opened the connection, taken from the request ID of an
+	// offer. The worker's lock guards it.
 	orchestrator int
 	writing      sync.Mutex
 	usedAt       atomic.Int64 // Unix time of the last message, or of the start of the connection, in nanoseconds
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -26,7 +26,7 @@
 	mutex       sync.Mutex
 	revision    int           // revision of the last event
 	events      []event       // latest maxEvents events, in order
-	added       chan struct{} // closed when an event is added
+	added       chan struct{} // closed and replaced when an event is added
 	paused      bool
 	entriesSent int64 // number of changed entries published so far
 
@@ -41,16 +41,16 @@
 
 // eventEntry is the list entry of a worker in an event.
 type eventEntry struct {
-	text         string // as JSON
+	text         string // list entry as JSON
 	worker       *Worker
-	stateChanged bool // its phase or address changed, not only its free capacity
+	stateChanged bool // the worker's phase or address changed, not only its free capacity
 }
 
 // poll is a request of an orchestrator for the events that follow a cursor.
 type poll struct {
 	base          int       // revision before the orchestrator's first event; revision = base + cursor
 	after         int       // cursor of the last event that the orchestrator has applied
-	shards        shard.Set // shards whose free capacity it wants, in each zone that it names
+	shards        shard.Set // shards for which the poll requests changes of free capacity, by zone
 	delayCapacity bool      // changes of only free capacity may wait until the poll times out
 }
 
@@ -71,8 +71,8 @@
 	return d
 }
 
-// SetPaused pauses or resumes publishing. Changes made during the pause are published at the end of
-// the period in which it is resumed.
+// SetPaused pauses or resumes publishing. Changes made during the pause are published at the end of the period in
+// which publishing is resumed.
 func (d *Discovery) SetPaused(paused bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// publishChanges adds an event with the entries that changed since the last one, unless it is paused.
+// publishChanges adds an event with the entries that changed since the last event, unless publishing is paused.
 func (d *Discovery) publishChanges() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -17,7 +17,7 @@
 // Observer is notified when workers accept and end tasks. It is called from many goroutines, and never
 // while a lock of the fleet is held.
 type Observer interface {
-	// Accepted is called when a worker accepts a task, before it sends the message that says so.
+	// Accepted is called when a worker accepts a task, before the worker sends the acceptance.
 	Accepted(worker, key, requestID string)
 	// Ended is called when a task ends, before the worker reports its completion. lost is true if the
 	// worker failed: the completion is then never reported.
@@ -149,15 +149,15 @@
 type changeKind int
 
 const (
-	capacityChanged changeKind = iota // only its free capacity changed
-	stateChanged                      // its phase or its address changed
+	capacityChanged changeKind = iota // only the worker's free capacity changed
+	stateChanged                      // the worker's phase or address changed
 )
 
 // changes holds the kind of change of each changed worker, by worker index.
 type changes map[int]changeKind
 
-// RecordChange records a change of the free capacity of the worker with an index, so that discovery
-// publishes its entry again. The capacity may in fact be the same.
+// RecordChange records a change of the free capacity of the worker with an index. Discovery then publishes the
+// worker's entry again, even if the capacity is unchanged.
 func (f *Fleet) RecordChange(index int) { f.recordChange(index, capacityChanged) }
 
 func (f *Fleet) recordChange(index int, kind changeKind) {
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -198,8 +198,7 @@
 	return parsePollAnswer(t, text)
 }
 
-// newTestDiscovery returns a discovery, which the test makes publish by calling publishChanges, and a
-// subscription to it.
+// newTestDiscovery returns a Discovery and a subscription to it. A test calls publishChanges to publish changes.
 func newTestDiscovery(t *testing.T, f *Fleet) (*Discovery, *Subscription) {
 	t.Helper()
 	d := NewDiscovery(f, time.Hour)
@@ -234,7 +233,7 @@
 		t.Errorf("orchestrator more than %d events behind: got %+v, want the complete list as event %d", maxEvents, complete, maxEvents+3)
 	}
 	if last := subscription.LastAppliedRevision(); last != 2 {
-		t.Errorf("LastPolled: got %d, want 2", last)
+		t.Errorf("LastAppliedRevision: got %d, want 2", last)
 	}
 	if initial := parsePollAnswer(t, []byte(subscription.InitialList())); initial.Cursor != 1 {
 		t.Errorf("initial list of the second start: got event %d, want 1", initial.Cursor)
@@ -298,8 +297,8 @@
 	}
 }
 
-// Changes of only free capacity wait until the end of a poll that allows this, and the latest entry of
-// each worker is sent. A change of state is sent at once, together with the waiting changes.
+// Changes of only free capacity wait until the end of a poll that allows the delay, and the latest entry of each
+// worker is sent. A change of state is sent at once, together with the waiting changes.
 func TestDiscoveryDelaysCapacity(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	d, _ := newTestDiscovery(t, f)
--- a/internal/testbed/hollow/task.go
+++ b/internal/testbed/hollow/task.go
@@ -31,7 +31,7 @@
 // Task holds the properties of a task that the description in its submission contains.
 type Task struct {
 	Cores, Memory float64
-	RunTime       time.Duration // time from its start to its completion
+	RunTime       time.Duration // time from start to completion
 }
 
 // Describe returns the description of the task: cores, memory, and run time in microseconds.
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -39,7 +39,7 @@
 	requestedCores  float64
 	requestedMemory float64
 	phase           string    // phase in the worker list, "" for up
-	startedAt       time.Time // time of the latest restart; zero, listed as 0, means long ago
+	startedAt       time.Time // time of the latest restart; zero, listed as 0, for a worker that started long ago
 	unresponsive    bool
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// addConnection adds a connection and returns the completions to send on it. These are all unreported
-// ones, because the worker does not know yet which orchestrator opened the connection.
+// addConnection adds a connection and returns the completions to send on it: all unreported completions, because the
+// worker does not know yet which orchestrator opened the connection.
 func (w *Worker) addConnection(c *connection) (lines []testbed.Line) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -31,7 +31,7 @@
 	timer        *time.Timer // ends the task after its run time, nil until the run time starts
 }
 
-// completion is the end of a task, which is reported again on connections that open later.
+// completion is the end of a task, which is reported again on connections that are established later.
 type completion struct {
 	line testbed.Line
 	at   time.Time
@@ -146,9 +146,9 @@
 	w.requestedMemory -= task.Memory
 }
 
-// reportConnections returns the connections on which to report the completion of a task: the connection
-// of its offer if that is still open, otherwise one of its orchestrator's connections, otherwise all
-// connections whose orchestrator is unknown. The caller holds the lock.
+// reportConnections returns the connections on which to report the completion of a task: the connection of its offer
+// if that connection is still open, otherwise one of its orchestrator's connections, otherwise all connections whose
+// orchestrator is unknown. The caller holds the lock.
 func (w *Worker) reportConnections(task *runningTask) []*connection {
 	if task.connection != nil && w.connections[task.connection] {
 		return []*connection{task.connection}
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -48,8 +48,8 @@
 // RequestID returns the nth request ID.
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// StartLine returns the submission of a task that requests one core. The response is due
-// within leftMs milliseconds.
+// StartLine returns the submission of a task that requests one core. The deadline is leftMs milliseconds after the
+// submission.
 func StartLine(requestID, class, key string, leftMs int) Line {
 	blob := "about " + key
 	return Line{Verb: "START", Tag: requestID, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -20,9 +20,8 @@
 	portAttempts = 5_000
 )
 
-// portsUsed counts the ports tried by all networks of this process, so that no two of them
-// use the same port. Its initial value depends on the process ID because other processes then
-// most likely try other ports.
+// portsUsed counts the ports tried by all networks of this process, so that no two networks use the same port. Its
+// initial value depends on the process ID, so that other processes most likely try other ports.
 var portsUsed atomic.Int64
 
 func init() { portsUsed.Store(int64(os.Getpid()) * 997) }
@@ -37,15 +36,15 @@
 // Network is the network between processes. All its random decisions are drawn from one seed.
 type Network struct {
 	mu         sync.Mutex
-	changed    *sync.Cond // conditions changed, or the network is closed
+	changed    *sync.Cond // signalled when conditions change or the network is closed
 	random     *rand.Rand
 	conditions map[direction]Conditions
 	addresses  map[string]string // listen address by process, "" for a process that has ended
 	relays     map[direction]*relay
 	changedAt  map[direction]time.Time // when the conditions of a direction last changed
 	closed     bool
-	// Passed counts forwarded datagrams and forwarded reads of connections. Stopped counts lost
-	// datagrams and the reads that a cut held back, which are forwarded once it heals.
+	// Passed counts forwarded datagrams and forwarded reads of connections. Stopped counts lost datagrams and the
+	// reads whose data a cut held back until the cut healed.
 	Passed, Stopped atomic.Int64
 }
 
@@ -62,8 +61,8 @@
 	return n
 }
 
-// Relay opens the path from one process to another and returns the address that the first
-// one connects and sends to.
+// Relay opens the path from one process to another. It returns the address to which the sending process connects and
+// sends datagrams.
 func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -68,8 +68,8 @@
 	p.mu.Unlock()
 }
 
-// WaitForLog waits for a log line of the last start that contains a text. It returns the word
-// that follows the text.
+// WaitForLog waits for a log line of the last start that contains a text. It returns the word that follows the text
+// in this line.
 func (p *Process) WaitForLog(text string) (string, error) {
 	timer := time.AfterFunc(Timeout, func() {
 		p.mu.Lock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Ended returns a channel that is closed when the process that was started last ends.
+// Ended returns a channel that is closed when the last started process ends.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
 // Exit returns the exit code and the time of the last end. The code is -1 if a signal ended the
@@ -128,7 +128,7 @@
 	return p.cmd.ProcessState.ExitCode(), p.endedAt
 }
 
-// PID returns the ID of the process that was started last.
+// PID returns the ID of the last started process.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -12,7 +12,7 @@
 // and partitions. The proxy behaves like a network during a partition:
 //   - Data that is sent into the partition is held back and arrives once the partition heals. If
 //     the sender resets the connection first, the data is discarded.
-//   - A reset does not reach the other side, whose connection still looks open.
+//   - A reset does not reach the other side, where the connection still looks open.
 //   - No connection is established.
 
 const (
@@ -29,14 +29,14 @@
 	attempts *AttemptLog
 
 	mu          sync.Mutex
-	changed     *sync.Cond // partitioned or healed, or closed
+	changed     *sync.Cond // signalled when partitioned, muted or closed changes
 	delay       time.Duration
 	partitioned bool
 	muted       bool // data from the worker is held back
 	closed      bool
 	returned    int                 // number of reads from the worker that were forwarded
 	stranded    map[net.Conn]bool   // connections that stay open and forward nothing
-	fillers     map[string]net.Conn // fill the backlog during a partition, by local address
+	fillers     map[string]net.Conn // connections that fill the backlog during a partition, by local address
 	connections []net.Conn          // both sides of each connection
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// Blackhole makes the proxy forward nothing more on the connections that are open now, neither data
-// nor their end. New connections are not affected.
+// Blackhole stops all forwarding on the connections that are open now: neither their data nor their end reaches the
+// other side. New connections are not affected.
 func (p *Proxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -28,7 +28,7 @@
 type relay struct {
 	direction
 	network   *Network
-	address   string // at which the relay listens
+	address   string // address at which the relay listens
 	datagrams *net.UDPConn
 
 	mu          sync.Mutex
@@ -113,8 +113,8 @@
 	}
 }
 
-// relayDatagram drops a datagram or forwards one or two copies of it, as the conditions of the
-// direction determine. Each copy has a delay of its own.
+// relayDatagram drops a datagram or forwards one or two copies of it, as the conditions of the direction determine.
+// The delay of each copy is drawn separately.
 func (r *relay) relayDatagram(out *net.UDPConn, datagram []byte) {
 	conditions, target := r.network.path(r.direction)
 	if target == "" || conditions.Refuse || conditions.isCut(time.Now()) || r.network.drawEvent(conditions.Loss) {
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -43,7 +43,7 @@
 // except precedes the process that a cut does not affect.
 const except = "but"
 
-// Contents of the folder of a restarted process: no stored file, or the one of its first start.
+// Contents of the folder of a restarted process: no stored file, or the stored file of its first start.
 const (
 	FolderEmpty = "empty"
 	FolderOld   = "old"
@@ -60,7 +60,7 @@
 // verbForm describes the arguments of a verb.
 type verbForm struct {
 	minArgs, maxArgs int    // number of arguments, unused for cut
-	usage            string // arguments as an error shows them
+	usage            string // arguments in the form that error messages show
 }
 
 // verbForms contains the forms of all verbs except heal, which has neither a process or path nor
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -38,7 +38,7 @@
 	model        *CapacityModel
 
 	mu               sync.Mutex
-	dialled          *sync.Cond // a connection was accepted
+	dialled          *sync.Cond // signalled when a connection is accepted
 	connections      map[net.Conn]bool
 	offerConnections map[string]net.Conn // connection of each offer, by request ID
 	running          map[string]bool     // running tasks, by request ID
@@ -47,8 +47,8 @@
 	unreported       []Line              // completions to send on the next connection
 	unresponsive     bool                // the worker reads messages and ignores them
 	incarnation      int                 // number of crashes
-	connectionEnds   []time.Time
-	pings            int // number of pings received
+	connectionEnds   []time.Time         // end times of connections
+	pings            int                 // number of pings received
 }
 
 // NewWorker starts a worker without a CapacityModel. The worker is closed at the end of the test.
@@ -148,8 +148,8 @@
 	w.connectionEnds = append(w.connectionEnds, time.Now())
 	maps.DeleteFunc(w.offerConnections, func(_ string, offered net.Conn) bool { return offered == conn })
 	w.mu.Unlock()
-	// A proxy has already recorded the close when it arrived there. The worker records it again because it may have
-	// read an offer after that.
+	// A proxy has already recorded the close of its connection. The worker records the close again because it may
+	// have read another offer since the proxy's record.
 	w.Attempts.connectionClosed(conn.RemoteAddr().String())
 	for _, line := range open {
 		select {
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// isResponsive reports whether the worker still handles messages that arrive for an incarnation: it has
-// not crashed since, and it is responsive.
+// isResponsive reports whether the worker still handles messages that arrive for an incarnation: it is responsive and
+// has not crashed since this incarnation started.
 func (w *Worker) isResponsive(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -14,12 +14,12 @@
 // This file owns the clients: their submissions, their retries and the responses they receive.
 
 const (
-	clientTimeout     = 90 * time.Second // from the first submission until a client stops retrying
+	clientTimeout     = 90 * time.Second // time from the first submission until a client stops retrying
 	minRetryPause     = 1100 * ms
 	retryJitter       = 1400 * ms
 	redialPause       = 100 * ms
-	maybeStartedPause = 3 * time.Second // before a client checks whether a task that must not start twice was accepted
-	responseGrace     = 2 * time.Second // wait for a response beyond the request's timeout
+	maybeStartedPause = 3 * time.Second // pause before a client checks whether a task that must not start twice was accepted
+	responseGrace     = 2 * time.Second // time after a request's timeout for which a client still waits for a response
 	codeRejected      = 34              // code of a FINISH message that rejects a request
 )
 
@@ -28,8 +28,8 @@
 	*job
 	submissions int
 	rejections  int
-	submittedAt time.Time // first attempt to submit
-	startedAt   time.Time // when the client received STARTED or found that a worker had accepted the task
+	submittedAt time.Time // time of the first attempt to submit
+	startedAt   time.Time // time when the client received STARTED or found that a worker had accepted the task
 	abandoned   bool      // the task had not started within clientTimeout
 }
 
@@ -112,7 +112,7 @@
 	for deadline := r.submittedAt.Add(clientTimeout); time.Now().Before(deadline); {
 		pause := minRetryPause + time.Duration(random.Float64()*float64(retryJitter))
 		resp, sentAt, ok := c.submit(j, random, r)
-		if !ok { // The orchestrator is down: draw one again soon, as a front end tries another.
+		if !ok { // The orchestrator is down: draw an orchestrator again after redialPause, as a front end tries another one.
 			time.Sleep(redialPause)
 			continue
 		}
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -20,7 +20,7 @@
 	shapes           [][2]float64 // cores and memory of a task; each program draws one pair
 	responseTimeout  time.Duration
 	latencyObjective time.Duration
-	startTime        [2]time.Duration // minimum and maximum at full speed, drawn for each task
+	startTime        [2]time.Duration // minimum and maximum of the start time at full speed, drawn for each task
 	meanRunTime      [2]time.Duration // minimum and maximum of the mean run time, drawn for each program
 }
 
@@ -53,9 +53,9 @@
 	class   *class
 	key     string
 	program uint64
-	at      time.Duration // of the first submission, relative to the start of the storm
-	inStorm bool          // false: usual demand
-	seed    uint64        // of the draws that its client makes
+	at      time.Duration // time of the first submission, relative to the start of the storm
+	inStorm bool          // the job belongs to the storm, not to the usual demand
+	seed    uint64        // seed of the draws that the client makes
 }
 
 // Prefixes of the keys of jobs.
@@ -113,8 +113,7 @@
 	return &classes[0]
 }
 
-// programWithTasksLeft returns the newest program of a class that has tasks left, or adds one of 7 to
-// 18 tasks.
+// programWithTasksLeft returns the newest program of a class that has tasks left, or adds a program of 7 to 18 tasks.
 func (d *demand) programWithTasksLeft(c *class) (found *program) {
 	for _, p := range d.programs {
 		if p.class == c && p.tasksLeft > 0 {
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -27,8 +27,8 @@
 	maxLate            time.Duration
 	duplicateResponses int
 	duplicateStarts    int // acceptances of archive-cut tasks beyond the first of each key
-	unanswered         int // requests
-	neverStarted       int // tasks of the storm
+	unanswered         int // requests without a response
+	neverStarted       int // tasks of the storm that never started
 	history            porcupine.CheckResult
 }
 
--- a/test/backpressure/flood_test.go
+++ b/test/backpressure/flood_test.go
@@ -14,17 +14,17 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file measures how late responses are that are due at the same moment. A single worker gets many
-// requests at once, each for its whole capacity; those that do not start must be rejected at their common
-// timeout.
+// This file measures the lateness of responses to requests whose timeouts expire at the same moment. A single worker
+// gets many requests at once, each for its whole capacity. Requests that start no task must be rejected at their
+// common timeout.
 
 // flood is a set of requests that are sent at the same moment, and the measured responses.
 type flood struct {
-	timeout time.Duration // of each request
+	timeout time.Duration // timeout of each request
 
 	mu        sync.Mutex
 	lateBy    []time.Duration // lateness of the responses that came after the timeout
-	responses int             // all messages received, up to the number of requests
+	responses int             // number of received messages, at most the number of requests
 }
 
 // runFlood sends n requests at the same moment, spread evenly over connections.
@@ -68,7 +68,7 @@
 	return append(text, '\n')
 }
 
-// send writes requests in one go and receives up to count messages until 3 s after the timeout.
+// send writes requests in one call and receives up to count messages until 3 s after the timeout.
 func (f *flood) send(t *testing.T, client *testbed.Client, requests []byte, count int) {
 	sentAt := time.Now()
 	if _, err := client.Write(requests); err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// receive counts a message that came elapsed after its request was sent.
+// receive counts a message that arrived the time elapsed after its request was sent.
 func (f *flood) receive(elapsed time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/test/backpressure/history_test.go
+++ b/test/backpressure/history_test.go
@@ -34,7 +34,7 @@
 type operation struct {
 	requestID string
 	kind      operationKind
-	worker    string // of the attempt; empty if kind is answered
+	worker    string // worker of the attempt; empty if kind is answered
 	response  string // kind of final response; empty unless kind is answered
 }
 
@@ -77,12 +77,12 @@
 type history struct {
 	mu         sync.Mutex
 	startedAt  time.Time
-	sentAt     map[string]int64 // when the client sent a request, in nanoseconds since startedAt, by request ID
+	sentAt     map[string]int64 // time when the client sent a request, in nanoseconds since startedAt, by request ID
 	operations []porcupine.Operation
 }
 
-// elapsed returns the nanoseconds since its first call. The caller holds the lock, or nothing else uses
-// the history yet.
+// elapsed returns the nanoseconds since its first call. The caller holds the lock, unless no other goroutine uses the
+// history yet.
 func (h *history) elapsed() int64 {
 	if h.startedAt.IsZero() {
 		h.startedAt = time.Now()
@@ -143,7 +143,8 @@
 	return porcupine.CheckOperationsTimeout(model, h.operations, timeout)
 }
 
-// Guards against a model that accepts everything: each history breaks one rule and the check must fail.
+// TestHistoriesThatBreakRules guards against a model that accepts everything: each history breaks one rule, and the
+// check must fail.
 func TestHistoriesThatBreakRules(t *testing.T) {
 	for name, operations := range map[string][]operation{
 		"two attempts in flight": {
--- a/test/backpressure/lower_bound_test.go
+++ b/test/backpressure/lower_bound_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file owns the bound on the results that any orchestrator can reach. It simulates all workers as
-// one pool whose free capacity is always known, and which inspects offers and starts tasks as fast as its
-// workers together. Live-relay tasks start first, then the others; each in the order of submission.
+// This file owns the bound on the results that any orchestrator can reach. It simulates all workers as one pool whose
+// free capacity is always known. The pool inspects offers and starts tasks as fast as its workers together.
+// Live-relay tasks start first, then all other tasks, both in the order of submission.
 
 // boundStep is the time step of the simulation.
 const boundStep = 10 * ms
@@ -18,9 +18,9 @@
 	inspectionsPerStep float64          // offers that all workers inspect in one time step
 	maxTokens          float64          // upper limit of tokens
 	tokens             float64          // offers that can be inspected now
-	slotFreeAt         []time.Duration  // when each start slot becomes free
-	completions        []poolCompletion // of running tasks
-	lastStart          time.Duration    // when the last task of the storm was accepted
+	slotFreeAt         []time.Duration  // time when each start slot becomes free
+	completions        []poolCompletion // completions of running tasks
+	lastStart          time.Duration    // time when the last task of the storm was accepted
 	relaysInTime       int              // live-relay tasks of the storm that met their latency objective
 }
 
@@ -30,8 +30,8 @@
 	job *job
 }
 
-// newPool returns the pool of the emulated workers. Those that have just started count as full workers,
-// except for their start slots, which count at ColdStartRate.
+// newPool returns the pool of the emulated workers. Workers that have just started count as full workers, except for
+// their start slots, which count at ColdStartRate.
 func newPool(workers int) *pool {
 	p := &pool{maxTokens: float64(workers)}
 	slots := 0.0
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -19,8 +19,8 @@
 
 	mu              sync.Mutex
 	acceptances     map[string]int       // number of acceptances, by key
-	running         map[string]placement // placement of the last acceptance until it completes, by key
-	firstStartedAt  map[string]time.Time // when the task first finished its start, by key
+	running         map[string]placement // placement of the last acceptance until the task completes, by key
+	firstStartedAt  map[string]time.Time // time when the task first finished its start, by key
 	duplicateStarts int                  // acceptances of archive-cut tasks beyond the first of each key
 }
 
--- a/test/backpressure/retry_storm_test.go
+++ b/test/backpressure/retry_storm_test.go
@@ -27,8 +27,8 @@
 	onlyFlag    = flag.String("only", "", "run before or after only")
 )
 
-// Operators' files. The first sets a fixed Retry-After of 1 s for all clients, the behaviour before
-// reserved slots; the second sets a Retry-After that returns clients in reserved slots.
+// Operators' files. fileBefore sets a fixed Retry-After of 1 s for all clients, the behaviour before reserved slots.
+// fileAfter sets a Retry-After that returns clients in reserved slots.
 const (
 	fileBefore = "testdata/before.conf"
 	fileAfter  = "testdata/after.conf"
@@ -37,11 +37,11 @@
 const (
 	stormSpan     = 360 * ms         // time span of the first submissions of the storm's clients
 	demandAfter   = 60 * time.Second // length of the usual demand after the start of the storm
-	startupTime   = 100 * ms         // before the usual demand begins
+	startupTime   = 100 * ms         // time before the usual demand begins
 	wakeupLead    = 10 * ms          // time between the wake-up of a client and its first submission
 	restartBegin  = -500 * ms        // kill of the first orchestrator, relative to the start of the storm
-	restartPeriod = 1500 * ms        // from the kill of one orchestrator to the kill of the next
-	downtime      = 700 * ms         // from the kill of an orchestrator to its next start
+	restartPeriod = 1500 * ms        // time from the kill of one orchestrator to the kill of the next
+	downtime      = 700 * ms         // time from the kill of an orchestrator to its next start
 )
 
 // stormOptions holds the size and the settings of a storm. usualRate is in tasks per second, compliance is
@@ -127,8 +127,8 @@
 	return results
 }
 
-// restartAll restarts the orchestrators one after another around the start of the storm if enabled is
-// true. It returns the number of running tasks that were registered with them after their restart.
+// restartAll restarts the orchestrators one after another around the start of the storm if enabled is true. It
+// returns the number of running tasks that were registered with the orchestrators after their restart.
 func (r *rig) restartAll(c *clients, enabled bool) int {
 	if !enabled {
 		return 0
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci tests the scripts that CI runs beside the tests.
+// Package ci tests the scripts that CI runs in addition to the tests.
 package ci
 
 import (
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -27,7 +27,7 @@
 	shrinkFlag    = flag.Bool("shrink", false, "shorten a schedule that fails; each attempt is one run")
 )
 
-// maxDisagreement is how long after the end of all faults the membership tables may still differ.
+// maxDisagreement is the maximum time after the end of all faults for which the membership tables may differ.
 const maxDisagreement = 3 * time.Second
 
 // build builds the program on its first call and returns the path of the binary.
@@ -98,7 +98,7 @@
 	}
 }
 
-// schedule returns the schedule of the flag, or a drawn one if the flag is not set.
+// schedule returns the schedule that the flag gives, or a drawn schedule if the flag is not set.
 func schedule(t *testing.T, f *fleet.Fleet, length time.Duration) []testbed.Step {
 	t.Helper()
 	if *scheduleFlag == "" {
@@ -111,8 +111,8 @@
 	return steps
 }
 
-// placementRatio returns the 99th percentile of placement times with peers divided by that without peers, or 0 if
-// placements without peers were not measured.
+// placementRatio returns the 99th percentile of placement times with peers divided by the 99th percentile without
+// peers, or 0 if placements without peers were not measured.
 func placementRatio(t *testing.T, withPeers, withoutPeers *fleet.Placements) float64 {
 	if withoutPeers == nil {
 		return 0
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -139,7 +139,7 @@
 	c.pool.orchestrator.rig.ledger.connectionLost(c)
 }
 
-// pingAnswered closes the channel of a ping and forgets the ping.
+// pingAnswered closes the channel of a ping and removes the ping from c.pings.
 func (c *connection) pingAnswered(requestID string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -16,7 +16,7 @@
 	listDetection = 3 * time.Second
 	// downtime is the time for which a process is down during a restart.
 	downtime = 2 * time.Second
-	// convergenceTimeout limits the wait until all orchestrators and clients know of a failure.
+	// convergenceTimeout is the maximum time for all orchestrators and clients to learn of a failure.
 	convergenceTimeout = 20 * time.Second
 	// plannedRestarts is the number of worker restarts on one day that the operators plan for in a fleet of
 	// plannedWorkers. The test runs all of them within one minute. A smaller fleet restarts the same
@@ -36,8 +36,8 @@
 
 var failureKinds = []string{failCell, failZone, failOrchestrators, failWorkerRestarts, failAllOrchestrators}
 
-// baseline holds the counters at one moment. report subtracts those from the start of a failure from the
-// current ones.
+// baseline holds the counters at one moment. report subtracts the counters at the start of a failure from the current
+// counters.
 type baseline struct {
 	at                time.Time
 	counts            counts
@@ -153,9 +153,9 @@
 	return true
 }
 
-// restartOrchestrators kills orchestrators and starts them again after downtime without their state. The
-// failure is known when each of them has answered the pings that its clients send after they have
-// registered their running tasks again.
+// restartOrchestrators kills orchestrators and starts them again after downtime without their state. The failure is
+// known when each of these orchestrators has answered the pings that its clients send after they have registered
+// their running tasks again.
 func (r *rig) restartOrchestrators(kind string, targets []*orchestrator) {
 	b, restarted := r.baseline(), make([]bool, len(targets))
 	var group sync.WaitGroup
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// maxMovedInCut cuts off a region for cutSeconds. It returns the maximum number of shards that had moved
-// since before at any second of the cut or of the secondsAfter that follow it.
+// maxMovedInCut cuts off a region for cutSeconds. It returns the maximum number of shards that members have gained
+// since before, over all seconds of the cut and of the secondsAfter that follow.
 func (s *scenario) maxMovedInCut(before assignments) (moved int) {
 	const cutSeconds, secondsAfter = 120, 30
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -141,6 +141,6 @@
 	loads, agree := replay()
 	again, agreeAgain := replay()
 	if loads != again || agree != agreeAgain {
-		t.Errorf("the same seed gives loads %v, agreement times %v and then loads %v, agreement times %v", loads, agree, again, agreeAgain)
+		t.Errorf("two runs with one seed: got loads %v, agreement times %v, then loads %v, agreement times %v; want equal results", loads, agree, again, agreeAgain)
 	}
 }
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -6,22 +6,22 @@
 	"ravenhitch/internal/membership"
 )
 
-// This file contains the checks of the members' reports and tables against the state of the simulation.
-// The checks must rely on that state alone and never on what a member reports.
+// This file contains the checks of the members' reports and tables against the state of the simulation. The checks
+// must rely on the state of the simulation alone and never on the members' reports.
 
 const (
 	// reachablePeriod is the time in microseconds for which a member must have been reachable before a
 	// report of its death counts as false.
 	reachablePeriod = 6 * second
-	// startGrace is the time in microseconds after the start of a process within which others may still
-	// report it dead, because they may mean the process before it.
+	// startGrace is the time in microseconds after the start of a process within which others may still report it
+	// dead, because their reports may refer to the previous process.
 	startGrace = 2 * second
 )
 
-// checkDeath checks a death that a member reports and records it if it is false. A death is false if the
-// process with the reported incarnation nonce has run for at least startGrace and both members could reach
-// each other throughout the last reachablePeriod. The network has no other cut than that of one region, so
-// all members on the same side of the cut can reach each other.
+// checkDeath checks a death that a member reports and records the death if it is false. A death is false if the
+// process with the reported incarnation nonce has run for at least startGrace and both members could reach each other
+// throughout the last reachablePeriod. The only cut of the network separates one region, so all members on the same
+// side of the cut can reach each other.
 func (s *simulation) checkDeath(reporter int, event membership.Event) {
 	index := s.byName[event.Name]
 	subject := s.members[index]
--- a/test/scale/hollow/long_dead_test.go
+++ b/test/scale/hollow/long_dead_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// This file tests the effect of members that died long ago on the others.
+// This file tests the effect of members that died long ago on the other members.
 
-// TestHealAmongTheLongDead checks that members that died long ago and never come back do not prevent the
-// others from finding each other after a cut.
+// TestHealAmongTheLongDead checks that members that died long ago and never restart do not prevent the other members
+// from finding each other after a cut.
 func TestHealAmongTheLongDead(t *testing.T) {
 	const n, cutSeconds = 9, 60
 	for _, dead := range []int{0, 100} {
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -22,7 +22,7 @@
 	l.codec += o.codec
 }
 
-// dividedBy returns the load divided by a number, such as that of members times seconds.
+// dividedBy returns the load divided by a number, such as the number of members times seconds.
 func (l load) dividedBy(by float64) load {
 	return load{l.bytes / by, l.messages / by, l.toDead / by, l.toDeadBytes / by, l.handshakes / by, l.microseconds / by, l.codec / by}
 }
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -34,7 +34,7 @@
 	heapPerMember      float64             // bytes per member at the end of calm
 	heapPerMemberInCut float64             // bytes per member at the end of the cut
 	deadEntries        int                 // entries of dead members at the end of the cut, in all tables
-	maxDeadEntries     int                 // maximum number of those entries in one table
+	maxDeadEntries     int                 // maximum number of entries of dead members in one table at the end of the cut
 	agreedAfter        [phaseCount]float64 // seconds until the tables agreed, or never
 	deadEntriesAfter   int                 // entries of dead members in all tables after the cut, once the tables agree
 	falseDeaths        []string
@@ -104,8 +104,8 @@
 	s.advance(ph, timeAfterAgreement)
 }
 
-// waitForAgreement advances time until the tables agree, but at most for agreementTimeout. It records the
-// time that this takes.
+// waitForAgreement advances time until the tables agree, but at most for agreementTimeout. It records the time until
+// agreement.
 func (s *scenario) waitForAgreement(ph phase) { s.waitForAgreementBy(ph, s.now+agreementTimeout) }
 
 // waitForAgreementBy advances time until the tables agree, but not past the deadline.
@@ -134,8 +134,8 @@
 	}
 }
 
-// recordSample adds the loads of all members to the record of a phase and resets them. Peaks are computed per
-// full second: load from part of a second is added to that of the rest of the second.
+// recordSample adds the loads of all members to the record of a phase and resets them. Peaks are computed per full
+// second: the load of a part of a second is added to the load of the rest of the second.
 func (s *scenario) recordSample(ph phase, fullSecond bool) {
 	r := &s.records[ph]
 	for _, m := range s.members {
--- a/test/scale/hollow/scheduler_test.go
+++ b/test/scale/hollow/scheduler_test.go
@@ -6,7 +6,7 @@
 
 // event is a function to run at a moment of virtual time.
 type event struct {
-	at, number int64 // time in microseconds; number orders events with the same time by when they were added
+	at, number int64 // time in microseconds; events with the same time run in order of number, which is the order of their addition
 	run        func()
 }
 
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -107,7 +107,7 @@
 	s.tickAt(i, s.now+s.random.Int64N(started.NextTick()-s.now))
 }
 
-// schedule schedules the next tick that the membership of a member requests, unless an earlier one is pending.
+// schedule schedules the next tick that the membership of a member requests, unless an earlier tick is pending.
 func (s *simulation) schedule(i int) {
 	scheduled := s.members[i]
 	if at := max(scheduled.NextTick(), s.now+1); scheduled.nextTickAt <= s.now || at < scheduled.nextTickAt {
@@ -115,8 +115,8 @@
 	}
 }
 
-// tickAt schedules a tick of the membership of a member. The tick is dropped if another time is scheduled or
-// the process ends before then.
+// tickAt schedules a tick of the membership of a member. The tick is dropped if another time is scheduled or the
+// process ends before the tick.
 func (s *simulation) tickAt(i int, at int64) {
 	ticked, nonce := s.members[i], s.members[i].nonce
 	ticked.nextTickAt = at
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -8,9 +8,9 @@
 
 // This file tests changes of the cluster during a cut.
 
-// TestChangesWithinCut checks that after a cut all members know of the changes that happened on either side
-// during the cut: members that restarted, moved to another address, left or joined. They must also find each
-// other if all members restarted, so that none remembers the others.
+// TestChangesWithinCut checks that after a cut all members have learned of the changes that happened on either side
+// during the cut: members that restarted, moved to another address, left or joined. Members must also find each other
+// if all of them restarted with empty tables.
 func TestChangesWithinCut(t *testing.T) {
 	const cutSeconds = 60
 	for _, c := range []struct {
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -115,7 +115,7 @@
 // allow 58 ms; the remainder allows for delays on a busy host.
 const responseGrace = time.Second
 
-// deadlinePassed counts a request without a response as unanswered. Its client cancels it and retries.
+// deadlinePassed counts a request without a response as unanswered. The client cancels the request and retries.
 func (l *ledger) deadlinePassed(r *request) {
 	l.mutex.Lock()
 	if r.answered || l.closed {
@@ -288,7 +288,7 @@
 	return 0
 }
 
-// connectionLost counts the requests in flight on a connection that ended as failed. Their clients retry.
+// connectionLost counts as failed the requests in flight on a connection that has ended. Their clients retry.
 func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
 	var inFlight []*request
@@ -308,9 +308,8 @@
 	}
 }
 
-// runningAt returns the running tasks that an orchestrator has started. Tasks that completed while the
-// orchestrator was down need no report: their clients find that out when they look for the tasks to
-// register again.
+// runningAt returns the running tasks that an orchestrator has started. Tasks that completed while the orchestrator
+// was down need no report: the clients detect these completions when they collect the tasks to register again.
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -19,8 +19,8 @@
 // This file contains the orchestrators' processes: their addresses, start and end, and the admin calls to
 // them.
 
-// Fixed ports of an orchestrator for the addresses that others must know before it starts. The loopback
-// IP address depends on the test's process ID and differs from the workers' addresses.
+// Fixed ports of an orchestrator, for the addresses that others need before it starts. The loopback IP address
+// depends on the test's process ID and differs from the workers' addresses.
 const (
 	peerPort  = 7101
 	adminPort = 7102
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -64,7 +64,7 @@
 	return p
 }
 
-// measureAll measures all orchestrators concurrently, so that one that answers no admin calls does not
+// measureAll measures all orchestrators concurrently, so that an orchestrator that answers no admin calls does not
 // delay the measurements of the others.
 func (r *rig) measureAll() []measurement {
 	all := make([]measurement, len(r.orchestrators))
@@ -126,7 +126,7 @@
 		control, peers, clients, workers, rss, float64(p.dials)/length)
 }
 
-// catchUpInterval is the interval at which callAtRate makes the calls that are due.
+// catchUpInterval is the interval at which callAtRate makes all calls that the rate requires up to then.
 const catchUpInterval = 5 * time.Millisecond
 
 // callAtRate calls f at a rate per second until stop is closed.
--- a/test/scale/prober_test.go
+++ b/test/scale/prober_test.go
@@ -15,9 +15,9 @@
 const probePeriod = 100 * time.Millisecond
 
 // prober pings an orchestrator at a fixed rate on its own connection, whether or not earlier pings have been
-// answered. The orchestrator answers a ping at the end of the event loop's turn that reads it. The round
-// trip is therefore an upper bound on the duration of that turn plus the rest of the turn before. The
-// longest round trip is reported as the slowest turn. A turn that falls between two pings is missed.
+// answered. The orchestrator answers a ping at the end of the event loop's turn that reads it. The round trip is
+// therefore an upper bound on the duration of that turn plus the rest of the previous turn. The longest round trip is
+// reported as the slowest turn. A turn that falls between two pings is missed.
 type prober struct {
 	connection *connection
 	mutex      sync.Mutex
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -48,8 +48,8 @@
 // workers and their connections.
 const spareDescriptors = 1000
 
-// checkDescriptors returns an error if the listeners and connections exceed the descriptor limit of this
-// process. A run with fewer orchestrators and their part of the demand needs fewer: see -fleet-size.
+// checkDescriptors returns an error if the listeners and connections exceed the descriptor limit of this process. A
+// run with fewer orchestrators and their part of the demand needs fewer descriptors: see -fleet-size.
 func (o options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -114,7 +114,7 @@
 		group.Go(func() {
 			startedAt := time.Now()
 			if !o.clients.pingAll(admitTimeout) {
-				r.t.Logf("scale-finding: %s answered no pings on all connections within %s; clients submit to it all the same", o.Name, admitTimeout)
+				r.t.Logf("scale-finding: %s answered no pings on all connections within %s; clients submit to it anyway", o.Name, admitTimeout)
 			} else {
 				r.t.Logf("%s answered its first pings after %s", o.Name, time.Since(startedAt).Round(time.Millisecond))
 			}
@@ -186,14 +186,14 @@
 	return i >= 0 && slices.Contains(r.assigned(r.fleet.Workers[i]), o)
 }
 
-// placeRunning makes a task run, under a new request ID, at a random one of the workers that has free
-// capacity. It reports whether it found one.
+// placeRunning makes a task run, under a new request ID, at a random worker with free capacity. It reports whether it
+// found such a worker.
 func (r *rig) placeRunning(t *task, workers []*hollow.Worker, random *rand.Rand) bool {
 	_, requestID := t.orchestrator.clients.pick()
 	return r.placeRunningAs(t, workers, random, requestID)
 }
 
-// placeRunningAs does the same as placeRunning under a given request ID.
+// placeRunningAs is like placeRunning but uses the given request ID.
 func (r *rig) placeRunningAs(t *task, workers []*hollow.Worker, random *rand.Rand, requestID string) bool {
 	running := hollow.Task{Cores: t.job.task.Cores, Memory: t.job.task.Memory, RunTime: t.runTime}
 	for range maxPlacementTries {
@@ -234,18 +234,18 @@
 	for o, tasks := range byOrchestrator {
 		group.Go(func() {
 			if !r.clients.handOver(o, tasks) {
-				r.t.Logf("scale-finding: %s answered no ping behind the %d tasks that were registered there", o.Name, len(tasks))
+				r.t.Logf("scale-finding: %s answered no ping after the registration of its %d running tasks", o.Name, len(tasks))
 			}
 		})
 	}
 	group.Wait()
 	if !r.waitUntil(func() bool { return !r.discovery.Pending() && r.listApplied(r.discovery.Revision()) }) {
-		r.t.Log("scale-finding: not every orchestrator polled the capacity that the tasks which ran before leave free")
+		r.t.Log("scale-finding: not every orchestrator applied the capacity that the already running tasks leave free")
 	}
 	for _, o := range r.orchestrators {
 		n, err := o.activeTasks()
 		if err != nil {
-			r.t.Logf("scale-finding: %s does not say what it has: %v", o.Name, err)
+			r.t.Logf("scale-finding: %s does not report its number of tasks: %v", o.Name, err)
 		}
 		adopted += n
 	}
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -22,7 +22,7 @@
 	started              int // number of starts in the peak
 	counts               counts
 	descriptors, peakMB  int64
-	p50, p99             float64 // of the time to start, in milliseconds
+	p50, p99             float64 // percentiles of the time to start, in milliseconds
 	slowestTurn          time.Duration
 	pinged               bool // whether any ping of the prober was answered
 }
@@ -70,7 +70,7 @@
 	}
 	s.phase.Store("set-up")
 	res.adopted = r.adoptRunning()
-	r.t.Logf("%d of %d tasks that ran before are known; %d connections to workers are open", res.adopted, r.options.running,
+	r.t.Logf("%d of %d already running tasks are reported by orchestrators; %d connections to workers are open", res.adopted, r.options.running,
 		r.fleet.Connections())
 	s.phase.Store("standing")
 	r.discovery.SetPaused(true)
@@ -110,8 +110,8 @@
 	}
 }
 
-// controlPercent returns the processor time of the peak without that of the data path, in percent of a core,
-// as the maximum over all orchestrators. The processor time of the data path is the difference between the
+// controlPercent returns the processor time of the peak minus the processor time of the data path, in percent of a
+// core, as the maximum over all orchestrators. The processor time of the data path is the difference between the
 // phases messages, in which pings make the same number of messages, and idle.
 func (res result) controlPercent() (highest float64) {
 	for i := range res.peak.before {
@@ -123,12 +123,12 @@
 	return highest
 }
 
-// check asserts what must hold at any size. It checks counts and never times.
+// check asserts the conditions that must hold at any size. It checks counts and never times.
 func (res result) check(t *testing.T) {
 	t.Helper()
 	checkRules(t, "at the peak", res.counts)
 	if res.adopted != res.options.running {
-		t.Errorf("orchestrators know %d of the already running tasks, want %d", res.adopted, res.options.running)
+		t.Errorf("got %d already running tasks reported by orchestrators, want %d", res.adopted, res.options.running)
 	}
 	if res.descriptors > int64(res.options.sockets) {
 		t.Errorf("an orchestrator had %d descriptors open, want at most %d", res.descriptors, res.options.sockets)
--- a/test/scale/usage_test.go
+++ b/test/scale/usage_test.go
@@ -14,8 +14,8 @@
 // usage holds the resources that a process has used so far and the number of its open descriptors.
 type usage struct {
 	cpuSeconds  float64
-	residentMB  float64 // MiB
-	peakMB      float64 // maximum of residentMB so far
+	residentMB  float64 // in MiB
+	peakMB      float64 // maximum of residentMB so far, in MiB
 	descriptors int
 	read        int64 // bytes that the process read, from sockets as well, except datagrams
 	written     int64 // bytes that the process wrote, to sockets as well, except datagrams
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -22,7 +22,7 @@
 		l.duplicateStart(requestID, worker, other[0])
 	}
 	l.running[key], l.keys[requestID] = append(l.running[key], run{worker, requestID, time.Now()}), key
-	delete(l.unreported, requestID) // the completion was that of an earlier, cancelled attempt
+	delete(l.unreported, requestID) // the completion belonged to an earlier, cancelled attempt
 }
 
 // duplicateStart counts a task that starts while it already runs, either as a rule violation or, where the
@@ -74,8 +74,8 @@
 	}
 }
 
-// clearUnreported removes the completion of a request from the unreported ones, because its client has
-// been notified or needs no report. The caller holds l.mutex.
+// clearUnreported removes the completion of a request from l.unreported, because the client has been notified or
+// needs no report. The caller holds l.mutex.
 func (l *ledger) clearUnreported(requestID string) {
 	delete(l.unreported, requestID)
 	delete(l.lost, requestID)
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -16,10 +16,11 @@
 const codeEnded = 16
 
 const (
-	maxOpen      = 4 // requests without a response on one connection
+	maxOpen      = 4 // maximum number of requests without a response on one connection
 	maxThinkTime = 40 * time.Millisecond
 	redialPause  = 20 * time.Millisecond
-	// reconnectWindow is how long after the first terminating signal clients still reconnect when a connection ends.
+	// reconnectWindow is the time after the first terminating signal during which clients reconnect if a connection
+	// ends.
 	reconnectWindow = 400 * time.Millisecond
 )
 
@@ -66,8 +67,8 @@
 	}
 }
 
-// connect opens a connection and reports whether it succeeded. Once reconnectWindow has passed since the first terminating
-// signal, it no longer tries. It records a refusal only before half of that window has passed.
+// connect opens a connection and reports whether it succeeded. It does not try once reconnectWindow has passed since
+// the first terminating signal, and it records a refusal only in the first half of reconnectWindow.
 func (c *client) connect() bool {
 	since := c.process.sinceStop(time.Now())
 	if since > reconnectWindow {
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// This file checks a finished scenario against the rules of the protocol. The limits are those of the protocol, with
-// slack for the test's own delays.
+// This file checks a finished scenario against the rules of the protocol. The limits are the protocol's limits plus
+// slack for delays in the test itself.
 
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
 	reportLimit   = time.Second            // maximum time until a completion is reported to the client
 	leaveLimit    = 100 * time.Millisecond // maximum time between a client leaving and the last attempt of its request
-	crossingLimit = 50 * time.Millisecond  // maximum time for which a message and a close may cross
+	crossingLimit = 50 * time.Millisecond  // maximum time between a message and a close that cross
 	ruleSlack     = 50 * time.Millisecond  // tolerance of the test on reportLimit and drainGrace
 	maxPathDelay  = 75 * time.Millisecond  // maximum delay of messages to a worker by faultDelay
 )
@@ -74,7 +74,7 @@
 		s.judgeRequest(&v, r, readIDs[r.id])
 	}
 	for range s.ledger.refusedConnections {
-		v.addViolation(&v.lost, "lost (refused connection)", "a connection was refused while the process still has to accept new ones")
+		v.addViolation(&v.lost, "lost (refused connection)", "a connection was refused while the process must still accept connections")
 	}
 	s.judgeDuplicates(&v)
 	for _, p := range s.processes {
@@ -83,10 +83,10 @@
 	return v
 }
 
-// judgeDuplicates counts the attempts that reached a worker while another attempt of the same request was in flight. One
-// case is allowed: a worker runs a task whose acceptance was lost with its connection or followed unreadable bytes. The
-// process cannot know of that task and may attempt the request again if its class allows repeated starts. Once the process
-// has read the acceptance, another attempt is a violation.
+// judgeDuplicates counts the attempts that reached a worker while another attempt of the same request was in flight.
+// One case is allowed: a worker runs a task whose acceptance was lost with its connection or followed unreadable
+// bytes. The process cannot detect that task and may attempt the request again if its class allows repeated starts.
+// Once the process has read the acceptance, another attempt is a violation.
 func (s *scenario) judgeDuplicates(v *verdict) {
 	for _, duplicate := range s.attempts.Duplicates() {
 		requestID, _, _ := strings.Cut(duplicate, " ")
@@ -110,7 +110,8 @@
 	return requests
 }
 
-// judgeProcess checks that a process exited by itself with code 0 and kept its limits on descriptors and memory.
+// judgeProcess checks that a process exited by itself with code 0 and stayed within its limits on descriptors and
+// memory.
 func (s *scenario) judgeProcess(v *verdict, p *process) {
 	if p.killed || p.exitCode != 0 {
 		lines := p.Lines()
@@ -167,10 +168,11 @@
 // before the connection ended may still have been in transit.
 const reportLossWindow = 100 * time.Millisecond
 
-// isUnreported reports whether the completion of a task was not reported to its client in time. It returns false where
-// the process may not have learned of the completion or had no time to report it: the worker or its path had a fault since
-// the submission, a connection to the worker ended around its report (a worker that could not send a report has 8 s for it), or the process exited before the limit. It also returns false where the process's report crossed the close of its
-// connection by the client.
+// isUnreported reports whether the completion of a task was not reported to its client in time. It returns false
+// where the process may not have learned of the completion or had no time to report it: the worker or its path had a
+// fault since the submission, a connection to the worker ended around its report (a worker that could not send a
+// report has 8 s to send it), or the process exited before the limit. It also returns false where the process's
+// report crossed the close of its connection by the client.
 func (s *scenario) isUnreported(r *request) bool {
 	if r.endedAt.IsZero() || !r.leftAt.IsZero() || !r.disconnectedAt.IsZero() {
 		return false
@@ -201,8 +203,8 @@
 	return false
 }
 
-// judgeDrains counts the offers that reached draining workers later than drainGrace. Processes whose discovery had a fault
-// are exempt.
+// judgeDrains counts the offers that reached workers later than drainGrace after their drain began. Processes whose
+// discovery had a fault are exempt.
 func (s *scenario) judgeDrains(v *verdict, p *process) {
 	for _, w := range p.workers {
 		drainingSince := w.drainStart()
@@ -235,8 +237,8 @@
 	minPause      = 10 * time.Millisecond
 )
 
-// pauseMeter records the times at which the host did not schedule the test process although it was due. Events in such a
-// pause are observed late.
+// pauseMeter records the intervals in which the host did not run the test process although its timer had expired.
+// Events in such an interval are observed late.
 type pauseMeter struct {
 	mu     sync.Mutex
 	pauses []interval
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -18,20 +18,20 @@
 	process        *process
 	timeout        time.Duration
 	submittedAt    time.Time
-	respondedAt    time.Time   // when its first response arrived
-	response       string      // verb of its first response
-	responses      int         // number of responses, plus reports of its completion after the first
-	leftAt         time.Time   // when its client cancelled it or left
-	disconnectedAt time.Time   // when its connection ended before the response
-	connection     *connection // connection of its submission
-	worker         *worker     // worker at which its task ended
-	endedAt        time.Time   // when its task ended at the worker
-	reportedAt     time.Time   // when the completion was reported to its client
+	respondedAt    time.Time   // arrival time of the first response
+	response       string      // verb of the first response
+	responses      int         // number of responses, plus reports of the completion after the first report
+	leftAt         time.Time   // time when the client cancelled the request or left
+	disconnectedAt time.Time   // time when the connection ended before the response
+	connection     *connection // connection of the submission
+	worker         *worker     // worker at which the task ended
+	endedAt        time.Time   // time when the task ended at the worker
+	reportedAt     time.Time   // time when the completion was reported to the client
 }
 
 // connection records one connection of a client.
 type connection struct {
-	closedAt time.Time // when the client closed it; zero if it did not
+	closedAt time.Time // time when the client closed the connection, zero if it did not
 }
 
 // ledger records the requests of all clients, by request ID.
@@ -55,9 +55,8 @@
 		timeout: timeout, submittedAt: now}
 }
 
-// received records a message to a client. It returns the key of the message's request and reports whether the message is
-// the first response. Messages with another verb or an unknown request ID are
-// ignored.
+// received records a message to a client. It returns the key of the message's request and reports whether the message
+// is the first response. Messages with another verb or an unknown request ID are ignored.
 func (l *ledger) received(line testbed.Line, now time.Time) (key string, isResponse bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +69,7 @@
 	case r.respondedAt.IsZero():
 		r.respondedAt, r.response, r.responses = now, line.Verb, 1
 		if line.Verb != "STARTED" {
-			r.reportedAt = now // after any first response but STARTED, no completion report is due
+			r.reportedAt = now // after any first response but STARTED, no completion report is expected
 		}
 		return r.key, true
 	case isCompletion && r.reportedAt.IsZero():
@@ -81,7 +80,7 @@
 	return r.key, false
 }
 
-// left records that a client cancelled requests or left with them open.
+// left records that a client cancelled requests, or left while they were open.
 func (l *ledger) left(requestIDs map[string]bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -33,11 +33,11 @@
 	*testbed.Worker
 	proxy *testbed.Proxy // nil if the process reaches the worker directly
 
-	faultMutex     sync.Mutex // held while a fault lasts; a fault that would overlap with it is skipped
+	faultMutex     sync.Mutex // locked while a fault lasts; a fault that would overlap with it is skipped
 	mu             sync.Mutex // guards the fields below
 	faultIntervals []interval
-	drainingSince  time.Time // when discovery listed the worker as draining, the zero time if it never did
-	evictsTasks    bool      // the worker has been evicting its tasks since then
+	drainingSince  time.Time // time when discovery listed the worker as draining, zero if it never did
+	evictsTasks    bool      // the worker has been evicting its tasks since drainingSince
 	hung           bool
 }
 
@@ -239,8 +239,8 @@
 	}
 }
 
-// injectWorkerFault injects a temporary fault of a worker or its path. It skips the fault while the worker has another
-// one.
+// injectWorkerFault injects a temporary fault of a worker or its path. It skips the fault while another fault of the
+// worker lasts.
 func (s *scenario) injectWorkerFault(w *worker, f fault) {
 	if !w.faultMutex.TryLock() {
 		return
@@ -272,7 +272,8 @@
 	}
 }
 
-// settleTime is how long the effects of a fault may last after its end: the process redials a connection after at most 2 s.
+// settleTime is the maximum time for which a fault has effects after its end: the process redials a connection after
+// at most 2 s.
 const settleTime = 2500 * time.Millisecond
 
 // drain lists a worker as draining. If evictsTasks is set, the worker then evicts its tasks one by one. A worker drains
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -17,11 +17,11 @@
 	// terminating signal. The test kills it at that time.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// drainGrace is how long after its drain began a worker may still get offers.
+	// drainGrace is the time after the start of its drain during which a worker may still get offers.
 	drainGrace = 600 * time.Millisecond
 
 	minStopAt, maxStopAt = 1200 * time.Millisecond, 2 * time.Second
-	// faultsAfterStop is how long after the first signal new faults may still begin.
+	// faultsAfterStop is the time after the first signal during which new faults may still begin.
 	faultsAfterStop = 800 * time.Millisecond
 )
 
@@ -122,8 +122,8 @@
 	return p
 }
 
-// drawFault draws one fault. Faults of paths go to workers with an even index, which have a proxy, and faults of workers
-// to those with an odd index.
+// drawFault draws one fault. Faults of paths go to workers with an even index, which have a proxy, and faults of
+// workers go to workers with an odd index.
 func (p *plan) drawFault(random *rand.Rand) fault {
 	f := fault{
 		at:      drawDuration(random, 100*time.Millisecond, p.stopAt+faultsAfterStop),
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -26,7 +26,7 @@
 	workers  []*worker
 	address  string
 	path     *testbed.Proxy // proxy to discovery
-	// discoveryFaultMutex is held while a fault of discovery lasts. A fault that would overlap with it is skipped.
+	// discoveryFaultMutex is locked while a fault of discovery lasts. A fault that would overlap with it is skipped.
 	discoveryFaultMutex sync.Mutex
 	config              string // path of the configuration file
 
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// stopOrKill sends the series of signals and kills the process if it has not exited when the kill is due.
+// stopOrKill sends the series of signals. It kills the process killAfter after the first terminating signal if
+// the process is still running.
 func (p *process) stopOrKill() {
 	time.Sleep(time.Until(p.scenario.startedAt.Add(p.scenario.plan.stopAt)))
 	go p.sendSignals()
@@ -166,8 +167,8 @@
 	return lines
 }
 
-// submissionConnection returns the number of the connection on which the process read a request, or "" if the trace has
-// none.
+// submissionConnection returns the number of the connection on which the process read a request, or "" if the trace
+// does not contain the request.
 func (p *process) submissionConnection(requestID string) string {
 	return p.traceField(requestID, "msg=request ", "connection")
 }
@@ -244,7 +245,7 @@
 	}
 }
 
-// Stalled connections are opened from stalledConnectionsLead before the first signal on, one every
+// The first stalled connection is opened stalledConnectionsLead before the first signal. Another one is opened every
 // stalledConnectionsInterval.
 const (
 	stalledConnectionsLead     = 300 * time.Millisecond
