--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -98,8 +98,8 @@
 	delete(a.inFlight[requestID], worker)
 }
 
-// connected records a new connection. The connection is identified by its remote address at
-// the worker; closed reports whether the orchestrator has closed it.
+// connected records a new connection. The connection is identified by its remote address at the worker; closed
+// reports whether the orchestrator has closed the connection.
 func (a *AttemptLog) connected(connection string, closed func() bool) {
 	if a == nil {
 		return
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -91,7 +91,7 @@
 func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	count, _ := d.state()
-	for Wait(t, "the command channel is asked", d.Polls) < count {
+	for Wait(t, "poll of the command channel", d.Polls) < count {
 	}
 }
 
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -149,7 +149,7 @@
 }
 
 // evaluateDetection counts the view changes and collects the detection times of stopped orchestrators.
-// Every orchestrator that runs in the last sample must have detected each one that was stopped for
+// Every orchestrator that runs in the last sample must have detected each orchestrator that was stopped for
 // more than maxDetection.
 func (e *evaluation) evaluateDetection() {
 	for reporter, latest := range e.latestView {
@@ -205,7 +205,7 @@
 	return lasted && !f.wasStopped(cut.from) && !f.wasStopped(cut.to)
 }
 
-// cutDetected reports whether either end of an asymmetric cut has reported it since a time.
+// cutDetected reports whether either end of an asymmetric cut has reported the cut since a time.
 func (f *Fleet) cutDetected(cut path, since time.Time) bool {
 	return slices.ContainsFunc(f.samples, func(s sample) bool {
 		return !s.at.Before(since) && (s.reportsLink(cut.from, cut.to, linkOutShut) || s.reportsLink(cut.to, cut.from, linkInShut))
--- a/internal/testbed/hollow/byte_counters.go
+++ b/internal/testbed/hollow/byte_counters.go
@@ -34,7 +34,7 @@
 	bytes *ByteCounters
 }
 
-// Accept accepts a connection and returns it with its bytes counted.
+// Accept accepts a connection and returns it as a connection that counts its bytes.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -55,7 +55,7 @@
 	stop                chan struct{}
 }
 
-// firstWorkerID is the number in the ID of the first worker; the following IDs count up from it.
+// firstWorkerID is the number in the ID of the first worker; the numbers of the following IDs increase by 1.
 const firstWorkerID = 0xc41f00
 
 // NewFleet starts the workers of a fleet.
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Relay opens the path from one process to another. It returns the address to which the sending process connects and
-// sends datagrams.
+// Relay opens the path from one process to another. It returns the address at which the sending process opens
+// connections and to which it sends datagrams.
 func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // listenFreePort listens on a port that is free for datagrams and for connections. The port is
-// below the range of ephemeral ports: the kernel does not assign it to another socket while no
+// below the range of ephemeral ports: the kernel does not assign the port to another socket while no
 // process listens on it.
 func listenFreePort() (*net.UDPConn, error) {
 	for range portAttempts {
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// writeWhenOpen writes data to sink once the direction is not cut and the delay is over. It reports
+// writeWhenOpen writes data to sink once the direction is not cut and the delay has elapsed. It reports
 // whether the write succeeded.
 func (r *relay) writeWhenOpen(sink net.Conn, content []byte, d direction) bool {
 	if conditions, _ := r.network.path(d); conditions.isCut(time.Now()) {
--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -103,7 +103,7 @@
 		"class": j.class.name, "key": j.key, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", j.Cores, j.Memory, j.program)}}
 }
 
-// run submits a job and retries until the task has started or clientTimeout is over.
+// run submits a job and retries until the task has started or clientTimeout has elapsed.
 func (c *clients) run(j *job) *result {
 	r := &result{job: j}
 	random := rand.New(rand.NewPCG(j.seed, 3))
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -17,7 +17,7 @@
 // completionLimit is the maximum time from the completion of a task to its report to the client.
 const completionLimit = 8 * time.Second
 
-// task is one task that a client wants to run. It may take several requests to start it.
+// task is a task that a client submits. Several requests may be needed to start it.
 type task struct {
 	job          job
 	key          string
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -44,8 +44,8 @@
 
 var errDescriptors = errors.New("the sockets of this run exceed the descriptor limit of the test process")
 
-// spareDescriptors is the number of descriptors that the test's process needs in addition to those of the
-// workers and their connections.
+// spareDescriptors is the number of descriptors that the test's process needs in addition to the
+// descriptors of the workers and their connections.
 const spareDescriptors = 1000
 
 // checkDescriptors returns an error if the listeners and connections exceed the descriptor limit of this process. A
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -38,7 +38,7 @@
 type ledger struct {
 	mu                 sync.Mutex
 	requests           map[string]*request
-	refusedConnections int // connections that a process refused while it still had to accept new ones
+	refusedConnections int // connections that a process refused while it had to accept new connections
 }
 
 func newLedger() *ledger { return &ledger{requests: map[string]*request{}} }
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -174,7 +174,7 @@
 }
 
 // completionConnection returns the number of the connection on which the process sent the completion of a task, or "" if
-// it sent none.
+// the process sent none.
 func (p *process) completionConnection(requestID string) string {
 	return p.traceField(requestID, `msg="completion sent" `, "connection")
 }
