--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -11,8 +11,8 @@
 	"ravenhitch/internal/shard"
 )
 
-// The workers are divided among the members of the stable view and, until the presumption ends, also among those
-// named in the operators' file. A view without this orchestrator changes nothing.
+// The workers are divided among the members of the stable view and, until the presumption ends, also among the
+// members named in the operators' file. A view without this orchestrator changes nothing.
 func TestAssignment(t *testing.T) {
 	member := func(name, zone string) membership.Member { return membership.Member{Name: name, Zone: zone} }
 	a := newAssignment("n1", "z1", config.Peers{Regions: map[string]string{"z1": "west", "z2": "west", "z3": "east"},
@@ -46,7 +46,7 @@
 	a.apply = func(discovery.Assignment) {}
 	a.endPresumption()
 	if now := a.current(); assignedShards(now, "z1") != shard.Count/2 || assignedShards(now, "z3") != shard.Count/2 {
-		t.Errorf("got %d shards of z1 and %d of z3, want %d of each",
+		t.Errorf("assigned shards: got %d of z1 and %d of z3, want %d of each",
 			assignedShards(now, "z1"), assignedShards(now, "z3"), shard.Count/2)
 	}
 }
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -20,8 +20,8 @@
 	overlongName = "0123456789012345678901234567890123456789012345678901234567890123456789"
 )
 
-// A malformed line ends only its own connection. Requests that were accepted before it on that connection get a
-// response at once.
+// A malformed line ends only its own connection. Requests that were accepted before this line on its
+// connection get a response at once.
 func TestMalformedLines(t *testing.T) {
 	server := newTestServer(t, "a")
 	malformed, overlong, valid, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
@@ -59,11 +59,11 @@
 		write(t, client, []byte{b})
 	}
 	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(4) || line.Verb != "STARTED" {
-		t.Errorf("got %v, want STARTED for %s", line, testbed.RequestID(4))
+		t.Errorf("response: got %v, want STARTED for %s", line, testbed.RequestID(4))
 	}
 }
 
-// The front answers an invalid submission with an error and sends it to no worker, where the failure would only
+// The front answers an invalid submission with an error and does not offer it to a worker: the failure would
 // count against the worker.
 func TestInvalidSubmissions(t *testing.T) {
 	server := newTestServer(t, "a")
@@ -87,7 +87,7 @@
 			test.invalidate(&line)
 			testbed.Send(client, line)
 			if got := testbed.Wait(t, "an error", client.Lines); got.Verb != "FINISH" || got.Cause() != causeFailed || got.Tag != line.Tag {
-				t.Errorf("got %v, want FINISH for %q with cause %d", got, line.Tag, causeFailed)
+				t.Errorf("invalid submission: got %v, want FINISH for %q with cause %d", got, line.Tag, causeFailed)
 			}
 		})
 	}
@@ -100,8 +100,8 @@
 	t.Run("too many requests", func(t *testing.T) { expectTooManyAreRejected(t, server) })
 }
 
-// A client submits a request ID that is already open for another client, with another task: it gets an error, and
-// neither its submission nor its cancel affects the first request.
+// A client that submits a request ID that is open for another client, with another task, gets an error. Neither its
+// submission nor its cancel affects the first request.
 func expectForeignIDIsLeftAlone(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	other := server.connect(t)
@@ -114,7 +114,7 @@
 	expectCause(t, "the first request's own response", client, testbed.RequestID(1), causeRejected)
 }
 
-// Two requests with the same ID on one connection get one response together, which is not STARTED.
+// Two requests with the same ID on one connection get a single response, which is not STARTED.
 func expectOneResponseToDuplicate(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	request := testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-2", 5000)
@@ -122,7 +122,7 @@
 	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	testbed.Send(client, request)
 	if line := testbed.Wait(t, "one response to both", client.Lines); line.Verb != "FINISH" || line.Tag != testbed.RequestID(2) {
-		t.Errorf("got %v, want FINISH for %s", line, testbed.RequestID(2))
+		t.Errorf("response to both: got %v, want FINISH for %s", line, testbed.RequestID(2))
 	}
 }
 
@@ -135,7 +135,7 @@
 	testbed.Send(client, request)
 	line := testbed.Wait(t, "the end of the task", client.Lines)
 	if line.Verb != "FINISH" || line.Tag != testbed.RequestID(3) || time.Since(began) > 3*time.Second {
-		t.Errorf("got %v after %s, want FINISH for %s within 3s", line, time.Since(began), testbed.RequestID(3))
+		t.Errorf("end of the task: got %v after %s, want FINISH for %s within 3s", line, time.Since(began), testbed.RequestID(3))
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	for range 8 {
 		if line := testbed.Wait(t, "a rejection", client.Lines); line.Cause() != causeRejected || line.Opts["wait"] == "" {
-			t.Errorf("got %v, want cause %d with a Retry-After", line, causeRejected)
+			t.Errorf("rejection: got %v, want cause %d with a Retry-After", line, causeRejected)
 		}
 	}
 	for range 70 {
@@ -158,7 +158,7 @@
 	responses := 0
 	for line := range client.Lines {
 		if responses++; line.Verb != "FINISH" {
-			t.Errorf("got %v, want FINISH", line)
+			t.Errorf("response before the end of the connection: got %v, want FINISH", line)
 		}
 	}
 	if responses < 32 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// An offer carries unchanged the fields by which a worker recognises a repeated request. It omits the fields that
+// An offer contains, unchanged, the fields by which a worker recognises a repeated request. It omits the fields that
 // only an orchestrator uses: the tenant, the hint of the duration, and the number of earlier submissions.
 func TestOfferFields(t *testing.T) {
 	settings := changedSettings(t, settingChange{"RequestClasses.0.Name", "bulletin"}, settingChange{"RequestClasses.0.Semantics", "guarded"},
@@ -210,7 +210,7 @@
 			offer.Opts, *offer.Blob, *request.Blob)
 	}
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Errorf("got %v, want STARTED", line)
+		t.Errorf("response: got %v, want STARTED", line)
 	}
 	for name, value := range map[string]string{"hint": "-1", "retry": "often", "tenant": overlongName, "idem": overlongName} {
 		request := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -10,7 +10,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A second client that submits a running task again does not receive its completion. The completion goes to
+// A second client that submits a running task again does not receive the task's completion. The completion goes to
 // the client that submitted the task first or, if that client has disconnected, to a client for which a task
 // was started.
 func TestCompletionGoesToItsClient(t *testing.T) {
@@ -22,7 +22,7 @@
 	pingServer(t, first)
 	testbed.Send(served, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
 	if line := testbed.Wait(t, "the response", served.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v, want STARTED", line)
+		t.Fatalf("response: got %v, want STARTED", line)
 	}
 	for i := 1; i <= 2; i++ {
 		testbed.Send(second, adoptedLine(testbed.RequestID(i), "a"))
@@ -85,7 +85,7 @@
 
 // A completion for which no client is connected waits for a connection that is known to belong to a client,
 // while other connections, which may belong to any process, are opened. If only such connections are opened,
-// the completion goes to one of them before it is overdue.
+// the completion goes to one of them before the deadline for its report.
 func TestCompletionWaitsForAClient(t *testing.T) {
 	invalid := testbed.StartLine(testbed.RequestID(2), "no-such-class", "ok-2", 5000)
 	for _, test := range []struct {
@@ -113,7 +113,7 @@
 			server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 1 })
 
 			unknown := server.connect(t)
-			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a")) // it may have guessed the request ID
+			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a")) // this client may have guessed the request ID
 			testbed.Send(unknown, invalid)
 			if line := testbed.Wait(t, "the error", unknown.Lines); line.Tag != testbed.RequestID(2) || line.Cause() != causeFailed {
 				t.Fatalf("invalid submission: got %v, want an error for request 2", line)
@@ -129,7 +129,7 @@
 			}
 			for _, verb := range test.before {
 				if line := testbed.Wait(t, "a line before the completion", client.Lines); line.Verb != verb || line.Tag == testbed.RequestID(1) {
-					t.Fatalf("got %v before the completion, want FINISH of another request", line)
+					t.Fatalf("line before the completion: got %v, want FINISH of another request", line)
 				}
 			}
 			expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
@@ -208,7 +208,7 @@
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 			if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-				t.Fatalf("got %v, want STARTED", line)
+				t.Fatalf("response: got %v, want STARTED", line)
 			}
 			server.waitIdle(t)
 			for i, other := range server.connectWhilePaused(t, 2*maxClients) {
@@ -220,7 +220,7 @@
 			server.onLoop(t, func() {}) // one more turn of the event loop, with connections queued
 			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
-				t.Errorf("got %v, want the completion of request 1", line)
+				t.Errorf("completion: got %v, want the completion of request 1", line)
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
-		t.Fatalf("got %v, want STARTED", line)
+		t.Fatalf("response: got %v, want STARTED", line)
 	}
 	closeNow(t, client)
 	server.waitConnections(t, 0)
@@ -249,7 +249,7 @@
 	reconnected := server.connect(t)
 	testbed.Send(reconnected, pingLine("t"))
 	if line := testbed.Wait(t, "the completion", reconnected.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
-		t.Errorf("got %v, want the completion of request 1", line)
+		t.Errorf("completion: got %v, want the completion of request 1", line)
 	}
 	for _, other := range others {
 		select {
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -16,8 +16,8 @@
 // covers the buffers of connections and the memory that the runtime has not freed yet.
 const heapSlack = 96 << 10
 
-// completionKinds maps each way in which a request or a task ends over sockets to a function that submits one
-// and ends it in that way.
+// completionKinds maps the name of each way in which a request or a task can end to a function that submits a
+// request and ends it or its task in that way.
 var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "ok-1")
@@ -28,7 +28,7 @@
 		submitAndExpectStart(t, client, id, "ok-1")
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the release", client.Lines); line.Verb != "FINISHED" {
-			t.Fatalf("got %v, want FINISHED", line)
+			t.Fatalf("confirmation of the release: got %v, want FINISHED", line)
 		}
 		server.waitUntil(t, "the confirmed end of the task", func() bool {
 			return server.dispatcher.RunningCount() == 0 && !server.pool.HasUnconfirmedReleases()
@@ -43,7 +43,7 @@
 		testbed.Wait(t, "the offer", server.workers[0].Offers)
 		testbed.Send(client, cancelLine(id))
 		if line := testbed.Wait(t, "the confirmation of the cancel", client.Lines); line.Verb != "FINISHED" {
-			t.Fatalf("got %v, want FINISHED", line)
+			t.Fatalf("confirmation of the cancel: got %v, want FINISHED", line)
 		}
 	},
 	"its client's connection closed": func(t *testing.T, server *testServer, _ *testbed.Client, id string) {
@@ -86,14 +86,14 @@
 	t.Helper()
 	testbed.Send(client, testbed.StartLine(id, "guide-web", task, 5000))
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || line.Tag != id {
-		t.Fatalf("got %v, want STARTED for the submitted request", line)
+		t.Fatalf("response: got %v, want STARTED for the submitted request", line)
 	}
 }
 
 func expectCompletion(t *testing.T, client *testbed.Client, id string) {
 	t.Helper()
 	if line := testbed.Wait(t, "the completion", client.Lines); line.Verb != "FINISH" || line.Tag != id {
-		t.Fatalf("got %v, want FINISH for the submitted request", line)
+		t.Fatalf("completion: got %v, want FINISH for the submitted request", line)
 	}
 }
 
@@ -121,9 +121,9 @@
 	return int64(stats.HeapAlloc)
 }
 
-// settledHeap returns the size of the live heap in bytes after the worker has freed the records that it keeps
-// for each connection. It closes the worker's connections for that, and waits until no request, cancel or
-// release is pending.
+// settledHeap returns the size of the live heap in bytes. It first closes the worker's connections, which makes
+// the worker free the records that it keeps for each connection, and waits until no request, cancel or release is
+// pending.
 func (s *testServer) settledHeap(t *testing.T) int64 {
 	t.Helper()
 	worker := s.workers[0]
--- a/internal/stats/durations_test.go
+++ b/internal/stats/durations_test.go
@@ -7,7 +7,7 @@
 )
 
 // Percentiles are correct to three significant digits, and durations outside the range are recorded as
-// its nearest bound.
+// the nearest bound of the range.
 func TestDurations(t *testing.T) {
 	var d Durations
 	if d.Percentile(99) != 0 || d.Max() != 0 || d.Count() != 0 {
@@ -20,7 +20,7 @@
 		{d.Percentile(50), 500 * time.Millisecond}, {d.Percentile(99), 990 * time.Millisecond}, {d.Max(), time.Second},
 	} {
 		if off := math.Abs(float64(test.got)/float64(test.want) - 1); off > 0.001 {
-			t.Errorf("got %v, want %v to three significant digits", test.got, test.want)
+			t.Errorf("percentile or maximum: got %v, want %v to three significant digits", test.got, test.want)
 		}
 	}
 	d.Record(-time.Second)
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -159,8 +159,8 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// measureZoneLoss measures one event that removes all workers of a zone, and one that lists them again
-// after a restart.
+// measureZoneLoss measures one event that removes all workers of a zone, and one event that lists the
+// workers again after a restart.
 func measureZoneLoss(s *site, removal, restart *meter) {
 	const zone = "zone-1"
 	var entries []Entry
@@ -286,7 +286,7 @@
 	s.handleEach(s.advanceToNextRequest())
 }
 
-// hugeSite returns a site with a few empty workers, the only ones with free capacity for a huge task.
+// hugeSite returns a site with a few empty workers, the only workers with free capacity for a huge task.
 func hugeSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	empty := 0
