--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -38,8 +38,8 @@
 	}
 	var preferred []*workerInfo
 	programHash := mix(program)
-	// An integer comparison excludes most workers: a rank below preferredWorkerCount implies a hash above
-	// minHash.
+	// A rank below preferredWorkerCount requires a hash of at least minHash. The rank is therefore
+	// computed only for the few workers that pass an integer comparison of their hash with minHash.
 	minHash := uint64(max(0, 1-1.001*preferredWorkerCount/float64(max(1, assigned))) * math.MaxUint64)
 	for i := nextHash(nameHashes, 0, programHash, minHash); i < len(nameHashes); {
 		rank := hashedRank(mix(nameHashes[i]^programHash), assigned)
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -15,7 +15,7 @@
 	capacity *capacityModel
 	loads    *loadTracker
 	index    *workerIndex
-	workers  []*workerInfo // workers whose calibration may not have decayed completely
+	workers  []*workerInfo // all workers with a calibration other than 1, and possibly further workers
 }
 
 // measurement is the use of one resource of a worker, taken from one report.
@@ -24,14 +24,15 @@
 	used       float64 // use, as a fraction of the worker's size
 	target     float64 // largest use at which service is still full, as a fraction of the worker's size
 	poor       bool    // service is poor, or the use is near or above the target
-	confidence float64 // fraction of the difference by which the calibration follows the measurement
+	confidence float64 // weight of the measurement relative to the calibration so far, from 0 to 1
 }
 
-// learn adjusts the calibration of a worker to a measurement of poor service. The measured effective
-// capacity is the capacity requested of the worker now, multiplied by target/used if the use exceeds
-// the target. Calibration protects against slow workers, against other load on their machines and
-// against tasks that use more than they requested. A calibration decays without further measurements.
-// It does harm if a task itself causes its poor service, because the whole worker then counts as slow.
+// learn adjusts the calibration of a worker to a measurement of poor service. It ignores other
+// measurements. The measured effective capacity is the capacity requested of the worker now, multiplied
+// by target/used if the use exceeds the target. Calibration protects against slow workers, against
+// other load on their machines and against tasks that use more than they requested. A calibration
+// decays without further measurements. Calibration does harm if a task itself causes its poor service,
+// because the whole worker then counts as slow.
 func (c *calibration) learn(worker *workerInfo, m measurement) {
 	if !m.poor || worker.kindIndex < 0 || !c.settings.HasView {
 		return
@@ -57,8 +58,9 @@
 	}
 }
 
-// excessUtilization returns the utilization that calibration adds to the workers of the index, as a sum
-// weighted by cores. It drops workers from the calibrated workers whose calibration has decayed.
+// excessUtilization returns how much calibration raises the utilization of the indexed workers, as a
+// sum weighted by cores. It also removes workers whose calibration has decayed from the list of
+// calibrated workers.
 func (c *calibration) excessUtilization() (sum float64) {
 	baseline := c.index.baseline
 	c.workers = slices.DeleteFunc(c.workers, func(worker *workerInfo) bool {
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -18,8 +18,8 @@
 	// requested and used are the amounts of each resource that running tasks request and use, summed over the
 	// tasks that reported their use.
 	requested, used [resourceCount]float64
-	// saturationLoad and saturationRange are the minima over all classes, since any class may use a
-	// worker.
+	// saturationLoad and saturationRange are the minima of these settings over all classes, because any
+	// class may use a worker.
 	saturationLoad, saturationRange float64
 }
 
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// This file contains the units that TestModuleSlopes measures, and the initial sites of its cases.
+// This file contains the units of work that TestModuleSlopes measures, and the functions that create
+// the simulated environments (see site) of its cases.
 
 // --- Requests ---
 
@@ -125,7 +126,8 @@
 	}
 }
 
-// measurePendingEntry measures a list entry without free capacity while tasks are pending.
+// measurePendingEntry measures the handling of a list entry that shows no free capacity while tasks are
+// pending.
 func measurePendingEntry(s *site, m *meter) {
 	s.now += s.betweenUs / (2 * siteSchedulers)
 	worker := s.workers[s.random.IntN(len(s.workers))]
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -13,13 +13,14 @@
 var caseFlag = flag.String("case", "", "TestModuleSlopes: measure this case only")
 
 const (
-	// maxUnitTime is the processor time above which one unit ends its case: the case is not measured
-	// at further sizes.
+	// maxUnitTime is the maximum processor time of one unit. If a unit takes longer, its case is not
+	// measured at further fleet sizes.
 	maxUnitTime = 2 * time.Second
-	// maxCaseTime is the processor time after which no further units of a case are measured at one size.
+	// maxCaseTime is the processor time after which no further units of a case are measured at the same
+	// fleet size.
 	maxCaseTime = 4 * time.Second
-	// expensiveUnits is the number of measured units of cases whose units are expensive: bursts of requests
-	// and events that concern a large part of the fleet.
+	// expensiveUnits is the number of units measured in each case with expensive units. These are
+	// bursts of requests, and events that concern a large part of the fleet.
 	expensiveUnits = 4
 	pendingTimeout = 3600 * second
 	pendingUnits   = 12
@@ -28,7 +29,7 @@
 	hugeCores      = 40
 	hugeMemory     = 60
 	hugeWorkers    = 3
-	drainEvery     = 4 // one of this many workers is drained
+	drainEvery     = 4 // measureDrain drains each worker whose index is a multiple of this
 	poorService    = 0.85
 	worstService   = 0.5
 	reportedQueue  = 1
@@ -40,7 +41,7 @@
 	units int // maximum number of measured units
 	// start returns the initial site. It must not measure.
 	start func(t *testing.T, workers int) *site
-	// unit measures one unit with the meter.
+	// unit runs one unit and measures it with the meter.
 	unit func(s *site, m *meter)
 }
 
@@ -77,7 +78,7 @@
 	return cases
 }
 
-// TestModuleSlopes measures how the cost of further kinds of events grows with the size of the fleet. It
+// TestModuleSlopes measures how the cost of each event case grows with the size of the fleet. It
 // asserts the actions that follow from the events, but not their time.
 func TestModuleSlopes(t *testing.T) {
 	lockToThread(t)
@@ -113,7 +114,7 @@
 	}
 }
 
-// measureCase measures a case at one size, and reports whether to skip the further sizes.
+// measureCase measures a case at one fleet size, and reports whether to skip the further sizes.
 func measureCase(t *testing.T, test eventCase, workers int) (m *meter, stopped bool) {
 	lockToThread(t)
 	m = &meter{}
--- a/placement/events.go
+++ b/placement/events.go
@@ -18,12 +18,14 @@
 
 // Entry is the entry of one worker in a list.
 type Entry struct {
-	Worker                string
-	Kind, Zone            string
-	Cell                  int
-	StartedAtUs           int64 // time of the worker's start; 0 if it started long ago
-	State                 WorkerState
-	FreeCores, FreeMemory float64 // not requested; negative if overcommitted; may be outdated if Foreign
+	Worker      string
+	Kind, Zone  string
+	Cell        int
+	StartedAtUs int64 // time of the worker's start; 0 if it started long ago
+	State       WorkerState
+	// FreeCores and FreeMemory are the capacity that tasks do not request. They are negative if the
+	// worker is overcommitted, and may be outdated if its state is Foreign.
+	FreeCores, FreeMemory float64
 	// Uncordoned is true if operators have just uncordoned the worker, so that it can be used again.
 	Uncordoned bool
 }
@@ -57,7 +59,7 @@
 // neverStarted reports whether the outcome of an attempt implies that the task never ran.
 func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
-// Cause is the reason for the end of an attempt that the worker reports.
+// Cause is the reason that a worker gives for the end of an attempt.
 type Cause int
 
 // The causes.
@@ -164,10 +166,10 @@
 	// failed: it was refused or reset, was not established in time, or carried no data back.
 	// WorkerReachable follows once a connection is open.
 	WorkerUnreachable struct{ Worker string }
-	// Backpressure reports the release rate, at which capacity becomes free while tasks wait for it, in
-	// units per second (see Settings.Units); it is 0 if the rate is not known or no task waits. Reserved
-	// is the number of units that each class must leave free for expected tasks of classes with more
-	// weight.
+	// Backpressure reports the release rate and the reserved units. ReleaseRate is the capacity that
+	// becomes free while tasks wait for it, in units per second (see Settings.Units). It is 0 if the
+	// rate is not known or no task waits. Reserved is the number of units that each class must leave
+	// free for expected tasks of classes with more weight.
 	Backpressure struct {
 		ReleaseRate float64
 		Reserved    []float64 // by class, or nil
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -34,8 +34,7 @@
 	return float64(len(worker.unanswered)) < worker.attemptWindow && f.permitsOnceAnswered(worker, class, task)
 }
 
-// permitsOnceAnswered reports whether permits would be true if the worker had answered all its
-// attempts.
+// permitsOnceAnswered reports whether permits would be true if the worker had no unanswered attempts.
 func (f *filter) permitsOnceAnswered(worker *workerInfo, class *Class, task *taskInfo) bool {
 	return worker.listed && worker.State == Ready && f.now >= worker.drainingUntil &&
 		worker.kindIndex >= 0 && (class.Kind < 0 || class.Kind == worker.kindIndex) &&
@@ -67,7 +66,9 @@
 	}
 	effectiveCores, effectiveMemory := f.capacity.effective(worker)
 	if max(task.Cores/effectiveCores, task.Memory/effectiveMemory) > largeTaskShare && f.waitedLong(task) {
-		return true // no worker of an evenly loaded fleet has enough free capacity for a large task
+		// In an evenly loaded fleet, no worker has enough free effective capacity for a large task. A
+		// large task that has waited long may therefore exceed the effective capacity of its worker.
+		return true
 	}
 	return cores+task.Cores <= effectiveCores && memory+task.Memory <= effectiveMemory
 }
@@ -77,9 +78,9 @@
 	return f.now-task.arrivedAt > f.classOf(task).ObjectiveUs/4
 }
 
-// limit returns the highest load at which a worker of a kind still fits a task (see fits). The size
-// of the task is given as fractions of the kind's size. utilization is the utilization that the task
-// adds to a worker without calibration.
+// limit returns the highest load at which a task still fits a worker of a kind (see fits). The size of
+// the task is given as fractions of the kind's size. utilization is the utilization that the task adds
+// to a worker without calibration.
 func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
 	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
 		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -102,7 +102,7 @@
 	return out
 }
 
-// levelled draws the utilization of a worker in a fleet with evenly loaded workers.
+// levelled draws the utilization of a worker in an evenly loaded fleet.
 func levelled(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
 
 // largeFleet returns a fixture with many workers of one kind. share draws each worker's
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -22,7 +22,7 @@
 	nameHashes    []uint64             // hashes of the names of sorted, in the same order
 	ordinalsStale bool                 // workers were added or removed since ordinals and nameHashes were set
 	unlisted      map[*workerInfo]bool // workers that are not on the current list
-	uncordoned    map[*workerInfo]bool // uncordoned workers, including some that got an offer since
+	uncordoned    map[*workerInfo]bool // workers that were uncordoned; some of them may have got an offer since
 	foreignCount  int                  // listed workers that are assigned to other schedulers
 }
 
@@ -41,9 +41,9 @@
 	return f.settings.FleetSize
 }
 
-// totalRequestedCores returns the cores requested of all workers. It assumes that the requests on foreign
-// workers are, on average, the same as on the other workers, because only the other workers have a
-// current view.
+// totalRequestedCores returns the cores requested of all workers. The views of foreign workers may be
+// out of date, so it assumes that the requests on foreign workers are, on average, the same as on the
+// other workers.
 func (f *fleet) totalRequestedCores() float64 {
 	f.refresh()
 	if f.foreignCount == 0 {
@@ -85,7 +85,8 @@
 	f.index.invalidate(worker)
 }
 
-// countForeign updates the number of foreign workers after a change of a worker.
+// countForeign updates the number of foreign workers after the state of a worker, or whether it is
+// listed, may have changed.
 func (f *fleet) countForeign(worker *workerInfo) {
 	foreign := worker.listed && worker.State == Foreign
 	if foreign == worker.foreign {
@@ -100,8 +101,8 @@
 	f.affinity.clear()
 }
 
-// pruneUncordoned removes workers that have got an offer from the uncordoned workers, and returns the
-// remaining ones.
+// pruneUncordoned returns the uncordoned workers that have got no offer since. It removes all others
+// from the set.
 func (f *fleet) pruneUncordoned() map[*workerInfo]bool {
 	for worker := range f.uncordoned {
 		if !worker.uncordonedIdle {
@@ -139,8 +140,9 @@
 	worker.forgetDeltas(f.now - deltaRetention)
 }
 
-// restarted discards the state that a worker lost in a restart: its load changes, its idle programs and
-// its calibration. Attempts and tasks that have not ended yet count for the spread until they end.
+// restarted discards the state that a worker lost in a restart: the recorded changes of its load, its
+// idle programs and its calibration. Attempts and tasks that have not ended yet count for the spread
+// until they end.
 func (f *fleet) restarted(worker *workerInfo) {
 	worker.deltas = nil
 	f.residents.removeIdle(worker)
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestReassignmentTeachesNoLag checks that the lag estimate does not learn from the entries of foreign
+// TestReassignmentTeachesNoLag checks that the lag estimate learns neither from the entries of foreign
 // workers, nor from entries that are sent only because their worker was reassigned.
 func TestReassignmentTeachesNoLag(t *testing.T) {
 	a := smallWorker("a", 1, 8)
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -12,21 +12,23 @@
 
 const (
 	// probesEach is the number of synthetic tasks whose selections are compared after each step.
-	// pendingEach is the maximum number of pending tasks for which this is done.
-	probesEach  = 3
+	probesEach = 3
+	// pendingEach is the maximum number of pending tasks whose selections are compared after each step.
 	pendingEach = 2
-	// offerEvery is the probability that, after a step, up to offersEach tasks are offered one by
-	// one, as within one call of Handle, and selections are compared after each of them.
+	// offerEvery is the probability that tasks are offered after a step, one by one as within one call
+	// of Handle. Selections are compared after each of these offers.
 	offerEvery = 0.3
+	// offersEach is the maximum number of tasks offered after one step.
 	offersEach = 3
-	// maxFlipped is the maximum fraction of the comparisons that may depend on a value at its limit.
+	// maxFlipped is the maximum fraction of comparisons that match only if a value very close to a
+	// limit is assumed to lie on the other side of the limit.
 	maxFlipped = 0.01
 )
 
 // comparisons counts the comparisons of selections, by path and by property.
 type comparisons struct {
 	paths                                          map[string]int
-	total, flipped                                 int // flipped: matched only if a value at its limit was decided the other way
+	total, flipped                                 int // flipped: see maxFlipped
 	multipleFinalists, reserved, elsewhereSearches int
 	offered                                        int // tasks that were offered one by one
 }
@@ -62,8 +64,8 @@
 	}
 }
 
-// compareStep compares selections after a step and, with the probability offerEvery, after each of
-// some offers at the same time.
+// compareStep compares selections after a step. With the probability offerEvery, it then offers some
+// tasks without advancing the clock, and compares selections after each offer.
 func (c *comparisons) compareStep(h *history) error {
 	if err := c.compare(h); err != nil || !h.chance(offerEvery) {
 		return err
@@ -175,8 +177,8 @@
 	return reserved
 }
 
-// TestSameHistorySameActions runs two schedulers of one seed through one history, and a third one
-// with additional searches in between, which must not change any action.
+// TestSameHistorySameActions runs two schedulers with the same seed through one history. A third
+// scheduler makes additional searches after each step, which must not change any action.
 func TestSameHistorySameActions(t *testing.T) {
 	for i := range min(*historiesFlag, 20) {
 		seed := *seedFlag + uint64(i)
--- a/placement/health.go
+++ b/placement/health.go
@@ -20,21 +20,22 @@
 	ejectionThreshold = 1.0
 	// suspectThreshold is the lowest suspicion at which a worker gets only one attempt at a time.
 	suspectThreshold = 0.25
-	// reconnectedSuspicion is the upper limit of the suspicion after a connection was established again.
+	// reconnectedSuspicion is the upper limit to which the suspicion is lowered when the worker accepts
+	// a connection again.
 	reconnectedSuspicion = 0.5
 
 	// maxAttemptWindow is the upper limit of the attempt window, which is the number of unanswered attempts
 	// that a worker may have. An accepted attempt raises the window, and a rejection because the worker's
 	// queue is full halves it.
 	maxAttemptWindow = 12.0
-	// assumedDrain is how long a worker is assumed to be draining, although the list does not show it
-	// yet, after it rejected an attempt as the wrong worker or ended a task because it drains.
+	// assumedDrain is how long a worker is assumed to be draining after it rejected an attempt as the
+	// wrong worker or ended a task because it drains. The list may not show the draining yet.
 	assumedDrain = 5 * second
 
 	// rttWeight is the weight of one answer in the moving averages of the response time.
 	rttWeight = 1.0 / 16
-	// rttDeviations is the number of mean deviations above the mean response time after which an answer
-	// is overdue.
+	// rttDeviations is the number of mean deviations by which the response timeout exceeds the mean
+	// response time. An answer is overdue after the response timeout.
 	rttDeviations = 4
 	// startDeviations replaces rttDeviations if acceptance means that the task runs.
 	startDeviations = 8
@@ -70,8 +71,8 @@
 func (h *health) rttKnown() bool { return h.meanRTT != 0 }
 
 // responseTimeout returns the time in microseconds after which an answer is overdue, derived from the
-// answers so far. If an answer means that the task runs, the timeout is longer, because a worker whose
-// starts are queued is not necessarily unresponsive.
+// answers so far. If an answer means that the task runs, the timeout is longer, because a start may be
+// delayed by the worker's queue although the worker is responsive.
 func (h *health) responseTimeout() int64 {
 	if h.settings.AcceptMeansRunning {
 		return max(int64(h.meanRTT+startDeviations*h.rttDeviation), minStartedTimeout)
@@ -96,7 +97,8 @@
 		h.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// overdue reports whether the response timeout of a message sent at sentAt has passed.
+// overdue reports whether the response timeout of a message sent at sentAt has passed. It returns false
+// before the first answer to any attempt.
 func (h *health) overdue(sentAt int64) bool {
 	return h.meanRTT > 0 && h.now-sentAt > h.responseTimeout()
 }
@@ -140,7 +142,8 @@
 		worker.addSuspicion(h.now, errorSuspicion)
 	case event.Outcome == Rejected && event.Cause == CauseQueue:
 		worker.attemptWindow = max(1, worker.attemptWindow/2)
-		// A worker with a full queue rejects at once and would otherwise use up all attempts of a task.
+		// A worker with a full queue rejects offers at once. Without suspicion, it could use up all
+		// attempts of a task.
 		worker.addSuspicion(h.now, timeoutSuspicion)
 	case event.Outcome == Rejected && event.Cause == CauseWrongWorker && task.mayHaveRun == nil,
 		event.Cause == CauseDrained:
@@ -148,11 +151,12 @@
 	}
 }
 
-// recordTimeout records an attempt that got no answer. The timeout adds to the suspicion for every class,
-// unless the worker has accepted another attempt since this one was sent and is therefore reachable. If it
-// accepted only other classes, the suspicion rises for this class alone. If it accepted the same class,
-// some answers are being lost, and the suspicion for the class rises only a little. The rule could do harm
-// by using a worker that is about to become unresponsive, but the next attempt detects this.
+// recordTimeout records an attempt that got no answer. If the worker has accepted no other attempt
+// since this one was sent, the suspicion rises for every class. Otherwise the worker is reachable. If
+// it accepted only other classes, the suspicion rises for the class of this attempt alone. If it
+// accepted the same class, some answers are being lost, and the suspicion for the class rises only a
+// little. The rule could do harm by using a worker that is about to become unresponsive, but the next
+// attempt detects this.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
@@ -165,17 +169,17 @@
 	}
 }
 
-// recordError records an attempt that ended with an error. The error raises the suspicion of the worker,
-// unless another worker failed the same task. In that case the task is unusable and goes to no further
-// worker, and the suspicion from its errors is subtracted again. This protects against tasks that no
-// worker can run, each of which would eject several healthy workers. It does harm if workers fail so often
-// that two errors of one task are a coincidence.
+// recordError records an attempt that ended with an error. The error raises the suspicion of the
+// worker, unless another worker failed the same task. In that case the task is unusable and goes to no
+// further worker, and the suspicion that its errors caused is subtracted again. This protects against
+// tasks that no worker can run, each of which would eject several healthy workers. The rule does harm
+// if errors are frequent, because two errors of one task may then be a coincidence.
 func (h *health) recordError(task *taskInfo, attempt *attemptInfo) {
 	attempt.failed = true
 	attempt.worker.addSuspicion(h.now, errorSuspicion)
 	failedElsewhere := func(other *attemptInfo) bool { return other.failed && other.worker != attempt.worker }
 	if !slices.ContainsFunc(task.attempts, failedElsewhere) {
-		return // the next attempt goes to another worker if there is one
+		return // no other worker has failed the task; the next attempt goes to another worker if there is one
 	}
 	task.unusable = true
 	for _, other := range task.attempts {
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestReachableWorkerIsTriedAgain has a worker accept a new connection after one without answers. The
-// worker is tried again, but not repeatedly if it accepts connections and never answers.
+// TestReachableWorkerIsTriedAgain has a worker accept a new connection after a connection that carried
+// no answers. The worker is tried again, but not repeatedly if it accepts connections and never
+// answers.
 func TestReachableWorkerIsTriedAgain(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	worker := f.scheduler.fleet.workers["a"]
@@ -270,9 +271,9 @@
 	}
 }
 
-// TestTaskSentAwayBlamesNobody has a draining worker evict a task before its acceptance was read. Draining
-// is not an error, so the worker is not suspected. The worker gets no tasks for the time of the assumed
-// drain.
+// TestTaskSentAwayBlamesNobody has a draining worker evict a task before its acceptance was read.
+// Draining is not an error, so the worker is not suspected. The worker gets no tasks until assumedDrain
+// has passed.
 func TestTaskSentAwayBlamesNobody(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// This file contains the random draws of the single events of a history.
+// This file contains the functions that draw the random events of a history.
 
 func (h *history) anyWorker() string { return h.entries[h.random.IntN(len(h.entries))].Worker }
 
--- a/placement/index.go
+++ b/placement/index.go
@@ -12,16 +12,19 @@
 // decisions: it leaves out only workers that the search could not select.
 
 const (
-	// maxEnumerated is the maximum number of candidates that a search scores one by one. If there
-	// are more, hundreds of them are nearly equal, and the search starts at a random one.
+	// maxEnumerated is the maximum number of candidates that a search scores one by one. If there are
+	// more candidates, hundreds of them have nearly the same cost. The search then starts at a random
+	// candidate.
 	maxEnumerated = 512
-	// maxScaleDrift is the relative change of the baseline of effective capacity above which all
-	// levels are rebuilt.
+	// maxScaleDrift is the maximum relative difference between the baseline of effective capacity and
+	// the baseline with which the levels were built. All levels are rebuilt if the difference is
+	// larger.
 	maxScaleDrift = 0.05
 )
 
 // workerIndex is the index of all workers that may get tasks. The level of a worker is determined by
-// the larger of its two requested fractions, relative to scale.
+// its requested fractions of cores and memory. Each is divided by the same component of scale, and the
+// larger quotient counts.
 type workerIndex struct {
 	kinds []kindLevels
 	// scale is the baseline with which the levels were last built.
@@ -29,7 +32,7 @@
 	baseline        fractions // effective capacity of workers without calibration, divided by their size
 	inverseBaseline fractions
 	stale           []*workerInfo // workers whose position may have changed since the last search
-	finished        []bool        // by kind: whether the current walk needs no more workers
+	finished        []bool        // by kind: whether the current walk needs no more workers of the kind
 }
 
 func newWorkerIndex(kinds int) *workerIndex {
@@ -131,11 +134,13 @@
 	x.kinds[worker.kindIndex].updateSets(levelNumber)
 }
 
-// loadLimit bounds the requested capacity of workers of one kind that may have free capacity for a
-// task.
+// loadLimit is an upper limit of the requested capacity of workers of one kind. A worker above the
+// limit does not have enough free capacity for the task of a search. A worker within the limit may have
+// enough.
 type loadLimit struct {
 	max fractions
-	// A worker with a calibration below calibrationBelow is also admitted within calibratedMax.
+	// If the calibration of a worker is below calibrationBelow, the worker is also admitted with a
+	// requested capacity within calibratedMax.
 	calibrationBelow float64
 	calibratedMax    fractions
 }
@@ -158,9 +163,10 @@
 	visit func(worker *workerInfo) bool
 }
 
-// walk performs a walk. In levels of more than maxEnumerated workers it starts at a random worker,
-// or at the first one if random is nil. random is a parameter and not a field of levelWalk, because
-// a field would move everything that the functions of the walk capture to the heap.
+// walk visits the workers that a plan describes. In levels of more than maxEnumerated workers it starts
+// at a random worker, or at the first one if random is nil. random is a parameter and not a field of
+// levelWalk, because if it were a field, the variables captured by the functions of the plan would
+// escape to the heap.
 func (x *workerIndex) walk(plan levelWalk, random *rand.Rand) {
 	clear(x.finished)
 	// If the baseline is above the scale, the utilization is lower than the level number indicates.
@@ -240,7 +246,10 @@
 				return false
 			}
 			if !plan.relevant(kindIndex, current.minRequested, minUtilization) {
-				return true // no other worker of the level is relevant any more
+				// This visit made even a worker with the lower bound of the level's requested capacity
+				// irrelevant. The rest of the level is therefore skipped, and true lets the walk
+				// continue with the next kind or level.
+				return true
 			}
 		}
 	}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -125,7 +125,9 @@
 
 // checkPrograms returns an error if the programs by worker and the workers by program do not match.
 func checkPrograms(scheduler *Scheduler) error {
-	unmatched := 0 // resident programs of workers minus workers of programs
+	// The difference between the number of programs in the maps of all workers and the number of
+	// workers in the lists of all programs.
+	unmatched := 0
 	for _, worker := range scheduler.fleet.sorted {
 		for program := range worker.residentPrograms {
 			unmatched++
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -5,8 +5,9 @@
 
 const (
 	// lagDecay is the factor by which each change of the view reduces the weight of earlier changes.
-	// minLagObservations is the decayed number of observations above which the estimated lag is used.
-	lagDecay           = 0.98
+	lagDecay = 0.98
+	// minLagObservations is the decayed number of observations (see lagEstimator) that must be exceeded
+	// before the estimated lag is used.
 	minLagObservations = 20
 )
 
@@ -14,16 +15,19 @@
 type lagEstimator struct {
 	*environment
 	loads *loadTracker
-	// squaredErrors is the decayed sum of squared prediction errors, by lag in steps of lagStep.
+	// squaredErrors is the decayed sum of squared prediction errors for each possible lag. The element
+	// with index i belongs to a lag of i+1 times lagStep.
 	squaredErrors [lagSteps]float64
-	// observations is the decayed number of view changes seen.
+	// observations is the number of changes of the view seen, each weighted by lagDecay for every later
+	// change.
 	observations float64
 }
 
 // learn compares a change of the view with the changes that this scheduler made, and selects the lag
 // with the smallest prediction error. A correct lag prevents this scheduler's placements from being
-// counted twice and from being dropped too early. Any delay up to the longest lag is covered, including
-// an increasing delay. Learning is slow if this scheduler makes few of the placements.
+// counted twice and from being dropped too early. The estimate covers any lag up to lagSteps times
+// lagStep, including a lag that increases. Learning is slow if this scheduler makes few of the
+// placements.
 func (e *lagEstimator) learn(worker *workerInfo, entry Entry) {
 	kind := e.kindOf(worker)
 	if kind == nil {
--- a/placement/layers_test.go
+++ b/placement/layers_test.go
@@ -68,7 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A worker refers to its attempts, an attempt to its worker.
+	// These files form one layer, because a worker refers to its attempts and an attempt refers to its
+	// worker.
 	oneLayer := []string{"worker.go", "task.go"}
 	for identifier, object := range info.Uses {
 		from, to := fileOf(identifier.Pos()), fileOf(object.Pos())
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -17,8 +17,8 @@
 	calibration float64 // lower bound of the worker's effective capacity, relative to that of its kind
 }
 
-// level holds workers of one kind with about the same requested capacity. The entries of workers
-// that are not reserved come first; unreserved is the number of these entries.
+// level holds workers of one kind with about the same requested capacity. The entries of unreserved
+// workers come first, and unreserved is their number.
 type level struct {
 	entries    []indexEntry
 	unreserved int
@@ -55,8 +55,8 @@
 	l.minCalibration = min(l.minCalibration, entry.calibration)
 }
 
-// remove removes an entry. Only the last unreserved entry and the last entry of the level may move,
-// and all others keep their positions.
+// remove removes an entry. It may move the last unreserved entry and the last entry of the level. All
+// other entries keep their positions.
 func (l *level) remove(entryIndex int) {
 	if entryIndex < l.unreserved {
 		l.unreserved--
--- a/placement/load.go
+++ b/placement/load.go
@@ -18,7 +18,9 @@
 	maxDeltas = 4096
 	// reportLag is the assumed age of a report on its arrival.
 	reportLag = 500 * millisecond
-	// rejectedShare is the fraction of a rejected task's request that is assumed not to fit.
+	// rejectedShare limits the free capacity that a worker is assumed to have after it rejected a task
+	// for lack of cores or memory. The limit is this fraction of the cores or memory that the task
+	// requests. It is below 1, so that an equal task does not fit the worker.
 	rejectedShare = 0.99
 )
 
@@ -29,7 +31,7 @@
 	index        *workerIndex
 	reservations *reservations
 	lag          int64         // assumed lag of the view, in microseconds
-	lagDependent []*workerInfo // superset of lagDependentWorkers, which prunes it
+	lagDependent []*workerInfo // all workers that lagDependentWorkers returns, and some that it will remove
 	// listedRequestedCores is the sum of the cores requested of all listed workers of a known kind that
 	// are not foreign.
 	listedRequestedCores float64
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -4,9 +4,10 @@
 // one task for each report.
 
 const (
-	// migrateBelow is the fraction of full service below which a task may be migrated. Below
-	// migrateAlwaysBelow a task may be migrated even if it fits no other worker.
-	migrateBelow       = 0.7
+	// migrateBelow is the fraction of full service below which a task may be migrated.
+	migrateBelow = 0.7
+	// migrateAlwaysBelow is the fraction of full service below which a task may be migrated even if it
+	// fits no other worker.
 	migrateAlwaysBelow = 0.25
 	// restartSeconds is the run time that a task loses by starting again, in seconds.
 	restartSeconds = 1.5
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -10,13 +10,14 @@
 
 const (
 	// contentionStep is the amount by which a rejection for lack of capacity raises the contention.
-	// contentionOffers is the number of accepted offers that lower the contention by the same amount.
-	contentionStep   = 0.01
+	contentionStep = 0.01
+	// contentionOffers is the number of accepted offers that together lower the contention by
+	// contentionStep.
 	contentionOffers = 12
 	// maxContention is the upper limit of the contention.
 	maxContention = 0.2
-	// chanceDeviations is the number of standard deviations of this scheduler's net placements that
-	// are attributed to chance.
+	// chanceDeviations is the number of standard deviations up to which the net placements of this
+	// scheduler are attributed to chance.
 	chanceDeviations = 2
 )
 
@@ -27,9 +28,9 @@
 	loads *loadTracker
 	// active is true while backpressure reports a release rate or reserved units.
 	active bool
-	// contention is the free capacity, as a fraction of a worker's size, that other schedulers are assumed
-	// to have used already. On each worker, the contention is limited to the free capacity that the view
-	// newly shows.
+	// contention is the free capacity, as a fraction of a worker's size, that other schedulers are
+	// assumed to have used already. On each worker, the contention is limited to the free capacity that
+	// is new in the current view: the part above workerInfo.sustainedFree.
 	contention float64
 	// concurrent is the amount of each resource that other schedulers are assumed to have placed since the
 	// current view, as a fraction of the capacity of the whole fleet.
@@ -80,8 +81,9 @@
 func (o *overload) updateConcurrent() { o.concurrent = o.estimateConcurrent() }
 
 // estimateConcurrent estimates how much other schedulers placed since the current view, as fractions of
-// the fleet's capacity. It assumes that each of them placed as much as this scheduler did. Only the
-// excess of this scheduler's net placements over the random fluctuation of starts and ends counts.
+// the fleet's capacity. It assumes that each of them placed as much as this scheduler did. It counts
+// only the part of this scheduler's net placements that exceeds the random fluctuation of starts and
+// ends (see chanceDeviations).
 func (o *overload) estimateConcurrent() (shares [resourceCount]float64) {
 	if !o.active || !o.settings.HasView {
 		return shares
@@ -118,10 +120,11 @@
 	return fractions{o.concurrent[resourceCores], o.concurrent[resourceMemory]}
 }
 
-// competing returns the cores and memory that other schedulers are assumed to have placed on a worker of
-// the given kind since the current view. Other schedulers compete for free capacity that the view newly
-// shows. Capacity that this scheduler's own tasks released since the view is not contested, because
-// other schedulers have no information about it. The result is zero without an overload.
+// competing returns the cores and memory that other schedulers are assumed to have placed on a worker
+// of the given kind since the current view. Other schedulers compete for free capacity that is new in
+// the current view (see overload.contention). Capacity that this scheduler's own tasks released since
+// the view is not contested, because other schedulers have no information about it. The result is zero
+// without an overload.
 func (o *overload) competing(worker *workerInfo, kind *Kind) (cores, memory float64) {
 	if !o.active {
 		return 0, 0
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -6,9 +6,9 @@
 // final response. A task never has more than one open offer at a time.
 
 const (
-	// latenessFactor bounds the expected wait for capacity, as a multiple of the time left until the
-	// deadline of a pending task. A task with a longer expected wait, at the present release rate,
-	// is rejected before its deadline.
+	// latenessFactor is the maximum expected wait for capacity, as a multiple of the time left until
+	// the deadline of a pending task. If the expected wait at the present release rate is longer, the
+	// task is rejected before its deadline.
 	latenessFactor = 2.0
 	// abandonTimeouts is the number of response timeouts after which an attempt is abandoned.
 	abandonTimeouts = 2
@@ -33,7 +33,7 @@
 	requests     *requests
 
 	unschedulable map[taskShape]bool // shapes of tasks for which this pass found no worker
-	freeUnits     float64            // free units left in this pass, if a class has reserved units
+	freeUnits     float64            // free units left in this pass; only computed if a class has reserved units
 	unitsAhead    float64            // units of the tasks earlier in this pass that stay pending
 }
 
@@ -109,14 +109,14 @@
 }
 
 // leavesReservedUnits reports whether the free capacity left in this pass exceeds the units that the
-// class of a task has to leave to other classes.
+// class of a task has to leave to other classes. It returns true if the class has to leave none.
 func (p *schedulingPass) leavesReservedUnits(task *taskInfo) bool {
 	reserved := p.overload.unitsReserved(task.classIndex)
 	return reserved == 0 || p.freeUnits > reserved
 }
 
-// tooLate reports whether capacity for a task is expected to become free only well after its
-// deadline.
+// tooLate reports whether capacity for a task is expected to become free only well after its deadline
+// (see latenessFactor). It returns false if the release rate is unknown.
 func (p *schedulingPass) tooLate(task *taskInfo, units float64) bool {
 	timeUntilFree, known := p.overload.timeUntilFree(p.unitsAhead + units)
 	return known && timeUntilFree > float64(task.DeadlineUs-p.now)*latenessFactor
@@ -162,8 +162,9 @@
 	}
 	timeout := abandonTimeouts * p.health.responseTimeout()
 	if p.settings.AcceptMeansRunning {
-		// Fast responses arrive first, so early response timeouts do not account for slow starts:
-		// the attempt lasts for at least two thirds of the time left.
+		// The response timeout is derived from the responses so far, and fast responses arrive first.
+		// Early timeouts are therefore too short for slow starts, so the attempt lasts for at least two
+		// thirds of the time left until the deadline.
 		timeout = max(timeout, (task.DeadlineUs-p.now)*2/3)
 	}
 	return min(task.DeadlineUs, p.now+timeout)
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -12,7 +12,7 @@
 	// maxProbesPerTask is the maximum number of probes sent for one task.
 	maxProbesPerTask = 2
 	// maxReportedOvercommit is the largest plausible load in a report, as a multiple of the worker's
-	// size. Larger values are ignored.
+	// size. Reported values above it are ignored.
 	maxReportedOvercommit = 8.0
 )
 
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -49,10 +49,10 @@
 	return q.ordered
 }
 
-// priority returns the weight of a task per capacity and time that the task takes. The weight
-// includes the bonus for a start in time while such a start is still possible: when capacity is
-// short, tasks that can still start in time go before tasks that are late already. Tasks of a tenant
-// over its quota weigh less.
+// priority returns the weight of a task per capacity and time that the task takes. While a task with a
+// run hint can still start within its latency objective, and was not resubmitted, its priority includes
+// the bonus for a timely start. When capacity is short, tasks that can still start in time therefore go
+// before tasks that are late already. Tasks of a tenant over its quota weigh less.
 func (q *queue) priority(task *taskInfo) float64 {
 	class := q.classOf(task)
 	kind := &q.settings.Kinds[0]
--- a/placement/quota.go
+++ b/placement/quota.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// exceeded estimates whether a tenant is over its quota. It assumes that the tenant has the same
-// share of all requested cores of the fleet as of the cores of this scheduler's tasks.
+// exceeded estimates whether a tenant is over its quota. The scheduler knows only its own tasks, so it
+// assumes that the tenant's share of the requested cores is the same in the whole fleet.
 func (q *quotas) exceeded(tenant string) bool {
 	i, ok := q.tenantIndexes[tenant]
 	if !ok || q.totalCores <= 0 || q.settings.Tenants[i].QuotaCores <= 0 {
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -11,13 +11,13 @@
 
 // selection is the result of a full scan.
 type selection struct {
-	required, permitted []*workerInfo // the finalists contain all of required and only workers of permitted
-	withinTwiceMargin   []*workerInfo // workers whose cost is within twice the margin of the lowest
-	sampled             bool          // more than maxEnumerated workers qualify: the search scores only some
-	path                string        // one of the paths below
+	required, permitted []*workerInfo // finalists must contain all of required, and none outside permitted
+	withinTwiceMargin   []*workerInfo // workers whose cost is at most 2*costMargin above the lowest cost
+	sampled             bool          // more than maxEnumerated workers qualify, so the search scores only some
+	path                string        // one of the path constants
 }
 
-// The paths of a selection.
+// The paths of a selection, which are the ways to determine the finalists.
 const (
 	pathWaits      = "waits"
 	pathNoCapacity = "no free capacity"
@@ -92,8 +92,8 @@
 	return selection{must, may, wide, len(healthy) > maxEnumerated, path}
 }
 
-// lowestSuspicion returns the worker with the lowest suspicion among those with at most one unanswered
-// attempt; among equals, the first one.
+// lowestSuspicion returns the worker with the lowest suspicion. It considers only workers with at most
+// one unanswered attempt. Among workers with equal suspicion, it returns the first one.
 func (r *reference) lowestSuspicion(workers []*workerInfo, classIndex int) (best *workerInfo) {
 	for _, worker := range workers {
 		if len(worker.unanswered) <= 1 && (best == nil || r.suspicion(worker, classIndex) < r.suspicion(best, classIndex)) {
@@ -126,7 +126,9 @@
 
 // matches reports whether the finalists of a scheduler agree with this selection.
 func (s selection) matches(got []*workerInfo) bool {
-	if s.sampled { // the finalists are a part of the qualifying workers
+	// The search scored only some of the qualifying workers, so it may have missed some of s.required,
+	// and the lowest cost.
+	if s.sampled {
 		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.withinTwiceMargin, worker) })
 	}
 	seen := map[*workerInfo]bool{}
@@ -144,9 +146,10 @@
 	return true
 }
 
-// acceptsAnyVariant reports whether accept returns true for the candidates or for a variant of them, and
-// whether it needed a variant. In a variant, some candidates at the limit of their free capacity have the
-// opposite value of fits; all combinations of the first maxBorderFlips of them are tried.
+// acceptsAnyVariant reports whether accept returns true for the candidates or for a variant of them,
+// and whether it needed a variant. In a variant, some candidates at the limit of their free capacity
+// have the opposite value of fits. All combinations of the first maxBorderFlips of these candidates are
+// tried.
 func acceptsAnyVariant(list []candidate, accept func([]candidate) bool) (ok, flipped bool) {
 	if accept(list) {
 		return true, false
@@ -184,8 +187,8 @@
 	return want.path, flipped, err
 }
 
-// compareElsewhere compares got, whether a scheduler found that a task fits a worker other than the given
-// one, with the full scan.
+// compareElsewhere compares the result of a scheduler's fitsElsewhere with the full scan. got is this
+// result: whether the scheduler found that a task fits a worker other than the given one.
 func (r *reference) compareElsewhere(task *taskInfo, worker *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
 	for _, other := range r.workers {
@@ -203,8 +206,8 @@
 	return flipped, err
 }
 
-// compareReserved compares the worker that a scheduler newly reserved for a task, or nil, with the workers
-// of which the full scan would reserve one.
+// compareReserved compares the worker that a scheduler newly reserved for a task, or nil if there is
+// none, with the workers that the full scan considers a correct choice.
 func (r *reference) compareReserved(task *taskInfo, got *workerInfo) error {
 	scheduler := r.scheduler
 	var want []*workerInfo
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -4,11 +4,13 @@
 // notifies the components of lower layers of each change. It never selects a worker.
 
 const (
-	// fullServiceThreshold is the smallest fraction of full service that counts as full service.
-	// nearSaturationShare is the fraction of memorySaturation up to which the memory of a worker
-	// counts as sufficient.
+	// fullServiceThreshold is the fraction of full service below which a report counts as poor service
+	// in capacity calibration. Calibration ignores a report of this fraction or more.
 	fullServiceThreshold = 0.95
-	nearSaturationShare  = 0.95
+	// nearSaturationShare is the fraction of memorySaturation above which the used fraction of a
+	// worker's memory counts as memory pressure in capacity calibration. Calibration ignores a report
+	// of this fraction or less.
+	nearSaturationShare = 0.95
 	// taskConfidence is the weight of the report of one task in capacity calibration, from 0 to 1.
 	taskConfidence = 0.5
 )
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -3,15 +3,15 @@
 // This file owns the set of workers that are reserved for pending tasks during a scheduling pass.
 // The scheduling pass selects the workers and the tasks.
 
-// reservationFactor is the factor by which the priority of a pending task must exceed the priority
-// of another task, so that the worker reserved for the pending task gets no offer of the other
-// task.
+// reservationFactor is a ratio of priorities. If the priority of a pending task is more than
+// reservationFactor times the priority of another task, the other task gets no offer to the worker that
+// is reserved for the pending task.
 const reservationFactor = 1.5
 
 // reservations holds the workers that are reserved for pending tasks.
 type reservations struct {
 	index      *workerIndex
-	priorities map[*workerInfo]float64 // priorities of the tasks that the workers are reserved for
+	priorities map[*workerInfo]float64 // by reserved worker: priority of the task it is reserved for
 	workers    []*workerInfo           // in the order of their reservation
 }
 
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -12,7 +12,7 @@
 // residents holds the resident programs of all workers.
 type residents struct {
 	workers map[uint64][]*workerInfo // by program, unordered
-	// version is incremented on each change to resident programs or to the domains of workers.
+	// version is incremented on each change of the resident programs or of the domains of workers.
 	version int64
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// remove removes a program from a worker. In the program's list of workers, the last worker takes
-// the place of the removed one.
+// remove removes a program from a worker. In the list of the workers on which the program is resident,
+// the last worker takes the place of the removed worker.
 func (r *residents) remove(worker *workerInfo, program uint64) {
 	delete(worker.residentPrograms, program)
 	r.version++
--- a/placement/score.go
+++ b/placement/score.go
@@ -4,9 +4,9 @@
 // excludes a worker.
 
 const (
-	// missPenalty is the utilization added to the backlog for a start on a worker where the program
-	// of the task is not resident. Such a start takes several times the work and usually misses the
-	// latency objective.
+	// missPenalty is the utilization added to the backlog of a worker on which the program of the task
+	// is not resident. A start without the resident program takes several times the work and usually
+	// misses the latency objective.
 	missPenalty = 3.0
 	// maxUtilization bounds the utilization of the fleet, so that the factor 1/(1-rho) stays finite
 	// when more is requested than the effective capacity.
@@ -14,7 +14,7 @@
 	// startPenalty is the utilization that each start in progress adds to the backlog of a worker of
 	// mean size. Workers start few tasks at a time, and a late start loses its bonus.
 	startPenalty = 0.03
-	// maxReportedQueue is the highest reported number of waiting offers that is plausible.
+	// maxReportedQueue is the highest plausible number of waiting offers and starts in a report.
 	maxReportedQueue = 1e4
 )
 
@@ -26,8 +26,8 @@
 	capacity  *capacityModel
 	totals    *totals
 	slowStart *slowStart
-	// utilization and meanCores are means over the fleet. kinds holds the terms for the current task,
-	// by kind.
+	// utilization and meanCores are means over the fleet. kinds holds the terms of the admission cost
+	// of the current task, by kind.
 	utilization, meanCores float64
 	kinds                  []kindCost
 }
@@ -35,7 +35,7 @@
 // kindCost holds the terms of the admission cost that are common to all workers of one kind.
 type kindCost struct {
 	hasView     bool
-	missBacklog float64 // missPenalty if the task has a program, else 0
+	missBacklog float64 // missPenalty if the task has a program, 0 otherwise
 	size        float64 // utilization that the task adds to a worker without calibration
 	rate        float64 // cores of the kind, divided by the mean cores of a worker
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -10,9 +10,8 @@
 // index, and draws among those with a score near the best. A search never changes the recorded state
 // of a worker, only values derived from it, and does not allocate once its slices have grown.
 
-// costMargin is the difference from the lowest admission cost up to which a cost still counts as
-// equal. It is about the cost that one small task adds, which is too small a difference for a late
-// view to show.
+// costMargin is the difference from the lowest admission cost up to which a cost still counts as equal
+// to it. One small task adds about this cost, and a late view cannot show so small a difference.
 const costMargin = 0.02
 
 // maxSuspectAttempts is the maximum number of unanswered attempts at a suspect worker if all workers
@@ -41,13 +40,13 @@
 	evaluated     int   // number of workers that the current search evaluated one by one
 	task          *taskInfo
 	class         *Class
-	limits        []loadLimit // by kind: highest load of a worker that fits the task
+	limits        []loadLimit // by kind: highest load of a worker that the task fits
 	taskFractions []fractions // by kind: utilization that the task adds to a worker
 	scored        []scoredWorker
 	lowestCost    float64                // lowest cost of the scored workers
 	nearLowest    []*workerInfo          // scored workers with a cost near the lowest
 	suspects      []*workerInfo          // workers that fit but are not healthy
-	visit         func(*workerInfo) bool // the method evaluate, bound once
+	visit         func(*workerInfo) bool // the method value s.evaluate, created once for all searches
 	ordinals      ordinalSet
 }
 
@@ -79,8 +78,8 @@
 	return finalists
 }
 
-// begin starts a search: it resets the results of the previous search, and computes by kind the size
-// of the task and the highest load of a worker that fits it.
+// begin starts a search. It resets the results of the previous search. For each kind, it computes the
+// size of the task and the highest load of a worker that the task fits.
 func (s *search) begin(task *taskInfo) {
 	s.fleet.refresh()
 	baseline := s.index.baseline
@@ -121,8 +120,8 @@
 	return s.nearLowest
 }
 
-// evaluateAll evaluates the given workers one by one until evaluate has scored enough. It starts at
-// a random worker if there are more than maxEnumerated.
+// evaluateAll evaluates the given workers one by one, and stops once maxEnumerated workers have a
+// score. It starts at a random worker if more than maxEnumerated workers are given.
 func (s *search) evaluateAll(workers []*workerInfo) {
 	first := 0
 	if len(workers) > maxEnumerated {
@@ -135,8 +134,9 @@
 	}
 }
 
-// evaluate filters and scores one worker for the task of the search, and reports whether to evaluate
-// more.
+// evaluate filters and scores one worker for the task of the search. A worker that this search has
+// already evaluated is skipped. The result reports whether to evaluate further workers, and is false
+// once maxEnumerated workers have a score.
 func (s *search) evaluate(worker *workerInfo) bool {
 	if worker.lastSearch == s.searchNumber {
 		return true
@@ -156,8 +156,9 @@
 	return len(s.scored) < maxEnumerated
 }
 
-// uncordonedWorker returns the first worker by name that operators uncordoned, that got no offer
-// since and that can run a task, or nil. One task is enough to show that a worker is in use again.
+// uncordonedWorker returns a worker that operators uncordoned, that has got no offer since and that can
+// run a task. It returns the first one by name if there are several, and nil if there is none or if the
+// task must not run twice. One task is enough to show that a worker is in use again.
 func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
 	class := s.classOf(task)
 	for worker := range s.fleet.pruneUncordoned() {
@@ -244,8 +245,9 @@
 	return found
 }
 
-// closestToFitting returns the healthy unreserved worker that lacks the least capacity to fit a
-// task, or nil.
+// closestToFitting returns the healthy unreserved worker that would have the lowest utilization if it
+// ran a task, and so lacks the least capacity to fit the task. It returns nil if no healthy unreserved
+// worker may get the task.
 func (s *search) closestToFitting(task *taskInfo) *workerInfo {
 	s.fleet.refresh()
 	class, inverse := s.classOf(task), s.index.inverseBaseline
@@ -256,9 +258,12 @@
 		}
 	}
 	var best *workerInfo
-	lowest, slack := math.Inf(1), roundingTolerance // among equal workers, the first by name is returned
+	// The walk visits only workers for which the lower bound of the needed capacity is at most
+	// lowest+slack. With a positive slack, the walk also visits workers that are equal to the best
+	// worker so far, so the first of the equal workers by name is returned.
+	lowest, slack := math.Inf(1), roundingTolerance
 	if len(s.fleet.sorted) > maxEnumerated {
-		slack = -roundingTolerance // return any of the equal workers, as there may be thousands
+		slack = -roundingTolerance // skip workers equal to the best one so far, because there may be thousands
 	}
 	s.index.walk(levelWalk{unreservedOnly: true,
 		relevant: func(kindIndex int, requested fractions, minUtilization float64) bool {
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -26,13 +26,13 @@
 	}
 }
 
-// TestFullFleetIsRemembered checks that a search in a fleet without free capacity evaluates no
-// worker, and that it skips whole levels once an earlier search has found that they have no free
-// capacity.
+// TestFullFleetIsRemembered checks that a search in a fleet without free capacity evaluates no worker.
+// It also checks that a search skips whole levels once an earlier search has found that they have no
+// free capacity.
 func TestFullFleetIsRemembered(t *testing.T) {
 	f := largeFleet(t, 4000, func(random *rand.Rand) float64 { return 1.495 + 0.004*random.Float64() })
-	// One worker of the same level has free capacity at first, so the bound of the level stays too
-	// low when that capacity is taken.
+	// One worker of the same level has free capacity at first, so the lower bound of the level's
+	// requested capacity stays too low when that free capacity is taken.
 	last := smallWorker("m03999", 0, 32*(1-1.478))
 	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	task := f.syntheticTask(0)
@@ -82,7 +82,8 @@
 	for _, worker := range f.scheduler.fleet.sorted {
 		squares += math.Pow(float64(drawn[worker])-mean, 2) / mean
 	}
-	// The sum has a mean equal to the number of workers and a standard deviation of sqrt(2*workers).
+	// For an even distribution, the chi-square sum has a mean equal to the number of workers and a
+	// standard deviation of sqrt(2*workers).
 	if limit := workers + 6*math.Sqrt(2*workers); squares > limit {
 		t.Errorf("got chi-square %.0f over %d workers, want at most %.0f", squares, workers, limit)
 	}
@@ -114,8 +115,8 @@
 			}
 			selectedSum, lowestSum = selectedSum+selected, lowestSum+lowest
 		}
-		// A selection drawn evenly from the workers within the margin costs half of the margin more
-		// than the lowest cost.
+		// A worker drawn evenly from the workers within costMargin of the lowest cost costs, on
+		// average, half of costMargin more than the lowest cost.
 		if loss := (selectedSum - lowestSum) / 200; loss > 0.75*costMargin {
 			t.Errorf("%s: selected workers cost %.4f more than the lowest on average, want at most %.4f", share.name, loss, 0.75*costMargin)
 		}
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -30,15 +30,15 @@
 type Class struct {
 	Name            string
 	Effect          Effect
-	Group           Scope   // if Keyed: group that discards repeats, ScopeAll, ScopeZone or ScopeCell
+	Group           Scope   // if Keyed: workers that discard repeats: ScopeAll, ScopeZone or ScopeCell
 	WindowUs        int64   // if Keyed: time for which the group discards repeats
 	ObjectiveUs     int64   // latency objective: a start within this time earns StartBonusS
 	DeadlineUs      int64   // time for which a client waits for a response
-	Weight          float64 // priority weight of one second of full service at mean size
+	Weight          float64 // priority weight of one second of full service of a task of mean size
 	StartBonusS     float64 // value of a start within the objective, in seconds of service
 	Kind            int     // index of the required kind of worker in Settings.Kinds, or -1
 	Spread          Scope   // domain in which the tasks of a program are counted, or ScopeNone
-	MaxPerDomain    int     // maximum number of tasks of a program in one such domain
+	MaxPerDomain    int     // maximum number of tasks of a program in one domain of scope Spread
 	SaturationLoad  float64 // used fraction of the cores up to which service is full
 	SaturationRange float64 // service is 0 at a load of SaturationLoad+SaturationRange
 }
@@ -64,7 +64,7 @@
 	Classes              []Class
 	Kinds                []Kind
 	Tenants              []Tenant
-	OverQuotaWeight      float64 // factor on the priority of tasks of a tenant beyond its quota
+	OverQuotaWeight      float64 // factor on the priority of the tasks of a tenant that is over its quota
 
 	PollsDiscovery     bool  // discovery answers only when it is polled
 	PollWithinUs       int64 // maximum time between two polls of discovery
@@ -74,8 +74,10 @@
 	Pings              bool  // workers may be sent pings
 	RetryAfter         bool  // rejected clients may get a Retry-After
 	Cancel             bool  // CancelAttempt is permitted
-	ReportsUsage       bool  // reports state the capacity that is not used, instead of not requested
-	ReportsFree        bool  // reports of probes contain the free capacity (x0 and x1)
+	// ReportsUsage is true if the free capacity in the reports of probes is the capacity that tasks do
+	// not use. If it is false, the free capacity is the capacity that tasks do not request.
+	ReportsUsage bool
+	ReportsFree  bool // probe reports contain the free capacity (x0 and x1); not used by the scheduler
 
 	CoresOvercommit  float64 // maximum requested cores that workers accept, as a multiple of their cores
 	MemoryOvercommit float64 // maximum requested memory that workers accept, as a multiple of their memory
@@ -91,8 +93,8 @@
 	DrainGraceUs      int64   // time for which a draining worker may get offers
 	ColdStartRate     float64 // rate of task starts on a newly started worker, relative to a warm one
 	WarmUpUs          int64   // time from the start of a worker until it is warm
-	SlowStartWindowUs int64   // window in which SlowStartOffers counts offers
-	SlowStartOffers   float64 // maximum offers of all schedulers to a warming worker in a window
+	SlowStartWindowUs int64   // length of the window to which SlowStartOffers applies
+	SlowStartOffers   float64 // maximum number of offers of all schedulers to a warming worker in one window
 	TickUs            int64   // interval at which the caller checks the clock
 	MaxRetryAfterUs   int64   // longest Retry-After that clients honor
 }
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -12,7 +12,8 @@
 	"ravenhitch/internal/stats"
 )
 
-// countEvery is the interval, in units, at which allocations are counted instead of the time.
+// countEvery is the interval, in units, between the units whose allocations are counted. For the units
+// between them, the time is measured.
 const countEvery = 4
 
 // meter sums up the processor time and the allocations of the measured units. It measures the time of
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -136,7 +136,8 @@
 	task       *siteTask
 }
 
-// newSite returns a site whose scheduler has a list of workers and, unless idle, running tasks.
+// newSite returns a site whose scheduler has a list of workers. Unless idle is true, tasks run on the
+// workers.
 func newSite(t testing.TB, workers int, seed uint64, settings Settings, idle bool) *site {
 	t.Helper()
 	scheduler, err := New(settings, seed)
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -21,9 +21,9 @@
 const (
 	// slopeWarmUp is the number of exchanges before the measured ones.
 	slopeWarmUp = 40
-	// allocsGrowth is the maximum factor by which the allocations of a decision may grow in a fleet that is
-	// four times as large. It is well below proportional growth, and allows for slices that double their
-	// capacity.
+	// allocsGrowth is the maximum factor by which the allocations of a decision may grow in a fleet
+	// that is four times as large. The factor is well below that of proportional growth, but leaves
+	// room for slices that double their capacity.
 	allocsGrowth = 1.5
 	// maxUnplaced is the maximum fraction of the requests that may find no free capacity immediately.
 	maxUnplaced = 0.02
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -6,12 +6,14 @@
 // started. It must not permit an offer beyond the slow-start budget.
 
 const (
-	// A worker that warms up becomes overloaded if the offers within a window exceed its budget by more
-	// than slowStartDeviations times the square root of the budget, plus slowStartDeviations offers.
-	// Schedulers that were notified of the start together send at most informedShare of that limit,
-	// because other schedulers may not have been notified yet.
+	// slowStartDeviations determines the number of offers within a window above which a worker that
+	// warms up becomes overloaded. This limit is the budget, plus slowStartDeviations times the square
+	// root of the budget, plus slowStartDeviations offers.
 	slowStartDeviations = 2.0
-	informedShare       = 2.0 / 3
+	// informedShare is the maximum fraction of the limit described at slowStartDeviations that all
+	// schedulers notified of the start send together. The rest is left to schedulers that may not have
+	// been notified yet.
+	informedShare = 2.0 / 3
 	// minStartRate is the lowest rate at which a worker is assumed to start tasks, as a fraction of the
 	// rate of a warm worker.
 	minStartRate = 0.1
@@ -69,7 +71,7 @@
 	}
 	perSlot, step := max(1, int(budget)/2), 1
 	if budget < 2 {
-		step = 2 // every other slot stays empty
+		step = 2 // every other slot stays empty, because a window may overlap two slots
 	}
 	turns := (s.settings.FleetSize + perSlot - 1) / perSlot
 	// Slots do not begin at the worker's start, because some schedulers may know only an earlier start.
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -58,8 +58,8 @@
 func newSlowStartRun(t *testing.T, start start, schedulers, seed int) *slowStartRun {
 	r := &slowStartRun{t: t, random: rand.New(rand.NewPCG(uint64(seed), uint64(schedulers))), settings: testSettings(), start: start}
 	r.settings.FleetSize = schedulers
-	// The budget is uniform, uniform in its logarithm, or, with more than four schedulers, smaller than
-	// their number.
+	// The budget is drawn evenly, or evenly on a logarithmic scale. With more than four schedulers, it
+	// may also be drawn below their number.
 	switch seed % 3 {
 	case 0:
 		r.settings.SlowStartOffers = float64(4 + r.random.IntN(197))
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -24,7 +24,7 @@
 		}
 		return count
 	}
-	settings := testSettings() // 8 offers for 2 schedulers
+	settings := testSettings() // with a slow-start budget of 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker("a", 0, 32))
 	f.handleAfter(2*second, WorkerList{Kind: ListDelta, Entries: []Entry{warming(f)}})
 	if count := count(f, 1); count != 4 {
@@ -138,7 +138,7 @@
 // TestOffersBeforeKnownStartCount notifies a scheduler late of a worker's start. Offers that it sent since
 // the start, while it considered the worker warm, count towards its share of the budget.
 func TestOffersBeforeKnownStartCount(t *testing.T) {
-	settings := testSettings() // 8 offers for 2 schedulers
+	settings := testSettings() // with a slow-start budget of 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker(warmingWorker, 0, 32))
 	f.handleAfter(2 * second)
 	offers := func(from, requests int) (count int) {
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -5,7 +5,7 @@
 // This file owns sums and means over all workers, and caches them for a short time if the fleet is
 // large. It must not make placement decisions.
 
-// meansValidity is how long the means of a large fleet are cached.
+// meansValidity is the time for which the means of a large fleet are cached.
 const meansValidity = second
 
 // fleetMeans holds means over all workers that are ready.
--- a/placement/view.go
+++ b/placement/view.go
@@ -18,8 +18,8 @@
 		v.update(entry, list.Kind != ListCached)
 	}
 	v.fleet.forgetUnlisted()
-	// A large fleet changes with nearly every call. Its deltas trigger no scheduling pass, and pending
-	// tasks wait for the timer.
+	// In a large fleet, nearly every call brings a list of changes. These lists therefore trigger no
+	// scheduling pass there, and pending tasks wait for the timer.
 	v.needsPass = v.needsPass || list.Kind != ListDelta || !v.fleet.isLarge()
 }
 
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -79,7 +79,7 @@
 	if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "b" {
 		t.Fatalf("got probes %v after the probe of worker a timed out, want one of worker b", got)
 	}
-	// Both workers are suspect now, and the suspicion of a is lower.
+	// Both workers are suspect now. The suspicion of a is lower, because it has decayed for longer.
 	f.wantPlaced(f.handleAfter(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a")
 	actions = f.handleAfter(10*suspicionHalflife, request)
 	if count := len(ofType[Place](actions)); count != 0 {
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -90,7 +90,7 @@
 	deltas      []delta
 	reportedAt  int64 // arrival time of the last report, or 0
 	lastReport  Load
-	countedKind *Kind // kind whose size the sums of loadTracker include for the worker, or nil
+	countedKind *Kind // kind with which the sums of loadTracker count the worker, or nil
 	position    indexPosition
 
 	running          []*taskInfo // accepted tasks, in order of acceptance
@@ -125,9 +125,9 @@
 // programHash returns a hash of a program and the worker's name, which is the same at every scheduler.
 func (w *workerInfo) programHash(program uint64) uint64 { return mix(w.nameHash ^ mix(program)) }
 
-// idlePrograms returns the number of resident programs without an attempt or task, and the program that
-// has been idle the longest of these; among equals, the one with the lowest number. The argument idle must
-// be one of these programs.
+// idlePrograms returns the number of idle programs, which are the resident programs without an attempt
+// or task. It also returns the program that has been idle the longest. Among programs idle for an equal
+// time, this is the program with the lowest number. The argument idle must be an idle program.
 func (w *workerInfo) idlePrograms(idle uint64) (count int, oldest uint64) {
 	oldest = idle
 	for program, resident := range w.residentPrograms {
