--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -13,9 +13,9 @@
 	// programUse is the number of descriptors that the program itself keeps open in addition to the
 	// reserved ones: the listening socket and the connection to discovery.
 	programUse = 2
-	// clientShareDivisor determines the share of the budget (1/clientShareDivisor) that optional
-	// connections to workers leave to clients. A third suffices because clients use at most a third
-	// of the limit.
+	// clientShareDivisor determines the share of the budget (1/clientShareDivisor) that optional connections to
+	// workers leave to clients. A third suffices because clients normally use at most a third of the limit. They
+	// may borrow more, up to Budget.maxClients, if connections to workers leave descriptors free.
 	clientShareDivisor = 3
 	// minClientShareDivisor determines the share of the budget (1/minClientShareDivisor) that even
 	// required connections to workers leave to clients. A connection is required if the worker has
@@ -56,15 +56,16 @@
 	return b.freeDescriptors() > reserved+max(0, workerShare-b.workerConns)
 }
 
-// AdmitsWorker reports whether the budget allows one more optional connection to a worker.
+// AdmitsWorker reports whether the budget allows one more optional connection to a worker. If it does not,
+// AdmitsRequiredWorker may still allow a required connection.
 func (b *Budget) AdmitsWorker() bool { return b.preservesClientShare(clientShareDivisor) }
 
 // AdmitsRequiredWorker reports whether the budget allows one more connection to a worker that has running
 // tasks or for which an offer is waiting.
 func (b *Budget) AdmitsRequiredWorker() bool { return b.preservesClientShare(minClientShareDivisor) }
 
-// preservesClientShare reports whether one more connection to a worker still leaves clients their share,
-// which is 1/divisor of the budget.
+// preservesClientShare reports whether one more connection to a worker leaves free what clients do not yet use of
+// their share, which is 1/divisor of the budget.
 func (b *Budget) preservesClientShare(divisor int) bool {
 	if b == nil {
 		return true
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -18,10 +18,10 @@
 // Assignment returns the shards of a zone that are assigned to this orchestrator.
 type Assignment func(zone string) shard.Bits
 
-// maxLateReportMs is the maximum time that discovery blocks a poll if workers are assigned to orchestrators, in
-// milliseconds. It is longer than pollBlockMs because discovery may delay events that report only free capacity:
-// no other orchestrator places tasks at this orchestrator's workers, so this orchestrator can compute the changes of
-// their free capacity itself.
+// maxLateReportMs replaces pollBlockMs if workers are assigned to orchestrators: it is the maximum time, in
+// milliseconds, that discovery blocks a poll. It is longer than pollBlockMs because discovery may delay events
+// that report only free capacity. The delay does no harm: no other orchestrator places tasks at this
+// orchestrator's workers, so this orchestrator can compute the changes of their free capacity itself.
 const maxLateReportMs = 4_000
 
 // shardAssignment tracks the shards that are assigned to this orchestrator and those that are active.
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file owns the cursor, the number of the last event that was applied, and the application of events to the
+// This file owns the cursor, which is the number of the last event that was applied. It applies events to the
 // scheduler, to the pool of connections to workers and to the shard assignment. Invariant: events are applied in
 // order, and each at most once.
 
@@ -49,8 +49,8 @@
 	f.dispatcher.UpdateWorkers(f.loop.Now(), placement.WorkerList{Kind: placement.ListCached, Entries: list.present()})
 }
 
-// advance moves the cursor to an event, unless the cursor is there or beyond already. It reports whether the event
-// must be applied: the event is new and has a list of workers.
+// advance moves the cursor to an event if the event is newer than the cursor. It reports whether the event must be
+// applied, which is the case if it is newer and has a list of workers.
 func (f *Follower) advance(event config.Event) bool {
 	if event.Cursor <= f.cursor {
 		return false
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -4,8 +4,8 @@
 package discovery
 
 // This file owns the connection to discovery and the poll in flight. The follower polls continuously, because an
-// event counts as delivered once discovery has it. Invariant: the follower never has two polls in flight, never
-// skips an event and never stops polling.
+// event counts as delivered to the orchestrator as soon as discovery has it. Invariant: the follower never has two
+// polls in flight, never skips an event and never stops polling.
 
 import (
 	"errors"
@@ -27,9 +27,11 @@
 )
 
 const (
-	// pollBlockMs is the maximum time that discovery blocks a poll until there is an event, in milliseconds, the
-	// unit of the poll's parameter. The poll is abandoned if its response takes responseSlack longer than that.
-	pollBlockMs   = 1_000
+	// pollBlockMs is the maximum time that discovery blocks a poll until there is an event. It is in
+	// milliseconds, which is the unit of the poll's parameter.
+	pollBlockMs = 1_000
+	// responseSlack is the additional time for the response to a poll to arrive. A poll is abandoned if it is not
+	// answered within its maximum blocking time plus responseSlack.
 	responseSlack = 800 * millisecond
 	// redialDelay is the delay before the next dial after a failed dial or a closed connection.
 	redialDelay = 100 * millisecond
@@ -133,10 +135,10 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. At most
-// one response is outstanding, so bytes after it were not requested, and Data continues on a new connection: if
-// these bytes were taken as the response of the next poll, each later response would be matched to the poll after
-// its own.
+// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. At
+// most one response is outstanding, so any bytes after it were not requested. In that case, Data polls on a new
+// connection. Otherwise, these bytes would be taken as the response of the next poll, and each later response
+// would be matched to the poll after its own.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
 	if err != nil || !complete {
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -103,7 +103,8 @@
 	return h, nil
 }
 
-// cutLine splits a head at the end of its first line, which a carriage return marks. rest starts after the line end.
+// cutLine returns the first line of a head and the rest after the line end. A carriage return marks the end of the
+// line.
 func cutLine(b []byte) (line string, rest []byte) {
 	end := bytes.IndexByte(b, '\r')
 	if end < 0 {
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// parseHeader parses one header line. It ignores headers that concern neither the connection nor the length or the
-// transfer coding of the body.
+// parseHeader parses one header line. It ignores all headers except those for the connection, the length of the
+// body and the transfer coding of the body.
 func (h *head) parseHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found {
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestResponseLimits asserts that the parser accepts responses at the limits, and reports an incomplete response as
-// such instead of failing.
+// TestResponseLimits asserts that the parser accepts responses at the limits, and that it reports an incomplete
+// response as incomplete instead of returning an error.
 func TestResponseLimits(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -10,10 +10,10 @@
 const terminationTimeout = 700 * millisecond
 
 // cancelAttempt cancels the open attempt of a request. The cancel is sent to the worker before any other message
-// for this request. The end is reported to the scheduler, which may then offer the task elsewhere, only once the
-// attempt is certainly over: a cancel that is still in transit, or on a connection that became unresponsive,
-// does not end the attempt. The response to the client does not wait for the confirmation: at the deadline of
-// the request, the attempt counts as ended.
+// for this request. The end of the attempt is reported to the scheduler only once the attempt is certainly over,
+// because the scheduler may then offer the task elsewhere. A cancel that is still in transit, or that was written
+// on a connection that became unresponsive, does not end the attempt. The response to the client does not wait for
+// the confirmation: at the deadline of the request, the attempt counts as ended.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
 	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
@@ -48,10 +48,10 @@
 	d.arm(r, r.deadline)
 }
 
-// unacceptedTaskEnded records the end of a task that ran although its acceptance was not received, and fails
-// the request. The end of a task that ran is reported to its client within a second, whatever the class of the
-// task. Another attempt would run the task again and take longer than a second. No acceptance can be sent to the
-// client, because the worker's description of the task is not known.
+// unacceptedTaskEnded records the end of a task that ran although its acceptance was not received, and fails the
+// request. The client must learn of the end within a second, whatever the class of the task. Another attempt would
+// run the task again and take longer than a second. No acceptance can be sent to the client, because the worker's
+// description of the task is not known.
 func (d *Dispatcher) unacceptedTaskEnded(r *request, cause placement.Cause) {
 	d.log.Info("task ended before its acceptance", "request_id", r.RequestID, "worker", r.worker)
 	d.counts.Reset++
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -11,7 +11,7 @@
 func TestTimedOutAttemptIsCancelled(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-	h.mustStart("t1", 5000) // a quick answer makes later attempts time out early
+	h.mustStart("t1", 5000) // the quick acceptance of t1 makes later attempts time out early
 	h.mustSubmit("t2", "web", "k2", 5000)
 	h.advance(3000 * millisecond)
 	if len(h.offers) < 3 || h.cancelled != len(h.offers)-2 {
@@ -34,7 +34,7 @@
 func TestUnconfirmedCancel(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-	h.mustStart("t0", 5000) // a quick answer makes later attempts time out early
+	h.mustStart("t0", 5000) // the quick acceptance of t0 makes later attempts time out early
 	h.withholdConfirm = true
 	for _, id := range []string{"t1", "t2", "t3", "t4"} {
 		h.mustSubmit(id, "web", "k"+id, 2000)
@@ -166,7 +166,7 @@
 	setUp := func(t *testing.T, withholdConfirm bool) (h *harness, worker string) {
 		h = newHarness(t)
 		h.updateWorkers(placement.ListFull, placement.Ready, "a")
-		h.mustStart("t0", 5000) // a quick answer makes later attempts time out early
+		h.mustStart("t0", 5000) // the quick acceptance of t0 makes later attempts time out early
 		h.withholdConfirm = withholdConfirm
 		h.mustSubmit("t1", "web", "k1", 2000)
 		h.advance(10 * millisecond)
@@ -179,8 +179,9 @@
 		if h.unconfirmed["t1"] == "" {
 			t.Fatalf("no unconfirmed cancel of t1; offers %v", h.offers)
 		}
-		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0) // a duplicate answer
-		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)             // from a worker without this attempt
+		// A duplicate rejection does not show that t1 ran, and worker b has no attempt of t1.
+		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0)
+		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)
 		if h.OpenCount() != 1 {
 			t.Fatal("t1 is over after reports that the dispatcher must ignore, want it still open")
 		}
@@ -194,7 +195,7 @@
 		h.updateWorkers(placement.ListDelta, placement.Draining, "a")
 		h.endAttempt("t1", placement.Reset)
 		h.advance(10 * millisecond)
-		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Reset, 0) // does not show that the task ran
+		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Reset, 0) // a reset without a cause does not show that t1 ran
 		if h.OpenCount() != 1 || len(h.offers) != 2 {
 			t.Fatalf("offers %v, responses %v; want 2 offers and t1 still open", h.offers, h.received)
 		}
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -47,7 +47,8 @@
 const (
 	// backpressureInterval is the minimum time between two reports of the release rate to the scheduler.
 	backpressureInterval = 20 * millisecond
-	// minBackpressureChange is the relative change up to which a value is not reported again.
+	// minBackpressureChange bounds the changes that are not reported: a value that differs from the last reported
+	// value by at most this fraction of it is not reported again.
 	minBackpressureChange = 0.05
 )
 
@@ -82,9 +83,9 @@
 	}
 }
 
-// announcePending reports to the advisor the units that will be pending once the actions are carried out.
-// Requests that the actions reject are excluded, so that requests rejected together do not get slots behind one
-// another.
+// announcePending reports to the advisor the units that will be pending once the actions are carried out. Requests
+// that the actions reject do not count. Otherwise, of several requests that are rejected together, the advisor
+// would plan each retry behind the other requests.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -54,8 +54,9 @@
 	WasRunning                     // the task was running and is now terminating
 )
 
-// IsResumable reports whether a request ID belongs to a live request of a front whose clients repeat
-// submissions. A front must not end a request that was submitted through another front.
+// IsResumable reports whether a request ID belongs to a request in the table that was submitted as resumable, that
+// is, through a front whose clients repeat submissions. Fronts use it because a front must not end a request that
+// was submitted through another front.
 func (d *Dispatcher) IsResumable(requestID string) bool {
 	r := d.find(requestID)
 	return r != nil && r.Resumable
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -51,7 +51,7 @@
 	requests      map[string]*request
 	latestByKey   map[string]*request // latest request of each task, by key
 	aliases       map[string]*request // resumed requests, by the request IDs of repeated submissions
-	unresponsive  map[string]*request // requests removed from the table whose workers have not reported the end
+	unresponsive  map[string]*request // removed requests whose workers have not reported the end of the task, by request ID
 	tasksByWorker runningTasks
 	unclaimed     unclaimedCompletions
 	responses     responseCache
@@ -65,9 +65,9 @@
 	// The list of workers.
 	listFilter    listFilter
 	listed        map[string]bool
-	drainingSince map[string]int64 // time since which a worker counts as draining or removed
+	drainingSince map[string]int64 // time since which a worker counts as draining or removed, by worker
 	hasList       bool             // a list was received
-	confirmList   bool             // the scheduler awaits confirmation that it receives changes of the list
+	confirmList   bool             // the next turn must confirm to the scheduler that it receives changes of the list
 
 	// The values that are reported to the advisor and the scheduler.
 	pendingUnits     []float64 // units of pending requests, by class
@@ -171,7 +171,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // the latest submission used the request's own ID
+		return // the latest submission used the request's own ID, so usually no alias exists
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -11,7 +11,8 @@
 )
 
 func TestMain(m *testing.M) {
-	// The seed is set here because packages that do not use rapid reject its flags.
+	// The seed of rapid is set here and not on the command line, because test binaries of packages that do not use
+	// rapid reject its flags.
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -87,11 +88,12 @@
 	now int64
 
 	offers      []string          // all offers so far, as requestID@worker
-	offered     map[string]string // workers with an open attempt, by request ID
-	running     map[string]string // workers with a running task, by request ID
+	offered     map[string]string // worker with the open attempt, by request ID
+	running     map[string]string // worker with the running task, by request ID
 	cancelled   int               // number of cancelled attempts
-	unconfirmed map[string]string // workers with a cancelled attempt that is not confirmed, by request ID
-	// withholdConfirm keeps each attempt that is cancelled from now on open until its cancel is confirmed.
+	unconfirmed map[string]string // worker with a cancelled attempt whose cancel is not confirmed, by request ID
+	// withholdConfirm is true if attempts that are cancelled from now on stay open until the test confirms the
+	// cancel.
 	withholdConfirm bool
 
 	received       []Response
@@ -304,7 +306,7 @@
 	return ids
 }
 
-// schedulerState returns the state in which a worker would be listed to the scheduler.
+// schedulerState returns the state in which the dispatcher would list a worker to the scheduler.
 func (h *harness) schedulerState(worker string) placement.WorkerState {
 	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -23,7 +23,8 @@
 	return worker
 }
 
-// startNextSix calls startNext for six requests from a number on, and returns their workers.
+// startNextSix calls startNext for six consecutive numbers, starting with the given one, and returns the workers
+// in order.
 func (h *harness) startNextSix(first int, keyPrefix string) (workers []string) {
 	h.t.Helper()
 	for number := first; number < first+6; number++ {
@@ -123,7 +124,8 @@
 
 	h.updateWorkers(placement.ListDelta, placement.Ready, "b")
 	h.SetAssignedWorkers(h.now, func(worker string) bool { return worker == "b" })
-	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil { // later than the drain limit
+	// At this time, a draining worker would no longer get the offer.
+	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil {
 		t.Errorf("CheckOffer of an open offer: %v, want nil", err)
 	}
 	h.advance(0)
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -39,9 +39,9 @@
 type offerRule func(d *Dispatcher, r *request, worker string) error
 
 var (
-	// attemptRules apply to a further attempt at any worker.
+	// attemptRules apply to every further attempt, whichever worker it goes to.
 	attemptRules = [...]offerRule{(*Dispatcher).checkAttemptsLeft, (*Dispatcher).checkSingleStart}
-	// sendRules apply whenever an offer is sent to a worker, however long ago it was placed.
+	// sendRules apply whenever an offer is sent to a worker, however long ago the scheduler placed the task there.
 	sendRules = [...]offerRule{(*Dispatcher).checkDeadline, (*Dispatcher).checkDraining, (*Dispatcher).checkKeyedRepeat}
 )
 
@@ -104,14 +104,16 @@
 	return nil
 }
 
-// checkKeyedRepeat allows a keyed task that may have started to be offered only to workers that know its
-// idempotency key from the first attempt.
+// checkKeyedRepeat restricts the offers of a keyed task that may have started. They may go only to workers that
+// share idempotency keys with the worker that may have started the task first, and only while these workers still
+// recognise a repeat.
 func (d *Dispatcher) checkKeyedRepeat(r *request, worker string) error {
 	if r.effect != placement.Keyed || !r.mayHaveRun {
 		return nil
 	}
 	class, entry := &d.settings.Classes[r.classIndex], d.listFilter.entries[worker]
-	leavesAt := d.now + int64(d.pacer.longestTurn) // offers are sent at the end of the turn
+	// An offer is sent at the end of the turn, which may take as long as the longest recent turn.
+	leavesAt := d.now + int64(d.pacer.longestTurn)
 	if leavesAt >= r.firstRun.at+class.WindowUs {
 		return ErrRepeatUnknown
 	}
@@ -122,8 +124,9 @@
 	return nil
 }
 
-// drainLimit returns how long a draining worker gets offers, in microseconds. The margin covers the time that
-// an offer may wait in this process after it has left the dispatcher.
+// drainLimit returns how long a draining worker gets offers, in microseconds. This is the drain grace period
+// minus a margin, which is drainMargin or, if shorter, half of the period. The margin covers the time that an
+// offer may wait in this process after it has left the dispatcher.
 func (d *Dispatcher) drainLimit() int64 {
 	return d.settings.DrainGraceUs - min(drainMargin, d.settings.DrainGraceUs/2)
 }
@@ -137,8 +140,8 @@
 	d.sendOffer(r, action)
 }
 
-// blockOffer reports to the scheduler that the offer to the chosen worker was not sent. A choice that breaks an
-// invariant is a fault of the scheduler.
+// blockOffer reports to the scheduler that the offer to the chosen worker was not sent. It logs an error, because
+// a choice that breaks an invariant is a fault of the scheduler.
 func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// A keyed task that may have started is offered only to workers of its group, and only as long as they
-// recognise a repeat, at the time when the offer is sent. Its client is rejected only if any worker would
-// recognise a repeat.
+// A keyed task that may have started is offered only to workers in the group of the worker that may have started
+// it, and only while they still recognise a repeat when the offer is sent. Its client is rejected only if every
+// worker would recognise a repeat, because the client's retry may go to any of them.
 func TestKeyedRepeats(t *testing.T) {
 	for _, c := range []struct {
 		class    string
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,8 +1,9 @@
 package dispatch
 
 // This file schedules the responses to clients whose timeouts end. A response is scheduled early enough before the
-// timeout for a turn of the observed length and for its travel to the client, and only as many responses are
-// scheduled at once as can be written. A response must never be scheduled later than the client's timeout.
+// end of the timeout for a turn of the observed length and for its travel to the client. Responses that would fall
+// due together are spread over time, because only a limited number can be written at once. A response must never
+// be scheduled later than the client's timeout.
 
 const (
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
@@ -10,13 +11,14 @@
 	responseTravelTime = 10 * millisecond
 	// turnDecayTime is the time in which the recorded longest turn decays to half of its length or less.
 	turnDecayTime = 1 * second
-	// maxTurnLength is the longest turn that is taken into account.
+	// maxTurnLength is the maximum length that is recorded for a turn. A longer turn counts as a turn of this
+	// length.
 	maxTurnLength = 250 * millisecond
-	// bucketLength is the time that one bucket of scheduled responses covers, and bucketCount is the number
-	// of buckets. Responses scheduled after the last bucket are not counted, because nothing is known
-	// about that time yet.
+	// bucketLength is the time that one bucket of scheduled responses covers.
 	bucketLength = 5 * millisecond
-	bucketCount  = 4096
+	// bucketCount is the number of buckets. Responses scheduled after the last bucket are not counted, because
+	// nothing is known about that time yet.
+	bucketCount = 4096
 	// maxShift is the maximum time by which a response is scheduled earlier to make room for others.
 	maxShift = 200 * millisecond
 	// initialResponseCost is the time per response that is assumed until it is learned from turns, in microseconds.
@@ -33,7 +35,7 @@
 )
 
 // responsePacer counts the scheduled responses in buckets of time. If a bucket is full, further responses are
-// scheduled in the buckets before it.
+// scheduled in the buckets before it, at most maxShift earlier.
 type responsePacer struct {
 	buckets      [bucketCount]uint16 // number of scheduled responses in each bucket, as a ring buffer
 	firstBucket  int64               // number of the first bucket that is not in the past
@@ -60,8 +62,9 @@
 	p.responded = 0
 }
 
-// scheduleResponse returns the time at which to send the response to a client whose timeout ends at
-// timeoutAt, and counts the response.
+// scheduleResponse returns the time at which to send the response to a client whose timeout ends at timeoutAt, and
+// counts the response. If all buckets within maxShift are full, the response is scheduled as if there were room,
+// and is not counted.
 func (p *responsePacer) scheduleResponse(now, timeoutAt int64) int64 {
 	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Responses are scheduled earlier after a long turn, but no longer so after many short ones.
+// After a long turn, responses are scheduled earlier. After many short turns, they no longer are.
 func TestLongTurns(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -21,7 +21,7 @@
 	units      float64 // size of the task in units (see Settings.Units)
 	effect     placement.Effect
 	deadline   int64 // time by which the response is sent, in microseconds
-	wakeAt     int64 // time at which the dispatcher acts on the request, in microseconds, or 0
+	wakeAt     int64 // time at which the dispatcher acts on the request, in microseconds, 0 for never
 	heapIndex  int   // index in the deadline heap, or -1
 
 	// The open attempt, or the latest one if none is open.
@@ -38,11 +38,14 @@
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
 	adoptedAt        int64  // time at which the task was submitted as already running, in microseconds, or 0
-	// unaccountedSince is, for a running task, the time since which its worker has been unlisted and, for an
-	// unresponsive task, the time by which its end should have been reported. It is in microseconds, 0 for none.
+	// unaccountedSince is, for a running task, the time since which its worker has been unlisted. For an
+	// unresponsive task, it is the time by which the worker should have reported the end. It is in microseconds, 0
+	// for none.
 	unaccountedSince int64
-	claimedOutcome   placement.Outcome // adopted task: outcome of a completion reported before the adoption
-	claimedCause     placement.Cause
+	// claimedOutcome is, for an adopted task, the outcome of a completion that its worker reported before the
+	// adoption.
+	claimedOutcome placement.Outcome
+	claimedCause   placement.Cause
 }
 
 // firstAttempt describes the first attempt of a request that may have started the task.
@@ -120,6 +123,6 @@
 	}
 }
 
-// runningSince returns the earliest time at which the task may have started: the time of its offer, or of its
-// submission as already running.
+// runningSince returns the time of the task's offer or, for an adopted task, the time at which it was submitted as
+// already running. A worker process that started later does not run the task.
 func (r *request) runningSince() int64 { return max(r.sentAt, r.adoptedAt) }
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// This file owns the responses to clients, and caches the final ones for clients that repeat a submission. It
-// must never give a request a second final response.
+// This file owns the responses to clients, and caches them for clients that repeat a submission. It must never
+// give a request a second final response.
 
 import "ravenhitch/placement"
 
-// maxCachedResponses is the maximum number of final responses that are cached for repeated submissions.
+// maxCachedResponses is the maximum number of responses that are cached for repeated submissions.
 const maxCachedResponses = 4096
 
 // ResponseKind is the kind of a response.
@@ -94,7 +94,8 @@
 	}
 }
 
-// responseCache holds the latest response under each request ID. It evicts the oldest request IDs.
+// responseCache holds the latest response under each of up to maxCachedResponses request IDs. It evicts the oldest
+// request IDs.
 type responseCache struct {
 	byRequestID map[string]Response
 	order       []string // request IDs, oldest first
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -33,9 +33,9 @@
 const (
 	maxTimeoutUs     = int64(24 * 60 * 60 * second)
 	maxExpectedRunUs = 366 * maxTimeoutUs
-	maxResource      = 1e9 // cores, or memory in the unit of the settings
-	maxNameLength    = 64  // bytes
-	requestIDLength  = 16  // hexadecimal digits
+	maxResource      = 1e9 // maximum number of cores, and maximum memory in the unit of the settings
+	maxNameLength    = 64  // in bytes
+	requestIDLength  = 16  // number of hexadecimal digits
 )
 
 const hexDigits = "0123456789abcdefABCDEF"
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -36,7 +36,7 @@
 // TaskSummary describes the tasks that occupy a worker.
 type TaskSummary struct {
 	Count        int
-	OldestSentAt int64 // time of the oldest offer, in microseconds; 0 for an adopted task
+	OldestSentAt int64 // time of the oldest offer, in microseconds; 0 if any of the tasks was adopted
 }
 
 // TasksOn summarizes the running, terminating and unresponsive tasks on a worker.
@@ -58,8 +58,9 @@
 	return slices.Sorted(maps.Keys(d.tasksByWorker))
 }
 
-// lostTasks returns the tasks whose worker has been unlisted for unlistedTimeout while they ran. They are
-// ordered by request ID, so that the same events lead to the same actions.
+// lostTasks returns the tasks whose worker has been unlisted for unlistedTimeout while they ran. They are ordered
+// by request ID, so that the same events lead to the same actions. lostTasks also updates the time since which the
+// worker of each running task has been unlisted.
 func (d *Dispatcher) lostTasks() (lost []*request) {
 	for worker, tasks := range d.tasksByWorker {
 		listed := d.listed[worker]
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -53,8 +53,8 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// The dispatcher passes changes of the list to the scheduler even without a request. This list, which
-		// has no entries, confirms to the scheduler that it does.
+		// The scheduler awaits confirmation that it receives changes of the list. The dispatcher passes these
+		// changes on even without being asked, so a list without entries suffices as confirmation.
 		d.confirmList = false
 		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -51,7 +51,8 @@
 	u.order = append(u.order, requestID)
 }
 
-// evict removes the completions that are too old, and the oldest one if there are too many.
+// evict removes the completions that are too old. If maxUnclaimed or more are stored, it also removes the oldest
+// ones, so that there is room for another one.
 func (u *unclaimedCompletions) evict(now int64) {
 	evicted := 0
 	for evicted < len(u.order) {
@@ -66,8 +67,8 @@
 	u.order = u.order[evicted:]
 }
 
-// claimCompletion ends an adopted task in the next turn if its worker reported the completion before the
-// adoption.
+// claimCompletion ends an adopted task in the next turn if its worker reported the completion before the adoption,
+// at most unclaimedRetention ago.
 func (d *Dispatcher) claimCompletion(r *request) {
 	completion, ok := d.unclaimed.byRequestID[r.RequestID]
 	if !ok || completion.worker != r.worker || d.now-completion.at > unclaimedRetention {
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -10,7 +10,9 @@
 	d.now = now
 	d.hasList = true
 	if isCompleteList(list) {
-		for worker := range d.listed { // workers that a complete list does not name are removed
+		// Workers that a complete list does not name count as draining from now on. For the workers that it names,
+		// updateListed deletes this time unless they are draining.
+		for worker := range d.listed {
 			d.drainingSince[worker] = now
 		}
 		clear(d.listed)
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,8 +1,9 @@
 package membership
 
-// This file computes the digests of the table. A hash of its name assigns each member to a bucket, and a ping
-// carries a digest of each bucket, so the answer carries only members of buckets that differ. A digest covers the
-// names, nonces and incarnations of members that are alive or suspected. It does not cover suspicions.
+// This file computes the digests of the table. Each member belongs to a bucket, which is determined by a hash of
+// the member's name. A ping carries a digest of each bucket, so the answer carries only members of buckets that
+// differ. A digest covers the names, nonces and incarnations of members that are alive or suspected. It does not
+// cover suspicions.
 
 import (
 	"encoding/binary"
@@ -19,7 +20,8 @@
 	t.digests[digestBucket(u.Name)] ^= uint32(h ^ h>>32)
 }
 
-// differingBuckets returns a bit mask of the buckets in which the table of a ping's sender differs.
+// differingBuckets returns a bit mask of the buckets in which the table of a ping's sender differs from the local
+// table.
 func (t *Table) differingBuckets(ping *Message) (buckets uint32) {
 	for i, digest := range ping.Digests {
 		if i < DigestBuckets && digest != t.digests[i] {
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -67,13 +67,13 @@
 		name:   "a zone that is reached by one member of another zone only",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(100), // 569 suspicions before the relay that last reached the zone was asked first
+		run:    assertMaxSuspicions(100), // there were 569 before chooseRelays asked the zone's last successful relay first
 	},
 	{
 		name:   "a zone that is reached by one of its own members only",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(15), // 27 suspicions before the relay whose datagram arrived last was asked
+		run:    assertMaxSuspicions(15), // there were 27 before drawRelay preferred the relay that sent the last datagram
 	},
 	{
 		name:   "a path that works in one direction only is found",
@@ -100,7 +100,7 @@
 		name:   "one whose own paths are bad suspects others less and less",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 2, probability: 0.6, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(50), // 74 suspicions before the local health score was introduced
+		run:    assertMaxSuspicions(50), // there were 74 before the local health score was introduced
 	},
 	{
 		name: "a second process under a name stays outside, and takes it over from the dead",
--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		size         int
 		maxIntervals int64   // maximum number of intervals until the cluster has formed
-		maxBytesRate float64 // maximum bytes per second and member, measured from 10 to 20 s after the formation
+		maxBytesRate float64 // maximum bytes per second that each member sends, measured from 10 to 20 s after the formation
 	}{{3, 4, 2000}, {16, 6, 2000}, {100, 8, 2000}, {300, 20, 2000}} {
 		cluster := newCluster(c.size, 5, nil)
 		intervals := int64(1)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,7 +1,8 @@
 package membership
 
 // This file disseminates updates. Each message carries recent updates; an update is sent a number of times that
-// depends on the size of the cluster. An answer to a member whose digests differ also carries a page of the table.
+// depends on the size of the cluster. If the digests in a ping differ from the local ones, the answer also carries
+// a page, which is a part of the local table.
 
 import (
 	"math/bits"
@@ -10,11 +11,12 @@
 
 // broadcast is the queued dissemination of a member's update.
 type broadcast struct {
-	name      string // of the member
+	name      string // name of the member
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
 }
 
-// minUpdateSize is the free space in bytes at or below which no further member of a page is added to a datagram.
+// minUpdateSize is the free space, in bytes, that a datagram must exceed for packPage to add the update of another
+// member.
 const minUpdateSize = 64
 
 // disseminate queues the current update of a member for dissemination, and replaces a queued one.
@@ -23,7 +25,8 @@
 	t.broadcasts = append(t.broadcasts, &broadcast{name: name})
 }
 
-// transmitLimit returns the number of times that an update is sent.
+// transmitLimit returns the number of times that an update is sent. It grows with the logarithm of the number of
+// members.
 func (t *Table) transmitLimit() int { return 2 * bits.Len(uint(len(t.names)+1)) }
 
 // updateOf returns the update of a member to send, with at most MaxConfirmations confirmations. It returns false
@@ -50,9 +53,9 @@
 	}
 }
 
-// sendToAddress adds updates to a message and sends it. The receiver's own update comes first, because only the
-// receiver can refute it. The bits of buckets are the digest buckets in which the receiver's table is known to
-// differ.
+// sendToAddress adds updates to a message and sends it. If the receiver is known and is not alive in the table, or
+// the message is an ack, the receiver's own update comes first, because only the receiver can refute it. buckets
+// is a bit mask of the digest buckets in which the receiver's table is known to differ.
 func (t *Table) sendToAddress(address, to string, m Message, buckets uint32) {
 	m.To, m.Sender, m.Joining = to, t.Self, !t.admitted()
 	if m.Kind == Ping {
@@ -71,7 +74,7 @@
 
 // packBroadcasts adds the updates that were sent the fewest times, and drops those that reached the transmit limit.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
-	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping matched
+	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping matched the local ones
 	// pageSpace is the space in bytes that is reserved for the page, because the broadcasts of an entire zone
 	// would fill the datagram.
 	pageSpace := 0
@@ -93,7 +96,8 @@
 	slices.SortStableFunc(t.broadcasts, func(a, b *broadcast) int { return a.transmits - b.transmits })
 }
 
-// packPage adds updates of the next members of the differing buckets, until the datagram is full.
+// packPage adds the updates of the next alive or suspected members in the differing buckets, until the datagram is
+// full.
 func (t *Table) packPage(p *packer, buckets uint32) {
 	for n := 0; n < len(t.names) && p.free > minUpdateSize; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -10,7 +10,7 @@
 	now         int64
 	diedAt      int64 // time of the first death that the table declared, 0 before that
 	eventCounts map[EventKind]int
-	answerForB  func(a Action) *Message // returns the answer of b or of a relay on its behalf, nil for no answer
+	answerForB  func(a Action) *Message // returns the answer of b, or of a relay that was asked to ping b; nil for no answer
 }
 
 func newHarness(t *testing.T) *harness {
@@ -74,7 +74,7 @@
 	}
 }
 
-// run advances the time to until in steps of tickInterval, and calls Tick at each step.
+// run advances the time up to the given end in steps of tickInterval, and calls Tick at each step.
 func (h *harness) run(until int64) {
 	for ; h.now < until; h.now += tickInterval {
 		h.perform(h.Tick(h.now))
@@ -87,7 +87,7 @@
 	}
 }
 
-// pathToB is a way in which a may reach b. It returns the function for harness.answerForB.
+// pathToB simulates one way in which member a may reach member b. It returns the function for harness.answerForB.
 type pathToB func(h *harness) func(a Action) *Message
 
 // unreachable simulates a b that no member reaches.
@@ -133,7 +133,7 @@
 var pathsToB = []struct {
 	name string
 	path pathToB
-	dead bool // whether a must declare b dead after a suspicion
+	dead bool // whether member a must declare b dead after a suspicion
 }{
 	{"unreachable", unreachable, true},
 	{"reachable", reachable, false},
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -10,8 +10,9 @@
 // healthMultiplier returns the factor by which the local health score lengthens the timeouts of probes.
 func (t *Table) healthMultiplier() int64 { return int64(1 + t.healthScore) }
 
-// scaleSuspicionTimeout lengthens the timeout of a suspicion by half of its value for each point of the local health
-// score. It returns at most twice the timeout, so that a member that no other member confirms still declares deaths.
+// scaleSuspicionTimeout lengthens the timeout of a suspicion by half of its value for each point of the local
+// health score. It returns at most twice the timeout. Therefore a local member with a bad score still declares
+// deaths, even if no other member confirms its suspicions.
 func (t *Table) scaleSuspicionTimeout(timeout int64) int64 {
 	halves := int64(2 + min(2, t.healthScore))
 	return timeout * halves / 2
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -5,7 +5,7 @@
 
 import "slices"
 
-// relayedProbe is a ping on behalf of another member.
+// relayedProbe is a ping that the local member sends on behalf of another member.
 type relayedProbe struct {
 	requester, target         string
 	requestSequence, sequence uint64 // sequence numbers of the requester's ping request and of the relayed ping
@@ -29,9 +29,9 @@
 	relayGroups
 )
 
-// chooseRelays draws the relays that are asked to ping a member: one from the member's zone, one from the local
-// zone and one from the other zones, so that a path through a third zone is found if one exists. If a group is
-// empty, the other groups supply more relays.
+// chooseRelays draws up to indirectProbeCount relays that are asked to ping a member: one from the member's zone,
+// one from the local zone and one from the other zones, so that a path through a third zone is found if one
+// exists. If a group is empty, the other groups supply more relays.
 func (t *Table) chooseRelays(m *member) (relays []string) {
 	groups := t.relayCandidates(m)
 	// The last relay that reached the member's zone comes first, because it may be the only one that can.
@@ -135,7 +135,8 @@
 	})
 }
 
-// expireRelayedProbes reports to the requesters the targets that did not ack in time.
+// expireRelayedProbes drops the relayed probes whose targets did not ack in time, and reports each of them to its
+// requester.
 func (t *Table) expireRelayedProbes() {
 	for _, relayed := range t.relayedProbes {
 		if t.now >= relayed.deadline {
--- a/internal/membership/path.go
+++ b/internal/membership/path.go
@@ -19,7 +19,7 @@
 
 // pathDirection is one direction of a path.
 type pathDirection struct {
-	failureWeight int // total weight of the consecutive probes that found it failing
+	failureWeight int // total weight of the consecutive probes that found this direction failing
 	down          bool
 }
 
@@ -39,8 +39,8 @@
 	return &m.outbound, &m.inbound
 }
 
-// pathFailed records that a probe found a direction failing. It reports the path when this direction goes down
-// while the opposite one is up.
+// pathFailed records that a probe found a direction failing. When this direction goes down while the opposite one
+// is up, pathFailed reports the path as degraded.
 func (t *Table) pathFailed(m *member, d direction, handshakeTimedOut bool) {
 	failed, opposite := m.directions(d)
 	failed.failureWeight += 1 + (handshakeFailureWeight-1)*boolToInt(handshakeTimedOut)
@@ -58,7 +58,8 @@
 	t.report(PathDegraded, m.Name, m.Zone, evidence)
 }
 
-// pathWorks records that a datagram arrived in a direction of the path.
+// pathWorks records that a datagram arrived in a direction of the path, and reports the path as recovered if this
+// direction was down.
 func (t *Table) pathWorks(m *member, p *pathDirection) {
 	p.failureWeight = 0
 	if p.down {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,8 +1,8 @@
 package membership
 
 // This file implements the probes of the failure detector. It pings the members one after another in random order.
-// A member that does not answer in time is probed indirectly and by a handshake. Each probe has exactly one
-// conclusion. Indirect probes are implemented in indirect.go.
+// A member that does not answer in time is probed indirectly and by a handshake. Each probe is concluded at most
+// once. Indirect probes are implemented in indirect.go.
 
 import "slices"
 
@@ -42,8 +42,8 @@
 }
 
 // probeNext starts the next urgent probe and the next probe in order. It starts both, so that urgent probes of a
-// few suspects do not delay the probes of the other members. Without another member to probe, it pings a peer of
-// the settings.
+// few suspects do not delay the probes of the other members. If no other member is alive or suspected, it pings a
+// peer of the settings instead.
 func (t *Table) probeNext() {
 	t.startUrgentProbe()
 	if !t.startProbeInOrder() && t.Size() == 1 {
@@ -51,7 +51,8 @@
 	}
 }
 
-// startUrgentProbe starts the first urgent probe that is still needed. It examines at most two.
+// startUrgentProbe starts the first urgent probe that is still needed. It examines at most two entries of the
+// queue.
 func (t *Table) startUrgentProbe() {
 	for looked := 0; looked < 2 && len(t.urgentProbes) > 0; looked++ {
 		name := t.urgentProbes[0]
@@ -102,8 +103,8 @@
 	t.probes = append(t.probes, &probe{name: name, nonce: m.Nonce, startedAt: t.now, sequence: t.ping(name)})
 }
 
-// directTimeout returns the maximum wait for an ack. It is longer for a member with a long round-trip time, and is
-// multiplied by the local health multiplier.
+// directTimeout returns the maximum wait for an ack. It is longer for a member with a long round-trip time, up to
+// ProbeTimeout/2. The result is multiplied by the local health multiplier.
 func (t *Table) directTimeout(m *member) int64 {
 	return min(t.ProbeTimeout/2, max(t.DirectTimeout, 4*m.rtt)) * t.healthMultiplier()
 }
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// pingPeers pings the next peers of the settings in turn. The count bounds the pings, however many peers the
-// settings name.
+// pingPeers pings the next peers of the settings; after the last peer, it continues with the first. It pings at
+// most count peers, however many the settings name.
 func (t *Table) pingPeers(count int) {
 	for range min(count, len(t.Peers)) {
 		t.peerCursor++
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -105,13 +105,13 @@
 
 func (c *cluster) zone(i int) int { return i % c.zones }
 
-// schedule adds an event that runs at a time.
+// schedule adds an event that runs at the given time.
 func (c *cluster) schedule(at int64, run func()) {
 	c.eventCount++
 	heap.Push(&c.queue, simEvent{at, c.eventCount, run})
 }
 
-// run runs all events up to a time and advances the clock to it.
+// run runs all events up to the given time and advances the clock to it.
 func (c *cluster) run(until int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(simEvent)
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// formationTime returns the time by which a cluster must have formed whose members all start at the same time.
+// formationTime returns the time by which a cluster must have formed if all its members start at the same time.
 func formationTime(size int) int64 {
 	if size > 100 {
 		return 30 * second
@@ -182,7 +182,7 @@
 	case faultCut:
 		f.target = d.rng.IntN(max(1, min(4, d.size/3)))
 	case drawnBridge:
-		if d.size < 6 || d.size > 16 { // one member cannot pass on the refutations of a zone of 25 in time
+		if d.size < 6 || d.size > 16 { // one member cannot pass on the refutations of a zone of 25 members in time
 			return false
 		}
 		f.kind, f.target, f.other = faultCut, d.rng.IntN(min(4, d.size/3)), d.rng.IntN(d.size)
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// observerGrace is the time after deathAllowedUntil of an observer from which on its table is checked for dead
-	// members, in microseconds.
+	// observerGrace is the time, in microseconds, by which deathAllowedUntil of an observer must have passed
+	// before the observer's table is checked for dead members.
 	observerGrace = 6 * second
 	// minReportableLoss is the probability of loss above which a member may report a path as degraded.
 	minReportableLoss = 0.2
@@ -22,7 +22,8 @@
 	pathReportGrace = 4 * second
 )
 
-// checkDead asserts that the tables of all running members list a killed or vanished process as dead by now.
+// checkDead asserts that no running member still lists a killed or vanished process as alive or suspected. It
+// skips members that are joining, and those whose observerGrace is not over.
 func (c *cluster) checkDead(f fault, nonce uint64) {
 	for i, observer := range c.members {
 		if !observer.up || i == f.target || observer.deathAllowedUntil > c.now-observerGrace || observer.joining {
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -17,9 +17,10 @@
 	handshakePackets = 4
 	// flapPeriod is the time after which a flapping path changes between failing and working, in microseconds.
 	flapPeriod = 700 * millisecond
-	// partitionWindow is the time during which two members must have been connected not to count as partitioned, and
-	// partitionCheckInterval is the interval between the checks in that window, both in microseconds.
-	partitionWindow        = 6 * second
+	// partitionWindow is the time, in microseconds, for which two members must have been connected so that they do
+	// not count as partitioned.
+	partitionWindow = 6 * second
+	// partitionCheckInterval is the interval between the checks in the partition window, in microseconds.
 	partitionCheckInterval = 500 * millisecond
 )
 
@@ -133,8 +134,8 @@
 	return true
 }
 
-// pathOpen reports whether the direct path from one member to another works at a time, apart from random loss. If flaps
-// is false, flapping paths count as working.
+// pathOpen reports whether the direct path from one member to another works at the given time, apart from random
+// loss. If flaps is false, flapping paths count as working.
 func (c *cluster) pathOpen(from, to int, at int64, flaps bool) bool {
 	for _, f := range c.faults {
 		if f.start <= at && at < f.end && c.closesPath(f, from, to, at, flaps) {
@@ -144,7 +145,8 @@
 	return true
 }
 
-// closesPath reports whether a fault blocks the path from one member to another at a time during the fault.
+// closesPath reports whether a fault blocks the path from one member to another at the given time. The caller
+// ensures that the fault is active at that time.
 func (c *cluster) closesPath(f fault, from, to int, at int64, flaps bool) bool {
 	switch f.kind {
 	case faultOneWay, faultRefuse:
@@ -159,8 +161,8 @@
 	return false
 }
 
-// partitioned reports whether at any checked time in the partition window two members were not connected, neither
-// directly nor through other running members.
+// partitioned reports whether two members were unconnected, as connected defines it, at any of the checked times
+// in the partition window.
 func (c *cluster) partitioned(from, to int) bool {
 	for at := c.now; at > c.now-partitionWindow; at -= partitionCheckInterval {
 		if !c.connected(from, to, at) {
@@ -170,8 +172,8 @@
 	return false
 }
 
-// connected reports whether paths that worked in both directions connected two members at a time, directly or through
-// other running members.
+// connected reports whether two members were connected at the given time, either directly or through other running
+// members. Each path on the way must have worked in both directions.
 func (c *cluster) connected(from, to int, at int64) bool {
 	seen, queue := map[int]bool{from: true}, []int{from}
 	for len(queue) > 0 && !seen[to] {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if m.State == Suspect && m.lastAliveAt > m.suspectedAt {
-		m.suspectedAt = t.now // the member was reached since, so a new period of silence begins
+		m.suspectedAt = t.now // the member was reached since the suspicion began, so a new period of silence begins
 	}
 	t.suspect(m, []Confirmation{{Name: t.Self.Name, Zone: t.Self.Zone, Refused: refused}})
 }
@@ -34,15 +34,15 @@
 	t.disseminate(m.Name)
 }
 
-// confirm adds confirmations to an existing suspicion, and disseminates the suspicion if any of them is new.
+// confirm adds confirmations to an existing suspicion, and disseminates the suspicion if they changed it.
 func (t *Table) confirm(m *member, confirmations []Confirmation) {
 	if t.addConfirmations(m, confirmations) {
 		t.disseminate(m.Name)
 	}
 }
 
-// addConfirmations adds the new confirmations to those of a member, and marks known ones as refused where a refusal
-// is new. It reports whether anything changed.
+// addConfirmations adds the new confirmations to those of a member, up to 2*MaxConfirmations, and marks known ones
+// as refused where a refusal is new. It reports whether anything changed.
 func (t *Table) addConfirmations(m *member, confirmations []Confirmation) (added bool) {
 	for _, c := range confirmations {
 		i := slices.IndexFunc(m.Confirmations, func(known Confirmation) bool { return known.Name == c.Name })
@@ -78,7 +78,8 @@
 }
 
 // suspicionTimeout returns the time after which an unrefuted suspicion becomes a death. It decreases with the
-// number of confirmations on Lifeguard's logarithmic scale.
+// number of confirmations on Lifeguard's logarithmic scale. Enough refused confirmations lead to a shorter
+// timeout.
 func (t *Table) suspicionTimeout(m *member) int64 {
 	others := t.Size() - 2 // members that could confirm the suspicion, excluding the local one and the suspect
 	refused := m.refusals()
@@ -94,9 +95,9 @@
 	return t.MaxSuspicionTimeout - int64(share*float64(t.MaxSuspicionTimeout-t.MinSuspicionTimeout))
 }
 
-// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out, the local member
-// has not reached it since the suspicion began, and, unless enough members found that no process listens there, the
-// local member pinged it beforehand.
+// evaluateSuspects declares suspects dead, and pings those that must be pinged before. A suspect is declared dead
+// if its suspicion timed out, the local member has not reached it since the suspicion began, and the suspicion is
+// verified (see verified).
 func (t *Table) evaluateSuspects() {
 	t.pruneSuspects()
 	verifications := 0
@@ -140,8 +141,8 @@
 	t.ping(m.Name)
 }
 
-// verified reports whether the suspect had ProbeTimeout/2 to answer the ping that verifies the suspicion, or enough
-// members found that no process listens at its address.
+// verified reports whether a suspicion needs no further verification: ProbeTimeout/2 has passed since the ping
+// that verifies it, or enough members found that no process listens at the suspect's address.
 func (t *Table) verified(m *member) bool {
 	if m.refusals() >= decisiveRefusals {
 		return true
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -23,7 +23,7 @@
 		if c.dead {
 			continue
 		}
-		h.answerForB = unreachable(h) // permanently, while the suspicion is still not refuted
+		h.answerForB = unreachable(h) // b stays unreachable from now on and has still not refuted the suspicion
 		silentSince := h.now
 		h.run(silentSince + 15*second)
 		if h.diedAt == 0 {
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestDeathOfLaterIncarnationIsAConfirmation asserts that a death of a later incarnation that other members declared
-// counts only as confirmations of a suspicion. If the local member reaches the suspect, it does not declare it dead.
-// Otherwise it declares it dead only after its own suspicion timeout.
+// TestDeathOfLaterIncarnationIsAConfirmation asserts that a death of a later incarnation, if declared by other
+// members, counts only as confirmations of a suspicion. While the local member reaches the suspect, it does not
+// declare the suspect dead. Otherwise it does so only after its own suspicion timeout.
 func TestDeathOfLaterIncarnationIsAConfirmation(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
@@ -81,8 +81,8 @@
 	})
 }
 
-// TestRefusedSuspicionTimeout asserts that two refused confirmations lead to an early death, and that one does not,
-// unless the cluster has no member to confirm it.
+// TestRefusedSuspicionTimeout asserts that two refused confirmations lead to an early death. A single one does so
+// only if the cluster has no other member that could confirm the suspicion.
 func TestRefusedSuspicionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -13,11 +13,12 @@
 	DirectTimeout int64 // maximum wait for an ack before indirect probes are sent
 	ProbeTimeout  int64 // maximum duration of a probe, including its indirect probes
 	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout with one
-	// confirmation, and after MinSuspicionTimeout with three (two in a cluster of up to three members). The
-	// minimum covers the longest pause of a process that must not count as a death, plus the time that the
-	// process's refutation takes to reach the others.
+	// confirmation, and after MinSuspicionTimeout with three (two in a cluster of up to three members).
+	// MinSuspicionTimeout covers the longest pause of a process that must not count as a death, plus the time that
+	// the process's refutation takes to reach the other members.
 	MinSuspicionTimeout, MaxSuspicionTimeout int64
-	// RefusedTimeout replaces both if two members found that no process listens at the suspect's address.
+	// RefusedTimeout replaces both suspicion timeouts if two members found that no process listens at the
+	// suspect's address.
 	RefusedTimeout int64
 }
 
@@ -53,7 +54,8 @@
 )
 
 const (
-	// indirectProbeCount is the number of members that are asked to ping one that does not answer: SWIM's k.
+	// indirectProbeCount is the maximum number of relays that are asked to ping a member that does not answer. It
+	// is the parameter k of SWIM.
 	indirectProbeCount = 3
 	// maxProbes is the maximum number of probes in flight.
 	maxProbes = 16
@@ -72,8 +74,9 @@
 	// maxHealthScore is the maximum local health score.
 	maxHealthScore = 8
 	// pathDownWeight is the total weight of consecutive failed probes at which one direction of a path counts
-	// as down. A failed probe weighs handshakeFailureWeight if its handshake timed out too. Otherwise it weighs
-	// 1, because packet loss alone can fail it.
-	pathDownWeight         = 14
+	// as down.
+	pathDownWeight = 14
+	// handshakeFailureWeight is the weight of a failed probe whose handshake timed out too. Any other failed
+	// probe weighs 1, because packet loss alone can make it fail.
 	handshakeFailureWeight = 2
 )
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file provides the membership data that the rest of the program uses: the lines of the table, and the
-// stable view. To change rarely, the stable view is rebuilt only after viewSettleTime without a membership change,
-// or maxViewDelay after the first change, and it keeps members that are only suspected.
+// This file provides the membership data that the rest of the program uses: a description of each member, and the
+// stable view. The stable view must change rarely. Therefore it is rebuilt only after viewSettleTime without a
+// membership change, or maxViewDelay after the first change, and it keeps members that are only suspected.
 
 import (
 	"fmt"
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -46,9 +46,10 @@
 	return false
 }
 
-// sendCancel writes and flushes a cancel, so that it is sent before anything written later on any connection. If the
-// operating system does not accept the cancel completely, the ping behind the cancel is not answered either. If the
-// deployment does not allow pings, nothing confirms the cancel, and no other attempt may follow.
+// sendCancel writes and flushes a cancel, so that it is sent before anything written later on any connection. If
+// the operating system does not accept the cancel completely, the ping behind it is not answered, so the cancel is
+// not confirmed. If the deployment does not allow pings, nothing confirms the cancel, and no other attempt may
+// follow.
 func (c *workerConn) sendCancel(requestID string) {
 	c.sendFinish(requestID)
 	switch {
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -59,8 +59,8 @@
 	c.cancels.timer = loop.After(confirmationTimeout, c.confirmationTimedOut)
 }
 
-// confirmationTimedOut aborts the connection. If data was received after the ping was written and the dial timeout
-// has not yet passed since then, it waits for another confirmationTimeout instead.
+// confirmationTimedOut aborts the connection. If data was received after the ping was written, and the dial
+// timeout has not passed since the ping was written, it waits for another confirmationTimeout instead.
 func (c *workerConn) confirmationTimedOut() {
 	l, pool := c.link, c.link.pool
 	now := pool.loop.Now()
--- a/internal/workerpool/close_transit.go
+++ b/internal/workerpool/close_transit.go
@@ -19,8 +19,9 @@
 	l.pool.loop.After(min(max(l.minConnectUs, minCloseTransit), maxCloseTransit), f)
 }
 
-// reportReset reports that an offer was reset with its connection. The report is delayed until the worker has noticed
-// the close as well, because until then the attempt may be running.
+// reportReset reports that an offer was reset with its connection. The report is delayed by the time for which the
+// close may be in transit to the worker, because the attempt may be running until the worker has noticed the
+// close.
 func (l *link) reportReset(requestID string) {
 	if l.pendingResets == nil {
 		l.pendingResets = map[string]bool{}
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -46,9 +46,9 @@
 	aliveUntil  int64 // time until which the last known TCP acknowledgement proves that the connection is alive
 }
 
-// isStale reports whether an offer has been open on the connection for longer than staleAfter without received data.
-// If the network to a worker is cut, its connections stay open, but dialling a new connection quickly proves that the
-// worker is unreachable.
+// isStale reports whether an offer has been open on the connection for longer than staleAfter without received
+// data. New offers are then sent on a new connection. If the network to the worker is cut, the existing
+// connections stay open, but the dial of a new one quickly shows that the worker is unreachable.
 func (c *workerConn) isStale() bool {
 	if !c.conn.IsUp() {
 		return false
@@ -62,8 +62,8 @@
 	return false
 }
 
-// isIdle reports whether the connection is up and nothing on it awaits an answer: no offer, probe or cancel, and no
-// release or reset of its link.
+// isIdle reports whether the connection is up and nothing awaits an answer: the connection has no open offer, open
+// probe or unconfirmed cancel, and its link has no unconfirmed release or pending reset.
 func (c *workerConn) isIdle() bool {
 	return c.conn.IsUp() && len(c.openOffers) == 0 && len(c.probes) == 0 && !c.cancels.pending() &&
 		len(c.link.releases) == 0 && len(c.link.pendingResets) == 0
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -28,8 +28,9 @@
 // lateCompletionConn is a connection for late completions. It is not part of link.conns.
 type lateCompletionConn struct{ workerConn }
 
-// dialForLateCompletions dials a connection for late completions if the completion of one of the given tasks may be
-// late, unless another connection was opened or an older one was closed within lateCompletionInterval.
+// dialForLateCompletions dials a connection for late completions if the completion of one of the given tasks may
+// be late. It does nothing if, within the last lateCompletionInterval, another connection was opened or an older
+// one was closed.
 func (l *link) dialForLateCompletions(tasks dispatch.TaskSummary, now int64) {
 	if !l.expectsLateCompletions(tasks) || now-max(l.openedAt, l.prunedAt) < lateCompletionInterval {
 		return
--- a/internal/workerpool/liveness.go
+++ b/internal/workerpool/liveness.go
@@ -33,11 +33,12 @@
 	return c.conn.IsUp() && c.dialledAt < l.processStartedAt
 }
 
-// connRefused handles a refused connection, which means that no process listens at the worker's address. After a
-// reset of an earlier connection, this proves that the worker's process has died. Without a reset, the process may have
-// died unnoticed, or may be alive and accept no further connections. A live process answers a ping on its open
-// connections. If connections are refused for deadAfterRefused and no data is received, the worker is dead and the
-// completions of its tasks will never be reported.
+// connRefused handles a refused connection, which means that no process listens at the worker's address. If an
+// earlier connection was reset, the refusal proves that the worker's process has died. Otherwise, the process may
+// have died unnoticed, or it may be alive and accept no further connections. Therefore the worker is pinged on its
+// open connections, because a live process answers a ping. If connections are refused for deadAfterRefused and no
+// data is received, the worker is dead, and the completions of its tasks will never be reported. If the deployment
+// does not allow pings, the worker is not pinged, and deadAfterRefusedUnpinged applies instead.
 func (l *link) connRefused() {
 	now := l.pool.loop.Now()
 	if l.refusedSince == 0 {
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -115,10 +115,11 @@
 	c.link.pruneConns()
 }
 
-// finishTask handles the end of a request that has no open offer on this connection. The message is the completion of
-// a running task, the completion of a task whose attempt was abandoned here, or a duplicate or foreign answer, which
-// must not end an attempt. The outcomes "rejected" and "never sent" do not complete a running task: such a message
-// duplicates the answer to an earlier attempt.
+// finishTask handles the end of a request that has no open offer on this connection. The message may be the
+// completion of a running task, or of a task whose attempt was abandoned here. It may also be a duplicate answer,
+// or an answer to an offer on another connection; such a message must not end an attempt. The outcomes "rejected"
+// and "never sent" do not complete a running task: a message with one of them duplicates the answer to an earlier
+// attempt.
 func (c *workerConn) finishTask(outcome placement.Outcome, m *jsonlines.Message) {
 	dispatcher, worker, now := c.link.pool.dispatcher, c.link.workerID, c.link.pool.loop.Now()
 	cause := causesByNote[m.Opt("note")]
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -15,7 +15,7 @@
 
 const (
 	// maxClientLastSeenAge is the maximum time between the last read of a client's connection and the sending of
-	// the client's offer: no attempt may start for a client that disconnected 0.1 s ago.
+	// the client's offer. It is limited because no attempt may start for a client that disconnected 0.1 s ago.
 	maxClientLastSeenAge = 50 * millisecond
 	// maxOfferTries is the maximum number of connections on which an offer is tried if each connection breaks
 	// before the offer is sent. After that the outcome of the attempt is ConnectFailed.
@@ -129,7 +129,8 @@
 	offer.endOffset = c.conn.BytesWritten()
 }
 
-// offerMessage returns the wire message for an offer that is sent now. The time left in it is at least 1 ms.
+// offerMessage returns the wire message for an offer that is sent now. The remaining time that the message states
+// is at least 1 ms.
 func offerMessage(offer *openOffer, now int64) jsonlines.Message {
 	leftMs := max(1, (offer.deadline-now)/millisecond)
 	m := jsonlines.Message{
@@ -167,11 +168,11 @@
 	return nil
 }
 
-// settleOffers removes all offers from a connection that ended with err, and returns the offers to resend on another
-// connection. An offer that was sent completely may have run, so it is reported as reset. Any other offer never ran.
-// If an established connection broke, which does not show whether the worker is alive, such an offer is resent
-// immediately while the worker is listed, on at most maxOfferTries connections. In all other cases, for example if no
-// connection could be established, the attempt ends.
+// settleOffers removes all offers from a connection that ended with err, and returns the offers to resend on
+// another connection. An offer that was sent completely may have run, so it is reported as reset. Any other offer
+// never ran. It is resent immediately if the worker is listed, fewer than maxOfferTries connections were tried,
+// and err does not show whether another connection could be established (see isDisconnect). Otherwise, for example
+// if no connection could be established, the attempt ends.
 func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
 	l, pool := c.link, c.link.pool
 	for _, offer := range c.offersInOrder() {
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -19,8 +19,8 @@
 // offerText is the text that identifies an offer in the data that a worker has read.
 const offerText = `"verb":"START"`
 
-// An offer on a connection that is reset before the offer is sent is sent exactly once, on the next connection. The
-// task never ran, and the reset does not prove that the worker failed.
+// If a connection is reset before an offer on it is sent, the offer is sent exactly once, on the next connection.
+// The task never ran, and the reset does not prove that the worker failed.
 func TestUnsentOfferIsResentAfterReset(t *testing.T) {
 	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
@@ -38,7 +38,7 @@
 	stop := startLoop(t, loop, func(int64) { pool.DeliverPending() })
 	received := ""
 	for range 2 {
-		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // one connection yields no line
+		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // the connection that was reset yields no line
 		received += line
 	}
 	if strings.Count(received, offerText) != 1 {
@@ -74,7 +74,8 @@
 			loop, pool, dispatcher := newPool(t)
 			conn := offerToWorker(t, listener, loop, pool, dispatcher)
 			c.event(loop.Now(), dispatcher, pool)
-			err := loop.Run(func(int64) { // until the connection is established and its outcomes are reported
+			// The loop runs until the connection is established and its outcomes are reported.
+			err := loop.Run(func(int64) {
 				if pool.DeliverPending(); conn.established {
 					loop.Stop()
 				}
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -44,7 +44,7 @@
 	pingsAllowed   bool                     // the deployment allows pings to workers
 	links          map[string]*link         // by worker ID
 	sortedLinks    []*link                  // the links sorted by worker ID; nil if they must be sorted again
-	isAssigned     func(worker string) bool // this orchestrator places tasks at the worker; nil for all workers
+	isAssigned     func(worker string) bool // reports whether this orchestrator places tasks at a worker; nil for all
 	offersMade     uint64                   // number of offers since the start
 	offersSent     int64                    // number of offers that were sent completely and are no longer open
 	pendingReports []func()                 // outcomes found during calls by the dispatcher and not yet reported to it
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -44,7 +44,7 @@
 	if len(l.releases) < maxUnconfirmedReleases {
 		l.releases[requestID] = p.loop.Now()
 	}
-	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends the release
+	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends the release later
 		c.sendFinish(requestID)
 	}
 }
