--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -38,7 +38,7 @@
 }
 
 // change replaces the assignment and deactivates the active shards that are no longer assigned. It reports whether
-// there were any.
+// any shard was deactivated.
 func (s *shardAssignment) change(assigned Assignment) (lost bool) {
 	s.assigned = assigned
 	wanted := shard.Set{}
@@ -52,9 +52,9 @@
 	return lost
 }
 
-// update stores the zones of the listed workers. If the list is complete, it deletes the zones of all other workers.
-// The assigned shards of a new zone become active at once, because discovery reports the workers of a zone that no
-// poll named to every orchestrator. update reports whether the list has a new zone.
+// update stores the zones of the listed workers. If the list is complete, it deletes the zones of all other
+// workers. The assigned shards of a new zone become active at once: as long as no poll has named a zone, discovery
+// reports the workers of that zone to every orchestrator. update reports whether the list has a new zone.
 func (s *shardAssignment) update(workers []config.Worker, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
@@ -86,9 +86,9 @@
 	return maxLateReportMs
 }
 
-// beginPoll returns the part of a poll's query that names shards, and stores the assigned shards as those that the
-// poll in flight names. The parameter "shards" names the shards whose free capacity discovery reports. The
-// parameter "fresh" names the gained shards, for which discovery must report the free capacity of every worker.
+// beginPoll returns the part of a poll's query that names shards, and records that the poll in flight names the
+// assigned shards. The parameter "shards" names the shards whose free capacity discovery reports. The parameter
+// "fresh" names the gained shards, for which discovery must report the free capacity of every worker.
 func (s *shardAssignment) beginPoll() (query string) {
 	if s == nil {
 		return ""
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -5,8 +5,8 @@
 // pacerStart is the time at which the tests of the pacer start, in microseconds.
 const pacerStart = int64(1000 * second)
 
-// Responses to timeouts that end at the same time are scheduled earlier, by the time that writing them takes. None
-// is scheduled later than its client's timeout.
+// If several timeouts end at the same time, their responses are scheduled earlier, by the time that writing them
+// takes. No response is scheduled later than the end of its client's timeout.
 func TestResponsesDueTogether(t *testing.T) {
 	var pacer responsePacer
 	timeoutAt := pacerStart + 6*second
@@ -58,8 +58,8 @@
 	}
 }
 
-// Timeouts are also met if they are nearly over, if they are longer than the buckets cover, or after a long
-// pause.
+// A response is also scheduled in time if the timeout is nearly over, if it is longer than the buckets cover, or
+// if it begins long after the previous one.
 func TestUnusualTimeouts(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,9 +1,9 @@
 package membership
 
 // This file computes the digests of the table. Each member belongs to a bucket, which is determined by a hash of
-// the member's name. A ping carries a digest of each bucket, so the answer carries only members of buckets that
-// differ. A digest covers the names, nonces and incarnations of members that are alive or suspected. It does not
-// cover suspicions.
+// the member's name. A ping carries a digest of each bucket, so the pages in the answer carry only members of
+// buckets that differ. A digest covers the names, nonces and incarnations of members that are alive or suspected.
+// It does not cover suspicions.
 
 import (
 	"encoding/binary"
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -29,8 +29,8 @@
 	// member's own Ping reached the target.
 	DirectPingReceived bool
 	Reached            bool // in a PingRequestResult: whether Target answered
-	// Digests holds, in a Ping, the digests of the sender's table by bucket. The answer carries pages of the table
-	// only from buckets whose digests differ.
+	// Digests holds, in a Ping, the digests of the sender's table by bucket. The answer carries pages, which are
+	// parts of the receiver's table, only for buckets whose digests differ.
 	Digests []uint32
 	Updates []Update
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// receivePing answers a ping with an ack, and with pages of the table if the digests differ.
+// receivePing answers a ping with an ack. If the digests differ, it also sends pages, which are parts of the table
+// (see packPage).
 func (t *Table) receivePing(m *Message, sender *member) {
 	if sender != nil && sender.Nonce == m.Sender.Nonce && m.OnBehalfOf == "" {
 		sender.lastPingSequence = max(sender.lastPingSequence, m.Sequence)
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -15,7 +15,8 @@
 	peersPingedAlone    = 1 // no other member is alive or suspected
 )
 
-// nameReleaseTimeout is the time without a claim by the other process after which a conflict over the name ends.
+// nameReleaseTimeout is the time after which a conflict over the local name ends if the other process has not
+// claimed the name again.
 const nameReleaseTimeout = 3 * joinTimeout
 
 // maxLeaveNotices is the maximum number of members that the local member pings to announce that it leaves.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -134,8 +134,8 @@
 	t.suspects = slices.Compact(t.suspects)
 }
 
-// verify pings a suspect before it is declared dead, because in a large cluster its next probe in order and its
-// refutation may both come too late. The ping informs the suspect of the suspicion.
+// verify pings a suspect before it is declared dead, because in a large cluster the suspect's next probe in order
+// and the suspect's refutation may both come too late. The ping informs the suspect of the suspicion.
 func (t *Table) verify(m *member) {
 	m.verifiedAt = t.now
 	t.ping(m.Name)
