--- a/client/budget.go
+++ b/client/budget.go
@@ -1,14 +1,14 @@
 package client
 
-// This file implements the budget of retries that no orchestrator advised. It never waits for a retry to
-// become available.
+// This file implements the budget for the retries that a client makes without an orchestrator's advice. If no
+// retry is available, the budget reports this at once instead of waiting for one.
 
 import "sync"
 
 // retryBudget limits the retries to a fraction of the offered tasks, so that clients do not multiply the load
 // while orchestrators are down. It is safe for concurrent use.
 type retryBudget struct {
-	perTask float64 // retries that each new task adds
+	perTask float64 // number of retries, usually a fraction, that each new task adds
 	reserve float64 // maximum number of available retries
 
 	mu        sync.Mutex
--- a/client/client.go
+++ b/client/client.go
@@ -1,12 +1,12 @@
-// Package client offers tasks to orchestrators over gRPC and follows their retry advice. It offers a
-// rejected task again at the reserved slot, to any of the orchestrators, with the retry token that proves the
-// place of the task on the waitlist. The package is the reference implementation of a client's
-// behavior in a retry storm.
+// Package client offers tasks to orchestrators over gRPC and follows their retry advice. If a task is rejected,
+// the package offers it again at the time that the orchestrator reserved for it, its slot. Any of the
+// orchestrators may get this offer. It carries the retry token, which proves the place of the task on the
+// waitlist. The package is the reference implementation of a client's behavior in a retry storm.
 //
 // The package never offers a task again after an orchestrator reported that the task may have started. It
-// repeats an offer that got no response, under the same ID, but not if Task.Once is set. It never offers a
-// task again before the time that an orchestrator advised, and never waits beyond the caller's deadline: if
-// the advised time is not before the deadline, Client.Place returns at once with the advised time and the retry
+// repeats an offer that got no response, under the same ID, but not if Task.Once is set. It never offers a task
+// again before the time that an orchestrator advised. It never waits beyond the caller's deadline: if the
+// advised time is not before the deadline, Client.Place returns at once with the advised time and the retry
 // token.
 package client
 
@@ -27,8 +27,8 @@
 type Task struct {
 	Name, Class   string // Name is the same in every offer of the task
 	Cores, Memory float64
-	Program       string // up to 16 hex digits, or ""
-	Description   string // passed to the worker unchanged
+	Program       string // ID of the program in up to 16 hex digits, or ""
+	Description   string // text that is passed to the worker unchanged
 	// Once is true if the task must not be started twice. A call without a response is then not repeated,
 	// since the task may have started.
 	Once bool
@@ -65,12 +65,12 @@
 	Budget float64
 	// Reserve is the initial and maximum number of retries in the budget. 0 selects 10.
 	Reserve float64
-	// AttemptTimeout is the timeout of one attempt. If it is 0, the caller's deadline applies, or without a
-	// deadline the timeout of the class.
+	// AttemptTimeout is the timeout of one attempt. If it is 0, an attempt ends at the caller's deadline. If
+	// the caller set no deadline either, the timeout of the class applies.
 	AttemptTimeout time.Duration
-	// BackOff is the delay before the first retry that uses the budget. The delay doubles with each such
-	// retry up to 30 times BackOff, and is multiplied by a random factor between 0.5 and 1. 0 selects
-	// 100 ms.
+	// BackOff is the delay before the first retry that uses the budget. The delay doubles with each further
+	// retry that uses the budget, up to 30 times BackOff. Each delay is multiplied by a random factor between
+	// 0.5 and 1. 0 selects 100 ms.
 	BackOff time.Duration
 }
 
@@ -92,8 +92,8 @@
 	last int // index of the orchestrator that was called last
 }
 
-// New returns a Client that offers tasks over connections to one or more orchestrators, which must verify
-// each other's retry tokens. The Client does not close the connections.
+// New returns a Client that offers tasks over connections to one or more orchestrators. The orchestrators must
+// be able to verify each other's retry tokens. The Client does not close the connections.
 func New(options Options, conns ...grpc.ClientConnInterface) *Client {
 	if options.Budget <= 0 {
 		options.Budget = defaultBudget
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,7 +19,7 @@
 // scriptedOrchestrator returns the responses that a test specifies, and records the offers and their times.
 type scriptedOrchestrator struct {
 	edgepb.OrchestratorClient
-	responses []error // by offer; nil stands for a binding, and the last response repeats
+	responses []error // responses to the offers in order, nil for a binding; the last one repeats
 	offers    []*edgepb.Offer
 	offeredAt []time.Duration // times of the offers since started
 	started   time.Time
@@ -124,7 +124,9 @@
 	})
 }
 
-// A task that is invalid or may have started is never offered again.
+// RejectedError is returned for a task that was rejected or got no response, if the client does not offer it
+// again. The reason is that the next attempt would be after the caller's deadline, or that the retry budget
+// is exhausted. Either the task never ran, or running it twice does no harm.
 func TestNeverOfferedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		once bool
--- a/client/place.go
+++ b/client/place.go
@@ -1,7 +1,7 @@
 package client
 
-// This file implements the attempts to start one task. It never offers a task again that may have started,
-// except that it repeats an offer without a response, under the same ID, unless Task.Once is set.
+// This file implements the attempts to start one task. A task that may have started is not offered again. The only
+// exception is an offer without a response: it is repeated under the same ID, unless Task.Once is set.
 
 import (
 	"context"
@@ -27,11 +27,11 @@
 	offerID  string        // ID of the current offer; a repeat of the offer has the same ID and gets the same response
 	token    []byte        // retry token that proves the place on the waitlist, or nil
 	attempts int           // number of attempts so far
-	pause    time.Duration // next back-off delay, before its random factor
+	pause    time.Duration // next back-off delay, before it is multiplied by a random factor
 }
 
-// Place offers a task until it is started. The token is that of an earlier RejectedError, or nil. Place must
-// not be called with a token before RejectedError.RetryAt.
+// Place offers a task until it is started. The token is the Token of an earlier RejectedError for the task, or nil.
+// Place must not be called with a token before RejectedError.RetryAt.
 //
 // The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done.
 // Otherwise the error is the gRPC status of the last attempt, such as INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
@@ -80,9 +80,9 @@
 	})
 }
 
-// prepareRetry prepares the next attempt after a failed one, and returns the delay before the next attempt.
-// It returns an error if the task must not be offered again: attemptErr, or a *RejectedError if the retry budget is
-// exhausted.
+// prepareRetry prepares the next attempt after a failed one, and returns the delay before the next attempt. If the
+// task must not be offered again, it returns attemptErr as the error. If the retry budget is exhausted, the error
+// is a *RejectedError.
 func (c *Client) prepareRetry(r *request, attemptErr error) (delay time.Duration, err error) {
 	advised := parseAdvice(attemptErr)
 	switch code := status.Code(attemptErr); {
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -3,8 +3,8 @@
 // cordoned workers. It must never decide on which worker a task is placed.
 package admin
 
-// This file owns the format of admin calls and of the replies without figures. It must never carry
-// out a call.
+// This file owns the format of admin calls, and of all replies except the reply with the figures.
+// It must never carry out a call.
 
 import (
 	"fmt"
@@ -41,7 +41,7 @@
 // CallError reports a malformed call. Its text is part of the reply.
 type CallError struct {
 	Verb      Verb   // "" if it is missing or unknown
-	Want, Got string // Got is "" if Want is sufficient
+	Want, Got string // expected and received text; Got is "" if Want alone describes the error
 }
 
 // Error implements error.
--- a/internal/admin/cordons.go
+++ b/internal/admin/cordons.go
@@ -21,7 +21,7 @@
 type Cordons map[string]bool
 
 // With returns the set after a call, without changing c. Cordoning a worker twice has the same effect
-// as cordoning it once, and one Online call undoes any number of Offline calls.
+// as cordoning it once, and one Online call undoes any number of Offline calls for the worker.
 func (c Cordons) With(call Call) Cordons {
 	after := maps.Clone(c)
 	if after == nil {
@@ -47,7 +47,7 @@
 	Path string
 	Line int
 	Want string
-	Got  string // quoted; "" if Want is sufficient
+	Got  string // received text in quotes, or "" if Want alone describes the error
 }
 
 // Error implements error.
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -23,7 +23,7 @@
 // Reply returns the reply to Dump: the figures as one line of JSON, followed by the line ".".
 func (f Figures) Reply() []byte {
 	b, err := json.Marshal(f)
-	if err != nil { // cannot happen: of numbers Marshal rejects only floats, and no figure is a float
+	if err != nil { // cannot happen: the only numbers that Marshal may reject are floats, and no figure is a float
 		return ErrorReply(err.Error())
 	}
 	return append(b, "\n.\n"...)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -1,8 +1,8 @@
 package admin
 
 // This file owns the connections of operators. A connection carries one call of one line and its
-// reply, and is then closed. The listener must never delay a client's request, nor refuse a
-// connection that sends a call because of connections that send nothing.
+// reply, and is then closed. The listener must never delay a client's request. Connections that send
+// nothing must never cause the listener to refuse a connection that sends a call.
 
 import (
 	"bytes"
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -7,15 +7,15 @@
 )
 
 // retryStorm simulates an orchestrator whose clients all send their first request within
-// one second. To start all their tasks takes one minute at the release rate. At most six
-// seconds of work are pending; other requests are rejected, and their clients return after
-// Retry-After.
+// one second. At the release rate, it takes one minute to start all their tasks. The queue
+// of pending requests holds at most six seconds of work. Further requests are rejected, and
+// their clients return after Retry-After.
 type retryStorm struct {
 	controller *Controller
 	rate       float64            // units that are released per second
-	arrivals   [1 << 14][]arrival // by slot
+	arrivals   [1 << 14][]arrival // requests that arrive in each slot
 	queue      []uint64           // keys of pending requests
-	capacity   float64            // free units
+	capacity   float64            // free capacity in units
 	remaining  int                // number of clients whose task has not started
 	decisions  int                // number of calls of Requested and Rejected
 }
--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -1,12 +1,12 @@
 package backpressure
 
 // This file implements the slot calendar, which counts the units that rejected clients are
-// expected to request again in each slot. It drops the units of past slots, because the
-// capacity of a client that did not return is available to other clients.
+// expected to request again in each slot. The units of past slots are dropped: if a client
+// did not return, other clients may use the capacity that was reserved for it.
 
 const (
-	// slotUs is the duration of a slot. It equals a tick of the waitlist, because waitlist
-	// entries count slots in ticks.
+	// slotUs is the duration of a slot in microseconds. It equals tickUs, because waitlist
+	// entries store the distance to a slot in ticks.
 	slotUs        = tickUs
 	calendarSlots = 1024 // number of slots, about 100 s
 	// graceSlots is the number of slots by which a client may return late before its
@@ -19,7 +19,7 @@
 	classes int
 	units   []float32 // reserved units, by slot and class
 	sums    []float64 // reserved units in all slots, by class
-	base    int64     // first slot that is still counted, -1 before the first advance
+	base    int64     // number of the first slot that is still counted, -1 before the first advance
 }
 
 // newCalendar returns an empty calendar for a number of classes.
@@ -55,10 +55,11 @@
 	}
 }
 
-// reserve reserves units of a class and returns their slot: the first slot after both now
-// and from in which the units fit into the capacity that is released at the given rate, in
-// units per second. Any number of units fits into an empty slot. If all slots are full,
-// reserve uses the last slot of the calendar, and the client will be rejected again.
+// reserve reserves units of a class and returns their slot. It examines the slots that begin
+// after both now and from, and uses the first one in which the units fit into the capacity
+// that is released during a slot. rate is the release rate in units per second. Any number of
+// units fits into an empty slot. If all slots are full, reserve uses the last slot of the
+// calendar, and the client will be rejected again.
 func (c *calendar) reserve(now, from int64, class int, units, rate float64) int64 {
 	first := max(from, now)/slotUs + 1
 	last := c.base + calendarSlots - 1
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -103,9 +103,10 @@
 	return r.Class
 }
 
-// Requested records a request and returns the time since which its client is queued: the
-// time of its first request if the waitlist or a retry token proves it, otherwise now. A
-// rejection does not set a client back, and retrying more often does not advance it.
+// Requested records a request and returns the time since which its client is queued: the time
+// of its first request if the waitlist or a retry token proves it, otherwise now. A rejection
+// does not move a client back on the waitlist, and retrying more often does not move it
+// forward.
 func (c *Controller) Requested(now int64, r Request) (queuedSinceUs int64) {
 	c.advance(now)
 	class := c.class(r)
@@ -175,9 +176,9 @@
 	c.waitlist.remove(r.Key)
 }
 
-// ReleaseRate returns the capacity that becomes free, in units per second. It returns 0
-// while the rate is unknown: without pending requests, the started tasks do not show how
-// many more tasks would fit.
+// ReleaseRate returns the capacity that becomes free, in units per second. It returns 0 while
+// the rate is unknown. The rate becomes known only while requests are pending: otherwise the
+// started tasks do not show how many more tasks would fit.
 func (c *Controller) ReleaseRate(now int64) float64 {
 	if !c.releases.known(now) {
 		return 0
@@ -185,8 +186,8 @@
 	return c.releases.rate(now)
 }
 
-// advance moves the calendar and the fair share forward to now. If the clock went back, no
-// slot expires and no count decays.
+// advance moves the calendar and the counts of the fair share forward to now. If the clock
+// went back, no slot expires and no count decays.
 func (c *Controller) advance(now int64) {
 	c.calendar.advance(now)
 	c.fairness.advance(now)
--- a/internal/backpressure/counters.go
+++ b/internal/backpressure/counters.go
@@ -8,8 +8,8 @@
 	windowBucketUs = second / windowBuckets
 	// trackedPrograms is the number of counters in frequentPrograms.
 	trackedPrograms = 16
-	// topPrograms is the number of programs whose combined share of the events makes a
-	// surge a Reconnect.
+	// topPrograms is the number of most frequent programs whose combined share of the
+	// events is compared with topProgramsShare, to decide whether a surge is a Reconnect.
 	topPrograms = 3
 )
 
@@ -76,7 +76,7 @@
 // topShare returns the estimated fraction of all events that belong to the topPrograms most
 // frequent programs.
 func (p *frequentPrograms) topShare() float64 {
-	var top [topPrograms]float64 // descending
+	var top [topPrograms]float64 // highest counts in descending order
 	for _, count := range p.counts {
 		for i := range top {
 			if count > top[i] {
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -1,8 +1,8 @@
 package backpressure
 
-// This file implements the detection of retry storms. The detector determines whether more
-// requests arrive than the baseline rate, whether there is capacity for them, and the kind
-// of surge. It only observes and must never change a Retry-After.
+// This file implements the detection of retry storms. The detector determines whether
+// requests arrive faster than the baseline rate, whether there is capacity for them, and
+// the kind of surge. It only observes and must never change a Retry-After.
 
 import "fmt"
 
@@ -12,9 +12,9 @@
 // The states of overload.
 const (
 	Calm       State = iota
-	Rising           // more requests arrive than the baseline rate
+	Rising           // requests arrive much faster than the baseline rate
 	Overloaded       // more requests arrive than there is free capacity for
-	Settling         // arrivals are no longer elevated, but not yet for long enough to be Calm
+	Settling         // arrivals stopped being elevated less than calmAfterUs ago
 )
 
 // String returns the name of the state in logs and on the operators' pages.
@@ -28,8 +28,8 @@
 	NoSurge   Kind = iota
 	Burst          // new requests
 	Retries        // rejected clients that return
-	Reconnect      // tasks of a few programs that return together
-	Restart        // tasks that are registered as running after the orchestrator started
+	Reconnect      // clients with tasks of a few programs that return together
+	Restart        // running tasks that are registered shortly after the orchestrator started
 )
 
 // String returns the name of the kind in logs and on the operators' pages.
@@ -50,23 +50,26 @@
 	// baselineTimeConstantUs is the time constant with which the baseline rate follows the
 	// rate of new requests.
 	baselineTimeConstantUs = 30 * second
-	// Arrivals are a surge if they exceed surgeFactor times the baseline rate and also
-	// exceed the baseline rate by minSurgeExcess requests per second.
-	surgeFactor    = 2.0
+	// surgeFactor is the multiple of the baseline rate that arrivals must exceed to be a
+	// surge.
+	surgeFactor = 2.0
+	// minSurgeExcess is the number of requests per second by which arrivals must also
+	// exceed the baseline rate to be a surge.
 	minSurgeExcess = 8.0
-	// A surge has ended when arrivals are at most settledFactor times the baseline rate, or
-	// exceed the baseline rate by at most half of minSurgeExcess.
+	// settledFactor is the multiple of the baseline rate that arrivals must not exceed for a
+	// surge to have ended. Arrivals that exceed the baseline rate by at most half of
+	// minSurgeExcess are also low enough.
 	settledFactor = 1.3
 	// calmAfterUs is the time without elevated arrivals after which the state is Calm.
 	calmAfterUs = 2 * second
-	// maxProgramDecay is the maximum fraction of the program counts that one evaluation
-	// discards.
+	// maxProgramDecay is the maximum fraction by which one evaluation reduces the program
+	// counts.
 	maxProgramDecay = 0.9
 
-	// Minimum fractions of all arrivals by which the kinds of surge are distinguished.
-	retriesShare     = 0.3 // requests of returned clients
-	topProgramsShare = 0.6 // requests of the topPrograms most frequent programs
-	adoptedShare     = 0.4 // adopted tasks
+	// Fractions of all arrivals that must be exceeded for a surge to be of a certain kind.
+	retriesShare     = 0.3 // for Retries: requests of returned clients
+	topProgramsShare = 0.6 // for Reconnect: requests and adopted tasks of the topPrograms most frequent programs
+	adoptedShare     = 0.4 // for Restart and Reconnect: adopted tasks
 	// restartWithinUs is the time after the detector's first tick during which a surge of
 	// adopted tasks is classified as Restart.
 	restartWithinUs = 10 * second
@@ -89,8 +92,8 @@
 type observation struct {
 	requests, returned, adopted, rejected, started float64 // number of events in the last second
 
-	arrivals    float64 // requests and adopted tasks in the last second
-	pending     float64 // units
+	arrivals    float64 // number of requests and adopted tasks in the last second
+	pending     float64 // pending units
 	releaseRate float64 // units per second
 	congested   bool    // more units are pending than are released in a second
 	surge       bool    // arrivals are above the surge threshold
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -1,20 +1,21 @@
 package backpressure
 
-// This file implements the fair share of programs among the reserved slots: a program that
-// requests most of the capacity must not make the requests of other programs wait for all of
-// its own. Programs are counted in hash buckets, and all programs in one bucket have a single
-// share.
+// This file implements the fair share of programs among the reserved slots. If one program
+// requests most of the capacity, other programs must not have to wait until all its requests
+// are served. Programs are counted in hash buckets, and all programs in one bucket have a
+// single share.
 
 const (
-	// decayIntervalUs is the interval at which the counts of reserved units are multiplied
-	// by decayFactor. Half of a count is left after three seconds, because by then its
-	// clients have returned or other clients have taken their place.
+	// decayIntervalUs is the interval at which the counts of reserved units are multiplied by
+	// decayFactor. A count is halved after three seconds. By then, the clients that it counts
+	// have returned, or other clients have taken their place.
 	decayIntervalUs = second / 10
 	decayFactor     = 0.977
 	// maxDecaySteps is the maximum number of decay steps at once. If more steps are
 	// needed, all counts are reset.
 	maxDecaySteps = 1000
-	// minBucketUnits is half a step of entry.unitSteps. A smaller count becomes zero.
+	// minBucketUnits is the number of units below which the count of a bucket becomes zero.
+	// It is half of the smallest request size that an entry of the waitlist stores.
 	minBucketUnits = 1.0 / unitScale / 2
 )
 
@@ -63,9 +64,10 @@
 }
 
 // ahead returns the number of reserved units that delay a request if programs take turns.
-// Each active program then delays the request by at most the number of units that the
-// request's own program has reserved. units is the number of reserved units including those
-// of the request, and bucket is that of its program, which must already count the request.
+// Because of these turns, each active program delays the request by at most the number of
+// units that the request's own program has reserved. units is the number of reserved units of
+// all programs, including the units of the request. bucket is the bucket of the request's
+// program, and its count must already include the request.
 func (f *fairShare) ahead(bucket int, units float64) float64 {
 	return min(units, float64(f.units[bucket])*float64(max(1, f.active)))
 }
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -12,13 +12,15 @@
 	demandBuckets  = 6
 	// recentBuckets is the number of latest buckets that show the beginning of a surge.
 	recentBuckets = 2
-	// forecastUs is the horizon of the forecast: the time for which requests of lower
-	// priority can be pending and still start in time.
+	// forecastUs is the horizon of the forecast in microseconds. Requests of lower priority
+	// can be pending for this time and still start in time.
 	forecastUs = second / 2
-	// maxPerSource is the maximum number of requests of one source that count in a bucket,
-	// because hundreds of requests at once from one source are not a surge.
+	// maxPerSource is the maximum number of requests of one known source that count in a
+	// bucket. Further requests of the source are ignored, because hundreds of requests at
+	// once from one source are not a surge.
 	maxPerSource = 2
-	// minSources is the minimum number of sources in one bucket for a surge.
+	// minSources is the number of sources that must send requests within a single bucket for
+	// a surge.
 	minSources = 10
 )
 
@@ -31,8 +33,8 @@
 	requests       demandCounts         // requests of all classes
 	head           int64                // number of the bucket that is being filled
 	higherPriority []float64            // result of Controller.HigherPriorityDemand, by class
-	perSource      [hashBuckets]uint8   // requests in the head bucket, by hash bucket of the source
-	sources        [demandBuckets]int32 // number of sources, by bucket
+	perSource      [hashBuckets]uint8   // requests in the bucket that is being filled, by hash bucket of the source
+	sources        [demandBuckets]int32 // number of sources in each bucket
 }
 
 // newDemandForecast returns an empty forecast for a number of classes.
@@ -59,7 +61,7 @@
 	}
 }
 
-// reset empties all buckets and makes bucket the one that is being filled.
+// reset empties all buckets and makes bucket the number of the bucket that is being filled.
 func (f *demandForecast) reset(bucket int64) {
 	for class := range f.units {
 		f.units[class] = demandCounts{}
@@ -70,8 +72,10 @@
 	f.head = bucket
 }
 
-// add counts a request. Source 0 means unknown; each request of an unknown source counts as
-// one of a new source.
+// add counts a request, unless its source already has maxPerSource requests in the current
+// bucket. Known sources in the same hash bucket count as one source. Source 0 means that the
+// source is unknown. Each request of an unknown source is counted, as a request of a new
+// source.
 func (f *demandForecast) add(now int64, class int, units float64, source uint64) {
 	f.advance(now)
 	index := f.head % demandBuckets
@@ -91,8 +95,8 @@
 	f.requests[index]++
 }
 
-// rate returns the rate per second over the recent buckets or over all buckets, whichever
-// is higher.
+// rate returns the higher of two rates per second: the rate over the latest recentBuckets
+// buckets, and the rate over all buckets.
 func (f *demandForecast) rate(counts *demandCounts) float64 {
 	var recent, all float64
 	for age := range int64(demandBuckets) {
@@ -114,9 +118,9 @@
 	f := &c.demand
 	f.advance(now)
 	clear(f.higherPriority)
-	// The windows of the forecast are shorter than the one-second window of the detector, so
-	// their rates vary more. Therefore minSurgeExcess is added once more to the detector's
-	// threshold.
+	// The forecast measures rates over shorter windows than the detector, whose window is
+	// one second, so the rates of the forecast vary more. Therefore minSurgeExcess is added
+	// once more to the detector's threshold.
 	threshold := c.detector.surgeThreshold() + minSurgeExcess
 	if slices.Max(f.sources[:]) < minSources || f.rate(&f.requests) <= threshold {
 		return f.higherPriority
--- a/internal/backpressure/forecast_test.go
+++ b/internal/backpressure/forecast_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// During a surge, capacity is reserved for the requests of higher priority. Without a surge,
-// and for many requests of few sources, no capacity is reserved.
+// During a surge, capacity is reserved for the requests of higher priority. No capacity is
+// reserved without a surge, or if many requests come from only a few sources.
 func TestHigherPriorityDemand(t *testing.T) {
 	c := New(testSettings(), 1)
 	now := testStart
--- a/internal/backpressure/releaserate.go
+++ b/internal/backpressure/releaserate.go
@@ -1,10 +1,11 @@
 package backpressure
 
 // This file implements the estimate of the release rate: the number of units of capacity
-// that become free per second. The estimate is learned from two sources: the tasks that
-// start while requests are pending, since starts show the available capacity only then, and
-// the completions of this orchestrator's own tasks, whose freed capacity this orchestrator
-// learns of first. A time without requests must never count as a lack of capacity.
+// that become free per second. The estimate uses two kinds of events. The first is the start
+// of a task while requests are pending; at other times, starts do not show the available
+// capacity. The second is the completion of one of this orchestrator's own tasks, because
+// this orchestrator is the first to learn of the freed capacity. A time without requests
+// must never count as a lack of capacity.
 
 const (
 	rateBucketUs = second / 10
@@ -56,7 +57,8 @@
 	r.starts[r.head%rateBuckets] += units
 }
 
-// setPending records whether requests are pending at now.
+// setPending records whether requests are pending at now. It begins the measurement period,
+// and ends it after idleAfterUs without pending requests.
 func (r *rateEstimator) setPending(now int64, pending bool) {
 	r.advance(now)
 	switch {
@@ -69,7 +71,8 @@
 	}
 }
 
-// known reports whether requests have been pending for long enough for the rate to be known.
+// known reports whether the rate is known. It is known if the measurement period has lasted
+// for at least knownAfterUs and requests were pending within the last idleAfterUs.
 func (r *rateEstimator) known(now int64) bool {
 	return r.pendingSince > 0 && now-r.pendingSince >= knownAfterUs && now-r.lastPending <= idleAfterUs
 }
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -1,35 +1,38 @@
 package backpressure
 
-// This file computes Retry-After: the time at which free capacity for a rejected request is
-// expected, the slot that is reserved for its client, and the Retry-After with which the
-// client returns in that slot. Retry-After never exceeds the upper bound in the settings.
+// This file computes Retry-After in three steps. It estimates when free capacity for a
+// rejected request is expected, reserves a slot for the client, and derives the Retry-After
+// with which the client returns in that slot. Retry-After never exceeds the upper bound in
+// the settings.
 
 const (
 	// leadShare is the fraction of a client's timeout by which the client returns before the
-	// expected start of its task. Its request is then already pending, and can use capacity
-	// that other clients do not use.
+	// expected start of its task. Because of the early return, its request is already pending
+	// before that time, and can use capacity that other clients leave unused.
 	leadShare = 0.6
 	// floorShare is the fraction of the release rate that lower priorities get while
 	// requests of higher priorities wait, so that no class starves.
 	floorShare = 0.15
-	// spreadShare is the fraction of the maximum Retry-After over which returns are spread
-	// if their computed Retry-After exceeds the maximum.
+	// spreadShare determines the range of a random Retry-After. If a computed Retry-After
+	// exceeds the maximum, the client gets a random one instead, from (1 - spreadShare) times
+	// the maximum up to the maximum, so that such clients do not all return at once.
 	spreadShare = 0.3
-	// overbooking is the factor by which a slot may be overbooked for a program with few
-	// reserved units while other programs have many.
+	// overbooking is the factor by which the capacity of a slot is raised for a program that
+	// has reserved less than half of the mean of all active programs.
 	overbooking = 1.25
 
 	// complianceWeight is the weight of one return in the moving average of the compliance
 	// of a class.
 	complianceWeight = 1.0 / 32
-	// minCompliance is the lower bound of the compliance by which Retry-After is divided.
-	// Clients of lower compliance would not stay away for longer with a longer Retry-After.
+	// minCompliance is the lower bound of the divisor by which a Retry-After is lengthened to
+	// correct for the compliance of a class. Clients of lower compliance would not stay away
+	// for longer with a longer Retry-After.
 	minCompliance = 0.25
-	// ignoredShare is the fraction of Retry-After below which a client that returns is
-	// considered to have ignored it.
+	// ignoredShare is a fraction of Retry-After. A client that returns before this fraction
+	// has passed is considered to have ignored Retry-After.
 	ignoredShare = 0.2
-	// minLearnedRetryAfterUs is the minimum Retry-After from which compliance is learned.
-	// With a shorter Retry-After, clients stay away for other reasons.
+	// minLearnedRetryAfterUs is the minimum Retry-After from which compliance is learned. If
+	// Retry-After is shorter, clients stay away for reasons other than Retry-After.
 	minLearnedRetryAfterUs = 3 * second / 2
 
 	// unknownRateWaitUs is the minimum Retry-After while the release rate is unknown. A
@@ -45,7 +48,7 @@
 	c.detector.rejected(now)
 	class := c.class(r)
 	e := c.waitlist.findOrAdd(now, r.Key, r.QueuedSinceUs)
-	if e.hasSlot() { // rejected twice without a request in between
+	if e.hasSlot() { // rejected twice without a request in between, so the earlier slot is freed
 		c.freeSlot(now, r.Program, e)
 	}
 	rate := c.releases.rate(now)
@@ -68,7 +71,8 @@
 }
 
 // reserveSlot reserves a slot for a rejected request at a known release rate. A client that
-// returned before its slot keeps the slot.
+// returned before its slot keeps the slot if the slot begins before the time at which the
+// client would otherwise return.
 func (c *Controller) reserveSlot(now int64, class int, r Request, e *entry, rate float64) (slot int64) {
 	bucket := hashBucket(r.Program)
 	belowShare := c.fairness.belowShare(bucket)
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -6,7 +6,7 @@
 // which their capacity is released, and no slot is reserved beyond the release rate.
 func TestReturnsSpread(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 100)
-	returns := map[int64]int{} // by slot
+	returns := map[int64]int{} // number of returns in each slot
 	var last int64
 	for i := range 1000 {
 		wait := c.Rejected(now, Request{Key: uint64(i), Class: 0, Units: 1, TimeoutUs: 6 * second})
@@ -81,8 +81,8 @@
 	}
 }
 
-// Of two classes with different priorities, clients of the higher one return first, and
-// the lower one still gets floorShare of the release rate.
+// If two classes have different priorities, clients of the class with the higher priority
+// return first. The other class still gets floorShare of the release rate.
 func TestPrioritiesAndFloor(t *testing.T) {
 	s := withMaxRetryAfter(90 * second)
 	c, now := saturated(s, 50, 100)
@@ -103,8 +103,9 @@
 	}
 }
 
-// If one program has nine tenths of the rejections, the other programs do not wait for all
-// of its requests, and the program still gets the capacity that they do not use.
+// If one program has nine tenths of the rejections, the other programs do not have to wait
+// until all of its requests are served. The program still gets the capacity that the other
+// programs do not use.
 func TestFairShareOfPrograms(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(90*second), 50, 100)
 	const heavyProgram = uint64(1)
@@ -128,8 +129,8 @@
 	}
 }
 
-// If a second retry storm begins during a first one, its clients return after the clients of
-// the first storm.
+// If a second retry storm begins during a first one, the clients of the second storm return
+// after the clients of the first storm.
 func TestSecondStormReturnsBehindFirst(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(90*second), 50, 100)
 	var first, later int64
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -2,9 +2,9 @@
 
 // This file implements the waitlist: the rejected clients that are expected to return, in a
 // hash table of fixed size. The table must never grow. A client is identified by 32 bits of
-// its key's hash within a bucket of eight entries, so each request of a new client is
-// mistaken for one of another client with a probability of at most 8 in 2^32. In a full
-// bucket, a new client replaces the client that was rejected longest ago. The replaced
+// its key's hash within a bucket of eight entries. A request of a new client is therefore
+// mistaken for a request of another client with a probability of at most 8 in 2^32. In a
+// full bucket, a new client replaces the client that was rejected longest ago. The replaced
 // client counts as new when it returns.
 
 const (
@@ -12,13 +12,15 @@
 	// tickUs is the resolution of stored times. Ticks wrap around after 65,536, so times are
 	// unambiguous for half of that, about 54 minutes.
 	tickUs = int64(100_000)
-	// staleTicks is the age from which an entry counts as that of another client: ten
-	// minutes, because no client stays away for that long.
+	// staleTicks is the age, ten minutes, from which an entry is stale. No client stays away
+	// for that long, so a stale entry with the fingerprint of a client counts as an entry of
+	// another client.
 	staleTicks = 6000
-	// emptyAge is the age of an empty entry, greater than that of any other entry.
+	// emptyAge is the age of an empty entry. It is greater than the age of any other entry,
+	// so that empty entries are replaced first.
 	emptyAge = 1 << 16
 
-	unitScale    = 16.0 // steps per unit
+	unitScale    = 16.0 // number of steps of entry.unitSteps in one unit
 	maxUnitSteps = 255  // maximum of entry.unitSteps
 	maxWaitTicks = 255  // maximum of entry.waitTicks
 )
@@ -26,9 +28,9 @@
 // entry describes a rejected client in 12 bytes.
 type entry struct {
 	fingerprint  uint32 // upper 32 bits of the hash of the key, 0 for an empty entry
-	firstTick    uint16 // time of the first request
-	rejectedTick uint16 // time of the last rejection
-	packedSlot   uint16 // slot in ticks after rejectedTick, class, and hasSlotBit
+	firstTick    uint16 // tick of the first request
+	rejectedTick uint16 // tick of the last rejection
+	packedSlot   uint16 // number of ticks from rejectedTick to the slot, the class, and hasSlotBit
 	waitTicks    uint8  // Retry-After in ticks, at most maxWaitTicks
 	unitSteps    uint8  // units in steps of 1/unitScale, at most maxUnitSteps
 }
@@ -117,7 +119,8 @@
 	return int(tick - e.rejectedTick)
 }
 
-// timeOfTick returns the time of a tick that is not later than now.
+// timeOfTick returns the time of a past tick. Because tick numbers wrap around, this is the
+// latest time up to now that has the given tick number.
 func timeOfTick(now int64, tick uint16) int64 {
 	return now - int64(uint16(now/tickUs)-tick)*tickUs
 }
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -7,22 +7,22 @@
 const (
 	// minIdleWithTask is the minimum idle time, in microseconds, after which a connection that had a task may be
 	// evicted: on a connection that was just used, a submission may be in flight.
-	// minIdleWithoutTask is the minimum idle time for a connection that never had a task: a client that connects
-	// to submit a task does so at once, and if the submission crosses the close, the client resends the submission
-	// within 50 ms.
-	minIdleWithTask    = 1 * second
+	minIdleWithTask = 1 * second
+	// minIdleWithoutTask is the minimum idle time, in microseconds, after which a connection that never had a task
+	// may be evicted. It can be short because a client that connects to submit a task does so at once. If the
+	// front closes the connection while the submission is in flight, the client resends the submission within
+	// 50 ms.
 	minIdleWithoutTask = 100 * millisecond
-	// protectedWithTask is the maximum number of connections with tasks that are protected: while a front has at
-	// most this many, it evicts none of them if a connection without a task becomes evictable soon.
-	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
-	// Without the protection, a flood of connections without a task would evict all connections with tasks within
-	// minIdleWithoutTask.
+	// protectedWithTask is the number of connections with tasks up to which a front protects these connections: the
+	// front then evicts none of them if a connection without a task becomes evictable soon. Connections with tasks
+	// carry the completions, including those of requests whose own connection is closed. Without the protection, a
+	// flood of connections without a task would evict all connections with tasks within minIdleWithoutTask.
 	protectedWithTask = 8
 )
 
 // minIdle returns the minimum idle time, in microseconds, after which the connection may be evicted. While responses
-// wait for the client to read them, the minimum is messageTimeout, which is also the time that a client has to write
-// a message.
+// are buffered for the client, the minimum is messageTimeout: the client has the same time to read them that it has
+// to write a message.
 func (c *clientConn) minIdle() int64 {
 	switch {
 	case c.conn.BytesBuffered() > 0:
@@ -45,7 +45,8 @@
 }
 
 // MakeCapacity implements eventloop.Admission. It evicts an idle connection and reports whether it found one.
-// Connections without a task are evicted first because they may arrive by the hundred.
+// Connections without a task are evicted first because they may arrive by the hundred. Connections with tasks are
+// not evicted while protectedWithTask protects them.
 func (a admission) MakeCapacity() bool {
 	f := a.front
 	found := f.findEvictable()
@@ -65,7 +66,7 @@
 type evictionSearchResult struct {
 	client        *clientConn // the connection to evict first, or nil if none may be evicted
 	withTask      int         // number of connections that had a task
-	evictableSoon bool        // a connection without a task or open requests has not been idle for minIdle yet
+	evictableSoon bool        // a connection with neither a task nor an open request will soon reach its minIdle
 }
 
 // findEvictable searches for the connection to evict first. Candidates are the connections without an open request
@@ -91,8 +92,9 @@
 	return found
 }
 
-// evictsBefore reports whether c is to be evicted rather than other. Ties in usage and idle time are broken in
-// favor of evicting the older connection.
+// evictsBefore reports whether c is to be evicted rather than other. The connection with the lower usage is evicted
+// first. If the usage is equal, the connection that has been idle for longer is evicted first, and if the idle time
+// is equal too, the older connection.
 func (c *clientConn) evictsBefore(other *clientConn) bool {
 	if usage, otherUsage := c.usage(), other.usage(); usage != otherUsage {
 		return usage < otherUsage
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// maxOpenWithoutTask is the maximum number of open requests on a connection that has had no task yet; further
-	// requests are rejected at once. maxInvalidMessages is the number of invalid messages at which such a
-	// connection is closed. Both limits protect the connections that report the completions of tasks from other
-	// connections.
+	// maxOpenWithoutTask is the maximum number of open requests on a connection that has had no task yet. Further
+	// requests are rejected at once. Like maxInvalidMessages, this limit protects the connections that report the
+	// completions of tasks against connections without a task.
 	maxOpenWithoutTask = 32
+	// maxInvalidMessages is the number of invalid messages at which a connection that has had no task yet is
+	// closed.
 	maxInvalidMessages = 64
 	// openLimitRetryAfter is the Retry-After, in microseconds, of a request that is rejected because too many
 	// requests are open.
@@ -144,7 +145,8 @@
 	switch {
 	case submission.RunningOn == "":
 		c.openRequests[submission.RequestID] = true
-	case !isKnown && dispatcher.IsListed(submission.RunningOn): // the sender of a known task need not be its client
+	case !isKnown && dispatcher.IsListed(submission.RunningOn):
+		// The task was adopted. A task that was known before is excluded, because the sender may not be its client.
 		c.hasTask = true
 		c.front.reportOn(c)
 	}
--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -13,7 +13,8 @@
 )
 
 // maxTimeMs is the upper bound, in milliseconds, to which longer times are clamped. The bound fits the dispatcher's
-// clock and still exceeds the longest time that the dispatcher accepts.
+// clock. It also exceeds the longest time that the dispatcher accepts, so the dispatcher still rejects a clamped
+// time.
 const maxTimeMs = 1e12
 
 // parseSubmission parses a client's submission. A non-nil error is a *fieldError.
@@ -35,7 +36,8 @@
 	if err := parseRetry(&submission, message.Opt("retry")); err != nil {
 		return submission, err
 	}
-	if submission.RunningOn == "" { // a client that registers a running task does not wait for a response
+	// The registration of a running task has no timeout, because its client does not wait for a response.
+	if submission.RunningOn == "" {
 		if err := parseTimeout(&submission, message.Opt("left")); err != nil {
 			return submission, err
 		}
--- a/internal/clientfront/submission_test.go
+++ b/internal/clientfront/submission_test.go
@@ -9,7 +9,8 @@
 
 const validExtras = "cores:1.5;memory:2.5;service:ff"
 
-// submissionMessage returns the message of a submission that is valid if the given values of "left" and "extras" are.
+// submissionMessage returns the message of a submission with the given values of "left" and "extras". The submission
+// is valid if both values are valid.
 func submissionMessage(left, extras string) jsonlines.Message {
 	return jsonlines.Message{Verb: jsonlines.VerbStart, Tag: "9b1f03aa5c7e2d41", HasBlob: true,
 		Opts: []jsonlines.Field{{Name: "class", Value: "web"}, {Name: "key", Value: "k"},
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxNameLength        = 64 // in bytes, for names of members, zones and clusters
-	maxTraceSuffixLength = 16 // in hex digits, the length of a request ID
+	maxNameLength        = 64 // maximum length of names of members, zones and clusters, in bytes
+	maxTraceSuffixLength = 16 // maximum length of a trace suffix in hex digits: the length of a request ID
 
-	// Bounds of the keepalive time. A completion must be reported within 8 s, and once a
-	// connection is found dead, the completion may need another connection.
+	// Bounds of the keepalive time. A completion must be reported within 8 s. If its connection is
+	// found dead, enough of this time must be left to report the completion on another connection.
 	minKeepalive = time.Second
 	maxKeepalive = 5 * time.Second
 
@@ -55,7 +55,7 @@
 // apply calls the setter of each directive of the section. It returns an error for an unknown
 // directive, and for a second occurrence of a directive that is not repeatable.
 func (s Section) apply(setters map[string]setter) error {
-	seen := map[string]int{} // line number by name of the directive
+	seen := map[string]int{} // line number of the latest occurrence, by the directive's name
 	for _, d := range s.Directives {
 		name := d.Name.Text
 		set := setters[name]
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -20,7 +20,7 @@
 type PositionError struct {
 	File         string
 	Line, Column int    // counted from 1; Column in bytes
-	Want, Got    string // Got is "" if there is no text to quote
+	Want, Got    string // expected and received text; Got is "" if there is no text to quote
 }
 
 // Error implements error.
@@ -51,7 +51,7 @@
 type FieldError struct {
 	Field string // path of the field, such as settings.Limits.DialTimeoutUs
 	Want  string
-	Got   string // quoted; "" if Want is sufficient
+	Got   string // received value in quotes, or "" if Want alone describes the error
 }
 
 // Error implements error.
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	first := words[0]
-	if strings.HasPrefix(first.Text, "[") && text[first.Column-1] == '[' { // the word is not quoted
+	if strings.HasPrefix(first.Text, "[") && text[first.Column-1] == '[' { // the bracket is not quoted
 		return p.addSection(words)
 	}
 	if len(p.sections) == 0 {
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// FuzzLines checks two properties for any text: an error names a position within the text, and
-// sections that are parsed, written as text and parsed again have the same directives.
+// FuzzLines checks two properties. For any text with an error, the error names a line of the text. For
+// any other text, the parsed sections are written as text; if that text contains no carriage return,
+// parsing it gives sections that checkSameSection accepts as the same.
 func FuzzLines(f *testing.F) {
 	for _, text := range []string{
 		"[a]\nb c # d\n", "[a]\nb \"c d\"\n", "[", "\"", "[a]\n[a]", "[a] b", "x",
@@ -24,7 +25,7 @@
 		}
 		written := writeSections(sections)
 		if strings.ContainsAny(written, "\r") {
-			return // a carriage return at the end of a line would be parsed as part of the line ending
+			return // the parser would drop a carriage return at the end of a line as a part of the line ending
 		}
 		again, err := ParseLines("f", []byte(written))
 		if err != nil {
@@ -39,8 +40,8 @@
 	})
 }
 
-// checkPosition checks that err is a *PositionError that wraps ErrLineFile and names a position within
-// the text.
+// checkPosition checks that err is a *PositionError that wraps ErrLineFile, and that it names a line
+// of the text and a column of at least 1.
 func checkPosition(t *testing.T, text string, err error) {
 	t.Helper()
 	var at *PositionError
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,7 +1,8 @@
 // Package config owns the formats of an orchestrator's configuration: the configuration file of the
 // platform and discovery's lists of workers, which are both JSON, and the operators' file. It must
-// never keep state, open any other file, or supply a value for a missing setting: package simwire
-// defines the meaning of the settings, both on the simulator's wire and in the configuration.
+// never keep state or open any other file. It must also never supply a value for a missing setting,
+// because package simwire defines the meaning of the settings, both on the simulator's wire and in the
+// configuration.
 package config
 
 // This file owns the configuration file of the platform, which it parses with gjson.
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -36,9 +36,9 @@
 	maxStreams = 100
 	// maxQueuedCalls is the maximum number of calls that are queued for the event loop.
 	maxQueuedCalls = 2048
-	// maxHeaders and maxMessage are the maximum sizes of the header list and of one message from a client,
-	// in bytes.
+	// maxHeaders is the maximum size of the header list of a call, in bytes.
 	maxHeaders = 16 << 10
+	// maxMessage is the maximum size of one message from a client, in bytes.
 	maxMessage = 2 * maxDescription
 	// bufferSize is the size of the read buffer and of the write buffer of each connection, in bytes. It is
 	// small because links are slow and memory is scarce.
@@ -51,10 +51,11 @@
 	firstMessageTimeout = 1500 * time.Millisecond
 	// maxIdle is the time after which a connection without calls is closed.
 	maxIdle = 30 * time.Second
-	// The server pings a connection that was idle for pingInterval, and closes the connection if the reply
-	// does not arrive within pingTimeout.
+	// pingInterval is the idle time after which the server pings a connection.
 	pingInterval = 20 * time.Second
-	pingTimeout  = 5 * time.Second
+	// pingTimeout is the time within which the reply to this ping must arrive. Otherwise the server closes the
+	// connection.
+	pingTimeout = 5 * time.Second
 	// minClientPingInterval is the minimum time between two pings from a client.
 	minClientPingInterval = 5 * time.Second
 	// closeTimeout is the maximum time that Close waits for calls to end.
@@ -153,7 +154,7 @@
 		}
 	}
 	stopped := make(chan struct{})
-	go func() { // GracefulStop returns when Stop is called, at the latest
+	go func() { // the goroutine ends at the latest when Stop is called, because GracefulStop then returns
 		f.server.GracefulStop()
 		close(stopped)
 	}()
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -15,11 +15,12 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// maxDescription is the maximum size of the description of a task, in bytes. maxEscaped is the maximum size
-// of the description after JSON escaping, in bytes: the size of a message to a worker is limited too.
 const (
+	// maxDescription is the maximum size of the description of a task, in bytes.
 	maxDescription = 8 << 10
-	maxEscaped     = maxDescription * 3 / 2
+	// maxEscaped is the maximum size of the description after JSON escaping, in bytes. It is limited because the
+	// escaped description is part of a message to a worker, whose size is limited too.
+	maxEscaped = maxDescription * 3 / 2
 )
 
 // protocolFields maps the field names in the errors of dispatch.Submission.Validate to the names of the
@@ -59,7 +60,8 @@
 // checkSubmission returns a gRPC status error if a field of the submission is invalid.
 func checkSubmission(submission dispatch.Submission) error {
 	if submission.TimeoutUs == 0 {
-		// 0 is valid: submitPlace or submit replaces it with the deadline of the call or the timeout of the class.
+		// A timeout of 0 is valid: submitPlace or submit replaces it with the deadline of the call or the timeout
+		// of the class.
 		submission.TimeoutUs = 1
 	}
 	if err := submission.Validate(); err != nil {
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -29,8 +29,9 @@
 	maxSessionName = 64
 	// sessionTimeoutUs is the time after which a session without a stream is deleted, in microseconds.
 	sessionTimeoutUs = int64(2 * time.Minute / time.Microsecond)
-	// sessionBit is set in the number by which the dispatcher identifies a session. The numbers of
-	// connections never reach this bit, so the two kinds of numbers do not collide.
+	// sessionBit is set in the number by which the dispatcher identifies a session. The numbers by which it
+	// identifies connections never reach this bit, so the numbers of sessions and of connections do not
+	// collide.
 	sessionBit = uint64(1) << 63
 )
 
@@ -39,7 +40,7 @@
 type session struct {
 	front          *Front
 	name           string
-	number         uint64  // identifies the session to the dispatcher
+	number         uint64  // number by which the dispatcher identifies the session
 	stream         *stream // the current stream, nil if there is none
 	lastMessage    uint64  // number of the last message; the first message has number 1
 	unacknowledged []*edgepb.ServerMessage
@@ -192,7 +193,7 @@
 // in the session is ignored.
 func (s *session) offer(offer *edgepb.Offer, submission dispatch.Submission, token presentedToken) {
 	if open, found := s.openOffers[submission.RequestID]; found && open.task == submission.Key {
-		return // the session gets the response to the open offer
+		return // the response to the open offer also answers the repeat
 	}
 	if len(s.openOffers) >= maxOpenOffers {
 		s.pushRejection(submission.RequestID, submission.Key,
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -66,7 +66,7 @@
 	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receiveAll(server, st) // ends after this call has returned: server.Recv then returns an error
+	go f.receiveAll(server, st) // ends after Session has returned, because server.Recv then returns an error
 	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
@@ -83,7 +83,7 @@
 		err     error
 	}
 	result := make(chan received, 1)
-	go func() { // ends after the call to Session has returned, at the latest: server.Recv then returns an error
+	go func() { // ends at the latest after Session has returned, because server.Recv then returns an error
 		message, err := server.Recv()
 		result <- received{message, err}
 	}()
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -1,7 +1,7 @@
 package grpcfront
 
-// This file owns the unary calls Place and Release. Invariant: a call returns when its context ends, at the
-// latest.
+// This file owns the unary calls Place and Release. Invariant: a call returns at the latest when its context
+// ends.
 
 import (
 	"context"
--- a/internal/jsonlines/errors.go
+++ b/internal/jsonlines/errors.go
@@ -10,7 +10,8 @@
 // ErrMessage is wrapped by every error of this package.
 var ErrMessage = errors.New("malformed message")
 
-// Errors for a message whose JSON is valid or was not parsed.
+// Errors that do not concern the JSON syntax: the JSON of a message without a verb is valid, and
+// a line that is too long is not parsed.
 var (
 	ErrNoVerb      = fmt.Errorf("%w: no verb", ErrMessage)
 	ErrLineTooLong = fmt.Errorf("%w: line exceeds %d bytes", ErrMessage, MaxLine)
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -28,7 +28,7 @@
 	offset int // index in text of the next byte to read
 }
 
-// expected returns a SyntaxError: the described element was expected at the current offset.
+// expected returns a SyntaxError which reports that the described element was expected at the current offset.
 func (s *scanner) expected(element string) error {
 	return &SyntaxError{Expected: element, Offset: s.offset}
 }
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -44,14 +44,14 @@
 // answerLines sends each line of a connection to lines and replies to it, until the connection
 // ends.
 func answerLines(conn net.Conn, answer string, lines chan<- string) {
-	defer func() { _ = conn.Close() }() // the exporter has closed its end by then
+	defer func() { _ = conn.Close() }() // an error does not matter: the exporter has closed its end by then
 	for r := bufio.NewReader(conn); ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
 			return
 		}
 		lines <- line
-		_, _ = io.WriteString(conn, answer) // the exporter may have closed the connection
+		_, _ = io.WriteString(conn, answer) // an error does not matter: the exporter may have closed the connection
 	}
 }
 
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the peer may have closed the connection
+	t.Cleanup(func() { _ = conn.Close() }) // an error does not matter: the peer may have closed the connection
 	return conn
 }
 
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -1,7 +1,7 @@
 package peer
 
 // This file owns the inbound connections. Each connection begins with a hello, which may be followed by records. A
-// record must never be accepted unless its sender is a member with the name and the incarnation nonce of the hello.
+// record must only be accepted if its sender is a member with the name and the incarnation nonce of the hello.
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	peers      *Peers
 	helloTimer *eventloop.Timer // closes the connection unless its hello announces records in time
 	conn       *eventloop.Conn
-	stream     streamKey // announced by the hello; the kind is noRecords until a hello announces records
+	stream     streamKey // stream that the hello announced; its kind is noRecords until a hello announces records
 }
 
 // Opened implements eventloop.Handler.
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// refutationsPerStart is the number of incarnations between one start and the next. Each refutation of a
-	// suspicion uses one, so a process can refute that many suspicions before its incarnation reaches that of the
-	// next start.
+	// refutationsPerStart is the difference between the first incarnations of two consecutive starts. Each refutation
+	// of a suspicion uses one incarnation. A process can therefore refute this number of suspicions before its
+	// incarnation reaches the first one of the next start.
 	refutationsPerStart = 1 << 24
 	// firstIncarnation is the incarnation of a start without a directory.
 	firstIncarnation = 1
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -31,7 +31,7 @@
 	second      = 1_000 * millisecond
 )
 
-// maxPorts is the maximum number of ports that are tried if the settings leave the port to the system.
+// maxPorts is the maximum number of ports that are tried if the settings let the system choose the port.
 const maxPorts = 16
 
 // Settings identify this orchestrator in the cluster. Listen is the address for datagrams and connections of other
@@ -44,7 +44,7 @@
 
 // Counts holds the number of messages exchanged with other orchestrators since the start.
 type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes     int64 // number of datagrams, and their size
+	Sent, SentBytes, Received, ReceivedBytes     int64 // numbers of datagrams, and their total sizes
 	Lost                                         int64 // datagrams that could not be sent
 	Refused                                      int64 // invalid datagrams, and connections closed for an invalid message
 	HandshakeProbes                              int64
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file owns the queue of records that wait to be sent on one stream. It does no I/O. A record must never leave
-// the queue unless pop returns it or clear counts it.
+// This file owns the queue of records that wait to be sent on one stream. It does no I/O. A record must leave the
+// queue only if pop returns it or clear counts it.
 
 // recordQueue is a first-in, first-out queue of records with a limit on their total size.
 type recordQueue struct {
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -1,8 +1,8 @@
 package peer
 
 // This file owns the outbound streams of records. Each pair of member and record kind has its own connection, which
-// is opened when there is a record to send. Many records of one kind therefore never delay those of another, and no
-// record delays the datagrams.
+// is opened when there is a record to send. Therefore many records of one kind never delay the records of another
+// kind, and no record delays a datagram.
 //
 // A record that Send accepted is either sent or counted as dropped. A record that was in flight when its connection
 // ended may or may not have arrived; the senders of records must handle both cases.
@@ -60,8 +60,8 @@
 	kind   RecordKind
 }
 
-// outboundStream sends the records of one stream. It owns its connection and its timer until it is removed
-// from Peers.outboundStreams.
+// nextTurn is the shortest timer delay, in microseconds. A timer with this delay fires after the events that are
+// ready by then have been handled.
 type outboundStream struct {
 	streamKey
 	peers       *Peers
@@ -202,7 +202,7 @@
 	s.timer.Stop()
 	for written := 0; written < maxBurst; {
 		if s.conn.BytesWritten() > s.conn.BytesSent() && !s.conn.Flush() {
-			return // Drained is called once the system has accepted all bytes
+			return // Drained continues once the system has accepted all bytes
 		}
 		record, writable := s.queue.pop()
 		if record == nil {
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -84,7 +84,7 @@
 	p.reportView()
 }
 
-// reportView calls the handler set by OnView if the stable view has changed since the last call.
+// reportView calls the handler set by OnView if the stable view has changed since the last call of the handler.
 func (p *Peers) reportView() {
 	view := p.table.View()
 	if p.onView == nil || view.Number == p.reportedView {
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// burstInterval is the duration of a burst. The first warning with a text after that time
-	// starts a new burst.
+	// burstInterval is the duration of a burst. Each text has its own bursts: the first warning with the text after
+	// the end of a burst begins the next burst.
 	burstInterval = time.Second
 	// maxLinesPerBurst is the maximum number of lines with the same text in a burst.
 	maxLinesPerBurst = 5
@@ -18,7 +18,7 @@
 // Logger writes at most maxLinesPerBurst warnings with the same text in each burstInterval.
 type Logger struct {
 	log    *slog.Logger
-	bursts map[string]*burst // by the text of the warning
+	bursts map[string]*burst // current burst of each text
 }
 
 // burst counts the warnings with the same text since startedAt.
@@ -34,8 +34,8 @@
 // Info logs a line. The number of lines is not limited.
 func (l *Logger) Info(text string, args ...any) { l.log.Info(text, args...) }
 
-// Warn logs a line, or suppresses the line if its text has reached the limit of the current burst. If a burst suppressed
-// lines, the first line after the burst is preceded by a line with the number of suppressed lines.
+// Warn logs a line, or suppresses the line if its text has reached the limit of the current burst. If a burst
+// suppressed lines, the next line with the same text is preceded by a line with the number of suppressed lines.
 func (l *Logger) Warn(text string, args ...any) {
 	b := l.bursts[text]
 	if b == nil {
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -70,7 +70,7 @@
 	return keys, nil
 }
 
-// add parses a directive and appends its key.
+// add parses a directive and appends the key that the directive defines.
 func (k *Keys) add(directive config.Directive) error {
 	if directive.Name.Text != "key" {
 		return directive.Name.Expected("key")
@@ -81,7 +81,7 @@
 	name, secret := directive.Args[0], directive.Args[1]
 	b, err := hex.DecodeString(secret.Text)
 	if err != nil || len(b) < minSecretSize || len(b) > maxSecretSize {
-		secret.Text = "" // the error would contain the secret
+		secret.Text = "" // otherwise the error would contain the secret
 		return secret.Expected(fmt.Sprintf("a secret of %d to %d hex digits", 2*minSecretSize, 2*maxSecretSize))
 	}
 	id := keyID(name.Text)
--- a/internal/retrytoken/redeemed.go
+++ b/internal/retrytoken/redeemed.go
@@ -7,8 +7,9 @@
 const maxRedeemed = 16 << 10
 
 // Redeemed remembers the most recently redeemed tokens. The zero value remembers none. Its size is bounded:
-// if more than maxRedeemed tokens are valid at once, the token that was redeemed first is dropped and could be
-// redeemed again at this orchestrator. The task of the dropped token still runs at most once.
+// once it remembers maxRedeemed tokens, each new one replaces the token that was redeemed first. If the
+// replaced token is still valid, it could be redeemed again at this orchestrator, but its task still runs at
+// most once.
 type Redeemed struct {
 	nonces map[uint64]struct{} // nonces of the remembered tokens
 	order  []uint64            // nonces in the order of redemption; a ring buffer once it is full
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -34,10 +34,10 @@
 )
 
 const (
-	// EarlyUs is the maximum time before its slot at which a token is valid. It allows for differences between
+	// EarlyUs is the time before its slot from which a token is valid. It allows for differences between
 	// clocks and between network latencies.
 	EarlyUs = 250 * millisecond
-	// LateUs is the maximum time after its slot at which a token is valid.
+	// LateUs is the time after its slot until which a token is valid.
 	LateUs = 10 * second
 	// maxWaitUs is the maximum time for which a token may claim that its client was on the waitlist, and the
 	// maximum time from the issue of a token to its slot.
