--- a/client/client_test.go
+++ b/client/client_test.go
@@ -21,7 +21,7 @@
 	edgepb.OrchestratorClient
 	responses []error // responses to the offers in order, nil for a binding; the last one repeats
 	offers    []*edgepb.Offer
-	offeredAt []time.Duration // times of the offers since started
+	offeredAt []time.Duration // time of each offer, relative to started
 	started   time.Time
 }
 
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -6,14 +6,14 @@
 
 // Class counts the responses to requests of one class since the orchestrator started.
 type Class struct {
-	OK     int64 `json:"ok"`     // requests started
-	Shed   int64 `json:"shed"`   // requests rejected
-	Errors int64 `json:"errors"` // requests failed
+	OK     int64 `json:"ok"`     // number of started requests
+	Shed   int64 `json:"shed"`   // number of rejected requests
+	Errors int64 `json:"errors"` // number of failed requests
 }
 
 // Figures is the content of the reply to Dump.
 type Figures struct {
-	Responses map[string]Class `json:"responses"`    // by the name of the class
+	Responses map[string]Class `json:"responses"`    // counts of each class, by the name of the class
 	Attempts  int64            `json:"tries"`        // number of offers sent to workers
 	Active    int              `json:"active"`       // number of requests without a response plus running tasks
 	Pool      int              `json:"pool_size"`    // number of listed workers
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -34,7 +34,7 @@
 	loop    *eventloop.Loop
 	log     *ratelog.Logger
 	handler Handler
-	open    []*connection // oldest first
+	open    []*connection // open connections, oldest first
 }
 
 // NewListener returns a listener that passes calls to handler.
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -87,8 +87,9 @@
 }
 
 // runRetryStorms simulates clients that are distributed over 50 orchestrators. It returns
-// the time that the slowest orchestrator took, relative to the 60 s that its work takes at
-// the release rate, the number of decisions, and the memory per client in bytes.
+// three values. The first is the time that the slowest orchestrator took, as a multiple of
+// the 60 s that its work takes at the release rate. The second is the number of decisions,
+// and the third is the memory per client in bytes.
 func runRetryStorms(clients int, seed uint64) (ratio float64, decisions int, bytesPerClient float64) {
 	const orchestrators = 50
 	rng := rand.New(rand.NewPCG(seed, 9))
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -6,7 +6,7 @@
 
 import "fmt"
 
-// State is a state of overload.
+// State is the state of overload of an orchestrator.
 type State int
 
 // The states of overload.
@@ -45,7 +45,8 @@
 }
 
 const (
-	// evaluationIntervalUs is the minimum time between two evaluations.
+	// evaluationIntervalUs is the minimum time between two evaluations of the detector, in
+	// microseconds.
 	evaluationIntervalUs = second / 10
 	// baselineTimeConstantUs is the time constant with which the baseline rate follows the
 	// rate of new requests.
@@ -82,8 +83,8 @@
 	programs       frequentPrograms
 	baseline       float64 // usual rate of new requests per second
 	firstTickAt    int64   // time of the first tick
-	lastTickAt     int64   // time of the last evaluated tick, 0 before the first
-	lastElevatedAt int64   // time of the last tick with observation.elevated set
+	lastTickAt     int64   // time of the last evaluation (initially of the first tick), 0 before it
+	lastElevatedAt int64   // time of the last evaluation that set observation.elevated
 	state          State
 	kind           Kind
 }
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -10,7 +10,8 @@
 const (
 	demandBucketUs = second / 20
 	demandBuckets  = 6
-	// recentBuckets is the number of latest buckets that show the beginning of a surge.
+	// recentBuckets is the number of latest buckets whose rate is computed separately. This
+	// rate shows the beginning of a surge before the rate over all buckets does.
 	recentBuckets = 2
 	// forecastUs is the horizon of the forecast in microseconds. Requests of lower priority
 	// can be pending for this time and still start in time.
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -117,7 +117,7 @@
 	}
 	// Only units of the class itself use its floorShare of the release rate.
 	own := c.pending[class] + c.calendar.total(class) + units
-	delay := min(ahead/aheadRate, own/(rate*floorShare)) // seconds
+	delay := min(ahead/aheadRate, own/(rate*floorShare)) // in seconds
 	return now + int64(delay*float64(second))
 }
 
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -19,7 +19,7 @@
 // ErrLineFile.
 type PositionError struct {
 	File         string
-	Line, Column int    // counted from 1; Column in bytes
+	Line, Column int    // line and column, counted from 1; the column counts bytes
 	Want, Got    string // expected and received text; Got is "" if there is no text to quote
 }
 
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -21,7 +21,7 @@
 type Word struct {
 	Text         string
 	File         string
-	Line, Column int // counted from 1; Column in bytes
+	Line, Column int // line and column, counted from 1; the column counts bytes
 }
 
 // Expected returns a *PositionError that reports that want was expected in place of the word.
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// send queues a message for the stream without blocking. If the outbox is full because the client does not
-// read, it ends the stream.
+// send queues a message for the stream without blocking. If the outbox is full because the client does not read,
+// send ends the stream.
 func (st *stream) send(message *edgepb.ServerMessage) {
 	if st.ended {
 		return
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -118,7 +118,7 @@
 type receiver struct {
 	network, addr string
 	protocol      Protocol
-	conn          net.Conn // nil while closed
+	conn          net.Conn // nil while the connection is closed
 	reader        *bufio.Reader
 }
 
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -31,7 +31,7 @@
 // IsSet reports whether there is at least one key.
 func (k *Keys) IsSet() bool { return k != nil && len(k.keys) > 0 }
 
-// find returns the key with an ID, or nil if there is none.
+// find returns the key with the given ID, or nil if there is none.
 func (k *Keys) find(id uint32) *key {
 	if k == nil {
 		return nil
