--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -24,16 +24,16 @@
 	}
 	s.successorChecks = make(chan struct{}, 1)
 	worker := &fileWorker{server: s, store: store, cordons: cordons, tasks: tasks}
-	go worker.run() // returns when the server has stopped
+	go worker.run() // run returns when the server has stopped
 	return nil
 }
 
-// adminCalls carries out admin calls. It belongs to the event loop.
+// adminCalls carries out admin calls. Its methods run on the event loop.
 type adminCalls struct {
 	server         *server
 	store          handoverStore
 	tasks          chan<- func() // disk work for the file worker
-	claimedServing bool          // true once the handover files name this process as the serving one
+	claimedServing bool          // true once the handover files name this process as the one that serves
 }
 
 // handle carries out one call and passes the reply to answer.
@@ -50,8 +50,8 @@
 	}
 }
 
-// health answers whether this orchestrator is ready for clients. The first call that succeeds also records in
-// the handover files that this process serves.
+// health answers whether this orchestrator is ready for clients. The first call with a positive answer also
+// records in the handover files that this process serves.
 func (a *adminCalls) health(answer func([]byte)) {
 	switch {
 	case a.server.shuttingDown:
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,7 +1,7 @@
 package main
 
-// This file derives the shards of workers that this orchestrator places tasks on from the membership table.
-// A view without this orchestrator never changes the shards that are assigned to it.
+// This file derives from the membership table which shards of the workers this orchestrator places tasks on.
+// If a view of the table does not list this orchestrator, its shards stay as they are.
 
 import (
 	"cmp"
@@ -14,10 +14,10 @@
 	"ravenhitch/internal/shard"
 )
 
-// presumptionUs is the time after the start, in microseconds, during which the members named in the operators'
-// file are presumed alive even if the membership table does not list them yet. It equals the time that the
-// detection of a dead member takes. Without it, every orchestrator of a fleet that starts at the same time
-// would request all workers.
+// presumptionUs is the time after the start, in microseconds, during which the members named in the
+// operators' file are presumed alive even if the membership table does not list them yet. It equals the time
+// that the detection of a dead member takes. Without the presumption, if a whole fleet started at the same
+// time, each orchestrator would request all workers, because its table would not list the others yet.
 const presumptionUs = 7 * second
 
 // assignment divides the workers among the live members. It is used on the event loop only.
@@ -47,8 +47,9 @@
 	return a
 }
 
-// endPresumption stops presuming members alive that the membership table does not list. If there has been
-// no stable view yet, it changes nothing, and the members stay presumed alive.
+// endPresumption ends the presumption that the members named in the operators' file are alive. From then on,
+// only the members that the membership table lists count. If there has been no stable view of the table yet,
+// endPresumption changes nothing, and the members stay presumed alive.
 func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
@@ -56,9 +57,9 @@
 	}
 }
 
-// onView divides the workers among the members of a new stable view. It ignores a view that does not contain
-// this orchestrator: the orchestrator has not joined that table yet, or the table lists another process under
-// its name.
+// onView divides the workers among the members of a new stable view. It ignores a view that does not list
+// this orchestrator: either the orchestrator has not joined the membership table yet, or the table lists
+// another process under its name.
 func (a *assignment) onView(members []membership.Member) {
 	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.name }) {
 		return
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -39,8 +39,8 @@
 	expect("moved to the east", 0, shard.Count)
 }
 
-// An orchestrator that has not joined the membership table when the presumption would end still shares the
-// workers with the members named in the operators' file.
+// If an orchestrator has not joined the membership table by the time at which the presumption would end, it
+// still shares the workers with the members named in the operators' file.
 func TestAssignmentBeforeJoining(t *testing.T) {
 	a := newAssignment("n1", "z1", config.Peers{Members: []config.PeerAddress{{Name: "n2"}}})
 	a.apply = func(discovery.Assignment) {}
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -30,7 +30,7 @@
 type frontRun struct {
 	outcomes          []string // of all requests and completions, in order
 	counts            dispatch.Counts
-	offersDuringDrain [2]int // number of offers during the drain: to the draining worker and to worker b
+	offersDuringDrain [2]int // number of offers while worker a drains: to the draining worker a, and to worker b
 }
 
 // The same requests, completions and drain have the same outcomes, counts and offers on both fronts.
@@ -89,7 +89,7 @@
 	return run
 }
 
-// jsonLinesUser is a client on JSON lines.
+// jsonLinesUser is a client of the front for JSON lines.
 type jsonLinesUser struct{ *testbed.Client }
 
 func (u jsonLinesUser) place(t *testing.T, n int, class, task string) string {
@@ -114,7 +114,7 @@
 	return line.Tag + " lost"
 }
 
-// grpcUser is a client with a gRPC session.
+// grpcUser is a client of the gRPC front with one session.
 type grpcUser struct{ *clientSession }
 
 func (u grpcUser) place(t *testing.T, n int, class, task string) string {
@@ -139,9 +139,9 @@
 	return ended.GetOfferId() + " lost"
 }
 
-// clientTimeoutMs returns the timeout of a task's request in milliseconds. Offers of silent tasks are never
-// answered. The timeout of their requests is shorter than the timeout of a single attempt, so that the number of
-// attempts does not depend on the speed of the computer.
+// clientTimeoutMs returns the timeout of the request for a task, in milliseconds. A worker never answers the
+// offer of a task whose name begins with "silent". The timeout of its request is shorter than the timeout of
+// an attempt, so the number of attempts does not depend on the speed of the computer.
 func clientTimeoutMs(task string) int {
 	if strings.HasPrefix(task, "silent") {
 		return 200
@@ -191,7 +191,7 @@
 	}
 }
 
-// Neither front releases or takes over a task that was submitted through the other front.
+// Neither front releases or takes over a task that a client submitted through the other front.
 func TestFrontsAreIsolated(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, session := server.connect(t), server.openSession(t, "s")
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -10,7 +10,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxLateAttempt is the maximum time that the rules allow from a client's leave to the start of an attempt.
+// maxLateAttempt is the maximum time that the rules allow between the moment at which a client leaves and the
+// start of an attempt for its request.
 const maxLateAttempt = 100 * time.Millisecond
 
 // leaverID is the request ID of the client that leaves.
@@ -27,8 +28,8 @@
 	leave func(t *testing.T, client *testbed.Client)
 }
 
-// waitingRequest is one point where a request can wait. begin submits the client's request such that it waits
-// at this point, and returns a function that ends the wait.
+// waitingRequest describes one point at which a request can wait. begin submits the client's request and
+// makes it wait at this point. It returns a function that ends the wait.
 type waitingRequest struct {
 	name    string
 	workers []string
@@ -65,7 +66,8 @@
 func waitForCancelConfirmation(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 	testbed.Send(client, leaverLine("missed-leaver"))
 	server.eventually(t, "the first attempt", func() bool { return server.attempts.OfferCount(leaverID) == 1 })
-	// After a notice, the server writes a cancel instead of closing the connection. The delay postpones the confirmation.
+	// A worker that has sent a notice since the offer gets a cancel; without the notice, the server would
+	// close the connection instead. The delay postpones the confirmation of the cancel.
 	for _, worker := range server.workers {
 		worker.SendNotice()
 		server.proxies[worker.Name].Delay(80 * time.Millisecond)
@@ -97,7 +99,7 @@
 	resumeBefore := server.pauseLoop(t)
 	testbed.Send(client, leaverLine("ok-leaver"))
 	wasRead, resumed := make(chan bool), make(chan bool)
-	server.loop.Post(func() { // runs in the turn that reads the request
+	server.loop.Post(func() { // runs in the turn in which the server reads the request
 		wasRead <- server.dispatcher.OpenCount() == 1
 		<-resumed
 	})
@@ -108,22 +110,23 @@
 	return func() { resumed <- true }
 }
 
-// submitLeaver submits the request of the client that leaves, and waits until it is open.
+// submitLeaver submits the request of the client that will leave, and waits until the request is open.
 func (s *proxiedServer) submitLeaver(t *testing.T, client *testbed.Client) {
 	t.Helper()
 	testbed.Send(client, leaverLine("ok-leaver"))
 	s.waitUntil(t, "the request", func() bool { return s.dispatcher.OpenCount() == 1 })
 }
 
-// waitMaxLateAttempt waits for maxLateAttempt, so that the paused turn lasts longer than maxLateAttempt.
+// waitMaxLateAttempt waits for maxLateAttempt while the event loop is paused within a turn. The turn
+// therefore lasts longer than maxLateAttempt.
 func (s *proxiedServer) waitMaxLateAttempt() {
 	for began := time.Now(); time.Since(began) < maxLateAttempt; time.Sleep(time.Millisecond) {
 	}
 }
 
-// No attempt begins for a client that has left, wherever its request waits and however the client leaves. The test
-// logs the time from the leave to the first byte of the last attempt, which is negative if that attempt came
-// before the leave.
+// No attempt begins for a client that has left, wherever its request waits and however the client leaves. The
+// test logs the time between the moment at which the client left and the first byte of the last attempt. The
+// time is negative if the attempt came first.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	for _, test := range waitingRequests {
 		for _, method := range []leaveMethod{
@@ -162,13 +165,14 @@
 	}
 }
 
-// newSlowDialServer starts a server with a long dial timeout for connections to workers, and has it start tasks on
+// newSlowDialServer starts a server with a long dial timeout for connections to workers, and starts tasks on
 // the workers.
 func newSlowDialServer(t *testing.T, workers []string) *proxiedServer {
 	t.Helper()
 	server := newProxiedServer(t, longDialTimeout(t), nil, workers...)
 	server.expectAllStarted(t, server.submit("ok", 1, 8000))
-	server.expectAllStarted(t, server.submit("ok", 16*len(workers), 8000)) // so that later offers no longer wait
+	// After these tasks, the offers that follow are sent without a wait.
+	server.expectAllStarted(t, server.submit("ok", 16*len(workers), 8000))
 	return server
 }
 
@@ -177,7 +181,7 @@
 func TestNoOfferForCancelledRequest(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// begin makes requests wait until end is called.
+		// begin makes further requests wait until the function end that it returns is called.
 		begin func(t *testing.T, server *testServer) (end func())
 		read  bool // true if the server reads requests during the wait
 	}{
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// overlongLine is a number of bytes above the maximum length of a line.
+	// overlongLine is the length in bytes of a line that exceeds the maximum length.
 	overlongLine = 17 << 10
-	// overlongName exceeds the maximum length of a tenant's name and of an idempotency key.
+	// overlongName is a name that exceeds the maximum length of a tenant's name and of an idempotency key.
 	overlongName = "0123456789012345678901234567890123456789012345678901234567890123456789"
 )
 
-// A malformed line ends only its own connection. Requests that were accepted before this line on its
+// A malformed line ends only the connection on which it arrives. Requests that were accepted earlier on this
 // connection get a response at once.
 func TestMalformedLines(t *testing.T) {
 	server := newTestServer(t, "a")
@@ -63,8 +63,8 @@
 	}
 }
 
-// The front answers an invalid submission with an error and does not offer it to a worker: the failure would
-// count against the worker.
+// The front answers an invalid submission with an error and does not offer it to a worker. The failure of
+// such an offer would count against the worker.
 func TestInvalidSubmissions(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -100,8 +100,8 @@
 	t.Run("too many requests", func(t *testing.T) { expectTooManyAreRejected(t, server) })
 }
 
-// A client that submits a request ID that is open for another client, with another task, gets an error. Neither its
-// submission nor its cancel affects the first request.
+// If a request ID is open for one client, another client that submits a different task under this ID gets an
+// error. Neither this submission nor a cancel by the other client affects the open request.
 func expectForeignIDIsLeftAlone(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	other := server.connect(t)
@@ -114,7 +114,8 @@
 	expectCause(t, "the first request's own response", client, testbed.RequestID(1), causeRejected)
 }
 
-// Two requests with the same ID on one connection get a single response, which is not STARTED.
+// If a client submits a request again on the same connection while the request is open, it gets a single
+// FINISH as the response to both submissions.
 func expectOneResponseToDuplicate(t *testing.T, server *testServer, client *testbed.Client) {
 	t.Helper()
 	request := testbed.StartLine(testbed.RequestID(2), "guide-web", "silent-2", 5000)
@@ -139,8 +140,8 @@
 	}
 }
 
-// Requests above the limit of open requests of a new connection are rejected at once. Too many invalid messages end
-// the connection, with a response to each open request.
+// A new connection may have only a limited number of open requests; further requests are rejected at once.
+// Too many invalid messages end the connection, after a response to each open request.
 func expectTooManyAreRejected(t *testing.T, server *testServer) {
 	t.Helper()
 	client := server.connect(t)
@@ -175,7 +176,8 @@
 	for _, client := range []*testbed.Client{slow, never} {
 		write(t, client, request[:half])
 	}
-	time.Sleep(2*time.Second - time.Since(began)) // simulates the slow client; the test waits for nothing here
+	// Simulates a client that writes slowly; the test does not wait for anything here.
+	time.Sleep(2*time.Second - time.Since(began))
 	write(t, slow, append(request[half:], '\n'))
 	if line := testbed.Wait(t, "the response", slow.Lines); line.Verb != "STARTED" {
 		t.Errorf("the slow client got %v, want STARTED", line)
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -10,9 +10,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A second client that submits a running task again does not receive the task's completion. The completion goes to
-// the client that submitted the task first or, if that client has disconnected, to a client for which a task
-// was started.
+// If a second client submits a running task again, it does not receive the task's completion. The completion
+// goes to the client that submitted the task first. If that client has disconnected, the completion goes to a
+// client for which a task was started.
 func TestCompletionGoesToItsClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first, served, second := server.connect(t), server.connect(t), server.connect(t)
@@ -47,8 +47,8 @@
 	expectCause(t, "the third completion", second, testbed.RequestID(3), causeDone)
 }
 
-// A task is not bound to a connection. If the client's connection is closed, the completion goes to the
-// connection of another client, or to the next client that connects.
+// A task is not bound to a connection. If the connection of its client is closed, the completion goes to
+// another client that is connected, or otherwise to the next client that connects.
 func TestCompletionGoesToAnotherClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first := server.connect(t)
@@ -83,9 +83,9 @@
 	}
 }
 
-// A completion for which no client is connected waits for a connection that is known to belong to a client,
-// while other connections, which may belong to any process, are opened. If only such connections are opened,
-// the completion goes to one of them before the deadline for its report.
+// If no client is connected, a completion waits for a connection that is known to belong to a client.
+// Meanwhile, connections that may belong to any process do not get it. If only such unknown connections are
+// opened, the completion goes to one of them before the deadline for its report.
 func TestCompletionWaitsForAClient(t *testing.T) {
 	invalid := testbed.StartLine(testbed.RequestID(2), "no-such-class", "ok-2", 5000)
 	for _, test := range []struct {
@@ -113,7 +113,8 @@
 			server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 1 })
 
 			unknown := server.connect(t)
-			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a")) // this client may have guessed the request ID
+			// The request ID proves nothing: this client may have guessed it.
+			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a"))
 			testbed.Send(unknown, invalid)
 			if line := testbed.Wait(t, "the error", unknown.Lines); line.Tag != testbed.RequestID(2) || line.Cause() != causeFailed {
 				t.Fatalf("invalid submission: got %v, want an error for request 2", line)
@@ -137,8 +138,9 @@
 	}
 }
 
-// A task may complete before its worker reports that it started. The worker then reports both in one message.
-// The client receives the start and the completion, whatever the class, and the task is not offered again.
+// A task may complete before its worker reports that it started. The worker then reports the start and the
+// completion in one message. The client receives both, whatever the class of the request, and the task is not
+// offered again.
 func TestCompletionWithStart(t *testing.T) {
 	server := newTestServer(t, "a", "b")
 	client := server.connect(t)
@@ -217,7 +219,7 @@
 			server.waitUntil(t, "a full connection table", func() bool {
 				return server.loop.HasQueuedConnections() || server.clientFront.Connections() == maxClients
 			})
-			server.onLoop(t, func() {}) // one more turn of the event loop, with connections queued
+			server.onLoop(t, func() {}) // lets the event loop run one more turn while connections are queued
 			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
 			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
 				t.Errorf("completion: got %v, want the completion of request 1", line)
@@ -226,8 +228,9 @@
 	}
 }
 
-// While a client is disconnected and may reconnect, its completion does not go to a connection that has only
-// sent messages. The completion is reported on the first connection that pings or has had tasks.
+// While a client is disconnected and may reconnect, its completion does not go to a connection that has sent
+// messages but has neither pinged nor had a task. The completion goes to the first connection that pings or
+// has had tasks.
 func TestCompletionNotReportedToStrangers(t *testing.T) {
 	server := newSmallServer(t, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -75,9 +75,9 @@
 	return ends
 }
 
-// An idle connection that has only sent a ping is evicted at once for a new client. A connection that
-// had a task is evicted only after it was idle for a while; until then, a new client waits in the kernel's accept
-// queue, and the server does not stop while a connection waits in that queue.
+// An idle connection that has only sent a ping is evicted at once for a new client. A connection that had a
+// task is evicted only after it has been idle for a while. Until then, the new client waits in the kernel's
+// accept queue, and the server does not stop while a connection waits there.
 func TestQueuedConnectionsAreServed(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for i := range maxClients {
@@ -106,7 +106,8 @@
 	}
 }
 
-// A client that has not read its response yet is not evicted for a client whose connection waits in the accept queue.
+// If a client has not read its response yet, its connection is not evicted for a client that waits in the
+// accept queue.
 func TestSlowReaderIsNotEvicted(t *testing.T) {
 	server := newSmallServer(t, "a")
 	slow := newSlowReader(t, server)
@@ -154,13 +155,15 @@
 			for range maxClients - 1 {
 				pingServer(t, server.connect(t))
 			}
-			evictableFrom := server.now(t) + 150*millisecond // all connections may be evicted from then on
+			// From this time on, each connection has been idle long enough to be evicted.
+			evictableFrom := server.now(t) + 150*millisecond
 			server.waitUntil(t, "clients idle for 150 ms", func() bool { return server.loop.Now() > evictableFrom })
 			request := testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000)
 
 			if test.before {
 				resume := server.pauseLoop(t)
-				next := server.connect(t) // the server accepts next before it reads the request, and evicts crossing
+				// The server will accept next before it reads the request, and will evict crossing for it.
+				next := server.connect(t)
 				testbed.Send(crossing, request)
 				resume()
 				pingServer(t, next)
@@ -188,8 +191,9 @@
 	}
 }
 
-// At the connection limit, one idle connection is evicted for each new client, and none without a new client: a
-// client that uses its connection at that moment would find it closed for no reason.
+// At the connection limit, one idle connection is evicted for each new client. Without a new client, no
+// connection is evicted, because a client that uses its connection at that moment would find it closed for no
+// reason.
 func TestNoEvictionForNobody(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for range maxClients {
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -11,7 +11,8 @@
 )
 
 // With more workers than descriptors, the server closes connections to idle workers to connect to the workers
-// that it needs. It keeps the connection to a worker with a running task, because the completion arrives on it.
+// that it needs. It keeps the connection to a worker with a running task, because the completion of the task
+// arrives on that connection.
 func TestIdleWorkerConnectionsAreEvicted(t *testing.T) {
 	const workers, tasks = 60, 6
 	server := newServerWithDiscoveryProxy(t, workers)
@@ -47,8 +48,8 @@
 	}
 }
 
-// With more workers than descriptors, the server connects to the workers with running tasks: it closes connections
-// to idle workers and also borrows descriptors that clients do not use.
+// With more workers than descriptors, the server connects to every worker with a running task. To have enough
+// descriptors, it closes connections to idle workers and also borrows descriptors that clients do not use.
 func TestWorkersWithRunningTasksAreConnected(t *testing.T) {
 	const workers, tasks = 60, 20
 	server := newServerWithDiscoveryProxy(t, workers)
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -16,8 +16,9 @@
 func TestServesWithoutDiscovery(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// listen returns the address of discovery and, if discovery accepts connections, a channel of the
-		// connections that polls open; otherwise the channel is nil.
+		// listen returns the address of discovery. If discovery accepts connections, listen also returns a
+		// channel that receives each connection that the server opens for a poll; otherwise the channel is
+		// nil.
 		listen func(t *testing.T) (addr string, polls <-chan net.Conn)
 	}{
 		{"it refuses", func(t *testing.T) (string, <-chan net.Conn) {
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A cancel takes longer to arrive than the next offer takes to another worker. That offer must wait until the
-// first worker has read the cancel.
+// A cancel takes longer to reach its worker than an offer takes to reach another worker. The next offer of
+// the request must therefore wait until the first worker has read the cancel.
 func manyAbandonedAtOnce(t *testing.T, server *proxiedServer) {
 	for _, worker := range server.workers[:6] {
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
@@ -55,7 +55,8 @@
 	server.expectAllStarted(t, missed)
 }
 
-// Cancels that are sent while the ping after the first cancel is in flight are confirmed too.
+// While the ping that follows the first cancel is in flight, further cancels are sent. They are confirmed
+// too.
 func abandonedOneByOne(t *testing.T, server *proxiedServer) {
 	for _, proxy := range server.proxies {
 		proxy.Delay(80 * time.Millisecond)
@@ -68,9 +69,9 @@
 	server.expectAllStarted(t, missed)
 }
 
-// The connection is cut after the worker's last message, so the cancel never arrives. The test cuts the
-// connection of a worker that has an attempt: the scheduler chooses at random among equal workers, and worker
-// a may have no attempt.
+// A connection is cut after the worker's last message, so the cancel never arrives. The cut must hit a worker
+// that has an attempt. The scheduler chooses at random among equal workers, so worker a may have no attempt.
+// A test that always cut the connection to worker a would then cut one on which no cancel is sent.
 func cutBeforeCancel(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 2000)
 	server.sendNoticesOnceOffered(t, missed)
@@ -123,21 +124,22 @@
 	server.waitResponses(t, silent)
 }
 
-// A release is sent again if the connection on which it was written has ended.
+// A release is sent again if the connection on which it was written has closed.
 func releasedIntoCut(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
 	testbed.Send(server, cancelLine(id))
-	// When attempts on the partitioned connection end, the connection is reset, which discards the release.
+	// When attempts on the connection to the partitioned worker end, the server resets the connection, which
+	// discards the release.
 	server.waitResponses(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
 	for testbed.Wait(t, "the release", server.workers[0].Cancels).Tag != id {
 	}
 }
 
-// A worker considers a connection open that the server closed during a partition. The worker reports a
-// completion on that connection and on the next connection. The server must open another connection,
-// although an existing one is in use.
+// During a partition, the server closes a connection, and the worker still considers it open. The worker
+// reports a completion on that connection, and again on the next connection that is opened. The server must
+// therefore open one, although it already uses another connection to the worker.
 func completedOnClosedConnection(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
@@ -148,17 +150,20 @@
 	server.waitCompletion(t, id)
 }
 
-// A worker sends a completion on an older connection while the server closes it, just after the
-// worker has sent a response on that connection. The worker reports the completion again on the next connection, which the server must open.
+// A worker sends a response on an older connection, and the server closes this connection just afterwards.
+// Meanwhile, the worker sends a completion on it. The worker reports the completion again on the next
+// connection, which the server must open.
 func completedDuringClose(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.lastID++
-	late := testbed.RequestID(server.lastID) // attempts of its class are not abandoned early
+	late := testbed.RequestID(server.lastID) // the server does not abandon attempts of class archive-cut early
 	testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
 	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.InFlight(), late) })
 	dials, _ := server.workers[0].DialCounts()
-	server.eventually(t, "another connection", func() bool { // opened after the worker has been silent for a long time
-		time.Sleep(450 * time.Millisecond) // the interval between the client's requests, in which the worker is silent
+	// The server opens another connection after the worker has been silent for a long time.
+	server.eventually(t, "another connection", func() bool {
+		// The worker is silent between the requests that the client submits at this interval.
+		time.Sleep(450 * time.Millisecond)
 		server.submit("ok", 1, 5000)
 		now, _ := server.workers[0].DialCounts()
 		return now > dials
@@ -183,7 +188,9 @@
 // nothing back and was closed, 'offer attempt=2' named the same worker 3 ms later, and 'offer never sent' followed
 // because the next connection was not established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
-	for range 30 { // up to 30 servers: placement is random, and about every second draw puts all attempts at one worker
+	// Placement is random: about every second server has all first attempts at one worker, so 30 servers
+	// suffice.
+	for range 30 {
 		server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 		missed := server.submit("missed", 4, 2000)
 		server.sendNoticesOnceOffered(t, missed)
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -38,8 +38,8 @@
 	s.loop.After(intervalUs, export)
 }
 
-// closeExporters stops the exporters one after another. Each one gets exporterCloseTimeout to send the figures
-// that are still queued.
+// closeExporters stops the exporters one after another. Each exporter gets exporterCloseTimeout to send the
+// figures that are still queued.
 func (s *server) closeExporters() {
 	for _, exporter := range s.exporters {
 		exporter.Close(exporterCloseTimeout)
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -25,8 +25,8 @@
 	tasks   <-chan func() // disk work of admin calls
 }
 
-// run works until the server has stopped. The server does not wait for it to return: the disk may be slow, and
-// a slow disk must not delay the exit of the process.
+// run works until the server has stopped. The server does not wait for run to return, because a slow disk
+// must not delay the exit of the process.
 func (w *fileWorker) run() {
 	ticker := time.NewTicker(handoverReadInterval)
 	defer ticker.Stop()
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkSuccessor checks for a successor on request of a shutdown, and begins the shutdown with the result.
+// checkSuccessor checks for a successor when a shutdown requests it, and begins the shutdown with the result.
 func (w *fileWorker) checkSuccessor() {
 	s, found := w.server, w.store.hasSuccessor()
 	s.loop.Post(func() {
@@ -53,7 +53,8 @@
 	})
 }
 
-// readFiles reads the files and posts changes that other processes made since the last read to the event loop.
+// readFiles reads the handover files. If other processes have changed them since the last read, it posts the
+// changes to the event loop.
 func (w *fileWorker) readFiles() {
 	s := w.server
 	if w.store.hasSuccessor() {
--- a/cmd/ravenhitch/grpc.go
+++ b/cmd/ravenhitch/grpc.go
@@ -28,7 +28,7 @@
 	if s.tokenKeysPath = operators.RetryTokenKeysPath; s.tokenKeysPath != "" {
 		keys, err := loadTokenKeys(s.tokenKeysPath)
 		if err != nil {
-			_ = listener.Close() // the error of the keys is returned instead
+			_ = listener.Close() // the caller gets the error of loadTokenKeys instead
 			return err
 		}
 		s.grpcFront.SetKeys(keys)
--- a/cmd/ravenhitch/grpc_session_test.go
+++ b/cmd/ravenhitch/grpc_session_test.go
@@ -16,8 +16,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A binding that was sent and not acknowledged is sent again on the next stream of the session, and the task
-// starts once.
+// If the client has not acknowledged a binding, the server sends it again on the next stream of the session.
+// The task starts only once.
 func TestUnreadBindingIsResent(t *testing.T) {
 	server := newTestServer(t, "a")
 	first := server.openSession(t, "s")
@@ -29,9 +29,9 @@
 		t.Errorf("first message of the resumed session: got %v, want the same binding", got)
 	}
 
-	// A repeat of the offer and a new offer of the same task get the same binding. They are sent one after the
-	// other because messages on different streams may arrive in any order, and the last session to offer the
-	// task gets the completion.
+	// A repeat of the offer and a new offer of the same task get the same binding. They are sent one after
+	// the other for two reasons: messages on different streams may arrive in any order, and the completion
+	// goes to the session that offered the task last.
 	other := server.openSession(t, "another")
 	for i, session := range []*clientSession{resumed, resumed, other} {
 		session.sendOffer(t, newOffer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
@@ -45,7 +45,7 @@
 		t.Errorf("completion: got %v, want HOW_DONE", ended)
 	}
 
-	// A repeat after the completion does not start the task either.
+	// If the offer is repeated after the completion, the task does not start again either.
 	other.sendOffer(t, newOffer(testbed.RequestID(1), "archive-cut", "ok-cut", 5000))
 	rejection := testbed.Wait(t, "the response to the late repeat", other.messages).GetRejection()
 	if codes.Code(rejection.GetCode()) != codes.AlreadyExists {
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -23,7 +23,8 @@
 	want  codes.Code
 }
 
-// offerWith returns an offer of class guide-web, whose requests may be retried, after a change to it.
+// offerWith returns an offer of class guide-web, whose requests may be retried. change modifies the offer
+// before it is returned.
 func offerWith(id int, task string, change func(offer *edgepb.Offer)) *edgepb.Offer {
 	offer := newOffer(testbed.RequestID(id), "guide-web", task, 0)
 	change(offer)
@@ -46,8 +47,8 @@
 	{"another task's id", newOffer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
 }
 
-// A rejection, a failure, an invalid offer, an expired deadline and a cancellation each end the call with their
-// status code.
+// A rejected offer, a failed offer, an invalid offer, an expired deadline and a cancellation each end the
+// call with a different status code.
 func TestStatusCodes(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, worker := server.grpcClient(t), server.workers[0]
@@ -131,8 +132,8 @@
 	if err := testbed.Wait(t, "the end of the call", errs); status.Code(err) != codes.Canceled {
 		t.Errorf("cancelled call: got status %v, want Canceled", err)
 	}
-	// The worker has sent nothing on the connection since the offer. A cancel written on it may never arrive,
-	// and only closing the connection is certain to abandon the attempt.
+	// The worker has sent nothing on the connection since the offer, so a cancel written on it may never
+	// arrive. Only closing the connection is certain to abandon the attempt.
 	for testbed.Wait(t, "the close", worker.LostOffers).Tag != testbed.RequestID(21) {
 	}
 }
--- a/cmd/ravenhitch/grpc_tls_test.go
+++ b/cmd/ravenhitch/grpc_tls_test.go
@@ -54,8 +54,8 @@
 	return certPath, keyPath
 }
 
-// With a certificate, the gRPC front accepts only TLS connections. Its health service reports SERVING before a
-// shutdown and NOT_SERVING during the shutdown, in which offers are still served.
+// With a certificate, the gRPC front accepts only TLS connections. Its health service reports SERVING before
+// a shutdown and NOT_SERVING during the shutdown. Offers are still served during the shutdown.
 func TestTLSAndHealth(t *testing.T) {
 	certPath, keyPath := writeCertificate(t)
 	server := startTestServer(t, serverOptions{operators: config.OperatorSettings{GRPCListen: "127.0.0.1:0", GRPCCert: certPath, GRPCKey: keyPath}}, "a")
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -1,7 +1,8 @@
 package main
 
 // This file owns the files by which a process hands over to its successor: the list of cordoned workers and
-// the ID of the process that serves. All functions block on disk I/O and must never run on the event loop.
+// the ID of the process that serves. All its functions block on disk I/O and must never run on the event
+// loop.
 
 import (
 	"errors"
@@ -30,7 +31,7 @@
 
 // handoverStore reads and writes the files by which a process passes state to its successor. Its methods block.
 type handoverStore struct {
-	cordonsPath string // path of the list of cordoned workers; the other files add a suffix to it
+	cordonsPath string // path of the list of cordoned workers; the paths of the other files are this path plus a suffix
 	processID   string // ID of this process
 	previousID  string // ID of the process that served when this one started, "" if there was none
 }
@@ -47,7 +48,7 @@
 
 // serving returns the ID of the process that last called claimServing, or "" if none did.
 func (s handoverStore) serving() string {
-	b, _ := os.ReadFile(s.cordonsPath + servingSuffix) // a file that cannot be read counts as naming no process
+	b, _ := os.ReadFile(s.cordonsPath + servingSuffix) // if the file cannot be read, no process is known to serve
 	return strings.TrimSpace(string(b))
 }
 
@@ -63,7 +64,7 @@
 	return serving != s.processID && serving != s.previousID
 }
 
-// replace atomically replaces the content of the file with this suffix.
+// replace atomically replaces the content of the file whose path is cordonsPath plus suffix.
 func (s handoverStore) replace(suffix string, content []byte) error {
 	path := s.cordonsPath + suffix
 	if err := os.WriteFile(path+stagingSuffix, content, handoverFileMode); err != nil {
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// connectSilentOperators opens admin connections whose calls are never complete. Any number of them must not
+// connectSilentOperators opens admin connections that never send a complete call. Any number of them must not
 // delay other operators.
 func connectSilentOperators(t *testing.T, process *managedProcess, count int) {
 	t.Helper()
@@ -104,10 +104,10 @@
 	process.call(t, "ONLINE b")
 }
 
-// expectSuccessorServes checks the period in which the first process shuts down and the second serves. A call to
-// uncordon a worker at the first process takes effect at the second as well. Clients that connect now are served
-// by the second process, and the first still serves the clients that were connected to it. The function returns
-// a client of the second process.
+// expectSuccessorServes checks the period in which the first process shuts down while the second serves. A
+// call to the first process that uncordons a worker takes effect at the second process as well. Clients that
+// connect in this period are served by the second process, and the first still serves the clients that were
+// connected to it. The function returns a client of the second process.
 func expectSuccessorServes(t *testing.T, first, second *managedProcess, firstClient *testbed.Client, addr string) *testbed.Client {
 	t.Helper()
 	if f := second.figures(t); f.Ejected != 1 {
@@ -143,8 +143,8 @@
 	}
 }
 
-// A server does not start if the file of cordoned workers is truncated. Reading it as an empty file would
-// uncordon workers.
+// A server does not start if the file of cordoned workers is truncated. If it read the file as an empty one,
+// it would uncordon workers.
 func TestTruncatedCordonsStopTheStart(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	b := admin.Cordons{"a": true}.Encode()
@@ -187,7 +187,8 @@
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, file)
-	// The server closes the descriptor that it inherits, so it gets a duplicate, as a child process does.
+	// The server closes the descriptor that it inherits. It therefore gets a duplicate of the test's
+	// descriptor, as a child process would.
 	inherited, err := unix.Dup(int(file.Fd()))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -12,12 +12,12 @@
 
 var completionsPlayed = flag.Int("endings", 2000, "endings of each kind over loopback")
 
-// heapSlack is the maximum growth in bytes of the heap of the server and the testbed if nothing is leaked. It
-// covers the buffers of connections and the memory that the runtime has not freed yet.
+// heapSlack is the maximum growth of the heap of the server and the testbed, in bytes, that does not count as
+// a leak. It covers the buffers of connections and the memory that the runtime has not freed yet.
 const heapSlack = 96 << 10
 
-// completionKinds maps the name of each way in which a request or a task can end to a function that submits a
-// request and ends it or its task in that way.
+// completionKinds lists the ways in which a request or its task can end. Each name maps to a function that
+// submits a request and makes the request or its task end in this way.
 var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "ok-1")
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -24,7 +24,8 @@
 	maxQueuedSignals = 8
 	// firstInheritableFD is the first file descriptor after those of the standard streams.
 	firstInheritableFD = 3
-	// The memory limit of the Go runtime is this fraction of the memory that the process may use.
+	// The memory limit of the Go runtime is memoryLimitNumerator/memoryLimitDenominator of the memory that
+	// the process may use.
 	memoryLimitNumerator, memoryLimitDenominator = 6, 10
 
 	bytesPerMBShift = 20
@@ -47,8 +48,8 @@
 	}
 }
 
-// serve runs an orchestrator until a signal ends it. The environment names its configuration file;
-// operatorsPath is the path of the operators' file.
+// serve runs an orchestrator until a signal ends it. The path of the configuration file comes from the
+// environment; operatorsPath is the path of the operators' file.
 func serve(operatorsPath string) error {
 	configPath := os.Getenv("ROUTER_CONFIG")
 	if configPath == "" {
@@ -77,8 +78,8 @@
 	return server.Run()
 }
 
-// setRuntimeLimits limits the Go runtime to one processor, because everything except gRPC and disk work runs on
-// one event loop, and limits its memory if the configuration sets a limit.
+// setRuntimeLimits limits the Go runtime to one processor, because everything except gRPC and disk work runs
+// on one event loop. It also limits the memory of the runtime if the configuration sets a limit.
 func setRuntimeLimits(cfg config.Config) {
 	runtime.GOMAXPROCS(1)
 	if cfg.MemoryMB > 0 {
@@ -87,8 +88,8 @@
 }
 
 // handleSignals reloads on SIGHUP and stops the server on any other signal. It returns when the server has
-// stopped. Run does not wait for it, as a reload may read from a slow disk. The signals stay registered until
-// the process ends, because a late signal would otherwise kill the process.
+// stopped. Run does not wait for handleSignals to return, because a reload may read from a slow disk. The
+// signals stay registered until the process ends, because a late signal would otherwise kill the process.
 func (s *server) handleSignals(signals <-chan os.Signal, configPath string) {
 	for {
 		select {
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -74,7 +74,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // the process has already ended unless the test failed
+	// The error is ignored: unless the test failed, the process has already ended.
+	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	lines := make(chan string, 100)
 	go func() {
 		for scanner := bufio.NewScanner(log); scanner.Scan(); {
--- a/cmd/ravenhitch/orchestrator_status.go
+++ b/cmd/ravenhitch/orchestrator_status.go
@@ -24,7 +24,7 @@
 // legendOrder lists the statuses in the order of the timeline's legend.
 var legendOrder = []orchestratorStatus{statusUp, statusSuspected, statusSeenDead, statusUnnoticed, statusDown}
 
-// statusOf returns the status of an orchestrator in one sample.
+// statusOf returns the status that an orchestrator has in one sample of the rehearsal.
 func statusOf(state fleet.OrchestratorState) orchestratorStatus {
 	switch {
 	case !state.Up && state.Alive+state.Suspected > 0:
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -1,7 +1,7 @@
 package main
 
 // This file connects the server with the other orchestrators of its cluster. The server calls startPeers only
-// if the operators' file names an address to listen on; without one, no socket is opened.
+// if the operators' file names an address to listen on. Without such an address, no socket is opened.
 
 import (
 	"cmp"
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// adminTimeout is the timeout of connecting, and also the timeout of sending the call and reading the reply.
+	// adminTimeout is the timeout of two steps: connecting, and then sending the call and reading the reply.
 	adminTimeout = 2 * time.Second
 	// maxAdminReply is the maximum number of bytes of a reply that are read.
 	maxAdminReply = 8 << 20
@@ -52,7 +52,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // the reply has been read by then
+	defer func() { _ = conn.Close() }() // the whole reply has been read by then
 	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return "", err
 	}
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -19,7 +19,7 @@
 	proxies        map[string]*testbed.Proxy // by worker
 	attempts       *testbed.AttemptLog
 	lastID         int               // number of the last request ID
-	firstResponses map[string]string // verb of the first response, by request ID
+	firstResponses map[string]string // verb of the first response to each request, by request ID
 }
 
 // newProxiedServer starts a server with the given settings, log and workers, and connects its client.
@@ -34,12 +34,13 @@
 	return s
 }
 
-// newWarmProxiedServer starts a server that has already measured quick answers from its workers. It therefore
-// abandons later attempts early and has many in flight at a time.
+// newWarmProxiedServer starts a server whose workers have already answered quickly. The server has measured
+// this, so it abandons later attempts early and can have many attempts in flight at a time.
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
-	s.waitResponses(t, s.submit("ok", 1, 5000)) // the first task on a connection raises the low limit of its open requests
+	// The limit of open requests, which is low on a new connection, rises with the first task.
+	s.waitResponses(t, s.submit("ok", 1, 5000))
 	s.expectAllStarted(t, s.submit("ok", 16*len(workers), 5000))
 	return s
 }
@@ -58,8 +59,8 @@
 	return ids
 }
 
-// sendNoticesOnceOffered waits until there are at least half as many open attempts as requests. It then lets every
-// worker send a notice and waits until the server has read the notices.
+// sendNoticesOnceOffered waits until the number of open attempts is at least half the number of requests. It
+// then lets every worker send a notice and waits until the server has read the notices.
 func (s *proxiedServer) sendNoticesOnceOffered(t *testing.T, ids []string) {
 	t.Helper()
 	s.eventually(t, "half of the offers", func() bool { return 2*len(s.attempts.InFlight()) >= len(ids) })
@@ -148,8 +149,8 @@
 	})
 }
 
-// expectNoDuplicates fails the test if a worker received an offer while another attempt of its request was in
-// flight.
+// expectNoDuplicates fails the test if a worker ever received an offer of a request while another attempt of
+// the same request was in flight.
 func (s *proxiedServer) expectNoDuplicates(t *testing.T) {
 	t.Helper()
 	if duplicates := s.attempts.Duplicates(); len(duplicates) > 0 {
--- a/cmd/ravenhitch/rehearsal_host.go
+++ b/cmd/ravenhitch/rehearsal_host.go
@@ -14,9 +14,9 @@
 // errEndedEarly is wrapped by the error of a rehearsal that ended before its schedule was completed.
 var errEndedEarly = errors.New("the rehearsal ended early")
 
-// rehearsalHost is the testbed.Host of a rehearsal. Its methods may be called from any goroutine, except Fatal
-// and Fatalf: these panic, as the Fatal of a test ends the goroutine of the test, so only the goroutine that
-// runs rehearseCommand.Run may call them.
+// rehearsalHost is the testbed.Host of a rehearsal. Fatal and Fatalf end the rehearsal by a panic, which
+// rehearseCommand.Run recovers, so only the goroutine of Run may call them. Any goroutine may call the other
+// methods.
 type rehearsalHost struct {
 	out      io.Writer
 	mu       sync.Mutex
@@ -55,10 +55,11 @@
 	panic(errEndedEarly)
 }
 
-// Fatalf is Fatal with a format.
+// Fatalf formats its arguments and then does what Fatal does.
 func (h *rehearsalHost) Fatalf(format string, args ...any) { h.Fatal(fmt.Sprintf(format, args...)) }
 
-// recoverFatal returns the error for a recovered panic of Fatal. It panics again with any other reason.
+// recoverFatal returns the error of a rehearsal that Fatal ended, given the recovered value of the panic. For
+// the value of any other panic, it panics again.
 func (h *rehearsalHost) recoverFatal(reason any) error {
 	if err, ok := reason.(error); !ok || !errors.Is(err, errEndedEarly) {
 		panic(reason)
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -47,7 +47,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // contains only settings and stored files of processes that have ended
+	// An error is ignored, because dir contains only settings and stored files of processes that have ended.
+	defer func() { _ = os.RemoveAll(dir) }()
 	host := &rehearsalHost{out: out}
 	defer host.runCleanups()
 	interrupts := make(chan os.Signal, 1)
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// parseSchedule returns the steps of the schedule, or none if they are to be drawn from a seed.
+// parseSchedule returns the steps of the schedule that the flags give. It returns none if the schedule is to
+// be drawn from a seed.
 func (c *rehearseCommand) parseSchedule() ([]testbed.Step, error) {
 	text := c.Schedule
 	if c.ScheduleFile != "" {
@@ -127,8 +129,9 @@
 	return c.saveRecording(host, rig, placed, steps)
 }
 
-// showUntilPlayed plays the schedule and shows the progress every second. If an interrupt ends it early, the
-// goroutine that plays the schedule keeps running until the process exits, which follows immediately.
+// showUntilPlayed plays the schedule and shows the progress every second. If an interrupt ends the rehearsal
+// early, the goroutine that plays the schedule keeps running until the process exits, which happens
+// immediately afterwards.
 func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step, length time.Duration,
 	interrupts <-chan os.Signal) error {
 	played := make(chan struct{})
--- a/cmd/ravenhitch/reload.go
+++ b/cmd/ravenhitch/reload.go
@@ -1,15 +1,15 @@
 package main
 
-// This file reloads changed files while the server runs. A file that cannot be read completely is never
-// applied, and a reload never affects open requests or running tasks.
+// This file reloads changed files while the server runs. If a file cannot be read completely, none of its
+// content is applied. A reload never affects open requests or running tasks.
 
 import (
 	"ravenhitch/internal/config"
 )
 
-// Reload reads the retry token keys and the configuration file again. Of the configuration, only the address of
-// discovery takes effect; all other settings need a restart. A file that cannot be used changes nothing, and
-// the error is logged. Reload may be called from any goroutine.
+// Reload reads the files of the retry token keys and of the configuration again. Of the configuration, only
+// the address of discovery takes effect; all other settings need a restart. A file that cannot be used
+// changes nothing, and the error is logged. Reload may be called from any goroutine.
 func (s *server) Reload(configPath string) {
 	s.reloadTokenKeys()
 	s.loop.Post(func() {
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -27,8 +27,9 @@
 // connection to each worker, whether or not workers share an address.
 const sharedListeners = 8
 
-// All processes are killed and started again at once. Each becomes ready again and starts a task on a worker. The
-// times are printed and not checked. The full-size test is -args -processes 16 -workers 4000.
+// All processes are killed and started again at once. Each process becomes ready again and starts a task on a
+// worker. The test prints how long the processes took and does not check it. The full-size test is -args
+// -processes 16 -workers 4000.
 func TestRestartedAtOnce(t *testing.T) {
 	rig := newRestartRig(t, *restartProcesses, *restartWorkers)
 	rig.start(t)
@@ -90,7 +91,8 @@
 	}
 }
 
-// start starts all processes at once. It returns the times that they took to answer a ping, in ascending order.
+// start starts all processes at once. It returns how long each process took to answer a ping, in ascending
+// order.
 func (r *restartRig) start(t *testing.T) []time.Duration {
 	t.Helper()
 	type ready struct {
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// A retry token that one orchestrator issued is valid at another orchestrator with the same keys, but only once and
-// not before its Retry-After has passed. A token that is early, used or invalid has no effect: the offer is handled
-// like an offer without a token.
+// If one orchestrator issued a retry token, another orchestrator with the same keys accepts it once, and not
+// before its Retry-After has passed. A token that is early, used or invalid has no effect: the offer is
+// handled like an offer without a token.
 func TestRetryTokens(t *testing.T) {
 	issuer, _ := newServerWithTokenKeys(t)
 	verifier, keysPath := newServerWithTokenKeys(t)
@@ -71,15 +71,16 @@
 
 	altered := bytes.Clone(token)
 	altered[10] ^= 1
-	placeWithToken("full-1", token)   // early
-	placeWithToken("full-1", altered) // invalid
-	placeWithToken("full-2", token)   // issued for another task
+	placeWithToken("full-1", token)   // the Retry-After has not passed yet
+	placeWithToken("full-1", altered) // the token is altered
+	placeWithToken("full-2", token)   // the token was issued for another task
 	<-time.After(time.Until(rejectedAt.Add(retryAfter)))
 	placeWithToken("full-1", token)
-	placeWithToken("full-1", token) // used
+	placeWithToken("full-1", token) // the token has been used
 	verifier.expectTokenCounts(t, grpcfront.TokenCounts{Good: 1, Early: 1, Used: 1, Bad: 2})
 
-	// A key file without a valid key changes nothing; valid new keys apply after the reload.
+	// After a reload with a file that contains no valid key, the old keys stay valid. After a reload with
+	// valid new keys, only the new keys are valid.
 	for _, text := range []string{"[keys]", "[keys]\nkey 2027-01 ffffffffffffffffffffffffffffffff\n"} {
 		if err := os.WriteFile(keysPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -44,7 +44,7 @@
 				return
 			}
 		}
-		s.onLoop(t, func() {}) // wait for a turn of the event loop
+		s.onLoop(t, func() {}) // lets the event loop run another turn
 	}
 }
 
@@ -53,9 +53,10 @@
 // connection. The task ran and has ended, so the request gets a response at once and is not offered again when a
 // worker becomes available.
 //
-// The orchestrator used to accept the end of a task on a connection other than the offer's only if the task was running
-// or unknown. In the soak with seed 15, the trace showed 'connection lost with offer open', the worker ended the task
-// 220 ms later without a line in the trace, and 'offer attempt=1' to another worker followed 380 ms after that.
+// In the fault that this test guards against, the end of a task arrived on another connection than the offer had been
+// sent on. The orchestrator accepted the report only if the task was running or unknown. In the soak with seed 15,
+// the trace showed 'connection lost with offer open', the worker ended the task 220 ms later without a line
+// in the trace, and 'offer attempt=1' to another worker followed 380 ms after that.
 func TestTaskEndedOnAnotherConnection(t *testing.T) {
 	for _, end := range []struct {
 		name string
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -34,13 +34,13 @@
 	reservedDescriptors = 32
 	// defaultSockets is the limit of sockets if the configuration sets none.
 	defaultSockets = 1024
-	// minSocketBudget is the minimum number of sockets with which the event loop can serve.
+	// minSocketBudget is the minimum number of sockets that the event loop needs to serve.
 	minSocketBudget = 16
-	// minBufferedBytes is the lower bound of the limit of unread bytes in the send buffer of a connection: a few
-	// messages of the maximum size.
+	// minBufferedBytes is the lower bound of the limit of unread bytes in the send buffer of a connection. It
+	// has room for a few messages of the maximum size.
 	minBufferedBytes = 64 << 10
-	// bufferedMemoryDivisor limits the unread bytes of all connections together to 1/bufferedMemoryDivisor of
-	// the memory.
+	// bufferedMemoryDivisor determines the limit of unread bytes of all connections together, which is the
+	// memory divided by bufferedMemoryDivisor.
 	bufferedMemoryDivisor = 4
 )
 
@@ -53,7 +53,7 @@
 	pool       *workerpool.Pool
 	follower   *discovery.Follower
 	peers      *peer.Peers // nil if no other orchestrators are configured
-	assignment *assignment // division of the workers among orchestrators, nil if this one uses all workers
+	assignment *assignment // assigns workers to this orchestrator; nil if it uses all workers
 	exporters  []*metrics.Exporter
 
 	clientFront *clientfront.Front
@@ -65,12 +65,13 @@
 	grpcServing   sync.WaitGroup   // tracks the goroutine that accepts gRPC connections
 	tokenKeysPath string           // path of the file of the retry token keys, "" if there is none
 
-	drainTimeout              int64 // maximum time after Stop for open requests, in microseconds
-	drainTimeoutWithSuccessor int64 // drainTimeout for the case that a successor serves
+	drainTimeout              int64 // maximum time, in microseconds, for which requests may stay open after Stop
+	drainTimeoutWithSuccessor int64 // value that replaces drainTimeout if a successor serves
 	shuttingDown              bool
 	inheritedListener         bool // true if the platform owns the listening socket for clients
 	hasSuccessor              bool // true if a process that started later serves on the inherited socket
-	// successorChecks requests that the file worker checks for a successor; nil if admin calls are off.
+	// successorChecks receives a value to make the file worker check for a successor; nil if admin calls are
+	// off.
 	successorChecks chan struct{}
 	// stopped is closed when Run returns or start fails. Any goroutine may wait for it.
 	stopped chan struct{}
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// createClientFront creates the front for clients on JSON lines, which shares a descriptor budget with the pool.
+// createClientFront creates the front for clients on JSON lines. The front and the pool share one budget of
+// descriptors.
 func (s *server) createClientFront(cfg config.Config, operators config.OperatorSettings, budget int) {
 	s.clientFront = clientfront.NewFront(s.loop, s.dispatcher, budget*3/4, cfg.ConnIdleUs, s.log)
 	s.clientFront.SetTraceSuffixes(operators.Trace)
@@ -207,7 +209,7 @@
 }
 
 // turnHandler returns the function that the event loop calls once in each turn, after all input is read. The
-// function lets the dispatcher decide and sets a timer to the dispatcher's next deadline.
+// function makes the dispatcher decide on its requests and sets a timer to the dispatcher's next deadline.
 func (s *server) turnHandler() func(now int64) {
 	var timer *eventloop.Timer
 	var deadline int64
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -8,14 +8,16 @@
 	"ravenhitch/internal/testbed"
 )
 
-// If the deployment allows no pings of workers, none is sent. Requests whose first attempt gets no answer are still
-// offered again, without duplicate attempts.
+// If the deployment forbids pings of workers, the server sends none. If the first attempt of a request gets
+// no answer, the server still offers the request again, and no two attempts of a request are in flight at a
+// time.
 func TestProbesDisabled(t *testing.T) {
 	server := newWarmProxiedServer(t, changedSettings(t, settingChange{"Limits.Probes", false}), nil, "a", "b")
 	missed := server.submit("missed", 8, 2000)
 	server.sendNoticesOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
-	// Cancelled requests need no cancel confirmation, and no connection is closed for them.
+	// Without pings, the server does not wait for cancel confirmations, and it closes no connection for a
+	// cancelled request.
 	silent := server.submit("silent", 4, 60_000)
 	server.sendNoticesOnceOffered(t, silent)
 	for _, id := range silent {
@@ -30,7 +32,8 @@
 	server.expectNoDuplicates(t)
 }
 
-// If the deployment allows no Retry-After on rejections, none is sent, including on rejections by the client front.
+// If the deployment forbids the Retry-After on rejections, none is sent. This includes the rejections by the
+// client front.
 func TestRetryAfterDisabled(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: changedSettings(t, settingChange{"Limits.RetryAfter", false})}, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -7,12 +7,13 @@
 	"ravenhitch/placement"
 )
 
-// Times of a shutdown, in microseconds. After SIGTERM, the platform waits at least for the longest deadline of
-// a request class plus killSlackUs before it kills the process.
+// Times of a shutdown, in microseconds. After SIGTERM, the platform waits for the longest deadline of a
+// request class plus killSlackUs, or longer, before it kills the process.
 const (
 	// lateRequestsUs is the time after SIGTERM during which new requests still arrive.
 	lateRequestsUs = 800 * millisecond
-	// maxDeadlineUs is the maximum deadline in the platform's wait: a longer deadline counts as maxDeadlineUs.
+	// maxDeadlineUs is the maximum deadline that the platform waits for. If a class has a longer deadline,
+	// the platform waits for maxDeadlineUs instead.
 	maxDeadlineUs = 3 * second
 	// maxDeadlineWithSuccessorUs replaces maxDeadlineUs if the platform owns the listening socket for clients
 	// and a successor serves on it at the same time as this process.
@@ -29,8 +30,8 @@
 	drainIntervalUs = 10 * millisecond
 )
 
-// drainTimeout returns how long after SIGTERM requests may stay open, in microseconds, if the platform counts
-// deadlines up to maxDeadline.
+// drainTimeout returns how long requests may stay open after SIGTERM, in microseconds. maxDeadline is the
+// maximum deadline that the platform waits for before it kills the process.
 func drainTimeout(settings placement.Settings, maxDeadline int64) int64 {
 	longest := int64(0)
 	for _, class := range settings.Classes {
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -25,7 +25,7 @@
 	testbed.Send(early, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 1200))
 	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	server.Stop()
-	server.onLoop(t, func() {}) // the shutdown has begun
+	server.onLoop(t, func() {}) // onLoop returns after the shutdown has begun
 	late := server.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-1", 5000))
 	if line := testbed.Wait(t, "the response to the late client", late.Lines); line.Verb != "STARTED" {
@@ -39,8 +39,8 @@
 	}
 }
 
-// If the server is stopped twice and reloads its configuration at the same time, each open request gets exactly one
-// response: a failure if its task may have run and must not run again, and a rejection otherwise.
+// The server is stopped twice and reloads its configuration at the same time. Each open request still gets
+// exactly one response: a failure if its task may have run and must not run again, and a rejection otherwise.
 func TestRepeatedStop(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
 	client := server.connect(t)
@@ -50,7 +50,7 @@
 		testbed.Wait(t, "the offer", server.workers[0].Offers)
 	}
 	server.drainOnlyWorker(t)
-	for i, class := range classes { // never offered, as the only worker is draining
+	for i, class := range classes { // these requests are never offered, because the only worker is draining
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(i+3), class, fmt.Sprint("ok-", i), 60_000))
 	}
 	server.waitUntil(t, "four open requests", func() bool { return server.dispatcher.OpenCount() == 4 })
@@ -109,7 +109,7 @@
 	case err := <-server.runResult:
 		t.Fatalf("the server stopped in the turn in which it rejected the open request: %v", err)
 	}
-	if err := server.waitStopped(t); err != nil { // the client has read nothing
+	if err := server.waitStopped(t); err != nil { // the server stops although the client has read nothing
 		t.Error(err)
 	}
 }
@@ -136,8 +136,8 @@
 				if line, err := reader.ReadString('\n'); err != nil || !strings.Contains(line, "START") {
 					t.Fatalf("got line %q, error %v, want the offer", line, err)
 				}
-				// The worker sends a message after the offer, so the server writes a cancel instead of closing the
-				// connection.
+				// The worker sends a message after the offer, so the server writes a cancel on the
+				// connection. Otherwise it would close the connection.
 				testbed.Send(worker, testbed.Line{Verb: "NOTICE", Tag: testbed.RequestID(0), Opts: map[string]string{"note": "up", "value": "0"}})
 			}
 			server.Stop()
@@ -151,8 +151,8 @@
 	}
 }
 
-// Requests that are open at SIGTERM get a response before the platform kills the process, at a time that depends on the
-// longest deadline.
+// Requests that are open at SIGTERM get a response before the platform kills the process. The time at which
+// they get it depends on the longest deadline of a class.
 func TestDrainTimeout(t *testing.T) {
 	for longest, want := range map[int64]int64{
 		1 * second:        1_400 * millisecond,
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -17,8 +17,8 @@
 func TestShutdownWaitsForUnfinishedWork(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// withoutSuccessor is true if a new connection is needed to finish the work. A successor would get that
-		// connection, so the case runs only without a successor.
+		// withoutSuccessor is true if the work can only be finished on a new connection. If there were a
+		// successor, the connection would go to it, so the test case runs only without a successor.
 		withoutSuccessor bool
 		// begin leaves some work unfinished and returns the function that finishes it.
 		begin func(t *testing.T, server *testServer) (finish func())
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -18,7 +18,8 @@
 
 // Causes of FINISH by their numbers in the protocol.
 const (
-	causeDone      = 16  // the task completed, or a client or an orchestrator cancels or releases it
+	// causeDone means that the task completed, or that a client or an orchestrator cancels or releases it.
+	causeDone      = 16
 	causeRejected  = 34  // the request was rejected; a retry is harmless
 	causeReleased  = 31  // a worker confirms a release
 	causeLost      = 41  // the connection or the worker was lost
@@ -31,7 +32,7 @@
 	return testbed.FinishLine("FINISH", requestID, causeDone)
 }
 
-// expectCause fails the test unless the client's next line is for this request and has this cause.
+// expectCause fails the test unless the client's next line is for the given request and has the given cause.
 func expectCause(t *testing.T, what string, client *testbed.Client, requestID string, cause int) {
 	t.Helper()
 	if line := testbed.Wait(t, what, client.Lines); line.Tag != requestID || line.Cause() != cause {
@@ -97,7 +98,7 @@
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, conn)
-	turnsBehind := 0 // consecutive turns with unwritten output since the last pings were sent
+	turnsBehind := 0 // consecutive turns after the last pings in which the server had output that it could not write
 	server.waitUntil(t, "more responses than the system buffers", func() bool {
 		if turnsBehind++; server.clientFront.HasUndelivered() {
 			return turnsBehind == 5
--- a/cmd/ravenhitch/testprocess_test.go
+++ b/cmd/ravenhitch/testprocess_test.go
@@ -19,7 +19,7 @@
 	return path
 }
 
-// signalProcess sends a signal to a running process.
+// signalProcess sends a signal to a process that is running.
 func signalProcess(t *testing.T, cmd *exec.Cmd, signal syscall.Signal) {
 	t.Helper()
 	if err := cmd.Process.Signal(signal); err != nil {
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -17,8 +17,8 @@
 
 const (
 	defaultTestSockets = 1024
-	// smallSocketLimit is the limit of sockets at which a server has maxClients connections to clients: 32
-	// descriptors are reserved, and clients use at most three quarters of the others.
+	// smallSocketLimit is the limit of sockets at which a server accepts at most maxClients connections of
+	// clients: 32 descriptors are reserved, and clients use at most three quarters of the others.
 	smallSocketLimit = 64
 	maxClients       = 24
 )
@@ -38,7 +38,7 @@
 	operators config.OperatorSettings
 	sockets   int64        // limit of sockets; 0 means defaultTestSockets
 	log       *slog.Logger // nil discards the log
-	// onWorker is called with each worker before discovery lists it.
+	// onWorker, if it is not nil, is called with each worker before discovery lists the worker.
 	onWorker func(*testbed.Worker)
 	// discoveryAddr returns the address at which the server reaches discovery, which listens at addr; nil
 	// means addr itself.
@@ -145,7 +145,7 @@
 }
 
 // pauseLoop pauses the event loop within a turn, after all input is read and before the dispatcher decides.
-// Calling resume lets the turn continue.
+// The turn continues when the returned function is called.
 func (s *testServer) pauseLoop(t *testing.T) (resume func()) {
 	t.Helper()
 	paused, resumed := make(chan bool), make(chan bool)
@@ -178,15 +178,16 @@
 	return us
 }
 
-// waitIdle waits until all connected clients have been idle for 1.1 s, which is longer than an idle connection is
-// protected from eviction.
+// waitIdle waits until all connected clients have been idle for 1.1 s. Connections are protected from
+// eviction for a shorter time than that.
 func (s *testServer) waitIdle(t *testing.T) {
 	t.Helper()
 	since := s.now(t)
 	s.waitUntil(t, "clients idle for 1.1 s", func() bool { return s.loop.Now() > since+1_100*millisecond })
 }
 
-// connectWhilePaused connects count clients while the event loop is paused, which then accepts them all at once.
+// connectWhilePaused connects count clients while the event loop is paused. When the loop continues, it
+// accepts them all at once.
 func (s *testServer) connectWhilePaused(t *testing.T, count int) (clients []*testbed.Client) {
 	t.Helper()
 	resume := s.pauseLoop(t)
@@ -207,8 +208,8 @@
 // undrainOnlyWorker ends the drain of the only worker.
 func (s *testServer) undrainOnlyWorker() { s.discovery.Add(false, s.workers[0].ListEntry("up")) }
 
-// moveBehindCutProxy moves the only worker behind a partitioned proxy, where no connection is established until
-// the proxy heals.
+// moveBehindCutProxy moves the only worker behind a partitioned proxy. No connection to the worker is
+// established until the proxy heals.
 func (s *testServer) moveBehindCutProxy(t *testing.T) *testbed.Proxy {
 	t.Helper()
 	proxy := testbed.NewProxy(t, s.workers[0])
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// drawStarted draws one bar per second for the number of tasks that were started in it.
+// drawStarted draws one bar per second. Its height shows the number of tasks that were started in that
+// second.
 func (c *timelineCanvas) drawStarted() {
 	maxStarted := 1
 	for _, second := range c.recording.Seconds {
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// minCloseTravelUs is the minimum time, by the rules, that the close of a connection takes to reach the worker
-// whose attempt it abandons, in microseconds. The next offer of the request is too early if it follows sooner.
+// minCloseTravelUs is the minimum time, in microseconds, that the close of a connection takes, by the rules,
+// to reach the worker. If the close abandons an attempt and the next offer of the request follows sooner,
+// that offer is too early.
 const minCloseTravelUs = 2 * millisecond
 
-// traceRecorder is a log handler that records offers which were sent too early, before the close that abandoned
-// the previous attempt can have reached its worker. It also records when connections to workers ended.
+// traceRecorder is a log handler that records offers which were sent too early: the close that abandoned the
+// previous attempt could not have reached its worker yet. It also records when connections to workers ended.
 type traceRecorder struct {
 	slog.Handler
 	mu             sync.Mutex
 	cancelledAt    map[string]int64 // time of each unconfirmed cancel in microseconds, by request ID
 	earlyOffers    []string         // descriptions of the offers that were sent too early
-	connectionEnds []time.Time      // in order
+	connectionEnds []time.Time      // in the order in which the connections ended
 }
 
 func newTraceRecorder() *traceRecorder {
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -12,13 +12,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// deadAfterRefused is the time after which the worker pool considers a worker dead that refuses connections and sends
-// nothing on its open connections. It equals the constant of the same name in package workerpool.
+// deadAfterRefused is the time after which the worker pool considers a worker dead if the worker refuses
+// connections and sends nothing on its open connections. It equals the constant of the same name in package
+// workerpool.
 const deadAfterRefused = 2 * time.Second
 
-// A worker that refuses connections and is silent on its open connections is dead. The server then reports its tasks lost, as
-// no other process will report their completions. A worker that only refuses new connections is alive, and its tasks
-// end when it reports their completions.
+// A worker that refuses connections and is silent on its open connections is dead. The server then reports
+// its tasks lost, because no other process will report their completions. A worker that only refuses new
+// connections is alive, and its tasks end when it reports their completions.
 func TestWorkersRefusingConnections(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -78,8 +79,9 @@
 	}
 }
 
-// If an attempt was abandoned and the worker has sent nothing since the offer, the next attempt is offered on a new
-// connection. If the worker is partitioned, that connection fails, which proves that the attempt never ran.
+// An attempt was abandoned and the worker has sent nothing since the offer. The next attempt is therefore
+// offered on a new connection. If the worker is partitioned, the new connection fails, which proves that the
+// next attempt never ran.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -107,8 +109,8 @@
 	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
 }
 
-// A reset after the offer was sent does not prove that the task never ran, so a task that must not start twice is not
-// offered again.
+// If the connection is reset after the offer was sent, the task may have run. A task that must not start
+// twice is therefore not offered again.
 func TestResetAfterOffer(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -9,9 +9,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A worker's response is truncated, has no description, or comes with a duplicate and a response to an unknown request.
-// The server forwards nothing malformed to the client. After a malformed response, it closes the connection and ends
-// the other attempts on it as well; the class of each request determines whether there is another attempt.
+// A worker sends a truncated response, a response without a description, and a duplicate together with a
+// response to an unknown request. The server forwards nothing malformed to the client. After a malformed
+// response, it closes the connection, which ends the other attempts on it as well. The class of each request
+// determines whether there is another attempt.
 func TestMalformedWorkerResponses(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -38,7 +39,8 @@
 	if line.Verb != "STARTED" || line.Tag != testbed.RequestID(firstID) || *line.Blob != "about "+kind+"-web" {
 		t.Errorf("%s: got %v, want STARTED with the description of the second attempt", kind, line)
 	}
-	// Another request on the connection, and one whose task must not start twice, fail before their deadline.
+	// Two requests whose tasks must not start twice fail before their deadlines: one gets a malformed
+	// response, and the other is open on the same connection.
 	began := time.Now()
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID+1), "archive-cut", "silent-"+kind, 10_000))
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID+2), "archive-cut", kind+"-cut", 10_000))
@@ -55,8 +57,8 @@
 	}
 }
 
-// Some workers send a rejection twice, the second time late and on any connection. The duplicate must not end a task
-// that has started since.
+// Some workers send a rejection twice. The second one arrives late and on any connection. It must not end the
+// task if the task has started since.
 func TestLateDuplicateRejection(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// run replies on out to each batch of in. It returns nil if in ends between batches.
+// run reads batches from in and writes the reply to each batch to out. It returns nil if in ends between
+// batches.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	a := &adapter{schedulers: map[int]*placement.Scheduler{}, encoder: simwire.NewEncoder(out)}
@@ -44,8 +45,8 @@
 	encoder    *simwire.Encoder
 }
 
-// pendingEvents contains the events of a batch by instance. Its order lists the instances in the order of
-// their first event.
+// pendingEvents contains the events of a batch, grouped by instance. Its field order lists the instances in
+// the order of their first event.
 type pendingEvents struct {
 	order  []int
 	events map[int][]placement.Event
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -12,8 +12,8 @@
 	"FamilyInfo.CoresMultiple=1.5 FamilyInfo.MemoryMultiple=1.5 RequestClasses.count=1 RequestClasses.0.Name=job " +
 	"RequestClasses.0.Semantics=free TickUs=2000"
 
-// startAndRequestBatches returns a batch that starts the instances, followed by 50 batches with one request for each
-// instance.
+// startAndRequestBatches returns a batch that starts the instances, followed by 50 batches. Each of these
+// contains one request for each instance.
 func startAndRequestBatches(instances ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "BATCH 1000000 1\n")
@@ -53,7 +53,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// TestInstancesShareNothing checks that an instance returns the same actions alone and among other instances.
+// TestInstancesShareNothing checks that an instance returns the same actions whether it runs alone or among
+// other instances.
 func TestInstancesShareNothing(t *testing.T) {
 	together := replies(t, startAndRequestBatches(1, 2, 3))
 	for i := 1; i <= 3; i++ {
--- a/internal/eventloop/address.go
+++ b/internal/eventloop/address.go
@@ -26,8 +26,8 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: parsed.Addr().As16()}, nil
 }
 
-// localAddr returns the IPv4 address and port that a socket is bound to. It returns fallback if the socket has
-// another address family or the kernel reports no address.
+// localAddr returns the IPv4 address and port that a socket is bound to. It returns fallback if the socket
+// has another address family or if the kernel cannot report the address.
 func localAddr(fd int, fallback string) string {
 	sa, err := unix.Getsockname(fd)
 	if err != nil {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// This file contains the opening and closing of connections. The descriptor of a connection is never closed while
-// events are being dispatched, and a handler is never notified of a close that the user of the package requested.
+// This file contains the opening and closing of connections. No descriptor of a connection is closed while
+// events are being dispatched. If the user of the package closes a connection, its handler is not notified.
 
 import (
 	"golang.org/x/sys/unix"
@@ -9,19 +9,20 @@
 
 // Handler handles the events of one connection.
 //
-// Opened is called when the connection is established. Data is called with all received bytes that it has not used
-// yet, and returns how many of them it has used; the rest is passed again together with the bytes received next. If
-// Data returns an error, the connection is closed with that error. Closed is called once for every connection that
-// was opened or dialled, unless the user of the package closed or aborted the connection.
+// Opened is called when the connection is established. Data is called with the received bytes that the
+// handler has not used yet, and returns how many of them it has used. The loop keeps the rest and passes it
+// again together with the bytes that it receives next. If Data returns an error, the connection is closed
+// with that error. Closed is called once for every connection that was opened or dialled, except for
+// connections that the user of the package closed or aborted.
 type Handler interface {
 	Opened(c *Conn)
 	Data(c *Conn, b []byte) (used int, err error)
 	Closed(c *Conn, err error)
 }
 
-// Drainer may be implemented by a Handler. Drained is called when the kernel, after accepting only a part of the output
-// of a connection, has accepted the rest. For a dialled connection, Drained is also called after Opened if no output is
-// left.
+// Drainer may be implemented by a Handler. If the kernel accepts only a part of the output of a connection,
+// Drained is called once it has accepted the rest. For a dialled connection, Drained is also called after
+// Opened if no output is left.
 type Drainer interface {
 	Drained(c *Conn)
 }
@@ -40,13 +41,13 @@
 	input       []byte // received bytes that the handler has not used yet
 	output      []byte // bytes written by the user that the kernel has not accepted yet
 	flushQueued bool   // true if the output will be flushed at the end of this turn
-	awaitsDrain bool   // true after the kernel accepted only a part of the output, until it accepts the rest
+	awaitsDrain bool   // true if the kernel accepted only a part of the output and has not accepted the rest yet
 
 	bytesWritten int64
 	bytesSent    int64
 
 	emptyAt    int64 // last [Loop.Clock] time at which nothing was left to read
-	unreadPoll int64 // number of the last complete poll after which data may have been left unread
+	unreadPoll int64 // number of the last complete poll after which received data may have been left unread
 }
 
 // Dial starts to connect to addr. The connection fails with [ErrTimeout] unless it is established within timeoutUs
@@ -94,9 +95,9 @@
 	c.drop()
 }
 
-// Abort closes the connection with a TCP reset. The handler is not notified. The reset makes the kernels on both
-// sides discard data that the other side has not read yet. After a plain close, the kernels would keep trying
-// to deliver this data, and a message could arrive long after its deadline.
+// Abort closes the connection with a TCP reset. The handler is not notified. The reset makes the kernels on
+// both sides discard data that the other side has not read yet. After a close without a reset, the kernels
+// would keep trying to deliver this data, and a message could arrive long after its deadline.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
@@ -142,7 +143,7 @@
 	l.unreaped = l.unreaped[:0]
 }
 
-// handleEvents handles the epoll events of the connection.
+// handleEvents handles the given epoll events of the connection.
 func (c *Conn) handleEvents(events uint32) {
 	if !c.established && !c.finishDial(events) {
 		return
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// listenWithFullQueue returns the address of a socket that listens with an accept queue of one and never accepts.
-// Connections after the first are never established.
+// listenWithFullQueue returns the address of a socket whose accept queue holds one connection and that never
+// accepts. No connection to it is established after the first.
 func listenWithFullQueue(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -4,8 +4,8 @@
 
 import "errors"
 
-// Errors with which the loop closes a connection ([ErrTimeout], [ErrEOF], [ErrOverflow]) or refuses to dial one
-// ([ErrNoDescriptor]).
+// Errors of connections. The loop closes a connection with [ErrTimeout], [ErrEOF] or [ErrOverflow].
+// [Loop.Dial] returns [ErrNoDescriptor] if the budget has no descriptor left.
 var (
 	ErrTimeout      = errors.New("eventloop: connection not established in time")
 	ErrEOF          = errors.New("eventloop: closed by the other side")
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -26,10 +26,11 @@
 
 	// readBufferSize is the maximum number of bytes that one read of a connection returns.
 	readBufferSize = 64 << 10
-	// defaultMaxBuffered is the maximum number of output bytes that one connection may leave unread, unless
-	// SetMaxBuffered sets another limit.
+	// defaultMaxBuffered is the maximum number of output bytes that the other side of one connection may leave
+	// unread. SetMaxBuffered replaces this limit.
 	defaultMaxBuffered = 1 << 20
-	// initialEvents is the initial number of ready descriptors that one poll can report. The buffer grows on demand.
+	// initialEvents is the initial size of the buffer of events, which is the number of ready descriptors
+	// that a poll can report. The buffer grows on demand.
 	initialEvents = 256
 	// eventfdSize is the size in bytes of the counter that is read from and written to an eventfd.
 	eventfdSize = 8
@@ -47,19 +48,20 @@
 	maxDescriptors  int
 	openDescriptors int
 	maxBuffered     int    // maximum output of one connection, in bytes, that the kernel has not accepted
-	readBuffer      []byte // shared by all connections, because only one is read at a time
+	readBuffer      []byte // used for the reads of all connections, because only one connection is read at a time
 
 	unreaped  []*Conn // closed connections whose descriptors are still open
 	unflushed []*Conn // connections that were written to in this turn
-	// dispatching is true while events are being dispatched. In this time, the descriptors of dropped connections stay
-	// open: the number of a closed descriptor could be reused, and the new connection would get the events of the old.
+	// dispatching is true while events are being dispatched. During this time, the descriptors of dropped
+	// connections stay open. Otherwise a new connection could get the number of a closed descriptor, and with
+	// it the events of the old connection.
 	dispatching bool
 
 	startedAt    time.Time
 	now          int64 // time at which this turn began
 	turnDuration int64 // duration of the last turn in microseconds
 	polls        pollHistory
-	runAgain     bool // the next turn starts without waiting for events
+	runAgain     bool // true if the next turn starts without waiting for events
 	stopping     bool
 
 	lastPostAt int64 // time at which the loop last took the posted functions
@@ -67,7 +69,8 @@
 	posted     []func() // guarded by mu
 }
 
-// New returns a loop that opens at most maxDescriptors sockets. Close releases its resources.
+// New returns a loop that opens at most maxDescriptors sockets. [Loop.Close] releases the resources of the
+// loop.
 func New(maxDescriptors int) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -139,7 +142,7 @@
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
 	one := [eventfdSize]byte{1}         // any value other than 0, in any byte order, wakes the loop
-	_, _ = unix.Write(l.wakeFD, one[:]) // fails if the counter is full: then a wake-up is already pending
+	_, _ = unix.Write(l.wakeFD, one[:]) // fails only if the counter is full, and then a wake-up is already pending
 }
 
 // Run runs turns until Stop is called. Each turn handles all ready descriptors, posted functions and expired timers, then
@@ -153,7 +156,8 @@
 		}
 		l.runAgain = false
 		l.updateNow()
-		complete := err == nil && n < len(events) // if the buffer is full, ready descriptors may have been omitted
+		// A full buffer may have omitted ready descriptors, so such a poll is not complete.
+		complete := err == nil && n < len(events)
 		if complete {
 			l.polls.recordPoll(l.now)
 		}
@@ -161,7 +165,7 @@
 		if complete {
 			l.polls.markProcessed()
 		} else if n == len(events) {
-			events = make([]unix.EpollEvent, 2*len(events)) // room for the ready descriptors that were omitted
+			events = make([]unix.EpollEvent, 2*len(events)) // makes room for the ready descriptors that were omitted
 		}
 		l.runPosted()
 		l.fireTimers()
@@ -213,8 +217,8 @@
 	}
 }
 
-// flushAll sends the output of all connections that were written to in this turn, including output written by the
-// handlers that flushAll itself calls.
+// flushAll sends the output of all connections that were written to in this turn. Handlers that flushAll
+// calls may write further output, which is sent too.
 func (l *Loop) flushAll() {
 	for i := 0; i < len(l.unflushed); i++ {
 		c := l.unflushed[i]
@@ -226,7 +230,8 @@
 			c.fail(err)
 			continue
 		}
-		if c.awaitsDrain { // the kernel accepted the rest within the turn, so no event will report this
+		// If the kernel accepted the rest within the turn, no event will report this.
+		if c.awaitsDrain {
 			c.notifyDrained()
 		}
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -13,8 +13,8 @@
 const (
 	// listenBacklog is the maximum length of the kernel's accept queue of a listening socket.
 	listenBacklog = 1024
-	// maxAcceptsPerTurn is the maximum number of connections that one listener accepts in a turn, so that other
-	// descriptors are served.
+	// maxAcceptsPerTurn is the maximum number of connections that one listener accepts in a turn. The limit
+	// ensures that other descriptors are served as well.
 	maxAcceptsPerTurn = 256
 	// acceptPause is the time, in microseconds, for which a listener pauses after a connection could not be accepted.
 	acceptPause = 20 * millisecond
@@ -31,7 +31,7 @@
 	MakeCapacity() bool
 }
 
-// AdmissionFunc is an Admission that reports whether there is capacity, and that cannot make capacity.
+// AdmissionFunc is an Admission that reports whether there is capacity. It never makes capacity.
 type AdmissionFunc func() bool
 
 // HasCapacity implements Admission.
@@ -136,8 +136,8 @@
 				l.markQueueEmpty(listener)
 				return
 			}
-			// MakeCapacity may close the connection of another client, which must not happen if no connection is
-			// waiting.
+			// MakeCapacity may close the connection of another client. It must therefore not be called if no
+			// connection is waiting.
 			if !hasDescriptor || !listener.admission.MakeCapacity() {
 				l.pause(listener)
 				return
@@ -174,8 +174,8 @@
 	return err != nil || ready > 0
 }
 
-// addAccepted adds a connection that was accepted. A connection that epoll rejects is closed without a call of
-// Handler.Closed: Opened was not called either, and Closed would release what Opened never acquired.
+// addAccepted adds a connection that was accepted. If epoll rejects the connection, it is closed and its
+// handler is not notified: Opened was not called, so Closed would release what Opened never acquired.
 func (l *Loop) addAccepted(fd int, listener *listener) {
 	setSocketOptions(fd)
 	c := &Conn{
@@ -195,14 +195,14 @@
 	c.handler.Opened(c)
 }
 
-// pause leaves connections in the accept queue for acceptPause. If a listener whose connections cannot be accepted
-// were still watched, every poll would return at once and the loop would spin.
+// pause leaves connections in the accept queue for acceptPause. Without the pause, every poll would report
+// the listener whose connections cannot be accepted, and would return at once: the loop would spin.
 func (l *Loop) pause(listener *listener) {
 	if listener.paused {
 		return
 	}
 	listener.paused = true
-	_ = l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, 0) // cannot fail for a watched descriptor
+	_ = l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, 0) // cannot fail, because the descriptor is being watched
 	l.After(acceptPause, func() {
 		if l.listeners[listener.fd] == listener {
 			listener.paused = false
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -12,16 +12,18 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// countingAdmission is an Admission without capacity that makes capacity on each request and counts the requests.
+// countingAdmission is an Admission that never has capacity. MakeCapacity always succeeds and counts its
+// calls.
 type countingAdmission struct{ makeCapacityCalls int }
 
 func (*countingAdmission) HasCapacity() bool    { return false }
 func (a *countingAdmission) MakeCapacity() bool { a.makeCapacityCalls++; return true }
 
 // TestCapacityIsMadeForThoseThatWait checks that a listener without capacity calls MakeCapacity once for each
-// waiting connection, and not when it finds the accept queue empty. It guards against a fault in which MakeCapacity
-// was called before every accept, including the accept that finds no connection. MakeCapacity then ran 6 times for 3
-// connections, and closed the idle connection of a client although no connection was waiting.
+// waiting connection, and does not call it if the accept queue is empty. It guards against a fault in which
+// MakeCapacity was called before every accept, including the accept that finds no connection. MakeCapacity
+// then ran 6 times for 3 connections, and closed the idle connection of a client although no connection was
+// waiting.
 func TestCapacityIsMadeForThoseThatWait(t *testing.T) {
 	loop, onLoop := startLoop(t, 20)
 	admission := &countingAdmission{}
@@ -46,8 +48,8 @@
 	})
 }
 
-// TestNobodyWaitsAtAFullListener checks that HasQueuedConnections, which delays a shutdown, is false for a listener
-// without capacity on which no connection is waiting.
+// TestNobodyWaitsAtAFullListener checks that HasQueuedConnections is false for a listener without capacity on
+// which no connection is waiting. If it were true, it would delay a shutdown.
 func TestNobodyWaitsAtAFullListener(t *testing.T) {
 	loop, onLoop := startLoop(t, 20)
 	full := false
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -11,8 +11,8 @@
 	// maxDatagramSize is the size in bytes of the largest datagram that is read completely. A longer datagram is
 	// truncated.
 	maxDatagramSize = 2048
-	// maxDatagramsPerTurn is the maximum number of datagrams that one socket reads in a turn, so that other
-	// descriptors are served.
+	// maxDatagramsPerTurn is the maximum number of datagrams that one socket reads in a turn. The limit
+	// ensures that other descriptors are served as well.
 	maxDatagramsPerTurn = 64
 )
 
@@ -23,8 +23,8 @@
 	dropped int64
 }
 
-// ListenPacket opens a UDP socket at addr. The loop calls receive with each datagram, which receive must not retain,
-// and closes the socket when the loop itself is closed.
+// ListenPacket opens a UDP socket at addr. The loop calls receive with each datagram; receive must not retain
+// the datagram after it returns. The loop closes the socket when the loop itself is closed.
 func (l *Loop) ListenPacket(addr string, receive func(b []byte)) (*PacketConn, error) {
 	const op = "listen for datagrams at"
 	fd, sa, err := openSocket(op, unix.SOCK_DGRAM, addr)
@@ -67,7 +67,8 @@
 		switch err {
 		case nil:
 			p.receive(datagram[:n])
-		case unix.EINTR, unix.ECONNREFUSED: // ECONNREFUSED refers to a datagram that was sent earlier
+		// ECONNREFUSED reports that a datagram sent earlier was refused, so reading continues.
+		case unix.EINTR, unix.ECONNREFUSED:
 		default:
 			return
 		}
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -18,9 +18,10 @@
 	return len(b), nil
 }
 
-// TestEarliestArrival checks the earliest arrival time of a message. If the message waited in the socket during a
-// long turn, that time is not later than the beginning of the turn. If it arrived on an idle connection, that time
-// is not earlier than when the connection was last found empty, which is later than its previous message.
+// TestEarliestArrival checks the earliest arrival time of a message in two cases. If the message waited in
+// the socket during a long turn, the time is not later than the beginning of that turn. If the message
+// arrived on an idle connection, the time is not before the moment at which the connection was last found
+// empty, which is later than the arrival of the previous message.
 func TestEarliestArrival(t *testing.T) {
 	loop, onLoop := startLoop(t, 8)
 	handler := &arrivalHandler{make(chan int64, 10)}
@@ -58,8 +59,9 @@
 	}
 }
 
-// TestLastSeenAt checks LastSeenAt of a connection: while a turn has left data unread, it is not later than the
-// write of that data; after all data is read, it is later. An idle connection counts as completely read.
+// TestLastSeenAt checks LastSeenAt of a connection. While a turn has left data unread, LastSeenAt is not
+// later than the time at which the data was written. After all data is read, it is later. An idle connection
+// counts as completely read.
 func TestLastSeenAt(t *testing.T) {
 	const messageSize = 200 // bytes; a turn reads 64 of them
 	loop, onLoop := startLoop(t, 10)
@@ -109,8 +111,8 @@
 	return met
 }
 
-// TestLastSeenAmongManyThatAreReady checks that LastSeenAt of an idle connection advances while more connections are
-// ready in every turn than a poll can report initially.
+// TestLastSeenAmongManyThatAreReady checks that LastSeenAt of an idle connection advances even if every poll
+// finds more ready connections than it can report with a buffer of the initial size.
 func TestLastSeenAmongManyThatAreReady(t *testing.T) {
 	const pairs = initialEvents + 64
 	loop, onLoop := startLoop(t, 3*pairs)
--- a/internal/eventloop/socket_options.go
+++ b/internal/eventloop/socket_options.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// KeepAlive configures TCP keepalive. The kernel sends a probe once nothing has arrived from the other side for the
-// given number of seconds, and then two more at intervals of one second. It drops the connection if no probe is
-// answered.
+// KeepAlive configures TCP keepalive. If nothing has arrived from the other side for the given number of
+// seconds, the kernel sends a probe, and then two more at intervals of one second. If no probe is answered,
+// the kernel drops the connection.
 func (c *Conn) KeepAlive(seconds int) error {
 	for _, option := range [...]tcpOption{
 		{unix.TCP_KEEPIDLE, seconds},
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// LastAckAge returns the time, in microseconds, since the kernel of the other side last acknowledged anything. ok is
-// false if the connection is not established or the local kernel does not report that time.
+// LastAckAge returns the time, in microseconds, since the kernel of the other side last acknowledged
+// anything. ok is false if the connection is not established or if the local kernel does not report the time.
 func (c *Conn) LastAckAge() (ageUs int64, ok bool) {
 	if !c.IsUp() {
 		return 0, false
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -20,8 +20,8 @@
 // Pending reports whether the timer has neither fired nor been stopped.
 func (t *Timer) Pending() bool { return t != nil && !t.done }
 
-// Stop cancels the timer and removes it from the heap at once. Timers are stopped far more often than they fire, so
-// stopped timers would otherwise accumulate in the heap until their time.
+// Stop cancels the timer and removes it from the heap at once. Timers are stopped far more often than they
+// fire. If stopped timers stayed in the heap until their time, they would accumulate.
 func (t *Timer) Stop() {
 	if t.Pending() {
 		t.done, t.call = true, nil
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// Flush passes the output written so far to the kernel at once, before the output of other connections in this turn.
-// It reports whether the kernel accepted all of it. An error is reported to the handler at the end of the turn.
+// Flush passes the output written so far to the kernel at once, before the output of other connections in
+// this turn. It reports whether the kernel accepted all of the output. An error is reported to the handler at
+// the end of the turn.
 func (c *Conn) Flush() bool {
 	if c.closed || !c.established {
 		return false
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// updateInterest watches the connection for input, and for writability if there is output left or the connection is
-// not established.
+// updateInterest sets the epoll events that the connection is watched for: always input, and also writability
+// if there is output left or the connection is not established.
 func (c *Conn) updateInterest() {
 	if c.closed {
 		return
@@ -81,11 +82,11 @@
 	}
 	if interest != c.interest {
 		c.interest = interest
-		_ = c.loop.epollCtl(unix.EPOLL_CTL_MOD, c.fd, interest) // cannot fail for a watched descriptor
+		_ = c.loop.epollCtl(unix.EPOLL_CTL_MOD, c.fd, interest) // cannot fail, because the descriptor is being watched
 	}
 }
 
-// notifyDrained notifies a handler that implements Drainer, if no output is left.
+// notifyDrained calls Drained of a handler that implements Drainer if no output is left.
 func (c *Conn) notifyDrained() {
 	if c.closed || len(c.output) > 0 {
 		return
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -14,8 +14,8 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// TestPartialWrites checks that data of which the kernel accepts only a part at once arrives completely and in
-// order, in both directions.
+// TestPartialWrites checks data of which the kernel accepts only a part at once. The data must arrive
+// completely and in order, in both directions.
 func TestPartialWrites(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	handler := newEchoHandler()
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestFlushAndCloseAreSentAheadOfTheTurn checks that a flush and a close take effect during the turn, before the
-// ordinary writes of the turn, even if the writes were requested first.
+// TestFlushAndCloseAreSentAheadOfTheTurn checks that a flush and a close take effect during the turn. They
+// come before the output that is sent at the end of the turn, even if this output was written first.
 func TestFlushAndCloseAreSentAheadOfTheTurn(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
@@ -149,9 +149,9 @@
 func (h *drainHandler) Closed(*Conn, error)                  {}
 func (h *drainHandler) Drained(*Conn)                        { h.drained <- struct{}{} }
 
-// TestDrainedWithinTheTurn checks a connection whose other side reads the pending output before the end of the turn.
-// The loop then sends the rest at the end of the turn and notifies the handler, because no further event will
-// arrive.
+// TestDrainedWithinTheTurn checks a connection whose other side reads the pending output before the end of
+// the turn. The loop then sends the remaining output at the end of the turn. It must notify the handler
+// itself, because no further event will arrive.
 func TestDrainedWithinTheTurn(t *testing.T) {
 	const chunkSize = 64 << 10
 	listener := nettest.Listen(t)
@@ -172,7 +172,8 @@
 		for local.Write(make([]byte, chunkSize)); local.Flush(); {
 			local.Write(make([]byte, chunkSize))
 		}
-		if _, err := io.CopyN(io.Discard, remote, 16*chunkSize); err != nil { // before the end of the turn
+		// The other side reads before the end of the turn.
+		if _, err := io.CopyN(io.Discard, remote, 16*chunkSize); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/plot/axis.go
+++ b/internal/plot/axis.go
@@ -7,10 +7,12 @@
 	"strconv"
 )
 
-// maxPlainLabel is the smallest value at which the label of a tick has an exponent.
+// maxPlainLabel is the bound of plain labels: a tick whose value is at least maxPlainLabel has a label with
+// an exponent.
 const maxPlainLabel = 1e6
 
-// denseDecades is the maximum length of an axis, in decades, at which it also has ticks within decades.
+// denseDecades is the maximum length, in decades, of an axis with ticks within its decades. A longer axis has
+// ticks only at powers of ten.
 const denseDecades = 3.0
 
 // tickSteps are the multiples of a power of ten at which an axis may have ticks.
@@ -37,7 +39,7 @@
 // newAxis returns an axis without values.
 func newAxis() *axis { return &axis{low: math.Inf(1), high: math.Inf(-1)} }
 
-// include extends the axis so that it contains a value.
+// include extends the axis, if necessary, so that it contains a value.
 func (a *axis) include(value float64) {
 	a.low = min(a.low, value)
 	a.high = max(a.high, value)
@@ -46,7 +48,7 @@
 // isEmpty reports whether the axis contains no value.
 func (a *axis) isEmpty() bool { return a.low > a.high }
 
-// layout extends the axis so that it ends at ticks, and maps its ends to two pixels.
+// layout extends the axis so that it ends at ticks, and maps its ends to the pixels from and to.
 func (a *axis) layout(from, to int) {
 	a.from, a.to = from, to
 	a.low, a.high = tickBelow(a.low), tickAbove(a.high)
--- a/internal/plot/chart.go
+++ b/internal/plot/chart.go
@@ -24,7 +24,7 @@
 	chartWidth   = 900
 	chartHeight  = 560
 	marginLeft   = 90
-	marginRight  = 220 // includes the legend
+	marginRight  = 220 // includes the space for the legend
 	marginTop    = 50
 	marginBottom = 60
 	legendStep   = 20
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -24,13 +24,13 @@
 	reader *bufio.Reader
 	pages  [maxPages]page
 	line   int    // number of the last line read
-	seq    string // sequence of the current batch, "-" before the first
+	seq    string // sequence of the current batch, "-" before the first batch
 }
 
 // page is a list of workers that ENDPOINTS messages refer to.
 type page struct {
 	entries []placement.Entry
-	sent    bool // true once the input has contained this page
+	sent    bool // true once the input has contained the page
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -62,7 +62,7 @@
 	return line, err
 }
 
-// syntaxError returns a SyntaxError that wraps err with the current batch and line.
+// syntaxError returns a SyntaxError that wraps err and names the current batch and line.
 func (d *Decoder) syntaxError(err error) error {
 	return &SyntaxError{Batch: d.seq, Line: d.line, Err: err}
 }
@@ -112,7 +112,8 @@
 	return batch, f.end()
 }
 
-// parseMessage parses a message and adds it to the batch. A page is stored in the Decoder instead.
+// parseMessage parses a message and adds it to the batch. If the message is a page, it stores the page in the
+// Decoder instead.
 func (d *Decoder) parseMessage(batch *Batch, line string) error {
 	f := newFields(line)
 	name := f.next()
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestPagesAreReplaced checks that a page may be sent again, and that a list contains the entries that its page has
-// at the time of the ENDPOINTS message.
+// TestPagesAreReplaced checks that a page may be sent again, which replaces its entries. The list of an
+// ENDPOINTS message contains the entries that its page has at the time of the message.
 func TestPagesAreReplaced(t *testing.T) {
 	input := "BATCH 1 1\nSNAPSHOT_ROWS 2 1\nROW 0 - ma s z 1 0 1 1\nENDPOINTS 1 1 1 2\n" +
 		"SNAPSHOT_ROWS 2 1\nROW 0 - mb s z 1 0 1 1\nENDPOINTS 1 1 2 2\nENDPOINTS 1 3 2 9\nFLUSH\n"
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the errors of the package. Command simadapter prints their texts on standard error, and a
-// SettingError of the configuration is also reported to operators.
+// This file contains the errors of the package. Command simadapter prints their texts on standard error. If
+// the configuration has an invalid setting, the text of the SettingError is also reported to operators.
 
 import "fmt"
 
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("batch %s, line %d: %v", e.Batch, e.Line, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that caused the SyntaxError.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
 // SettingError reports an invalid setting.
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the reading of the fields of a line. Fields are separated by single
-// spaces, and "-" stands for an absent field. The first error is stored and returned by end.
+// This file contains the reading of the fields of a line. Fields are separated by single spaces, and "-"
+// stands for an absent field. The first error is stored, and the method end returns it.
 
 import (
 	"fmt"
@@ -63,7 +63,8 @@
 	return number
 }
 
-// uint returns the next field, a signed whole number, converted to the unsigned integer with the same bits.
+// uint returns the next field as an unsigned integer. On the wire, the field is a signed whole number with
+// the same bits.
 func (f *fields) uint(name string) uint64 { return uint64(f.int(name)) }
 
 // float returns the next field as a finite number, or 0 if it is absent.
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// decodeEndpoints reads an ENDPOINTS message, which is a list of workers. Unless the kind of the list is
-// ListFailed, the message refers to a page that was sent earlier.
+// decodeEndpoints reads an ENDPOINTS message, which is a list of workers. The message refers to a page that
+// was sent earlier. Only a list of the kind ListFailed has no page.
 func decodeEndpoints(d *Decoder, f *fields, item *Item) error {
 	kind := f.int("Scope")
 	f.next()
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// kinds returns the kinds of worker. Their names and sizes are in separate lists with one item for each kind.
+// kinds returns the kinds of worker. On the wire, their names and their sizes are separate lists, each with
+// one item for each kind.
 func (r *settingsReader) kinds() []placement.Kind {
 	names := r.list("Flavors")
 	cores, memory := r.floats("FamilyInfo.SizeCores"), r.floats("FamilyInfo.MemoryByKind")
@@ -134,8 +135,8 @@
 	return classes
 }
 
-// class returns the settings of one class whose paths begin with path. The other settings of the classes are
-// in lists with one item for each class.
+// class returns those settings of one class whose paths begin with path. The caller reads the remaining
+// settings of the class, which are items of lists with one item for each class.
 func (r *settingsReader) class(path string) placement.Class {
 	effect, known := effects[r.values[path+"Semantics"]]
 	if !known {
--- a/internal/simwire/settingsreader.go
+++ b/internal/simwire/settingsreader.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the parsing of the values of settings. The first error is stored, and
-// reading continues after it.
+// This file contains the parsing of the values of settings. After an error, reading continues with the next
+// setting, and the first error is stored.
 
 import (
 	"fmt"
@@ -40,7 +40,7 @@
 	return number
 }
 
-// int returns the value at a path as a number truncated to an integer, or 0 if it is absent.
+// int returns the value at a path, truncated to an integer, or 0 if the value is absent.
 func (r *settingsReader) int(path string) int64 { return int64(r.float(path)) }
 
 // bool reports whether the value at a path is "true" or "1".
@@ -87,7 +87,8 @@
 	return numbers
 }
 
-// scope returns the scope that value names. An error names path as the setting.
+// scope returns the scope that value names. If there is no such scope, the stored error names path as the
+// invalid setting.
 func (r *settingsReader) scope(path, value string) placement.Scope {
 	scope, known := scopes[value]
 	if !known {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -10,11 +10,11 @@
 // ItemKind is the kind of an Item. It determines which fields of the Item are set.
 type ItemKind int
 
-// The kinds of item. The field Instance is set in items of every kind.
+// The kinds of item. The field Instance of an Item is set for every kind.
 const (
-	InstanceStarted ItemKind = iota // the instance starts, with Settings and Seed
+	InstanceStarted ItemKind = iota // the instance starts; Settings and Seed are set
 	InstanceStopped                 // the instance stops
-	EventReceived                   // the instance receives Event
+	EventReceived                   // the instance receives an event; Event is set
 	Ignored                         // a message that schedulers do not use
 )
 
@@ -30,6 +30,6 @@
 // Batch contains the messages of one moment of simulated time, in order.
 type Batch struct {
 	NowUs int64  // the simulator's clock in microseconds
-	Seq   string // sequence that the reply repeats
+	Seq   string // sequence of the batch, which the reply repeats
 	Items []Item
 }
--- a/internal/stats/fit_test.go
+++ b/internal/stats/fit_test.go
@@ -8,7 +8,7 @@
 // near reports whether two numbers are equal except for rounding errors.
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// Exponent returns the exponent of an exact power law, independent of its constant factor.
+// For an exact power law, Exponent returns its exponent, whatever the constant factor is.
 func TestExponentOfAPowerLaw(t *testing.T) {
 	sizes := []float64{100, 400, 1000, 4000, 16000}
 	for _, want := range []float64{0, 0.3, 1, 2} {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Pairs without a logarithm are left out, and a single size has no exponent.
+// Pairs of which a number has no logarithm are left out. Samples of a single size have no exponent.
 func TestExponentLeavesOutWhatHasNoLogarithm(t *testing.T) {
 	if got := Exponent([]float64{0, 1, 10, 100}, []float64{5, 1, 10, 0}); !near(got, 1) {
 		t.Errorf("points without a logarithm: got exponent %v, want 1", got)
@@ -32,7 +32,7 @@
 	}
 }
 
-// Line returns the line through points that lie on one, and the least-squares line for other points.
+// For points on a straight line, Line returns this line. For other points, it returns the least-squares line.
 func TestLine(t *testing.T) {
 	intercept, slope := Line([]float64{1, 2, 3}, []float64{5, 7, 9})
 	if !near(intercept, 3) || !near(slope, 2) {
