--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -28,7 +28,7 @@
 
 // frontRun is the result of runOnFront on one front.
 type frontRun struct {
-	outcomes          []string // of all requests and completions, in order
+	outcomes          []string // outcomes of all requests and completions, in order
 	counts            dispatch.Counts
 	offersDuringDrain [2]int // number of offers while worker a drains: to the draining worker a, and to worker b
 }
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -50,7 +50,7 @@
 	for _, worker := range server.workers[:6] {
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
 	}
-	missed := server.submit("missed", 60, 2000) // five per worker
+	missed := server.submit("missed", 60, 2000) // five requests for each worker
 	server.sendNoticesOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
 }
@@ -181,12 +181,12 @@
 // partitioned. Second attempts are offered to the partitioned worker; the last attempts must be offered to the
 // worker that is reachable.
 //
-// Both workers are suspect at that point. In the fault that this test guards against, the worker pool knew that no
-// connection reached the partitioned worker but did not report this to the scheduler; it only reported when a worker
-// was reachable again. Once the reachable worker had two attempts, the maximum for a suspect worker, the fallback of
-// the search had only the partitioned worker left. In the trace of each rejected request, the connection carried
-// nothing back and was closed, 'offer attempt=2' named the same worker 3 ms later, and 'offer never sent' followed
-// because the next connection was not established in time.
+// Both workers are suspect when the last attempts are offered. In the fault that this test guards against, the worker
+// pool knew that no connection reached the partitioned worker but did not report this to the scheduler. It reported a
+// worker only when the worker was reachable again. Once the reachable worker had two attempts, the maximum for a
+// suspect worker, the fallback of the search had only the partitioned worker left. The trace of each rejected request
+// showed that the connection carried nothing back and was closed. 3 ms later, 'offer attempt=2' named the same worker.
+// 'offer never sent' followed, because the next connection was not established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
 	// Placement is random: about every second server has all first attempts at one worker, so 30 servers
 	// suffice.
--- a/cmd/ravenhitch/grpcclient_test.go
+++ b/cmd/ravenhitch/grpcclient_test.go
@@ -44,7 +44,7 @@
 	err        error                      // error that ended the stream, valid once messages is closed
 }
 
-// openSession opens a stream of the named session and acknowledges no message of an earlier stream.
+// openSession opens a stream of the named session. It acknowledges none of the messages of earlier streams.
 func (s *testServer) openSession(t *testing.T, name string) *clientSession {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -1,7 +1,7 @@
 package main
 
 // This file owns the rehearse sub-command. It starts a fleet of orchestrators as processes, plays a schedule of
-// faults and writes a recording. It does not serve, ends by itself, and leaves no process running.
+// faults and writes a recording. It serves no clients, ends by itself, and leaves no process running.
 
 import (
 	"fmt"
--- a/cmd/ravenhitch/rehearse_test.go
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -40,7 +40,8 @@
 	if timeline, err := os.ReadFile(filepath.Join(dir, timelineFile)); err != nil || !bytes.Contains(timeline, []byte("1s kill n2")) {
 		t.Errorf("timeline: read error %v, or the step \"1s kill n2\" is missing", err)
 	}
-	// The orchestrators of the rehearsal run the same binary, which no other test runs.
+	// The rehearsal runs its orchestrators from the binary that this test built. No other test runs this binary, so
+	// a process whose command line begins with its path belongs to the rehearsal.
 	commandLines, err := filepath.Glob("/proc/[0-9]*/cmdline")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,13 +11,14 @@
 	"ravenhitch/placement"
 )
 
-// effects maps the wire values of the Semantics of a class. scopes maps those of all settings that name a scope.
 var (
+	// effects maps each wire value of the setting Semantics of a class to the Effect of the class.
 	effects = map[string]placement.Effect{
 		"free":        placement.Safe,
 		"guarded":     placement.Keyed,
 		"single_shot": placement.Unsafe,
 	}
+	// scopes maps each wire value of the settings that name a scope to the scope.
 	scopes = map[string]placement.Scope{
 		"":        placement.ScopeNone,
 		"none":    placement.ScopeNone,
