--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// This file owns the record of attempts from the workers' side. It checks one rule and must
-// never check any other: at most one attempt of a request is in flight at any time. An attempt
-// is in flight from the arrival of its offer until the worker writes the outcome or reads the
-// cancel, or until the orchestrator closes the connection. If the worker accepts the task, the
-// attempt is in flight until the task completes.
-
-// AttemptLog records the attempts at all workers that share it. Recording to a nil AttemptLog
-// does nothing; a nil AttemptLog cannot be queried.
+// This file owns the record of attempts from the workers' side. It checks one rule and must never check any
+// other rule: at most one attempt of a request is in flight at any time. An attempt is in flight from the
+// arrival of its offer until the worker writes the outcome or reads the cancel, or until the orchestrator closes
+// the connection. If the worker accepts the task, the attempt is in flight until the task completes.
+
+// AttemptLog records the attempts at all workers that share the log. A test that needs no log uses a nil
+// AttemptLog: recording to it does nothing, but its queries panic.
 type AttemptLog struct {
 	mu         sync.Mutex
 	inFlight   map[string]map[string]attempt // by request ID and worker
@@ -64,7 +63,7 @@
 	a.arrivals[worker] = append(a.arrivals[worker], Arrival{requestID, now})
 	for other, earlier := range a.inFlight[requestID] {
 		if closed := a.isClosed[earlier.connection]; closed != nil && closed() {
-			continue // the goroutine that reads the connection has not recorded the close yet
+			continue // the orchestrator has closed the connection: the earlier attempt ended, but its end is not recorded yet
 		}
 		a.duplicates = append(a.duplicates,
 			fmt.Sprintf("%s came to %s while in flight at %s (running there: %v)", requestID, worker, other, earlier.running))
@@ -75,7 +74,7 @@
 	a.inFlight[requestID][worker] = attempt{connection: connection}
 }
 
-// accepted records that a worker has accepted and runs the task of a request.
+// accepted records that a worker has accepted the task of a request and runs it.
 func (a *AttemptLog) accepted(worker, requestID string) {
 	if a == nil {
 		return
@@ -88,7 +87,7 @@
 	a.inFlight[requestID][worker] = attempt{running: true}
 }
 
-// ended records the end of an attempt or of the attempt's task.
+// ended records the end of an attempt at a worker or, if the worker accepted the task, the end of the task.
 func (a *AttemptLog) ended(worker, requestID string) {
 	if a == nil {
 		return
@@ -98,8 +97,8 @@
 	delete(a.inFlight[requestID], worker)
 }
 
-// connected records a new connection. The connection is identified by its remote address at the worker; closed
-// reports whether the orchestrator has closed the connection.
+// connected records a new connection, which is identified by its remote address at the worker. The function
+// closed reports whether the orchestrator has closed the connection.
 func (a *AttemptLog) connected(connection string, closed func() bool) {
 	if a == nil {
 		return
@@ -109,8 +108,8 @@
 	a.isClosed[connection] = closed
 }
 
-// connectionClosed records that the orchestrator has closed a connection, which ends the
-// attempts on it except for running tasks.
+// connectionClosed records that the orchestrator has closed a connection. This ends the attempts whose offers
+// arrived on the connection, except for attempts whose task is running.
 func (a *AttemptLog) connectionClosed(connection string) {
 	if a == nil {
 		return
@@ -177,8 +176,8 @@
 	return a.lastWorker[requestID]
 }
 
-// InFlight returns the IDs of the requests with an attempt in flight whose task is not running.
-// A request with such attempts at several workers is listed once for each.
+// InFlight returns the IDs of the requests with an attempt in flight whose task is not running. If a request has
+// an attempt of this kind at several workers, its ID is listed once for each worker.
 func (a *AttemptLog) InFlight() (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,8 +191,8 @@
 	return requestIDs
 }
 
-// InFlightAt returns the IDs of the requests with an attempt in flight at a worker whose task is not running at this
-// worker.
+// InFlightAt returns the IDs of the requests with an attempt in flight at the given worker whose task is not
+// running there.
 func (a *AttemptLog) InFlightAt(worker string) (requestIDs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -17,13 +17,13 @@
 	Name, Zone, Kind string
 	Cell             int
 	Cores, Memory    float64
-	InspectionTime   [2]time.Duration // shortest and longest inspection of one offer
+	InspectionTime   [2]time.Duration // minimum and maximum duration of the inspection of one offer
 	QueueLength      int              // maximum number of offers that wait for inspection
 	MaxStarting      int              // maximum number of tasks that start at the same time
-	// A worker that started at UpSince begins at the fraction ColdStartRate of full speed and reaches full speed
-	// after SlowStart. During slow start, the worker stops responding to offers once it gets more than FallMultiple
-	// times as many offers within OverloadWindow as it can start tasks in OverloadWindow. It always tolerates
-	// InitialBudget offers.
+	// A worker that started at UpSince has the fraction ColdStartRate of full speed at first and reaches full speed
+	// after SlowStart. During slow start, the worker stops responding to offers if too many arrive within
+	// OverloadWindow: more than InitialBudget offers, and also more than FallMultiple times the number of tasks that
+	// the worker can start in OverloadWindow.
 	UpSince                                    time.Time // start time of the worker, zero for a worker at full speed
 	ColdStartRate, FallMultiple, InitialBudget float64
 	SlowStart, OverloadWindow                  time.Duration
@@ -61,10 +61,10 @@
 	requestedCores  float64
 	requestedMemory float64
 	running         map[string]*runningTask // by request ID
-	queued          map[string]bool         // queued offers without a decision, by request ID; false if cancelled
+	queued          map[string]bool         // offers without a decision, by request ID; the value is false if the offer was cancelled
 	slowStart       slowStart
 	rejections      map[string]int // by cause
-	workers         []*Worker      // one for each orchestrator
+	workers         []*Worker      // one Worker for each orchestrator
 }
 
 // offer is an offer that waits to be inspected.
@@ -144,8 +144,8 @@
 	}
 }
 
-// workerOf returns the Worker that owns a connection, or nil if the connection has ended. The
-// caller holds the lock.
+// workerOf returns the Worker that accepted a connection, or nil if the connection has ended. The caller holds
+// the lock.
 func (m *CapacityModel) workerOf(conn net.Conn) (found *Worker) {
 	for _, worker := range m.workers {
 		if worker.has(conn) {
@@ -182,8 +182,7 @@
 	}
 }
 
-// inspectionTime draws the inspection time of an offer. It returns false if the offer was
-// cancelled.
+// inspectionTime draws the inspection time of an offer. It returns false if the offer was cancelled.
 func (m *CapacityModel) inspectionTime(requestID string) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,8 +231,8 @@
 	go m.run(o.line.Tag, task)
 }
 
-// shortage returns the cause of the rejection if the free capacity does not suffice for a task,
-// and "" if it does. The caller holds the lock.
+// shortage returns the cause of the rejection if there is not enough free capacity for a task, and "" otherwise.
+// The caller holds the lock.
 func (m *CapacityModel) shortage(t Task) string {
 	switch {
 	case m.requestedCores+t.Cores > m.Cores+capacitySlack:
@@ -302,8 +301,8 @@
 	return m.Cores - m.requestedCores, m.Memory - m.requestedMemory
 }
 
-// PeakLoad returns the maximum, during slow start, of the number of offers within the overload
-// window divided by the number that the worker tolerates.
+// PeakLoad returns the maximum ratio, during slow start, between the number of offers within an overload window
+// and the number that the worker tolerates in one window. Above 1, the worker was overloaded.
 func (m *CapacityModel) PeakLoad() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -317,8 +316,8 @@
 	return maps.Clone(m.rejections)
 }
 
-// ListEntry returns the worker's entry in the list for one orchestrator, which connects to the
-// given Worker. The entry has the given phase and free capacity.
+// ListEntry returns the worker's entry in the list that one orchestrator gets. The address of the entry is that
+// of the given Worker; the phase and the free capacity are the arguments.
 func (m *CapacityModel) ListEntry(worker *Worker, phase string, cores, memory float64) string {
 	upSince := int64(0)
 	if !m.UpSince.IsZero() {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -8,7 +8,7 @@
 
 // This file owns the stand-in client's connection. It must never reconnect by itself.
 
-// maxUnread is the maximum number of messages that a stand-in buffers for a test to receive.
+// maxUnread is the maximum number of messages that a stand-in buffers until the test receives them.
 const maxUnread = 1000
 
 // Client is the connection of a stand-in client.
@@ -38,8 +38,8 @@
 	return client
 }
 
-// receive reads messages from conn until the connection ends or a message cannot be parsed. The connection is a
-// parameter because a test may replace the Client's embedded connection.
+// receive reads messages from conn until the connection ends or a message cannot be parsed. It doesn't read from
+// the connection embedded in the Client, because a test may replace that connection.
 func (c *Client) receive(conn net.Conn) {
 	defer close(c.Lines)
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
--- a/internal/testbed/conditions.go
+++ b/internal/testbed/conditions.go
@@ -9,8 +9,8 @@
 type Conditions struct {
 	Cut                      bool          // no data passes, and neither side gets an error
 	Refuse                   bool          // connections are refused, and datagrams are lost
-	Delay, Jitter            time.Duration // constant part, and upper bound of the random part, of the delay
-	Loss, Duplicate, Reorder float64       // fractions of datagrams lost, sent twice, delayed past later ones
+	Delay, Jitter            time.Duration // the delay is Delay plus a random time of at most Jitter
+	Loss, Duplicate, Reorder float64       // fractions of datagrams that are lost, sent twice, or delayed so much that later datagrams overtake them
 	Bandwidth                int           // in bytes per second, 0 for no limit
 	Flap                     time.Duration // length of each alternating cut and open period, 0 for none
 	FlapSince                time.Time     // start of the first cut period
@@ -21,5 +21,5 @@
 	return c.Cut || c.Flap > 0 && now.Sub(c.FlapSince)/c.Flap%2 == 0
 }
 
-// extraDelay returns the delay that is added to the delay of a reordered datagram.
+// extraDelay returns the additional delay of a datagram that is reordered, so that later datagrams overtake it.
 func (c Conditions) extraDelay() time.Duration { return 2*c.Delay + 20*time.Millisecond }
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -19,7 +19,7 @@
 	MemoryMB      int           // memory limit of each orchestrator in MB, 0 for 192
 }
 
-// Limits and deadlines of a deployment that leaves them zero.
+// Limits and deadlines for the fields of a Deployment that are zero.
 const (
 	defaultSockets    = 1024
 	defaultMemoryMB   = 192
@@ -56,8 +56,8 @@
 		d.deadlineUs(webDeadline), d.deadlineUs(relayDeadline), d.deadlineUs(cutDeadline))
 }
 
-// Config returns the configuration of the orchestrator with the given index as JSON. The
-// orchestrator connects to discovery at the address channel. The admin address mgmt may be "".
+// Config returns the configuration of the orchestrator with the given index as JSON. The orchestrator polls
+// discovery at the address channel. It serves admin calls at the address mgmt, or not at all if mgmt is "".
 func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed,
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -20,7 +20,7 @@
 // Discovery serves the list of workers with the protocol of the command channel.
 type Discovery struct {
 	Server *httptest.Server
-	Polls  chan int // number of the last event that the caller of each poll has applied
+	Polls  chan int // receives, for each poll, the number of the last event that the caller has applied
 	mu     sync.Mutex
 	added  chan struct{} // closed and replaced when an event is added
 	events []string
@@ -34,8 +34,8 @@
 	return d
 }
 
-// poll answers a poll for the events after a given event as soon as such an event exists, or when the timeout that
-// the caller sets expires.
+// poll answers a poll for the events after a given event. It answers as soon as there is a later event, or
+// without events when the timeout that the caller sets expires.
 func (d *Discovery) poll(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("resume"))
 	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
@@ -86,8 +86,8 @@
 	d.added = make(chan struct{})
 }
 
-// WaitPolled waits until the program polls for the events after the last event. The program sends this poll once it
-// has applied all events.
+// WaitPolled waits until the program polls for events after the last event of this Discovery. This poll shows
+// that the program has applied all events.
 func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	count, _ := d.state()
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -9,9 +9,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file implements the clients that submit tasks to a fleet. Each orchestrator has one client,
-// which submits one task at a time and continues whatever the response is. A request without a
-// response is counted as lost, never as rejected or failed.
+// This file implements the clients that submit tasks to a fleet. Each orchestrator has one client, which submits
+// one task at a time and submits the next one whatever the response is. A request without a response is counted
+// as lost, never as rejected or failed.
 
 const (
 	submissionPause = 5 * time.Millisecond // pause of a client between two tasks
@@ -27,12 +27,12 @@
 	startedAt time.Time
 
 	mu             sync.Mutex
-	placementTimes []time.Duration // from submission to start, of each started task
+	placementTimes []time.Duration // time from submission to start of each started task
 	seconds        []SecondCounts  // counts of each second since startedAt
-	unanswered     []string        // IDs of the requests that Unanswered returns
+	unanswered     []string        // IDs of the requests without a response although their orchestrator ran and was reachable
 }
 
-// SecondCounts counts the tasks whose result was recorded within one second. Lost counts requests
+// SecondCounts counts the tasks whose result was recorded within one second. Lost is the number of requests
 // without a response.
 type SecondCounts struct {
 	Started  int `json:"Started"`
@@ -80,8 +80,8 @@
 // Wait returns when all clients have finished.
 func (p *Placements) Wait() { p.clients.Wait() }
 
-// count adds the result of one request to the counts of the current second. Without a response,
-// answered is false and the request counts as lost.
+// count adds the result of one request to the counts of the current second. If answered is false, the request
+// got no response and counts as lost.
 func (p *Placements) count(took time.Duration, response testbed.Line, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,8 +109,8 @@
 	p.unanswered = append(p.unanswered, requestID)
 }
 
-// SubmitTasks starts a client for each orchestrator and returns at once. The clients submit tasks for the
-// given time and reconnect if their connection ends.
+// SubmitTasks starts a client for each orchestrator and returns at once. The clients submit tasks for the given
+// time. A client whose connection ends reconnects.
 func (f *Fleet) SubmitTasks(length time.Duration) *Placements {
 	p := &Placements{startedAt: time.Now()}
 	for i, o := range f.Orchestrators {
@@ -143,8 +143,7 @@
 	}
 }
 
-// submit submits a task and releases it once it has started. It reports whether there was a
-// response.
+// submit submits a task and, if the task starts, releases it. It reports whether there was a response.
 func (f *Fleet) submit(p *Placements, client *testbed.Client, o *Orchestrator, requestID, key string) bool {
 	sentAt := time.Now()
 	testbed.Send(client, testbed.StartLine(requestID, tasksClass, key, clientTimeoutMs))
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -15,13 +15,13 @@
 // state of the fleet from a membership table.
 
 const (
-	partitionGrace   = 6 * time.Second // time after a partition during which its members may still be reported dead
-	restartGrace     = 3 * time.Second // time after a start during which reports of death by or about the member are ignored
+	partitionGrace   = 6 * time.Second // time after the end of a partition during which its members may still report each other dead
+	restartGrace     = 3 * time.Second // time after the start of an orchestrator during which reports of death by it or about it are ignored
 	maxDetection     = 9 * time.Second // maximum time in which a stopped orchestrator must be detected
-	minAsymmetricCut = 8 * time.Second // an asymmetric cut that lasts longer must be detected
+	minAsymmetricCut = 8 * time.Second // a cut of only one direction of a path must be detected if it lasts longer
 )
 
-// Member states and path states in a status report.
+// States of members and of paths to them, as a status report has them.
 const (
 	stateAlive     = "alive"
 	stateSuspected = "suspected"
@@ -31,10 +31,10 @@
 	linkInShut     = "in shut"
 )
 
-// memberPair identifies the report of one orchestrator about another.
+// memberPair identifies the reports of one orchestrator (the reporter) about another one (the subject).
 type memberPair struct{ reporter, subject string }
 
-// absence is the period for which a schedule stopped an orchestrator.
+// absence is the period from the time when a schedule stops an orchestrator until its next start.
 type absence struct{ from, to time.Time }
 
 // evaluation holds the intermediate state from which a verdict is built.
@@ -76,7 +76,7 @@
 // lastSample returns the latest sample. It panics if there is none.
 func (f *Fleet) lastSample() *sample { return &f.samples[len(f.samples)-1] }
 
-// readSchedule counts the faults among the applied steps and records the absences of orchestrators.
+// readSchedule counts the faults among the applied steps and records when orchestrators were stopped.
 func (e *evaluation) readSchedule() {
 	for _, step := range e.fleet.applied {
 		switch step.Verb {
@@ -120,8 +120,9 @@
 	}
 }
 
-// evaluateDeathReport evaluates a report that a member is dead or left: as its detection if the
-// schedule had stopped the member, as a false report if the member must be alive.
+// evaluateDeathReport evaluates a report that a member is dead or has left. If the schedule had stopped the
+// member, the first report of each reporter gives its detection time. Otherwise the report is false if the
+// member must be alive.
 func (e *evaluation) evaluateDeathReport(s *sample, pair memberPair, evidence string) {
 	absent, ended := e.absences[pair.subject]
 	if ended && s.at.After(absent.from) && s.at.Before(absent.to) {
@@ -137,8 +138,8 @@
 	}
 }
 
-// mustBeAlive reports whether the reporter must not report the subject dead: the subject runs, both
-// started more than restartGrace ago, and the reporter has been able to reach the subject for more
+// mustBeAlive reports whether a report of the subject's death is false. It is false if the subject runs, both
+// orchestrators started more than restartGrace ago, and the reporter has been able to reach the subject for more
 // than partitionGrace.
 func (e *evaluation) mustBeAlive(s *sample, pair memberPair) bool {
 	unreachable := e.unreachable[pair]
@@ -148,9 +149,9 @@
 		(unreachable.IsZero() || s.at.Sub(unreachable) > partitionGrace)
 }
 
-// evaluateDetection counts the view changes and collects the detection times of stopped orchestrators.
-// Every orchestrator that runs in the last sample must have detected each orchestrator that was stopped for
-// more than maxDetection.
+// evaluateDetection counts the changes of views and collects the times in which stopped orchestrators were
+// detected. Each orchestrator that has been stopped for more than maxDetection must have been detected by every
+// orchestrator that runs in the last sample.
 func (e *evaluation) evaluateDetection() {
 	for reporter, latest := range e.latestView {
 		e.verdict.ViewChanges += latest - e.firstView[reporter]
@@ -172,8 +173,8 @@
 	slices.Sort(e.verdict.DetectionTimes)
 }
 
-// evaluateAsymmetricCuts counts the asymmetric cuts that must be detected, and the cuts among them that either end
-// reported.
+// evaluateAsymmetricCuts counts the cuts of one direction that must be detected, and how many of these cuts
+// either end of the path reported.
 func (e *evaluation) evaluateAsymmetricCuts() {
 	for _, step := range e.fleet.applied {
 		cut, ok := asymmetricCut(step)
@@ -187,7 +188,8 @@
 	}
 }
 
-// asymmetricCut returns the path that a step cuts in one direction only, or false for any other step.
+// asymmetricCut returns the path that a step cuts if the step cuts only one direction. It returns false for any
+// other step.
 func asymmetricCut(step appliedStep) (path, bool) {
 	from, to, ok := strings.Cut(step.Where, "->")
 	if !ok || step.Verb != testbed.VerbCut || strings.HasSuffix(from, "<") {
@@ -196,8 +198,9 @@
 	return path{from, to}, true
 }
 
-// mustDetect reports whether a cut must be detected: the path is not open in a sample taken more than
-// minAsymmetricCut after the cut, and the schedule stopped neither end of the path.
+// mustDetect reports whether a cut of one direction must be detected. It must if a sample taken more than
+// minAsymmetricCut after the cut still shows the path as not open, and the schedule stopped neither end of the
+// path.
 func (f *Fleet) mustDetect(cut path, since time.Time) bool {
 	lasted := slices.ContainsFunc(f.samples, func(s sample) bool {
 		return s.at.Sub(since) > minAsymmetricCut && !s.open[cut]
@@ -205,7 +208,8 @@
 	return lasted && !f.wasStopped(cut.from) && !f.wasStopped(cut.to)
 }
 
-// cutDetected reports whether either end of an asymmetric cut has reported the cut since a time.
+// cutDetected reports whether either end of a path that is cut in one direction has reported the cut at or after
+// the time since.
 func (f *Fleet) cutDetected(cut path, since time.Time) bool {
 	return slices.ContainsFunc(f.samples, func(s sample) bool {
 		return !s.at.Before(since) && (s.reportsLink(cut.from, cut.to, linkOutShut) || s.reportsLink(cut.to, cut.from, linkInShut))
@@ -227,8 +231,8 @@
 	})
 }
 
-// evaluateAgreement measures how long after the end of all faults any reported view still differs
-// from the set of running orchestrators.
+// evaluateAgreement measures the time from the end of all faults to the last sample in which a reported view
+// differs from the set of running orchestrators. A view that still differs in the last sample is a violation.
 func (e *evaluation) evaluateAgreement() {
 	for i := range e.fleet.samples {
 		s := &e.fleet.samples[i]
@@ -259,7 +263,7 @@
 	return names
 }
 
-// measureTraffic computes the mean traffic of a member from the reports of the last sample.
+// measureTraffic computes the mean traffic per member from the reports of the last sample.
 func (e *evaluation) measureTraffic() {
 	end := e.fleet.lastSample()
 	var sent int64
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -29,13 +29,13 @@
 
 	mu          sync.Mutex // guards the fields below, which the schedule changes
 	startedAt   time.Time
-	terminating bool          // a signal that ends the process is being or was sent; the next start resets this to false
+	terminating bool          // true once a signal that ends the process is about to be sent; the next start resets this to false
 	pausedAt    time.Time     // start of the latest pause
 	pausedFor   time.Duration // length of the latest pause
 }
 
-// endpoints holds the names by which schedules refer to the ends of an orchestrator's paths to its
-// clients and to discovery.
+// endpoints holds the names that schedules use for an orchestrator's clients and for its discovery, as ends of
+// the paths to them.
 type endpoints struct{ clients, front, discovery string }
 
 // startsFile is the name of the stored file in which an orchestrator counts its starts.
@@ -156,7 +156,7 @@
 	return f.setAddresses(o, o.peerAddress, o.address)
 }
 
-// setAddresses sets the addresses at which the network reaches an orchestrator; "" means that the
+// setAddresses sets the addresses at which the network reaches an orchestrator. The address "" means that the
 // process has ended.
 func (f *Fleet) setAddresses(o *Orchestrator, forPeers, forClients string) error {
 	if err := f.network.SetAddress(o.endpoints.front, forClients); err != nil {
@@ -165,23 +165,23 @@
 	return f.network.SetAddress(o.Name, forPeers)
 }
 
-// hasRun reports whether an orchestrator has run without a pause since a time and has not been sent a
-// signal that ends it.
+// hasRun reports whether an orchestrator has run without a pause since the given time, and no signal that ends
+// it has been sent.
 func (o *Orchestrator) hasRun(since time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.IsRunning() && !o.terminating && o.startedAt.Before(since) && o.pausedAt.Add(o.pausedFor).Before(since)
 }
 
-// status returns whether an orchestrator runs and is not paused at a time, and when it last started.
+// status returns whether an orchestrator runs and is not paused at the given time, and when it last started.
 func (o *Orchestrator) status(at time.Time) (running bool, startedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.IsRunning() && at.After(o.pausedAt.Add(o.pausedFor)), o.startedAt
 }
 
-// setStoredStarts sets the start counter that the next start of an orchestrator finds: none if folder is
-// testbed.FolderEmpty, otherwise the value that the first start stored.
+// setStoredStarts sets the stored start counter that an orchestrator reads at its next start. If folder is
+// testbed.FolderEmpty, there is no counter. Otherwise it is the counter that the first start stored.
 func (o *Orchestrator) setStoredStarts(folder string) error {
 	path := filepath.Join(o.directory, startsFile)
 	if err := os.WriteFile(path, []byte("1\n"), privateFileMode); err != nil {
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -1,8 +1,8 @@
 package fleet
 
-// This file builds the record of a rehearsal: for each sample, the state of every orchestrator and
-// the number of other orchestrators that report it alive, suspected or dead. The JSON keys must not
-// change because the code that draws the timeline reads them.
+// This file builds the record of a rehearsal. For each sample, the record has the state of every orchestrator
+// and the number of other orchestrators that report it alive, suspected or dead. The JSON keys must not change,
+// because the code that draws the timeline reads them.
 
 // OrchestratorState describes one orchestrator in one sample.
 type OrchestratorState struct {
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -1,8 +1,7 @@
-// Package fleet runs a fleet of orchestrators as processes of the real program. Relays on loopback
-// addresses connect them to each other and to workers, clients and discovery, and a schedule injects
-// faults into these paths and processes. The package owns everything that it starts and leaves nothing
-// running. It decides which rules must hold by the faults that it injected, never by what the
-// orchestrators report about each other.
+// Package fleet runs a fleet of orchestrators as processes of the real program. Relays on loopback addresses
+// connect them to each other and to workers, clients and discovery, and a schedule injects faults into these
+// paths and processes. The package stops everything that it starts. To decide which rules must hold, it uses the
+// faults that it injected, never the orchestrators' reports about each other.
 package fleet
 
 import (
@@ -20,7 +19,7 @@
 
 // Options configure a fleet.
 type Options struct {
-	Programs      []string // paths of program builds, assigned to the orchestrators in turn
+	Programs      []string // paths of program builds, assigned to the orchestrators round-robin
 	Dir           string   // parent directory of the configuration and stored files
 	Orchestrators int      // number of orchestrators
 	Workers       int      // number of workers; 0 means defaultWorkers
--- a/internal/testbed/fleet/sample.go
+++ b/internal/testbed/fleet/sample.go
@@ -17,20 +17,20 @@
 // processes and paths at the same time. judge.go evaluates the samples.
 
 const (
-	samplePeriod  = 100 * time.Millisecond // time between two samples, and the timeout of a dial
-	statusTimeout = 2 * samplePeriod       // timeout of a status request after the dial
+	samplePeriod  = 100 * time.Millisecond // time between two samples, and timeout of the dial for a status request
+	statusTimeout = 2 * samplePeriod       // timeout of a status request once the connection is established
 )
 
 // sample holds the status reports of all orchestrators and the state of the fleet at one time.
 type sample struct {
 	at        time.Time
-	reports   map[string]*peer.StatusReport // by orchestrator name; none for an orchestrator that did not answer
-	running   map[string]bool               // whether an orchestrator runs and is not paused
+	reports   map[string]*peer.StatusReport // by orchestrator name; no entry for an orchestrator that did not answer
+	running   map[string]bool               // by orchestrator name; true if the orchestrator runs and is not paused
 	startedAt map[string]time.Time          // latest start of each orchestrator
-	open      map[path]bool                 // paths between orchestrators that are neither cut nor refusing
+	open      map[path]bool                 // true for each path between orchestrators that is neither cut nor refuses connections
 }
 
-// StartSampling starts to take samples, every samplePeriod until the fleet shuts down.
+// StartSampling takes a sample every samplePeriod until the fleet shuts down. It returns at once.
 func (f *Fleet) StartSampling() {
 	f.goroutines.Go(func() {
 		ticker := time.NewTicker(samplePeriod)
@@ -70,7 +70,7 @@
 	return s
 }
 
-// newSample returns a sample of the processes and paths, without status reports.
+// newSample returns a sample with the states of processes and paths but without status reports.
 func (f *Fleet) newSample() sample {
 	s := sample{
 		at:        time.Now(),
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// applyToProcess executes a step on a process. It ignores a start of a process that already runs, and
-// any other step on a process that does not run, because a drawn schedule may contain both.
+// applyToProcess executes a step on a process. It ignores a start of a process that already runs, and any other
+// step on a process that does not run. A drawn schedule may contain both kinds of steps.
 func (f *Fleet) applyToProcess(o *Orchestrator, step testbed.Step) error {
 	if (step.Verb == testbed.VerbStart) == o.IsRunning() {
 		return nil
@@ -199,7 +199,8 @@
 	return f.setAddresses(o, "", "")
 }
 
-// startAgain starts a process that has ended. A step with an argument first sets the stored start counter.
+// startAgain starts a process that has ended. If the step has an argument, startAgain first sets the stored
+// start counter.
 func (f *Fleet) startAgain(o *Orchestrator, step testbed.Step) error {
 	if len(step.Args) == 1 {
 		if err := o.setStoredStarts(step.Args[0]); err != nil {
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -10,18 +10,18 @@
 // Verdict is the result of one run of a schedule.
 type Verdict struct {
 	Faults             int             // number of steps other than heal and mend
-	FalseDead          int             // pairs of a reporter and a running orchestrator that it reported dead
-	MissedDead         int             // pairs of a reporter and a stopped orchestrator that it did not report dead
-	AsymmetricCuts     int             // cuts of one direction that must be detected
-	AsymmetricDetected int             // cuts among AsymmetricCuts that either end reported
+	FalseDead          int             // number of pairs of a reporter and a running orchestrator that it falsely reported dead
+	MissedDead         int             // number of pairs of a running orchestrator and a stopped one that it did not report dead
+	AsymmetricCuts     int             // number of cuts of one direction that must be detected
+	AsymmetricDetected int             // number of the cuts counted in AsymmetricCuts that either end of the path reported
 	ViewChanges        int64           // changes of the stable view, summed over all orchestrators
-	DetectionTimes     []time.Duration // from a stop to its detection by each other orchestrator, sorted
+	DetectionTimes     []time.Duration // times from the stop of an orchestrator to its detection by each other orchestrator, sorted
 	Disagreement       time.Duration   // time from the end of all faults to the last sample with a wrong view
-	TrafficRate        float64         // mean of the bytes that a member sent per second
-	Violations         []string        // one line for each broken rule
+	TrafficRate        float64         // mean number of bytes that a member sent per second
+	Violations         []string        // one line for each violation of a rule
 }
 
-// String returns the figures of the verdict on one line.
+// String returns the counts and times of the verdict on one line.
 func (v Verdict) String() string {
 	return fmt.Sprintf("faults=%d detect_p50_ms=%d detect_p99_ms=%d false_dead=%d missed_dead=%d one_way_found=%d of=%d disagree_s=%.1f "+
 		"view_changes=%d traffic_bytes_s_member=%.0f", v.Faults, v.detectionPercentile(50), v.detectionPercentile(99), v.FalseDead,
@@ -37,7 +37,7 @@
 	return v.DetectionTimes[(len(v.DetectionTimes)-1)*percent/100].Milliseconds()
 }
 
-// violation adds the description of a broken rule to Violations.
+// violation adds a description to Violations.
 func (v *Verdict) violation(format string, args ...any) {
 	v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 }
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -14,7 +14,7 @@
 // This file implements one connection from an orchestrator to a worker. It reads and writes messages
 // and does not depend on the state of tasks.
 
-// unknownOrchestrator is the orchestrator index of a connection on which no offer has arrived yet.
+// unknownOrchestrator stands for the orchestrator's index on a connection on which no offer has arrived yet.
 const unknownOrchestrator = -1
 
 type connection struct {
@@ -35,7 +35,7 @@
 
 func (c *connection) touch() { c.usedAt.Store(time.Now().UnixNano()) }
 
-// closeIdle closes the connections that have had no message since a time, unless the worker is
+// closeIdle closes the connections without a message since the given time. It does nothing if the worker is
 // unresponsive.
 func (w *Worker) closeIdle(since time.Time) {
 	w.mutex.Lock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// identify records the orchestrator that opened the connection, which the request ID of an offer names.
+// identify records which orchestrator opened the connection. The request ID of an offer names the orchestrator.
 func (c *connection) identify(requestID string) {
 	if orchestrator, ok := OrchestratorOf(requestID); ok {
 		c.worker.mutex.Lock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// Ping sends a ping with options on any one of the worker's connections. It reports whether there was
-// a connection.
+// Ping sends a ping with options on any of the worker's connections. It reports whether the worker has a
+// connection.
 func (w *Worker) Ping(requestID string, options map[string]string) bool {
 	w.mutex.Lock()
 	var to *connection
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -9,12 +9,12 @@
 	"ravenhitch/internal/shard"
 )
 
-// This file implements the events of the worker list and selects the entries that answer a poll. An
-// orchestrator that names shards of a zone in its polls gets changes of free capacity in that zone only
-// for the workers of these shards. A change of a worker's phase or address goes to all orchestrators.
+// This file implements the events of the worker list and selects the entries that answer a poll. An orchestrator
+// may name shards of a zone in its polls. In that zone, it then gets changes of free capacity only for the
+// workers of these shards. A change of a worker's phase or address goes to all orchestrators.
 
-// maxEvents is the maximum number of events that are kept. An orchestrator that is further behind gets
-// the complete list.
+// maxEvents is the maximum number of events that are kept. An orchestrator that needs an older event gets the
+// complete list.
 const maxEvents = 128
 
 // Discovery publishes the worker list of a fleet: first the complete list, then periodically the
@@ -48,17 +48,17 @@
 
 // poll is a request of an orchestrator for the events that follow a cursor.
 type poll struct {
-	base          int       // revision before the orchestrator's first event; revision = base + cursor
+	base          int       // revision of the last event before the orchestrator's first one; revision = base + cursor
 	after         int       // cursor of the last event that the orchestrator has applied
-	shards        shard.Set // shards for which the poll requests changes of free capacity, by zone
-	delayCapacity bool      // changes of only free capacity may wait until the poll times out
+	shards        shard.Set // shards, by zone, for whose workers the poll requests changes of free capacity
+	delayCapacity bool      // if only free capacity changed, the answer may wait until the poll times out
 }
 
 // lastRevision returns the revision of the last event that the orchestrator has applied.
 func (p *poll) lastRevision() int { return p.base + p.after }
 
-// wants reports whether an entry answers the poll: its worker is in one of the poll's shards or in a
-// zone that the poll does not name, or the worker's state changed.
+// wants reports whether an entry answers the poll. It does if the worker's state changed, if the worker is in
+// one of the poll's shards, or if the poll names no shards of the worker's zone.
 func (p *poll) wants(e *eventEntry) bool {
 	_, named := p.shards[e.worker.Zone]
 	return e.stateChanged || !named || p.shards.Has(e.worker.Zone, e.worker.ID)
@@ -79,8 +79,8 @@
 	d.paused = paused
 }
 
-// EntriesPublished returns the number of changed entries published so far. An entry counts once, however
-// many orchestrators receive it.
+// EntriesPublished returns the number of changed entries published so far. An entry counts once, independently
+// of the number of orchestrators that receive it.
 func (d *Discovery) EntriesPublished() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -182,8 +182,8 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, cursor, event)
 }
 
-// answer returns the answer to a poll. If there is nothing to send yet, answer is "" and added is
-// closed when the next event is added. cursor is the cursor of the last event.
+// answer returns the answer to a poll. If there is nothing to send yet, the answer is "", and the returned
+// channel added is closed when the next event is added. cursor is the cursor of the last event.
 func (d *Discovery) answer(p *poll) (answer string, cursor int, added <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -199,9 +199,8 @@
 	return answerText(cursor, eventText(cursor, d.revision, false, entries)), cursor, nil
 }
 
-// entriesSince returns the latest entry of each worker that answers a poll, among the entries that
-// changed after a revision. urgent is true if the state of any of these workers changed. The caller
-// holds the lock.
+// entriesSince returns, for each worker whose entry answers a poll and changed after a revision, its latest
+// entry. urgent is true if the state of any of these workers changed. The caller holds the lock.
 func (d *Discovery) entriesSince(revision int, p *poll) (texts []string, urgent bool) {
 	indexes := map[*Worker]int{}
 	for _, e := range d.events {
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -1,8 +1,7 @@
-// Package hollow provides hollow workers, which run no tasks, so that thousands of them share one
-// process. Each worker has its own listener on a loopback address, answers offers, pings and releases
-// according to the protocol, accounts for its capacity and completes a task after its run time. The
-// package also provides a stand-in for discovery that lists the workers. A program that serves must
-// not include this package.
+// Package hollow provides hollow workers, which run no tasks, so that thousands of them fit into one process.
+// Each worker has its own listener on a loopback address, answers offers, pings and releases according to the
+// protocol, accounts for its capacity and completes a task after its run time. The package also provides a
+// stand-in for discovery that lists the workers. A program that serves clients must not include this package.
 package hollow
 
 import (
@@ -19,8 +18,8 @@
 type Observer interface {
 	// Accepted is called when a worker accepts a task, before the worker sends the acceptance.
 	Accepted(worker, key, requestID string)
-	// Ended is called when a task ends, before the worker reports its completion. lost is true if the
-	// worker failed: the completion is then never reported.
+	// Ended is called when a task ends, before the worker reports its completion. If lost is true, the worker failed
+	// and will never report the completion.
 	Ended(worker, requestID string, at time.Time, lost bool)
 }
 
@@ -33,10 +32,10 @@
 // Options configure a fleet.
 type Options struct {
 	Workers     int
-	Kinds       []Kind        // assigned to the workers in turn
-	Zones       []string      // assigned to the cells in turn
+	Kinds       []Kind        // assigned to the workers round-robin
+	Zones       []string      // assigned to the cells round-robin
 	CellSize    int           // number of workers per cell
-	IdleTimeout time.Duration // connections without a message for this long are closed; 0 means never
+	IdleTimeout time.Duration // a connection without a message for this time is closed; 0 means never
 }
 
 // Fleet is a set of workers.
@@ -45,7 +44,7 @@
 	observer Observer
 
 	mutex   sync.Mutex
-	changed changes // recorded since the last call of takeChanges
+	changed changes // changes since the last call of takeChanges
 
 	rejections          counter
 	messages            counter
@@ -55,7 +54,7 @@
 	stop                chan struct{}
 }
 
-// firstWorkerID is the number in the ID of the first worker; the numbers of the following IDs increase by 1.
+// firstWorkerID is the number in the ID of the first worker. Each further worker has the next number.
 const firstWorkerID = 0xc41f00
 
 // NewFleet starts the workers of a fleet.
@@ -104,10 +103,10 @@
 	}
 }
 
-// loopbackAddress returns the nth loopback address of this process, with any free port. Two processes
-// use different addresses unless their process IDs are equal modulo 200.
+// loopbackAddress returns the nth loopback address of this process, with port 0 so that the kernel chooses a
+// free port. Two processes use different addresses unless their process IDs are equal modulo 200.
 func loopbackAddress(n int) string {
-	const hosts = 250 // avoids 0 and 255 as the last byte, which look like network and broadcast addresses
+	const hosts = 250 // the last byte is 1 to 250, because 0 and 255 look like network and broadcast addresses
 	return fmt.Sprintf("127.%d.%d.%d:0", 16+os.Getpid()%200, n/hosts, 1+n%hosts)
 }
 
@@ -120,8 +119,8 @@
 // ConnectionsAccepted returns the number of connections accepted so far.
 func (f *Fleet) ConnectionsAccepted() int64 { return f.connectionsAccepted.Load() }
 
-// AcceptFailures returns the number of failed attempts to accept a connection. Each time, the connection
-// had to wait because the process had no file descriptor left.
+// AcceptFailures returns the number of failed attempts to accept a connection. An attempt fails if the process
+// has no file descriptor left; the connection then waits for the next attempt.
 func (f *Fleet) AcceptFailures() int64 { return f.acceptFailures.Load() }
 
 // Connections returns the number of open connections to all workers.
@@ -134,7 +133,7 @@
 	return f.count(func(w *Worker) int { return len(w.tasks) })
 }
 
-// count returns the sum of value over all workers. It calls value with the worker's lock held.
+// count returns the sum of a value over all workers. It calls the function value with the worker's lock held.
 func (f *Fleet) count(value func(*Worker) int) (total int) {
 	for _, w := range f.Workers {
 		w.mutex.Lock()
@@ -144,8 +143,8 @@
 	return total
 }
 
-// changeKind is the kind of change of a worker's entry in the worker list. The larger value prevails if
-// both kinds are recorded.
+// changeKind is the kind of change of a worker's entry in the worker list. If both kinds are recorded for a
+// worker, the larger value, stateChanged, prevails.
 type changeKind int
 
 const (
@@ -156,8 +155,8 @@
 // changes holds the kind of change of each changed worker, by worker index.
 type changes map[int]changeKind
 
-// RecordChange records a change of the free capacity of the worker with an index. Discovery then publishes the
-// worker's entry again, even if the capacity is unchanged.
+// RecordChange records that the free capacity of the worker with the given index changed. Discovery then
+// publishes the worker's entry again, even if the capacity is in fact unchanged.
 func (f *Fleet) RecordChange(index int) { f.recordChange(index, capacityChanged) }
 
 func (f *Fleet) recordChange(index int, kind changeKind) {
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -198,7 +198,8 @@
 	return parsePollAnswer(t, text)
 }
 
-// newTestDiscovery returns a Discovery and a subscription to it. A test calls publishChanges to publish changes.
+// newTestDiscovery returns a Discovery that doesn't publish by itself and a subscription to it. A test calls
+// publishChanges to publish changes.
 func newTestDiscovery(t *testing.T, f *Fleet) (*Discovery, *Subscription) {
 	t.Helper()
 	d := NewDiscovery(f, time.Hour)
@@ -250,9 +251,9 @@
 	return ids
 }
 
-// A poll that names shards gets changes of free capacity for the workers of these shards and of zones
-// that it does not name, the current entries of shards that it requests with fresh, and all changes of
-// state.
+// A poll that names shards gets three kinds of entries: changes of free capacity for the workers of these shards
+// and of zones that it does not name, the current entries of shards that it requests with fresh, and all changes
+// of state.
 func TestDiscoveryFiltersByShard(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	d, subscription := newTestDiscovery(t, f)
@@ -297,8 +298,9 @@
 	}
 }
 
-// Changes of only free capacity wait until the end of a poll that allows the delay, and the latest entry of each
-// worker is sent. A change of state is sent at once, together with the waiting changes.
+// A poll may allow changes of only free capacity to be delayed. They then wait until the end of the poll, and
+// only the latest entry of each worker is sent. A change of state is sent at once, together with the waiting
+// changes.
 func TestDiscoveryDelaysCapacity(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	d, _ := newTestDiscovery(t, f)
--- a/internal/testbed/hollow/subscription.go
+++ b/internal/testbed/hollow/subscription.go
@@ -25,8 +25,8 @@
 	goroutines sync.WaitGroup
 
 	mutex      sync.Mutex
-	base       int // revision before the first event since the orchestrator's latest start
-	lastPolled int // revision of the last event that the orchestrator has applied, by its latest poll
+	base       int // revision of the last event before the orchestrator's latest start
+	lastPolled int // revision of the last event that the orchestrator had applied at its latest poll
 }
 
 // Subscribe opens a command channel for one orchestrator.
@@ -41,8 +41,8 @@
 	return s, nil
 }
 
-// serve serves polls until Close. It ignores any other error of the server, which shows as polls
-// without an answer.
+// serve serves polls until Close. It ignores any other error of the server, because the test notices that polls
+// get no answer.
 func (s *Subscription) serve() { _ = s.server.Serve(s.listener) }
 
 // Close closes the command channel and waits until its server has ended.
@@ -54,8 +54,8 @@
 // Address returns the address that the orchestrator polls.
 func (s *Subscription) Address() string { return s.listener.Addr().String() }
 
-// Bytes returns the byte counters of the command channel. Received counts the bytes that the
-// orchestrator sent.
+// Bytes returns the byte counters of the command channel. Received is the number of bytes that the orchestrator
+// sent.
 func (s *Subscription) Bytes() *ByteCounters { return s.listener.bytes }
 
 // LastAppliedRevision returns the revision of the last event that the orchestrator has applied.
@@ -94,11 +94,12 @@
 	blockMs, _ := strconv.Atoi(r.URL.Query().Get("block"))
 	answer, err := s.waitForAnswer(r, p, time.Duration(blockMs)*time.Millisecond)
 	if err == nil {
-		_, _ = io.WriteString(w, answer) // an orchestrator whose connection ended polls again
+		_, _ = io.WriteString(w, answer) // write errors are ignored: an orchestrator whose connection ended polls again
 	}
 }
 
-// parsePoll parses a poll. refresh holds the shards whose entries the orchestrator requests again.
+// parsePoll parses a poll. The result refresh holds the shards for which the orchestrator requests all current
+// entries again.
 func parsePoll(r *http.Request) (p *poll, refresh shard.Set, err error) {
 	query := r.URL.Query()
 	after, _ := strconv.Atoi(query.Get("resume"))
@@ -108,8 +109,9 @@
 	return p, refresh, cmp.Or(shardsErr, freshErr)
 }
 
-// waitForAnswer waits for an answer to a poll. After the timeout, the answer includes delayed changes
-// of free capacity, or no event. It returns an error if the orchestrator ends the request.
+// waitForAnswer waits until there is an answer to a poll. After the poll's timeout, it returns the delayed
+// changes of free capacity, or an answer without events. It returns an error if the orchestrator ends the
+// request.
 func (s *Subscription) waitForAnswer(r *http.Request, p *poll, timeout time.Duration) (string, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/testbed/hollow/task.go
+++ b/internal/testbed/hollow/task.go
@@ -8,12 +8,12 @@
 
 // This file defines the formats of request IDs and task descriptions.
 
-// requestNumberBits is the number of low bits of a request ID that hold the number of the request. The
-// bits above hold the orchestrator's index plus 1.
+// requestNumberBits is the number of low bits of a request ID that hold the number of the request. The higher
+// bits hold the orchestrator's index plus 1.
 const requestNumberBits = 48
 
-// RequestID returns the ID of the nth request to the orchestrator with an index. The ID contains the
-// index, from which a worker learns which orchestrator opened the connection of an offer.
+// RequestID returns the ID of the nth request to the orchestrator with the given index. The ID contains the
+// index, so that a worker that gets an offer learns which orchestrator opened the connection.
 func RequestID(orchestrator int, n uint64) string {
 	return fmt.Sprintf("%016x", uint64(orchestrator+1)<<requestNumberBits|n)
 }
@@ -28,7 +28,7 @@
 	return int(number>>requestNumberBits) - 1, true
 }
 
-// Task holds the properties of a task that the description in its submission contains.
+// Task holds the properties of a task that a submission describes.
 type Task struct {
 	Cores, Memory float64
 	RunTime       time.Duration // time from start to completion
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -39,7 +39,7 @@
 	requestedCores  float64
 	requestedMemory float64
 	phase           string    // phase in the worker list, "" for up
-	startedAt       time.Time // time of the latest restart; zero, listed as 0, for a worker that started long ago
+	startedAt       time.Time // time of the latest restart; zero, listed as 0, if the worker never restarted
 	unresponsive    bool
 }
 
@@ -73,7 +73,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // no file descriptor is left: the connection waits in the backlog
+		case err != nil: // the process has no file descriptor left: retry later, and the connection waits in the listener's backlog
 			w.fleet.acceptFailures.Add(1)
 			<-time.After(acceptRetryPause)
 			continue
@@ -87,8 +87,9 @@
 	}
 }
 
-// addConnection adds a connection and returns the completions to send on it: all unreported completions, because the
-// worker does not know yet which orchestrator opened the connection.
+// addConnection adds a connection and returns the completions to send on it. It returns all unreported
+// completions, including completions for other orchestrators, because the worker does not know yet which orchestrator
+// opened the connection.
 func (w *Worker) addConnection(c *connection) (lines []testbed.Line) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -27,18 +27,18 @@
 	Task
 	key          string
 	orchestrator int
-	connection   *connection // connection of its offer, nil if AddRunning added the task
+	connection   *connection // connection on which its offer arrived, nil if AddRunning added the task
 	timer        *time.Timer // ends the task after its run time, nil until the run time starts
 }
 
-// completion is the end of a task, which is reported again on connections that are established later.
+// completion is the report of a task's end, which the worker also sends on connections established later.
 type completion struct {
 	line testbed.Line
 	at   time.Time
 }
 
-// receiveOffer accepts an offer or rejects it for lack of capacity. An offer with an invalid task
-// description fails.
+// receiveOffer accepts an offer, or rejects it for lack of capacity. An offer whose task description is invalid
+// is answered as failed.
 func (w *Worker) receiveOffer(from *connection, line testbed.Line) {
 	t, err := ParseTask(*line.Blob)
 	if err != nil {
@@ -86,8 +86,8 @@
 	task.timer = time.AfterFunc(task.RunTime, func() { w.complete(requestID, codeEnded) })
 }
 
-// AddRunning adds a task that was running before the test began. It reports whether there was enough
-// free capacity. The run time of the task starts with StartRunTimes.
+// AddRunning adds a task that was running before the test began. It reports whether there was enough free
+// capacity. StartRunTimes starts the run time of the task.
 func (w *Worker) AddRunning(requestID, key string, t Task) bool {
 	orchestrator, _ := OrchestratorOf(requestID)
 	w.mutex.Lock()
@@ -146,9 +146,10 @@
 	w.requestedMemory -= task.Memory
 }
 
-// reportConnections returns the connections on which to report the completion of a task: the connection of its offer
-// if that connection is still open, otherwise one of its orchestrator's connections, otherwise all connections whose
-// orchestrator is unknown. The caller holds the lock.
+// reportConnections returns the connections on which to report the completion of a task. The first choice is the
+// connection of its offer, if that connection is still open. The second is any connection of the same
+// orchestrator. If there is neither, these are all connections whose orchestrator is unknown. The caller holds
+// the lock.
 func (w *Worker) reportConnections(task *runningTask) []*connection {
 	if task.connection != nil && w.connections[task.connection] {
 		return []*connection{task.connection}
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -32,7 +32,7 @@
 // noCode is returned by Cause for a message without a code.
 const noCode = -1
 
-// Cause returns the code of a message, or -1 if it has none.
+// Cause returns the code of a message, or noCode (-1) if the message has none.
 func (l Line) Cause() int {
 	if l.RC == nil {
 		return noCode
@@ -81,5 +81,5 @@
 	if err != nil {
 		panic(err)
 	}
-	_, _ = w.Write(append(b, '\n')) // the reader of the connection detects its end
+	_, _ = w.Write(append(b, '\n')) // a write error is ignored: the reader of the connection detects the end
 }
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -15,13 +15,13 @@
 // relays do.
 
 const (
-	firstPort    = 20_000 // below the range of ephemeral ports
+	firstPort    = 20_000 // lowest port used; all ports used are below the range of ephemeral ports
 	portCount    = 10_000
 	portAttempts = 5_000
 )
 
-// portsUsed counts the ports tried by all networks of this process, so that no two networks use the same port. Its
-// initial value depends on the process ID, so that other processes most likely try other ports.
+// portsUsed counts the ports tried by all networks of this process, so that two networks use different ports.
+// Its initial value depends on the process ID, so that other processes most likely try other ports.
 var portsUsed atomic.Int64
 
 func init() { portsUsed.Store(int64(os.Getpid()) * 997) }
@@ -39,12 +39,12 @@
 	changed    *sync.Cond // signalled when conditions change or the network is closed
 	random     *rand.Rand
 	conditions map[direction]Conditions
-	addresses  map[string]string // listen address by process, "" for a process that has ended
+	addresses  map[string]string // listen address of each process, by name; "" for a process that has ended
 	relays     map[direction]*relay
 	changedAt  map[direction]time.Time // when the conditions of a direction last changed
 	closed     bool
-	// Passed counts forwarded datagrams and forwarded reads of connections. Stopped counts lost datagrams and the
-	// reads whose data a cut held back until the cut healed.
+	// Passed is the number of forwarded datagrams and of forwarded reads from connections. Stopped is the number of
+	// lost datagrams and of reads whose data a cut held back until its end.
 	Passed, Stopped atomic.Int64
 }
 
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Relay opens the path from one process to another. It returns the address at which the sending process opens
-// connections and to which it sends datagrams.
+// Relay opens the path from one process to another. It returns the address that the sending process uses for the
+// receiving process, both for connections and for datagrams.
 func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,9 +87,8 @@
 	return datagrams.LocalAddr().String(), datagrams.Close()
 }
 
-// listenFreePort listens on a port that is free for datagrams and for connections. The port is
-// below the range of ephemeral ports: the kernel does not assign the port to another socket while no
-// process listens on it.
+// listenFreePort listens for datagrams on a port that is also free for connections. The port is below the range
+// of ephemeral ports, so the kernel does not assign the port to another socket while no process listens on it.
 func listenFreePort() (*net.UDPConn, error) {
 	for range portAttempts {
 		port := firstPort + int(portsUsed.Add(1))%portCount
@@ -141,7 +140,7 @@
 	return n.updateListeners()
 }
 
-// Reset resets the connections that were opened in one direction.
+// Reset resets the open connections from one process to another.
 func (n *Network) Reset(from, to string) {
 	n.mu.Lock()
 	r := n.relays[direction{from, to}]
@@ -164,8 +163,8 @@
 	}
 }
 
-// Open reports whether a direction is neither cut nor refuses connections. It ignores
-// flapping and random loss.
+// Open reports whether a direction is neither cut nor refuses connections. Flapping and random loss don't count
+// as a cut.
 func (n *Network) Open(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,8 +180,7 @@
 	return n.relays[d] != nil || n.relays[d.reverse()] != nil
 }
 
-// WasHealthy reports whether both directions between two processes have had no fault since the
-// given time.
+// WasHealthy reports whether neither direction between two processes has had a fault since the given time.
 func (n *Network) WasHealthy(a, b string, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -212,7 +210,8 @@
 	return n.random.Float64() < probability
 }
 
-// delay draws the time that a number of bytes takes to arrive.
+// delay returns the time that a number of bytes takes to arrive: the constant delay, a random jitter, and the
+// time that the bandwidth requires.
 func (n *Network) delay(c Conditions, bytes int) time.Duration {
 	d := c.Delay
 	if c.Jitter > 0 {
@@ -247,7 +246,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for !n.closed && n.conditions[d].isCut(time.Now()) {
-		if n.conditions[d].Flap > 0 { // the start of an open period is not signalled
+		if n.conditions[d].Flap > 0 { // no signal announces the start of an open period, so poll
 			n.mu.Unlock()
 			time.Sleep(flapPoll)
 			n.mu.Lock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -60,7 +60,7 @@
 		p.logChanged.Broadcast()
 		p.mu.Unlock()
 	}
-	_ = cmd.Wait() // the exit status is no error here: most processes are killed
+	_ = cmd.Wait() // the exit status is ignored, because most processes are killed
 	p.mu.Lock()
 	p.endedAt = time.Now()
 	close(ended)
@@ -68,8 +68,8 @@
 	p.mu.Unlock()
 }
 
-// WaitForLog waits for a log line of the last start that contains a text. It returns the word that follows the text
-// in this line.
+// WaitForLog waits until the process has logged a line with the given text since its last start. It returns the
+// word that follows the text in this line.
 func (p *Process) WaitForLog(text string) (string, error) {
 	timer := time.AfterFunc(Timeout, func() {
 		p.mu.Lock()
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// This file owns the path between an orchestrator and one worker: a proxy that a test delays
-// and partitions. The proxy behaves like a network during a partition:
-//   - Data that is sent into the partition is held back and arrives once the partition heals. If
-//     the sender resets the connection first, the data is discarded.
+// This file owns the path between an orchestrator and one worker: a proxy that a test can delay and partition.
+// During a partition, the proxy behaves like a network:
+//   - Data that a sender writes is held back and arrives once the partition heals. If the sender resets the
+//     connection first, the data is discarded.
 //   - A reset does not reach the other side, where the connection still looks open.
 //   - No connection is established.
 
@@ -19,7 +19,7 @@
 	proxyBuffer     = 16 << 10 // maximum size of one read in bytes
 	maxSegments     = 10_000   // maximum number of segments in flight per connection
 	normalBacklog   = 1024
-	backlogFullTime = 50 * time.Millisecond // a dial that takes longer shows that the backlog is full
+	backlogFullTime = 50 * time.Millisecond // if a dial takes longer, the backlog is full
 )
 
 // Proxy forwards connections to one address and injects network faults.
@@ -35,7 +35,7 @@
 	muted       bool // data from the worker is held back
 	closed      bool
 	returned    int                 // number of reads from the worker that were forwarded
-	stranded    map[net.Conn]bool   // connections that stay open and forward nothing
+	stranded    map[net.Conn]bool   // connections that Blackhole keeps open without forwarding anything
 	fillers     map[string]net.Conn // connections that fill the backlog during a partition, by local address
 	connections []net.Conn          // both sides of each connection
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// Mute holds back all data from the worker until Unmute. Data to the worker still arrives.
+// Mute holds back all data from the worker until Unmute. Data to the worker is still forwarded.
 func (p *Proxy) Mute() { p.setMuted(true) }
 
 // Unmute ends the effect of Mute and forwards the data that was held back.
@@ -130,7 +130,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.partitioned = true
-	p.setAcceptDeadline(t, time.Unix(1, 0)) // makes a blocked Accept return
+	p.setAcceptDeadline(t, time.Unix(1, 0)) // the past deadline makes a blocked Accept return
 	setBacklog(t, p.listener, 0)
 	for {
 		conn, err := net.DialTimeout("tcp", p.listener.Addr().String(), backlogFullTime)
@@ -175,8 +175,8 @@
 	}
 }
 
-// waitForwarding waits for the end of a partition. It then reports whether the proxy still forwards
-// data of a connection.
+// waitForwarding waits for the end of a partition. It then reports whether the proxy still forwards data of the
+// given connection.
 func (p *Proxy) waitForwarding(conn net.Conn) bool {
 	if !p.waitHealed() {
 		return false
@@ -231,8 +231,8 @@
 	}
 }
 
-// takeFiller returns the dialing side of an accepted connection if Partition opened it to fill
-// the backlog, and nil otherwise.
+// takeFiller returns the dialing side of an accepted connection if Partition opened the connection to fill the
+// backlog, and nil otherwise.
 func (p *Proxy) takeFiller(accepted net.Conn) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -250,7 +250,8 @@
 	err   error
 }
 
-// forward forwards data from the orchestrator to the worker, each segment after the delay.
+// forward forwards data from the orchestrator to the worker. It forwards each segment when the delay since the
+// read has elapsed.
 func (p *Proxy) forward(from, to net.Conn) {
 	segments := make(chan segment, maxSegments)
 	reset := make(chan struct{})
@@ -265,7 +266,7 @@
 		case <-reset:
 			if !wasPartitioned {
 				ResetConnection(to)
-			} // a reset during a partition does not reach the worker, and the data in flight is lost
+			} // a reset during a partition does not reach the worker, and the data that was held back is lost
 			return
 		default:
 		}
@@ -273,7 +274,7 @@
 			CloseQuietly(to)
 			return
 		}
-		_, _ = to.Write(next.bytes) // backward detects that the worker closed the connection
+		_, _ = to.Write(next.bytes) // a write error is ignored: backward detects that the worker closed the connection
 	}
 }
 
@@ -311,7 +312,7 @@
 			CloseQuietly(from)
 			return
 		}
-		_, _ = from.Write(buffer[:n]) // forward detects that the orchestrator closed the connection
+		_, _ = from.Write(buffer[:n]) // a write error is ignored: forward detects that the orchestrator closed the connection
 		p.mu.Lock()
 		p.returned++
 		p.mu.Unlock()
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// This file owns the relay from one process to another, which forwards datagrams and
-// connections at one port. During a cut, data on a connection is held back and arrives once the
-// cut heals, and datagrams are lost. If the target process does not run, the relay refuses
-// connections and drops datagrams, as the host of that process would.
+// This file owns the relay from one process to another, which forwards datagrams and connections at one port. A
+// cut holds back the data of connections, which arrives after the cut, but datagrams during a cut are lost. If
+// the target process does not run, the relay refuses connections and drops datagrams, as the host of that
+// process would.
 
 const (
 	maxDatagram       = 64 << 10 // in bytes
@@ -23,8 +23,8 @@
 	listenRetryPeriod = time.Millisecond
 )
 
-// relay forwards datagrams and connections in one direction. Responses on its connections pass
-// in the reverse direction.
+// relay forwards datagrams and connections from one process to another. Data that the receiver sends back on
+// these connections passes in the reverse direction.
 type relay struct {
 	direction
 	network   *Network
@@ -50,7 +50,7 @@
 	r.resetConnections()
 }
 
-// setListening makes the relay accept or refuse connections. A relay that starts to refuse them
+// setListening makes the relay accept or refuse connections. When the relay starts to refuse connections, it
 // also resets the open ones.
 func (r *relay) setListening(on bool) error {
 	r.mu.Lock()
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// listenAgain listens at an address whose previous listener may just have been closed. It
-// retries while the address is in use: a child process that is being started holds a copy of
-// the old descriptor until it executes its program.
+// listenAgain listens at an address whose previous listener may just have been closed. It retries while the
+// address is in use, because a child process that is being started keeps a copy of the old descriptor until it
+// executes its program.
 func listenAgain(address string) (listener net.Listener, err error) {
 	for range listenAttempts {
 		if listener, err = net.Listen("tcp4", address); !errors.Is(err, syscall.EADDRINUSE) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// relayDatagram drops a datagram or forwards one or two copies of it, as the conditions of the direction determine.
-// The delay of each copy is drawn separately.
+// relayDatagram drops a datagram, or forwards one or two copies of it. The conditions of the direction determine
+// which. The delay of each copy is drawn separately.
 func (r *relay) relayDatagram(out *net.UDPConn, datagram []byte) {
 	conditions, target := r.network.path(r.direction)
 	if target == "" || conditions.Refuse || conditions.isCut(time.Now()) || r.network.drawEvent(conditions.Loss) {
@@ -136,7 +136,7 @@
 			delay += conditions.extraDelay()
 		}
 		content := append([]byte(nil), datagram...)
-		send := func() { _, _ = out.WriteToUDP(content, address) } // a datagram may be lost
+		send := func() { _, _ = out.WriteToUDP(content, address) } // an error is ignored: datagrams may be lost
 		if delay == 0 {
 			send()
 		} else {
@@ -157,8 +157,8 @@
 	}
 }
 
-// connect connects an accepted connection to the target process once neither direction is cut.
-// It returns when both sides have ended.
+// connect connects an accepted connection to the target process, once neither direction is cut, and forwards
+// data in both directions. It returns when both directions have ended.
 func (r *relay) connect(near net.Conn) {
 	defer r.remove(near)
 	if !r.network.waitOpen(r.direction) || !r.network.waitOpen(r.reverse()) {
@@ -213,8 +213,8 @@
 	}
 }
 
-// writeWhenOpen writes data to sink once the direction is not cut and the delay has elapsed. It reports
-// whether the write succeeded.
+// writeWhenOpen waits until the direction is not cut, then waits for the delay, and writes data to sink. It
+// reports whether the write succeeded.
 func (r *relay) writeWhenOpen(sink net.Conn, content []byte, d direction) bool {
 	if conditions, _ := r.network.path(d); conditions.isCut(time.Now()) {
 		r.network.Stopped.Add(1)
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -37,13 +37,14 @@
 	VerbHeal      = "heal"
 )
 
-// AllPaths is the path of a step that affects all paths between orchestrators.
+// AllPaths is the word in a step that stands for all paths between orchestrators.
 const AllPaths = "all"
 
-// except precedes the process that a cut does not affect.
+// except is the word in a cut before the name of the process that the cut does not affect.
 const except = "but"
 
-// Contents of the folder of a restarted process: no stored file, or the stored file of its first start.
+// Arguments of a start or restart that determine the stored files which the process finds: none, or the stored
+// file of its first start.
 const (
 	FolderEmpty = "empty"
 	FolderOld   = "old"
@@ -59,12 +60,11 @@
 
 // verbForm describes the arguments of a verb.
 type verbForm struct {
-	minArgs, maxArgs int    // number of arguments, unused for cut
-	usage            string // arguments in the form that error messages show
+	minArgs, maxArgs int    // minimum and maximum number of arguments, unused for cut
+	usage            string // the arguments as error messages show them
 }
 
-// verbForms contains the forms of all verbs except heal, which has neither a process or path nor
-// arguments.
+// verbForms contains the forms of all verbs except heal. A heal step has no process, path or arguments.
 var verbForms = map[string]verbForm{
 	VerbCut:       {usage: "[but PROCESS]"},
 	VerbRefuse:    {},
@@ -92,7 +92,7 @@
 	return strings.Join(append(words, s.Args...), " ")
 }
 
-// OnProcess reports whether the step affects one process, as opposed to paths.
+// OnProcess reports whether the step affects a process. Any other step affects paths.
 func (s Step) OnProcess() bool {
 	switch s.Verb {
 	case VerbPause, VerbKill, VerbTerminate, VerbStart, VerbRestart:
@@ -104,14 +104,14 @@
 // Spares reports whether a cut does not affect the paths of a process.
 func (s Step) Spares(process string) bool { return len(s.Args) == 2 && s.Args[1] == process }
 
-// Duration returns an argument that is a duration. The step must come from ParseSchedule or
-// DrawSchedule.
+// Duration returns the argument with the given index, which must be a duration. The step must come from
+// ParseSchedule or DrawSchedule.
 func (s Step) Duration(arg int) time.Duration {
 	d, _ := time.ParseDuration(s.Args[arg]) // ParseSchedule has checked the argument
 	return d
 }
 
-// Number returns an argument that is a fraction or a count. The step must come from
+// Number returns the argument with the given index, which must be a fraction or a count. The step must come from
 // ParseSchedule or DrawSchedule.
 func (s Step) Number(arg int) float64 {
 	number, _ := strconv.ParseFloat(s.Args[arg], 64) // ParseSchedule has checked the argument
@@ -132,11 +132,11 @@
 
 // ScheduleError describes an invalid step of a schedule.
 type ScheduleError struct {
-	Step          int // position of the step, starting at 1
+	Step          int // number of the step in the schedule, starting at 1
 	Expected, Got string
 }
 
-// Error returns the number of the step, the expected text and the actual text.
+// Error returns the number of the step, the text that was expected and the text that was found.
 func (e *ScheduleError) Error() string {
 	return fmt.Sprintf("%s: step %d: expected %s, got %.40q", ErrSchedule, e.Step, e.Expected, e.Got)
 }
@@ -200,8 +200,8 @@
 	return step, "", ""
 }
 
-// acceptsArgCount reports whether a step has a valid number of arguments for its verb. A cut has either
-// none or the two words "but PROCESS".
+// acceptsArgCount reports whether the verb of a step allows its number of arguments. A cut has either no
+// arguments or the two arguments "but PROCESS".
 func (f verbForm) acceptsArgCount(step Step) bool {
 	if step.Verb == VerbCut {
 		return len(step.Args) == 0 || len(step.Args) == 2 && step.Args[0] == except
@@ -218,8 +218,7 @@
 	return names
 }
 
-// expectedArg describes the valid values of an argument if the argument is invalid. It returns
-// "" if the argument is valid.
+// expectedArg returns "" if an argument is valid, and otherwise a description of the valid values.
 func expectedArg(verb, arg string) string {
 	switch verb {
 	case VerbDelay, VerbPause, VerbFlap:
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -14,10 +14,10 @@
 const (
 	firstFault       = time.Second             // earliest time of the first fault
 	maxFaultGap      = 1200 * time.Millisecond // maximum time between the starts of two faults
-	healBeforeEnd    = 3 * time.Second         // time between the heal step and the end of the schedule
+	healBeforeEnd    = 3 * time.Second         // length of the time between the heal step and the end of the schedule
 	minFaultLength   = 2 * time.Second         // minimum time between the last fault and the heal step
-	minKillLength    = 9 * time.Second         // minimum time between a kill and the heal step, to be detected
-	processesPerKill = 3                       // at most one in this number of processes is killed
+	minKillLength    = 9 * time.Second         // minimum time between a kill and the heal step, so that the kill is detected
+	processesPerKill = 3                       // at most one of this many processes is killed
 	roundTo          = 100 * time.Millisecond  // times of faults are rounded to a multiple of this
 )
 
@@ -38,25 +38,24 @@
 	faultRefuse        faultKind = "refused connections"
 )
 
-// processesNeeded contains the number of processes without an earlier fault that each kind of fault
-// needs. Kinds that are not listed need none.
+// processesNeeded contains, for each kind of fault, the number of processes that the fault names. These
+// processes must not have an earlier fault. Kinds that are not listed need no process.
 var processesNeeded = map[faultKind]int{faultAsymmetricCut: 2, faultRefuse: 2, faultFlap: 2, faultKill: 1, faultRestart: 1, faultPause: 1, faultBridge: 1}
 
-// scheduleDrawer draws a schedule. No process is named by two faults, so the effects of the faults can
-// be distinguished. Faults of zones and of all paths come in addition.
+// scheduleDrawer draws a schedule. It uses each process in at most one fault, so that the effects of the faults
+// can be distinguished. Faults of zones and of all paths may affect the same processes in addition.
 type scheduleDrawer struct {
 	random    *rand.Rand
 	processes []string // in the order in which they get faults
 	zones     []string
 	next      int           // index of the first process without a fault
-	killed    int           // number of kills drawn, including those left out
+	killed    int           // number of kills drawn, including kills that were left out
 	healAt    time.Duration // time of the heal step
 	steps     []Step
 }
 
-// DrawSchedule generates a schedule from a seed. All faults except kills are over before the given
-// length ends. zones contains the names of the processes by zone. At most a third of the processes
-// are killed.
+// DrawSchedule generates a schedule from a seed. All faults except kills end before the given length. zones
+// contains the names of the processes by zone. At most a third of the processes are killed.
 func DrawSchedule(seed uint64, zones map[string][]string, length time.Duration) []Step {
 	d := &scheduleDrawer{random: rand.New(rand.NewPCG(seed, 6)), healAt: length - healBeforeEnd}
 	for zone, processes := range zones {
@@ -69,8 +68,8 @@
 	kinds := []faultKind{faultKill, faultRestart, faultPause, faultAsymmetricCut, faultLoss, faultFlap, faultDelay, faultZoneCut, faultBridge,
 		faultDuplicate, faultRefuse}
 	shuffle(d.random, kinds)
-	// The first two faults of every schedule are a kill, which draw leaves out if the schedule is
-	// too short for it, and a cut of one direction of a path.
+	// The first two faults of every schedule are a kill and a cut of one direction of a path. If the schedule is too
+	// short for a kill, draw leaves the kill out.
 	at := firstFault
 	for _, kind := range append([]faultKind{faultKill, faultAsymmetricCut}, kinds...) {
 		at += time.Duration(d.random.Int64N(int64(maxFaultGap)))
@@ -90,8 +89,8 @@
 	random.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 }
 
-// draw adds the steps of one fault. It leaves out a kill that is too late to be detected or
-// would exceed the maximum number of kills.
+// draw adds the steps of one fault. It leaves out a kill that would be too late to be detected or would exceed
+// the maximum number of kills.
 func (d *scheduleDrawer) draw(kind faultKind, at time.Duration) {
 	switch kind {
 	case faultKill:
@@ -136,8 +135,8 @@
 
 func (d *scheduleDrawer) zone() string { return d.zones[d.random.IntN(len(d.zones))] }
 
-// ShrinkSchedule removes each step of a failing schedule without which the schedule still fails.
-// It never removes a heal step.
+// ShrinkSchedule shortens a failing schedule. It removes each step without which the rest of the schedule still
+// fails, but never a heal step.
 func ShrinkSchedule(steps []Step, fails func([]Step) bool) []Step {
 	for i := 0; i < len(steps); {
 		shorter := slices.Delete(slices.Clone(steps), i, i+1)
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// This file owns the slow start of an emulated worker: a worker that has just started is slow, and it stops
-// responding to offers if it is overloaded during slow start.
+// This file owns the slow start of an emulated worker. A worker that has just started is slow, and it stops
+// responding to offers for good if it is overloaded during slow start.
 
 // slowStart counts the offers to a worker during slow start. A worker without a start time runs
 // at full speed. The lock of the CapacityModel guards the slowStart.
 type slowStart struct {
 	spec       *WorkerSpec
 	offers     []time.Time // arrival times of the offers within the overload window
-	peakLoad   float64     // maximum ratio of the offers to the tolerated number of offers
-	overloaded bool        // the worker was overloaded and ignores all offers
+	peakLoad   float64     // maximum so far of the number of offers in the window divided by the tolerated number
+	overloaded bool        // the worker was overloaded during slow start and ignores all offers from then on
 }
 
 func (s *slowStart) warmingUp() bool {
--- a/internal/testbed/sockets.go
+++ b/internal/testbed/sockets.go
@@ -20,24 +20,23 @@
 	CloseQuietly(conn)
 }
 
-// resetOnClose makes the next Close of a TCP connection send a reset.
+// resetOnClose makes the next Close of a TCP connection send a reset instead of an orderly close.
 func resetOnClose(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a closed socket, which needs no reset
+	_ = conn.(*net.TCPConn).SetLinger(0) // an error is ignored: it means that the socket is closed, which needs no reset
 }
 
-// Refuse makes a listener refuse connections from now on. The port stays in use until the
-// listener is closed: if the port were released, another test could get it and would receive the
-// connections to this listener.
+// Refuse makes a listener refuse connections from now on. The port stays in use until the listener is closed. If
+// the port were released now, another test could get it and would receive the connections for this listener.
 func Refuse(t Host, ln net.Listener) {
 	control(t, ln, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) })
 }
 
-// setBacklog sets the maximum number of connections that wait at a listener to be accepted.
+// setBacklog sets the maximum number of connections that wait at a listener until they are accepted.
 func setBacklog(t Host, ln net.Listener, backlog int) {
 	control(t, ln, func(fd int) error { return unix.Listen(fd, backlog) })
 }
 
-// control calls a function with the file descriptor of a listener. An error fails the test.
+// control calls a function with the file descriptor of a listener. If this fails, the test fails.
 func control(t Host, ln net.Listener, call func(fd int) error) {
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -52,8 +51,8 @@
 	}
 }
 
-// closedByPeer reports whether the other side of a connection has closed it. It uses the
-// kernel's state of the socket, so it does not depend on what was read from the connection.
+// closedByPeer reports whether the other side of a connection has closed it. It asks the kernel for the state of
+// the socket, so the result does not depend on how much was read from the connection.
 func closedByPeer(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/testbed/task.go
+++ b/internal/testbed/task.go
@@ -11,7 +11,7 @@
 type Task struct {
 	Class              string
 	Cores, Memory      float64       // number of cores, and memory in the unit of the worker list
-	StartTime, RunTime time.Duration // duration of the start at full speed, and time from the end of the start to completion
+	StartTime, RunTime time.Duration // duration of the start at full speed; time from the end of the start to the completion
 }
 
 // Describe returns the text form of a task.
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -22,8 +22,8 @@
 // Timeout is the maximum time for which a test waits for an event.
 const Timeout = 10 * time.Second
 
-// Wait receives a value from a channel. It fails the test if the channel is closed or no value
-// arrives within Timeout. The failure message names the expected event by what.
+// Wait receives a value from a channel. It fails the test if the channel is closed or no value arrives within
+// Timeout. The text what describes the expected event in the failure message.
 func Wait[T any](t Host, what string, c <-chan T) T {
 	t.Helper()
 	select {
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -24,9 +24,9 @@
 	Kind    string    // kind in the worker's list entry, "std" unless the test sets it
 	Offers  chan Line // received offers, in order; only without a CapacityModel
 	Cancels chan Line // received cancels and releases, in order; only without a CapacityModel
-	// LostOffers receives each offer whose connection closed before the orchestrator released the
-	// offer, whether the worker responded or not: closing a connection cancels its open offers.
-	// Offers that exceed the capacity of maxLostOffers are dropped.
+	// LostOffers receives each offer whose connection closed before the orchestrator released the offer, because
+	// closing a connection cancels its open offers. This includes offers to which the worker responded. If
+	// maxLostOffers offers are waiting in the channel, further offers are dropped.
 	LostOffers chan Line
 	// Attempts records the attempts at this worker. It must be set before the first connection;
 	// nil records nothing.
@@ -34,7 +34,7 @@
 
 	host         Host
 	listener     net.Listener
-	proxyAddress string // address for orchestrators, "" for the listener's address
+	proxyAddress string // address of the proxy for orchestrators, "" if they use the listener's address
 	model        *CapacityModel
 
 	mu               sync.Mutex
@@ -93,7 +93,7 @@
 		unreported := w.unreported
 		w.unreported = nil
 		w.mu.Unlock()
-		if w.proxyAddress == "" { // behind a proxy, the proxy detects the closes of the orchestrator
+		if w.proxyAddress == "" { // if the worker has a proxy, the proxy detects that the orchestrator closed a connection
 			w.Attempts.connected(conn.RemoteAddr().String(), func() bool { return closedByPeer(conn.(*net.TCPConn)) })
 		}
 		for _, line := range unreported {
@@ -140,7 +140,7 @@
 	}
 }
 
-// disconnected handles the end of a connection. open contains the offers on it that were not
+// disconnected handles the end of a connection. open contains the offers on the connection that were not
 // released.
 func (w *Worker) disconnected(conn net.Conn, open map[string]Line) {
 	w.mu.Lock()
@@ -154,7 +154,7 @@
 	for _, line := range open {
 		select {
 		case w.LostOffers <- line:
-		default: // the test does not read LostOffers: a full channel must not block the end of the connection
+		default: // if the test does not read LostOffers, the full channel must not block this function
 		}
 	}
 }
@@ -206,8 +206,8 @@
 	return w.connections[conn]
 }
 
-// report sends a message about a task on the connection of its offer. If that connection has
-// ended, report uses any open connection, or the next one if none is open.
+// report sends a message about a task on the connection conn of its offer. If that connection has ended, report
+// uses any open connection. If none is open, the next connection gets the message.
 func (w *Worker) report(conn net.Conn, line Line) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -223,9 +223,9 @@
 	Send(conn, line)
 }
 
-// SendFinish completes a running task and reports the completion as the protocol specifies: on
-// the connection of the offer if that connection looks open to the worker, otherwise on any open
-// connection, and in both cases also on the next connection.
+// SendFinish completes a running task and reports the completion as the protocol specifies. The report goes to
+// the connection of the offer, if that connection looks open to the worker, otherwise to any open connection. In
+// both cases, the report is also sent on the next connection.
 func (w *Worker) SendFinish(requestID string, rc int) {
 	w.sendEnd(requestID, FinishLine("FINISH", requestID, rc))
 }
@@ -246,8 +246,8 @@
 	w.mu.Unlock()
 }
 
-// ReportCompletion completes a task and reports the completion with a code on any open connection. If none is
-// open, ReportCompletion waits for the next one.
+// ReportCompletion completes a task and reports the completion with a code on any open connection. If no
+// connection is open, ReportCompletion waits for the next one.
 func (w *Worker) ReportCompletion(requestID string, rc int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -315,8 +315,8 @@
 	return w.dials, len(w.connections)
 }
 
-// LostConnection reports whether a connection of the worker ended between two times, whichever side
-// closed it.
+// LostConnection reports whether a connection of the worker ended between two times. It does not matter which
+// side closed the connection.
 func (w *Worker) LostConnection(from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -42,7 +42,7 @@
 	w.unresponsive = true
 }
 
-// BecomeUnreachable ends the worker like a power failure: new connections are refused, and open
+// BecomeUnreachable makes the worker behave as after a power failure: new connections are refused, and open
 // connections stay open without a response.
 func (w *Worker) BecomeUnreachable() {
 	w.mu.Lock()
@@ -51,8 +51,8 @@
 	Refuse(w.host, w.listener)
 }
 
-// CloseGracefully ends the worker like a process that shuts down: open connections are closed,
-// and new ones are refused.
+// CloseGracefully ends the worker like a process that shuts down: open connections are closed, and new
+// connections are refused.
 func (w *Worker) CloseGracefully() {
 	Refuse(w.host, w.listener)
 	w.CloseConnections()
@@ -79,8 +79,8 @@
 	}
 }
 
-// isResponsive reports whether the worker still handles messages that arrive for an incarnation: it is responsive and
-// has not crashed since this incarnation started.
+// isResponsive reports whether the worker still handles messages that arrive for an incarnation. It does not if
+// it hangs or has crashed since this incarnation started.
 func (w *Worker) isResponsive(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -8,17 +8,17 @@
 
 // This file owns the responses to offers of a stand-in worker without a CapacityModel.
 
-// answerByScript responds to an offer according to the script, the first word of the task's key.
-// It reports whether the connection is still open. The scripts are:
+// answerByScript responds to an offer according to the script, which is the first word of the task's key. It
+// reports whether the connection is still open. The scripts are:
 //   - ok- accepts the task.
 //   - full- rejects the offer with the cause busy.
 //   - error- reports that the task failed.
 //   - silent- and any unknown word give no response.
 //   - reset- resets the connection.
-//   - missed- is silent- at the first attempt of a request and ok- at later attempts, at any worker.
-//   - half- and bare- give an invalid response at the first offer of a task, half a message or one
-//     without its blob, and an acceptance at later offers.
-//   - twice- gives an acceptance twice, after two responses to a request that was never sent.
+//   - missed- acts as silent- at the first attempt of a request and as ok- at later attempts, at any worker.
+//   - half- and bare- give an invalid response at the first offer of a task and accept later offers. The
+//     invalid response is half a message (half-) or a message without its blob (bare-).
+//   - twice- sends two responses to a request that was never sent, and then the acceptance twice.
 //   - brief- completes the task before its acceptance: one message reports both.
 //   - held- runs the task and never sends the acceptance.
 func (w *Worker) answerByScript(conn net.Conn, line Line) (open bool) {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// script returns the first word of a task's key, with missed replaced by silent at the first
-// attempt and by ok at later attempts.
+// script returns the first word of a task's key. It replaces the word missed by silent at the first attempt of a
+// request and by ok at later attempts.
 func (w *Worker) script(line Line) string {
 	script, _, _ := strings.Cut(line.Opts["key"], "-")
 	if script != "missed" {
@@ -98,8 +98,8 @@
 	w.Attempts.accepted(w.Name, requestID)
 }
 
-// answerInvalid sends a message without its blob for the script bare, and otherwise the first half
-// of a message.
+// answerInvalid sends an invalid response: for the script bare a message without its blob, and otherwise the
+// first half of a message.
 func answerInvalid(conn net.Conn, script string, line Line) {
 	line.Verb = "STARTED"
 	if script == "bare" {
@@ -111,7 +111,7 @@
 	if err != nil {
 		panic(err)
 	}
-	_, _ = conn.Write(text[:len(text)/2]) // the reader of the connection detects its end
+	_, _ = conn.Write(text[:len(text)/2]) // a write error is ignored: the reader of the connection detects the end
 }
 
 // answerTwice sends an acceptance and a rejection of a request that the orchestrator never sent,
--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -18,7 +18,7 @@
 	minRetryPause     = 1100 * ms
 	retryJitter       = 1400 * ms
 	redialPause       = 100 * ms
-	maybeStartedPause = 3 * time.Second // pause before a client checks whether a task that must not start twice was accepted
+	maybeStartedPause = 3 * time.Second // pause before a client checks whether a worker has accepted a task that must not start twice
 	responseGrace     = 2 * time.Second // time after a request's timeout for which a client still waits for a response
 	codeRejected      = 34              // code of a FINISH message that rejects a request
 )
@@ -41,10 +41,10 @@
 	disconnected bool
 }
 
-// clients holds the connections that all clients share and the counts that they record.
+// clients holds the connections that all clients share and the counts and times that they record.
 type clients struct {
 	rig           *rig
-	compliance    float64   // share of a Retry-After that clients wait
+	compliance    float64   // fraction of the Retry-After for which a client waits
 	stormAt       time.Time // start of the storm
 	lastRequestID atomic.Int64
 	connections   [][]*connection // by orchestrator
@@ -52,9 +52,9 @@
 	mu                 sync.Mutex
 	started            []startedTask
 	submittedAt        []time.Time     // times of all submissions
-	lateBy             []time.Duration // lateness of the responses that countLate counted
-	duplicateResponses int             // repeated STARTED messages for a request
-	unanswered         int             // requests without a response at responseGrace after their timeout
+	lateBy             []time.Duration // lateness of the responses that countLate recorded
+	duplicateResponses int             // number of repeated STARTED messages for a request
+	unanswered         int             // number of requests without a response at responseGrace after their timeout
 	retryAfters        []time.Duration
 }
 
@@ -77,8 +77,8 @@
 	return c
 }
 
-// registerRunningTasks registers with a restarted orchestrator the running tasks that it had started
-// before its restart, as the clients of the tasks do. It returns the number of registered tasks.
+// registerRunningTasks registers running tasks with a restarted orchestrator, as their clients do. These are the
+// tasks that the orchestrator had started before its restart. It returns the number of registered tasks.
 func (c *clients) registerRunningTasks(orchestrator int) (registered int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +112,9 @@
 	for deadline := r.submittedAt.Add(clientTimeout); time.Now().Before(deadline); {
 		pause := minRetryPause + time.Duration(random.Float64()*float64(retryJitter))
 		resp, sentAt, ok := c.submit(j, random, r)
-		if !ok { // The orchestrator is down: draw an orchestrator again after redialPause, as a front end tries another one.
+		// If the orchestrator is down, the client draws an orchestrator again after redialPause, because a front end
+		// would try another one.
+		if !ok {
 			time.Sleep(redialPause)
 			continue
 		}
@@ -136,8 +138,9 @@
 	return r
 }
 
-// mayHaveStarted waits for maybeStartedPause if a task must not start twice, and then reports whether a
-// worker has accepted it. It returns false at once for other tasks.
+// mayHaveStarted reports whether a task may have started although its client knows of no start. For a task that
+// must not start twice, it waits for maybeStartedPause and then reports whether a worker has accepted the task.
+// For other tasks it returns false at once.
 func (c *clients) mayHaveStarted(j *job) bool {
 	if j.class.name != classArchiveCut {
 		return false
@@ -146,8 +149,8 @@
 	return c.rig.recorder.wasAccepted(j.key)
 }
 
-// retryAfter records the Retry-After of a rejection and returns how long the client waits: the share
-// of the Retry-After that its compliance gives.
+// retryAfter records the Retry-After of a rejection and returns the time for which the client waits. This is the
+// Retry-After times the compliance.
 func (c *clients) retryAfter(rejection response) time.Duration {
 	waitMs, _ := strconv.Atoi(rejection.Opts["wait"])
 	c.mu.Lock()
@@ -156,8 +159,8 @@
 	return time.Duration(c.compliance * float64(waitMs) * float64(ms))
 }
 
-// countLate counts a response that came after the timeout of its request. run calls it only for
-// responses after which it retries: a late STARTED is not counted.
+// countLate records the lateness of a response that came after the timeout of its request. run calls countLate
+// only for responses after which it retries, so a late STARTED is not recorded.
 func (c *clients) countLate(j *job, resp response, sentAt time.Time) {
 	late := resp.at.Sub(sentAt) - j.class.responseTimeout
 	if resp.disconnected || late <= 0 {
@@ -168,9 +171,9 @@
 	c.lateBy = append(c.lateBy, late)
 }
 
-// submit sends one request to an orchestrator drawn at random and waits for the response. It returns
-// false if the orchestrator cannot be dialled. A request that has no response at responseGrace
-// after its timeout is counted and treated as disconnected.
+// submit sends one request to an orchestrator drawn at random and waits for the response. It returns false if
+// the orchestrator cannot be dialled. If there is no response until responseGrace after the request's timeout,
+// submit counts the request as unanswered and returns a response with disconnected set.
 func (c *clients) submit(j *job, random *rand.Rand, r *result) (resp response, sentAt time.Time, ok bool) {
 	conn := c.connections[random.IntN(len(c.connections))][random.IntN(connectionsEach)]
 	requestID := testbed.RequestID(int(c.lastRequestID.Add(1)))
@@ -198,7 +201,8 @@
 	return resp, sentAt, true
 }
 
-// recordResponse adds a response to the history, and a task that it reports as started to c.started.
+// recordResponse adds a response to the history. If the response reports that the task started, it also adds the
+// task to c.started.
 func (c *clients) recordResponse(j *job, requestID string, orchestrator int, resp response) {
 	if !resp.disconnected {
 		c.rig.recorder.history.add(operation{requestID: requestID, kind: answered, response: kindOfResponse(resp.Line)})
--- a/test/backpressure/connection_test.go
+++ b/test/backpressure/connection_test.go
@@ -7,8 +7,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the clients' connections. A connection that has ended is dialled again by the next
-// submission on it.
+// This file owns the clients' connections. If a connection has ended, the next submission on it dials again.
 
 // connectionsEach is the number of client connections to each orchestrator.
 const connectionsEach = 100
@@ -28,8 +27,8 @@
 	return &connection{clients: c, orchestrator: orchestrator, responses: map[string]chan response{}, answered: map[string]bool{}}
 }
 
-// submit sends a request, after dialling if there is no connection, and returns the channel that
-// receives the responses to it.
+// submit sends a request and returns the channel that receives the responses to it. It dials first if there is
+// no connection.
 func (c *connection) submit(line testbed.Line) (<-chan response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -16,7 +16,7 @@
 // class is a request class of the deployment, with the ranges from which its tasks are drawn.
 type class struct {
 	name             string
-	share            float64      // share of all tasks that are of this class
+	share            float64      // fraction of all tasks that belong to this class
 	shapes           [][2]float64 // cores and memory of a task; each program draws one pair
 	responseTimeout  time.Duration
 	latencyObjective time.Duration
@@ -26,7 +26,7 @@
 
 const (
 	classRelay      = "live-relay"
-	classArchiveCut = "archive-cut" // its tasks must never start twice
+	classArchiveCut = "archive-cut" // class whose tasks must never start twice
 )
 
 var classes = []class{
@@ -54,7 +54,7 @@
 	key     string
 	program uint64
 	at      time.Duration // time of the first submission, relative to the start of the storm
-	inStorm bool          // the job belongs to the storm, not to the usual demand
+	inStorm bool          // the job belongs to the storm; otherwise it belongs to the usual demand
 	seed    uint64        // seed of the draws that the client makes
 }
 
@@ -70,7 +70,7 @@
 	id          uint64
 	shape       [2]float64
 	meanRunTime time.Duration
-	tasksLeft   int // number of tasks that are still to be drawn for the program
+	tasksLeft   int // number of tasks of the program that are still to be drawn
 }
 
 // demand draws tasks and the programs that they run.
@@ -102,7 +102,7 @@
 	return jobs
 }
 
-// drawClass draws a class by the classes' shares of all tasks.
+// drawClass draws a class with the probabilities that the shares of the classes give.
 func (d *demand) drawClass() *class {
 	pick := d.random.Float64()
 	for i := range classes {
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -13,22 +13,22 @@
 
 // figures holds the measurements of one storm.
 type figures struct {
-	lastStartBound    float64 // earliest possible last start, in seconds since the start of the storm
+	lastStartBound    float64 // lower bound of the start time of the storm's last task, in seconds since the start of the storm
 	relaysInTimeBound float64 // upper bound of relaysInTime
-	settledAt         float64 // end of the storm, in seconds since its start
+	settledAt         float64 // time when the storm has settled, in seconds since its start
 
 	submissionsPerStart float64
-	relaysInTime        float64 // share of the storm's started live-relay tasks within their latency objective
-	offersPerStart      float64 // offers that workers accepted or rejected, per acceptance
-	peakColdLoad        float64 // highest load of a worker in slow start; above 1, it stops answering
-	utilization         float64 // mean utilization while many requests were pending, 0 to 1
+	relaysInTime        float64 // fraction of the storm's started live-relay tasks that started within their latency objective
+	offersPerStart      float64 // offers that workers accepted or rejected, divided by the number of acceptances
+	peakColdLoad        float64 // maximum load of a worker in slow start; a worker with a load above 1 stops responding
+	utilization         float64 // mean utilization, from 0 to 1, while at least 50 requests were in flight
 
 	lateResponses      int
 	maxLate            time.Duration
 	duplicateResponses int
-	duplicateStarts    int // acceptances of archive-cut tasks beyond the first of each key
-	unanswered         int // requests without a response
-	neverStarted       int // tasks of the storm that never started
+	duplicateStarts    int // number of acceptances of archive-cut tasks after the first acceptance of each key
+	unanswered         int // number of requests without a response
+	neverStarted       int // number of tasks of the storm that never started
 	history            porcupine.CheckResult
 }
 
@@ -79,8 +79,9 @@
 	return submissions, starts
 }
 
-// collectArrivals moves settledAt to the time at which the arrivals are back at the usual rate: the end
-// of the last second with more than 1.2 times the usual arrivals plus 15.
+// collectArrivals sets settledAt to the time at which submissions are back at the usual rate, if that is later
+// than settledAt. This is the time of the last submission in any second with more than 1.2 times the usual
+// number of submissions plus 15.
 func (f *figures) collectArrivals(c *clients, usualRate float64) {
 	arrivals := slices.SortedFunc(slices.Values(c.submittedAt), time.Time.Compare)
 	for i := range arrivals {
@@ -111,8 +112,8 @@
 	t.Logf("offers rejected, by cause: %v; %d duplicate acceptances", byCause, duplicates)
 }
 
-// logStarts logs how many of the storm's tasks had started by several times, and each class's delay from
-// the first submission to the start.
+// logStarts logs how many of the storm's tasks had started at several times. It also logs, for each class, the
+// delay from the first submission to the start.
 func logStarts(t *testing.T, c *clients, results []*result) {
 	for _, at := range []time.Duration{200 * ms, 400 * ms, 600 * ms, 800 * ms, 1000 * ms, 2 * time.Second} {
 		byClass := map[string]int{}
@@ -138,8 +139,8 @@
 	}
 }
 
-// utilizationUntil samples the utilization every 50 ms until stop is closed and returns the mean. It
-// ignores the first 2 s of the storm and samples with fewer than 50 requests in flight.
+// utilizationUntil samples the utilization every 50 ms until stop is closed and returns the mean of the samples.
+// It takes no sample in the first 2 s of the storm or while fewer than 50 requests are in flight.
 func (r *rig) utilizationUntil(stop <-chan struct{}, c *clients) float64 {
 	const minPending, period, settling = 50, 50 * ms, 2 * time.Second
 	var sum, n float64
@@ -156,8 +157,8 @@
 	}
 }
 
-// utilization returns the share of the workers' cores that running tasks have requested or that no task
-// can use because other tasks have requested the memory.
+// utilization returns the fraction of the workers' cores that are not free. Besides requested cores, these
+// include cores that no task can use because running tasks have requested the memory.
 func (r *rig) utilization() float64 {
 	var free, total float64
 	for _, model := range r.models {
--- a/test/backpressure/flood_test.go
+++ b/test/backpressure/flood_test.go
@@ -14,9 +14,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file measures the lateness of responses to requests whose timeouts expire at the same moment. A single worker
-// gets many requests at once, each for its whole capacity. Requests that start no task must be rejected at their
-// common timeout.
+// This file measures the lateness of responses to requests whose timeouts expire at the same moment. A single
+// worker gets many requests at once, each for its whole capacity. All requests that start no task must be
+// rejected at their common timeout.
 
 // flood is a set of requests that are sent at the same moment, and the measured responses.
 type flood struct {
@@ -54,8 +54,8 @@
 	return f
 }
 
-// request returns the encoded nth request. It requests all cores and memory of a worker; the description
-// that the emulated worker reads has no cores and no run time, so an accepted task completes at once.
+// request returns the encoded nth request. It requests all cores and memory of a worker. The description that
+// the emulated worker reads states no cores and no run time, so an accepted task completes at once.
 func (f *flood) request(t *testing.T, n int) []byte {
 	t.Helper()
 	blob := testbed.Task{Class: "guide-web"}.Describe()
@@ -68,7 +68,8 @@
 	return append(text, '\n')
 }
 
-// send writes requests in one call and receives up to count messages until 3 s after the timeout.
+// send writes requests in one call. It then receives messages until it has count of them or 3 s have passed
+// since the timeout.
 func (f *flood) send(t *testing.T, client *testbed.Client, requests []byte, count int) {
 	sentAt := time.Now()
 	if _, err := client.Write(requests); err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// receive counts a message that arrived the time elapsed after its request was sent.
+// receive counts a message. elapsed is the time from the sending of its request to its arrival.
 func (f *flood) receive(elapsed time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,7 +96,8 @@
 	}
 }
 
-// TestFlood prints how many of 2,000 responses (flag -clients) come after the timeout of their requests.
+// TestFlood sends 2,000 requests (flag -clients) and prints how many responses come after the timeout of their
+// requests.
 func TestFlood(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
 		t.Skip("measurement: runs only if selected with -run")
--- a/test/backpressure/history_test.go
+++ b/test/backpressure/history_test.go
@@ -8,8 +8,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// This file owns the history of a storm, as workers and clients observe it, and its check against the
-// rules for each request: at most one final response, at most one attempt in flight, and no attempt that
+// This file owns the history of a storm, as workers and clients observe it, and the check of the history. The
+// rules for each request are: at most one final response, at most one attempt in flight, and no attempt that
 // begins after an acceptance or after the final response.
 
 // operationKind is the kind of event that an operation records for a request.
@@ -38,14 +38,14 @@
 	response  string // kind of final response; empty unless kind is answered
 }
 
-// requestState is the state of a request that follows from the operations so far.
+// requestState is the state of a request after the operations so far.
 type requestState struct {
 	offeredTo  string // worker with the attempt in flight; empty if there is none
 	acceptedBy string // worker that accepted the task; empty if there is none
 	response   string // kind of final response; empty if there is none
 }
 
-// apply reports whether the rules allow an operation in state s, and returns the state after it.
+// apply reports whether the rules allow an operation in state s, and returns the state after the operation.
 func (s requestState) apply(o operation) (valid bool, after requestState) {
 	switch o.kind {
 	case offered:
@@ -56,8 +56,8 @@
 		s.offeredTo = ""
 	case accepted:
 		valid = true
-		// If offeredTo differs, the attempt was cancelled before its acceptance: the accepted task is a
-		// duplicate, which the worker must end.
+		// If offeredTo is another worker or "", the attempt was cancelled before its acceptance. The accepted task is
+		// then a duplicate, which the worker must end.
 		if s.offeredTo == o.worker {
 			s.offeredTo, s.acceptedBy = "", o.worker
 		}
@@ -81,8 +81,8 @@
 	operations []porcupine.Operation
 }
 
-// elapsed returns the nanoseconds since its first call. The caller holds the lock, unless no other goroutine uses the
-// history yet.
+// elapsed returns the nanoseconds since elapsed was first called on this history. The caller holds the lock,
+// unless no other goroutine uses the history yet.
 func (h *history) elapsed() int64 {
 	if h.startedAt.IsZero() {
 		h.startedAt = time.Now()
@@ -98,9 +98,9 @@
 	h.sentAt[requestID] = h.elapsed()
 }
 
-// add records an operation that is observed now. A rejection or an acceptance by a worker happens now.
-// Offers, cancels and final responses are sent by the orchestrator and may be read late: they happened at
-// some time between the sending of the request and now.
+// add records an operation that is observed now. A rejection or an acceptance by a worker happens at the moment
+// when it is recorded. Offers, cancels and final responses come from the orchestrator and may be read late, so
+// they happened at some time between the sending of the request and now.
 func (h *history) add(o operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +112,7 @@
 	h.operations = append(h.operations, porcupine.Operation{Input: o, Call: earliest, Return: now, ClientId: len(h.operations)})
 }
 
-// model is the model of a request that the history is checked against.
+// model describes the states and the rules of a request for the check of the history.
 var model = porcupine.Model{
 	Partition: partitionByRequest,
 	Init:      func() any { return requestState{} },
@@ -122,7 +122,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// partitionByRequest groups operations by request ID: the rules hold for each request separately.
+// partitionByRequest groups operations by request ID, because the rules hold for each request separately.
 func partitionByRequest(all []porcupine.Operation) (partitions [][]porcupine.Operation) {
 	byID := map[string][]porcupine.Operation{}
 	for _, o := range all {
@@ -143,8 +143,8 @@
 	return porcupine.CheckOperationsTimeout(model, h.operations, timeout)
 }
 
-// TestHistoriesThatBreakRules guards against a model that accepts everything: each history breaks one rule, and the
-// check must fail.
+// TestHistoriesThatBreakRules guards against a check that accepts every history: each history breaks one rule,
+// and the check must fail.
 func TestHistoriesThatBreakRules(t *testing.T) {
 	for name, operations := range map[string][]operation{
 		"two attempts in flight": {
--- a/test/backpressure/lower_bound_test.go
+++ b/test/backpressure/lower_bound_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file owns the bound on the results that any orchestrator can reach. It simulates all workers as one pool whose
-// free capacity is always known. The pool inspects offers and starts tasks as fast as its workers together.
-// Live-relay tasks start first, then all other tasks, both in the order of submission.
+// This file owns the bound on the results that any orchestrator can reach. It simulates all workers as one pool
+// whose free capacity is always known. The pool inspects offers and starts tasks as fast as all workers
+// together. Live-relay tasks start first, then all other tasks, in both groups in the order of submission.
 
 // boundStep is the time step of the simulation.
 const boundStep = 10 * ms
@@ -16,22 +16,22 @@
 type pool struct {
 	cores, memory      float64          // free capacity
 	inspectionsPerStep float64          // offers that all workers inspect in one time step
-	maxTokens          float64          // upper limit of tokens
-	tokens             float64          // offers that can be inspected now
+	maxTokens          float64          // maximum of tokens
+	tokens             float64          // number of offers that the pool can inspect now
 	slotFreeAt         []time.Duration  // time when each start slot becomes free
 	completions        []poolCompletion // completions of running tasks
 	lastStart          time.Duration    // time when the last task of the storm was accepted
 	relaysInTime       int              // live-relay tasks of the storm that met their latency objective
 }
 
-// poolCompletion is the time at which a running task completes and frees its capacity.
+// poolCompletion is the completion of a running task, which frees its capacity.
 type poolCompletion struct {
 	at  time.Duration
 	job *job
 }
 
-// newPool returns the pool of the emulated workers. Workers that have just started count as full workers, except for
-// their start slots, which count at ColdStartRate.
+// newPool returns the pool of the emulated workers. A worker that has just started counts as a full worker, but
+// the number of its start slots is multiplied by ColdStartRate.
 func newPool(workers int) *pool {
 	p := &pool{maxTokens: float64(workers)}
 	slots := 0.0
@@ -49,9 +49,9 @@
 	return p
 }
 
-// lowerBound returns the earliest time at which the last task of the storm can start, relative to the
-// start of the storm, and the largest share of the storm's live-relay tasks that can meet their latency
-// objective.
+// lowerBound returns two limits that no orchestrator can exceed: the earliest time at which the last task of the
+// storm can start, relative to the start of the storm, and the largest fraction of the storm's live-relay tasks
+// that can meet their latency objective.
 func lowerBound(jobs []*job, workers int) (lastStart time.Duration, relaysInTime float64) {
 	p := newPool(workers)
 	arrivals := slices.SortedFunc(slices.Values(jobs), func(a, b *job) int { return int(a.at - b.at) })
@@ -81,8 +81,8 @@
 	})
 }
 
-// start starts a task and returns true, or returns false if free capacity or inspection tokens are
-// insufficient.
+// start starts a task and returns true. It returns false if there is not enough free capacity or no inspection
+// token.
 func (p *pool) start(j *job, now time.Duration) bool {
 	if j.Cores > p.cores || j.Memory > p.memory || p.tokens < 1 {
 		return false
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -7,10 +7,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file owns the records of what the emulated workers report: the history of offers, and the worker
-// that runs each task.
+// This file owns the records of events at the emulated workers: the history of offers, and the worker that runs
+// each task.
 
-// placement is the worker that runs a task and the request by which it was accepted.
+// placement names the worker that runs a task and the request by which the worker got the task.
 type placement struct{ worker, requestID string }
 
 // recorder implements testbed.Observer.
@@ -19,9 +19,9 @@
 
 	mu              sync.Mutex
 	acceptances     map[string]int       // number of acceptances, by key
-	running         map[string]placement // placement of the last acceptance until the task completes, by key
-	firstStartedAt  map[string]time.Time // time when the task first finished its start, by key
-	duplicateStarts int                  // acceptances of archive-cut tasks beyond the first of each key
+	running         map[string]placement // last acceptance of each running task, by key
+	firstStartedAt  map[string]time.Time // time when the start of the task was first finished, by key
+	duplicateStarts int                  // number of acceptances of archive-cut tasks after the first acceptance of each key
 }
 
 func newRecorder() *recorder {
@@ -90,7 +90,7 @@
 	return r.acceptances[key] > 0
 }
 
-// startedWithin reports whether a task has started, at most limit after since.
+// startedWithin reports whether a task has started no later than limit after since.
 func (r *recorder) startedWithin(key string, since time.Time, limit time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,8 +98,8 @@
 	return !at.IsZero() && at.Sub(since) <= limit
 }
 
-// acceptanceCounts returns the number of all acceptances so far, and how many of them were of a task
-// that had been accepted before.
+// acceptanceCounts returns the number of all acceptances so far, and the number of acceptances of tasks that had
+// been accepted before.
 func (r *recorder) acceptanceCounts() (all, duplicates int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/backpressure/retry_storm_test.go
+++ b/test/backpressure/retry_storm_test.go
@@ -27,26 +27,26 @@
 	onlyFlag    = flag.String("only", "", "run before or after only")
 )
 
-// Operators' files. fileBefore sets a fixed Retry-After of 1 s for all clients, the behaviour before reserved slots.
-// fileAfter sets a Retry-After that returns clients in reserved slots.
+// Operators' files. fileBefore sets a fixed Retry-After of 1 s for all clients, as the program did before
+// reserved slots existed. With fileAfter, the Retry-After makes each client return in its reserved slot.
 const (
 	fileBefore = "testdata/before.conf"
 	fileAfter  = "testdata/after.conf"
 )
 
 const (
-	stormSpan     = 360 * ms         // time span of the first submissions of the storm's clients
-	demandAfter   = 60 * time.Second // length of the usual demand after the start of the storm
+	stormSpan     = 360 * ms         // period in which the clients of the storm make their first submissions
+	demandAfter   = 60 * time.Second // duration of the usual demand after the start of the storm
 	startupTime   = 100 * ms         // time before the usual demand begins
 	wakeupLead    = 10 * ms          // time between the wake-up of a client and its first submission
-	restartBegin  = -500 * ms        // kill of the first orchestrator, relative to the start of the storm
+	restartBegin  = -500 * ms        // time when the first orchestrator is killed, relative to the start of the storm
 	restartPeriod = 1500 * ms        // time from the kill of one orchestrator to the kill of the next
 	downtime      = 700 * ms         // time from the kill of an orchestrator to its next start
 )
 
-// stormOptions holds the size and the settings of a storm. usualRate is in tasks per second, compliance is
-// the share of a Retry-After that clients wait, and demandBefore is the length of the usual demand before
-// the storm.
+// stormOptions holds the size and the settings of a storm. usualRate is the usual demand in tasks per second.
+// compliance is the fraction of a Retry-After for which clients wait. demandBefore is the length of the usual
+// demand before the storm.
 type stormOptions struct {
 	seed                            uint64
 	clients, workers, orchestrators int
@@ -99,8 +99,8 @@
 	return f
 }
 
-// runAll runs a client for each job and returns the results of the storm's jobs once all of them have
-// ended. Clients of the usual demand that have not begun when settled is closed do not run.
+// runAll runs a client for each job. It returns the results of the storm's jobs once all clients have ended.
+// When settled is closed, clients of the usual demand that have not begun are dropped.
 func (c *clients) runAll(jobs []*job, settled <-chan struct{}) (results []*result) {
 	var mu sync.Mutex
 	var storm sync.WaitGroup
@@ -142,7 +142,7 @@
 	return registered
 }
 
-// logNotableLines logs the lines of the orchestrators' logs about backpressure, errors and deadlines.
+// logNotableLines logs the lines about backpressure, errors and deadlines from the orchestrators' logs.
 func (r *rig) logNotableLines() {
 	for _, o := range r.orchestrators {
 		for _, line := range o.Lines() {
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestStormSmall runs a short storm, without and with restarts of the orchestrators, and checks the rules
-// of every storm: each request has one response, each task starts, no archive-cut starts twice, no worker
-// in slow start is overloaded, and the history obeys the rules for requests.
+// TestStormSmall runs a short storm, without and with restarts of the orchestrators, and checks the rules of
+// every storm: each request has one response, each task starts, no archive-cut task starts twice, no worker in
+// slow start is overloaded, and the history obeys the rules for requests.
 func TestStormSmall(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restart=", restart), func(t *testing.T) {
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -20,9 +20,9 @@
 const (
 	zoneCount     = 3
 	publishPeriod = 500 * ms
-	// publishLag is the age of the free capacities in the published list.
+	// publishLag is the age of the free capacities in the list at the time when they are published.
 	publishLag = 1500 * ms
-	// coldDivisor is the number of workers per worker that has just started and is in slow start.
+	// coldDivisor determines the number of workers in slow start: one of every coldDivisor workers has just started.
 	coldDivisor = 7
 	binDir      = "../../bin"
 )
@@ -52,7 +52,7 @@
 	binary        string
 	operatorsFile string
 	models        []*testbed.CapacityModel
-	workers       [][]*testbed.Worker  // listeners of the workers, by orchestrator
+	workers       [][]*testbed.Worker  // workers to which each orchestrator connects, by orchestrator
 	discoveries   []*testbed.Discovery // by orchestrator
 	orchestrators []*orchestrator
 	recorder      *recorder
@@ -159,7 +159,7 @@
 	}
 }
 
-// publishPeriodically publishes, every publishPeriod, the free capacities as they were publishLag ago.
+// publishPeriodically publishes free capacities once per publishPeriod. The published values are publishLag old.
 func (r *rig) publishPeriodically() {
 	ticker := time.NewTicker(publishPeriod)
 	defer ticker.Stop()
@@ -199,13 +199,14 @@
 	if err != nil {
 		o.rig.t.Error(err)
 	}
-	if o.address == "" { // Set once: clients read the address during a restart, which reuses it.
+	// The address is set only once: a restart reuses the address, and clients read it during the restart.
+	if o.address == "" {
 		o.address = address
 	}
 }
 
-// configuration returns the configuration of an orchestrator that starts now. The seed depends on the
-// time and the index, so that each start draws differently.
+// configuration returns the configuration of an orchestrator that starts now. The seed depends on the time and
+// the index, so that each start makes different random choices.
 func (o *orchestrator) configuration(listen string) string {
 	discovery := o.rig.discoveries[o.index]
 	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -11,7 +11,8 @@
 
 // This file tests .ci/known-red, which excludes the tests that a list names as failing.
 
-// TestKnownRed checks that only lines of the expected format with all fields exclude tests, and only tests that exist.
+// TestKnownRed checks that a line of the list excludes a test only if the line has the expected format with all
+// fields and the test exists.
 func TestKnownRed(t *testing.T) {
 	const wantFormat = "expected 'TestName | command and seed | what was seen | issue N'"
 	const firstEntry, secondEntry = "TestKnownRed | go test ./test/ci, seed 3 | it fails on odd days | issue 3\n",
--- a/test/ci/module_limits_test.go
+++ b/test/ci/module_limits_test.go
@@ -10,8 +10,8 @@
 
 // This file tests .ci/module-limits, which limits the line length of the scheduler's files.
 
-// TestModuleLimits checks that every file that the policy list of the deploy file names must exist and have no line of over
-// 110 characters, whatever its number of lines.
+// TestModuleLimits checks the files in the policy list of the deploy file. Each of them must exist and have no
+// line of over 110 characters. The number of its lines is not limited.
 func TestModuleLimits(t *testing.T) {
 	manyLines, widestLine := strings.Repeat("x\n\n \t\n", 475), strings.Repeat("x", 110)+"\n"
 	for _, c := range []struct{ name, deploy, first, second, message string }{
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -42,7 +42,8 @@
 	return binary, nil
 })
 
-// newFleet starts a fleet with the given number of orchestrators. If alone is set, they do not form a cluster.
+// newFleet starts a fleet with the given number of orchestrators. If alone is set, the orchestrators run without
+// peers and form no cluster.
 func newFleet(t *testing.T, orchestrators int, alone bool) *fleet.Fleet {
 	t.Helper()
 	binary, err := build()
@@ -69,12 +70,12 @@
 	return v, strings.Join(brokenRules, "\n")
 }
 
-// TestMembers runs the schedule that a flag gives, or one drawn from a seed, and checks that no rule is violated. If the
-// -run flag is set, it also measures placements without peers first.
+// TestMembers runs the schedule that a flag gives, or a schedule drawn from a seed, and checks that no rule is
+// violated. If the -run flag is set, it first measures placements without peers.
 func TestMembers(t *testing.T) {
 	length := time.Duration(*secondsFlag) * time.Second
 	var withoutPeers *fleet.Placements
-	if flag.Lookup("test.run").Value.String() != "" { // a measurement only, not part of the schedule
+	if flag.Lookup("test.run").Value.String() != "" { // measures placements for comparison, not part of the schedule
 		t.Run("off", func(t *testing.T) {
 			withoutPeers = newFleet(t, *processesFlag, true).SubmitTasks(*calmFlag)
 			withoutPeers.Wait()
@@ -111,8 +112,8 @@
 	return steps
 }
 
-// placementRatio returns the 99th percentile of placement times with peers divided by the 99th percentile without
-// peers, or 0 if placements without peers were not measured.
+// placementRatio returns the 99th percentile of placement times with peers divided by the 99th percentile
+// without peers. It returns 0 if placements without peers were not measured.
 func placementRatio(t *testing.T, withPeers, withoutPeers *fleet.Placements) float64 {
 	if withoutPeers == nil {
 		return 0
@@ -132,7 +133,7 @@
 	}
 }
 
-// shrink removes the steps that a failing schedule does not need to fail, and logs the remaining ones.
+// shrink removes the steps without which a failing schedule still fails, and logs the remaining steps.
 func shrink(t *testing.T, steps []testbed.Step, length time.Duration) {
 	steps = testbed.ShrinkSchedule(steps, func(shorter []testbed.Step) (fails bool) {
 		t.Run("shrink", func(t *testing.T) {
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -21,16 +21,16 @@
 	// connectionsEach is the number of client connections to each orchestrator. An orchestrator allows
 	// clients at most a third of its descriptor limit.
 	connectionsEach = 40
-	// dialTimeout and writeTimeout limit how long a client waits for an orchestrator that does not
-	// accept connections or data.
+	// dialTimeout and writeTimeout limit the time for which a client waits for an orchestrator that accepts no
+	// connections or reads no data.
 	dialTimeout       = time.Second
 	writeTimeout      = time.Second
 	minRetryPause     = 200 * time.Millisecond
 	retryAfterFailure = time.Second
 )
 
-// retryAfter returns the time that a client waits before it retries a rejected request: the response's
-// wait in milliseconds, but at least minRetryPause.
+// retryAfter returns the time that a client waits before it retries a rejected request. This is the time that
+// the response requests in milliseconds (option "wait"), but at least minRetryPause.
 func retryAfter(line testbed.Line) time.Duration {
 	waitMs, _ := strconv.Atoi(line.Opts["wait"])
 	return max(minRetryPause, time.Duration(waitMs)*time.Millisecond)
@@ -42,7 +42,7 @@
 	connections  []*connection
 	bytes        hollow.ByteCounters
 	messages     atomic.Int64
-	next         atomic.Uint64 // number of the last request; selects the request ID and the connection
+	next         atomic.Uint64 // number of the last request ID; it also selects the connection
 }
 
 func newPool(o *orchestrator) *pool {
@@ -53,7 +53,7 @@
 	return p
 }
 
-// pick returns the next connection in rotation and a new request ID.
+// pick returns the next connection, round-robin, and a new request ID.
 func (p *pool) pick() (*connection, string) {
 	n := p.next.Add(1)
 	return p.connections[n%connectionsEach], hollow.RequestID(p.orchestrator.index, n)
@@ -66,7 +66,7 @@
 	}
 }
 
-// connection is one client connection. The next write after it ends dials it again.
+// connection is one client connection. After it has ended, the next write dials again.
 type connection struct {
 	pool   *pool
 	mutex  sync.Mutex
@@ -170,7 +170,7 @@
 
 // cancel sends the cancellation of a request.
 func (c *connection) cancel(requestID string) {
-	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded)) // if the write fails, the end of the connection cancels the request
+	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded)) // if the write fails, the connection has ended, which also cancels the request
 }
 
 // clients submits tasks to the orchestrators and retries them.
@@ -178,7 +178,7 @@
 	rig     *rig
 	mutex   sync.Mutex
 	random  *rand.Rand
-	sent    []int // number of tasks submitted, by orchestrator index
+	sent    []int // number of tasks submitted to each orchestrator, by its index
 	stopped bool
 }
 
@@ -200,7 +200,8 @@
 	return fewest
 }
 
-// submit submits all tasks of a job at once to one orchestrator. run draws the run time of each task.
+// submit submits all tasks of a job at once to one orchestrator. The function run draws the run time of each
+// task.
 func (c *clients) submit(j job, run func() time.Duration) {
 	to := c.leastUsed()
 	for i := range j.size {
@@ -209,7 +210,8 @@
 	}
 }
 
-// submitTask submits a task to an orchestrator. If to is nil, it schedules a retry instead.
+// submitTask submits a task to an orchestrator. If no orchestrator is admitted (to is nil), submitTask schedules
+// a retry instead.
 func (c *clients) submitTask(t *task, to *orchestrator) {
 	if to == nil {
 		c.rig.ledger.retry(t, retryAfterFailure)
@@ -227,8 +229,8 @@
 	}
 }
 
-// retry submits a task again after a pause plus random jitter. If the task is already running, its
-// response was lost, so retry registers the running task instead.
+// retry submits a task again after a pause plus random jitter. If the task already runs, the response to an
+// earlier request was lost with its connection. In this case, retry registers the running task instead.
 func (c *clients) retry(t *task, after time.Duration) {
 	jitter := time.Duration(rand.Float64() * float64(minRetryPause))
 	time.AfterFunc(after+jitter, func() {
@@ -246,7 +248,7 @@
 	})
 }
 
-// stop disables retries if stop is true, and enables future retries otherwise.
+// stop disables retries if its argument is true. Otherwise it enables the retries that become due from now on.
 func (c *clients) stop(stop bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -280,7 +282,7 @@
 	return conn.write(line) == nil
 }
 
-// pingAll sends a ping on each connection and reports whether all of them are answered within timeout.
+// pingAll sends a ping on each connection and reports whether all pings are answered within timeout.
 func (p *pool) pingAll(timeout time.Duration) bool {
 	expired := time.After(timeout)
 	var pings []<-chan struct{}
--- a/test/scale/demand_test.go
+++ b/test/scale/demand_test.go
@@ -13,15 +13,17 @@
 
 // class is a request class of the deployment.
 type class struct {
-	name, semantics                   string
-	share                             float64       // fraction of all jobs
-	latencyObjective, responseTimeout time.Duration // objective for a task's start; limit for the response to one request
+	name, semantics string
+	share           float64 // fraction of all jobs that belong to the class
+	// latencyObjective is the objective for the time until a task starts. responseTimeout is the timeout of one
+	// request.
+	latencyObjective, responseTimeout time.Duration
 	urgent                            bool
 }
 
-// The semantics of a class determine what a repeated start of the same task means: with free it is
-// harmless, with guarded the workers discard it within repeatWindow, and with single_shot it must never
-// happen.
+// The semantics of a class determine what a second start of a task that already runs means. In a class with
+// semantics free, it is harmless. With guarded, the workers discard it within repeatWindow. With single_shot, it
+// must never happen.
 const (
 	semanticsFree       = "free"
 	semanticsGuarded    = "guarded"
@@ -39,21 +41,22 @@
 	// urgentLimit is the maximum time from the submission of an urgent task to its start.
 	urgentLimit = 8 * time.Second
 	tenants     = 60
-	// largestJob is the maximum number of tasks in a job, the size of a gang. Job sizes are uniform on
-	// a logarithmic scale with a mean of 46 tasks, so 220 starts a second make 4.8 jobs a second. This
-	// peak rate is nine times the mean rate of 48,000 jobs a day.
-	largestJob  = 256
-	regions     = 4
-	zones       = 13
-	maxCellSize = 40 // workers; a small fleet has smaller cells, so that each zone has a cell
+	// largestJob is the maximum number of tasks in a job, which is the size of a gang. The sizes of jobs are
+	// uniformly distributed on a logarithmic scale with a mean of 46 tasks, so 220 starts per second are 4.8 jobs
+	// per second. This peak rate is nine times the mean rate of 48,000 jobs per day.
+	largestJob = 256
+	regions    = 4
+	zones      = 13
+	// maxCellSize is the maximum number of workers in a cell. A small fleet has smaller cells, so that each zone has
+	// a cell.
+	maxCellSize = 40
 )
 
 var kinds = []hollow.Kind{{Name: "node-32", Cores: 28, Memory: 60}, {Name: "node-32b", Cores: 28, Memory: 60},
 	{Name: "node-64", Cores: 56, Memory: 120}}
 
-// shapes lists the cores that tasks request and the fraction of tasks that request them. The amount of
-// memory that a task requests is twice its number of cores. The mean is 2.75 cores, so 34,000 tasks
-// bring 4,000 workers to a utilization of 63%.
+// shapes lists numbers of cores, each with the fraction of tasks that request it. A task requests twice as much
+// memory as cores. The mean is 2.75 cores, so 34,000 tasks bring 4,000 workers to a utilization of 63%.
 var shapes = []struct{ cores, share float64 }{{1, 0.35}, {2, 0.30}, {4, 0.25}, {8, 0.10}}
 
 const meanCores = 2.75
@@ -71,7 +74,7 @@
 	tenant  string
 	program uint64
 	size    int
-	task    hollow.Task // resources that each task requests; the run time differs between tasks and is unset
+	task    hollow.Task // cores and memory that each task requests; the run time is not set here, because it differs between tasks
 	name    string
 }
 
@@ -83,8 +86,8 @@
 	jobs        int // number of jobs drawn so far
 }
 
-// largestSeconds limits the largest job of a small run: it has at most the number of tasks that the whole
-// fleet starts in this many seconds.
+// largestSeconds limits the size of jobs in a small run. A job has at most as many tasks as the whole fleet
+// starts in this number of seconds.
 const largestSeconds = 2
 
 func newDemand(seed uint64, o options) *demand {
@@ -129,8 +132,8 @@
 
 func tenantName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// runTime draws a run time from an exponential distribution. The distribution is memoryless, so it also
-// applies to the remaining run time of a task that is already running.
+// runTime draws a run time from an exponential distribution. This distribution is memoryless, so the remaining
+// run time of a task that already runs has the same distribution.
 func (d *demand) runTime() time.Duration {
 	return time.Duration(float64(d.meanRunTime) * d.random.ExpFloat64())
 }
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -9,7 +9,7 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file contains the failures that are injected after the peak while the demand continues.
+// This file contains the failures that are injected after the peak, while clients still submit jobs.
 
 const (
 	// listDetection is the time that discovery takes to list failed workers as removed.
@@ -18,9 +18,9 @@
 	downtime = 2 * time.Second
 	// convergenceTimeout is the maximum time for all orchestrators and clients to learn of a failure.
 	convergenceTimeout = 20 * time.Second
-	// plannedRestarts is the number of worker restarts on one day that the operators plan for in a fleet of
-	// plannedWorkers. The test runs all of them within one minute. A smaller fleet restarts the same
-	// fraction of its workers.
+	// plannedRestarts is the number of worker restarts per day that the operators plan for in a fleet of
+	// plannedWorkers. The test makes all of these restarts within one minute. In a smaller fleet, it restarts the
+	// same fraction of the workers.
 	plannedRestarts = 460
 	plannedWorkers  = 4000
 )
@@ -36,8 +36,8 @@
 
 var failureKinds = []string{failCell, failZone, failOrchestrators, failWorkerRestarts, failAllOrchestrators}
 
-// baseline holds the counters at one moment. report subtracts the counters at the start of a failure from the current
-// counters.
+// baseline holds the values of all counters at one moment. report subtracts the values at the start of a failure
+// from the current values.
 type baseline struct {
 	at                time.Time
 	counts            counts
@@ -45,7 +45,7 @@
 	rejections        int64
 }
 
-// baseline returns the current counters.
+// baseline returns the current values of the counters.
 func (r *rig) baseline() baseline {
 	b := baseline{at: time.Now(), counts: r.ledger.snapshot(), messages: r.fleet.Messages(), rejections: r.fleet.Rejections()}
 	for _, o := range r.orchestrators {
@@ -55,8 +55,8 @@
 	return b
 }
 
-// report prints the line of a failure. Its field tasks_lost is the number of tasks on the workers that
-// failed. Its field cut is the number of completions whose cause is not the end of the task's run time.
+// report prints the line of a failure. Its field tasks_lost is the number of tasks on the workers that failed.
+// Its field cut is the number of completions with another cause than the end of the task's run time.
 func (r *rig) report(kind string, parts, lost int, b baseline, knownAfter time.Duration, known bool) {
 	now, c := r.baseline(), r.ledger.snapshot()
 	fmt.Printf("scale-failure: kind=%s parts=%d tasks_lost=%d known=%v knowledge_s=%.2f seconds=%.1f messages=%d list_kb=%d "+
@@ -94,9 +94,9 @@
 	r.clients.stop(true)
 }
 
-// loseWorkers makes the selected workers unreachable and restarts them after the report. The failure is
-// known when every orchestrator has applied a list that shows these workers as removed and every client
-// has been notified of its lost tasks.
+// loseWorkers makes the selected workers unreachable and restarts them after the report. The failure counts as
+// known once two conditions hold: every orchestrator has applied a list that shows these workers as removed, and
+// every client has been notified of its lost tasks.
 func (r *rig) loseWorkers(kind string, selected func(*hollow.Worker) bool) {
 	b, lost, unreportedBefore := r.baseline(), 0, r.ledger.lostUnreported()
 	var failed []*hollow.Worker
@@ -126,7 +126,8 @@
 	}
 }
 
-// listApplied reports whether every orchestrator has applied the worker list up to a revision.
+// listApplied reports whether every orchestrator has applied the given revision of the worker list or a later
+// one.
 func (r *rig) listApplied(revision int) bool {
 	for _, o := range r.orchestrators {
 		if o.subscription.LastAppliedRevision() < revision {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// conditionPeriod is the polling interval for conditions that no message announces.
+// conditionPeriod is the interval at which waitUntil polls a condition, because no message announces its change.
 const conditionPeriod = 20 * time.Millisecond
 
 // waitUntil polls a condition and reports whether it became true within convergenceTimeout.
@@ -153,9 +154,9 @@
 	return true
 }
 
-// restartOrchestrators kills orchestrators and starts them again after downtime without their state. The failure is
-// known when each of these orchestrators has answered the pings that its clients send after they have registered
-// their running tasks again.
+// restartOrchestrators kills orchestrators and starts them again after downtime, without their stored state.
+// Their clients then register the running tasks again and send pings. The failure counts as known once each of
+// these orchestrators has answered these pings.
 func (r *rig) restartOrchestrators(kind string, targets []*orchestrator) {
 	b, restarted := r.baseline(), make([]bool, len(targets))
 	var group sync.WaitGroup
@@ -170,13 +171,14 @@
 		known = known && ok
 	}
 	knownAfter := time.Since(b.at)
-	// After completionLimit, the counters include every completion that is late because of the restart.
+	// After completionLimit, every completion that is late because of the restart has been counted.
 	<-time.After(completionLimit)
 	r.report(kind, len(targets), 0, b, knownAfter, known)
 }
 
-// restart starts an orchestrator after downtime, admits it when it answers pings or after admitTimeout, and
-// registers its running tasks again. It reports whether the orchestrator answered the pings that follow.
+// restart starts an orchestrator after downtime. It admits the orchestrator once it answers pings, or after
+// admitTimeout. It then registers the orchestrator's running tasks again and reports whether the orchestrator
+// answers the pings that follow.
 func (r *rig) restart(o *orchestrator) bool {
 	<-time.After(downtime)
 	if err := o.start(); err != nil {
@@ -191,9 +193,9 @@
 	return r.clients.handOver(o, running)
 }
 
-// restartWorkers restarts workers one after another within a minute: each process crashes and is up again
-// at the same address after downtime. The failure is known when every client has been notified of its lost
-// tasks. The reported time starts when the last worker is up again.
+// restartWorkers restarts workers one after another within a minute. Each worker's process crashes and is up
+// again at the same address after downtime. The failure counts as known once every client has been notified of
+// its lost tasks. The reported time starts when the last worker is up again.
 func (r *rig) restartWorkers(kind string) {
 	b, unreportedBefore := r.baseline(), r.ledger.lostUnreported()
 	restarts := max(1, plannedRestarts*len(r.fleet.Workers)/plannedWorkers)
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -11,7 +11,8 @@
 // This file contains the calculation of the shards that members consider assigned to them. Its test checks
 // that cutting off a region moves no shards, and that the death of a member moves only shards of its region.
 
-// reassignedWithin is the maximum time in seconds until the shards of a stopped member are assigned again.
+// reassignedWithin is the maximum time in seconds from the stop of a member until its shards are assigned to
+// other members.
 const reassignedWithin = 10
 
 // regionsOfZones returns the region of each zone.
@@ -23,7 +24,8 @@
 	return names
 }
 
-// assignedTo returns the shards of member i, derived from its stable view as in the program.
+// assignedTo returns the shards that member i considers assigned to it. It derives them from the member's stable
+// view, as the program does.
 func (s *simulation) assignedTo(i int) shard.Set {
 	self, regions, assigned := s.members[i], s.network.regionsOfZones(), shard.Set{}
 	names := self.View().Names
@@ -41,10 +43,10 @@
 	return assigned
 }
 
-// assignments maps the index of each running member to its shards.
+// assignments maps the index of each running member to the shards that the member considers assigned to it.
 type assignments map[int]shard.Set
 
-// assignments returns the current shards of all running members.
+// assignments returns the current assignments of all running members.
 func (s *simulation) assignments() assignments {
 	assigned := assignments{}
 	for i, m := range s.members {
@@ -60,7 +62,8 @@
 
 func (c conflicts) any() bool { return c.unassigned+c.duplicates > 0 }
 
-// conflicts counts the conflicts in the assignments.
+// conflicts counts the shards with a conflict: shards that no member, or more than one member, considers
+// assigned to it.
 func (a assignments) conflicts(regions shard.Regions) (found conflicts) {
 	for zone := range regions {
 		for n := range shard.Count {
@@ -81,7 +84,7 @@
 	return found
 }
 
-// addedSince counts the shards that members have in a but not in before.
+// addedSince counts the shards that members have now but did not have in the assignments before.
 func (a assignments) addedSince(before assignments) (n int) {
 	for i, assigned := range a {
 		n += assigned.Minus(before[i]).Len()
@@ -89,10 +92,10 @@
 	return n
 }
 
-// TestShardsInACut cuts off a region, heals the cut, and then stops one member. Before the cut, each shard
-// must be assigned to exactly one member. The cut and its healing must not move any shard. After the member
-// has stopped, only shards of its region may move, and each must be assigned to one member again within
-// reassignedWithin seconds.
+// TestShardsInACut cuts off a region, heals the cut, and then stops one member. Before the cut, each shard must
+// be assigned to exactly one member. Neither the cut nor its end may move a shard. After the member has stopped,
+// only shards of its region may move, and within reassignedWithin seconds each shard must again be assigned to
+// exactly one member.
 func TestShardsInACut(t *testing.T) {
 	const regions, zones = 4, 13
 	for _, n := range sizes(t) {
@@ -128,8 +131,8 @@
 	}
 }
 
-// maxMovedInCut cuts off a region for cutSeconds. It returns the maximum number of shards that members have gained
-// since before, over all seconds of the cut and of the secondsAfter that follow.
+// maxMovedInCut cuts off a region for cutSeconds and lets secondsAfter pass after the cut. In each second, it
+// counts the shards that members have gained since the assignments before. It returns the maximum count.
 func (s *scenario) maxMovedInCut(before assignments) (moved int) {
 	const cutSeconds, secondsAfter = 120, 30
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -33,13 +33,14 @@
 )
 
 const (
-	// maxBytesExponent is the maximum exponent of the power law by which the traffic of a member grows
-	// with the number of members.
+	// The traffic of a member grows with the number of members by a power law. maxBytesExponent is the maximum
+	// exponent of this law.
 	maxBytesExponent = 0.25
 	// maxSplitTime is the maximum time in seconds from the start of a cut until each side considers all
 	// members of the other side dead.
 	maxSplitTime = 60
-	// maxDeadMessages is the maximum number of datagrams per second that a member sends to dead members.
+	// maxDeadMessages is the maximum number of datagrams per second that a member may send to members that it does
+	// not consider alive.
 	maxDeadMessages = 2.5
 )
 
@@ -77,7 +78,7 @@
 		t.Errorf("%d members: got %d false deaths, want none; first: %s", r.memberCount, len(r.falseDeaths), r.falseDeaths[0])
 	}
 	for ph := forming; ph < phaseCount; ph++ {
-		isShort := ph == cut && r.cutSeconds < maxSplitTime // too short for each side to consider the other dead
+		isShort := ph == cut && r.cutSeconds < maxSplitTime // the cut is too short for each side to consider the other dead
 		if r.records[ph].seconds > 0 && r.agreedAfter[ph] == never && !isShort {
 			t.Errorf("%d members: the tables do not agree within phase %s", r.memberCount, ph)
 		}
@@ -90,7 +91,8 @@
 	}
 }
 
-// report writes the samples and, for several sizes, the charts. It prints and checks the exponents of growth.
+// report writes the samples and, if there are several sizes, the charts. It prints and checks the exponents by
+// which costs grow with the number of members.
 func report(t *testing.T, results []result) {
 	dir := *outFlag
 	if dir == "" {
@@ -126,7 +128,8 @@
 	}
 }
 
-// TestReplays checks that the same seed gives the same loads and agreement times, except for processor time.
+// TestReplays checks that two runs with the same seed have the same loads, except for processor time, and the
+// same agreement times.
 func TestReplays(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -10,11 +10,11 @@
 // must rely on the state of the simulation alone and never on the members' reports.
 
 const (
-	// reachablePeriod is the time in microseconds for which a member must have been reachable before a
-	// report of its death counts as false.
+	// reachablePeriod is a time in microseconds. A report that a member died is false only if the reporter could
+	// reach the member throughout this time.
 	reachablePeriod = 6 * second
-	// startGrace is the time in microseconds after the start of a process within which others may still report it
-	// dead, because their reports may refer to the previous process.
+	// startGrace is the time in microseconds after the start of a process during which others may still report it
+	// dead, because their reports may concern the previous process.
 	startGrace = 2 * second
 )
 
@@ -32,8 +32,8 @@
 		float64(s.now)/second, s.members[reporter].name, event.Name, event.Evidence))
 }
 
-// tablesAgree reports whether the table of each running member contains exactly the running members that it
-// can reach, each with its current incarnation nonce.
+// tablesAgree reports whether the table of each running member is correct. It must contain exactly the running
+// members that this member can reach, each with its current incarnation nonce.
 func (s *simulation) tablesAgree() bool {
 	sides := map[bool]int{}
 	for i, x := range s.members {
@@ -41,7 +41,7 @@
 			sides[s.side(i)]++
 		}
 	}
-	for i, x := range s.members { // compares the sizes first, which is cheap
+	for i, x := range s.members { // compares the sizes of the tables first, because this is cheap
 		if x.running && x.Size() != sides[s.side(i)] {
 			return false
 		}
@@ -54,7 +54,8 @@
 	return true
 }
 
-// side returns the side of the cut that member i is on. Without a cut, all members are on the same side.
+// side returns on which side of the cut member i is; true is the side of the separated region. Without a cut,
+// all members are on the same side.
 func (s *simulation) side(i int) bool {
 	return s.network.inCutRegion(i) && s.now >= s.network.cutFrom && s.now < s.network.cutUntil
 }
@@ -73,8 +74,8 @@
 	return true
 }
 
-// countDeadEntries returns the number of entries of dead members in all tables of running members, and the
-// maximum in one table.
+// countDeadEntries returns the number of entries of dead members in the tables of all running members, and the
+// maximum number in one table.
 func (s *simulation) countDeadEntries() (all, highest int) {
 	for _, x := range s.members {
 		if !x.running {
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -2,14 +2,14 @@
 
 // This file contains the measurements of the load on members, by phase.
 
-// load holds the traffic and processor time that one member caused since its load was last read, or a sum
-// or a rate of such loads.
+// load holds the traffic that one member sent and the processor time that it used since its load was last read.
+// It may also hold a sum of loads or a rate.
 type load struct {
 	bytes, messages     float64 // bytes and datagrams sent, as on the wire
-	toDead, toDeadBytes float64 // the part sent to members that the sender does not consider alive
+	toDead, toDeadBytes float64 // messages and bytes sent to members that the sender does not consider alive, included above
 	handshakes          float64 // number of handshake probes started
-	microseconds        float64 // processor time of calls into membership
-	codec               float64 // processor microseconds to encode and decode datagrams
+	microseconds        float64 // processor time of calls into membership, in microseconds
+	codec               float64 // processor time to encode and decode datagrams, in microseconds
 }
 
 func (l *load) add(o load) {
@@ -22,7 +22,7 @@
 	l.codec += o.codec
 }
 
-// dividedBy returns the load divided by a number, such as the number of members times seconds.
+// dividedBy returns the load divided by a number, such as the product of members and seconds.
 func (l load) dividedBy(by float64) load {
 	return load{l.bytes / by, l.messages / by, l.toDead / by, l.toDeadBytes / by, l.handshakes / by, l.microseconds / by, l.codec / by}
 }
@@ -59,11 +59,11 @@
 type phaseRecord struct {
 	seconds           float64
 	total             load
-	peak              load    // mean per member in the second with the most bytes
-	maxMemberBytes    float64 // maximum of any one member in any one second
-	maxMemberMessages float64 // maximum of any one member in any one second
-	maxMemberUs       float64 // maximum of any one member in any one second, in microseconds
-	tail              load    // mean per member and second in the last reportedCutTail of a cut
+	peak              load    // mean load per member in the second in which members sent the most bytes
+	maxMemberBytes    float64 // maximum number of bytes that one member sent in one second
+	maxMemberMessages float64 // maximum number of datagrams that one member sent in one second
+	maxMemberUs       float64 // maximum processor time of one member in one second, in microseconds
+	tail              load    // mean load per member and second in the last reportedCutTail of a cut
 }
 
 // mean returns the mean load per second and member.
--- a/test/scale/hollow/network_test.go
+++ b/test/scale/hollow/network_test.go
@@ -4,8 +4,8 @@
 
 // This file contains the simulated network.
 
-// One-way delays in microseconds. Random jitter of up to 1/jitterDivisor of the delay is added for each
-// datagram.
+// One-way delays in microseconds. The delay of each datagram is longer by a random jitter of up to
+// 1/jitterDivisor of this value.
 const (
 	delayWithinZone     = 300
 	delayWithinRegion   = 1_000
@@ -29,7 +29,7 @@
 // inCutRegion reports whether member i is in the region that the current or the last cut separates.
 func (n *network) inCutRegion(i int) bool { return n.region(i) == n.cutRegion }
 
-// delivers reports whether the network delivers traffic between two members at a moment.
+// delivers reports whether the network delivers traffic between two members at the given time.
 func (n *network) delivers(i, j int, moment int64) bool {
 	isCut := n.cutFrom <= moment && moment < n.cutUntil
 	return !isCut || n.inCutRegion(i) == n.inCutRegion(j)
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -9,23 +9,24 @@
 	agreementCheckPeriod = 100_000
 	// agreementTimeout is the maximum time for which a phase waits for the tables to agree.
 	agreementTimeout = 180 * second
-	// settleTime is the time for which updates from the start may still circulate before the phase calm.
+	// settleTime is the time before the phase calm in which updates from the start of the members may still
+	// circulate.
 	settleTime = 10 * second
 	// timeAfterAgreement is the time for which a phase continues after the tables agree.
 	timeAfterAgreement = 10 * second
 	// minDowntime and maxDowntime are the limits of the downtime of a process that restarts, in microseconds.
 	maxDowntime = second
 	minDowntime = 300_000
-	// reportedCutTail is the length of the last part of a cut, whose traffic is reported separately.
+	// reportedCutTail is the length of the last part of a cut. The traffic in this part is also reported separately.
 	reportedCutTail = 30 * second
-	// maxSecondsBesideCut is an upper bound on the duration in seconds of a scenario, not counting the phases
-	// calm and cut.
+	// maxSecondsBesideCut is an upper bound on the duration in seconds of all phases of a scenario except calm and
+	// cut.
 	maxSecondsBesideCut = (4*agreementTimeout + settleTime + 3*timeAfterAgreement + 2*(second+maxDowntime)) / second
-	// never is the agreement time of a phase in which the tables did not agree.
+	// never is recorded as the agreement time of a phase in which the tables did not agree.
 	never = -1
 )
 
-// result holds the measured values of one size.
+// result holds the values measured in one scenario, which runs with memberCount members.
 type result struct {
 	memberCount        int
 	cutSeconds         float64
@@ -35,7 +36,7 @@
 	heapPerMemberInCut float64             // bytes per member at the end of the cut
 	deadEntries        int                 // entries of dead members at the end of the cut, in all tables
 	maxDeadEntries     int                 // maximum number of entries of dead members in one table at the end of the cut
-	agreedAfter        [phaseCount]float64 // seconds until the tables agreed, or never
+	agreedAfter        [phaseCount]float64 // seconds until the tables agreed in each phase, or never
 	deadEntriesAfter   int                 // entries of dead members in all tables after the cut, once the tables agree
 	falseDeaths        []string
 }
@@ -53,7 +54,8 @@
 
 // run runs all phases of one scenario, or only those up to calm if cutSeconds is 0.
 func run(n, regions, zones int, calmSeconds, cutSeconds float64, seed uint64) result {
-	// The samples are allocated in advance, because growth of this slice would distort the heap measurements.
+	// The samples are allocated in advance, because growth of the slice during the scenario would distort the heap
+	// measurements.
 	samples := make([]float64, 0, (int(calmSeconds+cutSeconds)+maxSecondsBesideCut)*len(sampleHeader))
 	before := heapBytes()
 	s := newScenario(n, regions, zones, seed)
@@ -79,7 +81,7 @@
 	return s.result
 }
 
-// cutRegion cuts off one region for a number of seconds. The cut has healed when it returns.
+// cutRegion cuts off one region for a number of seconds and returns after the end of the cut.
 func (s *scenario) cutRegion(seconds float64) {
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+int64(seconds*second)
 	s.waitForAgreementBy(cut, s.network.cutUntil)
@@ -104,8 +106,8 @@
 	s.advance(ph, timeAfterAgreement)
 }
 
-// waitForAgreement advances time until the tables agree, but at most for agreementTimeout. It records the time until
-// agreement.
+// waitForAgreement advances time until the tables agree, but at most for agreementTimeout. It records the time
+// that this took, or never.
 func (s *scenario) waitForAgreement(ph phase) { s.waitForAgreementBy(ph, s.now+agreementTimeout) }
 
 // waitForAgreementBy advances time until the tables agree, but not past the deadline.
@@ -134,8 +136,9 @@
 	}
 }
 
-// recordSample adds the loads of all members to the record of a phase and resets them. Peaks are computed per full
-// second: the load of a part of a second is added to the load of the rest of the second.
+// recordSample adds the loads of all members to the record of a phase and resets these loads. Peaks are computed
+// per full second. If a sample covers only a part of a second, its load is kept and counts in the sample that
+// completes the second.
 func (s *scenario) recordSample(ph phase, fullSecond bool) {
 	r := &s.records[ph]
 	for _, m := range s.members {
@@ -166,8 +169,8 @@
 var sampleHeader = []string{"instances", "second", "phase", "bytes_s_member", "messages_s_member", "messages_to_dead_s_member",
 	"handshakes_s_member", "us_s_member", "codec_us_s_member"}
 
-// longestDisagreement returns the longest time in seconds that the tables took to agree again after a fault, or
-// never.
+// longestDisagreement returns the longest time in seconds that the tables took to agree again after a fault. It
+// returns never if they did not agree after one of the faults.
 func (r *result) longestDisagreement() (worst float64) {
 	for _, ph := range []phase{healed, tenthRestarted, allRestarted} {
 		if r.agreedAfter[ph] == never {
@@ -178,7 +181,7 @@
 	return worst
 }
 
-// String returns the line with the figures of one size.
+// String returns the line with the figures of the scenario.
 func (r *result) String() string {
 	c, last := r.records[calm].mean(r.memberCount), r.records[cut].tail
 	return fmt.Sprintf("hollow: instances=%d bytes_s_member=%.0f messages_s_member=%.1f us_s_member=%.0f heap_bytes_member=%.0f form_s=%.1f"+
@@ -190,8 +193,8 @@
 		r.deadEntriesAfter, r.agreedAfter[tenthRestarted], r.agreedAfter[allRestarted], c.codec)
 }
 
-// phaseLine returns the line with the cost of a phase per member: the mean, the mean in the second with the
-// most bytes, and the maximum of any one member in any one second.
+// phaseLine returns the line with the cost of a phase per member: the mean, the mean in the second in which
+// members sent the most bytes, and the maximum of a single member in a single second.
 func (r *result) phaseLine(ph phase) string {
 	m, k := r.records[ph].mean(r.memberCount), r.records[ph].peak
 	return fmt.Sprintf("hollow: instances=%d phase=%s seconds=%.0f bytes_s_member=%.0f messages_s_member=%.1f us_s_member=%.0f"+
--- a/test/scale/hollow/scheduler_test.go
+++ b/test/scale/hollow/scheduler_test.go
@@ -2,11 +2,13 @@
 
 import "container/heap"
 
-// This file contains virtual time and the queue of events, ordered by time.
+// This file contains virtual time and the queue of events, which is ordered by time.
 
-// event is a function to run at a moment of virtual time.
+// event is a function call that is due at a moment of virtual time.
 type event struct {
-	at, number int64 // time in microseconds; events with the same time run in order of number, which is the order of their addition
+	// at is the time in microseconds. Events with the same time run in the order of their numbers, which is the
+	// order in which they were added.
+	at, number int64
 	run        func()
 }
 
@@ -27,23 +29,24 @@
 	return last
 }
 
-// scheduler runs events in order of time. Virtual time jumps from one event to the next.
+// scheduler runs events in order of time. Virtual time jumps from the time of one event to the time of the next.
 type scheduler struct {
-	now    int64 // microseconds
+	now    int64 // current virtual time in microseconds
 	number int64 // number of the last event added
 	events eventHeap
 }
 
-// at schedules run for a moment of virtual time, in microseconds.
+// at schedules a call of run at a moment of virtual time, which is given in microseconds.
 func (s *scheduler) at(moment int64, run func()) {
 	s.number++
 	heap.Push(&s.events, event{moment, s.number, run})
 }
 
-// after schedules run for a time that is delay microseconds from now.
+// after schedules a call of run in delay microseconds of virtual time.
 func (s *scheduler) after(delay int64, run func()) { s.at(s.now+delay, run) }
 
-// runUntil runs all events up to and including a moment and sets the time to that moment.
+// runUntil runs all events that are due at or before the given moment of virtual time, and then sets the time to
+// this moment.
 func (s *scheduler) runUntil(moment int64) {
 	for len(s.events) > 0 && s.events[0].at <= moment {
 		next := heap.Pop(&s.events).(event)
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -15,16 +15,16 @@
 	second = 1_000_000 // microseconds
 
 	clusterName = "hollow"
-	// handshakeTimeout is the handshake timeout of package peer, in microseconds.
+	// handshakeTimeout is the timeout of a handshake in package peer, in microseconds.
 	handshakeTimeout = 300_000
-	// maxSeeds is the maximum number of members that the settings of each member name.
+	// maxSeeds is the maximum number of members that the settings of a member name.
 	maxSeeds = 5
-	// incarnationBits is the number of low bits of an incarnation that count the refutations since the
-	// process started, as in the program.
+	// incarnationBits is the number of low bits of an incarnation that count refutations since the start of the
+	// process. The program uses the same number.
 	incarnationBits = 24
 )
 
-// member is an orchestrator of which only the membership runs.
+// member is an orchestrator that runs nothing but its membership.
 type member struct {
 	*membership.Table
 	name, address, zone string
@@ -33,7 +33,9 @@
 	starts              uint64 // number of starts so far
 	startedAt           int64  // virtual time of the last start, in microseconds
 	nextTickAt          int64  // virtual time of the next tick of its membership, in microseconds
-	load, currentSecond load   // load since the last sample; load in the current second up to that sample
+	// load is the load since the last sample. currentSecond is the load from the start of the current second to the
+	// last sample.
+	load, currentSecond load
 }
 
 // simulation connects members by a simulated network under virtual time.
@@ -45,7 +47,7 @@
 	byAddress   map[string]int // index in members
 	byName      map[string]int // index in members
 	meter       meter
-	falseDeaths []string // descriptions of deaths reported for members that ran and were reachable
+	falseDeaths []string // descriptions of false reports of death: the member ran and was reachable
 }
 
 // newSimulation returns a simulation with n running members.
@@ -107,7 +109,8 @@
 	s.tickAt(i, s.now+s.random.Int64N(started.NextTick()-s.now))
 }
 
-// schedule schedules the next tick that the membership of a member requests, unless an earlier tick is pending.
+// schedule schedules the next tick that the membership of member i requests. It does nothing if a tick at the
+// same or an earlier time is pending.
 func (s *simulation) schedule(i int) {
 	scheduled := s.members[i]
 	if at := max(scheduled.NextTick(), s.now+1); scheduled.nextTickAt <= s.now || at < scheduled.nextTickAt {
@@ -115,8 +118,8 @@
 	}
 }
 
-// tickAt schedules a tick of the membership of a member. The tick is dropped if another time is scheduled or the
-// process ends before the tick.
+// tickAt schedules a tick of the membership of member i. When the tick is due, it is dropped if the process has
+// ended or a tick at another time has been scheduled since.
 func (s *simulation) tickAt(i int, at int64) {
 	ticked, nonce := s.members[i], s.members[i].nonce
 	ticked.nextTickAt = at
@@ -165,7 +168,7 @@
 	sender.load.codec += s.meter.measure(func() {
 		b, err := peer.Encode(clusterName, &action.Message)
 		if err != nil {
-			panic(err) // the table produced a message that cannot be encoded
+			panic(err) // the member's table produced a message that cannot be encoded
 		}
 		datagram = b
 	})
@@ -218,7 +221,8 @@
 		report(handshakeTimeout, action.Name, 0, membership.HandshakeTimedOut)
 	case !target.running:
 		report(roundTrip, action.Name, 0, membership.HandshakeRefused)
-	default: // one round trip to connect and one for the answer
+	default:
+		// The connection takes one round trip, and the answer takes another round trip.
 		report(2*roundTrip, action.Name, target.nonce, membership.HandshakeAnswered)
 	}
 }
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -30,7 +30,7 @@
 			}
 		}},
 		{"one of the cut region moves to another address", func(s *scenario) {
-			i := s.inCutRegion()[1] // the first member's address is in the settings of all members
+			i := s.inCutRegion()[1] // not the first member, because its address is in the settings of all members
 			s.stop(i)
 			s.move(i)
 			s.start(i)
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -11,21 +11,21 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file contains the ledger, which records every task as seen by its client and by the workers and
-// counts violations of the rules that compare both.
+// This file contains the ledger. It records every task as its client and the workers see it, and counts
+// violations of the rules that both views together must obey.
 
 // completionLimit is the maximum time from the completion of a task to its report to the client.
 const completionLimit = 8 * time.Second
 
-// task is a task that a client submits. Several requests may be needed to start it.
+// task is a task that a client submits. Starting the task may take several requests.
 type task struct {
 	job          job
 	key          string
 	runTime      time.Duration
 	submittedAt  time.Time
 	running      bool
-	orchestrator *orchestrator // orchestrator of the last request
-	worker       string        // ID of the worker on which the task runs
+	orchestrator *orchestrator // orchestrator that got the last request
+	worker       string        // ID of the worker that runs the task
 	requestID    string        // ID of the last request
 }
 
@@ -43,7 +43,7 @@
 	submitted, started, rejected, failed, ended, aborted, migrated, unreachable              int
 	urgentLate, unanswered, duplicateStarts, duplicateResponses, lateCompletions, unreported int
 	connectionsLost, endedWhileDown, repeats                                                 int
-	foreignStarts                                                                            int // starts at workers of another orchestrator
+	foreignStarts                                                                            int // number of tasks that an orchestrator started at a worker that is assigned to other orchestrators only
 }
 
 // rulesBroken returns the number of violations of rules that must always hold.
@@ -55,18 +55,18 @@
 type ledger struct {
 	mutex      sync.Mutex
 	counts     counts
-	requests   map[string]*request     // requests in flight and of running tasks, by request ID
+	requests   map[string]*request     // requests that are in flight or whose task runs, by request ID
 	pending    map[*task]bool          // tasks that have not started
-	running    map[string][]run        // attempts that run, by the task's key
+	running    map[string][]run        // attempts whose task runs, by the task's key
 	keys       map[string]string       // keys of running tasks, by request ID
-	lost       map[string]bool         // request IDs of unreported completions whose worker failed
-	unreported map[string]time.Time    // times of completions not yet reported to the client, by request ID
-	starts     *hdrhistogram.Histogram // microseconds from a task's first submission to its start
+	lost       map[string]bool         // request IDs of tasks in unreported whose worker failed
+	unreported map[string]time.Time    // times of completions that have not been reported to the client yet, by request ID
+	starts     *hdrhistogram.Histogram // times from the first submission of a task to its start, in microseconds
 	closed     bool
 	logf       func(format string, args ...any)
-	received   chan struct{}                             // has an element after messages have been received
+	received   chan struct{}                             // gets an element when a message has been received
 	retry      func(t *task, after time.Duration)        // submits a task again
-	placesAt   func(o *orchestrator, worker string) bool // reports whether o places tasks at the worker
+	placesAt   func(o *orchestrator, worker string) bool // reports whether worker is assigned to o
 }
 
 const (
@@ -111,11 +111,12 @@
 	r.deadline = time.AfterFunc(t.job.class.responseTimeout+responseGrace, func() { l.deadlinePassed(r) })
 }
 
-// responseGrace is the time after a request's timeout for which its response is still accepted. The rules
-// allow 58 ms; the remainder allows for delays on a busy host.
+// responseGrace is the time after a request's timeout for which its response is still accepted. The rules allow
+// a delay of 58 ms. The rest is a reserve for delays on a busy host.
 const responseGrace = time.Second
 
-// deadlinePassed counts a request without a response as unanswered. The client cancels the request and retries.
+// deadlinePassed counts a request as unanswered if it has no response. The client then cancels the request and
+// submits its task again.
 func (l *ledger) deadlinePassed(r *request) {
 	l.mutex.Lock()
 	if r.answered || l.closed {
@@ -131,7 +132,7 @@
 	l.retry(r.task, minRetryPause)
 }
 
-// unreachable counts a request that could not be written. Its client retries.
+// unreachable counts a request that could not be written. Its client submits the task again.
 func (l *ledger) unreachable(requestID string) {
 	l.mutex.Lock()
 	r := l.requests[requestID]
@@ -156,8 +157,8 @@
 	l.running[t.key], l.keys[t.requestID] = []run{{t.worker, t.requestID, time.Now()}}, t.key
 }
 
-// startedUnanswered reports whether a task runs although its client has no response, because the response
-// was lost with the connection. If so, the ledger records the task as running.
+// startedUnanswered reports whether a task runs although its client got no response, because the response was
+// lost with the connection. If the task runs, the ledger records this.
 func (l *ledger) startedUnanswered(t *task) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -196,9 +197,9 @@
 	}
 }
 
-// settle waits until no request is in flight and no completion older than one second is unreported, but
-// at most for timeout. The timeout exceeds every request timeout and completionLimit, so that anything
-// late by then has been counted.
+// settle waits until no request is in flight and no completion older than one second is unreported, but at most
+// for timeout. The timeout must exceed every request timeout and completionLimit. Everything that is late has
+// then been counted when settle returns.
 func (l *ledger) settle(timeout time.Duration) {
 	expired := time.After(timeout)
 	for !l.settled(time.Second) {
@@ -265,8 +266,8 @@
 	return retryAfterFailure
 }
 
-// complete handles the completion or migration of a running task. It returns the time after which the
-// client submits the task again, or 0 if the task is complete. The caller holds l.mutex.
+// complete handles the completion or migration of a running task. It returns 0 if the task is complete.
+// Otherwise it returns the time after which the client submits the task again. The caller holds l.mutex.
 func (l *ledger) complete(r *request, line testbed.Line, now time.Time) time.Duration {
 	delete(l.requests, r.requestID)
 	if at, ok := l.unreported[r.requestID]; ok {
@@ -288,7 +289,8 @@
 	return 0
 }
 
-// connectionLost counts as failed the requests in flight on a connection that has ended. Their clients retry.
+// connectionLost counts the requests in flight on a connection that has ended as failed. Their clients submit
+// the tasks again.
 func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
 	var inFlight []*request
@@ -308,8 +310,9 @@
 	}
 }
 
-// runningAt returns the running tasks that an orchestrator has started. Tasks that completed while the orchestrator
-// was down need no report: the clients detect these completions when they collect the tasks to register again.
+// runningAt returns the running tasks that an orchestrator has started. Tasks that completed while the
+// orchestrator was down are only counted, because no report of their completions is required: their clients
+// notice when they collect the tasks that they register again.
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -327,8 +330,8 @@
 	return running
 }
 
-// snapshot returns the counts, including urgent tasks that have not started and completions that have not
-// been reported within their limits.
+// snapshot returns the counts. They include urgent tasks that have not started within urgentLimit, and
+// completions that have not been reported within completionLimit.
 func (l *ledger) snapshot() counts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -346,7 +349,7 @@
 	return c
 }
 
-// maxUnreportedLogged is the maximum number of unreported completions that are described one by one.
+// maxUnreportedLogged is the maximum number of unreported completions that describeUnreported describes.
 const maxUnreportedLogged = 12
 
 // describeUnreported returns a line for each completion that was not reported to its client within
@@ -365,7 +368,7 @@
 	return lines
 }
 
-// close stops the timers and checks of the ledger.
+// close stops the timers of the ledger and its checks.
 func (l *ledger) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/scale/options_test.go
+++ b/test/scale/options_test.go
@@ -103,8 +103,8 @@
 	return o
 }
 
-// foreignShare returns the number of orchestrators that the settings count but the test does not run, per
-// orchestrator that it runs.
+// foreignShare returns the number of orchestrators that are only simulated, per orchestrator that runs. The
+// settings count both kinds; -fleet-size is their total number.
 func (o options) foreignShare() float64 { return float64(o.fleetSize)/float64(o.orchestrators) - 1 }
 
 // regions returns the region of each zone, or nil if there are fewer orchestrators than regions.
@@ -125,9 +125,9 @@
 // meanRunTime returns the mean run time that keeps the number of running tasks constant.
 func (o options) meanRunTime() time.Duration { return toDuration(float64(o.running) / o.starts) }
 
-// calibration returns the length of the phases idle, messages and standing. The difference between
-// messages and idle is subtracted from the peak. With phases of 6 s, the kernel's 10 ms ticks alone made
-// this difference 0.3% of a core.
+// calibration returns the length of the phases idle, messages and standing. The difference in processor time
+// between messages and idle is subtracted from the processor time of the peak. With phases of 6 s, the kernel's
+// 10 ms ticks alone made this difference 0.3% of a core.
 func (o options) calibration() time.Duration {
 	return max(time.Second/2, min(20*time.Second, o.peak/3))
 }
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -16,11 +16,11 @@
 	"ravenhitch/internal/testbed/hollow"
 )
 
-// This file contains the orchestrators' processes: their addresses, start and end, and the admin calls to
-// them.
+// This file contains the processes of the orchestrators: their addresses, their start and end, and admin calls
+// to them.
 
-// Fixed ports of an orchestrator, for the addresses that others need before it starts. The loopback IP address
-// depends on the test's process ID and differs from the workers' addresses.
+// Fixed ports of an orchestrator, for addresses that other processes need before the orchestrator starts. The
+// loopback IP address depends on the process ID of the test and differs from the addresses of the workers.
 const (
 	peerPort  = 7101
 	adminPort = 7102
@@ -37,7 +37,7 @@
 	clients       *pool
 	prober        *prober
 	admitted      atomic.Bool // whether clients may submit tasks to the orchestrator
-	lastPeerBytes int64       // bytes of membership messages at the last admin call that was answered
+	lastPeerBytes int64       // number of bytes of membership messages in the last admin reply
 }
 
 func newOrchestrator(r *rig, index int) (*orchestrator, error) {
@@ -65,7 +65,8 @@
 	return o.address
 }
 
-// start starts the process with the current worker list and returns once the process logs that it serves.
+// start starts the process with the current worker list. It returns once the process logs that it serves
+// clients.
 func (o *orchestrator) start() error {
 	directory := filepath.Join(o.rig.directory, o.Name)
 	if err := os.MkdirAll(directory, 0o700); err != nil {
@@ -89,7 +90,7 @@
 		return err
 	}
 	address, err := o.WaitForLog(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
-	if o.address == "" { // a restart keeps the address, which clients read concurrently
+	if o.address == "" { // a restart keeps the address, because clients read it at the same time
 		o.address = address
 	}
 	return err
@@ -121,7 +122,7 @@
 	return json.Unmarshal([]byte(line), response)
 }
 
-// activeTasks returns the number of tasks that the orchestrator has in flight or running.
+// activeTasks returns the number of the orchestrator's tasks that are in flight or running.
 func (o *orchestrator) activeTasks() (int, error) {
 	var answer struct{ Active int }
 	err := o.adminCall("DUMP", &answer)
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -13,8 +13,9 @@
 // measurement holds the cumulative resource usage of one orchestrator at one moment.
 type measurement struct {
 	usage
-	at                    time.Time
-	listIn, listOut       int64 // bytes; In is the direction to the orchestrator
+	at time.Time
+	// Bytes of the worker list. In is the direction to the orchestrator, Out the direction from the orchestrator.
+	listIn, listOut       int64
 	clientsIn, clientsOut int64
 	peerBytes, logBytes   int64
 	clientMessages        int64
@@ -64,8 +65,8 @@
 	return p
 }
 
-// measureAll measures all orchestrators concurrently, so that an orchestrator that answers no admin calls does not
-// delay the measurements of the others.
+// measureAll measures all orchestrators. It does so concurrently, so that an orchestrator that answers no admin
+// calls does not delay the measurements of the others.
 func (r *rig) measureAll() []measurement {
 	all := make([]measurement, len(r.orchestrators))
 	var group sync.WaitGroup
@@ -89,8 +90,8 @@
 	return 100 * (until.cpuSeconds - from.cpuSeconds) / seconds
 }
 
-// controlKB returns the control traffic in KiB per second: the worker list, its polls, and membership
-// messages.
+// controlKB returns the control traffic in KiB per second. This is the traffic of the worker list, its polls,
+// and membership messages.
 func controlKB(from, until measurement, seconds float64) float64 {
 	return float64(until.listIn-from.listIn+until.listOut-from.listOut+until.peerBytes-from.peerBytes) / 1024 / seconds
 }
@@ -103,8 +104,8 @@
 	return float64(until.clientsIn-from.clientsIn+until.clientsOut-from.clientsOut) / 1024 / seconds
 }
 
-// workersKB returns the traffic with workers and of admin calls in KiB per second. It is the difference
-// between all bytes that the process read and wrote and the bytes of the list, clients and log.
+// workersKB returns the traffic with workers and of admin calls in KiB per second. It subtracts the bytes of the
+// list, the clients and the log from all bytes that the process read and wrote.
 func workersKB(from, until measurement, seconds float64) float64 {
 	all := until.read - from.read + until.written - from.written
 	other := until.listIn - from.listIn + until.listOut - from.listOut + until.clientsIn - from.clientsIn +
@@ -126,7 +127,8 @@
 		control, peers, clients, workers, rss, float64(p.dials)/length)
 }
 
-// catchUpInterval is the interval at which callAtRate makes all calls that the rate requires up to then.
+// catchUpInterval is the interval between the batches of calls that callAtRate makes. Each batch contains all
+// calls that the rate requires up to then.
 const catchUpInterval = 5 * time.Millisecond
 
 // callAtRate calls f at a rate per second until stop is closed.
@@ -146,17 +148,18 @@
 	}
 }
 
-// A start makes one message in each direction between orchestrator and client, and two between orchestrator
-// and worker: the offer and the acceptance, and later the completion, which is also reported to the client.
-// A ping with its answer makes one message in each direction. The constants are the numbers of pings that
-// replace a start.
+// For each task that starts, an orchestrator receives three messages: the submission, the acceptance and the
+// completion. It also sends three messages: the offer, the response to the client and the report of the
+// completion. A ping with its answer makes one message in each direction. Therefore three pings replace a start:
+// clientPingsPerStart from clients and workerPingsPerStart from workers.
 const (
 	clientPingsPerStart = 1
 	workerPingsPerStart = 2
 )
 
-// pingLikeStarts sends pings instead of submissions. The pings make as many messages as the starts would
-// and carry the fields of submissions, so they load the data path without requests, decisions or tasks.
+// pingLikeStarts sends pings instead of submissions. The number of messages is the same as if tasks were started
+// at the rate of the peak, and each ping carries the fields of a submission. The pings therefore show the cost
+// of reading, parsing and writing the messages, without requests, decisions or tasks.
 func (r *rig) pingLikeStarts(stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.options.seed, 41))
 	fields := (&task{job: newDemand(r.options.seed, r.options).next(), key: "job-000001-001"}).submission("").Opts
@@ -166,7 +169,7 @@
 		if n++; n%(clientPingsPerStart+workerPingsPerStart) == 0 {
 			to := r.orchestrators[n/(clientPingsPerStart+workerPingsPerStart)%len(r.orchestrators)].clients
 			conn, _ := to.pick()
-			_, _ = conn.ping(fields) // an error is ignored here: admit logs orchestrators that answer no pings
+			_, _ = conn.ping(fields) // an error is ignored: admit logs orchestrators that answer no pings
 			return
 		}
 		for range maxPlacementTries {
@@ -181,12 +184,12 @@
 // for its completion.
 const changesPerStart = 2
 
-// allListChanges makes discovery send as many entries as at the peak, although no capacity changes.
+// allListChanges makes discovery send the same number of entries as at the peak, although no capacity changes.
 func (r *rig) allListChanges(stop <-chan struct{}) {
 	r.changeEntries(r.options.starts*changesPerStart*(1+r.options.foreignShare()), stop)
 }
 
-// foreignListChanges simulates the list changes of the orchestrators that the test does not run.
+// foreignListChanges simulates the list changes that the orchestrators which the test does not run would cause.
 func (r *rig) foreignListChanges(stop <-chan struct{}) {
 	r.changeEntries(r.options.starts*changesPerStart*r.options.foreignShare(), stop)
 }
@@ -197,10 +200,10 @@
 	callAtRate(rate, stop, func() { r.fleet.RecordChange(random.IntN(len(r.fleet.Workers))) })
 }
 
-// submitJobs submits jobs so that tasks arrive at the rate of the peak on average. All tasks of a job are
-// submitted at once, and the next job follows when the rate has caught up with them.
+// submitJobs submits jobs so that the mean rate of tasks is the rate of the peak. It submits all tasks of a job
+// at once. It submits the next job after the time in which this number of tasks is due at the rate.
 func (r *rig) submitJobs(stop <-chan struct{}) {
-	ahead := 0 // number of tasks submitted ahead of the rate
+	ahead := 0 // number of tasks that were submitted but are not due yet
 	callAtRate(r.options.starts, stop, func() {
 		if ahead == 0 {
 			next := r.demand.next()
--- a/test/scale/prober_test.go
+++ b/test/scale/prober_test.go
@@ -7,21 +7,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file contains the pings that measure how long the turns (iterations) of an orchestrator's event loop
-// take.
+// This file contains pings that measure the duration of the turns of an orchestrator's event loop. A turn is one
+// iteration of the loop.
 
-// probePeriod is the interval between two pings. Ten pings a second cost an orchestrator about 0.05% of a
-// core, which the phase idle includes.
+// probePeriod is the interval between two pings. Ten pings per second cost an orchestrator about 0.05% of a
+// core. The phase idle includes this cost.
 const probePeriod = 100 * time.Millisecond
 
-// prober pings an orchestrator at a fixed rate on its own connection, whether or not earlier pings have been
-// answered. The orchestrator answers a ping at the end of the event loop's turn that reads it. The round trip is
-// therefore an upper bound on the duration of that turn plus the rest of the previous turn. The longest round trip is
-// reported as the slowest turn. A turn that falls between two pings is missed.
+// prober pings an orchestrator at a fixed rate on its own connection. It does not wait for the answers to
+// earlier pings. The orchestrator answers a ping at the end of the turn of the event loop that reads the ping.
+// The round trip is therefore an upper bound on the duration of that turn plus the rest of the previous turn.
+// The longest round trip is reported as the slowest turn. A turn that falls between two pings is missed.
 type prober struct {
 	connection *connection
 	mutex      sync.Mutex
-	roundTrips *hdrhistogram.Histogram // microseconds
+	roundTrips *hdrhistogram.Histogram // round-trip times in microseconds
 	stop       chan struct{}
 	group      sync.WaitGroup
 }
