--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -48,14 +48,15 @@
 // descriptors of the workers and their connections.
 const spareDescriptors = 1000
 
-// checkDescriptors returns an error if the listeners and connections exceed the descriptor limit of this process. A
-// run with fewer orchestrators and their part of the demand needs fewer descriptors: see -fleet-size.
+// checkDescriptors returns an error if the listeners and connections of the run exceed the descriptor limit of
+// this process. A run with fewer orchestrators and their part of the demand needs fewer descriptors. With
+// -fleet-size, the test then simulates the other orchestrators.
 func (o options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	const connectionsPerWorker = 2 // an orchestrator opens a second connection if the first is unresponsive
+	const connectionsPerWorker = 2 // an orchestrator opens a second connection if the first one is unresponsive
 	need := o.workers + o.orchestrators*min(connectionsPerWorker*o.workers+connectionsEach, o.sockets) + spareDescriptors
 	if uint64(need) > limit.Cur {
 		return fmt.Errorf("%w: need %d descriptors, limit is %d", errDescriptors, need, limit.Cur)
@@ -87,8 +88,8 @@
 	return r
 }
 
-// startOrchestrators starts the orchestrators one after another. All of them have their peer addresses
-// before the first one starts, because each configuration names the others as members.
+// startOrchestrators starts the orchestrators one after another. It sets the peer addresses of all of them
+// before it starts the first one, because each configuration names the others as members.
 func (r *rig) startOrchestrators() {
 	r.t.Helper()
 	for i := range r.options.orchestrators {
@@ -106,8 +107,8 @@
 	}
 }
 
-// admit lets clients submit to each orchestrator as soon as it answers a ping on each connection, as the
-// platform's front end does. After admitTimeout, clients submit to an orchestrator even without answers.
+// admit lets clients submit to an orchestrator as soon as it answers a ping on each connection, as the
+// platform's front end does. After admitTimeout, clients submit to an orchestrator even if it has not answered.
 func (r *rig) admit() {
 	var group sync.WaitGroup
 	for _, o := range r.orchestrators {
@@ -124,13 +125,12 @@
 	group.Wait()
 }
 
-// admitTimeout is the platform's timeout for an orchestrator to answer pings at the start of a run.
+// admitTimeout is the time that the platform gives an orchestrator to answer pings before clients submit to it.
 const admitTimeout = 30 * time.Second
 
-// drawRunning draws the tasks that were running before the run and places them at workers with free
-// capacity. With -partition, these are the workers that are assigned to the orchestrator of the task. An
-// orchestrator whose workers have no free capacity would have rejected the task, so the next orchestrator
-// is tried.
+// drawRunning draws the tasks that were running before the run and places them at workers with free capacity.
+// With -partition, only workers that are assigned to the task's orchestrator are used. If none of them has free
+// capacity, the orchestrator would have rejected the task, so drawRunning tries the next orchestrator.
 func (r *rig) drawRunning() []*task {
 	var all []*task
 	workers := r.workersByOrchestrator()
@@ -153,7 +153,8 @@
 	return all
 }
 
-// maxPlacementTries is the maximum number of random workers that are tried for one task or ping.
+// maxPlacementTries is the maximum number of random workers that are tried to place one task or to send one
+// ping.
 const maxPlacementTries = 1000
 
 // workersByOrchestrator returns the workers that are assigned to each orchestrator.
@@ -167,7 +168,7 @@
 	return workers
 }
 
-// assigned returns the orchestrators that place tasks at a worker while all orchestrators run.
+// assigned returns the orchestrators to which a worker is assigned while all orchestrators run.
 func (r *rig) assigned(w *hollow.Worker) []*orchestrator {
 	if !r.options.partition {
 		return r.orchestrators
@@ -180,14 +181,14 @@
 	return slices.DeleteFunc(slices.Clone(r.orchestrators), func(o *orchestrator) bool { return o.Name != assignee })
 }
 
-// placesAt reports whether an orchestrator places tasks at a worker while all orchestrators run.
+// placesAt reports whether a worker is assigned to an orchestrator while all orchestrators run.
 func (r *rig) placesAt(o *orchestrator, worker string) bool {
 	i := slices.IndexFunc(r.fleet.Workers, func(w *hollow.Worker) bool { return w.ID == worker })
 	return i >= 0 && slices.Contains(r.assigned(r.fleet.Workers[i]), o)
 }
 
-// placeRunning makes a task run, under a new request ID, at a random worker with free capacity. It reports whether it
-// found such a worker.
+// placeRunning makes a task run, under a new request ID, at a random worker with free capacity. It reports
+// whether it found a worker with free capacity.
 func (r *rig) placeRunning(t *task, workers []*hollow.Worker, random *rand.Rand) bool {
 	_, requestID := t.orchestrator.clients.pick()
 	return r.placeRunningAs(t, workers, random, requestID)
@@ -206,11 +207,12 @@
 	return false
 }
 
-// foreignRunTime is longer than any test, so that the tasks of orchestrators that don't run never complete.
+// foreignRunTime is longer than any test. Therefore the tasks of orchestrators that the test does not run never
+// complete.
 const foreignRunTime = time.Hour
 
-// addForeignTasks places the tasks of the orchestrators that the settings count but the test does not run,
-// so that the workers have as little free capacity as if all orchestrators ran.
+// addForeignTasks places the tasks of the orchestrators that the settings count but the test does not run. The
+// workers then have as little free capacity as if all orchestrators ran.
 func (r *rig) addForeignTasks() {
 	random, demand := rand.New(rand.NewPCG(r.options.seed, 47)), newDemand(r.options.seed+1, r.options)
 	for i := range int(r.options.foreignShare() * float64(r.options.running)) {
@@ -222,8 +224,8 @@
 }
 
 // adoptRunning places the tasks that were running before the run and registers them at the orchestrators.
-// Their run times begin with Fleet.StartRunTimes. It returns the number of tasks that the orchestrators
-// report.
+// Fleet.StartRunTimes starts the run times of these tasks. adoptRunning returns the number of tasks that the
+// orchestrators report.
 func (r *rig) adoptRunning() (adopted int) {
 	byOrchestrator := map[*orchestrator][]*task{}
 	for _, t := range r.drawRunning() {
--- a/test/scale/samples_test.go
+++ b/test/scale/samples_test.go
@@ -20,8 +20,8 @@
 	writer      *csv.Writer
 	startedAt   time.Time
 	phase       atomic.Value // name of the current phase
-	descriptors atomic.Int64 // maximum number of open descriptors of any orchestrator
-	peakMB      atomic.Int64 // maximum resident memory of any orchestrator, in MiB rounded up
+	descriptors atomic.Int64 // maximum number of open descriptors of an orchestrator so far
+	peakMB      atomic.Int64 // maximum resident memory of an orchestrator so far, in MiB rounded up
 	stop        chan struct{}
 	group       sync.WaitGroup
 }
@@ -75,10 +75,10 @@
 	}
 }
 
-// write adds a row. The CSV writer keeps an error, which close returns.
+// write adds a row. A write error is kept by the CSV writer and returned by close.
 func (s *samples) write(row []string) { _ = s.writer.Write(row) }
 
-// close stops sampling, flushes the file, and returns the first error of all writes.
+// close stops sampling and flushes the file. It returns the first error of any write.
 func (s *samples) close() error {
 	close(s.stop)
 	s.group.Wait()
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -9,9 +9,11 @@
 	"time"
 )
 
-// This file contains the order of the phases of a run, the assertions on its result, and its last line.
+// This file contains the order of the phases of a run, the checks of its result, and the last line that it
+// prints.
 
-// settleTimeout is longer than the timeout of any request and longer than completionLimit.
+// settleTimeout is the maximum time to wait until requests and completions have settled. It is longer than the
+// timeout of any request and longer than completionLimit.
 const settleTimeout = 20 * time.Second
 
 // result holds the measured values of a run.
@@ -22,13 +24,13 @@
 	started              int // number of starts in the peak
 	counts               counts
 	descriptors, peakMB  int64
-	p50, p99             float64 // percentiles of the time to start, in milliseconds
+	p50, p99             float64 // percentiles of the time from submission to start, in milliseconds
 	slowestTurn          time.Duration
 	pinged               bool // whether any ping of the prober was answered
 }
 
-// TestScale runs all phases and checks the rules. Without flags it runs a small size. It asserts counts
-// only, never times.
+// TestScale runs all phases and checks the rules. Without flags, it runs a small size. It checks only counts,
+// never times.
 func TestScale(t *testing.T) {
 	o := flagOptions()
 	r := newRig(t, o)
@@ -55,7 +57,7 @@
 	fmt.Println(res)
 }
 
-// runPhases runs all phases up to the peak in order and waits until requests and completions settle.
+// runPhases runs the phases in order, up to the peak. It then waits until requests and completions have settled.
 func (r *rig) runPhases(s *samples) result {
 	res := result{options: r.options}
 	s.phase.Store("admit")
@@ -110,9 +112,9 @@
 	}
 }
 
-// controlPercent returns the processor time of the peak minus the processor time of the data path, in percent of a
-// core, as the maximum over all orchestrators. The processor time of the data path is the difference between the
-// phases messages, in which pings make the same number of messages, and idle.
+// controlPercent returns the processor time of the peak minus the processor time for messages, in percent of a
+// core. It returns the maximum over all orchestrators. The processor time for messages is the difference between
+// the phase messages, in which pings make the same number of messages as at the peak, and the phase idle.
 func (res result) controlPercent() (highest float64) {
 	for i := range res.peak.before {
 		percent := func(p phase) float64 {
@@ -123,7 +125,7 @@
 	return highest
 }
 
-// check asserts the conditions that must hold at any size. It checks counts and never times.
+// check checks the conditions that must hold at any size. It checks counts, never times.
 func (res result) check(t *testing.T) {
 	t.Helper()
 	checkRules(t, "at the peak", res.counts)
@@ -148,8 +150,8 @@
 	}
 }
 
-// String returns the last line of a run. The type prober describes the slowest turn, which is -1 if no ping
-// was answered.
+// String returns the last line of a run. The field prober gives the slowest turn, which is -1 if no ping was
+// answered.
 func (res result) String() string {
 	cpu, _ := res.peak.maxAndMean(cpuPercent)
 	control, _ := res.peak.maxAndMean(controlKB)
--- a/test/scale/settings_test.go
+++ b/test/scale/settings_test.go
@@ -72,8 +72,8 @@
 	return text, nil
 }
 
-// operatorsFile returns the operators' file of an orchestrator. The file names the other orchestrators,
-// unless -peers is off.
+// operatorsFile returns the operators' file of an orchestrator. Unless -peers=false is set, the file names the
+// other orchestrators.
 func (o *orchestrator) operatorsFile() string {
 	text := ""
 	if o.rig.options.keepAlive > 0 {
--- a/test/scale/usage_test.go
+++ b/test/scale/usage_test.go
@@ -11,17 +11,18 @@
 
 // This file reads the resource usage of a process from /proc.
 
-// usage holds the resources that a process has used so far and the number of its open descriptors.
+// usage holds the resources that a process has used so far, its resident memory, and the number of its open
+// descriptors.
 type usage struct {
 	cpuSeconds  float64
-	residentMB  float64 // in MiB
+	residentMB  float64 // resident memory in MiB
 	peakMB      float64 // maximum of residentMB so far, in MiB
 	descriptors int
-	read        int64 // bytes that the process read, from sockets as well, except datagrams
-	written     int64 // bytes that the process wrote, to sockets as well, except datagrams
+	read        int64 // bytes that the process read from files and sockets, without datagrams
+	written     int64 // bytes that the process wrote to files and sockets, without datagrams
 }
 
-// errNoThreads is returned for a process that has ended.
+// errNoThreads is the error for a process that has ended, which has no threads.
 var errNoThreads = errors.New("process has ended: no threads")
 
 // processUsage reads the resource usage of a running process.
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// This file contains the ledger's handlers for worker events. They track which tasks run on which workers,
-// tasks that start twice, and completions that have not been reported to their clients.
+// This file contains the ledger's handlers for events at workers. They record which tasks run on which workers,
+// which tasks start twice, and which completions have not been reported to their clients.
 
 // run is a task that runs at a worker. Attempts of one request have the same request ID at all workers.
 type run struct {
@@ -22,13 +22,13 @@
 		l.duplicateStart(requestID, worker, other[0])
 	}
 	l.running[key], l.keys[requestID] = append(l.running[key], run{worker, requestID, time.Now()}), key
-	delete(l.unreported, requestID) // the completion belonged to an earlier, cancelled attempt
+	delete(l.unreported, requestID) // an unreported completion under this request ID belonged to an earlier attempt, which was cancelled
 }
 
-// duplicateStart counts a task that starts while it already runs, either as a rule violation or, where the
-// rules allow it, as a repeat. Tasks of a free class may be repeated without limit. Tasks of a guarded class
-// may be repeated within repeatWindow, because real workers discard such a repeat although hollow workers
-// do not. The caller holds l.mutex.
+// duplicateStart counts the start of a task that already runs. The start counts as a repeat if the rules allow
+// it, and as a violation otherwise. In a class with semantics free, every repeat is allowed. In a class with
+// semantics guarded, a repeat within repeatWindow is allowed, because real workers discard it, although hollow
+// workers do not. The caller holds l.mutex.
 func (l *ledger) duplicateStart(requestID, worker string, other run) {
 	r := l.requests[requestID]
 	switch {
@@ -48,11 +48,11 @@
 	}
 }
 
-// maxDuplicatesLogged is the maximum number of duplicate starts that are logged one by one.
+// maxDuplicatesLogged is the maximum number of duplicate starts that are logged.
 const maxDuplicatesLogged = 5
 
-// Ended implements hollow.Observer. It records a completion that the client must be notified of, unless
-// another attempt of the same request still runs.
+// Ended implements hollow.Observer. It records a completion of which the client must be notified. It records
+// nothing if another attempt of the same request still runs.
 func (l *ledger) Ended(worker, requestID string, at time.Time, lost bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -74,15 +74,15 @@
 	}
 }
 
-// clearUnreported removes the completion of a request from l.unreported, because the client has been notified or
-// needs no report. The caller holds l.mutex.
+// clearUnreported removes the completion of a request from l.unreported. Either the client has been notified, or
+// no report is required. The caller holds l.mutex.
 func (l *ledger) clearUnreported(requestID string) {
 	delete(l.unreported, requestID)
 	delete(l.lost, requestID)
 }
 
-// lostUnreported returns the number of tasks that were lost with their workers and not yet reported to
-// their clients.
+// lostUnreported returns the number of tasks that were lost with their workers and whose clients have not been
+// notified of the loss yet.
 func (l *ledger) lostUnreported() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -12,20 +12,20 @@
 // This file defines the behaviour of clients. A client keeps using its open connection until the process has exited,
 // and draws all its choices from the scenario's seed.
 
-// codeEnded is the code of FINISH messages by which clients cancel requests and workers complete tasks.
+// codeEnded is the code of FINISH messages by which a client cancels a request or a worker completes a task.
 const codeEnded = 16
 
 const (
 	maxOpen      = 4 // maximum number of requests without a response on one connection
 	maxThinkTime = 40 * time.Millisecond
 	redialPause  = 20 * time.Millisecond
-	// reconnectWindow is the time after the first terminating signal during which clients reconnect if a connection
-	// ends.
+	// reconnectWindow is the time after the first terminating signal during which a client reconnects if its
+	// connection ends.
 	reconnectWindow = 400 * time.Millisecond
 )
 
-// scripts lists the ways in which workers answer offers, each with its share of tasks in percent. Package testbed
-// implements them.
+// scripts lists the ways in which workers answer offers, each with the percentage of tasks for which it is used.
+// Package testbed implements the scripts.
 var scripts = []struct {
 	name  string
 	share int
@@ -33,7 +33,7 @@
 	{"ok", 60}, {"full", 8}, {"missed", 9}, {"silent", 4}, {"error", 3}, {"brief", 4}, {"held", 6}, {"twice", 2}, {"half", 2}, {"reset", 2},
 }
 
-// faultyAnswerScripts are the scripts that are used only in scenarios whose plan has faultyAnswers set.
+// faultyAnswerScripts contains the scripts that are used only if the plan of the scenario has faultyAnswers set.
 var faultyAnswerScripts = map[string]bool{"half": true, "reset": true}
 
 // client submits requests to one process, on one connection at a time.
@@ -46,7 +46,7 @@
 	conn     *testbed.Client
 	record   *connection
 	open     map[string]bool // IDs of the requests without a response on the connection
-	retryKey string          // key of a rejected task that the next submission retries, "" for none
+	retryKey string          // key of a rejected task that the next submission retries, "" if there is no task to retry
 }
 
 func newClient(s *scenario, p *process, index int) *client {
@@ -67,8 +67,9 @@
 	}
 }
 
-// connect opens a connection and reports whether it succeeded. It does not try once reconnectWindow has passed since
-// the first terminating signal, and it records a refusal only in the first half of reconnectWindow.
+// connect opens a connection and reports whether it succeeded. After reconnectWindow has passed since the first
+// terminating signal, connect does not try. If the process refuses the connection while it runs, connect records
+// this, but not after the first half of reconnectWindow.
 func (c *client) connect() bool {
 	since := c.process.sinceStop(time.Now())
 	if since > reconnectWindow {
@@ -122,7 +123,7 @@
 	return true
 }
 
-// leave closes the connection, which abandons all requests that are open on it.
+// leave closes the connection. The client thereby abandons all open requests of the connection.
 func (c *client) leave() {
 	c.scenario.ledger.left(c.open, time.Now())
 	c.scenario.ledger.closed(c.record, time.Now())
@@ -150,16 +151,16 @@
 	sent := text.String()
 	if inTwoParts {
 		half := len(sent) / 2
-		_, _ = c.conn.Write([]byte(sent[:half])) // the reader of the connection detects a closed connection
+		_, _ = c.conn.Write([]byte(sent[:half])) // a write error is ignored: the reader detects that the connection is closed
 		c.scenario.sleep(maxThinkTime)
 		sent = sent[half:]
 	}
 	c.open[requestID] = true
 	c.scenario.ledger.submitted(c.process, c.record, line, time.Now())
-	_, _ = c.conn.Write([]byte(sent)) // the reader of the connection detects a closed connection
+	_, _ = c.conn.Write([]byte(sent)) // a write error is ignored: the reader detects that the connection is closed
 }
 
-// singleStartClass is the class whose tasks must not start twice.
+// singleStartClass is the class whose tasks must never start twice.
 const singleStartClass = "archive-cut"
 
 // drawClass draws the class of a request at random.
@@ -167,8 +168,8 @@
 	return []string{"guide-web", "guide-web", "live-relay", singleStartClass}[c.random.IntN(4)]
 }
 
-// drawKey returns the key of the task to submit: the key to retry, if there is one, or a new one. The first word of a new
-// key names the script by which workers answer the task's offers.
+// drawKey returns the key of the task to submit. This is the key of a task to retry, if there is one, or a new
+// key. The first word of a new key names the script by which workers answer the task's offers.
 func (c *client) drawKey() string {
 	if key := c.retryKey; key != "" {
 		c.retryKey = ""
@@ -195,8 +196,8 @@
 	return drawDuration(c.random, c.scenario.plan.deadline/4, c.scenario.plan.deadline)
 }
 
-// receive handles a message from the process. One in three tasks whose first response is a FINISH message is retried by
-// the next submission.
+// receive handles a message from the process. If the first response to a task is a FINISH message, the next
+// submission retries the task with a probability of one third.
 func (c *client) receive(line testbed.Line) {
 	key, isResponse := c.scenario.ledger.received(line, time.Now())
 	if !isResponse {
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// This file checks a finished scenario against the rules of the protocol. The limits are the protocol's limits plus
-// slack for delays in the test itself.
+// This file checks a finished scenario against the rules of the protocol. Each limit is the limit of the
+// protocol plus a tolerance for delays in the test itself.
 
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
 	reportLimit   = time.Second            // maximum time until a completion is reported to the client
-	leaveLimit    = 100 * time.Millisecond // maximum time between a client leaving and the last attempt of its request
-	crossingLimit = 50 * time.Millisecond  // maximum time between a message and a close that cross
-	ruleSlack     = 50 * time.Millisecond  // tolerance of the test on reportLimit and drainGrace
-	maxPathDelay  = 75 * time.Millisecond  // maximum delay of messages to a worker by faultDelay
+	leaveLimit    = 100 * time.Millisecond // maximum time from the time when a client left to the last offer of its request, without maxPathDelay
+	crossingLimit = 50 * time.Millisecond  // a message and a close at most this far apart may have crossed each other
+	ruleSlack     = 50 * time.Millisecond  // tolerance of the test that is added to reportLimit and drainGrace
+	maxPathDelay  = 75 * time.Millisecond  // maximum delay that faultDelay adds to messages to a worker
 )
 
 // verdict holds the counts of one scenario or the sum of several, and the details of the first violation.
@@ -83,10 +83,11 @@
 	return v
 }
 
-// judgeDuplicates counts the attempts that reached a worker while another attempt of the same request was in flight.
-// One case is allowed: a worker runs a task whose acceptance was lost with its connection or followed unreadable
-// bytes. The process cannot detect that task and may attempt the request again if its class allows repeated starts.
-// Once the process has read the acceptance, another attempt is a violation.
+// judgeDuplicates counts the attempts that reached a worker while another attempt of the same request was in
+// flight. One case is allowed: a worker runs a task, but the process could not read the acceptance, because it
+// was lost with its connection or followed unreadable bytes. The process then does not know that the task runs,
+// and may attempt the request again if its class allows repeated starts. Once the process has read the
+// acceptance, another attempt is a violation.
 func (s *scenario) judgeDuplicates(v *verdict) {
 	for _, duplicate := range s.attempts.Duplicates() {
 		requestID, _, _ := strings.Cut(duplicate, " ")
@@ -99,7 +100,7 @@
 	}
 }
 
-// sorted returns the requests in the order of their submission.
+// sorted returns the requests in the order in which they were submitted.
 func (l *ledger) sorted() (requests []*request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,8 +126,8 @@
 	}
 }
 
-// judgeRequest checks the responses, the completion and the attempts of a request. wasRead reports whether the process
-// read the request.
+// judgeRequest checks the responses to a request, its completion and its attempts. wasRead reports whether the
+// process read the request.
 func (s *scenario) judgeRequest(v *verdict, r *request, wasRead bool) {
 	if r.process.sinceStop(r.submittedAt) >= 0 {
 		v.afterSIGTERM++
@@ -153,8 +154,8 @@
 	}
 }
 
-// isLost reports whether a request has no response although its client waited for one. A request that crossed the close
-// of its connection is not lost if the process had not read it.
+// isLost reports whether a request has no response although its client waited for a response. A request that the
+// process had not read when its connection closed is not lost if the request and the close crossed each other.
 func (s *scenario) isLost(r *request, wasRead bool) bool {
 	if !r.respondedAt.IsZero() || !r.leftAt.IsZero() {
 		return false
@@ -164,15 +165,16 @@
 	return wasRead || !crossed
 }
 
-// reportLossWindow is the maximum age of a worker's report that is lost with a connection: a report sent within this time
-// before the connection ended may still have been in transit.
+// If a connection ends within reportLossWindow after a worker sent a report on it, the report may be lost,
+// because it may still have been in transit.
 const reportLossWindow = 100 * time.Millisecond
 
 // isUnreported reports whether the completion of a task was not reported to its client in time. It returns false
-// where the process may not have learned of the completion or had no time to report it: the worker or its path had a
-// fault since the submission, a connection to the worker ended around its report (a worker that could not send a
-// report has 8 s to send it), or the process exited before the limit. It also returns false where the process's
-// report crossed the close of its connection by the client.
+// in all cases in which the process may not have learned of the completion or had no time to report it. In the
+// first case, the worker or its path had a fault since the submission. In the second, a connection to the worker
+// ended around the worker's report; a worker that could not send a report has 8 s to send it. In the third, the
+// process exited before the limit. isUnreported also returns false if the process's report and the client's
+// close of the connection crossed each other.
 func (s *scenario) isUnreported(r *request) bool {
 	if r.endedAt.IsZero() || !r.leftAt.IsZero() || !r.disconnectedAt.IsZero() {
 		return false
@@ -189,8 +191,9 @@
 	return r.reportedAt.IsZero() || r.reportedAt.After(due)
 }
 
-// crossedClose reports whether the process sent the completion of a task on a connection that its client closed within
-// crossingLimit of the task's end.
+// crossedClose reports whether the process's report of a completion and the client's close of the connection
+// crossed each other. They did if the process sent the report on a connection that its client closed at most
+// crossingLimit before or after the end of the task.
 func (s *scenario) crossedClose(r *request) bool {
 	number := r.process.completionConnection(r.id)
 	for _, other := range s.ledger.requests {
@@ -203,8 +206,8 @@
 	return false
 }
 
-// judgeDrains counts the offers that reached workers later than drainGrace after their drain began. Processes whose
-// discovery had a fault are exempt.
+// judgeDrains counts the offers that reached a worker more than drainGrace after the start of its drain. It
+// ignores processes whose discovery had a fault.
 func (s *scenario) judgeDrains(v *verdict, p *process) {
 	for _, w := range p.workers {
 		drainingSince := w.drainStart()
@@ -231,14 +234,15 @@
 	return append([]string{r.String()}, r.process.requestLogLines(r.id)...)
 }
 
-// The pause meter wakes every pauseInterval and counts a wake-up that is late by more than minPause as a pause.
+// The pause meter wakes up every pauseInterval. It counts a wake-up as a pause if it is late by more than
+// minPause.
 const (
 	pauseInterval = 5 * time.Millisecond
 	minPause      = 10 * time.Millisecond
 )
 
-// pauseMeter records the intervals in which the host did not run the test process although its timer had expired.
-// Events in such an interval are observed late.
+// pauseMeter records the intervals in which the host did not run the test process although a timer of the
+// process had expired. The test observes events in these intervals too late.
 type pauseMeter struct {
 	mu     sync.Mutex
 	pauses []interval
@@ -262,7 +266,7 @@
 	}
 }
 
-// totalBetween returns the total length of the pauses that overlap the time between from and to.
+// totalBetween returns the total length of the recorded pauses that overlap the time between from and to.
 func (m *pauseMeter) totalBetween(from, to time.Time) (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/test/soak/judges_test.go
+++ b/test/soak/judges_test.go
@@ -7,9 +7,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file tests the checks of a scenario.
+// This file tests the checks that judge a finished scenario.
 
-// TestJudges checks that each check counts a violation of its rule and does not count what the rule allows.
+// TestJudges tests that each check counts a violation of its rule, and that it counts nothing that the rule
+// allows.
 func TestJudges(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1_000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	const timeout = 400 * time.Millisecond
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -20,10 +20,10 @@
 	submittedAt    time.Time
 	respondedAt    time.Time   // arrival time of the first response
 	response       string      // verb of the first response
-	responses      int         // number of responses, plus reports of the completion after the first report
-	leftAt         time.Time   // time when the client cancelled the request or left
-	disconnectedAt time.Time   // time when the connection ended before the response
-	connection     *connection // connection of the submission
+	responses      int         // number of responses, plus the number of completion reports after the first report
+	leftAt         time.Time   // time when the client cancelled the request or left, and thereby abandoned the request
+	disconnectedAt time.Time   // time when the connection ended before the request had a response
+	connection     *connection // connection on which the request was submitted
 	worker         *worker     // worker at which the task ended
 	endedAt        time.Time   // time when the task ended at the worker
 	reportedAt     time.Time   // time when the completion was reported to the client
@@ -38,7 +38,7 @@
 type ledger struct {
 	mu                 sync.Mutex
 	requests           map[string]*request
-	refusedConnections int // connections that a process refused while it had to accept new connections
+	refusedConnections int // number of connections that a process refused although it had to accept new connections
 }
 
 func newLedger() *ledger { return &ledger{requests: map[string]*request{}} }
@@ -69,7 +69,7 @@
 	case r.respondedAt.IsZero():
 		r.respondedAt, r.response, r.responses = now, line.Verb, 1
 		if line.Verb != "STARTED" {
-			r.reportedAt = now // after any first response but STARTED, no completion report is expected
+			r.reportedAt = now // the response is also the report: no other report follows unless the response is STARTED
 		}
 		return r.key, true
 	case isCompletion && r.reportedAt.IsZero():
@@ -80,7 +80,7 @@
 	return r.key, false
 }
 
-// left records that a client cancelled requests, or left while they were open.
+// left records that a client cancelled requests, or left while the requests were open.
 func (l *ledger) left(requestIDs map[string]bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,8 @@
 	l.refusedConnections++
 }
 
-// endedAtWorker records that the task of a request ends now at a worker. Only the first end counts.
+// endedAtWorker records that the task of a request ends now at a worker. It ignores all ends after the first
+// one.
 func (l *ledger) endedAtWorker(requestID string, w *worker) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +122,8 @@
 	}
 }
 
-// isNeverAccepted reports whether workers run the task of a request without ever answering its offer.
+// isNeverAccepted reports whether workers run the task of a request without ever answering its offer, as in the
+// script held.
 func (l *ledger) isNeverAccepted(requestID string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -33,11 +33,11 @@
 	*testbed.Worker
 	proxy *testbed.Proxy // nil if the process reaches the worker directly
 
-	faultMutex     sync.Mutex // locked while a fault lasts; a fault that would overlap with it is skipped
+	faultMutex     sync.Mutex // locked while a fault of the worker lasts; a fault that would overlap with it is skipped
 	mu             sync.Mutex // guards the fields below
 	faultIntervals []interval
 	drainingSince  time.Time // time when discovery listed the worker as draining, zero if it never did
-	evictsTasks    bool      // the worker has been evicting its tasks since drainingSince
+	evictsTasks    bool      // the worker evicts its tasks during the drain
 	hung           bool
 }
 
@@ -49,7 +49,7 @@
 	return i.from.Before(to) && (i.to.IsZero() || i.to.After(from))
 }
 
-// beginFault records the start of a fault and returns a function that records its end.
+// beginFault records the start of a fault. It returns a function that records the end of the fault.
 func (w *worker) beginFault() (end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,8 +122,8 @@
 	return s
 }
 
-// startWorkers starts the workers of a process. Every second one is reached through a proxy. The workers serve no other
-// process, because a stand-in may report the end of a task on any of its connections.
+// startWorkers starts the workers of a process. The process reaches every second worker through a proxy. Each
+// process has its own workers, because a stand-in may report the end of a task on any of its connections.
 func (s *scenario) startWorkers(p *process) {
 	for i := range s.plan.workers {
 		w := &worker{Worker: testbed.NewWorker(s.t, fmt.Sprintf("s-%d-%d", p.index, i))}
@@ -137,7 +137,8 @@
 	}
 }
 
-// discard drains a channel that the test does not use, so that the worker does not block on it.
+// discard receives and drops the elements of a channel that the test does not use, so that the worker does not
+// block when it sends on the channel.
 func discard(lines <-chan testbed.Line) {
 	for range lines {
 	}
@@ -163,7 +164,7 @@
 	}
 }
 
-// endInterval is the time between two ends of running tasks.
+// endInterval is the time after which endTasks ends the next running task.
 const endInterval = 10 * time.Millisecond
 
 // endTasks ends a random running task of the process every endInterval.
@@ -180,10 +181,12 @@
 	}
 }
 
-// endTask ends a running task. The worker evicts the task if the worker is draining with eviction or never answered the
-// task's offer, and reports its completion otherwise.
+// endTask ends a running task. The worker evicts the task in two cases: the worker is draining and evicts its
+// tasks, or it never answered the task's offer. Otherwise the worker reports the completion of the task.
 func (s *scenario) endTask(w *worker, requestID string) {
-	if s.attempts.LastWorker(requestID) == w.Name { // otherwise the task is a copy that its process has abandoned
+	// If another worker got a later offer of the request, this task is a copy that the process has abandoned. Its
+	// end is not recorded.
+	if s.attempts.LastWorker(requestID) == w.Name {
 		s.ledger.endedAtWorker(requestID, w)
 	}
 	if w.isEvicting() || s.ledger.isNeverAccepted(requestID) {
@@ -215,8 +218,9 @@
 	}
 }
 
-// injectFault injects one fault. For a temporary fault of a worker or its path, it records the time in which the fault may
-// have effects, which includes settleTime. A hang counts as a fault until the end of the scenario.
+// injectFault injects one fault. For a temporary fault of a worker or of its path, it records the period in
+// which the fault may have effects. This period lasts until settleTime after the end of the fault. A hang counts
+// as a fault until the end of the scenario.
 func (s *scenario) injectFault(f fault) {
 	p := s.processes[f.process]
 	w := p.workers[f.worker]
@@ -272,12 +276,12 @@
 	}
 }
 
-// settleTime is the maximum time for which a fault has effects after its end: the process redials a connection after
-// at most 2 s.
+// settleTime is the maximum time for which a fault has effects after its end. The process redials a connection
+// after at most 2 s.
 const settleTime = 2500 * time.Millisecond
 
-// drain lists a worker as draining. If evictsTasks is set, the worker then evicts its tasks one by one. A worker drains
-// at most once.
+// drain makes discovery list a worker as draining. If evictsTasks is set, the worker then evicts its tasks one
+// by one. A worker drains at most once.
 func (p *process) drain(w *worker, evictsTasks bool) {
 	s := p.scenario
 	w.mu.Lock()
@@ -299,7 +303,8 @@
 	}
 }
 
-// injectDiscoveryFault injects a fault of a process's discovery. It skips the fault while another one lasts.
+// injectDiscoveryFault injects a fault of a process's discovery. It skips the fault while another fault of this
+// discovery lasts.
 func (s *scenario) injectDiscoveryFault(p *process, f fault) {
 	p.discoveryFaulted.Store(true)
 	if !p.discoveryFaultMutex.TryLock() {
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -13,35 +13,36 @@
 // same plan.
 
 const (
-	// The platform kills a process no earlier than min(longest deadline, maxKillDeadline) + killDelay after the first
-	// terminating signal. The test kills it at that time.
+	// After the first terminating signal, the platform waits before it kills a process. The minimum of this time is
+	// killDelay plus the longest deadline, which counts as at most maxKillDeadline. The test kills the process after
+	// exactly this time.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// drainGrace is the time after the start of its drain during which a worker may still get offers.
+	// drainGrace is the time after the start of a worker's drain during which the worker may still get offers.
 	drainGrace = 600 * time.Millisecond
 
 	minStopAt, maxStopAt = 1200 * time.Millisecond, 2 * time.Second
-	// faultsAfterStop is the time after the first signal during which new faults may still begin.
+	// faultsAfterStop is the time after the first terminating signal during which new faults may still begin.
 	faultsAfterStop = 800 * time.Millisecond
 )
 
 // faultKind names a kind of fault, as the summary of a plan prints it.
 type faultKind string
 
-// Faults of the paths to workers, of workers, and of discovery.
+// Kinds of faults. They affect the paths to workers, the workers themselves, or discovery.
 const (
 	faultCut            faultKind = "cut"
 	faultDelay          faultKind = "delay"
-	faultMute           faultKind = "mute" // messages reach the worker, and its own messages are withheld
+	faultMute           faultKind = "mute" // messages still reach the worker, but messages from the worker are held back
 	faultReset          faultKind = "reset"
-	faultRestart        faultKind = "restart"      // crash of the worker and restart at the same address
+	faultRestart        faultKind = "restart"      // the worker crashes and restarts at the same address
 	faultDrain          faultKind = "drain"        // the worker drains and evicts its tasks one by one
-	faultDrainSlowly    faultKind = "drain-slowly" // the worker drains and its tasks run on
+	faultDrainSlowly    faultKind = "drain-slowly" // the worker drains, and its tasks continue to run
 	faultHang           faultKind = "hang"         // the worker hangs until the scenario ends
 	faultClose          faultKind = "close"        // the worker closes all its connections
 	faultDiscoveryCut   faultKind = "discovery-cut"
 	faultDiscoveryDelay faultKind = "discovery-delay"
-	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to another address, announced by SIGHUP
+	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to another address, and SIGHUP makes the process reload its configuration
 )
 
 var (
@@ -50,13 +51,13 @@
 	discoveryFaults = []faultKind{faultDiscoveryCut, faultDiscoveryDelay, faultDiscoveryMove}
 )
 
-// fault is one fault of a worker, of the path to a worker, or of the discovery of a process.
+// fault is one fault of a worker, of the path to a worker, or of a process's discovery.
 type fault struct {
 	kind    faultKind
-	at      time.Duration // since the start of the scenario
+	at      time.Duration // time of the fault since the start of the scenario
 	length  time.Duration
 	process int
-	worker  int // index among the workers of the process; unused by faults of discovery
+	worker  int // index of the worker among the workers of the process; unused for faults of discovery
 }
 
 // signalStep is one signal of the series that terminates the processes.
@@ -70,13 +71,13 @@
 type plan struct {
 	seed               uint64
 	processes          int
-	workers            int // per process
-	clients            int // per process
+	workers            int // number of workers per process
+	clients            int // number of clients per process
 	deadline           time.Duration
 	sockets, memoryMB  int
 	stalledConnections int // number of connections per process that send nothing or half a message
 	faults             []fault
-	faultyAnswers      bool // some workers send half a message, or reset their connection instead of answering
+	faultyAnswers      bool // some workers answer with half a message, or reset their connection instead of answering
 	stopAt             time.Duration
 	signals            []signalStep
 }
@@ -114,7 +115,8 @@
 	slices.SortFunc(p.faults, func(a, b fault) int { return int(a.at - b.at) })
 	for i, signal := range signalSeries[random.IntN(len(signalSeries))] {
 		step := signalStep{signal: signal}
-		if i > 0 && random.IntN(2) == 0 { // other signals follow the previous one at once
+		// All signals but the first follow the previous signal at once, or after a random delay.
+		if i > 0 && random.IntN(2) == 0 {
 			step.after = drawDuration(random, time.Millisecond, 300*time.Millisecond)
 		}
 		p.signals = append(p.signals, step)
@@ -122,8 +124,8 @@
 	return p
 }
 
-// drawFault draws one fault. Faults of paths go to workers with an even index, which have a proxy, and faults of
-// workers go to workers with an odd index.
+// drawFault draws one fault. Only workers with an even index have a proxy, so these workers get the faults of
+// paths. Workers with an odd index get the faults of workers.
 func (p *plan) drawFault(random *rand.Rand) fault {
 	f := fault{
 		at:      drawDuration(random, 100*time.Millisecond, p.stopAt+faultsAfterStop),
@@ -145,7 +147,7 @@
 	return least + time.Duration(random.Int64N(int64(most-least)))
 }
 
-// killAfter returns the time between the first terminating signal and the kill.
+// killAfter returns the time from the first terminating signal to the kill.
 func (p *plan) killAfter() time.Duration { return min(p.deadline, maxKillDeadline) + killDelay }
 
 // String formats the plan as one line.
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -25,8 +25,9 @@
 	index    int
 	workers  []*worker
 	address  string
-	path     *testbed.Proxy // proxy to discovery
-	// discoveryFaultMutex is locked while a fault of discovery lasts. A fault that would overlap with it is skipped.
+	path     *testbed.Proxy // proxy between the process and discovery
+	// discoveryFaultMutex is locked while a fault of the process's discovery lasts. A fault that would overlap with
+	// it is skipped.
 	discoveryFaultMutex sync.Mutex
 	config              string // path of the configuration file
 
@@ -49,14 +50,16 @@
 		DrainGrace: drainGrace, Sockets: s.plan.sockets, MemoryMB: s.plan.memoryMB}
 }
 
-// writeConfig writes the configuration file. Its channel is the address at which the process reaches discovery.
+// writeConfig writes the configuration file. Its field channel is the address at which the process reaches
+// discovery.
 func (p *process) writeConfig(channel string) error {
 	seed := p.scenario.plan.seed<<8 + uint64(p.index) + 1
 	text := p.scenario.deployment().Config(p.index, "127.0.0.1:0", "", channel, seed, p.discovery)
 	return os.WriteFile(p.config, []byte(text), 0o600)
 }
 
-// start starts the process and waits until it serves. At log level debug, the process traces every request.
+// start starts the process and waits until it serves clients. At log level debug, the process logs a trace of
+// every request.
 func (p *process) start(binary string) error {
 	p.Name = fmt.Sprint("n", p.index)
 	directory := p.scenario.directory(p)
@@ -78,7 +81,7 @@
 	return err
 }
 
-// publishEntry adds a change of one worker's entry to the list that discovery serves.
+// publishEntry adds a changed entry of one worker to the list that discovery serves.
 func (p *process) publishEntry(entry string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,8 +102,8 @@
 	return nil
 }
 
-// stopOrKill sends the series of signals. It kills the process killAfter after the first terminating signal if
-// the process is still running.
+// stopOrKill sends the signals of the series to the process. If the process is still running killAfter after the
+// first terminating signal, stopOrKill kills it.
 func (p *process) stopOrKill() {
 	time.Sleep(time.Until(p.scenario.startedAt.Add(p.scenario.plan.stopAt)))
 	go p.sendSignals()
@@ -115,7 +118,7 @@
 	p.exitCode, p.exitedAt = p.Exit()
 }
 
-// firstStopDelay returns the delay of the first terminating signal after the start of the series. SIGHUP is not a
+// firstStopDelay returns the time from the start of the series to its first terminating signal. SIGHUP is not a
 // terminating signal.
 func (p *process) firstStopDelay() (d time.Duration) {
 	for _, step := range p.scenario.plan.signals {
@@ -137,7 +140,7 @@
 	}
 }
 
-// sinceStop returns the time since the first terminating signal, which is negative before the signal.
+// sinceStop returns the time since the first terminating signal. The result is negative before this signal.
 func (p *process) sinceStop(now time.Time) time.Duration {
 	at := p.stoppedAt.Load()
 	if at == 0 {
@@ -245,15 +248,15 @@
 	}
 }
 
-// The first stalled connection is opened stalledConnectionsLead before the first signal. Another one is opened every
-// stalledConnectionsInterval.
+// The first stalled connection is opened stalledConnectionsLead before the first signal. Another stalled
+// connection is opened every stalledConnectionsInterval.
 const (
 	stalledConnectionsLead     = 300 * time.Millisecond
 	stalledConnectionsInterval = 2 * time.Millisecond
 )
 
-// openStalledConnections opens connections that send nothing or half a message, and keeps them until the process has
-// exited.
+// openStalledConnections opens connections that send nothing or half a message. It keeps them open until the
+// process has exited.
 func (p *process) openStalledConnections() {
 	p.scenario.sleep(time.Until(p.scenario.startedAt.Add(p.scenario.plan.stopAt - stalledConnectionsLead)))
 	for i := range p.scenario.plan.stalledConnections {
@@ -266,7 +269,7 @@
 		}
 		defer testbed.CloseQuietly(conn)
 		if i%2 == 0 {
-			_, _ = conn.Write([]byte(`{"verb":"START","tag":"9b1f`)) // the process may have closed the connection
+			_, _ = conn.Write([]byte(`{"verb":"START","tag":"9b1f`)) // a write error is ignored: the process may have closed the connection
 		}
 	}
 	<-p.Ended()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -36,9 +36,9 @@
 	return testbed.BuildProgram(directory)
 })
 
-// TestSoak checks, under random faults, that every request gets exactly one response in time, that every completion is
-// reported, that no task runs twice, that no attempt begins after its client left, and that each process exits by itself
-// before the kill.
+// TestSoak checks five rules under random faults. Every request gets exactly one response in time. Every
+// completion is reported. No task runs twice. No attempt begins after its client left. Each process exits by
+// itself before the kill.
 func TestSoak(t *testing.T) {
 	binary, err := build()
 	if err != nil {
