--- a/internal/testbed/conditions.go
+++ b/internal/testbed/conditions.go
@@ -10,7 +10,7 @@
 	Cut                      bool          // no data passes, and neither side gets an error
 	Refuse                   bool          // connections are refused, and datagrams are lost
 	Delay, Jitter            time.Duration // the delay is Delay plus a random time of at most Jitter
-	Loss, Duplicate, Reorder float64       // fractions of datagrams that are lost, sent twice, or delayed so much that later datagrams overtake them
+	Loss, Duplicate, Reorder float64       // fractions of datagrams that are lost, sent twice, delayed past later datagrams
 	Bandwidth                int           // in bytes per second, 0 for no limit
 	Flap                     time.Duration // length of each alternating cut and open period, 0 for none
 	FlapSince                time.Time     // start of the first cut period
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -16,7 +16,7 @@
 
 const (
 	partitionGrace   = 6 * time.Second // time after the end of a partition during which its members may still report each other dead
-	restartGrace     = 3 * time.Second // time after the start of an orchestrator during which reports of death by it or about it are ignored
+	restartGrace     = 3 * time.Second // time after its start in which reports of death by or about an orchestrator are ignored
 	maxDetection     = 9 * time.Second // maximum time in which a stopped orchestrator must be detected
 	minAsymmetricCut = 8 * time.Second // a cut of only one direction of a path must be detected if it lasts longer
 )
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -152,7 +152,7 @@
 }
 
 // applyToProcess executes a step on a process. It ignores a start of a process that already runs, and any other
-// step on a process that does not run. A drawn schedule may contain both kinds of steps.
+// step on a process that does not run. Neither is an error, because a drawn schedule may contain both.
 func (f *Fleet) applyToProcess(o *Orchestrator, step testbed.Step) error {
 	if (step.Verb == testbed.VerbStart) == o.IsRunning() {
 		return nil
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -170,7 +170,8 @@
 
 // cancel sends the cancellation of a request.
 func (c *connection) cancel(requestID string) {
-	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded)) // if the write fails, the connection has ended, which also cancels the request
+	// If the write fails, the connection has ended, and its end cancels the request.
+	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded))
 }
 
 // clients submits tasks to the orchestrators and retries them.
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -154,9 +154,9 @@
 	return true
 }
 
-// restartOrchestrators kills orchestrators and starts them again after downtime, without their stored state.
-// Their clients then register the running tasks again and send pings. The failure counts as known once each of
-// these orchestrators has answered these pings.
+// restartOrchestrators kills orchestrators and starts them again after downtime. The kill loses the state that
+// the processes keep in memory. Therefore the clients register the running tasks again and then send pings. The
+// failure counts as known once each of these orchestrators has answered these pings.
 func (r *rig) restartOrchestrators(kind string, targets []*orchestrator) {
 	b, restarted := r.baseline(), make([]bool, len(targets))
 	var group sync.WaitGroup
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -43,7 +43,7 @@
 	submitted, started, rejected, failed, ended, aborted, migrated, unreachable              int
 	urgentLate, unanswered, duplicateStarts, duplicateResponses, lateCompletions, unreported int
 	connectionsLost, endedWhileDown, repeats                                                 int
-	foreignStarts                                                                            int // number of tasks that an orchestrator started at a worker that is assigned to other orchestrators only
+	foreignStarts                                                                            int // starts at workers that are assigned only to other orchestrators
 }
 
 // rulesBroken returns the number of violations of rules that must always hold.
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -189,7 +189,7 @@
 	r.changeEntries(r.options.starts*changesPerStart*(1+r.options.foreignShare()), stop)
 }
 
-// foreignListChanges simulates the list changes that the orchestrators which the test does not run would cause.
+// foreignListChanges simulates the list changes of the orchestrators that the test does not run.
 func (r *rig) foreignListChanges(stop <-chan struct{}) {
 	r.changeEntries(r.options.starts*changesPerStart*r.options.foreignShare(), stop)
 }
@@ -201,7 +201,7 @@
 }
 
 // submitJobs submits jobs so that the mean rate of tasks is the rate of the peak. It submits all tasks of a job
-// at once. It submits the next job after the time in which this number of tasks is due at the rate.
+// at once. It submits the next job once the rate requires as many tasks as were submitted.
 func (r *rig) submitJobs(stop <-chan struct{}) {
 	ahead := 0 // number of tasks that were submitted but are not due yet
 	callAtRate(r.options.starts, stop, func() {
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// String returns the last line of a run. The field prober gives the slowest turn, which is -1 if no ping was
+// String returns the last line of a run. The slowest turn in this line (see type prober) is -1 if no ping was
 // answered.
 func (res result) String() string {
 	cpu, _ := res.peak.maxAndMean(cpuPercent)
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -22,7 +22,8 @@
 		l.duplicateStart(requestID, worker, other[0])
 	}
 	l.running[key], l.keys[requestID] = append(l.running[key], run{worker, requestID, time.Now()}), key
-	delete(l.unreported, requestID) // an unreported completion under this request ID belonged to an earlier attempt, which was cancelled
+	// If the request ID has an unreported completion, that completion belonged to an earlier, cancelled attempt.
+	delete(l.unreported, requestID)
 }
 
 // duplicateStart counts the start of a task that already runs. The start counts as a repeat if the rules allow
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -14,7 +14,7 @@
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
 	reportLimit   = time.Second            // maximum time until a completion is reported to the client
-	leaveLimit    = 100 * time.Millisecond // maximum time from the time when a client left to the last offer of its request, without maxPathDelay
+	leaveLimit    = 100 * time.Millisecond // maximum time from a client leaving to the last offer of its request, without maxPathDelay
 	crossingLimit = 50 * time.Millisecond  // a message and a close at most this far apart may have crossed each other
 	ruleSlack     = 50 * time.Millisecond  // tolerance of the test that is added to reportLimit and drainGrace
 	maxPathDelay  = 75 * time.Millisecond  // maximum delay that faultDelay adds to messages to a worker
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -13,9 +13,8 @@
 // same plan.
 
 const (
-	// After the first terminating signal, the platform waits before it kills a process. The minimum of this time is
-	// killDelay plus the longest deadline, which counts as at most maxKillDeadline. The test kills the process after
-	// exactly this time.
+	// After the first terminating signal, the platform does not kill a process before min(longest deadline,
+	// maxKillDeadline) + killDelay has passed. The test kills the process as soon as this time has passed.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 	// drainGrace is the time after the start of a worker's drain during which the worker may still get offers.
@@ -42,7 +41,7 @@
 	faultClose          faultKind = "close"        // the worker closes all its connections
 	faultDiscoveryCut   faultKind = "discovery-cut"
 	faultDiscoveryDelay faultKind = "discovery-delay"
-	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to another address, and SIGHUP makes the process reload its configuration
+	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to another address; SIGHUP announces the move
 )
 
 var (
