--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -71,7 +71,7 @@
 
 // Error implements error.
 func (e *WorkerError) Error() string {
-	return fmt.Sprintf("%s: member %.40q: %s", ErrConfig, e.Name, e.Problem)
+	return fmt.Sprintf("%s: worker %.40q: %s", ErrConfig, e.Name, e.Problem)
 }
 
 // Unwrap returns ErrConfig.
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -82,7 +82,7 @@
 }
 
 // ErrInvalidSet is the error that all errors of Parse wrap.
-var ErrInvalidSet = errors.New("no set of shards")
+var ErrInvalidSet = errors.New("invalid set of shards")
 
 // ParseError reports a part of a text that is not a valid zone of a set, or that repeats a zone.
 type ParseError struct{ Part string }
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -191,7 +191,7 @@
 // Closed implements eventloop.Handler.
 func (c *workerConn) Closed(_ *eventloop.Conn, err error) {
 	if open := len(c.openOffers); open > 0 || !errors.Is(err, eventloop.ErrEOF) {
-		c.link.pool.log.Warn("worker connection closed", "worker", c.link.workerID, "open", open, "err", err)
+		c.link.pool.log.Warn("worker connection closed", "worker", c.link.workerID, "open_offers", open, "err", err)
 	}
 	c.detach(err)
 	c.link.connClosed(err)
