--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -7,15 +7,15 @@
 )
 
 // retryStorm simulates an orchestrator whose clients all send their first request within
-// one second. To start all their tasks takes one minute at the release rate. At most six
-// seconds of work are pending; other requests are rejected, and their clients return after
-// Retry-After.
+// one second. At the release rate, it takes one minute to start all their tasks. The queue
+// of pending requests holds at most six seconds of work. Further requests are rejected, and
+// their clients return after Retry-After.
 type retryStorm struct {
 	controller *Controller
 	rate       float64            // units that are released per second
-	arrivals   [1 << 14][]arrival // by slot
+	arrivals   [1 << 14][]arrival // requests that arrive in each slot
 	queue      []uint64           // keys of pending requests
-	capacity   float64            // free units
+	capacity   float64            // free capacity in units
 	remaining  int                // number of clients whose task has not started
 	decisions  int                // number of calls of Requested and Rejected
 }
@@ -87,8 +87,9 @@
 }
 
 // runRetryStorms simulates clients that are distributed over 50 orchestrators. It returns
-// the time that the slowest orchestrator took, relative to the 60 s that its work takes at
-// the release rate, the number of decisions, and the memory per client in bytes.
+// three values. The first is the time that the slowest orchestrator took, as a multiple of
+// the 60 s that its work takes at the release rate. The second is the number of decisions,
+// and the third is the memory per client in bytes.
 func runRetryStorms(clients int, seed uint64) (ratio float64, decisions int, bytesPerClient float64) {
 	const orchestrators = 50
 	rng := rand.New(rand.NewPCG(seed, 9))
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -19,8 +19,8 @@
 // ErrLineFile.
 type PositionError struct {
 	File         string
-	Line, Column int    // counted from 1; Column in bytes
-	Want, Got    string // Got is "" if there is no text to quote
+	Line, Column int    // line and column, counted from 1; the column counts bytes
+	Want, Got    string // expected and received text; Got is "" if there is no text to quote
 }
 
 // Error implements error.
@@ -51,7 +51,7 @@
 type FieldError struct {
 	Field string // path of the field, such as settings.Limits.DialTimeoutUs
 	Want  string
-	Got   string // quoted; "" if Want is sufficient
+	Got   string // received value in quotes, or "" if Want alone describes the error
 }
 
 // Error implements error.
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -21,7 +21,7 @@
 type Word struct {
 	Text         string
 	File         string
-	Line, Column int // counted from 1; Column in bytes
+	Line, Column int // line and column, counted from 1; the column counts bytes
 }
 
 // Expected returns a *PositionError that reports that want was expected in place of the word.
@@ -85,7 +85,7 @@
 		return err
 	}
 	first := words[0]
-	if strings.HasPrefix(first.Text, "[") && text[first.Column-1] == '[' { // the word is not quoted
+	if strings.HasPrefix(first.Text, "[") && text[first.Column-1] == '[' { // the bracket is not quoted
 		return p.addSection(words)
 	}
 	if len(p.sections) == 0 {
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -15,7 +15,8 @@
 	peersPingedAlone    = 1 // no other member is alive or suspected
 )
 
-// nameReleaseTimeout is the time without a claim by the other process after which a conflict over the name ends.
+// nameReleaseTimeout is the time after which a conflict over the local name ends if the other process has not
+// claimed the name again.
 const nameReleaseTimeout = 3 * joinTimeout
 
 // maxLeaveNotices is the maximum number of members that the local member pings to announce that it leaves.
@@ -44,8 +45,8 @@
 	}
 }
 
-// pingPeers pings the next peers of the settings in turn. The count bounds the pings, however many peers the
-// settings name.
+// pingPeers pings the next peers of the settings; after the last peer, it continues with the first. It pings at
+// most count peers, however many the settings name.
 func (t *Table) pingPeers(count int) {
 	for range min(count, len(t.Peers)) {
 		t.peerCursor++
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,13 +11,14 @@
 	"ravenhitch/placement"
 )
 
-// effects maps the wire values of the Semantics of a class. scopes maps those of all settings that name a scope.
 var (
+	// effects maps each wire value of the setting Semantics of a class to the Effect of the class.
 	effects = map[string]placement.Effect{
 		"free":        placement.Safe,
 		"guarded":     placement.Keyed,
 		"single_shot": placement.Unsafe,
 	}
+	// scopes maps each wire value of the settings that name a scope to the scope.
 	scopes = map[string]placement.Scope{
 		"":        placement.ScopeNone,
 		"none":    placement.ScopeNone,
@@ -80,7 +81,8 @@
 	}
 }
 
-// kinds returns the kinds of worker. Their names and sizes are in separate lists with one item for each kind.
+// kinds returns the kinds of worker. On the wire, their names and their sizes are separate lists, each with
+// one item for each kind.
 func (r *settingsReader) kinds() []placement.Kind {
 	names := r.list("Flavors")
 	cores, memory := r.floats("FamilyInfo.SizeCores"), r.floats("FamilyInfo.MemoryByKind")
@@ -134,8 +136,8 @@
 	return classes
 }
 
-// class returns the settings of one class whose paths begin with path. The other settings of the classes are
-// in lists with one item for each class.
+// class returns those settings of one class whose paths begin with path. The caller reads the remaining
+// settings of the class, which are items of lists with one item for each class.
 func (r *settingsReader) class(path string) placement.Class {
 	effect, known := effects[r.values[path+"Semantics"]]
 	if !known {
