--- a/placement/actions.go
+++ b/placement/actions.go
@@ -7,8 +7,8 @@
 
 // The types of Action. The caller carries actions out in the order in which they are returned.
 type (
-	// Place offers a task to a worker. The caller abandons the attempt at the time AbandonAtUs, in
-	// microseconds.
+	// Place offers a task to a worker. The caller abandons the attempt if the worker has not answered by
+	// the time AbandonAtUs, in microseconds.
 	Place struct {
 		RequestID, Worker string
 		AbandonAtUs       int64
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -66,9 +66,9 @@
 	return len(nameHashes)
 }
 
-// hashedRank estimates the rank of a worker, from 0, among the workers that are assigned to this scheduler,
-// ordered by a hash of a program and the worker's name. hash is the hash of this worker, and assigned is
-// the number of assigned workers.
+// hashedRank estimates the rank of a worker among the workers that are assigned to this scheduler, in the
+// order of a hash of a program and the worker's name. The first rank is 0. hash is the hash of this
+// worker, and assigned is the number of assigned workers.
 func hashedRank(hash uint64, assigned int) float64 {
 	return (1 - float64(hash)/math.MaxUint64) * float64(assigned)
 }
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -3,8 +3,8 @@
 import "math"
 
 // This file computes the effective capacity of workers: the requested cores and memory that they can
-// carry without slowing down, derived from the share of their requests that running tasks use. It must
-// not read how much is requested of a worker.
+// carry without slowing down. This depends on how much of the requested cores and memory the running
+// tasks use. The file must not read how much is requested of a worker.
 
 // memorySaturation is the used fraction of a worker's memory above which the worker slows down.
 const memorySaturation = 0.92
@@ -12,14 +12,14 @@
 // capacityModel computes the effective capacity of workers.
 type capacityModel struct {
 	*environment
-	// baseline is the effective capacity of a worker without calibration, as fractions of the size of
-	// its kind.
+	// baseline is the effective capacity of an uncalibrated worker, as fractions of the cores and memory
+	// of its kind.
 	baseline fractions
 	// requested and used are the amounts of each resource that running tasks request and use, summed over the
 	// tasks that reported their use.
 	requested, used [resourceCount]float64
-	// saturationLoad and saturationRange are the minima of these settings over all classes, because any
-	// class may use a worker.
+	// saturationLoad and saturationRange are the lowest Class.SaturationLoad and the lowest
+	// Class.SaturationRange of all classes, because tasks of any class may run on a worker.
 	saturationLoad, saturationRange float64
 }
 
@@ -34,8 +34,9 @@
 	return c
 }
 
-// updateBaseline computes the baseline: the overcommit that workers accept or, if lower, the requested
-// fraction at which the use of cores or memory reaches the level where service degrades.
+// updateBaseline computes the baseline of cores and of memory. Each is the overcommit that workers accept
+// or, if that is lower, the requested fraction at which tasks use so much of the resource that service
+// starts to degrade: saturationLoad of the cores or memorySaturation of the memory.
 func (c *capacityModel) updateBaseline() {
 	cores, memory := c.settings.CoresOvercommit, c.settings.MemoryOvercommit
 	if c.requested[resourceCores] > 0 && c.used[resourceCores] > 0 {
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -3,9 +3,9 @@
 // This file owns the schedule of polls of the discovery service. It must not read worker lists.
 
 const (
-	// maxInitialDelay is the maximum time from the scheduler's first call to its first poll.
+	// maxInitialDelay is the maximum time from the first call of Scheduler.Handle to the first poll.
 	maxInitialDelay = 200 * millisecond
-	// minPollInterval is the minimum time between two polls without a response in between.
+	// minPollInterval is the minimum time between two polls if no list and no failure arrives between them.
 	minPollInterval = second
 	// pollJitter is the maximum random time added to the time between two polls.
 	pollJitter = second
--- a/placement/environment.go
+++ b/placement/environment.go
@@ -3,7 +3,7 @@
 import "math/rand/v2"
 
 // This file holds the state that all components of a scheduler share: the settings, the time, the random
-// source and the actions of the current call. It must not make decisions.
+// source and the actions of the current call of Scheduler.Handle. It must not make decisions.
 
 // retryInterval is the time, in microseconds, after which a scheduling pass considers pending tasks
 // again if no event triggers a pass earlier.
@@ -13,18 +13,18 @@
 type environment struct {
 	settings  Settings
 	random    *rand.Rand
-	startedAt int64 // time of the first call, in microseconds, or notStarted
-	now       int64 // time of the current call, in microseconds
+	startedAt int64 // time of the first call of Scheduler.Handle, in microseconds, or notStarted
+	now       int64 // time of the current call of Scheduler.Handle, in microseconds
 	actions   []Action
 	// needsPass is true if an event since the last scheduling pass may allow a pending task to be
 	// placed.
 	needsPass bool
 }
 
-// notStarted is the value of startedAt before the first call.
+// notStarted is the value of startedAt before the first call of Scheduler.Handle.
 const notStarted = -1
 
-// emit appends an action to the actions that the current call returns.
+// emit appends an action to the actions that the current call of Scheduler.Handle returns.
 func (e *environment) emit(action Action) {
 	e.actions = append(e.actions, action)
 }
--- a/placement/events.go
+++ b/placement/events.go
@@ -168,8 +168,8 @@
 	WorkerUnreachable struct{ Worker string }
 	// Backpressure reports the release rate and the reserved units. ReleaseRate is the capacity that
 	// becomes free while tasks wait for it, in units per second (see Settings.Units). It is 0 if the
-	// rate is not known or no task waits. Reserved is the number of units that each class must leave
-	// free for expected tasks of classes with more weight.
+	// rate is not known or no task waits. Reserved holds, for each class, the number of units that
+	// the class must leave free for expected tasks of classes with more weight.
 	Backpressure struct {
 		ReleaseRate float64
 		Reserved    []float64 // by class, or nil
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -48,8 +48,9 @@
 	return f.health.healthy(worker, task.classIndex) && !task.failedOn(worker)
 }
 
-// fits reports whether a worker has free capacity for a task, both within what the worker accepts
-// and within its effective capacity.
+// fits reports whether a worker has free capacity for a task. With the task, the worker must exceed
+// neither the capacity that it accepts nor its effective capacity. The effective capacity does not count
+// for a large task that has waited long, or if the settings provide no view.
 func (f *filter) fits(worker *workerInfo, task *taskInfo) bool {
 	kind := f.kindOf(worker)
 	acceptedCores := kind.Cores * f.settings.CoresOvercommit
@@ -78,9 +79,9 @@
 	return f.now-task.arrivedAt > f.classOf(task).ObjectiveUs/4
 }
 
-// limit returns the highest load at which a task still fits a worker of a kind (see fits). The size of
-// the task is given as fractions of the kind's size. utilization is the utilization that the task adds
-// to a worker without calibration.
+// limit returns an upper limit of the requested capacity at which a worker of a kind still has free
+// capacity for a task (see fits). The size of the task is given as fractions of the kind's size. The
+// argument utilization is the utilization that the task adds to an uncalibrated worker.
 func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
 	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
 		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
--- a/placement/health.go
+++ b/placement/health.go
@@ -20,16 +20,17 @@
 	ejectionThreshold = 1.0
 	// suspectThreshold is the lowest suspicion at which a worker gets only one attempt at a time.
 	suspectThreshold = 0.25
-	// reconnectedSuspicion is the upper limit to which the suspicion is lowered when the worker accepts
-	// a connection again.
+	// reconnectedSuspicion is the value to which a higher suspicion is lowered when the worker accepts a
+	// connection again.
 	reconnectedSuspicion = 0.5
 
 	// maxAttemptWindow is the upper limit of the attempt window, which is the number of unanswered attempts
 	// that a worker may have. An accepted attempt raises the window, and a rejection because the worker's
 	// queue is full halves it.
 	maxAttemptWindow = 12.0
-	// assumedDrain is how long a worker is assumed to be draining after it rejected an attempt as the
-	// wrong worker or ended a task because it drains. The list may not show the draining yet.
+	// assumedDrain is the time for which a worker is assumed to be draining after it rejected an attempt
+	// with CauseWrongWorker, or ended an attempt or a task with CauseDrained. The list may not show the
+	// draining yet.
 	assumedDrain = 5 * second
 
 	// rttWeight is the weight of one answer in the moving averages of the response time.
--- a/placement/index.go
+++ b/placement/index.go
@@ -23,13 +23,13 @@
 )
 
 // workerIndex is the index of all workers that may get tasks. The level of a worker is determined by
-// its requested fractions of cores and memory. Each is divided by the same component of scale, and the
-// larger quotient counts.
+// its requested fractions of cores and memory. The fraction of cores is divided by scale.cores and the
+// fraction of memory by scale.memory, and the larger quotient determines the level.
 type workerIndex struct {
 	kinds []kindLevels
 	// scale is the baseline with which the levels were last built.
 	scale           fractions
-	baseline        fractions // effective capacity of workers without calibration, divided by their size
+	baseline        fractions // capacityModel.baseline at the last search
 	inverseBaseline fractions
 	stale           []*workerInfo // workers whose position may have changed since the last search
 	finished        []bool        // by kind: whether the current walk needs no more workers of the kind
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -125,8 +125,8 @@
 
 // checkPrograms returns an error if the programs by worker and the workers by program do not match.
 func checkPrograms(scheduler *Scheduler) error {
-	// The difference between the number of programs in the maps of all workers and the number of
-	// workers in the lists of all programs.
+	// unmatched is the number of programs in the maps of all workers, minus the number of workers in the
+	// lists of all programs.
 	unmatched := 0
 	for _, worker := range scheduler.fleet.sorted {
 		for program := range worker.residentPrograms {
--- a/placement/load.go
+++ b/placement/load.go
@@ -31,7 +31,7 @@
 	index        *workerIndex
 	reservations *reservations
 	lag          int64         // assumed lag of the view, in microseconds
-	lagDependent []*workerInfo // all workers that lagDependentWorkers returns, and some that it will remove
+	lagDependent []*workerInfo // workers that depend on the lag, and some that lagDependentWorkers will remove
 	// listedRequestedCores is the sum of the cores requested of all listed workers of a known kind that
 	// are not foreign.
 	listedRequestedCores float64
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -35,7 +35,7 @@
 	// concurrent is the amount of each resource that other schedulers are assumed to have placed since the
 	// current view, as a fraction of the capacity of the whole fleet.
 	concurrent [resourceCount]float64
-	// reservedUnits is the number of units, by class, that the class leaves free for classes of
+	// reservedUnits holds, for each class, the number of units that the class leaves free for classes of
 	// higher weight.
 	reservedUnits []float64
 	// releaseRate is the capacity that becomes free while tasks wait, in units per second. It is 0 if
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -27,8 +27,9 @@
 		for i := range 12 {
 			rejected += len(ofType[Reject](f.handleAfter(ms, f.request(fmt.Sprint(i), "safe", 1, 2))))
 		}
-		// The deadline is in 5 s, and a task is rejected if its expected wait is more than twice that time. At
-		// one unit per second, nine units become free in time.
+		// Each task takes one unit and has 4.999 s left until its deadline. It is rejected if its expected
+		// wait exceeds twice that time, 9.998 s. At one unit per second, the ninth task waits 9 s and stays
+		// pending. The tenth, eleventh and twelfth would each wait 10 s behind nine pending tasks.
 		if rejected != test.want {
 			t.Errorf("release rate %v: got %d of 12 tasks rejected, want %d", test.rate, rejected, test.want)
 		}
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -34,7 +34,7 @@
 
 	unschedulable map[taskShape]bool // shapes of tasks for which this pass found no worker
 	freeUnits     float64            // free units left in this pass; only computed if a class has reserved units
-	unitsAhead    float64            // units of the tasks earlier in this pass that stay pending
+	unitsAhead    float64            // units of the earlier tasks of this pass that wait for free capacity
 }
 
 // run makes a scheduling pass if an event since the last pass may allow a pending task to be placed.
@@ -152,9 +152,9 @@
 }
 
 // abandonAt returns the time at which the latest attempt of a task is abandoned. This is well after
-// responses usually arrive, and leaves time for another attempt. The attempt lasts until the
-// deadline if the task is unsafe, as it could not be tried again, or if the attempt is the last one
-// permitted, or if no response time was measured yet.
+// responses usually arrive, and leaves time for another attempt. The attempt lasts until the deadline in
+// three cases: the task is unsafe, because it could not be tried again; the attempt is the last one
+// permitted; or no response time was measured yet.
 func (p *schedulingPass) abandonAt(task *taskInfo) int64 {
 	lastAttempt := p.settings.MaxAttempts > 0 && len(task.attempts) >= p.settings.MaxAttempts
 	if p.classOf(task).Effect == Unsafe || lastAttempt || !p.health.rttKnown() {
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -7,8 +7,8 @@
 
 // This file owns the pending tasks and their order. It never places or rejects a task.
 
-// deadlineMarginTicks is the number of ticks before its deadline at which a pending task gets its
-// response.
+// deadlineMarginTicks is the number of ticks (see Settings.TickUs) by which the response to a pending task
+// precedes the deadline of the task.
 const deadlineMarginTicks = 4
 
 // queue holds the pending tasks.
@@ -70,8 +70,8 @@
 	return priority
 }
 
-// responseMargin returns how long before its deadline a pending task gets its response, in
-// microseconds.
+// responseMargin returns the time, in microseconds, by which the response to a pending task precedes the
+// deadline of the task.
 func (q *queue) responseMargin() int64 {
 	return deadlineMarginTicks * max(q.settings.TickUs, millisecond)
 }
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -84,7 +84,8 @@
 	settings.FleetSize, settings.SelfIndex, settings.SlowStartOffers = 300, 299, 1
 	f := newFixture(t, settings, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
 	request := f.request("1", "apartCell", 1, 2)
-	f.wantPlaced(f.handleAfter(ms, request), "a") // the list entry names no cell, and the class limits the spread by cell
+	// The list entry names no cell, although the class limits the spread by cell.
+	f.wantPlaced(f.handleAfter(ms, request), "a")
 	// The clock advances by two seconds, and events of one attempt arrive out of order.
 	f.handleAfter(2*second, AttemptEnded{RequestID: "1", Worker: "a", Outcome: Completed, Final: true}, Accepted{RequestID: "1", Worker: "a"},
 		TaskReport{RequestID: "1", Worker: "a", Kind: ReportRunning}, ClientCancelled{"1"})
@@ -92,7 +93,7 @@
 		t.Errorf("got %d tasks and %d unanswered attempts left, want none", len(f.scheduler.requests.tasks), len(f.scheduler.fleet.workers["a"].unanswered))
 	}
 	var entries []Entry
-	for m := range 200 { // the fleet grows by one list with many workers, all of which are warming up
+	for m := range 200 { // one list adds 200 workers, which are all warming up
 		entry := smallWorker(fmt.Sprint("c", m), m/6, 30)
 		entry.StartedAtUs = f.now
 		entries = append(entries, entry)
--- a/placement/score.go
+++ b/placement/score.go
@@ -101,8 +101,8 @@
 
 // missProbability estimates the probability, 0 to 1, that the program of a task is missing on a
 // worker at the start. It is 0 if the program is known to be resident. Otherwise the probability
-// rises with the worker's rank in the order hashed from the program, and reaches 1 at the rank
-// preferredWorkerCount.
+// rises with the worker's rank in the order of hashes of the program and the workers' names, and
+// reaches 1 at the rank preferredWorkerCount.
 func (s *scorer) missProbability(worker *workerInfo, task *taskInfo) float64 {
 	if task.Program == 0 || worker.residentPrograms[task.Program] != nil {
 		return 0
--- a/placement/search.go
+++ b/placement/search.go
@@ -10,8 +10,8 @@
 // index, and draws among those with a score near the best. A search never changes the recorded state
 // of a worker, only values derived from it, and does not allocate once its slices have grown.
 
-// costMargin is the difference from the lowest admission cost up to which a cost still counts as equal
-// to it. One small task adds about this cost, and a late view cannot show so small a difference.
+// costMargin is the maximum amount by which an admission cost may exceed the lowest one and still count
+// as equal to it. One small task adds about this cost, and a late view cannot show so small a difference.
 const costMargin = 0.02
 
 // maxSuspectAttempts is the maximum number of unanswered attempts at a suspect worker if all workers
@@ -40,7 +40,7 @@
 	evaluated     int   // number of workers that the current search evaluated one by one
 	task          *taskInfo
 	class         *Class
-	limits        []loadLimit // by kind: highest load of a worker that the task fits
+	limits        []loadLimit // by kind: upper limit of the load of a worker that the task fits
 	taskFractions []fractions // by kind: utilization that the task adds to a worker
 	scored        []scoredWorker
 	lowestCost    float64                // lowest cost of the scored workers
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -31,8 +31,8 @@
 // free capacity.
 func TestFullFleetIsRemembered(t *testing.T) {
 	f := largeFleet(t, 4000, func(random *rand.Rand) float64 { return 1.495 + 0.004*random.Float64() })
-	// One worker of the same level has free capacity at first, so the lower bound of the level's
-	// requested capacity stays too low when that free capacity is taken.
+	// At first, one worker of the level has free capacity. Taking that capacity does not raise the lower
+	// bound of the level's requested capacity, so the bound is too low until the level is scanned.
 	last := smallWorker("m03999", 0, 32*(1-1.478))
 	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	task := f.syntheticTask(0)
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -347,8 +347,9 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: entries})
 }
 
-// effectiveCoresFactor returns the effective capacity of a worker in cores, relative to its size, as it
-// follows from the saturation load and the use by tasks. For memory, the factor is 1.
+// effectiveCoresFactor returns the effective capacity of a worker in cores, as a fraction of its cores. The
+// fraction is the saturation load divided by the share of requested cores that tasks use. For memory, the
+// fraction is 1.
 func (s *site) effectiveCoresFactor() float64 {
 	return s.settings.Classes[0].SaturationLoad / siteCoresUse
 }
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -10,9 +10,9 @@
 	// warms up becomes overloaded. This limit is the budget, plus slowStartDeviations times the square
 	// root of the budget, plus slowStartDeviations offers.
 	slowStartDeviations = 2.0
-	// informedShare is the maximum fraction of the limit described at slowStartDeviations that all
-	// schedulers notified of the start send together. The rest is left to schedulers that may not have
-	// been notified yet.
+	// informedShare is the fraction of the limit (see slowStartDeviations) that the offers of all
+	// schedulers that were notified of the worker's start may reach together. The rest is left to
+	// schedulers that may not have been notified yet.
 	informedShare = 2.0 / 3
 	// minStartRate is the lowest rate at which a worker is assumed to start tasks, as a fraction of the
 	// rate of a warm worker.
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -28,7 +28,7 @@
 
 const (
 	newWorker    start = "new worker"    // the worker is not on the schedulers' lists
-	startedTwice start = "started twice" // the schedulers know an earlier start, shortly before the start under test
+	startedTwice start = "started twice" // the schedulers know a start shortly before the start under test
 	wasWarm      start = "was warm"      // the schedulers know the worker as warm
 )
 
--- a/placement/spread_test.go
+++ b/placement/spread_test.go
@@ -8,7 +8,7 @@
 func TestSpread(t *testing.T) {
 	for _, test := range []struct {
 		class string
-		want  int // number of 6 tasks that are placed on workers in cells 0, 0 and 1
+		want  int // how many of 6 tasks are placed on three workers in cells 0, 0 and 1
 	}{{"apartMachine", 3}, {"apartCell", 4}, {"apartZone", 2}} {
 		f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 		count := 0
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -17,8 +17,9 @@
 // fired handles the expiry of the timer, which requires a scheduling pass.
 func (t *timer) fired() { t.setFor, t.needsPass = 0, true }
 
-// set sets the timer for the next check of pending tasks or poll of discovery, unless it is already
-// set for an earlier time.
+// set sets the timer for the next check of pending tasks or the next poll of discovery, whichever is
+// earlier. It does nothing if neither is needed, or if the timer is already set for that time or an earlier
+// time in the future.
 func (t *timer) set() {
 	at := t.queue.nextCheckAt()
 	if pollAt := t.discovery.nextPollAt(); pollAt > 0 && (at == 0 || pollAt < at) {
--- a/placement/view.go
+++ b/placement/view.go
@@ -18,8 +18,8 @@
 		v.update(entry, list.Kind != ListCached)
 	}
 	v.fleet.forgetUnlisted()
-	// In a large fleet, nearly every call brings a list of changes. These lists therefore trigger no
-	// scheduling pass there, and pending tasks wait for the timer.
+	// In a large fleet, nearly every call of Scheduler.Handle brings a list of changes. A list of changes
+	// therefore triggers no scheduling pass there, and pending tasks wait for the timer.
 	v.needsPass = v.needsPass || list.Kind != ListDelta || !v.fleet.isLarge()
 }
 
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -15,7 +15,7 @@
 	calibrationHalflife = 8 * second
 	// suspicionHalflife is the time in which a suspicion decays by half.
 	suspicionHalflife = 6 * second
-	// successFactor is the factor by which a success reduces a suspicion. A success does not clear the
+	// successFactor is the factor by which a success multiplies a suspicion. A success does not clear the
 	// suspicion, since even a worker that loses most answers still sends some.
 	successFactor = 0.7
 	// maxSuspicion is the upper limit of a suspicion, which bounds how long a worker is avoided.
@@ -210,7 +210,7 @@
 	return w.calibration[resourceCores] != 1 || w.calibration[resourceMemory] != 1
 }
 
-// recordOffer records an offer, and removes the recorded offers that are older than the retention.
+// recordOffer records an offer, and removes the recorded offers that are older than retention.
 func (w *workerInfo) recordOffer(now, retention int64) {
 	expired := func(at int64) bool { return at < now-retention }
 	w.offerTimes = append(slices.DeleteFunc(w.offerTimes, expired), now)
