--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -13,13 +13,13 @@
 	// programUse is the number of descriptors that the program itself keeps open in addition to the
 	// reserved ones: the listening socket and the connection to discovery.
 	programUse = 2
-	// clientShareDivisor determines the share of the budget (1/clientShareDivisor) that optional connections to
-	// workers leave to clients. A third suffices because clients normally use at most a third of the limit. They
-	// may borrow more, up to Budget.maxClients, if connections to workers leave descriptors free.
+	// clientShareDivisor limits the optional connections to workers: they always leave 1/clientShareDivisor of the
+	// budget to clients. A third suffices because clients normally use at most a third of the limit. Clients may
+	// borrow more, up to Budget.maxClients, if connections to workers leave descriptors free.
 	clientShareDivisor = 3
-	// minClientShareDivisor determines the share of the budget (1/minClientShareDivisor) that even
-	// required connections to workers leave to clients. A connection is required if the worker has
-	// running tasks or an offer is waiting for it.
+	// minClientShareDivisor limits all connections to workers: they always leave 1/minClientShareDivisor of the
+	// budget to clients, even if they are required. A connection is required if the worker has running tasks or an
+	// offer is waiting for the connection.
 	minClientShareDivisor = 8
 )
 
@@ -64,8 +64,8 @@
 // tasks or for which an offer is waiting.
 func (b *Budget) AdmitsRequiredWorker() bool { return b.preservesClientShare(minClientShareDivisor) }
 
-// preservesClientShare reports whether one more connection to a worker leaves free what clients do not yet use of
-// their share, which is 1/divisor of the budget.
+// preservesClientShare reports whether the unused part of the clients' share stays free if one more connection to
+// a worker is opened. The share is 1/divisor of the budget.
 func (b *Budget) preservesClientShare(divisor int) bool {
 	if b == nil {
 		return true
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -101,8 +101,8 @@
 	return query
 }
 
-// endPoll activates the shards that the answered poll named and that are still assigned. It reports whether a shard
-// became active.
+// endPoll is called when the poll in flight was answered. It activates the shards that this poll named and that
+// are still assigned. It reports whether a shard became active.
 func (s *shardAssignment) endPoll() (gained bool) {
 	if s == nil {
 		return false
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -84,8 +84,9 @@
 	f.conn = conn
 }
 
-// SetAddress changes the address of discovery. The poll in flight is abandoned, because the former address sends
-// no more events. The next poll goes to the new address and requests the events after the last one that was applied.
+// SetAddress changes the address of discovery. The poll in flight is abandoned, because no more events are
+// expected from the old address. The next poll goes to the new address and requests the events after the last one
+// that was applied.
 func (f *Follower) SetAddress(address string) {
 	if address != f.address {
 		f.address = address
@@ -135,10 +136,10 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. At
-// most one response is outstanding, so any bytes after it were not requested. In that case, Data polls on a new
-// connection. Otherwise, these bytes would be taken as the response of the next poll, and each later response
-// would be matched to the poll after its own.
+// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. If
+// bytes follow the response, they belong to no request, because at most one poll is in flight. Data then sends the
+// next poll on a new connection. On the old one, these bytes would be read as the response to the next poll, and
+// each later response would be matched to the poll after its own.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
 	if err != nil || !complete {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -10,7 +10,7 @@
 const terminationTimeout = 700 * millisecond
 
 // cancelAttempt cancels the open attempt of a request. The cancel is sent to the worker before any other message
-// for this request. The end of the attempt is reported to the scheduler only once the attempt is certainly over,
+// for this request. The end of the attempt is reported to the scheduler only when the attempt is certainly over,
 // because the scheduler may then offer the task elsewhere. A cancel that is still in transit, or that was written
 // on a connection that became unresponsive, does not end the attempt. The response to the client does not wait for
 // the confirmation: at the deadline of the request, the attempt counts as ended.
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -47,8 +47,8 @@
 const (
 	// backpressureInterval is the minimum time between two reports of the release rate to the scheduler.
 	backpressureInterval = 20 * millisecond
-	// minBackpressureChange bounds the changes that are not reported: a value that differs from the last reported
-	// value by at most this fraction of it is not reported again.
+	// minBackpressureChange is the relative change up to which a value counts as unchanged. The release rate and
+	// the reserved units are not reported again while all of them are unchanged since the last report.
 	minBackpressureChange = 0.05
 )
 
@@ -84,8 +84,8 @@
 }
 
 // announcePending reports to the advisor the units that will be pending once the actions are carried out. Requests
-// that the actions reject do not count. Otherwise, of several requests that are rejected together, the advisor
-// would plan each retry behind the other requests.
+// that the actions reject do not count. If they counted and several requests were rejected together, the advisor
+// would plan the retry of each of them behind the others.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -44,7 +44,7 @@
 	log        *slog.Logger
 	tracer     Tracer
 
-	now    int64             // time of the current call
+	now    int64             // time that the caller passed to the latest call of a method, in microseconds
 	events []placement.Event // events to pass to the scheduler in the next turn
 
 	// The requests. A request stays in the table, under its request ID, until it is removed.
@@ -171,7 +171,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // the latest submission used the request's own ID, so usually no alias exists
+		return // the latest submission used the request's own ID, so there is usually no alias to delete
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// mustStart submits a request of class web, and lets the worker to which it is offered accept it.
+// mustStart submits a request of class web. The worker that receives the offer accepts it.
 func (h *harness) mustStart(requestID string, timeoutMs int64) {
 	h.t.Helper()
 	h.mustSubmit(requestID, "web", "k"+requestID, timeoutMs)
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// startNext submits the request with a number, lets the worker to which it is offered accept it, and returns
-// that worker.
+// startNext submits the request with a number. The worker that receives the offer accepts it. startNext returns
+// this worker.
 func (h *harness) startNext(number int, keyPrefix string) (worker string) {
 	h.t.Helper()
 	id := fmt.Sprintf("%016x", number)
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -9,7 +9,8 @@
 	"ravenhitch/placement"
 )
 
-// drainMargin is the time before the end of the drain grace period at which offers to a draining worker stop.
+// drainMargin is the maximum time before the end of the drain grace period at which offers to a draining worker
+// stop. If the period is short, they stop later (see drainLimit).
 const drainMargin = 500 * millisecond
 
 // The errors of the rules that an offer may break. Their texts have no package prefix, because they are only
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// checkSingleStart forbids a further attempt of a task that must not run twice once an attempt may have run.
+// checkSingleStart forbids a further attempt if the task must not run twice and an earlier attempt may have
+// started it.
 func (d *Dispatcher) checkSingleStart(r *request, _ string) error {
 	if r.effect == placement.Unsafe && r.mayHaveRun {
 		return ErrSecondStart
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -9,15 +9,16 @@
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
 	// ends.
 	responseTravelTime = 10 * millisecond
-	// turnDecayTime is the time in which the recorded longest turn decays to half of its length or less.
+	// turnDecayTime is the time after which the recorded longest turn has decayed to half of its length or less,
+	// if no longer turn was observed since.
 	turnDecayTime = 1 * second
 	// maxTurnLength is the maximum length that is recorded for a turn. A longer turn counts as a turn of this
 	// length.
 	maxTurnLength = 250 * millisecond
 	// bucketLength is the time that one bucket of scheduled responses covers.
 	bucketLength = 5 * millisecond
-	// bucketCount is the number of buckets. Responses scheduled after the last bucket are not counted, because
-	// nothing is known about that time yet.
+	// bucketCount is the number of buckets. A response that is scheduled for a time after the last bucket is not
+	// counted, because nothing is known about that time yet.
 	bucketCount = 4096
 	// maxShift is the maximum time by which a response is scheduled earlier to make room for others.
 	maxShift = 200 * millisecond
@@ -28,7 +29,8 @@
 	// minResponseCost is the lower bound of the time per response when the capacity of a bucket is computed, in
 	// microseconds.
 	minResponseCost = initialResponseCost / 4
-	// minResponsesForCost is the minimum number of responses in a turn from which the time per response is learned.
+	// minResponsesForCost is the minimum number of responses in a turn. A turn with fewer responses does not
+	// change the learned time per response.
 	minResponsesForCost = 32
 	// responseCostGain is the weight of one turn in the learned time per response.
 	responseCostGain = 1.0 / 8
@@ -95,8 +97,8 @@
 	}
 }
 
-// bucketCapacity returns how many responses may be scheduled in one bucket: as many as can be written in half
-// of its time.
+// bucketCapacity returns the maximum number of responses scheduled in one bucket. This is the number that can be
+// written in half of bucketLength, but at least 1.
 func (p *responsePacer) bucketCapacity() int {
 	return max(1, int(bucketLength/2/max(minResponseCost, p.responseCost)))
 }
--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// A response is also scheduled in time if the timeout is nearly over, if it is longer than the buckets cover, or
-// if it begins long after the previous one.
+// A response is also scheduled in time if the client's timeout is nearly over, if the timeout is longer than the
+// time that the buckets cover, or if the timeout begins long after the previous timeout.
 func TestUnusualTimeouts(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -38,9 +38,10 @@
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
 	adoptedAt        int64  // time at which the task was submitted as already running, in microseconds, or 0
-	// unaccountedSince is, for a running task, the time since which its worker has been unlisted. For an
-	// unresponsive task, it is the time by which the worker should have reported the end. It is in microseconds, 0
-	// for none.
+	// unaccountedSince is, for a running task, the time since which its worker has been unlisted; adopt sets a
+	// later time if the worker is unlisted at the adoption (see adoptedUnlistedTimeout). For an unresponsive task,
+	// it is the time since which the report of the task's end is overdue. It is in microseconds, and 0 if neither
+	// applies.
 	unaccountedSince int64
 	// claimedOutcome is, for an adopted task, the outcome of a completion that its worker reported before the
 	// adoption.
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -19,7 +19,7 @@
 	Failed
 	Completed
 	Migrated
-	Cancelled // only for a repeated submission: the client cancelled the first one
+	Cancelled // response to a repeated submission: the client cancelled the request before
 )
 
 // Response is a message to a client about one of its requests.
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -17,9 +17,8 @@
 	ErrTerminating    = errors.New("dispatch: the task is terminating")
 )
 
-// Submit adds a submission to the table. The response goes to client, during this call if it is known
-// already. Submit returns ErrRequestIDInUse, ErrKeyInUse or ErrTerminating if it does not accept the
-// submission.
+// Submit adds a submission to the table. The response is sent to client. If it is known already, it is sent during
+// this call. Submit returns ErrRequestIDInUse, ErrKeyInUse or ErrTerminating if it does not accept the submission.
 func (d *Dispatcher) Submit(now int64, client Client, s Submission) error {
 	d.now = now
 	if s.RunningOn != "" && d.isAlreadyAdopted(&s) {
@@ -43,10 +42,10 @@
 	return nil
 }
 
-// isAlreadyAdopted reports whether the task of an adoption is already in the table or unresponsive. Such a task
-// keeps its data and its client. Otherwise, anyone who has seen a request ID could submit it and receive the
-// completion that is meant for another client. If the client of the task has disconnected, its front selects
-// another client.
+// isAlreadyAdopted reports whether a task that is submitted as already running is in the table or unresponsive. In
+// that case, the task keeps its data and its client. Otherwise, anyone who has seen a request ID could submit it
+// and receive the completion that is meant for another client. If the client of the task has disconnected, its
+// front selects another client.
 func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
 	if d.unresponsive[s.RequestID] != nil {
 		return true
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -12,8 +12,8 @@
 	// unlistedTimeout is the time for which a task still counts as running after its worker left the list. During
 	// this time, the worker may still report the end of the task.
 	unlistedTimeout = 1 * second
-	// adoptedUnlistedTimeout replaces unlistedTimeout for a task that is adopted on an unlisted worker. The time
-	// is limited because nobody else will report the end of such a task.
+	// adoptedUnlistedTimeout is used instead of unlistedTimeout if a task is adopted while its worker is unlisted.
+	// The time is limited because nobody else will report the end of such a task.
 	adoptedUnlistedTimeout = 1_500 * millisecond
 )
 
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// sweepInterval is the time between two checks of unresponsive tasks and of tasks on unlisted workers.
+	// sweepInterval is the minimum time between two calls of Dispatcher.sweep, which ends unresponsive tasks and
+	// tasks on unlisted workers.
 	sweepInterval = 500 * millisecond
 	// drainRetention is the time for which drainingSince keeps a worker that left the list. It is much longer
 	// than an offer to the worker may wait to be sent.
@@ -53,8 +54,8 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// The scheduler awaits confirmation that it receives changes of the list. The dispatcher passes these
-		// changes on even without being asked, so a list without entries suffices as confirmation.
+		// The scheduler waits for a confirmation that it receives changes of the list. The dispatcher always
+		// passes changes on, so a list without entries suffices as the confirmation.
 		d.confirmList = false
 		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -145,14 +145,14 @@
 	d.queueEvent(placement.WorkerReachable{Worker: worker})
 }
 
-// WorkerUnreachable handles the report that no connection to a worker is up and that the last one failed.
+// WorkerUnreachable handles the report that no connection to a worker is up and that the latest connection failed.
 func (d *Dispatcher) WorkerUnreachable(now int64, worker string) {
 	d.now = now
 	d.queueEvent(placement.WorkerUnreachable{Worker: worker})
 }
 
-// WorkerDied handles a proof that the process of a worker has died. The tasks that ran there have ended, and
-// nobody will report their completions.
+// WorkerDied handles the report that the process of a worker has certainly died. The tasks that ran there have
+// ended, and nobody will report their completions.
 func (d *Dispatcher) WorkerDied(now int64, worker string) {
 	d.now = now
 	d.endTasksOn(worker, func(*request) bool { return true })
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -10,8 +10,8 @@
 	d.now = now
 	d.hasList = true
 	if isCompleteList(list) {
-		// Workers that a complete list does not name count as draining from now on. For the workers that it names,
-		// updateListed deletes this time unless they are draining.
+		// Workers that a complete list does not name count as draining from now on. The loop sets this time for
+		// all workers; updateListed deletes it again for the named workers that are not draining.
 		for worker := range d.listed {
 			d.drainingSince[worker] = now
 		}
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -45,7 +45,7 @@
 type Event struct {
 	Kind       EventKind
 	Name, Zone string
-	Nonce      uint64 // incarnation nonce of the named member, or the local one if the table has no such member
+	Nonce      uint64 // incarnation nonce of the member Name, or of the local member if Name is not in the table
 	Evidence   string
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -15,8 +15,8 @@
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
 }
 
-// minUpdateSize is the free space, in bytes, that a datagram must exceed for packPage to add the update of another
-// member.
+// minUpdateSize is a number of bytes. packPage stops adding updates to a datagram when at most this number of
+// bytes is free.
 const minUpdateSize = 64
 
 // disseminate queues the current update of a member for dissemination, and replaces a queued one.
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -1,8 +1,8 @@
 package membership
 
 // This file implements Lifeguard's local health score, which measures how unreliable the local member's own
-// observations are. A higher score lengthens the timeouts. In addition, silence that a stall of the local process
-// explains raises no suspicion.
+// observations are. A higher score lengthens the timeouts. In addition, the local member suspects nobody for
+// silence that a stall of the local process explains.
 
 // HealthScore returns the local health score, from 0 (healthy) to 8 (worst).
 func (t *Table) HealthScore() int { return t.healthScore }
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -21,7 +21,7 @@
 	t.actions = append(t.actions, HandshakeProbe{Name: m.Name, Addr: t.addressOf(m.Name)})
 }
 
-// The groups from which relays are drawn, in this order, by the zone of the relay.
+// The groups of relays, by the zone of the relay. Relays are drawn from the groups in this order.
 const (
 	targetZone = iota
 	localZone
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -8,7 +8,8 @@
 	"slices"
 )
 
-// Number of peers of the settings that are pinged at a time, by the situation of the local member.
+// The maximum number of peers of the settings that the local member pings at a time. It depends on the local
+// member's situation.
 const (
 	peersPingedJoining  = 3
 	peersPingedConflict = 2 // another process owns the local name
@@ -88,7 +89,8 @@
 }
 
 // refute raises the local incarnation above that of an update that wrongly reports this process as suspected, dead
-// or departed. Updates of lower incarnations need no refutation, nor does the announced departure.
+// or departed. An update of a lower incarnation needs no refutation. Neither does the report of a departure that
+// the local member has announced itself.
 func (t *Table) refute(u Update) {
 	outdated := u.Incarnation < t.Self.Incarnation
 	announced := t.departing && u.State == Left
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -14,14 +14,14 @@
 const (
 	faultKill         faultKind = "kill"    // the process of target ends, and its host refuses connections
 	faultVanish       faultKind = "vanish"  // the host of target goes down and does not answer
-	faultPause        faultKind = "pause"   // the process of target does not run until the end
+	faultPause        faultKind = "pause"   // the process of target does not run from start to end
 	faultOneWay       faultKind = "oneway"  // datagrams and connections from target to other do not arrive
 	faultRefuse       faultKind = "refuse"  // like faultOneWay, but connections from target to other are refused
 	faultCut          faultKind = "cut"     // the zone target is cut off, except for paths to and from the member other
 	faultLoss         faultKind = "loss"    // random loss of datagrams to and from target, or of all if target is -1
 	faultFlap         faultKind = "flap"    // all paths of target fail and recover alternately
 	faultSlow         faultKind = "slow"    // timers and datagrams of target are late
-	faultRestart      faultKind = "restart" // the process of target ends at the start and starts again at the end
+	faultRestart      faultKind = "restart" // the process of target ends at start and starts again at end
 	faultRestartEmpty faultKind = "empty"   // like faultRestart, but the stored incarnation is lost
 	faultLeave        faultKind = "leave"   // target leaves intentionally
 )
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// observerGrace is the time, in microseconds, by which deathAllowedUntil of an observer must have passed
-	// before the observer's table is checked for dead members.
+	// observerGrace is the minimum time, in microseconds, from deathAllowedUntil of an observer until the
+	// observer's table is checked for dead members.
 	observerGrace = 6 * second
 	// minReportableLoss is the probability of loss above which a member may report a path as degraded.
 	minReportableLoss = 0.2
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// addConfirmations adds the new confirmations to those of a member, up to 2*MaxConfirmations, and marks known ones
-// as refused where a refusal is new. It reports whether anything changed.
+// addConfirmations adds the new confirmations to those of a member, up to 2*MaxConfirmations, and marks a known
+// confirmation as refused if the new one from the same member is. It reports whether anything changed.
 func (t *Table) addConfirmations(m *member, confirmations []Confirmation) (added bool) {
 	for _, c := range confirmations {
 		i := slices.IndexFunc(m.Confirmations, func(known Confirmation) bool { return known.Name == c.Name })
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestReachableMemberIsNotDeclaredDead asserts that the local member never declares a suspect dead while it reaches it,
-// even if other members confirm the suspicion and the suspect never refutes it. It also asserts that the local member
-// declares a suspect dead that it does not reach.
+// TestReachableMemberIsNotDeclaredDead asserts that the local member never declares a suspect dead that it
+// reaches, even if other members confirm the suspicion and the suspect never refutes it. It also asserts that the
+// local member declares a suspect dead that it does not reach.
 func TestReachableMemberIsNotDeclaredDead(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -4,8 +4,9 @@
 // their order.
 
 // NextTick returns the time at which the caller must call Tick next. While the table is not idle, this is
-// tickInterval after the previous call. Otherwise it is the start of the next probe or the time when an ack becomes
-// overdue. Calls of other methods may make it earlier.
+// tickInterval after the previous call. Otherwise it is the start of the next probe or the time when an ack
+// becomes overdue, whichever is earlier, but at least tickInterval after the previous call. Calls of other methods
+// may make it earlier.
 func (t *Table) NextTick() int64 {
 	if !t.idle() {
 		return t.lastTick + tickInterval
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -12,10 +12,10 @@
 	ProbeInterval int64 // interval between the starts of two probes
 	DirectTimeout int64 // maximum wait for an ack before indirect probes are sent
 	ProbeTimeout  int64 // maximum duration of a probe, including its indirect probes
-	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout with one
-	// confirmation, and after MinSuspicionTimeout with three (two in a cluster of up to three members).
-	// MinSuspicionTimeout covers the longest pause of a process that must not count as a death, plus the time that
-	// the process's refutation takes to reach the other members.
+	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout if the suspicion has
+	// one confirmation, and after MinSuspicionTimeout if it has at least three (in a cluster of up to three
+	// members, at least two). MinSuspicionTimeout covers the longest pause of a process that must not count as a
+	// death, plus the time that the process's refutation takes to reach the other members.
 	MinSuspicionTimeout, MaxSuspicionTimeout int64
 	// RefusedTimeout replaces both suspicion timeouts if two members found that no process listens at the
 	// suspect's address.
@@ -37,7 +37,8 @@
 const (
 	// tickInterval is the minimum time between two calls of Tick that the table requests.
 	tickInterval = 50 * millisecond
-	// stallThreshold is the delay of a call of Tick above which the local process counts as stalled.
+	// stallThreshold is the maximum delay of a call of Tick. If a call is later, the local process counts as
+	// stalled.
 	stallThreshold = 450 * millisecond
 	// stallGracePeriod is the time after a stall during which the local member suspects nobody for silence.
 	stallGracePeriod = 2 * second
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// supersede applies an update that overrides the member's entry. As for an update of the same incarnation, a
-// death that another member declared starts only a suspicion: evaluateSuspects decides whether the local member
-// declares it too.
+// supersede applies an update that overrides the member's entry. If another member declared the death of a member
+// that is not dead or departed in the table, supersede only starts a suspicion. evaluateSuspects then decides
+// whether the local member declares the death too.
 func (t *Table) supersede(m *member, u Update) {
 	newProcess, previousState := u.Nonce != m.Nonce, m.State
 	if u.State == Dead && previousState <= Suspect {
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -54,8 +54,8 @@
 	return s.with(other, func(zone string, b Bits) Bits { return b | s[zone] })
 }
 
-// with returns a copy of the set in which each zone of another set has the bits that change returns. The arguments of
-// change are the zone and its bits in the other set.
+// with returns a copy of the set. For each zone in zones, it calls the function change with the zone and the bits
+// of the zone in zones; the result becomes the bits of the zone in the copy.
 func (s Set) with(zones Set, change func(zone string, b Bits) Bits) Set {
 	changed := maps.Clone(s)
 	if changed == nil {
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -35,7 +35,7 @@
 	dispatcher *dispatch.Dispatcher
 	workerConn *workerConn
 	worker     net.Conn
-	offeredAt  int64         // time at which the offer was made, 0 before
+	offeredAt  int64         // time at which the offer was made, 0 if it was not made yet
 	cancelled  chan struct{} // closed after CancelAttempt was called
 	cancelDone bool          // CancelAttempt was called
 }
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -20,7 +20,8 @@
 	// sent on a new connection.
 	staleAfter = 400 * millisecond
 	// maxReadGap is the maximum time without received data on a connection to a worker with running tasks. After
-	// that time another connection is dialled, because a completion that is not reported within 8 s is lost.
+	// that time, another connection is dialled unless TCP acknowledgements prove that the connection is alive. The
+	// time is limited because a completion that is not reported within 8 s is lost.
 	maxReadGap = 3 * second
 	// partialMessageTimeout is the maximum time to wait for the rest of an incomplete message. The time is limited
 	// because an incomplete message delays every message behind it.
--- a/internal/workerpool/end_reasons.go
+++ b/internal/workerpool/end_reasons.go
@@ -28,7 +28,8 @@
 // text is documented for operators.
 var errPartialMessage = fmt.Errorf("%w: it stops short", jsonlines.ErrMessage)
 
-// errNoDescription is the reason for closing a connection on which the acceptance of an offer lacks its description.
+// errNoDescription is the reason for closing a connection on which a worker accepted an offer without sending its
+// description of the task.
 var errNoDescription = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
 
 // isUnreachable reports whether this side closed a connection because its messages apparently did not reach the
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// lateCompletionInterval is the time after which a connection for late completions is dialled again. It is
-	// limited because a completion that is not reported within 8 s is lost.
+	// lateCompletionInterval is the minimum time between the opening of a connection and the next dial for late
+	// completions. It is short because a completion that is not reported within 8 s is lost.
 	lateCompletionInterval = maxReadGap
 	// lateCompletionConnLifetime is how long a connection for late completions stays open for the worker's reports.
 	lateCompletionConnLifetime = 500 * millisecond
-	// lateCompletionMinDescriptors is the number of descriptors that must be free before such a connection is
-	// dialled, because offers and clients have priority.
+	// lateCompletionMinDescriptors is the number of descriptors that must be free before a connection for late
+	// completions is dialled, because offers and clients have priority.
 	lateCompletionMinDescriptors = 32
 )
 
@@ -41,7 +41,7 @@
 	if count := len(l.conns); count == 0 || !l.conns[count-1].conn.IsUp() {
 		return // the next connection to be established also receives late completions
 	}
-	l.openedAt = now // set even if the dial fails, so that it is not repeated in every sweep
+	l.openedAt = now // set even if the dial fails; otherwise, every sweep would dial again
 	c := &lateCompletionConn{workerConn{link: l, probes: map[string]int64{}}}
 	if conn, err := l.pool.loop.Dial(l.addr, l.pool.dialTimeoutUs, c); err == nil {
 		c.conn = conn
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -10,7 +10,7 @@
 	"ravenhitch/placement"
 )
 
-// maxReportValue is the limit below which values in reports on tasks are accepted.
+// maxReportValue is the upper bound of the values in reports on tasks. Only values below it are valid.
 const maxReportValue = 1e9
 
 // reportKindsByNote maps the note of a NOTICE message to the kind of report.
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -26,7 +26,7 @@
 	millisecond = int64(1_000)
 	second      = 1_000 * millisecond
 
-	// sweepInterval is the time between two sweeps over all workers.
+	// sweepInterval is the time between two calls of Pool.sweep.
 	sweepInterval = 500 * millisecond
 	// unlistedLinger is how long the connections to a worker stay open after discovery no longer lists it, so
 	// that the worker can send its remaining reports. The time is limited because a worker that has vanished
@@ -45,7 +45,7 @@
 	links          map[string]*link         // by worker ID
 	sortedLinks    []*link                  // the links sorted by worker ID; nil if they must be sorted again
 	isAssigned     func(worker string) bool // reports whether this orchestrator places tasks at a worker; nil for all
-	offersMade     uint64                   // number of offers since the start
+	offersMade     uint64                   // number of offers that the dispatcher has made
 	offersSent     int64                    // number of offers that were sent completely and are no longer open
 	pendingReports []func()                 // outcomes found during calls by the dispatcher and not yet reported to it
 	delayedOffers  []delayedOffer           // offers that wait until the connections of their clients have been read
@@ -132,7 +132,8 @@
 			l.sweep(p.dispatcher.TasksOn(l.workerID), p.loop.Now())
 		}
 	}
-	for _, worker := range p.dispatcher.WorkersWithTasks() { // for unassigned workers, which the first loop skips
+	// Tasks may also run at unassigned workers without connections and releases, which the loop above skips.
+	for _, worker := range p.dispatcher.WorkersWithTasks() {
 		if l := p.links[worker]; l != nil && !l.assigned && len(l.conns) == 0 {
 			l.sweep(p.dispatcher.TasksOn(worker), p.loop.Now())
 		}
