--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// isAlreadyAdopted reports whether a task that is submitted as already running is in the table or unresponsive. In
-// that case, the task keeps its data and its client. Otherwise, anyone who has seen a request ID could submit it
-// and receive the completion that is meant for another client. If the client of the task has disconnected, its
-// front selects another client.
+// isAlreadyAdopted reports whether a task that is submitted as already running is in the table or unresponsive. If
+// it is, the task keeps its data and its client. If the client could be replaced, anyone who has seen a request ID
+// could submit it and receive the completion that is meant for another client. If the client of the task has
+// disconnected, its front selects another client.
 func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
 	if d.unresponsive[s.RequestID] != nil {
 		return true
