--- a/client/client.go
+++ b/client/client.go
@@ -4,7 +4,7 @@
 // waitlist. The package is the reference implementation of a client's behavior in a retry storm.
 //
 // The package never offers a task again after an orchestrator reported that the task may have started. It
-// repeats an offer that got no response, under the same ID, but not if Task.Once is set. It never offers a task
+// repeats an offer that got no response under the same ID, unless Task.Once is set. It never offers a task
 // again before the time that an orchestrator advised. It never waits beyond the caller's deadline: if the
 // advised time is not before the deadline, Client.Place returns at once with the advised time and the retry
 // token.
@@ -41,9 +41,9 @@
 	Description string // text that the worker returned for the task
 }
 
-// RejectedError is returned for a task that was rejected or got no response, and that is not offered again
-// because the next attempt would be after the caller's deadline or the retry budget is exhausted. Either the
-// task never ran, or running it twice does no harm.
+// RejectedError is returned for a task that was rejected or got no response, if the client makes no further
+// attempt. The reason is that the next attempt would not be before the caller's deadline, or that the retry
+// budget is exhausted. Either the task never ran, or running it twice does no harm.
 type RejectedError struct {
 	RetryAt  time.Time // time at which the task is to be offered again
 	Token    []byte    // retry token to pass to Client.Place, in any process; nil if there is none
@@ -89,7 +89,7 @@
 	orchestrators []edgepb.OrchestratorClient
 
 	mu   sync.Mutex
-	last int // index of the orchestrator that was called last
+	last int // index of the orchestrator that was called last; random before the first call
 }
 
 // New returns a Client that offers tasks over connections to one or more orchestrators. The orchestrators must
@@ -112,7 +112,7 @@
 	return c
 }
 
-// nextOrchestrator returns the orchestrators in round-robin order.
+// nextOrchestrator returns the next orchestrator in round-robin order.
 func (c *Client) nextOrchestrator() edgepb.OrchestratorClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admin/call_test.go
+++ b/internal/admin/call_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// longOfflineCall returns a call with a worker ID that exceeds the maximum length by excess bytes.
+// longOfflineCall returns an OFFLINE call whose worker ID is excess bytes longer than
+// maxWorkerIDLength.
 func longOfflineCall(excess int) string {
 	return "OFFLINE " + strings.Repeat("a", maxWorkerIDLength+excess)
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -114,7 +114,7 @@
 	c.listener.handler(call, c.reply)
 }
 
-// reply sends the reply to the only call that a connection carries, and closes the connection.
+// reply sends the reply to the connection's only call, and closes the connection.
 func (c *connection) reply(b []byte) {
 	c.conn.Write(b)
 	c.close()
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -14,7 +14,7 @@
 	Calm       State = iota
 	Rising           // requests arrive much faster than the baseline rate
 	Overloaded       // more requests arrive than there is free capacity for
-	Settling         // arrivals stopped being elevated less than calmAfterUs ago
+	Settling         // the overload has ended, but the state is not Calm yet (see calmAfterUs)
 )
 
 // String returns the name of the state in logs and on the operators' pages.
@@ -48,8 +48,9 @@
 	// evaluationIntervalUs is the minimum time between two evaluations of the detector, in
 	// microseconds.
 	evaluationIntervalUs = second / 10
-	// baselineTimeConstantUs is the time constant with which the baseline rate follows the
-	// rate of new requests.
+	// baselineTimeConstantUs is the maximum time constant with which the baseline rate
+	// follows the rate of new requests. Before this time has passed since the first tick,
+	// the time constant is the time since the first tick, but at least one second.
 	baselineTimeConstantUs = 30 * second
 	// surgeFactor is the multiple of the baseline rate that arrivals must exceed to be a
 	// surge.
@@ -57,20 +58,23 @@
 	// minSurgeExcess is the number of requests per second by which arrivals must also
 	// exceed the baseline rate to be a surge.
 	minSurgeExcess = 8.0
-	// settledFactor is the multiple of the baseline rate that arrivals must not exceed for a
-	// surge to have ended. Arrivals that exceed the baseline rate by at most half of
-	// minSurgeExcess are also low enough.
+	// settledFactor is a multiple of the baseline rate. Arrivals up to this multiple are
+	// low enough for a surge to have ended. Arrivals that exceed the baseline rate by at
+	// most half of minSurgeExcess are also low enough.
 	settledFactor = 1.3
-	// calmAfterUs is the time without elevated arrivals after which the state is Calm.
+	// calmAfterUs is the minimum time since the last evaluation that set
+	// observation.elevated, because of arrivals or of congestion, before the state
+	// changes to Calm. The state becomes Calm only from Rising or Settling.
 	calmAfterUs = 2 * second
 	// maxProgramDecay is the maximum fraction by which one evaluation reduces the program
 	// counts.
 	maxProgramDecay = 0.9
 
-	// Fractions of all arrivals that must be exceeded for a surge to be of a certain kind.
-	retriesShare     = 0.3 // for Retries: requests of returned clients
-	topProgramsShare = 0.6 // for Reconnect: requests and adopted tasks of the topPrograms most frequent programs
-	adoptedShare     = 0.4 // for Restart and Reconnect: adopted tasks
+	// Each of these constants is a fraction of all arrivals. A surge can be of the kind
+	// named at the constant if the arrivals described there exceed this fraction.
+	retriesShare     = 0.3 // Retries: requests of returned clients
+	topProgramsShare = 0.6 // Reconnect: requests and adopted tasks of the topPrograms most frequent programs
+	adoptedShare     = 0.4 // Restart and Reconnect: adopted tasks
 	// restartWithinUs is the time after the detector's first tick during which a surge of
 	// adopted tasks is classified as Restart.
 	restartWithinUs = 10 * second
@@ -83,7 +87,7 @@
 	programs       frequentPrograms
 	baseline       float64 // usual rate of new requests per second
 	firstTickAt    int64   // time of the first tick
-	lastTickAt     int64   // time of the last evaluation (initially of the first tick), 0 before it
+	lastTickAt     int64   // time of the last evaluation; before it, of the first tick, or 0 if there was none
 	lastElevatedAt int64   // time of the last evaluation that set observation.elevated
 	state          State
 	kind           Kind
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -20,8 +20,8 @@
 	// bucket. Further requests of the source are ignored, because hundreds of requests at
 	// once from one source are not a surge.
 	maxPerSource = 2
-	// minSources is the number of sources that must send requests within a single bucket for
-	// a surge.
+	// minSources is the minimum number of sources that must send requests within one
+	// bucket for the forecast to detect a surge.
 	minSources = 10
 )
 
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -36,7 +36,8 @@
 	minLearnedRetryAfterUs = 3 * second / 2
 
 	// unknownRateWaitUs is the minimum Retry-After while the release rate is unknown. A
-	// random time of up to twice this value is added to it.
+	// random time of up to twice this value is added to it, and the upper bound in the
+	// settings limits the sum.
 	unknownRateWaitUs = knownAfterUs
 )
 
@@ -70,9 +71,9 @@
 	return wait
 }
 
-// reserveSlot reserves a slot for a rejected request at a known release rate. A client that
-// returned before its slot keeps the slot if the slot begins before the time at which the
-// client would otherwise return.
+// reserveSlot reserves a slot for a rejected request at a known release rate. A client
+// that returned before its slot keeps the slot if the slot begins after now and before
+// the time at which the client would otherwise return.
 func (c *Controller) reserveSlot(now int64, class int, r Request, e *entry, rate float64) (slot int64) {
 	bucket := hashBucket(r.Program)
 	belowShare := c.fairness.belowShare(bucket)
@@ -97,8 +98,8 @@
 	c.fairness.add(hashBucket(program), -e.units())
 }
 
-// expectedStart returns the time at which free capacity for units of a class is expected,
-// after capacity for all pending and reserved units that go first.
+// expectedStart returns the time at which free capacity is expected for units of a class.
+// All pending and reserved units that go before them get their capacity first.
 func (c *Controller) expectedStart(now int64, class, bucket int, units, rate float64) int64 {
 	priority := c.settings.Classes[class].Priority
 	var pending, reserved, lower float64
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// If clients stay away for a third of Retry-After, the compliance of their class becomes a
-// third, and that of other classes does not change.
+// If clients stay away for a third of Retry-After, the compliance of their class becomes
+// a third, and the compliance of other classes does not change.
 func TestComplianceLearned(t *testing.T) {
 	c, now := saturated(testSettings(), 20, 200)
 	for i := range 300 {
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -37,7 +37,7 @@
 
 // The bits of entry.packedSlot.
 const (
-	slotBits   = 11 // enough for calendarSlots
+	slotBits   = 11 // for the number of ticks to the slot, which is at most calendarSlots
 	classBits  = 4
 	slotMask   = 1<<slotBits - 1
 	classMask  = 1<<classBits - 1
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -13,16 +13,17 @@
 	// front closes the connection while the submission is in flight, the client resends the submission within
 	// 50 ms.
 	minIdleWithoutTask = 100 * millisecond
-	// protectedWithTask is the number of connections with tasks up to which a front protects these connections: the
-	// front then evicts none of them if a connection without a task becomes evictable soon. Connections with tasks
-	// carry the completions, including those of requests whose own connection is closed. Without the protection, a
-	// flood of connections without a task would evict all connections with tasks within minIdleWithoutTask.
+	// protectedWithTask is the maximum number of connections with tasks that a front protects. While a front has at
+	// most this many of them, it evicts none of them if a connection without a task becomes evictable soon.
+	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
+	// Without the protection, a flood of connections without a task would evict all connections with tasks within
+	// minIdleWithoutTask.
 	protectedWithTask = 8
 )
 
 // minIdle returns the minimum idle time, in microseconds, after which the connection may be evicted. While responses
-// are buffered for the client, the minimum is messageTimeout: the client has the same time to read them that it has
-// to write a message.
+// are buffered for the client, the minimum is messageTimeout, so that the client has as much time to read them as it
+// has to write a message.
 func (c *clientConn) minIdle() int64 {
 	switch {
 	case c.conn.BytesBuffered() > 0:
--- a/internal/clientfront/response.go
+++ b/internal/clientfront/response.go
@@ -11,7 +11,7 @@
 )
 
 // Respond implements dispatch.Client. If the connection of the request is closed, a completion or migration is
-// reported on another connection, since a running task is not bound to a connection.
+// reported on another connection, because a running task is not bound to a connection.
 func (c *clientConn) Respond(response dispatch.Response) {
 	message := encodeResponse(response)
 	switch response.Kind {
--- a/internal/clientfront/usage.go
+++ b/internal/clientfront/usage.go
@@ -15,7 +15,7 @@
 	usageStarted              // a task was started for a request on the connection
 )
 
-// usage returns the highest usage that the connection has reached so far.
+// usage returns the highest of the values above that applies to the connection.
 func (c *clientConn) usage() usage {
 	switch {
 	case c.hasStarted:
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -52,9 +52,8 @@
 	Zone            string // zone of this orchestrator, "" for the zone of the configuration
 	Directory       string // path of a directory that survives restarts, or ""
 	Members         []PeerAddress
-	// Partition divides the workers among the live orchestrators: each orchestrator places
-	// tasks on its own workers only, and requests from discovery the free capacity of these
-	// workers only.
+	// Partition divides the workers among the live orchestrators: each orchestrator places tasks
+	// only on its own workers, and asks discovery only for the free capacity of these workers.
 	Partition bool
 	// Regions maps each zone to its region. The workers of a zone are divided among the
 	// orchestrators of its region.
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -53,8 +53,8 @@
 	maxIdle = 30 * time.Second
 	// pingInterval is the idle time after which the server pings a connection.
 	pingInterval = 20 * time.Second
-	// pingTimeout is the time within which the reply to this ping must arrive. Otherwise the server closes the
-	// connection.
+	// pingTimeout is the maximum time that the server waits for the reply to its ping. If no reply arrives
+	// within this time, the server closes the connection.
 	pingTimeout = 5 * time.Second
 	// minClientPingInterval is the minimum time between two pings from a client.
 	minClientPingInterval = 5 * time.Second
--- a/internal/grpcfront/rpc_test.go
+++ b/internal/grpcfront/rpc_test.go
@@ -24,8 +24,8 @@
 	"ravenhitch/placement"
 )
 
-// goroutineLoop is a Loop that runs each posted function at once, on the goroutine that posts it and one function
-// at a time. After stop it discards posted functions.
+// goroutineLoop is a Loop that runs each posted function at once, on the goroutine that posts it. It never runs two
+// functions at the same time. After stop it discards posted functions.
 type goroutineLoop struct {
 	mu      sync.Mutex
 	stopped bool
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -140,10 +140,10 @@
 	}
 }
 
-// attach makes st the stream of the session with the given name, and creates the session if it does not exist.
-// A stream that the session already has is ended. attach resends the stored messages after number seen, the
-// last message that the client has read. If the front is closing, or if a new session would exceed
-// maxSessions, attach ends st and returns nil.
+// attach makes st the stream of the session with the given name, and creates the session if it does not
+// exist. A stream that the session already has is ended. seen is the number of the last message that the
+// client has read; attach resends the stored messages with higher numbers. If the front is closing, or if a
+// new session would exceed maxSessions, attach ends st and returns nil.
 func (f *Front) attach(name string, seen uint64, st *stream) *session {
 	s := f.sessions[name]
 	if f.closing || s == nil && len(f.sessions) >= maxSessions {
--- a/internal/grpcfront/session_test.go
+++ b/internal/grpcfront/session_test.go
@@ -11,7 +11,7 @@
 	"ravenhitch/placement"
 )
 
-// respondStarted passes a session the response that worker "a" has started a task.
+// respondStarted passes a response to a session: worker "a" has started a task.
 func respondStarted(s *session, requestID string) {
 	s.Respond(dispatch.Response{Kind: dispatch.Started, RequestID: requestID, Worker: "a"})
 }
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -48,8 +48,8 @@
 	return starts * refutationsPerStart, fault, nil
 }
 
-// readStarts reads the counter. It returns 0 if there is no file, or if the file holds no valid count; in the latter
-// case, fault describes the file.
+// readStarts reads the counter. It returns 0 if there is no file. If the file holds no valid count, it also returns
+// 0, and fault describes the file.
 func readStarts(path string) (starts uint64, fault string, err error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -8,7 +8,7 @@
 	limit    int // maximum total size of the records, in bytes
 	records  [][]byte
 	bytes    int  // total size of the records
-	rejected bool // push has rejected a record, and pop has not reported writable since
+	rejected bool // true from the time when push rejects a record until pop returns writable = true
 }
 
 // push appends a record. It returns false if the record does not fit into the queue.
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -38,8 +38,8 @@
 	maxRedialDelay = 2 * second
 	// idleTimeout is the time after which a connection without records to send is closed.
 	idleTimeout = 30 * second
-	// nextTurn is the shortest timer delay, in microseconds. Events that are ready by then are handled before
-	// the timer fires.
+	// nextTurn is the shortest timer delay, in microseconds. A timer with this delay fires after the events
+	// that are ready by then have been handled.
 	nextTurn = 1
 )
 
@@ -60,8 +60,8 @@
 	kind   RecordKind
 }
 
-// nextTurn is the shortest timer delay, in microseconds. A timer with this delay fires after the events that are
-// ready by then have been handled.
+// outboundStream is the stream that sends the records of one kind to one member. It implements eventloop.Handler
+// and eventloop.Drainer.
 type outboundStream struct {
 	streamKey
 	peers       *Peers
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -15,7 +15,8 @@
 	maxLinesPerBurst = 5
 )
 
-// Logger writes at most maxLinesPerBurst warnings with the same text in each burstInterval.
+// Logger writes at most maxLinesPerBurst warnings with the same text in each burst, plus a line with the number of
+// warnings that the previous burst suppressed.
 type Logger struct {
 	log    *slog.Logger
 	bursts map[string]*burst // current burst of each text
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -14,8 +14,9 @@
 
 import "errors"
 
-// Reasons why a token is invalid. The offer then counts as one without a token. The reason is not sent to the
-// client, because an attacker who forges tokens must not learn from the errors.
+// Reasons why a token is invalid. An offer with an invalid token is treated like an offer without a
+// token. The reason is not sent to the client, because an attacker who forges tokens must not learn from
+// the errors.
 var (
 	ErrMalformed  = errors.New("retrytoken: malformed token")
 	ErrUnknownKey = errors.New("retrytoken: token signed with an unknown key")
@@ -34,10 +35,10 @@
 )
 
 const (
-	// EarlyUs is the time before its slot from which a token is valid. It allows for differences between
-	// clocks and between network latencies.
+	// EarlyUs is the time, in microseconds, by which a token becomes valid before its slot. It allows for
+	// differences between clocks and between network latencies.
 	EarlyUs = 250 * millisecond
-	// LateUs is the time after its slot until which a token is valid.
+	// LateUs is the time, in microseconds, for which a token stays valid after its slot.
 	LateUs = 10 * second
 	// maxWaitUs is the maximum time for which a token may claim that its client was on the waitlist, and the
 	// maximum time from the issue of a token to its slot.
