--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// health answers whether this orchestrator is ready for clients. The first call with a positive answer also
-// records in the handover files that this process serves.
+// health answers whether this orchestrator is ready for clients. The first time that the answer is positive,
+// health also records in the handover files that this process serves.
 func (a *adminCalls) health(answer func([]byte)) {
 	switch {
 	case a.server.shuttingDown:
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,7 +1,8 @@
 package main
 
-// This file derives from the membership table which shards of the workers this orchestrator places tasks on.
-// If a view of the table does not list this orchestrator, its shards stay as they are.
+// This file divides the workers among the orchestrators in the membership table. The result is the shards of
+// workers on which this orchestrator places tasks. If a view of the table does not list this orchestrator, its
+// shards stay as they are.
 
 import (
 	"cmp"
@@ -14,10 +15,10 @@
 	"ravenhitch/internal/shard"
 )
 
-// presumptionUs is the time after the start, in microseconds, during which the members named in the
-// operators' file are presumed alive even if the membership table does not list them yet. It equals the time
-// that the detection of a dead member takes. Without the presumption, if a whole fleet started at the same
-// time, each orchestrator would request all workers, because its table would not list the others yet.
+// presumptionUs is a period after the start, in microseconds. During this period, the members named in the
+// operators' file are presumed alive even if the membership table does not list them yet. The period is as long
+// as the detection of a dead member takes. Without the presumption, if a whole fleet started at the same time,
+// each orchestrator would request all workers, because its table would not list the others yet.
 const presumptionUs = 7 * second
 
 // assignment divides the workers among the live members. It is used on the event loop only.
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxLateAttempt is the maximum time that the rules allow between the moment at which a client leaves and the
-// start of an attempt for its request.
+// maxLateAttempt is the maximum delay after which an attempt may still begin for a request whose client has
+// left. The rules set this maximum.
 const maxLateAttempt = 100 * time.Millisecond
 
 // leaverID is the request ID of the client that leaves.
@@ -171,7 +171,7 @@
 	t.Helper()
 	server := newProxiedServer(t, longDialTimeout(t), nil, workers...)
 	server.expectAllStarted(t, server.submit("ok", 1, 8000))
-	// After these tasks, the offers that follow are sent without a wait.
+	// After these tasks, the server sends the next offers at once.
 	server.expectAllStarted(t, server.submit("ok", 16*len(workers), 8000))
 	return server
 }
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -38,7 +38,7 @@
 	server.workers[0].ReportCompletion(testbed.RequestID(2), causeDone)
 	expectCause(t, "the second completion", served, testbed.RequestID(2), causeDone)
 
-	for range 9 { // these clients only ping
+	for range 9 { // these clients only ping, so they have no task; with second, ten clients are connected
 		pingServer(t, server.connect(t))
 	}
 	closeNow(t, served)
@@ -73,8 +73,8 @@
 	server.waitConnections(t, 0)
 	server.workers[0].ReportCompletion(testbed.RequestID(2), causeLost)
 	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
-	// A connection that sends nothing may belong to any process. The completion waits for a connection that
-	// sends a message.
+	// Any process may have opened a connection that sends nothing. The completion therefore waits for a
+	// connection that sends a message.
 	silent, third := server.connect(t), server.connect(t)
 	testbed.Send(third, pingLine("t"))
 	expectCause(t, "the second completion", third, testbed.RequestID(2), causeLost)
@@ -83,9 +83,10 @@
 	}
 }
 
-// If no client is connected, a completion waits for a connection that is known to belong to a client.
-// Meanwhile, connections that may belong to any process do not get it. If only such unknown connections are
-// opened, the completion goes to one of them before the deadline for its report.
+// If no client is connected, a completion waits for a connection that shows that it belongs to a client. A
+// connection shows this when it pings, or when a task is started or adopted on it. Meanwhile, a connection that
+// has only sent other messages does not get the completion, because any process may have opened it. If no
+// connection has shown this after 500 ms, the completion goes to a connection that has sent any message.
 func TestCompletionWaitsForAClient(t *testing.T) {
 	invalid := testbed.StartLine(testbed.RequestID(2), "no-such-class", "ok-2", 5000)
 	for _, test := range []struct {
@@ -186,8 +187,8 @@
 	}
 }
 
-// The completion of a task reaches its client even if the connection table is full of other connections: new
-// connections do not evict the last connections that have had tasks.
+// The completion of a task reaches its client even if other connections fill the connection table. The server
+// protects up to eight connections that have had tasks from being evicted for new connections.
 func TestCompletionWithFullConnectionTable(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -162,7 +162,8 @@
 
 			if test.before {
 				resume := server.pauseLoop(t)
-				// The server will accept next before it reads the request, and will evict crossing for it.
+				// When the loop resumes, the server accepts the connection next before it reads the request. To
+				// make room for next, it evicts the connection crossing.
 				next := server.connect(t)
 				testbed.Send(crossing, request)
 				resume()
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A cancel takes longer to reach its worker than an offer takes to reach another worker. The next offer of
-// the request must therefore wait until the first worker has read the cancel.
+// A cancel to one worker takes longer than an offer to another worker. The next offer of the request must
+// therefore wait until the first worker has read the cancel.
 func manyAbandonedAtOnce(t *testing.T, server *proxiedServer) {
 	for _, worker := range server.workers[:6] {
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
@@ -55,8 +55,8 @@
 	server.expectAllStarted(t, missed)
 }
 
-// While the ping that follows the first cancel is in flight, further cancels are sent. They are confirmed
-// too.
+// After the first cancel, the server sends a ping. It sends further cancels while this ping is in flight, and
+// they must be confirmed too.
 func abandonedOneByOne(t *testing.T, server *proxiedServer) {
 	for _, proxy := range server.proxies {
 		proxy.Delay(80 * time.Millisecond)
@@ -104,8 +104,8 @@
 	server.waitNoOpenAttempt(t)
 }
 
-// When a worker moves to another address, its open attempts end at the old address before their requests are
-// offered again to any worker.
+// When a worker moves to another address, its open attempts at the old address end first. Only then does the
+// server offer their requests again, to any worker.
 func movedToAnotherAddress(t *testing.T, server *proxiedServer) {
 	missed := server.submit("missed", 4, 3000)
 	server.sendNoticesOnceOffered(t, missed)
@@ -139,7 +139,7 @@
 
 // During a partition, the server closes a connection, and the worker still considers it open. The worker
 // reports a completion on that connection, and again on the next connection that is opened. The server must
-// therefore open one, although it already uses another connection to the worker.
+// therefore open another connection, although it already uses one to the worker.
 func completedOnClosedConnection(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -13,7 +13,8 @@
 const (
 	// handoverReadInterval is the interval at which the files are read for changes by other processes.
 	handoverReadInterval = 200 * time.Millisecond
-	// maxQueuedFileTasks is the maximum number of admin calls that wait for the file worker.
+	// maxQueuedFileTasks is the maximum number of admin calls that wait for the file worker. Further calls that
+	// need disk work get an error.
 	maxQueuedFileTasks = 64
 )
 
@@ -25,8 +26,8 @@
 	tasks   <-chan func() // disk work of admin calls
 }
 
-// run works until the server has stopped. The server does not wait for run to return, because a slow disk
-// must not delay the exit of the process.
+// run does the disk work until the server has stopped. The server does not wait for run to return, because a
+// slow disk must not delay the exit of the process.
 func (w *fileWorker) run() {
 	ticker := time.NewTicker(handoverReadInterval)
 	defer ticker.Stop()
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -58,7 +58,8 @@
 	return s.replace(servingSuffix, []byte(s.processID+"\n"))
 }
 
-// hasSuccessor reports whether a process that started after this one serves now.
+// hasSuccessor reports whether a process that started after this one serves now. It returns true if the
+// recorded process is neither this one nor the one that served when this one started.
 func (s handoverStore) hasSuccessor() bool {
 	serving := s.serving()
 	return serving != s.processID && serving != s.previousID
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -22,7 +22,8 @@
 const (
 	// maxQueuedSignals is the maximum number of signals that wait to be handled; further signals are dropped.
 	maxQueuedSignals = 8
-	// firstInheritableFD is the first file descriptor after those of the standard streams.
+	// firstInheritableFD is the lowest file descriptor that a process can inherit as a listening socket: the
+	// descriptors below it belong to the standard streams.
 	firstInheritableFD = 3
 	// The memory limit of the Go runtime is memoryLimitNumerator/memoryLimitDenominator of the memory that
 	// the process may use.
--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -58,7 +58,8 @@
 		snapshot.At, last.Started, last.Rejected, strings.Join(labels, ", "))
 }
 
-// formatTable returns the text that draws the table over the previous one on the terminal.
+// formatTable returns the text that draws the table on the terminal. The text overwrites the table that was
+// drawn before, if there is one.
 func (p *progressTable) formatTable(snapshot fleet.Snapshot, last fleet.SecondCounts) string {
 	var text strings.Builder
 	if p.drawnLines > 0 {
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -28,7 +28,7 @@
 const sharedListeners = 8
 
 // All processes are killed and started again at once. Each process becomes ready again and starts a task on a
-// worker. The test prints how long the processes took and does not check it. The full-size test is -args
+// worker. The test prints how long the processes took and does not check it. To run the test at full size, pass -args
 // -processes 16 -workers 4000.
 func TestRestartedAtOnce(t *testing.T) {
 	rig := newRestartRig(t, *restartProcesses, *restartWorkers)
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -29,18 +29,21 @@
 )
 
 const (
-	// reservedDescriptors is the number of descriptors that are not available as sockets of the event loop:
-	// the descriptors of the standard streams, epoll, eventfd, and files that the Go runtime opens.
+	// reservedDescriptors is the number of file descriptors that the event loop cannot use as sockets. These
+	// are the descriptors of the standard streams, epoll, eventfd, and files that the Go runtime opens.
 	reservedDescriptors = 32
-	// defaultSockets is the limit of sockets if the configuration sets none.
+	// defaultSockets is the limit of sockets if the configuration sets none. The limit includes the reserved
+	// descriptors and the connections of the gRPC front.
 	defaultSockets = 1024
-	// minSocketBudget is the minimum number of sockets that the event loop needs to serve.
+	// minSocketBudget is the minimum number of sockets that the event loop needs to serve. With a smaller
+	// budget, the server does not start.
 	minSocketBudget = 16
-	// minBufferedBytes is the lower bound of the limit of unread bytes in the send buffer of a connection. It
-	// has room for a few messages of the maximum size.
+	// minBufferedBytes is the lower bound of the number of unread bytes that the send buffer of one connection
+	// may contain. It has room for a few messages of the maximum size.
 	minBufferedBytes = 64 << 10
-	// bufferedMemoryDivisor determines the limit of unread bytes of all connections together, which is the
-	// memory divided by bufferedMemoryDivisor.
+	// The unread bytes of all connections together are limited to the memory divided by bufferedMemoryDivisor.
+	// Each connection gets an equal part of this limit. If the part is smaller than minBufferedBytes, each
+	// connection gets minBufferedBytes instead, and the total may exceed the limit.
 	bufferedMemoryDivisor = 4
 )
 
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -16,12 +16,13 @@
 	// the platform waits for maxDeadlineUs instead.
 	maxDeadlineUs = 3 * second
 	// maxDeadlineWithSuccessorUs replaces maxDeadlineUs if the platform owns the listening socket for clients
-	// and a successor serves on it at the same time as this process.
+	// and a successor serves on this socket while this process drains.
 	maxDeadlineWithSuccessorUs = 5 * second
 	killSlackUs                = 700 * millisecond
 	// killMarginUs is the time before the kill at which open requests are rejected.
 	killMarginUs = 300 * millisecond
-	// flushTimeoutUs is the part of killMarginUs in which clients may still read their last responses.
+	// flushTimeoutUs is the part of killMarginUs in which clients may still read their last responses. The
+	// server stops when flushTimeoutUs has passed, or earlier if the clients have read everything.
 	flushTimeoutUs = 200 * millisecond
 	// maxSuccessorCheckUs is the maximum time that a shutdown waits for the check of the handover files for a
 	// successor: the files may be on a slow disk.
@@ -30,8 +31,8 @@
 	drainIntervalUs = 10 * millisecond
 )
 
-// drainTimeout returns how long requests may stay open after SIGTERM, in microseconds. maxDeadline is the
-// maximum deadline that the platform waits for before it kills the process.
+// drainTimeout returns the maximum time, in microseconds, for which requests may stay open after SIGTERM.
+// maxDeadline is the maximum deadline that the platform waits for before it kills the process.
 func drainTimeout(settings placement.Settings, maxDeadline int64) int64 {
 	longest := int64(0)
 	for _, class := range settings.Classes {
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -18,7 +18,8 @@
 const (
 	defaultTestSockets = 1024
 	// smallSocketLimit is the limit of sockets at which a server accepts at most maxClients connections of
-	// clients: 32 descriptors are reserved, and clients use at most three quarters of the others.
+	// clients. Of the 64 descriptors, 32 are reserved, and clients may use three quarters of the other 32,
+	// which is 24.
 	smallSocketLimit = 64
 	maxClients       = 24
 )
@@ -178,8 +179,9 @@
 	return us
 }
 
-// waitIdle waits until all connected clients have been idle for 1.1 s. Connections are protected from
-// eviction for a shorter time than that.
+// waitIdle waits for 1.1 s, in which the clients must send nothing. Afterwards, every connection without an
+// open request or unread output has been idle long enough to be evicted. The required idle time is 1 s for a
+// connection that had a task, and 100 ms for any other connection.
 func (s *testServer) waitIdle(t *testing.T) {
 	t.Helper()
 	since := s.now(t)
@@ -198,7 +200,7 @@
 	return clients
 }
 
-// drainOnlyWorker makes the only worker drain. Requests stay pending from then on.
+// drainOnlyWorker makes the only worker drain. New requests then stay pending.
 func (s *testServer) drainOnlyWorker(t *testing.T) {
 	t.Helper()
 	s.discovery.Add(false, s.workers[0].ListEntry("draining"))
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// minCloseTravelUs is the minimum time, in microseconds, that the close of a connection takes, by the rules,
-// to reach the worker. If the close abandons an attempt and the next offer of the request follows sooner,
-// that offer is too early.
+// minCloseTravelUs is the minimum time, in microseconds, that the rules assume for the close of a connection to
+// reach the worker. If the close abandons an attempt and the next offer of the request follows sooner, that
+// offer is too early.
 const minCloseTravelUs = 2 * millisecond
 
-// traceRecorder is a log handler that records offers which were sent too early: the close that abandoned the
-// previous attempt could not have reached its worker yet. It also records when connections to workers ended.
+// traceRecorder is a log handler that records the offers that were sent too early. An offer is too early if the
+// close that abandoned the previous attempt could not have reached its worker yet. traceRecorder also records
+// when connections to workers ended.
 type traceRecorder struct {
 	slog.Handler
 	mu             sync.Mutex
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -20,9 +20,9 @@
 	Closed(c *Conn, err error)
 }
 
-// Drainer may be implemented by a Handler. If the kernel accepts only a part of the output of a connection,
-// Drained is called once it has accepted the rest. For a dialled connection, Drained is also called after
-// Opened if no output is left.
+// Drainer may be implemented by a Handler. Drained is called once the kernel has accepted the rest of an output
+// of which it first accepted only a part. For a dialled connection, Drained is also called after Opened if no
+// output is left.
 type Drainer interface {
 	Drained(c *Conn)
 }
@@ -46,12 +46,13 @@
 	bytesWritten int64
 	bytesSent    int64
 
-	emptyAt    int64 // last [Loop.Clock] time at which nothing was left to read
-	unreadPoll int64 // number of the last complete poll after which received data may have been left unread
+	emptyAt    int64 // [Loop.Clock] time at which nothing was left to read, most recently
+	unreadPoll int64 // number of the latest complete poll after which received data may still be unread
 }
 
-// Dial starts to connect to addr. The connection fails with [ErrTimeout] unless it is established within timeoutUs
-// microseconds. Dial returns an error if the attempt cannot be started; later failures are reported to the handler.
+// Dial starts to connect to addr. If the connection is not established within timeoutUs microseconds, it fails
+// with [ErrTimeout]. Dial returns an error if the attempt cannot be started; later failures are reported to the
+// handler.
 func (l *Loop) Dial(addr string, timeoutUs int64, handler Handler) (*Conn, error) {
 	if l.FreeDescriptors() <= 0 {
 		return nil, ErrNoDescriptor
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -115,7 +115,8 @@
 // Now returns the Unix time at which this turn began, in microseconds.
 func (l *Loop) Now() int64 { return l.now }
 
-// TurnDuration returns the duration of the last turn, in microseconds, from the return of the poll to the last write.
+// TurnDuration returns the duration of the last turn, in microseconds. A turn lasts from the return of its poll
+// to its last write.
 func (l *Loop) TurnDuration() int64 { return l.turnDuration }
 
 // LastPostAt returns the Unix time, in microseconds, at which the loop last took the functions that other goroutines
@@ -135,8 +136,8 @@
 // Stop makes Run return after this turn.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Post makes the loop call f on its own goroutine: in the current turn if the loop has not yet run the posted functions
-// of this turn, otherwise in the next turn. Any goroutine may call Post.
+// Post makes the loop call f on the goroutine of the loop. The loop calls f in the current turn if it has not
+// yet taken the posted functions of this turn, otherwise in the next turn. Any goroutine may call Post.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -217,8 +218,8 @@
 	}
 }
 
-// flushAll sends the output of all connections that were written to in this turn. Handlers that flushAll
-// calls may write further output, which is sent too.
+// flushAll sends the output of all connections that were written to in this turn. The sending may call
+// handlers, which may write further output. flushAll sends this output too.
 func (l *Loop) flushAll() {
 	for i := 0; i < len(l.unflushed); i++ {
 		c := l.unflushed[i]
@@ -230,7 +231,8 @@
 			c.fail(err)
 			continue
 		}
-		// If the kernel accepted the rest within the turn, no event will report this.
+		// The kernel may have accepted the rest of the output within the turn. Then no event reports this, so
+		// the handler is notified here.
 		if c.awaitsDrain {
 			c.notifyDrained()
 		}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -26,8 +26,8 @@
 	// HasCapacity reports whether another connection may be accepted. It must have no side effects, because it is
 	// also called when no connection is waiting.
 	HasCapacity() bool
-	// MakeCapacity is called if a connection is waiting and there is no capacity. It may close another connection,
-	// and reports whether there is capacity now.
+	// MakeCapacity is called if a connection is waiting, the budget has a free descriptor, and HasCapacity has
+	// returned false. It may close another connection, and reports whether there is capacity now.
 	MakeCapacity() bool
 }
 
@@ -78,8 +78,8 @@
 	return unix.Listen(fd, listenBacklog)
 }
 
-// ListenInherited accepts connections, as Listen does, on a listening socket that this process has inherited. It
-// returns the address of the socket, or "" if this is not an IPv4 address.
+// ListenInherited accepts connections in the same way as Listen, but on a listening socket that this process
+// has inherited. It returns the address of the socket, or "" if this is not an IPv4 address.
 func (l *Loop) ListenInherited(fd int, admission Admission, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		//nolint:errorlint // err may be nil, which %w does not print
@@ -125,8 +125,8 @@
 	return false
 }
 
-// acceptAll accepts the connections in the accept queue of a listener while there are free descriptors and its
-// admission permits it.
+// acceptAll accepts connections from the accept queue of a listener, up to maxAcceptsPerTurn, while there are
+// free descriptors and its admission permits it.
 func (l *Loop) acceptAll(listener *listener) {
 	listener.queued = true
 	for range maxAcceptsPerTurn {
@@ -195,8 +195,9 @@
 	c.handler.Opened(c)
 }
 
-// pause leaves connections in the accept queue for acceptPause. Without the pause, every poll would report
-// the listener whose connections cannot be accepted, and would return at once: the loop would spin.
+// pause stops the listener from accepting connections for acceptPause; they stay in the accept queue. Without
+// the pause, every poll would return at once and report the listener, although its connections cannot be
+// accepted. The loop would therefore spin.
 func (l *Loop) pause(listener *listener) {
 	if listener.paused {
 		return
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -4,9 +4,9 @@
 // which time all received data has been read. If a time is uncertain, they return an earlier time, never a
 // later one.
 
-// pollHistory counts the complete polls. A poll is complete if it reported all ready descriptors. A poll that filled
-// its buffer of events is not complete, because it may have omitted ready descriptors. Times are Unix times in
-// microseconds.
+// pollHistory counts the complete polls. A poll is complete if it reported all ready descriptors. A poll that
+// filled its buffer of events does not count as complete, because it may have omitted ready descriptors. Times
+// are Unix times in microseconds.
 type pollHistory struct {
 	count          int64 // complete polls so far; also the number of the last one
 	lastAt         int64 // time at which the last complete poll returned
@@ -26,11 +26,11 @@
 	h.processedAt, h.processedCount = h.lastAt, h.count
 }
 
-// EarliestArrival returns the earliest time at which the data that the connection delivers in this turn can
-// have arrived. It is not before the time at which a read last found the connection empty. If no data may
-// have been left unread after the previous complete poll, it is not before the return of that poll either: a
-// complete poll that does not report a connection shows that the connection was empty. The returned time is
-// never later than the beginning of this turn.
+// EarliestArrival returns a lower bound of the time at which the data that the connection delivers in this turn
+// arrived. The data arrived after a read last found the connection empty. If no data may have been left unread
+// after the previous complete poll, the data also arrived after that poll returned, because a complete poll
+// that does not report a connection shows that the connection was empty. EarliestArrival returns the later of
+// the times that apply, but never a time later than the beginning of this turn.
 func (c *Conn) EarliestArrival() int64 {
 	polls := &c.loop.polls
 	if polls.count <= c.unreadPoll+1 {
@@ -40,8 +40,8 @@
 }
 
 // LastSeenAt returns a time up to which everything received from the other side, including a close, has been
-// read. The time is not later than the beginning of the current turn, unless a read has found the connection
-// empty during the turn. It is earlier if a turn did not read all available data.
+// read. This time is not later than the beginning of the current turn, except if a read has found the
+// connection empty during the turn. It is earlier if a turn did not read all available data.
 func (c *Conn) LastSeenAt() int64 {
 	if polls := &c.loop.polls; c.unreadPoll < polls.processedCount {
 		return polls.processedAt
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// TestLastSeenAt checks LastSeenAt of a connection. While a turn has left data unread, LastSeenAt is not
-// later than the time at which the data was written. After all data is read, it is later. An idle connection
-// counts as completely read.
+// TestLastSeenAt checks LastSeenAt of a connection. As long as data is left unread after a turn, LastSeenAt
+// returns no time later than the write of the data. After all data is read, it returns a later time. An idle
+// connection counts as completely read.
 func TestLastSeenAt(t *testing.T) {
-	const messageSize = 200 // bytes; a turn reads 64 of them
+	const messageSize = 200 // bytes; one turn reads 4 times 16 bytes, which is 64
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
 	reads := make(chan int, 100)
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -12,9 +12,10 @@
 	maxIdleBuffer = 4 << 10
 )
 
-// read delivers the received data to the handler. remoteClosed is true if the other side has closed the
-// connection. In that case, read continues to the end of the stream. The data and the close are thus found in
-// the same turn, and a client that has already disconnected is not served.
+// read delivers the received data to the handler, in at most maxReadsPerTurn reads. remoteClosed is true if the
+// other side has closed the connection. In that case, read does not stop after a read that leaves room in the
+// buffer, but continues towards the end of the stream. The data and the close are thus found in the same turn
+// if the reads suffice, and a client that has already disconnected is not served.
 func (c *Conn) read(remoteClosed bool) error {
 	buffer := c.loop.readBuffer
 	for i := 0; i < maxReadsPerTurn && !c.closed; i++ {
--- a/internal/eventloop/socket_options.go
+++ b/internal/eventloop/socket_options.go
@@ -17,7 +17,7 @@
 var defaultKeepAlive = [...]tcpOption{
 	{unix.TCP_KEEPIDLE, 30},  // time without a packet before the first probe
 	{unix.TCP_KEEPINTVL, 10}, // time between probes
-	{unix.TCP_KEEPCNT, 3},    // unanswered probes after which the kernel drops the connection
+	{unix.TCP_KEEPCNT, 3},    // number of unanswered probes after which the kernel drops the connection
 }
 
 // setSocketOptions sets the options of every connection: small messages are sent at once, and TCP keepalive detects
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -14,8 +14,8 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// TestPartialWrites checks data of which the kernel accepts only a part at once. The data must arrive
-// completely and in order, in both directions.
+// TestPartialWrites checks that data arrives completely and in order, in both directions, if the kernel accepts
+// only a part of it at once.
 func TestPartialWrites(t *testing.T) {
 	loop, onLoop := startLoop(t, 10)
 	handler := newEchoHandler()
--- a/internal/plot/axis.go
+++ b/internal/plot/axis.go
@@ -7,12 +7,12 @@
 	"strconv"
 )
 
-// maxPlainLabel is the bound of plain labels: a tick whose value is at least maxPlainLabel has a label with
-// an exponent.
+// maxPlainLabel is the upper bound of the values whose labels are written without an exponent. The label of a
+// tick at or above this value has an exponent.
 const maxPlainLabel = 1e6
 
-// denseDecades is the maximum length, in decades, of an axis with ticks within its decades. A longer axis has
-// ticks only at powers of ten.
+// denseDecades is the maximum length, in decades, of an axis that also has ticks between powers of ten. A
+// longer axis has ticks only at powers of ten.
 const denseDecades = 3.0
 
 // tickSteps are the multiples of a power of ten at which an axis may have ticks.
@@ -68,8 +68,8 @@
 	return value >= a.low*(1-tickTolerance) && value <= a.high*(1+tickTolerance)
 }
 
-// ticks returns the powers of ten within the axis. On an axis of at most denseDecades it also returns 2
-// and 5 times these powers.
+// ticks returns the powers of ten within the axis. If the axis is at most denseDecades long, ticks also returns
+// 2 and 5 times powers of ten.
 func (a *axis) ticks() []float64 {
 	steps := tickSteps
 	if math.Log10(a.high/a.low) > denseDecades {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -63,8 +63,8 @@
 	return number
 }
 
-// uint returns the next field as an unsigned integer. On the wire, the field is a signed whole number with
-// the same bits.
+// uint returns the next field as an unsigned integer. On the wire, the field is a signed integer; uint returns
+// the unsigned integer with the same bits.
 func (f *fields) uint(name string) uint64 { return uint64(f.int(name)) }
 
 // float returns the next field as a finite number, or 0 if it is absent.
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -42,7 +42,8 @@
 	"DATAGRAM":         decodeDatagram,
 }
 
-// eventDecoder returns a decodeFunc for a message whose fields alone determine an event.
+// eventDecoder returns a decodeFunc for a message whose event depends only on the fields of the message. The
+// function read reads these fields and returns the event.
 func eventDecoder(read func(f *fields) placement.Event) decodeFunc {
 	return func(_ *Decoder, f *fields, item *Item) error {
 		item.Event = read(f)
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// decodeDatagram skips a DATAGRAM, which is a message between instances that schedulers do not use.
+// decodeDatagram skips a DATAGRAM. Instances may send each other such messages, but schedulers do not use them.
 func decodeDatagram(_ *Decoder, f *fields, item *Item) error {
 	item.Kind = Ignored
 	f.int("From")
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -136,8 +136,8 @@
 	return classes
 }
 
-// class returns those settings of one class whose paths begin with path. The caller reads the remaining
-// settings of the class, which are items of lists with one item for each class.
+// class returns one class with the settings whose paths begin with path. The other settings of a class are
+// items of lists that have one item for each class. The caller reads these lists.
 func (r *settingsReader) class(path string) placement.Class {
 	effect, known := effects[r.values[path+"Semantics"]]
 	if !known {
