--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -20,7 +20,7 @@
 	InspectionTime   [2]time.Duration // minimum and maximum duration of the inspection of one offer
 	QueueLength      int              // maximum number of offers that wait for inspection
 	MaxStarting      int              // maximum number of tasks that start at the same time
-	// A worker that started at UpSince has the fraction ColdStartRate of full speed at first and reaches full speed
+	// A worker that started at UpSince first runs at the fraction ColdStartRate of full speed. It reaches full speed
 	// after SlowStart. During slow start, the worker stops responding to offers if too many arrive within
 	// OverloadWindow: more than InitialBudget offers, and also more than FallMultiple times the number of tasks that
 	// the worker can start in OverloadWindow.
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -10,8 +10,8 @@
 )
 
 // This file implements the clients that submit tasks to a fleet. Each orchestrator has one client, which submits
-// one task at a time and submits the next one whatever the response is. A request without a response is counted
-// as lost, never as rejected or failed.
+// one task at a time. After each result, whatever it is, the client submits the next task. A request
+// without a response is counted as lost, never as rejected or failed.
 
 const (
 	submissionPause = 5 * time.Millisecond // pause of a client between two tasks
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -15,10 +15,18 @@
 // state of the fleet from a membership table.
 
 const (
-	partitionGrace   = 6 * time.Second // time after the end of a partition during which its members may still report each other dead
-	restartGrace     = 3 * time.Second // time after its start in which reports of death by or about an orchestrator are ignored
-	maxDetection     = 9 * time.Second // maximum time in which a stopped orchestrator must be detected
-	minAsymmetricCut = 8 * time.Second // a cut of only one direction of a path must be detected if it lasts longer
+	// partitionGrace is the time after the end of a partition during which the orchestrators that it separated may
+	// still report each other dead.
+	partitionGrace = 6 * time.Second
+	// restartGrace is a time after the start of an orchestrator. During this time, neither its reports that others
+	// are dead nor reports that it is dead count as false.
+	restartGrace = 3 * time.Second
+	// maxDetection is the maximum time from the stop of an orchestrator until all running orchestrators have
+	// reported it dead.
+	maxDetection = 9 * time.Second
+	// minAsymmetricCut is a limit for cuts of only one direction of a path. A cut that lasts longer must be reported
+	// by one end of the path, unless the schedule stopped either end.
+	minAsymmetricCut = 8 * time.Second
 )
 
 // States of members and of paths to them, as a status report has them.
@@ -198,9 +206,9 @@
 	return path{from, to}, true
 }
 
-// mustDetect reports whether a cut of one direction must be detected. It must if a sample taken more than
-// minAsymmetricCut after the cut still shows the path as not open, and the schedule stopped neither end of the
-// path.
+// mustDetect reports whether a cut of one direction must be detected. This is the case if the path is
+// not open in some sample taken more than minAsymmetricCut after the start of the cut, and the schedule stopped
+// neither end of the path.
 func (f *Fleet) mustDetect(cut path, since time.Time) bool {
 	lasted := slices.ContainsFunc(f.samples, func(s sample) bool {
 		return s.at.Sub(since) > minAsymmetricCut && !s.open[cut]
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -10,8 +10,8 @@
 // Verdict is the result of one run of a schedule.
 type Verdict struct {
 	Faults             int             // number of steps other than heal and mend
-	FalseDead          int             // number of pairs of a reporter and a running orchestrator that it falsely reported dead
-	MissedDead         int             // number of pairs of a running orchestrator and a stopped one that it did not report dead
+	FalseDead          int             // number of false reports of death, counted once for each pair of reporter and subject
+	MissedDead         int             // number of missing reports of death, one for each pair of running and stopped orchestrator
 	AsymmetricCuts     int             // number of cuts of one direction that must be detected
 	AsymmetricDetected int             // number of the cuts counted in AsymmetricCuts that either end of the path reported
 	ViewChanges        int64           // changes of the stable view, summed over all orchestrators
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -48,7 +48,7 @@
 
 // poll is a request of an orchestrator for the events that follow a cursor.
 type poll struct {
-	base          int       // revision of the last event before the orchestrator's first one; revision = base + cursor
+	base          int       // revision of the last event before the orchestrator's latest start; cursor c means revision base + c
 	after         int       // cursor of the last event that the orchestrator has applied
 	shards        shard.Set // shards, by zone, for whose workers the poll requests changes of free capacity
 	delayCapacity bool      // if only free capacity changed, the answer may wait until the poll times out
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -84,7 +84,7 @@
 	return f, nil
 }
 
-// idleChecks is the number of checks for idle connections per idle timeout.
+// idleChecks is the number of times that closeIdle checks all connections during one idle timeout.
 const idleChecks = 30
 
 // closeIdle closes connections that have had no message for the timeout, until the fleet is closed.
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -148,7 +148,7 @@
 
 // reportConnections returns the connections on which to report the completion of a task. The first choice is the
 // connection of its offer, if that connection is still open. The second is any connection of the same
-// orchestrator. If there is neither, these are all connections whose orchestrator is unknown. The caller holds
+// orchestrator. If there is neither, it returns all connections whose orchestrator is unknown. The caller holds
 // the lock.
 func (w *Worker) reportConnections(task *runningTask) []*connection {
 	if task.connection != nil && w.connections[task.connection] {
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -19,7 +19,7 @@
 	proxyBuffer     = 16 << 10 // maximum size of one read in bytes
 	maxSegments     = 10_000   // maximum number of segments in flight per connection
 	normalBacklog   = 1024
-	backlogFullTime = 50 * time.Millisecond // if a dial takes longer, the backlog is full
+	backlogFullTime = 50 * time.Millisecond // a dial that takes longer shows that the backlog is full
 )
 
 // Proxy forwards connections to one address and injects network faults.
@@ -250,8 +250,8 @@
 	err   error
 }
 
-// forward forwards data from the orchestrator to the worker. It forwards each segment when the delay since the
-// read has elapsed.
+// forward forwards data from the orchestrator to the worker. It forwards each segment once the delay
+// has elapsed since the segment was read, and any partition has ended.
 func (p *Proxy) forward(from, to net.Conn) {
 	segments := make(chan segment, maxSegments)
 	reset := make(chan struct{})
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// relayDatagram drops a datagram, or forwards one or two copies of it. The conditions of the direction determine
-// which. The delay of each copy is drawn separately.
+// relayDatagram forwards a datagram once or twice, or drops it, as the conditions of the direction require. It also
+// drops the datagram if the target process does not run. The delay of each copy is drawn separately.
 func (r *relay) relayDatagram(out *net.UDPConn, datagram []byte) {
 	conditions, target := r.network.path(r.direction)
 	if target == "" || conditions.Refuse || conditions.isCut(time.Now()) || r.network.drawEvent(conditions.Loss) {
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -12,7 +12,7 @@
 
 // This file owns the text form of fault schedules: steps separated by semicolons.
 //
-//	2s cut a->b; 4s pause c 3s; 6s kill d empty; 8s heal
+//	2s cut a->b; 4s pause c 3s; 6s restart d empty; 8s heal
 //
 // A path is a->b, a<->b, hall-x (all paths between the zone hall-x and the other zones) or all.
 // The words of the text form are part of the program's command line and must never change.
@@ -43,8 +43,8 @@
 // except is the word in a cut before the name of the process that the cut does not affect.
 const except = "but"
 
-// Arguments of a start or restart that determine the stored files which the process finds: none, or the stored
-// file of its first start.
+// Arguments of a start or restart. With FolderEmpty, the process finds no stored start counter. With FolderOld, it
+// finds the counter that its first start stored.
 const (
 	FolderEmpty = "empty"
 	FolderOld   = "old"
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -17,7 +17,7 @@
 	healBeforeEnd    = 3 * time.Second         // length of the time between the heal step and the end of the schedule
 	minFaultLength   = 2 * time.Second         // minimum time between the last fault and the heal step
 	minKillLength    = 9 * time.Second         // minimum time between a kill and the heal step, so that the kill is detected
-	processesPerKill = 3                       // at most one of this many processes is killed
+	processesPerKill = 3                       // a schedule has at most one kill for each group of this many processes
 	roundTo          = 100 * time.Millisecond  // times of faults are rounded to a multiple of this
 )
 
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -63,8 +63,8 @@
 	return true
 }
 
-// script returns the first word of a task's key. It replaces the word missed by silent at the first attempt of a
-// request and by ok at later attempts.
+// script returns the first word of a task's key. Instead of "missed", it returns "silent" at the first
+// attempt of a request and "ok" at later attempts.
 func (w *Worker) script(line Line) string {
 	script, _, _ := strings.Cut(line.Opts["key"], "-")
 	if script != "missed" {
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -20,7 +20,7 @@
 	submissionsPerStart float64
 	relaysInTime        float64 // fraction of the storm's started live-relay tasks that started within their latency objective
 	offersPerStart      float64 // offers that workers accepted or rejected, divided by the number of acceptances
-	peakColdLoad        float64 // maximum load of a worker in slow start; a worker with a load above 1 stops responding
+	peakColdLoad        float64 // maximum of PeakLoad over all workers; above 1, a worker in slow start has stopped responding
 	utilization         float64 // mean utilization, from 0 to 1, while at least 50 requests were in flight
 
 	lateResponses      int
@@ -80,8 +80,8 @@
 }
 
 // collectArrivals sets settledAt to the time at which submissions are back at the usual rate, if that is later
-// than settledAt. This is the time of the last submission in any second with more than 1.2 times the usual
-// number of submissions plus 15.
+// than settledAt. This is the time of the latest submission within a period of one second that has
+// more submissions than 1.2 times the usual number plus 15.
 func (f *figures) collectArrivals(c *clients, usualRate float64) {
 	arrivals := slices.SortedFunc(slices.Values(c.submittedAt), time.Time.Compare)
 	for i := range arrivals {
--- a/test/backpressure/history_test.go
+++ b/test/backpressure/history_test.go
@@ -81,7 +81,7 @@
 	operations []porcupine.Operation
 }
 
-// elapsed returns the nanoseconds since elapsed was first called on this history. The caller holds the lock,
+// elapsed returns the time in nanoseconds since its first call on this history. The caller holds the lock,
 // unless no other goroutine uses the history yet.
 func (h *history) elapsed() int64 {
 	if h.startedAt.IsZero() {
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -18,11 +18,11 @@
 // This file contains the clients: their connections, the messages that they send, and their retries.
 
 const (
-	// connectionsEach is the number of client connections to each orchestrator. An orchestrator allows
-	// clients at most a third of its descriptor limit.
+	// connectionsEach is the number of client connections to each orchestrator. It must not exceed a third of the
+	// orchestrator's descriptor limit, because an orchestrator accepts no more client connections.
 	connectionsEach = 40
-	// dialTimeout and writeTimeout limit the time for which a client waits for an orchestrator that accepts no
-	// connections or reads no data.
+	// dialTimeout limits the time for which a client waits for an orchestrator that accepts no connections.
+	// writeTimeout limits the time for which it waits for an orchestrator that reads no data.
 	dialTimeout       = time.Second
 	writeTimeout      = time.Second
 	minRetryPause     = 200 * time.Millisecond
@@ -187,8 +187,8 @@
 	return &clients{rig: r, random: rand.New(rand.NewPCG(r.options.seed, 31)), sent: make([]int, r.options.orchestrators)}
 }
 
-// leastUsed returns the admitted orchestrator to which the fewest tasks have been submitted so far, or
-// nil if none is admitted.
+// leastUsed returns the orchestrator to which the fewest tasks have been submitted so far. It considers only
+// orchestrators whose field admitted is true, and returns nil if there are none.
 func (c *clients) leastUsed() *orchestrator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -211,8 +211,8 @@
 	}
 }
 
-// submitTask submits a task to an orchestrator. If no orchestrator is admitted (to is nil), submitTask schedules
-// a retry instead.
+// submitTask submits a task to an orchestrator. If to is nil, because clients may currently submit to no
+// orchestrator, submitTask schedules a retry instead.
 func (c *clients) submitTask(t *task, to *orchestrator) {
 	if to == nil {
 		c.rig.ledger.retry(t, retryAfterFailure)
--- a/test/scale/demand_test.go
+++ b/test/scale/demand_test.go
@@ -22,8 +22,8 @@
 }
 
 // The semantics of a class determine what a second start of a task that already runs means. In a class with
-// semantics free, it is harmless. With guarded, the workers discard it within repeatWindow. With single_shot, it
-// must never happen.
+// semantics free, it is harmless. With guarded, the workers discard a second start within repeatWindow.
+// With single_shot, it must never happen.
 const (
 	semanticsFree       = "free"
 	semanticsGuarded    = "guarded"
@@ -43,7 +43,8 @@
 	tenants     = 60
 	// largestJob is the maximum number of tasks in a job, which is the size of a gang. The sizes of jobs are
 	// uniformly distributed on a logarithmic scale with a mean of 46 tasks, so 220 starts per second are 4.8 jobs
-	// per second. This peak rate is nine times the mean rate of 48,000 jobs per day.
+	// per second. The mean rate is 48,000 jobs per day or 0.56 per second, so this peak rate is about nine
+	// times the mean rate.
 	largestJob = 256
 	regions    = 4
 	zones      = 13
@@ -56,7 +57,8 @@
 	{Name: "node-64", Cores: 56, Memory: 120}}
 
 // shapes lists numbers of cores, each with the fraction of tasks that request it. A task requests twice as much
-// memory as cores. The mean is 2.75 cores, so 34,000 tasks bring 4,000 workers to a utilization of 63%.
+// memory as cores. The mean is 2.75 cores, so 34,000 tasks request 93,500 cores. This is 63% of the cores of
+// 4,000 workers, which have 37.3 cores on average.
 var shapes = []struct{ cores, share float64 }{{1, 0.35}, {2, 0.30}, {4, 0.25}, {8, 0.10}}
 
 const meanCores = 2.75
@@ -87,7 +89,7 @@
 }
 
 // largestSeconds limits the size of jobs in a small run. A job has at most as many tasks as the whole fleet
-// starts in this number of seconds.
+// starts in largestSeconds seconds.
 const largestSeconds = 2
 
 func newDemand(seed uint64, o options) *demand {
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -171,14 +171,14 @@
 		known = known && ok
 	}
 	knownAfter := time.Since(b.at)
-	// After completionLimit, every completion that is late because of the restart has been counted.
+	// Wait until every completion that is late because of the restart has been counted. This takes completionLimit.
 	<-time.After(completionLimit)
 	r.report(kind, len(targets), 0, b, knownAfter, known)
 }
 
-// restart starts an orchestrator after downtime. It admits the orchestrator once it answers pings, or after
-// admitTimeout. It then registers the orchestrator's running tasks again and reports whether the orchestrator
-// answers the pings that follow.
+// restart starts an orchestrator after downtime and waits, at most for admitTimeout, until it answers pings. Then
+// clients may submit tasks to it again. restart also registers the orchestrator's running tasks again and reports
+// whether the orchestrator answers the pings that follow.
 func (r *rig) restart(o *orchestrator) bool {
 	<-time.After(downtime)
 	if err := o.start(); err != nil {
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	// The traffic of a member grows with the number of members by a power law. maxBytesExponent is the maximum
-	// exponent of this law.
+	// maxBytesExponent is the maximum exponent of the power law by which the traffic of a member grows with the
+	// number of members.
 	maxBytesExponent = 0.25
 	// maxSplitTime is the maximum time in seconds from the start of a cut until each side considers all
 	// members of the other side dead.
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -6,7 +6,7 @@
 // It may also hold a sum of loads or a rate.
 type load struct {
 	bytes, messages     float64 // bytes and datagrams sent, as on the wire
-	toDead, toDeadBytes float64 // messages and bytes sent to members that the sender does not consider alive, included above
+	toDead, toDeadBytes float64 // part of messages and of bytes that went to members which the sender does not consider alive
 	handshakes          float64 // number of handshake probes started
 	microseconds        float64 // processor time of calls into membership, in microseconds
 	codec               float64 // processor time to encode and decode datagrams, in microseconds
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -17,7 +17,7 @@
 	clusterName = "hollow"
 	// handshakeTimeout is the timeout of a handshake in package peer, in microseconds.
 	handshakeTimeout = 300_000
-	// maxSeeds is the maximum number of members that the settings of a member name.
+	// maxSeeds is the maximum number of members that are named in the settings of each member.
 	maxSeeds = 5
 	// incarnationBits is the number of low bits of an incarnation that count refutations since the start of the
 	// process. The program uses the same number.
@@ -80,7 +80,7 @@
 	s.byAddress[added.address], s.byName[added.name] = i, i
 }
 
-// seeds returns the members that the settings of every member name.
+// seeds returns the members that are named in the settings of every member.
 func (s *simulation) seeds() (seeds []membership.Peer) {
 	n := len(s.members)
 	for k := range min(n, maxSeeds) {
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -59,7 +59,7 @@
 	pending    map[*task]bool          // tasks that have not started
 	running    map[string][]run        // attempts whose task runs, by the task's key
 	keys       map[string]string       // keys of running tasks, by request ID
-	lost       map[string]bool         // request IDs of tasks in unreported whose worker failed
+	lost       map[string]bool         // request IDs in unreported whose task was lost with its worker
 	unreported map[string]time.Time    // times of completions that have not been reported to the client yet, by request ID
 	starts     *hdrhistogram.Histogram // times from the first submission of a task to its start, in microseconds
 	closed     bool
@@ -289,7 +289,7 @@
 	return 0
 }
 
-// connectionLost counts the requests in flight on a connection that has ended as failed. Their clients submit
+// connectionLost counts as failed all requests in flight on a connection that has ended. Their clients submit
 // the tasks again.
 func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
@@ -310,9 +310,9 @@
 	}
 }
 
-// runningAt returns the running tasks that an orchestrator has started. Tasks that completed while the
-// orchestrator was down are only counted, because no report of their completions is required: their clients
-// notice when they collect the tasks that they register again.
+// runningAt returns the running tasks that a restarted orchestrator had started. It only counts the tasks that
+// completed while the orchestrator was down. Their completions need not be reported, because clients notice them
+// when they collect the running tasks that they register again.
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -128,7 +128,7 @@
 }
 
 // catchUpInterval is the interval between the batches of calls that callAtRate makes. Each batch contains all
-// calls that the rate requires up to then.
+// calls that are due by then and were not made before.
 const catchUpInterval = 5 * time.Millisecond
 
 // callAtRate calls f at a rate per second until stop is closed.
@@ -201,9 +201,9 @@
 }
 
 // submitJobs submits jobs so that the mean rate of tasks is the rate of the peak. It submits all tasks of a job
-// at once. It submits the next job once the rate requires as many tasks as were submitted.
+// at once, and the next job when, at this rate, all tasks submitted so far would have been submitted.
 func (r *rig) submitJobs(stop <-chan struct{}) {
-	ahead := 0 // number of tasks that were submitted but are not due yet
+	ahead := 0 // number of submitted tasks that were not due yet at the rate of the peak
 	callAtRate(r.options.starts, stop, func() {
 		if ahead == 0 {
 			next := r.demand.next()
--- a/test/scale/samples_test.go
+++ b/test/scale/samples_test.go
@@ -15,7 +15,7 @@
 
 type samples struct {
 	rig         *rig
-	mutex       sync.Mutex // serializes record
+	mutex       sync.Mutex // locked during each call of record
 	file        *os.File
 	writer      *csv.Writer
 	startedAt   time.Time
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -14,7 +14,7 @@
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
 	reportLimit   = time.Second            // maximum time until a completion is reported to the client
-	leaveLimit    = 100 * time.Millisecond // maximum time from a client leaving to the last offer of its request, without maxPathDelay
+	leaveLimit    = 100 * time.Millisecond // maximum time from a client's leaving to the last offer of its request, plus maxPathDelay
 	crossingLimit = 50 * time.Millisecond  // a message and a close at most this far apart may have crossed each other
 	ruleSlack     = 50 * time.Millisecond  // tolerance of the test that is added to reportLimit and drainGrace
 	maxPathDelay  = 75 * time.Millisecond  // maximum delay that faultDelay adds to messages to a worker
@@ -165,16 +165,19 @@
 	return wasRead || !crossed
 }
 
-// If a connection ends within reportLossWindow after a worker sent a report on it, the report may be lost,
-// because it may still have been in transit.
+// reportLossWindow is the maximum time for which a worker's report may be in transit. If the connection ends within
+// this time after the worker sent the report, the report may be lost.
 const reportLossWindow = 100 * time.Millisecond
 
 // isUnreported reports whether the completion of a task was not reported to its client in time. It returns false
-// in all cases in which the process may not have learned of the completion or had no time to report it. In the
-// first case, the worker or its path had a fault since the submission. In the second, a connection to the worker
-// ended around the worker's report; a worker that could not send a report has 8 s to send it. In the third, the
-// process exited before the limit. isUnreported also returns false if the process's report and the client's
-// close of the connection crossed each other.
+// if the task has not ended or the client is gone: it cancelled the request, left, or lost its connection before a
+// response. It also returns false if the process may not have learned of the completion, had no time to report it, or
+// its report may not have reached the client:
+//   - The worker or its path had a fault between the submission and the time limit.
+//   - A connection to the worker ended around the worker's report or before the limit. A worker that could not send
+//     a report has 8 s to send it.
+//   - The process exited before the limit.
+//   - The process's report and the client's close of the connection crossed each other.
 func (s *scenario) isUnreported(r *request) bool {
 	if r.endedAt.IsZero() || !r.leftAt.IsZero() || !r.disconnectedAt.IsZero() {
 		return false
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -41,7 +41,7 @@
 	hung           bool
 }
 
-// interval is the time between from and to. A zero to means that the interval has no end.
+// interval is the time between from and to. If to is zero, the interval has no end.
 type interval struct{ from, to time.Time }
 
 // overlaps reports whether the interval overlaps the time between from and to.
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -114,7 +114,7 @@
 	slices.SortFunc(p.faults, func(a, b fault) int { return int(a.at - b.at) })
 	for i, signal := range signalSeries[random.IntN(len(signalSeries))] {
 		step := signalStep{signal: signal}
-		// All signals but the first follow the previous signal at once, or after a random delay.
+		// Each signal after the first follows the previous signal either at once or after a random delay.
 		if i > 0 && random.IntN(2) == 0 {
 			step.after = drawDuration(random, time.Millisecond, 300*time.Millisecond)
 		}
