--- a/placement/actions.go
+++ b/placement/actions.go
@@ -16,13 +16,14 @@
 	// Reject is the final response to a request whose client may safely submit it again. The caller
 	// adds the Retry-After.
 	Reject struct{ RequestID string }
-	// Fail is the final response to a request whose task may have run.
+	// Fail is the final response to a request whose client cannot safely submit it again, because the
+	// task may have run.
 	Fail struct{ RequestID string }
 	// Migrate ends a running task and lets its client submit it again.
 	Migrate struct{ RequestID string }
 	// Probe asks a worker for its load.
 	Probe struct{ Worker string }
-	// WatchWorkers polls discovery for changes to the list of workers.
+	// WatchWorkers polls discovery for changes to the list of workers. A scheduler always sets Active.
 	WatchWorkers struct{ Active bool }
 	// RefreshWorkers requests a complete list of workers from discovery.
 	RefreshWorkers struct{}
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -3,12 +3,13 @@
 import "math"
 
 // This file computes the preferred workers of a program by rendezvous hashing: the workers are ordered
-// by a hash of the program and the worker's name, and the first ones are preferred. Schedulers that
-// share no state thereby prefer the same workers, where the program's code is likely to be resident.
-// This file must not make decisions.
+// by a hash of the program and the worker's name, and the first ones are preferred. Schedulers that offer
+// tasks to the same workers thereby prefer the same of them without sharing state, and the program's code
+// is likely to be resident there. This file must not make decisions.
 
 const (
-	// preferredWorkerCount is the number of workers over which the tasks of a program are distributed.
+	// preferredWorkerCount is the approximate number of preferred workers of a program. It is not exact,
+	// because the ranks are estimated from hashes (see hashedRank).
 	preferredWorkerCount = 12.0
 	// maxPreferredPrograms is the maximum number of programs whose preferred workers are cached.
 	maxPreferredPrograms = 4096
@@ -24,9 +25,9 @@
 // clear empties the cache. It must be called when workers are added, removed or reassigned.
 func (a *affinity) clear() { clear(a.preferred) }
 
-// preferredWorkers returns the preferred workers of a program among the given workers. nameHashes holds the
-// hashes of the workers' names in the same order. assigned is the number of workers that are assigned to
-// this scheduler.
+// preferredWorkers returns the preferred workers of a program among the given workers, without foreign ones.
+// nameHashes holds the hashes of the workers' names in the same order. assigned is the number of workers
+// that are assigned to this scheduler.
 func (a *affinity) preferredWorkers(
 	program uint64, workers []*workerInfo, nameHashes []uint64, assigned int,
 ) []*workerInfo {
@@ -66,9 +67,9 @@
 	return len(nameHashes)
 }
 
-// hashedRank estimates the rank of a worker among the workers that are assigned to this scheduler, in the
-// order of a hash of a program and the worker's name. The first rank is 0. hash is the hash of this
-// worker, and assigned is the number of assigned workers.
+// hashedRank estimates the rank of a worker among the workers that are assigned to this scheduler. The
+// workers are ranked from 0, in descending order of a hash of the program and the worker's name. hash is
+// this hash for the given worker, and assigned is the number of assigned workers.
 func hashedRank(hash uint64, assigned int) float64 {
 	return (1 - float64(hash)/math.MaxUint64) * float64(assigned)
 }
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // This file owns capacity calibration: it derives the effective capacity of single workers from reports
-// of poor service and memory pressure. It must not migrate tasks.
+// of poor service, high utilization and memory pressure. It must not migrate tasks.
 
 // calibrationFloor is the smallest calibration of a worker, as a fraction of its uncalibrated effective
 // capacity.
@@ -28,11 +28,12 @@
 }
 
 // learn adjusts the calibration of a worker to a measurement of poor service. It ignores other
-// measurements. The measured effective capacity is the capacity requested of the worker now, multiplied
-// by target/used if the use exceeds the target. Calibration protects against slow workers, against
-// other load on their machines and against tasks that use more than they requested. A calibration
-// decays without further measurements. Calibration does harm if a task itself causes its poor service,
-// because the whole worker then counts as slow.
+// measurements, workers of unknown kind, and all measurements if the settings provide no view. The
+// measured effective capacity is the capacity requested of the worker now, multiplied by target/used if
+// the use exceeds the target. Calibration protects against slow workers, against other load on their
+// machines and against tasks that use more than they requested. A calibration decays without further
+// measurements. Calibration does harm if a task itself causes its poor service, because the whole worker
+// then counts as slow.
 func (c *calibration) learn(worker *workerInfo, m measurement) {
 	if !m.poor || worker.kindIndex < 0 || !c.settings.HasView {
 		return
@@ -59,8 +60,8 @@
 }
 
 // excessUtilization returns how much calibration raises the utilization of the indexed workers, as a
-// sum weighted by cores. It also removes workers whose calibration has decayed from the list of
-// calibrated workers.
+// sum weighted by cores. It also removes from the list of calibrated workers those whose calibration has
+// decayed to 1.
 func (c *calibration) excessUtilization() (sum float64) {
 	baseline := c.index.baseline
 	c.workers = slices.DeleteFunc(c.workers, func(worker *workerInfo) bool {
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -34,9 +34,10 @@
 	return c
 }
 
-// updateBaseline computes the baseline of cores and of memory. Each is the overcommit that workers accept
-// or, if that is lower, the requested fraction at which tasks use so much of the resource that service
-// starts to degrade: saturationLoad of the cores or memorySaturation of the memory.
+// updateBaseline computes the baseline of cores and of memory. Each is the lower of two values: the
+// overcommit that workers accept, and the requested fraction at which tasks use so much of the resource
+// that service starts to degrade (saturationLoad of the cores or memorySaturation of the memory). The
+// second value is known only once tasks have reported their use.
 func (c *capacityModel) updateBaseline() {
 	cores, memory := c.settings.CoresOvercommit, c.settings.MemoryOvercommit
 	if c.requested[resourceCores] > 0 && c.used[resourceCores] > 0 {
@@ -68,7 +69,7 @@
 	c.updateBaseline()
 }
 
-// forgetUsage removes a task that has ended from the sums.
+// forgetUsage removes a task that has ended from the sums of requested and used amounts.
 func (c *capacityModel) forgetUsage(task *taskInfo) {
 	for r, usage := range task.usage {
 		if usage > 0 {
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -10,7 +10,7 @@
 	// pollJitter is the maximum random time added to the time between two polls.
 	pollJitter = second
 	// initialBackoff is the backoff before any doubling. Each poll and each failure since the last list
-	// doubles the backoff.
+	// that was not cached doubles the backoff.
 	initialBackoff = 250 * millisecond
 	// maxBackoffDoublings is the maximum number of times that the backoff doubles.
 	maxBackoffDoublings = 5
@@ -20,7 +20,7 @@
 type discovery struct {
 	*environment
 	pollAt   int64 // time of the next poll, in microseconds; 0: none is scheduled
-	attempts int   // number of polls and failures since the last list
+	attempts int   // number of polls and failures since the last list that was not cached
 }
 
 // start schedules the first poll.
@@ -49,7 +49,8 @@
 	d.emit(WatchWorkers{Active: true})
 }
 
-// nextPollAt returns the time of the next poll in microseconds, or 0 if none is scheduled.
+// nextPollAt returns the time of the next poll in microseconds, or 0 if none is scheduled or the discovery
+// service is not polled.
 func (d *discovery) nextPollAt() int64 {
 	if !d.settings.PollsDiscovery {
 		return 0
@@ -57,8 +58,9 @@
 	return d.pollAt
 }
 
-// backoff returns the time in microseconds from a failure to the next poll: half of it is fixed, half is
-// random.
+// backoff returns the time in microseconds from a failure to the next poll. The time is random, between
+// half of the backoff and the whole backoff (see initialBackoff). The backoff is limited to a quarter of
+// PollWithinUs or one second, whichever is longer.
 func (d *discovery) backoff() int64 {
 	delay := min(initialBackoff<<min(d.attempts, maxBackoffDoublings), max(second, d.settings.PollWithinUs/4))
 	return delay/2 + d.jitter(delay/2)
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -50,7 +50,7 @@
 }
 
 // measureBurst measures the requests of a large job in one call of Handle. Afterwards, it cancels the
-// requests and ends their tasks.
+// requests that were not accepted, and ends the tasks of the others.
 func measureBurst(s *site, m *meter) {
 	job := s.nextJob()
 	var events []Event
@@ -191,7 +191,7 @@
 	restart.measure(s.t, func() { s.handle(WorkerList{Kind: ListDelta, Entries: entries}) })
 }
 
-// warmingSite returns a site in which a zone has just restarted.
+// warmingSite returns a site in which all workers of a zone have just restarted.
 func warmingSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	measureZoneLoss(s, new(meter), new(meter))
@@ -210,7 +210,8 @@
 
 // --- Reports ---
 
-// reportCase returns a function that measures a report about a random running task.
+// reportCase returns a function that measures a report about a random running task. For ReportCores, value
+// is a fraction of the cores that the task requests; otherwise it is the reported value.
 func reportCase(kind ReportKind, value float64) func(*site, *meter) {
 	return func(s *site, m *meter) {
 		s.now += s.betweenUs
@@ -230,8 +231,8 @@
 	m.measure(s.t, func() { s.handle(ProbeResult{worker.entry.Worker, Completed, siteRTT, load}) })
 }
 
-// calibratedSite returns a site whose workers reported poor service, which lowers their effective capacity
-// until the calibration decays.
+// calibratedSite returns a site with reports of poor service about random tasks, which lower the effective
+// capacity of their workers until the calibrations decay.
 func calibratedSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	s.reportPoor(len(s.schedulerTasks))
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestModuleSlopes measures how the cost of each event case grows with the size of the fleet. It
-// asserts the actions that follow from the events, but not their time.
+// asserts which actions the scheduler returns, but not how much time it uses.
 func TestModuleSlopes(t *testing.T) {
 	lockToThread(t)
 	var table [][]float64
--- a/placement/events.go
+++ b/placement/events.go
@@ -26,7 +26,7 @@
 	// FreeCores and FreeMemory are the capacity that tasks do not request. They are negative if the
 	// worker is overcommitted, and may be outdated if its state is Foreign.
 	FreeCores, FreeMemory float64
-	// Uncordoned is true if operators have just uncordoned the worker, so that it can be used again.
+	// Uncordoned is true in the first ready entry of a worker after operators uncordoned it.
 	Uncordoned bool
 }
 
@@ -46,12 +46,12 @@
 
 // The outcomes.
 const (
-	Completed     Outcome = iota + 1 // the task has ended
-	Failed                           // the attempt ended with an error; the task may have started
+	Completed     Outcome = iota + 1 // the task completed, or the worker answered the probe
+	Failed                           // the attempt or probe ended with an error; the task may have started
 	Rejected                         // the worker rejected the offer; the task never ran
 	TimedOut                         // no answer; the worker may have accepted the task
 	ConnectFailed                    // no connection to the worker; the task never ran
-	Reset                            // the task was lost, or the answer was cut off
+	Reset                            // the task ended early (see Cause), or its connection was lost
 	Cancelled                        // cancelled by this orchestrator
 	NeverSent                        // the offer did not leave this orchestrator
 )
@@ -59,7 +59,7 @@
 // neverStarted reports whether the outcome of an attempt implies that the task never ran.
 func (o Outcome) neverStarted() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
-// Cause is the reason that a worker gives for the end of an attempt.
+// Cause is the reason that a worker gives for the end of an attempt or of a running task.
 type Cause int
 
 // The causes.
@@ -89,7 +89,9 @@
 	ReportMemoryPressure                       // used fraction of its worker's memory
 )
 
-// Load is the load that a worker reports. A value that the worker did not report is NaN.
+// Load is the load that a worker reports: its free capacity, the used fraction of its cores, and the number
+// of offers and starts in its queue. For the meaning of the free capacity, see Settings.ReportsUsage. A
+// value that the worker did not report is NaN.
 type Load struct {
 	FreeCores, FreeMemory, Utilization, Queued float64
 }
@@ -114,14 +116,16 @@
 
 // The types of Event.
 type (
-	// WorkerList is a list of workers from discovery, or changes to one.
+	// WorkerList is a complete list of workers from discovery, a list of changes, or the report that no
+	// list could be obtained (see ListKind).
 	WorkerList struct {
 		Kind    ListKind
 		Entries []Entry
 	}
 	// Request is a request that arrived.
 	Request struct{ Task }
-	// Adopted is a running task that its client registered again after a restart of the orchestrator.
+	// Adopted is a running task that its client registered with this orchestrator, for example after a
+	// restart of the orchestrator.
 	Adopted struct {
 		Task
 		Worker string
@@ -176,7 +180,8 @@
 	}
 	// TimerFired reports that the timer of the [SetTimer] with the same Ref has expired.
 	TimerFired struct{ Ref string }
-	// ClientCancelled reports that a client cancelled its request.
+	// ClientCancelled reports that a request ended without a final response from the scheduler, usually
+	// because its client cancelled it.
 	ClientCancelled struct{ RequestID string }
 )
 
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -48,9 +48,10 @@
 	return f.health.healthy(worker, task.classIndex) && !task.failedOn(worker)
 }
 
-// fits reports whether a worker has free capacity for a task. With the task, the worker must exceed
-// neither the capacity that it accepts nor its effective capacity. The effective capacity does not count
-// for a large task that has waited long, or if the settings provide no view.
+// fits reports whether a worker has free capacity for a task. With the task, the capacity requested of the
+// worker must exceed neither the capacity that it accepts nor its effective capacity. The effective capacity
+// does not count for a large task that has waited long. Without a view, the requested capacity is unknown,
+// and fits only checks whether an empty worker would accept the task.
 func (f *filter) fits(worker *workerInfo, task *taskInfo) bool {
 	kind := f.kindOf(worker)
 	acceptedCores := kind.Cores * f.settings.CoresOvercommit
@@ -67,8 +68,8 @@
 	}
 	effectiveCores, effectiveMemory := f.capacity.effective(worker)
 	if max(task.Cores/effectiveCores, task.Memory/effectiveMemory) > largeTaskShare && f.waitedLong(task) {
-		// In an evenly loaded fleet, no worker has enough free effective capacity for a large task. A
-		// large task that has waited long may therefore exceed the effective capacity of its worker.
+		// In a busy and evenly loaded fleet, often no worker has enough free effective capacity for a large
+		// task. A large task that has waited long may therefore exceed the effective capacity of its worker.
 		return true
 	}
 	return cores+task.Cores <= effectiveCores && memory+task.Memory <= effectiveMemory
@@ -81,7 +82,8 @@
 
 // limit returns an upper limit of the requested capacity at which a worker of a kind still has free
 // capacity for a task (see fits). The size of the task is given as fractions of the kind's size. The
-// argument utilization is the utilization that the task adds to an uncalibrated worker.
+// argument utilization is the utilization that the task adds to an uncalibrated worker. If the class of the
+// task requires another kind, the limit admits no worker.
 func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
 	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
 		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -37,7 +37,7 @@
 	f.wantPlaced(f.handleAfter(ms, f.request("s", "safe", 1, 2)), "")
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "large", 20, 20)), "")
 	if got := ofType[Place](f.handleAfter(1100*ms, TimerFired{"wake"})); len(got) != 1 || got[0].RequestID != "1" {
-		t.Errorf("got offers %v, want one of the large task", got)
+		t.Errorf("got offers %v, want exactly one, for the large task", got)
 	}
 }
 
@@ -47,6 +47,6 @@
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "unsafe", 1, 2)), "")
 	f.wantPlaced(f.handleAfter(ms, f.request("2", "safe", 1, 2)), "a")
 	if got := ofType[Place](f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("c", 0, 10)}})); len(got) != 1 || got[0].Worker != "c" {
-		t.Errorf("got offers %v, want one of the unsafe task to c", got)
+		t.Errorf("got offers %v, want exactly one, for the unsafe task, to c", got)
 	}
 }
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -87,8 +87,8 @@
 	f.handleAfter(ms, Accepted{RequestID: requestID, Worker: got[0].Worker, RTTUs: ms})
 }
 
-func smallWorker(name string, cell int, spareCores float64) Entry {
-	return Entry{Worker: name, Kind: "small", Cell: cell, Zone: fmt.Sprint("z", cell), FreeCores: spareCores, FreeMemory: 2 * spareCores}
+func smallWorker(name string, cell int, freeCores float64) Entry {
+	return Entry{Worker: name, Kind: "small", Cell: cell, Zone: fmt.Sprint("z", cell), FreeCores: freeCores, FreeMemory: 2 * freeCores}
 }
 
 // ofType returns the actions of one type.
@@ -105,13 +105,13 @@
 // levelled draws the utilization of a worker in an evenly loaded fleet.
 func levelled(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
 
-// largeFleet returns a fixture with many workers of one kind. share draws each worker's
-// utilization.
-func largeFleet(t *testing.T, workers int, share func(*rand.Rand) float64) *fixture {
+// largeFleet returns a fixture with the given number of workers, all of one kind. drawUtilization draws the
+// utilization of each worker.
+func largeFleet(t *testing.T, workers int, drawUtilization func(*rand.Rand) float64) *fixture {
 	random := rand.New(rand.NewPCG(1, uint64(workers)))
 	entries := make([]Entry, workers)
 	for i := range entries {
-		entries[i] = smallWorker(fmt.Sprintf("m%05d", i), i/8, 32*(1-share(random)))
+		entries[i] = smallWorker(fmt.Sprintf("m%05d", i), i/8, 32*(1-drawUtilization(random)))
 	}
 	return newFixture(t, testSettings(), 1, entries...)
 }
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -19,11 +19,11 @@
 
 	workers       map[string]*workerInfo
 	sorted        []*workerInfo        // all workers, sorted by name
-	nameHashes    []uint64             // hashes of the names of sorted, in the same order
-	ordinalsStale bool                 // workers were added or removed since ordinals and nameHashes were set
+	nameHashes    []uint64             // hashes of the names of the workers in sorted, in the same order
+	ordinalsStale bool                 // workers were added or removed since the last call of refresh
 	unlisted      map[*workerInfo]bool // workers that are not on the current list
 	uncordoned    map[*workerInfo]bool // workers that were uncordoned; some of them may have got an offer since
-	foreignCount  int                  // listed workers that are assigned to other schedulers
+	foreignCount  int                  // number of listed workers that are assigned to other schedulers
 }
 
 // assignedCount returns the number of workers that are not assigned to another scheduler.
@@ -41,9 +41,9 @@
 	return f.settings.FleetSize
 }
 
-// totalRequestedCores returns the cores requested of all workers. The views of foreign workers may be
-// out of date, so it assumes that the requests on foreign workers are, on average, the same as on the
-// other workers.
+// totalRequestedCores returns the cores requested of all workers, or 0 without a view. The views of foreign
+// workers may be out of date, so each of them is assumed to have as many requested cores as the other
+// workers have on average.
 func (f *fleet) totalRequestedCores() float64 {
 	f.refresh()
 	if f.foreignCount == 0 {
@@ -101,8 +101,8 @@
 	f.affinity.clear()
 }
 
-// pruneUncordoned returns the uncordoned workers that have got no offer since. It removes all others
-// from the set.
+// pruneUncordoned returns the workers that have had no attempt or task since they were uncordoned. It
+// removes all others from the set of uncordoned workers.
 func (f *fleet) pruneUncordoned() map[*workerInfo]bool {
 	for worker := range f.uncordoned {
 		if !worker.uncordonedIdle {
@@ -171,7 +171,7 @@
 	}
 }
 
-// refresh updates the index and the ordinals with all changes since the last search.
+// refresh updates the index, the ordinals and the name hashes with all changes since its last call.
 func (f *fleet) refresh() {
 	if f.index.setBaseline(f.capacity.baseline) {
 		for _, worker := range f.sorted {
@@ -189,7 +189,8 @@
 	}
 }
 
-// preferredFor returns the preferred workers of a program, over which its tasks are distributed.
+// preferredFor returns the preferred workers of a program. If workers were added or removed, refresh must
+// be called first.
 func (f *fleet) preferredFor(program uint64) []*workerInfo {
 	return f.affinity.preferredWorkers(program, f.sorted, f.nameHashes, f.assignedCount())
 }
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -26,7 +26,7 @@
 	f.scheduler.fleet.refresh()
 	scheduler := f.scheduler
 	if left := len(scheduler.fleet.sorted) + len(scheduler.fleet.workers) + len(scheduler.fleet.unlisted) + len(scheduler.residents.workers) + len(scheduler.affinity.preferred) + countEntries(scheduler); left != 0 {
-		t.Errorf("got %d workers, %d unlisted, %d resident programs, %d preferred lists, %d index entries; want 0 of each",
+		t.Errorf("got %d workers, %d unlisted, %d resident programs, %d cached lists of preferred workers, %d index entries; want 0 of each",
 			len(scheduler.fleet.sorted), len(scheduler.fleet.unlisted), len(scheduler.residents.workers), len(scheduler.affinity.preferred), countEntries(scheduler))
 	}
 	if scheduler.loads.listedRequestedCores != 0 && math.Abs(scheduler.loads.listedRequestedCores) > 1e-9 || scheduler.loads.listedCapacity != (fractions{}) {
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -16,8 +16,8 @@
 	events []Event
 }
 
-// recordHistory runs a random history. It returns the settings, the workers of the first list, and the calls
-// after that list.
+// recordHistory runs a random history. It returns the workers of the first list and the calls after that
+// list. It also returns settings for a replay, which are drawn anew, for one scheduler and without tenants.
 func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, calls []recordedCall) {
 	t.Helper()
 	h := newHistory(t, seed)
@@ -166,7 +166,7 @@
 	foreign.State = Foreign
 	shared := newFixture(t, settings, 1, assigned).scheduler.totals.freeUnits()
 	if divided := newFixture(t, settings, 1, assigned, foreign).scheduler.totals.freeUnits(); divided <= shared || divided > 9.01*shared {
-		t.Errorf("got %g free units on a divided worker, want over the %g of a shared one, and at most 9.01 times as many",
+		t.Errorf("got %g free units on a worker of a divided fleet, want over the %g on a shared worker, and at most 9.01 times as many",
 			divided, shared)
 	}
 	f := newFixture(t, settings, 1, assigned, foreign)
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -8,16 +8,18 @@
 	"testing"
 )
 
-var historiesFlag = flag.Int("histories", 40, "tests of drawn histories: how many")
+var historiesFlag = flag.Int("histories", 40, "tests of random histories: number of histories")
 
 const (
-	// probesEach is the number of synthetic tasks whose selections are compared after each step.
-	probesEach = 3
-	// pendingEach is the maximum number of pending tasks whose selections are compared after each step.
+	// syntheticEach is the number of synthetic tasks whose selections are compared after each step and
+	// after each task that is offered.
+	syntheticEach = 3
+	// pendingEach is the maximum number of pending tasks whose selections are compared after each step
+	// and after each task that is offered.
 	pendingEach = 2
-	// offerEvery is the probability that tasks are offered after a step, one by one as within one call
-	// of Handle. Selections are compared after each of these offers.
-	offerEvery = 0.3
+	// offerProbability is the probability that tasks are offered after a step, one by one as within one
+	// call of Handle. Selections are compared after each of these offers.
+	offerProbability = 0.3
 	// offersEach is the maximum number of tasks offered after one step.
 	offersEach = 3
 	// maxFlipped is the maximum fraction of comparisons that match only if a value very close to a
@@ -25,7 +27,7 @@
 	maxFlipped = 0.01
 )
 
-// comparisons counts the comparisons of selections, by path and by property.
+// comparisons counts the comparisons of selections, by the path of the selection and by other properties.
 type comparisons struct {
 	paths                                          map[string]int
 	total, flipped                                 int // flipped: see maxFlipped
@@ -48,7 +50,7 @@
 			}
 		}
 	}
-	t.Logf("%d comparisons, %d at a border; %d draws among several, %d with workers reserved, %d searches elsewhere, %d offered; by path: %v",
+	t.Logf("%d comparisons, %d that depend on a value at its limit; %d with several finalists, %d with reserved workers, %d of whether a task fits elsewhere, %d tasks offered; by path: %v",
 		c.total, c.flipped, c.multipleFinalists, c.reserved, c.elsewhereSearches, c.offered, c.paths)
 	for _, path := range []string{pathWaits, pathNoCapacity, pathFallback, pathUncordoned, pathCheapest} {
 		if c.paths[path] == 0 {
@@ -56,7 +58,7 @@
 		}
 	}
 	if c.multipleFinalists == 0 || c.reserved == 0 || c.elsewhereSearches == 0 || c.offered == 0 {
-		t.Errorf("got %d comparisons with several finalists, %d with reserved workers, %d searches elsewhere and %d after an offer, want some of each",
+		t.Errorf("got %d comparisons with several finalists, %d with reserved workers, %d of whether a task fits elsewhere and %d tasks offered, want some of each",
 			c.multipleFinalists, c.reserved, c.elsewhereSearches, c.offered)
 	}
 	if float64(c.flipped) > maxFlipped*float64(c.total) {
@@ -64,10 +66,10 @@
 	}
 }
 
-// compareStep compares selections after a step. With the probability offerEvery, it then offers some
-// tasks without advancing the clock, and compares selections after each offer.
+// compareStep compares selections after a step. With the probability offerProbability, it then
+// offers some tasks without advancing the clock, and compares selections after each offer.
 func (c *comparisons) compareStep(h *history) error {
-	if err := c.compare(h); err != nil || !h.chance(offerEvery) {
+	if err := c.compare(h); err != nil || !h.chance(offerProbability) {
 		return err
 	}
 	for range offersEach {
@@ -100,9 +102,9 @@
 	return true
 }
 
-// compare compares selections in the current state. It first discards the cached means and free
-// capacity, which a large fleet recomputes only from time to time. TestMeansOfLargeFleet checks the
-// caching.
+// compare compares selections in the current state. It first discards the cached means and free units,
+// which the scheduler of a large fleet recomputes only from time to time. TestMeansOfLargeFleet and
+// TestFreeUnitsOfLargeFleet check the caching.
 func (c *comparisons) compare(h *history) error {
 	h.scheduler.totals.cachedMeans.computedAt, h.scheduler.totals.freeUnitsAt = 0, 0
 	r := newReference(h.scheduler)
@@ -110,7 +112,7 @@
 		return err
 	}
 	var tasks []*taskInfo
-	for range probesEach {
+	for range syntheticEach {
 		tasks = append(tasks, h.syntheticTask())
 	}
 	for i := range min(pendingEach, len(h.scheduler.queue.pending)) {
@@ -199,9 +201,9 @@
 	h := newHistory(t, seed)
 	for range h.stepCount {
 		lines = append(lines, fmt.Sprintf("%+v", h.step()))
-		probe := h.syntheticTask()
+		synthetic := h.syntheticTask()
 		if searched {
-			h.scheduler.search.finalists(probe)
+			h.scheduler.search.finalists(synthetic)
 			for _, task := range h.scheduler.queue.pending {
 				h.scheduler.search.finalists(task)
 			}
--- a/placement/health.go
+++ b/placement/health.go
@@ -9,16 +9,20 @@
 // not reject tasks.
 
 const (
-	// timeoutSuspicion is added to the suspicion of a worker that does not answer.
+	// timeoutSuspicion is added to the suspicion of a worker for an attempt without an answer, a failed
+	// connection, a rejection because its queue is full, or a probe that does not complete.
 	timeoutSuspicion = 1.5
-	// errorSuspicion is added to the suspicion of a worker for an error or a lost attempt.
+	// errorSuspicion is added to the suspicion of a worker for an attempt that ended with an error, and for
+	// an attempt or task that was lost.
 	errorSuspicion = 0.7
 	// lossSuspicion is added to the suspicion of a worker for a missing answer if the worker accepted another
 	// attempt of the same class in the meantime.
 	lossSuspicion = 0.4
-	// ejectionThreshold is the lowest suspicion at which a worker gets no attempts.
+	// ejectionThreshold is the lowest suspicion at which a worker gets no attempts, unless no healthy worker
+	// fits the task (see search.fallback).
 	ejectionThreshold = 1.0
-	// suspectThreshold is the lowest suspicion at which a worker gets only one attempt at a time.
+	// suspectThreshold is the lowest suspicion at which a worker gets only one attempt at a time, and no
+	// tasks that must not run twice. Attempts that search.fallback selects are exempt.
 	suspectThreshold = 0.25
 	// reconnectedSuspicion is the value to which a higher suspicion is lowered when the worker accepts a
 	// connection again.
@@ -30,7 +34,7 @@
 	maxAttemptWindow = 12.0
 	// assumedDrain is the time for which a worker is assumed to be draining after it rejected an attempt
 	// with CauseWrongWorker, or ended an attempt or a task with CauseDrained. The list may not show the
-	// draining yet.
+	// draining yet. A rejection does not count if an earlier attempt of the task may have run.
 	assumedDrain = 5 * second
 
 	// rttWeight is the weight of one answer in the moving averages of the response time.
@@ -52,11 +56,13 @@
 type health struct {
 	*environment
 	// meanRTT and rttDeviation are moving averages of the response time and of its absolute deviation, in
-	// microseconds, computed as in TCP. Both are 0 before the first answer.
+	// microseconds. They are computed like the round-trip time estimate of TCP (RFC 6298), with another
+	// weight. Both are 0 before the first answer.
 	meanRTT, rttDeviation float64
 }
 
-// recordRTT updates the response time statistics with the answer to an attempt. rtt is in microseconds.
+// recordRTT records that an attempt no longer awaits a response, and adds its response time to the
+// statistics. rtt is the response time in microseconds.
 func (h *health) recordRTT(attempt *attemptInfo, rtt int64) {
 	attempt.stopWaiting()
 	deviation := float64(rtt) - h.meanRTT
@@ -81,8 +87,10 @@
 	return max(int64(h.meanRTT+rttDeviations*h.rttDeviation), minResponseTimeout)
 }
 
-// healthy reports whether a worker may get a task of a class. A worker with an overdue answer gets no
-// tasks. A suspect worker gets one attempt at a time, and no tasks that must not run twice.
+// healthy reports whether a worker is healthy for the tasks of a class. A worker with an overdue answer, or
+// with a suspicion of at least ejectionThreshold, is not healthy. A worker with a lower suspicion of at least
+// suspectThreshold is healthy only while it has no unanswered attempt, and only for classes whose Effect is
+// not Unsafe.
 func (h *health) healthy(worker *workerInfo, classIndex int) bool {
 	if len(worker.unanswered) > 0 && h.overdue(worker.unanswered[0].sentAt) {
 		return false
@@ -154,10 +162,10 @@
 
 // recordTimeout records an attempt that got no answer. If the worker has accepted no other attempt
 // since this one was sent, the suspicion rises for every class. Otherwise the worker is reachable. If
-// it accepted only other classes, the suspicion rises for the class of this attempt alone. If it
-// accepted the same class, some answers are being lost, and the suspicion for the class rises only a
-// little. The rule could do harm by using a worker that is about to become unresponsive, but the next
-// attempt detects this.
+// it accepted only attempts of other classes, the suspicion rises for the class of this attempt alone. If
+// it accepted an attempt of the same class, some answers are being lost, and the suspicion for the class
+// rises only a little. The rule would do harm if the worker is about to become unresponsive, because the
+// worker stays in use, but the next attempt detects this.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
@@ -172,9 +180,9 @@
 
 // recordError records an attempt that ended with an error. The error raises the suspicion of the
 // worker, unless another worker failed the same task. In that case the task is unusable and goes to no
-// further worker, and the suspicion that its errors caused is subtracted again. This protects against
-// tasks that no worker can run, each of which would eject several healthy workers. The rule does harm
-// if errors are frequent, because two errors of one task may then be a coincidence.
+// further worker, and the suspicion that its errors caused is subtracted again. This protects healthy
+// workers from being ejected because of tasks that no worker can run. The rule does harm if errors are
+// frequent, because two errors of one task may then be a coincidence.
 func (h *health) recordError(task *taskInfo, attempt *attemptInfo) {
 	attempt.failed = true
 	attempt.worker.addSuspicion(h.now, errorSuspicion)
@@ -192,9 +200,11 @@
 }
 
 // recordReachable records that a worker accepted a connection after an earlier one failed. The failure of
-// a connection affects everything sent on it, so the worker is tried again, one attempt at a time. This
-// would do harm if a worker accepts connections but answers nothing. A further connection therefore lowers
-// the suspicion only if the worker has accepted an attempt since a connection last lowered it.
+// a connection affects everything that was sent on it, even if the worker itself works. The suspicion is
+// therefore lowered to reconnectedSuspicion, at which the worker gets one attempt at a time. This would do
+// harm if a worker accepts connections but answers nothing. A further connection therefore lowers the
+// suspicion only if the worker has accepted an attempt since a connection last lowered it. A nil worker,
+// which is one that the scheduler does not know, is ignored.
 func (h *health) recordReachable(worker *workerInfo) {
 	if worker == nil {
 		return
