--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -92,7 +92,8 @@
 }
 
 // TestUnreachableWorkersAreTriedWhereNoneIsReached has all workers suspect and unreachable. Each of them is
-// tried, because the state of the connections may be out of date. The only worker of a kind is also tried.
+// tried, because the state of the connections may be out of date. The only worker of a kind is also tried
+// if it is unreachable and workers of other kinds are reachable.
 func TestUnreachableWorkersAreTriedWhereNoneIsReached(t *testing.T) {
 	large := Entry{Worker: "c", Kind: "large", FreeCores: 60, FreeMemory: 120}
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), large)
@@ -271,9 +272,9 @@
 	}
 }
 
-// TestTaskSentAwayBlamesNobody has a draining worker evict a task before its acceptance was read.
-// Draining is not an error, so the worker is not suspected. The worker gets no tasks until assumedDrain
-// has passed.
+// TestTaskSentAwayBlamesNobody has a draining worker end a task before the scheduler has received the
+// acceptance of the task. Draining is not an error, so the worker is not suspected. The worker gets no
+// tasks until assumedDrain has passed.
 func TestTaskSentAwayBlamesNobody(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -206,7 +206,7 @@
 	return events
 }
 
-// drawProbeResult returns a random answer to a probe, or a report from a worker that was not probed.
+// drawProbeResult returns a random result of a probe, in some cases for a worker that was not probed.
 func (h *history) drawProbeResult() []Event {
 	worker := h.anyWorker()
 	if len(h.probed) > 0 && h.chance(0.8) {
@@ -243,8 +243,8 @@
 	return event
 }
 
-// syntheticTask returns a random task for which selections are compared. The task was not submitted to the
-// scheduler, and the earlier attempts and errors of the task are random.
+// syntheticTask returns a random task for which tests search for a worker. The task was not submitted to
+// the scheduler, and the earlier attempts and errors of the task are random.
 func (h *history) syntheticTask() *taskInfo {
 	submitted := h.drawTask()
 	classIndex := h.scheduler.requests.classIndexes[submitted.Class]
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -24,7 +24,9 @@
 	conditionCount            // number of conditions
 )
 
-// The upper limits of the random draws.
+// The ranges of the random draws. historyWorkers is the maximum number of workers, and historyBurst the
+// maximum number of requests in a burst. A history has at least 10 and fewer than 10+historySteps steps.
+// Program numbers are below historyPrograms, and 0 means no program.
 const (
 	historyWorkers  = 600
 	historySteps    = 60
@@ -47,7 +49,7 @@
 	attempts     map[string]int  // number of attempts, by request ID
 	unfinished   map[string]Task // tasks that have not ended, by request ID
 	offered      []Place         // attempts that were not answered
-	running      []Place         // accepted attempts
+	running      []Place         // accepted attempts and adopted tasks that have not ended
 	probed       []string        // workers with a probe that was not answered
 	requestCount int
 	utilization  float64 // mean utilization of the drawn workers
@@ -77,7 +79,8 @@
 	return h
 }
 
-// settings returns random variations of testSettings, whose classes cover all effects and spreads.
+// settings returns a random variation of testSettings, whose classes have all effects and all scopes of
+// spread that settings permit.
 func (h *history) settings() Settings {
 	settings := testSettings()
 	settings.FleetSize = []int{1, 2, 9, 60}[h.random.IntN(4)]
--- a/placement/index.go
+++ b/placement/index.go
@@ -7,14 +7,14 @@
 )
 
 // This file owns the index of the workers that may get tasks, by kind and by requested capacity
-// relative to the size of the kind. The index is updated when events change workers, so that a
-// search examines the few workers that it may select and not all of them. The index makes no
-// decisions: it leaves out only workers that the search could not select.
+// relative to the size of the kind. Events mark the workers that they change, and the index is updated
+// before the next search. A search then examines the few workers that it may select and not all of
+// them. The index makes no decisions: it leaves out only workers that the search could not select.
 
 const (
 	// maxEnumerated is the maximum number of candidates that a search scores one by one. If there are
-	// more candidates, hundreds of them have nearly the same cost. The search then starts at a random
-	// candidate.
+	// more candidates, hundreds of them have nearly the same cost, so the search leaves the others out.
+	// In a level or list of more than maxEnumerated workers, it starts at a random worker.
 	maxEnumerated = 512
 	// maxScaleDrift is the maximum relative difference between the baseline of effective capacity and
 	// the baseline with which the levels were built. All levels are rebuilt if the difference is
@@ -23,15 +23,16 @@
 )
 
 // workerIndex is the index of all workers that may get tasks. The level of a worker is determined by
-// its requested fractions of cores and memory. The fraction of cores is divided by scale.cores and the
-// fraction of memory by scale.memory, and the larger quotient determines the level.
+// the cores and memory requested of it, as fractions of the size of its kind. The fraction of cores is
+// divided by scale.cores and the fraction of memory by scale.memory, and the larger quotient
+// determines the level.
 type workerIndex struct {
 	kinds []kindLevels
 	// scale is the baseline with which the levels were last built.
 	scale           fractions
-	baseline        fractions // capacityModel.baseline at the last search
+	baseline        fractions // capacityModel.baseline at the last call of fleet.refresh
 	inverseBaseline fractions
-	stale           []*workerInfo // workers whose position may have changed since the last search
+	stale           []*workerInfo // workers whose position may be out of date (see invalidate)
 	finished        []bool        // by kind: whether the current walk needs no more workers of the kind
 }
 
@@ -39,8 +40,8 @@
 	return &workerIndex{kinds: make([]kindLevels, kinds), finished: make([]bool, kinds)}
 }
 
-// setBaseline sets the baseline of effective capacity, and reports whether it differs so much from
-// the scale that all positions have to be recomputed.
+// setBaseline sets the baseline of effective capacity. If the baseline differs so much from the scale
+// that all positions have to be recomputed, it becomes the new scale, and the result is true.
 func (x *workerIndex) setBaseline(baseline fractions) (rescaled bool) {
 	x.baseline = baseline
 	x.inverseBaseline = fractions{1 / baseline.cores, 1 / baseline.memory}
@@ -57,8 +58,8 @@
 	return math.Abs(current-builtWith) > builtWith*maxScaleDrift
 }
 
-// invalidate records that the requested capacity of a worker, or whether it may get tasks, may have
-// changed.
+// invalidate marks a worker whose requested capacity, calibration or state may have changed. The next
+// call of fleet.refresh recomputes its requested capacity and its position.
 func (x *workerIndex) invalidate(worker *workerInfo) {
 	if !worker.requestedStale {
 		worker.requestedStale = true
@@ -77,7 +78,7 @@
 	return x.kinds[kindIndex].sum(x.baseline)
 }
 
-// reserve moves a worker to the reserved entries of its level.
+// reserve moves a worker to the reserved entries of its level, if it is indexed.
 func (x *workerIndex) reserve(worker *workerInfo) {
 	if !worker.position.indexed {
 		return
@@ -90,7 +91,7 @@
 	}
 }
 
-// release moves a worker back to the unreserved entries of its level.
+// release moves a worker back to the unreserved entries of its level, if it is indexed.
 func (x *workerIndex) release(worker *workerInfo) {
 	if !worker.position.indexed {
 		return
@@ -145,8 +146,8 @@
 	calibratedMax    fractions
 }
 
-// admits reports whether a worker with at least the given requested capacity may have free capacity
-// for the task.
+// admits reports whether a worker with at least the given requested capacity and calibration may have
+// enough free capacity for the task.
 func (l *loadLimit) admits(requested fractions, calibration float64) bool {
 	return requested.within(l.max) || calibration < l.calibrationBelow && requested.within(l.calibratedMax)
 }
@@ -213,8 +214,9 @@
 	return levelCount
 }
 
-// scanLevel visits the workers of one level that are within the limit, and reports whether to
-// continue with the walk.
+// scanLevel visits the workers of one level that the load limit of their kind admits and that the walk
+// still needs. It reports whether to continue with the walk. If it scans all entries of the level, it
+// makes the bounds of the level exact.
 func scanLevel(current *level, kindIndex int, minUtilization float64, plan *levelWalk,
 	random *rand.Rand) bool {
 	limit := loadLimit{max: unlimited}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -53,7 +53,7 @@
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, a) }
 	if !near(requestedCores, loads.listedRequestedCores) ||
 		!near(capacity.cores, loads.listedCapacity.cores) || !near(capacity.memory, loads.listedCapacity.memory) {
-		return 0, fmt.Errorf("stored requested cores %v and capacity %+v, want %v and %+v", loads.listedRequestedCores, loads.listedCapacity, requestedCores, capacity)
+		return 0, fmt.Errorf("stored sums of requested cores %v and capacity %+v, want %v and %+v", loads.listedRequestedCores, loads.listedCapacity, requestedCores, capacity)
 	}
 	if entries := countEntries(scheduler); entries != indexed {
 		return 0, fmt.Errorf("got %d index entries (-1: wrong level sets), want %d", entries, indexed)
@@ -100,9 +100,9 @@
 	case (scheduler.reservations.priorities[worker] > 0) != (worker.position.entryIndex >= ownLevel.unreserved):
 		return fmt.Errorf("%s: reserved is %v, but its entry has index %d in a level with %d unreserved entries", worker.Worker, scheduler.reservations.priorities[worker] > 0, worker.position.entryIndex, ownLevel.unreserved)
 	}
-	share := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
-	if floor := float64(worker.position.level) * levelWidth; share < floor || share >= floor+levelWidth && worker.position.level < levelCount-1 {
-		return fmt.Errorf("%s: got utilization %v, want one in the range of level %d", worker.Worker, share, worker.position.level)
+	utilization := max(entry.requested.cores/scheduler.index.scale.cores, entry.requested.memory/scheduler.index.scale.memory)
+	if floor := float64(worker.position.level) * levelWidth; utilization < floor || utilization >= floor+levelWidth && worker.position.level < levelCount-1 {
+		return fmt.Errorf("%s: got utilization %v, want one in the range of level %d", worker.Worker, utilization, worker.position.level)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 		unmatched -= len(workers)
 	}
 	if unmatched != 0 {
-		return fmt.Errorf("got %d more programs of workers than workers of programs, want as many", unmatched)
+		return fmt.Errorf("programs in the maps of all workers minus workers in the lists of all programs: got %d, want 0", unmatched)
 	}
 	return nil
 }
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -1,33 +1,37 @@
 package placement
 
-// This file owns the estimate of the view's lag, which is the delay after which lists show the
-// placements of this scheduler. It must not change the state of a worker.
+// This file owns the estimate of the lag of the view. The view of a worker is the free capacity in its
+// latest list entry. The lag is the delay after which lists show a change that this scheduler made to
+// the requested capacity of a worker. The file must not change the state of a worker.
 
 const (
-	// lagDecay is the factor by which each change of the view reduces the weight of earlier changes.
+	// lagDecay is the factor by which each observation (see lagEstimator) reduces the weight of the
+	// earlier ones.
 	lagDecay = 0.98
 	// minLagObservations is the decayed number of observations (see lagEstimator) that must be exceeded
 	// before the estimated lag is used.
 	minLagObservations = 20
 )
 
-// lagEstimator estimates the lag of the view.
+// lagEstimator estimates the lag of the view. An observation is one list entry, which is compared with
+// the previous list entry of the same worker.
 type lagEstimator struct {
 	*environment
 	loads *loadTracker
 	// squaredErrors is the decayed sum of squared prediction errors for each possible lag. The element
 	// with index i belongs to a lag of i+1 times lagStep.
 	squaredErrors [lagSteps]float64
-	// observations is the number of changes of the view seen, each weighted by lagDecay for every later
-	// change.
+	// observations is the number of observations so far, each weighted by lagDecay for every later
+	// one.
 	observations float64
 }
 
-// learn compares a change of the view with the changes that this scheduler made, and selects the lag
-// with the smallest prediction error. A correct lag prevents this scheduler's placements from being
-// counted twice and from being dropped too early. The estimate covers any lag up to lagSteps times
-// lagStep, including a lag that increases. Learning is slow if this scheduler makes few of the
-// placements.
+// learn compares the change of a worker's free cores from its previous list entry to a new one with
+// the changes that this scheduler made. After enough observations (see minLagObservations), it sets
+// the assumed lag to the one with the smallest prediction error. With a correct lag, a placement of
+// this scheduler is neither counted twice nor ignored before lists show it. The estimate covers any
+// lag up to lagSteps times lagStep, including a lag that increases. Learning is slow if this scheduler
+// makes few of the placements.
 func (e *lagEstimator) learn(worker *workerInfo, entry Entry) {
 	kind := e.kindOf(worker)
 	if kind == nil {
--- a/placement/levels.go
+++ b/placement/levels.go
@@ -1,24 +1,26 @@
 package placement
 
 // This file owns the levels of the index. A level holds workers of one kind with about the same
-// requested capacity. The levels make no decisions.
+// utilization, computed without calibration. The levels make no decisions.
 
 const (
-	// levelWidth is the range of utilization that a level spans. It is less than [costMargin], so
-	// that the workers of one level hardly differ in cost.
+	// levelWidth is the range of utilization that a level spans. The last level also holds all higher
+	// utilizations. levelWidth is less than [costMargin], so that the differences of utilization within
+	// one level hardly matter for the cost.
 	levelWidth = 1.0 / 64
 	levelCount = 128
 )
 
-// indexEntry is an indexed worker with its requested fractions.
+// indexEntry is an indexed worker with the capacity requested of it, as fractions of the size of its
+// kind.
 type indexEntry struct {
 	worker      *workerInfo
 	requested   fractions
 	calibration float64 // lower bound of the worker's effective capacity, relative to that of its kind
 }
 
-// level holds workers of one kind with about the same requested capacity. The entries of unreserved
-// workers come first, and unreserved is their number.
+// level holds workers of one kind with about the same utilization, computed without calibration. The
+// entries of unreserved workers come first, and unreserved is their number.
 type level struct {
 	entries    []indexEntry
 	unreserved int
--- a/placement/load.go
+++ b/placement/load.go
@@ -11,10 +11,11 @@
 	lagSteps = 64
 	// initialLagSteps is the assumed lag, in steps, until the lag has been learned.
 	initialLagSteps = 4
-	// deltaRetention is the time for which this scheduler's own changes are kept. It exceeds the longest lag.
+	// deltaRetention is the time for which this scheduler's own changes to the requested capacity of a
+	// worker are kept. It exceeds the longest lag.
 	deltaRetention = lagSteps*lagStep + 2*second
-	// maxDeltas is the maximum number of changes kept for one worker. It limits the memory used for a
-	// worker whose view never arrives.
+	// maxDeltas is the maximum number of changes kept for one worker. A further change removes the older
+	// half of them. This limits the memory used for a worker of which no further list entry arrives.
 	maxDeltas = 4096
 	// reportLag is the assumed age of a report on its arrival.
 	reportLag = 500 * millisecond
@@ -31,12 +32,12 @@
 	index        *workerIndex
 	reservations *reservations
 	lag          int64         // assumed lag of the view, in microseconds
-	lagDependent []*workerInfo // workers that depend on the lag, and some that lagDependentWorkers will remove
+	lagDependent []*workerInfo // see lagDependentWorkers, which removes those that no longer depend on the lag
 	// listedRequestedCores is the sum of the cores requested of all listed workers of a known kind that
 	// are not foreign.
 	listedRequestedCores float64
 	// listedCapacity is the total size of the workers that listedRequestedCores counts. It is in cores and
-	// memory, not in fractions.
+	// memory, not in fractions. Both sums are 0 if Settings.HasView is false.
 	listedCapacity fractions
 }
 
@@ -111,7 +112,8 @@
 	}
 }
 
-// recordReport records a worker's report of its own load.
+// recordReport records a worker's report of its own load. The free capacity in the report is used only
+// if the caller then sets workerInfo.reportsFree.
 func (l *loadTracker) recordReport(worker *workerInfo, report Load) {
 	worker.lastReport, worker.reportedAt, worker.reportsFree = report, l.now, false
 	l.addLagDependent(worker)
@@ -148,7 +150,7 @@
 	}
 }
 
-// refreshStale refreshes the workers that changed since the last search.
+// refreshStale refreshes the workers that were invalidated since its last call.
 func (l *loadTracker) refreshStale() {
 	for _, worker := range l.index.stale {
 		l.refresh(worker)
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -1,13 +1,13 @@
 package placement
 
-// This file owns the migration of running tasks off workers that serve poorly. It migrates at most
-// one task for each report.
+// This file owns the migration of running tasks off workers that give poor service. It migrates at
+// most one task for each report of the service that a task gets (see ReportService).
 
 const (
-	// migrateBelow is the fraction of full service below which a task may be migrated.
+	// migrateBelow is the highest fraction of full service at which a task may be migrated.
 	migrateBelow = 0.7
-	// migrateAlwaysBelow is the fraction of full service below which a task may be migrated even if it
-	// fits no other worker.
+	// migrateAlwaysBelow is the highest fraction of full service at which a task may be migrated even if
+	// it fits no other worker.
 	migrateAlwaysBelow = 0.25
 	// restartSeconds is the run time that a task loses by starting again, in seconds.
 	restartSeconds = 1.5
@@ -18,7 +18,7 @@
 	// seconds.
 	defaultRemainingSeconds = 4.0
 	// migrationSeconds is the time over which the excess load is migrated, in seconds. Usage
-	// fluctuates, so migrations aim at less than the whole excess.
+	// fluctuates, so only a part of the excess is migrated at a time.
 	migrationSeconds = 3.0
 	// migrationInterval is the minimum time between migrations off one worker, in microseconds.
 	migrationInterval = 900 * millisecond
@@ -32,12 +32,15 @@
 	search   *search
 }
 
-// maybeMigrate may migrate one task of this scheduler off a worker that serves poorly, if the gain
-// in the remaining run time of the task is well above the cost of the migration. It relieves workers
-// that are far over their saturation load or that slow down, for which the filters act too late.
+// maybeMigrate may migrate one task of this scheduler off a worker that gives poor service, if the
+// gain in the remaining run time of the task is well above the cost of the migration. The argument
+// service is the fraction of full service that the worker gives. A random draw decides, and the
+// probability of a migration rises with the excess load of the worker. Migration relieves workers that
+// are far over their saturation load or that slow down. The filters act too late for them, because
+// they only keep new tasks away.
 //
 // If the whole fleet is equally full, migration would do harm. In that case the task fits no other
-// worker and stays, unless the service is below migrateAlwaysBelow.
+// worker and stays, unless the service is at most migrateAlwaysBelow.
 func (m *migration) maybeMigrate(worker *workerInfo, service float64) {
 	if service > migrateBelow || worker.kindIndex < 0 || m.now-worker.migratedAt < migrationInterval {
 		return
@@ -53,8 +56,9 @@
 	worker.removeRunning(task)
 }
 
-// bestCandidate returns the task on a worker whose migration gains the most, or nil if no migration
-// gains anything.
+// bestCandidate returns, of the tasks that run on a worker, the one with the highest gain from a
+// migration, multiplied by the weight of its class and by its size. It returns nil if no gain is above
+// the cost (see migrationGainFactor).
 func (m *migration) bestCandidate(worker *workerInfo, service float64) (best *taskInfo) {
 	var bestValue float64
 	for _, task := range worker.running {
@@ -72,14 +76,15 @@
 // excess returns the part of a worker's load that should be migrated, from 0 to 1. It is the part of
 // the used cores above the saturation load or, if that is larger because the worker slowed down, the
 // part of the requested capacity above its effective capacity. All schedulers with tasks on the
-// worker get the same reports, so each migrates its part of the excess.
+// worker get the same reports, so each migrates this part of its own tasks only.
 func (m *migration) excess(worker *workerInfo, service float64) float64 {
 	saturationLoad, saturationRange := m.capacity.saturationLoad, m.capacity.saturationRange
 	excess := saturationRange * (1 - service) / (saturationLoad + saturationRange*(1-service))
 	return max(excess, 1-1/max(1, m.loads.utilization(worker)))
 }
 
-// remainingSeconds returns the expected remaining run time of a task, in seconds.
+// remainingSeconds returns the expected remaining run time of a task, in seconds. The result is at
+// least half of defaultRemainingSeconds.
 func (m *migration) remainingSeconds(task *taskInfo) float64 {
 	if !task.HasRunHint || task.ExpectedRunUs <= 0 {
 		return defaultRemainingSeconds
--- a/placement/migration_test.go
+++ b/placement/migration_test.go
@@ -8,13 +8,13 @@
 func TestMigrationOffWorkerWithoutService(t *testing.T) {
 	migrations := func(service float64, elsewhere float64) (count int) {
 		f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 4), smallWorker("b", 0, elsewhere))
-		var reports []Event
+		var adoptions []Event
 		for i := range 20 {
 			event := Adopted{Task: f.request(fmt.Sprint(i), "safe", 1, 1).Task, Worker: "a"}
 			event.HasRunHint, event.ExpectedRunUs = true, 20*second
-			reports = append(reports, event)
+			adoptions = append(adoptions, event)
 		}
-		f.handleAfter(ms, reports...)
+		f.handleAfter(ms, adoptions...)
 		for range 10 {
 			count += len(ofType[Migrate](f.handleAfter(second, TaskReport{RequestID: "1", Worker: "a", Kind: ReportService, Value: service})))
 		}
@@ -30,6 +30,6 @@
 		t.Errorf("got %d migrations at 0.5 of full service without free capacity elsewhere, want none", count)
 	}
 	if count := migrations(0, -20); count < 3 {
-		t.Errorf("got %d migrations off a worker that gives no service without free capacity elsewhere, want at least 3", count)
+		t.Errorf("got %d migrations off a worker that gives no service, without free capacity elsewhere, want at least 3", count)
 	}
 }
--- a/placement/ordinals.go
+++ b/placement/ordinals.go
@@ -2,14 +2,16 @@
 
 import "math/bits"
 
-// This file owns the selection of the n-th worker by name from a list of workers, in linear time.
-// It does not allocate once an ordinalSet has grown to the size of the fleet.
+// This file owns the selection of the n-th worker, in the order of the names, from an unordered list
+// of workers. It takes linear time, and does not allocate once an ordinalSet has grown to the size of
+// the fleet.
 
-// ordinalSet is a bit set of ordinals of workers. It is empty between uses.
+// ordinalSet is a bit set of the ordinals of workers (see workerInfo.ordinal). It is empty between
+// uses.
 type ordinalSet []uint64
 
-// nth returns the worker with the n-th lowest ordinal, counted from 0. All ordinals must be below
-// limit.
+// nth returns the worker with the n-th lowest ordinal, counted from 0. n must be below the number of
+// workers, and all ordinals must be below limit.
 func (o *ordinalSet) nth(workers []*workerInfo, n, limit int) (found *workerInfo) {
 	if len(workers) == 1 {
 		return workers[0]
@@ -31,7 +33,8 @@
 	return found
 }
 
-// nthBit returns the number of the n-th set bit, both counted from 0, or -1 if fewer bits are set.
+// nthBit returns the position of the n-th set bit, or -1 if at most n bits are set. Positions and n
+// are counted from 0.
 func nthBit(words []uint64, n int) int {
 	for i, word := range words {
 		ones := bits.OnesCount64(word)
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -32,11 +32,11 @@
 	// assumed to have used already. On each worker, the contention is limited to the free capacity that
 	// is new in the current view: the part above workerInfo.sustainedFree.
 	contention float64
-	// concurrent is the amount of each resource that other schedulers are assumed to have placed since the
+	// concurrent is, for each resource, the assumed size of the placements of other schedulers since the
 	// current view, as a fraction of the capacity of the whole fleet.
 	concurrent [resourceCount]float64
-	// reservedUnits holds, for each class, the number of units that the class leaves free for classes of
-	// higher weight.
+	// reservedUnits holds, for each class, the number of units (see Settings.Units) that the class leaves
+	// free for classes of higher weight.
 	reservedUnits []float64
 	// releaseRate is the capacity that becomes free while tasks wait, in units per second. It is 0 if
 	// the rate is unknown or no task waits.
@@ -81,9 +81,10 @@
 func (o *overload) updateConcurrent() { o.concurrent = o.estimateConcurrent() }
 
 // estimateConcurrent estimates how much other schedulers placed since the current view, as fractions of
-// the fleet's capacity. It assumes that each of them placed as much as this scheduler did. It counts
-// only the part of this scheduler's net placements that exceeds the random fluctuation of starts and
-// ends (see chanceDeviations).
+// the fleet's capacity. It assumes that each scheduler that offers tasks to the same workers placed as
+// much as this scheduler did. It counts only the part of this scheduler's net placements that exceeds
+// the random fluctuation of starts and ends (see chanceDeviations). The result is zero without an
+// overload or without a view.
 func (o *overload) estimateConcurrent() (shares [resourceCount]float64) {
 	if !o.active || !o.settings.HasView {
 		return shares
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// overloadedFixture returns a fixture with two workers that has received a backpressure event.
+// overloadedFixture returns a fixture with two workers, each with the given number of free cores. The
+// scheduler has received a backpressure event.
 func overloadedFixture(t *testing.T, free float64, pressure Backpressure) *fixture {
 	settings := testSettings()
 	settings.UnitCores, settings.UnitMemory = 1, 2
@@ -37,17 +38,17 @@
 }
 
 // TestUnitsAreReservedByClass checks that a class leaves the reserved units free for classes of higher
-// weight during an overload. A task of the class gets a worker once nothing is reserved, or if there is
-// free capacity for all classes.
+// weight during an overload. A task of the class gets a worker once nothing is reserved, or if more units
+// are free than are reserved.
 func TestUnitsAreReservedByClass(t *testing.T) {
 	reserved := make([]float64, len(testSettings().Classes))
 	reserved[0] = 100
 	f := overloadedFixture(t, 30, Backpressure{Reserved: reserved})
 	if got := ofType[Place](f.handleAfter(ms, f.request("web", "safe", 1, 2))); len(got) != 0 {
-		t.Errorf("class with reserved units: got placements %v, want none", got)
+		t.Errorf("class that must leave units free: got placements %v, want none", got)
 	}
 	if got := ofType[Place](f.handleAfter(ms, f.request("other", "all", 1, 2))); len(got) != 1 {
-		t.Errorf("class without reserved units: got placements %v, want 1", got)
+		t.Errorf("class that need not leave units free: got placements %v, want 1", got)
 	}
 	if got := ofType[Place](f.handleAfter(ms, Backpressure{})); len(got) != 1 || got[0].RequestID != "web" {
 		t.Errorf("once nothing is reserved: got placements %v, want 1 of request web", got)
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -32,8 +32,8 @@
 	queue        *queue
 	requests     *requests
 
-	unschedulable map[taskShape]bool // shapes of tasks for which this pass found no worker
-	freeUnits     float64            // free units left in this pass; only computed if a class has reserved units
+	unschedulable map[taskShape]bool // shapes of tasks that could get no worker in this pass
+	freeUnits     float64            // free units left in this pass; valid only if a class must leave units free
 	unitsAhead    float64            // units of the earlier tasks of this pass that wait for free capacity
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// schedule decides about one pending task.
+// schedule offers one pending task to a worker, keeps it pending, or gives its final response.
 func (p *schedulingPass) schedule(task *taskInfo) {
 	if p.exhausted(task) {
 		p.requests.respond(task)
@@ -122,14 +122,15 @@
 	return known && timeUntilFree > float64(task.DeadlineUs-p.now)*latenessFactor
 }
 
-// reserve reserves the worker that is closest to fitting a pending task. Without reservations, small
-// tasks of low priority would take all free capacity of a worker before it suffices for a larger
-// task of high priority.
+// reserve reserves for a pending task the healthy unreserved worker that lacks the least capacity for
+// it. Without reservations, small tasks of low priority would take all free capacity of a worker
+// before it suffices for a larger task of high priority. If the settings provide no view, no worker is
+// reserved.
 //
-// Reservations would do harm in two cases, which are excluded. If all pending tasks have one
-// priority, a reservation keeps none of them from a worker (see reservationFactor). If capacity
-// never becomes free, the other workers stay open to all tasks, because reservations stop once half
-// of the workers are reserved.
+// Reservations would do harm in two cases, which are excluded. If all pending tasks have the same
+// priority, a reservation keeps none of them from a worker (see reservationFactor). If no capacity
+// becomes free on the reserved workers, the other workers stay open to all tasks, because reservations
+// stop once half of the workers are reserved.
 func (p *schedulingPass) reserve(task *taskInfo) {
 	if !p.settings.HasView || p.reservations.count()*2 >= p.fleet.assignedCount() {
 		return
@@ -151,10 +152,11 @@
 	p.emit(Place{RequestID: task.RequestID, Worker: worker.Worker, AbandonAtUs: p.abandonAt(task)})
 }
 
-// abandonAt returns the time at which the latest attempt of a task is abandoned. This is well after
-// responses usually arrive, and leaves time for another attempt. The attempt lasts until the deadline in
-// three cases: the task is unsafe, because it could not be tried again; the attempt is the last one
-// permitted; or no response time was measured yet.
+// abandonAt returns the time at which the latest attempt of a task is abandoned if the worker has not
+// answered. This is well after responses usually arrive, and usually leaves time for another attempt.
+// The attempt lasts until the deadline in three cases: the class of the task is unsafe, so the task
+// could not be tried again; the attempt is the last one permitted; or no response time was measured
+// yet.
 func (p *schedulingPass) abandonAt(task *taskInfo) int64 {
 	lastAttempt := p.settings.MaxAttempts > 0 && len(task.attempts) >= p.settings.MaxAttempts
 	if p.classOf(task).Effect == Unsafe || lastAttempt || !p.health.rttKnown() {
