--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -71,8 +71,8 @@
 }
 
 // TestUnreachableWorkerIsLeftOut has all workers suspect and one of them unreachable. Attempts go only to
-// the reachable worker, up to its limit. The other tasks wait until the unreachable worker is reached
-// again.
+// the reachable worker, which gets maxSuspectAttempts of them. The other tasks wait until the unreachable
+// worker is reached again.
 func TestUnreachableWorkerIsLeftOut(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	for _, worker := range f.scheduler.fleet.sorted {
@@ -112,8 +112,8 @@
 	expectPlaces(t, places, "b", maxSuspectAttempts)
 }
 
-// TestUnreachableWorkerReturnsByItself has a worker stay unreachable. Once its suspicion has decayed it gets
-// tasks as any other worker, because no connection may have been attempted in the meantime.
+// TestUnreachableWorkerReturnsByItself has a worker stay unreachable. Once its suspicion has decayed, it
+// gets tasks as any other worker, because it is possible that no connection was attempted in the meantime.
 func TestUnreachableWorkerReturnsByItself(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.scheduler.fleet.workers["a"].addSuspicion(f.now, maxSuspicion)
@@ -123,8 +123,8 @@
 }
 
 // TestTaskWaitsForFullWorkerThatIsReached has an unreachable worker, which looks empty because no task
-// reaches it, and a reachable one that is full or has an unanswered attempt. Tasks wait for the reachable
-// worker.
+// reaches it, and a reachable one that is full or has as many unanswered attempts as its attempt window
+// permits. Tasks wait for the reachable worker.
 func TestTaskWaitsForFullWorkerThatIsReached(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -223,7 +223,7 @@
 		f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
 		f.handleAfter(800 * ms)
 		if got := f.scheduler.health.healthy(f.scheduler.fleet.workers["a"], 0); got != running {
-			t.Errorf("AcceptMeansRunning %v: got healthy %v after 0.8 s, want %v", running, got, running)
+			t.Errorf("AcceptMeansRunning %v: got healthy %v with an offer unanswered for 0.8 s, want %v", running, got, running)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 func TestTimeoutIsDistinguishedFromLoss(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		accepted    string // class of an attempt that the worker accepted later, or "" for none
+		accepted    string // class of a later attempt that the worker accepted, or "" for none
 		safe, large bool   // whether the worker is expected to stay below the ejection threshold, by class
 	}{
 		{"unresponsive worker", "", false, false},
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -144,8 +144,8 @@
 	return ended
 }
 
-// drawDelta returns random changes to a few workers or, in some cases, to a quarter of the fleet that
-// drains, is removed or becomes ready at the same time.
+// drawDelta returns random changes to a few workers or, in some cases, to about a quarter of the fleet,
+// which drains, is removed or becomes ready at the same time.
 func (h *history) drawDelta() Event {
 	var changed []Entry
 	count := 1 + h.random.IntN(5)
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -48,11 +48,11 @@
 	index        map[string]int  // index in entries, by worker name
 	attempts     map[string]int  // number of attempts, by request ID
 	unfinished   map[string]Task // tasks that have not ended, by request ID
-	offered      []Place         // attempts that were not answered
+	offered      []Place         // attempts for which no answer or loss was drawn yet
 	running      []Place         // accepted attempts and adopted tasks that have not ended
 	probed       []string        // workers with a probe that was not answered
 	requestCount int
-	utilization  float64 // mean utilization of the drawn workers
+	utilization  float64 // mean requested fraction of the size of a drawn worker
 	stepCount    int
 	record       func(now int64, events []Event) // called with the arguments of each call of Handle, or nil
 }
@@ -182,12 +182,12 @@
 	return h.random.Int64N(longest) + 1
 }
 
-// handle passes events to the scheduler and updates the history by the actions that it returns. A panic
-// fails the test with the seed and the step that reproduce it.
+// handle passes events to the scheduler and updates the history from the actions that it returns. If the
+// scheduler panics, the test fails with the seed and the number of the call, counted from 1.
 func (h *history) handle(events []Event) []Action {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			h.t.Fatalf("seed %d, step %d, %d workers: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
+			h.t.Fatalf("seed %d, call %d of Handle, %d workers: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
 		}
 	}()
 	h.steps++
--- a/placement/index.go
+++ b/placement/index.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// put adds a worker to the index, or moves it to the position that its requested capacity requires.
+// put adds a worker to the index, or updates its entry and moves it to the level that its requested
+// capacity requires. The argument reserved states whether the worker is reserved.
 func (x *workerIndex) put(worker *workerInfo, requested fractions, reserved bool) {
 	calibration := min(worker.calibration[resourceCores], worker.calibration[resourceMemory])
 	entry := indexEntry{worker, requested, calibration}
@@ -158,7 +159,7 @@
 	limits         []loadLimit // by kind, or nil if there are no limits
 	unreservedOnly bool
 	// relevant reports whether the walk still needs workers of a kind with at least the given
-	// requested fractions and at least the utilization minUtilization.
+	// requested capacity and at least the utilization minUtilization.
 	relevant func(kindIndex int, requested fractions, minUtilization float64) bool
 	// visit processes one worker, and reports whether to continue.
 	visit func(worker *workerInfo) bool
--- a/placement/migration_test.go
+++ b/placement/migration_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("got %d migrations off a worker that gives 0.9 of full service, want none", count)
 	}
 	if count := migrations(0.5, -20); count != 0 {
-		t.Errorf("got %d migrations at 0.5 of full service without free capacity elsewhere, want none", count)
+		t.Errorf("got %d migrations at 0.5 of full service, without free capacity elsewhere, want none", count)
 	}
 	if count := migrations(0, -20); count < 3 {
 		t.Errorf("got %d migrations off a worker that gives no service, without free capacity elsewhere, want at least 3", count)
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -54,7 +54,7 @@
 	copy(o.reservedUnits, event.Reserved)
 }
 
-// reservesUnits reports whether any class must leave units free for others.
+// reservesUnits reports whether any class must leave units free for other classes.
 func (o *overload) reservesUnits() bool { return slices.Max(o.reservedUnits) > 0 }
 
 // unitsReserved returns the number of units that a class must leave free for classes of higher weight.
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -10,10 +10,11 @@
 	// the deadline of a pending task. If the expected wait at the present release rate is longer, the
 	// task is rejected before its deadline.
 	latenessFactor = 2.0
-	// abandonTimeouts is the number of response timeouts after which an attempt is abandoned.
+	// abandonTimeouts is the time after which an unanswered attempt is abandoned, as a multiple of the
+	// response timeout (see abandonAt).
 	abandonTimeouts = 2
-	// offerRetentionWindows is the number of slow-start windows for which offers to a worker are
-	// recorded.
+	// offerRetentionWindows is the time for which the record of an offer to a worker is kept, as a
+	// multiple of the slow-start window.
 	offerRetentionWindows = 2
 )
 
@@ -165,8 +166,8 @@
 	timeout := abandonTimeouts * p.health.responseTimeout()
 	if p.settings.AcceptMeansRunning {
 		// The response timeout is derived from the responses so far, and fast responses arrive first.
-		// Early timeouts are therefore too short for slow starts, so the attempt lasts for at least two
-		// thirds of the time left until the deadline.
+		// While few responses have arrived, the timeout is therefore too short for slow starts, so the
+		// attempt lasts for at least two thirds of the time left until the deadline.
 		timeout = max(timeout, (task.DeadlineUs-p.now)*2/3)
 	}
 	return min(task.DeadlineUs, p.now+timeout)
