--- a/placement/probe.go
+++ b/placement/probe.go
@@ -7,7 +7,8 @@
 
 const (
 	// reportValidity is the time for which a report is current. During this time, the worker is not probed
-	// again, and scores use the queue length from the report.
+	// again, and scores use the queue length from the report if it is higher than the number of offers and
+	// starts that the scheduler itself knows of (see scorer.startBacklog).
 	reportValidity = second
 	// maxProbesPerTask is the maximum number of probes sent for one task.
 	maxProbesPerTask = 2
@@ -27,7 +28,8 @@
 
 // mustWaitForReport reports whether a task must wait for a report of the worker selected for it. The task
 // waits if probes are permitted, the worker has not reported within reportValidity and the task has not
-// used up its probes. A probe is sent unless another probe of the worker awaits its result.
+// used up its probes. In this case, mustWaitForReport also sends a probe, unless an earlier probe of the
+// worker still awaits its result.
 func (p *probes) mustWaitForReport(task *taskInfo, worker *workerInfo) bool {
 	reported := worker.reportedAt > 0 && p.now-worker.reportedAt < reportValidity
 	if !p.settings.Probes || task.probesSent >= maxProbesPerTask || reported {
@@ -43,8 +45,8 @@
 
 // recordResult evaluates the result of a probe. A report contains the worker's free capacity, its
 // utilization and the number of offers and starts in its queue. Missing or implausible values are ignored.
-// A probe that does not complete raises the suspicion as much as an attempt that timed out. An answer does
-// not lower the suspicion, because a worker may answer probes and still lose tasks.
+// A probe that does not complete raises the worker's suspicion for every class by timeoutSuspicion. An
+// answer does not lower the suspicion, because a worker may answer probes and still lose tasks.
 func (p *probes) recordResult(event ProbeResult) {
 	worker := p.fleet.workers[event.Worker]
 	if worker == nil {
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -60,7 +60,8 @@
 }
 
 // TestPendingTasksOfLargeFleet checks that in a large fleet, pending tasks are scheduled when the
-// timer fires and not at each change of the list, because a large fleet has a change in each call.
+// timer fires and not at each change of the list, because in a large fleet nearly every call of
+// Scheduler.Handle brings a list of changes.
 func TestPendingTasksOfLargeFleet(t *testing.T) {
 	for _, count := range []int{maxEnumerated, maxEnumerated + 1} {
 		f := largeFleet(t, count, func(*rand.Rand) float64 { return 1.5 })
--- a/placement/quota.go
+++ b/placement/quota.go
@@ -2,7 +2,7 @@
 
 // This file tracks how much of their quotas tenants use. It never rejects a task.
 
-// quotas counts the cores requested by the running tasks of this scheduler, by tenant.
+// quotas counts the cores requested by the accepted tasks of this scheduler that have not ended, by tenant.
 type quotas struct {
 	*environment
 	fleet         *fleet
@@ -20,7 +20,7 @@
 	return q
 }
 
-// start counts a task that starts running.
+// start adds a task that a worker accepted, or that was adopted, to the counts.
 func (q *quotas) start(task *taskInfo) { q.add(task.Tenant, task.Cores) }
 
 // end removes a task that has ended from the counts.
@@ -34,7 +34,8 @@
 }
 
 // exceeded estimates whether a tenant is over its quota. The scheduler knows only its own tasks, so it
-// assumes that the tenant's share of the requested cores is the same in the whole fleet.
+// assumes that the tenant's share of the cores requested in the whole fleet equals the tenant's share among
+// these tasks. The result is false for a tenant without a quota, and if the counted tasks request no cores.
 func (q *quotas) exceeded(tenant string) bool {
 	i, ok := q.tenantIndexes[tenant]
 	if !ok || q.totalCores <= 0 || q.settings.Tenants[i].QuotaCores <= 0 {
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -88,12 +88,13 @@
 			return selection{[]*workerInfo{worker}, []*workerInfo{worker}, nil, false, pathUncordoned}
 		}
 	}
-	must, may, wide := r.nearLowest(healthy, task)
-	return selection{must, may, wide, len(healthy) > maxEnumerated, path}
+	required, permitted, withinTwiceMargin := r.nearLowest(healthy, task)
+	return selection{required, permitted, withinTwiceMargin, len(healthy) > maxEnumerated, path}
 }
 
 // lowestSuspicion returns the worker with the lowest suspicion. It considers only workers with at most
-// one unanswered attempt. Among workers with equal suspicion, it returns the first one.
+// one unanswered attempt, and returns nil if there are none. Among workers with equal suspicion, it returns
+// the first one.
 func (r *reference) lowestSuspicion(workers []*workerInfo, classIndex int) (best *workerInfo) {
 	for _, worker := range workers {
 		if len(worker.unanswered) <= 1 && (best == nil || r.suspicion(worker, classIndex) < r.suspicion(best, classIndex)) {
@@ -103,7 +104,7 @@
 	return best
 }
 
-func (r *reference) nearLowest(workers []*workerInfo, task *taskInfo) (must, may, wide []*workerInfo) {
+func (r *reference) nearLowest(workers []*workerInfo, task *taskInfo) (required, permitted, withinTwiceMargin []*workerInfo) {
 	lowest := math.Inf(1)
 	costs := make([]float64, len(workers))
 	for i, worker := range workers {
@@ -112,16 +113,16 @@
 	}
 	for i, worker := range workers {
 		if costs[i] <= lowest+costMargin-referenceTolerance {
-			must = append(must, worker)
+			required = append(required, worker)
 		}
 		if costs[i] <= lowest+costMargin+referenceTolerance {
-			may = append(may, worker)
+			permitted = append(permitted, worker)
 		}
 		if costs[i] <= lowest+2*costMargin {
-			wide = append(wide, worker)
+			withinTwiceMargin = append(withinTwiceMargin, worker)
 		}
 	}
-	return must, may, wide
+	return required, permitted, withinTwiceMargin
 }
 
 // matches reports whether the finalists of a scheduler agree with this selection.
@@ -176,7 +177,8 @@
 }
 
 // compareFinalists compares the finalists of a scheduler for a task with those of the full scan. It returns
-// the path of the full scan, whether only a variant of the candidates matched, and an error if none did.
+// the path of the full scan, whether only a variant of the candidates matched (see acceptsAnyVariant), and
+// an error if neither the candidates nor a variant matched.
 func (r *reference) compareFinalists(task *taskInfo, got []*workerInfo) (path string, flipped bool, err error) {
 	list := r.candidates(task)
 	want := r.selectFrom(list, task)
@@ -188,7 +190,8 @@
 }
 
 // compareElsewhere compares the result of a scheduler's fitsElsewhere with the full scan. got is this
-// result: whether the scheduler found that a task fits a worker other than the given one.
+// result: whether the scheduler found that a task fits a worker other than the given one. flipped and err
+// have the same meaning as for compareFinalists.
 func (r *reference) compareElsewhere(task *taskInfo, worker *workerInfo, got bool) (flipped bool, err error) {
 	var list []candidate
 	for _, other := range r.workers {
@@ -248,7 +251,7 @@
 		got, want float64
 	}{
 		{"utilization of the fleet", utilization, r.fleetUtilization}, {"mean cores", mean, r.meanCores}, {"requested cores", scheduler.fleet.totalRequestedCores(), r.requestedCores()},
-		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"concurrent cores", others[0], wantOthers[0]}, {"concurrent memory", others[1], wantOthers[1]},
+		{"free capacity", scheduler.totals.freeUnits(), r.freeUnits()}, {"cores placed by other schedulers", others[0], wantOthers[0]}, {"memory placed by other schedulers", others[1], wantOthers[1]},
 	} {
 		if test.got != test.want && math.Abs(test.got-test.want) > referenceTolerance*max(1, math.Abs(test.want)) {
 			return fmt.Errorf("%s: got %v, the full scan gives %v", test.name, test.got, test.want)
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -8,8 +8,8 @@
 )
 
 // This file contains the reference implementation of the selection of a worker: a full scan over the raw
-// state of a scheduler. It must not use results that the scheduler computes, so that tests can compare the
-// scheduler's faster search with it.
+// state of a scheduler. It must not use the scheduler's index, filters, scores or cached sums, so that tests
+// can compare the scheduler's faster search with it.
 
 const (
 	// referenceTolerance is the maximum distance of a value from a limit at which both results of the
@@ -188,8 +188,8 @@
 	return r.permitsOnceAnswered(worker, class, task)
 }
 
-// permitsOnceAnswered checks whether a worker is ready, its kind, and the rules for repeats, spread and slow
-// start.
+// permitsOnceAnswered checks that a worker is listed, ready and not draining, that the class of the task
+// permits its kind, and that the rules for repeats, spread and slow start permit the task.
 func (r *reference) permitsOnceAnswered(worker *workerInfo, class *Class, task *taskInfo) bool {
 	switch {
 	case !worker.listed || worker.State != Ready || worker.kindIndex < 0 || r.scheduler.now < worker.drainingUntil:
@@ -243,9 +243,9 @@
 	window := scheduler.settings.SlowStartWindowUs*11/10 + 1
 	budget := min(scheduler.settings.SlowStartOffers, 2*(scheduler.settings.SlowStartOffers+2*math.Sqrt(scheduler.settings.SlowStartOffers)+2)/3)
 	schedulers := scheduler.settings.FleetSize
-	seat := (scheduler.settings.SelfIndex + int(worker.nameHash%uint64(schedulers))) % schedulers
+	rotatedIndex := (scheduler.settings.SelfIndex + int(worker.nameHash%uint64(schedulers))) % schedulers
 	if int(budget) >= schedulers {
-		return scheduler.now >= scheduler.startedAt+window && offersAfter(max(scheduler.now-window, worker.StartedAtUs-1)) < (int(budget)+seat)/schedulers
+		return scheduler.now >= scheduler.startedAt+window && offersAfter(max(scheduler.now-window, worker.StartedAtUs-1)) < (int(budget)+rotatedIndex)/schedulers
 	}
 	if budget < 1 || scheduler.now < worker.StartedAtUs {
 		return false
@@ -257,7 +257,7 @@
 	turns := (schedulers + perSlot - 1) / perSlot
 	slot := scheduler.now / window
 	slotStart := slot * window
-	return slot%int64(turns*step) == int64(seat%turns*step) && scheduler.startedAt < slotStart && offersAfter(slotStart-1) == 0
+	return slot%int64(turns*step) == int64(rotatedIndex%turns*step) && scheduler.startedAt < slotStart && offersAfter(slotStart-1) == 0
 }
 
 func (r *reference) suspicion(worker *workerInfo, classIndex int) float64 {
@@ -288,8 +288,8 @@
 	return suspicion < suspectThreshold || suspicion < ejectionThreshold && len(worker.unanswered) == 0 && r.scheduler.settings.Classes[classIndex].Effect != Unsafe
 }
 
-// fits reports whether a worker has free capacity for a task, and whether a value lies within
-// referenceTolerance of its limit.
+// fits reports whether a worker has free capacity for a task. The result border reports whether any of the
+// compared values lies within referenceTolerance of its limit, so that the other result is also accepted.
 func (r *reference) fits(worker *workerInfo, task *taskInfo) (fits, border bool) {
 	scheduler := r.scheduler
 	kind := scheduler.settings.Kinds[worker.kindIndex]
@@ -337,8 +337,8 @@
 	if !r.warmingUp(worker) {
 		return 1
 	}
-	warm := max(0, float64(r.scheduler.now-worker.StartedAtUs)/float64(r.scheduler.settings.WarmUpUs))
-	return max(0.1, r.scheduler.settings.ColdStartRate+(1-r.scheduler.settings.ColdStartRate)*warm)
+	warmUpProgress := max(0, float64(r.scheduler.now-worker.StartedAtUs)/float64(r.scheduler.settings.WarmUpUs))
+	return max(0.1, r.scheduler.settings.ColdStartRate+(1-r.scheduler.settings.ColdStartRate)*warmUpProgress)
 }
 
 func (r *reference) missProbability(worker *workerInfo, task *taskInfo) float64 {
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -41,7 +41,8 @@
 	return &r
 }
 
-// add handles a new request. A request that no worker could ever run is rejected at once.
+// add handles a new request. It ignores a request with the ID of a stored request. A request is rejected at
+// once if its class is unknown, its deadline has passed or no worker could ever run it.
 func (r *requests) add(submitted Task) {
 	if r.tasks[submitted.RequestID] != nil {
 		return
@@ -59,7 +60,8 @@
 	r.queue.add(task)
 }
 
-// fitsAnyKind reports whether an empty worker of any kind could run a task.
+// fitsAnyKind reports whether an empty worker of at least one kind could run a task. It checks the size of
+// the task, and the kind and the spread limit that its class sets.
 func (r *requests) fitsAnyKind(classIndex int, task Task) bool {
 	class := &r.settings.Classes[classIndex]
 	if class.Spread != ScopeNone && class.MaxPerDomain < 1 {
@@ -93,8 +95,8 @@
 	worker.addRunning(r.now, task)
 }
 
-// cancel ends a request that its client cancelled. An attempt that has not ended counts towards the
-// spread until it ends, so its request is kept until then.
+// cancel ends a request that its client cancelled. It ignores a request whose task a worker accepted. An
+// attempt that has not ended counts towards the spread until it ends, so its request is kept until then.
 func (r *requests) cancel(requestID string) {
 	task := r.tasks[requestID]
 	if task == nil || task.accepted {
@@ -118,7 +120,8 @@
 	r.forget(task)
 }
 
-// forget removes a request that has its final response, or a task that has ended.
+// forget removes a task that has ended, or a request that gets no further attempt because it has its final
+// response, was cancelled or had an attempt with a final outcome.
 func (r *requests) forget(task *taskInfo) {
 	r.queue.remove(task)
 	if task.accepted {
@@ -198,9 +201,9 @@
 	r.queue.add(task)
 }
 
-// taskReported handles a report about a running task: how much of the requested cores or memory the
-// task uses, what fraction of full service its worker gives, or how much of the worker's memory is
-// in use.
+// taskReported handles a report about a running task: that it started to run, how many cores or how much
+// memory it uses, what fraction of full service it gets, or what fraction of its worker's memory is in
+// use.
 func (r *requests) taskReported(event TaskReport) {
 	task := r.tasks[event.RequestID]
 	if task == nil {
--- a/placement/requests_test.go
+++ b/placement/requests_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOneFinalResponse ends requests in every possible way, and checks that each gets the right
-// final response, once.
+// TestOneFinalResponse ends requests in different ways, and checks that each gets the expected final
+// response once, or none if it was cancelled, was accepted or had an attempt with a final outcome.
 func TestOneFinalResponse(t *testing.T) {
 	toDeadline := AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}
 	for _, test := range []struct {
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -4,7 +4,7 @@
 // The scheduling pass selects the workers and the tasks.
 
 // reservationFactor is a ratio of priorities. If the priority of a pending task is more than
-// reservationFactor times the priority of another task, the other task gets no offer to the worker that
+// reservationFactor times the priority of another task, the other task is not offered to the worker that
 // is reserved for the pending task.
 const reservationFactor = 1.5
 
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -17,7 +17,7 @@
 //	search.go ordinals.go                    search for the worker of a task
 //	filter.go score.go                       feasible, healthy and fitting workers; admission cost
 //	queue.go quota.go                        pending tasks by priority; quotas of tenants
-//	overload.go totals.go                    concurrent placements; sums over all workers
+//	overload.go totals.go                    overload, placements of other schedulers; sums over all workers
 //	view.go lag.go probe.go                  worker lists; lag of the view; probes and their reports
 //	calibration.go                           learned effective capacity of single workers
 //	slowstart.go health.go spread.go         slow start; outlier detection; anti-affinity
@@ -25,7 +25,7 @@
 //	fleet.go                                 set of all workers
 //	load.go                                  cores and memory requested of each worker
 //	reservations.go index.go levels.go       reserved workers; index of workers by requested capacity
-//	residents.go affinity.go capacity.go     programs on workers; effective capacity
+//	residents.go affinity.go capacity.go     resident programs; preferred workers; effective capacity
 //	environment.go                           settings, clock, random source, actions
 //	worker.go task.go                        one worker; one task and its attempts
 //	settingscheck.go settings.go             validation of the settings; settings
@@ -70,8 +70,8 @@
 	timer        *timer
 }
 
-// New returns a scheduler whose random draws are determined by the seed. If settings are missing or
-// contradictory, New returns one [SettingError] for each of them, joined.
+// New returns a scheduler whose random draws are determined by the seed and Settings.SelfIndex. If settings
+// are missing, invalid or contradictory, New returns one [SettingError] for each of them, joined.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.check(); err != nil {
 		// The prefix is not "placement:", because the simulator protocol carries this text to the
@@ -105,7 +105,8 @@
 	}
 }
 
-// createEstimators creates the components that compute estimates and sums.
+// createEstimators creates the components that compute estimates and sums, that limit the offers to a
+// worker, and that process worker lists and probes.
 func (s *Scheduler) createEstimators() {
 	s.calibration = &calibration{
 		environment: s.environment, capacity: s.capacity, loads: s.loads, index: s.index,
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -9,14 +9,14 @@
 
 func TestSettingsNeverSeen(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"one scheduler":           func(settings *Settings) { settings.FleetSize = 1 },
-		"no view":                 func(settings *Settings) { settings.HasView = false },
-		"one attempt":             func(settings *Settings) { settings.MaxAttempts = 1 },
-		"no slow-start budget":    func(settings *Settings) { settings.SlowStartOffers = 0 },
-		"no tick":                 func(settings *Settings) { settings.TickUs = 0 },
-		"accepted means running":  func(settings *Settings) { settings.AcceptMeansRunning = true },
-		"polled list":             func(settings *Settings) { settings.PollsDiscovery, settings.PollWithinUs = true, 0 },
-		"no spread free capacity": func(settings *Settings) { settings.Classes[5].MaxPerDomain = 0 },
+		"one scheduler":          func(settings *Settings) { settings.FleetSize = 1 },
+		"no view":                func(settings *Settings) { settings.HasView = false },
+		"one attempt":            func(settings *Settings) { settings.MaxAttempts = 1 },
+		"no slow-start budget":   func(settings *Settings) { settings.SlowStartOffers = 0 },
+		"no tick":                func(settings *Settings) { settings.TickUs = 0 },
+		"accepted means running": func(settings *Settings) { settings.AcceptMeansRunning = true },
+		"polled list":            func(settings *Settings) { settings.PollsDiscovery, settings.PollWithinUs = true, 0 },
+		"no task per domain":     func(settings *Settings) { settings.Classes[5].MaxPerDomain = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
@@ -25,7 +25,7 @@
 			responses := 0
 			for i, class := range settings.Classes {
 				request := f.request(fmt.Sprint(i), class.Name, 1, 1)
-				request.DeadlineUs = f.now + 1*ms // shorter than the response margin
+				request.DeadlineUs = f.now + 1*ms // the deadline is nearer than the response margin
 				actions := f.handleAfter(0, request)
 				actions = append(actions, f.handleAfter(1*ms, TimerFired{"wake"})...)
 				responses += len(ofType[Reject](actions)) + len(ofType[Fail](actions))
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestSchedulersDoNotHerd checks that many schedulers with the same late view do not select the same
-// workers.
+// TestSchedulersDoNotHerd checks that many schedulers with the same lagging view do not all select the same
+// worker.
 func TestSchedulersDoNotHerd(t *testing.T) {
 	first := map[string]int{}
 	for i := range 40 {
--- a/placement/search.go
+++ b/placement/search.go
@@ -41,7 +41,7 @@
 	task          *taskInfo
 	class         *Class
 	limits        []loadLimit // by kind: upper limit of the load of a worker that the task fits
-	taskFractions []fractions // by kind: utilization that the task adds to a worker
+	taskFractions []fractions // by kind: utilization that the task adds to an uncalibrated worker
 	scored        []scoredWorker
 	lowestCost    float64                // lowest cost of the scored workers
 	nearLowest    []*workerInfo          // scored workers with a cost near the lowest
@@ -96,7 +96,9 @@
 	}
 }
 
-// cheapest returns the workers with an admission cost near the lowest, in no particular order.
+// cheapest returns the workers with an admission cost near the lowest, in no particular order. It considers
+// only workers that are feasible and healthy for the task and have free capacity for it. If more than
+// maxEnumerated workers qualify, it considers only some of them.
 func (s *search) cheapest(task *taskInfo) []*workerInfo {
 	s.begin(task)
 	s.scorer.prepare(task)
@@ -135,8 +137,8 @@
 }
 
 // evaluate filters and scores one worker for the task of the search. A worker that this search has
-// already evaluated is skipped. The result reports whether to evaluate further workers, and is false
-// once maxEnumerated workers have a score.
+// already evaluated is skipped. The result reports whether to evaluate further workers. It is false if this
+// worker got a score and at least maxEnumerated workers now have one.
 func (s *search) evaluate(worker *workerInfo) bool {
 	if worker.lastSearch == s.searchNumber {
 		return true
@@ -156,9 +158,10 @@
 	return len(s.scored) < maxEnumerated
 }
 
-// uncordonedWorker returns a worker that operators uncordoned, that has got no offer since and that can
-// run a task. It returns the first one by name if there are several, and nil if there is none or if the
-// task must not run twice. One task is enough to show that a worker is in use again.
+// uncordonedWorker returns a worker that operators uncordoned and that has got no new attempt or task since.
+// The worker is feasible and healthy for the given task and has free capacity for it. The result is the first
+// such worker by name, or nil if there is none or if the task must not run twice. The search prefers an
+// uncordoned worker for one task only, because one task is enough to show that the worker is in use again.
 func (s *search) uncordonedWorker(task *taskInfo) (found *workerInfo) {
 	class := s.classOf(task)
 	for worker := range s.fleet.pruneUncordoned() {
@@ -186,9 +189,10 @@
 	if slices.ContainsFunc(suspects, isUnreachable) && s.anyReachable(task) {
 		suspects = slices.DeleteFunc(suspects, isUnreachable)
 	}
-	// Most workers are suspect, so the likely cause is the network or the load and not the workers. The
-	// search continues with the least suspect worker, but with few attempts at a time for each worker,
-	// because unanswered attempts use up attempts that their tasks need later.
+	// All workers that fit the task are suspect. Either the task is safe to repeat, or at least half of the
+	// feasible workers are suspect, and the likely cause is the network or the load and not the workers.
+	// The search therefore selects the least suspect worker, but each worker gets only few attempts at a
+	// time, because an unanswered attempt counts towards the maximum number of attempts of its task.
 	suspects = slices.DeleteFunc(suspects, func(worker *workerInfo) bool {
 		return len(worker.unanswered) >= maxSuspectAttempts
 	})
@@ -230,7 +234,8 @@
 	return balance > 0
 }
 
-// fitsElsewhere reports whether a task fits a healthy worker other than the given one.
+// fitsElsewhere reports whether a healthy worker other than the given one may get a task and has free
+// capacity for it. Reservations do not count.
 func (s *search) fitsElsewhere(task *taskInfo, worker *workerInfo) bool {
 	s.begin(task)
 	class, found := s.classOf(task), false
@@ -258,7 +263,7 @@
 		}
 	}
 	var best *workerInfo
-	// The walk visits only workers for which the lower bound of the needed capacity is at most
+	// The walk visits only workers for which the lower bound of the utilization with the task is at most
 	// lowest+slack. With a positive slack, the walk also visits workers that are equal to the best
 	// worker so far, so the first of the equal workers by name is returned.
 	lowest, slack := math.Inf(1), roundingTolerance
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -31,8 +31,9 @@
 // free capacity.
 func TestFullFleetIsRemembered(t *testing.T) {
 	f := largeFleet(t, 4000, func(random *rand.Rand) float64 { return 1.495 + 0.004*random.Float64() })
-	// At first, one worker of the level has free capacity. Taking that capacity does not raise the lower
-	// bound of the level's requested capacity, so the bound is too low until the level is scanned.
+	// At first, one worker has free capacity, and it is in the same level as full workers. When the capacity
+	// is taken, the lower bound of the level's requested capacity does not rise, so it is too low until the
+	// level is scanned.
 	last := smallWorker("m03999", 0, 32*(1-1.478))
 	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	task := f.syntheticTask(0)
@@ -82,8 +83,8 @@
 	for _, worker := range f.scheduler.fleet.sorted {
 		squares += math.Pow(float64(drawn[worker])-mean, 2) / mean
 	}
-	// For an even distribution, the chi-square sum has a mean equal to the number of workers and a
-	// standard deviation of sqrt(2*workers).
+	// If all workers are equally likely, the chi-square sum has a mean of about the number of workers and
+	// a standard deviation of about sqrt(2*workers).
 	if limit := workers + 6*math.Sqrt(2*workers); squares > limit {
 		t.Errorf("got chi-square %.0f over %d workers, want at most %.0f", squares, workers, limit)
 	}
@@ -92,7 +93,7 @@
 // TestSelectionInLargeFleet compares the cost of the selected worker with the lowest cost of all
 // workers, because a search evaluates only a part of a large fleet.
 func TestSelectionInLargeFleet(t *testing.T) {
-	for _, share := range []struct {
+	for _, distribution := range []struct {
 		name string
 		draw func(*rand.Rand) float64
 	}{
@@ -100,7 +101,7 @@
 		{"alike", func(random *rand.Rand) float64 { return 0.5 + 0.001*random.Float64() }},
 		{"uneven", func(random *rand.Rand) float64 { return random.Float64() }},
 	} {
-		f := largeFleet(t, 4000, share.draw)
+		f := largeFleet(t, 4000, distribution.draw)
 		var selectedSum, lowestSum float64
 		for program := range uint64(200) {
 			task := f.syntheticTask(program % 20) // program 0 means no program
@@ -111,14 +112,14 @@
 			}
 			selected := f.scheduler.search.scorer.score(worker, task)
 			if selected > lowest+2*costMargin {
-				t.Errorf("%s: got cost %v at the selected worker %s, want at most %v above the lowest cost %v", share.name, selected, worker.Worker, 2*costMargin, lowest)
+				t.Errorf("%s: got cost %v at the selected worker %s, want at most %v above the lowest cost %v", distribution.name, selected, worker.Worker, 2*costMargin, lowest)
 			}
 			selectedSum, lowestSum = selectedSum+selected, lowestSum+lowest
 		}
-		// A worker drawn evenly from the workers within costMargin of the lowest cost costs, on
-		// average, half of costMargin more than the lowest cost.
+		// If the costs within costMargin of the lowest cost are evenly distributed, a worker drawn at
+		// random from these has, on average, a cost of half of costMargin above the lowest cost.
 		if loss := (selectedSum - lowestSum) / 200; loss > 0.75*costMargin {
-			t.Errorf("%s: selected workers cost %.4f more than the lowest on average, want at most %.4f", share.name, loss, 0.75*costMargin)
+			t.Errorf("%s: selected workers cost %.4f more than the lowest on average, want at most %.4f", distribution.name, loss, 0.75*costMargin)
 		}
 	}
 }
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -32,8 +32,8 @@
 	Effect          Effect
 	Group           Scope   // if Keyed: workers that discard repeats: ScopeAll, ScopeZone or ScopeCell
 	WindowUs        int64   // if Keyed: time for which the group discards repeats
-	ObjectiveUs     int64   // latency objective: a start within this time earns StartBonusS
-	DeadlineUs      int64   // time for which a client waits for a response
+	ObjectiveUs     int64   // latency objective: a start within this time after the arrival earns StartBonusS
+	DeadlineUs      int64   // timeout of requests that state no timeout; not used by the scheduler
 	Weight          float64 // priority weight of one second of full service of a task of mean size
 	StartBonusS     float64 // value of a start within the objective, in seconds of service
 	Kind            int     // index of the required kind of worker in Settings.Kinds, or -1
@@ -56,8 +56,8 @@
 	QuotaCores float64
 }
 
-// Settings hold the parameters of a scheduler, which [New] takes. Fields with the suffix Us are in
-// microseconds.
+// Settings hold the parameters of a scheduler, which [New] takes, and some parameters that only its caller
+// uses. Fields with the suffix Us are in microseconds.
 type Settings struct {
 	SelfIndex, FleetSize int // number of this scheduler, from 0; number of schedulers
 	Zone                 string
@@ -73,11 +73,11 @@
 	Probes             bool  // Probe is permitted, and reports contain data that the scheduler can use
 	Pings              bool  // workers may be sent pings
 	RetryAfter         bool  // rejected clients may get a Retry-After
-	Cancel             bool  // CancelAttempt is permitted
+	Cancel             bool  // CancelAttempt is permitted; not used by the scheduler
 	// ReportsUsage is true if the free capacity in the reports of probes is the capacity that tasks do
 	// not use. If it is false, the free capacity is the capacity that tasks do not request.
 	ReportsUsage bool
-	ReportsFree  bool // probe reports contain the free capacity (x0 and x1); not used by the scheduler
+	ReportsFree  bool // probe reports contain the free capacity, named x0 and x1; not used by the scheduler
 
 	CoresOvercommit  float64 // maximum requested cores that workers accept, as a multiple of their cores
 	MemoryOvercommit float64 // maximum requested memory that workers accept, as a multiple of their memory
@@ -87,10 +87,10 @@
 	UnitMemory  float64
 	MaxAttempts int // maximum number of attempts for each request; 0: unlimited
 
-	MigrationCost float64 // cost of migrating every task once, as a fraction of the total weight
+	MigrationCost float64 // cost of migrating every task once, as a fraction of the total priority weight
 
-	AnswerSlackUs     int64   // not used by the scheduler; must not be negative
-	DrainGraceUs      int64   // time for which a draining worker may get offers
+	AnswerSlackUs     int64   // Rules.AnswerSlackUs of the deployment; not used, but must not be negative
+	DrainGraceUs      int64   // time for which a draining worker may still get offers; not used by the scheduler
 	ColdStartRate     float64 // rate of task starts on a newly started worker, relative to a warm one
 	WarmUpUs          int64   // time from the start of a worker until it is warm
 	SlowStartWindowUs int64   // length of the window to which SlowStartOffers applies
