--- a/placement/settingscheck.go
+++ b/placement/settingscheck.go
@@ -4,20 +4,20 @@
 
 // This file checks the settings. It must not change a setting. The error texts must stay as they are, since
 // operators read them. Some texts name a setting as deployments do (CoresMultiple, MemoryMultiple,
-// FreshOffers, AttemptsCap), others by its field in Settings, and a few in words ("Apart" stands for
-// Class.Spread).
+// FreshOffers, AttemptsCap), others by its field in Settings, Class or Kind. "Apart" stands for Class.Spread,
+// and "a time" for any of several durations.
 
-// SettingError reports a setting that is missing, invalid or contradicts another one. [New] returns one for
-// each such setting, joined.
+// SettingError reports a setting that is missing or invalid, or that contradicts another one. [New] returns
+// one for each check that failed, joined.
 type SettingError struct {
-	Setting string // name in a deployment, field name in Settings, or description in words
+	Setting string // name in a deployment, field name, or description such as "a time"
 	Problem string
 }
 
 // Error returns the name of the setting and the problem.
 func (e *SettingError) Error() string { return e.Setting + " " + e.Problem }
 
-// check returns a [SettingError] for each invalid setting, joined with [errors.Join], or nil.
+// check returns a [SettingError] for each check that failed, joined with [errors.Join], or nil.
 func (s *Settings) check() error {
 	var errs []error
 	require := func(ok bool, setting, problem string) {
--- a/placement/slope_exchange_test.go
+++ b/placement/slope_exchange_test.go
@@ -1,15 +1,16 @@
 package placement
 
-// This file defines the exchange, the unit that the slope tests measure.
+// This file defines the exchange, the main unit of work whose cost the slope tests measure.
 
 // exchange consists of a request, the answer to its offer, and the end of another task.
 type exchange struct {
 	task  *siteTask // the requested task
-	ended *siteTask // the other task, which ends, or nil
-	place *Place    // the offer for task, or nil
+	ended *siteTask // the other task, which ends; nil if no other task ends
+	place *Place    // the offer of the requested task; nil if there is none
 }
 
-// prepare draws the next request and the other task that ends.
+// prepare returns an exchange of the next task and of a random running task, which ends. It removes the
+// running task from schedulerTasks. If there is none, no task ends.
 func (s *site) prepare() *exchange { return s.prepareTask(s.nextTask()) }
 
 func (s *site) prepareTask(task Task) *exchange {
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -12,13 +12,13 @@
 	"ravenhitch/internal/stats"
 )
 
-// countEvery is the interval, in units, between the units whose allocations are counted. For the units
-// between them, the time is measured.
+// countEvery determines which units of work have their allocations counted: one of every countEvery units.
+// For the other units, the time is measured.
 const countEvery = 4
 
-// meter sums up the processor time and the allocations of the measured units. It measures the time of
-// the calling thread alone, so that other programs have little influence. The time does not include the
-// threads of the garbage collector; the allocated bytes indicate their work instead.
+// meter sums up the processor time and the allocations of the measured units of work, such as exchanges.
+// It measures the time of the calling thread alone, so that other programs have little influence. The time
+// does not include the threads of the garbage collector; the allocated bytes indicate their work instead.
 type meter struct {
 	units     int
 	spent     time.Duration
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -7,15 +7,16 @@
 )
 
 // This file simulates the environment of one scheduler in a large fleet: the workers, the tasks of all
-// schedulers, the list of workers and the answers to requests. The slope tests measure the scheduler in
-// this environment.
+// schedulers, the list of workers and the reports about running tasks. The slope tests measure the
+// scheduler in this environment.
 
-// The parameters of the simulated fleet. The planned numbers of workers, running tasks and starts are
-// scaled in proportion to the number of workers of a site.
+// The parameters of the simulated fleet. The planned fleet has plannedWorkers workers, plannedRunning running
+// tasks and plannedStarts task starts per second. A site with fewer or more workers has running tasks and
+// starts in proportion.
 const (
 	plannedWorkers   = 4000
 	plannedRunning   = 34000
-	plannedStarts    = 220.0 // starts per second
+	plannedStarts    = 220.0 // task starts per second, by all schedulers together
 	siteSchedulers   = 9
 	siteZones        = 13
 	siteTenants      = 60
@@ -24,7 +25,7 @@
 	siteRTT          = 4 * ms
 	siteStartTime    = second // time from the acceptance of a task until it runs
 	siteRunTime      = 155 * second
-	siteOpenJobs     = 4    // number of jobs whose tasks are submitted at the same time
+	siteOpenJobs     = 4    // number of jobs from which the next task is drawn
 	siteCoresUse     = 0.9  // fraction of the requested cores that tasks use
 	siteMemoryUse    = 0.85 // fraction of the requested memory that tasks use
 	siteUtilization  = 0.65 // fraction of the effective capacity that is requested
@@ -34,7 +35,8 @@
 	programTaskLimit = 256
 )
 
-// siteSettings returns the settings of one scheduler of the planned fleet.
+// siteSettings returns the settings of one scheduler of a fleet with a number of workers. probes states
+// whether probes are permitted.
 func siteSettings(workers int, probes bool) Settings {
 	settings := Settings{
 		FleetSize: siteSchedulers, Zone: "zone-0", HasView: true, PollsDiscovery: true, Pings: true, RetryAfter: true, Cancel: true,
@@ -50,7 +52,7 @@
 		DrainGraceUs: 2 * second, SlowStartWindowUs: 3 * second, SlowStartOffers: 25, TickUs: 2 * ms, MaxRetryAfterUs: 30 * second, MigrationCost: 0.08,
 	}
 	for i := range siteTenants {
-		// Quotas range from 0.5 to 1.5 of the mean, so some are exceeded.
+		// Quotas range from 0.5 to nearly 1.5 times an equal part of the fleet's cores, so some are exceeded.
 		mean := float64(workers) * (settings.Kinds[0].Cores + settings.Kinds[1].Cores) / 2 / siteTenants
 		settings.Tenants = append(settings.Tenants, Tenant{fmt.Sprint("team-", i), mean * (0.5 + float64(i)/siteTenants)})
 	}
@@ -65,7 +67,8 @@
 	return settings
 }
 
-// siteShapes lists the cores and memory of tasks. Weights are in percent of the tasks.
+// siteShapes lists the cores and memory of tasks, which are the same for all tasks of a job. Weights are in
+// percent of the jobs.
 var siteShapes = []struct {
 	weight     int
 	cores, mem float64
@@ -93,7 +96,8 @@
 	return entry
 }
 
-// siteTask is a running task of the scheduler under test, or of another one.
+// siteTask is a requested or running task of the scheduler under test, or a running task of another one. The
+// worker is nil until the task starts.
 type siteTask struct {
 	Task
 	worker *siteWorker
@@ -121,8 +125,8 @@
 	requestCount   int
 	changes        []siteChange // changes that the list does not show yet, in order of time
 	reports        []siteReport // reports that were not sent yet, in order of time
-	unplaced       int          // requests that were not placed at once
-	idle           bool         // nothing runs on the fleet
+	unplaced       int          // requests that got no offer and were cancelled
+	idle           bool         // no tasks run on the workers initially
 	betweenUs      int64        // time between two requests to the scheduler
 }
 
@@ -291,9 +295,9 @@
 	return task
 }
 
-// advanceToNextRequest simulates the rest of the fleet until the next request: every other scheduler ends
-// a task and starts one. It passes the reports of tasks that began to run to the scheduler, and returns the
-// changes that the list now shows.
+// advanceToNextRequest simulates the rest of the fleet until the next request: each of the other schedulers
+// ends a task and starts one. It sends the scheduler under test the reports about tasks that began to run,
+// and returns the changes that the list now shows.
 func (s *site) advanceToNextRequest() (changes []Event) {
 	for range siteSchedulers - 1 {
 		if len(s.otherTasks) == 0 {
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -21,15 +21,15 @@
 const (
 	// slopeWarmUp is the number of exchanges before the measured ones.
 	slopeWarmUp = 40
-	// allocsGrowth is the maximum factor by which the allocations of a decision may grow in a fleet
+	// allocsGrowth is the maximum factor by which the allocations of an exchange may grow in a fleet
 	// that is four times as large. The factor is well below that of proportional growth, but leaves
 	// room for slices that double their capacity.
 	allocsGrowth = 1.5
-	// maxUnplaced is the maximum fraction of the requests that may find no free capacity immediately.
+	// maxUnplaced is the maximum fraction of the requests that get no offer in their exchange.
 	maxUnplaced = 0.02
 )
 
-// slopeRow holds the measurements at one size.
+// slopeRow holds the measurements at one number of workers.
 type slopeRow struct {
 	workers               int
 	requests, listEntries meter
@@ -37,7 +37,8 @@
 }
 
 // TestDecisionSlope measures how the cost of an exchange and of a list entry grows with the size of the
-// fleet. It asserts the number of allocations and of unplaced requests, but not the time.
+// fleet. It checks that few requests get no offer and, if the last size is four times the first, that the
+// allocations of an exchange grow little. It does not check the time.
 func TestDecisionSlope(t *testing.T) {
 	lockToThread(t)
 	var rows []*slopeRow
@@ -49,13 +50,13 @@
 		t.Logf("workers=%d asked=%.3f request_p50_us=%.1f request_p99_us=%.1f unplaced=%.3f",
 			count, r.utilization, r.requests.percentileUs(50), r.requests.percentileUs(99), r.unplaced)
 		if r.unplaced > maxUnplaced {
-			t.Errorf("%d workers: got a fraction of %.3f of unplaced requests, want at most %v", count, r.unplaced, maxUnplaced)
+			t.Errorf("%d workers: got no offer for a fraction of %.3f of the requests, want at most %v", count, r.unplaced, maxUnplaced)
 		}
 	}
 	reportSlope(t, rows)
 	if first, last := rows[0], rows[len(rows)-1]; first.workers*4 == last.workers {
 		if a, b := first.requests.allocsEach(), last.requests.allocsEach(); b > a*allocsGrowth {
-			t.Errorf("got %.1f allocations per decision with %d workers and %.1f with %d, want growth by at most a factor of %v",
+			t.Errorf("got %.1f allocations per exchange with %d workers and %.1f with %d, want growth by at most a factor of %v",
 				a, first.workers, b, last.workers, allocsGrowth)
 		}
 	}
@@ -80,7 +81,8 @@
 	return row
 }
 
-// reportSlope prints the exponents of growth, and writes the samples and the chart to files.
+// reportSlope prints the exponents with which the times grow. It writes the samples and the chart to the
+// files that the flags name, if any.
 func reportSlope(t *testing.T, rows []*slopeRow) {
 	t.Helper()
 	request, entry := plot.Series{Name: "request and answer"}, plot.Series{Name: "list entry"}
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -21,8 +21,8 @@
 	warmingWorker = "cold"
 	// maxOfferTime is the maximum time from the sending of an offer to its arrival at the worker.
 	maxOfferTime = 45 * ms
-	// maxPending is the maximum number of tasks pending at a scheduler. It is more than the scheduler may
-	// send at once.
+	// maxPending is the maximum number of tasks pending at a scheduler. It exceeds maxAttemptWindow, the
+	// maximum number of unanswered offers to one worker.
 	maxPending = 20
 )
 
@@ -38,7 +38,7 @@
 // arrival is one offer that reached the worker.
 type arrival struct {
 	at       int64
-	informed bool // the scheduler was notified of a start and considered the worker warming up
+	informed bool // the sending scheduler knew of a start and considered the worker warming up
 }
 
 // slowStartRun simulates one start of one worker, with constant demand at all schedulers.
@@ -58,8 +58,8 @@
 func newSlowStartRun(t *testing.T, start start, schedulers, seed int) *slowStartRun {
 	r := &slowStartRun{t: t, random: rand.New(rand.NewPCG(uint64(seed), uint64(schedulers))), settings: testSettings(), start: start}
 	r.settings.FleetSize = schedulers
-	// The budget is drawn evenly, or evenly on a logarithmic scale. With more than four schedulers, it
-	// may also be drawn below their number.
+	// Depending on the seed, the budget is drawn uniformly, uniformly on a logarithmic scale, or uniformly
+	// below the number of schedulers. In the last case, it is 4 for five or fewer schedulers.
 	switch seed % 3 {
 	case 0:
 		r.settings.SlowStartOffers = float64(4 + r.random.IntN(197))
@@ -72,7 +72,7 @@
 	r.settings.WarmUpUs = r.settings.SlowStartWindowUs*4 + 5*second
 	r.startUs = 1_000_000_000 + r.between(0, 5000)
 	r.earlierStartUs = r.startUs - r.between(50, 2000)
-	// Lists reach all schedulers at nearly the same time, or each of them at a different time.
+	// The list that shows the start reaches all schedulers within 20 ms, 500 ms or 4 s.
 	r.firstNotified, r.notifiedWithinMs = r.startUs+r.between(10, 3000), []int{20, 500, 4000}[r.random.IntN(3)]
 	// The demand on the fleet is one to six times the budget in each window.
 	budgetsPerWindow := math.Pow(6, r.random.Float64())
@@ -185,8 +185,8 @@
 	}
 }
 
-// bound returns the maximum number of offers within a window that is attributed to the budget and to
-// random fluctuation.
+// bound returns the number of offers within a window above which the worker counts as overloaded. It is the
+// budget plus an allowance for random fluctuation.
 func (r *slowStartRun) bound() float64 {
 	return r.settings.SlowStartOffers + 2*math.Sqrt(r.settings.SlowStartOffers) + 2
 }
@@ -219,7 +219,7 @@
 		}
 		maxUsed = max(maxUsed, float64(informed)/float64(r.informedBudget()))
 		if offers := i - oldest + 1; float64(offers) > r.bound() && 3*informed > 2*offers && violation == "" {
-			violation = fmt.Sprintf("got %d offers, %d from notified schedulers, within the %d ms before %.3f s",
+			violation = fmt.Sprintf("got %d offers, %d from notified schedulers, within the %d ms until %.3f s after the worker's start",
 				offers, informed, r.settings.SlowStartWindowUs/ms, float64(offer.at-r.startUs)/float64(second))
 		}
 	}
@@ -227,7 +227,9 @@
 }
 
 // TestFleetKeepsSlowStartBudget runs slow starts of one worker under the demand of a whole fleet. The
-// schedulers are notified of the start at different times, and some restart during the warm-up.
+// schedulers are notified of the start at different times, and some restart during the warm-up. The test
+// fails if the schedulers that were notified send more offers within a window than informedBudget, if no
+// such scheduler sends an offer, or if a window breaks the rule of checkWindows.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	for _, start := range []start{newWorker, startedTwice, wasWarm} {
 		for _, schedulers := range []int{3, 16, 24, 32} {
@@ -238,7 +240,7 @@
 						outcome.check(t, seed, newSlowStartRun(t, start, schedulers, seed))
 					}
 				}
-				t.Logf("%d slow starts: %d over the bound, %d over the budget, %d with no offer; %.2f of the budget used at most",
+				t.Logf("%d slow starts: %d over the bound; notified schedulers: %d over their budget, %d with no offer, at most %.2f of their budget used",
 					*coldSeeds, outcome.overBound, outcome.overBudget, outcome.idle, outcome.maxUsed)
 			})
 		}
@@ -248,7 +250,7 @@
 // slowStartOutcome counts slow starts that failed a check, by the check.
 type slowStartOutcome struct {
 	overBound, overBudget, idle int
-	maxUsed                     float64 // largest used fraction of the budget
+	maxUsed                     float64 // largest used fraction of informedBudget
 }
 
 // check runs a slow start with all schedulers and checks the offers to the worker.
@@ -261,12 +263,12 @@
 	offers := run.settings.SlowStartOffers
 	if violation != "" {
 		o.overBound++
-		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or two thirds of them from notified schedulers",
+		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or at most two thirds of them from notified schedulers",
 			seed, offers, violation, run.bound())
 	}
 	if used > 1 {
 		o.overBudget++
-		t.Errorf("-cold-seed %d: FreshOffers %v: notified schedulers used %.2f of their %d offers, want at most 1",
+		t.Errorf("-cold-seed %d: FreshOffers %v: notified schedulers used a fraction of %.2f of their %d offers, want at most 1",
 			seed, offers, used, run.informedBudget())
 	}
 	if used == 0 {
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -66,8 +66,9 @@
 	}
 }
 
-// TestManySchedulersShareSlowStartBudget checks the number of offers in a window where the budget is about
-// one offer per scheduler or less. It guards against schedulers that all use their share at the same time.
+// TestManySchedulersShareSlowStartBudget checks the number of offers within every window if the budget is
+// about one offer per scheduler or less. It guards against schedulers that all send an offer at the same time
+// and together exceed the budget.
 func TestManySchedulersShareSlowStartBudget(t *testing.T) {
 	for _, test := range []sharedBudget{
 		{"one offer", 300, 1, false, false},
@@ -101,8 +102,8 @@
 	}
 }
 
-// sharedBudget is a case with a slow-start budget that many schedulers share. In a case with a stall, a
-// scheduler is not called for 2 s from time to time. In a case with a restart, a scheduler restarts once.
+// sharedBudget is a case with a slow-start budget that many schedulers share. In a case with a stall, every
+// scheduler is not called for 2 s from time to time. In a case with a restart, every scheduler restarts once.
 type sharedBudget struct {
 	name           string
 	schedulers     int
@@ -164,9 +165,9 @@
 	}
 	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if count := offers(3, 10); count != 1 {
-		t.Errorf("got %d offers once the start is known, want 1, as 3 of 4 were sent since the start", count)
+		t.Errorf("got %d offers once the start is known, want 1, as 3 of the scheduler's share of 4 were sent since the start", count)
 	}
-	started.StartedAtUs = f.now // the worker starts again, so the offers since the last start no longer count
+	started.StartedAtUs = f.now // the worker starts again, so the offers before this start no longer count
 	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{started}})
 	if count := offers(4, 10); count != 4 {
 		t.Errorf("got %d offers after the next start, want 4", count)
@@ -215,7 +216,8 @@
 }
 
 // TestPartsAddUpToSlowStartBudget gives every scheduler more tasks at once than its share of the budget
-// allows, and checks the total number of offers.
+// allows, and checks the total number of offers. The total is the budget, or the limit that informedShare
+// sets if that is lower.
 func TestPartsAddUpToSlowStartBudget(t *testing.T) {
 	for _, test := range []struct {
 		schedulers int
@@ -245,8 +247,8 @@
 	}
 }
 
-// TestWarmWorkersHaveNoSlowStartBudget runs one random history with several slow-start settings and start
-// times. No worker warms up in any of them, so the actions must be the same.
+// TestWarmWorkersHaveNoSlowStartBudget runs the random history of each seed with several slow-start settings
+// and start times. No worker warms up in any of these runs, so the actions must be the same.
 func TestWarmWorkersHaveNoSlowStartBudget(t *testing.T) {
 	for seed := range uint64(5) {
 		want := runWarmHistory(t, seed, 0, func(*Settings) {})
@@ -255,7 +257,7 @@
 		}
 		for name, got := range map[string][]Action{
 			"no budget for workers that warm up": runWarmHistory(t, seed, 0, func(settings *Settings) { settings.SlowStartOffers = 0 }),
-			"a fleet with small parts":           runWarmHistory(t, seed, 0, func(settings *Settings) { settings.SlowStartOffers, settings.SlowStartWindowUs = 1, 60*second }),
+			"a budget of 1 offer in 60 s":        runWarmHistory(t, seed, 0, func(settings *Settings) { settings.SlowStartOffers, settings.SlowStartWindowUs = 1, 60*second }),
 			"no warm-up":                         runWarmHistory(t, seed, 1_000_000_000-second, func(settings *Settings) { settings.WarmUpUs = 0 }),
 			"started long ago":                   runWarmHistory(t, seed, 1, func(*Settings) {}),
 		} {
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -1,7 +1,7 @@
 package placement
 
 // This file owns the spread (anti-affinity) of programs, which limits the number of tasks of one program
-// in one domain. It must not permit a task beyond this limit.
+// in one domain: a worker, a cell or a zone. It must not permit a task beyond this limit.
 
 // spread counts tasks by domain. It keeps the counts of one program at a time.
 type spread struct {
@@ -9,7 +9,7 @@
 	counts    spreadCounts
 }
 
-// spreadCounts holds the number of attempts and tasks of one program, by domain.
+// spreadCounts holds the number of attempts and tasks of one program that have not ended, by domain.
 type spreadCounts struct {
 	program       uint64
 	version       int64 // version of the residents at the time of the count
@@ -19,8 +19,8 @@
 	unknownDomain int // attempts and tasks on workers that were never listed
 }
 
-// countsOf returns the number of attempts and tasks of a program by domain. It counts them again only
-// after the program or the residents changed.
+// countsOf returns the number of attempts and tasks of a program by domain. It counts them again only if the
+// previous call was for another program, or if the residents have changed since.
 func (s *spread) countsOf(program uint64) *spreadCounts {
 	counts := &s.counts
 	if counts.counted && counts.program == program && counts.version == s.residents.version {
--- a/placement/spread_test.go
+++ b/placement/spread_test.go
@@ -16,7 +16,7 @@
 			count += len(ofType[Place](f.handleAfter(ms, f.request(fmt.Sprint(i), test.class, 1, 1))))
 		}
 		if count != test.want {
-			t.Errorf("class %s: got %d placements of tasks from single calls, want %d", test.class, count, test.want)
+			t.Errorf("class %s: got %d placements of tasks requested in separate calls, want %d", test.class, count, test.want)
 		}
 		f = newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), smallWorker("c", 1, 30))
 		var all []Event
@@ -24,7 +24,7 @@
 			all = append(all, f.request(fmt.Sprint(i), test.class, 1, 1))
 		}
 		if count := len(ofType[Place](f.handleAfter(ms, all...))); count != test.want {
-			t.Errorf("class %s: got %d placements of tasks from one call, want %d", test.class, count, test.want)
+			t.Errorf("class %s: got %d placements of tasks requested in one call, want %d", test.class, count, test.want)
 		}
 	}
 }
@@ -38,8 +38,8 @@
 	f.wantPlaced(f.handleAfter(ms, Adopted{Task: f.request("f", "apartMachine", 1, 1).Task, Worker: "a"}, f.request("2", "apartMachine", 1, 1)), "")
 }
 
-// TestSpreadCountsAreNotReused checks that cached counts are not used for another program, nor after a change
-// of the tasks.
+// TestSpreadCountsAreNotReused checks that cached counts are not used for another program, nor after another
+// task of the same program was adopted.
 func TestSpreadCountsAreNotReused(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 10))
 	f.handleAfter(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"})
@@ -54,8 +54,8 @@
 	f.wantPlaced(f.handleAfter(ms, Adopted{Task: f.request("e", "apartMachine", 1, 1).Task, Worker: "a"}, free), "")
 }
 
-// TestAttemptsOfCancelledRequestsCountForSpread cancels a request before its attempt has ended, as in
-// incident ib4b606. The attempt counts for the spread until it ends.
+// TestAttemptsOfCancelledRequestsCountForSpread cancels a request before its attempt has ended (incident
+// ib4b606). The task may still run, so the attempt counts for the spread until it ends.
 func TestAttemptsOfCancelledRequestsCountForSpread(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "apartMachine", 1, 1)), "a")
@@ -77,8 +77,8 @@
 	f.wantPlaced(f.handleAfter(ms, AttemptEnded{RequestID: "e", Worker: "a", Outcome: Reset, Final: true}), "a")
 }
 
-// BenchmarkSpread measures a call with 100 tasks of a class with a spread limit on a fleet of 400 workers, of
-// which half are full.
+// BenchmarkSpread measures a new scheduler that handles a list of 400 workers, of which half are full, and
+// then a call with 100 requests of a class with a spread limit.
 func BenchmarkSpread(b *testing.B) {
 	settings := testSettings()
 	var entries []Entry
--- a/placement/task.go
+++ b/placement/task.go
@@ -12,7 +12,7 @@
 	awaitingResponse bool // neither accepted nor ended yet
 	ended            bool
 	starting         bool // accepted, but not running yet
-	failed           bool // ended with an error
+	failed           bool // ended with an error; reset when the task becomes unusable
 }
 
 // stopWaiting records that the attempt no longer awaits a response.
@@ -35,7 +35,7 @@
 	acceptedAt  int64
 	cancelled   bool         // cancelled by its client while an attempt had not ended
 	mayHaveRun  *attemptInfo // the first attempt that may have run, or nil
-	copyRunning bool         // a worker reported that a copy of the task is running
+	copyRunning bool         // a worker rejected a repeat with CauseWrongWorker, because a copy is running
 	unusable    bool         // attempts on two workers ended with an error
 	probesSent  int
 	usage       [resourceCount]float64 // used fraction of each requested resource; 0 if not reported
@@ -44,7 +44,7 @@
 // lastAttempt returns the last attempt. It panics if there is none.
 func (t *taskInfo) lastAttempt() *attemptInfo { return t.attempts[len(t.attempts)-1] }
 
-// attempt returns the attempt with a number, or nil if there is none.
+// attempt returns the attempt with the given number, counted from 0, or nil if there is none.
 func (t *taskInfo) attempt(number int) *attemptInfo {
 	if number < 0 || number >= len(t.attempts) {
 		return nil
@@ -65,9 +65,9 @@
 	return t.Memory
 }
 
-// taskShape holds the properties that decide whether a worker is found for a task. A scheduling pass that
-// found no worker for one task does not search for later tasks of the same shape, except for tasks of
-// which an earlier attempt may have run.
+// taskShape holds the properties by which a scheduling pass decides whether to look for a worker for a task.
+// A pass that found no worker for one task looks for none for later tasks of the same shape, except for tasks
+// of which an earlier attempt may have run.
 type taskShape struct {
 	classIndex    int
 	cores, memory float64
--- a/placement/timer.go
+++ b/placement/timer.go
@@ -1,7 +1,8 @@
 package placement
 
-// This file owns the timer, which determines when the caller calls the scheduler again. It gets the
-// times from the queue and from discovery, and reads neither pending tasks nor worker lists.
+// This file owns the timer, which determines when the caller calls the scheduler again if no other event
+// occurs earlier. It gets the times from the queue and from discovery, and reads neither pending tasks nor
+// worker lists.
 
 // timerRef is the reference of the only timer that the scheduler sets.
 const timerRef = "wake"
@@ -11,7 +12,7 @@
 	*environment
 	queue     *queue
 	discovery *discovery
-	setFor    int64 // time for which the timer is set, in microseconds, or 0
+	setFor    int64 // time for which the timer is set, in microseconds; 0 if it is not set
 }
 
 // fired handles the expiry of the timer, which requires a scheduling pass.
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -30,8 +30,9 @@
 	freeUnitsAt     int64
 }
 
-// means returns the mean utilization and the mean number of cores of all ready workers. For a large
-// fleet it recomputes them at most once per meansValidity, which is enough because they only scale costs.
+// means returns the mean utilization and the mean number of cores of all ready workers, or 0 and 1 if
+// there are none. For a large fleet it recomputes them at most once per meansValidity, which is enough
+// because they only scale admission costs.
 func (t *totals) means() (utilization, cores float64) {
 	cached := &t.cachedMeans
 	valid := cached.computedAt > 0 && t.now < cached.computedAt+meansValidity
@@ -55,9 +56,10 @@
 }
 
 // freeUnits returns this scheduler's share of the free capacity of all workers, in units (see
-// [Settings.Units]). A worker counts for at most the number of offers that its attempt window still
-// allows, because a worker handles only a few offers at a time. For a large fleet the result is
-// recomputed at most once per retryInterval.
+// [Settings.Units]). A worker counts for at most one unit for each further offer that its attempt window
+// allows, because a worker handles only a few offers at a time. The result is +Inf if the size of a unit
+// is unknown, and 0 without a view. For a large fleet the result is recomputed at most once per
+// retryInterval.
 func (t *totals) freeUnits() (units float64) {
 	if t.settings.UnitCores <= 0 || t.settings.UnitMemory <= 0 {
 		return math.Inf(1) // the size of a unit is unknown, so no class is limited by reserved units
--- a/placement/totals_test.go
+++ b/placement/totals_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMeansOfLargeFleet checks that the means of a large fleet stay the same for a second after a change and
-// show the change after that.
+// TestMeansOfLargeFleet checks that the means of a large fleet stay the same for a second after they were
+// computed, even if the fleet changes, and show the change after that.
 func TestMeansOfLargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
 	f.scheduler.totals.means()
@@ -27,7 +27,7 @@
 }
 
 // TestFreeUnitsOfLargeFleet checks that the free units of a large fleet stay the same for retryInterval
-// after a change and show the change after that.
+// after they were computed, even if the fleet changes, and show the change after that.
 func TestFreeUnitsOfLargeFleet(t *testing.T) {
 	f := largeFleet(t, maxEnumerated+1, func(*rand.Rand) float64 { return 0 })
 	f.scheduler.settings.UnitCores, f.scheduler.settings.UnitMemory = 1, 2
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -10,27 +10,27 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 28))
 	free := 28.0
 	type change struct{ at, by int64 }
-	var binds []change
+	var changes []change
 	for i := range 60 {
 		requestID := fmt.Sprint(i)
 		if i%3 != 1 {
 			f.handleAfter(0, f.request(requestID, "safe", 1, 1))
 			f.handleAfter(0, Accepted{RequestID: requestID, Worker: "a", RTTUs: 1000})
-			binds = append(binds, change{f.now, 1})
+			changes = append(changes, change{f.now, 1})
 			if i%2 == 0 {
 				f.handleAfter(150*ms, AttemptEnded{RequestID: requestID, Worker: "a", Outcome: Completed, Final: true})
-				binds = append(binds, change{f.now, -1})
+				changes = append(changes, change{f.now, -1})
 			}
 		}
 		f.handleAfter(700 * ms)
-		for len(binds) > 0 && binds[0].at <= f.now-2500*ms {
-			free -= float64(binds[0].by)
-			binds = binds[1:]
+		for len(changes) > 0 && changes[0].at <= f.now-2500*ms {
+			free -= float64(changes[0].by)
+			changes = changes[1:]
 		}
 		f.handleAfter(0, WorkerList{Kind: ListDelta, Entries: []Entry{smallWorker("a", 0, free)}})
 	}
 	if f.scheduler.loads.lag < 2000*ms || f.scheduler.loads.lag > 3250*ms {
-		t.Errorf("got lag %v us, want 2.0 to 3.25 s", f.scheduler.loads.lag)
+		t.Errorf("got lag %v us, want 2000000 to 3250000 us", f.scheduler.loads.lag)
 	}
 }
 
@@ -79,7 +79,7 @@
 	if got := ofType[Probe](actions); len(got) != 1 || got[0].Worker != "b" {
 		t.Fatalf("got probes %v after the probe of worker a timed out, want one of worker b", got)
 	}
-	// Both workers are suspect now. The suspicion of a is lower, because it has decayed for longer.
+	// Both workers are suspect now. The suspicion of worker a is lower, because it has decayed for longer.
 	f.wantPlaced(f.handleAfter(10*ms, ProbeResult{Worker: "b", Outcome: TimedOut}, TimerFired{"wake"}), "a")
 	actions = f.handleAfter(10*suspicionHalflife, request)
 	if count := len(ofType[Place](actions)); count != 0 {
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -33,7 +33,8 @@
 	resourceCount
 )
 
-// delta is a change, made by this scheduler, to the cores and memory that are requested of a worker.
+// delta is a change to the cores and memory that are requested of a worker. This scheduler made the change
+// or, after a rejection for lack of cores or memory, assumes it.
 type delta struct {
 	at            int64
 	cores, memory float64
@@ -43,7 +44,7 @@
 // worker.
 type residentProgram struct {
 	active      int   // number of attempts and tasks that have not ended
-	lastEndedAt int64 // time at which the latest attempt or task ended
+	lastEndedAt int64 // time at which an attempt or task last ended
 }
 
 // suspicionScore is the value of a suspicion at updatedAt, from which it decays.
@@ -66,14 +67,14 @@
 	listed         bool // the worker is on the current list
 	everListed     bool // the worker has been on a list, so its cell and zone are known
 	foreign        bool // fleet.foreignCount counts the worker
-	uncordonedIdle bool // the worker was uncordoned and has had no attempt or task since
-	requestedStale bool // requestedCores and requestedMemory are out of date
+	uncordonedIdle bool // the worker was uncordoned and has had no new attempt or task since
+	requestedStale bool // requestedCores and requestedMemory may be out of date
 	reportsFree    bool // the last report contains the free capacity
 	unreachable    bool // no connection to the worker is open, and the last one failed
 	lagDependent   bool // loadTracker.lagDependent contains the worker
 	inCalibrated   bool // calibration.workers contains the worker
 
-	// Fields that the filters read first.
+	// Fields that a search and its filters read first.
 	drainingUntil                   int64
 	attemptWindow                   float64        // maximum number of unanswered attempts
 	unanswered                      []*attemptInfo // attempts in the order in which they were sent
@@ -85,7 +86,8 @@
 	lastSearch                      int64            // number of the last search that evaluated the worker
 	ordinal                         int              // index in fleet.sorted
 
-	// Fields from which requestedCores and requestedMemory are computed.
+	// Fields from which requestedCores and requestedMemory are computed, and fields that are updated with
+	// them.
 	viewedAt    int64 // arrival time of the current view
 	deltas      []delta
 	reportedAt  int64 // arrival time of the last report, or 0
@@ -100,8 +102,8 @@
 	nameHash       uint64
 	active         int     // number of attempts and tasks that have not ended
 	offerTimes     []int64 // times of recent offers
-	lastAcceptedAt []int64 // time of the last accepted attempt, by class
-	reachableAt    int64   // time at which the worker last became reachable after a failure
+	lastAcceptedAt []int64 // time at which the worker last accepted an attempt, by class
+	reachableAt    int64   // time at which a new connection last lowered the suspicions, or 0
 	migratedAt     int64   // time at which a task was last migrated off the worker
 	viewCount      int
 	recentFree     [sustainedViews][resourceCount]float64 // free capacity in the latest views, a ring buffer
