--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,19 +1,20 @@
 package dispatch
 
-// This file owns the ends of attempts and tasks: it reports each end to the scheduler and the client, and
-// updates or removes the request. It must never start an attempt.
+// This file owns the ends of attempts and tasks: it reports each end to the scheduler, sends completions to the
+// client, and updates or removes the request. It must never start an attempt.
 
 import "ravenhitch/placement"
 
-// terminationTimeout is the maximum time for a worker to report the completion of a released or migrated task.
-// After this time, the client may submit the task's key again.
+// terminationTimeout is the maximum time for which the dispatcher waits until a worker reports the end of a released
+// or migrated task. Until then, a resumable submission of the task's key gets an error.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt of a request. The cancel is sent to the worker before any other message
-// for this request. The end of the attempt is reported to the scheduler only when the attempt is certainly over,
-// because the scheduler may then offer the task elsewhere. A cancel that is still in transit, or that was written
-// on a connection that became unresponsive, does not end the attempt. The response to the client does not wait for
-// the confirmation: at the deadline of the request, the attempt counts as ended.
+// cancelAttempt cancels the open attempt of a request. The cancel is sent to the worker before any later message for
+// this request. Before the deadline of the request, the end of the attempt is reported to the scheduler only when the
+// worker pool has confirmed that the attempt is over, because the scheduler may then offer the task to another worker.
+// A cancel that is still in transit, or that was written on a connection that became unresponsive, does not end the
+// attempt. At the deadline, the attempt counts as ended without a confirmation, because the response to the client
+// must not wait any longer.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
 	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
@@ -50,7 +51,7 @@
 
 // unacceptedTaskEnded records the end of a task that ran although its acceptance was not received, and fails the
 // request. The client must learn of the end within a second, whatever the class of the task. Another attempt would
-// run the task again and take longer than a second. No acceptance can be sent to the client, because the worker's
+// run the task again and may take longer than a second. No acceptance can be sent to the client, because the worker's
 // description of the task is not known.
 func (d *Dispatcher) unacceptedTaskEnded(r *request, cause placement.Cause) {
 	d.log.Info("task ended before its acceptance", "request_id", r.RequestID, "worker", r.worker)
@@ -61,7 +62,8 @@
 	d.fail(r)
 }
 
-// setMayHaveRun records that the latest attempt of r, open or ended, may have started the task.
+// setMayHaveRun records that the latest attempt of r, open or ended, may have started the task. For the first such
+// attempt, it also records the worker and the time of the offer.
 func (d *Dispatcher) setMayHaveRun(r *request) {
 	if r.mayHaveRun {
 		return
@@ -71,8 +73,8 @@
 	r.firstRun = firstAttempt{worker: r.worker, zone: entry.Zone, cell: entry.Cell, at: r.sentAt}
 }
 
-// endOpenAttempt ends the attempt that is still open when its request ends. It cancels an offered attempt and
-// reports the end to the scheduler.
+// endOpenAttempt ends the attempt, if any, that is still open when its request ends. It reports the end to the
+// scheduler, and cancels the attempt unless it was cancelled before.
 func (d *Dispatcher) endOpenAttempt(r *request) {
 	switch r.state {
 	case stateOffered:
@@ -84,15 +86,16 @@
 	}
 }
 
-// release requests the worker to end a running task, and waits up to terminationTimeout for the completion.
+// release requests the worker to end a running task. If the worker does not report the end within terminationTimeout,
+// the task becomes unresponsive (unresponsive.go).
 func (d *Dispatcher) release(r *request) {
 	d.workers.Release(r.worker, r.RequestID)
 	d.transition(r, eventReleased)
 	d.arm(r, d.now+terminationTimeout)
 }
 
-// taskCompleted records the end of a running or terminating task and removes its request. The client is
-// notified unless the task was cancelled, released or migrated.
+// taskCompleted records the end of a running or terminating task and removes its request. The completion is
+// sent to the client unless its outcome is Cancelled, or the task was released or migrated before.
 func (d *Dispatcher) taskCompleted(r *request, outcome placement.Outcome, cause placement.Cause) {
 	d.advisor.Ended(d.now, r.backpressureRequest())
 	d.reportAttemptEnded(r, outcome, cause, true)
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -119,7 +119,8 @@
 }
 
 // An end which shows that the task ran, although its acceptance was not received, ends the request at once:
-// the client gets a failure, and the task is not offered again. Any other end leads to another attempt.
+// the client gets a failure, and the task is not offered again. Any other end leads to another attempt, unless the task
+// may have started and must not run twice.
 func TestTaskEndedBeforeItsAcceptance(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -130,7 +131,7 @@
 		{"completed", placement.Completed, placement.CauseUnknown, true},
 		{"evicted", placement.Reset, placement.CauseEvicted, true},
 		{"preempted", placement.Reset, placement.CausePreempted, true},
-		{"sent away", placement.Reset, placement.CauseDrained, true},
+		{"drained", placement.Reset, placement.CauseDrained, true},
 		{"reset without a cause", placement.Reset, placement.CauseUnknown, false},
 		{"rejected by a draining worker", placement.Rejected, placement.CauseDrained, false},
 		{"cancelled", placement.Cancelled, placement.CauseUnknown, false},
@@ -148,10 +149,11 @@
 				h.advance(10 * millisecond)
 				kind, answered := h.finalResponses["t1"]
 				if test.ran && (!answered || kind != Failed || len(h.offers) != 1 || h.Contains("t1")) {
-					t.Errorf("task ran: response kind %v (received: %v), offers %v; want Failed, 1 offer", kind, answered, h.offers)
+					t.Errorf("the end shows that the task ran: response kind %v (received: %v), offers %v; want Failed, 1 offer and t1 removed",
+						kind, answered, h.offers)
 				}
 				if mayRetry := class != "cut" || !h.mayHaveRun["t1"]; !test.ran && mayRetry && len(h.offers) != 2 {
-					t.Errorf("task did not run: offers %v, want 2; response kind %v (received: %v)", h.offers, kind, answered)
+					t.Errorf("the end does not show that the task ran: offers %v, want 2; response kind %v (received: %v)", h.offers, kind, answered)
 				}
 				h.checkTable()
 			})
@@ -179,7 +181,7 @@
 		if h.unconfirmed["t1"] == "" {
 			t.Fatalf("no unconfirmed cancel of t1; offers %v", h.offers)
 		}
-		// A duplicate rejection does not show that t1 ran, and worker b has no attempt of t1.
+		// A rejection does not show that t1 ran, and worker b has no attempt of t1.
 		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0)
 		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)
 		if h.OpenCount() != 1 {
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file connects the request table with backpressure: it reports requests, starts, ends and rejections to
-// the advisor, and passes the advisor's release rate and reserved capacity on to the scheduler. It decides
-// neither which requests are rejected nor when a client retries.
+// This file connects the request table with backpressure: it defines the interface of the advisor, reports the
+// pending units to it, and passes its release rate and reserved units on to the scheduler. It decides neither
+// which requests are rejected nor when a client retries.
 
 import (
 	"math"
@@ -15,9 +15,10 @@
 // Advisor computes the Retry-After of rejected clients. It never delays a rejection. Times are in
 // microseconds.
 type Advisor interface {
-	// Requested records a request and returns the time since which its client has been on the waitlist.
+	// Requested records a request and returns the time since which its client has been on the waitlist, or now if
+	// the client was not on it.
 	Requested(now int64, request backpressure.Request) (since int64)
-	// SetPending sets the units of the pending requests of each class.
+	// SetPending sets the total size of the pending requests of each class, in units (see placement.Settings.Units).
 	SetPending(now int64, units []float64)
 	Started(now int64, request backpressure.Request)
 	Ended(now int64, request backpressure.Request)
@@ -45,21 +46,23 @@
 }
 
 const (
-	// backpressureInterval is the minimum time between two reports of the release rate to the scheduler.
+	// backpressureInterval is the minimum time between two checks whether the release rate or the reserved units
+	// have changed. A change is reported to the scheduler.
 	backpressureInterval = 20 * millisecond
 	// minBackpressureChange is the relative change up to which a value counts as unchanged. The release rate and
 	// the reserved units are not reported again while all of them are unchanged since the last report.
 	minBackpressureChange = 0.05
 )
 
-// backpressureReport holds the values that were last reported to the scheduler.
+// backpressureReport holds the values that were last reported to the scheduler, and the time of the last check
+// whether they have changed.
 type backpressureReport struct {
 	at          int64
 	releaseRate float64
 	reserved    []float64
 }
 
-// SetAdvisor sets the advisor. It must be called before the first submission.
+// SetAdvisor replaces the advisor that New created. It must not be called after the first submission.
 func (d *Dispatcher) SetAdvisor(advisor Advisor) { d.advisor = advisor }
 
 // AdvisesRetryAfter reports whether rejected clients get a Retry-After.
@@ -84,8 +87,8 @@
 }
 
 // announcePending reports to the advisor the units that will be pending once the actions are carried out. Requests
-// that the actions reject do not count. If they counted and several requests were rejected together, the advisor
-// would plan the retry of each of them behind the others.
+// that the actions place or reject do not count. If rejected requests counted and several were rejected together, the
+// advisor would plan the retry of each of them behind the others.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
@@ -103,8 +106,9 @@
 	d.advisor.SetPending(d.now, d.remainingUnits)
 }
 
-// reportBackpressure reports the pending units to the advisor, and the release rate and the reserved units to
-// the scheduler if they have changed.
+// reportBackpressure reports the pending units to the advisor and logs a change of the advisor's state of overload.
+// At most once per backpressureInterval, it also reports the release rate and the reserved units to the scheduler if
+// they have changed.
 func (d *Dispatcher) reportBackpressure() {
 	d.advisor.SetPending(d.now, d.pendingUnits)
 	if change, ok := d.advisor.Tick(d.now); ok {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns the calls that may follow a submission: a front queries or cancels a request, or ends it with
-// the client's connection. It must never give a client a second final response. The only messages that it may
+// This file owns the interfaces of clients and the calls that may follow a submission: queries, cancels and
+// rejections of a request. It must never give a client a second final response. The only messages that it may
 // send to workers are cancels and releases for the requests that these calls end.
 
 import "ravenhitch/placement"
@@ -49,7 +49,7 @@
 
 // The results of Cancel.
 const (
-	NotFound   CancelResult = iota // the client has no open request or running task with this request ID
+	NotFound   CancelResult = iota // no open request or running task has this ID, or it belongs to another client
 	WasOpen                        // the request was open and is removed without a response
 	WasRunning                     // the task was running and is now terminating
 )
@@ -93,7 +93,8 @@
 	d.rejectOrFail(r)
 }
 
-// RejectAll ends all open requests. It is called when the program shuts down.
+// RejectAll rejects all open requests, or fails those whose retry could do harm, and discards the events that are
+// queued for the scheduler. It is called when the program shuts down.
 func (d *Dispatcher) RejectAll(now int64) {
 	d.now = now
 	for _, r := range d.sorted() {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
 // Package dispatch owns the request table: every request that a client has submitted and every running task,
-// from its first message to its last. It turns the reports of clients and workers into events for the
-// scheduler, and the scheduler's actions into offers, responses and releases. It handles no wire format and
-// no sockets, and it reads no clock: callers pass in the time, in microseconds.
+// from its first message to its last. It turns the submissions and cancels of clients and the reports of
+// workers into events for the scheduler, and the scheduler's actions into offers, responses and releases. It
+// handles no wire format and no sockets, and it reads no clock: callers pass in the time, in microseconds.
 //
 // The invariants of requests (state.go) hold whatever a client, a worker or the scheduler does. No function
 // of this package may block, and no other package may decide that a request is over.
@@ -47,8 +47,8 @@
 	now    int64             // time that the caller passed to the latest call of a method, in microseconds
 	events []placement.Event // events to pass to the scheduler in the next turn
 
-	// The requests. A request stays in the table, under its request ID, until it is removed.
-	requests      map[string]*request
+	// The request table, which is the field requests, and other data by request ID, key or worker.
+	requests      map[string]*request // by request ID
 	latestByKey   map[string]*request // latest request of each task, by key
 	aliases       map[string]*request // resumed requests, by the request IDs of repeated submissions
 	unresponsive  map[string]*request // removed requests whose workers have not reported the end of the task, by request ID
@@ -67,9 +67,9 @@
 	listed        map[string]bool
 	drainingSince map[string]int64 // time since which a worker counts as draining or removed, by worker
 	hasList       bool             // a list was received
-	confirmList   bool             // the next turn must confirm to the scheduler that it receives changes of the list
+	confirmList   bool             // the scheduler waits for the confirmation that it receives changes of the list
 
-	// The values that are reported to the advisor and the scheduler.
+	// Data for the backpressure reports to the advisor and the scheduler (backpressure.go).
 	pendingUnits     []float64 // units of pending requests, by class
 	pendingCount     int
 	remainingUnits   []float64 // pendingUnits after the actions of a turn; kept to reuse its memory
@@ -79,7 +79,8 @@
 	totals map[string]ClassTotals
 }
 
-// New returns a dispatcher with a new scheduler. The dispatcher sends its offers through workers.
+// New returns a dispatcher with a new scheduler and the default advisor. seed seeds the random numbers of both. The
+// dispatcher sends its offers through the worker pool. New returns an error if the settings are invalid.
 func New(settings placement.Settings, seed uint64, workers WorkerPool, log *slog.Logger) (*Dispatcher, error) {
 	scheduler, err := placement.New(settings, seed)
 	if err != nil {
@@ -120,7 +121,7 @@
 // Counts returns the counters since the creation of the dispatcher.
 func (d *Dispatcher) Counts() Counts { return d.counts }
 
-// OpenCount returns the number of requests without a final response.
+// OpenCount returns the number of open requests, which still get a final response.
 func (d *Dispatcher) OpenCount() (count int) {
 	for _, r := range d.requests {
 		if r.state.isOpen() {
@@ -171,7 +172,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // the latest submission used the request's own ID, so there is usually no alias to delete
+		return // the latest submission used the request's own ID; an alias exists only if an earlier one did not
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -13,8 +13,8 @@
 	// warmUpEndings is the number of endings before the first measurement of the heap. They fill structures
 	// of a fixed size, such as the advisor's slot calendar.
 	warmUpEndings = 5000
-	// heapSlack is the number of bytes by which the heap may grow without a leak: table rows that are freed
-	// later and maps that have grown once. It is less than 7 bytes per ending.
+	// heapSlack is the growth of the heap, in bytes, that does not count as a leak: table entries that are freed
+	// later and maps that have grown once. It is less than 7 bytes per measured ending.
 	heapSlack = 32 << 10
 )
 
@@ -55,7 +55,8 @@
 	"its connection is closed": func(h *harness, id string) { h.Reject(h.now, h, id) },
 }
 
-// submitAndEnd submits the request with a number, requires that it is offered, and ends it.
+// submitAndEnd submits a request whose ID, class and key are derived from number, fails the test if it is not
+// offered, and calls end to end it.
 func (h *harness) submitAndEnd(number int, end func(h *harness, requestID string)) {
 	h.t.Helper()
 	id := fmt.Sprintf("%016x", number+1)
@@ -68,7 +69,8 @@
 	h.advance(10 * millisecond)
 }
 
-// No data of a request is kept after it has ended, whatever the kind of its end.
+// However a request ends, its deadline is removed immediately, and no other data of it is left 20 s after the last
+// ending.
 func TestEndedRequestsLeaveNothing(t *testing.T) {
 	for name, end := range endingCases {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +135,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// clearRecords clears the records of the harness itself.
+// clearRecords clears what the harness has recorded about requests, because it would count as growth of the heap.
 func (h *harness) clearRecords() {
 	for _, records := range []map[string]string{h.offered, h.running, h.class, h.unconfirmed} {
 		clear(records)
--- a/internal/dispatch/fixedretryafter.go
+++ b/internal/dispatch/fixedretryafter.go
@@ -12,7 +12,7 @@
 // the baseline for measurements of other advisors.
 type FixedRetryAfter time.Duration
 
-// Requested returns now: every client has just joined the waitlist.
+// Requested returns now, because there is no waitlist: every client counts as having just started to wait.
 func (FixedRetryAfter) Requested(now int64, _ backpressure.Request) int64 { return now }
 
 // SetPending does nothing.
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -21,11 +21,12 @@
 	os.Exit(m.Run())
 }
 
-// drainLimit is how long a draining worker may get offers under testSettings.
+// drainLimit is the drain grace period of testSettings. Dispatcher.drainLimit, after which the dispatcher stops its
+// offers, is shorter.
 const drainLimit = 2000 * millisecond
 
-// testSettings returns settings with a class for each effect of a repeated start, and one class with a
-// spread.
+// testSettings returns settings with classes for the effects of a repeated start: web is safe, cut is unsafe, and
+// all, zone and cell are keyed, named after their groups. Class apart is safe and has a spread.
 func testSettings() placement.Settings {
 	class := func(name string, effect placement.Effect) placement.Class {
 		return placement.Class{Name: name, Effect: effect, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2}
@@ -195,13 +196,13 @@
 	h.finalResponses[id] = response.Kind
 }
 
-// submit submits a request of a task with 2 cores and 4 units of memory.
+// submit submits a request for a task with 2 cores and a memory of 4, in the unit of testSettings.
 func (h *harness) submit(requestID, class, key string, timeoutMs int64) error {
 	h.deadline[requestID], h.class[requestID] = h.now+timeoutMs*millisecond, class
 	return h.Submit(h.now, h, Submission{RequestID: requestID, Class: class, Key: key, TimeoutUs: timeoutMs * millisecond, Cores: 2, Memory: 4})
 }
 
-// mustSubmit submits a request and fails the test if it is not accepted.
+// mustSubmit submits a request and fails the test if Submit returns an error.
 func (h *harness) mustSubmit(requestID, class, key string, timeoutMs int64) {
 	h.t.Helper()
 	if err := h.submit(requestID, class, key, timeoutMs); err != nil {
@@ -311,7 +312,8 @@
 	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
 
-// checkTable fails the test if the request table and the counts that are derived from it differ.
+// checkTable fails the test if a request in the table has an illegal state or lacks its deadline, or if the counts
+// that are derived from the table differ from it.
 func (h *harness) checkTable() {
 	h.t.Helper()
 	h.checkRunningTasks()
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -64,7 +64,7 @@
 	}
 	event := rapid.IntRange(0, stepLast).Draw(run.t, "event")
 	if run.unconfirmed[id] != "" && (event == stepAccept || event == stepEnd) {
-		event = stepConfirmCancel // a worker that has read a cancel sends no report on the attempt
+		event = stepConfirmCancel // a worker confirms a cancel instead of reporting on the attempt
 	}
 	switch event {
 	case stepSubmit1, stepSubmit2, stepSubmit3:
@@ -96,8 +96,8 @@
 	}
 }
 
-// submitNew submits a request. The key may be that of an earlier request that is pending, offered or running,
-// as if its client submitted the task again with a new request ID.
+// submitNew submits a request. The key may be that of an earlier request in any state, as if the client of that
+// request submitted the task again with a new request ID.
 func (run *randomRun) submitNew() {
 	id := fmt.Sprintf("%016x", len(run.requestIDs)+1)
 	run.requestIDs = append(run.requestIDs, id)
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file owns the sets of workers that are cordoned or assigned to another orchestrator, and applies both
-// sets to the entries of the list. A cordoned worker counts as draining for this orchestrator, whatever the list
-// says, until an operator uncordons it. A list must never uncordon a worker.
+// This file owns the set of cordoned workers and the assignment of workers to this orchestrator, and applies both to
+// the entries of the lists from discovery. Until an operator uncordons a cordoned worker, it counts as draining for
+// this orchestrator even if it is listed as ready. A list must never uncordon a worker.
 
 import (
 	"maps"
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// startNext submits the request with a number. The worker that receives the offer accepts it. startNext returns
-// this worker.
+// startNext submits a request whose ID and key are derived from number. The worker that receives the offer accepts
+// it. startNext returns this worker.
 func (h *harness) startNext(number int, keyPrefix string) (worker string) {
 	h.t.Helper()
 	id := fmt.Sprintf("%016x", number)
@@ -100,7 +100,7 @@
 		t.Errorf("tasks were placed at workers %s, want aaaaaaaaab", workers)
 	}
 
-	// A cordoned worker that is missing from a complete list is removed once it is uncordoned.
+	// HasWorker is true for a cordoned worker that is missing from a complete list, until it is uncordoned.
 	h.SetCordoned(h.now, map[string]bool{"a": true})
 	h.updateWorkers(placement.ListFull, placement.Ready, "b")
 	if !h.HasWorker("a") {
@@ -108,12 +108,12 @@
 	}
 	h.SetCordoned(h.now, nil)
 	if listed, _ := h.PoolSize(); listed != 1 || h.HasWorker("a") {
-		t.Errorf("PoolSize returned %d listed workers, want 1 without a", listed)
+		t.Errorf("after a was uncordoned: PoolSize returned %d listed workers, want 1, and HasWorker false for a", listed)
 	}
 }
 
-// Tasks on a worker that is assigned to another orchestrator continue, and their clients may release them as
-// before. The worker gets no new offers, but an open offer may still be sent.
+// Tasks on a worker that is assigned to another orchestrator continue. The worker gets no new offers, but an open
+// offer may still be sent.
 func TestAssignedWorkers(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -124,7 +124,7 @@
 
 	h.updateWorkers(placement.ListDelta, placement.Ready, "b")
 	h.SetAssignedWorkers(h.now, func(worker string) bool { return worker == "b" })
-	// At this time, a draining worker would no longer get the offer.
+	// The check is for a time at which a draining worker would no longer get the offer.
 	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil {
 		t.Errorf("CheckOffer of an open offer: %v, want nil", err)
 	}
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -1,7 +1,8 @@
 package dispatch
 
-// This file owns the offers and the rules that the scheduler's choice of a worker must satisfy. Only
-// sendOffer sends offers. It must never send an offer that breaks a rule.
+// This file owns the offers and the rules that the scheduler's choice of a worker must satisfy. Only sendOffer
+// passes offers to the worker pool, and only place calls it, after checking the rules. This file must never send an
+// offer that breaks a rule.
 
 import (
 	"errors"
@@ -9,8 +10,8 @@
 	"ravenhitch/placement"
 )
 
-// drainMargin is the maximum time before the end of the drain grace period at which offers to a draining worker
-// stop. If the period is short, they stop later (see drainLimit).
+// drainMargin is how long before the end of the drain grace period the offers to a draining worker stop. If the
+// period is shorter than twice drainMargin, they stop after half of it (see drainLimit).
 const drainMargin = 500 * millisecond
 
 // The errors of the rules that an offer may break. Their texts have no package prefix, because they are only
@@ -176,8 +177,9 @@
 	})
 }
 
-// CheckOffer returns the error of the first rule that forbids sending an offer that was placed earlier and had to
-// wait for a connection to the worker. It returns nil if no rule forbids the offer.
+// CheckOffer checks an offer again immediately before the worker pool sends it, because the offer may have waited for
+// a connection to the worker. It returns ErrRequestOver if the request has left the table, or the error of the first
+// rule that now forbids the offer. It returns nil if the offer may be sent.
 func (d *Dispatcher) CheckOffer(now int64, worker, requestID string) error {
 	d.now = now
 	r := d.requests[requestID]
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Each rule has its own error.
+// checkPlacement returns the error of the rule that is broken, or nil if none is.
 func TestCheckPlacement(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -40,20 +40,20 @@
 		prepare func(h *harness, r *request)
 		want    error
 	}{
-		{"nothing against it", "web", func(*harness, *request) {}, nil},
+		{"no rule broken", "web", func(*harness, *request) {}, nil},
 		{"not pending", "web", func(h *harness, r *request) { h.transition(r, eventOffered) }, ErrNotPending},
 		{"no attempts left", "web", func(h *harness, r *request) { r.attemptCount = h.settings.MaxAttempts }, ErrNoAttemptsLeft},
 		{"may have started", "cut", func(_ *harness, r *request) { r.mayHaveRun = true }, ErrSecondStart},
 		{"may have started, harmless", "web", func(_ *harness, r *request) { r.mayHaveRun = true }, nil},
 		{"deadline", "web", func(h *harness, r *request) { h.Dispatcher.now = r.deadline }, ErrDeadlinePassed},
 		{"just before the deadline", "web", func(h *harness, r *request) { h.Dispatcher.now = r.deadline - 1 }, nil},
-		{"draining for long", "web", func(h *harness, _ *request) {
+		{"draining up to the limit", "web", func(h *harness, _ *request) {
 			h.drainingSince["a"] = h.now - drainLimit + drainMargin
 		}, ErrWorkerDraining},
-		{"just draining", "web", func(h *harness, _ *request) {
+		{"draining until just before the limit", "web", func(h *harness, _ *request) {
 			h.drainingSince["a"] = h.now - drainLimit + drainMargin + 1
 		}, nil},
-		{"out of the window", "all", func(h *harness, r *request) {
+		{"after the window", "all", func(h *harness, r *request) {
 			r.mayHaveRun, r.firstRun.at = true, h.now-700*millisecond
 		}, ErrRepeatUnknown},
 		{"another zone", "zone", func(h *harness, r *request) {
@@ -122,8 +122,9 @@
 	}
 }
 
-// givenResetAttempt submits request t1 of a class and resets its attempt at worker a. It then lists workers
-// in the same cell (near), in the same zone (zone) and elsewhere (far), and returns the time of the offer.
+// givenResetAttempt submits request t1 of a class, which is offered to worker a. It then lists workers in the same
+// cell (near), in another cell of the same zone (zone) and in another zone (far), ends the attempt with the outcome
+// Reset, and returns the time of the offer.
 func (h *harness) givenResetAttempt(class string) (offeredAt int64) {
 	h.t.Helper()
 	ready := func(worker, zone string, cell int) placement.Entry {
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,26 +1,26 @@
 package dispatch
 
-// This file schedules the responses to clients whose timeouts end. A response is scheduled early enough before the
-// end of the timeout for a turn of the observed length and for its travel to the client. Responses that would fall
-// due together are spread over time, because only a limited number can be written at once. A response must never
-// be scheduled later than the client's timeout.
+// This file schedules the responses to clients whose requests are still open when their timeouts end. A response is
+// scheduled before the end of the timeout, early enough for the longest recent turn and for its travel to the client.
+// Responses that would fall due together are spread over time, because only a limited number can be written at once.
+// A response must never be scheduled later than the end of the client's timeout.
 
 const (
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
 	// ends.
 	responseTravelTime = 10 * millisecond
-	// turnDecayTime is the time after which the recorded longest turn has decayed to half of its length or less,
-	// if no longer turn was observed since.
+	// turnDecayTime is the time after which the recorded longest turn has decayed to half of its length or less. A
+	// turn that is longer than the decayed length replaces it.
 	turnDecayTime = 1 * second
 	// maxTurnLength is the maximum length that is recorded for a turn. A longer turn counts as a turn of this
 	// length.
 	maxTurnLength = 250 * millisecond
 	// bucketLength is the time that one bucket of scheduled responses covers.
 	bucketLength = 5 * millisecond
-	// bucketCount is the number of buckets. A response that is scheduled for a time after the last bucket is not
-	// counted, because nothing is known about that time yet.
+	// bucketCount is the number of buckets. A response that is scheduled for a time after the last bucket is neither
+	// counted nor moved, because nothing is known yet about the other responses at that time.
 	bucketCount = 4096
-	// maxShift is the maximum time by which a response is scheduled earlier to make room for others.
+	// maxShift is the maximum time by which a response is scheduled earlier because later buckets are full.
 	maxShift = 200 * millisecond
 	// initialResponseCost is the time per response that is assumed until it is learned from turns, in microseconds.
 	initialResponseCost = 20.0
@@ -65,8 +65,8 @@
 }
 
 // scheduleResponse returns the time at which to send the response to a client whose timeout ends at timeoutAt, and
-// counts the response. If all buckets within maxShift are full, the response is scheduled as if there were room,
-// and is not counted.
+// counts the response. If all buckets within maxShift are full, or if the time lies outside the buckets, the response
+// is neither moved nor counted.
 func (p *responsePacer) scheduleResponse(now, timeoutAt int64) int64 {
 	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
