--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -24,7 +24,9 @@
 	conditionCount            // number of conditions
 )
 
-// The upper limits of the random draws.
+// The ranges of the random draws. historyWorkers is the maximum number of workers, and historyBurst the
+// maximum number of requests in a burst. A history has at least 10 and fewer than 10+historySteps steps.
+// Program numbers are below historyPrograms, and 0 means no program.
 const (
 	historyWorkers  = 600
 	historySteps    = 60
@@ -46,11 +48,11 @@
 	index        map[string]int  // index in entries, by worker name
 	attempts     map[string]int  // number of attempts, by request ID
 	unfinished   map[string]Task // tasks that have not ended, by request ID
-	offered      []Place         // attempts that were not answered
-	running      []Place         // accepted attempts
+	offered      []Place         // attempts for which no answer or loss was drawn yet
+	running      []Place         // accepted attempts and adopted tasks that have not ended
 	probed       []string        // workers with a probe that was not answered
 	requestCount int
-	utilization  float64 // mean utilization of the drawn workers
+	utilization  float64 // mean requested fraction of the size of a drawn worker
 	stepCount    int
 	record       func(now int64, events []Event) // called with the arguments of each call of Handle, or nil
 }
@@ -77,7 +79,8 @@
 	return h
 }
 
-// settings returns random variations of testSettings, whose classes cover all effects and spreads.
+// settings returns a random variation of testSettings, whose classes have all effects and all scopes of
+// spread that settings permit.
 func (h *history) settings() Settings {
 	settings := testSettings()
 	settings.FleetSize = []int{1, 2, 9, 60}[h.random.IntN(4)]
@@ -179,12 +182,12 @@
 	return h.random.Int64N(longest) + 1
 }
 
-// handle passes events to the scheduler and updates the history by the actions that it returns. A panic
-// fails the test with the seed and the step that reproduce it.
+// handle passes events to the scheduler and updates the history from the actions that it returns. If the
+// scheduler panics, the test fails with the seed and the number of the call, counted from 1.
 func (h *history) handle(events []Event) []Action {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			h.t.Fatalf("seed %d, step %d, %d workers: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
+			h.t.Fatalf("seed %d, call %d of Handle, %d workers: panic: %v\n%s", h.seed, h.steps, len(h.entries), panicked, debug.Stack())
 		}
 	}()
 	h.steps++
