--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -5,8 +5,9 @@
 // pacerStart is the time at which the tests of the pacer start, in microseconds.
 const pacerStart = int64(1000 * second)
 
-// If several timeouts end at the same time, their responses are scheduled earlier, by the time that writing them
-// takes. No response is scheduled later than the end of its client's timeout.
+// If many timeouts end at the same time, the responses are spread over several buckets before that time, so that
+// there is time to write all of them. Each response is scheduled at least responseTravelTime before the end of its
+// timeout. A single response is not scheduled earlier than necessary.
 func TestResponsesDueTogether(t *testing.T) {
 	var pacer responsePacer
 	timeoutAt := pacerStart + 6*second
@@ -37,7 +38,8 @@
 	}
 }
 
-// After a long turn, responses are scheduled earlier. After many short turns, they no longer are.
+// After a long turn, responses are scheduled earlier by the length of that turn. After 10 s of short turns, they no
+// longer are.
 func TestLongTurns(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
@@ -58,8 +60,8 @@
 	}
 }
 
-// A response is also scheduled in time if the client's timeout is nearly over, if the timeout is longer than the
-// time that the buckets cover, or if the timeout begins long after the previous timeout.
+// A response is scheduled at least responseTravelTime before the end of its timeout even if the timeout is shorter
+// than that, if the timeout ends after the last bucket, or if the previous response was scheduled long ago.
 func TestUnusualTimeouts(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -10,27 +10,28 @@
 	"ravenhitch/placement"
 )
 
-// request is a request and the task that it started.
+// request is an entry of the request table: a submission, its state, its latest attempt and the task that this attempt
+// started. A task that was submitted as already running also has an entry.
 type request struct {
 	Submission
 	client     Client
-	responseID string // request ID of the client's latest submission, used in responses
+	responseID string // request ID of the latest submission of this request, original or repeat; used in responses
 	state      state
 	keyHash    uint64
 	classIndex int     // index of the class in the settings; the last index if the class is not in them
-	units      float64 // size of the task in units (see Settings.Units)
+	units      float64 // size of the task in units (see placement.Settings.Units)
 	effect     placement.Effect
-	deadline   int64 // time by which the response is sent, in microseconds
+	deadline   int64 // time by which the final response is sent, in microseconds
 	wakeAt     int64 // time at which the dispatcher acts on the request, in microseconds, 0 for never
 	heapIndex  int   // index in the deadline heap, or -1
 
 	// The open attempt, or the latest one if none is open.
-	attemptCount  int // attempts of the request so far
+	attemptCount  int // attempts of the request so far, including blocked offers
 	attemptNumber int // number of the open or latest attempt, starting at 0
 	worker        string
 	sentAt        int64             // time of the offer, in microseconds
-	abandonAt     int64             // time at which the attempt is cancelled, in microseconds
-	cancelOutcome placement.Outcome // in stateCancelling: outcome of the attempt once the cancel is confirmed
+	abandonAt     int64             // time at which the attempt is cancelled if it is still open, in microseconds
+	cancelOutcome placement.Outcome // in stateCancelling: outcome to report when the attempt ends
 
 	mayHaveRun bool // an attempt may have started the task
 	firstRun   firstAttempt
@@ -38,10 +39,10 @@
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
 	adoptedAt        int64  // time at which the task was submitted as already running, in microseconds, or 0
-	// unaccountedSince is, for a running task, the time since which its worker has been unlisted; adopt sets a
-	// later time if the worker is unlisted at the adoption (see adoptedUnlistedTimeout). For an unresponsive task,
-	// it is the time since which the report of the task's end is overdue. It is in microseconds, and 0 if neither
-	// applies.
+	// unaccountedSince is, for a running task, the time at which lostTasks first found its worker unlisted. If the
+	// worker is already unlisted when the task is adopted, adopt sets a time after the adoption instead (see
+	// adoptedUnlistedTimeout). For an unresponsive task, it is the time since which the report of the task's end is
+	// overdue. It is in microseconds, and 0 if neither applies.
 	unaccountedSince int64
 	// claimedOutcome is, for an adopted task, the outcome of a completion that its worker reported before the
 	// adoption.
@@ -83,8 +84,8 @@
 	return r
 }
 
-// keyHash returns the number by which the scheduler identifies a key: the value of a hexadecimal key, or
-// a hash of any other key.
+// keyHash returns the number by which the scheduler and the advisor identify a key: the value of the key if it is a
+// hexadecimal number of at most 64 bits, and a hash of the key otherwise.
 func keyHash(key string) uint64 {
 	if value, err := strconv.ParseUint(key, 16, 64); err == nil {
 		return value
@@ -94,7 +95,7 @@
 	return h.Sum64()
 }
 
-// task returns the description of the request for the scheduler.
+// task returns the properties of the request for the scheduler, except QueuedSinceUs (see enqueue).
 func (r *request) task() placement.Task {
 	return placement.Task{
 		RequestID:     r.RequestID,
@@ -111,7 +112,7 @@
 	}
 }
 
-// backpressureRequest returns the description of the request for the advisor.
+// backpressureRequest returns the properties of the request for the advisor.
 func (r *request) backpressureRequest() backpressure.Request {
 	return backpressure.Request{
 		Key:           r.keyHash,
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -8,18 +8,18 @@
 // maxCachedResponses is the maximum number of responses that are cached for repeated submissions.
 const maxCachedResponses = 4096
 
-// ResponseKind is the kind of a response.
+// ResponseKind states what a response reports to the client.
 type ResponseKind int
 
-// The kinds of response. Started, Rejected and Failed are final responses to a submission. Completed and
-// Migrated end a running task.
+// The kinds of response. Started, Rejected and Failed are final responses to a submission. Completed reports the end
+// of a running task. Migrated reports that a running task was released and has to be submitted again.
 const (
 	Started ResponseKind = iota
 	Rejected
 	Failed
 	Completed
 	Migrated
-	Cancelled // response to a repeated submission: the client cancelled the request before
+	Cancelled // response to a repeated submission: the client cancelled the request or released the task earlier
 )
 
 // Response is a message to a client about one of its requests.
@@ -27,16 +27,16 @@
 	Kind          ResponseKind
 	RequestID     string
 	Description   string            // Started: the worker's description of the task
-	RetryAfterUs  int64             // Rejected: how long to wait before a retry
-	QueuedSinceUs int64             // Rejected: time since which the client is on the waitlist
-	Rejections    int               // Rejected: number of proved rejections, this one included
+	RetryAfterUs  int64             // Rejected: how long to wait before a retry, 0 for no advice
+	QueuedSinceUs int64             // Rejected: time since which the client has been on the waitlist
+	Rejections    int               // Rejected: number of earlier rejections (see Submission.Rejections) plus this one
 	Outcome       placement.Outcome // Completed: outcome of the task
 	Cause         placement.Cause   // Completed: cause of the end, if known
 	Worker        string            // Started: the worker that runs the task
 }
 
-// respond sends a response to the client of a request. It also caches the response for repeated submissions. A
-// Started response is not cached, because resume answers the repeats while the task runs.
+// respond sends a response to the client of a request. If the request is resumable, it also caches the response for
+// repeated submissions. A Started response is not cached, because resume answers the repeats while the task runs.
 func (d *Dispatcher) respond(r *request, response Response) {
 	response.RequestID = r.responseID
 	d.trace("response", r, "kind", response.Kind, "response_id", response.RequestID)
@@ -48,8 +48,9 @@
 	r.client.Respond(response)
 }
 
-// isRepeatable reports whether another start of the task does no harm, whichever worker receives the client's
-// retry.
+// isRepeatable reports whether a retry by the client does no harm, whichever worker receives it: the task has not
+// run, may run any number of times, or is of a class in which all workers discard repeats. It does not check for how
+// long the workers discard repeats (placement.Class.WindowUs).
 func (d *Dispatcher) isRepeatable(r *request) bool {
 	return !r.mayHaveRun || r.effect == placement.Safe ||
 		r.effect == placement.Keyed && d.settings.Classes[r.classIndex].Group == placement.ScopeAll
@@ -82,8 +83,8 @@
 	d.remove(r)
 }
 
-// cacheResponse caches the response to a resumable request, under both its own request ID and that of its
-// latest submission.
+// cacheResponse caches the response to a resumable request, under the request IDs of both its first and its latest
+// submission. It does nothing for other requests.
 func (d *Dispatcher) cacheResponse(r *request, response Response) {
 	if !r.Resumable {
 		return
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -1,16 +1,18 @@
 package dispatch
 
-// This file owns the states of a request and the events that change them. No other file may write
-// request.state. It must never decide that an event has happened.
+// This file owns the states of a request and the events that change them. No other file may change
+// request.state. This file must never decide that an event has happened.
 //
-// These invariants are kept by the states, the offer rules (offer.go) and the callers together:
+// The transitions, the offer rules (offer.go) and the functions that cause transitions together guarantee these
+// invariants:
 //
-//   - a request gets one final response, by its deadline, unless its client cancels it before;
+//   - a request gets one final response, by its deadline, unless its client cancels it before then or submitted its
+//     task as already running;
 //   - a request has at most one open attempt at a time, and none once the request is over;
 //   - no offer goes to a worker that has been draining for longer than the drain limit;
 //   - a task that must not run twice is started at most once, and its request is failed rather than rejected
 //     if the task may have been started;
-//   - every open or terminating request has a deadline at which the dispatcher acts on its own;
+//   - every open or terminating request has a deadline at which the dispatcher acts even if nothing is reported;
 //   - a task occupies capacity of its worker from its start until its end is known.
 
 import "fmt"
@@ -23,7 +25,7 @@
 	statePending                  // no attempt is open
 	stateOffered                  // an attempt is open
 	stateCancelling               // the attempt was cancelled, and the cancel is not confirmed
-	stateRunning                  // the worker accepted the task
+	stateRunning                  // the worker accepted the task, or the task was adopted
 	stateTerminating              // released or migrated, and the worker has not reported the completion
 	stateRemoved                  // no longer in the table
 	stateCount       = iota
@@ -56,9 +58,9 @@
 	eventOffered                             // an offer was sent
 	eventAccepted                            // the worker accepted the offer
 	eventCancelUnconfirmed                   // the attempt was cancelled and may still be open
-	eventAttemptEnded                        // the attempt ended without a start
+	eventAttemptEnded                        // the attempt ended, and no acceptance was received
 	eventReleased                            // the task was released or migrated
-	eventRemoved                             // the request got its last response, or the task ended
+	eventRemoved                             // rejected, failed or cancelled, or the task ended or became unresponsive
 	eventCount             = iota
 )
 
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// Every state except the first can be reached, and a request can be removed from every state in the table.
+// Every state can be reached from stateNew, a request can be removed in every state that it can have in the table, and
+// no state is both open and occupies a worker.
 func TestEveryStateIsReachedAndLeft(t *testing.T) {
 	reached := statesOf(stateNew)
 	for range stateCount {
@@ -92,7 +93,7 @@
 	r := h.find("t1")
 	r.worker = "a"
 
-	h.transition(r, eventAccepted) // a pending request has no attempt
+	h.transition(r, eventAccepted) // illegal, because a pending request has no open attempt
 
 	if r.state != stateRunning || h.pendingCount != 0 || h.TasksOn("a").Count != 1 {
 		t.Errorf("state %v, %d pending requests, %d tasks on worker a; want running, 0 and 1",
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns the content of a submission and its limits. It must never look at a worker.
+// This file owns the content of a submission and its limits. It must never depend on the state of workers.
 
 import (
 	"fmt"
@@ -10,17 +10,17 @@
 // Submission is the content of a request. Description and IdempotencyKey are opaque.
 type Submission struct {
 	RequestID, Class, Key string
-	IdempotencyKey        string // "" if workers of the class use none
-	Tenant                string // "" if the deployment has no tenants
+	IdempotencyKey        string // "" if the client sent none
+	Tenant                string // "" if the client named none
 	ExpectedRunUs         int64  // expected run time in microseconds, 0 if unknown
 	Retry                 bool   // the client states that it submitted the task before
-	// Resumable is true if the client repeats a submission whose response it has not read. A repeat of an
-	// open request or of a running task gets the response to the first submission.
+	// Resumable is true if the client may repeat the submission when it has not read the response. A repeat
+	// gets the response to the first submission and does not start the task again (see resume).
 	Resumable     bool
 	TimeoutUs     int64  // timeout of the client, measured from ReceivedAtUs
 	ReceivedAtUs  int64  // earliest time at which the submission can have arrived, 0 for now
-	QueuedSinceUs int64  // proved time since which the client is on the waitlist, 0 if none
-	Rejections    int    // proved number of earlier rejections
+	QueuedSinceUs int64  // time since which the client has been on the waitlist, proved by a retry token; 0 without one
+	Rejections    int    // number of earlier rejections, proved by a retry token; 0 without one
 	Connection    uint64 // number of the connection or session of the client, 0 if unknown
 	Cores, Memory float64
 	Program       uint64
@@ -33,7 +33,7 @@
 const (
 	maxTimeoutUs     = int64(24 * 60 * 60 * second)
 	maxExpectedRunUs = 366 * maxTimeoutUs
-	maxResource      = 1e9 // maximum number of cores, and maximum memory in the unit of the settings
+	maxResource      = 1e9 // the number of cores, and the memory in the unit of the settings, must be below it
 	maxNameLength    = 64  // in bytes
 	requestIDLength  = 16  // number of hexadecimal digits
 )
@@ -54,8 +54,8 @@
 }
 
 // Validate returns an error for the first invalid field of a submission, or nil. Fronts call it before
-// Submit: a submission that no worker can use must not reach a worker, because its error would count against
-// the worker.
+// Submit: a submission that no worker can use must not reach a worker, because the scheduler would count the error
+// with which the worker answers against that worker.
 func (s *Submission) Validate() *ValidationError {
 	switch {
 	case len(s.RequestID) != requestIDLength || strings.Trim(s.RequestID, hexDigits) != "":
@@ -80,5 +80,5 @@
 	return nil
 }
 
-// isValidResource reports whether a task may request an amount. NaN is not valid.
+// isValidResource reports whether a task may request an amount of cores or memory. NaN is not valid.
 func isValidResource(amount float64) bool { return amount > 0 && amount < maxResource }
--- a/internal/dispatch/submission_test.go
+++ b/internal/dispatch/submission_test.go
@@ -19,7 +19,7 @@
 		{"adopted without a timeout", func(s *Submission) { s.RunningOn, s.TimeoutUs = "a", 0 }, "", ""},
 		{"the longest timeout", func(s *Submission) { s.TimeoutUs = 86_400 * second }, "", ""},
 		{"short request ID", func(s *Submission) { s.RequestID = "9b1f" }, "tag", "16 hex digits"},
-		{"no hexadecimal request ID", func(s *Submission) { s.RequestID = "9b1f03aa5c7e2d4g" }, "tag", "16 hex digits"},
+		{"request ID with a digit that is not hexadecimal", func(s *Submission) { s.RequestID = "9b1f03aa5c7e2d4g" }, "tag", "16 hex digits"},
 		{"no key", func(s *Submission) { s.Key = "" }, "task", "a name of 1 to 64 bytes"},
 		{"long key", func(s *Submission) { s.Key = longName }, "task", "a name of 1 to 64 bytes"},
 		{"no class", func(s *Submission) { s.Class = "" }, "class", "a name of 1 to 64 bytes"},
@@ -31,7 +31,7 @@
 		{"infinite memory", func(s *Submission) { s.Memory = math.Inf(1) }, "memory", "a number above 0"},
 		{"no timeout", func(s *Submission) { s.TimeoutUs = 0 }, "wait", "a time above 0, a day at most"},
 		{"too long a timeout", func(s *Submission) { s.TimeoutUs = 86_400*second + 1 }, "wait", "a time above 0, a day at most"},
-		{"the first of two", func(s *Submission) { s.Cores, s.Key = 0, "" }, "task", "a name of 1 to 64 bytes"},
+		{"two invalid fields", func(s *Submission) { s.Cores, s.Key = 0, "" }, "task", "a name of 1 to 64 bytes"},
 	} {
 		submission := Submission{RequestID: "9b1f03aa5c7e2d41", Class: "web", Key: "k", TimeoutUs: 5 * second, Cores: 1, Memory: 1}
 		c.modify(&submission)
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // This file owns how a submission enters the table: as a new request, as a running task, or as the repeat of
-// a known request. It must never give a second final response.
+// a known request. It must never give a request a second final response.
 
 import (
 	"errors"
@@ -9,16 +9,18 @@
 	"ravenhitch/placement"
 )
 
-// The errors of Submit. A submission with an error is not added to the table and gets no response. The fronts
-// handle these errors, so their texts name this package.
+// The errors of Submit. A submission for which Submit returns an error is not added to the table, and the dispatcher
+// sends no response to it. The fronts handle these errors, so their texts name this package.
 var (
 	ErrRequestIDInUse = errors.New("dispatch: the request ID is in use")
-	ErrKeyInUse       = errors.New("dispatch: the task was submitted elsewhere")
+	ErrKeyInUse       = errors.New("dispatch: the request ID or the key belongs to another request")
 	ErrTerminating    = errors.New("dispatch: the task is terminating")
 )
 
-// Submit adds a submission to the table. The response is sent to client. If it is known already, it is sent during
-// this call. Submit returns ErrRequestIDInUse, ErrKeyInUse or ErrTerminating if it does not accept the submission.
+// Submit adds a submission to the table, or handles it as a repeat of a known one (see isAlreadyAdopted and resume).
+// The final response is sent to client, during this call if it is known already. A task that is submitted as already
+// running gets no final response. Submit returns ErrRequestIDInUse, ErrKeyInUse or ErrTerminating if it does not
+// accept the submission.
 func (d *Dispatcher) Submit(now int64, client Client, s Submission) error {
 	d.now = now
 	if s.RunningOn != "" && d.isAlreadyAdopted(&s) {
@@ -44,8 +46,9 @@
 
 // isAlreadyAdopted reports whether a task that is submitted as already running is in the table or unresponsive. If
 // it is, the task keeps its data and its client. If the client could be replaced, anyone who has seen a request ID
-// could submit it and receive the completion that is meant for another client. If the client of the task has
-// disconnected, its front selects another client.
+// could submit it and receive the completion that is meant for another client. If the client's connection is closed
+// when the task completes, package clientfront sends the completion on another connection that it selects (see
+// reportCompletion there).
 func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
 	if d.unresponsive[s.RequestID] != nil {
 		return true
@@ -60,8 +63,11 @@
 	return true
 }
 
-// resume answers a repeated submission from the state of the first one, and reports whether it did. This
-// prevents a second start if a response was sent and never read.
+// resume handles a repeated submission, and reports whether s is one: its request ID or its key belongs to a request
+// in the table, or the response to its request ID is cached. The response is sent to client, at once if it is cached
+// or the task runs, and otherwise when the open request gets its final response. This prevents a second start if a
+// response was sent and never read. resume returns ErrKeyInUse if the request in the table is not resumable or has
+// another key, and ErrTerminating if its task is terminating.
 func (d *Dispatcher) resume(client Client, s *Submission) (bool, error) {
 	r := d.find(s.RequestID)
 	if r == nil {
@@ -90,10 +96,12 @@
 	return true, nil
 }
 
-// checkNames returns an error if the request ID or the key of a submission belongs to another request.
+// checkNames returns ErrRequestIDInUse if the request ID of a submission belongs to a request in the table or to an
+// unresponsive task. It returns ErrKeyInUse if the key belongs to a request of another front, that is, one that differs
+// in Resumable, unless the task is submitted as already running.
 func (d *Dispatcher) checkNames(s *Submission) error {
 	if d.Contains(s.RequestID) {
-		// A response to this submission would be a second one to the known request. If the task is
+		// The response to this submission would be a second one under the same request ID. If the task is
 		// unresponsive, the scheduler still uses the request ID.
 		return ErrRequestIDInUse
 	}
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -10,10 +10,11 @@
 
 const (
 	// unlistedTimeout is the time for which a task still counts as running after its worker left the list. During
-	// this time, the worker may still report the end of the task.
+	// this time, the worker may still report the end of the task. The time is short because discovery may remove a
+	// worker some seconds late, and the completion has to be reported within 8 s.
 	unlistedTimeout = 1 * second
 	// adoptedUnlistedTimeout is used instead of unlistedTimeout if a task is adopted while its worker is unlisted.
-	// The time is limited because nobody else will report the end of such a task.
+	// The time is limited because there may be no connection on which the worker could report the end of the task.
 	adoptedUnlistedTimeout = 1_500 * millisecond
 )
 
@@ -36,7 +37,7 @@
 // TaskSummary describes the tasks that occupy a worker.
 type TaskSummary struct {
 	Count        int
-	OldestSentAt int64 // time of the oldest offer, in microseconds; 0 if any of the tasks was adopted
+	OldestSentAt int64 // time of the oldest offer, in microseconds; 0 if there are no tasks or any of them was adopted
 }
 
 // TasksOn summarizes the running, terminating and unresponsive tasks on a worker.
--- a/internal/dispatch/tasks_test.go
+++ b/internal/dispatch/tasks_test.go
@@ -6,9 +6,9 @@
 	"ravenhitch/placement"
 )
 
-// A worker process that started after a task was offered or adopted does not run that task, so a completion
-// of the task is reported. Tasks that were offered later, or at most restartSkew before the start,
-// continue.
+// A task that was offered or adopted more than restartSkew before the start of its worker's process has ended with the
+// previous process. Its completion is reported to the client unless the task was released. Tasks that were offered
+// later continue, and so do all tasks on other workers.
 func TestWorkerRestarted(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
--- a/internal/dispatch/totals.go
+++ b/internal/dispatch/totals.go
@@ -6,7 +6,8 @@
 // ClassTotals counts the final responses to the requests of one class.
 type ClassTotals struct{ Started, Rejected, Failed int64 }
 
-// countResponse counts a response to a request of a class.
+// countResponse counts a final response to a request of a class. It ignores other responses, and classes that are not
+// in the settings.
 func (d *Dispatcher) countResponse(class string, kind ResponseKind) {
 	if _, known := d.classIndex[class]; !known {
 		return
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -3,7 +3,7 @@
 // This file owns the trace of requests: one line at debug level for each step of a request, with its request
 // ID, so that a request can be followed through every orchestrator of a fleet. It must never change what the
 // dispatcher does. If the debug level is off, nothing is written or formatted, but the arguments of a step
-// are still collected.
+// are still evaluated.
 
 import (
 	"context"
@@ -11,14 +11,15 @@
 	"strings"
 )
 
-// Tracer writes the steps of the traced requests at debug level. The dispatcher and the connections to
-// workers both use it, so that one search finds all steps of a request.
+// Tracer writes the steps of the traced requests at debug level. The dispatcher, the connections to workers and the
+// front for clients all use it, so that one search of the log for a request ID finds all steps of the request.
 type Tracer struct {
 	Log      *slog.Logger
 	Suffixes []string // suffixes of the traced request IDs; if there are none, all are traced
 }
 
-// Step writes one step of a request. The time of the step, at, is in microseconds.
+// Step writes one step of a request if the debug level is on and the request ID is traced. The time of the step, at,
+// is in microseconds.
 func (t Tracer) Step(step, requestID string, at int64, args ...any) {
 	if t.Log != nil && t.Log.Enabled(context.Background(), slog.LevelDebug) && Traced(t.Suffixes, requestID) {
 		t.Log.Debug(step, append([]any{"request_id", requestID, "at_us", at}, args...)...)
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// sweepInterval is the minimum time between two calls of Dispatcher.sweep, which ends unresponsive tasks and
-	// tasks on unlisted workers.
+	// sweepInterval is the minimum time between two calls of Dispatcher.sweep, which ends the tasks whose end no
+	// worker will report.
 	sweepInterval = 500 * millisecond
-	// drainRetention is the time for which drainingSince keeps a worker that left the list. It is much longer
-	// than an offer to the worker may wait to be sent.
+	// drainRetention is the time for which drainingSince keeps an unlisted worker, measured from the start of its
+	// draining. It is much longer than an offer to the worker may wait to be sent.
 	drainRetention = 60 * second
 )
 
@@ -112,8 +112,9 @@
 	}
 }
 
-// sweep ends unresponsive tasks and tasks on workers that are no longer listed. Without it, a task would stay
-// in the table forever if its worker vanished without a report.
+// sweep ends the running tasks and the unresponsive tasks whose end no worker will report (see lostTasks and
+// sweepUnresponsive). Without it, a task would stay in the table forever if its worker vanished without a report.
+// sweep also deletes old entries of drainingSince. It does nothing before the first list of workers is received.
 func (d *Dispatcher) sweep() {
 	if !d.hasList {
 		return
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns unclaimed completions: completions of tasks that no client has submitted to this orchestrator.
+// This file owns unclaimed completions: completions that workers report for tasks that are not in the table.
 // After an orchestrator has ended, its clients submit their running tasks to another orchestrator. A worker
 // reports the completion of a task only once, on any connection, and may do so before the client's submission. If
 // that completion were dropped, the task would stay in the table as running forever. This file must never end a
@@ -16,7 +16,7 @@
 	maxUnclaimed = 4096
 )
 
-// unclaimedCompletion is the completion of a task that no client has submitted here.
+// unclaimedCompletion is the completion of a task that was not in the table when its worker reported it.
 type unclaimedCompletion struct {
 	worker  string
 	outcome placement.Outcome
@@ -34,7 +34,8 @@
 	return unclaimedCompletions{byRequestID: map[string]unclaimedCompletion{}}
 }
 
-// UnknownTaskEnded records a worker's report on the end of a task that is not in the table.
+// UnknownTaskEnded records a worker's report on the end of a task that is not in the table. It ignores an outcome with
+// which no running task can end.
 func (d *Dispatcher) UnknownTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	if isTaskOutcome(outcome) {
 		d.unclaimed.add(requestID, unclaimedCompletion{worker, outcome, cause, now})
--- a/internal/dispatch/unclaimed_test.go
+++ b/internal/dispatch/unclaimed_test.go
@@ -7,8 +7,8 @@
 	"ravenhitch/placement"
 )
 
-// If a worker reported a completion before the task was adopted, the completion is reported to the client,
-// unless the client itself cancelled the task.
+// If the worker of an adopted task reported its completion at most unclaimedRetention before the adoption, the task
+// ends. The completion is reported to the client unless its outcome is Cancelled.
 func TestCompletionBeforeAdoption(t *testing.T) {
 	for name, c := range map[string]struct {
 		worker    string
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -2,8 +2,8 @@
 
 // This file owns unresponsive tasks: released tasks whose end the worker has not reported in time. Their
 // clients no longer need them, but a worker that cannot be reached keeps running them. For the scheduler, they
-// occupy capacity and count for the spread until their end is known. This file must never respond to a
-// client.
+// occupy capacity and count for the spread until their end is known or assumed. This file must never respond
+// to a client.
 
 import (
 	"maps"
@@ -17,7 +17,7 @@
 const unresponsiveRetention = 60 * second
 
 // setUnresponsive removes a released task from the table because its worker has not reported the end. The
-// client may then submit the key again. The request ID stays in use until the end is known.
+// client may then submit the key again. The request ID stays in use until the end is known or assumed.
 func (d *Dispatcher) setUnresponsive(r *request) {
 	d.remove(r)
 	r.unaccountedSince = d.now
--- a/internal/dispatch/unresponsive_test.go
+++ b/internal/dispatch/unresponsive_test.go
@@ -8,7 +8,7 @@
 	"ravenhitch/placement"
 )
 
-// unresponsiveEnds are the ways in which the end of an unresponsive task t1 on worker a becomes known.
+// unresponsiveEnds are the events after which an unresponsive task t1 on worker a counts as ended.
 var unresponsiveEnds = map[string]func(h *harness){
 	"reported":    func(h *harness) { h.TaskEnded(h.now, "a", "t1", placement.Cancelled, 0) },
 	"worker died": func(h *harness) { h.WorkerDied(h.now, "a") },
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -16,13 +16,16 @@
 	Description                           string
 }
 
-// WorkerPool sends offers to workers. The results are reported with AttemptAccepted, TaskEnded, TaskReported
-// and ProbeAnswered, never during a call of these methods.
+// WorkerPool sends offers, cancels, releases and probes to workers. It reports the results by calls of methods of
+// Dispatcher, such as AttemptAccepted, TaskEnded, CancelConfirmed and ProbeAnswered, but must not do so during a call
+// of one of its own methods.
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
-	// CancelAttempt cancels an offer that was not answered, before any later offer is sent. mayRetry states
-	// that another attempt may follow. CancelAttempt reports whether the attempt is certainly over.
-	// Otherwise, CancelConfirmed is called once the attempt is over.
+	// CancelAttempt cancels an offer that was not answered. The cancel is sent before any later offer. mayRetry
+	// states that another attempt may follow. CancelAttempt returns true if the attempt is over. It also returns
+	// true if mayRetry is false and the cancel was sent in a deployment that does not allow pings, because nothing
+	// confirms the cancel there. If it returns false, CancelConfirmed or TaskEnded is called once the attempt is
+	// over.
 	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
 	// Release requests a worker to end a running task.
 	Release(worker, requestID string)
@@ -30,8 +33,8 @@
 	Probe(worker string)
 }
 
-// AttemptAccepted handles a worker's report that a task is running. The acceptance of a cancelled attempt is
-// ignored: its client has got another response, or will get one.
+// AttemptAccepted handles a worker's acceptance of an offer. The acceptance of a cancelled attempt is ignored: the
+// client has cancelled the request, has got another response, or will get one.
 func (d *Dispatcher) AttemptAccepted(now int64, worker, requestID, description string) {
 	d.now = now
 	r := d.requests[requestID]
@@ -51,8 +54,8 @@
 	d.respond(r, Response{Kind: Started, Description: description, Worker: worker})
 }
 
-// TaskEnded handles a worker's report on the end of a running task, of a released task, or of an attempt that
-// was never accepted.
+// TaskEnded handles the end of a running, released or unresponsive task, or of an attempt whose acceptance was not
+// received. Either the worker reported the end, or the offer was not sent or was lost with its connection.
 func (d *Dispatcher) TaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	d.now = now
 	if r := d.unresponsive[requestID]; r != nil && r.worker == worker {
@@ -71,7 +74,7 @@
 			d.unacceptedTaskEnded(r, cause)
 			return
 		case outcome == placement.Cancelled:
-			outcome = placement.Reset // the attempt ended without a start
+			outcome = placement.Reset // the dispatcher did not cancel the attempt
 		}
 		d.attemptEnded(r, outcome, cause)
 	case stateCancelling:
@@ -114,8 +117,8 @@
 	return outcome == placement.Completed || outcome == placement.Cancelled || outcome == placement.Reset
 }
 
-// CancelConfirmed handles the confirmation that a cancelled attempt is certainly over: the worker has read
-// the cancel, or its connection is closed.
+// CancelConfirmed handles the confirmation that a cancelled attempt is over: the worker has read the cancel, or the
+// connection of the offer has ended and the worker has had time to notice.
 func (d *Dispatcher) CancelConfirmed(now int64, worker, requestID string) {
 	d.now = now
 	if r := d.requests[requestID]; r != nil && r.worker == worker && r.state == stateCancelling {
@@ -151,8 +154,8 @@
 	d.queueEvent(placement.WorkerUnreachable{Worker: worker})
 }
 
-// WorkerDied handles the report that the process of a worker has certainly died. The tasks that ran there have
-// ended, and nobody will report their completions.
+// WorkerDied handles the report that the process of a worker has died. The tasks that ran there have ended, and nobody
+// will report their completions.
 func (d *Dispatcher) WorkerDied(now int64, worker string) {
 	d.now = now
 	d.endTasksOn(worker, func(*request) bool { return true })
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // This file owns the set of listed workers and the times since which workers have been draining. It must never
-// end a task or change an entry. Only the list filter (listfilter.go) changes entries.
+// end a task or change the entry of a worker in a list. Only the list filter (listfilter.go) changes entries.
 
 import "ravenhitch/placement"
 
@@ -11,7 +11,8 @@
 	d.hasList = true
 	if isCompleteList(list) {
 		// Workers that a complete list does not name count as draining from now on. The loop sets this time for
-		// all workers; updateListed deletes it again for the named workers that are not draining.
+		// all listed workers, including those that are already draining; updateListed deletes it again for the
+		// named workers that are ready or foreign.
 		for worker := range d.listed {
 			d.drainingSince[worker] = now
 		}
