--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -6,7 +6,7 @@
 package descriptors
 
 const (
-	// reserved is the number of descriptors that clients and workers leave free. They serve the connection
+	// reserved is the number of descriptors that clients and workers leave free. They serve a new connection
 	// to discovery, admin calls of operators, and a client that is accepted before the connection evicted
 	// for it is closed.
 	reserved = 4
@@ -18,8 +18,8 @@
 	// borrow more, up to Budget.maxClients, if connections to workers leave descriptors free.
 	clientShareDivisor = 3
 	// minClientShareDivisor limits all connections to workers: they always leave 1/minClientShareDivisor of the
-	// budget to clients, even if they are required. A connection is required if the worker has running tasks or an
-	// offer is waiting for the connection.
+	// budget to clients, even if they are required. A connection is required if the worker has running tasks or a
+	// message, such as an offer, is waiting for the connection.
 	minClientShareDivisor = 8
 )
 
@@ -61,11 +61,11 @@
 func (b *Budget) AdmitsWorker() bool { return b.preservesClientShare(clientShareDivisor) }
 
 // AdmitsRequiredWorker reports whether the budget allows one more connection to a worker that has running
-// tasks or for which an offer is waiting.
+// tasks or for which a message, such as an offer, is waiting.
 func (b *Budget) AdmitsRequiredWorker() bool { return b.preservesClientShare(minClientShareDivisor) }
 
-// preservesClientShare reports whether the unused part of the clients' share stays free if one more connection to
-// a worker is opened. The share is 1/divisor of the budget.
+// preservesClientShare reports whether the reserved descriptors and the unused part of the clients' share stay free
+// if one more connection to a worker is opened. The share is 1/divisor of the budget.
 func (b *Budget) preservesClientShare(divisor int) bool {
 	if b == nil {
 		return true
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -17,11 +17,11 @@
 		{"clients use their share", 40, 0, 78, false, true, true},
 		{"one below the clients' share", 39, 0, 79, true, true, true},
 		{"workers borrow up to the clients' share", 0, 73, 45, true, true, true},
-		{"workers may not borrow more", 0, 74, 44, true, false, true},
-		{"required workers may", 0, 98, 20, true, false, true},
-		{"up to the minimum share of clients", 0, 99, 19, true, false, false},
-		{"beside clients that use that share", 15, 98, 5, true, false, true},
-		{"only the reserved ones are free", 40, 74, 4, false, false, false},
+		{"optional connections may not borrow more", 0, 74, 44, true, false, true},
+		{"required connections borrow up to the clients' minimum share", 0, 98, 20, true, false, true},
+		{"required connections may not borrow more", 0, 99, 19, true, false, false},
+		{"clients use their minimum share", 15, 98, 5, true, false, true},
+		{"only the reserved descriptors are free", 40, 74, 4, false, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := New(total, maxClients, func() int { return c.free }, func() int { return c.clients })
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -1,7 +1,8 @@
 package workerpool
 
-// This file owns the cancellation of attempts that a worker has not answered: it either writes a cancel or aborts the
-// connection. It must never leave an offer in transit that could reach the worker after the attempt is over.
+// This file owns the cancellation of attempts that a worker has not answered. An offer that was not written yet is only
+// removed; otherwise a cancel is written or the connection is aborted. An offer that could reach the worker after the
+// attempt is over must never stay in transit without a cancel behind it.
 
 import (
 	"slices"
@@ -24,8 +25,17 @@
 	return confirmed
 }
 
-// cancelOffer cancels an open offer and reports whether the cancel is already confirmed. mayRetry is true if another
-// attempt may follow.
+// cancelOffer cancels an open offer. An offer that was not written yet is only removed. A cancel is written if the
+// offer was sent completely, data was received or the connection was established since the offer was made, and the
+// deployment allows pings or mayRetry is false. In all other cases, the connection is aborted.
+//
+// cancelOffer returns true if the attempt counts as over at once: the offer was not written, or a cancel was written
+// that nothing confirms because the deployment does not allow pings. Otherwise it returns false, and
+// Dispatcher.CancelConfirmed is called when the ping behind the cancel is answered or, if the connection ends without
+// that answer, after the time in which the close reaches the worker.
+//
+// mayRetry is true if another attempt may follow. It has an effect only if the deployment does not allow pings: then
+// the connection is aborted and no cancel is written, because the next attempt must wait until this one is over.
 func (c *workerConn) cancelOffer(offer *openOffer, mayRetry bool) (confirmed bool) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	c.removeOffer(offer)
@@ -36,7 +46,8 @@
 	}
 	responsive := c.lastReadAt >= offer.offeredAt
 	confirmable := pool.pingsAllowed || !mayRetry
-	// A cancel does not suffice for a partially sent offer, because the rest of the offer would still be sent.
+	// A cancel does not suffice for an offer that was not sent completely: the rest of the offer would still be sent,
+	// possibly after the attempt is over.
 	if offer.isSent(c.conn) && responsive && confirmable {
 		c.sendCancel(requestID)
 		return !pool.pingsAllowed
@@ -46,10 +57,11 @@
 	return false
 }
 
-// sendCancel writes and flushes a cancel, so that it is sent before anything written later on any connection. If
-// the operating system does not accept the cancel completely, the ping behind it is not answered, so the cancel is
-// not confirmed. If the deployment does not allow pings, nothing confirms the cancel, and no other attempt may
-// follow.
+// sendCancel writes and flushes a cancel, so that it is sent before anything written later on any connection. The
+// answer to a ping behind the cancel confirms it. If an earlier such ping is in flight, the ping for this cancel is
+// written after the answer to the earlier one. If the operating system accepts only a part of the output, the ping
+// cannot be answered before the rest is sent, so the cancel is not confirmed too early. If the deployment does not
+// allow pings, nothing confirms the cancel, and the caller ensures that no other attempt follows.
 func (c *workerConn) sendCancel(requestID string) {
 	c.sendFinish(requestID)
 	switch {
@@ -62,8 +74,8 @@
 	c.conn.Flush()
 }
 
-// UnconfirmedCancels returns the number of connections with an unconfirmed cancel. It is exported for the tests of
-// the orchestrator, which wait until the number is 0.
+// UnconfirmedCancels returns the number of connections on which a cancel awaits the answer to a ping. It is exported
+// for the tests of package main, which wait until there is such a cancel or none is left.
 func (p *Pool) UnconfirmedCancels() (count int) {
 	for _, l := range p.links {
 		for _, c := range l.conns {
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -1,10 +1,10 @@
 package workerpool
 
 // This file owns the confirmation that a worker has read a cancel. A written cancel may never arrive, because the
-// network may have been cut since the worker's last message. Therefore a ping is written behind the cancel, and its
-// answer proves that the worker has read the cancel. If no answer arrives, the connection is aborted, which cancels
-// all attempts that are open on it and discards its buffers. A cancel must never be considered read only because it
-// was written.
+// network may have been cut since the worker's last message. Therefore, if the deployment allows pings, a ping is
+// written behind the cancel, and its answer proves that the worker has read the cancel. If no answer arrives in time,
+// the connection is aborted, which cancels all attempts that are open on it and discards its buffers. A cancel must
+// never be considered read only because it was written.
 
 import (
 	"fmt"
@@ -13,19 +13,19 @@
 	"ravenhitch/internal/eventloop"
 )
 
-// confirmationTimeout is the maximum time without any received data on a connection after a cancel was written on it.
-// Any data counts, not only the answer to the ping, because a ping waits behind the worker's decisions on offers.
-// While other data arrives, the answer to a ping may take up to the dial timeout.
+// confirmationTimeout is the maximum time from the writing of the ping behind a cancel until any data is received on
+// the connection. Any data counts, not only the answer to the ping, because the worker may decide on earlier offers
+// before it answers the ping. Once other data was received, the answer may take up to the dial timeout.
 const confirmationTimeout = 100 * millisecond
 
 // cancelConfirmations holds the cancels that were written on one connection and that the worker is not known to have
-// read. At most one ping is in flight at a time, because each ping costs the worker work.
+// read. At most one ping behind cancels is in flight at a time, because each ping costs the worker work.
 type cancelConfirmations struct {
 	pingTag    string           // tag of the ping in flight, "" for none
 	pingSentAt int64            // time at which the ping was written
-	beforePing []string         // requests cancelled before the ping was written, which its answer confirms
-	afterPing  []string         // requests cancelled after the ping was written, which the next ping confirms
-	timer      *eventloop.Timer // fires when the confirmation times out
+	beforePing []string         // requests whose cancels were written before the ping; its answer confirms them
+	afterPing  []string         // requests whose cancels were written after the ping; the next ping confirms them
+	timer      *eventloop.Timer // calls confirmationTimedOut, which may set it again
 }
 
 // pending reports whether a cancel awaits confirmation.
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// staleAfter is how long an offer may be open on a connection without received data before new offers are
-	// sent on a new connection.
+	// staleAfter is how long an offer may be open on a connection without received data before new messages are
+	// sent on a new connection. After the same time without received data, a worker may not notice the end of a
+	// connection.
 	staleAfter = 400 * millisecond
 	// maxReadGap is the maximum time without received data on a connection to a worker with running tasks. After
 	// that time, another connection is dialled unless TCP acknowledgements prove that the connection is alive. The
-	// time is limited because a completion that is not reported within 8 s is lost.
+	// time is limited because a completion must be reported to the client within 8 s of the end of the task.
 	maxReadGap = 3 * second
 	// partialMessageTimeout is the maximum time to wait for the rest of an incomplete message. The time is limited
 	// because an incomplete message delays every message behind it.
@@ -43,12 +44,12 @@
 	established bool  // true from when the connection is established, even after it is closed
 	dialledAt   int64 // time of the dial
 	lastReadAt  int64 // time at which data was last received, or at which the connection was established
-	lastUsedAt  int64 // time at which the connection was last chosen for an offer, a release or a probe
+	lastUsedAt  int64 // time of the dial, or at which the connection was last chosen for an offer, release or probe
 	aliveUntil  int64 // time until which the last known TCP acknowledgement proves that the connection is alive
 }
 
-// isStale reports whether an offer has been open on the connection for longer than staleAfter without received
-// data. New offers are then sent on a new connection. If the network to the worker is cut, the existing
+// isStale reports whether the connection is up and an offer has been open on it for longer than staleAfter without
+// received data. New messages are then sent on a new connection. If the network to the worker is cut, the existing
 // connections stay open, but the dial of a new one quickly shows that the worker is unreachable.
 func (c *workerConn) isStale() bool {
 	if !c.conn.IsUp() {
@@ -70,8 +71,8 @@
 		len(c.link.releases) == 0 && len(c.link.pendingResets) == 0
 }
 
-// enableKeepAlive enables TCP keepalive if the pool accepts TCP acknowledgements as proof that the connection is
-// alive.
+// enableKeepAlive sets the idle time of TCP keepalive if the pool accepts TCP acknowledgements as proof that the
+// connection is alive. Otherwise the default keepalive of package eventloop stays in effect.
 func (c *workerConn) enableKeepAlive() {
 	idleTime := c.link.pool.keepAlive
 	if idleTime == 0 {
@@ -82,9 +83,10 @@
 	}
 }
 
-// checkAlive reports whether the connection is known to be alive: either data was received within maxReadGap, or the
-// worker's operating system acknowledged a packet recently enough. checkAlive asks the local operating system for the
-// last acknowledgement only if neither is known already, because the query takes a system call.
+// checkAlive reports whether the connection is known to be alive: either data was received within maxReadGap or, if the
+// pool accepts TCP acknowledgements as proof, the worker's operating system acknowledged a packet within the idle time
+// of TCP keepalive plus keepAliveSlack. checkAlive asks the local operating system for the last acknowledgement only if
+// neither is known already, because the query takes a system call.
 func (c *workerConn) checkAlive(now int64) bool {
 	if now-c.lastReadAt <= maxReadGap || now < c.aliveUntil {
 		return true
@@ -114,8 +116,8 @@
 }
 
 // close closes the connection from this side for the given reason and settles the offers, probes and cancels that are
-// open on it. It aborts the connection if its buffers may still contain an offer or a cancel, or if the worker is
-// unreachable.
+// open on it. It aborts the connection if its buffers may still contain an offer or a cancel, or if the reason means
+// that the worker is unreachable (see isUnreachable).
 func (c *workerConn) close(reason error) {
 	unreachable := isUnreachable(reason)
 	if unreachable {
--- a/internal/workerpool/end_reasons.go
+++ b/internal/workerpool/end_reasons.go
@@ -44,7 +44,7 @@
 	return isReset(err) || errors.Is(err, eventloop.ErrEOF) || errors.Is(err, jsonlines.ErrMessage)
 }
 
-// isReset reports whether a connection was reset, which happens when the process on the other side dies.
+// isReset reports whether a connection was reset, for example because the process on the other side died.
 func isReset(err error) bool {
 	return errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
 }
--- a/internal/workerpool/helpers_test.go
+++ b/internal/workerpool/helpers_test.go
@@ -1,7 +1,7 @@
 package workerpool
 
-// This file owns the helpers that the tests of this package share: a pool on a separate loop, and a listener
-// that takes the place of the worker.
+// This file owns the helpers that the tests of this package share: a pool with an event loop of its own, and a
+// listener that takes the place of the worker.
 
 import (
 	"log/slog"
--- a/internal/workerpool/idle.go
+++ b/internal/workerpool/idle.go
@@ -55,7 +55,7 @@
 	return false
 }
 
-// scanIdleConns records the idle connections to workers at which no task runs.
+// scanIdleConns records the idle connections to workers that have only one connection and no tasks.
 func (p *Pool) scanIdleConns() {
 	p.idle.conns, p.idle.scannedAt = p.idle.conns[:0], p.loop.Now()
 	for worker, l := range p.links {
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -2,9 +2,10 @@
 
 // This file owns the connections that are dialled only to receive late completions. They must never carry an offer.
 //
-// A worker reports the completion of a task on the connection on which the task was offered while it considers that
-// connection open, and otherwise on the next connection that is opened. In two cases the worker sends a completion on
-// a connection that has already ended on this side, and the completion arrives only on a connection opened later:
+// A worker reports the completion of a task on the connection on which the task was offered if it considers that
+// connection open, and otherwise on any open connection. It repeats the report on the next connection that is opened.
+// In two cases the worker sends a completion on a connection that has already ended on this side, and the completion
+// arrives only on a connection opened later:
 //   - The connection ended and the worker has not noticed. Any completion may be late.
 //   - This side closed the connection and the worker noticed shortly afterwards. The completions that the worker sent
 //     in between are late, and one more connection suffices to receive them.
@@ -15,8 +16,9 @@
 )
 
 const (
-	// lateCompletionInterval is the minimum time between the opening of a connection and the next dial for late
-	// completions. It is short because a completion that is not reported within 8 s is lost.
+	// lateCompletionInterval is the minimum time from the opening of a connection, or the closing of an older one, to
+	// the next dial for late completions. It is short because a completion must be reported to the client within 8 s
+	// of the end of the task.
 	lateCompletionInterval = maxReadGap
 	// lateCompletionConnLifetime is how long a connection for late completions stays open for the worker's reports.
 	lateCompletionConnLifetime = 500 * millisecond
@@ -29,8 +31,8 @@
 type lateCompletionConn struct{ workerConn }
 
 // dialForLateCompletions dials a connection for late completions if the completion of one of the given tasks may
-// be late. It does nothing if, within the last lateCompletionInterval, another connection was opened or an older
-// one was closed.
+// be late. It does nothing if too few descriptors are free, if the newest connection of the link is not up, or if,
+// within the last lateCompletionInterval, another connection was opened or an older one was closed.
 func (l *link) dialForLateCompletions(tasks dispatch.TaskSummary, now int64) {
 	if !l.expectsLateCompletions(tasks) || now-max(l.openedAt, l.prunedAt) < lateCompletionInterval {
 		return
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -17,11 +17,11 @@
 const (
 	minRedialBackoff = 100 * millisecond
 	maxRedialBackoff = 2 * second
-	// maxConns is the maximum number of connections to one worker.
+	// maxConns is the maximum number of connections to one worker, without those for late completions.
 	maxConns = 4
 )
 
-// link holds the connections to one worker and the state of the worker that is derived from them.
+// link holds the connections to one worker and what the pool knows about the worker.
 type link struct {
 	pool     *Pool
 	workerID string
@@ -29,25 +29,26 @@
 	listed   bool // discovery lists the worker
 	assigned bool // this orchestrator places tasks at the worker
 
-	// processStartedAt is the time at which the worker's process started according to discovery; 0 means long ago.
-	// restartPending is true until that start has been applied to the tasks that ran at the worker.
+	// processStartedAt is the Unix time in microseconds at which the worker's process started according to
+	// discovery, or 0 if discovery has not reported it. restartPending is true until that start has been applied to
+	// the tasks that ran at the worker.
 	processStartedAt int64
 	restartPending   bool
 
 	conns         []*workerConn // oldest first; new messages are sent on the last one
-	redialBackoff int64         // delay before the next dial
+	redialBackoff int64         // delay of the last redial, 0 if a connection was established since
 	redialTimer   *eventloop.Timer
 	wasReset      bool  // a connection was reset, so that a refused connection now proves that the worker is dead
 	unreachable   bool  // a connection failed or was unresponsive, and none has been established since
-	refusedSince  int64 // time of the first refused connection since data was last received, 0 for none
+	refusedSince  int64 // time of the first refusal since a connection was established or data received, 0 for none
 	minConnectUs  int64 // shortest time in which a connection was established, 0 if none has been
 
-	pendingResets map[string]bool     // requests reset with their connection, which the worker may not have noticed
+	pendingResets map[string]bool     // requests whose offers were reset and whose ends are not reported yet
 	releases      unconfirmedReleases // unconfirmed releases of running tasks
 
 	lostUnnoticedAt int64 // time of the last end of a connection that the worker may still consider open
 	openedAt        int64 // time at which a connection was last established, or one for late completions was dialled
-	prunedAt        int64 // time at which this side last closed an older connection, which the worker notices later
+	prunedAt        int64 // time at which pruneConns last closed a connection, which the worker notices later
 }
 
 // connForSending returns the connection for new messages, dialling one if needed. The connection may not be
@@ -96,17 +97,18 @@
 	return c
 }
 
-// ensureConnected dials a listed worker that is assigned to this orchestrator and has no connection, if the budget
-// allows it. The connection is needed even without offers: running tasks are not bound to a connection, and a worker
-// may report their completion on any connection.
+// ensureConnected dials a listed worker that is assigned to this orchestrator and has neither a connection nor a
+// scheduled redial, if the budget allows it. The connection is needed even without offers: running tasks are not bound
+// to a connection, and a worker may report their completion on any connection.
 func (l *link) ensureConnected() {
 	if l.assigned && l.needsDial() && l.pool.budget.AdmitsWorker() {
 		l.dial()
 	}
 }
 
-// requireConnected dials a listed worker that runs tasks and has no connection. If no descriptor is free, an idle
-// connection to another worker is closed for it.
+// requireConnected dials a listed worker that has neither a connection nor a scheduled redial. The caller ensures that
+// tasks run at the worker. If no descriptor is free, an idle connection to another worker may be closed, or a
+// descriptor of the clients' share may be used (see ensureDescriptor).
 func (l *link) requireConnected() {
 	if l.needsDial() && l.pool.ensureDescriptor() {
 		l.dial()
@@ -118,7 +120,9 @@
 	return l.listed && len(l.conns) == 0 && !l.redialTimer.Pending()
 }
 
-// scheduleRedial schedules a dial after a backoff that doubles with each failure, up to maxRedialBackoff.
+// scheduleRedial schedules a dial after a backoff that doubles with each redial, up to maxRedialBackoff. It does
+// nothing if the worker is not listed or a redial is already scheduled. When the time comes, the dial is skipped if the
+// worker is no longer listed, is not assigned to this orchestrator or has a connection, or if the budget allows none.
 func (l *link) scheduleRedial() {
 	if !l.listed || l.redialTimer.Pending() {
 		return
@@ -132,9 +136,10 @@
 }
 
 // sweep maintains the connections to a worker, given a summary of the tasks that run there. If tasks run and the
-// newest connection is not known to be alive, sweep dials another one. Otherwise a dead connection would go
-// unnoticed while no offer is sent, and the completions of the tasks would never arrive. (If an offer is cancelled on
-// a connection without received data, the cancel itself closes that connection.)
+// newest connection is up but not known to be alive, sweep dials another one if the budget and maxConns allow it.
+// Without this dial, a dead connection would go unnoticed while no offer is sent, and the completions of the tasks
+// would never arrive. (If an offer is cancelled on a connection without received data since the offer, cancelOffer
+// closes that connection.)
 func (l *link) sweep(tasks dispatch.TaskSummary, now int64) {
 	l.releases.expire(now)
 	l.applyRestart()
@@ -154,7 +159,8 @@
 	l.dialForLateCompletions(tasks, now)
 }
 
-// connClosed handles the end of a connection that this side did not close and that is already removed from the link.
+// connClosed handles the end of a connection that did not end through workerConn.close. The connection is already
+// removed from the link.
 func (l *link) connClosed(err error) {
 	if !errors.Is(err, eventloop.ErrEOF) {
 		l.setUnreachable()
@@ -176,9 +182,9 @@
 	}
 }
 
-// setUnreachable records that a connection could not be established, broke or returned no data. The scheduler is
-// notified in the next turn unless a connection is up by then. Without the notification, the scheduler would spend
-// attempts on a worker that the pool knows to be unreachable.
+// setUnreachable records that a connection could not be established, broke or was unresponsive. The next call of
+// DeliverPending notifies the dispatcher unless a connection is up by then. Without the notification, the scheduler
+// would spend attempts on a worker that the pool knows to be unreachable.
 func (l *link) setUnreachable() {
 	l.unreachable = true
 	l.pool.reportLater(func() {
@@ -201,8 +207,8 @@
 	}
 }
 
-// closeUnassigned closes an idle connection to a worker that is assigned to another orchestrator. The caller ensures
-// that no task of this orchestrator runs at the worker.
+// closeUnassigned closes the only connection to a worker that is not assigned to this orchestrator, if the connection
+// is idle. The caller ensures that no task of this orchestrator runs at the worker.
 func (l *link) closeUnassigned() {
 	if !l.assigned && len(l.conns) == 1 && l.conns[0].isIdle() {
 		l.conns[0].close(errIdle)
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -2,7 +2,7 @@
 
 // This file owns offers: it chooses the connection and the time at which an offer is sent, and settles the offers of
 // a connection that ended. It must never send an offer that the dispatcher did not request, nor an offer whose client
-// may have disconnected.
+// may have disconnected more than maxClientLastSeenAge ago.
 
 import (
 	"strconv"
@@ -14,8 +14,9 @@
 )
 
 const (
-	// maxClientLastSeenAge is the maximum time between the last read of a client's connection and the sending of
-	// the client's offer. It is limited because no attempt may start for a client that disconnected 0.1 s ago.
+	// maxClientLastSeenAge is the maximum time between the last read of a client's connection and the sending of an
+	// offer for the client's request. It is limited because no attempt may start for a client that disconnected more
+	// than 0.1 s ago.
 	maxClientLastSeenAge = 50 * millisecond
 	// maxOfferTries is the maximum number of connections on which an offer is tried if each connection breaks
 	// before the offer is sent. After that the outcome of the attempt is ConnectFailed.
@@ -50,7 +51,8 @@
 	p.putOffer(worker, &openOffer{Offer: offer, sequence: p.offersMade, offeredAt: now, deadline: now + offer.TimeoutUs})
 }
 
-// putOffer adds an offer to a connection to the worker, and sends it as soon as the connection is up.
+// putOffer adds an offer to a connection to the worker, and sends it as soon as the connection is up. If there is no
+// connection and none can be dialled, the attempt ends with ConnectFailed.
 func (p *Pool) putOffer(worker string, offer *openOffer) {
 	var c *workerConn
 	if l := p.links[worker]; l != nil {
@@ -67,8 +69,8 @@
 	}
 }
 
-// reportConnectFailed reports that an offer was never sent because no connection to the worker could be established
-// or every connection broke before the offer was sent.
+// reportConnectFailed reports that an attempt ended with ConnectFailed: no connection to the worker could be dialled or
+// established, or the connection ended before the offer was sent completely and the offer is not resent.
 func (p *Pool) reportConnectFailed(worker, requestID string) {
 	p.reportLater(func() {
 		p.dispatcher.TaskEnded(p.loop.Now(), worker, requestID, placement.ConnectFailed, placement.CauseUnknown)
@@ -103,10 +105,11 @@
 	return count
 }
 
-// sendOffer writes an offer to its connection. If the connection of the client was not read recently, sendOffer
-// delays the offer. If the dispatcher no longer allows the offer, sendOffer reports that it was never sent. Both are
-// possible because an offer may have waited for its connection to be established or may be resent after another
-// connection ended.
+// sendOffer writes an offer to its connection. If the connection of the client was last read more than
+// maxClientLastSeenAge ago, sendOffer delays the offer. If the dispatcher no longer allows the offer, sendOffer reports
+// that it was never sent. Both are possible because time may have passed since the dispatcher made the offer: the turn
+// may be long, and the offer may have waited for its connection or for the read of its client's connection, or may be
+// resent after another connection ended.
 func (c *workerConn) sendOffer(offer *openOffer) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
@@ -169,10 +172,10 @@
 }
 
 // settleOffers removes all offers from a connection that ended with err, and returns the offers to resend on
-// another connection. An offer that was sent completely may have run, so it is reported as reset. Any other offer
-// never ran. It is resent immediately if the worker is listed, fewer than maxOfferTries connections were tried,
-// and err does not show whether another connection could be established (see isDisconnect). Otherwise, for example
-// if no connection could be established, the attempt ends.
+// another connection. The task of an offer that was sent completely may have run, so the offer is reported as reset.
+// The task of any other offer never ran. Such an offer is returned if the worker is listed, fewer than maxOfferTries
+// connections were tried, and err does not show whether another connection could be established (see isDisconnect).
+// Otherwise, for example if the connection could not be established, the attempt ends with ConnectFailed.
 func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
 	l, pool := c.link, c.link.pool
 	for _, offer := range c.offersInOrder() {
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -38,7 +38,7 @@
 	stop := startLoop(t, loop, func(int64) { pool.DeliverPending() })
 	received := ""
 	for range 2 {
-		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // the connection that was reset yields no line
+		line, _ := bufio.NewReader(nettest.Accept(t, listener)).ReadString('\n') // the reset connection yields no line
 		received += line
 	}
 	if strings.Count(received, offerText) != 1 {
@@ -74,7 +74,7 @@
 			loop, pool, dispatcher := newPool(t)
 			conn := offerToWorker(t, listener, loop, pool, dispatcher)
 			c.event(loop.Now(), dispatcher, pool)
-			// The loop runs until the connection is established and its outcomes are reported.
+			// The loop runs until the connection is established and the outcomes found by then are reported.
 			err := loop.Run(func(int64) {
 				if pool.DeliverPending(); conn.established {
 					loop.Stop()
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -5,8 +5,8 @@
 package workerpool
 
 // This file owns the set of workers that discovery lists, the periodic sweep over all of them, and the
-// outcomes that wait to be reported to the dispatcher. It must never call the dispatcher while the dispatcher
-// is calling the pool, and never end an attempt because its deadline has passed: deadlines belong to the
+// outcomes that wait to be reported to the dispatcher. It must never report an outcome to the dispatcher while the
+// dispatcher is calling the pool, and never end an attempt because its deadline has passed: deadlines belong to the
 // dispatcher.
 
 import (
@@ -47,7 +47,7 @@
 	isAssigned     func(worker string) bool // reports whether this orchestrator places tasks at a worker; nil for all
 	offersMade     uint64                   // number of offers that the dispatcher has made
 	offersSent     int64                    // number of offers that were sent completely and are no longer open
-	pendingReports []func()                 // outcomes found during calls by the dispatcher and not yet reported to it
+	pendingReports []func()                 // report outcomes to the dispatcher in the next call of DeliverPending
 	delayedOffers  []delayedOffer           // offers that wait until the connections of their clients have been read
 	budget         *descriptors.Budget      // nil if descriptors are not limited
 	idle           idleConns
@@ -59,7 +59,8 @@
 var _ dispatch.WorkerPool = (*Pool)(nil)
 
 // New returns a pool without workers. dialTimeoutUs is the maximum time, in microseconds, for establishing a
-// connection. pingsAllowed is true if the pool may send pings to workers. SetDispatcher sets the dispatcher.
+// connection and for the answer to a probe or to a ping behind a cancel. pingsAllowed is true if the pool may send
+// pings to workers. SetDispatcher must be called before the first worker is added.
 func New(loop *eventloop.Loop, dialTimeoutUs int64, pingsAllowed bool, log *slog.Logger) *Pool {
 	return &Pool{
 		loop:          loop,
@@ -75,12 +76,15 @@
 // requests are traced.
 func (p *Pool) SetTraceSuffixes(suffixes []string) { p.tracer.Suffixes = suffixes }
 
-// SetKeepAlive makes the pool accept TCP acknowledgements as proof that a connection is alive, and enables TCP
-// keepalive: the operating system sends a probe after idleTime without a packet from the worker's operating system.
-// No proxy between the pool and a worker may acknowledge packets on the worker's behalf.
+// SetKeepAlive makes the pool accept TCP acknowledgements as proof that a connection is alive, and sets the idle time
+// of TCP keepalive for connections established later: the operating system sends a probe after idleTime without a
+// packet from the worker's operating system. No proxy between the pool and a worker may acknowledge packets on the
+// worker's behalf. If idleTime is 0, only received data proves that a connection is alive, and the default keepalive
+// of package eventloop stays in effect.
 func (p *Pool) SetKeepAlive(idleTime time.Duration) { p.keepAlive = idleTime }
 
-// ShareDescriptors makes the pool open connections to workers only if the budget admits them.
+// ShareDescriptors makes the pool open connections to workers only if the budget admits them. Connections for late
+// completions are not counted in the budget.
 func (p *Pool) ShareDescriptors(budget *descriptors.Budget) { p.budget = budget }
 
 // SetDispatcher sets the dispatcher to which the pool reports outcomes, and starts the periodic sweep.
@@ -148,8 +152,8 @@
 	p.loop.RunAgain()
 }
 
-// DeliverPending reports to the dispatcher the outcomes that were found during its calls. The orchestrator calls
-// DeliverPending in each turn of the loop after all received data has been read. DeliverPending first sends the
+// DeliverPending reports to the dispatcher the outcomes that were queued by reportLater. The orchestrator calls
+// DeliverPending in each turn of the loop after the received data has been read. DeliverPending first sends the
 // offers that were delayed until then, and flushes them immediately.
 func (p *Pool) DeliverPending() {
 	p.sendDelayedOffers()
@@ -185,8 +189,9 @@
 	p.unlist(l)
 }
 
-// unlist removes a worker that is no longer listed. A worker without a connection is removed immediately, any other
-// worker after unlistedLinger unless it is listed again by then.
+// unlist removes a worker that is no longer listed. A worker without a connection is removed immediately. Any other
+// worker is removed after unlistedLinger, or earlier if its last connection breaks or is closed by the worker, unless
+// it is listed again by then.
 func (p *Pool) unlist(l *link) {
 	l.redialTimer.Stop()
 	if len(l.conns) == 0 {
@@ -201,7 +206,8 @@
 	})
 }
 
-// UpdateWorkerStart applies the start time of a worker's process that discovery reported, as a Unix time in microseconds.
+// UpdateWorkerStart applies the start time of a worker's process, a Unix time in microseconds, that discovery reported.
+// It ignores a time that is not later than the known one.
 func (p *Pool) UpdateWorkerStart(worker string, startedAt int64) {
 	if l := p.links[worker]; l != nil && startedAt > l.processStartedAt {
 		l.processStartedAt, l.restartPending = startedAt, true
--- a/internal/workerpool/probe_test.go
+++ b/internal/workerpool/probe_test.go
@@ -16,7 +16,7 @@
 		{"empty", "", placement.Load{FreeCores: unknown, FreeMemory: unknown, Utilization: unknown, Queued: unknown}},
 		{"all names", "x0:1.5;x1:2,util:0.25;queue:3",
 			placement.Load{FreeCores: 1.5, FreeMemory: 2, Utilization: 0.25, Queued: 3}},
-		{"other names of the same", "utilization:0.5;backlog:4",
+		{"alternative names", "utilization:0.5;backlog:4",
 			placement.Load{FreeCores: unknown, FreeMemory: unknown, Utilization: 0.5, Queued: 4}},
 		{"the last value counts", "x0:1;x0:2",
 			placement.Load{FreeCores: 2, FreeMemory: unknown, Utilization: unknown, Queued: unknown}},
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -1,7 +1,8 @@
 package workerpool
 
 // This file owns the releases of running tasks and records the unconfirmed releases. A worker confirms a release by
-// reporting that the task has ended. Until then the release is sent again on each new connection.
+// acknowledging it or by reporting that the task has ended. Until then, but at most for releaseRetention, the release
+// is sent again on each new connection.
 
 import (
 	"maps"
@@ -11,10 +12,11 @@
 )
 
 const (
-	// maxUnconfirmedReleases is the maximum number of unconfirmed releases that are kept for one worker.
+	// maxUnconfirmedReleases is the maximum number of unconfirmed releases that are kept for one worker. Further
+	// releases are sent once if a connection is up, and otherwise not at all.
 	maxUnconfirmedReleases = 1024
 	// releaseRetention is the time for which an unconfirmed release is kept. It equals the longest network outage
-	// that connections survive.
+	// that connections survive with the default TCP keepalive of package eventloop.
 	releaseRetention = 60 * second
 )
 
@@ -29,7 +31,7 @@
 	}
 }
 
-// confirm deletes the release of a task whose end the worker has reported.
+// confirm deletes a release that the worker has acknowledged, or whose task it has reported as ended.
 func (r unconfirmedReleases) confirm(requestID string) { delete(r, requestID) }
 
 // Release implements dispatch.WorkerPool.
--- a/internal/workerpool/release_test.go
+++ b/internal/workerpool/release_test.go
@@ -8,7 +8,8 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// A release is sent again on each new connection until the worker confirms it by reporting the end of the task.
+// A release that is requested before the connection to the worker is established is sent once it is established, and
+// stays unconfirmed until the worker confirms it. A release for an unknown worker is ignored.
 func TestUnconfirmedReleaseIsResent(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
