--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -5,9 +5,9 @@
 
 import "slices"
 
-// pingDead pings one member that is dead, or one peer of the settings that is not in the table. Without these
-// pings, the end of a partition would never be detected. It also removes one dead or departed member if there are
-// more than maxDeadMembers.
+// pingDead pings one member, chosen at random among the dead members and the peers in the settings that are not in the
+// table. These pings detect the end of a partition whose sides have declared each other dead. pingDead also removes
+// one dead or departed member if the table holds more than maxDeadMembers of them.
 func (t *Table) pingDead() {
 	var dead []string
 	for _, name := range t.names {
@@ -28,8 +28,8 @@
 	}
 }
 
-// forgetDead removes the dead or departed member with the oldest proof that it was alive. A member
-// that became silent recently may only be partitioned off, and must be pinged to be found again.
+// forgetDead removes the dead or departed member that was last known to be alive the longest time ago. A member that
+// became silent recently may only be partitioned off. It stays in the table, so that pingDead can find it again.
 func (t *Table) forgetDead() {
 	oldest := -1
 	for i, name := range t.names {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,9 +1,10 @@
 package membership
 
 // This file computes the digests of the table. Each member belongs to a bucket, which is determined by a hash of
-// the member's name. A ping carries a digest of each bucket, so the pages in the answer carry only members of
-// buckets that differ. A digest covers the names, nonces and incarnations of members that are alive or suspected.
-// It does not cover suspicions.
+// the member's name. A ping carries a digest of each bucket. The answer carries pages (parts of the answering
+// member's table, see packPage) only if digests differ, and the pages contain only members of the differing buckets.
+// A digest covers the names, nonces and incarnations of the members that are alive or suspected, including the local
+// one. It is the same whether a member is alive or suspected.
 
 import (
 	"encoding/binary"
@@ -20,8 +21,8 @@
 	t.digests[digestBucket(u.Name)] ^= uint32(h ^ h>>32)
 }
 
-// differingBuckets returns a bit mask of the buckets in which the table of a ping's sender differs from the local
-// table.
+// differingBuckets returns a bit mask of the buckets whose digests in a ping differ from the local digests. Buckets
+// without a digest in the ping count as equal.
 func (t *Table) differingBuckets(ping *Message) (buckets uint32) {
 	for i, digest := range ping.Digests {
 		if i < DigestBuckets && digest != t.digests[i] {
@@ -31,8 +32,9 @@
 	return buckets
 }
 
-// fingerprint returns the contribution of a member to a digest, 0 if the member is dead or has left. Two tables
-// with the same members, nonces and incarnations have the same digests, whatever the order of their updates.
+// fingerprint returns the contribution of a member to a digest, 0 if the member is dead or has left. Two tables whose
+// alive and suspected members have the same names, nonces and incarnations have the same digests, whatever the order
+// in which the tables received the updates.
 func fingerprint(u *Update) uint64 {
 	if u.State > Suspect {
 		return 0
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -1,7 +1,7 @@
 package membership
 
-// This file defines the events that the table reports and the evidence for them. Operators read their texts in
-// the log and the status report.
+// This file defines the events that the table reports and the evidence for them. Operators read the names of the
+// event kinds in the log, and the evidence in the log and in the status report.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// EventKind is the kind of an event.
+// EventKind tells which change an Event reports.
 type EventKind uint8
 
 // The kinds of events.
@@ -19,8 +19,8 @@
 	Refuted
 	Died
 	LeftCluster
-	Rejoined     // a member is back with another nonce, or after its death or departure
-	PathDegraded // one direction of a path is down
+	Rejoined     // a member runs as another process than before, or is back after its death or departure
+	PathDegraded // one direction of the path to a member went down while the other one was up
 	PathRecovered
 	Stalled      // the local process did not run for some time
 	NameConflict // another process owns the local name
@@ -41,7 +41,7 @@
 	return Died
 }
 
-// Event is a change in the cluster and the evidence for it.
+// Event reports a change in the cluster, the view or the local process, and the evidence for it.
 type Event struct {
 	Kind       EventKind
 	Name, Zone string
@@ -67,8 +67,9 @@
 
 func formatMilliseconds(us int64) string { return fmt.Sprintf("%d ms", us/millisecond) }
 
-// evidence describes how many members of each zone cannot reach a member, how many found that no process
-// listens at its address, and whether the local member reached it since the suspicion began.
+// evidence describes for operators how many members of each zone confirmed that they cannot reach a member, how many
+// of them found that no process listens at its address, and whether the local member has had proof that it is alive
+// since the suspicion began. It counts only the confirmations in the table, which are at most 2*MaxConfirmations.
 func (t *Table) evidence(m *member) string {
 	confirmations := map[string]int{}
 	var zones []string
@@ -94,7 +95,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// zoneSizes returns the number of members of each zone that have not died or left, excluding one member.
+// zoneSizes returns, by zone, the number of members that are alive or suspected. It counts the local member and
+// excludes the given one.
 func (t *Table) zoneSizes(without *member) map[string]int {
 	sizes := map[string]int{t.Self.Zone: 1}
 	for _, name := range t.names {
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -10,21 +10,21 @@
 	run    func(t *testing.T, c *cluster)
 }
 
-// assertMaxSuspicions returns a function that runs the cluster until 60 s and asserts that member 2 raises at most
-// limit suspicions.
+// assertMaxSuspicions returns a function that runs the cluster until the simulated time is 60 s and asserts that member
+// 2 reports at most limit suspicions. These include suspicions that the updates of other members start at member 2.
 func assertMaxSuspicions(limit int) func(t *testing.T, c *cluster) {
 	return func(t *testing.T, c *cluster) {
 		t.Helper()
 		c.run(60 * second)
 		if count := c.members[2].eventCounts[Suspected]; count > limit {
-			t.Errorf("member 2 raised %d suspicions, want at most %d", count, limit)
+			t.Errorf("member 2 reported %d suspicions, want at most %d", count, limit)
 		}
 	}
 }
 
 var faultCases = []faultCase{
 	{
-		name:   "paused 10 s, it declares nobody dead when it wakes",
+		name:   "a member that was paused for 10 s declares nobody dead",
 		size:   7,
 		faults: []fault{{kind: faultPause, target: 2, start: 6 * second, end: 16 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -35,7 +35,7 @@
 		},
 	},
 	{
-		name:   "30% loss kills nobody",
+		name:   "with 30% loss, nobody is declared dead",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: -1, probability: 0.3, start: 5 * second, end: 60 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -49,13 +49,13 @@
 		},
 	},
 	{
-		name:   "no datagram passes to or from one that answers handshakes",
+		name:   "a member that answers handshakes, but no datagrams, is not declared dead",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 3, probability: 1, start: 5 * second, end: 30 * second}},
 		run:    func(_ *testing.T, c *cluster) { c.run(30 * second) },
 	},
 	{
-		name:   "a path that refuses connections: nobody is suspected whom others reach",
+		name:   "a member that refuses connections from one other is not suspected if relays reach it",
 		size:   7,
 		faults: []fault{{kind: faultRefuse, target: 2, other: 3, start: 5 * second, end: 60 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -64,19 +64,19 @@
 		},
 	},
 	{
-		name:   "a zone that is reached by one member of another zone only",
+		name:   "a zone that only one member of the other zones can reach",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(100), // there were 569 before chooseRelays asked the zone's last successful relay first
+		run:    assertMaxSuspicions(100), // 569 suspicions before chooseRelays preferred the relay that last reached the zone
 	},
 	{
-		name:   "a zone that is reached by one of its own members only",
+		name:   "a zone with only one member that the other zones can reach",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(15), // there were 27 before drawRelay preferred the relay that sent the last datagram
+		run:    assertMaxSuspicions(15), // 27 suspicions before drawRelay preferred the relay that sent the last datagram
 	},
 	{
-		name:   "a path that works in one direction only is found",
+		name:   "a path that works in one direction only is reported",
 		size:   16,
 		faults: []fault{{kind: faultOneWay, target: 3, other: 8, start: 5 * second, end: 60 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -87,7 +87,7 @@
 		},
 	},
 	{
-		name: "a quarter of a large cluster is cut off and comes back: nobody is declared dead by late updates",
+		name: "a quarter of a large cluster is cut off and rejoins: outdated updates cause no declaration of death",
 		size: 3,
 		run: func(_ *testing.T, c *cluster) {
 			faults, _ := drawFaults(100, 50)
@@ -97,13 +97,13 @@
 		},
 	},
 	{
-		name:   "one whose own paths are bad suspects others less and less",
+		name:   "a member whose paths lose many datagrams reports few suspicions",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 2, probability: 0.6, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(50), // there were 74 before the local health score was introduced
+		run:    assertMaxSuspicions(50), // 74 suspicions before the local health score was introduced
 	},
 	{
-		name: "a second process under a name stays outside, and takes it over from the dead",
+		name: "a second process with the name of a member joins only after the first is dead",
 		size: 7,
 		run: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
@@ -123,7 +123,7 @@
 		},
 	},
 	{
-		name: "a name at the same address is taken over at once",
+		name: "a restarted process takes over its name and address at once",
 		size: 7,
 		run: func(t *testing.T, c *cluster) {
 			c.run(5 * second)
@@ -136,7 +136,7 @@
 		},
 	},
 	{
-		name:   "two that took one name in two halves: one is left",
+		name:   "of two processes with one name on two sides of a partition, one remains",
 		size:   6,
 		faults: []fault{{kind: faultCut, target: 0, other: -1, start: 0, end: 8 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -152,7 +152,7 @@
 		},
 	},
 	{
-		name:   "a cut that heals: nobody is declared dead by what others missed",
+		name:   "after a cut has healed, failures during the cut leave no member dead in any table",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 2, other: -1, start: 6 * second, end: 12 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -163,7 +163,7 @@
 		},
 	},
 	{
-		name:   "one that leaves is not suspected",
+		name:   "a member that leaves is not declared dead",
 		size:   7,
 		faults: []fault{{kind: faultLeave, target: 3, start: 6 * second, end: 7 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -176,7 +176,7 @@
 		},
 	},
 	{
-		name: "the view changes in few steps for many deaths",
+		name: "the view changes at most twice for five deaths at the same time",
 		size: 16,
 		faults: []fault{
 			{kind: faultKill, target: 1, start: 6 * second},
--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 // TestFormation asserts that a cluster whose members all start at the same time forms within a maximum time, and that
-// the rate of bytes that each member sends afterwards is bounded.
+// the average rate at which its members send bytes afterwards is bounded.
 func TestFormation(t *testing.T) {
 	const interval = second / 2
 	for _, c := range []struct {
 		size         int
 		maxIntervals int64   // maximum number of intervals until the cluster has formed
-		maxBytesRate float64 // maximum bytes per second that each member sends, measured from 10 to 20 s after the formation
+		maxBytesRate float64 // maximum bytes sent per second and member, from 10 to 20 s after the formation
 	}{{3, 4, 2000}, {16, 6, 2000}, {100, 8, 2000}, {300, 20, 2000}} {
 		cluster := newCluster(c.size, 5, nil)
 		intervals := int64(1)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,28 +9,30 @@
 	"slices"
 )
 
-// broadcast is the queued dissemination of a member's update.
+// broadcast is an entry in the queue of updates to disseminate. It names the member; each transmission sends the
+// member's current update.
 type broadcast struct {
 	name      string // name of the member
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
 }
 
-// minUpdateSize is a number of bytes. packPage stops adding updates to a datagram when at most this number of
-// bytes is free.
+// minUpdateSize is a size in bytes, about that of an update with short names and without confirmations. packPage adds
+// updates to a datagram only while more than this number of bytes is free.
 const minUpdateSize = 64
 
-// disseminate queues the current update of a member for dissemination, and replaces a queued one.
+// disseminate queues the update of a member for dissemination. It replaces an earlier entry of the member, so the
+// number of transmits starts at 0 again.
 func (t *Table) disseminate(name string) {
 	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(b *broadcast) bool { return b.name == name })
 	t.broadcasts = append(t.broadcasts, &broadcast{name: name})
 }
 
-// transmitLimit returns the number of times that an update is sent. It grows with the logarithm of the number of
-// members.
+// transmitLimit returns the number of transmits after which an update is no longer disseminated. It grows with the
+// logarithm of the number of members in the table, including dead and departed ones.
 func (t *Table) transmitLimit() int { return 2 * bits.Len(uint(len(t.names)+1)) }
 
 // updateOf returns the update of a member to send, with at most MaxConfirmations confirmations. It returns false
-// if the member is unknown, or is the local member and its name is not admitted.
+// if the member is unknown, or if it is the local member and is not admitted (see admitted).
 func (t *Table) updateOf(name string) (Update, bool) {
 	if name == t.Self.Name {
 		return t.Self, t.admitted()
@@ -53,9 +55,10 @@
 	}
 }
 
-// sendToAddress adds updates to a message and sends it. If the receiver is known and is not alive in the table, or
-// the message is an ack, the receiver's own update comes first, because only the receiver can refute it. buckets
-// is a bit mask of the digest buckets in which the receiver's table is known to differ.
+// sendToAddress sends a message after it has set the receiver and the sender, and has added the digests (to a ping
+// only) and updates. If the receiver is in the table, and the message is an ack or the receiver is not alive in the
+// table, the update about the receiver comes first, because only the receiver can refute it. buckets is a bit mask of
+// the buckets whose digests in the receiver's ping differ from the local ones. If it is not 0, a page is added too.
 func (t *Table) sendToAddress(address, to string, m Message, buckets uint32) {
 	m.To, m.Sender, m.Joining = to, t.Self, !t.admitted()
 	if m.Kind == Ping {
@@ -72,11 +75,12 @@
 	t.actions = append(t.actions, Send{Addr: address, Message: p.message})
 }
 
-// packBroadcasts adds the updates that were sent the fewest times, and drops those that reached the transmit limit.
+// packBroadcasts adds queued updates to a message, those with the fewest transmits first. It then removes the updates
+// that reached the transmit limit from the queue.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
 	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping matched the local ones
-	// pageSpace is the space in bytes that is reserved for the page, because the broadcasts of an entire zone
-	// would fill the datagram.
+	// pageSpace is the space in bytes that is reserved for the page. Without it, the broadcasts would fill the
+	// datagram when all members of a zone change.
 	pageSpace := 0
 	if buckets != 0 {
 		pageSpace = p.free / 2
@@ -96,8 +100,9 @@
 	slices.SortStableFunc(t.broadcasts, func(a, b *broadcast) int { return a.transmits - b.transmits })
 }
 
-// packPage adds the updates of the next alive or suspected members in the differing buckets, until the datagram is
-// full.
+// packPage adds a page to a message: the updates of alive or suspected members in the given buckets. It continues
+// after the member that was considered last for the previous page, whichever receiver that page was sent to. It stops
+// when at most minUpdateSize bytes are free or all members have been considered.
 func (t *Table) packPage(p *packer, buckets uint32) {
 	for n := 0; n < len(t.names) && p.free > minUpdateSize; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
@@ -115,8 +120,8 @@
 	free    int // free space in bytes
 }
 
-// add adds the update of a member and reports whether it did. It adds nothing if the update does not fit, is in
-// the message already or must not be sent.
+// add adds the update of a member and reports whether it did. It adds nothing if the member is unknown or is the local
+// member, if the message already has an update of the member, or if the update does not fit.
 func (p *packer) add(name string) bool {
 	u, ok := p.table.updateOf(name)
 	packed := slices.ContainsFunc(p.message.Updates, func(other Update) bool { return other.Name == name })
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -1,16 +1,19 @@
 package membership
 
-// This file defines the harness for tests of a single table. The local member is a; the others are b, c, d and e.
+// This file defines the harness for tests of a single table. The local member has the name "a"; the others are "b",
+// "c", "d" and "e".
 
 import "testing"
 
-// harness is the table of member a. All other members answer every ping, except b, whose answers the test defines.
+// harness holds the table of member a and simulates the other members. They answer every ping, except b, whose answers
+// the test defines. Its times are in microseconds.
 type harness struct {
 	*Table
 	now         int64
 	diedAt      int64 // time of the first death that the table declared, 0 before that
 	eventCounts map[EventKind]int
-	answerForB  func(a Action) *Message // returns the answer of b, or of a relay that was asked to ping b; nil for no answer
+	// answerForB returns the answer of b to an action, or of a relay that was asked to ping b; nil for no answer.
+	answerForB func(a Action) *Message
 }
 
 func newHarness(t *testing.T) *harness {
@@ -87,13 +90,13 @@
 	}
 }
 
-// pathToB simulates one way in which member a may reach member b. It returns the function for harness.answerForB.
+// pathToB simulates whether and how member a can reach member b. It returns the function for harness.answerForB.
 type pathToB func(h *harness) func(a Action) *Message
 
-// unreachable simulates a b that no member reaches.
+// unreachable simulates that no member can reach b.
 func unreachable(*harness) func(a Action) *Message { return func(Action) *Message { return nil } }
 
-// reachable simulates a b that answers pings.
+// reachable simulates that b answers the pings of member a.
 func reachable(*harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == Ping {
@@ -103,7 +106,7 @@
 	}
 }
 
-// reachableByRelay simulates a b that only relays reach.
+// reachableByRelay simulates that relays can reach b, but member a cannot.
 func reachableByRelay(*harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if send, ok := a.(Send); ok && send.Message.Kind == PingRequest {
@@ -119,7 +122,7 @@
 	}
 }
 
-// reachableByHandshake simulates a b that answers only handshake probes.
+// reachableByHandshake simulates that b answers only the handshake probes of member a.
 func reachableByHandshake(h *harness) func(a Action) *Message {
 	return func(a Action) *Message {
 		if probe, ok := a.(HandshakeProbe); ok {
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -1,8 +1,8 @@
 package membership
 
 // This file implements Lifeguard's local health score, which measures how unreliable the local member's own
-// observations are. A higher score lengthens the timeouts. In addition, the local member suspects nobody for
-// silence that a stall of the local process explains.
+// observations are. A higher score lengthens the timeouts of probes and suspicions. The file also handles stalls of
+// the local process: for some time after a stall, the local member suspects nobody merely for silence.
 
 // HealthScore returns the local health score, from 0 (healthy) to 8 (worst).
 func (t *Table) HealthScore() int { return t.healthScore }
@@ -23,7 +23,8 @@
 func (t *Table) degradeHealth() { t.healthScore = min(maxHealthScore, t.healthScore+1) }
 
 // recordStall records that the local process did not run for some time. Messages that it did not receive during
-// that time are no evidence against other members, so all suspicions restart and a grace period begins.
+// that time are no evidence against other members. Therefore the timeouts of all suspicions start again, and a grace
+// period begins in which silence raises no suspicion.
 func (t *Table) recordStall(sinceLastTick int64) {
 	t.gracePeriodEnd = t.now + stallGracePeriod
 	for _, name := range t.suspects {
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -29,9 +29,9 @@
 	relayGroups
 )
 
-// chooseRelays draws up to indirectProbeCount relays that are asked to ping a member: one from the member's zone,
-// one from the local zone and one from the other zones, so that a path through a third zone is found if one
-// exists. If a group is empty, the other groups supply more relays.
+// chooseRelays returns up to indirectProbeCount relays to be asked to ping a member. The first is the relay that last
+// reached the member's zone, if it is alive. The others are drawn from the groups in turn, so that paths through the
+// member's zone, the local zone and a third zone can be found. A group without candidates is skipped.
 func (t *Table) chooseRelays(m *member) (relays []string) {
 	groups := t.relayCandidates(m)
 	// The last relay that reached the member's zone comes first, because it may be the only one that can.
@@ -116,7 +116,8 @@
 	})
 }
 
-// answerRelayedProbe reports to the requester that the target acked the relayed ping.
+// answerRelayedProbe reports to the requester that the target acked the relayed ping. It ignores an ack that belongs
+// to no relayed ping.
 func (t *Table) answerRelayedProbe(ack *Message) {
 	i := slices.IndexFunc(t.relayedProbes, func(r *relayedProbe) bool {
 		return r.sequence == ack.Sequence && r.target == ack.Sender.Name
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -5,18 +5,20 @@
 // stable view of the cluster that the rest of the program uses.
 //
 // The package uses no sockets, clocks or goroutines. The caller passes the current time in microseconds. Only
-// the local member's time is used, so a wrong clock on another member does no harm. All random draws come from
-// one seed. Methods return the operations to perform as a list of [Action] values; the caller hands the results
-// to [Table.Receive] and [Table.HandshakeProbeDone].
+// the local member's time is used, so a wrong clock on another member does no harm. All random draws depend only on
+// the seed and the incarnation nonce in the [Config]. Methods return the operations to perform as a list of [Action]
+// values. The caller performs them, and passes received messages to [Table.Receive] and the results of handshake
+// probes to [Table.HandshakeProbeDone].
 //
 // Invariants: the table never declares a member dead because of reports from members that cannot reach it while
 // the local member can, nor because of silence that a stall of the local process may have caused.
 package membership
 
-// State is the state of a member.
+// State tells whether a member is alive, suspected or dead, or has left, as far as the local member knows.
 type State uint8
 
-// The states of a member. For the same incarnation, a later state in this list overrides an earlier one.
+// The states of a member. For the same incarnation, a later state in this list overrides an earlier one. The exception
+// is a death that another member declared: it counts only as confirmations of a suspicion.
 const (
 	Alive State = iota
 	Suspect
@@ -24,10 +26,10 @@
 	Left
 )
 
-// String returns the name of the state in the status report and the log.
+// String returns the name of the state in the status report.
 func (s State) String() string { return [...]string{"alive", "suspected", "dead", "left"}[s&3] }
 
-// Confirmation records that a member cannot reach the suspect of a suspicion.
+// Confirmation records that a member cannot reach a suspected member.
 type Confirmation struct {
 	Name, Zone string // of the member that cannot reach the suspect
 	Refused    bool   // whether the suspect's host refused the connection: no process listens there
@@ -39,7 +41,9 @@
 	// Nonce is the incarnation nonce. Each process draws one when it starts, which distinguishes two processes
 	// that use the same name.
 	Nonce uint64
-	// Incarnation increases at each start of the process and each time the member refutes a suspicion.
+	// Incarnation increases each time the member refutes that it is suspected, dead or departed, and when it takes
+	// over its name from a process that no longer runs. It also increases at each start of the process, if the
+	// settings name a directory in which the starts are counted.
 	Incarnation   uint64
 	State         State
 	Confirmations []Confirmation // confirmations of the suspicion
@@ -56,8 +60,11 @@
 
 // Config is the initial configuration of a table.
 type Config struct {
-	Self  Update
-	Peers []Peer // pinged to join or rejoin the cluster; their addresses take precedence over those in updates
+	Self Update
+	// Peers are pinged while the local member joins, while another process owns its name, and while no other member
+	// is alive or suspected. Otherwise, peers that are dead or not in the table are pinged from time to time. The
+	// addresses in Peers take precedence over those in updates.
+	Peers []Peer
 	Seed  uint64
 	Timing
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,13 +2,13 @@
 
 // This file defines the messages between members and their size limits.
 
-// Kind is the kind of a message.
+// Kind distinguishes pings, requests to relays, and the answers to both.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	Ping              Kind = 1 + iota
-	Ack                    // the answer to a Ping
+	Ack                    // the answer to a Ping; with sequence number 0, it only carries more updates
 	PingRequest            // asks a relay to ping Target
 	PingRequestResult      // the answer to a PingRequest
 )
@@ -26,7 +26,7 @@
 	OnBehalfOf         string
 	OnBehalfOfSequence uint64
 	// DirectPingReceived is true, in the Ack of a Ping from a relay and in a PingRequestResult, if the requesting
-	// member's own Ping reached the target.
+	// member's own Ping, or a later Ping that it sent itself, reached the target.
 	DirectPingReceived bool
 	Reached            bool // in a PingRequestResult: whether Target answered
 	// Digests holds, in a Ping, the digests of the sender's table by bucket. The answer carries pages, which are
--- a/internal/membership/path.go
+++ b/internal/membership/path.go
@@ -39,8 +39,9 @@
 	return &m.outbound, &m.inbound
 }
 
-// pathFailed records that a probe found a direction failing. When this direction goes down while the opposite one
-// is up, pathFailed reports the path as degraded.
+// pathFailed records that a probe found a direction failing. The direction goes down when the weight of its
+// consecutive failures reaches pathDownWeight. If the opposite direction is up at that time, pathFailed reports the
+// path as degraded.
 func (t *Table) pathFailed(m *member, d direction, handshakeTimedOut bool) {
 	failed, opposite := m.directions(d)
 	failed.failureWeight += 1 + (handshakeFailureWeight-1)*boolToInt(handshakeTimedOut)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file implements the probes of the failure detector. It pings the members one after another in random order.
-// A member that does not answer in time is probed indirectly and by a handshake. Each probe is concluded at most
-// once. Indirect probes are implemented in indirect.go.
+// This file implements the probes of the failure detector, which pings the members one after another in random order.
+// A member that does not answer in time is probed indirectly and by a handshake. Each probe is either concluded once
+// or dropped (see expireProbes). Indirect probes are implemented in indirect.go.
 
 import "slices"
 
@@ -42,8 +42,8 @@
 }
 
 // probeNext starts the next urgent probe and the next probe in order. It starts both, so that urgent probes of a
-// few suspects do not delay the probes of the other members. If no other member is alive or suspected, it pings a
-// peer of the settings instead.
+// few suspects do not delay the probes of the other members. If no other member is alive or suspected, it pings one of
+// the peers in the settings instead.
 func (t *Table) probeNext() {
 	t.startUrgentProbe()
 	if !t.startProbeInOrder() && t.Size() == 1 {
@@ -103,8 +103,9 @@
 	t.probes = append(t.probes, &probe{name: name, nonce: m.Nonce, startedAt: t.now, sequence: t.ping(name)})
 }
 
-// directTimeout returns the maximum wait for an ack. It is longer for a member with a long round-trip time, up to
-// ProbeTimeout/2. The result is multiplied by the local health multiplier.
+// directTimeout returns the maximum wait for a member's ack before indirect probes are sent: DirectTimeout, or four
+// times the member's round-trip time if that is longer, but at most ProbeTimeout/2. The local health multiplier
+// lengthens the result.
 func (t *Table) directTimeout(m *member) int64 {
 	return min(t.ProbeTimeout/2, max(t.DirectTimeout, 4*m.rtt)) * t.healthMultiplier()
 }
@@ -132,9 +133,10 @@
 	}
 }
 
-// finished reports whether a probe is over. An acked probe ends about DirectTimeout after its start. A probe whose
-// handshake was refused ends DirectTimeout/2 after its indirect probes were sent, which gives relays time to report
-// that they reach the member. Any other probe ends at ProbeTimeout times the health multiplier.
+// finished reports whether a probe is over. An acked probe ends about DirectTimeout after its start, or when the ack
+// arrives if that is later. A probe whose handshake was refused ends DirectTimeout/2 after its indirect probes were
+// sent, which gives relays time to report that they reach the member. Every probe ends at the latest when its duration
+// is ProbeTimeout times the local health multiplier.
 func (t *Table) finished(p *probe) bool {
 	age := t.now - p.startedAt
 	return p.acked && age >= t.DirectTimeout-tickInterval/2 ||
@@ -165,17 +167,18 @@
 	}
 }
 
-// HandshakeResult is the result of a HandshakeProbe.
+// HandshakeResult tells whether a process answered a HandshakeProbe.
 type HandshakeResult uint8
 
 // The results of a HandshakeProbe.
 const (
-	HandshakeTimedOut HandshakeResult = iota // no answer arrived in time
+	HandshakeTimedOut HandshakeResult = iota // no valid answer arrived in time, or the connection failed without a refusal
 	HandshakeAnswered                        // a process answered with its incarnation nonce
 	HandshakeRefused                         // no process listens at the address
 )
 
-// HandshakeProbeDone handles the result of a HandshakeProbe. The nonce is that of the process that answered.
+// HandshakeProbeDone handles the result of a HandshakeProbe. nonce is the incarnation nonce of the process that
+// answered, or 0 without an answer. The answer of another process than the probed one is ignored.
 func (t *Table) HandshakeProbeDone(now int64, name string, nonce uint64, result HandshakeResult) []Action {
 	t.now = now
 	m := t.members[name]
@@ -192,7 +195,7 @@
 		case result == HandshakeTimedOut:
 			p.handshakeTimedOut = true
 		case result == HandshakeRefused:
-			p.handshakeRefused = true // the probe continues for DirectTimeout/2, because relays may still reach the member
+			p.handshakeRefused = true // relays may still reach the member, so finished waits for them
 		}
 	}
 	return t.takeActions()
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// receiveAck handles the answer to a ping, which belongs to a probe of the local member or to a relayed probe.
+// receiveAck handles an ack that answers the ping of a local probe or of a relayed probe. It ignores other acks, and
+// acks of a process that is not the one in the table.
 func (t *Table) receiveAck(m *Message, sender *member) {
 	if sender == nil || sender.Nonce != m.Sender.Nonce {
 		return
--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -10,29 +10,31 @@
 )
 
 var (
-	scheduleCount = flag.Int("schedules", 300, "schedules to play, most of them small")
-	firstSeed     = flag.Uint64("seed", 1, "the first schedule's seed")
-	onlySize      = flag.Int("size", 0, "play clusters of this size only")
+	scheduleCount = flag.Int("schedules", 300, "number of schedules of faults, most of them for small clusters")
+	firstSeed     = flag.Uint64("seed", 1, "seed of the first schedule of each cluster size")
+	onlySize      = flag.Int("size", 0, "run only clusters of this size; 0 runs all sizes")
 )
 
-// runSchedule runs one schedule of faults and returns a description of the violations, or "" without any.
+// runSchedule runs one schedule of faults until 3 s after end. It returns the cluster and a description of up to three
+// violated invariants, or of a table that does not list exactly the running members after the formation or at the end
+// of the run. The description is "" if there is neither.
 func runSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
 	c = newCluster(size, seed, faults)
 	c.run(formationTime(size))
 	if difference := c.disagreement(); difference != "" {
-		return c, "after the start: " + difference
+		return c, "after the formation: " + difference
 	}
 	c.run(end + 3*second)
 	if len(c.violations) > 0 {
 		return c, strings.Join(c.violations[:min(3, len(c.violations))], "; ")
 	}
 	if difference := c.disagreement(); difference != "" {
-		return c, "3 s after the last fault: " + difference
+		return c, "3 s after the end of the schedule: " + difference
 	}
 	return c, ""
 }
 
-// shrinkFaults removes the faults that are not needed to cause a violation.
+// shrinkFaults returns the faults without those that are not needed to cause a violation.
 func shrinkFaults(size int, seed uint64, faults []fault, end int64) []fault {
 	for i := 0; i < len(faults); {
 		fewer := slices.Delete(slices.Clone(faults), i, i+1)
@@ -95,8 +97,8 @@
 	t.Errorf("%d members, seed %d: %s\n%v", s.size, seed, violation, faults)
 }
 
-// checkDetection asserts that the 99th percentile of the times until a killed process is declared dead is at most 3 s.
-// It requires at least 7 members and more than 20 killed processes.
+// checkDetection asserts that the 99th percentile of the times from the kill of a process until the first member
+// declares it dead is at most 3 s. It checks nothing with fewer than 7 members or with at most 20 detected kills.
 func (s *scheduleTally) checkDetection(t *testing.T) {
 	t.Helper()
 	times := s.detectionTimes["killed"]
@@ -120,7 +122,8 @@
 }
 
 // schedulesOf returns the number of schedules to run for a cluster size: a percentage of the -schedules flag, or all of
-// them if -size selects this size.
+// them if -size selects this size. For 1000 members it is 1/5000 of the flag instead. If -size selects another size, it
+// is 0.
 func schedulesOf(size, percent int) int {
 	switch {
 	case *onlySize > 0 && size != *onlySize:
@@ -133,8 +136,8 @@
 	return *scheduleCount * percent / 100
 }
 
-// TestSchedules runs randomly drawn schedules of faults in clusters of several sizes, and asserts that no invariant is
-// violated.
+// TestSchedules runs randomly drawn schedules of faults in clusters of several sizes. It asserts that no invariant is
+// violated, that every table lists exactly the running members afterwards, and that kills are detected in time.
 func TestSchedules(t *testing.T) {
 	for _, c := range []struct{ size, percent int }{{3, 70}, {7, 20}, {16, 9}, {100, 1}, {1000, 0}} {
 		schedules := schedulesOf(c.size, c.percent)
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -1,23 +1,24 @@
 package membership
 
 // This file manages the local member's own name, incarnation and state: joining the cluster, a conflict with
-// another process over the name, the refutation of suspicions, and leaving. No other file may change Self.
+// another process over the name, the refutation of suspicions, and leaving. Apart from New, no function in another
+// file may change Self.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// The maximum number of peers of the settings that the local member pings at a time. It depends on the local
-// member's situation.
+// The maximum numbers of peers in the settings that the local member pings at a time. Which of them applies depends on
+// the situation of the local member.
 const (
 	peersPingedJoining  = 3
 	peersPingedConflict = 2 // another process owns the local name
 	peersPingedAlone    = 1 // no other member is alive or suspected
 )
 
-// nameReleaseTimeout is the time after which a conflict over the local name ends if the other process has not
-// claimed the name again.
+// nameReleaseTimeout is the time after which a conflict over the local name ends if no further update reports another
+// process as the owner of the name.
 const nameReleaseTimeout = 3 * joinTimeout
 
 // maxLeaveNotices is the maximum number of members that the local member pings to announce that it leaves.
@@ -26,10 +27,11 @@
 // admitted reports whether the local member has joined and no other process owns its name.
 func (t *Table) admitted() bool { return !t.joining && t.conflictAt == 0 }
 
-// awaitNameRelease pings peers periodically while another process owns the name, to learn whether it still does.
+// awaitNameRelease pings peers periodically while another process owns the local name, to learn whether it still does.
+// It ends the conflict after nameReleaseTimeout.
 func (t *Table) awaitNameRelease() {
 	if t.now-t.conflictAt > nameReleaseTimeout {
-		t.conflictAt = 0 // no member has claimed the name for the other process for nameReleaseTimeout
+		t.conflictAt = 0 // no update has reported another process as the owner for nameReleaseTimeout
 	}
 	if t.now >= t.nextProbeAt {
 		t.nextProbeAt = t.now + joinTimeout
@@ -46,8 +48,8 @@
 	}
 }
 
-// pingPeers pings the next peers of the settings; after the last peer, it continues with the first. It pings at
-// most count peers, however many the settings name.
+// pingPeers pings the next count peers in the settings, or all of them if there are fewer. After the last peer, it
+// continues with the first.
 func (t *Table) pingPeers(count int) {
 	for range min(count, len(t.Peers)) {
 		t.peerCursor++
@@ -55,7 +57,8 @@
 	}
 }
 
-// completeJoin completes the join of the local member after no other process was found to own its name.
+// completeJoin records that the local member has joined. The caller ensures that no other process is known to own the
+// local name.
 func (t *Table) completeJoin() {
 	t.joining = false
 	t.report(Joined, t.Self.Name, t.Self.Zone, fmt.Sprintf("incarnation %d", t.Self.Incarnation))
@@ -111,7 +114,7 @@
 }
 
 // Leave announces to up to maxLeaveNotices members that the local member leaves intentionally. Gossip informs the
-// rest.
+// rest. Leave announces nothing if it was called before or if the local member is not admitted.
 func (t *Table) Leave(now int64) []Action {
 	t.now = now
 	first := !t.departing
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -71,7 +71,7 @@
 	violations        []string           // violations of the invariants
 	detectionTimes    map[string][]int64 // times from a death to the first declaration of it, by kind of death
 	oneWayFound       map[int]bool       // one-way faults that a member at either end reported, by index in faults
-	deathDeclarations map[[2]uint64]int  // number of members that declared a death, by member index and start
+	deathDeclarations map[[2]uint64]int  // number of declarations of a death, by index and start number of the member
 	// transcript receives all actions and events of the members; nil disables it.
 	transcript io.Writer
 }
@@ -182,7 +182,7 @@
 	})
 }
 
-// slowDelay draws the additional delay of a member, 0 if the member is not slow.
+// slowDelay draws the additional delay of a timer, a datagram or a handshake at a member, 0 if the member is not slow.
 func (c *cluster) slowDelay(i int) int64 {
 	for _, f := range c.active(faultSlow) {
 		if f.target == i {
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 )
 
-// faultKind is the kind of a fault.
+// faultKind names the effect of a fault. Test messages contain the name.
 type faultKind string
 
 // The kinds of faults.
@@ -15,12 +15,12 @@
 	faultKill         faultKind = "kill"    // the process of target ends, and its host refuses connections
 	faultVanish       faultKind = "vanish"  // the host of target goes down and does not answer
 	faultPause        faultKind = "pause"   // the process of target does not run from start to end
-	faultOneWay       faultKind = "oneway"  // datagrams and connections from target to other do not arrive
+	faultOneWay       faultKind = "oneway"  // datagrams from target to other are lost; connections between them time out
 	faultRefuse       faultKind = "refuse"  // like faultOneWay, but connections from target to other are refused
 	faultCut          faultKind = "cut"     // the zone target is cut off, except for paths to and from the member other
-	faultLoss         faultKind = "loss"    // random loss of datagrams to and from target, or of all if target is -1
+	faultLoss         faultKind = "loss"    // random loss of packets to and from target, or of all packets if target is -1
 	faultFlap         faultKind = "flap"    // all paths of target fail and recover alternately
-	faultSlow         faultKind = "slow"    // timers and datagrams of target are late
+	faultSlow         faultKind = "slow"    // timers of target, and datagrams and handshakes to it, are late
 	faultRestart      faultKind = "restart" // the process of target ends at start and starts again at end
 	faultRestartEmpty faultKind = "empty"   // like faultRestart, but the stored incarnation is lost
 	faultLeave        faultKind = "leave"   // target leaves intentionally
@@ -30,7 +30,7 @@
 const (
 	drawnLongPause   faultKind = "longpause" // a pause of 10 s
 	drawnBridge      faultKind = "bridge"    // a cut with a member whose paths still work
-	drawnMassRestart faultKind = "crowd"     // nine of ten members restart within a second
+	drawnMassRestart faultKind = "crowd"     // on average, nine of ten members end within a second and restart
 )
 
 const (
@@ -50,7 +50,7 @@
 	kind          faultKind
 	target, other int     // indexes of members; in a cut, target is a zone
 	start, end    int64   // in microseconds
-	probability   float64 // loss probability of faultLoss
+	probability   float64 // probability that faultLoss loses a packet; with 1, handshakes still succeed
 }
 
 // String formats a fault for test messages.
@@ -130,7 +130,7 @@
 }
 
 // drawFaults draws a schedule of up to four faults, where a mass restart counts as one. All faults end by the returned
-// time.
+// time, which is at least 13 s after the start of each fault, so that detectionLimit is over.
 func drawFaults(size int, seed uint64) (faults []fault, end int64) {
 	d := &faultDrawer{
 		rng:  rand.New(rand.NewPCG(seed, 9)),
@@ -163,7 +163,8 @@
 	d.at += d.rng.Int64N(3 * second)
 }
 
-// drawMassRestart draws restarts of nine of ten members that have no fault yet, all starting within a second.
+// drawMassRestart draws a restart of each member that has no fault yet, with a probability of 0.9. All of them
+// start within one second.
 func (d *faultDrawer) drawMassRestart(start int64) {
 	for i := 1; i < d.size; i++ {
 		if !d.busy[i] && d.rng.IntN(10) > 0 {
@@ -176,7 +177,8 @@
 	d.at += 4 * second
 }
 
-// drawTarget draws the target of a fault, and reports whether there is one.
+// drawTarget draws the target of a fault, the other member of a cut with a bridge, and the probability of a loss. It
+// reports whether the cluster has a suitable target.
 func (d *faultDrawer) drawTarget(f *fault) bool {
 	switch f.kind {
 	case faultCut:
@@ -213,7 +215,8 @@
 	return true
 }
 
-// pickIdleMember draws a member that has no fault yet, and returns -1 if 20 draws find none.
+// pickIdleMember draws a member that may have a fault and has none yet, and marks it as busy. It returns -1 if 20 draws
+// find no such member.
 func (d *faultDrawer) pickIdleMember() int {
 	for range 20 {
 		if i := d.rng.IntN(d.size); !d.busy[i] {
