--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// observerGrace is the minimum time, in microseconds, from deathAllowedUntil of an observer until the
-	// observer's table is checked for dead members.
+	// observerGrace is the time, in microseconds, during which a member may still list dead members after its own
+	// long pause or restart. The time is counted from the member's deathAllowedUntil.
 	observerGrace = 6 * second
 	// minReportableLoss is the probability of loss above which a member may report a path as degraded.
 	minReportableLoss = 0.2
@@ -23,14 +23,14 @@
 )
 
 // checkDead asserts that no running member still lists a killed or vanished process as alive or suspected. It
-// skips members that are joining, and those whose observerGrace is not over.
+// does not check the tables of members that are joining, and of those whose observerGrace is not over.
 func (c *cluster) checkDead(f fault, nonce uint64) {
 	for i, observer := range c.members {
 		if !observer.up || i == f.target || observer.deathAllowedUntil > c.now-observerGrace || observer.joining {
 			continue
 		}
 		if m := observer.members[memberName(f.target)]; m != nil && m.Nonce == nonce && m.State <= Suspect {
-			c.violations = append(c.violations, fmt.Sprintf("%s still lists %s as %s, %s after its end",
+			c.violations = append(c.violations, fmt.Sprintf("%s still lists %s as %s, %s after its death",
 				memberName(i), memberName(f.target), m.State, formatMilliseconds(c.now-f.start)))
 		}
 	}
@@ -66,18 +66,20 @@
 		float64(c.now)/second, memberName(reporter), e.Name, e.Evidence))
 }
 
-// recordOneWayFound records the one-way faults that a member's report correctly identifies.
+// recordOneWayFound records the one-way faults between a member and the other end of the path that the member reported
+// as degraded, if they are active or ended less than a second ago.
 func (c *cluster) recordOneWayFound(reporter int, e Event) {
 	for index, f := range c.faults {
-		ends := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
-		if f.kind == faultOneWay && f.start < c.now && c.now < f.end+second && ends {
+		sameEnds := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
+		if f.kind == faultOneWay && f.start < c.now && c.now < f.end+second && sameEnds {
 			c.oneWayFound[index] = true
 		}
 	}
 }
 
-// checkDeath asserts that a member that another one declared dead is down, partitioned off or within its period of
-// allowed declarations. It records the detection time of a member that is down.
+// checkDeath asserts that an observer did not declare a running and reachable process dead. It accepts the declaration
+// while the process is joining, while the process and the observer count as partitioned, and until deathAllowedUntil of
+// either of them. It records the detection time of a process that ended without leaving.
 func (c *cluster) checkDeath(observer int, e Event) {
 	declared, err := strconv.Atoi(strings.TrimPrefix(e.Name, "n"))
 	if err != nil {
@@ -97,7 +99,8 @@
 	}
 }
 
-// recordDetection records a member's time from its death until the first other member declared it dead.
+// recordDetection counts a declaration of a member's death. For the first declaration after a kill or vanish fault, it
+// also records the time since the fault.
 func (c *cluster) recordDetection(member int) {
 	process := c.members[member]
 	key := [2]uint64{uint64(member), process.starts}
@@ -112,8 +115,8 @@
 	c.detectionTimes[kind] = append(c.detectionTimes[kind], c.now-process.diedAt)
 }
 
-// disagreement describes the first table of a running member that does not list exactly the running members, or returns
-// "" if there is none.
+// disagreement describes the first table of a running member that does not list exactly the running members as alive or
+// suspected. It returns "" if there is none.
 func (c *cluster) disagreement() string {
 	var want []string
 	for i, process := range c.members {
@@ -142,9 +145,9 @@
 
 // listedBy returns the number of running members whose tables list a process, given by name and nonce, as alive or
 // suspected.
-func (c *cluster) listedBy(of string, nonce uint64) (count int) {
+func (c *cluster) listedBy(name string, nonce uint64) (count int) {
 	for _, process := range c.members {
-		if m := process.members[of]; process.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
+		if m := process.members[name]; process.up && m != nil && m.Nonce == nonce && m.State <= Suspect {
 			count++
 		}
 	}
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -24,7 +24,7 @@
 	partitionCheckInterval = 500 * millisecond
 )
 
-// perform carries out the actions of a member's table.
+// perform carries out the actions of a member's table and schedules the member's next call of Tick.
 func (c *cluster) perform(i int, actions []Action) {
 	for _, action := range actions {
 		c.record(i, action)
@@ -153,7 +153,7 @@
 		return f.target == from && f.other == to
 	case faultFlap:
 		return flaps && (f.target == from || f.target == to) && (at-f.start)/flapPeriod%2 == 0
-	case faultCut: // the zone is cut off, except for the paths to and from one member
+	case faultCut: // the zone is cut off, except for the paths of the member other, if the fault has one
 		crosses := (c.zone(from) == f.target) != (c.zone(to) == f.target)
 		bridged := f.other >= 0 && (from == f.other || to == f.other)
 		return crosses && !bridged
@@ -172,8 +172,9 @@
 	return false
 }
 
-// connected reports whether two members were connected at the given time, either directly or through other running
-// members. Each path on the way must have worked in both directions.
+// connected reports whether two members were connected at the given time, either directly or through other members.
+// Each path on the way must have worked in both directions; flapping paths count as working. The other members must be
+// running now, and at the given time must have been past their deathAllowedUntil and not paused.
 func (c *cluster) connected(from, to int, at int64) bool {
 	seen, queue := map[int]bool{from: true}, []int{from}
 	for len(queue) > 0 && !seen[to] {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -9,7 +9,7 @@
 )
 
 // suspectUnreachable makes the local member suspect a member whose probe failed. During the grace period after a
-// stall it does so only if the suspect's host refused the connection.
+// stall it does so only if the member's host refused the connection of the handshake probe.
 func (t *Table) suspectUnreachable(m *member, refused bool) {
 	if t.gracePeriodEnd > t.now && !refused {
 		return
@@ -41,8 +41,9 @@
 	}
 }
 
-// addConfirmations adds the new confirmations to those of a member, up to 2*MaxConfirmations, and marks a known
-// confirmation as refused if the new one from the same member is. It reports whether anything changed.
+// addConfirmations adds confirmations to those of the suspicion of m, up to 2*MaxConfirmations in total. A second
+// confirmation from the same member is not added; if it is refused, the first one is marked as refused too.
+// addConfirmations reports whether anything changed.
 func (t *Table) addConfirmations(m *member, confirmations []Confirmation) (added bool) {
 	for _, c := range confirmations {
 		i := slices.IndexFunc(m.Confirmations, func(known Confirmation) bool { return known.Name == c.Name })
@@ -77,9 +78,10 @@
 	return count
 }
 
-// suspicionTimeout returns the time after which an unrefuted suspicion becomes a death. It decreases with the
-// number of confirmations on Lifeguard's logarithmic scale. Enough refused confirmations lead to a shorter
-// timeout.
+// suspicionTimeout returns the time after which a suspect that has not refuted the suspicion may be declared dead,
+// before the local health score lengthens it. The timeout decreases from MaxSuspicionTimeout to MinSuspicionTimeout
+// with the number of confirmations, on Lifeguard's logarithmic scale. It is RefusedTimeout with at least
+// decisiveRefusals refused confirmations, and 5*RefusedTimeout with one if no other member could confirm the suspicion.
 func (t *Table) suspicionTimeout(m *member) int64 {
 	others := t.Size() - 2 // members that could confirm the suspicion, excluding the local one and the suspect
 	refused := m.refusals()
@@ -95,16 +97,16 @@
 	return t.MaxSuspicionTimeout - int64(share*float64(t.MaxSuspicionTimeout-t.MinSuspicionTimeout))
 }
 
-// evaluateSuspects declares suspects dead, and pings those that must be pinged before. A suspect is declared dead
-// if its suspicion timed out, the local member has not reached it since the suspicion began, and the suspicion is
-// verified (see verified).
+// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out, the local member has
+// not reached it since the suspicion began, and the suspicion is verified (see verified). The ping that verifies
+// the suspicion is sent when half of the timeout has passed, or later if too many suspects need one.
 func (t *Table) evaluateSuspects() {
 	t.pruneSuspects()
 	verifications := 0
 	for _, name := range t.suspects {
 		m := t.members[name]
-		// A member that confirmed a suspicion probes the suspect repeatedly, because only its own path may have
-		// failed.
+		// If the local member confirmed the suspicion, it probes the suspect repeatedly: the fault may affect only
+		// the path between the two.
 		if t.now-m.probedAt > reprobeInterval && m.suspectedBy(t.Self.Name) {
 			t.probeSoon(name)
 		}
@@ -124,7 +126,7 @@
 	}
 }
 
-// pruneSuspects removes from suspects the members that are no longer suspected, and sorts and deduplicates the rest.
+// pruneSuspects removes from t.suspects the members that are no longer suspected, and sorts and deduplicates the rest.
 func (t *Table) pruneSuspects() {
 	t.suspects = slices.DeleteFunc(t.suspects, func(name string) bool {
 		m := t.members[name]
@@ -134,15 +136,17 @@
 	t.suspects = slices.Compact(t.suspects)
 }
 
-// verify pings a suspect before it is declared dead, because in a large cluster the suspect's next probe in order
-// and the suspect's refutation may both come too late. The ping informs the suspect of the suspicion.
+// verify pings a suspect before it is declared dead. In a large cluster the next probe in order that is sent to the
+// suspect and the suspect's refutation may both come too late. The ping informs the suspect of the suspicion, so that
+// the suspect can refute it.
 func (t *Table) verify(m *member) {
 	m.verifiedAt = t.now
 	t.ping(m.Name)
 }
 
-// verified reports whether a suspicion needs no further verification: ProbeTimeout/2 has passed since the ping
-// that verifies it, or enough members found that no process listens at the suspect's address.
+// verified reports whether the suspicion of a member needs no further verification: ProbeTimeout/2 has passed since
+// the ping that verifies it, or at least decisiveRefusals members found that no process listens at the suspect's
+// address.
 func (t *Table) verified(m *member) bool {
 	if m.refusals() >= decisiveRefusals {
 		return true
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -66,7 +66,7 @@
 		resumedAt := h.now
 		h.run(resumedAt + 15*second)
 		if after := h.diedAt - resumedAt; after < 3*second || after > 8*second {
-			t.Errorf("b was declared dead %s after the stall, want 3 to 8 s", formatMilliseconds(after))
+			t.Errorf("b was declared dead %s after the stall (never if negative), want 3 to 8 s", formatMilliseconds(after))
 		}
 	})
 	t.Run("nobody is suspected for it", func(t *testing.T) {
@@ -81,8 +81,9 @@
 	})
 }
 
-// TestRefusedSuspicionTimeout asserts that two refused confirmations lead to an early death. A single one does so
-// only if the cluster has no other member that could confirm the suspicion.
+// TestRefusedSuspicionTimeout asserts that with two refused confirmations, a suspect is declared dead before
+// MinSuspicionTimeout has passed. A single one is enough only if the cluster has no other member that could confirm the
+// suspicion.
 func TestRefusedSuspicionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -115,15 +116,15 @@
 			refusedAt := h.now
 			h.run(refusedAt + 10*second)
 			if after := h.diedAt - refusedAt; after <= 0 || after > c.within || c.within > 5*second && after < 3*second {
-				t.Errorf("b was declared dead after %s, want at most %s, and at least 3 s if the maximum exceeds 5 s",
+				t.Errorf("b was declared dead after %s (never if negative), want at most %s, and at least 3 s if the maximum exceeds 5 s",
 					formatMilliseconds(after), formatMilliseconds(c.within))
 			}
 		})
 	}
 }
 
-// TestSuspectIsProbedAgain asserts that a member that raised a suspicion probes the suspect again before it declares it
-// dead. In a large cluster the suspect's next probe in order would come too late.
+// TestSuspectIsProbedAgain asserts that a member that raised a suspicion probes the suspect again before it declares
+// the suspect dead. In a large cluster the next probe in order that is sent to the suspect would come too late.
 func TestSuspectIsProbedAgain(t *testing.T) {
 	h := newHarness(t)
 	for i := range 100 {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -71,7 +71,7 @@
 	Update
 	lastAliveAt       int64  // time of the last proof that the member is alive, direct or indirect
 	lastDatagramAt    int64  // time when the last datagram from the member arrived
-	lastPingSequence  uint64 // highest sequence number received in a ping of the member's own probes
+	lastPingSequence  uint64 // highest sequence number of the pings that the member sent on its own behalf
 	rtt               int64  // smoothed round-trip time in microseconds
 	outbound, inbound pathDirection
 	suspectedAt       int64 // start of the suspicion, 0 without one
@@ -79,7 +79,8 @@
 	verifiedAt        int64 // time of the last ping that verifies a suspicion before the member is declared dead
 }
 
-// New returns a table without other members. It knows the names and addresses of the peers in the settings.
+// New returns a table without other members. It knows the names and addresses of the peers in the settings. If
+// c.ProbeInterval is 0, the table uses DefaultTiming.
 func New(now int64, c Config) *Table {
 	if c.ProbeInterval == 0 {
 		c.Timing = DefaultTiming()
@@ -138,8 +139,8 @@
 // Size returns the number of members that are alive or suspected, including the local one.
 func (t *Table) Size() int { return 1 + t.liveCount }
 
-// setUpdate replaces the update of a member, and maintains everything that is derived from it. No other function
-// changes the state of a member.
+// setUpdate replaces the update of a member, and adjusts the digests, liveCount, suspects and the start of the
+// suspicion. No other function changes the state of a member.
 func (t *Table) setUpdate(m *member, u Update) {
 	t.toggleDigest(&m.Update)
 	t.toggleDigest(&u)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -54,7 +54,7 @@
 	return t.takeActions()
 }
 
-// detectFailures runs one step of the failure detector.
+// detectFailures runs one step of the failure detector, and then updates the stable view if it is due.
 func (t *Table) detectFailures() {
 	t.expireProbes()
 	t.expireRelayedProbes()
--- a/internal/membership/tick_test.go
+++ b/internal/membership/tick_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestTickRate asserts that a settled table requests at most 1.2 calls of Tick for each probe, and that a table with a
-// suspect requests a call every tickInterval.
+// TestTickRate asserts that a settled table requests at most 1.2 calls of Tick per ProbeInterval, and that a table with
+// a suspect requests at least 0.8 calls per tickInterval.
 func TestTickRate(t *testing.T) {
 	const members, seconds, vanishing = 9, 20, 4
 	vanish := fault{kind: faultVanish, target: vanishing, other: -1, start: 60 * second, end: 61 * second}
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestProbeRateOfTwo asserts that in a cluster of two the other member is probed in each interval, although timers are
-// late by a varying delay.
+// TestProbeRateOfTwo asserts that in a cluster of two the other member is probed in at least 90% of the probe
+// intervals, although timers are late by a varying delay.
 func TestProbeRateOfTwo(t *testing.T) {
 	const seconds = 20
 	c := newCluster(2, 7, nil)
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -1,6 +1,7 @@
 package membership
 
-// This file defines the time constants and bounds of the failure detector. Times are in microseconds.
+// This file defines the times and limits of the membership table and its failure detector. Times are in
+// microseconds.
 
 const (
 	millisecond = 1_000
@@ -9,16 +10,17 @@
 
 // Timing holds the intervals and timeouts of a table, in microseconds.
 type Timing struct {
-	ProbeInterval int64 // interval between the starts of two probes
-	DirectTimeout int64 // maximum wait for an ack before indirect probes are sent
-	ProbeTimeout  int64 // maximum duration of a probe, including its indirect probes
+	ProbeInterval int64 // interval at which the next probe in order and the next urgent probe, if any, start
+	DirectTimeout int64 // wait for an ack before indirect probes are sent; directTimeout may lengthen it
+	ProbeTimeout  int64 // duration of an unanswered probe with its indirect probes; a bad health score lengthens it
 	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout if the suspicion has
 	// one confirmation, and after MinSuspicionTimeout if it has at least three (in a cluster of up to three
-	// members, at least two). MinSuspicionTimeout covers the longest pause of a process that must not count as a
-	// death, plus the time that the process's refutation takes to reach the other members.
+	// members, at least two). A bad local health score lengthens both timeouts. MinSuspicionTimeout covers the
+	// longest pause of a process that must not count as a death, plus the time that the process's refutation takes
+	// to reach the other members.
 	MinSuspicionTimeout, MaxSuspicionTimeout int64
-	// RefusedTimeout replaces both suspicion timeouts if two members found that no process listens at the
-	// suspect's address.
+	// RefusedTimeout replaces both suspicion timeouts if at least two members found that no process listens at the
+	// suspect's address. In a cluster of two, one such finding is enough, but the timeout is 5*RefusedTimeout.
 	RefusedTimeout int64
 }
 
@@ -37,16 +39,18 @@
 const (
 	// tickInterval is the minimum time between two calls of Tick that the table requests.
 	tickInterval = 50 * millisecond
-	// stallThreshold is the maximum delay of a call of Tick. If a call is later, the local process counts as
-	// stalled.
+	// stallThreshold is the maximum delay of a call of Tick after the time that NextTick returned. If a call is
+	// later, the local process counts as stalled.
 	stallThreshold = 450 * millisecond
 	// stallGracePeriod is the time after a stall during which the local member suspects nobody for silence.
 	stallGracePeriod = 2 * second
-	// joinTimeout is the time that a starting member waits for objections to its name.
+	// joinTimeout is the maximum time that a starting member waits for objections to its name. The ack of a member
+	// that has joined ends the wait early.
 	joinTimeout = 1 * second
 	// reprobeInterval is the interval at which each member that confirmed a suspicion probes the suspect.
 	reprobeInterval = 1 * second
-	// deadPingInterval is the interval between pings to dead members; each ping goes to one of them.
+	// deadPingInterval is the interval between pings to dead members and to peers of the settings that are not in
+	// the table. Each ping goes to one of them.
 	deadPingInterval = 500 * millisecond
 	// viewSettleTime is the time without membership changes after which the stable view is rebuilt.
 	viewSettleTime = 400 * millisecond
@@ -58,12 +62,12 @@
 	// indirectProbeCount is the maximum number of relays that are asked to ping a member that does not answer. It
 	// is the parameter k of SWIM.
 	indirectProbeCount = 3
-	// maxProbes is the maximum number of probes in flight.
+	// maxProbes is the maximum number of the local member's own probes in flight, and of queued urgent probes.
 	maxProbes = 16
 	// maxRelayedProbes is the maximum number of probes in flight on behalf of other members.
 	maxRelayedProbes = 64
-	// decisiveRefusals is the number of refused confirmations with which a suspect is declared dead without
-	// verification.
+	// decisiveRefusals is the number of refused confirmations that are enough to declare a suspect dead after
+	// RefusedTimeout and without verification.
 	decisiveRefusals = 2
 	// maxVerifications is the maximum number of suspects that are pinged for verification in one tick.
 	maxVerifications = 16
@@ -72,12 +76,12 @@
 	maxMembers = 4096
 	// maxDeadMembers is the number of dead and departed members above which the table starts to remove them.
 	maxDeadMembers = 1024
-	// maxHealthScore is the maximum local health score.
+	// maxHealthScore is the worst local health score. The best is 0.
 	maxHealthScore = 8
-	// pathDownWeight is the total weight of consecutive failed probes at which one direction of a path counts
-	// as down.
+	// pathDownWeight is the total weight of consecutive probes at which one direction of a path counts as down.
+	// Only probes count that found this direction failing while a relay reached the member.
 	pathDownWeight = 14
-	// handshakeFailureWeight is the weight of a failed probe whose handshake timed out too. Any other failed
-	// probe weighs 1, because packet loss alone can make it fail.
+	// handshakeFailureWeight is the contribution to pathDownWeight of a probe whose handshake timed out as well. A
+	// probe whose handshake did not time out contributes 1, because the loss of one datagram can explain it.
 	handshakeFailureWeight = 2
 )
--- a/internal/membership/transcript_test.go
+++ b/internal/membership/transcript_test.go
@@ -8,7 +8,7 @@
 )
 
 // transcripts holds, by cluster size, FNV-1a digests of all actions and events of the members of simulated clusters
-// under randomly drawn schedules. Commit 532e1c5 computes the same digests.
+// under randomly drawn schedules of faults. The build of commit 532e1c5 computes the same digests.
 var transcripts = []struct {
 	size, schedules int
 	digest          string
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -1,8 +1,9 @@
 package membership
 
-// This file applies gossip updates to the table. A higher incarnation overrides a lower one. Within one
-// incarnation, the later state in the order of the State constants overrides the earlier one. Deaths are the
-// exception: each member decides for itself whether a suspect is dead, using the confirmations of all members.
+// This file applies gossip updates to the table. A higher incarnation overrides a lower one, and among updates of the
+// same incarnation a greater nonce overrides a smaller one. If both are equal, the later state in the order of the
+// State constants overrides the earlier one. Deaths are the exception: each member decides for itself whether a
+// suspect is dead, using the confirmations of all members.
 
 import (
 	"fmt"
@@ -27,7 +28,7 @@
 	}
 }
 
-// addMember adds a member by its first update, unless the table is full. A dead or departed member is added only
+// addMember adds a member from its first update, unless the table is full. A dead or departed member is added only
 // while the table holds at most maxDeadMembers names.
 func (t *Table) addMember(u Update) {
 	if len(t.names) >= maxMembers || u.State >= Dead && len(t.names) > maxDeadMembers {
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -14,7 +14,8 @@
 
 // expectedUpdate returns the update that a table must hold for a name after all updates, whatever their order: the one
 // with the highest incarnation, then the greatest nonce, then the latest state in the order of the State constants. A
-// death counts as a suspicion, because the test does not call evaluateSuspects.
+// death counts as a suspicion: a table does not take over a death that another member declared, and the test does not
+// call evaluateSuspects.
 func expectedUpdate(all []Update) (expected Update) {
 	for i, u := range all {
 		u.State = min(u.State, max(Suspect, u.State/Left*Left))
--- a/internal/membership/verification_test.go
+++ b/internal/membership/verification_test.go
@@ -14,7 +14,7 @@
 	suspectedAt := h.now
 	h.run(suspectedAt + second)
 	if after := h.diedAt - suspectedAt; h.diedAt == 0 || after > h.RefusedTimeout+tickInterval {
-		t.Errorf("b was declared dead %s after the suspicion, want at most %s",
+		t.Errorf("b was declared dead %s after the suspicion (never if negative), want at most %s",
 			formatMilliseconds(after), formatMilliseconds(h.RefusedTimeout+tickInterval))
 	}
 }
@@ -42,7 +42,7 @@
 		}
 		maxPings = max(maxPings, pings)
 	}
-	const others = 2 // pings per tick in addition to verifications: one of a probe, and one to a dead member
+	const others = 2 // pings per tick in addition to verifications: one of a probe in order, and one of an urgent probe
 	if maxPings > maxVerifications+others || len(pinged) < suspects {
 		t.Errorf("got %d members pinged and up to %d pings in one tick, want at least %d and at most %d",
 			len(pinged), maxPings, suspects, maxVerifications+others)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -24,11 +24,11 @@
 
 // Members returns the local member, followed by all other members sorted by name.
 func (t *Table) Members() []Member {
-	lines := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Nonce: t.Self.Nonce,
+	members := []Member{{Name: t.Self.Name, Zone: t.Self.Zone, Addr: t.Self.Addr, Nonce: t.Self.Nonce,
 		Incarnation: t.Self.Incarnation, State: t.Self.State}}
 	for _, name := range t.names {
 		m := t.members[name]
-		line := Member{
+		other := Member{
 			Name:         name,
 			Zone:         m.Zone,
 			Addr:         m.Addr,
@@ -41,16 +41,16 @@
 			SinceAliveUs: t.now - m.lastAliveAt,
 		}
 		if m.State != Alive {
-			line.Evidence = t.evidence(m)
+			other.Evidence = t.evidence(m)
 		}
-		lines = append(lines, line)
+		members = append(members, other)
 	}
-	return lines
+	return members
 }
 
 // View is a stable set of members for use by the rest of the program.
 type View struct {
-	Number int64    // number of views that the local member has built so far
+	Number int64    // 1 for the local member's first view, and 1 more for each change of the view
 	Digest uint64   // hash of the members; equal on all members whose views hold the same processes
 	Names  []string // names of the members, sorted
 }
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -42,7 +42,7 @@
 		total += Set{zone: assigned}.Len()
 	}
 	if all != AllBits || total != Count {
-		t.Fatalf("got %d assignments of the shards %x, want each of %d shards assigned once", total, all, Count)
+		t.Fatalf("got %d assigned shards with the bit set %x, want each of %d shards assigned once", total, all, Count)
 	}
 }
 
@@ -109,7 +109,7 @@
 			own += m.departed
 			otherRegions += m.otherRegions
 		}
-		t.Logf("%d members: %d shards on average must move at a departure, at most %d others move", size, own/size, maxOthers)
+		t.Logf("%d members: %d shards on average must move at a departure, up to %d others moved", size, own/size, maxOthers)
 		if maxOthers > Count*len(zones)/8 {
 			t.Errorf("%d members: %d shards of other members moved, want at most %d (an eighth of all shards)",
 				size, maxOthers, Count*len(zones)/8)
--- a/internal/shard/compatibility_test.go
+++ b/internal/shard/compatibility_test.go
@@ -19,7 +19,7 @@
 	{100, "cddde92bf08560af35bd6bf69276e159"},
 }
 
-// TestPreviousAssignments asserts that the assignments equal those of the build in previousAssignments.
+// TestPreviousAssignments asserts that the assignments have the digests in previousAssignments.
 func TestPreviousAssignments(t *testing.T) {
 	for _, want := range previousAssignments {
 		zones, regions, members := newFleet(want.members)
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestPreviousShards asserts that workers are in the same shards as in the previous build.
+// TestPreviousShards asserts that workers are in the same shards as in the build of commit 532e1c5.
 func TestPreviousShards(t *testing.T) {
 	digest := fnv.New128a()
 	for i := range 4000 {
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestPreviousSet asserts that the text form of a set is the same as in the previous build, and that Parse reads it.
+// TestPreviousSet asserts that the text form of a set is the same as in the build of commit 532e1c5, and that Parse
+// reads it.
 func TestPreviousSet(t *testing.T) {
 	set := Set{"zone a": 1, "b:c,d%": AllBits, "": 0x8000000000000000}
 	const want = ":8000000000000000,b%3Ac%2Cd%25:ffffffffffffffff,zone%20a:0000000000000001"
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -71,7 +71,7 @@
 const bitsDigits = Count / 4
 
 // String returns the text form of the set, which Parse reads: zone:digits for each zone, separated by commas and
-// sorted by zone. Names of zones are escaped as in URLs.
+// sorted by zone. The digits are the bits of the zone in hexadecimal. Names of zones are escaped as in URLs.
 func (s Set) String() string {
 	var parts []string
 	for _, zone := range slices.Sorted(maps.Keys(s)) {
@@ -84,7 +84,8 @@
 // ErrInvalidSet is the error that all errors of Parse wrap.
 var ErrInvalidSet = errors.New("invalid set of shards")
 
-// ParseError reports a part of a text that is not a valid zone of a set, or that repeats a zone.
+// ParseError reports one of the comma-separated parts of a text that is not a zone with its digits, or that repeats a
+// zone.
 type ParseError struct{ Part string }
 
 // Error returns the expected format and the invalid part.
@@ -111,7 +112,7 @@
 	return s, nil
 }
 
-// parseZone parses one zone and its shards, and reports whether the part is valid.
+// parseZone parses a part of a text that holds one zone and its digits, and reports whether the part is valid.
 func parseZone(part string) (zone string, b Bits, ok bool) {
 	escaped, digits, _ := strings.Cut(part, ":")
 	zone, err := url.PathUnescape(escaped)
--- a/internal/shard/set_test.go
+++ b/internal/shard/set_test.go
@@ -41,7 +41,7 @@
 		}
 		parsed, err := Parse(a.String())
 		if err != nil || !parsed.Equal(a) {
-			t.Fatalf("Parse(%q): got %v, %v", a, parsed, err)
+			t.Fatalf("Parse(%q): got %v, %v, want the same set", a, parsed, err)
 		}
 	})
 }
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -20,14 +20,14 @@
 // Of returns the shard of a worker in its zone, from 0 to Count-1.
 func Of(worker string) int { return int(hash(worker) % Count) }
 
-// hash returns the hash of a name.
+// hash returns the 64-bit FNV-1a hash of a name, mixed so that similar names have unrelated hashes.
 func hash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // a hash.Hash never returns an error
 	return mix(h.Sum64())
 }
 
-// mix is the finalizer of SplitMix64. It maps similar inputs, such as the names of a fleet, to unrelated outputs.
+// mix is one step of the SplitMix64 generator. It maps similar inputs, such as consecutive keys, to unrelated outputs.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -38,13 +38,12 @@
 	return zones, regions, members
 }
 
-// TestWorkersSpread asserts that the names of a fleet, which differ in few letters, are distributed evenly over all
-// shards: each of nine orchestrators has between 0.8 and 1.2 times an equal share of 4,000 workers, with regions and
-// without.
+// TestWorkersSpread asserts that workers whose names differ in few characters are distributed evenly: each of nine
+// orchestrators has between 0.8 and 1.2 times an equal share of 4,000 workers, both with four regions and with one.
 func TestWorkersSpread(t *testing.T) {
 	const workers, cellSize = 4000, 40
 	zones, regions, members := newFleet(9)
-	for name, r := range map[string]Regions{"regions": regions, "one region": nil} {
+	for name, r := range map[string]Regions{"four regions": regions, "one region": nil} {
 		assigned := map[string]int{}
 		for i := range workers {
 			zone := zones[i/cellSize%len(zones)]
