--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -1,7 +1,7 @@
 package main
 
 // This file carries out admin calls. A change is answered with success only after it is stored. Disk work
-// never runs on the event loop; the file worker does it.
+// never runs on the event loop: fileWorker.run does it on a goroutine of its own.
 
 import (
 	"fmt"
@@ -9,7 +9,8 @@
 	"ravenhitch/internal/admin"
 )
 
-// listenAdmin listens for admin calls at addr. dir is the directory of the handover files.
+// listenAdmin cordons the workers that the handover files list, listens for admin calls at addr and starts the
+// file worker. dir is the directory of the handover files.
 func (s *server) listenAdmin(addr, dir string) (err error) {
 	store := newHandoverStore(dir)
 	cordons, err := store.readCordons()
@@ -50,8 +51,9 @@
 	}
 }
 
-// health answers whether this orchestrator is ready for clients. The first time that the answer is positive,
-// health also records in the handover files that this process serves.
+// health answers whether this orchestrator is ready for clients. Before the first positive answer, it records
+// in the handover files that this process serves. If that fails, the answer is an error, and the next call tries
+// again.
 func (a *adminCalls) health(answer func([]byte)) {
 	switch {
 	case a.server.shuttingDown:
@@ -65,7 +67,8 @@
 	}
 }
 
-// cordon cordons or uncordons a worker, as the call requests, and stores the change.
+// cordon stores the change that the call requests, and then cordons or uncordons the worker. If the worker is
+// neither listed nor cordoned, the reply is an error and nothing changes.
 func (a *adminCalls) cordon(call admin.Call, answer func([]byte)) {
 	s := a.server
 	if !s.dispatcher.HasWorker(call.ID) {
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -1,8 +1,8 @@
 package main
 
-// This file divides the workers among the orchestrators in the membership table. The result is the shards of
-// workers on which this orchestrator places tasks. If a view of the table does not list this orchestrator, its
-// shards stay as they are.
+// This file divides the workers among the orchestrators that count as alive: the members of the stable view of
+// the membership table and, at first, the members named in the operators' file. The result is the set of shards
+// of workers on which this orchestrator places tasks. A view that does not list this orchestrator changes nothing.
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 
 // presumptionUs is a period after the start, in microseconds. During this period, the members named in the
 // operators' file are presumed alive even if the membership table does not list them yet. The period is as long
-// as the detection of a dead member takes. Without the presumption, if a whole fleet started at the same time,
-// each orchestrator would request all workers, because its table would not list the others yet.
+// as the detection of a dead member can take. Without the presumption, if all orchestrators started at the same
+// time, each would use all workers of its region, because its table would not list the others yet.
 const presumptionUs = 7 * second
 
 // assignment divides the workers among the live members. It is used on the event loop only.
@@ -27,10 +27,11 @@
 	regions  shard.Regions
 	name     string         // name of this orchestrator
 	presumed []shard.Member // members presumed alive, this orchestrator included; nil once the presumption has ended
-	view     []shard.Member // members of the last stable view; empty before the first one
+	view     []shard.Member // members of the last stable view that lists this orchestrator; empty before the first one
 }
 
-// startAssignment starts to divide the workers, initially among the members named in the operators' file.
+// startAssignment starts to divide the workers, initially among this orchestrator and the members named in the
+// operators' file.
 func startAssignment(loop *eventloop.Loop, follower *discovery.Follower, cfg config.Config, peers config.Peers) *assignment {
 	a := newAssignment(cfg.Name, cmp.Or(peers.Zone, cfg.Settings.Zone), peers)
 	follower.EnableAssignment(a.current())
@@ -39,7 +40,8 @@
 	return a
 }
 
-// newAssignment returns an assignment that presumes the members named in the operators' file alive.
+// newAssignment returns an assignment that presumes alive this orchestrator and the members named in the
+// operators' file.
 func newAssignment(name, zone string, peers config.Peers) *assignment {
 	a := &assignment{regions: peers.Regions, name: name, presumed: []shard.Member{{Name: name, Zone: zone}}}
 	for _, member := range peers.Members {
@@ -49,8 +51,8 @@
 }
 
 // endPresumption ends the presumption that the members named in the operators' file are alive. From then on,
-// only the members that the membership table lists count. If there has been no stable view of the table yet,
-// endPresumption changes nothing, and the members stay presumed alive.
+// only the members of the stable view count. If no stable view has listed this orchestrator yet, endPresumption
+// changes nothing. The members then stay presumed alive, because endPresumption is not called again.
 func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
@@ -58,9 +60,9 @@
 	}
 }
 
-// onView divides the workers among the members of a new stable view. It ignores a view that does not list
-// this orchestrator: either the orchestrator has not joined the membership table yet, or the table lists
-// another process under its name.
+// onView divides the workers among the members of a new stable view and the members that are still presumed
+// alive. It ignores a view that does not list this orchestrator. The reason for such a view is that the
+// orchestrator has not joined the membership table yet, that another process owns its name, or that it is leaving.
 func (a *assignment) onView(members []membership.Member) {
 	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.name }) {
 		return
@@ -72,7 +74,7 @@
 	a.apply(a.current())
 }
 
-// current returns the division of the workers among the current members.
+// current returns the division of the workers among the presumed members and the members of the last view.
 func (a *assignment) current() discovery.Assignment {
 	members := slices.Concat(a.presumed, a.view)
 	return func(zone string) shard.Bits { return a.regions.Assigned(zone, members, a.name) }
--- a/cmd/ravenhitch/assignment_test.go
+++ b/cmd/ravenhitch/assignment_test.go
@@ -32,9 +32,9 @@
 	a.endPresumption()
 	expect("alone in the table", shard.Count, 0)
 	a.onView([]membership.Member{member("n1", "z1"), member("n2", "z2"), member("n4", "z2"), member("n3", "z3"), member("n5", "z2")})
-	expect("with four in the west", shard.Count/4, 0)
+	expect("with four members in the west", shard.Count/4, 0)
 	a.onView([]membership.Member{member("n2", "z2"), member("n3", "z3")})
-	expect("in a view without it", shard.Count/4, 0)
+	expect("after a view without this orchestrator", shard.Count/4, 0)
 	a.onView([]membership.Member{member("n1", "z3"), member("n2", "z2")})
 	expect("moved to the east", 0, shard.Count)
 }
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -20,7 +20,8 @@
 
 // frontUser is a client of either front.
 type frontUser interface {
-	// place submits request number n and returns its outcome.
+	// place submits request number n and returns its outcome: "started: " and the description from the worker,
+	// "rejected" or "failed".
 	place(t *testing.T, n int, class, task string) string
 	// nextCompletion waits for the next completion and returns its request ID and "done" or "lost".
 	nextCompletion(t *testing.T) string
@@ -57,7 +58,8 @@
 	}
 }
 
-// runOnFront submits tasks that a worker answers in different ways, completes two of them, and drains the worker.
+// runOnFront submits tasks that a worker answers in different ways, and completes two of them. It then drains this
+// worker, adds another one and submits ten further tasks.
 func runOnFront(t *testing.T, connect func(*testServer) frontUser) (run frontRun) {
 	t.Helper()
 	server := newTestServer(t, "a")
@@ -149,8 +151,8 @@
 	return 5000
 }
 
-// While a worker drains, the end of one of its tasks is reported on the front that submitted the task, and neither
-// front offers new tasks to that worker.
+// While a worker drains, the end of one of its tasks is reported on the front through which the client submitted
+// the task, and no task of either front is offered to that worker.
 func TestDrainUnderBothFronts(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, session := server.connect(t), server.openSession(t, "s")
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -10,8 +10,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// maxLateAttempt is the maximum delay after which an attempt may still begin for a request whose client has
-// left. The rules set this maximum.
+// maxLateAttempt is the time, counted from the moment at which a client left, after which no attempt may begin for
+// its request. maxClientLastSeenAge in package workerpool keeps the server within this time.
 const maxLateAttempt = 100 * time.Millisecond
 
 // leaverID is the request ID of the client that leaves.
@@ -29,7 +29,8 @@
 }
 
 // waitingRequest describes one point at which a request can wait. begin submits the client's request and
-// makes it wait at this point. It returns a function that ends the wait.
+// makes it wait at this point. The function end that it returns ends the wait, or does nothing if the wait ends by
+// itself.
 type waitingRequest struct {
 	name    string
 	workers []string
@@ -125,8 +126,8 @@
 }
 
 // No attempt begins for a client that has left, wherever its request waits and however the client leaves. The
-// test logs the time between the moment at which the client left and the first byte of the last attempt. The
-// time is negative if the attempt came first.
+// test logs the time from the moment at which the client left until the last offer of the request arrived at a
+// worker. The time is negative if the offer arrived first.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	for _, test := range waitingRequests {
 		for _, method := range []leaveMethod{
@@ -158,7 +159,7 @@
 						n, server.attempts.LastOfferAt(leaverID).Sub(left))
 				}
 				if last := server.attempts.LastOfferAt(leaverID); !last.IsZero() {
-					t.Logf("from the leave to the last attempt's first byte: %s", last.Sub(left))
+					t.Logf("from the leave to the arrival of the last offer: %s", last.Sub(left))
 				}
 			})
 		}
@@ -171,7 +172,9 @@
 	t.Helper()
 	server := newProxiedServer(t, longDialTimeout(t), nil, workers...)
 	server.expectAllStarted(t, server.submit("ok", 1, 8000))
-	// After these tasks, the server sends the next offers at once.
+	// From the answers to these tasks, the server learns how fast the workers answer. It therefore abandons an
+	// unanswered attempt early, and it permits more unanswered attempts at each worker, so the next offers are
+	// sent at once.
 	server.expectAllStarted(t, server.submit("ok", 16*len(workers), 8000))
 	return server
 }
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// A new connection may have only a limited number of open requests; further requests are rejected at once.
-// Too many invalid messages end the connection, after a response to each open request.
+// A connection that has had no task yet may have only a limited number of open requests; further requests are
+// rejected at once. Too many invalid messages end the connection, after a response to each open request.
 func expectTooManyAreRejected(t *testing.T, server *testServer) {
 	t.Helper()
 	client := server.connect(t)
@@ -167,7 +167,7 @@
 	}
 }
 
-// A client may take 2 s to write a request. A connection on which a request stays incomplete is closed.
+// A client may take 2 s to write a request. A connection on which a request stays incomplete is closed within 3 s.
 func TestSlowWriter(t *testing.T) {
 	server := newTestServer(t, "a")
 	slow, never := server.connect(t), server.connect(t)
@@ -176,7 +176,7 @@
 	for _, client := range []*testbed.Client{slow, never} {
 		write(t, client, request[:half])
 	}
-	// Simulates a client that writes slowly; the test does not wait for anything here.
+	// The sleep simulates a client that writes slowly. It does not wait for an event.
 	time.Sleep(2*time.Second - time.Since(began))
 	write(t, slow, append(request[half:], '\n'))
 	if line := testbed.Wait(t, "the response", slow.Lines); line.Verb != "STARTED" {
@@ -190,8 +190,9 @@
 	}
 }
 
-// An offer contains, unchanged, the fields by which a worker recognises a repeated request. It omits the fields that
-// only an orchestrator uses: the tenant, the hint of the duration, and the number of earlier submissions.
+// An offer contains, unchanged, the fields by which a worker recognises a repeated request: the class, the key and the
+// idempotency key. It omits the fields that only an orchestrator uses, such as the tenant, the expected run time and
+// the number of earlier submissions. A submission in which an optional field is invalid gets an error.
 func TestOfferFields(t *testing.T) {
 	settings := changedSettings(t, settingChange{"RequestClasses.0.Name", "bulletin"}, settingChange{"RequestClasses.0.Semantics", "guarded"},
 		settingChange{"RequestClasses.0.Group", "zone"}, settingChange{"Parties", []any{map[string]any{"Name": "studio"}}},
--- a/cmd/ravenhitch/command.go
+++ b/cmd/ravenhitch/command.go
@@ -1,6 +1,6 @@
 package main
 
-// This file parses and runs the sub-commands. Each sub-command ends by itself, and none starts a server.
+// This file parses and runs the sub-commands. Each sub-command ends by itself, and none serves clients.
 
 import (
 	"fmt"
--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// Invalid arguments end a sub-command with exit code 1 and an error that names what was expected.
+// A sub-command that gets invalid arguments, or that fails, ends with exit code 1 and an error that names the cause.
 func TestCommands(t *testing.T) {
 	t.Setenv("ROUTER_MGMT", "") // restores the variable at the end of the test
 	if err := os.Unsetenv("ROUTER_MGMT"); err != nil {
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -12,7 +12,7 @@
 
 // If a second client submits a running task again, it does not receive the task's completion. The completion
 // goes to the client that submitted the task first. If that client has disconnected, the completion goes to a
-// client for which a task was started.
+// client for which a task was started or, if there is none, to a client that registered another running task first.
 func TestCompletionGoesToItsClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first, served, second := server.connect(t), server.connect(t), server.connect(t)
@@ -38,7 +38,7 @@
 	server.workers[0].ReportCompletion(testbed.RequestID(2), causeDone)
 	expectCause(t, "the second completion", served, testbed.RequestID(2), causeDone)
 
-	for range 9 { // these clients only ping, so they have no task; with second, ten clients are connected
+	for range 9 { // these clients only ping, so they have no task; once served is closed, they and second remain
 		pingServer(t, server.connect(t))
 	}
 	closeNow(t, served)
@@ -47,8 +47,8 @@
 	expectCause(t, "the third completion", second, testbed.RequestID(3), causeDone)
 }
 
-// A task is not bound to a connection. If the connection of its client is closed, the completion goes to
-// another client that is connected, or otherwise to the next client that connects.
+// A task is not bound to a connection. If the connection of its client is closed, the completion goes to another
+// connected client that has sent a message, or otherwise to the next client that connects and sends a message.
 func TestCompletionGoesToAnotherClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first := server.connect(t)
@@ -78,7 +78,7 @@
 	silent, third := server.connect(t), server.connect(t)
 	testbed.Send(third, pingLine("t"))
 	expectCause(t, "the second completion", third, testbed.RequestID(2), causeLost)
-	for line := range silent.Lines { // until the server closes the idle connection
+	for line := range silent.Lines { // until the server closes the connection because no message arrives
 		t.Errorf("the connection that sent nothing got %v, want no line", line)
 	}
 }
@@ -187,8 +187,9 @@
 	}
 }
 
-// The completion of a task reaches its client even if other connections fill the connection table. The server
-// protects up to eight connections that have had tasks from being evicted for new connections.
+// The completion of a task reaches its client even if other connections fill the connection table. While at most
+// eight connections have had a task, the server evicts none of them for a new connection if a connection without
+// a task can be evicted soon instead.
 func TestCompletionWithFullConnectionTable(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -231,7 +232,7 @@
 
 // While a client is disconnected and may reconnect, its completion does not go to a connection that has sent
 // messages but has neither pinged nor had a task. The completion goes to the first connection that pings or
-// has had tasks.
+// has had tasks. After 500 ms without such a connection, it would go to any connection that has sent a message.
 func TestCompletionNotReportedToStrangers(t *testing.T) {
 	server := newSmallServer(t, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -14,8 +14,8 @@
 )
 
 // At the connection limit, connections that never sent anything are evicted first, before connections that have
-// sent part of a message and before idle connections without an open request. A connection with an open request
-// is never evicted.
+// sent part of a message and before idle connections that have sent whole messages. A connection with an open
+// request is never evicted.
 func TestEvictionOrderAtConnectionLimit(t *testing.T) {
 	server := newSmallServer(t, "a")
 	busy := server.connect(t)
@@ -75,9 +75,9 @@
 	return ends
 }
 
-// An idle connection that has only sent a ping is evicted at once for a new client. A connection that had a
-// task is evicted only after it has been idle for a while. Until then, the new client waits in the kernel's
-// accept queue, and the server does not stop while a connection waits there.
+// A connection that has only sent a ping is evicted for a new client after it has been idle for 100 ms, a
+// connection that had a task only after 1 s. Until then, the new client waits in the kernel's accept queue. A
+// shutdown waits for the clients in this queue, at most until the drain timeout.
 func TestQueuedConnectionsAreServed(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for i := range maxClients {
@@ -106,8 +106,8 @@
 	}
 }
 
-// If a client has not read its response yet, its connection is not evicted for a client that waits in the
-// accept queue.
+// A client that has not read its response yet has 2.4 s to read it. Until its connection has been idle for this
+// time, it is not evicted for a client in the accept queue. Without unread output, 1 s of idle time would suffice.
 func TestSlowReaderIsNotEvicted(t *testing.T) {
 	server := newSmallServer(t, "a")
 	slow := newSlowReader(t, server)
@@ -120,7 +120,7 @@
 	server.waitUntil(t, "all other clients busy", func() bool { return server.dispatcher.OpenCount() == maxClients-1 })
 	late := server.connect(t)
 	testbed.Send(late, testbed.StartLine(testbed.RequestID(2), "guide-web", "ok-2", 9000))
-	server.waitUntil(t, "a queued client, for longer than an idle connection is protected", func() bool {
+	server.waitUntil(t, "a queued client, 1.2 s after the slow reader's task started", func() bool {
 		return server.loop.HasQueuedConnections() && server.loop.Now() > since+1_200*millisecond
 	})
 	setReadTimeout(t, slow)
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -23,7 +23,8 @@
 			t.Fatalf("request %d got %v, want STARTED", i+1, line)
 		}
 	}
-	for _, worker := range slices.Concat(server.workers, server.workers) { // one by one, because there are too few descriptors
+	// Probes each worker without a task twice, one worker at a time: there are too few descriptors for all workers.
+	for _, worker := range slices.Concat(server.workers, server.workers) {
 		if worker.TaskCount() > 0 {
 			continue
 		}
--- a/cmd/ravenhitch/discovery_outage_test.go
+++ b/cmd/ravenhitch/discovery_outage_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// acceptAll accepts connections until the listener is closed, and sends nothing on them.
+// acceptAll accepts connections in the background until the listener is closed, and sends nothing on them. The
+// returned channel receives each connection.
 func acceptAll(listener net.Listener) <-chan net.Conn {
 	accepted := make(chan net.Conn, 100)
 	go func() {
@@ -84,7 +85,8 @@
 	discoveryProxy *testbed.Proxy
 }
 
-// newServerWithDiscoveryProxy starts a server with the given number of workers, which serves at most maxClients clients.
+// newServerWithDiscoveryProxy starts a server that connects to discovery through a proxy. The server has the given
+// number of workers and serves at most maxClients clients.
 func newServerWithDiscoveryProxy(t *testing.T, workers int) *discoveryProxyServer {
 	t.Helper()
 	var names []string
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -35,7 +35,7 @@
 			trace := newTraceRecorder()
 			server := newWarmProxiedServer(t, settingsJSON, slog.New(trace), test.workers...)
 			test.play(t, server)
-			server.eventually(t, "the end of all attempts whose clients got a response", func() bool {
+			server.eventually(t, "the end of all attempts whose clients got a FINISH", func() bool {
 				return !slices.ContainsFunc(server.attempts.InFlight(), func(id string) bool { return server.firstResponses[id] == "FINISH" })
 			})
 			trace.expectNoEarlyOffers(t)
@@ -50,7 +50,7 @@
 	for _, worker := range server.workers[:6] {
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
 	}
-	missed := server.submit("missed", 60, 2000) // five requests for each worker
+	missed := server.submit("missed", 60, 2000) // five requests per worker on average
 	server.sendNoticesOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
 }
@@ -129,8 +129,8 @@
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
 	testbed.Send(server, cancelLine(id))
-	// When attempts on the connection to the partitioned worker end, the server resets the connection, which
-	// discards the release.
+	// When the server abandons attempts at the partitioned worker, it resets the connection, which discards the
+	// release.
 	server.waitResponses(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
 	for testbed.Wait(t, "the release", server.workers[0].Cancels).Tag != id {
@@ -160,7 +160,8 @@
 	testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
 	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.InFlight(), late) })
 	dials, _ := server.workers[0].DialCounts()
-	// The server opens another connection after the worker has been silent for a long time.
+	// If an offer is open and the worker has been silent for more than 400 ms, the server sends the next offer on
+	// another connection.
 	server.eventually(t, "another connection", func() bool {
 		// The worker is silent between the requests that the client submits at this interval.
 		time.Sleep(450 * time.Millisecond)
@@ -177,16 +178,17 @@
 	server.waitCompletion(t, id)
 }
 
-// All first attempts are silent at one of two workers, and the other worker, which has no attempt, is
-// partitioned. Second attempts are offered to the partitioned worker; the last attempts must be offered to the
-// worker that is reachable.
+// The first attempts of all requests are at one of two workers, which does not answer them. The other worker, which
+// has no attempt, is partitioned. Second attempts are offered to the partitioned worker; the last attempts must be
+// offered to the worker that is reachable.
 //
 // Both workers are suspect when the last attempts are offered. In the fault that this test guards against, the worker
 // pool knew that no connection reached the partitioned worker but did not report this to the scheduler. It reported a
 // worker only when the worker was reachable again. Once the reachable worker had two attempts, the maximum for a
 // suspect worker, the fallback of the search had only the partitioned worker left. The trace of each rejected request
-// showed that the connection carried nothing back and was closed. 3 ms later, 'offer attempt=2' named the same worker.
-// 'offer never sent' followed, because the next connection was not established in time.
+// showed that nothing was received on the connection to the partitioned worker and that this connection was closed.
+// 3 ms later, 'offer attempt=2' named the same worker. 'offer never sent' followed, because the next connection was
+// not established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
 	// Placement is random: about every second server has all first attempts at one worker, so 30 servers
 	// suffice.
--- a/cmd/ravenhitch/figures.go
+++ b/cmd/ravenhitch/figures.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// figures returns the current figures of the server. Dashboards refer to them by name, so the names must not
-// change.
+// figures returns the current figures of the server, and the number of samples that the given exporter has lost.
+// Dashboards refer to the figures by name, so the names must not change.
 func (s *server) figures(exporter *metrics.Exporter) []metrics.Figure {
 	counter := func(name string, v int64) metrics.Figure {
 		return metrics.Figure{Name: name, Value: float64(v), Counter: true}
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the goroutine that reads and writes the handover files. The goroutine never accesses fields
-// that belong to the event loop; it posts its results to the loop.
+// This file owns the goroutine that reads and writes the handover files. The goroutine posts its results to the
+// event loop and never accesses state that the loop changes.
 
 import (
 	"maps"
@@ -54,8 +54,9 @@
 	})
 }
 
-// readFiles reads the handover files. If other processes have changed them since the last read, it posts the
-// changes to the event loop.
+// readFiles reads the handover files and posts what it finds to the event loop: a successor at every read that
+// finds one, and the cordoned workers only if the list has changed since the last read. If the list cannot be
+// read, readFiles logs the error, and the cordons stay as they are.
 func (w *fileWorker) readFiles() {
 	s := w.server
 	if w.store.hasSuccessor() {
