--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -16,15 +16,15 @@
 	"ravenhitch/internal/testbed"
 )
 
-// statusCase is an offer and the expected status code of its response.
+// statusCase is an offer and the status code that Place is expected to return for it.
 type statusCase struct {
 	name  string
 	offer *edgepb.Offer
 	want  codes.Code
 }
 
-// offerWith returns an offer of class guide-web, whose requests may be retried. change modifies the offer
-// before it is returned.
+// offerWith returns an offer of the given task in class guide-web, whose tasks may run more than once. change
+// modifies the offer before it is returned.
 func offerWith(id int, task string, change func(offer *edgepb.Offer)) *edgepb.Offer {
 	offer := newOffer(testbed.RequestID(id), "guide-web", task, 0)
 	change(offer)
@@ -38,17 +38,18 @@
 	{"invalid id", newOffer("12", "guide-web", "ok-2", 0), codes.InvalidArgument},
 	{"no task", newOffer(testbed.RequestID(4), "guide-web", "", 0), codes.InvalidArgument},
 	{"unknown class", newOffer(testbed.RequestID(5), "nightly", "ok-3", 0), codes.InvalidArgument},
-	{"no size", offerWith(6, "ok-4", func(offer *edgepb.Offer) { offer.Cores, offer.Memory = 0, 0 }), codes.InvalidArgument},
-	{"a negative size", offerWith(7, "ok-5", func(offer *edgepb.Offer) { offer.Cores = -1 }), codes.InvalidArgument},
+	{"zero cores and memory", offerWith(6, "ok-4", func(offer *edgepb.Offer) { offer.Cores, offer.Memory = 0, 0 }), codes.InvalidArgument},
+	{"negative cores", offerWith(7, "ok-5", func(offer *edgepb.Offer) { offer.Cores = -1 }), codes.InvalidArgument},
 	{"invalid program", offerWith(8, "ok-6", func(offer *edgepb.Offer) { offer.Service = "x" }), codes.InvalidArgument},
 	{"long description", offerWith(9, "ok-7", func(offer *edgepb.Offer) { offer.Description = strings.Repeat("x", 9000) }), codes.InvalidArgument},
-	{"an endless timeout", offerWith(60, "ok-60", func(offer *edgepb.Offer) { offer.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
+	{"timeout too long", offerWith(60, "ok-60", func(offer *edgepb.Offer) { offer.WaitMs = 1<<32 - 1 }), codes.InvalidArgument},
 	{"never fits", offerWith(10, "ok-8", func(offer *edgepb.Offer) { offer.Cores = 1000 }), codes.ResourceExhausted},
 	{"another task's id", newOffer(testbed.RequestID(1), "guide-web", "ok-9", 0), codes.AlreadyExists},
 }
 
-// A rejected offer, a failed offer, an invalid offer, an expired deadline and a cancellation each end the
-// call with a different status code.
+// Place returns the status code for the result of the offer: started, rejected, failed, invalid, deadline expired or
+// cancelled. Once the deadline has expired or the call is cancelled, the attempt at the worker is abandoned. A release
+// of an unknown offer and a stream that does not begin with an open message end with an error status.
 func TestStatusCodes(t *testing.T) {
 	server := newTestServer(t, "a")
 	client, worker := server.grpcClient(t), server.workers[0]
@@ -64,12 +65,12 @@
 		})
 	}
 	if n := worker.OfferCount("error-1"); n != 1 {
-		t.Errorf("a task that must not start twice was offered %d times, want 1, as its worker reported an error", n)
+		t.Errorf("a task that must not run twice was offered %d times, want 1: it may have run before its worker reported an error", n)
 	}
 	t.Run("deadline", func(t *testing.T) { expectDeadline(t, client, worker) })
 	t.Run("cancelled", func(t *testing.T) { expectCancelled(t, client, worker) })
 	t.Run("release", func(t *testing.T) { expectRelease(t, client, worker) })
-	t.Run("no open", func(t *testing.T) {
+	t.Run("stream without open message", func(t *testing.T) {
 		stream, err := client.Session(context.Background())
 		if err != nil {
 			t.Fatal(err)
@@ -134,7 +135,7 @@
 	}
 	// The worker has sent nothing on the connection since the offer, so a cancel written on it may never
 	// arrive. Only closing the connection is certain to abandon the attempt.
-	for testbed.Wait(t, "the close", worker.LostOffers).Tag != testbed.RequestID(21) {
+	for testbed.Wait(t, "the close of the connection", worker.LostOffers).Tag != testbed.RequestID(21) {
 	}
 }
 
--- a/cmd/ravenhitch/grpcclient_test.go
+++ b/cmd/ravenhitch/grpcclient_test.go
@@ -12,8 +12,8 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// newOffer returns the offer of a task that requests one core. The timeout is in milliseconds; 0 means no
-// timeout.
+// newOffer returns the offer of a task that requests one core. The timeout is in milliseconds. With 0, the timeout of
+// the class applies. Place ignores the timeout of the offer if the call has a deadline.
 func newOffer(id, class, task string, timeoutMs uint32) *edgepb.Offer {
 	return &edgepb.Offer{OfferId: id, Task: task, Class: class, Cores: 1, Memory: 2, Service: "b4d65521",
 		Description: "about " + task, WaitMs: timeoutMs}
--- a/cmd/ravenhitch/handover.go
+++ b/cmd/ravenhitch/handover.go
@@ -46,7 +46,7 @@
 	return s
 }
 
-// serving returns the ID of the process that last called claimServing, or "" if none did.
+// serving returns the ID of the process that last called claimServing, or "" if there is no readable record.
 func (s handoverStore) serving() string {
 	b, _ := os.ReadFile(s.cordonsPath + servingSuffix) // if the file cannot be read, no process is known to serve
 	return strings.TrimSpace(string(b))
@@ -87,7 +87,7 @@
 }
 
 // changeCordons applies a call to the list of cordoned workers in the file and returns the new list. A file
-// lock admits one process at a time.
+// lock prevents other processes from changing the list at the same time.
 func (s handoverStore) changeCordons(call admin.Call) (admin.Cordons, error) {
 	lock, err := os.OpenFile(s.cordonsPath+lockSuffix, os.O_CREATE|os.O_RDWR, handoverFileMode)
 	if err != nil {
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -28,8 +28,8 @@
 	runResult chan error
 }
 
-// Two processes serve on the same socket, one after the other. A worker that is cordoned at the first process is
-// cordoned at the second, no client is rejected, and the first process ends.
+// A second process starts to serve on the socket of the first, which then shuts down. A worker that is cordoned at the
+// first process is cordoned at the second, no client is rejected, and the first process ends.
 func TestHandoverToSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	discovery := testbed.NewDiscovery(t)
@@ -71,8 +71,8 @@
 	}
 }
 
-// connectSilentOperators opens admin connections that never send a complete call. Any number of them must not
-// delay other operators.
+// connectSilentOperators opens admin connections that never send a complete call. However many there are, they must
+// not delay other operators.
 func connectSilentOperators(t *testing.T, process *managedProcess, count int) {
 	t.Helper()
 	for range count {
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests that the heap of the server does not grow with the number of completions.
+// This file tests that the heap of the server does not grow with the number of requests that have ended.
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-var completionsPlayed = flag.Int("endings", 2000, "endings of each kind over loopback")
+var requestsPerKind = flag.Int("endings", 2000, "number of requests for each entry of completionKinds")
 
 // heapSlack is the maximum growth of the heap of the server and the testbed, in bytes, that does not count as
 // a leak. It covers the buffers of connections and the memory that the runtime has not freed yet.
@@ -58,23 +58,23 @@
 	},
 }
 
-// The memory that the fronts, the event loop and the connections to workers use does not grow with the number of
-// completions.
+// The live heap of the server does not grow with the number of requests that have ended, in whichever way they
+// ended.
 func TestHeapAfterManyCompletions(t *testing.T) {
 	for name, complete := range completionKinds {
 		t.Run(name, func(t *testing.T) {
 			server := startTestServer(t, serverOptions{}, "a")
 			client := server.connect(t)
 			before := int64(0)
-			for i := range *completionsPlayed {
-				if i == *completionsPlayed/2 {
+			for i := range *requestsPerKind {
+				if i == *requestsPerKind/2 {
 					before = server.settledHeap(t)
 				}
 				complete(t, server, client, testbed.RequestID(i+1))
-				discardNotes(server.workers[0])
+				discardWorkerEvents(server.workers[0])
 			}
 			grown := server.settledHeap(t) - before
-			t.Logf("the heap has grown by %d bytes over %d completions", grown, *completionsPlayed-*completionsPlayed/2)
+			t.Logf("the heap has grown by %d bytes over %d requests", grown, *requestsPerKind-*requestsPerKind/2)
 			if grown > heapSlack {
 				t.Errorf("the heap has grown by %d bytes, want at most %d", grown, heapSlack)
 			}
@@ -97,9 +97,9 @@
 	}
 }
 
-// discardNotes empties the channels to which a worker reports offers and their ends. Otherwise the worker would
-// block on a full channel.
-func discardNotes(worker *testbed.Worker) {
+// discardWorkerEvents empties the channels on which a worker reports offers, cancels and lost offers. Otherwise the
+// worker would block when the channel of offers or of cancels is full.
+func discardWorkerEvents(worker *testbed.Worker) {
 	for {
 		select {
 		case <-worker.Offers:
@@ -136,6 +136,6 @@
 	s.waitUntil(t, "the end of all open requests, cancels and releases", func() bool {
 		return s.dispatcher.OpenCount() == 0 && s.pool.UnconfirmedCancels() == 0 && !s.pool.HasUnconfirmedReleases()
 	})
-	discardNotes(worker)
+	discardWorkerEvents(worker)
 	return liveHeap()
 }
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -35,7 +35,7 @@
 func main() {
 	operatorsPath := flag.String("conf", "deploy/ravenhitch.conf", "the operators' file")
 	flag.Func("edge", "no longer read; see -conf", func(string) error {
-		fmt.Fprintln(os.Stderr, "ravenhitch: -edge is no longer read: what it named moved to deploy/ravenhitch.conf, see -conf")
+		fmt.Fprintln(os.Stderr, "ravenhitch: -edge is no longer read: its settings are now in deploy/ravenhitch.conf, see -conf")
 		os.Exit(1)
 		return nil
 	})
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -12,7 +12,8 @@
 	"ravenhitch/internal/peer"
 )
 
-// startPeers opens the sockets for the other orchestrators and joins the membership table.
+// startPeers determines the incarnation of this start, opens the sockets for the other orchestrators and starts the
+// membership table.
 func (s *server) startPeers(cfg config.Config, peers config.Peers) error {
 	incarnation, fault, err := peer.NextIncarnation(peers.Directory)
 	if err != nil {
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// adminTimeout is the timeout of two steps: connecting, and then sending the call and reading the reply.
+	// adminTimeout is the timeout of each of two steps: connecting, and then sending the call and reading the reply.
 	adminTimeout = 2 * time.Second
 	// maxAdminReply is the maximum number of bytes of a reply that are read.
 	maxAdminReply = 8 << 20
@@ -46,7 +46,8 @@
 	return err
 }
 
-// adminRequest makes one admin call and returns the text of the reply, without the final line ".".
+// adminRequest makes one admin call and returns the text of the reply, without the final line ".". If the reply reports
+// an error, adminRequest returns it as an error.
 func adminRequest(addr, call string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -34,12 +34,13 @@
 	return s
 }
 
-// newWarmProxiedServer starts a server whose workers have already answered quickly. The server has measured
-// this, so it abandons later attempts early and can have many attempts in flight at a time.
+// newWarmProxiedServer starts a server and lets its workers accept tasks without delay, on average 16 tasks per worker.
+// From these responses, the server derives a short response timeout, so it abandons unanswered attempts early. It also
+// raises the number of attempts that a worker may have open at a time.
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
-	// The limit of open requests, which is low on a new connection, rises with the first task.
+	// A connection that has had no task may have only a few open requests, so the first task is submitted alone.
 	s.waitResponses(t, s.submit("ok", 1, 5000))
 	s.expectAllStarted(t, s.submit("ok", 16*len(workers), 5000))
 	return s
@@ -123,7 +124,7 @@
 	}
 }
 
-// waitNoOpenAttempt waits until no attempt is in flight.
+// waitNoOpenAttempt waits until no attempt is in flight. Running tasks do not count.
 func (s *proxiedServer) waitNoOpenAttempt(t *testing.T) {
 	t.Helper()
 	s.eventually(t, "no open attempt", func() bool { return len(s.attempts.InFlight()) == 0 })
@@ -139,7 +140,7 @@
 	}
 }
 
-// waitRunningAt submits tasks until one more of them runs on the worker.
+// waitRunningAt submits tasks until more tasks run on the worker than before the call.
 func (s *proxiedServer) waitRunningAt(t *testing.T, worker string) {
 	t.Helper()
 	before := len(s.attempts.Running(worker))
--- a/cmd/ravenhitch/recording.go
+++ b/cmd/ravenhitch/recording.go
@@ -36,8 +36,9 @@
 	Moments  []fleet.Snapshot     `json:"moments"`
 }
 
-// saveRecording evaluates the rehearsal, writes the recording and prints the summary. If rules were broken, its
-// error gives their number and the first of them.
+// saveRecording evaluates the rehearsal, writes the recording and prints the summary. If there are failures, it does
+// all of this and then returns an error with their number and the first of them. Failures are the errors that the
+// testbed reported to the host, the violations in the verdict, and requests without a response.
 func (c *rehearseCommand) saveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
 	verdict := rig.Evaluate()
 	failures := slices.Concat(host.failures, verdict.Violations)
@@ -53,7 +54,7 @@
 	host.printf("\n%s\nplaced %d tasks, 99 of 100 within %.1f ms; %d refused, %d failed, %d lost with their orchestrator\nrecord and picture: %s\n",
 		verdict, r.Total.Started, r.P99Ms, r.Total.Rejected, r.Total.Failed, r.Total.Lost, c.OutputDir)
 	if len(failures) > 0 {
-		return fmt.Errorf("%d rules broken, as %s", len(failures), failures[0])
+		return fmt.Errorf("%d failures, the first: %s", len(failures), failures[0])
 	}
 	return nil
 }
--- a/cmd/ravenhitch/rehearsal_host.go
+++ b/cmd/ravenhitch/rehearsal_host.go
@@ -16,7 +16,7 @@
 
 // rehearsalHost is the testbed.Host of a rehearsal. Fatal and Fatalf end the rehearsal by a panic, which
 // rehearseCommand.Run recovers, so only the goroutine of Run may call them. Any goroutine may call the other
-// methods.
+// methods of testbed.Host.
 type rehearsalHost struct {
 	out      io.Writer
 	mu       sync.Mutex
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// parseSchedule returns the steps of the schedule that the flags give. It returns none if the schedule is to
-// be drawn from a seed.
+// parseSchedule returns the steps of the schedule that the flags give, or of defaultSchedule if the flags give neither
+// a schedule nor a seed. It returns no steps if the schedule is to be drawn from a seed.
 func (c *rehearseCommand) parseSchedule() ([]testbed.Step, error) {
 	text := c.Schedule
 	if c.ScheduleFile != "" {
@@ -130,8 +130,8 @@
 }
 
 // showUntilPlayed plays the schedule and shows the progress every second. If an interrupt ends the rehearsal
-// early, the goroutine that plays the schedule keeps running until the process exits, which happens
-// immediately afterwards.
+// early, the goroutine that plays the schedule keeps running until the process exits, right after the cleanups of
+// the rehearsal.
 func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step, length time.Duration,
 	interrupts <-chan os.Signal) error {
 	played := make(chan struct{})
@@ -150,7 +150,7 @@
 				progress.show(snapshot, placed.Seconds())
 			}
 		case <-interrupts:
-			return fmt.Errorf("%w: told to end", errEndedEarly)
+			return fmt.Errorf("%w: interrupted by a signal", errEndedEarly)
 		case <-played:
 			return nil
 		}
--- a/cmd/ravenhitch/reload.go
+++ b/cmd/ravenhitch/reload.go
@@ -1,6 +1,6 @@
 package main
 
-// This file reloads changed files while the server runs. If a file cannot be read completely, none of its
+// This file reloads changed files while the server runs. If a file cannot be read or is invalid, none of its
 // content is applied. A reload never affects open requests or running tasks.
 
 import (
--- a/cmd/ravenhitch/reload_test.go
+++ b/cmd/ravenhitch/reload_test.go
@@ -11,7 +11,7 @@
 )
 
 // After a reload with another discovery address, the server polls the new discovery for the events after the last
-// event that it applied. An invalid configuration changes nothing. Open requests and running tasks are unaffected.
+// event that it applied. An invalid configuration changes nothing. A running task is unaffected.
 func TestReload(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -2,7 +2,7 @@
 
 // This file restarts many processes at once, each with many workers in its configuration, and measures how long
 // each process takes to become ready. A process is ready when it has answered a ping. The front end of the
-// platform waits for this answer.
+// platform waits for this answer before it lets clients submit requests to the process.
 
 import (
 	"flag"
@@ -20,7 +20,7 @@
 
 var (
 	restartProcesses = flag.Int("processes", 4, "processes that are restarted at once")
-	restartWorkers   = flag.Int("workers", 200, "workers that they know")
+	restartWorkers   = flag.Int("workers", 200, "workers in the configuration of each process")
 )
 
 // sharedListeners is the number of listeners that the workers share. The server opens a separate
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests retry tokens. A retry token proves a request's place in the waitlist to any orchestrator that has
-// the same keys.
+// This file tests retry tokens. A retry token proves the place of a task on the waitlist to any orchestrator that
+// has the same keys.
 
 import (
 	"bytes"
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -8,12 +8,12 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A worker accepts tasks and begins to drain before the orchestrator has read the acceptances. The worker ends each task
-// with a FINISH of code 41 and the note drained. The note means that the task ran, so the request ends and its client
-// gets a response at once. The orchestrator used to treat this FINISH as the loss of an offer in transit. If the task
-// could be repeated, it was offered to another worker.
+// A worker accepts tasks and begins to drain before the orchestrator has read the acceptances. The worker ends each
+// task with a FINISH of code 41 and the note drained. The note means that the task ran, so the request ends and its
+// client gets a response at once. The orchestrator used to treat this FINISH as the loss of an offer in transit. If the
+// task could be repeated, it was offered to another worker.
 //
-// In a trace of the failure, each such request has the line
+// In a trace of the failure, each such request has a line with these fields
 //
 //	msg="worker ended offer" code=41 note=drained description=false
 //
@@ -48,21 +48,22 @@
 	}
 }
 
-// A worker accepts a task, and the connection is closed before the orchestrator has read the acceptance. The request is
-// pending because it may be retried, but no worker is available. The worker then reports the end of the task on its next
-// connection. The task ran and has ended, so the request gets a response at once and is not offered again when a
+// A worker accepts a task, and the connection is closed before the orchestrator has read the acceptance. The request
+// is pending because it may be retried, but no worker is available. The worker then reports the end of the task on its
+// next connection. The task ran and has ended, so the request gets a response at once and is not offered again when a
 // worker becomes available.
 //
 // In the fault that this test guards against, the end of a task arrived on another connection than the offer had been
-// sent on. The orchestrator accepted the report only if the task was running or unknown. In the soak with seed 15,
-// the trace showed 'connection lost with offer open', the worker ended the task 220 ms later without a line
-// in the trace, and 'offer attempt=1' to another worker followed 380 ms after that.
+// sent on. The orchestrator used such a report only if the task was running or unknown, so it ignored the report on
+// the task of a pending request. In the soak test with seed 15, the trace showed 'connection lost with offer open', the
+// worker ended the task 220 ms later without a line in the trace, and 'offer attempt=1', the second attempt, went to
+// another worker 380 ms after that.
 func TestTaskEndedOnAnotherConnection(t *testing.T) {
 	for _, end := range []struct {
 		name string
 		send func(worker *testbed.Worker, requestID string)
 	}{
-		{"sent away", func(worker *testbed.Worker, requestID string) { worker.EvictTask(requestID) }},
+		{"evicted", func(worker *testbed.Worker, requestID string) { worker.EvictTask(requestID) }},
 		{"completed", func(worker *testbed.Worker, requestID string) { worker.SendFinish(requestID, causeDone) }},
 	} {
 		t.Run(end.name, func(t *testing.T) {
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -29,8 +29,9 @@
 )
 
 const (
-	// reservedDescriptors is the number of file descriptors that the event loop cannot use as sockets. These
-	// are the descriptors of the standard streams, epoll, eventfd, and files that the Go runtime opens.
+	// reservedDescriptors is the number of file descriptors that the event loop cannot use as sockets. They are
+	// left for the standard streams, epoll, eventfd, files that the Go runtime opens, and everything else that is
+	// opened outside the event loop, such as the handover files and the connections of the metrics exporters.
 	reservedDescriptors = 32
 	// defaultSockets is the limit of sockets if the configuration sets none. The limit includes the reserved
 	// descriptors and the connections of the gRPC front.
@@ -38,12 +39,12 @@
 	// minSocketBudget is the minimum number of sockets that the event loop needs to serve. With a smaller
 	// budget, the server does not start.
 	minSocketBudget = 16
-	// minBufferedBytes is the lower bound of the number of unread bytes that the send buffer of one connection
-	// may contain. It has room for a few messages of the maximum size.
+	// minBufferedBytes is the smallest limit, in bytes, that is set on the unread output of one connection. This
+	// much output has room for a few messages of the maximum size.
 	minBufferedBytes = 64 << 10
-	// The unread bytes of all connections together are limited to the memory divided by bufferedMemoryDivisor.
-	// Each connection gets an equal part of this limit. If the part is smaller than minBufferedBytes, each
-	// connection gets minBufferedBytes instead, and the total may exceed the limit.
+	// The unread output of all connections together is limited to the memory limit of the process divided by
+	// bufferedMemoryDivisor. Each connection gets an equal part of this limit. If the part is smaller than
+	// minBufferedBytes, each connection gets minBufferedBytes instead, and the total may exceed the limit.
 	bufferedMemoryDivisor = 4
 )
 
@@ -55,7 +56,7 @@
 	dispatcher *dispatch.Dispatcher
 	pool       *workerpool.Pool
 	follower   *discovery.Follower
-	peers      *peer.Peers // nil if no other orchestrators are configured
+	peers      *peer.Peers // nil if the operators' file sets no address on which to listen for other orchestrators
 	assignment *assignment // assigns workers to this orchestrator; nil if it uses all workers
 	exporters  []*metrics.Exporter
 
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// Run serves until Stop and then closes everything that start opened.
+// Run serves until the shutdown that Stop begins is complete, and then closes everything that start opened.
 func (s *server) Run() error {
 	defer s.loop.Close()
 	defer close(s.stopped)
