--- a/client/budget.go
+++ b/client/budget.go
@@ -5,8 +5,8 @@
 
 import "sync"
 
-// retryBudget limits the retries to a fraction of the offered tasks, so that clients do not multiply the load
-// while orchestrators are down. It is safe for concurrent use.
+// retryBudget limits the retries to an initial reserve plus a fraction of the number of new tasks, so that clients
+// do not multiply the load while orchestrators are down. It is safe for concurrent use.
 type retryBudget struct {
 	perTask float64 // number of retries, usually a fraction, that each new task adds
 	reserve float64 // maximum number of available retries
@@ -19,7 +19,7 @@
 	return &retryBudget{perTask: perTask, reserve: reserve, available: reserve}
 }
 
-// deposit adds the retries of one new task.
+// deposit adds perTask retries for a new task. The budget never exceeds the reserve.
 func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/client/client.go
+++ b/client/client.go
@@ -45,7 +45,7 @@
 // attempt. The reason is that the next attempt would not be before the caller's deadline, or that the retry
 // budget is exhausted. Either the task never ran, or running it twice does no harm.
 type RejectedError struct {
-	RetryAt  time.Time // time at which the task is to be offered again
+	RetryAt  time.Time // earliest time at which the task may be offered again
 	Token    []byte    // retry token to pass to Client.Place, in any process; nil if there is none
 	Attempts int       // number of attempts so far
 	Reason   string    // reason why the client made no further attempt
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -113,7 +113,7 @@
 		for i := 1; i < 5; i++ {
 			pause := 100 * time.Millisecond << (i - 1)
 			if d := at[i] - at[i-1]; d < pause/2 || d > pause {
-				t.Errorf("delay before offer %d is %s, want between %s and %s", i, d, pause/2, pause)
+				t.Errorf("delay before retry %d is %s, want between %s and %s", i, d, pause/2, pause)
 			}
 		}
 		_, err = c.Place(t.Context(), Task{Name: "y"}, nil)
@@ -124,9 +124,8 @@
 	})
 }
 
-// RejectedError is returned for a task that was rejected or got no response, if the client does not offer it
-// again. The reason is that the next attempt would be after the caller's deadline, or that the retry budget
-// is exhausted. Either the task never ran, or running it twice does no harm.
+// If an offer is invalid or its task may have started, Place does not repeat the offer and returns the status of
+// the only attempt. If Task.Once is set, this includes an offer whose response is missing or late.
 func TestNeverOfferedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		once bool
--- a/client/place.go
+++ b/client/place.go
@@ -33,9 +33,11 @@
 // Place offers a task until it is started. The token is the Token of an earlier RejectedError for the task, or nil.
 // Place must not be called with a token before RejectedError.RetryAt.
 //
-// The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done.
-// Otherwise the error is the gRPC status of the last attempt, such as INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
-// After UNKNOWN the task may have started, and must not be offered again without checking whether it runs.
+// The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done. A Client
+// without connections always returns an error. Otherwise the error is the gRPC status of the last attempt, such as
+// INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN. The task may have started after ALREADY_EXISTS or UNKNOWN, after the
+// error of ctx and, if Task.Once is set, after UNAVAILABLE or DEADLINE_EXCEEDED. It must then not be offered again
+// without checking whether it runs.
 func (c *Client) Place(ctx context.Context, task Task, token []byte) (Binding, error) {
 	if len(c.orchestrators) == 0 {
 		return Binding{}, errNoOrchestrator
@@ -87,8 +89,8 @@
 	advised := parseAdvice(attemptErr)
 	switch code := status.Code(attemptErr); {
 	case code == codes.ResourceExhausted:
-		// The orchestrator reserved a slot, so returning to it uses no retry budget. The offer got its
-		// response, so the next attempt is a new offer with a new ID.
+		// The orchestrator rejected the task and chose the time of the next attempt, which therefore uses no retry
+		// budget. The offer got its response, so the next attempt is a new offer with a new ID.
 		r.token, r.offerID = advised.token, newOfferID()
 		if advised.hasDelay {
 			return advised.delay, nil
@@ -97,8 +99,8 @@
 	case code == codes.Unavailable && advised.hasDelay:
 		return advised.delay, nil // the orchestrator accepted nothing and advised when to retry
 	case (code == codes.Unavailable || code == codes.DeadlineExceeded) && !r.task.Once:
-		// No orchestrator was reached, or the response was lost. If an orchestrator accepted the offer, a
-		// repeat with the same ID gets the same response.
+		// No orchestrator was reached, the orchestrator is shutting down, or the response was lost or late. If an
+		// orchestrator accepted the offer, a repeat with the same ID gets the same response.
 		if !c.budget.withdraw() {
 			return 0, r.rejected(time.Now().Add(r.pause), "retry budget exhausted")
 		}
@@ -117,7 +119,7 @@
 }
 
 // wait waits for a delay. It returns a *RejectedError at once if the delay would end at or after the deadline
-// of ctx.
+// of ctx, and the error of ctx if ctx is done before the delay ends.
 func (r *request) wait(ctx context.Context, delay time.Duration) error {
 	at := time.Now().Add(delay)
 	if deadline, ok := ctx.Deadline(); ok && !at.Before(deadline) {
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -16,8 +16,8 @@
 	missed := server.submit("missed", 8, 2000)
 	server.sendNoticesOnceOffered(t, missed)
 	server.expectAllStarted(t, missed)
-	// Without pings, the server does not wait for cancel confirmations, and it closes no connection for a
-	// cancelled request.
+	// Without pings, the server does not wait for cancel confirmations. If a client cancels a request and the
+	// worker has sent data since the offer, the server keeps the connection to the worker open.
 	silent := server.submit("silent", 4, 60_000)
 	server.sendNoticesOnceOffered(t, silent)
 	for _, id := range silent {
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -1,14 +1,14 @@
 package main
 
-// This file owns the shutdown of the server. The server never stops while an accepted request can still be
-// answered in time.
+// This file owns the shutdown of the server. The server must never stop while an accepted request is open: shortly
+// before the platform kills the process, it ends the requests that are still open with a rejection or a failure.
 
 import (
 	"ravenhitch/placement"
 )
 
-// Times of a shutdown, in microseconds. After SIGTERM, the platform waits for the longest deadline of a
-// request class plus killSlackUs, or longer, before it kills the process.
+// Times of a shutdown, in microseconds. After SIGTERM, the platform waits at least for the longest deadline of a
+// request class, limited to maxDeadlineUs, plus killSlackUs before it kills the process.
 const (
 	// lateRequestsUs is the time after SIGTERM during which new requests still arrive.
 	lateRequestsUs = 800 * millisecond
@@ -16,13 +16,13 @@
 	// the platform waits for maxDeadlineUs instead.
 	maxDeadlineUs = 3 * second
 	// maxDeadlineWithSuccessorUs replaces maxDeadlineUs if the platform owns the listening socket for clients
-	// and a successor serves on this socket while this process drains.
+	// and a successor, a process that started later, serves on this socket while this process drains.
 	maxDeadlineWithSuccessorUs = 5 * second
 	killSlackUs                = 700 * millisecond
-	// killMarginUs is the time before the kill at which open requests are rejected.
+	// killMarginUs is how long before the kill the open requests are rejected or failed.
 	killMarginUs = 300 * millisecond
-	// flushTimeoutUs is the part of killMarginUs in which clients may still read their last responses. The
-	// server stops when flushTimeoutUs has passed, or earlier if the clients have read everything.
+	// flushTimeoutUs is the first part of killMarginUs, in which clients may still read their last responses. The
+	// server stops at the end of this time, or earlier if nothing is left to deliver to clients.
 	flushTimeoutUs = 200 * millisecond
 	// maxSuccessorCheckUs is the maximum time that a shutdown waits for the check of the handover files for a
 	// successor: the files may be on a slow disk.
@@ -41,8 +41,9 @@
 	return max(lateRequestsUs, min(longest, maxDeadline)+killSlackUs-killMarginUs)
 }
 
-// Stop begins the shutdown: Run returns once the accepted requests are answered or the drain timeout has passed.
-// Stop may be called from any goroutine and more than once.
+// Stop begins the shutdown, at the end of which Run returns. drain and drainInherited decide when the shutdown ends,
+// which is at the latest flushTimeoutUs after the drain timeout. Stop may be called from any goroutine and more than
+// once.
 func (s *server) Stop() {
 	s.loop.Post(func() {
 		if s.inheritedListener && !s.hasSuccessor && s.requestSuccessorCheck() {
@@ -88,7 +89,8 @@
 
 // drain keeps serving for lateRequestsUs, because requests still arrive in this time. It then stops as soon as no
 // work is unfinished and no connection waits in the kernel's accept queue: such a connection may carry a request,
-// which a stop would lose. At the drain timeout, shortly before the kill, it rejects all open requests.
+// which a stop would lose. At the drain timeout, shortly before the kill, it ends all open requests and stops (see
+// rejectAndStop).
 func (s *server) drain(since int64) {
 	switch age := s.loop.Now() - since; {
 	case age >= s.drainTimeout:
@@ -131,8 +133,9 @@
 	return s.dispatcher.OpenCount() > 0 || s.clientFront.HasUndelivered() || s.pool.HasUnconfirmedReleases()
 }
 
-// rejectAndStop rejects the requests that are open at the drain timeout. It stops once the clients have read
-// the rejections, at the latest flushTimeoutUs after the drain timeout, which is shortly before the kill.
+// rejectAndStop ends the open requests, including those that still arrive, with a rejection or a failure. It stops
+// once the client front has nothing left to deliver, at the latest flushTimeoutUs after the drain timeout, which is
+// shortly before the kill.
 func (s *server) rejectAndStop(since, timeout int64) {
 	s.dispatcher.RejectAll(s.loop.Now())
 	if !s.clientFront.HasUndelivered() || s.loop.Now()-since >= timeout+flushTimeoutUs {
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// At the drain timeout, the server does not stop in the turn of the event loop in which it rejects the open requests.
+// At the drain timeout, the server does not stop in the turn of the event loop in which it ends the open requests.
 // Clients that read slowly still have time to read their responses.
 func TestResponsesFlushedAtDrainTimeout(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
@@ -107,7 +107,7 @@
 	select {
 	case <-turnAfter:
 	case err := <-server.runResult:
-		t.Fatalf("the server stopped in the turn in which it rejected the open request: %v", err)
+		t.Fatalf("the server stopped in the turn in which it ended the open request: %v", err)
 	}
 	if err := server.waitStopped(t); err != nil { // the server stops although the client has read nothing
 		t.Error(err)
@@ -136,8 +136,9 @@
 				if line, err := reader.ReadString('\n'); err != nil || !strings.Contains(line, "START") {
 					t.Fatalf("got line %q, error %v, want the offer", line, err)
 				}
-				// The worker sends a message after the offer, so the server writes a cancel on the
-				// connection. Otherwise it would close the connection.
+				// At the drain timeout, the server ends the request. Because the worker has sent a message since
+				// the offer, the server then writes a cancel and keeps the connection open until it stops. Without
+				// the message, it would abort the connection at the drain timeout.
 				testbed.Send(worker, testbed.Line{Verb: "NOTICE", Tag: testbed.RequestID(0), Opts: map[string]string{"note": "up", "value": "0"}})
 			}
 			server.Stop()
@@ -151,8 +152,8 @@
 	}
 }
 
-// Requests that are open at SIGTERM get a response before the platform kills the process. The time at which
-// they get it depends on the longest deadline of a class.
+// Requests that are open at SIGTERM get a response before the platform kills the process. They get it at the latest
+// at the drain timeout, which depends on the longest deadline of a class.
 func TestDrainTimeout(t *testing.T) {
 	for longest, want := range map[int64]int64{
 		1 * second:        1_400 * millisecond,
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests that a shutdown waits for unfinished work. Each test case begins and finishes the work by an event,
-// never by waiting for some time.
+// This file tests that a shutdown waits for unfinished work. Each test case begins the work and finishes it later by an
+// action of its own, such as sending a message. No work is finished by the passing of time.
 
 import (
 	"bufio"
@@ -23,8 +23,8 @@
 		// begin leaves some work unfinished and returns the function that finishes it.
 		begin func(t *testing.T, server *testServer) (finish func())
 	}{
-		{"half a request has come", false, beginPartialRequest},
-		{"a response lies behind what its client has not read", false, beginUnreadResponse},
+		{"half a request was received", false, beginPartialRequest},
+		{"a response waits behind unread output", false, beginUnreadResponse},
 		{"a release was not confirmed", false, beginUnconfirmedRelease},
 		{"a completion has found no client", true, beginUnreportedCompletion},
 	} {
@@ -33,7 +33,7 @@
 			expectShutdownWaits(t, test.begin, false)
 		})
 		if !test.withoutSuccessor {
-			t.Run(test.name+", beside a successor", func(t *testing.T) {
+			t.Run(test.name+", with a successor", func(t *testing.T) {
 				t.Parallel()
 				expectShutdownWaits(t, test.begin, true)
 			})
@@ -98,6 +98,7 @@
 }
 
 // expectShutdownWaits stops a server that has unfinished work, and checks that it runs until the work is finished.
+// successor is true if the server has a successor on an inherited listening socket.
 func expectShutdownWaits(t *testing.T, begin func(*testing.T, *testServer) func(), successor bool) {
 	t.Helper()
 	server := newTestServer(t, "a")
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -16,13 +16,13 @@
 	"ravenhitch/internal/testbed"
 )
 
-// Causes of FINISH by their numbers in the protocol.
+// Codes of FINISH messages, as the protocol defines them. testbed.Line.Cause returns the code of a message.
 const (
 	// causeDone means that the task completed, or that a client or an orchestrator cancels or releases it.
 	causeDone      = 16
 	causeRejected  = 34  // the request was rejected; a retry is harmless
 	causeReleased  = 31  // a worker confirms a release
-	causeLost      = 41  // the connection or the worker was lost
+	causeLost      = 41  // the task ended without completing, for example because its worker was lost
 	causeFailed    = 47  // the request failed; its task may have run
 	causeNeverSent = 102 // the offer was never sent, so the task never ran
 )
@@ -32,11 +32,11 @@
 	return testbed.FinishLine("FINISH", requestID, causeDone)
 }
 
-// expectCause fails the test unless the client's next line is for the given request and has the given cause.
-func expectCause(t *testing.T, what string, client *testbed.Client, requestID string, cause int) {
+// expectCause fails the test unless the client's next line is for the given request and has the given code.
+func expectCause(t *testing.T, what string, client *testbed.Client, requestID string, code int) {
 	t.Helper()
-	if line := testbed.Wait(t, what, client.Lines); line.Tag != requestID || line.Cause() != cause {
-		t.Errorf("%s: got %v, want cause %d for request %s", what, line, cause, requestID)
+	if line := testbed.Wait(t, what, client.Lines); line.Tag != requestID || line.Cause() != code {
+		t.Errorf("%s: got %v, want code %d for request %s", what, line, code, requestID)
 	}
 }
 
@@ -75,7 +75,7 @@
 	return b
 }
 
-// hasValidRetryAfter reports whether a rejection has a Retry-After of at most 3000 ms, the maximum of the settings.
+// hasValidRetryAfter reports whether a rejection has a Retry-After of at most 3000 ms, the maximum in settingsJSON.
 func hasValidRetryAfter(line testbed.Line) bool {
 	ms, err := strconv.Atoi(line.Opts["wait"])
 	return err == nil && ms >= 0 && ms <= 3000
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -188,8 +188,8 @@
 	s.waitUntil(t, "clients idle for 1.1 s", func() bool { return s.loop.Now() > since+1_100*millisecond })
 }
 
-// connectWhilePaused connects count clients while the event loop is paused. When the loop continues, it
-// accepts them all at once.
+// connectWhilePaused connects count clients while the event loop is paused. When the loop continues, all of
+// them wait in the accept queue, even if the server may accept only some of them.
 func (s *testServer) connectWhilePaused(t *testing.T, count int) (clients []*testbed.Client) {
 	t.Helper()
 	resume := s.pauseLoop(t)
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -1,6 +1,6 @@
 package main
 
-// This file draws the timeline of a recording as SVG: the status of each orchestrator, the tasks that were
+// This file draws the timeline of a recorded rehearsal as SVG: the status of each orchestrator, the tasks that were
 // started in each second, and the faults that were played.
 
 import (
@@ -104,7 +104,7 @@
 	}
 }
 
-// drawSteps marks the times of the faults that were played.
+// drawSteps draws a line and a label at the time of each executed step of the fault schedule.
 func (c *timelineCanvas) drawSteps() {
 	for i, step := range c.recording.Steps {
 		x := c.x(step.At)
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// minCloseTravelUs is the minimum time, in microseconds, that the rules assume for the close of a connection to
-// reach the worker. If the close abandons an attempt and the next offer of the request follows sooner, that
-// offer is too early.
+// minCloseTravelUs is the minimum time, in microseconds, that the server must assume for the close of a connection
+// to reach the worker. It equals minCloseTransit in package workerpool. If the close abandons an attempt and the
+// next offer of the request follows sooner, that offer is too early.
 const minCloseTravelUs = 2 * millisecond
 
 // traceRecorder is a log handler that records the offers that were sent too early. An offer is too early if the
 // close that abandoned the previous attempt could not have reached its worker yet. traceRecorder also records
-// when connections to workers ended.
+// when the log reported the end of a connection to a worker, which includes connections that were refused.
 type traceRecorder struct {
 	slog.Handler
 	mu             sync.Mutex
-	cancelledAt    map[string]int64 // time of each unconfirmed cancel in microseconds, by request ID
+	cancelledAt    map[string]int64 // time of an unconfirmed cancel or a lost connection, in microseconds, by request ID
 	earlyOffers    []string         // descriptions of the offers that were sent too early
 	connectionEnds []time.Time      // in the order in which the connections ended
 }
@@ -31,7 +31,7 @@
 	return &traceRecorder{Handler: slog.DiscardHandler, cancelledAt: map[string]int64{}}
 }
 
-// closingDuration returns the time between the first and the last end of a connection to a worker.
+// closingDuration returns the time between the first and the last recorded end of a connection to a worker.
 func (r *traceRecorder) closingDuration() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,10 +51,10 @@
 	}
 }
 
-// Enabled accepts records of all levels, which include the trace.
+// Enabled accepts records of all levels, because the trace of the attempts is logged at debug level.
 func (*traceRecorder) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle records the event of one log record.
+// Handle implements slog.Handler. It records the cancels, offers and ends of connections that the log reports.
 func (r *traceRecorder) Handle(_ context.Context, record slog.Record) error {
 	requestID, atUs, written := "", int64(0), true
 	record.Attrs(func(attr slog.Attr) bool {
@@ -88,7 +88,7 @@
 func (r *traceRecorder) noteOffer(requestID string, atUs int64) {
 	if cancelledAt, ok := r.cancelledAt[requestID]; ok && atUs-cancelledAt < minCloseTravelUs {
 		r.earlyOffers = append(r.earlyOffers,
-			fmt.Sprintf("%s was offered %d us after its previous attempt was closed, want at least %d us",
+			fmt.Sprintf("request %s was offered %d us after its previous attempt was abandoned, want at least %d us",
 				requestID, atUs-cancelledAt, minCloseTravelUs))
 	}
 	delete(r.cancelledAt, requestID)
--- a/cmd/ravenhitch/unreachable_workers_test.go
+++ b/cmd/ravenhitch/unreachable_workers_test.go
@@ -9,14 +9,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// All first attempts are silent, so all workers are suspect, and some of the workers are unreachable. The
+// No first attempt gets a response, so all workers are suspect, and some of the workers are unreachable. The
 // next attempts are offered to the reachable workers. If these workers already have as many attempts as a
 // suspect worker may have, the requests wait for them.
 //
 // In the fault that this test guards against, the worker pool knew that no connection reached a worker but
-// did not report this to the scheduler (see TestLastAttemptsIntoCut). If connections are refused, the trace
-// of a rejected request shows two attempts that were wasted in this way within 3 ms: 'offer never sent' with
-// 'connection refused', after the first attempt was reset with its connection.
+// did not report this to the scheduler (see TestLastAttemptsIntoCut). When connections were refused, the trace
+// of a rejected request showed that its first attempt was reset with the connection. After that, two more
+// attempts were wasted within 3 ms, each with 'offer never sent' and 'connection refused'.
 func TestAttemptsBesideUnreachableWorkers(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -17,9 +17,9 @@
 // workerpool.
 const deadAfterRefused = 2 * time.Second
 
-// A worker that refuses connections and is silent on its open connections is dead. The server then reports
-// its tasks lost, because no other process will report their completions. A worker that only refuses new
-// connections is alive, and its tasks end when it reports their completions.
+// The server considers a worker dead if the worker refuses connections and is silent on its open connections.
+// It then reports the worker's tasks lost, because their completions will never be reported. A worker that
+// only refuses new connections is alive, and its tasks end when it reports their completions.
 func TestWorkersRefusingConnections(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -123,7 +123,8 @@
 	}
 }
 
-// The connections of a worker whose process dies are reset, and new connections are refused. The server reports its tasks lost.
+// If the process of a worker dies, its connections are reset and new connections are refused. The server then reports
+// the worker's tasks lost.
 func TestDeadWorker(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -23,15 +23,15 @@
 	}
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(2), "guide-web", "twice-1", 5000))
 	testbed.Send(client, pingLine("t"))
-	verbs := testbed.Wait(t, "one line", client.Lines).Verb + testbed.Wait(t, "another", client.Lines).Verb
+	verbs := testbed.Wait(t, "one line", client.Lines).Verb + testbed.Wait(t, "another line", client.Lines).Verb
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-3", 5000))
 	if line := testbed.Wait(t, "the response to the next task", client.Lines); line.Tag != testbed.RequestID(3) || len(verbs) != len("STARTEDECHOED") {
 		t.Errorf("next response: got %v after %s, want the response to request 3 after STARTED and ECHOED", line, verbs)
 	}
 }
 
-// expectMalformedIsSettled submits tasks for which the worker's first response is malformed, and checks that each request
-// gets its response.
+// expectMalformedIsSettled makes the worker send malformed responses of the given kind, and checks that every request
+// on the same connection gets its response: STARTED if the task may be offered again, and a failure otherwise.
 func expectMalformedIsSettled(t *testing.T, worker *testbed.Worker, client *testbed.Client, kind string, firstID int) {
 	t.Helper()
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID), "guide-web", kind+"-web", 5000))
@@ -58,7 +58,7 @@
 }
 
 // Some workers send a rejection twice. The second one arrives late and on any connection. It must not end the
-// task if the task has started since.
+// task if the task has started since. The same applies to a late message that the offer was never sent.
 func TestLateDuplicateRejection(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
