--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -8,8 +8,8 @@
 
 // retryStorm simulates an orchestrator whose clients all send their first request within
 // one second. At the release rate, it takes one minute to start all their tasks. The queue
-// of pending requests holds at most six seconds of work. Further requests are rejected, and
-// their clients return after Retry-After.
+// of pending requests holds at most as many as start within six seconds at this rate.
+// Further requests are rejected, and their clients return after Retry-After.
 type retryStorm struct {
 	controller *Controller
 	rate       float64            // units that are released per second
@@ -44,8 +44,8 @@
 	return s
 }
 
-// run simulates the storm until all tasks have started, and returns the simulated time in
-// microseconds.
+// run simulates the storm until all tasks have started or all slots of arrivals have passed.
+// It returns the simulated time in microseconds.
 func (s *retryStorm) run() (took int64) {
 	var now int64
 	for slot := 0; s.remaining > 0 && slot < len(s.arrivals); slot++ {
@@ -75,7 +75,8 @@
 	s.arrivals[i] = append(s.arrivals[i], arrival{testStart + int64(slot)*slotUs, key})
 }
 
-// start starts the pending tasks for which capacity is released in one slot.
+// start adds the capacity that is released in one slot to the free capacity, and starts the
+// pending tasks that fit into it. Free capacity is limited to the release of one second.
 func (s *retryStorm) start(now int64) {
 	s.capacity = min(s.capacity+s.rate*seconds(slotUs), s.rate)
 	for len(s.queue) > 0 && s.capacity >= 1 {
@@ -87,9 +88,10 @@
 }
 
 // runRetryStorms simulates clients that are distributed over 50 orchestrators. It returns
-// three values. The first is the time that the slowest orchestrator took, as a multiple of
-// the 60 s that its work takes at the release rate. The second is the number of decisions,
-// and the third is the memory per client in bytes.
+// three values. The first is the time that the slowest orchestrator took to start all its
+// tasks, as a multiple of the 60 s that this takes at the release rate. The second is the
+// number of calls of Requested and Rejected on all orchestrators. The third is the memory of
+// the waitlists and calendars in bytes per client.
 func runRetryStorms(clients int, seed uint64) (ratio float64, decisions int, bytesPerClient float64) {
 	const orchestrators = 50
 	rng := rand.New(rand.NewPCG(seed, 9))
@@ -119,8 +121,8 @@
 	}
 }
 
-// BenchmarkDecision measures a request and its rejection while a million clients are on the
-// waitlist.
+// BenchmarkDecision measures a request and its rejection. The requests come from a million
+// clients in turn, and the waitlist, which is empty at first, has entries for as many.
 func BenchmarkDecision(b *testing.B) {
 	s := testSettings()
 	s.MaxClients = 1 << 20
--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -37,7 +37,7 @@
 	return &c.units[int(slot%calendarSlots)*c.classes+class]
 }
 
-// advance drops the slots that ended more than graceSlots before now.
+// advance drops the slots that ended at least graceSlots slots before now.
 func (c *calendar) advance(now int64) {
 	first := now/slotUs - graceSlots
 	if c.base < 0 || first-c.base >= calendarSlots {
@@ -56,10 +56,11 @@
 }
 
 // reserve reserves units of a class and returns their slot. It examines the slots that begin
-// after both now and from, and uses the first one in which the units fit into the capacity
-// that is released during a slot. rate is the release rate in units per second. Any number of
-// units fits into an empty slot. If all slots are full, reserve uses the last slot of the
-// calendar, and the client will be rejected again.
+// after both now and from, and uses the first one in which the units, together with those
+// already reserved, do not exceed the capacity of a slot: the units that become free during a
+// slot at rate, in units per second. Any number of units fits into an empty slot. If there is
+// no such slot, reserve uses the last slot of the calendar even if it is full, and the client
+// is likely to be rejected again.
 func (c *calendar) reserve(now, from int64, class int, units, rate float64) int64 {
 	first := max(from, now)/slotUs + 1
 	last := c.base + calendarSlots - 1
@@ -84,7 +85,8 @@
 	c.sums[class] += units
 }
 
-// cancel frees reserved units. It does nothing if their slot is past or outside the calendar.
+// cancel frees units of a class in a slot, at most as many as are reserved there. It does
+// nothing if the calendar does not contain the slot or the class.
 func (c *calendar) cancel(class int, slot int64, units float64) {
 	if class >= c.classes || slot < c.base || slot >= c.base+calendarSlots {
 		return
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -14,7 +14,8 @@
 package backpressure
 
 // This file implements the Controller, which passes the events of requests to the waitlist,
-// the calendar, the detector and the estimators. The Controller itself estimates nothing.
+// the calendar, the detector, the estimator of the release rate, the demand forecast and the
+// fair share. The estimates themselves are computed in other files.
 
 import "math/rand/v2"
 
@@ -39,13 +40,13 @@
 type Settings struct {
 	Classes         []Class
 	MaxRetryAfterUs int64 // upper bound of Retry-After; 0 selects 3 s
-	MinRetryAfterUs int64 // lower bound of Retry-After, unless MaxRetryAfterUs is lower
+	MinRetryAfterUs int64 // lower bound of Retry-After, unless MaxRetryAfterUs is lower or Retry-After is random
 	MaxClients      int   // size of the waitlist in clients; 0 selects 32,768, which suits a small host
 }
 
 // Request holds the properties of a request that backpressure uses.
 type Request struct {
-	Key, Program  uint64 // hash of the request key, and ID of the program
+	Key, Program  uint64 // number that identifies the key of the request, and ID of the program
 	Class         int    // index into Settings.Classes; a value out of range selects the last class
 	Units         float64
 	TimeoutUs     int64  // time for which the client waits for the response
@@ -132,9 +133,9 @@
 	return min(queuedSince, e.queuedSince(now))
 }
 
-// SetPending sets the number of units of each class that wait for free capacity. It must not
-// include requests that are about to be rejected, because these would count twice: as pending
-// units and as reserved units.
+// SetPending sets the number of units of each class that wait for free capacity. The numbers
+// must not include requests that are about to be rejected, because their units would count
+// twice: as pending units and as reserved units.
 func (c *Controller) SetPending(now int64, units []float64) {
 	c.advance(now)
 	c.pendingSum = 0
@@ -163,7 +164,7 @@
 	c.releases.completed(now, r.Units)
 }
 
-// Adopted records a task that was registered as already running.
+// Adopted records an adopted task: one that a client submitted as already running on a worker.
 func (c *Controller) Adopted(now int64, r Request) {
 	c.advance(now)
 	c.detector.adopted(now, r)
@@ -177,8 +178,8 @@
 }
 
 // ReleaseRate returns the capacity that becomes free, in units per second. It returns 0 while
-// the rate is unknown. The rate becomes known only while requests are pending: otherwise the
-// started tasks do not show how many more tasks would fit.
+// the rate is unknown. The rate is known only if requests have been pending for some time (see
+// rateEstimator.known): otherwise the started tasks do not show how many more would fit.
 func (c *Controller) ReleaseRate(now int64) float64 {
 	if !c.releases.known(now) {
 		return 0
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -42,25 +42,26 @@
 	return c, now
 }
 
-// seconds converts microseconds to seconds, for messages.
+// seconds converts microseconds to seconds.
 func seconds(us int64) float64 { return float64(us) / float64(second) }
 
-// A client with a retry token that arrives at an orchestrator for the first time is queued
-// since the time that its token proves, also after another rejection. A token with a time
-// in the future has no effect.
+// A client that arrives at an orchestrator for the first time and has a retry token is queued
+// since the time that its token proves, also after another rejection. A token with a time in
+// the future has no effect.
 func TestQueuedSinceOfRetryToken(t *testing.T) {
 	c, now := saturated(testSettings(), 50, 300)
 	since := now - 4*second
 	r := Request{Key: 9, Units: 1, TimeoutUs: 6 * second, QueuedSinceUs: since}
 	if at := c.Requested(now, r); at != since {
-		t.Errorf("client is queued %d us later than its token proves, want 0", at-since)
+		t.Errorf("client is queued since %d us after the time in its token, want 0", at-since)
 	}
 	c.Rejected(now, r)
 	if at := c.Requested(now+second, Request{Key: 9, Units: 1}); at > since+tickUs {
-		t.Errorf("after another rejection, client is queued %d us later than its token proves, want at most %d", at-since, tickUs)
+		t.Errorf("after another rejection, client is queued since %d us after the time in its token, want at most %d",
+			at-since, tickUs)
 	}
 	if at := c.Requested(now, Request{Key: 10, Units: 1, QueuedSinceUs: now + second}); at != now {
-		t.Errorf("with a token of the future, client is queued since now%+d us, want now", at-now)
+		t.Errorf("with a token time in the future, client is queued since now%+d us, want now", at-now)
 	}
 }
 
--- a/internal/backpressure/counters.go
+++ b/internal/backpressure/counters.go
@@ -48,7 +48,7 @@
 type frequentPrograms struct {
 	programs [trackedPrograms]uint64
 	counts   [trackedPrograms]float64
-	total    float64 // number of events of all programs
+	total    float64 // number of events of all programs; decay reduces it together with counts
 }
 
 // add counts an event of a program.
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -17,7 +17,7 @@
 	Settling         // the overload has ended, but the state is not Calm yet (see calmAfterUs)
 )
 
-// String returns the name of the state in logs and on the operators' pages.
+// String returns the name of the state in logs and in the documentation for operators.
 func (s State) String() string { return [...]string{"calm", "rising", "storm", "settling"}[s] }
 
 // Kind classifies a surge of requests by what causes it.
@@ -27,12 +27,12 @@
 const (
 	NoSurge   Kind = iota
 	Burst          // new requests
-	Retries        // rejected clients that return
-	Reconnect      // clients with tasks of a few programs that return together
-	Restart        // running tasks that are registered shortly after the orchestrator started
+	Retries        // requests of rejected clients that return
+	Reconnect      // clients that reconnect together: many adopted tasks, or most arrivals from a few programs
+	Restart        // many adopted tasks shortly after the orchestrator started
 )
 
-// String returns the name of the kind in logs and on the operators' pages.
+// String returns the name of the kind in logs and in the documentation for operators.
 func (k Kind) String() string {
 	return [...]string{"none", "burst", "retries", "reconnect", "restart"}[k]
 }
@@ -87,7 +87,7 @@
 	programs       frequentPrograms
 	baseline       float64 // usual rate of new requests per second
 	firstTickAt    int64   // time of the first tick
-	lastTickAt     int64   // time of the last evaluation; before it, of the first tick, or 0 if there was none
+	lastTickAt     int64   // time of the last evaluation, or of the first tick before any evaluation; 0 before that
 	lastElevatedAt int64   // time of the last evaluation that set observation.elevated
 	state          State
 	kind           Kind
@@ -100,7 +100,7 @@
 	arrivals    float64 // number of requests and adopted tasks in the last second
 	pending     float64 // pending units
 	releaseRate float64 // units per second
-	congested   bool    // more units are pending than are released in a second
+	congested   bool    // more units are pending than are released in a second; false if releaseRate is 0
 	surge       bool    // arrivals are above the surge threshold
 	elevated    bool    // arrivals are too high for a surge to have ended, or congested is set
 }
@@ -119,7 +119,7 @@
 	d.programs.add(r.Program)
 }
 
-// surgeThreshold returns the rate of requests per second above which arrivals are a surge.
+// surgeThreshold returns the number of arrivals per second above which there is a surge.
 func (d *detector) surgeThreshold() float64 {
 	return max(d.baseline*surgeFactor, d.baseline+minSurgeExcess)
 }
@@ -154,7 +154,8 @@
 	return Change{From: from, To: to, Kind: d.kind, Cause: d.explain(&obs)}, true
 }
 
-// observe returns an observation of the last second and updates the baseline rate from it.
+// observe returns an observation of the last second. It also updates the baseline rate and
+// reduces the program counts.
 func (d *detector) observe(now, elapsed int64, pending, releaseRate float64) observation {
 	for _, w := range []*eventWindow{&d.requests, &d.returns, &d.rejections, &d.adoptions, &d.starts} {
 		w.advance(now)
--- a/internal/backpressure/detector_test.go
+++ b/internal/backpressure/detector_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// sendUsual sends ten requests per second for a number of seconds. It returns the time
-// after the last request, and the last change of state.
+// sendUsual sends ten requests per second for a number of seconds. It returns the time of
+// the last request, and the last change of state.
 func sendUsual(c *Controller, now int64, seconds int) (end int64, last Change) {
 	for range seconds * 10 {
 		now += second / 10
@@ -60,9 +60,9 @@
 	return now, last
 }
 
-// sendSurge sends 300 events per second for two seconds while the pending units increase.
-// It returns the time after the last event, and the kind of surge while the state is
-// Overloaded.
+// sendSurge calls send 300 times per second for two seconds while the pending units increase.
+// It returns the time of the last call, and the last kind of surge that the detector reported
+// in the state Overloaded.
 func sendSurge(c *Controller, now int64, send func(c *Controller, now int64, i int)) (end int64, kind Kind) {
 	for i := range 600 {
 		now += second / 300
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -2,17 +2,17 @@
 
 // This file implements the fair share of programs among the reserved slots. If one program
 // requests most of the capacity, other programs must not have to wait until all its requests
-// are served. Programs are counted in hash buckets, and all programs in one bucket have a
-// single share.
+// are served. Reserved units are counted by the hash bucket of their program, and all programs
+// in one bucket have a single share.
 
 const (
 	// decayIntervalUs is the interval at which the counts of reserved units are multiplied by
-	// decayFactor. A count is halved after three seconds. By then, the clients that it counts
-	// have returned, or other clients have taken their place.
+	// decayFactor. A count is halved after three seconds. By then, the clients whose units it
+	// counts have returned, or other clients use the capacity.
 	decayIntervalUs = second / 10
 	decayFactor     = 0.977
-	// maxDecaySteps is the maximum number of decay steps at once. If more steps are
-	// needed, all counts are reset.
+	// maxDecaySteps limits the number of decay steps in one call of advance. If more steps
+	// are needed, all counts are reset.
 	maxDecaySteps = 1000
 	// minBucketUnits is the number of units below which the count of a bucket becomes zero.
 	// It is half of the smallest request size that an entry of the waitlist stores.
@@ -63,17 +63,17 @@
 	}
 }
 
-// ahead returns the number of reserved units that delay a request if programs take turns.
-// Because of these turns, each active program delays the request by at most the number of
-// units that the request's own program has reserved. units is the number of reserved units of
-// all programs, including the units of the request. bucket is the bucket of the request's
-// program, and its count must already include the request.
+// ahead returns the number of reserved units that are served up to and including a request if
+// programs take turns. Because of these turns, each active program delays the request by at
+// most the number of units that the request's own program has reserved. units is the number
+// that would be served without turns, also including the request. bucket is the bucket of the
+// request's program, and its count must already include the request.
 func (f *fairShare) ahead(bucket int, units float64) float64 {
 	return min(units, float64(f.units[bucket])*float64(max(1, f.active)))
 }
 
 // belowShare reports whether a bucket has less than half of the mean reserved units of all
-// active buckets.
+// active buckets. It returns false if fewer than two buckets are active.
 func (f *fairShare) belowShare(bucket int) bool {
 	return f.active > 1 && float64(f.units[bucket])*float64(f.active) < f.sum/2
 }
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -16,16 +16,16 @@
 	// forecastUs is the horizon of the forecast in microseconds. Requests of lower priority
 	// can be pending for this time and still start in time.
 	forecastUs = second / 2
-	// maxPerSource is the maximum number of requests of one known source that count in a
-	// bucket. Further requests of the source are ignored, because hundreds of requests at
-	// once from one source are not a surge.
+	// maxPerSource is the maximum number of requests of one known source, a connection or
+	// session, that count in a bucket. Further requests of the source are ignored, because
+	// hundreds of requests at once from one source are not a surge.
 	maxPerSource = 2
 	// minSources is the minimum number of sources that must send requests within one
 	// bucket for the forecast to detect a surge.
 	minSources = 10
 )
 
-// demandCounts is a ring buffer of counts by bucket.
+// demandCounts is a ring buffer of counts, one for each bucket of demandBucketUs.
 type demandCounts [demandBuckets]float64
 
 // demandForecast counts the units of each class that were requested in the last buckets.
--- a/internal/backpressure/releaserate.go
+++ b/internal/backpressure/releaserate.go
@@ -57,8 +57,8 @@
 	r.starts[r.head%rateBuckets] += units
 }
 
-// setPending records whether requests are pending at now. It begins the measurement period,
-// and ends it after idleAfterUs without pending requests.
+// setPending records whether requests are pending at now. The measurement period begins when
+// requests become pending, and ends after more than idleAfterUs without pending requests.
 func (r *rateEstimator) setPending(now int64, pending bool) {
 	r.advance(now)
 	switch {
@@ -78,9 +78,9 @@
 }
 
 // rate returns the release rate in units per second, at least minRate. It is the rate of
-// starts over the part of the window in which requests were pending, or the rate of
+// starts over the part of the window that lies in the measurement period, or the rate of
 // completions over the whole window, whichever is higher. While the rate is unknown, rate
-// returns the last known rate, or 0 if there is none.
+// returns the last rate that it computed while the rate was known, or 0 if there is none.
 func (r *rateEstimator) rate(now int64) float64 {
 	r.advance(now)
 	if !r.known(now) {
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -31,19 +31,19 @@
 	// ignoredShare is a fraction of Retry-After. A client that returns before this fraction
 	// has passed is considered to have ignored Retry-After.
 	ignoredShare = 0.2
-	// minLearnedRetryAfterUs is the minimum Retry-After from which compliance is learned. If
-	// Retry-After is shorter, clients stay away for reasons other than Retry-After.
+	// minLearnedRetryAfterUs is the minimum Retry-After from which compliance is learned. A
+	// shorter Retry-After does not determine how long clients stay away.
 	minLearnedRetryAfterUs = 3 * second / 2
 
-	// unknownRateWaitUs is the minimum Retry-After while the release rate is unknown. A
-	// random time of up to twice this value is added to it, and the upper bound in the
-	// settings limits the sum.
+	// unknownRateWaitUs is the minimum Retry-After before the release rate is known for the
+	// first time. A random time of up to twice this value is added to it, and the upper bound
+	// in the settings limits the sum.
 	unknownRateWaitUs = knownAfterUs
 )
 
-// Rejected records the rejection of a request and returns its Retry-After: the time until
-// shortly before free capacity for the request is expected, within the bounds in the
-// settings.
+// Rejected records the rejection of a request and returns its Retry-After. The client is to
+// return shortly before free capacity for the request is expected. Retry-After is random if
+// no release rate has been known yet, or if Retry-After would exceed its upper bound.
 func (c *Controller) Rejected(now int64, r Request) (retryAfterUs int64) {
 	c.advance(now)
 	c.detector.rejected(now)
@@ -62,8 +62,9 @@
 	return wait
 }
 
-// rejectedAtUnknownRate returns a random Retry-After after which the release rate may be
-// known. It reserves no slot.
+// rejectedAtUnknownRate records a rejection before the release rate is known for the first
+// time. It returns a random Retry-After after which the rate may be known, and reserves no
+// slot.
 func (c *Controller) rejectedAtUnknownRate(now int64, class int, units float64, e *entry) int64 {
 	wait := min(unknownRateWaitUs+c.rng.Int64N(2*unknownRateWaitUs), c.settings.MaxRetryAfterUs)
 	e.recordRejection(now, class, units, now/slotUs, wait)
@@ -98,8 +99,11 @@
 	c.fairness.add(hashBucket(program), -e.units())
 }
 
-// expectedStart returns the time at which free capacity is expected for units of a class.
-// All pending and reserved units that go before them get their capacity first.
+// expectedStart returns the time at which free capacity is expected for units of a class that
+// a program in a hash bucket requests. Before these units, capacity goes to pending units of
+// classes with at least the same priority, and to reserved units of such classes up to the
+// limit of fairShare.ahead. Because of floorShare, the delay also has an upper bound that
+// follows from the units of the class itself.
 func (c *Controller) expectedStart(now int64, class, bucket int, units, rate float64) int64 {
 	priority := c.settings.Classes[class].Priority
 	var pending, reserved, lower float64
@@ -116,14 +120,16 @@
 	if lower > 0 {
 		aheadRate *= 1 - floorShare
 	}
-	// Only units of the class itself use its floorShare of the release rate.
+	// A class gets at least floorShare of the release rate. The estimate assumes that no other
+	// class uses this fraction.
 	own := c.pending[class] + c.calendar.total(class) + units
 	delay := min(ahead/aheadRate, own/(rate*floorShare)) // in seconds
 	return now + int64(delay*float64(second))
 }
 
-// retryAfter returns the Retry-After with which a client returns in returnIn microseconds,
-// within the bounds in the settings. It corrects for the compliance of the class.
+// retryAfter returns the Retry-After with which a client is expected to return in returnIn
+// microseconds, corrected for the compliance of the class. The result is within the bounds in
+// the settings, but a random result (see spreadShare) may be less than the lower bound.
 func (c *Controller) retryAfter(returnIn int64, class int) int64 {
 	wait := int64(float64(max(0, returnIn)) / max(minCompliance, c.compliance[class]))
 	if longest := c.settings.MaxRetryAfterUs; wait > longest {
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -52,10 +52,11 @@
 		c.SetPending(now, []float64{300, 0, 0})
 		c.Started(now, Request{Key: uint64(now), Units: 5})
 		if since := c.Requested(now, r); since > testStart+4*second {
-			t.Errorf("client is queued since %.1f s, want at most 4 s", seconds(since-testStart))
+			t.Errorf("client is queued since %.1f s after the start of the test, want at most 4 s", seconds(since-testStart))
 		}
 		if again := now + c.Rejected(now, r); again > first+2*slotUs {
-			t.Errorf("client is to return at %.2f s, want at most two slots after %.2f s, the time of its first Retry-After",
+			t.Errorf("client is to return %.2f s after the start of the test, want at most two slots after %.2f s, "+
+				"its return time from the first rejection",
 				seconds(again-testStart), seconds(first-testStart))
 		}
 	}
@@ -124,7 +125,7 @@
 	}
 	if light > heavy/2 || heavy > 26*second {
 		t.Errorf("last client of the heavy program returns after %.1f s, want at most 26 s; "+
-			"last client of the others after %.1f s, want at most half of that",
+			"last client of the others after %.1f s, want at most half of the heavy program's time",
 			seconds(heavy), seconds(light))
 	}
 }
