--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -1,20 +1,21 @@
 package backpressure
 
 // This file implements the waitlist: the rejected clients that are expected to return, in a
-// hash table of fixed size. The table must never grow. A client is identified by 32 bits of
-// its key's hash within a bucket of eight entries. A request of a new client is therefore
-// mistaken for a request of another client with a probability of at most 8 in 2^32. In a
-// full bucket, a new client replaces the client that was rejected longest ago. The replaced
-// client counts as new when it returns.
+// hash table of fixed size. The table must never grow. The hash of a client's request key
+// determines a bucket of eight entries and a fingerprint of 32 bits, which identifies the
+// client within the bucket. A request of a new client is therefore mistaken for a request of
+// another client with a probability of at most about 8 in 2^32. In a full bucket, a new
+// client replaces the client that was rejected longest ago. The replaced client counts as
+// new when it returns.
 
 const (
 	bucketSize = 8
-	// tickUs is the resolution of stored times. Ticks wrap around after 65,536, so times are
-	// unambiguous for half of that, about 54 minutes.
+	// tickUs is the resolution of stored times, in microseconds. The 16-bit tick numbers wrap
+	// around after 65,536 ticks, so only the times of the last 109 minutes are unambiguous.
 	tickUs = int64(100_000)
-	// staleTicks is the age, ten minutes, from which an entry is stale. No client stays away
-	// for that long, so a stale entry with the fingerprint of a client counts as an entry of
-	// another client.
+	// staleTicks is the age in ticks, ten minutes, from which an entry is stale. No client is
+	// expected to stay away for that long, so findOrAdd treats a stale entry with the
+	// fingerprint of a client as the entry of another client. find does not check the age.
 	staleTicks = 6000
 	// emptyAge is the age of an empty entry. It is greater than the age of any other entry,
 	// so that empty entries are replaced first.
@@ -27,12 +28,12 @@
 
 // entry describes a rejected client in 12 bytes.
 type entry struct {
-	fingerprint  uint32 // upper 32 bits of the hash of the key, 0 for an empty entry
-	firstTick    uint16 // tick of the first request
+	fingerprint  uint32 // upper 32 bits of the key's hash, or 1 if they are 0; 0 for an empty entry
+	firstTick    uint16 // tick since which the client is queued
 	rejectedTick uint16 // tick of the last rejection
-	packedSlot   uint16 // number of ticks from rejectedTick to the slot, the class, and hasSlotBit
+	packedSlot   uint16 // bit field: ticks from rejectedTick to the reserved slot, class, hasSlotBit
 	waitTicks    uint8  // Retry-After in ticks, at most maxWaitTicks
-	unitSteps    uint8  // units in steps of 1/unitScale, at most maxUnitSteps
+	unitSteps    uint8  // requested units in steps of 1/unitScale, at most maxUnitSteps
 }
 
 // The bits of entry.packedSlot.
@@ -64,7 +65,8 @@
 	return fingerprint, w.entries[first : first+bucketSize]
 }
 
-// find returns the entry of a client that was rejected before, or nil.
+// find returns the entry with the fingerprint of a key, even if the entry is stale. It
+// returns nil if there is none.
 func (w *waitlist) find(key uint64) *entry {
 	fingerprint, entries := w.bucket(key)
 	for i := range entries {
@@ -77,7 +79,7 @@
 
 // findOrAdd returns the entry of a client. If there is none or it is stale, findOrAdd adds
 // a new entry, whose client counts as queued since queuedSince, or since now if queuedSince
-// is 0, in the future or stale.
+// is 0, in the future or at least staleTicks in the past.
 func (w *waitlist) findOrAdd(now int64, key uint64, queuedSince int64) *entry {
 	fingerprint, entries := w.bucket(key)
 	tick := uint16(now / tickUs)
@@ -119,8 +121,8 @@
 	return int(tick - e.rejectedTick)
 }
 
-// timeOfTick returns the time of a past tick. Because tick numbers wrap around, this is the
-// latest time up to now that has the given tick number.
+// timeOfTick returns a time within the latest tick up to now that has the given number. Tick
+// numbers wrap around, so earlier ticks have this number too.
 func timeOfTick(now int64, tick uint16) int64 {
 	return now - int64(uint16(now/tickUs)-tick)*tickUs
 }
@@ -133,7 +135,8 @@
 func (e *entry) units() float64              { return float64(e.unitSteps) / unitScale }
 func (e *entry) retryAfter() int64           { return int64(e.waitTicks) * tickUs }
 
-// slot returns the number of the slot that was reserved last. The slot may be in the past.
+// slot returns the number of the calendar slot that the last rejection of the client
+// reserved, or the tick of that rejection if it reserved none. The slot may be in the past.
 func (e *entry) slot(now int64) int64 {
 	rejected := now/tickUs - int64(uint16(now/tickUs)-e.rejectedTick)
 	return rejected + int64(e.packedSlot&slotMask)
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -49,7 +49,7 @@
 		},
 	},
 	{
-		"ping on behalf of another, while joining",
+		"ping on behalf of another member, while joining",
 		"0a0464616c611001180122026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a3731303221887766554433221128808080183001382a4a026e3450ac02",
 		membership.Message{
 			Kind:               membership.Ping,
@@ -90,7 +90,7 @@
 		membership.Message{Kind: membership.PingRequest, To: "n1", Sender: previousSender, Sequence: 44, Target: "n3"},
 	},
 	{
-		"ping request answered: reached, and its own ping came there",
+		"ping request result: target reached, and the requester's own ping arrived there",
 		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382d42026e3358016001",
 		membership.Message{
 			Kind:               membership.PingRequestResult,
@@ -103,7 +103,7 @@
 		},
 	},
 	{
-		"ping request answered: not reached",
+		"ping request result: target not reached",
 		"0a0464616c611001180422026e312a2a0a026e32120668616c6c2d621a0e3132372e302e302e313a373130322188776655443322112880808018382e42026e33",
 		membership.Message{Kind: membership.PingRequestResult, To: "n1", Sender: previousSender, Sequence: 46, Target: "n3"},
 	},
@@ -166,7 +166,7 @@
 		}
 		h, version, err := CheckHello("dala", message)
 		if err != nil || version != 1 || h.GetName() != "n2" || h.GetLife() != previousNonce || RecordKind(h.GetKind()) != kind {
-			t.Errorf("kind %d: got hello %v, version %d, error %v, want a hello of n2 with version 1", kind, h, version, err)
+			t.Errorf("kind %d: got hello %v, version %d, error %v, want version 1 and a hello of n2 with this kind and previousNonce", kind, h, version, err)
 		}
 		p := &Peers{settings: Settings{Cluster: "dala", Name: "n2"}, nonce: previousNonce}
 		if written := hex.EncodeToString(p.hello(kind)); written != encoded {
@@ -201,7 +201,7 @@
 		incarnation         uint64
 	}{
 		{"after the previous build's second start", "2\n", "3\n", 3 << 24},
-		{"after many of its starts", "41\n", "42\n", 704643072},
+		{"after the previous build's 41st start", "41\n", "42\n", 704643072},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -246,9 +246,9 @@
 	}
 }
 
-// TestPreviousBuildSendsRecords sends the bytes of a member of the previous build to a running orchestrator of this
-// build. It asserts that the ping makes the sender a member, and that a record is accepted on a connection that
-// begins with the sender's hello.
+// TestPreviousBuildSendsRecords sends a ping, a hello and a record, as the previous build encodes them, to a running
+// orchestrator of this build. It asserts that the ping makes the sender a member, and that the record is accepted on
+// the connection that begins with the hello.
 func TestPreviousBuildSendsRecords(t *testing.T) {
 	loop, p, log := startPeer(t, "n1")
 	records := make(chan string, 1)
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -1,7 +1,7 @@
 package peer
 
-// This file encodes, decodes and validates datagrams. A datagram that exceeds a limit is malformed. The decoder must
-// never retain the bytes passed to it.
+// This file encodes, decodes and validates datagrams. A received datagram in which a name, an address or a list exceeds
+// its limit is malformed. The decoder must never retain the bytes passed to it.
 //
 // This file also maps the names of fields on the wire (hall, life, rumour, witness, heard) to the terms of this
 // program. The field life of a hello is mapped in hello.go, handshake.go, stream.go and inbound.go. The names in the
@@ -23,7 +23,7 @@
 	MaxVersion = 1
 )
 
-// maxUpdates is the maximum number of updates in a datagram.
+// maxUpdates is the maximum number of updates in a received datagram, not counting the sender's update about itself.
 const maxUpdates = 64
 
 // Encode returns m encoded as a datagram for the named cluster.
@@ -124,7 +124,7 @@
 	if !validName(encoded.GetName()) || len(encoded.GetHall()) > membership.MaxNameLength ||
 		encoded.GetState() > uint32(membership.Left) || len(encoded.GetWitnesses()) > membership.MaxConfirmations {
 		return u, malformed(
-			"expected a name, a zone, a state and at most %d confirmations, got name %.40q, state %d, %d confirmations",
+			"expected an update with a valid name, zone and state and at most %d confirmations, got name %.40q, state %d, %d confirmations",
 			membership.MaxConfirmations, encoded.GetName(), encoded.GetState(), len(encoded.GetWitnesses()))
 	}
 	_, addressErr := netip.ParseAddrPort(encoded.GetAddress())
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -25,12 +25,13 @@
 	}
 	for range rapid.IntRange(0, membership.MaxConfirmations).Draw(t, label+" confirmations") {
 		u.Confirmations = append(u.Confirmations, membership.Confirmation{
-			Name: name.Draw(t, "confirming"), Zone: name.Draw(t, "its zone"), Refused: rapid.Bool().Draw(t, "refused")})
+			Name: name.Draw(t, "confirmation name"), Zone: name.Draw(t, "confirmation zone"), Refused: rapid.Bool().Draw(t, "refused")})
 	}
 	return u
 }
 
-// drawMessage draws a message in which all fields are set.
+// drawMessage draws a message. To, Target and OnBehalfOf are fixed; each other field gets a random value, whatever the
+// kind of the message is, and may be zero or empty.
 func drawMessage(t *rapid.T) *membership.Message {
 	m := &membership.Message{
 		Kind:               membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")),
@@ -40,7 +41,7 @@
 		Sequence:           rapid.Uint64().Draw(t, "sequence"),
 		Target:             "n3",
 		OnBehalfOf:         "n4",
-		OnBehalfOfSequence: rapid.Uint64().Draw(t, "on behalf of"),
+		OnBehalfOfSequence: rapid.Uint64().Draw(t, "on behalf of sequence"),
 		DirectPingReceived: rapid.Bool().Draw(t, "direct ping received"),
 		Reached:            rapid.Bool().Draw(t, "reached"),
 		Digests:            rapid.SliceOfN(rapid.Uint32(), 0, membership.DigestBuckets).Draw(t, "digests"),
@@ -51,9 +52,10 @@
 	return m
 }
 
-// TestDatagramRoundTrip asserts that decoding an encoded message yields the same message, and that the datagram is
-// never larger than Message.Size predicts. It also asserts that unknown fields, such as those of a newer peer, are
-// ignored, and that a datagram of another cluster is rejected.
+// TestDatagramRoundTrip asserts that a message that was encoded and decoded is encoded to the same bytes again, and
+// that the datagram is at most as large as Message.Size plus membership.MaxNameLength for the cluster name. It also
+// asserts that unknown fields, such as those of a newer peer, are ignored, and that a datagram of another cluster is
+// rejected.
 func TestDatagramRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
@@ -62,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if len(b) > m.Size()+membership.MaxNameLength {
-			t.Fatalf("got a datagram of %d bytes, want at most Size() = %d and the cluster name", len(b), m.Size())
+			t.Fatalf("got a datagram of %d bytes, want at most Size() = %d plus membership.MaxNameLength for the cluster name", len(b), m.Size())
 		}
 		b = protowire.AppendTag(b, 99, protowire.BytesType)
 		b = protowire.AppendBytes(b, []byte("of a newer peer"))
@@ -75,7 +77,7 @@
 			t.Fatal(err)
 		}
 		if want, _ := Encode("dala", m); string(again) != string(want) {
-			t.Fatalf("after decoding: got %+v, want %+v", got, m)
+			t.Fatalf("after encoding and decoding: got %+v, want %+v", got, m)
 		}
 		if _, err := Decode("other", b); !errors.Is(err, ErrOtherCluster) {
 			t.Fatalf("datagram of another cluster: got error %v, want %v", err, ErrOtherCluster)
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -17,8 +17,8 @@
 // MessageError reports an invalid message from another orchestrator.
 type MessageError struct {
 	Reason error  // ErrMalformed, ErrOtherCluster or ErrNoCommonVersion
-	Detail string // the expected and the received values
-	Cause  error  // the error of the decoder, nil if the message was decoded
+	Detail string // what is wrong or which message could not be decoded; may be empty if Cause is set
+	Cause  error  // the error of the protobuf decoder, nil if the message is invalid for another reason
 }
 
 // Error returns the reason, followed by the detail, the cause or both.
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -23,8 +23,8 @@
 }
 
 // decodeFrame returns the first message in b and the number of bytes of its frame, or used = 0 while the frame is
-// incomplete. A message longer than limit bytes is an error. The returned message is part of b: nothing is
-// allocated for the length that a frame announces.
+// incomplete. An announced length that exceeds limit or is not a valid varint is an error. The returned message is
+// part of b: nothing is allocated for the length that a frame announces.
 func decodeFrame(b []byte, limit uint64) (message []byte, used int, err error) {
 	length, prefix := binary.Uvarint(b)
 	tooLong := prefix > 0 && length > limit
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -49,7 +49,8 @@
 	h.report(0, result)
 }
 
-// report passes the result to the table. nonce is the incarnation nonce in the hello, or 0 if there is no hello.
+// report passes the result to the table. nonce is the incarnation nonce in the hello, or 0 if no valid hello
+// arrived.
 func (h *handshakeProbe) report(nonce uint64, result membership.HandshakeResult) {
 	p := h.peers
 	p.perform(p.table.HandshakeProbeDone(p.loop.Now(), h.member, nonce, result))
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -107,7 +107,8 @@
 	<-done
 }
 
-// twoPeers holds two orchestrators on one event loop that reach each other through relays.
+// twoPeers holds two orchestrators on one event loop: a, whose name is n0, and b, whose name is n1. They reach each
+// other through the relays of an emulated network.
 type twoPeers struct {
 	loop *eventloop.Loop
 	net  *testbed.Network
@@ -132,7 +133,7 @@
 	return pair
 }
 
-// newPeer creates one of the two orchestrators, which reaches the other through a relay.
+// newPeer creates one of the two orchestrators, which reaches the other through a relay of the emulated network.
 func (pair *twoPeers) newPeer(t *testing.T, name, other string) *Peers {
 	t.Helper()
 	relay, err := pair.net.Relay(name, other)
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -1,8 +1,8 @@
 package peer
 
-// This file owns the hello, the first frame of a connection in both directions. A hello names its sender, the
-// protocol versions that the sender supports, and the kind of records that follow. A hello from another cluster
-// must never be accepted.
+// This file owns the hello, the first frame of a connection in both directions. A hello contains the cluster, the name
+// and the incarnation nonce of its sender, the protocol versions that the sender supports, and the kind of records that
+// follow. A hello from another cluster must never be accepted.
 
 import (
 	"google.golang.org/protobuf/proto"
@@ -11,9 +11,10 @@
 )
 
 const (
-	// maxHelloFrame is the maximum size of a hello, in bytes.
+	// maxHelloFrame is the maximum size of the encoded hello in a frame, in bytes.
 	maxHelloFrame = 64 << 10
-	// maxFeatures is the maximum number of features that a hello names.
+	// maxFeatures is the maximum number of features in a received hello. This program sends no features and ignores
+	// those that it receives.
 	maxFeatures = 64
 )
 
@@ -36,8 +37,8 @@
 	return b
 }
 
-// CheckHello decodes and validates a peer's hello. It returns the hello and the highest protocol version that both
-// sides support. Its errors are of type *MessageError.
+// CheckHello decodes and validates a peer's hello, which must be from the named cluster. It returns the hello and the
+// highest protocol version that both sides support. Its errors are of type *MessageError.
 func CheckHello(cluster string, b []byte) (hello *peerpb.Hello, version uint32, err error) {
 	hello = &peerpb.Hello{}
 	if err := proto.Unmarshal(b, hello); err != nil {
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -49,8 +49,8 @@
 }
 
 // startStream makes the connection the only one of its stream. It closes an earlier connection of the stream, which
-// the peer has abandoned by opening this one. The connection then no longer counts as pending, so that many streams
-// do not prevent other peers from connecting.
+// the peer has abandoned by opening this one. From then on, this connection does not count as pending, so that many
+// streams do not prevent other peers from connecting.
 func (in *inboundConn) startStream(stream streamKey) {
 	in.release()
 	in.stream = stream
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// receiveRecord passes one record to the handler of its kind. A record without a handler is counted and dropped.
+// receiveRecord counts one record as received and passes it to the handler of its kind. If there is no handler, the
+// record is dropped.
 func (in *inboundConn) receiveRecord(message []byte) error {
 	var record peerpb.Record
 	if err := proto.Unmarshal(message, &record); err != nil {
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -17,7 +17,8 @@
 
 // TestInboundConnections asserts that an inbound connection that sends invalid bytes is closed without an answer, that
 // the reason is logged, and that a valid hello on a later connection is answered. It also asserts that an invalid
-// datagram is counted as refused. An announced length of 3 GB must be rejected before memory is allocated for it.
+// datagram is counted as refused. One connection announces a message of 3 GiB, which must be rejected at once, before
+// memory is allocated for it.
 func TestInboundConnections(t *testing.T) {
 	loop, p, log := startPeer(t, "n1")
 	cases := []struct {
@@ -25,8 +26,8 @@
 		sent []byte
 		want string // part of the log line
 	}{
-		{"a length of 3 GB", binary.AppendUvarint(nil, 3<<30), "expected a message of at most 65536 bytes"},
-		{"a length without an end", bytes.Repeat([]byte{0xff}, 11), "expected a message of at most 65536 bytes"},
+		{"a length of 3 GiB", binary.AppendUvarint(nil, 3<<30), "expected a message of at most 65536 bytes"},
+		{"a length that is not a valid varint", bytes.Repeat([]byte{0xff}, 11), "expected a message of at most 65536 bytes"},
 		{
 			"another cluster",
 			helloFrame(t, &peerpb.Hello{Cluster: "other", Name: "n2", Lowest: 1, Highest: 1}),
@@ -55,7 +56,7 @@
 	hello, version, helloErr := CheckHello("dala", message)
 	if err != nil || frameErr != nil || used != len(answer) ||
 		helloErr != nil || version != 1 || hello.GetName() != "n1" || hello.GetLife() != p.nonce {
-		t.Errorf("valid hello: got answer %v, version %d (errors: %v, %v, %v), want the hello of n1 with version 1",
+		t.Errorf("valid hello: got answer %v, version %d (errors of the read, the frame and the hello: %v, %v, %v), want the hello of n1 with version 1",
 			hello, version, err, frameErr, helloErr)
 	}
 
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -19,7 +19,7 @@
 	// of a suspicion uses one incarnation. A process can therefore refute this number of suspicions before its
 	// incarnation reaches the first one of the next start.
 	refutationsPerStart = 1 << 24
-	// firstIncarnation is the incarnation of a start without a directory.
+	// firstIncarnation is the first incarnation of a process for which no directory is configured.
 	firstIncarnation = 1
 	// startsFile is the name of the counter's file. It holds the number of starts in decimal digits and a line feed.
 	startsFile     = "starts"
@@ -28,10 +28,13 @@
 
 // NextIncarnation increments the counter of starts in a directory and returns the first incarnation of this start,
 // which is greater than that of every earlier start counted there. Without a directory (dir is "") it returns 1.
-// If the incarnation is too low, because there is no directory or the file is an older copy, the membership table
-// raises the incarnation when an update from another member contains a later one.
 // If the counter's file holds no valid count, counting starts again from 1 and fault describes the file; otherwise
 // fault is "".
+//
+// The incarnation may be lower than that of an earlier process with the same name: without a directory, after counting
+// has started again, or if the file is an older copy. The membership table then raises the incarnation above that of
+// the earlier process once an update reports the earlier process as dead or departed, or with the address of the new
+// process.
 func NextIncarnation(dir string) (incarnation uint64, fault string, err error) {
 	if dir == "" {
 		return firstIncarnation, "", nil
@@ -65,7 +68,8 @@
 	return starts, "", nil
 }
 
-// parseStarts returns the count in the text of the file. ok is false if the text is not a count and a line feed.
+// parseStarts returns the count in the text of the file. ok is false if the text is not a decimal count of at most
+// 32 bits and a line feed.
 func parseStarts(text string) (starts uint64, ok bool) {
 	digits, complete := strings.CutSuffix(text, "\n")
 	starts, err := strconv.ParseUint(digits, 10, 32)
--- a/internal/peer/incarnation_test.go
+++ b/internal/peer/incarnation_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestIncarnationsGrow asserts that the incarnation grows with each start, that counting starts again from 1 if the
-// file holds no valid count, that the incarnation is firstIncarnation without a directory, and that a missing
-// directory is an error.
+// file holds no valid count, that the incarnation is firstIncarnation if no directory is configured, and that a
+// configured directory that does not exist is an error.
 func TestIncarnationsGrow(t *testing.T) {
 	dir := t.TempDir()
 	last := uint64(0)
--- a/internal/peer/listen_test.go
+++ b/internal/peer/listen_test.go
@@ -46,7 +46,7 @@
 // TestPortsInUse asserts that New tries another port if the one that the system chose is in use for datagrams.
 func TestPortsInUse(t *testing.T) {
 	used := portsInUse(t, 500)
-	for range 1000 { // about one start in fifty gets a port in use
+	for range 1000 { // in about one call of New in fifty, the first port is in use
 		loop, err := eventloop.New(8)
 		if err != nil {
 			t.Fatal(err)
@@ -73,6 +73,6 @@
 		t.Errorf("New on a port in use: got error %v, want %v", err, unix.EADDRINUSE)
 	}
 	if err := listenTCP(t, settings.Listen); err != nil {
-		t.Fatalf("listening again on %s: got error %v, want the port to be closed", settings.Listen, err)
+		t.Fatalf("listening again on %s: got error %v, want no error, because New must close its listening socket", settings.Listen, err)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
 // Package peer connects orchestrators with each other. It opens the sockets between them, all on one event loop: a
 // datagram socket for the membership table, connections for handshake probes, and streams of records. It passes
-// received messages to the membership table (package membership, which does no I/O) and carries out the actions
-// that the table returns.
+// received datagrams and the results of handshake probes to the membership table (package membership, which does no
+// I/O), and carries out the actions that the table returns. It passes received records to the handlers of their kinds.
 //
 // Package peer must never decide which members are alive, never block, and never let an invalid message reach the
 // table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Each of
@@ -38,8 +38,8 @@
 // orchestrators; with port 0, the system chooses the port.
 type Settings struct {
 	Listen, Cluster, Name, Zone string
-	Members                     []membership.Peer // members that this orchestrator pings first
-	Incarnation                 uint64            // first incarnation of this process, greater than all known earlier ones
+	Members                     []membership.Peer // members that this orchestrator pings to join or rejoin the cluster
+	Incarnation                 uint64            // first incarnation of this process, see NextIncarnation
 }
 
 // Counts holds the number of messages exchanged with other orchestrators since the start.
@@ -126,7 +126,7 @@
 	return "", err
 }
 
-// Addr returns the address at which other orchestrators reach this one.
+// Addr returns the address that this orchestrator listens on and announces to the others.
 func (p *Peers) Addr() string { return p.settings.Listen }
 
 // Leave announces to other members that this orchestrator leaves the cluster on purpose.
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -8,7 +8,7 @@
 	limit    int // maximum total size of the records, in bytes
 	records  [][]byte
 	bytes    int  // total size of the records
-	rejected bool // true from the time when push rejects a record until pop returns writable = true
+	rejected bool // true after push has rejected a record, until pop returns writable = true or clear is called
 }
 
 // push appends a record. It returns false if the record does not fit into the queue.
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -10,7 +10,8 @@
 	"ravenhitch/internal/membership"
 )
 
-// StatusReport is the membership table of a running orchestrator, as operators read it.
+// StatusReport is the report of a running orchestrator for operators: its membership table, its stable view of the
+// membership, and its traffic with other orchestrators.
 type StatusReport struct {
 	Cluster     string   `json:"cluster"`
 	Name        string   `json:"name"`
@@ -23,7 +24,7 @@
 // View is the stable view of the membership.
 type View struct {
 	Number int64    `json:"number"` // number of views that this orchestrator has built so far
-	Digest string   `json:"digest"` // equal at all orchestrators whose views have the same members
+	Digest string   `json:"digest"` // equal at all orchestrators whose views hold the same processes
 	Names  []string `json:"names"`
 }
 
@@ -37,7 +38,7 @@
 	Path         string `json:"link"` // state of the direct path; localMemberPath for the local member
 	Slow         bool   `json:"slow,omitempty"`
 	RTTMs        int64  `json:"rtt_ms"`
-	SinceAliveMs int64  `json:"silent_ms"` // milliseconds since the member last proved to be alive
+	SinceAliveMs int64  `json:"silent_ms"` // milliseconds since the last proof that the member is alive
 	Evidence     string `json:"evidence,omitempty"`
 }
 
@@ -58,7 +59,7 @@
 	localMemberPath = "itself"
 )
 
-// StatusReport returns the current membership table.
+// StatusReport returns the current status report of this orchestrator.
 func (p *Peers) StatusReport() StatusReport {
 	view := p.table.View()
 	report := StatusReport{
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -21,7 +21,7 @@
 // The kinds of records.
 const (
 	Urgent     RecordKind = 1 + iota // records whose arrival is awaited
-	Background                       // copies of complete states, which may arrive late
+	Background                       // full copies of state, which may arrive late
 )
 
 const (
@@ -46,7 +46,7 @@
 // Reasons why [Peers.Send] rejects a record. ErrRecordTooLarge is also returned for an unknown kind.
 var (
 	ErrNotMember      = errors.New("peer: not a member of the cluster")
-	ErrQueueFull      = errors.New("peer: the queue is full; OnWritable is called when there is space")
+	ErrQueueFull      = errors.New("peer: the queue is full; the OnWritable handler is called when there is space")
 	ErrRecordTooLarge = fmt.Errorf("peer: the record is over %d bytes or its kind is unknown", maxRecord)
 )
 
@@ -69,7 +69,7 @@
 	conn        *eventloop.Conn  // nil while no connection is open or being opened
 	nonce       uint64           // incarnation nonce of the process that the records are for
 	established bool             // whether the peer's hello has arrived and is valid
-	redialDelay int64            // last delay before a dial, in microseconds; 0 after a valid hello
+	redialDelay int64            // last redial delay in microseconds; 0 without a failure since the last valid hello
 	timer       *eventloop.Timer // fires at the next dial, the next burst or the idle timeout
 }
 
@@ -79,8 +79,8 @@
 	p.recordHandlers[kind] = handle
 }
 
-// OnWritable registers notify, which is called on the event loop when a queue has space again after Send returned
-// ErrQueueFull.
+// OnWritable registers notify, which is called on the event loop after Send returned ErrQueueFull, once at most half of
+// the queue is used. notify is not called if the stream ends first, for example because the member died.
 func (p *Peers) OnWritable(notify func(to string, kind RecordKind)) { p.onWritable = notify }
 
 // Send queues a copy of a record for a member. If the record is rejected, Send returns ErrNotMember, ErrQueueFull or
@@ -113,12 +113,13 @@
 func (p *Peers) endStreams(member string) {
 	for kind := range maxQueued {
 		if s := p.outboundStreams[streamKey{member, kind}]; s != nil {
-			s.end("the member is gone")
+			s.end("the member died, left or restarted")
 		}
 	}
 }
 
-// end closes the stream. It counts and logs the records that are dropped from the queue.
+// end closes the stream. It counts and logs the records that are dropped from the queue. If there are any, it resets
+// the connection.
 func (s *outboundStream) end(cause string) {
 	s.timer.Stop()
 	dropped := s.queue.clear()
@@ -135,12 +136,12 @@
 	delete(s.peers.outboundStreams, s.streamKey)
 }
 
-// dial opens the connection. If the member has left the cluster or has restarted as another process, dial ends
-// the stream instead.
+// dial opens the connection. If the member has died, has left the cluster or has restarted as another process, dial
+// ends the stream instead.
 func (s *outboundStream) dial() {
 	address, nonce, ok := s.peers.table.Locate(s.member)
 	if !ok || nonce != s.nonce {
-		s.end("the member is gone")
+		s.end("the member died, left or restarted")
 		return
 	}
 	conn, err := s.peers.loop.Dial(address, handshakeTimeout, s)
