--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -14,10 +14,10 @@
 	// 50 ms.
 	minIdleWithoutTask = 100 * millisecond
 	// protectedWithTask is the maximum number of connections with tasks that a front protects. While a front has at
-	// most this many of them, it evicts none of them if a connection without a task becomes evictable soon.
+	// most this many of them, it evicts none of them if a connection without a task will soon be evictable.
 	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
-	// Without the protection, a flood of connections without a task would evict all connections with tasks within
-	// minIdleWithoutTask.
+	// Without the protection, a flood of new connections without a task would evict all idle connections with
+	// tasks within minIdleWithoutTask, because the new connections themselves are not evictable during this time.
 	protectedWithTask = 8
 )
 
@@ -46,8 +46,8 @@
 }
 
 // MakeCapacity implements eventloop.Admission. It evicts an idle connection and reports whether it found one.
-// Connections without a task are evicted first because they may arrive by the hundred. Connections with tasks are
-// not evicted while protectedWithTask protects them.
+// Connections without a task are evicted first because hundreds of them may be opened at once. Connections with tasks
+// are not evicted while they are protected as described at protectedWithTask.
 func (a admission) MakeCapacity() bool {
 	f := a.front
 	found := f.findEvictable()
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -16,8 +16,8 @@
 
 const (
 	// maxOpenWithoutTask is the maximum number of open requests on a connection that has had no task yet. Further
-	// requests are rejected at once. Like maxInvalidMessages, this limit protects the connections that report the
-	// completions of tasks against connections without a task.
+	// requests are rejected at once. Like maxInvalidMessages, this limit protects the clients whose connections carry
+	// the completions of tasks from clients that have had no task.
 	maxOpenWithoutTask = 32
 	// maxInvalidMessages is the number of invalid messages at which a connection that has had no task yet is
 	// closed.
@@ -61,8 +61,8 @@
 	c.openRequests = nil
 }
 
-// rejectAndClose rejects the open requests and closes the connection. It rejects the requests at once, because
-// nothing further can be read from the connection.
+// rejectAndClose ends the open requests and closes the connection. Each request gets a rejection or, if a retry could
+// do harm, a failure. The requests are not kept open because nothing further can be read from the connection.
 func (c *clientConn) rejectAndClose() {
 	for _, requestID := range slices.Sorted(maps.Keys(c.openRequests)) {
 		c.front.dispatcher.Reject(c.front.loop.Now(), c, requestID)
@@ -71,8 +71,8 @@
 	c.conn.Close()
 }
 
-// Data implements eventloop.Handler. It handles the complete messages in b, and closes the connection after a
-// malformed message.
+// Data implements eventloop.Handler. It handles the complete messages in b and returns the number of bytes used. It
+// closes the connection after a malformed message, or if receive returns an error.
 func (c *clientConn) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	now := c.front.loop.Now()
 	used, err := jsonlines.ForEachLine(b, func(line []byte) error {
@@ -120,8 +120,9 @@
 	return nil
 }
 
-// submit submits a request to the dispatcher, or responds directly if the request is invalid, a duplicate or over the
-// limit of open requests.
+// submit submits a request to the dispatcher. A request that is invalid, a duplicate or over the limit of open requests
+// is not submitted. It gets a response at once, as does a request that the dispatcher does not accept. If submit
+// returns an error, the connection is closed.
 func (c *clientConn) submit(now int64, message *jsonlines.Message) error {
 	submission, err := parseSubmission(message)
 	if err == nil {
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// rejectDuplicate rejects two requests with the same ID on this connection. It sends a single response for both
-// because a client could not tell which of the two requests a response belongs to.
+// rejectDuplicate handles a request that has the ID of an open request on this connection. It rejects both requests
+// with a single response, because a client could not tell which of the two requests a response belongs to.
 func (c *clientConn) rejectDuplicate(now int64, requestID string) error {
 	c.front.dispatcher.Reject(now, c, requestID)
 	c.front.log.Warn("duplicate request ID on connection", "request_id", requestID)
@@ -179,7 +180,8 @@
 	c.front.log.Warn("too many open requests on new connection", "open", len(c.openRequests))
 }
 
-// finish handles a FINISH: it cancels a request that is open on this connection, or releases a running task.
+// finish handles a FINISH: it cancels a request that is open on this connection, or releases a running task of any
+// connection. It acknowledges the FINISH in every case.
 func (c *clientConn) finish(now int64, requestID string) {
 	dispatcher := c.front.dispatcher
 	switch {
@@ -187,7 +189,8 @@
 		delete(c.openRequests, requestID)
 		dispatcher.Cancel(now, c, requestID)
 	case dispatcher.IsRunning(requestID) && !dispatcher.IsResumable(requestID):
-		// Any other known request is open on another connection or belongs to another front, and is not cancelled.
+		// All other requests are left unchanged: those that are open on another connection, belong to another
+		// front, or have a task that is already terminating.
 		dispatcher.Cancel(now, nil, requestID)
 	}
 	c.send(&jsonlines.Message{Verb: jsonlines.VerbFinished, Tag: requestID})
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -1,11 +1,12 @@
-// Package grpcfront implements the gRPC API of the orchestrator: clients send offers of tasks and receive
-// bindings, over a stream or by single calls. The package makes no decision about a task: all decisions are
+// Package grpcfront implements the gRPC API of the orchestrator. Clients submit tasks over a stream or by unary
+// calls. The API calls a submission an offer, and the response that names the worker of a started task a
+// binding. The package rejects offers that are invalid or exceed its limits. All other decisions about tasks are
 // the dispatcher's.
 package grpcfront
 
-// This file owns the gRPC server and the queue from its goroutines to the event loop. The goroutines only
-// pass received messages to the event loop, and send the messages that the event loop puts into bounded queues.
-// Invariant: the goroutines never call the dispatcher outside the event loop, and never block the event loop.
+// This file owns the gRPC server and the queue from its goroutines to the event loop. The goroutines validate the
+// received messages, pass them to the event loop, and send the messages that the event loop puts into bounded
+// queues. Invariant: the dispatcher is called on the event loop only, and the goroutines never block the event loop.
 
 import (
 	"errors"
@@ -34,7 +35,8 @@
 	MaxConns = 64
 	// maxStreams is the maximum number of concurrent calls on one connection.
 	maxStreams = 100
-	// maxQueuedCalls is the maximum number of calls that are queued for the event loop.
+	// maxQueuedCalls is the maximum number of functions that post queues for the event loop: one for each unary
+	// call and one for each message that is received on a stream.
 	maxQueuedCalls = 2048
 	// maxHeaders is the maximum size of the header list of a call, in bytes.
 	maxHeaders = 16 << 10
@@ -51,19 +53,20 @@
 	firstMessageTimeout = 1500 * time.Millisecond
 	// maxIdle is the time after which a connection without calls is closed.
 	maxIdle = 30 * time.Second
-	// pingInterval is the idle time after which the server pings a connection.
+	// pingInterval is the time without received data after which the server pings the client of a connection.
 	pingInterval = 20 * time.Second
 	// pingTimeout is the maximum time that the server waits for the reply to its ping. If no reply arrives
 	// within this time, the server closes the connection.
 	pingTimeout = 5 * time.Second
-	// minClientPingInterval is the minimum time between two pings from a client.
+	// minClientPingInterval is the minimum time between two pings from a client. The server closes a connection
+	// whose client repeatedly pings more often.
 	minClientPingInterval = 5 * time.Second
 	// closeTimeout is the maximum time that Close waits for calls to end.
 	closeTimeout = 300 * time.Millisecond
 )
 
 // Loop is the part of the event loop that the front uses. Post may be called from any goroutine; Now and
-// After may be called on the event loop only.
+// After may be called on the event loop only. Now returns the Unix time in microseconds.
 type Loop interface {
 	Post(f func())
 	Now() int64
@@ -86,7 +89,7 @@
 	dispatcher  Dispatcher
 	server      *grpc.Server
 	health      *health.Server
-	queuedCalls atomic.Int64 // number of calls that are queued for the event loop
+	queuedCalls atomic.Int64 // number of functions that post has queued and the event loop has not started
 	keys        atomic.Pointer[retrytoken.Keys]
 
 	// The following fields belong to the event loop.
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -19,7 +19,7 @@
 	// maxDescription is the maximum size of the description of a task, in bytes.
 	maxDescription = 8 << 10
 	// maxEscaped is the maximum size of the description after JSON escaping, in bytes. It is limited because the
-	// escaped description is part of a message to a worker, whose size is limited too.
+	// escaped description is part of a message to a worker, and the size of such a message is limited.
 	maxEscaped = maxDescription * 3 / 2
 )
 
@@ -60,8 +60,9 @@
 // checkSubmission returns a gRPC status error if a field of the submission is invalid.
 func checkSubmission(submission dispatch.Submission) error {
 	if submission.TimeoutUs == 0 {
-		// A timeout of 0 is valid: submitPlace or submit replaces it with the deadline of the call or the timeout
-		// of the class.
+		// A timeout of 0 is valid in an offer but not for Validate, so it is replaced in this copy of the
+		// submission. In the submission itself, submitPlace replaces it with the time to the deadline of the call,
+		// or submit with the timeout of the class.
 		submission.TimeoutUs = 1
 	}
 	if err := submission.Validate(); err != nil {
@@ -76,7 +77,8 @@
 	return utf8.ValidString(text) && len(text) <= maxDescription && escapedLen(text) <= maxEscaped
 }
 
-// escapedLen returns the maximum length of text after JSON escaping in a message to a worker, in bytes.
+// escapedLen returns an upper bound, in bytes, for the length of text after JSON escaping in a message to a worker. It
+// counts six bytes for each control character, although some have a shorter escape sequence.
 func escapedLen(text string) int {
 	const escapedControl, escapedQuote = len(`\u0000`), len(`\"`)
 	length := len(text)
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -29,9 +29,9 @@
 	maxSessionName = 64
 	// sessionTimeoutUs is the time after which a session without a stream is deleted, in microseconds.
 	sessionTimeoutUs = int64(2 * time.Minute / time.Microsecond)
-	// sessionBit is set in the number by which the dispatcher identifies a session. The numbers by which it
-	// identifies connections never reach this bit, so the numbers of sessions and of connections do not
-	// collide.
+	// sessionBit is set in the number by which the dispatcher identifies a session. The dispatcher also identifies
+	// the connections of package clientfront by numbers. These count up from 1 and never reach this bit, so they do
+	// not collide with the numbers of sessions.
 	sessionBit = uint64(1) << 63
 )
 
@@ -42,7 +42,7 @@
 	name           string
 	number         uint64  // number by which the dispatcher identifies the session
 	stream         *stream // the current stream, nil if there is none
-	lastMessage    uint64  // number of the last message; the first message has number 1
+	lastMessage    uint64  // number of the last message to the client; the first message has number 1
 	unacknowledged []*edgepb.ServerMessage
 	openOffers     map[string]openOffer // offers without a response, by request ID
 	runningTasks   map[string]string    // names of running tasks, by request ID
@@ -77,8 +77,8 @@
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Ended{Ended: ended}})
 }
 
-// pushRejection notifies the client that its offer was rejected. The message carries err, the status that Place
-// would return, and the retry token, nil if there is none.
+// pushRejection sends the client a Rejection message, the final response to an offer that gets no binding. err is
+// the status that Place would return for the offer, and token is the retry token, nil if there is none.
 func (s *session) pushRejection(requestID, task string, err error, token []byte) {
 	st := status.Convert(err)
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Rejection{Rejection: &edgepb.Rejection{
@@ -174,8 +174,9 @@
 	return s
 }
 
-// detach ends the stream st. If st is the current stream of the session, the session then has no stream and
-// expires after sessionTimeoutUs. Its open offers stay open until their deadlines, and its tasks keep running.
+// detach ends the stream st. If st is the current stream of the session, the session then has no stream, and is
+// deleted after sessionTimeoutUs unless another stream is attached before. Its open offers stay open until they get
+// a response, at the latest at their deadlines, and its tasks keep running.
 func (s *session) detach(st *stream) {
 	st.end(nil)
 	if s.stream != st {
@@ -189,8 +190,8 @@
 	})
 }
 
-// offer submits an offer that was received in the session. A repeat of an offer that is open
-// in the session is ignored.
+// offer submits an offer that was received in the session. If too many offers are open, or the submission
+// fails, it sends the client a rejection. A repeat of an offer that is open in the session is ignored.
 func (s *session) offer(offer *edgepb.Offer, submission dispatch.Submission, token presentedToken) {
 	if open, found := s.openOffers[submission.RequestID]; found && open.task == submission.Key {
 		return // the response to the open offer also answers the repeat
@@ -215,7 +216,8 @@
 	s.endIfAllResponded()
 }
 
-// release cancels an open offer or ends a running task of the session, and notifies the client once.
+// release cancels an open offer or ends a running task of the session, and notifies the client, because the dispatcher
+// sends no response to a cancel. If there is no such offer or task, the client gets no message.
 func (s *session) release(requestID string) {
 	switch s.front.dispatcher.Cancel(s.front.loop.Now(), s, requestID) {
 	case dispatch.WasOpen:
--- a/internal/grpcfront/session_test.go
+++ b/internal/grpcfront/session_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestSessionsAreBounded asserts that a stream that would open more than maxSessions sessions is ended.
+// TestSessionsAreBounded asserts that a stream that opens a new session is ended if there are maxSessions sessions.
 func TestSessionsAreBounded(t *testing.T) {
 	front, _ := newFront()
 	for i := range maxSessions {
--- a/internal/grpcfront/status_test.go
+++ b/internal/grpcfront/status_test.go
@@ -10,7 +10,8 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// formatStatus returns the text form of a status with the details that a client receives.
+// formatStatus returns the text form of a status error: its code and message and, if present in its details, the
+// retry delay and the retry token.
 func formatStatus(err error) string {
 	s := status.Convert(err)
 	result := fmt.Sprintf("%s: %s", s.Code(), s.Message())
@@ -36,7 +37,7 @@
 		{"started", responseStatus(dispatch.Response{Kind: dispatch.Started}), "OK: "},
 		{"rejected", responseStatus(rejected),
 			"ResourceExhausted: refused: no room for the task in time; it never ran (2500 ms)"},
-		{"rejected without advice", responseStatus(dispatch.Response{Kind: dispatch.Rejected}),
+		{"rejected without a retry delay", responseStatus(dispatch.Response{Kind: dispatch.Rejected}),
 			"ResourceExhausted: refused: no room for the task in time; it never ran (1000 ms)"},
 		{"rejected with a token", withToken(responseStatus(rejected), []byte("t")),
 			"ResourceExhausted: refused: no room for the task in time; it never ran (2500 ms) [t]"},
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -66,7 +66,7 @@
 	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receiveAll(server, st) // ends after Session has returned, because server.Recv then returns an error
+	go f.receiveAll(server, st) // ends at the latest after Session has returned, because server.Recv then fails
 	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
@@ -96,7 +96,7 @@
 }
 
 // receiveAll passes the messages that are received on a stream to the event loop, until Recv or receive returns
-// an error. A receive error ends the stream.
+// an error. An error of Recv is passed to receiveEnd, and an error of receive becomes the final status of the stream.
 func (f *Front) receiveAll(server edgepb.Orchestrator_SessionServer, st *stream) {
 	for {
 		message, err := server.Recv()
@@ -172,7 +172,8 @@
 }
 
 // write sends the messages of the outbox until the stream ends, and returns the status that the stream ends
-// with. Messages that were queued before the end are sent before write returns.
+// with. If end has ended the stream, write first sends the messages that were queued before. If the context of the
+// stream ends or a message cannot be sent, write returns at once and the queued messages are not sent.
 func (st *stream) write(server edgepb.Orchestrator_SessionServer) error {
 	for {
 		if err := st.writePending(server); err != nil {
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -1,10 +1,11 @@
 package grpcfront
 
-// This file owns the retry tokens of the front: the tokens that are issued with rejections, and the tokens that
-// clients present with offers. Tokens are verified outside the event loop, on the goroutine that receives the
-// offer. Tokens for Place are also signed outside the event loop, while tokens for sessions are signed on the
-// event loop. The set of redeemed tokens belongs to the event loop. An offer with an invalid token is treated like
-// an offer without one, and the client must never learn that the token was invalid.
+// This file owns the retry tokens of the front. If the front has keys, it issues a token with each rejection by the
+// dispatcher, and the client presents the token with its next offer of the task. Tokens are verified outside the event
+// loop, on the goroutine that receives the offer. A token in the status of a rejected Place call is signed outside the
+// event loop too, on the goroutine of the call. A token in a Rejection message of a session is signed on the event
+// loop. The set of redeemed tokens belongs to the event loop. An offer with an invalid token is treated like an offer
+// without one, and the client must never learn that the token was invalid.
 
 import (
 	"errors"
@@ -17,19 +18,19 @@
 	"ravenhitch/internal/retrytoken"
 )
 
-// TokenCounts counts the tokens that were presented with offers. Good counts the valid tokens, Early those
-// presented too early for their slot, Expired those presented too late, Used those redeemed before, and Bad all other
-// invalid tokens.
+// TokenCounts counts the tokens that redeem has handled. Good counts the valid tokens, Early and Expired those
+// presented too long before or after their slot (the time at which the client was to return), Used those redeemed
+// before, and Bad all other invalid tokens.
 type TokenCounts struct{ Good, Early, Expired, Used, Bad int64 }
 
 // SetKeys replaces the keys that sign and verify tokens. It may be called from any goroutine.
 func (f *Front) SetKeys(keys *retrytoken.Keys) { f.keys.Store(keys) }
 
-// TokenCounts returns the counts of the tokens presented so far. It must be called on the event loop only.
+// TokenCounts returns the counts of the tokens handled so far. It must be called on the event loop only.
 func (f *Front) TokenCounts() TokenCounts { return f.tokenCounts }
 
 // presentedToken is the result of the verification of the token of an offer. The zero value stands for an offer
-// without a token.
+// without a token, or whose token is ignored because the front has no keys.
 type presentedToken struct {
 	retrytoken.Token
 	presented bool
@@ -50,9 +51,9 @@
 	return presentedToken{token, true, err}
 }
 
-// redeem redeems a token. If the token is valid and was not redeemed before, redeem copies two values from the token to
-// the submission: the time since which the client is on the waitlist, and the number of rejections. redeem runs on the
-// event loop.
+// redeem records the token of an offer as redeemed, unless it is invalid or was redeemed before, and copies two values
+// from it to the submission: the time since which the client is on the waitlist, and the number of rejections. An
+// invalid token and one that was redeemed before are only counted. redeem runs on the event loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -115,7 +115,8 @@
 }
 
 // release cancels an open offer or ends a running task, regardless of the client that submitted it. It returns
-// NotFound if the request is unknown or was not submitted over gRPC. It runs on the event loop.
+// NotFound if the request is unknown, was not submitted over gRPC, or has a task that is already terminating. It
+// runs on the event loop.
 func (f *Front) release(requestID string) dispatch.CancelResult {
 	if !f.dispatcher.IsResumable(requestID) { // unknown, or submitted through the other front (package clientfront)
 		return dispatch.NotFound
