--- a/internal/clientfront/conn_test.go
+++ b/internal/clientfront/conn_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each message gets its expected response on the wire.
+// Each sequence of messages gets the expected responses on the wire.
 func TestMessages(t *testing.T) {
 	front := startFront(t, 10)
 	for _, test := range []struct {
@@ -21,12 +21,12 @@
 			[]string{echoed}},
 		{"unknown verb", []string{`{"verb":"JUMP","tag":"x"}`}, []string{`{"verb":"FINISH","tag":"x","opts":{},"rc":47}`}},
 		{"unknown class", []string{strings.Replace(start(1), `"web"`, `"none"`, 1)}, []string{finish(1, 47)}},
-		{"unreadable cores", []string{strings.Replace(start(1), `cores:1`, `cores:x`, 1)}, []string{finish(1, 47)}},
+		{"cores that are not a number", []string{strings.Replace(start(1), `cores:1`, `cores:x`, 1)}, []string{finish(1, 47)}},
 		{"no description", []string{strings.Replace(start(1), `,"blob":"d"`, ``, 1)}, []string{finish(1, 47)}},
 		{"cancel", []string{start(2), `{"verb":"FINISH","tag":"0000000000000002"}`},
 			[]string{`{"verb":"FINISHED","tag":"0000000000000002","opts":{}}`}},
 		{"duplicate request", []string{start(3), start(3), echo}, []string{finish(3, 34), echoed}},
-		{"duplicate request with an error", []string{start(4), strings.Replace(start(4), `"web"`, `"none"`, 1), echo},
+		{"duplicate of a request, with an unknown class", []string{start(4), strings.Replace(start(4), `"web"`, `"none"`, 1), echo},
 			[]string{finish(4, 34), echoed}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,7 +47,8 @@
 	c.expect(t, finish(32, 34), echoed)
 }
 
-// A malformed message closes the connection after its open requests have been rejected in the order of their IDs.
+// After a malformed message, the front rejects the open requests of the connection in the order of their IDs and then
+// closes the connection.
 func TestMalformedMessageEndsConnection(t *testing.T) {
 	c := startFront(t, 10).dial(t)
 	c.send(t, start(2), start(1), `{"verb":`)
--- a/internal/clientfront/errors.go
+++ b/internal/clientfront/errors.go
@@ -8,7 +8,7 @@
 	"ravenhitch/internal/jsonlines"
 )
 
-// fieldError is the error for a message with an invalid field. It wraps jsonlines.ErrMessage.
+// fieldError is the error for a message with an invalid or missing field. It wraps jsonlines.ErrMessage.
 type fieldError struct {
 	Field string // name of the field on the wire, or its name in a dispatch.ValidationError
 	Value string // received value; empty if the field was absent or failed the dispatcher's validation
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -1,9 +1,10 @@
-// Package clientfront serves clients over the JSON-lines protocol. It reads their submissions, cancels and
-// releases, and writes the dispatcher's responses and completions to them. It makes no decisions about tasks.
+// Package clientfront serves clients over the JSON-lines protocol. It reads the messages in which clients submit or
+// cancel a request or release a task, and writes the dispatcher's responses and completions to the clients. It makes
+// no decisions about tasks.
 package clientfront
 
-// This file owns the set of client connections, the socket that accepts them and the periodic sweep over them. It
-// must never serve more than the configured maximum number of connections.
+// This file owns the set of client connections, the start of listening for them and the periodic sweep over them. The
+// front must never serve more than the configured maximum number of connections.
 
 import (
 	"log/slog"
@@ -23,24 +24,25 @@
 // sweepInterval is the time between two sweeps over the connections and unreported completions.
 const sweepInterval = 250 * millisecond
 
-// Front serves the clients of an orchestrator. It belongs to the event loop: while the loop runs, only code on the
-// loop may use the front.
+// Front serves the clients of an orchestrator. It belongs to the event loop: while the loop runs, only the goroutine
+// of the loop may use the front.
 type Front struct {
 	loop          *eventloop.Loop
 	dispatcher    *dispatch.Dispatcher
 	log           *ratelog.Logger
 	tracer        dispatch.Tracer
 	maxConns      int
-	budget        *descriptors.Budget // nil if there are enough descriptors for all connections
+	budget        *descriptors.Budget // nil if ShareDescriptors was not called
 	idleTimeoutUs int64               // maximum idle time of a connection without open requests, 0 for no limit
 	clients       map[*clientConn]bool
-	latestStarted *clientConn // most recently active connection with a started task, or nil if there is none
+	latestStarted *clientConn // most recently active connection with a started task; nil if there was none or it closed
 	unreported    []unreportedCompletion
 	accepted      uint64 // number of connections accepted so far
 }
 
-// NewFront returns a front that serves at most maxConns connections. The front closes a connection without open
-// requests idleTimeoutUs microseconds after its last message, or never if idleTimeoutUs is 0.
+// NewFront returns a front that serves at most maxConns connections. The front closes a connection that has no open
+// request and has received no message for more than idleTimeoutUs microseconds. If idleTimeoutUs is 0, there is no
+// idle timeout.
 func NewFront(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, maxConns int, idleTimeoutUs int64,
 	log *slog.Logger) *Front {
 	return &Front{loop: loop, dispatcher: dispatcher, maxConns: maxConns, idleTimeoutUs: idleTimeoutUs,
@@ -60,8 +62,8 @@
 // Connections returns the number of connected clients.
 func (f *Front) Connections() int { return len(f.clients) }
 
-// HasUndelivered reports whether the front would lose data if the process ended now: an incomplete message was
-// received, output waits for a client to read it, or a completion waits for a client to connect.
+// HasUndelivered reports whether the front would lose data if the process ended now: only a part of a message was
+// received, the kernel has not accepted all output to a client, or a completion has not been reported.
 func (f *Front) HasUndelivered() bool {
 	if len(f.unreported) > 0 {
 		return true
@@ -75,8 +77,9 @@
 }
 
 // Listen starts to accept clients and returns the address that it listens on. It listens at addr, or on the
-// inherited listening socket fd if fd is above 0. An inherited socket belongs to the platform, which passes the
-// socket on from one process to the next.
+// inherited listening socket fd if fd is above 0. An inherited socket belongs to the platform that starts the
+// orchestrator, which passes the socket on from one process to the next. If its address is not an IPv4 address,
+// Listen returns "".
 func (f *Front) Listen(addr string, fd int) (string, error) {
 	f.loop.After(sweepInterval, f.sweep)
 	accept := func() eventloop.Handler { return &clientConn{front: f, openRequests: map[string]bool{}} }
@@ -86,8 +89,8 @@
 	return f.loop.Listen(addr, admission{f}, accept)
 }
 
-// sweep closes the connections that have timed out and reports the completions that have waited long enough. It runs
-// every sweepInterval for as long as the event loop runs.
+// sweep closes the connections that have timed out, and reports the unreported completions once the oldest of them is
+// overdue. It runs every sweepInterval for as long as the event loop runs.
 func (f *Front) sweep() {
 	now := f.loop.Now()
 	f.closeTimedOut(now)
--- a/internal/clientfront/helpers_test.go
+++ b/internal/clientfront/helpers_test.go
@@ -112,7 +112,7 @@
 func (c *client) expectEnd(t *testing.T) {
 	t.Helper()
 	if rest, err := c.reader.ReadString('\n'); rest != "" || !errors.Is(err, io.EOF) {
-		t.Fatalf("read from a closed connection: got %q and error %v, want nothing and io.EOF", rest, err)
+		t.Fatalf("read at the end of the connection: got %q and error %v, want nothing and io.EOF", rest, err)
 	}
 }
 
@@ -122,7 +122,7 @@
 		`"extras":"cores:1;memory:1"},"blob":"d"}`, id, id)
 }
 
-// finish returns the line of a final response with an outcome code.
+// finish returns the line of a final response or a completion, with the outcome code rc.
 func finish(id, rc int) string {
 	return fmt.Sprintf(`{"verb":"FINISH","tag":"%016x","opts":{},"rc":%d}`, id, rc)
 }
--- a/internal/clientfront/response.go
+++ b/internal/clientfront/response.go
@@ -1,6 +1,7 @@
 package clientfront
 
-// This file owns the encoding of responses and completions, and the choice of the connection on which they are sent.
+// This file owns the encoding of responses and completions. It sends a response on the connection of its request, and
+// leaves the choice of the connection for a completion or migration to reportCompletion.
 
 import (
 	"strconv"
@@ -11,7 +12,7 @@
 )
 
 // Respond implements dispatch.Client. If the connection of the request is closed, a completion or migration is
-// reported on another connection, because a running task is not bound to a connection.
+// reported on another connection or stored until it can be, because a running task is not bound to a connection.
 func (c *clientConn) Respond(response dispatch.Response) {
 	message := encodeResponse(response)
 	switch response.Kind {
--- a/internal/clientfront/response_test.go
+++ b/internal/clientfront/response_test.go
@@ -21,7 +21,7 @@
 			`{"verb":"FINISH","tag":"x","opts":{"wait":"1501"},"rc":34}`},
 		{"failed", dispatch.Response{Kind: dispatch.Failed}, `{"verb":"FINISH","tag":"x","opts":{},"rc":47}`},
 		{"completed", dispatch.Response{Kind: dispatch.Completed, Outcome: placement.Completed}, `{"verb":"FINISH","tag":"x","opts":{},"rc":16}`},
-		{"lost", dispatch.Response{Kind: dispatch.Completed, Outcome: placement.Reset}, `{"verb":"FINISH","tag":"x","opts":{},"rc":41}`},
+		{"ended without completing", dispatch.Response{Kind: dispatch.Completed, Outcome: placement.Reset}, `{"verb":"FINISH","tag":"x","opts":{},"rc":41}`},
 		{"migrated", dispatch.Response{Kind: dispatch.Migrated}, `{"verb":"MOVE","tag":"x","opts":{}}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/clientfront/submission.go
+++ b/internal/clientfront/submission.go
@@ -12,9 +12,9 @@
 	"ravenhitch/internal/jsonlines"
 )
 
-// maxTimeMs is the upper bound, in milliseconds, to which longer times are clamped. The bound fits the dispatcher's
-// clock. It also exceeds the longest time that the dispatcher accepts, so the dispatcher still rejects a clamped
-// time.
+// maxTimeMs is the upper bound, in milliseconds, to which longer times are clamped. Converted to microseconds, the
+// bound fits into an int64. It also exceeds the longest time that the dispatcher accepts, so the dispatcher still
+// rejects a clamped time.
 const maxTimeMs = 1e12
 
 // parseSubmission parses a client's submission. A non-nil error is a *fieldError.
@@ -36,7 +36,7 @@
 	if err := parseRetry(&submission, message.Opt("retry")); err != nil {
 		return submission, err
 	}
-	// The registration of a running task has no timeout, because its client does not wait for a response.
+	// A submission for a task that is already running has no timeout, because its client does not wait for a response.
 	if submission.RunningOn == "" {
 		if err := parseTimeout(&submission, message.Opt("left")); err != nil {
 			return submission, err
--- a/internal/clientfront/submission_test.go
+++ b/internal/clientfront/submission_test.go
@@ -17,7 +17,8 @@
 			{Name: "left", Value: left}, {Name: "extras", Value: extras}}}
 }
 
-// A submission is accepted only if its numbers are valid, and its timeout is converted to microseconds exactly.
+// A submission is accepted only if its numbers are valid, and its timeout is converted to microseconds exactly. Extras
+// with an unknown name are ignored.
 func TestParseSubmission(t *testing.T) {
 	for _, test := range []struct {
 		left, extras string
@@ -48,7 +49,7 @@
 		message := submissionMessage(test.left, test.extras)
 		got, err := parseSubmission(&message)
 		if (err == nil) != test.valid || test.valid && got.TimeoutUs != test.timeoutUs {
-			t.Errorf("test case %+v: got submission %+v and error %v, want the validity and timeout of the test case",
+			t.Errorf("test case %+v: got submission %+v and error %v, want valid and timeoutUs as in the test case",
 				test, got, err)
 		}
 	}
@@ -59,13 +60,13 @@
 	}
 }
 
-// A submission without a valid request ID, a description or a key is rejected as invalid.
+// parseSubmission returns an error for a submission without a valid request ID, a description or a key.
 func TestParseSubmissionIncomplete(t *testing.T) {
 	for name, corrupt := range map[string]func(message *jsonlines.Message){
-		"tag":         func(message *jsonlines.Message) { message.Tag = "9b1f03aa5c7e2d4x" },
-		"no tag":      func(message *jsonlines.Message) { message.Tag = "" },
-		"description": func(message *jsonlines.Message) { message.HasBlob = false },
-		"key":         func(message *jsonlines.Message) { message.Opts[1].Value = "" },
+		"invalid tag":    func(message *jsonlines.Message) { message.Tag = "9b1f03aa5c7e2d4x" },
+		"no tag":         func(message *jsonlines.Message) { message.Tag = "" },
+		"no description": func(message *jsonlines.Message) { message.HasBlob = false },
+		"no key":         func(message *jsonlines.Message) { message.Opts[1].Value = "" },
 	} {
 		message := submissionMessage("1500", validExtras)
 		corrupt(&message)
@@ -75,7 +76,7 @@
 	}
 }
 
-// The error for an invalid submission names the field on the wire and the received value.
+// The error for an invalid submission names the field on the wire, and the received value if it could not be parsed.
 func TestParseSubmissionErrors(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -1,15 +1,15 @@
 package clientfront
 
-// This file owns the choice of the connection on which a completion is reported, and the completions for which no
-// client is connected. Any program may connect, so an open connection does not show that a client is present. On a
+// This file owns the choice of the connection on which a completion is reported, and the completions that cannot be
+// reported yet. Any program may connect, so an open connection does not show that a client is present. On a
 // connection without a task, a completion may therefore be reported only after a ping, which shows that a client is
 // present, or after unreportedWait.
 
 import "ravenhitch/internal/jsonlines"
 
 const (
-	// maxUnreported is the maximum number of completions that wait for a client to connect. Further
-	// completions are dropped.
+	// maxUnreported is the maximum number of unreported completions that are stored. Further completions are
+	// dropped.
 	maxUnreported = 10_000
 	// unreportedWait is the time, in microseconds, for which unreported completions wait for a connection on which a
 	// task is started or adopted or a ping is received. After this time, they are reported on any connection that
@@ -17,15 +17,15 @@
 	unreportedWait = 500 * millisecond
 )
 
-// unreportedCompletion is a completion for which no client is connected.
+// unreportedCompletion is a completion that is stored until it can be reported.
 type unreportedCompletion struct {
-	queuedAt int64  // time at which the completion could not be reported, in microseconds
+	queuedAt int64  // time at which the completion was stored, in microseconds
 	line     []byte // the encoded message
 }
 
 // reportCompletion sends a completion to the client of a request. It uses the connection of the request or, if that
-// connection is closed, the best other connection that had a task. If no connection had a task, the completion is
-// stored until a client connects.
+// connection is closed, the best other connection that had a task. If no open connection had a task, the completion
+// is stored, unless maxUnreported completions are stored already.
 func (f *Front) reportCompletion(origin *clientConn, requestID string, message *jsonlines.Message) {
 	target := origin
 	if !origin.conn.IsUp() {
@@ -67,8 +67,8 @@
 	return c.lastActiveAt > other.lastActiveAt || c.lastActiveAt == other.lastActiveAt && c.number > other.number
 }
 
-// reportOverdue sends the unreported completions on any connection that sent a message, once the oldest of them has
-// waited for longer than unreportedWait.
+// reportOverdue sends the unreported completions on the best connection that sent a message, if there is one and the
+// oldest completion has waited for longer than unreportedWait.
 func (f *Front) reportOverdue(now int64) {
 	if len(f.unreported) == 0 || now-f.unreported[0].queuedAt <= unreportedWait {
 		return
--- a/internal/clientfront/unreported_test.go
+++ b/internal/clientfront/unreported_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A completion is reported to a client that never had a task only after the completion has waited 500 ms for a better
-// connection.
+// If no client had a task and none sends a ping, a completion is reported after 500 ms to a client that has sent a
+// message, and not to one that has sent nothing.
 func TestUnreportedCompletionGoesToAnyClientInTheEnd(t *testing.T) {
 	front := startFront(t, 10)
 	unused, active := front.dial(t), front.dial(t)
--- a/internal/clientfront/usage_test.go
+++ b/internal/clientfront/usage_test.go
@@ -21,7 +21,7 @@
 				t.Errorf("connection %d is evicted before connection %d: got %t, want %t", i, j, got, want)
 			}
 			if got, want := higher.reportsBefore(lower), i < j; got != want {
-				t.Errorf("connection %d reports before connection %d: got %t, want %t", j, i, got, want)
+				t.Errorf("connection %d is preferred for completions to connection %d: got %t, want %t", j, i, got, want)
 			}
 		}
 	}
--- a/internal/jsonlines/append.go
+++ b/internal/jsonlines/append.go
@@ -1,7 +1,7 @@
 package jsonlines
 
-// This file owns the encoding of messages. It must encode a string that Parse has decoded to an equivalent JSON
-// string, including any lone surrogates.
+// This file owns the encoding of messages. For a string that Parse has decoded, it must write a JSON string that
+// decodes to the same value, including any lone surrogates.
 
 import "strconv"
 
--- a/internal/jsonlines/errors.go
+++ b/internal/jsonlines/errors.go
@@ -20,7 +20,7 @@
 // SyntaxError is returned for a line that violates the syntax of a message. It wraps ErrMessage.
 type SyntaxError struct {
 	Expected string // description of the expected element
-	Offset   int    // position of the error in the line, in bytes from 0
+	Offset   int    // position in the line at which the error was found, in bytes from 0
 }
 
 // Error implements the error interface.
--- a/internal/jsonlines/lines.go
+++ b/internal/jsonlines/lines.go
@@ -6,8 +6,8 @@
 
 // ForEachLine calls handle with each complete line of b and returns the number of bytes consumed. Each line is passed
 // without its line feed and without trailing carriage returns and spaces; lines that are then empty are skipped.
-// ForEachLine stops at the first error of handle and returns it. It returns ErrLineTooLong as soon as a line is known to
-// exceed MaxLine bytes, even if the line is still incomplete.
+// ForEachLine stops at the first error of handle and returns it; the line that caused it counts as consumed. It returns
+// ErrLineTooLong as soon as a line is known to exceed MaxLine bytes, even if the line is still incomplete.
 func ForEachLine(b []byte, handle func(line []byte) error) (used int, err error) {
 	for used < len(b) {
 		rest := b[used:]
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -18,7 +18,7 @@
 	VerbEcho     = "ECHO"     // a ping
 	VerbEchoed   = "ECHOED"   // the reply to a ping
 	VerbNotice   = "NOTICE"   // a worker's report on a running task
-	VerbMove     = "MOVE"     // to a client: its running task is migrated, and the client submits the task again
+	VerbMove     = "MOVE"     // to a client: its running task is migrated, so the client must submit the task again
 )
 
 // The outcome codes of a FINISH, which are sent in its member "rc".
@@ -27,15 +27,15 @@
 	CodeCancelled = 31  // from a worker: the task was cancelled before it completed
 	CodeRejected  = 34  // the request was rejected, and a retry is harmless
 	CodeReset     = 41  // to a client: the task ended without completing
-	CodeFailed    = 47  // the request failed, and the task may have run
-	CodeNeverSent = 102 // the request was never sent, and the task never ran
+	CodeFailed    = 47  // the request is invalid, or it failed and the task may have run
+	CodeNeverSent = 102 // from a worker's connection: the offer was never sent, and the task never ran
 )
 
 // Field is one entry of the object "opts" of a message. A numeric value keeps the text that it has on the wire.
 type Field struct{ Name, Value string }
 
 // Message is one message of the protocol. Its strings are decoded JSON strings in UTF-8. A lone surrogate, which
-// has no valid UTF-8 encoding, is stored as three bytes, and Append writes it back as the same escape sequence.
+// has no valid UTF-8 encoding, is stored as three bytes, and Append writes it back as an escape sequence.
 type Message struct {
 	Verb, Tag string // Tag is a request ID, or the ID of a ping
 	Opts      []Field
--- a/internal/jsonlines/message_test.go
+++ b/internal/jsonlines/message_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// For corrupted lines and random bytes, a message that still parses survives encoding and a second parse unchanged.
+// If a corrupted line or random bytes can still be parsed, encoding and parsing the message again does not change it.
 func TestParseCorruptedLines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := messages.Draw(t, "message")
@@ -103,12 +103,13 @@
 	} {
 		m, err := Parse([]byte(c.line))
 		if got := string(encode(&m)); err == nil && got != c.want || (err == nil) != (c.want != "") {
-			t.Errorf("%s: got line %s and error %v, want line %q", c.name, got, err, c.want)
+			t.Errorf("%s: got line %s and error %v, want line %q (empty for an error)", c.name, got, err, c.want)
 		}
 	}
 }
 
-// A syntax error names the expected element and its byte offset. Every parse error wraps ErrMessage.
+// A syntax error names the expected element and the byte offset at which the error was found. Every parse error
+// wraps ErrMessage.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`{"tag":"a"}`, "malformed message: no verb"},
@@ -144,7 +145,7 @@
 	}
 }
 
-// Parsing and re-encoding a message does not make the message longer, except for the appended line feed.
+// Parsing and re-encoding does not make a string longer, so these lines grow only by the appended line feed.
 func TestMessagesDoNotGrow(t *testing.T) {
 	for _, blob := range []string{`\b\f\n\r\t\"\\\/`, `\u0001\ud800`, "é\u007f"} {
 		line := `{"verb":"START","tag":"a","opts":{},"blob":"` + blob + `"}`
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -240,7 +240,8 @@
 	}
 }
 
-// skipValue skips one value of any type. depth is the number of skipped values that enclose it, at most maxDepth.
+// skipValue skips one value of any type. depth is the number of skipped values that enclose it. If depth is above
+// maxDepth, skipValue returns an error.
 func (s *scanner) skipValue(depth int) error {
 	if depth > maxDepth {
 		return s.expected("less nesting")
--- a/internal/retrytoken/codec.go
+++ b/internal/retrytoken/codec.go
@@ -47,7 +47,8 @@
 	return mac.Sum(nil)[:signatureSize]
 }
 
-// Issue encodes and signs a token with the first key. It returns nil if there is no key or a name is too long.
+// Issue encodes and signs a token with the first key. It returns nil if there is no key or a name is too long. The
+// time from IssuedUs to SlotUs is clamped to the range from 0 to a day and rounded down to whole milliseconds.
 func (k *Keys) Issue(t Token) []byte {
 	if !k.IsSet() || len(t.Task) > maxNameSize || len(t.Class) > maxNameSize {
 		return nil
--- a/internal/retrytoken/compat_test.go
+++ b/internal/retrytoken/compat_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The key files and tokens in this file are those of commit 532e1c5, in which tokens were called tickets. The
-// tests guard against a change of the format: orchestrators of different versions run at the same time, and
-// clients present tokens that were issued before an update.
+// The key files and tokens in this file are those of commit 532e1c5, here called the released version, in which
+// tokens were called tickets. The tests guard against a change of the format: orchestrators of different versions
+// run at the same time, and clients present tokens that were issued before an update.
 const (
 	releasedKeys = "[keys]\nkey 2026-12 000102030405060708090a0b0c0d0e0f\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n"
 	releasedOld  = "[keys]\nkey 2026-06 f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n" // only the second key of releasedKeys
@@ -68,7 +68,7 @@
 	}
 }
 
-// A token of the released version fails with ErrUnknownKey once its key is no longer configured.
+// Verifying a token that was signed with a key of releasedKeys fails with ErrUnknownKey if that key is not configured.
 func TestReleasedTokenOfDroppedKey(t *testing.T) {
 	both, old := []byte(releasedKeys), []byte(releasedOld)
 	signer, err := ParseKeys("keys", both)
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -46,8 +46,8 @@
 
 // ParseKeys parses the text of a key file: a section [keys] with one line "key NAME HEX" per key. The first
 // key signs new tokens. To rotate keys, add the new key as the last one at every orchestrator, then make it
-// the first one at every orchestrator, then remove the old key. The error wraps config.ErrLineFile and names
-// the position in the file.
+// the first one at every orchestrator, then remove the old key. The error wraps config.ErrLineFile. It names
+// the position in the file, or only the file if the file has no key.
 func ParseKeys(file string, text []byte) (*Keys, error) {
 	sections, err := config.ParseLines(file, text)
 	if err != nil {
--- a/internal/retrytoken/redeemed.go
+++ b/internal/retrytoken/redeemed.go
@@ -7,9 +7,8 @@
 const maxRedeemed = 16 << 10
 
 // Redeemed remembers the most recently redeemed tokens. The zero value remembers none. Its size is bounded:
-// once it remembers maxRedeemed tokens, each new one replaces the token that was redeemed first. If the
-// replaced token is still valid, it could be redeemed again at this orchestrator, but its task still runs at
-// most once.
+// once it remembers maxRedeemed tokens, each new one replaces the oldest of them. If the replaced token
+// is still valid, it could be redeemed again at this orchestrator, but its task still runs at most once.
 type Redeemed struct {
 	nonces map[uint64]struct{} // nonces of the remembered tokens
 	order  []uint64            // nonces in the order of redemption; a ring buffer once it is full
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -33,8 +33,8 @@
 		QueuedSinceUs: now - 5_000_000, Rejections: 2, Nonce: 42}
 }
 
-// A token is valid only for its task, from EarlyUs before its slot until LateUs after it. Each reason why a
-// token is invalid has its own error.
+// A token is valid only for its task, from EarlyUs before its slot until LateUs after it. The error states why
+// a token is invalid.
 func TestTokenValidity(t *testing.T) {
 	keys := parseKeys(t, oldKey)
 	valid := keys.Issue(sampleToken())
@@ -53,7 +53,7 @@
 		{"early within the tolerance", valid, 3_000_000 - EarlyUs, "", nil},
 		{"early", valid, 3_000_000 - EarlyUs - 1, "", ErrEarly},
 		{"right after issue", valid, 0, "", ErrEarly},
-		{"late", valid, 3_000_000 + LateUs, "", nil},
+		{"late within the tolerance", valid, 3_000_000 + LateUs, "", nil},
 		{"expired", valid, 3_000_000 + LateUs + 1, "", ErrExpired},
 		{"clock set back by a day", valid, -86_400_000_000, "", ErrEarly},
 		{"another task", valid, 3_000_000, "another", ErrMismatch},
@@ -78,7 +78,7 @@
 	}
 }
 
-// A token with any bit flipped does not verify, and an unchanged token decodes to its original contents.
+// A token with any one bit flipped does not verify, and an unchanged token decodes to its original contents.
 func TestSignatureCoversEveryBit(t *testing.T) {
 	keys := parseKeys(t, oldKey)
 	valid := keys.Issue(sampleToken())
@@ -129,7 +129,8 @@
 	}
 }
 
-// The error for an invalid key file names the position and what was expected, and contains no secret.
+// The error for an invalid key file names what was expected, and the position unless the file has no key. It
+// contains no secret.
 func TestInvalidKeys(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"", "expected a section [keys]"},
@@ -148,8 +149,8 @@
 	}
 }
 
-// A token is redeemed only once, even if many other tokens are redeemed in between, and at most maxRedeemed
-// tokens are remembered.
+// A token cannot be redeemed again while fewer than maxRedeemed other tokens were redeemed after it, and at most
+// maxRedeemed tokens are remembered.
 func TestRedeemedOnce(t *testing.T) {
 	var redeemed Redeemed
 	first := sampleToken()
@@ -193,7 +194,7 @@
 	})
 }
 
-// BenchmarkVerify measures the cost of verifying the token of an offer.
+// BenchmarkVerify measures the cost of verifying one token.
 func BenchmarkVerify(b *testing.B) {
 	keys := parseKeys(b, oldKey)
 	valid := keys.Issue(sampleToken())
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -14,7 +14,7 @@
 
 import "errors"
 
-// Reasons why a token is invalid. An offer with an invalid token is treated like an offer without a
+// Reasons why a token is invalid. A submission with an invalid token is treated like one without a
 // token. The reason is not sent to the client, because an attacker who forges tokens must not learn from
 // the errors.
 var (
@@ -55,8 +55,8 @@
 	Nonce         uint64 // differs between tokens of one task
 }
 
-// Check returns nil if the token is valid for a task at now, a Unix time in microseconds. Otherwise the error
-// is ErrMismatch, ErrMalformed, ErrEarly or ErrExpired. The signature of the token must have been verified.
+// Check returns nil if the token is valid for a task of a class at now, a Unix time in microseconds. Otherwise
+// the error is ErrMismatch, ErrMalformed, ErrEarly or ErrExpired. The signature of the token must have been verified.
 func (t *Token) Check(now int64, task, class string) error {
 	switch {
 	case t.Task != task || t.Class != class:
