--- a/internal/eventloop/address.go
+++ b/internal/eventloop/address.go
@@ -10,10 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxQuotedAddr is the maximum number of characters of an invalid address that an error quotes.
+// maxQuotedAddr is the maximum number of characters of an invalid address that [OpError.Target] quotes.
 const maxQuotedAddr = 60
 
-// parseAddr parses an IP address with a port into a socket address and its address family.
+// parseAddr parses an IP address with a port into a socket address and its address family. An IPv4-mapped IPv6 address
+// becomes an IPv4 address. The zone of an IPv6 address is ignored.
 func parseAddr(addr string) (family int, sa unix.Sockaddr, err error) {
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,7 +1,8 @@
 package eventloop
 
-// This file contains the opening and closing of connections. No descriptor of a connection is closed while
-// events are being dispatched. If the user of the package closes a connection, its handler is not notified.
+// This file contains the opening and closing of connections. While events are being dispatched, the descriptors of
+// connections that epoll watches are not closed. If the user of the package closes a connection, its handler is not
+// notified.
 
 import (
 	"golang.org/x/sys/unix"
@@ -11,23 +12,24 @@
 //
 // Opened is called when the connection is established. Data is called with the received bytes that the
 // handler has not used yet, and returns how many of them it has used. The loop keeps the rest and passes it
-// again together with the bytes that it receives next. If Data returns an error, the connection is closed
-// with that error. Closed is called once for every connection that was opened or dialled, except for
-// connections that the user of the package closed or aborted.
+// again together with the bytes that it receives next. Data must not retain b after it returns. If Data returns
+// an error, the connection is closed and that error is passed to Closed. Closed is called once for every
+// connection that was opened or dialled, except for connections that the user of the package closed or aborted
+// and for connections that [Loop.Close] closed.
 type Handler interface {
 	Opened(c *Conn)
 	Data(c *Conn, b []byte) (used int, err error)
 	Closed(c *Conn, err error)
 }
 
-// Drainer may be implemented by a Handler. Drained is called once the kernel has accepted the rest of an output
-// of which it first accepted only a part. For a dialled connection, Drained is also called after Opened if no
-// output is left.
+// Drainer may be implemented by a Handler. If the kernel does not accept all output of a connection at the first
+// attempt, Drained is called once it has accepted the rest. For a dialled connection, Drained is also called after
+// Opened if no output is left.
 type Drainer interface {
 	Drained(c *Conn)
 }
 
-// Conn is a TCP connection that a [Loop] owns. A nil Conn counts as closed.
+// Conn is a TCP connection that a [Loop] owns. [Conn.IsUp] and [Conn.IsClosed] treat a nil Conn as closed.
 type Conn struct {
 	loop      *Loop
 	fd        int
@@ -39,15 +41,19 @@
 	interest    uint32 // epoll events that the descriptor is watched for
 
 	input       []byte // received bytes that the handler has not used yet
-	output      []byte // bytes written by the user that the kernel has not accepted yet
+	output      []byte // bytes passed to Write that the kernel has not accepted yet
 	flushQueued bool   // true if the output will be flushed at the end of this turn
-	awaitsDrain bool   // true if the kernel accepted only a part of the output and has not accepted the rest yet
+	awaitsDrain bool   // true from a write that failed with EAGAIN until notifyDrained finds no output left
 
 	bytesWritten int64
 	bytesSent    int64
 
-	emptyAt    int64 // [Loop.Clock] time at which nothing was left to read, most recently
-	unreadPoll int64 // number of the latest complete poll after which received data may still be unread
+	// emptyAt is the [Loop.Clock] time at which the last read that left nothing unread began. Before the first such
+	// read, it is the emptyAt of the listener for an accepted connection, and 0 for a dialled one.
+	emptyAt int64
+	// unreadPoll is the number that the last complete poll had when a turn last stopped reading the connection
+	// although received data may have been left, or when the connection was accepted.
+	unreadPoll int64
 }
 
 // Dial starts to connect to addr. If the connection is not established within timeoutUs microseconds, it fails
@@ -96,9 +102,10 @@
 	c.drop()
 }
 
-// Abort closes the connection with a TCP reset. The handler is not notified. The reset makes the kernels on
-// both sides discard data that the other side has not read yet. After a close without a reset, the kernels
-// would keep trying to deliver this data, and a message could arrive long after its deadline.
+// Abort closes the connection with a TCP reset. The handler is not notified. The local kernel discards the output
+// that the kernel of the other side has not received yet. After a close without a reset, the local kernel would keep
+// trying to deliver this output, and a message could arrive long after its deadline. If the other side runs on
+// Linux, it can still read what its kernel received before the reset.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
--- a/internal/eventloop/descriptor.go
+++ b/internal/eventloop/descriptor.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// This file contains the operations on descriptors of any kind: opening, watching, counting against the budget and
-// closing. Descriptors of the loop are closed nowhere else.
+// This file contains the operations on descriptors of any kind: opening sockets, watching descriptors, counting them
+// against the descriptor budget and closing them. All descriptors of a loop are closed by closeFD.
 
 import (
 	"golang.org/x/sys/unix"
@@ -32,7 +32,8 @@
 // closeFD closes a descriptor. It ignores an error, because Linux releases the descriptor in any case.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
-// openSocket opens a non-blocking socket of the address family of addr. An error names op as the failed operation.
+// openSocket opens a non-blocking socket of the address family of addr, and returns it with the parsed addr. If the
+// socket cannot be opened, the error names op as the failed operation.
 func openSocket(op string, socketType int, addr string) (fd int, sa unix.Sockaddr, err error) {
 	family, sa, err := parseAddr(addr)
 	if err != nil {
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// listenWithFullQueue returns the address of a socket whose accept queue holds one connection and that never
-// accepts. No connection to it is established after the first.
+// listenWithFullQueue returns the address of a listening socket that never accepts, and whose accept queue has room
+// for one connection. Only the first connection to it is established.
 func listenWithFullQueue(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -4,8 +4,9 @@
 
 import "errors"
 
-// Errors of connections. The loop closes a connection with [ErrTimeout], [ErrEOF] or [ErrOverflow].
-// [Loop.Dial] returns [ErrNoDescriptor] if the budget has no descriptor left.
+// Errors of connections. [Handler.Closed] receives [ErrTimeout], [ErrEOF] or [ErrOverflow], or an [OpError] if a
+// system call failed, or the error that [Handler.Data] returned. [Loop.Dial] returns [ErrNoDescriptor] if the budget
+// has no descriptor left.
 var (
 	ErrTimeout      = errors.New("eventloop: connection not established in time")
 	ErrEOF          = errors.New("eventloop: closed by the other side")
@@ -13,14 +14,14 @@
 	ErrNoDescriptor = errors.New("eventloop: no descriptor left in the budget")
 )
 
-// ErrNotListening means that an inherited descriptor is not a listening socket. It is wrapped in an [OpError], whose
-// text names the package.
+// ErrNotListening means that an inherited descriptor is not a listening socket. Its text does not begin with
+// "eventloop: ", because it is wrapped in an [OpError], whose text begins with this prefix.
 var ErrNotListening = errors.New("expected a listening socket")
 
-// OpError reports a failed operation. It wraps the cause, which is a [unix.Errno] if a system call failed.
+// OpError reports a failed operation. It wraps the cause, such as the [unix.Errno] of a failed system call.
 type OpError struct {
 	Op     string // operation that failed, such as "dial" or "read"
-	Target string // object of the operation, such as an address; "" if the operation needs none
+	Target string // object of the operation, such as an address; "" if none is given
 	Err    error
 }
 
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,8 +1,8 @@
 // Package eventloop implements an event loop on epoll. It owns the epoll descriptor, all sockets, their
 // buffers, the timers and the descriptor budget. One goroutine runs the loop; other goroutines may access
 // the resources of the loop only through [Loop.Post]. The package implements no protocol and never blocks
-// on a socket or on another goroutine. The descriptor of a connection is closed in one place only,
-// [Loop.reap].
+// on a socket. Its only lock protects the posted functions, and is held only while a function is added or all
+// are taken. Once epoll watches a connection, its descriptor is closed in one place only, [Loop.reap].
 //
 // One iteration of the loop is called a turn. Output is sent at the end of the turn, in the order in
 // which connections were first written to. Output that must be sent before all other output of the turn
@@ -26,8 +26,8 @@
 
 	// readBufferSize is the maximum number of bytes that one read of a connection returns.
 	readBufferSize = 64 << 10
-	// defaultMaxBuffered is the maximum number of output bytes that the other side of one connection may leave
-	// unread. SetMaxBuffered replaces this limit.
+	// defaultMaxBuffered is the maximum number of output bytes of one connection that the kernel has not accepted.
+	// SetMaxBuffered replaces this limit.
 	defaultMaxBuffered = 1 << 20
 	// initialEvents is the initial size of the buffer of events, which is the number of ready descriptors
 	// that a poll can report. The buffer grows on demand.
@@ -69,8 +69,9 @@
 	posted     []func() // guarded by mu
 }
 
-// New returns a loop that opens at most maxDescriptors sockets. [Loop.Close] releases the resources of the
-// loop.
+// New returns a loop with a descriptor budget of maxDescriptors sockets. The budget limits how many connections are
+// dialled and accepted. Listening sockets and UDP sockets count against it, but are opened even if it has no
+// descriptor left. [Loop.Close] releases the resources of the loop.
 func New(maxDescriptors int) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -120,14 +121,14 @@
 func (l *Loop) TurnDuration() int64 { return l.turnDuration }
 
 // LastPostAt returns the Unix time, in microseconds, at which the loop last took the functions that other goroutines
-// had posted.
+// had posted. The loop takes them once in every turn, even if there are none.
 func (l *Loop) LastPostAt() int64 { return l.lastPostAt }
 
 // FreeDescriptors returns the number of sockets that may still be opened within the budget.
 func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
-// SetMaxBuffered sets the maximum number of output bytes that the other side of one connection may leave unread,
-// not counting the bytes that the kernel buffers. A connection over the limit is closed with [ErrOverflow].
+// SetMaxBuffered sets the maximum number of output bytes of one connection that the kernel has not accepted. A
+// connection that is over the limit when its output is sent is closed with [ErrOverflow].
 func (l *Loop) SetMaxBuffered(maxBytes int) { l.maxBuffered = maxBytes }
 
 // RunAgain makes the loop start the next turn without waiting for events.
@@ -146,8 +147,9 @@
 	_, _ = unix.Write(l.wakeFD, one[:]) // fails only if the counter is full, and then a wake-up is already pending
 }
 
-// Run runs turns until Stop is called. Each turn handles all ready descriptors, posted functions and expired timers, then
-// calls turn once with the time at which the turn began, and finally sends the output.
+// Run runs turns until Stop is called. It returns an error if a poll fails. Each turn handles the events that its poll
+// reported, the posted functions and the expired timers, then calls turn once with the time at which the turn began,
+// and finally sends the output.
 func (l *Loop) Run(turn func(now int64)) error {
 	events := make([]unix.EpollEvent, initialEvents)
 	for !l.stopping {
@@ -157,7 +159,8 @@
 		}
 		l.runAgain = false
 		l.updateNow()
-		// A full buffer may have omitted ready descriptors, so such a poll is not complete.
+		// A poll that was interrupted or that filled the buffer may have omitted ready descriptors, so it is not
+		// complete.
 		complete := err == nil && n < len(events)
 		if complete {
 			l.polls.recordPoll(l.now)
@@ -218,8 +221,8 @@
 	}
 }
 
-// flushAll sends the output of all connections that were written to in this turn. The sending may call
-// handlers, which may write further output. flushAll sends this output too.
+// flushAll sends the output of all connections that were written to in this turn. It may notify handlers, which may
+// write further output. flushAll sends this output too.
 func (l *Loop) flushAll() {
 	for i := 0; i < len(l.unflushed); i++ {
 		c := l.unflushed[i]
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -14,7 +14,7 @@
 // dialTimeoutUs is a dial timeout, in microseconds, that is longer than any test takes.
 const dialTimeoutUs = 10_000_000
 
-// testHandler is a Handler that reports the events of its connection on channels.
+// testHandler is a Handler that reports the calls of Opened and Closed on channels and passes received bytes to data.
 type testHandler struct {
 	opened chan struct{}
 	closed chan error
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// This file contains the listening sockets: their addresses, and which connections they accept. A connection for
-// which the budget has no descriptor is never accepted; it stays in the kernel's accept queue.
+// This file contains the listening sockets: their addresses, and which connections they accept. While the budget has
+// no descriptor left, no connection is accepted; new connections stay in the kernel's accept queue.
 
 import (
 	"fmt"
@@ -50,8 +50,8 @@
 	emptyAt   int64 // time at which the accept queue was last found empty
 }
 
-// Listen accepts connections at addr while admission permits it. It calls accept for the Handler of each connection,
-// and returns the address that it listens on.
+// Listen accepts connections at addr while admission permits it. It calls accept for the Handler of each connection.
+// It returns the address of the socket, or addr if this is not an IPv4 address.
 func (l *Loop) Listen(addr string, admission Admission, accept func() Handler) (string, error) {
 	fd, sa, err := openSocket("listen", unix.SOCK_STREAM, addr)
 	if err != nil {
@@ -68,7 +68,8 @@
 }
 
 func bindAndListen(fd int, sa unix.Sockaddr) error {
-	// SO_REUSEADDR lets a restarted process bind the address while connections of its predecessor still linger.
+	// SO_REUSEADDR lets a restarted process bind the address while the kernel still holds connections of the previous
+	// process, for example in the TIME_WAIT state.
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return err
 	}
@@ -104,8 +105,9 @@
 	return nil
 }
 
-// Unlisten closes the listening socket at an address that Listen or ListenInherited returned. Connections in its
-// accept queue are left to any other process that has the socket open.
+// Unlisten closes the listening socket whose IPv4 address and port are addr, as Listen or ListenInherited returned it.
+// If addr is "", Unlisten closes all listening sockets that have no IPv4 address. Another process that has the socket
+// open can still accept the connections in the accept queue. Without such a process, the kernel resets them.
 func (l *Loop) Unlisten(addr string) {
 	for fd := range l.listeners {
 		if localAddr(fd, "") == addr {
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -125,7 +125,7 @@
 	})
 	idle, _ := connectThree(t, loop, onLoop)
 	onLoop(func() {
-		for range pairs { // each sends one byte back and forth
+		for range pairs { // on each connection, the two ends echo one byte back and forth
 			c, err := loop.Dial(addr, dialTimeoutUs, newEchoHandler())
 			if err != nil {
 				t.Error(err)
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -15,7 +15,8 @@
 // BytesBuffered returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) BytesBuffered() int { return len(c.output) }
 
-// Write queues a copy of b, which is sent at the end of the turn.
+// Write queues a copy of b, which is sent at the end of the turn, or later if the connection is not established yet.
+// On a closed connection, Write has no effect.
 func (c *Conn) Write(b []byte) {
 	if c.closed {
 		return
@@ -29,8 +30,9 @@
 }
 
 // Flush passes the output written so far to the kernel at once, before the output of other connections in
-// this turn. It reports whether the kernel accepted all of the output. An error is reported to the handler at
-// the end of the turn.
+// this turn. It reports whether the kernel accepted all of the output; on a connection that is closed or not
+// established, it returns false. If sending fails, the output stays queued, and an error is reported to the handler
+// when the loop tries to send it at the end of the turn.
 func (c *Conn) Flush() bool {
 	if c.closed || !c.established {
 		return false
@@ -39,7 +41,8 @@
 	return err == nil && len(c.output) == 0
 }
 
-// flush writes as much of the output as the kernel accepts. If it returns an error, the caller closes the connection.
+// flush writes as much of the output as the kernel accepts. It returns [ErrOverflow] if more than maxBuffered bytes
+// are left. It never closes the connection.
 func (c *Conn) flush() error {
 	for c.established && !c.closed && len(c.output) > 0 {
 		n, err := unix.Write(c.fd, c.output)
@@ -86,7 +89,7 @@
 	}
 }
 
-// notifyDrained calls Drained of a handler that implements Drainer if no output is left.
+// notifyDrained calls Drained if no output is left and the handler implements Drainer.
 func (c *Conn) notifyDrained() {
 	if c.closed || len(c.output) > 0 {
 		return
