--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -1,8 +1,8 @@
 package config
 
 // This file owns the directives of the operators' file: which directives each section accepts,
-// and which settings they set. It must never rename a directive or change the text of an error,
-// because operators know these names and texts.
+// and which settings they set. The names of the directives and the texts of the errors must never
+// change, because operators know them.
 
 import (
 	"fmt"
@@ -18,8 +18,9 @@
 	maxNameLength        = 64 // maximum length of names of members, zones and clusters, in bytes
 	maxTraceSuffixLength = 16 // maximum length of a trace suffix in hex digits: the length of a request ID
 
-	// Bounds of the keepalive time. A completion must be reported within 8 s. If its connection is
-	// found dead, enough of this time must be left to report the completion on another connection.
+	// Bounds of the keepalive time of connections to workers. The maximum is limited because a
+	// completion must be reported within 8 s: if the worker's connection is found dead, enough of
+	// this time must be left to report the completion on another connection.
 	minKeepalive = time.Second
 	maxKeepalive = 5 * time.Second
 
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -1,10 +1,11 @@
 package discovery
 
-// This file owns the set of shards of workers that are assigned to this orchestrator and the subset of them that
-// is active; the orchestrator places tasks in active shards only. A lost shard becomes inactive at once. A gained
-// shard becomes active after discovery has reported the free capacity of its workers: another orchestrator placed
-// tasks there before, so the free capacity that is known from earlier reports may be outdated. Invariant: a shard
-// becomes active in no other way, except that the shards of a new zone are active at once (see update).
+// This file owns the set of worker shards that are assigned to this orchestrator, and the subset of these shards that
+// is active; the orchestrator places tasks in active shards only. A shard that is no longer assigned (a lost shard)
+// becomes inactive at once. A newly assigned shard (a gained shard) becomes active when discovery has answered a poll
+// that named it. Such a poll requests the free capacity of the shard's workers, because the values from earlier
+// reports may be outdated: another orchestrator placed tasks there before. Invariant: a shard becomes active in no
+// other way, except that the shards of a new zone are active at once (see update).
 
 import (
 	"maps"
@@ -18,19 +19,20 @@
 // Assignment returns the shards of a zone that are assigned to this orchestrator.
 type Assignment func(zone string) shard.Bits
 
-// maxLateReportMs replaces pollBlockMs if workers are assigned to orchestrators: it is the maximum time, in
-// milliseconds, that discovery blocks a poll. It is longer than pollBlockMs because discovery may delay events
-// that report only free capacity. The delay does no harm: no other orchestrator places tasks at this
+// maxLateReportMs is the maximum time, in milliseconds, that discovery blocks a poll if shard assignment is enabled.
+// It applies instead of the constant pollBlockMs. It is longer because discovery may delay events that report only
+// free capacity until the end of this time. The delay does no harm: no other orchestrator places tasks at this
 // orchestrator's workers, so this orchestrator can compute the changes of their free capacity itself.
 const maxLateReportMs = 4_000
 
-// shardAssignment tracks the shards that are assigned to this orchestrator and those that are active.
+// shardAssignment tracks the shards that are assigned to this orchestrator and those that are active. If shard
+// assignment is not enabled, the Follower has a nil *shardAssignment, which pollBlockMs, beginPoll and endPoll accept.
 type shardAssignment struct {
 	assigned  Assignment
 	zones     map[string]string // zone of each listed worker, by worker
 	active    shard.Set         // shards in which this orchestrator places tasks
 	wanted    shard.Set         // assigned shards in the zones that were listed so far
-	requested shard.Set         // shards that the poll in flight names
+	requested shard.Set         // shards that the poll in flight names, or the last poll if none is in flight
 }
 
 func newShardAssignment(assigned Assignment) *shardAssignment {
@@ -52,9 +54,10 @@
 	return lost
 }
 
-// update stores the zones of the listed workers. If the list is complete, it deletes the zones of all other
-// workers. The assigned shards of a new zone become active at once: as long as no poll has named a zone, discovery
-// reports the workers of that zone to every orchestrator. update reports whether the list has a new zone.
+// update stores the zones of the workers in a list and deletes those of removed workers. If the list is complete, it
+// also deletes the zones of all workers that are not in the list. The assigned shards of a new zone become active at
+// once: until a poll of this orchestrator has named a zone, discovery reports the free capacity of all workers in the
+// zone to this orchestrator. update reports whether the list has a new zone.
 func (s *shardAssignment) update(workers []config.Worker, complete bool) (hasNewZone bool) {
 	if complete {
 		clear(s.zones)
@@ -78,7 +81,8 @@
 	return hasNewZone
 }
 
-// pollBlockMs returns the maximum time that discovery blocks a poll until there is an event, in milliseconds.
+// pollBlockMs returns the maximum time that discovery blocks a poll, in milliseconds: maxLateReportMs if shard
+// assignment is enabled, otherwise the constant pollBlockMs.
 func (s *shardAssignment) pollBlockMs() int64 {
 	if s == nil {
 		return pollBlockMs
@@ -86,9 +90,11 @@
 	return maxLateReportMs
 }
 
-// beginPoll returns the part of a poll's query that names shards, and records that the poll in flight names the
-// assigned shards. The parameter "shards" names the shards whose free capacity discovery reports. The parameter
-// "fresh" names the gained shards, for which discovery must report the free capacity of every worker.
+// beginPoll returns the parameters that shard assignment adds to a poll's query, and records that the poll in flight
+// names the assigned shards. The parameter "room=late" permits discovery to delay events that report only free
+// capacity. The parameter "shards" names the shards whose changes of free capacity discovery reports. The parameter
+// "fresh" names the gained shards, for which discovery must report the free capacity of every worker, changed or not.
+// beginPoll returns "" if shard assignment is not enabled.
 func (s *shardAssignment) beginPoll() (query string) {
 	if s == nil {
 		return ""
@@ -101,8 +107,8 @@
 	return query
 }
 
-// endPoll is called when the poll in flight was answered. It activates the shards that this poll named and that
-// are still assigned. It reports whether a shard became active.
+// endPoll must be called when the poll in flight has been answered. It activates the shards that this poll named and
+// that are still assigned. It reports whether a shard became active.
 func (s *shardAssignment) endPoll() (gained bool) {
 	if s == nil {
 		return false
@@ -113,7 +119,8 @@
 	return gained
 }
 
-// needsPoll reports whether there are gained shards that the poll in flight does not name.
+// needsPoll reports whether there are assigned shards that are not active yet and that the poll in flight does not
+// name.
 func (s *shardAssignment) needsPoll() bool {
 	return s.wanted.Minus(s.active).Minus(s.requested).Len() > 0
 }
--- a/internal/discovery/assignment_test.go
+++ b/internal/discovery/assignment_test.go
@@ -14,7 +14,8 @@
 	return func(string) shard.Bits { return shards }
 }
 
-// workersIn returns a list of one worker in each of the zones, with distinct names.
+// workersIn returns a list with one worker for each argument, which is the zone of the worker. The names of the
+// workers are distinct, even if a zone is repeated.
 func workersIn(zones ...string) (members []config.Worker) {
 	for i, zone := range zones {
 		members = append(members, config.Worker{Entry: placement.Entry{Worker: zone + string(rune('a'+i)), Zone: zone}})
@@ -23,7 +24,8 @@
 }
 
 // TestShardAssignmentHandover asserts that a lost shard becomes inactive at once, and that a gained shard becomes
-// active only after a poll that named it was answered, provided that it is still assigned then.
+// active only after a poll that named it was answered, provided that it is still assigned then. It also covers the
+// shards of a new zone, the escaping of zone names, and polls without shard assignment.
 func TestShardAssignmentHandover(t *testing.T) {
 	assignment := newShardAssignment(sameInEveryZone(0x0f))
 	if !assignment.update(workersIn("z1", "z2"), true) || assignment.update(workersIn("z2", "z1"), false) {
@@ -45,7 +47,7 @@
 	}
 	expectActive("with shards lost and gained", 0x0c)
 	if assignment.endPoll() || !assignment.needsPoll() {
-		t.Error("after the change, the poll sent before it must gain no shard, and another poll must be needed")
+		t.Error("the response to a poll sent before the change must activate no shard, and another poll must be needed")
 	}
 	const wantQuery = "&room=late&shards=z1:000000000000003c,z2:000000000000003c" +
 		"&fresh=z1:0000000000000030,z2:0000000000000030"
@@ -70,7 +72,7 @@
 	}
 	if !assignment.update(workersIn("z3, 100%"), false) || assignment.active["z3, 100%"] != 0x1c {
 		t.Errorf("after a list with a new zone: got active shards %v, want 001c in the new zone at once, "+
-			"because discovery reports a zone that no poll named completely", assignment.active)
+			"because discovery reports all workers of a zone that no poll has named", assignment.active)
 	}
 	if query := assignment.beginPoll(); !strings.HasSuffix(query, ",z3%252C%2520100%2525:000000000000001c") {
 		t.Errorf("got query %q, want the name of zone %q escaped at its end", query, "z3, 100%")
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -1,16 +1,17 @@
 package discovery
 
-// This file owns the cursor, which is the number of the last event that was applied. It applies events to the
-// scheduler, to the pool of connections to workers and to the shard assignment. Invariant: events are applied in
-// order, and each at most once.
+// This file owns the cursor, which is the number of the last event that was applied, or skipped because it has no list
+// of workers. The functions in this file apply events to the scheduler, to the pool of connections to workers and to
+// the shard assignment. Invariant: events are applied in order, and each at most once.
 
 import (
 	"ravenhitch/internal/config"
 	"ravenhitch/placement"
 )
 
-// Apply applies the events of an update in order. If cached is true, the events come from the configuration, and
-// their information about workers may be outdated.
+// Apply applies the new events of an update in order, and moves the cursor to that of the update unless the cursor is
+// higher already. If cached is true, the events come from the configuration, and their information about workers may
+// be outdated.
 func (f *Follower) Apply(update config.Update, cached bool) {
 	if cached {
 		f.applyCached(update)
@@ -20,7 +21,8 @@
 	f.cursor = max(f.cursor, update.Cursor)
 }
 
-// applyLive passes each event to the scheduler as a separate list.
+// applyLive applies each new event to the pool and the shard assignment, and passes each to the scheduler as a
+// separate list.
 func (f *Follower) applyLive(update config.Update) {
 	now := f.loop.Now()
 	for _, event := range update.Events {
@@ -36,7 +38,8 @@
 	}
 }
 
-// applyCached combines the events of the configuration into one list for the scheduler.
+// applyCached applies each new event of the configuration to the pool and the shard assignment, and passes all of them
+// to the scheduler as one combined list.
 func (f *Follower) applyCached(update config.Update) {
 	var list foldedList
 	for _, event := range update.Events {
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -1,11 +1,12 @@
 // Package discovery is the client of the discovery service, which lists the workers of a fleet. The wire protocol calls
-// the service the command channel. The package polls discovery with HTTP/1.1 long polls, applies each event of the
-// list of workers once and in order, and tracks the shards of workers that are assigned to this orchestrator.
+// the service the command channel. The package polls discovery with HTTP/1.1 long polls, applies each event that
+// changes the list of workers once and in order, and tracks the shards of workers that are assigned to this
+// orchestrator.
 package discovery
 
-// This file owns the connection to discovery and the poll in flight. The follower polls continuously, because an
-// event counts as delivered to the orchestrator as soon as discovery has it. Invariant: the follower never has two
-// polls in flight, never skips an event and never stops polling.
+// This file owns the connection to discovery and the poll in flight. The follower polls continuously, because the
+// orchestrator is expected to know an event as soon as discovery has it. Invariant: the follower never has two polls
+// in flight, never skips an event and never stops polling.
 
 import (
 	"errors"
@@ -27,20 +28,22 @@
 )
 
 const (
-	// pollBlockMs is the maximum time that discovery blocks a poll until there is an event. It is in
-	// milliseconds, which is the unit of the poll's parameter.
+	// pollBlockMs is the maximum time that discovery blocks a poll until there is an event, if shard assignment is
+	// not enabled. It is in milliseconds, the unit of the poll's parameter "block".
 	pollBlockMs = 1_000
 	// responseSlack is the additional time for the response to a poll to arrive. A poll is abandoned if it is not
 	// answered within its maximum blocking time plus responseSlack.
 	responseSlack = 800 * millisecond
-	// redialDelay is the delay before the next dial after a failed dial or a closed connection.
+	// redialDelay is the delay before the next dial after a dial failed, or after a connection was closed by
+	// discovery or because of an error.
 	redialDelay = 100 * millisecond
 	// syncDelay is the maximum time that discovery takes to answer a poll for events that it already has.
-	// Discovery blocks a poll only while it has no event for the poll.
+	// Discovery blocks a poll only while it has no event for the poll, not counting events that it may delay (see
+	// maxLateReportMs).
 	syncDelay = 300 * millisecond
 )
 
-// Follower polls discovery and applies what it reports. It belongs to the event loop.
+// Follower polls discovery and applies the events that discovery reports. It must be used on the event loop only.
 type Follower struct {
 	loop          *eventloop.Loop
 	dispatcher    *dispatch.Dispatcher
@@ -48,7 +51,7 @@
 	log           *ratelog.Logger
 	address       string
 	dialTimeoutUs int64
-	cursor        int64            // number of the last event that was applied
+	cursor        int64            // number of the last event that was applied, or skipped because it has no list
 	conn          *eventloop.Conn  // connection to discovery, open or being dialled; nil if there is none
 	pollTimer     *eventloop.Timer // abandons the poll in flight
 	redialTimer   *eventloop.Timer // starts the next dial
@@ -67,13 +70,15 @@
 		log: ratelog.New(log)}
 }
 
-// Synced reports whether the follower is in sync with discovery: discovery has answered a poll, or more than
-// syncDelay has passed since the first poll, which means that discovery has no event to report.
+// Synced reports whether the follower has been in sync with discovery at least once: discovery has answered a poll, or
+// more than syncDelay has passed since the first poll, which means that discovery had no event to report. The result
+// stays true during a later outage of discovery.
 func (f *Follower) Synced() bool {
 	return f.hasResponse || f.firstPollAt > 0 && f.loop.Now()-f.firstPollAt > syncDelay
 }
 
-// Start dials discovery. The follower polls discovery from the time the connection opens.
+// Start dials discovery. The follower polls discovery from the time the connection opens. If the dial cannot be
+// started, the follower dials again after redialDelay.
 func (f *Follower) Start() {
 	conn, err := f.loop.Dial(f.address, f.dialTimeoutUs, f)
 	if err != nil {
@@ -84,9 +89,9 @@
 	f.conn = conn
 }
 
-// SetAddress changes the address of discovery. The poll in flight is abandoned, because no more events are
-// expected from the old address. The next poll goes to the new address and requests the events after the last one
-// that was applied.
+// SetAddress changes the address of discovery. If the new address differs from the old one, the poll in flight is
+// abandoned, because no more events are expected from the old address. The next poll goes to the new address and
+// requests the events after the cursor.
 func (f *Follower) SetAddress(address string) {
 	if address != f.address {
 		f.address = address
@@ -94,9 +99,9 @@
 	}
 }
 
-// restartIn abandons the poll in flight, closes the connection, and dials again after a delay in microseconds. The
-// next poll requests the events that the abandoned poll did not deliver completely, because the cursor is the number
-// of the last event that was applied.
+// restartIn abandons the poll in flight, closes the connection, and dials again after a delay in microseconds. No event
+// is lost: the next poll requests all events after the cursor, and the cursor moves only when a complete response is
+// applied.
 func (f *Follower) restartIn(delayUs int64) {
 	f.pollTimer.Stop()
 	f.redialTimer.Stop()
@@ -136,10 +141,12 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. If
-// bytes follow the response, they belong to no request, because at most one poll is in flight. Data then sends the
-// next poll on a new connection. On the old one, these bytes would be read as the response to the next poll, and
-// each later response would be matched to the poll after its own.
+// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. It returns
+// an error, which closes the connection, if the response is invalid or its status is not 200. If bytes follow the
+// response, they belong to no request, because at most one poll is in flight. Data then sends the next poll on a new
+// connection. On the old one, these bytes would be read as the response to the next poll, and each later response
+// would be matched to the poll after its own. Data also uses a new connection if the response does not permit another
+// request on the old one.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
 	if err != nil || !complete {
@@ -167,7 +174,8 @@
 	return used, nil
 }
 
-// applyPolled applies the update from the response of the poll in flight, and activates the shards that the poll named.
+// applyPolled applies the update in the response to the poll in flight, and logs the invalid workers that were left out
+// of the update. It activates the shards that the poll named and that are still assigned.
 func (f *Follower) applyPolled(update config.Update) {
 	for _, err := range update.InvalidWorkers {
 		f.log.Warn("invalid worker entry skipped", "err", err)
--- a/internal/discovery/follower_assignment.go
+++ b/internal/discovery/follower_assignment.go
@@ -1,8 +1,8 @@
 package discovery
 
 // This file owns the follower's part of the shard assignment: the follower accepts a new assignment, applies listed
-// workers to it, and publishes the assigned workers to the dispatcher and to the pool of connections to workers.
-// Invariant: the follower publishes only shards that are active in shardAssignment.
+// workers to it, and publishes to the dispatcher and to the pool of connections to workers which workers are in active
+// shards. Invariant: a worker in a shard that is not active in shardAssignment is never published.
 
 import (
 	"ravenhitch/internal/config"
@@ -32,9 +32,12 @@
 	}
 }
 
-// publishAssignment passes the set of assigned workers to the dispatcher and to the pool of connections to workers.
+// publishAssignment passes a predicate to the dispatcher and to the pool of connections to workers. The predicate
+// reports whether a worker is in an active shard.
 func (f *Follower) publishAssignment() {
-	// The pool and the dispatcher call the predicate later, so it must not reflect changes that are not published yet.
+	// The pool and the dispatcher call the predicate later. It uses the current set of active shards, which is replaced
+	// and not modified by later changes, so that it does not reflect changes that are not published yet. The map of zones
+	// is modified in place, so that the predicate knows the zones of workers that are listed later.
 	active, zones := f.assignment.active, f.assignment.zones
 	assigned := func(worker string) bool { return active.Has(zones[worker], worker) }
 	f.pool.SetAssigned(assigned)
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -23,8 +23,9 @@
 // It applies even if discovery does not respond on the connection of the poll in flight.
 const recoveryLimit = 2 * second
 
-// TestUnresponsiveChannelIsPolledInTime asserts that the timeouts of a poll add up to less than recoveryLimit. If the
-// poll in flight is never answered and its connection stays open, only the timer of the poll detects the failure.
+// TestUnresponsiveChannelIsPolledInTime asserts that the timeouts of a poll add up to less than recoveryLimit if shard
+// assignment is not enabled. If the poll in flight is never answered and its connection stays open, only the timer of
+// the poll detects the failure.
 func TestUnresponsiveChannelIsPolledInTime(t *testing.T) {
 	if longest := pollBlockMs*millisecond + responseSlack + redialDelay; longest >= recoveryLimit {
 		t.Errorf("a poll without a response is abandoned and repeated after %d us, want less than %d us",
@@ -106,8 +107,9 @@
 }
 
 // TestChannelBreaksOff asserts that the follower polls again for the same event if discovery closes the connection in
-// the middle of an event or of the head of a response, and then applies the event once. After two responses to one
-// poll, the follower polls on a new connection. A response with a lower cursor changes nothing.
+// the middle of an event or of the head of a response, or if the body is not valid JSON, and that the event is applied
+// when a complete response arrives. A response with a lower cursor changes nothing. After two responses to one poll,
+// the follower applies the first one and polls on a new connection.
 func TestChannelBreaksOff(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	loop, pool, dispatcher := newPool(t)
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -76,7 +76,7 @@
 	return r, bodyAt + length, nil
 }
 
-// head holds the information of the status line and the headers of a response.
+// head holds the information that the parser uses from the status line and the headers of a response.
 type head struct {
 	status   int
 	reusable bool
@@ -104,7 +104,7 @@
 }
 
 // cutLine returns the first line of a head and the rest after the line end. A carriage return marks the end of the
-// line.
+// line. The byte after it is taken for the line feed without a check.
 func cutLine(b []byte) (line string, rest []byte) {
 	end := bytes.IndexByte(b, '\r')
 	if end < 0 {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -1,8 +1,8 @@
 package simwire
 
 // This file contains the reading of batches: lines, the BATCH and FLUSH lines around a batch, and
-// the pages of workers that later messages refer to. It never reads lines beyond the requested
-// batch. The fields of messages and rows are read in messages.go.
+// the pages of workers that later messages refer to. A call of Next never waits for a line after the
+// end of its batch. The fields of messages and rows are read in messages.go.
 
 import (
 	"bufio"
@@ -23,8 +23,8 @@
 type Decoder struct {
 	reader *bufio.Reader
 	pages  [maxPages]page
-	line   int    // number of the last line read
-	seq    string // sequence of the current batch, "-" before the first batch
+	line   int    // number of the last line read, counted from 1
+	seq    string // sequence number of the last batch whose first line was read, "-" before the first batch
 }
 
 // page is a list of workers that ENDPOINTS messages refer to.
@@ -88,7 +88,7 @@
 	for {
 		line, err := d.readInnerLine()
 		if err != nil {
-			return batch, d.syntaxError(fmt.Errorf("expected an event or FLUSH: %w", err))
+			return batch, d.syntaxError(fmt.Errorf("expected a message or FLUSH: %w", err))
 		}
 		if line == "" {
 			continue
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if batch.NowUs != 8412250 || batch.Seq != "12" || len(batch.Items) != 8 {
-		t.Fatalf("first batch: got clock %d, sequence %s, %d items; want 8412250, 12, 8",
+		t.Fatalf("first batch: got clock %d, sequence number %s, %d items; want 8412250, 12, 8",
 			batch.NowUs, batch.Seq, len(batch.Items))
 	}
 	settings := batch.Items[0].Settings
@@ -64,7 +64,7 @@
 		t.Errorf("SAMPLED: got %+v, want utilization 0.62 and 3 queued", got)
 	}
 	if batch, err = decoder.Next(); err != nil || len(batch.Items) != 0 || batch.Seq != "13" {
-		t.Errorf("second batch: got %+v, error %v; want sequence 13 without items", batch, err)
+		t.Errorf("second batch: got %+v, error %v; want sequence number 13 without items", batch, err)
 	}
 	if _, err = decoder.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("Next at the end of the input: got error %v, want %v", err, io.EOF)
@@ -103,7 +103,7 @@
 		"unknown page":    {"BATCH 1 1\nENDPOINTS 3 1 1 7\nFLUSH\n", "never sent"},
 		"page too high":   {"BATCH 1 1\nSNAPSHOT_ROWS 16 0\nFLUSH\n", "out of range"},
 		"missing rows":    {"BATCH 1 1\nSNAPSHOT_ROWS 0 2\nROW 0 - ma s z 1 0 1 1\nFLUSH\n", "expected ROW"},
-		"ends inside":     {"BATCH 1 1\nBELL 3 a\n", "unexpected EOF"},
+		"ends in a batch": {"BATCH 1 1\nBELL 3 a\n", "unexpected EOF"},
 		"ends in a line":  {"BATCH 1 1\nBELL 3", "unexpected EOF"},
 		"bad setting":     {"BATCH 1 1\nENLIST 3 1 FleetSize=many\nFLUSH\n", "FleetSize"},
 		"unequal lists":   {"BATCH 1 1\nENLIST 3 1 " + settingsText + " FamilyInfo.ClassMost=1\nFLUSH\n", "ClassMost"},
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -62,13 +62,14 @@
 	return err
 }
 
-// WriteFault writes a FAULT line, which reports that the scheduler of an instance has failed.
+// WriteFault writes a FAULT line, which reports that the scheduler of an instance could not be created or has failed.
+// text is the reason.
 func (e *Encoder) WriteFault(instance int, text string) error {
 	_, err := fmt.Fprintf(e.w, "FAULT %d %s\n", instance, singleLine(text))
 	return err
 }
 
-// EndReply completes the reply to the batch with sequence seq and flushes it.
+// EndReply completes the reply to the batch with the sequence number seq and flushes it.
 func (e *Encoder) EndReply(seq string) error {
 	if _, err := fmt.Fprintf(e.w, "READY %s\n", seq); err != nil {
 		return err
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -7,7 +7,7 @@
 
 // SyntaxError reports where the input is malformed or cannot be read.
 type SyntaxError struct {
-	Batch string // sequence of the batch, "-" before the first
+	Batch string // sequence number of the last batch whose first line was read, "-" before the first batch
 	Line  int    // line number, starting at 1
 	Err   error
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// next returns the next field, or "" if it is absent.
+// next returns the next field, or "" if it is absent. If no field is left, it stores an error.
 func (f *fields) next() string {
 	if f.read >= len(f.parts) {
 		f.fail("expected more than %d parts", len(f.parts))
@@ -41,7 +41,7 @@
 	return part
 }
 
-// required returns the next field. It stores an error if the field is absent.
+// required returns the next field. It stores an error if the field is absent or empty.
 func (f *fields) required(name string) string {
 	part := f.next()
 	if part == "" {
@@ -50,7 +50,8 @@
 	return part
 }
 
-// int returns the next field as a whole number, or 0 if it is absent.
+// int returns the next field as a whole number, or 0 if it is absent. It stores an error if the field is not a whole
+// number.
 func (f *fields) int(name string) int64 {
 	part := f.next()
 	if part == "" {
@@ -67,7 +68,8 @@
 // the unsigned integer with the same bits.
 func (f *fields) uint(name string) uint64 { return uint64(f.int(name)) }
 
-// float returns the next field as a finite number, or 0 if it is absent.
+// float returns the next field as a number, or 0 if it is absent. It stores an error if the field is not a finite
+// number.
 func (f *fields) float(name string) float64 {
 	part := f.next()
 	if part == "" {
--- a/internal/simwire/load.go
+++ b/internal/simwire/load.go
@@ -12,7 +12,7 @@
 )
 
 // load parses the next field as a load report, which consists of name:value pairs separated by
-// commas. Values that are missing in the report are NaN.
+// commas. Values that are missing in the report are NaN. Pairs with an unknown name are ignored.
 func (f *fields) load() placement.Load {
 	nan := math.NaN()
 	load := placement.Load{FreeCores: nan, FreeMemory: nan, Utilization: nan, Queued: nan}
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -23,7 +23,7 @@
 	return bits&runHintBit != 0, bits&retryBit != 0
 }
 
-// decodeFunc reads the fields of a message that follow the instance, and stores them in item.
+// decodeFunc reads the fields of a message that follow the number of the instance, and stores their content in item.
 type decodeFunc func(d *Decoder, f *fields, item *Item) error
 
 // messageDecoders maps the name of each message to its decodeFunc.
@@ -74,7 +74,8 @@
 }
 
 // decodeEndpoints reads an ENDPOINTS message, which is a list of workers. The message refers to a page that
-// was sent earlier. Only a list of the kind ListFailed has no page.
+// was sent earlier and that contains the entries of the list. In a list of the kind ListFailed, which has no
+// entries, the number of the page is ignored.
 func decodeEndpoints(d *Decoder, f *fields, item *Item) error {
 	kind := f.int("Scope")
 	f.next()
--- a/internal/simwire/messages_test.go
+++ b/internal/simwire/messages_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// TestMessages checks that the fields of each message are decoded in their order on the wire. The expected events
-// were recorded from the build of 1 December 2026.
+// TestMessages checks that the fields of messages are decoded in their order on the wire, which must never change. The
+// expected events are therefore those that the build of 1 December 2026 decoded.
 func TestMessages(t *testing.T) {
 	for _, test := range []struct {
 		line string
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -30,6 +30,6 @@
 // Batch contains the messages of one moment of simulated time, in order.
 type Batch struct {
 	NowUs int64  // the simulator's clock in microseconds
-	Seq   string // sequence of the batch, which the reply repeats
+	Seq   string // sequence number of the batch, which the reply repeats
 	Items []Item
 }
