--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -66,8 +66,9 @@
 	p.order = slices.DeleteFunc(p.order, func(other int) bool { return other == instance })
 }
 
-// reply handles a batch: it starts and stops instances, passes the events to each instance in their
-// order in the batch, and writes the resulting actions.
+// reply handles a batch and writes the reply. It first starts and stops instances, and drops the events of
+// an instance that precede its start or stop in the batch. It then passes the other events to each instance
+// in their order in the batch, and writes the resulting actions.
 func (a *adapter) reply(batch simwire.Batch) error {
 	pending := pendingEvents{events: map[int][]placement.Event{}}
 	for _, item := range batch.Items {
@@ -92,8 +93,8 @@
 	return a.encoder.EndReply(batch.Seq)
 }
 
-// start starts an instance, which replaces any instance with the same number. Invalid settings are
-// reported to the simulator in a FAULT line.
+// start starts an instance, which replaces any instance with the same number. If the scheduler rejects the
+// settings, a FAULT line reports this to the simulator, and no instance with the number is left.
 func (a *adapter) start(item simwire.Item) error {
 	scheduler, err := placement.New(item.Settings, item.Seed)
 	if err != nil {
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -1,9 +1,9 @@
 // Package admin owns the interface by which operators inspect and control a running orchestrator:
-// the connections of operators, the format of admin calls and replies, the figures, and the list of
-// cordoned workers. It must never decide on which worker a task is placed.
+// the connections of operators, the format of admin calls and replies, the figures that a DUMP call
+// returns, and the list of cordoned workers. It must never decide on which worker a task is placed.
 package admin
 
-// This file owns the format of admin calls, and of all replies except the reply with the figures.
+// This file owns the format of admin calls, and of the replies that contain no data: success and errors.
 // It must never carry out a call.
 
 import (
@@ -41,7 +41,7 @@
 // CallError reports a malformed call. Its text is part of the reply.
 type CallError struct {
 	Verb      Verb   // "" if it is missing or unknown
-	Want, Got string // expected and received text; Got is "" if Want alone describes the error
+	Want, Got string // what was expected and received; Got is "" if Want alone describes the error
 }
 
 // Error implements error.
@@ -94,8 +94,8 @@
 // OKReply returns the reply to a call that succeeded.
 func OKReply() []byte { return []byte("+OK\n") }
 
-// ErrorReply returns the reply to a call that failed. It replaces control characters in reason by
-// spaces, so that the reply is a single line.
+// ErrorReply returns the reply to a call that failed. It replaces each character of reason below U+0020,
+// such as a line feed, by a space, so that the reply is a single line.
 func ErrorReply(reason string) []byte {
 	reason = strings.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/admin/cordons.go
+++ b/internal/admin/cordons.go
@@ -1,7 +1,7 @@
 package admin
 
 // This file owns the list of cordoned workers and the format of the file that passes the list from one
-// process to the next. It must never treat an unreadable file as an empty list: that would uncordon
+// process to the next. It must never treat a malformed file as an empty list: that would uncordon
 // workers that an operator cordoned.
 
 import (
@@ -42,7 +42,8 @@
 	return []byte(strings.Join(append(lines, cordonsTrailer, ""), "\n"))
 }
 
-// CordonsError reports an invalid line in the file of cordoned workers.
+// CordonsError reports an invalid line in the file of cordoned workers. If the first line of the file is
+// not the header or the last one not the trailer, Line is the line at which the file ends.
 type CordonsError struct {
 	Path string
 	Line int
--- a/internal/admin/cordons_test.go
+++ b/internal/admin/cordons_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// After any sequence of calls, the encoded and decoded set contains the workers that the calls cordoned.
-// A truncated file gives an error and no set.
+// After any sequence of calls, the encoded and decoded set contains exactly the workers that are still
+// cordoned. A file that is truncated, but not empty, gives an error. An ID of two words gives an error at
+// its line.
 func TestCordons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cordons, want := Cordons(nil), map[string]bool{}
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -1,10 +1,11 @@
 package admin
 
-// This file owns the format of the figures. It must never round or estimate a figure.
+// This file owns the figures that a DUMP call returns, and their format. It must never round or estimate
+// a figure.
 
 import "encoding/json"
 
-// Class counts the responses to requests of one class since the orchestrator started.
+// Class counts the final responses to requests of one class since the orchestrator started.
 type Class struct {
 	OK     int64 `json:"ok"`     // number of started requests
 	Shed   int64 `json:"shed"`   // number of rejected requests
@@ -14,8 +15,8 @@
 // Figures is the content of the reply to Dump.
 type Figures struct {
 	Responses map[string]Class `json:"responses"`    // counts of each class, by the name of the class
-	Attempts  int64            `json:"tries"`        // number of offers sent to workers
-	Active    int              `json:"active"`       // number of requests without a response plus running tasks
+	Attempts  int64            `json:"tries"`        // number of offers sent completely to workers
+	Active    int              `json:"active"`       // number of requests without a final response plus running tasks
 	Pool      int              `json:"pool_size"`    // number of listed workers
 	Ejected   int              `json:"pool_ejected"` // number of listed workers that are cordoned or suspected
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -42,8 +42,8 @@
 	return &Listener{loop: loop, log: ratelog.New(log), handler: handler}
 }
 
-// Listen starts to accept connections at addr and returns the address in use. The event loop closes
-// the socket when the loop ends.
+// Listen starts to accept connections at addr and returns the address that the socket listens on. The
+// event loop closes the socket when the loop is closed.
 func (l *Listener) Listen(addr string) (string, error) {
 	accept := func() eventloop.Handler { return &connection{listener: l} }
 	return l.loop.Listen(addr, admission{l}, accept)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -35,8 +35,8 @@
 // Unwrap returns ErrLineFile.
 func (e *PositionError) Unwrap() error { return ErrLineFile }
 
-// SectionError reports directives of a section of the operators' file that are invalid together. It
-// wraps ErrLineFile.
+// SectionError reports a section of the operators' file whose combination of directives is invalid, such
+// as a certificate without a key. It wraps ErrLineFile.
 type SectionError struct{ File, Section, Want string }
 
 // Error implements error.
--- a/internal/config/flatten.go
+++ b/internal/config/flatten.go
@@ -51,7 +51,8 @@
 	*pairs = append(*pairs, path+"="+strings.Join(scalars, ","))
 }
 
-// join returns the path of the field called name in the object at path.
+// join returns path extended by name after a dot, or name alone if path is empty. The empty path is that
+// of the settings as a whole.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -59,8 +60,8 @@
 	return path + "." + name
 }
 
-// separators replaces the characters that separate pairs and items on the simulator's wire, so that
-// no value contains them.
+// separators replaces spaces and commas in a single value by underscores, because they separate pairs
+// and the items of an array on the simulator's wire.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
 // scalar returns a value in the simulator's wire format, in which "-" stands for null.
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -1,10 +1,10 @@
 package config
 
-// This file owns the syntax of line-based files, which is common for Unix daemons: a section
-// starts with its name in brackets, and each further line contains one directive, a name followed by
-// arguments. # begins a comment, and double quotes allow spaces in a word. The caller interprets the
-// directives; arguments.go converts arguments to values. The parser must never open a file, and each of
-// its errors names the file, the line, the column and the expected text.
+// This file owns the syntax of line-based files, which is common in the configuration of Unix daemons: a
+// section starts with its name in brackets, and each further line contains at most one directive, a name
+// followed by arguments. # begins a comment. A word in double quotes may contain spaces and #, and may be
+// empty. The caller interprets the directives; arguments.go converts arguments to values. The parser must
+// never open a file, and each of its errors names the file, the line, the column and the expected text.
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 const (
 	maxFileSize   = 1 << 20 // bytes
-	maxLineLength = 4 << 10 // bytes
+	maxLineLength = 4 << 10 // bytes, without the line ending
 )
 
 // Word is a word of a line-based file and its position.
@@ -71,8 +71,8 @@
 	return &PositionError{File: p.file, Line: p.line, Column: column, Want: want, Got: got}
 }
 
-// parse parses the current line, which contains a heading, a directive of the last section, or
-// nothing but spaces and a comment.
+// parse parses the current line, of which text is the content without the line ending. The line contains
+// a heading, a directive of the latest section, or no words.
 func (p *lineParser) parse(text string) error {
 	if len(text) > maxLineLength {
 		return p.errorAt(maxLineLength+1, fmt.Sprintf("a line of at most %d bytes", maxLineLength), "")
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -25,7 +25,7 @@
 		}
 		written := writeSections(sections)
 		if strings.ContainsAny(written, "\r") {
-			return // the parser would drop a carriage return at the end of a line as a part of the line ending
+			return // not compared: the parser drops a carriage return before a line feed as part of the line ending
 		}
 		again, err := ParseLines("f", []byte(written))
 		if err != nil {
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -50,13 +50,13 @@
 type Peers struct {
 	Listen, Cluster string
 	Zone            string // zone of this orchestrator, "" for the zone of the configuration
-	Directory       string // path of a directory that survives restarts, or ""
+	Directory       string // path of the directory that stores the number of process starts, or ""
 	Members         []PeerAddress
 	// Partition divides the workers among the live orchestrators: each orchestrator places tasks
 	// only on its own workers, and asks discovery only for the free capacity of these workers.
 	Partition bool
-	// Regions maps each zone to its region. The workers of a zone are divided among the
-	// orchestrators of its region.
+	// Regions maps zones to their regions. The workers of a zone are divided among the
+	// orchestrators of its region. All zones without an entry form one region together.
 	Regions map[string]string
 
 	// Words whose positions validate reports in its errors: the name of the directive
@@ -67,9 +67,10 @@
 
 // WorkerConnections configures how connections to workers are monitored.
 type WorkerConnections struct {
-	// Keepalive is the time without data after which the operating system probes a worker's
-	// connection by TCP keepalive. An answer to the probe proves that the connection is
-	// alive. If Keepalive is 0, only data proves this.
+	// Keepalive is the time without a packet from a worker after which the operating system
+	// sends a TCP keepalive probe. Any TCP acknowledgement from the worker, such as the answer
+	// to the probe, proves that the connection is alive. If Keepalive is 0, only data that the
+	// worker sends proves this.
 	Keepalive time.Duration
 }
 
@@ -79,12 +80,13 @@
 // Backpressure configures Retry-After.
 type Backpressure struct {
 	FixedRetryAfter      time.Duration // Retry-After of all clients; 0: derived from the reserved slot of each client
-	MinRetryAfter        time.Duration // lower bound of Retry-After unless FixedRetryAfter is set
-	MaxRememberedClients int           // maximum number of rejected clients remembered; 0: a default that fits a small host
+	MinRetryAfter        time.Duration // lower bound of a Retry-After that is derived from a reserved slot
+	MaxRememberedClients int           // maximum number of rejected clients remembered; 0: default of package backpressure
 }
 
-// LoadOperatorSettings reads the operators' file. If the file does not exist, it returns the defaults.
-// Its errors wrap ErrConfig.
+// LoadOperatorSettings reads the operators' file. If the file does not exist, it returns the defaults. A
+// path that ends in .json is an error, because the file was JSON in earlier versions. Its errors wrap
+// ErrConfig.
 func LoadOperatorSettings(path string) (OperatorSettings, error) {
 	if strings.HasSuffix(path, ".json") {
 		return OperatorSettings{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf",
@@ -131,7 +133,7 @@
 	return o.Peers.validate()
 }
 
-// validate checks the rules that concern the directives partition, region and member together.
+// validate checks the rules that concern the directives listen, partition, region and member together.
 func (p *Peers) validate() error {
 	switch {
 	case p.Partition && p.Listen == "":
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// The file in the repository and a missing file give the defaults. Each directive is parsed as
-// written. Each error is one line that names the position and the expected text.
+// The file deploy/ravenhitch.conf and a missing file give the defaults. The directives of the text are
+// parsed as written. Each error is one line that names the position or the section, and the expected
+// text. A path that ends in .json gives an error that refers to deploy/ravenhitch.conf.
 func TestOperatorsFile(t *testing.T) {
 	metrics := Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}
 	defaults := OperatorSettings{Graphite: metrics, Collectd: metrics}
@@ -92,8 +93,8 @@
 	}
 }
 
-// The directives about the partition of the workers, its regions and the zones of members are parsed
-// as written, and each error names its position.
+// The directives about the partition of the workers, its regions, the zones of members and the keepalive
+// time of worker connections are parsed as written, and each error names its position.
 func TestPartitionDirectives(t *testing.T) {
 	const peers = "[peers]\nlisten 127.0.0.1:1\ncluster c\n"
 	o, err := ParseOperatorSettings("x", []byte(peers+"member n2 127.0.0.1:2 z2\npartition on\n"+
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,8 +1,8 @@
 // Package config owns the formats of an orchestrator's configuration: the configuration file of the
 // platform and discovery's lists of workers, which are both JSON, and the operators' file. It must
-// never keep state or open any other file. It must also never supply a value for a missing setting,
-// because package simwire defines the meaning of the settings, both on the simulator's wire and in the
-// configuration.
+// never keep state or open any other file. It must also never supply a value for a missing setting of
+// the scheduler, because package simwire defines the meaning of these settings, both on the simulator's
+// wire and in the configuration.
 package config
 
 // This file owns the configuration file of the platform, which it parses with gjson.
@@ -23,9 +23,9 @@
 type Config struct {
 	Name, Listen, DiscoveryAddr string
 	AdminAddr                   string // address for admin calls, or "" for none
-	InheritedFD                 int    // descriptor of an inherited listening socket, or 0
+	InheritedFD                 int    // descriptor of an inherited listening socket, or 0; not set by Parse
 	Seed                        uint64
-	MemoryMB, Sockets           int64 // limits of the process: memory in MB, number of sockets
+	MemoryMB, Sockets           int64 // limits of the process: memory in MB and number of sockets; 0 if missing
 	DialTimeoutUs               int64
 	ConnIdleUs                  int64 // idle time after which a client's connection is closed; 0: never
 	Initial                     Update
@@ -76,7 +76,8 @@
 	return c, nil
 }
 
-// validateAddresses checks that each address has the form address:port.
+// validateAddresses checks that each address has the form address:port. The address for admin calls may
+// also be empty.
 func (c *Config) validateAddresses() error {
 	for _, field := range []struct {
 		name, addr string
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -84,7 +84,7 @@
 	unknownEffect := strings.Replace(nested, "single_shot", "twice", 1)
 	kindWithoutSize := strings.Replace(nested, "[26,63]", "[26]", 1)
 	for name, bad := range map[string]string{
-		"empty": "", "cut": `{"name":`, "no listen": configText("", "127.2.0.1:1", "1", known, nested),
+		"empty": "", "truncated": `{"name":`, "no listen": configText("", "127.2.0.1:1", "1", known, nested),
 		"listen without port": configText("127.0.0.1", "127.2.0.1:1", "1", known, nested),
 		"no channel":          configText("127.0.0.1:1", "", "1", known, nested),
 		"seed":                configText("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
@@ -100,7 +100,8 @@
 	}
 }
 
-// An invalid worker does not hide the valid workers of its event.
+// ParseUpdate returns the valid workers of an event that also contains an invalid worker. A text that is
+// not a JSON object gives an error.
 func TestInvalidWorker(t *testing.T) {
 	const invalidWorker = `{"id":"x","phase":"odd"}`
 	u, err := ParseUpdate([]byte(
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -34,7 +34,7 @@
 // Worker is one entry of a list of workers.
 type Worker struct {
 	placement.Entry
-	Addr string // address:port
+	Addr string // address:port; not validated if the worker is removed
 }
 
 // ParseUpdate parses a response of discovery. Its errors wrap ErrConfig.
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -2,9 +2,9 @@
 // the plain text protocol of its unixsock plugin. Each exporter owns one connection and one
 // goroutine.
 //
-// The package must never make its caller wait. A sample that is offered while an earlier one
-// is still queued is dropped. If a receiver is down or slow, samples are lost, and the
-// rest of the program is not affected.
+// The package must never make its caller wait, except in Close for at most the given timeout. A
+// sample that is offered while an earlier one is still queued is dropped. If a receiver is down
+// or slow, samples are lost, and the rest of the program is not affected.
 package metrics
 
 // This file owns the exporter: its goroutine, its connection, and the count of dropped samples.
@@ -76,7 +76,8 @@
 	}
 }
 
-// Dropped returns the number of samples that were dropped or could not be sent.
+// Dropped returns the number of samples that were dropped or could not be sent, or for which
+// Protocol.Confirm returned an error.
 func (e *Exporter) Dropped() int64 { return e.dropped.Load() }
 
 // Close ends the exporter after the queued sample, if any, is sent or lost. It waits for the end
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// exchange writes a sample and reads its confirmation, both within sendTimeout. The limit keeps a
-// slow receiver from delaying the end of the goroutine, which Close waits for.
+// exchange writes a sample and reads its confirmation, both together within sendTimeout. The limit
+// bounds the time for which a slow receiver delays the end of the goroutine, which Close waits for.
 func (r *receiver) exchange(s Sample) error {
 	if err := r.conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
--- a/internal/metrics/protocol.go
+++ b/internal/metrics/protocol.go
@@ -74,8 +74,9 @@
 	return dst
 }
 
-// Confirm implements Protocol. It returns a *RejectedError if a value was rejected, and a
-// *StatusLineError if the answer to a command does not begin with a status line.
+// Confirm implements Protocol. If collectd rejected values, it returns a *RejectedError with the
+// reason of the last rejection, or nil if collectd gave no reason for it. If an answer does not
+// begin with a status line, it returns a *StatusLineError.
 func (c Collectd) Confirm(r *bufio.Reader, s Sample) error {
 	var rejection string
 	for range s.Figures {
