--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -10,19 +10,20 @@
 // This file owns the record of attempts from the workers' side. It checks one rule and must never check any
 // other rule: at most one attempt of a request is in flight at any time. An attempt is in flight from the
 // arrival of its offer until the worker writes the outcome or reads the cancel, or until the orchestrator closes
-// the connection. If the worker accepts the task, the attempt is in flight until the task completes.
+// the connection. If the worker accepts the task, the attempt is in flight until the task ends. A crash of the
+// worker ends all its attempts.
 
 // AttemptLog records the attempts at all workers that share the log. A test that needs no log uses a nil
 // AttemptLog: recording to it does nothing, but its queries panic.
 type AttemptLog struct {
 	mu         sync.Mutex
 	inFlight   map[string]map[string]attempt // by request ID and worker
-	isClosed   map[string]func() bool        // by connection: reports whether the orchestrator has closed the connection
+	isClosed   map[string]func() bool        // by remote address of a connection: whether the orchestrator closed it
 	offers     map[string]int                // number of offers, by request ID
 	lastOffer  map[string]time.Time          // arrival time of the last offer, by request ID
 	lastWorker map[string]string             // worker that received the last offer, by request ID
 	arrivals   map[string][]Arrival          // arrivals of offers, by worker
-	duplicates []string                      // descriptions of the violations
+	duplicates []string                      // descriptions that Duplicates returns
 }
 
 // Arrival is the arrival of an offer at a worker.
@@ -33,7 +34,7 @@
 
 // attempt is an attempt in flight at a worker.
 type attempt struct {
-	connection string // connection on which the offer arrived, "" if the task is running
+	connection string // remote address of the connection of the offer, "" if the task is running
 	running    bool   // the worker has accepted the task
 }
 
@@ -50,7 +51,7 @@
 }
 
 // offered records that an offer reached a worker. If another attempt of the request is in flight, offered also
-// records a violation.
+// records a violation, which Duplicates returns.
 func (a *AttemptLog) offered(worker, connection, requestID string) {
 	if a == nil {
 		return
@@ -66,7 +67,7 @@
 			continue // the orchestrator has closed the connection: the earlier attempt ended, but its end is not recorded yet
 		}
 		a.duplicates = append(a.duplicates,
-			fmt.Sprintf("%s came to %s while in flight at %s (running there: %v)", requestID, worker, other, earlier.running))
+			fmt.Sprintf("request %s was offered to %s while an attempt was in flight at %s (running there: %v)", requestID, worker, other, earlier.running))
 	}
 	if a.inFlight[requestID] == nil {
 		a.inFlight[requestID] = map[string]attempt{}
@@ -153,7 +154,7 @@
 	}
 }
 
-// OfferCount returns the number of offers of a request.
+// OfferCount returns the number of offers of a request to all workers.
 func (a *AttemptLog) OfferCount(requestID string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -17,17 +17,17 @@
 	Name, Zone, Kind string
 	Cell             int
 	Cores, Memory    float64
-	InspectionTime   [2]time.Duration // minimum and maximum duration of the inspection of one offer
+	InspectionTime   [2]time.Duration // minimum and maximum time from taking an offer off the queue to deciding on it
 	QueueLength      int              // maximum number of offers that wait for inspection
-	MaxStarting      int              // maximum number of tasks that start at the same time
-	// A worker that started at UpSince first runs at the fraction ColdStartRate of full speed. It reaches full speed
-	// after SlowStart. During slow start, the worker stops responding to offers if too many arrive within
-	// OverloadWindow: more than InitialBudget offers, and also more than FallMultiple times the number of tasks that
-	// the worker can start in OverloadWindow.
-	UpSince                                    time.Time // start time of the worker, zero for a worker at full speed
+	MaxStarting      int              // maximum number of tasks that start at the same time, 1 if it is 0
+	// A worker that started at UpSince first starts tasks at the fraction ColdStartRate of full speed. Its speed
+	// rises linearly and reaches full speed after SlowStart. During slow start, the worker stops responding to offers
+	// for good if too many arrive within OverloadWindow: more than InitialBudget offers, and also more than
+	// FallMultiple times the number of tasks that the worker can start in OverloadWindow at its current speed.
+	UpSince                                    time.Time // when the worker started, zero for a worker at full speed
 	ColdStartRate, FallMultiple, InitialBudget float64
 	SlowStart, OverloadWindow                  time.Duration
-	MeanStartTime                              time.Duration // mean start time of a task at full speed
+	MeanStartTime                              time.Duration // mean time that the start of a task takes at full speed
 }
 
 // Observer is notified of events at emulated workers. Its methods may be called from several
@@ -38,14 +38,14 @@
 	Offered(worker, requestID string)
 	Rejected(worker, requestID string)
 	Cancelled(worker, requestID string)
-	// Accepted is called before the acceptance of a task is sent, Started when the task's start time has elapsed, and
-	// Completed before the task's completion is sent.
+	// Accepted is called before the acceptance of a task is sent, Started when the start of the task is complete, and
+	// Completed before the end of the task is reported, also if the task was cancelled.
 	Accepted(worker, key, requestID string, t Task)
 	Started(key string)
 	Completed(key, requestID string)
 }
 
-// capacitySlack is the tolerance for rounding errors in the sum of the tasks' requests.
+// capacitySlack is the tolerance for rounding errors in the sums of the cores and the memory that tasks request.
 const capacitySlack = 1e-9
 
 // CapacityModel is an emulated worker. Each orchestrator connects to it through its own Worker.
@@ -81,7 +81,7 @@
 	worker    *Worker
 	conn      net.Conn // connection on which the offer arrived
 	key       string
-	stop      chan struct{} // closed when the task is cancelled
+	stop      chan struct{} // closed when the orchestrator cancels or releases the task
 	cancelled bool
 }
 
@@ -114,8 +114,8 @@
 	return worker
 }
 
-// offered queues an offer for inspection, or rejects it if the queue is full. An overloaded
-// worker ignores the offer.
+// offered queues an offer for inspection, or rejects it if the queue is full. If the description of the task is
+// invalid, offered reports that the task failed. An overloaded worker ignores all other offers.
 func (m *CapacityModel) offered(conn net.Conn, line Line) {
 	m.observer.Offered(m.Name, line.Tag)
 	m.mu.Lock()
@@ -194,8 +194,8 @@
 	return shortest + time.Duration(m.random.Int64N(int64(longest-shortest)+1)), true
 }
 
-// sleep waits for a duration. It returns false if the cancellation or the end of the model
-// interrupted the wait.
+// sleep waits for a duration. It returns false if the channel cancelled is closed or the model stops before the
+// duration has passed.
 func (m *CapacityModel) sleep(d time.Duration, cancelled <-chan struct{}) bool {
 	select {
 	case <-time.After(d):
@@ -265,7 +265,8 @@
 	m.complete(requestID, task)
 }
 
-// complete frees the capacity of a task and reports its completion to the orchestrator.
+// complete frees the capacity of a task that has completed or was cancelled, and reports the end of the task to the
+// orchestrator.
 func (m *CapacityModel) complete(requestID string, task *runningTask) {
 	m.mu.Lock()
 	delete(m.running, requestID)
@@ -302,7 +303,7 @@
 }
 
 // PeakLoad returns the maximum ratio, during slow start, between the number of offers within an overload window
-// and the number that the worker tolerates in one window. Above 1, the worker was overloaded.
+// and the number that the worker tolerates in one window. A ratio above 1 means that the worker was overloaded.
 func (m *CapacityModel) PeakLoad() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -317,7 +318,7 @@
 }
 
 // ListEntry returns the worker's entry in the list that one orchestrator gets. The address of the entry is that
-// of the given Worker; the phase and the free capacity are the arguments.
+// of the given Worker. The entry states the given phase, and cores and memory as the free capacity.
 func (m *CapacityModel) ListEntry(worker *Worker, phase string, cores, memory float64) string {
 	upSince := int64(0)
 	if !m.UpSince.IsZero() {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -14,7 +14,7 @@
 // Client is the connection of a stand-in client.
 type Client struct {
 	net.Conn
-	Lines chan Line // received messages, closed when the connection ends
+	Lines chan Line // received messages, closed when the connection ends or a message cannot be parsed
 }
 
 // Dial connects a client to addr. The caller closes the connection.
--- a/internal/testbed/conditions.go
+++ b/internal/testbed/conditions.go
@@ -7,8 +7,8 @@
 
 // Conditions are the network conditions of one direction. The zero value is a healthy network.
 type Conditions struct {
-	Cut                      bool          // no data passes, and neither side gets an error
-	Refuse                   bool          // connections are refused, and datagrams are lost
+	Cut                      bool          // datagrams are lost and connections stall, without an error on either side
+	Refuse                   bool          // new connections are refused, open ones are reset, and datagrams are lost
 	Delay, Jitter            time.Duration // the delay is Delay plus a random time of at most Jitter
 	Loss, Duplicate, Reorder float64       // fractions of datagrams that are lost, sent twice, delayed past later datagrams
 	Bandwidth                int           // in bytes per second, 0 for no limit
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -56,8 +56,9 @@
 		d.deadlineUs(webDeadline), d.deadlineUs(relayDeadline), d.deadlineUs(cutDeadline))
 }
 
-// Config returns the configuration of the orchestrator with the given index as JSON. The orchestrator polls
-// discovery at the address channel. It serves admin calls at the address mgmt, or not at all if mgmt is "".
+// Config returns the configuration of the orchestrator with the given index as JSON. The orchestrator takes its
+// initial list of workers from discovery and polls for later events at the address channel. It serves clients at the
+// address listen, and admin calls at the address mgmt, or none if mgmt is "".
 func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed,
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -17,7 +17,7 @@
 // maxPolls is the capacity of Discovery.Polls. Further polls are answered but not recorded.
 const maxPolls = 1000
 
-// Discovery serves the list of workers with the protocol of the command channel.
+// Discovery serves the list of workers to orchestrators that poll it over HTTP, as the discovery service does.
 type Discovery struct {
 	Server *httptest.Server
 	Polls  chan int // receives, for each poll, the number of the last event that the caller has applied
@@ -68,7 +68,8 @@
 	return len(d.events), d.added
 }
 
-// InitialList returns the response to a poll whose caller has applied the first after events.
+// InitialList returns the response to a poll. The number after states how many events the caller has already applied;
+// the response contains the later events.
 func (d *Discovery) InitialList(after int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +92,7 @@
 func (d *Discovery) WaitPolled(t Host) {
 	t.Helper()
 	count, _ := d.state()
-	for Wait(t, "poll of the command channel", d.Polls) < count {
+	for Wait(t, "a poll of discovery for the events after the last one", d.Polls) < count {
 	}
 }
 
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -40,16 +40,16 @@
 	return *l.RC
 }
 
-// FinishLine returns a message with a code.
+// FinishLine returns a message with the given verb, request ID and outcome code.
 func FinishLine(verb, requestID string, rc int) Line {
 	return Line{Verb: verb, Tag: requestID, Opts: map[string]string{}, RC: &rc}
 }
 
-// RequestID returns the nth request ID.
+// RequestID returns the request ID for a number: its 16 hexadecimal digits.
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// StartLine returns the submission of a task that requests one core. The deadline is leftMs milliseconds after the
-// submission.
+// StartLine returns the submission of a task that requests one core and two units of memory. The deadline is leftMs
+// milliseconds after the submission.
 func StartLine(requestID, class, key string, leftMs int) Line {
 	blob := "about " + key
 	return Line{Verb: "START", Tag: requestID, Blob: &blob, Opts: map[string]string{"class": class, "key": key,
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -62,7 +62,8 @@
 }
 
 // Relay opens the path from one process to another. It returns the address that the sending process uses for the
-// receiving process, both for connections and for datagrams.
+// receiving process, both for connections and for datagrams. Datagrams pass at once, but connections are accepted
+// only after the next call of SetAddress, Set or Heal.
 func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,7 +164,7 @@
 	}
 }
 
-// Open reports whether a direction is neither cut nor refuses connections. Flapping and random loss don't count
+// Open reports whether a direction is not cut and does not refuse connections. Flapping and random loss don't count
 // as a cut.
 func (n *Network) Open(from, to string) bool {
 	n.mu.Lock()
@@ -172,7 +173,7 @@
 	return !conditions.Cut && !conditions.Refuse
 }
 
-// Has reports whether there is a path between two processes.
+// Has reports whether there is a path between two processes in at least one direction.
 func (n *Network) Has(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -27,7 +27,7 @@
 	endedAt    time.Time     // time of the last end
 	lines      []string      // log lines of all starts
 	firstLine  int           // index in lines of the first line of the last start
-	logChanged *sync.Cond    // lines has grown, or the process has ended
+	logChanged *sync.Cond    // signalled when lines grows, the process ends, or a wait times out
 }
 
 // Start starts the process. A running process must not be started.
@@ -60,7 +60,7 @@
 		p.logChanged.Broadcast()
 		p.mu.Unlock()
 	}
-	_ = cmd.Wait() // the exit status is ignored, because most processes are killed
+	_ = cmd.Wait() // an error is expected, because most processes are killed; Exit returns the exit code
 	p.mu.Lock()
 	p.endedAt = time.Now()
 	close(ended)
@@ -69,7 +69,7 @@
 }
 
 // WaitForLog waits until the process has logged a line with the given text since its last start. It returns the
-// word that follows the text in this line.
+// word that follows the text in this line, or an error if the process ends first or Timeout passes.
 func (p *Process) WaitForLog(text string) (string, error) {
 	timer := time.AfterFunc(Timeout, func() {
 		p.mu.Lock()
@@ -86,7 +86,7 @@
 				return "", fmt.Errorf("%s: %s ended: %v", errorPrefix, p.Name, p.lines[p.firstLine:])
 			}
 			if !time.Now().Before(deadline) {
-				return "", fmt.Errorf("%s: %s said no %q in %s: %v", errorPrefix, p.Name, text, Timeout, p.lines[p.firstLine:])
+				return "", fmt.Errorf("%s: %s logged no line with %q within %s: %v", errorPrefix, p.Name, text, Timeout, p.lines[p.firstLine:])
 			}
 			p.logChanged.Wait()
 		}
@@ -135,7 +135,7 @@
 	return p.cmd.Process.Pid
 }
 
-// End sends a signal that ends the process and waits for the end.
+// End sends a signal that ends the process and waits for the end. It does nothing if the process does not run.
 func (p *Process) End(s syscall.Signal) {
 	if !p.IsRunning() {
 		return
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// This file owns the path between an orchestrator and one worker: a proxy that a test can delay and partition.
-// During a partition, the proxy behaves like a network:
-//   - Data that a sender writes is held back and arrives once the partition heals. If the sender resets the
-//     connection first, the data is discarded.
-//   - A reset does not reach the other side, where the connection still looks open.
+// This file owns the path between an orchestrator and one worker or discovery: a proxy that a test can delay and
+// partition. The comments call the target of the proxy the worker. During a partition, the proxy behaves like a
+// network:
+//   - Data that a sender writes is held back and arrives once the partition heals. If the orchestrator resets the
+//     connection first, its data is discarded.
+//   - A reset by the orchestrator never reaches the worker, where the connection still looks open.
+//   - A close or a reset by the worker reaches the orchestrator as a close once the partition heals.
 //   - No connection is established.
 
 const (
 	proxyBuffer     = 16 << 10 // maximum size of one read in bytes
-	maxSegments     = 10_000   // maximum number of segments in flight per connection
+	maxSegments     = 10_000   // maximum number of segments per connection that wait to be forwarded
 	normalBacklog   = 1024
 	backlogFullTime = 50 * time.Millisecond // a dial that takes longer shows that the backlog is full
 )
@@ -242,8 +244,8 @@
 	return filler
 }
 
-// segment is the result of one read: the data and its time, or the error that ended the
-// connection.
+// segment is the result of one read from the orchestrator: the time of the read, and either the data or the error
+// that ended the connection.
 type segment struct {
 	at    time.Time
 	bytes []byte
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -158,7 +158,8 @@
 }
 
 // connect connects an accepted connection to the target process, once neither direction is cut, and forwards
-// data in both directions. It returns when both directions have ended.
+// data in both directions. It returns when both directions have ended. If the target process cannot be reached,
+// connect resets the accepted connection.
 func (r *relay) connect(near net.Conn) {
 	defer r.remove(near)
 	if !r.network.waitOpen(r.direction) || !r.network.waitOpen(r.reverse()) {
@@ -194,7 +195,8 @@
 	CloseQuietly(conn)
 }
 
-// copyStream forwards data from source to sink until either ends, then closes both.
+// copyStream forwards data from source to sink until either ends, then closes both. If source ends with an error, for
+// example a reset, copyStream resets sink.
 func (r *relay) copyStream(source, sink net.Conn, d direction) {
 	defer CloseQuietly(sink)
 	defer CloseQuietly(source)
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -43,8 +43,9 @@
 // except is the word in a cut before the name of the process that the cut does not affect.
 const except = "but"
 
-// Arguments of a start or restart. With FolderEmpty, the process finds no stored start counter. With FolderOld, it
-// finds the counter that its first start stored.
+// Arguments of a start or restart. A process stores how often it was started. With FolderEmpty, it finds no stored
+// count. With FolderOld, it finds the count that its first start stored. Without an argument, it finds the count that
+// its last start stored.
 const (
 	FolderEmpty = "empty"
 	FolderOld   = "old"
@@ -101,20 +102,20 @@
 	return false
 }
 
-// Spares reports whether a cut does not affect the paths of a process.
+// Spares reports whether the step is a cut that leaves out the paths of the given process.
 func (s Step) Spares(process string) bool { return len(s.Args) == 2 && s.Args[1] == process }
 
 // Duration returns the argument with the given index, which must be a duration. The step must come from
 // ParseSchedule or DrawSchedule.
 func (s Step) Duration(arg int) time.Duration {
-	d, _ := time.ParseDuration(s.Args[arg]) // ParseSchedule has checked the argument
+	d, _ := time.ParseDuration(s.Args[arg]) // no error: ParseSchedule or DrawSchedule made sure that the argument is valid
 	return d
 }
 
 // Number returns the argument with the given index, which must be a fraction or a count. The step must come from
 // ParseSchedule or DrawSchedule.
 func (s Step) Number(arg int) float64 {
-	number, _ := strconv.ParseFloat(s.Args[arg], 64) // ParseSchedule has checked the argument
+	number, _ := strconv.ParseFloat(s.Args[arg], 64) // no error, as in Duration
 	return number
 }
 
@@ -132,7 +133,7 @@
 
 // ScheduleError describes an invalid step of a schedule.
 type ScheduleError struct {
-	Step          int // number of the step in the schedule, starting at 1
+	Step          int // number of the step in the schedule, starting at 1; empty steps count
 	Expected, Got string
 }
 
@@ -164,7 +165,8 @@
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 }
 
-// parseStep parses one step. If the step is valid, expected is "".
+// parseStep parses one step. If the step is valid, expected is "". Otherwise expected and got describe the error as
+// in a ScheduleError.
 func parseStep(part string) (step Step, expected, got string) {
 	words := strings.Fields(part)
 	var err error
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -13,7 +13,7 @@
 
 const (
 	firstFault       = time.Second             // earliest time of the first fault
-	maxFaultGap      = 1200 * time.Millisecond // maximum time between the starts of two faults
+	maxFaultGap      = 1200 * time.Millisecond // maximum time between two drawn faults, including faults that are left out
 	healBeforeEnd    = 3 * time.Second         // length of the time between the heal step and the end of the schedule
 	minFaultLength   = 2 * time.Second         // minimum time between the last fault and the heal step
 	minKillLength    = 9 * time.Second         // minimum time between a kill and the heal step, so that the kill is detected
@@ -68,8 +68,8 @@
 	kinds := []faultKind{faultKill, faultRestart, faultPause, faultAsymmetricCut, faultLoss, faultFlap, faultDelay, faultZoneCut, faultBridge,
 		faultDuplicate, faultRefuse}
 	shuffle(d.random, kinds)
-	// The first two faults of every schedule are a kill and a cut of one direction of a path. If the schedule is too
-	// short for a kill, draw leaves the kill out.
+	// The first two faults that are drawn are a kill and a cut of one direction of a path. draw leaves the kill out if
+	// the schedule is too short or there are fewer than processesPerKill processes.
 	at := firstFault
 	for _, kind := range append([]faultKind{faultKill, faultAsymmetricCut}, kinds...) {
 		at += time.Duration(d.random.Int64N(int64(maxFaultGap)))
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// This file tests the text form of schedules and their generation from a seed.
+// This file tests the text form of schedules, their generation from a seed and their reduction.
 
 // The same seed must always give the same schedule. The test guards against a change of the order
-// or the bounds of the random draws: the expected schedule was drawn in December 2026.
+// or the bounds of the random draws: it compares with a schedule that an earlier version drew.
 func TestDrawIsStable(t *testing.T) {
 	zones := map[string][]string{"hall-a": {"n0", "n3", "n6"}, "hall-b": {"n1", "n4"}, "hall-c": {"n2", "n5"}}
 	const want = "1.2s cut n1->n0; 1.6s pause n6 2315ms; 2.2s twice all 0.10; 2.2s overtake all 0.10; 2.8s delay all 5ms 20ms; " +
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// This file owns the slow start of an emulated worker. A worker that has just started is slow, and it stops
-// responding to offers for good if it is overloaded during slow start.
+// This file owns the slow start of an emulated worker. A worker that was started a short time ago starts tasks slowly.
+// It stops responding to offers for good if it is overloaded during slow start.
 
-// slowStart counts the offers to a worker during slow start. A worker without a start time runs
+// slowStart counts the offers to a worker during slow start. A worker whose UpSince is zero runs
 // at full speed. The lock of the CapacityModel guards the slowStart.
 type slowStart struct {
 	spec       *WorkerSpec
@@ -18,7 +18,7 @@
 	return !s.spec.UpSince.IsZero() && time.Since(s.spec.UpSince) <= s.spec.SlowStart
 }
 
-// speed returns the current speed of the worker as a fraction of full speed.
+// speed returns the current speed at which the worker starts tasks, as a fraction of full speed.
 func (s *slowStart) speed() float64 {
 	if !s.warmingUp() {
 		return 1
--- a/internal/testbed/sockets.go
+++ b/internal/testbed/sockets.go
@@ -52,7 +52,8 @@
 }
 
 // closedByPeer reports whether the other side of a connection has closed it. It asks the kernel for the state of
-// the socket, so the result does not depend on how much was read from the connection.
+// the socket, so the result does not depend on how much was read from the connection. If the state cannot be read,
+// closedByPeer returns true.
 func closedByPeer(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -24,9 +24,9 @@
 	Kind    string    // kind in the worker's list entry, "std" unless the test sets it
 	Offers  chan Line // received offers, in order; only without a CapacityModel
 	Cancels chan Line // received cancels and releases, in order; only without a CapacityModel
-	// LostOffers receives each offer whose connection closed before the orchestrator released the offer, because
-	// closing a connection cancels its open offers. This includes offers to which the worker responded. If
-	// maxLostOffers offers are waiting in the channel, further offers are dropped.
+	// LostOffers receives each offer whose connection closed before the orchestrator cancelled the offer or released
+	// its task, because closing a connection cancels its open offers. This includes offers to which the worker
+	// responded. If maxLostOffers offers are waiting in the channel, further offers are dropped.
 	LostOffers chan Line
 	// Attempts records the attempts at this worker. It must be set before the first connection;
 	// nil records nothing.
@@ -44,7 +44,7 @@
 	running          map[string]bool     // running tasks, by request ID
 	offerCounts      map[string]int      // number of offers, by the task's key
 	dials            int                 // number of connections accepted
-	unreported       []Line              // completions to send on the next connection
+	unreported       []Line              // reports of ended tasks to send on the next connection
 	unresponsive     bool                // the worker reads messages and ignores them
 	incarnation      int                 // number of crashes
 	connectionEnds   []time.Time         // end times of connections
@@ -110,12 +110,12 @@
 	w.CloseConnections()
 }
 
-// serve handles the messages of a connection until it ends.
+// serve handles the messages of a connection until it ends or a message cannot be parsed.
 func (w *Worker) serve(conn net.Conn) {
 	w.mu.Lock()
 	incarnation := w.incarnation
 	w.mu.Unlock()
-	open := map[string]Line{} // offers on this connection that were not released, by request ID
+	open := map[string]Line{} // offers on this connection without a cancel or release, by request ID
 	defer func() { w.disconnected(conn, open) }()
 	for scanner := bufio.NewScanner(conn); scanner.Scan(); {
 		var line Line
@@ -140,8 +140,8 @@
 	}
 }
 
-// disconnected handles the end of a connection. open contains the offers on the connection that were not
-// released.
+// disconnected handles the end of a connection. open contains the offers on the connection for which the
+// orchestrator sent neither a cancel nor a release.
 func (w *Worker) disconnected(conn net.Conn, open map[string]Line) {
 	w.mu.Lock()
 	delete(w.connections, conn)
@@ -224,8 +224,8 @@
 }
 
 // SendFinish completes a running task and reports the completion as the protocol specifies. The report goes to
-// the connection of the offer, if that connection looks open to the worker, otherwise to any open connection. In
-// both cases, the report is also sent on the next connection.
+// the connection of the offer, if that connection looks open to the worker, otherwise to any open connection. The
+// report is also sent on the next connection, or twice there if no connection was open.
 func (w *Worker) SendFinish(requestID string, rc int) {
 	w.sendEnd(requestID, FinishLine("FINISH", requestID, rc))
 }
@@ -262,8 +262,8 @@
 	}
 }
 
-// SendNotice sends a notice on every open connection. The notice reports that the worker is up
-// and concerns no task.
+// SendNotice sends a notice on every open connection. The notice has the request ID 0, which belongs to no task, and
+// only shows that the worker is alive.
 func (w *Worker) SendNotice() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -280,21 +280,21 @@
 	return w.listener.Addr().String()
 }
 
-// OfferCount returns the number of offers of the task with a key.
+// OfferCount returns the number of offers of the task with the given key. It is 0 for a worker with a CapacityModel.
 func (w *Worker) OfferCount(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.offerCounts[key]
 }
 
-// HasTask reports whether the task of a request is running.
+// HasTask reports whether the task of a request is running. It is false for a worker with a CapacityModel.
 func (w *Worker) HasTask(requestID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.running[requestID]
 }
 
-// TaskCount returns the number of running tasks.
+// TaskCount returns the number of running tasks. It is 0 for a worker with a CapacityModel.
 func (w *Worker) TaskCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
