--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -14,7 +14,7 @@
 // without a response is counted as lost, never as rejected or failed.
 
 const (
-	submissionPause = 5 * time.Millisecond // pause of a client between two tasks
+	submissionPause = 5 * time.Millisecond // pause of a client between a response and its next task
 	redialPause     = 20 * submissionPause // pause of a client after a failed dial
 	clientTimeoutMs = 5000                 // timeout of a request, in milliseconds
 	tasksClass      = "guide-web"
@@ -32,8 +32,8 @@
 	unanswered     []string        // IDs of the requests without a response although their orchestrator ran and was reachable
 }
 
-// SecondCounts counts the tasks whose result was recorded within one second. Lost is the number of requests
-// without a response.
+// SecondCounts counts the tasks whose result was recorded within one second. A response with a Retry-After counts
+// as rejected, any other response except a start as failed, and a request without a response as lost.
 type SecondCounts struct {
 	Started  int `json:"Started"`
 	Rejected int `json:"Refused"`
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -18,11 +18,11 @@
 	// partitionGrace is the time after the end of a partition during which the orchestrators that it separated may
 	// still report each other dead.
 	partitionGrace = 6 * time.Second
-	// restartGrace is a time after the start of an orchestrator. During this time, neither its reports that others
-	// are dead nor reports that it is dead count as false.
+	// restartGrace is the time after the start of an orchestrator during which neither its reports that others are
+	// dead nor reports that it is dead count as false.
 	restartGrace = 3 * time.Second
-	// maxDetection is the maximum time from the stop of an orchestrator until all running orchestrators have
-	// reported it dead.
+	// maxDetection is a limit for the absence of an orchestrator. If the absence is longer, every other orchestrator
+	// that runs in the last sample must have reported the absent one dead during the absence.
 	maxDetection = 9 * time.Second
 	// minAsymmetricCut is a limit for cuts of only one direction of a path. A cut that lasts longer must be reported
 	// by one end of the path, unless the schedule stopped either end.
@@ -42,7 +42,8 @@
 // memberPair identifies the reports of one orchestrator (the reporter) about another one (the subject).
 type memberPair struct{ reporter, subject string }
 
-// absence is the period from the time when a schedule stops an orchestrator until its next start.
+// absence is the period from the time when a schedule stops an orchestrator until the schedule starts it again, or
+// until the last sample if the schedule does not start it again.
 type absence struct{ from, to time.Time }
 
 // evaluation holds the intermediate state from which a verdict is built.
@@ -128,9 +129,9 @@
 	}
 }
 
-// evaluateDeathReport evaluates a report that a member is dead or has left. If the schedule had stopped the
-// member, the first report of each reporter gives its detection time. Otherwise the report is false if the
-// member must be alive.
+// evaluateDeathReport evaluates a report that a member is dead or has left. If the report was sampled during the
+// member's latest absence, it is true, and the first such report of each reporter gives the time that this reporter
+// took to detect the stop. Any other report is false if mustBeAlive returns true, and counts once for each pair.
 func (e *evaluation) evaluateDeathReport(s *sample, pair memberPair, evidence string) {
 	absent, ended := e.absences[pair.subject]
 	if ended && s.at.After(absent.from) && s.at.Before(absent.to) {
@@ -142,13 +143,13 @@
 	if !e.falseDead[pair] && e.mustBeAlive(s, pair) {
 		e.falseDead[pair] = true
 		e.verdict.FalseDead++
-		e.verdict.violation("%.1f s: %s holds %s for dead, which lives: %s", s.at.Sub(e.fleet.startedAt).Seconds(), pair.reporter, pair.subject, evidence)
+		e.verdict.violation("%.1f s: %s reports %s dead although it is alive: %s", s.at.Sub(e.fleet.startedAt).Seconds(), pair.reporter, pair.subject, evidence)
 	}
 }
 
-// mustBeAlive reports whether a report of the subject's death is false. It is false if the subject runs, both
-// orchestrators started more than restartGrace ago, and the reporter has been able to reach the subject for more
-// than partitionGrace.
+// mustBeAlive reports whether the reporter must consider the subject alive, so that a report of the subject's death
+// is false. This is the case if the subject runs, both orchestrators started more than restartGrace ago, and the
+// reporter has been able to reach the subject for more than partitionGrace.
 func (e *evaluation) mustBeAlive(s *sample, pair memberPair) bool {
 	unreachable := e.unreachable[pair]
 	return s.running[pair.subject] &&
@@ -157,9 +158,9 @@
 		(unreachable.IsZero() || s.at.Sub(unreachable) > partitionGrace)
 }
 
-// evaluateDetection counts the changes of views and collects the times in which stopped orchestrators were
-// detected. Each orchestrator that has been stopped for more than maxDetection must have been detected by every
-// orchestrator that runs in the last sample.
+// evaluateDetection counts the changes of views and collects the times in which the orchestrators that run in the
+// last sample detected stopped orchestrators. It counts a missed detection for each of them that did not report an
+// orchestrator dead during an absence longer than maxDetection.
 func (e *evaluation) evaluateDetection() {
 	for reporter, latest := range e.latestView {
 		e.verdict.ViewChanges += latest - e.firstView[reporter]
@@ -174,7 +175,7 @@
 				e.verdict.DetectionTimes = append(e.verdict.DetectionTimes, took)
 			} else if absent.to.Sub(absent.from) > maxDetection {
 				e.verdict.MissedDead++
-				e.verdict.violation("%s never held %s for dead", o.Name, subject)
+				e.verdict.violation("%s never reported %s dead", o.Name, subject)
 			}
 		}
 	}
@@ -239,8 +240,8 @@
 	})
 }
 
-// evaluateAgreement measures the time from the end of all faults to the last sample in which a reported view
-// differs from the set of running orchestrators. A view that still differs in the last sample is a violation.
+// evaluateAgreement measures the time from the latest heal step to the last sample in which a reported view differs
+// from the set of running orchestrators. A view that still differs in the last sample is a violation.
 func (e *evaluation) evaluateAgreement() {
 	for i := range e.fleet.samples {
 		s := &e.fleet.samples[i]
@@ -255,7 +256,7 @@
 			}
 			e.verdict.Disagreement = s.at.Sub(e.fleet.healedAt)
 			if s == e.fleet.lastSample() {
-				e.verdict.violation("at the end %s sees %v, and %v are there", reporter, viewed, running)
+				e.verdict.violation("in the last sample, the view of %s is %v, but the running orchestrators are %v", reporter, viewed, running)
 			}
 		}
 	}
@@ -271,7 +272,8 @@
 	return names
 }
 
-// measureTraffic computes the mean traffic per member from the reports of the last sample.
+// measureTraffic computes the mean number of bytes that a member sent per second, from the reports of the last
+// sample.
 func (e *evaluation) measureTraffic() {
 	end := e.fleet.lastSample()
 	var sent int64
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -20,7 +20,7 @@
 	Zone string
 
 	directory    string // folder of the orchestrator's configuration and stored files
-	address      string // client address of the process itself
+	address      string // address at which the process itself listens for clients
 	adminAddress string
 	peerAddress  string
 	frontAddress string // address of the relay through which clients reach the orchestrator
@@ -34,8 +34,8 @@
 	pausedFor   time.Duration // length of the latest pause
 }
 
-// endpoints holds the names that schedules use for an orchestrator's clients and for its discovery, as ends of
-// the paths to them.
+// endpoints holds the names by which schedules refer to an orchestrator's clients, to its listener for clients
+// (front), and to its discovery. One path leads from clients to front, another from the orchestrator to discovery.
 type endpoints struct{ clients, front, discovery string }
 
 // startsFile is the name of the stored file in which an orchestrator counts its starts.
--- a/internal/testbed/fleet/record.go
+++ b/internal/testbed/fleet/record.go
@@ -2,7 +2,7 @@
 
 // This file builds the record of a rehearsal. For each sample, the record has the state of every orchestrator
 // and the number of other orchestrators that report it alive, suspected or dead. The JSON keys must not change,
-// because the code that draws the timeline reads them.
+// because the sub-command rehearse stores the record in this form.
 
 // OrchestratorState describes one orchestrator in one sample.
 type OrchestratorState struct {
@@ -12,7 +12,7 @@
 	Alive     int    `json:"alive"`     // number of other orchestrators that report it alive
 	Suspected int    `json:"suspected"` // number of other orchestrators that suspect it
 	Dead      int    `json:"dead"`      // number of other orchestrators that report it dead or left
-	ViewSize  int    `json:"sees"`      // number of members in the orchestrator's own stable view
+	ViewSize  int    `json:"sees"`      // number of members in the orchestrator's own stable view, 0 if it sent no report
 }
 
 // Snapshot describes all orchestrators in one sample.
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -1,7 +1,7 @@
 // Package fleet runs a fleet of orchestrators as processes of the real program. Relays on loopback addresses
-// connect them to each other and to workers, clients and discovery, and a schedule injects faults into these
-// paths and processes. The package stops everything that it starts. To decide which rules must hold, it uses the
-// faults that it injected, never the orchestrators' reports about each other.
+// connect them to each other and to workers, clients and discovery, and a schedule injects faults into the relayed
+// traffic and into the processes. The package stops everything that it starts. To decide which rules must hold, it
+// uses the faults that it injected, never the orchestrators' reports about each other.
 package fleet
 
 import (
@@ -19,7 +19,7 @@
 
 // Options configure a fleet.
 type Options struct {
-	Programs      []string // paths of program builds, assigned to the orchestrators round-robin
+	Programs      []string // files of one or more builds of the program, assigned to the orchestrators round-robin
 	Dir           string   // parent directory of the configuration and stored files
 	Orchestrators int      // number of orchestrators
 	Workers       int      // number of workers; 0 means defaultWorkers
@@ -89,7 +89,8 @@
 	return f.network.SetAddress(worker.Name, worker.Addr())
 }
 
-// discardEvents receives and discards the messages that a worker queues for tests.
+// discardEvents receives and discards the offers and cancels that a worker queues for tests, until the fleet shuts
+// down. Otherwise the worker would block when a queue is full.
 func (f *Fleet) discardEvents(worker *testbed.Worker) {
 	for {
 		select {
@@ -113,7 +114,7 @@
 	f.goroutines.Wait()
 }
 
-// orchestrator returns the orchestrator with a name, or nil.
+// orchestrator returns the orchestrator with the given name, or nil if there is none.
 func (f *Fleet) orchestrator(name string) *Orchestrator {
 	i := slices.IndexFunc(f.Orchestrators, func(o *Orchestrator) bool { return o.Name == name })
 	if i < 0 {
--- a/internal/testbed/fleet/sample.go
+++ b/internal/testbed/fleet/sample.go
@@ -13,8 +13,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file takes samples: it requests the membership table of every orchestrator and records the state of the
-// processes and paths at the same time. judge.go evaluates the samples.
+// This file takes samples: it records the state of the processes and paths and immediately afterwards requests the
+// membership table of every running orchestrator. judge.go evaluates the samples.
 
 const (
 	samplePeriod  = 100 * time.Millisecond // time between two samples, and timeout of the dial for a status request
@@ -90,8 +90,8 @@
 	return s
 }
 
-// connected reports whether two orchestrators could reach each other, directly or through other
-// running orchestrators, over paths that are open in both directions.
+// connected reports whether orchestrator b runs and a could reach it, directly or through other running
+// orchestrators, over paths that are open in both directions.
 func (s *sample) connected(a, b string) bool {
 	reached, queue := map[string]bool{a: true}, []string{a}
 	for len(queue) > 0 && !reached[b] {
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -9,8 +9,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file executes the steps of a schedule. It makes no random choices: all of them are made when the schedule is
-// drawn.
+// This file executes the steps of a schedule. It makes no random choices: the random choices of a schedule are made
+// when the schedule is drawn.
 
 // appliedStep is a step and the time at which it was executed.
 type appliedStep struct {
@@ -52,18 +52,18 @@
 	}
 	paths := f.paths(step)
 	if len(paths) == 0 {
-		return fmt.Errorf("%s: expected a->b, a<->b, a hall or all", step)
+		return fmt.Errorf("%s: expected a->b, a<->b, a zone or all", step)
 	}
 	for _, p := range paths {
 		if !f.network.Has(p.from, p.to) {
-			return fmt.Errorf("%s: no way between %s and %s", step, p.from, p.to)
+			return fmt.Errorf("%s: no path between %s and %s", step, p.from, p.to)
 		}
 	}
 	return nil
 }
 
-// RunSchedule executes the steps of a schedule at their times and returns after its length. It reports
-// steps that fail to the host and continues.
+// RunSchedule executes the steps of a schedule at their times and returns once the given length has passed since the
+// call. If a step fails, RunSchedule reports the error to the host and continues.
 func (f *Fleet) RunSchedule(steps []testbed.Step, length time.Duration) {
 	begin := time.Now()
 	for _, step := range steps {
@@ -152,7 +152,8 @@
 }
 
 // applyToProcess executes a step on a process. It ignores a start of a process that already runs, and any other
-// step on a process that does not run. Neither is an error, because a drawn schedule may contain both.
+// step on a process that does not run. Neither is an error, because both occur in schedules that
+// testbed.ShrinkSchedule has shortened, for example a start whose kill was removed.
 func (f *Fleet) applyToProcess(o *Orchestrator, step testbed.Step) error {
 	if (step.Verb == testbed.VerbStart) == o.IsRunning() {
 		return nil
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -11,12 +11,12 @@
 type Verdict struct {
 	Faults             int             // number of steps other than heal and mend
 	FalseDead          int             // number of false reports of death, counted once for each pair of reporter and subject
-	MissedDead         int             // number of missing reports of death, one for each pair of running and stopped orchestrator
+	MissedDead         int             // number of missing reports of death, one for each pair of reporter and subject
 	AsymmetricCuts     int             // number of cuts of one direction that must be detected
 	AsymmetricDetected int             // number of the cuts counted in AsymmetricCuts that either end of the path reported
 	ViewChanges        int64           // changes of the stable view, summed over all orchestrators
-	DetectionTimes     []time.Duration // times from the stop of an orchestrator to its detection by each other orchestrator, sorted
-	Disagreement       time.Duration   // time from the end of all faults to the last sample with a wrong view
+	DetectionTimes     []time.Duration // times from stop to detection, sorted, one for each pair of subject and reporter
+	Disagreement       time.Duration   // time from the latest heal step to the last wrong view, 0 if there is none
 	TrafficRate        float64         // mean number of bytes that a member sent per second
 	Violations         []string        // one line for each violation of a rule
 }
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -48,7 +48,7 @@
 
 // poll is a request of an orchestrator for the events that follow a cursor.
 type poll struct {
-	base          int       // revision of the last event before the orchestrator's latest start; cursor c means revision base + c
+	base          int       // revision of the orchestrator's initial list minus 1; cursor c means revision base + c
 	after         int       // cursor of the last event that the orchestrator has applied
 	shards        shard.Set // shards, by zone, for whose workers the poll requests changes of free capacity
 	delayCapacity bool      // if only free capacity changed, the answer may wait until the poll times out
@@ -183,7 +183,8 @@
 }
 
 // answer returns the answer to a poll. If there is nothing to send yet, the answer is "", and the returned
-// channel added is closed when the next event is added. cursor is the cursor of the last event.
+// channel added is closed when the next event is added. cursor is the cursor of the last event, or that of the poll
+// if it is higher.
 func (d *Discovery) answer(p *poll) (answer string, cursor int, added <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -199,8 +200,8 @@
 	return answerText(cursor, eventText(cursor, d.revision, false, entries)), cursor, nil
 }
 
-// entriesSince returns, for each worker whose entry answers a poll and changed after a revision, its latest
-// entry. urgent is true if the state of any of these workers changed. The caller holds the lock.
+// entriesSince returns the entries for a poll from the events after a revision. For each worker, this is the latest
+// entry that the poll wants. urgent is true if the state of any of these workers changed. The caller holds the lock.
 func (d *Discovery) entriesSince(revision int, p *poll) (texts []string, urgent bool) {
 	indexes := map[*Worker]int{}
 	for _, e := range d.events {
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -1,7 +1,8 @@
-// Package hollow provides hollow workers, which run no tasks, so that thousands of them fit into one process.
-// Each worker has its own listener on a loopback address, answers offers, pings and releases according to the
-// protocol, accounts for its capacity and completes a task after its run time. The package also provides a
-// stand-in for discovery that lists the workers. A program that serves clients must not include this package.
+// Package hollow provides hollow workers, which accept tasks but execute nothing, so that thousands of them fit into
+// one process. Each worker has its own listener on a loopback address, answers offers, pings and releases according
+// to the protocol, accounts for its capacity and reports a task as complete after its run time. The package also
+// provides a stand-in for discovery that lists the workers. A program that serves clients must not include this
+// package.
 package hollow
 
 import (
--- a/internal/testbed/hollow/subscription.go
+++ b/internal/testbed/hollow/subscription.go
@@ -25,8 +25,8 @@
 	goroutines sync.WaitGroup
 
 	mutex      sync.Mutex
-	base       int // revision of the last event before the orchestrator's latest start
-	lastPolled int // revision of the last event that the orchestrator had applied at its latest poll
+	base       int // revision of the initial list of the orchestrator's latest start, minus 1
+	lastPolled int // revision of the last event that the orchestrator had applied at its latest poll or start
 }
 
 // Subscribe opens a command channel for one orchestrator.
@@ -41,8 +41,8 @@
 	return s, nil
 }
 
-// serve serves polls until Close. It ignores any other error of the server, because the test notices that polls
-// get no answer.
+// serve serves polls until Close. It ignores the error of Serve: after Close, an error is expected, and if the server
+// fails earlier, the test notices that polls get no answer.
 func (s *Subscription) serve() { _ = s.server.Serve(s.listener) }
 
 // Close closes the command channel and waits until its server has ended.
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// addConnection adds a connection and returns the completions to send on it. It returns all unreported
-// completions, including completions for other orchestrators, because the worker does not know yet which orchestrator
-// opened the connection.
+// addConnection adds a connection and returns the completions to send on it. These are all completions that are not
+// older than completionRetention, including completions for other orchestrators, because the worker does not know yet
+// which orchestrator opened the connection.
 func (w *Worker) addConnection(c *connection) (lines []testbed.Line) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -113,8 +113,9 @@
 	}
 }
 
-// complete frees the capacity of a task and reports its completion. The report goes to the connections
-// that reportConnections returns, and to each connection opened within completionRetention.
+// complete ends a task, frees its capacity and reports its completion or, with codeCancelled, confirms its cancel. The
+// report goes to the connections that reportConnections returns, and to each connection opened within
+// completionRetention. complete does nothing if the worker does not run the task or is unresponsive.
 func (w *Worker) complete(requestID string, code int) {
 	now := time.Now()
 	line := testbed.FinishLine("FINISH", requestID, code)
--- a/internal/testbed/nettest/nettest.go
+++ b/internal/testbed/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest provides TCP listeners and connections for tests. Each is closed at the end of its test, and the
-// test fails if the close fails.
+// Package nettest provides TCP listeners and connections for tests. Each is closed at the end of its test, unless the
+// test has already closed it. The test fails if the close fails.
 package nettest
 
 import (
@@ -33,7 +33,8 @@
 	return conn
 }
 
-// Accept returns the next connection of a listener. Reads from it fail after [testbed.Timeout].
+// Accept returns the next connection of a listener. All reads from the connection fail once [testbed.Timeout] has
+// passed since it was accepted.
 func Accept(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
 	conn, err := listener.Accept()
@@ -47,8 +48,8 @@
 	return conn
 }
 
-// CloseAtEnd calls closeFunc at the end of the test. The test fails if closeFunc returns an error other than
-// net.ErrClosed, which means that the test has closed the socket itself.
+// CloseAtEnd calls closeFunc at the end of the test. The test fails if closeFunc returns an error. Only net.ErrClosed
+// is ignored, because it means that the test has already closed the socket.
 func CloseAtEnd(t *testing.T, closeFunc func() error) {
 	t.Helper()
 	t.Cleanup(func() {
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -42,8 +42,8 @@
 	w.unresponsive = true
 }
 
-// BecomeUnreachable makes the worker behave as after a power failure: new connections are refused, and open
-// connections stay open without a response.
+// BecomeUnreachable emulates a power failure of the worker's host: open connections stay open, but the worker
+// ignores all messages. New connections are refused, although a host without power would not answer them at all.
 func (w *Worker) BecomeUnreachable() {
 	w.mu.Lock()
 	w.unresponsive = true
@@ -67,8 +67,9 @@
 	}
 }
 
-// ForgetConnections makes the worker treat its open connections as lost, without closing them, and waits for
-// a new connection.
+// ForgetConnections makes the worker report completions only on new connections, as if it had lost the open ones.
+// The open connections are not closed, and the worker still answers messages on them. ForgetConnections returns
+// when the worker has accepted a new connection.
 func (w *Worker) ForgetConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,8 +80,8 @@
 	}
 }
 
-// isResponsive reports whether the worker still handles messages that arrive for an incarnation. It does not if
-// it hangs or has crashed since this incarnation started.
+// isResponsive reports whether the worker handles the messages of a connection that it accepted in the given
+// incarnation. It does not if it hangs or is unreachable, or if it has crashed since then.
 func (w *Worker) isResponsive(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// This file owns the responses to offers of a stand-in worker without a CapacityModel.
+// This file owns the responses that a stand-in worker without a CapacityModel gives to offers.
 
 // answerByScript responds to an offer according to the script, which is the first word of the task's key. It
 // reports whether the connection is still open. The scripts are:
@@ -15,10 +15,12 @@
 //   - error- reports that the task failed.
 //   - silent- and any unknown word give no response.
 //   - reset- resets the connection.
-//   - missed- acts as silent- at the first attempt of a request and as ok- at later attempts, at any worker.
-//   - half- and bare- give an invalid response at the first offer of a task and accept later offers. The
-//     invalid response is half a message (half-) or a message without its blob (bare-).
-//   - twice- sends two responses to a request that was never sent, and then the acceptance twice.
+//   - missed- acts as silent- at the first attempt of a request and as ok- at later attempts. Attempts at all
+//     workers that share the AttemptLog count.
+//   - half- and bare- give an invalid response to the worker's first offer with this key and accept later offers,
+//     but never run the task. The invalid response is half a message (half-) or a message without its blob (bare-).
+//   - twice- sends two responses to a request that was never offered, and then the acceptance of the offer twice.
+//     It does not run the task.
 //   - brief- completes the task before its acceptance: one message reports both.
 //   - held- runs the task and never sends the acceptance.
 func (w *Worker) answerByScript(conn net.Conn, line Line) (open bool) {
