--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -19,7 +19,8 @@
 
 const (
 	// connectionsEach is the number of client connections to each orchestrator. It must not exceed a third of the
-	// orchestrator's descriptor limit, because an orchestrator accepts no more client connections.
+	// orchestrator's descriptor budget, because the orchestrator's optional connections to workers leave only this
+	// share to clients (see package descriptors).
 	connectionsEach = 40
 	// dialTimeout limits the time for which a client waits for an orchestrator that accepts no connections.
 	// writeTimeout limits the time for which it waits for an orchestrator that reads no data.
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// read handles the messages that the orchestrator sends until the connection ends.
+// read handles the messages from the orchestrator until the connection ends or a message is malformed. It then
+// closes the socket.
 func (c *connection) read(socket net.Conn) {
 	for scanner := bufio.NewScanner(socket); scanner.Scan(); {
 		var line testbed.Line
@@ -170,7 +172,7 @@
 
 // cancel sends the cancellation of a request.
 func (c *connection) cancel(requestID string) {
-	// If the write fails, the connection has ended, and its end cancels the request.
+	// A write error is ignored. It usually means that the connection has ended, and its end cancels the request.
 	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded))
 }
 
@@ -179,7 +181,7 @@
 	rig     *rig
 	mutex   sync.Mutex
 	random  *rand.Rand
-	sent    []int // number of tasks submitted to each orchestrator, by its index
+	sent    []int // number of submissions to each orchestrator, including retries, by its index
 	stopped bool
 }
 
@@ -187,8 +189,8 @@
 	return &clients{rig: r, random: rand.New(rand.NewPCG(r.options.seed, 31)), sent: make([]int, r.options.orchestrators)}
 }
 
-// leastUsed returns the orchestrator to which the fewest tasks have been submitted so far. It considers only
-// orchestrators whose field admitted is true, and returns nil if there are none.
+// leastUsed returns the orchestrator that has got the fewest submissions so far. It considers only orchestrators
+// whose field admitted is true, and returns nil if there are none.
 func (c *clients) leastUsed() *orchestrator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -230,8 +232,9 @@
 	}
 }
 
-// retry submits a task again after a pause plus random jitter. If the task already runs, the response to an
-// earlier request was lost with its connection. In this case, retry registers the running task instead.
+// retry submits a task again after a pause plus random jitter. If the task already runs although its client got
+// no response that says so, for example because the response was lost with its connection, retry registers the
+// running task instead.
 func (c *clients) retry(t *task, after time.Duration) {
 	jitter := time.Duration(rand.Float64() * float64(minRetryPause))
 	time.AfterFunc(after+jitter, func() {
@@ -263,8 +266,9 @@
 		"tenant": t.job.tenant, "extras": fmt.Sprintf("cores:%g;memory:%g;service:%016x", t.job.task.Cores, t.job.task.Memory, t.job.program)}}
 }
 
-// handOver registers running tasks at an orchestrator. It then sends a ping on each connection and
-// reports whether the orchestrator answers all of them within the timeout.
+// handOver registers running tasks at an orchestrator. It then sends a ping on each connection and reports whether
+// the orchestrator answers all of them within testbed.Timeout. It returns false at once if a message cannot be
+// written.
 func (c *clients) handOver(to *orchestrator, running []*task) bool {
 	for _, t := range running {
 		if !c.handOverTask(to, t) {
@@ -283,7 +287,8 @@
 	return conn.write(line) == nil
 }
 
-// pingAll sends a ping on each connection and reports whether all pings are answered within timeout.
+// pingAll sends a ping on each connection and reports whether all pings are answered within timeout. It returns
+// false at once if a ping cannot be sent.
 func (p *pool) pingAll(timeout time.Duration) bool {
 	expired := time.After(timeout)
 	var pings []<-chan struct{}
--- a/test/scale/demand_test.go
+++ b/test/scale/demand_test.go
@@ -41,10 +41,10 @@
 	// urgentLimit is the maximum time from the submission of an urgent task to its start.
 	urgentLimit = 8 * time.Second
 	tenants     = 60
-	// largestJob is the maximum number of tasks in a job, which is the size of a gang. The sizes of jobs are
-	// uniformly distributed on a logarithmic scale with a mean of 46 tasks, so 220 starts per second are 4.8 jobs
-	// per second. The mean rate is 48,000 jobs per day or 0.56 per second, so this peak rate is about nine
-	// times the mean rate.
+	// largestJob is the maximum number of tasks in a job. It is the size of a gang, which is a set of tasks that
+	// are submitted together. The sizes of jobs are uniformly distributed on a logarithmic scale with a mean of 46
+	// tasks, so the peak of 220 starts per second is 4.8 jobs per second. The mean rate over a day is 48,000 jobs,
+	// or 0.56 per second, so the rate of the peak is about nine times the mean rate.
 	largestJob = 256
 	regions    = 4
 	zones      = 13
@@ -56,9 +56,9 @@
 var kinds = []hollow.Kind{{Name: "node-32", Cores: 28, Memory: 60}, {Name: "node-32b", Cores: 28, Memory: 60},
 	{Name: "node-64", Cores: 56, Memory: 120}}
 
-// shapes lists numbers of cores, each with the fraction of tasks that request it. A task requests twice as much
-// memory as cores. The mean is 2.75 cores, so 34,000 tasks request 93,500 cores. This is 63% of the cores of
-// 4,000 workers, which have 37.3 cores on average.
+// shapes lists numbers of cores, each with the fraction of tasks that request it. For each core, a task requests
+// two units of memory, in the unit of the field Memory in kinds. The mean is 2.75 cores, so 34,000 tasks request
+// 93,500 cores. This is 63% of the cores of 4,000 workers, which have 37.3 cores on average.
 var shapes = []struct{ cores, share float64 }{{1, 0.35}, {2, 0.30}, {4, 0.25}, {8, 0.10}}
 
 const meanCores = 2.75
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -16,7 +16,8 @@
 	listDetection = 3 * time.Second
 	// downtime is the time for which a process is down during a restart.
 	downtime = 2 * time.Second
-	// convergenceTimeout is the maximum time for all orchestrators and clients to learn of a failure.
+	// convergenceTimeout is the maximum time for all orchestrators and clients to learn of a failure, or for all
+	// orchestrators to apply a worker list.
 	convergenceTimeout = 20 * time.Second
 	// plannedRestarts is the number of worker restarts per day that the operators plan for in a fleet of
 	// plannedWorkers. The test makes all of these restarts within one minute. In a smaller fleet, it restarts the
@@ -36,8 +37,8 @@
 
 var failureKinds = []string{failCell, failZone, failOrchestrators, failWorkerRestarts, failAllOrchestrators}
 
-// baseline holds the values of all counters at one moment. report subtracts the values at the start of a failure
-// from the current values.
+// baseline holds the counters of clients, workers and discovery at one moment. report subtracts the values at the
+// start of a failure from the current values.
 type baseline struct {
 	at                time.Time
 	counts            counts
@@ -176,9 +177,9 @@
 	r.report(kind, len(targets), 0, b, knownAfter, known)
 }
 
-// restart starts an orchestrator after downtime and waits, at most for admitTimeout, until it answers pings. Then
-// clients may submit tasks to it again. restart also registers the orchestrator's running tasks again and reports
-// whether the orchestrator answers the pings that follow.
+// restart starts an orchestrator after downtime and waits, at most for admitTimeout, until it answers pings. Then,
+// even if it has not answered, clients may submit tasks to it again. restart also registers the orchestrator's
+// running tasks again and reports whether the orchestrator answers the pings that follow.
 func (r *rig) restart(o *orchestrator) bool {
 	<-time.After(downtime)
 	if err := o.start(); err != nil {
@@ -186,7 +187,7 @@
 		return false
 	}
 	if !o.clients.pingAll(admitTimeout) {
-		r.t.Logf("scale-finding: %s answered no ping after its restart", o.Name)
+		r.t.Logf("scale-finding: %s did not answer the pings on all connections after its restart", o.Name)
 	}
 	running := r.ledger.runningAt(o)
 	o.admitted.Store(true)
@@ -195,7 +196,7 @@
 
 // restartWorkers restarts workers one after another within a minute. Each worker's process crashes and is up
 // again at the same address after downtime. The failure counts as known once every client has been notified of
-// its lost tasks. The reported time starts when the last worker is up again.
+// its lost tasks. The reported time until then (field knowledge_s) starts when the last worker is up again.
 func (r *rig) restartWorkers(kind string) {
 	b, unreportedBefore := r.baseline(), r.ledger.lostUnreported()
 	restarts := max(1, plannedRestarts*len(r.fleet.Workers)/plannedWorkers)
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -84,7 +84,8 @@
 	return found
 }
 
-// addedSince counts the shards that members have now but did not have in the assignments before.
+// addedSince counts the shards that members have in these assignments but did not have in the earlier assignments
+// that are given.
 func (a assignments) addedSince(before assignments) (n int) {
 	for i, assigned := range a {
 		n += assigned.Minus(before[i]).Len()
@@ -106,7 +107,7 @@
 		s.checkConflicts(t, "before the cut", before)
 		moved := s.maxMovedInCut(before)
 		if moved > 0 {
-			t.Errorf("%d members: %d shards moved when a region was cut off, want 0", n, moved)
+			t.Errorf("%d members: %d shards moved during or after the cut of a region, want 0", n, moved)
 		}
 		const dead = 0
 		s.stop(dead)
@@ -132,7 +133,8 @@
 }
 
 // maxMovedInCut cuts off a region for cutSeconds and lets secondsAfter pass after the cut. In each second, it
-// counts the shards that members have gained since the assignments before. It returns the maximum count.
+// counts the shards that members have but did not have in the assignments before the cut, which are given. It
+// returns the maximum count.
 func (s *scenario) maxMovedInCut(before assignments) (moved int) {
 	const cutSeconds, secondsAfter = 120, 30
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -11,8 +11,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file contains the ledger. It records every task as its client and the workers see it, and counts
-// violations of the rules that both views together must obey.
+// This file contains the ledger. It records every task both as its client and as the workers see it, and counts
+// the violations of the rules that the two records show.
 
 // completionLimit is the maximum time from the completion of a task to its report to the client.
 const completionLimit = 8 * time.Second
@@ -29,7 +29,7 @@
 	requestID    string        // ID of the last request
 }
 
-// request is one submission of a task.
+// request is one submission of a task, or the record of a running task that is registered at an orchestrator.
 type request struct {
 	*task
 	requestID  string
@@ -157,8 +157,9 @@
 	l.running[t.key], l.keys[t.requestID] = []run{{t.worker, t.requestID, time.Now()}}, t.key
 }
 
-// startedUnanswered reports whether a task runs although its client got no response, because the response was
-// lost with the connection. If the task runs, the ledger records this.
+// startedUnanswered reports whether a task runs although its client got no response that says so, for example
+// because the response was lost with the connection. If the task runs, startedUnanswered records the worker and
+// the request ID with which it runs.
 func (l *ledger) startedUnanswered(t *task) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -228,7 +229,7 @@
 	return true
 }
 
-// started handles the response that a task has started. The caller holds l.mutex.
+// started handles the response that reports the start of a task. The caller holds l.mutex.
 func (l *ledger) started(r *request, line testbed.Line, now time.Time) {
 	if r.answered {
 		l.counts.duplicateResponses++
@@ -310,9 +311,9 @@
 	}
 }
 
-// runningAt returns the running tasks that a restarted orchestrator had started. It only counts the tasks that
-// completed while the orchestrator was down. Their completions need not be reported, because clients notice them
-// when they collect the running tasks that they register again.
+// runningAt returns the running tasks that a restarted orchestrator had started or adopted. It does not return the
+// tasks that completed while the orchestrator was down, but counts them in endedWhileDown. Their completions need
+// not be reported, because clients notice them when they collect the running tasks that they register again.
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -368,7 +369,8 @@
 	return lines
 }
 
-// close stops the timers of the ledger and its checks.
+// close stops the timers of the request deadlines. From then on, the ledger records no further unanswered requests
+// or completions.
 func (l *ledger) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -380,7 +382,7 @@
 	}
 }
 
-// resetStarts clears the recorded start times.
+// resetStarts clears the recorded times from submission to start.
 func (l *ledger) resetStarts() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/scale/options_test.go
+++ b/test/scale/options_test.go
@@ -15,18 +15,19 @@
 //	... -args -workers 4000 -orchestrators 3 -fleet-size 9 -sockets 4990 -starts 73.33 -running 11333 -seconds 35 -seed 1 -parts
 //
 // The test prints one line for each of its phases:
-//   - idle: connections, membership, and the pings of the prober.
+//   - idle: no load except open connections, membership, and the pings that measure the turns of the event
+//     loop (see type prober).
 //   - messages: the data path alone. Pings replace submissions and make as many messages as the starts
 //     would.
-//   - list (only with -parts): list changes alone.
+//   - list (only with -parts): changes of the worker list alone.
 //   - standing: running tasks, none of which completes, and no other load.
 //   - work (only with -parts): starts and completions without list changes.
 //   - peak: starts, completions and list changes on top of the running tasks.
 //
-// The field cpu_control_pct_max of the last line is the processor time of the peak minus the difference
-// between the phases messages and idle. -peers=false runs without membership, -partition=false assigns all
-// workers to every orchestrator, -keepalive=0 disables TCP keep-alive, and -failures injects failures after
-// the peak.
+// The field cpu_control_pct_max of the last line is the processor time of the peak minus the difference in
+// processor time between the phases messages and idle. -peers=false runs without membership,
+// -partition=false assigns all workers to every orchestrator, -keepalive=0 disables TCP keep-alive, and
+// -failures injects failures after the peak.
 //
 // This file contains the flags.
 package scale
@@ -44,22 +45,22 @@
 	workersFlag       = flag.Int("workers", 40, "workers")
 	orchestratorsFlag = flag.Int("orchestrators", 2, "orchestrators, each a process")
 	startsFlag        = flag.Float64("starts", 20, "task starts a second, all orchestrators together")
-	runningFlag       = flag.Int("running", 100, "tasks that ran before")
+	runningFlag       = flag.Int("running", 100, "tasks that already run when clients start to submit jobs")
 	secondsFlag       = flag.Float64("seconds", 3, "length of the peak, in seconds")
-	seedFlag          = flag.Uint64("seed", 7, "draws the demand")
-	listPeriodFlag    = flag.Int("list-ms", 1000, "interval of the list's changes, in milliseconds")
-	idleFlag          = flag.Duration("idle", 30*time.Second, "after which a connection without a message is closed; 0: never")
-	keepAliveFlag     = flag.Duration("keepalive", 4*time.Second, "of connections to workers, whole seconds; 0: off")
-	socketsFlag       = flag.Int("sockets", 1024, "descriptors of an orchestrator")
-	fleetSizeFlag     = flag.Int("fleet-size", 0, "orchestrators that the settings count, 0: those that run; "+
-		"-starts and -running are of those that run, the others' tasks and list changes are simulated")
-	samplesFlag   = flag.String("samples", "", "file for the samples as CSV; \"\": in the test's directory")
-	peersFlag     = flag.Bool("peers", true, "let the orchestrators be a cluster")
+	seedFlag          = flag.Uint64("seed", 7, "seed of the random demand")
+	listPeriodFlag    = flag.Int("list-ms", 1000, "interval at which discovery publishes changes of the worker list, in milliseconds")
+	idleFlag          = flag.Duration("idle", 30*time.Second, "time after which a connection without a message is closed; 0: never")
+	keepAliveFlag     = flag.Duration("keepalive", 4*time.Second, "interval of TCP keep-alive on connections to workers, in whole seconds; 0: off")
+	socketsFlag       = flag.Int("sockets", 1024, "descriptor limit of each orchestrator")
+	fleetSizeFlag     = flag.Int("fleet-size", 0, "number of orchestrators in the settings; 0: those that run. "+
+		"-starts and -running count only the tasks of those that run; the tasks and list changes of the others are simulated")
+	samplesFlag   = flag.String("samples", "", "file for the samples as CSV; \"\": a temporary file, deleted after the test")
+	peersFlag     = flag.Bool("peers", true, "run membership among the orchestrators")
 	partitionFlag = flag.Bool("partition", true, "assign each worker to one orchestrator; needs -peers")
 	breakdownFlag = flag.Bool("parts", false, "run the phases list and work too, as long as the peak each")
 	logFlag       = flag.String("log", "", "folder for the orchestrators' logs at debug level; \"\": none")
 	failuresFlag  = flag.Bool("failures", false, "inject the failures after the peak")
-	kindsFlag     = flag.String("failure-kinds", strings.Join(failureKinds, ","), "which failures")
+	kindsFlag     = flag.String("failure-kinds", strings.Join(failureKinds, ","), "kinds of failures to inject with -failures, separated by commas")
 )
 
 // options holds the flag values of one run.
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -90,7 +90,7 @@
 		return err
 	}
 	address, err := o.WaitForLog(fmt.Sprintf("msg=serving name=%s listen=", o.Name))
-	if o.address == "" { // a restart keeps the address, because clients read it at the same time
+	if o.address == "" { // a restart uses the same address and must not write the field, because clients read it concurrently
 		o.address = address
 	}
 	return err
@@ -99,7 +99,7 @@
 // kill ends the process with SIGKILL.
 func (o *orchestrator) kill() { o.End(syscall.SIGKILL) }
 
-// adminTimeout is the timeout of an admin call.
+// adminTimeout is the timeout for dialling in an admin call, and also the timeout for the call and its reply.
 const adminTimeout = 2 * time.Second
 
 // adminCall makes an admin call as operators do and parses the line of JSON in the reply into response.
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -10,11 +10,13 @@
 
 // This file contains the phases: the load in each phase, and the resources that each orchestrator uses.
 
-// measurement holds the cumulative resource usage of one orchestrator at one moment.
+// measurement holds the resource usage of one orchestrator at one moment, and counts of its bytes and messages so
+// far.
 type measurement struct {
 	usage
 	at time.Time
-	// Bytes of the worker list. In is the direction to the orchestrator, Out the direction from the orchestrator.
+	// Bytes between the orchestrator and discovery (listIn, listOut) or the clients (clientsIn, clientsOut). In is
+	// the direction to the orchestrator, Out the direction from the orchestrator.
 	listIn, listOut       int64
 	clientsIn, clientsOut int64
 	peerBytes, logBytes   int64
@@ -48,7 +50,8 @@
 	dials         int64         // number of connections that all orchestrators together opened to workers
 }
 
-// runPhase runs the loads of a phase for the given time and measures all orchestrators before and after.
+// runPhase runs the loads of a phase for the given time. It measures all orchestrators before the loads start and
+// again before they stop.
 func (r *rig) runPhase(name string, length time.Duration, loads ...func(stop <-chan struct{})) phase {
 	p := phase{name: name, before: r.measureAll()}
 	dials := r.fleet.ConnectionsAccepted()
@@ -169,7 +172,7 @@
 		if n++; n%(clientPingsPerStart+workerPingsPerStart) == 0 {
 			to := r.orchestrators[n/(clientPingsPerStart+workerPingsPerStart)%len(r.orchestrators)].clients
 			conn, _ := to.pick()
-			_, _ = conn.ping(fields) // an error is ignored: admit logs orchestrators that answer no pings
+			_, _ = conn.ping(fields) // an error is ignored: admit has already logged the orchestrators that answer no pings
 			return
 		}
 		for range maxPlacementTries {
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -44,8 +44,8 @@
 
 var errDescriptors = errors.New("the sockets of this run exceed the descriptor limit of the test process")
 
-// spareDescriptors is the number of descriptors that the test's process needs in addition to the
-// descriptors of the workers and their connections.
+// spareDescriptors is the number of descriptors that the test's process needs in addition to the listeners of the
+// workers and the connections of orchestrators to workers and clients.
 const spareDescriptors = 1000
 
 // checkDescriptors returns an error if the listeners and connections of the run exceed the descriptor limit of
@@ -88,8 +88,8 @@
 	return r
 }
 
-// startOrchestrators starts the orchestrators one after another. It sets the peer addresses of all of them
-// before it starts the first one, because each configuration names the others as members.
+// startOrchestrators starts the orchestrators one after another. It adds all of them to r.orchestrators before it
+// starts the first one, because the configuration of each orchestrator names the others as members.
 func (r *rig) startOrchestrators() {
 	r.t.Helper()
 	for i := range r.options.orchestrators {
@@ -108,14 +108,15 @@
 }
 
 // admit lets clients submit to an orchestrator as soon as it answers a ping on each connection, as the
-// platform's front end does. After admitTimeout, clients submit to an orchestrator even if it has not answered.
+// platform's front end does. If a ping cannot be sent or is not answered within admitTimeout, clients submit to
+// the orchestrator anyway.
 func (r *rig) admit() {
 	var group sync.WaitGroup
 	for _, o := range r.orchestrators {
 		group.Go(func() {
 			startedAt := time.Now()
 			if !o.clients.pingAll(admitTimeout) {
-				r.t.Logf("scale-finding: %s answered no pings on all connections within %s; clients submit to it anyway", o.Name, admitTimeout)
+				r.t.Logf("scale-finding: %s did not answer the pings on all connections within %s; clients submit to it anyway", o.Name, admitTimeout)
 			} else {
 				r.t.Logf("%s answered its first pings after %s", o.Name, time.Since(startedAt).Round(time.Millisecond))
 			}
@@ -207,8 +208,8 @@
 	return false
 }
 
-// foreignRunTime is longer than any test. Therefore the tasks of orchestrators that the test does not run never
-// complete.
+// foreignRunTime is the run time of the tasks of orchestrators that the test does not run. It is longer than any
+// test, so these tasks never complete.
 const foreignRunTime = time.Hour
 
 // addForeignTasks places the tasks of the orchestrators that the settings count but the test does not run. The
@@ -236,13 +237,13 @@
 	for o, tasks := range byOrchestrator {
 		group.Go(func() {
 			if !r.clients.handOver(o, tasks) {
-				r.t.Logf("scale-finding: %s answered no ping after the registration of its %d running tasks", o.Name, len(tasks))
+				r.t.Logf("scale-finding: %s did not answer the pings on all connections after the registration of its %d running tasks", o.Name, len(tasks))
 			}
 		})
 	}
 	group.Wait()
 	if !r.waitUntil(func() bool { return !r.discovery.Pending() && r.listApplied(r.discovery.Revision()) }) {
-		r.t.Log("scale-finding: not every orchestrator applied the capacity that the already running tasks leave free")
+		r.t.Log("scale-finding: not every orchestrator applied the worker list with the capacity that the already running tasks leave free")
 	}
 	for _, o := range r.orchestrators {
 		n, err := o.activeTasks()
--- a/test/scale/samples_test.go
+++ b/test/scale/samples_test.go
@@ -78,7 +78,8 @@
 // write adds a row. A write error is kept by the CSV writer and returned by close.
 func (s *samples) write(row []string) { _ = s.writer.Write(row) }
 
-// close stops sampling and flushes the file. It returns the first error of any write.
+// close stops sampling and flushes the file. It returns the first error of any write. Without such an error, it
+// closes the file and returns the error of closing it.
 func (s *samples) close() error {
 	close(s.stop)
 	s.group.Wait()
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -12,8 +12,8 @@
 // This file contains the order of the phases of a run, the checks of its result, and the last line that it
 // prints.
 
-// settleTimeout is the maximum time to wait until requests and completions have settled. It is longer than the
-// timeout of any request and longer than completionLimit.
+// settleTimeout is the maximum time for which ledger.settle waits for outstanding responses and for outstanding
+// reports of completions. It is longer than the timeout of any request and longer than completionLimit.
 const settleTimeout = 20 * time.Second
 
 // result holds the measured values of a run.
@@ -26,11 +26,11 @@
 	descriptors, peakMB  int64
 	p50, p99             float64 // percentiles of the time from submission to start, in milliseconds
 	slowestTurn          time.Duration
-	pinged               bool // whether any ping of the prober was answered
+	pinged               bool // whether any orchestrator answered a ping of its prober in the peak
 }
 
-// TestScale runs all phases and checks the rules. Without flags, it runs a small size. It checks only counts,
-// never times.
+// TestScale runs the phases that the flags select and checks the result (see result.check). It checks only
+// counts, never measured times. Without flags, it runs a small size.
 func TestScale(t *testing.T) {
 	o := flagOptions()
 	r := newRig(t, o)
@@ -46,7 +46,7 @@
 	if o.failures {
 		r.injectFailures(s)
 		r.ledger.settle(settleTimeout)
-		checkRules(t, "after the failures", r.ledger.snapshot())
+		checkRules(t, "up to the end of the failures", r.ledger.snapshot())
 	}
 	r.logFindings()
 	r.writeLogs()
@@ -57,7 +57,8 @@
 	fmt.Println(res)
 }
 
-// runPhases runs the phases in order, up to the peak. It then waits until requests and completions have settled.
+// runPhases runs the phases in order, up to the peak. It then waits for outstanding responses and for outstanding
+// reports of completions.
 func (r *rig) runPhases(s *samples) result {
 	res := result{options: r.options}
 	s.phase.Store("admit")
@@ -114,7 +115,8 @@
 
 // controlPercent returns the processor time of the peak minus the processor time for messages, in percent of a
 // core. It returns the maximum over all orchestrators. The processor time for messages is the difference between
-// the phase messages, in which pings make the same number of messages as at the peak, and the phase idle.
+// the phase messages, in which pings make the same number of messages as at the peak, and the phase idle, but at
+// least 0.
 func (res result) controlPercent() (highest float64) {
 	for i := range res.peak.before {
 		percent := func(p phase) float64 {
@@ -128,7 +130,7 @@
 // check checks the conditions that must hold at any size. It checks counts, never times.
 func (res result) check(t *testing.T) {
 	t.Helper()
-	checkRules(t, "at the peak", res.counts)
+	checkRules(t, "up to the end of the peak", res.counts)
 	if res.adopted != res.options.running {
 		t.Errorf("got %d already running tasks reported by orchestrators, want %d", res.adopted, res.options.running)
 	}
--- a/test/scale/usage_test.go
+++ b/test/scale/usage_test.go
@@ -60,7 +60,8 @@
 	return u, err
 }
 
-// fields parses the lines of a file that consist of a name, a colon and an integer. It skips other lines.
+// fields parses the lines of a file that start with a name, a colon and an integer, and ignores the rest of such a
+// line, for instance a unit. It skips other lines.
 func fields(path string) (map[string]int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -22,7 +22,8 @@
 		l.duplicateStart(requestID, worker, other[0])
 	}
 	l.running[key], l.keys[requestID] = append(l.running[key], run{worker, requestID, time.Now()}), key
-	// If the request ID has an unreported completion, that completion belonged to an earlier, cancelled attempt.
+	// If the request ID has an unreported completion, that completion belonged to an earlier attempt of the request.
+	// It need not be reported, because the task runs again.
 	delete(l.unreported, requestID)
 }
 
@@ -40,7 +41,7 @@
 		l.counts.duplicateStarts++
 	}
 	if l.counts.duplicateStarts+l.counts.repeats <= maxDuplicatesLogged {
-		class := "unknown: its client has cancelled it"
+		class := "unknown (the request is not in the ledger)"
 		if r != nil {
 			class = r.job.class.name
 		}
@@ -52,8 +53,9 @@
 // maxDuplicatesLogged is the maximum number of duplicate starts that are logged.
 const maxDuplicatesLogged = 5
 
-// Ended implements hollow.Observer. It records a completion of which the client must be notified. It records
-// nothing if another attempt of the same request still runs.
+// Ended implements hollow.Observer. It removes the run that has ended and records a completion of which the client
+// must be notified. It records no completion if another attempt of the same request still runs, if the ledger no
+// longer contains the request, or if the ledger is closed.
 func (l *ledger) Ended(worker, requestID string, at time.Time, lost bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
