--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -33,8 +33,8 @@
 	abandoned   bool      // the task had not started within clientTimeout
 }
 
-// response is a STARTED or FINISH message for a request, or the notice that its connection ended
-// without a final response.
+// response is a STARTED or FINISH message for a request. If disconnected is true, there is no message: the connection
+// ended without a final response, or the client stopped waiting for one.
 type response struct {
 	testbed.Line
 	at           time.Time
@@ -53,7 +53,7 @@
 	started            []startedTask
 	submittedAt        []time.Time     // times of all submissions
 	lateBy             []time.Duration // lateness of the responses that countLate recorded
-	duplicateResponses int             // number of repeated STARTED messages for a request
+	duplicateResponses int             // number of STARTED messages that repeat an earlier one for the same request
 	unanswered         int             // number of requests without a response at responseGrace after their timeout
 	retryAfters        []time.Duration
 }
@@ -77,8 +77,9 @@
 	return c
 }
 
-// registerRunningTasks registers running tasks with a restarted orchestrator, as their clients do. These are the
-// tasks that the orchestrator had started before its restart. It returns the number of registered tasks.
+// registerRunningTasks registers running tasks with a restarted orchestrator on behalf of their clients. These are
+// the tasks for which this orchestrator sent STARTED before its restart and which still run for the same request.
+// The function returns the number of registered tasks.
 func (c *clients) registerRunningTasks(orchestrator int) (registered int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,8 +113,8 @@
 	for deadline := r.submittedAt.Add(clientTimeout); time.Now().Before(deadline); {
 		pause := minRetryPause + time.Duration(random.Float64()*float64(retryJitter))
 		resp, sentAt, ok := c.submit(j, random, r)
-		// If the orchestrator is down, the client draws an orchestrator again after redialPause, because a front end
-		// would try another one.
+		// If the orchestrator cannot be dialled, the client draws one at random again after redialPause, because the
+		// platform's front end would try another one.
 		if !ok {
 			time.Sleep(redialPause)
 			continue
@@ -149,8 +150,8 @@
 	return c.rig.recorder.wasAccepted(j.key)
 }
 
-// retryAfter records the Retry-After of a rejection and returns the time for which the client waits. This is the
-// Retry-After times the compliance.
+// retryAfter records the Retry-After of a rejection and returns the minimum time for which the client waits, which
+// is the Retry-After times the compliance. A rejection without a Retry-After counts as 0.
 func (c *clients) retryAfter(rejection response) time.Duration {
 	waitMs, _ := strconv.Atoi(rejection.Opts["wait"])
 	c.mu.Lock()
--- a/test/backpressure/connection_test.go
+++ b/test/backpressure/connection_test.go
@@ -19,7 +19,7 @@
 
 	mu        sync.Mutex
 	client    *testbed.Client          // nil before the first submission and after the connection ended
-	responses map[string]chan response // open requests, by request ID
+	responses map[string]chan response // channels of the requests that have no FINISH, by request ID
 	answered  map[string]bool          // request IDs that have a final response
 }
 
@@ -66,8 +66,8 @@
 	clear(c.responses)
 }
 
-// receive passes a STARTED or FINISH message to the client of its request. A repeated STARTED is
-// counted as a duplicate response and not passed on. Messages after a FINISH are ignored.
+// receive passes a STARTED or FINISH message to the client of its request. A repeated STARTED is counted as a
+// duplicate response and not passed on. Other messages, and messages for a request after its FINISH, are ignored.
 func (c *connection) receive(line testbed.Line) {
 	now := time.Now()
 	c.mu.Lock()
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -20,7 +20,7 @@
 	shapes           [][2]float64 // cores and memory of a task; each program draws one pair
 	responseTimeout  time.Duration
 	latencyObjective time.Duration
-	startTime        [2]time.Duration // minimum and maximum of the start time at full speed, drawn for each task
+	startTime        [2]time.Duration // minimum and maximum duration of a start at full speed, drawn for each task
 	meanRunTime      [2]time.Duration // minimum and maximum of the mean run time, drawn for each program
 }
 
@@ -80,8 +80,8 @@
 }
 
 // drawJobs draws n jobs that are first submitted between begin and begin+span, relative to the start of
-// the storm. A run time is drawn from an exponential distribution around the program's mean run time,
-// limited to 0.1 to 3 times that mean.
+// the storm. A run time is drawn from an exponential distribution with the program's mean run time as its mean, and
+// then limited to 0.1 to 3 times that mean.
 func drawJobs(random *rand.Rand, prefix string, n int, begin, span time.Duration) (jobs []*job) {
 	d := demand{random: random}
 	for i := range n {
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -13,15 +13,19 @@
 
 // figures holds the measurements of one storm.
 type figures struct {
-	lastStartBound    float64 // lower bound of the start time of the storm's last task, in seconds since the start of the storm
+	// lastStartBound is a lower bound of the time when the last task of the storm is accepted, in seconds since the
+	// start of the storm.
+	lastStartBound    float64
 	relaysInTimeBound float64 // upper bound of relaysInTime
-	settledAt         float64 // time when the storm has settled, in seconds since its start
+	// settledAt is the time of the storm's last start or the time when submissions are back at the usual rate,
+	// whichever is later, in seconds since the start of the storm.
+	settledAt float64
 
 	submissionsPerStart float64
 	relaysInTime        float64 // fraction of the storm's started live-relay tasks that started within their latency objective
 	offersPerStart      float64 // offers that workers accepted or rejected, divided by the number of acceptances
 	peakColdLoad        float64 // maximum of PeakLoad over all workers; above 1, a worker in slow start has stopped responding
-	utilization         float64 // mean utilization, from 0 to 1, while at least 50 requests were in flight
+	utilization         float64 // mean utilization of the workers, from 0 to 1, see utilizationUntil
 
 	lateResponses      int
 	maxLate            time.Duration
@@ -32,7 +36,8 @@
 	history            porcupine.CheckResult
 }
 
-// collect computes the figures of a storm that has settled, and logs a summary.
+// collect computes all figures except the bounds, the utilization and the result of the history check, and logs a
+// summary. All clients of the storm must have ended.
 func (f *figures) collect(t *testing.T, r *rig, c *clients, results []*result, usualRate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,14 +53,14 @@
 	for _, retryAfter := range c.retryAfters {
 		retryAfterSum += retryAfter
 	}
-	t.Logf("lower bound %.1f s, settled at %.1f s; %d submissions for %d starts, %d tasks never started; %d rejections, "+
+	t.Logf("lower bound of the last start %.1f s, settled at %.1f s; %d submissions for %d starts, %d tasks never started; %d rejections, "+
 		"mean Retry-After %s; %d late responses, at most %s late; relays in time %.3f, upper bound %.3f",
 		f.lastStartBound, f.settledAt, submissions, starts, f.neverStarted, len(c.retryAfters),
 		retryAfterSum/time.Duration(max(1, len(c.retryAfters))), f.lateResponses, f.maxLate, f.relaysInTime, f.relaysInTimeBound)
 }
 
 // collectResults counts the submissions and starts of the storm's tasks, and the live-relay tasks that
-// started within their latency objective.
+// started within their latency objective. It sets settledAt to the time of the last start.
 func (f *figures) collectResults(r *rig, c *clients, results []*result) (submissions, starts int) {
 	relays, inTime := 0, 0
 	for _, res := range results {
@@ -139,8 +144,9 @@
 	}
 }
 
-// utilizationUntil samples the utilization every 50 ms until stop is closed and returns the mean of the samples.
-// It takes no sample in the first 2 s of the storm or while fewer than 50 requests are in flight.
+// utilizationUntil samples the utilization every 50 ms until stop is closed and returns the mean of the samples,
+// or 0 without samples. It takes no sample until 2 s after the start of the storm, nor while fewer than 50 requests
+// are in flight.
 func (r *rig) utilizationUntil(stop <-chan struct{}, c *clients) float64 {
 	const minPending, period, settling = 50, 50 * ms, 2 * time.Second
 	var sum, n float64
@@ -157,8 +163,8 @@
 	}
 }
 
-// utilization returns the fraction of the workers' cores that are not free. Besides requested cores, these
-// include cores that no task can use because running tasks have requested the memory.
+// utilization returns the fraction of the workers' cores that are not free. If a smaller fraction of a worker's
+// memory than of its cores is free, only that fraction of its cores counts as free, because a task needs both.
 func (r *rig) utilization() float64 {
 	var free, total float64
 	for _, model := range r.models {
--- a/test/backpressure/flood_test.go
+++ b/test/backpressure/flood_test.go
@@ -14,9 +14,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file measures the lateness of responses to requests whose timeouts expire at the same moment. A single
-// worker gets many requests at once, each for its whole capacity. All requests that start no task must be
-// rejected at their common timeout.
+// This file measures the lateness of responses to requests whose timeouts expire at the same moment. Clients
+// send many requests at once to an orchestrator with a single worker, and each request asks for the worker's whole
+// capacity. When the common timeout expires, the orchestrator must reject all requests that started no task.
 
 // flood is a set of requests that are sent at the same moment, and the measured responses.
 type flood struct {
@@ -54,8 +54,8 @@
 	return f
 }
 
-// request returns the encoded nth request. It requests all cores and memory of a worker. The description that
-// the emulated worker reads states no cores and no run time, so an accepted task completes at once.
+// request returns the encoded nth request. It requests all cores and memory of the worker. The emulated worker reads
+// the task from the blob, where cores, memory, start time and run time are 0, so an accepted task completes at once.
 func (f *flood) request(t *testing.T, n int) []byte {
 	t.Helper()
 	blob := testbed.Task{Class: "guide-web"}.Describe()
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestFlood sends 2,000 requests (flag -clients) and prints how many responses come after the timeout of their
-// requests.
+// TestFlood sends 2,000 requests (flag -clients) at the same moment, three times with each operators' file, and
+// prints how many responses come after the timeout of their requests.
 func TestFlood(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
 		t.Skip("measurement: runs only if selected with -run")
--- a/test/backpressure/history_test.go
+++ b/test/backpressure/history_test.go
@@ -9,8 +9,9 @@
 )
 
 // This file owns the history of a storm, as workers and clients observe it, and the check of the history. The
-// rules for each request are: at most one final response, at most one attempt in flight, and no attempt that
-// begins after an acceptance or after the final response.
+// rules for each request are: at most one attempt in flight, rejections only of the attempt in flight, no attempt
+// that begins after an acceptance or after the final response, and at most one final response, which is STARTED if
+// and only if an attempt in flight was accepted.
 
 // operationKind is the kind of event that an operation records for a request.
 type operationKind int
@@ -73,7 +74,8 @@
 	return valid, s
 }
 
-// history records operations with the time spans in which they happened. The zero value is ready to use.
+// history records operations with the time spans in which they happened. The zero value is ready to use
+// after a call of elapsed.
 type history struct {
 	mu         sync.Mutex
 	startedAt  time.Time
@@ -81,8 +83,8 @@
 	operations []porcupine.Operation
 }
 
-// elapsed returns the time in nanoseconds since its first call on this history. The caller holds the lock,
-// unless no other goroutine uses the history yet.
+// elapsed returns the time in nanoseconds since its first call on this history. The first call also creates sentAt.
+// The caller holds the lock, unless no other goroutine uses the history yet.
 func (h *history) elapsed() int64 {
 	if h.startedAt.IsZero() {
 		h.startedAt = time.Now()
--- a/test/backpressure/lower_bound_test.go
+++ b/test/backpressure/lower_bound_test.go
@@ -31,7 +31,7 @@
 }
 
 // newPool returns the pool of the emulated workers. A worker that has just started counts as a full worker, but
-// the number of its start slots is multiplied by ColdStartRate.
+// the number of its start slots is multiplied by ColdStartRate for the whole simulation.
 func newPool(workers int) *pool {
 	p := &pool{maxTokens: float64(workers)}
 	slots := 0.0
@@ -49,8 +49,8 @@
 	return p
 }
 
-// lowerBound returns two limits that no orchestrator can exceed: the earliest time at which the last task of the
-// storm can start, relative to the start of the storm, and the largest fraction of the storm's live-relay tasks
+// lowerBound returns two limits on the results of any orchestrator: the earliest time at which the last task of the
+// storm can be accepted, relative to the start of the storm, and the largest fraction of the storm's live-relay tasks
 // that can meet their latency objective.
 func lowerBound(jobs []*job, workers int) (lastStart time.Duration, relaysInTime float64) {
 	p := newPool(workers)
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -20,7 +20,7 @@
 	mu              sync.Mutex
 	acceptances     map[string]int       // number of acceptances, by key
 	running         map[string]placement // last acceptance of each running task, by key
-	firstStartedAt  map[string]time.Time // time when the start of the task was first finished, by key
+	firstStartedAt  map[string]time.Time // time when the task first completed its start, by key
 	duplicateStarts int                  // number of acceptances of archive-cut tasks after the first acceptance of each key
 }
 
--- a/test/backpressure/retry_storm_test.go
+++ b/test/backpressure/retry_storm_test.go
@@ -37,7 +37,7 @@
 const (
 	stormSpan     = 360 * ms         // period in which the clients of the storm make their first submissions
 	demandAfter   = 60 * time.Second // duration of the usual demand after the start of the storm
-	startupTime   = 100 * ms         // time before the usual demand begins
+	startupTime   = 100 * ms         // time from the creation of the clients until the usual demand begins
 	wakeupLead    = 10 * ms          // time between the wake-up of a client and its first submission
 	restartBegin  = -500 * ms        // time when the first orchestrator is killed, relative to the start of the storm
 	restartPeriod = 1500 * ms        // time from the kill of one orchestrator to the kill of the next
@@ -99,7 +99,7 @@
 	return f
 }
 
-// runAll runs a client for each job. It returns the results of the storm's jobs once all clients have ended.
+// runAll runs a client for each job. It returns the results of the storm's jobs once their clients have ended.
 // When settled is closed, clients of the usual demand that have not begun are dropped.
 func (c *clients) runAll(jobs []*job, settled <-chan struct{}) (results []*result) {
 	var mu sync.Mutex
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -1,10 +1,10 @@
-// Package hollow measures the cost of membership as the number of orchestrators grows, and tests
-// whether all membership tables agree after a region has been cut off, for instance for an hour. The
-// orchestrators are hollow: only their membership runs. All of them run in one process under virtual
-// time and are connected by a simulated network. Datagrams are encoded as on the wire. One seed
-// determines all random values.
+// Package hollow measures the cost of membership as the number of orchestrators grows, and tests whether all
+// membership tables agree after a network partition that cuts off one region, for example for an hour. The flags
+// -cut and -member-seconds set the duration of the cut. The orchestrators are hollow: only their membership runs.
+// All of them run in one process under virtual time and are connected by a simulated network. Datagrams are encoded
+// as on the wire. One seed determines all random values.
 //
-// This file contains the flags, the sizes to run, and the assertions for each size.
+// This file contains the flags, the assertions for each size, and the report. A size is a number of orchestrators.
 package hollow
 
 import (
@@ -36,11 +36,11 @@
 	// maxBytesExponent is the maximum exponent of the power law by which the traffic of a member grows with the
 	// number of members.
 	maxBytesExponent = 0.25
-	// maxSplitTime is the maximum time in seconds from the start of a cut until each side considers all
-	// members of the other side dead.
+	// maxSplitTime is a time in seconds. In a cut of at least this duration, each side must consider all members of
+	// the other side dead before the cut ends.
 	maxSplitTime = 60
-	// maxDeadMessages is the maximum number of datagrams per second that a member may send to members that it does
-	// not consider alive.
+	// maxDeadMessages is the maximum mean number of datagrams per second that a member may send, in the last part of
+	// a cut, to members that are unknown, dead or departed in its table.
 	maxDeadMessages = 2.5
 )
 
@@ -84,15 +84,16 @@
 		}
 	}
 	if r.deadEntriesAfter > 0 {
-		t.Errorf("%d members: got %d entries of dead members after the cut has healed, want 0", r.memberCount, r.deadEntriesAfter)
+		t.Errorf("%d members: got %d entries in state dead after the cut has healed, want 0", r.memberCount, r.deadEntriesAfter)
 	}
 	if d := r.records[cut].tail.toDead; d > maxDeadMessages {
-		t.Errorf("%d members: each sends %.1f datagrams a second to dead members, want at most %.1f", r.memberCount, d, maxDeadMessages)
+		t.Errorf("%d members: in the last part of the cut, each sends on average %.1f datagrams a second to members that it considers dead, want at most %.1f", r.memberCount, d, maxDeadMessages)
 	}
 }
 
-// report writes the samples and, if there are several sizes, the charts. It prints and checks the exponents by
-// which costs grow with the number of members.
+// report writes the samples. If there are several sizes, it also writes the charts, prints the exponents of the
+// power laws by which the costs in the phase calm grow with the number of members, and checks the exponent of the
+// bytes sent.
 func report(t *testing.T, results []result) {
 	dir := *outFlag
 	if dir == "" {
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -7,11 +7,11 @@
 )
 
 // This file contains the checks of the members' reports and tables against the state of the simulation. The checks
-// must rely on the state of the simulation alone and never on the members' reports.
+// must derive the expected results from the state of the simulation alone, never from the members' reports.
 
 const (
 	// reachablePeriod is a time in microseconds. A report that a member died is false only if the reporter could
-	// reach the member throughout this time.
+	// reach the member throughout this time before the report.
 	reachablePeriod = 6 * second
 	// startGrace is the time in microseconds after the start of a process during which others may still report it
 	// dead, because their reports may concern the previous process.
@@ -20,8 +20,8 @@
 
 // checkDeath checks a death that a member reports and records the death if it is false. A death is false if the
 // process with the reported incarnation nonce has run for at least startGrace and both members could reach each other
-// throughout the last reachablePeriod. The only cut of the network separates one region, so all members on the same
-// side of the cut can reach each other.
+// throughout the last reachablePeriod. A cut always separates one region from all others, so all members
+// on the same side of the cut can reach each other.
 func (s *simulation) checkDeath(reporter int, event membership.Event) {
 	index := s.byName[event.Name]
 	subject := s.members[index]
@@ -32,8 +32,8 @@
 		float64(s.now)/second, s.members[reporter].name, event.Name, event.Evidence))
 }
 
-// tablesAgree reports whether the table of each running member is correct. It must contain exactly the running
-// members that this member can reach, each with its current incarnation nonce.
+// tablesAgree reports whether the table of each running member is correct: the alive and suspected members in the
+// table are exactly the running members on the same side of the cut, each with its current incarnation nonce.
 func (s *simulation) tablesAgree() bool {
 	sides := map[bool]int{}
 	for i, x := range s.members {
@@ -60,8 +60,8 @@
 	return s.network.inCutRegion(i) && s.now >= s.network.cutFrom && s.now < s.network.cutUntil
 }
 
-// tableIsComplete reports whether the table of member i contains each other running member on its side of
-// the cut with that member's current incarnation nonce.
+// tableIsComplete reports whether the table of member i contains each other running member on the same side of the
+// cut as alive or suspected, with that member's current incarnation nonce.
 func (s *simulation) tableIsComplete(i int) bool {
 	for j, other := range s.members {
 		if i == j || !other.running || s.side(i) != s.side(j) {
@@ -74,8 +74,8 @@
 	return true
 }
 
-// countDeadEntries returns the number of entries of dead members in the tables of all running members, and the
-// maximum number in one table.
+// countDeadEntries returns the number of entries in state dead in the tables of all running members together, and
+// the maximum number in one table.
 func (s *simulation) countDeadEntries() (all, highest int) {
 	for _, x := range s.members {
 		if !x.running {
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -2,11 +2,14 @@
 
 // This file contains the measurements of the load on members, by phase.
 
-// load holds the traffic that one member sent and the processor time that it used since its load was last read.
-// It may also hold a sum of loads or a rate.
+// load holds the traffic that one member sent and the processor time that it used in some period. It may also hold
+// a sum of loads or a rate.
 type load struct {
-	bytes, messages     float64 // bytes and datagrams sent, as on the wire
-	toDead, toDeadBytes float64 // part of messages and of bytes that went to members which the sender does not consider alive
+	bytes, messages float64 // bytes (without IP and UDP headers) and datagrams sent
+	// toDead and toDeadBytes are the parts of messages and bytes that went to members that are unknown, dead or
+	// departed in the sender's table. Datagrams sent while the table has no other alive or suspected member are not
+	// included.
+	toDead, toDeadBytes float64
 	handshakes          float64 // number of handshake probes started
 	microseconds        float64 // processor time of calls into membership, in microseconds
 	codec               float64 // processor time to encode and decode datagrams, in microseconds
@@ -55,7 +58,8 @@
 	return [...]string{"forming", "calm", "cut", "healed", "tenth_restarted", "all_restarted"}[p]
 }
 
-// phaseRecord holds the loads of all members in one phase, sampled once per second.
+// phaseRecord holds the duration of one phase in seconds, the sum of the loads of all members, and the peaks, which
+// are computed for each full second.
 type phaseRecord struct {
 	seconds           float64
 	total             load
@@ -63,10 +67,10 @@
 	maxMemberBytes    float64 // maximum number of bytes that one member sent in one second
 	maxMemberMessages float64 // maximum number of datagrams that one member sent in one second
 	maxMemberUs       float64 // maximum processor time of one member in one second, in microseconds
-	tail              load    // mean load per member and second in the last reportedCutTail of a cut
+	tail              load    // mean load per member and second in the last part of a cut, see cutRegion
 }
 
-// mean returns the mean load per second and member.
+// mean returns the mean load per second and member. A phase shorter than one second counts as one second.
 func (r *phaseRecord) mean(members int) load {
 	return r.total.dividedBy(max(1, r.seconds) * float64(members))
 }
--- a/test/scale/hollow/network_test.go
+++ b/test/scale/hollow/network_test.go
@@ -26,8 +26,7 @@
 func (n *network) zone(i int) int   { return i % n.zones }
 func (n *network) region(i int) int { return n.zone(i) % n.regions }
 
-// inCutRegion reports whether member i is in the region that the current cut separates or, if no cut is active, the
-// latest cut separated.
+// inCutRegion reports whether member i is in the region that a cut separates. All cuts separate the same region.
 func (n *network) inCutRegion(i int) bool { return n.region(i) == n.cutRegion }
 
 // delivers reports whether the network delivers traffic between two members at the given time.
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -7,20 +7,21 @@
 const (
 	// agreementCheckPeriod is the interval in microseconds at which the tables are compared until they agree.
 	agreementCheckPeriod = 100_000
-	// agreementTimeout is the maximum time for which a phase waits for the tables to agree.
+	// agreementTimeout is the maximum time for which a phase other than cut waits for the tables to agree.
 	agreementTimeout = 180 * second
 	// settleTime is the time before the phase calm in which updates from the start of the members may still
 	// circulate.
 	settleTime = 10 * second
-	// timeAfterAgreement is the time for which a phase continues after the tables agree.
+	// timeAfterAgreement is the time for which a phase after the cut continues once its wait for the tables to agree
+	// has ended.
 	timeAfterAgreement = 10 * second
 	// minDowntime and maxDowntime are the limits of the downtime of a process that restarts, in microseconds.
 	maxDowntime = second
 	minDowntime = 300_000
-	// reportedCutTail is the length of the last part of a cut. The traffic in this part is also reported separately.
+	// reportedCutTail is the maximum duration of the last part of a cut, whose load is also reported separately.
 	reportedCutTail = 30 * second
-	// maxSecondsBesideCut is an upper bound on the duration in seconds of all phases of a scenario except calm and
-	// cut.
+	// maxSecondsBesideCut is an upper bound on the total duration in seconds of all phases of a scenario except calm
+	// and cut.
 	maxSecondsBesideCut = (4*agreementTimeout + settleTime + 3*timeAfterAgreement + 2*(second+maxDowntime)) / second
 	// never is recorded as the agreement time of a phase in which the tables did not agree.
 	never = -1
@@ -34,10 +35,10 @@
 	samples            []float64           // values of all rows in order; sampleHeader names the columns
 	heapPerMember      float64             // bytes per member at the end of calm
 	heapPerMemberInCut float64             // bytes per member at the end of the cut
-	deadEntries        int                 // entries of dead members at the end of the cut, in all tables
-	maxDeadEntries     int                 // maximum number of entries of dead members in one table at the end of the cut
-	agreedAfter        [phaseCount]float64 // seconds until the tables agreed in each phase, or never
-	deadEntriesAfter   int                 // entries of dead members in all tables after the cut, once the tables agree
+	deadEntries        int                 // entries in state dead at the end of the cut, in all tables
+	maxDeadEntries     int                 // maximum number of entries in state dead in one table at the end of the cut
+	agreedAfter        [phaseCount]float64 // seconds that the wait for the tables to agree took in each phase, or never
+	deadEntriesAfter   int                 // entries in state dead in all tables after waitForAgreement(healed)
 	falseDeaths        []string
 }
 
@@ -81,7 +82,9 @@
 	return s.result
 }
 
-// cutRegion cuts off one region for a number of seconds and returns after the end of the cut.
+// cutRegion cuts off one region for a number of seconds and returns at the end of the cut. It also records the mean
+// load in the last part of the cut, which begins when the tables agree or reportedCutTail before the end of the cut,
+// whichever is later.
 func (s *scenario) cutRegion(seconds float64) {
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+int64(seconds*second)
 	s.waitForAgreementBy(cut, s.network.cutUntil)
@@ -96,7 +99,8 @@
 	}
 }
 
-// restartMembers restarts n random members within one second and waits until the tables agree.
+// restartMembers stops n random members within one second, starts each of them again after a random downtime, and
+// waits for the tables to agree. The phase then continues for timeAfterAgreement.
 func (s *scenario) restartMembers(ph phase, n int) {
 	for _, i := range s.random.Perm(s.memberCount)[:n] {
 		s.restart(i, s.random.Int64N(second), minDowntime+s.random.Int64N(maxDowntime-minDowntime))
@@ -110,7 +114,8 @@
 // that this took, or never.
 func (s *scenario) waitForAgreement(ph phase) { s.waitForAgreementBy(ph, s.now+agreementTimeout) }
 
-// waitForAgreementBy advances time until the tables agree, but not past the deadline.
+// waitForAgreementBy advances time until the tables agree, but not past the deadline. It records the time that this
+// took, or never.
 func (s *scenario) waitForAgreementBy(ph phase, deadline int64) {
 	from := s.now
 	s.agreedAfter[ph] = never
@@ -136,9 +141,9 @@
 	}
 }
 
-// recordSample adds the loads of all members to the record of a phase and resets these loads. Peaks are computed
-// per full second. If a sample covers only a part of a second, its load is kept and counts in the sample that
-// completes the second.
+// recordSample adds the loads of all members to the record of a phase and resets these loads. At a full second, it
+// also updates the peaks and appends a row to the samples. If a sample ends within a second, its load is kept and
+// counts in the peaks and the row of the sample that completes the second.
 func (s *scenario) recordSample(ph phase, fullSecond bool) {
 	r := &s.records[ph]
 	for _, m := range s.members {
@@ -169,8 +174,8 @@
 var sampleHeader = []string{"instances", "second", "phase", "bytes_s_member", "messages_s_member", "messages_to_dead_s_member",
 	"handshakes_s_member", "us_s_member", "codec_us_s_member"}
 
-// longestDisagreement returns the longest time in seconds that the tables took to agree again after a fault. It
-// returns never if they did not agree after one of the faults.
+// longestDisagreement returns the longest time in seconds that the tables took to agree again after the end of the
+// cut or after restarts. It returns never if they did not agree in one of these phases.
 func (r *result) longestDisagreement() (worst float64) {
 	for _, ph := range []phase{healed, tenthRestarted, allRestarted} {
 		if r.agreedAfter[ph] == never {
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -9,7 +9,7 @@
 )
 
 // This file contains the simulated members: their processes, the calls into their membership, and the
-// datagrams and handshakes between them. It must not check what the members report.
+// datagrams and handshakes between them. The reports of the members must be checked in judge_test.go, not here.
 
 const (
 	second = 1_000_000 // microseconds
@@ -80,7 +80,8 @@
 	s.byAddress[added.address], s.byName[added.name] = i, i
 }
 
-// seeds returns the members that are named in the settings of every member.
+// seeds returns the members that are named in the settings of a member that starts now: at most maxSeeds, evenly
+// spread over the members.
 func (s *simulation) seeds() (seeds []membership.Peer) {
 	n := len(s.members)
 	for k := range min(n, maxSeeds) {
@@ -161,7 +162,8 @@
 	s.schedule(i)
 }
 
-// send encodes a message as on the wire and delivers the datagram after the delay of the network.
+// send encodes a message as on the wire, adds the datagram to the sender's load, and delivers it after the delay of
+// the network. The datagram is lost if no member has the address or if a cut separates the two members.
 func (s *simulation) send(from int, action membership.Send) {
 	sender := s.members[from]
 	var datagram []byte
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -10,7 +10,7 @@
 
 // TestChangesWithinCut checks that after a cut all members have learned of the changes that happened on either side
 // during the cut: members that restarted, moved to another address, left or joined. Members must also find each other
-// if all of them restarted with empty tables.
+// if all of them restarted with empty tables, or if the cut was interrupted for one second.
 func TestChangesWithinCut(t *testing.T) {
 	const cutSeconds = 60
 	for _, c := range []struct {
@@ -39,7 +39,7 @@
 			s.leave(2)
 			s.leave(s.inCutRegion()[1])
 		}},
-		{"one is replaced under another name on each side", func(s *scenario) {
+		{"one joins in each zone and one stops on each side", func(s *scenario) {
 			for range s.network.zones { // adds one member in each zone
 				i := len(s.members)
 				s.add(i)
@@ -73,7 +73,7 @@
 	}
 }
 
-// inCutRegion returns the members of the region that is cut off.
+// inCutRegion returns the indexes of the members of the region that is cut off.
 func (s *simulation) inCutRegion() (out []int) {
 	for i := range s.members {
 		if s.network.inCutRegion(i) {
