--- a/internal/plot/axis.go
+++ b/internal/plot/axis.go
@@ -48,7 +48,8 @@
 // isEmpty reports whether the axis contains no value.
 func (a *axis) isEmpty() bool { return a.low > a.high }
 
-// layout extends the axis so that it ends at ticks, and maps its ends to the pixels from and to.
+// layout extends the axis so that each end is 1, 2 or 5 times a power of ten, and maps the ends to the pixels from and
+// to. If both ends are equal, it also extends the axis by one decade at each end.
 func (a *axis) layout(from, to int) {
 	a.from, a.to = from, to
 	a.low, a.high = tickBelow(a.low), tickAbove(a.high)
--- a/internal/plot/chart.go
+++ b/internal/plot/chart.go
@@ -43,8 +43,8 @@
 var palette = []string{"#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf", "#8c564b", "#e377c2", "#7f7f7f", "#bcbd22"}
 
 // Chart writes an SVG file at path that shows the series on logarithmic axes with ticks and a legend.
-// Points with a coordinate that is zero, negative or infinite have no position on logarithmic axes and
-// are left out. Chart returns an error if no point remains.
+// Points with a coordinate that is zero, negative, infinite or NaN have no position on logarithmic axes and
+// are left out. Chart returns an error if no point remains or the file cannot be written.
 func Chart(path, title, xLabel, yLabel string, series ...Series) error {
 	x, y := newAxis(), newAxis()
 	for _, s := range series {
@@ -54,7 +54,7 @@
 		})
 	}
 	if x.isEmpty() {
-		return fmt.Errorf("plot: chart %q has no point above zero", title)
+		return fmt.Errorf("plot: chart %q has no point with positive, finite coordinates", title)
 	}
 	x.layout(marginLeft, chartWidth-marginRight)
 	y.layout(chartHeight-marginBottom, marginTop)
--- a/internal/plot/chart_test.go
+++ b/internal/plot/chart_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if points := strings.Count(text, "<circle"); points != 5 {
-		t.Errorf("got %d points, want 5: the sixth has no logarithm", points)
+		t.Errorf("got %d points, want 5: the point with the coordinate 0 must be left out", points)
 	}
 	if Chart(path, "empty", "", "", Series{"none", []float64{0}, []float64{1}}) == nil {
 		t.Error("chart without a point above zero: got no error, want one")
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -22,8 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// Feed passes data to consume as an event loop does: in pieces of random lengths, each preceded by the
-// bytes that consume has not used yet. It returns the first error of consume.
+// Feed passes data to consume as an event loop does. It appends pieces of random lengths to a buffer. After each
+// piece, it calls consume with the buffer and removes the used bytes, until consume uses none. It returns the first
+// error of consume.
 func Feed(t *rapid.T, data []byte, consume func([]byte) (used int, err error)) error {
 	var buffered []byte
 	for len(data) > 0 {
--- a/internal/stats/fit.go
+++ b/internal/stats/fit.go
@@ -1,5 +1,6 @@
 // Package stats evaluates the samples of scale tests: how a cost grows with a size, and how durations are
-// distributed. It must neither take samples nor draw charts; package plot draws the charts.
+// distributed. It also writes samples as CSV tables. It must neither take samples nor draw charts; package plot
+// draws the charts.
 package stats
 
 // This file owns the least-squares fits.
--- a/internal/stats/fit_test.go
+++ b/internal/stats/fit_test.go
@@ -22,10 +22,11 @@
 	}
 }
 
-// Pairs of which a number has no logarithm are left out. Samples of a single size have no exponent.
+// Exponent leaves out pairs in which a number is zero, because zero has no logarithm. For samples of a single
+// size, it returns NaN.
 func TestExponentLeavesOutWhatHasNoLogarithm(t *testing.T) {
 	if got := Exponent([]float64{0, 1, 10, 100}, []float64{5, 1, 10, 0}); !near(got, 1) {
-		t.Errorf("points without a logarithm: got exponent %v, want 1", got)
+		t.Errorf("pairs with a zero left out: got exponent %v, want 1", got)
 	}
 	if got := Exponent([]float64{10}, []float64{1}); !math.IsNaN(got) {
 		t.Errorf("one point: got exponent %v, want NaN", got)
@@ -41,7 +42,7 @@
 	// Calculated by hand: both means are 2, and the slope is (1*1 + 0*1 + 1*0)/2.
 	intercept, slope = Line([]float64{1, 2, 3}, []float64{1, 3, 2})
 	if !near(intercept, 1) || !near(slope, 0.5) {
-		t.Errorf("points beside a line: got %v + %v x, want 1 + 0.5 x", intercept, slope)
+		t.Errorf("points not on a line: got %v + %v x, want 1 + 0.5 x", intercept, slope)
 	}
 	if a, b := Line([]float64{2, 2}, []float64{1, 3}); !math.IsNaN(a) || !math.IsNaN(b) {
 		t.Errorf("two points of one size: got %v + %v x, want NaN", a, b)
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -52,7 +52,7 @@
 	binary        string
 	operatorsFile string
 	models        []*testbed.CapacityModel
-	workers       [][]*testbed.Worker  // workers to which each orchestrator connects, by orchestrator
+	workers       [][]*testbed.Worker  // workers[i][j] is the Worker through which orchestrator i connects to models[j]
 	discoveries   []*testbed.Discovery // by orchestrator
 	orchestrators []*orchestrator
 	recorder      *recorder
@@ -69,7 +69,7 @@
 
 // workerSpecs returns the specifications of the emulated workers. Every third worker is a node-64 and
 // the others are node-32. Zones are assigned round-robin; with three zones, all node-64 workers are in
-// the last zone. The first cold workers have just started.
+// the last zone. The first workers, as many as the parameter cold says, have just started.
 func workerSpecs(workers, cold int) (specs []testbed.WorkerSpec) {
 	const cellSize = 6
 	for i := range workers {
@@ -90,8 +90,8 @@
 	return specs
 }
 
-// newRig starts the emulated workers and publishes their list. It prepares the orchestrators without
-// starting them; orchestrator.start does that.
+// newRig starts the emulated workers and publishes their list, at once and then periodically until the end of
+// the test. It prepares the orchestrators but does not start them; orchestrator.start starts them.
 func newRig(t testing.TB, options rigOptions) *rig {
 	t.Helper()
 	binary, err := build()
@@ -136,7 +136,7 @@
 	r.orchestrators = append(r.orchestrators, &orchestrator{Process: testbed.Process{Name: fmt.Sprint("n", index)}, rig: r, index: index})
 }
 
-// capacity is the free capacity of a worker, in cores and in the memory units of the list.
+// capacity is the free capacity of a worker: the number of cores, and the memory in the unit of the worker list.
 type capacity struct{ cores, memory float64 }
 
 func (r *rig) freeCapacities() (free []capacity) {
@@ -147,8 +147,9 @@
 	return free
 }
 
-// publish adds an event with all workers and the given free capacities to the list of each
-// orchestrator. If complete is true, the event replaces the list.
+// publish makes the discovery of each orchestrator send an event with the entries of all workers and the given
+// free capacities. If complete is true, the event replaces the worker list of the orchestrator; otherwise it
+// updates entries in the list.
 func (r *rig) publish(complete bool, free []capacity) {
 	for i, discovery := range r.discoveries {
 		var entries []string
@@ -199,14 +200,15 @@
 	if err != nil {
 		o.rig.t.Error(err)
 	}
-	// The address is set only once: a restart reuses the address, and clients read it during the restart.
+	// Only the first start sets the address. A restart reuses it, and another write would be a data race because
+	// clients read the field during a restart.
 	if o.address == "" {
 		o.address = address
 	}
 }
 
 // configuration returns the configuration of an orchestrator that starts now. The seed depends on the time and
-// the index, so that each start makes different random choices.
+// the index, so that two orchestrators, or two starts of one, make different random choices.
 func (o *orchestrator) configuration(listen string) string {
 	discovery := o.rig.discoveries[o.index]
 	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// This file tests .ci/known-red, which excludes the tests that a list names as failing.
+// This file tests .ci/known-red, which prints a pattern of the tests to skip: those that a list names as failing.
 
-// TestKnownRed checks that a line of the list excludes a test only if the line has the expected format with all
-// fields and the test exists.
+// TestKnownRed checks the pattern that known-red prints for a valid list. It also checks that known-red fails if the
+// list is empty, a line does not have the expected format with all fields, or a test does not exist.
 func TestKnownRed(t *testing.T) {
 	const wantFormat = "expected 'TestName | command and seed | what was seen | issue N'"
 	const firstEntry, secondEntry = "TestKnownRed | go test ./test/ci, seed 3 | it fails on odd days | issue 3\n",
@@ -41,7 +41,7 @@
 			command.Stderr = &messages
 			out, err := command.Output()
 			if string(out) != c.pattern || (err == nil) != (c.pattern != "") || !strings.Contains(messages.String(), c.message) {
-				t.Errorf("known-red: got pattern %q, messages %q, error %v; want pattern %q and messages that contain %q", out, messages.String(), err, c.pattern, c.message)
+				t.Errorf("known-red: got pattern %q, messages %q, error %v; want pattern %q, messages that contain %q, and an error only if the pattern is empty", out, messages.String(), err, c.pattern, c.message)
 			}
 		})
 	}
--- a/test/ci/module_limits_test.go
+++ b/test/ci/module_limits_test.go
@@ -10,8 +10,8 @@
 
 // This file tests .ci/module-limits, which limits the line length of the scheduler's files.
 
-// TestModuleLimits checks the files in the policy list of the deploy file. Each of them must exist and have no
-// line of over 110 characters. The number of its lines is not limited.
+// TestModuleLimits checks that module-limits succeeds only if the deploy file has a policy list with at least one file,
+// and each file in the list exists and has no line of over 110 characters. The number of lines is not limited.
 func TestModuleLimits(t *testing.T) {
 	manyLines, widestLine := strings.Repeat("x\n\n \t\n", 475), strings.Repeat("x", 110)+"\n"
 	for _, c := range []struct{ name, deploy, first, second, message string }{
@@ -42,7 +42,7 @@
 			command.Dir = dir
 			out, err := command.CombinedOutput()
 			if (err == nil) != (c.message == "") || !strings.Contains(string(out), c.message) {
-				t.Errorf("module-limits: got output %q, error %v; want output that contains %q", out, err, c.message)
+				t.Errorf("module-limits: got output %q, error %v; want output that contains %q and, unless this text is empty, an error", out, err, c.message)
 			}
 		})
 	}
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -8,13 +8,14 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file defines the hard cases.
+// This file defines the hard cases: fixed fault schedules that are difficult for the membership protocol to handle.
 
-// TestCases runs a fixed fault schedule for each hard case, with real processes, and checks that no rule is violated. The
-// cases run in parallel and take half a minute, so they are skipped unless the -run flag is set.
+// TestCases runs the fault schedule of each hard case with real processes. It checks that the run violates no rule (see
+// runSchedule) and that every cut counted in Verdict.AsymmetricCuts was detected. The cases run in parallel and take
+// half a minute, so they are skipped unless the -run flag is set.
 func TestCases(t *testing.T) {
 	if flag.Lookup("test.run").Value.String() == "" {
-		t.Skip("a measurement of half a minute; select it by its name with -run")
+		t.Skip("takes half a minute: runs only if selected with -run")
 	}
 	if _, err := build(); err != nil {
 		t.Fatal(err)
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -1,5 +1,6 @@
-// Package cluster injects faults between processes of the real program and checks the membership that they report. The
-// test rig is internal/testbed/fleet; this package only defines the schedules to run and the rules that must hold.
+// Package cluster injects faults into processes of the real program and into the paths between them, and checks the
+// membership that the processes report. The test rig internal/testbed/fleet injects the faults and evaluates the
+// reports. This package only defines the schedules to run, and the result that is required.
 package cluster
 
 import (
@@ -16,18 +17,20 @@
 	"ravenhitch/internal/testbed/fleet"
 )
 
-// This file tests a randomly drawn schedule and defines the helpers that all schedules share.
+// This file tests one schedule, which is given by a flag or drawn from a seed. It also defines the helpers that all
+// tests of the package share.
 
 var (
 	seedFlag      = flag.Uint64("seed", 7, "seed from which the schedule is drawn")
 	processesFlag = flag.Int("processes", 7, "number of orchestrators")
 	secondsFlag   = flag.Int("seconds", 20, "length of the schedule")
 	scheduleFlag  = flag.String("schedule", "", "schedule to run instead of a drawn one")
-	calmFlag      = flag.Duration("calm", 3*time.Second, "how long tasks are submitted before the schedule, without and with peers")
-	shrinkFlag    = flag.Bool("shrink", false, "shorten a schedule that fails; each attempt is one run")
+	calmFlag      = flag.Duration("calm", 3*time.Second, "length of each measurement of placement times before the schedule")
+	shrinkFlag    = flag.Bool("shrink", false, "shorten a schedule that fails by running it again without single steps")
 )
 
-// maxDisagreement is the maximum time after the end of all faults for which the membership tables may differ.
+// maxDisagreement is the maximum time after the heal step for which the membership view of an orchestrator may differ
+// from the set of running orchestrators.
 const maxDisagreement = 3 * time.Second
 
 // build builds the program on its first call and returns the path of the binary.
@@ -53,7 +56,9 @@
 	return fleet.New(t, fleet.Options{Programs: []string{binary}, Dir: t.TempDir(), Orchestrators: orchestrators, Seed: *seedFlag, WithoutPeers: alone})
 }
 
-// runSchedule runs a schedule while clients submit tasks. It returns the verdict and the violated rules, one per line.
+// runSchedule runs a schedule while clients submit tasks. It returns the verdict and the violated rules, one per line:
+// the violations of the verdict, requests that got no response although their orchestrator ran and was reachable, and
+// membership views that were wrong for longer than maxDisagreement.
 func runSchedule(t *testing.T, f *fleet.Fleet, steps []testbed.Step, length time.Duration) (v fleet.Verdict, violations string) {
 	placements := f.SubmitTasks(length - time.Second)
 	f.RunSchedule(steps, length)
@@ -64,18 +69,19 @@
 		brokenRules = append(brokenRules, fmt.Sprintf("%d requests without a response, for example %s", len(unanswered), unanswered[0]))
 	}
 	if v.Disagreement > maxDisagreement {
-		brokenRules = append(brokenRules, fmt.Sprintf("membership tables still differ %s after the end of all faults", v.Disagreement))
+		brokenRules = append(brokenRules, fmt.Sprintf("membership views were still wrong %s after the heal step", v.Disagreement))
 	}
-	t.Logf("placed: %+v", placements.Total())
+	t.Logf("results of the submitted tasks: %+v", placements.Total())
 	return v, strings.Join(brokenRules, "\n")
 }
 
-// TestMembers runs the schedule that a flag gives, or a schedule drawn from a seed, and checks that no rule is
-// violated. If the -run flag is set, it first measures placements without peers.
+// TestMembers runs the schedule that a flag gives, or a schedule drawn from a seed, and checks that the run violates no
+// rule (see runSchedule). Before the schedule, it measures placement times with peers and, if the -run flag is set,
+// also without peers.
 func TestMembers(t *testing.T) {
 	length := time.Duration(*secondsFlag) * time.Second
 	var withoutPeers *fleet.Placements
-	if flag.Lookup("test.run").Value.String() != "" { // measures placements for comparison, not part of the schedule
+	if flag.Lookup("test.run").Value.String() != "" { // the measurement without peers is only used for placement_p99_ratio
 		t.Run("off", func(t *testing.T) {
 			withoutPeers = newFleet(t, *processesFlag, true).SubmitTasks(*calmFlag)
 			withoutPeers.Wait()
@@ -99,7 +105,8 @@
 	}
 }
 
-// schedule returns the schedule that the flag gives, or a drawn schedule if the flag is not set.
+// schedule returns the schedule that the -schedule flag gives, or a schedule drawn from the seed if the flag is not
+// set.
 func schedule(t *testing.T, f *fleet.Fleet, length time.Duration) []testbed.Step {
 	t.Helper()
 	if *scheduleFlag == "" {
@@ -122,7 +129,7 @@
 	return float64(withPeers.P99()) / float64(max(1, withoutPeers.P99()))
 }
 
-// logMembership repeats the orchestrators' log lines on membership, their warnings and their errors.
+// logMembership copies the orchestrators' log lines on membership, their warnings and their errors to the test log.
 func logMembership(t *testing.T, f *fleet.Fleet) {
 	for _, orchestrator := range f.Orchestrators {
 		for _, line := range orchestrator.Lines() {
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -9,8 +9,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file defines the behaviour of clients. A client keeps using its open connection until the process has exited,
-// and draws all its choices from the scenario's seed.
+// This file defines the behaviour of clients. A client does not react to the signals that terminate a process: it keeps
+// using its open connection. It draws its random choices from the scenario's seed, except for the open request that it
+// cancels.
 
 // codeEnded is the code of FINISH messages by which a client cancels a request or a worker completes a task.
 const codeEnded = 16
@@ -19,8 +20,8 @@
 	maxOpen      = 4 // maximum number of requests without a response on one connection
 	maxThinkTime = 40 * time.Millisecond
 	redialPause  = 20 * time.Millisecond
-	// reconnectWindow is the time after the first terminating signal during which a client reconnects if its
-	// connection ends.
+	// reconnectWindow is the time after the first terminating signal during which a client still reconnects if
+	// its connection ends.
 	reconnectWindow = 400 * time.Millisecond
 )
 
@@ -46,7 +47,7 @@
 	conn     *testbed.Client
 	record   *connection
 	open     map[string]bool // IDs of the requests without a response on the connection
-	retryKey string          // key of a rejected task that the next submission retries, "" if there is no task to retry
+	retryKey string          // key of the task that the next submission retries, "" if there is no task to retry
 }
 
 func newClient(s *scenario, p *process, index int) *client {
@@ -130,7 +131,7 @@
 	testbed.CloseQuietly(c.conn)
 }
 
-// cancel cancels one of the open requests.
+// cancel cancels an arbitrary open request. It does nothing if no request is open.
 func (c *client) cancel() {
 	for requestID := range c.open {
 		delete(c.open, requestID)
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -13,14 +13,15 @@
 
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
-	reportLimit   = time.Second            // maximum time until a completion is reported to the client
-	leaveLimit    = 100 * time.Millisecond // maximum time from a client's leaving to the last offer of its request, plus maxPathDelay
-	crossingLimit = 50 * time.Millisecond  // a message and a close at most this far apart may have crossed each other
+	reportLimit   = time.Second            // maximum time from the end of a task to its report to the client
+	leaveLimit    = 100 * time.Millisecond // an offer may arrive until leaveLimit+maxPathDelay after its client left
+	crossingLimit = 50 * time.Millisecond  // maximum time between a message and a disconnect that crossed each other
 	ruleSlack     = 50 * time.Millisecond  // tolerance of the test that is added to reportLimit and drainGrace
 	maxPathDelay  = 75 * time.Millisecond  // maximum delay that faultDelay adds to messages to a worker
 )
 
-// verdict holds the counts of one scenario or the sum of several, and the details of the first violation.
+// verdict holds the counts of one scenario with the details of its first violation, or the sum of the counts of several
+// scenarios without details.
 type verdict struct {
 	requests, afterSIGTERM                                                              int
 	lost, late, unreported, duplicates, afterLeave, toDraining, uncleanExits, overLimit int
@@ -155,7 +156,7 @@
 }
 
 // isLost reports whether a request has no response although its client waited for a response. A request that the
-// process had not read when its connection closed is not lost if the request and the close crossed each other.
+// process never read is not lost if it and the end of its connection may have crossed each other.
 func (s *scenario) isLost(r *request, wasRead bool) bool {
 	if !r.respondedAt.IsZero() || !r.leftAt.IsZero() {
 		return false
@@ -174,8 +175,8 @@
 // response. It also returns false if the process may not have learned of the completion, had no time to report it, or
 // its report may not have reached the client:
 //   - The worker or its path had a fault between the submission and the time limit.
-//   - A connection to the worker ended around the worker's report or before the limit. A worker that could not send
-//     a report has 8 s to send it.
+//   - A connection to the worker ended around the worker's report or before the limit. A worker that cannot
+//     send a report at once may send it on a later connection within 8 s.
 //   - The process exited before the limit.
 //   - The process's report and the client's close of the connection crossed each other.
 func (s *scenario) isUnreported(r *request) bool {
@@ -194,9 +195,9 @@
 	return r.reportedAt.IsZero() || r.reportedAt.After(due)
 }
 
-// crossedClose reports whether the process's report of a completion and the client's close of the connection
-// crossed each other. They did if the process sent the report on a connection that its client closed at most
-// crossingLimit before or after the end of the task.
+// crossedClose reports whether the process's report of a completion and the client's close of the connection may
+// have crossed each other. This is the case if the process sent the report on a connection that its client closed at
+// most crossingLimit before or after the end of the task.
 func (s *scenario) crossedClose(r *request) bool {
 	number := r.process.completionConnection(r.id)
 	for _, other := range s.ledger.requests {
--- a/test/soak/judges_test.go
+++ b/test/soak/judges_test.go
@@ -9,8 +9,8 @@
 
 // This file tests the checks that judge a finished scenario.
 
-// TestJudges tests that each check counts a violation of its rule, and that it counts nothing that the rule
-// allows.
+// TestJudges tests that judgeProcess and judgeRequest count violations of their rules, and that they count nothing that
+// the rules allow.
 func TestJudges(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1_000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	const timeout = 400 * time.Millisecond
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -56,7 +56,8 @@
 }
 
 // received records a message to a client. It returns the key of the message's request and reports whether the message
-// is the first response. Messages with another verb or an unknown request ID are ignored.
+// is the first response. Messages with a verb other than STARTED, FINISH and MOVE, or with an unknown request ID, are
+// ignored.
 func (l *ledger) received(line testbed.Line, now time.Time) (key string, isResponse bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +70,7 @@
 	case r.respondedAt.IsZero():
 		r.respondedAt, r.response, r.responses = now, line.Verb, 1
 		if line.Verb != "STARTED" {
-			r.reportedAt = now // the response is also the report: no other report follows unless the response is STARTED
+			r.reportedAt = now // a response other than STARTED is also the report, and no other report follows it
 		}
 		return r.key, true
 	case isCompletion && r.reportedAt.IsZero():
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -33,10 +33,10 @@
 	*testbed.Worker
 	proxy *testbed.Proxy // nil if the process reaches the worker directly
 
-	faultMutex     sync.Mutex // locked while a fault of the worker lasts; a fault that would overlap with it is skipped
+	faultMutex     sync.Mutex // locked during a temporary fault of the worker or its path; a second one is skipped
 	mu             sync.Mutex // guards the fields below
 	faultIntervals []interval
-	drainingSince  time.Time // time when discovery listed the worker as draining, zero if it never did
+	drainingSince  time.Time // time when discovery first listed the worker as draining, zero if it never did
 	evictsTasks    bool      // the worker evicts its tasks during the drain
 	hung           bool
 }
@@ -123,7 +123,8 @@
 }
 
 // startWorkers starts the workers of a process. The process reaches every second worker through a proxy. Each
-// process has its own workers, because a stand-in may report the end of a task on any of its connections.
+// process has its own workers, because a stand-in may report the end of a task on any of its connections, which
+// could be a connection of another process.
 func (s *scenario) startWorkers(p *process) {
 	for i := range s.plan.workers {
 		w := &worker{Worker: testbed.NewWorker(s.t, fmt.Sprintf("s-%d-%d", p.index, i))}
@@ -164,10 +165,11 @@
 	}
 }
 
-// endInterval is the time after which endTasks ends the next running task.
+// endInterval is the time after which endTasks and drain end the next running task.
 const endInterval = 10 * time.Millisecond
 
-// endTasks ends a random running task of the process every endInterval.
+// endTasks draws a worker of the process every endInterval and ends one of its running tasks, also drawn at random. It
+// does nothing if the worker hangs or runs no task.
 func (p *process) endTasks() {
 	s := p.scenario
 	random := rand.New(rand.NewPCG(s.plan.seed, uint64(20+p.index)))
@@ -243,8 +245,8 @@
 	}
 }
 
-// injectWorkerFault injects a temporary fault of a worker or its path. It skips the fault while another fault of the
-// worker lasts.
+// injectWorkerFault injects a temporary fault of a worker or its path. It skips the fault while another
+// temporary fault of the worker or its path lasts.
 func (s *scenario) injectWorkerFault(w *worker, f fault) {
 	if !w.faultMutex.TryLock() {
 		return
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -21,7 +21,8 @@
 	drainGrace = 600 * time.Millisecond
 
 	minStopAt, maxStopAt = 1200 * time.Millisecond, 2 * time.Second
-	// faultsAfterStop is the time after the first terminating signal during which new faults may still begin.
+	// faultsAfterStop is the time after the first signal of the series (plan.stopAt) during which new faults may still
+	// begin.
 	faultsAfterStop = 800 * time.Millisecond
 )
 
@@ -41,7 +42,7 @@
 	faultClose          faultKind = "close"        // the worker closes all its connections
 	faultDiscoveryCut   faultKind = "discovery-cut"
 	faultDiscoveryDelay faultKind = "discovery-delay"
-	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to another address; SIGHUP announces the move
+	faultDiscoveryMove  faultKind = "discovery-move" // discovery moves to a new address, which the process loads on SIGHUP
 )
 
 var (
@@ -76,7 +77,7 @@
 	sockets, memoryMB  int
 	stalledConnections int // number of connections per process that send nothing or half a message
 	faults             []fault
-	faultyAnswers      bool // some workers answer with half a message, or reset their connection instead of answering
+	faultyAnswers      bool // workers answer some offers with half a message, or reset the connection instead of answering
 	stopAt             time.Duration
 	signals            []signalStep
 }
@@ -151,7 +152,7 @@
 
 // String formats the plan as one line.
 func (p plan) String() string {
-	words := []string{fmt.Sprintf("processes=%d workers=%d clients=%d deadline=%s crowd=%d spoilt=%v stop=%s", p.processes, p.workers,
+	words := []string{fmt.Sprintf("processes=%d workers=%d clients=%d deadline=%s stalled_connections=%d faulty_answers=%v stop_at=%s", p.processes, p.workers,
 		p.clients, p.deadline, p.stalledConnections, p.faultyAnswers, p.stopAt.Round(time.Millisecond))}
 	for _, f := range p.faults {
 		words = append(words, fmt.Sprintf("%s:%d.%d@%s+%s", f.kind, f.process, f.worker, f.at.Round(time.Millisecond), f.length.Round(time.Millisecond)))
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -25,7 +25,7 @@
 	index    int
 	workers  []*worker
 	address  string
-	path     *testbed.Proxy // proxy between the process and discovery
+	path     *testbed.Proxy // proxy between the process and discovery; not used after discovery has moved
 	// discoveryFaultMutex is locked while a fault of the process's discovery lasts. A fault that would overlap with
 	// it is skipped.
 	discoveryFaultMutex sync.Mutex
@@ -50,7 +50,7 @@
 		DrainGrace: drainGrace, Sockets: s.plan.sockets, MemoryMB: s.plan.memoryMB}
 }
 
-// writeConfig writes the configuration file. Its field channel is the address at which the process reaches
+// writeConfig writes the configuration file. The parameter channel is the address at which the process reaches
 // discovery.
 func (p *process) writeConfig(channel string) error {
 	seed := p.scenario.plan.seed<<8 + uint64(p.index) + 1
@@ -58,8 +58,8 @@
 	return os.WriteFile(p.config, []byte(text), 0o600)
 }
 
-// start starts the process and waits until it serves clients. At log level debug, the process logs a trace of
-// every request.
+// start starts the process and waits until it serves clients. It sets the log level to debug, so that the
+// process logs a trace of every request.
 func (p *process) start(binary string) error {
 	p.Name = fmt.Sprint("n", p.index)
 	directory := p.scenario.directory(p)
@@ -176,8 +176,8 @@
 	return p.traceField(requestID, "msg=request ", "connection")
 }
 
-// completionConnection returns the number of the connection on which the process sent the completion of a task, or "" if
-// the process sent none.
+// completionConnection returns the number of the connection on which the process sent the completion of a task, or ""
+// if the process sent none.
 func (p *process) completionConnection(requestID string) string {
 	return p.traceField(requestID, `msg="completion sent" `, "connection")
 }
@@ -256,7 +256,7 @@
 )
 
 // openStalledConnections opens connections that send nothing or half a message. It keeps them open until the
-// process has exited.
+// process has exited or a dial fails.
 func (p *process) openStalledConnections() {
 	p.scenario.sleep(time.Until(p.scenario.startedAt.Add(p.scenario.plan.stopAt - stalledConnectionsLead)))
 	for i := range p.scenario.plan.stalledConnections {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -4,8 +4,8 @@
 //
 //	go test ./test/soak -run TestSoak -v -args -seeds 50 -first 1
 //
-// Each seed determines one scenario. A seed that violates a rule prints the command that reproduces it, its counts and
-// the details of its first violation.
+// Each seed determines the plan of one scenario. If a scenario violates a rule, the test prints the command that
+// reproduces it, its counts and the details of its first violation.
 //
 // This file defines the flags and the test.
 package soak
@@ -36,9 +36,11 @@
 	return testbed.BuildProgram(directory)
 })
 
-// TestSoak checks five rules under random faults. Every request gets exactly one response in time. Every
-// completion is reported. No task runs twice. No attempt begins after its client left. Each process exits by
-// itself before the kill.
+// TestSoak checks the following rules under random faults. Every request gets exactly one response in time. Every
+// completion is reported in time. No request has two attempts in flight at the same time. No worker gets an offer of a
+// request whose client has left, or an offer later than drainGrace after the start of its drain. Each process exits by
+// itself with code 0 before the kill, and stays within its limits on descriptors and memory. The file judge_test.go
+// defines tolerances and exceptions.
 func TestSoak(t *testing.T) {
 	binary, err := build()
 	if err != nil {
