--- a/client/place.go
+++ b/client/place.go
@@ -19,7 +19,7 @@
 )
 
 // errNoOrchestrator is returned by Client.Place if the Client has no connections.
-var errNoOrchestrator = errors.New("client: no connection to an orchestrator")
+var errNoOrchestrator = errors.New("client: created without a connection to an orchestrator")
 
 // request holds the state of a task until it is started.
 type request struct {
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -54,7 +54,7 @@
 func serve(operatorsPath string) error {
 	configPath := os.Getenv("ROUTER_CONFIG")
 	if configPath == "" {
-		return errors.New("ROUTER_CONFIG is not set")
+		return errors.New("environment variable ROUTER_CONFIG is not set; expected the path of the configuration file")
 	}
 	cfg, err := config.Load(configPath)
 	if err != nil {
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -40,7 +40,7 @@
 	}
 	var report peer.StatusReport
 	if err := json.Unmarshal([]byte(text), &report); err != nil {
-		return fmt.Errorf("%s: %w", c.AdminAddr, err)
+		return fmt.Errorf("%s: the reply to PEERS is not a membership table: %w", c.AdminAddr, err)
 	}
 	_, err = io.WriteString(out, formatStatusReport(report))
 	return err
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -115,7 +115,7 @@
 		budget -= grpcfront.MaxConns + 1
 	}
 	if budget < minSocketBudget {
-		return 0, fmt.Errorf("a limit of %d sockets is too low", sockets)
+		return 0, fmt.Errorf("limits.sockets: a limit of %d sockets is too low", sockets)
 	}
 	return budget, nil
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -13,7 +13,7 @@
 
 // ErrLineFile is wrapped by every error about the content of a line-based file: the operators' file,
 // whose errors also wrap ErrConfig, and the file of retry token keys.
-var ErrLineFile = errors.New("settings")
+var ErrLineFile = errors.New("invalid line-based file")
 
 // PositionError reports invalid or missing text at a position in a line-based file. It wraps
 // ErrLineFile.
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -35,7 +35,7 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("%v: unexpected HTTP status %d from the command channel", ErrResponse, e.Status)
+	return fmt.Sprintf("%v: unexpected HTTP status %d from discovery", ErrResponse, e.Status)
 }
 
 // Unwrap returns ErrResponse.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -84,7 +84,7 @@
 func New(settings placement.Settings, seed uint64, workers WorkerPool, log *slog.Logger) (*Dispatcher, error) {
 	scheduler, err := placement.New(settings, seed)
 	if err != nil {
-		return nil, fmt.Errorf("dispatch: %w", err)
+		return nil, fmt.Errorf("dispatch: invalid settings: %w", err)
 	}
 	d := &Dispatcher{
 		scheduler:  scheduler,
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -28,7 +28,7 @@
 	// ErrDeadlinePassed is returned if the deadline of the request has passed.
 	ErrDeadlinePassed = errors.New("the deadline has passed")
 	// ErrWorkerDraining is returned if the worker has been draining for longer than the drain limit.
-	ErrWorkerDraining = errors.New("the worker is draining")
+	ErrWorkerDraining = errors.New("the worker has been draining or unlisted for longer than the drain limit")
 	// ErrRepeatUnknown is returned if the task may have started so long ago that workers no longer recognise
 	// a repeat.
 	ErrRepeatUnknown = errors.New("the task may have started, and workers no longer recognise a repeat")
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -10,7 +10,7 @@
 var (
 	ErrTimeout      = errors.New("eventloop: connection not established in time")
 	ErrEOF          = errors.New("eventloop: closed by the other side")
-	ErrOverflow     = errors.New("eventloop: too much unsent output: the other side does not read")
+	ErrOverflow     = errors.New("eventloop: too much unsent output: the other side does not read fast enough")
 	ErrNoDescriptor = errors.New("eventloop: no descriptor left in the budget")
 )
 
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -84,7 +84,7 @@
 func (l *Loop) ListenInherited(fd int, admission Admission, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		//nolint:errorlint // err may be nil, which %w does not print
-		notListening := fmt.Errorf("%w (%v)", ErrNotListening, err)
+		notListening := fmt.Errorf("%w (getsockopt error: %v)", ErrNotListening, err)
 		return "", &OpError{Op: "descriptor", Target: strconv.Itoa(fd), Err: notListening}
 	}
 	unix.CloseOnExec(fd)
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -108,7 +108,7 @@
 	}
 	creds, err := credentials.NewServerTLSFromFile(cert, key)
 	if err != nil {
-		return nil, fmt.Errorf("grpcfront: %w", err)
+		return nil, fmt.Errorf("grpcfront: load the TLS certificate and its key: %w", err)
 	}
 	return creds, nil
 }
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -45,7 +45,8 @@
 		return nil, 0, &MessageError{Reason: ErrMalformed, Cause: err}
 	}
 	if !validName(hello.GetName()) || len(hello.GetFeatures()) > maxFeatures {
-		return nil, 0, malformed("invalid hello: name %.40q, %d features", hello.GetName(), len(hello.GetFeatures()))
+		return nil, 0, malformed("invalid name or too many features in a hello: name %.40q, %d features",
+			hello.GetName(), len(hello.GetFeatures()))
 	}
 	if hello.GetCluster() != cluster {
 		return nil, 0, otherCluster(cluster, hello.GetCluster(), hello.GetName())
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -38,7 +38,11 @@
 			helloFrame(t, &peerpb.Hello{Cluster: "dala", Name: "n2", Lowest: 7, Highest: 9}),
 			"n2 supports versions 7 to 9, this program supports 1 to 1",
 		},
-		{"no name", helloFrame(t, &peerpb.Hello{Cluster: "dala", Lowest: 1, Highest: 1}), `invalid hello: name \"\", 0 features`},
+		{
+			"no name",
+			helloFrame(t, &peerpb.Hello{Cluster: "dala", Lowest: 1, Highest: 1}),
+			`invalid name or too many features in a hello: name \"\", 0 features`,
+		},
 	}
 	for _, c := range cases {
 		answer, err := exchange(t, p, c.sent)
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -180,7 +180,8 @@
 	}
 	hello, _, err := CheckHello(s.peers.settings.Cluster, message)
 	if err == nil && (hello.GetName() != s.member || hello.GetLife() != s.nonce) {
-		err = malformed("%s answers at the address of %s, with another name or incarnation nonce", hello.GetName(), s.member)
+		err = malformed("%s answers at the address of %s, but its name or incarnation nonce is not that of the member",
+			hello.GetName(), s.member)
 	}
 	if err != nil {
 		s.peers.counts.Refused++
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -73,7 +73,7 @@
 // add parses a directive and appends the key that the directive defines.
 func (k *Keys) add(directive config.Directive) error {
 	if directive.Name.Text != "key" {
-		return directive.Name.Expected("key")
+		return directive.Name.Expected("the directive key")
 	}
 	if len(directive.Args) != 2 {
 		return directive.Name.Expected("key followed by a name and a secret in hex")
--- a/internal/retrytoken/retrytoken_test.go
+++ b/internal/retrytoken/retrytoken_test.go
@@ -136,7 +136,7 @@
 		{"", "expected a section [keys]"},
 		{"[keys]", "at least one key"},
 		{"[kees]", "k:1:2: expected section [keys]"},
-		{"[keys]\nkee a b", "k:2:1: expected key"},
+		{"[keys]\nkee a b", "k:2:1: expected the directive key"},
 		{"[keys]\nkey a", "k:2:1: expected key followed by"},
 		{"[keys]\nkey a 00", "k:2:7: expected a secret of 32 to 128 hex digits"},
 		{"[keys]\nkey a zz0102030405060708090a0b0c0d0e0f", "k:2:7: expected a secret"},
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -30,7 +30,7 @@
 // next returns the next field, or "" if it is absent. If no field is left, it stores an error.
 func (f *fields) next() string {
 	if f.read >= len(f.parts) {
-		f.fail("expected more than %d parts", len(f.parts))
+		f.fail("expected more than %d fields", len(f.parts))
 		return ""
 	}
 	part := f.parts[f.read]
@@ -92,7 +92,7 @@
 // end returns the first stored error. If there is none, it returns an error if unread fields remain.
 func (f *fields) end() error {
 	if f.err == nil && f.read != len(f.parts) {
-		return fmt.Errorf("expected %d parts, got %d", f.read, len(f.parts))
+		return fmt.Errorf("expected %d fields, got %d", f.read, len(f.parts))
 	}
 	return f.err
 }
--- a/internal/workerpool/end_reasons.go
+++ b/internal/workerpool/end_reasons.go
@@ -15,7 +15,7 @@
 
 // Reasons for which this side closes a connection.
 var (
-	errUnresponsive   = errors.New("the cancel of an offer was not confirmed")
+	errUnresponsive   = errors.New("the cancel of an offer could not be confirmed")
 	errWorkerDead     = errors.New("the worker is dead")
 	errAddressChanged = errors.New("the worker's address changed")
 	errUnlisted       = errors.New("the worker is no longer listed")
@@ -30,7 +30,7 @@
 
 // errNoDescription is the reason for closing a connection on which a worker accepted an offer without sending its
 // description of the task.
-var errNoDescription = fmt.Errorf("%w: an answer without a description", jsonlines.ErrMessage)
+var errNoDescription = fmt.Errorf("%w: an acceptance without a description of the task", jsonlines.ErrMessage)
 
 // isUnreachable reports whether this side closed a connection because its messages apparently did not reach the
 // worker. In that case the close may not reach the worker either.
