--- a/placement/actions.go
+++ b/placement/actions.go
@@ -14,7 +14,7 @@
 		AbandonAtUs       int64
 	}
 	// Reject is the final response to a request whose client may safely submit it again. The caller
-	// adds the Retry-After.
+	// determines the Retry-After, if any.
 	Reject struct{ RequestID string }
 	// Fail is the final response to a request whose client cannot safely submit it again, because the
 	// task may have run.
@@ -23,7 +23,7 @@
 	Migrate struct{ RequestID string }
 	// Probe asks a worker for its load.
 	Probe struct{ Worker string }
-	// WatchWorkers polls discovery for changes to the list of workers. A scheduler always sets Active.
+	// WatchWorkers requests changes to the list of workers from discovery. A scheduler always sets Active.
 	WatchWorkers struct{ Active bool }
 	// RefreshWorkers requests a complete list of workers from discovery.
 	RefreshWorkers struct{}
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -4,8 +4,8 @@
 
 // This file computes the preferred workers of a program by rendezvous hashing: the workers are ordered
 // by a hash of the program and the worker's name, and the first ones are preferred. Schedulers that offer
-// tasks to the same workers thereby prefer the same of them without sharing state, and the program's code
-// is likely to be resident there. This file must not make decisions.
+// tasks to the same workers therefore agree on the preferred workers without sharing state, and the program's
+// code is likely to be resident there. This file must not make decisions.
 
 const (
 	// preferredWorkerCount is the approximate number of preferred workers of a program. It is not exact,
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -5,8 +5,8 @@
 // This file owns capacity calibration: it derives the effective capacity of single workers from reports
 // of poor service, high utilization and memory pressure. It must not migrate tasks.
 
-// calibrationFloor is the smallest calibration of a worker, as a fraction of its uncalibrated effective
-// capacity.
+// calibrationFloor is the lower limit of the calibration of a worker. The calibration is the effective
+// capacity, as a fraction of the effective capacity of an uncalibrated worker of the same kind.
 const calibrationFloor = 0.05
 
 // calibration learns the effective capacity of single workers.
@@ -24,7 +24,7 @@
 	used       float64 // use, as a fraction of the worker's size
 	target     float64 // largest use at which service is still full, as a fraction of the worker's size
 	poor       bool    // service is poor, or the use is near or above the target
-	confidence float64 // weight of the measurement relative to the calibration so far, from 0 to 1
+	confidence float64 // weight of the measurement in the new calibration, from 0 to 1
 }
 
 // learn adjusts the calibration of a worker to a measurement of poor service. It ignores other
@@ -60,8 +60,8 @@
 }
 
 // excessUtilization returns how much calibration raises the utilization of the indexed workers, as a
-// sum weighted by cores. It also removes from the list of calibrated workers those whose calibration has
-// decayed to 1.
+// sum weighted by cores. It also removes the workers whose calibration is 1 again from the list of
+// calibrated workers.
 func (c *calibration) excessUtilization() (sum float64) {
 	baseline := c.index.baseline
 	c.workers = slices.DeleteFunc(c.workers, func(worker *workerInfo) bool {
--- a/placement/discovery.go
+++ b/placement/discovery.go
@@ -26,8 +26,8 @@
 // start schedules the first poll.
 func (d *discovery) start() { d.pollAt = d.now + d.jitter(maxInitialDelay) }
 
-// recordList schedules the next poll after a failure. After a list that is not cached, no poll is
-// scheduled. A cached list changes nothing.
+// recordList schedules the next poll after a failure. A list that is not cached cancels the scheduled poll.
+// A cached list changes nothing.
 func (d *discovery) recordList(kind ListKind) {
 	switch kind {
 	case ListFailed:
--- a/placement/event_measures_test.go
+++ b/placement/event_measures_test.go
@@ -81,8 +81,8 @@
 	s.handle(WorkerList{Kind: ListDelta, Entries: s.entries()})
 }
 
-// idleSite returns a site without tasks. All its workers have the same utilization, so a search in a large
-// fleet finds thousands of equal candidates.
+// idleSite returns a site without tasks. All its workers have the same utilization, so thousands of workers
+// of a large fleet are equal candidates.
 func idleSite(t *testing.T, workers int) *site {
 	return newSite(t, workers, *seedFlag, siteSettings(workers, *probesFlag), true)
 }
@@ -231,8 +231,8 @@
 	m.measure(s.t, func() { s.handle(ProbeResult{worker.entry.Worker, Completed, siteRTT, load}) })
 }
 
-// calibratedSite returns a site with reports of poor service about random tasks, which lower the effective
-// capacity of their workers until the calibrations decay.
+// calibratedSite returns a site after reports of poor service about random tasks. The reports lower the
+// effective capacity of the workers of these tasks until the calibrations decay.
 func calibratedSite(t *testing.T, workers int) *site {
 	s := busySite(t, workers)
 	s.reportPoor(len(s.schedulerTasks))
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -39,7 +39,7 @@
 type eventCase struct {
 	name  string
 	units int // maximum number of measured units
-	// start returns the initial site. It must not measure.
+	// start returns the initial site. The cost of creating it does not count.
 	start func(t *testing.T, workers int) *site
 	// unit runs one unit and measures it with the meter.
 	unit func(s *site, m *meter)
@@ -53,27 +53,27 @@
 	units := *unitsFlag
 	cases := []eventCase{
 		{"request", units, warmSite, measureExchange},
-		{"refusal", units, warmSite, measureRejection},
+		{"rejection", units, warmSite, measureRejection},
 		{"burst_256", expensiveUnits, busySite, measureBurst},
 		{"drain_quarter", expensiveUnits, busySite, measureDrain},
-		{"zone_gone", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, m, new(meter)) }},
-		{"zone_cold", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, new(meter), m) }},
-		{"request_cold_zone", units, warmingSite, measureExchange},
+		{"zone_removed", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, m, new(meter)) }},
+		{"zone_restarted", expensiveUnits, busySite, func(s *site, m *meter) { measureZoneLoss(s, new(meter), m) }},
+		{"request_warming_zone", units, warmingSite, measureExchange},
 		{"first_list", expensiveUnits, busySite, measureFirstList},
-		{"note_cores", units, busySite, reportCase(ReportCores, siteCoresUse)},
-		{"note_service_poor", units, busySite, reportCase(ReportService, poorService)},
-		{"note_service_worst", units, busySite, reportCase(ReportService, worstService)},
-		{"sampled", units, busySite, measureProbeResult},
+		{"report_cores", units, busySite, reportCase(ReportCores, siteCoresUse)},
+		{"report_service_poor", units, busySite, reportCase(ReportService, poorService)},
+		{"report_service_worst", units, busySite, reportCase(ReportService, worstService)},
+		{"probe_result", units, busySite, measureProbeResult},
 		{"spread_200", units, serviceSite, measureReplica},
 		{"huge", units, hugeSite, measureHuge},
 		{"idle", units, idleSite, measureUnrelated},
-		{"request_bends", units, calibratedSite, measureCalibrated},
+		{"request_calibrated", units, calibratedSite, measureCalibrated},
 	}
 	for _, pending := range []int{10, 100, 1000} {
 		start := func(t *testing.T, workers int) *site { return fullSite(t, workers, pending) }
 		cases = append(cases,
-			eventCase{fmt.Sprintf("held_%d_entry", pending), min(units, pendingUnits), start, measurePendingEntry},
-			eventCase{fmt.Sprintf("held_%d_bell", pending), min(units, pendingUnits), start, measurePendingTimer})
+			eventCase{fmt.Sprintf("pending_%d_entry", pending), min(units, pendingUnits), start, measurePendingEntry},
+			eventCase{fmt.Sprintf("pending_%d_timer", pending), min(units, pendingUnits), start, measurePendingTimer})
 	}
 	return cases
 }
--- a/placement/events.go
+++ b/placement/events.go
@@ -46,13 +46,13 @@
 
 // The outcomes.
 const (
-	Completed     Outcome = iota + 1 // the task completed, or the worker answered the probe
+	Completed     Outcome = iota + 1 // the task completed, or the probe succeeded
 	Failed                           // the attempt or probe ended with an error; the task may have started
 	Rejected                         // the worker rejected the offer; the task never ran
 	TimedOut                         // no answer; the worker may have accepted the task
 	ConnectFailed                    // no connection to the worker; the task never ran
 	Reset                            // the task ended early (see Cause), or its connection was lost
-	Cancelled                        // cancelled by this orchestrator
+	Cancelled                        // cancelled or released by this orchestrator
 	NeverSent                        // the offer did not leave this orchestrator
 )
 
@@ -122,7 +122,7 @@
 		Kind    ListKind
 		Entries []Entry
 	}
-	// Request is a request that arrived.
+	// Request reports that a client submitted a request.
 	Request struct{ Task }
 	// Adopted is a running task that its client registered with this orchestrator, for example after a
 	// restart of the orchestrator.
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -34,7 +34,8 @@
 	return float64(len(worker.unanswered)) < worker.attemptWindow && f.permitsOnceAnswered(worker, class, task)
 }
 
-// permitsOnceAnswered reports whether permits would be true if the worker had no unanswered attempts.
+// permitsOnceAnswered reports whether all rules other than reservations and the attempt window permit a
+// worker to get a task.
 func (f *filter) permitsOnceAnswered(worker *workerInfo, class *Class, task *taskInfo) bool {
 	return worker.listed && worker.State == Ready && f.now >= worker.drainingUntil &&
 		worker.kindIndex >= 0 && (class.Kind < 0 || class.Kind == worker.kindIndex) &&
--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -31,7 +31,8 @@
 
 func TestLargeTaskGoesOverEffectiveCapacity(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, Entry{Worker: "a", Kind: "large", FreeCores: 4, FreeMemory: 60})
-	// Running tasks use all cores that they request, so the effective capacity is 0.8 of the cores.
+	// The running task uses all cores that it requests, so the effective capacity equals the saturation load
+	// in testSettings: 0.8 of the worker's cores.
 	f.handleAfter(0, Adopted{Task: f.request("e", "safe", 1, 1).Task, Worker: "a"})
 	f.handleAfter(0, TaskReport{RequestID: "e", Worker: "a", Kind: ReportCores, Value: 1})
 	f.wantPlaced(f.handleAfter(ms, f.request("s", "safe", 1, 2)), "")
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file owns the set of workers: the workers on the current list, and the workers that left the list
-// but still have attempts or tasks. It must not decide which worker gets a task.
+// This file owns the set of workers: the workers on the current list, and other workers that have attempts
+// or tasks. It must not decide which worker gets a task.
 
 // fleet is the set of all workers.
 type fleet struct {
@@ -23,10 +23,10 @@
 	ordinalsStale bool                 // workers were added or removed since the last call of refresh
 	unlisted      map[*workerInfo]bool // workers that are not on the current list
 	uncordoned    map[*workerInfo]bool // workers that were uncordoned; some of them may have got an offer since
-	foreignCount  int                  // number of listed workers that are assigned to other schedulers
+	foreignCount  int                  // number of listed workers in the state Foreign
 }
 
-// assignedCount returns the number of workers that are not assigned to another scheduler.
+// assignedCount returns the number of workers that foreignCount does not count.
 func (f *fleet) assignedCount() int { return len(f.sorted) - f.foreignCount }
 
 // isLarge reports whether the fleet has too many workers to examine each of them on every event.
@@ -85,8 +85,8 @@
 	f.index.invalidate(worker)
 }
 
-// countForeign updates the number of foreign workers after the state of a worker, or whether it is
-// listed, may have changed.
+// countForeign updates the number of foreign workers after a possible change of worker.State or
+// worker.listed.
 func (f *fleet) countForeign(worker *workerInfo) {
 	foreign := worker.listed && worker.State == Foreign
 	if foreign == worker.foreign {
@@ -101,7 +101,7 @@
 	f.affinity.clear()
 }
 
-// pruneUncordoned returns the workers that have had no attempt or task since they were uncordoned. It
+// pruneUncordoned returns the workers that have got no new attempt or task since they were uncordoned. It
 // removes all others from the set of uncordoned workers.
 func (f *fleet) pruneUncordoned() map[*workerInfo]bool {
 	for worker := range f.uncordoned {
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -17,7 +17,8 @@
 }
 
 // recordHistory runs a random history. It returns the workers of the first list and the calls after that
-// list. It also returns settings for a replay, which are drawn anew, for one scheduler and without tenants.
+// list. It also returns settings for a replay. They are drawn again, and changed to a single scheduler and no
+// tenants.
 func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, calls []recordedCall) {
 	t.Helper()
 	h := newHistory(t, seed)
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestAssignedWorkersAreNotShared checks that a scheduler uses all free capacity of the workers assigned to
-// it, and assumes no concurrent placements of other schedulers there.
+// TestAssignedWorkersAreNotShared checks that a scheduler does not divide the free capacity of the workers
+// assigned to it by the number of schedulers, and assumes no concurrent placements of other schedulers there.
 func TestAssignedWorkersAreNotShared(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize, settings.UnitCores, settings.UnitMemory = 9, 1, 2
--- a/placement/health.go
+++ b/placement/health.go
@@ -9,8 +9,9 @@
 // not reject tasks.
 
 const (
-	// timeoutSuspicion is added to the suspicion of a worker for an attempt without an answer, a failed
-	// connection, a rejection because its queue is full, or a probe that does not complete.
+	// timeoutSuspicion is added to the suspicion of a worker for an attempt that gets no answer or no
+	// connection, a rejection because the worker's queue is full, or a probe that does not complete. In one
+	// case of a missing answer, lossSuspicion is added instead.
 	timeoutSuspicion = 1.5
 	// errorSuspicion is added to the suspicion of a worker for an attempt that ended with an error, and for
 	// an attempt or task that was lost.
@@ -57,7 +58,7 @@
 	*environment
 	// meanRTT and rttDeviation are moving averages of the response time and of its absolute deviation, in
 	// microseconds. They are computed like the round-trip time estimate of TCP (RFC 6298), with another
-	// weight. Both are 0 before the first answer.
+	// weight. Both are 0 before a response time is recorded.
 	meanRTT, rttDeviation float64
 }
 
@@ -74,7 +75,7 @@
 	h.rttDeviation += (math.Abs(deviation) - h.rttDeviation) * rttWeight
 }
 
-// rttKnown reports whether any answer has arrived yet.
+// rttKnown reports whether any response time has been recorded yet.
 func (h *health) rttKnown() bool { return h.meanRTT != 0 }
 
 // responseTimeout returns the time in microseconds after which an answer is overdue, derived from the
@@ -107,7 +108,7 @@
 }
 
 // overdue reports whether the response timeout of a message sent at sentAt has passed. It returns false
-// before the first answer to any attempt.
+// before any response time has been recorded.
 func (h *health) overdue(sentAt int64) bool {
 	return h.meanRTT > 0 && h.now-sentAt > h.responseTimeout()
 }
@@ -164,8 +165,8 @@
 // since this one was sent, the suspicion rises for every class. Otherwise the worker is reachable. If
 // it accepted only attempts of other classes, the suspicion rises for the class of this attempt alone. If
 // it accepted an attempt of the same class, some answers are being lost, and the suspicion for the class
-// rises only a little. The rule would do harm if the worker is about to become unresponsive, because the
-// worker stays in use, but the next attempt detects this.
+// rises only a little. A worker that accepted attempts and then became unresponsive therefore stays in use,
+// but only until a later attempt gets no answer.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
