--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -132,7 +132,7 @@
 		prepare   func(reached *workerInfo)
 	}{
 		{"full", -16, func(*workerInfo) {}},
-		{"suspect, with one attempt in its window", 30, func(reached *workerInfo) {
+		{"suspect, with its attempt window used up", 30, func(reached *workerInfo) {
 			reached.addSuspicion(1_000_000_000, maxSuspicion)
 			reached.attemptWindow = 1
 			reached.unanswered = []*attemptInfo{{worker: reached, sentAt: 1_000_000_000}}
--- a/placement/history_draw_test.go
+++ b/placement/history_draw_test.go
@@ -11,8 +11,8 @@
 
 func (h *history) anyWorker() string { return h.entries[h.random.IntN(len(h.entries))].Worker }
 
-// anyRequestID returns the request ID of a random task that has not ended, or the ID "none" if there is no
-// such task.
+// anyRequestID returns the request ID of a random task in history.unfinished, or the ID "none" if that map
+// is empty.
 func (h *history) anyRequestID() string {
 	requestIDs := slices.Sorted(maps.Keys(h.unfinished))
 	if len(requestIDs) == 0 {
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -17,7 +17,7 @@
 
 const (
 	mostlyHealthy   condition = iota
-	mostlyFull                // few workers have free capacity
+	mostlyFull                // tasks request about the full size of each worker
 	mostlyFailing             // most attempts fail
 	mostlyWarmingUp           // most workers started recently
 	mostlyIdle                // many workers are empty and have equal free capacity
@@ -47,12 +47,12 @@
 	entries      []Entry
 	index        map[string]int  // index in entries, by worker name
 	attempts     map[string]int  // number of attempts, by request ID
-	unfinished   map[string]Task // tasks that have not ended, by request ID
+	unfinished   map[string]Task // tasks without Reject, Fail or an end of their run, by request ID
 	offered      []Place         // attempts for which no answer or loss was drawn yet
 	running      []Place         // accepted attempts and adopted tasks that have not ended
 	probed       []string        // workers with a probe that was not answered
 	requestCount int
-	utilization  float64 // mean requested fraction of the size of a drawn worker
+	utilization  float64 // mean fraction of a worker's size that tasks request of it
 	stepCount    int
 	record       func(now int64, events []Event) // called with the arguments of each call of Handle, or nil
 }
--- a/placement/index.go
+++ b/placement/index.go
@@ -12,9 +12,9 @@
 // them. The index makes no decisions: it leaves out only workers that the search could not select.
 
 const (
-	// maxEnumerated is the maximum number of candidates that a search scores one by one. If there are
-	// more candidates, hundreds of them have nearly the same cost, so the search leaves the others out.
-	// In a level or list of more than maxEnumerated workers, it starts at a random worker.
+	// maxEnumerated is the approximate maximum number of workers that a search scores. Among that many
+	// workers, hundreds have nearly the same cost, so scoring more of them would hardly improve the
+	// result. In a level or list of more than maxEnumerated workers, scoring starts at a random worker.
 	maxEnumerated = 512
 	// maxScaleDrift is the maximum relative difference between the baseline of effective capacity and
 	// the baseline with which the levels were built. All levels are rebuilt if the difference is
@@ -249,9 +249,9 @@
 				return false
 			}
 			if !plan.relevant(kindIndex, current.minRequested, minUtilization) {
-				// This visit made even a worker with the lower bound of the level's requested capacity
-				// irrelevant. The rest of the level is therefore skipped, and true lets the walk
-				// continue with the next kind or level.
+				// After this visit, the walk no longer needs even a worker with the lowest possible
+				// requested capacity of the level. The rest of the level is therefore skipped, and the
+				// walk continues with the next kind or level.
 				return true
 			}
 		}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -35,7 +35,7 @@
 	var capacity fractions
 	for ordinal, worker := range scheduler.fleet.sorted {
 		if worker.ordinal != ordinal || scheduler.fleet.nameHashes[ordinal] != worker.nameHash {
-			return 0, fmt.Errorf("%s: got ordinal %d, want %d, or the name hash at that ordinal is wrong", worker.Worker, worker.ordinal, ordinal)
+			return 0, fmt.Errorf("%s: got ordinal %d, want %d with the name hash of the worker stored there", worker.Worker, worker.ordinal, ordinal)
 		}
 		if err := checkWorker(scheduler, worker); err != nil {
 			return 0, err
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -8,8 +8,8 @@
 	// lagDecay is the factor by which each observation (see lagEstimator) reduces the weight of the
 	// earlier ones.
 	lagDecay = 0.98
-	// minLagObservations is the decayed number of observations (see lagEstimator) that must be exceeded
-	// before the estimated lag is used.
+	// minLagObservations is the value that lagEstimator.observations must exceed before the estimated
+	// lag is used.
 	minLagObservations = 20
 )
 
@@ -18,20 +18,21 @@
 type lagEstimator struct {
 	*environment
 	loads *loadTracker
-	// squaredErrors is the decayed sum of squared prediction errors for each possible lag. The element
-	// with index i belongs to a lag of i+1 times lagStep.
+	// squaredErrors holds, for each possible lag, the decayed sum of the squared differences between
+	// the observed changes of free cores and the changes that the lag predicts. The element with index
+	// i belongs to a lag of i+1 times lagStep.
 	squaredErrors [lagSteps]float64
-	// observations is the number of observations so far, each weighted by lagDecay for every later
-	// one.
+	// observations is the weighted number of observations so far. Each new observation has the weight 1
+	// and multiplies the weight of the earlier ones by lagDecay.
 	observations float64
 }
 
 // learn compares the change of a worker's free cores from its previous list entry to a new one with
 // the changes that this scheduler made. After enough observations (see minLagObservations), it sets
-// the assumed lag to the one with the smallest prediction error. With a correct lag, a placement of
-// this scheduler is neither counted twice nor ignored before lists show it. The estimate covers any
-// lag up to lagSteps times lagStep, including a lag that increases. Learning is slow if this scheduler
-// makes few of the placements.
+// the assumed lag to the one with the smallest sum in squaredErrors. With a correct lag, a placement of
+// this scheduler is neither counted twice nor ignored before lists show it. The estimate follows a lag
+// that changes, up to lagSteps times lagStep. Learning is slow if this scheduler makes few of the
+// placements.
 func (e *lagEstimator) learn(worker *workerInfo, entry Entry) {
 	kind := e.kindOf(worker)
 	if kind == nil {
--- a/placement/load.go
+++ b/placement/load.go
@@ -65,7 +65,7 @@
 	return max(cores/effectiveCores, memory/effectiveMemory)
 }
 
-// addDelta records a change that this scheduler makes now to the cores and memory requested of a worker.
+// addDelta records that the cores and memory requested of a worker change now (see delta).
 func (l *loadTracker) addDelta(worker *workerInfo, cores, memory float64) {
 	if len(worker.deltas) >= maxDeltas {
 		worker.deltas = slices.Delete(worker.deltas, 0, len(worker.deltas)/2)
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -17,7 +17,7 @@
 	// defaultRemainingSeconds is the assumed remaining run time of a task without a run hint, in
 	// seconds.
 	defaultRemainingSeconds = 4.0
-	// migrationSeconds is the time over which the excess load is migrated, in seconds. Usage
+	// migrationSeconds is the target time for the migration of the excess load, in seconds. Usage
 	// fluctuates, so only a part of the excess is migrated at a time.
 	migrationSeconds = 3.0
 	// migrationInterval is the minimum time between migrations off one worker, in microseconds.
@@ -36,8 +36,8 @@
 // gain in the remaining run time of the task is well above the cost of the migration. The argument
 // service is the fraction of full service that the worker gives. A random draw decides, and the
 // probability of a migration rises with the excess load of the worker. Migration relieves workers that
-// are far over their saturation load or that slow down. The filters act too late for them, because
-// they only keep new tasks away.
+// are far over their saturation load or that slow down. The filters cannot relieve such a worker,
+// because they only keep new tasks away from it.
 //
 // If the whole fleet is equally full, migration would do harm. In that case the task fits no other
 // worker and stays, unless the service is at most migrateAlwaysBelow.
@@ -56,9 +56,10 @@
 	worker.removeRunning(task)
 }
 
-// bestCandidate returns, of the tasks that run on a worker, the one with the highest gain from a
-// migration, multiplied by the weight of its class and by its size. It returns nil if no gain is above
-// the cost (see migrationGainFactor).
+// bestCandidate returns the task on a worker whose migration has the highest value. The value is the
+// net gain, multiplied by the weight of the task's class and by the size of the task. The net gain is
+// the gain minus migrationGainFactor times the cost. bestCandidate returns nil if no net gain is
+// positive.
 func (m *migration) bestCandidate(worker *workerInfo, service float64) (best *taskInfo) {
 	var bestValue float64
 	for _, task := range worker.running {
@@ -73,10 +74,10 @@
 	return best
 }
 
-// excess returns the part of a worker's load that should be migrated, from 0 to 1. It is the part of
-// the used cores above the saturation load or, if that is larger because the worker slowed down, the
-// part of the requested capacity above its effective capacity. All schedulers with tasks on the
-// worker get the same reports, so each migrates this part of its own tasks only.
+// excess returns the part of a worker's load that should be migrated, from 0 to 1. It is the larger of
+// two parts: the part of the used cores above the saturation load, and the part of the requested
+// capacity above the effective capacity, which is lower if the worker slowed down. All schedulers with
+// tasks on the worker get reports of its service, so each migrates this part of its own tasks only.
 func (m *migration) excess(worker *workerInfo, service float64) float64 {
 	saturationLoad, saturationRange := m.capacity.saturationLoad, m.capacity.saturationRange
 	excess := saturationRange * (1 - service) / (saturationLoad + saturationRange*(1-service))
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -61,7 +61,7 @@
 func (o *overload) unitsReserved(classIndex int) float64 { return o.reservedUnits[classIndex] }
 
 // timeUntilFree returns the time in microseconds until the given number of units has become free. The
-// result known is false if the release rate is unknown.
+// second result is false if the release rate is unknown or no task waits.
 func (o *overload) timeUntilFree(units float64) (us float64, known bool) {
 	if o.releaseRate <= 0 {
 		return 0, false
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestUnitsAreReservedByClass checks that a class leaves the reserved units free for classes of higher
-// weight during an overload. A task of the class gets a worker once nothing is reserved, or if more units
-// are free than are reserved.
+// TestUnitsAreReservedByClass checks that a class leaves the reserved units free for other classes during
+// an overload. A task of the class gets a worker once nothing is reserved, or if more units are free than
+// are reserved.
 func TestUnitsAreReservedByClass(t *testing.T) {
 	reserved := make([]float64, len(testSettings().Classes))
 	reserved[0] = 100
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -1,9 +1,9 @@
 package placement
 
-// This file owns the scheduling pass, which goes through all pending tasks by priority. For each
-// task, the pass filters and scores the workers. It then offers the task to a worker, or waits for
-// the report of a probe, or keeps the task pending and may reserve a worker for it, or gives the
-// final response. A task never has more than one open offer at a time.
+// This file owns the scheduling pass, which goes through all pending tasks by priority. For each task,
+// the pass finds a worker and offers the task to it, or gives the final response. Otherwise the task
+// stays pending: it waits for the report of a probe or for free capacity, and the pass may reserve a
+// worker for it. A task never has more than one open offer at a time.
 
 const (
 	// latenessFactor is the maximum expected wait for capacity, as a multiple of the time left until
@@ -128,10 +128,9 @@
 // before it suffices for a larger task of high priority. If the settings provide no view, no worker is
 // reserved.
 //
-// Reservations would do harm in two cases, which are excluded. If all pending tasks have the same
-// priority, a reservation keeps none of them from a worker (see reservationFactor). If no capacity
-// becomes free on the reserved workers, the other workers stay open to all tasks, because reservations
-// stop once half of the workers are reserved.
+// Two rules limit the harm of reservations. A reservation keeps only tasks of much lower priority from
+// the worker (see reservationFactor). Reservations stop once half of the workers are reserved, so that
+// the other workers stay open to all tasks even if no capacity becomes free on the reserved ones.
 func (p *schedulingPass) reserve(task *taskInfo) {
 	if !p.settings.HasView || p.reservations.count()*2 >= p.fleet.assignedCount() {
 		return
