--- a/placement/probe.go
+++ b/placement/probe.go
@@ -13,7 +13,7 @@
 	// maxProbesPerTask is the maximum number of probes sent for one task.
 	maxProbesPerTask = 2
 	// maxReportedOvercommit is the largest plausible load in a report, as a multiple of the worker's
-	// size. Reported values above it are ignored.
+	// size. Reported values that imply a higher load are ignored.
 	maxReportedOvercommit = 8.0
 )
 
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -7,8 +7,8 @@
 
 // This file owns the pending tasks and their order. It never places or rejects a task.
 
-// deadlineMarginTicks is the number of ticks (see Settings.TickUs) between the latest time of the final
-// response to a pending task and the deadline of the task.
+// deadlineMarginTicks is the number of ticks (see Settings.TickUs) before its deadline at which a task that
+// is still pending gets its final response.
 const deadlineMarginTicks = 4
 
 // queue holds the pending tasks.
@@ -49,13 +49,13 @@
 	return q.ordered
 }
 
-// priority returns the priority of a task. It is proportional to the priority weight of one second of full
-// service of the task (see Class.Weight), divided by the capacity that the task takes. This capacity is a
-// fraction of the size of a worker of the first kind: the larger of the fractions of cores and memory.
-// While a task with a run hint can still start within its latency objective, and was not resubmitted, its
-// priority includes the bonus for a timely start. When capacity is short, tasks that can still start in
-// time therefore go before similar tasks that are late already. If the tenant of the task is over its
-// quota, the priority is multiplied by Settings.OverQuotaWeight.
+// priority returns the priority of a task. It is proportional to the weight of its class, multiplied by the
+// size of the task (see Settings.UnitCores) and divided by the fraction of a worker that the task takes. This
+// is the fraction of the cores or of the memory of a worker of the first kind, whichever is larger. While a
+// task with a run hint can still start within its latency objective, and was not resubmitted, its priority
+// includes the bonus for a timely start. When capacity is short, tasks that can still start in time therefore
+// go before similar tasks that are late already. If the tenant of the task is over its quota, the priority is
+// multiplied by Settings.OverQuotaWeight.
 func (q *queue) priority(task *taskInfo) float64 {
 	class := q.classOf(task)
 	kind := &q.settings.Kinds[0]
@@ -73,8 +73,8 @@
 	return priority
 }
 
-// responseMargin returns the time, in microseconds, between the latest time of the final response to a
-// pending task and the deadline of the task. A tick shorter than one millisecond counts as one millisecond.
+// responseMargin returns how long before its deadline a task that is still pending gets its final response,
+// in microseconds. A tick shorter than one millisecond counts as one millisecond.
 func (q *queue) responseMargin() int64 {
 	return deadlineMarginTicks * max(q.settings.TickUs, millisecond)
 }
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -13,11 +13,11 @@
 type selection struct {
 	required, permitted []*workerInfo // finalists must contain all of required, and none outside permitted
 	withinTwiceMargin   []*workerInfo // workers whose cost is at most 2*costMargin above the lowest cost
-	sampled             bool          // more than maxEnumerated workers qualify, so the search scores only some
+	sampled             bool          // over maxEnumerated workers qualify, so the search may score only some
 	path                string        // one of the path constants
 }
 
-// The paths of a selection, which are the ways to determine the finalists.
+// The values of selection.path, which name the rule that determined the finalists.
 const (
 	pathWaits      = "waits"
 	pathNoCapacity = "no free capacity"
@@ -127,7 +127,7 @@
 
 // matches reports whether the finalists of a scheduler agree with this selection.
 func (s selection) matches(got []*workerInfo) bool {
-	// The search scored only some of the qualifying workers, so it may have missed some of s.required,
+	// The search may have scored only some of the qualifying workers and may have missed some of s.required,
 	// and the lowest cost.
 	if s.sampled {
 		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.withinTwiceMargin, worker) })
--- a/placement/repeats.go
+++ b/placement/repeats.go
@@ -19,9 +19,9 @@
 	return class.Group == ScopeAll || sameDomain(worker, task.mayHaveRun.worker, class.Group)
 }
 
-// retryIsHarmless reports whether a client may safely submit a task again: no attempt of the task may have
-// run, repeats of the task are safe, or the workers of the whole fleet discard them. It does not check
-// whether they still do so (see repeatWindowOpen).
+// retryIsHarmless reports whether a client may safely submit a task again. This is the case if the task
+// cannot have run yet, if its repeats are safe, or if all workers of the fleet discard its repeats. It does
+// not check whether the workers still discard them (see repeatWindowOpen).
 func retryIsHarmless(class *Class, task *taskInfo) bool {
 	return task.mayHaveRun == nil || class.Effect == Safe || class.Effect == Keyed && class.Group == ScopeAll
 }
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -7,9 +7,9 @@
 	// fullServiceThreshold is the fraction of full service below which a report counts as poor service
 	// in capacity calibration. Calibration ignores a report of this fraction or more.
 	fullServiceThreshold = 0.95
-	// nearSaturationShare is the fraction of memorySaturation above which the used fraction of a
-	// worker's memory counts as memory pressure in capacity calibration. Calibration ignores a report
-	// of this fraction or less.
+	// nearSaturationShare times memorySaturation is the used fraction of a worker's memory above which a
+	// report counts as memory pressure in capacity calibration. Calibration ignores a report of a
+	// lower or equal fraction.
 	nearSaturationShare = 0.95
 	// taskConfidence is the weight of the report of one task in capacity calibration, from 0 to 1.
 	taskConfidence = 0.5
@@ -95,8 +95,9 @@
 	worker.addRunning(r.now, task)
 }
 
-// cancel ends a request that its client cancelled. It ignores a request whose task a worker accepted. An
-// attempt that has not ended counts towards the spread until it ends, so its request is kept until then.
+// cancel handles the end of a request without a final response from the scheduler (see [ClientCancelled]).
+// It ignores a request whose task a worker accepted. An attempt that has not ended counts towards the spread
+// until it ends, so its request is kept until then.
 func (r *requests) cancel(requestID string) {
 	task := r.tasks[requestID]
 	if task == nil || task.accepted {
--- a/placement/requests_test.go
+++ b/placement/requests_test.go
@@ -8,7 +8,7 @@
 // TestOneFinalResponse ends requests in different ways, and checks that each gets the expected final
 // response once, or none if it was cancelled, was accepted or had an attempt with a final outcome.
 func TestOneFinalResponse(t *testing.T) {
-	toDeadline := AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}
+	timedOut := AttemptEnded{RequestID: "1", Worker: "a", Outcome: TimedOut}
 	for _, test := range []struct {
 		name, class      string
 		entries          []Entry
@@ -17,10 +17,10 @@
 	}{
 		{"pending to the deadline", "safe", nil, nil, 1, 0},
 		{"unsafe, pending to the deadline", "unsafe", nil, nil, 1, 0},
-		{"safe, timed out at the deadline", "safe", []Entry{smallWorker("a", 0, 20)}, []Event{toDeadline}, 1, 0},
-		{"unsafe, timed out", "unsafe", []Entry{smallWorker("a", 0, 20)}, []Event{toDeadline}, 0, 1},
-		{"keyed by cell, timed out", "cell", []Entry{smallWorker("a", 0, 20)}, []Event{toDeadline}, 0, 1},
-		{"keyed by all, timed out", "all", []Entry{smallWorker("a", 0, 20)}, []Event{toDeadline}, 1, 0},
+		{"safe, timed out at the deadline", "safe", []Entry{smallWorker("a", 0, 20)}, []Event{timedOut}, 1, 0},
+		{"unsafe, timed out", "unsafe", []Entry{smallWorker("a", 0, 20)}, []Event{timedOut}, 0, 1},
+		{"keyed by cell, timed out", "cell", []Entry{smallWorker("a", 0, 20)}, []Event{timedOut}, 0, 1},
+		{"keyed by all, timed out", "all", []Entry{smallWorker("a", 0, 20)}, []Event{timedOut}, 1, 0},
 		{"final outcome", "safe", []Entry{smallWorker("a", 0, 20)},
 			[]Event{AttemptEnded{RequestID: "1", Worker: "a", Outcome: Cancelled, Final: true}}, 0, 0},
 		{"cancelled", "safe", nil, []Event{ClientCancelled{"1"}}, 0, 0},
@@ -39,8 +39,8 @@
 			if rejected, failed := len(ofType[Reject](actions)), len(ofType[Fail](actions)); rejected != test.rejected || failed != test.failed {
 				t.Errorf("got %d rejections and %d failures, want %d and %d; actions %v", rejected, failed, test.rejected, test.failed, actions)
 			}
-			if _, pending := f.scheduler.requests.tasks["1"]; pending && test.name != "accepted" {
-				t.Error("got the request still stored after its final response, want it removed")
+			if _, stored := f.scheduler.requests.tasks["1"]; stored && test.name != "accepted" {
+				t.Error("got the request still stored after it ended, want it removed")
 			}
 		})
 	}
--- a/placement/reservations_test.go
+++ b/placement/reservations_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestGapsAreReservedForHigherPriority checks that the worker that is closest to fitting a pending
-// task of far higher priority is reserved: smaller tasks of low priority do not get that worker, and
-// the pending task gets it once it fits.
+// TestGapsAreReservedForHigherPriority checks that a worker is reserved for a pending task of high priority:
+// the worker that lacks the least capacity for the task. Smaller tasks of much lower priority do not get this
+// worker, and the pending task gets it once the worker has enough free capacity.
 func TestGapsAreReservedForHigherPriority(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[8].Kind = -1 // class "large", with a weight of 3, on any kind
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -70,12 +70,12 @@
 	timer        *timer
 }
 
-// New returns a scheduler whose random draws are determined by the seed and Settings.SelfIndex. If settings
-// are missing, invalid or contradictory, New returns one [SettingError] for each of them, joined.
+// New returns a scheduler whose random draws are determined by the seed and Settings.SelfIndex. If checks
+// of the settings fail, New returns one [SettingError] for each failed check, joined.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.check(); err != nil {
-		// The prefix is not "placement:", because the simulator protocol carries this text to the
-		// operators of a deployment.
+		// The prefix is the name of the program and not of this package, because the simulator protocol
+		// carries this text to the operators of a deployment.
 		return nil, fmt.Errorf("ravenhitch: %w", err)
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(settings.SelfIndex)))
@@ -217,7 +217,8 @@
 	}
 }
 
-// Avoids reports whether a worker gets no task of any class because it is under suspicion.
+// Avoids reports whether suspicion excludes a worker from the tasks of every class. Such a worker gets a
+// task only if no healthy worker fits the task.
 func (s *Scheduler) Avoids(name string) bool {
 	worker := s.fleet.workers[name]
 	return worker != nil && s.health.ejected(worker)
--- a/placement/score.go
+++ b/placement/score.go
@@ -57,7 +57,7 @@
 }
 
 // admissionCost returns the cost of admitting a task of size x to a worker with backlog u:
-// u + l/(1-rho) (u x + x^2/2). l is the rate (see kindCost), and rho is the utilization of the fleet. This
+// u + l/(1-rho) * (u*x + x^2/2). l is the rate (see kindCost), and rho is the utilization of the fleet. This
 // is the cost that one step of policy iteration (first policy improvement) assigns to the choice of a worker.
 func admissionCost(backlog, size, rate, utilization float64) float64 {
 	return backlog + rate/(1-utilization)*(backlog*size+size*size/2)
@@ -96,9 +96,9 @@
 	return admissionCost(backlog, size, kind.Cores/s.meanCores, s.utilization)
 }
 
-// startBacklog returns the utilization that the waiting offers and the starts in progress of a worker would
-// add to the backlog of a warm worker of mean size. It counts the offers and starts of this scheduler, or
-// uses the number in a recent report of the worker if that number is plausible and higher.
+// startBacklog returns the utilization that the waiting offers and the starts in progress of a worker add to
+// its backlog, computed as if the worker were warm and of mean size. It counts the offers and starts of this
+// scheduler, or uses the number in a recent report of the worker if that number is plausible and higher.
 func (s *scorer) startBacklog(worker *workerInfo) float64 {
 	starts := float64(worker.starting())
 	if s.now-worker.reportedAt < reportValidity && inRange(worker.lastReport.Queued, starts, maxReportedQueue) {
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -49,7 +49,7 @@
 		maxCount = max(maxCount, count)
 	}
 	if maxCount < 11 || first["d"] > 0 {
-		t.Errorf("got first choices %v, want at least 11 of 20 on one worker and none on the full worker d", first)
+		t.Errorf("got first choices %v, want at least 11 of 20 on one worker and none on the overcommitted worker d", first)
 	}
 }
 
--- a/placement/search.go
+++ b/placement/search.go
@@ -11,7 +11,8 @@
 // of a worker, only values derived from it, and does not allocate once its slices have grown.
 
 // costMargin is the maximum amount by which an admission cost may exceed the lowest one and still count
-// as equal to it. One small task adds about this cost, and a late view cannot show so small a difference.
+// as equal to it. One small task adds about this cost. The view lags and may not show such a task yet, so a
+// smaller difference means nothing.
 const costMargin = 0.02
 
 // maxSuspectAttempts is the maximum number of unanswered attempts at a suspect worker if all workers
@@ -98,7 +99,7 @@
 
 // cheapest returns the workers with an admission cost near the lowest, in no particular order. It considers
 // only workers that are feasible and healthy for the task and have free capacity for it. If more than
-// maxEnumerated workers qualify, it considers only some of them.
+// maxEnumerated workers qualify, it may consider only some of them.
 func (s *search) cheapest(task *taskInfo) []*workerInfo {
 	s.begin(task)
 	s.scorer.prepare(task)
@@ -179,8 +180,8 @@
 func (s *search) fallback(task *taskInfo) []*workerInfo {
 	suspects := s.suspects
 	if len(suspects) == 0 || s.classOf(task).Effect != Safe && s.majorityHealthy(task) {
-		// A worker that fails fast looks empty. If most workers are healthy but full, the task waits
-		// for one of them, unless it is safe to repeat.
+		// A suspect worker may have free capacity only because it fails its tasks quickly. If most workers
+		// are healthy but full, the task therefore waits for one of them, unless the task is safe to repeat.
 		return nil
 	}
 	// An attempt at an unreachable worker is wasted, and may be the last attempt of its task. If any
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -116,8 +116,8 @@
 			}
 			selectedSum, lowestSum = selectedSum+selected, lowestSum+lowest
 		}
-		// If the costs within costMargin of the lowest cost are evenly distributed, a worker drawn at
-		// random from these has, on average, a cost of half of costMargin above the lowest cost.
+		// If the costs of the workers within costMargin of the lowest cost are evenly distributed, a worker
+		// drawn from these workers costs, on average, half of costMargin more than the lowest cost.
 		if loss := (selectedSum - lowestSum) / 200; loss > 0.75*costMargin {
 			t.Errorf("%s: selected workers cost %.4f more than the lowest on average, want at most %.4f", distribution.name, loss, 0.75*costMargin)
 		}
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -34,7 +34,7 @@
 	WindowUs        int64   // if Keyed: time for which the group discards repeats
 	ObjectiveUs     int64   // latency objective: a start within this time after the arrival earns StartBonusS
 	DeadlineUs      int64   // timeout of requests that state no timeout; not used by the scheduler
-	Weight          float64 // priority weight of one second of full service of a task of mean size
+	Weight          float64 // priority weight: value of one second of full service for a task of mean size
 	StartBonusS     float64 // value of a start within the objective, in seconds of service
 	Kind            int     // index of the required kind of worker in Settings.Kinds, or -1
 	Spread          Scope   // domain in which the tasks of a program are counted, or ScopeNone
@@ -56,8 +56,8 @@
 	QuotaCores float64
 }
 
-// Settings hold the parameters of a scheduler, which [New] takes, and some parameters that only its caller
-// uses. Fields with the suffix Us are in microseconds.
+// Settings holds the parameters from which [New] creates a scheduler, and some parameters that only the
+// caller of New uses. Fields with the suffix Us are in microseconds.
 type Settings struct {
 	SelfIndex, FleetSize int // number of this scheduler, from 0; number of schedulers
 	Zone                 string
@@ -67,17 +67,17 @@
 	OverQuotaWeight      float64 // factor on the priority of the tasks of a tenant that is over its quota
 
 	PollsDiscovery     bool  // discovery answers only when it is polled
-	PollWithinUs       int64 // maximum time between two polls of discovery
+	PollWithinUs       int64 // maximum time between two polls of discovery while no list arrives
 	HasView            bool  // list entries contain the free capacity
 	AcceptMeansRunning bool  // an Accepted event means that the task runs, not only that it was accepted
-	Probes             bool  // Probe is permitted, and reports contain data that the scheduler can use
+	Probes             bool  // Probe is permitted, and probe reports contain data that the scheduler can use
 	Pings              bool  // workers may be sent pings
 	RetryAfter         bool  // rejected clients may get a Retry-After
 	Cancel             bool  // CancelAttempt is permitted; not used by the scheduler
 	// ReportsUsage is true if the free capacity in the reports of probes is the capacity that tasks do
 	// not use. If it is false, the free capacity is the capacity that tasks do not request.
 	ReportsUsage bool
-	ReportsFree  bool // probe reports contain the free capacity, named x0 and x1; not used by the scheduler
+	ReportsFree  bool // load reports contain the free capacity, named x0 and x1; not used by the scheduler
 
 	CoresOvercommit  float64 // maximum requested cores that workers accept, as a multiple of their cores
 	MemoryOvercommit float64 // maximum requested memory that workers accept, as a multiple of their memory
@@ -87,7 +87,7 @@
 	UnitMemory  float64
 	MaxAttempts int // maximum number of attempts for each request; 0: unlimited
 
-	MigrationCost float64 // cost of migrating every task once, as a fraction of the total priority weight
+	MigrationCost float64 // cost of a migration, as a fraction of the remaining run time plus StartBonusS
 
 	AnswerSlackUs     int64   // Rules.AnswerSlackUs of the deployment; not used, but must not be negative
 	DrainGraceUs      int64   // time for which a draining worker may still get offers; not used by the scheduler
@@ -95,7 +95,7 @@
 	WarmUpUs          int64   // time from the start of a worker until it is warm
 	SlowStartWindowUs int64   // length of the window to which SlowStartOffers applies
 	SlowStartOffers   float64 // maximum number of offers of all schedulers to a warming worker in one window
-	TickUs            int64   // interval at which the caller checks the clock
+	TickUs            int64   // assumed interval at which the caller checks the clock
 	MaxRetryAfterUs   int64   // longest Retry-After that clients honor
 }
 
