--- a/placement/settingscheck.go
+++ b/placement/settingscheck.go
@@ -4,8 +4,8 @@
 
 // This file checks the settings. It must not change a setting. The error texts must stay as they are, since
 // operators read them. Some texts name a setting as deployments do (CoresMultiple, MemoryMultiple,
-// FreshOffers, AttemptsCap), others by its field in Settings, Class or Kind. "Apart" stands for Class.Spread,
-// and "a time" for any of several durations.
+// FreshOffers, AttemptsCap), others by its field in Settings or Class. "Apart" stands for Class.Spread, and
+// "a time" for any of several durations.
 
 // SettingError reports a setting that is missing or invalid, or that contradicts another one. [New] returns
 // one for each check that failed, joined.
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -10,9 +10,9 @@
 // schedulers, the list of workers and the reports about running tasks. The slope tests measure the
 // scheduler in this environment.
 
-// The parameters of the simulated fleet. The planned fleet has plannedWorkers workers, plannedRunning running
-// tasks and plannedStarts task starts per second. A site with fewer or more workers has running tasks and
-// starts in proportion.
+// The parameters of the simulated fleet. A fleet of plannedWorkers workers has plannedRunning running tasks
+// and plannedStarts task starts per second. For a site with fewer or more workers, both numbers are scaled
+// in proportion.
 const (
 	plannedWorkers   = 4000
 	plannedRunning   = 34000
@@ -267,7 +267,7 @@
 	return best
 }
 
-// start starts a task on a worker, which the list shows after siteViewDelay.
+// start starts a task on a worker. The list shows the change after siteViewDelay.
 func (s *site) start(task *siteTask, worker *siteWorker) {
 	task.worker = worker
 	worker.requestedCores, worker.requestedMemory = worker.requestedCores+task.Cores, worker.requestedMemory+task.Memory
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -11,10 +11,10 @@
 
 var (
 	workersFlag = flag.String("workers", "100,400", "slope tests: numbers of workers")
-	unitsFlag   = flag.Int("units", 60, "slope tests: requests measured at each size")
+	unitsFlag   = flag.Int("units", 60, "slope tests: units of work measured at each number of workers")
 	seedFlag    = flag.Uint64("seed", 1, "slope tests: seed")
 	probesFlag  = flag.Bool("probes", false, "slope tests: workers may be probed for their load before a decision")
-	csvFlag     = flag.String("csv", "", "slope tests: file for the samples")
+	csvFlag     = flag.String("csv", "", "slope tests: file for the table of measurements")
 	svgFlag     = flag.String("svg", "", "slope tests: file for the chart")
 )
 
@@ -81,8 +81,8 @@
 	return row
 }
 
-// reportSlope prints the exponents with which the times grow. It writes the samples and the chart to the
-// files that the flags name, if any.
+// reportSlope prints the exponents with which the times grow. It writes the table of measurements and the
+// chart to the files that the flags name, if any.
 func reportSlope(t *testing.T, rows []*slopeRow) {
 	t.Helper()
 	request, entry := plot.Series{Name: "request and answer"}, plot.Series{Name: "list entry"}
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// This file owns slow start, which limits the offers of all schedulers together to a worker that has just
-// started. The limit for one window of SlowStartWindowUs is the slow-start budget, SlowStartOffers. This file
-// must not permit an offer beyond the budget.
+// This file owns slow start, which limits how many offers all schedulers together send to a worker that has
+// just started. The limit for one window of SlowStartWindowUs is the slow-start budget, SlowStartOffers. This
+// file must not permit an offer beyond the budget.
 
 const (
 	// slowStartDeviations determines the number of offers within a window above which a worker that
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -13,8 +13,8 @@
 // This file tests the slow start of one worker that gets offers from a whole fleet of schedulers.
 
 var (
-	coldSeeds = flag.Int("cold-seeds", 6, "slow starts run for each fleet size and kind of start")
-	coldSeed  = flag.Int("cold-seed", -1, "the only slow start to run, as a failure names it")
+	coldSeeds = flag.Int("cold-seeds", 6, "number of slow starts to run for each number of schedulers and kind of start")
+	coldSeed  = flag.Int("cold-seed", -1, "seed of the only slow starts to run, as a failure states it; -1 runs all seeds")
 )
 
 const (
@@ -32,7 +32,7 @@
 	wasWarm      start = "was warm"      // the schedulers know the worker as warm
 )
 
-// A start is the information that schedulers have about the worker before they are notified of its start.
+// A start states what the schedulers know about the worker before they are notified of the start under test.
 type start string
 
 // arrival is one offer that reached the worker.
@@ -51,7 +51,7 @@
 	startUs          int64 // time of the start under test, in microseconds
 	requestInterval  int64 // time between two requests at each scheduler, in microseconds
 	firstNotified    int64 // earliest time at which a scheduler is notified of the start, in microseconds
-	notifiedWithinMs int   // maximum delay of a notification after firstNotified, in milliseconds
+	notifiedWithinMs int   // maximum delay after firstNotified, without restarts, in milliseconds
 	arrivals         []arrival
 }
 
@@ -72,7 +72,8 @@
 	r.settings.WarmUpUs = r.settings.SlowStartWindowUs*4 + 5*second
 	r.startUs = 1_000_000_000 + r.between(0, 5000)
 	r.earlierStartUs = r.startUs - r.between(50, 2000)
-	// The list that shows the start reaches all schedulers within 20 ms, 500 ms or 4 s.
+	// Each scheduler is notified of the start within 20 ms, 500 ms or 4 s after firstNotified, or later if
+	// it restarts.
 	r.firstNotified, r.notifiedWithinMs = r.startUs+r.between(10, 3000), []int{20, 500, 4000}[r.random.IntN(3)]
 	// The demand on the fleet is one to six times the budget in each window.
 	budgetsPerWindow := math.Pow(6, r.random.Float64())
@@ -122,13 +123,14 @@
 		if r.random.IntN(2) == 0 && now > notifiedAt {
 			list = WorkerList{Kind: ListCached, Entries: []Entry{r.entry(r.startUs)}}
 		} else {
-			// The restarted process begins with the same list as the previous one, and is notified later.
+			// The restarted process begins with the same list as the previous process did, and is notified
+			// of the start later.
 			notifiedAt = max(notifiedAt, now+r.between(10, 1000))
 		}
 	}
 }
 
-// runProcess runs one process of a scheduler, from its first event until it is killed.
+// runProcess runs one process of a scheduler between the times now and until.
 func (r *slowStartRun) runProcess(now, until, notifiedAt int64, list WorkerList) {
 	scheduler, err := New(r.settings, r.random.Uint64())
 	if err != nil {
@@ -191,17 +193,17 @@
 	return r.settings.SlowStartOffers + 2*math.Sqrt(r.settings.SlowStartOffers) + 2
 }
 
-// informedBudget returns the maximum number of offers within a window from schedulers that were notified of
-// the start. If these schedulers send no more, at most two thirds of the offers that overload the worker
-// are theirs, however many offers the other schedulers send.
+// informedBudget returns the maximum number of offers within a window from informed schedulers (see arrival).
+// If these schedulers send no more, at most two thirds of the offers in a window with more offers than the
+// bound are theirs, however many offers the other schedulers send.
 func (r *slowStartRun) informedBudget() int {
 	return int(min(r.settings.SlowStartOffers, r.bound()*2/3))
 }
 
-// checkWindows returns the largest number of offers within any window from schedulers that were notified of
-// the start, as a fraction of informedBudget. It also describes the first window that breaks the rule, or
-// returns an empty string. A window breaks the rule if it has more offers than the bound and over two thirds
-// of them come from schedulers that were notified of the start.
+// checkWindows returns the largest number of offers within any window from informed schedulers (see arrival),
+// as a fraction of informedBudget. It also describes the first window that breaks the rule, or returns an
+// empty string. A window breaks the rule if it has more offers than the bound and over two thirds of them
+// come from informed schedulers.
 func (r *slowStartRun) checkWindows() (maxUsed float64, violation string) {
 	slices.SortFunc(r.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	oldest, informed := 0, 0
@@ -219,7 +221,7 @@
 		}
 		maxUsed = max(maxUsed, float64(informed)/float64(r.informedBudget()))
 		if offers := i - oldest + 1; float64(offers) > r.bound() && 3*informed > 2*offers && violation == "" {
-			violation = fmt.Sprintf("got %d offers, %d from notified schedulers, within the %d ms until %.3f s after the worker's start",
+			violation = fmt.Sprintf("got %d offers, %d from informed schedulers, within the %d ms until %.3f s after the worker's start",
 				offers, informed, r.settings.SlowStartWindowUs/ms, float64(offer.at-r.startUs)/float64(second))
 		}
 	}
@@ -228,8 +230,8 @@
 
 // TestFleetKeepsSlowStartBudget runs slow starts of one worker under the demand of a whole fleet. The
 // schedulers are notified of the start at different times, and some restart during the warm-up. The test
-// fails if the schedulers that were notified send more offers within a window than informedBudget, if no
-// such scheduler sends an offer, or if a window breaks the rule of checkWindows.
+// fails if informed schedulers (see arrival) send more offers within a window than informedBudget, if no
+// informed scheduler sends an offer, or if a window breaks the rule of checkWindows.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	for _, start := range []start{newWorker, startedTwice, wasWarm} {
 		for _, schedulers := range []int{3, 16, 24, 32} {
@@ -240,7 +242,7 @@
 						outcome.check(t, seed, newSlowStartRun(t, start, schedulers, seed))
 					}
 				}
-				t.Logf("%d slow starts: %d over the bound; notified schedulers: %d over their budget, %d with no offer, at most %.2f of their budget used",
+				t.Logf("%d slow starts: %d over the bound; informed schedulers: %d over their budget, %d with no offer, at most %.2f of their budget used",
 					*coldSeeds, outcome.overBound, outcome.overBudget, outcome.idle, outcome.maxUsed)
 			})
 		}
@@ -263,17 +265,17 @@
 	offers := run.settings.SlowStartOffers
 	if violation != "" {
 		o.overBound++
-		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or at most two thirds of them from notified schedulers",
+		t.Errorf("-cold-seed %d: FreshOffers %v: %s, want at most %.1f, or at most two thirds of them from informed schedulers",
 			seed, offers, violation, run.bound())
 	}
 	if used > 1 {
 		o.overBudget++
-		t.Errorf("-cold-seed %d: FreshOffers %v: notified schedulers used a fraction of %.2f of their %d offers, want at most 1",
+		t.Errorf("-cold-seed %d: FreshOffers %v: informed schedulers used a fraction of %.2f of their %d offers, want at most 1",
 			seed, offers, used, run.informedBudget())
 	}
 	if used == 0 {
 		o.idle++
-		t.Errorf("-cold-seed %d: FreshOffers %v: got no offers from notified schedulers, want some", seed, offers)
+		t.Errorf("-cold-seed %d: FreshOffers %v: got no offers from informed schedulers, want some", seed, offers)
 	}
 	o.maxUsed = max(o.maxUsed, used)
 }
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// sharedBudget is a case with a slow-start budget that many schedulers share. In a case with a stall, every
-// scheduler is not called for 2 s from time to time. In a case with a restart, every scheduler restarts once.
+// sharedBudget is a case with a slow-start budget that many schedulers share. If stall is true, no scheduler
+// is called during several periods of 2 s. If restart is true, each scheduler restarts once.
 type sharedBudget struct {
 	name           string
 	schedulers     int
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -12,7 +12,7 @@
 // spreadCounts holds the number of attempts and tasks of one program that have not ended, by domain.
 type spreadCounts struct {
 	program       uint64
-	version       int64 // version of the residents at the time of the count
+	version       int64 // residents.version at the time of the count
 	counted       bool  // false before the first count
 	cells         map[int]int
 	zones         map[string]int
--- a/placement/task.go
+++ b/placement/task.go
@@ -22,7 +22,7 @@
 	a.worker.unanswered = slices.DeleteFunc(a.worker.unanswered, isThis)
 }
 
-// taskInfo is the state of a request that awaits its response, or of a running task.
+// taskInfo is the state of a request without a final response, or of a running task.
 type taskInfo struct {
 	Task
 	classIndex  int
@@ -32,7 +32,7 @@
 	priority    float64
 	attempts    []*attemptInfo
 	accepted    bool
-	acceptedAt  int64
+	acceptedAt  int64        // time of the acceptance or adoption
 	cancelled   bool         // cancelled by its client while an attempt had not ended
 	mayHaveRun  *attemptInfo // the first attempt that may have run, or nil
 	copyRunning bool         // a worker rejected a repeat with CauseWrongWorker, because a copy is running
@@ -65,8 +65,8 @@
 	return t.Memory
 }
 
-// taskShape holds the properties by which a scheduling pass decides whether to look for a worker for a task.
-// A pass that found no worker for one task looks for none for later tasks of the same shape, except for tasks
+// taskShape holds the properties by which a scheduling pass recognizes similar tasks. If the pass finds no
+// worker for a task, it looks for none for later tasks of the same shape. This rule does not apply to tasks
 // of which an earlier attempt may have run.
 type taskShape struct {
 	classIndex    int
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -25,14 +25,15 @@
 	calibration *calibration
 	cachedMeans fleetMeans
 	// cachedFreeUnits is the result of freeUnits at the time freeUnitsAt. Offers made since are not
-	// subtracted: a scheduling pass subtracts its own offers from its copy of the result.
+	// subtracted from it. Each scheduling pass subtracts its own offers, but only from its copy of the
+	// result.
 	cachedFreeUnits float64
 	freeUnitsAt     int64
 }
 
 // means returns the mean utilization and the mean number of cores of all ready workers, or 0 and 1 if
 // there are none. For a large fleet it recomputes them at most once per meansValidity, which is enough
-// because they only scale admission costs.
+// because they only scale terms of the admission cost.
 func (t *totals) means() (utilization, cores float64) {
 	cached := &t.cachedMeans
 	valid := cached.computedAt > 0 && t.now < cached.computedAt+meansValidity
--- a/placement/view.go
+++ b/placement/view.go
@@ -9,7 +9,7 @@
 	lag   *lagEstimator
 }
 
-// apply applies a list to the fleet. A worker that is missing from a complete list has left the fleet.
+// apply applies a list to the fleet. A worker that is missing from a complete list is no longer listed.
 func (v *view) apply(list WorkerList) {
 	if list.Kind == ListFull || list.Kind == ListCached {
 		v.fleet.unlistAll()
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// This file holds the state of one worker. It must not read other workers or the settings: the components
-// in the layers above make the decisions about tasks.
+// This file holds the state of single workers. It must not read the settings or the set of all workers,
+// because the layers above make the decisions about tasks.
 
 const (
 	// sustainedViews is the number of latest views whose free capacity is stored for a worker.
 	sustainedViews = 4
-	// calibrationHalflife is the time in which a learned calibration decays by half.
+	// calibrationHalflife is the time in which the difference between a learned calibration and 1 decays by
+	// half.
 	calibrationHalflife = 8 * second
 	// suspicionHalflife is the time in which a suspicion decays by half.
 	suspicionHalflife = 6 * second
-	// successFactor is the factor by which a success multiplies a suspicion. A success does not clear the
-	// suspicion, since even a worker that loses most answers still sends some.
+	// successFactor is the factor by which an accepted attempt multiplies the suspicion for its class. The
+	// suspicion is not cleared, because some answers arrive even if most answers of a worker are lost.
 	successFactor = 0.7
 	// maxSuspicion is the upper limit of a suspicion, which bounds how long a worker is avoided.
 	maxSuspicion = 6.0
@@ -53,7 +54,7 @@
 	updatedAt int64
 }
 
-// indexPosition is the position of a worker in the index.
+// indexPosition is the position of a worker's entry in workerIndex.
 type indexPosition struct {
 	indexed                      bool
 	kindIndex, level, entryIndex int
@@ -69,7 +70,7 @@
 	foreign        bool // fleet.foreignCount counts the worker
 	uncordonedIdle bool // the worker was uncordoned and has had no new attempt or task since
 	requestedStale bool // requestedCores and requestedMemory may be out of date
-	reportsFree    bool // the last report contains the free capacity
+	reportsFree    bool // requestedCores and requestedMemory may be computed from lastReport
 	unreachable    bool // no connection to the worker is open, and the last one failed
 	lagDependent   bool // loadTracker.lagDependent contains the worker
 	inCalibrated   bool // calibration.workers contains the worker
@@ -79,31 +80,31 @@
 	attemptWindow                   float64        // maximum number of unanswered attempts
 	unanswered                      []*attemptInfo // attempts in the order in which they were sent
 	requestedCores, requestedMemory float64
-	calibration                     [resourceCount]float64 // effective capacity relative to that of its kind
+	calibration                     [resourceCount]float64 // fraction of the uncalibrated effective capacity
 	calibratedAt                    int64
 	probeSentAt                     int64            // time at which the unanswered probe was sent, or 0
 	suspicions                      []suspicionScore // by class
 	lastSearch                      int64            // number of the last search that evaluated the worker
 	ordinal                         int              // index in fleet.sorted
 
-	// Fields from which requestedCores and requestedMemory are computed, and fields that are updated with
-	// them.
+	// Fields from which requestedCores and requestedMemory are computed, and fields that are updated
+	// together with them.
 	viewedAt    int64 // arrival time of the current view
 	deltas      []delta
 	reportedAt  int64 // arrival time of the last report, or 0
 	lastReport  Load
-	countedKind *Kind // kind with which the sums of loadTracker count the worker, or nil
+	countedKind *Kind // kind whose size loadTracker.listedCapacity includes for the worker, or nil
 	position    indexPosition
 
-	running          []*taskInfo // accepted tasks, in order of acceptance
+	running          []*taskInfo // accepted and adopted tasks, in order of acceptance or adoption
 	residentPrograms map[uint64]*residentProgram
-	sustainedFree    [resourceCount]float64 // minimum free capacity in the last sustainedViews views
+	sustainedFree    [resourceCount]float64 // minimum of recentFree, or 0 (see recordFree)
 
 	nameHash       uint64
 	active         int     // number of attempts and tasks that have not ended
 	offerTimes     []int64 // times of recent offers
 	lastAcceptedAt []int64 // time at which the worker last accepted an attempt, by class
-	reachableAt    int64   // time at which a new connection last lowered the suspicions, or 0
+	reachableAt    int64   // time at which a new connection last capped the suspicions, or 0
 	migratedAt     int64   // time at which a task was last migrated off the worker
 	viewCount      int
 	recentFree     [sustainedViews][resourceCount]float64 // free capacity in the latest views, a ring buffer
@@ -193,7 +194,8 @@
 	return cores, memory
 }
 
-// decayCalibration applies the decay of the learned calibration, toward 1, up to the time now.
+// decayCalibration lets the learned calibration decay from the time calibratedAt to the time now. The
+// calibration decays toward 1.
 func (w *workerInfo) decayCalibration(now int64) {
 	if w.calibratedAt == now {
 		return
@@ -207,7 +209,7 @@
 	w.calibratedAt = now
 }
 
-// calibrated reports whether the effective capacity differs from that of the kind.
+// calibrated reports whether the calibration of the cores or of the memory differs from 1.
 func (w *workerInfo) calibrated() bool {
 	return w.calibration[resourceCores] != 1 || w.calibration[resourceMemory] != 1
 }
@@ -228,7 +230,8 @@
 	return count
 }
 
-// starting returns the number of attempts of this scheduler that were sent and do not run yet.
+// starting returns the number of this scheduler's attempts at the worker that await a response, or that were
+// accepted but do not run yet.
 func (w *workerInfo) starting() int {
 	count := len(w.unanswered)
 	for _, task := range w.running {
@@ -239,7 +242,7 @@
 	return count
 }
 
-// addRunning records that the worker runs a task, which it accepted at the time now.
+// addRunning records a task that the worker accepted, or that the scheduler adopted, at the time now.
 func (w *workerInfo) addRunning(now int64, task *taskInfo) {
 	task.acceptedAt = now
 	w.running = append(w.running, task)
