--- a/cmd/ravenhitch/command_test.go
+++ b/cmd/ravenhitch/command_test.go
@@ -28,7 +28,7 @@
 		{[]string{"rehearse", "--seconds", "4"}, "--seconds: expected 5 to 3600, got 4"},
 		{[]string{"rehearse", "--file", missing}, "no such file"},
 		{[]string{"rehearse", "--seed", "3", "--file", "x"}, "can't be used together"},
-		{[]string{"rehearse", "--schedule", "2s cut; 3s heal"}, "step 1: expected a process or a way after cut"},
+		{[]string{"rehearse", "--schedule", "2s cut; 3s heal"}, "step 1: expected a process or a path after cut"},
 	} {
 		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
 			var out, errs bytes.Buffer
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -77,11 +77,12 @@
 // formatStatusReport formats the membership table as text with aligned columns.
 func formatStatusReport(report peer.StatusReport) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "cluster %s, as %s sees it; view %d of %d members, %s; doubt of itself %d of 8\n\n",
+	fmt.Fprintf(&text, "cluster %s as seen by %s; view number %d with %d members, digest %s; "+
+		"local health score %d (0 healthy, 8 worst)\n\n",
 		report.Cluster, report.Name, report.View.Number, len(report.View.Names), report.View.Digest, report.HealthScore)
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	row := func(format string, args ...any) { _, _ = fmt.Fprintf(table, format, args...) } // a Builder never fails
-	row("MEMBER\tHALL\tSTATE\tINCARNATION\tLINK\tRTT\tSILENT\tADDRESS\tEVIDENCE\n")
+	row("MEMBER\tZONE\tSTATE\tINCARNATION\tLINK\tRTT\tSILENT\tADDRESS\tEVIDENCE\n")
 	for _, m := range report.Members {
 		state := m.State
 		if m.Slow {
@@ -92,7 +93,8 @@
 	}
 	_ = table.Flush() // a Builder never fails
 	traffic := report.Traffic
-	fmt.Fprintf(&text, "\n%d datagrams sent (%d bytes), %d received (%d), %d lost, %d refused, %d knocks\n",
+	fmt.Fprintf(&text, "\ndatagrams: %d sent (%d bytes), %d received (%d bytes), %d not sent; "+
+		"invalid datagrams and rejected connections: %d; handshake probes: %d\n",
 		traffic.Sent, traffic.SentBytes, traffic.Received, traffic.ReceivedBytes, traffic.Lost, traffic.Refused,
 		traffic.HandshakeProbes)
 	return text.String()
--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -65,10 +65,10 @@
 	if p.drawnLines > 0 {
 		fmt.Fprintf(&text, cursorUp, p.drawnLines)
 	}
-	fmt.Fprintf(&text, "%5.1f s  %4d started in the last second, %d refused, %d failed, %d lost%s\n",
+	fmt.Fprintf(&text, "%5.1f s  last second: %4d tasks started, %d refused, %d failed, %d lost%s\n",
 		snapshot.At, last.Started, last.Rejected, last.Failed, last.Lost, clearLine)
 	for _, state := range snapshot.Fleet {
-		fmt.Fprintf(&text, "  %-4s %-8s %-8s seen alive by %d, suspected by %d, dead by %d; sees %d%s\n",
+		fmt.Fprintf(&text, "  %-4s %-6s %-8s %d others say alive, %d suspected, %d dead; view size %d%s\n",
 			state.Name, state.Zone, statusOf(state).label, state.Alive, state.Suspected, state.Dead, state.ViewSize, clearLine)
 	}
 	p.drawnLines = len(snapshot.Fleet) + 1
--- a/cmd/ravenhitch/rehearse_test.go
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -65,7 +65,7 @@
 	}
 	for text, want := range map[string]string{
 		"x cut a->b":               "step 1: expected a time",
-		"1s":                       "expected what is done",
+		"1s":                       "expected a verb after the time, such as cut or heal",
 		"1s burn a":                "expected one of bandwidth",
 		"1s loss all 2":            "a share of 0 to 1",
 		"1s pause a":               "pause a TIME",
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -115,7 +115,7 @@
 		budget -= grpcfront.MaxConns + 1
 	}
 	if budget < minSocketBudget {
-		return 0, fmt.Errorf("limits.sockets: a limit of %d sockets is too low", sockets)
+		return 0, fmt.Errorf("limits.sockets: expected at least %d sockets, got %d", sockets-budget+minSocketBudget, sockets)
 	}
 	return budget, nil
 }
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -56,7 +56,7 @@
 		evicted = nil
 	}
 	if evicted == nil {
-		f.log.Warn("client connection limit reached", "connections", len(f.clients))
+		f.log.Warn("no capacity for client connection", "connections", len(f.clients))
 		return false
 	}
 	evicted.rejectAndClose()
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -138,11 +138,11 @@
 	switch {
 	case p.Partition && p.Listen == "":
 		return p.partitionWord.Expected(
-			"listen and cluster beside partition on, as the workers are divided among the members")
+			"listen and cluster to be set if partition is on, because the workers are divided among the members")
 	case p.firstRegionWord != nil && !p.Partition:
-		return p.firstRegionWord.Expected("partition on beside region")
+		return p.firstRegionWord.Expected("partition to be on if region is set")
 	case p.firstRegionWord != nil && p.firstZonelessWord != nil:
-		return p.firstZonelessWord.Expected("a name, address:port and the zone, as regions are named")
+		return p.firstZonelessWord.Expected("a name, address:port and a zone for every member if region is set")
 	}
 	return nil
 }
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -111,12 +111,13 @@
 	}
 	checkOperatorsErrors(t, []operatorsErrorCase{
 		{peers + "partition maybe", "x:4:11: expected on or off"},
-		{"[peers]\npartition on", "x:2:1: expected listen and cluster beside partition on"},
-		{peers + "region west z1", "x:4:1: expected partition on beside region"},
+		{"[peers]\npartition on", "x:2:1: expected listen and cluster to be set if partition is on, because"},
+		{peers + "region west z1", "x:4:1: expected partition to be on if region is set"},
 		{peers + "partition on\nregion west", "x:5:1: expected region followed by its name and its zones"},
 		{peers + "partition on\nregion west z1\nregion east z2 z1", "x:6:16: expected each zone in one region"},
 		{peers + "partition on\nregion west \"\"", "x:5:13: expected a zone of 1 to 64 bytes"},
-		{peers + "partition on\nmember n2 127.0.0.1:2\nregion west z1", "x:5:8: expected a name, address:port and the zone"},
+		{peers + "partition on\nmember n2 127.0.0.1:2\nregion west z1",
+			"x:5:8: expected a name, address:port and a zone for every member if region is set"},
 		{peers + "member n2 127.0.0.1:2 \"\"", "x:4:23: expected a zone of 1 to 64 bytes"},
 		{peers + "member n2 127.0.0.1:2 z z", "x:4:25: expected nothing after a name and address:port, and its zone"},
 		{"[workers]\nkeepalive 1500ms", "x:2:11: expected whole seconds from 1s to 5s"},
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -136,7 +136,7 @@
 // Closed implements eventloop.Handler. It dials again after redialDelay.
 func (f *Follower) Closed(_ *eventloop.Conn, err error) {
 	if !errors.Is(err, eventloop.ErrEOF) {
-		f.log.Warn("discovery disconnected", "cursor", f.cursor, "err", err)
+		f.log.Warn("discovery connection failed", "cursor", f.cursor, "err", err)
 	}
 	f.restartIn(redialDelay)
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -54,7 +54,7 @@
 // run the task again and may take longer than a second. No acceptance can be sent to the client, because the worker's
 // description of the task is not known.
 func (d *Dispatcher) unacceptedTaskEnded(r *request, cause placement.Cause) {
-	d.log.Info("task ended before its acceptance", "request_id", r.RequestID, "worker", r.worker)
+	d.log.Info("task ended before its acceptance was received", "request_id", r.RequestID, "worker", r.worker)
 	d.counts.Reset++
 	d.setMayHaveRun(r)
 	d.transition(r, eventAttemptEnded)
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -66,7 +66,7 @@
 	if r == nil || r.worker != worker {
 		return
 	}
-	d.trace("worker reported end", r, "outcome", outcome)
+	d.trace("attempt or task ended", r, "outcome", outcome)
 	switch r.state {
 	case stateOffered:
 		switch {
@@ -100,7 +100,7 @@
 	case stateCancelling:
 		d.unacceptedTaskEnded(r, cause)
 	case statePending:
-		d.log.Info("task ended before its acceptance", "request_id", r.RequestID, "worker", r.worker)
+		d.log.Info("task ended before its acceptance was received", "request_id", r.RequestID, "worker", r.worker)
 		d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 		d.fail(r)
 	}
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -171,10 +171,10 @@
 	words := strings.Fields(part)
 	var err error
 	if step.At, err = time.ParseDuration(words[0]); err != nil || step.At < 0 {
-		return step, "a time, as 2s or 500ms", words[0]
+		return step, "a time such as 2s or 500ms", words[0]
 	}
 	if len(words) < 2 {
-		return step, "what is done", ""
+		return step, "a verb after the time, such as cut or heal", ""
 	}
 	step.Verb = words[1]
 	if step.Verb == VerbHeal {
@@ -188,7 +188,7 @@
 		return step, "one of " + strings.Join(verbNames(), ", "), step.Verb
 	}
 	if len(words) < 3 {
-		return step, "a process or a way after " + step.Verb, ""
+		return step, "a process or a path after " + step.Verb, ""
 	}
 	step.Where, step.Args = words[2], words[3:]
 	if !form.acceptsArgCount(step) {
@@ -225,7 +225,7 @@
 	switch verb {
 	case VerbDelay, VerbPause, VerbFlap:
 		if d, err := time.ParseDuration(arg); err != nil || d < 0 || verb == VerbFlap && d == 0 {
-			return "a time, as 2s or 500ms"
+			return "a time such as 2s or 500ms"
 		}
 	case VerbLoss, VerbDuplicate, VerbReorder:
 		if share, err := strconv.ParseFloat(arg, 64); err != nil || !(share >= 0 && share <= 1) {
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -22,10 +22,10 @@
 
 func TestScheduleErrors(t *testing.T) {
 	for _, c := range []struct{ text, expected, got string }{
-		{"2s cut a->b; soon heal", "a time, as 2s or 500ms", "soon"},
-		{"2s cut a->b; 3s", "what is done", ""},
+		{"2s cut a->b; soon heal", "a time such as 2s or 500ms", "soon"},
+		{"2s cut a->b; 3s", "a verb after the time, such as cut or heal", ""},
 		{"2s cut a->b; 3s heal all", "nothing after heal", "all"},
-		{"2s cut a->b; 3s kill", "a process or a way after kill", ""},
+		{"2s cut a->b; 3s kill", "a process or a path after kill", ""},
 		{"2s cut a->b; 3s cut a->b but", "cut a->b [but PROCESS]", " 3s cut a->b but"},
 		{"2s cut a->b; 3s loss all 1.5", "a share of 0 to 1", "1.5"},
 		{"2s cut a->b; 3s start n1 new", "empty or old", "new"},
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -114,13 +114,13 @@
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
 	if age := pool.loop.Clock() - lastSeenAt; age > maxClientLastSeenAge {
-		pool.trace("offer delayed for client", requestID, "worker", worker, "age_us", age)
+		pool.trace("offer delayed until client is read", requestID, "worker", worker, "age_us", age)
 		pool.delayedOffers = append(pool.delayedOffers, delayedOffer{c, offer})
 		pool.loop.RunAgain()
 		return
 	}
 	if err := pool.dispatcher.CheckOffer(pool.loop.Now(), worker, requestID); err != nil {
-		pool.trace("offer not sent", requestID, "worker", worker, "cause", err)
+		pool.trace("offer no longer allowed", requestID, "worker", worker, "cause", err)
 		c.removeOffer(offer)
 		pool.reportLater(func() {
 			pool.dispatcher.TaskEnded(pool.loop.Now(), worker, requestID, placement.NeverSent, placement.CauseUnknown)
@@ -185,7 +185,7 @@
 			pool.trace("connection lost with offer open", requestID, "worker", l.workerID, "err", err)
 			l.reportReset(requestID)
 		case l.listed && offer.tries < maxOfferTries && isDisconnect(err):
-			pool.trace("offer resent", requestID, "worker", l.workerID, "err", err)
+			pool.trace("offer moved to another connection", requestID, "worker", l.workerID, "err", err)
 			resend = append(resend, offer)
 		default:
 			pool.trace("offer never sent", requestID, "worker", l.workerID, "err", err)
