--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -5,16 +5,16 @@
 
 import "ravenhitch/placement"
 
-// terminationTimeout is the maximum time for which the dispatcher waits until a worker reports the end of a released
-// or migrated task. Until then, a resumable submission of the task's key gets an error.
+// terminationTimeout is the maximum time for which the dispatcher waits for the worker's report on the end of a
+// released or migrated task. While it waits, a resumable submission of the task's key gets an error.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt of a request. The cancel is sent to the worker before any later message for
-// this request. Before the deadline of the request, the end of the attempt is reported to the scheduler only when the
-// worker pool has confirmed that the attempt is over, because the scheduler may then offer the task to another worker.
-// A cancel that is still in transit, or that was written on a connection that became unresponsive, does not end the
-// attempt. At the deadline, the attempt counts as ended without a confirmation, because the response to the client
-// must not wait any longer.
+// cancelAttempt cancels the open attempt of a request. If a cancel has to be sent to the worker, it is sent before any
+// later message for this request. Before the deadline of the request, the attempt counts as ended only when the worker
+// pool reports that it is over, because the scheduler may offer the task to another worker after that. If another
+// attempt may follow, it is not enough that a cancel is in transit, or was written on a connection that became
+// unresponsive. At the deadline, the attempt counts as ended without a confirmation, because the response to the
+// client must not wait any longer.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
 	confirmed := d.workers.CancelAttempt(r.worker, r.RequestID, mayRetry)
@@ -28,8 +28,8 @@
 	d.arm(r, r.deadline)
 }
 
-// attemptEnded records the end of an attempt whose acceptance was not received. The request becomes pending
-// again.
+// attemptEnded records the end of the attempt of a request in stateOffered or stateCancelling. The request becomes
+// pending again.
 func (d *Dispatcher) attemptEnded(r *request, outcome placement.Outcome, cause placement.Cause) {
 	switch outcome {
 	case placement.Rejected:
@@ -49,7 +49,7 @@
 	d.arm(r, r.deadline)
 }
 
-// unacceptedTaskEnded records the end of a task that ran although its acceptance was not received, and fails the
+// unacceptedTaskEnded records the end of a task that ran although no acceptance of it was recorded, and fails the
 // request. The client must learn of the end within a second, whatever the class of the task. Another attempt would
 // run the task again and may take longer than a second. No acceptance can be sent to the client, because the worker's
 // description of the task is not known.
@@ -106,8 +106,8 @@
 	d.remove(r)
 }
 
-// reportAttemptEnded reports the end of the latest attempt, or of the task that it started, to the scheduler.
-// final is true if no further attempt of the request follows.
+// reportAttemptEnded reports the end of a request's latest attempt, or of its task, to the scheduler. final is true if
+// no further attempt of the request follows.
 func (d *Dispatcher) reportAttemptEnded(r *request, outcome placement.Outcome, cause placement.Cause, final bool) {
 	d.queueEvent(placement.AttemptEnded{
 		RequestID: r.RequestID,
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -39,7 +39,7 @@
 	for _, id := range []string{"t1", "t2", "t3", "t4"} {
 		h.mustSubmit(id, "web", "k"+id, 2000)
 	}
-	h.advance(1000 * millisecond) // the harness fails if any request gets a second offer
+	h.advance(1000 * millisecond) // the harness fails the test if any of them is offered again
 	if len(h.offers) != 5 || len(h.unconfirmed) != 4 || h.OpenCount() != 4 {
 		t.Fatalf("offers %v, unconfirmed cancels %v, open requests %d; want 5, 4 and 4",
 			h.offers, h.unconfirmed, h.OpenCount())
@@ -118,7 +118,7 @@
 	}
 }
 
-// An end which shows that the task ran, although its acceptance was not received, ends the request at once:
+// An end which shows that the task ran, although no acceptance was received, ends the request at once:
 // the client gets a failure, and the task is not offered again. Any other end leads to another attempt, unless the task
 // may have started and must not run twice.
 func TestTaskEndedBeforeItsAcceptance(t *testing.T) {
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -15,8 +15,8 @@
 // Advisor computes the Retry-After of rejected clients. It never delays a rejection. Times are in
 // microseconds.
 type Advisor interface {
-	// Requested records a request and returns the time since which its client has been on the waitlist, or now if
-	// the client was not on it.
+	// Requested records a request and returns the time since which its client has been waiting: the time of its
+	// first request if the waitlist or a retry token proves it, otherwise now.
 	Requested(now int64, request backpressure.Request) (since int64)
 	// SetPending sets the total size of the pending requests of each class, in units (see placement.Settings.Units).
 	SetPending(now int64, units []float64)
@@ -86,9 +86,10 @@
 	}
 }
 
-// announcePending reports to the advisor the units that will be pending once the actions are carried out. Requests
-// that the actions place or reject do not count. If rejected requests counted and several were rejected together, the
-// advisor would plan the retry of each of them behind the others.
+// announcePending reports the pending units to the advisor before the actions are carried out. Requests that the
+// actions place or reject do not count as pending. The advisor reserves capacity for each rejected request, so a
+// rejected request that also counted as pending would count twice. It would delay the retries of the requests that are
+// rejected together with it.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -20,7 +20,7 @@
 }
 
 // ClientLastSeenAt returns the time up to which the connection of a request's client was read. It returns
-// fallback if the client does not report this time or the request is over.
+// fallback if the client does not report this time or the request is not in the table.
 func (d *Dispatcher) ClientLastSeenAt(requestID string, fallback int64) int64 {
 	if r := d.requests[requestID]; r != nil {
 		if client, ok := r.client.(ConnectedClient); ok {
@@ -44,7 +44,7 @@
 	return Class{}, false
 }
 
-// CancelResult is the result of Cancel.
+// CancelResult states whether Cancel found the request, and whether the request was open or its task was running.
 type CancelResult int
 
 // The results of Cancel.
@@ -80,8 +80,8 @@
 	return d.find(requestID) != nil || d.unresponsive[requestID] != nil
 }
 
-// Reject ends an open request of client at once. Fronts call it when they close a connection or receive a
-// duplicate request ID. The response is a rejection or, if a retry could do harm, a failure.
+// Reject ends an open request of client at once. Package clientfront calls it when it closes a connection or receives
+// a duplicate request ID. The response is a rejection or, if a retry could do harm, a failure.
 func (d *Dispatcher) Reject(now int64, client Client, requestID string) {
 	d.now = now
 	r := d.find(requestID)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -44,14 +44,14 @@
 	log        *slog.Logger
 	tracer     Tracer
 
-	now    int64             // time that the caller passed to the latest call of a method, in microseconds
+	now    int64             // current time, as callers pass it to the methods, in microseconds
 	events []placement.Event // events to pass to the scheduler in the next turn
 
-	// The request table, which is the field requests, and other data by request ID, key or worker.
+	// The request table (requests), and other data by request ID, key or worker.
 	requests      map[string]*request // by request ID
 	latestByKey   map[string]*request // latest request of each task, by key
 	aliases       map[string]*request // resumed requests, by the request IDs of repeated submissions
-	unresponsive  map[string]*request // removed requests whose workers have not reported the end of the task, by request ID
+	unresponsive  map[string]*request // requests of unresponsive tasks (unresponsive.go), by request ID
 	tasksByWorker runningTasks
 	unclaimed     unclaimedCompletions
 	responses     responseCache
@@ -67,7 +67,7 @@
 	listed        map[string]bool
 	drainingSince map[string]int64 // time since which a worker counts as draining or removed, by worker
 	hasList       bool             // a list was received
-	confirmList   bool             // the scheduler waits for the confirmation that it receives changes of the list
+	confirmList   bool             // the scheduler has requested the list or its changes, and Turn has to answer
 
 	// Data for the backpressure reports to the advisor and the scheduler (backpressure.go).
 	pendingUnits     []float64 // units of pending requests, by class
@@ -172,7 +172,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // the latest submission used the request's own ID; an alias exists only if an earlier one did not
+		return // d.aliases is not searched, although earlier submissions may have used aliases
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -21,9 +21,9 @@
 	os.Exit(m.Run())
 }
 
-// drainLimit is the drain grace period of testSettings. Dispatcher.drainLimit, after which the dispatcher stops its
-// offers, is shorter.
-const drainLimit = 2000 * millisecond
+// drainGrace is the drain grace period of testSettings. The dispatcher stops its offers to a draining worker earlier,
+// after Dispatcher.drainLimit.
+const drainGrace = 2000 * millisecond
 
 // testSettings returns settings with classes for the effects of a repeated start: web is safe, cut is unsafe, and
 // all, zone and cell are keyed, named after their groups. Class apart is safe and has a spread.
@@ -44,7 +44,7 @@
 	apart.Spread, apart.MaxPerDomain = placement.ScopeWorker, 1
 	return placement.Settings{
 		FleetSize: 1, HasView: true, PollsDiscovery: true, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3, TickUs: 2000,
-		PollWithinUs: 10_000 * millisecond, AnswerSlackUs: 8 * millisecond, DrainGraceUs: drainLimit, SlowStartOffers: 50,
+		PollWithinUs: 10_000 * millisecond, AnswerSlackUs: 8 * millisecond, DrainGraceUs: drainGrace, SlowStartOffers: 50,
 		SlowStartWindowUs: 3000 * millisecond, WarmUpUs: 16_000 * millisecond, ColdStartRate: 0.2, UnitCores: 1, UnitMemory: 2,
 		Kinds: []placement.Kind{{Name: "std", Cores: 32, Memory: 64}},
 		Classes: []placement.Class{web, cut, keyed("all", placement.ScopeAll), keyed("zone", placement.ScopeZone),
@@ -140,7 +140,7 @@
 		h.t.Fatalf("request %s: offered after its final response or while its task runs", id)
 	case offer.Class == "cut" && h.mayHaveRun[id]:
 		h.t.Fatalf("request %s: offered again though its task may have started and must not run twice", id)
-	case draining && h.now > drainedAt+drainLimit:
+	case draining && h.now > drainedAt+drainGrace:
 		h.t.Fatalf("request %s: offered to worker %s, which has been draining for %d ms",
 			id, worker, (h.now-drainedAt)/millisecond)
 	case !h.listFilter.assigned(worker):
@@ -267,7 +267,7 @@
 	h.TaskEnded(h.now, worker, requestID, outcome, 0)
 }
 
-// confirmCancel confirms the cancel of an attempt unless it is confirmed already.
+// confirmCancel confirms the cancel of the attempt of a request if there is an unconfirmed one.
 func (h *harness) confirmCancel(requestID string) {
 	if worker := h.unconfirmed[requestID]; worker != "" {
 		delete(h.unconfirmed, requestID)
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -11,7 +11,7 @@
 	"ravenhitch/placement"
 )
 
-// listFilter holds the latest entries from discovery and the changes that this orchestrator makes to them.
+// listFilter holds the latest entries from discovery, and the cordons and the assignment that it applies to them.
 type listFilter struct {
 	entries    map[string]placement.Entry // latest entry of each worker, as discovery listed it
 	cordoned   map[string]bool
@@ -56,14 +56,14 @@
 	return entry
 }
 
-// assigned reports whether this orchestrator places tasks on a worker.
+// assigned reports whether a worker is assigned to this orchestrator, cordoned or not.
 func (f *listFilter) assigned(worker string) bool {
 	return f.isAssigned == nil || f.isAssigned(worker)
 }
 
 // SetAssignedWorkers sets the workers on which this orchestrator places tasks. All other workers are left to other
-// orchestrators, but tasks that already run on them continue. isAssigned must return the same results until the
-// next call; nil selects all workers.
+// orchestrators, but tasks that already run on them continue. isAssigned must return the same results until
+// SetAssignedWorkers is called again. If it is nil, all workers are assigned to this orchestrator.
 func (d *Dispatcher) SetAssignedWorkers(now int64, isAssigned func(worker string) bool) {
 	filter := &d.listFilter
 	before := listFilter{isAssigned: filter.isAssigned}
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -11,11 +11,11 @@
 )
 
 // drainMargin is how long before the end of the drain grace period the offers to a draining worker stop. If the
-// period is shorter than twice drainMargin, they stop after half of it (see drainLimit).
+// period is shorter than twice drainMargin, they stop after half of the period (see drainLimit).
 const drainMargin = 500 * millisecond
 
-// The errors of the rules that an offer may break. Their texts have no package prefix, because they are only
-// logged as the field "cause" of lines that name the offer.
+// The errors for offers that break a rule. Their texts have no package prefix, because they are only logged as the
+// field "cause" of lines that name the offer.
 var (
 	// ErrNotPending is returned if an attempt is open or the request is over.
 	ErrNotPending = errors.New("an attempt is open or the request is over")
@@ -27,7 +27,7 @@
 	ErrSecondStart = errors.New("the task may have started and must not start twice")
 	// ErrDeadlinePassed is returned if the deadline of the request has passed.
 	ErrDeadlinePassed = errors.New("the deadline has passed")
-	// ErrWorkerDraining is returned if the worker has been draining for longer than the drain limit.
+	// ErrWorkerDraining is returned if the worker has been draining or unlisted for the drain limit or longer.
 	ErrWorkerDraining = errors.New("the worker has been draining or unlisted for longer than the drain limit")
 	// ErrRepeatUnknown is returned if the task may have started so long ago that workers no longer recognise
 	// a repeat.
@@ -108,8 +108,8 @@
 }
 
 // checkKeyedRepeat restricts the offers of a keyed task that may have started. They may go only to workers that
-// share idempotency keys with the worker that may have started the task first, and only while these workers still
-// recognise a repeat.
+// share idempotency keys with the first worker that may have started it, and only while these workers still recognise
+// a repeat.
 func (d *Dispatcher) checkKeyedRepeat(r *request, worker string) error {
 	if r.effect != placement.Keyed || !r.mayHaveRun {
 		return nil
@@ -144,7 +144,7 @@
 }
 
 // blockOffer reports to the scheduler that the offer to the chosen worker was not sent. It logs an error, because
-// a choice that breaks an invariant is a fault of the scheduler.
+// a choice that breaks a rule is a fault of the scheduler.
 func (d *Dispatcher) blockOffer(r *request, worker string, cause error) {
 	d.trace("offer blocked", r, "to", worker, "cause", cause)
 	d.counts.Blocked++
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -17,7 +17,7 @@
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // an attempt is open
 	h.endAttempt("t1", placement.Failed)
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // t1 may have started
-	h.execute(placement.Reject{RequestID: "t1"})             // t1 can't be rejected: it is failed
+	h.execute(placement.Reject{RequestID: "t1"})             // t1 may have started, so it is failed
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // t1 is over
 
 	h.mustSubmit("t2", "web", "k2", 5000)
@@ -48,10 +48,10 @@
 		{"deadline", "web", func(h *harness, r *request) { h.Dispatcher.now = r.deadline }, ErrDeadlinePassed},
 		{"just before the deadline", "web", func(h *harness, r *request) { h.Dispatcher.now = r.deadline - 1 }, nil},
 		{"draining up to the limit", "web", func(h *harness, _ *request) {
-			h.drainingSince["a"] = h.now - drainLimit + drainMargin
+			h.drainingSince["a"] = h.now - drainGrace + drainMargin
 		}, ErrWorkerDraining},
 		{"draining until just before the limit", "web", func(h *harness, _ *request) {
-			h.drainingSince["a"] = h.now - drainLimit + drainMargin + 1
+			h.drainingSince["a"] = h.now - drainGrace + drainMargin + 1
 		}, nil},
 		{"after the window", "all", func(h *harness, r *request) {
 			r.mayHaveRun, r.firstRun.at = true, h.now-700*millisecond
@@ -83,12 +83,12 @@
 }
 
 // A keyed task that may have started is offered only to workers in the group of the worker that may have started
-// it, and only while they still recognise a repeat when the offer is sent. Its client is rejected only if every
+// it, and only if they will still recognise a repeat when the offer is sent. Its client is rejected only if every
 // worker would recognise a repeat, because the client's retry may go to any of them.
 func TestKeyedRepeats(t *testing.T) {
 	for _, c := range []struct {
 		class    string
-		leaves   map[string]bool // whether an offer within the window is sent, by worker
+		allowed  map[string]bool // whether CheckOffer allows an offer within the window, by worker
 		response ResponseKind
 	}{
 		{"all", map[string]bool{"a": true, "near": true, "zone": true, "far": true}, Rejected},
@@ -101,17 +101,17 @@
 		isKeyed := h.effects[c.class] == placement.Keyed
 		offeredAt := h.givenResetAttempt(c.class)
 
-		for worker, leaves := range c.leaves {
-			if err := h.CheckOffer(offeredAt+699*millisecond, worker, "t1"); (err == nil) != leaves {
+		for worker, allowed := range c.allowed {
+			if err := h.CheckOffer(offeredAt+699*millisecond, worker, "t1"); (err == nil) != allowed {
 				t.Errorf("class %s, offer to %s within the window: CheckOffer returned %v", c.class, worker, err)
 			}
-			if err := h.CheckOffer(offeredAt+700*millisecond, worker, "t1"); (err == nil) != (leaves && !isKeyed) {
+			if err := h.CheckOffer(offeredAt+700*millisecond, worker, "t1"); (err == nil) != (allowed && !isKeyed) {
 				t.Errorf("class %s, offer to %s after the window: CheckOffer returned %v", c.class, worker, err)
 			}
 		}
-		h.ObserveTurn(200 * millisecond) // an offer is sent at the end of a turn
-		for passed, open := range map[int64]bool{499 * millisecond: true, 500 * millisecond: !isKeyed} {
-			if err := h.CheckOffer(offeredAt+passed, "a", "t1"); (err == nil) != (open && c.leaves["a"]) {
+		h.ObserveTurn(200 * millisecond) // from now on, an offer counts as sent 200 ms after its check
+		for passed, inTime := range map[int64]bool{499 * millisecond: true, 500 * millisecond: !isKeyed} {
+			if err := h.CheckOffer(offeredAt+passed, "a", "t1"); (err == nil) != (inTime && c.allowed["a"]) {
 				t.Errorf("class %s, offer after %d ms with turns of 200 ms: CheckOffer returned %v",
 					c.class, passed/millisecond, err)
 			}
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,9 +1,10 @@
 package dispatch
 
-// This file schedules the responses to clients whose requests are still open when their timeouts end. A response is
-// scheduled before the end of the timeout, early enough for the longest recent turn and for its travel to the client.
-// Responses that would fall due together are spread over time, because only a limited number can be written at once.
-// A response must never be scheduled later than the end of the client's timeout.
+// This file computes the deadlines of requests. At its deadline, a request that is still open gets its final response,
+// so a response is said to be scheduled for this time. The time is before the end of the client's timeout, early enough
+// for the longest recent turn and for the travel of the response to the client. Responses that would fall due together
+// are spread over time, because only a limited number can be written at once. A response must never be scheduled later
+// than the end of the client's timeout.
 
 const (
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
@@ -18,11 +19,11 @@
 	// bucketLength is the time that one bucket of scheduled responses covers.
 	bucketLength = 5 * millisecond
 	// bucketCount is the number of buckets. A response that is scheduled for a time after the last bucket is neither
-	// counted nor moved, because nothing is known yet about the other responses at that time.
+	// counted nor moved, because the buckets hold no count for its time.
 	bucketCount = 4096
 	// maxShift is the maximum time by which a response is scheduled earlier because later buckets are full.
 	maxShift = 200 * millisecond
-	// initialResponseCost is the time per response that is assumed until it is learned from turns, in microseconds.
+	// initialResponseCost is the initial value of the learned time per response, in microseconds.
 	initialResponseCost = 20.0
 	// maxResponseCost is the maximum time per response that is learned from a turn, in microseconds.
 	maxResponseCost = 200.0
@@ -64,9 +65,9 @@
 	p.responded = 0
 }
 
-// scheduleResponse returns the time at which to send the response to a client whose timeout ends at timeoutAt, and
-// counts the response. If all buckets within maxShift are full, or if the time lies outside the buckets, the response
-// is neither moved nor counted.
+// scheduleResponse returns the deadline of a new request whose client's timeout ends at timeoutAt, and counts the
+// response for this time. If all buckets within maxShift are full, or if the time lies outside the buckets, the
+// response is neither moved nor counted.
 func (p *responsePacer) scheduleResponse(now, timeoutAt int64) int64 {
 	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
@@ -97,7 +98,7 @@
 	}
 }
 
-// bucketCapacity returns the maximum number of responses scheduled in one bucket. This is the number that can be
+// bucketCapacity returns the maximum number of responses that are counted in one bucket. This is the number that can be
 // written in half of bucketLength, but at least 1.
 func (p *responsePacer) bucketCapacity() int {
 	return max(1, int(bucketLength/2/max(minResponseCost, p.responseCost)))
