--- a/internal/dispatch/pacer_test.go
+++ b/internal/dispatch/pacer_test.go
@@ -5,9 +5,9 @@
 // pacerStart is the time at which the tests of the pacer start, in microseconds.
 const pacerStart = int64(1000 * second)
 
-// If many timeouts end at the same time, the responses are spread over several buckets before that time, so that
-// there is time to write all of them. Each response is scheduled at least responseTravelTime before the end of its
-// timeout. A single response is not scheduled earlier than necessary.
+// If the timeouts of many requests end at the same time, the pacer spreads the responses over several of its buckets
+// before that time, so that there is time to write all of them. Each response is scheduled at least
+// responseTravelTime before the end of its timeout. A single response is not scheduled earlier than necessary.
 func TestResponsesDueTogether(t *testing.T) {
 	var pacer responsePacer
 	timeoutAt := pacerStart + 6*second
@@ -60,8 +60,9 @@
 	}
 }
 
-// A response is scheduled at least responseTravelTime before the end of its timeout even if the timeout is shorter
-// than that, if the timeout ends after the last bucket, or if the previous response was scheduled long ago.
+// A response is scheduled at least responseTravelTime before the end of its timeout, even if that is in the past
+// because the timeout is short. The same holds if the timeout ends after the last bucket, or if the previous response
+// was scheduled long ago.
 func TestUnusualTimeouts(t *testing.T) {
 	var pacer responsePacer
 	now := pacerStart
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -33,16 +33,16 @@
 	abandonAt     int64             // time at which the attempt is cancelled if it is still open, in microseconds
 	cancelOutcome placement.Outcome // in stateCancelling: outcome to report when the attempt ends
 
-	mayHaveRun bool // an attempt may have started the task
+	mayHaveRun bool // the task may have started
 	firstRun   firstAttempt
 
 	// The running task.
 	startDescription string // the worker's description of the task, for repeated submissions
 	adoptedAt        int64  // time at which the task was submitted as already running, in microseconds, or 0
-	// unaccountedSince is, for a running task, the time at which lostTasks first found its worker unlisted. If the
-	// worker is already unlisted when the task is adopted, adopt sets a time after the adoption instead (see
-	// adoptedUnlistedTimeout). For an unresponsive task, it is the time since which the report of the task's end is
-	// overdue. It is in microseconds, and 0 if neither applies.
+	// unaccountedSince is a time in microseconds. For a running task, it is the time since which lostTasks has found
+	// the worker unlisted, or 0 if the worker was listed at the last check. If the worker is already unlisted when the
+	// task is adopted, adopt sets a time after the adoption instead (see adoptedUnlistedTimeout). For an unresponsive
+	// task, it is the time since which the report of the task's end is overdue.
 	unaccountedSince int64
 	// claimedOutcome is, for an adopted task, the outcome of a completion that its worker reported before the
 	// adoption.
@@ -50,7 +50,7 @@
 	claimedCause   placement.Cause
 }
 
-// firstAttempt describes the first attempt of a request that may have started the task.
+// firstAttempt describes the attempt that may have started the task. If there are several, it describes the first.
 type firstAttempt struct {
 	worker, zone string
 	cell         int
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// responseCache holds the latest response under each of up to maxCachedResponses request IDs. It evicts the oldest
-// request IDs.
+// responseCache holds the latest response for each of up to maxCachedResponses request IDs. If the cache is full, a new
+// request ID evicts the oldest one.
 type responseCache struct {
 	byRequestID map[string]Response
 	order       []string // request IDs, oldest first
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -13,7 +13,7 @@
 //   - a task that must not run twice is started at most once, and its request is failed rather than rejected
 //     if the task may have been started;
 //   - every open or terminating request has a deadline at which the dispatcher acts even if nothing is reported;
-//   - a task occupies capacity of its worker from its start until its end is known.
+//   - a task occupies capacity of its worker from its start until its end is known or assumed.
 
 import "fmt"
 
@@ -138,7 +138,7 @@
 	r.state = to
 }
 
-// countOccupied updates the tasks that occupy workers when a request moves to a state.
+// countOccupied updates tasksByWorker for a request that is about to change to the given state.
 func (d *Dispatcher) countOccupied(r *request, to state) {
 	was, is := r.state.occupiesWorker(), to.occupiesWorker()
 	switch {
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Outside tests, an illegal transition is logged and carried out: the request continues, and the
-// counts of the table stay correct.
+// An illegal transition is logged and carried out: the request continues, and the counts of the table stay correct.
+// The test replaces the logger of the harness, which fails a test on an illegal transition.
 func TestIllegalTransitionIsLogged(t *testing.T) {
 	h := newHarness(t)
 	var logged bytes.Buffer
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -18,7 +18,7 @@
 	// gets the response to the first submission and does not start the task again (see resume).
 	Resumable     bool
 	TimeoutUs     int64  // timeout of the client, measured from ReceivedAtUs
-	ReceivedAtUs  int64  // earliest time at which the submission can have arrived, 0 for now
+	ReceivedAtUs  int64  // earliest time at which the submission can have arrived; 0 means the time of the Submit call
 	QueuedSinceUs int64  // time since which the client has been on the waitlist, proved by a retry token; 0 without one
 	Rejections    int    // number of earlier rejections, proved by a retry token; 0 without one
 	Connection    uint64 // number of the connection or session of the client, 0 if unknown
@@ -40,9 +40,9 @@
 
 const hexDigits = "0123456789abcdefABCDEF"
 
-// ValidationError reports an invalid field of a submission. The names of fields are fixed and follow no
-// single wire format. Both fronts use them: clientfront in the text of its error, and grpcfront to look
-// up its own field name.
+// ValidationError reports an invalid field of a submission. The name of the field does not depend on the front through
+// which the submission arrived. Package clientfront uses the name in the text of its error, and package grpcfront uses
+// it to look up the name of the field in its own protocol.
 type ValidationError struct {
 	Field string // name of the field, as set by Validate
 	Want  string // description of a valid value
@@ -53,9 +53,9 @@
 	return fmt.Sprintf("dispatch: invalid %s: expected %s", e.Field, e.Want)
 }
 
-// Validate returns an error for the first invalid field of a submission, or nil. Fronts call it before
-// Submit: a submission that no worker can use must not reach a worker, because the scheduler would count the error
-// with which the worker answers against that worker.
+// Validate returns an error for the first invalid field of a submission, or nil. Fronts call it before Submit. Without
+// this check, a worker would answer the offer of an invalid task with an error, and the scheduler would count this
+// error against the worker.
 func (s *Submission) Validate() *ValidationError {
 	switch {
 	case len(s.RequestID) != requestIDLength || strings.Trim(s.RequestID, hexDigits) != "":
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -10,7 +10,7 @@
 )
 
 // The errors of Submit. A submission for which Submit returns an error is not added to the table, and the dispatcher
-// sends no response to it. The fronts handle these errors, so their texts name this package.
+// sends no response to it. The errors leave this package, so their texts begin with its name.
 var (
 	ErrRequestIDInUse = errors.New("dispatch: the request ID is in use")
 	ErrKeyInUse       = errors.New("dispatch: the request ID or the key belongs to another request")
@@ -47,7 +47,7 @@
 // isAlreadyAdopted reports whether a task that is submitted as already running is in the table or unresponsive. If
 // it is, the task keeps its data and its client. If the client could be replaced, anyone who has seen a request ID
 // could submit it and receive the completion that is meant for another client. If the client's connection is closed
-// when the task completes, package clientfront sends the completion on another connection that it selects (see
+// when the task completes, package clientfront sends the completion on another connection or stores it (see
 // reportCompletion there).
 func (d *Dispatcher) isAlreadyAdopted(s *Submission) bool {
 	if d.unresponsive[s.RequestID] != nil {
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// unlistedTimeout is the time for which a task still counts as running after its worker left the list. During
-	// this time, the worker may still report the end of the task. The time is short because discovery may remove a
-	// worker some seconds late, and the completion has to be reported within 8 s.
+	// unlistedTimeout is the time for which a task still counts as running after lostTasks found its worker unlisted.
+	// During this time, the worker may still report the end of the task. The time is short because discovery may remove
+	// a dead worker from the list some seconds late, and the completion has to be reported within 8 s of the end of
+	// the task.
 	unlistedTimeout = 1 * second
 	// adoptedUnlistedTimeout is used instead of unlistedTimeout if a task is adopted while its worker is unlisted.
 	// The time is limited because there may be no connection on which the worker could report the end of the task.
--- a/internal/dispatch/tasks_test.go
+++ b/internal/dispatch/tasks_test.go
@@ -6,9 +6,9 @@
 	"ravenhitch/placement"
 )
 
-// A task that was offered or adopted more than restartSkew before the start of its worker's process has ended with the
-// previous process. Its completion is reported to the client unless the task was released. Tasks that were offered
-// later continue, and so do all tasks on other workers.
+// After the restart of a worker, the tasks that were offered or adopted more than restartSkew before the start of the
+// new process count as ended. The completion of such a task is reported to its client unless the task was released.
+// Tasks that were offered later continue, and so do all tasks on other workers.
 func TestWorkerRestarted(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -36,6 +36,6 @@
 			h.completions(), h.IsTerminating("released"))
 	}
 	if !h.IsRunning("justbefore") || !h.IsRunning("after") || h.TasksOn("a").Count != 2 {
-		t.Errorf("tasks on worker a: %d, want 2, justbefore and after, both running", h.TasksOn("a").Count)
+		t.Errorf("tasks on worker a: %d, want 2: the running tasks \"justbefore\" and \"after\"", h.TasksOn("a").Count)
 	}
 }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -11,15 +11,15 @@
 	"strings"
 )
 
-// Tracer writes the steps of the traced requests at debug level. The dispatcher, the connections to workers and the
-// front for clients all use it, so that one search of the log for a request ID finds all steps of the request.
+// Tracer writes the steps of the traced requests at debug level. The dispatcher, package workerpool and
+// package clientfront all use it, so that one search of the log for a request ID finds all steps of the request.
 type Tracer struct {
 	Log      *slog.Logger
 	Suffixes []string // suffixes of the traced request IDs; if there are none, all are traced
 }
 
-// Step writes one step of a request if the debug level is on and the request ID is traced. The time of the step, at,
-// is in microseconds.
+// Step writes one step of a request if the debug level is on and the request ID is traced. The parameter at is the time
+// of the step, in microseconds.
 func (t Tracer) Step(step, requestID string, at int64, args ...any) {
 	if t.Log != nil && t.Log.Enabled(context.Background(), slog.LevelDebug) && Traced(t.Suffixes, requestID) {
 		t.Log.Debug(step, append([]any{"request_id", requestID, "at_us", at}, args...)...)
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -14,7 +14,8 @@
 	// worker will report.
 	sweepInterval = 500 * millisecond
 	// drainRetention is the time for which drainingSince keeps an unlisted worker, measured from the start of its
-	// draining. It is much longer than an offer to the worker may wait to be sent.
+	// draining. Offers to the worker that wait to be sent need the entry (see CheckOffer), and they wait for a much
+	// shorter time.
 	drainRetention = 60 * second
 )
 
@@ -63,8 +64,8 @@
 	d.reportBackpressure()
 }
 
-// ObserveTurn records how long the last turn took, in microseconds, from when its input was ready to when its
-// output was written.
+// ObserveTurn records how long the last turn of the event loop took, in microseconds, from when its input was ready to
+// when its output was written.
 func (d *Dispatcher) ObserveTurn(us int64) { d.pacer.observeTurn(d.now, us) }
 
 // runScheduler passes the queued events to the scheduler, if there are any, and carries out its actions.
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -2,9 +2,9 @@
 
 // This file owns unclaimed completions: completions that workers report for tasks that are not in the table.
 // After an orchestrator has ended, its clients submit their running tasks to another orchestrator. A worker
-// reports the completion of a task only once, on any connection, and may do so before the client's submission. If
-// that completion were dropped, the task would stay in the table as running forever. This file must never end a
-// task unless its worker has reported the end with the task's request ID.
+// reports the completion of a task only once, on any of its connections, and may do so before the client's submission.
+// If that completion were dropped, the adopted task would count as running although it has ended. This file must
+// never end a task unless its worker has reported the end with the task's request ID.
 
 import "ravenhitch/placement"
 
--- a/internal/dispatch/unresponsive_test.go
+++ b/internal/dispatch/unresponsive_test.go
@@ -26,8 +26,8 @@
 	},
 }
 
-// For the scheduler, a released task occupies its worker until its end is known, because a worker that cannot
-// be reached keeps running it. The client may submit the key again before the end is known.
+// For the scheduler, a released task occupies its worker until its end is known or assumed, because a worker that
+// cannot be reached keeps running it. The client may submit the key again before the end is known.
 func TestReleasedAtUnresponsiveWorker(t *testing.T) {
 	for name, end := range unresponsiveEnds {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns the reports of workers on themselves, on attempts and on running tasks. It must never send
-// an offer.
+// This file owns the handling of the worker pool's reports on workers, attempts, running tasks and probes. It must
+// never send an offer.
 
 import "ravenhitch/placement"
 
