--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -7,19 +7,19 @@
 
 const (
 	// reserved is the number of descriptors that clients and workers leave free. They serve a new connection
-	// to discovery, admin calls of operators, and a client that is accepted before the connection evicted
-	// for it is closed.
+	// to discovery, admin calls of operators, and a client that is accepted before the connection that was
+	// evicted for it is closed.
 	reserved = 4
 	// programUse is the number of descriptors that the program itself keeps open in addition to the
 	// reserved ones: the listening socket and the connection to discovery.
 	programUse = 2
 	// clientShareDivisor limits the optional connections to workers: they always leave 1/clientShareDivisor of the
-	// budget to clients. A third suffices because clients normally use at most a third of the limit. Clients may
-	// borrow more, up to Budget.maxClients, if connections to workers leave descriptors free.
+	// budget to clients. A third suffices because clients normally use no more than that. Clients may borrow more,
+	// up to Budget.maxClients, if connections to workers leave descriptors free.
 	clientShareDivisor = 3
 	// minClientShareDivisor limits all connections to workers: they always leave 1/minClientShareDivisor of the
-	// budget to clients, even if they are required. A connection is required if the worker has running tasks or a
-	// message, such as an offer, is waiting for the connection.
+	// budget to clients, even if they are required. A connection is required if it is the only one to a worker with
+	// running tasks, or if a message, such as an offer, is waiting for it.
 	minClientShareDivisor = 8
 )
 
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -25,17 +25,19 @@
 	return confirmed
 }
 
-// cancelOffer cancels an open offer. An offer that was not written yet is only removed. A cancel is written if the
-// offer was sent completely, data was received or the connection was established since the offer was made, and the
-// deployment allows pings or mayRetry is false. In all other cases, the connection is aborted.
+// cancelOffer cancels an open offer. An offer that was not written yet is only removed. Otherwise, a cancel is written
+// if all of the following hold, and the connection is aborted if not:
+//   - The offer was sent completely.
+//   - Since the offer was made, data was received or the connection was established.
+//   - The deployment allows pings, or mayRetry is false.
 //
 // cancelOffer returns true if the attempt counts as over at once: the offer was not written, or a cancel was written
 // that nothing confirms because the deployment does not allow pings. Otherwise it returns false, and
 // Dispatcher.CancelConfirmed is called when the ping behind the cancel is answered or, if the connection ends without
 // that answer, after the time in which the close reaches the worker.
 //
-// mayRetry is true if another attempt may follow. It has an effect only if the deployment does not allow pings: then
-// the connection is aborted and no cancel is written, because the next attempt must wait until this one is over.
+// mayRetry is true if another attempt may follow, which must wait until this one is over. In this case, the connection
+// is aborted if the deployment does not allow pings, because nothing would confirm a cancel.
 func (c *workerConn) cancelOffer(offer *openOffer, mayRetry bool) (confirmed bool) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	c.removeOffer(offer)
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -15,7 +15,8 @@
 
 // confirmationTimeout is the maximum time from the writing of the ping behind a cancel until any data is received on
 // the connection. Any data counts, not only the answer to the ping, because the worker may decide on earlier offers
-// before it answers the ping. Once other data was received, the answer may take up to the dial timeout.
+// before it answers the ping. Once other data was received, the answer may take up to the dial timeout, rounded up to
+// a multiple of confirmationTimeout.
 const confirmationTimeout = 100 * millisecond
 
 // cancelConfirmations holds the cancels that were written on one connection and that the worker is not known to have
--- a/internal/workerpool/cancel_confirmations_test.go
+++ b/internal/workerpool/cancel_confirmations_test.go
@@ -93,7 +93,8 @@
 	return m
 }
 
-// confirmed waits for at most testbed.Timeout and reports whether all cancels are confirmed.
+// confirmed waits, for at most testbed.Timeout, until no cancel awaits the answer to a ping. It reports whether this
+// happened.
 func (c *cancelledOffer) confirmed() bool {
 	pending := 1
 	for limit := time.Now().Add(testbed.Timeout); pending > 0 && time.Now().Before(limit); time.Sleep(time.Millisecond) {
--- a/internal/workerpool/close_transit.go
+++ b/internal/workerpool/close_transit.go
@@ -5,10 +5,10 @@
 
 import "ravenhitch/placement"
 
-// A close takes as long as a message to reach the worker, and nothing reports its arrival. Therefore an attempt that
-// a close cancels is considered over after one round trip to the worker. The round trip is estimated as the shortest
-// time in which a connection to that worker was established, but is at least minCloseTransit and at most
-// maxCloseTransit, the delay of a close that the protocol tolerates.
+// A close takes as long to reach the worker as a message does, and nothing reports its arrival. Therefore an attempt
+// that a close cancels is considered over after one round trip to the worker. The round trip is estimated as the
+// shortest time in which a connection to that worker was established, but is at least minCloseTransit and at most
+// maxCloseTransit, the longest delay of a close that the protocol tolerates.
 const (
 	minCloseTransit = 2 * millisecond
 	maxCloseTransit = 50 * millisecond
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -17,8 +17,8 @@
 
 const (
 	// staleAfter is how long an offer may be open on a connection without received data before new messages are
-	// sent on a new connection. After the same time without received data, a worker may not notice the end of a
-	// connection.
+	// sent on a new connection. If a connection ends after the same time without received data, the worker may not
+	// have noticed the end.
 	staleAfter = 400 * millisecond
 	// maxReadGap is the maximum time without received data on a connection to a worker with running tasks. After
 	// that time, another connection is dialled unless TCP acknowledgements prove that the connection is alive. The
@@ -116,8 +116,9 @@
 }
 
 // close closes the connection from this side for the given reason and settles the offers, probes and cancels that are
-// open on it. It aborts the connection if its buffers may still contain an offer or a cancel, or if the reason means
-// that the worker is unreachable (see isUnreachable).
+// open on it. It aborts the connection if an offer is open or a cancel awaits confirmation, because the offer or cancel
+// may still be buffered. It also aborts the connection if the reason means that the worker is unreachable (see
+// isUnreachable).
 func (c *workerConn) close(reason error) {
 	unreachable := isUnreachable(reason)
 	if unreachable {
--- a/internal/workerpool/end_reasons.go
+++ b/internal/workerpool/end_reasons.go
@@ -1,7 +1,7 @@
 package workerpool
 
 // This file owns the reasons for which a connection to a worker ends, and what each reason proves about the worker.
-// It must never treat a reason as proof that the worker is alive or dead if the reason does not prove that.
+// It must never conclude that a worker is alive or dead from a reason that may have another cause.
 
 import (
 	"errors"
@@ -32,14 +32,14 @@
 // description of the task.
 var errNoDescription = fmt.Errorf("%w: an acceptance without a description of the task", jsonlines.ErrMessage)
 
-// isUnreachable reports whether this side closed a connection because its messages apparently did not reach the
-// worker. In that case the close may not reach the worker either.
+// isUnreachable reports whether this side closed a connection because a cancel could not be confirmed or because the
+// worker was considered dead. The worker then counts as unreachable, and the close may not reach it.
 func isUnreachable(err error) bool {
 	return errors.Is(err, errUnresponsive) || errors.Is(err, errWorkerDead)
 }
 
-// isDisconnect reports whether a connection ended in a way that does not show whether another connection could be
-// established.
+// isDisconnect reports whether a connection ended by a reset, a close by the worker or a malformed message. The worker
+// may still accept another connection.
 func isDisconnect(err error) bool {
 	return isReset(err) || errors.Is(err, eventloop.ErrEOF) || errors.Is(err, jsonlines.ErrMessage)
 }
--- a/internal/workerpool/helpers_test.go
+++ b/internal/workerpool/helpers_test.go
@@ -53,7 +53,7 @@
 	return placement.WorkerList{Kind: placement.ListFull, Entries: entries}
 }
 
-// newSubmission returns a submission that requests all resources of a worker and must not run twice.
+// newSubmission returns the submission of a task that requests all resources of the worker and must not run twice.
 func newSubmission() dispatch.Submission {
 	return dispatch.Submission{RequestID: requestID, Class: "cut", Key: "k", TimeoutUs: 5_000_000, Cores: 1, Memory: 1}
 }
@@ -126,7 +126,8 @@
 // sweep maintains the link as the periodic sweep does.
 func (lt *linkTest) sweep(l *link) { l.sweep(lt.dispatcher.TasksOn(workerName), lt.loop.Now()) }
 
-// runUntil runs the loop until a condition holds. A test may call it only once.
+// runUntil runs the loop until a condition holds. It may be called only once per linkTest, because a stopped loop
+// cannot run again.
 func (lt *linkTest) runUntil(condition func() bool) {
 	lt.t.Helper()
 	timeout := lt.loop.After(testbed.Timeout.Microseconds(), lt.loop.Stop)
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -39,7 +39,7 @@
 	redialBackoff int64         // delay of the last redial, 0 if a connection was established since
 	redialTimer   *eventloop.Timer
 	wasReset      bool  // a connection was reset, so that a refused connection now proves that the worker is dead
-	unreachable   bool  // a connection failed or was unresponsive, and none has been established since
+	unreachable   bool  // a connection failed or was closed as unresponsive, and none has been established since
 	refusedSince  int64 // time of the first refusal since a connection was established or data received, 0 for none
 	minConnectUs  int64 // shortest time in which a connection was established, 0 if none has been
 
@@ -48,7 +48,7 @@
 
 	lostUnnoticedAt int64 // time of the last end of a connection that the worker may still consider open
 	openedAt        int64 // time at which a connection was last established, or one for late completions was dialled
-	prunedAt        int64 // time at which pruneConns last closed a connection, which the worker notices later
+	prunedAt        int64 // time at which pruneConns last closed a connection; the worker notices the close later
 }
 
 // connForSending returns the connection for new messages, dialling one if needed. The connection may not be
@@ -137,9 +137,9 @@
 
 // sweep maintains the connections to a worker, given a summary of the tasks that run there. If tasks run and the
 // newest connection is up but not known to be alive, sweep dials another one if the budget and maxConns allow it.
-// Without this dial, a dead connection would go unnoticed while no offer is sent, and the completions of the tasks
-// would never arrive. (If an offer is cancelled on a connection without received data since the offer, cancelOffer
-// closes that connection.)
+// Without this dial, a dead connection would go unnoticed for too long while no offer is sent, and the completions of
+// the tasks would be late. If an offer is sent and no data is received before it is cancelled, cancelOffer closes the
+// connection.
 func (l *link) sweep(tasks dispatch.TaskSummary, now int64) {
 	l.releases.expire(now)
 	l.applyRestart()
@@ -182,8 +182,8 @@
 	}
 }
 
-// setUnreachable records that a connection could not be established, broke or was unresponsive. The next call of
-// DeliverPending notifies the dispatcher unless a connection is up by then. Without the notification, the scheduler
+// setUnreachable records that a connection could not be established, broke or was closed as unresponsive. The next call
+// of DeliverPending notifies the dispatcher unless a connection is up by then. Without the notification, the scheduler
 // would spend attempts on a worker that the pool knows to be unreachable.
 func (l *link) setUnreachable() {
 	l.unreachable = true
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// A new start time of a worker in the list ends the tasks at the worker as soon as no connection is older than the
-// start. One start ends tasks only once.
+// If discovery lists a new start time of a worker, the tasks at the worker end as soon as no connection is up that was
+// dialled before the start. Each start ends tasks only once.
 func TestListedStartEndsTasks(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
--- a/internal/workerpool/liveness.go
+++ b/internal/workerpool/liveness.go
@@ -10,15 +10,15 @@
 
 const (
 	// deadAfterRefused is how long a worker may refuse connections, and send nothing on its open connections,
-	// before it is considered dead. It is below the 8 s from the end of a task within which its completion must be
-	// reported to the client.
+	// before it is considered dead. The time is below 8 s because a completion must be reported to the client
+	// within 8 s of the end of the task.
 	deadAfterRefused = 2 * second
 	// deadAfterRefusedUnpinged replaces deadAfterRefused if the deployment does not allow pings.
 	deadAfterRefusedUnpinged = 4 * second
 )
 
 // applyRestart ends the tasks that ran at the worker before its process was restarted, as soon as no connection is up
-// that was dialled before the restart. While such a connection is up, the process that ran the tasks is
+// that was dialled before the restart. While such a connection is up, the process that ran the tasks may still be
 // alive, whatever the list of discovery says. The start time from discovery is needed because a worker that dies and
 // restarts while it has no connection causes no reset, and refuses connections only briefly if it restarts quickly.
 func (l *link) applyRestart() {
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -38,7 +38,8 @@
 	return o.endOffset > 0 && o.endOffset <= conn.BytesSent()
 }
 
-// delayedOffer is an offer that waits on its connection until the connection of its client has been read.
+// delayedOffer is an offer that sendOffer has delayed. It is sent on workerConn after the connection of the client that
+// made the request has been read.
 type delayedOffer struct {
 	workerConn *workerConn
 	offer      *openOffer
@@ -174,8 +175,8 @@
 // settleOffers removes all offers from a connection that ended with err, and returns the offers to resend on
 // another connection. The task of an offer that was sent completely may have run, so the offer is reported as reset.
 // The task of any other offer never ran. Such an offer is returned if the worker is listed, fewer than maxOfferTries
-// connections were tried, and err does not show whether another connection could be established (see isDisconnect).
-// Otherwise, for example if the connection could not be established, the attempt ends with ConnectFailed.
+// connections were tried, and err is a disconnect (see isDisconnect). Otherwise, for example if the connection could
+// not be established, the attempt ends with ConnectFailed.
 func (c *workerConn) settleOffers(err error) (resend []*openOffer) {
 	l, pool := c.link, c.link.pool
 	for _, offer := range c.offersInOrder() {
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -74,7 +74,7 @@
 			loop, pool, dispatcher := newPool(t)
 			conn := offerToWorker(t, listener, loop, pool, dispatcher)
 			c.event(loop.Now(), dispatcher, pool)
-			// The loop runs until the connection is established and the outcomes found by then are reported.
+			// The loop runs until the connection is established and the outcomes queued by then are reported.
 			err := loop.Run(func(int64) {
 				if pool.DeliverPending(); conn.established {
 					loop.Stop()
@@ -106,7 +106,7 @@
 	var offered []string
 	for i := range offers {
 		submission := newSubmission()
-		submission.RequestID = testbed.RequestID(offers - i) // the reverse of the order of request IDs
+		submission.RequestID = testbed.RequestID(offers - i) // descending, so that offers sorted by request ID fail the test
 		submission.Key = submission.RequestID
 		if err := lt.dispatcher.Submit(lt.loop.Now(), nil, submission); err != nil {
 			t.Fatal(err)
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -4,10 +4,9 @@
 // loop's clock unless their type says otherwise.
 package workerpool
 
-// This file owns the set of workers that discovery lists, the periodic sweep over all of them, and the
-// outcomes that wait to be reported to the dispatcher. It must never report an outcome to the dispatcher while the
-// dispatcher is calling the pool, and never end an attempt because its deadline has passed: deadlines belong to the
-// dispatcher.
+// This file owns the set of links to workers, the periodic sweep of the links, and the outcomes that wait to be
+// reported to the dispatcher. It must never report an outcome to the dispatcher while the dispatcher is calling the
+// pool, and never end an attempt because its deadline has passed: deadlines belong to the dispatcher.
 
 import (
 	"log/slog"
@@ -28,9 +27,9 @@
 
 	// sweepInterval is the time between two calls of Pool.sweep.
 	sweepInterval = 500 * millisecond
-	// unlistedLinger is how long the connections to a worker stay open after discovery no longer lists it, so
-	// that the worker can send its remaining reports. The time is limited because a worker that has vanished
-	// never closes its connections.
+	// unlistedLinger is the maximum time for which the connections to a worker stay open after discovery has
+	// stopped listing it. They stay open so that the worker can send its remaining reports. The time is limited
+	// because a worker that has vanished never closes its connections.
 	unlistedLinger = 10 * second
 )
 
@@ -44,12 +43,12 @@
 	pingsAllowed   bool                     // the deployment allows pings to workers
 	links          map[string]*link         // by worker ID
 	sortedLinks    []*link                  // the links sorted by worker ID; nil if they must be sorted again
-	isAssigned     func(worker string) bool // reports whether this orchestrator places tasks at a worker; nil for all
+	isAssigned     func(worker string) bool // reports whether a worker is assigned to this orchestrator; nil if all are
 	offersMade     uint64                   // number of offers that the dispatcher has made
 	offersSent     int64                    // number of offers that were sent completely and are no longer open
-	pendingReports []func()                 // report outcomes to the dispatcher in the next call of DeliverPending
+	pendingReports []func()                 // called by DeliverPending; each reports an outcome to the dispatcher
 	delayedOffers  []delayedOffer           // offers that wait until the connections of their clients have been read
-	budget         *descriptors.Budget      // nil if descriptors are not limited
+	budget         *descriptors.Budget      // nil if ShareDescriptors was not called
 	idle           idleConns
 	// keepAlive is the time without a packet from the worker's operating system after which TCP keepalive sends a
 	// probe. It is 0 if TCP acknowledgements do not prove that the connection to the worker is alive.
@@ -59,8 +58,9 @@
 var _ dispatch.WorkerPool = (*Pool)(nil)
 
 // New returns a pool without workers. dialTimeoutUs is the maximum time, in microseconds, for establishing a
-// connection and for the answer to a probe or to a ping behind a cancel. pingsAllowed is true if the pool may send
-// pings to workers. SetDispatcher must be called before the first worker is added.
+// connection and for the answer to a probe. It also limits the wait for the answer to a ping behind a cancel (see
+// confirmationTimeout). pingsAllowed is true if the pool may send pings to workers. SetDispatcher must be called before
+// the first worker is added.
 func New(loop *eventloop.Loop, dialTimeoutUs int64, pingsAllowed bool, log *slog.Logger) *Pool {
 	return &Pool{
 		loop:          loop,
@@ -83,8 +83,8 @@
 // of package eventloop stays in effect.
 func (p *Pool) SetKeepAlive(idleTime time.Duration) { p.keepAlive = idleTime }
 
-// ShareDescriptors makes the pool open connections to workers only if the budget admits them. Connections for late
-// completions are not counted in the budget.
+// ShareDescriptors makes the pool open connections to workers only if the budget admits them. The budget does not limit
+// connections for late completions.
 func (p *Pool) ShareDescriptors(budget *descriptors.Budget) { p.budget = budget }
 
 // SetDispatcher sets the dispatcher to which the pool reports outcomes, and starts the periodic sweep.
@@ -145,8 +145,9 @@
 	p.loop.After(sweepInterval, p.sweep)
 }
 
-// reportLater queues an outcome that DeliverPending reports to the dispatcher, and requests another turn of the loop.
-// The outcome is not reported at once because the caller may be running within a call by the dispatcher.
+// reportLater queues a function that reports an outcome to the dispatcher, and requests another turn of the loop.
+// DeliverPending calls the function. The outcome is not reported at once because the dispatcher may be in the middle
+// of a call of the pool.
 func (p *Pool) reportLater(report func()) {
 	p.pendingReports = append(p.pendingReports, report)
 	p.loop.RunAgain()
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -20,8 +20,8 @@
 	releaseRetention = 60 * second
 )
 
-// unconfirmedReleases maps the request ID of each release that one worker has not confirmed to the time at which
-// the release was requested.
+// unconfirmedReleases holds the releases that one worker has not confirmed. It maps the request ID of each release to
+// the time at which the release was requested.
 type unconfirmedReleases map[string]int64
 
 // expire deletes the releases that are older than releaseRetention.
@@ -46,7 +46,7 @@
 	if len(l.releases) < maxUnconfirmedReleases {
 		l.releases[requestID] = p.loop.Now()
 	}
-	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends the release later
+	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends the release if recorded
 		c.sendFinish(requestID)
 	}
 }
@@ -61,7 +61,7 @@
 	return false
 }
 
-// resendReleases sends the releases that the worker has not confirmed on a newly established connection.
+// resendReleases sends all unconfirmed releases on this connection, which has just been established.
 func (c *workerConn) resendReleases() {
 	for _, requestID := range slices.Sorted(maps.Keys(c.link.releases)) {
 		c.sendFinish(requestID)
--- a/internal/workerpool/release_test.go
+++ b/internal/workerpool/release_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/internal/testbed/nettest"
 )
 
-// A release that is requested before the connection to the worker is established is sent once it is established, and
-// stays unconfirmed until the worker confirms it. A release for an unknown worker is ignored.
+// If a release is requested before the connection to the worker is established, it is sent once the connection is up.
+// It stays unconfirmed until the worker confirms it. A release for an unknown worker is ignored.
 func TestUnconfirmedReleaseIsResent(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
