--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// forgetDead removes the dead or departed member that was last known to be alive the longest time ago. A member that
-// became silent recently may only be partitioned off. It stays in the table, so that pingDead can find it again.
+// forgetDead removes the dead or departed member whose last proof of being alive is the oldest. A member that became
+// silent recently may be alive on the other side of a partition. It stays in the table, so that pingDead can find it
+// again.
 func (t *Table) forgetDead() {
 	oldest := -1
 	for i, name := range t.names {
--- a/internal/membership/dead_test.go
+++ b/internal/membership/dead_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestForgetsTheLongestDead asserts that with more than maxDeadMembers dead and departed members, the table removes
-// the one that was last alive the longest time ago. A member that died recently may only be partitioned off, and must
-// stay in the table to be pinged.
+// the one whose last proof of being alive is the oldest. A member that was declared dead recently may be alive on the
+// other side of a partition, so it must stay in the table to be pinged.
 func TestForgetsTheLongestDead(t *testing.T) {
 	h := newHarness(t)
 	h.answerForB = reachable(h)
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -67,9 +67,9 @@
 
 func formatMilliseconds(us int64) string { return fmt.Sprintf("%d ms", us/millisecond) }
 
-// evidence describes for operators how many members of each zone confirmed that they cannot reach a member, how many
-// of them found that no process listens at its address, and whether the local member has had proof that it is alive
-// since the suspicion began. It counts only the confirmations in the table, which are at most 2*MaxConfirmations.
+// evidence describes for operators how many members of each zone confirmed that they cannot reach m, how many of them
+// found that no process listens at the address of m, and whether the local member has had proof since the suspicion
+// began that m is alive. It counts only the confirmations in the table, which are at most 2*MaxConfirmations.
 func (t *Table) evidence(m *member) string {
 	confirmations := map[string]int{}
 	var zones []string
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -11,7 +11,8 @@
 }
 
 // assertMaxSuspicions returns a function that runs the cluster until the simulated time is 60 s and asserts that member
-// 2 reports at most limit suspicions. These include suspicions that the updates of other members start at member 2.
+// 2 reports at most limit suspicions. The limit includes suspicions that member 2 learns from the updates of other
+// members.
 func assertMaxSuspicions(limit int) func(t *testing.T, c *cluster) {
 	return func(t *testing.T, c *cluster) {
 		t.Helper()
@@ -55,7 +56,7 @@
 		run:    func(_ *testing.T, c *cluster) { c.run(30 * second) },
 	},
 	{
-		name:   "a member that refuses connections from one other is not suspected if relays reach it",
+		name:   "a member that refuses connections from only one other member is not suspected if relays reach it",
 		size:   7,
 		faults: []fault{{kind: faultRefuse, target: 2, other: 3, start: 5 * second, end: 60 * second}},
 		run: func(t *testing.T, c *cluster) {
@@ -64,13 +65,13 @@
 		},
 	},
 	{
-		name:   "a zone that only one member of the other zones can reach",
+		name:   "few suspicions if only one member of the other zones can reach a zone",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
 		run:    assertMaxSuspicions(100), // 569 suspicions before chooseRelays preferred the relay that last reached the zone
 	},
 	{
-		name:   "a zone with only one member that the other zones can reach",
+		name:   "few suspicions if the other zones can reach only one member of a zone",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
 		run:    assertMaxSuspicions(15), // 27 suspicions before drawRelay preferred the relay that sent the last datagram
@@ -152,7 +153,7 @@
 		},
 	},
 	{
-		name:   "after a cut has healed, failures during the cut leave no member dead in any table",
+		name:   "after a cut has healed, every table lists all members as alive or suspected",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 2, other: -1, start: 6 * second, end: 12 * second}},
 		run: func(t *testing.T, c *cluster) {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -16,7 +16,7 @@
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
 }
 
-// minUpdateSize is a size in bytes, about that of an update with short names and without confirmations. packPage adds
+// minUpdateSize is the approximate size in bytes of an update with short names and without confirmations. packPage adds
 // updates to a datagram only while more than this number of bytes is free.
 const minUpdateSize = 64
 
@@ -55,10 +55,10 @@
 	}
 }
 
-// sendToAddress sends a message after it has set the receiver and the sender, and has added the digests (to a ping
-// only) and updates. If the receiver is in the table, and the message is an ack or the receiver is not alive in the
-// table, the update about the receiver comes first, because only the receiver can refute it. buckets is a bit mask of
-// the buckets whose digests in the receiver's ping differ from the local ones. If it is not 0, a page is added too.
+// sendToAddress sets the receiver and the sender of a message, adds updates to it, and sends it. To a ping it also
+// adds the digests. The update about the receiver comes first in an ack, and in every message to a receiver that is
+// suspected, dead or departed, because only the receiver can refute this update. buckets is a bit mask of the buckets
+// whose digests in the receiver's ping differ from the local ones. If it is not 0, a page is added too.
 func (t *Table) sendToAddress(address, to string, m Message, buckets uint32) {
 	m.To, m.Sender, m.Joining = to, t.Self, !t.admitted()
 	if m.Kind == Ping {
@@ -75,8 +75,8 @@
 	t.actions = append(t.actions, Send{Addr: address, Message: p.message})
 }
 
-// packBroadcasts adds queued updates to a message, those with the fewest transmits first. It then removes the updates
-// that reached the transmit limit from the queue.
+// packBroadcasts adds queued updates to a message in the order of the queue. It then removes the updates that reached
+// the transmit limit from the queue, and sorts the queue by the number of transmits, the fewest first.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
 	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping matched the local ones
 	// pageSpace is the space in bytes that is reserved for the page. Without it, the broadcasts would fill the
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -6,13 +6,14 @@
 import "testing"
 
 // harness holds the table of member a and simulates the other members. They answer every ping, except b, whose answers
-// the test defines. Its times are in microseconds.
+// the test defines. The times in the harness are in microseconds.
 type harness struct {
 	*Table
 	now         int64
 	diedAt      int64 // time of the first death that the table declared, 0 before that
 	eventCounts map[EventKind]int
-	// answerForB returns the answer of b to an action, or of a relay that was asked to ping b; nil for no answer.
+	// answerForB returns the answer to an action, from b or from a relay that was asked to ping b. It returns nil if
+	// there is no answer.
 	answerForB func(a Action) *Message
 }
 
@@ -64,7 +65,7 @@
 // suspectB passes the table a suspicion of b with confirmations from c, d and e.
 func (h *harness) suspectB() { h.receiveUpdates(suspectUpdate("b", "c", "d", "e")) }
 
-// perform passes the answers to the table's actions back to the table.
+// perform simulates how the other members answer the table's actions, and passes their answers to the table.
 func (h *harness) perform(actions []Action) {
 	for _, action := range actions {
 		if send, ok := action.(Send); ok && send.Message.Kind == Ping && send.Message.To != "b" {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,8 +10,8 @@
 // values. The caller performs them, and passes received messages to [Table.Receive] and the results of handshake
 // probes to [Table.HandshakeProbeDone].
 //
-// Invariants: the table never declares a member dead because of reports from members that cannot reach it while
-// the local member can, nor because of silence that a stall of the local process may have caused.
+// Invariants: the table declares a member dead only if the local member has not reached it for an entire suspicion
+// timeout, whatever other members report. Silence that a stall of the local process may have caused does not count.
 package membership
 
 // State tells whether a member is alive, suspected or dead, or has left, as far as the local member knows.
@@ -32,7 +32,7 @@
 // Confirmation records that a member cannot reach a suspected member.
 type Confirmation struct {
 	Name, Zone string // of the member that cannot reach the suspect
-	Refused    bool   // whether the suspect's host refused the connection: no process listens there
+	Refused    bool   // whether the suspect's host refused the handshake probe: no process listens at the address
 }
 
 // Update is a gossip update: the state of one member at one incarnation.
@@ -41,9 +41,10 @@
 	// Nonce is the incarnation nonce. Each process draws one when it starts, which distinguishes two processes
 	// that use the same name.
 	Nonce uint64
-	// Incarnation increases each time the member refutes that it is suspected, dead or departed, and when it takes
-	// over its name from a process that no longer runs. It also increases at each start of the process, if the
-	// settings name a directory in which the starts are counted.
+	// Incarnation increases each time the member refutes that it is suspected, dead or departed. It also increases
+	// when the member takes over its name from a process that no longer runs, unless it already exceeds that process's
+	// incarnation. If the settings name a directory in which the starts are counted, each start of the process increases
+	// it as well.
 	Incarnation   uint64
 	State         State
 	Confirmations []Confirmation // confirmations of the suspicion
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -21,12 +21,12 @@
 	Joining  bool   // whether the sender has not joined yet or another process owns its name
 	Sequence uint64 // sequence number of the Ping or the PingRequest, repeated in the answer
 	Target   string // name of the member to ping, in a PingRequest and its answer
-	// OnBehalfOf and OnBehalfOfSequence identify, in a Ping from a relay and its Ack, the member that requested
-	// the Ping and the sequence number of that member's own Ping.
+	// OnBehalfOf and OnBehalfOfSequence are set in a Ping from a relay and in the Ack of that Ping. They hold the
+	// name of the member that requested the Ping, and the sequence number of this member's own Ping to the target.
 	OnBehalfOf         string
 	OnBehalfOfSequence uint64
-	// DirectPingReceived is true, in the Ack of a Ping from a relay and in a PingRequestResult, if the requesting
-	// member's own Ping, or a later Ping that it sent itself, reached the target.
+	// DirectPingReceived is used in the Ack of a Ping from a relay and in a PingRequestResult. It is true if the target
+	// has received the requesting member's own Ping, or a later Ping that this member sent directly to the target.
 	DirectPingReceived bool
 	Reached            bool // in a PingRequestResult: whether Target answered
 	// Digests holds, in a Ping, the digests of the sender's table by bucket. The answer carries pages, which are
--- a/internal/membership/path.go
+++ b/internal/membership/path.go
@@ -17,13 +17,14 @@
 // String returns the name of the path's state in the status report.
 func (p Path) String() string { return [...]string{"both ways", "out shut", "in shut", "shut"}[p&3] }
 
-// pathDirection is one direction of a path.
+// pathDirection is the state of one direction of a path.
 type pathDirection struct {
 	failureWeight int // total weight of the consecutive probes that found this direction failing
 	down          bool
 }
 
-// direction names one direction of a path.
+// direction selects one of the two directions of the path to another member: outbound is from the local member to
+// the other one, and inbound is from the other one to the local member.
 type direction uint8
 
 const (
@@ -31,7 +32,7 @@
 	inbound
 )
 
-// directions returns the named direction of the path to a member, and the opposite one.
+// directions returns the state of direction d of the path to a member, and the state of the opposite direction.
 func (m *member) directions(d direction) (named, opposite *pathDirection) {
 	if d == inbound {
 		return &m.inbound, &m.outbound
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -15,7 +15,7 @@
 	acked              bool  // the member itself acked the direct ping
 	aliveIndirectly    bool  // a relay reached the member, or the member answered the handshake
 	reachedByRelay     bool
-	directPingReceived bool // a relay reported that the direct ping reached the member
+	directPingReceived bool // a relay reported that the direct ping, or a later one, reached the member
 	unreachedByRelay   bool // a relay reported that it could not reach the member
 	handshakeStarted   bool
 	handshakeRefused   bool // no process listens at the member's address
@@ -42,7 +42,7 @@
 }
 
 // probeNext starts the next urgent probe and the next probe in order. It starts both, so that urgent probes of a
-// few suspects do not delay the probes of the other members. If no other member is alive or suspected, it pings one of
+// few members do not delay the probes of the others. If no other member is alive or suspected, it pings one of
 // the peers in the settings instead.
 func (t *Table) probeNext() {
 	t.startUrgentProbe()
@@ -150,7 +150,7 @@
 	case p.acked:
 		t.improveHealth()
 	case p.aliveIndirectly:
-		// The member is alive, so only the direct path may have failed. Whether the member received the direct
+		// The member is alive, so at most the direct path to it has failed. Whether the member received the direct
 		// ping shows which direction of the path failed.
 		if p.reachedByRelay && p.directPingReceived {
 			t.pathFailed(m, inbound, p.handshakeTimedOut)
--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -15,9 +15,9 @@
 	onlySize      = flag.Int("size", 0, "run only clusters of this size; 0 runs all sizes")
 )
 
-// runSchedule runs one schedule of faults until 3 s after end. It returns the cluster and a description of up to three
-// violated invariants, or of a table that does not list exactly the running members after the formation or at the end
-// of the run. The description is "" if there is neither.
+// runSchedule runs one schedule of faults until 3 s after end. It checks that no invariant is violated, and that every
+// table lists exactly the running members after the formation and at the end of the run. violation describes the first
+// failed check, with at most three violated invariants, or is "" if all checks pass.
 func runSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
 	c = newCluster(size, seed, faults)
 	c.run(formationTime(size))
@@ -34,7 +34,8 @@
 	return c, ""
 }
 
-// shrinkFaults returns the faults without those that are not needed to cause a violation.
+// shrinkFaults drops each fault in turn if the remaining faults still cause a violation, and returns the faults that
+// remain at the end.
 func shrinkFaults(size int, seed uint64, faults []fault, end int64) []fault {
 	for i := 0; i < len(faults); {
 		fewer := slices.Delete(slices.Clone(faults), i, i+1)
@@ -121,9 +122,9 @@
 		s.oneWayFound, s.oneWayFaults, s.maxBytesPerSecondAndMember, took.Round(time.Second))
 }
 
-// schedulesOf returns the number of schedules to run for a cluster size: a percentage of the -schedules flag, or all of
-// them if -size selects this size. For 1000 members it is 1/5000 of the flag instead. If -size selects another size, it
-// is 0.
+// schedulesOf returns the number of schedules to run for a cluster size. If the -size flag is set, the number is
+// the value of the -schedules flag for the selected size, and 0 for all others. Otherwise it is the given percentage of
+// the -schedules flag, or 1/5000 of the flag for 1000 members.
 func schedulesOf(size, percent int) int {
 	switch {
 	case *onlySize > 0 && size != *onlySize:
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -9,8 +9,7 @@
 	"slices"
 )
 
-// The maximum numbers of peers in the settings that the local member pings at a time. Which of them applies depends on
-// the situation of the local member.
+// The maximum number of peers in the settings that the local member pings at a time, depending on its situation.
 const (
 	peersPingedJoining  = 3
 	peersPingedConflict = 2 // another process owns the local name
@@ -64,16 +63,16 @@
 	t.report(Joined, t.Self.Name, t.Self.Zone, fmt.Sprintf("incarnation %d", t.Self.Incarnation))
 }
 
-// objectToName answers another process that claims the local name with the update of the local process, which
-// owns the name.
+// objectToName answers a ping from another process that claims the local name. The answer carries the update of the
+// local process, which owns the name.
 func (t *Table) objectToName(m *Message) {
 	t.actions = append(t.actions, Send{Addr: m.Sender.Addr, Message: Message{
 		Kind: Ack, To: m.Sender.Name, Sender: t.Self, Sequence: m.Sequence, Updates: []Update{t.Self},
 	}})
 }
 
-// updateSelf handles an update that carries the local name: of this process, or of another process with the same
-// name.
+// updateSelf handles an update with the local name. The update describes either this process or another process with
+// the same name.
 func (t *Table) updateSelf(u Update) {
 	switch {
 	case u.Nonce == t.Self.Nonce:
--- a/internal/membership/sim_cluster_test.go
+++ b/internal/membership/sim_cluster_test.go
@@ -154,8 +154,8 @@
 	c.tickMemberAt(i, c.now+c.rng.Int64N(tickInterval))
 }
 
-// scheduleTick schedules the next call of a member's Tick at the time that the table requests, unless an earlier call
-// is scheduled already.
+// scheduleTick schedules the next call of a member's Tick at the time that the table requests plus a random timer
+// delay, unless an earlier call is scheduled already.
 func (c *cluster) scheduleTick(i int) {
 	process := c.members[i]
 	at := max(process.NextTick(), c.now+1) + c.rng.Int64N(maxTimerDelay) + c.slowDelay(i)
@@ -195,6 +195,6 @@
 // record writes an action or an event of a member to the transcript.
 func (c *cluster) record(i int, what any) {
 	if c.transcript != nil {
-		_, _ = fmt.Fprintf(c.transcript, "%d %d %v\n", c.now, i, what) // a hash never returns an error
+		_, _ = fmt.Fprintf(c.transcript, "%d %d %v\n", c.now, i, what) // the transcript is a hash, which never fails
 	}
 }
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -18,7 +18,7 @@
 	faultOneWay       faultKind = "oneway"  // datagrams from target to other are lost; connections between them time out
 	faultRefuse       faultKind = "refuse"  // like faultOneWay, but connections from target to other are refused
 	faultCut          faultKind = "cut"     // the zone target is cut off, except for paths to and from the member other
-	faultLoss         faultKind = "loss"    // random loss of packets to and from target, or of all packets if target is -1
+	faultLoss         faultKind = "loss"    // random loss of packets on the paths of target, or on all paths if target is -1
 	faultFlap         faultKind = "flap"    // all paths of target fail and recover alternately
 	faultSlow         faultKind = "slow"    // timers of target, and datagrams and handshakes to it, are late
 	faultRestart      faultKind = "restart" // the process of target ends at start and starts again at end
@@ -30,7 +30,7 @@
 const (
 	drawnLongPause   faultKind = "longpause" // a pause of 10 s
 	drawnBridge      faultKind = "bridge"    // a cut with a member whose paths still work
-	drawnMassRestart faultKind = "crowd"     // on average, nine of ten members end within a second and restart
+	drawnMassRestart faultKind = "crowd"     // restarts of nine in ten members on average, all within one second
 )
 
 const (
@@ -148,7 +148,7 @@
 	return d.faults, end
 }
 
-// draw draws one fault or a mass restart. It adds nothing if the cluster has no suitable target for the fault.
+// draw draws one fault or a mass restart. It adds nothing if it finds no suitable members for the fault.
 func (d *faultDrawer) draw() {
 	f := fault{kind: drawnKinds[d.rng.IntN(len(drawnKinds))], start: d.at + d.rng.Int64N(2*second), other: -1}
 	f.end = f.start + 2*second + d.rng.Int64N(6*second)
@@ -163,8 +163,8 @@
 	d.at += d.rng.Int64N(3 * second)
 }
 
-// drawMassRestart draws a restart of each member that has no fault yet, with a probability of 0.9. All of them
-// start within one second.
+// drawMassRestart draws a restart fault, with a probability of 0.9, for each member that may have a fault and has none
+// yet. All these faults start within one second.
 func (d *faultDrawer) drawMassRestart(start int64) {
 	for i := 1; i < d.size; i++ {
 		if !d.busy[i] && d.rng.IntN(10) > 0 {
@@ -178,7 +178,7 @@
 }
 
 // drawTarget draws the target of a fault, the other member of a cut with a bridge, and the probability of a loss. It
-// reports whether the cluster has a suitable target.
+// reports whether it found a suitable target.
 func (d *faultDrawer) drawTarget(f *fault) bool {
 	switch f.kind {
 	case faultCut:
