--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file checks the invariants of the simulated members against the faults, which the tables cannot observe: no
-// running member that can be reached is declared dead, every dead member is declared dead, and no path is reported as
-// degraded without a cause.
+// This file checks the invariants of the simulated cluster: no member is declared dead while it runs and can be
+// reached, every killed or vanished member is declared dead, and no path is reported as degraded without a cause. The
+// checks use the schedule of faults, which the tables do not know.
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 )
 
 const (
-	// observerGrace is the time, in microseconds, during which a member may still list dead members after its own
-	// long pause or restart. The time is counted from the member's deathAllowedUntil.
+	// observerGrace is the time after a member's deathAllowedUntil during which it may still list dead members as
+	// alive or suspected, in microseconds. A long pause and a restart of the member set its deathAllowedUntil.
 	observerGrace = 6 * second
 	// minReportableLoss is the probability of loss above which a member may report a path as degraded.
 	minReportableLoss = 0.2
@@ -66,8 +66,8 @@
 		float64(c.now)/second, memberName(reporter), e.Name, e.Evidence))
 }
 
-// recordOneWayFound records the one-way faults between a member and the other end of the path that the member reported
-// as degraded, if they are active or ended less than a second ago.
+// recordOneWayFound handles a member's report that a path is degraded. It records that the one-way faults between the
+// two ends of this path were found, if they are active or ended less than a second ago.
 func (c *cluster) recordOneWayFound(reporter int, e Event) {
 	for index, f := range c.faults {
 		sameEnds := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
@@ -79,7 +79,7 @@
 
 // checkDeath asserts that an observer did not declare a running and reachable process dead. It accepts the declaration
 // while the process is joining, while the process and the observer count as partitioned, and until deathAllowedUntil of
-// either of them. It records the detection time of a process that ended without leaving.
+// either of them. If the process ended without leaving, the declaration is correct, and recordDetection counts it.
 func (c *cluster) checkDeath(observer int, e Event) {
 	declared, err := strconv.Atoi(strings.TrimPrefix(e.Name, "n"))
 	if err != nil {
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -122,8 +122,8 @@
 	return c.pathOpen(from, to, c.now, true)
 }
 
-// handshakePasses draws whether loss lets all packets of a handshake through in time. A loss probability of 1 simulates
-// a firewall that drops datagrams and lets connections pass.
+// handshakePasses draws whether all packets of a handshake arrive in time despite random loss. A loss probability of 1
+// simulates a firewall that drops datagrams and lets connections pass.
 func (c *cluster) handshakePasses(from, to int) bool {
 	for _, f := range c.active(faultLoss) {
 		concerned := f.target < 0 || f.target == from || f.target == to
@@ -153,7 +153,7 @@
 		return f.target == from && f.other == to
 	case faultFlap:
 		return flaps && (f.target == from || f.target == to) && (at-f.start)/flapPeriod%2 == 0
-	case faultCut: // the zone is cut off, except for the paths of the member other, if the fault has one
+	case faultCut: // blocks the paths into and out of the zone, except those of the member f.other if it is set
 		crosses := (c.zone(from) == f.target) != (c.zone(to) == f.target)
 		bridged := f.other >= 0 && (from == f.other || to == f.other)
 		return crosses && !bridged
@@ -161,8 +161,8 @@
 	return false
 }
 
-// partitioned reports whether two members were unconnected, as connected defines it, at any of the checked times
-// in the partition window.
+// partitioned reports whether two members were not connected (see connected) at any time that it checks. It checks
+// times at intervals of partitionCheckInterval, from partitionWindow ago until now.
 func (c *cluster) partitioned(from, to int) bool {
 	for at := c.now; at > c.now-partitionWindow; at -= partitionCheckInterval {
 		if !c.connected(from, to, at) {
@@ -173,8 +173,8 @@
 }
 
 // connected reports whether two members were connected at the given time, either directly or through other members.
-// Each path on the way must have worked in both directions; flapping paths count as working. The other members must be
-// running now, and at the given time must have been past their deathAllowedUntil and not paused.
+// Each path on the way must have worked in both directions; flapping paths count as working. A member on the way counts
+// only if it is running now, and if at the given time it was not paused and its deathAllowedUntil had passed.
 func (c *cluster) connected(from, to int, at int64) bool {
 	seen, queue := map[int]bool{from: true}, []int{from}
 	for len(queue) > 0 && !seen[to] {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -1,7 +1,7 @@
 package membership
 
 // This file implements suspicions: their start, their confirmations, and the time that a suspect has to refute
-// them. Only evaluateSuspects declares a member dead.
+// them. Only evaluateSuspects declares an alive or suspected member dead.
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 		return
 	}
 	if m.State == Suspect && m.lastAliveAt > m.suspectedAt {
-		m.suspectedAt = t.now // the member was reached since the suspicion began, so a new period of silence begins
+		m.suspectedAt = t.now // restarts the timeout, because the member was proved alive after the suspicion began
 	}
 	t.suspect(m, []Confirmation{{Name: t.Self.Name, Zone: t.Self.Zone, Refused: refused}})
 }
@@ -42,7 +42,7 @@
 }
 
 // addConfirmations adds confirmations to those of the suspicion of m, up to 2*MaxConfirmations in total. A second
-// confirmation from the same member is not added; if it is refused, the first one is marked as refused too.
+// confirmation from the same member is not added. If its Refused is true, Refused of the first one becomes true too.
 // addConfirmations reports whether anything changed.
 func (t *Table) addConfirmations(m *member, confirmations []Confirmation) (added bool) {
 	for _, c := range confirmations {
@@ -57,7 +57,7 @@
 			added = true
 		}
 	}
-	if added { // refused confirmations come first, because only MaxConfirmations are sent
+	if added { // those with Refused come first, because a message contains at most MaxConfirmations of them
 		slices.SortStableFunc(m.Confirmations, func(a, b Confirmation) int {
 			return boolToInt(b.Refused) - boolToInt(a.Refused)
 		})
@@ -78,10 +78,11 @@
 	return count
 }
 
-// suspicionTimeout returns the time after which a suspect that has not refuted the suspicion may be declared dead,
-// before the local health score lengthens it. The timeout decreases from MaxSuspicionTimeout to MinSuspicionTimeout
-// with the number of confirmations, on Lifeguard's logarithmic scale. It is RefusedTimeout with at least
-// decisiveRefusals refused confirmations, and 5*RefusedTimeout with one if no other member could confirm the suspicion.
+// suspicionTimeout returns the time after which a suspect that has not refuted the suspicion may be declared dead. The
+// local health score is not yet taken into account. The timeout decreases from MaxSuspicionTimeout to
+// MinSuspicionTimeout with the number of confirmations, on Lifeguard's logarithmic scale. If at least decisiveRefusals
+// members found that no process listens at the suspect's address, the timeout is RefusedTimeout. If one member found
+// this and no other member could confirm the suspicion, it is 5*RefusedTimeout.
 func (t *Table) suspicionTimeout(m *member) int64 {
 	others := t.Size() - 2 // members that could confirm the suspicion, excluding the local one and the suspect
 	refused := m.refusals()
@@ -97,9 +98,10 @@
 	return t.MaxSuspicionTimeout - int64(share*float64(t.MaxSuspicionTimeout-t.MinSuspicionTimeout))
 }
 
-// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out, the local member has
-// not reached it since the suspicion began, and the suspicion is verified (see verified). The ping that verifies
-// the suspicion is sent when half of the timeout has passed, or later if too many suspects need one.
+// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out, the local member
+// has had no proof since the suspicion began that the suspect is alive, and the suspicion is verified (see verified).
+// The ping that verifies the suspicion is sent when half of the timeout has passed, or later if too many suspects need
+// one.
 func (t *Table) evaluateSuspects() {
 	t.pruneSuspects()
 	verifications := 0
@@ -136,9 +138,9 @@
 	t.suspects = slices.Compact(t.suspects)
 }
 
-// verify pings a suspect before it is declared dead. In a large cluster the next probe in order that is sent to the
-// suspect and the suspect's refutation may both come too late. The ping informs the suspect of the suspicion, so that
-// the suspect can refute it.
+// verify pings a suspect before it is declared dead. In a large cluster, the suspect's next turn in the probe order and
+// its refutation through gossip may both come too late. The ping informs the suspect of the suspicion, so that the
+// suspect can refute it.
 func (t *Table) verify(m *member) {
 	m.verifiedAt = t.now
 	t.ping(m.Name)
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestReachableMemberIsNotDeclaredDead asserts that the local member never declares a suspect dead that it
-// reaches, even if other members confirm the suspicion and the suspect never refutes it. It also asserts that the
-// local member declares a suspect dead that it does not reach.
+// TestReachableMemberIsNotDeclaredDead asserts that the local member never declares a suspect dead while it can
+// reach the suspect, even if other members confirm the suspicion and the suspect never refutes it. It also asserts
+// that the local member declares an unreachable suspect dead.
 func TestReachableMemberIsNotDeclaredDead(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
@@ -23,7 +23,7 @@
 		if c.dead {
 			continue
 		}
-		h.answerForB = unreachable(h) // b stays unreachable from now on and has still not refuted the suspicion
+		h.answerForB = unreachable(h) // from now on b is unreachable; it has not refuted the suspicion
 		silentSince := h.now
 		h.run(silentSince + 15*second)
 		if h.diedAt == 0 {
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestDeathOfLaterIncarnationIsAConfirmation asserts that a death of a later incarnation, if declared by other
-// members, counts only as confirmations of a suspicion. While the local member reaches the suspect, it does not
-// declare the suspect dead. Otherwise it does so only after its own suspicion timeout.
+// TestDeathOfLaterIncarnationIsAConfirmation asserts that an update that reports a member as dead, at a higher
+// incarnation than in the table, counts only as confirmations of a suspicion. The local member does not declare the
+// suspect dead while it can reach the suspect. Otherwise it does so only after its own suspicion timeout.
 func TestDeathOfLaterIncarnationIsAConfirmation(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
@@ -56,7 +56,7 @@
 // as silence of other members.
 func TestStallRaisesNoSuspicion(t *testing.T) {
 	const stall = 8 * second
-	t.Run("a suspicion begins anew", func(t *testing.T) {
+	t.Run("the timeout of a suspicion starts again", func(t *testing.T) {
 		h := newHarness(t)
 		h.answerForB = unreachable(h)
 		h.run(2 * second)
@@ -69,7 +69,7 @@
 			t.Errorf("b was declared dead %s after the stall (never if negative), want 3 to 8 s", formatMilliseconds(after))
 		}
 	})
-	t.Run("nobody is suspected for it", func(t *testing.T) {
+	t.Run("no suspicion starts", func(t *testing.T) {
 		h := newHarness(t)
 		h.answerForB = unreachable(h)
 		h.run(1500 * millisecond)
@@ -81,9 +81,9 @@
 	})
 }
 
-// TestRefusedSuspicionTimeout asserts that with two refused confirmations, a suspect is declared dead before
-// MinSuspicionTimeout has passed. A single one is enough only if the cluster has no other member that could confirm the
-// suspicion.
+// TestRefusedSuspicionTimeout asserts that a suspect is declared dead before MinSuspicionTimeout has passed if two
+// members found that no process listens at its address. One such member is enough only if the cluster has no other
+// member that could confirm the suspicion.
 func TestRefusedSuspicionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -124,7 +124,7 @@
 }
 
 // TestSuspectIsProbedAgain asserts that a member that raised a suspicion probes the suspect again before it declares
-// the suspect dead. In a large cluster the next probe in order that is sent to the suspect would come too late.
+// the suspect dead. In a large cluster, the suspect's next turn in the probe order would come too late.
 func TestSuspectIsProbedAgain(t *testing.T) {
 	h := newHarness(t)
 	for i := range 100 {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -35,7 +35,7 @@
 	sequence  uint64 // sequence number of the last ping sent
 
 	joining    bool  // whether the local member has not joined yet
-	conflictAt int64 // time of the last claim to the local name by another process, 0 without a conflict
+	conflictAt int64 // time of the last update that reports another process with the local name, 0 without a conflict
 	departing  bool  // whether Leave was called
 	peerCursor int   // counter that selects the next of Peers to ping
 
@@ -47,7 +47,7 @@
 	lastRelays      map[string]string  // by zone, the last relay that reached a member there
 
 	probeOrder     []string // members that are still to be probed in this round
-	urgentProbes   []string // members to probe before those in probeOrder
+	urgentProbes   []string // members to probe soon, whatever their place in probeOrder
 	nextProbeAt    int64
 	nextDeadPingAt int64
 	probes         []*probe
@@ -71,10 +71,10 @@
 	Update
 	lastAliveAt       int64  // time of the last proof that the member is alive, direct or indirect
 	lastDatagramAt    int64  // time when the last datagram from the member arrived
-	lastPingSequence  uint64 // highest sequence number of the pings that the member sent on its own behalf
+	lastPingSequence  uint64 // highest sequence number of the received pings that the member sent on its own behalf
 	rtt               int64  // smoothed round-trip time in microseconds
 	outbound, inbound pathDirection
-	suspectedAt       int64 // start of the suspicion, 0 without one
+	suspectedAt       int64 // start of the suspicion, or of its restarted timeout; 0 without a suspicion
 	probedAt          int64 // start of the last probe of the member
 	verifiedAt        int64 // time of the last ping that verifies a suspicion before the member is declared dead
 }
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -4,9 +4,9 @@
 // their order.
 
 // NextTick returns the time at which the caller must call Tick next. While the table is not idle, this is
-// tickInterval after the previous call. Otherwise it is the start of the next probe or the time when an ack
-// becomes overdue, whichever is earlier, but at least tickInterval after the previous call. Calls of other methods
-// may make it earlier.
+// tickInterval after the previous call of Tick. Otherwise it is the start of the next probe or the time when an ack
+// becomes overdue, whichever is earlier, but at least tickInterval after the previous call of Tick. Calls of other
+// methods may make it earlier.
 func (t *Table) NextTick() int64 {
 	if !t.idle() {
 		return t.lastTick + tickInterval
@@ -20,8 +20,8 @@
 	return max(next, t.lastTick+tickInterval)
 }
 
-// idle reports whether the table has no work before the next probe or the next overdue ack: the local member is
-// admitted and healthy, the view is current, nobody is suspected, and no relayed or urgent probe is pending.
+// idle reports whether Tick has no urgent work until the next probe starts or an ack becomes overdue: the local member
+// is admitted and healthy, the view is current, nobody is suspected, and no relayed or urgent probe is pending.
 func (t *Table) idle() bool {
 	switch {
 	case !t.admitted(), t.healthScore > 0, t.viewStaleSince > 0:
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -16,8 +16,8 @@
 	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout if the suspicion has
 	// one confirmation, and after MinSuspicionTimeout if it has at least three (in a cluster of up to three
 	// members, at least two). A bad local health score lengthens both timeouts. MinSuspicionTimeout covers the
-	// longest pause of a process that must not count as a death, plus the time that the process's refutation takes
-	// to reach the other members.
+	// longest process pause that must not count as a death, plus the time that the refutation then takes to reach
+	// the other members.
 	MinSuspicionTimeout, MaxSuspicionTimeout int64
 	// RefusedTimeout replaces both suspicion timeouts if at least two members found that no process listens at the
 	// suspect's address. In a cluster of two, one such finding is enough, but the timeout is 5*RefusedTimeout.
@@ -66,8 +66,8 @@
 	maxProbes = 16
 	// maxRelayedProbes is the maximum number of probes in flight on behalf of other members.
 	maxRelayedProbes = 64
-	// decisiveRefusals is the number of refused confirmations that are enough to declare a suspect dead after
-	// RefusedTimeout and without verification.
+	// decisiveRefusals is the number of members that must find that no process listens at a suspect's address, so
+	// that the suspect is declared dead after RefusedTimeout and without verification.
 	decisiveRefusals = 2
 	// maxVerifications is the maximum number of suspects that are pinged for verification in one tick.
 	maxVerifications = 16
@@ -78,10 +78,11 @@
 	maxDeadMembers = 1024
 	// maxHealthScore is the worst local health score. The best is 0.
 	maxHealthScore = 8
-	// pathDownWeight is the total weight of consecutive probes at which one direction of a path counts as down.
-	// Only probes count that found this direction failing while a relay reached the member.
+	// pathDownWeight is the sum of probe weights at which one direction of a path counts as down. A probe adds its
+	// weight if it found this direction failing while a relay reached the member. A datagram that arrives in this
+	// direction resets the sum.
 	pathDownWeight = 14
-	// handshakeFailureWeight is the contribution to pathDownWeight of a probe whose handshake timed out as well. A
-	// probe whose handshake did not time out contributes 1, because the loss of one datagram can explain it.
+	// handshakeFailureWeight is the weight of a probe whose handshake timed out too. Any other probe has weight 1,
+	// because the loss of one datagram can explain its failure.
 	handshakeFailureWeight = 2
 )
--- a/internal/membership/transcript_test.go
+++ b/internal/membership/transcript_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// transcripts holds, by cluster size, FNV-1a digests of all actions and events of the members of simulated clusters
-// under randomly drawn schedules of faults. The build of commit 532e1c5 computes the same digests.
+// transcripts holds FNV-1a digests of the transcripts of simulated clusters, by cluster size. A transcript contains all
+// actions and events of the members under a randomly drawn schedule of faults. The build of commit 532e1c5 computes the
+// same digests.
 var transcripts = []struct {
 	size, schedules int
 	digest          string
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -2,8 +2,9 @@
 
 // This file applies gossip updates to the table. A higher incarnation overrides a lower one, and among updates of the
 // same incarnation a greater nonce overrides a smaller one. If both are equal, the later state in the order of the
-// State constants overrides the earlier one. Deaths are the exception: each member decides for itself whether a
-// suspect is dead, using the confirmations of all members.
+// State constants overrides the earlier one. Reports of a death are the exception: for a member that is alive or
+// suspected in the table, they count only as confirmations of a suspicion, and evaluateSuspects decides whether the
+// member is dead.
 
 import (
 	"fmt"
@@ -62,9 +63,9 @@
 	}
 }
 
-// supersede applies an update that overrides the member's entry. If another member declared the death of a member
-// that is not dead or departed in the table, supersede only starts a suspicion. evaluateSuspects then decides
-// whether the local member declares the death too.
+// supersede applies an update that overrides the member's entry. If the update reports the death of a member that is
+// alive or suspected in the table, supersede only starts a suspicion. evaluateSuspects then decides whether the local
+// member declares the death too.
 func (t *Table) supersede(m *member, u Update) {
 	newProcess, previousState := u.Nonce != m.Nonce, m.State
 	if u.State == Dead && previousState <= Suspect {
--- a/internal/membership/verification_test.go
+++ b/internal/membership/verification_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestSuspectIsVerified asserts that a member that receives a suspicion from other members pings the suspect itself
-// before it declares the suspect dead, also in a large cluster.
+// TestSuspectIsVerified asserts that in a large cluster, the local member pings a suspect before it declares the
+// suspect dead, even if the suspicion came from other members.
 func TestSuspectIsVerified(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/shard/assignment_test.go
+++ b/internal/shard/assignment_test.go
@@ -51,7 +51,7 @@
 func TestAssignments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		zone := rapid.SampledFrom(testZones).Draw(t, "of")
+		zone := rapid.SampledFrom(testZones).Draw(t, "assigned zone")
 		assignments := testRegions.Assignments(zone, members)
 		if len(inRegion(zone, members)) == 0 {
 			if assignments != [Count]string{} {
--- a/internal/shard/set.go
+++ b/internal/shard/set.go
@@ -54,8 +54,8 @@
 	return s.with(other, func(zone string, b Bits) Bits { return b | s[zone] })
 }
 
-// with returns a copy of the set. For each zone in zones, it calls the function change with the zone and the bits
-// of the zone in zones; the result becomes the bits of the zone in the copy.
+// with returns a copy of the set. For each entry of zones, it calls change with the entry's zone and bits, and stores
+// the result as the bits of this zone in the copy.
 func (s Set) with(zones Set, change func(zone string, b Bits) Bits) Set {
 	changed := maps.Clone(s)
 	if changed == nil {
@@ -67,7 +67,7 @@
 	return changed
 }
 
-// bitsDigits is the number of hex digits of the shards of one zone.
+// bitsDigits is the number of hex digits for the shards of one zone in the text form.
 const bitsDigits = Count / 4
 
 // String returns the text form of the set, which Parse reads: zone:digits for each zone, separated by commas and
@@ -84,8 +84,7 @@
 // ErrInvalidSet is the error that all errors of Parse wrap.
 var ErrInvalidSet = errors.New("invalid set of shards")
 
-// ParseError reports one of the comma-separated parts of a text that is not a zone with its digits, or that repeats a
-// zone.
+// ParseError reports that a comma-separated part of the parsed text is not a zone with its digits, or repeats a zone.
 type ParseError struct{ Part string }
 
 // Error returns the expected format and the invalid part.
