--- a/cmd/ravenhitch/admin.go
+++ b/cmd/ravenhitch/admin.go
@@ -1,7 +1,7 @@
 package main
 
-// This file carries out admin calls. A change is answered with success only after it is stored. Disk work
-// never runs on the event loop: fileWorker.run does it on a goroutine of its own.
+// This file carries out admin calls. A call that changes the handover files is answered with success only after the
+// change is stored. Disk work never runs on the event loop: fileWorker.run does it on a goroutine of its own.
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"ravenhitch/internal/admin"
 )
 
-// listenAdmin cordons the workers that the handover files list, listens for admin calls at addr and starts the
-// file worker. dir is the directory of the handover files.
+// listenAdmin cordons the workers that are listed in the handover files, listens for admin calls at addr and starts
+// the file worker. dir is the directory of the handover files.
 func (s *server) listenAdmin(addr, dir string) (err error) {
 	store := newHandoverStore(dir)
 	cordons, err := store.readCordons()
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -16,9 +16,9 @@
 )
 
 // presumptionUs is a period after the start, in microseconds. During this period, the members named in the
-// operators' file are presumed alive even if the membership table does not list them yet. The period is as long
-// as the detection of a dead member can take. Without the presumption, if all orchestrators started at the same
-// time, each would use all workers of its region, because its table would not list the others yet.
+// operators' file are presumed alive even if the membership table does not list them yet. A dead member is usually
+// detected within the same time. Without the presumption, if all orchestrators started at the same time, each would
+// use all workers of its region, because its table would not list the others yet.
 const presumptionUs = 7 * second
 
 // assignment divides the workers among the live members. It is used on the event loop only.
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -174,14 +174,14 @@
 
 	started, ended := 0, 0
 	for started+ended < 9 {
-		if line := testbed.Wait(t, "json lines", client.Lines); line.Verb == "STARTED" {
+		if line := testbed.Wait(t, "a response or completion on JSON lines", client.Lines); line.Verb == "STARTED" {
 			started++
 		} else if line.Tag == testbed.RequestID(1) && line.Cause() == causeLost {
 			ended++
 		}
 	}
 	for started+ended < 18 {
-		if message := testbed.Wait(t, "grpc", session.messages); message.GetBinding().GetNode() == "b" {
+		if message := testbed.Wait(t, "a response or completion on gRPC", session.messages); message.GetBinding().GetNode() == "b" {
 			started++
 		} else if message.GetEnded().GetOfferId() == testbed.RequestID(2) && message.GetEnded().GetHow() == edgepb.Ended_HOW_LOST {
 			ended++
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -41,7 +41,7 @@
 
 var waitingRequests = []waitingRequest{
 	{"for a worker that takes offers", []string{"a"}, false, waitForFreeWorker},
-	{"between attempts, as the last one is not confirmed to be cancelled", []string{"a", "b"}, false, waitForCancelConfirmation},
+	{"for the confirmation that its last attempt is cancelled", []string{"a", "b"}, false, waitForCancelConfirmation},
 	{"for a connection that comes up late", []string{"a"}, false, waitForConnection},
 	{"for a connection that comes up in the turn in which the leave is read", []string{"a"}, true, waitForConnectionInLeaveTurn},
 	{"for the rest of a long turn", []string{"a"}, true, waitForLongTurn},
@@ -204,7 +204,7 @@
 			}},
 			{"by close", func(t *testing.T, client *testbed.Client) { closeNow(t, client) }},
 			{"by reset", reset},
-			{"by half a close", closeWrite},
+			{"by half-close", closeWrite},
 		} {
 			t.Run(test.name+", "+method.name, func(t *testing.T) {
 				t.Parallel()
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -10,9 +10,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// If a second client submits a running task again, it does not receive the task's completion. The completion
-// goes to the client that submitted the task first. If that client has disconnected, the completion goes to a
-// client for which a task was started or, if there is none, to a client that registered another running task first.
+// The completion of a running task goes to the client that submitted the task first, even if a second client submits
+// it again. If the first client has disconnected, the completion goes to a client for which a task was started. If
+// there is none, the completion goes to a client that was the first to register some other running task.
 func TestCompletionGoesToItsClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first, served, second := server.connect(t), server.connect(t), server.connect(t)
@@ -38,11 +38,12 @@
 	server.workers[0].ReportCompletion(testbed.RequestID(2), causeDone)
 	expectCause(t, "the second completion", served, testbed.RequestID(2), causeDone)
 
-	for range 9 { // these clients only ping, so they have no task; once served is closed, they and second remain
+	// Nine more clients connect. They only ping, so none of them has a task.
+	for range 9 {
 		pingServer(t, server.connect(t))
 	}
 	closeNow(t, served)
-	server.waitConnections(t, 10)
+	server.waitConnections(t, 10) // the nine clients and the client that submitted the tasks again
 	server.workers[0].ReportCompletion(testbed.RequestID(3), causeDone)
 	expectCause(t, "the third completion", second, testbed.RequestID(3), causeDone)
 }
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -46,7 +46,7 @@
 	if line := testbed.Wait(t, "the response to the client that writes slowly", writing.Lines); line.Verb != "STARTED" {
 		t.Errorf("the client that writes slowly got %v, want STARTED", line)
 	}
-	for range silent { // every silent connection is closed in time
+	for range silent { // waits until every silent connection is closed
 		testbed.Wait(t, "the end of a silent connection", closed)
 	}
 	if d := time.Since(began); d > 3*time.Second {
@@ -75,8 +75,8 @@
 	return ends
 }
 
-// A connection that has only sent a ping is evicted for a new client after it has been idle for 100 ms, a
-// connection that had a task only after 1 s. Until then, the new client waits in the kernel's accept queue. A
+// A connection that has only sent a ping is evicted for a new client after it has been idle for 100 ms. A connection
+// that had a task must have been idle for 1 s. Until then, the new client waits in the kernel's accept queue. A
 // shutdown waits for the clients in this queue, at most until the drain timeout.
 func TestQueuedConnectionsAreServed(t *testing.T) {
 	server := newSmallServer(t, "a")
@@ -162,8 +162,8 @@
 
 			if test.before {
 				resume := server.pauseLoop(t)
-				// When the loop resumes, the server accepts the connection next before it reads the request. To
-				// make room for next, it evicts the connection crossing.
+				// When the loop resumes, the server accepts the new connection before it reads the request. To
+				// make room, it evicts the connection on which the request was written.
 				next := server.connect(t)
 				testbed.Send(crossing, request)
 				resume()
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -20,14 +20,14 @@
 		workers []string
 		play    func(t *testing.T, server *proxiedServer)
 	}{
-		{"many abandoned at once, half of the workers far away", strings.Fields("a b c d e f g h i j k l"), manyAbandonedAtOnce},
-		{"abandoned one by one, all workers far away", []string{"a", "b"}, abandonedOneByOne},
+		{"many abandoned at once, with a delay to half of the workers", strings.Fields("a b c d e f g h i j k l"), manyAbandonedAtOnce},
+		{"abandoned one by one, with a delay to all workers", []string{"a", "b"}, abandonedOneByOne},
 		{"cut between the worker's last message and the cancel", []string{"a", "b"}, cutBeforeCancel},
-		{"offered into a cut that heals", []string{"a", "b"}, offeredIntoCut},
-		{"cancelled into a cut", []string{"a", "b"}, cancelledIntoCut},
+		{"offered during a partition that heals", []string{"a", "b"}, offeredIntoCut},
+		{"cancelled during a partition", []string{"a", "b"}, cancelledIntoCut},
 		{"moved to another address", []string{"a", "b"}, movedToAnotherAddress},
 		{"shut down, with a link cut", []string{"a", "b"}, shutDownWithLinkCut},
-		{"released into a cut that heals", []string{"a", "b"}, releasedIntoCut},
+		{"released during a partition that heals", []string{"a", "b"}, releasedIntoCut},
 		{"completed on a connection that is gone", []string{"a", "b"}, completedOnClosedConnection},
 		{"completed as an older connection is closed", []string{"a"}, completedDuringClose},
 	} {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A cancel to one worker takes longer than an offer to another worker. The next offer of the request must
-// therefore wait until the first worker has read the cancel.
+// Messages to half of the workers are delayed. A cancel to one of these workers may therefore arrive later than the
+// next offer of the same request to another worker. That offer must wait until the cancel has been read.
 func manyAbandonedAtOnce(t *testing.T, server *proxiedServer) {
 	for _, worker := range server.workers[:6] {
 		server.proxies[worker.Name].Delay(30 * time.Millisecond)
@@ -55,8 +55,8 @@
 	server.expectAllStarted(t, missed)
 }
 
-// After the first cancel, the server sends a ping. It sends further cancels while this ping is in flight, and
-// they must be confirmed too.
+// The server sends a ping after the first cancel. The answer to the ping confirms this cancel. The server sends
+// further cancels while the ping is in flight, and these must be confirmed too.
 func abandonedOneByOne(t *testing.T, server *proxiedServer) {
 	for _, proxy := range server.proxies {
 		proxy.Delay(80 * time.Millisecond)
@@ -137,9 +137,9 @@
 	}
 }
 
-// During a partition, the server closes a connection, and the worker still considers it open. The worker
-// reports a completion on that connection, and again on the next connection that is opened. The server must
-// therefore open another connection, although it already uses one to the worker.
+// During a partition, the server closes a connection that the worker still considers open. A completion that the
+// worker reports on that connection is lost. The worker reports it again only on the next connection that is opened.
+// The server must therefore open another connection, although it already uses one to the worker.
 func completedOnClosedConnection(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
@@ -156,7 +156,8 @@
 func completedDuringClose(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.lastID++
-	late := testbed.RequestID(server.lastID) // the server does not abandon attempts of class archive-cut early
+	late := testbed.RequestID(server.lastID)
+	// The server does not abandon attempts of class archive-cut early, so this offer stays open.
 	testbed.Send(server, testbed.StartLine(late, "archive-cut", "silent-late", 10_000))
 	server.eventually(t, "the offer", func() bool { return slices.Contains(server.attempts.InFlight(), late) })
 	dials, _ := server.workers[0].DialCounts()
@@ -183,12 +184,12 @@
 // offered to the worker that is reachable.
 //
 // Both workers are suspect when the last attempts are offered. In the fault that this test guards against, the worker
-// pool knew that no connection reached the partitioned worker but did not report this to the scheduler. It reported a
-// worker only when the worker was reachable again. Once the reachable worker had two attempts, the maximum for a
-// suspect worker, the fallback of the search had only the partitioned worker left. The trace of each rejected request
-// showed that nothing was received on the connection to the partitioned worker and that this connection was closed.
-// 3 ms later, 'offer attempt=2' named the same worker. 'offer never sent' followed, because the next connection was
-// not established in time.
+// pool knew that no connection reached the partitioned worker but did not report this to the scheduler. It notified the
+// scheduler only when a worker was reachable again. If all workers are suspect, the scheduler offers each of them at
+// most two attempts at a time. Once the reachable worker had two, the scheduler therefore chose the partitioned worker.
+// The trace of each rejected request showed that nothing was received on the connection to the partitioned worker and
+// that this connection was closed. 3 ms later, 'offer attempt=2' named the same worker. 'offer never sent' followed,
+// because the next connection was not established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
 	// Placement is random: about every second server has all first attempts at one worker, so 30 servers
 	// suffice.
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// checkSuccessor checks for a successor when a shutdown requests it, and begins the shutdown with the result.
+// checkSuccessor checks whether this process has a successor. Stop requests this check before the shutdown begins.
+// checkSuccessor passes the result to the event loop, where it begins the shutdown.
 func (w *fileWorker) checkSuccessor() {
 	s, found := w.server, w.store.hasSuccessor()
 	s.loop.Post(func() {
