--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -133,8 +133,8 @@
 	if err := testbed.Wait(t, "the end of the call", errs); status.Code(err) != codes.Canceled {
 		t.Errorf("cancelled call: got status %v, want Canceled", err)
 	}
-	// The worker has sent nothing on the connection since the offer, so a cancel written on it may never
-	// arrive. Only closing the connection is certain to abandon the attempt.
+	// The server has received nothing on the connection since it sent the offer, so the connection may be broken and
+	// a cancel may not arrive. The server therefore closes the connection, which cancels the attempt.
 	for testbed.Wait(t, "the close of the connection", worker.LostOffers).Tag != testbed.RequestID(21) {
 	}
 }
--- a/cmd/ravenhitch/grpcclient_test.go
+++ b/cmd/ravenhitch/grpcclient_test.go
@@ -19,7 +19,8 @@
 		Description: "about " + task, WaitMs: timeoutMs}
 }
 
-// dialGRPC returns a connection without TLS to the gRPC front of the server. It is closed at the end of the test.
+// dialGRPC returns a connection without TLS to the gRPC front of the server. The connection is closed at the end of the
+// test.
 func (s *testServer) dialGRPC(t *testing.T) *grpc.ClientConn {
 	t.Helper()
 	conn, err := grpc.NewClient(s.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -36,7 +37,7 @@
 	return edgepb.NewOrchestratorClient(s.dialGRPC(t))
 }
 
-// clientSession is one stream of a client's session.
+// clientSession is one gRPC stream of a named session. A session can continue on another stream.
 type clientSession struct {
 	edgepb.Orchestrator_SessionClient
 	disconnect context.CancelFunc
--- a/cmd/ravenhitch/handover_test.go
+++ b/cmd/ravenhitch/handover_test.go
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // the whole reply has been read
+	defer func() { _ = conn.Close() }() // a failed close does not affect the reply
 	if err := conn.SetDeadline(time.Now().Add(testbed.Timeout)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -16,7 +16,7 @@
 // a leak. It covers the buffers of connections and the memory that the runtime has not freed yet.
 const heapSlack = 96 << 10
 
-// completionKinds lists the ways in which a request or its task can end. Each name maps to a function that
+// completionKinds lists ways in which a request or its task can end. Each name maps to a function that
 // submits a request and makes the request or its task end in this way.
 var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
@@ -34,7 +34,7 @@
 			return server.dispatcher.RunningCount() == 0 && !server.pool.HasUnconfirmedReleases()
 		})
 	},
-	"completed with its start": func(t *testing.T, _ *testServer, client *testbed.Client, id string) {
+	"started and completed in one message": func(t *testing.T, _ *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "brief-1")
 		expectCompletion(t, client, id)
 	},
@@ -58,8 +58,8 @@
 	},
 }
 
-// The live heap of the server does not grow with the number of requests that have ended, in whichever way they
-// ended.
+// The live heap of the server does not grow with the number of requests that have ended. The test checks this for each
+// entry of completionKinds.
 func TestHeapAfterManyCompletions(t *testing.T) {
 	for name, complete := range completionKinds {
 		t.Run(name, func(t *testing.T) {
@@ -122,8 +122,8 @@
 }
 
 // settledHeap returns the size of the live heap in bytes. It first closes the worker's connections, which makes
-// the worker free the records that it keeps for each connection, and waits until no request, cancel or release is
-// pending.
+// the worker free the records that it keeps for each connection, and waits until no request is open and every
+// cancel and release is confirmed.
 func (s *testServer) settledHeap(t *testing.T) int64 {
 	t.Helper()
 	worker := s.workers[0]
--- a/cmd/ravenhitch/main.go
+++ b/cmd/ravenhitch/main.go
@@ -1,6 +1,6 @@
-// Command ravenhitch runs one orchestrator on real sockets. This file starts the process: it reads the command
-// line, the environment and the configuration files, sets the limits of the runtime, and handles signals. The
-// serving itself belongs to the type server.
+// Command ravenhitch runs one orchestrator, or one of its sub-commands (see runCommand). This file starts the
+// process of an orchestrator: it reads the command line, the environment and the configuration files, sets the
+// limits of the runtime, and handles signals. The serving itself belongs to the type server.
 package main
 
 import (
@@ -79,8 +79,8 @@
 	return server.Run()
 }
 
-// setRuntimeLimits limits the Go runtime to one processor, because everything except gRPC and disk work runs
-// on one event loop. It also limits the memory of the runtime if the configuration sets a limit.
+// setRuntimeLimits limits the Go runtime to one processor, because most of the work is done by one event loop. It
+// also limits the memory of the runtime if the configuration sets a limit.
 func setRuntimeLimits(cfg config.Config) {
 	runtime.GOMAXPROCS(1)
 	if cfg.MemoryMB > 0 {
--- a/cmd/ravenhitch/main_test.go
+++ b/cmd/ravenhitch/main_test.go
@@ -74,7 +74,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	// The error is ignored. It is expected, because the process has already ended if the test succeeded.
+	// The error of Kill is ignored: after a successful test, the process has already ended.
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	lines := make(chan string, 100)
 	go func() {
--- a/cmd/ravenhitch/peers.go
+++ b/cmd/ravenhitch/peers.go
@@ -1,7 +1,8 @@
 package main
 
 // This file connects the server with the other orchestrators of its cluster. The server calls startPeers only
-// if the operators' file names an address to listen on. Without such an address, no socket is opened.
+// if the section [peers] of the operators' file names an address to listen on. Without such an address,
+// the server opens no socket for other orchestrators.
 
 import (
 	"cmp"
--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// adminTimeout is the timeout of each of two steps: connecting, and then sending the call and reading the reply.
+	// adminTimeout limits the time to connect. After that, it also limits the time to send the call and read the reply.
 	adminTimeout = 2 * time.Second
 	// maxAdminReply is the maximum number of bytes of a reply that are read.
 	maxAdminReply = 8 << 20
@@ -53,7 +53,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // the whole reply has been read by then
+	defer func() { _ = conn.Close() }() // a failed close does not affect the reply
 	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return "", err
 	}
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -34,13 +34,14 @@
 	return s
 }
 
-// newWarmProxiedServer starts a server and lets its workers accept tasks without delay, on average 16 tasks per worker.
+// newWarmProxiedServer starts a server and lets its workers accept tasks without delay, about 16 tasks per worker.
 // From these responses, the server derives a short response timeout, so it abandons unanswered attempts early. It also
 // raises the number of attempts that a worker may have open at a time.
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
-	// A connection that has had no task may have only a few open requests, so the first task is submitted alone.
+	// Until a client's connection has had a task, its number of open requests is limited, so the first task is
+	// submitted alone.
 	s.waitResponses(t, s.submit("ok", 1, 5000))
 	s.expectAllStarted(t, s.submit("ok", 16*len(workers), 5000))
 	return s
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -130,8 +130,8 @@
 }
 
 // showUntilPlayed plays the schedule and shows the progress every second. If an interrupt ends the rehearsal
-// early, the goroutine that plays the schedule keeps running until the process exits, right after the cleanups of
-// the rehearsal.
+// early, the goroutine that plays the schedule is not stopped. It ends when the process exits, which happens right
+// after the cleanups of the rehearsal.
 func showUntilPlayed(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step, length time.Duration,
 	interrupts <-chan os.Signal) error {
 	played := make(chan struct{})
--- a/cmd/ravenhitch/rehearse_test.go
+++ b/cmd/ravenhitch/rehearse_test.go
@@ -15,7 +15,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A rehearsal records the load and the faults that it ran, reports no failed check, and leaves no process running.
+// A rehearsal records the started tasks and the executed steps, has no failures, and leaves no process running.
 func TestRehearse(t *testing.T) {
 	program, dir := buildProgram(t), filepath.Join(t.TempDir(), "out")
 	output, err := exec.Command(program, "rehearse", "--orchestrators", "3", "--seconds", "6",
--- a/cmd/ravenhitch/reload.go
+++ b/cmd/ravenhitch/reload.go
@@ -1,7 +1,7 @@
 package main
 
-// This file reloads changed files while the server runs. If a file cannot be read or is invalid, none of its
-// content is applied. A reload never affects open requests or running tasks.
+// This file reloads the configuration and the retry token keys while the server runs. If a file cannot be read or
+// is invalid, none of its content is applied. A reload never affects open requests or running tasks.
 
 import (
 	"ravenhitch/internal/config"
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = client.Close() }() // the answer has been read
+	defer func() { _ = client.Close() }() // a failed close does not affect the result
 	testbed.Send(client, pingLine("t"))
 	select {
 	case line := <-client.Lines:
--- a/cmd/ravenhitch/retry_tokens_test.go
+++ b/cmd/ravenhitch/retry_tokens_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// If one orchestrator issued a retry token, another orchestrator with the same keys accepts it once, and not
-// before its Retry-After has passed. A token that is early, used or invalid has no effect: the offer is
+// An orchestrator accepts a retry token that another orchestrator with the same keys issued, but only once, and not
+// until the Retry-After has nearly passed. A token that is early, used or invalid has no effect: the offer is
 // handled like an offer without a token.
 func TestRetryTokens(t *testing.T) {
 	issuer, _ := newServerWithTokenKeys(t)
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -48,16 +48,16 @@
 	}
 }
 
-// A worker accepts a task, and the connection is closed before the orchestrator has read the acceptance. The request
-// is pending because it may be retried, but no worker is available. The worker then reports the end of the task on its
+// A worker accepts a task, and its connection is closed before the orchestrator has read the acceptance. The request
+// may be retried, but no worker is available, so it is pending. The worker then reports the end of the task on its
 // next connection. The task ran and has ended, so the request gets a response at once and is not offered again when a
 // worker becomes available.
 //
-// In the fault that this test guards against, the end of a task arrived on another connection than the offer had been
-// sent on. The orchestrator used such a report only if the task was running or unknown, so it ignored the report on
-// the task of a pending request. In the soak test with seed 15, the trace showed 'connection lost with offer open', the
-// worker ended the task 220 ms later without a line in the trace, and 'offer attempt=1', the second attempt, went to
-// another worker 380 ms after that.
+// In the fault that this test guards against, the report of the end of a task arrived on another connection than that
+// of the offer. The orchestrator used such a report only if the task was running or unknown, so it ignored the report
+// if the request was pending. In the soak test with seed 15, the trace showed 'connection lost with offer open'. The
+// worker ended the task 220 ms later, and the trace had no line about that. After another 380 ms, the line
+// 'offer attempt=1' showed a second attempt at another worker.
 func TestTaskEndedOnAnotherConnection(t *testing.T) {
 	for _, end := range []struct {
 		name string
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -39,17 +39,17 @@
 	// minSocketBudget is the minimum number of sockets that the event loop needs to serve. With a smaller
 	// budget, the server does not start.
 	minSocketBudget = 16
-	// minBufferedBytes is the smallest limit, in bytes, that is set on the unread output of one connection. This
-	// much output has room for a few messages of the maximum size.
+	// minBufferedBytes is the lowest limit, in bytes, on the output that the server buffers for one connection. A few
+	// messages of the maximum size fit into it.
 	minBufferedBytes = 64 << 10
-	// The unread output of all connections together is limited to the memory limit of the process divided by
-	// bufferedMemoryDivisor. Each connection gets an equal part of this limit. If the part is smaller than
+	// The output that the server buffers for all connections together is limited to the memory limit of the process
+	// divided by bufferedMemoryDivisor. Each connection gets an equal part of this limit. If the part is smaller than
 	// minBufferedBytes, each connection gets minBufferedBytes instead, and the total may exceed the limit.
 	bufferedMemoryDivisor = 4
 )
 
-// server is one orchestrator with all its parts. Its fields belong to the event loop unless their comments say
-// otherwise.
+// server is one orchestrator with all its parts. The fields that change after start belong to the event loop. So do
+// the parts, except for methods that any goroutine may call.
 type server struct {
 	log        *slog.Logger
 	loop       *eventloop.Loop
@@ -74,8 +74,8 @@
 	shuttingDown              bool
 	inheritedListener         bool // true if the platform owns the listening socket for clients
 	hasSuccessor              bool // true if a process that started later serves on the inherited socket
-	// successorChecks receives a value to make the file worker check for a successor; nil if admin calls are
-	// off.
+	// Each value sent to successorChecks makes the file worker check for a successor. The channel is nil if admin
+	// calls are off.
 	successorChecks chan struct{}
 	// stopped is closed when Run returns or start fails. Any goroutine may wait for it.
 	stopped chan struct{}
