--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -76,7 +76,8 @@
 }
 
 // start adds the capacity that is released in one slot to the free capacity, and starts the
-// pending tasks that fit into it. Free capacity is limited to the release of one second.
+// pending tasks that fit into it. Free capacity is limited to the units that are released in
+// one second.
 func (s *retryStorm) start(now int64) {
 	s.capacity = min(s.capacity+s.rate*seconds(slotUs), s.rate)
 	for len(s.queue) > 0 && s.capacity >= 1 {
@@ -122,7 +123,7 @@
 }
 
 // BenchmarkDecision measures a request and its rejection. The requests come from a million
-// clients in turn, and the waitlist, which is empty at first, has entries for as many.
+// clients in turn. The waitlist is empty at first and has room for all of them.
 func BenchmarkDecision(b *testing.B) {
 	s := testSettings()
 	s.MaxClients = 1 << 20
--- a/internal/backpressure/controller.go
+++ b/internal/backpressure/controller.go
@@ -1,13 +1,13 @@
 // Package backpressure detects retry storms and computes a Retry-After for each rejected
-// request, such that free capacity is available for the client when it returns. It holds
-// the waitlist of rejected clients, the estimate of the release rate, the calendar of
-// reserved slots and the demand forecast.
+// request. The aim is that free capacity is available for the client when it returns. The
+// package holds the waitlist of rejected clients, the estimate of the release rate, the
+// calendar of reserved slots and the demand forecast.
 //
 // The package is pure: it does no I/O, reads no clock and starts no goroutine. The caller
 // passes in the time, and random numbers are drawn from a seeded generator. The package
-// never selects a worker, rejects a request or delays a response. It only reports the
-// Retry-After of a rejection, the time since which a client is queued, the release rate,
-// the expected demand of higher priorities and the state of overload.
+// never selects a worker, rejects a request or delays a response. It only reports values
+// such as the Retry-After of a rejection, the time since which a client is queued, the
+// release rate, the expected demand of higher priorities and the state of overload.
 //
 // Times are in microseconds. Capacity is measured in units; one unit is the size of a mean
 // task.
@@ -51,7 +51,7 @@
 	Units         float64
 	TimeoutUs     int64  // time for which the client waits for the response
 	Connection    uint64 // ID of the connection or session that the request arrived on, 0 if unknown
-	QueuedSinceUs int64  // time since which the client is queued, as proven by a retry token; 0 without a token
+	QueuedSinceUs int64  // time since which the client is queued, from a retry token or from Requested; 0 if unknown
 }
 
 // Controller is the backpressure state of one orchestrator. It is not safe for concurrent use.
@@ -158,7 +158,7 @@
 	c.waitlist.remove(r.Key)
 }
 
-// Ended records the completion of a running task, which frees its capacity.
+// Ended records the end, known or assumed, of a running task. The end frees the task's capacity.
 func (c *Controller) Ended(now int64, r Request) {
 	c.advance(now)
 	c.releases.completed(now, r.Units)
@@ -208,7 +208,7 @@
 	Kind          Kind
 	ReleaseRate   float64 // last known release rate in units per second, 0 if there is none
 	PendingUnits  float64 // units that wait for free capacity
-	ReservedUnits float64 // units that have reserved slots
+	ReservedUnits float64 // units that are reserved in the slot calendar
 }
 
 // Figures returns the current metrics.
--- a/internal/backpressure/controller_test.go
+++ b/internal/backpressure/controller_test.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// sendRandomEvent passes a random event to c and checks the result.
+// sendRandomEvent calls randomly selected methods of c with random arguments, and checks the
+// results of Requested and Rejected.
 func sendRandomEvent(t *rapid.T, c *Controller, now int64) {
 	t.Helper()
 	r := Request{
@@ -127,8 +128,8 @@
 	}
 }
 
-// If every slot of the calendar is reserved, Retry-After stays within its bounds, and past
-// reservations are dropped.
+// If clients request many times more units than fit into the calendar, Retry-After stays
+// within its bounds. The reserved units are dropped after their slots have passed.
 func TestEverySlotReserved(t *testing.T) {
 	c, now := saturated(testSettings(), 10, 100)
 	for i := range 50_000 {
--- a/internal/backpressure/counters.go
+++ b/internal/backpressure/counters.go
@@ -44,7 +44,7 @@
 
 // frequentPrograms counts the events of the most frequent programs with the Misra-Gries
 // algorithm: 16 counters track every program that has more than one seventeenth of all
-// events. The zero value is ready for use.
+// events, unless decay has reduced counts below 1. The zero value is ready for use.
 type frequentPrograms struct {
 	programs [trackedPrograms]uint64
 	counts   [trackedPrograms]float64
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -62,9 +62,9 @@
 	// low enough for a surge to have ended. Arrivals that exceed the baseline rate by at
 	// most half of minSurgeExcess are also low enough.
 	settledFactor = 1.3
-	// calmAfterUs is the minimum time since the last evaluation that set
-	// observation.elevated, because of arrivals or of congestion, before the state
-	// changes to Calm. The state becomes Calm only from Rising or Settling.
+	// calmAfterUs is the time for which observation.elevated must have stayed unset before
+	// the state changes from Rising or Settling to Calm. Overloaded never changes directly
+	// to Calm.
 	calmAfterUs = 2 * second
 	// maxProgramDecay is the maximum fraction by which one evaluation reduces the program
 	// counts.
@@ -87,7 +87,7 @@
 	programs       frequentPrograms
 	baseline       float64 // usual rate of new requests per second
 	firstTickAt    int64   // time of the first tick
-	lastTickAt     int64   // time of the last evaluation, or of the first tick before any evaluation; 0 before that
+	lastTickAt     int64   // time of the last evaluation, or of the first tick if there was none; 0 before that tick
 	lastElevatedAt int64   // time of the last evaluation that set observation.elevated
 	state          State
 	kind           Kind
--- a/internal/backpressure/detector_test.go
+++ b/internal/backpressure/detector_test.go
@@ -17,14 +17,14 @@
 			c.Requested(now, r)
 			c.Rejected(now, r)
 		}, Retries},
-		{"one program", func(c *Controller, now int64, i int) {
+		{"most requests from one program", func(c *Controller, now int64, i int) {
 			program := uint64(1)
 			if i%10 == 0 {
 				program = uint64(i)
 			}
 			c.Requested(now, Request{Key: uint64(i), Program: program, Units: 1})
 		}, Reconnect},
-		{"a start", func(c *Controller, now int64, i int) {
+		{"orchestrator start", func(c *Controller, now int64, i int) {
 			c.Adopted(now, Request{Key: uint64(i), Program: uint64(i / 10), Units: 1})
 		}, Restart},
 	} {
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -1,18 +1,19 @@
 package backpressure
 
-// This file implements the fair share of programs among the reserved slots. If one program
+// This file implements the fair sharing of reserved slots among programs. If one program
 // requests most of the capacity, other programs must not have to wait until all its requests
 // are served. Reserved units are counted by the hash bucket of their program, and all programs
 // in one bucket have a single share.
 
 const (
 	// decayIntervalUs is the interval at which the counts of reserved units are multiplied by
-	// decayFactor. A count is halved after three seconds. By then, the clients whose units it
-	// counts have returned, or other clients use the capacity.
+	// decayFactor. A count is halved after three seconds, the default upper bound of
+	// Retry-After. By then, the clients whose units it counts have returned, or other clients
+	// use the capacity.
 	decayIntervalUs = second / 10
 	decayFactor     = 0.977
-	// maxDecaySteps limits the number of decay steps in one call of advance. If more steps
-	// are needed, all counts are reset.
+	// maxDecaySteps limits the duration of one call of advance. If the call needs more than
+	// maxDecaySteps+1 decay steps, it resets all counts.
 	maxDecaySteps = 1000
 	// minBucketUnits is the number of units below which the count of a bucket becomes zero.
 	// It is half of the smallest request size that an entry of the waitlist stores.
--- a/internal/backpressure/hash.go
+++ b/internal/backpressure/hash.go
@@ -1,7 +1,8 @@
 package backpressure
 
 // This file implements the hash of keys, programs and connections. The hash must never
-// change, because it determines which of them share a bucket.
+// change, because it determines which keys, which programs and which connections share a
+// bucket.
 
 // hashBuckets is the number of buckets in which programs and connections are counted.
 const hashBuckets = 256
--- a/internal/backpressure/releaserate.go
+++ b/internal/backpressure/releaserate.go
@@ -12,8 +12,8 @@
 	rateBuckets  = 20
 	// knownAfterUs is the time for which requests must be pending before the rate is known.
 	knownAfterUs = second / 2
-	// idleAfterUs is the time without pending requests after which the next pending request
-	// begins a new measurement period.
+	// idleAfterUs is the time since the last pending request after which the rate is unknown
+	// and setPending can end the measurement period.
 	idleAfterUs = second / 4
 	// minRate is the minimum rate in units per second. It keeps expected start times finite
 	// while no task starts at all.
@@ -57,8 +57,9 @@
 	r.starts[r.head%rateBuckets] += units
 }
 
-// setPending records whether requests are pending at now. The measurement period begins when
-// requests become pending, and ends after more than idleAfterUs without pending requests.
+// setPending records whether requests are pending at now. The measurement period begins with
+// the first call that reports pending requests. A call that reports none ends the period if
+// the last call that reported some was more than idleAfterUs ago.
 func (r *rateEstimator) setPending(now int64, pending bool) {
 	r.advance(now)
 	switch {
@@ -77,10 +78,10 @@
 	return r.pendingSince > 0 && now-r.pendingSince >= knownAfterUs && now-r.lastPending <= idleAfterUs
 }
 
-// rate returns the release rate in units per second, at least minRate. It is the rate of
-// starts over the part of the window that lies in the measurement period, or the rate of
-// completions over the whole window, whichever is higher. While the rate is unknown, rate
-// returns the last rate that it computed while the rate was known, or 0 if there is none.
+// rate returns the release rate in units per second. While the rate is known, it is the
+// highest of the rate of starts over the part of the window that lies in the measurement
+// period, the rate of completions over the whole window, and minRate. While the rate is
+// unknown, rate returns the last rate that it computed, or 0 if there is none.
 func (r *rateEstimator) rate(now int64) float64 {
 	r.advance(now)
 	if !r.known(now) {
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -13,9 +13,9 @@
 	// floorShare is the fraction of the release rate that lower priorities get while
 	// requests of higher priorities wait, so that no class starves.
 	floorShare = 0.15
-	// spreadShare determines the range of a random Retry-After. If a computed Retry-After
-	// exceeds the maximum, the client gets a random one instead, from (1 - spreadShare) times
-	// the maximum up to the maximum, so that such clients do not all return at once.
+	// spreadShare is a fraction of the maximum Retry-After. If a computed Retry-After exceeds
+	// the maximum, the client gets a random one instead, from (1 - spreadShare) times the
+	// maximum up to the maximum, so that such clients do not all return at once.
 	spreadShare = 0.3
 	// overbooking is the factor by which the capacity of a slot is raised for a program that
 	// has reserved less than half of the mean of all active programs.
@@ -99,11 +99,11 @@
 	c.fairness.add(hashBucket(program), -e.units())
 }
 
-// expectedStart returns the time at which free capacity is expected for units of a class that
-// a program in a hash bucket requests. Before these units, capacity goes to pending units of
-// classes with at least the same priority, and to reserved units of such classes up to the
-// limit of fairShare.ahead. Because of floorShare, the delay also has an upper bound that
-// follows from the units of the class itself.
+// expectedStart returns the time at which free capacity is expected for a request of the given
+// class and units whose program is in the given hash bucket. Capacity first goes to pending
+// units of classes with at least the same priority, and to reserved units of such classes up
+// to the limit of fairShare.ahead. The delay is at most the time that all units of the
+// request's class take at floorShare of the release rate.
 func (c *Controller) expectedStart(now int64, class, bucket int, units, rate float64) int64 {
 	priority := c.settings.Classes[class].Priority
 	var pending, reserved, lower float64
@@ -133,8 +133,8 @@
 func (c *Controller) retryAfter(returnIn int64, class int) int64 {
 	wait := int64(float64(max(0, returnIn)) / max(minCompliance, c.compliance[class]))
 	if longest := c.settings.MaxRetryAfterUs; wait > longest {
-		// The computed Retry-After exceeds its upper bound. Such clients return before their
-		// slots, at random times so that they do not return all at once.
+		// The computed Retry-After exceeds its upper bound, so the client is expected to return
+		// before its slot. Retry-After is random, so that such clients do not all return at once.
 		return longest - int64(c.rng.Float64()*spreadShare*float64(longest))
 	}
 	return max(wait, min(c.settings.MinRetryAfterUs, c.settings.MaxRetryAfterUs))
--- a/internal/backpressure/retryafter_test.go
+++ b/internal/backpressure/retryafter_test.go
@@ -3,7 +3,8 @@
 import "testing"
 
 // If a thousand clients are rejected at once, their returns are spread over the time in
-// which their capacity is released, and no slot is reserved beyond the release rate.
+// which capacity for them is released. Except in the first slot, at most one more client
+// returns in a slot than the release rate allows.
 func TestReturnsSpread(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 100)
 	returns := map[int64]int{} // number of returns in each slot
@@ -23,8 +24,8 @@
 	}
 }
 
-// If all pending requests are rejected at once, the last request waits for the other
-// requests only once: rejected requests do not also count as pending.
+// If all pending requests are rejected at once, each of them counts only once in the
+// Retry-After of the last one: as reserved units, and not also as pending units.
 func TestAllPendingRejected(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 500)
 	c.SetPending(now, []float64{0, 0, 0}) // as the dispatcher does before it rejects requests
@@ -37,8 +38,8 @@
 	}
 }
 
-// A client that repeatedly returns too early keeps its place on the waitlist, and so do the
-// other clients.
+// A client that repeatedly returns too early keeps its place on the waitlist, and does not
+// increase the number of reserved units.
 func TestEarlyReturnKeepsPlace(t *testing.T) {
 	c, now := saturated(withMaxRetryAfter(60*second), 50, 300)
 	r := Request{Key: 7, Class: 0, Units: 1, TimeoutUs: second}
@@ -100,7 +101,8 @@
 		c.Rejected(now, Request{Key: uint64(i), Class: 0, Units: 1})
 	}
 	if relay := c.Rejected(now, Request{Key: 1 << 30, Class: 1, Units: 1}); relay > second/2 {
-		t.Errorf("live-relay client behind 1,000 guide-web clients returns after %.1f s, want at most 0.5 s", seconds(relay))
+		t.Errorf("live-relay client rejected after 1,000 guide-web clients returns after %.1f s, want at most 0.5 s",
+			seconds(relay))
 	}
 }
 
