--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -5,17 +5,17 @@
 // determines a bucket of eight entries and a fingerprint of 32 bits, which identifies the
 // client within the bucket. A request of a new client is therefore mistaken for a request of
 // another client with a probability of at most about 8 in 2^32. In a full bucket, a new
-// client replaces the client that was rejected longest ago. The replaced client counts as
-// new when it returns.
+// client replaces the client that was rejected longest ago. When the replaced client returns
+// without a retry token, it counts as new.
 
 const (
 	bucketSize = 8
 	// tickUs is the resolution of stored times, in microseconds. The 16-bit tick numbers wrap
 	// around after 65,536 ticks, so only the times of the last 109 minutes are unambiguous.
 	tickUs = int64(100_000)
-	// staleTicks is the age in ticks, ten minutes, from which an entry is stale. No client is
-	// expected to stay away for that long, so findOrAdd treats a stale entry with the
-	// fingerprint of a client as the entry of another client. find does not check the age.
+	// staleTicks is the age in ticks from which an entry is stale: ten minutes after the last
+	// rejection. No client is expected to stay away for that long, so findOrAdd replaces a
+	// stale entry even if its fingerprint matches. find does not check the age.
 	staleTicks = 6000
 	// emptyAge is the age of an empty entry. It is greater than the age of any other entry,
 	// so that empty entries are replaced first.
@@ -121,8 +121,8 @@
 	return int(tick - e.rejectedTick)
 }
 
-// timeOfTick returns a time within the latest tick up to now that has the given number. Tick
-// numbers wrap around, so earlier ticks have this number too.
+// timeOfTick returns a time within the tick with the given number. Tick numbers wrap around,
+// so several ticks have this number; timeOfTick uses the latest one that is not after now.
 func timeOfTick(now int64, tick uint16) int64 {
 	return now - int64(uint16(now/tickUs)-tick)*tickUs
 }
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -30,8 +30,8 @@
 	return u
 }
 
-// drawMessage draws a message. To, Target and OnBehalfOf are fixed; each other field gets a random value, whatever the
-// kind of the message is, and may be zero or empty.
+// drawMessage draws a message. To, Target and OnBehalfOf are fixed. The other fields are random and do not depend on
+// the kind of the message.
 func drawMessage(t *rapid.T) *membership.Message {
 	m := &membership.Message{
 		Kind:               membership.Kind(rapid.IntRange(1, 4).Draw(t, "kind")),
@@ -96,8 +96,8 @@
 	}
 }
 
-// FuzzDatagram asserts for arbitrary bytes that Decode does not panic, and that every message it returns is within the
-// limits of the protocol.
+// FuzzDatagram asserts for arbitrary bytes that Decode does not panic, and that every message it returns has a valid
+// kind, a valid sender name, and no more updates and digests than the protocol allows.
 func FuzzDatagram(f *testing.F) {
 	sender := membership.Update{Name: "n1", Addr: "127.0.0.1:1"}
 	b, err := Encode("dala", &membership.Message{Kind: membership.Ping, To: "n2", Sender: sender})
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -1,20 +1,20 @@
 package peer
 
-// This file owns the errors about messages from other orchestrators. The errors of Peers.Send are in stream.go.
+// This file owns the errors about messages between orchestrators. The errors of Peers.Send are in stream.go.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// Reasons why a message from another orchestrator is rejected.
+// Reasons why a message between orchestrators is rejected.
 var (
 	ErrMalformed       = errors.New("peer: malformed message")
 	ErrOtherCluster    = errors.New("peer: message from another cluster")
 	ErrNoCommonVersion = errors.New("peer: no common protocol version")
 )
 
-// MessageError reports an invalid message from another orchestrator.
+// MessageError reports an invalid message from another orchestrator, or an outgoing message that is too long.
 type MessageError struct {
 	Reason error  // ErrMalformed, ErrOtherCluster or ErrNoCommonVersion
 	Detail string // what is wrong or which message could not be decoded; may be empty if Cause is set
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// fail reports a probe without a valid hello to the table. A refused connection is an answer from the operating
+// fail tells the table that the probe received no valid hello. A refused connection is an answer from the operating
 // system of the member's host: no process listens there. Every other error counts as no answer.
 func (h *handshakeProbe) fail(err error) {
 	result := membership.HandshakeTimedOut
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -155,7 +155,7 @@
 // onLoop runs f on the event loop and waits until f has returned.
 func (pair *twoPeers) onLoop(f func()) { onLoop(pair.loop, f) }
 
-// setConditions changes the network conditions of the path between two orchestrators, in one direction.
+// setConditions changes the network conditions in the direction from one orchestrator to the other.
 func (pair *twoPeers) setConditions(t *testing.T, from, to string, set func(*testbed.Conditions)) {
 	t.Helper()
 	if err := pair.net.Set(from, to, set); err != nil {
@@ -163,8 +163,8 @@
 	}
 }
 
-// eventually waits until condition, evaluated on the event loop, returns true. what describes the condition in the
-// error message.
+// eventually waits until condition, evaluated on the event loop, returns true. After a timeout, it fails the test with
+// a message that contains what, a description of the condition.
 func (pair *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
--- a/internal/peer/hello_test.go
+++ b/internal/peer/hello_test.go
@@ -20,8 +20,8 @@
 	return b
 }
 
-// FuzzHello asserts for arbitrary bytes that decoding a hello does not panic, and that an accepted hello is within the
-// limits of the protocol.
+// FuzzHello asserts for arbitrary bytes that decoding a hello does not panic, that the decoded message is within its
+// size limit, and that an accepted hello has a name and a supported version.
 func FuzzHello(f *testing.F) {
 	f.Add(helloFrame(f, &peerpb.Hello{Cluster: "dala", Name: "n1", Lowest: 1, Highest: 1}))
 	f.Add(binary.AppendUvarint(nil, 3<<30))
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -1,7 +1,7 @@
 package peer
 
 // This file owns the inbound connections. Each connection begins with a hello, which may be followed by records. A
-// record must only be accepted if its sender is a member with the name and the incarnation nonce of the hello.
+// hello that announces records must only be accepted if a known member has its name and its incarnation nonce.
 
 import (
 	"fmt"
@@ -48,9 +48,9 @@
 	}
 }
 
-// startStream makes the connection the only one of its stream. It closes an earlier connection of the stream, which
-// the peer has abandoned by opening this one. From then on, this connection does not count as pending, so that many
-// streams do not prevent other peers from connecting.
+// startStream makes the connection the only one of its stream. If the stream has an earlier connection, the peer no
+// longer uses it, and startStream closes it. The new connection no longer counts as pending, so that many streams do
+// not prevent other peers from connecting.
 func (in *inboundConn) startStream(stream streamKey) {
 	in.release()
 	in.stream = stream
--- a/internal/peer/inbound_test.go
+++ b/internal/peer/inbound_test.go
@@ -15,8 +15,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// TestInboundConnections asserts that an inbound connection that sends invalid bytes is closed without an answer, that
-// the reason is logged, and that a valid hello on a later connection is answered. It also asserts that an invalid
+// TestInboundConnections asserts that an inbound connection whose first message is invalid is closed without an answer,
+// that the reason is logged, and that a valid hello on a later connection is answered. It also asserts that an invalid
 // datagram is counted as refused. One connection announces a message of 3 GiB, which must be rejected at once, before
 // memory is allocated for it.
 func TestInboundConnections(t *testing.T) {
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -16,8 +16,8 @@
 
 const (
 	// refutationsPerStart is the difference between the first incarnations of two consecutive starts. Each refutation
-	// of a suspicion uses one incarnation. A process can therefore refute this number of suspicions before its
-	// incarnation reaches the first one of the next start.
+	// of a suspicion raises the incarnation by one. The incarnation of a process therefore reaches the first
+	// incarnation of the next start only after this number of refutations.
 	refutationsPerStart = 1 << 24
 	// firstIncarnation is the first incarnation of a process for which no directory is configured.
 	firstIncarnation = 1
@@ -33,8 +33,8 @@
 //
 // The incarnation may be lower than that of an earlier process with the same name: without a directory, after counting
 // has started again, or if the file is an older copy. The membership table then raises the incarnation above that of
-// the earlier process once an update reports the earlier process as dead or departed, or with the address of the new
-// process.
+// the earlier process once an update reports that the earlier process is dead or has left, or that it had the address
+// of the new process.
 func NextIncarnation(dir string) (incarnation uint64, fault string, err error) {
 	if dir == "" {
 		return firstIncarnation, "", nil
@@ -68,8 +68,8 @@
 	return starts, "", nil
 }
 
-// parseStarts returns the count in the text of the file. ok is false if the text is not a decimal count of at most
-// 32 bits and a line feed.
+// parseStarts returns the count in the text of the file. ok is false unless the text is a decimal number that fits
+// into 32 bits, followed by a line feed.
 func parseStarts(text string) (starts uint64, ok bool) {
 	digits, complete := strings.CutSuffix(text, "\n")
 	starts, err := strconv.ParseUint(digits, 10, 32)
--- a/internal/peer/listen_test.go
+++ b/internal/peer/listen_test.go
@@ -11,7 +11,7 @@
 	"ravenhitch/internal/eventloop"
 )
 
-// portsInUse returns the addresses of count ports that are in use for datagrams until the end of the test.
+// portsInUse opens count datagram sockets, which stay open until the end of the test, and returns their addresses.
 func portsInUse(t *testing.T, count int) map[string]bool {
 	t.Helper()
 	used := map[string]bool{}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -3,8 +3,8 @@
 // received datagrams and the results of handshake probes to the membership table (package membership, which does no
 // I/O), and carries out the actions that the table returns. It passes received records to the handlers of their kinds.
 //
-// Package peer must never decide which members are alive, never block, and never let an invalid message reach the
-// table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Each of
+// Package peer must never decide which members are alive, never block the event loop, and never let an invalid message
+// reach the table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Each of
 // these events is logged in one line, at a limited rate.
 //
 // The sockets and timers are registered with the event loop. Closing the loop closes the sockets, and no timer
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -23,7 +23,7 @@
 
 // View is the stable view of the membership.
 type View struct {
-	Number int64    `json:"number"` // number of views that this orchestrator has built so far
+	Number int64    `json:"number"` // 1 for this orchestrator's first view, and 1 more for each change of the view
 	Digest string   `json:"digest"` // equal at all orchestrators whose views hold the same processes
 	Names  []string `json:"names"`
 }
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -1,8 +1,8 @@
 package peer
 
 // This file owns the outbound streams of records. Each pair of member and record kind has its own connection, which
-// is opened when there is a record to send. Therefore many records of one kind never delay the records of another
-// kind, and no record delays a datagram.
+// is opened when there is a record to send. Records of one kind therefore do not wait behind records of another kind.
+// Datagrams have their own socket and do not wait behind records.
 //
 // A record that Send accepted is either sent or counted as dropped. A record that was in flight when its connection
 // ended may or may not have arrived; the senders of records must handle both cases.
@@ -20,7 +20,7 @@
 
 // The kinds of records.
 const (
-	Urgent     RecordKind = 1 + iota // records whose arrival is awaited
+	Urgent     RecordKind = 1 + iota // records that should arrive soon
 	Background                       // full copies of state, which may arrive late
 )
 
@@ -30,16 +30,16 @@
 	// maxRecordFrame is the maximum size of the encoded message that carries a record, in bytes.
 	maxRecordFrame = maxRecord + 64
 	// maxBurst is the number of bytes after which a stream stops writing until the next turn of the event loop, to
-	// let other connections proceed. The last frame of a burst may exceed maxBurst.
+	// let other connections proceed. The last frame is sent in full, even if the burst then exceeds maxBurst.
 	maxBurst = 256 << 10
-	// minRedialDelay is the delay before a connection is opened again after a first failure. It doubles with each
-	// further failure in a row, up to maxRedialDelay.
+	// minRedialDelay is the delay before a connection is opened again after a first failure. The delay doubles with
+	// each further failure in a row, up to maxRedialDelay.
 	minRedialDelay = 100 * millisecond
 	maxRedialDelay = 2 * second
 	// idleTimeout is the time after which a connection without records to send is closed.
 	idleTimeout = 30 * second
-	// nextTurn is the shortest timer delay, in microseconds. A timer with this delay fires after the events
-	// that are ready by then have been handled.
+	// nextTurn is a timer delay in microseconds. A timer with this delay does not fire in the current turn of the
+	// event loop, but in the next one, after the events of that turn have been handled.
 	nextTurn = 1
 )
 
@@ -73,8 +73,8 @@
 	timer       *eventloop.Timer // fires at the next dial, the next burst or the idle timeout
 }
 
-// OnRecord registers handle, which is called on the event loop with each received record of a kind. handle must not
-// retain the bytes of the record.
+// OnRecord registers handle, which is called on the event loop with each received record of the given kind. handle must
+// not retain the bytes of the record.
 func (p *Peers) OnRecord(kind RecordKind, handle func(from string, record []byte)) {
 	p.recordHandlers[kind] = handle
 }
