--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -13,8 +13,9 @@
 	// front closes the connection while the submission is in flight, the client resends the submission within
 	// 50 ms.
 	minIdleWithoutTask = 100 * millisecond
-	// protectedWithTask is the maximum number of connections with tasks that a front protects. While a front has at
-	// most this many of them, it evicts none of them if a connection without a task will soon be evictable.
+	// protectedWithTask limits the protection of connections that had a task. While a front has at most this many of
+	// them, it evicts none of them if a connection without a task will soon be evictable. If it has more, it protects
+	// none of them.
 	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
 	// Without the protection, a flood of new connections without a task would evict all idle connections with
 	// tasks within minIdleWithoutTask, because the new connections themselves are not evictable during this time.
@@ -45,7 +46,7 @@
 	return len(f.clients) < f.maxConns && f.budget.AdmitsClient()
 }
 
-// MakeCapacity implements eventloop.Admission. It evicts an idle connection and reports whether it found one.
+// MakeCapacity implements eventloop.Admission. It evicts an idle connection, if it may, and reports whether it did.
 // Connections without a task are evicted first because hundreds of them may be opened at once. Connections with tasks
 // are not evicted while they are protected as described at protectedWithTask.
 func (a admission) MakeCapacity() bool {
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -16,8 +16,8 @@
 
 const (
 	// maxOpenWithoutTask is the maximum number of open requests on a connection that has had no task yet. Further
-	// requests are rejected at once. Like maxInvalidMessages, this limit protects the clients whose connections carry
-	// the completions of tasks from clients that have had no task.
+	// requests are rejected at once. Like maxInvalidMessages, this limit applies only to connections that have had no
+	// task. It protects the other connections, which carry completions.
 	maxOpenWithoutTask = 32
 	// maxInvalidMessages is the number of invalid messages at which a connection that has had no task yet is
 	// closed.
@@ -62,7 +62,7 @@
 }
 
 // rejectAndClose ends the open requests and closes the connection. Each request gets a rejection or, if a retry could
-// do harm, a failure. The requests are not kept open because nothing further can be read from the connection.
+// do harm, a failure. The requests must not stay open: after the close, their responses could not be sent.
 func (c *clientConn) rejectAndClose() {
 	for _, requestID := range slices.Sorted(maps.Keys(c.openRequests)) {
 		c.front.dispatcher.Reject(c.front.loop.Now(), c, requestID)
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// rejectDuplicate handles a request that has the ID of an open request on this connection. It rejects both requests
+// rejectDuplicate handles a request that has the ID of an open request on this connection. It ends both requests
 // with a single response, because a client could not tell which of the two requests a response belongs to.
 func (c *clientConn) rejectDuplicate(now int64, requestID string) error {
 	c.front.dispatcher.Reject(now, c, requestID)
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -1,6 +1,6 @@
 // Package grpcfront implements the gRPC API of the orchestrator. Clients submit tasks over a stream or by unary
-// calls. The API calls a submission an offer, and the response that names the worker of a started task a
-// binding. The package rejects offers that are invalid or exceed its limits. All other decisions about tasks are
+// calls. In this API, a submission is called an offer. The response that names the worker of a started task is called
+// a binding. The package rejects offers that are invalid or exceed its limits. All other decisions about tasks are
 // the dispatcher's.
 package grpcfront
 
@@ -35,15 +35,15 @@
 	MaxConns = 64
 	// maxStreams is the maximum number of concurrent calls on one connection.
 	maxStreams = 100
-	// maxQueuedCalls is the maximum number of functions that post queues for the event loop: one for each unary
-	// call and one for each message that is received on a stream.
+	// maxQueuedCalls is the maximum number of queued functions that wait for the event loop: one for each unary call
+	// and one for each message that is received on a stream.
 	maxQueuedCalls = 2048
 	// maxHeaders is the maximum size of the header list of a call, in bytes.
 	maxHeaders = 16 << 10
 	// maxMessage is the maximum size of one message from a client, in bytes.
 	maxMessage = 2 * maxDescription
 	// bufferSize is the size of the read buffer and of the write buffer of each connection, in bytes. It is
-	// small because links are slow and memory is scarce.
+	// small to save memory. The links to clients are slow and need no larger buffers.
 	bufferSize = 8 << 10
 )
 
@@ -81,7 +81,7 @@
 	IsResumable(requestID string) bool
 }
 
-// Front is the gRPC server of an orchestrator. It forwards offers and releases to the dispatcher, and
+// Front is the gRPC server of an orchestrator. It forwards offers and release requests to the dispatcher, and
 // responses to the clients.
 type Front struct {
 	edgepb.UnimplementedOrchestratorServer
@@ -89,14 +89,14 @@
 	dispatcher  Dispatcher
 	server      *grpc.Server
 	health      *health.Server
-	queuedCalls atomic.Int64 // number of functions that post has queued and the event loop has not started
+	queuedCalls atomic.Int64 // number of functions queued by post that the event loop has not started
 	keys        atomic.Pointer[retrytoken.Keys]
 
 	// The following fields belong to the event loop.
 	redeemed       retrytoken.Redeemed
 	tokenCounts    TokenCounts
 	sessions       map[string]*session // by name
-	sessionsOpened uint64              // number of sessions created since the start
+	sessionsOpened uint64              // number of sessions created so far
 	closing        bool
 }
 
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -61,8 +61,8 @@
 func checkSubmission(submission dispatch.Submission) error {
 	if submission.TimeoutUs == 0 {
 		// A timeout of 0 is valid in an offer but not for Validate, so it is replaced in this copy of the
-		// submission. In the submission itself, submitPlace replaces it with the time to the deadline of the call,
-		// or submit with the timeout of the class.
+		// submission. The caller's submission keeps it until submitPlace sets the time left until the deadline of
+		// the call. If there is no such deadline, the function submit sets the timeout of the class.
 		submission.TimeoutUs = 1
 	}
 	if err := submission.Validate(); err != nil {
--- a/internal/grpcfront/rpc_test.go
+++ b/internal/grpcfront/rpc_test.go
@@ -93,7 +93,7 @@
 
 func (d *classDispatcher) IsResumable(string) bool { return true }
 
-// serve runs a front until the test ends, and returns a client of the front, its loop and its dispatcher.
+// serve runs a front until the test ends. It returns a client of the front, and the front's loop and dispatcher.
 func serve(t *testing.T) (edgepb.OrchestratorClient, *goroutineLoop, *classDispatcher) {
 	t.Helper()
 	loop := &goroutineLoop{}
@@ -126,7 +126,7 @@
 		Cores: 1, Memory: 1, Description: "d"}
 }
 
-// TestPlace asserts that Place returns the binding of a started task, and the status of any other response.
+// TestPlace asserts that Place returns the binding if the task is started, and a status error otherwise.
 func TestPlace(t *testing.T) {
 	client, _, _ := serve(t)
 	for _, test := range []struct {
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestSessionMessages asserts which messages a client receives in a session for each response to an offer and for
-// each end of a task.
+// TestSessionMessages asserts which messages a client receives in a session when an offer gets a binding, is rejected
+// or is released, and when a task ends.
 func TestSessionMessages(t *testing.T) {
 	client, loop, dispatcher := serve(t)
 	s := openSession(t, client, 0)
@@ -332,7 +332,7 @@
 		}
 		session{stream}.expectEnd(t, codes.DeadlineExceeded, "the session was not opened in time")
 	})
-	t.Run("not opened first", func(t *testing.T) {
+	t.Run("first message is not Open", func(t *testing.T) {
 		stream, err := client.Session(t.Context())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -78,7 +78,7 @@
 }
 
 // pushRejection sends the client a Rejection message, the final response to an offer that gets no binding. err is
-// the status that Place would return for the offer, and token is the retry token, nil if there is none.
+// the gRPC status error that states the reason, and token is the retry token, nil if there is none.
 func (s *session) pushRejection(requestID, task string, err error, token []byte) {
 	st := status.Convert(err)
 	s.push(&edgepb.ServerMessage{Kind: &edgepb.ServerMessage_Rejection{Rejection: &edgepb.Rejection{
@@ -210,7 +210,7 @@
 	}
 }
 
-// rejectOffer sends the client a rejection of an offer that was not submitted.
+// rejectOffer sends the client a rejection of an offer that is invalid or that the dispatcher did not accept.
 func (s *session) rejectOffer(offer *edgepb.Offer, err error) {
 	s.pushRejection(offer.GetOfferId(), offer.GetTask(), err, nil)
 	s.endIfAllResponded()
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -16,11 +16,11 @@
 // maxOutbox is the maximum number of messages that are queued for one stream.
 const maxOutbox = 512
 
-// stream is one gRPC stream of a session. Only the event loop adds messages to the outbox and ends the stream.
+// stream is one gRPC stream of a session. Only the event loop adds messages to the outbox and calls end.
 type stream struct {
 	outbox chan *edgepb.ServerMessage
 	done   chan struct{} // closed when the stream is ended
-	err    error         // the final status of the stream, set before done is closed
+	err    error         // the status that was passed to end, set before done is closed
 
 	// The following fields belong to the event loop.
 	ended   bool
@@ -66,7 +66,7 @@
 	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receiveAll(server, st) // ends at the latest after Session has returned, because server.Recv then fails
+	go f.receiveAll(server, st) // ends once Session has returned, if not before, because server.Recv then fails
 	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
@@ -83,7 +83,7 @@
 		err     error
 	}
 	result := make(chan received, 1)
-	go func() { // ends at the latest after Session has returned, because server.Recv then returns an error
+	go func() { // ends once Session has returned, if not before, because server.Recv then fails
 		message, err := server.Recv()
 		result <- received{message, err}
 	}()
@@ -111,8 +111,8 @@
 	}
 }
 
-// receiveEnd handles err, the error that ended receiving: io.EOF means that the client has closed its side, any
-// other error that the stream is broken. It runs on the event loop.
+// receiveEnd handles the error with which receiving ended. io.EOF means that the client has closed its side of the
+// stream. Any other error means that the stream is broken or has ended. receiveEnd runs on the event loop.
 func (st *stream) receiveEnd(err error) {
 	s := st.session
 	switch {
@@ -162,8 +162,8 @@
 	})
 }
 
-// attachedSession returns the session whose current stream is st, or nil if a newer stream has replaced st or st
-// was never attached. It must be called on the event loop only.
+// attachedSession returns the session whose current stream is st, or nil if st was never attached, was detached or
+// was replaced by a newer stream. It must be called on the event loop only.
 func (st *stream) attachedSession() *session {
 	if st.session == nil || st.session.stream != st {
 		return nil
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -18,9 +18,9 @@
 	"ravenhitch/internal/retrytoken"
 )
 
-// TokenCounts counts the tokens that redeem has handled. Good counts the valid tokens, Early and Expired those
-// presented too long before or after their slot (the time at which the client was to return), Used those redeemed
-// before, and Bad all other invalid tokens.
+// TokenCounts counts the tokens that redeem has handled. Good counts the valid tokens. The slot of a token is the
+// time at which the client was to return: Early counts the tokens presented too long before it, and Expired counts
+// those presented too long after it. Used counts the tokens redeemed before. Bad counts all other invalid tokens.
 type TokenCounts struct{ Good, Early, Expired, Used, Bad int64 }
 
 // SetKeys replaces the keys that sign and verify tokens. It may be called from any goroutine.
@@ -51,9 +51,9 @@
 	return presentedToken{token, true, err}
 }
 
-// redeem records the token of an offer as redeemed, unless it is invalid or was redeemed before, and copies two values
-// from it to the submission: the time since which the client is on the waitlist, and the number of rejections. An
-// invalid token and one that was redeemed before are only counted. redeem runs on the event loop.
+// redeem counts the token of an offer, if there is one. If the token is valid and was not redeemed before, redeem
+// records it as redeemed and copies two values from it to the submission: the time since which the client is on the
+// waitlist, and the number of rejections. redeem runs on the event loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -12,11 +12,11 @@
 	"ravenhitch/internal/grpcfront/edgepb"
 )
 
-// placeCall is the dispatch.Client of an offer made by Place. It ignores every response after the first,
+// placeCall is the dispatch.Client of an offer that Place has received. It ignores every response after the first,
 // because the first response ends the call.
 type placeCall struct {
 	response  chan dispatch.Response // the first response; has capacity 1, so that the event loop never blocks
-	rejection chan error             // the status of an offer that was not submitted; has capacity 1
+	rejection chan error             // the error that submitPlace returned; has capacity 1
 	responded bool                   // whether a response was received; belongs to the event loop
 }
 
