--- a/client/client.go
+++ b/client/client.go
@@ -1,16 +1,17 @@
 // Package client offers tasks to orchestrators over gRPC and follows their retry advice. If a task is rejected,
-// the package offers it again at the time that the orchestrator reserved for it, its slot. Any of the
-// orchestrators may get this offer. It carries the retry token, which proves the place of the task on the
-// waitlist. The package is the reference implementation of a client's behavior in a retry storm.
+// the package offers it again at its slot, which is the time that the orchestrator reserved for it. This offer
+// may go to any of the orchestrators, because it carries the retry token, which proves the place of the task on
+// the waitlist. The package is the reference implementation of a client's behavior in a retry storm.
 //
-// The package never offers a task again after an orchestrator reported that the task may have started. It
-// repeats an offer that got no response under the same ID, unless Task.Once is set. It never offers a task
-// again before the time that an orchestrator advised. It never waits beyond the caller's deadline: if the
+// The package never offers a task again after an orchestrator reported that the task may have started. If an
+// offer got no response, the package repeats it under the same ID, unless Task.Once is set. It never offers a
+// task again before the time that an orchestrator advised. It never waits beyond the caller's deadline: if the
 // advised time is not before the deadline, Client.Place returns at once with the advised time and the retry
 // token.
 package client
 
-// This file defines the types that callers use: tasks, bindings, options and errors. It calls no orchestrator.
+// This file defines the types that callers use: Task, Binding, RejectedError, Options and Client. It calls no
+// orchestrator.
 
 import (
 	"fmt"
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// If an orchestrator accepted nothing and advises when to retry, the same offer is repeated at that time and
-// uses no retry budget.
+// If an orchestrator did not accept an offer and advises when to retry, the client repeats the offer under the
+// same ID at that time. The retry uses no retry budget.
 func TestUnavailableWithAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unavailable, err := status.New(codes.Unavailable, "ended").WithDetails(
--- a/client/place.go
+++ b/client/place.go
@@ -24,7 +24,7 @@
 // request holds the state of a task until it is started.
 type request struct {
 	task     Task
-	offerID  string        // ID of the current offer; a repeat of the offer has the same ID and gets the same response
+	offerID  string        // ID of the current offer; a repeat has the same ID, by which an orchestrator recognizes it
 	token    []byte        // retry token that proves the place on the waitlist, or nil
 	attempts int           // number of attempts so far
 	pause    time.Duration // next back-off delay, before it is multiplied by a random factor
@@ -35,9 +35,11 @@
 //
 // The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done. A Client
 // without connections always returns an error. Otherwise the error is the gRPC status of the last attempt, such as
-// INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN. The task may have started after ALREADY_EXISTS or UNKNOWN, after the
-// error of ctx and, if Task.Once is set, after UNAVAILABLE or DEADLINE_EXCEEDED. It must then not be offered again
-// without checking whether it runs.
+// INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
+//
+// If the error is ALREADY_EXISTS, UNKNOWN or the error of ctx, the task may have started. If Task.Once is set, this
+// also applies to UNAVAILABLE and DEADLINE_EXCEEDED. Such a task must not be offered again without checking whether
+// it runs.
 func (c *Client) Place(ctx context.Context, task Task, token []byte) (Binding, error) {
 	if len(c.orchestrators) == 0 {
 		return Binding{}, errNoOrchestrator
@@ -97,10 +99,10 @@
 		}
 		return r.pause, nil
 	case code == codes.Unavailable && advised.hasDelay:
-		return advised.delay, nil // the orchestrator accepted nothing and advised when to retry
+		return advised.delay, nil // the orchestrator did not accept the offer and advised when to retry
 	case (code == codes.Unavailable || code == codes.DeadlineExceeded) && !r.task.Once:
 		// No orchestrator was reached, the orchestrator is shutting down, or the response was lost or late. If an
-		// orchestrator accepted the offer, a repeat with the same ID gets the same response.
+		// orchestrator started the task, it gives the same binding to a repeat with the same ID.
 		if !c.budget.withdraw() {
 			return 0, r.rejected(time.Now().Add(r.pause), "retry budget exhausted")
 		}
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the shutdown of the server. The server must never stop while an accepted request is open: shortly
-// before the platform kills the process, it ends the requests that are still open with a rejection or a failure.
+// This file owns the shutdown of the server. The server must never stop while an accepted request is open. Shortly
+// before the platform kills the process, the server therefore rejects or fails the requests that are still open.
 
 import (
 	"ravenhitch/placement"
@@ -24,8 +24,8 @@
 	// flushTimeoutUs is the first part of killMarginUs, in which clients may still read their last responses. The
 	// server stops at the end of this time, or earlier if nothing is left to deliver to clients.
 	flushTimeoutUs = 200 * millisecond
-	// maxSuccessorCheckUs is the maximum time that a shutdown waits for the check of the handover files for a
-	// successor: the files may be on a slow disk.
+	// maxSuccessorCheckUs limits how long a shutdown waits for the file worker to check the handover files for a
+	// successor. The files may be on a slow disk.
 	maxSuccessorCheckUs = 100 * millisecond
 	// drainIntervalUs is the interval at which a shutdown checks whether it can stop.
 	drainIntervalUs = 10 * millisecond
@@ -56,8 +56,8 @@
 
 // requestSuccessorCheck asks the file worker to check for a successor that started after the handover files were
 // last read. Without the check, a client that connects before the next read would be accepted here and then
-// disconnected. requestSuccessorCheck reports whether the request was queued; the result of the check begins the
-// shutdown.
+// disconnected. requestSuccessorCheck reports whether the check was queued. Once the check is done, the file worker
+// begins the shutdown.
 func (s *server) requestSuccessorCheck() bool {
 	select {
 	case s.successorChecks <- struct{}{}:
@@ -87,10 +87,10 @@
 	s.drain(s.loop.Now())
 }
 
-// drain keeps serving for lateRequestsUs, because requests still arrive in this time. It then stops as soon as no
-// work is unfinished and no connection waits in the kernel's accept queue: such a connection may carry a request,
-// which a stop would lose. At the drain timeout, shortly before the kill, it ends all open requests and stops (see
-// rejectAndStop).
+// drain keeps the server running for lateRequestsUs, because requests still arrive in this time. It then stops the
+// server as soon as no work is unfinished and no connection waits in the kernel's accept queue. Such a connection may
+// carry a request, which a stop would lose. At the drain timeout, shortly before the kill, drain ends all open
+// requests and stops the server (see rejectAndStop).
 func (s *server) drain(since int64) {
 	switch age := s.loop.Now() - since; {
 	case age >= s.drainTimeout:
@@ -127,15 +127,15 @@
 }
 
 // hasUnfinishedWork reports whether a stop now would lose something: an open request, a message that a client has
-// sent only in part, output that a client has not read, an unreported completion, or a release that its worker
-// has not confirmed by reporting the end of the task.
+// sent only in part, buffered output to a client, an unreported completion, or a release that its worker has not
+// confirmed.
 func (s *server) hasUnfinishedWork() bool {
 	return s.dispatcher.OpenCount() > 0 || s.clientFront.HasUndelivered() || s.pool.HasUnconfirmedReleases()
 }
 
-// rejectAndStop ends the open requests, including those that still arrive, with a rejection or a failure. It stops
-// once the client front has nothing left to deliver, at the latest flushTimeoutUs after the drain timeout, which is
-// shortly before the kill.
+// rejectAndStop rejects or fails the open requests, including those that still arrive. It stops the server once the
+// client front has nothing left to deliver, at the latest flushTimeoutUs after the drain timeout and thus before the
+// kill.
 func (s *server) rejectAndStop(since, timeout int64) {
 	s.dispatcher.RejectAll(s.loop.Now())
 	if !s.clientFront.HasUndelivered() || s.loop.Now()-since >= timeout+flushTimeoutUs {
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// At the drain timeout, the server does not stop in the turn of the event loop in which it ends the open requests.
-// Clients that read slowly still have time to read their responses.
+// If the server has undelivered responses after it has ended the open requests at the drain timeout, it does not stop
+// in the same turn of the event loop. Clients that read slowly still have time to read their responses.
 func TestResponsesFlushedAtDrainTimeout(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
 	conn := newSlowReader(t, server)
@@ -114,9 +114,9 @@
 	}
 }
 
-// When the server stops, it resets each connection on which an attempt may be in flight. Otherwise, unsent data of the
-// connection would be delivered after the server has stopped, when no client waits for the result. Other connections
-// are closed.
+// When the server stops, it resets each connection to a worker on which an attempt may be in flight. After a plain
+// close, the kernel would still deliver buffered output such as an offer, although no client waits for the result.
+// The other connections to workers are closed without a reset.
 func TestWorkerConnectionsAtShutdown(t *testing.T) {
 	for name, inFlight := range map[string]bool{"an attempt is in flight": true, "no attempt is": false} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -17,8 +17,8 @@
 func TestShutdownWaitsForUnfinishedWork(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// withoutSuccessor is true if the work can only be finished on a new connection. If there were a
-		// successor, the connection would go to it, so the test case runs only without a successor.
+		// withoutSuccessor is true if the work can only be finished on a new connection of a client. With a
+		// successor, new clients connect to the successor, so the test case runs only without one.
 		withoutSuccessor bool
 		// begin leaves some work unfinished and returns the function that finishes it.
 		begin func(t *testing.T, server *testServer) (finish func())
@@ -119,7 +119,7 @@
 		case <-time.After(time.Millisecond):
 		}
 		if time.Now().After(limit) {
-			t.Fatal("the time of the event loop did not reach lateRequestsUs in time")
+			t.Fatal("the event loop's clock did not advance by lateRequestsUs and 100 ms within testbed.Timeout")
 		}
 		server.loop.Post(func() { ages <- server.loop.Now() - stoppedAt })
 		select {
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file provides helpers for connections of clients on JSON lines, and for closing what a test has opened.
+// This file provides helpers for clients that use the JSON-lines protocol, and for closing what a test has opened.
 
 import (
 	"encoding/json"
@@ -23,7 +23,7 @@
 	causeRejected  = 34  // the request was rejected; a retry is harmless
 	causeReleased  = 31  // a worker confirms a release
 	causeLost      = 41  // the task ended without completing, for example because its worker was lost
-	causeFailed    = 47  // the request failed; its task may have run
+	causeFailed    = 47  // the request is invalid, or it failed and its task may have run
 	causeNeverSent = 102 // the offer was never sent, so the task never ran
 )
 
@@ -98,8 +98,8 @@
 		t.Fatal(err)
 	}
 	closeOnCleanup(t, conn)
-	turnsBehind := 0 // consecutive turns after the last pings in which the server had output that it could not write
-	server.waitUntil(t, "more responses than the system buffers", func() bool {
+	turnsBehind := 0 // number of consecutive turns with unwritten output since the last pings were sent
+	server.waitUntil(t, "responses that stay in the server's buffer", func() bool {
 		if turnsBehind++; server.clientFront.HasUndelivered() {
 			return turnsBehind == 5
 		}
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -93,7 +93,8 @@
 	return s
 }
 
-// config returns the configuration of the server. Its initial list contains all events of discovery so far.
+// config returns the configuration of the server. The initial list of workers in the configuration results from all
+// events of discovery so far.
 func (o serverOptions) config(t *testing.T, discovery *testbed.Discovery) config.Config {
 	t.Helper()
 	settings := o.settings
@@ -115,7 +116,7 @@
 	return cfg
 }
 
-// connect returns a new client on JSON lines that is connected to the server.
+// connect returns a new client that is connected to the server and uses the JSON-lines protocol.
 func (s *testServer) connect(t *testing.T) *testbed.Client { return testbed.NewClient(t, s.clientAddr) }
 
 // onLoop runs f on the event loop and waits until it has returned.
@@ -145,8 +146,8 @@
 	}
 }
 
-// pauseLoop pauses the event loop within a turn, after all input is read and before the dispatcher decides.
-// The turn continues when the returned function is called.
+// pauseLoop pauses the event loop within a turn, after all input is read and before the dispatcher decides on its
+// requests. The turn continues when the returned function is called.
 func (s *testServer) pauseLoop(t *testing.T) (resume func()) {
 	t.Helper()
 	paused, resumed := make(chan bool), make(chan bool)
@@ -158,7 +159,7 @@
 	return func() { resumed <- true }
 }
 
-// counts returns the dispatcher's counts.
+// counts returns the dispatcher's counters since its creation.
 func (s *testServer) counts(t *testing.T) (counts dispatch.Counts) {
 	t.Helper()
 	s.onLoop(t, func() { counts = s.dispatcher.Counts() })
--- a/cmd/ravenhitch/timeline.go
+++ b/cmd/ravenhitch/timeline.go
@@ -1,7 +1,7 @@
 package main
 
-// This file draws the timeline of a recorded rehearsal as SVG: the status of each orchestrator, the tasks that were
-// started in each second, and the faults that were played.
+// This file draws the timeline of a recorded rehearsal as SVG: the status of each orchestrator, the number of tasks
+// started in each second, and the executed steps of the fault schedule.
 
 import (
 	"bytes"
@@ -32,7 +32,7 @@
 type timelineCanvas struct {
 	*svg.SVG
 	recording *recording
-	barsTop   int     // upper edge of the bars of started tasks, in pixels
+	barsTop   int     // upper edge of the bar chart of started tasks, in pixels
 	endS      float64 // time at the right edge, in seconds
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// drawStatuses draws a row for each orchestrator, with its status in each sample.
+// drawStatuses draws a row for each orchestrator, with its status in each recorded snapshot.
 func (c *timelineCanvas) drawStatuses() {
 	moments := c.recording.Moments
 	for i, snapshot := range moments {
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -12,13 +12,14 @@
 )
 
 // minCloseTravelUs is the minimum time, in microseconds, that the server must assume for the close of a connection
-// to reach the worker. It equals minCloseTransit in package workerpool. If the close abandons an attempt and the
-// next offer of the request follows sooner, that offer is too early.
+// to reach the worker. It equals minCloseTransit in package workerpool. If the close cancels an attempt, another offer
+// of the same request within this time is too early.
 const minCloseTravelUs = 2 * millisecond
 
-// traceRecorder is a log handler that records the offers that were sent too early. An offer is too early if the
-// close that abandoned the previous attempt could not have reached its worker yet. traceRecorder also records
-// when the log reported the end of a connection to a worker, which includes connections that were refused.
+// traceRecorder is a log handler that records the offers that were sent too early. An offer is too early if it is
+// sent less than minCloseTravelUs after the request's previous attempt was cancelled or lost its connection. A
+// confirmed cancel does not count. traceRecorder also records when the log reported the end of a connection to a
+// worker, which includes connections that were refused.
 type traceRecorder struct {
 	slog.Handler
 	mu             sync.Mutex
@@ -54,7 +55,7 @@
 // Enabled accepts records of all levels, because the trace of the attempts is logged at debug level.
 func (*traceRecorder) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle implements slog.Handler. It records the cancels, offers and ends of connections that the log reports.
+// Handle implements slog.Handler. It evaluates the log records of cancels, offers and ends of connections.
 func (r *traceRecorder) Handle(_ context.Context, record slog.Record) error {
 	requestID, atUs, written := "", int64(0), true
 	record.Attrs(func(attr slog.Attr) bool {
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -18,7 +18,7 @@
 const deadAfterRefused = 2 * time.Second
 
 // The server considers a worker dead if the worker refuses connections and is silent on its open connections.
-// It then reports the worker's tasks lost, because their completions will never be reported. A worker that
+// It then reports the worker's tasks lost, because the worker will never report their completions. A worker that
 // only refuses new connections is alive, and its tasks end when it reports their completions.
 func TestWorkersRefusingConnections(t *testing.T) {
 	for _, test := range []struct {
@@ -26,7 +26,7 @@
 		injectFault func(t *testing.T, worker *testbed.Worker, trace *traceRecorder)
 		wantCause   int
 	}{
-		{"vanished", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.BecomeUnreachable() }, causeLost},
+		{"unreachable", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.BecomeUnreachable() }, causeLost},
 		{"ended with a close and no reset", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.CloseGracefully() }, causeLost},
 		{"refusing connections, and alive", func(t *testing.T, worker *testbed.Worker, trace *traceRecorder) {
 			worker.RefuseConnections()
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -9,10 +9,10 @@
 	"ravenhitch/internal/testbed"
 )
 
-// A worker sends a truncated response, a response without a description, and a duplicate together with a
-// response to an unknown request. The server forwards nothing malformed to the client. After a malformed
-// response, it closes the connection, which ends the other attempts on it as well. The class of each request
-// determines whether there is another attempt.
+// A worker sends a truncated response and a response without a description. It also sends responses to an unknown
+// request, and one response twice. The server forwards nothing malformed to the client. After a malformed response,
+// the server closes the connection to the worker, which ends the other attempts on it as well. The class of each
+// request determines whether there is another attempt.
 func TestMalformedWorkerResponses(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
@@ -58,7 +58,8 @@
 }
 
 // Some workers send a rejection twice. The second one arrives late and on any connection. It must not end the
-// task if the task has started since. The same applies to a late message that the offer was never sent.
+// task if the task has started since. The same applies to a late message which says that the
+// offer was never sent.
 func TestLateDuplicateRejection(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
