--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -35,7 +35,9 @@
 	budget        *descriptors.Budget // nil if ShareDescriptors was not called
 	idleTimeoutUs int64               // maximum idle time of a connection without open requests, 0 for no limit
 	clients       map[*clientConn]bool
-	latestStarted *clientConn // most recently active connection with a started task; nil if there was none or it closed
+	// latestStarted is the most recently active connection on which a task was started. It is nil before the first
+	// task is started, and after that connection is closed, until another such connection becomes active.
+	latestStarted *clientConn
 	unreported    []unreportedCompletion
 	accepted      uint64 // number of connections accepted so far
 }
@@ -62,8 +64,9 @@
 // Connections returns the number of connected clients.
 func (f *Front) Connections() int { return len(f.clients) }
 
-// HasUndelivered reports whether the front would lose data if the process ended now: only a part of a message was
-// received, the kernel has not accepted all output to a client, or a completion has not been reported.
+// HasUndelivered reports whether the front would lose data if the process ended now. It would if a client's message was
+// received only in part, if the kernel has not accepted all output to a client, or if a completion has not been
+// reported.
 func (f *Front) HasUndelivered() bool {
 	if len(f.unreported) > 0 {
 		return true
@@ -78,8 +81,8 @@
 
 // Listen starts to accept clients and returns the address that it listens on. It listens at addr, or on the
 // inherited listening socket fd if fd is above 0. An inherited socket belongs to the platform that starts the
-// orchestrator, which passes the socket on from one process to the next. If its address is not an IPv4 address,
-// Listen returns "".
+// orchestrator. The platform passes the socket on from one process to the next. For an inherited socket whose address
+// is not an IPv4 address, Listen returns "".
 func (f *Front) Listen(addr string, fd int) (string, error) {
 	f.loop.After(sweepInterval, f.sweep)
 	accept := func() eventloop.Handler { return &clientConn{front: f, openRequests: map[string]bool{}} }
--- a/internal/clientfront/helpers_test.go
+++ b/internal/clientfront/helpers_test.go
@@ -28,7 +28,8 @@
 	addr string
 }
 
-// startFront starts a front that serves at most maxConns clients until the test ends, without an idle timeout.
+// startFront starts a front that serves at most maxConns clients at a time and has no idle timeout. The front runs
+// until the end of the test.
 func startFront(t *testing.T, maxConns int) testFront {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -122,7 +123,7 @@
 		`"extras":"cores:1;memory:1"},"blob":"d"}`, id, id)
 }
 
-// finish returns the line of a final response or a completion, with the outcome code rc.
+// finish returns the line of a FINISH message with the outcome code rc.
 func finish(id, rc int) string {
 	return fmt.Sprintf(`{"verb":"FINISH","tag":"%016x","opts":{},"rc":%d}`, id, rc)
 }
--- a/internal/clientfront/submission_test.go
+++ b/internal/clientfront/submission_test.go
@@ -17,8 +17,8 @@
 			{Name: "left", Value: left}, {Name: "extras", Value: extras}}}
 }
 
-// A submission is accepted only if its numbers are valid, and its timeout is converted to microseconds exactly. Extras
-// with an unknown name are ignored.
+// A submission is accepted only if its numbers are valid, and its timeout is converted to microseconds exactly. The
+// timeout is ignored if the task is already running. Extras with an unknown name are ignored.
 func TestParseSubmission(t *testing.T) {
 	for _, test := range []struct {
 		left, extras string
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -2,8 +2,9 @@
 
 // This file owns the choice of the connection on which a completion is reported, and the completions that cannot be
 // reported yet. Any program may connect, so an open connection does not show that a client is present. On a
-// connection without a task, a completion may therefore be reported only after a ping, which shows that a client is
-// present, or after unreportedWait.
+// connection without a task, completions may therefore be reported only when a ping arrives, which shows that a client
+// is present, or when the oldest of them has waited for longer than unreportedWait. Migrations are reported in the same
+// way as completions.
 
 import "ravenhitch/internal/jsonlines"
 
@@ -12,8 +13,8 @@
 	// dropped.
 	maxUnreported = 10_000
 	// unreportedWait is the time, in microseconds, for which unreported completions wait for a connection on which a
-	// task is started or adopted or a ping is received. After this time, they are reported on any connection that
-	// sent a message. It is half of the 1 s within which a client must be notified.
+	// task is started or adopted or a ping is received. After this time, they are reported on the best
+	// connection that sent a message (see bestConn). It is half of the 1 s within which a client must be notified.
 	unreportedWait = 500 * millisecond
 )
 
--- a/internal/clientfront/unreported_test.go
+++ b/internal/clientfront/unreported_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// If no client had a task and none sends a ping, a completion is reported after 500 ms to a client that has sent a
-// message, and not to one that has sent nothing.
+// If no client had a task and none sends a ping after the completion, the completion is reported after 500 ms. It is
+// reported to a client that has sent a message, and not to one that has sent nothing.
 func TestUnreportedCompletionGoesToAnyClientInTheEnd(t *testing.T) {
 	front := startFront(t, 10)
 	unused, active := front.dial(t), front.dial(t)
--- a/internal/clientfront/usage.go
+++ b/internal/clientfront/usage.go
@@ -1,8 +1,8 @@
 package clientfront
 
 // This file owns the usage of connections, by which they are ranked: connections with the lowest usage are evicted
-// first, and those with the highest usage get the completions whose own connection is closed. It must only rank
-// connections and decide nothing by itself.
+// first, and those with the highest usage get the completions of requests whose own connection is closed. This file
+// must only rank connections and decide nothing by itself.
 
 // usage is the extent to which a client has used a connection. Higher values mean more use.
 type usage int
--- a/internal/jsonlines/message.go
+++ b/internal/jsonlines/message.go
@@ -23,12 +23,12 @@
 
 // The outcome codes of a FINISH, which are sent in its member "rc".
 const (
-	CodeEnded     = 16  // to a worker: the request is cancelled or released; as a report: the task completed
+	CodeEnded     = 16  // to a worker: end the attempt or the task; from a worker or to a client: the task completed
 	CodeCancelled = 31  // from a worker: the task was cancelled before it completed
 	CodeRejected  = 34  // the request was rejected, and a retry is harmless
 	CodeReset     = 41  // to a client: the task ended without completing
 	CodeFailed    = 47  // the request is invalid, or it failed and the task may have run
-	CodeNeverSent = 102 // from a worker's connection: the offer was never sent, and the task never ran
+	CodeNeverSent = 102 // received on a connection to a worker: the offer was never sent, and the task never ran
 )
 
 // Field is one entry of the object "opts" of a message. A numeric value keeps the text that it has on the wire.
--- a/internal/retrytoken/keys.go
+++ b/internal/retrytoken/keys.go
@@ -18,7 +18,7 @@
 	maxSecretSize = 64
 )
 
-// key is a signing key.
+// key is a secret that signs and verifies tokens. A token names its key by the ID.
 type key struct {
 	id     uint32 // result of keyID for the name of the key
 	secret []byte
--- a/internal/retrytoken/redeemed.go
+++ b/internal/retrytoken/redeemed.go
@@ -8,14 +8,15 @@
 
 // Redeemed remembers the most recently redeemed tokens. The zero value remembers none. Its size is bounded:
 // once it remembers maxRedeemed tokens, each new one replaces the oldest of them. If the replaced token
-// is still valid, it could be redeemed again at this orchestrator, but its task still runs at most once.
+// is still valid, it could be redeemed again at this orchestrator. That only restores the client's place on
+// the waitlist again, and does not make the task run a second time.
 type Redeemed struct {
 	nonces map[uint64]struct{} // nonces of the remembered tokens
 	order  []uint64            // nonces in the order of redemption; a ring buffer once it is full
-	oldest int                 // index of the oldest nonce in order
+	oldest int                 // index into order of the oldest nonce
 }
 
-// Redeem remembers a token as redeemed. It returns ErrUsed if the token was redeemed before.
+// Redeem remembers a token as redeemed. It returns ErrUsed if the token is already remembered.
 func (r *Redeemed) Redeem(t *Token) error {
 	if r.nonces == nil {
 		r.nonces = map[uint64]struct{}{}
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -1,6 +1,6 @@
 // Package retrytoken issues and verifies retry tokens and parses the keys that sign them. The retry token of
-// a rejected task states when its client is to return and since when the client is on the waitlist. With
-// the token, any orchestrator that has the key restores the client's place on the waitlist, even if the
+// a rejected task states when its client is to return and since when the client has been on the waitlist.
+// With the token, any orchestrator that has the key restores the client's place on the waitlist, even if the
 // orchestrator has just started and never served the client before.
 //
 // The package is pure: the caller passes in the time, and the package opens no file or connection. An
@@ -35,10 +35,10 @@
 )
 
 const (
-	// EarlyUs is the time, in microseconds, by which a token becomes valid before its slot. It allows for
-	// differences between clocks and between network latencies.
+	// EarlyUs states how long before its slot (Token.SlotUs) a token becomes valid, in microseconds. It allows
+	// for differences between clocks and between network latencies.
 	EarlyUs = 250 * millisecond
-	// LateUs is the time, in microseconds, for which a token stays valid after its slot.
+	// LateUs states how long after its slot a token stays valid, in microseconds.
 	LateUs = 10 * second
 	// maxWaitUs is the maximum time for which a token may claim that its client was on the waitlist, and the
 	// maximum time from the issue of a token to its slot.
@@ -50,9 +50,9 @@
 	Task, Class   string // names of the task and of its class
 	IssuedUs      int64  // time of issue, as Unix time in microseconds
 	SlotUs        int64  // time at which the client is to return, as Unix time in microseconds
-	QueuedSinceUs int64  // time since which the client is on the waitlist, as Unix time in microseconds
+	QueuedSinceUs int64  // time since which the client has been on the waitlist, as Unix time in microseconds
 	Rejections    uint16 // number of rejections of the task so far
-	Nonce         uint64 // differs between tokens of one task
+	Nonce         uint64 // random number that identifies the token; see Redeemed
 }
 
 // Check returns nil if the token is valid for a task of a class at now, a Unix time in microseconds. Otherwise
