--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -23,8 +23,8 @@
 }
 
 // Drainer may be implemented by a Handler. If the kernel does not accept all output of a connection at the first
-// attempt, Drained is called once it has accepted the rest. For a dialled connection, Drained is also called after
-// Opened if no output is left.
+// attempt, Drained is called after it has accepted the rest. Drained may not be called if [Conn.Flush] sends the rest
+// in a later turn. For a dialled connection, Drained is also called after Opened if no output is left.
 type Drainer interface {
 	Drained(c *Conn)
 }
@@ -48,11 +48,11 @@
 	bytesWritten int64
 	bytesSent    int64
 
-	// emptyAt is the [Loop.Clock] time at which the last read that left nothing unread began. Before the first such
-	// read, it is the emptyAt of the listener for an accepted connection, and 0 for a dialled one.
+	// emptyAt is the start time, by [Loop.Clock], of the last read that left no received data in the socket. Before
+	// the first such read, it is the emptyAt of the listener for an accepted connection, and 0 for a dialled one.
 	emptyAt int64
-	// unreadPoll is the number that the last complete poll had when a turn last stopped reading the connection
-	// although received data may have been left, or when the connection was accepted.
+	// unreadPoll is the number of complete polls up to the last time at which a turn may have left received data
+	// unread. The accept of the connection counts as such a time. For a dialled connection, unreadPoll is initially 0.
 	unreadPoll int64
 }
 
@@ -138,10 +138,10 @@
 	c.loop.runAgain = true
 }
 
-// reap closes the descriptors of dropped connections. Outside the dispatch of events it runs at once, so that the
-// close is sent before anything that is written after it. During the dispatch it is deferred until all events are
-// dispatched: the number of a closed descriptor could be reused, and the events of the old connection would go to
-// the new one.
+// reap closes the descriptors of dropped connections. Outside the dispatch of events, drop calls reap at once, so that
+// the close is sent before anything that is written after it. During the dispatch, reap is deferred until all events
+// are dispatched. Otherwise a new connection could get the number of a closed descriptor, and with it the events of
+// the old connection.
 func (l *Loop) reap() {
 	for _, c := range l.unreaped {
 		delete(l.conns, c.fd)
--- a/internal/eventloop/descriptor.go
+++ b/internal/eventloop/descriptor.go
@@ -33,7 +33,7 @@
 func closeFD(fd int) { _ = unix.Close(fd) }
 
 // openSocket opens a non-blocking socket of the address family of addr, and returns it with the parsed addr. If the
-// socket cannot be opened, the error names op as the failed operation.
+// kernel cannot open the socket, the error names op as the failed operation.
 func openSocket(op string, socketType int, addr string) (fd int, sa unix.Sockaddr, err error) {
 	family, sa, err := parseAddr(addr)
 	if err != nil {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -121,14 +121,14 @@
 func (l *Loop) TurnDuration() int64 { return l.turnDuration }
 
 // LastPostAt returns the Unix time, in microseconds, at which the loop last took the functions that other goroutines
-// had posted. The loop takes them once in every turn, even if there are none.
+// had posted. This time advances in every turn, even if no function was posted.
 func (l *Loop) LastPostAt() int64 { return l.lastPostAt }
 
 // FreeDescriptors returns the number of sockets that may still be opened within the budget.
 func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
-// SetMaxBuffered sets the maximum number of output bytes of one connection that the kernel has not accepted. A
-// connection that is over the limit when its output is sent is closed with [ErrOverflow].
+// SetMaxBuffered sets the maximum number of output bytes of one connection that the kernel has not accepted. If more
+// bytes are left after the loop has tried to send them, the connection is closed with [ErrOverflow].
 func (l *Loop) SetMaxBuffered(maxBytes int) { l.maxBuffered = maxBytes }
 
 // RunAgain makes the loop start the next turn without waiting for events.
@@ -169,7 +169,7 @@
 		if complete {
 			l.polls.markProcessed()
 		} else if n == len(events) {
-			events = make([]unix.EpollEvent, 2*len(events)) // makes room for the ready descriptors that were omitted
+			events = make([]unix.EpollEvent, 2*len(events)) // makes room for descriptors that may have been omitted
 		}
 		l.runPosted()
 		l.fireTimers()
@@ -234,8 +234,8 @@
 			c.fail(err)
 			continue
 		}
-		// The kernel may have accepted the rest of the output within the turn. Then no event reports this, so
-		// the handler is notified here.
+		// The kernel may have accepted only now what it did not accept in an earlier flush. No event reports
+		// this, because the descriptor is no longer watched for writability. The handler is therefore notified here.
 		if c.awaitsDrain {
 			c.notifyDrained()
 		}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -50,8 +50,8 @@
 	emptyAt   int64 // time at which the accept queue was last found empty
 }
 
-// Listen accepts connections at addr while admission permits it. It calls accept for the Handler of each connection.
-// It returns the address of the socket, or addr if this is not an IPv4 address.
+// Listen accepts connections at addr while admission permits it. It calls accept to obtain the Handler of each
+// connection. It returns the address of the socket, or addr if the socket has no IPv4 address.
 func (l *Loop) Listen(addr string, admission Admission, accept func() Handler) (string, error) {
 	fd, sa, err := openSocket("listen", unix.SOCK_STREAM, addr)
 	if err != nil {
@@ -80,7 +80,7 @@
 }
 
 // ListenInherited accepts connections in the same way as Listen, but on a listening socket that this process
-// has inherited. It returns the address of the socket, or "" if this is not an IPv4 address.
+// has inherited. It returns the address of the socket, or "" if the socket has no IPv4 address.
 func (l *Loop) ListenInherited(fd int, admission Admission, accept func() Handler) (string, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		//nolint:errorlint // err may be nil, which %w does not print
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -73,9 +73,9 @@
 }
 
 // TestUnwatchableConnectionEndsUnseen checks that the handler of a connection that epoll rejects is not notified. It
-// guards against a fault in which the handler was notified of the close only. In package peer, the count of pending
-// inbound connections, which is incremented in Opened, then fell below zero. Each occurrence raised by one the number
-// of connections that could be pending at the same time.
+// guards against a fault in which the handler was notified of the close only. In package peer, Opened increments the
+// count of pending inbound connections and Closed decrements it. The count then fell below zero, and each such close
+// let one more connection be pending than the limit allows.
 func TestUnwatchableConnectionEndsUnseen(t *testing.T) {
 	loop, err := New(10)
 	if err != nil {
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -1,8 +1,8 @@
 package eventloop
 
-// This file contains the record of past polls. The functions here derive from it when data arrived and up to
-// which time all received data has been read. If a time is uncertain, they return an earlier time, never a
-// later one.
+// This file contains the record of past polls. From this record, EarliestArrival and LastSeenAt compute when data
+// arrived, and up to which time all received data has been read. If the exact time is unknown, they return an
+// earlier one.
 
 // pollHistory counts the complete polls. A poll is complete if it reported all ready descriptors. A poll that
 // was interrupted or that filled its buffer of events does not count as complete, because it may have omitted
@@ -11,7 +11,7 @@
 	count          int64 // complete polls so far; also the number of the last one
 	lastAt         int64 // time at which the last complete poll returned
 	previousAt     int64 // time at which the complete poll before the last one returned
-	processedAt    int64 // time at which the last poll returned that was complete and whose events are all dispatched
+	processedAt    int64 // return time of the last complete poll whose events are all dispatched
 	processedCount int64 // number of the poll that returned at processedAt
 }
 
@@ -26,11 +26,14 @@
 	h.processedAt, h.processedCount = h.lastAt, h.count
 }
 
-// EarliestArrival returns a lower bound of the time at which the data that the handler receives in this turn
-// arrived. The data arrived after the last read that left nothing unread began (emptyAt). If no data can have been
-// left unread after the complete poll before the last one, the data also arrived after that poll returned: the
-// connection was empty if the poll did not report it, and was read until it was empty otherwise. EarliestArrival
-// returns the later of the times that apply, but never a time later than the beginning of this turn.
+// EarliestArrival returns a lower bound of the arrival time of the data that is read in this turn. It never returns a
+// time later than the beginning of this turn.
+//
+// There are two bounds, and the later one counts. The first is emptyAt, because everything that arrived before it was
+// read in earlier turns. The second is the time at which the complete poll before the last one returned. It applies
+// only if no turn since that poll can have left data unread. Then everything that arrived before that poll was read in
+// earlier turns too: a connection that the poll did not report was empty, and one that it reported was then read until
+// it was empty.
 func (c *Conn) EarliestArrival() int64 {
 	polls := &c.loop.polls
 	if polls.count <= c.unreadPoll+1 {
@@ -39,10 +42,10 @@
 	return min(c.loop.now, max(c.emptyAt, polls.previousAt))
 }
 
-// LastSeenAt returns a time up to which everything received from the other side, including a close, has been
-// read. This time is not later than the beginning of the current turn, except if a read has found the
-// connection empty during the turn. It is earlier if a turn did not read all available data or if the poll of this
-// turn was not complete.
+// LastSeenAt returns a time up to which everything received from the other side, including a close, has been read.
+// After the events of a turn are dispatched, this is usually the time at which the turn began. It can be an earlier
+// time if the poll of the turn was not complete or if data may have been left unread. It can be a later time only if
+// a read during the turn left no data in the socket.
 func (c *Conn) LastSeenAt() int64 {
 	if polls := &c.loop.polls; c.unreadPoll < polls.processedCount {
 		return polls.processedAt
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -18,10 +18,9 @@
 	return len(b), nil
 }
 
-// TestEarliestArrival checks the earliest arrival time of a message in two cases. If the message waited in
-// the socket during a long turn, the time is not later than the beginning of that turn. If the message
-// arrived on an idle connection, the time is not before the moment at which the connection was last found
-// empty, which is later than the arrival of the previous message.
+// TestEarliestArrival checks the earliest arrival time of a message in two cases. If the message waited in the socket
+// during a long turn, the time is not later than the beginning of that turn. If the message arrived after a turn in
+// which its connection was idle, the time is not earlier than that turn.
 func TestEarliestArrival(t *testing.T) {
 	loop, onLoop := startLoop(t, 8)
 	handler := &arrivalHandler{make(chan int64, 10)}
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// pollTimeout returns the maximum time to wait for events, in milliseconds. It rounds up, so that the poll does not
-// time out less than a millisecond before the earliest timer expires.
+// pollTimeout returns the maximum time to wait for events, in milliseconds. It rounds this time up. If it rounded down,
+// the loop would spin during the last millisecond before the earliest timer expires.
 func (l *Loop) pollTimeout() int {
 	if l.runAgain {
 		return 0
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -15,8 +15,8 @@
 // BytesBuffered returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) BytesBuffered() int { return len(c.output) }
 
-// Write queues a copy of b, which is sent at the end of the turn, or later if the connection is not established yet.
-// On a closed connection, Write has no effect.
+// Write queues a copy of b. The loop sends it at the end of the turn, or later if the connection is not established or
+// the kernel does not accept the bytes yet. On a closed connection, Write has no effect.
 func (c *Conn) Write(b []byte) {
 	if c.closed {
 		return
@@ -29,10 +29,9 @@
 	}
 }
 
-// Flush passes the output written so far to the kernel at once, before the output of other connections in
-// this turn. It reports whether the kernel accepted all of the output; on a connection that is closed or not
-// established, it returns false. If sending fails, the output stays queued, and an error is reported to the handler
-// when the loop tries to send it at the end of the turn.
+// Flush passes the output written so far to the kernel at once, instead of at the end of the turn. It reports whether
+// the kernel accepted all of the output; on a connection that is closed or not established, it returns false. If
+// sending fails, the output stays queued, and an error is reported to the handler when the loop next tries to send it.
 func (c *Conn) Flush() bool {
 	if c.closed || !c.established {
 		return false
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -149,9 +149,9 @@
 func (h *drainHandler) Closed(*Conn, error)                  {}
 func (h *drainHandler) Drained(*Conn)                        { h.drained <- struct{}{} }
 
-// TestDrainedWithinTheTurn checks a connection whose other side reads the pending output before the end of
-// the turn. The loop then sends the remaining output at the end of the turn. It must notify the handler
-// itself, because no further event will arrive.
+// TestDrainedWithinTheTurn checks that Drained is called if the kernel does not accept all output in a flush, but
+// accepts the rest at the end of the same turn. Here, the other side makes room by reading in between. Then no event
+// reports that the output is drained, so the loop must call Drained when it sends the rest.
 func TestDrainedWithinTheTurn(t *testing.T) {
 	const chunkSize = 64 << 10
 	listener := nettest.Listen(t)
