--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -18,9 +18,9 @@
 	maxNameLength        = 64 // maximum length of names of members, zones and clusters, in bytes
 	maxTraceSuffixLength = 16 // maximum length of a trace suffix in hex digits: the length of a request ID
 
-	// Bounds of the keepalive time of connections to workers. The maximum is limited because a
-	// completion must be reported within 8 s: if the worker's connection is found dead, enough of
-	// this time must be left to report the completion on another connection.
+	// Bounds of the keepalive time of connections to workers. A completion must be reported
+	// within 8 s of the end of its task. The maximum is lower because, if the worker's connection
+	// is found dead, time must be left to report the completion on another connection.
 	minKeepalive = time.Second
 	maxKeepalive = 5 * time.Second
 
@@ -38,8 +38,8 @@
 // repeatable lists the directives that may occur more than once in a section.
 var repeatable = map[string]bool{"member": true, "region": true}
 
-// apply calls the setter of each directive. It returns an error for a section that known does not
-// contain.
+// apply calls the setter of each directive. It returns an error if the name of a section is not a key
+// of the map known.
 func apply(sections []Section, known sectionDirectives) error {
 	for _, s := range sections {
 		setters := known[s.Name.Text]
@@ -235,7 +235,7 @@
 }
 
 // memberZone returns the zone of a member directive, which is the optional third argument, or "". It
-// records the first member without a zone for validate.
+// stores the name of the first member without a zone, because validate reports its position.
 func (p *Peers) memberZone(d Directive) (string, error) {
 	if len(d.Args) < 3 {
 		if p.firstZonelessWord == nil {
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -32,7 +32,7 @@
 	zones     map[string]string // zone of each listed worker, by worker
 	active    shard.Set         // shards in which this orchestrator places tasks
 	wanted    shard.Set         // assigned shards in the zones that were listed so far
-	requested shard.Set         // shards that the poll in flight names, or the last poll if none is in flight
+	requested shard.Set         // shards that the latest poll names
 }
 
 func newShardAssignment(assigned Assignment) *shardAssignment {
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -1,8 +1,8 @@
 package discovery
 
-// This file owns the cursor, which is the number of the last event that was applied, or skipped because it has no list
-// of workers. The functions in this file apply events to the scheduler, to the pool of connections to workers and to
-// the shard assignment. Invariant: events are applied in order, and each at most once.
+// This file owns the cursor: all events with numbers up to the cursor have been processed. The functions in this file
+// apply events to the scheduler, to the pool of connections to workers and to the shard assignment. Events without a
+// list of workers only move the cursor. Invariant: events are applied in order, and each at most once.
 
 import (
 	"ravenhitch/internal/config"
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -1,12 +1,12 @@
 // Package discovery is the client of the discovery service, which lists the workers of a fleet. The wire protocol calls
-// the service the command channel. The package polls discovery with HTTP/1.1 long polls, applies each event that
-// changes the list of workers once and in order, and tracks the shards of workers that are assigned to this
-// orchestrator.
+// the service the command channel. The package polls discovery with HTTP/1.1 long polls and applies the reported
+// changes to the list of workers, in order and each only once. It also tracks the shards of workers that are assigned
+// to this orchestrator.
 package discovery
 
 // This file owns the connection to discovery and the poll in flight. The follower polls continuously, because the
 // orchestrator is expected to know an event as soon as discovery has it. Invariant: the follower never has two polls
-// in flight, never skips an event and never stops polling.
+// in flight, never misses an event and never stops polling.
 
 import (
 	"errors"
@@ -28,8 +28,8 @@
 )
 
 const (
-	// pollBlockMs is the maximum time that discovery blocks a poll until there is an event, if shard assignment is
-	// not enabled. It is in milliseconds, the unit of the poll's parameter "block".
+	// pollBlockMs is the maximum time that discovery blocks a poll while there is no event. It applies if shard
+	// assignment is not enabled. It is in milliseconds, the unit of the poll's parameter "block".
 	pollBlockMs = 1_000
 	// responseSlack is the additional time for the response to a poll to arrive. A poll is abandoned if it is not
 	// answered within its maximum blocking time plus responseSlack.
@@ -51,7 +51,7 @@
 	log           *ratelog.Logger
 	address       string
 	dialTimeoutUs int64
-	cursor        int64            // number of the last event that was applied, or skipped because it has no list
+	cursor        int64            // all events with numbers up to this one have been processed
 	conn          *eventloop.Conn  // connection to discovery, open or being dialled; nil if there is none
 	pollTimer     *eventloop.Timer // abandons the poll in flight
 	redialTimer   *eventloop.Timer // starts the next dial
@@ -71,8 +71,8 @@
 }
 
 // Synced reports whether the follower has been in sync with discovery at least once: discovery has answered a poll, or
-// more than syncDelay has passed since the first poll, which means that discovery had no event to report. The result
-// stays true during a later outage of discovery.
+// more than syncDelay has passed since the first poll. In the second case, the follower assumes that discovery had no
+// event to report. The result stays true during a later outage of discovery.
 func (f *Follower) Synced() bool {
 	return f.hasResponse || f.firstPollAt > 0 && f.loop.Now()-f.firstPollAt > syncDelay
 }
@@ -144,8 +144,8 @@
 // Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. It returns
 // an error, which closes the connection, if the response is invalid or its status is not 200. If bytes follow the
 // response, they belong to no request, because at most one poll is in flight. Data then sends the next poll on a new
-// connection. On the old one, these bytes would be read as the response to the next poll, and each later response
-// would be matched to the poll after its own. Data also uses a new connection if the response does not permit another
+// connection. On the old one, these bytes would be read as the response to the next poll, and all later responses
+// would also be matched to the wrong polls. Data also uses a new connection if the response does not permit another
 // request on the old one.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
--- a/internal/discovery/follower_assignment.go
+++ b/internal/discovery/follower_assignment.go
@@ -1,8 +1,8 @@
 package discovery
 
-// This file owns the follower's part of the shard assignment: the follower accepts a new assignment, applies listed
-// workers to it, and publishes to the dispatcher and to the pool of connections to workers which workers are in active
-// shards. Invariant: a worker in a shard that is not active in shardAssignment is never published.
+// This file owns the follower's part of the shard assignment: the follower accepts a new assignment and applies listed
+// workers to it. It publishes the set of workers in active shards to the dispatcher and to the pool of connections to
+// workers. Invariant: a worker in a shard that is not active in shardAssignment is never published.
 
 import (
 	"ravenhitch/internal/config"
@@ -25,7 +25,7 @@
 	}
 }
 
-// updateAssignment applies a list of workers to the assignment. It does nothing if assignment is not enabled.
+// updateAssignment applies a list of workers to the assignment. It does nothing if shard assignment is not enabled.
 func (f *Follower) updateAssignment(workers []config.Worker, complete bool) {
 	if f.assignment != nil && f.assignment.update(workers, complete) {
 		f.publishAssignment()
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -23,9 +23,9 @@
 // It applies even if discovery does not respond on the connection of the poll in flight.
 const recoveryLimit = 2 * second
 
-// TestUnresponsiveChannelIsPolledInTime asserts that the timeouts of a poll add up to less than recoveryLimit if shard
-// assignment is not enabled. If the poll in flight is never answered and its connection stays open, only the timer of
-// the poll detects the failure.
+// TestUnresponsiveChannelIsPolledInTime asserts that the maximum blocking time of a poll, responseSlack and redialDelay
+// add up to less than recoveryLimit if shard assignment is not enabled. If the poll in flight is never answered and its
+// connection stays open, only the timer of the poll detects the failure.
 func TestUnresponsiveChannelIsPolledInTime(t *testing.T) {
 	if longest := pollBlockMs*millisecond + responseSlack + redialDelay; longest >= recoveryLimit {
 		t.Errorf("a poll without a response is abandoned and repeated after %d us, want less than %d us",
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestResponseGarbage asserts that the parser handles a response with randomly overwritten bytes without a panic and
-// with a valid number of used bytes, and that it rejects malformed responses.
+// TestResponseGarbage overwrites bytes of a response at random. It asserts that the parser does not panic and that it
+// returns a valid number of used bytes. It also asserts that the parser rejects malformed responses.
 func TestResponseGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n")
@@ -94,7 +94,7 @@
 		{"chunk size not a number", chunked + "zz\r\n", "chunk size", "zz"},
 		{"chunk size over the limit", chunked + "200001\r\n", "chunk size", "200001"},
 		{"chunk line over the limit", chunked + strings.Repeat("0", maxChunkLine+1), "chunk size", ""},
-		{"chunk without its end", chunked + "1\r\nabc", "chunk", "bc"},
+		{"no line end after chunk data", chunked + "1\r\nabc", "chunk", "bc"},
 		{"chunks over the limit", chunked + "1\r\na\r\n200000\r\n", "chunked body", ""},
 		{"trailers over the limit", chunked + "0\r\n" + strings.Repeat("x", maxHead+1), "trailers", ""},
 	} {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -24,7 +24,7 @@
 	reader *bufio.Reader
 	pages  [maxPages]page
 	line   int    // number of the last line read, counted from 1
-	seq    string // sequence number of the last batch whose first line was read, "-" before the first batch
+	seq    string // sequence number of the last batch whose first line was valid, "-" before the first batch
 }
 
 // page is a list of workers that ENDPOINTS messages refer to.
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -106,7 +106,7 @@
 		"ends in a batch": {"BATCH 1 1\nBELL 3 a\n", "unexpected EOF"},
 		"ends in a line":  {"BATCH 1 1\nBELL 3", "unexpected EOF"},
 		"bad setting":     {"BATCH 1 1\nENLIST 3 1 FleetSize=many\nFLUSH\n", "FleetSize"},
-		"unequal lists":   {"BATCH 1 1\nENLIST 3 1 " + settingsText + " FamilyInfo.ClassMost=1\nFLUSH\n", "ClassMost"},
+		"list too short":  {"BATCH 1 1\nENLIST 3 1 " + settingsText + " FamilyInfo.ClassMost=1\nFLUSH\n", "ClassMost"},
 		"unknown effect":  {"BATCH 1 1\nENLIST 3 1 " + settingsText + " RequestClasses.0.Semantics=odd\nFLUSH\n", "Semantics"},
 	} {
 		_, err := NewDecoder(strings.NewReader(test.in)).Next()
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -1,13 +1,13 @@
 package simwire
 
-// This file contains the errors of the package. Command simadapter prints their texts on standard error. If
-// the configuration has an invalid setting, the text of the SettingError is also reported to operators.
+// This file contains the errors of the package. Command simadapter prints their texts on standard error. Command
+// ravenhitch reports the text of a SettingError to operators if its configuration has an invalid setting.
 
 import "fmt"
 
 // SyntaxError reports where the input is malformed or cannot be read.
 type SyntaxError struct {
-	Batch string // sequence number of the last batch whose first line was read, "-" before the first batch
+	Batch string // sequence number of the last batch whose first line was valid, "-" before the first batch
 	Line  int    // line number, starting at 1
 	Err   error
 }
--- a/internal/simwire/settingsreader.go
+++ b/internal/simwire/settingsreader.go
@@ -87,8 +87,7 @@
 	return numbers
 }
 
-// scope returns the scope that value names. If there is no such scope, the stored error names path as the
-// invalid setting.
+// scope returns the scope that value names. If there is no such scope, it calls fail for the setting at path.
 func (r *settingsReader) scope(path, value string) placement.Scope {
 	scope, known := scopes[value]
 	if !known {
