--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// run reads batches from in and writes the reply to each batch to out. It returns nil if in ends between
-// batches.
+// run reads batches from in and writes the reply to each batch to out. It returns nil if the input ends
+// between batches.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	a := &adapter{schedulers: map[int]*placement.Scheduler{}, encoder: simwire.NewEncoder(out)}
@@ -45,8 +45,8 @@
 	encoder    *simwire.Encoder
 }
 
-// pendingEvents contains the events of a batch, grouped by instance. Its field order lists the instances in
-// the order of their first event.
+// pendingEvents contains the events of a batch, grouped by instance. The field named order
+// lists the instances by the position of their first event that was not dropped.
 type pendingEvents struct {
 	order  []int
 	events map[int][]placement.Event
@@ -67,8 +67,8 @@
 }
 
 // reply handles a batch and writes the reply. It first starts and stops instances, and drops the events of
-// an instance that precede its start or stop in the batch. It then passes the other events to each instance
-// in their order in the batch, and writes the resulting actions.
+// an instance that precede its start or stop in the batch. It then passes the remaining events of each
+// instance to its scheduler, in the order of the batch, and writes the resulting actions.
 func (a *adapter) reply(batch simwire.Batch) error {
 	pending := pendingEvents{events: map[int][]placement.Event{}}
 	for _, item := range batch.Items {
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -32,7 +32,7 @@
 // callForms lists the valid calls for error replies.
 const callForms = "HEALTH, DUMP, PEERS, OFFLINE ID or ONLINE ID"
 
-// Call is one admin call.
+// Call is one operation that an operator asks the orchestrator to carry out.
 type Call struct {
 	Verb Verb
 	ID   string // ID of the worker, for Offline and Online
--- a/internal/admin/cordons.go
+++ b/internal/admin/cordons.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// The first and the last line of the file. A truncated file lacks the last line.
+// The first and the last line of the file. A truncated file does not end with the complete last line.
 const (
 	cordonsHeader  = "ravenhitch minions out by hand, 1"
 	cordonsTrailer = "end"
@@ -42,8 +42,8 @@
 	return []byte(strings.Join(append(lines, cordonsTrailer, ""), "\n"))
 }
 
-// CordonsError reports an invalid line in the file of cordoned workers. If the first line of the file is
-// not the header or the last one not the trailer, Line is the line at which the file ends.
+// CordonsError reports an invalid line in the file of cordoned workers. If the file does not begin with the
+// complete header line and end with the complete trailer line, Line is the line at which the file ends.
 type CordonsError struct {
 	Path string
 	Line int
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -5,7 +5,8 @@
 
 import "encoding/json"
 
-// Class counts the final responses to requests of one class since the orchestrator started.
+// Class counts the requests of one class since the orchestrator started, by their final response. Requests
+// that a front rejects without passing them to the dispatcher are not counted.
 type Class struct {
 	OK     int64 `json:"ok"`     // number of started requests
 	Shed   int64 `json:"shed"`   // number of rejected requests
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// ErrConfig is wrapped by every error about the configuration, a list of workers or the operators'
-// file.
+// ErrConfig is wrapped by every error of this package about the configuration file, a list of workers or
+// the operators' file.
 var ErrConfig = errors.New("configuration")
 
 // ErrLineFile is wrapped by every error about the content of a line-based file: the operators' file,
@@ -20,7 +20,7 @@
 type PositionError struct {
 	File         string
 	Line, Column int    // line and column, counted from 1; the column counts bytes
-	Want, Got    string // expected and received text; Got is "" if there is no text to quote
+	Want, Got    string // Want describes the expected text; Got is the received text, "" if the error quotes none
 }
 
 // Error implements error.
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -7,7 +7,7 @@
 )
 
 // Error texts equal the texts of the build of 1 December 2026 byte for byte, because operators know
-// them. The errors also identify the invalid field or worker.
+// them. A *FieldError names the invalid field, and a *WorkerError names the invalid worker.
 func TestErrorTextsOfConfiguration(t *testing.T) {
 	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + workerJSON + `]}}]}`
 	const addr = "127.0.0.1:1"
--- a/internal/config/flatten.go
+++ b/internal/config/flatten.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// flattenArray appends the pairs of the array at path to pairs. An array of objects becomes a pair
-// with its length, and the pairs of each object at the path that ends in the object's index. Any other
-// array becomes one pair with the items separated by commas.
+// flattenArray appends the pairs of the array at path to pairs. An array of objects becomes a pair for its
+// length, such as RequestClasses.count=2, and the pairs of each object. The index of the object is part of their
+// paths, as in RequestClasses.0.Name. Any other array becomes one pair with the items separated by commas.
 func flattenArray(path string, items []gjson.Result, pairs *[]string) {
 	if len(items) > 0 && items[0].IsObject() {
 		*pairs = append(*pairs, join(path, "count")+"="+strconv.Itoa(len(items)))
@@ -51,8 +51,8 @@
 	*pairs = append(*pairs, path+"="+strings.Join(scalars, ","))
 }
 
-// join returns path extended by name after a dot, or name alone if path is empty. The empty path is that
-// of the settings as a whole.
+// join returns path, a dot and name. If path is empty, as it is for the settings as a whole, join returns
+// name alone.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -60,8 +60,8 @@
 	return path + "." + name
 }
 
-// separators replaces spaces and commas in a single value by underscores, because they separate pairs
-// and the items of an array on the simulator's wire.
+// separators replaces spaces and commas in a single value by underscores. On the simulator's wire, a space
+// separates two pairs, and a comma separates two items of an array.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
 // scalar returns a value in the simulator's wire format, in which "-" stands for null.
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -17,7 +17,7 @@
 	maxLineLength = 4 << 10 // bytes, without the line ending
 )
 
-// Word is a word of a line-based file and its position.
+// Word is a name or an argument in a line-based file, without its quotes, and its position.
 type Word struct {
 	Text         string
 	File         string
--- a/internal/config/linefile_test.go
+++ b/internal/config/linefile_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// FuzzLines checks two properties. For any text with an error, the error names a line of the text. For
-// any other text, the parsed sections are written as text; if that text contains no carriage return,
-// parsing it gives sections that checkSameSection accepts as the same.
+// FuzzLines checks two properties. If a text cannot be parsed, the error names a line of the text. If it can
+// be parsed, its sections are written as a second text, and parsing the second text gives sections that
+// checkSameSection accepts. A second text with a carriage return is not parsed.
 func FuzzLines(f *testing.F) {
 	for _, text := range []string{
 		"[a]\nb c # d\n", "[a]\nb \"c d\"\n", "[", "\"", "[a]\n[a]", "[a] b", "x",
@@ -25,7 +25,7 @@
 		}
 		written := writeSections(sections)
 		if strings.ContainsAny(written, "\r") {
-			return // not compared: the parser drops a carriage return before a line feed as part of the line ending
+			return // carriage returns are outside this check; the parser drops one that precedes a line feed
 		}
 		again, err := ParseLines("f", []byte(written))
 		if err != nil {
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -52,16 +52,16 @@
 	Zone            string // zone of this orchestrator, "" for the zone of the configuration
 	Directory       string // path of the directory that stores the number of process starts, or ""
 	Members         []PeerAddress
-	// Partition divides the workers among the live orchestrators: each orchestrator places tasks
-	// only on its own workers, and asks discovery only for the free capacity of these workers.
+	// Partition divides the workers among the live orchestrators. Each orchestrator places tasks only
+	// on the workers assigned to it, and asks discovery to report free capacity only for these workers.
 	Partition bool
 	// Regions maps zones to their regions. The workers of a zone are divided among the
 	// orchestrators of its region. All zones without an entry form one region together.
 	Regions map[string]string
 
-	// Words whose positions validate reports in its errors: the name of the directive
-	// partition, the name of the first directive region, and the name of the first member
-	// without a zone. Each is nil if the file contains no such word.
+	// The method validate uses the positions of these words in its errors. They are the name of
+	// the directive partition, the name of the first directive region, and the name of the first
+	// member without a zone. Each is nil if the file contains no such word.
 	partitionWord, firstRegionWord, firstZonelessWord *Word
 }
 
@@ -79,8 +79,8 @@
 
 // Backpressure configures Retry-After.
 type Backpressure struct {
-	FixedRetryAfter      time.Duration // Retry-After of all clients; 0: derived from the reserved slot of each client
-	MinRetryAfter        time.Duration // lower bound of a Retry-After that is derived from a reserved slot
+	FixedRetryAfter      time.Duration // Retry-After of all clients; 0: computed for each client
+	MinRetryAfter        time.Duration // lower bound of a computed Retry-After; see backpressure.Settings for exceptions
 	MaxRememberedClients int           // maximum number of rejected clients remembered; 0: default of package backpressure
 }
 
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -28,9 +28,10 @@
 	}
 }
 
-// The file deploy/ravenhitch.conf and a missing file give the defaults. The directives of the text are
-// parsed as written. Each error is one line that names the position or the section, and the expected
-// text. A path that ends in .json gives an error that refers to deploy/ravenhitch.conf.
+// The file deploy/ravenhitch.conf and a missing file give the defaults. Directives set the values that are
+// written in the file, and the other settings keep their defaults. Each error is one line that names the
+// position or the section, and the expected text. A path that ends in .json gives an error that refers to
+// deploy/ravenhitch.conf.
 func TestOperatorsFile(t *testing.T) {
 	metrics := Metrics{Prefix: "ravenhitch", IntervalMs: 10_000}
 	defaults := OperatorSettings{Graphite: metrics, Collectd: metrics}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -27,7 +27,7 @@
 	Seed                        uint64
 	MemoryMB, Sockets           int64 // limits of the process: memory in MB and number of sockets; 0 if missing
 	DialTimeoutUs               int64
-	ConnIdleUs                  int64 // idle time after which a client's connection is closed; 0: never
+	ConnIdleUs                  int64 // idle time after which a connection of a JSON lines client is closed; 0: never
 	Initial                     Update
 	Settings                    placement.Settings
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -85,14 +85,14 @@
 	kindWithoutSize := strings.Replace(nested, "[26,63]", "[26]", 1)
 	for name, bad := range map[string]string{
 		"empty": "", "truncated": `{"name":`, "no listen": configText("", "127.2.0.1:1", "1", known, nested),
-		"listen without port": configText("127.0.0.1", "127.2.0.1:1", "1", known, nested),
-		"no channel":          configText("127.0.0.1:1", "", "1", known, nested),
-		"seed":                configText("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
-		"no known":            configText("127.0.0.1:1", "127.2.0.1:1", "1", "null", nested),
-		"phase":               configText("127.0.0.1:1", "127.2.0.1:1", "1", unknownPhase, nested),
-		"no settings":         configText("127.0.0.1:1", "127.2.0.1:1", "1", known, "[]"),
-		"a class's effect":    configText("127.0.0.1:1", "127.2.0.1:1", "1", known, unknownEffect),
-		"kinds":               configText("127.0.0.1:1", "127.2.0.1:1", "1", known, kindWithoutSize),
+		"listen without port":  configText("127.0.0.1", "127.2.0.1:1", "1", known, nested),
+		"no channel":           configText("127.0.0.1:1", "", "1", known, nested),
+		"seed not hexadecimal": configText("127.0.0.1:1", "127.2.0.1:1", "x", known, nested),
+		"no known":             configText("127.0.0.1:1", "127.2.0.1:1", "1", "null", nested),
+		"unknown phase":        configText("127.0.0.1:1", "127.2.0.1:1", "1", unknownPhase, nested),
+		"no settings":          configText("127.0.0.1:1", "127.2.0.1:1", "1", known, "[]"),
+		"unknown effect":       configText("127.0.0.1:1", "127.2.0.1:1", "1", known, unknownEffect),
+		"kind without a size":  configText("127.0.0.1:1", "127.2.0.1:1", "1", known, kindWithoutSize),
 	} {
 		if _, err := Parse([]byte(bad)); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line that wraps ErrConfig", name, err)
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -23,7 +23,7 @@
 	InvalidWorkers []error // one for each worker left out: a *WorkerError, or another error if its ID is missing
 }
 
-// Event is one numbered event of discovery.
+// Event is one event of discovery, which may contain a list of workers. Cursor is its number.
 type Event struct {
 	Cursor   int64
 	HasList  bool // the event contains a list of workers
