--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -20,7 +20,7 @@
 	InspectionTime   [2]time.Duration // minimum and maximum time from taking an offer off the queue to deciding on it
 	QueueLength      int              // maximum number of offers that wait for inspection
 	MaxStarting      int              // maximum number of tasks that start at the same time, 1 if it is 0
-	// A worker that started at UpSince first starts tasks at the fraction ColdStartRate of full speed. Its speed
+	// The speed at which the worker starts tasks is the fraction ColdStartRate of full speed at UpSince. It then
 	// rises linearly and reaches full speed after SlowStart. During slow start, the worker stops responding to offers
 	// for good if too many arrive within OverloadWindow: more than InitialBudget offers, and also more than
 	// FallMultiple times the number of tasks that the worker can start in OverloadWindow at its current speed.
@@ -115,7 +115,7 @@
 }
 
 // offered queues an offer for inspection, or rejects it if the queue is full. If the description of the task is
-// invalid, offered reports that the task failed. An overloaded worker ignores all other offers.
+// invalid, offered reports that the task failed. An overloaded worker ignores every offer with a valid description.
 func (m *CapacityModel) offered(conn net.Conn, line Line) {
 	m.observer.Offered(m.Name, line.Tag)
 	m.mu.Lock()
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -8,7 +8,7 @@
 
 // This file owns the stand-in client's connection. It must never reconnect by itself.
 
-// maxUnread is the maximum number of messages that a stand-in buffers until the test receives them.
+// maxUnread is the capacity of each channel in which a stand-in buffers received messages.
 const maxUnread = 1000
 
 // Client is the connection of a stand-in client.
--- a/internal/testbed/conditions.go
+++ b/internal/testbed/conditions.go
@@ -10,9 +10,9 @@
 	Cut                      bool          // datagrams are lost and connections stall, without an error on either side
 	Refuse                   bool          // new connections are refused, open ones are reset, and datagrams are lost
 	Delay, Jitter            time.Duration // the delay is Delay plus a random time of at most Jitter
-	Loss, Duplicate, Reorder float64       // fractions of datagrams that are lost, sent twice, delayed past later datagrams
+	Loss, Duplicate, Reorder float64       // fractions of datagrams that are lost, sent twice, or overtaken by later ones
 	Bandwidth                int           // in bytes per second, 0 for no limit
-	Flap                     time.Duration // length of each alternating cut and open period, 0 for none
+	Flap                     time.Duration // length of each cut period and each open period, 0 for no flapping
 	FlapSince                time.Time     // start of the first cut period
 }
 
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// This file owns the configuration of the orchestrators that test rigs start: their classes
+// This file owns the configuration of the orchestrators that tests and rehearsals start: their classes
 // and limits. The names of the settings are defined by the program.
 
 // Deployment is the configuration that all orchestrators of a rig share.
 type Deployment struct {
 	Orchestrators int
 	MaxRetryAfter time.Duration // maximum Retry-After that rejected clients get
-	Deadline      time.Duration // deadline of all classes, 0 for 5 to 10 s by class
+	Deadline      time.Duration // deadline of all classes; if it is 0, each class has its default of 5 to 10 s
 	DrainGrace    time.Duration // time for which a draining worker may get offers, 0 for 2 s
 	Sockets       int           // socket limit of each orchestrator, 0 for 1024
 	MemoryMB      int           // memory limit of each orchestrator in MB, 0 for 192
 }
 
-// Limits and deadlines for the fields of a Deployment that are zero.
+// Default values for the fields of a Deployment that are zero.
 const (
 	defaultSockets    = 1024
 	defaultMemoryMB   = 192
@@ -31,8 +31,8 @@
 
 // deadlineUs returns the deadline of a class in microseconds: the deployment's deadline, or the
 // default of the class if the deployment has none.
-func (d Deployment) deadlineUs(class time.Duration) int64 {
-	return cmp.Or(d.Deadline, class).Microseconds()
+func (d Deployment) deadlineUs(classDefault time.Duration) int64 {
+	return cmp.Or(d.Deadline, classDefault).Microseconds()
 }
 
 // zones is the number of zones. Orchestrators are assigned to them round-robin.
@@ -56,9 +56,10 @@
 		d.deadlineUs(webDeadline), d.deadlineUs(relayDeadline), d.deadlineUs(cutDeadline))
 }
 
-// Config returns the configuration of the orchestrator with the given index as JSON. The orchestrator takes its
-// initial list of workers from discovery and polls for later events at the address channel. It serves clients at the
-// address listen, and admin calls at the address mgmt, or none if mgmt is "".
+// Config returns the configuration of the orchestrator with the given index as JSON. The configuration contains the
+// current events of discovery as the initial list of workers. The orchestrator polls for later events at the address
+// channel. It serves clients at the address listen and admin calls at the address mgmt. If mgmt is "", it serves no
+// admin calls.
 func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed,
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -22,11 +22,11 @@
 	Server *httptest.Server
 	Polls  chan int // receives, for each poll, the number of the last event that the caller has applied
 	mu     sync.Mutex
-	added  chan struct{} // closed and replaced when an event is added
+	added  chan struct{} // closed and replaced by each call of Add
 	events []string
 }
 
-// NewDiscovery starts a server without events. The server is closed at the end of the test.
+// NewDiscovery starts a server without events. The server is closed at the end of the test or rehearsal.
 func NewDiscovery(t Host) *Discovery {
 	d := &Discovery{added: make(chan struct{}), Polls: make(chan int, maxPolls)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.poll))
@@ -68,8 +68,8 @@
 	return len(d.events), d.added
 }
 
-// InitialList returns the response to a poll. The number after states how many events the caller has already applied;
-// the response contains the later events.
+// InitialList returns the response to a poll by an orchestrator that has already applied a number of events, given by
+// the argument after. The response contains the later events.
 func (d *Discovery) InitialList(after int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -45,7 +45,7 @@
 	return Line{Verb: verb, Tag: requestID, Opts: map[string]string{}, RC: &rc}
 }
 
-// RequestID returns the request ID for a number: its 16 hexadecimal digits.
+// RequestID returns the request ID for a number: the number in hexadecimal, padded with zeros to 16 digits.
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // StartLine returns the submission of a task that requests one core and two units of memory. The deadline is leftMs
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -10,9 +10,8 @@
 	"time"
 )
 
-// This file owns the network between processes: the relays, one for each ordered pair of
-// processes, and the conditions of each direction. It must never forward data itself; the
-// relays do.
+// This file owns the network between processes: the relays, one for each path from one process to
+// another, and the conditions of each direction. It must never forward data itself; the relays do.
 
 const (
 	firstPort    = 20_000 // lowest port used; all ports used are below the range of ephemeral ports
@@ -44,7 +43,7 @@
 	changedAt  map[direction]time.Time // when the conditions of a direction last changed
 	closed     bool
 	// Passed is the number of forwarded datagrams and of forwarded reads from connections. Stopped is the number of
-	// lost datagrams and of reads whose data a cut held back until its end.
+	// dropped datagrams and of reads whose data was held back by a cut.
 	Passed, Stopped atomic.Int64
 }
 
@@ -62,8 +61,8 @@
 }
 
 // Relay opens the path from one process to another. It returns the address that the sending process uses for the
-// receiving process, both for connections and for datagrams. Datagrams pass at once, but connections are accepted
-// only after the next call of SetAddress, Set or Heal.
+// receiving process, both for connections and for datagrams. If the receiving process already has a listen address,
+// datagrams pass at once, but connections are refused until the next call of SetAddress, Set or Heal.
 func (n *Network) Relay(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -16,7 +16,7 @@
 // This file owns the processes of the program that tests and rehearsals start: their start,
 // log, signals and end. It must never signal a process that it did not start.
 
-// Process is a process of the program. It may be restarted after it has ended.
+// Process runs the program as a child process, which may be restarted after it has ended.
 type Process struct {
 	Name, Bin string
 	Args, Env []string
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -24,7 +24,7 @@
 )
 
 // relay forwards datagrams and connections from one process to another. Data that the receiver sends back on
-// these connections passes in the reverse direction.
+// these connections is subject to the conditions of the reverse direction.
 type relay struct {
 	direction
 	network   *Network
--- a/internal/testbed/sockets.go
+++ b/internal/testbed/sockets.go
@@ -10,8 +10,8 @@
 // This file owns the ways in which stand-ins end sockets: an orderly close, a reset, or the
 // refusal of connections.
 
-// CloseQuietly closes a socket or another resource of a stand-in. It ignores the error of Close:
-// the resource is closed even if it was closed before or its peer has disconnected.
+// CloseQuietly closes a socket or another resource of a stand-in. It ignores the error of Close, which
+// is expected if the resource was closed before or its peer has disconnected.
 func CloseQuietly(c io.Closer) { _ = c.Close() }
 
 // ResetConnection closes a TCP connection with a reset.
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,8 +1,8 @@
-// Package testbed provides the stand-ins for tests and rehearsals: workers, discovery and
-// clients that use the JSON lines protocol, and the network between orchestrators with injected
-// faults. The stand-ins implement the protocol's specification with libraries that the program
-// itself does not use for the protocol. A stand-in owns its listeners and closes them at the end
-// of the test. It must never be part of an orchestrator that serves clients.
+// Package testbed provides stand-ins for tests and rehearsals: workers and clients that use the JSON
+// lines protocol, discovery, and a network between processes into which faults can be injected. The
+// stand-ins implement the protocol's specification with libraries that the program itself does not use
+// for the protocol. A stand-in owns its listeners and closes them at the end of the test or rehearsal.
+// An orchestrator that serves clients must never run a stand-in.
 package testbed
 
 import "time"
@@ -19,11 +19,11 @@
 	Fatalf(format string, args ...any)
 }
 
-// Timeout is the maximum time for which a test waits for an event.
+// Timeout is the maximum time for which a test or a rehearsal waits for one event.
 const Timeout = 10 * time.Second
 
 // Wait receives a value from a channel. It fails the test if the channel is closed or no value arrives within
-// Timeout. The text what describes the expected event in the failure message.
+// Timeout. The failure message starts with the argument what, which describes the expected event.
 func Wait[T any](t Host, what string, c <-chan T) T {
 	t.Helper()
 	select {
@@ -38,6 +38,6 @@
 	panic("not reached")
 }
 
-// errorPrefix is the prefix of the package's errors. It is the package's former name and must not
-// change because the rehearse sub-command prints it.
+// errorPrefix is the prefix of errors from processes and from the network. It is the package's former
+// name and must not change because the rehearse sub-command prints these errors.
 const errorPrefix = "standin"
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -21,15 +21,16 @@
 // Otherwise the script that the task's key names determines the response (see answerByScript).
 type Worker struct {
 	Name    string
-	Kind    string    // kind in the worker's list entry, "std" unless the test sets it
+	Kind    string    // kind in the worker's list entry, "std" by default
 	Offers  chan Line // received offers, in order; only without a CapacityModel
 	Cancels chan Line // received cancels and releases, in order; only without a CapacityModel
-	// LostOffers receives each offer whose connection closed before the orchestrator cancelled the offer or released
-	// its task, because closing a connection cancels its open offers. This includes offers to which the worker
-	// responded. If maxLostOffers offers are waiting in the channel, further offers are dropped.
+	// LostOffers receives each offer whose connection ended before the orchestrator cancelled the offer or released
+	// its task. This includes offers to which the worker responded. Closing a connection cancels its open offers, so
+	// these offers appear here and not in Cancels. If maxLostOffers offers are waiting in the channel, further offers
+	// are dropped.
 	LostOffers chan Line
-	// Attempts records the attempts at this worker. It must be set before the first connection;
-	// nil records nothing.
+	// Attempts records the attempts at this worker. It must be set before the first connection and
+	// before a call of NewProxy; nil records nothing.
 	Attempts *AttemptLog
 
 	host         Host
@@ -51,7 +52,7 @@
 	pings            int                 // number of pings received
 }
 
-// NewWorker starts a worker without a CapacityModel. The worker is closed at the end of the test.
+// NewWorker starts a worker without a CapacityModel. The worker is closed at the end of the test or rehearsal.
 func NewWorker(t Host, name string) *Worker { return newWorker(t, name, nil) }
 
 func newWorker(t Host, name string, model *CapacityModel) *Worker {
@@ -148,8 +149,8 @@
 	w.connectionEnds = append(w.connectionEnds, time.Now())
 	maps.DeleteFunc(w.offerConnections, func(_ string, offered net.Conn) bool { return offered == conn })
 	w.mu.Unlock()
-	// A proxy has already recorded the close of its connection. The worker records the close again because it may
-	// have read another offer since the proxy's record.
+	// If the orchestrator closed its connection to a proxy, the proxy has recorded the close. The worker records it
+	// again because it may have read another offer since then.
 	w.Attempts.connectionClosed(conn.RemoteAddr().String())
 	for _, line := range open {
 		select {
