--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -16,7 +16,7 @@
 const (
 	submissionPause = 5 * time.Millisecond // pause of a client between a response and its next task
 	redialPause     = 20 * submissionPause // pause of a client after a failed dial
-	clientTimeoutMs = 5000                 // timeout of a request, in milliseconds
+	clientTimeoutMs = 5000                 // time from the submission of a request to its deadline, in milliseconds
 	tasksClass      = "guide-web"
 	releaseCode     = 16 // code of the FINISH message by which a client releases a task
 )
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -21,11 +21,11 @@
 	// restartGrace is the time after the start of an orchestrator during which neither its reports that others are
 	// dead nor reports that it is dead count as false.
 	restartGrace = 3 * time.Second
-	// maxDetection is a limit for the absence of an orchestrator. If the absence is longer, every other orchestrator
-	// that runs in the last sample must have reported the absent one dead during the absence.
+	// maxDetection is the duration above which the latest absence of an orchestrator must be detected: every other
+	// orchestrator that runs in the last sample must have reported the absent one dead during the absence.
 	maxDetection = 9 * time.Second
-	// minAsymmetricCut is a limit for cuts of only one direction of a path. A cut that lasts longer must be reported
-	// by one end of the path, unless the schedule stopped either end.
+	// minAsymmetricCut is the duration above which a cut of only one direction of a path must be detected: at least
+	// one end of the path must report it. A cut is exempt if the schedule stopped either end.
 	minAsymmetricCut = 8 * time.Second
 )
 
@@ -158,9 +158,9 @@
 		(unreachable.IsZero() || s.at.Sub(unreachable) > partitionGrace)
 }
 
-// evaluateDetection counts the changes of views and collects the times in which the orchestrators that run in the
-// last sample detected stopped orchestrators. It counts a missed detection for each of them that did not report an
-// orchestrator dead during an absence longer than maxDetection.
+// evaluateDetection counts the changes of views. For each stopped orchestrator, it also collects the detection times of
+// the other orchestrators that run in the last sample. If such an orchestrator did not report the stopped one dead
+// during an absence longer than maxDetection, evaluateDetection counts a missed detection.
 func (e *evaluation) evaluateDetection() {
 	for reporter, latest := range e.latestView {
 		e.verdict.ViewChanges += latest - e.firstView[reporter]
--- a/internal/testbed/fleet/orchestrator.go
+++ b/internal/testbed/fleet/orchestrator.go
@@ -165,8 +165,8 @@
 	return f.network.SetAddress(o.Name, forPeers)
 }
 
-// hasRun reports whether an orchestrator has run without a pause since the given time, and no signal that ends
-// it has been sent.
+// hasRun reports whether an orchestrator has run without a pause since the given time. It returns false as soon as the
+// schedule begins to end the process.
 func (o *Orchestrator) hasRun(since time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -49,7 +49,7 @@
 	applied  []appliedStep
 }
 
-// New starts a fleet in three zones. The host's cleanup shuts it down.
+// New starts a fleet and assigns its orchestrators to three zones round-robin. The host's cleanup shuts the fleet down.
 func New(h testbed.Host, o Options) *Fleet {
 	h.Helper()
 	f := &Fleet{host: h, network: testbed.NewNetwork(o.Seed), stop: make(chan struct{})}
--- a/internal/testbed/fleet/steps.go
+++ b/internal/testbed/fleet/steps.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// RunSchedule executes the steps of a schedule at their times and returns once the given length has passed since the
-// call. If a step fails, RunSchedule reports the error to the host and continues.
+// RunSchedule executes the steps of a schedule at their times. It returns after the last step, but not before the given
+// length has passed since the call. If a step fails, RunSchedule reports the error to the host and continues.
 func (f *Fleet) RunSchedule(steps []testbed.Step, length time.Duration) {
 	begin := time.Now()
 	for _, step := range steps {
--- a/internal/testbed/hollow/byte_counters.go
+++ b/internal/testbed/hollow/byte_counters.go
@@ -4,7 +4,7 @@
 
 // This file implements connections and listeners that count bytes.
 
-// ByteCounters counts the bytes that a hollow worker, a client or a server receives and sends.
+// ByteCounters counts the bytes received and sent on the connections that Wrap returns.
 type ByteCounters struct{ Received, Sent counter }
 
 // Wrap returns a connection that reads and writes conn and adds the bytes to b.
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// publishChanges adds an event with the entries that changed since the last event, unless publishing is paused.
+// publishChanges adds an event with the changed entries that are not published yet. It does nothing if there are none
+// or if publishing is paused.
 func (d *Discovery) publishChanges() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -14,9 +14,9 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file tests hollow workers and their discovery through the interfaces that orchestrators use.
+// This file tests hollow workers and their discovery, mostly through the interfaces that orchestrators use.
 
-// countingObserver is an Observer that counts its notifications.
+// countingObserver counts the accepted and the lost tasks and queues the request ID of each ended task.
 type countingObserver struct {
 	mutex          sync.Mutex
 	accepted, lost int
@@ -298,7 +298,7 @@
 	}
 }
 
-// A poll may allow changes of only free capacity to be delayed. They then wait until the end of the poll, and
+// A poll may allow discovery to delay changes of free capacity. The changes then wait until the end of the poll, and
 // only the latest entry of each worker is sent. A change of state is sent at once, together with the waiting
 // changes.
 func TestDiscoveryDelaysCapacity(t *testing.T) {
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -35,11 +35,11 @@
 	listener        net.Listener
 	connections     map[*connection]bool
 	tasks           map[string]*runningTask // by request ID
-	unreported      []completion            // recent completions, sent again on each new connection
+	unreported      []completion            // recent completions, also sent on each new connection
 	requestedCores  float64
 	requestedMemory float64
 	phase           string    // phase in the worker list, "" for up
-	startedAt       time.Time // time of the latest restart; zero, listed as 0, if the worker never restarted
+	startedAt       time.Time // time of the latest restart, zero if there was none; the list entry then shows 0
 	unresponsive    bool
 }
 
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -21,7 +21,7 @@
 //     but never run the task. The invalid response is half a message (half-) or a message without its blob (bare-).
 //   - twice- sends two responses to a request that was never offered, and then the acceptance of the offer twice.
 //     It does not run the task.
-//   - brief- completes the task before its acceptance: one message reports both.
+//   - brief- completes the task at once and reports its acceptance and its completion in one message.
 //   - held- runs the task and never sends the acceptance.
 func (w *Worker) answerByScript(conn net.Conn, line Line) (open bool) {
 	key := line.Opts["key"]
