--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// submitTask submits a task to an orchestrator. If to is nil, because clients may currently submit to no
-// orchestrator, submitTask schedules a retry instead.
+// submitTask submits a task to an orchestrator. If to is nil, clients may not submit to any orchestrator at the
+// moment, and submitTask schedules a retry instead.
 func (c *clients) submitTask(t *task, to *orchestrator) {
 	if to == nil {
 		c.rig.ledger.retry(t, retryAfterFailure)
--- a/test/scale/demand_test.go
+++ b/test/scale/demand_test.go
@@ -22,8 +22,8 @@
 }
 
 // The semantics of a class determine what a second start of a task that already runs means. In a class with
-// semantics free, it is harmless. With guarded, the workers discard a second start within repeatWindow.
-// With single_shot, it must never happen.
+// semantics free, it is harmless. With guarded, real workers discard a second start within repeatWindow of
+// the first. With single_shot, it must never happen.
 const (
 	semanticsFree       = "free"
 	semanticsGuarded    = "guarded"
@@ -41,10 +41,10 @@
 	// urgentLimit is the maximum time from the submission of an urgent task to its start.
 	urgentLimit = 8 * time.Second
 	tenants     = 60
-	// largestJob is the maximum number of tasks in a job. It is the size of a gang, which is a set of tasks that
-	// are submitted together. The sizes of jobs are uniformly distributed on a logarithmic scale with a mean of 46
-	// tasks, so the peak of 220 starts per second is 4.8 jobs per second. The mean rate over a day is 48,000 jobs,
-	// or 0.56 per second, so the rate of the peak is about nine times the mean rate.
+	// largestJob is the maximum number of tasks in a job. A job of this size represents a gang, which is a large set
+	// of tasks that are submitted together. The sizes of jobs are uniformly distributed on a logarithmic scale with
+	// a mean of 46 tasks, so the peak of 220 starts per second is 4.8 jobs per second. A day has 48,000 jobs, or
+	// 0.56 per second on average, so the rate of the peak is about nine times the mean rate.
 	largestJob = 256
 	regions    = 4
 	zones      = 13
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -138,7 +138,8 @@
 	return true
 }
 
-// conditionPeriod is the interval at which waitUntil polls a condition, because no message announces its change.
+// conditionPeriod is the interval at which waitUntil polls a condition. It polls because no message announces that
+// the condition has become true.
 const conditionPeriod = 20 * time.Millisecond
 
 // waitUntil polls a condition and reports whether it became true within convergenceTimeout.
@@ -194,9 +195,9 @@
 	return r.clients.handOver(o, running)
 }
 
-// restartWorkers restarts workers one after another within a minute. Each worker's process crashes and is up
-// again at the same address after downtime. The failure counts as known once every client has been notified of
-// its lost tasks. The reported time until then (field knowledge_s) starts when the last worker is up again.
+// restartWorkers makes workers crash at a constant rate within a minute. Each worker is up again at the same address
+// after downtime. The failure counts as known once every client has been notified of its lost tasks. The reported
+// time until then (field knowledge_s) starts when the last worker is up again.
 func (r *rig) restartWorkers(kind string) {
 	b, unreportedBefore := r.baseline(), r.ledger.lostUnreported()
 	restarts := max(1, plannedRestarts*len(r.fleet.Workers)/plannedWorkers)
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -84,8 +84,7 @@
 	return found
 }
 
-// addedSince counts the shards that members have in these assignments but did not have in the earlier assignments
-// that are given.
+// addedSince counts, over all members, the shards that a member has in a but did not have in before.
 func (a assignments) addedSince(before assignments) (n int) {
 	for i, assigned := range a {
 		n += assigned.Minus(before[i]).Len()
@@ -132,9 +131,9 @@
 	}
 }
 
-// maxMovedInCut cuts off a region for cutSeconds and lets secondsAfter pass after the cut. In each second, it
-// counts the shards that members have but did not have in the assignments before the cut, which are given. It
-// returns the maximum count.
+// maxMovedInCut cuts off a region for cutSeconds and lets secondsAfter pass after the cut. The parameter before
+// holds the assignments before the cut. Once per second, maxMovedInCut counts the shards that members have but did not
+// have in before. It returns the maximum count.
 func (s *scenario) maxMovedInCut(before assignments) (moved int) {
 	const cutSeconds, secondsAfter = 120, 30
 	s.network.cutFrom, s.network.cutUntil = s.now, s.now+cutSeconds*second
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -17,7 +17,7 @@
 // completionLimit is the maximum time from the completion of a task to its report to the client.
 const completionLimit = 8 * time.Second
 
-// task is a task that a client submits. Starting the task may take several requests.
+// task holds the properties and the state of one task. Starting a task may take several requests.
 type task struct {
 	job          job
 	key          string
@@ -55,18 +55,19 @@
 type ledger struct {
 	mutex      sync.Mutex
 	counts     counts
-	requests   map[string]*request     // requests that are in flight or whose task runs, by request ID
-	pending    map[*task]bool          // tasks that have not started
-	running    map[string][]run        // attempts whose task runs, by the task's key
+	requests   map[string]*request     // by ID: requests in flight, and those whose task runs as far as the client knows
+	pending    map[*task]bool          // submitted tasks that do not run yet as far as their clients know
+	running    map[string][]run        // attempts that are running at workers, by the task's key
 	keys       map[string]string       // keys of running tasks, by request ID
-	lost       map[string]bool         // request IDs in unreported whose task was lost with its worker
+	lost       map[string]bool         // IDs of requests whose task was lost with its worker; clearUnreported removes them
 	unreported map[string]time.Time    // times of completions that have not been reported to the client yet, by request ID
 	starts     *hdrhistogram.Histogram // times from the first submission of a task to its start, in microseconds
 	closed     bool
 	logf       func(format string, args ...any)
-	received   chan struct{}                             // gets an element when a message has been received
-	retry      func(t *task, after time.Duration)        // submits a task again
-	placesAt   func(o *orchestrator, worker string) bool // reports whether worker is assigned to o
+	received   chan struct{}                      // gets an element when a message has been received
+	retry      func(t *task, after time.Duration) // submits a task again
+	// placesAt reports whether worker is assigned to o while all orchestrators run.
+	placesAt func(o *orchestrator, worker string) bool
 }
 
 const (
@@ -199,8 +200,8 @@
 }
 
 // settle waits until no request is in flight and no completion older than one second is unreported, but at most
-// for timeout. The timeout must exceed every request timeout and completionLimit. Everything that is late has
-// then been counted when settle returns.
+// for timeout. The timeout must exceed every request timeout and completionLimit. Then every late response and
+// every late report of a completion has been counted when settle returns.
 func (l *ledger) settle(timeout time.Duration) {
 	expired := time.After(timeout)
 	for !l.settled(time.Second) {
@@ -267,8 +268,9 @@
 	return retryAfterFailure
 }
 
-// complete handles the completion or migration of a running task. It returns 0 if the task is complete.
-// Otherwise it returns the time after which the client submits the task again. The caller holds l.mutex.
+// complete handles the end or the migration of a running task. After a migration, it returns the time after which
+// the client submits the task again. Otherwise it returns 0, because the task has ended, normally or not. The caller
+// holds l.mutex.
 func (l *ledger) complete(r *request, line testbed.Line, now time.Time) time.Duration {
 	delete(l.requests, r.requestID)
 	if at, ok := l.unreported[r.requestID]; ok {
@@ -311,9 +313,9 @@
 	}
 }
 
-// runningAt returns the running tasks that a restarted orchestrator had started or adopted. It does not return the
-// tasks that completed while the orchestrator was down, but counts them in endedWhileDown. Their completions need
-// not be reported, because clients notice them when they collect the running tasks that they register again.
+// runningAt returns the running tasks that a restarted orchestrator had started or adopted. It omits tasks that
+// have ended without a report, usually while the orchestrator was down, and counts them in endedWhileDown. Their ends
+// need not be reported, because clients notice them when they look for running tasks to register again.
 func (l *ledger) runningAt(o *orchestrator) (running []*task) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -353,8 +355,8 @@
 // maxUnreportedLogged is the maximum number of unreported completions that describeUnreported describes.
 const maxUnreportedLogged = 12
 
-// describeUnreported returns a line for each completion that was not reported to its client within
-// completionLimit, up to maxUnreportedLogged lines.
+// describeUnreported returns a line for each completion that is still unreported after completionLimit, up to
+// maxUnreportedLogged lines. It skips completions whose request is no longer in the ledger.
 func (l *ledger) describeUnreported() (lines []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/scale/options_test.go
+++ b/test/scale/options_test.go
@@ -1,6 +1,6 @@
-// Package scale tests the real program at the size that the operators plan for. It runs a few
-// orchestrators, each in its own process. The test's process runs thousands of hollow workers, discovery,
-// and clients. The clients register running tasks all at once and then submit tasks at a steady rate. The
+// Package scale tests the real program at the size that the operators plan for, or by default at a small
+// size. It runs a few orchestrators, each in its own process. The test's process runs all hollow workers,
+// discovery, and clients. The clients register running tasks all at once and then submit tasks at a steady rate. The
 // test measures the resources that each orchestrator uses and counts rule violations.
 //
 // The command for the planned size is:
@@ -26,8 +26,8 @@
 //
 // The field cpu_control_pct_max of the last line is the processor time of the peak minus the difference in
 // processor time between the phases messages and idle. -peers=false runs without membership,
-// -partition=false assigns all workers to every orchestrator, -keepalive=0 disables TCP keep-alive, and
-// -failures injects failures after the peak.
+// -partition=false assigns all workers to every orchestrator, and -failures injects failures after the peak.
+// With -keepalive=0, TCP acknowledgements from a worker do not prove that its connection is alive.
 //
 // This file contains the flags.
 package scale
@@ -42,22 +42,22 @@
 )
 
 var (
-	workersFlag       = flag.Int("workers", 40, "workers")
-	orchestratorsFlag = flag.Int("orchestrators", 2, "orchestrators, each a process")
+	workersFlag       = flag.Int("workers", 40, "number of workers")
+	orchestratorsFlag = flag.Int("orchestrators", 2, "number of orchestrators, each in its own process")
 	startsFlag        = flag.Float64("starts", 20, "task starts a second, all orchestrators together")
-	runningFlag       = flag.Int("running", 100, "tasks that already run when clients start to submit jobs")
+	runningFlag       = flag.Int("running", 100, "number of tasks that already run when clients start to submit jobs")
 	secondsFlag       = flag.Float64("seconds", 3, "length of the peak, in seconds")
 	seedFlag          = flag.Uint64("seed", 7, "seed of the random demand")
 	listPeriodFlag    = flag.Int("list-ms", 1000, "interval at which discovery publishes changes of the worker list, in milliseconds")
-	idleFlag          = flag.Duration("idle", 30*time.Second, "time after which a connection without a message is closed; 0: never")
-	keepAliveFlag     = flag.Duration("keepalive", 4*time.Second, "interval of TCP keep-alive on connections to workers, in whole seconds; 0: off")
+	idleFlag          = flag.Duration("idle", 30*time.Second, "time without a message after which a worker closes a connection to an orchestrator, and an orchestrator a connection to a client; 0: never")
+	keepAliveFlag     = flag.Duration("keepalive", 4*time.Second, "idle time before TCP keep-alive probes on connections to workers, in whole seconds; 0: only received data proves that a connection is alive")
 	socketsFlag       = flag.Int("sockets", 1024, "descriptor limit of each orchestrator")
 	fleetSizeFlag     = flag.Int("fleet-size", 0, "number of orchestrators in the settings; 0: those that run. "+
 		"-starts and -running count only the tasks of those that run; the tasks and list changes of the others are simulated")
 	samplesFlag   = flag.String("samples", "", "file for the samples as CSV; \"\": a temporary file, deleted after the test")
 	peersFlag     = flag.Bool("peers", true, "run membership among the orchestrators")
 	partitionFlag = flag.Bool("partition", true, "assign each worker to one orchestrator; needs -peers")
-	breakdownFlag = flag.Bool("parts", false, "run the phases list and work too, as long as the peak each")
+	breakdownFlag = flag.Bool("parts", false, "also run the phases list and work, each for the length of the peak")
 	logFlag       = flag.String("log", "", "folder for the orchestrators' logs at debug level; \"\": none")
 	failuresFlag  = flag.Bool("failures", false, "inject the failures after the peak")
 	kindsFlag     = flag.String("failure-kinds", strings.Join(failureKinds, ","), "kinds of failures to inject with -failures, separated by commas")
@@ -127,8 +127,9 @@
 func (o options) meanRunTime() time.Duration { return toDuration(float64(o.running) / o.starts) }
 
 // calibration returns the length of the phases idle, messages and standing. The difference in processor time
-// between messages and idle is subtracted from the processor time of the peak. With phases of 6 s, the kernel's
-// 10 ms ticks alone made this difference 0.3% of a core.
+// between messages and idle is subtracted from the processor time of the peak. The kernel updates the
+// processor time of a running thread only at its ticks, every 10 ms. With phases of 6 s, this alone caused an error
+// of 0.3% of a core in the difference.
 func (o options) calibration() time.Duration {
 	return max(time.Second/2, min(20*time.Second, o.peak/3))
 }
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -19,8 +19,8 @@
 // This file contains the processes of the orchestrators: their addresses, their start and end, and admin calls
 // to them.
 
-// Fixed ports of an orchestrator, for addresses that other processes need before the orchestrator starts. The
-// loopback IP address depends on the process ID of the test and differs from the addresses of the workers.
+// Fixed ports of an orchestrator, so that its peer and admin addresses are known before it starts. Its loopback IP
+// address depends on the process ID of the test and differs from the addresses of the workers.
 const (
 	peerPort  = 7101
 	adminPort = 7102
@@ -37,7 +37,7 @@
 	clients       *pool
 	prober        *prober
 	admitted      atomic.Bool // whether clients may submit tasks to the orchestrator
-	lastPeerBytes int64       // number of bytes of membership messages in the last admin reply
+	lastPeerBytes int64       // number of bytes of membership messages that the last admin reply stated
 }
 
 func newOrchestrator(r *rig, index int) (*orchestrator, error) {
@@ -152,7 +152,7 @@
 	return n
 }
 
-// warnings counts the warnings in the log by message and returns the first line of each message.
+// warnings counts the warnings in the log by message. It also returns the first log line with each message.
 func (o *orchestrator) warnings() (count map[string]int, first []string) {
 	count = map[string]int{}
 	for _, line := range o.Lines() {
--- a/test/scale/phases_test.go
+++ b/test/scale/phases_test.go
@@ -204,7 +204,8 @@
 }
 
 // submitJobs submits jobs so that the mean rate of tasks is the rate of the peak. It submits all tasks of a job
-// at once, and the next job when, at this rate, all tasks submitted so far would have been submitted.
+// at once. It then waits as long as it would take to submit these tasks one by one at this rate, and submits the
+// next job.
 func (r *rig) submitJobs(stop <-chan struct{}) {
 	ahead := 0 // number of submitted tasks that were not due yet at the rate of the peak
 	callAtRate(r.options.starts, stop, func() {
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -49,14 +49,14 @@
 const spareDescriptors = 1000
 
 // checkDescriptors returns an error if the listeners and connections of the run exceed the descriptor limit of
-// this process. A run with fewer orchestrators and their part of the demand needs fewer descriptors. With
-// -fleet-size, the test then simulates the other orchestrators.
+// this process. In that case, fewer orchestrators can be run, with their part of the starts and running tasks.
+// With -fleet-size, the test simulates the other orchestrators.
 func (o options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	const connectionsPerWorker = 2 // an orchestrator opens a second connection if the first one is unresponsive
+	const connectionsPerWorker = 2 // an orchestrator may open a second one, for example if the first is unresponsive
 	need := o.workers + o.orchestrators*min(connectionsPerWorker*o.workers+connectionsEach, o.sockets) + spareDescriptors
 	if uint64(need) > limit.Cur {
 		return fmt.Errorf("%w: need %d descriptors, limit is %d", errDescriptors, need, limit.Cur)
@@ -154,8 +154,8 @@
 	return all
 }
 
-// maxPlacementTries is the maximum number of random workers that are tried to place one task or to send one
-// ping.
+// maxPlacementTries is the maximum number of random workers that placeRunningAs tries for a task, or pingLikeStarts
+// for a ping.
 const maxPlacementTries = 1000
 
 // workersByOrchestrator returns the workers that are assigned to each orchestrator.
@@ -225,8 +225,8 @@
 }
 
 // adoptRunning places the tasks that were running before the run and registers them at the orchestrators.
-// Fleet.StartRunTimes starts the run times of these tasks. adoptRunning returns the number of tasks that the
-// orchestrators report.
+// The run times of these tasks start later, when Fleet.StartRunTimes is called. adoptRunning returns the number of
+// tasks that the orchestrators report.
 func (r *rig) adoptRunning() (adopted int) {
 	byOrchestrator := map[*orchestrator][]*task{}
 	for _, t := range r.drawRunning() {
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -115,7 +115,7 @@
 
 // controlPercent returns the processor time of the peak minus the processor time for messages, in percent of a
 // core. It returns the maximum over all orchestrators. The processor time for messages is the difference between
-// the phase messages, in which pings make the same number of messages as at the peak, and the phase idle, but at
+// the phase messages, in which pings make as many messages per second as the peak, and the phase idle, but at
 // least 0.
 func (res result) controlPercent() (highest float64) {
 	for i := range res.peak.before {
@@ -152,8 +152,8 @@
 	}
 }
 
-// String returns the last line of a run. The slowest turn in this line (see type prober) is -1 if no ping was
-// answered.
+// String returns the last line of a run. The slowest turn in this line is -1 if no prober (see type prober) got an
+// answer to a ping in the peak.
 func (res result) String() string {
 	cpu, _ := res.peak.maxAndMean(cpuPercent)
 	control, _ := res.peak.maxAndMean(controlKB)
@@ -182,8 +182,8 @@
 	}
 }
 
-// logFindings logs the counts of clients and workers, unreported completions, and the orchestrators'
-// warnings.
+// logFindings logs the event counters of clients, workers and discovery, the unreported completions, and the
+// orchestrators' warnings.
 func (r *rig) logFindings() {
 	r.t.Logf("scale-counts: %+v worker_refusals=%d list_entries=%d unaccepted=%d", r.ledger.snapshot(), r.fleet.Rejections(), r.discovery.EntriesPublished(),
 		r.fleet.AcceptFailures())
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -8,7 +8,7 @@
 // This file contains the ledger's handlers for events at workers. They record which tasks run on which workers,
 // which tasks start twice, and which completions have not been reported to their clients.
 
-// run is a task that runs at a worker. Attempts of one request have the same request ID at all workers.
+// run is an attempt that is running at a worker. All attempts of one request have the same request ID.
 type run struct {
 	worker, requestID string
 	at                time.Time // time of the start
@@ -45,7 +45,7 @@
 		if r != nil {
 			class = r.job.class.name
 		}
-		l.logf("started twice: class %s, request %s at %s, request %s at %s %s before", class, requestID, worker, other.requestID, other.worker,
+		l.logf("started twice: class %s, request %s at %s, request %s at %s %s earlier", class, requestID, worker, other.requestID, other.worker,
 			time.Since(other.at).Round(time.Microsecond))
 	}
 }
