--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -23,7 +23,7 @@
 	codeRejected      = 34              // code of a FINISH message that rejects a request
 )
 
-// result is the result of a job, as its client sees it.
+// result records what the client of a job saw: its submissions, the rejections, and when the task started, if it did.
 type result struct {
 	*job
 	submissions int
@@ -54,7 +54,7 @@
 	submittedAt        []time.Time     // times of all submissions
 	lateBy             []time.Duration // lateness of the responses that countLate recorded
 	duplicateResponses int             // number of STARTED messages that repeat an earlier one for the same request
-	unanswered         int             // number of requests without a response at responseGrace after their timeout
+	unanswered         int             // number of requests whose client stopped waiting for a response
 	retryAfters        []time.Duration
 }
 
@@ -113,8 +113,8 @@
 	for deadline := r.submittedAt.Add(clientTimeout); time.Now().Before(deadline); {
 		pause := minRetryPause + time.Duration(random.Float64()*float64(retryJitter))
 		resp, sentAt, ok := c.submit(j, random, r)
-		// If the orchestrator cannot be dialled, the client draws one at random again after redialPause, because the
-		// platform's front end would try another one.
+		// If the orchestrator cannot be dialled, the client tries again after redialPause with an orchestrator drawn at
+		// random. The platform's front end would also try another one.
 		if !ok {
 			time.Sleep(redialPause)
 			continue
@@ -202,8 +202,8 @@
 	return resp, sentAt, true
 }
 
-// recordResponse adds a response to the history. If the response reports that the task started, it also adds the
-// task to c.started.
+// recordResponse adds a STARTED or FINISH message to the history and ignores a disconnected response. For STARTED, it
+// also adds the task to c.started.
 func (c *clients) recordResponse(j *job, requestID string, orchestrator int, resp response) {
 	if !resp.disconnected {
 		c.rig.recorder.history.add(operation{requestID: requestID, kind: answered, response: kindOfResponse(resp.Line)})
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -64,7 +64,7 @@
 	usualPrefix = "k"
 )
 
-// program is a program that several tasks of one class run. They have the same cores and memory.
+// program describes a program and the tasks that run it, which all have the same class, cores and memory.
 type program struct {
 	class       *class
 	id          uint64
@@ -113,7 +113,8 @@
 	return &classes[0]
 }
 
-// programWithTasksLeft returns the newest program of a class that has tasks left, or adds a program of 7 to 18 tasks.
+// programWithTasksLeft returns the newest program of a class among those with tasks left. If there is none, it adds
+// and returns a program of 7 to 18 tasks.
 func (d *demand) programWithTasksLeft(c *class) (found *program) {
 	for _, p := range d.programs {
 		if p.class == c && p.tasksLeft > 0 {
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -31,7 +31,7 @@
 	maxLate            time.Duration
 	duplicateResponses int
 	duplicateStarts    int // number of acceptances of archive-cut tasks after the first acceptance of each key
-	unanswered         int // number of requests without a response
+	unanswered         int // number of requests whose client stopped waiting for a response
 	neverStarted       int // number of tasks of the storm that never started
 	history            porcupine.CheckResult
 }
@@ -85,8 +85,8 @@
 }
 
 // collectArrivals sets settledAt to the time at which submissions are back at the usual rate, if that is later
-// than settledAt. This is the time of the latest submission within a period of one second that has
-// more submissions than 1.2 times the usual number plus 15.
+// than settledAt. This is the time of the last submission in the last one-second period that has more than
+// 1.2*usualRate+15 submissions.
 func (f *figures) collectArrivals(c *clients, usualRate float64) {
 	arrivals := slices.SortedFunc(slices.Values(c.submittedAt), time.Time.Compare)
 	for i := range arrivals {
@@ -117,8 +117,8 @@
 	t.Logf("offers rejected, by cause: %v; %d duplicate acceptances", byCause, duplicates)
 }
 
-// logStarts logs how many of the storm's tasks had started at several times. It also logs, for each class, the
-// delay from the first submission to the start.
+// logStarts logs, for several times after the start of the storm, how many of the storm's tasks had started by then.
+// It also logs, for each class, the delay from the first submission to the start.
 func logStarts(t *testing.T, c *clients, results []*result) {
 	for _, at := range []time.Duration{200 * ms, 400 * ms, 600 * ms, 800 * ms, 1000 * ms, 2 * time.Second} {
 		byClass := map[string]int{}
@@ -163,8 +163,8 @@
 	}
 }
 
-// utilization returns the fraction of the workers' cores that are not free. If a smaller fraction of a worker's
-// memory than of its cores is free, only that fraction of its cores counts as free, because a task needs both.
+// utilization returns the fraction of the workers' cores that are not free. The free fraction of a
+// worker is that of its cores or that of its memory, whichever is smaller, because a task needs both.
 func (r *rig) utilization() float64 {
 	var free, total float64
 	for _, model := range r.models {
--- a/test/backpressure/history_test.go
+++ b/test/backpressure/history_test.go
@@ -8,10 +8,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// This file owns the history of a storm, as workers and clients observe it, and the check of the history. The
-// rules for each request are: at most one attempt in flight, rejections only of the attempt in flight, no attempt
-// that begins after an acceptance or after the final response, and at most one final response, which is STARTED if
-// and only if an attempt in flight was accepted.
+// This file owns the history of a storm, as workers and clients observe it, and the check of the history. These are
+// the rules for each request: At most one attempt is in flight. Workers reject only the attempt in flight. No attempt
+// begins after the attempt in flight was accepted or after the final response. There is at most one final response,
+// and it is STARTED if and only if an attempt in flight was accepted.
 
 // operationKind is the kind of event that an operation records for a request.
 type operationKind int
@@ -42,7 +42,7 @@
 // requestState is the state of a request after the operations so far.
 type requestState struct {
 	offeredTo  string // worker with the attempt in flight; empty if there is none
-	acceptedBy string // worker that accepted the task; empty if there is none
+	acceptedBy string // worker that accepted the attempt in flight; empty if there is none
 	response   string // kind of final response; empty if there is none
 }
 
@@ -57,8 +57,8 @@
 		s.offeredTo = ""
 	case accepted:
 		valid = true
-		// If offeredTo is another worker or "", the attempt was cancelled before its acceptance. The accepted task is
-		// then a duplicate, which the worker must end.
+		// If offeredTo is another worker or "", the attempt was cancelled before its acceptance. The acceptance is then
+		// ignored, because the worker must end the task.
 		if s.offeredTo == o.worker {
 			s.offeredTo, s.acceptedBy = "", o.worker
 		}
@@ -145,8 +145,8 @@
 	return porcupine.CheckOperationsTimeout(model, h.operations, timeout)
 }
 
-// TestHistoriesThatBreakRules guards against a check that accepts every history: each history breaks one rule,
-// and the check must fail.
+// TestHistoriesThatBreakRules guards against a check that accepts every history: each history breaks at least one
+// rule, and the check must reject it.
 func TestHistoriesThatBreakRules(t *testing.T) {
 	for name, operations := range map[string][]operation{
 		"two attempts in flight": {
--- a/test/backpressure/lower_bound_test.go
+++ b/test/backpressure/lower_bound_test.go
@@ -30,8 +30,8 @@
 	job *job
 }
 
-// newPool returns the pool of the emulated workers. A worker that has just started counts as a full worker, but
-// the number of its start slots is multiplied by ColdStartRate for the whole simulation.
+// newPool returns the pool of the emulated workers. A worker that has just started contributes its full capacity and
+// inspection rate, but the number of its start slots is multiplied by ColdStartRate for the whole simulation.
 func newPool(workers int) *pool {
 	p := &pool{maxTokens: float64(workers)}
 	slots := 0.0
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -83,14 +83,14 @@
 	return p, ok
 }
 
-// wasAccepted reports whether any worker has accepted a task so far.
+// wasAccepted reports whether any worker has accepted the task with the given key so far.
 func (r *recorder) wasAccepted(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.acceptances[key] > 0
 }
 
-// startedWithin reports whether a task has started no later than limit after since.
+// startedWithin reports whether a task first completed its start by since+limit.
 func (r *recorder) startedWithin(key string, since time.Time, limit time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/backpressure/retry_storm_test.go
+++ b/test/backpressure/retry_storm_test.go
@@ -16,15 +16,15 @@
 // This file runs retry storms: many clients submit at once, in addition to the usual demand.
 
 var (
-	seedFlag    = flag.Uint64("seed", 7, "draws the storm")
+	seedFlag    = flag.Uint64("seed", 7, "seed of the random values of the storm")
 	clientsFlag = flag.Int("clients", 2000, "clients that submit at once")
-	honourFlag  = flag.Float64("honour", 0.6, "the share of a Retry-After that clients wait")
-	restartFlag = flag.Bool("restart", false, "restart the orchestrators, one after another, as the storm begins")
+	honourFlag  = flag.Float64("honour", 0.6, "fraction of a Retry-After for which clients wait")
+	restartFlag = flag.Bool("restart", false, "restart the orchestrators, one after another, around the start of the storm")
 	nodesFlag   = flag.Int("nodes", 28, "workers")
-	longestFlag = flag.Duration("longest", 3*time.Second, "the settings' longest Retry-After")
+	longestFlag = flag.Duration("longest", 3*time.Second, "maximum Retry-After in the configuration of the orchestrators")
 	calmFlag    = flag.Float64("calm", 20, "the usual demand, in tasks a second")
 	orchFlag    = flag.Int("orchestrators", 3, "orchestrators")
-	onlyFlag    = flag.String("only", "", "run before or after only")
+	onlyFlag    = flag.String("only", "", "run only the storm \"before\" (fixed Retry-After) or \"after\" (reserved slots); both if empty")
 )
 
 // Operators' files. fileBefore sets a fixed Retry-After of 1 s for all clients, as the program did before
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestStormSmall runs a short storm, without and with restarts of the orchestrators, and checks the rules of
-// every storm: each request has one response, each task starts, no archive-cut task starts twice, no worker in
-// slow start is overloaded, and the history obeys the rules for requests.
+// TestStormSmall runs a short storm, without and with restarts of the orchestrators. Each request must have exactly one
+// response, or at most one if its connection ends. Each task of the storm must start, and no archive-cut task may start
+// twice. No worker in slow start may be overloaded. The history must obey the rules for requests.
 func TestStormSmall(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restart=", restart), func(t *testing.T) {
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -1,5 +1,5 @@
 // Package hollow measures the cost of membership as the number of orchestrators grows, and tests whether all
-// membership tables agree after a network partition that cuts off one region, for example for an hour. The flags
+// membership tables agree after a network partition that cuts off one region. In TestHollowOrchestrators, the flags
 // -cut and -member-seconds set the duration of the cut. The orchestrators are hollow: only their membership runs.
 // All of them run in one process under virtual time and are connected by a simulated network. Datagrams are encoded
 // as on the wire. One seed determines all random values.
@@ -22,14 +22,14 @@
 )
 
 var (
-	instancesFlag = flag.String("instances", "9,32", "numbers of orchestrators, one after another")
+	instancesFlag = flag.String("instances", "9,32", "comma-separated numbers of orchestrators; each is simulated in turn")
 	regionsFlag   = flag.Int("regions", 4, "regions")
 	zonesFlag     = flag.Int("zones", 13, "zones, spread over the regions")
-	calmFlag      = flag.Float64("calm", 60, "seconds of virtual time before any fault")
-	cutFlag       = flag.Float64("cut", 60, "seconds of virtual time for which a region is cut off; 0 ends with the calm")
-	memberFlag    = flag.Float64("member-seconds", 400_000, "seconds of the cut times orchestrators at most: many are cut off for less")
-	seedFlag      = flag.Uint64("seed", 1, "draws delays, incarnation nonces and who restarts")
-	outFlag       = flag.String("out", "", "where the samples and the charts are written; nowhere that stays if empty")
+	calmFlag      = flag.Float64("calm", 60, "duration of the phase calm, which has no faults, in seconds of virtual time")
+	cutFlag       = flag.Float64("cut", 60, "seconds of virtual time for which a region is cut off; 0 ends the scenario after the phase calm")
+	memberFlag    = flag.Float64("member-seconds", 400_000, "maximum product of the duration of the cut in seconds and the number of orchestrators; limits -cut for large numbers")
+	seedFlag      = flag.Uint64("seed", 1, "seed of all random values")
+	outFlag       = flag.String("out", "", "directory for the samples and the charts; a temporary directory if empty")
 )
 
 const (
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -19,9 +19,9 @@
 )
 
 // checkDeath checks a death that a member reports and records the death if it is false. A death is false if the
-// process with the reported incarnation nonce has run for at least startGrace and both members could reach each other
-// throughout the last reachablePeriod. A cut always separates one region from all others, so all members
-// on the same side of the cut can reach each other.
+// process with the reported incarnation nonce is still running, started at least startGrace ago, and was not
+// separated from the reporter by a cut during the last reachablePeriod. Members on the same side of a cut can always
+// reach each other.
 func (s *simulation) checkDeath(reporter int, event membership.Event) {
 	index := s.byName[event.Name]
 	subject := s.members[index]
--- a/test/scale/hollow/long_dead_test.go
+++ b/test/scale/hollow/long_dead_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// This file tests the effect of members that died before a cut on the other members.
+// This file tests how members that died before a cut affect the other members after the cut.
 
 // TestHealAmongTheLongDead checks that members that died before a cut and never restart do not prevent the other
-// members from finding each other after the cut. Each ping to a dead member goes to one drawn at random, so more dead
-// members delay the pings by which the two sides find each other.
+// members from finding each other after the cut. Members periodically ping a member that they consider dead, drawn at
+// random. The more members are dead, the longer it takes until a ping reaches the other side.
 func TestHealAmongTheLongDead(t *testing.T) {
 	const n, cutSeconds = 9, 60
 	for _, dead := range []int{0, 100} {
--- a/test/scale/hollow/meter_test.go
+++ b/test/scale/hollow/meter_test.go
@@ -58,8 +58,8 @@
 	return [...]string{"forming", "calm", "cut", "healed", "tenth_restarted", "all_restarted"}[p]
 }
 
-// phaseRecord holds the duration of one phase in seconds, the sum of the loads of all members, and the peaks, which
-// are computed for each full second.
+// phaseRecord holds the duration of one phase in seconds, the sum of the loads of all members, and maximum loads in
+// one second.
 type phaseRecord struct {
 	seconds           float64
 	total             load
@@ -67,7 +67,7 @@
 	maxMemberBytes    float64 // maximum number of bytes that one member sent in one second
 	maxMemberMessages float64 // maximum number of datagrams that one member sent in one second
 	maxMemberUs       float64 // maximum processor time of one member in one second, in microseconds
-	tail              load    // mean load per member and second in the last part of a cut, see cutRegion
+	tail              load    // mean load per member and second in the last part of a cut, see scenario.cutRegion
 }
 
 // mean returns the mean load per second and member. A phase shorter than one second counts as one second.
--- a/test/scale/hollow/network_test.go
+++ b/test/scale/hollow/network_test.go
@@ -4,8 +4,7 @@
 
 // This file contains the simulated network.
 
-// One-way delays in microseconds. The delay of each datagram is longer by a random jitter of up to
-// 1/jitterDivisor of this value.
+// One-way delays in microseconds, before jitter. The jitter is random and less than 1/jitterDivisor of the delay.
 const (
 	delayWithinZone     = 300
 	delayWithinRegion   = 1_000
@@ -42,7 +41,7 @@
 	return overlaps && n.inCutRegion(i) != n.inCutRegion(j)
 }
 
-// delay draws the one-way delay of a datagram in microseconds.
+// delay draws the one-way delay between two members in microseconds.
 func (n *network) delay(i, j int) int64 {
 	d := int64(delayBetweenRegions)
 	switch {
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -9,8 +9,8 @@
 	agreementCheckPeriod = 100_000
 	// agreementTimeout is the maximum time for which a phase other than cut waits for the tables to agree.
 	agreementTimeout = 180 * second
-	// settleTime is the time before the phase calm in which updates from the start of the members may still
-	// circulate.
+	// settleTime is the time for which the phase forming continues after its wait for the tables to agree. Updates
+	// about the starts of the members may still circulate during this time.
 	settleTime = 10 * second
 	// timeAfterAgreement is the time for which a phase after the cut continues once its wait for the tables to agree
 	// has ended.
--- a/test/scale/hollow/simulation_test.go
+++ b/test/scale/hollow/simulation_test.go
@@ -33,8 +33,8 @@
 	starts              uint64 // number of starts so far
 	startedAt           int64  // virtual time of the last start, in microseconds
 	nextTickAt          int64  // virtual time of the next tick of its membership, in microseconds
-	// load is the load since the last sample. currentSecond is the load from the start of the current second to the
-	// last sample.
+	// load holds the costs since the last sample. currentSecond holds the costs from the start of the current second
+	// to the last sample.
 	load, currentSecond load
 }
 
--- a/test/scale/hollow/within_cut_test.go
+++ b/test/scale/hollow/within_cut_test.go
@@ -9,8 +9,8 @@
 // This file tests changes of the cluster during a cut.
 
 // TestChangesWithinCut checks that after a cut all members have learned of the changes that happened on either side
-// during the cut: members that restarted, moved to another address, left or joined. Members must also find each other
-// if all of them restarted with empty tables, or if the cut was interrupted for one second.
+// during the cut: members that restarted, moved to another address, left, stopped or joined. Members must also find
+// each other if all of them restarted with empty tables, or if the cut was interrupted for one second.
 func TestChangesWithinCut(t *testing.T) {
 	const cutSeconds = 60
 	for _, c := range []struct {
