--- a/internal/stats/fit_test.go
+++ b/internal/stats/fit_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Exponent leaves out pairs in which a number is zero, because zero has no logarithm. For samples of a single
-// size, it returns NaN.
+// Exponent leaves out pairs in which a number is zero, because zero has no logarithm. For a single pair, it
+// returns NaN.
 func TestExponentLeavesOutWhatHasNoLogarithm(t *testing.T) {
 	if got := Exponent([]float64{0, 1, 10, 100}, []float64{5, 1, 10, 0}); !near(got, 1) {
 		t.Errorf("pairs with a zero left out: got exponent %v, want 1", got)
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -1,5 +1,6 @@
-// Package backpressure runs retry storms against the real program: each orchestrator is a separate
-// process, three by default, and the workers and thousands of clients are emulated over loopback.
+// Package backpressure runs retry storms and floods of requests against the real program. Each orchestrator is a
+// separate process; a storm has three of them by default. The workers and thousands of clients are emulated over
+// loopback.
 package backpressure
 
 import (
@@ -208,7 +209,7 @@
 }
 
 // configuration returns the configuration of an orchestrator that starts now. The seed depends on the time and
-// the index, so that two orchestrators, or two starts of one, make different random choices.
+// the index, so that two orchestrators make different random choices. Two starts of one orchestrator usually do so too.
 func (o *orchestrator) configuration(listen string) string {
 	discovery := o.rig.discoveries[o.index]
 	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -21,14 +21,14 @@
 		{"one", firstEntry, "^(TestKnownRed)$\n", "known red, passed over: " + firstEntry},
 		{"two", secondEntry + firstEntry, "^(TestNoList|TestKnownRed)$\n", "known red, passed over: " + secondEntry},
 		{"no end of line", strings.TrimSpace(firstEntry), "^(TestKnownRed)$\n", "known red, passed over: " + firstEntry},
-		{"four", strings.Repeat(firstEntry+secondEntry, 2), "^(TestKnownRed|TestNoList|TestKnownRed|TestNoList)$\n", "known red, passed over: " + secondEntry},
-		{"none", "", "", "expected a line or more, got none"},
+		{"entries listed twice", strings.Repeat(firstEntry+secondEntry, 2), "^(TestKnownRed|TestNoList|TestKnownRed|TestNoList)$\n", "known red, passed over: " + secondEntry},
+		{"empty list", "", "", "expected a line or more, got none"},
 		{"no command", "TestKnownRed |  | it fails | issue 3\n", "", ":1: " + wantFormat},
 		{"nothing seen", "TestKnownRed | go test |  | issue 3\n", "", ":1: " + wantFormat},
-		{"the form before", "TestKnownRed | it fails | issue 3\n", "", ":1: " + wantFormat},
+		{"former format without a command", "TestKnownRed | it fails | issue 3\n", "", ":1: " + wantFormat},
 		{"no issue", firstEntry + "TestKnownRed | go test | it fails\n", "", ":2: " + wantFormat},
 		{"a field too many", "TestKnownRed | go test | it fails | often | issue 3\n", "", ":1: " + wantFormat},
-		{"a pattern", "Test.* | go test | all fail | issue 3\n", "", ":1: " + wantFormat},
+		{"a pattern instead of a test name", "Test.* | go test | all fail | issue 3\n", "", ":1: " + wantFormat},
 		{"no such test", "TestKnown | go test | it fails | issue 3\n", "", ":1: there is no test TestKnown"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestNoList checks that nothing is excluded if there is no list.
+// TestNoList checks that known-red succeeds and prints no pattern if the file of the list does not exist.
 func TestNoList(t *testing.T) {
 	out, err := exec.Command("bash", "../../.ci/known-red", filepath.Join(t.TempDir(), "none"), ".").Output()
 	if err != nil || len(out) > 0 {
--- a/test/cluster/cases_test.go
+++ b/test/cluster/cases_test.go
@@ -26,12 +26,12 @@
 		seconds        int
 	}{
 		{"one direction only", "1s cut n0->n4; 20s heal", 7, 23},
-		{"a zone that reaches one of another zone", "1s cut hall-b but n0; 14s heal", 7, 17},
+		{"a zone that reaches only one orchestrator outside", "1s cut hall-b but n0; 14s heal", 7, 17},
 		{"paused for 10 s", "1s pause n2 10s; 12s heal", 7, 17},
-		{"paused under 3 s, again and again", "1s pause n2 2800ms; 7s pause n2 2800ms; 13s heal", 7, 17},
+		{"paused twice for less than 3 s", "1s pause n2 2800ms; 7s pause n2 2800ms; 13s heal", 7, 17},
 		{"30% loss", "1s loss all 0.3; 14s heal", 7, 17},
 		{"slow paths of little bandwidth", "1s delay all 60ms 60ms; 1s bandwidth n3<->n4 4000; 14s heal", 7, 17},
-		{"a name that restarts with an empty folder", "1s restart n3 empty; 5s restart n3 old; 9s restart n3 empty; 12s heal", 7, 16},
+		{"restarts with an empty or old folder", "1s restart n3 empty; 5s restart n3 old; 9s restart n3 empty; 12s heal", 7, 16},
 		{"flapping", "1s flap n1<->n2 700ms; 1s flap n3<->n4 700ms; 14s heal", 7, 17},
 		{"nine of ten restart in one second", "1s restart n1; 1.1s restart n2; 1.2s restart n3; 1.3s restart n4; 1.4s restart n5; 1.5s restart n6; " +
 			"1.6s restart n7; 1.7s restart n8; 1.8s restart n9; 8s heal", 10, 12},
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -21,12 +21,12 @@
 // tests of the package share.
 
 var (
-	seedFlag      = flag.Uint64("seed", 7, "seed from which the schedule is drawn")
+	seedFlag      = flag.Uint64("seed", 7, "seed of the fleet, and of the schedule unless -schedule is set")
 	processesFlag = flag.Int("processes", 7, "number of orchestrators")
 	secondsFlag   = flag.Int("seconds", 20, "length of the schedule")
 	scheduleFlag  = flag.String("schedule", "", "schedule to run instead of a drawn one")
 	calmFlag      = flag.Duration("calm", 3*time.Second, "length of each measurement of placement times before the schedule")
-	shrinkFlag    = flag.Bool("shrink", false, "shorten a schedule that fails by running it again without single steps")
+	shrinkFlag    = flag.Bool("shrink", false, "if the schedule fails, remove the steps without which it still fails, and log the rest")
 )
 
 // maxDisagreement is the maximum time after the heal step for which the membership view of an orchestrator may differ
@@ -58,7 +58,7 @@
 
 // runSchedule runs a schedule while clients submit tasks. It returns the verdict and the violated rules, one per line:
 // the violations of the verdict, requests that got no response although their orchestrator ran and was reachable, and
-// membership views that were wrong for longer than maxDisagreement.
+// membership views that were still wrong more than maxDisagreement after the heal step.
 func runSchedule(t *testing.T, f *fleet.Fleet, steps []testbed.Step, length time.Duration) (v fleet.Verdict, violations string) {
 	placements := f.SubmitTasks(length - time.Second)
 	f.RunSchedule(steps, length)
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -9,15 +9,15 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file defines the behaviour of clients. A client does not react to the signals that terminate a process: it keeps
-// using its open connection. It draws its random choices from the scenario's seed, except for the open request that it
-// cancels.
+// This file defines the behaviour of clients. A client keeps using its open connection after the signals that terminate
+// the process. Its random choices are drawn from the scenario's seed, except for the choice of the open request to
+// cancel.
 
 // codeEnded is the code of FINISH messages by which a client cancels a request or a worker completes a task.
 const codeEnded = 16
 
 const (
-	maxOpen      = 4 // maximum number of requests without a response on one connection
+	maxOpen      = 4 // maximum number of open requests on one connection
 	maxThinkTime = 40 * time.Millisecond
 	redialPause  = 20 * time.Millisecond
 	// reconnectWindow is the time after the first terminating signal during which a client still reconnects if
@@ -46,7 +46,7 @@
 	lastID   int
 	conn     *testbed.Client
 	record   *connection
-	open     map[string]bool // IDs of the requests without a response on the connection
+	open     map[string]bool // IDs of the requests on the connection that have no response and were not cancelled
 	retryKey string          // key of the task that the next submission retries, "" if there is no task to retry
 }
 
@@ -197,8 +197,8 @@
 	return drawDuration(c.random, c.scenario.plan.deadline/4, c.scenario.plan.deadline)
 }
 
-// receive handles a message from the process. If the first response to a task is a FINISH message, the next
-// submission retries the task with a probability of one third.
+// receive handles a message from the process. If the first response to a request is a FINISH message, the next
+// submission retries its task with a probability of one third.
 func (c *client) receive(line testbed.Line) {
 	key, isResponse := c.scenario.ledger.received(line, time.Now())
 	if !isResponse {
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// This file checks a finished scenario against the rules of the protocol. Each limit is the limit of the
-// protocol plus a tolerance for delays in the test itself.
+// This file checks a finished scenario against the rules of the protocol. The time limits include a
+// tolerance for delays in the test itself.
 
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
@@ -85,9 +85,9 @@
 }
 
 // judgeDuplicates counts the attempts that reached a worker while another attempt of the same request was in
-// flight. One case is allowed: a worker runs a task, but the process could not read the acceptance, because it
-// was lost with its connection or followed unreadable bytes. The process then does not know that the task runs,
-// and may attempt the request again if its class allows repeated starts. Once the process has read the
+// flight. One case is allowed: a worker runs a task, but the process has not read the acceptance, for example
+// because it was lost with its connection or followed unreadable bytes. The process then does not know that the
+// task runs, and may attempt the request again if its class allows repeated starts. Once the process has read the
 // acceptance, another attempt is a violation.
 func (s *scenario) judgeDuplicates(v *verdict) {
 	for _, duplicate := range s.attempts.Duplicates() {
@@ -166,8 +166,8 @@
 	return wasRead || !crossed
 }
 
-// reportLossWindow is the maximum time for which a worker's report may be in transit. If the connection ends within
-// this time after the worker sent the report, the report may be lost.
+// If a connection to a worker ends at most reportLossWindow before a task ends at the worker, the worker's report of
+// the task may still be lost or delayed.
 const reportLossWindow = 100 * time.Millisecond
 
 // isUnreported reports whether the completion of a task was not reported to its client in time. It returns false
@@ -175,8 +175,8 @@
 // response. It also returns false if the process may not have learned of the completion, had no time to report it, or
 // its report may not have reached the client:
 //   - The worker or its path had a fault between the submission and the time limit.
-//   - A connection to the worker ended around the worker's report or before the limit. A worker that cannot
-//     send a report at once may send it on a later connection within 8 s.
+//   - A connection to the worker ended between reportLossWindow before the end of the task and the limit. A worker
+//     that cannot send a report at once may send it on a later connection within 8 s.
 //   - The process exited before the limit.
 //   - The process's report and the client's close of the connection crossed each other.
 func (s *scenario) isUnreported(r *request) bool {
--- a/test/soak/judges_test.go
+++ b/test/soak/judges_test.go
@@ -25,9 +25,9 @@
 		{"answered twice", func(r *request, _ *process) { r.respondedAt, r.responses = at(10), 2 }, true, verdict{duplicates: 1}},
 		{"never answered", func(*request, *process) {}, false, verdict{lost: 1}},
 		{"its client left", func(r *request, _ *process) { r.leftAt = at(10) }, true, verdict{}},
-		{"crossed a close", func(r *request, _ *process) { r.disconnectedAt = at(40) }, false, verdict{}},
-		{"crossed a close and was read", func(r *request, _ *process) { r.disconnectedAt = at(40) }, true, verdict{lost: 1}},
-		{"lost long before its time", func(r *request, _ *process) { r.disconnectedAt = at(60) }, false, verdict{lost: 1}},
+		{"not read, may have crossed the end of its connection", func(r *request, _ *process) { r.disconnectedAt = at(40) }, false, verdict{}},
+		{"read, no response before the end of its connection", func(r *request, _ *process) { r.disconnectedAt = at(40) }, true, verdict{lost: 1}},
+		{"not read, sent too early to cross the end of its connection", func(r *request, _ *process) { r.disconnectedAt = at(60) }, false, verdict{lost: 1}},
 		{"end not reported", func(r *request, _ *process) {
 			r.respondedAt, r.responses, r.endedAt = at(1), 1, at(100)
 		}, true, verdict{unreported: 1}},
@@ -37,7 +37,7 @@
 		{"end reported in time", func(r *request, _ *process) {
 			r.respondedAt, r.responses, r.endedAt, r.reportedAt = at(1), 1, at(100), at(1140)
 		}, true, verdict{}},
-		{"end on a cut path", func(r *request, _ *process) {
+		{"end not reported after a fault of the worker", func(r *request, _ *process) {
 			r.respondedAt, r.responses, r.endedAt = at(1), 1, at(100)
 			r.worker.faultIntervals = []interval{{from: at(50), to: at(60)}}
 		}, true, verdict{}},
@@ -45,7 +45,7 @@
 			r.respondedAt, r.responses, r.endedAt, p.exitedAt = at(1), 1, at(100), at(1000)
 		}, true, verdict{}},
 		{"killed", func(r *request, p *process) { r.respondedAt, r.responses, p.killed = at(1), 1, true }, true, verdict{uncleanExits: 1}},
-		{"ended with a code", func(r *request, p *process) { r.respondedAt, r.responses, p.exitCode = at(1), 1, 2 }, true, verdict{uncleanExits: 1}},
+		{"exited with a code other than 0", func(r *request, p *process) { r.respondedAt, r.responses, p.exitCode = at(1), 1, 2 }, true, verdict{uncleanExits: 1}},
 		{"too many descriptors", func(r *request, p *process) {
 			r.respondedAt, r.responses, p.maxDescriptors = at(1), 1, 257
 		}, true, verdict{overLimit: 1}},
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -26,7 +26,7 @@
 	connection     *connection // connection on which the request was submitted
 	worker         *worker     // worker at which the task ended
 	endedAt        time.Time   // time when the task ended at the worker
-	reportedAt     time.Time   // time when the completion was reported to the client
+	reportedAt     time.Time   // arrival time of the first FINISH or MOVE message, which reports the end of the request
 }
 
 // connection records one connection of a client.
@@ -70,7 +70,7 @@
 	case r.respondedAt.IsZero():
 		r.respondedAt, r.response, r.responses = now, line.Verb, 1
 		if line.Verb != "STARTED" {
-			r.reportedAt = now // a response other than STARTED is also the report, and no other report follows it
+			r.reportedAt = now // a response other than STARTED ends the request: no report of a completion follows it
 		}
 		return r.key, true
 	case isCompletion && r.reportedAt.IsZero():
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -33,7 +33,7 @@
 	*testbed.Worker
 	proxy *testbed.Proxy // nil if the process reaches the worker directly
 
-	faultMutex     sync.Mutex // locked during a temporary fault of the worker or its path; a second one is skipped
+	faultMutex     sync.Mutex // locked during a temporary fault of the worker or its path; other such faults are skipped
 	mu             sync.Mutex // guards the fields below
 	faultIntervals []interval
 	drainingSince  time.Time // time when discovery first listed the worker as draining, zero if it never did
@@ -165,7 +165,7 @@
 	}
 }
 
-// endInterval is the time after which endTasks and drain end the next running task.
+// endInterval is the time that endTasks and drain wait before they end the next running task.
 const endInterval = 10 * time.Millisecond
 
 // endTasks draws a worker of the process every endInterval and ends one of its running tasks, also drawn at random. It
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -15,8 +15,8 @@
 	"ravenhitch/internal/testbed"
 )
 
-// This file runs one process of the program: its files, the signals that terminate it, the kill, and its use of
-// descriptors and memory.
+// This file starts one process of the program and terminates it with signals or a kill. It also writes the
+// configuration of the process, reads its log, and records its use of descriptors and memory.
 
 // process is one orchestrator process.
 type process struct {
@@ -160,7 +160,7 @@
 	return ids
 }
 
-// requestLogLines returns the log lines of the process that name a request.
+// requestLogLines returns the log lines of the process that contain the ID of a request.
 func (p *process) requestLogLines(requestID string) (lines []string) {
 	for _, line := range p.Lines() {
 		if strings.Contains(line, requestID) {
@@ -182,7 +182,8 @@
 	return p.traceField(requestID, `msg="completion sent" `, "connection")
 }
 
-// traceField returns a field of the first trace line of a request that contains step, or "" if there is no such line.
+// traceField returns the value of a field in the first log line that contains step and the ID of a request. It returns
+// "" if there is no such line.
 func (p *process) traceField(requestID, step, field string) string {
 	for _, line := range p.requestLogLines(requestID) {
 		if strings.Contains(line, step) {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,6 +1,7 @@
-// Package soak runs short randomized scenarios against the real program and checks them by what clients and workers
-// observed. In a scenario, one to three orchestrator processes serve random traffic under random faults until signals
-// terminate them. Clients keep using their connections until a process exits or the test kills it.
+// Package soak runs short randomized scenarios against the real program. It checks what clients and workers observed,
+// and how the processes exited. In a scenario, one to three orchestrator processes serve random traffic under random
+// faults until signals terminate them. After the signals, clients keep using their open connections until the process
+// exits or the test kills it.
 //
 //	go test ./test/soak -run TestSoak -v -args -seeds 50 -first 1
 //
