--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	// Two running tasks end with different causes.
-	for _, completion := range []struct{ n, cause int }{{1, causeDone}, {3, causeLost}} {
+	for _, completion := range []struct{ n, cause int }{{1, codeDone}, {3, codeLost}} {
 		draining.ReportCompletion(testbed.RequestID(completion.n), completion.cause)
 		run.outcomes = append(run.outcomes, user.nextCompletion(t))
 	}
@@ -101,7 +101,7 @@
 	switch {
 	case line.Verb == "STARTED":
 		return "started: " + *line.Blob
-	case line.Cause() == causeRejected:
+	case line.Code() == codeRejected:
 		return "rejected"
 	}
 	return "failed"
@@ -110,7 +110,7 @@
 func (u jsonLinesUser) nextCompletion(t *testing.T) string {
 	t.Helper()
 	line := testbed.Wait(t, "a completion", u.Lines)
-	if line.Cause() == causeDone {
+	if line.Code() == codeDone {
 		return line.Tag + " done"
 	}
 	return line.Tag + " lost"
@@ -169,14 +169,14 @@
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(10+i), "guide-web", fmt.Sprintf("ok-j%d", i+1), 5000))
 		session.sendOffer(t, newOffer(testbed.RequestID(30+i), "guide-web", fmt.Sprintf("ok-g%d", i+1), 5000))
 	}
-	draining.ReportCompletion(testbed.RequestID(1), causeLost)
-	draining.ReportCompletion(testbed.RequestID(2), causeLost)
+	draining.ReportCompletion(testbed.RequestID(1), codeLost)
+	draining.ReportCompletion(testbed.RequestID(2), codeLost)
 
 	started, ended := 0, 0
 	for started+ended < 9 {
 		if line := testbed.Wait(t, "a response or completion on JSON lines", client.Lines); line.Verb == "STARTED" {
 			started++
-		} else if line.Tag == testbed.RequestID(1) && line.Cause() == causeLost {
+		} else if line.Tag == testbed.RequestID(1) && line.Code() == codeLost {
 			ended++
 		}
 	}
@@ -211,8 +211,8 @@
 		t.Errorf("a release of the JSON lines front's task: got error %v, want code NotFound", err)
 	}
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(3), "guide-web", "ok-2", 5000))
-	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(3) || line.Cause() != causeFailed {
-		t.Errorf("a submission of the gRPC front's task got %v, want cause %d", line, causeFailed)
+	if line := testbed.Wait(t, "the response", client.Lines); line.Tag != testbed.RequestID(3) || line.Code() != codeFailed {
+		t.Errorf("a submission of the gRPC front's task got %v, want cause %d", line, codeFailed)
 	}
 	for id, task := range map[string]string{testbed.RequestID(1): "ok-9", testbed.RequestID(4): "ok-1"} {
 		session.sendOffer(t, newOffer(id, "guide-web", task, 5000))
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -86,8 +86,8 @@
 			line := testbed.StartLine(testbed.RequestID(10+i), "guide-web", "ok-bad", 5000)
 			test.invalidate(&line)
 			testbed.Send(client, line)
-			if got := testbed.Wait(t, "an error", client.Lines); got.Verb != "FINISH" || got.Cause() != causeFailed || got.Tag != line.Tag {
-				t.Errorf("invalid submission: got %v, want FINISH for %q with cause %d", got, line.Tag, causeFailed)
+			if got := testbed.Wait(t, "an error", client.Lines); got.Verb != "FINISH" || got.Code() != codeFailed || got.Tag != line.Tag {
+				t.Errorf("invalid submission: got %v, want FINISH for %q with cause %d", got, line.Tag, codeFailed)
 			}
 		})
 	}
@@ -108,10 +108,10 @@
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "silent-1", 300))
 	testbed.Wait(t, "the offer", server.workers[0].Offers)
 	testbed.Send(other, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-other", 5000))
-	expectCause(t, "the error", other, testbed.RequestID(1), causeFailed)
+	expectCode(t, "the error", other, testbed.RequestID(1), codeFailed)
 	testbed.Send(other, cancelLine(testbed.RequestID(1)))
 	testbed.Wait(t, "the confirmation of the cancel", other.Lines)
-	expectCause(t, "the first request's own response", client, testbed.RequestID(1), causeRejected)
+	expectCode(t, "the first request's own response", client, testbed.RequestID(1), codeRejected)
 }
 
 // If a client submits a request again on the same connection while the request is open, it gets a single
@@ -149,8 +149,8 @@
 		testbed.Send(client, testbed.StartLine(testbed.RequestID(100+i), "guide-web", fmt.Sprint("silent-c", i), 60_000))
 	}
 	for range 8 {
-		if line := testbed.Wait(t, "a rejection", client.Lines); line.Cause() != causeRejected || line.Opts["wait"] == "" {
-			t.Errorf("rejection: got %v, want cause %d with a Retry-After", line, causeRejected)
+		if line := testbed.Wait(t, "a rejection", client.Lines); line.Code() != codeRejected || line.Opts["wait"] == "" {
+			t.Errorf("rejection: got %v, want cause %d with a Retry-After", line, codeRejected)
 		}
 	}
 	for range 70 {
@@ -219,8 +219,8 @@
 		request := testbed.StartLine(testbed.RequestID(2), "bulletin", "ok-2", 5000)
 		request.Opts[name] = value
 		testbed.Send(client, request)
-		if line := testbed.Wait(t, "the error", client.Lines); line.Verb != "FINISH" || line.Cause() != causeFailed {
-			t.Errorf("%s %q: got %v, want FINISH with cause %d", name, value, line, causeFailed)
+		if line := testbed.Wait(t, "the error", client.Lines); line.Verb != "FINISH" || line.Code() != codeFailed {
+			t.Errorf("%s %q: got %v, want FINISH with cause %d", name, value, line, codeFailed)
 		}
 	}
 }
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -30,13 +30,13 @@
 	testbed.Send(second, adoptedLine(testbed.RequestID(4), "a")) // no other client submitted this task
 	pingServer(t, second)
 
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
-	expectCause(t, "the completion", first, testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
+	expectCode(t, "the completion", first, testbed.RequestID(1), codeDone)
 
 	closeNow(t, first)
 	server.waitConnections(t, 2)
-	server.workers[0].ReportCompletion(testbed.RequestID(2), causeDone)
-	expectCause(t, "the second completion", served, testbed.RequestID(2), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(2), codeDone)
+	expectCode(t, "the second completion", served, testbed.RequestID(2), codeDone)
 
 	// Nine more clients connect. They only ping, so none of them has a task.
 	for range 9 {
@@ -44,8 +44,8 @@
 	}
 	closeNow(t, served)
 	server.waitConnections(t, 10) // the nine clients and the client that submitted the tasks again
-	server.workers[0].ReportCompletion(testbed.RequestID(3), causeDone)
-	expectCause(t, "the third completion", second, testbed.RequestID(3), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(3), codeDone)
+	expectCode(t, "the third completion", second, testbed.RequestID(3), codeDone)
 }
 
 // A task is not bound to a connection. If the connection of its client is closed, the completion goes to another
@@ -61,24 +61,24 @@
 	}
 	second := server.connect(t)
 	testbed.Send(second, pingLine("t"))
-	if line := testbed.Wait(t, "the answer to a ping", second.Lines); line.Verb != "ECHOED" || line.Cause() != 1 || line.Tag != "t" {
+	if line := testbed.Wait(t, "the answer to a ping", second.Lines); line.Verb != "ECHOED" || line.Code() != 1 || line.Tag != "t" {
 		t.Errorf("ping: got %v, want ECHOED with code 1 and tag t", line)
 	}
 
 	closeNow(t, first)
 	server.waitConnections(t, 1)
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
-	expectCause(t, "the first completion", second, testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
+	expectCode(t, "the first completion", second, testbed.RequestID(1), codeDone)
 
 	closeNow(t, second)
 	server.waitConnections(t, 0)
-	server.workers[0].ReportCompletion(testbed.RequestID(2), causeLost)
+	server.workers[0].ReportCompletion(testbed.RequestID(2), codeLost)
 	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
 	// Any process may have opened a connection that sends nothing. The completion therefore waits for a
 	// connection that sends a message.
 	silent, third := server.connect(t), server.connect(t)
 	testbed.Send(third, pingLine("t"))
-	expectCause(t, "the second completion", third, testbed.RequestID(2), causeLost)
+	expectCode(t, "the second completion", third, testbed.RequestID(2), codeLost)
 	for line := range silent.Lines { // until the server closes the connection because no message arrives
 		t.Errorf("the connection that sent nothing got %v, want no line", line)
 	}
@@ -111,14 +111,14 @@
 			pingServer(t, first)
 			closeNow(t, first)
 			server.waitConnections(t, 0)
-			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
+			server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
 			server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 1 })
 
 			unknown := server.connect(t)
 			// The request ID proves nothing: this client may have guessed it.
 			testbed.Send(unknown, adoptedLine(testbed.RequestID(5), "a"))
 			testbed.Send(unknown, invalid)
-			if line := testbed.Wait(t, "the error", unknown.Lines); line.Tag != testbed.RequestID(2) || line.Cause() != causeFailed {
+			if line := testbed.Wait(t, "the error", unknown.Lines); line.Tag != testbed.RequestID(2) || line.Code() != codeFailed {
 				t.Fatalf("invalid submission: got %v, want an error for request 2", line)
 			}
 			if len(test.before) > 0 {
@@ -135,7 +135,7 @@
 					t.Fatalf("line before the completion: got %v, want FINISH of another request", line)
 				}
 			}
-			expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
+			expectCode(t, "the completion", client, testbed.RequestID(1), codeDone)
 		})
 	}
 }
@@ -154,7 +154,7 @@
 			t.Fatalf("task %s: got %v, want STARTED", task, line)
 		}
 		line = testbed.Wait(t, "the completion", client.Lines)
-		if line.Verb != "FINISH" || line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
+		if line.Verb != "FINISH" || line.Tag != testbed.RequestID(i+1) || line.Code() != codeDone {
 			t.Errorf("task %s: got %v, want its completion", task, line)
 		}
 		if n := server.workers[0].OfferCount(task) + server.workers[1].OfferCount(task); n != 1 {
@@ -177,8 +177,8 @@
 		testbed.Send(client, line)
 	}
 	server.waitUntil(t, "two running tasks", func() bool { return server.dispatcher.RunningCount() == 2 })
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
-	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
+	expectCode(t, "the completion", client, testbed.RequestID(1), codeDone)
 	testbed.Send(client, cancelLine(testbed.RequestID(2)))
 	if line := testbed.Wait(t, "the release", server.workers[0].Cancels); line.Tag != testbed.RequestID(2) {
 		t.Errorf("the worker got %v, want the release of request 2", line)
@@ -223,8 +223,8 @@
 				return server.loop.HasQueuedConnections() || server.clientFront.Connections() == maxClients
 			})
 			server.onLoop(t, func() {}) // lets the event loop run one more turn while connections are queued
-			server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
-			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
+			server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
+			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Code() != codeDone {
 				t.Errorf("completion: got %v, want the completion of request 1", line)
 			}
 		})
@@ -246,15 +246,15 @@
 	others := server.connectWhilePaused(t, maxClients)
 	for i, other := range others {
 		testbed.Send(other, testbed.StartLine(testbed.RequestID(100+i), "no-such-class", "ok-bad", 5000))
-		if line := testbed.Wait(t, "the error", other.Lines); line.Cause() != causeFailed {
+		if line := testbed.Wait(t, "the error", other.Lines); line.Code() != codeFailed {
 			t.Fatalf("invalid submission: got %v, want an error", line)
 		}
 	}
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
 	server.waitUntil(t, "the completion at the server", func() bool { return server.dispatcher.RunningCount() == 0 })
 	reconnected := server.connect(t)
 	testbed.Send(reconnected, pingLine("t"))
-	if line := testbed.Wait(t, "the completion", reconnected.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != causeDone {
+	if line := testbed.Wait(t, "the completion", reconnected.Lines); line.Tag != testbed.RequestID(1) || line.Code() != codeDone {
 		t.Errorf("completion: got %v, want the completion of request 1", line)
 	}
 	for _, other := range others {
--- a/cmd/ravenhitch/descriptor_budget_test.go
+++ b/cmd/ravenhitch/descriptor_budget_test.go
@@ -40,11 +40,11 @@
 	for i := range tasks {
 		for _, worker := range server.workers {
 			if worker.HasTask(testbed.RequestID(i + 1)) {
-				worker.ReportCompletion(testbed.RequestID(i+1), causeDone)
+				worker.ReportCompletion(testbed.RequestID(i+1), codeDone)
 			}
 		}
-		if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(i+1) || line.Cause() != causeDone {
-			t.Errorf("completion: got %v, want request %s with cause %d", line, testbed.RequestID(i+1), causeDone)
+		if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(i+1) || line.Code() != codeDone {
+			t.Errorf("completion: got %v, want request %s with cause %d", line, testbed.RequestID(i+1), codeDone)
 		}
 	}
 }
@@ -67,11 +67,11 @@
 		})
 	}
 	for i, worker := range busy {
-		worker.ReportCompletion(testbed.RequestID(i+1), causeDone)
+		worker.ReportCompletion(testbed.RequestID(i+1), codeDone)
 	}
 	completed := map[string]bool{}
 	for range busy {
-		if line := testbed.Wait(t, "a completion", client.Lines); line.Cause() == causeDone {
+		if line := testbed.Wait(t, "a completion", client.Lines); line.Code() == codeDone {
 			completed[line.Tag] = true
 		}
 	}
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -23,11 +23,11 @@
 		{"many abandoned at once, with a delay to half of the workers", strings.Fields("a b c d e f g h i j k l"), manyAbandonedAtOnce},
 		{"abandoned one by one, with a delay to all workers", []string{"a", "b"}, abandonedOneByOne},
 		{"cut between the worker's last message and the cancel", []string{"a", "b"}, cutBeforeCancel},
-		{"offered during a partition that heals", []string{"a", "b"}, offeredIntoCut},
-		{"cancelled during a partition", []string{"a", "b"}, cancelledIntoCut},
+		{"offered during a partition that heals", []string{"a", "b"}, offeredDuringPartition},
+		{"cancelled during a partition", []string{"a", "b"}, cancelledDuringPartition},
 		{"moved to another address", []string{"a", "b"}, movedToAnotherAddress},
 		{"shut down, with a link cut", []string{"a", "b"}, shutDownWithLinkCut},
-		{"released during a partition that heals", []string{"a", "b"}, releasedIntoCut},
+		{"released during a partition that heals", []string{"a", "b"}, releasedDuringPartition},
 		{"completed on a connection that is gone", []string{"a", "b"}, completedOnClosedConnection},
 		{"completed as an older connection is closed", []string{"a"}, completedDuringClose},
 	} {
@@ -85,7 +85,7 @@
 
 // An offer that was written during a partition must not arrive after the partition, because the task already
 // runs on another worker.
-func offeredIntoCut(t *testing.T, server *proxiedServer) {
+func offeredDuringPartition(t *testing.T, server *proxiedServer) {
 	server.proxies["a"].Partition(t)
 	server.expectAllStarted(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
@@ -94,7 +94,7 @@
 
 // A client cancels requests that are open at a worker that has been partitioned since its last message. The
 // client may submit them to another orchestrator, so the attempts must not stay in flight for long.
-func cancelledIntoCut(t *testing.T, server *proxiedServer) {
+func cancelledDuringPartition(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
 	server.sendNoticesOnceOffered(t, silent)
 	server.proxies["a"].Partition(t)
@@ -125,7 +125,7 @@
 }
 
 // A release is sent again if the connection on which it was written has closed.
-func releasedIntoCut(t *testing.T, server *proxiedServer) {
+func releasedDuringPartition(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.proxies["a"].Partition(t)
 	testbed.Send(server, cancelLine(id))
@@ -146,7 +146,7 @@
 	server.waitResponses(t, server.submit("ok", 40, 5000))
 	server.proxies["a"].Heal(t)
 	server.waitRunningAt(t, "a")
-	server.workers[0].SendFinish(id, causeDone)
+	server.workers[0].SendFinish(id, codeDone)
 	server.waitCompletion(t, id)
 }
 
@@ -175,7 +175,7 @@
 	for server.firstResponses[late] == "" {
 		server.nextLine(t)
 	}
-	server.workers[0].SendFinish(id, causeDone)
+	server.workers[0].SendFinish(id, codeDone)
 	server.waitCompletion(t, id)
 }
 
--- a/cmd/ravenhitch/grpc_session_test.go
+++ b/cmd/ravenhitch/grpc_session_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("repeat %d: got %v, want the same binding to worker a", i, got)
 		}
 	}
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
 	if ended := testbed.Wait(t, "the completion", other.messages).GetEnded(); ended.GetHow() != edgepb.Ended_HOW_DONE {
 		t.Errorf("completion: got %v, want HOW_DONE", ended)
 	}
--- a/cmd/ravenhitch/grpc_status_test.go
+++ b/cmd/ravenhitch/grpc_status_test.go
@@ -159,7 +159,7 @@
 	for {
 		select {
 		case line := <-worker.Cancels:
-			if line.Tag == id && line.Cause() == causeDone {
+			if line.Tag == id && line.Code() == codeDone {
 				return
 			}
 		case line := <-worker.LostOffers:
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -16,12 +16,12 @@
 // a leak. It covers the buffers of connections and the memory that the runtime has not freed yet.
 const heapSlack = 96 << 10
 
-// completionKinds lists ways in which a request or its task can end. Each name maps to a function that
+// requestEndings lists ways in which a request or its task can end. Each name maps to a function that
 // submits a request and makes the request or its task end in this way.
-var completionKinds = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
+var requestEndings = map[string]func(t *testing.T, server *testServer, client *testbed.Client, id string){
 	"completed": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
 		submitAndExpectStart(t, client, id, "ok-1")
-		server.workers[0].ReportCompletion(id, causeDone)
+		server.workers[0].ReportCompletion(id, codeDone)
 		expectCompletion(t, client, id)
 	},
 	"released by its client": func(t *testing.T, server *testServer, client *testbed.Client, id string) {
@@ -61,7 +61,7 @@
 // The live heap of the server does not grow with the number of requests that have ended. The test checks this for each
 // entry of completionKinds.
 func TestHeapAfterManyCompletions(t *testing.T) {
-	for name, complete := range completionKinds {
+	for name, complete := range requestEndings {
 		t.Run(name, func(t *testing.T) {
 			server := startTestServer(t, serverOptions{}, "a")
 			client := server.connect(t)
--- a/cmd/ravenhitch/reload_test.go
+++ b/cmd/ravenhitch/reload_test.go
@@ -40,8 +40,8 @@
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" || *line.Blob != "b holds about ok-2" {
 		t.Errorf("request 2: got %v, want STARTED from worker b", line)
 	}
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
-	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
+	expectCode(t, "the completion", client, testbed.RequestID(1), codeDone)
 	next.Add(false, b.ListEntry("draining"))
 	next.WaitPolled(t)
 }
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -137,7 +137,7 @@
 	testbed.Send(client, pingLine("t"))
 	select {
 	case line := <-client.Lines:
-		if line.Verb != "ECHOED" || line.Cause() != 1 {
+		if line.Verb != "ECHOED" || line.Code() != 1 {
 			return fmt.Errorf("%s: the ping got %v, want ECHOED with code 1", process.Name, line)
 		}
 		return nil
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -25,7 +25,7 @@
 			client := server.connect(t)
 			testbed.Send(client, testbed.StartLine(testbed.RequestID(1), class, "held-1", 5000))
 			server.evictOnceOffered(t, testbed.RequestID(1))
-			expectCause(t, "the response", client, testbed.RequestID(1), causeFailed)
+			expectCode(t, "the response", client, testbed.RequestID(1), codeFailed)
 			if offers := server.workers[0].OfferCount("held-1") + server.workers[1].OfferCount("held-1"); offers != 1 {
 				t.Errorf("the task was offered %d times, want 1", offers)
 			}
@@ -64,7 +64,7 @@
 		send func(worker *testbed.Worker, requestID string)
 	}{
 		{"evicted", func(worker *testbed.Worker, requestID string) { worker.EvictTask(requestID) }},
-		{"completed", func(worker *testbed.Worker, requestID string) { worker.SendFinish(requestID, causeDone) }},
+		{"completed", func(worker *testbed.Worker, requestID string) { worker.SendFinish(requestID, codeDone) }},
 	} {
 		t.Run(end.name, func(t *testing.T) {
 			server := newTestServer(t, "a")
@@ -76,7 +76,7 @@
 			worker.CloseConnections()
 			server.waitUntil(t, "the reset attempt", func() bool { return server.dispatcher.Counts().Reset == 1 })
 			end.send(worker, testbed.RequestID(1))
-			expectCause(t, "the response", client, testbed.RequestID(1), causeFailed)
+			expectCode(t, "the response", client, testbed.RequestID(1), codeFailed)
 			server.undrainOnlyWorker()
 			server.discovery.WaitPolled(t)
 			if offers := worker.OfferCount("held-1"); offers != 1 {
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -43,7 +43,7 @@
 	}
 	for range 41 {
 		line := testbed.Wait(t, "the rejection", client.Lines)
-		if retryAfter, ok := line.Opts["wait"]; ok || line.Cause() != causeRejected {
+		if retryAfter, ok := line.Opts["wait"]; ok || line.Code() != codeRejected {
 			t.Fatalf("rejection: got %v with Retry-After %q ms, want a rejection without Retry-After", line, retryAfter)
 		}
 	}
--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -71,10 +71,10 @@
 		if got[line.Tag] != 0 || line.Verb != "FINISH" {
 			t.Errorf("response: got %v, want one FINISH for each request", line)
 		}
-		got[line.Tag] = line.Cause()
+		got[line.Tag] = line.Code()
 	}
-	want := map[string]int{testbed.RequestID(1): causeRejected, testbed.RequestID(2): causeFailed,
-		testbed.RequestID(3): causeRejected, testbed.RequestID(4): causeRejected}
+	want := map[string]int{testbed.RequestID(1): codeRejected, testbed.RequestID(2): codeFailed,
+		testbed.RequestID(3): codeRejected, testbed.RequestID(4): codeRejected}
 	if !maps.Equal(got, want) {
 		t.Errorf("codes of the responses by request ID: got %v, want %v", got, want)
 	}
--- a/cmd/ravenhitch/shutdown_unfinished_test.go
+++ b/cmd/ravenhitch/shutdown_unfinished_test.go
@@ -79,7 +79,7 @@
 	server.workers[0].BecomeUnreachable()
 	testbed.Send(client, cancelLine(testbed.RequestID(1)))
 	pingServer(t, client)
-	return func() { server.workers[0].ReportCompletion(testbed.RequestID(1), causeReleased) }
+	return func() { server.workers[0].ReportCompletion(testbed.RequestID(1), codeReleased) }
 }
 
 func beginUnreportedCompletion(t *testing.T, server *testServer) func() {
@@ -88,12 +88,12 @@
 	pingServer(t, client)
 	closeNow(t, client)
 	server.waitConnections(t, 0)
-	server.workers[0].ReportCompletion(testbed.RequestID(1), causeDone)
+	server.workers[0].ReportCompletion(testbed.RequestID(1), codeDone)
 	server.waitUntil(t, "the completion at the server", server.clientFront.HasUndelivered)
 	return func() {
 		next := server.connect(t)
 		testbed.Send(next, pingLine("t"))
-		expectCause(t, "the completion", next, testbed.RequestID(1), causeDone)
+		expectCode(t, "the completion", next, testbed.RequestID(1), codeDone)
 	}
 }
 
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -18,24 +18,24 @@
 
 // Codes of FINISH messages, as the protocol defines them. testbed.Line.Cause returns the code of a message.
 const (
-	// causeDone means that the task completed, or that a client or an orchestrator cancels or releases it.
-	causeDone      = 16
-	causeRejected  = 34  // the request was rejected; a retry is harmless
-	causeReleased  = 31  // a worker confirms a release
-	causeLost      = 41  // the task ended without completing, for example because its worker was lost
-	causeFailed    = 47  // the request is invalid, or it failed and its task may have run
-	causeNeverSent = 102 // the offer was never sent, so the task never ran
+	// codeDone means that the task completed, or that a client or an orchestrator cancels or releases it.
+	codeDone      = 16
+	codeRejected  = 34  // the request was rejected; a retry is harmless
+	codeReleased  = 31  // a worker confirms a release
+	codeLost      = 41  // the task ended without completing, for example because its worker was lost
+	codeFailed    = 47  // the request is invalid, or it failed and its task may have run
+	codeNeverSent = 102 // the offer was never sent, so the task never ran
 )
 
 // cancelLine returns the line that cancels an open request or releases a running task.
 func cancelLine(requestID string) testbed.Line {
-	return testbed.FinishLine("FINISH", requestID, causeDone)
+	return testbed.CodeLine("FINISH", requestID, codeDone)
 }
 
-// expectCause fails the test unless the client's next line is for the given request and has the given code.
-func expectCause(t *testing.T, what string, client *testbed.Client, requestID string, code int) {
+// expectCode fails the test unless the client's next line is for the given request and has the given code.
+func expectCode(t *testing.T, what string, client *testbed.Client, requestID string, code int) {
 	t.Helper()
-	if line := testbed.Wait(t, what, client.Lines); line.Tag != requestID || line.Cause() != code {
+	if line := testbed.Wait(t, what, client.Lines); line.Tag != requestID || line.Code() != code {
 		t.Errorf("%s: got %v, want code %d for request %s", what, line, code, requestID)
 	}
 }
--- a/cmd/ravenhitch/testconfig_test.go
+++ b/cmd/ravenhitch/testconfig_test.go
@@ -33,7 +33,7 @@
 func configWith(discovery *testbed.Discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"channel":%q,"known":%s,"settings":%s}`,
-		discovery.Server.Listener.Addr(), discovery.InitialList(0), settings)
+		discovery.Server.Listener.Addr(), discovery.PollResponse(0), settings)
 }
 
 // settingChange replaces the value of the setting at a path of settingsJSON.
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -26,8 +26,8 @@
 		injectFault func(t *testing.T, worker *testbed.Worker, trace *traceRecorder)
 		wantCause   int
 	}{
-		{"unreachable", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.BecomeUnreachable() }, causeLost},
-		{"ended with a close and no reset", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.CloseGracefully() }, causeLost},
+		{"unreachable", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.BecomeUnreachable() }, codeLost},
+		{"ended with a close and no reset", func(_ *testing.T, worker *testbed.Worker, _ *traceRecorder) { worker.CloseGracefully() }, codeLost},
 		{"refusing connections, and alive", func(t *testing.T, worker *testbed.Worker, trace *traceRecorder) {
 			worker.RefuseConnections()
 			for limit := time.Now().Add(3 * testbed.Timeout); trace.closingDuration() < 2*deadAfterRefused; time.Sleep(time.Millisecond) {
@@ -35,8 +35,8 @@
 					t.Fatal("the server did not keep dialling the worker for twice deadAfterRefused")
 				}
 			}
-			worker.SendFinish(testbed.RequestID(1), causeDone)
-		}, causeDone},
+			worker.SendFinish(testbed.RequestID(1), codeDone)
+		}, codeDone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -48,7 +48,7 @@
 				t.Fatalf("response: got %v, want STARTED", line)
 			}
 			test.injectFault(t, server.workers[0], trace)
-			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Cause() != test.wantCause {
+			if line := testbed.Wait(t, "the completion", client.Lines); line.Tag != testbed.RequestID(1) || line.Code() != test.wantCause {
 				t.Errorf("completion of request 1: got %v, want code %d", line, test.wantCause)
 			}
 		})
@@ -105,8 +105,8 @@
 	testbed.Wait(t, "the response", client.Lines)
 	worker := server.workers[0]
 	worker.ForgetConnections()
-	worker.ReportCompletion(testbed.RequestID(1), causeDone)
-	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
+	worker.ReportCompletion(testbed.RequestID(1), codeDone)
+	expectCode(t, "the completion", client, testbed.RequestID(1), codeDone)
 }
 
 // If the connection is reset after the offer was sent, the task may have run. A task that must not start
@@ -115,7 +115,7 @@
 	server := newTestServer(t, "a")
 	client := server.connect(t)
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "archive-cut", "reset-1", 5000))
-	if line := testbed.Wait(t, "the response", client.Lines); line.Cause() == causeRejected || line.Verb != "FINISH" {
+	if line := testbed.Wait(t, "the response", client.Lines); line.Code() == codeRejected || line.Verb != "FINISH" {
 		t.Errorf("response: got %v, want FINISH with a code other than a rejection", line)
 	}
 	if n := server.workers[0].OfferCount("reset-1"); n != 1 {
@@ -131,7 +131,7 @@
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(1), "guide-web", "ok-1", 5000))
 	testbed.Wait(t, "the response", client.Lines)
 	server.workers[0].Crash()
-	expectCause(t, "the completion", client, testbed.RequestID(1), causeLost)
+	expectCode(t, "the completion", client, testbed.RequestID(1), codeLost)
 }
 
 // A new worker at the address of a removed worker is a different worker: the tasks of the removed worker are lost.
@@ -149,7 +149,7 @@
 		t.Errorf("response: got %v, want STARTED for request 2", line)
 	}
 	// The task on the removed worker ends although no worker has reported its completion.
-	expectCause(t, "the completion", client, testbed.RequestID(1), causeLost)
+	expectCode(t, "the completion", client, testbed.RequestID(1), codeLost)
 	if running := server.runningTasks(t); running != 1 {
 		t.Errorf("got %d running tasks, want 1", running)
 	}
--- a/cmd/ravenhitch/worker_responses_test.go
+++ b/cmd/ravenhitch/worker_responses_test.go
@@ -45,7 +45,7 @@
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID+1), "archive-cut", "silent-"+kind, 10_000))
 	testbed.Send(client, testbed.StartLine(testbed.RequestID(firstID+2), "archive-cut", kind+"-cut", 10_000))
 	for range 2 {
-		if line := testbed.Wait(t, "a failure", client.Lines); line.Verb != "FINISH" || line.Cause() == causeRejected {
+		if line := testbed.Wait(t, "a failure", client.Lines); line.Verb != "FINISH" || line.Code() == codeRejected {
 			t.Errorf("%s: got %v, want FINISH with a code other than a rejection", kind, line)
 		}
 	}
@@ -67,8 +67,8 @@
 	if line := testbed.Wait(t, "the response", client.Lines); line.Verb != "STARTED" {
 		t.Fatalf("response: got %v, want STARTED", line)
 	}
-	for _, cause := range []int{causeRejected, causeNeverSent, causeDone} {
+	for _, cause := range []int{codeRejected, codeNeverSent, codeDone} {
 		server.workers[0].ReportCompletion(testbed.RequestID(1), cause)
 	}
-	expectCause(t, "the completion", client, testbed.RequestID(1), causeDone)
+	expectCode(t, "the completion", client, testbed.RequestID(1), codeDone)
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -64,9 +64,9 @@
 	runAgain     bool // true if the next turn starts without waiting for events
 	stopping     bool
 
-	lastPostAt int64 // time at which the loop last took the posted functions
-	mu         sync.Mutex
-	posted     []func() // guarded by mu
+	postsTakenAt int64 // time at which the loop last took the posted functions
+	mu           sync.Mutex
+	posted       []func() // guarded by mu
 }
 
 // New returns a loop with a descriptor budget of maxDescriptors sockets. The budget limits how many connections are
@@ -120,9 +120,9 @@
 // to its last write.
 func (l *Loop) TurnDuration() int64 { return l.turnDuration }
 
-// LastPostAt returns the Unix time, in microseconds, at which the loop last took the functions that other goroutines
+// PostsTakenAt returns the Unix time, in microseconds, at which the loop last took the functions that other goroutines
 // had posted. This time advances in every turn, even if no function was posted.
-func (l *Loop) LastPostAt() int64 { return l.lastPostAt }
+func (l *Loop) PostsTakenAt() int64 { return l.postsTakenAt }
 
 // FreeDescriptors returns the number of sockets that may still be opened within the budget.
 func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
@@ -214,7 +214,7 @@
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
-	l.posted, l.lastPostAt = nil, l.Clock()
+	l.posted, l.postsTakenAt = nil, l.Clock()
 	l.mu.Unlock()
 	for _, f := range posted {
 		f()
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -16,9 +16,9 @@
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
 }
 
-// minUpdateSize is the approximate size in bytes of an update with short names and without confirmations. packPage adds
+// minPageSpace is the approximate size in bytes of an update with short names and without confirmations. packPage adds
 // updates to a datagram only while more than this number of bytes is free.
-const minUpdateSize = 64
+const minPageSpace = 64
 
 // disseminate queues the update of a member for dissemination. It replaces an earlier entry of the member, so the
 // number of transmits starts at 0 again.
@@ -104,7 +104,7 @@
 // after the member that was considered last for the previous page, whichever receiver that page was sent to. It stops
 // when at most minUpdateSize bytes are free or all members have been considered.
 func (t *Table) packPage(p *packer, buckets uint32) {
-	for n := 0; n < len(t.names) && p.free > minUpdateSize; n++ {
+	for n := 0; n < len(t.names) && p.free > minPageSpace; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
 		m := t.members[t.names[t.pageCursor]]
 		if m.State <= Suspect && buckets&(1<<digestBucket(m.Name)) != 0 {
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -125,7 +125,7 @@
 	m.mu.Unlock()
 	task, err := parseTask(*line.Blob)
 	if err != nil {
-		Send(conn, FinishLine("FINISH", line.Tag, codeFailed))
+		Send(conn, CodeLine("FINISH", line.Tag, codeFailed))
 		return
 	}
 	if overloaded {
@@ -278,7 +278,7 @@
 	}
 	m.mu.Unlock()
 	m.observer.Completed(task.key, requestID)
-	task.worker.report(task.conn, FinishLine("FINISH", requestID, code))
+	task.worker.report(task.conn, CodeLine("FINISH", requestID, code))
 }
 
 // cancelled handles the cancel of an offer or the release of a running task.
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -63,5 +63,5 @@
 func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed,
-		cmp.Or(d.MemoryMB, defaultMemoryMB), cmp.Or(d.Sockets, defaultSockets), channel, discovery.InitialList(0), d.Settings(index))
+		cmp.Or(d.MemoryMB, defaultMemoryMB), cmp.Or(d.Sockets, defaultSockets), channel, discovery.PollResponse(0), d.Settings(index))
 }
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -58,7 +58,7 @@
 		}
 		break
 	}
-	_, _ = io.WriteString(w, d.InitialList(after)) // write errors are ignored: a caller whose connection has ended polls again
+	_, _ = io.WriteString(w, d.PollResponse(after)) // write errors are ignored: a caller whose connection has ended polls again
 }
 
 // state returns the number of events and a channel that is closed when Add adds one.
@@ -68,9 +68,9 @@
 	return len(d.events), d.added
 }
 
-// InitialList returns the response to a poll by an orchestrator that has already applied a number of events, given by
+// PollResponse returns the response to a poll by an orchestrator that has already applied a number of events, given by
 // the argument after. The response contains the later events.
-func (d *Discovery) InitialList(after int) string {
+func (d *Discovery) PollResponse(after int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(d.events), strings.Join(d.events[min(after, len(d.events)):], ","))
--- a/internal/testbed/fleet/demand.go
+++ b/internal/testbed/fleet/demand.go
@@ -156,7 +156,7 @@
 		return false
 	}
 	if response.Verb == "STARTED" {
-		testbed.Send(client, testbed.FinishLine("FINISH", requestID, releaseCode))
+		testbed.Send(client, testbed.CodeLine("FINISH", requestID, releaseCode))
 	}
 	return true
 }
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -96,7 +96,7 @@
 	case "FINISH":
 		c.worker.complete(line.Tag, codeCancelled)
 	case "ECHO":
-		c.send(testbed.FinishLine("ECHOED", line.Tag, codeOK))
+		c.send(testbed.CodeLine("ECHOED", line.Tag, codeOK))
 	}
 }
 
@@ -122,7 +122,7 @@
 	if to == nil {
 		return false
 	}
-	ping := testbed.FinishLine("ECHO", requestID, 0)
+	ping := testbed.CodeLine("ECHO", requestID, 0)
 	ping.Opts = options
 	to.send(ping)
 	return true
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -65,20 +65,20 @@
 		t.Errorf("first offer: got %+v, want STARTED of %s", got, first)
 	}
 	testbed.Send(c, submission(second, Task{Cores: 1, Memory: 1, RunTime: time.Hour}))
-	if got := testbed.Wait(t, "response to the second offer", c.Lines); got.Cause() != codeRejected || got.Opts["note"] != "cpu_full" {
+	if got := testbed.Wait(t, "response to the second offer", c.Lines); got.Code() != codeRejected || got.Opts["note"] != "cpu_full" {
 		t.Errorf("second offer: got %+v, want code %d with the note cpu_full", got, codeRejected)
 	}
-	testbed.Send(c, testbed.FinishLine("FINISH", first, codeEnded))
-	if got := testbed.Wait(t, "cancel confirmation", c.Lines); got.Cause() != codeCancelled || got.Tag != first {
+	testbed.Send(c, testbed.CodeLine("FINISH", first, codeEnded))
+	if got := testbed.Wait(t, "cancel confirmation", c.Lines); got.Code() != codeCancelled || got.Tag != first {
 		t.Errorf("release of the first task: got %+v, want code %d of %s", got, codeCancelled, first)
 	}
 	testbed.Send(c, submission(third, Task{Cores: 1, Memory: 4, RunTime: time.Millisecond}))
 	testbed.Wait(t, "response to the third offer", c.Lines)
-	if got := testbed.Wait(t, "completion of the third task", c.Lines); got.Cause() != codeEnded || got.Tag != third {
+	if got := testbed.Wait(t, "completion of the third task", c.Lines); got.Code() != codeEnded || got.Tag != third {
 		t.Errorf("end of the third task: got %+v, want code %d of %s", got, codeEnded, third)
 	}
-	testbed.Send(c, testbed.FinishLine("ECHO", third, 0))
-	if got := testbed.Wait(t, "response to the ping", c.Lines); got.Verb != "ECHOED" || got.Cause() != 1 {
+	testbed.Send(c, testbed.CodeLine("ECHO", third, 0))
+	if got := testbed.Wait(t, "response to the ping", c.Lines); got.Verb != "ECHOED" || got.Code() != 1 {
 		t.Errorf("ping: got %+v, want ECHOED with code 1", got)
 	}
 	if observer.accepted != 2 || f.Rejections() != 1 || f.Running() != 0 {
@@ -99,14 +99,14 @@
 		t.Fatal("AddRunning returned false, want free capacity for the adopted task")
 	}
 	f.StartRunTimes()
-	if got := testbed.Wait(t, "completion of the adopted task", mine.Lines); got.Tag != adopted || got.Cause() != codeEnded {
+	if got := testbed.Wait(t, "completion of the adopted task", mine.Lines); got.Tag != adopted || got.Code() != codeEnded {
 		t.Errorf("open connection of its orchestrator: got %+v, want the completion of %s", got, adopted)
 	}
 	late := testbed.NewClient(t, w.address)
 	if got := testbed.Wait(t, "completion on a new connection", late.Lines); got.Tag != adopted {
 		t.Errorf("new connection: got %+v, want the completion of %s", got, adopted)
 	}
-	testbed.Send(other, testbed.FinishLine("ECHO", RequestID(0, 9), 0))
+	testbed.Send(other, testbed.CodeLine("ECHO", RequestID(0, 9), 0))
 	if got := testbed.Wait(t, "response to the other orchestrator's ping", other.Lines); got.Verb != "ECHOED" {
 		t.Errorf("other orchestrator: got %+v, want only the ECHOED of its ping", got)
 	}
@@ -143,11 +143,11 @@
 	f, _ := newTestFleet(t, 1)
 	w := f.Workers[0]
 	c := testbed.NewClient(t, w.address)
-	testbed.Send(c, testbed.FinishLine("ECHO", RequestID(0, 1), 0))
+	testbed.Send(c, testbed.CodeLine("ECHO", RequestID(0, 1), 0))
 	testbed.Wait(t, "response to the first ping", c.Lines)
 	beforePing := time.Now()
 	w.closeIdle(beforePing.Add(-time.Hour))
-	testbed.Send(c, testbed.FinishLine("ECHO", RequestID(0, 2), 0))
+	testbed.Send(c, testbed.CodeLine("ECHO", RequestID(0, 2), 0))
 	testbed.Wait(t, "response to a ping on a connection that is not idle", c.Lines)
 	w.closeIdle(time.Now())
 	if line, open := <-c.Lines; open {
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -31,16 +31,16 @@
 	index    int
 	address  string
 
-	mutex           sync.Mutex
-	listener        net.Listener
-	connections     map[*connection]bool
-	tasks           map[string]*runningTask // by request ID
-	unreported      []completion            // recent completions, also sent on each new connection
-	requestedCores  float64
-	requestedMemory float64
-	phase           string    // phase in the worker list, "" for up
-	startedAt       time.Time // time of the latest restart, zero if there was none; the list entry then shows 0
-	unresponsive    bool
+	mutex             sync.Mutex
+	listener          net.Listener
+	connections       map[*connection]bool
+	tasks             map[string]*runningTask // by request ID
+	recentCompletions []completion            // recent completions, also sent on each new connection
+	requestedCores    float64
+	requestedMemory   float64
+	phase             string    // phase in the worker list, "" for up
+	startedAt         time.Time // time of the latest restart, zero if there was none; the list entry then shows 0
+	unresponsive      bool
 }
 
 // FailureMode is the way in which a worker fails.
@@ -95,7 +95,7 @@
 	defer w.mutex.Unlock()
 	w.connections[c] = true
 	w.dropOldCompletions()
-	for _, completed := range w.unreported {
+	for _, completed := range w.recentCompletions {
 		lines = append(lines, completed.line)
 	}
 	return lines
@@ -115,7 +115,7 @@
 			task.timer.Stop()
 		}
 	}
-	w.tasks, w.unreported, w.requestedCores, w.requestedMemory = map[string]*runningTask{}, nil, 0, 0
+	w.tasks, w.recentCompletions, w.requestedCores, w.requestedMemory = map[string]*runningTask{}, nil, 0, 0
 	open := w.connections
 	if mode == Crash {
 		w.connections = map[*connection]bool{}
--- a/internal/testbed/hollow/worker_tasks.go
+++ b/internal/testbed/hollow/worker_tasks.go
@@ -42,7 +42,7 @@
 func (w *Worker) receiveOffer(from *connection, line testbed.Line) {
 	t, err := ParseTask(*line.Blob)
 	if err != nil {
-		from.send(testbed.FinishLine("FINISH", line.Tag, codeFailed))
+		from.send(testbed.CodeLine("FINISH", line.Tag, codeFailed))
 		return
 	}
 	w.mutex.Lock()
@@ -55,7 +55,7 @@
 	w.mutex.Unlock()
 	if shortage != "" {
 		w.fleet.rejections.Add(1)
-		rejection := testbed.FinishLine("FINISH", line.Tag, codeRejected)
+		rejection := testbed.CodeLine("FINISH", line.Tag, codeRejected)
 		rejection.Opts["note"] = shortage
 		from.send(rejection)
 		return
@@ -118,7 +118,7 @@
 // completionRetention. complete does nothing if the worker does not run the task or is unresponsive.
 func (w *Worker) complete(requestID string, code int) {
 	now := time.Now()
-	line := testbed.FinishLine("FINISH", requestID, code)
+	line := testbed.CodeLine("FINISH", requestID, code)
 	w.mutex.Lock()
 	task := w.tasks[requestID]
 	if task == nil || w.unresponsive {
@@ -128,7 +128,7 @@
 	w.remove(requestID, task)
 	connections := w.reportConnections(task)
 	w.dropOldCompletions()
-	w.unreported = append(w.unreported, completion{line, now})
+	w.recentCompletions = append(w.recentCompletions, completion{line, now})
 	w.mutex.Unlock()
 	w.fleet.RecordChange(w.index)
 	w.fleet.observer.Ended(w.ID, requestID, now, false)
@@ -170,8 +170,8 @@
 // dropOldCompletions drops completions that are older than completionRetention. The caller holds the
 // lock.
 func (w *Worker) dropOldCompletions() {
-	for len(w.unreported) > 0 && time.Since(w.unreported[0].at) > completionRetention {
-		w.unreported = w.unreported[1:]
+	for len(w.recentCompletions) > 0 && time.Since(w.recentCompletions[0].at) > completionRetention {
+		w.recentCompletions = w.recentCompletions[1:]
 	}
 }
 
--- a/internal/testbed/message.go
+++ b/internal/testbed/message.go
@@ -32,16 +32,16 @@
 // noCode is returned by Cause for a message without a code.
 const noCode = -1
 
-// Cause returns the code of a message, or noCode (-1) if the message has none.
-func (l Line) Cause() int {
+// Code returns the code of a message, or noCode (-1) if the message has none.
+func (l Line) Code() int {
 	if l.RC == nil {
 		return noCode
 	}
 	return *l.RC
 }
 
-// FinishLine returns a message with the given verb, request ID and outcome code.
-func FinishLine(verb, requestID string, rc int) Line {
+// CodeLine returns a message with the given verb, request ID and outcome code.
+func CodeLine(verb, requestID string, rc int) Line {
 	return Line{Verb: verb, Tag: requestID, Opts: map[string]string{}, RC: &rc}
 }
 
@@ -63,14 +63,14 @@
 
 // rejectedLine returns the rejection of an offer with its cause.
 func rejectedLine(requestID, cause string) Line {
-	line := FinishLine("FINISH", requestID, codeRejected)
+	line := CodeLine("FINISH", requestID, codeRejected)
 	line.Opts["note"] = cause
 	return line
 }
 
 // drainedLine returns the message by which a draining worker reports that it ended a task.
 func drainedLine(requestID string) Line {
-	line := FinishLine("FINISH", requestID, codeReset)
+	line := CodeLine("FINISH", requestID, codeReset)
 	line.Opts["note"] = "drained"
 	return line
 }
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -189,7 +189,7 @@
 	delete(w.offerConnections, line.Tag)
 	w.mu.Unlock()
 	if wasRunning {
-		Send(conn, FinishLine("FINISH", line.Tag, codeCancelled))
+		Send(conn, CodeLine("FINISH", line.Tag, codeCancelled))
 	}
 	w.Cancels <- line
 }
@@ -198,7 +198,7 @@
 	w.mu.Lock()
 	w.pings++
 	w.mu.Unlock()
-	Send(conn, FinishLine("ECHOED", line.Tag, codeOK))
+	Send(conn, CodeLine("ECHOED", line.Tag, codeOK))
 }
 
 func (w *Worker) has(conn net.Conn) bool {
@@ -228,7 +228,7 @@
 // the connection of the offer, if that connection looks open to the worker, otherwise to any open connection. The
 // report is also sent on the next connection, or twice there if no connection was open.
 func (w *Worker) SendFinish(requestID string, rc int) {
-	w.sendEnd(requestID, FinishLine("FINISH", requestID, rc))
+	w.sendEnd(requestID, CodeLine("FINISH", requestID, rc))
 }
 
 // EvictTask ends a running task as a draining worker does and reports the end like SendFinish.
@@ -258,7 +258,7 @@
 		w.dialled.Wait()
 	}
 	for conn := range w.connections {
-		Send(conn, FinishLine("FINISH", requestID, rc))
+		Send(conn, CodeLine("FINISH", requestID, rc))
 		return
 	}
 }
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -43,7 +43,7 @@
 		answerTwice(conn, line)
 	case "brief":
 		w.Attempts.ended(w.Name, line.Tag)
-		finished, blob := FinishLine("FINISH", line.Tag, codeEnded), w.Name+" held "+*line.Blob
+		finished, blob := CodeLine("FINISH", line.Tag, codeEnded), w.Name+" held "+*line.Blob
 		finished.Blob = &blob
 		Send(conn, finished)
 	case "held":
@@ -53,7 +53,7 @@
 		Send(conn, rejectedLine(line.Tag, "busy"))
 	case "error":
 		w.Attempts.ended(w.Name, line.Tag)
-		Send(conn, FinishLine("FINISH", line.Tag, codeFailed))
+		Send(conn, CodeLine("FINISH", line.Tag, codeFailed))
 	case "reset":
 		resetOnClose(conn)
 		w.mu.Lock()
@@ -123,7 +123,7 @@
 	foreign := line
 	foreign.Tag = RequestID(0xffff)
 	Send(conn, foreign)
-	Send(conn, FinishLine("FINISH", foreign.Tag, codeRejected))
+	Send(conn, CodeLine("FINISH", foreign.Tag, codeRejected))
 	Send(conn, line)
 	Send(conn, line)
 }
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -113,7 +113,7 @@
 // resent after another connection ended.
 func (c *workerConn) sendOffer(offer *openOffer) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
-	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.LastPostAt())
+	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.PostsTakenAt())
 	if age := pool.loop.Clock() - lastSeenAt; age > maxClientLastSeenAge {
 		pool.trace("offer delayed until client is read", requestID, "worker", worker, "age_us", age)
 		pool.delayedOffers = append(pool.delayedOffers, delayedOffer{c, offer})
--- a/placement/fixture_test.go
+++ b/placement/fixture_test.go
@@ -102,8 +102,8 @@
 	return out
 }
 
-// levelled draws the utilization of a worker in an evenly loaded fleet.
-func levelled(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
+// evenUtilization draws the utilization of a worker in an evenly loaded fleet.
+func evenUtilization(random *rand.Rand) float64 { return 0.6 + 0.04*random.NormFloat64() }
 
 // largeFleet returns a fixture with the given number of workers, all of one kind. drawUtilization draws the
 // utilization of each worker.
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -8,7 +8,7 @@
 
 // TestRemovedWorkersAreForgotten checks that no state of removed workers remains once their tasks have ended.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
-	f := largeFleet(t, 100, levelled)
+	f := largeFleet(t, 100, evenUtilization)
 	for i := range 30 {
 		f.startTask(fmt.Sprint(i))
 	}
--- a/placement/requests_test.go
+++ b/placement/requests_test.go
@@ -63,7 +63,7 @@
 	t.Error("got no rejection until the deadline, want one")
 }
 
-func TestRepeatedEffects(t *testing.T) {
+func TestRepeatsByEffect(t *testing.T) {
 	ended := func(outcome Outcome) AttemptEnded { return AttemptEnded{RequestID: "1", Worker: "a", Outcome: outcome} }
 	for _, test := range []struct {
 		class string
--- a/placement/reservations_test.go
+++ b/placement/reservations_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestGapsAreReservedForHigherPriority checks that a worker is reserved for a pending task of high priority:
+// TestWorkerIsReservedForHigherPriority checks that a worker is reserved for a pending task of high priority:
 // the worker that lacks the least capacity for the task. Smaller tasks of much lower priority do not get this
 // worker, and the pending task gets it once the worker has enough free capacity.
-func TestGapsAreReservedForHigherPriority(t *testing.T) {
+func TestWorkerIsReservedForHigherPriority(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[8].Kind = -1 // class "large", with a weight of 3, on any kind
 	tight := func(name string, free float64) Entry { return smallWorker(name, 0, free-16) }
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestSettingsNeverSeen(t *testing.T) {
+func TestUnusualSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"one scheduler":          func(settings *Settings) { settings.FleetSize = 1 },
 		"no view":                func(settings *Settings) { settings.HasView = false },
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestHardInput(t *testing.T) {
+func TestUnusualInput(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize, settings.SelfIndex, settings.SlowStartOffers = 300, 299, 1
 	f := newFixture(t, settings, 1, Entry{Worker: "a", Kind: "small", FreeCores: 30, FreeMemory: 60})
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSchedulersMeetForProgram(t *testing.T) {
+func TestSchedulersPreferSameWorkerForProgram(t *testing.T) {
 	first := map[string]int{}
 	for i := range 20 {
 		f := newFixture(t, testSettings(), uint64(i), smallWorker("a", 0, 20), smallWorker("b", 0, 20), smallWorker("c", 1, 20), smallWorker("d", 1, -10))
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -11,7 +11,7 @@
 func TestSearchLooksAtFew(t *testing.T) {
 	evaluated := map[int]float64{}
 	for _, count := range []int{400, 4000} {
-		f := largeFleet(t, count, levelled)
+		f := largeFleet(t, count, evenUtilization)
 		for program := range uint64(50) {
 			f.scheduler.search.finalists(f.syntheticTask(program))
 			evaluated[count] += float64(f.scheduler.search.evaluated) / 50
@@ -57,7 +57,7 @@
 
 // TestSearchesAllocateNothing checks that no kind of search allocates once its slices have grown.
 func TestSearchesAllocateNothing(t *testing.T) {
-	f := largeFleet(t, 1000, levelled)
+	f := largeFleet(t, 1000, evenUtilization)
 	task, search := f.syntheticTask(7), f.scheduler.search
 	for name, find := range map[string]func(){
 		"selectWorker":     func() { search.selectWorker(task) },
@@ -97,7 +97,7 @@
 		name string
 		draw func(*rand.Rand) float64
 	}{
-		{"levelled", levelled},
+		{"levelled", evenUtilization},
 		{"alike", func(random *rand.Rand) float64 { return 0.5 + 0.001*random.Float64() }},
 		{"uneven", func(random *rand.Rand) float64 { return random.Float64() }},
 	} {
--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -123,7 +123,7 @@
 			r.startedAt = resp.at
 			return r
 		}
-		if resp.disconnected || resp.Cause() != codeRejected {
+		if resp.disconnected || resp.Code() != codeRejected {
 			if c.mayHaveStarted(j) {
 				r.startedAt = time.Now()
 				return r
@@ -230,7 +230,7 @@
 	switch {
 	case line.Verb == "STARTED":
 		return responseStarted
-	case line.Cause() == codeRejected:
+	case line.Code() == codeRejected:
 		return responseRejected
 	}
 	return responseFailed
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -154,7 +154,7 @@
 // ping sends a ping and returns a channel that is closed when the answer arrives.
 func (c *connection) ping(options map[string]string) (<-chan struct{}, error) {
 	requestID := hollow.RequestID(c.pool.orchestrator.index, c.pool.next.Add(1))
-	ping := testbed.FinishLine("ECHO", requestID, 0)
+	ping := testbed.CodeLine("ECHO", requestID, 0)
 	ping.Opts = options
 	answered := make(chan struct{})
 	c.mutex.Lock()
@@ -173,7 +173,7 @@
 // cancel sends the cancellation of a request.
 func (c *connection) cancel(requestID string) {
 	// A write error is ignored. It usually means that the connection has ended, and its end cancels the request.
-	_ = c.write(testbed.FinishLine("FINISH", requestID, codeEnded))
+	_ = c.write(testbed.CodeLine("FINISH", requestID, codeEnded))
 }
 
 // clients submits tasks to the orchestrators and retries them.
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -36,9 +36,9 @@
 	// maxBytesExponent is the maximum exponent of the power law by which the traffic of a member grows with the
 	// number of members.
 	maxBytesExponent = 0.25
-	// maxSplitTime is a time in seconds. In a cut of at least this duration, each side must consider all members of
+	// minSplitCut is a time in seconds. In a cut of at least this duration, each side must consider all members of
 	// the other side dead before the cut ends.
-	maxSplitTime = 60
+	minSplitCut = 60
 	// maxDeadMessages is the maximum mean number of datagrams per second that a member may send, in the last part of
 	// a cut, to members that are unknown, dead or departed in its table.
 	maxDeadMessages = 2.5
@@ -78,7 +78,7 @@
 		t.Errorf("%d members: got %d false deaths, want none; first: %s", r.memberCount, len(r.falseDeaths), r.falseDeaths[0])
 	}
 	for ph := forming; ph < phaseCount; ph++ {
-		isShort := ph == cut && r.cutSeconds < maxSplitTime // the cut is too short for each side to consider the other dead
+		isShort := ph == cut && r.cutSeconds < minSplitCut // the cut is too short for each side to consider the other dead
 		if r.records[ph].seconds > 0 && r.agreedAfter[ph] == never && !isShort {
 			t.Errorf("%d members: the tables do not agree within phase %s", r.memberCount, ph)
 		}
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -259,7 +259,7 @@
 	r.deadline.Stop()
 	delete(l.requests, r.requestID)
 	l.clearUnreported(r.requestID)
-	switch line.Cause() {
+	switch line.Code() {
 	case codeRejected, codeUnavailable, codeNeverSent:
 		l.counts.rejected++
 		return retryAfter(line)
@@ -284,7 +284,7 @@
 		l.counts.migrated++
 		r.running = false
 		return minRetryPause
-	case line.Cause() == codeEnded:
+	case line.Code() == codeEnded:
 		l.counts.ended++
 	default:
 		l.counts.aborted++
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -136,7 +136,7 @@
 	for requestID := range c.open {
 		delete(c.open, requestID)
 		c.scenario.ledger.left(map[string]bool{requestID: true}, time.Now())
-		testbed.Send(c.conn, testbed.FinishLine("FINISH", requestID, codeEnded))
+		testbed.Send(c.conn, testbed.CodeLine("FINISH", requestID, codeEnded))
 		return
 	}
 }
