--- a/client/client_test.go
+++ b/client/client_test.go
@@ -125,7 +125,7 @@
 }
 
 // If an offer is invalid or its task may have started, Place does not repeat the offer and returns the status of
-// the only attempt. If Task.Once is set, this includes an offer whose response is missing or late.
+// the only attempt. If Task.Once is set, the same applies to an offer whose response is missing or late.
 func TestNeverOfferedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		once bool
--- a/client/place.go
+++ b/client/place.go
@@ -34,8 +34,8 @@
 // Place must not be called with a token before RejectedError.RetryAt.
 //
 // The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done. A Client
-// without connections always returns an error. Otherwise the error is the gRPC status of the last attempt, such as
-// INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
+// without connections always returns an error. In all other cases, the error is the gRPC status of the last attempt,
+// such as INVALID_ARGUMENT, ALREADY_EXISTS or UNKNOWN.
 //
 // If the error is ALREADY_EXISTS, UNKNOWN or the error of ctx, the task may have started. If Task.Once is set, this
 // also applies to UNAVAILABLE and DEADLINE_EXCEEDED. Such a task must not be offered again without checking whether
--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -50,9 +50,10 @@
 	return a
 }
 
-// endPresumption ends the presumption that the members named in the operators' file are alive. From then on,
-// only the members of the stable view count. If no stable view has listed this orchestrator yet, endPresumption
-// changes nothing. The members then stay presumed alive, because endPresumption is not called again.
+// endPresumption ends the presumption that the members named in the operators' file are alive. From then on, only
+// the members of the stable view count. If no stable view has listed this orchestrator yet, endPresumption changes
+// nothing. In this case, the members named in the file stay presumed alive until the process ends, because
+// endPresumption is called only once.
 func (a *assignment) endPresumption() {
 	if len(a.view) > 0 {
 		a.presumed = nil
@@ -60,9 +61,9 @@
 	}
 }
 
-// onView divides the workers among the members of a new stable view and the members that are still presumed
-// alive. It ignores a view that does not list this orchestrator. The reason for such a view is that the
-// orchestrator has not joined the membership table yet, that another process owns its name, or that it is leaving.
+// onView divides the workers among the members of a new stable view and the members that are still presumed alive.
+// It ignores a view that does not list this orchestrator. A view omits an orchestrator that has not joined the
+// membership table yet, whose name another process owns, or that is leaving.
 func (a *assignment) onView(members []membership.Member) {
 	if !slices.ContainsFunc(members, func(m membership.Member) bool { return m.Name == a.name }) {
 		return
--- a/cmd/ravenhitch/both_fronts_test.go
+++ b/cmd/ravenhitch/both_fronts_test.go
@@ -141,9 +141,9 @@
 	return ended.GetOfferId() + " lost"
 }
 
-// clientTimeoutMs returns the timeout of the request for a task, in milliseconds. A worker never answers the
-// offer of a task whose name begins with "silent". The timeout of its request is shorter than the timeout of
-// an attempt, so the number of attempts does not depend on the speed of the computer.
+// clientTimeoutMs returns the timeout of the request for a task, in milliseconds. A worker never answers the offer
+// of a task whose name begins with "silent". The request for such a task has a shorter timeout than an attempt, so
+// the number of attempts does not depend on the speed of the computer.
 func clientTimeoutMs(task string) int {
 	if strings.HasPrefix(task, "silent") {
 		return 200
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -11,7 +11,7 @@
 )
 
 // maxLateAttempt is the time, counted from the moment at which a client left, after which no attempt may begin for
-// its request. maxClientLastSeenAge in package workerpool keeps the server within this time.
+// its request. The server stays within this time because of maxClientLastSeenAge in package workerpool.
 const maxLateAttempt = 100 * time.Millisecond
 
 // leaverID is the request ID of the client that leaves.
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -12,7 +12,7 @@
 
 // The completion of a running task goes to the client that submitted the task first, even if a second client submits
 // it again. If the first client has disconnected, the completion goes to a client for which a task was started. If
-// there is none, the completion goes to a client that was the first to register some other running task.
+// there is none, the completion goes to a client that registered another running task before any other client did.
 func TestCompletionGoesToItsClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first, served, second := server.connect(t), server.connect(t), server.connect(t)
@@ -188,9 +188,9 @@
 	}
 }
 
-// The completion of a task reaches its client even if other connections fill the connection table. While at most
-// eight connections have had a task, the server evicts none of them for a new connection if a connection without
-// a task can be evicted soon instead.
+// The completion of a task reaches its client even if other connections fill the connection table. If at most eight
+// connections have had a task, the server protects them: it evicts none of them while a connection without a task
+// can be evicted soon instead.
 func TestCompletionWithFullConnectionTable(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A client that has not read its response yet has 2.4 s to read it. Until its connection has been idle for this
-// time, it is not evicted for a client in the accept queue. Without unread output, 1 s of idle time would suffice.
+// A client has 2.4 s to read its response. While the response is unread, the connection is evicted for a client in
+// the accept queue only after it has been idle for this time. Without unread output, 1 s of idle time would suffice.
 func TestSlowReaderIsNotEvicted(t *testing.T) {
 	server := newSmallServer(t, "a")
 	slow := newSlowReader(t, server)
@@ -192,9 +192,8 @@
 	}
 }
 
-// At the connection limit, one idle connection is evicted for each new client. Without a new client, no
-// connection is evicted, because a client that uses its connection at that moment would find it closed for no
-// reason.
+// At the connection limit, one idle connection is evicted for each new client. Without a new client, no connection
+// is evicted. Such an eviction would make room for nobody, and the evicted client might be about to send a request.
 func TestNoEvictionForNobody(t *testing.T) {
 	server := newSmallServer(t, "a")
 	for range maxClients {
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -92,8 +92,8 @@
 	server.waitRunningAt(t, "a")
 }
 
-// A client cancels requests that are open at a worker that has been partitioned since its last message. The
-// client may submit them to another orchestrator, so the attempts must not stay in flight for long.
+// A worker is partitioned after it has sent a message. A client then cancels the requests that are open at this
+// worker. The client may submit them to another orchestrator, so the attempts must not stay in flight for long.
 func cancelledDuringPartition(t *testing.T, server *proxiedServer) {
 	silent := server.submit("silent", 4, 60_000)
 	server.sendNoticesOnceOffered(t, silent)
@@ -150,9 +150,9 @@
 	server.waitCompletion(t, id)
 }
 
-// A worker sends a response on an older connection, and the server closes this connection just afterwards.
-// Meanwhile, the worker sends a completion on it. The worker reports the completion again on the next
-// connection, which the server must open.
+// A worker sends a response on an older connection. The server reads the response and closes the connection. Before
+// the close reaches the worker, the worker sends a completion on this connection. The worker reports the completion
+// again on the next connection, which the server must open.
 func completedDuringClose(t *testing.T, server *proxiedServer) {
 	id := server.attempts.Running("a")[0]
 	server.lastID++
@@ -164,7 +164,7 @@
 	// If an offer is open and the worker has been silent for more than 400 ms, the server sends the next offer on
 	// another connection.
 	server.eventually(t, "another connection", func() bool {
-		// The worker is silent between the requests that the client submits at this interval.
+		// The client submits a request after each interval. The worker sends nothing in between.
 		time.Sleep(450 * time.Millisecond)
 		server.submit("ok", 1, 5000)
 		now, _ := server.workers[0].DialCounts()
@@ -188,8 +188,8 @@
 // scheduler only when a worker was reachable again. If all workers are suspect, the scheduler offers each of them at
 // most two attempts at a time. Once the reachable worker had two, the scheduler therefore chose the partitioned worker.
 // The trace of each rejected request showed that nothing was received on the connection to the partitioned worker and
-// that this connection was closed. 3 ms later, 'offer attempt=2' named the same worker. 'offer never sent' followed,
-// because the next connection was not established in time.
+// that this connection was closed. After another 3 ms, 'offer attempt=2' named the same worker. The line 'offer never
+// sent' followed, because the next connection was not established in time.
 func TestLastAttemptsIntoCut(t *testing.T) {
 	// Placement is random: about every second server has all first attempts at one worker, so 30 servers
 	// suffice.
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -46,7 +46,7 @@
 }
 
 // checkSuccessor checks whether this process has a successor. Stop requests this check before the shutdown begins.
-// checkSuccessor passes the result to the event loop, where it begins the shutdown.
+// checkSuccessor posts a function to the event loop. The function stores the result and begins the shutdown.
 func (w *fileWorker) checkSuccessor() {
 	s, found := w.server, w.store.hasSuccessor()
 	s.loop.Post(func() {
@@ -55,8 +55,8 @@
 	})
 }
 
-// readFiles reads the handover files and posts what it finds to the event loop: a successor at every read that
-// finds one, and the cordoned workers only if the list has changed since the last read. If the list cannot be
+// readFiles reads the handover files and posts what it finds to the event loop. It posts a successor whenever it
+// finds one. It posts the cordoned workers only if the list has changed since the last read. If the list cannot be
 // read, readFiles logs the error, and the cordons stay as they are.
 func (w *fileWorker) readFiles() {
 	s := w.server
--- a/cmd/ravenhitch/grpc_session_test.go
+++ b/cmd/ravenhitch/grpc_session_test.go
@@ -29,9 +29,9 @@
 		t.Errorf("first message of the resumed session: got %v, want the same binding", got)
 	}
 
-	// A repeat of the offer and a new offer of the same task get the same binding. They are sent one after
-	// the other for two reasons: messages on different streams may arrive in any order, and the completion
-	// goes to the session that offered the task last.
+	// A repeat of the offer and a new offer of the same task get the same binding. The test sends the offers
+	// one after the other for two reasons: messages on different streams may arrive in any order, and the
+	// completion goes to the session that offered the task last.
 	other := server.openSession(t, "another")
 	for i, session := range []*clientSession{resumed, resumed, other} {
 		session.sendOffer(t, newOffer(testbed.RequestID(1+i%2), "archive-cut", "ok-cut", 5000))
--- a/cmd/ravenhitch/heap_test.go
+++ b/cmd/ravenhitch/heap_test.go
@@ -58,8 +58,8 @@
 	},
 }
 
-// The live heap of the server does not grow with the number of requests that have ended. The test checks this for each
-// entry of completionKinds.
+// The live heap of the server does not grow with the number of requests that have ended. The test checks this for
+// each entry of requestEndings.
 func TestHeapAfterManyCompletions(t *testing.T) {
 	for name, complete := range requestEndings {
 		t.Run(name, func(t *testing.T) {
@@ -121,9 +121,9 @@
 	return int64(stats.HeapAlloc)
 }
 
-// settledHeap returns the size of the live heap in bytes. It first closes the worker's connections, which makes
-// the worker free the records that it keeps for each connection, and waits until no request is open and every
-// cancel and release is confirmed.
+// settledHeap returns the size of the live heap in bytes. It first closes the worker's connections, so that the
+// worker frees the records that it keeps for each connection. It then waits until no request is open and every cancel
+// and release is confirmed.
 func (s *testServer) settledHeap(t *testing.T) int64 {
 	t.Helper()
 	worker := s.workers[0]
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -34,9 +34,9 @@
 	return s
 }
 
-// newWarmProxiedServer starts a server and lets its workers accept tasks without delay, about 16 tasks per worker.
-// From these responses, the server derives a short response timeout, so it abandons unanswered attempts early. It also
-// raises the number of attempts that a worker may have open at a time.
+// newWarmProxiedServer starts a server and makes its workers accept about 16 tasks each without delay. From the
+// response times, the server derives a short response timeout, so it abandons unanswered attempts early. The server
+// also raises the number of attempts that a worker may have open at a time.
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
@@ -72,7 +72,7 @@
 		worker.SendNotice()
 		s.eventually(t, "the notice of "+worker.Name, func() bool { return proxy.ForwardedReads() > before })
 	}
-	s.onLoop(t, func() {}) // after two turns, the server has read everything that was forwarded
+	s.onLoop(t, func() {}) // after two turns, the server has read everything that the proxies forwarded to it
 	s.onLoop(t, func() {})
 }
 
--- a/cmd/ravenhitch/restart_test.go
+++ b/cmd/ravenhitch/restart_test.go
@@ -27,9 +27,9 @@
 // connection to each worker, whether or not workers share an address.
 const sharedListeners = 8
 
-// All processes are killed and started again at once. Each process becomes ready again and starts a task on a
-// worker. The test prints how long the processes took and does not check it. To run the test at full size, pass -args
-// -processes 16 -workers 4000.
+// All processes are killed and started again at once. Each process becomes ready again and starts a task on a worker.
+// The test logs how long the processes took to become ready, but sets no limit for these times. To run the test at
+// full size, pass -args -processes 16 -workers 4000.
 func TestRestartedAtOnce(t *testing.T) {
 	rig := newRestartRig(t, *restartProcesses, *restartWorkers)
 	rig.start(t)
--- a/cmd/ravenhitch/sent_away_test.go
+++ b/cmd/ravenhitch/sent_away_test.go
@@ -13,11 +13,10 @@
 // client gets a response at once. The orchestrator used to treat this FINISH as the loss of an offer in transit. If the
 // task could be repeated, it was offered to another worker.
 //
-// In a trace of the failure, each such request has a line with these fields
+// In a trace of the failure, each such request has a line with the fields below and, after it, an offer to another
+// worker:
 //
 //	msg="worker ended offer" code=41 note=drained description=false
-//
-// followed by an offer to another worker.
 func TestTaskSentAwayBeforeItsAcceptance(t *testing.T) {
 	for _, class := range []string{"guide-web", "archive-cut"} {
 		t.Run(class, func(t *testing.T) {
@@ -53,11 +52,11 @@
 // next connection. The task ran and has ended, so the request gets a response at once and is not offered again when a
 // worker becomes available.
 //
-// In the fault that this test guards against, the report of the end of a task arrived on another connection than that
-// of the offer. The orchestrator used such a report only if the task was running or unknown, so it ignored the report
-// if the request was pending. In the soak test with seed 15, the trace showed 'connection lost with offer open'. The
-// worker ended the task 220 ms later, and the trace had no line about that. After another 380 ms, the line
-// 'offer attempt=1' showed a second attempt at another worker.
+// In the fault that this test guards against, the worker reported the end of a task on another connection than the
+// one on which it got the offer. The orchestrator used such a report only if the task was running or unknown. It
+// ignored the report if the request was pending. In the soak test with seed 15, the trace showed 'connection lost
+// with offer open'. The worker ended the task 220 ms later, and the trace had no line about that. After another
+// 380 ms, the line 'offer attempt=1' showed a second attempt at another worker.
 func TestTaskEndedOnAnotherConnection(t *testing.T) {
 	for _, end := range []struct {
 		name string
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -36,8 +36,8 @@
 	// defaultSockets is the limit of sockets if the configuration sets none. The limit includes the reserved
 	// descriptors and the connections of the gRPC front.
 	defaultSockets = 1024
-	// minSocketBudget is the minimum number of sockets that the event loop needs to serve. With a smaller
-	// budget, the server does not start.
+	// minSocketBudget is the minimum number of sockets that the event loop must be able to open. With fewer, the
+	// server does not start.
 	minSocketBudget = 16
 	// minBufferedBytes is the lowest limit, in bytes, on the output that the server buffers for one connection. A few
 	// messages of the maximum size fit into it.
@@ -169,7 +169,7 @@
 	s.pool.ShareDescriptors(shared)
 }
 
-// startDiscovery applies the initial list of workers and polls discovery for the events after it.
+// startDiscovery applies the initial list of workers and polls discovery for later events.
 func (s *server) startDiscovery(cfg config.Config, operators config.OperatorSettings) {
 	s.follower = discovery.NewFollower(s.loop, s.dispatcher, s.pool, cfg.DiscoveryAddr, cfg.DialTimeoutUs, s.log)
 	if operators.Peers.Partition {
--- a/cmd/ravenhitch/settings_test.go
+++ b/cmd/ravenhitch/settings_test.go
@@ -1,6 +1,7 @@
 package main
 
-// This file tests settings of deployments that disable features which the default test settings enable.
+// This file tests servers whose settings disable certain features. The default settings of the tests enable
+// these features.
 
 import (
 	"testing"
--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -7,19 +7,19 @@
 	"ravenhitch/placement"
 )
 
-// Times of a shutdown, in microseconds. After SIGTERM, the platform waits at least for the longest deadline of a
-// request class, limited to maxDeadlineUs, plus killSlackUs before it kills the process.
+// Times of a shutdown, in microseconds. After SIGTERM, the platform waits for at least killSlackUs plus the longest
+// deadline of a request class before it kills the process. A deadline above maxDeadlineUs counts as maxDeadlineUs.
 const (
 	// lateRequestsUs is the time after SIGTERM during which new requests still arrive.
 	lateRequestsUs = 800 * millisecond
 	// maxDeadlineUs is the maximum deadline that the platform waits for. If a class has a longer deadline,
 	// the platform waits for maxDeadlineUs instead.
 	maxDeadlineUs = 3 * second
-	// maxDeadlineWithSuccessorUs replaces maxDeadlineUs if the platform owns the listening socket for clients
-	// and a successor, a process that started later, serves on this socket while this process drains.
+	// maxDeadlineWithSuccessorUs replaces maxDeadlineUs if a successor serves while this process drains. A successor
+	// is a process that started later and serves clients on the same listening socket, which the platform owns.
 	maxDeadlineWithSuccessorUs = 5 * second
 	killSlackUs                = 700 * millisecond
-	// killMarginUs is how long before the kill the open requests are rejected or failed.
+	// killMarginUs is the time before the kill at which the server rejects or fails the open requests.
 	killMarginUs = 300 * millisecond
 	// flushTimeoutUs is the first part of killMarginUs, in which clients may still read their last responses. The
 	// server stops at the end of this time, or earlier if nothing is left to deliver to clients.
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// minCloseTravelUs is the minimum time, in microseconds, that the server must assume for the close of a connection
-// to reach the worker. It equals minCloseTransit in package workerpool. If the close cancels an attempt, another offer
-// of the same request within this time is too early.
+// minCloseTravelUs is a time in microseconds. The server must assume that the close of a connection takes at least
+// this time to reach the worker. The constant equals minCloseTransit in package workerpool. If the close cancels an
+// attempt, another offer of the same request within this time is too early.
 const minCloseTravelUs = 2 * millisecond
 
 // traceRecorder is a log handler that records the offers that were sent too early. An offer is too early if it is
 // sent less than minCloseTravelUs after the request's previous attempt was cancelled or lost its connection. A
 // confirmed cancel does not count. traceRecorder also records when the log reported the end of a connection to a
-// worker, which includes connections that were refused.
+// worker. A refused connection counts as ended.
 type traceRecorder struct {
 	slog.Handler
 	mu             sync.Mutex
--- a/cmd/ravenhitch/unreachable_workers_test.go
+++ b/cmd/ravenhitch/unreachable_workers_test.go
@@ -13,10 +13,11 @@
 // next attempts are offered to the reachable workers. If these workers already have as many attempts as a
 // suspect worker may have, the requests wait for them.
 //
-// In the fault that this test guards against, the worker pool knew that no connection reached a worker but
-// did not report this to the scheduler (see TestLastAttemptsIntoCut). When connections were refused, the trace
-// of a rejected request showed that its first attempt was reset with the connection. After that, two more
-// attempts were wasted within 3 ms, each with 'offer never sent' and 'connection refused'.
+// In the fault that this test guards against, the worker pool knew that no connection reached a worker but did
+// not report this to the scheduler (see TestLastAttemptsIntoCut). When connections were refused, the trace of
+// a rejected request showed that its first attempt was reset with the connection. Within the next 3 ms, two
+// more attempts were wasted. For each of them, the trace had the lines 'offer never sent' and 'connection
+// refused'.
 func TestAttemptsBesideUnreachableWorkers(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -45,7 +46,8 @@
 	}
 }
 
-// Workers that got no attempts because they were unreachable get tasks again once their connections work.
+// Unreachable workers get no attempts. Once the server can connect to such a worker again, the worker gets
+// tasks again.
 func TestWorkersReturnOnceReached(t *testing.T) {
 	server := newWarmProxiedServer(t, settingsJSON, nil, "a", "b")
 	missed := server.submit("missed", 4, 2000)
--- a/cmd/ravenhitch/worker_connections_test.go
+++ b/cmd/ravenhitch/worker_connections_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// While tasks run and the worker sends nothing, the connection may be dead without an error. The server opens another
-// connection, on which the worker reports the completions.
+// While tasks run on a worker and the worker sends nothing, its connection may be dead without an error. The server
+// therefore opens another connection, on which the worker reports the completions.
 func TestIdleConnectionIsVerified(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -75,9 +75,9 @@
 	s.arrivals[i] = append(s.arrivals[i], arrival{testStart + int64(slot)*slotUs, key})
 }
 
-// start adds the capacity that is released in one slot to the free capacity, and starts the
-// pending tasks that fit into it. Free capacity is limited to the units that are released in
-// one second.
+// start increases the free capacity by the units that are released in one slot, and starts
+// the pending tasks that fit into it. Free capacity is limited to the units that are
+// released in one second.
 func (s *retryStorm) start(now int64) {
 	s.capacity = min(s.capacity+s.rate*seconds(slotUs), s.rate)
 	for len(s.queue) > 0 && s.capacity >= 1 {
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -49,8 +49,9 @@
 	// microseconds.
 	evaluationIntervalUs = second / 10
 	// baselineTimeConstantUs is the maximum time constant with which the baseline rate
-	// follows the rate of new requests. Before this time has passed since the first tick,
-	// the time constant is the time since the first tick, but at least one second.
+	// follows the rate of new requests. During the first baselineTimeConstantUs after the
+	// first tick, the time constant is shorter: the time since the first tick, but at least
+	// one second.
 	baselineTimeConstantUs = 30 * second
 	// surgeFactor is the multiple of the baseline rate that arrivals must exceed to be a
 	// surge.
@@ -70,8 +71,8 @@
 	// counts.
 	maxProgramDecay = 0.9
 
-	// Each of these constants is a fraction of all arrivals. A surge can be of the kind
-	// named at the constant if the arrivals described there exceed this fraction.
+	// Thresholds for the kinds of surge, as fractions of all arrivals. The comment at each
+	// threshold names the kinds and then the arrivals that must exceed the threshold.
 	retriesShare     = 0.3 // Retries: requests of returned clients
 	topProgramsShare = 0.6 // Reconnect: requests and adopted tasks of the topPrograms most frequent programs
 	adoptedShare     = 0.4 // Restart and Reconnect: adopted tasks
@@ -87,7 +88,7 @@
 	programs       frequentPrograms
 	baseline       float64 // usual rate of new requests per second
 	firstTickAt    int64   // time of the first tick
-	lastTickAt     int64   // time of the last evaluation, or of the first tick if there was none; 0 before that tick
+	lastTickAt     int64   // time of the last evaluation; firstTickAt before the first one, 0 before the first tick
 	lastElevatedAt int64   // time of the last evaluation that set observation.elevated
 	state          State
 	kind           Kind
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -16,9 +16,9 @@
 	// forecastUs is the horizon of the forecast in microseconds. Requests of lower priority
 	// can be pending for this time and still start in time.
 	forecastUs = second / 2
-	// maxPerSource is the maximum number of requests of one known source, a connection or
-	// session, that count in a bucket. Further requests of the source are ignored, because
-	// hundreds of requests at once from one source are not a surge.
+	// maxPerSource is the maximum number of requests of one known source that count in a
+	// bucket. A source is a connection or session. Further requests of the source are
+	// ignored: hundreds of requests at once from one source are not a surge.
 	maxPerSource = 2
 	// minSources is the minimum number of sources that must send requests within one
 	// bucket for the forecast to detect a surge.
@@ -111,10 +111,9 @@
 	return max(recent*perSecond/recentBuckets, all*perSecond/demandBuckets)
 }
 
-// HigherPriorityDemand returns, by class, the number of units of free capacity that the
-// class must leave to classes of higher priority that are about to request them. The
-// numbers are 0 except during a surge. The Controller owns the slice, which is valid until
-// the next call.
+// HigherPriorityDemand returns, by class, how many units of free capacity the class must
+// leave for requests of higher priority that are expected soon. The numbers are 0 except
+// during a surge. The Controller owns the slice, which is valid until the next call.
 func (c *Controller) HigherPriorityDemand(now int64) []float64 {
 	f := &c.demand
 	f.advance(now)
--- a/internal/backpressure/releaserate.go
+++ b/internal/backpressure/releaserate.go
@@ -12,8 +12,8 @@
 	rateBuckets  = 20
 	// knownAfterUs is the time for which requests must be pending before the rate is known.
 	knownAfterUs = second / 2
-	// idleAfterUs is the time since the last pending request after which the rate is unknown
-	// and setPending can end the measurement period.
+	// idleAfterUs is the maximum time without pending requests for which the rate stays
+	// known. After this time, setPending can also end the measurement period.
 	idleAfterUs = second / 4
 	// minRate is the minimum rate in units per second. It keeps expected start times finite
 	// while no task starts at all.
@@ -78,10 +78,11 @@
 	return r.pendingSince > 0 && now-r.pendingSince >= knownAfterUs && now-r.lastPending <= idleAfterUs
 }
 
-// rate returns the release rate in units per second. While the rate is known, it is the
-// highest of the rate of starts over the part of the window that lies in the measurement
-// period, the rate of completions over the whole window, and minRate. While the rate is
-// unknown, rate returns the last rate that it computed, or 0 if there is none.
+// rate returns the release rate in units per second. While the rate is known, it is the rate
+// of starts or the rate of completions, whichever is higher, but at least minRate. The rate
+// of starts is computed over the part of the window that lies in the measurement period, and
+// the rate of completions over the whole window. While the rate is unknown, rate returns the
+// last rate that it computed, or 0 if there is none.
 func (r *rateEstimator) rate(now int64) float64 {
 	r.advance(now)
 	if !r.known(now) {
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -6,9 +6,9 @@
 // the settings.
 
 const (
-	// leadShare is the fraction of a client's timeout by which the client returns before the
-	// expected start of its task. Because of the early return, its request is already pending
-	// before that time, and can use capacity that other clients leave unused.
+	// leadShare is a fraction of a client's timeout: the client returns by this much earlier than
+	// its task is expected to start. Its request is therefore already pending before the expected
+	// start, and can use capacity that other clients leave unused.
 	leadShare = 0.6
 	// floorShare is the fraction of the release rate that lower priorities get while
 	// requests of higher priorities wait, so that no class starves.
@@ -62,9 +62,9 @@
 	return wait
 }
 
-// rejectedAtUnknownRate records a rejection before the release rate is known for the first
-// time. It returns a random Retry-After after which the rate may be known, and reserves no
-// slot.
+// rejectedAtUnknownRate records a rejection before the release rate is known for the first time.
+// It reserves no slot. It returns a random Retry-After, by the end of which the rate may be
+// known.
 func (c *Controller) rejectedAtUnknownRate(now int64, class int, units float64, e *entry) int64 {
 	wait := min(unknownRateWaitUs+c.rng.Int64N(2*unknownRateWaitUs), c.settings.MaxRetryAfterUs)
 	e.recordRejection(now, class, units, now/slotUs, wait)
@@ -100,10 +100,10 @@
 }
 
 // expectedStart returns the time at which free capacity is expected for a request of the given
-// class and units whose program is in the given hash bucket. Capacity first goes to pending
-// units of classes with at least the same priority, and to reserved units of such classes up
-// to the limit of fairShare.ahead. The delay is at most the time that all units of the
-// request's class take at floorShare of the release rate.
+// class and units whose program is in the given hash bucket. Capacity first goes to pending units
+// of classes with at least the same priority, and to reserved units of such classes up to the
+// limit of fairShare.ahead. The request is expected to wait at most for the time that all units
+// of its class take at floorShare of the release rate.
 func (c *Controller) expectedStart(now int64, class, bucket int, units, rate float64) int64 {
 	priority := c.settings.Classes[class].Priority
 	var pending, reserved, lower float64
--- a/internal/backpressure/waitlist.go
+++ b/internal/backpressure/waitlist.go
@@ -38,7 +38,7 @@
 
 // The bits of entry.packedSlot.
 const (
-	slotBits   = 11 // for the number of ticks to the slot, which is at most calendarSlots
+	slotBits   = 11 // for the ticks to the slot, at most calendarSlots
 	classBits  = 4
 	slotMask   = 1<<slotBits - 1
 	classMask  = 1<<classBits - 1
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// findOrAdd returns the entry of a client. If there is none or it is stale, findOrAdd adds
-// a new entry, whose client counts as queued since queuedSince, or since now if queuedSince
-// is 0, in the future or at least staleTicks in the past.
+// findOrAdd returns the entry of a client. If there is none or it is stale, findOrAdd adds a
+// new entry. Its client then counts as queued since queuedSince. If queuedSince is 0, in the
+// future or at least staleTicks in the past, the client counts as queued since now.
 func (w *waitlist) findOrAdd(now int64, key uint64, queuedSince int64) *entry {
 	fingerprint, entries := w.bucket(key)
 	tick := uint16(now / tickUs)
--- a/internal/clientfront/admission.go
+++ b/internal/clientfront/admission.go
@@ -13,12 +13,12 @@
 	// front closes the connection while the submission is in flight, the client resends the submission within
 	// 50 ms.
 	minIdleWithoutTask = 100 * millisecond
-	// protectedWithTask limits the protection of connections that had a task. While a front has at most this many of
-	// them, it evicts none of them if a connection without a task will soon be evictable. If it has more, it protects
-	// none of them.
-	// Connections with tasks carry the completions, including those of requests whose own connection is closed.
-	// Without the protection, a flood of new connections without a task would evict all idle connections with
-	// tasks within minIdleWithoutTask, because the new connections themselves are not evictable during this time.
+	// protectedWithTask limits the protection of connections that had a task. A front with at most this many such
+	// connections does not evict any of them while a connection without a task will soon be evictable. A front with
+	// more protects none of them. Connections with tasks carry the completions, including those of requests whose own
+	// connection is closed. Without the protection, a flood of new connections without a task would evict all idle
+	// connections with tasks within minIdleWithoutTask, because the new connections themselves are not evictable
+	// during this time.
 	protectedWithTask = 8
 )
 
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -16,8 +16,8 @@
 
 const (
 	// maxOpenWithoutTask is the maximum number of open requests on a connection that has had no task yet. Further
-	// requests are rejected at once. Like maxInvalidMessages, this limit applies only to connections that have had no
-	// task. It protects the other connections, which carry completions.
+	// requests are rejected at once. This limit and maxInvalidMessages apply only to connections that have had no
+	// task. They protect the connections that have had one, which carry completions.
 	maxOpenWithoutTask = 32
 	// maxInvalidMessages is the number of invalid messages at which a connection that has had no task yet is
 	// closed.
@@ -147,7 +147,8 @@
 	case submission.RunningOn == "":
 		c.openRequests[submission.RequestID] = true
 	case !isKnown && dispatcher.IsListed(submission.RunningOn):
-		// The task was adopted. A task that was known before is excluded, because the sender may not be its client.
+		// The task was adopted by this submission. If the task was known before, hasTask is not set, because the
+		// sender may not be the client of the task.
 		c.hasTask = true
 		c.front.reportOn(c)
 	}
--- a/internal/clientfront/front.go
+++ b/internal/clientfront/front.go
@@ -36,7 +36,8 @@
 	idleTimeoutUs int64               // maximum idle time of a connection without open requests, 0 for no limit
 	clients       map[*clientConn]bool
 	// latestStarted is the most recently active connection on which a task was started. It is nil before the first
-	// task is started, and after that connection is closed, until another such connection becomes active.
+	// task is started. When the connection is closed, latestStarted becomes nil until another connection on which a
+	// task was started becomes active.
 	latestStarted *clientConn
 	unreported    []unreportedCompletion
 	accepted      uint64 // number of connections accepted so far
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -18,9 +18,9 @@
 	maxNameLength        = 64 // maximum length of names of members, zones and clusters, in bytes
 	maxTraceSuffixLength = 16 // maximum length of a trace suffix in hex digits: the length of a request ID
 
-	// Bounds of the keepalive time of connections to workers. A completion must be reported
-	// within 8 s of the end of its task. The maximum is lower because, if the worker's connection
-	// is found dead, time must be left to report the completion on another connection.
+	// Bounds of the keepalive time of connections to workers. A completion must be reported within
+	// 8 s of the end of its task. The maximum is lower: after a connection is found dead, time must be
+	// left to report the completion on another one.
 	minKeepalive = time.Second
 	maxKeepalive = 5 * time.Second
 
@@ -234,8 +234,9 @@
 	return nil
 }
 
-// memberZone returns the zone of a member directive, which is the optional third argument, or "". It
-// stores the name of the first member without a zone, because validate reports its position.
+// memberZone returns the zone of a member directive, which is the optional third argument, or "". For
+// the first member without a zone, it stores the word that names the member, because validate reports
+// the position of this word.
 func (p *Peers) memberZone(d Directive) (string, error) {
 	if len(d.Args) < 3 {
 		if p.firstZonelessWord == nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -11,8 +11,9 @@
 // the operators' file.
 var ErrConfig = errors.New("configuration")
 
-// ErrLineFile is wrapped by every error about the content of a line-based file: the operators' file,
-// whose errors also wrap ErrConfig, and the file of retry token keys.
+// ErrLineFile is wrapped by every error about the content of a line-based file. The line-based files are
+// the operators' file and the file of retry token keys. Errors about the operators' file also wrap
+// ErrConfig.
 var ErrLineFile = errors.New("invalid line-based file")
 
 // PositionError reports invalid or missing text at a position in a line-based file. It wraps
