--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Error texts equal the texts of the build of 1 December 2026 byte for byte, because operators know
-// them. A *FieldError names the invalid field, and a *WorkerError names the invalid worker.
+// Operators rely on these error texts, so they stay byte for byte as in the build of 1 December
+// 2026. A *FieldError names the invalid field, and a *WorkerError names the invalid worker.
 func TestErrorTextsOfConfiguration(t *testing.T) {
 	known := `{"cursor":3,"cmds":[{"cursor":3,"nodes":{"revision":7,"complete":true,"members":[` + workerJSON + `]}}]}`
 	const addr = "127.0.0.1:1"
@@ -45,8 +45,8 @@
 	}
 }
 
-// Error texts about the operators' file equal the texts of the build of 1 December 2026 byte for byte,
-// because operators know them. The errors also identify the invalid position or section.
+// Operators rely on the error texts about the operators' file, so these stay byte for byte as in the
+// build of 1 December 2026. The errors also identify the invalid position or section.
 func TestErrorTextsOfOperatorsFile(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"[grpc]\ncert a", "configuration: x: [grpc]: expected both cert and key, or neither"},
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -46,7 +46,8 @@
 	IntervalMs int64
 }
 
-// Peers configures the connections to other orchestrators, which are off while Listen is empty.
+// Peers configures the connections to other orchestrators. If Listen is empty, there are no such
+// connections.
 type Peers struct {
 	Listen, Cluster string
 	Zone            string // zone of this orchestrator, "" for the zone of the configuration
@@ -59,9 +60,9 @@
 	// orchestrators of its region. All zones without an entry form one region together.
 	Regions map[string]string
 
-	// The method validate uses the positions of these words in its errors. They are the name of
-	// the directive partition, the name of the first directive region, and the name of the first
-	// member without a zone. Each is nil if the file contains no such word.
+	// The errors of the method validate name the positions of these words: the directive name
+	// "partition", the first directive name "region", and the name of the first member without a
+	// zone. Each is nil if the file has no such word.
 	partitionWord, firstRegionWord, firstZonelessWord *Word
 }
 
@@ -85,8 +86,8 @@
 }
 
 // LoadOperatorSettings reads the operators' file. If the file does not exist, it returns the defaults. A
-// path that ends in .json is an error, because the file was JSON in earlier versions. Its errors wrap
-// ErrConfig.
+// path that ends in .json is an error, because it refers to the JSON file of earlier versions. The
+// errors of LoadOperatorSettings wrap ErrConfig.
 func LoadOperatorSettings(path string) (OperatorSettings, error) {
 	if strings.HasSuffix(path, ".json") {
 		return OperatorSettings{}, fmt.Errorf("%w: %s: the operators' file is line-based now, see deploy/ravenhitch.conf",
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,8 +1,8 @@
 // Package config owns the formats of an orchestrator's configuration: the configuration file of the
 // platform and discovery's lists of workers, which are both JSON, and the operators' file. It must
 // never keep state or open any other file. It must also never supply a value for a missing setting of
-// the scheduler, because package simwire defines the meaning of these settings, both on the simulator's
-// wire and in the configuration.
+// the scheduler. Package simwire alone defines the defaults, both for the simulator's wire and for
+// the configuration.
 package config
 
 // This file owns the configuration file of the platform, which it parses with gjson.
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -20,7 +20,7 @@
 type Update struct {
 	Cursor         int64
 	Events         []Event
-	InvalidWorkers []error // one for each worker left out: a *WorkerError, or another error if its ID is missing
+	InvalidWorkers []error // one for each worker left out: a *WorkerError, or another error if the worker has no ID
 }
 
 // Event is one event of discovery, which may contain a list of workers. Cursor is its number.
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -7,8 +7,8 @@
 
 const (
 	// reserved is the number of descriptors that clients and workers leave free. They serve a new connection
-	// to discovery, admin calls of operators, and a client that is accepted before the connection that was
-	// evicted for it is closed.
+	// to discovery, admin calls of operators, and a newly accepted client. The connection that was evicted
+	// for such a client may still be open.
 	reserved = 4
 	// programUse is the number of descriptors that the program itself keeps open in addition to the
 	// reserved ones: the listening socket and the connection to discovery.
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -3,9 +3,9 @@
 // This file owns the set of worker shards that are assigned to this orchestrator, and the subset of these shards that
 // is active; the orchestrator places tasks in active shards only. A shard that is no longer assigned (a lost shard)
 // becomes inactive at once. A newly assigned shard (a gained shard) becomes active when discovery has answered a poll
-// that named it. Such a poll requests the free capacity of the shard's workers, because the values from earlier
-// reports may be outdated: another orchestrator placed tasks there before. Invariant: a shard becomes active in no
-// other way, except that the shards of a new zone are active at once (see update).
+// that named it. Such a poll requests the free capacity of the shard's workers, because another orchestrator placed
+// tasks on them before, so earlier reports may be outdated. Invariant: a shard becomes active in no other way, except
+// that the shards of a new zone are active at once (see update).
 
 import (
 	"maps"
@@ -20,9 +20,9 @@
 type Assignment func(zone string) shard.Bits
 
 // maxLateReportMs is the maximum time, in milliseconds, that discovery blocks a poll if shard assignment is enabled.
-// It applies instead of the constant pollBlockMs. It is longer because discovery may delay events that report only
-// free capacity until the end of this time. The delay does no harm: no other orchestrator places tasks at this
-// orchestrator's workers, so this orchestrator can compute the changes of their free capacity itself.
+// It replaces the constant pollBlockMs, which is shorter. While discovery blocks the poll, it may delay events that
+// report only free capacity. The delay does no harm: no other orchestrator places tasks at this orchestrator's
+// workers, so this orchestrator can compute the changes of their free capacity itself.
 const maxLateReportMs = 4_000
 
 // shardAssignment tracks the shards that are assigned to this orchestrator and those that are active. If shard
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -141,12 +141,12 @@
 	f.restartIn(redialDelay)
 }
 
-// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. It returns
-// an error, which closes the connection, if the response is invalid or its status is not 200. If bytes follow the
-// response, they belong to no request, because at most one poll is in flight. Data then sends the next poll on a new
-// connection. On the old one, these bytes would be read as the response to the next poll, and all later responses
-// would also be matched to the wrong polls. Data also uses a new connection if the response does not permit another
-// request on the old one.
+// Data implements eventloop.Handler. It applies the response of the poll in flight and sends the next poll. It
+// returns an error, which closes the connection, if the response is invalid or its status is not 200. At most one
+// poll is in flight, so bytes that follow its response belong to no request. If there are such bytes, Data sends the
+// next poll on a new connection. On the old connection, they would be read as the response to the next poll, and
+// every later response would be matched to the wrong poll. Data also uses a new connection if the response does not
+// permit another request on the old one.
 func (f *Follower) Data(_ *eventloop.Conn, b []byte) (int, error) {
 	r, used, complete, err := parseFinalResponse(b)
 	if err != nil || !complete {
--- a/internal/discovery/follower_assignment.go
+++ b/internal/discovery/follower_assignment.go
@@ -35,9 +35,10 @@
 // publishAssignment passes a predicate to the dispatcher and to the pool of connections to workers. The predicate
 // reports whether a worker is in an active shard.
 func (f *Follower) publishAssignment() {
-	// The pool and the dispatcher call the predicate later. It uses the current set of active shards, which is replaced
-	// and not modified by later changes, so that it does not reflect changes that are not published yet. The map of zones
-	// is modified in place, so that the predicate knows the zones of workers that are listed later.
+	// The pool and the dispatcher keep the predicate and call it later. It captures the current set of active shards.
+	// A later change replaces this set instead of modifying it, so an unpublished change does not affect the
+	// predicate. The map of zones is modified in place, so the predicate knows the zones of workers that are listed
+	// later.
 	active, zones := f.assignment.active, f.assignment.zones
 	assigned := func(worker string) bool { return active.Has(zones[worker], worker) }
 	f.pool.SetAssigned(assigned)
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -19,8 +19,8 @@
 	"ravenhitch/placement"
 )
 
-// recoveryLimit is the maximum time from when discovery responds again until the follower polls it, in microseconds.
-// It applies even if discovery does not respond on the connection of the poll in flight.
+// recoveryLimit is the maximum time between the recovery of discovery and the next poll, in microseconds. It applies
+// even if the connection of the poll in flight stays open without a response.
 const recoveryLimit = 2 * second
 
 // TestUnresponsiveChannelIsPolledInTime asserts that the maximum blocking time of a poll, responseSlack and redialDelay
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestChannelBreaksOff asserts that the follower polls again for the same event if discovery closes the connection in
-// the middle of an event or of the head of a response, or if the body is not valid JSON, and that the event is applied
-// when a complete response arrives. A response with a lower cursor changes nothing. After two responses to one poll,
-// the follower applies the first one and polls on a new connection.
+// TestChannelBreaksOff asserts that the follower polls again for the same event after an incomplete or invalid
+// response, and applies the event when a complete response arrives. Discovery closes the connection in the middle of
+// an event or of the head of a response, or sends a body that is not valid JSON. A response with a lower cursor
+// changes nothing. After two responses to one poll, the follower applies the first one and polls on a new connection.
 func TestChannelBreaksOff(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	loop, pool, dispatcher := newPool(t)
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -11,7 +11,7 @@
 func TestTimedOutAttemptIsCancelled(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-	h.mustStart("t1", 5000) // the quick acceptance of t1 makes later attempts time out early
+	h.mustStart("t1", 5000) // the scheduler derives a short timeout for later attempts from this quick acceptance
 	h.mustSubmit("t2", "web", "k2", 5000)
 	h.advance(3000 * millisecond)
 	if len(h.offers) < 3 || h.cancelled != len(h.offers)-2 {
@@ -34,12 +34,12 @@
 func TestUnconfirmedCancel(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a", "b")
-	h.mustStart("t0", 5000) // the quick acceptance of t0 makes later attempts time out early
+	h.mustStart("t0", 5000) // the scheduler derives a short timeout for later attempts from this quick acceptance
 	h.withholdConfirm = true
 	for _, id := range []string{"t1", "t2", "t3", "t4"} {
 		h.mustSubmit(id, "web", "k"+id, 2000)
 	}
-	h.advance(1000 * millisecond) // the harness fails the test if any of them is offered again
+	h.advance(1000 * millisecond) // the harness fails the test if one of these requests is offered again
 	if len(h.offers) != 5 || len(h.unconfirmed) != 4 || h.OpenCount() != 4 {
 		t.Fatalf("offers %v, unconfirmed cancels %v, open requests %d; want 5, 4 and 4",
 			h.offers, h.unconfirmed, h.OpenCount())
@@ -168,7 +168,7 @@
 	setUp := func(t *testing.T, withholdConfirm bool) (h *harness, worker string) {
 		h = newHarness(t)
 		h.updateWorkers(placement.ListFull, placement.Ready, "a")
-		h.mustStart("t0", 5000) // the quick acceptance of t0 makes later attempts time out early
+		h.mustStart("t0", 5000) // the scheduler derives a short timeout for later attempts from this quick acceptance
 		h.withholdConfirm = withholdConfirm
 		h.mustSubmit("t1", "web", "k1", 2000)
 		h.advance(10 * millisecond)
@@ -181,7 +181,8 @@
 		if h.unconfirmed["t1"] == "" {
 			t.Fatalf("no unconfirmed cancel of t1; offers %v", h.offers)
 		}
-		// A rejection does not show that t1 ran, and worker b has no attempt of t1.
+		// The dispatcher must ignore both reports: a rejection does not show that t1 ran, and
+		// worker b has no attempt of t1.
 		h.AbandonedTaskEnded(h.now, worker, "t1", placement.Rejected, 0)
 		h.AbandonedTaskEnded(h.now, "b", "t1", ran, drained)
 		if h.OpenCount() != 1 {
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file connects the request table with backpressure: it defines the interface of the advisor, reports the
-// pending units to it, and passes its release rate and reserved units on to the scheduler. It decides neither
-// which requests are rejected nor when a client retries.
+// This file connects the request table with backpressure: it defines the interface of the advisor, tells the
+// advisor the total size of the pending requests, and passes the advisor's release rate and reserved units on
+// to the scheduler. It decides neither which requests are rejected nor when a client retries.
 
 import (
 	"math"
@@ -50,7 +50,7 @@
 	// have changed. A change is reported to the scheduler.
 	backpressureInterval = 20 * millisecond
 	// minBackpressureChange is the relative change up to which a value counts as unchanged. The release rate and
-	// the reserved units are not reported again while all of them are unchanged since the last report.
+	// the reserved units are reported again when at least one of them has changed.
 	minBackpressureChange = 0.05
 )
 
@@ -88,8 +88,8 @@
 
 // announcePending reports the pending units to the advisor before the actions are carried out. Requests that the
 // actions place or reject do not count as pending. The advisor reserves capacity for each rejected request, so a
-// rejected request that also counted as pending would count twice. It would delay the retries of the requests that are
-// rejected together with it.
+// request that is both rejected and pending would be counted twice. The double count would delay the retries of
+// the requests that are rejected together with it.
 func (d *Dispatcher) announcePending(actions []placement.Action) {
 	d.remainingUnits = append(d.remainingUnits[:0], d.pendingUnits...)
 	for _, action := range actions {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file owns the interfaces of clients and the calls that may follow a submission: queries, cancels and
-// rejections of a request. It must never give a client a second final response. The only messages that it may
-// send to workers are cancels and releases for the requests that these calls end.
+// This file owns the interfaces that clients implement, and the calls about a request after its submission:
+// queries, cancels and rejections. It must never give a client a second final response. The only messages
+// that it may send to workers are cancels and releases for the requests that these calls end.
 
 import "ravenhitch/placement"
 
--- a/internal/dispatch/deadlines.go
+++ b/internal/dispatch/deadlines.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file owns two heaps ordered by time: the deadlines of requests and the timers of the scheduler. It
-// must never act on their entries.
+// This file owns two heaps ordered by time: the deadlines of requests and the timers of the scheduler.
+// Acting on an entry when it is due is left to other files.
 
 import "container/heap"
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -172,7 +172,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // d.aliases is not searched, although earlier submissions may have used aliases
+		return // the latest submission used no alias; d.aliases is not searched for those of earlier submissions
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -25,8 +25,9 @@
 // after Dispatcher.drainLimit.
 const drainGrace = 2000 * millisecond
 
-// testSettings returns settings with classes for the effects of a repeated start: web is safe, cut is unsafe, and
-// all, zone and cell are keyed, named after their groups. Class apart is safe and has a spread.
+// testSettings returns settings with classes for the effects of a repeated start: class web is safe and class cut
+// is unsafe. The classes "all", "zone" and "cell" are keyed, and each is named after its group. Class apart is
+// safe and has a spread.
 func testSettings() placement.Settings {
 	class := func(name string, effect placement.Effect) placement.Class {
 		return placement.Class{Name: name, Effect: effect, Weight: 1, Kind: -1, SaturationLoad: 0.8, SaturationRange: 0.2}
@@ -307,7 +308,7 @@
 	return ids
 }
 
-// schedulerState returns the state in which the dispatcher would list a worker to the scheduler.
+// schedulerState returns the state of a worker as the dispatcher reports it to the scheduler.
 func (h *harness) schedulerState(worker string) placement.WorkerState {
 	return h.listFilter.adjust(h.listFilter.entries[worker]).State
 }
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -64,7 +64,7 @@
 	}
 	event := rapid.IntRange(0, stepLast).Draw(run.t, "event")
 	if run.unconfirmed[id] != "" && (event == stepAccept || event == stepEnd) {
-		event = stepConfirmCancel // a worker confirms a cancel instead of reporting on the attempt
+		event = stepConfirmCancel // the attempt is cancelled, so the worker can only confirm the cancel
 	}
 	switch event {
 	case stepSubmit1, stepSubmit2, stepSubmit3:
--- a/internal/dispatch/listfilter_test.go
+++ b/internal/dispatch/listfilter_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// Tasks on a worker that is assigned to another orchestrator continue. The worker gets no new offers, but an open
-// offer may still be sent.
+// Tasks on a worker that is assigned to another orchestrator continue. The worker gets no new offers, but an
+// earlier offer that still waits to be sent may be sent.
 func TestAssignedWorkers(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
@@ -124,7 +124,8 @@
 
 	h.updateWorkers(placement.ListDelta, placement.Ready, "b")
 	h.SetAssignedWorkers(h.now, func(worker string) bool { return worker == "b" })
-	// The check is for a time at which a draining worker would no longer get the offer.
+	// The check uses a time after the drain limit. A draining worker would no longer get the offer
+	// then.
 	if err := h.CheckOffer(h.now+8000*millisecond, "a", "t2"); err != nil {
 		t.Errorf("CheckOffer of an open offer: %v, want nil", err)
 	}
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -10,8 +10,9 @@
 	"ravenhitch/placement"
 )
 
-// drainMargin is how long before the end of the drain grace period the offers to a draining worker stop. If the
-// period is shorter than twice drainMargin, they stop after half of the period (see drainLimit).
+// drainMargin is the time between the last possible offer to a draining worker and the end of the drain grace
+// period. If the period is shorter than twice drainMargin, the offers stop after half of the period (see
+// drainLimit).
 const drainMargin = 500 * millisecond
 
 // The errors for offers that break a rule. Their texts have no package prefix, because they are only logged as the
@@ -37,7 +38,8 @@
 	ErrOutsideGroup = errors.New("the task may have started at a worker of another group")
 )
 
-// offerRule returns an error if an offer of r to a worker would break the rule now, or nil.
+// offerRule returns an error if an offer of r to a worker would break the rule now, and nil
+// otherwise.
 type offerRule func(d *Dispatcher, r *request, worker string) error
 
 var (
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -17,7 +17,7 @@
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // an attempt is open
 	h.endAttempt("t1", placement.Failed)
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // t1 may have started
-	h.execute(placement.Reject{RequestID: "t1"})             // t1 may have started, so it is failed
+	h.execute(placement.Reject{RequestID: "t1"})             // t1 may have started, so t1 fails
 	h.execute(placement.Place{RequestID: "t1", Worker: "b"}) // t1 is over
 
 	h.mustSubmit("t2", "web", "k2", 5000)
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -1,10 +1,10 @@
 package dispatch
 
-// This file computes the deadlines of requests. At its deadline, a request that is still open gets its final response,
-// so a response is said to be scheduled for this time. The time is before the end of the client's timeout, early enough
-// for the longest recent turn and for the travel of the response to the client. Responses that would fall due together
-// are spread over time, because only a limited number can be written at once. A response must never be scheduled later
-// than the end of the client's timeout.
+// This file computes the deadlines of requests. A request that is still open at its deadline gets its final response
+// then: the response is scheduled for the deadline. The deadline is earlier than the end of the client's timeout, by
+// at least the length of the longest recent turn plus the time for the response to reach the client. Responses that
+// would fall due together are spread over time, because only a limited number can be written at once. A response must
+// never be scheduled later than the end of the client's timeout.
 
 const (
 	// responseTravelTime is subtracted from every timeout: the response has to arrive before the timeout
@@ -66,8 +66,8 @@
 }
 
 // scheduleResponse returns the deadline of a new request whose client's timeout ends at timeoutAt, and counts the
-// response for this time. If all buckets within maxShift are full, or if the time lies outside the buckets, the
-// response is neither moved nor counted.
+// response in the bucket of the deadline. If all buckets within maxShift are full, or if the deadline lies
+// outside the buckets, the response is neither moved nor counted.
 func (p *responsePacer) scheduleResponse(now, timeoutAt int64) int64 {
 	at := timeoutAt - responseTravelTime - int64(p.longestTurn)
 	p.dropPast(now)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// This file owns the data of one request. It must never act on a request.
+// This file owns the data of one request. Acting on requests is left to other files.
 
 import (
 	"hash/fnv"
--- a/internal/dispatch/submission.go
+++ b/internal/dispatch/submission.go
@@ -33,7 +33,7 @@
 const (
 	maxTimeoutUs     = int64(24 * 60 * 60 * second)
 	maxExpectedRunUs = 366 * maxTimeoutUs
-	maxResource      = 1e9 // the number of cores, and the memory in the unit of the settings, must be below it
+	maxResource      = 1e9 // exclusive upper bound of the number of cores, and of the memory in the settings' unit
 	maxNameLength    = 64  // in bytes
 	requestIDLength  = 16  // number of hexadecimal digits
 )
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -97,8 +97,8 @@
 }
 
 // checkNames returns ErrRequestIDInUse if the request ID of a submission belongs to a request in the table or to an
-// unresponsive task. It returns ErrKeyInUse if the key belongs to a request of another front, that is, one that differs
-// in Resumable, unless the task is submitted as already running.
+// unresponsive task. It returns ErrKeyInUse if the key belongs to a request of another front, which it recognises by
+// another value of Resumable. This second check is omitted for a task that is submitted as already running.
 func (d *Dispatcher) checkNames(s *Submission) error {
 	if d.Contains(s.RequestID) {
 		// The response to this submission would be a second one under the same request ID. If the task is
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// sweepInterval is the minimum time between two calls of Dispatcher.sweep, which ends the tasks whose end no
-	// worker will report.
+	// sweepInterval is the minimum time between two calls of Dispatcher.sweep, which finds the tasks whose end
+	// no worker will report, and counts them as ended.
 	sweepInterval = 500 * millisecond
 	// drainRetention is the time for which drainingSince keeps an unlisted worker, measured from the start of its
 	// draining. Offers to the worker that wait to be sent need the entry (see CheckOffer), and they wait for a much
@@ -55,8 +55,8 @@
 		d.sweep()
 	}
 	if d.confirmList && d.hasList {
-		// The scheduler waits for a confirmation that it receives changes of the list. The dispatcher always
-		// passes changes on, so a list without entries suffices as the confirmation.
+		// The scheduler waits for the dispatcher to confirm that it will pass on changes of the list. The
+		// dispatcher always does, so an empty list of changes suffices as the confirmation.
 		d.confirmList = false
 		d.queueEvent(placement.WorkerList{Kind: placement.ListDelta})
 	}
@@ -113,9 +113,10 @@
 	}
 }
 
-// sweep ends the running tasks and the unresponsive tasks whose end no worker will report (see lostTasks and
-// sweepUnresponsive). Without it, a task would stay in the table forever if its worker vanished without a report.
-// sweep also deletes old entries of drainingSince. It does nothing before the first list of workers is received.
+// sweep counts a running or unresponsive task as ended if no worker will report its end (see lostTasks and
+// sweepUnresponsive). Without it, a task would stay in the table forever if its worker vanished without a
+// report. sweep also deletes old entries of drainingSince. It does nothing before the first list of workers is
+// received.
 func (d *Dispatcher) sweep() {
 	if !d.hasList {
 		return
--- a/internal/dispatch/unclaimed_test.go
+++ b/internal/dispatch/unclaimed_test.go
@@ -7,8 +7,8 @@
 	"ravenhitch/placement"
 )
 
-// If the worker of an adopted task reported its completion at most unclaimedRetention before the adoption, the task
-// ends. The completion is reported to the client unless its outcome is Cancelled.
+// An adopted task ends if its worker reported the completion at most unclaimedRetention before the adoption. The
+// completion is reported to the client unless its outcome is Cancelled.
 func TestCompletionBeforeAdoption(t *testing.T) {
 	for name, c := range map[string]struct {
 		worker    string
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -34,8 +34,8 @@
 	d.reportAttemptEnded(r, outcome, cause, true)
 }
 
-// sweepUnresponsive ends the unresponsive tasks whose end nobody will report: the worker has left the list,
-// or has not reported the end for unresponsiveRetention.
+// sweepUnresponsive counts an unresponsive task as ended if nobody will report its end: the worker has left
+// the list, or has not reported the end for unresponsiveRetention.
 func (d *Dispatcher) sweepUnresponsive() {
 	for _, r := range sortByRequestID(slices.Collect(maps.Values(d.unresponsive))) {
 		if !d.listed[r.worker] || d.now-r.unaccountedSince >= unresponsiveRetention {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -5,8 +5,9 @@
 
 import "ravenhitch/placement"
 
-// restartSkew is the maximum time by which the clock that dates a worker's start may be ahead of the local clock.
-// A task that was offered at most restartSkew before the start is assumed to run in the new process.
+// restartSkew is the maximum time by which the clock that provides a worker's start time may be ahead of the
+// local clock. A task that was offered at most restartSkew before the start is assumed to run in the new
+// process.
 const restartSkew = 1 * second
 
 // Offer is the content of an offer to a worker.
@@ -22,10 +23,9 @@
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
 	// CancelAttempt cancels an offer that was not answered. The cancel is sent before any later offer. mayRetry
-	// states that another attempt may follow. CancelAttempt returns true if the attempt is over. It also returns
-	// true if mayRetry is false and the cancel was sent in a deployment that does not allow pings, because nothing
-	// confirms the cancel there. If it returns false, CancelConfirmed or TaskEnded is called once the attempt is
-	// over.
+	// states that another attempt may follow. CancelAttempt returns true if the attempt is over. In a deployment
+	// that does not allow pings, nothing confirms a cancel. There it also returns true once the cancel is sent, if
+	// mayRetry is false. If it returns false, CancelConfirmed or TaskEnded is called once the attempt is over.
 	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
 	// Release requests a worker to end a running task.
 	Release(worker, requestID string)
@@ -74,7 +74,7 @@
 			d.unacceptedTaskEnded(r, cause)
 			return
 		case outcome == placement.Cancelled:
-			outcome = placement.Reset // the dispatcher did not cancel the attempt
+			outcome = placement.Reset // Cancelled is only for attempts that the dispatcher cancelled
 		}
 		d.attemptEnded(r, outcome, cause)
 	case stateCancelling:
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -49,10 +49,10 @@
 	bytesSent    int64
 
 	// emptyAt is the start time, by [Loop.Clock], of the last read that left no received data in the socket. Before
-	// the first such read, it is the emptyAt of the listener for an accepted connection, and 0 for a dialled one.
+	// the first such read, it is 0 for a dialled connection, and the listener's emptyAt for an accepted one.
 	emptyAt int64
-	// unreadPoll is the number of complete polls up to the last time at which a turn may have left received data
-	// unread. The accept of the connection counts as such a time. For a dialled connection, unreadPoll is initially 0.
+	// unreadPoll is the value of pollHistory.count in the last turn that may have left received data unread.
+	// It is initially the count at the accept of the connection, or 0 for a dialled connection.
 	unreadPoll int64
 }
 
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -26,7 +26,7 @@
 
 	// readBufferSize is the maximum number of bytes that one read of a connection returns.
 	readBufferSize = 64 << 10
-	// defaultMaxBuffered is the maximum number of output bytes of one connection that the kernel has not accepted.
+	// defaultMaxBuffered is the maximum size of the unsent output of one connection, in bytes.
 	// SetMaxBuffered replaces this limit.
 	defaultMaxBuffered = 1 << 20
 	// initialEvents is the initial size of the buffer of events, which is the number of ready descriptors
@@ -47,7 +47,7 @@
 
 	maxDescriptors  int
 	openDescriptors int
-	maxBuffered     int    // maximum output of one connection, in bytes, that the kernel has not accepted
+	maxBuffered     int    // maximum size of the unsent output of one connection, in bytes
 	readBuffer      []byte // used for the reads of all connections, because only one connection is read at a time
 
 	unreaped  []*Conn // closed connections whose descriptors are still open
@@ -127,8 +127,9 @@
 // FreeDescriptors returns the number of sockets that may still be opened within the budget.
 func (l *Loop) FreeDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
-// SetMaxBuffered sets the maximum number of output bytes of one connection that the kernel has not accepted. If more
-// bytes are left after the loop has tried to send them, the connection is closed with [ErrOverflow].
+// SetMaxBuffered sets the maximum size of the unsent output of a connection, in bytes. Unsent output is output that
+// the kernel has not accepted. If more is left after the loop has tried to send the output, the connection is closed
+// with [ErrOverflow].
 func (l *Loop) SetMaxBuffered(maxBytes int) { l.maxBuffered = maxBytes }
 
 // RunAgain makes the loop start the next turn without waiting for events.
@@ -234,8 +235,9 @@
 			c.fail(err)
 			continue
 		}
-		// The kernel may have accepted only now what it did not accept in an earlier flush. No event reports
-		// this, because the descriptor is no longer watched for writability. The handler is therefore notified here.
+		// This flush may have sent the output that an earlier flush left over. Then the descriptor is no longer
+		// watched for writability, and no event reports that the output is drained. The handler is therefore
+		// notified here.
 		if c.awaitsDrain {
 			c.notifyDrained()
 		}
--- a/internal/eventloop/poll_history.go
+++ b/internal/eventloop/poll_history.go
@@ -10,7 +10,7 @@
 type pollHistory struct {
 	count          int64 // complete polls so far; also the number of the last one
 	lastAt         int64 // time at which the last complete poll returned
-	previousAt     int64 // time at which the complete poll before the last one returned
+	previousAt     int64 // time at which the second to last complete poll returned
 	processedAt    int64 // return time of the last complete poll whose events are all dispatched
 	processedCount int64 // number of the poll that returned at processedAt
 }
@@ -30,10 +30,10 @@
 // time later than the beginning of this turn.
 //
 // There are two bounds, and the later one counts. The first is emptyAt, because everything that arrived before it was
-// read in earlier turns. The second is the time at which the complete poll before the last one returned. It applies
-// only if no turn since that poll can have left data unread. Then everything that arrived before that poll was read in
-// earlier turns too: a connection that the poll did not report was empty, and one that it reported was then read until
-// it was empty.
+// read in earlier turns. The second is the time at which the second to last complete poll returned. It applies only
+// if no turn since that poll can have left data unread. In that case, everything that arrived before that poll was
+// read in earlier turns too: a connection that the poll did not report was empty, and one that it reported was then
+// read until it was empty.
 func (c *Conn) EarliestArrival() int64 {
 	polls := &c.loop.polls
 	if polls.count <= c.unreadPoll+1 {
--- a/internal/eventloop/poll_history_test.go
+++ b/internal/eventloop/poll_history_test.go
@@ -62,7 +62,7 @@
 // returns no time later than the write of the data. After all data is read, it returns a later time. An idle
 // connection counts as completely read.
 func TestLastSeenAt(t *testing.T) {
-	const messageSize = 200 // bytes; one turn reads 4 times 16 bytes, which is 64
+	const messageSize = 200 // in bytes; more than the 4 reads of 16 bytes of one turn
 	loop, onLoop := startLoop(t, 10)
 	local, remote := connectThree(t, loop, onLoop)
 	reads := make(chan int, 100)
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -92,7 +92,7 @@
 	queuedCalls atomic.Int64 // number of functions queued by post that the event loop has not started
 	keys        atomic.Pointer[retrytoken.Keys]
 
-	// The following fields belong to the event loop.
+	// The following fields are accessed on the event loop only.
 	redeemed       retrytoken.Redeemed
 	tokenCounts    TokenCounts
 	sessions       map[string]*session // by name
--- a/internal/grpcfront/rpc_test.go
+++ b/internal/grpcfront/rpc_test.go
@@ -48,8 +48,8 @@
 func (l *goroutineLoop) Now() int64                           { return time.Now().UnixMicro() }
 func (l *goroutineLoop) After(int64, func()) *eventloop.Timer { return nil }
 
-// classDispatcher is a Dispatcher whose response to a submission depends on the name of its class. It belongs to
-// the event loop.
+// classDispatcher is a Dispatcher whose response to a submission depends on the name of its class. It must be
+// used on the event loop only.
 type classDispatcher struct {
 	open    map[string]dispatch.Client // clients of the requests without a response, by request ID
 	running map[string]dispatch.Client // clients of the running tasks, by request ID
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -1,9 +1,9 @@
 package grpcfront
 
 // This file owns the sessions: the offers and tasks of each session, and the messages that its client has not
-// acknowledged. Sessions belong to the event loop and outlive their streams. Invariant: a session stores each
-// message before sending it, so that the next stream can resend the last maxUnacknowledged messages that the
-// client has not acknowledged.
+// acknowledged. Sessions are accessed on the event loop only. They outlive their streams. Invariant: a
+// session stores each message before sending it, so that the next stream can resend the last
+// maxUnacknowledged messages that the client has not acknowledged.
 
 import (
 	"time"
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -22,7 +22,7 @@
 	done   chan struct{} // closed when the stream is ended
 	err    error         // the status that was passed to end, set before done is closed
 
-	// The following fields belong to the event loop.
+	// The following fields are accessed on the event loop only.
 	ended   bool
 	session *session // nil until the stream is attached, and after attach has refused the stream
 }
@@ -66,7 +66,7 @@
 	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receiveAll(server, st) // ends once Session has returned, if not before, because server.Recv then fails
+	go f.receiveAll(server, st) // ends at the latest when Session has returned, because server.Recv fails then
 	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
@@ -83,7 +83,7 @@
 		err     error
 	}
 	result := make(chan received, 1)
-	go func() { // ends once Session has returned, if not before, because server.Recv then fails
+	go func() { // ends at the latest when Session has returned, because server.Recv fails then
 		message, err := server.Recv()
 		result <- received{message, err}
 	}()
--- a/internal/grpcfront/tokens.go
+++ b/internal/grpcfront/tokens.go
@@ -1,11 +1,11 @@
 package grpcfront
 
 // This file owns the retry tokens of the front. If the front has keys, it issues a token with each rejection by the
-// dispatcher, and the client presents the token with its next offer of the task. Tokens are verified outside the event
-// loop, on the goroutine that receives the offer. A token in the status of a rejected Place call is signed outside the
-// event loop too, on the goroutine of the call. A token in a Rejection message of a session is signed on the event
-// loop. The set of redeemed tokens belongs to the event loop. An offer with an invalid token is treated like an offer
-// without one, and the client must never learn that the token was invalid.
+// dispatcher, and the client presents the token with its next offer of the task. Tokens are verified outside the
+// event loop, on the goroutine that receives the offer. A token in the status of a rejected Place call is signed
+// outside the event loop too, on the goroutine of the call. A token in a Rejection message of a session is signed on
+// the event loop. The set of redeemed tokens is accessed on the event loop only. An offer with an invalid token is
+// treated like an offer without one, and the client must never learn that the token was invalid.
 
 import (
 	"errors"
@@ -18,9 +18,9 @@
 	"ravenhitch/internal/retrytoken"
 )
 
-// TokenCounts counts the tokens that redeem has handled. Good counts the valid tokens. The slot of a token is the
-// time at which the client was to return: Early counts the tokens presented too long before it, and Expired counts
-// those presented too long after it. Used counts the tokens redeemed before. Bad counts all other invalid tokens.
+// TokenCounts counts the tokens that redeem has handled. Good counts the valid tokens. Early and Expired count the
+// tokens that were presented too long before or after their slot, which is the time at which the client was to
+// return. Used counts the tokens that had been redeemed before. Bad counts all other invalid tokens.
 type TokenCounts struct{ Good, Early, Expired, Used, Bad int64 }
 
 // SetKeys replaces the keys that sign and verify tokens. It may be called from any goroutine.
@@ -30,7 +30,7 @@
 func (f *Front) TokenCounts() TokenCounts { return f.tokenCounts }
 
 // presentedToken is the result of the verification of the token of an offer. The zero value stands for an offer
-// without a token, or whose token is ignored because the front has no keys.
+// that has no token, or whose token is ignored because the front has no keys.
 type presentedToken struct {
 	retrytoken.Token
 	presented bool
@@ -52,8 +52,8 @@
 }
 
 // redeem counts the token of an offer, if there is one. If the token is valid and was not redeemed before, redeem
-// records it as redeemed and copies two values from it to the submission: the time since which the client is on the
-// waitlist, and the number of rejections. redeem runs on the event loop.
+// records it as redeemed and copies two values from it to the submission: the time since which the client has been
+// on the waitlist, and the number of rejections. redeem runs on the event loop.
 func (f *Front) redeem(submission *dispatch.Submission, token presentedToken) {
 	if !token.presented {
 		return
--- a/internal/grpcfront/unary.go
+++ b/internal/grpcfront/unary.go
@@ -17,7 +17,7 @@
 type placeCall struct {
 	response  chan dispatch.Response // the first response; has capacity 1, so that the event loop never blocks
 	rejection chan error             // the error that submitPlace returned; has capacity 1
-	responded bool                   // whether a response was received; belongs to the event loop
+	responded bool                   // whether a response was received; accessed on the event loop only
 }
 
 func newPlaceCall() *placeCall {
--- a/internal/jsonlines/scanner.go
+++ b/internal/jsonlines/scanner.go
@@ -90,7 +90,7 @@
 // string decoded. The content of the string begins at start and has no escape sequence before the current offset.
 func (s *scanner) escapedString(start int) (string, error) {
 	content := append([]byte(nil), s.text[start:s.offset]...)
-	rawStart := start // offset of the first byte that is not yet checked to be UTF-8
+	rawStart := start // offset of the first byte that is not yet checked for valid UTF-8
 	for s.offset < len(s.text) {
 		c := s.text[s.offset]
 		if (c == '"' || c == '\\') && !utf8.Valid(s.text[rawStart:s.offset]) {
