--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -5,9 +5,9 @@
 
 import "slices"
 
-// pingDead pings one member, chosen at random among the dead members and the peers in the settings that are not in the
-// table. These pings detect the end of a partition whose sides have declared each other dead. pingDead also removes
-// one dead or departed member if the table holds more than maxDeadMembers of them.
+// pingDead pings one member, chosen at random among the dead members and the configured peers that are not in the
+// table. These pings detect the end of a partition whose sides have declared each other dead. pingDead also removes one
+// dead or departed member if the table holds more than maxDeadMembers of them.
 func (t *Table) pingDead() {
 	var dead []string
 	for _, name := range t.names {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,10 +1,10 @@
 package membership
 
-// This file computes the digests of the table. Each member belongs to a bucket, which is determined by a hash of
-// the member's name. A ping carries a digest of each bucket. The answer carries pages (parts of the answering
-// member's table, see packPage) only if digests differ, and the pages contain only members of the differing buckets.
-// A digest covers the names, nonces and incarnations of the members that are alive or suspected, including the local
-// one. It is the same whether a member is alive or suspected.
+// This file computes the digests of the table. Each member belongs to a bucket, which is determined by a hash of the
+// member's name. A ping carries a digest of each bucket. The answer carries pages (parts of the answering member's
+// table, see packPage) only if digests differ, and the pages contain only members of the differing buckets. A digest
+// covers the names, nonces and incarnations of the members that are alive or suspected, including the local one. A
+// change of a member from alive to suspected or back does not change the digest.
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digestBucket returns the bucket of a name.
+// digestBucket returns the index of the bucket to which the member with the given name belongs.
 func digestBucket(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
 
 // toggleDigest adds a member to the digest of its bucket, or removes it if the digest contains it.
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -19,7 +19,7 @@
 	Refuted
 	Died
 	LeftCluster
-	Rejoined     // a member runs as another process than before, or is back after its death or departure
+	Rejoined     // another process now runs under a member's name, or a member is back after its death or departure
 	PathDegraded // one direction of the path to a member went down while the other one was up
 	PathRecovered
 	Stalled      // the local process did not run for some time
@@ -45,7 +45,7 @@
 type Event struct {
 	Kind       EventKind
 	Name, Zone string
-	Nonce      uint64 // incarnation nonce of the member Name, or of the local member if Name is not in the table
+	Nonce      uint64 // incarnation nonce of the named member; of the local one if the table lacks that name
 	Evidence   string
 }
 
@@ -67,9 +67,10 @@
 
 func formatMilliseconds(us int64) string { return fmt.Sprintf("%d ms", us/millisecond) }
 
-// evidence describes for operators how many members of each zone confirmed that they cannot reach m, how many of them
-// found that no process listens at the address of m, and whether the local member has had proof since the suspicion
-// began that m is alive. It counts only the confirmations in the table, which are at most 2*MaxConfirmations.
+// evidence describes for operators how many members of each zone confirmed that they cannot reach m, and how many of
+// these members found that no process listens at the address of m. It also states whether, since the suspicion began,
+// the local member has had proof that m is alive. It counts only the confirmations in the table, which are at most
+// 2*MaxConfirmations.
 func (t *Table) evidence(m *member) string {
 	confirmations := map[string]int{}
 	var zones []string
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -60,7 +60,7 @@
 		size:   7,
 		faults: []fault{{kind: faultRefuse, target: 2, other: 3, start: 5 * second, end: 60 * second}},
 		run: func(t *testing.T, c *cluster) {
-			c.delay = 15 * millisecond // the relays' answers arrive long after the refusal
+			c.delay = 15 * millisecond // the relays answer long after the host has refused the handshake probe
 			assertMaxSuspicions(0)(t, c)
 		},
 	},
@@ -68,13 +68,13 @@
 		name:   "few suspicions if only one member of the other zones can reach a zone",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 1, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(100), // 569 suspicions before chooseRelays preferred the relay that last reached the zone
+		run:    assertMaxSuspicions(100), // 569 suspicions when chooseRelays ignored which relay last reached the zone
 	},
 	{
 		name:   "few suspicions if the other zones can reach only one member of a zone",
 		size:   16,
 		faults: []fault{{kind: faultCut, target: 0, other: 4, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(15), // 27 suspicions before drawRelay preferred the relay that sent the last datagram
+		run:    assertMaxSuspicions(15), // 27 suspicions when drawRelay did not prefer the relay that sent the last datagram
 	},
 	{
 		name:   "a path that works in one direction only is reported",
@@ -101,7 +101,7 @@
 		name:   "a member whose paths lose many datagrams reports few suspicions",
 		size:   7,
 		faults: []fault{{kind: faultLoss, target: 2, probability: 0.6, start: 5 * second, end: 60 * second}},
-		run:    assertMaxSuspicions(50), // 74 suspicions before the local health score was introduced
+		run:    assertMaxSuspicions(50), // 74 suspicions without the local health score
 	},
 	{
 		name: "a second process with the name of a member joins only after the first is dead",
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// broadcast is an entry in the queue of updates to disseminate. It names the member; each transmission sends the
-// member's current update.
+// broadcast is an entry in the queue of updates to disseminate. It holds the name of a member but no update: each
+// transmission sends the update that the table then has of the member.
 type broadcast struct {
 	name      string // name of the member
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -9,7 +9,7 @@
 type relayedProbe struct {
 	requester, target         string
 	requestSequence, sequence uint64 // sequence numbers of the requester's ping request and of the relayed ping
-	deadline                  int64  // time at which the missing ack is reported to the requester
+	deadline                  int64  // time at which the requester is told that no ack arrived
 }
 
 // probeIndirectly asks relays to ping a member that did not answer, and requests a handshake probe of the member.
@@ -78,8 +78,8 @@
 	return groups
 }
 
-// drawRelay draws a relay and returns its index. In the target's zone it selects the candidate from which the last
-// datagram arrived, because in a partition that may be the only one that is still reachable.
+// drawRelay draws a relay and returns its index. From the group in the target's zone it selects the candidate whose
+// last datagram arrived most recently. In a partition, this may be the only candidate that is still reachable.
 func (t *Table) drawRelay(candidates []string, group int) int {
 	drawn := t.rng.IntN(len(candidates))
 	if group != targetZone {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -31,7 +31,7 @@
 
 // Confirmation records that a member cannot reach a suspected member.
 type Confirmation struct {
-	Name, Zone string // of the member that cannot reach the suspect
+	Name, Zone string // name and zone of the member that cannot reach the suspect
 	Refused    bool   // whether the suspect's host refused the handshake probe: no process listens at the address
 }
 
@@ -41,10 +41,9 @@
 	// Nonce is the incarnation nonce. Each process draws one when it starts, which distinguishes two processes
 	// that use the same name.
 	Nonce uint64
-	// Incarnation increases each time the member refutes that it is suspected, dead or departed. It also increases
-	// when the member takes over its name from a process that no longer runs, unless it already exceeds that process's
-	// incarnation. If the settings name a directory in which the starts are counted, each start of the process increases
-	// it as well.
+	// Incarnation increases each time the member refutes that it is suspected, dead or departed. It also increases when
+	// the member takes over its name from a process that no longer runs and whose incarnation is not lower. If the
+	// settings name a directory in which the starts are counted, each start of the process increases it as well.
 	Incarnation   uint64
 	State         State
 	Confirmations []Confirmation // confirmations of the suspicion
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -178,7 +178,7 @@
 )
 
 // HandshakeProbeDone handles the result of a HandshakeProbe. nonce is the incarnation nonce of the process that
-// answered, or 0 without an answer. The answer of another process than the probed one is ignored.
+// answered, or 0 without an answer. An answer from a process other than the probed one is ignored.
 func (t *Table) HandshakeProbeDone(now int64, name string, nonce uint64, result HandshakeResult) []Action {
 	t.now = now
 	m := t.members[name]
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -64,8 +64,8 @@
 	}
 	address, buckets := t.addressOf(m.Sender.Name), t.differingBuckets(m)
 	if (m.Joining || sender != nil && sender.Nonce != m.Sender.Nonce) && m.Sender.Addr != address {
-		// The sender may be another process than the one in the table, so an ack is also sent to the sender's own
-		// address.
+		// The known address may be that of another process with the sender's name, so an ack is also sent to the
+		// address in the message.
 		t.sendToAddress(m.Sender.Addr, m.Sender.Name, ack, buckets)
 	}
 	if address == "" {
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -10,7 +10,7 @@
 // faultKind names the effect of a fault. Test messages contain the name.
 type faultKind string
 
-// The kinds of faults.
+// The kinds of faults. The words target, other, start and end refer to the fields of fault.
 const (
 	faultKill         faultKind = "kill"    // the process of target ends, and its host refuses connections
 	faultVanish       faultKind = "vanish"  // the host of target goes down and does not answer
@@ -45,7 +45,7 @@
 	leaveTime = 300 * millisecond
 )
 
-// fault is one fault of a schedule.
+// fault describes one fault of a schedule: its kind, its target and its time.
 type fault struct {
 	kind          faultKind
 	target, other int     // indexes of members; in a cut, target is a zone
@@ -130,7 +130,7 @@
 }
 
 // drawFaults draws a schedule of up to four faults, where a mass restart counts as one. All faults end by the returned
-// time, which is at least 13 s after the start of each fault, so that detectionLimit is over.
+// time, which is at least 13 s after the start of each fault, so that detectionLimit has passed.
 func drawFaults(size int, seed uint64) (faults []fault, end int64) {
 	d := &faultDrawer{
 		rng:  rand.New(rand.NewPCG(seed, 9)),
@@ -184,7 +184,8 @@
 	case faultCut:
 		f.target = d.rng.IntN(max(1, min(4, d.size/3)))
 	case drawnBridge:
-		if d.size < 6 || d.size > 16 { // one member cannot pass on the refutations of a zone of 25 members in time
+		// The bridge, a single member, cannot pass on the refutations of a large zone (25 members) in time.
+		if d.size < 6 || d.size > 16 {
 			return false
 		}
 		f.kind, f.target, f.other = faultCut, d.rng.IntN(min(4, d.size/3)), d.rng.IntN(d.size)
--- a/internal/membership/sim_network_test.go
+++ b/internal/membership/sim_network_test.go
@@ -161,8 +161,8 @@
 	return false
 }
 
-// partitioned reports whether two members were not connected (see connected) at any time that it checks. It checks
-// times at intervals of partitionCheckInterval, from partitionWindow ago until now.
+// partitioned reports whether two members were disconnected (see connected) at one or more of the checked times. These
+// times are at intervals of partitionCheckInterval, from partitionWindow ago until now.
 func (c *cluster) partitioned(from, to int) bool {
 	for at := c.now; at > c.now-partitionWindow; at -= partitionCheckInterval {
 		if !c.connected(from, to, at) {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -57,7 +57,7 @@
 			added = true
 		}
 	}
-	if added { // those with Refused come first, because a message contains at most MaxConfirmations of them
+	if added { // a message contains at most MaxConfirmations confirmations, so those with Refused come first
 		slices.SortStableFunc(m.Confirmations, func(a, b Confirmation) int {
 			return boolToInt(b.Refused) - boolToInt(a.Refused)
 		})
@@ -98,8 +98,8 @@
 	return t.MaxSuspicionTimeout - int64(share*float64(t.MaxSuspicionTimeout-t.MinSuspicionTimeout))
 }
 
-// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out, the local member
-// has had no proof since the suspicion began that the suspect is alive, and the suspicion is verified (see verified).
+// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out and is verified (see
+// verified), and if since the beginning of the suspicion the local member has had no proof that the suspect is alive.
 // The ping that verifies the suspicion is sent when half of the timeout has passed, or later if too many suspects need
 // one.
 func (t *Table) evaluateSuspects() {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -66,7 +66,7 @@
 	actions          []Action
 }
 
-// member is the table's entry of another member. Its times are in microseconds.
+// member is the table's entry for another member. Its times are in microseconds.
 type member struct {
 	Update
 	lastAliveAt       int64  // time of the last proof that the member is alive, direct or indirect
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -11,8 +11,8 @@
 // Timing holds the intervals and timeouts of a table, in microseconds.
 type Timing struct {
 	ProbeInterval int64 // interval at which the next probe in order and the next urgent probe, if any, start
-	DirectTimeout int64 // wait for an ack before indirect probes are sent; directTimeout may lengthen it
-	ProbeTimeout  int64 // duration of an unanswered probe with its indirect probes; a bad health score lengthens it
+	DirectTimeout int64 // time to wait for an ack before indirect probes are sent; directTimeout may lengthen it
+	ProbeTimeout  int64 // duration of an unanswered probe, including its indirect probes; a bad health score lengthens it
 	// A suspect that does not refute the suspicion is declared dead after MaxSuspicionTimeout if the suspicion has
 	// one confirmation, and after MinSuspicionTimeout if it has at least three (in a cluster of up to three
 	// members, at least two). A bad local health score lengthens both timeouts. MinSuspicionTimeout covers the
@@ -37,7 +37,7 @@
 }
 
 const (
-	// tickInterval is the minimum time between two calls of Tick that the table requests.
+	// tickInterval is the minimum time that the table requests between two calls of Tick.
 	tickInterval = 50 * millisecond
 	// stallThreshold is the maximum delay of a call of Tick after the time that NextTick returned. If a call is
 	// later, the local process counts as stalled.
@@ -49,8 +49,8 @@
 	joinTimeout = 1 * second
 	// reprobeInterval is the interval at which each member that confirmed a suspicion probes the suspect.
 	reprobeInterval = 1 * second
-	// deadPingInterval is the interval between pings to dead members and to peers of the settings that are not in
-	// the table. Each ping goes to one of them.
+	// deadPingInterval is the interval between pings to dead members and to configured peers that are not in the table.
+	// Each ping goes to one of them.
 	deadPingInterval = 500 * millisecond
 	// viewSettleTime is the time without membership changes after which the stable view is rebuilt.
 	viewSettleTime = 400 * millisecond
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -80,8 +80,8 @@
 // Protocol.Confirm returned an error.
 func (e *Exporter) Dropped() int64 { return e.dropped.Load() }
 
-// Close ends the exporter after the queued sample, if any, is sent or lost. It waits for the end
-// of the exporter for at most timeout. Offer must not be called after Close.
+// Close ends the exporter after the queued sample, if any, is sent or lost. It waits at most timeout for the exporter
+// to end. Offer must not be called after Close.
 func (e *Exporter) Close(timeout time.Duration) {
 	close(e.samples)
 	select {
@@ -107,7 +107,7 @@
 			continue
 		}
 		e.dropped.Add(1)
-		if failedAt.IsZero() { // only the first failure in a row is logged
+		if failedAt.IsZero() { // of several failures in a row, only the first is logged
 			e.log.Warn("metrics export failed", "to", e.addr, "err", err)
 		}
 		failedAt = time.Now()
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -13,7 +13,7 @@
 	"ravenhitch/internal/testbed"
 )
 
-// sample is a sample with a counter and a gauge.
+// sample holds one counter and one gauge.
 var sample = Sample{
 	At:      time.Unix(1_700_000_000, 0),
 	Figures: []Figure{{"offers", 12, true}, {"open requests", 0.5, false}},
--- a/internal/metrics/protocol.go
+++ b/internal/metrics/protocol.go
@@ -1,7 +1,7 @@
 package metrics
 
-// This file owns the protocols of Graphite and collectd. It formats samples and reads
-// confirmations. It must never keep a connection.
+// This file owns the protocols of Graphite and collectd. It formats samples and reads confirmations. It must never
+// store a connection.
 
 import (
 	"bufio"
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -18,7 +18,8 @@
 
 // The encoded constants in this file are the bytes that the build of commit 532e1c5 ("the previous build") writes.
 // While a cluster is upgraded, it has members of both builds, so each build must read the messages of the other. After
-// an upgrade or a rollback, an orchestrator must read the file of starts that the other build has written.
+// an upgrade or a rollback, an orchestrator must read the file with the counter of starts that the other build has
+// written.
 
 // previousNonce is the incarnation nonce of the member n2, which sends the messages in this file.
 const previousNonce = 0x1122334455667788
@@ -193,8 +194,8 @@
 	}
 }
 
-// TestPreviousStartsFile asserts that this build continues the count in the previous build's file of starts, and
-// writes the file in the format that the previous build reads.
+// TestPreviousStartsFile asserts that this build reads the counter of process starts from the previous build's file,
+// increments it, and writes the file in the same format.
 func TestPreviousStartsFile(t *testing.T) {
 	for _, c := range []struct {
 		name, before, after string
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// eventually waits until condition, evaluated on the event loop, returns true. After a timeout, it fails the test with
-// a message that contains what, a description of the condition.
+// eventually waits until condition, evaluated on the event loop, returns true. After a timeout, it fails the test. The
+// argument what describes the condition in the failure message.
 func (pair *twoPeers) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(2 * testbed.Timeout); ; time.Sleep(time.Millisecond) {
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -27,14 +27,13 @@
 )
 
 // NextIncarnation increments the counter of starts in a directory and returns the first incarnation of this start,
-// which is greater than that of every earlier start counted there. Without a directory (dir is "") it returns 1.
-// If the counter's file holds no valid count, counting starts again from 1 and fault describes the file; otherwise
-// fault is "".
+// which is greater than that of every earlier start counted there. Without a directory (dir is "") it returns 1. If the
+// counter's file holds no valid count, the count is reset to 1 and fault describes the file; otherwise fault is "".
 //
-// The incarnation may be lower than that of an earlier process with the same name: without a directory, after counting
-// has started again, or if the file is an older copy. The membership table then raises the incarnation above that of
-// the earlier process once an update reports that the earlier process is dead or has left, or that it had the address
-// of the new process.
+// The incarnation may be lower than that of an earlier process with the same name: without a directory, after a reset
+// of the count, or if the file is an older copy. An update may then report that the earlier process is dead or has
+// left, or that it had the address of the new process. When such an update arrives, the membership table raises the
+// incarnation above that of the earlier process.
 func NextIncarnation(dir string) (incarnation uint64, fault string, err error) {
 	if dir == "" {
 		return firstIncarnation, "", nil
--- a/internal/peer/incarnation_test.go
+++ b/internal/peer/incarnation_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestIncarnationsGrow asserts that the incarnation grows with each start, that counting starts again from 1 if the
-// file holds no valid count, that the incarnation is firstIncarnation if no directory is configured, and that a
-// configured directory that does not exist is an error.
+// TestIncarnationsGrow asserts that the incarnation grows with each start, that the count is reset to 1 if the file
+// holds no valid count, that the incarnation is firstIncarnation if no directory is configured, and that a configured
+// directory that does not exist is an error.
 func TestIncarnationsGrow(t *testing.T) {
 	dir := t.TempDir()
 	last := uint64(0)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -5,7 +5,8 @@
 //
 // Package peer must never decide which members are alive, never block the event loop, and never let an invalid message
 // reach the table. An invalid datagram is dropped, and a connection that carries an invalid message is closed. Each of
-// these events is logged in one line, at a limited rate.
+// these events is logged in one line, at a limited rate, except an invalid frame on a connection that this orchestrator
+// opened.
 //
 // The sockets and timers are registered with the event loop. Closing the loop closes the sockets, and no timer
 // fires afterwards.
@@ -46,7 +47,7 @@
 type Counts struct {
 	Sent, SentBytes, Received, ReceivedBytes     int64 // numbers of datagrams, and their total sizes
 	Lost                                         int64 // datagrams that could not be sent
-	Refused                                      int64 // invalid datagrams, and connections closed for an invalid message
+	Refused                                      int64 // invalid datagrams, hellos, records and inbound frames
 	HandshakeProbes                              int64
 	RecordsSent, RecordsReceived, RecordsDropped int64 // RecordsDropped: accepted by Send, but never sent
 }
--- a/internal/peer/status_report.go
+++ b/internal/peer/status_report.go
@@ -49,7 +49,7 @@
 	Received        int64 `json:"received"`
 	ReceivedBytes   int64 `json:"received_bytes"`
 	Lost            int64 `json:"lost"`    // datagrams that could not be sent
-	Refused         int64 `json:"refused"` // invalid datagrams, and connections closed for an invalid message
+	Refused         int64 `json:"refused"` // invalid datagrams, hellos, records and inbound frames
 	HandshakeProbes int64 `json:"knocks"`
 }
 
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -70,7 +70,7 @@
 	nonce       uint64           // incarnation nonce of the process that the records are for
 	established bool             // whether the peer's hello has arrived and is valid
 	redialDelay int64            // last redial delay in microseconds; 0 without a failure since the last valid hello
-	timer       *eventloop.Timer // fires at the next dial, the next burst or the idle timeout
+	timer       *eventloop.Timer // fires when the next dial, the next burst or the idle timeout is due
 }
 
 // OnRecord registers handle, which is called on the event loop with each received record of the given kind. handle must
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -88,8 +88,8 @@
 	pair.eventually(t, "the urgent record", func() bool { return background.urgentAfter >= 0 })
 	pair.eventually(t, "all background records", func() bool { return len(background.received) == background.sent })
 	pair.onLoop(func() {
-		// When the urgent record arrives, more than 8 background records (8 * 64 KiB = 512 KiB) must still be
-		// missing.
+		// When the urgent record arrives, more than 8 background records (8 * 64 KiB = 512 KiB) must not have arrived
+		// yet.
 		if background.urgentAfter >= background.sent-8 {
 			t.Errorf("the urgent record arrived after %d of %d background records, want fewer than %d",
 				background.urgentAfter, background.sent, background.sent-8)
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestNoDescriptors asserts that a lack of free descriptors for handshake probes does not cause the local process to
-// declare a member dead.
+// TestNoDescriptors asserts that a lack of free file descriptors for handshake probes does not cause the local process
+// to declare a member dead.
 func TestNoDescriptors(t *testing.T) {
 	pair := newTwoPeers(t)
 	var before int64
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// OnView registers notify. It calls notify with the members of the current stable view, which may be empty, before it
-// returns. Later, notify is called on the event loop with the members of each new view.
+// OnView registers notify. Before OnView returns, it calls notify with the members of the current stable view, which
+// may be empty. Later, notify is called on the event loop with the members of each new view.
 func (p *Peers) OnView(notify func([]membership.Member)) {
 	p.onView = notify
 	p.reportView()
--- a/internal/retrytoken/token.go
+++ b/internal/retrytoken/token.go
@@ -35,10 +35,10 @@
 )
 
 const (
-	// EarlyUs states how long before its slot (Token.SlotUs) a token becomes valid, in microseconds. It allows
-	// for differences between clocks and between network latencies.
+	// EarlyUs is the time before a token's slot (Token.SlotUs) at which the token becomes valid, in microseconds. It
+	// allows for differences between clocks and between network latencies.
 	EarlyUs = 250 * millisecond
-	// LateUs states how long after its slot a token stays valid, in microseconds.
+	// LateUs is the time after a token's slot until which the token stays valid, in microseconds.
 	LateUs = 10 * second
 	// maxWaitUs is the maximum time for which a token may claim that its client was on the waitlist, and the
 	// maximum time from the issue of a token to its slot.
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -18,7 +18,7 @@
 		"guarded":     placement.Keyed,
 		"single_shot": placement.Unsafe,
 	}
-	// scopes maps each wire value of the settings that name a scope to the scope.
+	// scopes maps the names of scopes on the wire to the scopes.
 	scopes = map[string]placement.Scope{
 		"":        placement.ScopeNone,
 		"none":    placement.ScopeNone,
--- a/internal/stats/durations.go
+++ b/internal/stats/durations.go
@@ -26,7 +26,7 @@
 	if d.histogram == nil {
 		d.histogram = hdrhistogram.New(int64(minDuration), int64(maxDuration), significantDigits)
 	}
-	// RecordValue fails only for a value outside the range of the histogram.
+	// The value is within the range of the histogram, so RecordValue cannot fail.
 	_ = d.histogram.RecordValue(int64(min(maxDuration, max(minDuration, duration))))
 }
 
--- a/internal/stats/fit.go
+++ b/internal/stats/fit.go
@@ -7,10 +7,10 @@
 
 import "math"
 
-// Exponent returns the exponent e of the power law values = c * sizes^e that fits the samples best.
-// It is the least-squares slope of log(values) over log(sizes). Pairs in which a number is zero or
-// negative have no logarithm and are left out. The result has no meaning if fewer than two distinct sizes
-// remain: it is usually NaN, but rounding errors can make it a number.
+// Exponent returns the exponent e of the power law that fits the samples best: values = c * sizes^e. It is the
+// least-squares slope of log(values) over log(sizes). Pairs in which a number is zero or negative have no logarithm and
+// are left out. The result has no meaning if fewer than two distinct sizes remain: it is usually NaN, but rounding
+// errors can make it a number.
 func Exponent(sizes, values []float64) float64 {
 	var logSizes, logValues []float64
 	for i := range min(len(sizes), len(values)) {
@@ -23,9 +23,8 @@
 	return slope
 }
 
-// Line returns the intercept and the slope of the least-squares line values = intercept + slope * sizes.
-// Both have no meaning if there are fewer than two distinct sizes: they are usually NaN, but rounding errors can
-// make them numbers.
+// Line returns the intercept and the slope of the least-squares line: values = intercept + slope * sizes. Both have no
+// meaning if there are fewer than two distinct sizes: they are usually NaN, but rounding errors can make them numbers.
 func Line(sizes, values []float64) (intercept, slope float64) {
 	count := min(len(sizes), len(values))
 	var meanSize, meanValue float64
--- a/internal/testbed/attempt_log.go
+++ b/internal/testbed/attempt_log.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// This file owns the record of attempts from the workers' side. It checks one rule and must never check any
-// other rule: at most one attempt of a request is in flight at any time. An attempt is in flight from the
-// arrival of its offer until the worker writes the outcome or reads the cancel, or until the orchestrator closes
-// the connection. If the worker accepts the task, the attempt is in flight until the task ends. A crash of the
-// worker ends all its attempts.
+// This file owns the record of attempts from the workers' side. It must check only one rule: at most one attempt of a
+// request is in flight at any time. An attempt is in flight from the arrival of its offer until the worker writes the
+// outcome or reads the cancel, or until the orchestrator closes the connection. If the worker accepts the task, the
+// attempt is in flight until the task ends. A crash of the worker ends all its attempts.
 
 // AttemptLog records the attempts at all workers that share the log. A test that needs no log uses a nil
 // AttemptLog: recording to it does nothing, but its queries panic.
@@ -26,13 +25,13 @@
 	duplicates []string                      // descriptions that Duplicates returns
 }
 
-// Arrival is the arrival of an offer at a worker.
+// Arrival records the request and the arrival time of an offer that reached a worker.
 type Arrival struct {
 	RequestID string
 	At        time.Time
 }
 
-// attempt is an attempt in flight at a worker.
+// attempt is the state of an attempt that is in flight at a worker.
 type attempt struct {
 	connection string // remote address of the connection of the offer, "" if the task is running
 	running    bool   // the worker has accepted the task
--- a/internal/testbed/capacity_model.go
+++ b/internal/testbed/capacity_model.go
@@ -20,10 +20,10 @@
 	InspectionTime   [2]time.Duration // minimum and maximum time from taking an offer off the queue to deciding on it
 	QueueLength      int              // maximum number of offers that wait for inspection
 	MaxStarting      int              // maximum number of tasks that start at the same time, 1 if it is 0
-	// The speed at which the worker starts tasks is the fraction ColdStartRate of full speed at UpSince. It then
-	// rises linearly and reaches full speed after SlowStart. During slow start, the worker stops responding to offers
-	// for good if too many arrive within OverloadWindow: more than InitialBudget offers, and also more than
-	// FallMultiple times the number of tasks that the worker can start in OverloadWindow at its current speed.
+	// The speed at which the worker starts tasks is the fraction ColdStartRate of full speed at UpSince. It then rises
+	// linearly and reaches full speed after SlowStart. During slow start, the worker permanently stops responding to
+	// offers if too many arrive within OverloadWindow: more than InitialBudget offers, and also more than FallMultiple
+	// times the number of tasks that the worker can start in OverloadWindow at its current speed.
 	UpSince                                    time.Time // when the worker started, zero for a worker at full speed
 	ColdStartRate, FallMultiple, InitialBudget float64
 	SlowStart, OverloadWindow                  time.Duration
@@ -67,7 +67,8 @@
 	workers         []*Worker      // one Worker for each orchestrator
 }
 
-// offer is an offer that waits to be inspected.
+// offer is an entry in the inspection queue: the message with the offer, the task that it describes, and where it
+// arrived.
 type offer struct {
 	worker *Worker
 	conn   net.Conn
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -57,9 +57,9 @@
 }
 
 // Config returns the configuration of the orchestrator with the given index as JSON. The configuration contains the
-// current events of discovery as the initial list of workers. The orchestrator polls for later events at the address
-// channel. It serves clients at the address listen and admin calls at the address mgmt. If mgmt is "", it serves no
-// admin calls.
+// current events of discovery as the initial list of workers. The arguments listen, mgmt and channel are addresses: the
+// orchestrator serves clients at listen and admin calls at mgmt, and polls for later events at channel. If mgmt is "",
+// it serves no admin calls.
 func (d Deployment) Config(index int, listen, mgmt, channel string, seed uint64, discovery *Discovery) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"mgmt":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"channel":%q,"known":%s,"settings":%s}`, index, listen, mgmt, seed,
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -68,8 +68,8 @@
 	return len(d.events), d.added
 }
 
-// PollResponse returns the response to a poll by an orchestrator that has already applied a number of events, given by
-// the argument after. The response contains the later events.
+// PollResponse returns the response to a poll. The argument after is the number of events that the polling orchestrator
+// has already applied. The response contains the later events.
 func (d *Discovery) PollResponse(after int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -21,11 +21,12 @@
 	// restartGrace is the time after the start of an orchestrator during which neither its reports that others are
 	// dead nor reports that it is dead count as false.
 	restartGrace = 3 * time.Second
-	// maxDetection is the duration above which the latest absence of an orchestrator must be detected: every other
-	// orchestrator that runs in the last sample must have reported the absent one dead during the absence.
+	// maxDetection is the longest absence that may remain undetected. During a longer one, every other orchestrator
+	// that runs in the last sample must have reported the absent one dead. Only the latest absence of each orchestrator
+	// counts.
 	maxDetection = 9 * time.Second
-	// minAsymmetricCut is the duration above which a cut of only one direction of a path must be detected: at least
-	// one end of the path must report it. A cut is exempt if the schedule stopped either end.
+	// minAsymmetricCut is the longest cut of only one direction of a path that may remain unreported. A longer one must
+	// be reported by at least one end of the path, unless the schedule stopped either end.
 	minAsymmetricCut = 8 * time.Second
 )
 
@@ -182,8 +183,8 @@
 	slices.Sort(e.verdict.DetectionTimes)
 }
 
-// evaluateAsymmetricCuts counts the cuts of one direction that must be detected, and how many of these cuts
-// either end of the path reported.
+// evaluateAsymmetricCuts counts the one-direction cuts that must be detected, and those of them that an end of the path
+// reported.
 func (e *evaluation) evaluateAsymmetricCuts() {
 	for _, step := range e.fleet.applied {
 		cut, ok := asymmetricCut(step)
@@ -207,9 +208,9 @@
 	return path{from, to}, true
 }
 
-// mustDetect reports whether a cut of one direction must be detected. This is the case if the path is
-// not open in some sample taken more than minAsymmetricCut after the start of the cut, and the schedule stopped
-// neither end of the path.
+// mustDetect reports whether a cut of one direction must be detected. This is the case if the schedule stopped neither
+// end of the path, and a sample taken more than minAsymmetricCut after the start of the cut shows that the path is not
+// open.
 func (f *Fleet) mustDetect(cut path, since time.Time) bool {
 	lasted := slices.ContainsFunc(f.samples, func(s sample) bool {
 		return s.at.Sub(since) > minAsymmetricCut && !s.open[cut]
@@ -217,15 +218,15 @@
 	return lasted && !f.wasStopped(cut.from) && !f.wasStopped(cut.to)
 }
 
-// cutDetected reports whether either end of a path that is cut in one direction has reported the cut at or after
-// the time since.
+// cutDetected reports whether either end of the path reports the cut of one direction in a sample taken at since or
+// later.
 func (f *Fleet) cutDetected(cut path, since time.Time) bool {
 	return slices.ContainsFunc(f.samples, func(s sample) bool {
 		return !s.at.Before(since) && (s.reportsLink(cut.from, cut.to, linkOutShut) || s.reportsLink(cut.to, cut.from, linkInShut))
 	})
 }
 
-// reportsLink reports whether one orchestrator reports its path to another as being in the state link.
+// reportsLink reports whether the reporter gives link as the state of its path to the subject.
 func (s *sample) reportsLink(reporter, subject, link string) bool {
 	report := s.reports[reporter]
 	return report != nil && slices.ContainsFunc(report.Members, func(m peer.Member) bool {
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -19,7 +19,7 @@
 
 // Options configure a fleet.
 type Options struct {
-	Programs      []string // files of one or more builds of the program, assigned to the orchestrators round-robin
+	Programs      []string // executables of one or more builds of the program, assigned to the orchestrators round-robin
 	Dir           string   // parent directory of the configuration and stored files
 	Orchestrators int      // number of orchestrators
 	Workers       int      // number of workers; 0 means defaultWorkers
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -12,8 +12,8 @@
 	Faults             int             // number of steps other than heal and mend
 	FalseDead          int             // number of false reports of death, counted once for each pair of reporter and subject
 	MissedDead         int             // number of missing reports of death, one for each pair of reporter and subject
-	AsymmetricCuts     int             // number of cuts of one direction that must be detected
-	AsymmetricDetected int             // number of the cuts counted in AsymmetricCuts that either end of the path reported
+	AsymmetricCuts     int             // number of one-direction cuts that must be detected
+	AsymmetricDetected int             // number of cuts in AsymmetricCuts that at least one end of the path reported
 	ViewChanges        int64           // changes of the stable view, summed over all orchestrators
 	DetectionTimes     []time.Duration // times from stop to detection, sorted, one for each pair of subject and reporter
 	Disagreement       time.Duration   // time from the latest heal step to the last wrong view, 0 if there is none
--- a/internal/testbed/hollow/byte_counters.go
+++ b/internal/testbed/hollow/byte_counters.go
@@ -7,7 +7,7 @@
 // ByteCounters counts the bytes received and sent on the connections that Wrap returns.
 type ByteCounters struct{ Received, Sent counter }
 
-// Wrap returns a connection that reads and writes conn and adds the bytes to b.
+// Wrap returns a connection that reads from and writes to conn, and counts the bytes in b.
 func (b *ByteCounters) Wrap(conn net.Conn) net.Conn { return countingConnection{conn, b} }
 
 type countingConnection struct {
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -35,8 +35,8 @@
 
 func (c *connection) touch() { c.usedAt.Store(time.Now().UnixNano()) }
 
-// closeIdle closes the connections without a message since the given time. It does nothing if the worker is
-// unresponsive.
+// closeIdle closes the connections on which no message was sent or received since the given time. It does nothing if
+// the worker is unresponsive.
 func (w *Worker) closeIdle(since time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -109,8 +109,7 @@
 	}
 }
 
-// Ping sends a ping with options on any of the worker's connections. It reports whether the worker has a
-// connection.
+// Ping sends a ping with options on one of the worker's connections. It reports whether the worker has a connection.
 func (w *Worker) Ping(requestID string, options map[string]string) bool {
 	w.mutex.Lock()
 	var to *connection
