--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -183,9 +183,9 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, cursor, event)
 }
 
-// answer returns the answer to a poll. If there is nothing to send yet, the answer is "", and the returned
-// channel added is closed when the next event is added. cursor is the cursor of the last event, or that of the poll
-// if it is higher.
+// answer returns the answer to a poll. If there is nothing to send yet, the answer is "", and the returned channel
+// added is closed when the next event is added. The result cursor is the higher of two cursors: that of the last
+// event and that of the poll.
 func (d *Discovery) answer(p *poll) (answer string, cursor int, added <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -88,7 +88,7 @@
 // idleChecks is the number of times that closeIdle checks all connections during one idle timeout.
 const idleChecks = 30
 
-// closeIdle closes connections that have had no message for the timeout, until the fleet is closed.
+// closeIdle runs until the fleet is closed. It closes each connection that has had no message for the given timeout.
 func (f *Fleet) closeIdle(timeout time.Duration) {
 	ticker := time.NewTicker(timeout / idleChecks)
 	defer ticker.Stop()
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -251,9 +251,9 @@
 	return ids
 }
 
-// A poll that names shards gets three kinds of entries: changes of free capacity for the workers of these shards
-// and of zones that it does not name, the current entries of shards that it requests with the parameter fresh, and
-// all changes of state.
+// A poll that names shards gets three kinds of entries: changes of free capacity of workers in these shards or in
+// zones that the poll does not name, the current entries of shards that it requests with the parameter fresh, and all
+// changes of state.
 func TestDiscoveryFiltersByShard(t *testing.T) {
 	f, _ := newTestFleet(t, 3)
 	d, subscription := newTestDiscovery(t, f)
--- a/internal/testbed/hollow/subscription.go
+++ b/internal/testbed/hollow/subscription.go
@@ -65,8 +65,8 @@
 	return s.lastPolled
 }
 
-// InitialList returns the complete list for the configuration of an orchestrator that starts now. It
-// restarts the numbering of the orchestrator's events at 1.
+// InitialList returns the complete list, as text for the configuration of an orchestrator that starts now. The events
+// of that orchestrator are then numbered from 1 again.
 func (s *Subscription) InitialList() string {
 	s.discovery.mutex.Lock()
 	defer s.discovery.mutex.Unlock()
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Restart starts a stopped worker at the same address and updates its entry, with its start time, in
-// the worker list.
+// Restart starts a stopped worker at the same address. The worker's entry in the worker list then has the new start
+// time.
 func (w *Worker) Restart() error {
 	w.mutex.Lock()
 	w.unresponsive, w.startedAt = false, time.Now()
--- a/internal/testbed/network.go
+++ b/internal/testbed/network.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// Open reports whether a direction is not cut and does not refuse connections. Flapping and random loss don't count
+// Open reports whether a direction is neither cut nor set to refuse connections. Flapping and random loss don't count
 // as a cut.
 func (n *Network) Open(from, to string) bool {
 	n.mu.Lock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -24,9 +24,9 @@
 	mu         sync.Mutex
 	cmd        *exec.Cmd
 	ended      chan struct{} // closed when the process ends; replaced by each start
-	endedAt    time.Time     // time of the last end
-	lines      []string      // log lines of all starts
-	firstLine  int           // index in lines of the first line of the last start
+	endedAt    time.Time     // time at which the process last ended
+	lines      []string      // log lines since the first start
+	firstLine  int           // index in lines of the first line logged since the last start
 	logChanged *sync.Cond    // signalled when lines grows, the process ends, or a wait times out
 }
 
@@ -97,7 +97,7 @@
 	}
 }
 
-// Lines returns the log lines of all starts.
+// Lines returns all log lines since the first start.
 func (p *Process) Lines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +120,7 @@
 // Ended returns a channel that is closed when the last started process ends.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Exit returns the exit code and the time of the last end. The code is -1 if a signal ended the
+// Exit returns the exit code and the time at which the process last ended. The code is -1 if a signal ended the
 // process. The process must have ended.
 func (p *Process) Exit() (code int, at time.Time) {
 	p.mu.Lock()
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -9,8 +9,8 @@
 )
 
 // This file owns the path between an orchestrator and one worker or discovery: a proxy that a test can delay and
-// partition. The comments call the target of the proxy the worker. During a partition, the proxy behaves like a
-// network:
+// partition. The comments below say "the worker" for the target of the proxy. During a partition, the proxy behaves
+// like a network:
 //   - Data that a sender writes is held back and arrives once the partition heals. If the orchestrator resets the
 //     connection first, its data is discarded.
 //   - A reset by the orchestrator never reaches the worker, where the connection still looks open.
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -40,7 +40,7 @@
 // AllPaths is the word in a step that stands for all paths between orchestrators.
 const AllPaths = "all"
 
-// except is the word in a cut before the name of the process that the cut does not affect.
+// except is the word that precedes, in a cut, the name of the process that the cut does not affect.
 const except = "but"
 
 // Arguments of a start or restart. A process stores how often it was started. With FolderEmpty, it finds no stored
--- a/internal/testbed/schedule_draw.go
+++ b/internal/testbed/schedule_draw.go
@@ -54,8 +54,8 @@
 	steps     []Step
 }
 
-// DrawSchedule generates a schedule from a seed. All faults except kills end before the given length. zones
-// contains the names of the processes by zone. At most a third of the processes are killed.
+// DrawSchedule generates a schedule from a seed. All faults except kills end within the given length. zones contains
+// the names of the processes by zone. At most a third of the processes are killed.
 func DrawSchedule(seed uint64, zones map[string][]string, length time.Duration) []Step {
 	d := &scheduleDrawer{random: rand.New(rand.NewPCG(seed, 6)), healAt: length - healBeforeEnd}
 	for zone, processes := range zones {
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -10,7 +10,7 @@
 type slowStart struct {
 	spec       *WorkerSpec
 	offers     []time.Time // arrival times of the offers within the overload window
-	peakLoad   float64     // maximum so far of the number of offers in the window divided by the tolerated number
+	peakLoad   float64     // highest ratio so far of the offers in the window to the tolerated number
 	overloaded bool        // the worker was overloaded during slow start and ignores all offers from then on
 }
 
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -149,8 +149,8 @@
 	w.connectionEnds = append(w.connectionEnds, time.Now())
 	maps.DeleteFunc(w.offerConnections, func(_ string, offered net.Conn) bool { return offered == conn })
 	w.mu.Unlock()
-	// If the orchestrator closed its connection to a proxy, the proxy has recorded the close. The worker records it
-	// again because it may have read another offer since then.
+	// If the orchestrator closed its connection to a proxy, the proxy has recorded the close already. The worker may
+	// have read another offer since then, so the close is recorded again.
 	w.Attempts.connectionClosed(conn.RemoteAddr().String())
 	for _, line := range open {
 		select {
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -14,9 +14,9 @@
 )
 
 // confirmationTimeout is the maximum time from the writing of the ping behind a cancel until any data is received on
-// the connection. Any data counts, not only the answer to the ping, because the worker may decide on earlier offers
-// before it answers the ping. Once other data was received, the answer may take up to the dial timeout, rounded up to
-// a multiple of confirmationTimeout.
+// the connection. Any data counts, not only the answer to the ping: the answer may come later, because the worker may
+// decide on earlier offers first. Once other data was received, the answer may take up to the dial timeout, rounded
+// up to a multiple of confirmationTimeout.
 const confirmationTimeout = 100 * millisecond
 
 // cancelConfirmations holds the cancels that were written on one connection and that the worker is not known to have
@@ -26,7 +26,7 @@
 	pingSentAt int64            // time at which the ping was written
 	beforePing []string         // requests whose cancels were written before the ping; its answer confirms them
 	afterPing  []string         // requests whose cancels were written after the ping; the next ping confirms them
-	timer      *eventloop.Timer // calls confirmationTimedOut, which may set it again
+	timer      *eventloop.Timer // calls confirmationTimedOut, which may start a new timer
 }
 
 // pending reports whether a cancel awaits confirmation.
@@ -44,7 +44,7 @@
 	cc.beforePing, cc.afterPing = requestIDs, nil
 }
 
-// reset removes all cancels, stops the timer and returns the removed state.
+// reset stops the timer, removes all cancels and the ping in flight, and returns the previous state.
 func (cc *cancelConfirmations) reset() cancelConfirmations {
 	cc.timer.Stop()
 	cancels := *cc
@@ -92,7 +92,7 @@
 	c.link.pruneConns()
 }
 
-// confirmCancelsByClose reports as confirmed the cancels on a connection that ended, because the end of the connection
+// confirmCancelsByClose reports that the cancels on a connection that ended are confirmed: the end of the connection
 // cancels the attempts. The report is delayed by the time for which the close may be in transit to the worker.
 func (c *workerConn) confirmCancelsByClose() {
 	l, pool := c.link, c.link.pool
--- a/internal/workerpool/cancel_test.go
+++ b/internal/workerpool/cancel_test.go
@@ -75,8 +75,8 @@
 	close(b.cancelled)
 }
 
-// The cancel of an offer that is still buffered, because its worker does not read, discards the offer. Otherwise the
-// offer would reach the worker when it reads again, long after the client has disconnected.
+// If an offer is still buffered because its worker does not read, a cancel discards the offer. Otherwise the offer
+// would reach the worker when it reads again, long after the client has disconnected.
 func TestCancelTakesUnsentOfferBack(t *testing.T) {
 	listener := nettest.Listen(t)
 	loop, pool, dispatcher := newPool(t)
--- a/internal/workerpool/close_transit.go
+++ b/internal/workerpool/close_transit.go
@@ -6,15 +6,15 @@
 import "ravenhitch/placement"
 
 // A close takes as long to reach the worker as a message does, and nothing reports its arrival. Therefore an attempt
-// that a close cancels is considered over after one round trip to the worker. The round trip is estimated as the
-// shortest time in which a connection to that worker was established, but is at least minCloseTransit and at most
-// maxCloseTransit, the longest delay of a close that the protocol tolerates.
+// that a close cancels is considered over after one round trip to the worker. The estimate of the round trip is the
+// shortest time in which a connection to that worker was established. It is at least minCloseTransit and at most
+// maxCloseTransit, which is the longest delay of a close that the protocol tolerates.
 const (
 	minCloseTransit = 2 * millisecond
 	maxCloseTransit = 50 * millisecond
 )
 
-// afterCloseTransit calls f after the time in which a close that is sent now reaches the worker.
+// afterCloseTransit calls f once a close that is sent now is assumed to have reached the worker.
 func (l *link) afterCloseTransit(f func()) {
 	l.pool.loop.After(min(max(l.minConnectUs, minCloseTransit), maxCloseTransit), f)
 }
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// expectsLateCompletions reports whether one of the given tasks may have been offered on a connection that has since
-// ended without the worker noticing, or that this side has since closed without opening another connection.
+// expectsLateCompletions reports whether the completion of one of the given tasks may be late. This is the case if,
+// since the first of them was offered, a connection ended without the worker noticing, or this side closed a
+// connection and has opened none since then.
 func (l *link) expectsLateCompletions(tasks dispatch.TaskSummary) bool {
 	if tasks.Count == 0 {
 		return false
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -98,8 +98,8 @@
 }
 
 // ensureConnected dials a listed worker that is assigned to this orchestrator and has neither a connection nor a
-// scheduled redial, if the budget allows it. The connection is needed even without offers: running tasks are not bound
-// to a connection, and a worker may report their completion on any connection.
+// scheduled redial, if the descriptor budget allows it. The connection is needed even without offers: running tasks
+// are not bound to a connection, and a worker may report their completion on any connection.
 func (l *link) ensureConnected() {
 	if l.assigned && l.needsDial() && l.pool.budget.AdmitsWorker() {
 		l.dial()
@@ -121,8 +121,9 @@
 }
 
 // scheduleRedial schedules a dial after a backoff that doubles with each redial, up to maxRedialBackoff. It does
-// nothing if the worker is not listed or a redial is already scheduled. When the time comes, the dial is skipped if the
-// worker is no longer listed, is not assigned to this orchestrator or has a connection, or if the budget allows none.
+// nothing if the worker is not listed or a redial is already scheduled. When the time comes, the dial is skipped if
+// the worker is no longer listed, is not assigned to this orchestrator or has a connection, or if the descriptor
+// budget allows no dial.
 func (l *link) scheduleRedial() {
 	if !l.listed || l.redialTimer.Pending() {
 		return
@@ -136,15 +137,15 @@
 }
 
 // sweep maintains the connections to a worker, given a summary of the tasks that run there. If tasks run and the
-// newest connection is up but not known to be alive, sweep dials another one if the budget and maxConns allow it.
-// Without this dial, a dead connection would go unnoticed for too long while no offer is sent, and the completions of
-// the tasks would be late. If an offer is sent and no data is received before it is cancelled, cancelOffer closes the
-// connection.
+// newest connection is up but not known to be alive, sweep dials another one if the descriptor budget and maxConns
+// allow it. Without this dial, a dead connection would go unnoticed for too long while no offer is sent, and the
+// completions of the tasks would be late. While offers are sent, cancelOffer also finds a dead connection: it aborts
+// the connection if an offer is cancelled and no data has been received since the offer was made.
 func (l *link) sweep(tasks dispatch.TaskSummary, now int64) {
 	l.releases.expire(now)
 	l.applyRestart()
 	if tasks.Count == 0 {
-		l.ensureConnected() // the budget may not have allowed it before
+		l.ensureConnected() // the descriptor budget may have prevented an earlier dial
 		l.closeUnassigned()
 		return
 	}
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -8,8 +8,8 @@
 	"ravenhitch/placement"
 )
 
-// If discovery lists a new start time of a worker, the tasks at the worker end as soon as no connection is up that was
-// dialled before the start. Each start ends tasks only once.
+// If discovery lists a new start time of a worker, the tasks that ran there are reported as ended as soon as no
+// connection is up that was dialled before the start. Each start ends tasks only once.
 func TestListedStartEndsTasks(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
--- a/internal/workerpool/liveness.go
+++ b/internal/workerpool/liveness.go
@@ -19,8 +19,9 @@
 
 // applyRestart ends the tasks that ran at the worker before its process was restarted, as soon as no connection is up
 // that was dialled before the restart. While such a connection is up, the process that ran the tasks may still be
-// alive, whatever the list of discovery says. The start time from discovery is needed because a worker that dies and
-// restarts while it has no connection causes no reset, and refuses connections only briefly if it restarts quickly.
+// alive, whatever the list of discovery says. The start time from discovery is needed because a restart may go
+// unnoticed otherwise: a worker that dies while it has no connection causes no reset, and if it restarts quickly, it
+// refuses connections only briefly.
 func (l *link) applyRestart() {
 	if !l.restartPending || slices.ContainsFunc(l.conns, l.predatesRestart) {
 		return
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -107,10 +107,10 @@
 }
 
 // sendOffer writes an offer to its connection. If the connection of the client was last read more than
-// maxClientLastSeenAge ago, sendOffer delays the offer. If the dispatcher no longer allows the offer, sendOffer reports
-// that it was never sent. Both are possible because time may have passed since the dispatcher made the offer: the turn
-// may be long, and the offer may have waited for its connection or for the read of its client's connection, or may be
-// resent after another connection ended.
+// maxClientLastSeenAge ago, sendOffer delays the offer. If the dispatcher no longer allows the offer, sendOffer
+// reports that it was never sent. Both cases occur because time may have passed since the dispatcher made the offer.
+// The turn may be long, the offer may have waited for its connection or for the read of its client's connection, or
+// the offer may be resent after another connection ended.
 func (c *workerConn) sendOffer(offer *openOffer) {
 	pool, worker, requestID := c.link.pool, c.link.workerID, offer.RequestID
 	lastSeenAt := pool.dispatcher.ClientLastSeenAt(requestID, pool.loop.PostsTakenAt())
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -27,8 +27,8 @@
 
 	// sweepInterval is the time between two calls of Pool.sweep.
 	sweepInterval = 500 * millisecond
-	// unlistedLinger is the maximum time for which the connections to a worker stay open after discovery has
-	// stopped listing it. They stay open so that the worker can send its remaining reports. The time is limited
+	// unlistedLinger is the maximum time for which the connections to a worker stay open after discovery has stopped
+	// listing the worker. They stay open so that the worker can send its remaining reports. The time is limited
 	// because a worker that has vanished never closes its connections.
 	unlistedLinger = 10 * second
 )
@@ -146,16 +146,16 @@
 }
 
 // reportLater queues a function that reports an outcome to the dispatcher, and requests another turn of the loop.
-// DeliverPending calls the function. The outcome is not reported at once because the dispatcher may be in the middle
-// of a call of the pool.
+// DeliverPending calls the function. The outcome is not reported at once because the dispatcher may be calling the
+// pool at that moment.
 func (p *Pool) reportLater(report func()) {
 	p.pendingReports = append(p.pendingReports, report)
 	p.loop.RunAgain()
 }
 
 // DeliverPending reports to the dispatcher the outcomes that were queued by reportLater. The orchestrator calls
-// DeliverPending in each turn of the loop after the received data has been read. DeliverPending first sends the
-// offers that were delayed until then, and flushes them immediately.
+// DeliverPending in each turn of the loop after the received data has been read. Before the reports, DeliverPending
+// sends the delayed offers and flushes them immediately.
 func (p *Pool) DeliverPending() {
 	p.sendDelayedOffers()
 	for len(p.pendingReports) > 0 {
--- a/internal/workerpool/release.go
+++ b/internal/workerpool/release.go
@@ -1,8 +1,8 @@
 package workerpool
 
-// This file owns the releases of running tasks and records the unconfirmed releases. A worker confirms a release by
+// This file owns the releases of running tasks, and keeps those that are unconfirmed. A worker confirms a release by
 // acknowledging it or by reporting that the task has ended. Until then, but at most for releaseRetention, the release
-// is sent again on each new connection.
+// is sent again on each new connection in link.conns.
 
 import (
 	"maps"
@@ -46,7 +46,7 @@
 	if len(l.releases) < maxUnconfirmedReleases {
 		l.releases[requestID] = p.loop.Now()
 	}
-	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends the release if recorded
+	if c := l.connForSending(); c != nil && c.conn.IsUp() { // otherwise resendReleases sends it later, if recorded
 		c.sendFinish(requestID)
 	}
 }
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -3,9 +3,9 @@
 import "math"
 
 // This file computes the preferred workers of a program by rendezvous hashing: the workers are ordered
-// by a hash of the program and the worker's name, and the first ones are preferred. Schedulers that offer
-// tasks to the same workers therefore agree on the preferred workers without sharing state, and the program's
-// code is likely to be resident there. This file must not make decisions.
+// by a hash of the program and the worker's name, and the first ones are preferred. Schedulers that
+// offer tasks to the same workers therefore agree on the preferred workers without sharing state, and
+// the program's code is likely to be resident on these workers. This file must not make decisions.
 
 const (
 	// preferredWorkerCount is the approximate number of preferred workers of a program. It is not exact,
@@ -25,9 +25,9 @@
 // clear empties the cache. It must be called when workers are added, removed or reassigned.
 func (a *affinity) clear() { clear(a.preferred) }
 
-// preferredWorkers returns the preferred workers of a program among the given workers, without foreign ones.
-// nameHashes holds the hashes of the workers' names in the same order. assigned is the number of workers
-// that are assigned to this scheduler.
+// preferredWorkers returns the preferred workers of a program. It chooses them among the given workers
+// that are not foreign. nameHashes holds the hashes of the workers' names in the same order. assigned
+// is the number of workers that are assigned to this scheduler.
 func (a *affinity) preferredWorkers(
 	program uint64, workers []*workerInfo, nameHashes []uint64, assigned int,
 ) []*workerInfo {
--- a/placement/calibration.go
+++ b/placement/calibration.go
@@ -22,8 +22,8 @@
 type measurement struct {
 	resource   resource
 	used       float64 // use, as a fraction of the worker's size
-	target     float64 // largest use at which service is still full, as a fraction of the worker's size
-	poor       bool    // service is poor, or the use is near or above the target
+	target     float64 // largest use with full service, as a fraction of the worker's size
+	poor       bool    // the worker gives poor service, or the use is near or above the target
 	confidence float64 // weight of the measurement in the new calibration, from 0 to 1
 }
 
@@ -60,8 +60,8 @@
 }
 
 // excessUtilization returns how much calibration raises the utilization of the indexed workers, as a
-// sum weighted by cores. It also removes the workers whose calibration is 1 again from the list of
-// calibrated workers.
+// sum weighted by cores. It also removes from the list of calibrated workers those whose calibration
+// has returned to 1.
 func (c *calibration) excessUtilization() (sum float64) {
 	baseline := c.index.baseline
 	c.workers = slices.DeleteFunc(c.workers, func(worker *workerInfo) bool {
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -34,10 +34,11 @@
 	return c
 }
 
-// updateBaseline computes the baseline of cores and of memory. Each is the lower of two values: the
-// overcommit that workers accept, and the requested fraction at which tasks use so much of the resource
-// that service starts to degrade (saturationLoad of the cores or memorySaturation of the memory). The
-// second value is known only once tasks have reported their use.
+// updateBaseline computes the baseline of cores and of memory. Each is the lower of two fractions of
+// the kind's size: the overcommit that workers accept, and the fraction that can be requested before
+// the tasks' actual use reaches the limit above which a worker slows down (saturationLoad of the cores,
+// memorySaturation of the memory). The second fraction is known only once tasks have reported their
+// use.
 func (c *capacityModel) updateBaseline() {
 	cores, memory := c.settings.CoresOvercommit, c.settings.MemoryOvercommit
 	if c.requested[resourceCores] > 0 && c.used[resourceCores] > 0 {
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -3,8 +3,8 @@
 import "math"
 
 // This file owns the filters of a placement, which determine whether a worker may get a task, is
-// healthy and has the free capacity. A filter looks at one worker at a time and never compares
-// workers.
+// healthy and has enough free capacity for the task. A filter looks at one worker at a time and never
+// compares workers.
 
 // largeTaskShare is the fraction of a worker's effective capacity above which a task counts as
 // large.
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -26,7 +26,7 @@
 	foreignCount  int                  // number of listed workers in the state Foreign
 }
 
-// assignedCount returns the number of workers that foreignCount does not count.
+// assignedCount returns the number of all workers except the listed foreign ones.
 func (f *fleet) assignedCount() int { return len(f.sorted) - f.foreignCount }
 
 // isLarge reports whether the fleet has too many workers to examine each of them on every event.
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -16,8 +16,8 @@
 	events []Event
 }
 
-// recordHistory runs a random history. It returns the workers of the first list and the calls after that
-// list. It also returns settings for a replay. They are drawn again, and changed to a single scheduler and no
+// recordHistory runs a random history. It returns the workers of the first list and the calls after
+// that list. It also returns settings for a replay: newly drawn ones, with a single scheduler and no
 // tenants.
 func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, calls []recordedCall) {
 	t.Helper()
@@ -140,8 +140,9 @@
 	}
 }
 
-// TestQuotaOfDividedFleet compares the cores requested of all workers, as estimated by a scheduler to which
-// one worker in nine is assigned, with those of a scheduler that has current views of all workers.
+// TestQuotaOfDividedFleet compares two values of the cores requested of all workers: the estimate of a
+// scheduler to which one worker in nine is assigned, and the sum of a scheduler that has current views
+// of all workers.
 func TestQuotaOfDividedFleet(t *testing.T) {
 	var complete, divided []Entry
 	for i := range 90 {
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -17,8 +17,8 @@
 	// pendingEach is the maximum number of pending tasks whose selections are compared after each step
 	// and after each task that is offered.
 	pendingEach = 2
-	// offerProbability is the probability that tasks are offered after a step, one by one as within one
-	// call of Handle. Selections are compared after each of these offers.
+	// offerProbability is the probability that tasks are offered after a step. They are offered one by
+	// one, as within one call of Handle, and selections are compared after each offer.
 	offerProbability = 0.3
 	// offersEach is the maximum number of tasks offered after one step.
 	offersEach = 3
--- a/placement/health.go
+++ b/placement/health.go
@@ -162,11 +162,11 @@
 }
 
 // recordTimeout records an attempt that got no answer. If the worker has accepted no other attempt
-// since this one was sent, the suspicion rises for every class. Otherwise the worker is reachable. If
-// it accepted only attempts of other classes, the suspicion rises for the class of this attempt alone. If
-// it accepted an attempt of the same class, some answers are being lost, and the suspicion for the class
-// rises only a little. A worker that accepted attempts and then became unresponsive therefore stays in use,
-// but only until a later attempt gets no answer.
+// since the unanswered one was sent, the suspicion rises for every class. Otherwise the worker is
+// reachable. If it accepted only attempts of other classes, the suspicion rises for the class of this
+// attempt alone. If it accepted an attempt of the same class, some answers are being lost, and the
+// suspicion for the class rises only a little. A worker that accepted attempts and then became
+// unresponsive therefore stays in use, but only until a later attempt gets no answer.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
 	switch {
@@ -200,12 +200,12 @@
 	}
 }
 
-// recordReachable records that a worker accepted a connection after an earlier one failed. The failure of
-// a connection affects everything that was sent on it, even if the worker itself works. The suspicion is
-// therefore lowered to reconnectedSuspicion, at which the worker gets one attempt at a time. This would do
-// harm if a worker accepts connections but answers nothing. A further connection therefore lowers the
-// suspicion only if the worker has accepted an attempt since a connection last lowered it. A nil worker,
-// which is one that the scheduler does not know, is ignored.
+// recordReachable records that a worker accepted a connection after an earlier one failed. The failure
+// of a connection affects everything that was sent on it, even if the worker itself works. The
+// suspicion is therefore lowered to reconnectedSuspicion, at which the worker gets one attempt at a
+// time. Lowering the suspicion does harm if a worker accepts connections but answers nothing. A further
+// connection therefore lowers the suspicion only if the worker has accepted an attempt since a
+// connection last lowered it. A nil worker, which is one that the scheduler does not know, is ignored.
 func (h *health) recordReachable(worker *workerInfo) {
 	if worker == nil {
 		return
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestUnreachableWorkerIsLeftOut has all workers suspect and one of them unreachable. Attempts go only to
-// the reachable worker, which gets maxSuspectAttempts of them. The other tasks wait until the unreachable
-// worker is reached again.
+// TestUnreachableWorkerIsLeftOut uses a fleet in which all workers are suspect and one of them is
+// unreachable. Attempts go only to the reachable worker, which gets maxSuspectAttempts of them. The
+// other tasks wait until the unreachable worker is reached again.
 func TestUnreachableWorkerIsLeftOut(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	for _, worker := range f.scheduler.fleet.sorted {
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestUnreachableWorkersAreTriedWhereNoneIsReached has all workers suspect and unreachable. Each of them is
-// tried, because the state of the connections may be out of date. The only worker of a kind is also tried
-// if it is unreachable and workers of other kinds are reachable.
+// TestUnreachableWorkersAreTriedWhereNoneIsReached uses a fleet in which all workers are suspect and
+// unreachable. Each of them is tried, because the state of the connections may be out of date. The only
+// worker of a kind is also tried if it is unreachable and workers of other kinds are reachable.
 func TestUnreachableWorkersAreTriedWhereNoneIsReached(t *testing.T) {
 	large := Entry{Worker: "c", Kind: "large", FreeCores: 60, FreeMemory: 120}
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30), large)
@@ -112,8 +112,9 @@
 	expectPlaces(t, places, "b", maxSuspectAttempts)
 }
 
-// TestUnreachableWorkerReturnsByItself has a worker stay unreachable. Once its suspicion has decayed, it
-// gets tasks as any other worker, because it is possible that no connection was attempted in the meantime.
+// TestUnreachableWorkerReturnsByItself has a worker stay unreachable. Once its suspicion has decayed,
+// it gets tasks like any other worker: possibly no connection was attempted in the meantime, so the
+// worker may be reachable again.
 func TestUnreachableWorkerReturnsByItself(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 4))
 	f.scheduler.fleet.workers["a"].addSuspicion(f.now, maxSuspicion)
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -47,7 +47,7 @@
 	entries      []Entry
 	index        map[string]int  // index in entries, by worker name
 	attempts     map[string]int  // number of attempts, by request ID
-	unfinished   map[string]Task // tasks without Reject, Fail or an end of their run, by request ID
+	unfinished   map[string]Task // tasks that got no Reject or Fail and have not ended, by request ID
 	offered      []Place         // attempts for which no answer or loss was drawn yet
 	running      []Place         // accepted attempts and adopted tasks that have not ended
 	probed       []string        // workers with a probe that was not answered
--- a/placement/index.go
+++ b/placement/index.go
@@ -8,8 +8,8 @@
 
 // This file owns the index of the workers that may get tasks, by kind and by requested capacity
 // relative to the size of the kind. Events mark the workers that they change, and the index is updated
-// before the next search. A search then examines the few workers that it may select and not all of
-// them. The index makes no decisions: it leaves out only workers that the search could not select.
+// before the next search. A search then examines only the few workers that it may select, not all
+// workers. The index makes no decisions: it leaves out only workers that the search could not select.
 
 const (
 	// maxEnumerated is the approximate maximum number of workers that a search scores. Among that many
@@ -249,9 +249,9 @@
 				return false
 			}
 			if !plan.relevant(kindIndex, current.minRequested, minUtilization) {
-				// After this visit, the walk no longer needs even a worker with the lowest possible
-				// requested capacity of the level. The rest of the level is therefore skipped, and the
-				// walk continues with the next kind or level.
+				// After this visit, the walk needs no other worker of this level, not even one with the
+				// lowest requested capacity that the level may contain. The rest of the level is
+				// therefore skipped, and the walk continues with the next kind or level.
 				return true
 			}
 		}
--- a/placement/lag.go
+++ b/placement/lag.go
@@ -27,12 +27,12 @@
 	observations float64
 }
 
-// learn compares the change of a worker's free cores from its previous list entry to a new one with
-// the changes that this scheduler made. After enough observations (see minLagObservations), it sets
-// the assumed lag to the one with the smallest sum in squaredErrors. With a correct lag, a placement of
-// this scheduler is neither counted twice nor ignored before lists show it. The estimate follows a lag
-// that changes, up to lagSteps times lagStep. Learning is slow if this scheduler makes few of the
-// placements.
+// learn compares two things: the change of a worker's free cores since its previous list entry, and the
+// changes that this scheduler made. After enough observations (see minLagObservations), it sets the
+// assumed lag to the possible lag with the smallest sum in squaredErrors. With a correct lag, a
+// placement of this scheduler is neither counted twice nor ignored before lists show it. The estimate
+// follows a lag that changes, up to lagSteps times lagStep. Learning is slow if this scheduler makes few
+// of the placements.
 func (e *lagEstimator) learn(worker *workerInfo, entry Entry) {
 	kind := e.kindOf(worker)
 	if kind == nil {
--- a/placement/load.go
+++ b/placement/load.go
@@ -33,8 +33,8 @@
 	reservations *reservations
 	lag          int64         // assumed lag of the view, in microseconds
 	lagDependent []*workerInfo // see lagDependentWorkers, which removes those that no longer depend on the lag
-	// listedRequestedCores is the sum of the cores requested of all listed workers of a known kind that
-	// are not foreign.
+	// listedRequestedCores is the sum of the cores requested of all workers that are listed, of a known
+	// kind and not foreign.
 	listedRequestedCores float64
 	// listedCapacity is the total size of the workers that listedRequestedCores counts. It is in cores and
 	// memory, not in fractions. Both sums are 0 if Settings.HasView is false.
@@ -85,8 +85,8 @@
 	}
 }
 
-// redateDelta moves the change recorded for an attempt to the time of its acceptance, which is now,
-// because the view changes with the acceptance.
+// redateDelta moves the change recorded for an attempt from the time of the offer to now, the time of
+// the acceptance. The worker's load in the view rises at the acceptance, not at the offer.
 func (l *loadTracker) redateDelta(attempt *attemptInfo) {
 	for i := range attempt.worker.deltas {
 		if d := &attempt.worker.deltas[i]; d.at == attempt.sentAt && d.cores >= 0 {
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -153,10 +153,10 @@
 }
 
 // abandonAt returns the time at which the latest attempt of a task is abandoned if the worker has not
-// answered. This is well after responses usually arrive, and usually leaves time for another attempt.
-// The attempt lasts until the deadline in three cases: the class of the task is unsafe, so the task
-// could not be tried again; the attempt is the last one permitted; or no response time was measured
-// yet.
+// answered. This time is well after responses usually arrive, and usually early enough for another
+// attempt. The attempt lasts until the deadline in three cases: the class of the task is unsafe, so the
+// task could not be tried again; the attempt is the last one permitted; or no response time was
+// measured yet.
 func (p *schedulingPass) abandonAt(task *taskInfo) int64 {
 	lastAttempt := p.settings.MaxAttempts > 0 && len(task.attempts) >= p.settings.MaxAttempts
 	if p.classOf(task).Effect == Unsafe || lastAttempt || !p.health.rttKnown() {
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -6,9 +6,9 @@
 // worker gets a task, only whether a task waits for a report.
 
 const (
-	// reportValidity is the time for which a report is current. During this time, the worker is not probed
-	// again, and scores use the queue length from the report if it is higher than the number of offers and
-	// starts that the scheduler itself knows of (see scorer.startBacklog).
+	// reportValidity is the time for which a report is current. During this time, the worker is not
+	// probed again. Scores use the queue length from the report if that length is higher than the
+	// number of offers and starts that the scheduler itself knows of (see scorer.startBacklog).
 	reportValidity = second
 	// maxProbesPerTask is the maximum number of probes sent for one task.
 	maxProbesPerTask = 2
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -16,7 +16,7 @@
 	*environment
 	quotas  *quotas
 	pending []*taskInfo
-	ordered []*taskInfo // result of byPriority
+	ordered []*taskInfo // result of the last call of byPriority
 }
 
 // add makes a task pending.
