--- a/placement/quota.go
+++ b/placement/quota.go
@@ -1,8 +1,9 @@
 package placement
 
-// This file tracks how much of their quotas tenants use. It never rejects a task.
+// This file tracks how much of its quota each tenant uses. It never rejects a task.
 
-// quotas counts the cores requested by the accepted tasks of this scheduler that have not ended, by tenant.
+// quotas counts the requested cores of each tenant. It includes the accepted tasks of this scheduler that
+// have not ended.
 type quotas struct {
 	*environment
 	fleet         *fleet
--- a/placement/reference_selection_test.go
+++ b/placement/reference_selection_test.go
@@ -127,8 +127,8 @@
 
 // matches reports whether the finalists of a scheduler agree with this selection.
 func (s selection) matches(got []*workerInfo) bool {
-	// The search may have scored only some of the qualifying workers and may have missed some of s.required,
-	// and the lowest cost.
+	// The search may have scored only some of the qualifying workers. It may therefore have missed some of
+	// s.required, even the worker with the lowest cost.
 	if s.sampled {
 		return len(got) > 0 && !slices.ContainsFunc(got, func(worker *workerInfo) bool { return !slices.Contains(s.withinTwiceMargin, worker) })
 	}
--- a/placement/reference_test.go
+++ b/placement/reference_test.go
@@ -12,11 +12,11 @@
 // can compare the scheduler's faster search with it.
 
 const (
-	// referenceTolerance is the maximum distance of a value from a limit at which both results of the
-	// comparison are accepted.
+	// If a value differs from its limit by at most referenceTolerance, both results of the comparison are
+	// accepted.
 	referenceTolerance = 1e-9
-	// maxBorderFlips is the maximum number of workers at the limit of their free capacity for which both
-	// results are tried.
+	// maxBorderFlips is the maximum number of workers for which acceptsAnyVariant tries both results of
+	// fits. These are workers at the limit of their free capacity.
 	maxBorderFlips = 5
 )
 
@@ -25,7 +25,7 @@
 	scheduler        *Scheduler
 	workers          []*workerInfo // sorted by name
 	fleetUtilization float64       // mean utilization of the fleet, weighted by cores
-	meanCores        float64       // mean cores of a ready worker
+	meanCores        float64       // mean number of cores of the ready workers
 }
 
 func newReference(scheduler *Scheduler) *reference {
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -11,7 +11,7 @@
 // reservations holds the workers that are reserved for pending tasks.
 type reservations struct {
 	index      *workerIndex
-	priorities map[*workerInfo]float64 // by reserved worker: priority of the task it is reserved for
+	priorities map[*workerInfo]float64 // priority of the pending task, by reserved worker
 	workers    []*workerInfo           // in the order of their reservation
 }
 
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -25,7 +25,7 @@
 			responses := 0
 			for i, class := range settings.Classes {
 				request := f.request(fmt.Sprint(i), class.Name, 1, 1)
-				request.DeadlineUs = f.now + 1*ms // the deadline is nearer than the response margin
+				request.DeadlineUs = f.now + 1*ms // less time is left than the response margin
 				actions := f.handleAfter(0, request)
 				actions = append(actions, f.handleAfter(1*ms, TimerFired{"wake"})...)
 				responses += len(ofType[Reject](actions)) + len(ofType[Fail](actions))
--- a/placement/score.go
+++ b/placement/score.go
@@ -5,9 +5,9 @@
 
 const (
 	// missPenalty is the utilization added to the backlog of a worker on which the program of the task
-	// is certainly not resident. If this is uncertain, missPenalty is multiplied by the probability (see
-	// scorer.missProbability). A start without the resident program takes several times the work and
-	// usually misses the latency objective.
+	// is certainly not resident. If it is uncertain whether the program is resident, missPenalty is
+	// multiplied by the probability that it is not (see scorer.missProbability). A start without the
+	// resident program takes several times the work and usually misses the latency objective.
 	missPenalty = 3.0
 	// maxUtilization is the upper limit of the fleet's utilization rho in admission costs. It keeps the
 	// factor 1/(1-rho) in admissionCost finite and positive if tasks request as much as the effective
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestManySchedulersOnOneLateView bounds how many of 300 schedulers select the same worker of 100
-// while their view does not change.
+// TestManySchedulersOnOneLateView bounds how many of 300 schedulers select the same worker. There are
+// 100 workers, and the view of the schedulers does not change.
 func TestManySchedulersOnOneLateView(t *testing.T) {
 	var entries []Entry
 	for name := range 100 {
--- a/placement/search.go
+++ b/placement/search.go
@@ -186,14 +186,14 @@
 	}
 	// An attempt at an unreachable worker is wasted, and may be the last attempt of its task. If any
 	// reachable worker may get the task, unreachable workers are left out, even if the task then has to
-	// wait until the reachable worker answers or ends other attempts.
+	// wait until a reachable worker answers or ends other attempts.
 	if slices.ContainsFunc(suspects, isUnreachable) && s.anyReachable(task) {
 		suspects = slices.DeleteFunc(suspects, isUnreachable)
 	}
 	// All workers that fit the task are suspect. Either the task is safe to repeat, or at least half of the
-	// feasible workers are suspect, and the likely cause is the network or the load and not the workers.
-	// The search therefore selects the least suspect worker, but each worker gets only few attempts at a
-	// time, because an unanswered attempt counts towards the maximum number of attempts of its task.
+	// feasible workers are suspect. In the second case, the likely cause is the network or the load and not
+	// the workers. The search therefore selects the least suspect worker. Each worker gets only few attempts
+	// at a time, because an unanswered attempt counts towards the maximum number of attempts of its task.
 	suspects = slices.DeleteFunc(suspects, func(worker *workerInfo) bool {
 		return len(worker.unanswered) >= maxSuspectAttempts
 	})
@@ -264,9 +264,9 @@
 		}
 	}
 	var best *workerInfo
-	// The walk visits only workers for which the lower bound of the utilization with the task is at most
-	// lowest+slack. With a positive slack, the walk also visits workers that are equal to the best
-	// worker so far, so the first of the equal workers by name is returned.
+	// The walk over the index visits only workers for which the lower bound of the utilization with the
+	// task is at most lowest+slack. With a positive slack, the walk also visits workers that are equal to
+	// the best worker so far, so the first of the equal workers by name is returned.
 	lowest, slack := math.Inf(1), roundingTolerance
 	if len(s.fleet.sorted) > maxEnumerated {
 		slack = -roundingTolerance // skip workers equal to the best one so far, because there may be thousands
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -30,7 +30,7 @@
 type Class struct {
 	Name            string
 	Effect          Effect
-	Group           Scope   // if Keyed: workers that discard repeats: ScopeAll, ScopeZone or ScopeCell
+	Group           Scope   // if Keyed: ScopeAll, ScopeZone or ScopeCell, whose workers discard repeats
 	WindowUs        int64   // if Keyed: time for which the group discards repeats
 	ObjectiveUs     int64   // latency objective: a start within this time after the arrival earns StartBonusS
 	DeadlineUs      int64   // timeout of requests that state no timeout; not used by the scheduler
@@ -39,7 +39,7 @@
 	Kind            int     // index of the required kind of worker in Settings.Kinds, or -1
 	Spread          Scope   // domain in which the tasks of a program are counted, or ScopeNone
 	MaxPerDomain    int     // maximum number of tasks of a program in one domain of scope Spread
-	SaturationLoad  float64 // used fraction of the cores up to which service is full
+	SaturationLoad  float64 // load (used fraction of the cores) up to which service is full
 	SaturationRange float64 // service is 0 at a load of SaturationLoad+SaturationRange
 }
 
@@ -59,7 +59,7 @@
 // Settings holds the parameters from which [New] creates a scheduler, and some parameters that only the
 // caller of New uses. Fields with the suffix Us are in microseconds.
 type Settings struct {
-	SelfIndex, FleetSize int // number of this scheduler, from 0; number of schedulers
+	SelfIndex, FleetSize int // index of this scheduler, from 0; number of schedulers
 	Zone                 string
 	Classes              []Class
 	Kinds                []Kind
--- a/placement/slope_site_test.go
+++ b/placement/slope_site_test.go
@@ -96,14 +96,14 @@
 	return entry
 }
 
-// siteTask is a requested or running task of the scheduler under test, or a running task of another one. The
-// worker is nil until the task starts.
+// siteTask is a requested or running task of the scheduler under test, or a running task of another
+// scheduler. Its field worker is nil until the task starts.
 type siteTask struct {
 	Task
 	worker *siteWorker
 }
 
-// siteJob is a job of which tasks remain to be submitted.
+// siteJob is a job with tasks that have not been submitted yet.
 type siteJob struct {
 	task      Task // common properties of the tasks
 	remaining int
@@ -120,7 +120,7 @@
 	byName         map[string]*siteWorker
 	schedulerTasks []*siteTask // running tasks of the scheduler under test
 	otherTasks     []*siteTask // running tasks of the other schedulers
-	service        []*siteTask // running tasks of a service with a spread rule
+	service        []*siteTask // running tasks of spreadClass
 	jobs           []siteJob
 	requestCount   int
 	changes        []siteChange // changes that the list does not show yet, in order of time
--- a/placement/slowstart_fleet_test.go
+++ b/placement/slowstart_fleet_test.go
@@ -194,8 +194,8 @@
 }
 
 // informedBudget returns the maximum number of offers within a window from informed schedulers (see arrival).
-// If these schedulers send no more, at most two thirds of the offers in a window with more offers than the
-// bound are theirs, however many offers the other schedulers send.
+// If the informed schedulers keep to this maximum, they send at most two thirds of the offers in any window
+// that has more offers than the bound. This holds however many offers the other schedulers send.
 func (r *slowStartRun) informedBudget() int {
 	return int(min(r.settings.SlowStartOffers, r.bound()*2/3))
 }
@@ -249,7 +249,7 @@
 	}
 }
 
-// slowStartOutcome counts slow starts that failed a check, by the check.
+// slowStartOutcome counts, for each check, the slow starts that failed it.
 type slowStartOutcome struct {
 	overBound, overBudget, idle int
 	maxUsed                     float64 // largest used fraction of informedBudget
--- a/placement/totals.go
+++ b/placement/totals.go
@@ -63,7 +63,7 @@
 // retryInterval.
 func (t *totals) freeUnits() (units float64) {
 	if t.settings.UnitCores <= 0 || t.settings.UnitMemory <= 0 {
-		return math.Inf(1) // the size of a unit is unknown, so no class is limited by reserved units
+		return math.Inf(1) // without a unit size, reserved units must not limit any class
 	}
 	if t.fleet.isLarge() && t.freeUnitsAt > 0 && t.now < t.freeUnitsAt+retryInterval {
 		return t.cachedFreeUnits
--- a/placement/totals_test.go
+++ b/placement/totals_test.go
@@ -33,7 +33,7 @@
 	f.scheduler.settings.UnitCores, f.scheduler.settings.UnitMemory = 1, 2
 	all := f.scheduler.totals.freeUnits()
 	for _, worker := range f.scheduler.fleet.sorted {
-		worker.attemptWindow = 0 // the worker may get no offers
+		worker.attemptWindow = 0 // the worker must not get offers
 	}
 	f.handleAfter(retryInterval/2, TimerFired{})
 	if got := f.scheduler.totals.freeUnits(); got != all {
--- a/placement/view.go
+++ b/placement/view.go
@@ -23,11 +23,11 @@
 	v.needsPass = v.needsPass || list.Kind != ListDelta || !v.fleet.isLarge()
 }
 
-// update applies one entry of a list. It learns from the entry about the lag only if current is true,
-// that is, if the list is not cached.
+// update applies one entry of a list. It uses the entry to estimate the lag of the view only if current is
+// true, which means that the list is not cached.
 func (v *view) update(entry Entry, current bool) {
 	worker := v.fleet.findOrAdd(entry.Worker)
-	// The view of a foreign worker may be out of date, so it says nothing about the lag.
+	// The view of a foreign worker may be out of date, so it does not show the lag.
 	assigned := worker.State != Foreign && entry.State != Foreign
 	if current && assigned && worker.everListed && worker.viewedAt > 0 &&
 		worker.StartedAtUs == entry.StartedAtUs && v.settings.HasView {
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file holds the state of single workers. It must not read the settings or the set of all workers,
-// because the layers above make the decisions about tasks.
+// This file holds the state of single workers. It makes no decisions about tasks, so it must not read the
+// settings or the set of all workers. The layers above make these decisions.
 
 const (
 	// sustainedViews is the number of latest views whose free capacity is stored for a worker.
--- a/test/backpressure/clients_test.go
+++ b/test/backpressure/clients_test.go
@@ -41,7 +41,7 @@
 	disconnected bool
 }
 
-// clients holds the connections that all clients share and the counts and times that they record.
+// clients holds the connections that all clients share. It also holds the counts and times that clients record.
 type clients struct {
 	rig           *rig
 	compliance    float64   // fraction of the Retry-After for which a client waits
@@ -151,7 +151,7 @@
 }
 
 // retryAfter records the Retry-After of a rejection and returns the minimum time for which the client waits, which
-// is the Retry-After times the compliance. A rejection without a Retry-After counts as 0.
+// is the Retry-After times the compliance. A missing Retry-After counts as 0.
 func (c *clients) retryAfter(rejection response) time.Duration {
 	waitMs, _ := strconv.Atoi(rejection.Opts["wait"])
 	c.mu.Lock()
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -17,7 +17,7 @@
 type class struct {
 	name             string
 	share            float64      // fraction of all tasks that belong to this class
-	shapes           [][2]float64 // cores and memory of a task; each program draws one pair
+	shapes           [][2]float64 // cores and memory of a task; one pair is drawn for each program
 	responseTimeout  time.Duration
 	latencyObjective time.Duration
 	startTime        [2]time.Duration // minimum and maximum duration of a start at full speed, drawn for each task
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -85,8 +85,8 @@
 }
 
 // collectArrivals sets settledAt to the time at which submissions are back at the usual rate, if that is later
-// than settledAt. This is the time of the last submission in the last one-second period that has more than
-// 1.2*usualRate+15 submissions.
+// than settledAt. To find this time, it looks for the last one-second period with more than 1.2*usualRate+15
+// submissions. The time is that of the last submission in this period.
 func (f *figures) collectArrivals(c *clients, usualRate float64) {
 	arrivals := slices.SortedFunc(slices.Values(c.submittedAt), time.Time.Compare)
 	for i := range arrivals {
--- a/test/backpressure/flood_test.go
+++ b/test/backpressure/flood_test.go
@@ -68,8 +68,8 @@
 	return append(text, '\n')
 }
 
-// send writes requests in one call. It then receives messages until it has count of them or 3 s have passed
-// since the timeout.
+// send writes requests in one call. It then receives messages until it has received count messages, or until 3 s
+// after the requests' timeout.
 func (f *flood) send(t *testing.T, client *testbed.Client, requests []byte, count int) {
 	sentAt := time.Now()
 	if _, err := client.Write(requests); err != nil {
--- a/test/backpressure/lower_bound_test.go
+++ b/test/backpressure/lower_bound_test.go
@@ -15,8 +15,8 @@
 // pool simulates all workers as one.
 type pool struct {
 	cores, memory      float64          // free capacity
-	inspectionsPerStep float64          // offers that all workers inspect in one time step
-	maxTokens          float64          // maximum of tokens
+	inspectionsPerStep float64          // number of offers that all workers together inspect in one time step
+	maxTokens          float64          // upper limit of the field tokens
 	tokens             float64          // number of offers that the pool can inspect now
 	slotFreeAt         []time.Duration  // time when each start slot becomes free
 	completions        []poolCompletion // completions of running tasks
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -208,8 +208,9 @@
 	}
 }
 
-// configuration returns the configuration of an orchestrator that starts now. The seed depends on the time and
-// the index, so that two orchestrators make different random choices. Two starts of one orchestrator usually do so too.
+// configuration returns the configuration of an orchestrator that starts now. The seed depends on the index, so that
+// two orchestrators make different random choices. It also depends on the time, so that two starts of one
+// orchestrator usually make different choices too.
 func (o *orchestrator) configuration(listen string) string {
 	discovery := o.rig.discoveries[o.index]
 	seed := uint64(0x8c1f30d2 + time.Now().UnixNano()%1000 + int64(o.index)*1000)
--- a/test/cluster/members_test.go
+++ b/test/cluster/members_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// shrink removes the steps without which a failing schedule still fails, and logs the remaining steps.
+// shrink removes steps from a failing schedule as long as the rest still fails, and logs the remaining steps.
 func shrink(t *testing.T, steps []testbed.Step, length time.Duration) {
 	steps = testbed.ShrinkSchedule(steps, func(shorter []testbed.Step) (fails bool) {
 		t.Run("shrink", func(t *testing.T) {
--- a/test/scale/clients_test.go
+++ b/test/scale/clients_test.go
@@ -30,8 +30,8 @@
 	retryAfterFailure = time.Second
 )
 
-// retryAfter returns the time that a client waits before it retries a rejected request. This is the time that
-// the response requests in milliseconds (option "wait"), but at least minRetryPause.
+// retryAfter returns the time that a client waits before it retries a rejected request. This is the number of
+// milliseconds in the option "wait" of the response, but at least minRetryPause.
 func retryAfter(line testbed.Line) time.Duration {
 	waitMs, _ := strconv.Atoi(line.Opts["wait"])
 	return max(minRetryPause, time.Duration(waitMs)*time.Millisecond)
@@ -181,7 +181,7 @@
 	rig     *rig
 	mutex   sync.Mutex
 	random  *rand.Rand
-	sent    []int // number of submissions to each orchestrator, including retries, by its index
+	sent    []int // number of submissions, including retries, by orchestrator index
 	stopped bool
 }
 
--- a/test/scale/demand_test.go
+++ b/test/scale/demand_test.go
@@ -15,15 +15,14 @@
 type class struct {
 	name, semantics string
 	share           float64 // fraction of all jobs that belong to the class
-	// latencyObjective is the objective for the time until a task starts. responseTimeout is the timeout of one
-	// request.
+	// latencyObjective is the time within which a task should start. responseTimeout is the timeout of one request.
 	latencyObjective, responseTimeout time.Duration
 	urgent                            bool
 }
 
-// The semantics of a class determine what a second start of a task that already runs means. In a class with
-// semantics free, it is harmless. With guarded, real workers discard a second start within repeatWindow of
-// the first. With single_shot, it must never happen.
+// The semantics of a class determine the effect of a second start of a task that already runs. With semantics
+// "free", a second start is harmless. With "guarded", real workers discard a second start within repeatWindow of
+// the first. With "single_shot", a second start must never happen.
 const (
 	semanticsFree       = "free"
 	semanticsGuarded    = "guarded"
--- a/test/scale/failures_test.go
+++ b/test/scale/failures_test.go
@@ -95,9 +95,9 @@
 	r.clients.stop(true)
 }
 
-// loseWorkers makes the selected workers unreachable and restarts them after the report. The failure counts as
-// known once two conditions hold: every orchestrator has applied a list that shows these workers as removed, and
-// every client has been notified of its lost tasks.
+// loseWorkers makes the selected workers unreachable and restarts them after the call of report. The failure
+// counts as known once two conditions hold: every orchestrator has applied a list that shows these workers as
+// removed, and every client has been notified of its lost tasks.
 func (r *rig) loseWorkers(kind string, selected func(*hollow.Worker) bool) {
 	b, lost, unreportedBefore := r.baseline(), 0, r.ledger.lostUnreported()
 	var failed []*hollow.Worker
--- a/test/scale/hollow/processor_test.go
+++ b/test/scale/hollow/processor_test.go
@@ -31,7 +31,7 @@
 // heapBytes returns the size of all reachable heap objects in bytes.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the first run may keep objects that finalizers and pools still reach
+	runtime.GC() // a single collection may keep objects that finalizers and pools still reach
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -9,8 +9,8 @@
 	agreementCheckPeriod = 100_000
 	// agreementTimeout is the maximum time for which a phase other than cut waits for the tables to agree.
 	agreementTimeout = 180 * second
-	// settleTime is the time for which the phase forming continues after its wait for the tables to agree. Updates
-	// about the starts of the members may still circulate during this time.
+	// settleTime is the time for which the first phase, forming, continues after its wait for the tables to agree.
+	// Updates about the starts of the members may still circulate during this time.
 	settleTime = 10 * second
 	// timeAfterAgreement is the time for which a phase after the cut continues once its wait for the tables to agree
 	// has ended.
@@ -37,7 +37,7 @@
 	heapPerMemberInCut float64             // bytes per member at the end of the cut
 	deadEntries        int                 // entries in state dead at the end of the cut, in all tables
 	maxDeadEntries     int                 // maximum number of entries in state dead in one table at the end of the cut
-	agreedAfter        [phaseCount]float64 // seconds that the wait for the tables to agree took in each phase, or never
+	agreedAfter        [phaseCount]float64 // seconds that the wait for agreement took, or the constant never; by phase
 	deadEntriesAfter   int                 // entries in state dead in all tables after waitForAgreement(healed)
 	falseDeaths        []string
 }
@@ -111,11 +111,11 @@
 }
 
 // waitForAgreement advances time until the tables agree, but at most for agreementTimeout. It records the time
-// that this took, or never.
+// that this took, or the constant never if the tables do not agree.
 func (s *scenario) waitForAgreement(ph phase) { s.waitForAgreementBy(ph, s.now+agreementTimeout) }
 
 // waitForAgreementBy advances time until the tables agree, but not past the deadline. It records the time that this
-// took, or never.
+// took, or the constant never if the tables do not agree.
 func (s *scenario) waitForAgreementBy(ph phase, deadline int64) {
 	from := s.now
 	s.agreedAfter[ph] = never
@@ -175,7 +175,7 @@
 	"handshakes_s_member", "us_s_member", "codec_us_s_member"}
 
 // longestDisagreement returns the longest time in seconds that the tables took to agree again after the end of the
-// cut or after restarts. It returns never if they did not agree in one of these phases.
+// cut or after restarts. It returns the constant never if they did not agree in one of these phases.
 func (r *result) longestDisagreement() (worst float64) {
 	for _, ph := range []phase{healed, tenthRestarted, allRestarted} {
 		if r.agreedAfter[ph] == never {
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -292,8 +292,8 @@
 	return 0
 }
 
-// connectionLost counts as failed all requests in flight on a connection that has ended. Their clients submit
-// the tasks again.
+// connectionLost handles the end of a connection. It counts all requests in flight on the connection as failed.
+// Their clients submit the tasks again.
 func (l *ledger) connectionLost(closed *connection) {
 	l.mutex.Lock()
 	var inFlight []*request
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -56,7 +56,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	const connectionsPerWorker = 2 // an orchestrator may open a second one, for example if the first is unresponsive
+	const connectionsPerWorker = 2 // the second connection is opened, for example, if the first is unresponsive
 	need := o.workers + o.orchestrators*min(connectionsPerWorker*o.workers+connectionsEach, o.sockets) + spareDescriptors
 	if uint64(need) > limit.Cur {
 		return fmt.Errorf("%w: need %d descriptors, limit is %d", errDescriptors, need, limit.Cur)
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -114,9 +114,9 @@
 }
 
 // controlPercent returns the processor time of the peak minus the processor time for messages, in percent of a
-// core. It returns the maximum over all orchestrators. The processor time for messages is the difference between
-// the phase messages, in which pings make as many messages per second as the peak, and the phase idle, but at
-// least 0.
+// core. It returns the maximum over all orchestrators. The processor time for messages is that of the phase
+// messages minus that of the phase idle, but at least 0. In the phase messages, pings make as many messages per
+// second as the peak.
 func (res result) controlPercent() (highest float64) {
 	for i := range res.peak.before {
 		percent := func(p phase) float64 {
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -28,9 +28,9 @@
 }
 
 // duplicateStart counts the start of a task that already runs. The start counts as a repeat if the rules allow
-// it, and as a violation otherwise. In a class with semantics free, every repeat is allowed. In a class with
-// semantics guarded, a repeat within repeatWindow is allowed, because real workers discard it, although hollow
-// workers do not. The caller holds l.mutex.
+// it, and as a violation otherwise. In a class with semantics "free", every repeat is allowed. In a class with
+// semantics "guarded", a repeat within repeatWindow is allowed, because real workers discard it. Hollow workers do
+// not discard it. The caller holds l.mutex.
 func (l *ledger) duplicateStart(requestID, worker string, other run) {
 	r := l.requests[requestID]
 	switch {
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -14,7 +14,7 @@
 const (
 	responseSlack = 500 * time.Millisecond // maximum delay of a response after the timeout of its request
 	reportLimit   = time.Second            // maximum time from the end of a task to its report to the client
-	leaveLimit    = 100 * time.Millisecond // an offer may arrive until leaveLimit+maxPathDelay after its client left
+	leaveLimit    = 100 * time.Millisecond // an offer may arrive until leaveLimit+maxPathDelay after the client left
 	crossingLimit = 50 * time.Millisecond  // maximum time between a message and a disconnect that crossed each other
 	ruleSlack     = 50 * time.Millisecond  // tolerance of the test that is added to reportLimit and drainGrace
 	maxPathDelay  = 75 * time.Millisecond  // maximum delay that faultDelay adds to messages to a worker
@@ -175,8 +175,8 @@
 // response. It also returns false if the process may not have learned of the completion, had no time to report it, or
 // its report may not have reached the client:
 //   - The worker or its path had a fault between the submission and the time limit.
-//   - A connection to the worker ended between reportLossWindow before the end of the task and the limit. A worker
-//     that cannot send a report at once may send it on a later connection within 8 s.
+//   - A connection to the worker ended before the limit, but no earlier than reportLossWindow before the end of the
+//     task. A worker that cannot send a report at once may send it on a later connection within 8 s.
 //   - The process exited before the limit.
 //   - The process's report and the client's close of the connection crossed each other.
 func (s *scenario) isUnreported(r *request) bool {
--- a/test/soak/ledger_test.go
+++ b/test/soak/ledger_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// isNeverAccepted reports whether workers run the task of a request without ever answering its offer, as in the
-// script held.
+// isNeverAccepted reports whether workers run the task of a request without ever answering its offer, as the script
+// "held" makes them do.
 func (l *ledger) isNeverAccepted(requestID string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test/soak/life_test.go
+++ b/test/soak/life_test.go
@@ -44,7 +44,7 @@
 // interval is the time between from and to. If to is zero, the interval has no end.
 type interval struct{ from, to time.Time }
 
-// overlaps reports whether the interval overlaps the time between from and to.
+// overlaps reports whether the interval overlaps the time between the parameters from and to.
 func (i interval) overlaps(from, to time.Time) bool {
 	return i.from.Before(to) && (i.to.IsZero() || i.to.After(from))
 }
