--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// broadcast is an entry in the queue of updates to disseminate. It names the member; each transmission sends the
-// member's current update.
+// broadcast is an entry in the queue of updates to disseminate. It holds the name of a member but no update: each
+// transmission sends the update that the table then has of the member.
 type broadcast struct {
 	name      string // name of the member
 	transmits int    // number of times that the update was sent, or was skipped because the receiver has it
@@ -102,7 +102,7 @@
 
 // packPage adds a page to a message: the updates of alive or suspected members in the given buckets. It continues
 // after the member that was considered last for the previous page, whichever receiver that page was sent to. It stops
-// when at most minUpdateSize bytes are free or all members have been considered.
+// when at most minPageSpace bytes are free or all members have been considered.
 func (t *Table) packPage(p *packer, buckets uint32) {
 	for n := 0; n < len(t.names) && p.free > minPageSpace; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
