--- a/cmd/ravenhitch/shutdown_test.go
+++ b/cmd/ravenhitch/shutdown_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// The server is stopped twice and reloads its configuration at the same time. Each open request still gets
-// exactly one response: a failure if its task may have run and must not run again, and a rejection otherwise.
+// Stop is called twice, and Reload in between. Each open request still gets exactly one response: a failure if its
+// task may have run and must not run again, and a rejection otherwise.
 func TestRepeatedStop(t *testing.T) {
 	server := startTestServer(t, serverOptions{settings: shortDeadlines(t)}, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/testclient_test.go
+++ b/cmd/ravenhitch/testclient_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	testbed.Send(client, pingLine("t"))
 	line := testbed.Wait(t, "the answer to a ping", client.Lines)
-	if line.Verb == "FINISHED" { // the confirmation of a release that the client sent before the ping
+	if line.Verb == "FINISHED" { // confirms a release that the client requested before the ping
 		line = testbed.Wait(t, "the answer to a ping", client.Lines)
 	}
 	if line.Verb != "ECHOED" {
--- a/cmd/ravenhitch/testconfig_test.go
+++ b/cmd/ravenhitch/testconfig_test.go
@@ -25,8 +25,8 @@
  "Importance":1.0,"WindowUs":5000000},{"Name":"archive-cut","Semantics":"single_shot","Group":"all",
  "OnTimeUs":6000000,"DeadlineUs":10000000,"Importance":5.0,"WindowUs":5000000}]}`
 
-// configJSON returns a configuration with the settings in settingsJSON. The initial list of workers in the
-// configuration results from all events of discovery so far.
+// configJSON returns a configuration with the settings in settingsJSON. Its initial list of workers reflects all
+// events of discovery so far.
 func configJSON(discovery *testbed.Discovery) string { return configWith(discovery, settingsJSON) }
 
 // configWith is configJSON with other settings.
--- a/cmd/ravenhitch/testserver_test.go
+++ b/cmd/ravenhitch/testserver_test.go
@@ -17,9 +17,8 @@
 
 const (
 	defaultTestSockets = 1024
-	// smallSocketLimit is the limit of sockets at which a server accepts at most maxClients connections of
-	// clients. Of the 64 descriptors, 32 are reserved, and clients may use three quarters of the other 32,
-	// which is 24.
+	// smallSocketLimit is a limit of sockets. With it, a server accepts at most maxClients client connections:
+	// of the 64 descriptors, 32 are reserved, and clients may use three quarters of the other 32.
 	smallSocketLimit = 64
 	maxClients       = 24
 )
@@ -93,8 +92,8 @@
 	return s
 }
 
-// config returns the configuration of the server. The initial list of workers in the configuration results from all
-// events of discovery so far.
+// config returns the configuration of the server. Its initial list of workers reflects all events of discovery so
+// far.
 func (o serverOptions) config(t *testing.T, discovery *testbed.Discovery) config.Config {
 	t.Helper()
 	settings := o.settings
--- a/cmd/ravenhitch/tracerecorder_test.go
+++ b/cmd/ravenhitch/tracerecorder_test.go
@@ -75,7 +75,7 @@
 	case "worker connection closed":
 		r.connectionEnds = append(r.connectionEnds, record.Time)
 	case "cancelling attempt", "connection lost with offer open":
-		if written { // otherwise the offer was never sent
+		if written { // an offer that was never sent does not count
 			r.cancelledAt[requestID] = atUs
 		}
 	case "cancel confirmed":
--- a/cmd/ravenhitch/unreachable_workers_test.go
+++ b/cmd/ravenhitch/unreachable_workers_test.go
@@ -11,7 +11,7 @@
 
 // No first attempt gets a response, so all workers are suspect, and some of the workers are unreachable. The
 // next attempts are offered to the reachable workers. If these workers already have as many attempts as a
-// suspect worker may have, the requests wait for them.
+// suspect worker may have, the requests wait for these workers.
 //
 // In the fault that this test guards against, the worker pool knew that no connection reached a worker but did
 // not report this to the scheduler (see TestLastAttemptsIntoCut). When connections were refused, the trace of
--- a/internal/config/arguments.go
+++ b/internal/config/arguments.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// requireArgs returns an error unless the directive has exactly count arguments. The error text
-// describes the expected arguments by want.
+// requireArgs returns an error unless the directive has exactly count arguments. want describes the
+// expected arguments in the error text.
 func (d Directive) requireArgs(count int, want string) error {
 	if len(d.Args) > count {
 		return d.Args[count].Expected("nothing after " + want)
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -38,8 +38,8 @@
 // repeatable lists the directives that may occur more than once in a section.
 var repeatable = map[string]bool{"member": true, "region": true}
 
-// apply calls the setter of each directive. It returns an error if the name of a section is not a key
-// of the map known.
+// apply calls the setter of each directive. known holds the setters of all sections that are accepted.
+// A section of any other name is an error.
 func apply(sections []Section, known sectionDirectives) error {
 	for _, s := range sections {
 		setters := known[s.Name.Text]
@@ -114,8 +114,8 @@
 	}
 }
 
-// setWord returns a setter that stores the directive's only argument in field if valid reports true
-// for it. want describes the argument in error texts.
+// setWord returns a setter that stores the directive's only argument in field. An argument for which
+// valid returns false is an error. want describes the argument in error texts.
 func setWord(field *string, want string, valid func(string) bool) setter {
 	return func(d Directive) error {
 		word, err := d.Word(want)
--- a/internal/config/linefile.go
+++ b/internal/config/linefile.go
@@ -1,9 +1,9 @@
 package config
 
-// This file owns the syntax of line-based files, which is common in the configuration of Unix daemons: a
-// section starts with its name in brackets, and each further line contains at most one directive, a name
-// followed by arguments. # begins a comment. A word in double quotes may contain spaces and #, and may be
-// empty. The caller interprets the directives; arguments.go converts arguments to values. The parser must
+// This file owns the syntax of line-based files. The configuration files of many Unix daemons have a similar
+// syntax. A section starts with its name in brackets. Each further line contains at most one directive, which
+// is a name followed by arguments. # begins a comment. A word in double quotes may contain spaces and #, and
+// may be empty. The caller interprets the directives; arguments.go converts arguments to values. The parser must
 // never open a file, and each of its errors names the file, the line, the column and the expected text.
 
 import (
@@ -71,8 +71,8 @@
 	return &PositionError{File: p.file, Line: p.line, Column: column, Want: want, Got: got}
 }
 
-// parse parses the current line, of which text is the content without the line ending. The line contains
-// a heading, a directive of the latest section, or no words.
+// parse parses the current line. text is the line without its ending. The line contains a heading, a
+// directive of the latest section, or no words.
 func (p *lineParser) parse(text string) error {
 	if len(text) > maxLineLength {
 		return p.errorAt(maxLineLength+1, fmt.Sprintf("a line of at most %d bytes", maxLineLength), "")
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// addSection adds the section that a heading begins. words are the words of the heading's line, of
-// which the first starts with a bracket.
+// addSection adds the section that a heading begins. words holds all words of the heading's line; the
+// first of them starts with a bracket.
 func (p *lineParser) addSection(words []Word) error {
 	heading := words[0]
 	name := strings.TrimSuffix(heading.Text[1:], "]")
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -60,7 +60,7 @@
 	// orchestrators of its region. All zones without an entry form one region together.
 	Regions map[string]string
 
-	// The errors of the method validate name the positions of these words: the directive name
+	// Words whose positions are reported by the errors of the validate method: the directive name
 	// "partition", the first directive name "region", and the name of the first member without a
 	// zone. Each is nil if the file has no such word.
 	partitionWord, firstRegionWord, firstZonelessWord *Word
--- a/internal/dispatch/listfilter.go
+++ b/internal/dispatch/listfilter.go
@@ -1,8 +1,8 @@
 package dispatch
 
 // This file owns the set of cordoned workers and the assignment of workers to this orchestrator, and applies both to
-// the entries of the lists from discovery. Until an operator uncordons a cordoned worker, it counts as draining for
-// this orchestrator even if it is listed as ready. A list must never uncordon a worker.
+// the entries of the lists from discovery. A cordoned worker counts as draining for this orchestrator, even if it is
+// listed as ready, until an operator uncordons it. A list must never uncordon a worker.
 
 import (
 	"maps"
@@ -23,7 +23,7 @@
 	return listFilter{entries: map[string]placement.Entry{}, cordoned: map[string]bool{}, uncordoned: map[string]bool{}}
 }
 
-// apply records a list and returns its entries as they apply to this orchestrator.
+// apply records a list and returns its entries, adjusted to the cordons and the assignment (see adjust).
 func (f *listFilter) apply(list placement.WorkerList) []placement.Entry {
 	if isCompleteList(list) {
 		clear(f.entries)
@@ -40,8 +40,9 @@
 	return entries
 }
 
-// adjust returns an entry as it applies to this orchestrator. The first ready entry of a worker after it was
-// uncordoned is marked as uncordoned.
+// adjust returns an entry adjusted to the cordons and the assignment: a ready worker becomes draining if it is
+// cordoned, and foreign if it is not assigned to this orchestrator. The first ready entry of a worker after an
+// uncordoning is marked as uncordoned.
 func (f *listFilter) adjust(entry placement.Entry) placement.Entry {
 	if entry.State == placement.Ready && f.cordoned[entry.Worker] {
 		entry.State = placement.Draining
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -30,8 +30,8 @@
 	ErrDeadlinePassed = errors.New("the deadline has passed")
 	// ErrWorkerDraining is returned if the worker has been draining or unlisted for the drain limit or longer.
 	ErrWorkerDraining = errors.New("the worker has been draining or unlisted for longer than the drain limit")
-	// ErrRepeatUnknown is returned if the task may have started so long ago that workers no longer recognise
-	// a repeat.
+	// ErrRepeatUnknown is returned if an earlier attempt may have started the task, and that attempt was so long
+	// ago that workers no longer recognise a repeat.
 	ErrRepeatUnknown = errors.New("the task may have started, and workers no longer recognise a repeat")
 	// ErrOutsideGroup is returned if the task may have started and the worker does not share idempotency keys
 	// with the worker that may have started it.
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// checkAttempt returns the error of the first rule that forbids a further attempt of r at any worker, or nil.
+// checkAttempt returns the error of the first rule that forbids further attempts of r, whichever worker they would go
+// to, or nil.
 func (d *Dispatcher) checkAttempt(r *request) error { return d.checkRules(attemptRules[:], r, "") }
 
 // checkPlacement returns the error of the first rule that forbids the scheduler's choice of a worker for r,
--- a/internal/dispatch/offer_test.go
+++ b/internal/dispatch/offer_test.go
@@ -83,12 +83,12 @@
 }
 
 // A keyed task that may have started is offered only to workers in the group of the worker that may have started
-// it, and only if they will still recognise a repeat when the offer is sent. Its client is rejected only if every
-// worker would recognise a repeat, because the client's retry may go to any of them.
+// it, and only if they will still recognise a repeat when the offer is sent. The request is rejected only if every
+// worker would recognise a repeat, because the client's retry may go to any worker. Otherwise the request fails.
 func TestKeyedRepeats(t *testing.T) {
 	for _, c := range []struct {
 		class    string
-		allowed  map[string]bool // whether CheckOffer allows an offer within the window, by worker
+		allowed  map[string]bool // whether CheckOffer allows an offer within Class.WindowUs, by worker
 		response ResponseKind
 	}{
 		{"all", map[string]bool{"a": true, "near": true, "zone": true, "far": true}, Rejected},
--- a/internal/dispatch/pacer.go
+++ b/internal/dispatch/pacer.go
@@ -19,11 +19,12 @@
 	// bucketLength is the time that one bucket of scheduled responses covers.
 	bucketLength = 5 * millisecond
 	// bucketCount is the number of buckets. A response that is scheduled for a time after the last bucket is neither
-	// counted nor moved, because the buckets hold no count for its time.
+	// counted nor moved.
 	bucketCount = 4096
 	// maxShift is the maximum time by which a response is scheduled earlier because later buckets are full.
 	maxShift = 200 * millisecond
-	// initialResponseCost is the initial value of the learned time per response, in microseconds.
+	// initialResponseCost is the initial value of the learned time per response (see responsePacer.responseCost), in
+	// microseconds.
 	initialResponseCost = 20.0
 	// maxResponseCost is the maximum time per response that is learned from a turn, in microseconds.
 	maxResponseCost = 200.0
@@ -44,7 +45,7 @@
 	firstBucket  int64               // number of the first bucket that is not in the past
 	longestTurn  float64             // longest recent turn, which decays with time, in microseconds
 	observedAt   int64               // time of the last observed turn, in microseconds
-	responseCost float64             // learned time per response, in microseconds
+	responseCost float64             // learned time per response (turn length / responses in the turn), in microseconds
 	responded    int                 // responses sent since the last observed turn
 }
 
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -12,7 +12,8 @@
 //   - no offer goes to a worker that has been draining for longer than the drain limit;
 //   - a task that must not run twice is started at most once, and its request is failed rather than rejected
 //     if the task may have been started;
-//   - every open or terminating request has a deadline at which the dispatcher acts even if nothing is reported;
+//   - every open or terminating request has a time (request.wakeAt) at which the dispatcher acts even if nothing is
+//     reported;
 //   - a task occupies capacity of its worker from its start until its end is known or assumed.
 
 import "fmt"
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -13,9 +13,9 @@
 )
 
 // read delivers the received data to the handler, in at most maxReadsPerTurn reads. remoteClosed is true if the
-// other side has closed the connection. In that case, read does not stop after a read that leaves room in the
-// buffer, but continues towards the end of the stream. If it reaches the end, the handler is notified of the data and
-// of the close in the same turn, and can discard the requests of a client that has already disconnected.
+// other side has closed the connection. In that case, read continues towards the end of the stream even after a system
+// call that did not fill the buffer. If it reaches the end, the handler is notified of the data and of the close in the
+// same turn, and can discard the requests of a client that has already disconnected.
 func (c *Conn) read(remoteClosed bool) error {
 	buffer := c.loop.readBuffer
 	for i := 0; i < maxReadsPerTurn && !c.closed; i++ {
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -18,8 +18,8 @@
 
 // The encoded constants in this file are the bytes that the build of commit 532e1c5 ("the previous build") writes.
 // While a cluster is upgraded, it has members of both builds, so each build must read the messages of the other. After
-// an upgrade or a rollback, an orchestrator must read the file with the counter of starts that the other build has
-// written.
+// an upgrade or a rollback, an orchestrator must also be able to read the counter of starts from the file that the
+// other build wrote.
 
 // previousNonce is the incarnation nonce of the member n2, which sends the messages in this file.
 const previousNonce = 0x1122334455667788
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -31,9 +31,9 @@
 // counter's file holds no valid count, the count is reset to 1 and fault describes the file; otherwise fault is "".
 //
 // The incarnation may be lower than that of an earlier process with the same name: without a directory, after a reset
-// of the count, or if the file is an older copy. An update may then report that the earlier process is dead or has
-// left, or that it had the address of the new process. When such an update arrives, the membership table raises the
-// incarnation above that of the earlier process.
+// of the count, or if the file is an older copy. Updates about the earlier process may then still arrive and report
+// that it is dead, that it has left, or that it has the address of the new process. When such an update arrives, the
+// membership table of the new process raises this process's incarnation above that of the earlier one.
 func NextIncarnation(dir string) (incarnation uint64, fault string, err error) {
 	if dir == "" {
 		return firstIncarnation, "", nil
--- a/internal/retrytoken/codec.go
+++ b/internal/retrytoken/codec.go
@@ -33,7 +33,7 @@
 	headerSize        = 35
 
 	maxNameSize   = 64 // maximum length of a task or class name in bytes
-	signatureSize = 16 // bytes of an HMAC-SHA256, truncated as RFC 2104 allows
+	signatureSize = 16 // in bytes; an HMAC-SHA256 is truncated to this size, as RFC 2104 allows
 
 	minTokenSize = headerSize + 2 + signatureSize
 	// MaxTokenSize is the maximum size of a token in bytes.
--- a/internal/stats/durations.go
+++ b/internal/stats/durations.go
@@ -38,8 +38,8 @@
 	return d.histogram.TotalCount()
 }
 
-// Percentile returns the duration that the given percentage of the recorded durations does not
-// exceed, or 0 if none was recorded.
+// Percentile returns the given percentile of the recorded durations: the stated percentage of them is at
+// most as long as the result. It returns 0 if no duration was recorded.
 func (d *Durations) Percentile(percent float64) time.Duration {
 	if d.histogram == nil {
 		return 0
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// This file computes the effective capacity of workers: the requested cores and memory that they can
-// carry without slowing down. This depends on how much of the requested cores and memory the running
-// tasks use. The file must not read how much is requested of a worker.
+// This file computes the effective capacity of workers: how many cores and how much memory tasks may
+// request of a worker in total before it slows down. This limit depends on what fraction of their requests
+// tasks actually use. The file must not read how much is currently requested of a worker.
 
 // memorySaturation is the used fraction of a worker's memory above which the worker slows down.
 const memorySaturation = 0.92
@@ -35,10 +35,10 @@
 }
 
 // updateBaseline computes the baseline of cores and of memory. Each is the lower of two fractions of
-// the kind's size: the overcommit that workers accept, and the fraction that can be requested before
-// the tasks' actual use reaches the limit above which a worker slows down (saturationLoad of the cores,
-// memorySaturation of the memory). The second fraction is known only once tasks have reported their
-// use.
+// the kind's size. The first is the overcommit that workers accept. The second is the fraction that can be
+// requested before the tasks' actual use slows the worker down, which happens above saturationLoad of the
+// cores and above memorySaturation of the memory. The second fraction is known only once tasks have
+// reported their use.
 func (c *capacityModel) updateBaseline() {
 	cores, memory := c.settings.CoresOvercommit, c.settings.MemoryOvercommit
 	if c.requested[resourceCores] > 0 && c.used[resourceCores] > 0 {
--- a/placement/event_slopes_test.go
+++ b/placement/event_slopes_test.go
@@ -29,7 +29,7 @@
 	hugeCores      = 40
 	hugeMemory     = 60
 	hugeWorkers    = 3
-	drainEvery     = 4 // measureDrain drains each worker whose index is a multiple of this
+	drainEvery     = 4 // measureDrain drains each worker whose index is a multiple of drainEvery
 	poorService    = 0.85
 	worstService   = 0.5
 	reportedQueue  = 1
--- a/placement/events.go
+++ b/placement/events.go
@@ -23,8 +23,8 @@
 	Cell        int
 	StartedAtUs int64 // time of the worker's start; 0 if it started long ago
 	State       WorkerState
-	// FreeCores and FreeMemory are the capacity that tasks do not request. They are negative if the
-	// worker is overcommitted, and may be outdated if its state is Foreign.
+	// FreeCores and FreeMemory are the part of the worker's capacity that its tasks have not requested.
+	// They are negative if the worker is overcommitted, and may be outdated if State is Foreign.
 	FreeCores, FreeMemory float64
 	// Uncordoned is true in the first ready entry of a worker after operators uncordoned it.
 	Uncordoned bool
--- a/placement/pass.go
+++ b/placement/pass.go
@@ -123,10 +123,10 @@
 	return known && timeUntilFree > float64(task.DeadlineUs-p.now)*latenessFactor
 }
 
-// reserve reserves for a pending task the healthy unreserved worker that lacks the least capacity for
-// it. Without reservations, small tasks of low priority would take all free capacity of a worker
-// before it suffices for a larger task of high priority. If the settings provide no view, no worker is
-// reserved.
+// reserve reserves a worker for a pending task: of the healthy unreserved workers, the one that needs
+// the least additional free capacity to fit the task. Without reservations, small tasks of low priority
+// would take all free capacity of a worker before it suffices for a larger task of high priority. If
+// the settings provide no view, no worker is reserved.
 //
 // Two rules limit the harm of reservations. A reservation keeps only tasks of much lower priority from
 // the worker (see reservationFactor). Reservations stop once half of the workers are reserved, so that
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -49,13 +49,13 @@
 	return q.ordered
 }
 
-// priority returns the priority of a task. It is proportional to the weight of its class, multiplied by the
-// size of the task (see Settings.UnitCores) and divided by the fraction of a worker that the task takes. This
-// is the fraction of the cores or of the memory of a worker of the first kind, whichever is larger. While a
-// task with a run hint can still start within its latency objective, and was not resubmitted, its priority
-// includes the bonus for a timely start. When capacity is short, tasks that can still start in time therefore
-// go before similar tasks that are late already. If the tenant of the task is over its quota, the priority is
-// multiplied by Settings.OverQuotaWeight.
+// priority returns the priority of a task. The base value is the weight of the task's class, times the size
+// of the task (see Settings.UnitCores), divided by the fraction of a worker that the task takes. This is the
+// fraction of the cores or of the memory of a worker of the first kind, whichever is larger. The bonus for a
+// timely start raises the priority of a task that has a run hint and was not resubmitted, as long as the
+// task can still start within its latency objective. When capacity is short, tasks that can still start in
+// time therefore go before similar tasks that are late already. If the tenant of the task is over its
+// quota, the priority is multiplied by Settings.OverQuotaWeight.
 func (q *queue) priority(task *taskInfo) float64 {
 	class := q.classOf(task)
 	kind := &q.settings.Kinds[0]
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestPendingTasksOfLargeFleet checks that in a large fleet, pending tasks are scheduled when the
-// timer fires and not at each change of the list, because in a large fleet nearly every call of
-// Scheduler.Handle brings a list of changes.
+// TestPendingTasksOfLargeFleet checks that in a large fleet, pending tasks are scheduled when the timer
+// fires and not at each change of the list. Otherwise nearly every call of Scheduler.Handle would make a
+// scheduling pass, because in a large fleet nearly every call brings a list of changes.
 func TestPendingTasksOfLargeFleet(t *testing.T) {
 	for _, count := range []int{maxEnumerated, maxEnumerated + 1} {
 		f := largeFleet(t, count, func(*rand.Rand) float64 { return 1.5 })
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -136,8 +136,8 @@
 	return sent
 }
 
-// TestOffersBeforeKnownStartCount notifies a scheduler late of a worker's start. Offers that it sent since
-// the start, while it considered the worker warm, count towards its share of the budget.
+// TestOffersBeforeKnownStartCount notifies a scheduler late of a worker's start. Offers that the scheduler
+// sent after the start, while it still considered the worker warm, count towards its share of the budget.
 func TestOffersBeforeKnownStartCount(t *testing.T) {
 	settings := testSettings() // with a slow-start budget of 8 offers for 2 schedulers
 	f := newFixture(t, settings, 1, smallWorker(warmingWorker, 0, 32))
--- a/placement/task.go
+++ b/placement/task.go
@@ -12,7 +12,7 @@
 	awaitingResponse bool // neither accepted nor ended yet
 	ended            bool
 	starting         bool // accepted, but not running yet
-	failed           bool // ended with an error; reset when the task becomes unusable
+	failed           bool // ended with an error; false again once the task is unusable
 }
 
 // stopWaiting records that the attempt no longer awaits a response.
@@ -33,7 +33,7 @@
 	attempts    []*attemptInfo
 	accepted    bool
 	acceptedAt  int64        // time of the acceptance or adoption
-	cancelled   bool         // cancelled by its client while an attempt had not ended
+	cancelled   bool         // cancelled by its client before all attempts had ended
 	mayHaveRun  *attemptInfo // the first attempt that may have run, or nil
 	copyRunning bool         // a worker rejected a repeat with CauseWrongWorker, because a copy is running
 	unusable    bool         // attempts on two workers ended with an error
@@ -66,8 +66,8 @@
 }
 
 // taskShape holds the properties by which a scheduling pass recognizes similar tasks. If the pass finds no
-// worker for a task, it looks for none for later tasks of the same shape. This rule does not apply to tasks
-// of which an earlier attempt may have run.
+// worker for a task, it skips the search for later tasks of the same shape. This rule does not apply to
+// tasks of which an earlier attempt may have run.
 type taskShape struct {
 	classIndex    int
 	cores, memory float64
--- a/placement/view.go
+++ b/placement/view.go
@@ -23,11 +23,11 @@
 	v.needsPass = v.needsPass || list.Kind != ListDelta || !v.fleet.isLarge()
 }
 
-// update applies one entry of a list. It uses the entry to estimate the lag of the view only if current is
-// true, which means that the list is not cached.
+// update applies one entry of a list. current is true if the list is not cached. Only then does the entry
+// contribute to the estimate of the view's lag.
 func (v *view) update(entry Entry, current bool) {
 	worker := v.fleet.findOrAdd(entry.Worker)
-	// The view of a foreign worker may be out of date, so it does not show the lag.
+	// The listed capacity of a foreign worker may be outdated, so the lag cannot be derived from it.
 	assigned := worker.State != Foreign && entry.State != Foreign
 	if current && assigned && worker.everListed && worker.viewedAt > 0 &&
 		worker.StartedAtUs == entry.StartedAtUs && v.settings.HasView {
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -93,7 +93,7 @@
 	deltas      []delta
 	reportedAt  int64 // arrival time of the last report, or 0
 	lastReport  Load
-	countedKind *Kind // kind whose size loadTracker.listedCapacity includes for the worker, or nil
+	countedKind *Kind // kind whose size was added to loadTracker.listedCapacity for the worker, or nil
 	position    indexPosition
 
 	running          []*taskInfo // accepted and adopted tasks, in order of acceptance or adoption
@@ -129,8 +129,8 @@
 func (w *workerInfo) programHash(program uint64) uint64 { return mix(w.nameHash ^ mix(program)) }
 
 // idlePrograms returns the number of idle programs, which are the resident programs without an attempt
-// or task. It also returns the program that has been idle the longest. Among programs idle for an equal
-// time, this is the program with the lowest number. The argument idle must be an idle program.
+// or task. It also returns the program that has been idle the longest or, among several that have been
+// idle equally long, the one with the lowest number. The argument idle must be any one of the idle programs.
 func (w *workerInfo) idlePrograms(idle uint64) (count int, oldest uint64) {
 	oldest = idle
 	for program, resident := range w.residentPrograms {
