--- a/client/client.go
+++ b/client/client.go
@@ -43,7 +43,7 @@
 }
 
 // RejectedError is returned for a task that was rejected or got no response, if the client makes no further
-// attempt. The client makes none if the next attempt would not be before the caller's deadline, or if the retry
+// attempt. The client stops if the next attempt would start at or after the caller's deadline, or if the retry
 // budget is exhausted. Either the task never ran, or running it twice does no harm.
 type RejectedError struct {
 	RetryAt  time.Time // earliest time at which the task may be offered again
--- a/client/place.go
+++ b/client/place.go
@@ -30,8 +30,8 @@
 	pause    time.Duration // next back-off delay, before it is multiplied by a random factor
 }
 
-// Place offers a task until it is started. The token is the Token of an earlier RejectedError for the task, or nil.
-// Place must not be called with a token before RejectedError.RetryAt.
+// Place offers a task until it is started. The argument token is RejectedError.Token of an earlier call for the task,
+// or nil. Place must not be called with a token before RejectedError.RetryAt.
 //
 // The error is a *RejectedError if the task can be offered again later, and the error of ctx if ctx is done. A Client
 // without connections always returns an error. In all other cases, the error is the gRPC status of the last attempt,
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// adapter contains the running schedulers by instance. Schedulers share no state.
+// adapter contains the running schedulers, by instance number. Schedulers share no state.
 type adapter struct {
 	schedulers map[int]*placement.Scheduler
 	encoder    *simwire.Encoder
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -6,9 +6,9 @@
 package descriptors
 
 const (
-	// reserved is the number of descriptors that clients and workers leave free. They serve a new connection
-	// to discovery, admin calls of operators, and a newly accepted client. The connection that was evicted
-	// for such a client may still be open.
+	// reserved is the number of descriptors that clients and workers leave free. These descriptors serve a
+	// new connection to discovery, admin calls of operators, and a newly accepted client, because the connection
+	// that was evicted for such a client may still be open.
 	reserved = 4
 	// programUse is the number of descriptors that the program itself keeps open in addition to the
 	// reserved ones: the listening socket and the connection to discovery.
@@ -17,9 +17,9 @@
 	// budget to clients. A third suffices because clients normally use no more than that. Clients may borrow more,
 	// up to Budget.maxClients, if connections to workers leave descriptors free.
 	clientShareDivisor = 3
-	// minClientShareDivisor limits all connections to workers: they always leave 1/minClientShareDivisor of the
-	// budget to clients, even if they are required. A connection is required if it is the only one to a worker with
-	// running tasks, or if a message, such as an offer, is waiting for it.
+	// minClientShareDivisor limits all connections to workers, including required ones: they always leave
+	// 1/minClientShareDivisor of the budget to clients. A connection is required if it is the only one to a worker with
+	// running tasks, or if a message, such as an offer, is waiting to be sent on it.
 	minClientShareDivisor = 8
 )
 
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// In a budget of 120 descriptors with at most 40 clients, workers are guaranteed 74 descriptors: 120 without the
-// 40 of the clients, the 4 reserved ones and the 2 of the program. Optional connections to workers leave clients
-// 40 descriptors (a third of 120), and required ones leave them 15 (an eighth). In addition, the 4 reserved
-// descriptors always stay free.
+// In a budget of 120 descriptors with at most 40 clients, workers are guaranteed 74 descriptors: 120 minus 40 for
+// clients, 4 reserved descriptors and 2 for the program itself. Optional connections to workers leave clients 40
+// descriptors (a third of 120), and required ones leave them 15 (an eighth). In addition, the 4 reserved descriptors
+// always stay free.
 func TestAdmission(t *testing.T) {
 	const total, maxClients = 120, 40
 	for _, c := range []struct {
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -9,7 +9,7 @@
 	"ravenhitch/placement"
 )
 
-// Apply applies the new events of an update in order, and moves the cursor to that of the update unless the cursor is
+// Apply applies the new events of an update in order, and moves the cursor to the update's cursor unless the cursor is
 // higher already. If cached is true, the events come from the configuration, and their information about workers may
 // be outdated.
 func (f *Follower) Apply(update config.Update, cached bool) {
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -4,9 +4,9 @@
 // to this orchestrator.
 package discovery
 
-// This file owns the connection to discovery and the poll in flight. The follower polls continuously, because the
-// orchestrator is expected to know an event as soon as discovery has it. Invariant: the follower never has two polls
-// in flight, never misses an event and never stops polling.
+// This file owns the connection to discovery and the poll in flight. The follower polls continuously, so that the
+// orchestrator learns of an event as soon as discovery has it. Invariant: the follower never has two polls in flight,
+// never misses an event and never stops polling.
 
 import (
 	"errors"
@@ -37,9 +37,8 @@
 	// redialDelay is the delay before the next dial after a dial failed, or after a connection was closed by
 	// discovery or because of an error.
 	redialDelay = 100 * millisecond
-	// syncDelay is the maximum time that discovery takes to answer a poll for events that it already has.
-	// Discovery blocks a poll only while it has no event for the poll, not counting events that it may delay (see
-	// maxLateReportMs).
+	// syncDelay is the maximum time that discovery takes to answer a poll if it already has an event for the
+	// poll. Otherwise, discovery blocks the poll. Events that discovery may delay do not count (see maxLateReportMs).
 	syncDelay = 300 * millisecond
 )
 
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,11 +9,11 @@
 // released or migrated task. While it waits, a resumable submission of the task's key gets an error.
 const terminationTimeout = 700 * millisecond
 
-// cancelAttempt cancels the open attempt of a request. If a cancel has to be sent to the worker, it is sent before
-// any later message for this request. Before the deadline of the request, the attempt counts as ended only when the
-// worker pool reports that it is over. Once it has ended, the scheduler may offer the task to another worker.
-// Therefore a cancel that is in transit, or was written on a connection that became unresponsive, does not end the
-// attempt if another one may follow. At the deadline, the attempt counts as ended without a confirmation, because the
+// cancelAttempt cancels the open attempt of a request. If a cancel has to be sent to the worker, it is sent before any
+// later message for this request. Before the deadline of the request, the attempt counts as ended only when the worker
+// pool reports that it is over. Once it has ended, the scheduler may offer the task to another worker. Therefore a
+// cancel that is in transit, or was written on a connection that became unresponsive, does not end the attempt if
+// another attempt may follow. At the deadline, the attempt counts as ended without a confirmation, because the
 // response to the client must not wait any longer.
 func (d *Dispatcher) cancelAttempt(r *request, outcome placement.Outcome) {
 	mayRetry := d.now < r.deadline && d.checkAttempt(r) == nil
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// An end which shows that the task ran, although no acceptance was received, ends the request at once:
-// the client gets a failure, and the task is not offered again. Any other end leads to another attempt, unless the task
-// may have started and must not run twice.
+// If a worker reports an end which shows that the task ran, and no acceptance was received, the request ends at once:
+// the client gets a failure, and the task is not offered again. Any other end leads to another attempt, unless the
+// task may have started and must not run twice.
 func TestTaskEndedBeforeItsAcceptance(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/dispatch/backpressure.go
+++ b/internal/dispatch/backpressure.go
@@ -46,16 +46,16 @@
 }
 
 const (
-	// backpressureInterval is the minimum time between two checks whether the release rate or the reserved units
-	// have changed. A change is reported to the scheduler.
+	// backpressureInterval is the minimum time between two checks of the release rate and the reserved units for
+	// changes. A change is reported to the scheduler.
 	backpressureInterval = 20 * millisecond
 	// minBackpressureChange is the relative change up to which a value counts as unchanged. The release rate and
 	// the reserved units are reported again when at least one of them has changed.
 	minBackpressureChange = 0.05
 )
 
-// backpressureReport holds the values that were last reported to the scheduler, and the time of the last check
-// whether they have changed.
+// backpressureReport holds the values that were last reported to the scheduler, and the time of the last check for
+// changes of these values.
 type backpressureReport struct {
 	at          int64
 	releaseRate float64
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -80,8 +80,8 @@
 	return d.find(requestID) != nil || d.unresponsive[requestID] != nil
 }
 
-// Reject ends an open request of client at once. Package clientfront calls it when it closes a connection or receives
-// a duplicate request ID. The response is a rejection or, if a retry could do harm, a failure.
+// Reject ends an open request of the given client at once. Package clientfront calls it when it closes a connection or
+// receives a duplicate request ID. The response is a rejection or, if a retry could do harm, a failure.
 func (d *Dispatcher) Reject(now int64, client Client, requestID string) {
 	d.now = now
 	r := d.find(requestID)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 	unclaimed     unclaimedCompletions
 	responses     responseCache
 
-	// Deadlines, timers and the scheduling of responses.
+	// Deadlines, timers, and the pacing of responses.
 	deadlines   deadlineHeap
 	timers      timerHeap
 	nextSweepAt int64
@@ -172,7 +172,7 @@
 		delete(d.latestByKey, r.Key)
 	}
 	if r.responseID == r.RequestID {
-		return // the latest submission used no alias; d.aliases is not searched for those of earlier submissions
+		return // the latest submission has the original request ID; earlier aliases stay in d.aliases
 	}
 	for alias, resumed := range d.aliases {
 		if resumed == r {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -79,10 +79,11 @@
 }
 
 // suspicionTimeout returns the time after which a suspect that has not refuted the suspicion may be declared dead. The
-// local health score is not yet taken into account. The timeout decreases from MaxSuspicionTimeout to
-// MinSuspicionTimeout with the number of confirmations, on Lifeguard's logarithmic scale. If at least decisiveRefusals
-// members found that no process listens at the suspect's address, the timeout is RefusedTimeout. If one member found
-// this and no other member could confirm the suspicion, it is 5*RefusedTimeout.
+// caller scales the result by the local health score (see scaleSuspicionTimeout). The timeout decreases from
+// MaxSuspicionTimeout to MinSuspicionTimeout with the number of confirmations, on Lifeguard's logarithmic scale. If at
+// least decisiveRefusals members found that no process listens at the suspect's address, the timeout is
+// RefusedTimeout. If one member found this and no other member could confirm the suspicion, the timeout is
+// 5*RefusedTimeout.
 func (t *Table) suspicionTimeout(m *member) int64 {
 	others := t.Size() - 2 // members that could confirm the suspicion, excluding the local one and the suspect
 	refused := m.refusals()
@@ -98,10 +99,10 @@
 	return t.MaxSuspicionTimeout - int64(share*float64(t.MaxSuspicionTimeout-t.MinSuspicionTimeout))
 }
 
-// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion timed out and is verified (see
-// verified), and if since the beginning of the suspicion the local member has had no proof that the suspect is alive.
-// The ping that verifies the suspicion is sent when half of the timeout has passed, or later if too many suspects need
-// one.
+// evaluateSuspects declares suspects dead. A suspect is declared dead if its suspicion has timed out and is verified
+// (see verified), and if the local member has had no proof since suspectedAt that the suspect is alive. The ping that
+// verifies the suspicion is sent when half of the timeout has passed, or later if more than maxVerifications suspects
+// need a ping in the same tick.
 func (t *Table) evaluateSuspects() {
 	t.pruneSuspects()
 	verifications := 0
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -34,7 +34,8 @@
 
 // TestDeathOfLaterIncarnationIsAConfirmation asserts that an update that reports a member as dead, at a higher
 // incarnation than in the table, counts only as confirmations of a suspicion. The local member does not declare the
-// suspect dead while it can reach the suspect. Otherwise it does so only after its own suspicion timeout.
+// suspect dead while it can reach the suspect. An unreachable suspect is declared dead only after the local member's
+// own suspicion timeout.
 func TestDeathOfLaterIncarnationIsAConfirmation(t *testing.T) {
 	for _, c := range pathsToB {
 		h := newHarness(t)
--- a/internal/membership/tick_test.go
+++ b/internal/membership/tick_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestLateTickIsAStall asserts that a table reports a stall exactly if Tick is called more than stallThreshold after
-// the time that NextTick returned, whatever the time since the previous call.
+// TestLateTickIsAStall asserts that a table reports a stall if and only if Tick is called more than stallThreshold
+// after the time that NextTick returned, whatever the time since the previous call.
 func TestLateTickIsAStall(t *testing.T) {
 	c := newCluster(3, 8, nil)
 	c.run(formationTime(3) + 10*second)
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,9 +1,9 @@
 // Package shard assigns the workers of a fleet to the orchestrators that place tasks on them. A hash of a worker's
 // name determines its shard among the fixed number of shards of its zone. Each shard is assigned to one orchestrator
-// of the zone's region: the one with the highest rendezvous weight that has capacity left for a shard of that zone.
-// All orchestrators with the same stable view of the cluster compute the same assignment without exchanging messages.
-// An orchestrator never takes over workers of another region: a region that is cut off continues with its own
-// orchestrators, and those outside it do not dial unreachable workers.
+// of the zone's region: the one with the highest rendezvous weight among those that do not have their equal share
+// (rounded up) of the zone's shards yet. All orchestrators with the same stable view of the cluster compute the same
+// assignment without exchanging messages. An orchestrator never takes over workers of another region: a region that is
+// cut off continues with its own orchestrators, and those outside it do not dial unreachable workers.
 //
 // The package has no state and uses no clock and no I/O.
 package shard
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -9,7 +9,7 @@
 // This file owns the configuration of the orchestrators that tests and rehearsals start: their classes
 // and limits. The names of the settings are defined by the program.
 
-// Deployment is the configuration that all orchestrators of a rig share.
+// Deployment is the configuration that all orchestrators of a test or rehearsal share.
 type Deployment struct {
 	Orchestrators int
 	MaxRetryAfter time.Duration // maximum Retry-After that rejected clients get
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -49,9 +49,9 @@
 	return f.health.healthy(worker, task.classIndex) && !task.failedOn(worker)
 }
 
-// fits reports whether a worker has free capacity for a task. With the task, the capacity requested of the
-// worker must exceed neither the capacity that it accepts nor its effective capacity. The effective capacity
-// does not count for a large task that has waited long. Without a view, the requested capacity is unknown,
+// fits reports whether a worker has free capacity for a task. The capacity requested of the worker, including
+// the task, must exceed neither the capacity that the worker accepts nor its effective capacity. A large task
+// that has waited long may exceed the effective capacity. Without a view, the requested capacity is unknown,
 // and fits only checks whether an empty worker would accept the task.
 func (f *filter) fits(worker *workerInfo, task *taskInfo) bool {
 	kind := f.kindOf(worker)
@@ -81,10 +81,10 @@
 	return f.now-task.arrivedAt > f.classOf(task).ObjectiveUs/4
 }
 
-// limit returns an upper limit of the requested capacity at which a worker of a kind still has free
-// capacity for a task (see fits). The size of the task is given as fractions of the kind's size. The
-// argument utilization is the utilization that the task adds to an uncalibrated worker. If the class of the
-// task requires another kind, the limit admits no worker.
+// limit returns an upper limit of a worker's requested capacity. A worker of the kind whose requested
+// capacity is above the limit has no free capacity for the task (see fits). The size of the task is given as
+// fractions of the kind's size. The argument utilization is the utilization that the task adds to an
+// uncalibrated worker. If the class of the task requires another kind, the limit admits no worker.
 func (f *filter) limit(task *taskInfo, kindIndex int, size fractions, utilization float64) loadLimit {
 	if class := f.classOf(task); class.Kind >= 0 && class.Kind != kindIndex {
 		return loadLimit{max: fractions{math.Inf(-1), math.Inf(-1)}}
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -141,8 +141,8 @@
 }
 
 // restarted discards the state that a worker lost in a restart: the recorded changes of its load, its
-// idle programs and its calibration. Attempts and tasks that have not ended yet count for the spread
-// until they end.
+// idle programs and its calibration. Attempts and tasks that have not ended yet count towards the
+// spread until they end.
 func (f *fleet) restarted(worker *workerInfo) {
 	worker.deltas = nil
 	f.residents.removeIdle(worker)
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -17,8 +17,7 @@
 }
 
 // recordHistory runs a random history. It returns the workers of the first list and the calls after
-// that list. It also returns settings for a replay: newly drawn ones, with a single scheduler and no
-// tenants.
+// that list. It also returns newly drawn settings for a replay, with a single scheduler and no tenants.
 func recordHistory(t *testing.T, seed uint64) (settings Settings, workers []Entry, calls []recordedCall) {
 	t.Helper()
 	h := newHistory(t, seed)
--- a/placement/fullscan_test.go
+++ b/placement/fullscan_test.go
@@ -27,7 +27,8 @@
 	maxFlipped = 0.01
 )
 
-// comparisons counts the comparisons of selections, by the path of the selection and by other properties.
+// comparisons counts the comparisons of selections, by the rule that determined the finalists (see
+// selection.path) and by other properties.
 type comparisons struct {
 	paths                                          map[string]int
 	total, flipped                                 int // flipped: see maxFlipped
--- a/placement/health.go
+++ b/placement/health.go
@@ -10,8 +10,8 @@
 
 const (
 	// timeoutSuspicion is added to the suspicion of a worker for an attempt that gets no answer or no
-	// connection, a rejection because the worker's queue is full, or a probe that does not complete. In one
-	// case of a missing answer, lossSuspicion is added instead.
+	// connection, a rejection because the worker's queue is full, or a probe that does not complete. For
+	// some missing answers, lossSuspicion is added instead.
 	timeoutSuspicion = 1.5
 	// errorSuspicion is added to the suspicion of a worker for an attempt that ended with an error, and for
 	// an attempt or task that was lost.
@@ -161,11 +161,11 @@
 	}
 }
 
-// recordTimeout records an attempt that got no answer. If the worker has accepted no other attempt
-// since the unanswered one was sent, the suspicion rises for every class. Otherwise the worker is
-// reachable. If it accepted only attempts of other classes, the suspicion rises for the class of this
-// attempt alone. If it accepted an attempt of the same class, some answers are being lost, and the
-// suspicion for the class rises only a little. A worker that accepted attempts and then became
+// recordTimeout records an attempt that got no answer. The suspicion depends on the attempts that the worker
+// has accepted since the unanswered one was sent. If it accepted none, the suspicion rises for every class.
+// If it accepted only attempts of other classes, the worker is reachable, and the suspicion rises for the
+// class of the unanswered attempt alone. If it accepted an attempt of the same class, some answers are being
+// lost, and the suspicion for the class rises only a little. A worker that accepted attempts and then became
 // unresponsive therefore stays in use, but only until a later attempt gets no answer.
 func (h *health) recordTimeout(classIndex int, attempt *attemptInfo) {
 	worker := attempt.worker
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestUnreachableWorkerIsLeftOut uses a fleet in which all workers are suspect and one of them is
-// unreachable. Attempts go only to the reachable worker, which gets maxSuspectAttempts of them. The
-// other tasks wait until the unreachable worker is reached again.
+// TestUnreachableWorkerIsLeftOut uses a fleet of two suspect workers, one of which is unreachable.
+// Attempts go only to the reachable worker, which gets maxSuspectAttempts of them. The other tasks wait
+// until the unreachable worker is reached again.
 func TestUnreachableWorkerIsLeftOut(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30), smallWorker("b", 0, 30))
 	for _, worker := range f.scheduler.fleet.sorted {
@@ -123,9 +123,9 @@
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
 }
 
-// TestTaskWaitsForFullWorkerThatIsReached has an unreachable worker, which looks empty because no task
-// reaches it, and a reachable one that is full or has as many unanswered attempts as its attempt window
-// permits. Tasks wait for the reachable worker.
+// TestTaskWaitsForFullWorkerThatIsReached uses a fleet of two workers. The unreachable one looks empty,
+// because no task reaches it. The reachable one is full, or has as many unanswered attempts as its attempt
+// window permits. Tasks wait for the reachable worker.
 func TestTaskWaitsForFullWorkerThatIsReached(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/placement/requests.go
+++ b/placement/requests.go
@@ -95,7 +95,7 @@
 	worker.addRunning(r.now, task)
 }
 
-// cancel handles the end of a request without a final response from the scheduler (see [ClientCancelled]).
+// cancel handles a request that ends without a final response from the scheduler (see [ClientCancelled]).
 // It ignores a request whose task a worker accepted. An attempt that has not ended counts towards the spread
 // until it ends, so its request is kept until then.
 func (r *requests) cancel(requestID string) {
--- a/placement/reservations_test.go
+++ b/placement/reservations_test.go
@@ -26,8 +26,8 @@
 	f.wantPlaced(f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{tight("a", 8)}}), "a")
 }
 
-// TestFirstByNameIsReserved checks that in a small fleet, the first by name of equal workers is
-// reserved for a pending task, because nothing else distinguishes them.
+// TestFirstByNameIsReserved checks that in a small fleet, if several workers are equal, the first of them
+// by name is reserved for a pending task, because nothing else distinguishes them.
 func TestFirstByNameIsReserved(t *testing.T) {
 	f := newFixture(t, testSettings(), 1, smallWorker("c", 0, -20), smallWorker("b", 0, -16), smallWorker("a", 0, -16), smallWorker("d", 1, -16))
 	task := f.syntheticTask(0)
--- a/placement/residents.go
+++ b/placement/residents.go
@@ -6,7 +6,7 @@
 
 // maxIdlePrograms is the maximum number of idle programs that count as resident on a worker. An
 // idle program has no attempt or task. Workers keep the code of at least this many programs after
-// the last task of each.
+// the last task of each has ended.
 const maxIdlePrograms = 4
 
 // residents holds the resident programs of all workers.
--- a/placement/search_test.go
+++ b/placement/search_test.go
@@ -32,8 +32,8 @@
 func TestFullFleetIsRemembered(t *testing.T) {
 	f := largeFleet(t, 4000, func(random *rand.Rand) float64 { return 1.495 + 0.004*random.Float64() })
 	// At first, one worker has free capacity, and it is in the same level as full workers. When the capacity
-	// is taken, the lower bound of the level's requested capacity does not rise, so it is too low until the
-	// level is scanned.
+	// is taken, the lower bound of the level's requested capacity does not rise, so the bound is too low until
+	// the level is scanned.
 	last := smallWorker("m03999", 0, 32*(1-1.478))
 	f.handleAfter(ms, WorkerList{Kind: ListDelta, Entries: []Entry{last}})
 	task := f.syntheticTask(0)
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -32,7 +32,7 @@
 	Effect          Effect
 	Group           Scope   // if Keyed: ScopeAll, ScopeZone or ScopeCell, whose workers discard repeats
 	WindowUs        int64   // if Keyed: time for which the group discards repeats
-	ObjectiveUs     int64   // latency objective: a start within this time after the arrival earns StartBonusS
+	ObjectiveUs     int64   // latency objective: a start this soon after the request earns StartBonusS
 	DeadlineUs      int64   // timeout of requests that state no timeout; not used by the scheduler
 	Weight          float64 // priority weight: value of one second of full service for a task of mean size
 	StartBonusS     float64 // value of a start within the objective, in seconds of service
--- a/placement/slope_exchange_test.go
+++ b/placement/slope_exchange_test.go
@@ -9,8 +9,8 @@
 	place *Place    // the offer of the requested task; nil if there is none
 }
 
-// prepare returns an exchange that requests the next task and ends a random task of schedulerTasks, which
-// prepare removes from there. If schedulerTasks is empty, no task ends.
+// prepare returns an exchange that requests the next task and ends a random task, which prepare
+// removes from schedulerTasks. If schedulerTasks is empty, no task ends.
 func (s *site) prepare() *exchange { return s.prepareTask(s.nextTask()) }
 
 func (s *site) prepareTask(task Task) *exchange {
--- a/placement/slope_meter_test.go
+++ b/placement/slope_meter_test.go
@@ -16,9 +16,10 @@
 // For the other units, the time is measured.
 const countEvery = 4
 
-// meter sums up the processor time and the allocations of the measured units of work, such as exchanges.
-// It measures the time of the calling thread alone, so that other programs have little influence. The time
-// does not include the threads of the garbage collector; the allocated bytes indicate their work instead.
+// meter sums up the processor time and the allocations of the measured units of work, such as exchanges. It
+// measures the time of the calling thread alone, so that other programs have little influence. The time does
+// not include the threads of the garbage collector; the allocated bytes indicate the work of the garbage
+// collector instead.
 type meter struct {
 	units     int
 	spent     time.Duration
