--- a/cmd/ravenhitch/assignment.go
+++ b/cmd/ravenhitch/assignment.go
@@ -15,10 +15,10 @@
 	"ravenhitch/internal/shard"
 )
 
-// presumptionUs is a period after the start, in microseconds. During this period, the members named in the
-// operators' file are presumed alive even if the membership table does not list them yet. A dead member is usually
-// detected within the same time. Without the presumption, if all orchestrators started at the same time, each would
-// use all workers of its region, because its table would not list the others yet.
+// presumptionUs is the time after the start, in microseconds, for which the members named in the operators' file are
+// presumed alive even if the membership table does not list them yet. A dead member is usually detected within the
+// same time. Without the presumption, if all orchestrators started at the same time, each would use all workers of
+// its region, because its table would not list the others yet.
 const presumptionUs = 7 * second
 
 // assignment divides the workers among the live members. It is used on the event loop only.
--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -28,9 +28,8 @@
 	leave func(t *testing.T, client *testbed.Client)
 }
 
-// waitingRequest describes one point at which a request can wait. begin submits the client's request and
-// makes it wait at this point. The function end that it returns ends the wait, or does nothing if the wait ends by
-// itself.
+// waitingRequest describes one point at which a request can wait. begin submits the client's request, makes it wait
+// at this point, and returns the function end. end ends the wait, or does nothing if the wait ends by itself.
 type waitingRequest struct {
 	name    string
 	workers []string
@@ -184,7 +183,7 @@
 func TestNoOfferForCancelledRequest(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// begin makes further requests wait until the function end that it returns is called.
+		// begin makes further requests wait, and returns the function end, which ends this wait.
 		begin func(t *testing.T, server *testServer) (end func())
 		read  bool // true if the server reads requests during the wait
 	}{
--- a/cmd/ravenhitch/client_messages_test.go
+++ b/cmd/ravenhitch/client_messages_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// The front answers an invalid submission with an error and does not offer it to a worker. The failure of
-// such an offer would count against the worker.
+// The front answers an invalid submission with an error and does not offer it to a worker. If it were offered, its
+// failure would count against the worker.
 func TestInvalidSubmissions(t *testing.T) {
 	server := newTestServer(t, "a")
 	client := server.connect(t)
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -46,7 +46,7 @@
 }
 
 // checkSuccessor checks whether this process has a successor. Stop requests this check before the shutdown begins.
-// checkSuccessor posts a function to the event loop. The function stores the result and begins the shutdown.
+// The function that checkSuccessor posts to the event loop stores the result and begins the shutdown.
 func (w *fileWorker) checkSuccessor() {
 	s, found := w.server, w.store.hasSuccessor()
 	s.loop.Post(func() {
--- a/internal/backpressure/benchmark_test.go
+++ b/internal/backpressure/benchmark_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// retryStorm simulates an orchestrator whose clients all send their first request within
-// one second. At the release rate, it takes one minute to start all their tasks. The queue
-// of pending requests holds at most as many as start within six seconds at this rate.
-// Further requests are rejected, and their clients return after Retry-After.
+// retryStorm simulates an orchestrator whose clients all send their first request within one second. At the release
+// rate, it takes one minute to start all their tasks. The queue of pending requests is limited to the number of tasks
+// that start within six seconds at this rate. Further requests are rejected, and their clients return after
+// Retry-After.
 type retryStorm struct {
 	controller *Controller
 	rate       float64            // units that are released per second
--- a/internal/backpressure/calendar.go
+++ b/internal/backpressure/calendar.go
@@ -55,12 +55,11 @@
 	}
 }
 
-// reserve reserves units of a class and returns their slot. It uses the first slot that
-// begins after both now and from and that has room for the units. An empty slot has room for
-// any number of units. Any other slot has room if the reserved and the new units together do
-// not exceed its capacity. At rate units per second, the capacity is the number of units that
-// become free during one slot. If the calendar has no such slot, reserve uses its last slot,
-// and the client is likely to be rejected again.
+// reserve reserves units of a class and returns their slot. It uses the first slot that begins after both now and
+// from and that has room for the units. An empty slot has room for any number of units. Any other slot has room if
+// the reserved and the new units together do not exceed its capacity. The capacity of a slot is the number of units
+// that become free during the slot if rate units become free per second. If the calendar has no such slot, reserve
+// uses its last slot, and the client is likely to be rejected again.
 func (c *calendar) reserve(now, from int64, class int, units, rate float64) int64 {
 	first := max(from, now)/slotUs + 1
 	last := c.base + calendarSlots - 1
--- a/internal/backpressure/counters.go
+++ b/internal/backpressure/counters.go
@@ -8,8 +8,8 @@
 	windowBucketUs = second / windowBuckets
 	// trackedPrograms is the number of counters in frequentPrograms.
 	trackedPrograms = 16
-	// topPrograms is the number of most frequent programs whose combined share of the
-	// events is compared with topProgramsShare, to decide whether a surge is a Reconnect.
+	// topPrograms is the number of programs that topShare adds up: the most frequent ones. Their combined
+	// share of the events is compared with topProgramsShare, to decide whether a surge is a Reconnect.
 	topPrograms = 3
 )
 
--- a/internal/backpressure/detector.go
+++ b/internal/backpressure/detector.go
@@ -59,9 +59,8 @@
 	// minSurgeExcess is the number of requests per second by which arrivals must also
 	// exceed the baseline rate to be a surge.
 	minSurgeExcess = 8.0
-	// settledFactor is a multiple of the baseline rate. Arrivals up to this multiple are
-	// low enough for a surge to have ended. Arrivals that exceed the baseline rate by at
-	// most half of minSurgeExcess are also low enough.
+	// settledFactor is a multiple of the baseline rate. A surge can have ended once arrivals are at most this
+	// multiple, or exceed the baseline rate by at most half of minSurgeExcess.
 	settledFactor = 1.3
 	// calmAfterUs is the time for which observation.elevated must have stayed unset before
 	// the state changes from Rising or Settling to Calm. Overloaded never changes directly
--- a/internal/backpressure/fairshare.go
+++ b/internal/backpressure/fairshare.go
@@ -64,11 +64,10 @@
 	}
 }
 
-// ahead returns the number of reserved units that are served by the time at which a request
-// has been served, including its own. It assumes that programs take turns, so that no active
-// program has got more units by then than the request's own program has reserved. units is the
-// number without turns, also including the request's own units. bucket is the bucket of the
-// request's program, whose count must already include the request.
+// ahead returns the number of reserved units that are served until a request has been served, including the request's
+// own units. It assumes that programs take turns: until then, no active program gets more units than the request's
+// own program has reserved. units is the number without turns, also including the request's own units. bucket is the
+// bucket of the request's program, whose count must already include the request.
 func (f *fairShare) ahead(bucket int, units float64) float64 {
 	return min(units, float64(f.units[bucket])*float64(max(1, f.active)))
 }
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -6,9 +6,9 @@
 // the settings.
 
 const (
-	// leadShare is a fraction of a client's timeout: the client returns by this much earlier than
-	// its task is expected to start. Its request is therefore already pending before the expected
-	// start, and can use capacity that other clients leave unused.
+	// leadShare is the fraction of a client's timeout by which the client returns before its task is expected
+	// to start. Its request is therefore already pending before the expected start, and can use capacity that
+	// other clients leave unused.
 	leadShare = 0.6
 	// floorShare is the fraction of the release rate that lower priorities get while
 	// requests of higher priorities wait, so that no class starves.
--- a/internal/clientfront/response.go
+++ b/internal/clientfront/response.go
@@ -11,8 +11,9 @@
 	"ravenhitch/placement"
 )
 
-// Respond implements dispatch.Client. If the connection of the request is closed, a completion or migration is
-// reported on another connection or stored until it can be, because a running task is not bound to a connection.
+// Respond implements dispatch.Client. A running task is not bound to a connection. If the connection of the request
+// is closed, a completion or migration is therefore reported on another connection, or stored until it can be
+// reported.
 func (c *clientConn) Respond(response dispatch.Response) {
 	message := encodeResponse(response)
 	switch response.Kind {
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// exchange writes a sample and reads its confirmation, both together within sendTimeout. The limit
-// bounds the time for which a slow receiver delays the end of the goroutine, which Close waits for.
+// exchange writes a sample and reads its confirmation, both together within sendTimeout. Close waits for the
+// exporter's goroutine, and the limit bounds how long a slow receiver can delay the end of this goroutine.
 func (r *receiver) exchange(s Sample) error {
 	if err := r.conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -10,10 +10,9 @@
 	"time"
 )
 
-// This file owns the relay from one process to another, which forwards datagrams and connections at one port. A
-// cut holds back the data of connections, which arrives after the cut, but datagrams during a cut are lost. If
-// the target process does not run, the relay refuses connections and drops datagrams, as the host of that
-// process would.
+// This file owns the relay from one process to another, which forwards datagrams and connections at one port. During
+// a cut, datagrams are lost, and the data of connections is held back until the cut ends. If the target process does
+// not run, the relay refuses connections and drops datagrams, as the host of that process would.
 
 const (
 	maxDatagram       = 64 << 10 // in bytes
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file owns the slow start of an emulated worker. A worker that was started a short time ago starts tasks slowly.
-// It stops responding to offers for good if it is overloaded during slow start.
+// This file owns the slow start of an emulated worker. A worker that was started a short time ago starts tasks
+// slowly. If it is overloaded during slow start, it never responds to an offer again.
 
 // slowStart counts the offers to a worker during slow start. A worker whose UpSince is zero runs
 // at full speed. The lock of the CapacityModel guards the slowStart.
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -29,8 +29,8 @@
 	// these offers appear here and not in Cancels. If maxLostOffers offers are waiting in the channel, further offers
 	// are dropped.
 	LostOffers chan Line
-	// Attempts records the attempts at this worker. It must be set before the first connection and
-	// before a call of NewProxy; nil records nothing.
+	// Attempts records the attempts at this worker. It must be set before the first connection and before a
+	// call of NewProxy. If it is nil, no attempts are recorded.
 	Attempts *AttemptLog
 
 	host         Host
--- a/test/scale/prober_test.go
+++ b/test/scale/prober_test.go
@@ -10,8 +10,8 @@
 // This file contains pings that measure the duration of the turns of an orchestrator's event loop. A turn is one
 // iteration of the loop.
 
-// probePeriod is the interval between two pings. Ten pings per second cost an orchestrator about 0.05% of a
-// core. The phase idle includes this cost.
+// probePeriod is the interval between two pings. Ten pings per second cost an orchestrator about 0.05% of a core. The
+// measurements of the phase idle include this cost.
 const probePeriod = 100 * time.Millisecond
 
 // prober pings an orchestrator at a fixed rate on its own connection. It does not wait for the answers to
--- a/test/scale/rig_test.go
+++ b/test/scale/rig_test.go
@@ -48,9 +48,9 @@
 // workers and the connections of orchestrators to workers and clients.
 const spareDescriptors = 1000
 
-// checkDescriptors returns an error if the listeners and connections of the run exceed the descriptor limit of
-// this process. In that case, fewer orchestrators can be run, with their part of the starts and running tasks.
-// With -fleet-size, the test simulates the other orchestrators.
+// checkDescriptors returns an error if the listeners and connections of the run exceed the descriptor limit of this
+// process. In that case, the test can run fewer orchestrators, with a proportionally lower number of starts and
+// running tasks. With -fleet-size, the test simulates the other orchestrators.
 func (o options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/test/scale/usage_test.go
+++ b/test/scale/usage_test.go
@@ -22,7 +22,7 @@
 	written     int64 // bytes that the process wrote to files and sockets, without datagrams
 }
 
-// errNoThreads is the error for a process that has ended, which has no threads.
+// errNoThreads is the error for a process that has no threads because it has ended.
 var errNoThreads = errors.New("process has ended: no threads")
 
 // processUsage reads the resource usage of a running process.
