--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -66,8 +66,8 @@
 func waitForCancelConfirmation(t *testing.T, server *proxiedServer, client *testbed.Client) func() {
 	testbed.Send(client, leaverLine("missed-leaver"))
 	server.eventually(t, "the first attempt", func() bool { return server.attempts.OfferCount(leaverID) == 1 })
-	// A worker that has sent a notice since the offer gets a cancel; without the notice, the server would
-	// close the connection instead. The delay postpones the confirmation of the cancel.
+	// If a worker has sent a notice since the offer, the server sends it a cancel; otherwise the server would
+	// close the connection. The delay of data to the worker postpones the confirmation of the cancel.
 	for _, worker := range server.workers {
 		worker.SendNotice()
 		server.proxies[worker.Name].Delay(80 * time.Millisecond)
@@ -124,9 +124,9 @@
 	}
 }
 
-// No attempt begins for a client that has left, wherever its request waits and however the client leaves. The
-// test logs the time from the moment at which the client left until the last offer of the request arrived at a
-// worker. The time is negative if the offer arrived first.
+// No attempt begins for a client that has left, wherever its request waits and however the client leaves. The test
+// logs the time from the moment at which the client left until the last offer of the request arrived at a worker. The
+// time is negative if the offer arrived before the client left.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	for _, test := range waitingRequests {
 		for _, method := range []leaveMethod{
--- a/cmd/ravenhitch/completions_test.go
+++ b/cmd/ravenhitch/completions_test.go
@@ -12,7 +12,8 @@
 
 // The completion of a running task goes to the client that submitted the task first, even if a second client submits
 // it again. If the first client has disconnected, the completion goes to a client for which a task was started. If
-// there is none, the completion goes to a client that registered another running task before any other client did.
+// there is none, the completion goes to a client that registered a running task which no other client had registered
+// before.
 func TestCompletionGoesToItsClient(t *testing.T) {
 	server := newTestServer(t, "a")
 	first, served, second := server.connect(t), server.connect(t), server.connect(t)
--- a/cmd/ravenhitch/connection_limit_test.go
+++ b/cmd/ravenhitch/connection_limit_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A client has 2.4 s to read its response. While the response is unread, the connection is evicted for a client in
-// the accept queue only after it has been idle for this time. Without unread output, 1 s of idle time would suffice.
+// A client has 2.4 s to read its response. While the response is unread, the connection must have been idle for this
+// time before it is evicted for a client in the accept queue. Without unread output, 1 s of idle time would suffice.
 func TestSlowReaderIsNotEvicted(t *testing.T) {
 	server := newSmallServer(t, "a")
 	slow := newSlowReader(t, server)
--- a/cmd/ravenhitch/failing_links_test.go
+++ b/cmd/ravenhitch/failing_links_test.go
@@ -179,9 +179,9 @@
 	server.waitCompletion(t, id)
 }
 
-// The first attempts of all requests are at one of two workers, which does not answer them. The other worker, which
-// has no attempt, is partitioned. Second attempts are offered to the partitioned worker; the last attempts must be
-// offered to the worker that is reachable.
+// One of two workers gets the first attempts of all requests and does not answer them. The other worker has no attempt
+// and is partitioned. Second attempts are offered to the partitioned worker; the last attempts must be offered to the
+// worker that is reachable.
 //
 // Both workers are suspect when the last attempts are offered. In the fault that this test guards against, the worker
 // pool knew that no connection reached the partitioned worker but did not report this to the scheduler. It notified the
--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -55,9 +55,9 @@
 	})
 }
 
-// readFiles reads the handover files and posts what it finds to the event loop. It posts a successor whenever it
-// finds one. It posts the cordoned workers only if the list has changed since the last read. If the list cannot be
-// read, readFiles logs the error, and the cordons stay as they are.
+// readFiles reads the handover files and posts what it finds to the event loop. It posts that there is a successor
+// whenever it finds one. It posts the cordoned workers only if the list has changed since the last read. If the list
+// cannot be read, readFiles logs the error, and the cordons stay as they are.
 func (w *fileWorker) readFiles() {
 	s := w.server
 	if w.store.hasSuccessor() {
--- a/internal/backpressure/forecast.go
+++ b/internal/backpressure/forecast.go
@@ -111,9 +111,9 @@
 	return max(recent*perSecond/recentBuckets, all*perSecond/demandBuckets)
 }
 
-// HigherPriorityDemand returns, by class, how many units of free capacity the class must
-// leave for requests of higher priority that are expected soon. The numbers are 0 except
-// during a surge. The Controller owns the slice, which is valid until the next call.
+// HigherPriorityDemand returns, for each class, how many units of free capacity the class must leave for requests of
+// higher priority that are expected soon. The numbers are 0 except during a surge. The Controller owns the slice,
+// which is valid until the next call.
 func (c *Controller) HigherPriorityDemand(now int64) []float64 {
 	f := &c.demand
 	f.advance(now)
--- a/internal/backpressure/retryafter.go
+++ b/internal/backpressure/retryafter.go
@@ -24,9 +24,9 @@
 	// complianceWeight is the weight of one return in the moving average of the compliance
 	// of a class.
 	complianceWeight = 1.0 / 32
-	// minCompliance is the lower bound of the divisor by which a Retry-After is lengthened to
-	// correct for the compliance of a class. Clients of lower compliance would not stay away
-	// for longer with a longer Retry-After.
+	// minCompliance is the lower bound of the compliance by which a Retry-After is divided. The division
+	// lengthens Retry-After for classes whose clients return early. Clients of lower compliance would not stay
+	// away for longer with a longer Retry-After.
 	minCompliance = 0.25
 	// ignoredShare is a fraction of Retry-After. A client that returns before this fraction
 	// has passed is considered to have ignored Retry-After.
@@ -99,11 +99,11 @@
 	c.fairness.add(hashBucket(program), -e.units())
 }
 
-// expectedStart returns the time at which free capacity is expected for a request of the given
-// class and units whose program is in the given hash bucket. Capacity first goes to pending units
-// of classes with at least the same priority, and to reserved units of such classes up to the
-// limit of fairShare.ahead. The request is expected to wait at most for the time that all units
-// of its class take at floorShare of the release rate.
+// expectedStart returns the time at which free capacity is expected for a request of the given class and units whose
+// program is in the given hash bucket. Capacity first goes to pending units of classes with at least the same
+// priority, and to reserved units of such classes up to the limit of fairShare.ahead. The expected wait is at most
+// the time in which floorShare of the release rate frees capacity for all pending and reserved units of the class and
+// for the request itself.
 func (c *Controller) expectedStart(now int64, class, bucket int, units, rate float64) int64 {
 	priority := c.settings.Classes[class].Priority
 	var pending, reserved, lower float64
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -147,7 +147,7 @@
 	case submission.RunningOn == "":
 		c.openRequests[submission.RequestID] = true
 	case !isKnown && dispatcher.IsListed(submission.RunningOn):
-		// The task was adopted by this submission. If the task was known before, hasTask is not set, because the
+		// This submission adopted the task. If the task had been known before, hasTask is not set, because the
 		// sender may not be the client of the task.
 		c.hasTask = true
 		c.front.reportOn(c)
--- a/internal/clientfront/unreported.go
+++ b/internal/clientfront/unreported.go
@@ -2,9 +2,9 @@
 
 // This file owns the choice of the connection on which a completion is reported, and the completions that cannot be
 // reported yet. Any program may connect, so an open connection does not show that a client is present. On a
-// connection without a task, completions may therefore be reported only when a ping arrives, which shows that a client
-// is present, or when the oldest of them has waited for longer than unreportedWait. Migrations are reported in the same
-// way as completions.
+// connection without a task, completions may therefore be reported in two cases only: when a ping arrives, which
+// shows that a client is present, or when the oldest completion has waited for longer than unreportedWait. Migrations
+// are reported in the same way as completions.
 
 import "ravenhitch/internal/jsonlines"
 
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -40,7 +40,7 @@
 // AllPaths is the word in a step that stands for all paths between orchestrators.
 const AllPaths = "all"
 
-// except is the word that precedes, in a cut, the name of the process that the cut does not affect.
+// except is the word before the name of the process that a cut does not affect.
 const except = "but"
 
 // Arguments of a start or restart. A process stores how often it was started. With FolderEmpty, it finds no stored
@@ -51,7 +51,7 @@
 	FolderOld   = "old"
 )
 
-// Step is a step of a schedule. It starts or ends faults.
+// Step starts or ends faults at one time of a schedule.
 type Step struct {
 	At    time.Duration // since the start of the schedule
 	Verb  string
--- a/internal/testbed/task.go
+++ b/internal/testbed/task.go
@@ -7,7 +7,7 @@
 
 // This file owns the text form in which a submission describes a task to a CapacityModel.
 
-// Task is the description of a task in a submission.
+// Task holds the resources and durations that a submission gives in the description of its task.
 type Task struct {
 	Class              string
 	Cores, Memory      float64       // number of cores, and memory in the unit of the worker list
--- a/internal/workerpool/cancel.go
+++ b/internal/workerpool/cancel.go
@@ -33,8 +33,8 @@
 //
 // cancelOffer returns true if the attempt counts as over at once: the offer was not written, or a cancel was written
 // that nothing confirms because the deployment does not allow pings. Otherwise it returns false, and
-// Dispatcher.CancelConfirmed is called when the ping behind the cancel is answered or, if the connection ends without
-// that answer, once the close is assumed to have reached the worker.
+// Dispatcher.CancelConfirmed is called when the ping behind the cancel is answered. If the connection ends without
+// that answer, CancelConfirmed is called once the close is assumed to have reached the worker.
 //
 // mayRetry is true if another attempt may follow, which must wait until this one is over. In this case, the connection
 // is aborted if the deployment does not allow pings, because nothing would confirm a cancel.
--- a/internal/workerpool/cancel_confirmations.go
+++ b/internal/workerpool/cancel_confirmations.go
@@ -13,8 +13,8 @@
 	"ravenhitch/internal/eventloop"
 )
 
-// confirmationTimeout is the maximum time from the writing of the ping behind a cancel until any data is received on
-// the connection. Any data counts, not only the answer to the ping: the answer may come later, because the worker may
+// confirmationTimeout is the time, counted from the ping behind a cancel, within which data must be received on the
+// connection. Any data counts, not only the answer to the ping: the answer may come later, because the worker may
 // decide on earlier offers first. Once other data was received, the answer may take up to the dial timeout, rounded
 // up to a multiple of confirmationTimeout.
 const confirmationTimeout = 100 * millisecond
--- a/internal/workerpool/conn.go
+++ b/internal/workerpool/conn.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// staleAfter is how long an offer may be open on a connection without received data before new messages are sent
-	// on a new connection. If a connection had received no data for longer than staleAfter when it ended, the worker
-	// may not have noticed the end.
+	// staleAfter is how long an offer may be open while nothing is received on its connection. After that time,
+	// new messages are sent on a new connection. If nothing was received for longer than staleAfter before a
+	// connection ended, the worker may not have noticed the end.
 	staleAfter = 400 * millisecond
 	// maxReadGap is the maximum time without received data on a connection to a worker with running tasks. After
 	// that time, another connection is dialled unless TCP acknowledgements prove that the connection is alive. The
--- a/internal/workerpool/late_completions.go
+++ b/internal/workerpool/late_completions.go
@@ -30,9 +30,9 @@
 // lateCompletionConn is a connection for late completions. It is not part of link.conns.
 type lateCompletionConn struct{ workerConn }
 
-// dialForLateCompletions dials a connection for late completions if the completion of one of the given tasks may
-// be late. It does nothing if too few descriptors are free, if the newest connection of the link is not up, or if,
-// within the last lateCompletionInterval, another connection was opened or an older one was closed.
+// dialForLateCompletions dials a connection for late completions if the completion of one of the given tasks may be
+// late. It does nothing if too few descriptors are free or if the newest connection of the link is not up. It also
+// does nothing if another connection was opened, or an older one was closed, within the last lateCompletionInterval.
 func (l *link) dialForLateCompletions(tasks dispatch.TaskSummary, now int64) {
 	if !l.expectsLateCompletions(tasks) || now-max(l.openedAt, l.prunedAt) < lateCompletionInterval {
 		return
--- a/test/scale/worker_events_test.go
+++ b/test/scale/worker_events_test.go
@@ -8,7 +8,7 @@
 // This file contains the ledger's handlers for events at workers. They record which tasks run on which workers,
 // which tasks start twice, and which completions have not been reported to their clients.
 
-// run is an attempt that is running at a worker. All attempts of one request have the same request ID.
+// run describes an attempt whose task runs at a worker. All attempts of one request have the same request ID.
 type run struct {
 	worker, requestID string
 	at                time.Time // time of the start
