--- a/cmd/ravenhitch/peers_command.go
+++ b/cmd/ravenhitch/peers_command.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// adminTimeout limits the time to connect. After that, it also limits the time to send the call and read the reply.
+	// adminTimeout limits the time to connect and, separately, the time to send the call and read the reply.
 	adminTimeout = 2 * time.Second
-	// maxAdminReply is the maximum number of bytes of a reply that are read.
+	// maxAdminReply is the maximum number of bytes that are read from a reply.
 	maxAdminReply = 8 << 20
 )
 
--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -36,8 +36,8 @@
 	return file == os.Stdout && err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// show prints the latest sample of the fleet and the last but one entry of seconds. The last entry may belong to a
-// second that has not ended yet.
+// show prints the latest sample of the fleet and the second-to-last entry of seconds, because the last entry may
+// belong to a second that has not ended yet.
 func (p *progressTable) show(snapshot fleet.Snapshot, seconds []fleet.SecondCounts) {
 	var last fleet.SecondCounts
 	if n := len(seconds); n > 1 {
--- a/cmd/ravenhitch/proxiedserver_test.go
+++ b/cmd/ravenhitch/proxiedserver_test.go
@@ -40,8 +40,8 @@
 func newWarmProxiedServer(t *testing.T, settings string, log *slog.Logger, workers ...string) *proxiedServer {
 	t.Helper()
 	s := newProxiedServer(t, settings, log, workers...)
-	// Until a client's connection has had a task, its number of open requests is limited, so the first task is
-	// submitted alone.
+	// The number of open requests on a client's connection is limited until a task of the connection has started. The
+	// first task is therefore submitted alone.
 	s.waitResponses(t, s.submit("ok", 1, 5000))
 	s.expectAllStarted(t, s.submit("ok", 16*len(workers), 5000))
 	return s
--- a/cmd/ravenhitch/recording.go
+++ b/cmd/ravenhitch/recording.go
@@ -36,9 +36,9 @@
 	Moments  []fleet.Snapshot     `json:"moments"`
 }
 
-// saveRecording evaluates the rehearsal, writes the recording and prints the summary. If there are failures, it then
-// returns an error with their number and the first of them. Failures are the errors that the testbed reported to the
-// host, the violations in the verdict, and requests without a response although their orchestrator ran and was
+// saveRecording evaluates the rehearsal, writes the recording and prints the summary. If there are failures, it
+// returns an error that states their number and the first failure. Failures are the errors that the testbed reported
+// to the host, the violations in the verdict, and requests without a response although their orchestrator ran and was
 // reachable.
 func (c *rehearseCommand) saveRecording(host *rehearsalHost, rig *fleet.Fleet, placed *fleet.Placements, steps []testbed.Step) error {
 	verdict := rig.Evaluate()
--- a/cmd/ravenhitch/rehearse.go
+++ b/cmd/ravenhitch/rehearse.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// setDefaultProgram selects this program as the one to start if the flags name none.
+// setDefaultProgram makes the rehearsal start this program if the flags name no program.
 func (c *rehearseCommand) setDefaultProgram() error {
 	if len(c.Programs) > 0 {
 		return nil
--- a/cmd/ravenhitch/server.go
+++ b/cmd/ravenhitch/server.go
@@ -33,8 +33,8 @@
 	// left for the standard streams, epoll, eventfd, files that the Go runtime opens, and everything else that is
 	// opened outside the event loop, such as the handover files and the connections of the metrics exporters.
 	reservedDescriptors = 32
-	// defaultSockets is the limit of sockets if the configuration sets none. The limit includes the reserved
-	// descriptors and the connections of the gRPC front.
+	// defaultSockets is the maximum number of sockets if the configuration sets no limit. The limit includes the
+	// reserved descriptors and the connections of the gRPC front.
 	defaultSockets = 1024
 	// minSocketBudget is the minimum number of sockets that the event loop must be able to open. With fewer, the
 	// server does not start.
@@ -48,8 +48,8 @@
 	bufferedMemoryDivisor = 4
 )
 
-// server is one orchestrator with all its parts. The fields that change after start belong to the event loop. So do
-// the parts, except for methods that any goroutine may call.
+// server is one orchestrator with all its parts. Only the goroutine of the event loop may access the fields that
+// change after start. The same holds for the parts, except for their methods that any goroutine may call.
 type server struct {
 	log        *slog.Logger
 	loop       *eventloop.Loop
@@ -74,7 +74,7 @@
 	shuttingDown              bool
 	inheritedListener         bool // true if the platform owns the listening socket for clients
 	hasSuccessor              bool // true if a process that started later serves on the inherited socket
-	// Each value sent to successorChecks makes the file worker check for a successor. The channel is nil if admin
+	// Each value sent to successorChecks makes fileWorker.run check for a successor. The channel is nil if admin
 	// calls are off.
 	successorChecks chan struct{}
 	// stopped is closed when Run returns or start fails. Any goroutine may wait for it.
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -23,8 +23,8 @@
 }
 
 // Drainer may be implemented by a Handler. If the kernel does not accept all output of a connection at the first
-// attempt, Drained is called after it has accepted the rest. Drained may not be called if [Conn.Flush] sends the rest
-// in a later turn. For a dialled connection, Drained is also called after Opened if no output is left.
+// attempt, Drained is called after it has accepted the rest. If [Conn.Flush] sends the rest in a later turn, the call
+// of Drained may be omitted. For a dialled connection, Drained is also called after Opened if no output is left.
 type Drainer interface {
 	Drained(c *Conn)
 }
@@ -51,8 +51,8 @@
 	// emptyAt is the start time, by [Loop.Clock], of the last read that left no received data in the socket. Before
 	// the first such read, it is 0 for a dialled connection, and the listener's emptyAt for an accepted one.
 	emptyAt int64
-	// unreadPoll is the value of pollHistory.count in the last turn that may have left received data unread.
-	// It is initially the count at the accept of the connection, or 0 for a dialled connection.
+	// unreadPoll is the value of pollHistory.count in the last turn that may have left received data unread. Its
+	// initial value is the count when the connection was accepted, or 0 for a dialled connection.
 	unreadPoll int64
 }
 
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -4,9 +4,9 @@
 
 import "errors"
 
-// Errors of connections. [Handler.Closed] receives [ErrTimeout], [ErrEOF] or [ErrOverflow], or an [OpError] if a
-// system call failed, or the error that [Handler.Data] returned. [Loop.Dial] returns [ErrNoDescriptor] if the budget
-// has no descriptor left.
+// Errors of connections. [Handler.Closed] receives [ErrTimeout], [ErrEOF], [ErrOverflow], an [OpError] if a system
+// call failed, or the error that [Handler.Data] returned. [Loop.Dial] returns [ErrNoDescriptor] if the budget has no
+// descriptor left.
 var (
 	ErrTimeout      = errors.New("eventloop: connection not established in time")
 	ErrEOF          = errors.New("eventloop: closed by the other side")
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -176,8 +176,8 @@
 	return err != nil || ready > 0
 }
 
-// addAccepted adds a connection that was accepted. If epoll rejects the connection, it is closed and its
-// handler is not notified: Opened was not called, so Closed would release what Opened never acquired.
+// addAccepted adds a connection that was accepted. If epoll rejects the connection, it is closed and its handler is
+// not notified. Closed must not be called without Opened, because it releases what Opened acquires.
 func (l *Loop) addAccepted(fd int, listener *listener) {
 	setSocketOptions(fd)
 	c := &Conn{
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -27,7 +27,7 @@
 	ViewChanged
 )
 
-// String returns the name of the event kind in the log.
+// String returns the name that the log shows for the event kind.
 func (k EventKind) String() string {
 	return [...]string{"joined", "suspected", "refuted", "dead", "left", "back", "one way", "carries again",
 		"doubts itself", "name in use", "view"}[k]
@@ -45,7 +45,7 @@
 type Event struct {
 	Kind       EventKind
 	Name, Zone string
-	Nonce      uint64 // incarnation nonce of the named member; of the local one if the table lacks that name
+	Nonce      uint64 // incarnation nonce of the member Name, or of the local member if the table has no such member
 	Evidence   string
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -79,8 +79,8 @@
 // the transmit limit from the queue, and sorts the queue by the number of transmits, the fewest first.
 func (t *Table) packBroadcasts(p *packer, buckets uint32) {
 	inSync := p.message.Kind == Ack && buckets == 0 // the digests in the receiver's ping matched the local ones
-	// pageSpace is the space in bytes that is reserved for the page. Without it, the broadcasts would fill the
-	// datagram when all members of a zone change.
+	// pageSpace is the space in bytes that is reserved for the page. Without this reservation, the broadcasts would
+	// fill the datagram when all members of a zone change.
 	pageSpace := 0
 	if buckets != 0 {
 		pageSpace = p.free / 2
@@ -101,8 +101,8 @@
 }
 
 // packPage adds a page to a message: the updates of alive or suspected members in the given buckets. It continues
-// after the member that was considered last for the previous page, whichever receiver that page was sent to. It stops
-// when at most minPageSpace bytes are free or all members have been considered.
+// after the member that was considered last for the previous page, even if that page was sent to another receiver. It
+// stops when at most minPageSpace bytes are free or all members have been considered.
 func (t *Table) packPage(p *packer, buckets uint32) {
 	for n := 0; n < len(t.names) && p.free > minPageSpace; n++ {
 		t.pageCursor = (t.pageCursor + 1) % len(t.names)
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -2,7 +2,8 @@
 
 // This file implements Lifeguard's local health score, which measures how unreliable the local member's own
 // observations are. A higher score lengthens the timeouts of probes and suspicions. The file also handles stalls of
-// the local process: for some time after a stall, the local member suspects nobody merely for silence.
+// the local process: for some time after a stall, silence alone does not make the local member suspect another
+// member.
 
 // HealthScore returns the local health score, from 0 (healthy) to 8 (worst).
 func (t *Table) HealthScore() int { return t.healthScore }
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -34,7 +34,8 @@
 // member's zone, the local zone and a third zone can be found. A group without candidates is skipped.
 func (t *Table) chooseRelays(m *member) (relays []string) {
 	groups := t.relayCandidates(m)
-	// The last relay that reached the member's zone comes first, because it may be the only one that can.
+	// The last relay that reached the member's zone comes first, because it may be the only relay that can reach the
+	// zone.
 	if last := t.members[t.lastRelays[m.Zone]]; last != nil && last != m && last.State == Alive {
 		relays = append(relays, last.Name)
 		for i := range groups {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,7 +11,8 @@
 // probes to [Table.HandshakeProbeDone].
 //
 // Invariants: the table declares a member dead only if the local member has not reached it for an entire suspicion
-// timeout, whatever other members report. Silence that a stall of the local process may have caused does not count.
+// timeout, whatever other members report. Silence that a stall of the local process may have caused is not evidence
+// of a death.
 package membership
 
 // State tells whether a member is alive, suspected or dead, or has left, as far as the local member knows.
@@ -26,7 +27,7 @@
 	Left
 )
 
-// String returns the name of the state in the status report.
+// String returns the name that the status report shows for the state.
 func (s State) String() string { return [...]string{"alive", "suspected", "dead", "left"}[s&3] }
 
 // Confirmation records that a member cannot reach a suspected member.
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -25,8 +25,9 @@
 	// name of the member that requested the Ping, and the sequence number of this member's own Ping to the target.
 	OnBehalfOf         string
 	OnBehalfOfSequence uint64
-	// DirectPingReceived is used in the Ack of a Ping from a relay and in a PingRequestResult. It is true if a Ping
-	// from the requesting member itself has reached the target: the one with this sequence number or a later one.
+	// DirectPingReceived is used in the Ack of a Ping from a relay and in a PingRequestResult. It is true if the
+	// target has received a Ping directly from the requesting member, with the sequence number of the request or a
+	// higher one.
 	DirectPingReceived bool
 	Reached            bool // in a PingRequestResult: whether Target answered
 	// Digests holds, in a Ping, the digests of the sender's table by bucket. The answer carries pages, which are
--- a/internal/membership/path.go
+++ b/internal/membership/path.go
@@ -14,7 +14,7 @@
 	PathDown              // neither direction works
 )
 
-// String returns the name of the path's state in the status report.
+// String returns the name that the status report shows for the path's state.
 func (p Path) String() string { return [...]string{"both ways", "out shut", "in shut", "shut"}[p&3] }
 
 // pathDirection is the state of one direction of a path.
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -69,7 +69,7 @@
 	conn        *eventloop.Conn  // nil while no connection is open or being opened
 	nonce       uint64           // incarnation nonce of the process that the records are for
 	established bool             // whether the peer's hello has arrived and is valid
-	redialDelay int64            // last redial delay in microseconds; 0 without a failure since the last valid hello
+	redialDelay int64            // last redial delay in microseconds; 0 before the first failure and after a valid hello
 	timer       *eventloop.Timer // fires when the next dial, the next burst or the idle timeout is due
 }
 
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestRecordsOfUnknownMember asserts that a connection for records is refused if the hello has the name of no member,
-// the wrong incarnation nonce or an unknown record kind.
+// TestRecordsOfUnknownMember asserts that a connection for records is refused if its hello does not name a member, or
+// has the wrong incarnation nonce or an unknown record kind.
 func TestRecordsOfUnknownMember(t *testing.T) {
 	pair := newTwoPeers(t)
 	for _, hello := range []*peerpb.Hello{
--- a/internal/testbed/hollow/discovery.go
+++ b/internal/testbed/hollow/discovery.go
@@ -183,9 +183,9 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, cursor, event)
 }
 
-// answer returns the answer to a poll. If there is nothing to send yet, the answer is "", and the returned channel
-// added is closed when the next event is added. The result cursor is the higher of two cursors: that of the last
-// event and that of the poll.
+// answer returns the answer to a poll. If there is nothing to send yet, the answer is "", and the channel in the
+// result added is closed when the next event is added. The result cursor is the higher of two cursors: that of the
+// last event and that of the poll.
 func (d *Discovery) answer(p *poll) (answer string, cursor int, added <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -201,7 +201,7 @@
 	return answerText(cursor, eventText(cursor, d.revision, false, entries)), cursor, nil
 }
 
-// entriesSince returns the entries for a poll from the events after a revision. For each worker, this is the latest
+// entriesSince selects entries for a poll from the events after a revision. It returns, for each worker, the latest
 // entry that the poll wants. urgent is true if the state of any of these workers changed. The caller holds the lock.
 func (d *Discovery) entriesSince(revision int, p *poll) (texts []string, urgent bool) {
 	indexes := map[*Worker]int{}
--- a/internal/testbed/hollow/worker.go
+++ b/internal/testbed/hollow/worker.go
@@ -47,10 +47,10 @@
 type FailureMode int
 
 const (
-	// Crash is the crash of the worker's process: its connections are reset and new ones refused.
+	// Crash emulates the end of the worker's process: its connections are reset, and new ones are refused.
 	Crash FailureMode = iota
-	// Unreachable is the loss of the worker's host or network: its connections stay open but are silent.
-	// New connections are refused, because a host cannot be removed from the loopback network.
+	// Unreachable emulates the loss of the worker's host or network: its connections stay open but are silent. New
+	// connections are refused, because a host cannot be removed from the loopback network.
 	Unreachable
 )
 
--- a/internal/testbed/worker_faults.go
+++ b/internal/testbed/worker_faults.go
@@ -81,7 +81,7 @@
 }
 
 // isResponsive reports whether the worker handles the messages of a connection that it accepted in the given
-// incarnation. It does not if it hangs or is unreachable, or if it has crashed since then.
+// incarnation. It returns false if the worker hangs, is unreachable, or has crashed since it accepted the connection.
 func (w *Worker) isResponsive(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/worker_script.go
+++ b/internal/testbed/worker_script.go
@@ -15,8 +15,8 @@
 //   - error- reports that the task failed.
 //   - silent- and any unknown word give no response.
 //   - reset- resets the connection.
-//   - missed- acts as silent- at the first attempt of a request and as ok- at later attempts. Attempts at all
-//     workers that share the AttemptLog count.
+//   - missed- acts as silent- at the first attempt of a request and as ok- at later attempts. Attempts
+//     at any worker that shares the AttemptLog are counted.
 //   - half- and bare- give an invalid response to the worker's first offer with this key and accept later offers,
 //     but never run the task. The invalid response is half a message (half-) or a message without its blob (bare-).
 //   - twice- sends two responses to a request that was never offered, and then the acceptance of the offer twice.
--- a/test/backpressure/demand_test.go
+++ b/test/backpressure/demand_test.go
@@ -102,7 +102,7 @@
 	return jobs
 }
 
-// drawClass draws a class with the probabilities that the shares of the classes give.
+// drawClass draws a class. The share of a class is its probability.
 func (d *demand) drawClass() *class {
 	pick := d.random.Float64()
 	for i := range classes {
--- a/test/backpressure/figures_test.go
+++ b/test/backpressure/figures_test.go
@@ -17,14 +17,14 @@
 	// start of the storm.
 	lastStartBound    float64
 	relaysInTimeBound float64 // upper bound of relaysInTime
-	// settledAt is the time of the storm's last start or the time when submissions are back at the usual rate,
-	// whichever is later, in seconds since the start of the storm.
+	// settledAt is the time when the storm's last task has started and submissions are back at the usual rate, in
+	// seconds since the start of the storm.
 	settledAt float64
 
 	submissionsPerStart float64
 	relaysInTime        float64 // fraction of the storm's started live-relay tasks that started within their latency objective
 	offersPerStart      float64 // offers that workers accepted or rejected, divided by the number of acceptances
-	peakColdLoad        float64 // maximum of PeakLoad over all workers; above 1, a worker in slow start has stopped responding
+	peakColdLoad        float64 // maximum PeakLoad of all workers; above 1 if a worker in slow start was overloaded
 	utilization         float64 // mean utilization of the workers, from 0 to 1, see utilizationUntil
 
 	lateResponses      int
--- a/test/backpressure/recorder_test.go
+++ b/test/backpressure/recorder_test.go
@@ -90,7 +90,7 @@
 	return r.acceptances[key] > 0
 }
 
-// startedWithin reports whether a task first completed its start by since+limit.
+// startedWithin reports whether a task first completed its start no later than since+limit.
 func (r *recorder) startedWithin(key string, since time.Time, limit time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/scale/hollow/assignment_test.go
+++ b/test/scale/hollow/assignment_test.go
@@ -57,13 +57,12 @@
 	return assigned
 }
 
-// conflicts counts the shards that no member, or more than one member, considers assigned to it.
+// conflicts holds the number of shards that no member has, and the number of shards that several members have.
 type conflicts struct{ unassigned, duplicates int }
 
 func (c conflicts) any() bool { return c.unassigned+c.duplicates > 0 }
 
-// conflicts counts the shards with a conflict: shards that no member, or more than one member, considers
-// assigned to it.
+// conflicts counts the shards that no member has in a, and the shards that several members have in a.
 func (a assignments) conflicts(regions shard.Regions) (found conflicts) {
 	for zone := range regions {
 		for n := range shard.Count {
--- a/test/scale/hollow/hollow_test.go
+++ b/test/scale/hollow/hollow_test.go
@@ -36,8 +36,8 @@
 	// maxBytesExponent is the maximum exponent of the power law by which the traffic of a member grows with the
 	// number of members.
 	maxBytesExponent = 0.25
-	// minSplitCut is a time in seconds. In a cut of at least this duration, each side must consider all members of
-	// the other side dead before the cut ends.
+	// minSplitCut is a duration of a cut in seconds. In a cut that lasts at least this long, each side must consider
+	// all members of the other side dead before the cut ends.
 	minSplitCut = 60
 	// maxDeadMessages is the maximum mean number of datagrams per second that a member may send, in the last part of
 	// a cut, to members that are unknown, dead or departed in its table.
--- a/test/scale/hollow/judge_test.go
+++ b/test/scale/hollow/judge_test.go
@@ -10,8 +10,8 @@
 // must derive the expected results from the state of the simulation alone, never from the members' reports.
 
 const (
-	// reachablePeriod is a time in microseconds. A report that a member died is false only if the reporter could
-	// reach the member throughout this time before the report.
+	// reachablePeriod is a duration in microseconds. A report that a member died is false only if the reporter could
+	// reach the member for this long, up to the report.
 	reachablePeriod = 6 * second
 	// startGrace is the time in microseconds after the start of a process during which others may still report it
 	// dead, because their reports may concern the previous process.
--- a/test/scale/hollow/scenario_test.go
+++ b/test/scale/hollow/scenario_test.go
@@ -9,8 +9,8 @@
 	agreementCheckPeriod = 100_000
 	// agreementTimeout is the maximum time for which a phase other than cut waits for the tables to agree.
 	agreementTimeout = 180 * second
-	// settleTime is the time for which the first phase, forming, continues after its wait for the tables to agree.
-	// Updates about the starts of the members may still circulate during this time.
+	// settleTime is the time for which the first phase, forming, continues after the tables agree or agreementTimeout
+	// has passed. Updates about the starts of the members may still circulate during this time.
 	settleTime = 10 * second
 	// timeAfterAgreement is the time for which a phase after the cut continues once its wait for the tables to agree
 	// has ended.
@@ -142,8 +142,8 @@
 }
 
 // recordSample adds the loads of all members to the record of a phase and resets these loads. At a full second, it
-// also updates the peaks and appends a row to the samples. If a sample ends within a second, its load is kept and
-// counts in the peaks and the row of the sample that completes the second.
+// also updates the peaks and appends a row to the samples. If a sample ends before a full second, its load is kept.
+// The peaks and the row of that second include it.
 func (s *scenario) recordSample(ph phase, fullSecond bool) {
 	r := &s.records[ph]
 	for _, m := range s.members {
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// connect opens a connection and reports whether it succeeded. It returns false without an attempt if
-// the first terminating signal was sent more than reconnectWindow ago. If a running process refuses the connection,
-// connect records the refusal, but only before half of reconnectWindow has passed since that signal.
+// connect opens a connection and reports whether it succeeded. It returns false without an attempt if the first
+// terminating signal was sent more than reconnectWindow ago. If a running process refuses the connection, connect
+// records the refusal, unless half of reconnectWindow has already passed since that signal.
 func (c *client) connect() bool {
 	since := c.process.sinceStop(time.Now())
 	if since > reconnectWindow {
--- a/test/soak/judge_test.go
+++ b/test/soak/judge_test.go
@@ -170,10 +170,10 @@
 // the task may still be lost or delayed.
 const reportLossWindow = 100 * time.Millisecond
 
-// isUnreported reports whether the completion of a task was not reported to its client in time. It returns false
-// if the task has not ended or the client is gone: it cancelled the request, left, or lost its connection before a
-// response. It also returns false if the process may not have learned of the completion, had no time to report it, or
-// its report may not have reached the client:
+// isUnreported reports whether the completion of a task was not reported to its client in time. It returns false if
+// the task has not ended or the client is gone: it cancelled the request, left, or lost its connection before a
+// response. It also returns false in the following cases. In these, the process may not have learned of the
+// completion or may have had no time to report it, or its report may not have reached the client:
 //   - The worker or its path had a fault between the submission and the time limit.
 //   - A connection to the worker ended before the limit, but no earlier than reportLossWindow before the end of the
 //     task. A worker that cannot send a report at once may send it on a later connection within 8 s.
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -124,8 +124,8 @@
 	return p
 }
 
-// drawFault draws one fault. Only workers with an even index have a proxy, so these workers get the faults of
-// paths. Workers with an odd index get the faults of workers.
+// drawFault draws one fault. Only workers with an even index have a proxy, so these workers get the faults that
+// affect the path. Workers with an odd index get the faults that affect the worker itself.
 func (p *plan) drawFault(random *rand.Rand) fault {
 	f := fault{
 		at:      drawDuration(random, 100*time.Millisecond, p.stopAt+faultsAfterStop),
