--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -39,7 +39,7 @@
 }
 
 // Every state can be reached from stateNew, a request can be removed in every state that it can have in the table, and
-// no state is both open and occupies a worker.
+// no state is open and also occupies a worker.
 func TestEveryStateIsReachedAndLeft(t *testing.T) {
 	reached := statesOf(stateNew)
 	for range stateCount {
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -63,11 +63,11 @@
 	return true
 }
 
-// resume handles a repeated submission, and reports whether s is one: its request ID or its key belongs to a request
-// in the table, or the response to its request ID is cached. The response is sent to client, at once if it is cached
-// or the task runs, and otherwise when the open request gets its final response. This prevents a second start if a
-// response was sent and never read. resume returns ErrKeyInUse if the request in the table is not resumable or has
-// another key, and ErrTerminating if its task is terminating.
+// resume handles a repeated submission and reports whether s is a repeat. It is a repeat if its request ID or its key
+// belongs to a request in the table, or if the response to its request ID is cached. The response is sent to client, at
+// once if it is cached or the task runs, and otherwise when the open request gets its final response. Thus the task is
+// not started twice if a response was sent and never read. resume returns ErrKeyInUse if the request in the table is
+// not resumable or has another key, and ErrTerminating if its task is terminating.
 func (d *Dispatcher) resume(client Client, s *Submission) (bool, error) {
 	r := d.find(s.RequestID)
 	if r == nil {
@@ -97,8 +97,9 @@
 }
 
 // checkNames returns ErrRequestIDInUse if the request ID of a submission belongs to a request in the table or to an
-// unresponsive task. It returns ErrKeyInUse if the key belongs to a request of another front, which it recognises by
-// another value of Resumable. This second check is omitted for a task that is submitted as already running.
+// unresponsive task. It returns ErrKeyInUse if the key belongs to a request with a different value of Resumable, which
+// means that the request came through another front. The check of the key is omitted for a task that is submitted as
+// already running.
 func (d *Dispatcher) checkNames(s *Submission) error {
 	if d.Contains(s.RequestID) {
 		// The response to this submission would be a second one under the same request ID. If the task is
--- a/internal/dispatch/submit_test.go
+++ b/internal/dispatch/submit_test.go
@@ -6,7 +6,7 @@
 	"ravenhitch/placement"
 )
 
-// An adopted task gets no response to its submission, and no completion is sent if its client releases it.
+// An adopted task gets no response to its submission, and its client gets no completion if it releases the task.
 func TestAdopted(t *testing.T) {
 	h := newHarness(t)
 	h.updateWorkers(placement.ListFull, placement.Ready, "a")
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -14,8 +14,7 @@
 	// no worker will report, and counts them as ended.
 	sweepInterval = 500 * millisecond
 	// drainRetention is the time for which drainingSince keeps an unlisted worker, measured from the start of its
-	// draining. Offers to the worker that wait to be sent need the entry (see CheckOffer), and they wait for a much
-	// shorter time.
+	// draining. CheckOffer needs the entry for offers that are not sent yet. They wait for a much shorter time.
 	drainRetention = 60 * second
 )
 
@@ -122,7 +121,7 @@
 		return
 	}
 	for worker, since := range d.drainingSince {
-		// Old names have to be deleted, because workers with new names keep appearing.
+		// Without this deletion, the map would grow without limit, because workers with new names keep appearing.
 		if !d.listed[worker] && d.now-since > drainRetention {
 			delete(d.drainingSince, worker)
 		}
--- a/internal/dispatch/unclaimed.go
+++ b/internal/dispatch/unclaimed.go
@@ -34,8 +34,8 @@
 	return unclaimedCompletions{byRequestID: map[string]unclaimedCompletion{}}
 }
 
-// UnknownTaskEnded records a worker's report on the end of a task that is not in the table. It ignores an outcome with
-// which no running task can end.
+// UnknownTaskEnded records a worker's report on the end of a task that is not in the table. It ignores the report if a
+// running task cannot end with the outcome.
 func (d *Dispatcher) UnknownTaskEnded(now int64, worker, requestID string, outcome placement.Outcome, cause placement.Cause) {
 	if isTaskOutcome(outcome) {
 		d.unclaimed.add(requestID, unclaimedCompletion{worker, outcome, cause, now})
--- a/internal/dispatch/unresponsive_test.go
+++ b/internal/dispatch/unresponsive_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// mustSubmitSpread submits a resumable task of class apart, of which a worker may run only one task per
+// mustSubmitSpread submits a resumable task of the class "apart". A worker may run only one task of this class per
 // program.
 func (h *harness) mustSubmitSpread(requestID string) {
 	h.t.Helper()
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -22,10 +22,11 @@
 // of one of its own methods.
 type WorkerPool interface {
 	Offer(worker string, offer Offer)
-	// CancelAttempt cancels an offer that was not answered. The cancel is sent before any later offer. mayRetry
-	// states that another attempt may follow. CancelAttempt returns true if the attempt is over. In a deployment
-	// that does not allow pings, nothing confirms a cancel. There it also returns true once the cancel is sent, if
-	// mayRetry is false. If it returns false, CancelConfirmed or TaskEnded is called once the attempt is over.
+	// CancelAttempt cancels an offer that was not answered. The cancel is sent before any later offer. mayRetry states
+	// that another attempt may follow. CancelAttempt returns true if the attempt is over. In a deployment that does not
+	// allow pings, nothing confirms a cancel. In such a deployment, CancelAttempt also returns true once the cancel is
+	// sent, if mayRetry is false. If CancelAttempt returns false, CancelConfirmed or TaskEnded is called once the
+	// attempt is over.
 	CancelAttempt(worker, requestID string, mayRetry bool) (confirmed bool)
 	// Release requests a worker to end a running task.
 	Release(worker, requestID string)
--- a/internal/grpcfront/offer.go
+++ b/internal/grpcfront/offer.go
@@ -60,9 +60,9 @@
 // checkSubmission returns a gRPC status error if a field of the submission is invalid.
 func checkSubmission(submission dispatch.Submission) error {
 	if submission.TimeoutUs == 0 {
-		// A timeout of 0 is valid in an offer but not for Validate, so it is replaced in this copy of the
-		// submission. The caller's submission keeps it until submitPlace sets the time left until the deadline of
-		// the call. If there is no such deadline, the function submit sets the timeout of the class.
+		// A timeout of 0 is valid in an offer but not for Validate, so it is replaced in this copy of the submission.
+		// The caller's submission keeps the 0 until submitPlace sets the time left until the deadline of the call. If
+		// there is no such deadline, the function submit sets the timeout of the class.
 		submission.TimeoutUs = 1
 	}
 	if err := submission.Validate(); err != nil {
--- a/internal/grpcfront/rpc_test.go
+++ b/internal/grpcfront/rpc_test.go
@@ -203,7 +203,7 @@
 	return text
 }
 
-// session is the client's side of a stream of a session.
+// session is the client's side of one stream.
 type session struct {
 	edgepb.Orchestrator_SessionClient
 }
--- a/internal/grpcfront/session.go
+++ b/internal/grpcfront/session.go
@@ -216,8 +216,8 @@
 	s.endIfAllResponded()
 }
 
-// release cancels an open offer or ends a running task of the session, and notifies the client, because the dispatcher
-// sends no response to a cancel. If there is no such offer or task, the client gets no message.
+// release cancels an open offer or ends a running task of the session, and notifies the client itself, because the
+// dispatcher sends no response to a cancel. If there is no such offer or task, the client gets no message.
 func (s *session) release(requestID string) {
 	switch s.front.dispatcher.Cancel(s.front.loop.Now(), s, requestID) {
 	case dispatch.WasOpen:
--- a/internal/grpcfront/stream.go
+++ b/internal/grpcfront/stream.go
@@ -66,7 +66,7 @@
 	if err := f.post(func() { st.session = f.attach(open.GetSession(), open.GetSeen(), st) }); err != nil {
 		return err
 	}
-	go f.receiveAll(server, st) // ends at the latest when Session has returned, because server.Recv fails then
+	go f.receiveAll(server, st) // the goroutine ends when Session has returned, if not before: server.Recv fails then
 	defer f.loop.Post(func() {
 		if st.session != nil {
 			st.session.detach(st)
@@ -83,7 +83,7 @@
 		err     error
 	}
 	result := make(chan received, 1)
-	go func() { // ends at the latest when Session has returned, because server.Recv fails then
+	go func() { // the goroutine ends when Session has returned, if not before: server.Recv fails then
 		message, err := server.Recv()
 		result <- received{message, err}
 	}()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -150,7 +150,7 @@
 	case p.acked:
 		t.improveHealth()
 	case p.aliveIndirectly:
-		// The member is alive, so at most the direct path to it has failed. Whether the member received the direct
+		// The member is alive, so only the direct path to it can have failed. Whether the member received the direct
 		// ping shows which direction of the path failed.
 		if p.reachedByRelay && p.directPingReceived {
 			t.pathFailed(m, inbound, p.handshakeTimedOut)
--- a/internal/membership/schedules_test.go
+++ b/internal/membership/schedules_test.go
@@ -16,8 +16,8 @@
 )
 
 // runSchedule runs one schedule of faults until 3 s after end. It checks that no invariant is violated, and that every
-// table lists exactly the running members after the formation and at the end of the run. violation describes the first
-// failed check, with at most three violated invariants, or is "" if all checks pass.
+// table lists exactly the running members after the cluster has formed and at the end of the run. violation describes
+// the first failed check, with at most three violated invariants, or is "" if all checks pass.
 func runSchedule(size int, seed uint64, faults []fault, end int64) (c *cluster, violation string) {
 	c = newCluster(size, seed, faults)
 	c.run(formationTime(size))
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -69,8 +69,8 @@
 	return active
 }
 
-// startFault applies the effect of a fault on the target's process at the start of the fault. Network faults are
-// evaluated for each datagram and handshake instead.
+// startFault applies a fault to the process of its target when the fault starts. Network faults are evaluated for each
+// datagram and handshake instead.
 func (c *cluster) startFault(f fault) {
 	if f.target < 0 || f.kind == faultCut {
 		return
--- a/internal/membership/sim_invariants_test.go
+++ b/internal/membership/sim_invariants_test.go
@@ -66,8 +66,8 @@
 		float64(c.now)/second, memberName(reporter), e.Name, e.Evidence))
 }
 
-// recordOneWayFound handles a member's report that a path is degraded. It records that the one-way faults between the
-// two ends of this path were found, if they are active or ended less than a second ago.
+// recordOneWayFound handles a member's report that a path is degraded. It records as found the one-way faults between
+// the two ends of the path that are active or ended less than a second ago.
 func (c *cluster) recordOneWayFound(reporter int, e Event) {
 	for index, f := range c.faults {
 		sameEnds := memberName(f.target) == e.Name && f.other == reporter || memberName(f.other) == e.Name && f.target == reporter
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -10,9 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Main is the TestMain of a package with property-based tests. It sets rapid's flags itself. If they were
-// given on the command line of go test, packages without rapid would get them too and would reject them. Main
-// does not return.
+// Main is the TestMain of a package with property-based tests. It sets rapid's flags itself, because flags on the
+// command line of go test are also passed to packages without rapid, which reject them. Main does not return.
 func Main(m *testing.M, seed string) {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -1,8 +1,8 @@
 package simwire
 
-// This file contains the reading of batches: lines, the BATCH and FLUSH lines around a batch, and
-// the pages of workers that later messages refer to. A call of Next never waits for a line after the
-// end of its batch. The fields of messages and rows are read in messages.go.
+// This file reads batches: it splits the input into lines, and handles the BATCH and FLUSH lines around a batch and the
+// pages of workers that later messages refer to. A call of Next never waits for a line after the end of its batch. The
+// fields of messages and rows are read in messages.go.
 
 import (
 	"bufio"
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -1,6 +1,6 @@
 package simwire
 
-// This file contains the writing of replies. Lines are buffered, and a reply is flushed when it is complete.
+// This file writes replies. Lines are buffered, and a reply is flushed when it is complete.
 
 import (
 	"bufio"
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the reading of the fields of a line. Fields are separated by single spaces, and "-"
-// stands for an absent field. The first error is stored, and fields.end returns it.
+// This file reads the fields of a line. Fields are separated by single spaces, and "-" stands for an absent field. The
+// first error is stored, and fields.end returns it.
 
 import (
 	"fmt"
--- a/internal/simwire/load.go
+++ b/internal/simwire/load.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the parsing of load reports, each of which is one field of a message. If a report lacks
-// a value, the value is NaN, never 0.
+// This file parses load reports, each of which is one field of a message. If a report lacks a value, the value is NaN,
+// never 0.
 
 import (
 	"math"
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -1,8 +1,7 @@
 package simwire
 
-// This file contains the decoding of the simulator's messages into events, and of the rows of its
-// pages into entries. The order in which the fields are read is their order on the wire and must not
-// change.
+// This file decodes the simulator's messages into events, and the rows of its pages into entries. It reads the fields
+// in their order on the wire, so this order must not change.
 
 import (
 	"fmt"
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the mapping from the paths of settings on the wire to the settings of a
-// scheduler. It adds no values for missing settings except the defaults in this file.
+// This file maps the paths of settings on the wire to the settings of a scheduler. It adds no values for missing
+// settings except the defaults in this file.
 
 import (
 	"fmt"
--- a/internal/simwire/settingsreader.go
+++ b/internal/simwire/settingsreader.go
@@ -1,7 +1,7 @@
 package simwire
 
-// This file contains the parsing of the values of settings. After an error, reading continues with the next
-// setting, and the first error is stored.
+// This file parses the values of settings. After an error, reading continues with the next setting, and the first error
+// is stored.
 
 import (
 	"fmt"
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -46,8 +46,8 @@
 	pendingResets map[string]bool     // requests whose offers were reset and whose ends are not reported yet
 	releases      unconfirmedReleases // unconfirmed releases of running tasks
 
-	lostUnnoticedAt int64 // time of the last end of a connection that the worker may still consider open
-	openedAt        int64 // time at which a connection was last established, or one for late completions was dialled
+	lostUnnoticedAt int64 // latest time at which a connection ended that the worker may still consider open
+	openedAt        int64 // time at which a connection was last established, or last dialled for late completions
 	prunedAt        int64 // time at which pruneConns last closed a connection; the worker notices the close later
 }
 
@@ -121,8 +121,8 @@
 }
 
 // scheduleRedial schedules a dial after a backoff that doubles with each redial, up to maxRedialBackoff. It does
-// nothing if the worker is not listed or a redial is already scheduled. When the time comes, the dial is skipped if
-// the worker is no longer listed, is not assigned to this orchestrator or has a connection, or if the descriptor
+// nothing if the worker is not listed or a redial is already scheduled. When the backoff is over, the dial is skipped
+// if the worker is no longer listed, is not assigned to this orchestrator or has a connection, or if the descriptor
 // budget allows no dial.
 func (l *link) scheduleRedial() {
 	if !l.listed || l.redialTimer.Pending() {
@@ -136,8 +136,8 @@
 	})
 }
 
-// sweep maintains the connections to a worker, given a summary of the tasks that run there. If tasks run and the
-// newest connection is up but not known to be alive, sweep dials another one if the descriptor budget and maxConns
+// sweep maintains the connections to a worker, given a summary of the tasks that run there. If tasks run and the newest
+// connection is up but not known to be alive, sweep dials another connection if the descriptor budget and maxConns
 // allow it. Without this dial, a dead connection would go unnoticed for too long while no offer is sent, and the
 // completions of the tasks would be late. While offers are sent, cancelOffer also finds a dead connection: it aborts
 // the connection if an offer is cancelled and no data has been received since the offer was made.
--- a/internal/workerpool/link_test.go
+++ b/internal/workerpool/link_test.go
@@ -9,7 +9,7 @@
 )
 
 // If discovery lists a new start time of a worker, the tasks that ran there are reported as ended as soon as no
-// connection is up that was dialled before the start. Each start ends tasks only once.
+// connection that was dialled before the start is up. Each start ends tasks only once.
 func TestListedStartEndsTasks(t *testing.T) {
 	lt := newLinkTest(t)
 	l := lt.listWorker()
@@ -106,7 +106,7 @@
 	l.scheduleRedial()
 
 	elapsed := false
-	lt.loop.After(2*minRedialBackoff+sweepInterval, func() { elapsed = true }) // later than the redial and a sweep
+	lt.loop.After(2*minRedialBackoff+sweepInterval, func() { elapsed = true }) // late enough for a redial and a sweep
 	lt.runUntil(func() bool { return elapsed })
 
 	if len(l.conns) != 0 || l.openedAt != 0 {
--- a/internal/workerpool/liveness.go
+++ b/internal/workerpool/liveness.go
@@ -17,8 +17,8 @@
 	deadAfterRefusedUnpinged = 4 * second
 )
 
-// applyRestart ends the tasks that ran at the worker before its process was restarted, as soon as no connection is up
-// that was dialled before the restart. While such a connection is up, the process that ran the tasks may still be
+// applyRestart ends the tasks that ran at the worker before its process was restarted, as soon as no connection that
+// was dialled before the restart is up. While such a connection is up, the process that ran the tasks may still be
 // alive, whatever the list of discovery says. The start time from discovery is needed because a restart may go
 // unnoticed otherwise: a worker that dies while it has no connection causes no reset, and if it restarts quickly, it
 // refuses connections only briefly.
--- a/internal/workerpool/message.go
+++ b/internal/workerpool/message.go
@@ -115,12 +115,11 @@
 	c.link.pruneConns()
 }
 
-// finishTask handles a FINISH for a request that has no written, open offer on this connection. The message may be
+// finishTask handles a FINISH for a request for which no written offer is open on this connection. The message may be
 // the completion of a running task, of a task whose attempt this orchestrator has cancelled or lost with its
-// connection, or of a task that no client has submitted to this orchestrator yet. It may also be a duplicate answer,
-// or an answer to an offer on another connection; such a message must not end an attempt. The outcomes "rejected"
-// and "never sent" do not complete a running task: a message with one of them duplicates the answer to an earlier
-// attempt.
+// connection, or of a task that no client has submitted to this orchestrator yet. It may also be a duplicate answer, or
+// an answer to an offer on another connection; such a message must not end an attempt. The outcomes "rejected" and
+// "never sent" do not complete a running task: a message with one of them duplicates the answer to an earlier attempt.
 func (c *workerConn) finishTask(outcome placement.Outcome, m *jsonlines.Message) {
 	dispatcher, worker, now := c.link.pool.dispatcher, c.link.workerID, c.link.pool.loop.Now()
 	cause := causesByNote[m.Opt("note")]
@@ -146,7 +145,7 @@
 	}
 }
 
-// handleEchoed handles the answer to a ping, which was sent behind cancels, as a probe or by pingAll. The answer to a
+// handleEchoed handles the answer to a ping. Pings are sent behind cancels, as probes and by pingAll. The answer to a
 // ping of pingAll needs no handling: the received data alone shows that the worker's process is alive.
 func (c *workerConn) handleEchoed(m *jsonlines.Message) {
 	if c.cancels.isAnswer(m.Tag) {
--- a/internal/workerpool/offer.go
+++ b/internal/workerpool/offer.go
@@ -38,8 +38,8 @@
 	return o.endOffset > 0 && o.endOffset <= conn.BytesSent()
 }
 
-// delayedOffer is an offer that sendOffer has delayed. It is sent on workerConn after the connection of the client that
-// made the request has been read.
+// delayedOffer is an offer that sendOffer has delayed. It is sent on workerConn after the connection of its client has
+// been read.
 type delayedOffer struct {
 	workerConn *workerConn
 	offer      *openOffer
--- a/internal/workerpool/offer_test.go
+++ b/internal/workerpool/offer_test.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Offers that wait for one connection are sent in the order in which they were made. This guards against sorting
-// offers by age: offers of one turn have the same age, so they were sent in map order. As a result, runs with the
-// same seed differed, and a task of low priority could be offered before a task of high priority.
+// Offers that wait for one connection are sent in the order in which they were made. This guards against sorting offers
+// by age. Offers of one turn have the same age, so such a sort left them in map order. As a result, runs with the same
+// seed differed, and a task of low priority could be offered before a task of high priority.
 func TestWaitingOffersLeaveInOrder(t *testing.T) {
 	lt := newLinkTest(t)
 	lt.listWorker()
--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -94,7 +94,7 @@
 }
 
 // SetAssigned sets the function that reports whether this orchestrator places tasks at a worker. The pool keeps
-// connections to these workers up, and to other workers only while tasks run there. isAssigned must return the same
+// connections to assigned workers up, and to other workers only while tasks run there. isAssigned must return the same
 // result for a worker until the next call of SetAssigned.
 func (p *Pool) SetAssigned(isAssigned func(worker string) bool) {
 	p.isAssigned = isAssigned
--- a/placement/history_test.go
+++ b/placement/history_test.go
@@ -52,7 +52,7 @@
 	running      []Place         // accepted attempts and adopted tasks that have not ended
 	probed       []string        // workers with a probe that was not answered
 	requestCount int
-	utilization  float64 // mean fraction of a worker's size that tasks request of it
+	utilization  float64 // mean fraction of a worker's size that its tasks request
 	stepCount    int
 	record       func(now int64, events []Event) // called with the arguments of each call of Handle, or nil
 }
--- a/test/backpressure/rig_test.go
+++ b/test/backpressure/rig_test.go
@@ -68,9 +68,9 @@
 	address string
 }
 
-// workerSpecs returns the specifications of the emulated workers. Every third worker is a node-64 and
-// the others are node-32. Zones are assigned round-robin; with three zones, all node-64 workers are in
-// the last zone. The first workers, as many as the parameter cold says, have just started.
+// workerSpecs returns the specifications of the emulated workers. Every third worker is a node-64 and the others are
+// node-32. Zones are assigned round-robin; with three zones, all node-64 workers are in the last zone. The parameter
+// cold is the number of workers that have just started. They are the first ones.
 func workerSpecs(workers, cold int) (specs []testbed.WorkerSpec) {
 	const cellSize = 6
 	for i := range workers {
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// This file tests .ci/known-red, which prints a pattern of the tests to skip: those that a list names as failing.
+// This file tests .ci/known-red, which prints a pattern that matches the tests to skip. These are the tests that a list
+// names as failing.
 
 // TestKnownRed checks the pattern that known-red prints for a valid list. It also checks that known-red fails if the
 // list is empty, a line does not have the expected format with all fields, or a test does not exist.
--- a/test/scale/orchestrator_test.go
+++ b/test/scale/orchestrator_test.go
@@ -99,7 +99,7 @@
 // kill ends the process with SIGKILL.
 func (o *orchestrator) kill() { o.End(syscall.SIGKILL) }
 
-// adminTimeout is the timeout for dialling in an admin call, and also the timeout for the call and its reply.
+// adminTimeout limits the dial of an admin call, and separately the call and its reply.
 const adminTimeout = 2 * time.Second
 
 // adminCall makes an admin call as operators do and parses the line of JSON in the reply into response.
