--- a/cmd/ravenhitch/fileworker.go
+++ b/cmd/ravenhitch/fileworker.go
@@ -46,7 +46,7 @@
 }
 
 // checkSuccessor checks whether this process has a successor. Stop requests this check before the shutdown begins.
-// checkSuccessor posts a function to the event loop. The function stores the result and begins the shutdown.
+// The function that checkSuccessor posts to the event loop stores the result and begins the shutdown.
 func (w *fileWorker) checkSuccessor() {
 	s, found := w.server, w.store.hasSuccessor()
 	s.loop.Post(func() {
@@ -55,9 +55,9 @@
 	})
 }
 
-// readFiles reads the handover files and posts what it finds to the event loop. It posts a successor whenever it
-// finds one. It posts the cordoned workers only if the list has changed since the last read. If the list cannot be
-// read, readFiles logs the error, and the cordons stay as they are.
+// readFiles reads the handover files and posts what it finds to the event loop. It posts that there is a successor
+// whenever it finds one. It posts the cordoned workers only if the list has changed since the last read. If the list
+// cannot be read, readFiles logs the error, and the cordons stay as they are.
 func (w *fileWorker) readFiles() {
 	s := w.server
 	if w.store.hasSuccessor() {
