--- a/cmd/ravenhitch/client_left_test.go
+++ b/cmd/ravenhitch/client_left_test.go
@@ -183,7 +183,7 @@
 func TestNoOfferForCancelledRequest(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// begin makes further requests wait, and returns the function end, which ends this wait.
+		// begin makes further requests wait. They wait until the test calls end, the function that begin returns.
 		begin func(t *testing.T, server *testServer) (end func())
 		read  bool // true if the server reads requests during the wait
 	}{
--- a/internal/clientfront/conn.go
+++ b/internal/clientfront/conn.go
@@ -178,7 +178,7 @@
 		retryAfterUs = openLimitRetryAfter
 	}
 	c.Respond(dispatch.Response{Kind: dispatch.Rejected, RequestID: requestID, RetryAfterUs: retryAfterUs})
-	c.front.log.Warn("too many open requests on connection without task", "open", len(c.openRequests))
+	c.front.log.Warn("request rejected, too many open before a first task", "open", len(c.openRequests))
 }
 
 // finish handles a FINISH: it cancels a request that is open on this connection, or releases a running task of any
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -9,7 +9,7 @@
 
 // ErrResponse is wrapped by every error of this package for an invalid response of discovery. If only the content of
 // the body is invalid, the error is one of package config and does not wrap ErrResponse.
-var ErrResponse = errors.New("malformed response")
+var ErrResponse = errors.New("invalid response")
 
 // ResponseError is the error for a response that is malformed HTTP/1.1, exceeds a limit, or uses an unsupported
 // feature of HTTP/1.1. It wraps ErrResponse.
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	if !r.state.occupiesWorker() {
-		d.log.Warn("adopted task has an open request", "request_id", s.RequestID, "worker", s.RunningOn)
+		d.log.Warn("adoption ignored, request is open", "request_id", s.RequestID, "worker", s.RunningOn)
 	}
 	return true
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// receiveAck handles an ack that answers the ping of a local probe or of a relayed probe. It ignores other acks, and
-// acks of a process that is not the one in the table.
+// receiveAck handles an ack that answers the ping of a local probe or of a relayed probe. It ignores all
+// other acks. It also ignores an ack whose sender is not in the table, or is another process than the one that the
+// table has under that name.
 func (t *Table) receiveAck(m *Message, sender *member) {
 	if sender == nil || sender.Nonce != m.Sender.Nonce {
 		return
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -16,9 +16,11 @@
 	AsymmetricDetected int             // number of cuts in AsymmetricCuts that at least one end of the path reported
 	ViewChanges        int64           // changes of the stable view, summed over all orchestrators
 	DetectionTimes     []time.Duration // times from stop to detection, sorted, one for each pair of subject and reporter
-	Disagreement       time.Duration   // time from the latest heal step to the last wrong view, 0 if there is none
-	TrafficRate        float64         // mean number of bytes that a member sent per second
-	Violations         []string        // one line for each violation of a rule
+	// Time from the latest heal step to the last wrong view after it, 0 if no view was wrong after it. The value is
+	// meaningless without a heal step.
+	Disagreement time.Duration
+	TrafficRate  float64  // mean number of bytes that a member sent per second
+	Violations   []string // one line for each violation of a rule
 }
 
 // String returns the counts and times of the verdict on one line.
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// This file owns the processes of the program that tests and rehearsals start: their start,
+// This file owns the child processes that run the program in tests and rehearsals: their start,
 // log, signals and end. It must never signal a process that it did not start.
 
 // Process runs the program as a child process, which may be restarted after it has ended.
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -43,7 +43,7 @@
 	connections      map[net.Conn]bool
 	offerConnections map[string]net.Conn // connection of each offer, by request ID
 	running          map[string]bool     // running tasks, by request ID
-	offerCounts      map[string]int      // number of offers, by the task's key
+	offerCounts      map[string]int      // number of offers, by the task's key; only without a CapacityModel
 	dials            int                 // number of connections accepted
 	unreported       []Line              // reports of ended tasks to send on the next connection
 	unresponsive     bool                // the worker reads messages and ignores them
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -67,7 +67,7 @@
 	OverQuotaWeight      float64 // factor on the priority of the tasks of a tenant that is over its quota
 
 	PollsDiscovery     bool  // discovery answers only when it is polled
-	PollWithinUs       int64 // maximum time between two polls of discovery while no list arrives
+	PollWithinUs       int64 // maximum time between two polls while no list arrives; not kept if below 2 s
 	HasView            bool  // list entries contain the free capacity
 	AcceptMeansRunning bool  // an Accepted event means that the task runs, not only that it was accepted
 	Probes             bool  // Probe is permitted, and probe reports contain data that the scheduler can use
--- a/placement/slope_test.go
+++ b/placement/slope_test.go
@@ -81,8 +81,8 @@
 	return row
 }
 
-// reportSlope prints the exponents with which the times grow. It writes the table of measurements and the
-// chart to the files that the flags name, if any.
+// reportSlope prints the exponents with which the time per request and the time per list entry grow with the
+// number of workers. It writes the table of measurements and the chart to the files that the flags name, if any.
 func reportSlope(t *testing.T, rows []*slopeRow) {
 	t.Helper()
 	request, entry := plot.Series{Name: "request and answer"}, plot.Series{Name: "list entry"}
--- a/test/scale/ledger_test.go
+++ b/test/scale/ledger_test.go
@@ -371,8 +371,8 @@
 	return lines
 }
 
-// close stops the timers of the request deadlines. From then on, the ledger records no further unanswered requests
-// or completions.
+// close stops the timers of the request deadlines. From then on, the ledger counts no request as unanswered
+// and records no completion that a worker reports. It still counts messages from orchestrators.
 func (l *ledger) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
