--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -93,7 +93,7 @@
 		d.attemptEnded(r, r.cancelOutcome, placement.CauseUnknown)
 		d.awaitFinalAction(r)
 	case statePending:
-		d.log.Warn("request left to its deadline", "request_id", r.RequestID, "class", r.Class)
+		d.log.Warn("request still pending at its deadline", "request_id", r.RequestID, "class", r.Class)
 		d.queueEvent(placement.ClientCancelled{RequestID: r.RequestID})
 		d.rejectOrFail(r)
 	case stateRunning:
