--- a/cmd/ravenhitch/progress.go
+++ b/cmd/ravenhitch/progress.go
@@ -69,7 +69,7 @@
 	fmt.Fprintf(&text, "%5.1f s  last second: %4d tasks started, %d refused, %d failed, %d lost%s\n",
 		snapshot.At, last.Started, last.Rejected, last.Failed, last.Lost, clearLine)
 	for _, state := range snapshot.Fleet {
-		fmt.Fprintf(&text, "  %-4s %-6s %-8s reported: %d alive, %d suspected, %d dead; own view: %d%s\n",
+		fmt.Fprintf(&text, "  %-4s %-6s %-8s alive to %d, suspected by %d, dead to %d others; views %d%s\n",
 			state.Name, state.Zone, statusOf(state).label, state.Alive, state.Suspected, state.Dead, state.ViewSize, clearLine)
 	}
 	p.drawnLines = len(snapshot.Fleet) + 1
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -195,7 +195,7 @@
 		case result == HandshakeTimedOut:
 			p.handshakeTimedOut = true
 		case result == HandshakeRefused:
-			p.handshakeRefused = true // relays may still reach the member, so finished waits for them
+			p.handshakeRefused = true // finished keeps the probe open until relays have had time to report
 		}
 	}
 	return t.takeActions()
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -77,7 +77,7 @@
 	}
 	if err != nil {
 		h.peers.counts.Refused++
-		h.peers.rateLimitedLog.Warn("peer connection rejected", "member", h.member, "err", err)
+		h.peers.rateLimitedLog.Warn("peer connection closed, invalid message", "member", h.member, "err", err)
 		return 0, err
 	}
 	h.timer.Stop()
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -73,7 +73,7 @@
 		}
 		if err != nil {
 			in.peers.counts.Refused++
-			in.peers.rateLimitedLog.Warn("peer connection rejected", "err", err)
+			in.peers.rateLimitedLog.Warn("peer connection closed, invalid message", "err", err)
 			return 0, err
 		}
 		used += length
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -185,7 +185,7 @@
 	}
 	if err != nil {
 		s.peers.counts.Refused++
-		s.peers.rateLimitedLog.Warn("peer connection rejected", "member", s.member, "err", err)
+		s.peers.rateLimitedLog.Warn("peer connection closed, invalid message", "member", s.member, "err", err)
 		return 0, err
 	}
 	s.established, s.redialDelay = true, 0
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -59,7 +59,7 @@
 	}
 	if err != nil {
 		p.counts.Lost++
-		p.rateLimitedLog.Warn("peer datagram lost", "to", s.Message.To, "err", err)
+		p.rateLimitedLog.Warn("peer datagram not sent", "to", s.Message.To, "err", err)
 		return
 	}
 	p.counts.Sent++
--- a/internal/testbed/hollow/connection.go
+++ b/internal/testbed/hollow/connection.go
@@ -35,8 +35,8 @@
 
 func (c *connection) touch() { c.usedAt.Store(time.Now().UnixNano()) }
 
-// closeIdle closes the connections on which no message was sent or received since the given time. It does nothing if
-// the worker is unresponsive.
+// closeIdle closes the connections on which no message was sent or received since the given time. The connections of
+// an unresponsive worker are not closed.
 func (w *Worker) closeIdle(since time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
