--- a/cmd/ravenhitch/shutdown.go
+++ b/cmd/ravenhitch/shutdown.go
@@ -19,7 +19,7 @@
 	// is a process that started later and serves clients on the same listening socket, which the platform owns.
 	maxDeadlineWithSuccessorUs = 5 * second
 	killSlackUs                = 700 * millisecond
-	// killMarginUs is the time before the kill at which the server rejects or fails the open requests.
+	// killMarginUs is how long before the kill the server rejects or fails the requests that are still open.
 	killMarginUs = 300 * millisecond
 	// flushTimeoutUs is the first part of killMarginUs, in which clients may still read their last responses. The
 	// server stops at the end of this time, or earlier if nothing is left to deliver to clients.
--- a/internal/membership/sim_faults_test.go
+++ b/internal/membership/sim_faults_test.go
@@ -177,8 +177,8 @@
 	d.at += 4 * second
 }
 
-// drawTarget draws the target of a fault, the other member of a cut with a bridge, and the probability of a loss. It
-// reports whether it found a suitable target.
+// drawTarget draws the target of a fault, the bridge (field other) of a cut that has one, and the probability of a
+// loss. It reports whether it found a suitable target.
 func (d *faultDrawer) drawTarget(f *fault) bool {
 	switch f.kind {
 	case faultCut:
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -266,7 +266,8 @@
 	f := newFixture(t, testSettings(), 1, smallWorker("a", 0, 30))
 	f.scheduler.health.meanRTT, f.scheduler.health.rttDeviation = 20_000, 5_000
 	f.wantPlaced(f.handleAfter(ms, f.request("1", "safe", 1, 2)), "a")
-	// The scheduler is not called for two seconds. Then the answer arrives together with a new request.
+	// The scheduler is not called for two seconds. Then it receives the acceptance of request 1 together
+	// with a new request.
 	f.wantPlaced(f.handleAfter(2*second, f.request("2", "safe", 1, 2), Accepted{RequestID: "1", Worker: "a", RTTUs: 21_000}), "a")
 	if suspicion := f.scheduler.fleet.workers["a"].suspicion(f.now, 0); suspicion != 0 {
 		t.Errorf("got suspicion %v after a stall of the scheduler, want 0", suspicion)
