--- a/internal/testbed/fleet/judge.go
+++ b/internal/testbed/fleet/judge.go
@@ -144,7 +144,7 @@
 	if !e.falseDead[pair] && e.mustBeAlive(s, pair) {
 		e.falseDead[pair] = true
 		e.verdict.FalseDead++
-		e.verdict.violation("%.1f s: %s reports %s dead although it is alive: %s", s.at.Sub(e.fleet.startedAt).Seconds(), pair.reporter, pair.subject, evidence)
+		e.verdict.violation("%.1f s: %s holds %s for dead, which lives: %s", s.at.Sub(e.fleet.startedAt).Seconds(), pair.reporter, pair.subject, evidence)
 	}
 }
 
@@ -176,7 +176,7 @@
 				e.verdict.DetectionTimes = append(e.verdict.DetectionTimes, took)
 			} else if absent.to.Sub(absent.from) > maxDetection {
 				e.verdict.MissedDead++
-				e.verdict.violation("%s never reported %s dead", o.Name, subject)
+				e.verdict.violation("%s never held %s for dead", o.Name, subject)
 			}
 		}
 	}
@@ -257,7 +257,7 @@
 			}
 			e.verdict.Disagreement = s.at.Sub(e.fleet.healedAt)
 			if s == e.fleet.lastSample() {
-				e.verdict.violation("in the last sample, the view of %s is %v, but the running orchestrators are %v", reporter, viewed, running)
+				e.verdict.violation("at the end %s sees %v, and %v are there", reporter, viewed, running)
 			}
 		}
 	}
